--- a/crates/control-plane/src/command_line.rs
+++ b/crates/control-plane/src/command_line.rs
@@ -64,8 +64,17 @@
     if arguments.contains(["-V", "--version"]) {
         return Ok(Command::Version);
     }
-    let log_level = arguments.opt_value_from_str("--log-level").context(LogLevelSnafu)?;
+    let log_level = arguments
+        .opt_value_from_str("--log-level")
+        .context(LogLevelSnafu)?;
     let rest = arguments.finish();
-    ensure!(rest.is_empty(), UnknownSnafu { argument: rest.into_iter().next().unwrap_or_default() });
-    Ok(Command::Run { log_level: log_level.unwrap_or(LevelFilter::Info) })
+    ensure!(
+        rest.is_empty(),
+        UnknownSnafu {
+            argument: rest.into_iter().next().unwrap_or_default()
+        }
+    );
+    Ok(Command::Run {
+        log_level: log_level.unwrap_or(LevelFilter::Info),
+    })
 }
--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -125,7 +125,10 @@
 
 impl From<CheckedConfig> for Current {
     fn from(checked: CheckedConfig) -> Self {
-        Current { config: Arc::new(checked.config().clone()), checked }
+        Current {
+            config: Arc::new(checked.config().clone()),
+            checked,
+        }
     }
 }
 
@@ -149,14 +152,18 @@
 
 impl ConfigAuthority {
     /// The authority of a new head, from the rows on disk (others than its own are skipped).
-    pub fn load<'a>(rows: impl IntoIterator<Item = (&'a str, &'a [u8])>) -> Result<Self, LoadError> {
+    pub fn load<'a>(
+        rows: impl IntoIterator<Item = (&'a str, &'a [u8])>,
+    ) -> Result<Self, LoadError> {
         let mut authority = ConfigAuthority::default();
         for (key, value) in rows {
             if key == CONFIG_KEY {
                 authority.current = Some(parse_config(value).context(ConfigSnafu)?.into());
             } else if let Some(digest) = key.strip_prefix(ORDER_KEY_PREFIX) {
                 let bytes = value.try_into().ok().context(OrderSnafu { key })?;
-                authority.orders.insert(u64::from_be_bytes(bytes), digest.to_owned());
+                authority
+                    .orders
+                    .insert(u64::from_be_bytes(bytes), digest.to_owned());
             }
         }
         Ok(authority)
@@ -185,7 +192,15 @@
 
     /// The write asked for is on disk at all members of the chain.
     pub fn committed(&mut self, effects: &mut Vec<Effect>) {
-        let Some(Writing { call, digest, forgotten, next }) = self.writing.take() else { return };
+        let Some(Writing {
+            call,
+            digest,
+            forgotten,
+            next,
+        }) = self.writing.take()
+        else {
+            return;
+        };
         if let Some(oldest) = forgotten {
             self.orders.remove(&oldest);
         }
@@ -200,14 +215,18 @@
     /// The write asked for may or may not hold: this member is no longer the head.
     pub fn aborted(&mut self, effects: &mut Vec<Effect>) {
         let calls = self.writing.take().map(|w| w.call);
-        let calls = calls.into_iter().chain(self.waiting.drain(..).map(|(call, _)| call));
+        let calls = calls
+            .into_iter()
+            .chain(self.waiting.drain(..).map(|(call, _)| call));
         effects.extend(calls.map(|call| Effect::Reply(call, Answer::Unclear)));
     }
 
     /// Decides the orders that wait, up to the first that is to be written.
     fn decide_waiting(&mut self, effects: &mut Vec<Effect>) {
         while self.writing.is_none() {
-            let Some((call, order)) = self.waiting.pop_front() else { return };
+            let Some((call, order)) = self.waiting.pop_front() else {
+                return;
+            };
             match self.decide(&order) {
                 Ok((digest, next)) => self.write(call, digest, next, effects),
                 Err(answer) => effects.push(Effect::Reply(call, answer)),
@@ -219,12 +238,17 @@
     fn decide(&self, order: &Order) -> Result<(String, Current), Answer> {
         let builds_on = parse_if_match(order.if_match.as_deref()).map_err(invalid)?;
         // Quotes and spaces around the version make no other order of it.
-        let digest =
-            OrderDigest::of(order.kind.method(), Some(&builds_on.to_string()), &order.body).to_string();
+        let digest = OrderDigest::of(
+            order.kind.method(),
+            Some(&builds_on.to_string()),
+            &order.body,
+        )
+        .to_string();
         if let Some(version) = self.taken_as(&digest) {
             return Err(Answer::Taken { version });
         }
-        if let Some(remembered_from) = self.forgotten_before().filter(|&oldest| builds_on < oldest) {
+        if let Some(remembered_from) = self.forgotten_before().filter(|&oldest| builds_on < oldest)
+        {
             return Err(Answer::Forgotten { remembered_from });
         }
         let current = self.version();
@@ -246,7 +270,10 @@
 
     /// The version that an order with this digest was taken as.
     fn taken_as(&self, digest: &str) -> Option<u64> {
-        self.orders.iter().find(|(_, taken)| *taken == digest).map(|(version, _)| *version)
+        self.orders
+            .iter()
+            .find(|(_, taken)| *taken == digest)
+            .map(|(version, _)| *version)
     }
 
     /// The configuration that follows from an order.
@@ -261,21 +288,40 @@
     fn write(&mut self, call: CallId, digest: String, next: Current, effects: &mut Vec<Effect>) {
         let version = next.config.version.to_be_bytes().to_vec();
         let mut rows = vec![
-            RowChange { key: CONFIG_KEY.to_owned(), value: Some(next.checked.json().as_bytes().to_vec()) },
-            RowChange { key: order_key(&digest), value: Some(version) },
+            RowChange {
+                key: CONFIG_KEY.to_owned(),
+                value: Some(next.checked.json().as_bytes().to_vec()),
+            },
+            RowChange {
+                key: order_key(&digest),
+                value: Some(version),
+            },
         ];
         let full = self.orders.len() >= ORDERS_KEPT;
-        let forgotten = self.orders.first_key_value().filter(|_| full).map(|(version, _)| *version);
-        let key = forgotten.and_then(|version| self.orders.get(&version)).map(|digest| order_key(digest));
+        let forgotten = self
+            .orders
+            .first_key_value()
+            .filter(|_| full)
+            .map(|(version, _)| *version);
+        let key = forgotten
+            .and_then(|version| self.orders.get(&version))
+            .map(|digest| order_key(digest));
         rows.extend(key.map(|key| RowChange { key, value: None }));
-        self.writing = Some(Writing { call, digest, forgotten, next });
+        self.writing = Some(Writing {
+            call,
+            digest,
+            forgotten,
+            next,
+        });
         effects.push(Effect::Write(rows));
     }
 }
 
 /// The answer to an order that is wrong.
 fn invalid(error: ConfigError) -> Answer {
-    Answer::Invalid { reason: error.to_string() }
+    Answer::Invalid {
+        reason: error.to_string(),
+    }
 }
 
 /// Key of the row that remembers an order taken.
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -33,12 +33,18 @@
 const ANSWERS_LIMIT: Duration = Duration::from_millis(400);
 
 /// What the tasks on sockets, storage and signals tell the driver.
-#[expect(clippy::large_enum_variant, reason = "most events are frames: a box for each would cost more")]
+#[expect(
+    clippy::large_enum_variant,
+    reason = "most events are frames: a box for each would cost more"
+)]
 enum Event {
     /// Something for the node.
     Node(Input),
     /// A call of the operator; the answer goes to `reply`.
-    Operator { request: OperatorCall, reply: oneshot::Sender<OperatorAnswer> },
+    Operator {
+        request: OperatorCall,
+        reply: oneshot::Sender<OperatorAnswer>,
+    },
     /// A signal.
     Signal(Signal),
 }
@@ -51,7 +57,11 @@
     let (node, requests) = start::node(&settings, &inbox).await?;
     let links = Links::listen(settings.internal_address(), inbox.clone()).await?;
     let http = start::serve_operator(&settings, &inbox).await?;
-    log::info!("{} is up at {}", settings.node_name, settings.internal_address());
+    log::info!(
+        "{} is up at {}",
+        settings.node_name,
+        settings.internal_address()
+    );
     let settings_due_ms = steady_ms() + SETTINGS_RETRY_MS;
     let driver = Driver {
         node,
@@ -100,14 +110,21 @@
     /// Waits for events, or for the next timer of the node.
     async fn wait(&self) {
         let now = clocks();
-        let due_ms = self.node.next_tick_ms(now).min(self.stop_ms.unwrap_or(u64::MAX));
-        let wait_ms = due_ms.saturating_sub(now.steady_ms).clamp(1, WAIT_LONGEST_MS);
+        let due_ms = self
+            .node
+            .next_tick_ms(now)
+            .min(self.stop_ms.unwrap_or(u64::MAX));
+        let wait_ms = due_ms
+            .saturating_sub(now.steady_ms)
+            .clamp(1, WAIT_LONGEST_MS);
         runtime::timeout(Duration::from_millis(wait_ms), self.inbox.filled()).await;
     }
 
     /// Told to stop, and no longer needed (or out of time).
     fn has_stopped(&self) -> bool {
-        let Some(stop_ms) = self.stop_ms else { return false };
+        let Some(stop_ms) = self.stop_ms else {
+            return false;
+        };
         (!self.node.is_needed() && self.calls.is_empty()) || steady_ms() >= stop_ms
     }
 
@@ -123,7 +140,9 @@
 
     fn read_seeds(&mut self, clocks: Clocks) {
         match Settings::from_env() {
-            Ok(settings) => self.node.handle(clocks, Input::Seeds(start::seeds(&settings))),
+            Ok(settings) => self
+                .node
+                .handle(clocks, Input::Seeds(start::seeds(&settings))),
             Err(error) => log::error!("the seeds stay as they were: {error}"),
         }
     }
@@ -159,7 +178,9 @@
                 let _ = self.calls.remove(&call).map(|reply| reply.send(answer));
             }
             Output::Storage(request) => {
-                self.requests.send(request).map_err(|_| DriverError::StorageGone)?;
+                self.requests
+                    .send(request)
+                    .map_err(|_| DriverError::StorageGone)?;
             }
             Output::Damaged { reason } => return Err(DriverError::Damaged { reason }),
         }
@@ -168,5 +189,8 @@
 }
 
 fn clocks() -> Clocks {
-    Clocks { steady_ms: steady_ms(), wall_ms: wall_ms() }
+    Clocks {
+        steady_ms: steady_ms(),
+        wall_ms: wall_ms(),
+    }
 }
--- a/crates/control-plane/src/driver/error.rs
+++ b/crates/control-plane/src/driver/error.rs
@@ -26,7 +26,9 @@
     #[snafu(display("the storage thread has ended"))]
     StorageGone,
     /// The database has been found damaged.
-    #[snafu(display("{reason}; it is set aside at the next start, and the rows come from other members"))]
+    #[snafu(display(
+        "{reason}; it is set aside at the next start, and the rows come from other members"
+    ))]
     Damaged {
         /// What was found.
         reason: String,
--- a/crates/control-plane/src/driver/links.rs
+++ b/crates/control-plane/src/driver/links.rs
@@ -30,9 +30,16 @@
 
 impl Links {
     /// Takes connections on the internal port from now on.
-    pub(super) async fn listen(address: SocketAddr, inbox: Inbox<Event>) -> Result<Links, DriverError> {
+    pub(super) async fn listen(
+        address: SocketAddr,
+        inbox: Inbox<Event>,
+    ) -> Result<Links, DriverError> {
         let listener = framed::listen(address).await.context(NetSnafu)?;
-        let links = Links { senders: Rc::default(), next_id: Rc::default(), inbox };
+        let links = Links {
+            senders: Rc::default(),
+            next_id: Rc::default(),
+            inbox,
+        };
         runtime::spawn(links.clone().accept(listener));
         Ok(links)
     }
@@ -58,7 +65,10 @@
             match framed::connect(address, DIAL_TIMEOUT).await {
                 Ok(connection) => {
                     let (id, reader) = links.add(connection);
-                    links.tell(Input::Dialled { address, connection: id });
+                    links.tell(Input::Dialled {
+                        address,
+                        connection: id,
+                    });
                     links.read(id, reader).await;
                 }
                 Err(error) => {
--- a/crates/control-plane/src/driver/start.rs
+++ b/crates/control-plane/src/driver/start.rs
@@ -28,27 +28,45 @@
 
 /// Opens the database and makes the node; answers of the storage thread go to the inbox.
 pub(super) async fn node(
-    settings: &Settings, inbox: &Inbox<Event>,
+    settings: &Settings,
+    inbox: &Inbox<Event>,
 ) -> Result<(Node, Sender<StorageRequest>), DriverError> {
     let directory = settings.data_dir.as_deref();
-    let directory = directory.context(MissingSnafu { field: "data_dir", needed: "a folder on its disk" })?;
+    let directory = directory.context(MissingSnafu {
+        field: "data_dir",
+        needed: "a folder on its disk",
+    })?;
     let opened = open(directory).await;
     if let Some(aside) = &opened.set_aside {
-        log::error!("the database is set aside as {}: {}", aside.path.display(), aside.reason);
+        log::error!(
+            "the database is set aside as {}: {}",
+            aside.path.display(),
+            aside.reason
+        );
     }
     if opened.has_forgotten && settings.bootstrap {
-        log::warn!("`bootstrap` is passed over: a database was set aside here, so this is no first start");
+        log::warn!(
+            "`bootstrap` is passed over: a database was set aside here, so this is no first start"
+        );
     }
-    let state = if opened.durable.is_some() { "the disk holds a state" } else { "the disk is empty" };
+    let state = if opened.durable.is_some() {
+        "the disk holds a state"
+    } else {
+        "the disk is empty"
+    };
     log::info!("{state}; bootstrap is {}", settings.bootstrap);
-    let (requests, mut answers) = storage_thread::start(opened.storage).context(StorageThreadSnafu)?;
+    let (requests, mut answers) =
+        storage_thread::start(opened.storage).context(StorageThreadSnafu)?;
     let inbox = inbox.clone();
     runtime::spawn(async move {
         while let Some(answer) = answers.next().await {
             inbox.push(Event::Node(Input::Storage(answer)));
         }
     });
-    let clocks = Clocks { steady_ms: steady_ms(), wall_ms: wall_ms() };
+    let clocks = Clocks {
+        steady_ms: steady_ms(),
+        wall_ms: wall_ms(),
+    };
     let mut node_settings = node_settings(settings)?;
     // A member that has forgotten what it had promised must not vote as one that never promised anything.
     node_settings.bootstrap &= !opened.has_forgotten;
@@ -61,7 +79,9 @@
     loop {
         match Storage::open(directory) {
             Ok(opened) => return opened,
-            Err(error) if is_first => log::error!("the disk cannot be used, it is tried again: {error}"),
+            Err(error) if is_first => {
+                log::error!("the disk cannot be used, it is tried again: {error}")
+            }
             Err(_) => {}
         }
         is_first = false;
@@ -71,12 +91,18 @@
 
 /// Serves the operator's API.
 pub(super) async fn serve_operator(
-    settings: &Settings, inbox: &Inbox<Event>,
+    settings: &Settings,
+    inbox: &Inbox<Event>,
 ) -> Result<HttpServer, DriverError> {
-    let options = HttpOptions { max_body_bytes: CONFIG_BYTES_MAX, ..HttpOptions::default() };
+    let options = HttpOptions {
+        max_body_bytes: CONFIG_BYTES_MAX,
+        ..HttpOptions::default()
+    };
     let inbox = inbox.clone();
     let handler = move |request| answer(inbox.clone(), request);
-    http::serve(control_address(settings)?, options, handler).await.context(NetSnafu)
+    http::serve(control_address(settings)?, options, handler)
+        .await
+        .context(NetSnafu)
 }
 
 /// Hands signals to the inbox.
@@ -93,7 +119,11 @@
 
 /// Internal addresses of the seeds.
 pub(super) fn seeds(settings: &Settings) -> Vec<SocketAddr> {
-    settings.seed_internal_addresses().into_iter().map(|seed| seed.internal).collect()
+    settings
+        .seed_internal_addresses()
+        .into_iter()
+        .map(|seed| seed.internal)
+        .collect()
 }
 
 /// Answers one call of the operator.
--- a/crates/control-plane/src/head.rs
+++ b/crates/control-plane/src/head.rs
@@ -104,15 +104,25 @@
 impl Head {
     /// The head of view `epoch`, from all rows on disk. Tickets of its writes are counted from `first_ticket`.
     pub fn load(
-        bounds: Bounds, epoch: u64, first_ticket: u64, clocks: Clocks, rows: Vec<KeyValue>,
+        bounds: Bounds,
+        epoch: u64,
+        first_ticket: u64,
+        clocks: Clocks,
+        rows: Vec<KeyValue>,
     ) -> Result<Self, HeadError> {
-        let texts =
-            rows.iter().filter_map(|(key, value)| Some((str::from_utf8(key).ok()?, value.as_slice())));
+        let texts = rows
+            .iter()
+            .filter_map(|(key, value)| Some((str::from_utf8(key).ok()?, value.as_slice())));
         let authority = ConfigAuthority::load(texts).context(ConfigSnafu)?;
         let mut scheduler = Scheduler::new(bounds, epoch, epoch, clocks.steady_ms, clocks.wall_ms);
         let rows = rows.into_iter().filter(|(key, _)| Scheduler::is_row(key));
         scheduler.load(rows).context(SchedulerSnafu)?;
-        Ok(Head { scheduler, authority, writers: HashMap::new(), next_ticket: first_ticket })
+        Ok(Head {
+            scheduler,
+            authority,
+            writers: HashMap::new(),
+            next_ticket: first_ticket,
+        })
     }
 
     /// Begins with the configuration on disk, if there is one.
@@ -125,25 +135,39 @@
     /// Hands an event to the scheduler.
     pub fn event(&mut self, clocks: Clocks, event: Event, outputs: &mut Vec<HeadOutput>) {
         let mut effects = Vec::new();
-        self.scheduler.handle(clocks.steady_ms, clocks.wall_ms, event, &mut effects);
+        self.scheduler
+            .handle(clocks.steady_ms, clocks.wall_ms, event, &mut effects);
         for effect in effects {
             let output = match effect {
                 Effect::Write { write, changes } => {
-                    let changes = changes.into_iter().map(|row| RowChange { key: row.key, value: row.value });
+                    let changes = changes.into_iter().map(|row| RowChange {
+                        key: row.key,
+                        value: row.value,
+                    });
                     self.submit(Writer::Scheduler(write), changes.collect())
                 }
-                Effect::Reply { to, reply } => HeadOutput::Reply { to: ConnectionId(to.0), reply },
+                Effect::Reply { to, reply } => HeadOutput::Reply {
+                    to: ConnectionId(to.0),
+                    reply,
+                },
                 Effect::Late(end) => HeadOutput::Late(end),
-                Effect::Orders { companion, orders } => {
-                    HeadOutput::Orders { to: ConnectionId(companion.0), orders }
-                }
+                Effect::Orders { companion, orders } => HeadOutput::Orders {
+                    to: ConnectionId(companion.0),
+                    orders,
+                },
             };
             outputs.push(output);
         }
     }
 
     /// Hands an order of the operator to the authority.
-    pub fn order(&mut self, clocks: Clocks, call: CallId, order: Order, outputs: &mut Vec<HeadOutput>) {
+    pub fn order(
+        &mut self,
+        clocks: Clocks,
+        call: CallId,
+        order: Order,
+        outputs: &mut Vec<HeadOutput>,
+    ) {
         let mut effects = Vec::new();
         self.authority.order(call, order, &mut effects);
         self.config_effects(clocks, effects, outputs);
@@ -177,11 +201,16 @@
         let mut effects = Vec::new();
         self.authority.aborted(&mut effects);
         let answers = effects.into_iter().filter_map(|effect| match effect {
-            config_authority::Effect::Reply(call, answer) => Some(HeadOutput::Answer { call, answer }),
+            config_authority::Effect::Reply(call, answer) => {
+                Some(HeadOutput::Answer { call, answer })
+            }
             _ => None,
         });
         outputs.extend(answers);
-        Unsettled { next_ticket: self.next_ticket, tickets: self.writers.into_keys().collect() }
+        Unsettled {
+            next_ticket: self.next_ticket,
+            tickets: self.writers.into_keys().collect(),
+        }
     }
 
     /// When the scheduler wants [`Event::Timer`].
@@ -200,20 +229,28 @@
     }
 
     fn config_effects(
-        &mut self, clocks: Clocks, effects: Vec<config_authority::Effect>, outputs: &mut Vec<HeadOutput>,
+        &mut self,
+        clocks: Clocks,
+        effects: Vec<config_authority::Effect>,
+        outputs: &mut Vec<HeadOutput>,
     ) {
         for effect in effects {
             match effect {
                 config_authority::Effect::Write(rows) => {
                     let changes = rows.into_iter();
                     let changes = changes
-                        .map(|row| RowChange { key: row.key.into_bytes(), value: row.value })
+                        .map(|row| RowChange {
+                            key: row.key.into_bytes(),
+                            value: row.value,
+                        })
                         .collect();
                     let output = self.submit(Writer::Config, changes);
                     outputs.push(output);
                 }
                 config_authority::Effect::InForce(config) => {
-                    outputs.push(HeadOutput::ConfigTaken { version: config.version });
+                    outputs.push(HeadOutput::ConfigTaken {
+                        version: config.version,
+                    });
                     self.event(clocks, Event::Config(config), outputs);
                 }
                 config_authority::Effect::Reply(call, answer) => {
--- a/crates/control-plane/src/inbox.rs
+++ b/crates/control-plane/src/inbox.rs
@@ -18,13 +18,20 @@
 
 impl<T> Default for Inbox<T> {
     fn default() -> Self {
-        Inbox { shared: Rc::new(RefCell::new(Shared { items: VecDeque::new(), reader: None })) }
+        Inbox {
+            shared: Rc::new(RefCell::new(Shared {
+                items: VecDeque::new(),
+                reader: None,
+            })),
+        }
     }
 }
 
 impl<T> Clone for Inbox<T> {
     fn clone(&self) -> Self {
-        Inbox { shared: Rc::clone(&self.shared) }
+        Inbox {
+            shared: Rc::clone(&self.shared),
+        }
     }
 }
 
--- a/crates/control-plane/src/inspection/job_report.rs
+++ b/crates/control-plane/src/inspection/job_report.rs
@@ -11,7 +11,11 @@
 
 /// How a job stands, under this configuration.
 pub fn job_report(record: &JobRecord, config: Option<&Config>, room: &Room<'_>) -> JobInspection {
-    let JobRecord { id, definition, progress } = record;
+    let JobRecord {
+        id,
+        definition,
+        progress,
+    } = record;
     let definition = definition.as_ref();
     let service = definition.map(|definition| service_now(definition, config));
     let steps = definition.map(|d| step_reports(d, progress, &service_now(d, config), room));
@@ -33,8 +37,15 @@
 
 /// The service that the job's route leads to now.
 fn service_now(definition: &Definition, config: Option<&Config>) -> String {
-    let route = config.and_then(|config| config.routes.iter().find(|route| route.name == definition.route));
-    route.map_or(&definition.service, |route| &route.backend).clone()
+    let route = config.and_then(|config| {
+        config
+            .routes
+            .iter()
+            .find(|route| route.name == definition.route)
+    });
+    route
+        .map_or(&definition.service, |route| &route.backend)
+        .clone()
 }
 
 /// When the next repetition of a job with set times is due.
@@ -42,11 +53,15 @@
     let spec = &definition.spec;
     let next = progress.next_repeat;
     let after_ms = spec.interval_ms.saturating_mul(u64::from(next));
-    (next < spec.repeat_count && progress.end.is_none()).then(|| spec.start_at_ms.saturating_add(after_ms))
+    (next < spec.repeat_count && progress.end.is_none())
+        .then(|| spec.start_at_ms.saturating_add(after_ms))
 }
 
 fn step_reports(
-    definition: &Definition, progress: &Progress, service: &str, room: &Room<'_>,
+    definition: &Definition,
+    progress: &Progress,
+    service: &str,
+    room: &Room<'_>,
 ) -> Vec<StepInspection> {
     let mut reports = Vec::new();
     for (repeat, rows) in &progress.repeats {
@@ -56,14 +71,25 @@
             }
             let before = unfinished_before(step, rows);
             let wait = || room.wait(service, step, row, &progress.instances);
-            reports.push(step_report((*repeat, number as u32), step, row, progress, before, wait));
+            reports.push(step_report(
+                (*repeat, number as u32),
+                step,
+                row,
+                progress,
+                before,
+                wait,
+            ));
         }
     }
     reports
 }
 
 fn step_report(
-    (repeat, number): (u32, u32), step: &Step, row: &StepRow, progress: &Progress, before: Vec<u32>,
+    (repeat, number): (u32, u32),
+    step: &Step,
+    row: &StepRow,
+    progress: &Progress,
+    before: Vec<u32>,
     wait: impl FnOnce() -> Wait,
 ) -> StepInspection {
     let tasks = row.counts(step, before.is_empty());
@@ -75,10 +101,21 @@
     let indexed = row.tasks().iter().enumerate();
     let runs = indexed.filter_map(|(index, task)| {
         let (instance, attempt) = task.run?;
-        let instance = progress.instances.get(instance as usize).cloned().unwrap_or_default();
-        Some(RunInspection { index: index as u32, attempt, instance })
+        let instance = progress
+            .instances
+            .get(instance as usize)
+            .cloned()
+            .unwrap_or_default();
+        Some(RunInspection {
+            index: index as u32,
+            attempt,
+            instance,
+        })
     });
-    let copies = progress.copies.iter().filter(|copy| (copy.repeat, copy.step) == (repeat, number));
+    let copies = progress
+        .copies
+        .iter()
+        .filter(|copy| (copy.repeat, copy.step) == (repeat, number));
     let copies = copies.map(|copy| RunInspection {
         index: copy.index,
         attempt: copy.attempt,
--- a/crates/control-plane/src/inspection/room.rs
+++ b/crates/control-plane/src/inspection/room.rs
@@ -71,14 +71,16 @@
 
     /// Why tasks of a step whose turn has come wait, as far as the room tells.
     pub fn wait(&self, service: &str, step: &Step, row: &StepRow, instances: &[String]) -> Wait {
-        let ready =
-            |worker: &&&WorkerAccount| worker.backend == service && worker.state == WorkerState::Ready;
+        let ready = |worker: &&&WorkerAccount| {
+            worker.backend == service && worker.state == WorkerState::Ready
+        };
         let ready: Vec<&WorkerAccount> = self.workers.iter().filter(ready).copied().collect();
         if ready.is_empty() {
             return Wait::NoWorkers;
         }
         let fits = |worker: &&WorkerAccount| {
-            let labelled = step.requirements.is_empty() || worker.labels.contains(&step.requirements);
+            let labelled =
+                step.requirements.is_empty() || worker.labels.contains(&step.requirements);
             labelled && worker.capacity.holds(&step.resources())
         };
         let fitting: Vec<&WorkerAccount> = ready.into_iter().filter(fits).collect();
@@ -94,17 +96,35 @@
     }
 
     /// How many more tasks of the step fit on a worker.
-    fn places(&self, worker: &WorkerAccount, step: &Step, row: &StepRow, instances: &[String]) -> u64 {
+    fn places(
+        &self,
+        worker: &WorkerAccount,
+        step: &Step,
+        row: &StepRow,
+        instances: &[String],
+    ) -> u64 {
         let used = self.used.get(&worker.instance).copied().unwrap_or_default();
         let (free, task) = (worker.capacity.minus(&used), step.resources());
-        let amounts = [(free.cpu, task.cpu), (free.mem_mb, task.mem_mb), (free.gpu, task.gpu)];
-        let by_size = amounts.into_iter().filter_map(|(free, each)| free.checked_div(each)).min();
+        let amounts = [
+            (free.cpu, task.cpu),
+            (free.mem_mb, task.mem_mb),
+            (free.gpu, task.gpu),
+        ];
+        let by_size = amounts
+            .into_iter()
+            .filter_map(|(free, each)| free.checked_div(each))
+            .min();
         let by_size = by_size.unwrap_or(u64::from(step.count));
         if step.anti_affinity == 0 {
             return by_size;
         }
         let here = |run: &(u32, u32)| instances.get(run.0 as usize) == Some(&worker.instance);
-        let there = row.tasks().iter().filter_map(|task| task.run).filter(here).count() as u64;
+        let there = row
+            .tasks()
+            .iter()
+            .filter_map(|task| task.run)
+            .filter(here)
+            .count() as u64;
         by_size.min(u64::from(step.anti_affinity).saturating_sub(there))
     }
 }
--- a/crates/control-plane/src/inspection/rows.rs
+++ b/crates/control-plane/src/inspection/rows.rs
@@ -177,13 +177,24 @@
             StepRow::Fresh => (0, 0),
             StepRow::Done => (0, all),
             StepRow::Open { tasks, .. } => {
-                let running = tasks.iter().filter(|task| !task.done && task.run.is_some()).count() as u64;
-                (running, tasks.iter().filter(|task| task.done).count() as u64)
+                let running = tasks
+                    .iter()
+                    .filter(|task| !task.done && task.run.is_some())
+                    .count() as u64;
+                (
+                    running,
+                    tasks.iter().filter(|task| task.done).count() as u64,
+                )
             }
         };
         let rest = all.saturating_sub(running + done);
         let (waiting, blocked) = if is_open { (rest, 0) } else { (0, rest) };
-        TaskCounts { waiting, blocked, running, done }
+        TaskCounts {
+            waiting,
+            blocked,
+            running,
+            done,
+        }
     }
 }
 
@@ -191,12 +202,20 @@
     /// Something of the job has been started.
     pub fn has_started(&self) -> bool {
         let some_over = self.next_repeat as usize > self.repeats.len();
-        some_over || self.repeats.iter().any(|(_, steps)| steps.iter().any(StepRow::has_started))
+        some_over
+            || self
+                .repeats
+                .iter()
+                .any(|(_, steps)| steps.iter().any(StepRow::has_started))
     }
 
     /// The job's state as clients are shown it.
     pub fn state(&self) -> JobState {
-        let unended = if self.has_started() { JobState::Running } else { JobState::Queued };
+        let unended = if self.has_started() {
+            JobState::Running
+        } else {
+            JobState::Queued
+        };
         self.end.map_or(unended, |end| end.state)
     }
 }
--- a/crates/control-plane/src/inspection/survey.rs
+++ b/crates/control-plane/src/inspection/survey.rs
@@ -48,7 +48,10 @@
 impl Survey {
     /// A survey that also keeps the job `wanted`.
     pub fn new(wanted: Option<JobId>) -> Self {
-        Survey { wanted, ..Survey::default() }
+        Survey {
+            wanted,
+            ..Survey::default()
+        }
     }
 
     /// Takes a row in. Rows must come in the order of their keys.
@@ -87,7 +90,11 @@
         }
         if self.wanted == Some(id) {
             let definition = outline.and_then(|outline| outline.definition);
-            self.job = Some(JobRecord { id, definition, progress });
+            self.job = Some(JobRecord {
+                id,
+                definition,
+                progress,
+            });
         }
     }
 
@@ -114,9 +121,14 @@
     }
 
     fn runs(&mut self, described: &[Step], progress: &Progress) {
-        for (step, row) in progress.repeats.iter().flat_map(|(_, rows)| described.iter().zip(rows)) {
+        for (step, row) in progress
+            .repeats
+            .iter()
+            .flat_map(|(_, rows)| described.iter().zip(rows))
+        {
             let runs = row.tasks().iter().filter_map(|task| task.run);
-            let instances = runs.filter_map(|(instance, _)| progress.instances.get(instance as usize));
+            let instances =
+                runs.filter_map(|(instance, _)| progress.instances.get(instance as usize));
             instances.for_each(|instance| self.occupy(instance, step));
         }
         for copy in &progress.copies {
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -85,7 +85,10 @@
 
 /// What a member's driver has to do, in this order.
 #[derive(Debug)]
-#[expect(clippy::large_enum_variant, reason = "most outputs are frames: a box for each would cost more")]
+#[expect(
+    clippy::large_enum_variant,
+    reason = "most outputs are frames: a box for each would cost more"
+)]
 pub enum Output {
     /// Send a frame.
     Send {
@@ -185,7 +188,10 @@
     /// Takes an input.
     pub fn handle(&mut self, clocks: Clocks, input: Input) {
         match input {
-            Input::Dialled { address, connection } => self.dialled(address, connection),
+            Input::Dialled {
+                address,
+                connection,
+            } => self.dialled(address, connection),
             Input::DialFailed { address } => self.peers.failed(clocks.steady_ms, address),
             Input::Frame { connection, frame } => self.frame(clocks, connection, frame),
             Input::Closed { connection } => self.closed(clocks, connection),
@@ -212,7 +218,8 @@
         }
         self.run_scrub(clocks.steady_ms);
         let dials = self.peers.take_due(clocks.steady_ms);
-        self.outputs.extend(dials.into_iter().map(|address| Output::Dial { address }));
+        self.outputs
+            .extend(dials.into_iter().map(|address| Output::Dial { address }));
     }
 
     /// When [`Self::tick`] has something to do next, if nothing else happens.
@@ -238,7 +245,10 @@
         if self.acts(now_ms) {
             return outputs;
         }
-        outputs.into_iter().filter_map(calls::without_lease).collect()
+        outputs
+            .into_iter()
+            .filter_map(calls::without_lease)
+            .collect()
     }
 
     /// Whether it is the head of a view, or about to be.
@@ -249,7 +259,10 @@
     /// Whether writes need this member: it is the head, or in the chain of the view that it follows.
     pub fn is_needed(&self) -> bool {
         let own = self.replica.member();
-        let in_chain = self.replica.accepted_view().is_some_and(|(view, _)| view.chain.contains(&own));
+        let in_chain = self
+            .replica
+            .accepted_view()
+            .is_some_and(|(view, _)| view.chain.contains(&own));
         self.is_head() || in_chain
     }
 
@@ -273,10 +286,18 @@
 
     /// Keeps connections to all members that are worth one.
     fn follow_peers(&mut self, now_ms: u64) {
-        let known = self.replica.peers().into_iter().chain(self.settings.seeds.iter().copied());
+        let known = self
+            .replica
+            .peers()
+            .into_iter()
+            .chain(self.settings.seeds.iter().copied());
         let own = self.settings.address.internal;
         let addresses: BTreeSet<SocketAddr> = known.filter(|address| *address != own).collect();
         let surplus = self.peers.follow(now_ms, addresses);
-        self.outputs.extend(surplus.into_iter().map(|connection| Output::Close { connection }));
+        self.outputs.extend(
+            surplus
+                .into_iter()
+                .map(|connection| Output::Close { connection }),
+        );
     }
 }
--- a/crates/control-plane/src/node/calls.rs
+++ b/crates/control-plane/src/node/calls.rs
@@ -5,7 +5,9 @@
 use crate::head::{Clocks, HeadOutput};
 use crate::operator::{OperatorAnswer, OperatorCall};
 use crate::sessions::ConnectionId;
-use indigofold_protocol::internal::{ClientCall, ClientOutcome, ClientReply, CompanionReport, Frame};
+use indigofold_protocol::internal::{
+    ClientCall, ClientOutcome, ClientReply, CompanionReport, Frame,
+};
 use indigofold_replication::Input as ReplicaInput;
 use indigofold_scheduler::{CallerId, CompanionId, Event};
 
@@ -16,15 +18,25 @@
 /// are held back is disconnected, so that it is told everything anew.
 pub(super) fn without_lease(output: Output) -> Option<Output> {
     match output {
-        Output::Send { connection, frame: Frame::Reply(reply) } => {
+        Output::Send {
+            connection,
+            frame: Frame::Reply(reply),
+        } => {
             let outcome = outcome_without_lease(reply.outcome);
-            let frame = Frame::Reply(ClientReply { call: reply.call, outcome });
+            let frame = Frame::Reply(ClientReply {
+                call: reply.call,
+                outcome,
+            });
             Some(Output::Send { connection, frame })
         }
-        Output::Send { connection, frame: Frame::Orders(_) } => Some(Output::Close { connection }),
-        Output::Answer { call, answer } => {
-            Some(Output::Answer { call, answer: operator_answer_without_lease(answer) })
-        }
+        Output::Send {
+            connection,
+            frame: Frame::Orders(_),
+        } => Some(Output::Close { connection }),
+        Output::Answer { call, answer } => Some(Output::Answer {
+            call,
+            answer: operator_answer_without_lease(answer),
+        }),
         other => Some(other),
     }
 }
@@ -32,14 +44,19 @@
 /// A committed effect stays true; what was looked up may be out of date.
 fn outcome_without_lease(outcome: ClientOutcome) -> ClientOutcome {
     match outcome {
-        ClientOutcome::Accepted | ClientOutcome::Cancelled | ClientOutcome::Invalid { .. } => outcome,
-        _ => ClientOutcome::Unavailable { retry_after_ms: RETRY_AFTER_MS },
+        ClientOutcome::Accepted | ClientOutcome::Cancelled | ClientOutcome::Invalid { .. } => {
+            outcome
+        }
+        _ => ClientOutcome::Unavailable {
+            retry_after_ms: RETRY_AFTER_MS,
+        },
     }
 }
 
 fn operator_answer_without_lease(answer: OperatorAnswer) -> OperatorAnswer {
     match answer {
-        OperatorAnswer::Order(Answer::Taken { .. } | Answer::Unclear) | OperatorAnswer::AskHead(_) => answer,
+        OperatorAnswer::Order(Answer::Taken { .. } | Answer::Unclear)
+        | OperatorAnswer::AskHead(_) => answer,
         _ => OperatorAnswer::NoHead,
     }
 }
@@ -48,20 +65,43 @@
     /// An edge calls for a client.
     pub(super) fn call(&mut self, clocks: Clocks, connection: ConnectionId, call: ClientCall) {
         if !self.acts(clocks.steady_ms) {
-            let outcome = ClientOutcome::Unavailable { retry_after_ms: RETRY_AFTER_MS };
-            let frame = Frame::Reply(ClientReply { call: call.call, outcome });
+            let outcome = ClientOutcome::Unavailable {
+                retry_after_ms: RETRY_AFTER_MS,
+            };
+            let frame = Frame::Reply(ClientReply {
+                call: call.call,
+                outcome,
+            });
             self.outputs.push(Output::Send { connection, frame });
             return;
         }
         self.sessions.call_opened(connection);
-        self.scheduler_event(clocks, Event::Call { from: CallerId(connection.0), call });
+        self.scheduler_event(
+            clocks,
+            Event::Call {
+                from: CallerId(connection.0),
+                call,
+            },
+        );
     }
 
     /// A companion reports; without a lease nobody answers it, so that it looks for the acting head.
-    pub(super) fn report(&mut self, clocks: Clocks, connection: ConnectionId, report: CompanionReport) {
+    pub(super) fn report(
+        &mut self,
+        clocks: Clocks,
+        connection: ConnectionId,
+        report: CompanionReport,
+    ) {
         if self.acts(clocks.steady_ms) && self.sessions.get(connection).is_some() {
-            self.sessions.worker_reported(connection, report.instance.as_ref());
-            self.scheduler_event(clocks, Event::Report { companion: CompanionId(connection.0), report });
+            self.sessions
+                .worker_reported(connection, report.instance.as_ref());
+            self.scheduler_event(
+                clocks,
+                Event::Report {
+                    companion: CompanionId(connection.0),
+                    report,
+                },
+            );
         }
     }
 
@@ -88,7 +128,9 @@
 
     /// Hands an event to the scheduler, if it is here.
     pub(super) fn scheduler_event(&mut self, clocks: Clocks, event: Event) {
-        let Home::Here(head) = &mut self.home else { return };
+        let Home::Here(head) = &mut self.home else {
+            return;
+        };
         let mut outputs = Vec::new();
         head.event(clocks, event, &mut outputs);
         self.head_outputs(clocks, outputs);
@@ -103,17 +145,28 @@
                 }
                 HeadOutput::Reply { to, reply } => {
                     self.sessions.call_replied(to);
-                    self.outputs.push(Output::Send { connection: to, frame: Frame::Reply(reply) });
+                    self.outputs.push(Output::Send {
+                        connection: to,
+                        frame: Frame::Reply(reply),
+                    });
                 }
                 HeadOutput::Orders { to, orders } => {
-                    self.outputs.push(Output::Send { connection: to, frame: Frame::Orders(orders) });
+                    self.outputs.push(Output::Send {
+                        connection: to,
+                        frame: Frame::Orders(orders),
+                    });
                 }
                 HeadOutput::Answer { call, answer } => {
                     log_answer(&answer);
-                    self.outputs.push(Output::Answer { call, answer: OperatorAnswer::Order(answer) });
+                    self.outputs.push(Output::Answer {
+                        call,
+                        answer: OperatorAnswer::Order(answer),
+                    });
                 }
                 HeadOutput::Late(end) => log::info!("{end}"),
-                HeadOutput::ConfigTaken { version } => log::info!("configuration {version} is in force"),
+                HeadOutput::ConfigTaken { version } => {
+                    log::info!("configuration {version} is in force")
+                }
             }
         }
     }
@@ -121,8 +174,13 @@
     /// Where the operator has to ask instead.
     fn elsewhere(&self, now_ms: u64) -> OperatorAnswer {
         let own = self.settings.address.internal;
-        let head = self.replica.head(now_ms).filter(|head| head.internal != own);
-        head.map_or(OperatorAnswer::NoHead, |head| OperatorAnswer::AskHead(head.control))
+        let head = self
+            .replica
+            .head(now_ms)
+            .filter(|head| head.internal != own);
+        head.map_or(OperatorAnswer::NoHead, |head| {
+            OperatorAnswer::AskHead(head.control)
+        })
     }
 }
 
@@ -131,10 +189,16 @@
     match answer {
         Answer::Taken { .. } => {}
         Answer::Invalid { reason } => log::info!("an order is refused as invalid: {reason}"),
-        Answer::OtherVersion { current } => log::info!("an order is refused: version {current} is current"),
-        Answer::Unclear => log::info!("an order is left unclear: this member is no longer the head"),
+        Answer::OtherVersion { current } => {
+            log::info!("an order is refused: version {current} is current")
+        }
+        Answer::Unclear => {
+            log::info!("an order is left unclear: this member is no longer the head")
+        }
         Answer::Forgotten { remembered_from } => {
-            log::info!("an order is left unclear: it may have been taken before version {remembered_from}");
+            log::info!(
+                "an order is left unclear: it may have been taken before version {remembered_from}"
+            );
         }
     }
 }
--- a/crates/control-plane/src/node/connections.rs
+++ b/crates/control-plane/src/node/connections.rs
@@ -15,7 +15,11 @@
     #[snafu(display("a {frame} came before a Hello"))]
     Ungreeted { frame: &'static str },
     #[snafu(display("{node_name} is {kind:?}, which sends no {frame}"))]
-    Sender { frame: &'static str, kind: ProcessKind, node_name: String },
+    Sender {
+        frame: &'static str,
+        kind: ProcessKind,
+        node_name: String,
+    },
 }
 
 impl Node {
@@ -26,9 +30,15 @@
             return;
         }
         let hello = Frame::Hello(self.settings.hello.clone());
-        self.outputs.push(Output::Send { connection, frame: hello });
+        self.outputs.push(Output::Send {
+            connection,
+            frame: hello,
+        });
         let welcome = Frame::Welcome(self.welcome.clone());
-        self.outputs.push(Output::Send { connection, frame: welcome });
+        self.outputs.push(Output::Send {
+            connection,
+            frame: welcome,
+        });
     }
 
     /// A connection is closed, by whomever.
@@ -36,7 +46,9 @@
         if let Some(address) = self.peers.closed(clocks.steady_ms, connection) {
             log::debug!("the connection to {address} is closed");
         }
-        let Some(session) = self.sessions.remove(connection) else { return };
+        let Some(session) = self.sessions.remove(connection) else {
+            return;
+        };
         let event = match session.kind {
             ProcessKind::Edge => Event::CallerGone(CallerId(connection.0)),
             ProcessKind::Companion => Event::CompanionDisconnected(CompanionId(connection.0)),
@@ -77,10 +89,17 @@
             Frame::Inspected(_) => ("Inspected", None),
             Frame::Hello(_) | Frame::Welcome(_) | Frame::Inspect(_) => return Ok(()),
         };
-        let session = self.sessions.get(connection).context(UngreetedSnafu { frame: name })?;
+        let session = self
+            .sessions
+            .get(connection)
+            .context(UngreetedSnafu { frame: name })?;
         ensure!(
             sender == Some(session.kind),
-            SenderSnafu { frame: name, kind: session.kind, node_name: &session.node_name }
+            SenderSnafu {
+                frame: name,
+                kind: session.kind,
+                node_name: &session.node_name
+            }
         );
         Ok(())
     }
@@ -90,7 +109,10 @@
         match message::decode(bytes) {
             Ok(envelope) => self.replica_input(clocks, ReplicaInput::Message(envelope)),
             Err(error) => {
-                let from = self.sessions.get(connection).map_or("", |session| session.node_name.as_str());
+                let from = self
+                    .sessions
+                    .get(connection)
+                    .map_or("", |session| session.node_name.as_str());
                 log::warn!("a frame is refused and its connection closed: {from}: {error}");
                 self.drop_connection(clocks, connection);
             }
@@ -110,21 +132,40 @@
             self.drop_connection(clocks, connection);
             return;
         }
-        self.outputs.push(Output::Send { connection, frame: Frame::Welcome(self.welcome.clone()) });
+        self.outputs.push(Output::Send {
+            connection,
+            frame: Frame::Welcome(self.welcome.clone()),
+        });
         if kind == ProcessKind::Core {
-            let known = self.replica.members().into_iter().find(|member| member.node_name == node_name);
-            known.into_iter().for_each(|member| self.peers.heard_from(clocks.steady_ms, member.internal));
+            let known = self
+                .replica
+                .members()
+                .into_iter()
+                .find(|member| member.node_name == node_name);
+            known
+                .into_iter()
+                .for_each(|member| self.peers.heard_from(clocks.steady_ms, member.internal));
         }
         if kind == ProcessKind::Companion && matches!(self.home, Home::Here(_)) {
             let companion = CompanionId(connection.0);
-            self.scheduler_event(clocks, Event::CompanionConnected { companion, node_name });
+            self.scheduler_event(
+                clocks,
+                Event::CompanionConnected {
+                    companion,
+                    node_name,
+                },
+            );
         }
     }
 
     /// Another member tells whom it knows.
     fn welcomed(&mut self, clocks: Clocks, welcome: Welcome) {
         let own = self.settings.address.internal;
-        for address in welcome.members.into_iter().filter(|member| member.internal != own) {
+        for address in welcome
+            .members
+            .into_iter()
+            .filter(|member| member.internal != own)
+        {
             self.replica_input(clocks, ReplicaInput::MemberSeen { address });
         }
         self.welcome_due_ms = 0;
--- a/crates/control-plane/src/node/home.rs
+++ b/crates/control-plane/src/node/home.rs
@@ -29,33 +29,53 @@
     /// The storage thread has done something.
     pub(super) fn stored(&mut self, clocks: Clocks, answer: StorageAnswer) {
         if let Some(error) = answer.damage() {
-            self.outputs.push(Output::Damaged { reason: error.to_string() });
+            self.outputs.push(Output::Damaged {
+                reason: error.to_string(),
+            });
             return;
         }
         match answer {
             StorageAnswer::Scrub { result } => self.scrubbed(clocks, result),
-            StorageAnswer::Store { store, result: Ok(()) } => {
+            StorageAnswer::Store {
+                store,
+                result: Ok(()),
+            } => {
                 if std::mem::take(&mut self.storage_failing) {
                     log::info!("the disk takes writes again");
                 }
                 self.replica_input(clocks, ReplicaInput::Stored { store });
             }
-            StorageAnswer::Store { store, result: Err(error) } => {
+            StorageAnswer::Store {
+                store,
+                result: Err(error),
+            } => {
                 if !std::mem::replace(&mut self.storage_failing, true) {
                     log::error!("a write to the disk has failed, it is tried again: {error}");
                 }
                 self.replica_input(clocks, ReplicaInput::StoreFailed { store });
             }
-            StorageAnswer::Read { read, result: Ok(chunk) } => {
+            StorageAnswer::Read {
+                read,
+                result: Ok(chunk),
+            } => {
                 self.replica_input(clocks, ReplicaInput::RowsRead { read, chunk });
             }
-            StorageAnswer::Read { read, result: Err(error) } => {
+            StorageAnswer::Read {
+                read,
+                result: Err(error),
+            } => {
                 log::error!("rows for another member cannot be read: {error}");
                 self.replica_input(clocks, ReplicaInput::ReadFailed { read });
             }
             StorageAnswer::Survey { survey, result } => self.surveyed(clocks, survey, result),
-            StorageAnswer::Load { view, result: Ok(rows) } => self.loaded(clocks, view, rows),
-            StorageAnswer::Load { view, result: Err(error) } => {
+            StorageAnswer::Load {
+                view,
+                result: Ok(rows),
+            } => self.loaded(clocks, view, rows),
+            StorageAnswer::Load {
+                view,
+                result: Err(error),
+            } => {
                 log::error!("the rows cannot be read to act as head of view {view}: {error}");
                 self.load_failed(clocks, view);
             }
@@ -70,7 +90,8 @@
                 return;
             }
             *retry_ms = u64::MAX;
-            self.outputs.push(Output::Storage(StorageRequest::Load { view: *view }));
+            self.outputs
+                .push(Output::Storage(StorageRequest::Load { view: *view }));
         }
     }
 
@@ -83,10 +104,19 @@
                 }
             }
             ReplicaOutput::Store { store, request } => {
-                self.outputs.push(Output::Storage(StorageRequest::Store { store, request }));
+                self.outputs
+                    .push(Output::Storage(StorageRequest::Store { store, request }));
             }
-            ReplicaOutput::ReadRows { read, since, bytes_max } => {
-                self.outputs.push(Output::Storage(StorageRequest::Read { read, since, bytes_max }));
+            ReplicaOutput::ReadRows {
+                read,
+                since,
+                bytes_max,
+            } => {
+                self.outputs.push(Output::Storage(StorageRequest::Read {
+                    read,
+                    since,
+                    bytes_max,
+                }));
             }
             ReplicaOutput::Committed { ticket } => self.committed(clocks, ticket),
             ReplicaOutput::Aborted { ticket } | ReplicaOutput::Refused { ticket } => {
@@ -108,7 +138,9 @@
 
     fn committed(&mut self, clocks: Clocks, ticket: u64) {
         self.settled(ticket);
-        let Home::Here(head) = &mut self.home else { return };
+        let Home::Here(head) = &mut self.home else {
+            return;
+        };
         let mut outputs = Vec::new();
         head.committed(clocks, ticket, &mut outputs);
         self.head_outputs(clocks, outputs);
@@ -119,8 +151,10 @@
     fn write_lost(&mut self, clocks: Clocks, ticket: u64) {
         if matches!(&self.home, Home::Here(head) if head.waits_for(ticket)) {
             self.head_lost(clocks, "a write was not confirmed");
-            self.home =
-                Home::Loading { view: self.replica.view(), retry_ms: clocks.steady_ms + LOAD_RETRY_MS };
+            self.home = Home::Loading {
+                view: self.replica.view(),
+                retry_ms: clocks.steady_ms + LOAD_RETRY_MS,
+            };
         }
         self.settled(ticket);
     }
@@ -135,7 +169,10 @@
             self.head_lost(clocks, "the head's role was gained anew");
         }
         log::info!("head of view {view}: reads its rows");
-        self.home = Home::Loading { view, retry_ms: clocks.steady_ms };
+        self.home = Home::Loading {
+            view,
+            retry_ms: clocks.steady_ms,
+        };
         self.load_rows(clocks);
     }
 
@@ -149,7 +186,10 @@
         self.unsettled.extend(unsettled.tickets);
         self.head_outputs(clocks, outputs);
         // Calls without a reply may have been written: their edges learn of it by the end of the connection.
-        let unsure = self.sessions.iter().filter(|(_, session)| session.open_calls > 0);
+        let unsure = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.open_calls > 0);
         let unsure: Vec<_> = unsure.map(|(connection, _)| connection).collect();
         for connection in unsure {
             self.drop_connection(clocks, connection);
@@ -170,26 +210,36 @@
             return;
         }
         let count = rows.len();
-        let mut head = match Head::load(self.settings.bounds, loaded, self.next_ticket, clocks, rows) {
-            Ok(head) => head,
-            Err(error) => {
-                log::error!("the rows cannot be used to act as head of view {loaded}: {error}");
-                return self.load_failed(clocks, loaded);
-            }
-        };
+        let mut head =
+            match Head::load(self.settings.bounds, loaded, self.next_ticket, clocks, rows) {
+                Ok(head) => head,
+                Err(error) => {
+                    log::error!("the rows cannot be used to act as head of view {loaded}: {error}");
+                    return self.load_failed(clocks, loaded);
+                }
+            };
         log::info!("head of view {loaded}: {count} rows read");
         let mut outputs = Vec::new();
         head.begin(clocks, &mut outputs);
         self.home = Home::Here(Box::new(head));
         self.head_outputs(clocks, outputs);
         for (companion, node_name) in self.companions() {
-            self.scheduler_event(clocks, Event::CompanionConnected { companion, node_name });
+            self.scheduler_event(
+                clocks,
+                Event::CompanionConnected {
+                    companion,
+                    node_name,
+                },
+            );
         }
     }
 
     /// Companions connected, with the names of their machines.
     fn companions(&self) -> Vec<(CompanionId, String)> {
-        let companions = self.sessions.iter().filter(|(_, session)| session.kind == ProcessKind::Companion);
+        let companions = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.kind == ProcessKind::Companion);
         companions
             .map(|(connection, session)| (CompanionId(connection.0), session.node_name.clone()))
             .collect()
--- a/crates/control-plane/src/node/inspect.rs
+++ b/crates/control-plane/src/node/inspect.rs
@@ -7,8 +7,8 @@
 use crate::sessions::ConnectionId;
 use crate::storage_thread::StorageRequest;
 use indigofold_protocol::inspection::{
-    InspectionAnswer, InspectionCall, InspectionReply, MemberStatus, PeerStatus, Question, StoredState,
-    ViewStatus, WorkStatus,
+    InspectionAnswer, InspectionCall, InspectionReply, MemberStatus, PeerStatus, Question,
+    StoredState, ViewStatus, WorkStatus,
 };
 use indigofold_protocol::internal::{Frame, ProcessKind};
 use indigofold_replication::{Member, StorageError, View};
@@ -27,14 +27,23 @@
 
 impl Node {
     /// The tool asks. A head has its rows read first.
-    pub(super) fn inspect(&mut self, clocks: Clocks, connection: ConnectionId, call: InspectionCall) {
+    pub(super) fn inspect(
+        &mut self,
+        clocks: Clocks,
+        connection: ConnectionId,
+        call: InspectionCall,
+    ) {
         if !self.acts(clocks.steady_ms) {
             let answer = self.answer_elsewhere(clocks, call.question);
             return self.inspected(connection, call.call, answer);
         }
         if self.inspections.open.len() >= OPEN_MAX {
             let reason = "too many questions are open; ask again".to_owned();
-            return self.inspected(connection, call.call, InspectionAnswer::Unavailable { reason });
+            return self.inspected(
+                connection,
+                call.call,
+                InspectionAnswer::Unavailable { reason },
+            );
         }
         let job = match call.question {
             Question::Status => None,
@@ -43,16 +52,24 @@
         let survey = self.inspections.next;
         self.inspections.next += 1;
         self.inspections.open.insert(survey, (connection, call));
-        self.outputs.push(Output::Storage(StorageRequest::Survey { survey, job }));
+        self.outputs
+            .push(Output::Storage(StorageRequest::Survey { survey, job }));
     }
 
     /// The rows are read.
     pub(super) fn surveyed(
-        &mut self, clocks: Clocks, survey: u64, result: Result<Box<Survey>, StorageError>,
+        &mut self,
+        clocks: Clocks,
+        survey: u64,
+        result: Result<Box<Survey>, StorageError>,
     ) {
-        let Some((connection, call)) = self.inspections.open.remove(&survey) else { return };
+        let Some((connection, call)) = self.inspections.open.remove(&survey) else {
+            return;
+        };
         let answer = match result {
-            Err(error) => InspectionAnswer::Unavailable { reason: error.to_string() },
+            Err(error) => InspectionAnswer::Unavailable {
+                reason: error.to_string(),
+            },
             Ok(_) if !self.acts(clocks.steady_ms) => self.answer_elsewhere(clocks, call.question),
             Ok(survey) => match call.question {
                 Question::Status => {
@@ -61,9 +78,13 @@
                 }
                 Question::Job(_) => {
                     let config = self.head_here().and_then(|head| head.config());
-                    let room = Room { workers: self.worker_accounts(), used: &survey.used };
+                    let room = Room {
+                        workers: self.worker_accounts(),
+                        used: &survey.used,
+                    };
                     let job = survey.job.as_ref();
-                    let report = job.map(|job| job_report(job, config.map(|config| &**config), &room));
+                    let report =
+                        job.map(|job| job_report(job, config.map(|config| &**config), &room));
                     InspectionAnswer::Job(report.map(Box::new))
                 }
             },
@@ -79,8 +100,12 @@
     /// What a member tells that is not the acting head.
     fn answer_elsewhere(&self, clocks: Clocks, question: Question) -> InspectionAnswer {
         match question {
-            Question::Status => InspectionAnswer::Status(Box::new(self.member_status(clocks, None))),
-            Question::Job(_) => InspectionAnswer::NotHead { head: self.replica.head(clocks.steady_ms) },
+            Question::Status => {
+                InspectionAnswer::Status(Box::new(self.member_status(clocks, None)))
+            }
+            Question::Job(_) => InspectionAnswer::NotHead {
+                head: self.replica.head(clocks.steady_ms),
+            },
         }
     }
 
@@ -90,10 +115,16 @@
         MemberStatus {
             version: env!("CARGO_PKG_VERSION").to_owned(),
             address: self.settings.address.clone(),
-            view: self.replica.accepted_view().map(|(view, agreed)| view_status(view, agreed)),
+            view: self
+                .replica
+                .accepted_view()
+                .map(|(view, agreed)| view_status(view, agreed)),
             head: self.replica.head(clocks.steady_ms),
             acting: self.acts(clocks.steady_ms),
-            stored: StoredState { view: mark.view, seq: mark.seq },
+            stored: StoredState {
+                view: mark.view,
+                seq: mark.seq,
+            },
             storage_failing: self.storage_failing,
             peers: self.peer_statuses(),
             companions: connected(ProcessKind::Companion),
@@ -105,7 +136,10 @@
     fn peer_statuses(&self) -> Vec<PeerStatus> {
         let members = self.replica.members();
         let name = |internal: SocketAddr| {
-            members.iter().find(|member| member.internal == internal).map(|member| member.node_name.clone())
+            members
+                .iter()
+                .find(|member| member.internal == internal)
+                .map(|member| member.node_name.clone())
         };
         let peers = self.replica.peers().into_iter();
         let status = |internal| PeerStatus {
@@ -118,9 +152,14 @@
 
     fn work(&self, survey: &Survey) -> WorkStatus {
         let head = self.head_here();
-        let room = Room { workers: self.worker_accounts(), used: &survey.used };
+        let room = Room {
+            workers: self.worker_accounts(),
+            used: &survey.used,
+        };
         WorkStatus {
-            config_version: head.and_then(|head| head.config()).map_or(0, |config| config.version),
+            config_version: head
+                .and_then(|head| head.config())
+                .map_or(0, |config| config.version),
             open_writes: head.map_or(0, |head| head.open_writes()),
             services: room.services(),
             queues: survey.queues.values().cloned().collect(),
@@ -130,7 +169,10 @@
     }
 
     fn worker_accounts(&self) -> Vec<&WorkerAccount> {
-        self.sessions.iter().filter_map(|(_, session)| session.worker.as_ref()).collect()
+        self.sessions
+            .iter()
+            .filter_map(|(_, session)| session.worker.as_ref())
+            .collect()
     }
 
     fn head_here(&self) -> Option<&crate::head::Head> {
@@ -143,5 +185,10 @@
 
 fn view_status(view: &View, agreed: bool) -> ViewStatus {
     let addresses = |members: &[Member]| members.iter().map(|member| member.internal).collect();
-    ViewStatus { number: view.number, agreed, voters: addresses(&view.voters), chain: addresses(&view.chain) }
+    ViewStatus {
+        number: view.number,
+        agreed,
+        voters: addresses(&view.voters),
+        chain: addresses(&view.chain),
+    }
 }
--- a/crates/control-plane/src/node/scrub.rs
+++ b/crates/control-plane/src/node/scrub.rs
@@ -21,7 +21,10 @@
 impl Scrub {
     /// Begins an interval from now.
     pub fn new(now_ms: u64) -> Scrub {
-        Scrub { after: Vec::new(), due_ms: Some(now_ms + SCRUB_INTERVAL_MS) }
+        Scrub {
+            after: Vec::new(),
+            due_ms: Some(now_ms + SCRUB_INTERVAL_MS),
+        }
     }
 
     /// When the next part is due.
@@ -31,7 +34,10 @@
 
     fn begin(&mut self) -> StorageRequest {
         self.due_ms = None;
-        StorageRequest::Scrub { after: self.after.clone(), count: SCRUB_ROWS }
+        StorageRequest::Scrub {
+            after: self.after.clone(),
+            count: SCRUB_ROWS,
+        }
     }
 
     /// A part is done up to the key `last`; `None` begins anew. After a failure the same part follows.
@@ -53,7 +59,11 @@
     }
 
     /// Rows have been checked.
-    pub(super) fn scrubbed(&mut self, clocks: Clocks, result: Result<Option<Vec<u8>>, StorageError>) {
+    pub(super) fn scrubbed(
+        &mut self,
+        clocks: Clocks,
+        result: Result<Option<Vec<u8>>, StorageError>,
+    ) {
         self.scrub.done(clocks.steady_ms, result);
     }
 }
--- a/crates/control-plane/src/node/welcome.rs
+++ b/crates/control-plane/src/node/welcome.rs
@@ -40,8 +40,10 @@
         self.log_changes(&welcome);
         self.welcome = welcome;
         let frame = Frame::Welcome(self.welcome.clone());
-        let sends =
-            self.sessions.iter().map(|(connection, _)| Output::Send { connection, frame: frame.clone() });
+        let sends = self.sessions.iter().map(|(connection, _)| Output::Send {
+            connection,
+            frame: frame.clone(),
+        });
         self.outputs.extend(sends);
     }
 
@@ -79,9 +81,13 @@
         if new.view != old.view {
             log::info!("view {} follows view {}", new.view, old.view);
         }
-        let name = |head: &Option<MemberAddress>| head.as_ref().map(|member| member.node_name.clone());
+        let name =
+            |head: &Option<MemberAddress>| head.as_ref().map(|member| member.node_name.clone());
         if name(&new.head) != name(&old.head) {
-            log::info!("head: {}", name(&new.head).as_deref().unwrap_or("none is known"));
+            log::info!(
+                "head: {}",
+                name(&new.head).as_deref().unwrap_or("none is known")
+            );
         }
         if new.acting != old.acting {
             log::info!(
@@ -91,7 +97,10 @@
             );
         }
         let names = |members: &[MemberAddress]| -> BTreeSet<String> {
-            members.iter().map(|member| member.node_name.clone()).collect()
+            members
+                .iter()
+                .map(|member| member.node_name.clone())
+                .collect()
         };
         let (before, after) = (names(&old.members), names(&new.members));
         for joined in after.difference(&before) {
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -36,7 +36,10 @@
 /// Reads a call; what is none of the operator's calls is answered at once.
 pub fn read_call(request: HttpRequest) -> Result<OperatorCall, HttpResponse> {
     if request.path != CONFIG_PATH {
-        return Err(problem(404, &format!("no such path; {CONFIG_PATH} is served here")));
+        return Err(problem(
+            404,
+            &format!("no such path; {CONFIG_PATH} is served here"),
+        ));
     }
     let kind = match request.method {
         Method::GET => return Ok(OperatorCall::Read),
@@ -45,7 +48,11 @@
         _ => return Err(problem(405, "GET, PUT and PATCH are served here")),
     };
     let if_match = request.header(header::IF_MATCH.as_str()).map(str::to_owned);
-    Ok(OperatorCall::Change(Order { kind, if_match, body: request.body }))
+    Ok(OperatorCall::Change(Order {
+        kind,
+        if_match,
+        body: request.body,
+    }))
 }
 
 /// The answer as it goes out.
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -38,7 +38,10 @@
 impl Peers {
     /// Nobody yet; `seed` starts the random numbers that spread the tries.
     pub fn new(seed: u64) -> Self {
-        Peers { links: BTreeMap::new(), random: seed | 1 }
+        Peers {
+            links: BTreeMap::new(),
+            random: seed | 1,
+        }
     }
 
     /// Keeps a connection to each of `addresses` from now on, and to nobody else; gives the connections to close.
@@ -52,7 +55,10 @@
             kept
         });
         for address in addresses {
-            let new = Link { state: LinkState::Waiting { until_ms: now_ms }, failures: 0 };
+            let new = Link {
+                state: LinkState::Waiting { until_ms: now_ms },
+                failures: 0,
+            };
             self.links.entry(address).or_insert(new);
         }
         surplus
@@ -89,8 +95,13 @@
 
     /// A connection has come about; false if nobody wants it any more.
     pub fn opened(&mut self, address: SocketAddr, connection: ConnectionId) -> bool {
-        let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) else { return false };
-        *link = Link { state: LinkState::Open(connection), failures: 0 };
+        let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) else {
+            return false;
+        };
+        *link = Link {
+            state: LinkState::Open(connection),
+            failures: 0,
+        };
         true
     }
 
@@ -104,10 +115,14 @@
     /// The peer is dialled again after a while.
     fn wait(&mut self, now_ms: u64, address: SocketAddr) {
         let wait_ms = self.links.get(&address).map(|link| retry_ms(link.failures));
-        let Some(wait_ms) = wait_ms.map(|longest| longest / 2 + self.draw(longest / 2)) else { return };
+        let Some(wait_ms) = wait_ms.map(|longest| longest / 2 + self.draw(longest / 2)) else {
+            return;
+        };
         if let Some(link) = self.links.get_mut(&address) {
             *link = Link {
-                state: LinkState::Waiting { until_ms: now_ms + wait_ms },
+                state: LinkState::Waiting {
+                    until_ms: now_ms + wait_ms,
+                },
                 failures: link.failures.saturating_add(1),
             };
         }
@@ -116,7 +131,11 @@
     /// A connection is closed; gives the peer that it led to, if it was one of these.
     pub fn closed(&mut self, now_ms: u64, connection: ConnectionId) -> Option<SocketAddr> {
         let open = LinkState::Open(connection);
-        let address = self.links.iter().find(|(_, link)| link.state == open).map(|(address, _)| *address)?;
+        let address = self
+            .links
+            .iter()
+            .find(|(_, link)| link.state == open)
+            .map(|(address, _)| *address)?;
         self.wait(now_ms, address);
         Some(address)
     }
@@ -132,7 +151,10 @@
     /// The peer that this connection leads to.
     pub fn address(&self, connection: ConnectionId) -> Option<SocketAddr> {
         let open = LinkState::Open(connection);
-        self.links.iter().find(|(_, link)| link.state == open).map(|(address, _)| *address)
+        self.links
+            .iter()
+            .find(|(_, link)| link.state == open)
+            .map(|(address, _)| *address)
     }
 
     /// A number from 0 to `below` (xorshift: good enough to spread tries).
@@ -146,5 +168,7 @@
 
 /// Longest wait after so many failures in a row.
 fn retry_ms(failures: u32) -> u64 {
-    RETRY_FIRST_MS.saturating_mul(1 << failures.min(8)).min(RETRY_LONGEST_MS)
+    RETRY_FIRST_MS
+        .saturating_mul(1 << failures.min(8))
+        .min(RETRY_LONGEST_MS)
 }
--- a/crates/control-plane/src/sessions.rs
+++ b/crates/control-plane/src/sessions.rs
@@ -30,7 +30,12 @@
 impl Sessions {
     /// The peer has said who it is; false if it has done so before.
     pub fn greet(&mut self, connection: ConnectionId, hello: Hello) -> bool {
-        let session = Session { kind: hello.kind, node_name: hello.node_name, open_calls: 0, worker: None };
+        let session = Session {
+            kind: hello.kind,
+            node_name: hello.node_name,
+            open_calls: 0,
+            worker: None,
+        };
         self.sessions.insert(connection, session).is_none()
     }
 
@@ -55,7 +60,9 @@
 
     /// A companion reports its worker, or that it has none.
     pub fn worker_reported(&mut self, connection: ConnectionId, report: Option<&InstanceReport>) {
-        let Some(session) = self.sessions.get_mut(&connection) else { return };
+        let Some(session) = self.sessions.get_mut(&connection) else {
+            return;
+        };
         let known = match (&session.worker, report) {
             (Some(worker), Some(report)) => worker.agrees(report),
             (None, None) => true,
@@ -73,6 +80,8 @@
 
     /// All of them.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Session)> {
-        self.sessions.iter().map(|(connection, session)| (*connection, session))
+        self.sessions
+            .iter()
+            .map(|(connection, session)| (*connection, session))
     }
 }
--- a/crates/control-plane/src/storage_thread.rs
+++ b/crates/control-plane/src/storage_thread.rs
@@ -120,15 +120,26 @@
 ) -> Result<(Sender<StorageRequest>, UnboundedReceiver<StorageAnswer>), StartError> {
     let (requests, incoming) = channel();
     let (outgoing, answers) = unbounded();
-    let builder = thread::Builder::new().name("storage".to_owned()).stack_size(STACK_BYTES);
-    builder.spawn(move || serve(storage, incoming, outgoing)).context(StartSnafu)?;
+    let builder = thread::Builder::new()
+        .name("storage".to_owned())
+        .stack_size(STACK_BYTES);
+    builder
+        .spawn(move || serve(storage, incoming, outgoing))
+        .context(StartSnafu)?;
     Ok((requests, answers))
 }
 
 /// Carries out requests until nobody asks or hears any more.
-fn serve(mut storage: Storage, requests: Receiver<StorageRequest>, answers: UnboundedSender<StorageAnswer>) {
+fn serve(
+    mut storage: Storage,
+    requests: Receiver<StorageRequest>,
+    answers: UnboundedSender<StorageAnswer>,
+) {
     while let Ok(request) = requests.recv() {
-        if answers.unbounded_send(carry_out(&mut storage, request)).is_err() {
+        if answers
+            .unbounded_send(carry_out(&mut storage, request))
+            .is_err()
+        {
             return;
         }
     }
@@ -137,19 +148,29 @@
 /// Carries out one request.
 pub fn carry_out(storage: &mut Storage, request: StorageRequest) -> StorageAnswer {
     match request {
-        StorageRequest::Store { store, request } => {
-            StorageAnswer::Store { store, result: storage.apply(&request) }
-        }
-        StorageRequest::Read { read, since, bytes_max } => {
-            StorageAnswer::Read { read, result: storage.rows_since(since, bytes_max) }
-        }
-        StorageRequest::Load { view } => StorageAnswer::Load { view, result: all_rows(storage) },
-        StorageRequest::Scrub { after, count } => {
-            StorageAnswer::Scrub { result: storage.scrub(&after, count) }
-        }
-        StorageRequest::Survey { survey, job } => {
-            StorageAnswer::Survey { survey, result: survey_rows(storage, job) }
-        }
+        StorageRequest::Store { store, request } => StorageAnswer::Store {
+            store,
+            result: storage.apply(&request),
+        },
+        StorageRequest::Read {
+            read,
+            since,
+            bytes_max,
+        } => StorageAnswer::Read {
+            read,
+            result: storage.rows_since(since, bytes_max),
+        },
+        StorageRequest::Load { view } => StorageAnswer::Load {
+            view,
+            result: all_rows(storage),
+        },
+        StorageRequest::Scrub { after, count } => StorageAnswer::Scrub {
+            result: storage.scrub(&after, count),
+        },
+        StorageRequest::Survey { survey, job } => StorageAnswer::Survey {
+            survey,
+            result: survey_rows(storage, job),
+        },
     }
 }
 
--- a/crates/control-plane/tests/cluster/main.rs
+++ b/crates/control-plane/tests/cluster/main.rs
@@ -6,7 +6,9 @@
 use indigofold_control_plane::node::{Input, Output};
 use indigofold_control_plane::operator::{OperatorAnswer, OperatorCall};
 use indigofold_control_plane::sessions::ConnectionId;
-use indigofold_protocol::internal::{ClientCall, ClientOperation, ClientOutcome, Frame, ProcessKind};
+use indigofold_protocol::internal::{
+    ClientCall, ClientOperation, ClientOutcome, Frame, ProcessKind,
+};
 use rstest::rstest;
 use world::{CONTROL_PORT, World, hello};
 
@@ -18,7 +20,11 @@
 
 fn order(if_match: &str, body: &str) -> OperatorCall {
     let body = body.as_bytes().to_vec();
-    OperatorCall::Change(Order { kind: OrderKind::Put, if_match: Some(if_match.to_owned()), body })
+    OperatorCall::Change(Order {
+        kind: OrderKind::Put,
+        if_match: Some(if_match.to_owned()),
+        body,
+    })
 }
 
 fn taken() -> OperatorAnswer {
@@ -33,7 +39,10 @@
 fn members_that_start_together_agree_on_one_head() {
     let mut world = World::start(3);
     let head = world.run_to_head();
-    assert_eq!(world.ask(head, OperatorCall::Read), OperatorAnswer::NoConfig);
+    assert_eq!(
+        world.ask(head, OperatorCall::Read),
+        OperatorAnswer::NoConfig
+    );
     for other in (0..3).filter(|member| *member != head) {
         let OperatorAnswer::AskHead(control) = world.ask(other, order("0", CONFIG)) else {
             panic!("member {other} does not name the head");
@@ -100,7 +109,11 @@
     world.run_until(|world| !world.node(head).is_needed());
     let successor = world.run_to_head();
     assert_ne!(successor, head);
-    assert!(world.now_ms() < before_ms + 1_000, "{} ms", world.now_ms() - before_ms);
+    assert!(
+        world.now_ms() < before_ms + 1_000,
+        "{} ms",
+        world.now_ms() - before_ms
+    );
     assert_eq!(world.ask(successor, OperatorCall::Read), config());
 }
 
@@ -111,9 +124,18 @@
     world.cut_off(head);
     let call = world.call(head, order("0", CONFIG));
     let successor = world.run_to_head_other_than(head);
-    assert!(!matches!(world.answer(call), Some(OperatorAnswer::Order(Answer::Taken { .. }))));
-    assert_eq!(world.ask(successor, OperatorCall::Read), OperatorAnswer::NoConfig);
-    assert!(!matches!(world.ask(head, OperatorCall::Read), OperatorAnswer::NoConfig));
+    assert!(!matches!(
+        world.answer(call),
+        Some(OperatorAnswer::Order(Answer::Taken { .. }))
+    ));
+    assert_eq!(
+        world.ask(successor, OperatorCall::Read),
+        OperatorAnswer::NoConfig
+    );
+    assert!(!matches!(
+        world.ask(head, OperatorCall::Read),
+        OperatorAnswer::NoConfig
+    ));
     world.run_until(|world| !world.node(head).is_head());
     assert!(matches!(
         world.answer(call),
@@ -124,19 +146,40 @@
 #[rstest]
 #[case::at_once(0, true)]
 #[case::after_a_freeze(FREEZE_MS, false)]
-fn what_was_looked_up_is_not_told_once_the_lease_has_run_out(#[case] freeze_ms: u64, #[case] is_told: bool) {
+fn what_was_looked_up_is_not_told_once_the_lease_has_run_out(
+    #[case] freeze_ms: u64,
+    #[case] is_told: bool,
+) {
     let mut world = World::start(3);
     let head = world.run_to_head();
     assert_eq!(world.ask(head, order("0", CONFIG)), taken());
     world.input(
         head,
-        Input::Frame { connection: EDGE, frame: Frame::Hello(hello("edge", ProcessKind::Edge, 1)) },
+        Input::Frame {
+            connection: EDGE,
+            frame: Frame::Hello(hello("edge", ProcessKind::Edge, 1)),
+        },
     );
     let (host, path) = ("none.example".to_owned(), "/none/".to_owned());
-    let call = ClientCall { call: 1, host, path, operation: ClientOperation::Get };
-    let outputs = world.freeze(head, Input::Frame { connection: EDGE, frame: Frame::Call(call) }, freeze_ms);
+    let call = ClientCall {
+        call: 1,
+        host,
+        path,
+        operation: ClientOperation::Get,
+    };
+    let outputs = world.freeze(
+        head,
+        Input::Frame {
+            connection: EDGE,
+            frame: Frame::Call(call),
+        },
+        freeze_ms,
+    );
     let replies = outputs.into_iter().filter_map(|output| match output {
-        Output::Send { connection: EDGE, frame: Frame::Reply(reply) } => Some(reply.outcome),
+        Output::Send {
+            connection: EDGE,
+            frame: Frame::Reply(reply),
+        } => Some(reply.outcome),
         _ => None,
     });
     let replies: Vec<ClientOutcome> = replies.collect();
@@ -145,5 +188,8 @@
         ClientOutcome::Unavailable { .. } => !is_told,
         _ => false,
     };
-    assert!(replies.len() == 1 && replies.iter().all(expected), "{replies:?}");
+    assert!(
+        replies.len() == 1 && replies.iter().all(expected),
+        "{replies:?}"
+    );
 }
--- a/crates/control-plane/tests/cluster/world.rs
+++ b/crates/control-plane/tests/cluster/world.rs
@@ -48,7 +48,9 @@
 impl World {
     /// Members that start for the first time, all of them seeds.
     pub fn start(count: usize) -> World {
-        let directories = (0..count).map(|_| TempDir::new().expect("a folder")).collect();
+        let directories = (0..count)
+            .map(|_| TempDir::new().expect("a folder"))
+            .collect();
         let mut world = World {
             directories,
             members: (0..count).map(|_| None).collect(),
@@ -72,7 +74,10 @@
     }
 
     pub fn node(&self, member: usize) -> &Node {
-        &self.members[member].as_ref().expect("the member is up").node
+        &self.members[member]
+            .as_ref()
+            .expect("the member is up")
+            .node
     }
 
     /// Starts a member with what its disk has kept.
@@ -81,14 +86,19 @@
         let mut settings = self.settings(member);
         settings.bootstrap &= !opened.has_forgotten;
         let node = Node::new(settings, opened.durable, self.clocks());
-        self.members[member] = Some(Member { node, storage: opened.storage });
+        self.members[member] = Some(Member {
+            node,
+            storage: opened.storage,
+        });
     }
 
     /// Changes a bit in the database of a member that is down, where it holds `text`.
     pub fn flip_bit(&self, member: usize, text: &str) {
         let path = self.directories[member].path().join("control.sqlite");
         let mut bytes = std::fs::read(&path).expect("a database");
-        let at = bytes.windows(text.len()).rposition(|window| window == text.as_bytes());
+        let at = bytes
+            .windows(text.len())
+            .rposition(|window| window == text.as_bytes());
         bytes[at.expect("the database holds the text")] ^= 1;
         std::fs::write(&path, bytes).expect("written");
     }
@@ -96,7 +106,12 @@
     /// Ends a member as a kill does; its connections end.
     pub fn kill(&mut self, member: usize) {
         self.members[member] = None;
-        let ends: Vec<End> = self.links.keys().filter(|end| end.0 == member).copied().collect();
+        let ends: Vec<End> = self
+            .links
+            .keys()
+            .filter(|end| end.0 == member)
+            .copied()
+            .collect();
         ends.into_iter().for_each(|end| self.close(end));
     }
 
@@ -144,12 +159,16 @@
     /// Runs until a member other than this one answers as acting head.
     pub fn run_to_head_other_than(&mut self, excluded: usize) -> usize {
         for _ in 0..STEPS_MAX {
-            let up = (0..self.members.len()).filter(|m| *m != excluded && self.members[*m].is_some());
+            let up =
+                (0..self.members.len()).filter(|m| *m != excluded && self.members[*m].is_some());
             for member in up.collect::<Vec<_>>() {
                 let call = self.call(member, OperatorCall::Read);
                 while self.step() {}
                 let answer = self.answers.remove(&call);
-                if matches!(answer, Some(OperatorAnswer::Config(_) | OperatorAnswer::NoConfig)) {
+                if matches!(
+                    answer,
+                    Some(OperatorAnswer::Config(_) | OperatorAnswer::NoConfig)
+                ) {
                     return member;
                 }
             }
@@ -171,14 +190,21 @@
 
     /// Handles one event; false if there is none.
     fn step(&mut self) -> bool {
-        let Some(event) = self.events.pop_front() else { return false };
+        let Some(event) = self.events.pop_front() else {
+            return false;
+        };
         match event {
             Event::Input(member, input) => self.hand_in(member, input),
-            Event::Frame { to: (member, connection), frame } => {
+            Event::Frame {
+                to: (member, connection),
+                frame,
+            } => {
                 self.hand_in(member, Input::Frame { connection, frame });
             }
             Event::Store(member, request) => {
-                let Some(Member { storage, .. }) = &mut self.members[member] else { return true };
+                let Some(Member { storage, .. }) = &mut self.members[member] else {
+                    return true;
+                };
                 let answer = carry_out(storage, request);
                 self.hand_in(member, Input::Storage(answer));
             }
@@ -189,7 +215,12 @@
     /// Goes on to the time at which a member has something to do.
     fn pass_time(&mut self) {
         let clocks = self.clocks();
-        let due_ms = self.members.iter().flatten().map(|member| member.node.next_tick_ms(clocks)).min();
+        let due_ms = self
+            .members
+            .iter()
+            .flatten()
+            .map(|member| member.node.next_tick_ms(clocks))
+            .min();
         self.now_ms = due_ms.unwrap_or(u64::MAX).max(self.now_ms + 1);
         let clocks = self.clocks();
         for member in 0..self.members.len() {
@@ -202,14 +233,18 @@
 
     fn hand_in(&mut self, member: usize, input: Input) {
         let clocks = self.clocks();
-        let Some(Member { node, .. }) = &mut self.members[member] else { return };
+        let Some(Member { node, .. }) = &mut self.members[member] else {
+            return;
+        };
         node.handle(clocks, input);
         self.finish(member);
     }
 
     fn finish(&mut self, member: usize) {
         let now_ms = self.now_ms;
-        let Some(Member { node, .. }) = &mut self.members[member] else { return };
+        let Some(Member { node, .. }) = &mut self.members[member] else {
+            return;
+        };
         for output in node.finish(now_ms) {
             match output {
                 Output::Send { connection, frame } => self.send((member, connection), frame),
@@ -223,23 +258,30 @@
     }
 
     fn send(&mut self, from: End, frame: Frame) {
-        let Some(to) = self.links.get(&from).copied() else { return };
+        let Some(to) = self.links.get(&from).copied() else {
+            return;
+        };
         if !self.cut_off.contains(&from.0) && !self.cut_off.contains(&to.0) {
             self.events.push_back(Event::Frame { to, frame });
         }
     }
 
     fn close(&mut self, end: End) {
-        let Some(other) = self.links.remove(&end) else { return };
+        let Some(other) = self.links.remove(&end) else {
+            return;
+        };
         self.links.remove(&other);
         for (member, connection) in [end, other] {
-            self.events.push_back(Event::Input(member, Input::Closed { connection }));
+            self.events
+                .push_back(Event::Input(member, Input::Closed { connection }));
         }
     }
 
     fn dial(&mut self, from: usize, address: SocketAddr) {
-        let to = (0..self.members.len()).find(|member| self.address(*member, INTERNAL_PORT) == address);
-        let is_up = |member: &usize| self.members[*member].is_some() && !self.cut_off.contains(member);
+        let to =
+            (0..self.members.len()).find(|member| self.address(*member, INTERNAL_PORT) == address);
+        let is_up =
+            |member: &usize| self.members[*member].is_some() && !self.cut_off.contains(member);
         let Some(to) = to.filter(|to| is_up(to) && is_up(&from)) else {
             self.input(from, Input::DialFailed { address });
             return;
@@ -248,7 +290,13 @@
         let far = (to, ConnectionId(self.number()));
         self.links.insert(near, far);
         self.links.insert(far, near);
-        self.input(from, Input::Dialled { address, connection: near.1 });
+        self.input(
+            from,
+            Input::Dialled {
+                address,
+                connection: near.1,
+            },
+        );
     }
 
     fn settings(&mut self, member: usize) -> NodeSettings {
@@ -260,7 +308,9 @@
                 internal: self.address(member, INTERNAL_PORT),
                 control: self.address(member, CONTROL_PORT),
             },
-            seeds: (0..self.members.len()).map(|seed| self.address(seed, INTERNAL_PORT)).collect(),
+            seeds: (0..self.members.len())
+                .map(|seed| self.address(seed, INTERNAL_PORT))
+                .collect(),
             bootstrap: true,
             tolerated_losses: 1,
             bounds: Bounds::default(),
@@ -269,7 +319,10 @@
     }
 
     fn clocks(&self) -> Clocks {
-        Clocks { steady_ms: self.now_ms, wall_ms: WALL_MS + self.now_ms - START_MS }
+        Clocks {
+            steady_ms: self.now_ms,
+            wall_ms: WALL_MS + self.now_ms - START_MS,
+        }
     }
 
     fn number(&mut self) -> u64 {
@@ -279,5 +332,10 @@
 }
 
 pub fn hello(node_name: &str, kind: ProcessKind, incarnation: u64) -> Hello {
-    Hello { node_name: node_name.to_owned(), kind, zone: "a".to_owned(), incarnation }
+    Hello {
+        node_name: node_name.to_owned(),
+        kind,
+        zone: "a".to_owned(),
+        incarnation,
+    }
 }
--- a/crates/control-plane/tests/command_line.rs
+++ b/crates/control-plane/tests/command_line.rs
@@ -23,6 +23,8 @@
 #[case("--log-level", "--log-level")]
 #[case("run", "`run` is not understood")]
 fn what_is_wrong_is_named(#[case] text: &str, #[case] expected: &str) {
-    let error = parse(arguments(text)).expect_err("not a command").to_string();
+    let error = parse(arguments(text))
+        .expect_err("not a command")
+        .to_string();
     assert!(error.contains(expected), "{error}");
 }
--- a/crates/control-plane/tests/config_authority.rs
+++ b/crates/control-plane/tests/config_authority.rs
@@ -15,12 +15,20 @@
 
 fn put(builds_on: u64, version: u64, timeout_ms: u64) -> Order {
     let body = config(version, timeout_ms).into_bytes();
-    Order { kind: OrderKind::Put, if_match: Some(builds_on.to_string()), body }
+    Order {
+        kind: OrderKind::Put,
+        if_match: Some(builds_on.to_string()),
+        body,
+    }
 }
 
 fn patch(builds_on: u64, body: &str) -> Order {
     let if_match = Some(builds_on.to_string());
-    Order { kind: OrderKind::Patch, if_match, body: body.as_bytes().to_vec() }
+    Order {
+        kind: OrderKind::Patch,
+        if_match,
+        body: body.as_bytes().to_vec(),
+    }
 }
 
 /// An authority with the rows that it has written.
@@ -74,9 +82,16 @@
 
     /// A successor's authority, from the rows written.
     fn succeed(self) -> Bench {
-        let rows = self.rows.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
+        let rows = self
+            .rows
+            .iter()
+            .map(|(key, value)| (key.as_str(), value.as_slice()));
         let authority = ConfigAuthority::load(rows).expect("rows are as written");
-        Bench { authority, rows: self.rows, ..Bench::default() }
+        Bench {
+            authority,
+            rows: self.rows,
+            ..Bench::default()
+        }
     }
 }
 
@@ -84,7 +99,9 @@
 fn an_order_is_answered_and_in_force_only_once_it_is_committed() {
     let mut bench = Bench::default();
     bench.order(1, put(0, 5, 1000));
-    assert!(bench.replies.is_empty() && bench.in_force.is_empty() && bench.authority.text().is_none());
+    assert!(
+        bench.replies.is_empty() && bench.in_force.is_empty() && bench.authority.text().is_none()
+    );
     bench.commit();
     assert_eq!(bench.replies, [(1, Answer::Taken { version: 5 })]);
     assert_eq!(bench.in_force, [5]);
@@ -100,7 +117,14 @@
     assert_eq!(bench.writing.len(), 1);
     bench.commit();
     let lost = Answer::OtherVersion { current: 5 };
-    assert_eq!(bench.replies, [(1, Answer::Taken { version: 5 }), (2, lost.clone()), (3, lost)]);
+    assert_eq!(
+        bench.replies,
+        [
+            (1, Answer::Taken { version: 5 }),
+            (2, lost.clone()),
+            (3, lost)
+        ]
+    );
     assert!(bench.writing.is_empty());
 }
 
@@ -124,7 +148,13 @@
     bench.commit();
     assert_eq!(bench.writing.len(), 1);
     bench.commit();
-    assert_eq!(bench.replies, [(1, Answer::Taken { version: 5 }), (2, Answer::Taken { version: 8 })]);
+    assert_eq!(
+        bench.replies,
+        [
+            (1, Answer::Taken { version: 5 }),
+            (2, Answer::Taken { version: 8 })
+        ]
+    );
 }
 
 #[rstest]
@@ -137,7 +167,10 @@
     let mut bench = if moved { bench.succeed() } else { bench };
     assert_eq!(bench.answer(put(0, 5, 1000)), Answer::Taken { version: 5 });
     assert_eq!(bench.authority.version(), 9);
-    assert_eq!(bench.answer(put(0, 5, 1001)), Answer::OtherVersion { current: 9 });
+    assert_eq!(
+        bench.answer(put(0, 5, 1001)),
+        Answer::OtherVersion { current: 9 }
+    );
 }
 
 #[rstest]
@@ -152,18 +185,28 @@
     let mut bench = Bench::default();
     bench.answer(put(0, 5, 1000));
     let answer = bench.answer(order);
-    assert!(matches!(&answer, Answer::Invalid { reason } if !reason.is_empty()), "{answer:?}");
+    assert!(
+        matches!(&answer, Answer::Invalid { reason } if !reason.is_empty()),
+        "{answer:?}"
+    );
     assert_eq!(bench.in_force, [5]);
 }
 
 fn put_text(body: &str) -> Order {
-    Order { kind: OrderKind::Put, if_match: Some("5".to_owned()), body: body.as_bytes().to_vec() }
+    Order {
+        kind: OrderKind::Put,
+        if_match: Some("5".to_owned()),
+        body: body.as_bytes().to_vec(),
+    }
 }
 
 #[test]
 fn the_version_built_on_may_be_quoted() {
     let mut bench = Bench::default();
-    let quoted = Order { if_match: Some("\"0\"".to_owned()), ..put(0, 5, 1000) };
+    let quoted = Order {
+        if_match: Some("\"0\"".to_owned()),
+        ..put(0, 5, 1000)
+    };
     assert_eq!(bench.answer(quoted), Answer::Taken { version: 5 });
     assert_eq!(bench.answer(put(0, 5, 1000)), Answer::Taken { version: 5 });
 }
@@ -176,8 +219,18 @@
     let route = &change[change.find("[{").unwrap_or(0)..=change.find("}]").unwrap_or(0) + 1];
     let body = format!(r#"{{"version":7,"upsert":{{"routes":{route}}}}}"#);
     assert_eq!(bench.answer(patch(5, &body)), Answer::Taken { version: 7 });
-    let config = bench.authority.config().expect("a configuration is in force");
-    assert_eq!((config.version, config.routes.len(), config.routes[0].timeout_ms), (7, 1, 2000));
+    let config = bench
+        .authority
+        .config()
+        .expect("a configuration is in force");
+    assert_eq!(
+        (
+            config.version,
+            config.routes.len(),
+            config.routes[0].timeout_ms
+        ),
+        (7, 1, 2000)
+    );
     assert_eq!(bench.answer(patch(5, &body)), Answer::Taken { version: 7 });
 }
 
@@ -190,7 +243,14 @@
     let mut effects = Vec::new();
     bench.authority.aborted(&mut effects);
     bench.take(effects);
-    assert_eq!(bench.replies, [(1, Answer::Unclear), (2, Answer::Unclear), (3, Answer::Unclear)]);
+    assert_eq!(
+        bench.replies,
+        [
+            (1, Answer::Unclear),
+            (2, Answer::Unclear),
+            (3, Answer::Unclear)
+        ]
+    );
     assert!(bench.in_force.is_empty());
 }
 
@@ -199,14 +259,26 @@
     let mut bench = Bench::default();
     let last = ORDERS_KEPT as u64 + 1;
     for version in 1..=last {
-        assert_eq!(bench.answer(put(version - 1, version, 1000)), Answer::Taken { version });
+        assert_eq!(
+            bench.answer(put(version - 1, version, 1000)),
+            Answer::Taken { version }
+        );
     }
     assert_eq!(bench.rows.len(), ORDERS_KEPT + 1);
-    assert_eq!(bench.rows.get(CONFIG_KEY), Some(&config(last, 1000).into_bytes()));
+    assert_eq!(
+        bench.rows.get(CONFIG_KEY),
+        Some(&config(last, 1000).into_bytes())
+    );
     // Taken long ago: it must not be refused.
-    assert_eq!(bench.answer(put(0, 1, 1000)), Answer::Forgotten { remembered_from: 2 });
+    assert_eq!(
+        bench.answer(put(0, 1, 1000)),
+        Answer::Forgotten { remembered_from: 2 }
+    );
     // Of those that are remembered it is known that this was not taken.
-    assert_eq!(bench.answer(put(2, 3, 2000)), Answer::OtherVersion { current: last });
+    assert_eq!(
+        bench.answer(put(2, 3, 2000)),
+        Answer::OtherVersion { current: last }
+    );
     assert_eq!(bench.answer(put(1, 2, 1000)), Answer::Taken { version: 2 });
 }
 
--- a/crates/control-plane/tests/inspection.rs
+++ b/crates/control-plane/tests/inspection.rs
@@ -27,12 +27,25 @@
 
 impl Bench {
     fn new() -> Bench {
-        let clocks = Clocks { steady_ms: 1_000_000, wall_ms: 1_700_000_000_000 };
-        let head = Head::load(Bounds::default(), 1, 1, clocks, Vec::new()).expect("no rows to read");
-        let mut bench = Bench { head, rows: BTreeMap::new(), clocks, worker: None };
+        let clocks = Clocks {
+            steady_ms: 1_000_000,
+            wall_ms: 1_700_000_000_000,
+        };
+        let head =
+            Head::load(Bounds::default(), 1, 1, clocks, Vec::new()).expect("no rows to read");
+        let mut bench = Bench {
+            head,
+            rows: BTreeMap::new(),
+            clocks,
+            worker: None,
+        };
         let mut outputs = Vec::new();
         let body = CONFIG.as_bytes().to_vec();
-        let order = Order { kind: OrderKind::Put, if_match: Some("0".to_owned()), body };
+        let order = Order {
+            kind: OrderKind::Put,
+            if_match: Some("0".to_owned()),
+            body,
+        };
         bench.head.order(clocks, 1, order, &mut outputs);
         bench.commit(outputs);
         bench
@@ -42,7 +55,10 @@
     fn with_worker() -> Bench {
         let mut bench = Bench::new();
         let companion = CompanionId(7);
-        bench.event(Event::CompanionConnected { companion, node_name: "side-1".to_owned() });
+        bench.event(Event::CompanionConnected {
+            companion,
+            node_name: "side-1".to_owned(),
+        });
         bench.worker = Some(InstanceReport {
             id: "i-1".to_owned(),
             backend: "s".to_owned(),
@@ -50,7 +66,11 @@
             state: WorkerState::Ready,
             remaining_ms: None,
             cold_remaining_ms: 0,
-            capacity: Resources { cpu: 4_000, mem_mb: 4_000, gpu: 0 },
+            capacity: Resources {
+                cpu: 4_000,
+                mem_mb: 4_000,
+                gpu: 0,
+            },
             labels: vec!["plain".to_owned()],
             silent_ms: 0,
             running: Some(Vec::new()),
@@ -70,7 +90,10 @@
             gone: Vec::new(),
             not_started: Vec::new(),
         };
-        self.event(Event::Report { companion: CompanionId(7), report });
+        self.event(Event::Report {
+            companion: CompanionId(7),
+            report,
+        });
     }
 
     fn submit(&mut self, job: JobSpec) {
@@ -80,8 +103,16 @@
 
     fn call(&mut self, operation: ClientOperation) {
         let (host, path) = ("a.example".to_owned(), format!("/p/{JOB}"));
-        let call = ClientCall { call: 1, host, path, operation };
-        self.event(Event::Call { from: CallerId(1), call });
+        let call = ClientCall {
+            call: 1,
+            host,
+            path,
+            operation,
+        };
+        self.event(Event::Call {
+            from: CallerId(1),
+            call,
+        });
     }
 
     fn event(&mut self, event: Event) {
@@ -92,7 +123,9 @@
 
     fn commit(&mut self, outputs: Vec<HeadOutput>) {
         for output in outputs {
-            let HeadOutput::Submit { ticket, changes } = output else { continue };
+            let HeadOutput::Submit { ticket, changes } = output else {
+                continue;
+            };
             for change in changes {
                 match change.value {
                     Some(value) => self.rows.insert(change.key, value),
@@ -107,7 +140,9 @@
 
     fn survey(&self) -> Survey {
         let mut survey = Survey::new(Some(JOB));
-        self.rows.iter().for_each(|(key, value)| survey.row(key, value));
+        self.rows
+            .iter()
+            .for_each(|(key, value)| survey.row(key, value));
         assert_eq!(survey.unreadable, 0);
         survey
     }
@@ -115,38 +150,92 @@
     fn inspect(&self) -> JobInspection {
         let survey = self.survey();
         let account = self.worker.as_ref().map(WorkerAccount::from);
-        let room = Room { workers: account.iter().collect(), used: &survey.used };
+        let room = Room {
+            workers: account.iter().collect(),
+            used: &survey.used,
+        };
         let job = survey.job.as_ref().expect("the job is known");
         job_report(job, self.head.config().map(|config| &**config), &room)
     }
 }
 
 fn step(count: u32, cpu: u64) -> Step {
-    Step { count, cpu, estimate_ms: 500, ..Step::default() }
+    Step {
+        count,
+        cpu,
+        estimate_ms: 500,
+        ..Step::default()
+    }
 }
 
 fn job(stages: Vec<Step>) -> JobSpec {
-    JobSpec { spec: "text".to_owned(), stages, ..JobSpec::default() }
+    JobSpec {
+        spec: "text".to_owned(),
+        stages,
+        ..JobSpec::default()
+    }
 }
 
 #[test]
 fn what_runs_and_what_waits_for_room_is_told() {
     let mut bench = Bench::with_worker();
-    bench.submit(job(vec![step(3, 2_000), Step { depends_on: vec![0], ..step(2, 100) }]));
+    bench.submit(job(vec![
+        step(3, 2_000),
+        Step {
+            depends_on: vec![0],
+            ..step(2, 100)
+        },
+    ]));
     let told = bench.inspect();
     assert_eq!(
         (told.state, told.queue.as_deref(), told.service.as_deref()),
         (JobState::Running, Some("r"), Some("s"))
     );
-    let run = |index| RunInspection { index, attempt: 1, instance: "i-1".to_owned() };
+    let run = |index| RunInspection {
+        index,
+        attempt: 1,
+        instance: "i-1".to_owned(),
+    };
     assert_eq!(told.steps[0].runs, [run(0), run(1)]);
-    assert_eq!(told.steps[0].tasks, TaskCounts { waiting: 1, blocked: 0, running: 2, done: 0 });
-    assert_eq!(told.steps[0].wait, Some(Wait::NoRoom { places: 0, needed: 1 }));
+    assert_eq!(
+        told.steps[0].tasks,
+        TaskCounts {
+            waiting: 1,
+            blocked: 0,
+            running: 2,
+            done: 0
+        }
+    );
+    assert_eq!(
+        told.steps[0].wait,
+        Some(Wait::NoRoom {
+            places: 0,
+            needed: 1
+        })
+    );
     assert_eq!(told.steps[1].wait, Some(Wait::Dependency(vec![0])));
     let survey = bench.survey();
-    assert_eq!(survey.queues["r"].tasks, TaskCounts { waiting: 1, blocked: 2, running: 2, done: 0 });
-    assert_eq!((survey.queues["r"].queued, survey.queues["r"].running), (0, 1));
-    assert_eq!(survey.used["i-1"], Resources { cpu: 4_000, mem_mb: 0, gpu: 0 });
+    assert_eq!(
+        survey.queues["r"].tasks,
+        TaskCounts {
+            waiting: 1,
+            blocked: 2,
+            running: 2,
+            done: 0
+        }
+    );
+    assert_eq!(
+        (survey.queues["r"].queued, survey.queues["r"].running),
+        (0, 1)
+    );
+    assert_eq!(
+        survey.used["i-1"],
+        Resources {
+            cpu: 4_000,
+            mem_mb: 0,
+            gpu: 0
+        }
+    );
 }
 
 #[rstest]
@@ -157,7 +246,10 @@
     let mut bench = Bench::with_worker();
     bench.submit(job(vec![wanted]));
     let told = bench.inspect();
-    assert_eq!((told.state, &told.steps[0].wait), (JobState::Queued, &Some(reason)));
+    assert_eq!(
+        (told.state, &told.steps[0].wait),
+        (JobState::Queued, &Some(reason))
+    );
 }
 
 #[test]
@@ -171,7 +263,12 @@
 fn a_job_that_is_not_due_has_no_steps_and_tells_when() {
     let mut bench = Bench::with_worker();
     let start_at_ms = bench.clocks.wall_ms + 60_000;
-    let timed = JobSpec { repeat_count: 2, start_at_ms, interval_ms: 5_000, ..job(vec![step(1, 100)]) };
+    let timed = JobSpec {
+        repeat_count: 2,
+        start_at_ms,
+        interval_ms: 5_000,
+        ..job(vec![step(1, 100)])
+    };
     bench.submit(timed);
     let told = bench.inspect();
     assert_eq!(
@@ -184,12 +281,29 @@
 fn ended_jobs_are_counted() {
     let mut bench = Bench::with_worker();
     bench.submit(job(vec![step(1, 100)]));
-    let task = TaskName { job: JOB, repeat: 0, step: 0, index: 0 };
+    let task = TaskName {
+        job: JOB,
+        repeat: 0,
+        step: 0,
+        index: 0,
+    };
     let run = RunId { task, attempt: 1 };
-    let end = FinishedRun { number: 1, run, end: RunEnd::Done, saved: String::new() };
+    let end = FinishedRun {
+        number: 1,
+        run,
+        end: RunEnd::Done,
+        saved: String::new(),
+    };
     bench.worker.as_mut().expect("a worker").finished.push(end);
     bench.report();
-    assert_eq!(bench.survey().ended, EndedJobs { completed: 1, failed: 0, cancelled: 0 });
+    assert_eq!(
+        bench.survey().ended,
+        EndedJobs {
+            completed: 1,
+            failed: 0,
+            cancelled: 0
+        }
+    );
     let told = bench.inspect();
     assert_eq!((told.state, told.queue), (JobState::Completed, None));
 }
@@ -207,17 +321,31 @@
 fn a_second_run_of_a_task_is_told_and_takes_its_room() {
     let mut bench = Bench::with_worker();
     let companion = CompanionId(8);
-    bench.event(Event::CompanionConnected { companion, node_name: "side-2".to_owned() });
-    let other = bench.worker.clone().map(|worker| InstanceReport { id: "i-2".to_owned(), ..worker });
+    bench.event(Event::CompanionConnected {
+        companion,
+        node_name: "side-2".to_owned(),
+    });
+    let other = bench.worker.clone().map(|worker| InstanceReport {
+        id: "i-2".to_owned(),
+        ..worker
+    });
     let heard = |bench: &mut Bench, companion, instance: &Option<InstanceReport>| {
         bench.clocks.steady_ms += 200;
         bench.clocks.wall_ms += 200;
         let (sent_ms, instance) = (bench.clocks.steady_ms, instance.clone());
-        let report = CompanionReport { sent_ms, instance, gone: Vec::new(), not_started: Vec::new() };
+        let report = CompanionReport {
+            sent_ms,
+            instance,
+            gone: Vec::new(),
+            not_started: Vec::new(),
+        };
         bench.event(Event::Report { companion, report });
     };
     heard(&mut bench, companion, &other);
-    bench.submit(job(vec![Step { speculative: true, ..step(1, 1_000) }]));
+    bench.submit(job(vec![Step {
+        speculative: true,
+        ..step(1, 1_000)
+    }]));
     let first = bench.inspect().steps[0].runs[0].instance.clone();
     let (lost, left, instance) = match first.as_str() {
         "i-1" => (CompanionId(7), CompanionId(8), other),
@@ -226,7 +354,12 @@
     bench.event(Event::CompanionDisconnected(lost));
     (0..10).for_each(|_| heard(&mut bench, left, &instance));
     let runs = bench.inspect().steps[0].runs.clone();
-    assert_eq!(runs.iter().map(|run| (run.index, run.attempt)).collect::<Vec<_>>(), [(0, 1), (0, 2)]);
+    assert_eq!(
+        runs.iter()
+            .map(|run| (run.index, run.attempt))
+            .collect::<Vec<_>>(),
+        [(0, 1), (0, 2)]
+    );
     assert_ne!(runs[0].instance, runs[1].instance);
     let used = bench.survey().used;
     assert_eq!((used["i-1"].cpu, used["i-2"].cpu), (1_000, 1_000));
--- a/crates/control-plane/tests/node.rs
+++ b/crates/control-plane/tests/node.rs
@@ -8,8 +8,8 @@
 use indigofold_control_plane::storage_thread::{StorageAnswer, StorageRequest, carry_out};
 use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, Question};
 use indigofold_protocol::internal::{
-    ClientCall, ClientOperation, ClientOutcome, CompanionOrders, Frame, Hello, MemberAddress, ProcessKind,
-    Welcome,
+    ClientCall, ClientOperation, ClientOutcome, CompanionOrders, Frame, Hello, MemberAddress,
+    ProcessKind, Welcome,
 };
 use indigofold_protocol::task::JobId;
 use indigofold_replication::{Durable, Storage, StorageError};
@@ -46,7 +46,12 @@
 }
 
 fn hello(kind: ProcessKind) -> Hello {
-    Hello { node_name: format!("{kind:?}"), kind, zone: "a".to_owned(), incarnation: 1 }
+    Hello {
+        node_name: format!("{kind:?}"),
+        kind,
+        zone: "a".to_owned(),
+        incarnation: 1,
+    }
 }
 
 /// A member with a real database and a clock of the test's own.
@@ -63,22 +68,41 @@
     fn start(directory: &Path, seeds: &[u8]) -> Bench {
         let opened = Storage::open(directory).expect("a database");
         let durable: Option<Durable> = opened.durable;
-        let clocks = Clocks { steady_ms: START_MS, wall_ms: WALL_MS };
+        let clocks = Clocks {
+            steady_ms: START_MS,
+            wall_ms: WALL_MS,
+        };
         let node = Node::new(settings(seeds), durable, clocks);
-        Bench { node, storage: opened.storage, now_ms: START_MS, stored: Vec::new(), outputs: Vec::new() }
+        Bench {
+            node,
+            storage: opened.storage,
+            now_ms: START_MS,
+            stored: Vec::new(),
+            outputs: Vec::new(),
+        }
     }
 
     /// A member that has become the acting head.
     fn acting(directory: &Path) -> Bench {
         let mut bench = Bench::start(directory, &[1]);
-        bench.input(Input::Frame { connection: EDGE, frame: Frame::Hello(hello(ProcessKind::Edge)) });
-        bench.run_until(|outputs| outputs.iter().any(|output| welcome(output).is_some_and(|w| w.acting)));
+        bench.input(Input::Frame {
+            connection: EDGE,
+            frame: Frame::Hello(hello(ProcessKind::Edge)),
+        });
+        bench.run_until(|outputs| {
+            outputs
+                .iter()
+                .any(|output| welcome(output).is_some_and(|w| w.acting))
+        });
         bench.outputs.clear();
         bench
     }
 
     fn clocks(&self) -> Clocks {
-        Clocks { steady_ms: self.now_ms, wall_ms: WALL_MS + self.now_ms - START_MS }
+        Clocks {
+            steady_ms: self.now_ms,
+            wall_ms: WALL_MS + self.now_ms - START_MS,
+        }
     }
 
     /// Hands in an input and carries out what comes of it, but for the news of the storage.
@@ -119,7 +143,10 @@
             self.node.tick(self.clocks());
             self.finish();
         }
-        panic!("not reached; the last outputs are {:?}", self.outputs.last());
+        panic!(
+            "not reached; the last outputs are {:?}",
+            self.outputs.last()
+        );
     }
 
     fn order(&mut self, call: u64, if_match: u64, body: &str) {
@@ -128,7 +155,10 @@
             if_match: Some(if_match.to_string()),
             body: body.as_bytes().to_vec(),
         };
-        self.input(Input::Operator { call, request: OperatorCall::Change(order) });
+        self.input(Input::Operator {
+            call,
+            request: OperatorCall::Change(order),
+        });
     }
 
     fn call(&mut self, operation: ClientOperation) {
@@ -138,7 +168,10 @@
             path: "/p/00000000000000aa".to_owned(),
             operation,
         };
-        self.input(Input::Frame { connection: EDGE, frame: Frame::Call(call) });
+        self.input(Input::Frame {
+            connection: EDGE,
+            frame: Frame::Call(call),
+        });
     }
 
     /// The operator's answers since the last look.
@@ -155,7 +188,10 @@
     fn replies(&mut self) -> Vec<ClientOutcome> {
         let outputs = std::mem::take(&mut self.outputs);
         let replies = outputs.into_iter().filter_map(|output| match output {
-            Output::Send { connection: EDGE, frame: Frame::Reply(reply) } => Some(reply.outcome),
+            Output::Send {
+                connection: EDGE,
+                frame: Frame::Reply(reply),
+            } => Some(reply.outcome),
             _ => None,
         });
         replies.collect()
@@ -164,7 +200,10 @@
 
 fn welcome(output: &Output) -> Option<&Welcome> {
     match output {
-        Output::Send { connection: EDGE, frame: Frame::Welcome(welcome) } => Some(welcome),
+        Output::Send {
+            connection: EDGE,
+            frame: Frame::Welcome(welcome),
+        } => Some(welcome),
         _ => None,
     }
 }
@@ -180,11 +219,23 @@
     bench.order(1, 0, CONFIG);
     assert!(!bench.stored.is_empty() && bench.answers().is_empty());
     bench.settle();
-    let told = bench.outputs.iter().filter_map(welcome).next_back().cloned().expect("the edge is told");
+    let told = bench
+        .outputs
+        .iter()
+        .filter_map(welcome)
+        .next_back()
+        .cloned()
+        .expect("the edge is told");
     assert_eq!((told.config_version, told.limits.max_body_bytes), (5, 9999));
     assert_eq!(bench.answers(), [(1, taken())]);
-    bench.input(Input::Operator { call: 2, request: OperatorCall::Read });
-    assert_eq!(bench.answers(), [(2, OperatorAnswer::Config(CONFIG.as_bytes().to_vec()))]);
+    bench.input(Input::Operator {
+        call: 2,
+        request: OperatorCall::Read,
+    });
+    assert_eq!(
+        bench.answers(),
+        [(2, OperatorAnswer::Config(CONFIG.as_bytes().to_vec()))]
+    );
 }
 
 #[test]
@@ -195,8 +246,14 @@
     bench.settle();
     drop(bench);
     let mut bench = Bench::acting(directory.path());
-    bench.input(Input::Operator { call: 2, request: OperatorCall::Read });
-    assert_eq!(bench.answers(), [(2, OperatorAnswer::Config(CONFIG.as_bytes().to_vec()))]);
+    bench.input(Input::Operator {
+        call: 2,
+        request: OperatorCall::Read,
+    });
+    assert_eq!(
+        bench.answers(),
+        [(2, OperatorAnswer::Config(CONFIG.as_bytes().to_vec()))]
+    );
     bench.order(3, 0, CONFIG);
     assert_eq!(bench.answers(), [(3, taken())]);
 }
@@ -205,7 +262,10 @@
 fn before_there_is_a_configuration_it_cannot_be_read() {
     let directory = TempDir::new().expect("a folder");
     let mut bench = Bench::acting(directory.path());
-    bench.input(Input::Operator { call: 1, request: OperatorCall::Read });
+    bench.input(Input::Operator {
+        call: 1,
+        request: OperatorCall::Read,
+    });
     assert_eq!(bench.answers(), [(1, OperatorAnswer::NoConfig)]);
 }
 
@@ -213,13 +273,23 @@
 fn a_member_that_is_not_the_head_serves_nobody() {
     let directory = TempDir::new().expect("a folder");
     let mut bench = Bench::start(directory.path(), &[1, 2, 3]);
-    bench.input(Input::Frame { connection: EDGE, frame: Frame::Hello(hello(ProcessKind::Edge)) });
-    let greeting = bench.outputs.iter().find_map(welcome).expect("it is greeted");
+    bench.input(Input::Frame {
+        connection: EDGE,
+        frame: Frame::Hello(hello(ProcessKind::Edge)),
+    });
+    let greeting = bench
+        .outputs
+        .iter()
+        .find_map(welcome)
+        .expect("it is greeted");
     assert!(!greeting.acting && greeting.head.is_none());
     bench.order(1, 0, CONFIG);
     assert_eq!(bench.answers(), [(1, OperatorAnswer::NoHead)]);
     bench.call(ClientOperation::Get);
-    assert!(matches!(bench.replies()[..], [ClientOutcome::Unavailable { .. }]));
+    assert!(matches!(
+        bench.replies()[..],
+        [ClientOutcome::Unavailable { .. }]
+    ));
 }
 
 #[test]
@@ -227,17 +297,28 @@
     let directory = TempDir::new().expect("a folder");
     let mut bench = Bench::start(directory.path(), &[1, 2]);
     bench.run_until(|outputs| outputs.iter().any(|o| matches!(o, Output::Dial { .. })));
-    let dialled =
-        bench.outputs.iter().filter(|o| matches!(o, Output::Dial { address: a } if *a == address(2)));
+    let dialled = bench
+        .outputs
+        .iter()
+        .filter(|o| matches!(o, Output::Dial { address: a } if *a == address(2)));
     assert_eq!(dialled.count(), 1);
     bench.outputs.clear();
-    bench.input(Input::Dialled { address: address(2), connection: ConnectionId(3) });
+    bench.input(Input::Dialled {
+        address: address(2),
+        connection: ConnectionId(3),
+    });
     let sent = bench.outputs.iter().filter_map(|output| match output {
-        Output::Send { connection: ConnectionId(3), frame } => Some(frame),
+        Output::Send {
+            connection: ConnectionId(3),
+            frame,
+        } => Some(frame),
         _ => None,
     });
     let sent: Vec<&Frame> = sent.collect();
-    assert!(matches!(sent[..], [Frame::Hello(_), Frame::Welcome(_), ..]), "{sent:?}");
+    assert!(
+        matches!(sent[..], [Frame::Hello(_), Frame::Welcome(_), ..]),
+        "{sent:?}"
+    );
 }
 
 #[test]
@@ -250,14 +331,20 @@
         if !bench.node.is_head() {
             break;
         }
-        bench.now_ms = bench.node.next_tick_ms(bench.clocks()).max(bench.now_ms + 1);
+        bench.now_ms = bench
+            .node
+            .next_tick_ms(bench.clocks())
+            .max(bench.now_ms + 1);
         bench.node.tick(bench.clocks());
         bench.finish();
     }
     bench.outputs.clear();
     bench.order(1, 0, CONFIG);
     let answers = bench.answers();
-    assert!(!answers.iter().any(|(_, answer)| *answer == taken()), "{answers:?}");
+    assert!(
+        !answers.iter().any(|(_, answer)| *answer == taken()),
+        "{answers:?}"
+    );
 }
 
 #[test]
@@ -269,10 +356,17 @@
     bench.now_ms += SCRUB_INTERVAL_MS;
     bench.node.tick(bench.clocks());
     bench.finish();
-    let scrub = bench.stored.iter().find(|answer| matches!(answer, StorageAnswer::Scrub { .. }));
-    let is_whole = |answer: &StorageAnswer| matches!(answer, StorageAnswer::Scrub { result: Ok(None) });
+    let scrub = bench
+        .stored
+        .iter()
+        .find(|answer| matches!(answer, StorageAnswer::Scrub { .. }));
+    let is_whole =
+        |answer: &StorageAnswer| matches!(answer, StorageAnswer::Scrub { result: Ok(None) });
     assert!(scrub.is_some_and(is_whole), "{scrub:?}");
-    let error = StorageError::DamagedRow { path: directory.path().into(), key: "config".to_owned() };
+    let error = StorageError::DamagedRow {
+        path: directory.path().into(),
+        key: "config".to_owned(),
+    };
     bench.input(Input::Storage(StorageAnswer::Scrub { result: Err(error) }));
     let told = bench
         .outputs
@@ -290,32 +384,56 @@
 #[case::a_message_too_long(Some(ProcessKind::Core), Frame::Replication(vec![0xff; 100_000]))]
 #[case::orders_for_the_head(Some(ProcessKind::Companion), orders_frame())]
 fn a_frame_that_cannot_be_trusted_ends_its_connection(
-    #[case] kind: Option<ProcessKind>, #[case] frame: Frame,
+    #[case] kind: Option<ProcessKind>,
+    #[case] frame: Frame,
 ) {
     let directory = TempDir::new().expect("a folder");
     let mut bench = Bench::acting(directory.path());
     let connection = ConnectionId(400);
     if let Some(kind) = kind {
-        bench.input(Input::Frame { connection, frame: Frame::Hello(hello(kind)) });
+        bench.input(Input::Frame {
+            connection,
+            frame: Frame::Hello(hello(kind)),
+        });
     }
     bench.outputs.clear();
     bench.input(Input::Frame { connection, frame });
-    let is_close = |output: &Output| matches!(output, Output::Close { connection: ConnectionId(400) });
+    let is_close = |output: &Output| {
+        matches!(
+            output,
+            Output::Close {
+                connection: ConnectionId(400)
+            }
+        )
+    };
     assert!(bench.outputs.iter().any(is_close), "{:?}", bench.outputs);
-    let told = bench
-        .outputs
-        .iter()
-        .any(|output| matches!(output, Output::Send { connection: ConnectionId(400), .. }));
+    let told = bench.outputs.iter().any(|output| {
+        matches!(
+            output,
+            Output::Send {
+                connection: ConnectionId(400),
+                ..
+            }
+        )
+    });
     assert!(!told, "{:?}", bench.outputs);
     bench.outputs.clear();
     bench.order(1, 0, CONFIG);
     bench.settle();
-    assert!(bench.answers().iter().any(|(_, answer)| *answer == taken()), "the member goes on");
+    assert!(
+        bench.answers().iter().any(|(_, answer)| *answer == taken()),
+        "the member goes on"
+    );
 }
 
 fn call_frame() -> Frame {
     let (host, path) = ("a.example".to_owned(), "/p/1".to_owned());
-    Frame::Call(ClientCall { call: 1, host, path, operation: ClientOperation::Get })
+    Frame::Call(ClientCall {
+        call: 1,
+        host,
+        path,
+        operation: ClientOperation::Get,
+    })
 }
 
 fn orders_frame() -> Frame {
@@ -333,23 +451,35 @@
 fn a_second_hello_ends_the_connection() {
     let directory = TempDir::new().expect("a folder");
     let mut bench = Bench::acting(directory.path());
-    bench.input(Input::Frame { connection: EDGE, frame: Frame::Hello(hello(ProcessKind::Edge)) });
-    assert!(bench.outputs.iter().any(|output| matches!(output, Output::Close { connection: EDGE })));
+    bench.input(Input::Frame {
+        connection: EDGE,
+        frame: Frame::Hello(hello(ProcessKind::Edge)),
+    });
+    assert!(
+        bench
+            .outputs
+            .iter()
+            .any(|output| matches!(output, Output::Close { connection: EDGE }))
+    );
 }
 
 /// Asks over a connection that has not greeted.
 fn ask(bench: &mut Bench, call: u64, question: Question) {
     let frame = Frame::Inspect(InspectionCall { call, question });
-    bench.input(Input::Frame { connection: ConnectionId(300), frame });
+    bench.input(Input::Frame {
+        connection: ConnectionId(300),
+        frame,
+    });
 }
 
 /// The answers to questions since the last look.
 fn told(bench: &mut Bench) -> Vec<(u64, InspectionAnswer)> {
     let outputs = std::mem::take(&mut bench.outputs);
     let answers = outputs.into_iter().filter_map(|output| match output {
-        Output::Send { connection: ConnectionId(300), frame: Frame::Inspected(reply) } => {
-            Some((reply.call, reply.answer))
-        }
+        Output::Send {
+            connection: ConnectionId(300),
+            frame: Frame::Inspected(reply),
+        } => Some((reply.call, reply.answer)),
         _ => None,
     });
     answers.collect()
@@ -363,13 +493,17 @@
     bench.settle();
     bench.outputs.clear();
     let seq = |answer: &InspectionAnswer| match answer {
-        InspectionAnswer::Status(status) => {
-            (status.stored.seq, status.work.as_ref().map(|w| w.config_version))
-        }
+        InspectionAnswer::Status(status) => (
+            status.stored.seq,
+            status.work.as_ref().map(|w| w.config_version),
+        ),
         other => panic!("a status is expected: {other:?}"),
     };
     ask(&mut bench, 1, Question::Status);
-    assert!(told(&mut bench).is_empty(), "the rows have to be read first");
+    assert!(
+        told(&mut bench).is_empty(),
+        "the rows have to be read first"
+    );
     bench.settle();
     let first = told(&mut bench);
     ask(&mut bench, 2, Question::Status);
@@ -388,7 +522,9 @@
     ask(&mut bench, 1, Question::Status);
     ask(&mut bench, 2, Question::Job(JobId(7)));
     let answers = told(&mut bench);
-    let InspectionAnswer::Status(status) = &answers[0].1 else { panic!("a status is expected") };
+    let InspectionAnswer::Status(status) = &answers[0].1 else {
+        panic!("a status is expected")
+    };
     assert!(!status.acting && status.work.is_none() && status.peers.len() == 2);
     assert_eq!(answers[1], (2, InspectionAnswer::NotHead { head: None }));
 }
@@ -399,8 +535,15 @@
     let mut bench = Bench::acting(directory.path());
     (0..6).for_each(|call| ask(&mut bench, call, Question::Status));
     let refused = told(&mut bench);
-    assert!(refused.iter().all(|(_, answer)| matches!(answer, InspectionAnswer::Unavailable { .. })));
-    assert_eq!(refused.iter().map(|(call, _)| *call).collect::<Vec<_>>(), [4, 5]);
+    assert!(
+        refused
+            .iter()
+            .all(|(_, answer)| matches!(answer, InspectionAnswer::Unavailable { .. }))
+    );
+    assert_eq!(
+        refused.iter().map(|(call, _)| *call).collect::<Vec<_>>(),
+        [4, 5]
+    );
     bench.settle();
     assert_eq!(told(&mut bench).len(), 4);
 }
--- a/crates/control-plane/tests/peers.rs
+++ b/crates/control-plane/tests/peers.rs
@@ -14,7 +14,11 @@
 
 fn following(lasts: &[u8]) -> Peers {
     let mut peers = Peers::new(7);
-    assert!(peers.follow(NOW_MS, lasts.iter().copied().map(address).collect()).is_empty());
+    assert!(
+        peers
+            .follow(NOW_MS, lasts.iter().copied().map(address).collect())
+            .is_empty()
+    );
     peers
 }
 
@@ -40,7 +44,10 @@
         peers.failed(now_ms, address(1));
     }
     let wait_ms = peers.next_due_ms() - now_ms;
-    assert!((longest_ms / 2..=longest_ms).contains(&wait_ms), "{wait_ms}");
+    assert!(
+        (longest_ms / 2..=longest_ms).contains(&wait_ms),
+        "{wait_ms}"
+    );
 }
 
 #[test]
@@ -66,7 +73,10 @@
     peers.heard_from(NOW_MS + 6, address(2));
     assert_eq!(peers.take_due(NOW_MS + 6), [address(1), address(2)]);
     assert!(peers.opened(address(1), ConnectionId(4)));
-    assert!(!peers.opened(address(1), ConnectionId(5)), "the dial that hung comes too late");
+    assert!(
+        !peers.opened(address(1), ConnectionId(5)),
+        "the dial that hung comes too late"
+    );
     peers.failed(NOW_MS + 400, address(1));
     peers.heard_from(NOW_MS + 400, address(1));
     assert_eq!(peers.connection(address(1)), Some(ConnectionId(4)));
@@ -78,7 +88,10 @@
     let mut peers = following(&[1, 2]);
     peers.take_due(NOW_MS);
     peers.opened(address(1), ConnectionId(4));
-    assert_eq!(peers.follow(NOW_MS, BTreeSet::from([address(3)])), [ConnectionId(4)]);
+    assert_eq!(
+        peers.follow(NOW_MS, BTreeSet::from([address(3)])),
+        [ConnectionId(4)]
+    );
     assert!(!peers.opened(address(2), ConnectionId(5)));
     assert_eq!(peers.take_due(NOW_MS), [address(3)]);
 }
--- a/crates/data-plane/src/companion/authority.rs
+++ b/crates/data-plane/src/companion/authority.rs
@@ -30,7 +30,9 @@
 
     /// An acting head has answered the report sent at `echo_ms`. A reading that this process never sent is passed over.
     pub fn answered(&mut self, echo_ms: u64) -> bool {
-        let ours = self.first_sent_ms.is_some_and(|first| (first..=self.last_sent_ms).contains(&echo_ms));
+        let ours = self
+            .first_sent_ms
+            .is_some_and(|first| (first..=self.last_sent_ms).contains(&echo_ms));
         if ours {
             self.answered_ms = self.answered_ms.max(Some(echo_ms));
         }
--- a/crates/data-plane/src/companion/life.rs
+++ b/crates/data-plane/src/companion/life.rs
@@ -117,8 +117,13 @@
             || beat.labels != self.newest.labels;
         self.lists_revision += u64::from(lists_changed);
         self.newest_seq = Some(beat.seq_no);
-        (self.running, self.finished, self.newest, self.heard_ms) = (running, finished, beat, now_ms);
-        Changes { urgent, ended, not_started }
+        (self.running, self.finished, self.newest, self.heard_ms) =
+            (running, finished, beat, now_ms);
+        Changes {
+            urgent,
+            ended,
+            not_started,
+        }
     }
 
     /// What the answer to the newest heartbeat orders; `hold_ms` is the hold that it carries.
@@ -127,7 +132,11 @@
             self.held_until_ms = self.held_until_ms.max(lapsed_at_ms(now_ms, hold_ms));
         }
         let ready = self.newest.state == WorkerState::Ready;
-        let room = Room { capacity: self.newest.capacity, ready, held: hold_ms.is_some() };
+        let room = Room {
+            capacity: self.newest.capacity,
+            ready,
+            held: hold_ms.is_some(),
+        };
         self.runs.hand_out(now_ms, self.newest.seq_no, room)
     }
 
@@ -155,7 +164,10 @@
             backend: self.newest.backend.clone(),
             zone: self.newest.zone.clone(),
             state: self.newest.state,
-            remaining_ms: self.newest.remaining_ms.map(|left| left.saturating_sub(silent_ms)),
+            remaining_ms: self
+                .newest
+                .remaining_ms
+                .map(|left| left.saturating_sub(silent_ms)),
             cold_remaining_ms: self.newest.cold_remaining_ms.saturating_sub(silent_ms),
             capacity: self.newest.capacity,
             labels: self.newest.labels.clone(),
@@ -172,8 +184,16 @@
         let fresh = listed.into_iter().filter(|end| end.0 > seen);
         let mut ends: Vec<FinishedRun> = fresh
             .filter_map(|end| {
-                let run = RunId { task: end.1.parse().ok()?, attempt: end.2 };
-                Some(FinishedRun { number: end.0, run, end: end.3, saved: end.4 })
+                let run = RunId {
+                    task: end.1.parse().ok()?,
+                    attempt: end.2,
+                };
+                Some(FinishedRun {
+                    number: end.0,
+                    run,
+                    end: end.3,
+                    saved: end.4,
+                })
             })
             .collect();
         ends.sort_by_key(|end| end.number);
@@ -189,8 +209,15 @@
 /// Runs at work as the heartbeat lists them. A name that is no task's was never ordered by this system.
 fn running_runs(listed: Vec<Running>) -> Vec<RunningRun> {
     let runs = listed.into_iter().filter_map(|item| {
-        let run = RunId { task: item.0.parse().ok()?, attempt: item.1 };
-        Some(RunningRun { run, saved: item.2, percent: item.3 })
+        let run = RunId {
+            task: item.0.parse().ok()?,
+            attempt: item.1,
+        };
+        Some(RunningRun {
+            run,
+            saved: item.2,
+            percent: item.3,
+        })
     });
     runs.collect()
 }
@@ -198,5 +225,8 @@
 /// Whether both lists name the same runs with the same saved texts.
 fn same_lists(before: &[RunningRun], after: &[RunningRun]) -> bool {
     let pairs = before.iter().zip(after);
-    before.len() == after.len() && pairs.into_iter().all(|(a, b)| a.run == b.run && a.saved == b.saved)
+    before.len() == after.len()
+        && pairs
+            .into_iter()
+            .all(|(a, b)| a.run == b.run && a.saved == b.saved)
 }
--- a/crates/data-plane/src/companion/mod.rs
+++ b/crates/data-plane/src/companion/mod.rs
@@ -124,14 +124,22 @@
         let confirmed = life.standing == Standing::Confirmed;
         self.urgent |= changes.urgent || life.runs.in_flight() != in_flight;
         self.give_back(changes.not_started);
-        Some(Heard { seq_no, expects_orders: changes.ended && confirmed && self.linked })
+        Some(Heard {
+            seq_no,
+            expects_orders: changes.ended && confirmed && self.linked,
+        })
     }
 
     /// The answer to the heartbeat heard as `seq_no`; one that a newer heartbeat has overtaken gets nothing.
     pub fn answer(&mut self, now_ms: u64, id: &str, seq_no: u64) -> BeatOutcome {
         self.check_authority(now_ms);
-        let newest = self.life.as_mut().filter(|life| life.id == id && life.is_newest(seq_no));
-        let Some(life) = newest else { return BeatOutcome::Late };
+        let newest = self
+            .life
+            .as_mut()
+            .filter(|life| life.id == id && life.is_newest(seq_no));
+        let Some(life) = newest else {
+            return BeatOutcome::Late;
+        };
         let confirmed = life.standing == Standing::Confirmed;
         let hold_ms = confirmed.then(|| self.authority.hold_ms(now_ms)).flatten();
         let in_flight = life.runs.in_flight();
@@ -146,7 +154,13 @@
     /// `DELETE /instances/ID`. A worker that was draining ends now. One that was not serves on for a while: what runs
     /// there is not over before the worker has listed its end, or its holds have lapsed.
     pub fn delete(&mut self, id: &str) {
-        let Some(life) = self.life.as_mut().filter(|life| life.id == id && !life.leaving) else { return };
+        let Some(life) = self
+            .life
+            .as_mut()
+            .filter(|life| life.id == id && !life.leaving)
+        else {
+            return;
+        };
         self.events.push(CompanionEvent::Left(id.to_owned()));
         let withdrawn = life.runs.withdraw_all();
         if life.is_draining() || life.runs.is_empty() {
@@ -183,7 +197,12 @@
         for order in orders.start {
             given_back.extend(take_start(life, order, in_doubt));
         }
-        given_back.extend(orders.stop.into_iter().filter_map(|run| life.runs.order_stop(run)));
+        given_back.extend(
+            orders
+                .stop
+                .into_iter()
+                .filter_map(|run| life.runs.order_stop(run)),
+        );
         self.give_back(given_back);
     }
 
@@ -210,9 +229,19 @@
 
     /// When [`Companion::tick`] is to be called next, at the latest.
     pub fn next_tick_ms(&self) -> Option<u64> {
-        let silence_ms = self.life.as_ref().filter(|life| !life.lapsed).map(Life::lapses_at_ms);
-        let stranger_ms = self.stranger.as_ref().map(|_| lapsed_at_ms(self.started_ms, HOLD_MS));
-        [silence_ms, stranger_ms, self.report_due_ms()].into_iter().flatten().min()
+        let silence_ms = self
+            .life
+            .as_ref()
+            .filter(|life| !life.lapsed)
+            .map(Life::lapses_at_ms);
+        let stranger_ms = self
+            .stranger
+            .as_ref()
+            .map(|_| lapsed_at_ms(self.started_ms, HOLD_MS));
+        [silence_ms, stranger_ms, self.report_due_ms()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// What has happened since the last call, for the log.
@@ -252,18 +281,39 @@
     }
 
     fn reply(
-        &self, now_ms: u64, hold_ms: Option<u64>, last_seen: Option<u64>, idle: bool, out: HandOut,
+        &self,
+        now_ms: u64,
+        hold_ms: Option<u64>,
+        last_seen: Option<u64>,
+        idle: bool,
+        out: HandOut,
     ) -> HeartbeatReply {
-        let lately = self.ordered_ms.is_some_and(|at_ms| now_ms < at_ms + ORDERED_LATELY_MS);
-        let start =
-            |order: StartOrder| Start(order.run.task.to_string(), order.run.attempt, order.spec, order.saved);
+        let lately = self
+            .ordered_ms
+            .is_some_and(|at_ms| now_ms < at_ms + ORDERED_LATELY_MS);
+        let start = |order: StartOrder| {
+            Start(
+                order.run.task.to_string(),
+                order.run.attempt,
+                order.spec,
+                order.saved,
+            )
+        };
         HeartbeatReply {
             hold_ms,
             last_seen,
             fence_token: (self.epoch > 0).then_some(self.epoch),
             start: out.start.into_iter().map(start).collect(),
-            stop: out.stop.iter().map(|run| Stop(run.task.to_string(), run.attempt)).collect(),
-            retry_delay_ms: Some(if idle && !lately { IDLE_BEAT_MS } else { BUSY_BEAT_MS }),
+            stop: out
+                .stop
+                .iter()
+                .map(|run| Stop(run.task.to_string(), run.attempt))
+                .collect(),
+            retry_delay_ms: Some(if idle && !lately {
+                IDLE_BEAT_MS
+            } else {
+                BUSY_BEAT_MS
+            }),
         }
     }
 
@@ -302,7 +352,11 @@
 
     /// A worker that has sent `DELETE` and has nothing at work any more, whose ends the head has all heard of, is gone.
     fn end_if_left(&mut self) {
-        if self.life.as_ref().is_some_and(|life| life.leaving && life.is_done()) {
+        if self
+            .life
+            .as_ref()
+            .is_some_and(|life| life.leaving && life.is_done())
+        {
             self.end_life();
         }
     }
@@ -328,7 +382,11 @@
         if !self.authority.has_lapsed(now_ms) {
             return;
         }
-        let withdrawn = self.life.as_mut().map(|life| life.runs.withdraw_all()).unwrap_or_default();
+        let withdrawn = self
+            .life
+            .as_mut()
+            .map(|life| life.runs.withdraw_all())
+            .unwrap_or_default();
         self.give_back(withdrawn);
     }
 
@@ -338,7 +396,10 @@
             self.gone.push(self.stranger.take().unwrap_or_default());
             self.urgent = true;
         }
-        let Some(life) = self.life.as_mut().filter(|life| !life.lapsed && life.lapses_at_ms() <= now_ms)
+        let Some(life) = self
+            .life
+            .as_mut()
+            .filter(|life| !life.lapsed && life.lapses_at_ms() <= now_ms)
         else {
             return;
         };
@@ -355,9 +416,18 @@
         if !self.linked {
             return None;
         }
-        let Some(reported_ms) = self.reported_ms else { return Some(self.started_ms) };
+        let Some(reported_ms) = self.reported_ms else {
+            return Some(self.started_ms);
+        };
         let urgent = self.urgent || self.gone.pending() || self.not_started.pending();
-        Some(reported_ms + if urgent { REPORT_SPACING_MS } else { REPORT_INTERVAL_MS })
+        Some(
+            reported_ms
+                + if urgent {
+                    REPORT_SPACING_MS
+                } else {
+                    REPORT_INTERVAL_MS
+                },
+        )
     }
 
     fn report(&mut self, now_ms: u64) -> CompanionReport {
@@ -376,7 +446,12 @@
             life.report(now_ms, lists)
         });
         let (gone, not_started) = (self.gone.tell(), self.not_started.tell());
-        CompanionReport { sent_ms: now_ms, instance, gone, not_started }
+        CompanionReport {
+            sent_ms: now_ms,
+            instance,
+            gone,
+            not_started,
+        }
     }
 }
 
@@ -390,7 +465,9 @@
 
 /// Whether the lists need not be told again on this connection.
 fn lists_are_told(told: &Option<(String, u64, u64)>, life: &Life, now_ms: u64) -> bool {
-    let Some((id, revision, told_ms)) = told else { return false };
+    let Some((id, revision, told_ms)) = told else {
+        return false;
+    };
     let recent = now_ms < told_ms + PERCENT_INTERVAL_MS || life.runs.is_empty();
     *id == life.id && *revision == life.lists_revision && recent
 }
--- a/crates/data-plane/src/companion/news.rs
+++ b/crates/data-plane/src/companion/news.rs
@@ -18,7 +18,10 @@
 impl<T: Clone + PartialEq> News<T> {
     /// Keeps `most` items.
     pub fn new(most: usize) -> Self {
-        News { items: VecDeque::new(), most }
+        News {
+            items: VecDeque::new(),
+            most,
+        }
     }
 
     /// Adds an item, to be told (again).
--- a/crates/data-plane/src/companion/runs.rs
+++ b/crates/data-plane/src/companion/runs.rs
@@ -17,10 +17,18 @@
 #[derive(Debug)]
 enum Stage {
     /// Ordered; to be put into an answer.
-    Waiting { order: StartOrder, misfit_since_ms: Option<u64>, passes: u32 },
+    Waiting {
+        order: StartOrder,
+        misfit_since_ms: Option<u64>,
+        passes: u32,
+    },
     /// Put into the answer to heartbeat `beat`; no later heartbeat has been heard yet. Without an `order` only its stop
     /// is known.
-    Passed { order: Option<StartOrder>, beat: u64, passes: u32 },
+    Passed {
+        order: Option<StartOrder>,
+        beat: u64,
+        passes: u32,
+    },
     /// Listed as running by the newest heartbeat.
     Running,
 }
@@ -88,14 +96,27 @@
             return None;
         }
         let (run, resources) = (order.run, order.resources);
-        let stage = Stage::Waiting { order, misfit_since_ms: None, passes: 0 };
-        self.entries.insert(run, Entry { stage, resources, stop: Stop::No, listed: false });
+        let stage = Stage::Waiting {
+            order,
+            misfit_since_ms: None,
+            passes: 0,
+        };
+        self.entries.insert(
+            run,
+            Entry {
+                stage,
+                resources,
+                stop: Stop::No,
+                listed: false,
+            },
+        );
         None
     }
 
     /// Refuses a start order that must not be carried out; returns the run if the head has to be told.
     pub fn refuse_start(&mut self, run: RunId) -> Option<RunId> {
-        let known = self.entries.contains_key(&run) || self.closed.get(&run) == Some(Closing::Ended);
+        let known =
+            self.entries.contains_key(&run) || self.closed.get(&run) == Some(Closing::Ended);
         (!known).then(|| {
             self.closed.insert(run, Closing::NotStarted);
             run
@@ -110,8 +131,17 @@
             None => {}
         }
         let Some(entry) = self.entries.get_mut(&run) else {
-            let stage = Stage::Passed { order: None, beat: 0, passes: 0 };
-            let entry = Entry { stage, resources: Resources::default(), stop: Stop::Wanted, listed: false };
+            let stage = Stage::Passed {
+                order: None,
+                beat: 0,
+                passes: 0,
+            };
+            let entry = Entry {
+                stage,
+                resources: Resources::default(),
+                stop: Stop::Wanted,
+                listed: false,
+            };
             self.entries.insert(run, entry);
             return None;
         };
@@ -124,16 +154,31 @@
 
     /// Withdraws all that the worker has not listed; returns the starts that were never passed on.
     pub fn withdraw_all(&mut self) -> Vec<RunId> {
-        let unlisted = self.entries.iter().filter(|(_, entry)| !matches!(entry.stage, Stage::Running));
+        let unlisted = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| !matches!(entry.stage, Stage::Running));
         let runs: Vec<RunId> = unlisted.map(|(run, _)| *run).collect();
-        runs.into_iter().filter_map(|run| self.order_stop(run)).collect()
+        runs.into_iter()
+            .filter_map(|run| self.order_stop(run))
+            .collect()
     }
 
     /// Reads the lists of heartbeat `beat`; returns the starts that are now known never to begin.
-    pub fn heard(&mut self, beat: u64, running: &[RunningRun], finished: &[FinishedRun]) -> Vec<RunId> {
+    pub fn heard(
+        &mut self,
+        beat: u64,
+        running: &[RunningRun],
+        finished: &[FinishedRun],
+    ) -> Vec<RunId> {
         for run in running.iter().map(|listed| listed.run) {
             let stage = Stage::Running;
-            let new = Entry { stage, resources: Resources::default(), stop: Stop::No, listed: true };
+            let new = Entry {
+                stage,
+                resources: Resources::default(),
+                stop: Stop::No,
+                listed: true,
+            };
             let entry = self.entries.entry(run).or_insert(new);
             entry.stage = Stage::Running;
             entry.listed = true;
@@ -153,8 +198,12 @@
                 Unlisted::Vanished => vanished.push(*run),
             }
         }
-        vanished.into_iter().for_each(|run| self.close(run, Closing::Ended));
-        not_started.iter().for_each(|run| self.close(*run, Closing::NotStarted));
+        vanished
+            .into_iter()
+            .for_each(|run| self.close(run, Closing::Ended));
+        not_started
+            .iter()
+            .for_each(|run| self.close(*run, Closing::NotStarted));
         not_started
     }
 
@@ -180,7 +229,9 @@
                 out.stop.push(*run);
             }
         }
-        out.not_started.iter().for_each(|run| self.close(*run, Closing::NotStarted));
+        out.not_started
+            .iter()
+            .for_each(|run| self.close(*run, Closing::NotStarted));
         out
     }
 
@@ -198,7 +249,9 @@
     /// What runs, is being stopped, or may be about to run.
     pub fn occupied(&self) -> Resources {
         let present = self.entries.values().filter(|entry| entry.occupies());
-        present.fold(Resources::default(), |sum, entry| sum.plus(&entry.resources))
+        present.fold(Resources::default(), |sum, entry| {
+            sum.plus(&entry.resources)
+        })
     }
 
     fn close(&mut self, run: RunId, closing: Closing) {
@@ -234,7 +287,10 @@
     }
 
     fn is_passed(&self) -> bool {
-        matches!(self.stage, Stage::Passed { .. } | Stage::Waiting { passes: 1.., .. })
+        matches!(
+            self.stage,
+            Stage::Passed { .. } | Stage::Waiting { passes: 1.., .. }
+        )
     }
 
     /// Marks the run to be stopped; `true` if it was never passed on, so that it can simply be forgotten.
@@ -243,7 +299,11 @@
             return true;
         }
         if let Stage::Waiting { passes, .. } = self.stage {
-            self.stage = Stage::Passed { order: None, beat: 0, passes };
+            self.stage = Stage::Passed {
+                order: None,
+                beat: 0,
+                passes,
+            };
         }
         if self.stop == Stop::No {
             self.stop = Stop::Wanted;
@@ -258,12 +318,23 @@
             (Stage::Running, _) => Unlisted::Vanished,
             (Stage::Passed { .. }, Stop::Sent(sent)) if sent < beat => Unlisted::NeverBegan,
             (Stage::Passed { .. }, Stop::Sent(_)) => Unlisted::Stays,
-            (Stage::Passed { order, beat: passed, passes }, Stop::No) => {
+            (
+                Stage::Passed {
+                    order,
+                    beat: passed,
+                    passes,
+                },
+                Stop::No,
+            ) => {
                 if *passed < beat {
                     let passes = *passes;
                     match order.take() {
                         Some(order) if passes < PASSES_MAX => {
-                            self.stage = Stage::Waiting { order, misfit_since_ms: None, passes };
+                            self.stage = Stage::Waiting {
+                                order,
+                                misfit_since_ms: None,
+                                passes,
+                            };
                         }
                         _ => self.stop = Stop::Wanted,
                     }
@@ -274,18 +345,40 @@
     }
 
     /// Moves a waiting start on if it may go into the answer to heartbeat `beat`.
-    fn try_pass(&mut self, now_ms: u64, beat: u64, room: Room, used: &Resources, started: usize) -> Pass {
-        let Stage::Waiting { order, misfit_since_ms, passes } = &mut self.stage else { return Pass::Later };
+    fn try_pass(
+        &mut self,
+        now_ms: u64,
+        beat: u64,
+        room: Room,
+        used: &Resources,
+        started: usize,
+    ) -> Pass {
+        let Stage::Waiting {
+            order,
+            misfit_since_ms,
+            passes,
+        } = &mut self.stage
+        else {
+            return Pass::Later;
+        };
         if room.ready {
             if room.capacity.holds(&used.plus(&self.resources)) {
                 if !room.held || started >= STARTS_PER_ANSWER {
                     return Pass::Later;
                 }
                 let (order, passes) = (order.clone(), *passes + 1);
-                self.stage = Stage::Passed { order: Some(order.clone()), beat, passes };
+                self.stage = Stage::Passed {
+                    order: Some(order.clone()),
+                    beat,
+                    passes,
+                };
                 return Pass::Start(order);
             }
-            if now_ms < misfit_since_ms.get_or_insert(now_ms).saturating_add(MISFIT_MS) {
+            if now_ms
+                < misfit_since_ms
+                    .get_or_insert(now_ms)
+                    .saturating_add(MISFIT_MS)
+            {
                 return Pass::Later;
             }
         }
--- a/crates/data-plane/src/core_link/candidates.rs
+++ b/crates/data-plane/src/core_link/candidates.rs
@@ -26,7 +26,11 @@
 impl Candidates {
     /// Nothing but the seeds is known. `random_seed` spreads processes over the members.
     pub fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
-        let mut candidates = Candidates { known: Vec::new(), next: 0, random: Rng::with_seed(random_seed) };
+        let mut candidates = Candidates {
+            known: Vec::new(),
+            next: 0,
+            random: Rng::with_seed(random_seed),
+        };
         candidates.set_seeds(seeds);
         candidates.next = candidates.random.usize(..candidates.known.len().max(1));
         candidates
@@ -34,7 +38,9 @@
 
     /// The seeds of newly read settings; members learned meanwhile stay.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
-        self.known.iter_mut().for_each(|known| known.seed = seeds.contains(&known.address));
+        self.known
+            .iter_mut()
+            .for_each(|known| known.seed = seeds.contains(&known.address));
         seeds.iter().for_each(|seed| self.add(*seed, true));
     }
 
@@ -43,7 +49,8 @@
         if members.is_empty() {
             return;
         }
-        self.known.retain(|known| known.seed || members.contains(&known.address));
+        self.known
+            .retain(|known| known.seed || members.contains(&known.address));
         members.iter().for_each(|member| self.add(*member, false));
     }
 
@@ -83,7 +90,10 @@
 
     /// When the next address that is not among `busy` may be dialled.
     pub fn next_ms(&self, busy: &[SocketAddr]) -> Option<u64> {
-        let free = self.known.iter().filter(|known| !busy.contains(&known.address));
+        let free = self
+            .known
+            .iter()
+            .filter(|known| !busy.contains(&known.address));
         free.map(|known| known.not_before_ms).min()
     }
 
@@ -94,7 +104,11 @@
 
     fn add(&mut self, address: SocketAddr, seed: bool) {
         if !self.known.iter().any(|known| known.address == address) {
-            self.known.push(Candidate { address, seed, not_before_ms: 0 });
+            self.known.push(Candidate {
+                address,
+                seed,
+                not_before_ms: 0,
+            });
         }
     }
 }
--- a/crates/data-plane/src/core_link/mod.rs
+++ b/crates/data-plane/src/core_link/mod.rs
@@ -125,12 +125,16 @@
 
     /// The head's address and view.
     pub fn head(&self) -> Option<(SocketAddr, u64)> {
-        self.attached.as_ref().map(|attached| (attached.address, attached.view))
+        self.attached
+            .as_ref()
+            .map(|attached| (attached.address, attached.view))
     }
 
     /// The configuration's version at the acting head; 0 without one.
     pub fn config_version(&self) -> u64 {
-        self.attached.as_ref().map_or(0, |attached| attached.config_version)
+        self.attached
+            .as_ref()
+            .map_or(0, |attached| attached.config_version)
     }
 
     /// The limits on clients' calls that the acting head has named.
@@ -140,7 +144,10 @@
 
     /// Up to when the head has been as talkative as it should: now, or since when it has owed an answer.
     pub fn answered_ms(&self, now_ms: u64) -> u64 {
-        self.attached.as_ref().and_then(|attached| attached.owed_since_ms).unwrap_or(now_ms)
+        self.attached
+            .as_ref()
+            .and_then(|attached| attached.owed_since_ms)
+            .unwrap_or(now_ms)
     }
 
     /// Whether this connection is still of use.
@@ -171,7 +178,8 @@
     /// A member's account of itself has come in.
     pub fn welcomed(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
         let named = welcome.members.iter().chain(&welcome.head);
-        self.candidates.set_members(&named.map(|member| member.internal).collect::<Vec<_>>());
+        self.candidates
+            .set_members(&named.map(|member| member.internal).collect::<Vec<_>>());
         self.take_hint(welcome);
         if self.attached() == Some(link) {
             self.head_changed(now_ms, welcome);
@@ -183,7 +191,11 @@
 
     /// Any frame has come in.
     pub fn heard(&mut self, now_ms: u64, link: LinkId) {
-        if let Some(attached) = self.attached.as_mut().filter(|attached| attached.link == link) {
+        if let Some(attached) = self
+            .attached
+            .as_mut()
+            .filter(|attached| attached.link == link)
+        {
             (attached.owed_since_ms, attached.heard_ms, attached.probed) = (None, now_ms, false);
         }
     }
@@ -204,26 +216,34 @@
         }
         if !self.searching(now_ms) {
             let listening: Vec<LinkId> = self.probes.drain(..).map(|probe| probe.link).collect();
-            self.actions.extend(listening.into_iter().map(LinkAction::Close));
+            self.actions
+                .extend(listening.into_iter().map(LinkAction::Close));
             return;
         }
         self.dial_hint(now_ms);
         while self.probes.len() < PROBES_MAX {
             let busy = self.busy();
-            let Some(address) = self.candidates.pick(now_ms, &busy) else { break };
+            let Some(address) = self.candidates.pick(now_ms, &busy) else {
+                break;
+            };
             self.dial(now_ms, address);
         }
     }
 
     /// When [`CoreLink::tick`] is to be called next, at the latest.
     pub fn next_tick_ms(&self, now_ms: u64) -> Option<u64> {
-        let head_ms = self.attached.as_ref().and_then(|attached| self.head_due_ms(now_ms, attached));
+        let head_ms = self
+            .attached
+            .as_ref()
+            .and_then(|attached| self.head_due_ms(now_ms, attached));
         if !self.searching(now_ms) {
             return head_ms;
         }
         let expiry_ms = self.probes.iter().map(|probe| probe.until_ms).min();
         let room = self.probes.len() < PROBES_MAX;
-        let dial_ms = room.then(|| self.candidates.next_ms(&self.busy())).flatten();
+        let dial_ms = room
+            .then(|| self.candidates.next_ms(&self.busy()))
+            .flatten();
         head_ms.into_iter().chain(expiry_ms).chain(dial_ms).min()
     }
 
@@ -234,13 +254,18 @@
 
     /// No head is known, or the one that is owes an answer for too long.
     fn searching(&self, now_ms: u64) -> bool {
-        let Some(attached) = &self.attached else { return true };
-        attached.owed_since_ms.is_some_and(|owed_ms| owed_ms + SILENCE_MS <= now_ms)
+        let Some(attached) = &self.attached else {
+            return true;
+        };
+        attached
+            .owed_since_ms
+            .is_some_and(|owed_ms| owed_ms + SILENCE_MS <= now_ms)
     }
 
     /// When the attached head is to be asked, suspected or left, whichever comes first.
     fn head_due_ms(&self, now_ms: u64, attached: &Attachment) -> Option<u64> {
-        let ask_ms = (self.asks_when_idle && !attached.probed).then_some(attached.heard_ms + IDLE_MS);
+        let ask_ms =
+            (self.asks_when_idle && !attached.probed).then_some(attached.heard_ms + IDLE_MS);
         let suspect_ms = attached.owed_since_ms.map(|owed_ms| owed_ms + SILENCE_MS);
         let leave_ms = attached.owed_since_ms.filter(|_| self.asks_when_idle);
         let leave_ms = leave_ms.map(|owed_ms| owed_ms + GIVE_UP_MS);
@@ -252,9 +277,13 @@
     /// sooner than the old one recovers once a cut has healed.
     fn give_up(&mut self, now_ms: u64) {
         let silent = |attached: &mut Attachment| {
-            attached.owed_since_ms.is_some_and(|owed_ms| owed_ms + GIVE_UP_MS <= now_ms)
+            attached
+                .owed_since_ms
+                .is_some_and(|owed_ms| owed_ms + GIVE_UP_MS <= now_ms)
+        };
+        let Some(left) = self.attached.take_if(silent) else {
+            return;
         };
-        let Some(left) = self.attached.take_if(silent) else { return };
         self.hint = self.hint.filter(|(_, address)| *address != left.address);
         self.candidates.back_off(left.address, now_ms);
         self.actions.push(LinkAction::Detached);
@@ -263,7 +292,9 @@
 
     /// Asks a head that has been quiet for a sign of life, once until it is heard.
     fn ask_idle(&mut self, now_ms: u64) {
-        let Some(attached) = &mut self.attached else { return };
+        let Some(attached) = &mut self.attached else {
+            return;
+        };
         if !attached.probed && attached.heard_ms + IDLE_MS <= now_ms {
             attached.probed = true;
             attached.owed_since_ms.get_or_insert(now_ms);
@@ -293,7 +324,12 @@
         } else if let Some(attached) = self.attached.take() {
             let until_ms = now_ms + LISTEN_MS;
             let Attachment { link, address, .. } = attached;
-            self.probes.push(Probe { link, address, stage: Stage::Listening, until_ms });
+            self.probes.push(Probe {
+                link,
+                address,
+                stage: Stage::Listening,
+                until_ms,
+            });
             self.actions.push(LinkAction::Detached);
         }
     }
@@ -337,7 +373,9 @@
 
     /// Dials the head that was named, beside the probes that are open already.
     fn dial_hint(&mut self, now_ms: u64) {
-        let Some((_, address)) = self.hint else { return };
+        let Some((_, address)) = self.hint else {
+            return;
+        };
         if !self.busy().contains(&address) && self.candidates.may_dial(address, now_ms) {
             self.dial(now_ms, address);
         }
@@ -346,20 +384,32 @@
     /// Gives up a dial that is under way to this address: it may have begun while the machine was down, and would hang.
     fn dial_anew(&mut self, address: SocketAddr) {
         let hangs = |probe: &mut Probe| probe.address == address && probe.stage == Stage::Dialling;
-        let given_up: Vec<LinkId> = self.probes.extract_if(.., hangs).map(|probe| probe.link).collect();
-        self.actions.extend(given_up.into_iter().map(LinkAction::Close));
+        let given_up: Vec<LinkId> = self
+            .probes
+            .extract_if(.., hangs)
+            .map(|probe| probe.link)
+            .collect();
+        self.actions
+            .extend(given_up.into_iter().map(LinkAction::Close));
     }
 
     fn dial(&mut self, now_ms: u64, address: SocketAddr) {
         self.last_link += 1;
         let link = LinkId(self.last_link);
         let until_ms = now_ms + CONNECT_TIMEOUT_MS;
-        self.probes.push(Probe { link, address, stage: Stage::Dialling, until_ms });
+        self.probes.push(Probe {
+            link,
+            address,
+            stage: Stage::Dialling,
+            until_ms,
+        });
         self.actions.push(LinkAction::Dial { link, address });
     }
 
     fn busy(&self) -> Vec<SocketAddr> {
         let probed = self.probes.iter().map(|probe| probe.address);
-        probed.chain(self.attached.as_ref().map(|attached| attached.address)).collect()
+        probed
+            .chain(self.attached.as_ref().map(|attached| attached.address))
+            .collect()
     }
 }
--- a/crates/data-plane/src/edge/answer.rs
+++ b/crates/data-plane/src/edge/answer.rs
@@ -33,18 +33,30 @@
 impl Answer {
     /// The call was carried out.
     pub fn success(body: Body) -> Answer {
-        Answer { status: 200, retry_after_s: None, body }
+        Answer {
+            status: 200,
+            retry_after_s: None,
+            body,
+        }
     }
 
     /// The call was not carried out, and is not to be repeated as it is.
     pub fn error(status: u16, text: impl Into<String>) -> Answer {
-        Answer { status, retry_after_s: None, body: Body::Error(text.into()) }
+        Answer {
+            status,
+            retry_after_s: None,
+            body: Body::Error(text.into()),
+        }
     }
 
     /// The call was not carried out; it may be repeated after `retry_after_ms`.
     pub fn come_back(status: u16, retry_after_ms: u64, text: &str) -> Answer {
         let retry_after_s = retry_after_ms.div_ceil(1_000).max(1);
-        Answer { status, retry_after_s: Some(retry_after_s), body: Body::Error(text.to_owned()) }
+        Answer {
+            status,
+            retry_after_s: Some(retry_after_s),
+            body: Body::Error(text.to_owned()),
+        }
     }
 
     /// No acting head is known; the call was sent to nobody.
@@ -54,7 +66,10 @@
 
     /// The call was sent, and no reply has come: it may have been carried out.
     pub fn no_reply() -> Answer {
-        Answer::error(504, "no reply from the scheduler: the call may have been carried out")
+        Answer::error(
+            504,
+            "no reply from the scheduler: the call may have been carried out",
+        )
     }
 
     /// The body as JSON.
--- a/crates/data-plane/src/edge/calls.rs
+++ b/crates/data-plane/src/edge/calls.rs
@@ -1,7 +1,9 @@
 //! Clients' calls under way: sent to the acting head, sent again to its successor, answered or given up in time.
 
 use super::answer::Answer;
-use indigofold_protocol::internal::{ClientCall, ClientOperation, ClientOutcome, ClientReply, Frame};
+use indigofold_protocol::internal::{
+    ClientCall, ClientOperation, ClientOutcome, ClientReply, Frame,
+};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -14,7 +16,12 @@
 /// A call that no client waits for: no route leads there, so the head replies at once and does nothing.
 pub fn sign_of_life() -> Frame {
     let (host, path) = (String::new(), String::new());
-    Frame::Call(ClientCall { call: NO_CALL, host, path, operation: ClientOperation::Get })
+    Frame::Call(ClientCall {
+        call: NO_CALL,
+        host,
+        path,
+        operation: ClientOperation::Get,
+    })
 }
 
 /// How long calls wait.
@@ -30,7 +37,11 @@
 
 impl Default for CallLimits {
     fn default() -> Self {
-        CallLimits { answer_margin_ms: 100, orphan_ms: 1_200, calls_max: 2_000 }
+        CallLimits {
+            answer_margin_ms: 100,
+            orphan_ms: 1_200,
+            calls_max: 2_000,
+        }
     }
 }
 
@@ -66,12 +77,22 @@
 impl Calls {
     /// No calls, no head.
     pub fn new(limits: CallLimits) -> Self {
-        Calls { limits, calls: BTreeMap::new(), last_call: NO_CALL, has_head: false }
+        Calls {
+            limits,
+            calls: BTreeMap::new(),
+            last_call: NO_CALL,
+            has_head: false,
+        }
     }
 
     /// A client's call; its client gives up `patience_ms` from now.
     pub fn begin(
-        &mut self, now_ms: u64, host: String, path: String, operation: ClientOperation, patience_ms: u64,
+        &mut self,
+        now_ms: u64,
+        host: String,
+        path: String,
+        operation: ClientOperation,
+        patience_ms: u64,
     ) -> (CallId, Effect) {
         self.last_call += 1;
         let call = self.last_call;
@@ -83,7 +104,12 @@
             return (call, Effect::Answer(call, answer));
         }
         let reads_only = operation == ClientOperation::Get;
-        let frame = Rc::new(Frame::Call(ClientCall { call, host, path, operation }));
+        let frame = Rc::new(Frame::Call(ClientCall {
+            call,
+            host,
+            path,
+            operation,
+        }));
         let margin_ms = self.limits.answer_margin_ms.min(patience_ms / 2);
         let deadline_ms = now_ms + (patience_ms - margin_ms);
         let waiting = Call {
@@ -132,8 +158,11 @@
 
     /// Gives up the calls whose time is over.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Effect> {
-        let over = self.calls.extract_if(.., |_, call| call.ends_ms() <= now_ms);
-        over.map(|(id, call)| Effect::Answer(id, call.gave_up())).collect()
+        let over = self
+            .calls
+            .extract_if(.., |_, call| call.ends_ms() <= now_ms);
+        over.map(|(id, call)| Effect::Answer(id, call.gave_up()))
+            .collect()
     }
 
     /// When [`Calls::tick`] is to be called next, at the latest.
@@ -149,7 +178,8 @@
 
 impl Call {
     fn ends_ms(&self) -> u64 {
-        self.orphaned_until_ms.map_or(self.deadline_ms, |until_ms| until_ms.min(self.deadline_ms))
+        self.orphaned_until_ms
+            .map_or(self.deadline_ms, |until_ms| until_ms.min(self.deadline_ms))
     }
 
     /// The client's answer. A call that was refused when it was sent again may still have been carried out the first
@@ -170,6 +200,10 @@
     }
 
     fn gave_up(&self) -> Answer {
-        if self.reads_only { Answer::no_head() } else { Answer::no_reply() }
+        if self.reads_only {
+            Answer::no_head()
+        } else {
+            Answer::no_reply()
+        }
     }
 }
--- a/crates/data-plane/src/edge/readiness.rs
+++ b/crates/data-plane/src/edge/readiness.rs
@@ -27,6 +27,9 @@
 
     /// Whether the platform may send new connections here.
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        !self.stopping && self.served_ms.is_some_and(|served_ms| now_ms < served_ms + BRIEF_LOSS_MS)
+        !self.stopping
+            && self
+                .served_ms
+                .is_some_and(|served_ms| now_ms < served_ms + BRIEF_LOSS_MS)
     }
 }
--- a/crates/data-plane/src/edge/request.rs
+++ b/crates/data-plane/src/edge/request.rs
@@ -35,14 +35,21 @@
 }
 
 /// Reads a request, or says why it cannot be carried out.
-pub fn read_request(method: Method, deadline: Option<&str>, body: &[u8]) -> Result<ReadRequest, Answer> {
+pub fn read_request(
+    method: Method,
+    deadline: Option<&str>,
+    body: &[u8],
+) -> Result<ReadRequest, Answer> {
     let operation = match method {
         Method::Get => ClientOperation::Get,
         Method::Delete => ClientOperation::Cancel,
         Method::Post => ClientOperation::Submit(parse(body)?),
         Method::Other => return Err(Answer::error(405, "the method must be POST, GET or DELETE")),
     };
-    Ok(ReadRequest { operation, patience_ms: patience_ms(deadline) })
+    Ok(ReadRequest {
+        operation,
+        patience_ms: patience_ms(deadline),
+    })
 }
 
 fn parse(body: &[u8]) -> Result<JobSpec, Answer> {
@@ -50,6 +57,8 @@
 }
 
 fn patience_ms(deadline: Option<&str>) -> u64 {
-    let told = deadline.and_then(|text| text.trim().parse::<u64>().ok()).filter(|told| *told > 0);
+    let told = deadline
+        .and_then(|text| text.trim().parse::<u64>().ok())
+        .filter(|told| *told > 0);
     told.map_or(DEADLINE_DEFAULT_MS, |told| told.min(DEADLINE_MAX_MS))
 }
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -47,7 +47,9 @@
     if arguments.contains(["-V", "--version"]) {
         return Ok(Command::Version);
     }
-    let level = arguments.opt_value_from_str("--log-level")?.unwrap_or(LevelFilter::Info);
+    let level = arguments
+        .opt_value_from_str("--log-level")?
+        .unwrap_or(LevelFilter::Info);
     match arguments.finish().into_iter().next() {
         None => Ok(Command::Serve(level)),
         Some(unknown) => Err(pico_args::Error::ArgumentParsingFailed {
--- a/crates/data-plane/src/serve/alarm.rs
+++ b/crates/data-plane/src/serve/alarm.rs
@@ -44,7 +44,11 @@
     async fn sleep(&self) {
         let (sender, receiver) = oneshot::channel();
         *self.reset.borrow_mut() = Some(sender);
-        let sleep_ms = self.due_ms.get().saturating_sub(steady_ms()).min(LONGEST_SLEEP_MS);
+        let sleep_ms = self
+            .due_ms
+            .get()
+            .saturating_sub(steady_ms())
+            .min(LONGEST_SLEEP_MS);
         let sleep = pin!(runtime::sleep(Duration::from_millis(sleep_ms)));
         if let Either::Left(_) = select(sleep, receiver).await {
             self.reset.borrow_mut().take();
--- a/crates/data-plane/src/serve/companion_role.rs
+++ b/crates/data-plane/src/serve/companion_role.rs
@@ -82,7 +82,10 @@
     fn tick(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
         let report = self.companion.tick(now_ms);
         self.log_events();
-        report.map(|report| Rc::new(Frame::Report(report))).into_iter().collect()
+        report
+            .map(|report| Rc::new(Frame::Report(report)))
+            .into_iter()
+            .collect()
     }
 
     fn next_tick_ms(&self) -> Option<u64> {
@@ -93,10 +96,16 @@
 /// Serves the worker on this machine until the platform stops the process.
 pub async fn serve(settings: Settings) -> Result<(), ServeError> {
     let address = settings.bind_addrs.control_plane;
-    let address = address.context(NoAddressSnafu { field: "control_plane", role: settings.role.clone() })?;
+    let address = address.context(NoAddressSnafu {
+        field: "control_plane",
+        role: settings.role.clone(),
+    })?;
     let mut signals = Signals::register()?;
     let max_hold_ms = settings.bounds.max_hold_ms as u64;
-    let role = CompanionRole { companion: Companion::new(steady_ms(), max_hold_ms), awaits_orders: None };
+    let role = CompanionRole {
+        companion: Companion::new(steady_ms(), max_hold_ms),
+        awaits_orders: None,
+    };
     let node = Node::new(&settings, ProcessKind::Companion, role);
     let calls_node = node.clone();
     let options = HttpOptions {
@@ -119,8 +128,13 @@
 }
 
 async fn answer_worker(node: &Node<CompanionRole>, request: &HttpRequest) -> HttpResponse {
-    let id = request.path.strip_prefix(INSTANCES_PATH).filter(|id| !id.is_empty() && !id.contains('/'));
-    let Some(id) = id else { return refusal(404, "the path must be /instances/ID") };
+    let id = request
+        .path
+        .strip_prefix(INSTANCES_PATH)
+        .filter(|id| !id.is_empty() && !id.contains('/'));
+    let Some(id) = id else {
+        return refusal(404, "the path must be /instances/ID");
+    };
     match request.method {
         Method::PUT => answer_heartbeat(node, id, &request.body).await,
         Method::DELETE => {
--- a/crates/data-plane/src/serve/edge_role.rs
+++ b/crates/data-plane/src/serve/edge_role.rs
@@ -6,7 +6,9 @@
     self, Answer, CallId, CallLimits, Calls, DEADLINE_HEADER, Effect, Readiness, read_request,
 };
 use futures_channel::oneshot;
-use indigofold_net::http::{self, HttpOptions, HttpRequest, HttpResponse, HttpServer, Method, header};
+use indigofold_net::http::{
+    self, HttpOptions, HttpRequest, HttpResponse, HttpServer, Method, header,
+};
 use indigofold_net::signals::Signals;
 use indigofold_net::{runtime, steady_ms};
 use indigofold_protocol::config::IngressLimits;
@@ -47,10 +49,14 @@
 
     /// Takes a client's call; the answer comes over the channel.
     fn begin(
-        &mut self, request: &HttpRequest, read: edge::ReadRequest,
+        &mut self,
+        request: &HttpRequest,
+        read: edge::ReadRequest,
     ) -> (CallId, oneshot::Receiver<Answer>) {
         let (host, path) = (request.host.clone(), request.path.clone());
-        let (call, effect) = self.calls.begin(steady_ms(), host, path, read.operation, read.patience_ms);
+        let (call, effect) =
+            self.calls
+                .begin(steady_ms(), host, path, read.operation, read.patience_ms);
         let (sender, receiver) = oneshot::channel();
         self.waiters.insert(call, sender);
         self.carry_out(effect);
@@ -89,7 +95,9 @@
     fn attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
         self.outbox.clear();
         let effects = self.calls.attached();
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.carry_out(effect));
         std::mem::take(&mut self.outbox)
     }
 
@@ -115,7 +123,9 @@
 
     fn tick(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
         let effects = self.calls.tick(now_ms);
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.carry_out(effect));
         std::mem::take(&mut self.outbox)
     }
 
@@ -128,9 +138,15 @@
 pub async fn serve(settings: Settings) -> Result<(), ServeError> {
     let role = settings.role.clone();
     let address = settings.bind_addrs.frontend;
-    let frontend_address = address.context(NoAddressSnafu { field: "frontend", role: role.clone() })?;
+    let frontend_address = address.context(NoAddressSnafu {
+        field: "frontend",
+        role: role.clone(),
+    })?;
     let address = settings.bind_addrs.readiness;
-    let readiness_address = address.context(NoAddressSnafu { field: "readiness", role })?;
+    let readiness_address = address.context(NoAddressSnafu {
+        field: "readiness",
+        role,
+    })?;
     let mut signals = Signals::register()?;
     let node = Node::new(&settings, ProcessKind::Edge, EdgeRole::new());
 
@@ -142,7 +158,8 @@
 
     let readiness_node = node.clone();
     let take_readiness = move |request| answer_readiness(readiness_node.clone(), request);
-    let _readiness_server = http::serve(readiness_address, HttpOptions::default(), take_readiness).await?;
+    let _readiness_server =
+        http::serve(readiness_address, HttpOptions::default(), take_readiness).await?;
     node.start();
     log::info!("edge {} serves {frontend_address}", settings.node_name);
 
@@ -160,7 +177,9 @@
     runtime::sleep(Duration::from_millis(leaving_ms)).await;
     let limit_ms = grace_ms.saturating_sub(leaving_ms + GRACE_MARGIN_MS);
     let idle_grace = Duration::from_millis(IDLE_GRACE_MS.min(limit_ms));
-    frontend.shutdown(idle_grace, Duration::from_millis(limit_ms)).await;
+    frontend
+        .shutdown(idle_grace, Duration::from_millis(limit_ms))
+        .await;
     log::info!("ends with {} connections open", frontend.open_connections());
 }
 
@@ -191,7 +210,11 @@
         Err(answer) => return response(&answer),
     };
     let (call, receiver) = node.with_role(|role| role.begin(&request, read));
-    let mut abandon = Abandon { node, call, answered: false };
+    let mut abandon = Abandon {
+        node,
+        call,
+        answered: false,
+    };
     let answer = receiver.await;
     abandon.answered = answer.is_ok();
     response(&answer.unwrap_or_else(|_| Answer::no_reply()))
--- a/crates/data-plane/src/serve/error.rs
+++ b/crates/data-plane/src/serve/error.rs
@@ -8,13 +8,17 @@
 #[snafu(visibility(pub(crate)))]
 pub enum ServeError {
     /// The settings name no role that this program plays.
-    #[snafu(display("`serves` of role `{role}` names neither `edge` nor `side`: one of them is expected"))]
+    #[snafu(display(
+        "`serves` of role `{role}` names neither `edge` nor `side`: one of them is expected"
+    ))]
     NoRole {
         /// The role.
         role: String,
     },
     /// An address that the role needs is missing from the settings.
-    #[snafu(display("`bind_addrs.{field}` is missing: role `{role}` needs an address there, IP:PORT"))]
+    #[snafu(display(
+        "`bind_addrs.{field}` is missing: role `{role}` needs an address there, IP:PORT"
+    ))]
     NoAddress {
         /// The missing field.
         field: &'static str,
@@ -32,6 +36,9 @@
 impl ServeError {
     /// Whether the settings are at fault.
     pub fn is_about_settings(&self) -> bool {
-        matches!(self, ServeError::NoRole { .. } | ServeError::NoAddress { .. })
+        matches!(
+            self,
+            ServeError::NoRole { .. } | ServeError::NoAddress { .. }
+        )
     }
 }
--- a/crates/data-plane/src/serve/mod.rs
+++ b/crates/data-plane/src/serve/mod.rs
@@ -24,7 +24,10 @@
     } else if settings.serves(Serves::Side) {
         companion_role::serve(settings).await
     } else {
-        error::NoRoleSnafu { role: settings.role }.fail()
+        error::NoRoleSnafu {
+            role: settings.role,
+        }
+        .fail()
     }
 }
 
--- a/crates/data-plane/src/serve/node.rs
+++ b/crates/data-plane/src/serve/node.rs
@@ -49,7 +49,10 @@
 
 impl<R> Clone for Node<R> {
     fn clone(&self) -> Self {
-        Node { state: Rc::clone(&self.state), alarm: Rc::clone(&self.alarm) }
+        Node {
+            state: Rc::clone(&self.state),
+            alarm: Rc::clone(&self.alarm),
+        }
     }
 }
 
@@ -58,11 +61,28 @@
     pub fn new(settings: &Settings, kind: ProcessKind, role: R) -> Self {
         let incarnation = fastrand::u64(..);
         let (node_name, zone) = (settings.node_name.clone(), settings.zone.clone());
-        let hello = Hello { node_name, kind, zone, incarnation };
+        let hello = Hello {
+            node_name,
+            kind,
+            zone,
+            incarnation,
+        };
         let link = CoreLink::new(&seeds(settings), incarnation);
-        let link = if role.sign_of_life().is_some() { link.asking_when_idle() } else { link };
-        let state = State { role, link, hello, senders: HashMap::new() };
-        Node { state: Rc::new(RefCell::new(state)), alarm: Rc::new(Alarm::default()) }
+        let link = if role.sign_of_life().is_some() {
+            link.asking_when_idle()
+        } else {
+            link
+        };
+        let state = State {
+            role,
+            link,
+            hello,
+            senders: HashMap::new(),
+        };
+        Node {
+            state: Rc::new(RefCell::new(state)),
+            alarm: Rc::new(Alarm::default()),
+        }
     }
 
     /// Starts to look for the core.
@@ -99,7 +119,11 @@
     fn observed(&self) -> RefMut<'_, State<R>> {
         let mut state = self.state.borrow_mut();
         let State { role, link, .. } = &mut *state;
-        role.note(link.answered_ms(steady_ms()), link.config_version(), link.limits());
+        role.note(
+            link.answered_ms(steady_ms()),
+            link.config_version(),
+            link.limits(),
+        );
         state
     }
 
@@ -139,7 +163,8 @@
 
     /// Opens a connection, greets the member, and takes what it sends until the connection ends.
     async fn converse(&self, link: LinkId, address: SocketAddr) -> Result<(), NetError> {
-        let connection = framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
+        let connection =
+            framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
         if !self.connected(link, connection.sender) {
             return Ok(());
         }
@@ -183,7 +208,11 @@
         if let Some((address, view)) = self.link.head() {
             log::info!("connected to the head {address} of view {view}");
         }
-        self.role.note(self.link.answered_ms(now_ms), self.link.config_version(), self.link.limits());
+        self.role.note(
+            self.link.answered_ms(now_ms),
+            self.link.config_version(),
+            self.link.limits(),
+        );
         let frames = self.role.attached(now_ms);
         self.send(now_ms, &frames);
     }
@@ -198,7 +227,13 @@
         if frames.is_empty() {
             return;
         }
-        let Some(sender) = self.link.attached().and_then(|link| self.senders.get(&link)) else { return };
+        let Some(sender) = self
+            .link
+            .attached()
+            .and_then(|link| self.senders.get(&link))
+        else {
+            return;
+        };
         for frame in frames {
             if sender.send(frame).is_err() {
                 return;
@@ -222,5 +257,9 @@
 }
 
 fn seeds(settings: &Settings) -> Vec<SocketAddr> {
-    settings.seed_internal_addresses().iter().map(|seed| seed.internal).collect()
+    settings
+        .seed_internal_addresses()
+        .iter()
+        .map(|seed| seed.internal)
+        .collect()
 }
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -6,7 +6,9 @@
 use indigofold_protocol::internal::{CompanionOrders, CompanionReport, StartOrder};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{JobId, RunId, TaskName};
-use indigofold_protocol::worker::{Finished, Heartbeat, HeartbeatReply, RunEnd, Running, WorkerState};
+use indigofold_protocol::worker::{
+    Finished, Heartbeat, HeartbeatReply, RunEnd, Running, WorkerState,
+};
 
 pub const WORKER: &str = "i-1";
 pub const MAX_HOLD_MS: u64 = 6_000;
@@ -17,12 +19,29 @@
 }
 
 pub fn attempt(index: u32, attempt: u32) -> RunId {
-    RunId { task: TaskName { job: JobId(7), repeat: 0, step: 0, index }, attempt }
+    RunId {
+        task: TaskName {
+            job: JobId(7),
+            repeat: 0,
+            step: 0,
+            index,
+        },
+        attempt,
+    }
 }
 
 pub fn start(run: RunId, cpu: u64) -> StartOrder {
-    let resources = Resources { cpu, mem_mb: 10, gpu: 0 };
-    StartOrder { run, resources, spec: "text".to_owned(), saved: String::new() }
+    let resources = Resources {
+        cpu,
+        mem_mb: 10,
+        gpu: 0,
+    };
+    StartOrder {
+        run,
+        resources,
+        spec: "text".to_owned(),
+        saved: String::new(),
+    }
 }
 
 /// The companion under test, a clock, and counters of its worker and head.
@@ -69,13 +88,23 @@
     pub fn heartbeat(&self) -> Heartbeat {
         let running = |run: &RunId| Running(run.task.to_string(), run.attempt, String::new(), 5);
         let finished = |(number, run, end): &(u64, RunId, RunEnd)| {
-            Finished(*number, run.task.to_string(), run.attempt, *end, String::new())
+            Finished(
+                *number,
+                run.task.to_string(),
+                run.attempt,
+                *end,
+                String::new(),
+            )
         };
         Heartbeat {
             backend: "service".to_owned(),
             zone: "a".to_owned(),
             state: self.state,
-            capacity: Resources { cpu: 1_000, mem_mb: 1_000, gpu: 0 },
+            capacity: Resources {
+                cpu: 1_000,
+                mem_mb: 1_000,
+                gpu: 0,
+            },
             seq_no: self.seq_no,
             running: self.running.iter().map(running).collect(),
             finished: self.finished.iter().map(finished).collect(),
@@ -107,10 +136,16 @@
 
     /// The worker has carried out what an answer orders.
     pub fn obey(&mut self, reply: &HeartbeatReply) {
-        let started = reply.start.iter().map(|s| RunId { task: s.0.parse().expect("a name"), attempt: s.1 });
+        let started = reply.start.iter().map(|s| RunId {
+            task: s.0.parse().expect("a name"),
+            attempt: s.1,
+        });
         self.running.extend(started);
         for stop in &reply.stop {
-            let run = RunId { task: stop.0.parse().expect("a name"), attempt: stop.1 };
+            let run = RunId {
+                task: stop.0.parse().expect("a name"),
+                attempt: stop.1,
+            };
             self.end(run, RunEnd::Stopped);
         }
     }
@@ -140,7 +175,10 @@
     }
 
     pub fn echo(&mut self, sent_ms: u64) {
-        let orders = CompanionOrders { echo_sent_ms: Some(sent_ms), ..self.no_orders() };
+        let orders = CompanionOrders {
+            echo_sent_ms: Some(sent_ms),
+            ..self.no_orders()
+        };
         self.orders(orders);
     }
 
@@ -156,7 +194,10 @@
     }
 
     pub fn order_start(&mut self, starts: &[StartOrder]) {
-        let orders = CompanionOrders { start: starts.to_vec(), ..self.no_orders() };
+        let orders = CompanionOrders {
+            start: starts.to_vec(),
+            ..self.no_orders()
+        };
         self.orders(orders);
     }
 
@@ -169,7 +210,10 @@
     }
 
     pub fn order_stop(&mut self, stops: &[RunId]) {
-        let orders = CompanionOrders { stop: stops.to_vec(), ..self.no_orders() };
+        let orders = CompanionOrders {
+            stop: stops.to_vec(),
+            ..self.no_orders()
+        };
         self.orders(orders);
     }
 
--- a/crates/data-plane/tests/companion_answers.rs
+++ b/crates/data-plane/tests/companion_answers.rs
@@ -19,7 +19,10 @@
 fn hear(bench: &mut Bench) -> Heard {
     bench.seq_no += 1;
     let beat = bench.heartbeat();
-    bench.companion.hear(bench.now_ms, WORKER, beat).expect("the heartbeat is the newest")
+    bench
+        .companion
+        .hear(bench.now_ms, WORKER, beat)
+        .expect("the heartbeat is the newest")
 }
 
 fn answer(bench: &mut Bench, heard: Heard) -> HeartbeatReply {
@@ -66,6 +69,14 @@
     let overtaken = hear(&mut bench);
     let newest = hear(&mut bench);
     bench.order_start(&[start(run(2), 1_000)]);
-    assert_eq!(bench.companion.answer(bench.now_ms, WORKER, overtaken.seq_no), BeatOutcome::Late);
-    assert_eq!(Bench::started(&answer(&mut bench, newest)), vec![run(2).task.to_string()]);
+    assert_eq!(
+        bench
+            .companion
+            .answer(bench.now_ms, WORKER, overtaken.seq_no),
+        BeatOutcome::Late
+    );
+    assert_eq!(
+        Bench::started(&answer(&mut bench, newest)),
+        vec![run(2).task.to_string()]
+    );
 }
--- a/crates/data-plane/tests/companion_holds.rs
+++ b/crates/data-plane/tests/companion_holds.rs
@@ -36,7 +36,10 @@
     assert_eq!((reply.hold_ms, reply.start.len()), (None, 0));
     bench.report_and_echo();
     let reply = bench.beat();
-    assert_eq!((reply.hold_ms, Bench::started(&reply)), (Some(HOLD_MS), vec![run(1).task.to_string()]));
+    assert_eq!(
+        (reply.hold_ms, Bench::started(&reply)),
+        (Some(HOLD_MS), vec![run(1).task.to_string()])
+    );
 }
 
 #[test]
@@ -93,7 +96,11 @@
     bench.order_start(&[start(run(1), 100)]);
     bench.beat();
     let report = bench.report_now();
-    assert_eq!(report.not_started, [run(1)], "another head may have started it elsewhere");
+    assert_eq!(
+        report.not_started,
+        [run(1)],
+        "another head may have started it elsewhere"
+    );
     bench.echo(report.sent_ms);
     let reply = bench.beat();
     assert_eq!((reply.hold_ms, reply.start.len()), (Some(HOLD_MS), 0));
@@ -104,8 +111,14 @@
     let mut bench = Bench::settled();
     bench.order_start(&[start(run(1), 100)]);
     let reply = bench.beat_of("i-2");
-    assert!(reply.start.is_empty(), "orders for the former life do not reach the new one");
-    assert_eq!(reply.hold_ms, None, "the head does not know the new life yet");
+    assert!(
+        reply.start.is_empty(),
+        "orders for the former life do not reach the new one"
+    );
+    assert_eq!(
+        reply.hold_ms, None,
+        "the head does not know the new life yet"
+    );
     let report = bench.report_now();
     assert_eq!(report.gone, [WORKER]);
     assert_eq!(report.instance.expect("registered").id, "i-2");
@@ -119,7 +132,10 @@
     bench.companion.delete("i-0");
     bench.companion.delete(WORKER);
     let report = bench.report_now();
-    assert_eq!((report.gone, report.instance), (vec![WORKER.to_owned()], None));
+    assert_eq!(
+        (report.gone, report.instance),
+        (vec![WORKER.to_owned()], None)
+    );
 }
 
 /// A worker that sends `DELETE` without having drained serves on: what runs there must not run elsewhere meanwhile.
@@ -131,7 +147,10 @@
     let report = bench.report_and_echo();
     let instance = report.instance.expect("it still has runs");
     assert!(report.gone.is_empty(), "its runs may be at work");
-    assert_eq!((instance.state, instance.remaining_ms), (WorkerState::Draining, Some(0)));
+    assert_eq!(
+        (instance.state, instance.remaining_ms),
+        (WorkerState::Draining, Some(0))
+    );
     bench.order_start(&[start(run(3), 100)]);
     bench.order_stop(&[run(1), run(2)]);
     let reply = bench.beat();
@@ -139,8 +158,18 @@
     bench.obey(&reply);
     bench.beat();
     let report = bench.report_and_echo();
-    assert_eq!(report.instance.expect("its ends are not acknowledged").finished.len(), 2);
-    bench.orders(CompanionOrders { last_seen: Some(2), ..bench.no_orders() });
+    assert_eq!(
+        report
+            .instance
+            .expect("its ends are not acknowledged")
+            .finished
+            .len(),
+        2
+    );
+    bench.orders(CompanionOrders {
+        last_seen: Some(2),
+        ..bench.no_orders()
+    });
     bench.beat();
     assert_eq!(bench.report_now().gone, [WORKER]);
 }
@@ -170,7 +199,10 @@
     bench.pass(1);
     bench.companion.tick(bench.now_ms);
     let report = bench.report_now();
-    assert_eq!((report.gone, report.instance), (vec![WORKER.to_owned()], None));
+    assert_eq!(
+        (report.gone, report.instance),
+        (vec![WORKER.to_owned()], None)
+    );
 }
 
 #[test]
@@ -215,12 +247,18 @@
     bench.order_start(&[start(run(5), 100)]);
     let report = bench.report_now();
     assert!(report.gone.is_empty());
-    assert_eq!(report.instance.expect("back").running.expect("all")[0].run, run(1));
+    assert_eq!(
+        report.instance.expect("back").running.expect("all")[0].run,
+        run(1)
+    );
     assert_eq!(report.not_started, [run(4), run(5)]);
     bench.echo(report.sent_ms);
     bench.order_start(&[start(run(6), 100)]);
     let reply = bench.beat();
-    assert_eq!((reply.hold_ms, Bench::started(&reply)), (Some(HOLD_MS), vec![run(6).task.to_string()]));
+    assert_eq!(
+        (reply.hold_ms, Bench::started(&reply)),
+        (Some(HOLD_MS), vec![run(6).task.to_string()])
+    );
 }
 
 #[test]
@@ -241,7 +279,10 @@
     let mut bench = Bench::fresh();
     bench.companion.link_up();
     bench.report_now();
-    bench.orders(CompanionOrders { instance: "i-0".to_owned(), ..bench.no_orders() });
+    bench.orders(CompanionOrders {
+        instance: "i-0".to_owned(),
+        ..bench.no_orders()
+    });
     bench.now_ms = lapsed_at_ms(START_MS, HOLD_MS) - 21;
     assert!(bench.report_now().gone.is_empty());
     assert_eq!(bench.report_now().gone, ["i-0"]);
--- a/crates/data-plane/tests/companion_orders.rs
+++ b/crates/data-plane/tests/companion_orders.rs
@@ -74,10 +74,17 @@
     assert!(bench.beat().start.is_empty());
     assert_eq!(bench.report_now().not_started, [run(2)]);
     bench.end(run(1), RunEnd::Done);
-    assert!(bench.beat().start.is_empty(), "a start given back is never carried out");
+    assert!(
+        bench.beat().start.is_empty(),
+        "a start given back is never carried out"
+    );
     bench.order_start(&[start(run(2), 600)]);
     assert!(bench.beat().start.is_empty());
-    assert_eq!(bench.report_now().not_started, [run(2)], "told again, as the head has not understood");
+    assert_eq!(
+        bench.report_now().not_started,
+        [run(2)],
+        "told again, as the head has not understood"
+    );
 }
 
 #[test]
@@ -89,7 +96,11 @@
     let reply = bench.beat();
     assert_eq!((reply.stop.len(), reply.start.len()), (1, 0));
     let reply = bench.beat();
-    assert_eq!((reply.stop.len(), reply.start.len()), (1, 0), "a stop is repeated");
+    assert_eq!(
+        (reply.stop.len(), reply.start.len()),
+        (1, 0),
+        "a stop is repeated"
+    );
     bench.obey(&reply);
     let reply = bench.beat();
     assert_eq!((reply.stop.len(), reply.start.len()), (0, 1));
@@ -135,7 +146,10 @@
     assert!(bench.beat().start.is_empty());
     let report = bench.report_now();
     assert_eq!(report.not_started, [run(1)]);
-    assert_eq!(report.instance.expect("registered").state, WorkerState::Draining);
+    assert_eq!(
+        report.instance.expect("registered").state,
+        WorkerState::Draining
+    );
 }
 
 #[test]
@@ -155,7 +169,11 @@
 #[test]
 fn orders_of_a_lower_epoch_are_dropped() {
     let mut bench = Bench::settled();
-    let old = CompanionOrders { epoch: 2, start: vec![start(run(1), 100)], ..bench.no_orders() };
+    let old = CompanionOrders {
+        epoch: 2,
+        start: vec![start(run(1), 100)],
+        ..bench.no_orders()
+    };
     bench.orders(old);
     let reply = bench.beat();
     assert!(reply.start.is_empty());
@@ -170,7 +188,10 @@
 fn an_echo_of_a_lower_epoch_renews_no_hold() {
     let mut bench = Bench::fresh();
     bench.companion.link_up();
-    bench.orders(CompanionOrders { instance: String::new(), ..bench.no_orders() });
+    bench.orders(CompanionOrders {
+        instance: String::new(),
+        ..bench.no_orders()
+    });
     bench.beat();
     let report = bench.report_now();
     bench.epoch = 2;
@@ -182,7 +203,11 @@
 fn orders_for_another_life_are_dropped() {
     let mut bench = Bench::settled();
     let start = vec![start(run(1), 100)];
-    bench.orders(CompanionOrders { instance: "i-0".to_owned(), start, ..bench.no_orders() });
+    bench.orders(CompanionOrders {
+        instance: "i-0".to_owned(),
+        start,
+        ..bench.no_orders()
+    });
     assert!(bench.beat().start.is_empty());
     assert_eq!(bench.report_now().gone, ["i-0"]);
 }
@@ -218,9 +243,22 @@
     bench.beat();
     bench.end(run(1), RunEnd::Done);
     assert_eq!(bench.beat().last_seen, None);
-    assert_eq!(bench.report_now().instance.expect("registered").finished[0].number, 1);
-    bench.orders(CompanionOrders { last_seen: Some(1), ..bench.no_orders() });
+    assert_eq!(
+        bench.report_now().instance.expect("registered").finished[0].number,
+        1
+    );
+    bench.orders(CompanionOrders {
+        last_seen: Some(1),
+        ..bench.no_orders()
+    });
     assert_eq!(bench.beat().last_seen, Some(1));
     bench.pass(300);
-    assert!(bench.report_now().instance.expect("registered").finished.is_empty());
+    assert!(
+        bench
+            .report_now()
+            .instance
+            .expect("registered")
+            .finished
+            .is_empty()
+    );
 }
--- a/crates/data-plane/tests/companion_reports.rs
+++ b/crates/data-plane/tests/companion_reports.rs
@@ -19,7 +19,10 @@
 fn a_report_comes_at_least_every_interval() {
     let mut bench = Bench::settled();
     let sent_ms = bench.now_ms;
-    assert_eq!(bench.companion.next_tick_ms(), Some(sent_ms + REPORT_INTERVAL_MS));
+    assert_eq!(
+        bench.companion.next_tick_ms(),
+        Some(sent_ms + REPORT_INTERVAL_MS)
+    );
     bench.now_ms = sent_ms + REPORT_INTERVAL_MS - 1;
     assert_eq!(bench.companion.tick(bench.now_ms), None);
     bench.pass(1);
@@ -35,9 +38,17 @@
     bench.running.push(run(2));
     bench.seq_no += 1;
     let beat = bench.heartbeat();
-    assert!(bench.companion.hear(bench.now_ms + 1, WORKER, beat).is_some());
+    assert!(
+        bench
+            .companion
+            .hear(bench.now_ms + 1, WORKER, beat)
+            .is_some()
+    );
     assert_eq!(bench.companion.tick(bench.now_ms + 1), None);
-    assert_eq!(bench.companion.next_tick_ms(), Some(bench.now_ms + REPORT_SPACING_MS));
+    assert_eq!(
+        bench.companion.next_tick_ms(),
+        Some(bench.now_ms + REPORT_SPACING_MS)
+    );
 }
 
 #[test]
@@ -69,12 +80,31 @@
     let mut bench = Bench::settled();
     bench.running.push(run(1));
     bench.beat();
-    assert!(bench.report_now().instance.expect("registered").running.is_some());
+    assert!(
+        bench
+            .report_now()
+            .instance
+            .expect("registered")
+            .running
+            .is_some()
+    );
     bench.pass(REPORT_INTERVAL_MS);
-    assert_eq!(bench.report_now().instance.expect("registered").running, None);
+    assert_eq!(
+        bench.report_now().instance.expect("registered").running,
+        None
+    );
     bench.companion.link_down();
     bench.companion.link_up();
-    assert_eq!(bench.report_now().instance.expect("registered").running.expect("all").len(), 1);
+    assert_eq!(
+        bench
+            .report_now()
+            .instance
+            .expect("registered")
+            .running
+            .expect("all")
+            .len(),
+        1
+    );
 }
 
 #[test]
@@ -84,12 +114,18 @@
     bench.order_stop(&[run(1)]);
     bench.companion.delete(WORKER);
     let report = bench.report_now();
-    assert_eq!((report.gone, report.not_started), (vec![WORKER.to_owned()], vec![run(1)]));
+    assert_eq!(
+        (report.gone, report.not_started),
+        (vec![WORKER.to_owned()], vec![run(1)])
+    );
     bench.pass(REPORT_INTERVAL_MS);
     let report = bench.report_now();
     assert!(report.gone.is_empty() && report.not_started.is_empty());
     bench.companion.link_down();
     bench.companion.link_up();
     let report = bench.report_now();
-    assert_eq!((report.gone, report.not_started), (vec![WORKER.to_owned()], vec![run(1)]));
+    assert_eq!(
+        (report.gone, report.not_started),
+        (vec![WORKER.to_owned()], vec![run(1)])
+    );
 }
