--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,8 +1,8 @@
 //! The link to the core: finds the acting head, stays with it, and finds its successor.
 
 use indigofold_data_plane::core_link::{
-    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GIVE_UP_MS, GREETING_TIMEOUT_MS, IDLE_MS, LISTEN_MS,
-    LinkAction, LinkId, PROBES_MAX, SILENCE_MS,
+    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GIVE_UP_MS, GREETING_TIMEOUT_MS, IDLE_MS,
+    LISTEN_MS, LinkAction, LinkId, PROBES_MAX, SILENCE_MS,
 };
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{MemberAddress, Welcome};
@@ -16,7 +16,11 @@
 }
 
 fn member(host: u8) -> MemberAddress {
-    MemberAddress { node_name: format!("core-{host}"), internal: address(host), control: address(host) }
+    MemberAddress {
+        node_name: format!("core-{host}"),
+        internal: address(host),
+        control: address(host),
+    }
 }
 
 fn welcome(view: u64, head: Option<u8>, acting: bool) -> Welcome {
@@ -35,10 +39,13 @@
 }
 
 fn dialled(link: &mut CoreLink) -> Vec<(LinkId, SocketAddr)> {
-    let dials = link.take_actions().into_iter().filter_map(|action| match action {
-        LinkAction::Dial { link, address } => Some((link, address)),
-        _ => None,
-    });
+    let dials = link
+        .take_actions()
+        .into_iter()
+        .filter_map(|action| match action {
+            LinkAction::Dial { link, address } => Some((link, address)),
+            _ => None,
+        });
     dials.collect()
 }
 
@@ -70,8 +77,17 @@
     assert_eq!(dials.len(), PROBES_MAX);
     link.connected(NOW_MS, dials[0].0);
     link.welcomed(NOW_MS, dials[0].0, &welcome(5, Some(1), true));
-    assert_eq!(link.take_actions(), [LinkAction::Attached(dials[0].0), LinkAction::Close(dials[1].0)]);
-    assert_eq!((link.config_version(), link.next_tick_ms(NOW_MS)), (9, None));
+    assert_eq!(
+        link.take_actions(),
+        [
+            LinkAction::Attached(dials[0].0),
+            LinkAction::Close(dials[1].0)
+        ]
+    );
+    assert_eq!(
+        (link.config_version(), link.next_tick_ms(NOW_MS)),
+        (9, None)
+    );
 }
 
 #[test]
@@ -82,7 +98,10 @@
     link.connected(NOW_MS, first.0);
     link.welcomed(NOW_MS, first.0, &welcome(5, Some(4), false));
     let dials = dialled(&mut link);
-    assert_eq!(dials.iter().map(|dial| dial.1).collect::<Vec<_>>(), [address(4)]);
+    assert_eq!(
+        dials.iter().map(|dial| dial.1).collect::<Vec<_>>(),
+        [address(4)]
+    );
     link.connected(NOW_MS, dials[0].0);
     link.welcomed(NOW_MS, dials[0].0, &welcome(5, Some(4), true));
     assert_eq!(link.head(), Some((address(4), 5)));
@@ -119,7 +138,10 @@
     let host = failed_address.to_string().as_bytes()[7] - b'0';
     link.connected(NOW_MS, dials[1].0);
     link.welcomed(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
-    assert_eq!(dialled(&mut link).first().map(|(_, address)| *address), Some(failed_address));
+    assert_eq!(
+        dialled(&mut link).first().map(|(_, address)| *address),
+        Some(failed_address)
+    );
 }
 
 /// A dial that began while the machine had no power hangs; the head's new view shows that it is back.
@@ -135,7 +157,9 @@
     let actions = link.take_actions();
     assert_eq!(actions.first(), Some(&LinkAction::Close(hanging)));
     assert!(
-        actions.iter().any(|action| matches!(action, LinkAction::Dial { address: to, .. } if *to == address))
+        actions
+            .iter()
+            .any(|action| matches!(action, LinkAction::Dial { address: to, .. } if *to == address))
     );
 }
 
@@ -171,7 +195,11 @@
     link.welcomed(NOW_MS, id, &welcome(6, Some(4), false));
     let actions = link.take_actions();
     assert_eq!(actions[0], LinkAction::Detached);
-    assert!(actions.iter().any(|a| matches!(a, LinkAction::Dial { address: a, .. } if *a == address(4))));
+    assert!(
+        actions
+            .iter()
+            .any(|a| matches!(a, LinkAction::Dial { address: a, .. } if *a == address(4)))
+    );
     assert_eq!((link.attached(), link.config_version()), (None, 0));
 }
 
@@ -181,9 +209,16 @@
     link.failed(NOW_MS, id);
     let actions = link.take_actions();
     assert_eq!(actions[0], LinkAction::Detached);
-    let dials: Vec<_> = actions.iter().filter(|a| matches!(a, LinkAction::Dial { .. })).collect();
+    let dials: Vec<_> = actions
+        .iter()
+        .filter(|a| matches!(a, LinkAction::Dial { .. }))
+        .collect();
     assert_eq!(dials.len(), PROBES_MAX);
-    assert!(!dials.iter().any(|a| matches!(a, LinkAction::Dial { address, .. } if *address == lost)));
+    assert!(
+        !dials
+            .iter()
+            .any(|a| matches!(a, LinkAction::Dial { address, .. } if *address == lost))
+    );
 }
 
 #[test]
@@ -198,7 +233,11 @@
     assert!(dials.iter().all(|dial| dial.1 != head));
     link.heard(NOW_MS + SILENCE_MS, id);
     link.tick(NOW_MS + SILENCE_MS + 1);
-    assert_eq!(link.take_actions().len(), PROBES_MAX, "the others are closed again");
+    assert_eq!(
+        link.take_actions().len(),
+        PROBES_MAX,
+        "the others are closed again"
+    );
     assert_eq!(link.attached(), Some(id));
 }
 
@@ -215,7 +254,12 @@
     link.welcomed(now_ms, dials[0].0, &welcome(6, Some(4), true));
     assert_eq!(link.attached(), Some(dials[0].0));
     let actions = link.take_actions();
-    let position = |action| actions.iter().position(|other| *other == action).expect("it is there");
+    let position = |action| {
+        actions
+            .iter()
+            .position(|other| *other == action)
+            .expect("it is there")
+    };
     assert!(position(LinkAction::Detached) < position(LinkAction::Attached(dials[0].0)));
     assert!(actions.contains(&LinkAction::Close(id)));
 }
@@ -223,7 +267,14 @@
 #[test]
 fn a_newer_version_of_the_configuration_is_noted() {
     let (mut link, id, _) = attached();
-    link.welcomed(NOW_MS, id, &Welcome { config_version: 12, ..welcome(5, Some(1), true) });
+    link.welcomed(
+        NOW_MS,
+        id,
+        &Welcome {
+            config_version: 12,
+            ..welcome(5, Some(1), true)
+        },
+    );
     assert_eq!(link.config_version(), 12);
     assert_eq!(link.take_actions(), []);
 }
@@ -252,7 +303,10 @@
     link.heard(asked_ms + 5, id);
     link.welcomed(asked_ms + 5, id, &welcome(5, Some(1), true));
     assert_eq!(link.answered_ms(asked_ms + 6), asked_ms + 6);
-    assert_eq!(link.next_tick_ms(asked_ms + 6), Some(asked_ms + 5 + IDLE_MS));
+    assert_eq!(
+        link.next_tick_ms(asked_ms + 6),
+        Some(asked_ms + 5 + IDLE_MS)
+    );
     assert_eq!(link.take_actions(), []);
 }
 
@@ -271,7 +325,10 @@
 #[case::idle(None, IDLE_MS + SILENCE_MS)]
 #[case::asked_at_once(Some(0), SILENCE_MS)]
 #[case::asked_later(Some(100), 100 + SILENCE_MS)]
-fn a_silent_head_is_noticed_within_a_second(#[case] asked_ms: Option<u64>, #[case] noticed_ms: u64) {
+fn a_silent_head_is_noticed_within_a_second(
+    #[case] asked_ms: Option<u64>,
+    #[case] noticed_ms: u64,
+) {
     let (mut link, id, head) = attached_idle();
     if let Some(asked_ms) = asked_ms {
         link.asked(NOW_MS + asked_ms);
@@ -301,21 +358,36 @@
     assert_eq!(link.answered_ms(NOW_MS + SILENCE_MS), NOW_MS);
     let mut now_ms = NOW_MS;
     while link.attached().is_some() {
-        now_ms = link.next_tick_ms(now_ms).filter(|due_ms| *due_ms > now_ms).expect("a later time");
+        now_ms = link
+            .next_tick_ms(now_ms)
+            .filter(|due_ms| *due_ms > now_ms)
+            .expect("a later time");
         link.tick(now_ms);
     }
     assert_eq!(now_ms, NOW_MS + GIVE_UP_MS);
     let actions = link.take_actions();
-    let position = |action| actions.iter().position(|other| *other == action).expect("it is there");
+    let position = |action| {
+        actions
+            .iter()
+            .position(|other| *other == action)
+            .expect("it is there")
+    };
     assert!(position(LinkAction::Detached) < position(LinkAction::Close(id)));
     let mut dials = Vec::new();
-    while !dials.iter().any(|dial: &(LinkId, SocketAddr)| dial.1 == head) {
+    while !dials
+        .iter()
+        .any(|dial: &(LinkId, SocketAddr)| dial.1 == head)
+    {
         assert!(now_ms < NOW_MS + 2 * GIVE_UP_MS);
         now_ms = link.next_tick_ms(now_ms).expect("a later try");
         link.tick(now_ms);
         dials = dialled(&mut link);
     }
-    let again = dials.iter().find(|dial| dial.1 == head).expect("a new connection").0;
+    let again = dials
+        .iter()
+        .find(|dial| dial.1 == head)
+        .expect("a new connection")
+        .0;
     link.connected(now_ms, again);
     link.welcomed(now_ms, again, &welcome(5, Some(1), true));
     assert_eq!(link.attached(), Some(again));
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,7 +1,8 @@
 //! The edge: requests read, calls carried to the head and its successors, outcomes as HTTP.
 
 use indigofold_data_plane::edge::{
-    Answer, BRIEF_LOSS_MS, Body, CallLimits, Calls, Effect, Method, Readiness, read_request, sign_of_life,
+    Answer, BRIEF_LOSS_MS, Body, CallLimits, Calls, Effect, Method, Readiness, read_request,
+    sign_of_life,
 };
 use indigofold_protocol::internal::{ClientOperation, ClientOutcome, ClientReply, Frame};
 use indigofold_protocol::job::{JobSpec, JobState};
@@ -9,7 +10,11 @@
 
 const NOW_MS: u64 = 1_000_000;
 const PATIENCE_MS: u64 = 3_000;
-const LIMITS: CallLimits = CallLimits { answer_margin_ms: 100, orphan_ms: 1_200, calls_max: 3 };
+const LIMITS: CallLimits = CallLimits {
+    answer_margin_ms: 100,
+    orphan_ms: 1_200,
+    calls_max: 3,
+};
 
 fn calls() -> Calls {
     let mut calls = Calls::new(LIMITS);
@@ -18,7 +23,13 @@
 }
 
 fn begin(calls: &mut Calls, operation: ClientOperation) -> (u64, Effect) {
-    calls.begin(NOW_MS, "host".to_owned(), "/queue/0000000000000007".to_owned(), operation, PATIENCE_MS)
+    calls.begin(
+        NOW_MS,
+        "host".to_owned(),
+        "/queue/0000000000000007".to_owned(),
+        operation,
+        PATIENCE_MS,
+    )
 }
 
 fn submit() -> ClientOperation {
@@ -39,19 +50,40 @@
 #[rstest]
 #[case(ClientOutcome::Accepted, 200, None, "{}")]
 #[case(ClientOutcome::Cancelled, 200, None, "{}")]
-#[case(ClientOutcome::State(JobState::Running), 200, None, r#"{"state":"running"}"#)]
-#[case(ClientOutcome::State(JobState::Cancelled), 200, None, r#"{"state":"cancelled"}"#)]
+#[case(
+    ClientOutcome::State(JobState::Running),
+    200,
+    None,
+    r#"{"state":"running"}"#
+)]
+#[case(
+    ClientOutcome::State(JobState::Cancelled),
+    200,
+    None,
+    r#"{"state":"cancelled"}"#
+)]
 #[case(ClientOutcome::Pending(12), 200, None, r#"{"pending":12}"#)]
 #[case(ClientOutcome::NoSuchJob, 410, None, r#"{"error":"no such job"}"#)]
-#[case(ClientOutcome::UnknownRoute, 404, None, r#"{"error":"no route leads there"}"#)]
+#[case(
+    ClientOutcome::UnknownRoute,
+    404,
+    None,
+    r#"{"error":"no route leads there"}"#
+)]
 #[case(ClientOutcome::Invalid { reason: "a \"b\"".to_owned() }, 400, None, r#"{"error":"a \"b\""}"#)]
 #[case(ClientOutcome::TooMany { retry_after_ms: 2_100 }, 429, Some(3), r#"{"error":"too many jobs wait"}"#)]
 #[case(ClientOutcome::Unavailable { retry_after_ms: 0 }, 503, Some(1), r#"{"error":"the scheduler takes no calls yet"}"#)]
 fn outcomes_are_answers(
-    #[case] outcome: ClientOutcome, #[case] status: u16, #[case] retry: Option<u64>, #[case] body: &str,
+    #[case] outcome: ClientOutcome,
+    #[case] status: u16,
+    #[case] retry: Option<u64>,
+    #[case] body: &str,
 ) {
     let answer = Answer::from(outcome);
-    assert_eq!((answer.status, answer.retry_after_s, answer.json().as_str()), (status, retry, body));
+    assert_eq!(
+        (answer.status, answer.retry_after_s, answer.json().as_str()),
+        (status, retry, body)
+    );
 }
 
 #[rstest]
@@ -61,7 +93,10 @@
 #[case(Some("soon"), 3_000)]
 fn the_deadline_is_read(#[case] header: Option<&str>, #[case] patience_ms: u64) {
     let read = read_request(Method::Get, header, b"").expect("a call");
-    assert_eq!((read.operation, read.patience_ms), (ClientOperation::Get, patience_ms));
+    assert_eq!(
+        (read.operation, read.patience_ms),
+        (ClientOperation::Get, patience_ms)
+    );
 }
 
 #[test]
@@ -69,8 +104,18 @@
     let body = br#"{"spec":"text","stages":[{"count":4,"cpu":500,"mem_mb":256}]}"#;
     let read = read_request(Method::Post, None, body).expect("a job");
     assert!(matches!(read.operation, ClientOperation::Submit(job) if job.stages[0].count == 4));
-    assert_eq!(read_request(Method::Post, None, b"{").expect_err("no job").status, 400);
-    assert_eq!(read_request(Method::Other, None, b"").expect_err("no method").status, 405);
+    assert_eq!(
+        read_request(Method::Post, None, b"{")
+            .expect_err("no job")
+            .status,
+        400
+    );
+    assert_eq!(
+        read_request(Method::Other, None, b"")
+            .expect_err("no method")
+            .status,
+        405
+    );
     let read = read_request(Method::Delete, None, b"").expect("a call");
     assert_eq!(read.operation, ClientOperation::Cancel);
 }
@@ -90,7 +135,10 @@
     assert!(
         matches!(&effect, Effect::Send(frame) if matches!(&**frame, Frame::Call(sent) if sent.call == call))
     );
-    assert_eq!(reply(&mut calls, call, ClientOutcome::Accepted), Some(Answer::success(Body::Empty)));
+    assert_eq!(
+        reply(&mut calls, call, ClientOutcome::Accepted),
+        Some(Answer::success(Body::Empty))
+    );
     assert_eq!(reply(&mut calls, call, ClientOutcome::Accepted), None);
 }
 
@@ -108,7 +156,8 @@
 #[case(ClientOperation::Cancel, 504)]
 #[case(ClientOperation::Get, 503)]
 fn a_call_without_reply_is_given_up_before_its_client_does(
-    #[case] operation: ClientOperation, #[case] status: u16,
+    #[case] operation: ClientOperation,
+    #[case] status: u16,
 ) {
     let mut calls = calls();
     begin(&mut calls, operation);
@@ -116,7 +165,10 @@
     assert_eq!(calls.next_tick_ms(), Some(end_ms));
     assert!(calls.tick(end_ms - 1).is_empty());
     let effects = calls.tick(end_ms);
-    assert_eq!(answer_of(effects.into_iter().next().expect("an answer")).status, status);
+    assert_eq!(
+        answer_of(effects.into_iter().next().expect("an answer")).status,
+        status
+    );
     assert!(calls.is_empty());
 }
 
@@ -128,7 +180,10 @@
     calls.detached(NOW_MS + 500);
     assert_eq!(calls.next_tick_ms(), Some(NOW_MS + 50 + LIMITS.orphan_ms));
     let effects = calls.tick(NOW_MS + 50 + LIMITS.orphan_ms);
-    assert_eq!(answer_of(effects.into_iter().next().expect("an answer")).status, 504);
+    assert_eq!(
+        answer_of(effects.into_iter().next().expect("an answer")).status,
+        504
+    );
 }
 
 #[test]
@@ -137,8 +192,14 @@
     let (call, first) = begin(&mut calls, submit());
     calls.detached(NOW_MS + 50);
     assert_eq!(calls.attached(), [first]);
-    assert_eq!(calls.next_tick_ms(), Some(NOW_MS + PATIENCE_MS - LIMITS.answer_margin_ms));
-    assert_eq!(reply(&mut calls, call, ClientOutcome::Accepted).map(|a| a.status), Some(200));
+    assert_eq!(
+        calls.next_tick_ms(),
+        Some(NOW_MS + PATIENCE_MS - LIMITS.answer_margin_ms)
+    );
+    assert_eq!(
+        reply(&mut calls, call, ClientOutcome::Accepted).map(|a| a.status),
+        Some(200)
+    );
 }
 
 #[rstest]
@@ -148,13 +209,18 @@
 #[case(ClientOperation::Cancel, ClientOutcome::NoSuchJob, 410)]
 #[case(ClientOperation::Get, ClientOutcome::Unavailable { retry_after_ms: 1 }, 503)]
 fn a_refusal_of_a_call_that_was_sent_twice_does_not_say_that_it_was_never_taken(
-    #[case] operation: ClientOperation, #[case] outcome: ClientOutcome, #[case] status: u16,
+    #[case] operation: ClientOperation,
+    #[case] outcome: ClientOutcome,
+    #[case] status: u16,
 ) {
     let mut calls = calls();
     let (call, _) = begin(&mut calls, operation);
     calls.detached(NOW_MS);
     calls.attached();
-    assert_eq!(reply(&mut calls, call, outcome).map(|answer| answer.status), Some(status));
+    assert_eq!(
+        reply(&mut calls, call, outcome).map(|answer| answer.status),
+        Some(status)
+    );
 }
 
 #[test]
@@ -197,9 +263,14 @@
 #[test]
 fn a_sign_of_life_answers_no_client() {
     let mut calls = calls();
-    let Frame::Call(asked) = sign_of_life() else { panic!("a call is expected") };
+    let Frame::Call(asked) = sign_of_life() else {
+        panic!("a call is expected")
+    };
     let (call, _) = begin(&mut calls, submit());
     assert_ne!(asked.call, call);
-    assert_eq!(reply(&mut calls, asked.call, ClientOutcome::UnknownRoute), None);
+    assert_eq!(
+        reply(&mut calls, asked.call, ClientOutcome::UnknownRoute),
+        None
+    );
     assert!(!calls.is_empty());
 }
--- a/crates/data-plane/tests/processes.rs
+++ b/crates/data-plane/tests/processes.rs
@@ -39,7 +39,9 @@
         );
         let settings = tempfile::NamedTempFile::new().expect("a file");
         fs::write(settings.path(), text).expect("written");
-        let child = Program::command(settings.path().as_os_str()).spawn().expect("the program");
+        let child = Program::command(settings.path().as_os_str())
+            .spawn()
+            .expect("the program");
         let mut program = Program { child, settings };
         program.wait_for_line("serves");
         program
@@ -47,7 +49,10 @@
 
     fn command(settings: &std::ffi::OsStr) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_indigofold-data"));
-        command.env("INDIGOFOLD_CONFIG", settings).stderr(Stdio::piped()).stdout(Stdio::piped());
+        command
+            .env("INDIGOFOLD_CONFIG", settings)
+            .stderr(Stdio::piped())
+            .stdout(Stdio::piped());
         command
     }
 
@@ -62,7 +67,10 @@
         let mut line = String::new();
         while !line.contains(text) {
             line.clear();
-            assert!(log.read_line(&mut line).expect("a line") > 0, "the program has ended without `{text}`");
+            assert!(
+                log.read_line(&mut line).expect("a line") > 0,
+                "the program has ended without `{text}`"
+            );
         }
     }
 }
@@ -86,10 +94,17 @@
     fn accept(listener: &TcpListener) -> Head {
         let (stream, _) = listener.accept().expect("a connection");
         stream.set_read_timeout(Some(LONGEST)).expect("an option");
-        let mut head = Head { stream, bytes: Vec::new() };
+        let mut head = Head {
+            stream,
+            bytes: Vec::new(),
+        };
         assert!(matches!(head.next(), Frame::Hello(hello) if hello.node_name == "n-1"));
         let address = listener.local_addr().expect("an address");
-        let member = MemberAddress { node_name: "core-1".to_owned(), internal: address, control: address };
+        let member = MemberAddress {
+            node_name: "core-1".to_owned(),
+            internal: address,
+            control: address,
+        };
         head.send(&Frame::Welcome(Welcome {
             view: 4,
             head: Some(member.clone()),
@@ -107,7 +122,10 @@
             match self.next() {
                 Frame::Call(sent) if sent.path.is_empty() => {
                     let outcome = ClientOutcome::UnknownRoute;
-                    self.send(&Frame::Reply(ClientReply { call: sent.call, outcome }));
+                    self.send(&Frame::Reply(ClientReply {
+                        call: sent.call,
+                        outcome,
+                    }));
                 }
                 Frame::Call(call) => return call,
                 other => panic!("a call is expected, not {other:?}"),
@@ -136,7 +154,9 @@
     }
 
     fn send(&mut self, frame: &Frame) {
-        self.stream.write_all(&codec::encode(frame)).expect("written");
+        self.stream
+            .write_all(&codec::encode(frame))
+            .expect("written");
     }
 }
 
@@ -144,8 +164,10 @@
 fn request(address: SocketAddr, head: &str, body: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(LONGEST)).expect("an option");
-    let text =
-        format!("{head}\r\nHost: h\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let text = format!(
+        "{head}\r\nHost: h\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     stream.write_all(text.as_bytes()).expect("written");
     stream
 }
@@ -153,7 +175,10 @@
 fn response(mut stream: TcpStream) -> (u16, String) {
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("an answer");
-    let status = text.get(9..12).and_then(|digits| digits.parse().ok()).expect("a status");
+    let status = text
+        .get(9..12)
+        .and_then(|digits| digits.parse().ok())
+        .expect("a status");
     let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     (status, body.to_owned())
 }
@@ -171,7 +196,11 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (frontend, readiness) = (local(free_port()), local(free_port()));
     let addresses = format!("frontend = \"{frontend}\"\nreadiness = \"{readiness}\"");
-    let mut program = Program::start("edge", listener.local_addr().expect("an address"), &addresses);
+    let mut program = Program::start(
+        "edge",
+        listener.local_addr().expect("an address"),
+        &addresses,
+    );
     assert_eq!(call(readiness, "GET /readiness HTTP/1.1", "").0, 503);
     assert_eq!(call(frontend, "GET /q/ HTTP/1.1", "").0, 503);
     let mut head = Head::accept(&listener);
@@ -181,17 +210,29 @@
     let job = r#"{"spec":"t","stages":[{"count":1,"cpu":100,"mem_mb":10}]}"#;
     let client = request(frontend, "POST /q/0000000000000007 HTTP/1.1", job);
     let sent = head.next_call();
-    assert_eq!((sent.host.as_str(), sent.path.as_str()), ("h", "/q/0000000000000007"));
-    head.send(&Frame::Reply(ClientReply { call: sent.call, outcome: ClientOutcome::Accepted }));
+    assert_eq!(
+        (sent.host.as_str(), sent.path.as_str()),
+        ("h", "/q/0000000000000007")
+    );
+    head.send(&Frame::Reply(ClientReply {
+        call: sent.call,
+        outcome: ClientOutcome::Accepted,
+    }));
     assert_eq!(response(client), (200, "{}".to_owned()));
-    assert_eq!(call(frontend, "POST /q/0000000000000007 HTTP/1.1", "{").0, 400);
+    assert_eq!(
+        call(frontend, "POST /q/0000000000000007 HTTP/1.1", "{").0,
+        400
+    );
 
     let client = request(frontend, "GET /q/ HTTP/1.1", "");
     let sent = head.next_call();
     program.terminate();
     program.wait_for_line("told to end");
     assert_eq!(call(readiness, "GET /readiness HTTP/1.1", "").0, 503);
-    head.send(&Frame::Reply(ClientReply { call: sent.call, outcome: ClientOutcome::Pending(2) }));
+    head.send(&Frame::Reply(ClientReply {
+        call: sent.call,
+        outcome: ClientOutcome::Pending(2),
+    }));
     assert_eq!(response(client), (200, r#"{"pending":2}"#.to_owned()));
     assert!(program.child.wait().expect("an end").success());
 }
@@ -201,7 +242,11 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (frontend, readiness) = (local(free_port()), local(free_port()));
     let addresses = format!("frontend = \"{frontend}\"\nreadiness = \"{readiness}\"");
-    let mut program = Program::start("edge", listener.local_addr().expect("an address"), &addresses);
+    let mut program = Program::start(
+        "edge",
+        listener.local_addr().expect("an address"),
+        &addresses,
+    );
     let mut silent = Head::accept(&listener);
     program.wait_for_line("connected to the head");
     assert!(matches!(silent.next(), Frame::Call(sent) if sent.path.is_empty()));
@@ -227,10 +272,28 @@
         call(control, "PUT /instances/i-1 HTTP/1.1", &body)
     };
     assert_eq!(beat(1), (200, r#"{"retry_delay_ms":20}"#.to_owned()));
-    let report = std::iter::repeat_with(|| head.next_report()).find(|report| report.instance.is_some());
-    let run = RunId { task: TaskName { job: JobId(7), repeat: 0, step: 0, index: 0 }, attempt: 1 };
-    let resources = Resources { cpu: 100, mem_mb: 10, gpu: 0 };
-    let start = StartOrder { run, resources, spec: "t".to_owned(), saved: String::new() };
+    let report =
+        std::iter::repeat_with(|| head.next_report()).find(|report| report.instance.is_some());
+    let run = RunId {
+        task: TaskName {
+            job: JobId(7),
+            repeat: 0,
+            step: 0,
+            index: 0,
+        },
+        attempt: 1,
+    };
+    let resources = Resources {
+        cpu: 100,
+        mem_mb: 10,
+        gpu: 0,
+    };
+    let start = StartOrder {
+        run,
+        resources,
+        spec: "t".to_owned(),
+        saved: String::new(),
+    };
     head.send(&Frame::Orders(CompanionOrders {
         epoch: 4,
         echo_sent_ms: report.map(|report| report.sent_ms),
@@ -240,13 +303,16 @@
         last_seen: None,
     }));
     let mut answers = (2..).map(beat);
-    let (status, body) = answers.find(|(_, body)| body.contains("start")).expect("an answer");
+    let (status, body) = answers
+        .find(|(_, body)| body.contains("start"))
+        .expect("an answer");
     assert_eq!(status, 200);
     let expected = r#"{"hold_ms":4500,"fence_token":4,"start":[["0000000000000007.0.0.0",1,"t",""]],"retry_delay_ms":20}"#;
     assert_eq!(body, expected);
     assert_eq!(call(control, "PUT /instances/i-1 HTTP/1.1", "{").0, 400);
     assert_eq!(call(control, "DELETE /instances/i-1 HTTP/1.1", "").0, 200);
-    let report = std::iter::repeat_with(|| head.next_report()).find(|report| !report.gone.is_empty());
+    let report =
+        std::iter::repeat_with(|| head.next_report()).find(|report| !report.gone.is_empty());
     assert_eq!(report.expect("a report").gone, ["i-1"]);
     program.terminate();
     assert!(program.child.wait().expect("an end").success());
@@ -255,7 +321,9 @@
 fn run_with(settings: &str) -> Output {
     let file = tempfile::NamedTempFile::new().expect("a file");
     fs::write(file.path(), settings).expect("written");
-    Program::command(file.path().as_os_str()).output().expect("the program")
+    Program::command(file.path().as_os_str())
+        .output()
+        .expect("the program")
 }
 
 #[test]
@@ -274,7 +342,10 @@
 #[test]
 fn help_and_version_are_printed() {
     let run = |argument| {
-        let output = Program::command("".as_ref()).arg(argument).output().expect("the program");
+        let output = Program::command("".as_ref())
+            .arg(argument)
+            .output()
+            .expect("the program");
         assert!(output.status.success());
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -16,13 +16,29 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Seen {
     /// A scheduler has taken a job of this class; an answer is owed until then.
-    Taken { job: Job, class: u32, at: Micros, until: Micros },
+    Taken {
+        job: Job,
+        class: u32,
+        at: Micros,
+        until: Micros,
+    },
     /// Its one answer came: served or not.
-    Answered { job: Job, served: bool, refused: bool, at: Micros },
+    Answered {
+        job: Job,
+        served: bool,
+        refused: bool,
+        at: Micros,
+    },
     /// Its client left: no answer is owed.
     Gone { job: Job },
     /// A scheduler began to send an attempt to a job worker; `work` is the job's at speed 1 times its slots.
-    Sent { job: Job, scheduler: u32, worker: u32, at: Micros, work: Micros },
+    Sent {
+        job: Job,
+        scheduler: u32,
+        worker: u32,
+        at: Micros,
+        work: Micros,
+    },
     /// A job worker has the job and runs it, now or later.
     Runs { job: Job, worker: u32, at: Micros },
     /// It did not, and never will: it was turned away or handed back.
@@ -34,9 +50,18 @@
     /// A scheduler gives an attempt up, and its job worker will hear of it.
     GivenUp { job: Job },
     /// A scheduler was told that a job worker takes work, or takes none.
-    Told { scheduler: u32, worker: u32, takes: bool, at: Micros },
+    Told {
+        scheduler: u32,
+        worker: u32,
+        takes: bool,
+        at: Micros,
+    },
     /// A job worker is cold: what it can do in a microsecond, from now on.
-    Cold { worker: u32, at: Micros, capacity: f64 },
+    Cold {
+        worker: u32,
+        at: Micros,
+        capacity: f64,
+    },
     /// A scheduler was told of the start from which a job worker is cold.
     Aware { scheduler: u32, worker: u32 },
     /// It is warm.
@@ -118,14 +143,22 @@
     /// Nothing seen yet.
     pub fn new(scenario: &'a Scenario) -> Self {
         let (jobs, told, cold, verdict) = Default::default();
-        Checker { scenario, jobs, told, cold, verdict }
+        Checker {
+            scenario,
+            jobs,
+            told,
+            cold,
+            verdict,
+        }
     }
 
     fn breach(&mut self, rule: Rule, at: Micros, text: String) {
         *self.verdict.breaches.entry(rule).or_default() += 1;
         if self.verdict.examples.len() < KEPT {
             let second = at.saturating_sub(self.scenario.from()) as f64 / 1e6;
-            self.verdict.examples.push(format!("{rule:?} at {second:.3} s: {text}"));
+            self.verdict
+                .examples
+                .push(format!("{rule:?} at {second:.3} s: {text}"));
         }
     }
 
@@ -134,7 +167,9 @@
         let rules = &self.scenario.rules;
         let slack = rules.slack_ms * 1000;
         match seen {
-            Seen::Taken { job, class, until, .. } => {
+            Seen::Taken {
+                job, class, until, ..
+            } => {
                 let known = Known {
                     class,
                     until,
@@ -148,7 +183,12 @@
                 };
                 self.jobs.insert(job, known);
             }
-            Seen::Answered { job, served, refused, at } => {
+            Seen::Answered {
+                job,
+                served,
+                refused,
+                at,
+            } => {
                 let Some(known) = self.jobs.get_mut(&job) else {
                     return self.breach(
                         Rule::OneAnswer,
@@ -157,21 +197,42 @@
                     );
                 };
                 let before = std::mem::replace(&mut known.answered, true);
-                let (class, until, made, ran, gone) =
-                    (known.class, known.until, known.made, known.runs > 0, known.gone);
+                let (class, until, made, ran, gone) = (
+                    known.class,
+                    known.until,
+                    known.made,
+                    known.runs > 0,
+                    known.gone,
+                );
                 if before {
-                    self.breach(Rule::OneAnswer, at, format!("job {job} has a second answer"));
+                    self.breach(
+                        Rule::OneAnswer,
+                        at,
+                        format!("job {job} has a second answer"),
+                    );
                 }
                 if !gone && at > until + rules.answer_slack_ms * 1000 + slack {
                     let late = (at - until) as f64 / 1e3;
-                    self.breach(Rule::OneAnswer, at, format!("job {job} was answered {late:.1} ms too late"));
+                    self.breach(
+                        Rule::OneAnswer,
+                        at,
+                        format!("job {job} was answered {late:.1} ms too late"),
+                    );
                 }
                 if served && !made {
-                    self.breach(Rule::Made, at, format!("job {job} was served with what no job worker made"));
+                    self.breach(
+                        Rule::Made,
+                        at,
+                        format!("job {job} was served with what no job worker made"),
+                    );
                 }
                 let effect = self.scenario.classes[class as usize].effect;
                 if refused && ran && effect == Effect::Unsafe {
-                    self.breach(Rule::Refusal, at, format!("job {job} was refused, and may have run"));
+                    self.breach(
+                        Rule::Refusal,
+                        at,
+                        format!("job {job} was refused, and may have run"),
+                    );
                 }
                 self.forget(job);
             }
@@ -181,7 +242,13 @@
                 }
                 self.forget(job);
             }
-            Seen::Sent { job, scheduler, worker, at, work } => {
+            Seen::Sent {
+                job,
+                scheduler,
+                worker,
+                at,
+                work,
+            } => {
                 if let Some(since) = self.told.get(&(scheduler, worker)).copied() {
                     let after = at.saturating_sub(since);
                     let ms = after as f64 / 1e3;
@@ -194,16 +261,27 @@
                     }
                 }
                 self.sent_to_cold(scheduler, worker, at, work);
-                let Some(known) = self.jobs.get_mut(&job) else { return };
+                let Some(known) = self.jobs.get_mut(&job) else {
+                    return;
+                };
                 known.sends += 1;
                 let beside = known.out;
                 known.out += 1;
-                let (sends, class, runs, first) = (known.sends, known.class, known.runs, known.first_run);
+                let (sends, class, runs, first) =
+                    (known.sends, known.class, known.runs, known.first_run);
                 if beside > 0 && !self.scenario.machines.copies {
-                    self.breach(Rule::Copies, at, format!("job {job} was sent while it was out"));
+                    self.breach(
+                        Rule::Copies,
+                        at,
+                        format!("job {job} was sent while it was out"),
+                    );
                 }
                 if sends > rules.attempts {
-                    self.breach(Rule::Attempts, at, format!("job {job} was sent {sends} times"));
+                    self.breach(
+                        Rule::Attempts,
+                        at,
+                        format!("job {job} was sent {sends} times"),
+                    );
                 }
                 match self.scenario.classes[class as usize].effect {
                     Effect::Safe => {}
@@ -215,18 +293,28 @@
                         );
                     }
                     Effect::Keyed(ms) if first.is_some_and(|f| at > f + ms * 1000 + slack) => {
-                        self.breach(Rule::Repeats, at, format!("job {job} was repeated outside its window"));
+                        self.breach(
+                            Rule::Repeats,
+                            at,
+                            format!("job {job} was repeated outside its window"),
+                        );
                     }
                     _ => {}
                 }
             }
             Seen::Runs { job, at, .. } => {
-                let Some(known) = self.jobs.get_mut(&job) else { return };
+                let Some(known) = self.jobs.get_mut(&job) else {
+                    return;
+                };
                 known.runs += 1;
                 known.first_run.get_or_insert(at);
                 let (runs, class) = (known.runs, known.class);
                 if runs > 1 && self.scenario.classes[class as usize].effect == Effect::Unsafe {
-                    self.breach(Rule::Repeats, at, format!("job {job} must not repeat, and ran twice"));
+                    self.breach(
+                        Rule::Repeats,
+                        at,
+                        format!("job {job} must not repeat, and ran twice"),
+                    );
                 }
             }
             Seen::NeverRan { job } => {
@@ -247,15 +335,27 @@
                     known.made = true;
                 }
             }
-            Seen::Told { scheduler, worker, takes, at } => {
+            Seen::Told {
+                scheduler,
+                worker,
+                takes,
+                at,
+            } => {
                 match takes {
                     true => _ = self.told.remove(&(scheduler, worker)),
                     false => _ = self.told.entry((scheduler, worker)).or_insert(at),
                 };
             }
-            Seen::Cold { worker, capacity, .. } => {
+            Seen::Cold {
+                worker, capacity, ..
+            } => {
                 let (sent, sums, aware) = Default::default();
-                let cold = ColdWorker { capacity, sent, sums, aware };
+                let cold = ColdWorker {
+                    capacity,
+                    sent,
+                    sums,
+                    aware,
+                };
                 self.cold.entry(worker).or_insert(cold).capacity = capacity;
             }
             Seen::Aware { scheduler, worker } => {
@@ -272,8 +372,14 @@
     fn sent_to_cold(&mut self, scheduler: u32, worker: u32, at: Micros, work: Micros) {
         let rules = &self.scenario.rules;
         let window = rules.tip_window_ms * 1000;
-        let Some(cold) = self.cold.get_mut(&worker) else { return };
-        let knew = if cold.aware.contains(&scheduler) { work as f64 } else { 0.0 };
+        let Some(cold) = self.cold.get_mut(&worker) else {
+            return;
+        };
+        let knew = if cold.aware.contains(&scheduler) {
+            work as f64
+        } else {
+            0.0
+        };
         cold.sent.push_back((at, work as f64, knew));
         cold.sums = (cold.sums.0 + work as f64, cold.sums.1 + knew);
         while cold.sent.front().is_some_and(|(t, ..)| t + window < at) {
@@ -283,14 +389,17 @@
         let allowed = rules.tip_multiple * cold.capacity * window as f64;
         let mean = self.scenario.mean_total_work().max(1.0);
         let n = allowed / mean;
-        let falls = cold.sums.0 > (n + 3.0 * n.sqrt() + 3.0) * mean && 3.0 * cold.sums.1 > 2.0 * cold.sums.0;
+        let falls = cold.sums.0 > (n + 3.0 * n.sqrt() + 3.0) * mean
+            && 3.0 * cold.sums.1 > 2.0 * cold.sums.0;
         let multiple = cold.sums.0 / (cold.capacity * window as f64).max(1e-9);
         self.verdict.most_on_cold = self.verdict.most_on_cold.max(multiple);
         if falls {
             self.breach(
                 Rule::Cold,
                 at,
-                format!("job worker {worker} is cold and was sent {multiple:.2} times what it can do"),
+                format!(
+                    "job worker {worker} is cold and was sent {multiple:.2} times what it can do"
+                ),
             );
         }
     }
@@ -300,7 +409,8 @@
         // A retry by the scheduler after the answer would be a breach, and is looked for: all are kept for a while.
         const ROOM: usize = 400_000;
         if self.jobs.len() > ROOM && self.jobs.len().is_multiple_of(1024) {
-            self.jobs.retain(|n, k| *n + ROOM as u64 > job || !(k.answered || k.gone));
+            self.jobs
+                .retain(|n, k| *n + ROOM as u64 > job || !(k.answered || k.gone));
         }
     }
 
@@ -310,7 +420,11 @@
         let mut lost: Vec<(Job, Micros)> = self.jobs.iter().filter_map(open).collect();
         lost.sort_unstable();
         for (job, until) in lost {
-            self.breach(Rule::OneAnswer, until.min(now), format!("job {job} was never answered"));
+            self.breach(
+                Rule::OneAnswer,
+                until.min(now),
+                format!("job {job} was never answered"),
+            );
         }
         self.verdict
     }
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -18,7 +18,12 @@
 /// When a client tries again after an answer to its try of this number (from 0); `None`: it does not. `until`: its time is
 /// up then.
 pub fn again(
-    clients: &Clients, effect: Effect, said: Said, (seed, job): (u64, u64), tried: u32, now: Micros,
+    clients: &Clients,
+    effect: Effect,
+    said: Said,
+    (seed, job): (u64, u64),
+    tried: u32,
+    now: Micros,
     until: Micros,
 ) -> Option<Micros> {
     if tried >= clients.retries {
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -59,7 +59,12 @@
             for _ in 0..n.div_ceil(BLOCK) {
                 let at = (unit(&mut rng) * (n - BLOCK + 1) as f64) as usize;
                 let end = at + BLOCK;
-                let parts = [a[end].0 - a[at].0, a[end].1 - a[at].1, b[end].0 - b[at].0, b[end].1 - b[at].1];
+                let parts = [
+                    a[end].0 - a[at].0,
+                    a[end].1 - a[at].1,
+                    b[end].0 - b[at].0,
+                    b[end].1 - b[at].1,
+                ];
                 sums.iter_mut().zip(parts).for_each(|(s, p)| *s += p);
             }
             let share = |asked: f64, earned: f64| if asked > 0.0 { earned / asked } else { 1.0 };
@@ -76,20 +81,51 @@
     let (x, y) = (&a.outcome, &b.outcome);
     let mut figures = Vec::new();
     let mut add = |name: &str, a: f64, b: f64, interval| {
-        figures.push(Difference { name: name.into(), a, b, by: b - a, interval });
+        figures.push(Difference {
+            name: name.into(),
+            a,
+            b,
+            by: b - a,
+            interval,
+        });
     };
     let interval = paired(&x.seconds, &y.seconds, 1);
     add("service figure", x.figure, y.figure, None);
     add("worth earned, whole run", x.whole, y.whole, interval);
-    add("worth earned, worst 10 s", x.worst_stretch.0, y.worst_stretch.0, None);
-    add("worth earned, worst class", x.worst_class.0, y.worst_class.0, None);
-    add("worth earned, worst parish", x.worst_parish.0, y.worst_parish.0, None);
+    add(
+        "worth earned, worst 10 s",
+        x.worst_stretch.0,
+        y.worst_stretch.0,
+        None,
+    );
+    add(
+        "worth earned, worst class",
+        x.worst_class.0,
+        y.worst_class.0,
+        None,
+    );
+    add(
+        "worth earned, worst parish",
+        x.worst_parish.0,
+        y.worst_parish.0,
+        None,
+    );
     for (name, a) in &x.classes {
-        add(&format!("worth earned, class {name}"), *a, y.classes.get(name).copied().unwrap_or(0.0), None);
+        add(
+            &format!("worth earned, class {name}"),
+            *a,
+            y.classes.get(name).copied().unwrap_or(0.0),
+            None,
+        );
     }
     let share = |ends: [u64; 4], n: usize| ends[n] as f64 / ends.iter().sum::<u64>().max(1) as f64;
     for (n, name) in ["in time", "late", "refused", "failed"].iter().enumerate() {
-        add(&format!("share of jobs {name}"), share(x.ends, n), share(y.ends, n), None);
+        add(
+            &format!("share of jobs {name}"),
+            share(x.ends, n),
+            share(y.ends, n),
+            None,
+        );
     }
     for (name, a) in &x.latency {
         let b = y.latency.get(name).copied().unwrap_or_default();
@@ -98,14 +134,22 @@
     }
     let per = |c: [u64; 4], n: usize| c[n] as f64 / c[0].max(1) as f64;
     for (n, name) in [(1, "retries"), (2, "attempts"), (3, "probes")] {
-        add(&format!("{name} per first try"), per(x.counts, n), per(y.counts, n), None);
+        add(
+            &format!("{name} per first try"),
+            per(x.counts, n),
+            per(y.counts, n),
+            None,
+        );
     }
     let verdict = match interval {
         Some([low, high]) if low > 0.0 => {
             format!("B earns more of the worth: by {low:.4} to {high:.4} (95%).")
         }
         Some([low, high]) if high < 0.0 => {
-            format!("B earns less of the worth: by {:.4} to {:.4} (95%).", -high, -low)
+            format!(
+                "B earns less of the worth: by {:.4} to {:.4} (95%).",
+                -high, -low
+            )
         }
         Some([low, high]) => {
             format!("No difference is shown: B less A lies between {low:+.4} and {high:+.4} (95%).")
--- a/crates/lab/src/export.rs
+++ b/crates/lab/src/export.rs
@@ -69,7 +69,12 @@
 
 /// The address of a parish's client.
 pub fn address(parish: u32, office: u32) -> String {
-    format!("10.{}.{}.{}", network(parish), office / 250, 1 + office % 250)
+    format!(
+        "10.{}.{}.{}",
+        network(parish),
+        office / 250,
+        1 + office % 250
+    )
 }
 
 /// The second byte of the addresses of a parish's clients.
@@ -79,7 +84,10 @@
 
 /// A name for one try of a job: new on every request.
 fn trace(number: u64, tried: u32) -> String {
-    format!("{:016x}", (number << 4 | u64::from(tried)).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5bd1_e995)
+    format!(
+        "{:016x}",
+        (number << 4 | u64::from(tried)).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5bd1_e995
+    )
 }
 
 impl<W: Write> Log<W> {
@@ -94,7 +102,14 @@
             )?;
         }
         let minute = (i64::MIN, String::new());
-        Ok(Log { form, out, first: true, minute, harm, rng: crate::client::draw(seed, 0, 0x4a43) })
+        Ok(Log {
+            form,
+            out,
+            first: true,
+            minute,
+            harm,
+            rng: crate::client::draw(seed, 0, 0x4a43),
+        })
     }
 
     /// Writes a try.
@@ -143,7 +158,9 @@
     fn line(&mut self, scenario: &Scenario, t: &Logged<'_>) -> String {
         let (a, class) = (t.arrival, &scenario.classes[t.arrival.class as usize]);
         let peer = address(a.parish.unwrap_or(200), a.office);
-        let parish = a.parish.map_or("-", |p| scenario.parishes[p as usize].name.as_str());
+        let parish = a
+            .parish
+            .map_or("-", |p| scenario.parishes[p as usize].name.as_str());
         let request = format!("/{}/{}", class.name, a.subject);
         // The client has left: servers write 499, as nginx does.
         let status = t.status.unwrap_or(499);
@@ -151,7 +168,11 @@
             Effect::Keyed(_) => format!("k{:016x}", a.number.wrapping_mul(0x2545_f491_4f6c_dd1d)),
             _ => "-".to_string(),
         };
-        let mark = if scenario.clients.mark && t.tried > 0 { "1" } else { "-" };
+        let mark = if scenario.clients.mark && t.tried > 0 {
+            "1"
+        } else {
+            "-"
+        };
         let trace = trace(a.number, t.tried);
         let expires = (a.at + a.deadline).saturating_sub(t.from) / 1000;
         let props = format!("needs={}", a.slots);
@@ -168,7 +189,9 @@
             }
             Form::Apache => {
                 let from = t.from;
-                format!("{peer} - - {from} \"POST {request} HTTP/1.1\" {status} {bytes} {took} {quoted}")
+                format!(
+                    "{peer} - - {from} \"POST {request} HTTP/1.1\" {status} {bytes} {took} {quoted}"
+                )
             }
             Form::Nginx => {
                 let (time, msec, took) = (self.clf(t.to), t.to as f64 / 1e6, took as f64 / 1e6);
@@ -178,7 +201,11 @@
             }
             Form::Envoy => {
                 let (time, ms) = (iso(t.from), took / 1000);
-                let (status, flags) = if t.status.is_some() { (status, "-") } else { (0, "DC") };
+                let (status, flags) = if t.status.is_some() {
+                    (status, "-")
+                } else {
+                    (0, "DC")
+                };
                 format!(
                     "[{time}] \"POST {request} HTTP/1.1\" {status} {flags} via_upstream - \"-\" 128 {bytes} {ms} - \
                      \"{peer}\" \"office/1.0\" \"{trace}\" \"jobs.internal\" \"127.0.0.1:8443\""
@@ -195,7 +222,11 @@
                 ];
                 let pairs = names.iter().zip(headers).filter(|(_, v)| *v != "-");
                 let headers: Vec<_> = pairs.map(|(n, v)| json!({"name": n, "value": v})).collect();
-                let ms = if t.status.is_some() { took as f64 / 1e3 } else { -1.0 };
+                let ms = if t.status.is_some() {
+                    took as f64 / 1e3
+                } else {
+                    -1.0
+                };
                 json!({"startedDateTime": iso(t.from), "time": ms,
                     "request": {"method": "POST", "url": format!("http://jobs.internal{request}"),
                         "httpVersion": "HTTP/1.1", "headers": headers, "cookies": [], "queryString": [],
@@ -213,8 +244,12 @@
         let second = (at / 1_000_000) as i64;
         let minute = second.div_euclid(60);
         if self.minute.0 != minute {
-            let begin = Offset::UTC.to_datetime(Timestamp::from_second(minute * 60).unwrap_or_default());
-            self.minute = (minute, strtime::format("%d/%b/%Y:%H:%M", begin).unwrap_or_default());
+            let begin =
+                Offset::UTC.to_datetime(Timestamp::from_second(minute * 60).unwrap_or_default());
+            self.minute = (
+                minute,
+                strtime::format("%d/%b/%Y:%H:%M", begin).unwrap_or_default(),
+            );
         }
         format!("{}:{:02} +0000", self.minute.1, second.rem_euclid(60))
     }
@@ -231,13 +266,24 @@
         .parishes
         .iter()
         .enumerate()
-        .map(|(n, p)| (p.name.clone(), json!([format!("10.{}.0.0/16", network(n as u32))])))
+        .map(|(n, p)| {
+            (
+                p.name.clone(),
+                json!([format!("10.{}.0.0/16", network(n as u32))]),
+            )
+        })
+        .collect();
+    let deadlines: serde_json::Map<_, _> = scenario
+        .classes
+        .iter()
+        .map(|c| (c.name.clone(), c.deadline_ms.into()))
         .collect();
-    let deadlines: serde_json::Map<_, _> =
-        scenario.classes.iter().map(|c| (c.name.clone(), c.deadline_ms.into())).collect();
     // Only what is a class: a damaged line names others.
-    let classes: serde_json::Map<_, _> =
-        scenario.classes.iter().map(|c| (c.name.clone(), c.name.clone().into())).collect();
+    let classes: serde_json::Map<_, _> = scenario
+        .classes
+        .iter()
+        .map(|c| (c.name.clone(), c.name.clone().into()))
+        .collect();
     let header = |name: &str| json!([{"from": {"header": name}}]);
     let mut mapping = json!({"version": 1, "networks": networks, "jobs": {"not-paths": ["/_", "/-/"]},
         "class": [{"from": {"segment": 0}, "names": classes}], "subject": [{"from": {"segment": 1}}], "deadline-of": deadlines,
--- a/crates/lab/src/files.rs
+++ b/crates/lab/src/files.rs
@@ -23,7 +23,8 @@
 }
 
 pub fn open(path: &Path) -> Result<Reader<Box<dyn BufRead>>, Bad> {
-    let from = source::open(path, Arc::default()).map_err(|e| format!("{}: {e}", path.display()))?;
+    let from =
+        source::open(path, Arc::default()).map_err(|e| format!("{}: {e}", path.display()))?;
     Ok(Reader::new(from).map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
@@ -33,7 +34,11 @@
 
 /// When a recording's first job was sent.
 pub fn first_time(path: &Path) -> Result<i64, Bad> {
-    Ok(open(path)?.next().transpose()?.ok_or("the recording is empty")?.at)
+    Ok(open(path)?
+        .next()
+        .transpose()?
+        .ok_or("the recording is empty")?
+        .at)
 }
 
 /// A file that appears under its name once it is whole.
--- a/crates/lab/src/foldcheck.rs
+++ b/crates/lab/src/foldcheck.rs
@@ -42,8 +42,16 @@
     let mut sums = [[0u64; 3]; WAYS.len()]; // retries, folded, right
     for seed in 1..=seeds {
         let mut tries: Vec<(Try, u64)> = Vec::new();
-        let names: Vec<_> = scenario.classes.iter().map(|c| (c.name.as_str().into(), c.effect)).collect();
-        let parishes: Vec<_> = scenario.parishes.iter().map(|p| p.name.as_str().into()).collect();
+        let names: Vec<_> = scenario
+            .classes
+            .iter()
+            .map(|c| (c.name.as_str().into(), c.effect))
+            .collect();
+        let parishes: Vec<_> = scenario
+            .parishes
+            .iter()
+            .map(|p| p.name.as_str().into())
+            .collect();
         let ground = Ground::new(scenario, seed, Retries::Model)?;
         ground.play(
             Made::new(scenario, seed)?,
@@ -67,7 +75,14 @@
                 };
                 let seq = tries.len() as u64;
                 tries.push((
-                    Try { job, within: 1, seq, id: 0, marked: t.tried > 0, file: t.scheduler },
+                    Try {
+                        job,
+                        within: 1,
+                        seq,
+                        id: 0,
+                        marked: t.tried > 0,
+                        file: t.scheduler,
+                    },
                     a.number,
                 ));
             },
@@ -89,7 +104,10 @@
 }
 
 fn fold(
-    scenario: &Scenario, tries: &[(Try, u64)], (_, key, mark, within): &(&str, bool, bool, Micros), seed: u64,
+    scenario: &Scenario,
+    tries: &[(Try, u64)],
+    (_, key, mark, within): &(&str, bool, bool, Micros),
+    seed: u64,
 ) -> std::io::Result<[u64; 3]> {
     let mut sorter = Sorter::default();
     for (t, _) in tries {
--- a/crates/lab/src/import_call.rs
+++ b/crates/lab/src/import_call.rs
@@ -32,8 +32,17 @@
         }
         Some(name) => Some(Kind::Lines(LineFormat::named(name)?)),
     };
-    let size: u64 = args.files.iter().filter_map(|f| f.metadata().ok()).map(|m| m.len()).sum();
-    let (read, done, bar) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)), bar(size, "reading"));
+    let size: u64 = args
+        .files
+        .iter()
+        .filter_map(|f| f.metadata().ok())
+        .map(|m| m.len())
+        .sum();
+    let (read, done, bar) = (
+        Arc::new(AtomicU64::new(0)),
+        Arc::new(AtomicU64::new(0)),
+        bar(size, "reading"),
+    );
     let watch = (!bar.is_hidden()).then(|| {
         let (read, done, bar) = (read.clone(), done.clone(), bar.clone());
         std::thread::spawn(move || {
@@ -43,7 +52,13 @@
             }
         })
     });
-    let options = Options { format, mapping, strict: args.strict, max_bad: args.max_bad, seed: args.seed };
+    let options = Options {
+        format,
+        mapping,
+        strict: args.strict,
+        max_bad: args.max_bad,
+        seed: args.seed,
+    };
     let (out, part) = create(&args.out)?;
     let begin = Instant::now();
     let imported = import(&args.files, &options, out, &read);
@@ -83,11 +98,19 @@
         tally.rejected()
     );
     let name = |v: Value| v.as_str().unwrap_or("").to_string();
-    for (what, list) in [("rejected", json!(tally.rejected)), ("remarked", json!(tally.remarks))] {
+    for (what, list) in [
+        ("rejected", json!(tally.rejected)),
+        ("remarked", json!(tally.remarks)),
+    ] {
         for (reason, count) in list.as_object().into_iter().flatten() {
             say!("{what} {reason}: {}", count["count"]);
             for e in count["examples"].as_array().into_iter().flatten() {
-                say!("    {}:{}: {}", name(e["file"].clone()), e["line"], name(e["text"].clone()));
+                say!(
+                    "    {}:{}: {}",
+                    name(e["file"].clone()),
+                    e["line"],
+                    name(e["text"].clone())
+                );
             }
         }
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -48,7 +48,9 @@
                 let made = LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma);
                 Times::Lognormal(made.map_err(|e| bad(e.to_string()))?)
             }
-            Spread::Exponential => Times::Exponential(Exp::new(1.0 / mean).map_err(|e| bad(e.to_string()))?),
+            Spread::Exponential => {
+                Times::Exponential(Exp::new(1.0 / mean).map_err(|e| bad(e.to_string()))?)
+            }
         })
     }
 
@@ -72,14 +74,26 @@
     /// # Errors
     /// A class's running times cannot be drawn.
     pub fn new(scenario: &Scenario, seed: u64) -> Result<Self, String> {
-        let work = scenario.classes.iter().map(Times::new).collect::<Result<_, _>>()?;
+        let work = scenario
+            .classes
+            .iter()
+            .map(Times::new)
+            .collect::<Result<_, _>>()?;
         Ok(Draws { work, seed })
     }
 
     /// Running time and slots of a job.
-    pub fn job(&self, scenario: &Scenario, number: u64, class: u32, slots: Option<u32>) -> (Micros, u32) {
+    pub fn job(
+        &self,
+        scenario: &Scenario,
+        number: u64,
+        class: u32,
+        slots: Option<u32>,
+    ) -> (Micros, u32) {
         let mut rng = draw(self.seed, number, 0x3017);
-        let work = self.work[class as usize].sample(&mut rng).clamp(100.0, 60e6) as Micros;
+        let work = self.work[class as usize]
+            .sample(&mut rng)
+            .clamp(100.0, 60e6) as Micros;
         let shares = &scenario.classes[class as usize].slots;
         let drawn = 1 << pick(shares, unit(&mut rng));
         (work, slots.unwrap_or(drawn))
@@ -120,10 +134,15 @@
     pub fn new(scenario: &'a Scenario, seed: u64) -> Result<Self, String> {
         let load = &scenario.load;
         if !(load.rate > 0.0 && load.seconds > 0.0) {
-            return Err("at /load: 'rate' and 'seconds' must be over 0 for load that is made".into());
+            return Err(
+                "at /load: 'rate' and 'seconds' must be over 0 for load that is made".into(),
+            );
         }
         let jumps = load.jumps.iter().map(|j| j.times.max(1.0)).product::<f64>();
-        let zipf = Zipf::new(f64::from(scenario.clients.subjects.max(1)), scenario.clients.zipf);
+        let zipf = Zipf::new(
+            f64::from(scenario.clients.subjects.max(1)),
+            scenario.clients.zipf,
+        );
         Ok(Made {
             scenario,
             draws: Draws::new(scenario, seed)?,
@@ -133,7 +152,11 @@
             number: 0,
             zipf: zipf.map_err(|e| format!("at /clients/zipf: {e}"))?,
             classes: scenario.classes.iter().map(|c| c.share).collect(),
-            parishes: scenario.parishes.iter().map(|p| p.share * p.usage).collect(),
+            parishes: scenario
+                .parishes
+                .iter()
+                .map(|p| p.share * p.usage)
+                .collect(),
         })
     }
 
@@ -162,7 +185,13 @@
             if since < 0.0 || left <= 0.0 {
                 return 1.0;
             }
-            let up = |d: f64| if j.edge_s > 0.0 { (d / j.edge_s).min(1.0) } else { 1.0 };
+            let up = |d: f64| {
+                if j.edge_s > 0.0 {
+                    (d / j.edge_s).min(1.0)
+                } else {
+                    1.0
+                }
+            };
             1.0 + (j.times - 1.0) * up(since).min(up(left))
         };
         load.rate * swing * load.jumps.iter().map(jump).product::<f64>()
@@ -222,8 +251,17 @@
     ///
     /// # Errors
     /// What in the scenario cannot be drawn from.
-    pub fn new(scenario: &'a Scenario, from: recording::Reader<R>, seed: u64) -> Result<Self, String> {
-        Ok(Recorded { scenario, draws: Draws::new(scenario, seed)?, from, number: 0 })
+    pub fn new(
+        scenario: &'a Scenario,
+        from: recording::Reader<R>,
+        seed: u64,
+    ) -> Result<Self, String> {
+        Ok(Recorded {
+            scenario,
+            draws: Draws::new(scenario, seed)?,
+            from,
+            number: 0,
+        })
     }
 }
 
@@ -235,8 +273,18 @@
             Ok(job) => job,
             Err(e) => return Some(Err(e.to_string())),
         };
-        let Some(class) = self.scenario.classes.iter().position(|c| c.name == *job.class) else {
-            let names: Vec<&str> = self.scenario.classes.iter().map(|c| c.name.as_str()).collect();
+        let Some(class) = self
+            .scenario
+            .classes
+            .iter()
+            .position(|c| c.name == *job.class)
+        else {
+            let names: Vec<&str> = self
+                .scenario
+                .classes
+                .iter()
+                .map(|c| c.name.as_str())
+                .collect();
             let (class, allowed) = (&job.class, names.join(", "));
             return Some(Err(format!(
                 "class {class:?} of the recording is none of the scenario's: {allowed}"
@@ -245,19 +293,31 @@
         let class = class as u32;
         let slots = job.slots.map(|s| (s.ceil() as u32).max(1));
         let (work, slots) = self.draws.job(self.scenario, self.number, class, slots);
-        let deadline =
-            job.deadline.map_or(self.scenario.classes[class as usize].deadline(), |d| d.max(1) as Micros);
+        let deadline = job
+            .deadline
+            .map_or(self.scenario.classes[class as usize].deadline(), |d| {
+                d.max(1) as Micros
+            });
         let arrival = Arrival {
             number: self.number,
             at: job.at.max(0) as Micros,
             class,
-            parish: self.scenario.parishes.iter().position(|p| p.name == *job.parish).map(|p| p as u32),
+            parish: self
+                .scenario
+                .parishes
+                .iter()
+                .position(|p| p.name == *job.parish)
+                .map(|p| p as u32),
             slots,
             work,
             deadline,
             subject: job.subject,
             office: (job.client % 65_536) as u32,
-            retries: job.tries.iter().map(|a| (a.at - job.at).max(0) as Micros).collect(),
+            retries: job
+                .tries
+                .iter()
+                .map(|a| (a.at - job.at).max(0) as Micros)
+                .collect(),
         };
         self.number += 1;
         Some(Ok(arrival))
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -31,7 +31,10 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    tracing_subscriber::fmt().with_max_level(cli.log).with_writer(std::io::stderr).init();
+    tracing_subscriber::fmt()
+        .with_max_level(cli.log)
+        .with_writer(std::io::stderr)
+        .init();
     match call(&cli) {
         Ok(code) => code,
         Err(error) => {
@@ -51,44 +54,89 @@
         Call::Cut { files, from, to } => {
             let first = first_time(&files.recording)?;
             let at = |s: f64| first + (s * 1e6) as i64;
-            change(files, cli.json, |jobs| Box::new(ops::cut(jobs, at(*from), at(*to))))?;
+            change(files, cli.json, |jobs| {
+                Box::new(ops::cut(jobs, at(*from), at(*to)))
+            })?;
         }
-        Call::Filter { files, class, parish } => {
-            change(files, cli.json, |jobs| Box::new(ops::filter(jobs, class.clone(), parish.clone())))?;
+        Call::Filter {
+            files,
+            class,
+            parish,
+        } => {
+            change(files, cli.json, |jobs| {
+                Box::new(ops::filter(jobs, class.clone(), parish.clone()))
+            })?;
         }
         Call::Merge { recordings, out } => merge(recordings, out, cli.json)?,
-        Call::Scale { files, by, stretch_ms, seed } => {
+        Call::Scale {
+            files,
+            by,
+            stretch_ms,
+            seed,
+        } => {
             if !(*by > 0.0 && *by <= 1_000.0) {
                 return Err("--by must be over 0 and up to 1000".into());
             }
             let (factor, stretch) = (Factor::Always(*by), stretch_ms.max(&1) * 1000);
-            change(files, cli.json, |jobs| Box::new(Scaled::new(jobs, factor, stretch, *seed)))?;
+            change(files, cli.json, |jobs| {
+                Box::new(Scaled::new(jobs, factor, stretch, *seed))
+            })?;
         }
-        Call::Jump { files, at, long, times, edge, seed } => {
+        Call::Jump {
+            files,
+            at,
+            long,
+            times,
+            edge,
+            seed,
+        } => {
             if !(*times > 0.0 && *times <= 1_000.0) {
                 return Err("--times must be over 0 and up to 1000".into());
             }
             let first = first_time(&files.recording)?;
             let us = |s: f64| (s * 1e6) as i64;
             let from = first + us(*at);
-            let factor = Factor::Jump { from, to: from + us(*long), edge: us(*edge), times: *times };
-            change(files, cli.json, |jobs| Box::new(Scaled::new(jobs, factor, 100_000, *seed)))?;
+            let factor = Factor::Jump {
+                from,
+                to: from + us(*long),
+                edge: us(*edge),
+                times: *times,
+            };
+            change(files, cli.json, |jobs| {
+                Box::new(Scaled::new(jobs, factor, 100_000, *seed))
+            })?;
         }
-        Call::Pseudonymise { files, secret, parishes } => {
+        Call::Pseudonymise {
+            files,
+            secret,
+            parishes,
+        } => {
             let secret = text_of(secret)?;
             if secret.trim().len() < 16 {
                 return Err("the secret is too short: 16 characters or more are wanted".into());
             }
-            change(files, cli.json, |jobs| Box::new(ops::pseudonymise(jobs, secret.trim(), *parishes)))?;
+            change(files, cli.json, |jobs| {
+                Box::new(ops::pseudonymise(jobs, secret.trim(), *parishes))
+            })?;
         }
         Call::Live(args) => return live(args, cli.json),
         Call::Replay(args) => return replay(args, cli.json),
-        Call::Compare { scenario, a, b, report } => {
+        Call::Compare {
+            scenario,
+            a,
+            b,
+            report,
+        } => {
             let scenario = read_scenario(scenario)?;
             let (a, b) = (read_run(a)?, read_run(b)?);
             let found = compare::compare(&a, &b);
             if let Some(path) = report {
-                let page = report::page(&scenario, "Comparison", &[("A", &a), ("B", &b)], Some(&found))?;
+                let page = report::page(
+                    &scenario,
+                    "Comparison",
+                    &[("A", &a), ("B", &b)],
+                    Some(&found),
+                )?;
                 std::fs::write(path, page)?;
             }
             if cli.json {
@@ -96,9 +144,16 @@
             } else {
                 say!("{}", found.verdict);
                 for d in &found.figures {
-                    let interval =
-                        d.interval.map_or(String::new(), |[l, h]| format!("  ({l:+.4} to {h:+.4})"));
-                    say!("{:44} {:10.4} {:10.4} {:+10.4}{interval}", d.name, d.a, d.b, d.by);
+                    let interval = d
+                        .interval
+                        .map_or(String::new(), |[l, h]| format!("  ({l:+.4} to {h:+.4})"));
+                    say!(
+                        "{:44} {:10.4} {:10.4} {:+10.4}{interval}",
+                        d.name,
+                        d.a,
+                        d.b,
+                        d.by
+                    );
                 }
             }
         }
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -21,7 +21,17 @@
 
 /// Which rule.
 #[derive(
-    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, clap::ValueEnum,
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    Serialize,
+    Deserialize,
+    clap::ValueEnum,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
@@ -122,7 +132,13 @@
         match told {
             Told::Job(request, until, _) => {
                 let (id, until) = (request.id, until.saturating_sub(self.early).max(now));
-                let job = Job { request, until, tries: Vec::new(), may_have_run: false, first_sent: now };
+                let job = Job {
+                    request,
+                    until,
+                    tries: Vec::new(),
+                    may_have_run: false,
+                    first_sent: now,
+                };
                 self.jobs.insert(id, job);
                 self.due.insert((until, id));
                 self.place(now, id, transport);
@@ -147,9 +163,19 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, attempt: AttemptId, status: Status, transport: &dyn Transport) {
-        let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
-        let Some(t) = job.tries.get_mut(attempt.number as usize).filter(|t| t.1) else { return };
+    fn ended(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        status: Status,
+        transport: &dyn Transport,
+    ) {
+        let Some(job) = self.jobs.get_mut(&attempt.job) else {
+            return;
+        };
+        let Some(t) = job.tries.get_mut(attempt.number as usize).filter(|t| t.1) else {
+            return;
+        };
         t.1 = false;
         let (worker, slots) = (t.0, job.request.slots);
         job.may_have_run |= !matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
@@ -162,7 +188,9 @@
 
     /// Sends the job where the rule says, if its class and the settings allow one more attempt; else answers it.
     fn place(&mut self, now: Micros, id: JobId, transport: &dyn Transport) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let may_have_run = job.may_have_run;
         let class = self.settings.classes.get(job.request.class as usize);
         let effect = class.map_or(Effect::Unsafe, |c| c.effect);
@@ -172,12 +200,26 @@
             Effect::Unsafe => !job.may_have_run,
         };
         let left = job.tries.len() < self.settings.limits.attempts as usize && now < job.until;
-        let to = if repeats && left { self.choose(id) } else { None };
+        let to = if repeats && left {
+            self.choose(id)
+        } else {
+            None
+        };
         let Some(to) = to else {
             let harmless = !may_have_run || !matches!(effect, Effect::Unsafe);
-            return self.answer(id, if harmless { Answer::Rejected(0) } else { Answer::Failed }, transport);
+            return self.answer(
+                id,
+                if harmless {
+                    Answer::Rejected(0)
+                } else {
+                    Answer::Failed
+                },
+                transport,
+            );
+        };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
         };
-        let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.tries.is_empty() {
             job.first_sent = now;
         }
@@ -185,7 +227,10 @@
         job.tries.push((to, true));
         *self.own.entry(to).or_default() += job.request.slots;
         transport.send(Attempt {
-            id: AttemptId { job: id, number: attempt },
+            id: AttemptId {
+                job: id,
+                number: attempt,
+            },
             machine: to,
             until: job.until,
             by: job.until,
@@ -194,7 +239,11 @@
 
     fn choose(&mut self, id: JobId) -> Option<WorkerId> {
         let job = self.jobs.get(&id)?;
-        let bound = self.settings.classes.get(job.request.class as usize).and_then(|c| c.kind);
+        let bound = self
+            .settings
+            .classes
+            .get(job.request.class as usize)
+            .and_then(|c| c.kind);
         let may = |e: &&Entry| {
             let tried = job.tries.iter().any(|t| t.0 == e.worker);
             e.state == WorkerState::Active && !tried && bound.is_none_or(|kind| e.kind == kind)
@@ -230,9 +279,10 @@
                 let fits = order.iter().find(|w| own(w) + 1.0 <= most.ceil());
                 *fits.unwrap_or(&order[0])
             }
-            Policy::AllKnowing => {
-                self.best.filter(|w| free.contains(w)).unwrap_or_else(|| any(&mut self.rng))
-            }
+            Policy::AllKnowing => self
+                .best
+                .filter(|w| free.contains(w))
+                .unwrap_or_else(|| any(&mut self.rng)),
         })
     }
 
@@ -245,12 +295,20 @@
 
     /// Forgets a job; what is out is given up where that can be said.
     fn close(&mut self, id: JobId, transport: &dyn Transport) {
-        let Some(job) = self.jobs.remove(&id) else { return };
+        let Some(job) = self.jobs.remove(&id) else {
+            return;
+        };
         self.due.remove(&(job.until, id));
         for (n, (worker, _)) in job.tries.iter().enumerate().filter(|(_, t)| t.1) {
             *self.own.entry(*worker).or_default() -= job.request.slots;
             if self.settings.limits.cancel {
-                transport.give_up(AttemptId { job: id, number: n as u32 }, *worker);
+                transport.give_up(
+                    AttemptId {
+                        job: id,
+                        number: n as u32,
+                    },
+                    *worker,
+                );
             }
         }
         transport.forget(id);
--- a/crates/lab/src/plain/tests.rs
+++ b/crates/lab/src/plain/tests.rs
@@ -7,11 +7,16 @@
 
 impl Transport for Noted {
     fn send(&self, attempt: Attempt) -> bool {
-        self.0.borrow_mut().push(format!("{}.{} at {}", attempt.id.job, attempt.id.number, attempt.machine));
+        self.0.borrow_mut().push(format!(
+            "{}.{} at {}",
+            attempt.id.job, attempt.id.number, attempt.machine
+        ));
         true
     }
     fn give_up(&self, attempt: AttemptId, _: WorkerId) -> GivenUp {
-        self.0.borrow_mut().push(format!("give up {}.{}", attempt.job, attempt.number));
+        self.0
+            .borrow_mut()
+            .push(format!("give up {}.{}", attempt.job, attempt.number));
         GivenUp::Done
     }
     fn probe(&self, _: WorkerId) -> bool {
@@ -29,24 +34,58 @@
 }
 
 fn plain(policy: Policy, effect: Effect, workers: u32) -> (Plain, Noted) {
-    let mut settings = Settings { dispatchers: 1, ..Settings::default() };
-    settings.classes = vec![indigofold::api::Class { effect, ..indigofold::api::Class::UNKNOWN }];
+    let mut settings = Settings {
+        dispatchers: 1,
+        ..Settings::default()
+    };
+    settings.classes = vec![indigofold::api::Class {
+        effect,
+        ..indigofold::api::Class::UNKNOWN
+    }];
     (settings.limits.attempts, settings.limits.cancel) = (3, true);
     let (mut p, transport) = (Plain::new(policy, settings, 1, 0), Noted::default());
-    let active = |worker| Entry { worker, state: WorkerState::Active, ..Entry::default() };
-    p.told(0, Told::List(Scope::Full, (1..=workers).map(active).collect()), &transport);
+    let active = |worker| Entry {
+        worker,
+        state: WorkerState::Active,
+        ..Entry::default()
+    };
+    p.told(
+        0,
+        Told::List(Scope::Full, (1..=workers).map(active).collect()),
+        &transport,
+    );
     (p, transport)
 }
 
 fn job(p: &mut Plain, transport: &Noted, id: JobId, subject: u64) {
     let (left, slots, memory, estimate) = (1_000, 1.0, 0.0, None);
     let subject = Some(subject);
-    let request = Request { id, class: 0, tenant: 0, left, estimate, slots, memory, subject };
+    let request = Request {
+        id,
+        class: 0,
+        tenant: 0,
+        left,
+        estimate,
+        slots,
+        memory,
+        subject,
+    };
     p.told(0, Told::Job(request, 1_000, Reply::Transport), transport);
 }
 
 fn end(p: &mut Plain, transport: &Noted, job: JobId, attempt: u32, status: Status) {
-    p.told(10, Told::Ended(AttemptId { job, number: attempt }, status, None), transport);
+    p.told(
+        10,
+        Told::Ended(
+            AttemptId {
+                job,
+                number: attempt,
+            },
+            status,
+            None,
+        ),
+        transport,
+    );
 }
 
 #[test]
@@ -75,16 +114,31 @@
 fn each_rule_goes_by_its_own() {
     let at = |policy: Policy, subjects: [u64; 6]| {
         let (mut p, transport) = plain(policy, Effect::Safe, 3);
-        subjects.iter().enumerate().for_each(|(n, s)| job(&mut p, &transport, n as u64, *s));
+        subjects
+            .iter()
+            .enumerate()
+            .for_each(|(n, s)| job(&mut p, &transport, n as u64, *s));
         let attempts = transport.0.take();
-        attempts.iter().map(|c| c.rsplit(' ').next().expect("a number").to_string()).collect::<Vec<_>>()
+        attempts
+            .iter()
+            .map(|c| c.rsplit(' ').next().expect("a number").to_string())
+            .collect::<Vec<_>>()
     };
     let count = |of: &[String], w: &str| of.iter().filter(|o| *o == w).count();
     let least = at(Policy::LeastOwn, [0; 6]);
-    assert!(["1", "2", "3"].iter().all(|w| count(&least, w) == 2), "{least:?}");
+    assert!(
+        ["1", "2", "3"].iter().all(|w| count(&least, w) == 2),
+        "{least:?}"
+    );
     let keyed = at(Policy::ByKey, [5; 6]);
-    assert!(keyed[0] == keyed[1] || count(&keyed, &keyed[0]) >= 2, "{keyed:?}");
-    assert!(["1", "2", "3"].iter().all(|w| count(&keyed, w) <= 4), "the bound spreads a hot one: {keyed:?}");
+    assert!(
+        keyed[0] == keyed[1] || count(&keyed, &keyed[0]) >= 2,
+        "{keyed:?}"
+    );
+    assert!(
+        ["1", "2", "3"].iter().all(|w| count(&keyed, w) <= 4),
+        "the bound spreads a hot one: {keyed:?}"
+    );
     let (mut p, transport) = plain(Policy::AllKnowing, Effect::Safe, 3);
     p.best = Some(3);
     job(&mut p, &transport, 1, 0);
--- a/crates/lab/src/play_call.rs
+++ b/crates/lab/src/play_call.rs
@@ -22,7 +22,8 @@
 
 pub fn read_run(path: &Path) -> Result<Run, Bad> {
     let text = text_of(path)?;
-    Ok(serde_json::from_str(&text).map_err(|e| format!("{}: this is no result: {e}", path.display()))?)
+    Ok(serde_json::from_str(&text)
+        .map_err(|e| format!("{}: this is no result: {e}", path.display()))?)
 }
 
 pub fn live(args: &Live, json: bool) -> Result<ExitCode, Bad> {
@@ -44,7 +45,10 @@
         }
     }
     let begin = Instant::now();
-    let bar = bar((scenario.load.rate * scenario.load.seconds) as u64, "playing");
+    let bar = bar(
+        (scenario.load.rate * scenario.load.seconds) as u64,
+        "playing",
+    );
     let mut failed = None;
     let log = |t: Logged<'_>| {
         if let Some(log) = logs.get_mut(t.scheduler as usize) {
@@ -76,25 +80,45 @@
     };
     let arrivals: Box<dyn Iterator<Item = Result<indigofold_lab::load::Arrival, String>> + '_> =
         match &args.recording {
-            Some(path) => Box::new(Recorded::new(&scenario, open(path)?, seed)?.take_while(in_time)),
+            Some(path) => {
+                Box::new(Recorded::new(&scenario, open(path)?, seed)?.take_while(in_time))
+            }
             None => Box::new(Made::new(&scenario, seed)?),
         };
-    let bar = bar((scenario.load.rate * scenario.load.seconds) as u64, "playing");
+    let bar = bar(
+        (scenario.load.rate * scenario.load.seconds) as u64,
+        "playing",
+    );
     let run = if args.sockets {
         sockets::play(&scenario, seed, args.retries, &args.program, arrivals)?
     } else {
-        Ground::new(&scenario, seed, args.retries)?.play(arrivals, |_| {}, |n| bar.set_position(n))?
+        Ground::new(&scenario, seed, args.retries)?.play(
+            arrivals,
+            |_| {},
+            |n| bar.set_position(n),
+        )?
     };
     bar.finish_and_clear();
     results(&scenario, "Replay", &run, begin, &args.results, json)
 }
 
 fn results(
-    scenario: &Scenario, title: &str, run: &Run, begin: Instant, to: &Results, json: bool,
+    scenario: &Scenario,
+    title: &str,
+    run: &Run,
+    begin: Instant,
+    to: &Results,
+    json: bool,
 ) -> Result<ExitCode, Bad> {
     let seconds = begin.elapsed().as_secs_f64();
     let jobs = run.outcome.counts[0];
-    tracing::info!(seconds, jobs, jobs_per_s = jobs as f64 / seconds, events = run.events, "played");
+    tracing::info!(
+        seconds,
+        jobs,
+        jobs_per_s = jobs as f64 / seconds,
+        events = run.events,
+        "played"
+    );
     if let Some(path) = &to.json_out {
         std::fs::write(path, serde_json::to_string(run)?)?;
     }
@@ -123,7 +147,10 @@
         }
         say!("first tries, retries, attempts, probes: {:?}", o.counts);
         say!("in time, late, refused, failed: {:?}", o.ends);
-        say!("most on a cold job worker: {:.2} times what it can do", run.verdict.most_on_cold);
+        say!(
+            "most on a cold job worker: {:.2} times what it can do",
+            run.verdict.most_on_cold
+        );
         if o.lateness[1] > 0.0 {
             say!(
                 "generator late: {:.3} ms at the 99th percentile, {:.3} ms at the most",
@@ -142,5 +169,9 @@
             tracing::debug!(count, "noted: {text}");
         }
     }
-    Ok(if run.verdict.kept() { ExitCode::SUCCESS } else { ExitCode::from(3) })
+    Ok(if run.verdict.kept() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(3)
+    })
 }
--- a/crates/lab/src/recordings.rs
+++ b/crates/lab/src/recordings.rs
@@ -20,19 +20,35 @@
     }
     let s = summary.finish();
     if json {
-        say!("{}", json!({"header": reader.header, "end": reader.end, "summary": s}));
+        say!(
+            "{}",
+            json!({"header": reader.header, "end": reader.end, "summary": s})
+        );
         return Ok(());
     }
     let seconds = s.per_second.len();
     let rate = s.jobs as f64 / seconds.max(1) as f64;
     let most = s.per_second.iter().max().copied().unwrap_or(0);
     say!("made of {}", reader.header.made_of.join(", "));
-    say!("{} first tries with {} retries in {seconds} s", s.jobs, s.retries);
-    say!("{rate:.1} first tries a second, {most} at the most; variance over mean {:.2}", s.dispersion);
-    say!("mean recorded time of an answer {:.1} ms", s.mean_took / 1e3);
+    say!(
+        "{} first tries with {} retries in {seconds} s",
+        s.jobs,
+        s.retries
+    );
+    say!(
+        "{rate:.1} first tries a second, {most} at the most; variance over mean {:.2}",
+        s.dispersion
+    );
+    say!(
+        "mean recorded time of an answer {:.1} ms",
+        s.mean_took / 1e3
+    );
     for (of, counts) in [("class", &s.classes), ("parish", &s.parishes)] {
         for (name, count) in counts {
-            say!("{of} {name:24} {count:10} {:6.2}%", 100.0 * *count as f64 / s.jobs.max(1) as f64);
+            say!(
+                "{of} {name:24} {count:10} {:6.2}%",
+                100.0 * *count as f64 / s.jobs.max(1) as f64
+            );
         }
     }
     for (status, count) in &s.statuses {
@@ -58,7 +74,11 @@
 }
 
 fn write(
-    header: Header, jobs: Jobs<'_>, to: &Path, failed: &Rc<RefCell<Option<String>>>, json: bool,
+    header: Header,
+    jobs: Jobs<'_>,
+    to: &Path,
+    failed: &Rc<RefCell<Option<String>>>,
+    json: bool,
 ) -> Result<(), Bad> {
     let (out, part) = create(to)?;
     let mut writer = Writer::new(out, &header)?;
@@ -80,7 +100,11 @@
     Ok(())
 }
 
-pub fn change(files: &Files, json: bool, by: impl FnOnce(Jobs<'static>) -> Jobs<'static>) -> Result<(), Bad> {
+pub fn change(
+    files: &Files,
+    json: bool,
+    by: impl FnOnce(Jobs<'static>) -> Jobs<'static>,
+) -> Result<(), Bad> {
     let failed = Rc::new(RefCell::new(None));
     let (header, jobs) = jobs(&files.recording, &failed)?;
     write(header, by(jobs), &files.out, &failed, json)
@@ -95,5 +119,11 @@
         made_of.extend(header.made_of);
         all.push(jobs);
     }
-    write(Header::new(made_of, 0), Box::new(Merged::new(all)), out, &failed, json)
+    write(
+        Header::new(made_of, 0),
+        Box::new(Merged::new(all)),
+        out,
+        &failed,
+        json,
+    )
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -12,8 +12,12 @@
 const SIZE: (u32, u32) = (960, 260);
 /// Seconds that one point of a plot stands for, so that an hour is drawn in some hundreds.
 const POINTS: usize = 360;
-const COLOURS: [RGBColor; 4] =
-    [RGBColor(31, 90, 150), RGBColor(200, 90, 20), RGBColor(40, 130, 70), RGBColor(150, 40, 90)];
+const COLOURS: [RGBColor; 4] = [
+    RGBColor(31, 90, 150),
+    RGBColor(200, 90, 20),
+    RGBColor(40, 130, 70),
+    RGBColor(150, 40, 90),
+];
 
 type Bad = Box<dyn std::error::Error>;
 
@@ -28,15 +32,25 @@
 /// # Errors
 /// A plot cannot be drawn.
 pub fn page(
-    scenario: &Scenario, title: &str, runs: &[(&str, &Run)], comparison: Option<&Comparison>,
+    scenario: &Scenario,
+    title: &str,
+    runs: &[(&str, &Run)],
+    comparison: Option<&Comparison>,
 ) -> Result<String, Bad> {
     let mut plots = Vec::new();
-    let seconds = runs.iter().map(|(_, r)| r.outcome.seconds.len()).max().unwrap_or(0);
+    let seconds = runs
+        .iter()
+        .map(|(_, r)| r.outcome.seconds.len())
+        .max()
+        .unwrap_or(0);
     let step = seconds.div_ceil(POINTS).max(1);
     let series = |of: &dyn Fn(&[crate::service::Second]) -> f64| -> Vec<Line> {
         let line = |(name, run): &(&str, &Run)| {
             let chunks = run.outcome.seconds.chunks(step).enumerate();
-            Line { name: name.to_string(), points: chunks.map(|(n, c)| ((n * step) as f64, of(c))).collect() }
+            Line {
+                name: name.to_string(),
+                points: chunks.map(|(n, c)| ((n * step) as f64, of(c))).collect(),
+            }
         };
         runs.iter().map(line).collect()
     };
@@ -45,19 +59,33 @@
     };
     let earned = series(&|c| {
         let asked = sum(c, &|s| s.asked);
-        if asked > 0.0 { sum(c, &|s| s.earned) / asked } else { 1.0 }
+        if asked > 0.0 {
+            sum(c, &|s| s.earned) / asked
+        } else {
+            1.0
+        }
     });
     let marks = marks(scenario);
-    plots.push(("Share of the worth earned", chart(&earned, Some(0.0..1.02), &marks)?));
+    plots.push((
+        "Share of the worth earned",
+        chart(&earned, Some(0.0..1.02), &marks)?,
+    ));
     let rate = series(&|c| sum(c, &|s| f64::from(s.first)) / c.len() as f64);
     plots.push(("First tries a second", chart(&rate, None, &marks)?));
     let refused = series(&|c| sum(c, &|s| f64::from(s.ends[2])) / c.len() as f64);
-    plots.push(("Jobs refused for good, a second", chart(&refused, None, &marks)?));
+    plots.push((
+        "Jobs refused for good, a second",
+        chart(&refused, None, &marks)?,
+    ));
     let retries = series(&|c| sum(c, &|s| f64::from(s.retries)) / c.len() as f64);
     plots.push(("Clients' retries a second", chart(&retries, None, &marks)?));
     let took = series(&|c| {
         let served = sum(c, &|s| f64::from(s.ends[0] + s.ends[1]));
-        if served > 0.0 { sum(c, &|s| s.took_ms) / served } else { 0.0 }
+        if served > 0.0 {
+            sum(c, &|s| s.took_ms) / served
+        } else {
+            0.0
+        }
     });
     plots.push(("Mean time to the answer, ms", chart(&took, None, &marks)?));
     for (name, run) in runs {
@@ -66,7 +94,10 @@
     let latency: Vec<_> = runs
         .iter()
         .flat_map(|(name, run)| {
-            run.outcome.latency.iter().map(move |(of, row)| (name.to_string(), of.clone(), *row))
+            run.outcome
+                .latency
+                .iter()
+                .map(move |(of, row)| (name.to_string(), of.clone(), *row))
         })
         .collect();
     let mut env = Environment::new();
@@ -79,14 +110,18 @@
             "name": name, "outcome": summary(&run.outcome), "verdict": run.verdict, "kept": run.verdict.kept()
         })).collect::<Vec<_>>(),
     });
-    let text =
-        env.get_template("page.html")?.render(minijinja::Value::from(minijinja::value::Serde(data)))?;
+    let text = env
+        .get_template("page.html")?
+        .render(minijinja::Value::from(minijinja::value::Serde(data)))?;
     Ok(text)
 }
 
 /// An outcome without its seconds, which the plots show.
 fn summary(outcome: &crate::service::Outcome) -> crate::service::Outcome {
-    crate::service::Outcome { seconds: Vec::new(), ..outcome.clone() }
+    crate::service::Outcome {
+        seconds: Vec::new(),
+        ..outcome.clone()
+    }
 }
 
 fn trouble(t: &crate::scenario::Trouble) -> String {
@@ -104,13 +139,18 @@
             );
         }
     };
-    format!("from {} s on, for {} s, job workers {:?} {what}", t.at_s, t.for_s, t.workers)
+    format!(
+        "from {} s on, for {} s, job workers {:?} {what}",
+        t.at_s, t.for_s, t.workers
+    )
 }
 
 /// Where troubles and jumps lie in time.
 fn marks(scenario: &Scenario) -> Vec<Range<f64>> {
     let troubles = scenario.troubles.iter().map(|t| t.at_s..t.at_s + t.for_s);
-    troubles.chain(scenario.load.jumps.iter().map(|j| j.at_s..j.at_s + j.for_s)).collect()
+    troubles
+        .chain(scenario.load.jumps.iter().map(|j| j.at_s..j.at_s + j.for_s))
+        .collect()
 }
 
 fn chart(lines: &[Line], range: Option<Range<f64>>, marks: &[Range<f64>]) -> Result<String, Bad> {
@@ -118,8 +158,16 @@
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         area.fill(&WHITE)?;
-        let end = lines.iter().filter_map(|l| l.points.last()).map(|p| p.0).fold(1.0, f64::max);
-        let top = lines.iter().flat_map(|l| &l.points).map(|p| p.1).fold(0.0, f64::max);
+        let end = lines
+            .iter()
+            .filter_map(|l| l.points.last())
+            .map(|p| p.0)
+            .fold(1.0, f64::max);
+        let top = lines
+            .iter()
+            .flat_map(|l| &l.points)
+            .map(|p| p.1)
+            .fold(0.0, f64::max);
         let range = range.unwrap_or(0.0..(top * 1.1).max(1.0));
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
@@ -128,13 +176,22 @@
             .build_cartesian_2d(0.0..end, range.clone())?;
         chart.draw_series(marks.iter().map(|m| {
             let to = m.end.max(m.start + end / 400.0).min(end);
-            Rectangle::new([(m.start, range.start), (to, range.end)], RGBColor(255, 225, 190).filled())
+            Rectangle::new(
+                [(m.start, range.start), (to, range.end)],
+                RGBColor(255, 225, 190).filled(),
+            )
         }))?;
-        chart.configure_mesh().x_desc("s").light_line_style(RGBColor(238, 238, 238)).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc("s")
+            .light_line_style(RGBColor(238, 238, 238))
+            .draw()?;
         for (n, line) in lines.iter().enumerate() {
             let colour = COLOURS[n % COLOURS.len()];
-            let drawn =
-                chart.draw_series(LineSeries::new(line.points.iter().copied(), colour.stroke_width(1)))?;
+            let drawn = chart.draw_series(LineSeries::new(
+                line.points.iter().copied(),
+                colour.stroke_width(1),
+            ))?;
             drawn
                 .label(line.name.as_str())
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
@@ -157,8 +214,8 @@
     {
         let seconds = &run.outcome.seconds;
         let workers = seconds.first().map_or(0, |s| s.begun.len()).max(1);
-        let area =
-            SVGBackend::with_string(&mut svg, (SIZE.0, 60 + 16 * workers.min(40) as u32)).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, (SIZE.0, 60 + 16 * workers.min(40) as u32))
+            .into_drawing_area();
         area.fill(&WHITE)?;
         let end = seconds.len().max(1) as f64;
         let mut chart = ChartBuilder::on(&area)
@@ -172,7 +229,10 @@
             .enumerate()
             .flat_map(|(n, chunk)| {
                 let count = move |w: usize| {
-                    chunk.iter().map(|s| f64::from(s.begun.get(w).copied().unwrap_or(0))).sum::<f64>()
+                    chunk
+                        .iter()
+                        .map(|s| f64::from(s.begun.get(w).copied().unwrap_or(0)))
+                        .sum::<f64>()
                 };
                 (0..workers).map(move |w| ((n * step) as f64, w, count(w) / chunk.len() as f64))
             })
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -22,7 +22,11 @@
 pub fn read(text: &str) -> Result<Scenario, String> {
     let scenario: Scenario = document::read("scenario", text).map_err(|wrong| wrong.join("\n"))?;
     let wrong = scenario.wrong();
-    if wrong.is_empty() { Ok(scenario) } else { Err(wrong.join("\n")) }
+    if wrong.is_empty() {
+        Ok(scenario)
+    } else {
+        Err(wrong.join("\n"))
+    }
 }
 
 impl Scenario {
@@ -52,7 +56,11 @@
     pub fn speed_of(&self, worker: u32) -> f64 {
         let [low, high] = self.kinds[self.kind_of(worker)].speed;
         low + (high - low)
-            * crate::random::unit(&mut crate::random::draw(self.fleet_seed, worker.into(), 0x59eed))
+            * crate::random::unit(&mut crate::random::draw(
+                self.fleet_seed,
+                worker.into(),
+                0x59eed,
+            ))
     }
 
     /// The kitchen whose schedulers a job's client calls.
@@ -60,7 +68,9 @@
         let zones = self.zones.len() as u32;
         let of = parish.map(|p| {
             let named = self.parishes[p as usize].zone.as_ref();
-            named.and_then(|z| self.zones.iter().position(|o| o == z)).map_or(p % zones, |z| z as u32)
+            named
+                .and_then(|z| self.zones.iter().position(|o| o == z))
+                .map_or(p % zones, |z| z as u32)
         });
         of.unwrap_or((number % u64::from(zones)) as u32)
     }
@@ -69,7 +79,11 @@
     pub fn scheduler_of(&self, zone: u32, turn: u32) -> u32 {
         let (zones, all) = (self.zones.len() as u32, self.schedulers);
         let own = (all + zones - 1 - zone) / zones;
-        if own == 0 { turn % all } else { zone + zones * (turn % own) }
+        if own == 0 {
+            turn % all
+        } else {
+            zone + zones * (turn % own)
+        }
     }
 
     /// When it starts, in microseconds since 1970.
@@ -79,24 +93,37 @@
 
     /// First tries a second that the fleet can do when warm, for the quota of each parish.
     pub fn capacity(&self) -> f64 {
-        let cores: f64 =
-            self.kinds.iter().map(|k| f64::from(k.count * k.cores) * (k.speed[0] + k.speed[1]) / 2.0).sum();
+        let cores: f64 = self
+            .kinds
+            .iter()
+            .map(|k| f64::from(k.count * k.cores) * (k.speed[0] + k.speed[1]) / 2.0)
+            .sum();
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
-        let work: f64 =
-            self.classes.iter().map(|c| c.share / shares * c.work_ms / 1e3 * c.mean_slots()).sum();
+        let work: f64 = self
+            .classes
+            .iter()
+            .map(|c| c.share / shares * c.work_ms / 1e3 * c.mean_slots())
+            .sum();
         cores / work
     }
 
     /// Running time of a job at speed 1, on the mean over all classes.
     pub fn mean_work(&self) -> Micros {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
-        (self.classes.iter().map(|c| c.share / shares * c.work_ms * 1e3).sum::<f64>()) as Micros
+        (self
+            .classes
+            .iter()
+            .map(|c| c.share / shares * c.work_ms * 1e3)
+            .sum::<f64>()) as Micros
     }
 
     /// The same times its slots: what a job takes of a job worker, on the mean, in microseconds at speed 1.
     pub fn mean_total_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
-        self.classes.iter().map(|c| c.share / shares * c.work_ms * 1e3 * c.mean_slots()).sum()
+        self.classes
+            .iter()
+            .map(|c| c.share / shares * c.work_ms * 1e3 * c.mean_slots())
+            .sum()
     }
 }
 
@@ -104,7 +131,11 @@
     /// Slots of a job on the mean.
     pub fn mean_slots(&self) -> f64 {
         let all: f64 = self.slots.iter().sum();
-        self.slots.iter().enumerate().map(|(n, s)| s / all * f64::from(1u32 << n.min(16))).sum()
+        self.slots
+            .iter()
+            .enumerate()
+            .map(|(n, s)| s / all * f64::from(1u32 << n.min(16)))
+            .sum()
     }
 
     /// How long a client waits.
--- a/crates/lab/src/scenario/form.rs
+++ b/crates/lab/src/scenario/form.rs
@@ -137,7 +137,13 @@
 
 impl Default for Machines {
     fn default() -> Self {
-        Machines { order: Order::InOrder, cancel: false, copies: true, reports: true, things: None }
+        Machines {
+            order: Order::InOrder,
+            cancel: false,
+            copies: true,
+            reports: true,
+            things: None,
+        }
     }
 }
 
@@ -268,7 +274,12 @@
 
 impl Default for Network {
     fn default() -> Self {
-        Network { same_ms: 0.2, cross_ms: 2.5, client_ms: 0.5, jitter: 0.2 }
+        Network {
+            same_ms: 0.2,
+            cross_ms: 2.5,
+            client_ms: 0.5,
+            jitter: 0.2,
+        }
     }
 }
 
@@ -326,7 +337,11 @@
 
 impl Default for Discovery {
     fn default() -> Self {
-        Discovery { notice_ms: 1_500, silent_notice_ms: 8_000, call_ms: 30 }
+        Discovery {
+            notice_ms: 1_500,
+            silent_notice_ms: 8_000,
+            call_ms: 30,
+        }
     }
 }
 
@@ -460,7 +475,12 @@
 
 impl Default for Prices {
     fn default() -> Self {
-        Prices { cross_zone: 0.03, waste: 0.023, probe: 0.0025, late_fail: 0.072 }
+        Prices {
+            cross_zone: 0.03,
+            waste: 0.023,
+            probe: 0.0025,
+            late_fail: 0.072,
+        }
     }
 }
 
@@ -478,6 +498,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1_024, memory_mb: 192, tick_ms: 2.0 }
+        Limits {
+            sockets: 1_024,
+            memory_mb: 192,
+            tick_ms: 2.0,
+        }
     }
 }
--- a/crates/lab/src/scenario/wrong.rs
+++ b/crates/lab/src/scenario/wrong.rs
@@ -7,7 +7,12 @@
     pub(super) fn wrong(&self) -> Vec<String> {
         let mut wrong = Vec::new();
         let workers = self.workers();
-        let twice = |names: Vec<&str>| names.iter().enumerate().any(|(n, name)| names[..n].contains(name));
+        let twice = |names: Vec<&str>| {
+            names
+                .iter()
+                .enumerate()
+                .any(|(n, name)| names[..n].contains(name))
+        };
         if twice(self.classes.iter().map(|c| c.name.as_str()).collect()) {
             wrong.push("at /classes: two have the same name".to_string());
         }
@@ -16,21 +21,30 @@
         }
         for (n, p) in self.parishes.iter().enumerate() {
             if let Some(zone) = p.zone.as_ref().filter(|z| !self.zones.contains(z)) {
-                wrong.push(format!("at /parishes/{n}/zone: {zone:?} is none of the zones {:?}", self.zones));
+                wrong.push(format!(
+                    "at /parishes/{n}/zone: {zone:?} is none of the zones {:?}",
+                    self.zones
+                ));
             }
         }
         for (n, k) in self.kinds.iter().enumerate() {
             if !(k.speed[0] > 0.0 && k.speed[0] <= k.speed[1]) {
-                wrong.push(format!("at /kinds/{n}/speed: wanted are two numbers over 0, the lower first"));
+                wrong.push(format!(
+                    "at /kinds/{n}/speed: wanted are two numbers over 0, the lower first"
+                ));
             }
             if !(k.cold_from > 0.0 && k.cold_from <= 1.0) {
-                wrong.push(format!("at /kinds/{n}/cold-from: wanted is a share over 0 and up to 1"));
+                wrong.push(format!(
+                    "at /kinds/{n}/cold-from: wanted is a share over 0 and up to 1"
+                ));
             }
         }
         if let Some(things) = &self.machines.things
             && !(things.fetch >= 0.0 && things.fetch <= 100.0 && things.at_once > 0.0)
         {
-            wrong.push("at /machines/things: 'fetch' must be 0 to 100, 'at-once' over 0".to_string());
+            wrong.push(
+                "at /machines/things: 'fetch' must be 0 to 100, 'at-once' over 0".to_string(),
+            );
         }
         if workers == 0 {
             wrong.push("at /kinds: there is no job worker".to_string());
--- a/crates/lab/src/service.rs
+++ b/crates/lab/src/service.rs
@@ -59,7 +59,11 @@
 
 impl Worth {
     fn share(self) -> f64 {
-        if self.asked > 0.0 { (self.earned / self.asked).clamp(0.0, 1.0) } else { 1.0 }
+        if self.asked > 0.0 {
+            (self.earned / self.asked).clamp(0.0, 1.0)
+        } else {
+            1.0
+        }
     }
 }
 
@@ -138,15 +142,26 @@
     /// Nothing counted yet.
     pub fn new(scenario: &Scenario) -> Self {
         let capacity = scenario.capacity();
-        let named = |names: Vec<&str>| names.into_iter().map(|n| (n.to_string(), Worth::default())).collect();
+        let named = |names: Vec<&str>| {
+            names
+                .into_iter()
+                .map(|n| (n.to_string(), Worth::default()))
+                .collect()
+        };
         Service {
             from: scenario.from(),
             classes: named(scenario.classes.iter().map(|c| c.name.as_str()).collect()),
             parishes: named(scenario.parishes.iter().map(|p| p.name.as_str()).collect()),
-            quota: scenario.parishes.iter().map(|p| (p.share * capacity, p.share * capacity, 0)).collect(),
+            quota: scenario
+                .parishes
+                .iter()
+                .map(|p| (p.share * capacity, p.share * capacity, 0))
+                .collect(),
             seconds: Vec::new(),
             workers: scenario.workers() as usize,
-            histograms: (0..scenario.classes.len() + scenario.parishes.len()).map(|_| histogram()).collect(),
+            histograms: (0..scenario.classes.len() + scenario.parishes.len())
+                .map(|_| histogram())
+                .collect(),
             late: histogram(),
             counts: [0; 4],
             ends: [0; 4],
@@ -166,7 +181,13 @@
     fn second(&mut self, at: Micros) -> &mut Second {
         let n = (at.saturating_sub(self.from) / 1_000_000).min(100_000) as usize;
         if self.seconds.len() <= n {
-            self.seconds.resize(n + 1, Second { begun: vec![0; self.workers], ..Second::default() });
+            self.seconds.resize(
+                n + 1,
+                Second {
+                    begun: vec![0; self.workers],
+                    ..Second::default()
+                },
+            );
         }
         &mut self.seconds[n]
     }
@@ -233,14 +254,20 @@
             End::Served(at) => {
                 self.work[2] += job.work as f64;
                 let took = at.saturating_sub(job.at);
-                for n in [Some(job.class as usize), job.parish.map(|p| self.classes.len() + p as usize)] {
+                for n in [
+                    Some(job.class as usize),
+                    job.parish.map(|p| self.classes.len() + p as usize),
+                ] {
                     if let Some(h) = n.and_then(|n| self.histograms.get_mut(n)) {
                         h.saturating_record(took.max(1));
                     }
                 }
                 self.second(job.at).took_ms += took as f64 / 1e3;
                 let in_time = took as f64 <= aim;
-                (usize::from(!in_time), worth * if in_time { 1.0 } else { class.late_worth })
+                (
+                    usize::from(!in_time),
+                    worth * if in_time { 1.0 } else { class.late_worth },
+                )
             }
             End::Refused(at) | End::Failed(at) | End::Late(at) => {
                 if at.saturating_sub(job.at) as f64 > aim {
@@ -256,7 +283,10 @@
         second.earned += earned;
         let add = |w: &mut Worth| (w.asked, w.earned) = (w.asked + worth, w.earned + earned);
         add(&mut self.classes[job.class as usize].1);
-        if let Some((_, w)) = job.parish.filter(|_| !job.over).and_then(|p| self.parishes.get_mut(p as usize))
+        if let Some((_, w)) = job
+            .parish
+            .filter(|_| !job.over)
+            .and_then(|p| self.parishes.get_mut(p as usize))
         {
             add(w);
         }
@@ -269,15 +299,30 @@
             earned: part.iter().map(|s| s.earned).sum(),
         };
         // The last seconds hold what ends after the last arrival, and no arrivals.
-        let last = self.seconds.iter().rposition(|s| s.first > 0).map_or(0, |n| n + 1);
+        let last = self
+            .seconds
+            .iter()
+            .rposition(|s| s.first > 0)
+            .map_or(0, |n| n + 1);
         self.seconds.truncate(last.max(1).min(self.seconds.len()));
         let whole = sum(&self.seconds).share();
-        let stretches = self.seconds.windows(STRETCH.min(self.seconds.len()).max(1)).map(|w| sum(w).share());
-        let worst_stretch = stretches.enumerate().map(|(n, s)| (s, n)).min_by(|a, b| a.0.total_cmp(&b.0));
+        let stretches = self
+            .seconds
+            .windows(STRETCH.min(self.seconds.len()).max(1))
+            .map(|w| sum(w).share());
+        let worst_stretch = stretches
+            .enumerate()
+            .map(|(n, s)| (s, n))
+            .min_by(|a, b| a.0.total_cmp(&b.0));
         let worst_stretch = worst_stretch.unwrap_or((1.0, 0));
         let worst = |of: &[(String, Worth)]| {
-            let asked = of.iter().filter(|(_, w)| w.asked > 0.0).map(|(n, w)| (w.share(), n.clone()));
-            asked.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((1.0, String::new()))
+            let asked = of
+                .iter()
+                .filter(|(_, w)| w.asked > 0.0)
+                .map(|(n, w)| (w.share(), n.clone()));
+            asked
+                .min_by(|a, b| a.0.total_cmp(&b.0))
+                .unwrap_or((1.0, String::new()))
         };
         let (worst_class, worst_parish) = (worst(&self.classes), worst(&self.parishes));
         let first = self.counts[0].max(1) as f64;
@@ -290,9 +335,13 @@
             self.prices[3] * per(self.late_worth, all),
         ];
         let parts = [whole, worst_stretch.0, worst_class.0, worst_parish.0];
-        let figure = parts.iter().zip(WEIGHTS).map(|(p, w)| p * w).sum::<f64>() - prices.iter().sum::<f64>();
+        let figure =
+            parts.iter().zip(WEIGHTS).map(|(p, w)| p * w).sum::<f64>() - prices.iter().sum::<f64>();
         let shares = |of: &[(String, Worth)]| {
-            of.iter().filter(|(_, w)| w.asked > 0.0).map(|(n, w)| (n.clone(), w.share())).collect()
+            of.iter()
+                .filter(|(_, w)| w.asked > 0.0)
+                .map(|(n, w)| (n.clone(), w.share()))
+                .collect()
         };
         let names = self.classes.iter().map(|c| format!("class {}", c.0));
         let names = names.chain(self.parishes.iter().map(|p| format!("parish {}", p.0)));
@@ -301,8 +350,11 @@
             let q = [0.5, 0.9, 0.99, 0.999].map(|q| ms(h.value_at_quantile(q)));
             [q[0], q[1], q[2], q[3], ms(h.max()), h.len() as f64]
         };
-        let latency =
-            names.zip(&self.histograms).filter(|(_, h)| !h.is_empty()).map(|(n, h)| (n, row(h))).collect();
+        let latency = names
+            .zip(&self.histograms)
+            .filter(|(_, h)| !h.is_empty())
+            .map(|(n, h)| (n, row(h)))
+            .collect();
         Outcome {
             figure,
             whole,
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -31,7 +31,9 @@
 
 /// Sends all arrivals, and waits for what becomes of them.
 pub async fn send(
-    stage: &Arc<Stage>, arrivals: impl Iterator<Item = Result<Arrival, String>>, addresses: &[SocketAddr],
+    stage: &Arc<Stage>,
+    arrivals: impl Iterator<Item = Result<Arrival, String>>,
+    addresses: &[SocketAddr],
     shift: Micros,
 ) -> Result<(), String> {
     let pools = Arc::new(Pools {
@@ -55,12 +57,24 @@
         stage.clone().start(async move {
             let end = trip(&stage, &pools, &arrival).await;
             let work = arrival.work * u64::from(arrival.slots);
-            let job = Counted { class: arrival.class, parish: arrival.parish, at: arrival.at, work, over };
+            let job = Counted {
+                class: arrival.class,
+                parish: arrival.parish,
+                at: arrival.at,
+                work,
+                over,
+            };
             locked(&stage.service).ended(&stage.scenario, job, end, arrival.work);
             pools.open.fetch_sub(1, Ordering::SeqCst);
         });
     }
-    let longest = stage.scenario.classes.iter().map(|c| c.deadline()).max().unwrap_or(0);
+    let longest = stage
+        .scenario
+        .classes
+        .iter()
+        .map(|c| c.deadline())
+        .max()
+        .unwrap_or(0);
     let until = stage.now() + longest + AFTER.as_micros() as Micros;
     while pools.open.load(Ordering::SeqCst) > 0 && stage.now() < until {
         Timer::after(Duration::from_millis(10)).await;
@@ -84,10 +98,19 @@
         };
         let now = stage.now();
         let next = match stage.retries {
-            Retries::Model => {
-                again(&stage.scenario.clients, effect, said, (stage.seed, a.number), tried, now, until)
-            }
-            Retries::Recorded => recorded.next().map(|after| a.at + after).filter(|at| *at < until),
+            Retries::Model => again(
+                &stage.scenario.clients,
+                effect,
+                said,
+                (stage.seed, a.number),
+                tried,
+                now,
+                until,
+            ),
+            Retries::Recorded => recorded
+                .next()
+                .map(|after| a.at + after)
+                .filter(|at| *at < until),
             Retries::None => None,
         };
         match next {
@@ -100,7 +123,13 @@
 }
 
 /// One try; `None`: the client's time was up.
-async fn one_try(stage: &Arc<Stage>, pools: &Pools, a: &Arrival, tried: u32, until: Micros) -> Option<Said> {
+async fn one_try(
+    stage: &Arc<Stage>,
+    pools: &Pools,
+    a: &Arrival,
+    tried: u32,
+    until: Micros,
+) -> Option<Said> {
     let zone = stage.scenario.home(a.parish, a.number);
     let scheduler = {
         let mut turns = locked(&pools.turn);
@@ -108,7 +137,13 @@
         stage.scenario.scheduler_of(zone, turns[zone as usize])
     };
     let job = pools.next.fetch_add(1, Ordering::SeqCst);
-    locked(&stage.known).insert(job, Known { work: a.work, slots: a.slots });
+    locked(&stage.known).insert(
+        job,
+        Known {
+            work: a.work,
+            slots: a.slots,
+        },
+    );
     let taken = AtomicBool::new(false);
     let ask = async { Some(ask(stage, pools, a, (job, tried, scheduler), until, &taken).await) };
     let up = async {
@@ -119,7 +154,12 @@
     match said {
         Some(Ok(said)) => {
             let (served, refused) = (said == Said::Served, matches!(said, Said::Refused(_)));
-            stage.see(Seen::Answered { job, served, refused, at: stage.now() });
+            stage.see(Seen::Answered {
+                job,
+                served,
+                refused,
+                at: stage.now(),
+            });
             Some(said)
         }
         // Lost, if the scheduler had taken it: that is left without an answer, and the checkers see it.
@@ -134,7 +174,11 @@
 }
 
 async fn ask(
-    stage: &Stage, pools: &Pools, a: &Arrival, (job, tried, scheduler): (u64, u32, u32), until: Micros,
+    stage: &Stage,
+    pools: &Pools,
+    a: &Arrival,
+    (job, tried, scheduler): (u64, u32, u32),
+    until: Micros,
     taken: &AtomicBool,
 ) -> io::Result<Said> {
     let class = &stage.scenario.classes[a.class as usize];
@@ -169,7 +213,12 @@
     };
     let is_taken = || {
         taken.store(true, Ordering::SeqCst);
-        stage.see(Seen::Taken { job, class: a.class, at: stage.now(), until });
+        stage.see(Seen::Taken {
+            job,
+            class: a.class,
+            at: stage.now(),
+            until,
+        });
     };
     let mut answer = match link.write(head.as_bytes()).await {
         Ok(()) => {
@@ -186,7 +235,9 @@
         answer = link.read(true).await;
     }
     let answer = answer?;
-    let after = answer.header("retry-after").and_then(|v| v.parse::<f64>().ok());
+    let after = answer
+        .header("retry-after")
+        .and_then(|v| v.parse::<f64>().ok());
     let said = match answer.status {
         200 => Said::Served,
         429 | 503 => Said::Refused((after.unwrap_or(0.0) * 1e6) as Micros),
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -46,7 +46,10 @@
             version: 1,
             dial: Vec::new(),
         };
-        List { version: 1, hosts: (0..scenario.workers()).map(host).collect() }
+        List {
+            version: 1,
+            hosts: (0..scenario.workers()).map(host).collect(),
+        }
     }
 
     /// Where the schedulers reach a job worker.
@@ -63,7 +66,11 @@
 
     /// What is newer than a version (0: all), for a scheduler; and whom it tells of.
     pub fn since(&self, version: u64, scheduler: u32) -> (Value, Vec<(u32, bool)>) {
-        let newer = self.hosts.iter().enumerate().filter(|(_, h)| h.version > version);
+        let newer = self
+            .hosts
+            .iter()
+            .enumerate()
+            .filter(|(_, h)| h.version > version);
         let newer = newer.filter(|(_, h)| version > 0 || h.health != "Gone");
         let (mut hosts, mut told) = (Vec::new(), Vec::new());
         for (w, h) in newer {
@@ -73,7 +80,10 @@
             );
             told.push((w as u32, h.health == "Ready"));
         }
-        (json!({"seq": self.version, "whole": version == 0, "hosts": hosts}), told)
+        (
+            json!({"seq": self.version, "whole": version == 0, "hosts": hosts}),
+            told,
+        )
     }
 }
 
@@ -99,12 +109,22 @@
 
 async fn serve(stage: &Stage, scheduler: u32, link: &mut Link) -> io::Result<()> {
     let message = link.read(false).await?;
-    let query = message.start.1.split_once('?').map_or("", |(_, q)| q).to_string();
+    let query = message
+        .start
+        .1
+        .split_once('?')
+        .map_or("", |(_, q)| q)
+        .to_string();
     let number = |name: &str| {
         let pairs = query.split('&').filter_map(|p| p.split_once('='));
-        pairs.filter(|(n, _)| *n == name).find_map(|(_, v)| v.parse::<u64>().ok())
+        pairs
+            .filter(|(n, _)| *n == name)
+            .find_map(|(_, v)| v.parse::<u64>().ok())
     };
-    let (index, wait) = (number("index").unwrap_or(0), number("wait").unwrap_or(0).min(60_000));
+    let (index, wait) = (
+        number("index").unwrap_or(0),
+        number("wait").unwrap_or(0).min(60_000),
+    );
     Timer::after(Duration::from_millis(stage.scenario.discovery.call_ms)).await;
     let until = Instant::now() + Duration::from_millis(wait);
     while index > 0 && locked(&stage.list).version <= index && Instant::now() < until {
@@ -112,10 +132,22 @@
     }
     let (list, told) = locked(&stage.list).since(index, scheduler);
     let body = list.to_string();
-    link.write(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes()).await?;
+    link.write(
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+        .as_bytes(),
+    )
+    .await?;
     let at = stage.now();
     for (worker, takes) in told {
-        stage.see(Seen::Told { scheduler, worker, takes, at });
+        stage.see(Seen::Told {
+            scheduler,
+            worker,
+            takes,
+            at,
+        });
         if takes {
             stage.see(Seen::Aware { scheduler, worker });
         }
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -87,12 +87,17 @@
 /// # Errors
 /// The program does not start, a stand-in cannot listen, or the scenario wants what only virtual time has.
 pub fn play(
-    scenario: &Scenario, seed: u64, retries: Retries, program: &Path,
+    scenario: &Scenario,
+    seed: u64,
+    retries: Retries,
+    program: &Path,
     arrivals: impl Iterator<Item = Result<Arrival, String>>,
 ) -> Result<Run, String> {
     let machines = &scenario.machines;
     if machines.things.is_some() || machines.cancel || !machines.copies {
-        return Err("at /machines: 'things', 'cancel' and 'copies' are played in virtual time only".into());
+        return Err(
+            "at /machines: 'things', 'cancel' and 'copies' are played in virtual time only".into(),
+        );
     }
     let tasks = Arc::new(Executor::new());
     let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -104,8 +109,9 @@
             })
         })
         .collect();
-    let unix =
-        SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as Micros);
     let stage = Arc::new(Stage {
         scenario: scenario.clone(),
         seed,
@@ -132,14 +138,25 @@
     }
     let verdict = checker.finish(stage.now());
     let service = std::mem::replace(&mut *locked(&stage.service), Service::new(scenario));
-    Ok(Run { outcome: service.outcome(), verdict, events, ..Run::default() })
+    Ok(Run {
+        outcome: service.outcome(),
+        verdict,
+        events,
+        ..Run::default()
+    })
 }
 
 async fn on_stage(
-    stage: &Arc<Stage>, program: &Path, arrivals: impl Iterator<Item = Result<Arrival, String>>,
+    stage: &Arc<Stage>,
+    program: &Path,
+    arrivals: impl Iterator<Item = Result<Arrival, String>>,
 ) -> Result<(), String> {
-    let discovery = discovery::open(stage).await.map_err(|e| format!("discovery: {e}"))?;
-    let fleet = workers::open(stage).await.map_err(|e| format!("job workers: {e}"))?;
+    let discovery = discovery::open(stage)
+        .await
+        .map_err(|e| format!("discovery: {e}"))?;
+    let fleet = workers::open(stage)
+        .await
+        .map_err(|e| format!("job workers: {e}"))?;
     let mut schedulers = Vec::new();
     for me in 0..stage.scenario.schedulers {
         schedulers.push(program::start(stage, program, me, &discovery[me as usize])?);
@@ -172,16 +189,25 @@
     let notice = Duration::from_millis(stage.scenario.discovery.notice_ms);
     Timer::at(stage.instant(from)).await;
     match trouble.what {
-        What::Hang => trouble.workers.iter().for_each(|w| fleet.stand_still(*w, until)),
+        What::Hang => trouble
+            .workers
+            .iter()
+            .for_each(|w| fleet.stand_still(*w, until)),
         What::Pauses { ms, every_ms } => {
             while stage.now() < until {
                 let end = stage.now() + (ms * 1e3) as Micros;
-                trouble.workers.iter().for_each(|w| fleet.stand_still(*w, end));
+                trouble
+                    .workers
+                    .iter()
+                    .for_each(|w| fleet.stand_still(*w, end));
                 Timer::after(Duration::from_micros((every_ms.max(1.0) * 1e3) as u64)).await;
             }
         }
         What::Slow { times } => {
-            trouble.workers.iter().for_each(|w| fleet.set_pace(*w, 1.0 / times));
+            trouble
+                .workers
+                .iter()
+                .for_each(|w| fleet.set_pace(*w, 1.0 / times));
             Timer::at(stage.instant(until)).await;
             trouble.workers.iter().for_each(|w| fleet.set_pace(*w, 1.0));
         }
@@ -189,7 +215,11 @@
         What::Crash | What::Drain => {
             let crash = trouble.what == What::Crash;
             for w in &trouble.workers {
-                if crash { fleet.crash(*w) } else { fleet.drain(*w) }
+                if crash {
+                    fleet.crash(*w)
+                } else {
+                    fleet.drain(*w)
+                }
             }
             Timer::after(notice).await;
             for w in &trouble.workers {
--- a/crates/lab/src/sockets/program.rs
+++ b/crates/lab/src/sockets/program.rs
@@ -27,11 +27,18 @@
 }
 
 /// Starts a scheduler.
-pub fn start(stage: &Stage, program: &Path, me: u32, discovery: &SocketAddr) -> Result<Program, String> {
+pub fn start(
+    stage: &Stage,
+    program: &Path,
+    me: u32,
+    discovery: &SocketAddr,
+) -> Result<Program, String> {
     let dir = std::env::temp_dir().join(format!("indigofold-lab-{}-{me}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     // A port that is free now; it is taken again at once.
-    let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
+    let free = TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .map_err(|e| e.to_string())?;
     let limits = &stage.scenario.limits;
     let known = locked(&stage.list).since(0, me).0;
     let config = json!({"name": format!("n{me}"), "listen": free.to_string(), "discovery": discovery.to_string(),
@@ -53,7 +60,11 @@
         .stderr(log)
         .spawn()
         .map_err(|e| format!("{}: {e}", program.display()))?;
-    Ok(Program { address: free, child, dir })
+    Ok(Program {
+        address: free,
+        child,
+        dir,
+    })
 }
 
 impl Program {
@@ -64,7 +75,9 @@
             if let Ok(stream) = TcpStream::connect(self.address).await {
                 let mut link = Link::new(stream);
                 let ask = b"GET /-/ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
-                if link.write(ask).await.is_ok() && link.read(true).await.is_ok_and(|a| a.status == 200) {
+                if link.write(ask).await.is_ok()
+                    && link.read(true).await.is_ok_and(|a| a.status == 200)
+                {
                     return Ok(());
                 }
             }
@@ -72,7 +85,9 @@
         }
         let log = std::fs::read_to_string(self.dir.join("log")).unwrap_or_default();
         let last: Vec<&str> = log.lines().rev().take(5).collect();
-        Err(format!("a scheduler was not ready within {within:?}; its last lines: {last:#?}"))
+        Err(format!(
+            "a scheduler was not ready within {within:?}; its last lines: {last:#?}"
+        ))
     }
 
     /// How it ended, if it did.
--- a/crates/lab/src/sockets/wire.rs
+++ b/crates/lab/src/sockets/wire.rs
@@ -19,7 +19,10 @@
 impl Message {
     /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 }
 
@@ -33,7 +36,10 @@
     /// Takes over a stream.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Link { stream, kept: Vec::new() }
+        Link {
+            stream,
+            kept: Vec::new(),
+        }
     }
 
     /// Writes all of it.
@@ -81,19 +87,45 @@
     let bad = |_| io::Error::from(ErrorKind::InvalidData);
     let (head, start, status) = if answer {
         let mut read = httparse::Response::new(&mut headers);
-        let httparse::Status::Complete(head) = read.parse(bytes).map_err(bad)? else { return Ok(None) };
+        let httparse::Status::Complete(head) = read.parse(bytes).map_err(bad)? else {
+            return Ok(None);
+        };
         (head, Default::default(), read.code.unwrap_or(0))
     } else {
         let mut read = httparse::Request::new(&mut headers);
-        let httparse::Status::Complete(head) = read.parse(bytes).map_err(bad)? else { return Ok(None) };
+        let httparse::Status::Complete(head) = read.parse(bytes).map_err(bad)? else {
+            return Ok(None);
+        };
         let text = |t: Option<&str>| t.unwrap_or("").to_string();
         (head, (text(read.method), text(read.path)), 0)
     };
     let named = headers.iter().take_while(|h| !h.name.is_empty());
-    let headers: Vec<_> =
-        named.map(|h| (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).into_owned())).collect();
-    let find = |name: &str| headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
-    let length = find("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+    let headers: Vec<_> = named
+        .map(|h| {
+            (
+                h.name.to_ascii_lowercase(),
+                String::from_utf8_lossy(h.value).into_owned(),
+            )
+        })
+        .collect();
+    let find = |name: &str| {
+        headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
+    };
+    let length = find("content-length")
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(0);
     let close = find("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-    Ok(Some((Message { start, status, headers, close }, head, length)))
+    Ok(Some((
+        Message {
+            start,
+            status,
+            headers,
+            close,
+        },
+        head,
+        length,
+    )))
 }
--- a/crates/lab/src/sockets/workers.rs
+++ b/crates/lab/src/sockets/workers.rs
@@ -75,7 +75,12 @@
             }
         })
         .collect();
-    let fleet = Arc::new(Fleet { stage: stage.clone(), machines, next: 1.into(), news: OnceLock::new() });
+    let fleet = Arc::new(Fleet {
+        stage: stage.clone(),
+        machines,
+        next: 1.into(),
+        news: OnceLock::new(),
+    });
     for w in 0..stage.scenario.workers() {
         fleet.listen(w).await?;
         stage.start(fleet.clone().run(w));
@@ -109,7 +114,8 @@
         let mut addresses = Vec::new();
         for scheduler in 0..self.stage.scenario.schedulers {
             let at = before.get(scheduler as usize).copied();
-            let listener = TcpListener::bind(at.unwrap_or_else(|| ([127, 0, 0, 1], 0).into())).await?;
+            let listener =
+                TcpListener::bind(at.unwrap_or_else(|| ([127, 0, 0, 1], 0).into())).await?;
             addresses.push(listener.local_addr()?);
             let fleet = self.clone();
             self.stage.start(async move {
@@ -121,8 +127,15 @@
                         }
                         None
                     };
-                    let Some((stream, _)) = smol::future::or(accept, gone).await else { return };
-                    fleet.stage.start(fleet.clone().connection(w, scheduler, life, Link::new(stream)));
+                    let Some((stream, _)) = smol::future::or(accept, gone).await else {
+                        return;
+                    };
+                    fleet.stage.start(fleet.clone().connection(
+                        w,
+                        scheduler,
+                        life,
+                        Link::new(stream),
+                    ));
                 }
             });
         }
@@ -132,7 +145,10 @@
     }
 
     fn alive(&self, w: u32, life: u64) -> bool {
-        self.machine(w).life.load(std::sync::atomic::Ordering::SeqCst) == life
+        self.machine(w)
+            .life
+            .load(std::sync::atomic::Ordering::SeqCst)
+            == life
     }
 
     async fn connection(self: Arc<Self>, w: u32, scheduler: u32, life: u64, mut link: Link) {
@@ -165,8 +181,14 @@
             ("GET", "/-/healthy" | "/-/load") => {
                 locked(&self.stage.service).probe();
                 let r = locked(&machine.worker).report();
-                let body = format!("{{\"queue\":{},\"inflight\":{},\"x0\":{}}}", r.queue, r.inflight, r.free);
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+                let body = format!(
+                    "{{\"queue\":{},\"inflight\":{},\"x0\":{}}}",
+                    r.queue, r.inflight, r.free
+                );
+                format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                    body.len()
+                )
             }
             ("DELETE", _) => empty("204 No Content"), // it stops nothing
             ("POST", _) => {
@@ -193,15 +215,42 @@
         let total = known.work * u64::from(known.slots);
         let crosses = self.stage.scenario.zone_of(scheduler) != self.stage.scenario.zone_of(w);
         locked(&self.stage.service).attempt(begun, crosses);
-        self.stage.see_at(begun, Seen::Sent { job, scheduler, worker: w, at: begun, work: total });
+        self.stage.see_at(
+            begun,
+            Seen::Sent {
+                job,
+                scheduler,
+                worker: w,
+                at: begun,
+                work: total,
+            },
+        );
         let ticket = self.next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         // Known before it is offered: it may start at once.
-        locked(&machine.held).insert(ticket, Held { job, scheduler, total });
-        let offer = locked(&machine.worker)
-            .offer(now, Job { ticket, work: known.work, slots: known.slots, ..Job::default() });
+        locked(&machine.held).insert(
+            ticket,
+            Held {
+                job,
+                scheduler,
+                total,
+            },
+        );
+        let offer = locked(&machine.worker).offer(
+            now,
+            Job {
+                ticket,
+                work: known.work,
+                slots: known.slots,
+                ..Job::default()
+            },
+        );
         match offer {
             Offer::Taken => {
-                self.stage.see(Seen::Runs { job, worker: w, at: now });
+                self.stage.see(Seen::Runs {
+                    job,
+                    worker: w,
+                    at: now,
+                });
                 let _ = machine.wake.0.try_send(());
             }
             Offer::Full => _ = locked(&machine.held).remove(&ticket),
@@ -248,13 +297,22 @@
             true => locked(&machine.held).remove(&ticket),
             false => locked(&machine.held).get(&ticket).copied(),
         };
-        let Some(Held { job, scheduler, total }) = held else { return };
+        let Some(Held {
+            job,
+            scheduler,
+            total,
+        }) = held
+        else {
+            return;
+        };
         let more = match event {
             Event::Started(_) => {
                 locked(&self.stage.service).begun(now, w);
                 "\"started\"".to_string()
             }
-            Event::Progress(_, share) => format!("\"running\",\"share\":{:.3}", f64::from(share) / 1000.0),
+            Event::Progress(_, share) => {
+                format!("\"running\",\"share\":{:.3}", f64::from(share) / 1000.0)
+            }
             Event::Done(_) => {
                 locked(&self.stage.service).ran(total);
                 self.stage.see(Seen::Made { job });
@@ -266,9 +324,14 @@
             }
             Event::Lost(_) => "\"lost\"".into(),
         };
-        let body = format!("{{\"id\":\"{job:016x}\",\"from\":\"{}\",\"state\":{more}}}", name(w));
-        let call =
-            format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let body = format!(
+            "{{\"id\":\"{job:016x}\",\"from\":\"{}\",\"state\":{more}}}",
+            name(w)
+        );
+        let call = format!(
+            "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         if let Some(to) = self.news.get().and_then(|n| n.get(scheduler as usize)) {
             let _ = to.try_send(call);
         }
@@ -296,7 +359,9 @@
     /// A job worker's process dies; its machine's agent says what was lost.
     pub fn crash(&self, w: u32) {
         let machine = self.machine(w);
-        machine.life.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
+        machine
+            .life
+            .fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         locked(&machine.worker).crash();
         self.flush(w);
     }
@@ -305,7 +370,9 @@
         let mut happened = Vec::new();
         locked(&self.machine(w).worker).take(&mut happened);
         let now = self.stage.now();
-        happened.into_iter().for_each(|event| self.tell(w, now, event));
+        happened
+            .into_iter()
+            .for_each(|event| self.tell(w, now, event));
     }
 
     /// A job worker's process starts anew, cold.
@@ -333,7 +400,11 @@
                 if !up || warmth >= 1.0 {
                     return fleet.stage.see(Seen::Warm { worker: w });
                 }
-                fleet.stage.see(Seen::Cold { worker: w, at: now, capacity });
+                fleet.stage.see(Seen::Cold {
+                    worker: w,
+                    at: now,
+                    capacity,
+                });
                 Timer::after(WARM).await;
             }
         });
--- a/crates/lab/src/store.rs
+++ b/crates/lab/src/store.rs
@@ -18,7 +18,11 @@
 impl Store {
     /// One that serves so many fetches at once at full speed.
     pub fn new(at_once: f64) -> Self {
-        Store { at_once: at_once.max(0.01), under_way: Vec::new(), fetches: 0 }
+        Store {
+            at_once: at_once.max(0.01),
+            under_way: Vec::new(),
+            fetches: 0,
+        }
     }
 
     /// A fetch begins that takes so long by itself: how long it takes.
@@ -48,7 +52,11 @@
 impl Shelf {
     /// An empty one with room for so many things.
     pub fn new(store: Arc<Mutex<Store>>, room: usize) -> Self {
-        Shelf { store, room: room.max(1), kept: Vec::new() }
+        Shelf {
+            store,
+            room: room.max(1),
+            kept: Vec::new(),
+        }
     }
 
     /// Has it this thing, or is it on its way here?
@@ -61,7 +69,11 @@
         let there = match self.kept.iter().position(|(other, _)| *other == thing) {
             Some(n) => self.kept.remove(n).1,
             None => {
-                let takes = self.store.lock().unwrap_or_else(PoisonError::into_inner).begin(now, alone);
+                let takes = self
+                    .store
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .begin(now, alone);
                 if self.kept.len() >= self.room {
                     self.kept.remove(0);
                 }
--- a/crates/lab/src/survey/draw.rs
+++ b/crates/lab/src/survey/draw.rs
@@ -3,8 +3,8 @@
 
 use crate::random::{between, draw, unit};
 use crate::scenario::{
-    Class, Clients, Discovery, Effect, Jump, Kind, Limits, Load, Machines, Network, Order, Parish, Prices,
-    Rules, Scenario, Spread, Things, Trouble, What,
+    Class, Clients, Discovery, Effect, Jump, Kind, Limits, Load, Machines, Network, Order, Parish,
+    Prices, Rules, Scenario, Spread, Things, Trouble, What,
 };
 use rand_pcg::Pcg64Mcg;
 
@@ -47,15 +47,27 @@
         share,
         effect,
         work_ms,
-        spread: if chance(rng, 0.3) { Spread::Exponential } else { Spread::Lognormal },
+        spread: if chance(rng, 0.3) {
+            Spread::Exponential
+        } else {
+            Spread::Lognormal
+        },
         cv: between(rng, 0.3, 1.6),
         priority: whole(rng, 0, 1) as i32,
-        slots: if chance(rng, 0.25) { vec![0.8, 0.2] } else { vec![1.0] },
+        slots: if chance(rng, 0.25) {
+            vec![0.8, 0.2]
+        } else {
+            vec![1.0]
+        },
         aim_ms,
         stretch,
         deadline_ms: (usual * between(rng, 1.5, 6.0)).max(400.0) as u64,
         worth: between(rng, 1.0, 10.0),
-        late_worth: if chance(rng, 0.25) { 0.0 } else { between(rng, 0.1, 0.5) },
+        late_worth: if chance(rng, 0.25) {
+            0.0
+        } else {
+            between(rng, 0.1, 0.5)
+        },
     }
 }
 
@@ -76,8 +88,9 @@
 fn some(rng: &mut Pcg64Mcg, all: u32, share: f64) -> Vec<u32> {
     let wanted = ((f64::from(all) * share).round() as u32).clamp(1, all);
     let mut left: Vec<u32> = (0..all).collect();
-    let mut taken: Vec<u32> =
-        (0..wanted).map(|_| left.swap_remove((unit(rng) * left.len() as f64) as usize)).collect();
+    let mut taken: Vec<u32> = (0..wanted)
+        .map(|_| left.swap_remove((unit(rng) * left.len() as f64) as usize))
+        .collect();
     taken.sort_unstable();
     taken
 }
@@ -85,7 +98,10 @@
 fn troubles(rng: &mut Pcg64Mcg, workers: u32, seconds: f64) -> Vec<Trouble> {
     let mut troubles = Vec::new();
     for _ in 0..whole(rng, 0, 3) {
-        let (at_s, for_s) = (between(rng, 2.0, seconds * 0.6), between(rng, 3.0, seconds * 0.4));
+        let (at_s, for_s) = (
+            between(rng, 2.0, seconds * 0.6),
+            between(rng, 3.0, seconds * 0.4),
+        );
         let (part, of) = (between(rng, 0.05, 0.25), whole(rng, 0, 5));
         let picked = some(rng, workers, part);
         let what = match of {
@@ -98,17 +114,39 @@
                     let workers: Vec<u32> = (0..workers).filter(|w| w % 6 == n).collect();
                     let at_s = at_s + f64::from(n) * step;
                     if !workers.is_empty() {
-                        troubles.push(Trouble { at_s, for_s: step, workers, what: What::Drain });
+                        troubles.push(Trouble {
+                            at_s,
+                            for_s: step,
+                            workers,
+                            what: What::Drain,
+                        });
                     }
                 }
                 continue;
             }
-            3 => What::Slow { times: between(rng, 2.0, 8.0) },
-            4 => What::HotThings { share: between(rng, 0.06, 0.25), things: whole(rng, 1, 3) },
-            _ => What::Pauses { ms: between(rng, 30.0, 250.0), every_ms: between(rng, 400.0, 3_000.0) },
+            3 => What::Slow {
+                times: between(rng, 2.0, 8.0),
+            },
+            4 => What::HotThings {
+                share: between(rng, 0.06, 0.25),
+                things: whole(rng, 1, 3),
+            },
+            _ => What::Pauses {
+                ms: between(rng, 30.0, 250.0),
+                every_ms: between(rng, 400.0, 3_000.0),
+            },
         };
-        let workers = if matches!(what, What::HotThings { .. }) { Vec::new() } else { picked };
-        troubles.push(Trouble { at_s, for_s, workers, what });
+        let workers = if matches!(what, What::HotThings { .. }) {
+            Vec::new()
+        } else {
+            picked
+        };
+        troubles.push(Trouble {
+            at_s,
+            for_s,
+            workers,
+            what,
+        });
     }
     troubles
 }
@@ -119,7 +157,11 @@
     let zones = (0..whole(rng, 1, 3)).map(|n| format!("room-{n}")).collect();
     let classes = whole(rng, 1, 4);
     let classes = shares(rng, classes);
-    let classes: Vec<Class> = classes.iter().enumerate().map(|(n, s)| class(rng, n, *s)).collect();
+    let classes: Vec<Class> = classes
+        .iter()
+        .enumerate()
+        .map(|(n, s)| class(rng, n, *s))
+        .collect();
     let workers = log_between(rng, 4.0, 40.0) as u32;
     let kinds = whole(rng, 1, workers.min(4));
     let counts = shares(rng, kinds);
@@ -130,8 +172,12 @@
         .collect();
     let parishes = whole(rng, 1, 5);
     let parishes = shares(rng, parishes).into_iter().enumerate();
-    let parishes =
-        parishes.map(|(n, share)| Parish { name: format!("office-{n}"), share, usage: 1.0, zone: None });
+    let parishes = parishes.map(|(n, share)| Parish {
+        name: format!("office-{n}"),
+        share,
+        usage: 1.0,
+        zone: None,
+    });
     let slots: u32 = kinds.iter().map(|k| k.count * k.cores).sum();
     let things = chance(rng, 0.5).then(|| Things {
         kept: whole(rng, 2, 12),
@@ -140,7 +186,13 @@
     });
     let (cancel, reports) = (chance(rng, 0.6), chance(rng, 0.5));
     let order = [Order::InOrder, Order::WhateverFits, Order::Priority][whole(rng, 0, 2) as usize];
-    let machines = Machines { order, cancel, copies: chance(rng, 0.5), reports, things };
+    let machines = Machines {
+        order,
+        cancel,
+        copies: chance(rng, 0.5),
+        reports,
+        things,
+    };
     let mut scenario = Scenario {
         version: 1,
         name: format!("survey {seed}, deployment {number}"),
@@ -152,7 +204,10 @@
         classes,
         parishes: parishes.collect(),
         kinds,
-        network: Network { cross_ms: between(rng, 0.5, 4.0), ..Network::default() },
+        network: Network {
+            cross_ms: between(rng, 0.5, 4.0),
+            ..Network::default()
+        },
         clients: Clients {
             retries: whole(rng, 0, 3),
             backoff_ms: between(rng, 20.0, 200.0),
@@ -161,13 +216,25 @@
             ..Clients::default()
         },
         machines,
-        discovery: Discovery { notice_ms: between(rng, 300.0, 4_000.0) as u64, ..Discovery::default() },
+        discovery: Discovery {
+            notice_ms: between(rng, 300.0, 4_000.0) as u64,
+            ..Discovery::default()
+        },
         load: Load::default(),
         troubles: Vec::new(),
-        rules: Rules { attempts: whole(rng, 2, 4), ..Rules::default() },
-        prices: Prices { cross_zone: between(rng, 0.0, 0.03), ..Prices::default() },
+        rules: Rules {
+            attempts: whole(rng, 2, 4),
+            ..Rules::default()
+        },
+        prices: Prices {
+            cross_zone: between(rng, 0.0, 0.03),
+            ..Prices::default()
+        },
         over_share_worth: 0.2,
-        limits: Limits { tick_ms: between(rng, 1.0, 5.0), ..Limits::default() },
+        limits: Limits {
+            tick_ms: between(rng, 1.0, 5.0),
+            ..Limits::default()
+        },
     };
     let used = between(rng, 0.35, 0.95);
     let rate = scenario.capacity() * used;
@@ -178,8 +245,18 @@
         times: between(rng, 1.2, 2.2),
         edge_s: 0.3,
     };
-    let jumps = if chance(rng, 0.4) { vec![jump] } else { Vec::new() };
-    scenario.load = Load { seconds, rate, swing: between(rng, 0.0, 0.35), swing_s: seconds / 2.0, jumps };
+    let jumps = if chance(rng, 0.4) {
+        vec![jump]
+    } else {
+        Vec::new()
+    };
+    scenario.load = Load {
+        seconds,
+        rate,
+        swing: between(rng, 0.0, 0.35),
+        swing_s: seconds / 2.0,
+        jumps,
+    };
     scenario.troubles = troubles(rng, scenario.workers(), seconds);
     scenario
 }
@@ -198,10 +275,30 @@
         band(used, &[0.55, 0.75], "load"),
         band(f64::from(s.schedulers), &[4.0, 10.0], "schedulers"),
         band(f64::from(s.workers()), &[8.0, 20.0], "workers"),
-        if s.machines.things.is_some() { "things kept" } else { "nothing kept" }.into(),
-        if s.machines.reports { "load reports" } else { "no load reports" }.into(),
-        if s.machines.copies { "copies allowed" } else { "no copies" }.into(),
-        if s.machines.cancel { "cancel stops" } else { "cancel does not stop" }.into(),
+        if s.machines.things.is_some() {
+            "things kept"
+        } else {
+            "nothing kept"
+        }
+        .into(),
+        if s.machines.reports {
+            "load reports"
+        } else {
+            "no load reports"
+        }
+        .into(),
+        if s.machines.copies {
+            "copies allowed"
+        } else {
+            "no copies"
+        }
+        .into(),
+        if s.machines.cancel {
+            "cancel stops"
+        } else {
+            "cancel does not stop"
+        }
+        .into(),
         match s.machines.order {
             Order::InOrder => "served in order",
             Order::WhateverFits => "whatever fits",
--- a/crates/lab/src/survey/mod.rs
+++ b/crates/lab/src/survey/mod.rs
@@ -26,7 +26,8 @@
 
 /// Student's 97.5% point for 1 to 15 degrees of freedom.
 const STUDENT: [f64; 15] = [
-    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
+    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
+    2.145, 2.131,
 ];
 
 /// What is surveyed.
@@ -88,7 +89,10 @@
     let n = by.len().max(1) as f64;
     let mean = by.iter().sum::<f64>() / n;
     let spread = by.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
-    let student = STUDENT.get(by.len().saturating_sub(2)).copied().unwrap_or(1.96);
+    let student = STUDENT
+        .get(by.len().saturating_sub(2))
+        .copied()
+        .unwrap_or(1.96);
     let half = student * (spread / n).sqrt();
     (mean, [mean - half, mean + half])
 }
@@ -97,10 +101,17 @@
     /// The module against the best of the others; `None` where one of them was not played.
     pub fn against(&self) -> Option<Against> {
         let module = self.played.get(&Policy::Module)?;
-        let plain = self.played.iter().filter(|(p, _)| **p != Policy::Module && !p.knows_all());
+        let plain = self
+            .played
+            .iter()
+            .filter(|(p, _)| **p != Policy::Module && !p.knows_all());
         let (best, of) = plain.max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()))?;
         let (by, interval) = paired(&module.figures, &of.figures);
-        Some(Against { best: *best, by, interval })
+        Some(Against {
+            best: *best,
+            by,
+            interval,
+        })
     }
 }
 
@@ -120,8 +131,12 @@
         let mut of = Played::default();
         let mut sums = [0.0; 6];
         for n in 0..plan.runs {
-            let run = play(&scenario, *policy, plan.seed ^ (number << 8) ^ u64::from(n) << 56)
-                .map_err(|e| format!("deployment {number}, {}: {e}", policy.name()))?;
+            let run = play(
+                &scenario,
+                *policy,
+                plan.seed ^ (number << 8) ^ u64::from(n) << 56,
+            )
+            .map_err(|e| format!("deployment {number}, {}: {e}", policy.name()))?;
             of.figures.push(run.outcome.figure);
             for (rule, count) in &run.verdict.breaches {
                 *of.breaches.entry(format!("{rule:?}")).or_default() += count;
@@ -137,19 +152,30 @@
                 run.fetches as f64 / jobs,
                 run.outcome.counts[2] as f64 / jobs,
             ];
-            sums.iter_mut().zip(all).for_each(|(s, a)| *s += a / f64::from(plan.runs));
+            sums.iter_mut()
+                .zip(all)
+                .for_each(|(s, a)| *s += a / f64::from(plan.runs));
         }
         of.shares = sums;
         played.insert(*policy, of);
     }
-    Ok(Row { number, traits: draw::traits(&scenario), played })
+    Ok(Row {
+        number,
+        traits: draw::traits(&scenario),
+        played,
+    })
 }
 
 /// Rows that a file holds already, and the file, at its end. A last line that is not whole is written anew.
 fn resume(path: &Path, plan: &Plan) -> Result<(BTreeMap<u64, Row>, File), String> {
     let say = |e: std::io::Error| format!("{}: {e}", path.display());
-    let mut file =
-        OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path).map_err(say)?;
+    let mut file = OpenOptions::new()
+        .read(true)
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .open(path)
+        .map_err(say)?;
     let (mut rows, mut whole, mut first) = (BTreeMap::new(), 0, true);
     for line in BufReader::new(&file).split(b'\n') {
         let line = line.map_err(say)?;
@@ -167,7 +193,9 @@
                 ));
             }
         } else {
-            let Ok(row) = serde_json::from_slice::<Row>(&line) else { break };
+            let Ok(row) = serde_json::from_slice::<Row>(&line) else {
+                break;
+            };
             rows.insert(row.number, row);
         }
         whole += line.len() as u64 + 1;
@@ -189,12 +217,21 @@
 /// # Errors
 /// The file cannot be used, or a deployment not be played.
 pub fn survey(
-    plan: &Plan, count: u64, threads: usize, path: &Path, progress: impl Fn(u64) + Sync,
+    plan: &Plan,
+    count: u64,
+    threads: usize,
+    path: &Path,
+    progress: impl Fn(u64) + Sync,
 ) -> Result<Vec<Row>, String> {
     if !(RUNS.0..=RUNS.1).contains(&plan.runs) {
-        return Err(format!("{} runs given, {} to {} are allowed", plan.runs, RUNS.0, RUNS.1));
+        return Err(format!(
+            "{} runs given, {} to {} are allowed",
+            plan.runs, RUNS.0, RUNS.1
+        ));
     }
-    if !plan.policies.contains(&Policy::Module) || plan.policies.iter().all(|p| *p == Policy::Module) {
+    if !plan.policies.contains(&Policy::Module)
+        || plan.policies.iter().all(|p| *p == Policy::Module)
+    {
         return Err("the module and one more policy at least are wanted".into());
     }
     let (rows, file) = resume(path, plan)?;
@@ -205,13 +242,17 @@
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, 256) {
             scope.spawn(|| {
-                while let Some(number) = missing.get(next.fetch_add(1, Ordering::Relaxed) as usize) {
+                while let Some(number) = missing.get(next.fetch_add(1, Ordering::Relaxed) as usize)
+                {
                     let row = row(plan, *number);
                     let mut found = lock();
                     let written = row.and_then(|row| {
                         let mut line = serde_json::to_vec(&row).map_err(|e| e.to_string())?;
                         line.push(b'\n');
-                        found.1.write_all(&line).map_err(|e| format!("{}: {e}", path.display()))?;
+                        found
+                            .1
+                            .write_all(&line)
+                            .map_err(|e| format!("{}: {e}", path.display()))?;
                         found.0.insert(*number, row);
                         Ok(())
                     });
@@ -229,7 +270,10 @@
     let (rows, _, error) = found.into_inner().unwrap_or_else(PoisonError::into_inner);
     match error {
         Some(why) => Err(why),
-        None => Ok(rows.into_values().filter(|row| row.number < count).collect()),
+        None => Ok(rows
+            .into_values()
+            .filter(|row| row.number < count)
+            .collect()),
     }
 }
 
@@ -254,14 +298,19 @@
 
 /// Sums up; `worst`: so many are named.
 pub fn summary(rows: &[Row], worst: usize) -> Summary {
-    let mut s = Summary { count: rows.len(), ..Summary::default() };
+    let mut s = Summary {
+        count: rows.len(),
+        ..Summary::default()
+    };
     let mut by: Vec<(f64, u64)> = Vec::new();
     for row in rows {
         for (policy, of) in &row.played {
             *s.broke.entry(*policy).or_default() += usize::from(!of.breaches.is_empty());
             *s.means.entry(*policy).or_default() += of.mean() / rows.len() as f64;
         }
-        let Some(against) = row.against() else { continue };
+        let Some(against) = row.against() else {
+            continue;
+        };
         s.ahead[0] += usize::from(against.by > 0.0);
         s.ahead[1] += usize::from(against.interval[0] > 0.0);
         s.behind[0] += usize::from(against.by < 0.0);
@@ -273,7 +322,9 @@
             of.2 += usize::from(against.by < 0.0);
         }
     }
-    s.traits.values_mut().for_each(|of| of.1 /= of.0.max(1) as f64);
+    s.traits
+        .values_mut()
+        .for_each(|of| of.1 /= of.0.max(1) as f64);
     by.sort_by(|a, b| a.0.total_cmp(&b.0));
     s.worst = by.iter().take(worst).map(|(_, number)| *number).collect();
     s
--- a/crates/lab/src/survey/page.rs
+++ b/crates/lab/src/survey/page.rs
@@ -29,14 +29,28 @@
     );
     let _ = writeln!(out, "\n{:14} {:>8} {:>12}", "policy", "mean", "broke rules");
     for (policy, mean) in &s.means {
-        let _ = writeln!(out, "{:14} {:8.4} {:12}", policy.name(), mean, s.broke.get(policy).unwrap_or(&0));
+        let _ = writeln!(
+            out,
+            "{:14} {:8.4} {:12}",
+            policy.name(),
+            mean,
+            s.broke.get(policy).unwrap_or(&0)
+        );
     }
-    let _ = writeln!(out, "\n{:24} {:>6} {:>10} {:>8}", "deployments with", "count", "mean by", "behind");
+    let _ = writeln!(
+        out,
+        "\n{:24} {:>6} {:>10} {:>8}",
+        "deployments with", "count", "mean by", "behind"
+    );
     for (name, (count, by, behind)) in &s.traits {
         let _ = writeln!(out, "{name:24} {count:6} {by:+10.4} {behind:8}");
     }
     let _ = writeln!(out, "\nworst:");
-    for row in s.worst.iter().filter_map(|n| rows.iter().find(|r| r.number == *n)) {
+    for row in s
+        .worst
+        .iter()
+        .filter_map(|n| rows.iter().find(|r| r.number == *n))
+    {
         let Some(a) = row.against() else { continue };
         let module = &row.played[&Policy::Module];
         let _ = writeln!(
@@ -59,9 +73,17 @@
 /// # Errors
 /// A plot cannot be drawn.
 pub fn page(title: &str, rows: &[Row], s: &Summary) -> Result<String, Bad> {
-    let mut sorted: Vec<_> = rows.iter().filter_map(|r| Some((r.number, r.against()?))).collect();
+    let mut sorted: Vec<_> = rows
+        .iter()
+        .filter_map(|r| Some((r.number, r.against()?)))
+        .collect();
     sorted.sort_by(|a, b| a.1.by.total_cmp(&b.1.by));
-    let differences = differences(&sorted.iter().map(|(_, a)| (a.by, a.interval)).collect::<Vec<_>>())?;
+    let differences = differences(
+        &sorted
+            .iter()
+            .map(|(_, a)| (a.by, a.interval))
+            .collect::<Vec<_>>(),
+    )?;
     let figure = |r: &Row, of| r.played.get(&of).map(super::Played::mean);
     let points: Vec<(f64, f64)> = rows
         .iter()
@@ -81,13 +103,18 @@
             json!({"number": r.number, "traits": r.traits, "against": r.against(), "played": played})
         })
         .collect();
-    let means: Vec<_> =
-        s.means.iter().map(|(p, m)| json!({"name": p.name(), "mean": m, "broke": s.broke.get(p)})).collect();
+    let means: Vec<_> = s
+        .means
+        .iter()
+        .map(|(p, m)| json!({"name": p.name(), "mean": m, "broke": s.broke.get(p)}))
+        .collect();
     let data = json!({"title": title, "summary": s, "means": means, "differences": differences,
         "scatter": scatter, "worst": worst});
     let mut env = Environment::new();
     env.add_template("survey.html", PAGE)?;
-    Ok(env.get_template("survey.html")?.render(minijinja::Value::from(minijinja::value::Serde(data)))?)
+    Ok(env
+        .get_template("survey.html")?
+        .render(minijinja::Value::from(minijinja::value::Serde(data)))?)
 }
 
 /// The scenario file of a deployment, to be played by itself.
@@ -95,7 +122,9 @@
 /// # Errors
 /// It cannot be written.
 pub fn scenario(seed: u64, number: u64) -> Result<String, Bad> {
-    Ok(serde_json::to_string_pretty(&draw::deployment(seed, number))?)
+    Ok(serde_json::to_string_pretty(&draw::deployment(
+        seed, number,
+    ))?)
 }
 
 /// Differences in order, each with its interval.
@@ -121,7 +150,11 @@
             PathElement::new([(x, clip(*low)), (x, clip(*high))], RGBColor(190, 205, 225))
         }))?;
         chart.draw_series(of.iter().enumerate().map(|(n, (by, _))| {
-            let colour = if *by < 0.0 { RGBColor(200, 90, 20) } else { RGBColor(31, 90, 150) };
+            let colour = if *by < 0.0 {
+                RGBColor(200, 90, 20)
+            } else {
+                RGBColor(31, 90, 150)
+            };
             Circle::new((n as f64 + 0.5, *by), 2, colour.filled())
         }))?;
         area.present()?;
@@ -141,11 +174,21 @@
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..1.0, 0.0..1.0)?;
         let light = RGBColor(238, 238, 238);
-        chart.configure_mesh().x_desc("all-knowing").y_desc("module").light_line_style(light).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc("all-knowing")
+            .y_desc("module")
+            .light_line_style(light)
+            .draw()?;
         chart.draw_series(LineSeries::new([(0.0, 0.0), (1.0, 1.0)], BLACK.mix(0.3)))?;
         let inside = |v: f64| v.clamp(0.0, 1.0);
-        let dots =
-            points.iter().map(|p| Circle::new((inside(p.0), inside(p.1)), 2, RGBColor(31, 90, 150).filled()));
+        let dots = points.iter().map(|p| {
+            Circle::new(
+                (inside(p.0), inside(p.1)),
+                2,
+                RGBColor(31, 90, 150).filled(),
+            )
+        });
         chart.draw_series(dots)?;
         area.present()?;
     }
--- a/crates/lab/src/survey/tests.rs
+++ b/crates/lab/src/survey/tests.rs
@@ -1,11 +1,26 @@
 use super::*;
 
 fn row(number: u64, module: [f64; 3], random: [f64; 3], by_key: [f64; 3]) -> Row {
-    let of = |figures: [f64; 3]| Played { figures: figures.to_vec(), ..Played::default() };
-    let played = [(Policy::Module, module), (Policy::Random, random), (Policy::ByKey, by_key)];
+    let of = |figures: [f64; 3]| Played {
+        figures: figures.to_vec(),
+        ..Played::default()
+    };
+    let played = [
+        (Policy::Module, module),
+        (Policy::Random, random),
+        (Policy::ByKey, by_key),
+    ];
     let knows = (Policy::AllKnowing, of([1.0; 3]));
-    let played = played.into_iter().map(|(p, f)| (p, of(f))).chain([knows]).collect();
-    Row { number, traits: vec!["jump".into()], played }
+    let played = played
+        .into_iter()
+        .map(|(p, f)| (p, of(f)))
+        .chain([knows])
+        .collect();
+    Row {
+        number,
+        traits: vec!["jump".into()],
+        played,
+    }
 }
 
 #[test]
@@ -23,5 +38,8 @@
     assert_eq!(s.traits["jump"].0, 3);
     // By hand: differences 0.2, -0.35, 0.1 have mean -0.0167 and deviation 0.2930; 4.303 / sqrt(3) of that is 0.728.
     let (mean, [low, high]) = paired(&[0.7, 0.2, 0.6], &[0.5, 0.55, 0.5]);
-    assert!((mean + 1.0 / 60.0).abs() < 1e-9 && (high - low - 2.0 * 0.7279).abs() < 1e-3, "{low} {high}");
+    assert!(
+        (mean + 1.0 / 60.0).abs() < 1e-9 && (high - low - 2.0 * 0.7279).abs() < 1e-3,
+        "{low} {high}"
+    );
 }
--- a/crates/lab/src/survey_call.rs
+++ b/crates/lab/src/survey_call.rs
@@ -54,12 +54,23 @@
     policies.push(Policy::Module);
     policies.sort_unstable();
     policies.dedup();
-    let plan = Plan { version: VERSION, seed: args.seed, runs: args.runs, policies };
+    let plan = Plan {
+        version: VERSION,
+        seed: args.seed,
+        runs: args.runs,
+        policies,
+    };
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let bar = bar(args.count, "deployments");
-    let rows = survey::survey(&plan, args.count, args.threads.unwrap_or(cores), &args.out, |done| {
-        bar.set_position(done);
-    })?;
+    let rows = survey::survey(
+        &plan,
+        args.count,
+        args.threads.unwrap_or(cores),
+        &args.out,
+        |done| {
+            bar.set_position(done);
+        },
+    )?;
     bar.finish_and_clear();
     let summary = survey::summary(&rows, args.worst);
     if let Some(path) = &args.report {
--- a/crates/lab/src/virt.rs
+++ b/crates/lab/src/virt.rs
@@ -13,7 +13,9 @@
 use indigofold::config::subject;
 use indigofold::core::engine::Engine;
 use indigofold::core::figures::Figures;
-use indigofold::core::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Settings, Told, Transport};
+use indigofold::core::{
+    Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Settings, Told, Transport,
+};
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -152,7 +154,12 @@
     ///
     /// # Errors
     /// What the scheduler does not take of the scenario.
-    pub fn with(scenario: &'a Scenario, seed: u64, retries: Retries, policy: Policy) -> Result<Self, String> {
+    pub fn with(
+        scenario: &'a Scenario,
+        seed: u64,
+        retries: Retries,
+        policy: Policy,
+    ) -> Result<Self, String> {
         let from = scenario.from();
         let mut rng = draw(seed, u64::MAX - 1, 0x9047d);
         let things = scenario.machines.things.as_ref();
@@ -170,14 +177,29 @@
             let seed = (unit(&mut rng) * 1e18) as u64;
             let mind = match policy {
                 Policy::Module => {
-                    let settings = Settings { module: site.settings, seed, early: EARLY };
-                    Mind::Engine(Box::new(Engine::new(settings, from, Rc::new(Figures::default()))))
+                    let settings = Settings {
+                        module: site.settings,
+                        seed,
+                        early: EARLY,
+                    };
+                    Mind::Engine(Box::new(Engine::new(
+                        settings,
+                        from,
+                        Rc::new(Figures::default()),
+                    )))
                 }
                 plain => Mind::Plain(Box::new(Plain::new(plain, site.settings, seed, EARLY))),
             };
             let idle = vec![(0, 0); workers.len()];
             let (wants, zone) = (Rc::new(Wants::default()), scenario.zone_of(me));
-            schedulers.push(Scheduler { mind, wants, wake: None, watching: false, zone, idle });
+            schedulers.push(Scheduler {
+                mind,
+                wants,
+                wake: None,
+                watching: false,
+                zone,
+                idle,
+            });
         }
         let mut ground = Ground {
             scenario,
@@ -230,7 +252,15 @@
     fn entry(&self, w: u32) -> Entry {
         let (state, ready_at) = self.listed[w as usize];
         let (kind, zone) = (self.scenario.kind_of(w) as u32, self.scenario.zone_of(w));
-        Entry { worker: id(w), zone, kind, cell: 0, state, power: 1.0, ready_at }
+        Entry {
+            worker: id(w),
+            zone,
+            kind,
+            cell: 0,
+            state,
+            power: 1.0,
+            ready_at,
+        }
     }
 
     /// A delay on the network.
@@ -242,7 +272,11 @@
     fn way(&mut self, scheduler: u32, worker: u32) -> Micros {
         let same = self.schedulers[scheduler as usize].zone == self.scenario.zone_of(worker);
         let network = &self.scenario.network;
-        let ms = if same { network.same_ms } else { network.cross_ms };
+        let ms = if same {
+            network.same_ms
+        } else {
+            network.cross_ms
+        };
         self.delay(ms)
     }
 
@@ -251,8 +285,10 @@
     /// # Errors
     /// What an arrival could not be made of.
     pub fn play(
-        mut self, mut arrivals: impl Iterator<Item = Result<Arrival, String>>,
-        mut log: impl FnMut(Logged<'_>), mut progress: impl FnMut(u64),
+        mut self,
+        mut arrivals: impl Iterator<Item = Result<Arrival, String>>,
+        mut log: impl FnMut(Logged<'_>),
+        mut progress: impl FnMut(u64),
     ) -> Result<Run, String> {
         let mut next = arrivals.next().transpose()?;
         if let Some(first) = &next {
@@ -260,7 +296,11 @@
         }
         while let Some(Reverse((at, _, ev))) = self.queue.pop() {
             // Once there are no jobs left, what recurs by itself goes on for ever.
-            if next.is_none() && self.tries.is_empty() && self.outs.is_empty() && self.all_trips_over() {
+            if next.is_none()
+                && self.tries.is_empty()
+                && self.outs.is_empty()
+                && self.all_trips_over()
+            {
                 break;
             }
             self.now = at;
@@ -279,8 +319,18 @@
                 self.event(ev, &mut log);
             }
         }
-        let fetches = self.store.lock().unwrap_or_else(PoisonError::into_inner).fetches();
+        let fetches = self
+            .store
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .fetches();
         let (outcome, verdict) = (self.service.outcome(), self.checker.finish(self.now));
-        Ok(Run { outcome, verdict, events: self.events, fetches, notes: self.notes })
+        Ok(Run {
+            outcome,
+            verdict,
+            events: self.events,
+            fetches,
+            notes: self.notes,
+        })
     }
 }
--- a/crates/lab/src/virt/clients.rs
+++ b/crates/lab/src/virt/clients.rs
@@ -79,7 +79,16 @@
         self.next_job += 1;
         let come = self.now + self.delay(self.scenario.network.client_ms);
         self.trips[n as usize].out.push(job);
-        self.tries.insert(job, Try { trip: n, tried, scheduler, came: come, done: false });
+        self.tries.insert(
+            job,
+            Try {
+                trip: n,
+                tried,
+                scheduler,
+                came: come,
+                done: false,
+            },
+        );
         self.at(come, Ev::Job(scheduler, job));
         if tried == 0 {
             self.at(until, Ev::TimeUp(n, number as u32));
@@ -87,9 +96,15 @@
     }
 
     pub(super) fn answer_comes(
-        &mut self, job: JobId, status: u8, after: Micros, log: &mut impl FnMut(Logged<'_>),
+        &mut self,
+        job: JobId,
+        status: u8,
+        after: Micros,
+        log: &mut impl FnMut(Logged<'_>),
     ) {
-        let Some(t) = self.tries.remove(&job) else { return };
+        let Some(t) = self.tries.remove(&job) else {
+            return;
+        };
         let n = t.trip;
         let said = [Said::Served, Said::Refused(after), Said::Failed][status as usize];
         let client = (self.scenario.network.client_ms * 1e3) as Micros;
@@ -115,9 +130,15 @@
         let effect = self.scenario.classes[trip.arrival.class as usize].effect;
         let (number, until) = (trip.arrival.number, trip.until);
         let next = match self.retries {
-            Retries::Model => {
-                again(&self.scenario.clients, effect, said, (self.seed, number), t.tried, self.now, until)
-            }
+            Retries::Model => again(
+                &self.scenario.clients,
+                effect,
+                said,
+                (self.seed, number),
+                t.tried,
+                self.now,
+                until,
+            ),
             _ => None,
         };
         match next {
@@ -140,7 +161,9 @@
     /// A client's time is up: it leaves with all its tries.
     pub(super) fn time_up(&mut self, n: u32, log: &mut impl FnMut(Logged<'_>)) {
         for job in std::mem::take(&mut self.trips[n as usize].out) {
-            let Some(t) = self.tries.remove(&job) else { continue };
+            let Some(t) = self.tries.remove(&job) else {
+                continue;
+            };
             let trip = &mut self.trips[n as usize];
             trip.open -= 1;
             if !t.done {
@@ -150,7 +173,14 @@
             }
             let (arrival, status) = (&self.trips[n as usize].arrival, None);
             let to = self.now.max(t.came);
-            log(Logged { arrival, tried: t.tried, scheduler: t.scheduler, from: t.came, to, status });
+            log(Logged {
+                arrival,
+                tried: t.tried,
+                scheduler: t.scheduler,
+                from: t.came,
+                to,
+                status,
+            });
         }
         self.over(n, End::Late(self.now));
     }
@@ -162,7 +192,13 @@
         }
         let a = &trip.arrival;
         let work = a.work * u64::from(a.slots);
-        let job = Counted { class: a.class, parish: a.parish, at: a.at, work, over: trip.over };
+        let job = Counted {
+            class: a.class,
+            parish: a.parish,
+            at: a.at,
+            work,
+            over: trip.over,
+        };
         let own = a.work;
         self.service.ended(self.scenario, job, end, own);
         self.perhaps_over(n);
--- a/crates/lab/src/virt/events.rs
+++ b/crates/lab/src/virt/events.rs
@@ -51,7 +51,9 @@
                 }
             }
             Ev::Job(s, job) => {
-                let Some(t) = self.tries.get(&job) else { return };
+                let Some(t) = self.tries.get(&job) else {
+                    return;
+                };
                 let trip = &self.trips[t.trip as usize];
                 let a = &trip.arrival;
                 let tenant = a.parish.unwrap_or(u32::MAX);
@@ -66,9 +68,19 @@
                     slots: f64::from(a.slots),
                     memory: 0.0,
                     // Where nothing is kept, the module is not told: it would only learn that there are no fetches.
-                    subject: self.scenario.machines.things.as_ref().and_then(|_| subject(&a.subject)),
+                    subject: self
+                        .scenario
+                        .machines
+                        .things
+                        .as_ref()
+                        .and_then(|_| subject(&a.subject)),
                 };
-                self.checker.see(Seen::Taken { job, class: a.class, at: now, until });
+                self.checker.see(Seen::Taken {
+                    job,
+                    class: a.class,
+                    at: now,
+                    until,
+                });
                 self.tell(s, Told::Job(request, until, Reply::Transport));
             }
             Ev::Wake(s) => {
@@ -87,7 +99,9 @@
                 self.ended(ticket, status, true);
             }
             Ev::Taken(ticket) => {
-                let Some(out) = self.outs.get_mut(&ticket) else { return };
+                let Some(out) = self.outs.get_mut(&ticket) else {
+                    return;
+                };
                 out.heard = true;
                 let (s, w) = (out.scheduler, out.worker);
                 let idle = &mut self.schedulers[s as usize].idle[w as usize];
@@ -95,7 +109,13 @@
             }
             Ev::Unheard(ticket) => {
                 if let Some(out) = self.outs.get(&ticket).filter(|o| !o.heard && !o.ended) {
-                    let (s, id) = (out.scheduler, AttemptId { job: out.job, number: out.number });
+                    let (s, id) = (
+                        out.scheduler,
+                        AttemptId {
+                            job: out.job,
+                            number: out.number,
+                        },
+                    );
                     self.tell(s, Told::Unheard(id));
                 }
             }
@@ -112,9 +132,17 @@
                 }
             }
             Ev::News(ticket, news) => {
-                let Some(out) = self.outs.get_mut(&ticket) else { return };
+                let Some(out) = self.outs.get_mut(&ticket) else {
+                    return;
+                };
                 out.heard = true;
-                let (s, id) = (out.scheduler, AttemptId { job: out.job, number: out.number });
+                let (s, id) = (
+                    out.scheduler,
+                    AttemptId {
+                        job: out.job,
+                        number: out.number,
+                    },
+                );
                 match news & 0xff {
                     STARTED => self.tell(s, Told::Started(id)),
                     DONE => self.ended(ticket, Status::Ok, true),
@@ -156,7 +184,9 @@
                 self.tell(s, Told::Probed(id(w), status, good.then_some(load)));
             }
             Ev::Lists(s) => {
-                let entries: Vec<Entry> = (0..self.workers.len() as u32).map(|w| self.entry(w)).collect();
+                let entries: Vec<Entry> = (0..self.workers.len() as u32)
+                    .map(|w| self.entry(w))
+                    .collect();
                 for w in 0..self.workers.len() as u32 {
                     self.told_of(s, w);
                 }
@@ -169,7 +199,8 @@
                 self.at(now + WATCH, Ev::Watch(s));
             }
             Ev::Notice(w, state, born) => {
-                let state = [WorkerState::Active, WorkerState::Leaving, WorkerState::Left][state as usize];
+                let state =
+                    [WorkerState::Active, WorkerState::Leaving, WorkerState::Left][state as usize];
                 self.listed[w as usize] = (state, born);
                 for s in 0..self.scenario.schedulers {
                     if self.schedulers[s as usize].watching {
@@ -200,7 +231,11 @@
                 if !worker.up() || warmth >= 1.0 {
                     self.checker.see(Seen::Warm { worker: w });
                 } else {
-                    self.checker.see(Seen::Cold { worker: w, at: now, capacity });
+                    self.checker.see(Seen::Cold {
+                        worker: w,
+                        at: now,
+                        capacity,
+                    });
                     self.at(now + 100_000, Ev::Warm(w));
                 }
             }
--- a/crates/lab/src/virt/machines.rs
+++ b/crates/lab/src/virt/machines.rs
@@ -6,7 +6,12 @@
     /// What a scheduler is told of a job worker, for the checkers.
     pub(super) fn told_of(&mut self, scheduler: u32, worker: u32) {
         let takes = self.listed[worker as usize].0 == WorkerState::Active;
-        self.checker.see(Seen::Told { scheduler, worker, takes, at: self.now });
+        self.checker.see(Seen::Told {
+            scheduler,
+            worker,
+            takes,
+            at: self.now,
+        });
         if takes && self.listed[worker as usize].1 == self.workers[worker as usize].born() {
             self.checker.see(Seen::Aware { scheduler, worker });
         }
@@ -14,7 +19,9 @@
 
     pub(super) fn attempt_arrives(&mut self, ticket: Ticket) {
         let now = self.now;
-        let Some(out) = self.outs.get(&ticket) else { return };
+        let Some(out) = self.outs.get(&ticket) else {
+            return;
+        };
         let (s, w, job, asks) = (out.scheduler, out.worker, out.job, out.asks);
         if !self.workers[w as usize].up() {
             let back = self.way(s, w).min(DIAL);
@@ -30,7 +37,11 @@
         match offer {
             Offer::Full => self.at(now + back, Ev::Refused(ticket, 0)),
             Offer::Taken => {
-                self.checker.see(Seen::Runs { job, worker: w, at: now });
+                self.checker.see(Seen::Runs {
+                    job,
+                    worker: w,
+                    at: now,
+                });
                 self.at(now + back, Ev::Taken(ticket));
                 self.step_worker(w);
             }
@@ -50,7 +61,9 @@
                 worker::Event::Returned(t) => (t, RETURNED),
                 worker::Event::Lost(t) => (t, LOST),
             };
-            let Some(out) = self.outs.get(&ticket) else { continue };
+            let Some(out) = self.outs.get(&ticket) else {
+                continue;
+            };
             let (s, job, asks) = (out.scheduler, out.job, out.asks);
             let total = asks.work * u64::from(asks.slots);
             match news & 0xff {
--- a/crates/lab/src/virt/schedulers.rs
+++ b/crates/lab/src/virt/schedulers.rs
@@ -107,20 +107,33 @@
             Some(worker.would_end(self.now, &asks)? + coming[w] / worker.capacity(self.now))
         };
         let ends = (0..self.workers.len()).filter_map(|w| Some((end(w)?, w)));
-        ends.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, w)| id(w as u32))
+        ends.min_by(|a, b| a.0.total_cmp(&b.0))
+            .map(|(_, w)| id(w as u32))
     }
 
     /// What a job asks of a job worker.
     pub(super) fn asks(&self, job: JobId) -> Option<worker::Job> {
         let arrival = &self.trips[self.tries.get(&job)?.trip as usize].arrival;
         let things = self.scenario.machines.things.as_ref();
-        let thing = things.and_then(|_| subject(&arrival.subject)).map(|s| (s, self.fetch));
+        let thing = things
+            .and_then(|_| subject(&arrival.subject))
+            .map(|s| (s, self.fetch));
         let priority = self.scenario.classes[arrival.class as usize].priority;
-        Some(worker::Job { ticket: 0, work: arrival.work, slots: arrival.slots, priority, thing })
+        Some(worker::Job {
+            ticket: 0,
+            work: arrival.work,
+            slots: arrival.slots,
+            priority,
+            thing,
+        })
     }
 
     pub(super) fn tell(&mut self, s: u32, told: Told) {
-        let best = if self.knows_all { self.best_for(&told) } else { None };
+        let best = if self.knows_all {
+            self.best_for(&told)
+        } else {
+            None
+        };
         if let Mind::Plain(plain) = &mut self.schedulers[s as usize].mind {
             plain.best = best;
         }
@@ -133,14 +146,19 @@
     /// Does what a scheduler wants, and sees to it that it is woken.
     pub(super) fn carry_out(&mut self, s: u32) {
         let mut acts = std::mem::take(&mut self.acts);
-        std::mem::swap(&mut acts, &mut self.schedulers[s as usize].wants.0.borrow_mut());
+        std::mem::swap(
+            &mut acts,
+            &mut self.schedulers[s as usize].wants.0.borrow_mut(),
+        );
         for act in acts.drain(..) {
             match act {
                 Act::Send(attempt) => self.carry(s, attempt),
                 Act::GiveUp(attempt) => self.give_up(s, attempt),
                 Act::Probe(worker) => {
                     self.service.probe();
-                    let Some(w) = self.numbers.get(&worker).copied() else { continue };
+                    let Some(w) = self.numbers.get(&worker).copied() else {
+                        continue;
+                    };
                     let way = self.way(s, w);
                     self.at(self.now + way, Ev::ProbeAt(s, w));
                 }
@@ -177,7 +195,9 @@
     }
 
     pub(super) fn carry(&mut self, s: u32, attempt: Attempt) {
-        let Some(w) = self.numbers.get(&attempt.machine).copied() else { return };
+        let Some(w) = self.numbers.get(&attempt.machine).copied() else {
+            return;
+        };
         let (job, number) = (attempt.id.job, attempt.id.number);
         let Some(asks) = self.asks(job) else { return };
         let ticket = self.next_ticket;
@@ -186,7 +206,13 @@
         let crosses = self.schedulers[s as usize].zone != self.scenario.zone_of(w);
         self.service.attempt(self.now, crosses);
         let total = asks.work * u64::from(asks.slots);
-        self.checker.see(Seen::Sent { job, scheduler: s, worker: w, at: self.now, work: total });
+        self.checker.see(Seen::Sent {
+            job,
+            scheduler: s,
+            worker: w,
+            at: self.now,
+            work: total,
+        });
         let out = Out {
             scheduler: s,
             job,
@@ -213,8 +239,12 @@
 
     /// A scheduler gives up an attempt. Where job workers stop what is given up, it stops once its one has heard of it.
     pub(super) fn give_up(&mut self, s: u32, attempt: AttemptId) {
-        let Some(ticket) = self.attempts.remove(&attempt) else { return };
-        let Some(w) = self.outs.get(&ticket).map(|out| out.worker) else { return };
+        let Some(ticket) = self.attempts.remove(&attempt) else {
+            return;
+        };
+        let Some(w) = self.outs.get(&ticket).map(|out| out.worker) else {
+            return;
+        };
         self.checker.see(Seen::GivenUp { job: attempt.job });
         if self.scenario.machines.cancel {
             let way = self.way(s, w);
@@ -224,22 +254,37 @@
 
     /// A scheduler has answered a try.
     pub(super) fn answered(&mut self, job: JobId, answer: Answer) {
-        let Some(t) = self.tries.get_mut(&job) else { return };
+        let Some(t) = self.tries.get_mut(&job) else {
+            return;
+        };
         t.done = true;
         let (status, after) = match answer {
             Answer::Served => (0, 0),
             Answer::Rejected(after) => (1, after),
             Answer::Failed => (2, 0),
         };
-        self.checker.see(Seen::Answered { job, served: status == 0, refused: status == 1, at: self.now });
+        self.checker.see(Seen::Answered {
+            job,
+            served: status == 0,
+            refused: status == 1,
+            at: self.now,
+        });
         let back = self.delay(self.scenario.network.client_ms);
         self.at(self.now + back, Ev::Answer(job, status, after));
     }
 
     pub(super) fn ended(&mut self, ticket: Ticket, status: Status, gone: bool) {
-        let Some(out) = self.outs.get_mut(&ticket) else { return };
+        let Some(out) = self.outs.get_mut(&ticket) else {
+            return;
+        };
         out.ended = true;
-        let (s, id) = (out.scheduler, AttemptId { job: out.job, number: out.number });
+        let (s, id) = (
+            out.scheduler,
+            AttemptId {
+                job: out.job,
+                number: out.number,
+            },
+        );
         self.attempts.remove(&id);
         if gone {
             self.outs.remove(&ticket);
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -143,7 +143,11 @@
 
     /// The same, serving in this order, and keeping what jobs need.
     pub fn serving(self, order: Order, shelf: Option<Shelf>) -> Self {
-        Worker { order, shelf, ..self }
+        Worker {
+            order,
+            shelf,
+            ..self
+        }
     }
 
     /// Is the process there?
@@ -173,7 +177,8 @@
         }
         let by_time = now.saturating_sub(self.born) as f64 / self.warm as f64;
         // Work that a warm one would do in its warming time warms it.
-        let by_work = self.done_work / (f64::from(self.cores) * self.speed * self.warm as f64 * 0.5);
+        let by_work =
+            self.done_work / (f64::from(self.cores) * self.speed * self.warm as f64 * 0.5);
         (self.cold_from + (1.0 - self.cold_from) * by_time.max(by_work)).min(1.0)
     }
 
@@ -187,7 +192,10 @@
         if self.draining || self.queue.len() as u32 >= self.room {
             return Offer::Full;
         }
-        self.queue.push_back(Job { slots: job.slots.clamp(1, self.cores), ..job });
+        self.queue.push_back(Job {
+            slots: job.slots.clamp(1, self.cores),
+            ..job
+        });
         self.start(now);
         Offer::Taken
     }
@@ -205,7 +213,9 @@
     pub fn set_pace(&mut self, now: Micros, pace: f64) {
         let by = pace / self.pace;
         self.pace = pace;
-        self.running.iter_mut().for_each(|run| run.speed_up(now, by));
+        self.running
+            .iter_mut()
+            .for_each(|run| run.speed_up(now, by));
     }
 
     /// When a job offered now would be done, as who sees all can tell: what runs and waits is spread evenly over its
@@ -215,10 +225,20 @@
             return None;
         }
         let capacity = self.capacity(now);
-        let running = self.running.iter().map(|r| r.work * (1.0 - r.done(now)) * f64::from(r.slots));
-        let waiting = self.queue.iter().map(|w| (w.work * u64::from(w.slots)) as f64);
+        let running = self
+            .running
+            .iter()
+            .map(|r| r.work * (1.0 - r.done(now)) * f64::from(r.slots));
+        let waiting = self
+            .queue
+            .iter()
+            .map(|w| (w.work * u64::from(w.slots)) as f64);
         let fits = job.slots <= self.free && self.queue.is_empty();
-        let wait = if fits { 0.0 } else { running.chain(waiting).sum::<f64>() / capacity };
+        let wait = if fits {
+            0.0
+        } else {
+            running.chain(waiting).sum::<f64>() / capacity
+        };
         let fetch = match (&self.shelf, job.thing) {
             (Some(shelf), Some((thing, takes))) if !shelf.has(thing) => takes as f64,
             _ => 0.0,
@@ -235,7 +255,11 @@
         for run in &mut self.running {
             // What stood still already is put off by what comes on top only.
             let left = run.work * (1.0 - run.done(from));
-            run.left = (run.left.0.max(from) + (until - from), left.min(run.left.1), run.left.2);
+            run.left = (
+                run.left.0.max(from) + (until - from),
+                left.min(run.left.1),
+                run.left.2,
+            );
             run.ends += until - from;
             run.next_note += until - from;
         }
@@ -244,7 +268,11 @@
 
     /// The process dies.
     pub fn crash(&mut self) {
-        let lost = self.running.drain(..).map(|r| r.ticket).chain(self.queue.drain(..).map(|w| w.ticket));
+        let lost = self
+            .running
+            .drain(..)
+            .map(|r| r.ticket)
+            .chain(self.queue.drain(..).map(|w| w.ticket));
         self.out.extend(lost.map(Event::Lost));
         (self.up, self.free, self.still_until) = (false, self.cores, 0);
         self.shelf.iter_mut().for_each(Shelf::clear);
@@ -259,7 +287,8 @@
     /// It takes nothing new, and hands back what has not started.
     pub fn drain(&mut self) {
         self.draining = true;
-        self.out.extend(self.queue.drain(..).map(|w| Event::Returned(w.ticket)));
+        self.out
+            .extend(self.queue.drain(..).map(|w| Event::Returned(w.ticket)));
     }
 
     /// When it must be stepped next.
@@ -326,7 +355,15 @@
             let (work, from) = (job.work as f64, now + fetch);
             let ends = from + (work / speed).max(1.0) as Micros;
             let (ticket, slots, left) = (job.ticket, job.slots, (from, work, speed));
-            self.running.push(Run { ticket, slots, began: now, work, left, ends, next_note: now + PROGRESS });
+            self.running.push(Run {
+                ticket,
+                slots,
+                began: now,
+                work,
+                left,
+                ends,
+                next_note: now + PROGRESS,
+            });
             self.out.push(Event::Started(ticket));
         }
     }
@@ -339,7 +376,11 @@
     /// Its load now.
     pub fn report(&self) -> Report {
         let (queue, running) = (self.queue.len() as u32, self.running.len() as u32);
-        Report { queue, inflight: queue + running, free: self.free }
+        Report {
+            queue,
+            inflight: queue + running,
+            free: self.free,
+        }
     }
 }
 
--- a/crates/lab/src/worker/tests.rs
+++ b/crates/lab/src/worker/tests.rs
@@ -13,7 +13,12 @@
 }
 
 fn job(ticket: Ticket, work: Micros, slots: u32) -> Job {
-    Job { ticket, work, slots, ..Job::default() }
+    Job {
+        ticket,
+        work,
+        slots,
+        ..Job::default()
+    }
 }
 
 fn events(w: &mut Worker, now: Micros) -> Vec<Event> {
@@ -29,7 +34,11 @@
     assert_eq!(w.offer(0, job(1, 100, 1)), Offer::Taken);
     assert_eq!(w.offer(0, job(2, 100, 2)), Offer::Taken);
     assert_eq!(w.offer(0, job(3, 100, 1)), Offer::Taken);
-    assert_eq!(events(&mut w, 0), [Event::Started(1)], "a slot stays free behind the large job");
+    assert_eq!(
+        events(&mut w, 0),
+        [Event::Started(1)],
+        "a slot stays free behind the large job"
+    );
     assert_eq!(w.due(), Some(100));
     assert_eq!(events(&mut w, 100), [Event::Done(1), Event::Started(2)]);
     assert_eq!(events(&mut w, 200), [Event::Done(2), Event::Started(3)]);
@@ -51,7 +60,11 @@
     w.stand_still(60, 140);
     w.offer(70, job(2, 200, 1));
     assert!(w.still(149));
-    assert_eq!(events(&mut w, 149), [Event::Started(1)], "the second waits for the end of the pause");
+    assert_eq!(
+        events(&mut w, 149),
+        [Event::Started(1)],
+        "the second waits for the end of the pause"
+    );
     assert_eq!(w.due(), Some(150));
     assert_eq!(events(&mut w, 150), [Event::Started(2)]);
     assert_eq!(events(&mut w, 200), [Event::Done(1)]);
@@ -65,7 +78,11 @@
     w.start_again(1_000_000);
     assert_eq!(w.warmth(1_000_000), 0.25);
     w.offer(1_000_000, job(1, 1_000_000, 1));
-    assert_eq!(w.due(), Some(2_000_000), "a note on its progress comes first");
+    assert_eq!(
+        w.due(),
+        Some(2_000_000),
+        "a note on its progress comes first"
+    );
     assert!(events(&mut w, 2_000_000).contains(&Event::Progress(1, 250)));
     assert_eq!(w.warmth(5_000_000), 0.625);
     assert_eq!(w.warmth(9_000_000), 1.0);
@@ -80,11 +97,23 @@
         w.offer(0, job(1, 100, 1));
         w.offer(0, job(2, 100, 2));
         w.offer(0, job(3, 100, 1));
-        w.offer(0, Job { priority: 1, ..job(4, 100, 1) });
+        w.offer(
+            0,
+            Job {
+                priority: 1,
+                ..job(4, 100, 1)
+            },
+        );
         let mut seen = Vec::new();
         for now in [0, 100, 200, 300] {
             let began = events(&mut w, now).into_iter();
-            seen.extend(began.filter_map(|e| if let Event::Started(t) = e { Some(t) } else { None }));
+            seen.extend(began.filter_map(|e| {
+                if let Event::Started(t) = e {
+                    Some(t)
+                } else {
+                    None
+                }
+            }));
         }
         seen
     };
@@ -110,7 +139,10 @@
     let mut w = Worker::new(&kind(), 2.0);
     w.offer(0, job(1, 4_000_000, 1));
     w.set_pace(1_000_000, 0.25);
-    assert_eq!(events(&mut w, 1_000_000), [Event::Started(1), Event::Progress(1, 500)]);
+    assert_eq!(
+        events(&mut w, 1_000_000),
+        [Event::Started(1), Event::Progress(1, 500)]
+    );
     w.set_pace(3_000_000, 1.0);
     assert_eq!(w.capacity(3_000_000), 4.0);
     assert!(events(&mut w, 3_499_999).contains(&Event::Progress(1, 1000)));
@@ -121,7 +153,10 @@
 fn a_fetch_holds_the_slot_and_no_share_is_done_meanwhile() {
     let store = std::sync::Arc::new(std::sync::Mutex::new(crate::store::Store::new(9.0)));
     let mut w = Worker::new(&kind(), 1.0).serving(Order::InOrder, Some(Shelf::new(store, 4)));
-    let about = |ticket, thing| Job { thing: Some((thing, 500_000)), ..job(ticket, 1_000_000, 1) };
+    let about = |ticket, thing| Job {
+        thing: Some((thing, 500_000)),
+        ..job(ticket, 1_000_000, 1)
+    };
     let ends = |w: &Worker, of: &Job| w.would_end(0, of);
     assert_eq!(ends(&w, &about(9, 7)), Some(1_500_000.0));
     w.offer(0, about(1, 7));
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -13,20 +13,38 @@
 fn verdict(what: impl Fn(u64) -> Vec<Seen>) -> Verdict {
     let scenario = scenario();
     let mut checker = Checker::new(&scenario);
-    what(scenario.from()).into_iter().for_each(|seen| checker.see(seen));
+    what(scenario.from())
+        .into_iter()
+        .for_each(|seen| checker.see(seen));
     checker.finish(scenario.from() + 60_000_000)
 }
 
 fn taken(job: u64, class: u32, at: u64) -> Seen {
-    Seen::Taken { job, class, at, until: at + 5_000_000 }
+    Seen::Taken {
+        job,
+        class,
+        at,
+        until: at + 5_000_000,
+    }
 }
 
 fn sent(job: u64, worker: u32, at: u64) -> Seen {
-    Seen::Sent { job, scheduler: 0, worker, at, work: 200_000 }
+    Seen::Sent {
+        job,
+        scheduler: 0,
+        worker,
+        at,
+        work: 200_000,
+    }
 }
 
 fn answered(job: u64, served: bool, at: u64) -> Seen {
-    Seen::Answered { job, served, refused: false, at }
+    Seen::Answered {
+        job,
+        served,
+        refused: false,
+        at,
+    }
 }
 
 /// A job that is served as it should be.
@@ -34,7 +52,11 @@
     vec![
         taken(job, class, t),
         sent(job, 3, t + 1_000),
-        Seen::Runs { job, worker: 3, at: t + 2_000 },
+        Seen::Runs {
+            job,
+            worker: 3,
+            at: t + 2_000,
+        },
         Seen::Made { job },
         answered(job, true, t + 200_000),
     ]
@@ -43,7 +65,12 @@
 #[track_caller]
 fn broken(rule: Rule, what: impl Fn(u64) -> Vec<Seen>) {
     let found = verdict(what);
-    assert_eq!(found.breaches.keys().copied().collect::<Vec<_>>(), [rule], "{:?}", found.examples);
+    assert_eq!(
+        found.breaches.keys().copied().collect::<Vec<_>>(),
+        [rule],
+        "{:?}",
+        found.examples
+    );
 }
 
 #[track_caller]
@@ -56,8 +83,12 @@
 fn one_answer_in_time() {
     kept(|t| served(1, UNSAFE, t));
     broken(Rule::OneAnswer, |t| served(1, UNSAFE, t)[..4].to_vec());
-    broken(Rule::OneAnswer, |t| [served(1, UNSAFE, t), vec![answered(1, true, t + 300_000)]].concat());
-    broken(Rule::OneAnswer, |t| vec![taken(1, UNSAFE, t), answered(1, false, t + 5_100_000)]);
+    broken(Rule::OneAnswer, |t| {
+        [served(1, UNSAFE, t), vec![answered(1, true, t + 300_000)]].concat()
+    });
+    broken(Rule::OneAnswer, |t| {
+        vec![taken(1, UNSAFE, t), answered(1, false, t + 5_100_000)]
+    });
     broken(Rule::OneAnswer, |t| vec![answered(1, false, t)]);
     kept(|t| vec![taken(1, UNSAFE, t), answered(1, false, t + 5_060_000)]);
     kept(|t| vec![taken(1, UNSAFE, t), Seen::Gone { job: 1 }]);
@@ -65,16 +96,44 @@
 
 #[test]
 fn what_is_served_was_made() {
-    broken(Rule::Made, |t| vec![taken(1, UNSAFE, t), sent(1, 3, t), answered(1, true, t + 1_000)]);
+    broken(Rule::Made, |t| {
+        vec![
+            taken(1, UNSAFE, t),
+            sent(1, 3, t),
+            answered(1, true, t + 1_000),
+        ]
+    });
 }
 
 #[test]
 fn unsafe_jobs_run_once_and_keyed_ones_repeat_in_their_window() {
     let twice = |class: u32, after: u64| {
         move |t: u64| {
-            let mut all = vec![Seen::Taken { job: 1, class, at: t, until: t + 20_000_000 }, sent(1, 3, t)];
-            all.extend([Seen::Runs { job: 1, worker: 3, at: t + 1_000 }, sent(1, 4, t + after)]);
-            all.extend([Seen::Runs { job: 1, worker: 4, at: t + after + 1_000 }, Seen::Made { job: 1 }]);
+            let mut all = vec![
+                Seen::Taken {
+                    job: 1,
+                    class,
+                    at: t,
+                    until: t + 20_000_000,
+                },
+                sent(1, 3, t),
+            ];
+            all.extend([
+                Seen::Runs {
+                    job: 1,
+                    worker: 3,
+                    at: t + 1_000,
+                },
+                sent(1, 4, t + after),
+            ]);
+            all.extend([
+                Seen::Runs {
+                    job: 1,
+                    worker: 4,
+                    at: t + after + 1_000,
+                },
+                Seen::Made { job: 1 },
+            ]);
             all.push(answered(1, true, t + after + 100_000));
             all
         }
@@ -94,8 +153,17 @@
 fn a_refusal_is_true() {
     let refused = |t: u64, class: u32, runs: bool| {
         let mut all = vec![taken(1, class, t), sent(1, 3, t)];
-        all.extend(runs.then_some(Seen::Runs { job: 1, worker: 3, at: t }));
-        all.push(Seen::Answered { job: 1, served: false, refused: true, at: t + 100_000 });
+        all.extend(runs.then_some(Seen::Runs {
+            job: 1,
+            worker: 3,
+            at: t,
+        }));
+        all.push(Seen::Answered {
+            job: 1,
+            served: false,
+            refused: true,
+            at: t + 100_000,
+        });
         all
     };
     broken(Rule::Refusal, |t| refused(t, UNSAFE, true));
@@ -119,10 +187,25 @@
 fn drained_workers_get_nothing_new() {
     let after = |ms: u64, scheduler: u32, back: bool| {
         move |t: u64| {
-            let mut all = vec![Seen::Told { scheduler, worker: 3, takes: false, at: t }];
-            all.extend(back.then_some(Seen::Told { scheduler, worker: 3, takes: true, at: t + 10_000 }));
+            let mut all = vec![Seen::Told {
+                scheduler,
+                worker: 3,
+                takes: false,
+                at: t,
+            }];
+            all.extend(back.then_some(Seen::Told {
+                scheduler,
+                worker: 3,
+                takes: true,
+                at: t + 10_000,
+            }));
             // Told again, it counts from the first time.
-            all.push(Seen::Told { scheduler, worker: 3, takes: false, at: t + ms * 1_000 - 1 });
+            all.push(Seen::Told {
+                scheduler,
+                worker: 3,
+                takes: false,
+                at: t + ms * 1_000 - 1,
+            });
             all.extend(served(1, UNSAFE, t + ms * 1_000));
             all
         }
@@ -142,13 +225,26 @@
     let most = ((n + 3.0 * n.sqrt() + 3.0) * mean / 200_000.0) as u64;
     let burst_of = |count: u64, apart: u64, aware: u32| {
         move |t: u64| {
-            let mut all = vec![Seen::Cold { worker: 3, at: t, capacity: 1.0 }];
-            all.extend((0..aware).map(|scheduler| Seen::Aware { scheduler, worker: 3 }));
+            let mut all = vec![Seen::Cold {
+                worker: 3,
+                at: t,
+                capacity: 1.0,
+            }];
+            all.extend((0..aware).map(|scheduler| Seen::Aware {
+                scheduler,
+                worker: 3,
+            }));
             for n in 0..count {
                 let at = t + n * apart;
                 all.extend([taken(n, KEYED, at), answered(n, false, at + 1)]);
                 let scheduler = (n % 3) as u32;
-                all.push(Seen::Sent { job: n, scheduler, worker: 3, at, work: 200_000 });
+                all.push(Seen::Sent {
+                    job: n,
+                    scheduler,
+                    worker: 3,
+                    at,
+                    work: 200_000,
+                });
             }
             all
         }
@@ -160,7 +256,11 @@
     kept(burst_of(most + 6, 1_000, 1));
     kept(burst(300, 100_000));
     let found = verdict(burst(30, 1_000));
-    assert!((found.most_on_cold - 3.0).abs() < 1e-9, "{}", found.most_on_cold);
+    assert!(
+        (found.most_on_cold - 3.0).abs() < 1e-9,
+        "{}",
+        found.most_on_cold
+    );
     kept(|t| {
         let mut all = burst(40, 1_000)(t);
         all.insert(4, Seen::Warm { worker: 3 });
@@ -180,7 +280,12 @@
         what.iter().for_each(|seen| checker.see(*seen));
         checker.see(Seen::Made { job: 1 });
         checker.see(answered(1, true, t + 900_000));
-        checker.finish(t + 60_000_000).breaches.keys().copied().collect::<Vec<_>>()
+        checker
+            .finish(t + 60_000_000)
+            .breaches
+            .keys()
+            .copied()
+            .collect::<Vec<_>>()
     };
     let t = scenario.from();
     let (first, second) = (sent(1, 2, t), sent(1, 3, t + 500_000));
