--- a/crates/lab/tests/survey.rs
+++ b/crates/lab/tests/survey.rs
@@ -8,7 +8,12 @@
 use indigofold_lab::virt::{Ground, Retries, Run};
 
 fn plan(policies: &[Policy]) -> Plan {
-    Plan { version: VERSION, seed: 3, runs: 2, policies: policies.to_vec() }
+    Plan {
+        version: VERSION,
+        seed: 3,
+        runs: 2,
+        policies: policies.to_vec(),
+    }
 }
 
 const FEW: [Policy; 3] = [Policy::Module, Policy::Random, Policy::ByKey];
@@ -19,25 +24,46 @@
     let path = |name: &str| dir.path().join(name);
     let plan = plan(&FEW);
     let whole = survey::survey(&plan, 5, 1, &path("one"), |_| {}).expect("played");
-    assert_eq!(whole, survey::survey(&plan, 5, 4, &path("four"), |_| {}).expect("played"));
+    assert_eq!(
+        whole,
+        survey::survey(&plan, 5, 4, &path("four"), |_| {}).expect("played")
+    );
     // Stopped in the middle of a line: what is whole stays, and is not played again.
     let text = std::fs::read_to_string(path("one")).expect("rows");
     let end = text.match_indices('\n').nth(3).expect("four lines").0;
     std::fs::write(path("torn"), &text[..end + 40]).expect("written");
     let played = std::sync::atomic::AtomicU64::new(0);
     let count = |_| _ = played.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    assert_eq!(whole, survey::survey(&plan, 5, 2, &path("torn"), count).expect("played"));
+    assert_eq!(
+        whole,
+        survey::survey(&plan, 5, 2, &path("torn"), count).expect("played")
+    );
     assert_eq!(played.into_inner(), 2, "three were there");
-    assert_eq!(survey::survey(&plan, 3, 2, &path("torn"), |_| {}).expect("there").len(), 3);
+    assert_eq!(
+        survey::survey(&plan, 3, 2, &path("torn"), |_| {})
+            .expect("there")
+            .len(),
+        3
+    );
     // Another survey's rows are not mixed in, and what is no survey is left alone.
-    let other = Plan { seed: 4, ..plan.clone() };
+    let other = Plan {
+        seed: 4,
+        ..plan.clone()
+    };
     let why = survey::survey(&other, 5, 1, &path("one"), |_| {}).expect_err("another");
-    assert!(why.contains("it holds another survey (seed 3, 2 runs, version 1)"), "{why}");
+    assert!(
+        why.contains("it holds another survey (seed 3, 2 runs, version 1)"),
+        "{why}"
+    );
     std::fs::write(path("notes"), "my notes\n").expect("written");
     let why = survey::survey(&plan, 5, 1, &path("notes"), |_| {}).expect_err("no survey");
     assert!(why.contains("it is no survey"), "{why}");
-    assert_eq!(std::fs::read_to_string(path("notes")).expect("there"), "my notes\n");
-    let why = survey::survey(&Plan { runs: 1, ..plan }, 5, 1, &path("x"), |_| {}).expect_err("too few");
+    assert_eq!(
+        std::fs::read_to_string(path("notes")).expect("there"),
+        "my notes\n"
+    );
+    let why =
+        survey::survey(&Plan { runs: 1, ..plan }, 5, 1, &path("x"), |_| {}).expect_err("too few");
     assert_eq!(why, "1 runs given, 2 to 16 are allowed");
     // What is shown of it.
     let summary = survey::summary(&whole, 2);
@@ -49,18 +75,24 @@
 
 fn played(s: &Scenario, policy: Policy, seed: u64) -> Run {
     let ground = Ground::with(s, seed, Retries::Model, policy).expect("a ground");
-    ground.play(Made::new(s, seed).expect("load"), |_| {}, |_| {}).expect("a run")
+    ground
+        .play(Made::new(s, seed).expect("load"), |_| {}, |_| {})
+        .expect("a run")
 }
 
 /// One class, equal machines, half loaded; nothing kept, no trouble.
 fn plain_world() -> Scenario {
-    let mut s =
-        scenario::read(include_str!("../../../examples/replay/ten-minutes.json")).expect("the example");
+    let mut s = scenario::read(include_str!("../../../examples/replay/ten-minutes.json"))
+        .expect("the example");
     s.classes.truncate(1);
     s.classes[0].slots = vec![1.0];
     s.kinds.truncate(1);
     s.kinds[0].speed = [1.0, 1.0];
-    s.load = scenario::Load { seconds: 20.0, rate: s.capacity() * 0.6, ..scenario::Load::default() };
+    s.load = scenario::Load {
+        seconds: 20.0,
+        rate: s.capacity() * 0.6,
+        ..scenario::Load::default()
+    };
     s.troubles.clear();
     s
 }
@@ -71,9 +103,15 @@
     s.load.rate = s.capacity() * 0.85;
     for seed in 1..4 {
         let figure = |policy| played(&s, policy, seed).outcome.figure;
-        let (all, two, any) =
-            (figure(Policy::AllKnowing), figure(Policy::TwoChoices), figure(Policy::Random));
-        assert!(all > any + 0.02 && two > any, "seed {seed}: {all:.3}, {two:.3}, {any:.3}");
+        let (all, two, any) = (
+            figure(Policy::AllKnowing),
+            figure(Policy::TwoChoices),
+            figure(Policy::Random),
+        );
+        assert!(
+            all > any + 0.02 && two > any,
+            "seed {seed}: {all:.3}, {two:.3}, {any:.3}"
+        );
     }
 }
 
@@ -86,12 +124,24 @@
     s.schedulers = 2;
     s.clients.subjects = 60;
     s.load.rate = s.capacity() * 0.5;
-    s.machines.things = Some(Things { kept: 4, fetch: 0.6, at_once: 20.0 });
+    s.machines.things = Some(Things {
+        kept: 4,
+        fetch: 0.6,
+        at_once: 20.0,
+    });
     s.machines.reports = false;
-    let fetches =
-        |policy| played(&s, policy, 5).fetches as f64 / played(&s, policy, 5).outcome.counts[0] as f64;
-    let (random, by_key, module) = (fetches(Policy::Random), fetches(Policy::ByKey), fetches(Policy::Module));
-    assert!(by_key < 0.75 * random && module < 0.75 * random, "{random:.2}, {by_key:.2}, {module:.2}");
+    let fetches = |policy| {
+        played(&s, policy, 5).fetches as f64 / played(&s, policy, 5).outcome.counts[0] as f64
+    };
+    let (random, by_key, module) = (
+        fetches(Policy::Random),
+        fetches(Policy::ByKey),
+        fetches(Policy::Module),
+    );
+    assert!(
+        by_key < 0.75 * random && module < 0.75 * random,
+        "{random:.2}, {by_key:.2}, {module:.2}"
+    );
     s.machines.things = None;
     assert_eq!(played(&s, Policy::Random, 5).fetches, 0);
 }
@@ -103,20 +153,41 @@
     let all = (0..calm.workers()).collect::<Vec<_>>();
     let with = |what: What| {
         let mut s = calm.clone();
-        s.troubles = vec![Trouble { at_s: 5.0, for_s: 8.0, workers: all.clone(), what }];
+        s.troubles = vec![Trouble {
+            at_s: 5.0,
+            for_s: 8.0,
+            workers: all.clone(),
+            what,
+        }];
         played(&s, Policy::Random, 2).outcome
     };
     let slow = with(What::Slow { times: 3.0 });
-    assert!(slow.whole < base.whole - 0.1, "{:.3} of {:.3}", slow.whole, base.whole);
+    assert!(
+        slow.whole < base.whole - 0.1,
+        "{:.3} of {:.3}",
+        slow.whole,
+        base.whole
+    );
     let late = slow.seconds[18..].iter().map(|s| s.earned).sum::<f64>();
     let asked = slow.seconds[18..].iter().map(|s| s.asked).sum::<f64>();
     assert!(late > 0.8 * asked, "it is over: {late:.0} of {asked:.0}");
     // Hot things change what jobs are about, and nothing else where nothing is kept.
     let mut hot = calm.clone();
-    let what = What::HotThings { share: 0.5, things: 2 };
-    hot.troubles = vec![Trouble { at_s: 0.0, for_s: 20.0, workers: Vec::new(), what }];
+    let what = What::HotThings {
+        share: 0.5,
+        things: 2,
+    };
+    hot.troubles = vec![Trouble {
+        at_s: 0.0,
+        for_s: 20.0,
+        workers: Vec::new(),
+        what,
+    }];
     let about = |s: &Scenario| -> Vec<String> {
-        Made::new(s, 2).expect("load").map(|a| a.expect("an arrival").subject).collect()
+        Made::new(s, 2)
+            .expect("load")
+            .map(|a| a.expect("an arrival").subject)
+            .collect()
     };
     let share = |s: &Scenario| {
         let about = about(s);
@@ -150,7 +221,11 @@
     for number in 0..24 {
         let s = draw::deployment(11, number);
         let run = played(&s, Policy::Module, number);
-        assert!(run.verdict.kept(), "deployment {number}: {:?}", run.verdict.examples);
+        assert!(
+            run.verdict.kept(),
+            "deployment {number}: {:?}",
+            run.verdict.examples
+        );
     }
 }
 
@@ -158,24 +233,40 @@
 fn orders_and_worlds_are_read_and_bad_ones_refused() {
     let mut s = plain_world();
     s.machines.order = Order::WhateverFits;
-    s.machines.things = Some(Things { kept: 3, fetch: 0.5, at_once: 4.0 });
+    s.machines.things = Some(Things {
+        kept: 3,
+        fetch: 0.5,
+        at_once: 4.0,
+    });
     let text = serde_json::to_string(&s).expect("JSON");
-    assert_eq!(scenario::read(&text).expect("whole").machines.order, Order::WhateverFits);
+    assert_eq!(
+        scenario::read(&text).expect("whole").machines.order,
+        Order::WhateverFits
+    );
     let wrong = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
         scenario::read(&text.replace(from, to)).expect_err("wrong")
     };
     assert!(wrong("\"at-once\":4.0", "\"at-once\":0.0").contains("at /machines/things"));
     assert!(wrong("\"whatever-fits\"", "\"any\"").contains("/machines/order"));
-    s.troubles = vec![Trouble { at_s: 1.0, for_s: 1.0, workers: vec![0], what: What::Slow { times: 0.5 } }];
+    s.troubles = vec![Trouble {
+        at_s: 1.0,
+        for_s: 1.0,
+        workers: vec![0],
+        what: What::Slow { times: 0.5 },
+    }];
     let why = scenario::read(&serde_json::to_string(&s).expect("JSON")).expect_err("faster");
-    assert!(why.contains("at /troubles/0/what/slow/times: 0.5 given, over 1 and up to 1000"), "{why}");
+    assert!(
+        why.contains("at /troubles/0/what/slow/times: 0.5 given, over 1 and up to 1000"),
+        "{why}"
+    );
 }
 
 /// The second deployment's scenario, in its own words: the module keeps the rules on it, and is ahead of random.
 #[test]
 fn the_example_of_the_second_deployment_is_played() {
-    let mut s = scenario::read(include_str!("../../../examples/replay/tolls.json")).expect("the example");
+    let mut s =
+        scenario::read(include_str!("../../../examples/replay/tolls.json")).expect("the example");
     s.load.seconds = 60.0;
     s.load.jumps.clear();
     s.troubles.retain(|t| t.at_s + t.for_s < 55.0);
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -14,5 +14,7 @@
 
 /// Milliseconds since 1970. The time of day may jump, forward or backward.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/net/src/framed/mod.rs
+++ b/crates/net/src/framed/mod.rs
@@ -29,7 +29,11 @@
     fn new(stream: TcpStream, peer: SocketAddr) -> Connection {
         let sender = FrameSender::start(stream.clone(), peer);
         let reader = FrameReader::new(stream, peer, sender.link());
-        Connection { peer, reader, sender }
+        Connection {
+            peer,
+            reader,
+            sender,
+        }
     }
 }
 
@@ -61,7 +65,11 @@
     /// The next connection. An error (no descriptor is free, the peer has gone) passes; wait a little, then go on.
     pub async fn accept(&self) -> Result<Connection, NetError> {
         let address = self.address;
-        let (stream, peer) = self.listener.accept().await.context(AcceptSnafu { address })?;
+        let (stream, peer) = self
+            .listener
+            .accept()
+            .await
+            .context(AcceptSnafu { address })?;
         socket::set_options(&stream).context(AcceptSnafu { address })?;
         Ok(Connection::new(stream, peer))
     }
--- a/crates/net/src/framed/reader.rs
+++ b/crates/net/src/framed/reader.rs
@@ -34,7 +34,13 @@
 impl FrameReader {
     /// Reads frames from `stream`.
     pub(super) fn new(stream: TcpStream, peer: SocketAddr, link: Rc<Link>) -> FrameReader {
-        FrameReader { stream, peer, link, buffer: Vec::new(), start: 0 }
+        FrameReader {
+            stream,
+            peer,
+            link,
+            buffer: Vec::new(),
+            start: 0,
+        }
     }
 
     /// The next frame; `None` once the connection is closed, by the peer or by this side. Frames that had come in whole
@@ -61,7 +67,10 @@
             self.make_room();
             let received = self.fill().await.context(ConnectionSnafu { peer })?;
             if received == 0 {
-                ensure!(self.buffer.is_empty() || self.link.is_closed(), CutShortSnafu { peer });
+                ensure!(
+                    self.buffer.is_empty() || self.link.is_closed(),
+                    CutShortSnafu { peer }
+                );
                 return Ok(None);
             }
         }
--- a/crates/net/src/framed/sender.rs
+++ b/crates/net/src/framed/sender.rs
@@ -71,7 +71,9 @@
 impl Clone for FrameSender {
     fn clone(&self) -> Self {
         self.link.senders.set(self.link.senders.get() + 1);
-        FrameSender { link: self.link.clone() }
+        FrameSender {
+            link: self.link.clone(),
+        }
     }
 }
 
@@ -160,7 +162,11 @@
             return link.close();
         }
         bytes.clear();
-        spare = if bytes.capacity() > BUFFER_KEPT_MAX { Vec::new() } else { bytes };
+        spare = if bytes.capacity() > BUFFER_KEPT_MAX {
+            Vec::new()
+        } else {
+            bytes
+        };
     }
     // The peer reads to the end of what was written; its own end of the connection ends the reader here.
     shut_down(&link.stream, Shutdown::Write);
@@ -175,7 +181,10 @@
         }
         let mut queue = link.queue.borrow_mut();
         if !queue.is_empty() {
-            return Poll::Ready(Some(std::mem::replace(&mut *queue, spare.take().unwrap_or_default())));
+            return Poll::Ready(Some(std::mem::replace(
+                &mut *queue,
+                spare.take().unwrap_or_default(),
+            )));
         }
         if link.senders.get() == 0 {
             return Poll::Ready(None);
--- a/crates/net/src/http/connection.rs
+++ b/crates/net/src/http/connection.rs
@@ -118,16 +118,25 @@
 
 /// Serves requests on `stream` until either side closes it.
 pub(super) async fn serve_connection<H, F>(
-    stream: TcpStream, peer: SocketAddr, progress: Rc<Progress>, server: Rc<ServerState>, handler: Rc<H>,
+    stream: TcpStream,
+    peer: SocketAddr,
+    progress: Rc<Progress>,
+    server: Rc<ServerState>,
+    handler: Rc<H>,
 ) where
     H: Fn(HttpRequest) -> F + 'static,
     F: Future<Output = HttpResponse> + 'static,
 {
-    let io = HyperStream::new_plain(ServerStream { stream, progress: progress.clone() });
+    let io = HyperStream::new_plain(ServerStream {
+        stream,
+        progress: progress.clone(),
+    });
     let service = service_fn(|request| answer(request, peer, &progress, &server, &*handler));
     let mut builder = http1::Builder::new();
     // The time of day may be wrong here; an answer needs none.
-    builder.auto_date_header(false).max_buf_size(server.options().max_header_bytes.max(HEADER_BYTES_MIN));
+    builder
+        .auto_date_header(false)
+        .max_buf_size(server.options().max_header_bytes.max(HEADER_BYTES_MIN));
     let mut connection = pin!(builder.serve_connection(io, service));
     let mut ending = Ending::Open;
     let outcome = poll_fn(|context| {
@@ -149,7 +158,11 @@
 
 /// Reads one request, has it handled and returns the answer.
 async fn answer<H, F>(
-    request: Request<Incoming>, peer: SocketAddr, progress: &Progress, server: &ServerState, handler: &H,
+    request: Request<Incoming>,
+    peer: SocketAddr,
+    progress: &Progress,
+    server: &ServerState,
+    handler: &H,
 ) -> Result<Response<http_body_util::Full<hyper::body::Bytes>>, Infallible>
 where
     H: Fn(HttpRequest) -> F + 'static,
--- a/crates/net/src/http/message.rs
+++ b/crates/net/src/http/message.rs
@@ -53,18 +53,29 @@
 impl HttpResponse {
     /// An answer without a body.
     pub fn new(status: u16) -> HttpResponse {
-        HttpResponse { status, ..HttpResponse::default() }
+        HttpResponse {
+            status,
+            ..HttpResponse::default()
+        }
     }
 
     /// An answer with a JSON body.
     pub fn json(status: u16, body: impl Into<Vec<u8>>) -> HttpResponse {
-        let content_type = (header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        HttpResponse { status, headers: vec![content_type], body: body.into() }
+        let content_type = (
+            header::CONTENT_TYPE,
+            HeaderValue::from_static("application/json"),
+        );
+        HttpResponse {
+            status,
+            headers: vec![content_type],
+            body: body.into(),
+        }
     }
 
     /// The answer with one more header; a value that cannot stand in a header is left out.
     pub fn with_header(mut self, name: HeaderName, value: &str) -> HttpResponse {
-        self.headers.extend(HeaderValue::from_str(value).ok().map(|value| (name, value)));
+        self.headers
+            .extend(HeaderValue::from_str(value).ok().map(|value| (name, value)));
         self
     }
 
@@ -77,7 +88,9 @@
             response.headers_mut().append(name, value);
         }
         if close {
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
@@ -106,7 +119,9 @@
 
 /// Reads a request to its end.
 pub(super) async fn receive(
-    request: Request<Incoming>, peer: SocketAddr, options: HttpOptions,
+    request: Request<Incoming>,
+    peer: SocketAddr,
+    options: HttpOptions,
 ) -> Result<HttpRequest, Refusal> {
     let (head, body) = request.into_parts();
     let expects_consent = head.headers.contains_key(header::EXPECT);
@@ -119,21 +134,36 @@
     let body = collect(body, options.max_body_bytes, expects_consent).await?;
     let host = host(&head.uri, &head.headers);
     let path = head.uri.path().to_owned();
-    Ok(HttpRequest { method: head.method, path, host, headers: head.headers, body, peer })
+    Ok(HttpRequest {
+        method: head.method,
+        path,
+        host,
+        headers: head.headers,
+        body,
+        peer,
+    })
 }
 
 /// Bytes of a request's head, near enough as it came in. The HTTP library alone lets through what it happens to read
 /// at once, up to about twice its limit.
 fn head_bytes(head: &Parts) -> usize {
-    let path = head.uri.path_and_query().map_or(0, |path| path.as_str().len());
+    let path = head
+        .uri
+        .path_and_query()
+        .map_or(0, |path| path.as_str().len());
     let line = head.method.as_str().len() + path + REQUEST_LINE_BYTES;
-    let header =
-        |(name, value): (&HeaderName, &HeaderValue)| name.as_str().len() + value.len() + HEADER_LINE_BYTES;
+    let header = |(name, value): (&HeaderName, &HeaderValue)| {
+        name.as_str().len() + value.len() + HEADER_LINE_BYTES
+    };
     line + head.headers.iter().map(header).sum::<usize>()
 }
 
 /// The bytes of a body, `max_bytes` at most. A body that is announced as longer is not asked for.
-async fn collect(mut body: Incoming, max_bytes: usize, expects_consent: bool) -> Result<Vec<u8>, Refusal> {
+async fn collect(
+    mut body: Incoming,
+    max_bytes: usize,
+    expects_consent: bool,
+) -> Result<Vec<u8>, Refusal> {
     let announced = body.size_hint().lower().try_into().unwrap_or(usize::MAX);
     if announced > max_bytes {
         if !expects_consent && announced <= DROPPED_BYTES_MAX {
@@ -143,7 +173,9 @@
     }
     let mut bytes = Vec::with_capacity(announced);
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| Refusal::Broken)?.into_data() else { continue };
+        let Ok(data) = frame.map_err(|_| Refusal::Broken)?.into_data() else {
+            continue;
+        };
         if bytes.len() + data.len() > max_bytes {
             drop_rest(body, DROPPED_BYTES_MAX).await;
             return Err(Refusal::TooLarge);
@@ -165,7 +197,11 @@
 
 /// The host that a request names, in lower case and without a port.
 fn host(uri: &Uri, headers: &HeaderMap) -> String {
-    let header = || headers.get(header::HOST).and_then(|value| value.to_str().ok());
+    let header = || {
+        headers
+            .get(header::HOST)
+            .and_then(|value| value.to_str().ok())
+    };
     let named = uri.host().or_else(header).unwrap_or_default();
     let without_port = match named.rsplit_once(':') {
         Some((host, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => host,
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -106,7 +106,9 @@
 /// Serves HTTP/1.1 on `address`: each request is read whole and answered with what `handler` returns. A handler's
 /// future is dropped if its client closes the connection.
 pub async fn serve<H, F>(
-    address: SocketAddr, options: HttpOptions, handler: H,
+    address: SocketAddr,
+    options: HttpOptions,
+    handler: H,
 ) -> Result<HttpServer, NetError>
 where
     H: Fn(HttpRequest) -> F + 'static,
@@ -123,7 +125,11 @@
         drained: RefCell::default(),
     });
     let accepting = runtime::spawn_scoped(accept(listener, state.clone(), Rc::new(handler)));
-    Ok(HttpServer { state, address, accepting: Rc::new(RefCell::new(Some(accepting))) })
+    Ok(HttpServer {
+        state,
+        address,
+        accepting: Rc::new(RefCell::new(Some(accepting))),
+    })
 }
 
 impl HttpServer {
@@ -150,7 +156,10 @@
         sleep(idle_grace.min(limit)).await;
         self.accepting.borrow_mut().take();
         self.state.for_each_connection(Progress::end_gracefully);
-        if timeout(limit.saturating_sub(idle_grace), self.state.until_drained()).await.is_none() {
+        if timeout(limit.saturating_sub(idle_grace), self.state.until_drained())
+            .await
+            .is_none()
+        {
             self.state.for_each_connection(Progress::end_abruptly);
             self.state.until_drained().await;
         }
@@ -185,7 +194,10 @@
         return;
     }
     let progress = Rc::new(Progress::new());
-    state.connections.borrow_mut().push(Rc::downgrade(&progress));
+    state
+        .connections
+        .borrow_mut()
+        .push(Rc::downgrade(&progress));
     state.open.set(state.open.get() + 1);
     let (serving, handler) = (state.clone(), handler.clone());
     runtime::spawn(async move {
--- a/crates/net/src/http/stream.rs
+++ b/crates/net/src/http/stream.rs
@@ -33,8 +33,16 @@
     type WriteHalf = WriteHalf;
 
     fn split(self) -> (ReadHalf, WriteHalf) {
-        let write_half = WriteHalf { stream: self.stream.clone() };
-        (ReadHalf { stream: self.stream, progress: self.progress }, write_half)
+        let write_half = WriteHalf {
+            stream: self.stream.clone(),
+        };
+        (
+            ReadHalf {
+                stream: self.stream,
+                progress: self.progress,
+            },
+            write_half,
+        )
     }
 }
 
--- a/crates/net/src/logging.rs
+++ b/crates/net/src/logging.rs
@@ -13,8 +13,9 @@
 
 /// Sends what is logged at `level` and above to standard error, one plain line each. Call once; later calls do nothing.
 pub fn start(level: LevelFilter) {
-    let logger =
-        logforth::core::builder().dispatch(|to| to.append(Stderr::default().with_layout(Line))).build();
+    let logger = logforth::core::builder()
+        .dispatch(|to| to.append(Stderr::default().with_layout(Line)))
+        .build();
     if log::set_boxed_logger(Box::new(LogBridge::new(logger))).is_ok() {
         log::set_max_level(level);
     }
@@ -27,8 +28,15 @@
 impl Layout for Line {
     fn format(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
         let mut line = Vec::with_capacity(LINE_BYTES);
-        write!(line, "{} {} {}: {}", wall_ms(), record.level().name(), record.target(), record.payload())
-            .map_err(Error::from_io_error)?;
+        write!(
+            line,
+            "{} {} {}: {}",
+            wall_ms(),
+            record.level().name(),
+            record.target(),
+            record.payload()
+        )
+        .map_err(Error::from_io_error)?;
         Ok(line)
     }
 }
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -28,7 +28,11 @@
             let busy = run_ready(&runtime);
             // Clears the note that a wake-up came. One from another thread may have come since the tasks ran, so they
             // are run once more; one that comes from here on ends the wait below.
-            let busy = if runtime.flush() { run_ready(&runtime) } else { busy };
+            let busy = if runtime.flush() {
+                run_ready(&runtime)
+            } else {
+                busy
+            };
             if let Poll::Ready(output) = main.as_mut().poll(&mut context) {
                 return output;
             }
@@ -40,7 +44,9 @@
         }
     });
     // Nobody else holds the handle, so that the task has not been cancelled.
-    Ok(output.resume_unwind().expect("the main task is not cancelled"))
+    Ok(output
+        .resume_unwind()
+        .expect("the main task is not cancelled"))
 }
 
 /// Runs the tasks that are ready. True if some still are, after [`ROUNDS_MAX`].
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -41,11 +41,15 @@
     /// Catches the signals from now on. The handlers stay when the value is dropped.
     pub fn register() -> Result<Signals, NetError> {
         let flags = PipeFlags::CLOEXEC | PipeFlags::NONBLOCK;
-        let (reader, writer) = pipe_with(flags).map_err(io::Error::from).context(RuntimeSnafu)?;
+        let (reader, writer) = pipe_with(flags)
+            .map_err(io::Error::from)
+            .context(RuntimeSnafu)?;
         let writer = Arc::new(writer);
         catch(Signal::Terminate, &writer)?;
         catch(Signal::Reload, &writer)?;
-        Ok(Signals { pipe: PollFd::new(reader).context(RuntimeSnafu)? })
+        Ok(Signals {
+            pipe: PollFd::new(reader).context(RuntimeSnafu)?,
+        })
     }
 
     /// Waits for the next signal.
@@ -76,6 +80,7 @@
         let _ = rustix::io::write(&*writer, &[number as u8]);
     };
     // SAFETY: the handler calls write(2) only, which may be called in a signal handler.
-    unsafe { signal_hook_registry::register(number, handler) }.context(SignalSnafu { signal: number })?;
+    unsafe { signal_hook_registry::register(number, handler) }
+        .context(SignalSnafu { signal: number })?;
     Ok(())
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -38,7 +38,11 @@
 
 /// A listening socket. `SO_REUSEADDR` lets a restarted process bind at once.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
@@ -48,7 +52,11 @@
 /// Connects to `address`. A machine without power says nothing: the attempt ends after `limit`.
 pub(crate) async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, NetError> {
     let attempt = async {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         let socket = TcpSocket::from_std_stream(socket.into())?;
         let stream = socket.connect(address).await?;
         set_options(&stream)?;
@@ -56,7 +64,11 @@
     };
     match timeout(limit, attempt).await {
         Some(connected) => connected.context(ConnectSnafu { address }),
-        None => ConnectTimeoutSnafu { address, timeout: limit }.fail(),
+        None => ConnectTimeoutSnafu {
+            address,
+            timeout: limit,
+        }
+        .fail(),
     }
 }
 
@@ -65,8 +77,10 @@
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))?;
-    let probes =
-        TcpKeepalive::new().with_time(PROBE_INTERVAL).with_interval(PROBE_INTERVAL).with_retries(PROBES);
+    let probes = TcpKeepalive::new()
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(PROBES);
     socket.set_tcp_keepalive(&probes)
 }
 
--- a/crates/net/tests/framed.rs
+++ b/crates/net/tests/framed.rs
@@ -26,9 +26,16 @@
 
 /// Both ends of a connection.
 async fn pair() -> (Connection, Connection, FrameListener) {
-    let listener = framed::listen(loopback()).await.expect("loopback can be listened on");
-    let dialled = framed::connect(listener.local_address(), PATIENCE).await.expect("the listener is there");
-    let accepted = listener.accept().await.expect("the connection has been made");
+    let listener = framed::listen(loopback())
+        .await
+        .expect("loopback can be listened on");
+    let dialled = framed::connect(listener.local_address(), PATIENCE)
+        .await
+        .expect("the listener is there");
+    let accepted = listener
+        .accept()
+        .await
+        .expect("the connection has been made");
     (dialled, accepted, listener)
 }
 
@@ -36,13 +43,19 @@
 fn frames_arrive_whole_and_in_order() {
     runtime::run(async {
         let (dialled, mut accepted, _listener) = pair().await;
-        let frames: Vec<Frame> =
-            [1, 10, 9_000, 300_000, 3].iter().enumerate().map(|(i, bytes)| frame(i as u8, *bytes)).collect();
+        let frames: Vec<Frame> = [1, 10, 9_000, 300_000, 3]
+            .iter()
+            .enumerate()
+            .map(|(i, bytes)| frame(i as u8, *bytes))
+            .collect();
         for frame in &frames {
             dialled.sender.send(frame).expect("the connection is open");
         }
         for frame in &frames {
-            assert_eq!(accepted.reader.next().await.expect("a frame").as_ref(), Some(frame));
+            assert_eq!(
+                accepted.reader.next().await.expect("a frame").as_ref(),
+                Some(frame)
+            );
         }
     })
     .expect("the runtime starts");
@@ -54,9 +67,15 @@
         let (mut dialled, mut accepted, _listener) = pair().await;
         for round in 0..100 {
             dialled.sender.send(&frame(round, 100)).expect("open");
-            assert_eq!(accepted.reader.next().await.expect("a frame"), Some(frame(round, 100)));
+            assert_eq!(
+                accepted.reader.next().await.expect("a frame"),
+                Some(frame(round, 100))
+            );
             accepted.sender.send(&frame(round, 50)).expect("open");
-            assert_eq!(dialled.reader.next().await.expect("a frame"), Some(frame(round, 50)));
+            assert_eq!(
+                dialled.reader.next().await.expect("a frame"),
+                Some(frame(round, 50))
+            );
         }
     })
     .expect("the runtime starts");
@@ -66,14 +85,26 @@
 fn what_was_queued_arrives_before_the_end_when_all_senders_are_dropped() {
     runtime::run(async {
         let (dialled, mut accepted, _listener) = pair().await;
-        let Connection { sender, reader: _reader, .. } = dialled;
+        let Connection {
+            sender,
+            reader: _reader,
+            ..
+        } = dialled;
         let clone = sender.clone();
         sender.send(&frame(1, 200_000)).expect("open");
         drop(sender);
-        clone.send(&frame(2, 10)).expect("a clone keeps the connection open");
+        clone
+            .send(&frame(2, 10))
+            .expect("a clone keeps the connection open");
         drop(clone);
-        assert_eq!(accepted.reader.next().await.expect("a frame"), Some(frame(1, 200_000)));
-        assert_eq!(accepted.reader.next().await.expect("a frame"), Some(frame(2, 10)));
+        assert_eq!(
+            accepted.reader.next().await.expect("a frame"),
+            Some(frame(1, 200_000))
+        );
+        assert_eq!(
+            accepted.reader.next().await.expect("a frame"),
+            Some(frame(2, 10))
+        );
         assert_eq!(accepted.reader.next().await.expect("the end"), None);
     })
     .expect("the runtime starts");
@@ -100,11 +131,17 @@
 #[case::broken_off(&[0, 0, 0, 9, 1], "within a frame")]
 fn what_is_no_frame_is_an_error(#[case] bytes: &'static [u8], #[case] expected: &'static str) {
     runtime::run(async move {
-        let listener = framed::listen(loopback()).await.expect("loopback can be listened on");
-        let mut stranger = TcpStream::connect(listener.local_address()).expect("the listener is there");
+        let listener = framed::listen(loopback())
+            .await
+            .expect("loopback can be listened on");
+        let mut stranger =
+            TcpStream::connect(listener.local_address()).expect("the listener is there");
         stranger.write_all(bytes).expect("the connection is open");
         drop(stranger);
-        let mut accepted = listener.accept().await.expect("the connection has been made");
+        let mut accepted = listener
+            .accept()
+            .await
+            .expect("the connection has been made");
         let error = accepted.reader.next().await.expect_err("no frame was sent");
         assert!(error.to_string().contains(expected), "{error}");
     })
@@ -114,9 +151,14 @@
 #[test]
 fn frames_queued_together_leave_in_one_segment() {
     runtime::run(async {
-        let listener = framed::listen(loopback()).await.expect("loopback can be listened on");
+        let listener = framed::listen(loopback())
+            .await
+            .expect("loopback can be listened on");
         let mut peer = TcpStream::connect(listener.local_address()).expect("the listener is there");
-        let accepted = listener.accept().await.expect("the connection has been made");
+        let accepted = listener
+            .accept()
+            .await
+            .expect("the connection has been made");
         let sent: Vec<Frame> = (0..20).map(|i| frame(i, 20)).collect();
         for frame in &sent {
             accepted.sender.send(frame).expect("open");
@@ -137,9 +179,18 @@
 #[test]
 fn nobody_listening_is_an_error_that_names_the_address() {
     runtime::run(async {
-        let address = framed::listen(loopback()).await.expect("loopback").local_address();
-        let error = framed::connect(address, PATIENCE).await.err().expect("nobody listens");
-        assert!(matches!(error, NetError::Connect { address: named, .. } if named == address), "{error}");
+        let address = framed::listen(loopback())
+            .await
+            .expect("loopback")
+            .local_address();
+        let error = framed::connect(address, PATIENCE)
+            .await
+            .err()
+            .expect("nobody listens");
+        assert!(
+            matches!(error, NetError::Connect { address: named, .. } if named == address),
+            "{error}"
+        );
     })
     .expect("the runtime starts");
 }
@@ -150,7 +201,10 @@
         let (dialled, accepted, listener) = pair().await;
         let address = listener.local_address();
         drop((listener, accepted, dialled));
-        assert_eq!(framed::listen(address).await.expect("free").local_address(), address);
+        assert_eq!(
+            framed::listen(address).await.expect("free").local_address(),
+            address
+        );
     })
     .expect("the runtime starts");
 }
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -19,14 +19,25 @@
 /// Tells the request back.
 async fn echo(request: HttpRequest) -> HttpResponse {
     let body = String::from_utf8_lossy(&request.body).into_owned();
-    HttpResponse::json(200, format!("{} {} {} {body}", request.method, request.host, request.path))
+    HttpResponse::json(
+        200,
+        format!(
+            "{} {} {} {body}",
+            request.method, request.host, request.path
+        ),
+    )
 }
 
 /// Runs a client on a thread of its own beside a server that echoes; the client's result.
 fn with_server<T: Send + 'static>(
-    options: HttpOptions, client: impl FnOnce(SocketAddr) -> T + Send + 'static,
+    options: HttpOptions,
+    client: impl FnOnce(SocketAddr) -> T + Send + 'static,
 ) -> T {
-    with_running_server(options, move |address, _| client(address), |_| std::future::pending())
+    with_running_server(
+        options,
+        move |address, _| client(address),
+        |_| std::future::pending(),
+    )
 }
 
 /// As [`with_server`], with a task beside it that gets the server. The client also gets a handle that starts the task.
@@ -40,7 +51,9 @@
     F: Future<Output = ()> + 'static,
 {
     runtime::run(async move {
-        let server = serve(loopback(), options, echo).await.expect("loopback can be listened on");
+        let server = serve(loopback(), options, echo)
+            .await
+            .expect("loopback can be listened on");
         let address = server.local_address();
         let (start, started) = futures_channel::oneshot::channel();
         let (done, finished) = futures_channel::oneshot::channel();
@@ -63,7 +76,9 @@
 /// An open connection to the server.
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("the server listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a read timeout can be set");
+    stream
+        .set_read_timeout(Some(PATIENCE))
+        .expect("a read timeout can be set");
     stream
 }
 
@@ -75,8 +90,12 @@
         stream.read_exact(&mut byte).expect("an answer comes");
         answer.push(byte[0]);
     }
-    let head = String::from_utf8(answer).expect("a head is text").to_ascii_lowercase();
-    let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+    let head = String::from_utf8(answer)
+        .expect("a head is text")
+        .to_ascii_lowercase();
+    let length = head
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length: "));
     let mut body = vec![0; length.map_or(0, |length| length.trim().parse().expect("a length"))];
     stream.read_exact(&mut body).expect("the body comes");
     head + &String::from_utf8(body).expect("the body is text")
@@ -85,9 +104,13 @@
 /// Sends `request` on a connection of its own; all that comes back until the server closes the connection.
 fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = connect(address);
-    stream.write_all(request.as_bytes()).expect("the connection is open");
+    stream
+        .write_all(request.as_bytes())
+        .expect("the connection is open");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("the server closes the connection");
+    stream
+        .read_to_string(&mut answer)
+        .expect("the server closes the connection");
     answer
 }
 
@@ -96,21 +119,31 @@
     with_server(HttpOptions::default(), |address| {
         let mut stream = connect(address);
         for path in ["/a", "/b?x=1"] {
-            let request =
-                format!("POST {path} HTTP/1.1\r\nHost: Ficu.example:80\r\nContent-Length: 2\r\n\r\nhi");
+            let request = format!(
+                "POST {path} HTTP/1.1\r\nHost: Ficu.example:80\r\nContent-Length: 2\r\n\r\nhi"
+            );
             stream.write_all(request.as_bytes()).expect("open");
             let answer = read_answer(&mut stream);
             let path = path.trim_end_matches("?x=1");
             assert!(answer.starts_with("http/1.1 200"), "{answer}");
-            assert!(answer.ends_with(&format!("POST ficu.example {path} hi")), "{answer}");
-            assert!(answer.contains("content-type: application/json"), "{answer}");
+            assert!(
+                answer.ends_with(&format!("POST ficu.example {path} hi")),
+                "{answer}"
+            );
+            assert!(
+                answer.contains("content-type: application/json"),
+                "{answer}"
+            );
         }
     });
 }
 
 #[rstest]
 #[case::no_http("nonsense\r\n\r\n", "400")]
-#[case::two_lengths("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", "400")]
+#[case::two_lengths(
+    "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx",
+    "400"
+)]
 #[case::long_body(
     "POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 9\r\n\r\n123456789",
     "413"
@@ -124,15 +157,26 @@
     "413"
 )]
 fn bad_requests_are_refused(#[case] request: &'static str, #[case] status: &'static str) {
-    let options = HttpOptions { max_body_bytes: 8, ..HttpOptions::default() };
+    let options = HttpOptions {
+        max_body_bytes: 8,
+        ..HttpOptions::default()
+    };
     let answer = with_server(options, move |address| exchange(address, request));
-    assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer}");
+    assert!(
+        answer.starts_with(&format!("HTTP/1.1 {status}")),
+        "{answer}"
+    );
 }
 
 #[test]
 fn a_head_over_the_limit_is_refused() {
-    let request = format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "x".repeat(20_000));
-    let answer = with_server(HttpOptions::default(), move |address| exchange(address, &request));
+    let request = format!(
+        "GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
+        "x".repeat(20_000)
+    );
+    let answer = with_server(HttpOptions::default(), move |address| {
+        exchange(address, &request)
+    });
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
 }
 
@@ -140,13 +184,22 @@
 #[rstest]
 #[case::at_the_limit(1_000, "200")]
 #[case::over_the_limit(999, "431")]
-fn the_limit_of_a_head_is_kept_to_the_byte(#[case] max_header_bytes: usize, #[case] status: &'static str) {
+fn the_limit_of_a_head_is_kept_to_the_byte(
+    #[case] max_header_bytes: usize,
+    #[case] status: &'static str,
+) {
     let fixed = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX: \r\n";
     let padding = "x".repeat(1_000 - fixed.len());
     let request = format!("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX: {padding}\r\n\r\n");
-    let options = HttpOptions { max_header_bytes, ..HttpOptions::default() };
+    let options = HttpOptions {
+        max_header_bytes,
+        ..HttpOptions::default()
+    };
     let answer = with_server(options, move |address| exchange(address, &request));
-    assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer}");
+    assert!(
+        answer.starts_with(&format!("HTTP/1.1 {status}")),
+        "{answer}"
+    );
 }
 
 #[rstest]
@@ -155,7 +208,11 @@
 #[case::within_the_body("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n123")]
 fn a_peer_that_lets_the_server_wait_is_cut(#[case] request: &'static str) {
     let soon = Duration::from_millis(50);
-    let options = HttpOptions { header_timeout: soon, idle_timeout: soon, ..HttpOptions::default() };
+    let options = HttpOptions {
+        header_timeout: soon,
+        idle_timeout: soon,
+        ..HttpOptions::default()
+    };
     let answer = with_server(options, move |address| exchange(address, request));
     assert_eq!(answer, "");
 }
@@ -180,7 +237,12 @@
             first.write_all(request).expect("still open");
             assert!(read_answer(&mut first).contains("connection: close"));
             assert_eq!(first.read(&mut [0]).expect("the end"), 0);
-            assert_eq!(second.read(&mut [0]).expect("the end of the idle connection"), 0);
+            assert_eq!(
+                second
+                    .read(&mut [0])
+                    .expect("the end of the idle connection"),
+                0
+            );
         },
         move |server| async move {
             server.shutdown(grace, PATIENCE).await;
--- a/crates/net/tests/runtime.rs
+++ b/crates/net/tests/runtime.rs
@@ -18,25 +18,37 @@
     let thread = thread::spawn(move || {
         runtime::run(async move {
             while let Some(number) = from_runtime.next().await {
-                to_runtime.unbounded_send(number + 1).expect("the other side listens");
+                to_runtime
+                    .unbounded_send(number + 1)
+                    .expect("the other side listens");
             }
         })
     });
     let last = runtime::run(async move {
         let mut number = 0;
         while number < 20_000 {
-            to_thread.unbounded_send(number).expect("the thread listens");
-            number = runtime::timeout(PATIENCE, from_thread.next()).await.expect("in time").expect("open");
+            to_thread
+                .unbounded_send(number)
+                .expect("the thread listens");
+            number = runtime::timeout(PATIENCE, from_thread.next())
+                .await
+                .expect("in time")
+                .expect("open");
         }
         number
     });
     assert_eq!(last.expect("the runtime starts"), 20_000);
-    thread.join().expect("no panic").expect("the runtime starts");
+    thread
+        .join()
+        .expect("no panic")
+        .expect("the runtime starts");
 }
 
 /// Passes on what comes in, and counts it.
 async fn pass_on(
-    mut from: mpsc::UnboundedReceiver<()>, to: mpsc::UnboundedSender<()>, rounds: Rc<Cell<u64>>,
+    mut from: mpsc::UnboundedReceiver<()>,
+    to: mpsc::UnboundedSender<()>,
+    rounds: Rc<Cell<u64>>,
 ) {
     while from.next().await.is_some() {
         rounds.set(rounds.get() + 1);
--- a/crates/placement/src/runs.rs
+++ b/crates/placement/src/runs.rs
@@ -37,7 +37,10 @@
 
 impl Default for Speed {
     fn default() -> Self {
-        Speed { log: (0.0, 0.0), speed: 1.0 }
+        Speed {
+            log: (0.0, 0.0),
+            speed: 1.0,
+        }
     }
 }
 
@@ -56,7 +59,10 @@
 
     /// The same speed with this part of the weight.
     pub fn faded(self, keep: f64) -> Self {
-        Speed { log: (self.log.0 * keep, self.log.1 * keep), ..self }
+        Speed {
+            log: (self.log.0 * keep, self.log.1 * keep),
+            ..self
+        }
     }
 }
 
@@ -69,12 +75,18 @@
     /// The same run times with this part of the weight.
     pub fn faded(self, keep: f64) -> Self {
         let less = |sum: Sum| (sum.0 * keep, sum.1 * keep);
-        Work { log: less(self.log), work: less(self.work) }
+        Work {
+            log: less(self.log),
+            work: less(self.work),
+        }
     }
 
     /// Until a run time is known, a job is taken to be so long.
     pub fn of(run: Time) -> Self {
-        Work { work: (run.max(1) as f64, 1.0), ..Default::default() }
+        Work {
+            work: (run.max(1) as f64, 1.0),
+            ..Default::default()
+        }
     }
 
     /// Mean run time at mean speed, of a job with this estimate of its own.
@@ -91,7 +103,11 @@
     let (speed, base) = (kind.speed, estimate.map_or(1.0, |e| e as f64));
     let (log, at_mean_speed) = ((run.max(1) as f64 / base).ln(), run as f64 * speed);
     let known = (class.work, class.log.1 / class.log.0);
-    let (old, mean) = if class.log.0 == 0.0 { ((0.0, 0.0), log + speed.ln()) } else { known };
+    let (old, mean) = if class.log.0 == 0.0 {
+        ((0.0, 0.0), log + speed.ln())
+    } else {
+        known
+    };
     class.work = (old.0 * KEEP + at_mean_speed, old.1 * KEEP + base);
     add(&mut class.log, KEEP, log + speed.ln());
     add(all, KEEP, at_mean_speed);
--- a/crates/placement/src/solve.rs
+++ b/crates/placement/src/solve.rs
@@ -12,18 +12,36 @@
     }
     let total: f64 = share.iter().sum();
     let mu: Vec<f64> = speed.iter().map(|m| m * total / capacity).collect();
-    let load = if load.is_finite() { load.clamp(LOAD_RANGE.0, LOAD_RANGE.1) } else { LOAD_RANGE.1 };
+    let load = if load.is_finite() {
+        load.clamp(LOAD_RANGE.0, LOAD_RANGE.1)
+    } else {
+        LOAD_RANGE.1
+    };
     // At the optimum g'(rho_k) = theta mu_k: bisect the logarithm of theta.
     let flow = |log: f64| -> Vec<f64> {
         // The rho with g'(rho) = slope; 0 below the slope at 0, which is 1.
         let slopes = mu.iter().map(|m| log.exp() * m);
-        let rho =
-            slopes.map(|at| if at > 1.0 { bisect((0.0, 1.0), 26, |r| slope_at(r, d, at) < at) } else { 0.0 });
-        share.iter().zip(&mu).zip(rho).map(|((share, mu), rho)| share / total * mu * rho).collect()
+        let rho = slopes.map(|at| {
+            if at > 1.0 {
+                bisect((0.0, 1.0), 26, |r| slope_at(r, d, at) < at)
+            } else {
+                0.0
+            }
+        });
+        share
+            .iter()
+            .zip(&mu)
+            .zip(rho)
+            .map(|((share, mu), rho)| share / total * mu * rho)
+            .collect()
     };
-    let flow = flow(bisect((-30.0, 60.0), 36, |log| flow(log).iter().sum::<f64>() < load));
+    let flow = flow(bisect((-30.0, 60.0), 36, |log| {
+        flow(log).iter().sum::<f64>() < load
+    }));
     let sum = flow.iter().sum::<f64>();
-    flow.iter().map(|f| if sum > 0.0 { f / sum } else { 0.0 }).collect()
+    flow.iter()
+        .map(|f| if sum > 0.0 { f / sum } else { 0.0 })
+        .collect()
 }
 
 fn bisect((mut low, mut high): (f64, f64), steps: usize, below: impl Fn(f64) -> bool) -> f64 {
--- a/crates/protocol/src/codec/client.rs
+++ b/crates/protocol/src/codec/client.rs
@@ -58,13 +58,18 @@
         wire_outcome::TooMany(retry_after_ms) => ClientOutcome::TooMany { retry_after_ms },
         wire_outcome::Unavailable(retry_after_ms) => ClientOutcome::Unavailable { retry_after_ms },
         wire_outcome::UnknownRoute(()) => ClientOutcome::UnknownRoute,
-        wire_outcome::Invalid(reason) => ClientOutcome::Invalid { reason: read_text(reason)? },
+        wire_outcome::Invalid(reason) => ClientOutcome::Invalid {
+            reason: read_text(reason)?,
+        },
         wire_outcome::State(state) => ClientOutcome::State(read_state(state?)),
         wire_outcome::NoSuchJob(()) => ClientOutcome::NoSuchJob,
         wire_outcome::Pending(count) => ClientOutcome::Pending(count),
         wire_outcome::Cancelled(()) => ClientOutcome::Cancelled,
     };
-    Ok(ClientReply { call: from.get_call(), outcome })
+    Ok(ClientReply {
+        call: from.get_call(),
+        outcome,
+    })
 }
 
 /// Writes a [`JobState`].
@@ -105,7 +110,11 @@
 fn read_job(from: job_spec::Reader) -> capnp::Result<JobSpec> {
     Ok(JobSpec {
         spec: read_text(from.get_spec())?,
-        stages: from.get_stages()?.iter().map(read_step).collect::<Result<_, _>>()?,
+        stages: from
+            .get_stages()?
+            .iter()
+            .map(read_step)
+            .collect::<Result<_, _>>()?,
         repeat_count: from.get_repeat_count(),
         start_at_ms: from.get_start_at_ms(),
         interval_ms: from.get_interval_ms(),
--- a/crates/protocol/src/codec/common.rs
+++ b/crates/protocol/src/codec/common.rs
@@ -59,7 +59,11 @@
 
 /// Reads what a worker has, or a task takes.
 pub(super) fn read_resources(from: resources::Reader) -> Resources {
-    Resources { cpu: from.get_cpu(), mem_mb: from.get_mem_mb(), gpu: from.get_gpu() }
+    Resources {
+        cpu: from.get_cpu(),
+        mem_mb: from.get_mem_mb(),
+        gpu: from.get_gpu(),
+    }
 }
 
 /// Writes a run's id.
@@ -74,8 +78,16 @@
 /// Reads a run's id.
 pub(super) fn read_run(from: run_id::Reader) -> RunId {
     let job = JobId(from.get_job());
-    let task = TaskName { job, repeat: from.get_repeat(), step: from.get_step(), index: from.get_index() };
-    RunId { task, attempt: from.get_attempt() }
+    let task = TaskName {
+        job,
+        repeat: from.get_repeat(),
+        step: from.get_step(),
+        index: from.get_index(),
+    };
+    RunId {
+        task,
+        attempt: from.get_attempt(),
+    }
 }
 
 /// Writes runs' ids into a list of the same length.
--- a/crates/protocol/src/codec/companion.rs
+++ b/crates/protocol/src/codec/companion.rs
@@ -1,14 +1,15 @@
 //! Companions' reports and the head's orders.
 
 use super::common::{
-    read_resources, read_run, read_runs, read_text, read_texts, write_resources, write_run, write_runs,
-    write_texts,
+    read_resources, read_run, read_runs, read_text, read_texts, write_resources, write_run,
+    write_runs, write_texts,
 };
 use crate::internal::{
     CompanionOrders, CompanionReport, FinishedRun, InstanceReport, RunningRun, StartOrder,
 };
 use crate::internal_capnp::{
-    self as wire, companion_orders, companion_report, finished_run, instance_report, running_run, start_order,
+    self as wire, companion_orders, companion_report, finished_run, instance_report, running_run,
+    start_order,
 };
 use crate::worker::{RunEnd, WorkerState};
 
@@ -18,13 +19,22 @@
     if let Some(instance) = &report.instance {
         write_instance(to.reborrow().init_instance(), instance);
     }
-    write_texts(to.reborrow().init_gone(report.gone.len() as u32), &report.gone);
-    write_runs(to.init_not_started(report.not_started.len() as u32), &report.not_started);
+    write_texts(
+        to.reborrow().init_gone(report.gone.len() as u32),
+        &report.gone,
+    );
+    write_runs(
+        to.init_not_started(report.not_started.len() as u32),
+        &report.not_started,
+    );
 }
 
 /// Reads a [`CompanionReport`].
 pub(super) fn read_report(from: companion_report::Reader) -> capnp::Result<CompanionReport> {
-    let instance = from.has_instance().then(|| read_instance(from.get_instance()?)).transpose()?;
+    let instance = from
+        .has_instance()
+        .then(|| read_instance(from.get_instance()?))
+        .transpose()?;
     Ok(CompanionReport {
         sent_ms: from.get_sent_ms(),
         instance,
@@ -43,11 +53,16 @@
         WorkerState::Draining => wire::WorkerState::Draining,
     });
     if let Some(remaining_ms) = instance.remaining_ms {
-        to.reborrow().init_remaining().set_milliseconds(remaining_ms);
+        to.reborrow()
+            .init_remaining()
+            .set_milliseconds(remaining_ms);
     }
     to.set_cold_remaining_ms(instance.cold_remaining_ms);
     write_resources(to.reborrow().init_capacity(), &instance.capacity);
-    write_texts(to.reborrow().init_labels(instance.labels.len() as u32), &instance.labels);
+    write_texts(
+        to.reborrow().init_labels(instance.labels.len() as u32),
+        &instance.labels,
+    );
     to.set_silent_ms(instance.silent_ms);
     if let Some(running) = &instance.running {
         let mut list = to.reborrow().init_running(running.len() as u32);
@@ -59,12 +74,20 @@
     for (index, run) in (0..).zip(&instance.finished) {
         write_finished(finished.reborrow().get(index), run);
     }
-    write_runs(to.init_in_flight(instance.in_flight.len() as u32), &instance.in_flight);
+    write_runs(
+        to.init_in_flight(instance.in_flight.len() as u32),
+        &instance.in_flight,
+    );
 }
 
 /// Reads an [`InstanceReport`].
 fn read_instance(from: instance_report::Reader) -> capnp::Result<InstanceReport> {
-    let read_running_list = || from.get_running()?.iter().map(read_running).collect::<Result<_, _>>();
+    let read_running_list = || {
+        from.get_running()?
+            .iter()
+            .map(read_running)
+            .collect::<Result<_, _>>()
+    };
     Ok(InstanceReport {
         id: read_text(from.get_id())?,
         backend: read_text(from.get_backend())?,
@@ -82,7 +105,11 @@
         labels: read_texts(from.get_labels()?)?,
         silent_ms: from.get_silent_ms(),
         running: from.has_running().then(read_running_list).transpose()?,
-        finished: from.get_finished()?.iter().map(read_finished).collect::<Result<_, _>>()?,
+        finished: from
+            .get_finished()?
+            .iter()
+            .map(read_finished)
+            .collect::<Result<_, _>>()?,
         in_flight: read_runs(from.get_in_flight()?),
     })
 }
@@ -141,7 +168,9 @@
 pub(super) fn write_orders(mut to: companion_orders::Builder, orders: &CompanionOrders) {
     to.set_epoch(orders.epoch);
     if let Some(echo_sent_ms) = orders.echo_sent_ms {
-        to.reborrow().init_echo_sent().set_milliseconds(echo_sent_ms);
+        to.reborrow()
+            .init_echo_sent()
+            .set_milliseconds(echo_sent_ms);
     }
     to.set_instance(orders.instance.as_str());
     if let Some(last_seen) = orders.last_seen {
@@ -163,7 +192,11 @@
             companion_orders::echo_sent::Milliseconds(sent_ms) => Some(sent_ms),
         },
         instance: read_text(from.get_instance())?,
-        start: from.get_start()?.iter().map(read_start).collect::<Result<_, _>>()?,
+        start: from
+            .get_start()?
+            .iter()
+            .map(read_start)
+            .collect::<Result<_, _>>()?,
         stop: read_runs(from.get_stop()?),
         last_seen: match from.get_last_seen().which()? {
             companion_orders::last_seen::None(()) => None,
--- a/crates/protocol/src/codec/member.rs
+++ b/crates/protocol/src/codec/member.rs
@@ -48,11 +48,18 @@
 
 /// Reads a [`Welcome`].
 pub(super) fn read_welcome(from: welcome::Reader) -> capnp::Result<Welcome> {
-    let head = from.has_head().then(|| read_member(from.get_head()?)).transpose()?;
+    let head = from
+        .has_head()
+        .then(|| read_member(from.get_head()?))
+        .transpose()?;
     Ok(Welcome {
         view: from.get_view(),
         head,
-        members: from.get_members()?.iter().map(read_member).collect::<Result<_, _>>()?,
+        members: from
+            .get_members()?
+            .iter()
+            .map(read_member)
+            .collect::<Result<_, _>>()?,
         acting: from.get_acting(),
         config_version: from.get_config_version(),
         limits: read_limits(from.get_limits()?),
--- a/crates/protocol/src/codec/mod.rs
+++ b/crates/protocol/src/codec/mod.rs
@@ -59,12 +59,16 @@
 
 /// The first whole message in `bytes` and how many bytes it took; `None` while it is not whole.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, CodecError> {
-    let Some(head) = bytes.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let Some(head) = bytes.first_chunk::<LENGTH_BYTES>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*head) as usize;
     if length > FRAME_BYTES_MAX {
         return Err(CodecError::TooLong { length });
     }
-    let Some(body) = bytes.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
+    let Some(body) = bytes.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
+        return Ok(None);
+    };
     let frame = decode_body(body).map_err(|source| CodecError::Malformed { source })?;
     Ok(Some((frame, LENGTH_BYTES + length)))
 }
--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -84,7 +84,10 @@
 impl Config {
     /// The route for a call: the longest prefix of `path` among the routes of `host`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let here = self.routes.iter().filter(|r| r.host == host && path.starts_with(&r.path_prefix));
+        let here = self
+            .routes
+            .iter()
+            .filter(|r| r.host == host && path.starts_with(&r.path_prefix));
         here.max_by_key(|r| r.path_prefix.len())
     }
 
--- a/crates/protocol/src/config_check.rs
+++ b/crates/protocol/src/config_check.rs
@@ -38,7 +38,9 @@
         name: String,
     },
     /// A route leads to a service that is not in the configuration.
-    #[snafu(display("route `{route}` names the unknown service `{service}`: one of `services` is expected"))]
+    #[snafu(display(
+        "route `{route}` names the unknown service `{service}`: one of `services` is expected"
+    ))]
     UnknownService {
         /// The route's name.
         route: String,
@@ -105,7 +107,13 @@
 
     /// Checks that the version is above `current`, the one in force (0 for none).
     pub fn ensure_newer_than(&self, current: u64) -> Result<(), ConfigError> {
-        ensure!(self.version() > current, VersionNotHigherSnafu { version: self.version(), current });
+        ensure!(
+            self.version() > current,
+            VersionNotHigherSnafu {
+                version: self.version(),
+                current
+            }
+        );
         Ok(())
     }
 }
@@ -115,10 +123,18 @@
 pub fn parse_config(bytes: &[u8]) -> Result<CheckedConfig, ConfigError> {
     let json = std::str::from_utf8(bytes).context(NoTextSnafu)?;
     // A list in the place of an object would be read field by field.
-    ensure!(json.trim_start().starts_with('{'), UnreadableSnafu { problem: "an object is expected" });
+    ensure!(
+        json.trim_start().starts_with('{'),
+        UnreadableSnafu {
+            problem: "an object is expected"
+        }
+    );
     let config = config_document::read(json)?;
     check(&config)?;
-    Ok(CheckedConfig { config, json: json.to_owned() })
+    Ok(CheckedConfig {
+        config,
+        json: json.to_owned(),
+    })
 }
 
 /// The version that an `If-Match` header names; quotes around it are allowed.
@@ -131,7 +147,10 @@
 /// Checks the rules that span several fields.
 fn check(config: &Config) -> Result<(), ConfigError> {
     check_names("routes", config.routes.iter().map(|route| &route.name))?;
-    check_names("services", config.services.iter().map(|service| &service.name))?;
+    check_names(
+        "services",
+        config.services.iter().map(|service| &service.name),
+    )?;
     check_backends(config)?;
     check_prefixes(config)
 }
@@ -147,10 +166,20 @@
 
 /// Each route leads to a service of the configuration.
 fn check_backends(config: &Config) -> Result<(), ConfigError> {
-    let known: HashSet<&str> = config.services.iter().map(|service| service.name.as_str()).collect();
+    let known: HashSet<&str> = config
+        .services
+        .iter()
+        .map(|service| service.name.as_str())
+        .collect();
     for route in &config.routes {
         let service = route.backend.as_str();
-        ensure!(known.contains(service), UnknownServiceSnafu { route: &route.name, service });
+        ensure!(
+            known.contains(service),
+            UnknownServiceSnafu {
+                route: &route.name,
+                service
+            }
+        );
     }
     Ok(())
 }
--- a/crates/protocol/src/config_document.rs
+++ b/crates/protocol/src/config_document.rs
@@ -5,8 +5,8 @@
 use crate::config_check::ConfigError;
 use crate::json;
 use schematic::{
-    Config as Document, ConfigError as DocumentError, ConfigLoader, Source, SourceFormat, ValidateError,
-    ValidateResult,
+    Config as Document, ConfigError as DocumentError, ConfigLoader, Source, SourceFormat,
+    ValidateError, ValidateResult,
 };
 use serde::de::DeserializeOwned;
 use std::path::Path;
@@ -70,12 +70,22 @@
 
 /// A text must not be empty.
 fn not_empty<Data, Context>(text: &str, _: &Data, _: &Context, _: bool) -> ValidateResult {
-    if text.is_empty() { Err(ValidateError::new("is empty: a name is expected")) } else { Ok(()) }
+    if text.is_empty() {
+        Err(ValidateError::new("is empty: a name is expected"))
+    } else {
+        Ok(())
+    }
 }
 
 /// A number must be above 0.
 fn above_zero<Data, Context>(number: &u64, _: &Data, _: &Context, _: bool) -> ValidateResult {
-    if *number == 0 { Err(ValidateError::new("is 0: a whole number above 0 is expected")) } else { Ok(()) }
+    if *number == 0 {
+        Err(ValidateError::new(
+            "is 0: a whole number above 0 is expected",
+        ))
+    } else {
+        Ok(())
+    }
 }
 
 /// Strict JSON. (The library's own format also takes comments.)
@@ -95,7 +105,10 @@
 pub(crate) fn read(text: &str) -> Result<Config, ConfigError> {
     let mut loader = ConfigLoader::<ConfigDocument>::new();
     loader.add_format(StrictJson);
-    let loaded = loader.code(text, SOURCE_NAME).and_then(|loader| loader.load()).map_err(explain)?;
+    let loaded = loader
+        .code(text, SOURCE_NAME)
+        .and_then(|loader| loader.load())
+        .map_err(explain)?;
     Ok(loaded.config.into())
 }
 
@@ -104,9 +117,14 @@
     match error {
         DocumentError::Validator { error, .. } if !error.errors.is_empty() => {
             let first = &error.errors[0];
-            ConfigError::Field { place: first.path.to_string(), problem: first.message.clone() }
+            ConfigError::Field {
+                place: first.path.to_string(),
+                problem: first.message.clone(),
+            }
         }
-        other => ConfigError::Unreadable { problem: other.to_string() },
+        other => ConfigError::Unreadable {
+            problem: other.to_string(),
+        },
     }
 }
 
@@ -114,8 +132,18 @@
     fn from(document: ConfigDocument) -> Config {
         Config {
             version: document.version.unwrap_or_default(),
-            routes: document.routes.unwrap_or_default().into_iter().map(Route::from).collect(),
-            services: document.services.unwrap_or_default().into_iter().map(Service::from).collect(),
+            routes: document
+                .routes
+                .unwrap_or_default()
+                .into_iter()
+                .map(Route::from)
+                .collect(),
+            services: document
+                .services
+                .unwrap_or_default()
+                .into_iter()
+                .map(Service::from)
+                .collect(),
             limits: document.limits.map(IngressLimits::from).unwrap_or_default(),
         }
     }
@@ -156,7 +184,9 @@
         IngressLimits {
             max_header_bytes: document.max_header_bytes.unwrap_or(usual.max_header_bytes),
             max_body_bytes: document.max_body_bytes.unwrap_or(usual.max_body_bytes),
-            header_timeout_ms: document.header_timeout_ms.unwrap_or(usual.header_timeout_ms),
+            header_timeout_ms: document
+                .header_timeout_ms
+                .unwrap_or(usual.header_timeout_ms),
             idle_timeout_ms: document.idle_timeout_ms.unwrap_or(usual.idle_timeout_ms),
         }
     }
--- a/crates/protocol/src/config_patch.rs
+++ b/crates/protocol/src/config_patch.rs
@@ -60,7 +60,10 @@
         for item in read_raw::<Vec<&RawValue>>(list)? {
             let Named { name } = read_raw(item)?;
             if !seen.insert(name.clone()) {
-                return Err(ConfigError::DuplicateName { list: "upsert".to_owned(), name });
+                return Err(ConfigError::DuplicateName {
+                    list: "upsert".to_owned(),
+                    name,
+                });
             }
             match self.positions.get(&name) {
                 Some(position) => self.items[*position] = Some(item),
@@ -96,13 +99,23 @@
 }
 
 /// The lists that `patch` changes, as they are afterwards.
-fn changed_lists(fields: &Fields, patch: &Patch) -> Result<BTreeMap<String, Box<RawValue>>, ConfigError> {
-    let upserted =
-        patch.upsert.iter().filter(|(_, value)| value.get().starts_with('[')).map(|(field, _)| field);
+fn changed_lists(
+    fields: &Fields,
+    patch: &Patch,
+) -> Result<BTreeMap<String, Box<RawValue>>, ConfigError> {
+    let upserted = patch
+        .upsert
+        .iter()
+        .filter(|(_, value)| value.get().starts_with('['))
+        .map(|(field, _)| field);
     let changed: HashSet<&String> = upserted.chain(patch.remove.keys()).collect();
     let mut lists = BTreeMap::new();
     for field in changed {
-        let mut items = fields.get(field).map(|list| Items::read(list)).transpose()?.unwrap_or_default();
+        let mut items = fields
+            .get(field)
+            .map(|list| Items::read(list))
+            .transpose()?
+            .unwrap_or_default();
         items.remove(patch.remove.get(field).map_or(&[], Vec::as_slice));
         if let Some(list) = patch.upsert.get(field) {
             items.upsert(list)?;
@@ -114,7 +127,9 @@
 
 /// Reads JSON.
 fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, ConfigError> {
-    json::read(bytes).map_err(|error| ConfigError::Unreadable { problem: error.to_string() })
+    json::read(bytes).map_err(|error| ConfigError::Unreadable {
+        problem: error.to_string(),
+    })
 }
 
 /// Reads a part of a JSON text.
@@ -124,6 +139,7 @@
 
 /// Writes JSON.
 fn write_raw(value: &impl Serialize) -> Result<Box<RawValue>, ConfigError> {
-    serde_json::value::to_raw_value(value)
-        .map_err(|error| ConfigError::Unreadable { problem: error.to_string() })
+    serde_json::value::to_raw_value(value).map_err(|error| ConfigError::Unreadable {
+        problem: error.to_string(),
+    })
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -25,7 +25,11 @@
 
     /// This and `other` together.
     pub fn plus(&self, other: &Resources) -> Resources {
-        Resources { cpu: self.cpu + other.cpu, mem_mb: self.mem_mb + other.mem_mb, gpu: self.gpu + other.gpu }
+        Resources {
+            cpu: self.cpu + other.cpu,
+            mem_mb: self.mem_mb + other.mem_mb,
+            gpu: self.gpu + other.gpu,
+        }
     }
 
     /// What is left of this without `other`; never below zero.
@@ -75,7 +79,11 @@
 impl Step {
     /// What one task takes.
     pub fn resources(&self) -> Resources {
-        Resources { cpu: self.cpu, mem_mb: self.mem_mb, gpu: self.gpu }
+        Resources {
+            cpu: self.cpu,
+            mem_mb: self.mem_mb,
+            gpu: self.gpu,
+        }
     }
 }
 
--- a/crates/protocol/src/job_check.rs
+++ b/crates/protocol/src/job_check.rs
@@ -49,7 +49,9 @@
         tasks: u64,
     },
     /// A step waits for itself or for a later one.
-    #[snafu(display("`stages[{step}].depends_on` names step {on}: only steps before {step} are allowed"))]
+    #[snafu(display(
+        "`stages[{step}].depends_on` names step {on}: only steps before {step} are allowed"
+    ))]
     Order {
         /// The step, from 0.
         step: usize,
@@ -85,7 +87,12 @@
 
 /// Checks what the types do not say. Edges check jobs as they read them, the scheduler as it takes them.
 pub fn check_job(job: &JobSpec) -> Result<(), JobError> {
-    ensure!(job.spec.len() <= SPEC_BYTES_MAX, LongSpecSnafu { bytes: job.spec.len() });
+    ensure!(
+        job.spec.len() <= SPEC_BYTES_MAX,
+        LongSpecSnafu {
+            bytes: job.spec.len()
+        }
+    );
     let steps = job.stages.len();
     ensure!((1..=STEPS_MAX).contains(&steps), StepCountSnafu { steps });
     for (step, stage) in job.stages.iter().enumerate() {
@@ -109,7 +116,14 @@
         ("estimate_ms", stage.estimate_ms),
     ];
     for (field, amount) in amounts {
-        ensure!(amount <= AMOUNT_MAX, AmountSnafu { step, field, amount });
+        ensure!(
+            amount <= AMOUNT_MAX,
+            AmountSnafu {
+                step,
+                field,
+                amount
+            }
+        );
     }
     Ok(())
 }
@@ -118,7 +132,13 @@
 fn check_repeats(job: &JobSpec) -> Result<(), JobError> {
     let repeats = job.repeat_count;
     let last = u64::from(repeats.saturating_sub(1));
-    let last_due = job.interval_ms.checked_mul(last).and_then(|delay| delay.checked_add(job.start_at_ms));
-    ensure!(repeats <= REPEATS_MAX && last_due.is_some(), RepeatsSnafu { repeats });
+    let last_due = job
+        .interval_ms
+        .checked_mul(last)
+        .and_then(|delay| delay.checked_add(job.start_at_ms));
+    ensure!(
+        repeats <= REPEATS_MAX && last_due.is_some(),
+        RepeatsSnafu { repeats }
+    );
     Ok(())
 }
--- a/crates/protocol/src/json.rs
+++ b/crates/protocol/src/json.rs
@@ -21,8 +21,13 @@
 /// Reads a value and keeps track of the place.
 fn read_with_place<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, JsonError> {
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
-    let value = serde_path_to_error::deserialize(&mut deserializer)
-        .map_err(|error| JsonError { place: error.path().to_string(), problem: error.inner().to_string() })?;
-    deserializer.end().map_err(|error| JsonError { place: ".".to_owned(), problem: error.to_string() })?;
+    let value = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| JsonError {
+        place: error.path().to_string(),
+        problem: error.inner().to_string(),
+    })?;
+    deserializer.end().map_err(|error| JsonError {
+        place: ".".to_owned(),
+        problem: error.to_string(),
+    })?;
     Ok(value)
 }
--- a/crates/protocol/src/task.rs
+++ b/crates/protocol/src/task.rs
@@ -35,7 +35,9 @@
     fn from_str(text: &str) -> Result<Self, NameError> {
         let digits = text.len() == JOB_ID_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
         let parsed = digits.then(|| u64::from_str_radix(text, 16).ok()).flatten();
-        parsed.map(JobId).ok_or_else(|| NameError::Job { text: text.to_owned() })
+        parsed.map(JobId).ok_or_else(|| NameError::Job {
+            text: text.to_owned(),
+        })
     }
 }
 
@@ -60,7 +62,11 @@
 
 impl fmt::Display for TaskName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.repeat, self.step, self.index)
+        write!(
+            f,
+            "{}.{}.{}.{}",
+            self.job, self.repeat, self.step, self.index
+        )
     }
 }
 
@@ -74,9 +80,16 @@
             let repeat = parts.next()?.parse().ok()?;
             let step = parts.next()?.parse().ok()?;
             let index = parts.next()?.parse().ok()?;
-            parts.next().is_none().then_some(TaskName { job, repeat, step, index })
+            parts.next().is_none().then_some(TaskName {
+                job,
+                repeat,
+                step,
+                index,
+            })
         };
-        parse().ok_or_else(|| NameError::Task { text: text.to_owned() })
+        parse().ok_or_else(|| NameError::Task {
+            text: text.to_owned(),
+        })
     }
 }
 
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -3,7 +3,9 @@
 mod frames;
 
 use frames::any_frame;
-use indigofold_protocol::codec::{CodecError, FRAME_BYTES_MAX, LENGTH_BYTES, decode, encode, missing_bytes};
+use indigofold_protocol::codec::{
+    CodecError, FRAME_BYTES_MAX, LENGTH_BYTES, decode, encode, missing_bytes,
+};
 use indigofold_protocol::internal::{ClientCall, ClientOperation, Frame};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -11,7 +13,12 @@
 /// A short frame.
 fn call() -> Frame {
     let operation = ClientOperation::Get;
-    Frame::Call(ClientCall { call: 7, host: "ficu95.example".to_owned(), path: "/a/1".to_owned(), operation })
+    Frame::Call(ClientCall {
+        call: 7,
+        host: "ficu95.example".to_owned(),
+        path: "/a/1".to_owned(),
+        operation,
+    })
 }
 
 proptest! {
@@ -51,7 +58,11 @@
     for length in 0..bytes.len() {
         let part = &bytes[..length];
         assert!(decode(part).expect("no mistake").is_none());
-        let expected = if length < LENGTH_BYTES { LENGTH_BYTES - length } else { bytes.len() - length };
+        let expected = if length < LENGTH_BYTES {
+            LENGTH_BYTES - length
+        } else {
+            bytes.len() - length
+        };
         assert_eq!(missing_bytes(part), expected);
     }
     assert_eq!(missing_bytes(&bytes), 0);
@@ -63,13 +74,19 @@
     let bytes = [encode(&call()), encode(&second)].concat();
     let (first, length) = decode(&bytes).expect("a frame").expect("whole");
     assert_eq!(first, call());
-    assert_eq!(decode(&bytes[length..]).expect("a frame").expect("whole").0, second);
+    assert_eq!(
+        decode(&bytes[length..]).expect("a frame").expect("whole").0,
+        second
+    );
 }
 
 #[test]
 fn a_frame_of_a_megabyte_survives() {
     let frame = Frame::Replication((0..1 << 20).map(|i| i as u8).collect());
-    assert_eq!(decode(&encode(&frame)).expect("a frame").expect("whole").0, frame);
+    assert_eq!(
+        decode(&encode(&frame)).expect("a frame").expect("whole").0,
+        frame
+    );
 }
 
 #[rstest]
--- a/crates/protocol/tests/config.rs
+++ b/crates/protocol/tests/config.rs
@@ -49,14 +49,33 @@
 fn a_valid_configuration_is_read() {
     let checked = checked();
     let config = checked.config();
-    assert_eq!((config.version, config.routes.len(), config.services.len()), (7, 2, 2));
-    let route = config.route("ficu95.example", "/a/5c0e").expect("a host is found in lower case");
     assert_eq!(
-        (route.name.as_str(), route.timeout_ms, route.priority, route.stretch),
+        (config.version, config.routes.len(), config.services.len()),
+        (7, 2, 2)
+    );
+    let route = config
+        .route("ficu95.example", "/a/5c0e")
+        .expect("a host is found in lower case");
+    assert_eq!(
+        (
+            route.name.as_str(),
+            route.timeout_ms,
+            route.priority,
+            route.stretch
+        ),
         ("r-a", 3_000, 2, 4.0)
     );
-    assert_eq!(config.route("ficu95.example", "/a/b/1").map(|route| route.name.as_str()), Some("r-b"));
-    assert!(config.service("huvo").is_some_and(|service| service.guards && service.max_connections == 64));
+    assert_eq!(
+        config
+            .route("ficu95.example", "/a/b/1")
+            .map(|route| route.name.as_str()),
+        Some("r-b")
+    );
+    assert!(
+        config
+            .service("huvo")
+            .is_some_and(|service| service.guards && service.max_connections == 64)
+    );
     assert_eq!(config.limits.max_body_bytes, 262_144);
 }
 
@@ -70,16 +89,28 @@
 
 #[test]
 fn limits_may_be_missing() {
-    let config =
-        parse_changed(|document| drop(document.as_object_mut().and_then(|fields| fields.remove("limits"))));
-    assert_eq!(config.expect("valid").config().limits.idle_timeout_ms, 15_000);
+    let config = parse_changed(|document| {
+        drop(
+            document
+                .as_object_mut()
+                .and_then(|fields| fields.remove("limits")),
+        )
+    });
+    assert_eq!(
+        config.expect("valid").config().limits.idle_timeout_ms,
+        15_000
+    );
 }
 
 #[test]
 fn every_text_cut_short_is_refused() {
     let text = document().to_string();
     for length in 0..text.len() {
-        assert!(parse_config(&text.as_bytes()[..length]).is_err(), "{}", &text[..length]);
+        assert!(
+            parse_config(&text.as_bytes()[..length]).is_err(),
+            "{}",
+            &text[..length]
+        );
     }
 }
 
@@ -94,13 +125,18 @@
 #[case::no_routes(r#"{"version":1,"services":[]}"#, "`routes`")]
 #[case::no_services(r#"{"version":1,"routes":[]}"#, "`services`")]
 fn what_is_no_configuration_is_refused(#[case] text: &str, #[case] expected: &str) {
-    let error = parse_config(text.as_bytes()).expect_err("no configuration").to_string();
+    let error = parse_config(text.as_bytes())
+        .expect_err("no configuration")
+        .to_string();
     assert!(error.contains(expected), "{error}");
 }
 
 #[test]
 fn what_is_no_text_is_refused() {
-    assert!(matches!(parse_config(&[b'{', 0xff, b'}']), Err(ConfigError::NoText { .. })));
+    assert!(matches!(
+        parse_config(&[b'{', 0xff, b'}']),
+        Err(ConfigError::NoText { .. })
+    ));
 }
 
 #[rstest]
@@ -115,7 +151,8 @@
 #[case::service_missing("backend", json!(null), "`routes[1].backend`")]
 #[case::prefix_shared("path_prefix", json!("/a/"), "share host `ficu95.example` and prefix `/a/`")]
 fn a_wrong_route_is_refused(#[case] field: &str, #[case] value: Value, #[case] expected: &str) {
-    let error = parse_changed(|document| document["routes"][1][field] = value).expect_err("a wrong route");
+    let error =
+        parse_changed(|document| document["routes"][1][field] = value).expect_err("a wrong route");
     assert!(error.to_string().contains(expected), "{error}");
 }
 
@@ -124,7 +161,10 @@
     let error = parse_changed(|document| document["services"][1]["name"] = json!("huvo"));
     assert_eq!(
         error,
-        Err(ConfigError::DuplicateName { list: "services".to_owned(), name: "huvo".to_owned() })
+        Err(ConfigError::DuplicateName {
+            list: "services".to_owned(),
+            name: "huvo".to_owned()
+        })
     );
 }
 
@@ -154,8 +194,11 @@
     let patched = apply_patch(&checked(), patch.to_string().as_bytes()).expect("valid");
     let mut expected = document();
     expected["version"] = json!(9);
-    expected["routes"] =
-        json!([document()["routes"][0], patch["upsert"]["routes"][0], patch["upsert"]["routes"][1]]);
+    expected["routes"] = json!([
+        document()["routes"][0],
+        patch["upsert"]["routes"][0],
+        patch["upsert"]["routes"][1]
+    ]);
     expected["services"] = json!([document()["services"][0], {"name": "neu"}]);
     expected["limits"] = json!({"max_body_bytes": 5});
     assert_eq!(written(&patched), expected);
@@ -176,30 +219,43 @@
 
 #[test]
 fn numbers_stay_as_they_were_written() {
-    let text = r#"{"version":1,"routes":[],"services":[],"big":123456789012345678901234567890,"e":1.0e2}"#;
+    let text =
+        r#"{"version":1,"routes":[],"services":[],"big":123456789012345678901234567890,"e":1.0e2}"#;
     let config = parse_config(text.as_bytes()).expect("valid");
     let patched = apply_patch(&config, br#"{"version":2}"#).expect("valid");
-    assert!(patched.json().contains("123456789012345678901234567890"), "{}", patched.json());
+    assert!(
+        patched.json().contains("123456789012345678901234567890"),
+        "{}",
+        patched.json()
+    );
     assert!(patched.json().contains("1.0e2"), "{}", patched.json());
 }
 
 #[rstest]
 #[case::cut_short(r#"{"version":9,"upsert":{"#, "cannot be read")]
 #[case::no_version(r#"{"upsert":{}}"#, "version")]
-#[case::service_still_named(r#"{"version":9,"remove":{"services":["huvo"]}}"#, "unknown service `huvo`")]
+#[case::service_still_named(
+    r#"{"version":9,"remove":{"services":["huvo"]}}"#,
+    "unknown service `huvo`"
+)]
 #[case::timeout_zero(
     r#"{"version":9,"upsert":{"routes":[{"name":"r-b","timeout_ms":0,"backend":"wuno"}]}}"#,
     "`routes[1].timeout_ms`"
 )]
 #[case::no_name(r#"{"version":9,"upsert":{"routes":[{"timeout_ms":1}]}}"#, "name")]
-#[case::twice(r#"{"version":9,"upsert":{"services":[{"name":"n"},{"name":"n"}]}}"#, "twice")]
+#[case::twice(
+    r#"{"version":9,"upsert":{"services":[{"name":"n"},{"name":"n"}]}}"#,
+    "twice"
+)]
 #[case::names_wrong(r#"{"version":9,"remove":{"routes":[1]}}"#, "remove.routes[0]")]
 #[case::prefix_shared(
     r#"{"version":9,"upsert":{"routes":[{"name":"n","host":"FICU95.example","path_prefix":"/a/","timeout_ms":1,"backend":"wuno"}]}}"#,
     "share host"
 )]
 fn a_wrong_patch_is_refused(#[case] patch: &str, #[case] expected: &str) {
-    let error = apply_patch(&checked(), patch.as_bytes()).expect_err("a wrong patch").to_string();
+    let error = apply_patch(&checked(), patch.as_bytes())
+        .expect_err("a wrong patch")
+        .to_string();
     assert!(error.contains(expected), "{error}");
 }
 
--- a/crates/protocol/tests/frames/mod.rs
+++ b/crates/protocol/tests/frames/mod.rs
@@ -1,10 +1,13 @@
 //! Any frame, for tests of properties.
 
 use indigofold_protocol::config::IngressLimits;
-use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, InspectionReply, Question};
+use indigofold_protocol::inspection::{
+    InspectionAnswer, InspectionCall, InspectionReply, Question,
+};
 use indigofold_protocol::internal::{
-    ClientCall, ClientOperation, ClientOutcome, ClientReply, CompanionOrders, CompanionReport, FinishedRun,
-    Frame, Hello, InstanceReport, MemberAddress, ProcessKind, RunningRun, StartOrder, Welcome,
+    ClientCall, ClientOperation, ClientOutcome, ClientReply, CompanionOrders, CompanionReport,
+    FinishedRun, Frame, Hello, InstanceReport, MemberAddress, ProcessKind, RunningRun, StartOrder,
+    Welcome,
 };
 use indigofold_protocol::job::{JobSpec, JobState, Resources, Step};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
@@ -39,7 +42,11 @@
 }
 
 fn hello() -> impl Strategy<Value = Hello> {
-    let kind = prop::sample::select(vec![ProcessKind::Edge, ProcessKind::Companion, ProcessKind::Core]);
+    let kind = prop::sample::select(vec![
+        ProcessKind::Edge,
+        ProcessKind::Companion,
+        ProcessKind::Core,
+    ]);
     (text(), kind, text(), any::<u64>()).prop_map(|(node_name, kind, zone, incarnation)| Hello {
         node_name,
         kind,
@@ -61,57 +68,90 @@
 }
 
 fn limits() -> impl Strategy<Value = IngressLimits> {
-    any::<[u64; 4]>().prop_map(|[max_header_bytes, max_body_bytes, header_timeout_ms, idle_timeout_ms]| {
-        IngressLimits { max_header_bytes, max_body_bytes, header_timeout_ms, idle_timeout_ms }
-    })
+    any::<[u64; 4]>().prop_map(
+        |[
+            max_header_bytes,
+            max_body_bytes,
+            header_timeout_ms,
+            idle_timeout_ms,
+        ]| {
+            IngressLimits {
+                max_header_bytes,
+                max_body_bytes,
+                header_timeout_ms,
+                idle_timeout_ms,
+            }
+        },
+    )
 }
 
 fn welcome() -> impl Strategy<Value = Welcome> {
-    (any::<u64>(), option::of(member()), vec(member(), 0..ITEMS), any::<bool>(), any::<u64>(), limits())
-        .prop_map(|(view, head, members, acting, config_version, limits)| Welcome {
-            view,
-            head,
-            members,
-            acting,
-            config_version,
-            limits,
-        })
+    (
+        any::<u64>(),
+        option::of(member()),
+        vec(member(), 0..ITEMS),
+        any::<bool>(),
+        any::<u64>(),
+        limits(),
+    )
+        .prop_map(
+            |(view, head, members, acting, config_version, limits)| Welcome {
+                view,
+                head,
+                members,
+                acting,
+                config_version,
+                limits,
+            },
+        )
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let numbers = (any::<[u32; 2]>(), any::<[u64; 4]>(), vec(any::<u32>(), 0..ITEMS));
-    (numbers, text(), text(), any::<[bool; 5]>()).prop_map(|(numbers, requirements, affinity, flags)| {
-        let ([count, anti_affinity], [cpu, mem_mb, gpu, estimate_ms], depends_on) = numbers;
-        let [checkpoints, gang, rack_local, speculative, long_running] = flags;
-        Step {
-            count,
-            cpu,
-            mem_mb,
-            gpu,
-            estimate_ms,
-            depends_on,
-            checkpoints,
-            gang,
-            rack_local,
-            requirements,
-            affinity,
-            anti_affinity,
-            speculative,
-            long_running,
-        }
-    })
+    let numbers = (
+        any::<[u32; 2]>(),
+        any::<[u64; 4]>(),
+        vec(any::<u32>(), 0..ITEMS),
+    );
+    (numbers, text(), text(), any::<[bool; 5]>()).prop_map(
+        |(numbers, requirements, affinity, flags)| {
+            let ([count, anti_affinity], [cpu, mem_mb, gpu, estimate_ms], depends_on) = numbers;
+            let [checkpoints, gang, rack_local, speculative, long_running] = flags;
+            Step {
+                count,
+                cpu,
+                mem_mb,
+                gpu,
+                estimate_ms,
+                depends_on,
+                checkpoints,
+                gang,
+                rack_local,
+                requirements,
+                affinity,
+                anti_affinity,
+                speculative,
+                long_running,
+            }
+        },
+    )
 }
 
 fn job() -> impl Strategy<Value = JobSpec> {
-    (text(), vec(step(), 0..ITEMS), any::<u32>(), any::<[u64; 2]>()).prop_map(
-        |(spec, stages, repeat_count, [start_at_ms, interval_ms])| JobSpec {
-            spec,
-            stages,
-            repeat_count,
-            start_at_ms,
-            interval_ms,
-        },
+    (
+        text(),
+        vec(step(), 0..ITEMS),
+        any::<u32>(),
+        any::<[u64; 2]>(),
     )
+        .prop_map(
+            |(spec, stages, repeat_count, [start_at_ms, interval_ms])| JobSpec {
+                spec,
+                stages,
+                repeat_count,
+                start_at_ms,
+                interval_ms,
+            },
+        )
 }
 
 fn call() -> impl Strategy<Value = ClientCall> {
@@ -155,7 +195,12 @@
 
 fn run() -> impl Strategy<Value = RunId> {
     (any::<u64>(), any::<[u32; 4]>()).prop_map(|(job, [repeat, step, index, attempt])| RunId {
-        task: TaskName { job: JobId(job), repeat, step, index },
+        task: TaskName {
+            job: JobId(job),
+            repeat,
+            step,
+            index,
+        },
         attempt,
     })
 }
@@ -165,18 +210,34 @@
 }
 
 fn report() -> impl Strategy<Value = CompanionReport> {
-    (any::<u64>(), option::of(instance()), vec(text(), 0..ITEMS), vec(run(), 0..ITEMS)).prop_map(
-        |(sent_ms, instance, gone, not_started)| CompanionReport { sent_ms, instance, gone, not_started },
+    (
+        any::<u64>(),
+        option::of(instance()),
+        vec(text(), 0..ITEMS),
+        vec(run(), 0..ITEMS),
     )
+        .prop_map(|(sent_ms, instance, gone, not_started)| CompanionReport {
+            sent_ms,
+            instance,
+            gone,
+            not_started,
+        })
 }
 
 fn instance() -> impl Strategy<Value = InstanceReport> {
     let state = prop::sample::select(vec![WorkerState::Ready, WorkerState::Draining]);
-    let running =
-        (run(), text(), any::<u32>()).prop_map(|(run, saved, percent)| RunningRun { run, saved, percent });
+    let running = (run(), text(), any::<u32>()).prop_map(|(run, saved, percent)| RunningRun {
+        run,
+        saved,
+        percent,
+    });
     let names = (text(), text(), text(), vec(text(), 0..ITEMS));
     let times = (option::of(any::<u64>()), any::<[u64; 2]>());
-    let runs = (option::of(vec(running, 0..ITEMS)), vec(finished(), 0..ITEMS), vec(run(), 0..ITEMS));
+    let runs = (
+        option::of(vec(running, 0..ITEMS)),
+        vec(finished(), 0..ITEMS),
+        vec(run(), 0..ITEMS),
+    );
     (names, state, times, resources(), runs).prop_map(|(names, state, times, capacity, runs)| {
         let (id, backend, zone, labels) = names;
         let (remaining_ms, [cold_remaining_ms, silent_ms]) = times;
@@ -217,23 +278,38 @@
 }
 
 fn orders() -> impl Strategy<Value = CompanionOrders> {
-    let start = (run(), resources(), text(), text()).prop_map(|(run, resources, spec, saved)| StartOrder {
-        run,
-        resources,
-        spec,
-        saved,
-    });
-    let numbers = (any::<u64>(), option::of(any::<u64>()), option::of(any::<u64>()));
+    let start =
+        (run(), resources(), text(), text()).prop_map(|(run, resources, spec, saved)| StartOrder {
+            run,
+            resources,
+            spec,
+            saved,
+        });
+    let numbers = (
+        any::<u64>(),
+        option::of(any::<u64>()),
+        option::of(any::<u64>()),
+    );
     (numbers, text(), vec(start, 0..ITEMS), vec(run(), 0..ITEMS)).prop_map(
         |(numbers, instance, start, stop)| {
             let (epoch, echo_sent_ms, last_seen) = numbers;
-            CompanionOrders { epoch, echo_sent_ms, instance, start, stop, last_seen }
+            CompanionOrders {
+                epoch,
+                echo_sent_ms,
+                instance,
+                start,
+                stop,
+                last_seen,
+            }
         },
     )
 }
 
 fn question() -> impl Strategy<Value = Question> {
-    prop_oneof![Just(Question::Status), any::<u64>().prop_map(|job| Question::Job(JobId(job)))]
+    prop_oneof![
+        Just(Question::Status),
+        any::<u64>().prop_map(|job| Question::Job(JobId(job)))
+    ]
 }
 
 fn answer() -> impl Strategy<Value = InspectionAnswer> {
--- a/crates/protocol/tests/heartbeat.rs
+++ b/crates/protocol/tests/heartbeat.rs
@@ -18,18 +18,29 @@
     );
     assert_eq!(heartbeat.capacity.mem_mb, 32_768);
     let task = "5c0e7a21d94b36f8.0.1.17".to_owned();
-    assert_eq!(heartbeat.running, [Running(task, 2, "00000bb87a21d94b".to_owned(), 41)]);
+    assert_eq!(
+        heartbeat.running,
+        [Running(task, 2, "00000bb87a21d94b".to_owned(), 41)]
+    );
     let task = "5c0e7a21d94b36f8.0.1.9".to_owned();
-    assert_eq!(heartbeat.finished, [Finished(58, task, 1, RunEnd::Done, String::new())]);
+    assert_eq!(
+        heartbeat.finished,
+        [Finished(58, task, 1, RunEnd::Done, String::new())]
+    );
 }
 
 #[rstest]
 #[case::nothing("", "cannot be read")]
 #[case::no_service(r#"{"slots":8}"#, "`backend` is empty")]
 #[case::unknown_state(r#"{"backend":"a","state":"asleep"}"#, "`state`")]
-#[case::unknown_end(r#"{"backend":"a","finished":[[1,"x",1,"gone",""]]}"#, "`finished[0][3]`")]
+#[case::unknown_end(
+    r#"{"backend":"a","finished":[[1,"x",1,"gone",""]]}"#,
+    "`finished[0][3]`"
+)]
 #[case::short_row(r#"{"backend":"a","running":[["x",1]]}"#, "`running[0]`")]
 fn a_wrong_heartbeat_is_refused(#[case] text: &str, #[case] expected: &str) {
-    let error = parse_heartbeat(text.as_bytes()).expect_err("a wrong heartbeat").to_string();
+    let error = parse_heartbeat(text.as_bytes())
+        .expect_err("a wrong heartbeat")
+        .to_string();
     assert!(error.contains(expected), "{error}");
 }
--- a/crates/replication/src/replica/address_book.rs
+++ b/crates/replication/src/replica/address_book.rs
@@ -12,15 +12,37 @@
     /// The members of the view, and those that wish to join, as far as their addresses are known.
     pub fn members(&self) -> Vec<MemberAddress> {
         let mut known: BTreeSet<SocketAddr> = BTreeSet::from([self.settings.address.internal]);
-        known.extend(self.durable.view.iter().flat_map(|view| &view.voters).map(|m| m.internal));
-        known.extend(self.tenure.iter().flat_map(|tenure| tenure.peers.keys()).map(|m| m.internal));
-        self.durable.addresses.iter().filter(|a| known.contains(&a.internal)).cloned().collect()
+        known.extend(
+            self.durable
+                .view
+                .iter()
+                .flat_map(|view| &view.voters)
+                .map(|m| m.internal),
+        );
+        known.extend(
+            self.tenure
+                .iter()
+                .flat_map(|tenure| tenure.peers.keys())
+                .map(|m| m.internal),
+        );
+        self.durable
+            .addresses
+            .iter()
+            .filter(|a| known.contains(&a.internal))
+            .cloned()
+            .collect()
     }
 
     /// Internal addresses of everyone worth a connection: seeds, members, those heard of; without this member.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let mut peers: BTreeSet<SocketAddr> = self.settings.seeds.iter().copied().collect();
-        peers.extend(self.durable.view.iter().flat_map(|view| &view.voters).map(|m| m.internal));
+        peers.extend(
+            self.durable
+                .view
+                .iter()
+                .flat_map(|view| &view.voters)
+                .map(|m| m.internal),
+        );
         peers.extend(self.durable.addresses.iter().map(|a| a.internal));
         peers.remove(&self.settings.address.internal);
         peers.into_iter().collect()
@@ -31,17 +53,27 @@
         if self.may_act(now_ms) {
             return Some(self.settings.address.clone());
         }
-        let lease = self.lease.as_ref().filter(|lease| now_ms < lease.until_ms)?;
+        let lease = self
+            .lease
+            .as_ref()
+            .filter(|lease| now_ms < lease.until_ms)?;
         self.address_of(lease.holder)
     }
 
     fn address_of(&self, member: Member) -> Option<MemberAddress> {
-        self.durable.addresses.iter().find(|a| a.internal == member.internal).cloned()
+        self.durable
+            .addresses
+            .iter()
+            .find(|a| a.internal == member.internal)
+            .cloned()
     }
 
     pub(super) fn learn_address(&mut self, address: MemberAddress) {
         let addresses = &mut self.durable.addresses;
-        if let Some(known) = addresses.iter_mut().find(|a| a.internal == address.internal) {
+        if let Some(known) = addresses
+            .iter_mut()
+            .find(|a| a.internal == address.internal)
+        {
             if *known == address {
                 return;
             }
@@ -60,8 +92,13 @@
             return;
         }
         let own = self.settings.address.internal;
-        let voters: Vec<SocketAddr> =
-            self.durable.view.iter().flat_map(|view| &view.voters).map(|m| m.internal).collect();
+        let voters: Vec<SocketAddr> = self
+            .durable
+            .view
+            .iter()
+            .flat_map(|view| &view.voters)
+            .map(|m| m.internal)
+            .collect();
         let is_surplus = |a: &MemberAddress| a.internal != own && !voters.contains(&a.internal);
         if let Some(position) = self.durable.addresses.iter().position(is_surplus) {
             self.durable.addresses.remove(position);
@@ -78,7 +115,12 @@
         }
         self.announce_at_ms = self.now_ms + ANNOUNCE_MS;
         for peer in self.peers() {
-            self.send(peer, Message::Announce { address: self.settings.address.clone() });
+            self.send(
+                peer,
+                Message::Announce {
+                    address: self.settings.address.clone(),
+                },
+            );
         }
     }
 
@@ -87,7 +129,12 @@
         if self.tenure.is_some() {
             self.on_newcomer(from);
         } else {
-            self.send(from.internal, Message::Addresses { addresses: self.durable.addresses.clone() });
+            self.send(
+                from.internal,
+                Message::Addresses {
+                    addresses: self.durable.addresses.clone(),
+                },
+            );
         }
     }
 }
--- a/crates/replication/src/replica/candidacy.rs
+++ b/crates/replication/src/replica/candidacy.rs
@@ -75,13 +75,18 @@
 
     /// Each electorate has a majority in `members`.
     pub fn has_majority(&self, members: &BTreeSet<Member>) -> bool {
-        self.electorates().into_iter().all(|electorate| is_majority(electorate, members))
+        self.electorates()
+            .into_iter()
+            .all(|electorate| is_majority(electorate, members))
     }
 
     /// So many have refused that no majority can come together.
     pub fn is_hopeless(&self) -> bool {
         self.electorates().into_iter().any(|electorate| {
-            let refused = electorate.iter().filter(|m| self.refused.contains(m)).count();
+            let refused = electorate
+                .iter()
+                .filter(|m| self.refused.contains(m))
+                .count();
             electorate.len() - refused < majority(electorate.len())
         })
     }
@@ -90,8 +95,9 @@
     pub fn newest(&self, own: Member) -> Option<(Member, Mark)> {
         let newest = self.promises.values().map(|p| p.mark).max()?;
         let holds = |member: &Member| self.promises.get(member).is_some_and(|p| p.mark == newest);
-        let holder =
-            Some(own).filter(|m| holds(m)).or_else(|| self.promises.keys().copied().find(|m| holds(m)));
+        let holder = Some(own)
+            .filter(|m| holds(m))
+            .or_else(|| self.promises.keys().copied().find(|m| holds(m)));
         holder.map(|member| (member, newest))
     }
 }
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -11,7 +11,10 @@
 impl Replica {
     pub(super) fn on_submit(&mut self, ticket: u64, changes: Vec<RowChange>) {
         let refused = self.is_leaving() || self.stores.is_failing();
-        let bytes: usize = changes.iter().map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len)).sum();
+        let bytes: usize = changes
+            .iter()
+            .map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len))
+            .sum();
         match self.tenure.as_mut().filter(|t| t.is_gained && !refused) {
             Some(tenure) if tenure.pending_bytes + bytes <= PENDING_BYTES_MAX => {
                 tenure.pending_bytes += bytes;
@@ -23,17 +26,25 @@
 
     /// Writes all that waits as one batch, unless a store is under way.
     pub(super) fn make_batch(&mut self) {
-        let Some(tenure) = &mut self.tenure else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
         let ready = tenure.is_installed && self.candidacy.is_none() && self.stores.is_idle();
         if !ready || tenure.pending.is_empty() || self.durable.promised != tenure.view.number {
             return;
         }
         self.durable.mark.seq += 1;
         tenure.pending_bytes = 0;
-        let (tickets, changes): (Vec<u64>, Vec<Vec<RowChange>>) =
-            tenure.pending.drain(..).map(|p| (p.ticket, p.changes)).unzip();
+        let (tickets, changes): (Vec<u64>, Vec<Vec<RowChange>>) = tenure
+            .pending
+            .drain(..)
+            .map(|p| (p.ticket, p.changes))
+            .unzip();
         let changes = changes.into_iter().flatten().collect();
-        let batch = Arc::new(Batch { seq: self.durable.mark.seq, changes });
+        let batch = Arc::new(Batch {
+            seq: self.durable.mark.seq,
+            changes,
+        });
         tenure.outstanding.push_back(Outstanding {
             batch: Arc::clone(&batch),
             tickets,
@@ -48,14 +59,23 @@
         let own = self.durable.member;
         let Some(tenure) = &self.tenure else { return };
         let (number, successor) = (tenure.view.number, tenure.view.successor(own));
-        let is_direct = |member: &Member| tenure.peers.get(member).is_some_and(|peer| peer.is_direct);
+        let is_direct =
+            |member: &Member| tenure.peers.get(member).is_some_and(|peer| peer.is_direct);
         let others = tenure.view.chain.iter().copied().skip(1);
-        let direct: Vec<Member> =
-            others.filter(|member| Some(*member) != successor && is_direct(member)).collect();
+        let direct: Vec<Member> = others
+            .filter(|member| Some(*member) != successor && is_direct(member))
+            .collect();
         for member in successor.into_iter().chain(direct) {
             let relay = Some(member) == successor;
             let batches = vec![Arc::clone(batch)];
-            self.send(member.internal, Message::Write { number, batches, relay });
+            self.send(
+                member.internal,
+                Message::Write {
+                    number,
+                    batches,
+                    relay,
+                },
+            );
         }
     }
 
@@ -65,10 +85,15 @@
         }
         let next = self.durable.mark.seq + 1;
         if batches.first().is_some_and(|batch| batch.seq > next) {
-            self.send_to_head(Message::Behind { mark: self.durable.mark });
+            self.send_to_head(Message::Behind {
+                mark: self.durable.mark,
+            });
             return;
         }
-        let new: Vec<Arc<Batch>> = batches.into_iter().filter(|batch| batch.seq >= next).collect();
+        let new: Vec<Arc<Batch>> = batches
+            .into_iter()
+            .filter(|batch| batch.seq >= next)
+            .collect();
         let Some(last) = new.last() else {
             self.report_stored();
             return;
@@ -85,7 +110,9 @@
 
     /// This member is in the chain of the view, has its first state, and has promised no later one.
     fn takes_writes(&self, number: u64) -> bool {
-        let Some(view) = &self.durable.view else { return false };
+        let Some(view) = &self.durable.view else {
+            return false;
+        };
         view.number == number
             && self.durable.promised == number
             && self.durable.mark.view == number
@@ -94,9 +121,18 @@
     }
 
     fn pass_on(&mut self, number: u64, batches: Vec<Arc<Batch>>) {
-        let Some(view) = &self.durable.view else { return };
+        let Some(view) = &self.durable.view else {
+            return;
+        };
         if let Some(successor) = view.successor(self.durable.member) {
-            self.send(successor.internal, Message::Write { number, batches, relay: true });
+            self.send(
+                successor.internal,
+                Message::Write {
+                    number,
+                    batches,
+                    relay: true,
+                },
+            );
         }
     }
 
@@ -113,16 +149,26 @@
             self.count_stored();
             return;
         }
-        let in_chain = self.durable.view.as_ref().is_some_and(|v| v.chain.contains(&self.durable.member));
+        let in_chain = self
+            .durable
+            .view
+            .as_ref()
+            .is_some_and(|v| v.chain.contains(&self.durable.member));
         if in_chain && self.stored_mark.view == self.view() && self.durable.agreed {
-            self.send_to_head(Message::Stored { mark: self.stored_mark });
+            self.send_to_head(Message::Stored {
+                mark: self.stored_mark,
+            });
         }
     }
 
     pub(super) fn on_member_stored(&mut self, from: Member, mark: Mark) {
         let (now_ms, newest) = (self.now_ms, self.durable.mark);
-        let Some(tenure) = &mut self.tenure else { return };
-        let Some(peer) = tenure.peers.get_mut(&from) else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
+        let Some(peer) = tenure.peers.get_mut(&from) else {
+            return;
+        };
         // A state that this head has never given out.
         if mark > newest {
             return;
@@ -135,11 +181,19 @@
     /// Commits what the whole chain has on disk.
     pub(super) fn count_stored(&mut self) {
         let own = self.durable.member;
-        let Some(tenure) = &mut self.tenure else { return };
-        let Some(stored) = tenure.stored_by_all(own) else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
+        let Some(stored) = tenure.stored_by_all(own) else {
+            return;
+        };
         let newly_installed = !std::mem::replace(&mut tenure.is_installed, true);
         let committed = take_committed(tenure, stored);
-        self.outputs.extend(committed.into_iter().map(|ticket| Output::Committed { ticket }));
+        self.outputs.extend(
+            committed
+                .into_iter()
+                .map(|ticket| Output::Committed { ticket }),
+        );
         if newly_installed {
             self.establish_view();
         }
@@ -148,11 +202,20 @@
 
     /// The whole chain has the view's first state: its voters decide alone from now on, and are told so.
     fn establish_view(&mut self) {
-        let Some(tenure) = self.tenure.as_mut().filter(|tenure| !tenure.view.is_established()) else {
+        let Some(tenure) = self
+            .tenure
+            .as_mut()
+            .filter(|tenure| !tenure.view.is_established())
+        else {
             return;
         };
         tenure.view = tenure.view.clone().established();
-        if let Some(view) = self.durable.view.as_mut().filter(|view| view.number == tenure.view.number) {
+        if let Some(view) = self
+            .durable
+            .view
+            .as_mut()
+            .filter(|view| view.number == tenure.view.number)
+        {
             view.clone_from(&tenure.view);
             self.stores.want();
         }
@@ -164,13 +227,20 @@
     /// Tells the driver of a view that the whole chain has taken over; of the first one once the lease holds.
     fn tell_installed(&mut self) {
         let own = self.durable.member;
-        let Some(tenure) = &mut self.tenure else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
         let view = tenure.view.number;
-        if tenure.told_view == view || (!tenure.is_gained && tenure.lease_until_ms(own) <= self.now_ms) {
+        if tenure.told_view == view
+            || (!tenure.is_gained && tenure.lease_until_ms(own) <= self.now_ms)
+        {
             return;
         }
-        let output =
-            if tenure.is_gained { Output::HeadRenewed { view } } else { Output::HeadGained { view } };
+        let output = if tenure.is_gained {
+            Output::HeadRenewed { view }
+        } else {
+            Output::HeadGained { view }
+        };
         tenure.is_gained = true;
         tenure.told_view = view;
         self.outputs.push(output);
@@ -186,9 +256,13 @@
     /// Sends writes again to members that have not stored them for a while.
     pub(super) fn resend_lacking(&mut self) {
         let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(tenure) = self.tenure.as_ref().filter(|t| t.is_installed) else { return };
+        let Some(tenure) = self.tenure.as_ref().filter(|t| t.is_installed) else {
+            return;
+        };
         let is_late = |member: &Member| {
-            tenure.oldest_lacking(*member, own).is_some_and(|o| now_ms >= o.sent_ms + RESEND_MS)
+            tenure
+                .oldest_lacking(*member, own)
+                .is_some_and(|o| now_ms >= o.sent_ms + RESEND_MS)
         };
         let late: Vec<(Member, u64)> = tenure
             .view
@@ -205,8 +279,12 @@
 
     fn resend(&mut self, member: Member, after: u64) {
         let now_ms = self.now_ms;
-        let Some(tenure) = &mut self.tenure else { return };
-        let Some(peer) = tenure.peers.get_mut(&member) else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
+        let Some(peer) = tenure.peers.get_mut(&member) else {
+            return;
+        };
         if now_ms < peer.resent_ms + RESEND_MS / 2 {
             return;
         }
@@ -215,7 +293,11 @@
         let lacking = tenure.outstanding.iter().filter(|o| o.batch.seq > after);
         let batches: Vec<Arc<Batch>> = lacking.map(|o| Arc::clone(&o.batch)).collect();
         if !batches.is_empty() {
-            let message = Message::Write { number: tenure.view.number, batches, relay: false };
+            let message = Message::Write {
+                number: tenure.view.number,
+                batches,
+                relay: false,
+            };
             self.send(member.internal, message);
         }
     }
@@ -224,8 +306,18 @@
 /// Tickets of the writes up to `stored`.
 fn take_committed(tenure: &mut Tenure, stored: u64) -> Vec<u64> {
     let mut tickets = Vec::new();
-    while tenure.outstanding.front().is_some_and(|o| o.batch.seq <= stored) {
-        tickets.extend(tenure.outstanding.pop_front().into_iter().flat_map(|done| done.tickets));
+    while tenure
+        .outstanding
+        .front()
+        .is_some_and(|o| o.batch.seq <= stored)
+    {
+        tickets.extend(
+            tenure
+                .outstanding
+                .pop_front()
+                .into_iter()
+                .flat_map(|done| done.tickets),
+        );
     }
     tickets
 }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -14,7 +14,9 @@
     pub(super) fn election_due_ms(&self) -> Option<u64> {
         match &self.candidacy {
             Some(candidacy) => {
-                let more = candidacy.majority_ms.filter(|_| candidacy.phase == Phase::Prepare);
+                let more = candidacy
+                    .majority_ms
+                    .filter(|_| candidacy.phase == Phase::Prepare);
                 let more_due = more.map_or(u64::MAX, |at| at + MORE_PROMISES_MS);
                 Some(candidacy.deadline_ms.min(more_due))
             }
@@ -23,20 +25,28 @@
     }
 
     pub(super) fn run_election(&mut self) {
-        if self.candidacy.as_ref().is_some_and(|c| self.now_ms >= c.deadline_ms) {
+        if self
+            .candidacy
+            .as_ref()
+            .is_some_and(|c| self.now_ms >= c.deadline_ms)
+        {
             self.fail_candidacy();
         }
         self.decide_promises();
-        let due = self.candidacy.is_none() && self.tenure.is_none() && self.now_ms >= self.stand_at_ms;
+        let due =
+            self.candidacy.is_none() && self.tenure.is_none() && self.now_ms >= self.stand_at_ms;
         if due && self.may_stand() {
             self.start_candidacy();
         }
     }
 
     fn may_stand(&self) -> bool {
-        let Some(view) = &self.durable.view else { return false };
+        let Some(view) = &self.durable.view else {
+            return false;
+        };
         let own = &self.durable.member;
-        let votes = view.voters.contains(own) || (!self.durable.agreed && view.previous_voters.contains(own));
+        let votes = view.voters.contains(own)
+            || (!self.durable.agreed && view.previous_voters.contains(own));
         votes && !self.is_leaving()
     }
 
@@ -57,19 +67,34 @@
     pub(super) fn start_candidacy(&mut self) {
         let own = self.durable.member;
         if self.is_bound_against(own, self.headed()) {
-            self.stand_at_ms = self.bound_until_ms() + BACKOFF_MS + self.random_below(BACKOFF_SPREAD_MS);
+            self.stand_at_ms =
+                self.bound_until_ms() + BACKOFF_MS + self.random_below(BACKOFF_SPREAD_MS);
             return;
         }
         self.last_round += 1;
-        let phase = Phase::Canvass { round: self.last_round };
-        let deadline_ms = self.now_ms + if self.resumes() { RESUME_CANVASS_MS } else { CANVASS_MS };
-        let Some(candidacy) = self.new_candidacy(phase, deadline_ms, None) else { return };
+        let phase = Phase::Canvass {
+            round: self.last_round,
+        };
+        let deadline_ms = self.now_ms
+            + if self.resumes() {
+                RESUME_CANVASS_MS
+            } else {
+                CANVASS_MS
+            };
+        let Some(candidacy) = self.new_candidacy(phase, deadline_ms, None) else {
+            return;
+        };
         self.candidacy = Some(candidacy);
         self.ask_voters();
         self.count_canvass(own);
     }
 
-    fn new_candidacy(&self, phase: Phase, deadline_ms: u64, plan: Option<Plan>) -> Option<Candidacy> {
+    fn new_candidacy(
+        &self,
+        phase: Phase,
+        deadline_ms: u64,
+        plan: Option<Plan>,
+    ) -> Option<Candidacy> {
         Some(Candidacy {
             phase,
             number: 0,
@@ -88,13 +113,26 @@
     /// Sends this phase's question to all voters that have not had it yet.
     fn ask_voters(&mut self) {
         let headed = self.headed();
-        let Some(candidacy) = &mut self.candidacy else { return };
+        let Some(candidacy) = &mut self.candidacy else {
+            return;
+        };
         let message = match candidacy.phase {
-            Phase::Canvass { round } => Message::Canvass { round, mark: self.durable.mark, headed },
-            Phase::Prepare => Message::Prepare { number: candidacy.number, headed },
+            Phase::Canvass { round } => Message::Canvass {
+                round,
+                mark: self.durable.mark,
+                headed,
+            },
+            Phase::Prepare => Message::Prepare {
+                number: candidacy.number,
+                headed,
+            },
             Phase::Fetch | Phase::Propose { .. } => return,
         };
-        let new: Vec<Member> = candidacy.voters().difference(&candidacy.asked).copied().collect();
+        let new: Vec<Member> = candidacy
+            .voters()
+            .difference(&candidacy.asked)
+            .copied()
+            .collect();
         candidacy.asked.extend(&new);
         for voter in new {
             self.send(voter.internal, message.clone());
@@ -102,9 +140,16 @@
     }
 
     pub(super) fn on_canvass_reply(
-        &mut self, from: Member, round: u64, support: bool, promised: u64, view: Option<View>,
+        &mut self,
+        from: Member,
+        round: u64,
+        support: bool,
+        promised: u64,
+        view: Option<View>,
     ) {
-        let Some(candidacy) = &mut self.candidacy else { return };
+        let Some(candidacy) = &mut self.candidacy else {
+            return;
+        };
         if candidacy.phase != (Phase::Canvass { round }) {
             return;
         }
@@ -125,7 +170,9 @@
     }
 
     fn count_canvass(&mut self, from: Member) {
-        let Some(candidacy) = &mut self.candidacy else { return };
+        let Some(candidacy) = &mut self.candidacy else {
+            return;
+        };
         candidacy.agreed.insert(from);
         if !candidacy.has_majority(&candidacy.agreed) {
             return;
@@ -142,7 +189,9 @@
     /// Asks for promises; `plan` is what a head wants to change.
     pub(super) fn prepare(&mut self, number: u64, known: Option<View>, plan: Option<Plan>) {
         let deadline_ms = self.now_ms + PHASE_MS;
-        let Some(mut candidacy) = self.new_candidacy(Phase::Prepare, deadline_ms, plan) else { return };
+        let Some(mut candidacy) = self.new_candidacy(Phase::Prepare, deadline_ms, plan) else {
+            return;
+        };
         candidacy.number = number;
         candidacy.known = known.unwrap_or(candidacy.known);
         self.candidacy = Some(candidacy);
@@ -153,13 +202,26 @@
     }
 
     pub(super) fn on_own_promise(&mut self, number: u64) {
-        self.on_promise(self.durable.member, number, self.durable.view.clone(), self.durable.mark, false);
+        self.on_promise(
+            self.durable.member,
+            number,
+            self.durable.view.clone(),
+            self.durable.mark,
+            false,
+        );
     }
 
     pub(super) fn on_promise(
-        &mut self, from: Member, number: u64, view: Option<View>, mark: Mark, leaving: bool,
+        &mut self,
+        from: Member,
+        number: u64,
+        view: Option<View>,
+        mark: Mark,
+        leaving: bool,
     ) {
-        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else { return };
+        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else {
+            return;
+        };
         if candidacy.phase != Phase::Prepare {
             return;
         }
@@ -175,7 +237,13 @@
     /// Goes on once there is a majority of promises, and all others have come or take too long.
     fn decide_promises(&mut self) {
         let own = self.durable.member;
-        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.phase == Phase::Prepare) else { return };
+        let Some(candidacy) = self
+            .candidacy
+            .as_mut()
+            .filter(|c| c.phase == Phase::Prepare)
+        else {
+            return;
+        };
         let ready = candidacy.agreed.contains(&own) && candidacy.has_majority(&candidacy.agreed);
         if !ready {
             return;
@@ -185,7 +253,9 @@
         if answered < candidacy.asked.len() && self.now_ms < since + MORE_PROMISES_MS {
             return;
         }
-        let Some((holder, newest)) = candidacy.newest(own) else { return };
+        let Some((holder, newest)) = candidacy.newest(own) else {
+            return;
+        };
         let number = candidacy.number;
         if holder == own {
             self.propose(newest);
@@ -198,7 +268,10 @@
     }
 
     pub(super) fn on_fetched(&mut self, number: u64) {
-        let fetched = self.candidacy.as_ref().is_some_and(|c| c.number == number && c.phase == Phase::Fetch);
+        let fetched = self
+            .candidacy
+            .as_ref()
+            .is_some_and(|c| c.number == number && c.phase == Phase::Fetch);
         if fetched {
             self.propose(self.durable.mark);
         }
@@ -207,17 +280,28 @@
     /// Proposes the view on top of the state `base`, which this member has on disk.
     fn propose(&mut self, base: Mark) {
         let own = self.durable.member;
-        let Some(view) = self.candidacy.as_ref().and_then(|c| self.next_view(c, base)) else {
+        let Some(view) = self
+            .candidacy
+            .as_ref()
+            .and_then(|c| self.next_view(c, base))
+        else {
             self.fail_candidacy();
             return;
         };
-        let Some(candidacy) = &mut self.candidacy else { return };
+        let Some(candidacy) = &mut self.candidacy else {
+            return;
+        };
         candidacy.phase = Phase::Propose { view: view.clone() };
         candidacy.deadline_ms = self.now_ms + PHASE_MS;
         candidacy.agreed.clear();
         candidacy.refused.clear();
         let number = view.number;
-        let all: BTreeSet<Member> = view.voters.iter().chain(&view.previous_voters).copied().collect();
+        let all: BTreeSet<Member> = view
+            .voters
+            .iter()
+            .chain(&view.previous_voters)
+            .copied()
+            .collect();
         self.durable.view = Some(view.clone());
         self.durable.agreed = false;
         self.stores.want_then(AfterStore::OwnAccepted { number });
@@ -235,10 +319,17 @@
         let voters = plan.map_or(&known.voters, |plan| &plan.voters);
         let chain = match plan {
             Some(plan) => planned_chain(plan, candidacy, known),
-            None => elected_chain(self.durable.member, voters, candidacy, base, self.chain_min(voters.len())),
+            None => elected_chain(
+                self.durable.member,
+                voters,
+                candidacy,
+                base,
+                self.chain_min(voters.len()),
+            ),
         };
         let enough = chain.len() >= self.chain_min(voters.len());
-        let leads = chain.first() == Some(&self.durable.member) && voters.contains(&self.durable.member);
+        let leads =
+            chain.first() == Some(&self.durable.member) && voters.contains(&self.durable.member);
         (enough && leads).then(|| View {
             number: candidacy.number,
             voters: voters.clone(),
@@ -254,8 +345,12 @@
     }
 
     pub(super) fn on_accepted(&mut self, from: Member, number: u64) {
-        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else { return };
-        let Phase::Propose { view } = &candidacy.phase else { return };
+        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else {
+            return;
+        };
+        let Phase::Propose { view } = &candidacy.phase else {
+            return;
+        };
         candidacy.agreed.insert(from);
         let own = candidacy.agreed.contains(&self.durable.member);
         let holds = is_majority(&view.voters, &candidacy.agreed)
@@ -269,7 +364,9 @@
 
     pub(super) fn on_refuse(&mut self, from: Member, number: u64, promised: u64) {
         self.note_refusal(from, number, promised);
-        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else { return };
+        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else {
+            return;
+        };
         candidacy.promised = candidacy.promised.max(promised);
         candidacy.refused.insert(from);
         if promised >= number {
@@ -290,7 +387,11 @@
 
 /// The candidate, then the voters that have promised: those that are up to date, and others where these are too few.
 fn elected_chain(
-    own: Member, voters: &[Member], candidacy: &Candidacy, base: Mark, least: usize,
+    own: Member,
+    voters: &[Member],
+    candidacy: &Candidacy,
+    base: Mark,
+    least: usize,
 ) -> Vec<Member> {
     let mut others: Vec<(Member, Promised)> = candidacy
         .promises
@@ -298,7 +399,9 @@
         .filter(|(member, _)| **member != own && voters.contains(member))
         .map(|(&member, &promised)| (member, promised))
         .collect();
-    others.sort_by_key(|(member, promised)| (promised.leaving, std::cmp::Reverse(promised.mark), *member));
+    others.sort_by_key(|(member, promised)| {
+        (promised.leaving, std::cmp::Reverse(promised.mark), *member)
+    });
     let mut chain = vec![own];
     for (member, promised) in others {
         let fit = promised.mark.view == base.view && !promised.leaving;
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -40,9 +40,15 @@
 
     /// Takes over the view's first state, which this member's rows are in already.
     pub(super) fn enter_view(&mut self, view: &View) {
-        self.durable.mark = Mark { view: view.number, seq: view.base.seq };
+        self.durable.mark = Mark {
+            view: view.number,
+            seq: view.base.seq,
+        };
         let history = &mut self.durable.history;
-        history.push(ViewStart { view: view.number, seq: view.base.seq });
+        history.push(ViewStart {
+            view: view.number,
+            seq: view.base.seq,
+        });
         if history.len() > HISTORY_MAX {
             history.drain(..history.len() - HISTORY_MAX);
         }
@@ -51,16 +57,23 @@
 
     fn add_peers(&mut self) {
         let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(tenure) = &mut self.tenure else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
         let voters = tenure.view.voters.clone();
         for voter in voters.into_iter().filter(|&voter| voter != own) {
-            tenure.peers.entry(voter).or_insert_with(|| Peer::new(now_ms));
+            tenure
+                .peers
+                .entry(voter)
+                .or_insert_with(|| Peer::new(now_ms));
         }
     }
 
     pub(super) fn send_heartbeats(&mut self) {
         let own = self.durable.member;
-        let Some(tenure) = &mut self.tenure else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
         tenure.heartbeat_ms = self.now_ms + HEARTBEAT_MS;
         for internal in tenure.audience(own) {
             self.send_heartbeat(internal);
@@ -80,23 +93,37 @@
 
     pub(super) fn on_grant(&mut self, from: Member, number: u64, sent_ms: u64, health: Health) {
         let now_ms = self.now_ms;
-        let Some(tenure) = &mut self.tenure else { return };
-        let is_known = (tenure.first_view..=tenure.view.number).contains(&number) && sent_ms <= now_ms;
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
+        let is_known =
+            (tenure.first_view..=tenure.view.number).contains(&number) && sent_ms <= now_ms;
         if !is_known {
             return;
         }
-        let peer = tenure.peers.entry(from).or_insert_with(|| Peer::new(now_ms));
+        let peer = tenure
+            .peers
+            .entry(from)
+            .or_insert_with(|| Peer::new(now_ms));
         peer.granted_ms = peer.granted_ms.max(Some(sent_ms));
         peer.heard_ms = now_ms;
-        peer.health = Health { mark: peer.health.mark.max(health.mark), ..health };
+        peer.health = Health {
+            mark: peer.health.mark.max(health.mark),
+            ..health
+        };
         self.count_stored();
     }
 
     /// Somebody who hears of no head has announced itself.
     pub(super) fn on_newcomer(&mut self, member: Member) {
         let now_ms = self.now_ms;
-        let Some(tenure) = &mut self.tenure else { return };
-        tenure.peers.entry(member).or_insert_with(|| Peer::new(now_ms));
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
+        tenure
+            .peers
+            .entry(member)
+            .or_insert_with(|| Peer::new(now_ms));
         if self.candidacy.is_none() {
             self.send_heartbeat(member.internal);
         }
@@ -105,7 +132,9 @@
     /// A member has refused a heartbeat, since it has promised a higher number.
     pub(super) fn note_refusal(&mut self, from: Member, number: u64, promised: u64) {
         let lease_holds = self.may_act(self.now_ms);
-        let Some(tenure) = self.tenure.as_mut().filter(|t| t.view.number == number) else { return };
+        let Some(tenure) = self.tenure.as_mut().filter(|t| t.view.number == number) else {
+            return;
+        };
         if promised <= self.durable.promised.max(number) {
             return;
         }
@@ -122,17 +151,32 @@
 
     pub(super) fn tenure_due_ms(&self) -> Option<u64> {
         let tenure = self.tenure.as_ref()?;
-        let heartbeat = if self.candidacy.is_some() { u64::MAX } else { tenure.heartbeat_ms };
-        let slow = tenure.outstanding.front().map_or(u64::MAX, |o| o.sent_ms + SLOW_MEMBER_MS);
-        let leave = self.leaving_since_ms.map_or(u64::MAX, |since| since + LEAVE_WAIT_MS);
+        let heartbeat = if self.candidacy.is_some() {
+            u64::MAX
+        } else {
+            tenure.heartbeat_ms
+        };
+        let slow = tenure
+            .outstanding
+            .front()
+            .map_or(u64::MAX, |o| o.sent_ms + SLOW_MEMBER_MS);
+        let leave = self
+            .leaving_since_ms
+            .map_or(u64::MAX, |since| since + LEAVE_WAIT_MS);
         let ahead = [slow, leave].into_iter().filter(|&due| due > self.now_ms);
         ahead.chain([heartbeat]).min()
     }
 
     pub(super) fn run_tenure(&mut self) {
-        let Some(tenure) = &mut self.tenure else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
         let lease_until_ms = tenure.lease_until_ms(self.durable.member);
-        if self.now_ms > lease_until_ms.max(tenure.view_since_ms).saturating_add(LEASE_MS) {
+        if self.now_ms
+            > lease_until_ms
+                .max(tenure.view_since_ms)
+                .saturating_add(LEASE_MS)
+        {
             self.withdraw();
             self.stand_at_ms = self.now_ms + LEASE_MS + self.random_below(BACKOFF_SPREAD_MS);
             return;
@@ -140,10 +184,14 @@
         // Before heartbeats: one that came after the role was handed over would bind its receiver to this head again.
         self.leave_when_done();
         self.hand_over_if_slow();
-        let Some(tenure) = &mut self.tenure else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
         if self.candidacy.is_none() && self.now_ms >= tenure.heartbeat_ms {
             let (voters, now_ms) = (tenure.view.voters.clone(), self.now_ms);
-            tenure.peers.retain(|m, p| voters.contains(m) || p.silent_ms(now_ms) < FORGET_NEWCOMER_MS);
+            tenure
+                .peers
+                .retain(|m, p| voters.contains(m) || p.silent_ms(now_ms) < FORGET_NEWCOMER_MS);
             self.send_heartbeats();
             self.resend_lacking();
         }
@@ -152,12 +200,16 @@
 
     /// The head's role ends here. What was submitted and is not on all disks has an unknown fate.
     pub(super) fn abdicate(&mut self) {
-        let Some(tenure) = self.tenure.take() else { return };
+        let Some(tenure) = self.tenure.take() else {
+            return;
+        };
         for ticket in tenure.outstanding.into_iter().flat_map(|o| o.tickets) {
             self.outputs.push(Output::Aborted { ticket });
         }
         for pending in tenure.pending {
-            self.outputs.push(Output::Refused { ticket: pending.ticket });
+            self.outputs.push(Output::Refused {
+                ticket: pending.ticket,
+            });
         }
         if tenure.is_gained {
             self.outputs.push(Output::HeadLost);
@@ -176,7 +228,9 @@
     }
 
     fn leave_when_done(&mut self) {
-        let Some(since) = self.leaving_since_ms else { return };
+        let Some(since) = self.leaving_since_ms else {
+            return;
+        };
         let Some(tenure) = &self.tenure else { return };
         let done = tenure.outstanding.is_empty() && tenure.pending.is_empty();
         if done || self.now_ms >= since + LEAVE_WAIT_MS {
@@ -204,12 +258,22 @@
                 && peer.health.store_age_ms < SLOW_HEAD_MS / 2
                 && peer.health.mark.seq >= oldest
         };
-        let chain = tenure.view.chain.iter().copied().filter(|&member| member != own);
+        let chain = tenure
+            .view
+            .chain
+            .iter()
+            .copied()
+            .filter(|&member| member != own);
         let fit = chain.filter(|member| tenure.peers.get(member).is_some_and(is_fit));
-        let Some(successor) = fit.max_by_key(|&member| tenure.mark_of(member, own)) else { return };
+        let Some(successor) = fit.max_by_key(|&member| tenure.mark_of(member, own)) else {
+            return;
+        };
         let (number, audience) = (tenure.view.number, tenure.audience(own));
         self.withdraw();
-        for internal in audience.into_iter().filter(|&internal| internal != successor.internal) {
+        for internal in audience
+            .into_iter()
+            .filter(|&internal| internal != successor.internal)
+        {
             self.send(internal, Message::Release { number });
         }
         self.send(successor.internal, Message::Stand { number });
--- a/crates/replication/src/replica/lease.rs
+++ b/crates/replication/src/replica/lease.rs
@@ -19,13 +19,21 @@
 
 impl Replica {
     pub(super) fn on_heartbeat(
-        &mut self, from: Member, view: View, sent_ms: u64, seq: u64, address: MemberAddress,
+        &mut self,
+        from: Member,
+        view: View,
+        sent_ms: u64,
+        seq: u64,
+        address: MemberAddress,
     ) {
         self.learn_address(address);
         if view.number < self.durable.promised || view.head() != Some(from) {
             self.send(
                 from.internal,
-                Message::Refuse { number: view.number, promised: self.durable.promised },
+                Message::Refuse {
+                    number: view.number,
+                    promised: self.durable.promised,
+                },
             );
             return;
         }
@@ -36,7 +44,11 @@
 
     /// Takes over a view that is known to hold and that another member leads.
     pub(super) fn follow(&mut self, view: &View) {
-        let known = self.durable.view.as_ref().filter(|v| v.number == view.number);
+        let known = self
+            .durable
+            .view
+            .as_ref()
+            .filter(|v| v.number == view.number);
         let is_followed = self.durable.agreed && self.durable.promised == view.number;
         if let Some(known) = known.filter(|_| is_followed) {
             if view.is_established() && !known.is_established() {
@@ -56,10 +68,19 @@
     fn grant(&mut self, holder: Member, view: &View, sent_ms: u64) {
         let until_ms = self.now_ms + LEASE_MS;
         self.candidacy = None;
-        self.lease = Some(Lease { holder, number: view.number, sent_ms, until_ms });
+        self.lease = Some(Lease {
+            holder,
+            number: view.number,
+            sent_ms,
+            until_ms,
+        });
         self.announce_at_ms = self.now_ms + HEAD_SILENT_MS;
         let in_chain = view.chain.contains(&self.durable.member);
-        let extra = if in_chain { 0 } else { BACKOFF_OUTSIDE_CHAIN_MS };
+        let extra = if in_chain {
+            0
+        } else {
+            BACKOFF_OUTSIDE_CHAIN_MS
+        };
         self.stand_at_ms = until_ms + extra + self.random_below(BACKOFF_SPREAD_MS);
         if view.number > self.stored_view {
             self.stores.want_then(AfterStore::Grant);
@@ -71,7 +92,11 @@
     /// Answers the heartbeat heard last, once its view is on disk: after a restart the view on disk tells to which head a
     /// lease may have been granted.
     pub(super) fn send_grant(&mut self) {
-        let Some(lease) = self.lease.as_ref().filter(|lease| lease.number <= self.stored_view) else {
+        let Some(lease) = self
+            .lease
+            .as_ref()
+            .filter(|lease| lease.number <= self.stored_view)
+        else {
             return;
         };
         let (to, number, sent_ms) = (lease.holder.internal, lease.number, lease.sent_ms);
@@ -88,7 +113,8 @@
 
     /// Number of the view accepted last, if this member heads it; 0 otherwise.
     pub(super) fn headed(&self) -> u64 {
-        let heads = self.durable.view.as_ref().and_then(|view| view.head()) == Some(self.durable.member);
+        let heads =
+            self.durable.view.as_ref().and_then(|view| view.head()) == Some(self.durable.member);
         if heads { self.durable.view_number() } else { 0 }
     }
 
@@ -109,9 +135,13 @@
     /// Whether this member is bound to a head other than `candidate`, which heads the view of number `headed` on its disk (0:
     /// none).
     pub(super) fn is_bound_against(&self, candidate: Member, headed: u64) -> bool {
-        let granted = self.lease.as_ref().is_some_and(|l| l.holder != candidate && self.now_ms < l.until_ms);
+        let granted = self
+            .lease
+            .as_ref()
+            .is_some_and(|l| l.holder != candidate && self.now_ms < l.until_ms);
         let own = candidate != self.durable.member && self.may_act(self.now_ms);
-        let unknown = self.now_ms < self.promise_from_ms && !self.granted_to_none_but(candidate, headed);
+        let unknown =
+            self.now_ms < self.promise_from_ms && !self.granted_to_none_but(candidate, headed);
         granted || own || unknown
     }
 
@@ -122,9 +152,14 @@
     }
 
     pub(super) fn on_release(&mut self, from: Member, number: u64) {
-        if self.lease.as_ref().is_some_and(|l| l.holder == from && l.number == number) {
+        if self
+            .lease
+            .as_ref()
+            .is_some_and(|l| l.holder == from && l.number == number)
+        {
             self.lease = None;
-            self.stand_at_ms = self.now_ms + BACKOFF_SPREAD_MS + self.random_below(BACKOFF_SPREAD_MS);
+            self.stand_at_ms =
+                self.now_ms + BACKOFF_SPREAD_MS + self.random_below(BACKOFF_SPREAD_MS);
         }
     }
 
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -76,7 +76,11 @@
         let promise_from_ms = now_ms + lease_wait;
         let mut replica = Replica {
             stored_view: if is_restart { durable.view_number() } else { 0 },
-            stored_mark: if is_restart { durable.mark } else { Mark::default() },
+            stored_mark: if is_restart {
+                durable.mark
+            } else {
+                Mark::default()
+            },
             durable,
             stores: StoreQueue::default(),
             lease: None,
@@ -153,7 +157,10 @@
 
     /// The view accepted last, and whether it is known to hold.
     pub fn accepted_view(&self) -> Option<(&View, bool)> {
-        self.durable.view.as_ref().map(|view| (view, self.durable.agreed))
+        self.durable
+            .view
+            .as_ref()
+            .map(|view| (view, self.durable.agreed))
     }
 
     /// The state of the rows on disk.
@@ -176,40 +183,99 @@
         }
         match message {
             Message::Announce { address } => self.on_announce(from, address),
-            Message::Addresses { addresses } => addresses.into_iter().for_each(|a| self.learn_address(a)),
-            Message::Canvass { round, mark, headed } => self.on_canvass(from, round, mark, headed),
-            Message::CanvassReply { round, support, promised, view, agreed: _ } => {
+            Message::Addresses { addresses } => {
+                addresses.into_iter().for_each(|a| self.learn_address(a))
+            }
+            Message::Canvass {
+                round,
+                mark,
+                headed,
+            } => self.on_canvass(from, round, mark, headed),
+            Message::CanvassReply {
+                round,
+                support,
+                promised,
+                view,
+                agreed: _,
+            } => {
                 self.on_canvass_reply(from, round, support, promised, view);
             }
             Message::Prepare { number, headed } => self.on_prepare(from, number, headed),
-            Message::Promise { number, view, agreed: _, mark, leaving } => {
+            Message::Promise {
+                number,
+                view,
+                agreed: _,
+                mark,
+                leaving,
+            } => {
                 self.on_promise(from, number, view, mark, leaving);
             }
             Message::Refuse { number, promised } => self.on_refuse(from, number, promised),
             Message::Accept { view } => self.on_accept(from, view),
             Message::Accepted { number } => self.on_accepted(from, number),
-            Message::Heartbeat { view, sent_ms, seq, address } => {
+            Message::Heartbeat {
+                view,
+                sent_ms,
+                seq,
+                address,
+            } => {
                 self.on_heartbeat(from, view, sent_ms, seq, address);
             }
-            Message::Grant { number, sent_ms, mark, store_age_ms, leaving, address } => {
+            Message::Grant {
+                number,
+                sent_ms,
+                mark,
+                store_age_ms,
+                leaving,
+                address,
+            } => {
                 self.learn_address(address);
-                let health = tenure::Health { mark, store_age_ms, leaving };
+                let health = tenure::Health {
+                    mark,
+                    store_age_ms,
+                    leaving,
+                };
                 self.on_grant(from, number, sent_ms, health);
             }
             Message::Release { number } => self.on_release(from, number),
             Message::Stand { number } => self.on_stand(from, number),
-            Message::Write { number, batches, relay } => self.on_write(number, batches, relay),
+            Message::Write {
+                number,
+                batches,
+                relay,
+            } => self.on_write(number, batches, relay),
             Message::Stored { mark } => self.on_member_stored(from, mark),
             Message::Behind { mark } => self.on_behind(from, mark),
             Message::Fetch { round, mark, after } => self.on_fetch(from, round, mark, after),
-            Message::Rows { round, after, clear, rows, more, mark, history } => {
-                self.on_rows(from, transfer::Part { round, after, clear, rows, more, mark, history });
+            Message::Rows {
+                round,
+                after,
+                clear,
+                rows,
+                more,
+                mark,
+                history,
+            } => {
+                self.on_rows(
+                    from,
+                    transfer::Part {
+                        round,
+                        after,
+                        clear,
+                        rows,
+                        more,
+                        mark,
+                        history,
+                    },
+                );
             }
         }
     }
 
     fn on_stored(&mut self, store: u64) {
-        let Some(finished) = self.stores.finish(store) else { return };
+        let Some(finished) = self.stores.finish(store) else {
+            return;
+        };
         let changed = finished.mark != self.stored_mark;
         (self.stored_mark, self.stored_view) = (finished.mark, finished.view);
         for effect in finished.after {
@@ -234,7 +300,10 @@
     }
 
     fn send(&mut self, to: SocketAddr, message: Message) {
-        let envelope = Box::new(Envelope { from: self.durable.member, message });
+        let envelope = Box::new(Envelope {
+            from: self.durable.member,
+            message,
+        });
         self.outputs.push(Output::Send { to, envelope });
     }
 
@@ -254,11 +323,24 @@
     let view = is_seed.then(|| View::first(&settings.seeds));
     let mark = view.as_ref().map_or(Mark::default(), |v| v.base);
     Durable {
-        member: Member { internal, disk: if is_seed { SEED_DISK } else { random.next_u64().max(1) } },
+        member: Member {
+            internal,
+            disk: if is_seed {
+                SEED_DISK
+            } else {
+                random.next_u64().max(1)
+            },
+        },
         promised: mark.view,
         agreed: is_seed,
         mark,
-        history: view.iter().map(|v| ViewStart { view: v.number, seq: 0 }).collect(),
+        history: view
+            .iter()
+            .map(|v| ViewStart {
+                view: v.number,
+                seq: 0,
+            })
+            .collect(),
         view,
         trimmed: 0,
         addresses: Vec::<MemberAddress>::new(),
--- a/crates/replication/src/replica/reconfiguration.rs
+++ b/crates/replication/src/replica/reconfiguration.rs
@@ -5,8 +5,8 @@
 use super::candidacy::Plan;
 use super::tenure::{Peer, Tenure};
 use crate::timing::{
-    INSTALL_MS, RECONFIGURE_MS, REJOIN_LAG, REJOIN_STORE_AGE_MS, REMOVE_AFTER_MS, REMOVE_LONE_AFTER_MS,
-    REPLACE_AFTER_MS, SILENT_MEMBER_MS, SLOW_MEMBER_MS, VOTERS_MAX,
+    INSTALL_MS, RECONFIGURE_MS, REJOIN_LAG, REJOIN_STORE_AGE_MS, REMOVE_AFTER_MS,
+    REMOVE_LONE_AFTER_MS, REPLACE_AFTER_MS, SILENT_MEMBER_MS, SLOW_MEMBER_MS, VOTERS_MAX,
 };
 use crate::types::Member;
 
@@ -29,8 +29,15 @@
         if self.now_ms < tenure.reconfigure_ms || !lease_holds {
             return;
         }
-        let Some(plan) = self.plan(tenure) else { return };
-        let number = self.durable.promised.max(self.number_floor).max(tenure.view.number) + 1;
+        let Some(plan) = self.plan(tenure) else {
+            return;
+        };
+        let number = self
+            .durable
+            .promised
+            .max(self.number_floor)
+            .max(tenure.view.number)
+            + 1;
         self.exclude_dropped(&plan);
         self.delay_reconfiguration();
         self.prepare(number, None, Some(plan));
@@ -44,7 +51,9 @@
 
     fn exclude_dropped(&mut self, plan: &Plan) {
         let now_ms = self.now_ms;
-        let Some(tenure) = &mut self.tenure else { return };
+        let Some(tenure) = &mut self.tenure else {
+            return;
+        };
         for member in &tenure.view.chain {
             if !plan.chain.contains(member)
                 && let Some(peer) = tenure.peers.get_mut(member)
@@ -60,7 +69,11 @@
         let chain = self.planned_chain(tenure, &voters);
         let changed = voters != tenure.view.voters || chain != tenure.view.chain;
         let superseded = self.durable.promised != tenure.view.number
-            || tenure.view.voters.iter().any(|v| tenure.peers.get(v).is_some_and(|peer| peer.beyond));
+            || tenure
+                .view
+                .voters
+                .iter()
+                .any(|v| tenure.peers.get(v).is_some_and(|peer| peer.beyond));
         (changed || superseded).then_some(Plan { voters, chain })
     }
 
@@ -90,30 +103,59 @@
             Some(VoterChange::Replace { old, new })
         });
         let replace_silent = || {
-            let old = self.silent_voters(tenure, REPLACE_AFTER_MS).first().copied()?;
-            Some(VoterChange::Replace { old, new: newcomers.first().copied()? })
+            let old = self
+                .silent_voters(tenure, REPLACE_AFTER_MS)
+                .first()
+                .copied()?;
+            Some(VoterChange::Replace {
+                old,
+                new: newcomers.first().copied()?,
+            })
         };
         let members = tenure.view.voters.len() + newcomers.len();
         let add = || {
             let is_wanted = tenure.view.voters.len() < self.voters_aimed_at(members);
-            newcomers.first().copied().filter(|_| is_wanted).map(VoterChange::Add)
+            newcomers
+                .first()
+                .copied()
+                .filter(|_| is_wanted)
+                .map(VoterChange::Add)
         };
         let remove = || self.surplus_voter(tenure).map(VoterChange::Remove);
-        replacement.or_else(replace_silent).or_else(add).or_else(remove)
+        replacement
+            .or_else(replace_silent)
+            .or_else(add)
+            .or_else(remove)
     }
 
     /// Members that are no voters, and could be.
     fn ready_newcomers(&self, tenure: &Tenure) -> Vec<Member> {
         let is_ready = |peer: &Peer| self.is_fit(tenure, peer) && self.now_ms >= peer.rejoin_ms;
-        let newcomers = tenure.peers.iter().filter(|(member, _)| !tenure.view.voters.contains(member));
-        newcomers.filter(|(_, peer)| is_ready(peer)).map(|(&member, _)| member).collect()
+        let newcomers = tenure
+            .peers
+            .iter()
+            .filter(|(member, _)| !tenure.view.voters.contains(member));
+        newcomers
+            .filter(|(_, peer)| is_ready(peer))
+            .map(|(&member, _)| member)
+            .collect()
     }
 
     /// Voters that have not been heard for `for_ms`, the most silent first.
     fn silent_voters(&self, tenure: &Tenure, for_ms: u64) -> Vec<Member> {
         let own = self.durable.member;
-        let silence = |voter: Member| tenure.peers.get(&voter).map_or(0, |p| p.silent_ms(self.now_ms));
-        let others = tenure.view.voters.iter().copied().filter(|&voter| voter != own);
+        let silence = |voter: Member| {
+            tenure
+                .peers
+                .get(&voter)
+                .map_or(0, |p| p.silent_ms(self.now_ms))
+        };
+        let others = tenure
+            .view
+            .voters
+            .iter()
+            .copied()
+            .filter(|&voter| voter != own);
         let mut silent: Vec<Member> = others.filter(|&voter| silence(voter) >= for_ms).collect();
         silent.sort_by_key(|&voter| std::cmp::Reverse(silence(voter)));
         silent
@@ -128,8 +170,15 @@
         }
         let silent = self.silent_voters(tenure, REMOVE_AFTER_MS);
         if voters.len().is_multiple_of(2) {
-            let outside = voters.iter().copied().find(|voter| !tenure.view.chain.contains(voter));
-            return silent.first().copied().or(outside).or(tenure.view.chain.last().copied());
+            let outside = voters
+                .iter()
+                .copied()
+                .find(|voter| !tenure.view.chain.contains(voter));
+            return silent
+                .first()
+                .copied()
+                .or(outside)
+                .or(tenure.view.chain.last().copied());
         }
         let lone = self.silent_voters(tenure, REMOVE_LONE_AFTER_MS);
         let several = silent.first().filter(|_| silent.len() > 1);
@@ -138,12 +187,19 @@
 
     /// How many voters there should be among so many members.
     fn voters_aimed_at(&self, members: usize) -> usize {
-        let odd = if members.is_multiple_of(2) { members.saturating_sub(1) } else { members };
+        let odd = if members.is_multiple_of(2) {
+            members.saturating_sub(1)
+        } else {
+            members
+        };
         odd.max(self.voters_wanted()).min(VOTERS_MAX)
     }
 
     fn voters_wanted(&self) -> usize {
-        self.settings.seeds.len().max(2 * self.settings.tolerated_losses + 1)
+        self.settings
+            .seeds
+            .len()
+            .max(2 * self.settings.tolerated_losses + 1)
     }
 
     /// Whether a member outside the chain has the head's rows, stays, and could go on as a part of the chain.
@@ -159,10 +215,16 @@
     /// The present chain without those that hold it up, and with those that have caught up.
     fn planned_chain(&self, tenure: &Tenure, voters: &[Member]) -> Vec<Member> {
         let least = self.chain_min(voters.len());
-        let present: Vec<Member> =
-            tenure.view.chain.iter().copied().filter(|member| voters.contains(member)).collect();
-        let (leaving, mut chain): (Vec<Member>, Vec<Member>) =
-            present.into_iter().partition(|&member| self.holds_up(tenure, member));
+        let present: Vec<Member> = tenure
+            .view
+            .chain
+            .iter()
+            .copied()
+            .filter(|member| voters.contains(member))
+            .collect();
+        let (leaving, mut chain): (Vec<Member>, Vec<Member>) = present
+            .into_iter()
+            .partition(|&member| self.holds_up(tenure, member));
         chain.extend(self.joining(tenure, voters, !leaving.is_empty()));
         // A chain that would be too short keeps some of those that hold it up.
         let lacking = least.saturating_sub(chain.len());
@@ -179,10 +241,17 @@
         }
         let joins = |voter: &Member| {
             let may_rejoin = |peer: &Peer| installing || self.now_ms >= peer.rejoin_ms;
-            tenure.peers.get(voter).is_some_and(|peer| self.is_fit(tenure, peer) && may_rejoin(peer))
+            tenure
+                .peers
+                .get(voter)
+                .is_some_and(|peer| self.is_fit(tenure, peer) && may_rejoin(peer))
         };
         // One that is left out now has been in the chain: it joins again later, when its time of exclusion is over.
-        voters.iter().copied().filter(|v| !tenure.view.chain.contains(v) && joins(v)).collect()
+        voters
+            .iter()
+            .copied()
+            .filter(|v| !tenure.view.chain.contains(v) && joins(v))
+            .collect()
     }
 
     /// A member of the chain that is silent, about to stop, or slower than the others.
@@ -191,9 +260,11 @@
         if member == own {
             return false;
         }
-        let Some(peer) = tenure.peers.get(&member) else { return false };
-        let lacks_start =
-            peer.health.mark.view != tenure.view.number && self.now_ms >= tenure.view_since_ms + INSTALL_MS;
+        let Some(peer) = tenure.peers.get(&member) else {
+            return false;
+        };
+        let lacks_start = peer.health.mark.view != tenure.view.number
+            && self.now_ms >= tenure.view_since_ms + INSTALL_MS;
         peer.health.leaving
             || peer.silent_ms(self.now_ms) >= SILENT_MEMBER_MS
             || lacks_start
@@ -202,9 +273,16 @@
 
     fn is_slow(&self, tenure: &Tenure, member: Member) -> bool {
         let own = self.durable.member;
-        let Some(oldest) = tenure.oldest_lacking(member, own) else { return false };
+        let Some(oldest) = tenure.oldest_lacking(member, own) else {
+            return false;
+        };
         let seq = oldest.batch.seq;
-        let have = tenure.view.chain.iter().filter(|&&m| tenure.mark_of(m, own).seq >= seq).count();
+        let have = tenure
+            .view
+            .chain
+            .iter()
+            .filter(|&&m| tenure.mark_of(m, own).seq >= seq)
+            .count();
         let late = self.now_ms >= oldest.sent_ms + SLOW_MEMBER_MS;
         tenure.is_installed && late && have >= self.chain_min(tenure.view.voters.len())
     }
@@ -212,5 +290,10 @@
 
 /// The voter that had the address of `new`, and has lost its disk.
 fn wiped_voter(tenure: &Tenure, new: Member) -> Option<Member> {
-    tenure.view.voters.iter().copied().find(|voter| voter.internal == new.internal)
+    tenure
+        .view
+        .voters
+        .iter()
+        .copied()
+        .find(|voter| voter.internal == new.internal)
 }
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -11,7 +11,10 @@
 #[derive(Debug)]
 pub(super) enum AfterStore {
     /// Send a message that tells of it.
-    Send { to: SocketAddr, message: Box<Message> },
+    Send {
+        to: SocketAddr,
+        message: Box<Message>,
+    },
     /// Count this member's own promise.
     OwnPromise { number: u64 },
     /// Count this member's own acceptance of its view.
@@ -76,12 +79,16 @@
 
     /// The disk has refused the store under way.
     pub(super) fn is_failing(&self) -> bool {
-        self.in_flight.as_ref().is_some_and(|f| f.retry_ms.is_some())
+        self.in_flight
+            .as_ref()
+            .is_some_and(|f| f.retry_ms.is_some())
     }
 
     /// For how long the store under way has not been done.
     pub(super) fn age_ms(&self, now_ms: u64) -> u64 {
-        self.in_flight.as_ref().map_or(0, |f| now_ms.saturating_sub(f.since_ms))
+        self.in_flight
+            .as_ref()
+            .map_or(0, |f| now_ms.saturating_sub(f.since_ms))
     }
 
     /// When a failed store is due again.
@@ -90,7 +97,11 @@
     }
 
     /// The next store to start, if one is wanted and none is under way.
-    pub(super) fn start(&mut self, now_ms: u64, durable: &Durable) -> Option<(u64, Arc<StoreRequest>)> {
+    pub(super) fn start(
+        &mut self,
+        now_ms: u64,
+        durable: &Durable,
+    ) -> Option<(u64, Arc<StoreRequest>)> {
         if self.in_flight.is_some() {
             return self.start_again(now_ms);
         }
@@ -100,7 +111,10 @@
         self.wanted = false;
         self.last_store += 1;
         let operations = std::mem::take(&mut self.operations);
-        let request = Arc::new(StoreRequest { durable: durable.clone(), operations });
+        let request = Arc::new(StoreRequest {
+            durable: durable.clone(),
+            operations,
+        });
         self.in_flight = Some(InFlight {
             store: self.last_store,
             request: Arc::clone(&request),
@@ -124,7 +138,11 @@
     pub(super) fn finish(&mut self, store: u64) -> Option<Finished> {
         let done = self.in_flight.take_if(|f| f.store == store)?;
         let durable = &done.request.durable;
-        Some(Finished { mark: durable.mark, view: durable.view_number(), after: done.after })
+        Some(Finished {
+            mark: durable.mark,
+            view: durable.view_number(),
+            after: done.after,
+        })
     }
 
     /// A store has failed.
--- a/crates/replication/src/replica/tenure.rs
+++ b/crates/replication/src/replica/tenure.rs
@@ -37,7 +37,11 @@
         Peer {
             granted_ms: None,
             heard_ms: now_ms,
-            health: Health { mark: Mark::default(), store_age_ms: 0, leaving: false },
+            health: Health {
+                mark: Mark::default(),
+                store_age_ms: 0,
+                leaving: false,
+            },
             rejoin_ms: 0,
             penalty_ms: REJOIN_AFTER_MS,
             beyond: false,
@@ -132,14 +136,16 @@
     /// Until when a majority of the voters supports no other head.
     pub fn lease_until_ms(&self, own: Member) -> u64 {
         let others = self.view.voters.iter().filter(|&&voter| voter != own);
-        let mut granted: Vec<u64> = others.filter_map(|voter| self.peers.get(voter)?.granted_ms).collect();
+        let mut granted: Vec<u64> = others
+            .filter_map(|voter| self.peers.get(voter)?.granted_ms)
+            .collect();
         granted.sort_unstable_by(|a, b| b.cmp(a));
         let needed = majority(self.view.voters.len()) - 1;
         match needed.checked_sub(1) {
             None => u64::MAX,
-            Some(last) => {
-                granted.get(last).map_or(0, |sent_ms| sent_ms + LEASE_MS * LEASE_USED_PERCENT / 100)
-            }
+            Some(last) => granted
+                .get(last)
+                .map_or(0, |sent_ms| sent_ms + LEASE_MS * LEASE_USED_PERCENT / 100),
         }
     }
 
@@ -148,26 +154,38 @@
         if member == own {
             return self.own_mark;
         }
-        self.peers.get(&member).map_or(Mark::default(), |peer| peer.health.mark)
+        self.peers
+            .get(&member)
+            .map_or(Mark::default(), |peer| peer.health.mark)
     }
 
     /// Last write that the whole chain has on disk; `None` before all of it has taken over the view.
     pub fn stored_by_all(&self, own: Member) -> Option<u64> {
-        let marks = self.view.chain.iter().map(|&member| self.mark_of(member, own));
-        let seqs: Option<Vec<u64>> =
-            marks.map(|mark| (mark.view == self.view.number).then_some(mark.seq)).collect();
+        let marks = self
+            .view
+            .chain
+            .iter()
+            .map(|&member| self.mark_of(member, own));
+        let seqs: Option<Vec<u64>> = marks
+            .map(|mark| (mark.view == self.view.number).then_some(mark.seq))
+            .collect();
         seqs?.into_iter().min()
     }
 
     /// Oldest write that `member` has not stored.
     pub fn oldest_lacking(&self, member: Member, own: Member) -> Option<&Outstanding> {
         let mark = self.mark_of(member, own);
-        self.outstanding.iter().find(|o| mark.view != self.view.number || o.batch.seq > mark.seq)
+        self.outstanding
+            .iter()
+            .find(|o| mark.view != self.view.number || o.batch.seq > mark.seq)
     }
 
     /// Where heartbeats go to: voters and newcomers, without the head's own address.
     pub fn audience(&self, own: Member) -> BTreeSet<SocketAddr> {
         let members = self.view.voters.iter().chain(self.peers.keys());
-        members.map(|member| member.internal).filter(|&internal| internal != own.internal).collect()
+        members
+            .map(|member| member.internal)
+            .filter(|&internal| internal != own.internal)
+            .collect()
     }
 }
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -3,7 +3,9 @@
 use super::{AfterStore, Output, Replica};
 use crate::durable::{Durable, StoreOperation};
 use crate::message::Message;
-use crate::timing::{FETCH_GIVE_UP_MS, FETCH_RETRY_MS, TRANSFER_BYTES, TRIM_AFTER_MS, TRIM_STEP_MS};
+use crate::timing::{
+    FETCH_GIVE_UP_MS, FETCH_RETRY_MS, TRANSFER_BYTES, TRIM_AFTER_MS, TRIM_STEP_MS,
+};
 use crate::types::{Mark, Member, Row, RowsChunk, View, ViewStart};
 use std::collections::VecDeque;
 
@@ -65,7 +67,10 @@
 
 impl TrimNotes {
     pub(super) fn new(now_ms: u64) -> TrimNotes {
-        TrimNotes { notes: VecDeque::new(), due_ms: now_ms + TRIM_STEP_MS }
+        TrimNotes {
+            notes: VecDeque::new(),
+            due_ms: now_ms + TRIM_STEP_MS,
+        }
     }
 
     pub(super) fn due_ms(&self) -> u64 {
@@ -85,7 +90,12 @@
         if mark == view.base {
             self.enter_view(view);
         } else if self.pull.is_none() {
-            self.start_pull(head, Purpose::Follow { number: view.number });
+            self.start_pull(
+                head,
+                Purpose::Follow {
+                    number: view.number,
+                },
+            );
         }
     }
 
@@ -117,7 +127,9 @@
     }
 
     pub(super) fn pull_due_ms(&self) -> Option<u64> {
-        self.pull.as_ref().map(|pull| pull.asked_ms + FETCH_RETRY_MS)
+        self.pull
+            .as_ref()
+            .map(|pull| pull.asked_ms + FETCH_RETRY_MS)
     }
 
     pub(super) fn run_pull(&mut self) {
@@ -138,24 +150,63 @@
         self.last_read += 1;
         let read = self.last_read;
         self.reads.retain(|_, serving| serving.to != from);
-        self.reads.insert(read, Serving { to: from, round, after, clear, view: self.durable.mark.view });
-        self.outputs.push(Output::ReadRows { read, since: after, bytes_max: TRANSFER_BYTES });
+        self.reads.insert(
+            read,
+            Serving {
+                to: from,
+                round,
+                after,
+                clear,
+                view: self.durable.mark.view,
+            },
+        );
+        self.outputs.push(Output::ReadRows {
+            read,
+            since: after,
+            bytes_max: TRANSFER_BYTES,
+        });
     }
 
     pub(super) fn on_rows_read(&mut self, read: u64, chunk: RowsChunk) {
-        let Some(serving) = self.reads.remove(&read) else { return };
+        let Some(serving) = self.reads.remove(&read) else {
+            return;
+        };
         if chunk.mark.view != serving.view {
             return;
         }
-        let RowsChunk { rows, more, mark, history } = chunk;
-        let Serving { to, round, after, clear, .. } = serving;
-        self.send(to.internal, Message::Rows { round, after, clear, rows, more, mark, history });
+        let RowsChunk {
+            rows,
+            more,
+            mark,
+            history,
+        } = chunk;
+        let Serving {
+            to,
+            round,
+            after,
+            clear,
+            ..
+        } = serving;
+        self.send(
+            to.internal,
+            Message::Rows {
+                round,
+                after,
+                clear,
+                rows,
+                more,
+                mark,
+                history,
+            },
+        );
     }
 
     pub(super) fn on_rows(&mut self, from: Member, part: Part) {
         let now_ms = self.now_ms;
         let is_asked = |pull: &&mut Pull| pull.source == from && pull.round == part.round;
-        let Some(pull) = self.pull.as_mut().filter(is_asked) else { return };
+        let Some(pull) = self.pull.as_mut().filter(is_asked) else {
+            return;
+        };
         if pull.next_after.is_some_and(|after| after != part.after) {
             return;
         }
@@ -197,7 +248,9 @@
         self.durable.history = history;
         match pull.purpose {
             Purpose::Follow { .. } => self.stores.want(),
-            Purpose::Candidate { number, .. } => self.stores.want_then(AfterStore::Fetched { number }),
+            Purpose::Candidate { number, .. } => {
+                self.stores.want_then(AfterStore::Fetched { number })
+            }
         }
     }
 
@@ -207,9 +260,13 @@
             return;
         }
         self.trim_notes.due_ms = self.now_ms + TRIM_STEP_MS;
-        self.trim_notes.notes.push_back((self.now_ms, self.stored_mark.seq));
+        self.trim_notes
+            .notes
+            .push_back((self.now_ms, self.stored_mark.seq));
         let is_old = |(at_ms, _): &&(u64, u64)| at_ms + TRIM_AFTER_MS <= self.now_ms;
-        let Some(&(_, seq)) = self.trim_notes.notes.front().filter(is_old) else { return };
+        let Some(&(_, seq)) = self.trim_notes.notes.front().filter(is_old) else {
+            return;
+        };
         self.trim_notes.notes.pop_front();
         if seq > self.durable.trimmed {
             self.durable.trimmed = seq;
@@ -226,7 +283,10 @@
     if mark.view == durable.mark.view {
         return mark.seq <= durable.mark.seq;
     }
-    let position = durable.history.iter().position(|start| start.view == mark.view);
+    let position = durable
+        .history
+        .iter()
+        .position(|start| start.view == mark.view);
     let next = position.and_then(|position| durable.history.get(position + 1));
     next.is_some_and(|next| mark.seq <= next.seq)
 }
--- a/crates/replication/src/replica/voter.rs
+++ b/crates/replication/src/replica/voter.rs
@@ -17,10 +17,14 @@
     pub(super) fn on_canvass(&mut self, from: Member, round: u64, mark: Mark, headed: u64) {
         let support = !self.is_bound_against(from, headed) && self.prefers(from, mark);
         if support {
-            self.supported = Some(Supported { candidate: from, until_ms: self.now_ms + SUPPORT_MS });
+            self.supported = Some(Supported {
+                candidate: from,
+                until_ms: self.now_ms + SUPPORT_MS,
+            });
             self.candidacy = None;
-            self.stand_at_ms =
-                self.stand_at_ms.max(self.now_ms + SUPPORT_MS + self.random_below(BACKOFF_SPREAD_MS));
+            self.stand_at_ms = self
+                .stand_at_ms
+                .max(self.now_ms + SUPPORT_MS + self.random_below(BACKOFF_SPREAD_MS));
         }
         let reply = Message::CanvassReply {
             round,
@@ -34,8 +38,10 @@
 
     /// Whether `candidate` goes before this member's own candidacy and before the one it has supported just now.
     fn prefers(&self, candidate: Member, mark: Mark) -> bool {
-        let supports_other =
-            self.supported.as_ref().is_some_and(|s| s.candidate != candidate && self.now_ms < s.until_ms);
+        let supports_other = self
+            .supported
+            .as_ref()
+            .is_some_and(|s| s.candidate != candidate && self.now_ms < s.until_ms);
         let own_goes_first = self.candidacy.as_ref().is_some_and(|own| {
             !matches!(own.phase, Phase::Canvass { .. })
                 || (self.durable.mark, candidate) > (mark, self.durable.member)
@@ -45,7 +51,13 @@
 
     pub(super) fn on_prepare(&mut self, from: Member, number: u64, headed: u64) {
         if number <= self.durable.promised || self.is_bound_against(from, headed) {
-            self.send(from.internal, Message::Refuse { number, promised: self.durable.promised });
+            self.send(
+                from.internal,
+                Message::Refuse {
+                    number,
+                    promised: self.durable.promised,
+                },
+            );
             return;
         }
         self.withdraw();
@@ -59,13 +71,22 @@
             mark: self.durable.mark,
             leaving: self.is_leaving(),
         };
-        self.stores.want_then(AfterStore::Send { to: from.internal, message: Box::new(promise) });
+        self.stores.want_then(AfterStore::Send {
+            to: from.internal,
+            message: Box::new(promise),
+        });
     }
 
     pub(super) fn on_accept(&mut self, from: Member, view: View) {
         let number = view.number;
         if number < self.durable.promised || view.head() != Some(from) {
-            self.send(from.internal, Message::Refuse { number, promised: self.durable.promised });
+            self.send(
+                from.internal,
+                Message::Refuse {
+                    number,
+                    promised: self.durable.promised,
+                },
+            );
             return;
         }
         self.withdraw();
@@ -77,7 +98,10 @@
         self.pull = None;
         self.stay_quiet();
         let accepted = Message::Accepted { number };
-        self.stores.want_then(AfterStore::Send { to: from.internal, message: Box::new(accepted) });
+        self.stores.want_then(AfterStore::Send {
+            to: from.internal,
+            message: Box::new(accepted),
+        });
     }
 
     /// Another member's candidacy goes first: this member is neither head nor candidate any more.
--- a/crates/replication/src/storage/error.rs
+++ b/crates/replication/src/storage/error.rs
@@ -88,7 +88,9 @@
             StorageError::DamagedRow { .. } => true,
             StorageError::Database { source, .. } => match source {
                 rusqlite::Error::InvalidColumnType(..) => true,
-                other => other.sqlite_error_code().is_some_and(|code| DAMAGE_CODES.contains(&code)),
+                other => other
+                    .sqlite_error_code()
+                    .is_some_and(|code| DAMAGE_CODES.contains(&code)),
             },
             _ => false,
         }
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -48,18 +48,31 @@
         let page_size = word(header, PAGE_SIZE_AT)? as usize;
         let is_page_size = PAGE_SIZES.contains(&page_size) && page_size.is_power_of_two();
         let frames = rest.chunks_exact(FRAME_HEADER_BYTES + page_size);
-        is_page_size.then(|| Log { header, frames, is_big_endian: header[3] & 1 == 1 })
+        is_page_size.then(|| Log {
+            header,
+            frames,
+            is_big_endian: header[3] & 1 == 1,
+        })
     }
 
     fn has_lost_writes(self) -> bool {
         let salts = &self.header[SALTS_AT..SALTS_AT + SALTS_BYTES];
-        let mut before = (word(self.header, CHECKSUM_AT), word(self.header, CHECKSUM_AT + 4));
+        let mut before = (
+            word(self.header, CHECKSUM_AT),
+            word(self.header, CHECKSUM_AT + 4),
+        );
         let (mut is_broken, mut ends) = (false, 0);
-        for frame in self.frames.filter(|frame| frame[FRAME_SALTS_AT..].starts_with(salts)) {
+        for frame in self
+            .frames
+            .filter(|frame| frame[FRAME_SALTS_AT..].starts_with(salts))
+        {
             // A checksum goes on from that of the frame before, so that a frame can be checked behind a broken one.
             let checksum = add(before, &frame[..FRAME_CHECKED_BYTES], self.is_big_endian);
             let checksum = add(checksum, &frame[FRAME_HEADER_BYTES..], self.is_big_endian);
-            before = (word(frame, FRAME_CHECKSUM_AT), word(frame, FRAME_CHECKSUM_AT + 4));
+            before = (
+                word(frame, FRAME_CHECKSUM_AT),
+                word(frame, FRAME_CHECKSUM_AT + 4),
+            );
             let is_whole = checksum == before;
             let ends_write = word(frame, DATABASE_PAGES_AT) != Some(0);
             ends += usize::from(is_broken && is_whole && ends_write);
@@ -75,8 +88,14 @@
 }
 
 /// SQLite's running checksum over pairs of words.
-fn add(sum: (Option<u32>, Option<u32>), bytes: &[u8], is_big_endian: bool) -> (Option<u32>, Option<u32>) {
-    let (Some(mut first), Some(mut second)) = sum else { return sum };
+fn add(
+    sum: (Option<u32>, Option<u32>),
+    bytes: &[u8],
+    is_big_endian: bool,
+) -> (Option<u32>, Option<u32>) {
+    let (Some(mut first), Some(mut second)) = sum else {
+        return sum;
+    };
     let number = |bytes: [u8; 4]| match is_big_endian {
         true => u32::from_be_bytes(bytes),
         false => u32::from_le_bytes(bytes),
--- a/crates/replication/src/storage/mod.rs
+++ b/crates/replication/src/storage/mod.rs
@@ -57,20 +57,42 @@
             Err(error) if error.is_damage() => {
                 let kept = schema::set_aside(dir, &path)?;
                 let reason = error.to_string();
-                (schema::load(dir, &path)?, Some(SetAside { path: kept, reason }))
+                (
+                    schema::load(dir, &path)?,
+                    Some(SetAside { path: kept, reason }),
+                )
             }
             Err(error) => return Err(error),
         };
-        let Loaded { connection, durable } = loaded;
-        let (mark, history) = durable.as_ref().map(|d| (d.mark, d.history.clone())).unwrap_or_default();
+        let Loaded {
+            connection,
+            durable,
+        } = loaded;
+        let (mark, history) = durable
+            .as_ref()
+            .map(|d| (d.mark, d.history.clone()))
+            .unwrap_or_default();
         let has_forgotten = schema::has_set_aside(&path);
-        Ok(Opened { storage: Storage { connection, path, mark, history }, durable, set_aside, has_forgotten })
+        Ok(Opened {
+            storage: Storage {
+                connection,
+                path,
+                mark,
+                history,
+            },
+            durable,
+            set_aside,
+            has_forgotten,
+        })
     }
 
     /// Makes the changes in one transaction, with one sync.
     pub fn apply(&mut self, request: &StoreRequest) -> Result<(), StorageError> {
-        let record = postcard::to_allocvec(&request.durable)
-            .map_err(|source| StorageError::Record { path: self.path.clone(), source })?;
+        let record =
+            postcard::to_allocvec(&request.durable).map_err(|source| StorageError::Record {
+                path: self.path.clone(),
+                source,
+            })?;
         write_transaction(&mut self.connection, record, &request.operations)
             .context(DatabaseSnafu { path: &self.path })?;
         self.mark = request.durable.mark;
@@ -83,7 +105,12 @@
     /// Rows that changed after `since`, about `bytes_max` bytes of them, with the state that they belong to.
     pub fn rows_since(&self, since: u64, bytes_max: usize) -> Result<RowsChunk, StorageError> {
         let (rows, more) = rows::since(&self.connection, &self.path, since, bytes_max)?;
-        Ok(RowsChunk { rows, more, mark: self.mark, history: self.history.clone() })
+        Ok(RowsChunk {
+            rows,
+            more,
+            mark: self.mark,
+            history: self.history.clone(),
+        })
     }
 
     /// Hands each row that is not deleted to `take` as (key, value), in the order of keys.
@@ -99,7 +126,9 @@
 }
 
 fn write_transaction(
-    connection: &mut Connection, record: Vec<u8>, operations: &[StoreOperation],
+    connection: &mut Connection,
+    record: Vec<u8>,
+    operations: &[StoreOperation],
 ) -> rusqlite::Result<()> {
     let transaction = connection.transaction_with_behavior(TransactionBehavior::Immediate)?;
     for operation in operations {
@@ -112,13 +141,12 @@
 fn write_operation(connection: &Connection, operation: &StoreOperation) -> rusqlite::Result<()> {
     match operation {
         StoreOperation::Clear => rows::clear(connection),
-        StoreOperation::Write(batch) => batch
-            .changes
+        StoreOperation::Write(batch) => batch.changes.iter().try_for_each(|change| {
+            rows::put(connection, &change.key, change.value.as_deref(), batch.seq)
+        }),
+        StoreOperation::Put(new) => new
             .iter()
-            .try_for_each(|change| rows::put(connection, &change.key, change.value.as_deref(), batch.seq)),
-        StoreOperation::Put(new) => {
-            new.iter().try_for_each(|row| rows::put(connection, &row.key, row.value.as_deref(), row.seq))
-        }
+            .try_for_each(|row| rows::put(connection, &row.key, row.value.as_deref(), row.seq)),
         StoreOperation::Trim(seq) => rows::trim(connection, *seq),
     }
 }
--- a/crates/replication/src/storage/rows.rs
+++ b/crates/replication/src/storage/rows.rs
@@ -28,14 +28,22 @@
 
     fn check(self, path: &Path) -> Result<StoredRow<'a>, StorageError> {
         let agrees = self.crc == checksum::of_row(self.key, self.value, self.seq);
-        ensure!(agrees, DamagedRowSnafu { path, key: String::from_utf8_lossy(self.key) });
+        ensure!(
+            agrees,
+            DamagedRowSnafu {
+                path,
+                key: String::from_utf8_lossy(self.key)
+            }
+        );
         Ok(self)
     }
 }
 
 /// Hands each row that is not deleted to `take` as (key, value), in the order of keys.
 pub(super) fn visit(
-    connection: &Connection, path: &Path, mut take: impl FnMut(&[u8], &[u8]),
+    connection: &Connection,
+    path: &Path,
+    mut take: impl FnMut(&[u8], &[u8]),
 ) -> Result<(), StorageError> {
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows WHERE value IS NOT NULL ORDER BY key";
@@ -50,7 +58,10 @@
 
 /// Rows that changed after `since`, about `bytes_max` bytes of them and whole writes only; whether more follow.
 pub(super) fn since(
-    connection: &Connection, path: &Path, since: u64, bytes_max: usize,
+    connection: &Connection,
+    path: &Path,
+    since: u64,
+    bytes_max: usize,
 ) -> Result<(Vec<Row>, bool), StorageError> {
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows WHERE seq > ?1 ORDER BY seq";
@@ -59,30 +70,44 @@
     let mut rows: Vec<Row> = Vec::new();
     let mut bytes = 0;
     while let Some(row) = found.next().context(context)? {
-        let StoredRow { key, value, seq, .. } = StoredRow::read(row).context(context)?.check(path)?;
+        let StoredRow {
+            key, value, seq, ..
+        } = StoredRow::read(row).context(context)?.check(path)?;
         if bytes >= bytes_max && rows.last().is_some_and(|last| last.seq != seq) {
             return Ok((rows, true));
         }
         bytes += key.len() + value.map_or(0, <[u8]>::len);
-        rows.push(Row { key: key.to_vec(), value: value.map(<[u8]>::to_vec), seq });
+        rows.push(Row {
+            key: key.to_vec(),
+            value: value.map(<[u8]>::to_vec),
+            seq,
+        });
     }
     Ok((rows, false))
 }
 
 /// Compares `count` rows after the key `after`, and the index with them; returns the last key, `None` at the end.
 pub(super) fn check(
-    connection: &Connection, path: &Path, after: &[u8], count: usize,
+    connection: &Connection,
+    path: &Path,
+    after: &[u8],
+    count: usize,
 ) -> Result<Option<Vec<u8>>, StorageError> {
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows WHERE key > ?1 ORDER BY key LIMIT ?2";
     let mut statement = connection.prepare_cached(query).context(context)?;
-    let mut found = statement.query(params![after, count as i64]).context(context)?;
+    let mut found = statement
+        .query(params![after, count as i64])
+        .context(context)?;
     let (mut last, mut seen) = (None, 0);
     while let Some(row) = found.next().context(context)? {
         let row = StoredRow::read(row).context(context)?.check(path)?;
         ensure!(
             is_indexed(connection, &row).context(context)?,
-            DamagedRowSnafu { path, key: String::from_utf8_lossy(row.key) }
+            DamagedRowSnafu {
+                path,
+                key: String::from_utf8_lossy(row.key)
+            }
         );
         last = Some(row.key.to_vec());
         seen += 1;
@@ -92,8 +117,11 @@
 
 /// Whether a transfer, which reads in the order of the writes, would find the row.
 fn is_indexed(connection: &Connection, row: &StoredRow<'_>) -> rusqlite::Result<bool> {
-    let query = "SELECT EXISTS (SELECT 1 FROM rows INDEXED BY rows_by_seq WHERE seq = ?1 AND key = ?2)";
-    connection.prepare_cached(query)?.query_row(params![row.seq as i64, row.key], |found| found.get(0))
+    let query =
+        "SELECT EXISTS (SELECT 1 FROM rows INDEXED BY rows_by_seq WHERE seq = ?1 AND key = ?2)";
+    connection
+        .prepare_cached(query)?
+        .query_row(params![row.seq as i64, row.key], |found| found.get(0))
 }
 
 /// Compares all rows with their checksums; the index is left to SQLite's own check.
@@ -110,7 +138,10 @@
 
 /// Writes a row, or the trace of its deletion.
 pub(super) fn put(
-    connection: &Connection, key: &[u8], value: Option<&[u8]>, seq: u64,
+    connection: &Connection,
+    key: &[u8],
+    value: Option<&[u8]>,
+    seq: u64,
 ) -> rusqlite::Result<()> {
     connection
         .prepare_cached(
@@ -129,7 +160,9 @@
 
 /// Drops the traces of rows deleted at or before `seq`.
 pub(super) fn trim(connection: &Connection, seq: u64) -> rusqlite::Result<()> {
-    connection.prepare_cached("DELETE FROM rows WHERE seq <= ?1 AND value IS NULL")?.execute([seq as i64])?;
+    connection
+        .prepare_cached("DELETE FROM rows WHERE seq <= ?1 AND value IS NULL")?
+        .execute([seq as i64])?;
     Ok(())
 }
 
@@ -138,8 +171,15 @@
     let mut statement = connection.prepare("SELECT key, value, seq FROM rows")?;
     let read = |row: &rusqlite::Row<'_>| {
         let (key, value): (Vec<u8>, Option<Vec<u8>>) = (row.get(0)?, row.get(1)?);
-        Ok(Row { key, value, seq: row.get::<_, i64>(2)? as u64 })
+        Ok(Row {
+            key,
+            value,
+            seq: row.get::<_, i64>(2)? as u64,
+        })
     };
-    let all: Vec<Row> = statement.query_map([], read)?.collect::<rusqlite::Result<_>>()?;
-    all.iter().try_for_each(|row| put(connection, &row.key, row.value.as_deref(), row.seq))
+    let all: Vec<Row> = statement
+        .query_map([], read)?
+        .collect::<rusqlite::Result<_>>()?;
+    all.iter()
+        .try_for_each(|row| put(connection, &row.key, row.value.as_deref(), row.seq))
 }
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -59,11 +59,22 @@
     let lost = log::has_lost_writes(&with_suffix(path, LOG_SUFFIX)).context(FilesSnafu { path })?;
     ensure!(!lost, super::error::DamagedLogSnafu { path });
     let mut connection = Connection::open(path).context(DatabaseSnafu { path })?;
-    connection.execute_batch(SETTINGS).context(DatabaseSnafu { path })?;
+    connection
+        .execute_batch(SETTINGS)
+        .context(DatabaseSnafu { path })?;
     let form = read_form(&connection).context(DatabaseSnafu { path })?;
-    ensure!(form <= FORM, super::error::NewerFormSnafu { path, found: form, known: FORM });
+    ensure!(
+        form <= FORM,
+        super::error::NewerFormSnafu {
+            path,
+            found: form,
+            known: FORM
+        }
+    );
     if form == 0 {
-        connection.execute_batch(TABLES).context(DatabaseSnafu { path })?;
+        connection
+            .execute_batch(TABLES)
+            .context(DatabaseSnafu { path })?;
         sync_folder(dir)?;
     } else {
         check(&connection, path)?;
@@ -73,7 +84,10 @@
         rows::check_all(&connection, path)?;
     }
     let durable = read_record(&connection, path)?;
-    Ok(Loaded { connection, durable })
+    Ok(Loaded {
+        connection,
+        durable,
+    })
 }
 
 fn read_form(connection: &Connection) -> rusqlite::Result<u32> {
@@ -84,13 +98,18 @@
     let finding: String = connection
         .query_row("PRAGMA integrity_check(1)", [], |row| row.get(0))
         .context(DatabaseSnafu { path })?;
-    ensure!(finding == "ok", super::error::DamagedSnafu { path, finding });
+    ensure!(
+        finding == "ok",
+        super::error::DamagedSnafu { path, finding }
+    );
     Ok(())
 }
 
 fn read_record(connection: &Connection, path: &Path) -> Result<Option<Durable>, StorageError> {
     let bytes: Option<Vec<u8>> = connection
-        .query_row("SELECT value FROM meta WHERE name = 'record'", [], |row| row.get(0))
+        .query_row("SELECT value FROM meta WHERE name = 'record'", [], |row| {
+            row.get(0)
+        })
         .optional()
         .context(DatabaseSnafu { path })?;
     bytes.map(|bytes| decode_record(&bytes, path)).transpose()
@@ -107,7 +126,9 @@
     transaction.execute_batch("ALTER TABLE rows ADD COLUMN crc INTEGER NOT NULL DEFAULT 0")?;
     rows::write_checksums(&transaction)?;
     let record: Option<Vec<u8>> = transaction
-        .query_row("SELECT value FROM meta WHERE name = 'record'", [], |row| row.get(0))
+        .query_row("SELECT value FROM meta WHERE name = 'record'", [], |row| {
+            row.get(0)
+        })
         .optional()?;
     if let Some(record) = record {
         write_record(&transaction, record)?;
@@ -138,7 +159,8 @@
     for suffix in SIDE_FILES {
         let side_file = with_suffix(path, suffix);
         if side_file.exists() {
-            fs::rename(&side_file, with_suffix(&aside, suffix)).context(FilesSnafu { path: side_file })?;
+            fs::rename(&side_file, with_suffix(&aside, suffix))
+                .context(FilesSnafu { path: side_file })?;
         }
     }
     sync_folder(dir)?;
@@ -161,5 +183,7 @@
 }
 
 fn sync_folder(dir: &Path) -> Result<(), StorageError> {
-    File::open(dir).and_then(|folder| folder.sync_all()).context(FilesSnafu { path: dir })
+    File::open(dir)
+        .and_then(|folder| folder.sync_all())
+        .context(FilesSnafu { path: dir })
 }
--- a/crates/replication/src/types.rs
+++ b/crates/replication/src/types.rs
@@ -17,7 +17,9 @@
 pub const SEED_DISK: u64 = 0;
 
 /// A state of the table: all writes up to `seq`, as the view of this number ordered them.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Mark {
     /// Number of the view.
     pub view: u64,
@@ -53,8 +55,13 @@
 impl View {
     /// The first view: the seeds vote, nobody is head.
     pub fn first(seeds: &[SocketAddr]) -> View {
-        let mut voters: Vec<Member> =
-            seeds.iter().map(|&internal| Member { internal, disk: SEED_DISK }).collect();
+        let mut voters: Vec<Member> = seeds
+            .iter()
+            .map(|&internal| Member {
+                internal,
+                disk: SEED_DISK,
+            })
+            .collect();
         voters.sort();
         voters.dedup();
         View {
@@ -62,7 +69,10 @@
             previous_voters: voters.clone(),
             voters,
             chain: Vec::new(),
-            base: Mark { view: FIRST_VIEW, seq: 0 },
+            base: Mark {
+                view: FIRST_VIEW,
+                seq: 0,
+            },
         }
     }
 
