--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -38,7 +38,10 @@
 impl Image {
     fn of(dir: &Path) -> Image {
         let read = |name: &str| fs::read(dir.join(name)).unwrap_or_default();
-        Image { database: read(DATABASE), log: read(LOG) }
+        Image {
+            database: read(DATABASE),
+            log: read(LOG),
+        }
     }
 
     fn write(&self, dir: &Path) {
@@ -54,10 +57,19 @@
     let change = |offset: u64| {
         let key = format!("row-{}", (seq * 5 + offset) % KEYS).into_bytes();
         let value = vec![(seq % 251) as u8; VALUE_BYTES / (1 + offset as usize)];
-        RowChange { key, value: (!(seq + offset).is_multiple_of(7)).then_some(value) }
+        RowChange {
+            key,
+            value: (!(seq + offset).is_multiple_of(7)).then_some(value),
+        }
     };
-    let batch = Batch { seq, changes: (0..3).map(change).collect() };
-    StoreRequest { durable: record(seq), operations: vec![StoreOperation::Write(Arc::new(batch))] }
+    let batch = Batch {
+        seq,
+        changes: (0..3).map(change).collect(),
+    };
+    StoreRequest {
+        durable: record(seq),
+        operations: vec![StoreOperation::Write(Arc::new(batch))],
+    }
 }
 
 fn table(storage: &Storage) -> Table {
@@ -72,12 +84,23 @@
 
 /// The rows as a transfer to another member reads them.
 fn transfer(storage: &Storage) -> Table {
-    let rows = storage.rows_since(0, usize::MAX).expect("the rows can be read").rows;
-    rows.into_iter().filter_map(|row| Some((row.key, row.value?))).collect()
+    let rows = storage
+        .rows_since(0, usize::MAX)
+        .expect("the rows can be read")
+        .rows;
+    rows.into_iter()
+        .filter_map(|row| Some((row.key, row.value?)))
+        .collect()
 }
 
 /// `before` with a random part of what differs in `after`, sector by sector, from byte `from` to byte `until`.
-fn partly(random: &mut Pcg64Mcg, before: &[u8], after: &[u8], from: usize, until: usize) -> Vec<u8> {
+fn partly(
+    random: &mut Pcg64Mcg,
+    before: &[u8],
+    after: &[u8],
+    from: usize,
+    until: usize,
+) -> Vec<u8> {
     let chance = random.next_u64() % 101;
     let mut bytes = before.to_vec();
     let mut at = from;
@@ -87,7 +110,11 @@
         let differs = before.get(at..end) != after.get(at..end);
         if differs && random.next_u64() % 100 < chance {
             let torn = random.next_u64().is_multiple_of(8);
-            let end = if torn { at + random.next_u64() as usize % (end - at) } else { end };
+            let end = if torn {
+                at + random.next_u64() as usize % (end - at)
+            } else {
+                end
+            };
             if bytes.len() < end {
                 bytes.resize(end, 0);
             }
@@ -107,11 +134,17 @@
     if copied && stage == 0 {
         let until = after.database.len();
         let database = partly(random, &before.database, &after.database, 0, until);
-        return Image { database, log: after.log.clone() };
+        return Image {
+            database,
+            log: after.log.clone(),
+        };
     }
     if new_header && stage == 1 {
         let log = partly(random, &before.log, &after.log, 0, LOG_HEADER);
-        return Image { database: before.database.clone(), log };
+        return Image {
+            database: before.database.clone(),
+            log,
+        };
     }
     let mut log = before.log.clone();
     if log.len() < LOG_HEADER {
@@ -119,7 +152,10 @@
     }
     log[..LOG_HEADER].copy_from_slice(&after.log[..LOG_HEADER]);
     let log = partly(random, &log, &after.log, LOG_HEADER, after.log.len());
-    Image { database: before.database.clone(), log }
+    Image {
+        database: before.database.clone(),
+        log,
+    }
 }
 
 /// All that was synced before is there; of the write under way all or nothing.
@@ -127,14 +163,21 @@
     let dir = TempDir::new().expect("a folder");
     image.write(dir.path());
     let opened = Storage::open(dir.path()).expect("the database can be opened");
-    assert!(opened.set_aside.is_none(), "write {seq}: {:?}", opened.set_aside);
+    assert!(
+        opened.set_aside.is_none(),
+        "write {seq}: {:?}",
+        opened.set_aside
+    );
     let found = opened.durable.expect("the record is there").mark.seq;
     let expected = match found {
         found if found == seq => after,
         found if found + 1 == seq => before,
         _ => panic!("after a loss of power within write {seq} the state of write {found} is there"),
     };
-    assert!(table(&opened.storage) == *expected, "write {seq}: the rows of write {found} are not whole");
+    assert!(
+        table(&opened.storage) == *expected,
+        "write {seq}: the rows of write {found} are not whole"
+    );
 }
 
 #[rstest]
@@ -152,17 +195,29 @@
         copies += u64::from(copied);
         // Writes that copy the log or begin it anew are few: power is lost in them more often.
         let is_special = copied || before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
-        let losses = if is_special { 20 * LOSSES_A_WRITE } else { LOSSES_A_WRITE };
+        let losses = if is_special {
+            20 * LOSSES_A_WRITE
+        } else {
+            LOSSES_A_WRITE
+        };
         if is_special || seq % 4 == part {
             for _ in 0..losses {
-                check_image(&lost_power(&mut random, &before, &after), seq, &rows_before, &rows_after);
+                check_image(
+                    &lost_power(&mut random, &before, &after),
+                    seq,
+                    &rows_before,
+                    &rows_after,
+                );
                 points += 1;
             }
         }
         (before, rows_before) = (after, rows_after);
     }
     println!("{points} losses of power, {copies} copies of the log into the database");
-    assert!(points >= 350 && copies >= 2, "{points} points, {copies} copies");
+    assert!(
+        points >= 350 && copies >= 2,
+        "{points} points, {copies} copies"
+    );
 }
 
 /// Power is lost while the database is being made: the member is as empty as before.
@@ -191,9 +246,14 @@
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     let small = |seq: u64| {
         let mut request = write(seq);
-        let StoreOperation::Write(batch) = &request.operations[0] else { return request };
+        let StoreOperation::Write(batch) = &request.operations[0] else {
+            return request;
+        };
         let shorten = |change: &RowChange| RowChange {
-            value: change.value.as_ref().map(|value| value[..40 + value.len() / 40].to_vec()),
+            value: change
+                .value
+                .as_ref()
+                .map(|value| value[..40 + value.len() / 40].to_vec()),
             ..change.clone()
         };
         let changes = batch.changes.iter().map(shorten).collect();
@@ -209,16 +269,30 @@
         let mut damaged = bytes.clone();
         damaged[at] ^= 1 << (at % 8);
         let dir = TempDir::new().expect("a folder");
-        Image { database: damaged, log: Vec::new() }.write(dir.path());
+        Image {
+            database: damaged,
+            log: Vec::new(),
+        }
+        .write(dir.path());
         let opened = Storage::open(dir.path()).expect("a damaged database is no failure");
         tried += 1;
         if opened.set_aside.is_some() {
             found += 1;
             assert_eq!(opened.durable, None);
         } else if opened.durable.is_some() {
-            assert!(table(&opened.storage) == rows, "byte {at}: rows have changed unnoticed");
-            assert!(transfer(&opened.storage) == rows, "byte {at}: a transfer has changed unnoticed");
-            assert_eq!(opened.durable, Some(record(60)), "byte {at}: the record has changed unnoticed");
+            assert!(
+                table(&opened.storage) == rows,
+                "byte {at}: rows have changed unnoticed"
+            );
+            assert!(
+                transfer(&opened.storage) == rows,
+                "byte {at}: a transfer has changed unnoticed"
+            );
+            assert_eq!(
+                opened.durable,
+                Some(record(60)),
+                "byte {at}: the record has changed unnoticed"
+            );
         }
     }
     println!("{tried} bits, {found} found");
@@ -259,20 +333,34 @@
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     for seq in 1..=6_000_u64 {
         let key = format!("row-{seq:>6}-{}", "x".repeat(200)).into_bytes();
-        let batch = Batch { seq, changes: vec![RowChange { key, value: Some(vec![1]) }] };
+        let batch = Batch {
+            seq,
+            changes: vec![RowChange {
+                key,
+                value: Some(vec![1]),
+            }],
+        };
         let operations = vec![StoreOperation::Write(Arc::new(batch))];
-        storage.apply(&StoreRequest { durable: record(seq), operations }).expect("stored");
+        storage
+            .apply(&StoreRequest {
+                durable: record(seq),
+                operations,
+            })
+            .expect("stored");
     }
     drop(storage);
     let storage = Storage::open(dir.path()).expect("opened").storage;
     let path = dir.path().join(DATABASE);
     let mut bytes = fs::read(&path).expect("read");
     let text = b"row-  3000-";
-    let found: Vec<usize> =
-        (0..bytes.len() - text.len()).filter(|&at| bytes[at..].starts_with(text)).collect();
+    let found: Vec<usize> = (0..bytes.len() - text.len())
+        .filter(|&at| bytes[at..].starts_with(text))
+        .collect();
     assert!(found.len() >= 2, "the row and its entry in the index");
     // In the index the key follows the sequence number, whose last byte stands just before it.
-    let entry = found.into_iter().find(|&at| bytes[at - 2..at] == 3_000_u16.to_be_bytes());
+    let entry = found
+        .into_iter()
+        .find(|&at| bytes[at - 2..at] == 3_000_u16.to_be_bytes());
     bytes[entry.expect("the entry") - 1] ^= 1;
     fs::write(&path, bytes).expect("written");
     let mut after = Some(Vec::new());
@@ -292,25 +380,41 @@
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     for seq in 1..=400_u64 {
         let value = format!("value {seq:>6} ").repeat(300).into_bytes();
-        let changes = vec![RowChange { key: format!("row-{seq:>6}").into_bytes(), value: Some(value) }];
+        let changes = vec![RowChange {
+            key: format!("row-{seq:>6}").into_bytes(),
+            value: Some(value),
+        }];
         let operations = vec![StoreOperation::Write(Arc::new(Batch { seq, changes }))];
-        storage.apply(&StoreRequest { durable: record(seq), operations }).expect("stored");
+        storage
+            .apply(&StoreRequest {
+                durable: record(seq),
+                operations,
+            })
+            .expect("stored");
     }
     drop(storage);
     let storage = Storage::open(dir.path()).expect("opened").storage;
     let path = dir.path().join(DATABASE);
     let mut bytes = fs::read(&path).expect("read");
     let text = b"value     17 ";
-    let at = bytes.windows(text.len()).position(|window| window == text).expect("it is in the file");
+    let at = bytes
+        .windows(text.len())
+        .position(|window| window == text)
+        .expect("it is in the file");
     bytes[at] ^= 4;
     fs::write(&path, bytes).expect("written");
     let whole = |result: Result<(), indigofold_replication::StorageError>| {
         let error = result.expect_err("the row has changed");
-        assert!(error.shows_damage() && error.to_string().contains("row-    17"), "{error}");
+        assert!(
+            error.shows_damage() && error.to_string().contains("row-    17"),
+            "{error}"
+        );
     };
     whole(storage.all_rows(|key, _| assert_ne!(key, b"row-    17")));
     whole(storage.rows_since(0, usize::MAX).map(drop));
     whole(storage.scrub(b"", 100).map(drop));
-    let rest = storage.scrub(b"row-    17", 100).expect("the rows after it are as they were");
+    let rest = storage
+        .scrub(b"row-    17", 100)
+        .expect("the rows after it are as they were");
     assert_eq!(rest, Some(b"row-   117".to_vec()));
 }
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -20,28 +20,52 @@
 const THREADS: usize = 4;
 
 fn bound() -> usize {
-    std::env::var("MODEL_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(STATES)
+    std::env::var("MODEL_STATES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(STATES)
 }
 
 /// `crashes` and `disks_lost` bound how often members lose what is not on disk, and their disks; members that only do
 /// nothing for any time are part of every case.
 fn protocol(voters: u8, last_view: u8, crashes: u8, disks_lost: u8) -> Protocol {
     let fault = Fault::None;
-    Protocol { voters, newcomers: 1, last_view, is_written: true, writes: 2, crashes, disks_lost, fault }
+    Protocol {
+        voters,
+        newcomers: 1,
+        last_view,
+        is_written: true,
+        writes: 2,
+        crashes,
+        disks_lost,
+        fault,
+    }
 }
 
 /// The same, where nothing is written but what has been committed at the start.
 fn quiet(voters: u8, last_view: u8, crashes: u8, disks_lost: u8) -> Protocol {
-    Protocol { writes: 1, ..protocol(voters, last_view, crashes, disks_lost) }
+    Protocol {
+        writes: 1,
+        ..protocol(voters, last_view, crashes, disks_lost)
+    }
 }
 
 /// Searches breadth first; says how far it came. The length of the shortest way to a broken invariant, if there is one.
 fn steps_to_break(name: &str, model: Protocol, states: usize) -> Option<usize> {
     let started = Instant::now();
-    let checker = model.checker().threads(THREADS).target_state_count(states).spawn_bfs().join();
-    let broken = [INVARIANT, ACTING].into_iter().filter_map(|name| checker.discovery(name));
+    let checker = model
+        .checker()
+        .threads(THREADS)
+        .target_state_count(states)
+        .spawn_bfs()
+        .join();
+    let broken = [INVARIANT, ACTING]
+        .into_iter()
+        .filter_map(|name| checker.discovery(name));
     let path = broken.map(|path| path.into_actions()).min_by_key(Vec::len);
-    path.iter().flatten().for_each(|action| println!("    {action:?}"));
+    path.iter()
+        .flatten()
+        .for_each(|action| println!("    {action:?}"));
     let steps = path.map(|path| path.len());
     println!(
         "{name}: {} states, {} of them different, depth {}, {:.1} s{}{}{}",
@@ -49,9 +73,19 @@
         checker.unique_state_count(),
         checker.max_depth(),
         started.elapsed().as_secs_f64(),
-        if checker.state_count() < states && steps.is_none() { ", complete" } else { "" },
-        if checker.discovery(PROGRESS).is_some() { ", writes after a change of view" } else { "" },
-        steps.map_or(String::new(), |steps| format!(", broken after {steps} steps")),
+        if checker.state_count() < states && steps.is_none() {
+            ", complete"
+        } else {
+            ""
+        },
+        if checker.discovery(PROGRESS).is_some() {
+            ", writes after a change of view"
+        } else {
+            ""
+        },
+        steps.map_or(String::new(), |steps| format!(
+            ", broken after {steps} steps"
+        )),
     );
     steps
 }
@@ -72,7 +106,11 @@
 }
 
 fn assert_found(fault: Fault, model: Protocol) {
-    let steps = steps_to_break(&format!("{fault:?}"), Protocol { fault, ..model }, FAULT_STATES);
+    let steps = steps_to_break(
+        &format!("{fault:?}"),
+        Protocol { fault, ..model },
+        FAULT_STATES,
+    );
     assert!(steps.is_some(), "{fault:?} was not found");
 }
 
--- a/crates/replication/tests/model/rules.rs
+++ b/crates/replication/tests/model/rules.rs
@@ -125,23 +125,47 @@
     fn first_state(&self) -> State {
         let voters = Members::of(&(0..self.voters).collect::<Vec<Id>>());
         let chain = Members::of(&(0..self.voters / 2 + 1).collect::<Vec<Id>>());
-        let view = View { number: 2, head: 0, voters, previous: voters, chain, base: (1, 0) };
+        let view = View {
+            number: 2,
+            head: 0,
+            voters,
+            previous: voters,
+            chain,
+            base: (1, 0),
+        };
         let in_touch = |id: Id| chain.has(id) || id >= self.voters;
         let first_log: Log = if self.is_written { vec![2] } else { Log::new() };
-        let log_of = |id: Id| if chain.has(id) { first_log.clone() } else { Log::new() };
+        let log_of = |id: Id| {
+            if chain.has(id) {
+                first_log.clone()
+            } else {
+                Log::new()
+            }
+        };
         let follower = |id: Id| Member {
             power: Power::On,
             promised: 2,
             view: Some(view.clone()),
-            rows: Rows { view: if in_touch(id) { 2 } else { 1 }, log: log_of(id) },
+            rows: Rows {
+                view: if in_touch(id) { 2 } else { 1 },
+                log: log_of(id),
+            },
             unsynced: false,
             candidacy: None,
             tenure: None,
         };
         let mut members: Vec<Member> = (0..self.members()).map(follower).collect();
         let stored = chain.iter().map(|id| (id, first_log.len())).collect();
-        members[0].tenure = Some(Tenure { view: view.clone(), stored, is_installed: true });
-        let led = Led { view, is_established: true, log: first_log.clone() };
+        members[0].tenure = Some(Tenure {
+            view: view.clone(),
+            stored,
+            is_installed: true,
+        });
+        let led = Led {
+            view,
+            is_established: true,
+            log: first_log.clone(),
+        };
         State {
             members,
             led: BTreeMap::from([(2, led)]),
@@ -159,13 +183,16 @@
         if view.voters.has(candidate) && number <= self.last_view {
             actions.push(Action::Stand { candidate, number });
         }
-        let Some(candidacy) = &member.candidacy else { return };
+        let Some(candidacy) = &member.candidacy else {
+            return;
+        };
         let others = (0..self.members()).filter(|&id| id != candidate);
         let asked = others.filter(|&id| state.members[usize::from(id)].power == Power::On);
         match &candidacy.proposed {
             None => {
                 let electorate = Members(candidacy.known.voters.0 | candidacy.known.previous.0);
-                let new = asked.filter(|&id| electorate.has(id) && !candidacy.promises.contains_key(&id));
+                let new =
+                    asked.filter(|&id| electorate.has(id) && !candidacy.promises.contains_key(&id));
                 actions.extend(new.map(|voter| Action::Promise { candidate, voter }));
                 self.proposals(state, candidate, candidacy, actions);
             }
@@ -183,7 +210,13 @@
     }
 
     /// Each view that a candidate with enough promises may propose.
-    fn proposals(&self, state: &State, candidate: Id, candidacy: &Candidacy, actions: &mut Vec<Action>) {
+    fn proposals(
+        &self,
+        state: &State,
+        candidate: Id,
+        candidacy: &Candidacy,
+        actions: &mut Vec<Action>,
+    ) {
         let known = &candidacy.known;
         let promised = Members::of(&candidacy.promises.keys().copied().collect::<Vec<Id>>());
         if !known.voters.majority_in(promised) || !known.previous.majority_in(promised) {
@@ -195,7 +228,11 @@
             let long_enough =
                 |chain: &Members| chain.has(candidate) && chain.count() >= self.chain_min(voters);
             let chains = possible.subsets().filter(long_enough);
-            actions.extend(chains.map(|chain| Action::Propose { candidate, voters, chain }));
+            actions.extend(chains.map(|chain| Action::Propose {
+                candidate,
+                voters,
+                chain,
+            }));
         }
     }
 
@@ -211,10 +248,16 @@
         }
         let others: Vec<Id> = known.voters.without(candidate).iter().collect();
         let has_rows = |id: &Id| state.members[usize::from(*id)].rows.view == known.number;
-        let newcomers = (0..self.members()).filter(|&id| !known.voters.has(id)).filter(has_rows);
+        let newcomers = (0..self.members())
+            .filter(|&id| !known.voters.has(id))
+            .filter(has_rows);
         for new in newcomers {
             choices.push(known.voters.with(new));
-            choices.extend(others.iter().map(|&old| known.voters.with(new).without(old)));
+            choices.extend(
+                others
+                    .iter()
+                    .map(|&old| known.voters.with(new).without(old)),
+            );
         }
         if known.voters.count() > 2 {
             choices.extend(others.iter().map(|&old| known.voters.without(old)));
@@ -224,15 +267,25 @@
 
     fn stand(&self, state: &mut State, candidate: Id, number: u8) {
         let member = &mut state.members[usize::from(candidate)];
-        let Some(known) = member.view.clone() else { return };
+        let Some(known) = member.view.clone() else {
+            return;
+        };
         member.promised = number;
         let promises = BTreeMap::from([(candidate, member.rows.clone())]);
         let accepted = Members::default();
-        member.candidacy = Some(Candidacy { number, known, promises, proposed: None, accepted });
+        member.candidacy = Some(Candidacy {
+            number,
+            known,
+            promises,
+            proposed: None,
+            accepted,
+        });
     }
 
     fn promise(&self, state: &mut State, candidate: Id, voter: Id) {
-        let Some(number) = number_of(state, candidate) else { return };
+        let Some(number) = number_of(state, candidate) else {
+            return;
+        };
         let member = &mut state.members[usize::from(voter)];
         if number <= member.promised {
             return;
@@ -240,7 +293,9 @@
         withdraw(member);
         member.promised = number;
         let (view, rows) = (member.view.clone(), member.rows.clone());
-        let Some(candidacy) = &mut state.members[usize::from(candidate)].candidacy else { return };
+        let Some(candidacy) = &mut state.members[usize::from(candidate)].candidacy else {
+            return;
+        };
         candidacy.promises.insert(voter, rows);
         let known = &candidacy.known;
         let is_news = |view: &View| {
@@ -253,15 +308,29 @@
 
     fn propose(&self, state: &mut State, candidate: Id, voters: Members, chain: Members) {
         let member = &mut state.members[usize::from(candidate)];
-        let Some(candidacy) = &mut member.candidacy else { return };
-        let newest = candidacy.promises.values().max_by_key(|rows| rows.mark()).cloned().unwrap_or_default();
+        let Some(candidacy) = &mut member.candidacy else {
+            return;
+        };
+        let newest = candidacy
+            .promises
+            .values()
+            .max_by_key(|rows| rows.mark())
+            .cloned()
+            .unwrap_or_default();
         if newest.mark() > member.rows.mark() && self.fault != Fault::OwnRows {
             member.rows = newest;
             member.unsynced = false;
             member.tenure = None;
         }
         let (number, previous) = (candidacy.number, candidacy.known.previous);
-        let view = View { number, head: candidate, voters, previous, chain, base: member.rows.mark() };
+        let view = View {
+            number,
+            head: candidate,
+            voters,
+            previous,
+            chain,
+            base: member.rows.mark(),
+        };
         candidacy.proposed = Some(view.clone());
         candidacy.accepted = Members::of(&[candidate]);
         member.view = Some(view);
@@ -269,14 +338,20 @@
 
     fn accept(&self, state: &mut State, candidate: Id, voter: Id) {
         let candidacy = state.members[usize::from(candidate)].candidacy.as_ref();
-        let Some(view) = candidacy.and_then(|c| c.proposed.clone()) else { return };
+        let Some(view) = candidacy.and_then(|c| c.proposed.clone()) else {
+            return;
+        };
         let member = &mut state.members[usize::from(voter)];
         if view.number < member.promised && self.fault != Fault::AcceptsPastPromise {
             return;
         }
         withdraw(member);
         member.promised = member.promised.max(view.number);
-        if member.view.as_ref().is_none_or(|known| known.number < view.number) {
+        if member
+            .view
+            .as_ref()
+            .is_none_or(|known| known.number < view.number)
+        {
             member.view = Some(view);
         }
         if let Some(candidacy) = &mut state.members[usize::from(candidate)].candidacy {
@@ -286,14 +361,38 @@
 
     fn lead(&self, state: &mut State, candidate: Id) {
         let member = &mut state.members[usize::from(candidate)];
-        let Some(view) = member.candidacy.take().and_then(|candidacy| candidacy.proposed) else { return };
+        let Some(view) = member
+            .candidacy
+            .take()
+            .and_then(|candidacy| candidacy.proposed)
+        else {
+            return;
+        };
         member.rows.view = view.number;
-        let stored = BTreeMap::from([(candidate, member.rows.log.len() - usize::from(member.unsynced))]);
-        member.tenure = Some(Tenure { view: view.clone(), stored, is_installed: false });
+        let stored = BTreeMap::from([(
+            candidate,
+            member.rows.log.len() - usize::from(member.unsynced),
+        )]);
+        member.tenure = Some(Tenure {
+            view: view.clone(),
+            stored,
+            is_installed: false,
+        });
         let log = member.rows.log.clone();
         let is_established = view.is_established();
         let number = view.number;
-        if state.led.insert(number, Led { view, is_established, log }).is_some() {
+        if state
+            .led
+            .insert(
+                number,
+                Led {
+                    view,
+                    is_established,
+                    log,
+                },
+            )
+            .is_some()
+        {
             state.broken = Some("a view was led twice");
         }
         if self.fault == Fault::EstablishedWhenAccepted {
@@ -304,8 +403,12 @@
     /// What the whole chain has stored is committed.
     fn commit(&self, state: &mut State, head: Id) {
         let member = &mut state.members[usize::from(head)];
-        let Some(stored) = stored_by_all(member) else { return };
-        let Some(tenure) = &mut member.tenure else { return };
+        let Some(stored) = stored_by_all(member) else {
+            return;
+        };
+        let Some(tenure) = &mut member.tenure else {
+            return;
+        };
         let newly_installed = !std::mem::replace(&mut tenure.is_installed, true);
         let committed = member.rows.log[..stored.min(member.rows.log.len())].to_vec();
         let common = committed.len().min(state.committed.len());
@@ -321,7 +424,9 @@
     }
 
     fn follow(&self, state: &mut State, to: Id, number: u8, established: bool) {
-        let Some(led) = state.led.get(&number).cloned() else { return };
+        let Some(led) = state.led.get(&number).cloned() else {
+            return;
+        };
         let mut view = led.view;
         if established {
             view.previous = view.voters;
@@ -342,7 +447,9 @@
     }
 
     fn fetch(&self, state: &mut State, to: Id, number: u8) {
-        let Some(led) = state.led.get(&number) else { return };
+        let Some(led) = state.led.get(&number) else {
+            return;
+        };
         let head = &state.members[usize::from(led.view.head)];
         let mut rows = head.rows.clone();
         if head.unsynced {
@@ -358,13 +465,23 @@
             if led.view.head == id || number < member.promised {
                 continue;
             }
-            actions.push(Action::Follow { member: id, number, established: false });
+            actions.push(Action::Follow {
+                member: id,
+                number,
+                established: false,
+            });
             if led.is_established {
-                actions.push(Action::Follow { member: id, number, established: true });
+                actions.push(Action::Follow {
+                    member: id,
+                    number,
+                    established: true,
+                });
             }
         }
         let Some(view) = &member.view else { return };
-        let Some(led) = state.led.get(&view.number) else { return };
+        let Some(led) = state.led.get(&view.number) else {
+            return;
+        };
         let number = view.number;
         let follows = member.promised == number && member.tenure.is_none() && view.head != id;
         let entered = member.rows.view == number;
@@ -386,7 +503,9 @@
             actions.push(Action::Sync { head: id });
         }
         let Some(tenure) = &member.tenure else { return };
-        let open = tenure.is_installed && member.promised == tenure.view.number && member.candidacy.is_none();
+        let open = tenure.is_installed
+            && member.promised == tenure.view.number
+            && member.candidacy.is_none();
         if open && member.rows.log.len() < self.writes && !member.unsynced {
             actions.push(Action::Write { head: id });
         }
@@ -397,7 +516,9 @@
     }
 
     fn store(&self, state: &mut State, to: Id, number: u8) {
-        let Some(led) = state.led.get(&number) else { return };
+        let Some(led) = state.led.get(&number) else {
+            return;
+        };
         let rows = &mut state.members[usize::from(to)].rows;
         rows.log = led.log[..rows.log.len() + 1].to_vec();
         report_stored(state, to, number);
@@ -405,7 +526,9 @@
 
     fn write(&self, state: &mut State, head: Id) {
         let member = &mut state.members[usize::from(head)];
-        let Some(tenure) = &mut member.tenure else { return };
+        let Some(tenure) = &mut member.tenure else {
+            return;
+        };
         let number = tenure.view.number;
         member.rows.log.push(number);
         member.unsynced = true;
@@ -441,13 +564,20 @@
 }
 
 fn number_of(state: &State, candidate: Id) -> Option<u8> {
-    state.members[usize::from(candidate)].candidacy.as_ref().map(|candidacy| candidacy.number)
+    state.members[usize::from(candidate)]
+        .candidacy
+        .as_ref()
+        .map(|candidacy| candidacy.number)
 }
 
 fn stored_by_all(member: &Member) -> Option<usize> {
     let tenure = member.tenure.as_ref()?;
-    let stored: Option<Vec<usize>> =
-        tenure.view.chain.iter().map(|id| tenure.stored.get(&id).copied()).collect();
+    let stored: Option<Vec<usize>> = tenure
+        .view
+        .chain
+        .iter()
+        .map(|id| tenure.stored.get(&id).copied())
+        .collect();
     stored?.into_iter().min()
 }
 
@@ -455,9 +585,14 @@
 fn report_stored(state: &mut State, from: Id, number: u8) {
     let rows = &state.members[usize::from(from)].rows;
     let (view, len) = (rows.view, rows.log.len());
-    let Some(led) = state.led.get(&number) else { return };
+    let Some(led) = state.led.get(&number) else {
+        return;
+    };
     let tenure = &mut state.members[usize::from(led.view.head)].tenure;
-    if let Some(tenure) = tenure.as_mut().filter(|tenure| tenure.view.number == number && view == number) {
+    if let Some(tenure) = tenure
+        .as_mut()
+        .filter(|tenure| tenure.view.number == number && view == number)
+    {
         let stored = tenure.stored.entry(from).or_insert(len);
         *stored = (*stored).max(len);
     }
@@ -466,9 +601,15 @@
 /// The view's own voters decide alone from now on, and its head says so.
 fn establish(state: &mut State, head: Id) {
     let member = &mut state.members[usize::from(head)];
-    let Some(tenure) = &mut member.tenure else { return };
+    let Some(tenure) = &mut member.tenure else {
+        return;
+    };
     tenure.view.previous = tenure.view.voters;
-    if let Some(view) = member.view.as_mut().filter(|view| view.number == tenure.view.number) {
+    if let Some(view) = member
+        .view
+        .as_mut()
+        .filter(|view| view.number == tenure.view.number)
+    {
         *view = tenure.view.clone();
     }
     if let Some(led) = state.led.get_mut(&tenure.view.number) {
@@ -481,16 +622,29 @@
 fn acting_heads_have_commits(state: &State) -> bool {
     let follows = |id: Id, number: u8| {
         let member = &state.members[usize::from(id)];
-        member.promised == number && member.view.as_ref().is_some_and(|view| view.number == number)
+        member.promised == number
+            && member
+                .view
+                .as_ref()
+                .is_some_and(|view| view.number == number)
     };
     let is_acting = |tenure: &Tenure| {
         let voters = tenure.view.voters;
-        let followers: Vec<Id> = voters.iter().filter(|&id| follows(id, tenure.view.number)).collect();
+        let followers: Vec<Id> = voters
+            .iter()
+            .filter(|&id| follows(id, tenure.view.number))
+            .collect();
         tenure.is_installed && voters.majority_in(Members::of(&followers))
     };
-    let acting = state.members.iter().filter(|m| m.tenure.as_ref().is_some_and(is_acting));
+    let acting = state
+        .members
+        .iter()
+        .filter(|m| m.tenure.as_ref().is_some_and(is_acting));
     let acting: Vec<&Member> = acting.collect();
-    acting.len() <= 1 && acting.iter().all(|head| head.rows.log.starts_with(&state.committed))
+    acting.len() <= 1
+        && acting
+            .iter()
+            .all(|head| head.rows.log.starts_with(&state.committed))
 }
 
 fn withdraw(member: &mut Member) {
@@ -534,12 +688,18 @@
         match action {
             Action::Stand { candidate, number } => self.stand(&mut state, candidate, number),
             Action::Promise { candidate, voter } => self.promise(&mut state, candidate, voter),
-            Action::Propose { candidate, voters, chain } => {
-                self.propose(&mut state, candidate, voters, chain)
-            }
+            Action::Propose {
+                candidate,
+                voters,
+                chain,
+            } => self.propose(&mut state, candidate, voters, chain),
             Action::Accept { candidate, voter } => self.accept(&mut state, candidate, voter),
             Action::Lead { candidate } => self.lead(&mut state, candidate),
-            Action::Follow { member, number, established } => {
+            Action::Follow {
+                member,
+                number,
+                established,
+            } => {
                 self.follow(&mut state, member, number, established);
             }
             Action::Fetch { member, number } => self.fetch(&mut state, member, number),
@@ -567,7 +727,9 @@
         vec![
             Property::always(INVARIANT, |_, state: &State| state.broken.is_none()),
             Property::always(ACTING, |_, state: &State| acting_heads_have_commits(state)),
-            Property::sometimes(PROGRESS, |_, state: &State| state.committed.iter().any(|&view| view > 2)),
+            Property::sometimes(PROGRESS, |_, state: &State| {
+                state.committed.iter().any(|&view| view > 2)
+            }),
         ]
     }
 }
--- a/crates/replication/tests/model/state.rs
+++ b/crates/replication/tests/model/state.rs
@@ -36,7 +36,9 @@
 
     /// All subsets.
     pub fn subsets(self) -> impl Iterator<Item = Members> {
-        (0..=self.0).filter(move |bits| bits & !self.0 == 0).map(Members)
+        (0..=self.0)
+            .filter(move |bits| bits & !self.0 == 0)
+            .map(Members)
     }
 
     /// A majority of these is in `others`.
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -3,8 +3,8 @@
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::timing::{LEASE_MS, LEASE_USED_PERCENT};
 use indigofold_replication::{
-    Batch, Durable, Envelope, Input, Mark, Member, Message, Output, Replica, RowChange, Settings, View,
-    ViewStart,
+    Batch, Durable, Envelope, Input, Mark, Member, Message, Output, Replica, RowChange, Settings,
+    View, ViewStart,
 };
 use rstest::rstest;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -29,7 +29,10 @@
 }
 
 fn member(index: u8) -> Member {
-    Member { internal: address(index).internal, disk: u64::from(index) + 1 }
+    Member {
+        internal: address(index).internal,
+        disk: u64::from(index) + 1,
+    }
 }
 
 fn members(indexes: &[u8]) -> Vec<Member> {
@@ -43,7 +46,10 @@
         voters: members(voters),
         previous_voters: members(previous),
         chain: members(&[0, 1]),
-        base: Mark { view: number - 1, seq: SEQ },
+        base: Mark {
+            view: number - 1,
+            seq: SEQ,
+        },
     }
 }
 
@@ -60,7 +66,10 @@
 impl Bench {
     /// Member `own`, with this view and the state of view [`VIEW`] on its disk.
     fn restarted(own: u8, view: View) -> Bench {
-        let mark = Mark { view: VIEW, seq: SEQ };
+        let mark = Mark {
+            view: VIEW,
+            seq: SEQ,
+        };
         let durable = Durable {
             member: member(own),
             promised: view.number,
@@ -79,7 +88,14 @@
             random_seed: 1,
         };
         let replica = Replica::new(settings, Some(durable), START_MS);
-        Bench { replica, own, now_ms: START_MS, stores: Vec::new(), sent: Vec::new(), others: Vec::new() }
+        Bench {
+            replica,
+            own,
+            now_ms: START_MS,
+            stores: Vec::new(),
+            sent: Vec::new(),
+            others: Vec::new(),
+        }
     }
 
     /// The same, long after its start.
@@ -100,7 +116,10 @@
     }
 
     fn message(&mut self, from: u8, message: Message) {
-        self.input(Input::Message(Envelope { from: member(from), message }));
+        self.input(Input::Message(Envelope {
+            from: member(from),
+            message,
+        }));
     }
 
     /// The disk has done all that it was asked.
@@ -112,7 +131,9 @@
     }
 
     fn told(&self, to: u8, is_wanted: impl Fn(&Message) -> bool) -> bool {
-        self.sent.iter().any(|(address, message)| *address == member(to).internal && is_wanted(message))
+        self.sent
+            .iter()
+            .any(|(address, message)| *address == member(to).internal && is_wanted(message))
     }
 
     /// Lets time pass until the member asks for support; the number of its question.
@@ -120,10 +141,14 @@
         for _ in 0..200 {
             self.now_ms = self.replica.next_timer_ms().max(self.now_ms);
             self.input(Input::Timer);
-            let asked = self.sent.iter().rev().find_map(|(_, message)| match message {
-                Message::Canvass { round, .. } => Some(*round),
-                _ => None,
-            });
+            let asked = self
+                .sent
+                .iter()
+                .rev()
+                .find_map(|(_, message)| match message {
+                    Message::Canvass { round, .. } => Some(*round),
+                    _ => None,
+                });
             if let Some(round) = asked {
                 return round;
             }
@@ -160,7 +185,12 @@
 }
 
 fn heartbeat(view: &View, sent_ms: u64) -> Message {
-    Message::Heartbeat { view: view.clone(), sent_ms, seq: SEQ, address: address(0) }
+    Message::Heartbeat {
+        view: view.clone(),
+        sent_ms,
+        seq: SEQ,
+        address: address(0),
+    }
 }
 
 fn same_voters() -> View {
@@ -170,8 +200,17 @@
 #[test]
 fn a_promise_is_told_once_it_is_on_disk() {
     let mut bench = Bench::calm(1, same_voters());
-    bench.message(2, Message::Prepare { number: VIEW + 1, headed: 0 });
-    assert!(!bench.told(2, is_promise), "it would be forgotten with the process");
+    bench.message(
+        2,
+        Message::Prepare {
+            number: VIEW + 1,
+            headed: 0,
+        },
+    );
+    assert!(
+        !bench.told(2, is_promise),
+        "it would be forgotten with the process"
+    );
     assert_eq!(bench.stores.len(), 1);
     bench.store_all();
     assert!(bench.told(2, is_promise));
@@ -180,9 +219,21 @@
 #[test]
 fn a_number_that_was_promised_is_promised_to_nobody_else() {
     let mut bench = Bench::calm(1, same_voters());
-    bench.message(2, Message::Prepare { number: VIEW + 1, headed: 0 });
+    bench.message(
+        2,
+        Message::Prepare {
+            number: VIEW + 1,
+            headed: 0,
+        },
+    );
     bench.store_all();
-    bench.message(0, Message::Prepare { number: VIEW + 1, headed: 0 });
+    bench.message(
+        0,
+        Message::Prepare {
+            number: VIEW + 1,
+            headed: 0,
+        },
+    );
     bench.store_all();
     assert!(bench.told(0, is_refusal) && !bench.told(0, is_promise));
 }
@@ -191,13 +242,30 @@
 fn a_member_that_has_promised_takes_no_writes_of_an_older_view() {
     let mut bench = Bench::calm(1, same_voters());
     let write = |seq| {
-        let changes = vec![RowChange { key: b"row".to_vec(), value: None }];
-        Message::Write { number: VIEW, batches: vec![Arc::new(Batch { seq, changes })], relay: false }
+        let changes = vec![RowChange {
+            key: b"row".to_vec(),
+            value: None,
+        }];
+        Message::Write {
+            number: VIEW,
+            batches: vec![Arc::new(Batch { seq, changes })],
+            relay: false,
+        }
     };
     bench.message(0, write(SEQ + 1));
     bench.store_all();
-    assert_eq!(bench.replica.stored_mark().seq, SEQ + 1, "before the promise it takes them");
-    bench.message(2, Message::Prepare { number: VIEW + 1, headed: 0 });
+    assert_eq!(
+        bench.replica.stored_mark().seq,
+        SEQ + 1,
+        "before the promise it takes them"
+    );
+    bench.message(
+        2,
+        Message::Prepare {
+            number: VIEW + 1,
+            headed: 0,
+        },
+    );
     bench.store_all();
     bench.message(0, write(SEQ + 2));
     bench.store_all();
@@ -210,14 +278,37 @@
     bench.message(0, heartbeat(&same_voters(), 1));
     assert!(bench.told(0, is_grant));
     bench.now_ms += LEASE_MS - 1;
-    bench.message(2, Message::Canvass { round: 1, mark: Mark { view: VIEW, seq: SEQ + 9 }, headed: 0 });
-    let support = |message: &Message| matches!(message, Message::CanvassReply { support: true, .. });
+    bench.message(
+        2,
+        Message::Canvass {
+            round: 1,
+            mark: Mark {
+                view: VIEW,
+                seq: SEQ + 9,
+            },
+            headed: 0,
+        },
+    );
+    let support =
+        |message: &Message| matches!(message, Message::CanvassReply { support: true, .. });
     assert!(!bench.told(2, support));
-    bench.message(2, Message::Prepare { number: VIEW + 1, headed: 0 });
+    bench.message(
+        2,
+        Message::Prepare {
+            number: VIEW + 1,
+            headed: 0,
+        },
+    );
     bench.store_all();
     assert!(bench.told(2, is_refusal) && !bench.told(2, is_promise));
     bench.now_ms += 1;
-    bench.message(2, Message::Prepare { number: VIEW + 1, headed: 0 });
+    bench.message(
+        2,
+        Message::Prepare {
+            number: VIEW + 1,
+            headed: 0,
+        },
+    );
     bench.store_all();
     assert!(bench.told(2, is_promise), "the lease is over");
 }
@@ -231,14 +322,28 @@
 #[case::another_member(2, 0, false)]
 #[case::another_member_that_says_it_heads_the_view(2, VIEW, false)]
 fn a_voter_that_was_started_again_waits_for_the_lease_it_may_have_granted(
-    #[case] candidate: u8, #[case] headed: u64, #[case] at_once: bool,
+    #[case] candidate: u8,
+    #[case] headed: u64,
+    #[case] at_once: bool,
 ) {
     let mut bench = Bench::restarted(1, same_voters());
-    bench.message(candidate, Message::Prepare { number: VIEW + 3, headed });
+    bench.message(
+        candidate,
+        Message::Prepare {
+            number: VIEW + 3,
+            headed,
+        },
+    );
     bench.store_all();
     assert_eq!(bench.told(candidate, is_promise), at_once);
     bench.now_ms = START_MS + LEASE_MS;
-    bench.message(candidate, Message::Prepare { number: VIEW + 4, headed });
+    bench.message(
+        candidate,
+        Message::Prepare {
+            number: VIEW + 4,
+            headed,
+        },
+    );
     bench.store_all();
     assert!(bench.told(candidate, is_promise));
 }
@@ -248,7 +353,10 @@
     let mut bench = Bench::calm(1, same_voters());
     let next = view(VIEW + 1, &[0, 1, 2], &[0, 1, 2]);
     bench.message(0, heartbeat(&next, 1));
-    assert!(!bench.told(0, is_grant), "after a restart nobody would know of it");
+    assert!(
+        !bench.told(0, is_grant),
+        "after a restart nobody would know of it"
+    );
     bench.store_all();
     assert!(bench.told(0, is_grant));
 }
@@ -260,7 +368,10 @@
     let mut bench = Bench::calm(2, unestablished.clone());
     let round = bench.canvass();
     bench.support(3, round, &unestablished);
-    assert!(!bench.told(3, is_prepare), "2 and 3 are a majority of the new voters only");
+    assert!(
+        !bench.told(3, is_prepare),
+        "2 and 3 are a majority of the new voters only"
+    );
     bench.support(1, round, &unestablished);
     assert!(bench.told(3, is_prepare) && bench.told(1, is_prepare));
 }
@@ -294,10 +405,19 @@
     bench.support(1, round, &same_voters());
     bench.store_all();
     let number = VIEW + 1;
-    let mark = Mark { view: VIEW, seq: SEQ };
+    let mark = Mark {
+        view: VIEW,
+        seq: SEQ,
+    };
     bench.message(
         1,
-        Message::Promise { number, view: Some(same_voters()), agreed: true, mark, leaving: false },
+        Message::Promise {
+            number,
+            view: Some(same_voters()),
+            agreed: true,
+            mark,
+            leaving: false,
+        },
     );
     bench.now_ms += 100;
     bench.input(Input::Timer);
@@ -308,11 +428,21 @@
 }
 
 fn grant(number: u64, sent_ms: u64, mark: Mark) -> Message {
-    Message::Grant { number, sent_ms, mark, store_age_ms: 0, leaving: false, address: address(1) }
+    Message::Grant {
+        number,
+        sent_ms,
+        mark,
+        store_age_ms: 0,
+        leaving: false,
+        address: address(1),
+    }
 }
 
 fn installed() -> Mark {
-    Mark { view: VIEW + 1, seq: SEQ }
+    Mark {
+        view: VIEW + 1,
+        seq: SEQ,
+    }
 }
 
 #[test]
@@ -331,7 +461,9 @@
 #[case::for_a_heartbeat_not_sent_yet(VIEW + 1, 100_000, installed())]
 #[case::without_the_first_state(VIEW + 1, 0, Mark { view: VIEW, seq: SEQ })]
 fn a_grant_that_the_head_cannot_have_asked_for_gives_no_lease(
-    #[case] number: u64, #[case] later_ms: u64, #[case] mark: Mark,
+    #[case] number: u64,
+    #[case] later_ms: u64,
+    #[case] mark: Mark,
 ) {
     let mut bench = head();
     let sent_ms = bench.now_ms + later_ms;
@@ -343,15 +475,54 @@
 fn a_write_is_committed_once_the_whole_chain_has_stored_it_and_not_by_states_never_given_out() {
     let mut bench = head();
     bench.message(1, grant(VIEW + 1, bench.now_ms, installed()));
-    let changes = vec![RowChange { key: b"row".to_vec(), value: Some(b"value".to_vec()) }];
+    let changes = vec![RowChange {
+        key: b"row".to_vec(),
+        value: Some(b"value".to_vec()),
+    }];
     bench.input(Input::Submit { ticket: 7, changes });
     bench.store_all();
-    let is_committed =
-        |bench: &Bench| bench.others.iter().any(|output| matches!(output, Output::Committed { ticket: 7 }));
-    bench.message(1, Message::Stored { mark: Mark { view: VIEW + 1, seq: SEQ + 2 } });
-    bench.message(1, Message::Stored { mark: Mark { view: VIEW + 9, seq: SEQ + 1 } });
-    bench.message(3, Message::Stored { mark: Mark { view: VIEW + 1, seq: SEQ + 1 } });
+    let is_committed = |bench: &Bench| {
+        bench
+            .others
+            .iter()
+            .any(|output| matches!(output, Output::Committed { ticket: 7 }))
+    };
+    bench.message(
+        1,
+        Message::Stored {
+            mark: Mark {
+                view: VIEW + 1,
+                seq: SEQ + 2,
+            },
+        },
+    );
+    bench.message(
+        1,
+        Message::Stored {
+            mark: Mark {
+                view: VIEW + 9,
+                seq: SEQ + 1,
+            },
+        },
+    );
+    bench.message(
+        3,
+        Message::Stored {
+            mark: Mark {
+                view: VIEW + 1,
+                seq: SEQ + 1,
+            },
+        },
+    );
     assert!(!is_committed(&bench));
-    bench.message(1, Message::Stored { mark: Mark { view: VIEW + 1, seq: SEQ + 1 } });
+    bench.message(
+        1,
+        Message::Stored {
+            mark: Mark {
+                view: VIEW + 1,
+                seq: SEQ + 1,
+            },
+        },
+    );
     assert!(is_committed(&bench));
 }
--- a/crates/replication/tests/simulation.rs
+++ b/crates/replication/tests/simulation.rs
@@ -36,9 +36,17 @@
 fn a_cluster_starts_and_takes_all_machines_in(#[case] machines: usize) {
     for seed in 0..20 {
         let mut world = started(seed, machines);
-        assert!(world.gained[0].0 < 1_500, "the first head came at {} ms", world.gained[0].0);
+        assert!(
+            world.gained[0].0 < 1_500,
+            "the first head came at {} ms",
+            world.gained[0].0
+        );
         world.check_whole(&(0..machines).collect::<Vec<_>>());
-        assert!(world.committed.len() > 100, "{} writes", world.committed.len());
+        assert!(
+            world.committed.len() > 100,
+            "{} writes",
+            world.committed.len()
+        );
         assert_eq!(world.gained.len(), 1, "{:?}", world.gained);
     }
 }
@@ -86,20 +94,25 @@
 #[rstest]
 fn nothing_committed_is_lost_when_troubles_overlap(#[values(0, 1, 2, 3)] part: u64) {
     let (first, count) = seeds();
-    (first..first + count).filter(|seed| seed % 4 == part).for_each(check_overlapping);
+    (first..first + count)
+        .filter(|seed| seed % 4 == part)
+        .for_each(check_overlapping);
 }
 
 /// Seeds that have found something. All of these: a machine of the shortest possible chain was lost with its disk before
 /// it had taken over the view's first state; the head kept its lease and never wrote again.
 #[rstest]
-fn overlapping_troubles_that_have_found_something(#[values(136, 254, 308, 379, 797, 947)] seed: u64) {
+fn overlapping_troubles_that_have_found_something(
+    #[values(136, 254, 308, 379, 797, 947)] seed: u64,
+) {
     check_overlapping(seed);
 }
 
 /// Which seeds to play: `SIMULATION_SEEDS=FIRST,COUNT` plays others than the usual.
 fn seeds() -> (u64, u64) {
     let chosen = std::env::var("SIMULATION_SEEDS").unwrap_or_default();
-    let parsed =
-        chosen.split_once(',').and_then(|(first, count)| Some((first.parse().ok()?, count.parse().ok()?)));
+    let parsed = chosen
+        .split_once(',')
+        .and_then(|(first, count)| Some((first.parse().ok()?, count.parse().ok()?)));
     parsed.unwrap_or((0, 200))
 }
--- a/crates/replication/tests/simulation/disk.rs
+++ b/crates/replication/tests/simulation/disk.rs
@@ -18,16 +18,19 @@
                 StoreOperation::Clear => self.rows.clear(),
                 StoreOperation::Write(batch) => {
                     for change in &batch.changes {
-                        self.rows.insert(change.key.clone(), (change.value.clone(), batch.seq));
+                        self.rows
+                            .insert(change.key.clone(), (change.value.clone(), batch.seq));
                     }
                 }
                 StoreOperation::Put(rows) => {
                     for row in rows {
-                        self.rows.insert(row.key.clone(), (row.value.clone(), row.seq));
+                        self.rows
+                            .insert(row.key.clone(), (row.value.clone(), row.seq));
                     }
                 }
                 StoreOperation::Trim(seq) => {
-                    self.rows.retain(|_, (value, row_seq)| value.is_some() || *row_seq > *seq);
+                    self.rows
+                        .retain(|_, (value, row_seq)| value.is_some() || *row_seq > *seq);
                 }
             }
         }
@@ -40,7 +43,11 @@
             .rows
             .iter()
             .filter(|(_, (_, seq))| *seq > since)
-            .map(|(key, (value, seq))| Row { key: key.clone(), value: value.clone(), seq: *seq })
+            .map(|(key, (value, seq))| Row {
+                key: key.clone(),
+                value: value.clone(),
+                seq: *seq,
+            })
             .collect();
         all.sort_by_key(|row| row.seq);
         let mut end = all.len().min(rows_max);
@@ -65,7 +72,10 @@
 
     /// All rows that are not deleted.
     pub fn table(&self) -> BTreeMap<&[u8], &[u8]> {
-        let live = self.rows.iter().filter_map(|(key, (value, _))| Some((key.as_slice(), value.as_deref()?)));
+        let live = self
+            .rows
+            .iter()
+            .filter_map(|(key, (value, _))| Some((key.as_slice(), value.as_deref()?)));
         live.collect()
     }
 }
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -36,7 +36,10 @@
 impl Faults {
     /// Troubles that overlap as far as the operators' pages allow: no more disks are lost than tolerated.
     pub fn overlapping() -> Faults {
-        Faults { overlapping: true, ..Faults::default() }
+        Faults {
+            overlapping: true,
+            ..Faults::default()
+        }
     }
 
     /// Troubles until `until_ms`; then all of them end.
@@ -75,10 +78,17 @@
 
     fn go_on(&mut self, world: &mut World, until_ms: u64, every_ms: u64) {
         while world.now_ms < until_ms {
-            let next = self.reliefs.iter().map(|(at, _)| *at).min().unwrap_or(until_ms);
+            let next = self
+                .reliefs
+                .iter()
+                .map(|(at, _)| *at)
+                .min()
+                .unwrap_or(until_ms);
             world.run(next.clamp(world.now_ms, until_ms), every_ms);
-            let due: Vec<(u64, Relief)> =
-                self.reliefs.extract_if(.., |(at, _)| *at <= world.now_ms).collect();
+            let due: Vec<(u64, Relief)> = self
+                .reliefs
+                .extract_if(.., |(at, _)| *at <= world.now_ms)
+                .collect();
             due.iter().for_each(|(_, relief)| relieve(world, relief));
         }
     }
@@ -230,7 +240,9 @@
         if self.disk_lost {
             return;
         }
-        let Some(new) = world.next_spare() else { return };
+        let Some(new) = world.next_spare() else {
+            return;
+        };
         self.disk_lost = true;
         let (new_first, planned) = (world.below(2) == 0, world.below(2) == 0);
         let gap_ms = world.below(3_000);
--- a/crates/replication/tests/simulation/figures.rs
+++ b/crates/replication/tests/simulation/figures.rs
@@ -47,7 +47,8 @@
     while world.now_ms < until_ms {
         world.run(world.now_ms + EVERY_MS, EVERY_MS);
         if world.now_ms >= back_ms {
-            away.drain(..).for_each(|machine| world.start(machine, false));
+            away.drain(..)
+                .for_each(|machine| world.start(machine, false));
         }
         let newest_ms = world.last_commit_ms.max(last_ms);
         longest_ms = longest_ms.max(newest_ms - last_ms);
@@ -69,8 +70,14 @@
 #[case::tail_of_5(5, Lost::Tail, 350)]
 #[case::majority_of_5(5, Lost::Majority, 1_100)]
 #[case::all_of_5(5, Lost::All, 1_000)]
-fn writes_go_on_soon_after_a_loss(#[case] machines: usize, #[case] lost: Lost, #[case] bound_ms: u64) {
-    let mut gaps: Vec<u64> = (0..SEEDS).map(|seed| gap_ms(seed, machines, lost)).collect();
+fn writes_go_on_soon_after_a_loss(
+    #[case] machines: usize,
+    #[case] lost: Lost,
+    #[case] bound_ms: u64,
+) {
+    let mut gaps: Vec<u64> = (0..SEEDS)
+        .map(|seed| gap_ms(seed, machines, lost))
+        .collect();
     gaps.sort_unstable();
     let (median_ms, worst_ms) = (gaps[gaps.len() / 2], gaps[gaps.len() - 1]);
     println!(
--- a/crates/replication/tests/simulation/node.rs
+++ b/crates/replication/tests/simulation/node.rs
@@ -10,8 +10,14 @@
 /// What the storage thread has to do.
 #[derive(Clone, Debug)]
 pub enum DiskTask {
-    Store { store: u64, request: Arc<StoreRequest> },
-    Read { read: u64, since: u64 },
+    Store {
+        store: u64,
+        request: Arc<StoreRequest>,
+    },
+    Read {
+        read: u64,
+        since: u64,
+    },
 }
 
 /// Whether a machine is there.
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -57,10 +57,16 @@
         let former = head(&world);
         all(&world).into_iter().for_each(|node| world.stop(node));
         world.run(world.now_ms + 500, EVERY_MS);
-        all(&world).into_iter().for_each(|node| world.start(node, false));
+        all(&world)
+            .into_iter()
+            .for_each(|node| world.start(node, false));
         let gap_ms = longest_gap_ms(&mut world, 3_000);
         assert!(gap_ms <= 250, "seed {seed}: no write for {gap_ms} ms");
-        assert_eq!(world.gained.last().map(|(_, node, _)| *node), Some(former), "seed {seed}");
+        assert_eq!(
+            world.gained.last().map(|(_, node, _)| *node),
+            Some(former),
+            "seed {seed}"
+        );
         world.check_whole(&all(&world));
     }
 }
@@ -75,8 +81,14 @@
         world.stop(former);
         world.run(world.now_ms + 2_500, EVERY_MS);
         let present = head(&world);
-        all(&world).into_iter().filter(|node| *node != present).for_each(|node| world.stop(node));
-        all(&world).into_iter().filter(|node| *node != present).for_each(|node| world.start(node, false));
+        all(&world)
+            .into_iter()
+            .filter(|node| *node != present)
+            .for_each(|node| world.stop(node));
+        all(&world)
+            .into_iter()
+            .filter(|node| *node != present)
+            .for_each(|node| world.start(node, false));
         let gap_ms = longest_gap_ms(&mut world, 3_000);
         assert!(gap_ms <= 1_500, "seed {seed}: no write for {gap_ms} ms");
         world.check_whole(&all(&world));
@@ -93,7 +105,10 @@
         assert!(gap_ms <= 400, "seed {seed}: no write for {gap_ms} ms");
         world.stop(head);
         let gap_ms = longest_gap_ms(&mut world, 3_000);
-        assert!(gap_ms <= 200, "seed {seed}: no write for {gap_ms} ms after the stop");
+        assert!(
+            gap_ms <= 200,
+            "seed {seed}: no write for {gap_ms} ms after the stop"
+        );
     }
 }
 
@@ -107,7 +122,10 @@
         assert!(gap_ms <= 200, "seed {seed}: no write for {gap_ms} ms");
         world.stop(member);
         let gap_ms = longest_gap_ms(&mut world, 3_000);
-        assert!(gap_ms <= 100, "seed {seed}: no write for {gap_ms} ms after the stop");
+        assert!(
+            gap_ms <= 100,
+            "seed {seed}: no write for {gap_ms} ms after the stop"
+        );
     }
 }
 
@@ -163,7 +181,10 @@
         let gap_ms = longest_gap_ms(&mut world, 1_200);
         assert!(gap_ms <= 800, "seed {seed}: no write for {gap_ms} ms");
         let gap_ms = longest_gap_ms(&mut world, 700);
-        assert!(gap_ms <= 200, "seed {seed}: no write for {gap_ms} ms while the disk is still slow");
+        assert!(
+            gap_ms <= 200,
+            "seed {seed}: no write for {gap_ms} ms while the disk is still slow"
+        );
         world.nodes[slow].disk_ms = 9;
         world.run(world.now_ms + 12_000, EVERY_MS);
         world.check_whole(&all(&world));
@@ -175,11 +196,21 @@
     for seed in 0..SEEDS {
         let mut world = started(seed, 3);
         let head = head(&world);
-        world.nodes.iter_mut().for_each(|node| node.disk_refuses = true);
+        world
+            .nodes
+            .iter_mut()
+            .for_each(|node| node.disk_refuses = true);
         world.run(world.now_ms + 5_000, EVERY_MS);
         assert!(world.refused > 100, "{} writes were refused", world.refused);
-        assert_eq!(world.acting(), Some(head), "the head goes on with what it has");
-        world.nodes.iter_mut().for_each(|node| node.disk_refuses = false);
+        assert_eq!(
+            world.acting(),
+            Some(head),
+            "the head goes on with what it has"
+        );
+        world
+            .nodes
+            .iter_mut()
+            .for_each(|node| node.disk_refuses = false);
         let gap_ms = longest_gap_ms(&mut world, 2_000);
         assert!(gap_ms <= 700, "seed {seed}: no write for {gap_ms} ms");
         world.check_kept(head);
@@ -195,7 +226,10 @@
         let gap_ms = longest_gap_ms(&mut world, 3_500);
         assert!(gap_ms <= 2_200, "seed {seed}: no write for {gap_ms} ms");
         let gap_ms = longest_gap_ms(&mut world, 4_000);
-        assert!(gap_ms <= 300, "seed {seed}: no write for {gap_ms} ms around the waking");
+        assert!(
+            gap_ms <= 300,
+            "seed {seed}: no write for {gap_ms} ms around the waking"
+        );
         world.check_whole(&all(&world));
     }
 }
@@ -206,10 +240,17 @@
         for with_head in [false, true] {
             let mut world = started(seed, 3);
             let head = head(&world);
-            let (a, b) = if with_head { (head, (head + 1) % 3) } else { ((head + 1) % 3, (head + 2) % 3) };
+            let (a, b) = if with_head {
+                (head, (head + 1) % 3)
+            } else {
+                ((head + 1) % 3, (head + 2) % 3)
+            };
             world.cut_both(a, b);
             let gap_ms = longest_gap_ms(&mut world, 8_000);
-            assert!(gap_ms <= 2_200, "seed {seed}, with head {with_head}: no write for {gap_ms} ms");
+            assert!(
+                gap_ms <= 2_200,
+                "seed {seed}, with head {with_head}: no write for {gap_ms} ms"
+            );
             world.cut.clear();
             world.run(world.now_ms + 12_000, EVERY_MS);
             world.check_whole(&all(&world));
@@ -253,7 +294,9 @@
         let members = all(&world);
         members.iter().for_each(|&member| world.stop(member));
         world.run(world.now_ms + 500, EVERY_MS);
-        members.iter().for_each(|&member| world.start(member, false));
+        members
+            .iter()
+            .for_each(|&member| world.start(member, false));
         let gap_ms = longest_gap_ms(&mut world, 3_000);
         assert!(gap_ms <= 2_300, "seed {seed}: no write for {gap_ms} ms");
         world.run(world.now_ms + 4_000, EVERY_MS);
@@ -267,10 +310,15 @@
         let mut world = started(seed, machines);
         let wiped = seed as usize % machines;
         world.wipe(wiped);
-        let others: Vec<usize> = all(&world).into_iter().filter(|&other| other != wiped).collect();
+        let others: Vec<usize> = all(&world)
+            .into_iter()
+            .filter(|&other| other != wiped)
+            .collect();
         others.iter().for_each(|&other| world.stop(other));
         world.run(world.now_ms + 300, EVERY_MS);
-        all(&world).into_iter().for_each(|member| world.start(member, false));
+        all(&world)
+            .into_iter()
+            .for_each(|member| world.start(member, false));
         let gap_ms = longest_gap_ms(&mut world, 3_500);
         assert!(gap_ms <= 2_500, "seed {seed}: no write for {gap_ms} ms");
         world.run(world.now_ms + 6_000, EVERY_MS);
@@ -297,7 +345,9 @@
         [3, 4, 5].into_iter().for_each(|member| world.stop(member));
         world.seeds = vec![0, 1, 2];
         world.run(world.now_ms + 500, EVERY_MS);
-        [3, 4, 5].into_iter().for_each(|member| world.start(member, false));
+        [3, 4, 5]
+            .into_iter()
+            .for_each(|member| world.start(member, false));
         world.run(world.now_ms + 6_000, EVERY_MS);
         world.check_whole(&[3, 4, 5]);
     }
@@ -322,7 +372,10 @@
 /// Runs until the head has had a new view agreed.
 fn run_until_next_view(world: &mut World, head: usize, former: u64) {
     let agreed = |world: &World| {
-        let view = world.nodes[head].replica.as_ref().and_then(|replica| replica.accepted_view());
+        let view = world.nodes[head]
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.accepted_view());
         view.is_some_and(|(view, agreed)| agreed && view.number > former)
     };
     let until_ms = world.now_ms + 3_000;
@@ -339,14 +392,23 @@
         let mut world = started(seed, 3);
         let head = head(&world);
         let (lost, third) = ((head + 1) % 3, (head + 2) % 3);
-        let former = world.nodes[head].replica.as_ref().map_or(0, |replica| replica.view());
-        [head, lost].into_iter().for_each(|other| world.cut_both(other, third));
+        let former = world.nodes[head]
+            .replica
+            .as_ref()
+            .map_or(0, |replica| replica.view());
+        [head, lost]
+            .into_iter()
+            .for_each(|other| world.cut_both(other, third));
         world.stop(head);
         world.start(head, false);
         run_until_next_view(&mut world, head, former);
         world.wipe(lost);
         world.cut.clear();
         let gap_ms = longest_gap_ms(&mut world, 10_000);
-        assert!(gap_ms <= 3_000, "seed {seed}: no write for {gap_ms} ms\n{}", world.describe());
+        assert!(
+            gap_ms <= 3_000,
+            "seed {seed}: no write for {gap_ms} ms\n{}",
+            world.describe()
+        );
     }
 }
--- a/crates/replication/tests/simulation/world.rs
+++ b/crates/replication/tests/simulation/world.rs
@@ -55,7 +55,13 @@
     pub fn new(seed: u64, machines: usize, seeds: usize) -> World {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let nodes = (0..machines)
-            .map(|index| Node::new(index, random.next_u64() % 100_000, 980 + random.next_u64() % 41))
+            .map(|index| {
+                Node::new(
+                    index,
+                    random.next_u64() % 100_000,
+                    980 + random.next_u64() % 41,
+                )
+            })
             .collect();
         World {
             now_ms: 0,
@@ -83,7 +89,9 @@
 
     /// Machines that have been installed and not been removed.
     pub fn present(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|&node| self.is_present(node)).collect()
+        (0..self.nodes.len())
+            .filter(|&node| self.is_present(node))
+            .collect()
     }
 
     pub fn is_present(&self, node: usize) -> bool {
@@ -92,12 +100,17 @@
 
     /// The machines from `first` on are not there yet.
     pub fn keep_spare(&mut self, first: usize) {
-        self.nodes[first..].iter_mut().for_each(|node| node.place = Place::Spare);
+        self.nodes[first..]
+            .iter_mut()
+            .for_each(|node| node.place = Place::Spare);
     }
 
     /// A machine that has not been there yet.
     pub fn next_spare(&mut self) -> Option<usize> {
-        let spare = self.nodes.iter().position(|node| node.place == Place::Spare)?;
+        let spare = self
+            .nodes
+            .iter()
+            .position(|node| node.place == Place::Spare)?;
         self.nodes[spare].place = Place::Coming;
         Some(spare)
     }
@@ -204,13 +217,24 @@
         let head = self.acting().expect("a head acts");
         let replica = self.nodes[head].replica.as_ref().expect("the head runs");
         let (view, _) = replica.accepted_view().expect("the head has a view");
-        view.chain.iter().map(|member| index_of(member.internal)).collect()
+        view.chain
+            .iter()
+            .map(|member| index_of(member.internal))
+            .collect()
     }
 
     fn check_one_head(&self) {
-        let acting: Vec<usize> =
-            self.nodes.iter().filter(|n| n.may_act(self.now_ms)).map(|n| n.index).collect();
-        assert!(acting.len() <= 1, "at {} ms these act as heads: {acting:?}", self.now_ms);
+        let acting: Vec<usize> = self
+            .nodes
+            .iter()
+            .filter(|n| n.may_act(self.now_ms))
+            .map(|n| n.index)
+            .collect();
+        assert!(
+            acting.len() <= 1,
+            "at {} ms these act as heads: {acting:?}",
+            self.now_ms
+        );
     }
 
     fn submit_anywhere(&mut self) {
@@ -222,11 +246,22 @@
         self.submitted.insert(ticket, (key.clone(), value.clone()));
         let shared = format!("shared-{}", ticket % 5).into_bytes();
         let gone = format!("gone-{}", ticket % 3).into_bytes();
-        let deleted = ticket.is_multiple_of(2).then(|| ticket.to_string().into_bytes());
+        let deleted = ticket
+            .is_multiple_of(2)
+            .then(|| ticket.to_string().into_bytes());
         let changes = vec![
-            RowChange { key, value: Some(value) },
-            RowChange { key: shared, value: Some(ticket.to_string().into_bytes()) },
-            RowChange { key: gone, value: deleted },
+            RowChange {
+                key,
+                value: Some(value),
+            },
+            RowChange {
+                key: shared,
+                value: Some(ticket.to_string().into_bytes()),
+            },
+            RowChange {
+                key: gone,
+                value: deleted,
+            },
         ];
         self.input(node, Input::Submit { ticket, changes });
     }
@@ -271,16 +306,19 @@
             return;
         }
         node.busy = false;
-        let Some(task) = node.tasks.pop_front() else { return };
+        let Some(task) = node.tasks.pop_front() else {
+            return;
+        };
         let input = match task {
             DiskTask::Store { store, .. } if node.disk_refuses => Input::StoreFailed { store },
             DiskTask::Store { store, request } => {
                 node.disk.apply(&request);
                 Input::Stored { store }
             }
-            DiskTask::Read { read, since } => {
-                Input::RowsRead { read, chunk: node.disk.rows_since(since, TRANSFER_ROWS) }
-            }
+            DiskTask::Read { read, since } => Input::RowsRead {
+                read,
+                chunk: node.disk.rows_since(since, TRANSFER_ROWS),
+            },
         };
         self.input(index, input);
         self.start_disk(index);
@@ -300,7 +338,9 @@
 
     fn input(&mut self, index: usize, input: Input) {
         let now_ms = self.nodes[index].local_ms(self.now_ms);
-        let Some(replica) = &mut self.nodes[index].replica else { return };
+        let Some(replica) = &mut self.nodes[index].replica else {
+            return;
+        };
         let outputs = replica.handle(now_ms, input);
         for output in outputs {
             self.output(index, output);
@@ -317,7 +357,11 @@
             return;
         }
         let (at_ms, life) = (node.true_ms(due).max(self.now_ms + 1), node.life);
-        if self.wakes.get(&index).is_some_and(|&planned| planned <= at_ms && planned > self.now_ms) {
+        if self
+            .wakes
+            .get(&index)
+            .is_some_and(|&planned| planned <= at_ms && planned > self.now_ms)
+        {
             return;
         }
         self.wakes.insert(index, at_ms);
@@ -329,14 +373,20 @@
             Output::Send { to, envelope } => self.send(index, index_of(to), *envelope),
             Output::Store { store, request } => {
                 self.note_view(index, &request);
-                self.nodes[index].tasks.push_back(DiskTask::Store { store, request });
+                self.nodes[index]
+                    .tasks
+                    .push_back(DiskTask::Store { store, request });
             }
             Output::ReadRows { read, since, .. } => {
-                self.nodes[index].tasks.push_back(DiskTask::Read { read, since });
+                self.nodes[index]
+                    .tasks
+                    .push_back(DiskTask::Read { read, since });
             }
             Output::Committed { ticket } => {
                 let view = self.nodes[index].replica.as_ref().map_or(0, |r| r.view());
-                self.note(&format!("write {ticket} committed by {index} in view {view}"));
+                self.note(&format!(
+                    "write {ticket} committed by {index} in view {view}"
+                ));
                 if let Some(write) = self.submitted.remove(&ticket) {
                     self.committed.insert(ticket, write);
                 }
@@ -350,26 +400,45 @@
                 self.check_kept(index);
             }
             Output::HeadRenewed { view } => {
-                let chain = self.nodes[index].replica.as_ref().and_then(|r| r.accepted_view());
+                let chain = self.nodes[index]
+                    .replica
+                    .as_ref()
+                    .and_then(|r| r.accepted_view());
                 let text = chain.map(|(v, _)| {
-                    let names =
-                        |list: &[Member]| list.iter().map(|m| index_of(m.internal)).collect::<Vec<usize>>();
+                    let names = |list: &[Member]| {
+                        list.iter()
+                            .map(|m| index_of(m.internal))
+                            .collect::<Vec<usize>>()
+                    };
                     format!("voters {:?} chain {:?}", names(&v.voters), names(&v.chain))
                 });
-                self.note(&format!("head renewed by {index}, view {view}, {}", text.unwrap_or_default()));
+                self.note(&format!(
+                    "head renewed by {index}, view {view}, {}",
+                    text.unwrap_or_default()
+                ));
             }
             Output::HeadLost => self.note(&format!("head lost by {index}")),
         }
     }
 
     fn send(&mut self, from: usize, to: usize, envelope: Envelope) {
-        if to >= self.nodes.len() || self.cut.contains(&(from, to)) || self.below(100) < self.loss_percent {
+        if to >= self.nodes.len()
+            || self.cut.contains(&(from, to))
+            || self.below(100) < self.loss_percent
+        {
             return;
         }
-        let copies = if self.repeat_percent > 0 && self.below(100) < self.repeat_percent { 2 } else { 1 };
+        let copies = if self.repeat_percent > 0 && self.below(100) < self.repeat_percent {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let delay_ms = 1 + self.below(self.delay_spread_ms);
-            let flight = Flight { to, envelope: envelope.clone() };
+            let flight = Flight {
+                to,
+                envelope: envelope.clone(),
+            };
             self.schedule(self.now_ms + delay_ms, Event::Deliver(Box::new(flight)));
         }
     }
@@ -397,11 +466,36 @@
         let chain: BTreeSet<usize> = view.chain.iter().map(|m| index_of(m.internal)).collect();
         let voters: BTreeSet<usize> = view.voters.iter().map(|m| index_of(m.internal)).collect();
         let expected = running.len() - usize::from(running.len().is_multiple_of(2));
-        let live = voters.iter().filter(|voter| running.contains(voter)).count();
-        assert_eq!(live, expected, "voters {voters:?}, running {running:?}\n{}", self.describe());
-        assert!(chain.is_subset(&voters), "chain of view {}\n{}", view.number, self.describe());
-        assert_eq!(chain.len(), expected, "chain of view {}\n{}", view.number, self.describe());
-        assert!(running.iter().all(|node| self.nodes[*node].replica.is_some()), "{}", self.describe());
+        let live = voters
+            .iter()
+            .filter(|voter| running.contains(voter))
+            .count();
+        assert_eq!(
+            live,
+            expected,
+            "voters {voters:?}, running {running:?}\n{}",
+            self.describe()
+        );
+        assert!(
+            chain.is_subset(&voters),
+            "chain of view {}\n{}",
+            view.number,
+            self.describe()
+        );
+        assert_eq!(
+            chain.len(),
+            expected,
+            "chain of view {}\n{}",
+            view.number,
+            self.describe()
+        );
+        assert!(
+            running
+                .iter()
+                .all(|node| self.nodes[*node].replica.is_some()),
+            "{}",
+            self.describe()
+        );
         let table = self.nodes[head].disk.table();
         for &node in running {
             let other = self.nodes[node].disk.table();
@@ -412,13 +506,20 @@
                 .filter(differs)
                 .map(|k| String::from_utf8_lossy(k).into_owned())
                 .collect();
-            assert!(keys.is_empty(), "rows {keys:?} of {node} differ from those of the head {head}");
+            assert!(
+                keys.is_empty(),
+                "rows {keys:?} of {node} differ from those of the head {head}"
+            );
         }
         self.check_kept(head);
     }
 
     fn note_view(&self, index: usize, request: &StoreRequest) {
-        let known = self.nodes[index].disk.durable.as_ref().map_or(0, |durable| durable.mark.view);
+        let known = self.nodes[index]
+            .disk
+            .durable
+            .as_ref()
+            .map_or(0, |durable| durable.mark.view);
         if request.durable.mark.view != known {
             self.note(&format!("{index} enters {:?}", request.durable.mark));
         }
@@ -431,7 +532,10 @@
             let frozen = node.is_frozen(self.now_ms);
             let replica = node.replica.as_ref();
             let state = replica.map(|r| (r.accepted_view(), r.stored_mark(), r.head(now_ms)));
-            format!("{}: frozen {frozen}, store in {} ms, {state:?}\n", node.index, node.disk_ms)
+            format!(
+                "{}: frozen {frozen}, store in {} ms, {state:?}\n",
+                node.index, node.disk_ms
+            )
         };
         self.nodes.iter().map(of).collect()
     }
--- a/crates/replication/tests/storage.rs
+++ b/crates/replication/tests/storage.rs
@@ -12,12 +12,18 @@
 use tempfile::TempDir;
 
 fn change(key: &str, value: Option<&str>) -> RowChange {
-    RowChange { key: key.as_bytes().to_vec(), value: value.map(|v| v.as_bytes().to_vec()) }
+    RowChange {
+        key: key.as_bytes().to_vec(),
+        value: value.map(|v| v.as_bytes().to_vec()),
+    }
 }
 
 fn write(seq: u64, changes: Vec<RowChange>) -> StoreRequest {
     let operations = vec![StoreOperation::Write(Arc::new(Batch { seq, changes }))];
-    StoreRequest { durable: record(seq), operations }
+    StoreRequest {
+        durable: record(seq),
+        operations,
+    }
 }
 
 fn table(storage: &Storage) -> BTreeMap<String, String> {
@@ -32,10 +38,14 @@
 }
 
 fn filled(dir: &Path) -> Storage {
-    let mut storage = Storage::open(dir).expect("an empty folder can be used").storage;
+    let mut storage = Storage::open(dir)
+        .expect("an empty folder can be used")
+        .storage;
     for seq in 1..=20 {
         let key = format!("row-{seq}");
-        storage.apply(&write(seq, vec![change(&key, Some("value"))])).expect("a write is stored");
+        storage
+            .apply(&write(seq, vec![change(&key, Some("value"))]))
+            .expect("a write is stored");
     }
     storage
 }
@@ -53,7 +63,12 @@
 fn writes_and_the_record_are_there_after_opening_again() {
     let dir = TempDir::new().expect("a folder");
     let mut storage = filled(dir.path());
-    storage.apply(&write(21, vec![change("row-1", None), change("row-2", Some("new"))])).expect("stored");
+    storage
+        .apply(&write(
+            21,
+            vec![change("row-1", None), change("row-2", Some("new"))],
+        ))
+        .expect("stored");
     drop(storage);
     let opened = Storage::open(dir.path()).expect("opened");
     assert_eq!(opened.durable, Some(record(21)));
@@ -68,7 +83,9 @@
     let dir = TempDir::new().expect("a folder");
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     for seq in 1..=5 {
-        let changes = (0..3).map(|n| change(&format!("{n}-{seq}"), Some("value"))).collect();
+        let changes = (0..3)
+            .map(|n| change(&format!("{n}-{seq}"), Some("value")))
+            .collect();
         storage.apply(&write(seq, changes)).expect("stored");
     }
     let mut after = 0;
@@ -91,13 +108,18 @@
 fn deleted_rows_leave_a_trace_until_it_is_trimmed() {
     let dir = TempDir::new().expect("a folder");
     let mut storage = filled(dir.path());
-    storage.apply(&write(21, vec![change("row-3", None)])).expect("stored");
+    storage
+        .apply(&write(21, vec![change("row-3", None)]))
+        .expect("stored");
     let traces = |storage: &Storage| {
         let rows = storage.rows_since(20, 1_000).expect("read").rows;
         rows.into_iter().filter(|row| row.value.is_none()).count()
     };
     assert_eq!(traces(&storage), 1);
-    let trim = StoreRequest { durable: record(21), operations: vec![StoreOperation::Trim(21)] };
+    let trim = StoreRequest {
+        durable: record(21),
+        operations: vec![StoreOperation::Trim(21)],
+    };
     storage.apply(&trim).expect("stored");
     assert_eq!(traces(&storage), 0);
     assert_eq!(table(&storage).len(), 19);
@@ -107,9 +129,18 @@
 fn a_transfer_replaces_all_rows() {
     let dir = TempDir::new().expect("a folder");
     let mut storage = filled(dir.path());
-    let row = Row { key: b"other".to_vec(), value: Some(b"value".to_vec()), seq: 40 };
+    let row = Row {
+        key: b"other".to_vec(),
+        value: Some(b"value".to_vec()),
+        seq: 40,
+    };
     let operations = vec![StoreOperation::Clear, StoreOperation::Put(vec![row])];
-    storage.apply(&StoreRequest { durable: record(40), operations }).expect("stored");
+    storage
+        .apply(&StoreRequest {
+            durable: record(40),
+            operations,
+        })
+        .expect("stored");
     assert_eq!(table(&storage).into_keys().collect::<Vec<_>>(), ["other"]);
 }
 
@@ -138,7 +169,11 @@
     let opened = Storage::open(copy.path()).expect("a torn log can be opened");
     assert!(opened.set_aside.is_none());
     let seq = opened.durable.map_or(0, |durable| durable.mark.seq);
-    assert_eq!(table(&opened.storage).len() as u64, seq, "rows and record go together");
+    assert_eq!(
+        table(&opened.storage).len() as u64,
+        seq,
+        "rows and record go together"
+    );
     assert!(lost > 0 || seq == 20);
 }
 
@@ -169,7 +204,9 @@
     let dir = TempDir::new().expect("a folder");
     let path = close(dir.path());
     let connection = rusqlite::Connection::open(&path).expect("opened");
-    connection.execute_batch("PRAGMA user_version = 99").expect("changed");
+    connection
+        .execute_batch("PRAGMA user_version = 99")
+        .expect("changed");
     drop(connection);
     let opened = Storage::open(dir.path()).expect("opened");
     let reason = opened.set_aside.expect("set aside").reason;
@@ -182,7 +219,9 @@
     let dir = TempDir::new().expect("a folder");
     let path = close(dir.path());
     let connection = rusqlite::Connection::open(&path).expect("opened");
-    connection.execute("UPDATE meta SET value = X'ff'", []).expect("changed");
+    connection
+        .execute("UPDATE meta SET value = X'ff'", [])
+        .expect("changed");
     drop(connection);
     let opened = Storage::open(dir.path()).expect("opened");
     assert!(opened.set_aside.is_some());
@@ -211,10 +250,17 @@
     for seq in 1..=20_i64 {
         let value = (seq != 5).then_some(b"value".as_slice());
         let insert = "INSERT INTO rows (key, value, seq) VALUES (?1, ?2, ?3)";
-        connection.execute(insert, (format!("row-{seq}").as_bytes(), value, seq)).expect("a row");
+        connection
+            .execute(insert, (format!("row-{seq}").as_bytes(), value, seq))
+            .expect("a row");
     }
     let record = postcard::to_allocvec(&record(20)).expect("a record");
-    connection.execute("INSERT INTO meta (name, value) VALUES ('record', ?1)", [record]).expect("a record");
+    connection
+        .execute(
+            "INSERT INTO meta (name, value) VALUES ('record', ?1)",
+            [record],
+        )
+        .expect("a record");
 }
 
 #[test]
@@ -228,7 +274,12 @@
         let table = table(&opened.storage);
         assert_eq!((table.len(), table.get("row-5")), (19, None));
         assert_eq!(
-            opened.storage.rows_since(4, 1_000).expect("read").rows.len(),
+            opened
+                .storage
+                .rows_since(4, 1_000)
+                .expect("read")
+                .rows
+                .len(),
             16,
             "with the trace of one"
         );
--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -20,19 +20,28 @@
     /// How long the service's workers will take for all that waits in its queue.
     fn backlog_ms(&mut self, service: &str) -> u64 {
         let now_ms = self.now_ms;
-        let Some(state) = self.services.get(service) else { return 0 };
+        let Some(state) = self.services.get(service) else {
+            return 0;
+        };
         if let Some((ms, _)) = state.backlog.filter(|(_, at_ms)| now_ms < at_ms + KEPT_MS) {
             return ms;
         }
         let workers = state.kinds.workers().filter_map(|id| self.workers.get(id));
         let capacity = workers
             .filter(|worker| worker.in_touch(now_ms))
-            .fold(Resources::default(), |sum, worker| sum.plus(&worker.capacity));
+            .fold(Resources::default(), |sum, worker| {
+                sum.plus(&worker.capacity)
+            });
         let steps = state.queue.iter().filter_map(|key| {
             let job = self.jobs.get(&key.at.job)?;
-            let (step, waiting) = (job.step(key.at.step)?, job.step_state(key.at)?.waiting.len());
+            let (step, waiting) = (
+                job.step(key.at.step)?,
+                job.step_state(key.at)?.waiting.len(),
+            );
             let class = (job.definition.route.clone(), key.at.step);
-            let run_ms = state.kinds.expected_at_mean_speed_ms(&class, step.estimate_ms);
+            let run_ms = state
+                .kinds
+                .expected_at_mean_speed_ms(&class, step.estimate_ms);
             Some(waiting as f64 * run_ms * share(step, &capacity))
         });
         let ms = steps.sum::<f64>() as u64;
@@ -43,6 +52,14 @@
 
 /// Part of the whole service that one task takes, by the resource of which it takes most.
 fn share(step: &Step, capacity: &Resources) -> f64 {
-    let part = |taken: u64, all: u64| if taken > 0 { taken as f64 / all.max(1) as f64 } else { 0.0 };
-    part(step.cpu, capacity.cpu).max(part(step.mem_mb, capacity.mem_mb)).max(part(step.gpu, capacity.gpu))
+    let part = |taken: u64, all: u64| {
+        if taken > 0 {
+            taken as f64 / all.max(1) as f64
+        } else {
+            0.0
+        }
+    };
+    part(step.cpu, capacity.cpu)
+        .max(part(step.mem_mb, capacity.mem_mb))
+        .max(part(step.gpu, capacity.gpu))
 }
--- a/crates/scheduler/src/calls.rs
+++ b/crates/scheduler/src/calls.rs
@@ -24,18 +24,31 @@
     /// A client's call.
     pub(crate) fn call(&mut self, from: CallerId, call: ClientCall) {
         let Some(config) = self.config.clone() else {
-            let outcome = ClientOutcome::Unavailable { retry_after_ms: UNCONFIGURED_RETRY_MS };
+            let outcome = ClientOutcome::Unavailable {
+                retry_after_ms: UNCONFIGURED_RETRY_MS,
+            };
             return self.reply_at_once(from, call.call, outcome);
         };
         let Some(route) = config.route(&call.host, &call.path) else {
             return self.reply_at_once(from, call.call, ClientOutcome::UnknownRoute);
         };
-        let rest = call.path.strip_prefix(route.path_prefix.as_str()).unwrap_or_default();
+        let rest = call
+            .path
+            .strip_prefix(route.path_prefix.as_str())
+            .unwrap_or_default();
         let id = rest.parse::<JobId>();
         match (call.operation, id) {
-            (ClientOperation::Submit(spec), Ok(id)) => self.submit(from, call.call, id, route, spec),
+            (ClientOperation::Submit(spec), Ok(id)) => {
+                self.submit(from, call.call, id, route, spec)
+            }
             (ClientOperation::Submit(_), Err(error)) => {
-                self.reply_at_once(from, call.call, ClientOutcome::Invalid { reason: error.to_string() });
+                self.reply_at_once(
+                    from,
+                    call.call,
+                    ClientOutcome::Invalid {
+                        reason: error.to_string(),
+                    },
+                );
             }
             (ClientOperation::Get, Ok(id)) => self.tell_state(from, call.call, id),
             (ClientOperation::Get, Err(_)) if rest.is_empty() => {
@@ -53,14 +66,24 @@
 
     fn submit(&mut self, from: CallerId, call: u64, id: JobId, route: &Route, spec: JobSpec) {
         if let Some(known) = self.jobs.get(&id) {
-            return self.outbox.reply(known.last_write, from, call, ClientOutcome::Accepted);
+            return self
+                .outbox
+                .reply(known.last_write, from, call, ClientOutcome::Accepted);
         }
         if let Err(error) = check_job(&spec) {
-            return self.reply_at_once(from, call, ClientOutcome::Invalid { reason: error.to_string() });
+            return self.reply_at_once(
+                from,
+                call,
+                ClientOutcome::Invalid {
+                    reason: error.to_string(),
+                },
+            );
         }
         let full = self.open_tasks >= OPEN_TASKS_MAX || self.open_jobs >= OPEN_JOBS_MAX;
         if full || self.jobs.len() >= JOBS_MAX {
-            let outcome = ClientOutcome::TooMany { retry_after_ms: self.retry_after_ms(&route.backend) };
+            let outcome = ClientOutcome::TooMany {
+                retry_after_ms: self.retry_after_ms(&route.backend),
+            };
             return self.reply_at_once(from, call, outcome);
         }
         let definition = Definition {
@@ -75,7 +98,11 @@
         job.expect(|step, description| {
             let class = (route.name.clone(), step);
             let known_ms = kinds.expected_at_mean_speed_ms(&class, description.estimate_ms) as u64;
-            if description.long_running { 0 } else { known_ms }
+            if description.long_running {
+                0
+            } else {
+                known_ms
+            }
         });
         self.jobs.insert(id, job);
         self.appraise(id);
@@ -85,16 +112,26 @@
         self.mark(id);
         self.await_next_repeat(id);
         self.open_due_repeats();
-        self.outbox.reply(self.outbox.present_write(), from, call, ClientOutcome::Accepted);
+        self.outbox.reply(
+            self.outbox.present_write(),
+            from,
+            call,
+            ClientOutcome::Accepted,
+        );
     }
 
     fn tell_state(&mut self, from: CallerId, call: u64, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return self.reply_at_once(from, call, ClientOutcome::NoSuchJob);
         };
-        let unended = if job.started { JobState::Running } else { JobState::Queued };
+        let unended = if job.started {
+            JobState::Running
+        } else {
+            JobState::Queued
+        };
         let state = job.end.map_or(unended, |end| end.state);
-        self.outbox.reply(job.last_write, from, call, ClientOutcome::State(state));
+        self.outbox
+            .reply(job.last_write, from, call, ClientOutcome::State(state));
     }
 
     fn cancel(&mut self, from: CallerId, call: u64, id: JobId) {
@@ -104,8 +141,12 @@
         if job.end.is_none() {
             self.end_job(id, JobState::Cancelled);
         }
-        let write = self.jobs.get(&id).map_or(Outbox::NO_WRITE, |job| job.last_write);
-        self.outbox.reply(write, from, call, ClientOutcome::Cancelled);
+        let write = self
+            .jobs
+            .get(&id)
+            .map_or(Outbox::NO_WRITE, |job| job.last_write);
+        self.outbox
+            .reply(write, from, call, ClientOutcome::Cancelled);
     }
 
     /// This configuration is in force from now on: jobs whose route leads elsewhere move.
@@ -115,22 +156,39 @@
             self.service(&service.name);
         }
         let same = |route: &Route| {
-            let old = before.as_ref()?.routes.iter().find(|old| old.name == route.name)?;
+            let old = before
+                .as_ref()?
+                .routes
+                .iter()
+                .find(|old| old.name == route.name)?;
             (old.backend == route.backend && terms(old) == terms(route)).then_some(())
         };
-        let changed: Vec<&Route> = config.routes.iter().filter(|route| same(route).is_none()).collect();
+        let changed: Vec<&Route> = config
+            .routes
+            .iter()
+            .filter(|route| same(route).is_none())
+            .collect();
         if changed.is_empty() {
             return;
         }
-        let moved = |job: &Job| changed.iter().find(|r| r.name == job.definition.route).copied();
+        let moved = |job: &Job| {
+            changed
+                .iter()
+                .find(|r| r.name == job.definition.route)
+                .copied()
+        };
         let open = self.jobs.iter().filter(|(_, job)| job.end.is_none());
-        let jobs: Vec<(JobId, Route)> =
-            open.filter_map(|(id, job)| Some((*id, moved(job)?.clone()))).collect();
-        jobs.into_iter().for_each(|(id, route)| self.reroute(id, &route));
+        let jobs: Vec<(JobId, Route)> = open
+            .filter_map(|(id, job)| Some((*id, moved(job)?.clone())))
+            .collect();
+        jobs.into_iter()
+            .for_each(|(id, route)| self.reroute(id, &route));
     }
 
     fn reroute(&mut self, id: JobId, route: &Route) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         if job.service == route.backend && job.terms == terms(route) {
             return;
         }
--- a/crates/scheduler/src/checks.rs
+++ b/crates/scheduler/src/checks.rs
@@ -32,22 +32,39 @@
             return;
         }
         self.next_check_ms = self.now_ms + CHECK_MS;
-        let in_touch = self.workers.iter().filter(|(_, worker)| worker.companion.is_some() && worker.in_full);
-        let lists: Vec<(WorkerId, Vec<TaskName>)> =
-            in_touch.map(|(id, worker)| (id, worker.runs.iter().copied().collect())).collect();
+        let in_touch = self
+            .workers
+            .iter()
+            .filter(|(_, worker)| worker.companion.is_some() && worker.in_full);
+        let lists: Vec<(WorkerId, Vec<TaskName>)> = in_touch
+            .map(|(id, worker)| (id, worker.runs.iter().copied().collect()))
+            .collect();
         for (id, tasks) in lists {
             let slowdown = self.slowdown(id);
-            tasks.into_iter().for_each(|task| self.check_run(id, task, slowdown));
+            tasks
+                .into_iter()
+                .for_each(|task| self.check_run(id, task, slowdown));
         }
         self.speculate();
     }
 
     fn check_run(&mut self, id: WorkerId, task: TaskName, slowdown: Option<f64>) {
         let now_ms = self.now_ms;
-        let ended = self.jobs.get(&task.job).is_some_and(|job| job.end.is_some());
-        let Some(run) = self.run_at(id, &task).filter(|run| run.sent) else { return };
+        let ended = self
+            .jobs
+            .get(&task.job)
+            .is_some_and(|job| job.end.is_some());
+        let Some(run) = self.run_at(id, &task).filter(|run| run.sent) else {
+            return;
+        };
         let absent_ms = now_ms.saturating_sub(run.listed_ms);
-        let (order, stopping) = (RunId { task, attempt: run.attempt }, run.stop.is_some() || ended);
+        let (order, stopping) = (
+            RunId {
+                task,
+                attempt: run.attempt,
+            },
+            run.stop.is_some() || ended,
+        );
         if absent_ms >= ABSENT_MS {
             return self.run_over(order, Over::NotStarted, "");
         }
@@ -71,7 +88,11 @@
         if let Some(worker) = self.workers.get_mut(id) {
             note(&mut worker.health);
         }
-        if let Some(entry) = self.jobs.get_mut(&run.task.job).and_then(|job| job.task_mut(&run.task)) {
+        if let Some(entry) = self
+            .jobs
+            .get_mut(&run.task.job)
+            .and_then(|job| job.task_mut(&run.task))
+        {
             entry.failed_on = Some(id);
         }
         self.stop_run(run);
@@ -79,11 +100,19 @@
 
     /// The worker leaves before the run can end.
     fn must_leave(&self, id: WorkerId, task: &TaskName) -> bool {
-        let Some(worker) = self.workers.get(id).filter(|w| w.state == WorkerState::Draining) else {
+        let Some(worker) = self
+            .workers
+            .get(id)
+            .filter(|w| w.state == WorkerState::Draining)
+        else {
+            return false;
+        };
+        let Some(traits) = self.traits(StepRef::of(task)) else {
             return false;
         };
-        let Some(traits) = self.traits(StepRef::of(task)) else { return false };
-        let left_ms = worker.leaves_ms.map_or(0, |leaves| leaves.saturating_sub(self.now_ms));
+        let left_ms = worker
+            .leaves_ms
+            .map_or(0, |leaves| leaves.saturating_sub(self.now_ms));
         traits.long_running || self.remaining_ms(id, task) + DRAIN_MARGIN_MS > left_ms
     }
 
@@ -95,7 +124,9 @@
 
     /// How long a run will still take.
     pub(crate) fn remaining_ms(&self, id: WorkerId, task: &TaskName) -> u64 {
-        let Some(run) = self.run_at(id, task) else { return 0 };
+        let Some(run) = self.run_at(id, task) else {
+            return 0;
+        };
         if let Some(stop) = run.stop {
             let stopping_ms = self.now_ms.saturating_sub(stop.sent_ms);
             return self.bounds.stop_ms.saturating_sub(stopping_ms);
@@ -113,23 +144,41 @@
     /// How long the task is expected to run on this worker as a whole.
     pub(crate) fn expected_run_ms(&self, id: WorkerId, task: &TaskName) -> f64 {
         let at = StepRef::of(task);
-        let Some(traits) = self.traits(at) else { return 0.0 };
+        let Some(traits) = self.traits(at) else {
+            return 0.0;
+        };
         let far = self.run_at(id, task).map_or(1.0, |run| run.far);
-        let kinds = self.services.get(&traits.service).map(|service| &service.kinds);
-        kinds.map_or(0.0, |kinds| kinds.expected_ms(id, &traits.class, traits.estimate_ms)) * far
+        let kinds = self
+            .services
+            .get(&traits.service)
+            .map(|service| &service.kinds);
+        kinds.map_or(0.0, |kinds| {
+            kinds.expected_ms(id, &traits.class, traits.estimate_ms)
+        }) * far
     }
 
     /// The run stands still for much longer than it takes to make any progress.
     fn hangs(&self, id: WorkerId, task: &TaskName) -> bool {
-        let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else { return false };
-        let Some(run) = self.run_at(id, task) else { return false };
-        let Some(worker) = self.workers.get(id) else { return false };
-        let listed = self.now_ms.saturating_sub(run.listed_ms) < STALL_MIN_MS && worker.silent_ms < 1_000;
+        let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
+            return false;
+        };
+        let Some(run) = self.run_at(id, task) else {
+            return false;
+        };
+        let Some(worker) = self.workers.get(id) else {
+            return false;
+        };
+        let listed =
+            self.now_ms.saturating_sub(run.listed_ms) < STALL_MIN_MS && worker.silent_ms < 1_000;
         if step.long_running || !listed {
             return false;
         }
         let limit_ms = STALL_MIN_MS.max((self.expected_run_ms(id, task) * STALL_SHARE) as u64);
-        let restore_ms = if run.resumed { self.bounds.restore_ms } else { 0 };
+        let restore_ms = if run.resumed {
+            self.bounds.restore_ms
+        } else {
+            0
+        };
         let gang_ms = if step.gang { self.bounds.gang_ms } else { 0 };
         self.now_ms.saturating_sub(run.percent_ms) > limit_ms + restore_ms + gang_ms
     }
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -22,7 +22,10 @@
 impl WallClock {
     /// Both clocks read at the same moment.
     pub fn new(now_ms: u64, wall_ms: u64) -> Self {
-        WallClock { offset_ms: wall_ms as i64 - now_ms as i64, candidate: None }
+        WallClock {
+            offset_ms: wall_ms as i64 - now_ms as i64,
+            candidate: None,
+        }
     }
 
     /// Takes note of both clocks.
@@ -32,9 +35,14 @@
             (self.offset_ms, self.candidate) = (offset_ms, None);
             return;
         }
-        let lasting = self.candidate.filter(|c| (c.offset_ms - offset_ms).abs() <= DRIFT_MS);
+        let lasting = self
+            .candidate
+            .filter(|c| (c.offset_ms - offset_ms).abs() <= DRIFT_MS);
         let since_ms = lasting.map_or(now_ms, |c| c.since_ms);
-        self.candidate = Some(Candidate { offset_ms, since_ms });
+        self.candidate = Some(Candidate {
+            offset_ms,
+            since_ms,
+        });
         if now_ms.saturating_sub(since_ms) > STABLE_MS {
             (self.offset_ms, self.candidate) = (offset_ms, None);
         }
--- a/crates/scheduler/src/delays.rs
+++ b/crates/scheduler/src/delays.rs
@@ -91,7 +91,9 @@
     }
 
     fn add_all(&mut self, other: &Delays) {
-        CAUSES.iter().for_each(|(cause, _)| self.add(*cause, other.of(*cause)));
+        CAUSES
+            .iter()
+            .for_each(|(cause, _)| self.add(*cause, other.of(*cause)));
     }
 
     /// Adds a wait of `ms`, shared among causes as `seen` is; with nothing seen it was for its turn.
@@ -100,7 +102,9 @@
         if total_ms == 0 {
             return self.add(Cause::Turn, ms);
         }
-        CAUSES.iter().for_each(|(cause, _)| self.add(*cause, ms * seen.of(*cause) / total_ms));
+        CAUSES
+            .iter()
+            .for_each(|(cause, _)| self.add(*cause, ms * seen.of(*cause) / total_ms));
     }
 
     /// Adds a run that is over.
@@ -136,8 +140,20 @@
 
 impl Display for LateEnd {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let end = if self.state == JobState::Failed { "failed" } else { "ended late" };
-        let LateEnd { job, repeat, route, took_ms, objective_ms, delays, .. } = self;
+        let end = if self.state == JobState::Failed {
+            "failed"
+        } else {
+            "ended late"
+        };
+        let LateEnd {
+            job,
+            repeat,
+            route,
+            took_ms,
+            objective_ms,
+            delays,
+            ..
+        } = self;
         write!(
             formatter,
             "job {job}.{repeat} of {route} {end} after {took_ms} ms, objective {objective_ms} ms: {delays}"
@@ -157,7 +173,8 @@
     pub(crate) fn end_wait(&mut self, index: u32, now_ms: u64) {
         let waits = self.waits;
         if let Some(task) = self.tasks.get_mut(index as usize) {
-            task.delays.add_wait(now_ms.saturating_sub(task.waits_since_ms), &waits);
+            task.delays
+                .add_wait(now_ms.saturating_sub(task.waits_since_ms), &waits);
         }
     }
 }
@@ -166,7 +183,11 @@
     /// A step was looked at and still waits.
     pub(crate) fn note_wait(&mut self, at: StepRef, cause: Cause) {
         let now_ms = self.now_ms;
-        if let Some(state) = self.jobs.get_mut(&at.job).and_then(|job| job.step_state_mut(at)) {
+        if let Some(state) = self
+            .jobs
+            .get_mut(&at.job)
+            .and_then(|job| job.step_state_mut(at))
+        {
             state.waited_for(cause, now_ms);
         }
     }
@@ -174,7 +195,11 @@
     /// A run of a task is over.
     pub(crate) fn note_run(&mut self, task: &TaskName, run: &Run, over: Over) {
         let now_ms = self.now_ms;
-        if let Some(entry) = self.jobs.get_mut(&task.job).and_then(|job| job.task_mut(task)) {
+        if let Some(entry) = self
+            .jobs
+            .get_mut(&task.job)
+            .and_then(|job| job.task_mut(task))
+        {
             entry.delays.add_run(run, over, now_ms);
         }
     }
@@ -182,15 +207,19 @@
     /// Time that went before a repetition was opened here.
     pub(crate) fn delays_before(&self, due_ms: i64) -> Delays {
         let mut delays = Delays::default();
-        delays.add(Cause::Before, (self.now_ms as i64).saturating_sub(due_ms).max(0) as u64);
+        delays.add(
+            Cause::Before,
+            (self.now_ms as i64).saturating_sub(due_ms).max(0) as u64,
+        );
         delays
     }
 
     /// Where the time went from the repetition's due time to the end of this task.
     pub(crate) fn delays_until(&self, task: &TaskName) -> Delays {
         let job = self.jobs.get(&task.job);
-        let mut delays =
-            job.and_then(|job| job.step_state(StepRef::of(task))).map_or_else(Delays::default, |s| s.chain);
+        let mut delays = job
+            .and_then(|job| job.step_state(StepRef::of(task)))
+            .map_or_else(Delays::default, |s| s.chain);
         if let Some(entry) = job.and_then(|job| job.task(task)) {
             delays.add_all(&entry.delays);
         }
@@ -199,8 +228,12 @@
 
     /// A repetition has ended with this task; if that is late, or it has failed, its delays are told.
     pub(crate) fn note_end(&mut self, task: &TaskName, state: JobState) {
-        let Some(job) = self.jobs.get(&task.job) else { return };
-        let Some(repeat) = job.repeats.get(&task.repeat) else { return };
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        let Some(repeat) = job.repeats.get(&task.repeat) else {
+            return;
+        };
         let took_ms = (self.now_ms as i64).saturating_sub(repeat.due_ms).max(0) as u64;
         let objective_ms = job.objective_ms();
         if state == JobState::Completed && took_ms <= objective_ms {
@@ -208,6 +241,14 @@
         }
         let (job_id, repeat, route) = (task.job, task.repeat, job.definition.route.clone());
         let delays = self.delays_until(task);
-        self.late.push(LateEnd { job: job_id, repeat, route, state, took_ms, objective_ms, delays });
+        self.late.push(LateEnd {
+            job: job_id,
+            repeat,
+            route,
+            state,
+            took_ms,
+            objective_ms,
+            delays,
+        });
     }
 }
--- a/crates/scheduler/src/dragging.rs
+++ b/crates/scheduler/src/dragging.rs
@@ -24,7 +24,10 @@
         for task in &worker.runs {
             if let Some((total_ms, expected_ms)) = self.projected_ms(id, task) {
                 let ratio = total_ms / expected_ms.max(1.0);
-                by_job.entry(task.job).and_modify(|least| *least = least.min(ratio)).or_insert(ratio);
+                by_job
+                    .entry(task.job)
+                    .and_modify(|least| *least = least.min(ratio))
+                    .or_insert(ratio);
             }
         }
         let mut ratios: Vec<f64> = by_job.into_values().collect();
@@ -35,17 +38,26 @@
 
     /// On a worker that has turned slow: another one would be done first even if it began anew.
     pub(crate) fn drags(&self, id: WorkerId, task: &TaskName, slowdown: f64) -> bool {
-        let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else { return false };
-        let Some((total_ms, _)) = self.projected_ms(id, task) else { return false };
-        !step.gang && self.remaining_ms(id, task) as f64 > DRAG_FACTOR * total_ms / slowdown + DRAG_MIN_MS
+        let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
+            return false;
+        };
+        let Some((total_ms, _)) = self.projected_ms(id, task) else {
+            return false;
+        };
+        !step.gang
+            && self.remaining_ms(id, task) as f64 > DRAG_FACTOR * total_ms / slowdown + DRAG_MIN_MS
     }
 
     /// How long the run will have taken as a whole, by its progress, and how long it was expected to; `None` if its
     /// progress does not tell yet.
     fn projected_ms(&self, id: WorkerId, task: &TaskName) -> Option<(f64, f64)> {
         let job = self.jobs.get(&task.job)?;
-        let run =
-            self.run_at(id, task).filter(|_| job.step(task.step).is_some_and(|step| !step.long_running))?;
-        Some((projected_total_ms(run)? as f64, self.expected_run_ms(id, task)))
+        let run = self
+            .run_at(id, task)
+            .filter(|_| job.step(task.step).is_some_and(|step| !step.long_running))?;
+        Some((
+            projected_total_ms(run)? as f64,
+            self.expected_run_ms(id, task),
+        ))
     }
 }
--- a/crates/scheduler/src/draw.rs
+++ b/crates/scheduler/src/draw.rs
@@ -96,7 +96,10 @@
     pub fn regroup(&mut self, workers: &Workers, backend: &str) {
         self.kinds.iter_mut().for_each(|kind| kind.workers.clear());
         self.kind_of.clear();
-        for (id, worker) in workers.iter().filter(|(_, w)| w.backend == backend && w.lapsed_ms.is_none()) {
+        for (id, worker) in workers
+            .iter()
+            .filter(|(_, w)| w.backend == backend && w.lapsed_ms.is_none())
+        {
             let kind = self.kind_for(worker);
             self.kinds[kind].workers.push(id);
             self.kind_of.insert(id, kind);
@@ -105,11 +108,22 @@
     }
 
     fn kind_for(&mut self, worker: &Worker) -> usize {
-        let labels: Vec<String> = worker.labels.iter().filter(|label| !is_rack(label)).cloned().collect();
+        let labels: Vec<String> = worker
+            .labels
+            .iter()
+            .filter(|label| !is_rack(label))
+            .cloned()
+            .collect();
         let like = |kind: &Kind| kind.labels == labels && kind.capacity == worker.capacity;
         self.kinds.iter().position(like).unwrap_or_else(|| {
             let (capacity, speed) = (worker.capacity, Speed::default());
-            self.kinds.push(Kind { labels, capacity, speed, workers: Vec::new(), probability: 0.0 });
+            self.kinds.push(Kind {
+                labels,
+                capacity,
+                speed,
+                workers: Vec::new(),
+                probability: 0.0,
+            });
             self.kinds.len() - 1
         })
     }
@@ -130,7 +144,10 @@
         let mean = self.mean_speed();
         let speeds: Vec<f64> = self.kinds.iter().map(|kind| kind.speed_or(mean)).collect();
         let probabilities = solve(&shares, &speeds, self.load, SAMPLES as u32);
-        self.kinds.iter_mut().zip(probabilities).for_each(|(kind, p)| kind.probability = p);
+        self.kinds
+            .iter_mut()
+            .zip(probabilities)
+            .for_each(|(kind, p)| kind.probability = p);
     }
 
     /// Part of the capacity, apart from what bound runs take, that unbound runs take.
@@ -148,13 +165,17 @@
     /// Mean speed of the kinds that have been heard of.
     fn mean_speed(&self) -> f64 {
         let heard = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
-        let (sum, count) = heard.fold((0.0, 0.0), |(sum, count), kind| (sum + kind.speed.speed, count + 1.0));
+        let (sum, count) = heard.fold((0.0, 0.0), |(sum, count), kind| {
+            (sum + kind.speed.speed, count + 1.0)
+        });
         if count > 0.0 { sum / count } else { 1.0 }
     }
 
     /// A run of this class took `run_ms` on this worker.
     pub fn learned(&mut self, worker: WorkerId, class: &Class, estimate_ms: u64, run_ms: f64) {
-        let Some(&kind) = self.kind_of.get(&worker) else { return };
+        let Some(&kind) = self.kind_of.get(&worker) else {
+            return;
+        };
         let estimate = (estimate_ms > 0).then_some(estimate_ms * MICROS);
         let run = (run_ms * MICROS as f64) as u64;
         let speed = &mut self.kinds[kind].speed;
@@ -163,13 +184,22 @@
         let (mut same_speed, mut same_sum) = (speed.clone(), self.all);
         learn(speed, &mut work.by_mean, &mut self.all, None, run);
         if estimate.is_some() {
-            learn(&mut same_speed, &mut work.by_estimate, &mut same_sum, estimate, run);
+            learn(
+                &mut same_speed,
+                &mut work.by_estimate,
+                &mut same_sum,
+                estimate,
+                run,
+            );
         }
     }
 
     /// Run time to be expected on this worker, in milliseconds.
     pub fn expected_ms(&self, worker: WorkerId, class: &Class, estimate_ms: u64) -> f64 {
-        let speed = self.kind_of.get(&worker).map_or(1.0, |k| self.kinds[*k].speed_or(self.mean_speed()));
+        let speed = self
+            .kind_of
+            .get(&worker)
+            .map_or(1.0, |k| self.kinds[*k].speed_or(self.mean_speed()));
         self.expected_at_mean_speed_ms(class, estimate_ms) / speed.max(0.01)
     }
 
@@ -177,38 +207,66 @@
     pub fn expected_at_mean_speed_ms(&self, class: &Class, estimate_ms: u64) -> f64 {
         let estimate = (estimate_ms > 0).then_some(estimate_ms * MICROS);
         let learned = self.classes.get(class).and_then(|work| work.mean(estimate));
-        let given_ms = if estimate_ms > 0 { estimate_ms as f64 } else { UNKNOWN_RUN_MS };
+        let given_ms = if estimate_ms > 0 {
+            estimate_ms as f64
+        } else {
+            UNKNOWN_RUN_MS
+        };
         learned.map_or(given_ms, |micros| micros / MICROS as f64)
     }
 
     /// Workers of the service.
     pub fn workers(&self) -> impl Iterator<Item = WorkerId> {
-        self.kinds.iter().flat_map(|kind| kind.workers.iter().copied())
+        self.kinds
+            .iter()
+            .flat_map(|kind| kind.workers.iter().copied())
     }
 
     /// Draws a kind by p_k (or takes the one that `label` binds to) and samples workers that `fits`; the one with the
     /// fewest runs wins. Without any the other kinds follow by p_k.
     pub fn choose(
-        &self, rng: &mut Rng, workers: &Workers, label: &str, fits: impl Fn(WorkerId, &Worker) -> bool,
+        &self,
+        rng: &mut Rng,
+        workers: &Workers,
+        label: &str,
+        fits: impl Fn(WorkerId, &Worker) -> bool,
     ) -> Option<Choice> {
         let allowed = self.allowed(label);
         let bound = !label.is_empty() && allowed.len() == 1;
-        let drawn = if bound { None } else { self.draw(rng, &allowed) };
+        let drawn = if bound {
+            None
+        } else {
+            self.draw(rng, &allowed)
+        };
         let mut order = allowed;
-        order.sort_by(|a, b| self.kinds[*b].probability.total_cmp(&self.kinds[*a].probability));
+        order.sort_by(|a, b| {
+            self.kinds[*b]
+                .probability
+                .total_cmp(&self.kinds[*a].probability)
+        });
         if let Some(at) = drawn.and_then(|drawn| order.iter().position(|kind| *kind == drawn)) {
             order[..=at].rotate_right(1);
         }
         for (place, kind) in order.iter().enumerate() {
             let sampled = sample(rng, &self.kinds[*kind].workers, workers, &fits);
-            let in_flight = |id: &WorkerId| workers.get(*id).map_or(usize::MAX, |worker| worker.runs.len());
+            let in_flight = |id: &WorkerId| {
+                workers
+                    .get(*id)
+                    .map_or(usize::MAX, |worker| worker.runs.len())
+            };
             if let Some(&worker) = sampled.iter().min_by_key(|id| in_flight(id)) {
                 let reason = match place {
                     0 if bound => Reason::FewestOfBound,
                     0 => Reason::FewestOfDrawn,
                     _ => Reason::FewestOfNext,
                 };
-                return Some(Choice { worker, bound, drawn, sampled, reason });
+                return Some(Choice {
+                    worker,
+                    bound,
+                    drawn,
+                    sampled,
+                    reason,
+                });
             }
         }
         None
@@ -218,11 +276,18 @@
     fn allowed(&self, label: &str) -> Vec<usize> {
         let named = |kind: &usize| self.kinds[*kind].labels.iter().any(|l| l == label);
         let with_label: Vec<usize> = (0..self.kinds.len()).filter(named).collect();
-        if with_label.is_empty() { (0..self.kinds.len()).collect() } else { with_label }
+        if with_label.is_empty() {
+            (0..self.kinds.len()).collect()
+        } else {
+            with_label
+        }
     }
 
     fn draw(&self, rng: &mut Rng, allowed: &[usize]) -> Option<usize> {
-        let total: f64 = allowed.iter().map(|kind| self.kinds[*kind].probability).sum();
+        let total: f64 = allowed
+            .iter()
+            .map(|kind| self.kinds[*kind].probability)
+            .sum();
         let mut at = rng.unit() * total;
         for &kind in allowed {
             at -= self.kinds[kind].probability;
@@ -235,13 +300,21 @@
 
     /// The choice as it is shown to whoever follows placements.
     pub fn trace(&self, task: TaskName, choice: &Choice, workers: &Workers) -> PlacementTrace {
-        let name = |id: WorkerId| workers.get(id).map_or_else(String::new, |worker| worker.instance.clone());
+        let name = |id: WorkerId| {
+            workers
+                .get(id)
+                .map_or_else(String::new, |worker| worker.instance.clone())
+        };
         let in_flight = |id: WorkerId| workers.get(id).map_or(0, |worker| worker.runs.len());
         PlacementTrace {
             task,
             drawn: choice.drawn,
             probabilities: self.kinds.iter().map(|kind| kind.probability).collect(),
-            sampled: choice.sampled.iter().map(|id| (name(*id), in_flight(*id))).collect(),
+            sampled: choice
+                .sampled
+                .iter()
+                .map(|id| (name(*id), in_flight(*id)))
+                .collect(),
             winner: name(choice.worker),
             reason: choice.reason,
         }
@@ -253,10 +326,18 @@
     fn judge(&mut self, estimate: Option<u64>, run: f64) {
         let error = |told: f64| (told.max(1.0) / run.max(1.0)).ln().powi(2);
         if self.by_mean.weight() > 0.0 {
-            add(&mut self.errors_by_mean, KEEP, error(self.by_mean.mean(None)));
+            add(
+                &mut self.errors_by_mean,
+                KEEP,
+                error(self.by_mean.mean(None)),
+            );
         }
         if self.by_estimate.weight() > 0.0 && estimate.is_some() {
-            add(&mut self.errors_by_estimate, KEEP, error(self.by_estimate.mean(estimate)));
+            add(
+                &mut self.errors_by_estimate,
+                KEEP,
+                error(self.by_estimate.mean(estimate)),
+            );
         }
     }
 
@@ -276,13 +357,20 @@
 
 impl Kind {
     fn speed_or(&self, mean: f64) -> f64 {
-        if self.speed.weight() > 0.0 { self.speed.speed } else { mean }
+        if self.speed.weight() > 0.0 {
+            self.speed.speed
+        } else {
+            mean
+        }
     }
 }
 
 /// Up to [`SAMPLES`] different workers that fit, drawn at random.
 fn sample(
-    rng: &mut Rng, from: &[WorkerId], workers: &Workers, fits: impl Fn(WorkerId, &Worker) -> bool,
+    rng: &mut Rng,
+    from: &[WorkerId],
+    workers: &Workers,
+    fits: impl Fn(WorkerId, &Worker) -> bool,
 ) -> Vec<WorkerId> {
     let mut left = from.to_vec();
     let mut sampled = Vec::with_capacity(SAMPLES);
@@ -297,6 +385,14 @@
 
 /// The largest part that is used of any resource.
 pub fn dominant_share(used: &Resources, capacity: &Resources) -> f64 {
-    let share = |used: u64, all: u64| if all > 0 { used as f64 / all as f64 } else { 0.0 };
-    share(used.cpu, capacity.cpu).max(share(used.mem_mb, capacity.mem_mb)).max(share(used.gpu, capacity.gpu))
+    let share = |used: u64, all: u64| {
+        if all > 0 {
+            used as f64 / all as f64
+        } else {
+            0.0
+        }
+    };
+    share(used.cpu, capacity.cpu)
+        .max(share(used.mem_mb, capacity.mem_mb))
+        .max(share(used.gpu, capacity.gpu))
 }
--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -15,23 +15,40 @@
 impl Scheduler {
     /// Places a gang if all members fit.
     pub(crate) fn place_gang(&mut self, service: &str, at: StepRef, reach: Reach) {
-        let Some(job) = self.jobs.get(&at.job) else { return };
-        let (Some(step), Some(state)) = (job.step(at.step), job.step_state(at)) else { return };
+        let Some(job) = self.jobs.get(&at.job) else {
+            return;
+        };
+        let (Some(step), Some(state)) = (job.step(at.step), job.step_state(at)) else {
+            return;
+        };
         if state.waiting.len() != state.tasks.len() {
             return;
         }
         let (rack_local, members) = (step.rack_local, state.tasks.len());
-        let Some(mut need) = Need::of(job, at, self.now_ms) else { return };
+        let Some(mut need) = Need::of(job, at, self.now_ms) else {
+            return;
+        };
         need.spares_idle = self.spares_idle(service, &need.resources);
         need.reach = reach;
         let rack_wait_ms = (need.estimate_ms as f64 * (self.bounds.far_x - 1.0)) as u64;
-        let waited = reach == Reach::Away && need.waited_ms >= rack_wait_ms.min(ONE_RACK_WAIT_MAX_MS);
+        let waited =
+            reach == Reach::Away && need.waited_ms >= rack_wait_ms.min(ONE_RACK_WAIT_MAX_MS);
         let may_spread = !rack_local || waited;
-        let plan = [Scope::Preferred, Scope::Allowed].into_iter().find_map(|scope| {
-            let in_rack = if rack_local { self.plan_in_rack(service, &need, scope, members) } else { None };
-            let spread = || may_spread.then(|| self.plan(service, &need, scope, members, None)).flatten();
-            in_rack.or_else(spread)
-        });
+        let plan = [Scope::Preferred, Scope::Allowed]
+            .into_iter()
+            .find_map(|scope| {
+                let in_rack = if rack_local {
+                    self.plan_in_rack(service, &need, scope, members)
+                } else {
+                    None
+                };
+                let spread = || {
+                    may_spread
+                        .then(|| self.plan(service, &need, scope, members, None))
+                        .flatten()
+                };
+                in_rack.or_else(spread)
+            });
         if let Some(plan) = plan {
             self.start_gang(service, at, rack_local, &need, plan);
         }
@@ -39,10 +56,17 @@
 
     /// A plan within one rack, the first that has room in random order.
     fn plan_in_rack(
-        &mut self, service: &str, need: &Need, scope: Scope, members: usize,
+        &mut self,
+        service: &str,
+        need: &Need,
+        scope: Scope,
+        members: usize,
     ) -> Option<Vec<Choice>> {
         let state = self.services.get(service)?;
-        let racks = state.kinds.workers().filter_map(|id| self.workers.get(id)?.rack().map(str::to_owned));
+        let racks = state
+            .kinds
+            .workers()
+            .filter_map(|id| self.workers.get(id)?.rack().map(str::to_owned));
         let mut racks: Vec<String> = racks.collect::<BTreeSet<String>>().into_iter().collect();
         while !racks.is_empty() {
             let rack = racks.swap_remove(self.rng.below(racks.len()));
@@ -55,7 +79,12 @@
 
     /// A worker for each member, or `None`.
     fn plan(
-        &mut self, service: &str, need: &Need, scope: Scope, members: usize, rack: Option<&str>,
+        &mut self,
+        service: &str,
+        need: &Need,
+        scope: Scope,
+        members: usize,
+        rack: Option<&str>,
     ) -> Option<Vec<Choice>> {
         let (now_ms, far_x) = (self.now_ms, self.bounds.far_x);
         let state = self.services.get(service)?;
@@ -63,36 +92,82 @@
             worker.takes_starts(now_ms)
                 && rack.is_none_or(|rack| worker.rack() == Some(rack))
                 && need.considers(scope, worker, far_x, false, now_ms)
-                && state.reserved.get(&id).is_none_or(|kept| kept.gives_way(need))
+                && state
+                    .reserved
+                    .get(&id)
+                    .is_none_or(|kept| kept.gives_way(need))
         };
         let mut planned: FxHashMap<WorkerId, u32> = FxHashMap::default();
         let mut plan = Vec::with_capacity(members);
         for _ in 0..members {
-            let choice = state.kinds.choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
-                let extra = planned.get(&id).copied().unwrap_or(0);
-                need.permits(id, worker, extra) && eligible(id, worker)
-            })?;
+            let choice =
+                state
+                    .kinds
+                    .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
+                        let extra = planned.get(&id).copied().unwrap_or(0);
+                        need.permits(id, worker, extra) && eligible(id, worker)
+                    })?;
             *planned.entry(choice.worker).or_default() += 1;
             plan.push(choice);
         }
         Some(plan)
     }
 
-    fn start_gang(&mut self, service: &str, at: StepRef, rack_local: bool, need: &Need, plan: Vec<Choice>) {
-        let racks: BTreeSet<Option<&str>> =
-            plan.iter().filter_map(|choice| self.workers.get(choice.worker)).map(Worker::rack).collect();
-        let near = plan.iter().filter_map(|choice| self.workers.get(choice.worker)).all(|w| need.near(w));
-        let far = if near && !(rack_local && racks.len() > 1) { 1.0 } else { self.bounds.far_x };
-        let Some(state) = self.jobs.get_mut(&at.job).and_then(|job| job.step_state_mut(at)) else { return };
-        let attempt = state.tasks.iter().map(|task| task.last_attempt).max().unwrap_or(0) + 1;
+    fn start_gang(
+        &mut self,
+        service: &str,
+        at: StepRef,
+        rack_local: bool,
+        need: &Need,
+        plan: Vec<Choice>,
+    ) {
+        let racks: BTreeSet<Option<&str>> = plan
+            .iter()
+            .filter_map(|choice| self.workers.get(choice.worker))
+            .map(Worker::rack)
+            .collect();
+        let near = plan
+            .iter()
+            .filter_map(|choice| self.workers.get(choice.worker))
+            .all(|w| need.near(w));
+        let far = if near && !(rack_local && racks.len() > 1) {
+            1.0
+        } else {
+            self.bounds.far_x
+        };
+        let Some(state) = self
+            .jobs
+            .get_mut(&at.job)
+            .and_then(|job| job.step_state_mut(at))
+        else {
+            return;
+        };
+        let attempt = state
+            .tasks
+            .iter()
+            .map(|task| task.last_attempt)
+            .max()
+            .unwrap_or(0)
+            + 1;
         let saved = state.gang_saved.clone();
-        state.tasks.iter_mut().for_each(|task| task.saved.clone_from(&saved));
+        state
+            .tasks
+            .iter_mut()
+            .for_each(|task| task.saved.clone_from(&saved));
         for (index, choice) in plan.into_iter().enumerate() {
             let task = at.task(index as u32);
             if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
                 traces.push(state.kinds.trace(task, &choice, &self.workers));
             }
-            self.place(task, attempt, Placement { worker: choice.worker, bound: choice.bound, far });
+            self.place(
+                task,
+                attempt,
+                Placement {
+                    worker: choice.worker,
+                    bound: choice.bound,
+                    far,
+                },
+            );
         }
         if let Some(state) = self.services.get_mut(service) {
             state.reserved.retain(|_, kept| kept.step != at);
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -17,13 +17,24 @@
 impl Scheduler {
     /// Notes whether small tasks wait, and their priority.
     pub(crate) fn note_urgent(&mut self, service: &str, keys: &[QueueKey]) {
-        let Some(first) = keys.iter().find(|key| !key.hopeless) else { return };
-        let Some(step) = self.jobs.get(&first.at.job).and_then(|job| job.step(first.at.step)) else { return };
-        let small =
-            step.cpu * SMALL_SHARE <= self.largest_capacity(service) && !step.gang && !step.long_running;
+        let Some(first) = keys.iter().find(|key| !key.hopeless) else {
+            return;
+        };
+        let Some(step) = self
+            .jobs
+            .get(&first.at.job)
+            .and_then(|job| job.step(first.at.step))
+        else {
+            return;
+        };
+        let small = step.cpu * SMALL_SHARE <= self.largest_capacity(service)
+            && !step.gang
+            && !step.long_running;
         let now_ms = self.now_ms;
         let state = self.service(service);
-        let known = state.urgent.filter(|(_, seen_ms)| now_ms < seen_ms + LATELY_MS);
+        let known = state
+            .urgent
+            .filter(|(_, seen_ms)| now_ms < seen_ms + LATELY_MS);
         if small && known.is_none_or(|(priority, _)| first.priority <= priority) {
             state.urgent = Some((first.priority, now_ms));
         }
@@ -31,7 +42,8 @@
 
     /// Whether the step has to leave headroom: it is less urgent, and has time.
     pub(crate) fn keeps_headroom(&self, service: &str, key: QueueKey) -> bool {
-        let Some((priority, seen_ms)) = self.services.get(service).and_then(|state| state.urgent) else {
+        let Some((priority, seen_ms)) = self.services.get(service).and_then(|state| state.urgent)
+        else {
             return false;
         };
         let lately = self.now_ms < seen_ms + LATELY_MS;
@@ -42,15 +54,27 @@
 
     /// Processors, in thousandths of a core, that are free beyond the headroom.
     pub(crate) fn beyond_headroom(&self, service: &str) -> f64 {
-        let Some(state) = self.services.get(service) else { return 0.0 };
+        let Some(state) = self.services.get(service) else {
+            return 0.0;
+        };
         let workers = state.kinds.workers().filter_map(|id| self.workers.get(id));
-        let beyond = |worker: &Worker| worker.free().cpu as f64 - SHARE * worker.capacity.cpu as f64;
-        workers.filter(|worker| worker.takes_starts(self.now_ms)).map(beyond).sum()
+        let beyond =
+            |worker: &Worker| worker.free().cpu as f64 - SHARE * worker.capacity.cpu as f64;
+        workers
+            .filter(|worker| worker.takes_starts(self.now_ms))
+            .map(beyond)
+            .sum()
     }
 
     fn largest_capacity(&self, service: &str) -> u64 {
-        let Some(state) = self.services.get(service) else { return 0 };
-        let capacities = state.kinds.workers().filter_map(|id| self.workers.get(id)).map(|w| w.capacity.cpu);
+        let Some(state) = self.services.get(service) else {
+            return 0;
+        };
+        let capacities = state
+            .kinds
+            .workers()
+            .filter_map(|id| self.workers.get(id))
+            .map(|w| w.capacity.cpu);
         capacities.max().unwrap_or(0)
     }
 }
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -55,7 +55,14 @@
 
 impl Default for Health {
     fn default() -> Self {
-        Health { good: 0.0, bad: 0.0, streak: 0.0, pace: 0.0, updated_ms: 0, suspected: None }
+        Health {
+            good: 0.0,
+            bad: 0.0,
+            streak: 0.0,
+            pace: 0.0,
+            updated_ms: 0,
+            suspected: None,
+        }
     }
 }
 
@@ -67,7 +74,11 @@
         self.streak = 0.0;
         if let Some(pace) = pace {
             let news = pace.clamp(0.1, 20.0).ln();
-            let keep = if self.suspected.is_some() { 0.0 } else { PACE_KEEP };
+            let keep = if self.suspected.is_some() {
+                0.0
+            } else {
+                PACE_KEEP
+            };
             self.pace = self.pace * keep + news * (1.0 - keep);
         }
         if self.pace > SLOW_PACE.ln() {
@@ -82,7 +93,8 @@
         self.fade(now_ms);
         let weight = if doubtful { DOUBTFUL_FAILURE } else { 1.0 };
         (self.bad, self.streak) = (self.bad + weight, self.streak + weight);
-        let share = self.bad >= SUSPECT_WEIGHT && self.bad >= SUSPECT_SHARE * (self.good + self.bad);
+        let share =
+            self.bad >= SUSPECT_WEIGHT && self.bad >= SUSPECT_SHARE * (self.good + self.bad);
         if self.suspected.is_some() || share || self.streak >= SUSPECT_STREAK {
             self.suspect(now_ms);
         }
@@ -122,8 +134,15 @@
             }
             Some(before) => before.pause_ms,
         };
-        let trial_ms = self.suspected.map_or(0, |before| before.trial_ms).max(now_ms + pause_ms);
-        self.suspected = Some(Suspicion { trial_ms, pause_ms, tried: false });
+        let trial_ms = self
+            .suspected
+            .map_or(0, |before| before.trial_ms)
+            .max(now_ms + pause_ms);
+        self.suspected = Some(Suspicion {
+            trial_ms,
+            pause_ms,
+            tried: false,
+        });
     }
 
     fn fade(&mut self, now_ms: u64) {
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -199,12 +199,19 @@
 
     /// Its run of this number.
     pub fn run_mut(&mut self, attempt: u32) -> Option<&mut Run> {
-        self.run.iter_mut().chain(&mut self.copy).find(|run| run.attempt == attempt)
+        self.run
+            .iter_mut()
+            .chain(&mut self.copy)
+            .find(|run| run.attempt == attempt)
     }
 
     /// Takes its run of this number out; a copy that is left takes the place of the run.
     pub fn take_run(&mut self, attempt: u32) -> Option<Run> {
-        if self.copy.as_ref().is_some_and(|copy| copy.attempt == attempt) {
+        if self
+            .copy
+            .as_ref()
+            .is_some_and(|copy| copy.attempt == attempt)
+        {
             return self.copy.take();
         }
         let copy = self.copy.take();
@@ -224,7 +231,12 @@
             service: definition.service.clone(),
             terms: definition.terms,
             chain_ms: chains(&definition.spec.stages, |_, step| step.estimate_ms),
-            run_ms: definition.spec.stages.iter().map(|step| step.estimate_ms).collect(),
+            run_ms: definition
+                .spec
+                .stages
+                .iter()
+                .map(|step| step.estimate_ms)
+                .collect(),
             worth: 1.0,
             definition,
             repeats: BTreeMap::new(),
@@ -241,7 +253,11 @@
     /// Works its chains out anew with what is known of its queue's run times.
     pub fn expect(&mut self, expected_ms: impl Fn(u32, &Step) -> u64) {
         let stages = &self.definition.spec.stages;
-        self.run_ms = stages.iter().enumerate().map(|(n, step)| expected_ms(n as u32, step)).collect();
+        self.run_ms = stages
+            .iter()
+            .enumerate()
+            .map(|(n, step)| expected_ms(n as u32, step))
+            .collect();
         self.chain_ms = chains(stages, expected_ms);
     }
 
@@ -252,7 +268,13 @@
 
     /// How many of its repetitions may be open at a time.
     pub fn repeats_open_max(&self) -> usize {
-        let tasks: usize = self.definition.spec.stages.iter().map(|step| step.count as usize).sum();
+        let tasks: usize = self
+            .definition
+            .spec
+            .stages
+            .iter()
+            .map(|step| step.count as usize)
+            .sum();
         (OPEN_TASKS_MAX / tasks.max(1)).max(1)
     }
 
@@ -281,17 +303,24 @@
 
     /// State of a step.
     pub fn step_state_mut(&mut self, at: StepRef) -> Option<&mut StepState> {
-        self.repeats.get_mut(&at.repeat)?.steps.get_mut(at.step as usize)
+        self.repeats
+            .get_mut(&at.repeat)?
+            .steps
+            .get_mut(at.step as usize)
     }
 
     /// A task.
     pub fn task(&self, name: &TaskName) -> Option<&Task> {
-        self.step_state(StepRef::of(name))?.tasks.get(name.index as usize)
+        self.step_state(StepRef::of(name))?
+            .tasks
+            .get(name.index as usize)
     }
 
     /// A task.
     pub fn task_mut(&mut self, name: &TaskName) -> Option<&mut Task> {
-        self.step_state_mut(StepRef::of(name))?.tasks.get_mut(name.index as usize)
+        self.step_state_mut(StepRef::of(name))?
+            .tasks
+            .get_mut(name.index as usize)
     }
 
     /// All tasks of all repetitions are done.
@@ -305,7 +334,10 @@
             tasks: vec![Task::default(); step.count as usize],
             ..StepState::default()
         };
-        Repeat { due_ms, steps: self.definition.spec.stages.iter().map(fresh).collect() }
+        Repeat {
+            due_ms,
+            steps: self.definition.spec.stages.iter().map(fresh).collect(),
+        }
     }
 
     /// Its runs that are not over, and where they are.
@@ -313,10 +345,22 @@
         let mut outstanding = Vec::new();
         for (&repeat, state) in &self.repeats {
             for (step, state) in state.steps.iter().enumerate() {
-                let at = StepRef { job: id, repeat, step: step as u32 };
+                let at = StepRef {
+                    job: id,
+                    repeat,
+                    step: step as u32,
+                };
                 for (index, task) in state.tasks.iter().enumerate() {
                     let task_name = at.task(index as u32);
-                    let named = |run: &Run| (RunId { task: task_name, attempt: run.attempt }, run.worker);
+                    let named = |run: &Run| {
+                        (
+                            RunId {
+                                task: task_name,
+                                attempt: run.attempt,
+                            },
+                            run.worker,
+                        )
+                    };
                     outstanding.extend(task.runs().map(named));
                 }
             }
@@ -328,29 +372,52 @@
     /// earns, then by when it has to start for the job's objective to be met.
     pub fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
         let lasts = self.step(at.step).is_some_and(|step| step.long_running);
-        let (prospect, latest_start_ms) =
-            if lasts { self.lasting_prospect(at) } else { self.ending_prospect(at, now_ms) };
+        let (prospect, latest_start_ms) = if lasts {
+            self.lasting_prospect(at)
+        } else {
+            self.ending_prospect(at, now_ms)
+        };
         let hopeless = prospect == Prospect::Hopeless;
-        let cost_class = if lasts { i16::MIN } else { cost_class(self.work_left(at), self.worth, prospect) };
+        let cost_class = if lasts {
+            i16::MIN
+        } else {
+            cost_class(self.work_left(at), self.worth, prospect)
+        };
         let priority = self.terms.priority;
-        QueueKey { hopeless, priority, cost_class, prospect, latest_start_ms, at }
+        QueueKey {
+            hopeless,
+            priority,
+            cost_class,
+            prospect,
+            latest_start_ms,
+            at,
+        }
     }
 
     /// A step that lasts earns as long as it runs: however late it is, it is worth its place, from when it last began
     /// to wait.
     fn lasting_prospect(&self, at: StepRef) -> (Prospect, i64) {
-        let waiting_since_ms = self.step_state(at).map_or(0, |state| state.waiting_since_ms);
+        let waiting_since_ms = self
+            .step_state(at)
+            .map_or(0, |state| state.waiting_since_ms);
         let target_ms = self.terms.target_latency_ms.min(OBJECTIVE_MAX_MS);
-        (Prospect::InTime, waiting_since_ms.saturating_add(target_ms) as i64)
+        (
+            Prospect::InTime,
+            waiting_since_ms.saturating_add(target_ms) as i64,
+        )
     }
 
     fn ending_prospect(&self, at: StepRef, now_ms: u64) -> (Prospect, i64) {
-        let due_ms = self.repeats.get(&at.repeat).map_or(0, |repeat| repeat.due_ms);
+        let due_ms = self
+            .repeats
+            .get(&at.repeat)
+            .map_or(0, |repeat| repeat.due_ms);
         let chain = self.chain_ms.get(at.step as usize).copied().unwrap_or(0) as i64;
         let objective_ms = self.objective_ms().min(OBJECTIVE_MAX_MS) as i64;
         let latest_start_ms = due_ms.saturating_add(objective_ms).saturating_sub(chain);
-        let hopeless_ms =
-            due_ms.saturating_add(objective_ms.saturating_mul(LATE_FACTOR)).saturating_sub(chain);
+        let hopeless_ms = due_ms
+            .saturating_add(objective_ms.saturating_mul(LATE_FACTOR))
+            .saturating_sub(chain);
         let prospect = match now_ms as i64 {
             now if now <= latest_start_ms => Prospect::InTime,
             now if now <= hopeless_ms => Prospect::Late,
@@ -368,7 +435,11 @@
 
     /// All its tasks are done and no run is outstanding.
     pub fn is_over(&self) -> bool {
-        self.is_done() && self.steps.iter().all(|step| step.tasks.iter().all(|task| task.run.is_none()))
+        self.is_done()
+            && self
+                .steps
+                .iter()
+                .all(|step| step.tasks.iter().all(|task| task.run.is_none()))
     }
 }
 
@@ -389,11 +460,19 @@
 
 /// Longest chain of work from each step to the end; `expected_ms` tells the run time of a step's tasks.
 fn chains(steps: &[Step], expected_ms: impl Fn(u32, &Step) -> u64) -> Vec<u64> {
-    let own: Vec<u64> = steps.iter().enumerate().map(|(n, step)| expected_ms(n as u32, step)).collect();
+    let own: Vec<u64> = steps
+        .iter()
+        .enumerate()
+        .map(|(n, step)| expected_ms(n as u32, step))
+        .collect();
     let mut chain = own.clone();
     for step in (0..steps.len()).rev() {
         for &before in &steps[step].depends_on {
-            let through = own.get(before as usize).copied().unwrap_or(0).saturating_add(chain[step]);
+            let through = own
+                .get(before as usize)
+                .copied()
+                .unwrap_or(0)
+                .saturating_add(chain[step]);
             if let Some(longest) = chain.get_mut(before as usize) {
                 *longest = (*longest).max(through);
             }
--- a/crates/scheduler/src/life_rows.rs
+++ b/crates/scheduler/src/life_rows.rs
@@ -19,11 +19,15 @@
 impl Scheduler {
     /// A life is known to be on this machine: that is written, once.
     pub(crate) fn keep_life(&mut self, id: WorkerId, node_name: &str) {
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         if worker.kept_at.as_deref() != Some(node_name) {
             worker.kept_at = Some(node_name.to_owned());
             let instance = worker.instance.clone();
-            self.outbox.lives.insert(instance, Some(node_name.to_owned()));
+            self.outbox
+                .lives
+                .insert(instance, Some(node_name.to_owned()));
         }
     }
 
--- a/crates/scheduler/src/need.rs
+++ b/crates/scheduler/src/need.rs
@@ -94,7 +94,12 @@
 
     /// Whether a worker is to be considered in this scope.
     pub fn considers(
-        &self, scope: Scope, worker: &Worker, far_x: f64, failed_there: bool, now_ms: u64,
+        &self,
+        scope: Scope,
+        worker: &Worker,
+        far_x: f64,
+        failed_there: bool,
+        now_ms: u64,
     ) -> bool {
         let standing = worker.health.standing(now_ms);
         let any = self.waited_ms >= ANY_WORKER_MS;
@@ -114,7 +119,8 @@
             }
             Scope::Allowed => {
                 let rack_ms = (self.estimate_ms as f64 * (far_x - 1.0)) as u64;
-                let waited = self.reach == Reach::Away && self.waited_ms >= rack_ms.min(RACK_WAIT_MAX_MS);
+                let waited =
+                    self.reach == Reach::Away && self.waited_ms >= rack_ms.min(RACK_WAIT_MAX_MS);
                 let placed_well = waited || self.near(worker);
                 sound && placed_well && (!failed_there || self.waited_ms >= FAILED_THERE_MS)
             }
@@ -124,5 +130,9 @@
 
 /// These resources `count` times.
 pub(crate) fn times(resources: &Resources, count: u64) -> Resources {
-    Resources { cpu: resources.cpu * count, mem_mb: resources.mem_mb * count, gpu: resources.gpu * count }
+    Resources {
+        cpu: resources.cpu * count,
+        mem_mb: resources.mem_mb * count,
+        gpu: resources.gpu * count,
+    }
 }
--- a/crates/scheduler/src/order.rs
+++ b/crates/scheduler/src/order.rs
@@ -64,17 +64,31 @@
     /// All its work, in core-milliseconds.
     fn work(&self) -> f64 {
         let steps = self.definition.spec.stages.iter().zip(&self.run_ms);
-        steps.map(|(step, run_ms)| work_of(step, step.count as usize, *run_ms)).sum()
+        steps
+            .map(|(step, run_ms)| work_of(step, step.count as usize, *run_ms))
+            .sum()
     }
 
     /// Work of this step that waits and of the steps behind it, in core-milliseconds.
     pub(crate) fn work_left(&self, at: StepRef) -> f64 {
-        let Some(repeat) = self.repeats.get(&at.repeat) else { return 0.0 };
-        let steps = self.definition.spec.stages.iter().zip(&repeat.steps).zip(&self.run_ms);
+        let Some(repeat) = self.repeats.get(&at.repeat) else {
+            return 0.0;
+        };
+        let steps = self
+            .definition
+            .spec
+            .stages
+            .iter()
+            .zip(&repeat.steps)
+            .zip(&self.run_ms);
         let from_here = steps.enumerate().skip(at.step as usize);
         let left = from_here.map(|(number, ((step, state), run_ms))| {
             let not_done = state.tasks.len() - state.done as usize;
-            let tasks = if number == at.step as usize { state.waiting.len() } else { not_done };
+            let tasks = if number == at.step as usize {
+                state.waiting.len()
+            } else {
+                not_done
+            };
             work_of(step, tasks, *run_ms)
         });
         left.sum()
@@ -84,7 +98,9 @@
 impl Scheduler {
     /// Works out what a job is worth against the others of its queue.
     pub(crate) fn appraise(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let (work, route) = (job.work(), job.definition.route.clone());
         let worth = self.mean_work.entry(route).or_default().appraise(work);
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -98,16 +114,23 @@
         let names: Vec<String> = self.services.keys().cloned().collect();
         for name in names {
             let steps = self.services[&name].queue.iter().take(REORDERED_MAX);
-            let keys = steps.filter_map(|key| Some(self.jobs.get(&key.at.job)?.queue_key(key.at, now_ms)));
+            let keys =
+                steps.filter_map(|key| Some(self.jobs.get(&key.at.job)?.queue_key(key.at, now_ms)));
             let keys: Vec<QueueKey> = keys.collect();
             keys.into_iter().for_each(|key| self.requeue(&name, key));
         }
     }
 
     fn requeue(&mut self, service: &str, key: QueueKey) {
-        let Some(job) = self.jobs.get_mut(&key.at.job) else { return };
-        let Some(state) = job.step_state_mut(key.at) else { return };
-        let Some(before) = state.queued.replace(key).filter(|before| *before != key) else { return };
+        let Some(job) = self.jobs.get_mut(&key.at.job) else {
+            return;
+        };
+        let Some(state) = job.step_state_mut(key.at) else {
+            return;
+        };
+        let Some(before) = state.queued.replace(key).filter(|before| *before != key) else {
+            return;
+        };
         let queue = &mut self.service(service).queue;
         queue.remove(&before);
         queue.insert(key);
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -62,7 +62,11 @@
 
     /// The newest write, including the present one if something has changed.
     pub fn newest_write(&self) -> WriteId {
-        if self.has_changes() { self.present_write() } else { WriteId(self.issued) }
+        if self.has_changes() {
+            self.present_write()
+        } else {
+            WriteId(self.issued)
+        }
     }
 
     /// Whether the present event has changed a row.
@@ -100,7 +104,10 @@
     /// What need not wait any longer, in the order of its writes.
     pub fn released(&mut self) -> Vec<Deferred> {
         let waiting = self.deferred.split_off(&WriteId(self.committed + 1));
-        std::mem::replace(&mut self.deferred, waiting).into_values().flatten().collect()
+        std::mem::replace(&mut self.deferred, waiting)
+            .into_values()
+            .flatten()
+            .collect()
     }
 
     /// Drops replies to a caller that is gone.
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -13,7 +13,13 @@
 
 impl Scheduler {
     /// A run is over. Only `done` gives a sample of speed, and only if the run did the whole work.
-    pub(crate) fn note_outcome(&mut self, task: &TaskName, run: &Run, over: Over, traits: &StepTraits) {
+    pub(crate) fn note_outcome(
+        &mut self,
+        task: &TaskName,
+        run: &Run,
+        over: Over,
+        traits: &StepTraits,
+    ) {
         match over {
             Over::Ended(RunEnd::Done) if !traits.long_running => self.note_done(run, traits),
             Over::Ended(RunEnd::Failed) => self.note_failed(task, run, traits),
@@ -38,13 +44,17 @@
 
     fn note_failed(&mut self, task: &TaskName, run: &Run, traits: &StepTraits) {
         let now_ms = self.now_ms;
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         let elsewhere = job.failed_on.iter().any(|other| *other != run.worker);
         if job.failed_on.len() < FAILED_ON_MAX && !job.failed_on.contains(&run.worker) {
             job.failed_on.push(run.worker);
         }
         if let Some(worker) = self.workers.get_mut(run.worker) {
-            worker.health.failed(now_ms, elsewhere || traits.long_running);
+            worker
+                .health
+                .failed(now_ms, elsewhere || traits.long_running);
         }
     }
 }
--- a/crates/scheduler/src/placing.rs
+++ b/crates/scheduler/src/placing.rs
@@ -41,8 +41,12 @@
             return;
         }
         let turn = |s: &ServiceState| (s.dirty || s.regroup) && now_ms >= s.next_pass_ms;
-        let names: Vec<String> =
-            self.services.iter().filter(|(_, s)| turn(s)).map(|(name, _)| name.clone()).collect();
+        let names: Vec<String> = self
+            .services
+            .iter()
+            .filter(|(_, s)| turn(s))
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in names {
             if let Some(service) = self.services.get_mut(&name) {
                 service.dirty = false;
@@ -52,7 +56,11 @@
             }
             self.pass(&name);
             let service = self.service(&name);
-            service.next_pass_ms = if service.queue.is_empty() { now_ms } else { now_ms + BACKLOG_PASS_MS };
+            service.next_pass_ms = if service.queue.is_empty() {
+                now_ms
+            } else {
+                now_ms + BACKLOG_PASS_MS
+            };
         }
     }
 
@@ -60,7 +68,9 @@
     /// Among steps of one priority, room goes first to tasks that run at full speed there: a task away from its data
     /// takes room for several times as long.
     fn pass(&mut self, service: &str) {
-        let Some(state) = self.services.get(service) else { return };
+        let Some(state) = self.services.get(service) else {
+            return;
+        };
         let keys: Vec<QueueKey> = state.queue.iter().take(PASS_STEPS).copied().collect();
         if keys.is_empty() {
             return;
@@ -73,17 +83,25 @@
         };
         self.note_urgent(service, &keys);
         for same in keys.chunk_by(|a, b| (a.hopeless, a.priority) == (b.hopeless, b.priority)) {
-            same.iter().for_each(|key| self.try_step(service, *key, Reach::Near, &mut pass));
-            let left = same.iter().filter(|key| self.has_place(key.at) && self.waits(key.at));
+            same.iter()
+                .for_each(|key| self.try_step(service, *key, Reach::Near, &mut pass));
+            let left = same
+                .iter()
+                .filter(|key| self.has_place(key.at) && self.waits(key.at));
             let left: Vec<QueueKey> = left.copied().collect();
-            left.into_iter().for_each(|key| self.try_step(service, key, Reach::Away, &mut pass));
+            left.into_iter()
+                .for_each(|key| self.try_step(service, key, Reach::Away, &mut pass));
         }
-        self.service(service).reserved.retain(|_, kept| pass.reserved.contains(&kept.step));
+        self.service(service)
+            .reserved
+            .retain(|_, kept| pass.reserved.contains(&kept.step));
     }
 
     /// Tries to place a step's tasks.
     fn try_step(&mut self, service: &str, key: QueueKey, reach: Reach, pass: &mut Pass) {
-        let Some((resources, picky)) = self.demand(key.at) else { return };
+        let Some((resources, picky)) = self.demand(key.at) else {
+            return;
+        };
         let patient = !(pass.spare && self.waits_long(key.at));
         let hidden = patient && pass.blocked.iter().any(|less| resources.holds(less));
         let beyond = hidden || !pass.room.holds(&resources);
@@ -107,7 +125,11 @@
 
     /// What a step waits for that was looked at: others before it, room, or room in the right place.
     fn wait_cause(&self, at: StepRef, hidden: bool, beyond: bool) -> Cause {
-        let gang = self.jobs.get(&at.job).and_then(|job| job.step(at.step)).is_some_and(|step| step.gang);
+        let gang = self
+            .jobs
+            .get(&at.job)
+            .and_then(|job| job.step(at.step))
+            .is_some_and(|step| step.gang);
         if hidden {
             Cause::Turn
         } else if !beyond && (gang || self.has_place(at)) {
@@ -127,14 +149,27 @@
     /// this is none of them.
     pub(crate) fn spares_idle(&mut self, service: &str, resources: &Resources) -> bool {
         let now_ms = self.now_ms;
-        let Some(state) = self.services.get_mut(service) else { return false };
-        let capacities = state.kinds.workers().filter_map(|id| self.workers.get(id)).map(|w| w.capacity);
-        let shares = capacities.filter(|c| c.holds(resources)).map(|c| dominant_share(resources, &c));
-        let whole = shares.min_by(f64::total_cmp).is_some_and(|share| share > HALF);
+        let Some(state) = self.services.get_mut(service) else {
+            return false;
+        };
+        let capacities = state
+            .kinds
+            .workers()
+            .filter_map(|id| self.workers.get(id))
+            .map(|w| w.capacity);
+        let shares = capacities
+            .filter(|c| c.holds(resources))
+            .map(|c| dominant_share(resources, &c));
+        let whole = shares
+            .min_by(f64::total_cmp)
+            .is_some_and(|share| share > HALF);
         if whole {
             state.whole_seen_ms = Some(now_ms);
         }
-        !whole && state.whole_seen_ms.is_some_and(|seen| now_ms < seen + WHOLE_LATELY_MS)
+        !whole
+            && state
+                .whole_seen_ms
+                .is_some_and(|seen| now_ms < seen + WHOLE_LATELY_MS)
     }
 
     /// What a task of the step takes, and whether the step asks for more than room.
@@ -160,33 +195,49 @@
 
     /// The most of each resource that any one worker has free.
     fn largest_room(&self, service: &str) -> Resources {
-        let Some(state) = self.services.get(service) else { return Resources::default() };
+        let Some(state) = self.services.get(service) else {
+            return Resources::default();
+        };
         let ready = state.kinds.workers().filter_map(|id| self.workers.get(id));
-        ready.filter(|worker| worker.takes_starts(self.now_ms)).fold(Resources::default(), |most, worker| {
-            let free = worker.free();
-            Resources {
-                cpu: most.cpu.max(free.cpu),
-                mem_mb: most.mem_mb.max(free.mem_mb),
-                gpu: most.gpu.max(free.gpu),
-            }
-        })
+        ready
+            .filter(|worker| worker.takes_starts(self.now_ms))
+            .fold(Resources::default(), |most, worker| {
+                let free = worker.free();
+                Resources {
+                    cpu: most.cpu.max(free.cpu),
+                    mem_mb: most.mem_mb.max(free.mem_mb),
+                    gpu: most.gpu.max(free.gpu),
+                }
+            })
     }
 
     /// Places as many waiting tasks of a step as there is room for.
     fn place_step(&mut self, service: &str, key: QueueKey, reach: Reach) {
         let at = key.at;
-        let Some(job) = self.jobs.get(&at.job) else { return };
-        let Some(step) = job.step(at.step) else { return };
+        let Some(job) = self.jobs.get(&at.job) else {
+            return;
+        };
+        let Some(step) = job.step(at.step) else {
+            return;
+        };
         if step.gang {
             return self.place_gang(service, at, reach);
         }
-        let Some(state) = job.step_state(at) else { return };
+        let Some(state) = job.step_state(at) else {
+            return;
+        };
         let waiting: Vec<u32> = state.waiting.iter().copied().collect();
-        let Some(mut need) = Need::of(job, at, self.now_ms) else { return };
+        let Some(mut need) = Need::of(job, at, self.now_ms) else {
+            return;
+        };
         need.spares_idle = self.spares_idle(service, &need.resources);
         need.reach = reach;
         let keeps = self.keeps_headroom(service, key);
-        let mut spare = if keeps { self.beyond_headroom(service) } else { f64::INFINITY };
+        let mut spare = if keeps {
+            self.beyond_headroom(service)
+        } else {
+            f64::INFINITY
+        };
         for index in waiting {
             spare -= need.resources.cpu as f64;
             if spare < 0.0 || !self.place_task(service, &mut need, index) {
@@ -197,38 +248,60 @@
 
     fn place_task(&mut self, service: &str, need: &mut Need, index: u32) -> bool {
         let task = need.at.task(index);
-        let Some(entry) = self.jobs.get(&task.job).and_then(|job| job.task(&task)) else { return false };
+        let Some(entry) = self.jobs.get(&task.job).and_then(|job| job.task(&task)) else {
+            return false;
+        };
         let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
-        let choice = [Scope::Preferred, Scope::Allowed].into_iter().find_map(|scope| {
-            let (now_ms, far_x) = (self.now_ms, self.bounds.far_x);
-            let state = self.services.get(service)?;
-            state.kinds.choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
-                worker.takes_starts(now_ms)
-                    && need.permits(id, worker, 0)
-                    && need.considers(scope, worker, far_x, failed_on == Some(id), now_ms)
-                    && state
-                        .reserved
-                        .get(&id)
-                        .is_none_or(|kept| kept_free(kept, need, id, worker, state, now_ms))
-            })
-        });
+        let choice = [Scope::Preferred, Scope::Allowed]
+            .into_iter()
+            .find_map(|scope| {
+                let (now_ms, far_x) = (self.now_ms, self.bounds.far_x);
+                let state = self.services.get(service)?;
+                state
+                    .kinds
+                    .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
+                        worker.takes_starts(now_ms)
+                            && need.permits(id, worker, 0)
+                            && need.considers(scope, worker, far_x, failed_on == Some(id), now_ms)
+                            && state
+                                .reserved
+                                .get(&id)
+                                .is_none_or(|kept| kept_free(kept, need, id, worker, state, now_ms))
+                    })
+            });
         let Some(choice) = choice else { return false };
         if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
             traces.push(state.kinds.trace(task, &choice, &self.workers));
         }
-        let near = self.workers.get(choice.worker).is_some_and(|worker| need.near(worker));
+        let near = self
+            .workers
+            .get(choice.worker)
+            .is_some_and(|worker| need.near(worker));
         let far = if near { 1.0 } else { self.bounds.far_x };
         if need.anti_affinity > 0 {
             *need.on_worker.entry(choice.worker).or_default() += 1;
         }
-        self.place(task, attempt, Placement { worker: choice.worker, bound: choice.bound, far });
+        self.place(
+            task,
+            attempt,
+            Placement {
+                worker: choice.worker,
+                bound: choice.bound,
+                far,
+            },
+        );
         true
     }
 }
 
 /// Whether a task may use a worker that is reserved for another step: it fits beside, or ends before.
 fn kept_free(
-    kept: &Reservation, need: &Need, id: WorkerId, worker: &Worker, state: &ServiceState, now_ms: u64,
+    kept: &Reservation,
+    need: &Need,
+    id: WorkerId,
+    worker: &Worker,
+    state: &ServiceState,
+    now_ms: u64,
 ) -> bool {
     let beside = worker.has_room(&need.resources.plus(&kept.resources));
     let expected_ms = state.kinds.expected_ms(id, &need.class, need.estimate_ms) as u64;
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -49,13 +49,24 @@
             return;
         }
         self.next_preempt_ms = now_ms + PREEMPT_MS;
-        let names: Vec<String> =
-            self.services.iter().filter(|(_, s)| !s.queue.is_empty()).map(|(name, _)| name.clone()).collect();
+        let names: Vec<String> = self
+            .services
+            .iter()
+            .filter(|(_, s)| !s.queue.is_empty())
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in names {
-            let keys: Vec<QueueKey> =
-                self.services[&name].queue.iter().take(STEPS_LOOKED_AT).copied().collect();
+            let keys: Vec<QueueKey> = self.services[&name]
+                .queue
+                .iter()
+                .take(STEPS_LOOKED_AT)
+                .copied()
+                .collect();
             let mut claimed = Claimed::default();
-            for key in keys.into_iter().filter(|key| key.prospect != Prospect::Hopeless) {
+            for key in keys
+                .into_iter()
+                .filter(|key| key.prospect != Prospect::Hopeless)
+            {
                 self.preempt_for(&name, key, &mut claimed);
             }
         }
@@ -64,26 +75,43 @@
     /// Stops runs for a step if it would otherwise be late. Room that is free or on its way goes to the steps in their
     /// order: what those before have `claimed` is not there for this one.
     fn preempt_for(&mut self, service: &str, key: QueueKey, claimed: &mut Claimed) {
-        let Some(job) = self.jobs.get(&key.at.job) else { return };
-        let (Some(step), Some(state)) = (job.step(key.at.step), job.step_state(key.at)) else { return };
+        let Some(job) = self.jobs.get(&key.at.job) else {
+            return;
+        };
+        let (Some(step), Some(state)) = (job.step(key.at.step), job.step_state(key.at)) else {
+            return;
+        };
         let waiting = state.waiting.len() as u32;
         let together = if step.gang { waiting } else { 1 };
-        let Some(need) = Need::of(job, key.at, self.now_ms) else { return };
+        let Some(need) = Need::of(job, key.at, self.now_ms) else {
+            return;
+        };
         let in_time = |free_ms: u64| free_ms as i64 + SLACK_MS <= key.latest_start_ms;
-        if self.outlook(service, &need, together).is_none_or(|outlook| in_time(outlook.free_ms)) {
+        if self
+            .outlook(service, &need, together)
+            .is_none_or(|outlook| in_time(outlook.free_ms))
+        {
             return;
         }
         let victims = self.victims(service, key, &need, (together, waiting), claimed);
-        victims.into_iter().for_each(|victim| self.stop_run(victim.run));
+        victims
+            .into_iter()
+            .for_each(|victim| self.stop_run(victim.run));
     }
 
     /// The cheapest runs that make room for the waiting tasks, at least for as many as `together`; none if that loses
     /// too much, or if room is on its way already.
     fn victims(
-        &self, service: &str, key: QueueKey, need: &Need, (together, waiting): (u32, u32),
+        &self,
+        service: &str,
+        key: QueueKey,
+        need: &Need,
+        (together, waiting): (u32, u32),
         claimed: &mut Claimed,
     ) -> Vec<Victim> {
-        let Some(state) = self.services.get(service) else { return Vec::new() };
+        let Some(state) = self.services.get(service) else {
+            return Vec::new();
+        };
         let workers = state.kinds.workers();
         let mut offers: Vec<(WorkerId, VecDeque<Offer>)> = workers
             .map(|id| {
@@ -97,7 +125,8 @@
                 offers.1.front().map_or(f64::INFINITY, |offer| offer.loss)
             };
             let cheapest = offers.iter_mut().min_by(|a, b| next(a).total_cmp(&next(b)));
-            let Some((id, Some(offer))) = cheapest.map(|(id, offers)| (*id, offers.pop_front())) else {
+            let Some((id, Some(offer))) = cheapest.map(|(id, offers)| (*id, offers.pop_front()))
+            else {
                 break;
             };
             loss += offer.loss;
@@ -119,7 +148,12 @@
 
     /// What a worker asks for making room for one, two, ... tasks: the loss of each further one, and whom it takes.
     fn offers(
-        &self, id: WorkerId, key: QueueKey, need: &Need, count: u32, claimed: &Resources,
+        &self,
+        id: WorkerId,
+        key: QueueKey,
+        need: &Need,
+        count: u32,
+        claimed: &Resources,
     ) -> Vec<Offer> {
         let Some(worker) = self.workers.get(id).filter(|w| w.in_touch(self.now_ms)) else {
             return Vec::new();
@@ -128,17 +162,26 @@
         if !labelled || !worker.capacity.holds(&need.resources) {
             return Vec::new();
         }
-        let mut candidates: Vec<Victim> =
-            worker.runs.iter().filter_map(|task| self.victim(id, *task, key)).collect();
+        let mut candidates: Vec<Victim> = worker
+            .runs
+            .iter()
+            .filter_map(|task| self.victim(id, *task, key))
+            .collect();
         candidates.sort_by(|a, b| per_room(a, need).total_cmp(&per_room(b, need)));
         let mut used = worker.used.minus(&self.leaving(id)).plus(claimed);
         let mut candidates = candidates.into_iter();
         let mut offers = Vec::new();
-        let most = if need.anti_affinity > 0 { count.min(need.anti_affinity) } else { count };
+        let most = if need.anti_affinity > 0 {
+            count.min(need.anti_affinity)
+        } else {
+            count
+        };
         'tasks: for _ in 0..most {
             let mut offer = Offer::default();
             while !worker.capacity.holds(&used.plus(&need.resources)) {
-                let Some(victim) = candidates.next() else { break 'tasks };
+                let Some(victim) = candidates.next() else {
+                    break 'tasks;
+                };
                 used = used.minus(&victim.resources);
                 offer.loss += victim.loss;
                 offer.victims.push(victim);
@@ -151,12 +194,19 @@
 
     /// Room of runs there that are being stopped already.
     fn leaving(&self, id: WorkerId) -> Resources {
-        let Some(worker) = self.workers.get(id) else { return Resources::default() };
+        let Some(worker) = self.workers.get(id) else {
+            return Resources::default();
+        };
         let stopping = worker.runs.iter().filter(|task| {
-            let run = self.jobs.get(&task.job).and_then(|job| job.task(task)?.run_at(id));
+            let run = self
+                .jobs
+                .get(&task.job)
+                .and_then(|job| job.task(task)?.run_at(id));
             run.is_some_and(|run| run.stop.is_some())
         });
-        stopping.fold(Resources::default(), |sum, task| sum.plus(&self.resources(*task)))
+        stopping.fold(Resources::default(), |sum, task| {
+            sum.plus(&self.resources(*task))
+        })
     }
 
     /// The task's run as a victim for a step with this key: of a lower priority, and not being stopped.
@@ -175,8 +225,15 @@
             (false, false) => ran_s,
         };
         let resources = step.resources();
-        let run = RunId { task, attempt: run.attempt };
-        Some(Victim { run, resources, loss: cores(&resources) * lost_s * f64::from(members) })
+        let run = RunId {
+            task,
+            attempt: run.attempt,
+        };
+        Some(Victim {
+            run,
+            resources,
+            loss: cores(&resources) * lost_s * f64::from(members),
+        })
     }
 }
 
@@ -185,9 +242,14 @@
 
 /// Loss for each part of the room wanted that a victim frees.
 fn per_room(victim: &Victim, need: &Need) -> f64 {
-    let part =
-        |freed: u64, wanted: u64| if wanted > 0 { freed.min(wanted) as f64 / wanted as f64 } else { 0.0 };
-    let freed =
-        part(victim.resources.cpu, need.resources.cpu) + part(victim.resources.gpu, need.resources.gpu);
+    let part = |freed: u64, wanted: u64| {
+        if wanted > 0 {
+            freed.min(wanted) as f64 / wanted as f64
+        } else {
+            0.0
+        }
+    };
+    let freed = part(victim.resources.cpu, need.resources.cpu)
+        + part(victim.resources.gpu, need.resources.gpu);
     victim.loss / freed.max(0.001)
 }
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -17,12 +17,21 @@
 impl StepRef {
     /// The step of a task.
     pub fn of(task: &TaskName) -> Self {
-        StepRef { job: task.job, repeat: task.repeat, step: task.step }
+        StepRef {
+            job: task.job,
+            repeat: task.repeat,
+            step: task.step,
+        }
     }
 
     /// A task of the step.
     pub fn task(self, index: u32) -> TaskName {
-        TaskName { job: self.job, repeat: self.repeat, step: self.step, index }
+        TaskName {
+            job: self.job,
+            repeat: self.repeat,
+            step: self.step,
+            index,
+        }
     }
 }
 
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -18,16 +18,27 @@
 impl Scheduler {
     /// A companion reports; it is answered with the orders for its worker.
     pub(crate) fn report(&mut self, companion: CompanionId, report: CompanionReport) {
-        let Some(connection) = self.workers.connection(companion) else { return };
+        let Some(connection) = self.workers.connection(companion) else {
+            return;
+        };
         let node_name = connection.node_name.clone();
         let present = report.instance.as_ref().map(|instance| instance.id.clone());
-        for gone in report.gone.iter().filter(|gone| Some(*gone) != present.as_ref()) {
+        for gone in report
+            .gone
+            .iter()
+            .filter(|gone| Some(*gone) != present.as_ref())
+        {
             if let Some(id) = self.workers.find(gone) {
                 self.life_gone(id);
             }
         }
         let Some(instance) = report.instance else {
-            return self.report_without_life(companion, &node_name, &report.not_started, report.sent_ms);
+            return self.report_without_life(
+                companion,
+                &node_name,
+                &report.not_started,
+                report.sent_ms,
+            );
         };
         let id = self.meet(companion, &node_name, &instance);
         self.give_back(&node_name, &report.not_started);
@@ -40,7 +51,11 @@
 
     /// The companion has no worker at present; a life known there is asked for.
     fn report_without_life(
-        &mut self, companion: CompanionId, node_name: &str, not_started: &[RunId], sent_ms: u64,
+        &mut self,
+        companion: CompanionId,
+        node_name: &str,
+        not_started: &[RunId],
+        sent_ms: u64,
     ) {
         self.give_back(node_name, not_started);
         self.workers.detach(companion);
@@ -57,13 +72,23 @@
     }
 
     /// Enters the life that the companion reports; any other one known at its machine is gone.
-    fn meet(&mut self, companion: CompanionId, node_name: &str, report: &InstanceReport) -> WorkerId {
+    fn meet(
+        &mut self,
+        companion: CompanionId,
+        node_name: &str,
+        report: &InstanceReport,
+    ) -> WorkerId {
         let now_ms = self.now_ms;
         let id = self.workers.life(&report.id, now_ms);
         self.workers.attach(companion, id);
         self.keep_life(id, node_name);
-        self.workers.others_at(node_name, id).into_iter().for_each(|other| self.life_gone(other));
-        let Some(worker) = self.workers.get_mut(id) else { return id };
+        self.workers
+            .others_at(node_name, id)
+            .into_iter()
+            .for_each(|other| self.life_gone(other));
+        let Some(worker) = self.workers.get_mut(id) else {
+            return id;
+        };
         worker.answered_ms = now_ms;
         let before = worker.backend.clone();
         let changed = worker.describe(now_ms, report) | worker.lapsed_ms.take().is_some();
@@ -82,7 +107,9 @@
                 continue;
             };
             let (id, wanted) = (present.worker, present.stop.is_none());
-            let Some(worker) = self.workers.get_mut(id) else { continue };
+            let Some(worker) = self.workers.get_mut(id) else {
+                continue;
+            };
             if worker.node_name.as_deref() != Some(node_name) {
                 continue;
             }
@@ -95,12 +122,20 @@
 
     fn take_running(&mut self, id: WorkerId, instance: &InstanceReport) {
         let in_flight = &instance.in_flight;
-        let strangers: Vec<RunId> = in_flight.iter().copied().filter(|run| !self.heard_of(id, run)).collect();
+        let strangers: Vec<RunId> = in_flight
+            .iter()
+            .copied()
+            .filter(|run| !self.heard_of(id, run))
+            .collect();
         let listed = instance.running.as_ref().map(|running| {
-            let strange = running.iter().filter(|listed| !self.take_listed(id, listed));
+            let strange = running
+                .iter()
+                .filter(|listed| !self.take_listed(id, listed));
             strange.map(|listed| listed.run).collect::<Vec<RunId>>()
         });
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         worker.strangers_in_flight = strangers;
         if let Some(listed) = listed {
             worker.strangers = listed;
@@ -110,13 +145,17 @@
     /// A start in flight is known; `false` if it is not outstanding there.
     fn heard_of(&mut self, id: WorkerId, run: &RunId) -> bool {
         let now_ms = self.now_ms;
-        self.run_on(run, id).map(|run| run.listed_ms = now_ms).is_some()
+        self.run_on(run, id)
+            .map(|run| run.listed_ms = now_ms)
+            .is_some()
     }
 
     /// Takes in the state of a run at work; `false` if it is not outstanding there.
     fn take_listed(&mut self, id: WorkerId, listed: &RunningRun) -> bool {
         let now_ms = self.now_ms;
-        let Some(run) = self.run_on(&listed.run, id) else { return false };
+        let Some(run) = self.run_on(&listed.run, id) else {
+            return false;
+        };
         run.listed_ms = now_ms;
         run.began_ms.get_or_insert(now_ms);
         if run.percent != listed.percent {
@@ -129,7 +168,9 @@
     }
 
     fn take_ends(&mut self, id: WorkerId, finished: &[FinishedRun]) {
-        let Some(taken) = self.workers.get(id).map(|worker| worker.taken_end) else { return };
+        let Some(taken) = self.workers.get(id).map(|worker| worker.taken_end) else {
+            return;
+        };
         let mut newest = taken;
         for end in finished.iter().filter(|end| end.number > taken) {
             newest = newest.max(end.number);
@@ -139,7 +180,10 @@
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.taken_end = newest;
             }
-            self.outbox.defer(self.outbox.newest_write(), Deferred::Acknowledge(id, newest));
+            self.outbox.defer(
+                self.outbox.newest_write(),
+                Deferred::Acknowledge(id, newest),
+            );
         }
     }
 
@@ -162,20 +206,34 @@
 
     /// After the first full report on a connection: orders that may have been lost are sent again.
     fn catch_up(&mut self, companion: CompanionId, id: WorkerId, instance: &InstanceReport) {
-        let Some(running) = &instance.running else { return };
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(running) = &instance.running else {
+            return;
+        };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         let first = !std::mem::replace(&mut worker.in_full, true);
         let tasks = worker.runs.clone();
-        let present: FxHashSet<RunId> =
-            running.iter().map(|listed| listed.run).chain(instance.in_flight.iter().copied()).collect();
+        let present: FxHashSet<RunId> = running
+            .iter()
+            .map(|listed| listed.run)
+            .chain(instance.in_flight.iter().copied())
+            .collect();
         let now_ms = self.now_ms;
         for task in tasks {
-            let Some(job) = self.jobs.get(&task.job) else { continue };
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
             let ended = job.end.is_some();
             let done = job.task(&task).is_some_and(|task| task.done);
             let copy = done && job.step(task.step).is_some_and(|step| !step.gang);
-            let Some(run) = self.run_at(id, &task).filter(|run| run.sent) else { continue };
-            let order = RunId { task, attempt: run.attempt };
+            let Some(run) = self.run_at(id, &task).filter(|run| run.sent) else {
+                continue;
+            };
+            let order = RunId {
+                task,
+                attempt: run.attempt,
+            };
             let stop = run.stop;
             match stop {
                 Some(stop) if stop.sent_to != Some(companion) => self.send_stop(order),
@@ -198,7 +256,9 @@
 
     /// Runs that must not be there are stopped; until they are over the worker gets no starts.
     fn stop_strangers(&mut self, id: WorkerId, sent_ms: u64, lists: bool) {
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         let mut stop: Vec<RunId> = worker.strangers_in_flight.clone();
         if lists {
             stop.extend(worker.strangers.iter().copied());
--- a/crates/scheduler/src/reservation.rs
+++ b/crates/scheduler/src/reservation.rs
@@ -58,24 +58,35 @@
     /// Whether only about half of the service is in use, or less, by the resource used most or by its cores: then no
     /// step may wait long where there is room for it.
     pub(crate) fn has_spare(&self, service: &str) -> bool {
-        let Some(state) = self.services.get(service) else { return false };
+        let Some(state) = self.services.get(service) else {
+            return false;
+        };
         let workers = state.kinds.workers().filter_map(|id| self.workers.get(id));
-        let (used, all) = workers.fold((0, 0), |(used, all), w| (used + w.used.cpu, all + w.capacity.cpu));
-        (used as f64) < IDLE_LOAD * all as f64 || state.kinds.measured_load(&self.workers) < IDLE_LOAD
+        let (used, all) = workers.fold((0, 0), |(used, all), w| {
+            (used + w.used.cpu, all + w.capacity.cpu)
+        });
+        (used as f64) < IDLE_LOAD * all as f64
+            || state.kinds.measured_load(&self.workers) < IDLE_LOAD
     }
 
     /// Keeps workers for a step that does not fit now; returns whether it keeps some.
     pub(crate) fn reserve(&mut self, service: &str, key: QueueKey) -> bool {
         let now_ms = self.now_ms;
-        let Some(state) = self.services.get(service) else { return false };
+        let Some(state) = self.services.get(service) else {
+            return false;
+        };
         let holds = state.reserved.values().any(|kept| kept.step == key.at);
         if holds && now_ms < state.next_reserve_ms {
             return true;
         }
-        let Some((need, members)) = self.large_need(service, key.at) else { return false };
+        let Some((need, members)) = self.large_need(service, key.at) else {
+            return false;
+        };
         let outlook = self.outlook(service, &need, members);
         let spare = self.has_spare(service);
-        let Some(state) = self.services.get_mut(service) else { return false };
+        let Some(state) = self.services.get_mut(service) else {
+            return false;
+        };
         state.next_reserve_ms = now_ms + RESERVE_MS;
         state.reserved.retain(|_, kept| kept.step != key.at);
         let Some(outlook) = outlook else { return false };
@@ -98,11 +109,20 @@
         let job = self.jobs.get(&at.job)?;
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
         let need = Need::of(job, at, self.now_ms)?;
-        let workers = self.services.get(service)?.kinds.workers().filter_map(|id| self.workers.get(id));
+        let workers = self
+            .services
+            .get(service)?
+            .kinds
+            .workers()
+            .filter_map(|id| self.workers.get(id));
         let fitting = workers.filter(|worker| worker.capacity.holds(&need.resources));
         let share = |worker: &Worker| dominant_share(&need.resources, &worker.capacity);
         let share = fitting.map(share).min_by(f64::total_cmp)?;
-        let members = if step.gang { state.tasks.len() as u32 } else { 1 };
+        let members = if step.gang {
+            state.tasks.len() as u32
+        } else {
+            1
+        };
         (step.gang || share >= LARGE_SHARE).then_some((need, members))
     }
 
@@ -110,27 +130,43 @@
     /// that and it does not take too long.
     pub(crate) fn outlook(&self, service: &str, need: &Need, members: u32) -> Option<Outlook> {
         let anywhere = self.outlook_in(service, need, members, None)?;
-        let rack_local =
-            self.jobs.get(&need.at.job).and_then(|job| job.step(need.at.step)).is_some_and(|s| s.rack_local);
+        let rack_local = self
+            .jobs
+            .get(&need.at.job)
+            .and_then(|job| job.step(need.at.step))
+            .is_some_and(|s| s.rack_local);
         if !rack_local {
             return Some(anywhere);
         }
         let ids = self.services.get(service)?.kinds.workers();
         let racks: BTreeSet<&str> = ids.filter_map(|id| self.workers.get(id)?.rack()).collect();
-        let of_racks =
-            racks.into_iter().filter_map(|rack| self.outlook_in(service, need, members, Some(rack)));
+        let of_racks = racks
+            .into_iter()
+            .filter_map(|rack| self.outlook_in(service, need, members, Some(rack)));
         let best = of_racks.min_by_key(|outlook| outlook.free_ms);
         let loss_ms = (need.estimate_ms as f64 * (self.bounds.far_x - 1.0)) as u64;
-        Some(best.filter(|rack| rack.free_ms <= anywhere.free_ms + loss_ms).unwrap_or(anywhere))
+        Some(
+            best.filter(|rack| rack.free_ms <= anywhere.free_ms + loss_ms)
+                .unwrap_or(anywhere),
+        )
     }
 
-    fn outlook_in(&self, service: &str, need: &Need, members: u32, rack: Option<&str>) -> Option<Outlook> {
+    fn outlook_in(
+        &self,
+        service: &str,
+        need: &Need,
+        members: u32,
+        rack: Option<&str>,
+    ) -> Option<Outlook> {
         let state = self.services.get(service)?;
         let mut rooms: Vec<(u64, WorkerId)> = Vec::new();
         for id in state.kinds.workers() {
-            let Some(worker) = self.workers.get(id) else { continue };
+            let Some(worker) = self.workers.get(id) else {
+                continue;
+            };
             let kept = state.reserved.get(&id);
-            let other = kept.is_some_and(|kept| kept.step != need.at && kept.priority <= need.priority);
+            let other =
+                kept.is_some_and(|kept| kept.step != need.at && kept.priority <= need.priority);
             let elsewhere = rack.is_some_and(|rack| worker.rack() != Some(rack));
             if other || elsewhere || !worker.in_touch(self.now_ms) {
                 continue;
@@ -143,7 +179,9 @@
         rooms.truncate(members as usize);
         let free_ms = rooms.last().filter(|_| rooms.len() == members as usize)?.0;
         let mut tasks = FxHashMap::default();
-        rooms.into_iter().for_each(|(_, id)| *tasks.entry(id).or_default() += 1);
+        rooms
+            .into_iter()
+            .for_each(|(_, id)| *tasks.entry(id).or_default() += 1);
         Some(Outlook { free_ms, tasks })
     }
 
@@ -156,17 +194,28 @@
         let mut ends: Vec<(u64, Resources)> = worker
             .runs
             .iter()
-            .map(|task| (self.now_ms + self.remaining_ms(id, task), self.resources(*task)))
+            .map(|task| {
+                (
+                    self.now_ms + self.remaining_ms(id, task),
+                    self.resources(*task),
+                )
+            })
             .collect();
         ends.sort_unstable_by_key(|(at, _)| *at);
         let mut ends = ends.into_iter();
         let (mut used, mut at_ms) = (worker.used, self.now_ms);
         let mut free = Vec::new();
-        let most = if need.anti_affinity > 0 { members.min(need.anti_affinity) } else { members };
+        let most = if need.anti_affinity > 0 {
+            members.min(need.anti_affinity)
+        } else {
+            members
+        };
         for count in 1..=u64::from(most) {
             let wanted = times(&need.resources, count);
             while !worker.capacity.holds(&used.plus(&wanted)) {
-                let Some((end_ms, freed)) = ends.next() else { return free };
+                let Some((end_ms, freed)) = ends.next() else {
+                    return free;
+                };
                 (at_ms, used) = (at_ms.max(end_ms), used.minus(&freed));
             }
             free.push(at_ms);
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -55,7 +55,9 @@
         if let Some(digits) = key.strip_prefix(JOB_PREFIX) {
             return id(digits).map(RowKey::Job);
         }
-        key.strip_prefix(PROGRESS_PREFIX).and_then(id).map(RowKey::Progress)
+        key.strip_prefix(PROGRESS_PREFIX)
+            .and_then(id)
+            .map(RowKey::Progress)
     }
 }
 
@@ -89,7 +91,11 @@
     /// All tasks are done and no run is outstanding.
     Done,
     /// Anything else.
-    Open { gang_failures: u32, gang_failed_attempt: u32, tasks: Vec<TaskRow> },
+    Open {
+        gang_failures: u32,
+        gang_failed_attempt: u32,
+        tasks: Vec<TaskRow>,
+    },
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -114,11 +120,19 @@
     for (&number, repeat) in &job.repeats {
         let stages = job.definition.spec.stages.iter();
         let steps = repeat.steps.iter().zip(stages);
-        let steps = steps.map(|(step, stage)| step_row(step, stage.gang, workers, &mut instances)).collect();
+        let steps = steps
+            .map(|(step, stage)| step_row(step, stage.gang, workers, &mut instances))
+            .collect();
         repeats.push((number, steps));
     }
     let (end, next_repeat, copies) = (job.end, job.next_repeat, copy_rows(job, workers));
-    let progress = Progress { end, next_repeat, instances, repeats, copies };
+    let progress = Progress {
+        end,
+        next_repeat,
+        instances,
+        repeats,
+        copies,
+    };
     let row = postcard::to_allocvec(&progress).unwrap_or_default();
     if progress.copies.is_empty() {
         return row;
@@ -130,26 +144,43 @@
     let mut rows = Vec::new();
     for (&repeat, state) in &job.repeats {
         for (step, state) in state.steps.iter().enumerate() {
-            let copies =
-                state.tasks.iter().enumerate().filter_map(|(n, task)| Some((n, task.copy.as_ref()?)));
-            rows.extend(copies.map(|(index, copy)| CopyRow {
-                repeat,
-                step: step as u32,
-                index: index as u32,
-                instance: workers.get(copy.worker).map_or_else(String::new, |w| w.instance.clone()),
-                attempt: copy.attempt,
+            let copies = state
+                .tasks
+                .iter()
+                .enumerate()
+                .filter_map(|(n, task)| Some((n, task.copy.as_ref()?)));
+            rows.extend(copies.map(|(index, copy)| {
+                CopyRow {
+                    repeat,
+                    step: step as u32,
+                    index: index as u32,
+                    instance: workers
+                        .get(copy.worker)
+                        .map_or_else(String::new, |w| w.instance.clone()),
+                    attempt: copy.attempt,
+                }
             }));
         }
     }
     rows
 }
 
-fn step_row(step: &StepState, gang: bool, workers: &Workers, instances: &mut Vec<String>) -> StepRow {
+fn step_row(
+    step: &StepState,
+    gang: bool,
+    workers: &Workers,
+    instances: &mut Vec<String>,
+) -> StepRow {
     let idle = step.tasks.iter().all(|task| task.run.is_none());
     if idle && step.is_done() {
         return StepRow::Done;
     }
-    if idle && step.tasks.iter().all(|task| task.last_attempt == 0 && !task.done) {
+    if idle
+        && step
+            .tasks
+            .iter()
+            .all(|task| task.last_attempt == 0 && !task.done)
+    {
         return StepRow::Fresh;
     }
     let mut number = |worker: WorkerId| {
@@ -160,13 +191,26 @@
             instances.len() - 1
         }) as u32
     };
-    let saved = |task: &Task| if gang { step.gang_saved.clone() } else { task.saved.clone() };
+    let saved = |task: &Task| {
+        if gang {
+            step.gang_saved.clone()
+        } else {
+            task.saved.clone()
+        }
+    };
     let row = |task: &Task| TaskRow {
         last_attempt: task.last_attempt,
         failures: task.failures,
         done: task.done,
-        saved: if task.done { String::new() } else { saved(task) },
-        run: task.run.as_ref().map(|run| (number(run.worker), run.attempt)),
+        saved: if task.done {
+            String::new()
+        } else {
+            saved(task)
+        },
+        run: task
+            .run
+            .as_ref()
+            .map(|run| (number(run.worker), run.attempt)),
     };
     StepRow::Open {
         gang_failures: step.gang_failures,
@@ -195,21 +239,32 @@
 }
 
 fn unreadable(key: &[u8], source: postcard::Error) -> RowError {
-    RowError::Value { key: String::from_utf8_lossy(key).into_owned(), source }
+    RowError::Value {
+        key: String::from_utf8_lossy(key).into_owned(),
+        source,
+    }
 }
 
 impl Progress {
     /// The job as it was when its rows were written. Runs of lives that `workers` does not know are entered there.
     /// `due_ms` gives the steady clock's reading at which a repetition was due.
     pub fn restore(
-        self, definition: Definition, workers: &mut Workers, now_ms: u64, due_ms: impl Fn(&Job, u32) -> i64,
+        self,
+        definition: Definition,
+        workers: &mut Workers,
+        now_ms: u64,
+        due_ms: impl Fn(&Job, u32) -> i64,
     ) -> Job {
         let mut job = Job::new(definition);
         job.end = self.end;
         job.next_repeat = self.next_repeat;
         job.started = self.next_repeat as usize > self.repeats.len();
         job.last_write = WriteId(0);
-        let lives: Vec<WorkerId> = self.instances.iter().map(|name| workers.life(name, now_ms)).collect();
+        let lives: Vec<WorkerId> = self
+            .instances
+            .iter()
+            .map(|name| workers.life(name, now_ms))
+            .collect();
         let mut repeats = BTreeMap::new();
         for (number, rows) in self.repeats {
             let mut repeat = job.fresh_repeat(due_ms(&job, number));
@@ -222,8 +277,15 @@
         job.repeats = repeats;
         for copy in self.copies {
             let worker = workers.life(&copy.instance, now_ms);
-            let at = StepRef { job: JobId(0), repeat: copy.repeat, step: copy.step };
-            if let Some(task) = job.task_mut(&at.task(copy.index)).filter(|task| task.run.is_some()) {
+            let at = StepRef {
+                job: JobId(0),
+                repeat: copy.repeat,
+                step: copy.step,
+            };
+            if let Some(task) = job
+                .task_mut(&at.task(copy.index))
+                .filter(|task| task.run.is_some())
+            {
                 task.copy = Some(Run::restored(worker, copy.attempt, now_ms));
                 job.outstanding += 1;
             }
@@ -240,10 +302,16 @@
             task.done = true;
             task.last_attempt = 1;
         }),
-        StepRow::Open { gang_failures, gang_failed_attempt, tasks } => {
+        StepRow::Open {
+            gang_failures,
+            gang_failed_attempt,
+            tasks,
+        } => {
             (state.gang_failures, state.gang_failed_attempt) = (gang_failures, gang_failed_attempt);
             for (task, row) in state.tasks.iter_mut().zip(tasks) {
-                let run = row.run.and_then(|(life, attempt)| Some((*lives.get(life as usize)?, attempt)));
+                let run = row
+                    .run
+                    .and_then(|(life, attempt)| Some((*lives.get(life as usize)?, attempt)));
                 *task = Task {
                     last_attempt: row.last_attempt,
                     failures: row.failures,
@@ -257,7 +325,13 @@
         }
     }
     // A gang's members all have the same text, except in rows of earlier versions; then any of them serves.
-    state.gang_saved = state.tasks.iter().map(|task| &task.saved).max().cloned().unwrap_or_default();
+    state.gang_saved = state
+        .tasks
+        .iter()
+        .map(|task| &task.saved)
+        .max()
+        .cloned()
+        .unwrap_or_default();
     state.done = state.tasks.iter().filter(|task| task.done).count() as u32;
     state.tasks.iter().filter(|task| task.run.is_some()).count() as u32
 }
