--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -63,7 +63,10 @@
 
     /// A run that is not over.
     pub(crate) fn run_mut(&mut self, run: &RunId) -> Option<&mut Run> {
-        self.jobs.get_mut(&run.task.job)?.task_mut(&run.task)?.run_mut(run.attempt)
+        self.jobs
+            .get_mut(&run.task.job)?
+            .task_mut(&run.task)?
+            .run_mut(run.attempt)
     }
 
     /// The task's run on this worker.
@@ -74,16 +77,28 @@
     /// Places a waiting task, or a copy of one that runs; its order leaves once this is committed.
     pub(crate) fn place(&mut self, task: TaskName, attempt: u32, placement: Placement) {
         let (id, now_ms) = (task.job, self.now_ms);
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(resources) = job.step(task.step).map(|step| step.resources()) else { return };
-        let Some(state) = job.step_state_mut(StepRef::of(&task)) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let Some(resources) = job.step(task.step).map(|step| step.resources()) else {
+            return;
+        };
+        let Some(state) = job.step_state_mut(StepRef::of(&task)) else {
+            return;
+        };
         if state.waiting.remove(&task.index) {
             state.end_wait(task.index, now_ms);
         }
-        let Some(entry) = state.tasks.get_mut(task.index as usize) else { return };
+        let Some(entry) = state.tasks.get_mut(task.index as usize) else {
+            return;
+        };
         entry.last_attempt = attempt;
         let resumed = !entry.saved.is_empty();
-        let place = if entry.run.is_none() { &mut entry.run } else { &mut entry.copy };
+        let place = if entry.run.is_none() {
+            &mut entry.run
+        } else {
+            &mut entry.copy
+        };
         *place = Some(Run {
             attempt,
             worker: placement.worker,
@@ -109,18 +124,28 @@
             self.no_longer_pending(id);
         }
         self.mark(id);
-        self.outbox.defer(self.outbox.present_write(), Deferred::Start(RunId { task, attempt }));
+        self.outbox.defer(
+            self.outbox.present_write(),
+            Deferred::Start(RunId { task, attempt }),
+        );
     }
 
     /// The run's placement is committed: its order leaves, unless it is not wanted any more or its worker cannot be
     /// reached; then it never started.
     pub(crate) fn send_start(&mut self, run: RunId) {
         let now_ms = self.now_ms;
-        let ended = self.jobs.get(&run.task.job).is_none_or(|job| job.end.is_some());
-        let Some(present) = self.run_mut(&run).filter(|present| !present.sent) else { return };
+        let ended = self
+            .jobs
+            .get(&run.task.job)
+            .is_none_or(|job| job.end.is_some());
+        let Some(present) = self.run_mut(&run).filter(|present| !present.sent) else {
+            return;
+        };
         let (worker, stopped) = (present.worker, present.stop.is_some());
-        let reachable =
-            self.workers.get(worker).is_some_and(|worker| worker.companion.is_some() && worker.in_full);
+        let reachable = self
+            .workers
+            .get(worker)
+            .is_some_and(|worker| worker.companion.is_some() && worker.in_full);
         if !reachable || stopped || ended {
             return self.run_over(run, Over::NotStarted, "");
         }
@@ -132,63 +157,100 @@
 
     /// Sends (again) the order of a run whose placement is committed.
     pub(crate) fn order_start(&mut self, run: RunId) {
-        let Some(worker) = self.run_mut(&run).map(|run| run.worker) else { return };
-        let Some(job) = self.jobs.get(&run.task.job) else { return };
-        let (Some(step), Some(task)) = (job.step(run.task.step), job.task(&run.task)) else { return };
+        let Some(worker) = self.run_mut(&run).map(|run| run.worker) else {
+            return;
+        };
+        let Some(job) = self.jobs.get(&run.task.job) else {
+            return;
+        };
+        let (Some(step), Some(task)) = (job.step(run.task.step), job.task(&run.task)) else {
+            return;
+        };
         if task.done || job.end.is_some() {
             return;
         }
         let (resources, saved) = (step.resources(), task.saved.clone());
-        let order = StartOrder { run, resources, spec: job.definition.spec.spec.clone(), saved };
+        let order = StartOrder {
+            run,
+            resources,
+            spec: job.definition.spec.spec.clone(),
+            saved,
+        };
         self.outbox.orders_for(worker).start.push(order);
     }
 
     /// Stops a run at once, and with a gang's member all others. A run whose order has not left is over with that.
     pub(crate) fn stop_run(&mut self, run: RunId) {
         let at = StepRef::of(&run.task);
-        let Some(job) = self.jobs.get(&at.job) else { return };
+        let Some(job) = self.jobs.get(&at.job) else {
+            return;
+        };
         if !job.step(at.step).is_some_and(|step| step.gang) {
             return self.stop_one(run);
         }
-        let members = job.step_state(at).map_or(0, |state| state.tasks.len() as u32);
+        let members = job
+            .step_state(at)
+            .map_or(0, |state| state.tasks.len() as u32);
         (0..members).for_each(|index| self.stop_task(at.task(index)));
     }
 
     /// Stops all runs of a task at once.
     pub(crate) fn stop_task(&mut self, task: TaskName) {
         let entry = self.jobs.get(&task.job).and_then(|job| job.task(&task));
-        let attempts: Vec<u32> = entry.into_iter().flat_map(Task::runs).map(|run| run.attempt).collect();
-        attempts.into_iter().for_each(|attempt| self.stop_one(RunId { task, attempt }));
+        let attempts: Vec<u32> = entry
+            .into_iter()
+            .flat_map(Task::runs)
+            .map(|run| run.attempt)
+            .collect();
+        attempts
+            .into_iter()
+            .for_each(|attempt| self.stop_one(RunId { task, attempt }));
     }
 
     pub(crate) fn stop_one(&mut self, order: RunId) {
-        let Some(run) = self.run_mut(&order) else { return };
+        let Some(run) = self.run_mut(&order) else {
+            return;
+        };
         if !run.sent {
             return self.run_over(order, Over::NotStarted, "");
         }
         if run.stop.is_none() {
-            run.stop = Some(StopOrder { sent_to: None, sent_ms: 0 });
+            run.stop = Some(StopOrder {
+                sent_to: None,
+                sent_ms: 0,
+            });
             self.send_stop(order);
         }
     }
 
     /// Stops a run of a job that has ended, once that end is committed.
     pub(crate) fn stop_ended(&mut self, order: RunId) {
-        let Some(run) = self.run_mut(&order) else { return };
+        let Some(run) = self.run_mut(&order) else {
+            return;
+        };
         if !run.sent {
             return self.run_over(order, Over::NotStarted, "");
         }
-        self.outbox.defer(self.outbox.present_write(), Deferred::Stop(order));
+        self.outbox
+            .defer(self.outbox.present_write(), Deferred::Stop(order));
     }
 
     /// Sends a stop order, if the worker can be reached; otherwise its next report brings it up again.
     pub(crate) fn send_stop(&mut self, order: RunId) {
         let now_ms = self.now_ms;
-        let Some(run) = self.run_mut(&order) else { return };
+        let Some(run) = self.run_mut(&order) else {
+            return;
+        };
         let worker = run.worker;
-        let companion = self.workers.get(worker).and_then(|w| w.companion.filter(|_| w.in_full));
+        let companion = self
+            .workers
+            .get(worker)
+            .and_then(|w| w.companion.filter(|_| w.in_full));
         if let Some(run) = self.run_mut(&order) {
-            run.stop = Some(StopOrder { sent_to: companion, sent_ms: now_ms });
+            run.stop = Some(StopOrder {
+                sent_to: companion,
+                sent_ms: now_ms,
+            });
         }
         if companion.is_some() {
             self.outbox.orders_for(worker).stop.push(order);
@@ -199,11 +261,19 @@
     pub(crate) fn run_over(&mut self, run: RunId, over: Over, saved: &str) {
         let task = run.task;
         let at = StepRef::of(&task);
-        let Some(traits) = self.traits(at) else { return };
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(traits) = self.traits(at) else {
+            return;
+        };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         let ended = job.end.is_some();
-        let Some(entry) = job.task_mut(&task) else { return };
-        let Some(run) = entry.take_run(run.attempt) else { return };
+        let Some(entry) = job.task_mut(&task) else {
+            return;
+        };
+        let Some(run) = entry.take_run(run.attempt) else {
+            return;
+        };
         let (done, runs_on) = (entry.done, entry.run.is_some());
         self.keep_saved(&task, saved);
         if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -220,7 +290,9 @@
             _ if ended => self.close_if_idle(task.job),
             _ if done => self.tidy_repeat(task.job, task.repeat),
             Over::Ended(RunEnd::Done) if !traits.long_running => self.run_done(task),
-            Over::Ended(RunEnd::Failed) if !traits.long_running => self.task_failed(task, &run, &traits),
+            Over::Ended(RunEnd::Failed) if !traits.long_running => {
+                self.task_failed(task, &run, &traits)
+            }
             _ if runs_on => {}
             _ => self.wait_again(task),
         }
@@ -228,7 +300,12 @@
 
     fn run_done(&mut self, task: TaskName) {
         self.task_done(task);
-        if self.jobs.get(&task.job).and_then(|job| job.step(task.step)).is_some_and(|step| !step.gang) {
+        if self
+            .jobs
+            .get(&task.job)
+            .and_then(|job| job.step(task.step))
+            .is_some_and(|step| !step.gang)
+        {
             self.stop_task(task);
         }
         self.tidy_repeat(task.job, task.repeat);
@@ -236,9 +313,13 @@
 
     /// Counts a failure; the last one allowed fails the job.
     fn task_failed(&mut self, task: TaskName, run: &Run, traits: &StepTraits) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         let limit = job.terms.max_retries.max(1);
-        let Some(state) = job.step_state_mut(StepRef::of(&task)) else { return };
+        let Some(state) = job.step_state_mut(StepRef::of(&task)) else {
+            return;
+        };
         if let Some(entry) = state.tasks.get_mut(task.index as usize) {
             entry.failures += 1;
             entry.failed_on = Some(run.worker);
@@ -247,14 +328,24 @@
             state.gang_failures += 1;
             state.gang_failed_attempt = run.attempt;
         }
-        let task_failures = state.tasks.get(task.index as usize).map_or(0, |entry| entry.failures);
-        let failures = if traits.gang { state.gang_failures } else { task_failures };
+        let task_failures = state
+            .tasks
+            .get(task.index as usize)
+            .map_or(0, |entry| entry.failures);
+        let failures = if traits.gang {
+            state.gang_failures
+        } else {
+            task_failures
+        };
         if failures >= limit {
             self.note_end(&task, JobState::Failed);
             return self.end_job(task.job, JobState::Failed);
         }
-        let runs_on =
-            self.jobs.get(&task.job).and_then(|job| job.task(&task)).is_some_and(|t| t.run.is_some());
+        let runs_on = self
+            .jobs
+            .get(&task.job)
+            .and_then(|job| job.task(&task))
+            .is_some_and(|t| t.run.is_some());
         if !runs_on {
             self.wait_again(task);
         }
@@ -263,10 +354,17 @@
     /// Progress that a run has saved; any member's serves for its gang, and the newest is kept. Returns whether it is
     /// news.
     pub(crate) fn keep_saved(&mut self, task: &TaskName, saved: &str) -> bool {
-        let Some(job) = self.jobs.get_mut(&task.job).filter(|_| !saved.is_empty()) else { return false };
+        let Some(job) = self.jobs.get_mut(&task.job).filter(|_| !saved.is_empty()) else {
+            return false;
+        };
         let gang = job.step(task.step).is_some_and(|step| step.gang);
-        let Some(state) = job.step_state_mut(StepRef::of(task)) else { return false };
-        let Some(entry) = state.tasks.get_mut(task.index as usize).filter(|entry| entry.saved != saved)
+        let Some(state) = job.step_state_mut(StepRef::of(task)) else {
+            return false;
+        };
+        let Some(entry) = state
+            .tasks
+            .get_mut(task.index as usize)
+            .filter(|entry| entry.saved != saved)
         else {
             return false;
         };
@@ -279,14 +377,28 @@
 
     /// A `done` of a run that was given up: it counts while the task is not done.
     pub(crate) fn late_done(&mut self, task: TaskName) {
-        let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else { return };
-        let Some(step) = job.step(task.step).filter(|step| !step.long_running) else { return };
+        let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else {
+            return;
+        };
+        let Some(step) = job.step(task.step).filter(|step| !step.long_running) else {
+            return;
+        };
         let gang = step.gang;
-        let Some(state) = job.step_state(StepRef::of(&task)) else { return };
-        if state.tasks.get(task.index as usize).is_none_or(|entry| entry.done) {
+        let Some(state) = job.step_state(StepRef::of(&task)) else {
+            return;
+        };
+        if state
+            .tasks
+            .get(task.index as usize)
+            .is_none_or(|entry| entry.done)
+        {
             return;
         }
-        let members = if gang { 0..state.tasks.len() as u32 } else { task.index..task.index + 1 };
+        let members = if gang {
+            0..state.tasks.len() as u32
+        } else {
+            task.index..task.index + 1
+        };
         self.task_done(task);
         members.for_each(|index| self.stop_task(StepRef::of(&task).task(index)));
         self.tidy_repeat(task.job, task.repeat);
@@ -294,7 +406,9 @@
 
     /// A life is gone for good: nothing of it runs.
     pub(crate) fn life_gone(&mut self, id: WorkerId) {
-        let Some(worker) = self.workers.get(id) else { return };
+        let Some(worker) = self.workers.get(id) else {
+            return;
+        };
         let (backend, runs) = (worker.backend.clone(), worker.runs.clone());
         for task in runs {
             if let Some(attempt) = self.run_at(id, &task).map(|run| run.attempt) {
@@ -308,10 +422,15 @@
     /// Gives up the runs of lives whose holds have lapsed without word from them.
     pub(crate) fn give_up_lapsed(&mut self) {
         for id in self.workers.newly_lapsed(self.now_ms) {
-            let Some(worker) = self.workers.get(id) else { continue };
+            let Some(worker) = self.workers.get(id) else {
+                continue;
+            };
             let (backend, tasks) = (worker.backend.clone(), worker.runs.clone());
             for task in tasks {
-                let Some(run) = self.run_at(id, &task).map(|run| RunId { task, attempt: run.attempt }) else {
+                let Some(run) = self.run_at(id, &task).map(|run| RunId {
+                    task,
+                    attempt: run.attempt,
+                }) else {
                     continue;
                 };
                 if let Some(worker) = self.workers.get_mut(id) {
--- a/crates/scheduler/src/saving.rs
+++ b/crates/scheduler/src/saving.rs
@@ -16,9 +16,13 @@
 impl Scheduler {
     /// A report has brought new saved progress of a run.
     pub(crate) fn saved_changed(&mut self, worker: WorkerId, task: &TaskName) {
-        let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else { return };
+        let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else {
+            return;
+        };
         let done = job.task(task).is_none_or(|entry| entry.done);
-        let lasting = self.traits(StepRef::of(task)).is_none_or(|traits| traits.long_running);
+        let lasting = self
+            .traits(StepRef::of(task))
+            .is_none_or(|traits| traits.long_running);
         if !done && !lasting && self.expected_run_ms(worker, task) >= WORTH_MS {
             self.unsaved.insert(task.job);
         }
@@ -27,11 +31,18 @@
     /// Writes saved progress that is due. Nothing waits for this write, so the jobs' last writes stay what they are.
     pub(crate) fn write_saved(&mut self) {
         let since_ms = |scheduler: &Self, id: &JobId| {
-            scheduler.jobs.get(id).map_or(0, |job| scheduler.now_ms.saturating_sub(job.written_ms))
+            scheduler
+                .jobs
+                .get(id)
+                .map_or(0, |job| scheduler.now_ms.saturating_sub(job.written_ms))
         };
-        let due = self.outbox.has_changes() || self.unsaved.iter().any(|id| since_ms(self, id) >= WRITE_MS);
+        let due = self.outbox.has_changes()
+            || self.unsaved.iter().any(|id| since_ms(self, id) >= WRITE_MS);
         if due {
-            let joining = self.unsaved.iter().filter(|id| since_ms(self, id) >= JOIN_MS);
+            let joining = self
+                .unsaved
+                .iter()
+                .filter(|id| since_ms(self, id) >= JOIN_MS);
             let joining: Vec<JobId> = joining.copied().collect();
             self.outbox.dirty.extend(joining);
         }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -138,11 +138,23 @@
 
     /// When [`Event::Timer`] is due, on the steady clock.
     pub fn next_timer_ms(&self) -> u64 {
-        let due_ms = self.due.first().map(|(wall_ms, _)| self.clock.steady_ms(*wall_ms));
+        let due_ms = self
+            .due
+            .first()
+            .map(|(wall_ms, _)| self.clock.steady_ms(*wall_ms));
         let due_ms = due_ms.map_or(u64::MAX, |at| at.max(0) as u64);
-        let passes = self.services.values().filter(|service| service.dirty || service.regroup);
-        let pass_ms = passes.map(|service| service.next_pass_ms).min().unwrap_or(u64::MAX);
-        due_ms.min(self.next_tick_ms).min(pass_ms).max(self.now_ms + 1)
+        let passes = self
+            .services
+            .values()
+            .filter(|service| service.dirty || service.regroup);
+        let pass_ms = passes
+            .map(|service| service.next_pass_ms)
+            .min()
+            .unwrap_or(u64::MAX);
+        due_ms
+            .min(self.next_tick_ms)
+            .min(pass_ms)
+            .max(self.now_ms + 1)
     }
 
     /// Takes an event. `now_ms` is the steady clock, `wall_ms` the time of day since 1970.
@@ -154,7 +166,10 @@
             Event::Call { from, call } => self.call(from, call),
             Event::CallerGone(caller) => self.outbox.forget_caller(caller),
             Event::Committed(write) => self.outbox.commit(write),
-            Event::CompanionConnected { companion, node_name } => {
+            Event::CompanionConnected {
+                companion,
+                node_name,
+            } => {
                 self.workers.connected(companion, node_name);
             }
             Event::CompanionDisconnected(companion) => self.workers.disconnected(companion),
@@ -174,7 +189,12 @@
     }
 
     fn tick(&mut self) {
-        self.next_tick_ms = self.now_ms + if self.open_jobs > 0 { TICK_MS } else { IDLE_TICK_MS };
+        self.next_tick_ms = self.now_ms
+            + if self.open_jobs > 0 {
+                TICK_MS
+            } else {
+                IDLE_TICK_MS
+            };
         self.give_up_lapsed();
         self.forget_ended();
         self.check_runs();
@@ -190,7 +210,8 @@
     /// The part of the state of a service.
     pub(crate) fn service(&mut self, name: &str) -> &mut ServiceState {
         if !self.services.contains_key(name) {
-            self.services.insert(name.to_owned(), ServiceState::default());
+            self.services
+                .insert(name.to_owned(), ServiceState::default());
         }
         self.services.entry(name.to_owned()).or_default()
     }
@@ -233,10 +254,16 @@
         dirty.iter().chain(&forgotten).for_each(|id| {
             self.unsaved.remove(id);
         });
-        let row = |key: RowKey, value| RowChange { key: key.bytes(), value };
+        let row = |key: RowKey, value| RowChange {
+            key: key.bytes(),
+            value,
+        };
         let mut changes = Vec::with_capacity(dirty.len() + taken.len() + forgotten.len());
         for id in taken.difference(&closed) {
-            let definition = self.jobs.get(id).map(|job| rows::definition_bytes(&job.definition));
+            let definition = self
+                .jobs
+                .get(id)
+                .map(|job| rows::definition_bytes(&job.definition));
             changes.extend(definition.map(|value| row(RowKey::Job(*id), Some(value))));
         }
         for id in dirty.difference(&forgotten) {
@@ -247,10 +274,17 @@
             changes.extend(progress.map(|value| row(RowKey::Progress(*id), Some(value))));
         }
         changes.extend(closed.into_iter().map(|id| row(RowKey::Job(id), None)));
-        changes.extend(forgotten.into_iter().map(|id| row(RowKey::Progress(id), None)));
+        changes.extend(
+            forgotten
+                .into_iter()
+                .map(|id| row(RowKey::Progress(id), None)),
+        );
         for (instance, node_name) in std::mem::take(&mut self.outbox.lives) {
             let value = node_name.map(String::into_bytes);
-            changes.push(RowChange { key: life_key(&instance), value });
+            changes.push(RowChange {
+                key: life_key(&instance),
+                value,
+            });
         }
         effects.push(Effect::Write { write, changes });
     }
@@ -258,8 +292,12 @@
     fn send_orders(&mut self, effects: &mut Vec<Effect>) {
         let epoch = self.epoch;
         for (id, orders) in std::mem::take(&mut self.outbox.orders) {
-            let Some(worker) = self.workers.get(id) else { continue };
-            let Some(companion) = worker.companion else { continue };
+            let Some(worker) = self.workers.get(id) else {
+                continue;
+            };
+            let Some(companion) = worker.companion else {
+                continue;
+            };
             let orders = CompanionOrders {
                 epoch,
                 echo_sent_ms: orders.echo_sent_ms,
@@ -272,8 +310,14 @@
         }
         for (companion, instance, sent_ms) in std::mem::take(&mut self.bare_answers) {
             let (start, stop, last_seen) = (Vec::new(), Vec::new(), None);
-            let orders =
-                CompanionOrders { epoch, echo_sent_ms: Some(sent_ms), instance, start, stop, last_seen };
+            let orders = CompanionOrders {
+                epoch,
+                echo_sent_ms: Some(sent_ms),
+                instance,
+                start,
+                stop,
+                last_seen,
+            };
             effects.push(Effect::Orders { companion, orders });
         }
     }
--- a/crates/scheduler/src/speculation.rs
+++ b/crates/scheduler/src/speculation.rs
@@ -36,7 +36,10 @@
     pub(crate) fn speculate(&mut self) {
         let mut doubtful: Vec<Doubtful> = Vec::new();
         for (id, worker) in self.workers.iter() {
-            let runs = worker.runs.iter().filter_map(|task| self.doubtful(id, worker, *task));
+            let runs = worker
+                .runs
+                .iter()
+                .filter_map(|task| self.doubtful(id, worker, *task));
             doubtful.extend(runs);
         }
         doubtful.sort_by_key(|run| (run.key, run.task));
@@ -46,58 +49,97 @@
     /// The task's run on this worker, if it is to get a copy.
     fn doubtful(&self, id: WorkerId, worker: &Worker, task: TaskName) -> Option<Doubtful> {
         let job = self.jobs.get(&task.job).filter(|job| job.end.is_none())?;
-        job.step(task.step).filter(|step| step.speculative && !step.gang && !step.long_running)?;
-        let entry = job.task(&task).filter(|entry| !entry.done && entry.copy.is_none())?;
+        job.step(task.step)
+            .filter(|step| step.speculative && !step.gang && !step.long_running)?;
+        let entry = job
+            .task(&task)
+            .filter(|entry| !entry.done && entry.copy.is_none())?;
         let run = entry.run_at(id).filter(|run| run.sent)?;
         let key = job.queue_key(StepRef::of(&task), self.now_ms);
-        let at_stake =
-            key.prospect != Prospect::Hopeless && self.now_ms as i64 + NEAR_MS >= key.latest_start_ms;
+        let at_stake = key.prospect != Prospect::Hopeless
+            && self.now_ms as i64 + NEAR_MS >= key.latest_start_ms;
         let silent = worker.companion.is_none()
             || self.now_ms.saturating_sub(worker.heard_ms) > SILENT_MS
             || worker.silent_ms > SILENT_MS;
         let stopping = run.stop.is_some();
         let doubtful = at_stake && (silent || !stopping && self.overdue(id, worker, &task, run));
-        doubtful.then_some(Doubtful { key, task, worker: id })
+        doubtful.then_some(Doubtful {
+            key,
+            task,
+            worker: id,
+        })
     }
 
     /// The run takes far longer than expected, and not for its own length: it stands still, or its worker is slow and
     /// another one would be done first even if it began anew.
     fn overdue(&self, id: WorkerId, worker: &Worker, task: &TaskName, run: &Run) -> bool {
         let suspected = worker.health.standing(self.now_ms) != Standing::Sound;
-        let factor = if suspected { OVERDUE_FACTOR_SUSPECTED } else { OVERDUE_FACTOR };
-        let restore_ms = if run.resumed { self.bounds.restore_ms as f64 } else { 0.0 };
+        let factor = if suspected {
+            OVERDUE_FACTOR_SUSPECTED
+        } else {
+            OVERDUE_FACTOR
+        };
+        let restore_ms = if run.resumed {
+            self.bounds.restore_ms as f64
+        } else {
+            0.0
+        };
         let expected_ms = self.expected_run_ms(id, task);
         let elapsed_ms = self.now_ms.saturating_sub(run.placed_ms) as f64;
         let stands = self.now_ms.saturating_sub(run.percent_ms) > PERCENT_FRESH_MS;
         elapsed_ms > factor * expected_ms + OVERDUE_MIN_MS + restore_ms
-            && (stands || self.slowdown(id).is_some() && self.remaining_ms(id, task) as f64 > expected_ms)
+            && (stands
+                || self.slowdown(id).is_some() && self.remaining_ms(id, task) as f64 > expected_ms)
     }
 
     fn place_copy(&mut self, run: Doubtful) {
-        let Some(job) = self.jobs.get(&run.task.job) else { return };
+        let Some(job) = self.jobs.get(&run.task.job) else {
+            return;
+        };
         let service = job.service.clone();
-        let Some(state) = self.services.get(&service) else { return };
+        let Some(state) = self.services.get(&service) else {
+            return;
+        };
         let others_wait = |key: &QueueKey| !key.hopeless && key.priority <= run.key.priority;
         if state.queue.first().is_some_and(others_wait) {
             return;
         }
-        let (Some(need), Some(entry)) = (Need::of(job, run.key.at, self.now_ms), job.task(&run.task)) else {
+        let (Some(need), Some(entry)) =
+            (Need::of(job, run.key.at, self.now_ms), job.task(&run.task))
+        else {
             return;
         };
         let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
         let (now_ms, far_x) = (self.now_ms, self.bounds.far_x);
-        let choice = state.kinds.choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
-            let kept = state.reserved.get(&id);
-            id != run.worker
-                && worker.takes_starts(now_ms)
-                && need.permits(id, worker, 0)
-                && need.considers(Scope::Preferred, worker, far_x, failed_on == Some(id), now_ms)
-                && kept.is_none_or(|kept| worker.has_room(&need.resources.plus(&kept.resources)))
-        });
+        let choice = state
+            .kinds
+            .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
+                let kept = state.reserved.get(&id);
+                id != run.worker
+                    && worker.takes_starts(now_ms)
+                    && need.permits(id, worker, 0)
+                    && need.considers(
+                        Scope::Preferred,
+                        worker,
+                        far_x,
+                        failed_on == Some(id),
+                        now_ms,
+                    )
+                    && kept
+                        .is_none_or(|kept| worker.has_room(&need.resources.plus(&kept.resources)))
+            });
         let Some(choice) = choice else { return };
         if let Some(traces) = &mut self.traces {
             traces.push(state.kinds.trace(run.task, &choice, &self.workers));
         }
-        self.place(run.task, attempt, Placement { worker: choice.worker, bound: choice.bound, far: 1.0 });
+        self.place(
+            run.task,
+            attempt,
+            Placement {
+                worker: choice.worker,
+                bound: choice.bound,
+                far: 1.0,
+            },
+        );
     }
 }
--- a/crates/scheduler/src/steps.rs
+++ b/crates/scheduler/src/steps.rs
@@ -13,7 +13,9 @@
 impl Scheduler {
     /// Lets the job's next repetition be opened when it is due, unless so many are open that others have to end first.
     pub(crate) fn await_next_repeat(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         if job.end.is_some() || job.next_repeat >= job.repeat_total() {
             return;
         }
@@ -38,11 +40,17 @@
     }
 
     fn open_repeat(&mut self, id: JobId, due_ms: i64) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         let repeat = job.next_repeat;
         job.next_repeat += 1;
         let fresh = job.fresh_repeat(due_ms);
-        self.open_tasks += fresh.steps.iter().map(|step| step.tasks.len() as u64).sum::<u64>();
+        self.open_tasks += fresh
+            .steps
+            .iter()
+            .map(|step| step.tasks.len() as u64)
+            .sum::<u64>();
         job.repeats.insert(repeat, fresh);
         self.mark(id);
         self.ready_steps(id, repeat, self.delays_before(due_ms));
@@ -53,19 +61,51 @@
     /// went until now.
     pub(crate) fn ready_steps(&mut self, id: JobId, repeat: u32, delays: Delays) {
         let now_ms = self.now_ms;
-        let Some(job) = self.jobs.get(&id) else { return };
-        let Some(state) = job.repeats.get(&repeat) else { return };
-        let done = |before: &u32| state.steps.get(*before as usize).is_some_and(StepState::is_done);
-        let turn = |step: &usize| job.definition.spec.stages[*step].depends_on.iter().all(done);
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
+        let Some(state) = job.repeats.get(&repeat) else {
+            return;
+        };
+        let done = |before: &u32| {
+            state
+                .steps
+                .get(*before as usize)
+                .is_some_and(StepState::is_done)
+        };
+        let turn = |step: &usize| {
+            job.definition.spec.stages[*step]
+                .depends_on
+                .iter()
+                .all(done)
+        };
         let ready: Vec<usize> = (0..state.steps.len()).filter(turn).collect();
         for step in ready {
-            let at = StepRef { job: id, repeat, step: step as u32 };
-            let gang = self.jobs.get(&id).and_then(|job| job.step(at.step)).is_some_and(|s| s.gang);
-            let Some(state) = self.jobs.get_mut(&id).and_then(|job| job.step_state_mut(at)) else { return };
+            let at = StepRef {
+                job: id,
+                repeat,
+                step: step as u32,
+            };
+            let gang = self
+                .jobs
+                .get(&id)
+                .and_then(|job| job.step(at.step))
+                .is_some_and(|s| s.gang);
+            let Some(state) = self
+                .jobs
+                .get_mut(&id)
+                .and_then(|job| job.step_state_mut(at))
+            else {
+                return;
+            };
             if gang && state.tasks.iter().any(|task| task.run.is_some()) {
                 continue;
             }
-            let idle = state.tasks.iter().enumerate().filter(|(_, task)| !task.done && task.run.is_none());
+            let idle = state
+                .tasks
+                .iter()
+                .enumerate()
+                .filter(|(_, task)| !task.done && task.run.is_none());
             let idle: Vec<u32> = idle.map(|(index, _)| index as u32).collect();
             if state.queued.is_none() && !idle.is_empty() {
                 state.chain = delays;
@@ -78,15 +118,21 @@
     /// Puts a step into its service's queue if tasks of it wait.
     pub(crate) fn enqueue(&mut self, at: StepRef) {
         let now_ms = self.now_ms;
-        let Some(job) = self.jobs.get_mut(&at.job) else { return };
-        let Some(state) = job.step_state_mut(at) else { return };
+        let Some(job) = self.jobs.get_mut(&at.job) else {
+            return;
+        };
+        let Some(state) = job.step_state_mut(at) else {
+            return;
+        };
         if state.waiting.is_empty() || state.queued.is_some() {
             return;
         }
         state.waiting_since_ms = now_ms;
         state.waits = Delays::default();
         let (key, service) = (job.queue_key(at, now_ms), job.service.clone());
-        let Some(state) = job.step_state_mut(at) else { return };
+        let Some(state) = job.step_state_mut(at) else {
+            return;
+        };
         state.queued = Some(key);
         let service = self.service(&service);
         service.queue.insert(key);
@@ -95,21 +141,35 @@
 
     /// Takes a step out of its service's queue.
     pub(crate) fn dequeue(&mut self, at: StepRef) {
-        let Some(job) = self.jobs.get_mut(&at.job) else { return };
+        let Some(job) = self.jobs.get_mut(&at.job) else {
+            return;
+        };
         let service = job.service.clone();
         if let Some(key) = job.step_state_mut(at).and_then(|state| state.queued.take()) {
             let service = self.service(&service);
             service.queue.remove(&key);
-            service.reserved.retain(|_, reservation| reservation.step != at);
+            service
+                .reserved
+                .retain(|_, reservation| reservation.step != at);
         }
     }
 
     /// Takes all steps of a job out of its service's queue; returns which were in.
     pub(crate) fn dequeue_job(&mut self, id: JobId) -> Vec<StepRef> {
-        let Some(job) = self.jobs.get(&id) else { return Vec::new() };
+        let Some(job) = self.jobs.get(&id) else {
+            return Vec::new();
+        };
         let steps = job.repeats.iter().flat_map(|(&repeat, state)| {
-            let queued = state.steps.iter().enumerate().filter(|(_, step)| step.queued.is_some());
-            queued.map(move |(step, _)| StepRef { job: id, repeat, step: step as u32 })
+            let queued = state
+                .steps
+                .iter()
+                .enumerate()
+                .filter(|(_, step)| step.queued.is_some());
+            queued.map(move |(step, _)| StepRef {
+                job: id,
+                repeat,
+                step: step as u32,
+            })
         });
         let steps: Vec<StepRef> = steps.collect();
         steps.iter().for_each(|at| self.dequeue(*at));
@@ -119,33 +179,53 @@
     /// A task is to be placed (again). A gang waits until no member runs; those that do are stopped.
     pub(crate) fn wait_again(&mut self, task: TaskName) {
         let (at, now_ms) = (StepRef::of(&task), self.now_ms);
-        let Some(job) = self.jobs.get_mut(&at.job) else { return };
+        let Some(job) = self.jobs.get_mut(&at.job) else {
+            return;
+        };
         if !job.step(at.step).is_some_and(|step| step.gang) {
             if let Some(state) = job.step_state_mut(at) {
                 state.wait(task.index, now_ms);
             }
             return self.enqueue(at);
         }
-        let Some(state) = job.step_state_mut(at) else { return };
-        let with_run = state.tasks.iter().enumerate().filter(|(_, task)| task.run.is_some());
+        let Some(state) = job.step_state_mut(at) else {
+            return;
+        };
+        let with_run = state
+            .tasks
+            .iter()
+            .enumerate()
+            .filter(|(_, task)| task.run.is_some());
         let running: Vec<u32> = with_run.map(|(index, _)| index as u32).collect();
         if running.is_empty() {
             (0..state.tasks.len() as u32).for_each(|index| state.wait(index, now_ms));
             return self.enqueue(at);
         }
-        running.into_iter().for_each(|index| self.stop_task(at.task(index)));
+        running
+            .into_iter()
+            .for_each(|index| self.stop_task(at.task(index)));
     }
 
     /// A run of the task has ended `done`; one such end counts for a whole gang.
     pub(crate) fn task_done(&mut self, task: TaskName) {
         let at = StepRef::of(&task);
-        let Some(job) = self.jobs.get_mut(&at.job) else { return };
+        let Some(job) = self.jobs.get_mut(&at.job) else {
+            return;
+        };
         let gang = job.step(at.step).is_some_and(|step| step.gang);
-        let Some(state) = job.step_state_mut(at) else { return };
-        let members = if gang { 0..state.tasks.len() as u32 } else { task.index..task.index + 1 };
+        let Some(state) = job.step_state_mut(at) else {
+            return;
+        };
+        let members = if gang {
+            0..state.tasks.len() as u32
+        } else {
+            task.index..task.index + 1
+        };
         let mut newly = 0;
         for index in members {
-            let Some(member) = state.tasks.get_mut(index as usize) else { continue };
+            let Some(member) = state.tasks.get_mut(index as usize) else {
+                continue;
+            };
             newly += u32::from(!std::mem::replace(&mut member.done, true));
             state.waiting.remove(&index);
         }
@@ -165,7 +245,10 @@
 
     /// Tells of a repetition that this task has completed late.
     fn note_repeat_done(&mut self, task: &TaskName) {
-        let repeat = self.jobs.get(&task.job).and_then(|job| job.repeats.get(&task.repeat));
+        let repeat = self
+            .jobs
+            .get(&task.job)
+            .and_then(|job| job.repeats.get(&task.repeat));
         if repeat.is_some_and(|repeat| repeat.is_done()) {
             self.note_end(task, JobState::Completed);
         }
@@ -173,11 +256,17 @@
 
     /// Forgets a repetition that is over; ends the job if it was the last.
     pub(crate) fn tidy_repeat(&mut self, id: JobId, repeat: u32) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if job.end.is_none() && job.is_complete() {
             return self.end_job(id, JobState::Completed);
         }
-        if job.repeats.get(&repeat).is_some_and(|state| state.is_over()) {
+        if job
+            .repeats
+            .get(&repeat)
+            .is_some_and(|state| state.is_over())
+        {
             job.repeats.remove(&repeat);
             self.mark(id);
             self.await_next_repeat(id);
@@ -188,7 +277,9 @@
     pub(crate) fn end_job(&mut self, id: JobId, state: JobState) {
         let wall_ms = self.clock.wall_ms(self.now_ms);
         let _ = self.dequeue_job(id);
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         job.end = Some(JobEnd { state, wall_ms });
         if let Some(due_wall_ms) = job.due_wall_ms(job.next_repeat) {
             self.due.remove(&(due_wall_ms, id));
@@ -199,7 +290,11 @@
             self.no_longer_pending(id);
         }
         self.mark(id);
-        let runs = self.jobs.get(&id).map(|job| job.outstanding_runs(id)).unwrap_or_default();
+        let runs = self
+            .jobs
+            .get(&id)
+            .map(|job| job.outstanding_runs(id))
+            .unwrap_or_default();
         if state != JobState::Completed {
             runs.into_iter().for_each(|(run, _)| self.stop_ended(run));
         }
@@ -207,7 +302,10 @@
     }
 
     pub(crate) fn no_longer_pending(&mut self, id: JobId) {
-        let route = self.jobs.get(&id).and_then(|job| self.pending.get_mut(&job.definition.route));
+        let route = self
+            .jobs
+            .get(&id)
+            .and_then(|job| self.pending.get_mut(&job.definition.route));
         if let Some(count) = route {
             *count = count.saturating_sub(1);
         }
@@ -215,8 +313,12 @@
 
     /// Keeps of an ended job without outstanding runs its end alone.
     pub(crate) fn close_if_idle(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(end) = job.end.filter(|_| job.outstanding == 0) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let Some(end) = job.end.filter(|_| job.outstanding == 0) else {
+            return;
+        };
         job.repeats.clear();
         job.definition.spec = Default::default();
         self.outbox.closed.insert(id);
@@ -244,5 +346,7 @@
 /// Tasks of a job that are not done, in the repetitions that have been opened.
 pub(crate) fn open_tasks(job: &Job) -> u64 {
     let steps = job.repeats.values().flat_map(|repeat| &repeat.steps);
-    steps.map(|step| step.tasks.len() as u64 - u64::from(step.done)).sum()
+    steps
+        .map(|step| step.tasks.len() as u64 - u64::from(step.done))
+        .sum()
 }
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -15,7 +15,10 @@
 impl Scheduler {
     /// Takes over what a predecessor has written: all rows whose keys [`is_row`](Self::is_row). To be called once,
     /// before the first event.
-    pub fn load(&mut self, rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Result<(), RowError> {
+    pub fn load(
+        &mut self,
+        rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
+    ) -> Result<(), RowError> {
         let mut definitions = FxHashMap::default();
         let mut progresses = Vec::new();
         for (key, value) in rows {
@@ -28,7 +31,11 @@
                     definitions.insert(id, read_definition(&key, &value)?);
                 }
                 Some(RowKey::Progress(id)) => progresses.push((id, read_progress(&key, &value)?)),
-                None => return Err(RowError::Key { key: String::from_utf8_lossy(&key).into_owned() }),
+                None => {
+                    return Err(RowError::Key {
+                        key: String::from_utf8_lossy(&key).into_owned(),
+                    });
+                }
             }
         }
         progresses.sort_by_key(|(id, _)| *id);
@@ -36,7 +43,10 @@
             let definition = definitions.remove(&id).unwrap_or_default();
             let clock: &WallClock = &self.clock;
             let due_ms = |job: &Job, repeat: u32| {
-                clock.steady_ms(job.due_wall_ms(repeat).unwrap_or(job.definition.accepted_wall_ms))
+                clock.steady_ms(
+                    job.due_wall_ms(repeat)
+                        .unwrap_or(job.definition.accepted_wall_ms),
+                )
             };
             let job = progress.restore(definition, &mut self.workers, self.now_ms, due_ms);
             self.jobs.insert(id, job);
@@ -52,15 +62,24 @@
             return self.resume_ended(id);
         }
         self.appraise(id);
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         self.open_jobs += 1;
         self.open_tasks += open_tasks(job);
         if !job.started {
-            *self.pending.entry(job.definition.route.clone()).or_default() += 1;
+            *self
+                .pending
+                .entry(job.definition.route.clone())
+                .or_default() += 1;
         }
         let repeats: Vec<u32> = job.repeats.keys().copied().collect();
         for repeat in repeats {
-            let due_ms = self.jobs.get(&id).and_then(|job| job.repeats.get(&repeat)).map_or(0, |r| r.due_ms);
+            let due_ms = self
+                .jobs
+                .get(&id)
+                .and_then(|job| job.repeats.get(&repeat))
+                .map_or(0, |r| r.due_ms);
             self.ready_steps(id, repeat, self.delays_before(due_ms));
         }
         self.await_next_repeat(id);
@@ -68,7 +87,9 @@
 
     /// An ended job: its runs are stopped as their workers report.
     fn resume_ended(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         if job.outstanding == 0
             && let Some(end) = job.end
         {
@@ -79,9 +100,14 @@
 
     /// Outstanding runs count against their workers' room.
     fn occupy_workers(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         for (run, worker) in job.outstanding_runs(id) {
-            let resources = job.step(run.task.step).map(|step| step.resources()).unwrap_or_default();
+            let resources = job
+                .step(run.task.step)
+                .map(|step| step.resources())
+                .unwrap_or_default();
             if let Some(worker) = self.workers.get_mut(worker) {
                 worker.occupy(run.task, &resources, false);
             }
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -180,14 +180,19 @@
 
     /// Rack, if a label names one.
     pub fn rack(&self) -> Option<&str> {
-        self.labels.iter().map(String::as_str).find(|label| is_rack(label))
+        self.labels
+            .iter()
+            .map(String::as_str)
+            .find(|label| is_rack(label))
     }
 }
 
 /// Whether a label names a rack: `r`, digits, `-`, digits.
 pub fn is_rack(label: &str) -> bool {
     let digits = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-    let parts = label.strip_prefix('r').and_then(|rest| rest.split_once('-'));
+    let parts = label
+        .strip_prefix('r')
+        .and_then(|rest| rest.split_once('-'));
     parts.is_some_and(|(row, rack)| digits(row) && digits(rack))
 }
 
@@ -250,7 +255,8 @@
         let id = WorkerId(self.next);
         self.next += 1;
         self.by_instance.insert(instance.to_owned(), id);
-        self.lives.insert(id, Worker::new(instance.to_owned(), now_ms));
+        self.lives
+            .insert(id, Worker::new(instance.to_owned(), now_ms));
         id
     }
 
@@ -261,24 +267,42 @@
 
     /// Forgets a life; its runs must have been ended before.
     pub fn forget(&mut self, id: WorkerId) {
-        let Some(worker) = self.lives.remove(&id) else { return };
+        let Some(worker) = self.lives.remove(&id) else {
+            return;
+        };
         self.by_instance.remove(&worker.instance);
-        if let Some(lives) = worker.node_name.as_ref().and_then(|node| self.by_node.get_mut(node)) {
+        if let Some(lives) = worker
+            .node_name
+            .as_ref()
+            .and_then(|node| self.by_node.get_mut(node))
+        {
             lives.remove(&id);
         }
-        for connection in self.connections.values_mut().filter(|c| c.worker == Some(id)) {
+        for connection in self
+            .connections
+            .values_mut()
+            .filter(|c| c.worker == Some(id))
+        {
             connection.worker = None;
         }
     }
 
     /// Other lives known at the machine of this one.
     pub fn others_at(&self, node_name: &str, id: WorkerId) -> Vec<WorkerId> {
-        self.at(node_name).into_iter().filter(|other| *other != id).collect()
+        self.at(node_name)
+            .into_iter()
+            .filter(|other| *other != id)
+            .collect()
     }
 
     /// Lives known at this machine.
     pub fn at(&self, node_name: &str) -> Vec<WorkerId> {
-        self.by_node.get(node_name).into_iter().flatten().copied().collect()
+        self.by_node
+            .get(node_name)
+            .into_iter()
+            .flatten()
+            .copied()
+            .collect()
     }
 
     /// A companion has connected; an older connection of the same machine counts no more.
@@ -286,12 +310,20 @@
         if let Some(older) = self.connection_of_node.insert(node_name.clone(), companion) {
             self.disconnected(older);
         }
-        self.connections.insert(companion, Connection { node_name, worker: None });
+        self.connections.insert(
+            companion,
+            Connection {
+                node_name,
+                worker: None,
+            },
+        );
     }
 
     /// A connection is gone.
     pub fn disconnected(&mut self, companion: CompanionId) {
-        let Some(connection) = self.connections.remove(&companion) else { return };
+        let Some(connection) = self.connections.remove(&companion) else {
+            return;
+        };
         if self.connection_of_node.get(&connection.node_name) == Some(&companion) {
             self.connection_of_node.remove(&connection.node_name);
         }
@@ -309,13 +341,20 @@
 
     /// A connection reports a life.
     pub fn attach(&mut self, companion: CompanionId, id: WorkerId) {
-        let Some(connection) = self.connections.get_mut(&companion) else { return };
+        let Some(connection) = self.connections.get_mut(&companion) else {
+            return;
+        };
         let before = connection.worker.replace(id);
         let node_name = connection.node_name.clone();
-        if let Some(before) = before.filter(|before| *before != id).and_then(|b| self.lives.get_mut(&b)) {
+        if let Some(before) = before
+            .filter(|before| *before != id)
+            .and_then(|b| self.lives.get_mut(&b))
+        {
             (before.companion, before.in_full) = (None, false);
         }
-        let Some(worker) = self.lives.get_mut(&id) else { return };
+        let Some(worker) = self.lives.get_mut(&id) else {
+            return;
+        };
         if worker.companion != Some(companion) {
             (worker.companion, worker.in_full) = (Some(companion), false);
             (worker.strangers, worker.strangers_in_flight) = (Vec::new(), Vec::new());
@@ -325,7 +364,9 @@
 
     /// The life is on this machine.
     pub fn place_at(&mut self, id: WorkerId, node_name: String) {
-        let Some(worker) = self.lives.get_mut(&id) else { return };
+        let Some(worker) = self.lives.get_mut(&id) else {
+            return;
+        };
         if worker.node_name.as_ref() != Some(&node_name) {
             worker.node_name = Some(node_name.clone());
             self.by_node.entry(node_name).or_default().insert(id);
@@ -334,7 +375,10 @@
 
     /// The connection reports no life at present.
     pub fn detach(&mut self, companion: CompanionId) {
-        let worker = self.connections.get_mut(&companion).and_then(|c| c.worker.take());
+        let worker = self
+            .connections
+            .get_mut(&companion)
+            .and_then(|c| c.worker.take());
         if let Some(worker) = worker.and_then(|id| self.lives.get_mut(&id))
             && worker.companion == Some(companion)
         {
@@ -345,12 +389,21 @@
     /// Lives whose holds have all lapsed by now.
     pub fn newly_lapsed(&self, now_ms: u64) -> Vec<WorkerId> {
         let over = |w: &Worker| w.lapsed_ms.is_none() && now_ms >= w.answered_ms + self.lapse_ms;
-        self.iter().filter(|(_, worker)| over(worker)).map(|(id, _)| id).collect()
+        self.iter()
+            .filter(|(_, worker)| over(worker))
+            .map(|(id, _)| id)
+            .collect()
     }
 
     /// Lives that lapsed long ago.
     pub fn long_lapsed(&self, now_ms: u64) -> Vec<WorkerId> {
-        let old = |w: &Worker| w.lapsed_ms.is_some_and(|at| now_ms >= at + LAPSED_FORGET_MS);
-        self.iter().filter(|(_, worker)| old(worker)).map(|(id, _)| id).collect()
+        let old = |w: &Worker| {
+            w.lapsed_ms
+                .is_some_and(|at| now_ms >= at + LAPSED_FORGET_MS)
+        };
+        self.iter()
+            .filter(|(_, worker)| old(worker))
+            .map(|(id, _)| id)
+            .collect()
     }
 }
--- a/crates/scheduler/tests/clock.rs
+++ b/crates/scheduler/tests/clock.rs
@@ -13,7 +13,12 @@
     let mut world = World::new(1);
     world.run_for(200);
     let start_at_ms = world.wall_ms() + 4_000;
-    let job = JobSpec { repeat_count: 3, start_at_ms, interval_ms: 1_000, ..spec(vec![step(2, 240, 300)]) };
+    let job = JobSpec {
+        repeat_count: 3,
+        start_at_ms,
+        interval_ms: 1_000,
+        ..spec(vec![step(2, 240, 300)])
+    };
     let id = world.submit("quick", 1, job);
     world.run_for(1_000);
     world.clock_step_ms = by_ms;
--- a/crates/scheduler/tests/data_places.rs
+++ b/crates/scheduler/tests/data_places.rs
@@ -8,7 +8,11 @@
 
 /// Runs of a job on the nodes of rack `r1-2`.
 fn runs_on_other_rack(world: &World, job: JobId) -> usize {
-    world.nodes[2..4].iter().flat_map(|node| node.running.keys()).filter(|run| run.task.job == job).count()
+    world.nodes[2..4]
+        .iter()
+        .flat_map(|node| node.running.keys())
+        .filter(|run| run.task.job == job)
+        .count()
 }
 
 /// More tasks want one rack than it holds, and others of their priority wait too: room elsewhere goes to those, as
@@ -19,15 +23,28 @@
     world.run_for(200);
     world.submit("quick", 1, spec(vec![step(64, 1_000, 2_000)]));
     world.run_for(100);
-    let near_data = Step { affinity: "r1-1".to_owned(), ..step(64, 1_000, 1_000) };
+    let near_data = Step {
+        affinity: "r1-1".to_owned(),
+        ..step(64, 1_000, 1_000)
+    };
     let placed = world.submit("quick", 2, spec(vec![near_data]));
     let plain = world.submit("quick", 3, spec(vec![step(64, 1_000, 1_000)]));
     let mut plain_ran = 0;
     for _ in 0..40 {
         world.run_for(100);
-        let plain_waits = world.history.keys().filter(|task| task.job == plain).count() < 64;
+        let plain_waits = world
+            .history
+            .keys()
+            .filter(|task| task.job == plain)
+            .count()
+            < 64;
         if plain_waits {
-            assert_eq!(runs_on_other_rack(&world, placed), 0, "at {} ms", world.now_ms);
+            assert_eq!(
+                runs_on_other_rack(&world, placed),
+                0,
+                "at {} ms",
+                world.now_ms
+            );
         }
         plain_ran = plain_ran.max(runs_on_other_rack(&world, plain));
     }
@@ -39,7 +56,10 @@
 fn room_that_nobody_wants_is_used_away_from_the_data() {
     let mut world = World::new(2);
     world.run_for(200);
-    let near_data = Step { affinity: "r1-1".to_owned(), ..step(64, 1_000, 8_000) };
+    let near_data = Step {
+        affinity: "r1-1".to_owned(),
+        ..step(64, 1_000, 8_000)
+    };
     let placed = world.submit("quick", 1, spec(vec![near_data]));
     world.run_for(500);
     assert_eq!(runs_on_other_rack(&world, placed), 0);
--- a/crates/scheduler/tests/delays.rs
+++ b/crates/scheduler/tests/delays.rs
@@ -29,7 +29,10 @@
         Cause::Lost,
     ];
     let sum: u64 = causes.iter().map(|cause| end.delays.of(*cause)).sum();
-    assert!(end.took_ms.abs_diff(sum) <= 12, "{end}: the parts make {sum} ms");
+    assert!(
+        end.took_ms.abs_diff(sum) <= 12,
+        "{end}: the parts make {sum} ms"
+    );
 }
 
 #[test]
@@ -48,12 +51,26 @@
     world.run_for(200);
     world.submit("quick", 1, spec(vec![step(64, 1_000, 6_000)]));
     world.run_for(100);
-    let second = Step { depends_on: vec![0], ..step(1, 1_000, 500) };
+    let second = Step {
+        depends_on: vec![0],
+        ..step(1, 1_000, 500)
+    };
     let job = world.submit("quick", 2, spec(vec![step(2, 1_000, 500), second]));
-    world.work.insert(TaskName { job, repeat: 0, step: 1, index: 0 }, (500, 1));
+    world.work.insert(
+        TaskName {
+            job,
+            repeat: 0,
+            step: 1,
+            index: 0,
+        },
+        (500, 1),
+    );
     world.run_for(12_000);
     let end = only_late_end(&world);
-    assert_eq!((end.job, end.state, end.route.as_str()), (job, JobState::Completed, "quick"));
+    assert_eq!(
+        (end.job, end.state, end.route.as_str()),
+        (job, JobState::Completed, "quick")
+    );
     assert_whole(end);
     assert!(end.delays.of(Cause::Room) > 4_000, "{end}");
     assert!((500..800).contains(&end.delays.of(Cause::Failed)), "{end}");
@@ -66,13 +83,28 @@
 fn a_wait_for_the_data_is_told_as_one() {
     let mut world = World::new(3);
     world.run_for(200);
-    let in_rack = |count, ms| Step { affinity: "r1-1".to_owned(), ..step(count, 1_000, ms) };
+    let in_rack = |count, ms| Step {
+        affinity: "r1-1".to_owned(),
+        ..step(count, 1_000, ms)
+    };
     world.submit("quick", 1, spec(vec![in_rack(32, 2_000)]));
     world.run_for(50);
     let job = world.submit("quick", 2, spec(vec![in_rack(1, 300)]));
-    world.work.insert(TaskName { job, repeat: 0, step: 0, index: 0 }, (2_500, 0));
+    world.work.insert(
+        TaskName {
+            job,
+            repeat: 0,
+            step: 0,
+            index: 0,
+        },
+        (2_500, 0),
+    );
     world.run_for(6_000);
-    let told = world.late.iter().find(|end| end.job == job).expect("it is late");
+    let told = world
+        .late
+        .iter()
+        .find(|end| end.job == job)
+        .expect("it is late");
     assert_whole(told);
     assert!(told.delays.of(Cause::Place) > 100, "{told}");
     assert_eq!(told.delays.of(Cause::Turn), 0, "{told}");
@@ -83,7 +115,15 @@
     let mut world = World::new(4);
     world.run_for(200);
     let job = world.submit("quick", 1, spec(vec![step(1, 1_000, 300)]));
-    world.work.insert(TaskName { job, repeat: 0, step: 0, index: 0 }, (300, 9));
+    world.work.insert(
+        TaskName {
+            job,
+            repeat: 0,
+            step: 0,
+            index: 0,
+        },
+        (300, 9),
+    );
     world.run_for(4_000);
     let end = only_late_end(&world);
     assert_eq!((end.job, end.state), (job, JobState::Failed));
@@ -102,7 +142,14 @@
     world.run_for(1_000);
     world.take_over();
     world.run_for(8_000);
-    let told = world.late.iter().find(|end| end.job == job).expect("it is late");
-    assert!((800..1_300).contains(&told.delays.of(Cause::Before)), "{told}");
+    let told = world
+        .late
+        .iter()
+        .find(|end| end.job == job)
+        .expect("it is late");
+    assert!(
+        (800..1_300).contains(&told.delays.of(Cause::Before)),
+        "{told}"
+    );
     assert_whole(told);
 }
--- a/crates/scheduler/tests/headroom.rs
+++ b/crates/scheduler/tests/headroom.rs
@@ -19,7 +19,11 @@
     world.submit("bulk", 2, spec(vec![step(64, 1_000, 30_000)]));
     world.run_for(500);
     let all = 4 * 16_000;
-    assert!((all * 8 / 10..=all * 9 / 10).contains(&used(&world)), "{} of {all} are used", used(&world));
+    assert!(
+        (all * 8 / 10..=all * 9 / 10).contains(&used(&world)),
+        "{} of {all} are used",
+        used(&world)
+    );
     world.run_for(11_000);
     assert_eq!(used(&world), all, "nothing urgent came for long");
 }
--- a/crates/scheduler/tests/idle.rs
+++ b/crates/scheduler/tests/idle.rs
@@ -21,11 +21,27 @@
     let plain = step(2, 240, 400);
     match what {
         Asked::Anything => plain,
-        Asked::Label => Step { requirements: "b".to_owned(), ..plain },
-        Asked::Apart => Step { anti_affinity: 1, ..plain },
-        Asked::Rack => Step { affinity: "r1-2".to_owned(), ..plain },
-        Asked::Together => Step { gang: true, rack_local: true, ..plain },
-        Asked::Lasting => Step { long_running: true, ..plain },
+        Asked::Label => Step {
+            requirements: "b".to_owned(),
+            ..plain
+        },
+        Asked::Apart => Step {
+            anti_affinity: 1,
+            ..plain
+        },
+        Asked::Rack => Step {
+            affinity: "r1-2".to_owned(),
+            ..plain
+        },
+        Asked::Together => Step {
+            gang: true,
+            rack_local: true,
+            ..plain
+        },
+        Asked::Lasting => Step {
+            long_running: true,
+            ..plain
+        },
     }
 }
 
@@ -45,7 +61,8 @@
         Asked::Lasting
     )]
     what: Asked,
-    #[values(true, false)] lasting_work: bool, #[values(true, false)] recovers: bool,
+    #[values(true, false)] lasting_work: bool,
+    #[values(true, false)] recovers: bool,
 ) {
     let mut world = World::new(1);
     world.watches_idle = true;
@@ -54,7 +71,11 @@
         world.submit(
             "bulk",
             500,
-            spec(vec![Step { long_running: true, anti_affinity: 1, ..step(4, 100, 100) }]),
+            spec(vec![Step {
+                long_running: true,
+                anti_affinity: 1,
+                ..step(4, 100, 100)
+            }]),
         );
         world.run_for(300);
     }
@@ -82,9 +103,24 @@
     let mut world = World::new(2);
     world.watches_idle = true;
     world.run_for(200);
-    world.submit("vision", 1, spec(vec![Step { gpu: 1, ..step(1, 2_000, 30_000) }]));
+    world.submit(
+        "vision",
+        1,
+        spec(vec![Step {
+            gpu: 1,
+            ..step(1, 2_000, 30_000)
+        }]),
+    );
     world.run_for(200);
-    world.submit("vision", 2, spec(vec![Step { gang: true, gpu: 8, ..step(3, 4_000, 1_000) }]));
+    world.submit(
+        "vision",
+        2,
+        spec(vec![Step {
+            gang: true,
+            gpu: 8,
+            ..step(3, 4_000, 1_000)
+        }]),
+    );
     world.run_for(300);
     for number in 0..3 {
         world.submit("vision", 3 + number, spec(vec![other.clone()]));
@@ -99,14 +135,39 @@
     let mut world = World::new(3);
     world.watches_idle = true;
     world.run_for(200);
-    world.submit("vision", 1, spec(vec![Step { gpu: 1, ..step(1, 2_000, 60_000) }]));
+    world.submit(
+        "vision",
+        1,
+        spec(vec![Step {
+            gpu: 1,
+            ..step(1, 2_000, 60_000)
+        }]),
+    );
     world.run_for(200);
-    world.submit("vision", 2, spec(vec![Step { gang: true, gpu: 8, ..step(3, 4_000, 1_000) }]));
+    world.submit(
+        "vision",
+        2,
+        spec(vec![Step {
+            gang: true,
+            gpu: 8,
+            ..step(3, 4_000, 1_000)
+        }]),
+    );
     for number in 0..40 {
-        world.submit("vision", 10 + number, spec(vec![Step { gpu: 1, ..step(1, 1_000, 9_000) }]));
+        world.submit(
+            "vision",
+            10 + number,
+            spec(vec![Step {
+                gpu: 1,
+                ..step(1, 1_000, 9_000)
+            }]),
+        );
         world.run_for(300);
         if number == 3 {
-            let large = Step { gpu: 1, ..step(1, 1_500, 20_000) };
+            let large = Step {
+                gpu: 1,
+                ..step(1, 1_500, 20_000)
+            };
             world.submit("vision", 9, spec(vec![large]));
         }
     }
--- a/crates/scheduler/tests/lasting.rs
+++ b/crates/scheduler/tests/lasting.rs
@@ -16,9 +16,20 @@
 fn a_lasting_task_comes_back_before_later_work() {
     let mut world = World::new(5);
     world.run_for(200);
-    let watcher = world.submit("vision", 1, spec(vec![Step { long_running: true, ..step(1, 15_000, 400) }]));
+    let watcher = world.submit(
+        "vision",
+        1,
+        spec(vec![Step {
+            long_running: true,
+            ..step(1, 15_000, 400)
+        }]),
+    );
     world.run_for(30_000);
-    let at = world.nodes.iter().position(|node| node.used().cpu == 15_000).expect("the watcher runs");
+    let at = world
+        .nodes
+        .iter()
+        .position(|node| node.used().cpu == 15_000)
+        .expect("the watcher runs");
     for number in 0..30 {
         world.submit("vision", 100 + number, spec(vec![step(6, 15_000, 3_000)]));
     }
@@ -26,7 +37,10 @@
     let (now_ms, back_ms) = (world.now_ms, 500);
     world.nodes[at].crash(now_ms, back_ms);
     world.run_for(9_000);
-    assert!(runs_of(&world, watcher) > 0, "the watcher waits behind work that ends");
+    assert!(
+        runs_of(&world, watcher) > 0,
+        "the watcher waits behind work that ends"
+    );
 }
 
 /// Jobs of one class differ far more than workers: a long task alone is no reason to begin anew elsewhere.
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -9,10 +9,14 @@
 use world::{World, spec, step};
 
 fn retry_after_ms(world: &World) -> Option<u64> {
-    world.replies.iter().rev().find_map(|reply| match reply.outcome {
-        ClientOutcome::TooMany { retry_after_ms } => Some(retry_after_ms),
-        _ => None,
-    })
+    world
+        .replies
+        .iter()
+        .rev()
+        .find_map(|reply| match reply.outcome {
+            ClientOutcome::TooMany { retry_after_ms } => Some(retry_after_ms),
+            _ => None,
+        })
 }
 
 /// Fills the queue with tasks of this length and returns what a refused client is told.
@@ -61,7 +65,12 @@
     let mut world = World::new(3);
     world.run_for(200);
     let start_at_ms = world.wall_ms();
-    let often = JobSpec { repeat_count: 30, start_at_ms, interval_ms: 0, ..spec(vec![step(1_000, 30, 20)]) };
+    let often = JobSpec {
+        repeat_count: 30,
+        start_at_ms,
+        interval_ms: 0,
+        ..spec(vec![step(1_000, 30, 20)])
+    };
     let id = world.submit("bulk", 1, often);
     world.run_for(100);
     let row = world.rows[format!("progress/{id}").as_bytes()].len();
@@ -78,12 +87,18 @@
     world.run_for(200);
     world.submit("quick", 1, spec(vec![step(64, 1_000, 1_000)]));
     world.run_for(100);
-    let ids: Vec<_> = specs.into_iter().zip(2..).map(|(spec, id)| world.submit("quick", id, spec)).collect();
+    let ids: Vec<_> = specs
+        .into_iter()
+        .zip(2..)
+        .map(|(spec, id)| world.submit("quick", id, spec))
+        .collect();
     for _ in 0..400 {
         world.run_for(50);
         ids.iter().for_each(|id| world.get(*id));
     }
-    ids.iter().map(|id| world.jobs[id].ended_ms.expect("the job has ended")).collect()
+    ids.iter()
+        .map(|id| world.jobs[id].ended_ms.expect("the job has ended"))
+        .collect()
 }
 
 /// A job that needs far more work for what it earns goes behind those that need less, though it came first.
@@ -98,7 +113,8 @@
 /// Jobs that cost about the same go by their deadlines: the first to come is not passed by later ones.
 #[test]
 fn like_jobs_go_by_their_deadlines() {
-    let ends = ends_behind_a_full_service((0..12).map(|_| spec(vec![step(64, 1_000, 800)])).collect());
+    let ends =
+        ends_behind_a_full_service((0..12).map(|_| spec(vec![step(64, 1_000, 800)])).collect());
     assert!(ends.is_sorted(), "{ends:?}");
 }
 
@@ -114,7 +130,12 @@
         .map(|(estimate_ms, id)| {
             let id = world.submit("quick", id, tell(estimate_ms));
             (0..4).for_each(|index| {
-                let name = TaskName { job: id, repeat: 0, step: 0, index };
+                let name = TaskName {
+                    job: id,
+                    repeat: 0,
+                    step: 0,
+                    index,
+                };
                 world.work.insert(name, (300, 0));
             });
             id
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -19,7 +19,11 @@
     assert_eq!(traces.len(), 120);
     for trace in &traces {
         let fewest = trace.sampled.iter().map(|(_, runs)| *runs).min();
-        let winner = trace.sampled.iter().find(|(name, _)| *name == trace.winner).map(|(_, runs)| *runs);
+        let winner = trace
+            .sampled
+            .iter()
+            .find(|(name, _)| *name == trace.winner)
+            .map(|(_, runs)| *runs);
         assert_eq!(winner, fewest);
         assert!(trace.sampled.len() <= 3);
         assert!((trace.probabilities.iter().sum::<f64>() - 1.0).abs() < 1e-9);
@@ -34,7 +38,14 @@
     let mut world = World::new(2);
     world.scheduler.trace_placements();
     world.run_for(200);
-    world.submit("quick", 1, spec(vec![Step { requirements: "b".to_owned(), ..step(6, 240, 700) }]));
+    world.submit(
+        "quick",
+        1,
+        spec(vec![Step {
+            requirements: "b".to_owned(),
+            ..step(6, 240, 700)
+        }]),
+    );
     world.run_for(100);
     let traces = world.scheduler.take_traces();
     assert_eq!(traces.len(), 6);
@@ -49,13 +60,28 @@
     let mut world = World::new(3);
     world.scheduler.trace_placements();
     world.run_for(200);
-    world.submit("bulk", 1, spec(vec![Step { requirements: "a".to_owned(), ..step(32, 1_000, 20_000) }]));
+    world.submit(
+        "bulk",
+        1,
+        spec(vec![Step {
+            requirements: "a".to_owned(),
+            ..step(32, 1_000, 20_000)
+        }]),
+    );
     world.run_for(500);
     world.scheduler.take_traces();
     world.submit("bulk", 2, spec(vec![step(20, 1_000, 500)]));
     world.run_for(100);
     let traces = world.scheduler.take_traces();
     assert_eq!(traces.len(), 20);
-    assert!(traces.iter().any(|trace| trace.reason == Reason::FewestOfNext));
-    assert!(traces.iter().all(|trace| trace.winner.contains("n3") || trace.winner.contains("n4")));
+    assert!(
+        traces
+            .iter()
+            .any(|trace| trace.reason == Reason::FewestOfNext)
+    );
+    assert!(
+        traces
+            .iter()
+            .all(|trace| trace.winner.contains("n3") || trace.winner.contains("n4"))
+    );
 }
--- a/crates/scheduler/tests/plain_jobs.rs
+++ b/crates/scheduler/tests/plain_jobs.rs
@@ -11,7 +11,10 @@
     let mut world = World::new(1);
     world.run_for(200);
     let id = world.submit("quick", 1, spec(vec![step(6, 240, 700)]));
-    assert!(world.jobs[&id].accepted_ms.is_none(), "accepted before it is written");
+    assert!(
+        world.jobs[&id].accepted_ms.is_none(),
+        "accepted before it is written"
+    );
     world.run_for(50);
     assert!(world.jobs[&id].accepted_ms.is_some());
     world.run_for(200);
@@ -26,8 +29,14 @@
 #[test]
 fn steps_run_in_their_order() {
     let mut world = World::new(2);
-    let second = Step { depends_on: vec![0], ..step(4, 500, 300) };
-    let third = Step { depends_on: vec![0, 1], ..step(1, 500, 100) };
+    let second = Step {
+        depends_on: vec![0],
+        ..step(4, 500, 300)
+    };
+    let third = Step {
+        depends_on: vec![0, 1],
+        ..step(1, 500, 100)
+    };
     let id = world.submit("bulk", 2, spec(vec![step(3, 500, 400), second, third]));
     world.run_for(2_500);
     world.get(id);
@@ -39,7 +48,12 @@
 fn a_job_that_keeps_failing_is_failed_and_others_go_on() {
     let mut world = World::new(3);
     let bad = world.submit("quick", 3, spec(vec![step(2, 240, 100)]));
-    let task = indigofold_protocol::task::TaskName { job: bad, repeat: 0, step: 0, index: 1 };
+    let task = indigofold_protocol::task::TaskName {
+        job: bad,
+        repeat: 0,
+        step: 0,
+        index: 1,
+    };
     world.work.insert(task, (100, 99));
     let good = world.submit("quick", 4, spec(vec![step(2, 240, 100)]));
     world.run_for(5_000);
@@ -55,7 +69,12 @@
 fn repetitions_run_at_their_times() {
     let mut world = World::new(5);
     let start_at_ms = world.wall_ms() + 1_000;
-    let job = JobSpec { repeat_count: 3, start_at_ms, interval_ms: 500, ..spec(vec![step(2, 240, 700)]) };
+    let job = JobSpec {
+        repeat_count: 3,
+        start_at_ms,
+        interval_ms: 500,
+        ..spec(vec![step(2, 240, 700)])
+    };
     let id = world.submit("quick", 5, job);
     world.run_for(3_200);
     world.get(id);
@@ -81,7 +100,14 @@
 #[test]
 fn lasting_tasks_run_until_cancelled() {
     let mut world = World::new(7);
-    let id = world.submit("bulk", 7, spec(vec![Step { long_running: true, ..step(6, 200, 400) }]));
+    let id = world.submit(
+        "bulk",
+        7,
+        spec(vec![Step {
+            long_running: true,
+            ..step(6, 200, 400)
+        }]),
+    );
     world.run_for(1_000);
     world.nodes[0].crash(world.now_ms, 1_000);
     world.nodes[1].crash(world.now_ms, 1_000);
@@ -96,7 +122,12 @@
 #[test]
 fn a_gang_starts_together() {
     let mut world = World::new(8);
-    let gang = Step { gang: true, gpu: 8, rack_local: true, ..step(2, 15_000, 1_000) };
+    let gang = Step {
+        gang: true,
+        gpu: 8,
+        rack_local: true,
+        ..step(2, 15_000, 1_000)
+    };
     let id = world.submit("vision", 8, spec(vec![gang]));
     world.run_for(3_000);
     world.get(id);
@@ -121,10 +152,22 @@
         world.handle(indigofold_scheduler::Event::Call { from, call });
         world.replies.first().map(|reply| reply.outcome.clone())
     };
-    assert_eq!(outcome(&mut world, "/bulk/"), Some(ClientOutcome::Pending(1)));
-    assert_eq!(outcome(&mut world, "/quick/"), Some(ClientOutcome::Pending(0)));
-    assert_eq!(outcome(&mut world, "/none/"), Some(ClientOutcome::UnknownRoute));
-    assert_eq!(outcome(&mut world, "/quick/00000000000000aa"), Some(ClientOutcome::NoSuchJob));
+    assert_eq!(
+        outcome(&mut world, "/bulk/"),
+        Some(ClientOutcome::Pending(1))
+    );
+    assert_eq!(
+        outcome(&mut world, "/quick/"),
+        Some(ClientOutcome::Pending(0))
+    );
+    assert_eq!(
+        outcome(&mut world, "/none/"),
+        Some(ClientOutcome::UnknownRoute)
+    );
+    assert_eq!(
+        outcome(&mut world, "/quick/00000000000000aa"),
+        Some(ClientOutcome::NoSuchJob)
+    );
     let state = outcome(&mut world, &format!("/bulk/{id}"));
     assert_eq!(state, Some(ClientOutcome::State(JobState::Queued)));
 }
--- a/crates/scheduler/tests/priorities.rs
+++ b/crates/scheduler/tests/priorities.rs
@@ -10,12 +10,22 @@
 fn a_gang_is_not_starved_by_small_tasks() {
     let mut world = World::new(1);
     world.run_for(200);
-    let small = || spec(vec![Step { gpu: 1, ..step(6, 2_800, 1_000) }]);
+    let small = || {
+        spec(vec![Step {
+            gpu: 1,
+            ..step(6, 2_800, 1_000)
+        }])
+    };
     for number in 0..6 {
         world.submit("vision", 100 + number, small());
     }
     world.run_for(300);
-    let gang = Step { gang: true, rack_local: true, gpu: 8, ..step(2, 15_000, 1_500) };
+    let gang = Step {
+        gang: true,
+        rack_local: true,
+        gpu: 8,
+        ..step(2, 15_000, 1_500)
+    };
     let id = world.submit("vision", 1, spec(vec![gang]));
     for number in 0..40 {
         world.submit("vision", 200 + number, small());
@@ -31,9 +41,20 @@
 fn a_higher_priority_preempts() {
     let mut world = World::new(2);
     world.run_for(200);
-    let bulk = world.submit("bulk", 1, spec(vec![Step { checkpoints: true, ..step(64, 1_000, 20_000) }]));
+    let bulk = world.submit(
+        "bulk",
+        1,
+        spec(vec![Step {
+            checkpoints: true,
+            ..step(64, 1_000, 20_000)
+        }]),
+    );
     world.run_for(1_000);
-    assert!(world.nodes[..4].iter().all(|node| node.used().cpu == 16_000));
+    assert!(
+        world.nodes[..4]
+            .iter()
+            .all(|node| node.used().cpu == 16_000)
+    );
     let quick = world.submit("quick", 2, spec(vec![step(6, 240, 700)]));
     world.run_for(4_000);
     world.get(quick);
@@ -71,7 +92,11 @@
     let ids: Vec<_> = world.jobs.keys().copied().collect();
     ids.iter().for_each(|id| world.get(*id));
     world.run_for(50);
-    let failed = world.jobs.values().filter(|job| job.state == Some(JobState::Failed)).count();
+    let failed = world
+        .jobs
+        .values()
+        .filter(|job| job.state == Some(JobState::Failed))
+        .count();
     assert_eq!(failed, 0);
 }
 
@@ -99,7 +124,11 @@
         world.submit("bulk", 1 + number, spec(vec![step(16, 1_000, 20_000)]));
     }
     world.run_for(2_000);
-    assert!(world.nodes[..4].iter().all(|node| node.used().cpu == 16_000));
+    assert!(
+        world.nodes[..4]
+            .iter()
+            .all(|node| node.used().cpu == 16_000)
+    );
     let urgent: Vec<_> = (0..40)
         .map(|number| {
             let id = world.submit("quick", 100 + number, spec(vec![step(6, 240, 700)]));
@@ -110,7 +139,10 @@
     world.run_for(2_000);
     urgent.iter().for_each(|id| world.get(*id));
     world.run_for(50);
-    let done = urgent.iter().filter(|id| world.jobs[id].state == Some(JobState::Completed)).count();
+    let done = urgent
+        .iter()
+        .filter(|id| world.jobs[id].state == Some(JobState::Completed))
+        .count();
     assert!(done >= 38, "{done} of 40 are done");
 }
 
@@ -119,7 +151,11 @@
 fn a_worker_that_has_recovered_is_used_again_beside_what_lasts_there() {
     let mut world = World::new(9);
     world.run_for(200);
-    let watch = Step { long_running: true, anti_affinity: 1, ..step(4, 100, 500) };
+    let watch = Step {
+        long_running: true,
+        anti_affinity: 1,
+        ..step(4, 100, 500)
+    };
     world.submit("bulk", 1, spec(vec![watch]));
     world.run_for(300);
     world.nodes[0].fails = true;
@@ -129,7 +165,10 @@
     }
     world.nodes[0].fails = false;
     let lasting = world.nodes[0].running.len();
-    assert_eq!(lasting, 1, "what lasts runs on, and nothing else is placed there");
+    assert_eq!(
+        lasting, 1,
+        "what lasts runs on, and nothing else is placed there"
+    );
     let mut used = false;
     for number in 0..100 {
         world.submit("quick", 100 + number, spec(vec![step(6, 240, 300)]));
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -23,7 +23,11 @@
         if world.jobs[&id].accepted_ms.is_some() {
             world.get(id);
             world.run_for(50);
-            assert_eq!(world.jobs[&id].state, Some(JobState::Completed), "after {delay_ms} ms");
+            assert_eq!(
+                world.jobs[&id].state,
+                Some(JobState::Completed),
+                "after {delay_ms} ms"
+            );
         }
     }
 }
@@ -36,10 +40,20 @@
     world.run_for(200);
     let id = world.submit("bulk", 1, spec(vec![step(1, 500, 2_500)]));
     world.run_for(300);
-    let node = world.nodes.iter().position(|node| !node.running.is_empty()).expect("it runs somewhere");
+    let node = world
+        .nodes
+        .iter()
+        .position(|node| !node.running.is_empty())
+        .expect("it runs somewhere");
     world.disconnect(node);
     world.run_for(LAPSED_MS + 800);
-    assert!(world.nodes.iter().any(|node| node.connected && !node.running.is_empty()), "started elsewhere");
+    assert!(
+        world
+            .nodes
+            .iter()
+            .any(|node| node.connected && !node.running.is_empty()),
+        "started elsewhere"
+    );
     world.connect(node);
     world.run_for(400);
     world.get(id);
@@ -54,7 +68,11 @@
     world.run_for(200);
     let id = world.submit("bulk", 1, spec(vec![step(1, 500, 9_000)]));
     world.run_for(300);
-    let node = world.nodes.iter().position(|node| !node.running.is_empty()).expect("it runs somewhere");
+    let node = world
+        .nodes
+        .iter()
+        .position(|node| !node.running.is_empty())
+        .expect("it runs somewhere");
     world.disconnect(node);
     world.run_for(6_000);
     world.connect(node);
@@ -77,7 +95,10 @@
     world.get(id);
     world.run_for(50);
     assert_eq!(world.jobs[&id].state, Some(JobState::Completed));
-    assert!(world.rows.keys().all(|key| !key.starts_with(b"job/")), "the definition is not needed any more");
+    assert!(
+        world.rows.keys().all(|key| !key.starts_with(b"job/")),
+        "the definition is not needed any more"
+    );
     world.run_for(40_000);
     world.replies.clear();
     world.get(id);
@@ -89,7 +110,10 @@
         world.nodes.len(),
         "one row for each worker's life"
     );
-    assert!(world.rows.keys().all(|key| of_lives(&key)), "nothing is kept of the job");
+    assert!(
+        world.rows.keys().all(|key| of_lives(&key)),
+        "nothing is kept of the job"
+    );
 }
 
 /// Head, companions and workers lose power together: a successor knows from the rows which machine a life was on, and
@@ -111,7 +135,11 @@
     world.get(id);
     world.run_for(50);
     assert_eq!(world.jobs[&id].state, Some(JobState::Completed));
-    let lives = world.rows.keys().filter(|key| key.starts_with(b"life/")).count();
+    let lives = world
+        .rows
+        .keys()
+        .filter(|key| key.starts_with(b"life/"))
+        .count();
     assert_eq!(lives, world.nodes.len(), "rows of lost lives are deleted");
 }
 
@@ -124,11 +152,21 @@
     world.run_for(100);
     let key = format!("progress/{id}").into_bytes();
     let row = world.rows[&key].clone();
-    let nodes: Vec<usize> = (0..4).filter(|node| !world.nodes[*node].running.is_empty()).collect();
-    let lives: Vec<String> = nodes.iter().map(|node| world.nodes[*node].instance()).collect();
+    let nodes: Vec<usize> = (0..4)
+        .filter(|node| !world.nodes[*node].running.is_empty())
+        .collect();
+    let lives: Vec<String> = nodes
+        .iter()
+        .map(|node| world.nodes[*node].instance())
+        .collect();
     let mut expected = vec![0, 1, lives.len() as u8];
     let numbered = |task: u32| {
-        let run = |at: &usize| world.nodes[*at].running.keys().any(|run| run.task.index == task);
+        let run = |at: &usize| {
+            world.nodes[*at]
+                .running
+                .keys()
+                .any(|run| run.task.index == task)
+        };
         world.nodes[*nodes.iter().find(|at| run(at)).expect("it runs")].instance()
     };
     let mut named: Vec<String> = Vec::new();
@@ -141,10 +179,16 @@
     }
     expected.extend([1, 0, 1, 2, 0, 0, 2]);
     for task in 0..2 {
-        let life = named.iter().position(|life| *life == numbered(task)).expect("it is named") as u8;
+        let life = named
+            .iter()
+            .position(|life| *life == numbered(task))
+            .expect("it is named") as u8;
         expected.extend([1, 0, 0, 0, 1, life, 1]);
     }
-    assert_eq!(row, expected, "the form of rows has changed: rows of the older one must still be read");
+    assert_eq!(
+        row, expected,
+        "the form of rows has changed: rows of the older one must still be read"
+    );
     world.take_over();
     world.run_for(2_000);
     world.get(id);
@@ -163,7 +207,11 @@
     world.run_for(1_000);
     world.submit("quick", 1, job());
     world.run_for(1_000);
-    let accepted = world.replies.iter().filter(|reply| reply.outcome == ClientOutcome::Accepted).count();
+    let accepted = world
+        .replies
+        .iter()
+        .filter(|reply| reply.outcome == ClientOutcome::Accepted)
+        .count();
     assert_eq!(accepted, 3);
     assert!(world.history.values().all(|history| history.starts == 1));
 }
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -22,21 +22,79 @@
 
 fn random_job(world: &mut World) -> (&'static str, JobSpec) {
     let dice = &mut world.dice;
-    let after_first = Step { depends_on: vec![0], checkpoints: true, ..step(3, 400, 600) };
+    let after_first = Step {
+        depends_on: vec![0],
+        checkpoints: true,
+        ..step(3, 400, 600)
+    };
     match dice.below(8) {
-        0 => ("quick", spec(vec![Step { speculative: true, ..step(6, 240, 700) }, after_first])),
-        1..3 => ("quick", spec(vec![step(6, 240, 300 + dice.below(600)), after_first])),
+        0 => (
+            "quick",
+            spec(vec![
+                Step {
+                    speculative: true,
+                    ..step(6, 240, 700)
+                },
+                after_first,
+            ]),
+        ),
+        1..3 => (
+            "quick",
+            spec(vec![step(6, 240, 300 + dice.below(600)), after_first]),
+        ),
         3 => {
-            let wide = Step { speculative: true, ..step(14, 520, 2_000) };
-            ("bulk", spec(vec![wide, Step { anti_affinity: 2, speculative: true, ..step(6, 500, 800) }]))
+            let wide = Step {
+                speculative: true,
+                ..step(14, 520, 2_000)
+            };
+            (
+                "bulk",
+                spec(vec![
+                    wide,
+                    Step {
+                        anti_affinity: 2,
+                        speculative: true,
+                        ..step(6, 500, 800)
+                    },
+                ]),
+            )
         }
-        4 => ("bulk", spec(vec![Step { requirements: "b".to_owned(), ..step(4, 2_000, 900) }])),
-        5 => ("vision", spec(vec![Step { gang: true, rack_local: true, gpu: 4, ..step(2, 15_000, 1_500) }])),
-        6 => ("vision", spec(vec![Step { gpu: 1, affinity: "r1-1".to_owned(), ..step(6, 2_800, 1_000) }])),
+        4 => (
+            "bulk",
+            spec(vec![Step {
+                requirements: "b".to_owned(),
+                ..step(4, 2_000, 900)
+            }]),
+        ),
+        5 => (
+            "vision",
+            spec(vec![Step {
+                gang: true,
+                rack_local: true,
+                gpu: 4,
+                ..step(2, 15_000, 1_500)
+            }]),
+        ),
+        6 => (
+            "vision",
+            spec(vec![Step {
+                gpu: 1,
+                affinity: "r1-1".to_owned(),
+                ..step(6, 2_800, 1_000)
+            }]),
+        ),
         _ => {
             let start_at_ms = world.wall_ms() + world.dice.below(1_500);
             let plain = spec(vec![step(2, 300, 500)]);
-            ("quick", JobSpec { repeat_count: 3, start_at_ms, interval_ms: 400, ..plain })
+            (
+                "quick",
+                JobSpec {
+                    repeat_count: 3,
+                    start_at_ms,
+                    interval_ms: 400,
+                    ..plain
+                },
+            )
         }
     }
 }
@@ -76,7 +134,10 @@
 fn play(kind: Trouble, seed: u64) {
     let mut world = World::new(seed);
     world.calm = matches!(kind, Trouble::Calm | Trouble::Cancels);
-    world.watches_idle = matches!(kind, Trouble::Calm | Trouble::Cancels | Trouble::Drains | Trouble::Grey);
+    world.watches_idle = matches!(
+        kind,
+        Trouble::Calm | Trouble::Cancels | Trouble::Drains | Trouble::Grey
+    );
     let mut ids = Vec::new();
     for number in 0..60 {
         let (route, spec) = random_job(&mut world);
@@ -102,8 +163,13 @@
     }
     for _ in 0..60 {
         world.run_for(1_000);
-        let open = ids.iter().filter(|id| world.jobs[id].ended_ms.is_none()).copied();
-        let open: Vec<JobId> = open.filter(|id| world.jobs[id].accepted_ms.is_some()).collect();
+        let open = ids
+            .iter()
+            .filter(|id| world.jobs[id].ended_ms.is_none())
+            .copied();
+        let open: Vec<JobId> = open
+            .filter(|id| world.jobs[id].accepted_ms.is_some())
+            .collect();
         if open.is_empty() {
             break;
         }
@@ -112,10 +178,19 @@
     for id in ids {
         let job = &world.jobs[id];
         let due = job.accepted_ms.is_some() && job.cancelled_ms.is_none();
-        let completed = job.state == Some(JobState::Completed) || job.state == Some(JobState::Cancelled);
-        assert!(!due || completed, "{id} ({:?}) is {:?} at the end", job.spec, job.state);
+        let completed =
+            job.state == Some(JobState::Completed) || job.state == Some(JobState::Cancelled);
+        assert!(
+            !due || completed,
+            "{id} ({:?}) is {:?} at the end",
+            job.spec,
+            job.state
+        );
     }
-    assert!(world.nodes.iter().all(|node| node.running.is_empty()), "something still runs");
+    assert!(
+        world.nodes.iter().all(|node| node.running.is_empty()),
+        "something still runs"
+    );
 }
 
 #[rstest]
--- a/crates/scheduler/tests/saving.rs
+++ b/crates/scheduler/tests/saving.rs
@@ -11,14 +11,27 @@
 const LAPSED_MS: u64 = (HOLD_AUTHORITY_MS + HOLD_MS) * 105 / 100 + 300;
 
 fn holders(world: &World) -> Vec<usize> {
-    (0..world.nodes.len()).filter(|node| !world.nodes[*node].running.is_empty()).collect()
+    (0..world.nodes.len())
+        .filter(|node| !world.nodes[*node].running.is_empty())
+        .collect()
 }
 
 /// Progress that the runs at work resumed from: number of half seconds.
 fn resumed_halves(world: &World) -> Vec<u64> {
-    let runs = world.nodes.iter().filter(|node| node.connected).flat_map(|node| node.running.values());
-    runs.map(|run| run.order.saved.rsplit(':').next().and_then(|halves| halves.parse().ok()).unwrap_or(0))
-        .collect()
+    let runs = world
+        .nodes
+        .iter()
+        .filter(|node| node.connected)
+        .flat_map(|node| node.running.values());
+    runs.map(|run| {
+        run.order
+            .saved
+            .rsplit(':')
+            .next()
+            .and_then(|halves| halves.parse().ok())
+            .unwrap_or(0)
+    })
+    .collect()
 }
 
 fn completes(world: &mut World, id: JobId) {
@@ -29,7 +42,10 @@
 }
 
 fn checkpointed(count: u32, ms: u64) -> Step {
-    Step { checkpoints: true, ..step(count, 500, ms) }
+    Step {
+        checkpoints: true,
+        ..step(count, 500, ms)
+    }
 }
 
 #[test]
@@ -42,7 +58,11 @@
     let first = holders(&world)[0];
     world.disconnect(first);
     world.run_for(LAPSED_MS + 500);
-    assert!(resumed_halves(&world)[0] >= 6, "{:?}", resumed_halves(&world));
+    assert!(
+        resumed_halves(&world)[0] >= 6,
+        "{:?}",
+        resumed_halves(&world)
+    );
     world.cancel(id);
 }
 
@@ -55,7 +75,11 @@
     let first = holders(&world)[0];
     world.nodes[first].crash(world.now_ms, 500);
     world.run_for(400);
-    assert!(resumed_halves(&world)[0] >= 4, "{:?}", resumed_halves(&world));
+    assert!(
+        resumed_halves(&world)[0] >= 4,
+        "{:?}",
+        resumed_halves(&world)
+    );
     completes(&mut world, id);
 }
 
@@ -68,12 +92,17 @@
         world.run_for(200);
         let id = world.submit("bulk", 1, spec(vec![checkpointed(2, 9_000)]));
         world.run_for(run_ms);
-        holders(&world).into_iter().for_each(|node| world.nodes[node].crash(world.now_ms, 500));
+        holders(&world)
+            .into_iter()
+            .for_each(|node| world.nodes[node].crash(world.now_ms, 500));
         world.take_over();
         world.run_for(1_000);
         let least = (run_ms - 3_500) / 500;
         let resumed = resumed_halves(&world);
-        assert!(resumed.len() == 2 && resumed.iter().all(|halves| *halves >= least), "{resumed:?}");
+        assert!(
+            resumed.len() == 2 && resumed.iter().all(|halves| *halves >= least),
+            "{resumed:?}"
+        );
         world.cancel(id);
     }
 }
@@ -84,7 +113,11 @@
     let mut world = World::new(4);
     world.calm = false;
     world.run_for(200);
-    let gang = Step { gang: true, gpu: 4, ..checkpointed(2, 8_000) };
+    let gang = Step {
+        gang: true,
+        gpu: 4,
+        ..checkpointed(2, 8_000)
+    };
     let id = world.submit("vision", 1, spec(vec![gang]));
     world.run_for(5_000);
     let first = holders(&world)[0];
@@ -92,7 +125,10 @@
     world.take_over();
     world.run_for(1_500);
     let resumed = resumed_halves(&world);
-    assert!(resumed.len() == 2 && resumed.iter().all(|halves| *halves >= 4), "{resumed:?}");
+    assert!(
+        resumed.len() == 2 && resumed.iter().all(|halves| *halves >= 4),
+        "{resumed:?}"
+    );
     completes(&mut world, id);
 }
 
@@ -101,7 +137,11 @@
 fn a_gang_moves_when_one_worker_drains() {
     let mut world = World::new(5);
     world.run_for(200);
-    let gang = Step { gang: true, gpu: 8, ..checkpointed(2, 9_000) };
+    let gang = Step {
+        gang: true,
+        gpu: 8,
+        ..checkpointed(2, 9_000)
+    };
     let id = world.submit("vision", 1, spec(vec![gang]));
     world.run_for(4_000);
     let first = holders(&world)[0];
@@ -109,8 +149,16 @@
     world.nodes[first].urgent = true;
     world.run_for(1_200);
     let resumed = resumed_halves(&world);
-    assert!(!world.nodes[first].running.keys().any(|run| run.task.job == id));
-    assert!(resumed.len() == 2 && resumed.iter().all(|halves| *halves >= 6), "{resumed:?}");
+    assert!(
+        !world.nodes[first]
+            .running
+            .keys()
+            .any(|run| run.task.job == id)
+    );
+    assert!(
+        resumed.len() == 2 && resumed.iter().all(|halves| *halves >= 6),
+        "{resumed:?}"
+    );
     world.run_for(4_000);
     completes(&mut world, id);
 }
--- a/crates/scheduler/tests/speculation.rs
+++ b/crates/scheduler/tests/speculation.rs
@@ -6,12 +6,17 @@
 use world::{World, spec, step};
 
 fn speculative(count: u32, ms: u64) -> JobSpec {
-    spec(vec![Step { speculative: true, ..step(count, 240, ms) }])
+    spec(vec![Step {
+        speculative: true,
+        ..step(count, 240, ms)
+    }])
 }
 
 /// Nodes that hold something.
 fn holders(world: &World) -> Vec<usize> {
-    (0..world.nodes.len()).filter(|node| !world.nodes[*node].running.is_empty()).collect()
+    (0..world.nodes.len())
+        .filter(|node| !world.nodes[*node].running.is_empty())
+        .collect()
 }
 
 fn completed(world: &mut World, id: indigofold_protocol::task::JobId) -> bool {
--- a/crates/scheduler/tests/validation.rs
+++ b/crates/scheduler/tests/validation.rs
@@ -16,12 +16,16 @@
 fn an_invalid_job_is_refused(#[case] job: JobSpec, #[case] named: &str) {
     let mut world = World::new(1);
     world.submit("quick", 1, job);
-    let Some(ClientOutcome::Invalid { reason }) = world.replies.first().map(|reply| reply.outcome.clone())
+    let Some(ClientOutcome::Invalid { reason }) =
+        world.replies.first().map(|reply| reply.outcome.clone())
     else {
         panic!("{:?}", world.replies);
     };
     assert!(reason.contains(named), "{reason}");
     world.run_for(1_000);
     let of_lives = world.rows.keys().all(|key| key.starts_with(b"life/"));
-    assert!(world.history.is_empty() && of_lives, "nothing is kept of the job");
+    assert!(
+        world.history.is_empty() && of_lives,
+        "nothing is kept of the job"
+    );
 }
--- a/crates/scheduler/tests/world/idle.rs
+++ b/crates/scheduler/tests/world/idle.rs
@@ -19,14 +19,23 @@
                 continue;
             }
             let since_ms = *self.idle_since.entry(id).or_insert(self.now_ms);
-            assert!(self.now_ms - since_ms < IDLE_MAX_MS, "LOST: {id} sits idle since {since_ms}");
+            assert!(
+                self.now_ms - since_ms < IDLE_MAX_MS,
+                "LOST: {id} sits idle since {since_ms}"
+            );
         }
     }
 
     fn sits_idle(&self, id: JobId) -> bool {
         let job = &self.jobs[&id];
-        let over = job.accepted_ms.is_none() || job.cancelled_ms.is_some() || job.ended_ms.is_some();
-        if over || self.nodes.iter().any(|node| node.running.keys().any(|run| run.task.job == id)) {
+        let over =
+            job.accepted_ms.is_none() || job.cancelled_ms.is_some() || job.ended_ms.is_some();
+        if over
+            || self
+                .nodes
+                .iter()
+                .any(|node| node.running.keys().any(|run| run.task.job == id))
+        {
             return false;
         }
         if self.is_given_up(id, job) {
@@ -35,7 +44,9 @@
         let due = (0..job.spec.repeat_count.max(1)).filter(|repeat| self.is_due(job, *repeat));
         due.into_iter().any(|repeat| {
             let turn = |step: &usize| self.has_turn(id, job, repeat, *step);
-            (0..job.spec.stages.len()).filter(turn).any(|step| self.has_room(job, &job.spec.stages[step]))
+            (0..job.spec.stages.len())
+                .filter(turn)
+                .any(|step| self.has_room(job, &job.spec.stages[step]))
         })
     }
 
@@ -44,8 +55,15 @@
         let mut failed: BTreeMap<TaskName, BTreeSet<u32>> = BTreeMap::new();
         for (task, history) in self.history.iter().filter(|(task, _)| task.job == id) {
             let gang = job.spec.stages[task.step as usize].gang;
-            let counted = if gang { TaskName { index: 0, ..*task } } else { *task };
-            failed.entry(counted).or_default().extend(&history.failed_noted);
+            let counted = if gang {
+                TaskName { index: 0, ..*task }
+            } else {
+                *task
+            };
+            failed
+                .entry(counted)
+                .or_default()
+                .extend(&history.failed_noted);
         }
         failed.values().any(|attempts| attempts.len() >= RETRIES)
     }
@@ -57,34 +75,64 @@
 
     fn has_turn(&self, id: JobId, job: &ClientJob, repeat: u32, step: usize) -> bool {
         let depends_on = &job.spec.stages[step].depends_on;
-        let before = depends_on.iter().all(|before| self.step_done(id, job, repeat, *before as usize));
+        let before = depends_on
+            .iter()
+            .all(|before| self.step_done(id, job, repeat, *before as usize));
         before && !self.step_done(id, job, repeat, step)
     }
 
     fn step_done(&self, id: JobId, job: &ClientJob, repeat: u32, step: usize) -> bool {
         let done = |index: u32| {
-            let task = TaskName { job: id, repeat, step: step as u32, index };
+            let task = TaskName {
+                job: id,
+                repeat,
+                step: step as u32,
+                index,
+            };
             self.history.get(&task).is_some_and(|history| history.done)
         };
         let (count, gang) = (job.spec.stages[step].count, job.spec.stages[step].gang);
-        if gang { (0..count).any(done) } else { (0..count).all(done) }
+        if gang {
+            (0..count).any(done)
+        } else {
+            (0..count).all(done)
+        }
     }
 
     /// Room for the step's next start twice over, and under half of the service in use.
     fn has_room(&self, job: &ClientJob, step: &Step) -> bool {
-        let backend = self.config.routes.iter().find(|r| r.name == job.route).map(|r| &r.backend);
-        let of_service = || self.nodes.iter().filter(|node| Some(&node.backend) == backend && node.up);
+        let backend = self
+            .config
+            .routes
+            .iter()
+            .find(|r| r.name == job.route)
+            .map(|r| &r.backend);
+        let of_service = || {
+            self.nodes
+                .iter()
+                .filter(|node| Some(&node.backend) == backend && node.up)
+        };
         let used: u64 = of_service().map(|node| node.used().cpu).sum();
         let all: u64 = of_service().map(|node| node.capacity.cpu).sum();
         let labelled =
             |labels: &[String]| step.requirements.is_empty() || labels.contains(&step.requirements);
         let fitting = of_service()
-            .filter(|node| node.connected && node.drains_until_ms.is_none() && labelled(&node.labels))
+            .filter(|node| {
+                node.connected && node.drains_until_ms.is_none() && labelled(&node.labels)
+            })
             .map(|node| fits(node.capacity.minus(&node.used()), step.resources()))
-            .map(
-                |count| if step.anti_affinity > 0 { count.min(u64::from(step.anti_affinity)) } else { count },
-            );
-        let wanted = if step.gang { u64::from(step.count) * 2 } else { 2 };
+            .map(|count| {
+                if step.anti_affinity > 0 {
+                    count.min(u64::from(step.anti_affinity))
+                } else {
+                    count
+                }
+            });
+        let wanted = if step.gang {
+            u64::from(step.count) * 2
+        } else {
+            2
+        };
         2 * used < all && fitting.sum::<u64>() >= wanted
     }
 }
@@ -92,5 +140,7 @@
 /// How many tasks fit into what is free.
 fn fits(free: Resources, task: Resources) -> u64 {
     let by = |free: u64, task: u64| free.checked_div(task).unwrap_or(u64::MAX);
-    by(free.cpu, task.cpu).min(by(free.mem_mb, task.mem_mb)).min(by(free.gpu, task.gpu))
+    by(free.cpu, task.cpu)
+        .min(by(free.mem_mb, task.mem_mb))
+        .min(by(free.gpu, task.gpu))
 }
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -13,7 +13,9 @@
 use indigofold_protocol::job::{JobSpec, JobState};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use indigofold_protocol::worker::RunEnd;
-use indigofold_scheduler::{CallerId, CompanionId, Effect, Event, LateEnd, RowChange, Scheduler, WriteId};
+use indigofold_scheduler::{
+    CallerId, CompanionId, Effect, Event, LateEnd, RowChange, Scheduler, WriteId,
+};
 use node::{AtWork, GANG_MS, Node};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -32,7 +34,10 @@
 
 impl Dice {
     pub fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound.max(1)
     }
 
@@ -156,7 +161,8 @@
                 Effect::Reply { reply, .. } => self.replied(reply),
                 Effect::Late(end) => self.late.push(*end),
                 Effect::Orders { companion, orders } => {
-                    self.mail.push_back((now_ms + NET_MS, Mail::Orders(companion, orders)));
+                    self.mail
+                        .push_back((now_ms + NET_MS, Mail::Orders(companion, orders)));
                 }
             }
         }
@@ -171,12 +177,19 @@
         let at = &mut self.nodes[node];
         (at.connected, at.told_lists, at.urgent) = (true, false, true);
         let node_name = at.name.clone();
-        self.handle(Event::CompanionConnected { companion, node_name });
+        self.handle(Event::CompanionConnected {
+            companion,
+            node_name,
+        });
     }
 
     pub fn disconnect(&mut self, node: usize) {
-        let gone: Vec<CompanionId> =
-            self.connections.iter().filter(|(_, at)| **at == node).map(|(id, _)| *id).collect();
+        let gone: Vec<CompanionId> = self
+            .connections
+            .iter()
+            .filter(|(_, at)| **at == node)
+            .map(|(id, _)| *id)
+            .collect();
         self.nodes[node].connected = false;
         for companion in gone {
             self.connections.remove(&companion);
@@ -196,7 +209,9 @@
         self.calls.clear();
         let (now_ms, wall_ms) = (self.now_ms, self.wall_ms());
         self.scheduler = Scheduler::new(bounds(), self.epoch, self.epoch, now_ms, wall_ms);
-        self.scheduler.load(self.rows.clone()).expect("rows are readable");
+        self.scheduler
+            .load(self.rows.clone())
+            .expect("rows are readable");
         self.handle(Event::Config(self.config.clone()));
         for node in 0..self.nodes.len() {
             if self.nodes[node].connected {
@@ -211,17 +226,31 @@
         let call = self.next_call;
         self.next_call += 1;
         self.calls.insert(call, (id, cancel));
-        let call = ClientCall { call, host: "h".to_owned(), path, operation };
-        self.handle(Event::Call { from: CallerId(1), call });
+        let call = ClientCall {
+            call,
+            host: "h".to_owned(),
+            path,
+            operation,
+        };
+        self.handle(Event::Call {
+            from: CallerId(1),
+            call,
+        });
     }
 
     pub fn submit(&mut self, route: &str, id: u64, spec: JobSpec) -> JobId {
         let id = JobId(id);
         let entry = self.jobs.entry(id).or_default();
         if entry.sent_ms == 0 {
-            (entry.spec, entry.route, entry.sent_ms) = (spec.clone(), route.to_owned(), self.now_ms);
+            (entry.spec, entry.route, entry.sent_ms) =
+                (spec.clone(), route.to_owned(), self.now_ms);
         }
-        self.call(id, format!("/{route}/{id}"), ClientOperation::Submit(spec), false);
+        self.call(
+            id,
+            format!("/{route}/{id}"),
+            ClientOperation::Submit(spec),
+            false,
+        );
         id
     }
 
@@ -237,9 +266,13 @@
 
     fn replied(&mut self, reply: ClientReply) {
         self.replies.push(reply.clone());
-        let Some((id, _)) = self.calls.remove(&reply.call) else { return };
+        let Some((id, _)) = self.calls.remove(&reply.call) else {
+            return;
+        };
         let now_ms = self.now_ms;
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         match reply.outcome {
             ClientOutcome::Accepted => {
                 job.accepted_ms.get_or_insert(now_ms);
@@ -249,7 +282,10 @@
             }
             ClientOutcome::Invalid { .. } | ClientOutcome::TooMany { .. } => job.refused = true,
             ClientOutcome::State(state) => {
-                if matches!(state, JobState::Completed | JobState::Failed | JobState::Cancelled) {
+                if matches!(
+                    state,
+                    JobState::Completed | JobState::Failed | JobState::Cancelled
+                ) {
                     job.ended_ms.get_or_insert(now_ms);
                 }
                 assert!(
@@ -262,7 +298,9 @@
                 }
             }
             ClientOutcome::NoSuchJob => {
-                let open = job.accepted_ms.is_some() && job.ended_ms.is_none() && job.cancelled_ms.is_none();
+                let open = job.accepted_ms.is_some()
+                    && job.ended_ms.is_none()
+                    && job.cancelled_ms.is_none();
                 assert!(!open, "LOST: {id} is unknown");
             }
             _ => {}
@@ -283,13 +321,21 @@
     }
 
     fn advance(&mut self) {
-        while self.writes.front().is_some_and(|(at, ..)| *at <= self.now_ms) {
-            let Some((_, write, changes)) = self.writes.pop_front() else { break };
+        while self
+            .writes
+            .front()
+            .is_some_and(|(at, ..)| *at <= self.now_ms)
+        {
+            let Some((_, write, changes)) = self.writes.pop_front() else {
+                break;
+            };
             apply(&mut self.rows, changes);
             self.handle(Event::Committed(write));
         }
         while self.mail.front().is_some_and(|(at, _)| *at <= self.now_ms) {
-            let Some((_, mail)) = self.mail.pop_front() else { break };
+            let Some((_, mail)) = self.mail.pop_front() else {
+                break;
+            };
             self.deliver(mail);
         }
         for node in 0..self.nodes.len() {
@@ -306,7 +352,9 @@
     fn deliver(&mut self, mail: Mail) {
         match mail {
             Mail::Orders(companion, orders) => {
-                let Some(&node) = self.connections.get(&companion) else { return };
+                let Some(&node) = self.connections.get(&companion) else {
+                    return;
+                };
                 let now_ms = self.now_ms;
                 if let Some(seen) = self.nodes[node].orders(now_ms, orders) {
                     self.note_ends(node, seen);
@@ -322,10 +370,17 @@
 
     fn note_ends(&mut self, node: usize, seen: u64) {
         let at = &mut self.nodes[node];
-        assert!(seen < at.next_end, "an end was acknowledged that was never listed");
+        assert!(
+            seen < at.next_end,
+            "an end was acknowledged that was never listed"
+        );
         let before = at.seen;
         at.seen = before.max(seen);
-        for end in at.ends.iter().filter(|end| end.number > before && end.number <= seen) {
+        for end in at
+            .ends
+            .iter()
+            .filter(|end| end.number > before && end.number <= seen)
+        {
             let history = self.history.entry(end.run.task).or_default();
             match end.end {
                 RunEnd::Done => {
@@ -352,9 +407,14 @@
         }
         self.work_on(node);
         if let Some(report) = self.nodes[node].report(now_ms) {
-            let companion = self.connections.iter().find(|(_, at)| **at == node).map(|(id, _)| *id);
+            let companion = self
+                .connections
+                .iter()
+                .find(|(_, at)| **at == node)
+                .map(|(id, _)| *id);
             let Some(companion) = companion else { return };
-            self.mail.push_back((now_ms + NET_MS, Mail::Report(companion, report)));
+            self.mail
+                .push_back((now_ms + NET_MS, Mail::Report(companion, report)));
         }
     }
 
@@ -362,15 +422,20 @@
         let now_ms = self.now_ms;
         if now_ms >= self.nodes[node].held_until_ms {
             let lapsed: Vec<RunId> = self.nodes[node].running.keys().copied().collect();
-            lapsed.into_iter().for_each(|run| self.nodes[node].end(run, RunEnd::Lapsed, String::new()));
+            lapsed
+                .into_iter()
+                .for_each(|run| self.nodes[node].end(run, RunEnd::Lapsed, String::new()));
         }
         if let Some(until_ms) = self.nodes[node].drains_until_ms
             && now_ms >= until_ms
         {
             self.nodes[node].crash(now_ms, 3_000);
         }
-        let runs: Vec<(RunId, AtWork)> =
-            self.nodes[node].running.iter().map(|(run, at)| (*run, at.clone())).collect();
+        let runs: Vec<(RunId, AtWork)> = self.nodes[node]
+            .running
+            .iter()
+            .map(|(run, at)| (*run, at.clone()))
+            .collect();
         for (run, at) in runs {
             self.work_on_run(node, run, &at);
         }
@@ -378,7 +443,12 @@
 
     fn work_on_run(&mut self, node: usize, run: RunId, at: &AtWork) {
         let now_ms = self.now_ms;
-        let Some(step) = self.jobs[&run.task.job].spec.stages.get(run.task.step as usize).cloned() else {
+        let Some(step) = self.jobs[&run.task.job]
+            .spec
+            .stages
+            .get(run.task.step as usize)
+            .cloned()
+        else {
             return;
         };
         if at.stop_ms.is_some_and(|stop| now_ms >= stop) {
@@ -389,11 +459,18 @@
         let Some(began_ms) = at.began_ms else {
             return self.wait_for_gang(node, run, at, step.count);
         };
-        let (work_ms, failures) = self.work.get(&run.task).copied().unwrap_or((step.estimate_ms, 0));
+        let (work_ms, failures) = self
+            .work
+            .get(&run.task)
+            .copied()
+            .unwrap_or((step.estimate_ms, 0));
         if step.long_running || self.nodes[node].hangs || now_ms < began_ms + work_ms {
             return;
         }
-        let failed_so_far = self.history.get(&run.task).map_or(0, |h| h.failed_noted.len() as u32);
+        let failed_so_far = self
+            .history
+            .get(&run.task)
+            .map_or(0, |h| h.failed_noted.len() as u32);
         if self.nodes[node].fails || failed_so_far < failures {
             self.nodes[node].end(run, RunEnd::Failed, String::new());
             return self.break_gang(run, step.gang);
@@ -412,8 +489,12 @@
                     == (run.task.job, run.task.repeat, run.task.step)
         };
         let on = |(node, at): (usize, &Node)| {
-            let here: Vec<(usize, RunId)> =
-                at.running.keys().filter(|r| same(r)).map(|r| (node, *r)).collect();
+            let here: Vec<(usize, RunId)> = at
+                .running
+                .keys()
+                .filter(|r| same(r))
+                .map(|r| (node, *r))
+                .collect();
             here
         };
         self.nodes.iter().enumerate().flat_map(on).collect()
--- a/crates/scheduler/tests/world/node.rs
+++ b/crates/scheduler/tests/world/node.rs
@@ -32,7 +32,10 @@
         if halves == 0 {
             self.order.saved.clone()
         } else {
-            format!("{}:{}:{halves}", self.order.run.task.job, self.order.run.attempt)
+            format!(
+                "{}:{}:{halves}",
+                self.order.run.task.job, self.order.run.attempt
+            )
         }
     }
 }
@@ -120,7 +123,8 @@
         self.running.clear();
         self.ends.clear();
         (self.next_end, self.seen, self.held_until_ms) = (1, 0, 0);
-        self.not_started.extend(std::mem::take(&mut self.waiting).into_keys());
+        self.not_started
+            .extend(std::mem::take(&mut self.waiting).into_keys());
         self.drains_until_ms = None;
         self.drain_told_ms = None;
         (self.urgent, self.told_lists) = (true, false);
@@ -128,13 +132,20 @@
 
     /// What all its runs take.
     pub fn used(&self) -> Resources {
-        self.running.values().fold(Resources::default(), |sum, at| sum.plus(&at.order.resources))
+        self.running.values().fold(Resources::default(), |sum, at| {
+            sum.plus(&at.order.resources)
+        })
     }
 
     pub fn end(&mut self, run: RunId, end: RunEnd, saved: String) {
         self.running.remove(&run);
         self.closed.insert(run);
-        self.ends.push(FinishedRun { number: self.next_end, run, end, saved });
+        self.ends.push(FinishedRun {
+            number: self.next_end,
+            run,
+            end,
+            saved,
+        });
         self.next_end += 1;
         self.urgent = true;
     }
@@ -181,7 +192,10 @@
             return Vec::new();
         }
         self.next_beat_ms = now_ms + BEAT_MS;
-        if self.authority_ms.is_none_or(|sent| now_ms >= sent + HOLD_AUTHORITY_MS) {
+        if self
+            .authority_ms
+            .is_none_or(|sent| now_ms >= sent + HOLD_AUTHORITY_MS)
+        {
             return Vec::new();
         }
         self.held_until_ms = self.held_until_ms.max(now_ms + HOLD_MS);
@@ -196,7 +210,10 @@
                 used = used.plus(&order.resources);
                 passed.push(order);
             } else {
-                panic!("LIMIT: {run:?} does not fit on {} beside {used:?}", self.name);
+                panic!(
+                    "LIMIT: {run:?} does not fit on {} beside {used:?}",
+                    self.name
+                );
             }
         }
         passed
@@ -226,14 +243,20 @@
     }
 
     fn describe(&self, now_ms: u64, lists: bool) -> InstanceReport {
-        let state = if self.drains_until_ms.is_some() { WorkerState::Draining } else { WorkerState::Ready };
+        let state = if self.drains_until_ms.is_some() {
+            WorkerState::Draining
+        } else {
+            WorkerState::Ready
+        };
         let listed = |(run, at): (&RunId, &AtWork)| RunningRun {
             run: *run,
             saved: at.saved(now_ms),
             percent: if self.hangs {
                 3
             } else {
-                at.began_ms.map_or(0, |began| ((now_ms - began) * 100 / at.work_ms.max(1)).min(99) as u32)
+                at.began_ms.map_or(0, |began| {
+                    ((now_ms - began) * 100 / at.work_ms.max(1)).min(99) as u32
+                })
             },
         };
         InstanceReport {
@@ -241,13 +264,20 @@
             backend: self.backend.clone(),
             zone: "z".to_owned(),
             state,
-            remaining_ms: self.drains_until_ms.map(|until| until.saturating_sub(now_ms)),
+            remaining_ms: self
+                .drains_until_ms
+                .map(|until| until.saturating_sub(now_ms)),
             cold_remaining_ms: 0,
             capacity: self.capacity,
             labels: self.labels.clone(),
             silent_ms: 0,
             running: lists.then(|| self.running.iter().map(listed).collect()),
-            finished: self.ends.iter().filter(|end| end.number > self.seen).cloned().collect(),
+            finished: self
+                .ends
+                .iter()
+                .filter(|end| end.number > self.seen)
+                .cloned()
+                .collect(),
             in_flight: Vec::new(),
         }
     }
--- a/crates/scheduler/tests/world/rules.rs
+++ b/crates/scheduler/tests/world/rules.rs
@@ -12,24 +12,43 @@
         for repeat in 0..job.spec.repeat_count.max(1) {
             for (number, step) in job.spec.stages.iter().enumerate() {
                 let done = |index: u32| {
-                    let task = TaskName { job: id, repeat, step: number as u32, index };
+                    let task = TaskName {
+                        job: id,
+                        repeat,
+                        step: number as u32,
+                        index,
+                    };
                     self.history.get(&task).is_some_and(|history| history.done)
                 };
                 let all = (0..step.count).filter(|index| done(*index)).count() as u32;
-                let enough = if step.gang { all > 0 } else { all == step.count };
-                assert!(enough, "MIXED: {id} is completed, step {number} has {all} of {}", step.count);
+                let enough = if step.gang {
+                    all > 0
+                } else {
+                    all == step.count
+                };
+                assert!(
+                    enough,
+                    "MIXED: {id} is completed, step {number} has {all} of {}",
+                    step.count
+                );
             }
         }
     }
 
     pub(super) fn start(&mut self, node: usize, order: StartOrder) {
         let (run, task) = (order.run, order.run.task);
-        let job = self.jobs.get(&task.job).unwrap_or_else(|| panic!("UNASKED: {task}"));
+        let job = self
+            .jobs
+            .get(&task.job)
+            .unwrap_or_else(|| panic!("UNASKED: {task}"));
         let step = &job.spec.stages[task.step as usize];
         assert_eq!(order.spec, job.spec.spec, "UNASKED: another text");
         assert!(!job.refused, "REFUSED: {task}");
         if let Some(cancelled_ms) = job.cancelled_ms {
-            assert!(self.now_ms < cancelled_ms + 300, "UNASKED: {task} after its job was cancelled");
+            assert!(
+                self.now_ms < cancelled_ms + 300,
+                "UNASKED: {task} after its job was cancelled"
+            );
         }
         let speculative = step.speculative;
         self.check_twice(run, speculative);
@@ -38,22 +57,43 @@
         self.check_worker(node, task, step);
         let history = self.history.get(&task);
         let failed = history.map_or(0, |h| h.failed_noted.len());
-        assert!(step.long_running || step.gang || failed < 3, "BUDGET: {task}");
-        let work_ms = self.work.get(&task).map_or(step.estimate_ms, |(work_ms, _)| *work_ms);
+        assert!(
+            step.long_running || step.gang || failed < 3,
+            "BUDGET: {task}"
+        );
+        let work_ms = self
+            .work
+            .get(&task)
+            .map_or(step.estimate_ms, |(work_ms, _)| *work_ms);
         let gang = step.gang;
         self.history.entry(task).or_default().starts += 1;
         let began_ms = (!gang).then_some(self.now_ms);
-        let at = AtWork { order, arrived_ms: self.now_ms, began_ms, stop_ms: None, work_ms };
+        let at = AtWork {
+            order,
+            arrived_ms: self.now_ms,
+            began_ms,
+            stop_ms: None,
+            work_ms,
+        };
         self.nodes[node].running.insert(run, at);
         self.nodes[node].urgent = true;
         let (used, capacity) = (self.nodes[node].used(), self.nodes[node].capacity);
-        assert!(capacity.holds(&used), "LIMIT: {} has {used:?}", self.nodes[node].name);
+        assert!(
+            capacity.holds(&used),
+            "LIMIT: {} has {used:?}",
+            self.nodes[node].name
+        );
     }
 
     /// Progress handed to a run must be the task's (the gang's), and the same for all members.
     fn check_saved(&self, order: &StartOrder, gang: bool) {
-        let own = order.saved.is_empty() || order.saved.starts_with(&order.run.task.job.to_string());
-        assert!(own, "UNASKED: {} resumes from `{}`", order.run.task, order.saved);
+        let own =
+            order.saved.is_empty() || order.saved.starts_with(&order.run.task.job.to_string());
+        assert!(
+            own,
+            "UNASKED: {} resumes from `{}`",
+            order.run.task, order.saved
+        );
         let texts = self
             .gang_members(order.run)
             .into_iter()
@@ -67,15 +107,30 @@
     /// Copies of speculative steps may run at the same time, and for a second after the end of one was taken note of.
     fn check_twice(&self, run: RunId, speculative: bool) {
         if speculative {
-            let noted_ms = self.history.get(&run.task).and_then(|history| history.done_noted_ms);
+            let noted_ms = self
+                .history
+                .get(&run.task)
+                .and_then(|history| history.done_noted_ms);
             let late = noted_ms.is_some_and(|noted| self.now_ms >= noted + 1_000);
-            return assert!(!late, "TWICE: a copy of {} starts long after it was done", run.task);
+            return assert!(
+                !late,
+                "TWICE: a copy of {} starts long after it was done",
+                run.task
+            );
         }
         for node in &self.nodes {
             let other = node.running.keys().find(|other| other.task == run.task);
-            assert!(other.is_none(), "TWICE: {} runs on {} ({other:?})", run.task, node.name);
+            assert!(
+                other.is_none(),
+                "TWICE: {} runs on {} ({other:?})",
+                run.task,
+                node.name
+            );
         }
-        let noted = self.history.get(&run.task).is_some_and(|history| history.done_noted);
+        let noted = self
+            .history
+            .get(&run.task)
+            .is_some_and(|history| history.done_noted);
         assert!(!noted, "TWICE: {} was done", run.task);
     }
 
@@ -83,11 +138,18 @@
         for &before in &job.spec.stages[task.step as usize].depends_on {
             let step = &job.spec.stages[before as usize];
             let done = |index: u32| {
-                let name = TaskName { step: before, index, ..task };
+                let name = TaskName {
+                    step: before,
+                    index,
+                    ..task
+                };
                 self.history.get(&name).is_some_and(|history| history.done)
             };
             let all = (0..step.count).filter(|index| done(*index)).count() as u32;
-            assert!(all == step.count || step.gang && all > 0, "ORDER: {task} before step {before}");
+            assert!(
+                all == step.count || step.gang && all > 0,
+                "ORDER: {task} before step {before}"
+            );
         }
         if job.spec.repeat_count > 0 {
             let due_ms = job.spec.start_at_ms + u64::from(task.repeat) * job.spec.interval_ms;
@@ -97,12 +159,32 @@
 
     fn check_worker(&self, node: usize, task: TaskName, step: &Step) {
         let at = &self.nodes[node];
-        let route = self.config.routes.iter().find(|r| r.name == self.jobs[&task.job].route);
-        assert_eq!(Some(&at.backend), route.map(|r| &r.backend), "ROUTE: {task}");
-        assert!(step.requirements.is_empty() || at.labels.contains(&step.requirements), "ROUTE: label");
-        let same = |other: &&RunId| (other.task.repeat, other.task.step) == (task.repeat, task.step);
-        let here = at.running.keys().filter(|other| other.task.job == task.job).filter(same).count() as u32;
-        assert!(step.anti_affinity == 0 || here < step.anti_affinity, "ROUTE: anti_affinity of {task}");
+        let route = self
+            .config
+            .routes
+            .iter()
+            .find(|r| r.name == self.jobs[&task.job].route);
+        assert_eq!(
+            Some(&at.backend),
+            route.map(|r| &r.backend),
+            "ROUTE: {task}"
+        );
+        assert!(
+            step.requirements.is_empty() || at.labels.contains(&step.requirements),
+            "ROUTE: label"
+        );
+        let same =
+            |other: &&RunId| (other.task.repeat, other.task.step) == (task.repeat, task.step);
+        let here = at
+            .running
+            .keys()
+            .filter(|other| other.task.job == task.job)
+            .filter(same)
+            .count() as u32;
+        assert!(
+            step.anti_affinity == 0 || here < step.anti_affinity,
+            "ROUTE: anti_affinity of {task}"
+        );
         if let Some(told_ms) = at.drain_told_ms {
             assert!(self.now_ms < told_ms + 500, "DRAIN: {task} on {}", at.name);
         }
--- a/crates/scheduler/tests/world/setup.rs
+++ b/crates/scheduler/tests/world/setup.rs
@@ -6,7 +6,10 @@
 use indigofold_scheduler::Bounds;
 
 pub fn bounds() -> Bounds {
-    Bounds { status_s: 5, ..Bounds::default() }
+    Bounds {
+        status_s: 5,
+        ..Bounds::default()
+    }
 }
 
 pub fn route(name: &str, backend: &str, priority: u32) -> Route {
@@ -25,31 +28,53 @@
 }
 
 pub fn config() -> Config {
-    let service = |name: &str| Service { name: name.to_owned(), ..Service::default() };
+    let service = |name: &str| Service {
+        name: name.to_owned(),
+        ..Service::default()
+    };
     Config {
         version: 1,
-        routes: vec![route("quick", "s", 0), route("bulk", "s", 2), route("vision", "v", 1)],
+        routes: vec![
+            route("quick", "s", 0),
+            route("bulk", "s", 2),
+            route("vision", "v", 1),
+        ],
         services: vec![service("s"), service("v")],
         ..Config::default()
     }
 }
 
 pub fn resources(cpu: u64, gpu: u64) -> Resources {
-    Resources { cpu, mem_mb: cpu * 2, gpu }
+    Resources {
+        cpu,
+        mem_mb: cpu * 2,
+        gpu,
+    }
 }
 
 /// `count` tasks of `cpu` thousandths of a core and about `ms`.
 pub fn step(count: u32, cpu: u64, ms: u64) -> Step {
-    Step { count, cpu, mem_mb: cpu, estimate_ms: ms, ..Step::default() }
+    Step {
+        count,
+        cpu,
+        mem_mb: cpu,
+        estimate_ms: ms,
+        ..Step::default()
+    }
 }
 
 pub fn spec(stages: Vec<Step>) -> JobSpec {
-    JobSpec { spec: "text".to_owned(), stages, ..JobSpec::default() }
+    JobSpec {
+        spec: "text".to_owned(),
+        stages,
+        ..JobSpec::default()
+    }
 }
 
 pub fn nodes() -> Vec<Node> {
-    let plain =
-        |name: &str, kind: &str, rack: &str| Node::new(name, "s", &[kind, rack], resources(16_000, 0));
+    let plain = |name: &str, kind: &str, rack: &str| {
+        Node::new(name, "s", &[kind, rack], resources(16_000, 0))
+    };
     let vision = |name: &str, rack: &str| Node::new(name, "v", &["a", rack], resources(32_000, 8));
     vec![
         plain("n1", "a", "r1-1"),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -8,7 +8,9 @@
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
     /// The variable that names the file is not set.
-    #[snafu(display("the variable {variable} is not set: it must hold the path of the settings file"))]
+    #[snafu(display(
+        "the variable {variable} is not set: it must hold the path of the settings file"
+    ))]
     NoVariable {
         /// The variable's name.
         variable: &'static str,
--- a/crates/settings/src/lenient.rs
+++ b/crates/settings/src/lenient.rs
@@ -48,14 +48,22 @@
 }
 
 /// Reads an address; an empty text is none.
-pub(crate) fn address<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<SocketAddr>, D::Error> {
-    let Some(text) = text(deserializer)? else { return Ok(None) };
+pub(crate) fn address<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<SocketAddr>, D::Error> {
+    let Some(text) = text(deserializer)? else {
+        return Ok(None);
+    };
     let address = text.parse();
-    address.map(Some).map_err(|_| D::Error::invalid_value(Unexpected::Str(&text), &"an address, IP:PORT"))
+    address
+        .map(Some)
+        .map_err(|_| D::Error::invalid_value(Unexpected::Str(&text), &"an address, IP:PORT"))
 }
 
 /// Reads a path; an empty text is none.
-pub(crate) fn path<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<PathBuf>, D::Error> {
+pub(crate) fn path<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<PathBuf>, D::Error> {
     Ok(text(deserializer)?.map(PathBuf::from))
 }
 
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -88,7 +88,14 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { cpu_share: 1.0, cores: 1.0, memory_mb: 128, max_fds: 1_024, link_mbps: 1_000.0, disk_mb: 0 }
+        Limits {
+            cpu_share: 1.0,
+            cores: 1.0,
+            memory_mb: 128,
+            max_fds: 1_024,
+            link_mbps: 1_000.0,
+            disk_mb: 0,
+        }
     }
 }
 
@@ -186,8 +193,9 @@
 impl Settings {
     /// Reads the file that [`CONFIG_VARIABLE`] names.
     pub fn from_env() -> Result<Settings, SettingsError> {
-        let path =
-            std::env::var_os(CONFIG_VARIABLE).context(NoVariableSnafu { variable: CONFIG_VARIABLE })?;
+        let path = std::env::var_os(CONFIG_VARIABLE).context(NoVariableSnafu {
+            variable: CONFIG_VARIABLE,
+        })?;
         Settings::from_file(Path::new(&path))
     }
 
@@ -226,8 +234,19 @@
 
     /// Checks what the types do not say.
     fn check(&self) -> Result<(), SettingsError> {
-        for (field, text) in [("node_name", &self.node_name), ("role", &self.role), ("zone", &self.zone)] {
-            ensure!(!text.is_empty(), NotAllowedSnafu { field, found: "empty", allowed: "a name" });
+        for (field, text) in [
+            ("node_name", &self.node_name),
+            ("role", &self.role),
+            ("zone", &self.zone),
+        ] {
+            ensure!(
+                !text.is_empty(),
+                NotAllowedSnafu {
+                    field,
+                    found: "empty",
+                    allowed: "a name"
+                }
+            );
         }
         let (first, last) = self.port_range;
         ensure!(
@@ -240,7 +259,11 @@
         );
         ensure!(
             self.heartbeat_ms > 0,
-            NotAllowedSnafu { field: "heartbeat_ms", found: "0", allowed: "a whole number above 0" }
+            NotAllowedSnafu {
+                field: "heartbeat_ms",
+                found: "0",
+                allowed: "a whole number above 0"
+            }
         );
         Ok(())
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -65,8 +65,12 @@
 /// The short file with one line in the place of the field's own.
 fn short_with(line: &str) -> String {
     let field = line.split('=').next().expect("a field").trim();
-    let others =
-        SHORT.lines().filter(|other| other.split('=').next().is_none_or(|name| name.trim() != field));
+    let others = SHORT.lines().filter(|other| {
+        other
+            .split('=')
+            .next()
+            .is_none_or(|name| name.trim() != field)
+    });
     others.chain([line]).collect::<Vec<_>>().join("\n")
 }
 
@@ -79,25 +83,63 @@
     );
     assert!(settings.serves(Serves::Edge) && !settings.serves(Serves::Control));
     assert!(settings.bootstrap && !settings.counts_for_quorum);
-    assert_eq!((settings.heartbeat_ms, settings.commands), (1_200, Commands::Invocation));
+    assert_eq!(
+        (settings.heartbeat_ms, settings.commands),
+        (1_200, Commands::Invocation)
+    );
     assert_eq!(settings.app, Some(([10, 1, 0, 38], 8080).into()));
     assert_eq!(settings.backend.as_deref(), Some("cabaz"));
-    assert_eq!(settings.data_dir.as_deref(), Some(Path::new("/var/lib/indigofold")));
-    assert_eq!(settings.zones.get("sala-linha").map(String::as_str), Some("minho"));
-    assert_eq!(settings.bind_addrs.readiness, Some(([10, 1, 0, 38], 8141).into()));
-    assert_eq!((settings.limits.cores, settings.limits.memory_mb, settings.limits.disk_mb), (1.0, 260, 128));
+    assert_eq!(
+        settings.data_dir.as_deref(),
+        Some(Path::new("/var/lib/indigofold"))
+    );
+    assert_eq!(
+        settings.zones.get("sala-linha").map(String::as_str),
+        Some("minho")
+    );
+    assert_eq!(
+        settings.bind_addrs.readiness,
+        Some(([10, 1, 0, 38], 8141).into())
+    );
+    assert_eq!(
+        (
+            settings.limits.cores,
+            settings.limits.memory_mb,
+            settings.limits.disk_mb
+        ),
+        (1.0, 260, 128)
+    );
     let tolerance = settings.fault_tolerance;
-    assert_eq!((tolerance.machines, tolerance.zones, tolerance.regions), (1, 2, 3));
+    assert_eq!(
+        (tolerance.machines, tolerance.zones, tolerance.regions),
+        (1, 2, 3)
+    );
     let bounds = &settings.bounds;
-    assert_eq!((bounds.seed_lag_s, bounds.max_hold_ms, bounds.far_x), (4.0, 10_000.5, 1.25));
-    assert_eq!((bounds.save_s, bounds.restore_ms, bounds.status_s), (1.0, 0.0, 120.0));
+    assert_eq!(
+        (bounds.seed_lag_s, bounds.max_hold_ms, bounds.far_x),
+        (4.0, 10_000.5, 1.25)
+    );
+    assert_eq!(
+        (bounds.save_s, bounds.restore_ms, bounds.status_s),
+        (1.0, 0.0, 120.0)
+    );
 }
 
 #[test]
 fn what_may_be_missing_has_its_usual_value() {
     let settings = Settings::from_toml(SHORT).expect("good settings");
-    assert_eq!((settings.heartbeat_ms, settings.commands), (1_500, Commands::Heartbeat));
-    assert_eq!((settings.bind_addrs.frontend, settings.data_dir, settings.app), (None, None, None));
+    assert_eq!(
+        (settings.heartbeat_ms, settings.commands),
+        (1_500, Commands::Heartbeat)
+    );
+    assert_eq!(
+        (
+            settings.bind_addrs.frontend,
+            settings.data_dir,
+            settings.app
+        ),
+        (None, None, None)
+    );
     assert!(!settings.bootstrap && settings.seed_nodes.is_empty());
     assert_eq!(settings.bounds, Bounds::default());
 }
@@ -141,7 +183,9 @@
 #[case::bound_negative("bounds = { stop_ms = -1 }", "a number that is not negative")]
 #[case::commands("commands = \"shout\"", "`invocation`")]
 fn a_wrong_field_is_an_error_that_tells_it(#[case] line: &str, #[case] expected: &str) {
-    let error = Settings::from_toml(&short_with(line)).expect_err("bad settings").to_string();
+    let error = Settings::from_toml(&short_with(line))
+        .expect_err("bad settings")
+        .to_string();
     assert!(error.contains(expected), "{error}");
 }
 
@@ -149,9 +193,17 @@
 fn a_missing_field_is_an_error_that_names_it(
     #[values("node_name", "role", "machine_class", "ip", "zone", "port_range")] field: &str,
 ) {
-    let text: Vec<&str> = SHORT.lines().filter(|line| !line.starts_with(field)).collect();
-    let error = Settings::from_toml(&text.join("\n")).expect_err("bad settings").to_string();
-    assert!(error.contains(&format!("missing field `{field}`")), "{error}");
+    let text: Vec<&str> = SHORT
+        .lines()
+        .filter(|line| !line.starts_with(field))
+        .collect();
+    let error = Settings::from_toml(&text.join("\n"))
+        .expect_err("bad settings")
+        .to_string();
+    assert!(
+        error.contains(&format!("missing field `{field}`")),
+        "{error}"
+    );
 }
 
 #[test]
--- a/crates/system-tests/src/checks.rs
+++ b/crates/system-tests/src/checks.rs
@@ -52,7 +52,13 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.3} s: {}", self.rule, self.at.as_secs_f64(), self.detail)
+        write!(
+            f,
+            "{:?} at {:.3} s: {}",
+            self.rule,
+            self.at.as_secs_f64(),
+            self.detail
+        )
     }
 }
 
@@ -80,8 +86,18 @@
 }
 
 /// All rules that were broken up to `now`.
-pub fn violations(record: &Record, bounds: &Bounds, excuses: Excuses, now: Moment) -> Vec<Violation> {
-    let mut case = Case { record, bounds, now, found: Vec::new() };
+pub fn violations(
+    record: &Record,
+    bounds: &Bounds,
+    excuses: Excuses,
+    now: Moment,
+) -> Vec<Violation> {
+    let mut case = Case {
+        record,
+        bounds,
+        now,
+        found: Vec::new(),
+    };
     placement::limit(&mut case);
     placement::route(&mut case);
     placement::drain(&mut case);
--- a/crates/system-tests/src/client.rs
+++ b/crates/system-tests/src/client.rs
@@ -81,12 +81,18 @@
 impl Client {
     /// A client that reaches these edges.
     pub fn new(edges: Vec<SocketAddr>, world: &Arc<World>) -> Self {
-        Client { edges, world: world.clone() }
+        Client {
+            edges,
+            world: world.clone(),
+        }
     }
 
     /// The same client with these edges only.
     pub fn at(&self, edges: &[SocketAddr]) -> Self {
-        Client { edges: edges.to_vec(), world: self.world.clone() }
+        Client {
+            edges: edges.to_vec(),
+            world: self.world.clone(),
+        }
     }
 
     /// The edges that it knows.
@@ -101,15 +107,23 @@
     /// Hands in a job, again with the same id until it is accepted.
     pub fn submit(&self, queue: &Queue, job: &Job) -> Result<Handed, ClientError> {
         let handed = self.draw(queue);
-        self.insist(&format!("job {}", handed.id), || self.hand_in(self.any_edge(), &handed, job))
-            .and_then(|answer| expect(answer, Answer::is_success, &format!("job {}", handed.id)))?;
+        self.insist(&format!("job {}", handed.id), || {
+            self.hand_in(self.any_edge(), &handed, job)
+        })
+        .and_then(|answer| expect(answer, Answer::is_success, &format!("job {}", handed.id)))?;
         Ok(handed)
     }
 
     /// One call to hand in a job.
-    pub fn hand_in(&self, edge: SocketAddr, handed: &Handed, job: &Job) -> Result<Answer, HttpError> {
+    pub fn hand_in(
+        &self,
+        edge: SocketAddr,
+        handed: &Handed,
+        job: &Job,
+    ) -> Result<Answer, HttpError> {
         let result = self.call_at(edge, &self.handing_in(handed, job));
-        self.world.job_answered(&handed.id, result.as_ref().ok().map(|answer| answer.status));
+        self.world
+            .job_answered(&handed.id, result.as_ref().ok().map(|answer| answer.status));
         result
     }
 
@@ -121,7 +135,11 @@
 
     /// Sends the first `bytes` bytes of a call to hand in a job, and leaves without waiting for an answer.
     pub fn hand_in_part(
-        &self, edge: SocketAddr, handed: &Handed, job: &Job, bytes: usize,
+        &self,
+        edge: SocketAddr,
+        handed: &Handed,
+        job: &Job,
+        bytes: usize,
     ) -> Result<(), HttpError> {
         let call = self.handing_in(handed, job).header("Host", HOST);
         let sent = send_part(edge, &call, bytes, ANSWER_TIME);
@@ -131,7 +149,10 @@
 
     /// A job that nobody has handed in.
     pub fn draw(&self, queue: &Queue) -> Handed {
-        Handed { id: random::job_id(), queue: queue.clone() }
+        Handed {
+            id: random::job_id(),
+            queue: queue.clone(),
+        }
     }
 
     /// Asks for a job's state; `None`: it does not exist.
@@ -156,17 +177,27 @@
 
     /// Asks until the job's state is one that is wanted.
     pub fn wait_for(
-        &self, handed: &Handed, at_most: Duration, wanted: impl Fn(JobState) -> bool,
+        &self,
+        handed: &Handed,
+        at_most: Duration,
+        wanted: impl Fn(JobState) -> bool,
     ) -> Result<JobState, ClientError> {
         let mut last = None;
-        let found = self.world.signal().until("a state", at_most, || match self.state(handed) {
-            Ok(state) => {
-                last = state;
-                state.filter(|state| wanted(*state)).map(Ok)
-            }
-            Err(error) => Some(Err(error)),
-        });
-        found.map_err(|source| ClientError::State { id: handed.id.clone(), last, source })?
+        let found = self
+            .world
+            .signal()
+            .until("a state", at_most, || match self.state(handed) {
+                Ok(state) => {
+                    last = state;
+                    state.filter(|state| wanted(*state)).map(Ok)
+                }
+                Err(error) => Some(Err(error)),
+            });
+        found.map_err(|source| ClientError::State {
+            id: handed.id.clone(),
+            last,
+            source,
+        })?
     }
 
     /// Asks until the job has ended.
@@ -193,13 +224,18 @@
     /// One call at this edge.
     pub fn call_at(&self, edge: SocketAddr, call: &Call) -> Result<Answer, HttpError> {
         let deadline = ANSWER_TIME.as_millis().to_string();
-        let call = call.clone().header("Host", HOST).header("Indigofold-Deadline-Ms", deadline);
+        let call = call
+            .clone()
+            .header("Host", HOST)
+            .header("Indigofold-Deadline-Ms", deadline);
         call_once(edge, &call, ANSWER_TIME)
     }
 
     /// Tries again, with growing pauses, while there is no clear answer.
     fn insist(
-        &self, what: &str, mut call: impl FnMut() -> Result<Answer, HttpError>,
+        &self,
+        what: &str,
+        mut call: impl FnMut() -> Result<Answer, HttpError>,
     ) -> Result<Answer, ClientError> {
         let begun = Instant::now();
         let mut tries = 0;
@@ -207,21 +243,36 @@
             tries += 1;
             let last = match call() {
                 Ok(answer) if !matches!(answer.status, 429 | 500..) => return Ok(answer),
-                Ok(answer) => format!("{} {}", answer.status, String::from_utf8_lossy(&answer.body)),
+                Ok(answer) => format!(
+                    "{} {}",
+                    answer.status,
+                    String::from_utf8_lossy(&answer.body)
+                ),
                 Err(error) => error.to_string(),
             };
             if begun.elapsed() > CALL_TIME {
                 return UnansweredSnafu { what, tries, last }.fail();
             }
-            self.world.signal().wait_beyond(u64::MAX, (PAUSE_STEP * tries).min(PAUSE_MAX));
+            self.world
+                .signal()
+                .wait_beyond(u64::MAX, (PAUSE_STEP * tries).min(PAUSE_MAX));
         }
     }
 }
 
-fn expect(answer: Answer, good: impl Fn(&Answer) -> bool, what: &str) -> Result<Answer, ClientError> {
+fn expect(
+    answer: Answer,
+    good: impl Fn(&Answer) -> bool,
+    what: &str,
+) -> Result<Answer, ClientError> {
     if good(&answer) {
         return Ok(answer);
     }
     let body = String::from_utf8_lossy(&answer.body).into_owned();
-    UnexpectedSnafu { what, status: answer.status, body }.fail()
+    UnexpectedSnafu {
+        what,
+        status: answer.status,
+        body,
+    }
+    .fail()
 }
--- a/crates/system-tests/src/cluster.rs
+++ b/crates/system-tests/src/cluster.rs
@@ -50,11 +50,27 @@
         let (bounds, signal) = (Bounds::default(), Arc::new(Signal::default()));
         let system = System::new(programs, shape, bounds, &signal).expect("machines");
         let world = World::new(bounds, signal.clone());
-        let members = system.cores().into_iter().map(|core| system.control_plane(core)).collect();
-        let edges = system.edges().into_iter().map(|edge| system.frontend(edge)).collect();
+        let members = system
+            .cores()
+            .into_iter()
+            .map(|core| system.control_plane(core))
+            .collect();
+        let edges = system
+            .edges()
+            .into_iter()
+            .map(|edge| system.frontend(edge))
+            .collect();
         let (operator, client) = (Operator::new(members, &signal), Client::new(edges, &world));
         let (configuration, excuses) = (Configuration::standard(1), Excuses::default());
-        Cluster { workers: Vec::new(), system, world, operator, client, configuration, excuses }
+        Cluster {
+            workers: Vec::new(),
+            system,
+            world,
+            operator,
+            client,
+            configuration,
+            excuses,
+        }
     }
 
     /// A cluster at work: all processes, a worker beside each companion, the first configuration in force.
@@ -62,7 +78,9 @@
         let mut cluster = Cluster::prepare(programs, shape);
         let system = &cluster.system;
         let machines = [system.cores(), system.edges(), system.sides()].concat();
-        machines.into_iter().for_each(|machine| cluster.start_machine(machine));
+        machines
+            .into_iter()
+            .for_each(|machine| cluster.start_machine(machine));
         cluster.start_workers(PLANNING);
         cluster.configure();
         cluster.wait_ready();
@@ -77,7 +95,15 @@
     /// Starts a worker of this service beside each companion that has none.
     pub fn start_workers(&mut self, service: &str) {
         for side in self.system.sides().into_iter().skip(self.workers.len()) {
-            self.start_worker(side, service, Capacity { cpu: 4_000, mem_mb: 8_192, gpu: 2 });
+            self.start_worker(
+                side,
+                service,
+                Capacity {
+                    cpu: 4_000,
+                    mem_mb: 8_192,
+                    gpu: 2,
+                },
+            );
         }
     }
 
@@ -90,16 +116,32 @@
             service: service.to_owned(),
             zone: settings.zone.clone(),
             capacity,
-            labels: vec!["a".to_owned(), format!("r1-{}", number / RACK), format!("only-{number}")],
+            labels: vec![
+                "a".to_owned(),
+                format!("r1-{}", number / RACK),
+                format!("only-{number}"),
+            ],
             address: settings.address(settings.ports.frontend).to_string(),
         };
-        self.workers.push(Worker::start(setup, self.system.control_plane(side), &self.world));
+        self.workers.push(Worker::start(
+            setup,
+            self.system.control_plane(side),
+            &self.world,
+        ));
     }
 
     /// Delivers the first configuration.
     pub fn configure(&mut self) {
-        let answer = self.operator.put(&self.configuration, 0).expect("the first configuration");
-        assert_eq!(answer.status, 200, "the first configuration: {}", answer.json());
+        let answer = self
+            .operator
+            .put(&self.configuration, 0)
+            .expect("the first configuration");
+        assert_eq!(
+            answer.status,
+            200,
+            "the first configuration: {}",
+            answer.json()
+        );
     }
 
     /// Waits until all edges say that they are ready.
@@ -111,14 +153,19 @@
 
     /// Waits until an edge says that it is ready.
     pub fn wait_edge(&self, edge: MachineId) {
-        let ready =
-            self.world.signal().until("a ready edge", START_TIME, || self.is_ready(edge).then_some(()));
+        let ready = self.world.signal().until("a ready edge", START_TIME, || {
+            self.is_ready(edge).then_some(())
+        });
         ready.expect("readiness");
     }
 
     /// Whether an edge says that it is ready.
     pub fn is_ready(&self, edge: MachineId) -> bool {
-        let answer = call_once(self.system.readiness(edge), &Call::new("GET", "/readiness"), READINESS_TIME);
+        let answer = call_once(
+            self.system.readiness(edge),
+            &Call::new("GET", "/readiness"),
+            READINESS_TIME,
+        );
         answer.is_ok_and(|answer| answer.status == 200)
     }
 
@@ -130,17 +177,25 @@
 
     /// The queue of this prefix in the newest configuration.
     pub fn queue(&self, path_prefix: &str) -> Queue {
-        self.configuration.queue(path_prefix).expect("a queue of the configuration").clone()
+        self.configuration
+            .queue(path_prefix)
+            .expect("a queue of the configuration")
+            .clone()
     }
 
     /// Hands in a job, until it is accepted.
     pub fn submit(&self, path_prefix: &str, job: &Job) -> Handed {
-        self.client.submit(&self.queue(path_prefix), job).expect("an accepted job")
+        self.client
+            .submit(&self.queue(path_prefix), job)
+            .expect("an accepted job")
     }
 
     /// Waits until a job is shown as completed.
     pub fn expect_completed(&self, handed: &Handed) {
-        let state = self.client.wait_end(handed, JOB_TIME).expect("the end of a job");
+        let state = self
+            .client
+            .wait_end(handed, JOB_TIME)
+            .expect("the end of a job");
         assert_eq!(state, JobState::Completed, "{}", handed.id);
     }
 
@@ -160,7 +215,10 @@
             last.map(|(life, _)| record.life(life).worker.clone())
         });
         let worker = life.expect("a start");
-        self.workers.iter().position(|known| known.name() == worker).expect("a known worker")
+        self.workers
+            .iter()
+            .position(|known| known.name() == worker)
+            .expect("a known worker")
     }
 
     /// What the test does excuses this.
@@ -180,10 +238,16 @@
         let owed = self.world.read(|record| {
             let accepted = record.jobs.iter().filter(|(_, job)| job.accepted.is_some());
             let owed = accepted.filter(|(_, job)| job.cancel_sent.is_none() && !job.job.lasts());
-            owed.map(|(id, job)| Handed { id: id.clone(), queue: job.queue.clone() }).collect::<Vec<_>>()
+            owed.map(|(id, job)| Handed {
+                id: id.clone(),
+                queue: job.queue.clone(),
+            })
+            .collect::<Vec<_>>()
         });
         for handed in &owed {
-            self.client.wait_end(handed, JOB_TIME).expect("the end of an accepted job");
+            self.client
+                .wait_end(handed, JOB_TIME)
+                .expect("the end of an accepted job");
         }
         self.check();
     }
@@ -191,11 +255,20 @@
     /// Holds all that has happened against the rules.
     pub fn check(&mut self) {
         let (bounds, now, excuses) = (self.world.bounds(), self.world.now(), self.excuses);
-        let found = self.world.read(|record| violations(record, &bounds, excuses, now));
+        let found = self
+            .world
+            .read(|record| violations(record, &bounds, excuses, now));
         let shown: Vec<String> = found.iter().map(ToString::to_string).collect();
-        assert!(found.is_empty(), "rules were broken:\n  {}", shown.join("\n  "));
+        assert!(
+            found.is_empty(),
+            "rules were broken:\n  {}",
+            shown.join("\n  ")
+        );
         let ended = self.system.ended_by_themselves();
-        assert!(ended.is_empty(), "processes have ended by themselves: {ended:?}");
+        assert!(
+            ended.is_empty(),
+            "processes have ended by themselves: {ended:?}"
+        );
     }
 }
 
--- a/crates/system-tests/src/configuration.rs
+++ b/crates/system-tests/src/configuration.rs
@@ -32,7 +32,12 @@
     /// A queue with room for three failures.
     pub fn new(path_prefix: &str, service: &str, priority: u32) -> Self {
         let (path_prefix, service) = (path_prefix.to_owned(), service.to_owned());
-        Queue { path_prefix, service, priority, max_retries: 3 }
+        Queue {
+            path_prefix,
+            service,
+            priority,
+            max_retries: 3,
+        }
     }
 
     /// Its name.
@@ -78,7 +83,9 @@
 
     /// The queue of this prefix.
     pub fn queue(&self, path_prefix: &str) -> Option<&Queue> {
-        self.queues.iter().find(|queue| queue.path_prefix == path_prefix)
+        self.queues
+            .iter()
+            .find(|queue| queue.path_prefix == path_prefix)
     }
 
     /// The body of `PUT /config`.
--- a/crates/system-tests/src/http.rs
+++ b/crates/system-tests/src/http.rs
@@ -65,7 +65,11 @@
 impl Call {
     /// A call without a body.
     pub fn new(method: &'static str, path: impl Into<String>) -> Self {
-        Call { method, path: path.into(), ..Call::default() }
+        Call {
+            method,
+            path: path.into(),
+            ..Call::default()
+        }
     }
 
     /// The call with this header too.
@@ -112,7 +116,10 @@
 impl Answer {
     /// The value of a header; `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// A 2xx.
@@ -126,7 +133,8 @@
     }
 
     fn closes(&self) -> bool {
-        self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+        self.header("connection")
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
@@ -144,7 +152,11 @@
     pub fn open(peer: SocketAddr, at_most: Duration) -> Result<Self, HttpError> {
         let stream = TcpStream::connect_timeout(&peer, at_most).context(ConnectSnafu { peer })?;
         stream.set_nodelay(true).context(ConnectSnafu { peer })?;
-        Ok(Connection { peer, stream, over: false })
+        Ok(Connection {
+            peer,
+            stream,
+            over: false,
+        })
     }
 
     /// Whether no further call can be sent on it.
@@ -155,8 +167,12 @@
     /// Sends a call and waits for its whole answer.
     pub fn call(&mut self, call: &Call, at_most: Duration) -> Result<Answer, HttpError> {
         self.over = true;
-        self.stream.set_write_timeout(Some(at_most)).context(SendSnafu)?;
-        self.stream.write_all(&call.to_bytes(self.peer)).context(SendSnafu)?;
+        self.stream
+            .set_write_timeout(Some(at_most))
+            .context(SendSnafu)?;
+        self.stream
+            .write_all(&call.to_bytes(self.peer))
+            .context(SendSnafu)?;
         let answer = self.receive(Instant::now(), at_most)?;
         self.over = answer.closes();
         Ok(answer)
@@ -173,24 +189,46 @@
     }
 
     fn read_more(
-        &mut self, received: &mut Vec<u8>, sent: Instant, at_most: Duration,
+        &mut self,
+        received: &mut Vec<u8>,
+        sent: Instant,
+        at_most: Duration,
     ) -> Result<(), HttpError> {
         let left = at_most.saturating_sub(sent.elapsed());
         if left.is_zero() || self.stream.set_read_timeout(Some(left)).is_err() {
-            return SilentSnafu { after: sent.elapsed() }.fail();
+            return SilentSnafu {
+                after: sent.elapsed(),
+            }
+            .fail();
         }
         let mut chunk = [0; READ_BYTES];
         match self.stream.read(&mut chunk) {
-            Ok(0) => CutSnafu { after: sent.elapsed(), received: received.len() }.fail(),
+            Ok(0) => CutSnafu {
+                after: sent.elapsed(),
+                received: received.len(),
+            }
+            .fail(),
             Ok(length) => {
                 received.extend_from_slice(&chunk[..length]);
                 Ok(())
             }
             Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(()),
-            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                SilentSnafu { after: sent.elapsed() }.fail()
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                ) =>
+            {
+                SilentSnafu {
+                    after: sent.elapsed(),
+                }
+                .fail()
+            }
+            Err(_) => CutSnafu {
+                after: sent.elapsed(),
+                received: received.len(),
             }
-            Err(_) => CutSnafu { after: sent.elapsed(), received: received.len() }.fail(),
+            .fail(),
         }
     }
 }
@@ -201,30 +239,54 @@
 }
 
 /// Sends the first `bytes` bytes of a call over a connection of its own, and closes it without reading an answer.
-pub fn send_part(peer: SocketAddr, call: &Call, bytes: usize, at_most: Duration) -> Result<(), HttpError> {
+pub fn send_part(
+    peer: SocketAddr,
+    call: &Call,
+    bytes: usize,
+    at_most: Duration,
+) -> Result<(), HttpError> {
     let mut connection = Connection::open(peer, at_most)?;
     let all = call.to_bytes(peer);
-    connection.stream.set_write_timeout(Some(at_most)).context(SendSnafu)?;
-    connection.stream.write_all(&all[..bytes.min(all.len())]).context(SendSnafu)
+    connection
+        .stream
+        .set_write_timeout(Some(at_most))
+        .context(SendSnafu)?;
+    connection
+        .stream
+        .write_all(&all[..bytes.min(all.len())])
+        .context(SendSnafu)
 }
 
 /// The answer in `bytes`, once it is whole.
 fn parse(bytes: &[u8]) -> Result<Option<Answer>, HttpError> {
     let Some(head_length) = bytes.windows(4).position(|window| window == b"\r\n\r\n") else {
-        return if bytes.len() > HEAD_BYTES_MAX { Err(malformed(bytes)) } else { Ok(None) };
+        return if bytes.len() > HEAD_BYTES_MAX {
+            Err(malformed(bytes))
+        } else {
+            Ok(None)
+        };
     };
     let head = std::str::from_utf8(&bytes[..head_length]).map_err(|_| malformed(bytes))?;
     let mut lines = head.split("\r\n");
-    let status = lines.next().and_then(status_of).ok_or_else(|| malformed(bytes))?;
+    let status = lines
+        .next()
+        .and_then(status_of)
+        .ok_or_else(|| malformed(bytes))?;
     let headers: Vec<(String, String)> = lines.filter_map(header_of).collect();
     let length = headers.iter().find(|(name, _)| name == "content-length");
     let length: usize = match length {
         Some((_, value)) => value.parse().map_err(|_| malformed(bytes))?,
-        None if headers.iter().any(|(name, _)| name == "transfer-encoding") => return Err(malformed(bytes)),
+        None if headers.iter().any(|(name, _)| name == "transfer-encoding") => {
+            return Err(malformed(bytes));
+        }
         None => 0,
     };
     let body = &bytes[head_length + 4..];
-    Ok(body.get(..length).map(|body| Answer { status, headers, body: body.to_vec() }))
+    Ok(body.get(..length).map(|body| Answer {
+        status,
+        headers,
+        body: body.to_vec(),
+    }))
 }
 
 fn status_of(line: &str) -> Option<u16> {
@@ -238,5 +300,7 @@
 
 fn malformed(bytes: &[u8]) -> HttpError {
     let shown = &bytes[..bytes.len().min(200)];
-    HttpError::Malformed { head: String::from_utf8_lossy(shown).into_owned() }
+    HttpError::Malformed {
+        head: String::from_utf8_lossy(shown).into_owned(),
+    }
 }
--- a/crates/system-tests/src/job.rs
+++ b/crates/system-tests/src/job.rs
@@ -61,7 +61,11 @@
 impl Step {
     /// `count` tasks that work for `work_ms` on half a core each.
     pub fn new(count: u32, work_ms: u64) -> Self {
-        let behaviour = Behaviour { work: Duration::from_millis(work_ms), failures: 0, first_hangs: false };
+        let behaviour = Behaviour {
+            work: Duration::from_millis(work_ms),
+            failures: 0,
+            first_hangs: false,
+        };
         Step {
             count,
             cpu: 500,
@@ -135,7 +139,11 @@
 
     /// What one task takes.
     pub fn resources(&self) -> Capacity {
-        Capacity { cpu: self.cpu, mem_mb: self.mem_mb, gpu: self.gpu }
+        Capacity {
+            cpu: self.cpu,
+            mem_mb: self.mem_mb,
+            gpu: self.gpu,
+        }
     }
 }
 
@@ -161,7 +169,13 @@
     /// A job of these steps.
     pub fn new(stages: Vec<Step>) -> Self {
         let spec = format!("text {:016x}", crate::random::number());
-        Job { spec, stages, repeat_count: 0, start_at_ms: 0, interval_ms: 0 }
+        Job {
+            spec,
+            stages,
+            repeat_count: 0,
+            start_at_ms: 0,
+            interval_ms: 0,
+        }
     }
 
     /// A job of one task.
@@ -196,7 +210,9 @@
 
 /// The time of day.
 pub fn since_1970() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 fn is_zero(value: &u64) -> bool {
--- a/crates/system-tests/src/network.rs
+++ b/crates/system-tests/src/network.rs
@@ -47,7 +47,11 @@
             TcpListener::bind(at).ok().map(|guard| (prefix, guard))
         });
         let (prefix, guard) = guarded.expect("a loopback network that is not in use");
-        Network { prefix, ports: draw_ports(), _guard: guard }
+        Network {
+            prefix,
+            ports: draw_ports(),
+            _guard: guard,
+        }
     }
 
     /// The address of a machine, counted from 0.
--- a/crates/system-tests/src/operator.rs
+++ b/crates/system-tests/src/operator.rs
@@ -54,7 +54,10 @@
 impl Operator {
     /// An operator who knows these members.
     pub fn new(members: Vec<SocketAddr>, signal: &Arc<Signal>) -> Self {
-        Operator { members, signal: signal.clone() }
+        Operator {
+            members,
+            signal: signal.clone(),
+        }
     }
 
     /// All members that it knows.
@@ -89,7 +92,9 @@
     fn follow(&self, first: SocketAddr, call: &Call) -> Result<Answer, HttpError> {
         let mut answer = self.ask(first, call)?;
         for _ in 0..REDIRECTIONS {
-            let Some(next) = redirection(&answer) else { break };
+            let Some(next) = redirection(&answer) else {
+                break;
+            };
             answer = self.ask(next, call)?;
         }
         Ok(answer)
@@ -103,7 +108,9 @@
     /// Changes named items on top of version `base`.
     pub fn patch(&self, change: &Value, base: u64) -> Result<Answer, OperatorError> {
         self.order(
-            &Call::new("PATCH", "/config").header("If-Match", base.to_string()).json(change.to_string()),
+            &Call::new("PATCH", "/config")
+                .header("If-Match", base.to_string())
+                .json(change.to_string()),
         )
     }
 
@@ -114,24 +121,39 @@
 
     /// The member that answers for itself, once there is one. A configuration must be in place.
     pub fn head(&self, at_most: Duration) -> Result<SocketAddr, OperatorError> {
-        let look = || self.members.iter().copied().find(|member| self.is_head(*member));
-        self.signal.until("a head", at_most, look).map_err(|source| OperatorError::Headless { source })
+        let look = || {
+            self.members
+                .iter()
+                .copied()
+                .find(|member| self.is_head(*member))
+        };
+        self.signal
+            .until("a head", at_most, look)
+            .map_err(|source| OperatorError::Headless { source })
     }
 
     fn is_head(&self, member: SocketAddr) -> bool {
-        self.ask(member, &Call::new("GET", "/config")).is_ok_and(|answer| answer.status == 200)
+        self.ask(member, &Call::new("GET", "/config"))
+            .is_ok_and(|answer| answer.status == 200)
     }
 }
 
 /// The call that delivers a whole configuration.
 pub fn put_call(configuration: &Value, base: u64) -> Call {
-    Call::new("PUT", "/config").header("If-Match", base.to_string()).json(configuration.to_string())
+    Call::new("PUT", "/config")
+        .header("If-Match", base.to_string())
+        .json(configuration.to_string())
 }
 
 /// Where an answer sends the caller.
 pub fn redirection(answer: &Answer) -> Option<SocketAddr> {
     let location = answer.header("location").filter(|_| answer.status == 307)?;
-    location.strip_prefix("http://")?.split('/').next()?.parse().ok()
+    location
+        .strip_prefix("http://")?
+        .split('/')
+        .next()?
+        .parse()
+        .ok()
 }
 
 fn is_clear(answer: &Answer, tries: usize) -> bool {
--- a/crates/system-tests/src/process.rs
+++ b/crates/system-tests/src/process.rs
@@ -85,7 +85,12 @@
 impl Process {
     /// A process that has not been started.
     pub fn new(name: String, signal: Arc<Signal>) -> Self {
-        Process { name, child: None, log: Arc::default(), signal }
+        Process {
+            name,
+            child: None,
+            log: Arc::default(),
+            signal,
+        }
     }
 
     /// Starts it, with no more of the test's variables than the platform hands on.
@@ -97,7 +102,10 @@
                 command.env(name, value);
             }
         }
-        command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped());
         let mut child = command.spawn().context(StartSnafu { program })?;
         self.log.push(format!("-- started as {}", child.id()));
         self.keep_lines(child.stdout.take());
@@ -120,7 +128,9 @@
 
     /// Whether it runs.
     pub fn is_running(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+        self.child
+            .as_mut()
+            .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// Whether it was started and has ended by itself: not by [`kill`](Self::kill), nor awaited.
@@ -163,8 +173,13 @@
     /// Waits until it has ended.
     pub fn wait_end(&mut self, at_most: Duration) -> Result<ExitStatus, ProcessError> {
         let name = self.name.clone();
-        let child = self.child.as_mut().context(NotRunningSnafu { name: &name })?;
-        let ended = self.signal.until("the end of a process", at_most, || child.try_wait().ok().flatten());
+        let child = self
+            .child
+            .as_mut()
+            .context(NotRunningSnafu { name: &name })?;
+        let ended = self.signal.until("the end of a process", at_most, || {
+            child.try_wait().ok().flatten()
+        });
         let status = ended.context(UnendingSnafu { name })?;
         self.child = None;
         self.log.push(format!("-- ended: {status}"));
--- a/crates/system-tests/src/settings.rs
+++ b/crates/system-tests/src/settings.rs
@@ -139,47 +139,94 @@
 
     fn write_machine(&self, text: &mut String) -> std::fmt::Result {
         let class = self.class.word();
-        let seeds: Vec<String> = self.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
+        let seeds: Vec<String> = self
+            .seeds
+            .iter()
+            .map(|seed| format!("\"{seed}\""))
+            .collect();
         writeln!(text, "node_name = \"{}\"", self.node_name)?;
         writeln!(text, "role = \"{class}\"\nmachine_class = \"{class}\"")?;
         writeln!(text, "serves = [\"{}\"]", self.class.serves())?;
-        writeln!(text, "ip = \"{}\"\nzone = \"{}\"\nregion = \"test\"", self.ip, self.zone)?;
-        writeln!(text, "port_range = [{},{}]", self.ports.internal.0, self.ports.internal.1)?;
+        writeln!(
+            text,
+            "ip = \"{}\"\nzone = \"{}\"\nregion = \"test\"",
+            self.ip, self.zone
+        )?;
+        writeln!(
+            text,
+            "port_range = [{},{}]",
+            self.ports.internal.0, self.ports.internal.1
+        )?;
         writeln!(text, "seed_nodes = [{}]", seeds.join(","))?;
         writeln!(text, "bootstrap = {}", self.bootstrap)?;
-        writeln!(text, "counts_for_quorum = {}", self.class == MachineClass::Core)?;
+        writeln!(
+            text,
+            "counts_for_quorum = {}",
+            self.class == MachineClass::Core
+        )?;
         writeln!(text, "discovery = \"local\"\nentry = \"vip\"")?;
         writeln!(text, "heartbeat_ms = {}", self.bounds.heartbeat.as_millis())?;
         if let Some(folder) = &self.data_dir {
             writeln!(text, "data_dir = \"{}\"", folder.display())?;
         }
-        writeln!(text, "contracts = [\"base\",\"drain\",\"config\",\"cost\",\"recover\",\"sched\"]")?;
+        writeln!(
+            text,
+            "contracts = [\"base\",\"drain\",\"config\",\"cost\",\"recover\",\"sched\"]"
+        )?;
         writeln!(text, "commands = \"heartbeat\"\nnot_explained_anywhere = 1")?;
         writeln!(text, "[zones]")?;
-        self.zones.iter().try_for_each(|zone| writeln!(text, "{zone} = \"test\""))
+        self.zones
+            .iter()
+            .try_for_each(|zone| writeln!(text, "{zone} = \"test\""))
     }
 
     fn write_addresses(&self, text: &mut String) -> std::fmt::Result {
         writeln!(text, "[bind_addrs]")?;
         if self.class == MachineClass::Edge {
             writeln!(text, "frontend = \"{}\"", self.address(self.ports.frontend))?;
-            writeln!(text, "readiness = \"{}\"", self.address(self.ports.readiness))
+            writeln!(
+                text,
+                "readiness = \"{}\"",
+                self.address(self.ports.readiness)
+            )
         } else {
-            writeln!(text, "control_plane = \"{}\"", self.address(self.ports.control_plane))
+            writeln!(
+                text,
+                "control_plane = \"{}\"",
+                self.address(self.ports.control_plane)
+            )
         }
     }
 
     fn write_limits(&self, text: &mut String) -> std::fmt::Result {
         let disk = if self.data_dir.is_some() { 128 } else { 0 };
-        writeln!(text, "[limits]\ncpu_share = 0.5\ncores = 1\nmemory_mb = 256\nmax_fds = 4096")?;
+        writeln!(
+            text,
+            "[limits]\ncpu_share = 0.5\ncores = 1\nmemory_mb = 256\nmax_fds = 4096"
+        )?;
         writeln!(text, "link_mbps = 1000.0\ndisk_mb = {disk}")?;
-        writeln!(text, "[fault_tolerance]\nmachines = 1\nzones = 0\nregions = 0")
+        writeln!(
+            text,
+            "[fault_tolerance]\nmachines = 1\nzones = 0\nregions = 0"
+        )
     }
 
     fn write_bounds(&self, text: &mut String) -> std::fmt::Result {
-        let Bounds { max_hold, stop, gang, cancel, visible, early, drain, .. } = self.bounds;
+        let Bounds {
+            max_hold,
+            stop,
+            gang,
+            cancel,
+            visible,
+            early,
+            drain,
+            ..
+        } = self.bounds;
         let ms = |bound: Duration| bound.as_millis();
-        writeln!(text, "[bounds]\nseed_lag_s = 3\nreuse_after_s = 2\ncatch_up_s = 4\nrecovery_s = 12")?;
+        writeln!(
+            text,
+            "[bounds]\nseed_lag_s = 3\nreuse_after_s = 2\ncatch_up_s = 4\nrecovery_s = 12"
+        )?;
         writeln!(
             text,
             "rollback_slack_ms = 250\nmax_skew_ms = 5000\nfinish_s = 14\nstatus_s = 120\nfar_x = 1.5"
@@ -189,10 +236,25 @@
         writeln!(text, "config_apply_ms = {}", ms(self.bounds.config_apply))?;
         writeln!(text, "loss_slack_ms = {}", ms(self.bounds.loss_slack))?;
         writeln!(text, "grace_s = {}", self.bounds.grace.as_secs())?;
-        writeln!(text, "drain_ms = {}\nmax_hold_ms = {}", ms(drain), ms(max_hold))?;
+        writeln!(
+            text,
+            "drain_ms = {}\nmax_hold_ms = {}",
+            ms(drain),
+            ms(max_hold)
+        )?;
         writeln!(text, "stop_ms = {}\ngang_ms = {}", ms(stop), ms(gang))?;
-        writeln!(text, "cancel_ms = {}\nvisible_ms = {}", ms(cancel), ms(visible))?;
-        writeln!(text, "early_ms = {}\nsave_s = {}", ms(early), self.bounds.save.as_secs())?;
+        writeln!(
+            text,
+            "cancel_ms = {}\nvisible_ms = {}",
+            ms(cancel),
+            ms(visible)
+        )?;
+        writeln!(
+            text,
+            "early_ms = {}\nsave_s = {}",
+            ms(early),
+            self.bounds.save.as_secs()
+        )?;
         writeln!(text, "restore_ms = {}", ms(self.bounds.restore))
     }
 }
--- a/crates/system-tests/src/system.rs
+++ b/crates/system-tests/src/system.rs
@@ -45,7 +45,11 @@
 
 impl Default for Shape {
     fn default() -> Self {
-        Shape { cores: 3, edges: 2, sides: 3 }
+        Shape {
+            cores: 3,
+            edges: 2,
+            sides: 3,
+        }
     }
 }
 
@@ -92,16 +96,23 @@
 impl System {
     /// Machines with empty disks on which nothing has been started.
     pub fn new(
-        programs: Programs, shape: Shape, bounds: Bounds, signal: &Arc<Signal>,
+        programs: Programs,
+        shape: Shape,
+        bounds: Bounds,
+        signal: &Arc<Signal>,
     ) -> Result<Self, SystemError> {
-        let folder = tempfile::tempdir().context(FilesSnafu { path: std::env::temp_dir() })?;
+        let folder = tempfile::tempdir().context(FilesSnafu {
+            path: std::env::temp_dir(),
+        })?;
         let network = Network::take();
         let classes = [
             (MachineClass::Core, shape.cores),
             (MachineClass::Edge, shape.edges),
             (MachineClass::Side, shape.sides),
         ];
-        let plan = classes.iter().flat_map(|(class, count)| (0..*count).map(move |number| (*class, number)));
+        let plan = classes
+            .iter()
+            .flat_map(|(class, count)| (0..*count).map(move |number| (*class, number)));
         let mut machines = Vec::new();
         for (at, (class, number)) in plan.enumerate() {
             let settings = Settings {
@@ -119,14 +130,24 @@
             machines.push(prepare(settings, &folder, signal)?);
         }
         let seeds: Vec<SocketAddr> = control_addresses(&machines).take(SEEDS_MAX).collect();
-        machines.iter_mut().for_each(|machine| machine.settings.seeds = seeds.clone());
-        Ok(System { programs, machines, _folder: folder, _network: network })
+        machines
+            .iter_mut()
+            .for_each(|machine| machine.settings.seeds = seeds.clone());
+        Ok(System {
+            programs,
+            machines,
+            _folder: folder,
+            _network: network,
+        })
     }
 
     /// All machines of a class.
     pub fn of_class(&self, class: MachineClass) -> Vec<MachineId> {
         let machines = self.machines.iter().enumerate();
-        machines.filter(|(_, machine)| machine.settings.class == class).map(|(at, _)| MachineId(at)).collect()
+        machines
+            .filter(|(_, machine)| machine.settings.class == class)
+            .map(|(at, _)| MachineId(at))
+            .collect()
     }
 
     /// The core machines.
@@ -169,13 +190,21 @@
 
     /// The core machine with this address.
     pub fn core_at(&self, control_plane: SocketAddr) -> Option<MachineId> {
-        self.cores().into_iter().find(|core| self.control_plane(*core) == control_plane)
+        self.cores()
+            .into_iter()
+            .find(|core| self.control_plane(*core) == control_plane)
     }
 
     /// Starts a machine's process.
     pub fn start(&mut self, machine: MachineId) -> Result<(), SystemError> {
-        let Machine { settings, settings_path, process } = &mut self.machines[machine.0];
-        std::fs::write(&*settings_path, settings.to_toml()).context(FilesSnafu { path: &*settings_path })?;
+        let Machine {
+            settings,
+            settings_path,
+            process,
+        } = &mut self.machines[machine.0];
+        std::fs::write(&*settings_path, settings.to_toml()).context(FilesSnafu {
+            path: &*settings_path,
+        })?;
         let program = match settings.class {
             MachineClass::Core => &self.programs.control,
             MachineClass::Edge | MachineClass::Side => &self.programs.data,
@@ -193,11 +222,16 @@
 
     /// Overwrites the beginning of a core machine's database and of its log.
     pub fn damage(&self, machine: MachineId) -> Result<(), SystemError> {
-        let Some(folder) = &self.machines[machine.0].settings.data_dir else { return Ok(()) };
+        let Some(folder) = &self.machines[machine.0].settings.data_dir else {
+            return Ok(());
+        };
         for name in DATABASE_FILES {
             let path = folder.join(name);
             let mut bytes = std::fs::read(&path).context(FilesSnafu { path: &path })?;
-            bytes.iter_mut().take(DAMAGED_BYTES).for_each(|byte| *byte = !*byte);
+            bytes
+                .iter_mut()
+                .take(DAMAGED_BYTES)
+                .for_each(|byte| *byte = !*byte);
             std::fs::write(&path, bytes).context(FilesSnafu { path: &path })?;
         }
         Ok(())
@@ -215,7 +249,9 @@
 
     /// Removes all that is on a machine's disk.
     pub fn wipe(&mut self, machine: MachineId) -> Result<(), SystemError> {
-        let Some(path) = &self.machines[machine.0].settings.data_dir else { return Ok(()) };
+        let Some(path) = &self.machines[machine.0].settings.data_dir else {
+            return Ok(());
+        };
         std::fs::remove_dir_all(path).context(FilesSnafu { path })?;
         std::fs::create_dir(path).context(FilesSnafu { path })
     }
@@ -227,7 +263,9 @@
 
     /// Waits for the end of a process that was sent SIGTERM, for as long as the platform does.
     pub fn wait_end(&mut self, machine: MachineId) -> Result<ExitStatus, SystemError> {
-        let Machine { settings, process, .. } = &mut self.machines[machine.0];
+        let Machine {
+            settings, process, ..
+        } = &mut self.machines[machine.0];
         Ok(process.wait_end(settings.bounds.grace)?)
     }
 
@@ -244,8 +282,11 @@
     /// Names of the machines whose processes have ended by themselves.
     pub fn ended_by_themselves(&mut self) -> Vec<String> {
         let processes = self.machines.iter_mut().map(|machine| &mut machine.process);
-        let ended =
-            processes.filter_map(|process| process.has_ended_by_itself().then(|| process.name().to_owned()));
+        let ended = processes.filter_map(|process| {
+            process
+                .has_ended_by_itself()
+                .then(|| process.name().to_owned())
+        });
         ended.collect()
     }
 
@@ -262,7 +303,11 @@
 }
 
 /// Writes what a machine needs on disk.
-fn prepare(mut settings: Settings, folder: &TempDir, signal: &Arc<Signal>) -> Result<Machine, SystemError> {
+fn prepare(
+    mut settings: Settings,
+    folder: &TempDir,
+    signal: &Arc<Signal>,
+) -> Result<Machine, SystemError> {
     let home = folder.path().join(&settings.node_name);
     std::fs::create_dir(&home).context(FilesSnafu { path: &home })?;
     if settings.class == MachineClass::Core {
@@ -271,10 +316,20 @@
         settings.data_dir = Some(disk);
     }
     let process = Process::new(settings.node_name.clone(), signal.clone());
-    Ok(Machine { settings, settings_path: home.join("boot.toml"), process })
+    Ok(Machine {
+        settings,
+        settings_path: home.join("boot.toml"),
+        process,
+    })
 }
 
 fn control_addresses(machines: &[Machine]) -> impl Iterator<Item = SocketAddr> {
-    let cores = machines.iter().filter(|machine| machine.settings.class == MachineClass::Core);
-    cores.map(|machine| machine.settings.address(machine.settings.ports.control_plane))
+    let cores = machines
+        .iter()
+        .filter(|machine| machine.settings.class == MachineClass::Core);
+    cores.map(|machine| {
+        machine
+            .settings
+            .address(machine.settings.ports.control_plane)
+    })
 }
--- a/crates/system-tests/src/task.rs
+++ b/crates/system-tests/src/task.rs
@@ -23,7 +23,12 @@
         let repeat = parts.next()?.parse().ok()?;
         let step = parts.next()?.parse().ok()?;
         let index = parts.next()?.parse().ok()?;
-        let name = TaskName { job, repeat, step, index };
+        let name = TaskName {
+            job,
+            repeat,
+            step,
+            index,
+        };
         (parts.next().is_none() && name.to_string() == text).then_some(name)
     }
 
@@ -35,7 +40,11 @@
 
 impl fmt::Display for TaskName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.repeat, self.step, self.index)
+        write!(
+            f,
+            "{}.{}.{}.{}",
+            self.job, self.repeat, self.step, self.index
+        )
     }
 }
 
--- a/crates/system-tests/src/wait.rs
+++ b/crates/system-tests/src/wait.rs
@@ -40,13 +40,18 @@
     /// Returns at the first change after the `seen`th, or after `at_most`.
     pub fn wait_beyond(&self, seen: u64, at_most: Duration) {
         let count = locked(&self.count);
-        let waited = self.changed.wait_timeout_while(count, at_most, |count| *count <= seen);
+        let waited = self
+            .changed
+            .wait_timeout_while(count, at_most, |count| *count <= seen);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
     }
 
     /// Looks until there is something to see.
     pub fn until<T>(
-        &self, what: &str, at_most: Duration, mut look: impl FnMut() -> Option<T>,
+        &self,
+        what: &str,
+        at_most: Duration,
+        mut look: impl FnMut() -> Option<T>,
     ) -> Result<T, TimedOut> {
         let begun = Instant::now();
         loop {
@@ -55,7 +60,10 @@
                 return Ok(found);
             }
             let Some(left) = at_most.checked_sub(begun.elapsed()) else {
-                return Err(TimedOut { what: what.to_owned(), at_most });
+                return Err(TimedOut {
+                    what: what.to_owned(),
+                    at_most,
+                });
             };
             self.wait_beyond(seen, left.min(LOOK_AGAIN));
         }
--- a/crates/system-tests/src/worker.rs
+++ b/crates/system-tests/src/worker.rs
@@ -43,13 +43,27 @@
 impl Worker {
     /// Starts a worker that registers at `companion`.
     pub fn start(setup: WorkerSetup, companion: SocketAddr, world: &Arc<World>) -> Self {
-        let wishes = Arc::new(Mutex::new(Wishes { life: Some(world.begin_life(&setup)), over: false }));
+        let wishes = Arc::new(Mutex::new(Wishes {
+            life: Some(world.begin_life(&setup)),
+            over: false,
+        }));
         let (theirs, their_world) = (wishes.clone(), world.clone());
         let thread = std::thread::spawn(move || {
             let link = Link::new(companion);
-            Beats { world: their_world, companion, link, answered: Moment::ZERO }.run(&theirs);
+            Beats {
+                world: their_world,
+                companion,
+                link,
+                answered: Moment::ZERO,
+            }
+            .run(&theirs);
         });
-        Worker { setup, world: world.clone(), wishes, thread: Some(thread) }
+        Worker {
+            setup,
+            world: world.clone(),
+            wishes,
+            thread: Some(thread),
+        }
     }
 
     /// Its name.
@@ -103,7 +117,10 @@
 
 impl Link {
     fn new(peer: SocketAddr) -> Self {
-        Link { peer, connection: None }
+        Link {
+            peer,
+            connection: None,
+        }
     }
 
     fn call(&mut self, call: &Call) -> Result<crate::http::Answer, HttpError> {
@@ -154,14 +171,23 @@
     /// Leaves or sends a heartbeat if it is time for either, and waits for it otherwise. Returns when the next is due.
     fn step(&mut self, life: LifeId, due: Moment, seen: u64) -> Moment {
         let now = self.world.now();
-        if self.world.leaves_at(life).is_some_and(|leaves_at| leaves_at <= now) {
+        if self
+            .world
+            .leaves_at(life)
+            .is_some_and(|leaves_at| leaves_at <= now)
+        {
             self.leave(life);
             return now;
         }
-        let after_end = self.world.unsent_end(life).map(|end| end.max(self.answered) + AFTER_END);
+        let after_end = self
+            .world
+            .unsent_end(life)
+            .map(|end| end.max(self.answered) + AFTER_END);
         let next = after_end.map_or(due, |after_end| due.min(after_end));
         if next > now {
-            self.world.signal().wait_beyond(seen, (next - now).min(LOOK));
+            self.world
+                .signal()
+                .wait_beyond(seen, (next - now).min(LOOK));
             return due;
         }
         let pause = self.beat(life).unwrap_or(AFTER_FAILURE);
@@ -194,26 +220,43 @@
 
     fn follow(&mut self, life: LifeId, sent: Moment, orders: &HeartbeatAnswer) -> Duration {
         self.world.answered(life, sent, orders);
-        let named = orders.heartbeat_endpoint.as_ref().and_then(|address| address.parse().ok());
+        let named = orders
+            .heartbeat_endpoint
+            .as_ref()
+            .and_then(|address| address.parse().ok());
         if let Some(peer) = named.filter(|peer| *peer != self.link.peer) {
             self.link = Link::new(peer);
         }
-        orders.retry_delay_ms.map_or(self.world.bounds().heartbeat, Duration::from_millis)
+        orders
+            .retry_delay_ms
+            .map_or(self.world.bounds().heartbeat, Duration::from_millis)
     }
 
     /// Says that the worker is gone, until this is acknowledged or the time for it is over.
     fn leave(&mut self, life: LifeId) {
-        let path = self.world.read(|record| format!("/instances/{}", record.life(life).id));
+        let path = self
+            .world
+            .read(|record| format!("/instances/{}", record.life(life).id));
         let call = Call::new("DELETE", path);
         // In either case the worker ends.
-        let _ = self.world.signal().until("the acknowledgement of a leaving", LEAVE_TIME, || {
-            self.link.call(&call).ok().filter(|answer| answer.is_success())
-        });
+        let _ = self
+            .world
+            .signal()
+            .until("the acknowledgement of a leaving", LEAVE_TIME, || {
+                self.link
+                    .call(&call)
+                    .ok()
+                    .filter(|answer| answer.is_success())
+            });
         self.world.end_life(life);
     }
 }
 
 /// An answer without a body orders nothing.
 fn read_answer(body: &[u8]) -> Result<HeartbeatAnswer, serde_json::Error> {
-    if body.is_empty() { Ok(HeartbeatAnswer::default()) } else { serde_json::from_slice(body) }
+    if body.is_empty() {
+        Ok(HeartbeatAnswer::default())
+    } else {
+        serde_json::from_slice(body)
+    }
 }
--- a/crates/system-tests/src/world.rs
+++ b/crates/system-tests/src/world.rs
@@ -33,7 +33,12 @@
 impl World {
     /// A world without workers and jobs. Its clock stops once it is dropped.
     pub fn new(bounds: Bounds, signal: Arc<Signal>) -> Arc<Self> {
-        let world = World { began: Instant::now(), bounds, signal, state: Mutex::new(State::new(bounds)) };
+        let world = World {
+            began: Instant::now(),
+            bounds,
+            signal,
+            state: Mutex::new(State::new(bounds)),
+        };
         let world = Arc::new(world);
         let clock = Arc::downgrade(&world);
         std::thread::spawn(move || run_clock(&clock));
@@ -57,7 +62,10 @@
 
     /// Waits for something that the record shows.
     pub fn until<T>(
-        &self, what: &str, at_most: Duration, mut look: impl FnMut(&Record) -> Option<T>,
+        &self,
+        what: &str,
+        at_most: Duration,
+        mut look: impl FnMut(&Record) -> Option<T>,
     ) -> Result<T, TimedOut> {
         self.signal.until(what, at_most, || self.read(&mut look))
     }
@@ -86,7 +94,9 @@
 
     /// The cancelling of a job was acknowledged.
     pub fn cancel_acknowledged(&self, id: &str) {
-        self.change(|state, now| state.job(id, |job| _ = job.cancel_acknowledged.get_or_insert(now)));
+        self.change(|state, now| {
+            state.job(id, |job| _ = job.cancel_acknowledged.get_or_insert(now))
+        });
     }
 
     /// A client that asked at `asked` was shown this state; `None`: that the job does not exist.
@@ -157,7 +167,9 @@
 /// Moves the world on whenever something is due in it.
 fn run_clock(world: &Weak<World>) {
     loop {
-        let Some(present) = world.upgrade() else { return };
+        let Some(present) = world.upgrade() else {
+            return;
+        };
         let seen = present.signal.count();
         let (now, due) = present.change(|state, now| (now, state.next_due()));
         let signal = present.signal.clone();
--- a/crates/system-tests/src/world/life.rs
+++ b/crates/system-tests/src/world/life.rs
@@ -90,8 +90,20 @@
 
     /// What the record keeps of it.
     pub fn record(&self) -> LifeRecord {
-        let WorkerSetup { name, service, capacity, labels, .. } = self.setup.clone();
-        LifeRecord { id: self.id.clone(), worker: name, service, capacity, labels }
+        let WorkerSetup {
+            name,
+            service,
+            capacity,
+            labels,
+            ..
+        } = self.setup.clone();
+        LifeRecord {
+            id: self.id.clone(),
+            worker: name,
+            service,
+            capacity,
+            labels,
+        }
     }
 
     /// Whether it is still at work.
@@ -111,7 +123,10 @@
             let (at, how) = run.due()?;
             Some((at, Some((run.name.clone(), how))))
         });
-        let lapse = self.hold_until.filter(|_| !self.runs.is_empty()).map(|at| (at, None));
+        let lapse = self
+            .hold_until
+            .filter(|_| !self.runs.is_empty())
+            .map(|at| (at, None));
         ends.chain(lapse).min_by_key(|(at, _)| *at)
     }
 
@@ -142,7 +157,9 @@
 
     /// Whether a start of this run is refused: it was stopped or has ended here, or a higher one was or has.
     pub fn refuses(&self, run: &RunName) -> bool {
-        self.barred.get(&run.task).is_some_and(|barred| run.attempt <= *barred)
+        self.barred
+            .get(&run.task)
+            .is_some_and(|barred| run.attempt <= *barred)
     }
 
     /// Refuses this run, and those below it, from now on.
@@ -153,7 +170,13 @@
 
     /// Lists an end in the heartbeats from now on.
     pub fn list_end(&mut self, run: RunName, how: How, saved: String, now: Moment) {
-        self.ends.push_back(End { number: self.next_number, at: now, run, how, saved });
+        self.ends.push_back(End {
+            number: self.next_number,
+            at: now,
+            run,
+            how,
+            saved,
+        });
         self.next_number += 1;
         self.unsent_end.get_or_insert(now);
     }
@@ -162,7 +185,10 @@
     pub fn forget_ends(&mut self, last_seen: u64) -> Vec<(RunName, How)> {
         let count = self.ends.partition_point(|end| end.number <= last_seen);
         let lapse = self.last_lapse;
-        let noted = self.ends.drain(..count).filter(|end| lapse.is_none_or(|lapse| lapse <= end.at));
+        let noted = self
+            .ends
+            .drain(..count)
+            .filter(|end| lapse.is_none_or(|lapse| lapse <= end.at));
         noted.map(|end| (end.run, end.how)).collect()
     }
 
@@ -173,12 +199,17 @@
 
     /// It will leave after `remaining`.
     pub fn start_draining(&mut self, remaining: Duration, now: Moment) {
-        self.drain.get_or_insert(Drain { remaining_until: now + remaining, acknowledged: None });
+        self.drain.get_or_insert(Drain {
+            remaining_until: now + remaining,
+            acknowledged: None,
+        });
     }
 
     /// A heartbeat that said `draining` was acknowledged; true for the first.
     pub fn acknowledge_drain(&mut self, sent_as_draining: bool, now: Moment) -> bool {
-        let Some(drain) = self.drain.as_mut().filter(|_| sent_as_draining) else { return false };
+        let Some(drain) = self.drain.as_mut().filter(|_| sent_as_draining) else {
+            return false;
+        };
         let first = drain.acknowledged.is_none();
         drain.acknowledged.get_or_insert(now);
         first
@@ -192,29 +223,48 @@
     /// When it leaves, once its draining is acknowledged.
     pub fn leaves_at(&self, bounds: &Bounds) -> Option<Moment> {
         let drain = self.drain?;
-        Some(drain.remaining_until.max(drain.acknowledged? + bounds.drain + LINGER))
+        Some(
+            drain
+                .remaining_until
+                .max(drain.acknowledged? + bounds.drain + LINGER),
+        )
     }
 
     /// Its id and its heartbeat.
     pub fn heartbeat(&mut self, now: Moment) -> (String, Heartbeat) {
         self.seq_no += 1;
         self.unsent_end = None;
-        let running = self
-            .runs
-            .values_mut()
-            .map(|run| (run.name.task.to_string(), run.name.attempt, run.saved(now), run.percent(now)));
-        let finished =
-            self.ends.iter().take(ENDS_MAX).map(|end| {
-                (end.number, end.run.task.to_string(), end.run.attempt, end.how, end.saved.clone())
-            });
-        let remaining = self.drain.map(|drain| drain.remaining_until.saturating_sub(now));
+        let running = self.runs.values_mut().map(|run| {
+            (
+                run.name.task.to_string(),
+                run.name.attempt,
+                run.saved(now),
+                run.percent(now),
+            )
+        });
+        let finished = self.ends.iter().take(ENDS_MAX).map(|end| {
+            (
+                end.number,
+                end.run.task.to_string(),
+                end.run.attempt,
+                end.how,
+                end.saved.clone(),
+            )
+        });
+        let remaining = self
+            .drain
+            .map(|drain| drain.remaining_until.saturating_sub(now));
         let heartbeat = Heartbeat {
             backend: self.setup.service.clone(),
             address: self.setup.address.clone(),
             zone: self.setup.zone.clone(),
             version: "v1".to_owned(),
             slots: 8,
-            state: if self.drain.is_some() { "draining" } else { "ready" },
+            state: if self.drain.is_some() {
+                "draining"
+            } else {
+                "ready"
+            },
             cold_remaining_ms: 0,
             capacity: self.setup.capacity,
             labels: self.setup.labels.clone(),
--- a/crates/system-tests/src/world/record.rs
+++ b/crates/system-tests/src/world/record.rs
@@ -206,18 +206,25 @@
 
     /// All starts of a job's tasks, in order.
     pub fn starts<'a>(&'a self, job: &'a str) -> impl Iterator<Item = (LifeId, &'a RunName)> + 'a {
-        self.entries.iter().filter_map(move |entry| match &entry.event {
-            Event::Started { life, run, .. } if run.task.job == job => Some((*life, run)),
-            _ => None,
-        })
+        self.entries
+            .iter()
+            .filter_map(move |entry| match &entry.event {
+                Event::Started { life, run, .. } if run.task.job == job => Some((*life, run)),
+                _ => None,
+            })
     }
 
     /// All ends of a job's runs, in order.
-    pub fn ends<'a>(&'a self, job: &'a str) -> impl Iterator<Item = (LifeId, &'a RunName, How)> + 'a {
-        self.entries.iter().filter_map(move |entry| match &entry.event {
-            Event::Ended { life, run, how } if run.task.job == job => Some((*life, run, *how)),
-            _ => None,
-        })
+    pub fn ends<'a>(
+        &'a self,
+        job: &'a str,
+    ) -> impl Iterator<Item = (LifeId, &'a RunName, How)> + 'a {
+        self.entries
+            .iter()
+            .filter_map(move |entry| match &entry.event {
+                Event::Ended { life, run, how } if run.task.job == job => Some((*life, run, *how)),
+                _ => None,
+            })
     }
 
     /// How many of a job's runs have ended so.
--- a/crates/system-tests/src/world/run.rs
+++ b/crates/system-tests/src/world/run.rs
@@ -51,14 +51,23 @@
 
 impl Run {
     /// A run that has just been started, with the progress that its order carried. A member of a gang waits.
-    pub fn new(name: RunName, step: &Step, fate: Fate, saved: String, bounds: &Bounds, now: Moment) -> Self {
+    pub fn new(
+        name: RunName,
+        step: &Step,
+        fate: Fate,
+        saved: String,
+        bounds: &Bounds,
+        now: Moment,
+    ) -> Self {
         let mut run = Run {
             name,
             gang: step.gang,
             fate,
             work: step.behaviour.work,
             checkpoints: step.checkpoints,
-            phase: Phase::Waiting { until: now + bounds.gang },
+            phase: Phase::Waiting {
+                until: now + bounds.gang,
+            },
             stop_at: None,
             saved,
             save_every: bounds.save,
@@ -72,7 +81,11 @@
     /// Begins its work.
     pub fn begin(&mut self, bounds: &Bounds, now: Moment) {
         let before = progress_of(&self.saved);
-        let from = if before.is_zero() { now } else { now + bounds.restore };
+        let from = if before.is_zero() {
+            now
+        } else {
+            now + bounds.restore
+        };
         self.phase = Phase::Working { from, before };
     }
 
@@ -143,7 +156,13 @@
 /// The part of a saved text that tells whose it is: a task's, or a gang's.
 fn tag_of(task: &TaskName, gang: bool) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (&task.job, task.repeat, task.step, if gang { u32::MAX } else { task.index }).hash(&mut hasher);
+    (
+        &task.job,
+        task.repeat,
+        task.step,
+        if gang { u32::MAX } else { task.index },
+    )
+        .hash(&mut hasher);
     hasher.finish()
 }
 
@@ -154,5 +173,9 @@
 
 fn progress_of(saved: &str) -> Duration {
     let digits = saved.get(..PROGRESS_DIGITS);
-    Duration::from_millis(digits.and_then(|digits| u64::from_str_radix(digits, 16).ok()).unwrap_or(0))
+    Duration::from_millis(
+        digits
+            .and_then(|digits| u64::from_str_radix(digits, 16).ok())
+            .unwrap_or(0),
+    )
 }
