--- a/crates/system-tests/src/world/state.rs
+++ b/crates/system-tests/src/world/state.rs
@@ -53,7 +53,11 @@
     /// A client is about to hand in a job.
     pub fn job_sent(&mut self, id: &str, job: &Job, queue: &Queue) {
         let new = || JobRecord::new(job.clone(), queue.clone());
-        self.record.jobs.entry(id.to_owned()).or_insert_with(new).calls += 1;
+        self.record
+            .jobs
+            .entry(id.to_owned())
+            .or_insert_with(new)
+            .calls += 1;
     }
 
     /// Changes what is known of a job.
@@ -65,7 +69,14 @@
 
     /// A client was shown a job's state.
     pub fn job_shown(&mut self, id: &str, asked: Moment, state: Option<JobState>, now: Moment) {
-        self.note(now, Event::Shown { job: id.to_owned(), asked, state });
+        self.note(
+            now,
+            Event::Shown {
+                job: id.to_owned(),
+                asked,
+                state,
+            },
+        );
     }
 
     /// A worker starts.
@@ -96,7 +107,9 @@
 
     /// A worker's id and heartbeat.
     pub fn heartbeat(&mut self, life: LifeId, now: Moment) -> Option<(String, Heartbeat)> {
-        let (id, heartbeat) = Some(&mut self.lives[life.0]).filter(|life| life.is_up())?.heartbeat(now);
+        let (id, heartbeat) = Some(&mut self.lives[life.0])
+            .filter(|life| life.is_up())?
+            .heartbeat(now);
         let running = heartbeat.running.iter().map(|(_, _, saved, _)| saved);
         let finished = heartbeat.finished.iter().map(|(_, _, _, _, saved)| saved);
         self.told.extend(running.chain(finished).cloned());
@@ -121,10 +134,17 @@
         if let Some(hold) = answer.hold_ms {
             life.extend_hold(sent, Duration::from_millis(hold), &bounds);
         }
-        for (run, how) in answer.last_seen.map(|seen| life.forget_ends(seen)).unwrap_or_default() {
+        for (run, how) in answer
+            .last_seen
+            .map(|seen| life.forget_ends(seen))
+            .unwrap_or_default()
+        {
             self.note(now, Event::Noted { life: id, run, how });
         }
-        answer.stop.iter().for_each(|(task, attempt)| self.stop(id, task, *attempt, now));
+        answer
+            .stop
+            .iter()
+            .for_each(|(task, attempt)| self.stop(id, task, *attempt, now));
         if answer.hold_ms.is_some() {
             for (task, attempt, spec, saved) in &answer.start {
                 self.start(id, task, *attempt, (spec, saved), now);
@@ -133,7 +153,9 @@
     }
 
     fn stop(&mut self, id: LifeId, task: &str, attempt: u32, now: Moment) {
-        let Some(run) = self.run_name(id, task, attempt, now) else { return };
+        let Some(run) = self.run_name(id, task, attempt, now) else {
+            return;
+        };
         let (bounds, life) = (self.bounds, &mut self.lives[id.0]);
         match life.runs.get_mut(&run) {
             Some(present) => present.stop(&bounds, now),
@@ -141,15 +163,31 @@
         }
     }
 
-    fn start(&mut self, id: LifeId, task: &str, attempt: u32, (spec, saved): (&str, &str), now: Moment) {
-        let Some(run) = self.run_name(id, task, attempt, now) else { return };
+    fn start(
+        &mut self,
+        id: LifeId,
+        task: &str,
+        attempt: u32,
+        (spec, saved): (&str, &str),
+        now: Moment,
+    ) {
+        let Some(run) = self.run_name(id, task, attempt, now) else {
+            return;
+        };
         let life = &mut self.lives[id.0];
         if life.runs.contains_key(&run) || !life.is_held(now) {
             return;
         }
         if life.refuses(&run) {
             life.list_end(run.clone(), How::Refused, String::new(), now);
-            self.note(now, Event::Ended { life: id, run, how: How::Refused });
+            self.note(
+                now,
+                Event::Ended {
+                    life: id,
+                    run,
+                    how: How::Refused,
+                },
+            );
             return;
         }
         let step = self.step_of(&run.task);
@@ -158,7 +196,16 @@
         let saved_is_its_own = known && (saved.is_empty() || is_saved_by(saved, &run.task, gang));
         let (spec, saved) = (spec.to_owned(), saved.to_owned());
         let name = run.clone();
-        self.note(now, Event::Started { life: id, run, spec, saved: saved.clone(), saved_is_its_own });
+        self.note(
+            now,
+            Event::Started {
+                life: id,
+                run,
+                spec,
+                saved: saved.clone(),
+                saved_is_its_own,
+            },
+        );
         if let Some(step) = step {
             self.begin_run(id, name, &step, saved, now);
         }
@@ -178,8 +225,9 @@
         let bounds = self.bounds;
         let up = self.lives.iter_mut().filter(|life| life.is_up());
         let runs = up.flat_map(|life| life.runs.values_mut());
-        let members: Vec<&mut Run> =
-            runs.filter(|run| run.name.same_gang(name) && run.is_waiting()).collect();
+        let members: Vec<&mut Run> = runs
+            .filter(|run| run.name.same_gang(name) && run.is_waiting())
+            .collect();
         let present: HashSet<u32> = members.iter().map(|run| run.name.task.index).collect();
         if present.len() == count as usize {
             members.into_iter().for_each(|run| run.begin(&bounds, now));
@@ -211,7 +259,9 @@
                 Some((run, how)) => self.end_run(life, &run, how, at),
                 None => {
                     let lapsed = self.lives[life.0].lapse(at);
-                    lapsed.iter().for_each(|run| self.end_run(life, run, How::Lapsed, at));
+                    lapsed
+                        .iter()
+                        .for_each(|run| self.end_run(life, run, How::Lapsed, at));
                 }
             }
         }
@@ -219,7 +269,11 @@
 
     #[allow(clippy::type_complexity)]
     fn earliest(&self) -> Option<(Moment, LifeId, Option<(RunName, How)>)> {
-        let lives = self.lives.iter().enumerate().filter(|(_, life)| life.is_up());
+        let lives = self
+            .lives
+            .iter()
+            .enumerate()
+            .filter(|(_, life)| life.is_up());
         let due = lives.filter_map(|(number, life)| {
             let (at, due) = life.next_due()?;
             Some((at, LifeId(number), due))
@@ -229,12 +283,25 @@
 
     fn end_run(&mut self, id: LifeId, name: &RunName, how: How, at: Moment) {
         let life = &mut self.lives[id.0];
-        let Some(mut run) = life.runs.remove(name) else { return };
+        let Some(mut run) = life.runs.remove(name) else {
+            return;
+        };
         let saved = run.saved_at_end(how, at);
         life.bar(name);
         life.list_end(name.clone(), how, saved, at);
-        self.note(at, Event::Ended { life: id, run: name.clone(), how });
-        let others = if how == How::Done { How::Done } else { How::Broken };
+        self.note(
+            at,
+            Event::Ended {
+                life: id,
+                run: name.clone(),
+                how,
+            },
+        );
+        let others = if how == How::Done {
+            How::Done
+        } else {
+            How::Broken
+        };
         self.end_gang(&run, others, at);
     }
 
@@ -244,7 +311,12 @@
             return;
         }
         let mut members = Vec::new();
-        for (number, life) in self.lives.iter().enumerate().filter(|(_, life)| life.is_up()) {
+        for (number, life) in self
+            .lives
+            .iter()
+            .enumerate()
+            .filter(|(_, life)| life.is_up())
+        {
             let names = life.runs.keys().filter(|run| run.same_gang(&ended.name));
             members.extend(names.map(|run| (LifeId(number), run.clone())));
         }
@@ -256,7 +328,13 @@
     fn run_name(&mut self, life: LifeId, task: &str, attempt: u32, now: Moment) -> Option<RunName> {
         let name = TaskName::parse(task).map(|task| RunName { task, attempt });
         if name.is_none() {
-            self.note(now, Event::Unreadable { life, why: format!("`{task}` names no task") });
+            self.note(
+                now,
+                Event::Unreadable {
+                    life,
+                    why: format!("`{task}` names no task"),
+                },
+            );
         }
         name
     }
--- a/crates/system-tests/tests/chaos_support/mod.rs
+++ b/crates/system-tests/tests/chaos_support/mod.rs
@@ -19,8 +19,18 @@
 
 /// Plays a seed; panics if a rule was broken or an accepted job has not ended.
 pub fn play(programs: Programs, seed: u64) {
-    let mut cluster = Cluster::start(programs, Shape { cores: 3, edges: 2, sides: 4 });
-    cluster.excuse(Excuses { gangs: true, late_stops: true });
+    let mut cluster = Cluster::start(
+        programs,
+        Shape {
+            cores: 3,
+            edges: 2,
+            sides: 4,
+        },
+    );
+    cluster.excuse(Excuses {
+        gangs: true,
+        late_stops: true,
+    });
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
@@ -33,6 +43,8 @@
     (0..TROUBLES).for_each(|_| troubles.next(&mut cluster));
     troubles.settle(&mut cluster);
     over.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|client| client.join().expect("a client's jobs"));
+    clients
+        .into_iter()
+        .for_each(|client| client.join().expect("a client's jobs"));
     cluster.finish();
 }
--- a/crates/system-tests/tests/chaos_support/troubles.rs
+++ b/crates/system-tests/tests/chaos_support/troubles.rs
@@ -64,7 +64,13 @@
 impl Troubles {
     /// Nothing is out of order yet.
     pub fn new(draw: Draw) -> Self {
-        Troubles { draw, down: Vec::new(), frozen: Vec::new(), core_whole: Moment::ZERO, version: 1 }
+        Troubles {
+            draw,
+            down: Vec::new(),
+            frozen: Vec::new(),
+            core_whole: Moment::ZERO,
+            version: 1,
+        }
     }
 
     /// Brings about the next trouble, and lets some jobs come in.
@@ -78,7 +84,10 @@
         self.bring(cluster, trouble);
         let before = accepted(cluster);
         let enough = |cluster: &Cluster| accepted(cluster) >= before + JOBS_BETWEEN;
-        let more = cluster.world.signal().until("jobs", TIME_BETWEEN, || enough(cluster).then_some(()));
+        let more = cluster
+            .world
+            .signal()
+            .until("jobs", TIME_BETWEEN, || enough(cluster).then_some(()));
         // Either will do.
         drop(more);
     }
@@ -152,7 +161,13 @@
     fn end(&mut self, cluster: &mut Cluster, machine: MachineId) {
         if self.is_in_order(machine) {
             cluster.system.terminate(machine).expect("a signal");
-            assert!(cluster.system.wait_end(machine).expect("an end in time").success());
+            assert!(
+                cluster
+                    .system
+                    .wait_end(machine)
+                    .expect("an end in time")
+                    .success()
+            );
             self.down.push(machine);
         }
     }
@@ -208,13 +223,25 @@
         let next = self.version + 1 + self.draw.below(3);
         let queue = Queue::new(&format!("/v{next}/"), PLANNING, 1);
         let change = json!({"version": next, "upsert": {"routes": [queue.to_json()]}});
-        let answer = cluster.operator.patch(&change, self.version).expect("an answer");
+        let answer = cluster
+            .operator
+            .patch(&change, self.version)
+            .expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.json());
         self.version = next;
-        assert_eq!(cluster.operator.read().expect("the configuration")["version"], next);
+        assert_eq!(
+            cluster.operator.read().expect("the configuration")["version"],
+            next
+        );
     }
 }
 
 fn accepted(cluster: &Cluster) -> usize {
-    cluster.world.read(|record| record.jobs.values().filter(|job| job.accepted.is_some()).count())
+    cluster.world.read(|record| {
+        record
+            .jobs
+            .values()
+            .filter(|job| job.accepted.is_some())
+            .count()
+    })
 }
--- a/crates/system-tests/tests/configuration.rs
+++ b/crates/system-tests/tests/configuration.rs
@@ -21,7 +21,15 @@
 fn statuses(cluster: &Cluster, path_prefix: &str) -> BTreeSet<u16> {
     let call = Call::new("GET", format!("{path_prefix}{NO_JOB}"));
     let edges = cluster.client.edges().iter();
-    edges.map(|edge| cluster.client.call_at(*edge, &call).expect("an answer").status).collect()
+    edges
+        .map(|edge| {
+            cluster
+                .client
+                .call_at(*edge, &call)
+                .expect("an answer")
+                .status
+        })
+        .collect()
 }
 
 /// Waits until all edges answer so, within the time that a configuration may take to be in force.
@@ -29,15 +37,29 @@
     let bound = cluster.world.bounds().config_apply;
     let wanted = BTreeSet::from([status]);
     let look = || (statuses(cluster, path_prefix) == wanted).then_some(());
-    cluster.world.signal().until("a configuration in force", bound, look).expect("in force");
+    cluster
+        .world
+        .signal()
+        .until("a configuration in force", bound, look)
+        .expect("in force");
 }
 
 #[rstest]
 fn the_first_configuration_is_in_force_at_every_edge() {
-    let mut cluster = Cluster::start(programs!(), Shape { edges: 3, sides: 1, ..Shape::default() });
+    let mut cluster = Cluster::start(
+        programs!(),
+        Shape {
+            edges: 3,
+            sides: 1,
+            ..Shape::default()
+        },
+    );
     wait_in_force(&cluster, QUICK, 410);
     assert_eq!(statuses(&cluster, ADDED), BTreeSet::from([404]));
-    assert_eq!(cluster.operator.read().expect("the configuration"), cluster.configuration.to_json());
+    assert_eq!(
+        cluster.operator.read().expect("the configuration"),
+        cluster.configuration.to_json()
+    );
     cluster.check();
 }
 
@@ -45,13 +67,17 @@
 fn an_edge_without_configuration_answers_503() {
     let mut cluster = Cluster::prepare(programs!(), Shape::default());
     let machines = [cluster.system.cores(), cluster.system.edges()].concat();
-    machines.into_iter().for_each(|machine| cluster.start_machine(machine));
+    machines
+        .into_iter()
+        .for_each(|machine| cluster.start_machine(machine));
     let edge = cluster.client.edges()[0];
     let call = Call::new("GET", format!("{QUICK}{NO_JOB}"));
     let answer = cluster
         .world
         .signal()
-        .until("an answer", Duration::from_secs(10), || cluster.client.call_at(edge, &call).ok());
+        .until("an answer", Duration::from_secs(10), || {
+            cluster.client.call_at(edge, &call).ok()
+        });
     assert_eq!(answer.expect("an answer").status, 503);
     cluster.check();
 }
@@ -61,14 +87,36 @@
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let route = Queue::new(ADDED, PLANNING, 1).to_json();
     let change = json!({"version": 4, "upsert": {"routes": [route]}});
-    assert_eq!(cluster.operator.patch(&change, 1).expect("an answer").status, 200);
+    assert_eq!(
+        cluster
+            .operator
+            .patch(&change, 1)
+            .expect("an answer")
+            .status,
+        200
+    );
     wait_in_force(&cluster, ADDED, 410);
-    let change = json!({"version": 9, "remove": {"routes": [Queue::new(ADDED, PLANNING, 1).name()]}});
-    assert_eq!(cluster.operator.patch(&change, 4).expect("an answer").status, 200);
+    let change =
+        json!({"version": 9, "remove": {"routes": [Queue::new(ADDED, PLANNING, 1).name()]}});
+    assert_eq!(
+        cluster
+            .operator
+            .patch(&change, 4)
+            .expect("an answer")
+            .status,
+        200
+    );
     wait_in_force(&cluster, ADDED, 404);
     wait_in_force(&cluster, QUICK, 410);
     let read = cluster.operator.read().expect("the configuration");
-    assert_eq!(read, Configuration { version: 9, ..cluster.configuration.clone() }.to_json());
+    assert_eq!(
+        read,
+        Configuration {
+            version: 9,
+            ..cluster.configuration.clone()
+        }
+        .to_json()
+    );
     cluster.check();
 }
 
@@ -77,15 +125,35 @@
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let second = Configuration::standard(5).with(Queue::new(ADDED, VISION, 1));
     for _ in 0..2 {
-        assert_eq!(cluster.operator.put(&second, 1).expect("an answer").status, 200);
+        assert_eq!(
+            cluster.operator.put(&second, 1).expect("an answer").status,
+            200
+        );
     }
     // The same order once more, and the first one, which another version has replaced since: never refused as new.
     for member in cluster.operator.members() {
-        let answer = cluster.operator.ask(*member, &put_call(&second.to_json(), 1)).expect("an answer");
-        assert!(matches!(answer.status, 200 | 307 | 503), "{}", answer.status);
+        let answer = cluster
+            .operator
+            .ask(*member, &put_call(&second.to_json(), 1))
+            .expect("an answer");
+        assert!(
+            matches!(answer.status, 200 | 307 | 503),
+            "{}",
+            answer.status
+        );
     }
-    assert_eq!(cluster.operator.put(&cluster.configuration, 0).expect("an answer").status, 200);
-    assert_eq!(cluster.operator.read().expect("the configuration"), second.to_json());
+    assert_eq!(
+        cluster
+            .operator
+            .put(&cluster.configuration, 0)
+            .expect("an answer")
+            .status,
+        200
+    );
+    assert_eq!(
+        cluster.operator.read().expect("the configuration"),
+        second.to_json()
+    );
     cluster.check();
 }
 
@@ -93,8 +161,14 @@
 fn another_configuration_under_a_taken_number_is_refused() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let other = Configuration::standard(1).with(Queue::new(ADDED, PLANNING, 1));
-    assert_eq!(cluster.operator.put(&other, 0).expect("an answer").status, 412);
-    assert_eq!(cluster.operator.read().expect("the configuration"), cluster.configuration.to_json());
+    assert_eq!(
+        cluster.operator.put(&other, 0).expect("an answer").status,
+        412
+    );
+    assert_eq!(
+        cluster.operator.read().expect("the configuration"),
+        cluster.configuration.to_json()
+    );
     cluster.check();
 }
 
@@ -111,11 +185,20 @@
     let statuses = std::thread::scope(|scope| {
         let put = |order| scope.spawn(move || operator.put(order, 1).expect("an answer").status);
         let racing: Vec<_> = orders.iter().map(put).collect();
-        racing.into_iter().map(|order| order.join().expect("an order")).collect::<Vec<_>>()
+        racing
+            .into_iter()
+            .map(|order| order.join().expect("an order"))
+            .collect::<Vec<_>>()
     });
-    let winner = statuses.iter().position(|status| *status == 200).expect("a winner");
+    let winner = statuses
+        .iter()
+        .position(|status| *status == 200)
+        .expect("a winner");
     assert_eq!(statuses[1 - winner], 412);
-    assert_eq!(operator.read().expect("the configuration"), orders[winner].to_json());
+    assert_eq!(
+        operator.read().expect("the configuration"),
+        orders[winner].to_json()
+    );
     cluster.check();
 }
 
@@ -146,32 +229,60 @@
 #[case::no_time(without_time)]
 #[case::version_not_higher(not_newer)]
 fn an_invalid_configuration_is_refused(#[case] spoil: fn(Value) -> Value) {
-    let mut cluster = Cluster::start(programs!(), Shape { sides: 1, ..Shape::default() });
+    let mut cluster = Cluster::start(
+        programs!(),
+        Shape {
+            sides: 1,
+            ..Shape::default()
+        },
+    );
     let spoilt = spoil(Configuration::standard(7).to_json());
-    let answer = cluster.operator.order(&put_call(&spoilt, 1)).expect("an answer");
+    let answer = cluster
+        .operator
+        .order(&put_call(&spoilt, 1))
+        .expect("an answer");
     assert_eq!(answer.status, 400);
-    let cut = Call::new("PUT", "/config").header("If-Match", "1").json("{\"version\":8,\"routes\":[");
+    let cut = Call::new("PUT", "/config")
+        .header("If-Match", "1")
+        .json("{\"version\":8,\"routes\":[");
     assert_eq!(cluster.operator.order(&cut).expect("an answer").status, 400);
-    assert_eq!(cluster.operator.read().expect("the configuration"), cluster.configuration.to_json());
+    assert_eq!(
+        cluster.operator.read().expect("the configuration"),
+        cluster.configuration.to_json()
+    );
     cluster.check();
 }
 
 /// Where a member that is not the head sends the caller, once it knows. Until then it knows no head, and says so.
 fn wait_redirection(cluster: &Cluster, member: SocketAddr, call: &Call) -> SocketAddr {
-    let redirected = cluster.world.signal().until("a redirection", START_TIME, || {
-        let answer = cluster.operator.ask(member, call).expect("an answer");
-        assert!(matches!(answer.status, 307 | 503), "{}", answer.status);
-        redirection(&answer)
-    });
+    let redirected = cluster
+        .world
+        .signal()
+        .until("a redirection", START_TIME, || {
+            let answer = cluster.operator.ask(member, call).expect("an answer");
+            assert!(matches!(answer.status, 307 | 503), "{}", answer.status);
+            redirection(&answer)
+        });
     redirected.expect("a redirection")
 }
 
 #[rstest]
 fn members_that_are_not_head_point_at_it() {
-    let mut cluster = Cluster::start(programs!(), Shape { sides: 1, ..Shape::default() });
+    let mut cluster = Cluster::start(
+        programs!(),
+        Shape {
+            sides: 1,
+            ..Shape::default()
+        },
+    );
     let head = cluster.system.control_plane(cluster.head());
     let next = put_call(&Configuration::standard(2).to_json(), 1);
-    for member in cluster.operator.members().iter().filter(|member| **member != head) {
+    for member in cluster
+        .operator
+        .members()
+        .iter()
+        .filter(|member| **member != head)
+    {
         for call in [Call::new("GET", "/config"), next.clone()] {
             assert_eq!(wait_redirection(&cluster, *member, &call), head);
         }
@@ -181,17 +292,26 @@
 
 #[rstest]
 fn members_without_a_head_answer_503_at_once() {
-    let mut cluster = Cluster::start(programs!(), Shape { sides: 1, ..Shape::default() });
+    let mut cluster = Cluster::start(
+        programs!(),
+        Shape {
+            sides: 1,
+            ..Shape::default()
+        },
+    );
     let cores = cluster.system.cores();
     let (gone, left) = cores.split_at(2);
     gone.iter().for_each(|core| cluster.system.kill(*core));
     let member = cluster.system.control_plane(left[0]);
     let next = put_call(&Configuration::standard(2).to_json(), 1);
-    let refused = cluster.world.signal().until("a 503", Duration::from_secs(10), || {
-        let begun = Instant::now();
-        let answer = cluster.operator.ask(member, &next).ok()?;
-        (answer.status == 503 && begun.elapsed() < Duration::from_millis(200)).then_some(())
-    });
+    let refused = cluster
+        .world
+        .signal()
+        .until("a 503", Duration::from_secs(10), || {
+            let begun = Instant::now();
+            let answer = cluster.operator.ask(member, &next).ok()?;
+            (answer.status == 503 && begun.elapsed() < Duration::from_millis(200)).then_some(())
+        });
     refused.expect("an immediate 503");
     cluster.check();
 }
--- a/crates/system-tests/tests/discovery.rs
+++ b/crates/system-tests/tests/discovery.rs
@@ -34,7 +34,10 @@
     let mut cluster = Cluster::prepare(programs!(), Shape::default());
     let system = &cluster.system;
     let machines = [system.edges(), system.sides(), system.cores()].concat();
-    machines.into_iter().rev().for_each(|machine| cluster.start_machine(machine));
+    machines
+        .into_iter()
+        .rev()
+        .for_each(|machine| cluster.start_machine(machine));
     cluster.start_workers(PLANNING);
     cluster.configure();
     cluster.wait_ready();
@@ -45,7 +48,13 @@
 
 #[rstest]
 fn five_core_members_of_which_three_are_seeds() {
-    let cluster = Cluster::start(programs!(), Shape { cores: 5, ..Shape::default() });
+    let cluster = Cluster::start(
+        programs!(),
+        Shape {
+            cores: 5,
+            ..Shape::default()
+        },
+    );
     let job = cluster.submit(QUICK, &Job::single(100));
     cluster.expect_completed(&job);
     cluster.finish();
@@ -62,7 +71,8 @@
         || {
             let call = indigofold_system_tests::http::Call::new("GET", "/readiness");
             let second = std::time::Duration::from_secs(1);
-            indigofold_system_tests::http::call_once(cluster.system.readiness(edge), &call, second).ok()
+            indigofold_system_tests::http::call_once(cluster.system.readiness(edge), &call, second)
+                .ok()
         },
     );
     assert_ne!(listening.expect("an answer").status, 200);
--- a/crates/system-tests/tests/edges.rs
+++ b/crates/system-tests/tests/edges.rs
@@ -18,7 +18,11 @@
 const TIME: Duration = Duration::from_secs(10);
 
 fn small() -> Shape {
-    Shape { sides: 1, edges: 1, ..Shape::default() }
+    Shape {
+        sides: 1,
+        edges: 1,
+        ..Shape::default()
+    }
 }
 
 /// Puts limits in force that a test reaches quickly.
@@ -27,7 +31,14 @@
         "max_header_bytes": 2_048, "max_body_bytes": 8_192, "header_timeout_ms": 300, "idle_timeout_ms": 400
     });
     let change = json!({"version": 2, "upsert": {"limits": limits}});
-    assert_eq!(cluster.operator.patch(&change, 1).expect("an answer").status, 200);
+    assert_eq!(
+        cluster
+            .operator
+            .patch(&change, 1)
+            .expect("an answer")
+            .status,
+        200
+    );
 }
 
 fn edge(cluster: &Cluster) -> SocketAddr {
@@ -37,10 +48,13 @@
 /// Waits until the edge answers a call so.
 fn wait_answer(cluster: &Cluster, call: &Call, statuses: &[u16]) {
     let bound = cluster.world.bounds().config_apply;
-    let answered = cluster.world.signal().until("an answer by the new limits", bound, || {
-        let answer = cluster.client.call(call).ok()?;
-        statuses.contains(&answer.status).then_some(())
-    });
+    let answered = cluster
+        .world
+        .signal()
+        .until("an answer by the new limits", bound, || {
+            let answer = cluster.client.call(call).ok()?;
+            statuses.contains(&answer.status).then_some(())
+        });
     answered.expect("limits in force");
 }
 
@@ -56,7 +70,14 @@
     tighten(&cluster);
     wait_answer(&cluster, &large, &[413]);
     wait_answer(&cluster, &long, &[431]);
-    assert_eq!(cluster.client.call(&Call::new("GET", QUICK)).expect("an answer").status, 200);
+    assert_eq!(
+        cluster
+            .client
+            .call(&Call::new("GET", QUICK))
+            .expect("an answer")
+            .status,
+        200
+    );
     cluster.check();
 }
 
@@ -76,11 +97,14 @@
 fn connections_that_stand_still_are_closed(#[case] sent: &[u8]) {
     let mut cluster = Cluster::start(programs!(), small());
     tighten(&cluster);
-    let closed = cluster.world.signal().until("a closed connection", TIME, || {
-        let mut stream = TcpStream::connect(edge(&cluster)).ok()?;
-        stream.write_all(sent).ok()?;
-        (wait_closed(&mut stream) < Duration::from_secs(2)).then_some(())
-    });
+    let closed = cluster
+        .world
+        .signal()
+        .until("a closed connection", TIME, || {
+            let mut stream = TcpStream::connect(edge(&cluster)).ok()?;
+            stream.write_all(sent).ok()?;
+            (wait_closed(&mut stream) < Duration::from_secs(2)).then_some(())
+        });
     closed.expect("a closed connection");
     cluster.check();
 }
@@ -90,9 +114,18 @@
     let mut cluster = Cluster::start(programs!(), small());
     let mut connection = Connection::open(edge(&cluster), TIME).expect("a connection");
     let unknown = format!("{QUICK}{}", random::job_id());
-    for (path, status) in [(QUICK, 200), (unknown.as_str(), 410), ("/nowhere/", 404), (QUICK, 200)] {
+    for (path, status) in [
+        (QUICK, 200),
+        (unknown.as_str(), 410),
+        ("/nowhere/", 404),
+        (QUICK, 200),
+    ] {
         let call = Call::new("GET", path).header("Host", HOST);
-        assert_eq!(connection.call(&call, TIME).expect("an answer").status, status, "{path}");
+        assert_eq!(
+            connection.call(&call, TIME).expect("an answer").status,
+            status,
+            "{path}"
+        );
         assert!(!connection.is_over(), "closed after {path}");
     }
     cluster.check();
@@ -104,21 +137,35 @@
 fn a_host_is_known_in_any_form(#[case] host: String) {
     let mut cluster = Cluster::start(programs!(), small());
     let call = Call::new("GET", QUICK).header("Host", host);
-    assert_eq!(call_once(edge(&cluster), &call, TIME).expect("an answer").status, 200);
+    assert_eq!(
+        call_once(edge(&cluster), &call, TIME)
+            .expect("an answer")
+            .status,
+        200
+    );
     cluster.check();
 }
 
 #[rstest]
 fn a_body_in_chunks_is_read() {
     let cluster = Cluster::start(programs!(), small());
-    let handed = Handed { id: random::job_id(), queue: cluster.queue(BATCH) };
+    let handed = Handed {
+        id: random::job_id(),
+        queue: cluster.queue(BATCH),
+    };
     let job = Job::single(50);
     cluster.world.job_sent(&handed.id, &job, &handed.queue);
     let body = serde_json::to_string(&job).expect("a job as JSON");
     let (first, second) = body.split_at(body.len() / 2);
-    let head =
-        format!("POST {BATCH}{} HTTP/1.1\r\nHost: {HOST}\r\nTransfer-Encoding: chunked\r\n\r\n", handed.id);
-    let chunks = format!("{:x}\r\n{first}\r\n{:x}\r\n{second}\r\n0\r\n\r\n", first.len(), second.len());
+    let head = format!(
+        "POST {BATCH}{} HTTP/1.1\r\nHost: {HOST}\r\nTransfer-Encoding: chunked\r\n\r\n",
+        handed.id
+    );
+    let chunks = format!(
+        "{:x}\r\n{first}\r\n{:x}\r\n{second}\r\n0\r\n\r\n",
+        first.len(),
+        second.len()
+    );
     let mut stream = TcpStream::connect(edge(&cluster)).expect("a connection");
     stream.set_read_timeout(Some(TIME)).expect("a timeout");
     stream.write_all((head + &chunks).as_bytes()).expect("sent");
@@ -140,10 +187,16 @@
         cluster.system.freeze(core).expect("frozen");
     }
     let begun = Instant::now();
-    let call = Call::new("GET", QUICK).header("Host", HOST).header("Indigofold-Deadline-Ms", "400");
+    let call = Call::new("GET", QUICK)
+        .header("Host", HOST)
+        .header("Indigofold-Deadline-Ms", "400");
     let answer = call_once(edge(&cluster), &call, TIME).expect("an answer");
     assert!(matches!(answer.status, 503 | 504), "{}", answer.status);
-    assert!(begun.elapsed() < Duration::from_millis(800), "answered after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(800),
+        "answered after {:?}",
+        begun.elapsed()
+    );
     for core in cluster.system.cores() {
         cluster.system.thaw(core).expect("thawed");
     }
@@ -158,12 +211,15 @@
     let mut cluster = Cluster::start(programs!(), small());
     let cores = cluster.system.cores();
     cores.iter().for_each(|core| cluster.system.kill(*core));
-    let refused = cluster.world.signal().until("an immediate refusal", JOB_TIME, || {
-        let begun = Instant::now();
-        let answer = cluster.client.call(&Call::new("GET", QUICK)).ok()?;
-        let told = answer.status == 503 && answer.header("retry-after").is_some();
-        (told && begun.elapsed() < Duration::from_millis(100)).then_some(())
-    });
+    let refused = cluster
+        .world
+        .signal()
+        .until("an immediate refusal", JOB_TIME, || {
+            let begun = Instant::now();
+            let answer = cluster.client.call(&Call::new("GET", QUICK)).ok()?;
+            let told = answer.status == 503 && answer.header("retry-after").is_some();
+            (told && begun.elapsed() < Duration::from_millis(100)).then_some(())
+        });
     refused.expect("an immediate refusal");
     cores.iter().for_each(|core| cluster.start_machine(*core));
     let job = cluster.submit(QUICK, &Job::single(50));
--- a/crates/system-tests/tests/failover.rs
+++ b/crates/system-tests/tests/failover.rs
@@ -10,7 +10,10 @@
 use serde_json::json;
 
 fn steps() -> Job {
-    Job::new(vec![Step::new(4, 1_200).checkpoints(), Step::new(2, 600).after(&[0])])
+    Job::new(vec![
+        Step::new(4, 1_200).checkpoints(),
+        Step::new(2, 600).after(&[0]),
+    ])
 }
 
 #[rstest]
@@ -38,19 +41,28 @@
         .map(|(client, queue)| {
             std::thread::spawn(move || {
                 for _ in 0..6 {
-                    client.submit(&queue, &Job::new(vec![Step::new(2, 300)])).expect("an accepted job");
+                    client
+                        .submit(&queue, &Job::new(vec![Step::new(2, 300)]))
+                        .expect("an accepted job");
                 }
             })
         })
         .collect();
     let reached = cluster.world.signal().until("acceptances", JOB_TIME, || {
-        let count =
-            cluster.world.read(|record| record.jobs.values().filter(|job| job.accepted.is_some()).count());
+        let count = cluster.world.read(|record| {
+            record
+                .jobs
+                .values()
+                .filter(|job| job.accepted.is_some())
+                .count()
+        });
         (count >= accepted).then_some(())
     });
     reached.expect("acceptances");
     cluster.system.kill(head);
-    submitting.into_iter().for_each(|client| client.join().expect("all jobs"));
+    submitting
+        .into_iter()
+        .for_each(|client| client.join().expect("all jobs"));
     cluster.start_machine(head);
     cluster.finish();
 }
@@ -58,8 +70,13 @@
 #[rstest]
 fn a_gang_survives_the_loss_of_the_head() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
-    cluster.excuse(Excuses { gangs: true, ..Excuses::default() });
-    let gang = Job::new(vec![Step::new(2, 3_000).gang().checkpoints().anti_affinity(1)]);
+    cluster.excuse(Excuses {
+        gangs: true,
+        ..Excuses::default()
+    });
+    let gang = Job::new(vec![
+        Step::new(2, 3_000).gang().checkpoints().anti_affinity(1),
+    ]);
     let handed = cluster.submit(QUICK, &gang);
     cluster.wait_started(&handed);
     let head = cluster.head();
@@ -79,7 +96,9 @@
     cluster.wait_started(&second);
     cluster.system.thaw(head).expect("thawed");
     let third = cluster.submit(QUICK, &steps());
-    [first, second, third].iter().for_each(|job| cluster.expect_completed(job));
+    [first, second, third]
+        .iter()
+        .for_each(|job| cluster.expect_completed(job));
     cluster.finish();
 }
 
@@ -89,7 +108,10 @@
 fn a_core_killed_at_once_comes_back_with_all_that_it_took(#[case] at_work: bool) {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let second = Configuration::standard(6).with(Queue::new("/later/", PLANNING, 1));
-    assert_eq!(cluster.operator.put(&second, 1).expect("an answer").status, 200);
+    assert_eq!(
+        cluster.operator.put(&second, 1).expect("an answer").status,
+        200
+    );
     cluster.configuration = second.clone();
     let ended = cluster.submit("/later/", &Job::single(100));
     cluster.expect_completed(&ended);
@@ -98,7 +120,10 @@
         cluster.wait_started(open);
     }
     cluster.restart_core();
-    assert_eq!(cluster.operator.read().expect("the configuration"), second.to_json());
+    assert_eq!(
+        cluster.operator.read().expect("the configuration"),
+        second.to_json()
+    );
     cluster.expect_completed(&ended);
     if let Some(open) = &open {
         cluster.expect_completed(open);
@@ -125,10 +150,22 @@
     cluster.system.kill(wiped);
     cluster.system.wipe(wiped).expect("an empty disk");
     cluster.start_machine(wiped);
-    let change = json!({"version": 3, "upsert": {"routes": [Queue::new("/third/", PLANNING, 1).to_json()]}});
-    assert_eq!(cluster.operator.patch(&change, 1).expect("an answer").status, 200);
+    let change =
+        json!({"version": 3, "upsert": {"routes": [Queue::new("/third/", PLANNING, 1).to_json()]}});
+    assert_eq!(
+        cluster
+            .operator
+            .patch(&change, 1)
+            .expect("an answer")
+            .status,
+        200
+    );
     cluster.work_for(CATCH_UP);
-    let other = cores.iter().copied().find(|core| *core != wiped).expect("another member");
+    let other = cores
+        .iter()
+        .copied()
+        .find(|core| *core != wiped)
+        .expect("another member");
     cluster.system.kill(other);
     let read = cluster.operator.read().expect("the configuration");
     assert_eq!(read["version"], 3);
--- a/crates/system-tests/tests/hardening.rs
+++ b/crates/system-tests/tests/hardening.rs
@@ -31,14 +31,30 @@
 /// is not the one to ask.
 #[rstest]
 fn a_head_that_was_out_of_touch_answers_nothing_old() {
-    let mut cluster = Cluster::start(programs!(), Shape { cores: 5, ..Shape::default() });
+    let mut cluster = Cluster::start(
+        programs!(),
+        Shape {
+            cores: 5,
+            ..Shape::default()
+        },
+    );
     // Until all five vote.
     cluster.work_for(CATCH_UP);
     let head = cluster.head();
-    let other = cluster.system.cores().into_iter().find(|core| *core != head).expect("another member");
-    [head, other].into_iter().for_each(|core| cluster.system.freeze(core).expect("frozen"));
+    let other = cluster
+        .system
+        .cores()
+        .into_iter()
+        .find(|core| *core != head)
+        .expect("another member");
+    [head, other]
+        .into_iter()
+        .for_each(|core| cluster.system.freeze(core).expect("frozen"));
     let second = marked(2, "second");
-    assert_eq!(cluster.operator.put(&second, 1).expect("an answer").status, 200);
+    assert_eq!(
+        cluster.operator.put(&second, 1).expect("an answer").status,
+        200
+    );
     cluster.configuration = second.clone();
     let handed = cluster.submit("/second/", &Job::single(50));
     cluster.expect_completed(&handed);
@@ -54,14 +70,31 @@
         let (operator, late) = (cluster.operator.clone(), late.clone());
         std::thread::spawn(move || operator.ask(address, &late))
     };
-    [head, other].into_iter().for_each(|core| cluster.system.thaw(core).expect("thawed"));
+    [head, other]
+        .into_iter()
+        .for_each(|core| cluster.system.thaw(core).expect("thawed"));
     let newest = |answer: &Answer| answer.status != 200 || answer.json() == second.to_json();
-    let answers = asked.into_iter().filter_map(|thread| thread.join().expect("a client").ok());
+    let answers = asked
+        .into_iter()
+        .filter_map(|thread| thread.join().expect("a client").ok());
     answers.for_each(|answer| assert!(newest(&answer), "{}", answer.json()));
-    let order = order.join().expect("an operator").map(|answer| answer.status);
-    assert_ne!(order.unwrap_or_default(), 200, "an order on a version that is not current");
-    assert_eq!(cluster.operator.order(&late).expect("an answer").status, 412);
-    assert_eq!(cluster.operator.read().expect("the configuration"), second.to_json());
+    let order = order
+        .join()
+        .expect("an operator")
+        .map(|answer| answer.status);
+    assert_ne!(
+        order.unwrap_or_default(),
+        200,
+        "an order on a version that is not current"
+    );
+    assert_eq!(
+        cluster.operator.order(&late).expect("an answer").status,
+        412
+    );
+    assert_eq!(
+        cluster.operator.read().expect("the configuration"),
+        second.to_json()
+    );
     cluster.finish();
 }
 
@@ -85,13 +118,22 @@
         if after == 2 {
             cluster.system.kill(head);
         }
-        let again = calls.map(|call| cluster.operator.order(&call).expect("a clear answer").status);
+        let again = calls.map(|call| {
+            cluster
+                .operator
+                .order(&call)
+                .expect("a clear answer")
+                .status
+        });
         assert_eq!(again, statuses, "round {round}");
         let mut sorted = statuses;
         sorted.sort_unstable();
         assert_eq!(sorted, [200, 412], "round {round}");
         let winner = if statuses[0] == 200 { "one" } else { "other" };
-        assert_eq!(cluster.operator.read().expect("the configuration"), marked(version, winner).to_json());
+        assert_eq!(
+            cluster.operator.read().expect("the configuration"),
+            marked(version, winner).to_json()
+        );
         cluster.start_machine(head);
         cluster.configuration = marked(version, winner);
         cluster.work_for(Duration::from_millis(500));
@@ -104,10 +146,23 @@
 #[case::the_new_one_first(true)]
 #[case::the_old_one_first(false)]
 fn a_lost_disk_right_after_a_replacement_costs_nothing(#[case] new_first: bool) {
-    let mut cluster = Cluster::prepare(programs!(), Shape { cores: 4, ..Shape::default() });
+    let mut cluster = Cluster::prepare(
+        programs!(),
+        Shape {
+            cores: 4,
+            ..Shape::default()
+        },
+    );
     let cores = cluster.system.cores();
-    let machines = [cores[..3].to_vec(), cluster.system.edges(), cluster.system.sides()].concat();
-    machines.into_iter().for_each(|machine| cluster.start_machine(machine));
+    let machines = [
+        cores[..3].to_vec(),
+        cluster.system.edges(),
+        cluster.system.sides(),
+    ]
+    .concat();
+    machines
+        .into_iter()
+        .for_each(|machine| cluster.start_machine(machine));
     cluster.start_workers(PLANNING);
     cluster.configure();
     cluster.wait_ready();
@@ -125,14 +180,20 @@
     }
     cluster.work_for(CATCH_UP);
     let second = marked(2, "second");
-    assert_eq!(cluster.operator.put(&second, 1).expect("an answer").status, 200);
+    assert_eq!(
+        cluster.operator.put(&second, 1).expect("an answer").status,
+        200
+    );
     let handed = cluster.submit(QUICK, &Job::single(200));
     let present: Vec<MachineId> = cores.into_iter().filter(|core| *core != old).collect();
     let lost = cluster.head();
     present.iter().for_each(|core| cluster.system.kill(*core));
     cluster.system.wipe(lost).expect("an empty disk");
     present.iter().for_each(|core| cluster.start_machine(*core));
-    assert_eq!(cluster.operator.read().expect("the configuration"), second.to_json());
+    assert_eq!(
+        cluster.operator.read().expect("the configuration"),
+        second.to_json()
+    );
     assert!(cluster.client.state(&waiting).expect("a state").is_some());
     cluster.expect_completed(&handed);
     cluster.client.cancel(&waiting).expect("cancelled");
@@ -144,13 +205,25 @@
 fn a_member_that_was_away_for_hundreds_of_changes_leads_with_all_of_them() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let head = cluster.head();
-    let away = cluster.system.cores().into_iter().find(|core| *core != head).expect("another member");
+    let away = cluster
+        .system
+        .cores()
+        .into_iter()
+        .find(|core| *core != head)
+        .expect("another member");
     cluster.system.kill(away);
     for version in 2..=CHANGES {
         let mut queue = Queue::new("/changing/", PLANNING, 1).to_json();
         queue["timeout_ms"] = json!(1_000 + version);
         let change = json!({"version": version, "upsert": {"routes": [queue]}});
-        assert_eq!(cluster.operator.patch(&change, version - 1).expect("an answer").status, 200);
+        assert_eq!(
+            cluster
+                .operator
+                .patch(&change, version - 1)
+                .expect("an answer")
+                .status,
+            200
+        );
     }
     let newest = cluster.operator.read().expect("the configuration");
     cluster.start_machine(away);
@@ -160,7 +233,10 @@
         assert_eq!(cluster.operator.read().expect("the configuration"), newest);
         if head == away {
             let first = json!({"version": 2, "upsert": {"routes": []}});
-            assert_eq!(cluster.operator.patch(&first, 1).expect("an answer").status, 412);
+            assert_eq!(
+                cluster.operator.patch(&first, 1).expect("an answer").status,
+                412
+            );
             cluster.finish();
             return;
         }
@@ -177,23 +253,40 @@
 fn a_member_with_a_damaged_database_is_no_seed_again() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let head = cluster.head();
-    let others: Vec<_> = cluster.system.cores().into_iter().filter(|core| *core != head).collect();
+    let others: Vec<_> = cluster
+        .system
+        .cores()
+        .into_iter()
+        .filter(|core| *core != head)
+        .collect();
     let (away, third) = (others[0], others[1]);
     cluster.system.kill(away);
     let second = marked(2, "second");
-    assert_eq!(cluster.operator.put(&second, 1).expect("an answer").status, 200);
-    [head, third].into_iter().for_each(|core| cluster.system.kill(core));
+    assert_eq!(
+        cluster.operator.put(&second, 1).expect("an answer").status,
+        200
+    );
+    [head, third]
+        .into_iter()
+        .for_each(|core| cluster.system.kill(core));
     cluster.system.damage(head).expect("damaged");
     cluster.system.claim_first_start(head);
-    [head, away].into_iter().for_each(|core| cluster.start_machine(core));
+    [head, away]
+        .into_iter()
+        .for_each(|core| cluster.start_machine(core));
     let members = [head, away].map(|core| cluster.system.control_plane(core));
     let until = cluster.world.now() + CATCH_UP;
     while cluster.world.now() < until {
-        let answers = members.iter().filter_map(|member| cluster.operator.ask(*member, &read_call()).ok());
+        let answers = members
+            .iter()
+            .filter_map(|member| cluster.operator.ask(*member, &read_call()).ok());
         answers.for_each(|answer| assert_ne!(answer.status, 200, "{}", answer.json()));
     }
     cluster.start_machine(third);
-    assert_eq!(cluster.operator.read().expect("the configuration"), second.to_json());
+    assert_eq!(
+        cluster.operator.read().expect("the configuration"),
+        second.to_json()
+    );
     cluster.configuration = second;
     cluster.work_for(CATCH_UP);
     cluster.finish();
@@ -210,13 +303,18 @@
     let mut handed = Vec::new();
     for bytes in phases.into_iter().cycle().take(4 * phases.len()) {
         let one = cluster.client.draw(&queue);
-        cluster.client.hand_in_part(edge, &one, &job, bytes).expect("sent");
+        cluster
+            .client
+            .hand_in_part(edge, &one, &job, bytes)
+            .expect("sent");
         handed.push(one);
     }
     for one in &handed {
         // It comes again, as clients do that got no answer.
         let edges = cluster.client.edges().to_vec();
-        let answers = edges.into_iter().map(|edge| cluster.client.hand_in(edge, one, &job));
+        let answers = edges
+            .into_iter()
+            .map(|edge| cluster.client.hand_in(edge, one, &job));
         answers.for_each(|answer| assert_eq!(answer.expect("an answer").status, 200));
         cluster.expect_completed(one);
     }
--- a/crates/system-tests/tests/jobs.rs
+++ b/crates/system-tests/tests/jobs.rs
@@ -23,7 +23,11 @@
 }
 
 fn steps_that_join() -> Job {
-    Job::new(vec![Step::new(2, 200), Step::new(2, 100), Step::new(1, 100).after(&[0, 1])])
+    Job::new(vec![
+        Step::new(2, 200),
+        Step::new(2, 100),
+        Step::new(1, 100).after(&[0, 1]),
+    ])
 }
 
 /// Four tasks of which no worker takes more than one.
@@ -62,7 +66,9 @@
     let cluster = Cluster::start(programs!(), Shape::default());
     let handed = cluster.submit(QUICK, &job);
     cluster.expect_completed(&handed);
-    let done = cluster.world.read(|record| record.count_ends(&handed.id, How::Done));
+    let done = cluster
+        .world
+        .read(|record| record.count_ends(&handed.id, How::Done));
     let tasks: u32 = job.stages.iter().map(|step| step.count).sum();
     assert_eq!(done, (tasks * job.repeats()) as usize);
     cluster.finish();
@@ -72,20 +78,44 @@
 fn a_task_that_always_fails_fails_its_job() {
     let cluster = Cluster::start(programs!(), Shape::default());
     let handed = cluster.submit(QUICK, &Job::new(vec![Step::new(1, 100).failures(u32::MAX)]));
-    assert_eq!(cluster.client.wait_end(&handed, JOB_TIME).expect("an end"), JobState::Failed);
-    let failures = cluster.world.read(|record| record.count_ends(&handed.id, How::Failed));
+    assert_eq!(
+        cluster.client.wait_end(&handed, JOB_TIME).expect("an end"),
+        JobState::Failed
+    );
+    let failures = cluster
+        .world
+        .read(|record| record.count_ends(&handed.id, How::Failed));
     assert_eq!(failures, handed.queue.max_retries as usize);
     cluster.finish();
 }
 
 #[rstest]
 fn tasks_of_two_services_go_to_their_own_workers() {
-    let mut cluster = Cluster::prepare(programs!(), Shape { sides: 2, ..Shape::default() });
+    let mut cluster = Cluster::prepare(
+        programs!(),
+        Shape {
+            sides: 2,
+            ..Shape::default()
+        },
+    );
     let system = &cluster.system;
-    let (sides, machines) = (system.sides(), [system.cores(), system.edges(), system.sides()].concat());
-    machines.into_iter().for_each(|machine| cluster.start_machine(machine));
+    let (sides, machines) = (
+        system.sides(),
+        [system.cores(), system.edges(), system.sides()].concat(),
+    );
+    machines
+        .into_iter()
+        .for_each(|machine| cluster.start_machine(machine));
     for (side, service) in sides.iter().zip([PLANNING, VISION]) {
-        cluster.start_worker(*side, service, Capacity { cpu: 4_000, mem_mb: 8_192, gpu: 2 });
+        cluster.start_worker(
+            *side,
+            service,
+            Capacity {
+                cpu: 4_000,
+                mem_mb: 8_192,
+                gpu: 2,
+            },
+        );
     }
     cluster.configure();
     cluster.wait_ready();
@@ -99,21 +129,38 @@
 fn a_lasting_job_runs_until_it_is_cancelled() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     // Its first runs fail, and are started again whatever the queue's limit.
-    let handed = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 100).long_running().failures(4)]));
+    let handed = cluster.submit(
+        QUICK,
+        &Job::new(vec![Step::new(2, 100).long_running().failures(4)]),
+    );
     let at_work = |wanted: u32| {
-        cluster.world.until("lasting tasks at work", JOB_TIME, |record| {
-            let last = record.starts(&handed.id).filter(|(_, run)| run.attempt >= wanted);
-            (last.count() >= 2).then_some(())
-        })
+        cluster
+            .world
+            .until("lasting tasks at work", JOB_TIME, |record| {
+                let last = record
+                    .starts(&handed.id)
+                    .filter(|(_, run)| run.attempt >= wanted);
+                (last.count() >= 2).then_some(())
+            })
     };
     at_work(5).expect("starts after failures");
-    assert_eq!(cluster.client.state(&handed).expect("a state"), Some(JobState::Running));
+    assert_eq!(
+        cluster.client.state(&handed).expect("a state"),
+        Some(JobState::Running)
+    );
     cluster.client.cancel(&handed).expect("cancelled");
-    let stopped = cluster.world.until("the end of what was cancelled", Duration::from_secs(4), |record| {
-        (record.starts(&handed.id).count() == record.ends(&handed.id).count()).then_some(())
-    });
+    let stopped = cluster.world.until(
+        "the end of what was cancelled",
+        Duration::from_secs(4),
+        |record| {
+            (record.starts(&handed.id).count() == record.ends(&handed.id).count()).then_some(())
+        },
+    );
     stopped.expect("an end");
-    assert_eq!(cluster.client.state(&handed).expect("a state"), Some(JobState::Cancelled));
+    assert_eq!(
+        cluster.client.state(&handed).expect("a state"),
+        Some(JobState::Cancelled)
+    );
     cluster.check();
 }
 
@@ -122,18 +169,38 @@
     let cluster = Cluster::start(programs!(), Shape::default());
     let nowhere = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
     let handed = cluster.submit(QUICK, &nowhere);
-    assert_eq!(cluster.client.state(&handed).expect("a state"), Some(JobState::Queued));
+    assert_eq!(
+        cluster.client.state(&handed).expect("a state"),
+        Some(JobState::Queued)
+    );
     cluster.client.cancel(&handed).expect("cancelled");
     cluster.client.cancel(&handed).expect("cancelled once more");
-    assert_eq!(cluster.client.state(&handed).expect("a state"), Some(JobState::Cancelled));
-    assert_eq!(cluster.world.read(|record| record.starts(&handed.id).count()), 0);
+    assert_eq!(
+        cluster.client.state(&handed).expect("a state"),
+        Some(JobState::Cancelled)
+    );
+    assert_eq!(
+        cluster
+            .world
+            .read(|record| record.starts(&handed.id).count()),
+        0
+    );
     cluster.finish();
 }
 
 #[rstest]
 fn one_id_sent_to_all_edges_at_once_is_one_job() {
-    let cluster = Cluster::start(programs!(), Shape { edges: 3, ..Shape::default() });
-    let handed = Handed { id: random::job_id(), queue: cluster.queue(QUICK) };
+    let cluster = Cluster::start(
+        programs!(),
+        Shape {
+            edges: 3,
+            ..Shape::default()
+        },
+    );
+    let handed = Handed {
+        id: random::job_id(),
+        queue: cluster.queue(QUICK),
+    };
     let (job, client) = (Job::new(vec![Step::new(3, 300)]), &cluster.client);
     std::thread::scope(|scope| {
         for edge in client.edges().iter().cycle().take(9) {
@@ -145,9 +212,16 @@
     });
     cluster.expect_completed(&handed);
     // Once it has ended, the same id is still the same job.
-    let answer = client.hand_in(client.edges()[0], &handed, &job).expect("an answer");
+    let answer = client
+        .hand_in(client.edges()[0], &handed, &job)
+        .expect("an answer");
     assert_eq!(answer.status, 200);
-    assert_eq!(cluster.world.read(|record| record.starts(&handed.id).count()), 3);
+    assert_eq!(
+        cluster
+            .world
+            .read(|record| record.starts(&handed.id).count()),
+        3
+    );
     cluster.finish();
 }
 
@@ -164,14 +238,26 @@
             });
         }
     });
-    let pending = cluster.client.call(&Call::new("GET", QUICK)).expect("an answer");
-    assert_eq!((pending.status, pending.json()["pending"].as_u64()), (200, Some(0)));
+    let pending = cluster
+        .client
+        .call(&Call::new("GET", QUICK))
+        .expect("an answer");
+    assert_eq!(
+        (pending.status, pending.json()["pending"].as_u64()),
+        (200, Some(0))
+    );
     cluster.finish();
 }
 
 #[rstest]
 fn calls_that_lead_nowhere_are_told_apart() {
-    let mut cluster = Cluster::start(programs!(), Shape { sides: 1, ..Shape::default() });
+    let mut cluster = Cluster::start(
+        programs!(),
+        Shape {
+            sides: 1,
+            ..Shape::default()
+        },
+    );
     let unknown = random::job_id();
     let submit = |path: String, body: &str| Call::new("POST", path).json(body);
     let job = r#"{"spec":"x","stages":[{"count":1,"cpu":100}]}"#;
@@ -183,8 +269,17 @@
         (Call::new("GET", format!("{QUICK}{unknown}")), 410),
         (Call::new("DELETE", format!("{QUICK}{unknown}")), 410),
         (submit(format!("{QUICK}{unknown}"), "{"), 400),
-        (submit(format!("{QUICK}{unknown}"), r#"{"spec":"x","stages":[]}"#), 400),
-        (submit(format!("{QUICK}{unknown}"), r#"{"spec":"x","stages":[{"count":1,"depends_on":[0]}]}"#), 400),
+        (
+            submit(format!("{QUICK}{unknown}"), r#"{"spec":"x","stages":[]}"#),
+            400,
+        ),
+        (
+            submit(
+                format!("{QUICK}{unknown}"),
+                r#"{"spec":"x","stages":[{"count":1,"depends_on":[0]}]}"#,
+            ),
+            400,
+        ),
         (submit(format!("{QUICK}not-an-id"), job), 400),
         (Call::new("GET", format!("{QUICK}{unknown}")), 410),
     ];
@@ -199,7 +294,13 @@
 
 #[rstest]
 fn what_waits_is_counted() {
-    let mut cluster = Cluster::start(programs!(), Shape { sides: 1, ..Shape::default() });
+    let mut cluster = Cluster::start(
+        programs!(),
+        Shape {
+            sides: 1,
+            ..Shape::default()
+        },
+    );
     let nowhere = Job::new(vec![Step::new(1, 100).requires("no-such-label")]);
     let handed: Vec<Handed> = (0..3).map(|_| cluster.submit(BATCH, &nowhere)).collect();
     let counts: BTreeSet<Option<u64>> = cluster
@@ -207,11 +308,17 @@
         .edges()
         .iter()
         .map(|edge| {
-            cluster.client.call_at(*edge, &Call::new("GET", BATCH)).expect("an answer").json()["pending"]
+            cluster
+                .client
+                .call_at(*edge, &Call::new("GET", BATCH))
+                .expect("an answer")
+                .json()["pending"]
                 .as_u64()
         })
         .collect();
     assert_eq!(counts, BTreeSet::from([Some(3)]));
-    handed.iter().for_each(|job| cluster.client.cancel(job).expect("cancelled"));
+    handed
+        .iter()
+        .for_each(|job| cluster.client.cancel(job).expect("cancelled"));
     cluster.check();
 }
--- a/crates/system-tests/tests/oracle.rs
+++ b/crates/system-tests/tests/oracle.rs
@@ -21,7 +21,10 @@
 }
 
 fn queue() -> Queue {
-    Configuration::standard(1).queue(QUICK).expect("a queue").clone()
+    Configuration::standard(1)
+        .queue(QUICK)
+        .expect("a queue")
+        .clone()
 }
 
 fn setup(number: usize) -> WorkerSetup {
@@ -29,7 +32,11 @@
         name: format!("worker-{number}"),
         service: PLANNING.to_owned(),
         zone: "zone-a".to_owned(),
-        capacity: Capacity { cpu: 1_000, mem_mb: 1_024, gpu: 0 },
+        capacity: Capacity {
+            cpu: 1_000,
+            mem_mb: 1_024,
+            gpu: 0,
+        },
         labels: vec![format!("only-{number}")],
         address: "127.0.0.1:1".to_owned(),
     }
@@ -59,13 +66,28 @@
 
 impl Stage {
     fn answer(&self, worker: usize, answer: HeartbeatAnswer) {
-        let answer = HeartbeatAnswer { hold_ms: answer.hold_ms.or(Some(5_000)), ..answer };
-        self.world.answered(self.lives[worker], self.world.now(), &answer);
+        let answer = HeartbeatAnswer {
+            hold_ms: answer.hold_ms.or(Some(5_000)),
+            ..answer
+        };
+        self.world
+            .answered(self.lives[worker], self.world.now(), &answer);
     }
 
     fn start_with(&self, worker: usize, task: &str, run: u32, spec: &str, saved: &str) {
-        let start = vec![(format!("{JOB}.{task}"), run, spec.to_owned(), saved.to_owned())];
-        self.answer(worker, HeartbeatAnswer { start, ..HeartbeatAnswer::default() });
+        let start = vec![(
+            format!("{JOB}.{task}"),
+            run,
+            spec.to_owned(),
+            saved.to_owned(),
+        )];
+        self.answer(
+            worker,
+            HeartbeatAnswer {
+                start,
+                ..HeartbeatAnswer::default()
+            },
+        );
     }
 
     fn start(&self, worker: usize, task: &str, run: u32) {
@@ -75,39 +97,60 @@
 
     fn stop(&self, worker: usize, task: &str, run: u32) {
         let stop = vec![(format!("{JOB}.{task}"), run)];
-        self.answer(worker, HeartbeatAnswer { stop, ..HeartbeatAnswer::default() });
+        self.answer(
+            worker,
+            HeartbeatAnswer {
+                stop,
+                ..HeartbeatAnswer::default()
+            },
+        );
     }
 
     fn note(&self, worker: usize, last_seen: u64) {
-        self.answer(worker, HeartbeatAnswer { last_seen: Some(last_seen), ..HeartbeatAnswer::default() });
+        self.answer(
+            worker,
+            HeartbeatAnswer {
+                last_seen: Some(last_seen),
+                ..HeartbeatAnswer::default()
+            },
+        );
     }
 
     fn wait_ends(&self, how: How, count: usize) {
-        let ended =
-            self.world.until("ends", TIME, |record| (record.count_ends(JOB, how) >= count).then_some(()));
+        let ended = self.world.until("ends", TIME, |record| {
+            (record.count_ends(JOB, how) >= count).then_some(())
+        });
         ended.expect("ends");
     }
 
     fn ends(&self) -> Vec<How> {
-        self.world.read(|record| record.ends(JOB).map(|(_, _, how)| how).collect())
+        self.world
+            .read(|record| record.ends(JOB).map(|(_, _, how)| how).collect())
     }
 
     fn broken(&self) -> Vec<Rule> {
         let (bounds, now) = (self.world.bounds(), self.world.now());
-        let found = self.world.read(|record| violations(record, &bounds, Excuses::default(), now));
+        let found = self
+            .world
+            .read(|record| violations(record, &bounds, Excuses::default(), now));
         found.into_iter().map(|violation| violation.rule).collect()
     }
 
     fn pass(&self, span: Duration) {
         let until = self.world.now() + span;
-        let passed = self.world.until("time", TIME, |_| (self.world.now() > until).then_some(()));
+        let passed = self
+            .world
+            .until("time", TIME, |_| (self.world.now() > until).then_some(()));
         passed.expect("time passes");
     }
 }
 
 #[rstest]
 fn an_orderly_run_breaks_no_rule() {
-    let stage = stage(&Job::new(vec![Step::new(2, 10), Step::new(1, 10).after(&[0])]));
+    let stage = stage(&Job::new(vec![
+        Step::new(2, 10),
+        Step::new(1, 10).after(&[0]),
+    ]));
     stage.start(0, "0.0.0", 1);
     stage.start(1, "0.0.1", 1);
     stage.wait_ends(How::Done, 2);
@@ -115,7 +158,9 @@
     stage.note(1, 1);
     stage.start(0, "0.1.0", 1);
     stage.wait_ends(How::Done, 3);
-    stage.world.job_shown(JOB, stage.world.now(), Some(JobState::Completed));
+    stage
+        .world
+        .job_shown(JOB, stage.world.now(), Some(JobState::Completed));
     assert_eq!(stage.broken(), []);
 }
 
@@ -171,7 +216,8 @@
     let early = stage(&Job::new(vec![long(1), long(1).after(&[0])]));
     early.start(0, "0.1.0", 1);
     assert_eq!(early.broken(), [Rule::Order]);
-    let times = Job::new(vec![long(1)]).repeated(2, Duration::from_millis(100), Duration::from_secs(60));
+    let times =
+        Job::new(vec![long(1)]).repeated(2, Duration::from_millis(100), Duration::from_secs(60));
     let repeated = stage(&times);
     repeated.start(0, "0.0.0", 1);
     assert_eq!(repeated.broken(), [], "within the bound");
@@ -212,7 +258,10 @@
 #[rstest]
 fn a_worker_of_another_service_is_found() {
     let mut stage = stage(&Job::new(vec![long(1)]));
-    stage.lives[0] = stage.world.begin_life(&WorkerSetup { service: VISION.to_owned(), ..setup(2) });
+    stage.lives[0] = stage.world.begin_life(&WorkerSetup {
+        service: VISION.to_owned(),
+        ..setup(2)
+    });
     stage.start(0, "0.0.0", 1);
     assert_eq!(stage.broken(), [Rule::Route]);
 }
@@ -250,12 +299,18 @@
     stage.start(0, "0.0.7", 1);
     stage.start_with(0, "0.0.0", 1, "another text", "");
     stage.start_with(1, "1.0.0", 1, "text", "");
-    assert_eq!(stage.broken(), [Rule::Unasked, Rule::Unasked, Rule::Unasked]);
+    assert_eq!(
+        stage.broken(),
+        [Rule::Unasked, Rule::Unasked, Rule::Unasked]
+    );
 }
 
 #[rstest]
 fn progress_goes_on_and_only_its_own_is_taken() {
-    let stage = stage(&Job::new(vec![long(1).checkpoints(), long(1).checkpoints()]));
+    let stage = stage(&Job::new(vec![
+        long(1).checkpoints(),
+        long(1).checkpoints(),
+    ]));
     stage.start(0, "0.0.0", 1);
     stage.pass(Duration::from_millis(30));
     let (_, heartbeat) = stage.world.heartbeat(stage.lives[0]).expect("a heartbeat");
@@ -266,7 +321,11 @@
     stage.start_with(1, "0.0.0", 2, &spec, &saved);
     assert_eq!(stage.broken(), []);
     let (_, heartbeat) = stage.world.heartbeat(stage.lives[1]).expect("a heartbeat");
-    assert!(heartbeat.running[0].2 >= saved, "{} after {saved}", heartbeat.running[0].2);
+    assert!(
+        heartbeat.running[0].2 >= saved,
+        "{} after {saved}",
+        heartbeat.running[0].2
+    );
     stage.start_with(1, "0.1.0", 1, &spec, &saved);
     assert_eq!(stage.broken(), [Rule::Unasked]);
 }
@@ -279,7 +338,13 @@
     stage.world.job_sent(other, &job, &queue());
     stage.world.job_answered(other, Some(503));
     let start = vec![(format!("{other}.0.0.0"), 1, job.spec.clone(), String::new())];
-    stage.answer(0, HeartbeatAnswer { start, ..HeartbeatAnswer::default() });
+    stage.answer(
+        0,
+        HeartbeatAnswer {
+            start,
+            ..HeartbeatAnswer::default()
+        },
+    );
     assert_eq!(stage.broken(), [Rule::Refused]);
 }
 
@@ -292,7 +357,10 @@
     assert_eq!(stage.broken(), [], "there is time for it");
     stage.pass(Duration::from_millis(40));
     stage.start(1, "0.0.1", 1);
-    assert_eq!(stage.broken(), [Rule::Unasked, Rule::Unasked, Rule::Unasked]);
+    assert_eq!(
+        stage.broken(),
+        [Rule::Unasked, Rule::Unasked, Rule::Unasked]
+    );
 }
 
 #[rstest]
@@ -320,16 +388,30 @@
     let stage = stage(&Job::single(60_000));
     stage.world.job_shown(JOB, stage.world.now(), None);
     assert_eq!(stage.broken(), [], "it may not be visible yet");
-    stage.world.job_shown(JOB, stage.world.now() + stage.world.bounds().visible * 2, None);
+    stage.world.job_shown(
+        JOB,
+        stage.world.now() + stage.world.bounds().visible * 2,
+        None,
+    );
     assert_eq!(stage.broken(), [Rule::Lost]);
 }
 
 #[rstest]
 fn a_worker_goes_by_holds_fences_and_repeated_orders() {
     let stage = stage(&Job::new(vec![long(1).checkpoints(), long(1)]));
-    stage.answer(0, HeartbeatAnswer { fence_token: 5, ..HeartbeatAnswer::default() });
+    stage.answer(
+        0,
+        HeartbeatAnswer {
+            fence_token: 5,
+            ..HeartbeatAnswer::default()
+        },
+    );
     stage.start(0, "0.0.0", 1);
-    assert_eq!(stage.world.read(|record| record.starts(JOB).count()), 0, "a lower token");
+    assert_eq!(
+        stage.world.read(|record| record.starts(JOB).count()),
+        0,
+        "a lower token"
+    );
     let spec = stage.world.read(|record| record.jobs[JOB].job.spec.clone());
     let order = |task: &str, hold_ms| HeartbeatAnswer {
         fence_token: 5,
@@ -339,11 +421,19 @@
     };
     stage.answer(0, order("0.0.0", 5_000));
     stage.answer(0, order("0.0.0", 5_000));
-    assert_eq!(stage.world.read(|record| record.starts(JOB).count()), 1, "a repeated order");
+    assert_eq!(
+        stage.world.read(|record| record.starts(JOB).count()),
+        1,
+        "a repeated order"
+    );
     stage.answer(1, order("0.1.0", 30));
     stage.wait_ends(How::Lapsed, 1);
     stage.answer(1, order("0.1.0", 5_000));
-    assert_eq!(stage.ends(), [How::Lapsed, How::Refused], "a run that has ended there");
+    assert_eq!(
+        stage.ends(),
+        [How::Lapsed, How::Refused],
+        "a run that has ended there"
+    );
     assert_eq!(stage.broken(), []);
 }
 
--- a/crates/system-tests/tests/scheduling.rs
+++ b/crates/system-tests/tests/scheduling.rs
@@ -16,22 +16,38 @@
     let cluster = Cluster::start(programs!(), Shape::default());
     let handed = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 300).first_hangs()]));
     cluster.expect_completed(&handed);
-    assert_eq!(cluster.world.read(|record| record.count_ends(&handed.id, How::Stopped)), 2);
+    assert_eq!(
+        cluster
+            .world
+            .read(|record| record.count_ends(&handed.id, How::Stopped)),
+        2
+    );
     cluster.finish();
 }
 
 /// Workers full of long tasks make room for a queue that goes first; what gave way is done in the end.
 #[rstest]
 fn an_urgent_job_does_not_wait_for_long_ones() {
-    let cluster = Cluster::start(programs!(), Shape { sides: 2, ..Shape::default() });
-    let long = cluster.submit(BATCH, &Job::new(vec![Step::new(8, 8_000).cpu(1_000).checkpoints()]));
-    let full = cluster
-        .world
-        .until("full workers", JOB_TIME, |record| (record.starts(&long.id).count() == 8).then_some(()));
+    let cluster = Cluster::start(
+        programs!(),
+        Shape {
+            sides: 2,
+            ..Shape::default()
+        },
+    );
+    let long = cluster.submit(
+        BATCH,
+        &Job::new(vec![Step::new(8, 8_000).cpu(1_000).checkpoints()]),
+    );
+    let full = cluster.world.until("full workers", JOB_TIME, |record| {
+        (record.starts(&long.id).count() == 8).then_some(())
+    });
     full.expect("full workers");
     let urgent = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 200).cpu(1_000)]));
     cluster.expect_completed(&urgent);
-    let done = cluster.world.read(|record| record.count_ends(&long.id, How::Done));
+    let done = cluster
+        .world
+        .read(|record| record.count_ends(&long.id, How::Done));
     assert_eq!(done, 0, "the urgent job has waited");
     cluster.finish();
 }
@@ -50,8 +66,8 @@
     cluster.expect_completed(&handed);
     let carried = cluster.world.read(|record| {
         let events = record.entries.iter().map(|entry| &entry.event);
-        let starts =
-            events.filter(|event| matches!(event, Event::Started { saved, .. } if !saved.is_empty()));
+        let starts = events
+            .filter(|event| matches!(event, Event::Started { saved, .. } if !saved.is_empty()));
         starts.count()
     });
     assert_eq!(carried, 1);
@@ -61,19 +77,25 @@
 /// More ends than one heartbeat may carry come together while the companion stands still.
 #[rstest]
 fn hundreds_of_ends_at_once_are_all_taken_note_of() {
-    let mut cluster = Cluster::start(programs!(), Shape { sides: 1, ..Shape::default() });
+    let mut cluster = Cluster::start(
+        programs!(),
+        Shape {
+            sides: 1,
+            ..Shape::default()
+        },
+    );
     let mut step = Step::new(700, 1_500).cpu(5);
     step.mem_mb = 1;
     let handed = cluster.submit(QUICK, &Job::new(vec![step, Step::new(1, 50).after(&[0])]));
-    let begun = cluster
-        .world
-        .until("all tasks", JOB_TIME, |record| (record.starts(&handed.id).count() == 700).then_some(()));
+    let begun = cluster.world.until("all tasks", JOB_TIME, |record| {
+        (record.starts(&handed.id).count() == 700).then_some(())
+    });
     begun.expect("all tasks");
     let side = cluster.system.sides()[0];
     cluster.system.freeze(side).expect("frozen");
-    let ended = cluster
-        .world
-        .until("all ends", JOB_TIME, |record| (record.ends(&handed.id).count() == 700).then_some(()));
+    let ended = cluster.world.until("all ends", JOB_TIME, |record| {
+        (record.ends(&handed.id).count() == 700).then_some(())
+    });
     ended.expect("all ends");
     cluster.system.thaw(side).expect("thawed");
     cluster.expect_completed(&handed);
@@ -96,9 +118,14 @@
     let cluster = Cluster::start(programs!(), Shape::default());
     let nowhere = Job::new(vec![Step::new(2, 100).cpu(64_000).gang()]);
     let waiting = cluster.submit(QUICK, &nowhere);
-    let others: Vec<_> = (0..5).map(|_| cluster.submit(BATCH, &Job::new(vec![Step::new(4, 100)]))).collect();
+    let others: Vec<_> = (0..5)
+        .map(|_| cluster.submit(BATCH, &Job::new(vec![Step::new(4, 100)])))
+        .collect();
     others.iter().for_each(|job| cluster.expect_completed(job));
-    let pending = cluster.client.call(&Call::new("GET", QUICK)).expect("an answer");
+    let pending = cluster
+        .client
+        .call(&Call::new("GET", QUICK))
+        .expect("an answer");
     assert_eq!(pending.json()["pending"], 1);
     cluster.client.cancel(&waiting).expect("cancelled");
     cluster.finish();
--- a/crates/toolbox/src/ask.rs
+++ b/crates/toolbox/src/ask.rs
@@ -54,20 +54,31 @@
 
 /// Asks several members at the same time; the answers are in the order of the addresses.
 pub async fn ask_all(addresses: &[SocketAddr], question: Question) -> Vec<Asked> {
-    let asked = addresses.iter().map(|&address| (address, runtime::spawn_scoped(ask(address, question))));
+    let asked = addresses
+        .iter()
+        .map(|&address| (address, runtime::spawn_scoped(ask(address, question))));
     let mut answers = Vec::new();
     for (address, task) in asked.collect::<Vec<_>>() {
         // A task ends early only by a panic, which this takes for silence.
-        answers.push((address, task.await.unwrap_or(SilentSnafu { address }.fail())));
+        answers.push((
+            address,
+            task.await.unwrap_or(SilentSnafu { address }.fail()),
+        ));
     }
     answers
 }
 
 /// Asks one member.
 pub async fn ask(address: SocketAddr, question: Question) -> Result<InspectionAnswer, AskError> {
-    let connection = framed::connect(address, CONNECT_LIMIT).await.context(ReachSnafu)?;
+    let connection = framed::connect(address, CONNECT_LIMIT)
+        .await
+        .context(ReachSnafu)?;
     let call = Frame::Inspect(InspectionCall { call: 1, question });
-    connection.sender.send(&call).ok().context(ClosedSnafu { address })?;
+    connection
+        .sender
+        .send(&call)
+        .ok()
+        .context(ClosedSnafu { address })?;
     let mut reader = connection.reader;
     let answer = async {
         while let Some(frame) = reader.next().await.context(ReachSnafu)? {
@@ -77,13 +88,20 @@
         }
         ClosedSnafu { address }.fail()
     };
-    runtime::timeout(ANSWER_LIMIT, answer).await.context(SilentSnafu { address })?
+    runtime::timeout(ANSWER_LIMIT, answer)
+        .await
+        .context(SilentSnafu { address })?
 }
 
 /// The error for answers of which none came.
 pub fn nobody(asked: &[Asked]) -> AskError {
-    let reasons = asked.iter().filter_map(|(_, result)| result.as_ref().err()).map(ToString::to_string);
-    AskError::Nobody { reasons: reasons.collect::<Vec<_>>().join("; ") }
+    let reasons = asked
+        .iter()
+        .filter_map(|(_, result)| result.as_ref().err())
+        .map(ToString::to_string);
+    AskError::Nobody {
+        reasons: reasons.collect::<Vec<_>>().join("; "),
+    }
 }
 
 /// Runs a conversation to its end.
--- a/crates/toolbox/src/check_config.rs
+++ b/crates/toolbox/src/check_config.rs
@@ -15,10 +15,17 @@
     match (is_patch(&bytes), &current) {
         (true, None) => {
             let problem = "this is a patch: --current FILE has to name what it changes".to_owned();
-            Err(ToolError::Input { path: path.display().to_string(), problem })
+            Err(ToolError::Input {
+                path: path.display().to_string(),
+                problem,
+            })
         }
         (true, Some(current)) => Ok(report(path, "patch", check_patch(current, &bytes))),
-        (false, current) => Ok(report(path, "configuration", check_whole(current.as_ref(), &bytes))),
+        (false, current) => Ok(report(
+            path,
+            "configuration",
+            check_whole(current.as_ref(), &bytes),
+        )),
     }
 }
 
@@ -44,7 +51,10 @@
     Ok(next)
 }
 
-fn check_whole(current: Option<&CheckedConfig>, bytes: &[u8]) -> Result<CheckedConfig, ConfigError> {
+fn check_whole(
+    current: Option<&CheckedConfig>,
+    bytes: &[u8],
+) -> Result<CheckedConfig, ConfigError> {
     let next = parse_config(bytes)?;
     next.ensure_newer_than(current.map_or(0, CheckedConfig::version))?;
     Ok(next)
--- a/crates/toolbox/src/check_deploy.rs
+++ b/crates/toolbox/src/check_deploy.rs
@@ -18,14 +18,20 @@
 pub fn run(path: &Path) -> Result<Report, FileError> {
     let text = files::read_text(path)?;
     let (findings, roles) = match text.parse::<Table>() {
-        Err(error) => (vec![format!("it is no TOML: {}", error.to_string().trim_end())], 0),
+        Err(error) => (
+            vec![format!("it is no TOML: {}", error.to_string().trim_end())],
+            0,
+        ),
         Ok(document) => (findings(&document), tables(&document).count()),
     };
     let path = path.display();
     Ok(Report {
         text: format!("{path}: {roles} roles\n"),
         figures: json!({ "roles": roles }),
-        findings: findings.into_iter().map(|finding| format!("{path}: {finding}")).collect(),
+        findings: findings
+            .into_iter()
+            .map(|finding| format!("{path}: {finding}"))
+            .collect(),
     })
 }
 
@@ -48,17 +54,28 @@
 
 fn role_findings(name: &str, role: &Value) -> Vec<String> {
     let place = format!("roles.{name}");
-    let Value::Table(role) = role else { return vec![format!("`{place}`: a table is expected")] };
+    let Value::Table(role) = role else {
+        return vec![format!("`{place}`: a table is expected")];
+    };
     let mut findings = unknown_keys(&format!("{place}."), role, &ROLE_KEYS);
     findings.extend(text_finding(&format!("{place}.run"), role.get("run")));
     let class = role.get("on").and_then(Value::as_str);
     if !class.is_some_and(|class| CLASSES.contains(&class)) {
-        findings.push(format!("`{place}.on` is {}: one of {CLASSES:?} is expected", shown(role.get("on"))));
+        findings.push(format!(
+            "`{place}.on` is {}: one of {CLASSES:?} is expected",
+            shown(role.get("on"))
+        ));
     }
     findings.extend(extent_findings(&place, class, role));
-    findings.extend(list_finding(&format!("{place}.serves"), role.get("serves"), Some(&CALLERS)));
+    findings.extend(list_finding(
+        &format!("{place}.serves"),
+        role.get("serves"),
+        Some(&CALLERS),
+    ));
     if serves(role).any(|caller| caller == "side") && class != Some("side") {
-        findings.push(format!("`{place}.serves` has \"side\": only a role on \"side\" machines may"));
+        findings.push(format!(
+            "`{place}.serves` has \"side\": only a role on \"side\" machines may"
+        ));
     }
     findings
 }
@@ -66,28 +83,47 @@
 /// `share`, `count` and `apart`.
 fn extent_findings(place: &str, class: Option<&str>, role: &Table) -> Vec<String> {
     let mut findings = Vec::new();
-    let number = |value: &Value| value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64));
+    let number = |value: &Value| {
+        value
+            .as_float()
+            .or_else(|| value.as_integer().map(|whole| whole as f64))
+    };
     if let Some(share) = role.get("share")
         && !number(share).is_some_and(|share| share > 0.0 && share <= 1.0)
     {
-        findings.push(format!("`{place}.share` is {share}: a number over 0 and up to 1 is expected"));
+        findings.push(format!(
+            "`{place}.share` is {share}: a number over 0 and up to 1 is expected"
+        ));
     }
     if let Some(count) = role.get("count")
         && count.as_integer().is_none_or(|count| count <= 0)
     {
-        findings.push(format!("`{place}.count` is {count}: a whole number above 0 is expected"));
+        findings.push(format!(
+            "`{place}.count` is {count}: a whole number above 0 is expected"
+        ));
     }
-    match (role.contains_key("share"), role.contains_key("count"), class) {
+    match (
+        role.contains_key("share"),
+        role.contains_key("count"),
+        class,
+    ) {
         (true, true, _) => {
-            findings.push(format!("`{place}` has both `share` and `count`: one of them is expected"));
+            findings.push(format!(
+                "`{place}` has both `share` and `count`: one of them is expected"
+            ));
         }
         (false, false, Some("core")) => {
-            findings.push(format!("`{place}` has neither `share` nor `count`: one of them is expected"));
+            findings.push(format!(
+                "`{place}` has neither `share` nor `count`: one of them is expected"
+            ));
         }
         _ => {}
     }
     if role.get("apart").is_some_and(|apart| !apart.is_bool()) {
-        findings.push(format!("`{place}.apart` is {}: true or false is expected", shown(role.get("apart"))));
+        findings.push(format!(
+            "`{place}.apart` is {}: true or false is expected",
+            shown(role.get("apart"))
+        ));
     }
     findings
 }
@@ -99,13 +135,20 @@
         let on_class = |role: &&Table| role.get("on").and_then(Value::as_str) == Some(class);
         let roles: Vec<&Table> = tables(document).filter(on_class).collect();
         if roles.len() > ROLES_MAX {
-            findings
-                .push(format!("{} roles on \"{class}\": a machine runs {ROLES_MAX} at most", roles.len()));
+            findings.push(format!(
+                "{} roles on \"{class}\": a machine runs {ROLES_MAX} at most",
+                roles.len()
+            ));
         }
         for caller in CALLERS {
-            let served = roles.iter().filter(|role| serves(role).any(|c| c == caller)).count();
+            let served = roles
+                .iter()
+                .filter(|role| serves(role).any(|c| c == caller))
+                .count();
             if served > 1 {
-                findings.push(format!("{served} roles on \"{class}\" serve \"{caller}\": one may"));
+                findings.push(format!(
+                    "{served} roles on \"{class}\" serve \"{caller}\": one may"
+                ));
             }
         }
     }
@@ -119,7 +162,10 @@
 
 fn tables(document: &Table) -> impl Iterator<Item = &Table> {
     let roles = document.get("roles").and_then(Value::as_table);
-    roles.into_iter().flat_map(|roles| roles.values()).filter_map(Value::as_table)
+    roles
+        .into_iter()
+        .flat_map(|roles| roles.values())
+        .filter_map(Value::as_table)
 }
 
 fn serves(role: &Table) -> impl Iterator<Item = &str> {
@@ -129,20 +175,29 @@
 
 fn unknown_keys(place: &str, table: &Table, known: &[&str]) -> Vec<String> {
     let unknown = table.keys().filter(|key| !known.contains(&key.as_str()));
-    unknown.map(|key| format!("`{place}{key}` is unknown: {known:?} are allowed")).collect()
+    unknown
+        .map(|key| format!("`{place}{key}` is unknown: {known:?} are allowed"))
+        .collect()
 }
 
 fn text_finding(place: &str, value: Option<&Value>) -> Option<String> {
-    let sound = value.and_then(Value::as_str).is_some_and(|text| !text.trim().is_empty());
+    let sound = value
+        .and_then(Value::as_str)
+        .is_some_and(|text| !text.trim().is_empty());
     (!sound).then(|| format!("`{place}` is {}: a text is expected", shown(value)))
 }
 
 /// A list of texts, which may be missing.
 fn list_finding(place: &str, value: Option<&Value>, allowed: Option<&[&str]>) -> Option<String> {
     let value = value?;
-    let text = |item: &Value| item.as_str().is_some_and(|t| allowed.is_none_or(|all| all.contains(&t)));
+    let text = |item: &Value| {
+        item.as_str()
+            .is_some_and(|t| allowed.is_none_or(|all| all.contains(&t)))
+    };
     let sound = value.as_array().is_some_and(|items| items.iter().all(text));
-    let expected = allowed.map_or("a list of texts".to_owned(), |all| format!("a list of some of {all:?}"));
+    let expected = allowed.map_or("a list of texts".to_owned(), |all| {
+        format!("a list of some of {all:?}")
+    });
     (!sound).then(|| format!("`{place}` is {value}: {expected} is expected"))
 }
 
--- a/crates/toolbox/src/check_settings.rs
+++ b/crates/toolbox/src/check_settings.rs
@@ -11,7 +11,10 @@
 pub fn run(path: &Path) -> Result<Report, FileError> {
     let text = files::read_text(path)?;
     Ok(match Settings::from_toml(&text) {
-        Err(error) => Report { findings: vec![format!("{}: {error}", path.display())], ..Report::default() },
+        Err(error) => Report {
+            findings: vec![format!("{}: {error}", path.display())],
+            ..Report::default()
+        },
         Ok(settings) => report(path, &settings),
     })
 }
@@ -31,28 +34,54 @@
         "node_name": settings.node_name, "zone": settings.zone, "role": settings.role,
         "internal": settings.internal_address(), "seeds": settings.seed_nodes,
     });
-    Report { text: summary, figures, findings }
+    Report {
+        text: summary,
+        figures,
+        findings,
+    }
 }
 
 /// What the daemons would miss at their start, or later.
 pub fn role_findings(settings: &Settings) -> Vec<String> {
     let addresses = &settings.bind_addrs;
     let needs = [
-        (Serves::Edge, "bind_addrs.frontend", addresses.frontend.is_some()),
-        (Serves::Edge, "bind_addrs.readiness", addresses.readiness.is_some()),
-        (Serves::Side, "bind_addrs.control_plane", addresses.control_plane.is_some()),
-        (Serves::Control, "bind_addrs.control_plane", addresses.control_plane.is_some()),
+        (
+            Serves::Edge,
+            "bind_addrs.frontend",
+            addresses.frontend.is_some(),
+        ),
+        (
+            Serves::Edge,
+            "bind_addrs.readiness",
+            addresses.readiness.is_some(),
+        ),
+        (
+            Serves::Side,
+            "bind_addrs.control_plane",
+            addresses.control_plane.is_some(),
+        ),
+        (
+            Serves::Control,
+            "bind_addrs.control_plane",
+            addresses.control_plane.is_some(),
+        ),
         (Serves::Control, "data_dir", settings.data_dir.is_some()),
     ];
-    let missing = needs.into_iter().filter(|(serves, _, present)| settings.serves(*serves) && !present);
+    let missing = needs
+        .into_iter()
+        .filter(|(serves, _, present)| settings.serves(*serves) && !present);
     let mut findings: Vec<String> = missing
-        .map(|(serves, field, _)| format!("`{field}` is missing: a role that serves {serves:?} needs it"))
+        .map(|(serves, field, _)| {
+            format!("`{field}` is missing: a role that serves {serves:?} needs it")
+        })
         .collect();
     if settings.serves.is_empty() {
-        findings.push("`serves` is empty: \"edge\", \"side\" or \"control\" is expected".to_owned());
+        findings
+            .push("`serves` is empty: \"edge\", \"side\" or \"control\" is expected".to_owned());
     }
     if settings.seed_nodes.is_empty() {
-        findings.push("`seed_nodes` is empty: the addresses of core members are expected".to_owned());
+        findings
+            .push("`seed_nodes` is empty: the addresses of core members are expected".to_owned());
     }
     if settings.serves(Serves::Side) && settings.machine_class != MachineClass::Side {
         findings.push("`serves` has \"side\": `machine_class` must be \"side\" too".to_owned());
--- a/crates/toolbox/src/command_line.rs
+++ b/crates/toolbox/src/command_line.rs
@@ -135,7 +135,12 @@
     }
     let verb = read_verb(&verb, &mut arguments)?;
     let rest = arguments.finish();
-    ensure!(rest.is_empty(), SurplusSnafu { argument: rest.into_iter().next().unwrap_or_default() });
+    ensure!(
+        rest.is_empty(),
+        SurplusSnafu {
+            argument: rest.into_iter().next().unwrap_or_default()
+        }
+    );
     Ok(Command::Run { verb, json })
 }
 
@@ -154,21 +159,41 @@
 
 fn read_verb(verb: &str, arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
     Ok(match verb {
-        "status" => Verb::Status { at: addresses(arguments)? },
+        "status" => Verb::Status {
+            at: addresses(arguments)?,
+        },
         "job" => {
             let at = addresses(arguments)?;
-            let id: String = arguments.opt_free_from_str().context(ArgumentSnafu)?.context(missing("ID"))?;
-            Verb::Job { id: id.parse().context(IdSnafu)?, at }
+            let id: String = arguments
+                .opt_free_from_str()
+                .context(ArgumentSnafu)?
+                .context(missing("ID"))?;
+            Verb::Job {
+                id: id.parse().context(IdSnafu)?,
+                at,
+            }
         }
         "check-config" => {
-            let current = arguments.opt_value_from_os_str("--current", path).context(ArgumentSnafu)?;
-            Verb::CheckConfig { file: file(arguments)?, current }
+            let current = arguments
+                .opt_value_from_os_str("--current", path)
+                .context(ArgumentSnafu)?;
+            Verb::CheckConfig {
+                file: file(arguments)?,
+                current,
+            }
         }
-        "check-settings" => Verb::CheckSettings { file: file(arguments)? },
-        "check-deploy" => Verb::CheckDeploy { file: file(arguments)? },
+        "check-settings" => Verb::CheckSettings {
+            file: file(arguments)?,
+        },
+        "check-deploy" => Verb::CheckDeploy {
+            file: file(arguments)?,
+        },
         "compare-copies" => {
             let mut folders = vec![folder(arguments)?, folder(arguments)?];
-            while let Some(more) = arguments.opt_free_from_os_str(path).context(ArgumentSnafu)? {
+            while let Some(more) = arguments
+                .opt_free_from_os_str(path)
+                .context(ArgumentSnafu)?
+            {
                 folders.push(more);
             }
             Verb::CompareCopies { folders }
@@ -179,24 +204,41 @@
 }
 
 fn quickstart(arguments: &mut Arguments) -> Result<Options, CommandLineError> {
-    let members = arguments.opt_value_from_str("--members").context(ArgumentSnafu)?.unwrap_or(1);
+    let members = arguments
+        .opt_value_from_str("--members")
+        .context(ArgumentSnafu)?
+        .unwrap_or(1);
     ensure!(members == 1 || members == 3, MembersSnafu { members });
-    let folder = arguments.opt_value_from_os_str("--programs", path).context(ArgumentSnafu)?;
+    let folder = arguments
+        .opt_value_from_os_str("--programs", path)
+        .context(ArgumentSnafu)?;
     let programs = folder.map_or_else(Programs::beside_this, |folder| Programs::in_folder(&folder));
-    Ok(Options { members, once: arguments.contains("--once"), programs })
+    Ok(Options {
+        members,
+        once: arguments.contains("--once"),
+        programs,
+    })
 }
 
 fn addresses(arguments: &mut Arguments) -> Result<Vec<SocketAddr>, CommandLineError> {
     let list: String = arguments.value_from_str("--at").context(ArgumentSnafu)?;
-    list.split(',').map(|text| text.trim().parse().context(AddressSnafu { text })).collect()
+    list.split(',')
+        .map(|text| text.trim().parse().context(AddressSnafu { text }))
+        .collect()
 }
 
 fn file(arguments: &mut Arguments) -> Result<PathBuf, CommandLineError> {
-    arguments.opt_free_from_os_str(path).context(ArgumentSnafu)?.context(missing("FILE"))
+    arguments
+        .opt_free_from_os_str(path)
+        .context(ArgumentSnafu)?
+        .context(missing("FILE"))
 }
 
 fn folder(arguments: &mut Arguments) -> Result<PathBuf, CommandLineError> {
-    arguments.opt_free_from_os_str(path).context(ArgumentSnafu)?.context(missing("DIR"))
+    arguments
+        .opt_free_from_os_str(path)
+        .context(ArgumentSnafu)?
+        .context(missing("DIR"))
 }
 
 fn missing(what: &'static str) -> MissingSnafu<&'static str> {
--- a/crates/toolbox/src/copies.rs
+++ b/crates/toolbox/src/copies.rs
@@ -21,7 +21,10 @@
 
 /// Opens the copies and compares each with the first.
 pub fn run(folders: &[PathBuf]) -> Result<Report, CopyError> {
-    let copies: Vec<Copy> = folders.iter().map(|folder| Copy::open(folder)).collect::<Result<_, _>>()?;
+    let copies: Vec<Copy> = folders
+        .iter()
+        .map(|folder| Copy::open(folder))
+        .collect::<Result<_, _>>()?;
     let (first, others) = match copies.split_first() {
         Some(split) => split,
         None => return Ok(Report::default()),
@@ -29,8 +32,17 @@
     let pairs: Vec<Comparison> = others.iter().map(|other| compare(first, other)).collect();
     let findings = pairs.iter().flat_map(Comparison::findings).collect();
     let mut text = copies_text(&copies);
-    pairs.iter().for_each(|pair| text.push_str(&pair_text(pair)));
-    Ok(Report::new(text, &Figures { copies: &copies, pairs: &pairs }, findings))
+    pairs
+        .iter()
+        .for_each(|pair| text.push_str(&pair_text(pair)));
+    Ok(Report::new(
+        text,
+        &Figures {
+            copies: &copies,
+            pairs: &pairs,
+        },
+        findings,
+    ))
 }
 
 fn copies_text(copies: &[Copy]) -> String {
@@ -40,7 +52,8 @@
         let deleted = copy.rows.values().filter(|row| row.value.is_none()).count();
         vec![
             copy.folder.display().to_string(),
-            copy.member.map_or("-".to_owned(), |member| member.to_string()),
+            copy.member
+                .map_or("-".to_owned(), |member| member.to_string()),
             copy.view.map_or("-".to_owned(), |view| view.to_string()),
             format!("{}/{}", copy.stored_view, copy.stored_seq),
             (copy.rows.len() - deleted).to_string(),
@@ -61,7 +74,10 @@
         text.push_str(&format!("  {}\n", difference.sentence()));
     }
     if pair.differences.len() > DIFFERENCES_SHOWN {
-        text.push_str(&format!("  and {} more\n", pair.differences.len() - DIFFERENCES_SHOWN));
+        text.push_str(&format!(
+            "  and {} more\n",
+            pair.differences.len() - DIFFERENCES_SHOWN
+        ));
     }
     text
 }
--- a/crates/toolbox/src/copies/compare.rs
+++ b/crates/toolbox/src/copies/compare.rs
@@ -45,15 +45,23 @@
 impl Comparison {
     /// What is wrong.
     pub fn findings(&self) -> Vec<String> {
-        let wrong = self.differences.iter().filter(|difference| difference.wrong);
+        let wrong = self
+            .differences
+            .iter()
+            .filter(|difference| difference.wrong);
         let (left, right) = (self.left.display(), self.right.display());
-        wrong.map(|difference| format!("{left} and {right}: {}", difference.sentence())).collect()
+        wrong
+            .map(|difference| format!("{left} and {right}: {}", difference.sentence()))
+            .collect()
     }
 }
 
 /// Compares two copies.
 pub fn compare(left: &Copy, right: &Copy) -> Comparison {
-    let common_seq = common_seq((&left.history, left.stored_seq), (&right.history, right.stored_seq));
+    let common_seq = common_seq(
+        (&left.history, left.stored_seq),
+        (&right.history, right.stored_seq),
+    );
     let trimmed = left.trimmed.max(right.trimmed);
     let dropped_later = |row: Option<&Row>, copy: &Copy| row.is_none() && copy.trimmed > common_seq;
     let keys: BTreeSet<&Vec<u8>> = left.rows.keys().chain(right.rows.keys()).collect();
@@ -72,7 +80,11 @@
 }
 
 fn difference(
-    key: &[u8], left: Option<&Row>, right: Option<&Row>, common_seq: u64, trimmed: u64,
+    key: &[u8],
+    left: Option<&Row>,
+    right: Option<&Row>,
+    common_seq: u64,
+    trimmed: u64,
 ) -> Option<Difference> {
     if left == right || (is_trace(left, trimmed) && is_trace(right, trimmed)) {
         return None;
@@ -80,7 +92,12 @@
     let (left_seq, right_seq) = (left.map(|row| row.seq), right.map(|row| row.seq));
     let newest = left_seq.max(right_seq).unwrap_or(0);
     let key = String::from_utf8_lossy(key).into_owned();
-    Some(Difference { key, left_seq, right_seq, wrong: newest <= common_seq })
+    Some(Difference {
+        key,
+        left_seq,
+        right_seq,
+        wrong: newest <= common_seq,
+    })
 }
 
 /// Whether this is the trace of a deleted row, or none where it may have been dropped.
@@ -93,7 +110,10 @@
 pub fn common_seq(left: (&[ViewStart], u64), right: (&[ViewStart], u64)) -> u64 {
     let (left_history, left_end) = left;
     let (right_history, right_end) = right;
-    let shared = left_history.iter().rev().find(|start| right_history.contains(start));
+    let shared = left_history
+        .iter()
+        .rev()
+        .find(|start| right_history.contains(start));
     let Some(shared) = shared else {
         return 0;
     };
--- a/crates/toolbox/src/copies/copy.rs
+++ b/crates/toolbox/src/copies/copy.rs
@@ -88,19 +88,33 @@
         ensure!(copied, NoDatabaseSnafu { folder });
         let opened = Storage::open(scratch.path()).context(StorageSnafu { folder })?;
         if let Some(aside) = opened.set_aside {
-            return DamagedSnafu { folder, reason: aside.reason }.fail();
+            return DamagedSnafu {
+                folder,
+                reason: aside.reason,
+            }
+            .fail();
         }
-        let chunk = opened.storage.rows_since(0, usize::MAX).context(StorageSnafu { folder })?;
+        let chunk = opened
+            .storage
+            .rows_since(0, usize::MAX)
+            .context(StorageSnafu { folder })?;
         let durable = opened.durable;
         Ok(Copy {
             folder: folder.to_owned(),
             member: durable.as_ref().map(|durable| durable.member.internal),
-            view: durable.as_ref().and_then(|durable| durable.view.as_ref()).map(|view| view.number),
+            view: durable
+                .as_ref()
+                .and_then(|durable| durable.view.as_ref())
+                .map(|view| view.number),
             stored_view: chunk.mark.view,
             stored_seq: chunk.mark.seq,
             trimmed: durable.map_or(0, |durable| durable.trimmed),
             history: chunk.history,
-            rows: chunk.rows.into_iter().map(|row| (row.key.clone(), row)).collect(),
+            rows: chunk
+                .rows
+                .into_iter()
+                .map(|row| (row.key.clone(), row))
+                .collect(),
         })
     }
 }
--- a/crates/toolbox/src/job.rs
+++ b/crates/toolbox/src/job.rs
@@ -18,7 +18,10 @@
 }
 
 /// The job as the acting head knows it; `None` if there is no such job.
-pub async fn look_up(id: JobId, addresses: Vec<SocketAddr>) -> Result<Option<JobInspection>, AskError> {
+pub async fn look_up(
+    id: JobId,
+    addresses: Vec<SocketAddr>,
+) -> Result<Option<JobInspection>, AskError> {
     let mut asked = ask::ask_all(&addresses, Question::Job(id)).await;
     for _ in 0..HEADS_FOLLOWED {
         let mut heads = Vec::new();
@@ -30,7 +33,9 @@
                 Ok(InspectionAnswer::NotHead { head: None }) => {
                     reasons.push(format!("{address} knows no head"));
                 }
-                Ok(InspectionAnswer::Unavailable { reason }) => reasons.push(format!("{address}: {reason}")),
+                Ok(InspectionAnswer::Unavailable { reason }) => {
+                    reasons.push(format!("{address}: {reason}"))
+                }
                 Ok(InspectionAnswer::Status(_)) => reasons.push(format!("{address} answers amiss")),
                 Err(error) => reasons.push(error.to_string()),
             }
@@ -38,7 +43,9 @@
         heads.sort();
         heads.dedup();
         if heads.is_empty() {
-            return Err(AskError::Nobody { reasons: reasons.join("; ") });
+            return Err(AskError::Nobody {
+                reasons: reasons.join("; "),
+            });
         }
         asked = ask::ask_all(&heads, Question::Job(id)).await;
     }
@@ -51,7 +58,9 @@
         None => Report {
             text: String::new(),
             figures: Value::Null,
-            findings: vec![format!("job {id} is not known: never taken, or ended long ago")],
+            findings: vec![format!(
+                "job {id} is not known: never taken, or ended long ago"
+            )],
         },
         Some(job) => Report::new(text(&job), &job, Vec::new()),
     }
@@ -66,9 +75,13 @@
         text.push_str(&format!("taken at {taken} ms since 1970\n"));
     }
     if let (Some(due), Some(repeats)) = (job.next_due_wall_ms, job.repeats) {
-        text.push_str(&format!("not due: the next of {repeats} repetitions is due at {due} ms since 1970\n"));
+        text.push_str(&format!(
+            "not due: the next of {repeats} repetitions is due at {due} ms since 1970\n"
+        ));
     }
-    job.steps.iter().for_each(|step| text.push_str(&step_text(step)));
+    job.steps
+        .iter()
+        .for_each(|step| text.push_str(&step_text(step)));
     if job.more_steps {
         text.push_str("(more steps are not listed)\n");
     }
@@ -76,7 +89,12 @@
 }
 
 fn step_text(step: &StepInspection) -> String {
-    let TaskCounts { waiting, blocked, running, done } = step.tasks;
+    let TaskCounts {
+        waiting,
+        blocked,
+        running,
+        done,
+    } = step.tasks;
     let mut text = format!(
         "repetition {} step {}: {waiting} waiting, {blocked} blocked, {running} running, {done} done, {} failures\n",
         step.repeat, step.step, step.failures
@@ -85,7 +103,10 @@
         text.push_str(&format!("  waits: {}\n", wait_text(wait)));
     }
     for run in &step.runs {
-        text.push_str(&format!("  task {} attempt {} on {}\n", run.index, run.attempt, run.instance));
+        text.push_str(&format!(
+            "  task {} attempt {} on {}\n",
+            run.index, run.attempt, run.instance
+        ));
     }
     text
 }
@@ -99,7 +120,9 @@
             "no worker of the service has the label and the capacity that a task needs".to_owned()
         }
         Wait::NoRoom { places, needed } => {
-            format!("no room: {places} tasks would fit beside what runs, {needed} are needed at once")
+            format!(
+                "no room: {places} tasks would fit beside what runs, {needed} are needed at once"
+            )
         }
         Wait::HeldBack { places } => format!(
             "held back although {places} tasks would fit: room reserved for another step, workers suspected \
--- a/crates/toolbox/src/main.rs
+++ b/crates/toolbox/src/main.rs
@@ -3,14 +3,19 @@
 use indigofold_toolbox::command_line::{self, Command, Verb};
 use indigofold_toolbox::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
 use indigofold_toolbox::report::Report;
-use indigofold_toolbox::{check_config, check_deploy, check_settings, copies, job, quickstart, status};
+use indigofold_toolbox::{
+    check_config, check_deploy, check_settings, copies, job, quickstart, status,
+};
 use std::io::Write;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let code = match command_line::parse(std::env::args_os().skip(1).collect()) {
         Ok(Command::Help(text)) => print(text, EXIT_OK),
-        Ok(Command::Version) => print(concat!("indigofold-ctl ", env!("CARGO_PKG_VERSION"), "\n"), EXIT_OK),
+        Ok(Command::Version) => print(
+            concat!("indigofold-ctl ", env!("CARGO_PKG_VERSION"), "\n"),
+            EXIT_OK,
+        ),
         Ok(Command::Run { verb, json }) => run(verb, json),
         Err(error) => {
             eprintln!("indigofold-ctl: {error}");
--- a/crates/toolbox/src/quickstart.rs
+++ b/crates/toolbox/src/quickstart.rs
@@ -116,7 +116,9 @@
     options.programs.check()?;
     let interrupted = catch_signals()?;
     let folder = tempfile::Builder::new().prefix("indigofold-").tempdir();
-    let folder = folder.context(FilesSnafu { path: std::env::temp_dir() })?;
+    let folder = folder.context(FilesSnafu {
+        path: std::env::temp_dir(),
+    })?;
     let layout = Layout::new(options.members, std::process::id());
     let mut children = Children::start(&options.programs, &layout, folder.path())?;
     let workers = Workers::start(&layout);
@@ -128,7 +130,10 @@
         Err(error) => return Err(error),
     }
     writeln!(out, "all processes have ended").context(OutputSnafu)?;
-    Ok(Report { figures: json!({ "members": options.members }), ..Report::default() })
+    Ok(Report {
+        figures: json!({ "members": options.members }),
+        ..Report::default()
+    })
 }
 
 /// Set by Ctrl-C and SIGTERM from now on.
--- a/crates/toolbox/src/quickstart/children.rs
+++ b/crates/toolbox/src/quickstart/children.rs
@@ -32,7 +32,10 @@
 impl Programs {
     /// Those of a folder.
     pub fn in_folder(folder: &Path) -> Programs {
-        Programs { control: folder.join("indigofold-control"), data: folder.join("indigofold-data") }
+        Programs {
+            control: folder.join("indigofold-control"),
+            data: folder.join("indigofold-data"),
+        }
     }
 
     /// Those beside this program.
@@ -64,15 +67,23 @@
 
 impl Children {
     /// Writes the settings files and starts a daemon for each machine.
-    pub fn start(programs: &Programs, layout: &Layout, folder: &Path) -> Result<Children, QuickstartError> {
-        let mut children = Children { daemons: Vec::new() };
+    pub fn start(
+        programs: &Programs,
+        layout: &Layout,
+        folder: &Path,
+    ) -> Result<Children, QuickstartError> {
+        let mut children = Children {
+            daemons: Vec::new(),
+        };
         for machine in &layout.machines {
             let program = match machine.class {
                 Class::Core => &programs.control,
                 Class::Edge | Class::Side => &programs.data,
             };
             let settings = layout.settings(machine, folder);
-            children.daemons.push(start(program, machine, &settings, folder)?);
+            children
+                .daemons
+                .push(start(program, machine, &settings, folder)?);
         }
         Ok(children)
     }
@@ -82,7 +93,11 @@
         for daemon in &mut self.daemons {
             if let Ok(Some(status)) = daemon.child.try_wait() {
                 let (name, status) = (daemon.name.clone(), status.to_string());
-                return Err(QuickstartError::Ended { name, status, log: last_lines(&daemon.log) });
+                return Err(QuickstartError::Ended {
+                    name,
+                    status,
+                    log: last_lines(&daemon.log),
+                });
             }
         }
         Ok(())
@@ -113,18 +128,29 @@
 }
 
 fn start(
-    program: &Path, machine: &Machine, settings: &str, folder: &Path,
+    program: &Path,
+    machine: &Machine,
+    settings: &str,
+    folder: &Path,
 ) -> Result<Daemon, QuickstartError> {
     let path = folder.join(format!("{}.toml", machine.name));
     fs::write(&path, settings).context(FilesSnafu { path: &path })?;
     let log = folder.join(format!("{}.log", machine.name));
     let output = File::create(&log).context(FilesSnafu { path: &log })?;
     let mut command = Command::new(program);
-    command.env(SETTINGS_VARIABLE, &path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(output);
+    command
+        .env(SETTINGS_VARIABLE, &path)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(output);
     // Ctrl-C on the terminal is for this program alone: it ends the daemons in good order.
     command.process_group(0);
     let child = command.spawn().context(StartSnafu { path: program })?;
-    Ok(Daemon { name: machine.name.clone(), child, log })
+    Ok(Daemon {
+        name: machine.name.clone(),
+        child,
+        log,
+    })
 }
 
 fn last_lines(log: &Path) -> String {
--- a/crates/toolbox/src/quickstart/http.rs
+++ b/crates/toolbox/src/quickstart/http.rs
@@ -29,7 +29,13 @@
     stream.set_read_timeout(Some(LIMIT))?;
     stream.set_write_timeout(Some(LIMIT))?;
     stream.set_nodelay(true)?;
-    let Call { method, host, path, headers, body } = call;
+    let Call {
+        method,
+        host,
+        path,
+        headers,
+        body,
+    } = call;
     let length = body.len();
     let request = format!(
         "{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\nConnection: close\r\n\
@@ -44,5 +50,8 @@
 fn read_answer(text: &str) -> Option<Answer> {
     let (head, body) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
-    Some(Answer { status, body: body.to_owned() })
+    Some(Answer {
+        status,
+        body: body.to_owned(),
+    })
 }
--- a/crates/toolbox/src/quickstart/layout.rs
+++ b/crates/toolbox/src/quickstart/layout.rs
@@ -47,18 +47,28 @@
     /// `members` core members, an edge and the companions, in a part of the loopback network that `salt` chooses.
     pub fn new(members: usize, salt: u32) -> Layout {
         let [.., high, low] = salt.to_be_bytes();
-        let classes = [(Class::Core, members), (Class::Edge, 1), (Class::Side, WORKERS)];
-        let all = classes.iter().flat_map(|(class, count)| (1..=*count).map(move |number| (*class, number)));
+        let classes = [
+            (Class::Core, members),
+            (Class::Edge, 1),
+            (Class::Side, WORKERS),
+        ];
+        let all = classes
+            .iter()
+            .flat_map(|(class, count)| (1..=*count).map(move |number| (*class, number)));
         let machine = |(at, (class, number)): (usize, (Class, usize))| Machine {
             name: format!("{}-{number}", class.word()),
             class,
             ip: Ipv4Addr::new(127, 64 + high % 64, low, at as u8 + 1),
         };
-        Layout { machines: all.enumerate().map(machine).collect() }
+        Layout {
+            machines: all.enumerate().map(machine).collect(),
+        }
     }
 
     pub fn of(&self, class: Class) -> impl Iterator<Item = &Machine> {
-        self.machines.iter().filter(move |machine| machine.class == class)
+        self.machines
+            .iter()
+            .filter(move |machine| machine.class == class)
     }
 
     /// Where the core members take the operator's calls.
@@ -73,14 +83,20 @@
 
     /// The core members' internal addresses, as `--at` takes them.
     pub fn internals(&self) -> String {
-        let addresses = self.of(Class::Core).map(|machine| machine.at(INTERNAL_PORT).to_string());
+        let addresses = self
+            .of(Class::Core)
+            .map(|machine| machine.at(INTERNAL_PORT).to_string());
         addresses.collect::<Vec<_>>().join(",")
     }
 
     /// The settings file of a machine; core members keep their data below `folder`.
     pub fn settings(&self, machine: &Machine, folder: &Path) -> String {
         let class = machine.class.word();
-        let seeds: Vec<String> = self.controls().iter().map(|seed| format!("\"{seed}\"")).collect();
+        let seeds: Vec<String> = self
+            .controls()
+            .iter()
+            .map(|seed| format!("\"{seed}\""))
+            .collect();
         let tolerated = u32::from(self.controls().len() >= 3);
         let mut text = format!(
             "node_name = \"{}\"\nrole = \"{class}\"\nmachine_class = \"{class}\"\nserves = [\"{}\"]\n\
@@ -107,7 +123,9 @@
                 text.push_str(&format!("control_plane = \"{}\"\n", machine.control()));
             }
         }
-        text.push_str(&format!("[fault_tolerance]\nmachines = {tolerated}\n[bounds]\ngrace_s = 2\n"));
+        text.push_str(&format!(
+            "[fault_tolerance]\nmachines = {tolerated}\n[bounds]\ngrace_s = 2\n"
+        ));
         text
     }
 }
--- a/crates/toolbox/src/quickstart/story.rs
+++ b/crates/toolbox/src/quickstart/story.rs
@@ -25,12 +25,22 @@
 
 /// Goes through it all; with `once` it ends after the job, else at Ctrl-C.
 pub(super) fn tell(
-    layout: &Layout, children: &mut Children, interrupted: &AtomicBool, out: &mut impl Write, once: bool,
+    layout: &Layout,
+    children: &mut Children,
+    interrupted: &AtomicBool,
+    out: &mut impl Write,
+    once: bool,
 ) -> Result<(), QuickstartError> {
-    let mut story = Story { children, interrupted, out };
+    let mut story = Story {
+        children,
+        interrupted,
+        out,
+    };
     story.say("started", &layout.machines)?;
     story.configure(&layout.controls())?;
-    let Some(frontend) = layout.frontend() else { return Ok(()) };
+    let Some(frontend) = layout.frontend() else {
+        return Ok(());
+    };
     story.await_readiness(layout)?;
     story.run_job(frontend)?;
     if once {
@@ -42,7 +52,9 @@
 
 impl<W: Write> Story<'_, W> {
     fn line(&mut self, text: &str) -> Result<(), QuickstartError> {
-        writeln!(self.out, "{text}").and_then(|()| self.out.flush()).context(OutputSnafu)
+        writeln!(self.out, "{text}")
+            .and_then(|()| self.out.flush())
+            .context(OutputSnafu)
     }
 
     fn say(&mut self, what: &str, machines: &[Machine]) -> Result<(), QuickstartError> {
@@ -54,7 +66,9 @@
 
     /// Tries again and again until something has happened. `attempt` gives the last answer while it has not.
     fn until<T>(
-        &mut self, what: &'static str, mut attempt: impl FnMut() -> Result<T, String>,
+        &mut self,
+        what: &'static str,
+        mut attempt: impl FnMut() -> Result<T, String>,
     ) -> Result<T, QuickstartError> {
         let deadline = Instant::now() + STEP_LIMIT;
         loop {
@@ -64,7 +78,14 @@
                 Ok(happened) => return Ok(happened),
                 Err(last) => {
                     let seconds = STEP_LIMIT.as_secs();
-                    ensure!(Instant::now() < deadline, LateSnafu { what, seconds, last });
+                    ensure!(
+                        Instant::now() < deadline,
+                        LateSnafu {
+                            what,
+                            seconds,
+                            last
+                        }
+                    );
                 }
             }
             thread::sleep(RETRY);
@@ -76,11 +97,19 @@
         let body = configuration().to_string();
         let mut members = controls.iter().cycle();
         self.until("the first configuration", || {
-            let Some(member) = members.next() else { return Err("there are no members".to_owned()) };
+            let Some(member) = members.next() else {
+                return Err("there are no members".to_owned());
+            };
             let headers = "If-Match: 0\r\n";
             expect_200(call(
                 *member,
-                &Call { method: "PUT", host: "operator", path: "/config", headers, body: &body },
+                &Call {
+                    method: "PUT",
+                    host: "operator",
+                    path: "/config",
+                    headers,
+                    body: &body,
+                },
             ))
         })?;
         self.line("configuration 1 is taken")
@@ -99,7 +128,13 @@
         let path = format!("{PREFIX}{FIRST_JOB}");
         let body = first_job().to_string();
         self.until("the taking of the job", || {
-            let post = Call { method: "POST", host: HOST, path: &path, headers: "", body: &body };
+            let post = Call {
+                method: "POST",
+                host: HOST,
+                path: &path,
+                headers: "",
+                body: &body,
+            };
             expect_200(call(frontend, &post))
         })?;
         self.line(&format!("job {FIRST_JOB} is taken: 4 tasks, then 1"))?;
@@ -107,13 +142,18 @@
         loop {
             let state = self.until("a change of the job's state", || {
                 let answer = expect_200(call(frontend, &get(HOST, &path)))?;
-                state_of(&answer).filter(|state| *state != last).ok_or(answer.body)
+                state_of(&answer)
+                    .filter(|state| *state != last)
+                    .ok_or(answer.body)
             })?;
             self.line(&format!("job {FIRST_JOB} is {state}"))?;
             if state == "completed" {
                 return Ok(());
             }
-            ensure!(state == "queued" || state == "running", JobEndSnafu { state });
+            ensure!(
+                state == "queued" || state == "running",
+                JobEndSnafu { state }
+            );
             last = state;
         }
     }
@@ -139,7 +179,13 @@
 }
 
 fn get<'a>(host: &'a str, path: &'a str) -> Call<'a> {
-    Call { method: "GET", host, path, headers: "", body: "" }
+    Call {
+        method: "GET",
+        host,
+        path,
+        headers: "",
+        body: "",
+    }
 }
 
 fn expect_200(answered: std::io::Result<Answer>) -> Result<Answer, String> {
--- a/crates/toolbox/src/quickstart/worker.rs
+++ b/crates/toolbox/src/quickstart/worker.rs
@@ -32,7 +32,13 @@
 
 impl Default for WorkerLimits {
     fn default() -> Self {
-        WorkerLimits { capacity: Resources { cpu: 2_000, mem_mb: 2_048, gpu: 0 } }
+        WorkerLimits {
+            capacity: Resources {
+                cpu: 2_000,
+                mem_mb: 2_048,
+                gpu: 0,
+            },
+        }
     }
 }
 
@@ -76,19 +82,29 @@
     /// When something is due next.
     pub fn next_due_ms(&self) -> u64 {
         let ends = self.runs.iter().map(|run| run.began_ms + run.takes_ms);
-        let lapse = if self.runs.is_empty() { u64::MAX } else { self.held_until_ms };
+        let lapse = if self.runs.is_empty() {
+            u64::MAX
+        } else {
+            self.held_until_ms
+        };
         ends.fold(self.next_beat_ms.min(lapse), u64::min)
     }
 
     /// Ends what is done, or what is no longer held; gives the heartbeat if one is due.
     pub fn advance(&mut self, now_ms: u64) -> Option<Heartbeat> {
-        let (over, left) = self.runs.drain(..).partition(|run| run.began_ms + run.takes_ms <= now_ms);
+        let (over, left) = self
+            .runs
+            .drain(..)
+            .partition(|run| run.began_ms + run.takes_ms <= now_ms);
         self.runs = left;
         let over: Vec<Run> = over;
-        over.into_iter().for_each(|run| self.end(now_ms, run, RunEnd::Done));
+        over.into_iter()
+            .for_each(|run| self.end(now_ms, run, RunEnd::Done));
         if now_ms >= self.held_until_ms {
             let lapsed = std::mem::take(&mut self.runs);
-            lapsed.into_iter().for_each(|run| self.end(now_ms, run, RunEnd::Lapsed));
+            lapsed
+                .into_iter()
+                .for_each(|run| self.end(now_ms, run, RunEnd::Lapsed));
         }
         (now_ms >= self.next_beat_ms).then(|| self.beat(now_ms))
     }
@@ -106,17 +122,25 @@
         }
         let hold_ms = reply.hold_ms.map(|hold| hold.min(MAX_HOLD_MS));
         self.held_until_ms = self.held_until_ms.max(sent_ms + hold_ms.unwrap_or(0));
-        reply.stop.into_iter().for_each(|stop| self.stop(now_ms, &stop));
+        reply
+            .stop
+            .into_iter()
+            .for_each(|stop| self.stop(now_ms, &stop));
         if hold_ms.is_some() {
-            reply.start.into_iter().for_each(|start| self.start(now_ms, start));
+            reply
+                .start
+                .into_iter()
+                .for_each(|start| self.start(now_ms, start));
         }
     }
 
     fn beat(&mut self, now_ms: u64) -> Heartbeat {
         self.seq_no += 1;
         self.next_beat_ms = now_ms + BEAT_MS;
-        let percent = |run: &Run| ((now_ms - run.began_ms) * 100 / run.takes_ms.max(1)).min(99) as u32;
-        let running = |run: &Run| Running(run.task.clone(), run.attempt, String::new(), percent(run));
+        let percent =
+            |run: &Run| ((now_ms - run.began_ms) * 100 / run.takes_ms.max(1)).min(99) as u32;
+        let running =
+            |run: &Run| Running(run.task.clone(), run.attempt, String::new(), percent(run));
         Heartbeat {
             backend: SERVICE.to_owned(),
             address: self.address.clone(),
@@ -135,16 +159,30 @@
     }
 
     fn start(&mut self, now_ms: u64, Start(task, attempt, spec, _saved): Start) {
-        let known = self.runs.iter().any(|run| run.task == task && run.attempt >= attempt)
-            || self.finished.iter().any(|end| end.1 == task && end.2 >= attempt);
+        let known = self
+            .runs
+            .iter()
+            .any(|run| run.task == task && run.attempt >= attempt)
+            || self
+                .finished
+                .iter()
+                .any(|end| end.1 == task && end.2 >= attempt);
         if !known {
             let takes_ms = spec.trim().parse().unwrap_or(DEFAULT_RUN_MS);
-            self.runs.push(Run { task, attempt, began_ms: now_ms, takes_ms });
+            self.runs.push(Run {
+                task,
+                attempt,
+                began_ms: now_ms,
+                takes_ms,
+            });
         }
     }
 
     fn stop(&mut self, now_ms: u64, Stop(task, attempt): &Stop) {
-        let position = self.runs.iter().position(|run| run.task == *task && run.attempt == *attempt);
+        let position = self
+            .runs
+            .iter()
+            .position(|run| run.task == *task && run.attempt == *attempt);
         if let Some(position) = position {
             let run = self.runs.remove(position);
             self.end(now_ms, run, RunEnd::Stopped);
@@ -152,7 +190,13 @@
     }
 
     fn end(&mut self, now_ms: u64, run: Run, how: RunEnd) {
-        self.finished.push(Finished(self.next_number, run.task, run.attempt, how, String::new()));
+        self.finished.push(Finished(
+            self.next_number,
+            run.task,
+            run.attempt,
+            how,
+            String::new(),
+        ));
         self.next_number += 1;
         self.next_beat_ms = self.next_beat_ms.min(now_ms + END_BEAT_MS);
     }
@@ -170,10 +214,13 @@
         let threads = sides.map(|machine| {
             let (stop, stopped) = channel();
             let (companion, id) = (machine.control(), format!("worker-{}", machine.name));
-            let wait = move |time| !matches!(stopped.recv_timeout(time), Err(RecvTimeoutError::Timeout));
+            let wait =
+                move |time| !matches!(stopped.recv_timeout(time), Err(RecvTimeoutError::Timeout));
             (stop, thread::spawn(move || work(companion, &id, wait)))
         });
-        Workers { threads: threads.collect() }
+        Workers {
+            threads: threads.collect(),
+        }
     }
 }
 
@@ -199,7 +246,9 @@
         {
             worker.answered(sent_ms, now_ms(), reply);
         }
-        if wait(Duration::from_millis(worker.next_due_ms().saturating_sub(now_ms()).max(1))) {
+        if wait(Duration::from_millis(
+            worker.next_due_ms().saturating_sub(now_ms()).max(1),
+        )) {
             return;
         }
     }
@@ -209,7 +258,15 @@
 fn tell(companion: SocketAddr, id: &str, beat: &Heartbeat) -> Option<HeartbeatReply> {
     let body = serde_json::to_string(beat).ok()?;
     let path = format!("/instances/{id}");
-    let put = Call { method: "PUT", host: "companion", path: &path, headers: "", body: &body };
-    let answer = call(companion, &put).ok().filter(|answer| answer.status == 200)?;
+    let put = Call {
+        method: "PUT",
+        host: "companion",
+        path: &path,
+        headers: "",
+        body: &body,
+    };
+    let answer = call(companion, &put)
+        .ok()
+        .filter(|answer| answer.status == 200)?;
     serde_json::from_str(&answer.body).ok()
 }
--- a/crates/toolbox/src/report.rs
+++ b/crates/toolbox/src/report.rs
@@ -18,12 +18,20 @@
 impl Report {
     /// A report of figures; they are plain data, which can always be written as JSON.
     pub fn new(text: String, figures: &impl Serialize, findings: Vec<String>) -> Self {
-        Report { text, figures: serde_json::to_value(figures).unwrap_or(Value::Null), findings }
+        Report {
+            text,
+            figures: serde_json::to_value(figures).unwrap_or(Value::Null),
+            findings,
+        }
     }
 
     /// The exit code for it.
     pub fn exit_code(&self) -> u8 {
-        if self.findings.is_empty() { EXIT_OK } else { EXIT_FOUND }
+        if self.findings.is_empty() {
+            EXIT_OK
+        } else {
+            EXIT_FOUND
+        }
     }
 
     /// As it is printed with `--json`: one line.
@@ -37,7 +45,9 @@
         let mut text = self.text.clone();
         if !self.findings.is_empty() {
             text.push_str("wrong:\n");
-            self.findings.iter().for_each(|finding| text.push_str(&format!("  - {finding}\n")));
+            self.findings
+                .iter()
+                .for_each(|finding| text.push_str(&format!("  - {finding}\n")));
         }
         text
     }
@@ -47,12 +57,19 @@
 pub fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
-        rows.iter().filter_map(|row| row.get(column)).map(|cell| cell.chars().count()).max().unwrap_or(0)
+        rows.iter()
+            .filter_map(|row| row.get(column))
+            .map(|cell| cell.chars().count())
+            .max()
+            .unwrap_or(0)
     };
     let widths: Vec<usize> = (0..columns).map(width).collect();
     let mut text = String::new();
     for row in rows {
-        let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}"));
+        let cells = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:<width$}"));
         let line = cells.collect::<Vec<_>>().join("  ");
         text.push_str(line.trim_end());
         text.push('\n');
--- a/crates/toolbox/src/status.rs
+++ b/crates/toolbox/src/status.rs
@@ -2,7 +2,9 @@
 
 use crate::ask::{self, AskError, Asked};
 use crate::report::{Report, table};
-use indigofold_protocol::inspection::{InspectionAnswer, MemberStatus, Question, TaskCounts, WorkStatus};
+use indigofold_protocol::inspection::{
+    InspectionAnswer, MemberStatus, Question, TaskCounts, WorkStatus,
+};
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -35,14 +37,21 @@
 
 /// Asks the members at these addresses, then those that they know of.
 pub async fn gather(addresses: Vec<SocketAddr>) -> Result<ClusterStatus, AskError> {
-    let mut status = ClusterStatus { members: Vec::new(), silent: Vec::new() };
+    let mut status = ClusterStatus {
+        members: Vec::new(),
+        silent: Vec::new(),
+    };
     let first = ask::ask_all(&addresses, Question::Status).await;
     if first.iter().all(|(_, answer)| answer.is_err()) {
         return Err(ask::nobody(&first));
     }
     let mut asked: BTreeSet<SocketAddr> = addresses.into_iter().collect();
     status.take(first);
-    let known = status.members.iter().flat_map(|member| &member.peers).map(|peer| peer.internal);
+    let known = status
+        .members
+        .iter()
+        .flat_map(|member| &member.peers)
+        .map(|peer| peer.internal);
     let more: BTreeSet<SocketAddr> = known.filter(|address| !asked.contains(address)).collect();
     let more: Vec<SocketAddr> = more.into_iter().take(MEMBERS_ASKED_MAX).collect();
     asked.extend(&more);
@@ -63,7 +72,10 @@
                     let reason = "the answer is to another question".to_owned();
                     self.silent.push(SilentMember { internal, reason });
                 }
-                Err(error) => self.silent.push(SilentMember { internal, reason: error.to_string() }),
+                Err(error) => self.silent.push(SilentMember {
+                    internal,
+                    reason: error.to_string(),
+                }),
             }
         }
     }
@@ -76,21 +88,35 @@
 
     /// The member whose view is the newest: the head, if there is one.
     fn newest(&self) -> Option<&MemberStatus> {
-        let by_view =
-            || self.members.iter().max_by_key(|member| member.view.as_ref().map_or(0, |view| view.number));
+        let by_view = || {
+            self.members
+                .iter()
+                .max_by_key(|member| member.view.as_ref().map_or(0, |view| view.number))
+        };
         self.head().or_else(by_view)
     }
 
     fn name(&self, internal: SocketAddr) -> String {
-        let own = self.members.iter().find(|member| member.address.internal == internal);
+        let own = self
+            .members
+            .iter()
+            .find(|member| member.address.internal == internal);
         let own = own.map(|member| member.address.node_name.clone());
         let peers = || self.members.iter().flat_map(|member| &member.peers);
-        let told = || peers().find(|peer| peer.internal == internal).and_then(|peer| peer.node_name.clone());
+        let told = || {
+            peers()
+                .find(|peer| peer.internal == internal)
+                .and_then(|peer| peer.node_name.clone())
+        };
         own.or_else(told).unwrap_or_else(|| internal.to_string())
     }
 
     fn names(&self, addresses: &[SocketAddr], separator: &str) -> String {
-        addresses.iter().map(|address| self.name(*address)).collect::<Vec<_>>().join(separator)
+        addresses
+            .iter()
+            .map(|address| self.name(*address))
+            .collect::<Vec<_>>()
+            .join(separator)
     }
 }
 
@@ -108,26 +134,37 @@
 }
 
 fn cluster_text(status: &ClusterStatus, newest: &MemberStatus) -> String {
-    let head = status.head().map_or("none acts", |head| &head.address.node_name);
+    let head = status
+        .head()
+        .map_or("none acts", |head| &head.address.node_name);
     let mut text = match &newest.view {
         None => format!("view:    none yet\nhead:    {head}\n"),
         Some(view) => format!(
             "view:    {}{}\nhead:    {head}\nvoters:  {}\nchain:   {}\n",
             view.number,
-            if view.agreed { "" } else { " (not known to hold)" },
+            if view.agreed {
+                ""
+            } else {
+                " (not known to hold)"
+            },
             status.names(&view.voters, ", "),
             status.names(&view.chain, " > "),
         ),
     };
     if let Some(head) = status.head() {
         let (companions, edges) = (head.companions, head.edges);
-        text.push_str(&format!("clients: {companions} companions, {edges} edges connected to the head\n"));
+        text.push_str(&format!(
+            "clients: {companions} companions, {edges} edges connected to the head\n"
+        ));
     }
     text
 }
 
 fn members_text(status: &ClusterStatus) -> String {
-    let head = ["member", "internal", "program", "view", "stored", "peers", "state"].map(str::to_owned);
+    let head = [
+        "member", "internal", "program", "view", "stored", "peers", "state",
+    ]
+    .map(str::to_owned);
     let mut rows = vec![head.to_vec()];
     rows.extend(status.members.iter().map(|member| {
         let connected = member.peers.iter().filter(|peer| peer.connected).count();
@@ -136,7 +173,10 @@
             member.address.node_name.clone(),
             member.address.internal.to_string(),
             member.version.clone(),
-            member.view.as_ref().map_or("-".to_owned(), |view| view.number.to_string()),
+            member
+                .view
+                .as_ref()
+                .map_or("-".to_owned(), |view| view.number.to_string()),
             format!("{}/{}", member.stored.view, member.stored.seq),
             format!("{connected}/{}", member.peers.len()),
             state.to_owned(),
@@ -157,7 +197,11 @@
     if !work.services.is_empty() {
         let mut rows = vec![["service", "ready", "draining"].map(str::to_owned).to_vec()];
         rows.extend(work.services.iter().map(|service| {
-            vec![service.service.clone(), service.ready.to_string(), service.draining.to_string()]
+            vec![
+                service.service.clone(),
+                service.ready.to_string(),
+                service.draining.to_string(),
+            ]
         }));
         text.push_str(&format!("\n{}", table(&rows)));
     }
@@ -174,10 +218,23 @@
     if work.queues.is_empty() {
         return "\nno open jobs\n".to_owned();
     }
-    let head = ["queue", "queued", "running", "tasks: waiting", "blocked", "running", "done"];
+    let head = [
+        "queue",
+        "queued",
+        "running",
+        "tasks: waiting",
+        "blocked",
+        "running",
+        "done",
+    ];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
     rows.extend(work.queues.iter().map(|queue| {
-        let TaskCounts { waiting, blocked, running, done } = queue.tasks;
+        let TaskCounts {
+            waiting,
+            blocked,
+            running,
+            done,
+        } = queue.tasks;
         let figures = [queue.queued, queue.running, waiting, blocked, running, done];
         let mut row = vec![queue.queue.clone()];
         row.extend(figures.map(|figure| figure.to_string()));
@@ -196,12 +253,19 @@
     for silent in &status.silent {
         let votes = view.is_some_and(|view| view.voters.contains(&silent.internal));
         if votes || view.is_none() {
-            findings.push(format!("{} does not answer: {}", status.name(silent.internal), silent.reason));
+            findings.push(format!(
+                "{} does not answer: {}",
+                status.name(silent.internal),
+                silent.reason
+            ));
         }
     }
     for voter in view.into_iter().flat_map(|view| &view.voters) {
         if view.is_some_and(|view| !view.chain.is_empty() && !view.chain.contains(voter)) {
-            findings.push(format!("{} votes and is not in the chain", status.name(*voter)));
+            findings.push(format!(
+                "{} votes and is not in the chain",
+                status.name(*voter)
+            ));
         }
     }
     for member in &status.members {
@@ -210,8 +274,15 @@
             findings.push(format!("the disk of {name} refuses writes"));
         }
         let cut = |address: SocketAddr| view.is_some_and(|view| view.voters.contains(&address));
-        for peer in member.peers.iter().filter(|peer| !peer.connected && cut(peer.internal)) {
-            findings.push(format!("{name} has no connection to {}", status.name(peer.internal)));
+        for peer in member
+            .peers
+            .iter()
+            .filter(|peer| !peer.connected && cut(peer.internal))
+        {
+            findings.push(format!(
+                "{name} has no connection to {}",
+                status.name(peer.internal)
+            ));
         }
     }
     findings.extend(work_findings(status));
@@ -219,10 +290,15 @@
 }
 
 fn work_findings(status: &ClusterStatus) -> Vec<String> {
-    let Some(work) = status.head().and_then(|head| head.work.as_ref()) else { return Vec::new() };
+    let Some(work) = status.head().and_then(|head| head.work.as_ref()) else {
+        return Vec::new();
+    };
     let mut findings = Vec::new();
     if work.unreadable_rows > 0 {
-        findings.push(format!("{} rows cannot be read by this version", work.unreadable_rows));
+        findings.push(format!(
+            "{} rows cannot be read by this version",
+            work.unreadable_rows
+        ));
     }
     findings
 }
--- a/crates/toolbox/tests/checks.rs
+++ b/crates/toolbox/tests/checks.rs
@@ -20,7 +20,10 @@
 fn a_valid_configuration_passes() {
     let folder = TempDir::new().expect("a folder");
     let report = check_config::run(&file(&folder, "c", CONFIG), None).expect("a report");
-    assert_eq!((report.exit_code(), &report.figures["version"]), (EXIT_OK, &7.into()));
+    assert_eq!(
+        (report.exit_code(), &report.figures["version"]),
+        (EXIT_OK, &7.into())
+    );
 }
 
 #[rstest]
@@ -28,7 +31,11 @@
 #[case::timeout("\"timeout_ms\":1000", "\"timeout_ms\":0", "routes[0].timeout_ms")]
 #[case::cut("}]", "", "cannot be read")]
 #[case::version("\"version\":7", "\"version\":0", "version")]
-fn what_is_wrong_with_a_configuration_is_told(#[case] from: &str, #[case] to: &str, #[case] part: &str) {
+fn what_is_wrong_with_a_configuration_is_told(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] part: &str,
+) {
     let folder = TempDir::new().expect("a folder");
     let path = file(&folder, "c", &CONFIG.replacen(from, to, 1));
     let report = check_config::run(&path, None).expect("a report");
@@ -46,7 +53,15 @@
     let current = file(&folder, "now", CONFIG);
     let report = check_config::run(&file(&folder, "next", text), Some(&current)).expect("a report");
     assert_eq!(report.findings.len(), parts.len(), "{:?}", report.findings);
-    assert!(report.findings.iter().zip(parts).all(|(f, part)| f.contains(part)), "{:?}", report.findings);
+    assert!(
+        report
+            .findings
+            .iter()
+            .zip(parts)
+            .all(|(f, part)| f.contains(part)),
+        "{:?}",
+        report.findings
+    );
 }
 
 #[test]
@@ -59,7 +74,10 @@
         check_config::run(&patch, Some(&broken)).map_err(|error| error.exit_code()),
         check_config::run(Path::new("/nowhere"), None).map_err(|error| error.exit_code()),
     ];
-    assert!(codes.iter().all(|code| *code == Err(EXIT_INPUT)), "{codes:?}");
+    assert!(
+        codes.iter().all(|code| *code == Err(EXIT_INPUT)),
+        "{codes:?}"
+    );
 }
 
 #[rstest]
@@ -75,7 +93,15 @@
     let path = file(&folder, "boot.toml", &SETTINGS.replacen(from, to, 1));
     let report = check_settings::run(&path).expect("a report");
     assert_eq!(report.findings.len(), parts.len(), "{:?}", report.findings);
-    assert!(report.findings.iter().zip(parts).all(|(f, part)| f.contains(part)), "{:?}", report.findings);
+    assert!(
+        report
+            .findings
+            .iter()
+            .zip(parts)
+            .all(|(f, part)| f.contains(part)),
+        "{:?}",
+        report.findings
+    );
 }
 
 #[rstest]
@@ -98,5 +124,13 @@
     let path = file(&folder, "system.toml", &DEPLOY.replacen(from, to, 1));
     let report = check_deploy::run(&path).expect("a report");
     assert_eq!(report.findings.len(), parts.len(), "{:?}", report.findings);
-    assert!(report.findings.iter().zip(parts).all(|(f, part)| f.contains(part)), "{:?}", report.findings);
+    assert!(
+        report
+            .findings
+            .iter()
+            .zip(parts)
+            .all(|(f, part)| f.contains(part)),
+        "{:?}",
+        report.findings
+    );
 }
--- a/crates/toolbox/tests/command_line.rs
+++ b/crates/toolbox/tests/command_line.rs
@@ -20,16 +20,36 @@
 #[test]
 fn verbs_take_their_arguments() {
     let at = vec![([10, 0, 0, 1], 7380).into(), ([10, 0, 0, 2], 7380).into()];
-    assert_eq!(verb("status --at 10.0.0.1:7380,10.0.0.2:7380"), Verb::Status { at: at.clone() });
-    let job = Verb::Job { id: JobId(0xaa), at };
-    assert_eq!(verb("job --at 10.0.0.1:7380,10.0.0.2:7380 00000000000000aa"), job);
-    let check = Verb::CheckConfig { file: "new.json".into(), current: Some("now.json".into()) };
+    assert_eq!(
+        verb("status --at 10.0.0.1:7380,10.0.0.2:7380"),
+        Verb::Status { at: at.clone() }
+    );
+    let job = Verb::Job {
+        id: JobId(0xaa),
+        at,
+    };
+    assert_eq!(
+        verb("job --at 10.0.0.1:7380,10.0.0.2:7380 00000000000000aa"),
+        job
+    );
+    let check = Verb::CheckConfig {
+        file: "new.json".into(),
+        current: Some("now.json".into()),
+    };
     assert_eq!(verb("check-config new.json --current now.json"), check);
     let folders = ["a", "b", "c"].map(PathBuf::from).to_vec();
-    assert_eq!(verb("compare-copies a b c"), Verb::CompareCopies { folders });
-    let Verb::Quickstart(options) = verb("quickstart --members 3 --once --programs bin") else { panic!() };
+    assert_eq!(
+        verb("compare-copies a b c"),
+        Verb::CompareCopies { folders }
+    );
+    let Verb::Quickstart(options) = verb("quickstart --members 3 --once --programs bin") else {
+        panic!()
+    };
     assert_eq!((options.members, options.once), (3, true));
-    assert_eq!(options.programs.control, PathBuf::from("bin/indigofold-control"));
+    assert_eq!(
+        options.programs.control,
+        PathBuf::from("bin/indigofold-control")
+    );
 }
 
 #[test]
@@ -48,7 +68,9 @@
 #[case("compare-copies --help", "DIR DIR")]
 #[case("quickstart --help", "--once")]
 fn each_verb_has_its_help(#[case] line: &str, #[case] part: &str) {
-    let Ok(Command::Help(text)) = parse(arguments(line)) else { panic!("help is expected") };
+    let Ok(Command::Help(text)) = parse(arguments(line)) else {
+        panic!("help is expected")
+    };
     assert!(text.contains(part), "{text}");
 }
 
--- a/crates/toolbox/tests/copies.rs
+++ b/crates/toolbox/tests/copies.rs
@@ -11,7 +11,10 @@
 use tempfile::TempDir;
 
 fn change(key: &str, value: Option<&str>) -> RowChange {
-    RowChange { key: key.as_bytes().to_vec(), value: value.map(|text| text.as_bytes().to_vec()) }
+    RowChange {
+        key: key.as_bytes().to_vec(),
+        value: value.map(|text| text.as_bytes().to_vec()),
+    }
 }
 
 /// A folder with a database of these writes, all of view 1.
@@ -19,7 +22,10 @@
     let folder = TempDir::new().expect("a folder");
     let seq = writes.last().map_or(0, |write| write.0);
     let operations = writes.iter().map(|(seq, key, value)| {
-        StoreOperation::Write(Arc::new(Batch { seq: *seq, changes: vec![change(key, *value)] }))
+        StoreOperation::Write(Arc::new(Batch {
+            seq: *seq,
+            changes: vec![change(key, *value)],
+        }))
     });
     let internal = ([10, 0, 0, 1], 7380).into();
     let durable = Durable {
@@ -33,16 +39,28 @@
         addresses: Vec::<MemberAddress>::new(),
     };
     let mut storage = Storage::open(folder.path()).expect("a database").storage;
-    storage.apply(&StoreRequest { durable, operations: operations.collect() }).expect("a write");
+    storage
+        .apply(&StoreRequest {
+            durable,
+            operations: operations.collect(),
+        })
+        .expect("a write");
     folder
 }
 
-const WRITES: [(u64, &str, Option<&str>); 3] = [(1, "a", Some("1")), (2, "b", Some("2")), (3, "a", None)];
+const WRITES: [(u64, &str, Option<&str>); 3] =
+    [(1, "a", Some("1")), (2, "b", Some("2")), (3, "a", None)];
 
 fn codes(left: &TempDir, right: &TempDir) -> (u8, usize) {
     let report = run(&[left.path().to_owned(), right.path().to_owned()]).expect("a report");
     let pairs = report.figures["pairs"].as_array().expect("pairs");
-    (report.exit_code(), pairs[0]["differences"].as_array().expect("differences").len())
+    (
+        report.exit_code(),
+        pairs[0]["differences"]
+            .as_array()
+            .expect("differences")
+            .len(),
+    )
 }
 
 #[test]
@@ -52,7 +70,12 @@
         let mut all: Vec<(String, Vec<u8>)> = std::fs::read_dir(folder.path())
             .expect("a folder")
             .map(|entry| entry.expect("an entry"))
-            .map(|e| (e.file_name().to_string_lossy().into_owned(), std::fs::read(e.path()).expect("bytes")))
+            .map(|e| {
+                (
+                    e.file_name().to_string_lossy().into_owned(),
+                    std::fs::read(e.path()).expect("bytes"),
+                )
+            })
             .collect();
         all.sort();
         all
@@ -80,7 +103,13 @@
     let [left, right] = [&left, &right].map(|folder| Copy::open(folder.path()).expect("a copy"));
     let pair = compare(&left, &right);
     assert_eq!((pair.common_seq, pair.differences.len()), (3, 1));
-    assert_eq!((pair.differences[0].key.as_str(), pair.differences[0].right_seq), ("b", None));
+    assert_eq!(
+        (
+            pair.differences[0].key.as_str(),
+            pair.differences[0].right_seq
+        ),
+        ("b", None)
+    );
     assert!(pair.differences[0].wrong);
 }
 
@@ -91,13 +120,22 @@
 #[case::later_view_shared(&[(3, 4)], 9, &[(1, 0), (3, 4)], 8, 8)]
 #[case::nothing_shared(&[(3, 4)], 9, &[(1, 0)], 8, 0)]
 fn common_writes_follow_from_the_views(
-    #[case] left: &[(u64, u64)], #[case] left_end: u64, #[case] right: &[(u64, u64)], #[case] right_end: u64,
+    #[case] left: &[(u64, u64)],
+    #[case] left_end: u64,
+    #[case] right: &[(u64, u64)],
+    #[case] right_end: u64,
     #[case] common: u64,
 ) {
     let history = |views: &[(u64, u64)]| -> Vec<ViewStart> {
-        views.iter().map(|&(view, seq)| ViewStart { view, seq }).collect()
+        views
+            .iter()
+            .map(|&(view, seq)| ViewStart { view, seq })
+            .collect()
     };
-    assert_eq!(common_seq((&history(left), left_end), (&history(right), right_end)), common);
+    assert_eq!(
+        common_seq((&history(left), left_end), (&history(right), right_end)),
+        common
+    );
 }
 
 #[test]
@@ -105,13 +143,20 @@
     let empty = TempDir::new().expect("a folder");
     let error = run(&[empty.path().to_owned()]).expect_err("no database");
     assert_eq!(ToolError::from(error).exit_code(), EXIT_INPUT);
-    assert_eq!(std::fs::read_dir(empty.path()).expect("a folder").count(), 0);
+    assert_eq!(
+        std::fs::read_dir(empty.path()).expect("a folder").count(),
+        0
+    );
 }
 
 #[test]
 fn a_damaged_database_is_a_finding() {
     let damaged = TempDir::new().expect("a folder");
-    std::fs::write(damaged.path().join("control.sqlite"), "no database at all".repeat(99)).expect("a file");
+    std::fs::write(
+        damaged.path().join("control.sqlite"),
+        "no database at all".repeat(99),
+    )
+    .expect("a file");
     let error = run(&[damaged.path().to_owned()]).expect_err("damage");
     assert_eq!(ToolError::from(error).exit_code(), EXIT_FOUND);
 }
--- a/crates/toolbox/tests/stand_in.rs
+++ b/crates/toolbox/tests/stand_in.rs
@@ -7,12 +7,18 @@
 
 fn worker() -> StandIn {
     let mut worker = StandIn::new("127.0.0.1:1".to_owned(), WorkerLimits::default());
-    worker.advance(0).expect("the first heartbeat is due at once");
+    worker
+        .advance(0)
+        .expect("the first heartbeat is due at once");
     worker
 }
 
 fn orders(hold_ms: u64) -> HeartbeatReply {
-    HeartbeatReply { hold_ms: Some(hold_ms), fence_token: Some(3), ..HeartbeatReply::default() }
+    HeartbeatReply {
+        hold_ms: Some(hold_ms),
+        fence_token: Some(3),
+        ..HeartbeatReply::default()
+    }
 }
 
 fn start() -> Vec<Start> {
@@ -22,22 +28,69 @@
 #[test]
 fn a_task_runs_for_its_time_and_is_told_until_acknowledged() {
     let mut worker = worker();
-    worker.answered(0, 10, HeartbeatReply { start: start(), retry_delay_ms: Some(20), ..orders(4_000) });
+    worker.answered(
+        0,
+        10,
+        HeartbeatReply {
+            start: start(),
+            retry_delay_ms: Some(20),
+            ..orders(4_000)
+        },
+    );
     let beat = worker.advance(30).expect("a heartbeat");
-    assert_eq!((beat.running[0].0.as_str(), beat.running[0].1, beat.finished.len()), (TASK, 1, 0));
-    worker.answered(30, 31, HeartbeatReply { retry_delay_ms: Some(1_000), ..orders(4_000) });
+    assert_eq!(
+        (
+            beat.running[0].0.as_str(),
+            beat.running[0].1,
+            beat.finished.len()
+        ),
+        (TASK, 1, 0)
+    );
+    worker.answered(
+        30,
+        31,
+        HeartbeatReply {
+            retry_delay_ms: Some(1_000),
+            ..orders(4_000)
+        },
+    );
     assert_eq!(worker.next_due_ms(), 310);
     assert!(worker.advance(310).is_none());
-    let beat = worker.advance(worker.next_due_ms()).expect("a heartbeat soon after the end");
-    assert_eq!((beat.running.len(), beat.finished[0].0, beat.finished[0].3), (0, 1, RunEnd::Done));
-    worker.answered(360, 361, HeartbeatReply { last_seen: Some(1), ..orders(4_000) });
-    assert!(worker.advance(worker.next_due_ms()).expect("a heartbeat").finished.is_empty());
+    let beat = worker
+        .advance(worker.next_due_ms())
+        .expect("a heartbeat soon after the end");
+    assert_eq!(
+        (beat.running.len(), beat.finished[0].0, beat.finished[0].3),
+        (0, 1, RunEnd::Done)
+    );
+    worker.answered(
+        360,
+        361,
+        HeartbeatReply {
+            last_seen: Some(1),
+            ..orders(4_000)
+        },
+    );
+    assert!(
+        worker
+            .advance(worker.next_due_ms())
+            .expect("a heartbeat")
+            .finished
+            .is_empty()
+    );
 }
 
 #[test]
 fn what_is_not_held_lapses() {
     let mut worker = worker();
-    worker.answered(0, 10, HeartbeatReply { start: start(), ..orders(200) });
+    worker.answered(
+        0,
+        10,
+        HeartbeatReply {
+            start: start(),
+            ..orders(200)
+        },
+    );
     assert!(worker.advance(200).is_none());
     let beat = worker.advance(worker.next_due_ms()).expect("a heartbeat");
     assert_eq!(beat.finished[0].3, RunEnd::Lapsed);
@@ -46,30 +99,92 @@
 #[test]
 fn a_stop_ends_the_run() {
     let mut worker = worker();
-    worker.answered(0, 10, HeartbeatReply { start: start(), ..orders(4_000) });
-    worker.answered(0, 20, HeartbeatReply { stop: vec![Stop(TASK.to_owned(), 1)], ..orders(4_000) });
-    assert_eq!(worker.advance(70).expect("a heartbeat").finished[0].3, RunEnd::Stopped);
+    worker.answered(
+        0,
+        10,
+        HeartbeatReply {
+            start: start(),
+            ..orders(4_000)
+        },
+    );
+    worker.answered(
+        0,
+        20,
+        HeartbeatReply {
+            stop: vec![Stop(TASK.to_owned(), 1)],
+            ..orders(4_000)
+        },
+    );
+    assert_eq!(
+        worker.advance(70).expect("a heartbeat").finished[0].3,
+        RunEnd::Stopped
+    );
 }
 
 #[test]
 fn orders_of_an_older_head_and_those_without_a_hold_start_nothing() {
     let mut worker = worker();
     worker.answered(0, 1, orders(4_000));
-    worker.answered(0, 2, HeartbeatReply { start: start(), fence_token: Some(2), ..orders(4_000) });
+    worker.answered(
+        0,
+        2,
+        HeartbeatReply {
+            start: start(),
+            fence_token: Some(2),
+            ..orders(4_000)
+        },
+    );
     worker.answered(
         0,
         3,
-        HeartbeatReply { start: start(), fence_token: Some(3), ..HeartbeatReply::default() },
+        HeartbeatReply {
+            start: start(),
+            fence_token: Some(3),
+            ..HeartbeatReply::default()
+        },
+    );
+    assert!(
+        worker
+            .advance(1_000)
+            .expect("a heartbeat")
+            .running
+            .is_empty()
     );
-    assert!(worker.advance(1_000).expect("a heartbeat").running.is_empty());
 }
 
 #[test]
 fn the_same_start_again_starts_nothing() {
     let mut worker = worker();
-    worker.answered(0, 10, HeartbeatReply { start: start(), ..orders(4_000) });
-    worker.answered(0, 20, HeartbeatReply { start: start(), ..orders(4_000) });
+    worker.answered(
+        0,
+        10,
+        HeartbeatReply {
+            start: start(),
+            ..orders(4_000)
+        },
+    );
+    worker.answered(
+        0,
+        20,
+        HeartbeatReply {
+            start: start(),
+            ..orders(4_000)
+        },
+    );
     assert_eq!(worker.advance(520).expect("a heartbeat").finished.len(), 1);
-    worker.answered(520, 530, HeartbeatReply { start: start(), ..orders(4_000) });
-    assert!(worker.advance(worker.next_due_ms()).expect("a heartbeat").running.is_empty());
+    worker.answered(
+        520,
+        530,
+        HeartbeatReply {
+            start: start(),
+            ..orders(4_000)
+        },
+    );
+    assert!(
+        worker
+            .advance(worker.next_due_ms())
+            .expect("a heartbeat")
+            .running
+            .is_empty()
+    );
 }
--- a/crates/toolbox/tests/status.rs
+++ b/crates/toolbox/tests/status.rs
@@ -14,7 +14,11 @@
 
 fn address(number: u8) -> MemberAddress {
     let control = ([10, 0, 0, number], 8144).into();
-    MemberAddress { node_name: format!("core-{number}"), internal: internal(number), control }
+    MemberAddress {
+        node_name: format!("core-{number}"),
+        internal: internal(number),
+        control,
+    }
 }
 
 fn member(number: u8) -> MemberStatus {
@@ -28,7 +32,12 @@
     MemberStatus {
         version: "1".to_owned(),
         address: address(number),
-        view: Some(ViewStatus { number: 4, agreed: true, voters: all.clone(), chain: all }),
+        view: Some(ViewStatus {
+            number: 4,
+            agreed: true,
+            voters: all.clone(),
+            chain: all,
+        }),
         head: Some(address(1)),
         acting: number == 1,
         stored: StoredState { view: 4, seq: 9 },
@@ -41,24 +50,53 @@
 }
 
 fn work() -> WorkStatus {
-    let tasks = TaskCounts { waiting: 5, blocked: 6, running: 7, done: 8 };
-    let queue = QueueStatus { queue: "orders".to_owned(), queued: 3, running: 4, tasks };
-    WorkStatus { config_version: 12, queues: vec![queue], ..WorkStatus::default() }
+    let tasks = TaskCounts {
+        waiting: 5,
+        blocked: 6,
+        running: 7,
+        done: 8,
+    };
+    let queue = QueueStatus {
+        queue: "orders".to_owned(),
+        queued: 3,
+        running: 4,
+        tasks,
+    };
+    WorkStatus {
+        config_version: 12,
+        queues: vec![queue],
+        ..WorkStatus::default()
+    }
 }
 
 fn cluster() -> ClusterStatus {
-    ClusterStatus { members: (1..=3).map(member).collect(), silent: Vec::new() }
+    ClusterStatus {
+        members: (1..=3).map(member).collect(),
+        silent: Vec::new(),
+    }
 }
 
 #[test]
 fn a_sound_cluster_is_told_with_its_work() {
     let report = report(&cluster());
     assert_eq!((report.exit_code(), report.findings.len()), (0, 0));
-    for part in ["voters:  core-1, core-2, core-3", "core-1 > core-2", "version 12", "orders", "2 companions"]
-    {
-        assert!(report.text.contains(part), "`{part}` is missing: {}", report.text);
+    for part in [
+        "voters:  core-1, core-2, core-3",
+        "core-1 > core-2",
+        "version 12",
+        "orders",
+        "2 companions",
+    ] {
+        assert!(
+            report.text.contains(part),
+            "`{part}` is missing: {}",
+            report.text
+        );
     }
-    assert_eq!(report.figures["members"][0]["work"]["queues"][0]["tasks"]["blocked"], 6);
+    assert_eq!(
+        report.figures["members"][0]["work"]["queues"][0]["tasks"]["blocked"],
+        6
+    );
 }
 
 fn without_head(status: &mut ClusterStatus) {
@@ -67,7 +105,10 @@
 
 fn silent_voter(status: &mut ClusterStatus) {
     status.members.remove(2);
-    status.silent.push(SilentMember { internal: internal(3), reason: "cut".to_owned() });
+    status.silent.push(SilentMember {
+        internal: internal(3),
+        reason: "cut".to_owned(),
+    });
 }
 
 fn left_out(status: &mut ClusterStatus) {
@@ -85,7 +126,11 @@
 }
 
 fn unreadable(status: &mut ClusterStatus) {
-    status.members[0].work.as_mut().expect("work").unreadable_rows = 2;
+    status.members[0]
+        .work
+        .as_mut()
+        .expect("work")
+        .unreadable_rows = 2;
 }
 
 #[rstest]
@@ -99,7 +144,12 @@
     let mut status = cluster();
     harm(&mut status);
     let report = report(&status);
-    assert_eq!((report.exit_code(), report.findings.len()), (1, 1), "{:?}", report.findings);
+    assert_eq!(
+        (report.exit_code(), report.findings.len()),
+        (1, 1),
+        "{:?}",
+        report.findings
+    );
     assert!(
         report.findings[0].contains(finding) && report.plain().contains(finding),
         "{:?}",
@@ -110,7 +160,10 @@
 #[test]
 fn a_seed_that_is_no_voter_may_be_silent() {
     let mut status = cluster();
-    status.silent.push(SilentMember { internal: internal(9), reason: "gone".to_owned() });
+    status.silent.push(SilentMember {
+        internal: internal(9),
+        reason: "gone".to_owned(),
+    });
     let report = report(&status);
     assert_eq!(report.exit_code(), 0, "{:?}", report.findings);
     assert!(report.text.contains("no answer"));
--- a/crates/toolbox/tests/whole.rs
+++ b/crates/toolbox/tests/whole.rs
@@ -16,7 +16,10 @@
 }
 
 fn tool(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_indigofold-ctl")).args(arguments).output().expect("the tool runs")
+    Command::new(env!("CARGO_BIN_EXE_indigofold-ctl"))
+        .args(arguments)
+        .output()
+        .expect("the tool runs")
 }
 
 fn text(output: &Output) -> String {
@@ -28,7 +31,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let Programs { control, data } = programs();
     let link = |from: &Path, to: &str| std::os::unix::fs::symlink(from, folder.path().join(to));
-    link(&control, "indigofold-control").and(link(&data, "indigofold-data")).expect("links");
+    link(&control, "indigofold-control")
+        .and(link(&data, "indigofold-data"))
+        .expect("links");
     folder
 }
 
@@ -52,16 +57,28 @@
         let mut output = BufReader::new(child.stdout.take().expect("its output"));
         for line in output.by_ref().lines() {
             lines.push(line.expect("a line"));
-            if lines.last().is_some_and(|line| line.contains("status --at")) {
+            if lines
+                .last()
+                .is_some_and(|line| line.contains("status --at"))
+            {
                 break;
             }
         }
-        Serving { child, lines, output }
+        Serving {
+            child,
+            lines,
+            output,
+        }
     }
 
     fn member(&self) -> String {
-        let at = self.lines.iter().find_map(|line| line.split_once("status --at "));
-        at.unwrap_or_else(|| panic!("it does not serve: {:?}", self.lines)).1.to_owned()
+        let at = self
+            .lines
+            .iter()
+            .find_map(|line| line.split_once("status --at "));
+        at.unwrap_or_else(|| panic!("it does not serve: {:?}", self.lines))
+            .1
+            .to_owned()
     }
 
     /// Ends it as Ctrl-C does.
@@ -70,7 +87,9 @@
         rustix::process::kill_process(id, rustix::process::Signal::INT).expect("a signal");
         assert_eq!(self.child.wait().expect("its end").code(), Some(0));
         let mut rest = String::new();
-        self.output.read_to_string(&mut rest).expect("the rest of its output");
+        self.output
+            .read_to_string(&mut rest)
+            .expect("the rest of its output");
         assert!(rest.ends_with("all processes have ended\n"), "{rest}");
     }
 }
@@ -93,11 +112,28 @@
     // The addresses follow from the number of the process, so each case runs one of its own.
     let folder = program_folder();
     let programs = folder.path().display().to_string();
-    let output = tool(&["quickstart", "--once", "--members", &members.to_string(), "--programs", &programs]);
+    let output = tool(&[
+        "quickstart",
+        "--once",
+        "--members",
+        &members.to_string(),
+        "--programs",
+        &programs,
+    ]);
     let told = text(&output);
-    assert_eq!(output.status.code(), Some(0), "{told}{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(0),
+        "{told}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert!(told.contains(&format!("job {JOB} is completed")), "{told}");
-    assert_eq!(told.lines().filter(|line| line.starts_with("started core-")).count(), members);
+    assert_eq!(
+        told.lines()
+            .filter(|line| line.starts_with("started core-"))
+            .count(),
+        members
+    );
 }
 
 #[test]
@@ -108,14 +144,26 @@
     let status = tool(&["status", "--at", &member]);
     let told = text(&status);
     assert_eq!(status.status.code(), Some(0), "{told}");
-    for part in ["head:    core-1", "configuration: version 1", "2 companions, 1 edges", "1 completed"] {
+    for part in [
+        "head:    core-1",
+        "configuration: version 1",
+        "2 companions, 1 edges",
+        "1 completed",
+    ] {
         assert!(told.contains(part), "`{part}` is missing: {told}");
     }
     let json: serde_json::Value =
         serde_json::from_slice(&tool(&["--json", "status", "--at", &member]).stdout).expect("JSON");
-    assert_eq!((&json["ok"], &json["report"]["members"][0]["acting"]), (&true.into(), &true.into()));
+    assert_eq!(
+        (&json["ok"], &json["report"]["members"][0]["acting"]),
+        (&true.into(), &true.into())
+    );
     let job = tool(&["job", JOB, "--at", &member]);
-    assert!(text(&job).contains("completed") && job.status.success(), "{}", text(&job));
+    assert!(
+        text(&job).contains("completed") && job.status.success(),
+        "{}",
+        text(&job)
+    );
     let unknown = tool(&["job", "00000000000000ff", "--at", &member]);
     assert_eq!(unknown.status.code(), Some(1));
     serving.interrupt();
@@ -125,9 +173,18 @@
 #[test]
 fn programs_that_are_missing_are_named() {
     let programs = Programs::in_folder(&PathBuf::from("/nowhere"));
-    let options = Options { members: 1, once: true, programs };
+    let options = Options {
+        members: 1,
+        once: true,
+        programs,
+    };
     let error = run(&options, &mut Vec::new()).expect_err("no programs");
-    assert!(error.is_input() && error.to_string().contains("/nowhere/indigofold-control is missing"));
+    assert!(
+        error.is_input()
+            && error
+                .to_string()
+                .contains("/nowhere/indigofold-control is missing")
+    );
 }
 
 #[rstest]
--- a/crates/traffic/benches/import.rs
+++ b/crates/traffic/benches/import.rs
@@ -59,7 +59,10 @@
         out.push('\n');
     }
     match format {
-        "har" => format!("{{\"log\":{{\"version\":\"1.2\",\"entries\":[{}{{}}]}}}}", out),
+        "har" => format!(
+            "{{\"log\":{{\"version\":\"1.2\",\"entries\":[{}{{}}]}}}}",
+            out
+        ),
         _ => out,
     }
 }
@@ -75,27 +78,36 @@
 #[divan::bench(args = ["common", "combined", "nginx", "envoy", "json"])]
 fn decode(bencher: Bencher<'_, '_>, name: &str) {
     let (text, format) = (text(name), line_format(name));
-    bencher.counter(BytesCount::new(text.len())).counter(ItemsCount::new(LINES)).bench_local(|| {
-        let mut stamps = Reader::new(TimeZone::UTC);
-        text.lines().filter(|line| black_box(format.read(line, &mut stamps)).is_ok()).count()
-    });
+    bencher
+        .counter(BytesCount::new(text.len()))
+        .counter(ItemsCount::new(LINES))
+        .bench_local(|| {
+            let mut stamps = Reader::new(TimeZone::UTC);
+            text.lines()
+                .filter(|line| black_box(format.read(line, &mut stamps)).is_ok())
+                .count()
+        });
 }
 
 /// A HAR document to records.
 #[divan::bench]
 fn decode_har(bencher: Bencher<'_, '_>) {
     let text = text("har");
-    bencher.counter(BytesCount::new(text.len())).counter(ItemsCount::new(LINES)).bench_local(|| {
-        let (mut splitter, mut stamps, mut good) = (Splitter::default(), Reader::new(TimeZone::UTC), 0);
-        for piece in text.as_bytes().chunks(64 * 1024) {
-            splitter.push(piece, |piece| {
-                if let Piece::Entry(text) = piece {
-                    good += usize::from(black_box(har::read(text, &mut stamps)).is_ok());
-                }
-            });
-        }
-        good
-    });
+    bencher
+        .counter(BytesCount::new(text.len()))
+        .counter(ItemsCount::new(LINES))
+        .bench_local(|| {
+            let (mut splitter, mut stamps, mut good) =
+                (Splitter::default(), Reader::new(TimeZone::UTC), 0);
+            for piece in text.as_bytes().chunks(64 * 1024) {
+                splitter.push(piece, |piece| {
+                    if let Piece::Entry(text) = piece {
+                        good += usize::from(black_box(har::read(text, &mut stamps)).is_ok());
+                    }
+                });
+            }
+            good
+        });
 }
 
 /// Records to what they mean.
@@ -104,10 +116,15 @@
     let (text, format) = (text("combined"), line_format("combined"));
     let mapping = Mapping::read(MAPPING).expect("a mapping");
     let mut stamps = Reader::new(TimeZone::UTC);
-    let raws: Vec<_> = text.lines().filter_map(|line| format.read(line, &mut stamps).ok()).collect();
+    let raws: Vec<_> = text
+        .lines()
+        .filter_map(|line| format.read(line, &mut stamps).ok())
+        .collect();
     bencher.counter(ItemsCount::new(LINES)).bench_local(|| {
         let mut names = Interned::default();
-        raws.iter().filter(|raw| black_box(mapping.meaning(raw, &mut names)).is_ok()).count()
+        raws.iter()
+            .filter(|raw| black_box(mapping.meaning(raw, &mut names)).is_ok())
+            .count()
     });
 }
 
@@ -122,9 +139,21 @@
         name => Kind::Lines(line_format(name)),
     };
     let mapping = Mapping::read(MAPPING).expect("a mapping");
-    let options = Options { format: Some(format), mapping, strict: false, max_bad: 1.0, seed: 1 };
+    let options = Options {
+        format: Some(format),
+        mapping,
+        strict: false,
+        max_bad: 1.0,
+        seed: 1,
+    };
     let paths = [file.path().to_path_buf()];
-    bencher.counter(BytesCount::new(text.len())).counter(ItemsCount::new(LINES)).bench_local(|| {
-        import(&paths, &options, std::io::sink(), &Arc::default()).expect("a recording").tally.taken
-    });
+    bencher
+        .counter(BytesCount::new(text.len()))
+        .counter(ItemsCount::new(LINES))
+        .bench_local(|| {
+            import(&paths, &options, std::io::sink(), &Arc::default())
+                .expect("a recording")
+                .tally
+                .taken
+        });
 }
--- a/crates/traffic/src/detect.rs
+++ b/crates/traffic/src/detect.rs
@@ -49,7 +49,11 @@
     for name in ["combined", "common", "nginx", "envoy"] {
         let format = LineFormat::named(name)?;
         let mut stamps = Reader::new(TimeZone::UTC);
-        let fits = text.lines().take(LINES).filter(|line| format.read(line, &mut stamps).is_ok()).count();
+        let fits = text
+            .lines()
+            .take(LINES)
+            .filter(|line| format.read(line, &mut stamps).is_ok())
+            .count();
         if fits > best.as_ref().map_or(0, |b| b.0) {
             best = Some((fits, format));
         }
--- a/crates/traffic/src/document.rs
+++ b/crates/traffic/src/document.rs
@@ -15,14 +15,18 @@
 /// # Errors
 /// Each thing that is wrong, with its place.
 pub fn read<T: JsonSchema + DeserializeOwned>(what: &str, text: &str) -> Result<T, Vec<String>> {
-    let value: Value = serde_json::from_str(text).map_err(|e| vec![format!("the {what} is no JSON: {e}")])?;
+    let value: Value =
+        serde_json::from_str(text).map_err(|e| vec![format!("the {what} is no JSON: {e}")])?;
     let schema = schema::<T>();
     let validator = jsonschema::validator_for(&schema).map_err(|e| vec![e.to_string()])?;
     let wrong: Vec<String> = validator
         .iter_errors(&value)
         .map(|e| {
             let place = e.instance_path().to_string();
-            format!("at {}: {e}", if place.is_empty() { "the top" } else { &place })
+            format!(
+                "at {}: {e}",
+                if place.is_empty() { "the top" } else { &place }
+            )
         })
         .collect();
     match wrong.is_empty() {
--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -103,7 +103,16 @@
     pub fn new(rules: Rules) -> Self {
         let (open, by, seen) = Default::default();
         let waits = Waits([0.02; Waits::BINS]);
-        Folder { rules, open, first: 0, by, seen, began: None, now: Micros::MIN, waits }
+        Folder {
+            rules,
+            open,
+            first: 0,
+            by,
+            seen,
+            began: None,
+            now: Micros::MIN,
+            waits,
+        }
     }
 
     /// Takes the next try and hands out the jobs that are closed by then.
@@ -175,7 +184,15 @@
         let (ended, end) = Self::end(t.job.at, t.job.took, t.job.deadline);
         let served = done(t.job.status);
         let closes = end + self.stays(served, &keys);
-        self.open.push_back(Open { job: t.job, ended, end, within: t.within, served, closes, keys });
+        self.open.push_back(Open {
+            job: t.job,
+            ended,
+            end,
+            within: t.within,
+            served,
+            closes,
+            keys,
+        });
     }
 
     /// How long after its end a job may still get a retry.
@@ -191,12 +208,22 @@
 
     fn join(&mut self, number: u64, t: &Try, how: How, sure: f32) {
         let n = self.index(number);
-        let (ended, end) = Self::end(t.job.at, t.job.took, t.job.deadline.or(self.open[n].job.deadline));
+        let (ended, end) = Self::end(
+            t.job.at,
+            t.job.took,
+            t.job.deadline.or(self.open[n].job.deadline),
+        );
         let served = done(t.job.status);
         let stays = self.stays(served, &self.open[n].keys);
         let open = &mut self.open[n];
         let (at, status, took) = (t.job.at, t.job.status, t.job.took);
-        open.job.tries.push(Again { at, status, took, how, sure });
+        open.job.tries.push(Again {
+            at,
+            status,
+            took,
+            how,
+            sure,
+        });
         (open.ended, open.end, open.within) = (ended, end, t.within);
         (open.served, open.closes) = (served, end + stays);
     }
@@ -212,7 +239,9 @@
         let more = |o: &Open| (o.job.tries.len() as u32) + 1 < self.rules.tries;
         // The same key or id: whatever became of the tries before.
         for n in [0, 1] {
-            if let Some(number) = all(n).find(|number| open(*number).closes >= at && more(open(*number))) {
+            if let Some(number) =
+                all(n).find(|number| open(*number).closes >= at && more(open(*number)))
+            {
                 return Some((number, How::Key, SURE, false));
             }
         }
@@ -221,18 +250,26 @@
         let failed = |number: &u64, within: Micros| {
             let o = open(*number);
             let differs = o.job.key.is_some() && t.job.key.is_some(); // equal keys were found above
-            !o.served && !differs && more(o) && o.ended <= at + slack(o) && at <= o.end + within + slack(o)
+            !o.served
+                && !differs
+                && more(o)
+                && o.ended <= at + slack(o)
+                && at <= o.end + within + slack(o)
         };
         // The likeliest of those that fit, and how sure that is among them.
         let likeliest = |fitting: &[u64]| {
             let density = |number: u64| self.waits.density(at - open(number).ended);
             let all: f64 = fitting.iter().map(|n| density(*n)).sum();
-            let best = fitting.iter().copied().max_by(|a, b| density(*a).total_cmp(&density(*b)))?;
+            let best = fitting
+                .iter()
+                .copied()
+                .max_by(|a, b| density(*a).total_cmp(&density(*b)))?;
             Some((best, (density(best) / all) as f32, fitting.len() == 1))
         };
         if t.marked {
             for n in [2, 3] {
-                let fitting: SmallVec<[u64; 4]> = all(n).filter(|number| failed(number, MARKED)).collect();
+                let fitting: SmallVec<[u64; 4]> =
+                    all(n).filter(|number| failed(number, MARKED)).collect();
                 if let Some((number, sure, alone)) = likeliest(&fitting) {
                     return Some((number, How::Marker, sure, alone && n == 2));
                 }
@@ -262,7 +299,9 @@
             if !all && first.closes >= self.now && self.open.len() <= OPEN {
                 break;
             }
-            let Some(open) = self.open.pop_front() else { break };
+            let Some(open) = self.open.pop_front() else {
+                break;
+            };
             for (by, key) in self.by.iter_mut().zip(open.keys) {
                 let Some(key) = key else { continue };
                 if let Some(list) = by.get_mut(&key) {
--- a/crates/traffic/src/har.rs
+++ b/crates/traffic/src/har.rs
@@ -140,7 +140,8 @@
                 b']' => self.place = Place::After,
                 b'{' => {
                     self.place = Place::Within;
-                    (self.depth, self.quoted, self.escaped, self.too_long) = (1, false, false, false);
+                    (self.depth, self.quoted, self.escaped, self.too_long) =
+                        (1, false, false, false);
                     self.entry.clear();
                     self.entry.push(byte);
                 }
@@ -235,17 +236,27 @@
 /// Why it cannot be read.
 pub fn read(text: &[u8], stamps: &mut Reader) -> Result<Raw<'static>, Reason> {
     let entry: Entry = serde_json::from_slice(text).map_err(|_| Reason::Malformed)?;
-    let started = entry.started_date_time.filter(|t| !t.is_empty()).ok_or(Reason::NoTime)?;
-    let stamp = stamps.read(&Form::Iso, &started).map_err(|_| Reason::BadTime)?;
+    let started = entry
+        .started_date_time
+        .filter(|t| !t.is_empty())
+        .ok_or(Reason::NoTime)?;
+    let stamp = stamps
+        .read(&Form::Iso, &started)
+        .map_err(|_| Reason::BadTime)?;
     let request = entry.request.ok_or(Reason::BadRequest)?;
-    let url = request.url.filter(|u| !u.is_empty()).ok_or(Reason::BadRequest)?;
+    let url = request
+        .url
+        .filter(|u| !u.is_empty())
+        .ok_or(Reason::BadRequest)?;
     let status = match entry.response.and_then(|r| r.status) {
         None => None,
         Some(none) if none <= 0.0 => None,
         Some(status) if (100.0..600.0).contains(&status) => Some(status as u16),
         Some(_) => return Err(Reason::BadStatus),
     };
-    let took = entry.time.filter(|ms| ms.is_finite() && *ms >= 0.0 && *ms < 1e9);
+    let took = entry
+        .time
+        .filter(|ms| ms.is_finite() && *ms >= 0.0 && *ms < 1e9);
     let own = |p: Pair, name: String| (Cow::Owned(name), Cow::Owned(p.value));
     let mut headers: Vec<_> = request
         .headers
@@ -266,7 +277,9 @@
         target: Some(Cow::Owned(url)),
         status,
         // Without an answer there is no telling how long it would have taken.
-        took: took.filter(|_| status.is_some()).map(|ms| (ms * 1000.0).round() as Micros),
+        took: took
+            .filter(|_| status.is_some())
+            .map(|ms| (ms * 1000.0).round() as Micros),
         received: request.body_size.filter(|b| *b >= 0.0).map(|b| b as u64),
         headers,
         ..Raw::default()
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -112,13 +112,22 @@
         if self.options.strict && reason.is_bad() && self.wrong.is_none() {
             let example = self.tally.rejected[&reason].examples.last();
             let text = example.map(|e| e.text.clone()).unwrap_or_default();
-            self.wrong = Some(Failed::Strict { file: place.file.into(), line: place.line, reason, text });
+            self.wrong = Some(Failed::Strict {
+                file: place.file.into(),
+                line: place.line,
+                reason,
+                text,
+            });
         }
     }
 
     /// Takes a record that was read, or was not. `true`: it goes on.
     fn take(
-        &mut self, raw: Result<Raw<'_>, Reason>, file: u32, place: Place<'_>, text: &[u8],
+        &mut self,
+        raw: Result<Raw<'_>, Reason>,
+        file: u32,
+        place: Place<'_>,
+        text: &[u8],
         stamps: &mut Reader,
     ) -> io::Result<bool> {
         // Asked of each record, so that none answers for one that was rejected before it.
@@ -164,12 +173,23 @@
         self.tally.pass();
         self.seq += 1;
         let (job, within, marked) = (meant.job, meant.within, meant.marked);
-        self.sorter.push(Try { job, within, seq: self.seq, id: meant.id, marked, file })?;
+        self.sorter.push(Try {
+            job,
+            within,
+            seq: self.seq,
+            id: meant.id,
+            marked,
+            file,
+        })?;
         Ok(true)
     }
 
     fn lines(
-        &mut self, format: &LineFormat, from: &mut dyn BufRead, name: &str, file: u32,
+        &mut self,
+        format: &LineFormat,
+        from: &mut dyn BufRead,
+        name: &str,
+        file: u32,
     ) -> io::Result<()> {
         let mut stamps = Reader::new(self.options.mapping.zone.clone());
         let (mut line, mut kept, mut latin, mut too_long) = (0, Vec::new(), String::new(), false);
@@ -178,7 +198,14 @@
                 Ok(bytes) => bytes,
                 Err(e) if broken_off(&e) => {
                     // What of the last record came before that is in `kept`.
-                    self.reject(Reason::Truncated, Place { file: name, line: line + 1 }, &kept);
+                    self.reject(
+                        Reason::Truncated,
+                        Place {
+                            file: name,
+                            line: line + 1,
+                        },
+                        &kept,
+                    );
                     return Ok(());
                 }
                 Err(e) => return Err(e),
@@ -210,7 +237,9 @@
                 let text = std::mem::take(&mut kept);
                 match std::mem::take(&mut too_long) {
                     true => self.reject(Reason::TooLong, place, &text),
-                    false => self.line(format, &text, (file, place, last), &mut stamps, &mut latin)?,
+                    false => {
+                        self.line(format, &text, (file, place, last), &mut stamps, &mut latin)?
+                    }
                 }
                 kept = text;
                 kept.clear();
@@ -219,7 +248,13 @@
                 self.reject(Reason::TooLong, Place { file: name, line }, piece);
             } else {
                 line += 1;
-                self.line(format, piece, (file, Place { file: name, line }, false), &mut stamps, &mut latin)?;
+                self.line(
+                    format,
+                    piece,
+                    (file, Place { file: name, line }, false),
+                    &mut stamps,
+                    &mut latin,
+                )?;
             }
             from.consume(used);
             if self.wrong.is_some() {
@@ -230,8 +265,12 @@
 
     /// One line; the last of a file may lack its end.
     fn line(
-        &mut self, format: &LineFormat, bytes: &[u8], (file, place, last): (u32, Place<'_>, bool),
-        stamps: &mut Reader, latin: &mut String,
+        &mut self,
+        format: &LineFormat,
+        bytes: &[u8],
+        (file, place, last): (u32, Place<'_>, bool),
+        stamps: &mut Reader,
+        latin: &mut String,
     ) -> io::Result<()> {
         let bytes = bytes.strip_suffix(b"\r").unwrap_or(bytes);
         if bytes.iter().all(u8::is_ascii_whitespace) {
@@ -254,10 +293,13 @@
                 latin.as_str()
             }
         };
-        let raw = format.read(text, stamps).map_err(|reason| match last && reason == Reason::Malformed {
-            true => Reason::Truncated,
-            false => reason,
-        });
+        let raw =
+            format
+                .read(text, stamps)
+                .map_err(|reason| match last && reason == Reason::Malformed {
+                    true => Reason::Truncated,
+                    false => reason,
+                });
         if self.take(raw, file, place, bytes, stamps)? && text.len() != bytes.len() {
             self.tally.remark(Remark::Latin1, place, bytes);
         }
@@ -265,7 +307,11 @@
     }
 
     fn har(
-        &mut self, from: &mut dyn BufRead, name: &str, file: u32, io: &dyn Fn(io::Error) -> Failed,
+        &mut self,
+        from: &mut dyn BufRead,
+        name: &str,
+        file: u32,
+        io: &dyn Fn(io::Error) -> Failed,
     ) -> Result<(), Failed> {
         let mut stamps = Reader::new(self.options.mapping.zone.clone());
         let (mut splitter, mut entry, mut failed) = (Splitter::default(), 0, None);
@@ -281,11 +327,16 @@
             }
             splitter.push(bytes, |piece| {
                 entry += 1;
-                let place = Place { file: name, line: entry };
+                let place = Place {
+                    file: name,
+                    line: entry,
+                };
                 match piece {
                     Piece::Entry(text) => {
                         let raw = har::read(text, &mut stamps);
-                        failed = failed.take().or(self.take(raw, file, place, text, &mut stamps).err());
+                        failed = failed
+                            .take()
+                            .or(self.take(raw, file, place, text, &mut stamps).err());
                     }
                     Piece::TooLong(text) => self.reject(Reason::TooLong, place, text),
                 }
@@ -302,7 +353,14 @@
             Err(why) => return Err(Failed::Form(name.into(), why.into())),
             Ok(Some(text)) => {
                 let text = text.to_vec();
-                self.reject(Reason::Truncated, Place { file: name, line: entry + 1 }, &text);
+                self.reject(
+                    Reason::Truncated,
+                    Place {
+                        file: name,
+                        line: entry + 1,
+                    },
+                    &text,
+                );
             }
             Ok(None) => {}
         }
@@ -311,14 +369,17 @@
 
     /// A recording is read again as the tries that it was made of.
     fn recording(&mut self, from: &mut dyn BufRead, name: &str) -> Result<(), Failed> {
-        let reader = recording::Reader::new(from).map_err(|e| Failed::Form(name.into(), e.to_string()))?;
+        let reader =
+            recording::Reader::new(from).map_err(|e| Failed::Form(name.into(), e.to_string()))?;
         for job in reader {
             let job = job.map_err(|e| Failed::Form(name.into(), e.to_string()))?;
             for t in unfolded(job) {
                 self.tally.pass();
                 self.seq += 1;
                 let t = Try { seq: self.seq, ..t };
-                self.sorter.push(t).map_err(|e| Failed::File(name.into(), e))?;
+                self.sorter
+                    .push(t)
+                    .map_err(|e| Failed::File(name.into(), e))?;
             }
         }
         Ok(())
@@ -331,12 +392,29 @@
     let first = job.clone();
     let rest = again.into_iter().map(move |a| {
         let marked = a.how != crate::job::How::Key;
-        (Job { at: a.at, status: a.status, took: a.took, ..job.clone() }, marked)
+        (
+            Job {
+                at: a.at,
+                status: a.status,
+                took: a.took,
+                ..job.clone()
+            },
+            marked,
+        )
     });
-    std::iter::once((first, false)).chain(rest).map(|(job, marked)| {
-        let (within, seq, id, file) = (1, 0, 0, 0);
-        Try { job, within, seq, id, marked, file }
-    })
+    std::iter::once((first, false))
+        .chain(rest)
+        .map(|(job, marked)| {
+            let (within, seq, id, file) = (1, 0, 0, 0);
+            Try {
+                job,
+                within,
+                seq,
+                id,
+                marked,
+                file,
+            }
+        })
 }
 
 /// What came of an import.
@@ -353,7 +431,10 @@
 /// # Errors
 /// Why there is no recording; what had been written is of no use then.
 pub fn import(
-    paths: &[PathBuf], options: &Options, out: impl Write, read: &Arc<AtomicU64>,
+    paths: &[PathBuf],
+    options: &Options,
+    out: impl Write,
+    read: &Arc<AtomicU64>,
 ) -> Result<Imported, Failed> {
     let (names, known, sorter) = Default::default();
     let mut intake = Intake {
@@ -375,13 +456,17 @@
     files.sort_by(|a, b| (a.first, a.path).cmp(&(b.first, b.path)));
     let mut made_of = Vec::new();
     for (n, Probed { path, kind, .. }) in files.into_iter().enumerate() {
-        let name =
-            path.file_name().map_or_else(|| path.display().to_string(), |n| n.to_string_lossy().into_owned());
+        let name = path.file_name().map_or_else(
+            || path.display().to_string(),
+            |n| n.to_string_lossy().into_owned(),
+        );
         let io = |e| Failed::File(path.display().to_string(), e);
         let mut from = source::open(path, read.clone()).map_err(io)?;
         (intake.latest, intake.before) = (None, None);
         match kind {
-            Kind::Lines(format) => intake.lines(&format, &mut *from, &name, n as u32).map_err(io)?,
+            Kind::Lines(format) => intake
+                .lines(&format, &mut *from, &name, n as u32)
+                .map_err(io)?,
             Kind::Har => intake.har(&mut *from, &name, n as u32, &io)?,
             Kind::Recording => intake.recording(&mut *from, &name)?,
         }
@@ -392,7 +477,12 @@
     }
     let (bad, all) = (intake.tally.bad(), intake.tally.read);
     if bad as f64 > options.max_bad * all as f64 {
-        return Err(Failed::TooMany(bad, all, bad as f64 / all as f64, options.max_bad));
+        return Err(Failed::TooMany(
+            bad,
+            all,
+            bad as f64 / all as f64,
+            options.max_bad,
+        ));
     }
     let io = |e| Failed::File("the recording".into(), e);
     let mut tally = intake.tally;
@@ -401,12 +491,19 @@
     let guess_within = (guess.within_ms.min(3_600_000) * 1000) as Micros;
     let file = &options.mapping.file;
     let marks = !file.retry_mark.is_empty() && !guess.unmarked_too;
-    let mut folder = Folder::new(Rules { guess_within, tries: guess.tries, id_kept: file.id_kept, marks });
+    let mut folder = Folder::new(Rules {
+        guess_within,
+        tries: guess.tries,
+        id_kept: file.id_kept,
+        marks,
+    });
     let mut writer = Writer::new(out, &Header::new(made_of, options.seed)).map_err(io)?;
     let mut failed = None;
     for t in &mut tries {
         let t = t.map_err(io)?;
-        folder.push(t, &mut tally, |job| failed = failed.take().or(writer.write(&job).err()));
+        folder.push(t, &mut tally, |job| {
+            failed = failed.take().or(writer.write(&job).err())
+        });
         if let Some(e) = failed.take() {
             return Err(io(e));
         }
@@ -426,7 +523,10 @@
 /// A compressed file that ends too soon, or is damaged from here on.
 fn broken_off(error: &io::Error) -> bool {
     use io::ErrorKind::{InvalidData, InvalidInput, Other, UnexpectedEof};
-    matches!(error.kind(), UnexpectedEof | InvalidData | InvalidInput | Other)
+    matches!(
+        error.kind(),
+        UnexpectedEof | InvalidData | InvalidInput | Other
+    )
 }
 
 /// The beginning of a file, uncompressed.
@@ -462,7 +562,9 @@
     if let Kind::Lines(format) = &kind {
         let mut stamps = Reader::new(options.mapping.zone.clone());
         let text = String::from_utf8_lossy(&head);
-        let stamp = text.lines().find_map(|line| format.read(line, &mut stamps).ok()?.stamp);
+        let stamp = text
+            .lines()
+            .find_map(|line| format.read(line, &mut stamps).ok()?.stamp);
         first = stamp.map_or(first, |s| s.at);
     }
     Ok(Probed { path, kind, first })
--- a/crates/traffic/src/job.rs
+++ b/crates/traffic/src/job.rs
@@ -69,5 +69,7 @@
 
 /// A number for a text, the same at every start (FNV-1a).
 pub fn number(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
--- a/crates/traffic/src/line/apache.rs
+++ b/crates/traffic/src/line/apache.rs
@@ -14,7 +14,10 @@
         parts.literal(&rest[..at]);
         let (mark, after) = (rest.as_bytes()[at], &rest[at + 1..]);
         if mark == b'\\' {
-            let escaped = after.chars().next().ok_or("the format ends in a backslash")?;
+            let escaped = after
+                .chars()
+                .next()
+                .ok_or("the format ends in a backslash")?;
             parts.literal(&match escaped {
                 'n' => "\n".to_string(),
                 't' => "\t".to_string(),
@@ -28,7 +31,9 @@
         let body = body.trim_start_matches(['<', '>']);
         let (argument, body) = match body.strip_prefix('{') {
             Some(inner) => {
-                let close = inner.find('}').ok_or("a '{' in the format is never closed")?;
+                let close = inner
+                    .find('}')
+                    .ok_or("a '{' in the format is never closed")?;
                 (Some(&inner[..close]), &inner[close + 1..])
             }
             None => (None, body),
@@ -86,8 +91,8 @@
             ('i', Some(name)) => Field::Header(name.to_ascii_lowercase()),
             ('C', Some(name)) => Field::Header(format!("cookie.{name}")),
             (
-                'a' | 'A' | 'b' | 'B' | 'e' | 'f' | 'H' | 'I' | 'k' | 'l' | 'L' | 'n' | 'o' | 'O' | 'p' | 'P'
-                | 'R' | 'S' | 'v' | 'V' | 'X',
+                'a' | 'A' | 'b' | 'B' | 'e' | 'f' | 'H' | 'I' | 'k' | 'l' | 'L' | 'n' | 'o' | 'O'
+                | 'p' | 'P' | 'R' | 'S' | 'v' | 'V' | 'X',
                 _,
             ) => Field::Skip,
             (letter, _) => return Err(format!("%{letter} is no directive of Apache's LogFormat")),
--- a/crates/traffic/src/line/envoy.rs
+++ b/crates/traffic/src/line/envoy.rs
@@ -19,16 +19,22 @@
             continue;
         }
         // %NAME(ARGUMENT):LENGTH%, and the argument of a time holds '%' itself.
-        let name_end = after.find(|c: char| !c.is_ascii_alphanumeric() && c != '_').unwrap_or(after.len());
+        let name_end = after
+            .find(|c: char| !c.is_ascii_alphanumeric() && c != '_')
+            .unwrap_or(after.len());
         let (name, tail) = after.split_at(name_end);
         let (argument, tail) = match tail.strip_prefix('(') {
             Some(inner) => {
-                let close = inner.find(')').ok_or("a '(' in the format is never closed")?;
+                let close = inner
+                    .find(')')
+                    .ok_or("a '(' in the format is never closed")?;
                 (Some(&inner[..close]), &inner[close + 1..])
             }
             None => (None, tail),
         };
-        let close = tail.find('%').ok_or_else(|| format!("'%{name}' in the format is never closed"))?;
+        let close = tail
+            .find('%')
+            .ok_or_else(|| format!("'%{name}' in the format is never closed"))?;
         rest = &tail[close + 1..];
         parts.field(field(name, argument)?);
     }
@@ -61,9 +67,10 @@
         ("BYTES_RECEIVED", _) => Field::Received,
         ("DURATION", _) => Field::Took(1_000),
         ("DOWNSTREAM_REMOTE_ADDRESS" | "DOWNSTREAM_REMOTE_ADDRESS_WITHOUT_PORT", _) => Field::Peer,
-        ("DOWNSTREAM_DIRECT_REMOTE_ADDRESS" | "DOWNSTREAM_DIRECT_REMOTE_ADDRESS_WITHOUT_PORT", _) => {
-            Field::Skip
-        }
+        (
+            "DOWNSTREAM_DIRECT_REMOTE_ADDRESS" | "DOWNSTREAM_DIRECT_REMOTE_ADDRESS_WITHOUT_PORT",
+            _,
+        ) => Field::Skip,
         ("REQ", None) => return Err("%REQ% names no header".into()),
         ("", _) => return Err("'%' stands alone; a '%' itself is written '%%'".into()),
         _ => Field::Skip,
--- a/crates/traffic/src/line/json.rs
+++ b/crates/traffic/src/line/json.rs
@@ -116,7 +116,11 @@
             Unit::Ms => 1_000,
             Unit::Us => 1,
         };
-        let mut raw = Raw { stamp: Some(stamp), status, ..Raw::default() };
+        let mut raw = Raw {
+            stamp: Some(stamp),
+            status,
+            ..Raw::default()
+        };
         raw.target = Some(Cow::Owned(text(&self.target).ok_or(Reason::BadRequest)?));
         raw.method = of(&self.method).map(Cow::Owned);
         raw.peer = of(&self.peer).map(Cow::Owned);
@@ -131,7 +135,8 @@
         }
         for (name, pointer) in &self.headers {
             if let Some(value) = text(pointer) {
-                raw.headers.push((Cow::Owned(name.to_ascii_lowercase()), Cow::Owned(value)));
+                raw.headers
+                    .push((Cow::Owned(name.to_ascii_lowercase()), Cow::Owned(value)));
             }
         }
         Ok(raw)
--- a/crates/traffic/src/line/nginx.rs
+++ b/crates/traffic/src/line/nginx.rs
@@ -16,7 +16,9 @@
         let name = |c: char| c.is_ascii_alphanumeric() || c == '_';
         let variable = match after.strip_prefix('{') {
             Some(inner) => {
-                let close = inner.find('}').ok_or("a '${' in the format is never closed")?;
+                let close = inner
+                    .find('}')
+                    .ok_or("a '${' in the format is never closed")?;
                 rest = &inner[close + 1..];
                 &inner[..close]
             }
@@ -27,7 +29,9 @@
             }
         };
         if variable.is_empty() || !variable.chars().all(name) {
-            return Err(format!("'${variable}' is no variable: letters, digits and '_' are allowed"));
+            return Err(format!(
+                "'${variable}' is no variable: letters, digits and '_' are allowed"
+            ));
         }
         parts.field(field(variable));
     }
