--- a/crates/traffic/src/line/template.rs
+++ b/crates/traffic/src/line/template.rs
@@ -87,10 +87,16 @@
     /// # Errors
     /// Two fields with nothing between them, of which none can be told from the other; no time; no request.
     pub fn done(mut self, escapes: Escapes, end: bool) -> Result<Template, String> {
-        self.parts.retain(|p| !matches!(p, Part::Literal(text) if text.is_empty()));
+        self.parts
+            .retain(|p| !matches!(p, Part::Literal(text) if text.is_empty()));
         let fields = |p: &Part| matches!(p, Part::Field(_));
         // Some texts are empty more often than not, and stand right behind another: path and query are one.
-        let joined = |pair: &[Part]| matches!(pair, [Part::Field(Field::Target), Part::Field(Field::Query)]);
+        let joined = |pair: &[Part]| {
+            matches!(
+                pair,
+                [Part::Field(Field::Target), Part::Field(Field::Query)]
+            )
+        };
         while let Some(n) = self.parts.windows(2).position(joined) {
             self.parts.remove(n + 1);
         }
@@ -98,7 +104,9 @@
             return Err("two fields stand side by side with no text between them".into());
         }
         let has = |wanted: &dyn Fn(&Field) -> bool| {
-            self.parts.iter().any(|p| matches!(p, Part::Field(f) if wanted(f)))
+            self.parts
+                .iter()
+                .any(|p| matches!(p, Part::Field(f) if wanted(f)))
         };
         if !has(&|f| matches!(f, Field::Time(_))) {
             return Err("the format has no time".into());
@@ -106,7 +114,11 @@
         if !has(&|f| matches!(f, Field::Request | Field::Target)) {
             return Err("the format has no request".into());
         }
-        Ok(Template { parts: self.parts, escapes, end })
+        Ok(Template {
+            parts: self.parts,
+            escapes,
+            end,
+        })
     }
 }
 
@@ -122,7 +134,11 @@
             _ => memmem::find(&rest[at..], next)?,
         } + at;
         let slashes = match quoted && escapes == Escapes::Backslash {
-            true => rest[..found].iter().rev().take_while(|b| **b == b'\\').count(),
+            true => rest[..found]
+                .iter()
+                .rev()
+                .take_while(|b| **b == b'\\')
+                .count(),
             false => 0,
         };
         if slashes % 2 == 0 && rest[found..].starts_with(next) {
@@ -153,7 +169,8 @@
                     let rest = &bytes[at..];
                     let end = match self.parts.get(n + 1) {
                         Some(Part::Literal(next)) => {
-                            let quoted = before.last() == Some(&b'"') && next.first() == Some(&b'"');
+                            let quoted =
+                                before.last() == Some(&b'"') && next.first() == Some(&b'"');
                             value_end(rest, next, quoted, self.escapes).ok_or(Reason::Malformed)?
                         }
                         _ => rest.len(),
@@ -174,7 +191,11 @@
     }
 
     fn take<'a>(
-        &self, raw: &mut Raw<'a>, field: &'a Field, value: &'a str, stamps: &mut Reader,
+        &self,
+        raw: &mut Raw<'a>,
+        field: &'a Field,
+        value: &'a str,
+        stamps: &mut Reader,
         fraction: &mut Option<(Micros, Micros)>,
     ) -> Result<(), Reason> {
         let absent = value == "-" || value.is_empty();
@@ -193,7 +214,10 @@
             }
             Field::Fraction(digits) => {
                 let unit = 10i64.pow(6u32.saturating_sub(*digits));
-                let part = value.parse::<Micros>().ok().filter(|p| (0..1_000_000 / unit).contains(p));
+                let part = value
+                    .parse::<Micros>()
+                    .ok()
+                    .filter(|p| (0..1_000_000 / unit).contains(p));
                 *fraction = Some((part.ok_or(Reason::BadTime)? * unit, unit));
             }
             Field::Request => {
@@ -204,9 +228,8 @@
                 // A cut or hostile request line is as the server found it.
                 let (method, target) = match text {
                     Cow::Borrowed(text) => request_line(text).map(|(m, t)| (m.into(), t.into())),
-                    Cow::Owned(text) => {
-                        request_line(&text).map(|(m, t)| (Cow::from(m.to_string()), Cow::from(t.to_string())))
-                    }
+                    Cow::Owned(text) => request_line(&text)
+                        .map(|(m, t)| (Cow::from(m.to_string()), Cow::from(t.to_string()))),
                 }
                 .ok_or(Reason::BadRequest)?;
                 (raw.method, raw.target) = (Some(method), Some(target));
@@ -239,7 +262,8 @@
                 };
             }
             Field::Header(name) if !absent => {
-                raw.headers.push((Cow::Borrowed(name.as_str()), self.plain(value)));
+                raw.headers
+                    .push((Cow::Borrowed(name.as_str()), self.plain(value)));
             }
             _ => {}
         }
@@ -277,7 +301,8 @@
             }
         }
         Cow::Owned(
-            String::from_utf8(out).unwrap_or_else(|e| e.into_bytes().iter().map(|b| *b as char).collect()),
+            String::from_utf8(out)
+                .unwrap_or_else(|e| e.into_bytes().iter().map(|b| *b as char).collect()),
         )
     }
 }
@@ -285,7 +310,10 @@
 /// Method and target of `METHOD TARGET HTTP/1.1`; the version may be missing, as in HTTP/0.9.
 fn request_line(text: &str) -> Option<(&str, &str)> {
     let (method, rest) = text.split_once(' ')?;
-    let target = rest.rsplit_once(" HTTP/").map_or(rest, |(target, _)| target).trim();
+    let target = rest
+        .rsplit_once(" HTTP/")
+        .map_or(rest, |(target, _)| target)
+        .trim();
     let word = !method.is_empty()
         && method.len() <= 32
         && method.bytes().all(|b| b.is_ascii_alphabetic() || b == b'-');
@@ -296,12 +324,16 @@
 pub fn duration(text: &str, unit: Micros) -> Option<Micros> {
     let one = |text: &str| {
         let value: f64 = text.trim().parse().ok()?;
-        (value.is_finite() && (0.0..1e9).contains(&value)).then(|| (value * unit as f64).round() as Micros)
+        (value.is_finite() && (0.0..1e9).contains(&value))
+            .then(|| (value * unit as f64).round() as Micros)
     };
     if let Some(value) = one(text) {
         return Some(value);
     }
-    let parts: Vec<Micros> =
-        text.split([',', ':']).filter(|p| p.trim() != "-").map(one).collect::<Option<_>>()?;
+    let parts: Vec<Micros> = text
+        .split([',', ':'])
+        .filter(|p| p.trim() != "-")
+        .map(one)
+        .collect::<Option<_>>()?;
     (!parts.is_empty()).then(|| parts.iter().sum())
 }
--- a/crates/traffic/src/mapping.rs
+++ b/crates/traffic/src/mapping.rs
@@ -98,12 +98,17 @@
     pub fn new(file: File) -> Result<Self, MapError> {
         let mut wrong = Vec::new();
         let zone = TimeZone::get(&file.zone).unwrap_or_else(|_| {
-            wrong.push(format!("at /zone: {:?} is no time zone; Europe/Lisbon is one", file.zone));
+            wrong.push(format!(
+                "at /zone: {:?} is no time zone; Europe/Lisbon is one",
+                file.zone
+            ));
             TimeZone::UTC
         });
         let (mut trusted, mut networks) = (Networks::default(), Networks::default());
         for (n, net) in file.trusted.iter().enumerate() {
-            let _ = trusted.add(net, "trusted").inspect_err(|e| wrong.push(format!("at /trusted/{n}: {e}")));
+            let _ = trusted
+                .add(net, "trusted")
+                .inspect_err(|e| wrong.push(format!("at /trusted/{n}: {e}")));
         }
         for (name, nets) in &file.networks {
             for (n, net) in nets.iter().enumerate() {
@@ -167,13 +172,16 @@
         let begins = |list: &[String]| list.iter().any(|p| path.starts_with(p.as_str()));
         let of_method = jobs.methods.is_empty()
             || method.is_some_and(|m| jobs.methods.iter().any(|j| j.eq_ignore_ascii_case(m)));
-        if !of_method || (!jobs.paths.is_empty() && !begins(&jobs.paths)) || begins(&jobs.not_paths) {
+        if !of_method || (!jobs.paths.is_empty() && !begins(&jobs.paths)) || begins(&jobs.not_paths)
+        {
             return Err(Reason::NotAJob);
         }
         let mut remarks = Vec::new();
         let mut from = None;
         if let Some(peer) = raw.peer.as_deref() {
-            match address(peer).map(|peer| client(peer, raw.header("x-forwarded-for"), &self.trusted)) {
+            match address(peer)
+                .map(|peer| client(peer, raw.header("x-forwarded-for"), &self.trusted))
+            {
                 Some(Ok(address)) => from = Some(address),
                 Some(Err(address)) => {
                     from = Some(address);
@@ -182,7 +190,12 @@
                 None => {}
             }
         }
-        let seen = Seen { raw, path, from, networks: &self.networks };
+        let seen = Seen {
+            raw,
+            path,
+            from,
+            networks: &self.networks,
+        };
         let class = seen.first(&self.class).ok_or(Reason::NoClass)?;
         let class = names.name(&class);
         let parish = match seen.first(&self.parish) {
@@ -193,13 +206,21 @@
         let mut odd = raw.odd_number;
         let mut count = |ways: &[Way], most: f64| {
             let text = seen.first(ways)?;
-            let value = text.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v > 0.0 && *v <= most);
+            let value = text
+                .trim()
+                .parse::<f64>()
+                .ok()
+                .filter(|v| v.is_finite() && *v > 0.0 && *v <= most);
             odd |= value.is_none();
             value
         };
         let deadline = count(&self.deadline, 86_400_000.0).map(|ms| (ms * 1000.0) as Micros);
-        let deadline = deadline
-            .or_else(|| self.file.deadline_of.get(&*class).map(|ms| (*ms).min(86_400_000) as Micros * 1000));
+        let deadline = deadline.or_else(|| {
+            self.file
+                .deadline_of
+                .get(&*class)
+                .map(|ms| (*ms).min(86_400_000) as Micros * 1000)
+        });
         let slots = count(&self.slots, 65_536.0).map(|v| v as f32);
         if odd {
             remarks.push(Remark::BadNumber);
@@ -219,7 +240,10 @@
             at,
             class,
             parish,
-            subject: seen.first(&self.subject).map(Cow::into_owned).unwrap_or_default(),
+            subject: seen
+                .first(&self.subject)
+                .map(Cow::into_owned)
+                .unwrap_or_default(),
             key: seen.first(&self.key).map(Cow::into_owned),
             deadline,
             bytes: raw.received.unwrap_or(0),
@@ -229,9 +253,17 @@
             took: raw.took,
             tries: Vec::new(),
         };
-        let marked = seen.first(&self.mark).is_some_and(|m| !matches!(m.trim(), "" | "0" | "false"));
+        let marked = seen
+            .first(&self.mark)
+            .is_some_and(|m| !matches!(m.trim(), "" | "0" | "false"));
         let id = seen.first(&self.id).map_or(0, |id| number(&id).max(1));
-        Ok(Meant { job, within: stamp.within, id, marked, remarks })
+        Ok(Meant {
+            job,
+            within: stamp.within,
+            id,
+            marked,
+            remarks,
+        })
     }
 }
 
--- a/crates/traffic/src/mapping/file.rs
+++ b/crates/traffic/src/mapping/file.rs
@@ -90,7 +90,11 @@
 
 impl Default for Jobs {
     fn default() -> Self {
-        Jobs { methods: post(), paths: Vec::new(), not_paths: Vec::new() }
+        Jobs {
+            methods: post(),
+            paths: Vec::new(),
+            not_paths: Vec::new(),
+        }
     }
 }
 
@@ -119,7 +123,11 @@
 
 impl Default for Guess {
     fn default() -> Self {
-        Guess { within_ms: within(), tries: tries(), unmarked_too: false }
+        Guess {
+            within_ms: within(),
+            tries: tries(),
+            unmarked_too: false,
+        }
     }
 }
 
--- a/crates/traffic/src/mapping/way.rs
+++ b/crates/traffic/src/mapping/way.rs
@@ -35,8 +35,8 @@
     let source = match &rule.from {
         From::Segment(n) => Source::Segment(*n),
         From::Path(pattern) => {
-            let regex =
-                Regex::new(pattern).map_err(|e| format!("{pattern:?} is no regular expression: {e}"))?;
+            let regex = Regex::new(pattern)
+                .map_err(|e| format!("{pattern:?} is no regular expression: {e}"))?;
             Source::Path(regex)
         }
         From::Query(name) => Source::Query(name.clone()),
@@ -44,13 +44,23 @@
         From::Pair(header, name) => Source::Pair(header.to_ascii_lowercase(), name.clone()),
         From::Cookie(name) => Source::Cookie(name.clone()),
         From::User => Source::User,
-        From::Network if no_networks => return Err("there are no 'networks' to name a client by".into()),
+        From::Network if no_networks => {
+            return Err("there are no 'networks' to name a client by".into());
+        }
         From::Network => Source::Network,
         From::Address => Source::Address,
         From::Always(text) => Source::Always(text.clone()),
     };
-    let names = rule.names.iter().map(|(a, b)| (a.clone(), b.clone())).collect();
-    Ok(Way { source, names, others: rule.others })
+    let names = rule
+        .names
+        .iter()
+        .map(|(a, b)| (a.clone(), b.clone()))
+        .collect();
+    Ok(Way {
+        source,
+        names,
+        others: rule.others,
+    })
 }
 
 /// A record, and who sent it.
@@ -79,10 +89,18 @@
     fn value(&self, source: &'a Source) -> Option<Cow<'a, str>> {
         let plain = |text: &'a str| Some(Cow::Borrowed(text));
         match source {
-            Source::Segment(n) if *n >= 0 => {
-                plain(self.path.trim_start_matches('/').split('/').nth(*n as usize)?)
-            }
-            Source::Segment(n) => plain(self.path.trim_end_matches('/').rsplit('/').nth((-1 - n) as usize)?),
+            Source::Segment(n) if *n >= 0 => plain(
+                self.path
+                    .trim_start_matches('/')
+                    .split('/')
+                    .nth(*n as usize)?,
+            ),
+            Source::Segment(n) => plain(
+                self.path
+                    .trim_end_matches('/')
+                    .rsplit('/')
+                    .nth((-1 - n) as usize)?,
+            ),
             Source::Path(regex) => {
                 let found = regex.captures(self.path)?;
                 plain(found.get(1).or(found.get(0))?.as_str())
@@ -90,8 +108,17 @@
             Source::Query(name) => plain(self.raw.parameter(name)?),
             Source::Header(name) => plain(self.raw.header(name)?),
             Source::Pair(header, name) => {
-                let pairs = self.raw.header(header)?.split(',').filter_map(|p| p.split_once('='));
-                plain(pairs.map(|(n, v)| (n.trim(), v.trim())).find(|(n, _)| n == name)?.1)
+                let pairs = self
+                    .raw
+                    .header(header)?
+                    .split(',')
+                    .filter_map(|p| p.split_once('='));
+                plain(
+                    pairs
+                        .map(|(n, v)| (n.trim(), v.trim()))
+                        .find(|(n, _)| n == name)?
+                        .1,
+                )
             }
             Source::Cookie(name) => plain(self.raw.cookie(name)?),
             Source::User => plain(self.raw.user.as_deref()?),
--- a/crates/traffic/src/networks.rs
+++ b/crates/traffic/src/networks.rs
@@ -20,12 +20,14 @@
 
 /// An address may be written with a prefix length, or alone.
 pub fn network(text: &str) -> Result<IpNet, String> {
-    let bad = || format!("{text:?} is no network: 10.4.0.0/16, 2001:db8::/32 or one address is allowed");
+    let bad =
+        || format!("{text:?} is no network: 10.4.0.0/16, 2001:db8::/32 or one address is allowed");
     match text.parse::<IpNet>() {
         // A host part that is set was most likely meant otherwise.
-        Ok(net) if net.trunc() != net => {
-            Err(format!("{text:?} has bits beyond its prefix: {} was meant?", net.trunc()))
-        }
+        Ok(net) if net.trunc() != net => Err(format!(
+            "{text:?} has bits beyond its prefix: {} was meant?",
+            net.trunc()
+        )),
         Ok(net) => Ok(net),
         Err(_) => text.parse::<IpAddr>().map(IpNet::from).map_err(|_| bad()),
     }
@@ -80,7 +82,10 @@
         return Some(plain(address.ip()));
     }
     let inner = text.strip_prefix('[')?.split(']').next()?;
-    inner.parse::<Ipv6Addr>().ok().map(|v6| plain(IpAddr::V6(v6)))
+    inner
+        .parse::<Ipv6Addr>()
+        .ok()
+        .map(|v6| plain(IpAddr::V6(v6)))
 }
 
 fn plain(address: IpAddr) -> IpAddr {
@@ -97,7 +102,11 @@
     if !trusted.hold(peer) {
         return Ok(peer);
     }
-    for text in forwarded.unwrap_or("").rsplit(',').filter(|t| !t.trim().is_empty()) {
+    for text in forwarded
+        .unwrap_or("")
+        .rsplit(',')
+        .filter(|t| !t.trim().is_empty())
+    {
         match address(text) {
             Some(address) => last = address,
             None => return Err(last),
--- a/crates/traffic/src/networks/tests.rs
+++ b/crates/traffic/src/networks/tests.rs
@@ -9,9 +9,12 @@
 #[test]
 fn the_longest_prefix_names_an_address() {
     let mut nets = Networks::default();
-    for (net, name) in
-        [("10.0.0.0/8", "all"), ("10.4.0.0/16", "gualtar"), ("10.4.7.1", "till"), ("2001:db8::/32", "six")]
-    {
+    for (net, name) in [
+        ("10.0.0.0/8", "all"),
+        ("10.4.0.0/16", "gualtar"),
+        ("10.4.7.1", "till"),
+        ("2001:db8::/32", "six"),
+    ] {
         nets.add(net, name).expect("a network");
     }
     let name = |text: &str| nets.find(ip(text)).map(|n| n.to_string());
@@ -21,7 +24,9 @@
     assert_eq!(name("::ffff:10.4.9.9").as_deref(), Some("gualtar"));
     assert_eq!(name("[2001:db8::7]:80").as_deref(), Some("six"));
     assert_eq!(name("192.0.2.1"), None);
-    assert!(nets.add("10.4.0.0/16", "other").is_err() && nets.add("10.4.0.1/16", "gualtar").is_err());
+    assert!(
+        nets.add("10.4.0.0/16", "other").is_err() && nets.add("10.4.0.1/16", "gualtar").is_err()
+    );
     assert!(nets.add("ten", "gualtar").is_err());
 }
 
@@ -31,8 +36,17 @@
     let mut trusted = Networks::default();
     trusted.add("10.0.0.0/8", "proxy").expect("a network");
     let of = |peer: &str, forwarded| client(ip(peer), forwarded, &trusted).map(|a| a.to_string());
-    assert_eq!(of("192.0.2.1", Some("198.51.100.7")), Ok("192.0.2.1".into()));
-    assert_eq!(of("10.0.0.1", Some("203.0.113.9, 198.51.100.7, 10.0.0.2")), Ok("198.51.100.7".into()));
-    assert_eq!(of("10.0.0.1", Some("unknown, 10.0.0.2")), Err(ip("10.0.0.2")));
+    assert_eq!(
+        of("192.0.2.1", Some("198.51.100.7")),
+        Ok("192.0.2.1".into())
+    );
+    assert_eq!(
+        of("10.0.0.1", Some("203.0.113.9, 198.51.100.7, 10.0.0.2")),
+        Ok("198.51.100.7".into())
+    );
+    assert_eq!(
+        of("10.0.0.1", Some("unknown, 10.0.0.2")),
+        Err(ip("10.0.0.2"))
+    );
     assert_eq!(of("10.0.0.1", None), Ok("10.0.0.1".into()));
 }
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -52,7 +52,11 @@
             self.per_second.resize(second + 1, 0);
         }
         self.per_second[second] += 1;
-        for took in job.took.into_iter().chain(job.tries.iter().filter_map(|a| a.took)) {
+        for took in job
+            .took
+            .into_iter()
+            .chain(job.tries.iter().filter_map(|a| a.took))
+        {
             self.took = (self.took.0 + took as f64, self.took.1 + 1);
         }
     }
@@ -61,7 +65,12 @@
     pub fn finish(mut self) -> Self {
         let n = self.per_second.len().max(1) as f64;
         let mean = self.per_second.iter().map(|c| f64::from(*c)).sum::<f64>() / n;
-        let var = self.per_second.iter().map(|c| (f64::from(*c) - mean).powi(2)).sum::<f64>() / n;
+        let var = self
+            .per_second
+            .iter()
+            .map(|c| (f64::from(*c) - mean).powi(2))
+            .sum::<f64>()
+            / n;
         self.dispersion = if mean > 0.0 { var / mean } else { 0.0 };
         self.mean_took = self.took.0 / self.took.1.max(1) as f64;
         self
@@ -70,12 +79,15 @@
 
 /// Keeps jobs whose first try lies in `[from, to)`.
 pub fn cut(jobs: impl Iterator<Item = Job>, from: Micros, to: Micros) -> impl Iterator<Item = Job> {
-    jobs.skip_while(move |j| j.at < from).take_while(move |j| j.at < to)
+    jobs.skip_while(move |j| j.at < from)
+        .take_while(move |j| j.at < to)
 }
 
 /// Keeps jobs of these classes and parishes; an empty list keeps all.
 pub fn filter(
-    jobs: impl Iterator<Item = Job>, classes: Vec<String>, parishes: Vec<String>,
+    jobs: impl Iterator<Item = Job>,
+    classes: Vec<String>,
+    parishes: Vec<String>,
 ) -> impl Iterator<Item = Job> {
     let in_list = |list: &[String], name: &str| list.is_empty() || list.iter().any(|n| n == name);
     jobs.filter(move |j| in_list(&classes, &j.class) && in_list(&parishes, &j.parish))
@@ -96,7 +108,9 @@
 
     fn next(&mut self) -> Option<Job> {
         let heads = self.0.iter_mut().enumerate();
-        let first = heads.filter_map(|(n, i)| i.peek().map(|j| (j.at, n))).min()?;
+        let first = heads
+            .filter_map(|(n, i)| i.peek().map(|j| (j.at, n)))
+            .min()?;
         self.0[first.1].next()
     }
 }
@@ -124,8 +138,19 @@
         match *self {
             Factor::Always(times) => times,
             Factor::Jump { from, to, .. } if t < from || t >= to => 1.0,
-            Factor::Jump { from, to, edge, times } => {
-                let up = |d: Micros| if edge <= 0 { 1.0 } else { (d as f64 / edge as f64).min(1.0) };
+            Factor::Jump {
+                from,
+                to,
+                edge,
+                times,
+            } => {
+                let up = |d: Micros| {
+                    if edge <= 0 {
+                        1.0
+                    } else {
+                        (d as f64 / edge as f64).min(1.0)
+                    }
+                };
                 1.0 + (times - 1.0) * up(t - from).min(up(to - t))
             }
         }
@@ -148,7 +173,14 @@
     /// In stretches of so long; draws begin at the seed.
     pub fn new(from: I, factor: Factor, block: Micros, seed: u64) -> Self {
         let (rng, ready) = (Pcg64Mcg::seed_from_u64(seed), VecDeque::new());
-        Scaled { from: from.peekable(), factor, block: block.max(1), rng, ready, copies: 0 }
+        Scaled {
+            from: from.peekable(),
+            factor,
+            block: block.max(1),
+            rng,
+            ready,
+            copies: 0,
+        }
     }
 
     fn stretch(&mut self) -> Option<()> {
@@ -162,7 +194,11 @@
         let mut all = Vec::new();
         for copy in 0..times.ceil() as u64 {
             let share = (times - copy as f64).min(1.0);
-            let turn = if copy == 0 { 0 } else { (unit(&mut self.rng) * self.block as f64) as Micros };
+            let turn = if copy == 0 {
+                0
+            } else {
+                (unit(&mut self.rng) * self.block as f64) as Micros
+            };
             for job in &own {
                 if share < 1.0 && unit(&mut self.rng) >= share {
                     continue;
@@ -203,14 +239,19 @@
 /// Puts keyed hashes (BLAKE3) in place of what names people and things: subjects, keys and clients; parishes too if
 /// wanted. The same key gives the same names again, so that recordings can still be compared.
 pub fn pseudonymise<I: Iterator<Item = Job>>(
-    jobs: I, secret: &str, parishes: bool,
+    jobs: I,
+    secret: &str,
+    parishes: bool,
 ) -> impl Iterator<Item = Job> + use<I> {
     let key = blake3::derive_key("indigofold recording pseudonyms 2026", secret.as_bytes());
     let mut names: FxHashMap<Arc<str>, Arc<str>> = FxHashMap::default();
     jobs.map(move |mut job| {
         let hash = |field: &str, text: &str| {
             let mut hasher = blake3::Hasher::new_keyed(&key);
-            hasher.update(field.as_bytes()).update(&[0]).update(text.as_bytes());
+            hasher
+                .update(field.as_bytes())
+                .update(&[0])
+                .update(text.as_bytes());
             hasher.finalize()
         };
         let short = |field: &str, text: &str| hash(field, text).to_hex()[..16].to_string();
@@ -220,12 +261,16 @@
         job.key = job.key.as_deref().map(|k| short("key", k));
         if job.client != 0 {
             let bytes = hash("client", &job.client.to_string());
-            let first = bytes.as_bytes()[..8].iter().fold(0, |n, b| n << 8 | u64::from(*b));
+            let first = bytes.as_bytes()[..8]
+                .iter()
+                .fold(0, |n, b| n << 8 | u64::from(*b));
             job.client = first.max(1);
         }
         if parishes && !job.parish.is_empty() {
             let parish = names.entry(job.parish.clone());
-            job.parish = parish.or_insert_with_key(|p| short("parish", p).into()).clone();
+            job.parish = parish
+                .or_insert_with_key(|p| short("parish", p).into())
+                .clone();
         }
         job
     })
--- a/crates/traffic/src/order.rs
+++ b/crates/traffic/src/order.rs
@@ -75,20 +75,31 @@
 
 impl Spill {
     fn new() -> io::Result<Self> {
-        Ok(Spill { out: BufWriter::with_capacity(BUFFER, tempfile::tempfile()?), bytes: Vec::new() })
+        Ok(Spill {
+            out: BufWriter::with_capacity(BUFFER, tempfile::tempfile()?),
+            bytes: Vec::new(),
+        })
     }
 
     fn write(&mut self, t: &Try) -> io::Result<()> {
         self.bytes.clear();
-        self.bytes = postcard::to_extend(t, std::mem::take(&mut self.bytes)).map_err(io::Error::other)?;
-        self.out.write_all(&(self.bytes.len() as u32).to_le_bytes())?;
+        self.bytes =
+            postcard::to_extend(t, std::mem::take(&mut self.bytes)).map_err(io::Error::other)?;
+        self.out
+            .write_all(&(self.bytes.len() as u32).to_le_bytes())?;
         self.out.write_all(&self.bytes)
     }
 
     fn read(self) -> io::Result<Run> {
-        let mut file = self.out.into_inner().map_err(io::IntoInnerError::into_error)?;
+        let mut file = self
+            .out
+            .into_inner()
+            .map_err(io::IntoInnerError::into_error)?;
         file.rewind()?;
-        Ok(Run { from: BufReader::with_capacity(BUFFER, file), bytes: Vec::new() })
+        Ok(Run {
+            from: BufReader::with_capacity(BUFFER, file),
+            bytes: Vec::new(),
+        })
     }
 }
 
@@ -106,7 +117,9 @@
         }
         self.bytes.resize(u32::from_le_bytes(length) as usize, 0);
         self.from.read_exact(&mut self.bytes)?;
-        postcard::from_bytes(&self.bytes).map(|t| Some(Box::new(t))).map_err(io::Error::other)
+        postcard::from_bytes(&self.bytes)
+            .map(|t| Some(Box::new(t)))
+            .map_err(io::Error::other)
     }
 }
 
@@ -130,7 +143,14 @@
     /// One that holds so many tries in memory.
     pub fn new(room: usize) -> Self {
         let heap = BinaryHeap::new();
-        Sorter { heap, room: room.max(1), run: 0, last: Micros::MIN, out: None, runs: Vec::new() }
+        Sorter {
+            heap,
+            room: room.max(1),
+            run: 0,
+            last: Micros::MIN,
+            out: None,
+            runs: Vec::new(),
+        }
     }
 
     /// Takes a try.
@@ -140,7 +160,8 @@
     pub fn push(&mut self, t: Try) -> io::Result<()> {
         // What is older than what this run has written goes to the next one.
         let run = self.run + u32::from(self.out.is_some() && t.job.at < self.last);
-        self.heap.push(Reverse(Keyed(run, t.job.at, t.seq, Box::new(t))));
+        self.heap
+            .push(Reverse(Keyed(run, t.job.at, t.seq, Box::new(t))));
         if self.heap.len() > self.room
             && let Some(Reverse(Keyed(run, at, _, t))) = self.heap.pop()
         {
@@ -179,7 +200,11 @@
         let mut rest: Vec<Keyed> = self.heap.into_iter().map(|r| r.0).collect();
         rest.sort_by_key(|k| (k.1, k.2));
         let rest = rest.into_iter().map(|k| k.3).collect();
-        Ok(Sorted { merge: Merge::new(self.runs)?, held: None, rest })
+        Ok(Sorted {
+            merge: Merge::new(self.runs)?,
+            held: None,
+            rest,
+        })
     }
 }
 
@@ -193,7 +218,10 @@
     fn new(runs: Vec<Run>) -> io::Result<Self> {
         let count = runs.len();
         let runs = runs.into_iter().map(|run| (run, None)).collect();
-        let mut merge = Merge { runs, heads: BinaryHeap::new() };
+        let mut merge = Merge {
+            runs,
+            heads: BinaryHeap::new(),
+        };
         (0..count).try_for_each(|n| merge.advance(n))?;
         Ok(merge)
     }
@@ -243,7 +271,11 @@
             (Some(_), None) => true,
             (None, _) => false,
         };
-        let next = if from_runs { self.held.take() } else { self.rest.pop_front() };
+        let next = if from_runs {
+            self.held.take()
+        } else {
+            self.rest.pop_front()
+        };
         next.map(|t| Ok(*t))
     }
 }
@@ -263,7 +295,12 @@
     /// Draws begin at the seed.
     pub fn new(from: I, seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        Spread { from: from.peekable(), rng, heap: BinaryHeap::new(), spread: 0 }
+        Spread {
+            from: from.peekable(),
+            rng,
+            heap: BinaryHeap::new(),
+            spread: 0,
+        }
     }
 
     /// Takes all tries of the next stamp.
@@ -273,8 +310,10 @@
             Err(e) => return Some(Err(e)),
         };
         let (at, within) = (first.job.at, first.within.max(1));
-        let same =
-            |t: &io::Result<Try>| t.as_ref().is_ok_and(|t| t.job.at == at && t.within.max(1) == within);
+        let same = |t: &io::Result<Try>| {
+            t.as_ref()
+                .is_ok_and(|t| t.job.at == at && t.within.max(1) == within)
+        };
         let mut group: SmallVec<[Try; 1]> = SmallVec::from_buf([first]);
         while let Some(Ok(t)) = self.from.next_if(same) {
             group.push(t);
@@ -287,13 +326,19 @@
         for of_file in group.chunk_by_mut(|a, b| a.file == b.file) {
             let mut draws: SmallVec<[Micros; 4]> = SmallVec::new();
             if within > 1 {
-                draws.extend((0..of_file.len()).map(|_| (unit(&mut self.rng) * within as f64) as Micros));
+                draws.extend(
+                    (0..of_file.len()).map(|_| (unit(&mut self.rng) * within as f64) as Micros),
+                );
                 draws.sort_unstable();
             }
-            of_file.iter_mut().zip(draws).for_each(|(t, by)| t.job.at += by);
+            of_file
+                .iter_mut()
+                .zip(draws)
+                .for_each(|(t, by)| t.job.at += by);
         }
         for t in group {
-            self.heap.push(Reverse(Keyed(0, t.job.at, t.seq, Box::new(t))));
+            self.heap
+                .push(Reverse(Keyed(0, t.job.at, t.seq, Box::new(t))));
         }
         Some(Ok(()))
     }
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -34,19 +34,27 @@
 impl Raw<'_> {
     /// A header's value, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_ref())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_ref())
     }
 
     /// A cookie's value.
     pub fn cookie(&self, name: &str) -> Option<&str> {
         let own = |(n, v): &'_ (Cow<'_, str>, Cow<'_, str>)| {
-            n.strip_prefix("cookie.").is_some_and(|n| n == name).then(|| v.len())
+            n.strip_prefix("cookie.")
+                .is_some_and(|n| n == name)
+                .then(|| v.len())
         };
         if let Some(i) = self.headers.iter().position(|h| own(h).is_some()) {
             return Some(&self.headers[i].1);
         }
         let all = self.header("cookie")?;
-        all.split(';').filter_map(|p| p.trim().split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+        all.split(';')
+            .filter_map(|p| p.trim().split_once('='))
+            .find(|(n, _)| *n == name)
+            .map(|(_, v)| v)
     }
 
     /// The path alone, without scheme, authority and query.
@@ -66,6 +74,10 @@
             None => self.target.as_deref()?.split_once('?')?.1,
         };
         let query = query.split('#').next().unwrap_or("");
-        query.split('&').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+        query
+            .split('&')
+            .filter_map(|p| p.split_once('='))
+            .find(|(n, _)| *n == name)
+            .map(|(_, v)| v)
     }
 }
--- a/crates/traffic/src/recording.rs
+++ b/crates/traffic/src/recording.rs
@@ -50,7 +50,12 @@
 impl Header {
     /// A header of the version that is written.
     pub fn new(made_of: Vec<String>, seed: u64) -> Self {
-        Header { format: FORMAT.into(), version: VERSION, made_of, seed }
+        Header {
+            format: FORMAT.into(),
+            version: VERSION,
+            made_of,
+            seed,
+        }
     }
 }
 
@@ -120,7 +125,12 @@
     pub fn new(mut out: W, header: &Header) -> io::Result<Self> {
         serde_json::to_writer(&mut out, header)?;
         out.write_all(b"\n")?;
-        Ok(Writer { out, bytes: Vec::new(), end: End::default(), last: Micros::MIN })
+        Ok(Writer {
+            out,
+            bytes: Vec::new(),
+            end: End::default(),
+            last: Micros::MIN,
+        })
     }
 
     /// Writes a job.
@@ -129,7 +139,9 @@
     /// It cannot be written, or comes out of order.
     pub fn write(&mut self, job: &Job) -> io::Result<()> {
         if job.at < self.last {
-            return Err(io::Error::other("jobs must be written in the order of their times"));
+            return Err(io::Error::other(
+                "jobs must be written in the order of their times",
+            ));
         }
         self.last = job.at;
         let retry = |a: &Again| (a.at - job.at, a.status, a.took, a.how, a.sure);
@@ -150,7 +162,8 @@
         self.bytes.clear();
         serde_json::to_writer(&mut self.bytes, &line)?;
         self.bytes.push(b'\n');
-        (self.end.jobs, self.end.tries) = (self.end.jobs + 1, self.end.tries + job.tries.len() as u64);
+        (self.end.jobs, self.end.tries) =
+            (self.end.jobs + 1, self.end.tries + job.tries.len() as u64);
         self.out.write_all(&self.bytes)
     }
 
@@ -160,7 +173,12 @@
     /// It cannot be written.
     pub fn finish(mut self, tally: Option<Tally>) -> io::Result<(W, End)> {
         self.end.tally = tally;
-        serde_json::to_writer(&mut self.out, &Last { end: self.end.clone() })?;
+        serde_json::to_writer(
+            &mut self.out,
+            &Last {
+                end: self.end.clone(),
+            },
+        )?;
         self.out.write_all(b"\n")?;
         self.out.flush()?;
         Ok((self.out, self.end))
@@ -174,7 +192,9 @@
     #[error("the recording cannot be read: {0}")]
     Io(#[from] io::Error),
     /// It does not begin with a header.
-    #[error("this is no recording: its first line must be {{\"format\":\"{FORMAT}\",\"version\":{VERSION}}}")]
+    #[error(
+        "this is no recording: its first line must be {{\"format\":\"{FORMAT}\",\"version\":{VERSION}}}"
+    )]
     NoHeader,
     /// It is of another version.
     #[error("the recording is of version {0}; versions 1 to {VERSION} can be read")]
@@ -221,7 +241,17 @@
             return Err(Bad::Version(header.version));
         }
         let (names, last) = (Default::default(), Micros::MIN);
-        Ok(Reader { from, header, end: None, text, line: 1, jobs: 0, last, names, over: false })
+        Ok(Reader {
+            from,
+            header,
+            end: None,
+            text,
+            line: 1,
+            jobs: 0,
+            last,
+            names,
+            over: false,
+        })
     }
 
     fn job(&mut self) -> Result<Option<Job>, Bad> {
@@ -274,7 +304,9 @@
     if text.last() == Some(&b'\n') {
         text.pop();
     } else if count == LINE {
-        return Err(io::Error::other("a line is longer than any that is written"));
+        return Err(io::Error::other(
+            "a line is longer than any that is written",
+        ));
     }
     Ok(count > 0)
 }
--- a/crates/traffic/src/source.rs
+++ b/crates/traffic/src/source.rs
@@ -28,7 +28,13 @@
 /// # Errors
 /// It cannot be opened, or is in UTF-16, which no server writes.
 pub fn open(path: &Path, read: Arc<AtomicU64>) -> io::Result<Box<dyn BufRead>> {
-    plain(BufReader::with_capacity(BUFFER, Counted { file: File::open(path)?, read }))
+    plain(BufReader::with_capacity(
+        BUFFER,
+        Counted {
+            file: File::open(path)?,
+            read,
+        },
+    ))
 }
 
 /// What stands in a stream that may be compressed.
@@ -39,9 +45,10 @@
     let head = from.fill_buf()?;
     let head = [0, 1, 2, 3].map(|n| head.get(n).copied().unwrap_or(0));
     Ok(match head {
-        [0x1f, 0x8b, ..] => {
-            unmarked(BufReader::with_capacity(BUFFER, flate2::bufread::MultiGzDecoder::new(from)))?
-        }
+        [0x1f, 0x8b, ..] => unmarked(BufReader::with_capacity(
+            BUFFER,
+            flate2::bufread::MultiGzDecoder::new(from),
+        ))?,
         [0x28, 0xb5, 0x2f, 0xfd] => {
             let decoder = zstd::stream::read::Decoder::with_buffer(from)?;
             unmarked(BufReader::with_capacity(BUFFER, decoder))?
@@ -54,7 +61,9 @@
 fn unmarked<'a>(mut from: impl BufRead + 'a) -> io::Result<Box<dyn BufRead + 'a>> {
     let head = from.fill_buf()?;
     if head.starts_with(&[0xff, 0xfe]) || head.starts_with(&[0xfe, 0xff]) {
-        return Err(io::Error::other("the file is in UTF-16; UTF-8, Latin-1, gzip and zstd are read"));
+        return Err(io::Error::other(
+            "the file is in UTF-16; UTF-8, Latin-1, gzip and zstd are read",
+        ));
     }
     if head.starts_with(&[0xef, 0xbb, 0xbf]) {
         from.consume(3);
--- a/crates/traffic/src/stamp.rs
+++ b/crates/traffic/src/stamp.rs
@@ -57,7 +57,12 @@
 impl Reader {
     /// Local times without an offset are of this zone.
     pub fn new(zone: TimeZone) -> Self {
-        Reader { zone, minute: None, last: None, dst: false }
+        Reader {
+            zone,
+            minute: None,
+            last: None,
+            dst: false,
+        }
     }
 
     /// Was the last stamp a local time that comes twice, or not at all?
@@ -79,7 +84,11 @@
             return Err(BadStamp);
         }
         self.last = Some(at);
-        Ok(Stamp { at, within, end: false })
+        Ok(Stamp {
+            at,
+            within,
+            end: false,
+        })
     }
 
     /// `10/Oct/2000:13:55:36 -0700`, with the minute's start remembered.
@@ -96,8 +105,10 @@
             Some((m, o, base)) if m == minute && o == offset => *base,
             _ => {
                 let base = clf_minute(minute, offset).ok_or(BadStamp)?;
-                let copied =
-                    (minute.try_into().map_err(|_| BadStamp)?, offset.try_into().map_err(|_| BadStamp)?);
+                let copied = (
+                    minute.try_into().map_err(|_| BadStamp)?,
+                    offset.try_into().map_err(|_| BadStamp)?,
+                );
                 self.minute = Some((copied.0, copied.1, base));
                 base
             }
@@ -124,14 +135,20 @@
         if let Ok(stamp) = read.to_timestamp() {
             return Ok((stamp.as_microsecond(), within));
         }
-        Ok((self.local(read.to_datetime().map_err(|_| BadStamp)?)?, within))
+        Ok((
+            self.local(read.to_datetime().map_err(|_| BadStamp)?)?,
+            within,
+        ))
     }
 
     /// A local time. One that comes twice is read as the first of the two, unless the log has gone past that; one that
     /// does not come at all is read with the offset before the change.
     fn local(&mut self, local: DateTime) -> Result<Micros, BadStamp> {
         let with = |offset: jiff::tz::Offset| {
-            offset.to_timestamp(local).map(|t| t.as_microsecond()).map_err(|_| BadStamp)
+            offset
+                .to_timestamp(local)
+                .map(|t| t.as_microsecond())
+                .map_err(|_| BadStamp)
         };
         match self.zone.to_ambiguous_timestamp(local).offset() {
             AmbiguousOffset::Unambiguous { offset } => with(offset),
@@ -142,7 +159,11 @@
             AmbiguousOffset::Fold { before, after } => {
                 self.dst = true;
                 let first = with(before)?;
-                if self.last.is_some_and(|last| first + BACK < last) { with(after) } else { Ok(first) }
+                if self.last.is_some_and(|last| first + BACK < last) {
+                    with(after)
+                } else {
+                    Ok(first)
+                }
             }
         }
     }
@@ -156,17 +177,26 @@
 
 /// The start of a minute written `10/Oct/2000:13:55`, at an offset written `-0700`.
 fn clf_minute(minute: &[u8], offset: &[u8]) -> Option<Micros> {
-    const MONTHS: [&[u8]; 12] =
-        [b"Jan", b"Feb", b"Mar", b"Apr", b"May", b"Jun", b"Jul", b"Aug", b"Sep", b"Oct", b"Nov", b"Dec"];
+    const MONTHS: [&[u8]; 12] = [
+        b"Jan", b"Feb", b"Mar", b"Apr", b"May", b"Jun", b"Jul", b"Aug", b"Sep", b"Oct", b"Nov",
+        b"Dec",
+    ];
     let parts = [minute[2], minute[6], minute[11], minute[14]];
     if parts != *b"//::" {
         return None;
     }
     let month = MONTHS.iter().position(|m| *m == &minute[3..6])? as i8 + 1;
     let year = two(&minute[7..9])? * 100 + two(&minute[9..11])?;
-    let (day, hour, min) = (two(&minute[..2])?, two(&minute[12..14])?, two(&minute[15..17])?);
+    let (day, hour, min) = (
+        two(&minute[..2])?,
+        two(&minute[12..14])?,
+        two(&minute[15..17])?,
+    );
     let at = DateTime::new(year as i16, month, day as i8, hour as i8, min as i8, 0, 0).ok()?;
-    let utc = jiff::tz::Offset::UTC.to_timestamp(at).ok()?.as_microsecond();
+    let utc = jiff::tz::Offset::UTC
+        .to_timestamp(at)
+        .ok()?
+        .as_microsecond();
     let sign = match offset[0] {
         b'+' => 1,
         b'-' => -1,
@@ -178,8 +208,13 @@
 
 /// How exactly a text with a fraction of a second tells the time.
 fn fraction(text: &str) -> Micros {
-    let Some(dot) = text.rfind(['.', ',']) else { return SECOND };
-    let digits = text[dot + 1..].bytes().take_while(u8::is_ascii_digit).count() as u32;
+    let Some(dot) = text.rfind(['.', ',']) else {
+        return SECOND;
+    };
+    let digits = text[dot + 1..]
+        .bytes()
+        .take_while(u8::is_ascii_digit)
+        .count() as u32;
     10i64.pow(6u32.saturating_sub(digits.min(6)))
 }
 
@@ -190,14 +225,20 @@
     if whole.is_empty() || whole.len() > 18 || !digits(whole) || !digits(part) {
         return Err(BadStamp);
     }
-    let mut at = whole.parse::<Micros>().ok().and_then(|w| w.checked_mul(unit)).ok_or(BadStamp)?;
+    let mut at = whole
+        .parse::<Micros>()
+        .ok()
+        .and_then(|w| w.checked_mul(unit))
+        .ok_or(BadStamp)?;
     let mut within = unit;
     for digit in part.bytes() {
         if within < 10 {
             break;
         }
         within /= 10;
-        at = at.checked_add(within * Micros::from(digit - b'0')).ok_or(BadStamp)?;
+        at = at
+            .checked_add(within * Micros::from(digit - b'0'))
+            .ok_or(BadStamp)?;
     }
     Ok((at, within))
 }
--- a/crates/traffic/src/stamp/tests.rs
+++ b/crates/traffic/src/stamp/tests.rs
@@ -12,7 +12,10 @@
     let at = |r: &mut Reader, text: &str| r.read(&Form::Clf, text).map(|s| s.at / SECOND);
     assert_eq!(at(&mut r, "10/Oct/2000:13:55:36 -0700"), Ok(971_211_336));
     assert_eq!(at(&mut r, "10/Oct/2000:13:55:59 -0700"), Ok(971_211_359));
-    assert_eq!(at(&mut r, "10/Oct/2000:13:55:36 +0130"), Ok(971_211_336 - 30_600));
+    assert_eq!(
+        at(&mut r, "10/Oct/2000:13:55:36 +0130"),
+        Ok(971_211_336 - 30_600)
+    );
     for bad in [
         "",
         "10/Oct/2000:13:55:36",
@@ -32,12 +35,28 @@
     let mut read = |form: &Form, text: &str| r.read(form, text).map(|s| (s.at, s.within));
     let second = 1_700_000_000 * SECOND;
     assert_eq!(read(&Form::Seconds, "1700000000"), Ok((second, SECOND)));
-    assert_eq!(read(&Form::Seconds, "1700000000.125"), Ok((second + 125_000, 1_000)));
-    assert_eq!(read(&Form::Millis, "1700000000125"), Ok((second + 125_000, 1_000)));
-    assert_eq!(read(&Form::Iso, "2023-11-14T22:13:20.5Z"), Ok((second + 500_000, 100_000)));
-    assert_eq!(read(&Form::Iso, "2023-11-14T22:13:20"), Ok((second, SECOND)), "Lisbon is at UTC in winter");
+    assert_eq!(
+        read(&Form::Seconds, "1700000000.125"),
+        Ok((second + 125_000, 1_000))
+    );
+    assert_eq!(
+        read(&Form::Millis, "1700000000125"),
+        Ok((second + 125_000, 1_000))
+    );
+    assert_eq!(
+        read(&Form::Iso, "2023-11-14T22:13:20.5Z"),
+        Ok((second + 500_000, 100_000))
+    );
+    assert_eq!(
+        read(&Form::Iso, "2023-11-14T22:13:20"),
+        Ok((second, SECOND)),
+        "Lisbon is at UTC in winter"
+    );
     let pattern = Form::Pattern("%Y/%m/%d %H:%M:%S%.3f %z".into());
-    assert_eq!(read(&pattern, "2023/11/14 23:13:20.125 +0100"), Ok((second + 125_000, 1_000)));
+    assert_eq!(
+        read(&pattern, "2023/11/14 23:13:20.125 +0100"),
+        Ok((second + 125_000, 1_000))
+    );
 }
 
 /// The hour that comes twice: the log goes on, and does not jump back.
@@ -51,7 +70,11 @@
     let (first, dst) = at("2026-10-25T01:10:00");
     assert!(dst);
     assert_eq!(at("2026-10-25T01:59:59"), (first + 2_999, true));
-    assert_eq!(at("2026-10-25T01:00:01"), (first + 3_001, true), "the second time round");
+    assert_eq!(
+        at("2026-10-25T01:00:01"),
+        (first + 3_001, true),
+        "the second time round"
+    );
     assert_eq!(at("2026-10-25T02:00:00"), (first + 6_600, false));
     assert!(at("2026-03-29T01:30:00").1, "this one never came");
 }
--- a/crates/traffic/src/tally.rs
+++ b/crates/traffic/src/tally.rs
@@ -45,7 +45,10 @@
 impl Reason {
     /// Could the record not be understood? One that is blank, a comment, read before or no job by the mapping was.
     pub fn is_bad(self) -> bool {
-        !matches!(self, Reason::Blank | Reason::Comment | Reason::NotAJob | Reason::Duplicate)
+        !matches!(
+            self,
+            Reason::Blank | Reason::Comment | Reason::NotAJob | Reason::Duplicate
+        )
     }
 }
 
@@ -126,9 +129,16 @@
         self.count += 1;
         if self.examples.len() < EXAMPLES {
             let text = String::from_utf8_lossy(&text[..text.len().min(SHOWN * 4)]);
-            let text =
-                text.chars().map(|c| if c.is_control() { '\u{fffd}' } else { c }).take(SHOWN).collect();
-            self.examples.push(Example { file: place.file.to_string(), line: place.line, text });
+            let text = text
+                .chars()
+                .map(|c| if c.is_control() { '\u{fffd}' } else { c })
+                .take(SHOWN)
+                .collect();
+            self.examples.push(Example {
+                file: place.file.to_string(),
+                line: place.line,
+                text,
+            });
         }
     }
 }
@@ -164,7 +174,11 @@
 
     /// Records that could not be understood.
     pub fn bad(&self) -> u64 {
-        self.rejected.iter().filter(|(r, _)| r.is_bad()).map(|(_, c)| c.count).sum()
+        self.rejected
+            .iter()
+            .filter(|(r, _)| r.is_bad())
+            .map(|(_, c)| c.count)
+            .sum()
     }
 
     /// Does every record read stand somewhere?
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -21,9 +21,18 @@
 fn short(raw: &Raw<'_>) -> String {
     let text = |t: &Option<std::borrow::Cow<'_, str>>| t.as_deref().unwrap_or("-").to_string();
     let stamp = raw.stamp.map_or("no time".into(), |s| {
-        format!("{}.{:06}{}", s.at / 1_000_000, s.at % 1_000_000, if s.end { " end" } else { "" })
+        format!(
+            "{}.{:06}{}",
+            s.at / 1_000_000,
+            s.at % 1_000_000,
+            if s.end { " end" } else { "" }
+        )
     });
-    let headers: Vec<String> = raw.headers.iter().map(|(n, v)| format!("{n}={v}")).collect();
+    let headers: Vec<String> = raw
+        .headers
+        .iter()
+        .map(|(n, v)| format!("{n}={v}"))
+        .collect();
     format!(
         "{stamp} | {} {} | {} {} | {:?} {:?} | {}",
         text(&raw.peer),
@@ -38,13 +47,19 @@
 
 #[test]
 fn common_and_combined_lines() {
-    let line =
-        r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326"#;
+    let line = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326"#;
     let said = "1791636936.000000 | 192.0.2.1 anna | POST /reserve-stock/kit-7 | Some(200) None | ";
     assert_eq!(read("common", line), said);
     let more = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326 "-" "a \"b\" c""#;
-    assert_eq!(read("combined", more), format!("{said}user-agent=a \"b\" c"));
-    assert_eq!(read("combined", line), "Malformed", "the quotes are missing");
+    assert_eq!(
+        read("combined", more),
+        format!("{said}user-agent=a \"b\" c")
+    );
+    assert_eq!(
+        read("combined", line),
+        "Malformed",
+        "the quotes are missing"
+    );
     assert!(
         read("common", more).starts_with(&said[..60]),
         "the rest of the line is the count of bytes, which is not used"
@@ -54,7 +69,8 @@
 #[test]
 fn broken_lines_say_why() {
     let of = |from: &str, to: &str| {
-        let line = r#"192.0.2.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a/b HTTP/1.1" 200 2 "-" "-""#;
+        let line =
+            r#"192.0.2.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a/b HTTP/1.1" 200 2 "-" "-""#;
         assert!(line.contains(from));
         read("combined", &line.replace(from, to))
     };
@@ -66,20 +82,28 @@
     assert_eq!(of("POST /a/b HTTP/1.1", "-"), "BadRequest");
     assert_eq!(of(" \"-\" \"-\"", ""), "Malformed");
     assert_eq!(of("[", ""), "Malformed");
-    assert!(of(" 200 ", " - ").contains("| None None |"), "no status is no error: the client left");
+    assert!(
+        of(" 200 ", " - ").contains("| None None |"),
+        "no status is no error: the client left"
+    );
 }
 
 #[test]
 fn apache_formats_with_durations_headers_and_fractions() {
     let format = r#"apache:%a %{X-Forwarded-For}i %{%d/%b/%Y %T}t.%{msec_frac}t %{%z}t "%r" %>s %D %{session}C %{ms}T"#;
     assert!(LineFormat::named(format).is_ok());
-    let format = r#"apache:%a [%{sec}t.%{usec_frac}t] "%m %U%q %H" %>s %b %{us}T "%{X-Customer}i" %{who}C"#;
-    let line = r#"2001:db8::7 [1791636936.250000] "POST /a/b?x=1 HTTP/2.0" 503 - 1500 "gualtar" anna"#;
+    let format =
+        r#"apache:%a [%{sec}t.%{usec_frac}t] "%m %U%q %H" %>s %b %{us}T "%{X-Customer}i" %{who}C"#;
+    let line =
+        r#"2001:db8::7 [1791636936.250000] "POST /a/b?x=1 HTTP/2.0" 503 - 1500 "gualtar" anna"#;
     let said = "1791636936.250000 | 2001:db8::7 - | POST /a/b?x=1 | Some(503) Some(1500) | x-customer=gualtar cookie.who=anna";
     assert_eq!(read(format, line), said);
     let end = r#"apache:%h %{end:usec}t "%r" %s %{ms}T"#;
     let line = r#"h 1791636936250000 "POST /a HTTP/1.1" 200 12"#;
-    assert_eq!(read(end, line), "1791636936.250000 end | h - | POST /a | Some(200) Some(12000) | ");
+    assert_eq!(
+        read(end, line),
+        "1791636936.250000 end | h - | POST /a | Some(200) Some(12000) | "
+    );
 }
 
 #[test]
@@ -92,7 +116,10 @@
     let said = "1791636936.125000 end | 10.0.0.1 - | POST /a/\"b | Some(200) Some(50000) | x-customer=real user-agent=x";
     assert_eq!(read(format, line), said, "the finer of two times counts");
     let plain = r#"10.0.0.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a HTTP/1.1" 499 0 "-" "-""#;
-    assert_eq!(read("nginx", plain), "1791636936.000000 end | 10.0.0.1 - | POST /a | Some(499) None | ");
+    assert_eq!(
+        read("nginx", plain),
+        "1791636936.000000 end | 10.0.0.1 - | POST /a | Some(499) None | "
+    );
 }
 
 #[test]
@@ -106,7 +133,10 @@
     assert_eq!(read("envoy", line), said);
     let own = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
     let line = "1791636936.250 10.0.0.1:4711 POST /a 200 7";
-    assert_eq!(read(own, line), "1791636936.250000 | 10.0.0.1:4711 - | POST /a | Some(200) Some(7000) | ");
+    assert_eq!(
+        read(own, line),
+        "1791636936.250000 | 10.0.0.1:4711 - | POST /a | Some(200) Some(7000) | "
+    );
 }
 
 #[test]
@@ -145,7 +175,10 @@
     );
     assert_eq!(read(r#"{"req":{"path":"/a"}}"#), "NoTime");
     assert_eq!(read(r#"{"ts":"soon","req":{"path":"/a"}}"#), "BadTime");
-    assert_eq!(read(r#"{"ts":1791636936250,"status":700,"req":{"path":"/a"}}"#), "BadStatus");
+    assert_eq!(
+        read(r#"{"ts":1791636936250,"status":700,"req":{"path":"/a"}}"#),
+        "BadStatus"
+    );
     assert_eq!(read(r#"{"ts":1791636936250}"#), "BadRequest");
     assert_eq!(read(r#"[1]"#), "Malformed");
     assert_eq!(read(r#"{"ts":17916369"#), "Malformed");
@@ -200,7 +233,10 @@
     }
     let cut = &text[..text.len() - 5];
     assert_eq!(entries(cut, 64).last(), Some(&Err(Reason::Truncated)));
-    assert!(Splitter::default().finish().is_err(), "no array of entries is an error");
+    assert!(
+        Splitter::default().finish().is_err(),
+        "no array of entries is an error"
+    );
 }
 
 /// Guards against a document with large bodies taking as much memory, and against cuts that break the text.
@@ -234,5 +270,8 @@
         r#"{{"log":{{"entries":[{{"a":"{}"}},{{"startedDateTime":"x"}}]}}}}"#,
         body(&"\\\\".repeat(20))
     );
-    assert_eq!(entries(&escapes, 4096), [Err(Reason::TooLong), Err(Reason::BadTime)]);
+    assert_eq!(
+        entries(&escapes, 4096),
+        [Err(Reason::TooLong), Err(Reason::BadTime)]
+    );
 }
--- a/crates/traffic/tests/importing.rs
+++ b/crates/traffic/tests/importing.rs
@@ -15,8 +15,7 @@
     "subject":[{"from":{"segment":1}}],"parish":[{"from":{"header":"X-Customer"}},{"from":"network"}],
     "key":[{"from":{"header":"Idempotency-Key"}}],"id":[{"from":{"header":"X-Trace-Id"}}],
     "retry-mark":[{"from":{"header":"X-Second-Try"}}],"deadline-of":{"reserve-stock":5000},"guess":{"unmarked-too":true}}"#;
-const HEADERS: &str =
-    r#"apache:%h %l %u %t "%r" %>s %b %D "%{X-Trace-Id}i" "%{Idempotency-Key}i" "%{X-Second-Try}i""#;
+const HEADERS: &str = r#"apache:%h %l %u %t "%r" %>s %b %D "%{X-Trace-Id}i" "%{Idempotency-Key}i" "%{X-Second-Try}i""#;
 
 struct Dir(tempfile::TempDir);
 
@@ -51,7 +50,10 @@
     let jobs: Vec<Job> = reader.by_ref().map(|j| j.expect("a job")).collect();
     assert_eq!(reader.end.as_ref(), Some(&imported.end));
     let tries: usize = jobs.iter().map(|j| j.tries.len()).sum();
-    assert_eq!((jobs.len() as u64, tries as u64), (imported.tally.taken, imported.tally.folded));
+    assert_eq!(
+        (jobs.len() as u64, tries as u64),
+        (imported.tally.taken, imported.tally.folded)
+    );
     Ok((imported, jobs))
 }
 
@@ -89,7 +91,8 @@
         text.extend(bytes);
     }
     let path = dir.file("access.log", &text);
-    let (imported, jobs) = taken(std::slice::from_ref(&path), &options(Some("common"))).expect("jobs");
+    let (imported, jobs) =
+        taken(std::slice::from_ref(&path), &options(Some("common"))).expect("jobs");
     let of = |reason| rejected(&imported, reason);
     assert_eq!((imported.tally.read, imported.tally.taken), (11, 2));
     let reasons = [
@@ -116,20 +119,35 @@
         ("reserve-stock", "real", "kit-1")
     );
     assert_eq!((jobs[0].deadline, jobs[0].status), (Some(5_000_000), 200));
-    let strict = Options { strict: true, ..options(Some("common")) };
+    let strict = Options {
+        strict: true,
+        ..options(Some("common"))
+    };
     assert!(matches!(
         taken(std::slice::from_ref(&path), &strict),
-        Err(Failed::Strict { line: 4, reason: Reason::Malformed, .. })
+        Err(Failed::Strict {
+            line: 4,
+            reason: Reason::Malformed,
+            ..
+        })
+    ));
+    let share = Options {
+        max_bad: 0.1,
+        ..options(Some("common"))
+    };
+    assert!(matches!(
+        taken(&[path], &share),
+        Err(Failed::TooMany(6, 11, _, _))
     ));
-    let share = Options { max_bad: 0.1, ..options(Some("common")) };
-    assert!(matches!(taken(&[path], &share), Err(Failed::TooMany(6, 11, _, _))));
 }
 
 #[test]
 fn compressed_and_rotated_files_are_told_by_their_content_and_read_in_order() {
     let dir = Dir::new();
     let lines = |from: u32, to: u32| {
-        (from..to).map(|s| line(s, &format!("/reserve/kit-{s}"), "200 5")).collect::<String>()
+        (from..to)
+            .map(|s| line(s, &format!("/reserve/kit-{s}"), "200 5"))
+            .collect::<String>()
     };
     let mut gz = flate2::write::GzEncoder::new(Vec::new(), flate2::Compression::fast());
     gz.write_all(lines(0, 60).as_bytes()).expect("written");
@@ -137,9 +155,16 @@
     let zst = zstd::encode_all(lines(60, 120).as_bytes(), 1).expect("zstd");
     // The newest file is rotated by copying: its first lines stand in the older one as well.
     let newest = lines(110, 180);
-    let paths = [dir.file("a.log", newest.as_bytes()), dir.file("b.txt", &zst), dir.file("c", &gz)];
+    let paths = [
+        dir.file("a.log", newest.as_bytes()),
+        dir.file("b.txt", &zst),
+        dir.file("c", &gz),
+    ];
     let (imported, jobs) = taken(&paths, &options(None)).expect("jobs");
-    assert_eq!((jobs.len(), rejected(&imported, Reason::Duplicate)), (180, 10));
+    assert_eq!(
+        (jobs.len(), rejected(&imported, Reason::Duplicate)),
+        (180, 10)
+    );
     let subjects: Vec<String> = (0..180).map(|s| format!("kit-{s}")).collect();
     assert!(jobs.iter().map(|j| &j.subject).eq(subjects.iter()));
     // A file that breaks off in the middle of compressed data gives what came before.
@@ -155,24 +180,40 @@
 #[test]
 fn one_second_stamps_are_spread_in_the_order_of_the_lines() {
     let dir = Dir::new();
-    let text: String = (0..400).map(|n| line(n / 100, &format!("/reserve/kit-{n}"), "200 5")).collect();
+    let text: String = (0..400)
+        .map(|n| line(n / 100, &format!("/reserve/kit-{n}"), "200 5"))
+        .collect();
     let path = dir.file("a.log", text.as_bytes());
-    let jobs = taken(std::slice::from_ref(&path), &options(None)).expect("jobs").1;
+    let jobs = taken(std::slice::from_ref(&path), &options(None))
+        .expect("jobs")
+        .1;
     let subjects: Vec<String> = (0..400).map(|n| format!("kit-{n}")).collect();
-    assert!(jobs.iter().map(|j| &j.subject).eq(subjects.iter()), "the order stays");
+    assert!(
+        jobs.iter().map(|j| &j.subject).eq(subjects.iter()),
+        "the order stays"
+    );
     let begin = jobs[0].at / 1_000_000;
     for (n, job) in jobs.iter().enumerate() {
-        assert_eq!(job.at / 1_000_000 - begin, n as i64 / 100, "each stays in its second");
+        assert_eq!(
+            job.at / 1_000_000 - begin,
+            n as i64 / 100,
+            "each stays in its second"
+        );
     }
     let parts: Vec<i64> = jobs.iter().map(|j| j.at % 1_000_000).collect();
     let mean = parts.iter().sum::<i64>() / 400;
     assert!((400_000..600_000).contains(&mean), "{mean}");
     assert_eq!(
         jobs,
-        taken(std::slice::from_ref(&path), &options(None)).expect("jobs").1,
+        taken(std::slice::from_ref(&path), &options(None))
+            .expect("jobs")
+            .1,
         "the same seed, the same draws"
     );
-    let other = Options { seed: 2, ..options(None) };
+    let other = Options {
+        seed: 2,
+        ..options(None)
+    };
     assert_ne!(jobs, taken(&[path], &other).expect("jobs").1);
 }
 
@@ -181,7 +222,8 @@
     let dir = Dir::new();
     let at = |s: u32| line(s, &format!("/reserve/kit-{s}"), "200 5");
     let text = [at(200), at(201), at(199), at(20), at(21), at(3500)].concat();
-    let (imported, jobs) = taken(&[dir.file("a.log", text.as_bytes())], &options(None)).expect("jobs");
+    let (imported, jobs) =
+        taken(&[dir.file("a.log", text.as_bytes())], &options(None)).expect("jobs");
     let seconds: Vec<String> = jobs.iter().map(|j| j.subject.replace("kit-", "")).collect();
     assert_eq!(seconds, ["20", "21", "199", "200", "201", "3500"]);
     assert_eq!(
@@ -194,7 +236,11 @@
 fn retries_become_one_first_try_by_key_mark_and_guess() {
     let dir = Dir::new();
     let at = |s: u32, path: &str, status: u32, us: u32, id: &str, key: &str, mark: &str| {
-        line(s, path, &format!("{status} 0 {us} \"{id}\" \"{key}\" \"{mark}\""))
+        line(
+            s,
+            path,
+            &format!("{status} 0 {us} \"{id}\" \"{key}\" \"{mark}\""),
+        )
     };
     let text = [
         at(1, "/book/kit-1", 503, 1000, "a1", "k1", "-"),
@@ -211,10 +257,15 @@
         at(50, "/reserve/kit-5", 200, 1000, "e2", "-", "-"), // too late for a guess
         at(60, "/reserve/kit-6", 200, 1000, "f1", "-", "1"), // its first try is lost
     ];
-    let (imported, jobs) =
-        taken(&[dir.file("a.log", text.concat().as_bytes())], &options(Some(HEADERS))).expect("jobs");
-    let found: Vec<(String, Vec<How>)> =
-        jobs.iter().map(|j| (j.subject.clone(), j.tries.iter().map(|a| a.how).collect())).collect();
+    let (imported, jobs) = taken(
+        &[dir.file("a.log", text.concat().as_bytes())],
+        &options(Some(HEADERS)),
+    )
+    .expect("jobs");
+    let found: Vec<(String, Vec<How>)> = jobs
+        .iter()
+        .map(|j| (j.subject.clone(), j.tries.iter().map(|a| a.how).collect()))
+        .collect();
     let wanted = [
         ("kit-1", vec![How::Key, How::Key]),
         ("kit-1", vec![]),
@@ -229,7 +280,10 @@
     assert_eq!(found, wanted.map(|(s, t)| (s.to_string(), t)));
     assert_eq!(remarked(&imported, Remark::Orphan), 1);
     let sure = |n: usize| jobs[n].tries[0].sure;
-    assert!(sure(0) > 0.99 && sure(2) > 0.99 && sure(3) > 0.5 && sure(3) < sure(2), "a guess is less sure");
+    assert!(
+        sure(0) > 0.99 && sure(2) > 0.99 && sure(3) > 0.5 && sure(3) < sure(2),
+        "a guess is less sure"
+    );
 }
 
 #[test]
@@ -242,17 +296,33 @@
         )
     };
     let order = [30, 10, 20, 50, 40];
-    let entries: Vec<String> = order.iter().map(|s| entry(*s, if *s == 20 { 0 } else { 200 })).collect();
-    let text =
-        format!(r#"{{"log":{{"version":"1.2","entries":[{},{}"#, entries.join(","), &entry(59, 200)[..40]);
-    let (imported, jobs) = taken(&[dir.file("x.har", text.as_bytes())], &options(None)).expect("jobs");
+    let entries: Vec<String> = order
+        .iter()
+        .map(|s| entry(*s, if *s == 20 { 0 } else { 200 }))
+        .collect();
+    let text = format!(
+        r#"{{"log":{{"version":"1.2","entries":[{},{}"#,
+        entries.join(","),
+        &entry(59, 200)[..40]
+    );
+    let (imported, jobs) =
+        taken(&[dir.file("x.har", text.as_bytes())], &options(None)).expect("jobs");
     let subjects: Vec<&str> = jobs.iter().map(|j| j.subject.as_str()).collect();
     assert_eq!(subjects, ["kit-10", "kit-20", "kit-30", "kit-40", "kit-50"]);
     assert!(jobs.iter().all(|j| &*j.parish == "palmeira"));
     assert_eq!((jobs[1].status, jobs[1].took), (0, None));
-    assert_eq!((rejected(&imported, Reason::Truncated), remarked(&imported, Remark::NoAnswer)), (1, 1));
+    assert_eq!(
+        (
+            rejected(&imported, Reason::Truncated),
+            remarked(&imported, Remark::NoAnswer)
+        ),
+        (1, 1)
+    );
     let none = dir.file("y.har", br#"{"log":{"pages":[]}}"#);
-    assert!(matches!(taken(&[none], &options(None)), Err(Failed::Form(..))));
+    assert!(matches!(
+        taken(&[none], &options(None)),
+        Err(Failed::Form(..))
+    ));
 }
 
 #[test]
@@ -260,16 +330,27 @@
     let dir = Dir::new();
     let fields = r#""json":{"time":"/t","target":"/p","method":"/m"}"#;
     let mapping = MAPPING.replacen("\"version\":1,", &format!("\"version\":1,{fields},"), 1);
-    let times = ["00:59:59", "01:30:00", "01:59:59", "01:00:00", "01:30:00", "02:00:00"];
+    let times = [
+        "00:59:59", "01:30:00", "01:59:59", "01:00:00", "01:30:00", "02:00:00",
+    ];
     let text: String = times
         .iter()
         .map(|t| format!("{{\"t\":\"2026-10-25T{t}\",\"p\":\"/reserve/a\",\"m\":\"POST\"}}\n"))
         .collect();
-    let options = Options { mapping: Mapping::read(&mapping).expect("a mapping"), ..options(None) };
+    let options = Options {
+        mapping: Mapping::read(&mapping).expect("a mapping"),
+        ..options(None)
+    };
     let (imported, jobs) = taken(&[dir.file("a.json", text.as_bytes())], &options).expect("jobs");
-    let minutes: Vec<i64> =
-        jobs.windows(2).map(|w| (w[1].at / 1_000_000 + 1) / 60 - (w[0].at / 1_000_000 + 1) / 60).collect();
-    assert_eq!(minutes.iter().sum::<i64>(), 120, "two hours pass between 00:59:59 and 02:00:00: {minutes:?}");
+    let minutes: Vec<i64> = jobs
+        .windows(2)
+        .map(|w| (w[1].at / 1_000_000 + 1) / 60 - (w[0].at / 1_000_000 + 1) / 60)
+        .collect();
+    assert_eq!(
+        minutes.iter().sum::<i64>(),
+        120,
+        "two hours pass between 00:59:59 and 02:00:00: {minutes:?}"
+    );
     assert!(minutes.iter().all(|m| *m >= 0));
     assert_eq!(remarked(&imported, Remark::Dst), 4);
 }
@@ -283,7 +364,14 @@
         r#"{"version":1,"zone":"Braga","trusted":["10.0.0.1/8"],"networks":{"a":["1.2.3.0/24"],"b":["1.2.3.0/24"]},
         "class":[{"from":{"path":"("}}],"parish":[{"from":"network"}],"id-kept":true}"#,
     );
-    for part in ["/zone", "/trusted/0", "/networks/b/0", "named both", "/class/0", "/id-kept"] {
+    for part in [
+        "/zone",
+        "/trusted/0",
+        "/networks/b/0",
+        "named both",
+        "/class/0",
+        "/id-kept",
+    ] {
         assert!(e.contains(part), "{part}: {e}");
     }
     assert!(error(r#"{"version":2,"class":[{"from":"user"}]}"#).contains("/version"));
@@ -296,13 +384,22 @@
 #[test]
 fn lines_of_two_files_in_one_second_are_not_put_one_after_the_other() {
     let dir = Dir::new();
-    let lines =
-        |name: &str| (0..200).map(|n| line(5, &format!("/reserve/{name}-{n}"), "200 5")).collect::<String>();
-    let paths = [dir.file("a.log", lines("a").as_bytes()), dir.file("b.log", lines("b").as_bytes())];
+    let lines = |name: &str| {
+        (0..200)
+            .map(|n| line(5, &format!("/reserve/{name}-{n}"), "200 5"))
+            .collect::<String>()
+    };
+    let paths = [
+        dir.file("a.log", lines("a").as_bytes()),
+        dir.file("b.log", lines("b").as_bytes()),
+    ];
     let jobs = taken(&paths, &options(None)).expect("jobs").1;
     for name in ["a-", "b-"] {
-        let of: Vec<i64> =
-            jobs.iter().filter(|j| j.subject.starts_with(name)).map(|j| j.at % 1_000_000).collect();
+        let of: Vec<i64> = jobs
+            .iter()
+            .filter(|j| j.subject.starts_with(name))
+            .map(|j| j.at % 1_000_000)
+            .collect();
         assert_eq!(of.len(), 200);
         let mean = of.iter().sum::<i64>() / 200;
         assert!((400_000..600_000).contains(&mean), "{name} {mean}");
@@ -318,8 +415,15 @@
         line(8, "/reserve/kit-5", "200 5").as_bytes(),
     ]
     .concat();
-    let (imported, _) = taken(&[dir.file("a.log", &latin)], &options(Some("common"))).expect("jobs");
-    assert_eq!((remarked(&imported, Remark::Latin1), rejected(&imported, Reason::NotAJob)), (0, 1));
+    let (imported, _) =
+        taken(&[dir.file("a.log", &latin)], &options(Some("common"))).expect("jobs");
+    assert_eq!(
+        (
+            remarked(&imported, Remark::Latin1),
+            rejected(&imported, Reason::NotAJob)
+        ),
+        (0, 1)
+    );
     let fields = r#""json":{"time":"/t","target":"/p","method":"/m"}"#;
     let mapping = MAPPING.replacen("\"version\":1,", &format!("\"version\":1,{fields},"), 1);
     let text = concat!(
@@ -328,7 +432,10 @@
         r#"{"t":"2026-10-25T03:30:00","p":"/reserve/a","m":"POST"}"#,
         "\n"
     );
-    let options = Options { mapping: Mapping::read(&mapping).expect("a mapping"), ..options(None) };
+    let options = Options {
+        mapping: Mapping::read(&mapping).expect("a mapping"),
+        ..options(None)
+    };
     let (imported, jobs) = taken(&[dir.file("a.json", text.as_bytes())], &options).expect("jobs");
     assert_eq!((jobs.len(), remarked(&imported, Remark::Dst)), (1, 0));
 }
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -15,9 +15,24 @@
 use std::sync::Arc;
 
 fn job() -> impl Strategy<Value = Job> {
-    let again = (0..5_000_000i64, 0u16..600, proptest::option::of(0..9_000_000i64), 0.0f32..1.0);
-    let texts = ("[a-z-]{1,12}", "[a-z-]{0,12}", any::<String>(), proptest::option::of(any::<String>()));
-    let counts = (0..4_000_000_000_000_000i64, any::<u64>(), any::<u64>(), 0u16..600);
+    let again = (
+        0..5_000_000i64,
+        0u16..600,
+        proptest::option::of(0..9_000_000i64),
+        0.0f32..1.0,
+    );
+    let texts = (
+        "[a-z-]{1,12}",
+        "[a-z-]{0,12}",
+        any::<String>(),
+        proptest::option::of(any::<String>()),
+    );
+    let counts = (
+        0..4_000_000_000_000_000i64,
+        any::<u64>(),
+        any::<u64>(),
+        0u16..600,
+    );
     (texts, counts, proptest::collection::vec(again, 0..4)).prop_map(
         |((class, parish, subject, key), (at, bytes, client, status), again)| Job {
             at,
@@ -33,14 +48,27 @@
             took: (status > 0).then_some(i64::from(status)),
             tries: again
                 .into_iter()
-                .map(|(d, status, took, sure)| Again { at: at + d, status, took, how: How::Guess, sure })
+                .map(|(d, status, took, sure)| Again {
+                    at: at + d,
+                    status,
+                    took,
+                    how: How::Guess,
+                    sure,
+                })
                 .collect(),
         },
     )
 }
 
 fn tried(job: Job, seq: u64, within: i64) -> Try {
-    Try { job, within, seq, id: 0, marked: false, file: 0 }
+    Try {
+        job,
+        within,
+        seq,
+        id: 0,
+        marked: false,
+        file: 0,
+    }
 }
 
 proptest! {
--- a/examples/in_process.rs
+++ b/examples/in_process.rs
@@ -71,7 +71,9 @@
         for action in actions {
             match action {
                 Action::Timer { at, name } => self.timer = Some((at, name)),
-                Action::Send { request, worker, .. } => {
+                Action::Send {
+                    request, worker, ..
+                } => {
                     println!("{:>8} us  action  {action:?}", self.now);
                     self.sent.push((request, worker));
                 }
@@ -93,8 +95,12 @@
 
 /// Runs the example and returns which worker each attempt went to.
 pub fn run() -> Vec<(RequestId, WorkerId)> {
-    let mut host =
-        Host { dispatcher: Dispatcher::new(settings(), 42, 0), now: 0, timer: None, sent: Vec::new() };
+    let mut host = Host {
+        dispatcher: Dispatcher::new(settings(), 42, 0),
+        now: 0,
+        timer: None,
+        sent: Vec::new(),
+    };
     let worker = |worker| Entry {
         worker,
         zone: 0,
@@ -104,7 +110,10 @@
         power: 1.0,
         ready_at: 0,
     };
-    host.tell(Event::List { scope: Scope::Full, entries: vec![worker(1), worker(2)] });
+    host.tell(Event::List {
+        scope: Scope::Full,
+        entries: vec![worker(1), worker(2)],
+    });
     let request = |id| Request {
         id,
         class: 0,
@@ -117,11 +126,20 @@
     };
     let outcome = |request, attempt, status| {
         let closed = status == Status::Ok;
-        Event::Outcome { request, attempt, status, closed, load: None }
+        Event::Outcome {
+            request,
+            attempt,
+            status,
+            closed,
+            load: None,
+        }
     };
     host.tell(Event::Request(request(1)));
     host.pass(2_000);
-    host.tell(Event::Started { request: 1, attempt: 0 });
+    host.tell(Event::Started {
+        request: 1,
+        attempt: 0,
+    });
     host.pass(60_000);
     host.tell(outcome(1, 0, Status::Ok));
     // The second one fails at once; its class is safe to repeat, so it goes to the other worker.
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -23,7 +23,9 @@
         let mut line = String::new();
         from.read_line(&mut line).ok()?;
         match line.trim_end().split_once(": ") {
-            Some((name, value)) if name.eq_ignore_ascii_case("X-Trace-Id") => trace = value.to_string(),
+            Some((name, value)) if name.eq_ignore_ascii_case("X-Trace-Id") => {
+                trace = value.to_string()
+            }
             Some((name, value)) if name.eq_ignore_ascii_case("Content-Length") => {
                 length = value.parse().ok()?
             }
@@ -36,7 +38,11 @@
 }
 
 fn answer(to: &mut TcpStream, status: &str, body: &str) {
-    let _ = write!(to, "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let _ = write!(
+        to,
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
 }
 
 /// Serves every connection in a thread of its own.
@@ -44,7 +50,9 @@
     let listener = TcpListener::bind(address).unwrap_or_else(|e| panic!("{address}: {e}"));
     for stream in listener.incoming().flatten() {
         spawn(move || {
-            let Ok(mut to) = stream.try_clone() else { return };
+            let Ok(mut to) = stream.try_clone() else {
+                return;
+            };
             let mut from = BufReader::new(stream);
             while let Some((first, trace)) = request(&mut from) {
                 each(first, trace, &mut to);
@@ -55,13 +63,20 @@
 
 /// The list never changes: a call for changes waits and brings none.
 fn discovery(first: String, _: String, to: &mut TcpStream) {
-    if let Some(wait) = first.split("wait=").nth(1).and_then(|w| w.split(' ').next()?.parse().ok()) {
+    if let Some(wait) = first
+        .split("wait=")
+        .nth(1)
+        .and_then(|w| w.split(' ').next()?.parse().ok())
+    {
         sleep(Duration::from_millis(wait));
         return answer(to, "200 OK", r#"{"seq":1,"whole":false,"hosts":[]}"#);
     }
-    let host =
-        r#"{"host":"toy-1","site":"north","class":"big","block":0,"health":"Ready","share":1.0,"born_ms":0"#;
-    answer(to, "200 OK", &format!(r#"{{"seq":1,"whole":true,"hosts":[{host},"dial":"{WORKER}"}}]}}"#));
+    let host = r#"{"host":"toy-1","site":"north","class":"big","block":0,"health":"Ready","share":1.0,"born_ms":0"#;
+    answer(
+        to,
+        "200 OK",
+        &format!(r#"{{"seq":1,"whole":true,"hosts":[{host},"dial":"{WORKER}"}}]}}"#),
+    );
 }
 
 fn worker(first: String, trace: String, to: &mut TcpStream) {
@@ -79,8 +94,10 @@
 
 fn tell(trace: &str, state: &str) {
     let news = format!(r#"{{"id":"{trace}","from":"toy-1",{state}}}"#);
-    let head =
-        format!("POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", news.len());
+    let head = format!(
+        "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
+        news.len()
+    );
     let sent = TcpStream::connect(SCHEDULER).and_then(|mut link| {
         link.write_all((head + &news).as_bytes())?;
         link.read_to_end(&mut Vec::new())
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -154,7 +154,10 @@
             }
             _ => return "fail no such call\n".into(),
         }
-        log(format_args!("door call={}", String::from_utf8_lossy(called)));
+        log(format_args!(
+            "door call={}",
+            String::from_utf8_lossy(called)
+        ));
         "ok\n".into()
     }
 
--- a/src/affinity.rs
+++ b/src/affinity.rs
@@ -25,7 +25,11 @@
 /// subjects n is drawn in proportion to it, and a change of one weight moves only subjects from or to that place).
 pub fn draw(subject: u64, places: impl Iterator<Item = (u64, f64)>) -> Option<usize> {
     let time = |(id, weight): (u64, f64)| -hash(subject, id).ln() / weight.max(f64::MIN_POSITIVE);
-    places.map(time).enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).map(|(n, _)| n)
+    places
+        .map(time)
+        .enumerate()
+        .min_by(|a, b| a.1.total_cmp(&b.1))
+        .map(|(n, _)| n)
 }
 
 /// Where a worker stands in a subject's order: smaller goes first.
@@ -51,9 +55,16 @@
 
     /// Takes the latest solution; one with another number of places is taken as it is.
     pub fn follow(&mut self, latest: &[f64]) {
-        let keep = if self.0.len() == latest.len() { Self::KEEP } else { 0.0 };
+        let keep = if self.0.len() == latest.len() {
+            Self::KEEP
+        } else {
+            0.0
+        };
         self.0.resize(latest.len(), 0.0);
-        self.0.iter_mut().zip(latest).for_each(|(kept, now)| *kept = keep * *kept + (1.0 - keep) * now);
+        self.0
+            .iter_mut()
+            .zip(latest)
+            .for_each(|(kept, now)| *kept = keep * *kept + (1.0 - keep) * now);
     }
 }
 
@@ -76,7 +87,9 @@
 
     /// The same cost with this part of the weight.
     pub fn faded(self, keep: f64) -> Self {
-        Fetches { away: (self.away.0 * keep, self.away.1 * keep) }
+        Fetches {
+            away: (self.away.0 * keep, self.away.1 * keep),
+        }
     }
 
     /// It is known that jobs of this mean run need nothing that workers keep.
--- a/src/arrivals.rs
+++ b/src/arrivals.rs
@@ -24,7 +24,11 @@
 impl Arrivals {
     /// Nothing has arrived yet; tenants are taken to have these shares.
     pub fn new(shares: impl Iterator<Item = f64>, now: Time) -> Self {
-        Arrivals { since: now, tenants: shares.collect(), ..Default::default() }
+        Arrivals {
+            since: now,
+            tenants: shares.collect(),
+            ..Default::default()
+        }
     }
 
     /// There are more tenants: those past the ones that are known are taken to have these shares.
@@ -40,8 +44,13 @@
         self.unbound = self.unbound * fade + if bound { 0.0 } else { work / MEMORY };
         self.per_s = self.per_s * fade + 1e6 / MEMORY;
         self.since = now;
-        self.tenants.iter_mut().for_each(|share| *share *= TENANT_KEEP);
-        self.tenants.get_mut(tenant as usize).into_iter().for_each(|share| *share += 1.0 - TENANT_KEEP);
+        self.tenants
+            .iter_mut()
+            .for_each(|share| *share *= TENANT_KEEP);
+        self.tenants
+            .get_mut(tenant as usize)
+            .into_iter()
+            .for_each(|share| *share += 1.0 - TENANT_KEEP);
     }
 
     /// Work arriving a microsecond, that of it which any kind may do, and requests a second, as of now.
@@ -58,7 +67,10 @@
 
     /// Takes this for a tenant's share; one that the settings do not name has none.
     pub fn set_share(&mut self, tenant: TenantId, share: f64) {
-        self.tenants.get_mut(tenant as usize).into_iter().for_each(|known| *known = share);
+        self.tenants
+            .get_mut(tenant as usize)
+            .into_iter()
+            .for_each(|known| *known = share);
     }
 
     /// A tenant's share of the arrivals; `None` for one that the settings do not name.
--- a/src/arrivals/tests.rs
+++ b/src/arrivals/tests.rs
@@ -8,7 +8,12 @@
         a.count(n * 100_000, 200_000.0, n % 2 == 0, u32::from(n % 4 == 0));
     }
     assert!((a.per_s - 10.0).abs() < 0.2, "{}", a.per_s);
-    assert!((a.work - 2.0).abs() < 0.04 && (a.unbound - 1.0).abs() < 0.04, "{} {}", a.work, a.unbound);
+    assert!(
+        (a.work - 2.0).abs() < 0.04 && (a.unbound - 1.0).abs() < 0.04,
+        "{} {}",
+        a.work,
+        a.unbound
+    );
     let shares = [0, 1, 2].map(|t| a.share(t));
     assert!((shares[0].unwrap() - 0.75).abs() < 0.02 && (shares[1].unwrap() - 0.25).abs() < 0.02);
     assert_eq!(shares[2], None);
--- a/src/carried.rs
+++ b/src/carried.rs
@@ -77,7 +77,9 @@
 impl<N> Carried<N> {
     /// The same under other names. `None`: its class has none there. A worker without one gets what `worker` makes up.
     pub fn renamed<M>(
-        self, class: impl FnOnce(&N) -> Option<M>, mut worker: impl FnMut(&N) -> M,
+        self,
+        class: impl FnOnce(&N) -> Option<M>,
+        mut worker: impl FnMut(&N) -> M,
     ) -> Option<Carried<M>> {
         Some(Carried {
             class: class(&self.class)?,
@@ -88,18 +90,33 @@
             slots: self.slots,
             attempts: self.attempts,
             over: self.over,
-            tries: self.tries.into_iter().map(|t| t.at(|n| worker(&n))).collect(),
+            tries: self
+                .tries
+                .into_iter()
+                .map(|t| t.at(|n| worker(&n)))
+                .collect(),
         })
     }
 
     /// Is every figure one that can be?
     pub fn check(&self) -> Result<(), String> {
         if !(0.0..=1e6).contains(&self.slots) {
-            return Err(format!("slots of a job are {}, 0 to 1000000 are allowed", self.slots));
+            return Err(format!(
+                "slots of a job are {}, 0 to 1000000 are allowed",
+                self.slots
+            ));
         }
-        let shares = self.tries.iter().flat_map(|t| [t.sign.1, t.told.map_or(0.0, |told| told.1)]);
-        match shares.into_iter().find(|share| !(0.0..=1.0).contains(share)) {
-            Some(share) => Err(format!("the share done of a job is {share}, 0 to 1 is allowed")),
+        let shares = self
+            .tries
+            .iter()
+            .flat_map(|t| [t.sign.1, t.told.map_or(0.0, |told| told.1)]);
+        match shares
+            .into_iter()
+            .find(|share| !(0.0..=1.0).contains(share))
+        {
+            Some(share) => Err(format!(
+                "the share done of a job is {share}, 0 to 1 is allowed"
+            )),
             None => Ok(()),
         }
     }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -86,8 +86,8 @@
     probed_at: Time,
     peers: Vec<(u32, f64, Time)>, // slots that peers said they hold here: who, how many, when
     allowance: (f64, Time),       // work that may be sent while it is cold, saved up to this time
-    idle: Vec<Time>,              // since when connections to it are idle, by what ended and was sent there
-    linked: bool,                 // something has ended there since they were last closed
+    idle: Vec<Time>, // since when connections to it are idle, by what ended and was sent there
+    linked: bool,    // something has ended there since they were last closed
 }
 
 #[derive(Clone, Default)]
@@ -112,8 +112,8 @@
     deadline: Time,
     estimate: Option<Time>,
     subject: Option<u64>, // what it is about
-    slots: f64,           // slots, or memory where that is more: a worker has about one unit for each slot
-    attempts: usize,      // it may have at most
+    slots: f64, // slots, or memory where that is more: a worker has about one unit for each slot
+    attempts: usize, // it may have at most
     over: bool,
     closed: bool,
     held: Option<usize>, // in this queue
@@ -154,14 +154,17 @@
     idle_most: f64,         // connections unused for longer than this are not trusted
     asked: (f64, f64),      // worth and work of late
     full_share: f64,        // recent share of attempts turned away
-    ask: (Time, Time),      // when to ask for the list next, and how long to wait after a failed call
-    taken: VecDeque<Time>,  // requests taken in the window of the budget of attempts
+    ask: (Time, Time), // when to ask for the list next, and how long to wait after a failed call
+    taken: VecDeque<Time>, // requests taken in the window of the budget of attempts
     resent: VecDeque<Time>, // ... and attempts beyond a request's first
 }
 
 impl ClassStat {
     fn of(class: &Class) -> Self {
-        ClassStat { run: Work::of(class.aim), longest: 0 }
+        ClassStat {
+            run: Work::of(class.aim),
+            longest: 0,
+        }
     }
 }
 
@@ -175,7 +178,10 @@
     }
 
     fn told(&self, now: Time) -> f64 {
-        self.peers.iter().map(|(_, slots, at)| slots * fresh(now, *at)).sum()
+        self.peers
+            .iter()
+            .map(|(_, slots, at)| slots * fresh(now, *at))
+            .sum()
     }
 
     fn overdue(&self, wait: f64, granularity: Time) -> bool {
@@ -210,7 +216,10 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if self.timer == 0 || matches!(event, Event::Timer(name) if name == self.timer) {
             self.timer += 1;
-            out.push(Action::Timer { at: now + self.tick(), name: self.timer });
+            out.push(Action::Timer {
+                at: now + self.tick(),
+                name: self.timer,
+            });
         }
         match event {
             Event::List { scope, entries } => self.follow_list(now, scope, entries, out),
@@ -221,7 +230,13 @@
                 self.close(request, out);
             }
             Event::Started { request, attempt } => self.started(now, request, attempt),
-            Event::Outcome { request, attempt, status, closed, load } => {
+            Event::Outcome {
+                request,
+                attempt,
+                status,
+                closed,
+                load,
+            } => {
                 if let Some(i) = self.ended(now, (request, attempt), status, load) {
                     self.let_go(i, out);
                 }
@@ -253,11 +268,18 @@
             Event::Learned(other) => self.take_in(now, *other),
             Event::Adopted(id, job) => self.adopt(now, id, *job, out),
             Event::Peer { from, held } => return self.hear(now, from, &held),
-            Event::Progress { request, attempt, done } => return self.sign(now, request, attempt, done),
+            Event::Progress {
+                request,
+                attempt,
+                done,
+            } => return self.sign(now, request, attempt, done),
             Event::Timer(_) => return,
         }
         self.place_held(now, out);
-        debug_assert!(self.kept_right(), "what is kept must agree with a fresh count");
+        debug_assert!(
+            self.kept_right(),
+            "what is kept must agree with a fresh count"
+        );
     }
 
     fn tick(&self) -> Time {
@@ -265,34 +287,76 @@
     }
 
     fn accept(&mut self, now: Time, r: Request, out: &mut Vec<Action>) {
-        let unknown = || self.settings.classes.iter().position(|c| *c == Class::UNKNOWN).unwrap_or(0);
-        let class = self.class_of.get(r.class as usize).copied().unwrap_or_else(unknown);
+        let unknown = || {
+            self.settings
+                .classes
+                .iter()
+                .position(|c| *c == Class::UNKNOWN)
+                .unwrap_or(0)
+        };
+        let class = self
+            .class_of
+            .get(r.class as usize)
+            .copied()
+            .unwrap_or_else(unknown);
         let estimate = r.estimate.filter(|e| *e > 0);
-        let slots = [r.slots, r.memory].into_iter().filter(|v| v.is_finite()).fold(1.0, f64::max);
+        let slots = [r.slots, r.memory]
+            .into_iter()
+            .filter(|v| v.is_finite())
+            .fold(1.0, f64::max);
         let work = self.work(class, estimate);
-        self.arrivals.count(now, work, self.settings.classes[class].kind.is_some(), r.tenant);
+        self.arrivals.count(
+            now,
+            work,
+            self.settings.classes[class].kind.is_some(),
+            r.tenant,
+        );
         let over = self.over_share(r.tenant);
         // A client's later try has less time left than the first ones of its class: its aim runs since then.
         let longest = &mut self.classes[class].longest;
         *longest = r.left.max(*longest);
-        let (arrived, deadline) = (now.saturating_sub(*longest - r.left), now.saturating_add(r.left));
-        let (aim, stretch) = (self.settings.classes[class].aim, self.settings.classes[class].stretch);
-        let late_from =
-            arrived.saturating_add(aim).saturating_add_signed(((stretch - LATE_MARGIN) * work) as i64);
+        let (arrived, deadline) = (
+            now.saturating_sub(*longest - r.left),
+            now.saturating_add(r.left),
+        );
+        let (aim, stretch) = (
+            self.settings.classes[class].aim,
+            self.settings.classes[class].stretch,
+        );
+        let late_from = arrived
+            .saturating_add(aim)
+            .saturating_add_signed(((stretch - LATE_MARGIN) * work) as i64);
         self.taken.extend(self.settings.rules.resends.map(|_| now));
         let attempts = self.settings.limits.attempts as usize;
         let (subject, of) = (r.subject, Open::default());
-        let open = Open { class, late_from, deadline, estimate, subject, slots, attempts, over, ..of };
+        let open = Open {
+            class,
+            late_from,
+            deadline,
+            estimate,
+            subject,
+            slots,
+            attempts,
+            over,
+            ..of
+        };
         self.open.insert(r.id, open);
         // While attempts are turned away, a job displaces others (Erlang's formula): refused if worth less.
         let [value, mean] = [usize::from(over) * 2, 0].map(|q| work * self.density(class * 4 + q));
-        self.asked = (self.asked.0 * KEEP + mean, self.asked.1 * KEEP + work * slots);
+        self.asked = (
+            self.asked.0 * KEEP + mean,
+            self.asked.1 * KEEP + work * slots,
+        );
         let displaced = self.full_share.sqrt() * self.asked.0 / self.asked.1 * work * slots;
         if unit(&mut self.rng) * displaced > value {
             return self.answer(now, r.id, out);
         }
         // Held ones keep better ones from connecting: the least worthy is given up in time.
-        let full = self.settings.limits.open.is_some_and(|most| self.open.len() > most);
+        let full = self
+            .settings
+            .limits
+            .open
+            .is_some_and(|most| self.open.len() > most);
         let queues = (0..self.held.len()).filter(|q| full && !self.held[*q].is_empty());
         if let Some(q) = queues.min_by(|a, b| self.density(*a).total_cmp(&self.density(*b))) {
             let id = self.held[q].pop_front().unwrap_or_default();
@@ -306,8 +370,13 @@
     }
 
     fn started(&mut self, now: Time, id: RequestId, attempt: AttemptNo) {
-        let t = self.open.get_mut(&id).and_then(|o| o.tries.get_mut(attempt as usize));
-        let Some(t) = t.filter(|t| !t.done && t.started.is_none()) else { return };
+        let t = self
+            .open
+            .get_mut(&id)
+            .and_then(|o| o.tries.get_mut(attempt as usize));
+        let Some(t) = t.filter(|t| !t.done && t.started.is_none()) else {
+            return;
+        };
         t.started = Some(now);
         self.full_share -= LATE_STEP * self.full_share;
         let (i, wait) = (t.worker, now.saturating_sub(t.sent) as f64);
@@ -325,23 +394,37 @@
         let rest = (kind.slots - runs).max(0.0);
         let overdue = w.overdue(wait, self.settings.granularity);
         let known = w.news_at.map_or(0.0, |at| w.foreign * fresh(now, at));
-        (w.foreign, w.news_at) = (if overdue { rest + 1.0 } else { rest.min(known) }, Some(now));
+        (w.foreign, w.news_at) = (
+            if overdue { rest + 1.0 } else { rest.min(known) },
+            Some(now),
+        );
         w.quick = if wait < w.quick { wait } else { w.quick * 1.01 };
         if !kind.reported {
-            kind.slots = kind.slots.max(runs + if overdue { 0.0 } else { w.told(now).floor() });
+            kind.slots = kind
+                .slots
+                .max(runs + if overdue { 0.0 } else { w.told(now).floor() });
         }
     }
 
     /// Notes a sign of an attempt, and looks at the request again when the next one is overdue.
     fn sign(&mut self, now: Time, id: RequestId, attempt: AttemptNo, done: f64) {
-        let Some(t) = self.open.get_mut(&id).and_then(|o| o.tries.get_mut(attempt as usize)) else { return };
+        let Some(t) = self
+            .open
+            .get_mut(&id)
+            .and_then(|o| o.tries.get_mut(attempt as usize))
+        else {
+            return;
+        };
         t.sign = (now, done);
         let (i, moves) = (t.worker, done > 0.0);
         t.told = t.told.or(Some((now, done)).filter(|_| done > 0.0));
         if moves {
             self.alive(now, i);
         }
-        let at = self.open.get(&id).map(|o| self.overdue_at(&o.tries[attempt as usize]));
+        let at = self
+            .open
+            .get(&id)
+            .map(|o| self.overdue_at(&o.tries[attempt as usize]));
         self.due.extend(at.map(|at| (at, id)));
     }
 
@@ -358,19 +441,34 @@
         }
     }
 
-    fn ended(&mut self, now: Time, (id, attempt): Sent, status: Status, load: Option<Load>) -> Option<usize> {
+    fn ended(
+        &mut self,
+        now: Time,
+        (id, attempt): Sent,
+        status: Status,
+        load: Option<Load>,
+    ) -> Option<usize> {
         let open = self.open.get_mut(&id)?;
         let t = open.tries.get_mut(attempt as usize).filter(|t| !t.done)?;
         t.done = true;
         let full_ran = status == Status::Full && self.settings.rules.full_may_have_run;
-        t.never_ran = !full_ran && matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
-        let uncounted = if status == Status::Moot { self.resent.binary_search(&t.sent).ok() } else { None };
-        uncounted.filter(|_| attempt > 0).map(|n| self.resent.remove(n));
-        let (i, from, unused, class, estimate) = (t.worker, t.started, t.unused, open.class, open.estimate);
+        t.never_ran =
+            !full_ran && matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
+        let uncounted = if status == Status::Moot {
+            self.resent.binary_search(&t.sent).ok()
+        } else {
+            None
+        };
+        uncounted
+            .filter(|_| attempt > 0)
+            .map(|n| self.resent.remove(n));
+        let (i, from, unused, class, estimate) =
+            (t.worker, t.started, t.unused, open.class, open.estimate);
         let asks = from.filter(|_| open.subject.is_some());
         let fetched = asks.and_then(|from| affinity::fetch_time(from, t.told, now));
         let away = fetched.filter(|_| t.away && status == Status::Ok);
-        away.into_iter().for_each(|took| self.fetches.sent_away(took));
+        away.into_iter()
+            .for_each(|took| self.fetches.sent_away(took));
         let slots = if t.silent { 0.0 } else { open.slots };
         self.leave(now, i, (id, attempt), slots);
         self.workers[i].idle.push(now);
@@ -382,7 +480,9 @@
             self.judge(now, i, status); // silence has been judged when it was overdue
         }
         if let (Status::Ok, Some(from)) = (status, from) {
-            let run = now.saturating_sub(from).saturating_sub(fetched.unwrap_or(0.0) as Time);
+            let run = now
+                .saturating_sub(from)
+                .saturating_sub(fetched.unwrap_or(0.0) as Time);
             let kind = self.workers[i].kind;
             let (kind, class) = (&mut self.kinds[kind].run, &mut self.classes[class].run);
             runs::learn(kind, class, &mut self.run, estimate, run);
@@ -392,10 +492,15 @@
 
     /// The request needs nothing more: withdraw what is still out and forget it once all outcomes are in.
     fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let still_out = open.tries.iter().enumerate().filter(|(_, t)| !t.done);
         if !open.closed && self.settings.limits.cancel {
-            out.extend(still_out.map(|(n, _)| Action::Cancel { request: id, attempt: n as AttemptNo }));
+            out.extend(still_out.map(|(n, _)| Action::Cancel {
+                request: id,
+                attempt: n as AttemptNo,
+            }));
         }
         open.closed = true;
         if open.tries.iter().all(|t| t.done) {
@@ -416,41 +521,65 @@
 
     /// Share of its capacity that a worker has at least: rises evenly from the cold share.
     fn warmth(&self, now: Time, w: &Worker) -> f64 {
-        let (rules, age) = (&self.settings.rules, now.saturating_sub(w.listed.ready_at) as f64);
+        let (rules, age) = (
+            &self.settings.rules,
+            now.saturating_sub(w.listed.ready_at) as f64,
+        );
         let from = rules.cold_from.clamp(0.01, 1.0);
         let warmth = from + (1.0 - from) * age / rules.warm_after.max(1) as f64;
-        if w.listed.ready_at == 0 { 1.0 } else { warmth.min(1.0) }
+        if w.listed.ready_at == 0 {
+            1.0
+        } else {
+            warmth.min(1.0)
+        }
     }
 
     /// Work that may be sent to a cold worker in each unit of time; none for a warm one. Its budget goes to
     /// so few dispatchers that a part soon pays for a job: a hundredth of it would not before it is warm.
     fn cold_rate(&self, now: Time, w: &Worker) -> Option<f64> {
-        let (rules, n, me) =
-            (&self.settings.rules, self.settings.dispatchers.into(), self.settings.me.into());
+        let (rules, n, me) = (
+            &self.settings.rules,
+            self.settings.dispatchers.into(),
+            self.settings.me.into(),
+        );
         let warmth = self.warmth(now, w);
         let budget = rules.tip_multiple * COLD_USE * self.capacity(w);
         let least = budget * rules.cold_from * rules.tip_window as f64 / COLD_JOBS;
-        let parts = ((least * self.run.0 / self.run.1.max(1.0)) as u64).max(D as u64).min(n);
+        let parts = ((least * self.run.0 / self.run.1.max(1.0)) as u64)
+            .max(D as u64)
+            .min(n);
         // Ids tell nothing, so each worker has a first dispatcher of its own, the same for all who ask.
         let first = u64::from(w.listed.worker).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
         let mine = first.wrapping_sub(me) % n < parts;
-        (warmth < 1.0).then_some(if mine { budget * warmth / parts as f64 } else { 0.0 })
+        (warmth < 1.0).then_some(if mine {
+            budget * warmth / parts as f64
+        } else {
+            0.0
+        })
     }
 
     /// Work that may be sent to a worker now: to a cold one its part of the budget, saved up evenly.
     fn allowance(&self, now: Time, w: &Worker, work: f64) -> f64 {
-        let Some(rate) = self.cold_rate(now, w) else { return f64::INFINITY };
+        let Some(rate) = self.cold_rate(now, w) else {
+            return f64::INFINITY;
+        };
         let saved = w.allowance.0 + rate * now.saturating_sub(w.allowance.1) as f64;
         saved.min(work.max(rate * self.settings.rules.tip_window as f64 / COLD_JOBS))
     }
 
     /// Does the class's effect permit a further attempt on this worker?
     fn group_allows(&self, open: &Open, w: &Worker) -> bool {
-        let Some(first) = open.tries.iter().find(|t| !t.never_ran) else { return true };
+        let Some(first) = open.tries.iter().find(|t| !t.never_ran) else {
+            return true;
+        };
         let of = &self.workers[first.worker].listed;
         match self.settings.classes[open.class].effect {
-            Effect::Keyed { group: Group::Zone, .. } => of.zone == w.listed.zone,
-            Effect::Keyed { group: Group::Cell, .. } => of.cell == w.listed.cell,
+            Effect::Keyed {
+                group: Group::Zone, ..
+            } => of.zone == w.listed.zone,
+            Effect::Keyed {
+                group: Group::Cell, ..
+            } => of.cell == w.listed.cell,
             _ => true,
         }
     }
@@ -458,7 +587,9 @@
     /// From this time on no rule allows one more attempt, or it would hardly be done by the deadline.
     fn sendable_until(&self, open: &Open) -> Time {
         let runs = LATE_MARGIN * self.work(open.class, open.estimate);
-        let last = open.deadline.saturating_sub((runs as Time).min(self.classes[open.class].longest / 2));
+        let last = open
+            .deadline
+            .saturating_sub((runs as Time).min(self.classes[open.class].longest / 2));
         let most = open.attempts.min(self.settings.limits.attempts as usize);
         let ran = open.tries.iter().find(|t| !t.never_ran);
         let until = |end: Time| end.saturating_sub(self.tick()).min(last);
@@ -472,10 +603,14 @@
 
     /// Attempts beyond a request's first that their budget has left in the window that ends now.
     fn resends_left(&mut self, now: Time) -> f64 {
-        let Some(budget) = self.settings.rules.resends else { return f64::INFINITY };
+        let Some(budget) = self.settings.rules.resends else {
+            return f64::INFINITY;
+        };
         let from = |or: Time| budget.window.map_or(or, |w| now.saturating_sub(w));
-        self.taken.drain(..self.taken.partition_point(|t| *t <= from(now)));
-        self.resent.drain(..self.resent.partition_point(|t| *t < from(0)));
+        self.taken
+            .drain(..self.taken.partition_point(|t| *t <= from(now)));
+        self.resent
+            .drain(..self.resent.partition_point(|t| *t < from(0)));
         budget.free + budget.ratio * self.taken.len() as f64 - self.resent.len() as f64
     }
 
@@ -489,32 +624,49 @@
     }
 
     fn place(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
-        self.choose(now, id).is_some_and(|worker| self.send(now, id, worker, out))
+        self.choose(now, id)
+            .is_some_and(|worker| self.send(now, id, worker, out))
     }
 
     /// Holds a request, or ends it where it can earn nothing more or no tick may come before its deadline.
     fn hold(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let resends = self.resends_left(now);
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         let (late, until) = (now > open.late_from, self.sendable_until(open));
         let until = until.min(open.deadline.saturating_sub(2 * self.tick()));
         let worthless = late && self.settings.classes[open.class].late_worth <= 0.0;
         if now >= until || worthless || (!open.tries.is_empty() && resends < 1.0) {
             return self.answer(now, id, out);
         }
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let q = open.class * 4 + usize::from(open.over) * 2 + usize::from(late);
         open.held = Some(q);
-        self.due.insert((if late { until } else { until.min(open.late_from + 1) }, id));
+        self.due.insert((
+            if late {
+                until
+            } else {
+                until.min(open.late_from + 1)
+            },
+            id,
+        ));
         self.held[q].push_back(id);
     }
 
     /// The one place that sends. Every rule that limits a send is checked here, whatever chose the worker.
     fn send(&mut self, now: Time, id: RequestId, i: usize, out: &mut Vec<Action>) -> bool {
         let resends = self.resends_left(now);
-        let Some(open) = self.open.get(&id) else { return false };
+        let Some(open) = self.open.get(&id) else {
+            return false;
+        };
         let (w, work) = (&self.workers[i], self.work(open.class, open.estimate));
-        let (left, by) = (self.allowance(now, w, work) - work, self.sendable_until(open));
+        let (left, by) = (
+            self.allowance(now, w, work) - work,
+            self.sendable_until(open),
+        );
         let allowed = now < by
             && (open.tries.is_empty() || resends >= 1.0)
             && (self.settings.limits.duplicates || open.tries.iter().all(|t| t.done))
@@ -526,14 +678,18 @@
         }
         let away = self.first(open).is_some_and(|first| first != i);
         let w = &mut self.workers[i];
-        let Some(open) = self.open.get_mut(&id) else { return false };
+        let Some(open) = self.open.get_mut(&id) else {
+            return false;
+        };
         w.allowance = (left, now);
         let attempt = open.tries.len() as AttemptNo;
         // Dropped unseen, a connection would cost the attempt: where that was met, old ones are closed first.
         let unused = w.idle.first().map_or(0, |since| now - since);
         if unused as f64 > self.idle_most {
             w.idle.clear();
-            out.push(Action::Disconnect { worker: w.listed.worker });
+            out.push(Action::Disconnect {
+                worker: w.listed.worker,
+            });
         }
         w.idle.pop();
         let started = (!self.settings.tells_start && w.own == 0.0).then_some(now);
@@ -541,14 +697,35 @@
             w.unstarted.push((now, id, attempt, open.slots));
             self.waiting += 1;
         }
-        self.resent.extend(self.settings.rules.resends.filter(|_| attempt > 0).map(|_| now));
+        self.resent.extend(
+            self.settings
+                .rules
+                .resends
+                .filter(|_| attempt > 0)
+                .map(|_| now),
+        );
         w.own += open.slots;
         self.busy.insert(i);
         open.held = None;
-        open.tries.push(Try { worker: i, sent: now, unused, started, away, ..Try::default() });
-        out.push(Action::Send { request: id, worker: w.listed.worker, timeout: 0, by });
+        open.tries.push(Try {
+            worker: i,
+            sent: now,
+            unused,
+            started,
+            away,
+            ..Try::default()
+        });
+        out.push(Action::Send {
+            request: id,
+            worker: w.listed.worker,
+            timeout: 0,
+            by,
+        });
         if self.settings.tells_start && self.settings.limits.moves() {
-            self.due.insert((now + (MOVE_FETCHES * self.fetches.cost()) as Time + MOVE_WAIT, id));
+            self.due.insert((
+                now + (MOVE_FETCHES * self.fetches.cost()) as Time + MOVE_WAIT,
+                id,
+            ));
         }
         if self.settings.classes[open.class].late_worth <= 0.0 && self.settings.tells_start {
             self.due.insert((open.late_from + 1, id));
@@ -558,16 +735,40 @@
 
     /// The one place that gives final answers: a refusal only where it is true that nothing took effect.
     fn answer(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id).filter(|o| !o.closed) else { return };
+        let Some(open) = self.open.get(&id).filter(|o| !o.closed) else {
+            return;
+        };
         let effect = self.settings.classes[open.class].effect;
-        let repeatable = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let repeatable = matches!(
+            effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        );
         let harmless = repeatable || open.tries.iter().all(|t| t.never_ran);
         // In time yet, it may come back at once; else when others have been served, if it has the time.
-        let most = if self.settings.limits.retry_after { self.settings.limits.max_retry_after } else { 0 };
-        let when = if now > open.late_from { most } else { self.tick() };
+        let most = if self.settings.limits.retry_after {
+            self.settings.limits.max_retry_after
+        } else {
+            0
+        };
+        let when = if now > open.late_from {
+            most
+        } else {
+            self.tick()
+        };
         let retry_after = when.min(most).min(open.deadline.saturating_sub(now) / 2);
-        let refuse = Action::Refuse { request: id, retry_after };
-        out.push(if harmless { refuse } else { Action::Fail { request: id } });
+        let refuse = Action::Refuse {
+            request: id,
+            retry_after,
+        };
+        out.push(if harmless {
+            refuse
+        } else {
+            Action::Fail { request: id }
+        });
         self.close(id, out);
     }
 
@@ -575,8 +776,11 @@
     fn review(&mut self, now: Time, out: &mut Vec<Action>) {
         while let Some(&(at, id)) = self.due.first().filter(|due| due.0 <= now) {
             self.due.remove(&(at, id));
-            let Some(open) = self.open.get(&id).filter(|o| !o.closed) else { continue };
-            let worthless = self.settings.classes[open.class].late_worth <= 0.0 && now > open.late_from;
+            let Some(open) = self.open.get(&id).filter(|o| !o.closed) else {
+                continue;
+            };
+            let worthless =
+                self.settings.classes[open.class].late_worth <= 0.0 && now > open.late_from;
             if let Some(q) = open.held {
                 self.held[q].retain(|other| *other != id);
                 self.hold(now, id, out);
@@ -590,21 +794,39 @@
 
     /// Sends held requests while a worker takes them: the worthiest for their work first, then the newest.
     fn place_held(&mut self, now: Time, out: &mut Vec<Action>) {
-        let mut order: Vec<usize> = (0..self.held.len()).filter(|q| !self.held[*q].is_empty()).collect();
+        let mut order: Vec<usize> = (0..self.held.len())
+            .filter(|q| !self.held[*q].is_empty())
+            .collect();
         if order.is_empty() || !self.may_wait(false) || !self.room(now) {
             return;
         }
         order.sort_by(|a, b| self.density(*b).total_cmp(&self.density(*a)));
         // First what finds a slot where its like goes, then any.
-        let rounds: &[bool] = if self.fetches.cost() > 0.0 { &[true, false] } else { &[false] };
-        for (first, q) in rounds.iter().flat_map(|first| order.iter().map(|q| (*first, *q))) {
+        let rounds: &[bool] = if self.fetches.cost() > 0.0 {
+            &[true, false]
+        } else {
+            &[false]
+        };
+        for (first, q) in rounds
+            .iter()
+            .flat_map(|first| order.iter().map(|q| (*first, *q)))
+        {
             // A request that only few workers may get must not keep those behind it waiting.
             let (mut n, mut misses) = (self.held[q].len(), 0);
             while n > 0 && misses < if first { FIRSTS_MOST } else { MISSES_MOST } {
                 n -= 1;
                 let id = self.held[q][n];
-                let waits = self.open.get(&id).is_some_and(|o| !o.closed && o.held == Some(q));
-                let pick = |d: &mut Self| if first { d.choose_first(now, id) } else { d.choose(now, id) };
+                let waits = self
+                    .open
+                    .get(&id)
+                    .is_some_and(|o| !o.closed && o.held == Some(q));
+                let pick = |d: &mut Self| {
+                    if first {
+                        d.choose_first(now, id)
+                    } else {
+                        d.choose(now, id)
+                    }
+                };
                 let worker = if waits { pick(self) } else { None };
                 if waits && worker.is_none() {
                     misses += 1;
@@ -621,13 +843,23 @@
     /// Worth for each unit of work of the requests in a queue.
     fn density(&self, q: usize) -> f64 {
         let class = &self.settings.classes[q / 4];
-        let work = if self.settings.worth_by_work { 1.0 } else { self.work(q / 4, None).max(1e-9) };
-        let over = if q & 2 != 0 { self.settings.over_share_worth } else { 1.0 };
+        let work = if self.settings.worth_by_work {
+            1.0
+        } else {
+            self.work(q / 4, None).max(1e-9)
+        };
+        let over = if q & 2 != 0 {
+            self.settings.over_share_worth
+        } else {
+            1.0
+        };
         let late = if q & 1 != 0 { class.late_worth } else { 1.0 };
         class.worth * over * late / work
     }
 }
 
 fn unit(rng: &mut Option<Pcg64Mcg>) -> f64 {
-    rng.as_mut().map_or(0.0, |rng| (rng.next_u64() >> 12) as f64 / (1u64 << 52) as f64)
+    rng.as_mut().map_or(0.0, |rng| {
+        (rng.next_u64() >> 12) as f64 / (1u64 << 52) as f64
+    })
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -64,5 +64,7 @@
 
 /// A number for a name that is the same in every scheduler (FNV-1a).
 pub fn hash(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
--- a/src/config/faktory.rs
+++ b/src/config/faktory.rs
@@ -79,8 +79,16 @@
         // What this protocol has: job workers tell of a start by fetching the job, and of no progress; there
         // are no load reports and no probes; the list of machines changes unasked.
         let settings = &mut site.settings;
-        (settings.list_pushed, settings.tells_start, settings.progress) = (true, true, 0);
-        (settings.reports, settings.limits.probes, settings.limits.peers) = (Reports::Off, false, false);
+        (
+            settings.list_pushed,
+            settings.tells_start,
+            settings.progress,
+        ) = (true, true, 0);
+        (
+            settings.reports,
+            settings.limits.probes,
+            settings.limits.peers,
+        ) = (Reports::Off, false, false);
         Ok(Faktory {
             listen: raw.listen,
             password: raw.password,
--- a/src/config/json.rs
+++ b/src/config/json.rs
@@ -19,7 +19,11 @@
     }
 
     pub(super) fn list(self) -> impl Iterator<Item = Json<'a>> {
-        self.0.and_then(|v| v.as_array()).into_iter().flatten().map(|v| Json(Some(v)))
+        self.0
+            .and_then(|v| v.as_array())
+            .into_iter()
+            .flatten()
+            .map(|v| Json(Some(v)))
     }
 
     pub(super) fn text(self) -> Option<&'a str> {
@@ -31,11 +35,15 @@
     }
 
     pub(super) fn flag(self) -> bool {
-        self.0.and_then(|v| v.as_bool()).unwrap_or(self.number() == Some(1.0))
+        self.0
+            .and_then(|v| v.as_bool())
+            .unwrap_or(self.number() == Some(1.0))
     }
 
     pub(super) fn need(self, key: &str) -> Parse<f64> {
-        self.at(key).number().ok_or_else(|| format!("settings lack a number '{key}'"))
+        self.at(key)
+            .number()
+            .ok_or_else(|| format!("settings lack a number '{key}'"))
     }
 
     pub(super) fn time(self, key: &str) -> Parse<Time> {
@@ -45,9 +53,15 @@
     /// A number that must be there and within bounds.
     pub(super) fn within(self, key: &str, least: f64, most: f64) -> Parse<f64> {
         let number = self.need(key)?;
-        let to = if most.is_finite() { format!("to {most}") } else { "up".into() };
+        let to = if most.is_finite() {
+            format!("to {most}")
+        } else {
+            "up".into()
+        };
         let bad = || format!("setting '{key}' must be a number from {least} {to}, got {number}");
-        Some(number).filter(|n| (least..=most).contains(n)).ok_or_else(bad)
+        Some(number)
+            .filter(|n| (least..=most).contains(n))
+            .ok_or_else(bad)
     }
 
     /// A value as an error names it.
@@ -57,11 +71,24 @@
 
     /// One of some words, or none where it is absent.
     pub(super) fn word<T: Copy>(self, key: &str, words: &[(&str, T)]) -> Parse<Option<T>> {
-        let Some(value) = self.at(key).0 else { return Ok(None) };
-        let found = words.iter().find(|(word, _)| value.as_str() == Some(word)).map(|(_, meant)| *meant);
-        let all = || words.iter().map(|(word, _)| format!("'{word}'")).collect::<Vec<_>>().join(", ");
+        let Some(value) = self.at(key).0 else {
+            return Ok(None);
+        };
+        let found = words
+            .iter()
+            .find(|(word, _)| value.as_str() == Some(word))
+            .map(|(_, meant)| *meant);
+        let all = || {
+            words
+                .iter()
+                .map(|(word, _)| format!("'{word}'"))
+                .collect::<Vec<_>>()
+                .join(", ")
+        };
         let shown = Self::shown(value);
-        found.map(Some).ok_or_else(|| format!("setting '{key}' must be one of {}, got {shown}", all()))
+        found
+            .map(Some)
+            .ok_or_else(|| format!("setting '{key}' must be one of {}, got {shown}", all()))
     }
 
     pub(super) fn number_or(self, key: &str, or: f64) -> f64 {
@@ -70,7 +97,9 @@
 
     /// A number of the rules that may be absent; present, it must be a number that is not negative.
     pub(super) fn optional(self, key: &str) -> Parse<Option<f64>> {
-        let Some(value) = self.at(key).0 else { return Ok(None) };
+        let Some(value) = self.at(key).0 else {
+            return Ok(None);
+        };
         let number = Json(Some(value)).number().filter(|v| *v >= 0.0);
         let shown = Self::shown(value);
         let bad = || format!("setting 'rules.{key}' must be a number from 0 up, got '{shown}'");
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -60,10 +60,14 @@
 impl Platform {
     /// Reads the configuration from JSON text; what the environment says goes before it.
     pub fn read(mut text: Vec<u8>, env: impl Fn(&str) -> Option<String>) -> Parse<Self> {
-        let whole: OwnedValue = decode(&mut text.clone()).map_err(|e| format!("no configuration: {e}"))?;
+        let whole: OwnedValue =
+            decode(&mut text.clone()).map_err(|e| format!("no configuration: {e}"))?;
         let raw: Raw = decode(&mut text).map_err(|e| format!("no configuration: {e}"))?;
         let or = |name: &str, value: String| env(name).filter(|v| !v.is_empty()).unwrap_or(value);
-        let seed = raw.seed.as_str().map(|s| u64::from_str_radix(s, 16).unwrap_or_else(|_| hash(s)));
+        let seed = raw
+            .seed
+            .as_str()
+            .map(|s| u64::from_str_radix(s, 16).unwrap_or_else(|_| hash(s)));
         let mut site = Site::from_value(&raw.settings)?.checked()?;
         // Over this protocol a list always has to be asked for, be it the agent's that it is pushed to.
         site.pushed = std::mem::take(&mut site.settings.list_pushed);
@@ -89,8 +93,9 @@
     pub fn again(&self, text: Vec<u8>) -> Parse<Self> {
         // The environment is that of the start: what the file says newly goes before it.
         let new = Platform::read(text, |_| None)?;
-        lacks(&self.whole, &new.whole)
-            .map_or(Ok(new), |key| Err(format!("'{key}' is missing or of another kind")))
+        lacks(&self.whole, &new.whole).map_or(Ok(new), |key| {
+            Err(format!("'{key}' is missing or of another kind"))
+        })
     }
 }
 
@@ -99,20 +104,25 @@
 fn lacks(old: &OwnedValue, new: &OwnedValue) -> Option<String> {
     let within = |key: &str, of: Option<String>| of.map(|inner| format!("{key}.{inner}"));
     match (old, new) {
-        (OwnedValue::Object(old), OwnedValue::Object(new)) => old.iter().find_map(|(key, value)| {
-            let missing = || Some(key.to_string());
-            new.get(key).map_or_else(missing, |new| match key.as_str() {
-                "known" => None, // as old as the program's start
-                _ if kind(value) != kind(new) => missing(),
-                _ => within(key, lacks(value, new)),
+        (OwnedValue::Object(old), OwnedValue::Object(new)) => {
+            old.iter().find_map(|(key, value)| {
+                let missing = || Some(key.to_string());
+                new.get(key).map_or_else(missing, |new| match key.as_str() {
+                    "known" => None, // as old as the program's start
+                    _ if kind(value) != kind(new) => missing(),
+                    _ => within(key, lacks(value, new)),
+                })
             })
-        }),
+        }
         (OwnedValue::Array(old), OwnedValue::Array(new)) => {
             let objects: Vec<_> = old.iter().filter_map(|v| v.as_object()).collect();
             let (first, rest) = objects.split_first()?;
-            let common = first.iter().filter(|(key, _)| rest.iter().all(|o| o.contains_key(*key)));
+            let common = first
+                .iter()
+                .filter(|(key, _)| rest.iter().all(|o| o.contains_key(*key)));
             common.into_iter().find_map(|(key, value)| {
-                let has = |v: &OwnedValue| v.get(key.as_str()).is_some_and(|v| kind(v) == kind(value));
+                let has =
+                    |v: &OwnedValue| v.get(key.as_str()).is_some_and(|v| kind(v) == kind(value));
                 (!new.iter().all(has)).then(|| key.to_string())
             })
         }
@@ -141,9 +151,10 @@
         match () {
             () if settings.classes.is_empty() => Err("there are no classes ('profiles')".into()),
             () if settings.limits.attempts == 0 => Err("'attemptsCap' must be over 0".into()),
-            () if let Some(n) = timeless => {
-                Err(format!("the deadline of class {:?} must be over 0", names[n]))
-            }
+            () if let Some(n) = timeless => Err(format!(
+                "the deadline of class {:?} must be over 0",
+                names[n]
+            )),
             () if (0..names.len()).any(|n| unnamed(&n)) => {
                 Err("each class must have a name of its own".into())
             }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -7,21 +7,38 @@
 
 /// Reads the settings object; what a rule or a limit rests on must be there, the rest has defaults.
 pub(super) fn settings(env: Json<'_>, zone: ZoneId) -> Parse<Settings> {
-    let (rules, limits, prices, domain) =
-        (env.at("rules"), env.at("policyLimits"), env.at("charges"), env.at("domain"));
+    let (rules, limits, prices, domain) = (
+        env.at("rules"),
+        env.at("policyLimits"),
+        env.at("charges"),
+        env.at("domain"),
+    );
     let mut classes = Vec::new();
     let class = |i: usize, c: Json<'_>| -> Parse<Class> {
-        let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+        let groups = [
+            ("all", Group::All),
+            ("zone", Group::Zone),
+            ("cell", Group::Cell),
+        ];
         let effect = match c.word("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
             Some(0) => Effect::Safe,
             Some(1) => {
-                let group = c.word("group", &groups)?.ok_or("setting 'group' is missing")?;
-                Effect::Keyed { group, ttl: c.time("keyTtl")? }
+                let group = c
+                    .word("group", &groups)?
+                    .ok_or("setting 'group' is missing")?;
+                Effect::Keyed {
+                    group,
+                    ttl: c.time("keyTtl")?,
+                }
             }
             Some(_) => Effect::Unsafe,
             None => return Err("setting 'effect' is missing".into()),
         };
-        let stretch = domain.at("classStretch").item(i).number().or(c.at("aimStretch").number());
+        let stretch = domain
+            .at("classStretch")
+            .item(i)
+            .number()
+            .or(c.at("aimStretch").number());
         let kind = domain.at("classKind").item(i).number();
         Ok(Class {
             kind: kind.filter(|k| *k >= 0.0).map(|k| k as KindId),
@@ -38,7 +55,11 @@
         let name = c.at("name").text().unwrap_or("");
         classes.push(class(i, c).map_err(|why| format!("profiles[{i}] {name:?}: {why}"))?);
     }
-    let sources = [("inline", Reports::WithOutcomes), ("on_probe", Reports::OnProbe), ("off", Reports::Off)];
+    let sources = [
+        ("inline", Reports::WithOutcomes),
+        ("on_probe", Reports::OnProbe),
+        ("off", Reports::Off),
+    ];
     let tenants = env.at("customers").list().map(|t| Tenant {
         quota_per_s: t.number_or("quotaPerS", 0.0),
         fraction: t.number_or("fraction", 0.0),
@@ -50,11 +71,18 @@
         granularity: env.number_or("granularity", 1000.0).max(1.0) as Time,
         classes,
         tenants: tenants.collect(),
-        list_pushed: env.word("discovery", &[("pushed", true), ("on_request", false)])?.unwrap_or(false),
+        list_pushed: env
+            .word("discovery", &[("pushed", true), ("on_request", false)])?
+            .unwrap_or(false),
         tells_start: domain.at("tellsStart").flag(),
         progress: domain.number_or("progress", 0.0).max(0.0) as Time,
-        reports: env.at("telemetry").word("source", &sources)?.unwrap_or(Reports::Off),
-        worth_by_work: env.word("worthBy", &[("request", false), ("work", true)])?.unwrap_or(false),
+        reports: env
+            .at("telemetry")
+            .word("source", &sources)?
+            .unwrap_or(Reports::Off),
+        worth_by_work: env
+            .word("worthBy", &[("request", false), ("work", true)])?
+            .unwrap_or(false),
         over_share_worth: env.number_or("overShareWorth", 1.0),
         limits: Limits {
             attempts: limits.within("attemptsCap", 0.0, f64::INFINITY)? as u32,
@@ -87,7 +115,9 @@
             let_go_in: rules.optional("letGoIn")?.map(|v| v as Time),
             full_may_have_run: match rules.at("fullMayHaveRun").0 {
                 None => false,
-                Some(v) => v.as_bool().ok_or("setting 'rules.fullMayHaveRun' must be true or false")?,
+                Some(v) => v
+                    .as_bool()
+                    .ok_or("setting 'rules.fullMayHaveRun' must be true or false")?,
             },
         },
     })
@@ -95,9 +125,16 @@
 
 /// The budget of attempts. What is missing of one that is stated in part is read the strict way.
 fn resend_budget(rules: Json<'_>) -> Parse<Option<ResendBudget>> {
-    let (free, ratio) = (rules.optional("freeResends")?, rules.optional("resendRatio")?);
+    let (free, ratio) = (
+        rules.optional("freeResends")?,
+        rules.optional("resendRatio")?,
+    );
     let window = rules.optional("countedOver")?.map(|v| v as Time);
     let stated = free.is_some() || ratio.is_some() || window.is_some();
-    let budget = ResendBudget { free: free.unwrap_or(0.0), ratio: ratio.unwrap_or(0.0), window };
+    let budget = ResendBudget {
+        free: free.unwrap_or(0.0),
+        ratio: ratio.unwrap_or(0.0),
+        window,
+    };
     Ok(stated.then_some(budget))
 }
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -74,7 +74,13 @@
     pub fn from_value(value: &OwnedValue) -> Parse<Self> {
         let env = Json(Some(value));
         let names = |key: &str, inner: Option<&str>| -> Names {
-            let name = |v: Json<'_>| inner.map_or(v, |i| v.at(i)).text().unwrap_or("").to_string();
+            let name = |v: Json<'_>| {
+                inner
+                    .map_or(v, |i| v.at(i))
+                    .text()
+                    .unwrap_or("")
+                    .to_string()
+            };
             Names(env.at(key).list().map(name).collect())
         };
         let mut zones = names("zones", None);
@@ -99,7 +105,9 @@
 
     /// The class of this name, if the settings have it now.
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        self.classes.find(name).filter(|class| !self.dropped.contains(class))
+        self.classes
+            .find(name)
+            .filter(|class| !self.dropped.contains(class))
     }
 
     /// The longest deadline of a class that the settings have now.
@@ -115,11 +123,22 @@
     /// The new settings under the ids of the old ones, which keep their names for good: open jobs, figures and what
     /// was learned go by them. Names that are new come behind, and a class that is gone keeps its rules.
     pub fn followed_by(&self, new: Site) -> Site {
-        let mut site = Site { settings: new.settings.clone(), ..self.clone() };
+        let mut site = Site {
+            settings: new.settings.clone(),
+            ..self.clone()
+        };
         (site.conn_idle, site.fields, site.pushed) = (new.conn_idle, new.fields, new.pushed);
-        let map = |old: &mut Names, names: &Names| names.all().map(|name| old.id(name)).collect::<Vec<_>>();
-        let (zones, kinds) = (map(&mut site.zones, &new.zones), map(&mut site.kinds, &new.kinds));
-        let (classes, tenants) = (map(&mut site.classes, &new.classes), map(&mut site.tenants, &new.tenants));
+        let map = |old: &mut Names, names: &Names| {
+            names.all().map(|name| old.id(name)).collect::<Vec<_>>()
+        };
+        let (zones, kinds) = (
+            map(&mut site.zones, &new.zones),
+            map(&mut site.kinds, &new.kinds),
+        );
+        let (classes, tenants) = (
+            map(&mut site.classes, &new.classes),
+            map(&mut site.tenants, &new.tenants),
+        );
         let at = |ids: &[u32], id: u32| ids.get(id as usize).copied().unwrap_or(id);
         site.settings.zone = at(&zones, new.settings.zone);
         site.settings.classes.clone_from(&self.settings.classes);
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -38,10 +38,21 @@
 impl<F: Transport> Actor<F> {
     /// An actor with an empty job table, and the mailbox to it.
     pub fn new(
-        settings: Settings, transport: Rc<F>, clock: Clock, inbox: Receiver<Told>, figures: Rc<Figures>,
+        settings: Settings,
+        transport: Rc<F>,
+        clock: Clock,
+        inbox: Receiver<Told>,
+        figures: Rc<Figures>,
     ) -> Self {
         let engine = Engine::new(settings, clock.now(), figures.clone());
-        Actor { engine, transport, clock, inbox, figures, said: [0; 4] }
+        Actor {
+            engine,
+            transport,
+            clock,
+            inbox,
+            figures,
+            said: [0; 4],
+        }
     }
 
     /// Runs until all fronts have dropped the mailbox.
@@ -77,7 +88,9 @@
                 self.engine.told(now, told, &*self.transport);
             }
             for _ in 0..IN_ONE_GO {
-                let Ok(told) = self.inbox.try_recv() else { break };
+                let Ok(told) = self.inbox.try_recv() else {
+                    break;
+                };
                 self.engine.told(now, told, &*self.transport);
             }
             self.engine.step(now, &*self.transport);
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -15,7 +15,10 @@
     /// A clock that shows Unix time now.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        Clock { from: Instant::now(), unix: unix.map_or(0, |d| d.as_micros() as Time) }
+        Clock {
+            from: Instant::now(),
+            unix: unix.map_or(0, |d| d.as_micros() as Time),
+        }
     }
 
     /// The time.
--- a/src/core/engine.rs
+++ b/src/core/engine.rs
@@ -24,7 +24,12 @@
     }
 
     /// Hands it one event and appends what it asks for. An error is the text of a panic, on one line.
-    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) -> Result<(), String> {
+    pub fn handle(
+        &mut self,
+        now: Time,
+        event: Event,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), String> {
         let dispatcher = &mut self.0;
         guarded(|| dispatcher.handle(now, event, actions))
     }
@@ -33,8 +38,15 @@
     pub fn learned(&self, now: Time, how: Recall) -> Learned<u32> {
         match how {
             Recall::All => self.0.learned(now),
-            Recall::AllButHeld => Learned { held: Vec::new(), ..self.0.learned(now) },
-            Recall::Held => Learned { at: now, held: self.0.held_slots(), ..Learned::default() },
+            Recall::AllButHeld => Learned {
+                held: Vec::new(),
+                ..self.0.learned(now)
+            },
+            Recall::Held => Learned {
+                at: now,
+                held: self.0.held_slots(),
+                ..Learned::default()
+            },
         }
     }
 
@@ -53,7 +65,9 @@
 fn guarded(decide: impl FnOnce()) -> Result<(), String> {
     catch_unwind(AssertUnwindSafe(decide)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
-        let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+        let text = text
+            .or(panic.downcast_ref::<&str>().copied())
+            .unwrap_or("panic");
         text.replace(['\n', '\r'], " ")
     })
 }
@@ -75,7 +89,15 @@
         let gap = settings.module.granularity;
         let module = Module::new(settings.module, settings.seed, now);
         let table = JobTable::new(settings.early, figures.clone());
-        Engine { module, table, gap, gate: 0, timers: BTreeSet::new(), actions: Vec::new(), figures }
+        Engine {
+            module,
+            table,
+            gap,
+            gate: 0,
+            timers: BTreeSet::new(),
+            actions: Vec::new(),
+            figures,
+        }
     }
 
     /// Jobs in the job table.
@@ -109,7 +131,10 @@
     pub fn due(&self) -> Option<Time> {
         let timer = self.timers.first().map(|t| t.0.max(self.gate));
         let batch = self.table.has_events().then_some(self.gate);
-        [timer, batch, self.table.next_due()].into_iter().flatten().min()
+        [timer, batch, self.table.next_due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Does what is due: ends jobs at their last moment, and hands the module what has happened if its last batch was
--- a/src/core/figures.rs
+++ b/src/core/figures.rs
@@ -42,12 +42,19 @@
 
     /// The jobs of this class by their end: served, refused, failed.
     pub fn of(&self, class: ClassId) -> [u64; 3] {
-        self.ends.borrow().get(class as usize).copied().unwrap_or_default()
+        self.ends
+            .borrow()
+            .get(class as usize)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// The jobs of all classes by their end.
     pub fn all(&self) -> [u64; 3] {
-        self.ends.borrow().iter().fold([0; 3], |sum, ends| [0, 1, 2].map(|n| sum[n] + ends[n]))
+        self.ends
+            .borrow()
+            .iter()
+            .fold([0; 3], |sum, ends| [0, 1, 2].map(|n| sum[n] + ends[n]))
     }
 }
 
--- a/src/core/job_table.rs
+++ b/src/core/job_table.rs
@@ -40,7 +40,11 @@
 impl JobTable {
     /// An empty job table; jobs are answered this long before the client's time is up.
     pub fn new(early: Time, figures: Rc<Figures>) -> Self {
-        JobTable { early, figures, ..JobTable::default() }
+        JobTable {
+            early,
+            figures,
+            ..JobTable::default()
+        }
     }
 
     /// Events for the module, in the order in which they happened.
@@ -80,12 +84,22 @@
                 request.left = until - now;
                 self.due.insert((until, request.id));
                 let (class, answer) = (request.class, Some(answer));
-                self.jobs.insert(request.id, Job { class, answer, until, attempts: Vec::new() });
+                self.jobs.insert(
+                    request.id,
+                    Job {
+                        class,
+                        answer,
+                        until,
+                        attempts: Vec::new(),
+                    },
+                );
                 add(&self.figures.open, 1);
                 self.events.push(Event::Request(request));
             }
             Told::Gone(job) => {
-                let Some(open) = self.jobs.get_mut(&job) else { return };
+                let Some(open) = self.jobs.get_mut(&job) else {
+                    return;
+                };
                 if open.answer.take().is_some() {
                     add(&self.figures.gone, 1);
                     self.figures.open.set(self.figures.open.get() - 1);
@@ -94,19 +108,36 @@
                 self.settle(job, transport);
             }
             Told::Started(id) if self.is_out(id) => {
-                self.events.push(Event::Started { request: id.job, attempt: id.number });
+                self.events.push(Event::Started {
+                    request: id.job,
+                    attempt: id.number,
+                });
             }
             Told::Progress(id, done) if self.is_out(id) => {
-                self.events.push(Event::Progress { request: id.job, attempt: id.number, done });
+                self.events.push(Event::Progress {
+                    request: id.job,
+                    attempt: id.number,
+                    done,
+                });
             }
             Told::Unheard(id) if self.is_out(id) => {
-                self.events.push(Event::Unheard { request: id.job, attempt: id.number });
+                self.events.push(Event::Unheard {
+                    request: id.job,
+                    attempt: id.number,
+                });
             }
             Told::Started(_) | Told::Progress(..) | Told::Unheard(_) => {}
             Told::Ended(id, status, load) => {
-                let Some(job) = self.jobs.get_mut(&id.job) else { return };
-                let Some(held) = job.attempts.get_mut(id.number as usize) else { return };
-                let (was_out, done) = (std::mem::replace(&mut held.out, false), status == Status::Ok);
+                let Some(job) = self.jobs.get_mut(&id.job) else {
+                    return;
+                };
+                let Some(held) = job.attempts.get_mut(id.number as usize) else {
+                    return;
+                };
+                let (was_out, done) = (
+                    std::mem::replace(&mut held.out, false),
+                    status == Status::Ok,
+                );
                 let answered = if done { job.answer.take() } else { None };
                 let closed = answered.is_some();
                 if let Some(answer) = answered {
@@ -117,7 +148,13 @@
                 if was_out {
                     // The job may have been answered before: then its end is told with this outcome as well.
                     let closed = self.jobs.get(&request).is_some_and(|j| j.answer.is_none());
-                    self.events.push(Event::Outcome { request, attempt, status, closed, load });
+                    self.events.push(Event::Outcome {
+                        request,
+                        attempt,
+                        status,
+                        closed,
+                        load,
+                    });
                 } else if closed {
                     // Given up or taken for lost, yet done: the answer is good, and the job needs no more.
                     self.events.push(Event::Gone(request));
@@ -129,15 +166,30 @@
             Told::Learned(other) => self.events.push(Event::Learned(other)),
             Told::Adopted(id, job, until, reply) => {
                 self.due.insert((until, id));
-                let held =
-                    |t: &carried::Try<WorkerId>| Held { machine: t.worker, out: !t.done, given_up: false };
+                let held = |t: &carried::Try<WorkerId>| Held {
+                    machine: t.worker,
+                    out: !t.done,
+                    given_up: false,
+                };
                 let (class, attempts) = (job.class, job.tries.iter().map(held).collect());
-                self.jobs.insert(id, Job { class, answer: Some(reply), until, attempts });
+                self.jobs.insert(
+                    id,
+                    Job {
+                        class,
+                        answer: Some(reply),
+                        until,
+                        attempts,
+                    },
+                );
                 add(&self.figures.open, 1);
                 self.events.push(Event::Adopted(id, job));
             }
             Told::Recall(..) | Told::Release(..) => {} // the engine's: the module must be asked
-            Told::Probed(worker, status, load) => self.events.push(Event::Probed { worker, status, load }),
+            Told::Probed(worker, status, load) => self.events.push(Event::Probed {
+                worker,
+                status,
+                load,
+            }),
         }
     }
 
@@ -161,16 +213,31 @@
     pub fn expire(&mut self, now: Time, transport: &dyn Transport) {
         while let Some(&(at, id)) = self.due.first().filter(|d| d.0 <= now) {
             self.due.remove(&(at, id));
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
             if at == job.until {
                 let closed = job.answer.is_none();
                 for (n, held) in job.attempts.iter_mut().enumerate().filter(|(_, h)| h.out) {
                     held.out = false;
-                    let attempt = AttemptId { job: id, number: n as u32 };
+                    let attempt = AttemptId {
+                        job: id,
+                        number: n as u32,
+                    };
                     let unsent = transport.give_up(attempt, held.machine) == GivenUp::Unsent;
-                    let status = if unsent { Status::Moot } else { Status::Timeout };
+                    let status = if unsent {
+                        Status::Moot
+                    } else {
+                        Status::Timeout
+                    };
                     let (request, attempt) = (id, attempt.number);
-                    self.events.push(Event::Outcome { request, attempt, status, closed, load: None });
+                    self.events.push(Event::Outcome {
+                        request,
+                        attempt,
+                        status,
+                        closed,
+                        load: None,
+                    });
                 }
                 self.due.insert((at + GRACE, id));
             } else if let Some(answer) = job.answer.take() {
@@ -186,17 +253,31 @@
     /// Carries out what the module asks for. Timers are the caller's.
     pub fn act(&mut self, action: Action, transport: &dyn Transport) {
         match action {
-            Action::Send { request, worker, by, .. } => {
+            Action::Send {
+                request,
+                worker,
+                by,
+                ..
+            } => {
                 let Some(job) = self.jobs.get_mut(&request) else {
                     // Sent before the module came to the event that closes the job. Without an outcome it would
                     // count the attempt as waiting at its machine for ever.
                     let attempts = self.closed.entry(request).or_default();
                     let (status, attempt) = (Status::Moot, *attempts);
                     *attempts += 1;
-                    let outcome = Event::Outcome { request, attempt, status, closed: true, load: None };
+                    let outcome = Event::Outcome {
+                        request,
+                        attempt,
+                        status,
+                        closed: true,
+                        load: None,
+                    };
                     return self.events.push(outcome);
                 };
-                let id = AttemptId { job: request, number: job.attempts.len() as u32 };
+                let id = AttemptId {
+                    job: request,
+                    number: job.attempts.len() as u32,
+                };
                 let open = job.answer.is_some();
                 let out = open
                     && transport.send(Attempt {
@@ -205,49 +286,89 @@
                         until: job.until,
                         by: by.min(job.until),
                     });
-                job.attempts.push(Held { machine: worker, out, given_up: false });
+                job.attempts.push(Held {
+                    machine: worker,
+                    out,
+                    given_up: false,
+                });
                 if !out {
-                    let status = if open { Status::ConnectFailed } else { Status::Moot };
+                    let status = if open {
+                        Status::ConnectFailed
+                    } else {
+                        Status::Moot
+                    };
                     let (attempt, closed) = (id.number, !open);
-                    self.events.push(Event::Outcome { request, attempt, status, closed, load: None });
+                    self.events.push(Event::Outcome {
+                        request,
+                        attempt,
+                        status,
+                        closed,
+                        load: None,
+                    });
                 }
             }
             Action::Cancel { request, attempt } => {
-                let Some(job) = self.jobs.get_mut(&request) else { return };
+                let Some(job) = self.jobs.get_mut(&request) else {
+                    return;
+                };
                 let closed = job.answer.is_none();
-                let Some(held) = job.attempts.get_mut(attempt as usize).filter(|h| h.out) else { return };
+                let Some(held) = job.attempts.get_mut(attempt as usize).filter(|h| h.out) else {
+                    return;
+                };
                 if std::mem::replace(&mut held.given_up, true) {
                     return;
                 }
-                let status =
-                    match transport.give_up(AttemptId { job: request, number: attempt }, held.machine) {
-                        GivenUp::Unsent => Status::Moot,
-                        GivenUp::Done => Status::Cancelled,
-                        GivenUp::Asked => return,
-                    };
+                let status = match transport.give_up(
+                    AttemptId {
+                        job: request,
+                        number: attempt,
+                    },
+                    held.machine,
+                ) {
+                    GivenUp::Unsent => Status::Moot,
+                    GivenUp::Done => Status::Cancelled,
+                    GivenUp::Asked => return,
+                };
                 held.out = false;
-                self.events.push(Event::Outcome { request, attempt, status, closed, load: None });
+                self.events.push(Event::Outcome {
+                    request,
+                    attempt,
+                    status,
+                    closed,
+                    load: None,
+                });
                 self.settle(request, transport);
             }
-            Action::Refuse { request, retry_after } => {
-                self.answer(request, Answer::Rejected(retry_after), transport)
-            }
+            Action::Refuse {
+                request,
+                retry_after,
+            } => self.answer(request, Answer::Rejected(retry_after), transport),
             Action::Fail { request } => self.answer(request, Answer::Failed, transport),
             Action::Probe { worker } => {
                 if !transport.probe(worker) {
                     let status = Status::ConnectFailed;
-                    self.events.push(Event::Probed { worker, status, load: None });
+                    self.events.push(Event::Probed {
+                        worker,
+                        status,
+                        load: None,
+                    });
                 }
             }
             Action::Disconnect { worker } => transport.hang_up(worker),
             Action::Watch(on) => {
                 if !transport.ask(Ask::Watch(on)) {
-                    self.events.push(Event::List { scope: Scope::Failed, entries: Vec::new() });
+                    self.events.push(Event::List {
+                        scope: Scope::Failed,
+                        entries: Vec::new(),
+                    });
                 }
             }
             Action::Fetch => {
                 if !transport.ask(Ask::Whole) {
-                    self.events.push(Event::List { scope: Scope::Failed, entries: Vec::new() });
+                    self.events.push(Event::List {
+                        scope: Scope::Failed,
+                        entries: Vec::new(),
+                    });
                 }
             }
             Action::Log(text) => transport.note(&text),
@@ -256,13 +377,26 @@
     }
 
     fn is_out(&self, id: AttemptId) -> bool {
-        self.jobs.get(&id.job).and_then(|j| j.attempts.get(id.number as usize)).is_some_and(|h| h.out)
+        self.jobs
+            .get(&id.job)
+            .and_then(|j| j.attempts.get(id.number as usize))
+            .is_some_and(|h| h.out)
     }
 
     fn answer(&mut self, id: JobId, answer: Answer, transport: &dyn Transport) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         let Some(to) = job.answer.take() else { return };
-        ended(&self.figures, job.class, if answer == Answer::Failed { End::Failed } else { End::Refused });
+        ended(
+            &self.figures,
+            job.class,
+            if answer == Answer::Failed {
+                End::Failed
+            } else {
+                End::Refused
+            },
+        );
         give(to, id, answer, transport);
         self.settle(id, transport);
     }
--- a/src/core/job_table/tests.rs
+++ b/src/core/job_table/tests.rs
@@ -11,12 +11,21 @@
 
 impl Transport for Noted {
     fn send(&self, attempt: Attempt) -> bool {
-        self.0.borrow_mut().push(format!("attempt {} at {}", attempt.id.number, attempt.machine));
+        self.0.borrow_mut().push(format!(
+            "attempt {} at {}",
+            attempt.id.number, attempt.machine
+        ));
         attempt.machine != 9
     }
     fn give_up(&self, attempt: AttemptId, _: WorkerId) -> GivenUp {
-        self.0.borrow_mut().push(format!("give up {}", attempt.number));
-        if attempt.number == 3 { GivenUp::Asked } else { GivenUp::Done }
+        self.0
+            .borrow_mut()
+            .push(format!("give up {}", attempt.number));
+        if attempt.number == 3 {
+            GivenUp::Asked
+        } else {
+            GivenUp::Done
+        }
     }
     fn probe(&self, _: WorkerId) -> bool {
         false
@@ -35,17 +44,41 @@
     let (to, from) = bounded(1);
     let (left, slots, memory) = (1_000_000, 1.0, 0.0);
     let (estimate, subject) = (None, None);
-    let request = Request { id: 1, class: 0, tenant: 0, left, estimate, slots, memory, subject };
+    let request = Request {
+        id: 1,
+        class: 0,
+        tenant: 0,
+        left,
+        estimate,
+        slots,
+        memory,
+        subject,
+    };
     table.told(0, Told::Job(request, 1_000_000, Reply::To(to)), transport);
     from
 }
 
 fn attempt(table: &mut JobTable, transport: &Noted, worker: WorkerId) {
-    table.act(Action::Send { request: 1, worker, timeout: 0, by: Time::MAX }, transport);
+    table.act(
+        Action::Send {
+            request: 1,
+            worker,
+            timeout: 0,
+            by: Time::MAX,
+        },
+        transport,
+    );
 }
 
 fn ended(attempt: u32, status: Status) -> Told {
-    Told::Ended(AttemptId { job: 1, number: attempt }, status, None)
+    Told::Ended(
+        AttemptId {
+            job: 1,
+            number: attempt,
+        },
+        status,
+        None,
+    )
 }
 
 /// Guards against a job without an answer where the module gives none.
@@ -56,11 +89,17 @@
     attempt(&mut table, &transport, 5);
     table.expire(960_000, &transport);
     let events = format!("{:?}", table.take_events());
-    assert!(events.contains("status: Timeout, closed: false"), "{events}");
+    assert!(
+        events.contains("status: Timeout, closed: false"),
+        "{events}"
+    );
     assert!(answer.try_recv().is_err(), "the module is asked first");
     table.expire(970_000, &transport);
     assert_eq!(answer.try_recv(), Ok(Answer::Failed));
-    assert_eq!(transport.0.take(), ["attempt 0 at 5", "give up 0", "forget 1"]);
+    assert_eq!(
+        transport.0.take(),
+        ["attempt 0 at 5", "give up 0", "forget 1"]
+    );
     assert!(table.jobs() == 0 && table.next_due().is_none());
 }
 
@@ -75,11 +114,17 @@
     table.told(20, ended(0, Status::Ok), &transport);
     assert_eq!(answer.try_recv(), Ok(Answer::Served));
     let events = format!("{:?}", table.take_events());
-    assert!(events.ends_with("Gone(1)]"), "the module learns that it is closed: {events}");
+    assert!(
+        events.ends_with("Gone(1)]"),
+        "the module learns that it is closed: {events}"
+    );
     table.told(30, ended(1, Status::Ok), &transport);
     table.act(Action::Fail { request: 1 }, &transport);
     assert!(answer.try_recv().is_err());
-    assert_eq!(transport.0.take().last().map(String::as_str), Some("forget 1"));
+    assert_eq!(
+        transport.0.take().last().map(String::as_str),
+        Some("forget 1")
+    );
 }
 
 /// Guards against an attempt that stays out for ever in the module's count, and blocks its machine: one made for
@@ -91,7 +136,9 @@
     table.told(5, Told::Gone(1), &transport);
     assert_eq!(table.take_events().len(), 2);
     attempt(&mut table, &transport, 5);
-    assert!(format!("{:?}", table.take_events()).contains("attempt: 0, status: Moot, closed: true"));
+    assert!(
+        format!("{:?}", table.take_events()).contains("attempt: 0, status: Moot, closed: true")
+    );
     table.events_done(Vec::new());
 
     let answer = job(&mut table, &transport);
@@ -100,8 +147,14 @@
     assert_eq!(answer.try_recv(), Ok(Answer::Served));
     table.take_events();
     attempt(&mut table, &transport, 6);
-    assert!(format!("{:?}", table.take_events()).contains("attempt: 1, status: Moot, closed: true"));
-    assert_eq!(transport.0.take(), ["forget 1", "attempt 0 at 5", "forget 1"], "nothing more goes out");
+    assert!(
+        format!("{:?}", table.take_events()).contains("attempt: 1, status: Moot, closed: true")
+    );
+    assert_eq!(
+        transport.0.take(),
+        ["forget 1", "attempt 0 at 5", "forget 1"],
+        "nothing more goes out"
+    );
 }
 
 /// Guards against an attempt that nobody will end: one that the front did not take has failed at once.
@@ -112,12 +165,21 @@
     attempt(&mut table, &transport, 9);
     assert!(format!("{:?}", table.take_events()).contains("ConnectFailed, closed: false"));
     attempt(&mut table, &transport, 5);
-    table.act(Action::Refuse { request: 1, retry_after: 7 }, &transport);
+    table.act(
+        Action::Refuse {
+            request: 1,
+            retry_after: 7,
+        },
+        &transport,
+    );
     assert_eq!(answer.try_recv(), Ok(Answer::Rejected(7)));
     attempt(&mut table, &transport, 6);
     assert!(format!("{:?}", table.take_events()).contains("Moot, closed: true"));
     table.told(40, ended(1, Status::Error), &transport);
-    assert_eq!(transport.0.take(), ["attempt 0 at 9", "attempt 1 at 5", "forget 1"]);
+    assert_eq!(
+        transport.0.take(),
+        ["attempt 0 at 9", "attempt 1 at 5", "forget 1"]
+    );
 }
 
 /// Guards against a second copy: the module sends a job anew as soon as it hears that an attempt is given up, and that is not
@@ -127,13 +189,24 @@
     for done in [false, true] {
         let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
         let answer = job(&mut table, &transport);
-        [9, 9, 9, 5].into_iter().for_each(|worker| attempt(&mut table, &transport, worker));
+        [9, 9, 9, 5]
+            .into_iter()
+            .for_each(|worker| attempt(&mut table, &transport, worker));
         table.take_events();
         for _ in 0..2 {
-            table.act(Action::Cancel { request: 1, attempt: 3 }, &transport);
+            table.act(
+                Action::Cancel {
+                    request: 1,
+                    attempt: 3,
+                },
+                &transport,
+            );
         }
         assert!(!table.has_events(), "its machine is being told");
-        assert_eq!(transport.0.borrow().last().map(String::as_str), Some("give up 3"));
+        assert_eq!(
+            transport.0.borrow().last().map(String::as_str),
+            Some("give up 3")
+        );
         if done {
             table.told(10, ended(3, Status::Ok), &transport);
             assert_eq!(answer.try_recv(), Ok(Answer::Served));
@@ -141,7 +214,19 @@
         }
         table.told(20, ended(3, Status::Cancelled), &transport);
         let events = format!("{:?}", table.take_events());
-        assert_eq!(events.contains("attempt: 3, status: Cancelled, closed: false"), !done, "{events}");
-        assert_eq!(transport.0.take().iter().filter(|asked| asked.starts_with("give up")).count(), 1);
+        assert_eq!(
+            events.contains("attempt: 3, status: Cancelled, closed: false"),
+            !done,
+            "{events}"
+        );
+        assert_eq!(
+            transport
+                .0
+                .take()
+                .iter()
+                .filter(|asked| asked.starts_with("give up"))
+                .count(),
+            1
+        );
     }
 }
--- a/src/front/faktory/codec.rs
+++ b/src/front/faktory/codec.rs
@@ -103,18 +103,30 @@
             "PUSH" => Command::Push(Box::new(json::<Job>("PUSH", rest).and_then(checked)?)),
             "FETCH" => {
                 let queues: Vec<String> = rest.split_whitespace().map(str::to_string).collect();
-                Command::Fetch(if queues.is_empty() { vec![default_queue()] } else { queues })
+                Command::Fetch(if queues.is_empty() {
+                    vec![default_queue()]
+                } else {
+                    queues
+                })
             }
             "ACK" => Command::Ack(json::<Jid>("ACK", rest)?.jid),
             "FAIL" => Command::Fail(json::<Jid>("FAIL", rest)?.jid),
             "BEAT" => {
                 let beat: Beat = json("BEAT", rest)?;
-                Command::Beat(beat.wid, matches!(beat.current_state.as_str(), "quiet" | "terminate"))
+                Command::Beat(
+                    beat.wid,
+                    matches!(beat.current_state.as_str(), "quiet" | "terminate"),
+                )
             }
             "INFO" => Command::Info,
             "END" => Command::End,
             "FLUSH" => return Err("FLUSH is refused: jobs taken are not thrown away".into()),
-            _ => return Err(format!("unknown command {:?}", verb.chars().take(20).collect::<String>())),
+            _ => {
+                return Err(format!(
+                    "unknown command {:?}",
+                    verb.chars().take(20).collect::<String>()
+                ));
+            }
         })
     }
 }
@@ -122,7 +134,8 @@
 fn json<T: for<'a> Deserialize<'a>>(verb: &str, text: &str) -> Result<T, String> {
     let mut bytes = text.as_bytes().to_vec();
     // The library's words may quote the line; a reply must stay one line.
-    crate::config::decode(&mut bytes).map_err(|e| one_line(&format!("{verb} needs a JSON object: {e}")))
+    crate::config::decode(&mut bytes)
+        .map_err(|e| one_line(&format!("{verb} needs a JSON object: {e}")))
 }
 
 fn checked(job: Job) -> Result<Job, String> {
@@ -136,7 +149,10 @@
 }
 
 fn one_line(text: &str) -> String {
-    text.chars().map(|c| if c.is_control() { ' ' } else { c }).take(200).collect()
+    text.chars()
+        .map(|c| if c.is_control() { ' ' } else { c })
+        .take(200)
+        .collect()
 }
 
 /// `+OK`.
--- a/src/front/faktory/machines.rs
+++ b/src/front/faktory/machines.rs
@@ -94,7 +94,12 @@
     pub async fn run(mut self, inbox: Receiver<Order>) {
         loop {
             let beat = |p: &Process| (!p.silent).then_some(p.beat_by);
-            let due = self.processes.values().flat_map(|p| [beat(p), p.link_by]).flatten().min();
+            let due = self
+                .processes
+                .values()
+                .flat_map(|p| [beat(p), p.link_by])
+                .flatten()
+                .min();
             let order: Result<Option<Order>, RecvError> = match due {
                 None => inbox.recv().await.map(Some),
                 Some(at) => {
@@ -122,22 +127,33 @@
             }
             // Assigned before the module had heard that the machine drains or is gone.
             Order::Send(attempt, _) => self.tell(Told::Ended(attempt.id, Status::Moot, None)).await,
-            Order::Clear => self.waiting.retain(|(attempt, parcel)| self.front.wanted(attempt, parcel)),
+            Order::Clear => self
+                .waiting
+                .retain(|(attempt, parcel)| self.front.wanted(attempt, parcel)),
             Order::Here(wid, start, link) => self.here(now, wid, start, link).await,
             Order::Away(wid, link) => {
                 self.fetches.retain(|f| f.link != link);
-                let Some(p) = self.processes.get_mut(&wid) else { return };
+                let Some(p) = self.processes.get_mut(&wid) else {
+                    return;
+                };
                 if p.links.remove(&link) && p.links.is_empty() {
                     p.link_by = Some(now + self.front.file.reconnect_within);
                 }
             }
             Order::Beat(wid, quiet) => {
-                let Some(p) = self.processes.get_mut(&wid) else { return };
+                let Some(p) = self.processes.get_mut(&wid) else {
+                    return;
+                };
                 (p.beat_by, p.quiet, p.silent) = (now + self.front.file.beat_within, quiet, false);
                 self.list().await;
             }
             Order::Fetch(link, wid, queues, to) => {
-                self.fetches.push_back(Fetch { link, wid, queues, to });
+                self.fetches.push_back(Fetch {
+                    link,
+                    wid,
+                    queues,
+                    to,
+                });
                 self.hand_out();
             }
             Order::NoFetch(link) => self.fetches.retain(|f| f.link != link),
@@ -173,8 +189,17 @@
         self.processes.remove(&wid);
         self.lose(&wid).await;
         let links = BTreeSet::from([link]);
-        self.processes
-            .insert(wid, Process { start, links, beat_by, link_by: None, quiet: false, silent: false });
+        self.processes.insert(
+            wid,
+            Process {
+                start,
+                links,
+                beat_by,
+                link_by: None,
+                quiet: false,
+                silent: false,
+            },
+        );
         // It is cold, and the module must hear of it even where the machine was there a moment ago.
         self.entry.ready_at = now;
         self.entry.state = WorkerState::Left;
@@ -188,10 +213,18 @@
         let now = self.front.clock.now();
         let cut_off = |p: &Process| p.link_by.is_some_and(|at| at <= now);
         let over = |p: &Process| (p.beat_by <= now && !p.silent) || cut_off(p);
-        let gone: Vec<String> = self.processes.iter().filter(|(_, p)| over(p)).map(|p| p.0.clone()).collect();
+        let gone: Vec<String> = self
+            .processes
+            .iter()
+            .filter(|(_, p)| over(p))
+            .map(|p| p.0.clone())
+            .collect();
         for wid in gone {
             log(format_args!("faktory wid={wid:?} is gone"));
-            self.processes.get_mut(&wid).into_iter().for_each(|p| p.silent = true);
+            self.processes
+                .get_mut(&wid)
+                .into_iter()
+                .for_each(|p| p.silent = true);
             self.processes.retain(|_, p| !cut_off(p));
             self.lose(&wid).await;
         }
@@ -201,9 +234,17 @@
     /// A process is gone: what it had in hand may have run.
     async fn lose(&mut self, wid: &str) {
         self.fetches.retain(|f| f.wid != wid);
-        let lost: Vec<String> =
-            self.in_hand.iter().filter(|(_, h)| h.wid == wid).map(|h| h.0.clone()).collect();
-        for handed in lost.iter().filter_map(|jid| self.in_hand.remove(jid)).collect::<Vec<_>>() {
+        let lost: Vec<String> = self
+            .in_hand
+            .iter()
+            .filter(|(_, h)| h.wid == wid)
+            .map(|h| h.0.clone())
+            .collect();
+        for handed in lost
+            .iter()
+            .filter_map(|jid| self.in_hand.remove(jid))
+            .collect::<Vec<_>>()
+        {
             self.end(handed, Status::Reset).await;
         }
     }
@@ -218,7 +259,8 @@
         if std::mem::replace(&mut self.entry.state, state) == state {
             return;
         }
-        self.tell(Told::List(Scope::Delta, vec![self.entry.clone()])).await;
+        self.tell(Told::List(Scope::Delta, vec![self.entry.clone()]))
+            .await;
         if state != WorkerState::Active {
             // Nothing new goes to a machine that drains: what waits for it never ran.
             self.return_waiting().await;
@@ -233,21 +275,31 @@
 
     /// Gives those who fetch what is assigned to this machine, by the order of their queues.
     fn hand_out(&mut self) {
-        self.waiting.retain(|(attempt, parcel)| self.front.wanted(attempt, parcel));
+        self.waiting
+            .retain(|(attempt, parcel)| self.front.wanted(attempt, parcel));
         let mut n = 0;
         while n < self.fetches.len() {
             let fetch = &self.fetches[n];
             let takes = self.processes.get(&fetch.wid).is_some_and(Process::takes);
-            let of = |queue: &String| self.waiting.iter().position(|(_, parcel)| parcel.queue == *queue);
+            let of = |queue: &String| {
+                self.waiting
+                    .iter()
+                    .position(|(_, parcel)| parcel.queue == *queue)
+            };
             let Some(at) = fetch.queues.iter().filter(|_| takes).find_map(of) else {
                 n += 1;
                 continue;
             };
-            let (Some(fetch), Some((attempt, parcel))) = (self.fetches.remove(n), self.waiting.remove(at))
+            let (Some(fetch), Some((attempt, parcel))) =
+                (self.fetches.remove(n), self.waiting.remove(at))
             else {
                 return;
             };
-            let handed = Handed { attempt, parcel, wid: fetch.wid };
+            let handed = Handed {
+                attempt,
+                parcel,
+                wid: fetch.wid,
+            };
             if fetch.to.try_send(handed.clone()).is_err() {
                 self.waiting.insert(at, (handed.attempt, handed.parcel)); // that fetch has just been withdrawn
                 continue;
@@ -259,8 +311,12 @@
     }
 
     async fn end(&self, handed: Handed, status: Status) {
-        handed.parcel.in_hand.set(handed.parcel.in_hand.get().saturating_sub(1));
-        self.tell(Told::Ended(handed.attempt.id, status, None)).await;
+        handed
+            .parcel
+            .in_hand
+            .set(handed.parcel.in_hand.get().saturating_sub(1));
+        self.tell(Told::Ended(handed.attempt.id, status, None))
+            .await;
         self.front.orphan_ended(&handed.parcel, status);
     }
 
--- a/src/front/faktory/mod.rs
+++ b/src/front/faktory/mod.rs
@@ -98,14 +98,19 @@
             for wid in &front.file.machines[n].wids {
                 front.wids.borrow_mut().insert(wid.clone(), orders.clone());
             }
-            front.net.start(Machine::new(front.clone(), entry).run(inbox));
+            front
+                .net
+                .start(Machine::new(front.clone(), entry).run(inbox));
         }
         front
     }
 
     /// Tells the core the machines of the operator's file: nobody is there yet.
     pub async fn open(&self) {
-        let _ = self.core.send(Told::List(Scope::Full, self.entries())).await;
+        let _ = self
+            .core
+            .send(Told::List(Scope::Full, self.entries()))
+            .await;
     }
 
     /// The machines of the operator's file, in its order.
@@ -116,14 +121,26 @@
             let worker = config::untaken(config::number(&m.machine), taken);
             let (zone, kind) = (site.zones.id(&m.zone), site.kinds.id(&m.kind));
             let state = WorkerState::Left;
-            entries.push(Entry { worker, zone, kind, cell: m.cell, state, power: m.share, ready_at: 0 });
+            entries.push(Entry {
+                worker,
+                zone,
+                kind,
+                cell: m.cell,
+                state,
+                power: m.share,
+                ready_at: 0,
+            });
         }
         entries
     }
 
     /// Jobs whose answer is owed, or that a job worker has in hand.
     pub fn open_jobs(&self) -> usize {
-        self.known.borrow().values().filter(|k| !matches!(k, Known::Answered(_))).count()
+        self.known
+            .borrow()
+            .values()
+            .filter(|k| !matches!(k, Known::Answered(_)))
+            .count()
     }
 
     fn number(&self) -> u64 {
@@ -137,7 +154,11 @@
     /// Takes a pushed job. Its answer, or that of the job that has this id already, goes to the sender; the
     /// number returned stands for this client.
     async fn push(
-        self: &Rc<Self>, mut request: Request, until: Time, parcel: Parcel, to: Sender<Answer>,
+        self: &Rc<Self>,
+        mut request: Request,
+        until: Time,
+        parcel: Parcel,
+        to: Sender<Answer>,
     ) -> u64 {
         let number = self.number();
         let jid = parcel.jid.clone();
@@ -150,10 +171,15 @@
         }
         let job = self.number();
         request.id = job;
-        self.known.borrow_mut().insert(jid.clone(), Known::Open(job, vec![(number, to)]));
+        self.known
+            .borrow_mut()
+            .insert(jid.clone(), Known::Open(job, vec![(number, to)]));
         self.parcels.borrow_mut().insert(job, Rc::new(parcel));
         let (answer, answered) = bounded(1);
-        let _ = self.core.send(Told::Job(request, until, Reply::To(answer))).await;
+        let _ = self
+            .core
+            .send(Told::Job(request, until, Reply::To(answer)))
+            .await;
         let front = self.clone();
         self.net.start(async move {
             if let Ok(answer) = answered.recv().await {
@@ -172,7 +198,9 @@
     /// Gives everybody who waits for a job its answer, and remembers it.
     fn finish(&self, jid: &str, answer: Answer) {
         let known = self.known.borrow_mut().remove(jid);
-        let Some(Known::Open(_, waiting) | Known::Orphan(_, waiting)) = known else { return };
+        let Some(Known::Open(_, waiting) | Known::Orphan(_, waiting)) = known else {
+            return;
+        };
         for (_, to) in waiting {
             let _ = to.try_send(answer);
         }
@@ -198,13 +226,20 @@
     async fn leave(&self, jid: &str, number: u64) {
         let gone = {
             let mut known = self.known.borrow_mut();
-            let Some(Known::Open(job, waiting)) = known.get_mut(jid) else { return };
+            let Some(Known::Open(job, waiting)) = known.get_mut(jid) else {
+                return;
+            };
             waiting.retain(|(n, _)| *n != number);
             if !waiting.is_empty() {
                 return;
             }
             let job = *job;
-            let parcel = self.parcels.borrow().get(&job).filter(|p| p.in_hand.get() > 0).cloned();
+            let parcel = self
+                .parcels
+                .borrow()
+                .get(&job)
+                .filter(|p| p.in_hand.get() > 0)
+                .cloned();
             match parcel {
                 Some(parcel) => known.insert(jid.to_string(), Known::Orphan(parcel, Vec::new())),
                 None => known.remove(jid),
@@ -219,7 +254,8 @@
     /// May this attempt still be handed to a job worker?
     fn wanted(&self, attempt: &Attempt, parcel: &Parcel) -> bool {
         let open = |k: &Known| matches!(k, Known::Open(job, _) if *job == attempt.id.job);
-        !parcel.off.borrow().contains(&attempt.id) && self.known.borrow().get(&parcel.jid).is_some_and(open)
+        !parcel.off.borrow().contains(&attempt.id)
+            && self.known.borrow().get(&parcel.jid).is_some_and(open)
     }
 
     /// A job worker no longer has a job in hand that its clients have left.
@@ -237,13 +273,18 @@
     }
 
     fn order(&self, machine: WorkerId, order: Order) -> bool {
-        self.machines.borrow().get(&machine).is_some_and(|m| m.try_send(order).is_ok())
+        self.machines
+            .borrow()
+            .get(&machine)
+            .is_some_and(|m| m.try_send(order).is_ok())
     }
 }
 
 impl Transport for Faktory {
     fn send(&self, attempt: Attempt) -> bool {
-        let Some(parcel) = self.parcels.borrow().get(&attempt.id.job).cloned() else { return false };
+        let Some(parcel) = self.parcels.borrow().get(&attempt.id.job).cloned() else {
+            return false;
+        };
         self.order(attempt.machine, Order::Send(attempt, parcel))
     }
 
@@ -253,7 +294,11 @@
         self.order(machine, Order::Clear);
         // What is marked and was not given out before is never given out.
         let unsent = parcel.is_some_and(|p| !p.given_out.borrow().contains(&attempt));
-        if unsent { GivenUp::Unsent } else { GivenUp::Done }
+        if unsent {
+            GivenUp::Unsent
+        } else {
+            GivenUp::Done
+        }
     }
 
     fn probe(&self, _: WorkerId) -> bool {
--- a/src/front/faktory/serve.rs
+++ b/src/front/faktory/serve.rs
@@ -25,7 +25,10 @@
 
 /// Accepts connections for as long as the program runs.
 pub async fn listen(front: Rc<Faktory>, listener: Rc<Async<TcpListener>>) {
-    front.net.serve(&listener, |link| serve(front.clone(), link)).await;
+    front
+        .net
+        .serve(&listener, |link| serve(front.clone(), link))
+        .await;
 }
 
 /// A job worker's name, and its machine's mailbox.
@@ -43,12 +46,21 @@
 
 async fn serve(front: Rc<Faktory>, link: Link) {
     let number = front.number();
-    let mut client = Client { front, link, number, worker: None };
+    let mut client = Client {
+        front,
+        link,
+        number,
+        worker: None,
+    };
     let reason = match client.talk().await {
         Ok(()) => Reason::Done,
         Err(reason) => reason,
     };
-    let side = if client.worker.is_some() { "faktory-worker" } else { "faktory-submitter" };
+    let side = if client.worker.is_some() {
+        "faktory-worker"
+    } else {
+        "faktory-submitter"
+    };
     let wid = client.worker.as_ref().map_or("-", |w| &w.wid).to_string();
     if let Some(worker) = client.worker.take() {
         let _ = worker.orders.send(Order::Away(worker.wid, number)).await;
@@ -70,7 +82,9 @@
             })
             .await?;
             let mut buffer = net.buffer().await?;
-            let read = net.unless_shed_first(accepted, Rank::Part, line(&self.link, &mut buffer)).await;
+            let read = net
+                .unless_shed_first(accepted, Rank::Part, line(&self.link, &mut buffer))
+                .await;
             Ok((read, buffer))
         };
         let (first, mut buffer) = within(WHOLE, Reason::Slow, first).await?;
@@ -85,18 +99,29 @@
         };
         buffer.consume(first);
         if hello.v != 2 {
-            return self.reject("only version 2 of the protocol is spoken here").await;
+            return self
+                .reject("only version 2 of the protocol is spoken here")
+                .await;
         }
-        if !password.is_empty() && !codec::same(&codec::hashed(&password, &salt, times), &hello.pwdhash) {
+        if !password.is_empty()
+            && !codec::same(&codec::hashed(&password, &salt, times), &hello.pwdhash)
+        {
             return self.reject("invalid password").await;
         }
         if !hello.wid.is_empty() {
             let Some(orders) = self.front.machine_of(&hello.wid) else {
-                return self.reject("this wid is on no machine of the operator's file").await;
+                return self
+                    .reject("this wid is on no machine of the operator's file")
+                    .await;
             };
             let start = format!("{}:{}", hello.hostname, hello.pid);
-            self.worker = Some(Worker { wid: hello.wid.clone(), orders: orders.clone() });
-            let _ = orders.send(Order::Here(hello.wid, start, self.number)).await;
+            self.worker = Some(Worker {
+                wid: hello.wid.clone(),
+                orders: orders.clone(),
+            });
+            let _ = orders
+                .send(Order::Here(hello.wid, start, self.number))
+                .await;
         }
         self.reply(codec::OK).await?;
         let mut kept = Some(buffer).filter(|b| !b.filled().is_empty());
@@ -153,10 +178,23 @@
     /// Waits for the next command. A client without one may be asked to go; a job worker only as the program ends.
     async fn idle(&self) -> Result<(), Reason> {
         let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
-        let stopping =
-            |r| if r == Reason::Shed && self.front.life.stopping.get() { Reason::Stopping } else { r };
-        let rank = if self.worker.is_some() { Rank::Kept } else { Rank::Used };
-        self.front.net.unless_shed(rank, readable).await.map_err(stopping)
+        let stopping = |r| {
+            if r == Reason::Shed && self.front.life.stopping.get() {
+                Reason::Stopping
+            } else {
+                r
+            }
+        };
+        let rank = if self.worker.is_some() {
+            Rank::Kept
+        } else {
+            Rank::Used
+        };
+        self.front
+            .net
+            .unless_shed(rank, readable)
+            .await
+            .map_err(stopping)
     }
 
     async fn reply(&self, text: &str) -> Result<(), Reason> {
@@ -170,7 +208,11 @@
     }
 
     async fn obey(
-        &self, command: Command, text: Option<Buffer>, since: Time, rest: &mut Option<Buffer>,
+        &self,
+        command: Command,
+        text: Option<Buffer>,
+        since: Time,
+        rest: &mut Option<Buffer>,
     ) -> Result<(), Reason> {
         let ended = match command {
             Command::Push(job) => match text {
@@ -179,14 +221,22 @@
             },
             Command::Info => return self.reply(&codec::bulk(&self.info())).await,
             Command::Fetch(queues) => return self.fetch(queues, rest).await,
-            Command::Hello(_) | Command::End => return self.reply(&codec::error("HELLO was said")).await,
+            Command::Hello(_) | Command::End => {
+                return self.reply(&codec::error("HELLO was said")).await;
+            }
             Command::Beat(wid, quiet) => match &self.worker {
                 Some(worker) if worker.wid == wid => Order::Beat(wid, quiet),
-                _ => return self.reply(&codec::error("BEAT is for the job worker that said HELLO")).await,
+                _ => {
+                    return self
+                        .reply(&codec::error("BEAT is for the job worker that said HELLO"))
+                        .await;
+                }
             },
             Command::Ack(jid) | Command::Fail(jid) if self.worker.is_none() => {
                 let _ = jid;
-                return self.reply(&codec::error("only a job worker can say how a job went")).await;
+                return self
+                    .reply(&codec::error("only a job worker can say how a job went"))
+                    .await;
             }
             Command::Ack(jid) => Order::Ended(self.wid(), jid, Status::Ok),
             Command::Fail(jid) => Order::Ended(self.wid(), jid, Status::Error),
@@ -198,13 +248,18 @@
     }
 
     fn wid(&self) -> String {
-        self.worker.as_ref().map_or_else(String::new, |w| w.wid.clone())
+        self.worker
+            .as_ref()
+            .map_or_else(String::new, |w| w.wid.clone())
     }
 
     fn info(&self) -> String {
         let front = &self.front;
         let [commands, served, failed] = [0, 1, 2].map(|n| front.counts[n].get());
-        let (open, uptime) = (front.open_jobs(), front.clock.now().saturating_sub(front.since) / 1_000_000);
+        let (open, uptime) = (
+            front.open_jobs(),
+            front.clock.now().saturating_sub(front.since) / 1_000_000,
+        );
         format!(
             "{{\"faktory\":{{\"total_enqueued\":{open},\"total_processed\":{},\"total_failures\":{failed}}},\
              \"server\":{{\"description\":\"indigofold\",\"faktory_version\":\"{}\",\"uptime\":{uptime},\
@@ -217,7 +272,11 @@
 
     /// Hands a job in and answers once its final answer is known.
     async fn push(
-        &self, job: Job, text: Buffer, since: Time, rest: &mut Option<Buffer>,
+        &self,
+        job: Job,
+        text: Buffer,
+        since: Time,
+        rest: &mut Option<Buffer>,
     ) -> Result<(), Reason> {
         let request = match self.request(&job) {
             Ok(request) => request,
@@ -238,7 +297,10 @@
         let until = self.front.life.bound(since + request.left);
         let number = self.front.push(request, until, parcel, to).await;
         let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
-        match answered.or(async { Err(self.link.left(rest, &self.front.net.pool).await) }).await {
+        match answered
+            .or(async { Err(self.link.left(rest, &self.front.net.pool).await) })
+            .await
+        {
             Ok(Answer::Served) => self.reply(codec::OK).await,
             Ok(Answer::Rejected(after)) => {
                 let text = format!("refused, come back in {} ms", after.div_ceil(1000));
@@ -258,11 +320,16 @@
         let class = site.classes.find(&job.jobtype).ok_or_else(unknown)?;
         let settings = &site.settings.classes[class as usize];
         let custom = job.custom.as_ref();
-        if matches!(settings.effect, Effect::Keyed { .. }) && custom.is_none_or(|c| c.key.is_none()) {
+        if matches!(settings.effect, Effect::Keyed { .. }) && custom.is_none_or(|c| c.key.is_none())
+        {
             return Err("custom.key is missing: jobs of this class carry a key".into());
         }
-        let tenant = custom.and_then(|c| c.tenant.as_ref()).and_then(|name| site.tenants.find(name));
-        let left = custom.and_then(|c| c.deadline).map(|ms| ms.min(DEADLINE_MOST) * 1000);
+        let tenant = custom
+            .and_then(|c| c.tenant.as_ref())
+            .and_then(|name| site.tenants.find(name));
+        let left = custom
+            .and_then(|c| c.deadline)
+            .map(|ms| ms.min(DEADLINE_MOST) * 1000);
         Ok(Request {
             id: 0,
             class,
@@ -278,17 +345,24 @@
     /// Waits for a job that the module has assigned to this job worker's machine, and hands it over.
     async fn fetch(&self, queues: Vec<String>, rest: &mut Option<Buffer>) -> Result<(), Reason> {
         let Some(worker) = &self.worker else {
-            return self.reply(&codec::error("only a job worker with a wid can FETCH")).await;
+            return self
+                .reply(&codec::error("only a job worker with a wid can FETCH"))
+                .await;
         };
         let (to, from) = bounded(1);
-        let _ = worker.orders.send(Order::Fetch(self.number, worker.wid.clone(), queues, to)).await;
+        let _ = worker
+            .orders
+            .send(Order::Fetch(self.number, worker.wid.clone(), queues, to))
+            .await;
         let handed = async { Ok(from.recv().await.ok()) };
         let over = async {
             Timer::after(FETCH).await;
             Ok(None)
         };
-        let mut found =
-            handed.or(async { Err(self.link.left(rest, &self.front.net.pool).await) }).or(over).await;
+        let mut found = handed
+            .or(async { Err(self.link.left(rest, &self.front.net.pool).await) })
+            .or(over)
+            .await;
         // A job that came at the very moment at which the wait ended is not lost.
         from.close();
         if let Ok(None) = found {
@@ -322,7 +396,10 @@
             Ok(()) if self.link.closed() => Err(Reason::PeerLeft),
             Ok(()) => {
                 let write = self.link.write(whole.filled(), &mut gone_out);
-                within(STALLED, Reason::Stalled, async { write.await.map_err(|_| Reason::Broke) }).await
+                within(STALLED, Reason::Stalled, async {
+                    write.await.map_err(|_| Reason::Broke)
+                })
+                .await
             }
             Err(_) => Err(Reason::Malformed),
         };
