--- a/src/front/platform/clients.rs
+++ b/src/front/platform/clients.rs
@@ -22,20 +22,34 @@
 use std::time::Instant;
 
 /// Headers of a job that may stand there once.
-const ONCE: [&str; 5] = ["X-Trace-Id", "Idempotency-Key", "X-Expires-In-Ms", "X-Customer", "X-Props"];
+const ONCE: [&str; 5] = [
+    "X-Trace-Id",
+    "Idempotency-Key",
+    "X-Expires-In-Ms",
+    "X-Customer",
+    "X-Props",
+];
 /// The longest time that a client can say it waits.
 const LEFT_MOST: u64 = 24 * 3600 * 1000;
 
 /// Accepts connections for as long as the program runs.
 pub async fn listen(front: Rc<Platform>, listener: Rc<Async<TcpListener>>) {
-    front.net.serve(&listener, |link| serve(front.clone(), link)).await;
+    front
+        .net
+        .serve(&listener, |link| serve(front.clone(), link))
+        .await;
 }
 
 /// What a request asks for.
 enum Wish {
     Ready,
     News(News, Vec<u8>),
-    Job { request: Request, trace: String, text: Buffer, body: usize },
+    Job {
+        request: Request,
+        trace: String,
+        text: Buffer,
+        body: usize,
+    },
     Bad(u16, &'static str),
 }
 
@@ -65,10 +79,16 @@
         if reason.after_answer() {
             front.net.linger(&link).await;
         }
-        return link.end("submitter", reason, format_args!("messages={messages} status={status}"));
+        return link.end(
+            "submitter",
+            reason,
+            format_args!("messages={messages} status={status}"),
+        );
     };
     let (peer, code) = (link.peer(), reason.code());
-    log(format_args!("conn side=submitter peer={peer} reason={code} messages={messages} status={status}"));
+    log(format_args!(
+        "conn side=submitter peer={peer} reason={code} messages={messages} status={status}"
+    ));
     front.hand_over(moved, &served.rest.take(), link).await;
 }
 
@@ -77,10 +97,15 @@
 
 /// Serves a connection whose job another process has taken; without one, the job cannot go on and has failed.
 pub(super) async fn go_on(
-    front: &Rc<Platform>, link: &Link, served: &Served, job: Option<GoesOn>, (keep, rest): (bool, &[u8]),
+    front: &Rc<Platform>,
+    link: &Link,
+    served: &Served,
+    job: Option<GoesOn>,
+    (keep, rest): (bool, &[u8]),
 ) -> Reason {
     let mut kept = Some(front.net.pool.take()).filter(|_| !rest.is_empty());
-    kept.iter_mut().for_each(|buffer| _ = buffer.write_all(rest));
+    kept.iter_mut()
+        .for_each(|buffer| _ = buffer.write_all(rest));
     let message = match job {
         None => Ok((500, String::new(), b"the job's class is gone\n".to_vec())),
         Some((id, parcel, from)) => {
@@ -95,7 +120,15 @@
     let keep = keep && !front.life.sends_away() && !link.overrun();
     match answer(front, link, status, &more, &result, keep).await {
         Err(reason) => reason,
-        Ok(()) if keep => talk(front, link, served, Some(kept.filter(|b| !b.filled().is_empty()))).await,
+        Ok(()) if keep => {
+            talk(
+                front,
+                link,
+                served,
+                Some(kept.filter(|b| !b.filled().is_empty())),
+            )
+            .await
+        }
         Ok(()) => Reason::Done,
     }
 }
@@ -104,16 +137,36 @@
 /// has until its time is up. One that is asked to go as its next message comes is served once more: closed over it, it
 /// would be reset.
 async fn first_byte(
-    front: &Platform, link: &Link, (messages, client): (u64, bool), accepted: Instant,
+    front: &Platform,
+    link: &Link,
+    (messages, client): (u64, bool),
+    accepted: Instant,
 ) -> Result<bool, Reason> {
     let readable = async { link.readable().await.map_err(|_| Reason::Broke) };
     let waited = match messages {
         0 => {
-            let wait = front.net.unless_shed_first(accepted, Rank::Silent, readable);
-            within(WHOLE.saturating_sub(accepted.elapsed()), Reason::Silent, wait).await
+            let wait = front
+                .net
+                .unless_shed_first(accepted, Rank::Silent, readable);
+            within(
+                WHOLE.saturating_sub(accepted.elapsed()),
+                Reason::Silent,
+                wait,
+            )
+            .await
+        }
+        1 => {
+            front
+                .net
+                .unless_shed_from(Rank::Once, client, readable)
+                .await
+        }
+        _ => {
+            front
+                .net
+                .unless_shed_from(Rank::Used, client, readable)
+                .await
         }
-        1 => front.net.unless_shed_from(Rank::Once, client, readable).await,
-        _ => front.net.unless_shed_from(Rank::Used, client, readable).await,
     };
     let (stopping, drained) = (front.life.stopping.get(), front.life.sends_away());
     match waited {
@@ -126,7 +179,12 @@
 }
 
 /// Serves messages; `goes_on`: a client's connection that was served before, and what has been read of the next.
-async fn talk(front: &Rc<Platform>, link: &Link, served: &Served, goes_on: Option<Option<Buffer>>) -> Reason {
+async fn talk(
+    front: &Rc<Platform>,
+    link: &Link,
+    served: &Served,
+    goes_on: Option<Option<Buffer>>,
+) -> Reason {
     let (mut since, mut by) = (front.clock.now(), Instant::now() + WHOLE);
     let (accepted, mut client) = (Instant::now(), goes_on.is_some());
     let mut kept = goes_on.flatten();
@@ -157,7 +215,12 @@
         let left = by.saturating_duration_since(Instant::now());
         let frame = within(left, Reason::Slow, receive(link, &mut buffer));
         let frame = match messages {
-            0 => front.net.unless_shed_first(accepted, Rank::Part, frame).await,
+            0 => {
+                front
+                    .net
+                    .unless_shed_first(accepted, Rank::Part, frame)
+                    .await
+            }
             _ => frame.await,
         };
         let frame = match frame {
@@ -191,22 +254,39 @@
                 // The last descriptors are for news, which ends jobs and so makes room.
                 front.figures.count(request.class, End::Refused);
                 let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
-                answer(503, after, why, false).await.and(Err(Reason::NoRoom))
+                answer(503, after, why, false)
+                    .await
+                    .and(Err(Reason::NoRoom))
             }
-            Wish::Job { request, trace, text, body } => {
+            Wish::Job {
+                request,
+                trace,
+                text,
+                body,
+            } => {
                 front.life.last_job.set(front.clock.now());
                 // The client's time runs from when it began to send.
                 let until = since + request.left;
                 // Where it can go over to another process, it need not end with this one.
-                let until = if front.moves() { until } else { front.life.bound(until) };
+                let until = if front.moves() {
+                    until
+                } else {
+                    front.life.bound(until)
+                };
                 kept = Some(buffer).filter(|b| !b.filled().is_empty());
-                let (status, more, result) =
-                    match job(front, link, &mut kept, (request, until), (&trace, text, body), (keep, served))
-                        .await
-                    {
-                        Ok(answer) => answer,
-                        Err(reason) => return reason,
-                    };
+                let (status, more, result) = match job(
+                    front,
+                    link,
+                    &mut kept,
+                    (request, until),
+                    (&trace, text, body),
+                    (keep, served),
+                )
+                .await
+                {
+                    Ok(answer) => answer,
+                    Err(reason) => return reason,
+                };
                 buffer = kept.take().unwrap_or_else(|| front.net.pool.take());
                 // Decided once, after the wait: a connection is closed only if its answer says so.
                 keep &= !front.life.sends_away() && !link.overrun();
@@ -263,7 +343,10 @@
         ("POST", "/_jobs/news") => {
             // The reader works on the text in place: on a copy, as more messages may stand behind this one.
             let mut copy = front.net.pool.take();
-            match copy.write_all(body).map_err(|e| e.to_string()).and_then(|()| News::read(copy.filled_mut()))
+            match copy
+                .write_all(body)
+                .map_err(|e| e.to_string())
+                .and_then(|()| News::read(copy.filled_mut()))
             {
                 Ok(news) => Wish::News(news, body.to_vec()),
                 Err(_) => Wish::Bad(400, "no news\n"),
@@ -279,28 +362,48 @@
 }
 
 /// What a job asks for; one of a known class that cannot be taken has failed.
-fn job_of(front: &Platform, head: &Head<'_>, body: &[u8], path: &str) -> Result<Wish, &'static str> {
+fn job_of(
+    front: &Platform,
+    head: &Head<'_>,
+    body: &[u8],
+    path: &str,
+) -> Result<Wish, &'static str> {
     let site = front.site.borrow();
     let name = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let Some(class) = site.class(name) else {
         // One that the settings had once is still counted.
-        site.classes.find(name).inspect(|dropped| front.figures.count(*dropped, End::Failed));
+        site.classes
+            .find(name)
+            .inspect(|dropped| front.figures.count(*dropped, End::Failed));
         return Ok(Wish::Bad(404, "no such class of jobs\n"));
     };
     // What the job is about; a path without a further part does not say.
-    let subject = path.trim_start_matches('/').rsplit_once('/').and_then(|(_, last)| config::subject(last));
+    let subject = path
+        .trim_start_matches('/')
+        .rsplit_once('/')
+        .and_then(|(_, last)| config::subject(last));
     let job = job_of_class(front, &site, (class, subject), (head, body));
     job.inspect_err(|_| front.figures.count(class, End::Failed))
 }
 
 /// The job of a class; or why it is none.
 fn job_of_class(
-    front: &Platform, site: &Site, (class, subject): (ClassId, Option<u64>), (head, body): (&Head<'_>, &[u8]),
+    front: &Platform,
+    site: &Site,
+    (class, subject): (ClassId, Option<u64>),
+    (head, body): (&Head<'_>, &[u8]),
 ) -> Result<Wish, &'static str> {
     let settings = &site.settings.classes[class as usize];
-    let trace = head.header("X-Trace-Id").filter(|t| !t.is_empty()).ok_or("X-Trace-Id is missing\n")?;
+    let trace = head
+        .header("X-Trace-Id")
+        .filter(|t| !t.is_empty())
+        .ok_or("X-Trace-Id is missing\n")?;
     // It becomes part of a path when an attempt is given up.
-    if trace.len() > 128 || !trace.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:~".contains(&b)) {
+    if trace.len() > 128
+        || !trace
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_.:~".contains(&b))
+    {
         return Err("X-Trace-Id must be one word\n");
     }
     let key = head.header("Idempotency-Key");
@@ -312,21 +415,36 @@
         Some(ms) => {
             let digits = Some(ms).filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
             let whole = digits.and_then(|ms| ms.parse::<u64>().ok());
-            whole.ok_or("X-Expires-In-Ms must be whole milliseconds\n")?.min(LEFT_MOST) * 1000
+            whole
+                .ok_or("X-Expires-In-Ms must be whole milliseconds\n")?
+                .min(LEFT_MOST)
+                * 1000
         }
     };
     let mut request = Request {
         id: 0,
         class,
-        tenant: head.header("X-Customer").and_then(|name| site.tenants.find(name)).unwrap_or(u32::MAX),
+        tenant: head
+            .header("X-Customer")
+            .and_then(|name| site.tenants.find(name))
+            .unwrap_or(u32::MAX),
         left,
         estimate: None,
         slots: 1.0,
         memory: 0.0,
         subject,
     };
-    for (name, value) in head.header("X-Props").unwrap_or("").split(',').filter_map(|p| p.split_once('=')) {
-        let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+    for (name, value) in head
+        .header("X-Props")
+        .unwrap_or("")
+        .split(',')
+        .filter_map(|p| p.split_once('='))
+    {
+        let value = value
+            .trim()
+            .parse::<f64>()
+            .ok()
+            .filter(|v| v.is_finite() && *v >= 0.0);
         match (name.trim(), value) {
             ("needs" | "slots", Some(v)) => request.slots = v,
             ("mem" | "memory", Some(v)) => request.memory = v,
@@ -347,7 +465,12 @@
         .and_then(|()| header(&mut passed, "Content-Type", head.header("Content-Type")))
         .and_then(|()| write!(passed, "Content-Length: {}\r\n", body.len()));
     written.map_err(|_| "the request is too large\n")?;
-    Ok(Wish::Job { request, trace: trace.to_string(), text: passed, body: body.len() })
+    Ok(Wish::Job {
+        request,
+        trace: trace.to_string(),
+        text: passed,
+        body: body.len(),
+    })
 }
 
 fn header(to: &mut Buffer, name: &str, value: Option<&str>) -> std::io::Result<()> {
@@ -359,8 +482,12 @@
 
 /// Hands a job to the core and waits for its answer, or for the client to leave.
 async fn job(
-    front: &Rc<Platform>, link: &Link, rest: &mut Option<Buffer>, (mut request, until): (Request, Time),
-    (trace, text, body): (&str, Buffer, usize), so_far: (bool, &Served),
+    front: &Rc<Platform>,
+    link: &Link,
+    rest: &mut Option<Buffer>,
+    (mut request, until): (Request, Time),
+    (trace, text, body): (&str, Buffer, usize),
+    so_far: (bool, &Served),
 ) -> Result<Message, Reason> {
     let (to, from) = bounded(1);
     let Some((id, parcel)) = front.take_in(trace, (text, body), to.downgrade()) else {
@@ -368,7 +495,12 @@
         return Ok((409, String::new(), b"a job of this id is open\n".into()));
     };
     request.id = id;
-    if front.core.send(Told::Job(request, until, Reply::To(to))).await.is_err() {
+    if front
+        .core
+        .send(Told::Job(request, until, Reply::To(to)))
+        .await
+        .is_err()
+    {
         return Ok((500, String::new(), Vec::new()));
     }
     answered(front, link, rest, (id, &parcel, from), so_far).await
@@ -376,8 +508,11 @@
 
 /// Waits for a job's answer, for the client to leave, or for the job to go over to another process.
 async fn answered(
-    front: &Rc<Platform>, link: &Link, rest: &mut Option<Buffer>,
-    (id, parcel, from): (JobId, &Parcel, Receiver<Answer>), (keep, served): (bool, &Served),
+    front: &Rc<Platform>,
+    link: &Link,
+    rest: &mut Option<Buffer>,
+    (id, parcel, from): (JobId, &Parcel, Receiver<Answer>),
+    (keep, served): (bool, &Served),
 ) -> Result<Message, Reason> {
     let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
     let left = async { Err(link.left(rest, &front.net.pool).await) };
@@ -386,15 +521,23 @@
         Err(Reason::HandedOn)
     };
     match moved.or(answered).or(left).await {
-        Ok(Answer::Served) => Ok((200, String::new(), parcel.result.borrow_mut().take().unwrap_or_default())),
+        Ok(Answer::Served) => Ok((
+            200,
+            String::new(),
+            parcel.result.borrow_mut().take().unwrap_or_default(),
+        )),
         Ok(Answer::Rejected(0)) => Ok((503, String::new(), Vec::new())),
-        Ok(Answer::Rejected(after)) => {
-            Ok((503, format!("Retry-After: {:.3}\r\n", after as f64 / 1e6), Vec::new()))
-        }
+        Ok(Answer::Rejected(after)) => Ok((
+            503,
+            format!("Retry-After: {:.3}\r\n", after as f64 / 1e6),
+            Vec::new(),
+        )),
         Ok(Answer::Failed) => Ok((500, String::new(), Vec::new())),
         Err(Reason::HandedOn) => {
             let read = rest.take();
-            served.rest.replace(read.map_or_else(Vec::new, |buffer| buffer.filled().to_vec()));
+            served
+                .rest
+                .replace(read.map_or_else(Vec::new, |buffer| buffer.filled().to_vec()));
             Err(Reason::HandedOn)
         }
         Err(reason) => {
@@ -407,12 +550,25 @@
 
 /// Writes one answer.
 async fn answer(
-    front: &Platform, link: &Link, status: u16, more: impl Display, body: &[u8], keep: bool,
+    front: &Platform,
+    link: &Link,
+    status: u16,
+    more: impl Display,
+    body: &[u8],
+    keep: bool,
 ) -> Result<(), Reason> {
     let mut buffer = front.net.pool.take();
     let close = if keep { "" } else { "Connection: close\r\n" };
-    let length = if status == 204 { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-    let head = write!(buffer, "HTTP/1.1 {status} {}\r\n{more}{length}{close}\r\n", http::reason(status));
+    let length = if status == 204 {
+        String::new()
+    } else {
+        format!("Content-Length: {}\r\n", body.len())
+    };
+    let head = write!(
+        buffer,
+        "HTTP/1.1 {status} {}\r\n{more}{length}{close}\r\n",
+        http::reason(status)
+    );
     // A result that one buffer does not hold goes out after the head.
     if head.is_ok() && body.len() <= buffer.room().len() {
         let _ = buffer.write_all(body);
--- a/src/front/platform/kin.rs
+++ b/src/front/platform/kin.rs
@@ -42,7 +42,10 @@
     /// The other process is there. It hears of all jobs that are open here, and of what becomes of them.
     pub fn join(&self) -> (Rc<Kin>, Receiver<Word>) {
         let (words, told) = bounded(MAILBOX);
-        let kin = Rc::new(Kin { ids: RefCell::default(), words });
+        let kin = Rc::new(Kin {
+            ids: RefCell::default(),
+            words,
+        });
         self.kin.borrow_mut().push(kin.clone());
         for id in self.traces.borrow().keys() {
             kin.tell(Word::Opened(id.clone()));
@@ -57,7 +60,10 @@
 
     /// Is a job of this id open in the other process? Then it is not another one here.
     pub(super) fn open_elsewhere(&self, id: &str) -> bool {
-        self.kin.borrow().iter().any(|kin| kin.ids.borrow().contains(id))
+        self.kin
+            .borrow()
+            .iter()
+            .any(|kin| kin.ids.borrow().contains(id))
     }
 
     pub(super) fn tell_kin(&self, word: impl Fn() -> Word) {
@@ -79,7 +85,10 @@
             let others: Vec<Rc<Kin>> = self.kin.borrow().clone();
             // A job that has gone over was not open there yet when the other process heard of it.
             let back = self.has_moved(&news.id);
-            for kin in others.iter().filter(|kin| back || from.is_none_or(|from| !Rc::ptr_eq(from, kin))) {
+            for kin in others
+                .iter()
+                .filter(|kin| back || from.is_none_or(|from| !Rc::ptr_eq(from, kin)))
+            {
                 let _ = kin.words.send(Word::News(text.to_vec())).await;
             }
         }
@@ -91,7 +100,9 @@
     pub async fn tell_learned(&self, kin: &Kin, how: Recall) {
         let (to, from) = bounded(1);
         let _ = self.core.send(Told::Recall(to, how)).await;
-        let Ok(learned) = from.recv().await else { return };
+        let Ok(learned) = from.recv().await else {
+            return;
+        };
         let mut named = self.named(learned);
         let form = named.write().or_else(|| {
             // Too many machines: what is known of kinds, classes and the whole is worth more.
@@ -106,11 +117,14 @@
     /// Takes in what the other process has learned; a text that cannot be read changes nothing.
     pub async fn take_learned(&self, form: &[u8]) {
         match Learned::read(form) {
-            Err(why) => log(format_args!("handover: what the other process has learned is not taken: {why}")),
+            Err(why) => log(format_args!(
+                "handover: what the other process has learned is not taken: {why}"
+            )),
             Ok(learned) => {
                 let of = self.numbered(learned);
                 if of.pace.is_some() {
-                    let (kinds, classes, machines) = (of.kinds.len(), of.classes.len(), of.workers.len());
+                    let (kinds, classes, machines) =
+                        (of.kinds.len(), of.classes.len(), of.workers.len());
                     log(format_args!(
                         "handover: takes over what was learned kinds={kinds} classes={classes} machines={machines}"
                     ));
--- a/src/front/platform/machines.rs
+++ b/src/front/platform/machines.rs
@@ -99,7 +99,8 @@
         Step::Moves => MOVES,
         Step::Begins => {
             let each = SPREAD_EACH.saturating_mul(u32::try_from(schedulers).unwrap_or(u32::MAX));
-            each.min(ask_within.mul_f64(SPREAD_MOST)).saturating_mul(failed)
+            each.min(ask_within.mul_f64(SPREAD_MOST))
+                .saturating_mul(failed)
         }
     }
 }
@@ -117,7 +118,8 @@
 
 /// How long a call may take that waits so long, or asks for the whole list.
 fn due(wait: Option<u64>) -> Duration {
-    wait.filter(|wait| *wait != AT_ONCE_MS).map_or(CALL, |wait| BEYOND + Duration::from_millis(wait))
+    wait.filter(|wait| *wait != AT_ONCE_MS)
+        .map_or(CALL, |wait| BEYOND + Duration::from_millis(wait))
 }
 
 /// The way to a discovery, and the version of its list that is held, if one is.
@@ -189,7 +191,11 @@
     fn schedulers(&self) -> u64 {
         let site = self.front.site.borrow();
         // Where lists are pushed, each scheduler has an agent of its own.
-        if site.pushed { 1 } else { site.settings.dispatchers.into() }
+        if site.pushed {
+            1
+        } else {
+            site.settings.dispatchers.into()
+        }
     }
 
     /// How long a call for changes may wait.
@@ -210,14 +216,22 @@
     /// where discovery turns calls down, and not twice in a row: then it is the module that says when. Where lists are
     /// pushed, what the agent has counts as told at any time, so that it is asked until it answers.
     fn open_anew(&mut self, mut line: Line, reason: Reason) -> Result<Call, Line> {
-        let (pushed, again) = (self.front.site.borrow().pushed, std::mem::replace(&mut self.anew, true));
-        let down =
-            matches!(reason, Reason::Rejected | Reason::Refused | Reason::DialTimeout | Reason::NoRoom);
+        let (pushed, again) = (
+            self.front.site.borrow().pushed,
+            std::mem::replace(&mut self.anew, true),
+        );
+        let down = matches!(
+            reason,
+            Reason::Rejected | Reason::Refused | Reason::DialTimeout | Reason::NoRoom
+        );
         if !self.watching || (!pushed && (again || down)) {
             self.anew = false;
             return Err(line);
         }
-        log(format_args!("the watch is opened anew reason={}", reason.code()));
+        log(format_args!(
+            "the watch is opened anew reason={}",
+            reason.code()
+        ));
         line.drop_link(reason);
         let silent = reason == Reason::Unanswered;
         let put_off = self.put_off(if silent { Step::Silent } else { Step::Begins });
@@ -232,8 +246,11 @@
         let spread = spread(step, self.schedulers(), self.failed, ask_within);
         let spread = spread.min(retry_within(self.failed_at.map(|at| at.elapsed())));
         // A process that is to replace another has some seconds to be ready, and few do so at once.
-        let spread =
-            spread.min(if self.replaces && !self.front.ready.get() { REPLACES } else { Duration::MAX });
+        let spread = spread.min(if self.replaces && !self.front.ready.get() {
+            REPLACES
+        } else {
+            Duration::MAX
+        });
         Duration::from_micros(self.rng.next_u64() % spread.as_micros().max(1) as u64)
     }
 
@@ -242,12 +259,16 @@
         loop {
             let told = async { Next::Told(inbox.recv().await) };
             let answer = async {
-                let Some(call) = &mut self.call else { return std::future::pending().await };
+                let Some(call) = &mut self.call else {
+                    return std::future::pending().await;
+                };
                 let (line, answer) = call.await;
                 Next::Answer(line, answer)
             };
             let moved = async {
-                let Some((_, call)) = &mut self.moving else { return std::future::pending().await };
+                let Some((_, call)) = &mut self.moving else {
+                    return std::future::pending().await;
+                };
                 let (line, answer) = call.await;
                 Next::Moved(line, answer)
             };
@@ -262,7 +283,10 @@
                     continue;
                 }
                 Next::Moved(line, answer) => {
-                    log(format_args!("discovery moved from {} to {}", self.discovery, line.discovery));
+                    log(format_args!(
+                        "discovery moved from {} to {}",
+                        self.discovery, line.discovery
+                    ));
                     (self.discovery, self.moving) = (line.discovery, None);
                     (self.idle, self.watching) = (None, true); // the old one's watch ends here
                     (line, answer)
@@ -295,7 +319,13 @@
     }
 
     fn line(&self, discovery: SocketAddr) -> Line {
-        Line { front: self.front.clone(), discovery, link: None, seq: None, older: false }
+        Line {
+            front: self.front.clone(),
+            discovery,
+            link: None,
+            seq: None,
+            older: false,
+        }
     }
 
     fn ask(&mut self, asked: Ask) {
@@ -311,12 +341,19 @@
             if self.call.is_some() {
                 return;
             }
-            let line = self.idle.take().unwrap_or_else(|| self.line(self.discovery));
+            let line = self
+                .idle
+                .take()
+                .unwrap_or_else(|| self.line(self.discovery));
             // Where discovery has many to serve, each begins with the call that waits: one call less.
             let waits = self.many() && self.front.ready.get();
             let on = if waits { self.wait() } else { AT_ONCE_MS };
             let wait = (line.seq.is_some() && self.watching).then_some(on);
-            self.call = Some(Box::pin(line.call(wait, self.put_off(Step::Begins), due(wait))));
+            self.call = Some(Box::pin(line.call(
+                wait,
+                self.put_off(Step::Begins),
+                due(wait),
+            )));
         }
     }
 
@@ -334,8 +371,13 @@
             loop {
                 let (back, answer) = line.call(None, put_off, MOVED).await;
                 line = back;
-                let Err(reason) = &answer else { return (line, answer) };
-                log(format_args!("discovery at {to} does not answer yet reason={}", reason.code()));
+                let Err(reason) = &answer else {
+                    return (line, answer);
+                };
+                log(format_args!(
+                    "discovery at {to} does not answer yet reason={}",
+                    reason.code()
+                ));
                 line.drop_link(*reason);
                 put_off = put_off.max(AGAIN);
             }
@@ -358,7 +400,11 @@
             Ok(list) => {
                 (line.seq, line.older, self.failed, self.anew) = (Some(list.seq), false, 1, false);
                 self.failed_at = None;
-                let scope = if list.whole { Scope::Full } else { Scope::Delta };
+                let scope = if list.whole {
+                    Scope::Full
+                } else {
+                    Scope::Delta
+                };
                 (scope, self.front.learn(list))
             }
             Err(reason) => {
@@ -400,7 +446,10 @@
 
     /// One call.
     async fn call(
-        mut self, wait: Option<u64>, put_off: Duration, limit: Duration,
+        mut self,
+        wait: Option<u64>,
+        put_off: Duration,
+        limit: Duration,
     ) -> (Line, Result<DiscoveryList, Reason>) {
         if !put_off.is_zero() {
             Timer::after(put_off).await;
@@ -409,14 +458,20 @@
         (self, answer)
     }
 
-    async fn exchange(&mut self, wait: Option<u64>, limit: Duration) -> Result<DiscoveryList, Reason> {
+    async fn exchange(
+        &mut self,
+        wait: Option<u64>,
+        limit: Duration,
+    ) -> Result<DiscoveryList, Reason> {
         if self.link.as_ref().is_some_and(Link::stale) {
             self.drop_link(Reason::PeerClosed);
         }
         if self.link.is_none() {
             self.link = Some(self.front.net.dial(self.discovery, DIAL).await?);
         }
-        let Some(link) = &self.link else { return Err(Reason::Broke) };
+        let Some(link) = &self.link else {
+            return Err(Reason::Broke);
+        };
         let buffer = &mut self.front.net.pool.take();
         let host = self.discovery;
         let _ = match wait {
--- a/src/front/platform/machines/tests.rs
+++ b/src/front/platform/machines/tests.rs
@@ -13,7 +13,10 @@
         let [first, failed] = [1, FAILED].map(|failed| spread(Step::Begins, many, failed, within));
         assert!(first >= SPREAD_EACH * 8, "{many} schedulers");
         // A call counts as made in time within `ask_within`, four times that after a failed one.
-        assert!(first <= within / 2 && failed <= 2 * within, "{many} schedulers");
+        assert!(
+            first <= within / 2 && failed <= 2 * within,
+            "{many} schedulers"
+        );
     }
 }
 
@@ -21,13 +24,21 @@
 /// seconds after discovery could be reached, and drained machines got new jobs until the next call.
 #[test]
 fn after_a_failed_call_the_next_one_comes_in_time_however_many_schedulers_there_are() {
-    let (within, told, line) =
-        (Duration::from_secs(10), Duration::from_secs(6), Duration::from_millis(1_500));
+    let (within, told, line) = (
+        Duration::from_secs(10),
+        Duration::from_secs(6),
+        Duration::from_millis(1_500),
+    );
     for many in [8, 48, 324, 1000, u64::MAX] {
-        for (failed, module_waits_ms) in [(2, 500), (FAILED, 1_000), (FAILED, 2_000), (FAILED, 4_000)] {
+        for (failed, module_waits_ms) in
+            [(2, 500), (FAILED, 1_000), (FAILED, 2_000), (FAILED, 4_000)]
+        {
             let since = Duration::from_millis(module_waits_ms);
             let put_off = spread(Step::Begins, many, failed, within).min(retry_within(Some(since)));
-            assert!(since + put_off + line < told, "{many} schedulers, {since:?} after a failure");
+            assert!(
+                since + put_off + line < told,
+                "{many} schedulers, {since:?} after a failure"
+            );
         }
     }
     assert_eq!(retry_within(None), Duration::MAX);
@@ -39,7 +50,10 @@
 fn a_watch_goes_on_within_200_ms_however_many_schedulers_there_are() {
     for many in [1, 8, 100, 1000, u64::MAX] {
         for failed in [1, FAILED] {
-            assert!(spread(Step::GoesOn, many, failed, Duration::from_secs(10)) < Duration::from_millis(150));
+            assert!(
+                spread(Step::GoesOn, many, failed, Duration::from_secs(10))
+                    < Duration::from_millis(150)
+            );
         }
     }
 }
@@ -56,10 +70,16 @@
             // It fell silent right after its call came, which is the worst for this side.
             let told = Duration::from_secs(6).max(wait + Duration::from_secs(2));
             let asked = wait + BEYOND + spread(Step::Silent, many, FAILED, within) + DIAL;
-            assert!(asked + Duration::from_millis(200) <= told, "{many} schedulers, {wait:?}");
+            assert!(
+                asked + Duration::from_millis(200) <= told,
+                "{many} schedulers, {wait:?}"
+            );
         }
         // No call of a thousand waits for less than half of what keeps discovery at peace.
-        assert!(many < 1000 || (least, most) == (15_000, 30_000), "{many} schedulers");
+        assert!(
+            many < 1000 || (least, most) == (15_000, 30_000),
+            "{many} schedulers"
+        );
         // Those that fell silent together, having called together, find out one after another.
         assert!(least * 2 <= most + 1, "{many} schedulers");
     }
--- a/src/front/platform/mod.rs
+++ b/src/front/platform/mod.rs
@@ -86,7 +86,12 @@
 impl Platform {
     /// The front; the discovery list's actor reads what is asked of it from the channel's other end.
     pub fn new(
-        net: Net, clock: Clock, life: Rc<Life>, figures: Rc<Figures>, site: Site, core: Mailbox,
+        net: Net,
+        clock: Clock,
+        life: Rc<Life>,
+        figures: Rc<Figures>,
+        site: Site,
+        core: Mailbox,
         list: Sender<machines::Word>,
     ) -> Rc<Self> {
         Rc::new(Platform {
@@ -110,7 +115,10 @@
 
     /// Takes in a job's parcel. `None` while a job of that id is open.
     fn take_in(
-        &self, trace: &str, (text, body): (Buffer, usize), owed: WeakSender<Answer>,
+        &self,
+        trace: &str,
+        (text, body): (Buffer, usize),
+        owed: WeakSender<Answer>,
     ) -> Option<(JobId, Rc<Parcel>)> {
         if self.traces.borrow().contains_key(trace) || self.open_elsewhere(trace) {
             return None;
@@ -169,8 +177,12 @@
             return *id;
         }
         let hex = host.rsplit('-').next().filter(|h| h.len() == 8);
-        let id = hex.and_then(|h| u32::from_str_radix(h, 16).ok()).unwrap_or_else(|| config::number(host));
-        let id = config::untaken(id, |id| self.names.borrow().values().any(|other| *other == id));
+        let id = hex
+            .and_then(|h| u32::from_str_radix(h, 16).ok())
+            .unwrap_or_else(|| config::number(host));
+        let id = config::untaken(id, |id| {
+            self.names.borrow().values().any(|other| *other == id)
+        });
         self.names.borrow_mut().insert(host.to_string(), id);
         id
     }
@@ -179,7 +191,10 @@
     /// nothing more goes out to a machine that leaves, whatever was decided before.
     pub fn learn(self: &Rc<Self>, list: DiscoveryList) -> Vec<Entry> {
         if list.whole {
-            self.machines.borrow().values().for_each(|m| m.leaves.set(true)); // but for those that it names
+            self.machines
+                .borrow()
+                .values()
+                .for_each(|m| m.leaves.set(true)); // but for those that it names
         }
         let mut entries = Vec::new();
         for m in list.hosts {
@@ -194,17 +209,25 @@
                 let ((orders, inbox), leaves) = (bounded(MAILBOX), Rc::default());
                 let peer = Peer::new(self.clone(), worker, m.host.clone(), Rc::clone(&leaves));
                 self.net.start(peer.run(inbox));
-                self.machines.borrow_mut().insert(worker, Machine { orders, leaves });
+                self.machines
+                    .borrow_mut()
+                    .insert(worker, Machine { orders, leaves });
             }
             if let Some(known) = self.machines.borrow().get(&worker) {
                 known.leaves.set(state != WorkerState::Active);
             }
             match dial {
                 Ok(dial) if !self.order(worker, Order::Address(dial)) => {
-                    log(format_args!("machine={} is too busy to be told its address", m.host));
+                    log(format_args!(
+                        "machine={} is too busy to be told its address",
+                        m.host
+                    ));
                 }
                 Err(_) if state == WorkerState::Active => {
-                    log(format_args!("machine={} has no address that can be dialled: {:?}", m.host, m.dial));
+                    log(format_args!(
+                        "machine={} has no address that can be dialled: {:?}",
+                        m.host, m.dial
+                    ));
                 }
                 _ => {}
             }
@@ -233,18 +256,26 @@
         let last = attempts.iter().rposition(told)?;
         // Told twice of an earlier attempt, it must not count for this one, which may run.
         let again = attempts[..last].iter().any(told);
-        let attempt = AttemptId { job, number: last as u32 };
+        let attempt = AttemptId {
+            job,
+            number: last as u32,
+        };
         let load = || news.load.as_ref().map(|l| self.site.borrow().load_value(l));
         Some(match news.state.as_str() {
             "started" => Told::Started(attempt),
             "running" => Told::Progress(attempt, news.share),
             "done" => {
                 let result = match &news.result {
-                    Some(value) => value.as_str().map_or_else(|| value.encode(), str::to_string),
+                    Some(value) => value
+                        .as_str()
+                        .map_or_else(|| value.encode(), str::to_string),
                     None => String::new(),
                 };
                 // The first result stays: the answer may be on its way.
-                parcel.result.borrow_mut().get_or_insert(result.into_bytes());
+                parcel
+                    .result
+                    .borrow_mut()
+                    .get_or_insert(result.into_bytes());
                 Told::Ended(attempt, Status::Ok, load())
             }
             "failed" => Told::Ended(attempt, Status::Error, load()),
@@ -257,33 +288,59 @@
 
     fn forget_attempts(&self, job: JobId, parcel: &Parcel) {
         for (n, attempt) in parcel.attempts.borrow().iter().enumerate() {
-            self.order(attempt.machine, Order::Forget(AttemptId { job, number: n as u32 }));
+            self.order(
+                attempt.machine,
+                Order::Forget(AttemptId {
+                    job,
+                    number: n as u32,
+                }),
+            );
         }
     }
 
     fn order(&self, machine: WorkerId, order: Order) -> bool {
-        self.machines.borrow().get(&machine).is_some_and(|m| m.orders.try_send(order).is_ok())
+        self.machines
+            .borrow()
+            .get(&machine)
+            .is_some_and(|m| m.orders.try_send(order).is_ok())
     }
 }
 
 impl Transport for Platform {
     fn send(&self, attempt: Attempt) -> bool {
-        let Some(parcel) = self.parcel(attempt.id.job) else { return false };
+        let Some(parcel) = self.parcel(attempt.id.job) else {
+            return false;
+        };
         let state = AttemptState::new(attempt.machine, Stage::Unsent);
         parcel.attempts.borrow_mut().push(state.clone());
         self.order(attempt.machine, Order::Send(attempt, parcel, state))
     }
 
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp {
-        let Some(parcel) = self.parcel(attempt.job) else { return GivenUp::Done };
-        let unsent = parcel.attempts.borrow().get(attempt.number as usize).is_some_and(|a| a.withdraw());
-        if let Some(orders) = self.machines.borrow().get(&machine).map(|m| m.orders.clone()) {
+        let Some(parcel) = self.parcel(attempt.job) else {
+            return GivenUp::Done;
+        };
+        let unsent = parcel
+            .attempts
+            .borrow()
+            .get(attempt.number as usize)
+            .is_some_and(|a| a.withdraw());
+        if let Some(orders) = self
+            .machines
+            .borrow()
+            .get(&machine)
+            .map(|m| m.orders.clone())
+        {
             let order = Order::GiveUp(attempt, parcel);
             if let Err(TrySendError::Full(order)) = orders.try_send(order) {
                 self.net.start(async move { _ = orders.send(order).await });
             }
         }
-        if unsent { GivenUp::Unsent } else { GivenUp::Asked }
+        if unsent {
+            GivenUp::Unsent
+        } else {
+            GivenUp::Asked
+        }
     }
 
     fn probe(&self, machine: WorkerId) -> bool {
--- a/src/front/platform/moving.rs
+++ b/src/front/platform/moving.rs
@@ -52,7 +52,12 @@
 impl Default for Moving {
     fn default() -> Self {
         let (taker, leaving, gone) = Default::default();
-        Moving { taker, called: RefCell::new(bounded(1)), leaving, gone }
+        Moving {
+            taker,
+            called: RefCell::new(bounded(1)),
+            leaving,
+            gone,
+        }
     }
 }
 
@@ -82,25 +87,48 @@
     }
 
     /// Returns once the job has been given away here; until then it stays. `keep`: its connection is to be kept.
-    pub(super) async fn released(self: &Rc<Self>, id: JobId, parcel: &Parcel, keep: bool, served: &Served) {
+    pub(super) async fn released(
+        self: &Rc<Self>,
+        id: JobId,
+        parcel: &Parcel,
+        keep: bool,
+        served: &Served,
+    ) {
         loop {
             let called = self.moving.called.borrow().1.clone();
             if self.moving.taker.borrow().is_none() {
                 let _ = called.recv().await;
             }
-            if parcel.attempts.borrow().iter().all(|attempt| attempt.is_settled())
+            if parcel
+                .attempts
+                .borrow()
+                .iter()
+                .all(|attempt| attempt.is_settled())
                 && parcel.result.borrow().is_none()
             {
                 // News of it waits until it is known who is to hear of it.
                 let trace = parcel.trace.clone();
-                self.moving.leaving.borrow_mut().insert(trace.clone(), Vec::new());
+                self.moving
+                    .leaving
+                    .borrow_mut()
+                    .insert(trace.clone(), Vec::new());
                 let (to, from) = bounded(1);
                 let _ = self.core.send(Told::Release(id, to)).await;
                 if let Ok(Some(released)) = from.recv().await {
                     let job = self.carried(released.job);
                     let (text, body) = (parcel.text.filled().to_vec(), parcel.body);
-                    let (rest, messages, until) = (Vec::new(), served.messages.get(), released.until);
-                    served.moved.replace(Some(Moved { trace, text, body, until, keep, rest, messages, job }));
+                    let (rest, messages, until) =
+                        (Vec::new(), served.messages.get(), released.until);
+                    served.moved.replace(Some(Moved {
+                        trace,
+                        text,
+                        body,
+                        until,
+                        keep,
+                        rest,
+                        messages,
+                        job,
+                    }));
                     return;
                 }
                 self.heard(&trace).await;
@@ -127,23 +155,37 @@
     /// Keeps a piece of news of a job that is about to go over.
     pub(super) fn waits(&self, trace: &str, text: &[u8]) -> bool {
         let mut leaving = self.moving.leaving.borrow_mut();
-        leaving.get_mut(trace).map(|waiting| waiting.push(text.to_vec())).is_some()
+        leaving
+            .get_mut(trace)
+            .map(|waiting| waiting.push(text.to_vec()))
+            .is_some()
     }
 
     /// Sends a released job to the process that takes over. Where that has just ended, the job goes on here.
     pub(super) async fn hand_over(self: &Rc<Self>, mut moved: Moved, rest: &[u8], link: Link) {
         // What follows is not understood where some of it was thrown away.
         moved.keep &= !link.overrun();
-        moved.rest = if link.overrun() { Vec::new() } else { rest.to_vec() };
+        moved.rest = if link.overrun() {
+            Vec::new()
+        } else {
+            rest.to_vec()
+        };
         self.drop_job(&moved.trace);
         let (taker, trace) = (self.moving.taker.borrow().clone(), moved.trace.clone());
         let (stream, form) = (link.into_stream(), postcard::to_allocvec(&moved));
-        let (Some((stream, seat)), Ok(form)) = (stream, form) else { return };
+        let (Some((stream, seat)), Ok(form)) = (stream, form) else {
+            return;
+        };
         drop(seat);
         self.net.set.resize(-1);
         let word = Word::Moved(form, stream);
         let sent = match taker {
-            Some(kin) => kin.words.send(word).await.map_err(|SendError(word)| word).map(|()| kin),
+            Some(kin) => kin
+                .words
+                .send(word)
+                .await
+                .map_err(|SendError(word)| word)
+                .map(|()| kin),
             None => Err(word),
         };
         match sent {
@@ -171,7 +213,12 @@
     pub async fn adopt(self: &Rc<Self>, form: &[u8], stream: TcpStream) {
         self.net.set.resize(1);
         let seat = loop {
-            match self.net.set.seat(Way::In).or_else(|| self.net.set.seat(Way::Out)) {
+            match self
+                .net
+                .set
+                .seat(Way::In)
+                .or_else(|| self.net.set.seat(Way::Out))
+            {
                 Some(seat) => break seat,
                 None => self.net.set.resize(1), // it was open before: it stays
             }
@@ -180,26 +227,45 @@
         let moved = moved.and_then(|moved| moved.job.check().map(|()| moved));
         let (moved, link) = match (moved, Async::new(stream)) {
             (Ok(moved), Ok(stream)) => (moved, Link::new(stream, seat)),
-            (Err(why), _) => return log(format_args!("handover: a job cannot be taken over: {why}")),
-            (_, Err(why)) => return log(format_args!("handover: a connection cannot be taken over: {why}")),
+            (Err(why), _) => {
+                return log(format_args!("handover: a job cannot be taken over: {why}"));
+            }
+            (_, Err(why)) => {
+                return log(format_args!(
+                    "handover: a connection cannot be taken over: {why}"
+                ));
+            }
         };
         log(format_args!("handover: goes on with job={}", moved.trace));
         // It is not open elsewhere any more.
         self.moving.gone.borrow_mut().remove(&moved.trace);
-        self.kin.borrow().iter().for_each(|kin| _ = kin.ids.borrow_mut().remove(&moved.trace));
+        self.kin
+            .borrow()
+            .iter()
+            .for_each(|kin| _ = kin.ids.borrow_mut().remove(&moved.trace));
         let mut text = self.net.pool.take();
         let written = text.write_all(&moved.text).is_ok();
         let known = self.numbered_job(moved.job).filter(|_| written);
         let (to, from) = bounded(1);
-        let taken = known
-            .and_then(|job| Some((job, self.take_in(&moved.trace, (text, moved.body), to.downgrade())?)));
+        let taken = known.and_then(|job| {
+            Some((
+                job,
+                self.take_in(&moved.trace, (text, moved.body), to.downgrade())?,
+            ))
+        });
         let mut waits = None;
         if let Some((job, (id, parcel))) = taken {
-            let attempts = job.tries.iter().map(|t| AttemptState::new(t.worker, Stage::Taken));
+            let attempts = job
+                .tries
+                .iter()
+                .map(|t| AttemptState::new(t.worker, Stage::Taken));
             parcel.attempts.borrow_mut().extend(attempts);
             // Given up here, a machine must hear of it: it keeps an attempt until then.
             for (n, t) in job.tries.iter().enumerate().filter(|(_, t)| !t.done) {
-                let attempt = AttemptId { job: id, number: n as u32 };
+                let attempt = AttemptId {
+                    job: id,
+                    number: n as u32,
+                };
                 self.order(t.worker, Order::Taken(attempt));
             }
             self.life.last_job.set(self.clock.now());
@@ -218,7 +284,9 @@
 
     /// Forgets a job that goes on elsewhere. Its attempts stay with their machines.
     fn drop_job(&self, trace: &str) {
-        let Some(id) = self.traces.borrow_mut().remove(trace) else { return };
+        let Some(id) = self.traces.borrow_mut().remove(trace) else {
+            return;
+        };
         if let Some(parcel) = self.parcels.borrow_mut().remove(&id) {
             self.forget_attempts(id, &parcel);
         }
@@ -226,10 +294,23 @@
 
     fn carried(&self, job: Carried<u32>) -> Carried<String> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
-        let class = |id: &u32| Some(site.classes.all().nth(*id as usize).unwrap_or("").to_string());
-        let host =
-            |id: &u32| names.iter().find(|(_, other)| *other == id).map_or(String::new(), |n| n.0.clone());
-        job.renamed(class, host).unwrap_or_else(|| unreachable!("every class is named"))
+        let class = |id: &u32| {
+            Some(
+                site.classes
+                    .all()
+                    .nth(*id as usize)
+                    .unwrap_or("")
+                    .to_string(),
+            )
+        };
+        let host = |id: &u32| {
+            names
+                .iter()
+                .find(|(_, other)| *other == id)
+                .map_or(String::new(), |n| n.0.clone())
+        };
+        job.renamed(class, host)
+            .unwrap_or_else(|| unreachable!("every class is named"))
     }
 
     fn numbered_job(&self, job: Carried<String>) -> Option<Carried<u32>> {
--- a/src/front/platform/workers.rs
+++ b/src/front/platform/workers.rs
@@ -82,7 +82,9 @@
     /// What the head of an answer says of an attempt.
     fn outcome(&self, head: &Head<'_>) -> Said {
         let site = self.front.site.borrow();
-        let load = head.header("Endpoint-Load-Metrics").and_then(|text| site.load(text.as_bytes()));
+        let load = head
+            .header("Endpoint-Load-Metrics")
+            .and_then(|text| site.load(text.as_bytes()));
         let never_ran = head.header("X-Never-Ran") == Some("1");
         match head.status {
             202 => Said::Taken,
@@ -93,7 +95,10 @@
 
     /// Carries an attempt to the machine; what ends it before it is taken is returned.
     async fn carry(
-        &self, attempt: Attempt, parcel: &Parcel, state: &AttemptState,
+        &self,
+        attempt: Attempt,
+        parcel: &Parcel,
+        state: &AttemptState,
     ) -> Option<(Status, Option<Load>)> {
         let left = || attempt.until.saturating_sub(self.front.clock.now()) / 1000;
         let mut buffer = self.front.net.pool.take();
@@ -135,7 +140,10 @@
             Err(Reason::GivenUp)
         };
         // The exchange is looked at first: an answer that is there goes before giving it up.
-        let exchange = self.exchange((&mut buffer, false), prepare, (sent, said)).or(unheard).or(given_up);
+        let exchange = self
+            .exchange((&mut buffer, false), prepare, (sent, said))
+            .or(unheard)
+            .or(given_up);
         let ended = within(limit, Reason::Unanswered, exchange).await;
         match (answer.take(), ended) {
             (Some(Said::Taken), _) => None,
@@ -153,16 +161,25 @@
     async fn probe(&self) {
         let mut buffer = self.front.net.pool.take();
         let prepare = |buffer: &mut Buffer| {
-            let _ = write!(buffer, "GET /-/load HTTP/1.1\r\nHost: service.internal\r\n\r\n");
+            let _ = write!(
+                buffer,
+                "GET /-/load HTTP/1.1\r\nHost: service.internal\r\n\r\n"
+            );
             Ok(())
         };
         let sent = Cell::new(false);
-        let exchange = self.exchange((&mut buffer, false), prepare, (|| sent.set(true), |_: &Head<'_>| ()));
+        let exchange = self.exchange(
+            (&mut buffer, false),
+            prepare,
+            (|| sent.set(true), |_: &Head<'_>| ()),
+        );
         let talk = within(PROBE, Reason::Unanswered, exchange).await;
         let (status, load) = match &talk {
             Ok(frame) => {
                 let read = frame.read(&buffer, Kind::Answer);
-                let load = read.as_ref().and_then(|(_, body)| self.front.site.borrow().load(body));
+                let load = read
+                    .as_ref()
+                    .and_then(|(_, body)| self.front.site.borrow().load(body));
                 let healthy = read.is_some_and(|(head, _)| head.status == 200);
                 (if healthy { Status::Ok } else { Status::Error }, load)
             }
@@ -170,7 +187,11 @@
             Err(_) if !sent.get() => (Status::ConnectFailed, None),
             Err(_) => (Status::Reset, None),
         };
-        let _ = self.front.core.send(Told::Probed(self.worker, status, load)).await;
+        let _ = self
+            .front
+            .core
+            .send(Told::Probed(self.worker, status, load))
+            .await;
     }
 
     /// Gives up an attempt that the machine has taken, and tells the core when it has heard of that. Until then another attempt
@@ -180,7 +201,11 @@
             fresh = true;
             Timer::after(AGAIN).await;
         }
-        let _ = self.front.core.send(Told::Ended(attempt, Status::Cancelled, None)).await;
+        let _ = self
+            .front
+            .core
+            .send(Told::Ended(attempt, Status::Cancelled, None))
+            .await;
     }
 
     /// Sends word that an attempt is given up. Has it got there? One that hangs does not answer, but its machine has just
@@ -204,10 +229,25 @@
 
 impl Peer {
     /// The actor of a machine that has no address yet.
-    pub fn new(front: Rc<Platform>, worker: WorkerId, host: String, leaves: Rc<Cell<bool>>) -> Self {
+    pub fn new(
+        front: Rc<Platform>,
+        worker: WorkerId,
+        host: String,
+        leaves: Rc<Cell<bool>>,
+    ) -> Self {
         let (address, idle) = Default::default();
-        let wires = Wires { front, worker, host, leaves, address, idle };
-        Peer { wires: Rc::new(wires), out: Rc::default() }
+        let wires = Wires {
+            front,
+            worker,
+            host,
+            leaves,
+            address,
+            idle,
+        };
+        Peer {
+            wires: Rc::new(wires),
+            out: Rc::default(),
+        }
     }
 
     /// Runs for as long as somebody may give orders.
@@ -215,7 +255,12 @@
         while let Ok(order) = inbox.recv().await {
             match order {
                 Order::Address(address) => {
-                    if self.wires.address.replace(Some(address)).is_some_and(|old| old != address) {
+                    if self
+                        .wires
+                        .address
+                        .replace(Some(address))
+                        .is_some_and(|old| old != address)
+                    {
                         self.hang_up();
                     }
                 }
@@ -225,7 +270,9 @@
                     self.out.borrow_mut().insert(id, Out { state, task: None });
                 }
                 Order::GiveUp(id, parcel) => {
-                    let Some(out) = self.out.borrow_mut().remove(&id) else { continue };
+                    let Some(out) = self.out.borrow_mut().remove(&id) else {
+                        continue;
+                    };
                     match out.state.stage() {
                         Stage::Taken => {
                             let (wires, state) = (self.wires.clone(), out.state);
@@ -250,7 +297,10 @@
                 }
                 Order::Probe => {
                     let wires = self.wires.clone();
-                    self.wires.front.net.start(async move { wires.probe().await });
+                    self.wires
+                        .front
+                        .net
+                        .start(async move { wires.probe().await });
                 }
                 Order::HangUp => self.hang_up(),
             }
@@ -259,7 +309,11 @@
 
     fn hang_up(&self) {
         for (link, _) in self.wires.idle.borrow_mut().drain(..) {
-            link.end("worker", Reason::Done, format_args!("machine={}", self.wires.host));
+            link.end(
+                "worker",
+                Reason::Done,
+                format_args!("machine={}", self.wires.host),
+            );
         }
     }
 
@@ -273,7 +327,11 @@
                     // Its 202 may have been lost: then closing the connection says nothing, and another attempt is to follow.
                     wires.delete(attempt.id, &parcel, true).await;
                 } else {
-                    let _ = wires.front.core.send(Told::Ended(attempt.id, status, load)).await;
+                    let _ = wires
+                        .front
+                        .core
+                        .send(Told::Ended(attempt.id, status, load))
+                        .await;
                 }
                 at.stage.set(Stage::Ended);
                 drop(gone);
@@ -283,6 +341,12 @@
             }
         };
         let task = self.wires.front.net.held(task);
-        self.out.borrow_mut().insert(attempt.id, Out { state, task: Some(task) });
+        self.out.borrow_mut().insert(
+            attempt.id,
+            Out {
+                state,
+                task: Some(task),
+            },
+        );
     }
 }
--- a/src/front/platform/workers/attempt.rs
+++ b/src/front/platform/workers/attempt.rs
@@ -36,7 +36,13 @@
     pub fn new(machine: WorkerId, stage: Stage) -> Rc<Self> {
         let (given_up, waits) = Default::default();
         let (went_out, stage) = (Cell::new(stage > Stage::Begun), Cell::new(stage));
-        Rc::new(AttemptState { machine, stage, went_out, given_up, waits })
+        Rc::new(AttemptState {
+            machine,
+            stage,
+            went_out,
+            given_up,
+            waits,
+        })
     }
 
     /// How far it has come.
--- a/src/front/platform/workers/wires.rs
+++ b/src/front/platform/workers/wires.rs
@@ -52,7 +52,11 @@
 impl Hold<'_> {
     fn end(&mut self, reason: Reason) {
         if let Some(link) = self.link.take() {
-            link.end("worker", reason, format_args!("machine={}", self.wires.host));
+            link.end(
+                "worker",
+                reason,
+                format_args!("machine={}", self.wires.host),
+            );
         }
     }
 
@@ -73,7 +77,10 @@
         let (trusted, limit) = {
             let site = self.front.site.borrow();
             let trusted = Duration::from_micros((site.conn_idle as f64 * IDLE_PART) as u64);
-            (trusted, Duration::from_micros(site.settings.limits.dial_timeout.max(1)))
+            (
+                trusted,
+                Duration::from_micros(site.settings.limits.dial_timeout.max(1)),
+            )
         };
         let settled = || {
             let (mut idle, now) = (self.idle.borrow_mut(), Instant::now());
@@ -81,7 +88,10 @@
             Some(idle.remove(last))
         };
         while let Some((link, since)) = (!fresh).then(settled).flatten() {
-            let mut hold = Hold { wires: self, link: Some(link) };
+            let mut hold = Hold {
+                wires: self,
+                link: Some(link),
+            };
             // Written to after the machine has closed it, the attempt would end as a reset that may have run.
             if since.elapsed() > trusted {
                 hold.end(Reason::Idle);
@@ -91,18 +101,30 @@
                 return Ok(hold);
             }
         }
-        let Some(address) = self.address.get() else { return Err(Reason::Refused) };
+        let Some(address) = self.address.get() else {
+            return Err(Reason::Refused);
+        };
         let link = self.front.net.dial(address, limit).await;
         if let Err(reason) = link {
-            crate::net::log(format_args!("dial machine={} reason={}", self.host, reason.code()));
+            crate::net::log(format_args!(
+                "dial machine={} reason={}",
+                self.host,
+                reason.code()
+            ));
         }
-        Ok(Hold { wires: self, link: Some(link?) })
+        Ok(Hold {
+            wires: self,
+            link: Some(link?),
+        })
     }
 
     /// Sends a message and reads the answer's head and body, both left in the buffer. What the answer says is told as
     /// soon as its head is there: its body may be cut off, or never end. Returned with how long the connection then rests.
     async fn talk(
-        &self, link: &Link, buffer: &mut Buffer, (sent, said): (impl Fn(), impl Fn(&Head<'_>)),
+        &self,
+        link: &Link,
+        buffer: &mut Buffer,
+        (sent, said): (impl Fn(), impl Fn(&Head<'_>)),
     ) -> Result<(http::Frame, Duration), Reason> {
         let (mut gone_out, mut by, mut failed) = (0, None, false);
         let write = link.write(buffer.filled(), &mut gone_out).await;
@@ -140,7 +162,14 @@
                 if status >= 200 {
                     // Doubled, it would come some milliseconds later and be taken for the answer to the next request.
                     frame.keep &= !failed;
-                    return Ok((frame, if status >= 300 { SETTLED } else { Duration::ZERO }));
+                    return Ok((
+                        frame,
+                        if status >= 300 {
+                            SETTLED
+                        } else {
+                            Duration::ZERO
+                        },
+                    ));
                 }
                 buffer.consume(frame.total); // an interim answer
             }
@@ -153,7 +182,9 @@
     /// One exchange. The connection is kept where both sides keep it. What is to be sent is put into the buffer right
     /// before its first byte goes out: however long the connection was waited for, `prepare` sees how things stand then.
     pub(super) async fn exchange(
-        &self, (buffer, fresh): (&mut Buffer, bool), prepare: impl FnOnce(&mut Buffer) -> Result<(), Reason>,
+        &self,
+        (buffer, fresh): (&mut Buffer, bool),
+        prepare: impl FnOnce(&mut Buffer) -> Result<(), Reason>,
         told: (impl Fn(), impl Fn(&Head<'_>)),
     ) -> Result<http::Frame, Reason> {
         let mut hold = self.connect(fresh).await?;
@@ -165,10 +196,14 @@
             }
             return Err(reason);
         }
-        let Some(link) = &hold.link else { return Err(Reason::Broke) };
+        let Some(link) = &hold.link else {
+            return Err(Reason::Broke);
+        };
         let talk = self.talk(link, buffer, told).await;
         match &talk {
-            Ok((frame, after)) if frame.keep && frame.total == buffer.filled().len() => hold.keep(*after),
+            Ok((frame, after)) if frame.keep && frame.total == buffer.filled().len() => {
+                hold.keep(*after)
+            }
             Ok(_) => hold.end(Reason::Done),
             Err(reason) => hold.end(*reason),
         }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -13,8 +13,8 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags, recvmsg, sendmsg,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -68,8 +68,13 @@
 /// Asks the old process for its listeners. `None`: there is none that answers.
 pub async fn ask(path: &Path) -> Option<Inherited> {
     let asked = async {
-        let link = Async::<UnixStream>::connect(path).await.map_err(|_| Reason::Refused)?;
-        (&link).write_all(&word(b'H', LEARNS)).await.map_err(|_| Reason::Broke)?;
+        let link = Async::<UnixStream>::connect(path)
+            .await
+            .map_err(|_| Reason::Refused)?;
+        (&link)
+            .write_all(&word(b'H', LEARNS))
+            .await
+            .map_err(|_| Reason::Broke)?;
         receive(link).await.map_err(|_| Reason::Broke)
     };
     within(ANSWER, Reason::Unanswered, asked).await.ok()
@@ -97,11 +102,20 @@
     if count != bytes.len() || bytes[0] != b'L' {
         return Err(bad());
     }
-    let text = std::str::from_utf8(&bytes[1..]).map_err(|_| bad())?.trim_end_matches('\0');
+    let text = std::str::from_utf8(&bytes[1..])
+        .map_err(|_| bad())?
+        .trim_end_matches('\0');
     let (descriptors, names) = text.split_once(' ').ok_or_else(bad)?;
-    let listeners = names.split(' ').map(str::to_string).zip(fds.into_iter().map(TcpListener::from));
+    let listeners = names
+        .split(' ')
+        .map(str::to_string)
+        .zip(fds.into_iter().map(TcpListener::from));
     let descriptors = descriptors.parse().map_err(|_| bad())?;
-    Ok(Inherited { listeners: listeners.collect(), descriptors, link })
+    Ok(Inherited {
+        listeners: listeners.collect(),
+        descriptors,
+        link,
+    })
 }
 
 fn word(name: u8, text: &[u8]) -> Vec<u8> {
@@ -118,7 +132,12 @@
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         control.push(SendAncillaryMessage::ScmRights(&fds));
-        Ok(sendmsg(link, &[IoSlice::new(word)], &mut control, SendFlags::NOSIGNAL)?)
+        Ok(sendmsg(
+            link,
+            &[IoSlice::new(word)],
+            &mut control,
+            SendFlags::NOSIGNAL,
+        )?)
     });
     let sent = sent.await?;
     link.write_all(&word[sent..]).await
@@ -126,7 +145,9 @@
 
 /// Fills the buffer; connections that come along stand in the order of their words.
 async fn fill(
-    link: &Async<UnixStream>, buffer: &mut [u8], streams: &mut VecDeque<OwnedFd>,
+    link: &Async<UnixStream>,
+    buffer: &mut [u8],
+    streams: &mut VecDeque<OwnedFd>,
 ) -> io::Result<()> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -150,7 +171,10 @@
     Ok(())
 }
 
-async fn read(link: &Async<UnixStream>, streams: &mut VecDeque<OwnedFd>) -> io::Result<(u8, Vec<u8>)> {
+async fn read(
+    link: &Async<UnixStream>,
+    streams: &mut VecDeque<OwnedFd>,
+) -> io::Result<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     fill(link, &mut head, streams).await?;
     let length = u32::from_le_bytes([head[1], head[2], head[3], head[4]]) as usize;
@@ -228,7 +252,10 @@
             Ok(listener) => listener,
             Err(error) => {
                 let error: io::Error = error;
-                return log(format_args!("handover: not possible, {}: {error}", path.display()));
+                return log(format_args!(
+                    "handover: not possible, {}: {error}",
+                    path.display()
+                ));
             }
         };
         let whole = self.clone();
@@ -245,7 +272,11 @@
 
     /// A new process has called: passes the listeners on, and stands by until it serves or ends.
     async fn replaced(self: Rc<Self>, link: Async<UnixStream>) {
-        let hello = async { read(&link, &mut VecDeque::new()).await.map_err(|_| Reason::Broke) };
+        let hello = async {
+            read(&link, &mut VecDeque::new())
+                .await
+                .map_err(|_| Reason::Broke)
+        };
         let hello = within(ANSWER, Reason::Unanswered, hello).await;
         let Ok((b'H', says)) = hello else { return };
         if self.front.life.handed.get() {
@@ -258,12 +289,21 @@
         let mut first = [0; 64];
         let text = format!("L{} {}", self.limits.0 - mine, names.join(" "));
         first[..text.len()].copy_from_slice(text.as_bytes());
-        let fds: Vec<_> = self.listeners.iter().map(|(_, listener)| listener.as_fd()).collect();
+        let fds: Vec<_> = self
+            .listeners
+            .iter()
+            .map(|(_, listener)| listener.as_fd())
+            .collect();
         let sent = link.write_with(|link| {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
             control.push(SendAncillaryMessage::ScmRights(&fds));
-            Ok(sendmsg(link, &[IoSlice::new(&first)], &mut control, SendFlags::NOSIGNAL)?)
+            Ok(sendmsg(
+                link,
+                &[IoSlice::new(&first)],
+                &mut control,
+                SendFlags::NOSIGNAL,
+            )?)
         });
         if sent.await.is_err() {
             return;
@@ -301,7 +341,11 @@
         let (set, since) = (self.front.net.set.clone(), Instant::now());
         let closing = self.front.net.held(async move {
             loop {
-                set.shed_clients(if since.elapsed() > ALL { Duration::ZERO } else { IDLE });
+                set.shed_clients(if since.elapsed() > ALL {
+                    Duration::ZERO
+                } else {
+                    IDLE
+                });
                 Timer::after(LOOK).await;
             }
         });
@@ -309,7 +353,13 @@
     }
 
     /// Carries words both ways until the link ends. `learns`: the other side is known to take in what was learned.
-    async fn link(&self, link: &Async<UnixStream>, kin: &Rc<Kin>, words: Receiver<Word>, learns: bool) {
+    async fn link(
+        &self,
+        link: &Async<UnixStream>,
+        kin: &Rc<Kin>,
+        words: Receiver<Word>,
+        learns: bool,
+    ) {
         let learns = Cell::new(learns);
         let tell = async {
             loop {
@@ -365,7 +415,11 @@
                     b'+' | b'-' => {
                         let id = String::from_utf8(text).map_err(|_| ErrorKind::InvalidData)?;
                         let mut ids = kin.ids.borrow_mut();
-                        let _ = if name == b'+' { ids.insert(id) } else { ids.remove(&id) };
+                        let _ = if name == b'+' {
+                            ids.insert(id)
+                        } else {
+                            ids.remove(&id)
+                        };
                     }
                     _ => {} // a later program's word
                 }
--- a/src/learned.rs
+++ b/src/learned.rs
@@ -130,9 +130,16 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Refused::Length(n) => {
-                write!(f, "{n} bytes, from {HEAD} to {LONGEST} and as many as it says are allowed")
+                write!(
+                    f,
+                    "{n} bytes, from {HEAD} to {LONGEST} and as many as it says are allowed"
+                )
             }
-            Refused::Foreign => write!(f, "it does not begin with {:?}", String::from_utf8_lossy(MAGIC)),
+            Refused::Foreign => write!(
+                f,
+                "it does not begin with {:?}",
+                String::from_utf8_lossy(MAGIC)
+            ),
             Refused::Newer(v) => write!(f, "its version is {v}, 1 to {VERSION} can be read"),
             Refused::Damaged => write!(f, "its checksum does not fit"),
             Refused::Figure(what) => write!(f, "{what}"),
@@ -150,11 +157,16 @@
 impl<N> Learned<N> {
     /// The same under other names; what has none there is left out.
     pub fn renamed<M>(
-        self, mut kind: impl FnMut(&N) -> Option<M>, mut class: impl FnMut(&N) -> Option<M>,
-        mut tenant: impl FnMut(&N) -> Option<M>, mut worker: impl FnMut(&N) -> Option<M>,
+        self,
+        mut kind: impl FnMut(&N) -> Option<M>,
+        mut class: impl FnMut(&N) -> Option<M>,
+        mut tenant: impl FnMut(&N) -> Option<M>,
+        mut worker: impl FnMut(&N) -> Option<M>,
     ) -> Learned<M> {
         fn map<N, M, T>(list: Vec<(N, T)>, name: &mut impl FnMut(&N) -> Option<M>) -> Vec<(M, T)> {
-            list.into_iter().filter_map(|(n, value)| Some((name(&n)?, value))).collect()
+            list.into_iter()
+                .filter_map(|(n, value)| Some((name(&n)?, value)))
+                .collect()
         }
         Learned {
             at: self.at,
@@ -170,9 +182,12 @@
 
     /// Is every figure one that can be? An error names the first that is not.
     pub fn check(&self) -> Result<(), Refused> {
-        let within = |what: &str, value: f64, from: f64, to: f64| match (from..=to).contains(&value) {
+        let within = |what: &str, value: f64, from: f64, to: f64| match (from..=to).contains(&value)
+        {
             true => Ok(()),
-            false => Err(Refused::Figure(format!("{what} is {value}, {from} to {to} is allowed"))),
+            false => Err(Refused::Figure(format!(
+                "{what} is {value}, {from} to {to} is allowed"
+            ))),
         };
         for (_, kind) in &self.kinds {
             within("slots of a kind", kind.slots, 0.0, 1e6)?;
@@ -195,7 +210,12 @@
         for (_, slots) in &self.held {
             within("slots held", *slots, 0.0, 1e6)?;
         }
-        within("number of further attempts", self.resent.len() as f64, 0.0, RESENT_MOST as f64)?;
+        within(
+            "number of further attempts",
+            self.resent.len() as f64,
+            0.0,
+            RESENT_MOST as f64,
+        )?;
         if let Some(pace) = &self.pace {
             within("weight of all runs", pace.run.0, 0.0, 1e6)?;
             within("sum of all runs", pace.run.1, 0.0, 1e6 * TIME_MOST)?;
@@ -249,7 +269,8 @@
         if head[10..] != Sha256::digest(value)[..8] {
             return Err(Refused::Damaged);
         }
-        let (learned, rest) = postcard::take_from_bytes::<Self>(value).map_err(|_| Refused::Damaged)?;
+        let (learned, rest) =
+            postcard::take_from_bytes::<Self>(value).map_err(|_| Refused::Damaged)?;
         if !rest.is_empty() {
             return Err(Refused::Damaged);
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -58,30 +58,60 @@
         log(format_args!("indigofold: {error}"));
     }
     finish_log();
-    if ended.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if ended.is_ok() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
 
 async fn run(tasks: Rc<LocalExecutor<'static>>) -> Result<(), Box<dyn Error>> {
     // Before anything else: without a handler, each of these ends the program.
-    let (mut signals, hangups) = (Signals::new([Signal::Term, Signal::Int])?, Signals::new([Signal::Hup])?);
+    let (mut signals, hangups) = (
+        Signals::new([Signal::Term, Signal::Int])?,
+        Signals::new([Signal::Hup])?,
+    );
     let read = |name: &str| -> Result<Option<Vec<u8>>, Box<dyn Error>> {
-        let Some(path) = std::env::var_os(name) else { return Ok(None) };
-        Ok(Some(std::fs::read(&path).map_err(|e| format!("{name}: {}: {e}", path.to_string_lossy()))?))
+        let Some(path) = std::env::var_os(name) else {
+            return Ok(None);
+        };
+        Ok(Some(std::fs::read(&path).map_err(|e| {
+            format!("{name}: {}: {e}", path.to_string_lossy())
+        })?))
     };
     let platform = match read("GW_CONFIG")? {
-        Some(text) => Some(config::Platform::read(text, |name| std::env::var(name).ok())?),
+        Some(text) => Some(config::Platform::read(text, |name| {
+            std::env::var(name).ok()
+        })?),
         None => None,
     };
-    let faktory = read("INDIGOFOLD_FAKTORY")?.map(config::Faktory::read).transpose()?;
-    let sockets = platform.as_ref().map(|p| p.sockets).into_iter().chain(faktory.as_ref().map(|f| f.sockets));
-    let sockets = sockets.min().ok_or("neither GW_CONFIG nor INDIGOFOLD_FAKTORY names a configuration")?;
-    let memory =
-        platform.as_ref().map(|p| p.memory_mb).into_iter().chain(faktory.as_ref().map(|f| f.memory_mb));
+    let faktory = read("INDIGOFOLD_FAKTORY")?
+        .map(config::Faktory::read)
+        .transpose()?;
+    let sockets = platform
+        .as_ref()
+        .map(|p| p.sockets)
+        .into_iter()
+        .chain(faktory.as_ref().map(|f| f.sockets));
+    let sockets = sockets
+        .min()
+        .ok_or("neither GW_CONFIG nor INDIGOFOLD_FAKTORY names a configuration")?;
+    let memory = platform
+        .as_ref()
+        .map(|p| p.memory_mb)
+        .into_iter()
+        .chain(faktory.as_ref().map(|f| f.memory_mb));
     let memory = memory.min().unwrap_or(config::MEMORY_MB);
-    let (net, clock, life) = (Net::new(tasks, sockets, memory), Clock::new(), Rc::new(Life::default()));
+    let (net, clock, life) = (
+        Net::new(tasks, sockets, memory),
+        Clock::new(),
+        Rc::new(Life::default()),
+    );
     let mut open: Vec<Box<dyn Fn() -> usize>> = Vec::new();
     let mut longest: Vec<Box<dyn Fn() -> Time>> = Vec::new();
-    let path = platform.as_ref().and_then(|config| handover::path(&config.listen));
+    let path = platform
+        .as_ref()
+        .and_then(|config| handover::path(&config.listen));
     let (mut old, mut listeners, mut accepts) = (None, Vec::new(), Accepts::new());
     let front = match platform {
         Some(config) => {
@@ -90,14 +120,17 @@
                 net.keep_within(old.descriptors, memory / 2);
             }
             let used = config.clone();
-            let front = start_platform(&net, clock, &life, config, &listener, old.is_some()).await?;
+            let front =
+                start_platform(&net, clock, &life, config, &listener, old.is_some()).await?;
             net.start(reload(hangups, front.clone(), used));
             let (jobs, accept) = (front.clone(), front.clone());
             open.push(Box::new(move || jobs.open_jobs()));
             let site = front.clone();
             longest.push(Box::new(move || site.site.borrow().longest_deadline()));
             listeners.push(("platform", listener.clone()));
-            accepts.push(Box::new(move |net| net.held(clients::listen(accept.clone(), listener.clone()))));
+            accepts.push(Box::new(move |net| {
+                net.held(clients::listen(accept.clone(), listener.clone()))
+            }));
             Some(front)
         }
         None => {
@@ -117,7 +150,9 @@
         let jobs = front.clone();
         open.push(Box::new(move || jobs.open_jobs()));
         listeners.push(("faktory", listener.clone()));
-        accepts.push(Box::new(move |net| net.held(serve::listen(front.clone(), listener.clone()))));
+        accepts.push(Box::new(move |net| {
+            net.held(serve::listen(front.clone(), listener.clone()))
+        }));
     }
     let network = net.clone();
     let accept = Box::new(move || accepts.iter().map(|accept| accept(&network)).collect());
@@ -126,7 +161,16 @@
         Some(front) => {
             let (limits, accepting) = ((sockets, memory), RefCell::default());
             let [answering, closing] = Default::default();
-            let handover = Handover { front, path, limits, listeners, accept, accepting, answering, closing };
+            let handover = Handover {
+                front,
+                path,
+                limits,
+                listeners,
+                accept,
+                accepting,
+                answering,
+                closing,
+            };
             let handover = Rc::new(handover);
             net.start(handover.clone().serve(old));
             (Some(handover), Vec::new())
@@ -136,9 +180,17 @@
 
     signals.next().await;
     let jobs = || open.iter().map(|jobs| jobs()).sum::<usize>();
-    log(format_args!("stop jobs={} connections={}", jobs(), net.set.open()));
+    log(format_args!(
+        "stop jobs={} connections={}",
+        jobs(),
+        net.set.open()
+    ));
     let (from, begin) = (clock.now(), Instant::now());
-    let longest = longest.iter().map(|longest| longest()).max().unwrap_or_default();
+    let longest = longest
+        .iter()
+        .map(|longest| longest())
+        .max()
+        .unwrap_or_default();
     let (stay, last) = moments(Duration::from_micros(longest));
     life.stopping.set(true);
     life.last_moment.set(Some(from + last.as_micros() as u64));
@@ -148,9 +200,14 @@
         Timer::after(Duration::from_millis(20)).await;
         // Where a new process serves, this one waits only for its connections to end.
         let handed = life.handed.get();
-        let quiet = !handed && jobs() == 0 && clock.now().saturating_sub(life.last_job.get()) > QUIET;
+        let quiet =
+            !handed && jobs() == 0 && clock.now().saturating_sub(life.last_job.get()) > QUIET;
         if (begin.elapsed() > stay || quiet) && !life.closing.replace(true) {
-            log(format_args!("closing jobs={} connections={}", jobs(), net.set.open()));
+            log(format_args!(
+                "closing jobs={} connections={}",
+                jobs(),
+                net.set.open()
+            ));
         }
         if life.closing.get() {
             net.set.shed_all(jobs() > 0); // between two messages a connection may be closed
@@ -174,14 +231,19 @@
 /// When connections are closed after a signal to stop, and by when what comes after it is answered.
 fn moments(longest: Duration) -> (Duration, Duration) {
     let killed = longest.min(KILLED.1) + KILLED.0;
-    (killed.saturating_sub(STAY).max(COMING), killed.saturating_sub(LAST))
+    (
+        killed.saturating_sub(STAY).max(COMING),
+        killed.saturating_sub(LAST),
+    )
 }
 
 /// What starts to accept at each front's listener.
 type Accepts = Vec<Box<dyn Fn(&Net) -> Task<()>>>;
 
 fn bind(address: &str) -> Result<Async<TcpListener>, Box<dyn Error>> {
-    let parsed: SocketAddr = address.parse().map_err(|e| format!("listen {address:?}: {e}"))?;
+    let parsed: SocketAddr = address
+        .parse()
+        .map_err(|e| format!("listen {address:?}: {e}"))?;
     Ok(indigofold::net::listen(parsed).map_err(|e| format!("listen {address:?}: {e}"))?)
 }
 
@@ -194,7 +256,9 @@
 /// The listener of the process that serves now, if there is one and it answers; else one of our own. Where somebody
 /// listens who does not answer (it is about to end, or about to be asked), that is tried again for a while.
 async fn listen_or_inherit(
-    path: Option<&Path>, address: &str, old: &mut Option<Inherited>,
+    path: Option<&Path>,
+    address: &str,
+    old: &mut Option<Inherited>,
 ) -> Result<Rc<Async<TcpListener>>, Box<dyn Error>> {
     let begin = Instant::now();
     loop {
@@ -204,10 +268,16 @@
         if let Some(listener) = old.as_mut().and_then(|old| take(old, "platform")) {
             return Ok(Rc::new(Async::new(listener)?));
         }
-        let parsed: SocketAddr = address.parse().map_err(|e| format!("listen {address:?}: {e}"))?;
+        let parsed: SocketAddr = address
+            .parse()
+            .map_err(|e| format!("listen {address:?}: {e}"))?;
         match indigofold::net::listen(parsed) {
             Ok(listener) => return Ok(Rc::new(listener)),
-            Err(e) if e.kind() == ErrorKind::AddrInUse && path.is_some() && begin.elapsed() < PATIENCE => {
+            Err(e)
+                if e.kind() == ErrorKind::AddrInUse
+                    && path.is_some()
+                    && begin.elapsed() < PATIENCE =>
+            {
                 Timer::after(AGAIN).await;
             }
             Err(e) => return Err(format!("listen {address:?}: {e}").into()),
@@ -221,10 +291,15 @@
 async fn reload(mut hangups: Signals, front: Rc<Platform>, mut used: config::Platform) {
     while hangups.next().await.is_some() {
         let path = std::env::var_os("GW_CONFIG").unwrap_or_default();
-        let new = std::fs::read(path).map_err(|e| e.to_string()).and_then(|text| used.again(text));
+        let new = std::fs::read(path)
+            .map_err(|e| e.to_string())
+            .and_then(|text| used.again(text));
         let new = new.and_then(|new| {
             let to = new.in_file.parse::<SocketAddr>();
-            Ok((to.map_err(|e| format!("discovery {:?}: {e}", new.in_file))?, new))
+            Ok((
+                to.map_err(|e| format!("discovery {:?}: {e}", new.in_file))?,
+                new,
+            ))
         });
         let (applied, rejected) = front.figures.files.get();
         match new {
@@ -236,7 +311,9 @@
                 front.follow(new.site.clone()).await;
                 let (classes, limits) = (&new.site.settings.classes, &new.site.settings.limits);
                 let (classes, attempts) = (classes.len(), limits.attempts);
-                log(format_args!("reload: settings taken classes={classes} attempts={attempts}"));
+                log(format_args!(
+                    "reload: settings taken classes={classes} attempts={attempts}"
+                ));
                 if new.in_file == used.in_file {
                     log("reload: discovery is where it was");
                 } else {
@@ -252,19 +329,40 @@
 
 /// Starts the platform's front.
 async fn start_platform(
-    net: &Net, clock: Clock, life: &Rc<Life>, config: config::Platform, listener: &Async<TcpListener>,
+    net: &Net,
+    clock: Clock,
+    life: &Rc<Life>,
+    config: config::Platform,
+    listener: &Async<TcpListener>,
     replaces: bool,
 ) -> Result<Rc<Platform>, Box<dyn Error>> {
-    let discovery = config.discovery.parse().map_err(|e| format!("discovery {:?}: {e}", config.discovery))?;
+    let discovery = config
+        .discovery
+        .parse()
+        .map_err(|e| format!("discovery {:?}: {e}", config.discovery))?;
     let address = listener.get_ref().local_addr()?;
     let (core, inbox) = actor::mailbox();
     let (list, asked) = async_channel::bounded(ASKED);
-    let settings = Settings { module: config.site.settings.clone(), seed: config.seed, early: EARLY };
+    let settings = Settings {
+        module: config.site.settings.clone(),
+        seed: config.seed,
+        early: EARLY,
+    };
     let figures = Rc::new(Figures::default());
-    let front =
-        Platform::new(net.clone(), clock, life.clone(), figures.clone(), config.site, core.clone(), list);
+    let front = Platform::new(
+        net.clone(),
+        clock,
+        life.clone(),
+        figures.clone(),
+        config.site,
+        core.clone(),
+        list,
+    );
     net.start(Actor::new(settings, front.clone(), clock, inbox, figures).run());
-    let known = Known { seq: (!config.known.hosts.is_empty()).then_some(config.known.seq), replaces };
+    let known = Known {
+        seq: (!config.known.hosts.is_empty()).then_some(config.known.seq),
+        replaces,
+    };
     let listed = front.learn(config.known);
     core.send(Told::List(Scope::Cached, listed)).await?;
     net.start(Machines::new(front.clone(), discovery, known, config.seed).run(asked));
@@ -290,29 +388,59 @@
             Err(why) => return Err(why),
         },
     }
-    log(format_args!("start front=platform name={} listen={address}", config.name));
+    log(format_args!(
+        "start front=platform name={} listen={address}",
+        config.name
+    ));
     Ok(front)
 }
 
 /// Opens the admin endpoint, which shows this front.
 fn open_admin(front: &Rc<Platform>, listener: Async<TcpListener>) -> Result<(), Box<dyn Error>> {
-    log(format_args!("door listen={}", listener.get_ref().local_addr()?));
+    log(format_args!(
+        "door listen={}",
+        listener.get_ref().local_addr()?
+    ));
     let (net, life, figures) = (front.net.clone(), front.life.clone(), front.figures.clone());
     let (serving, named) = (front.clone(), front.clone());
-    let serves =
-        Box::new(move || serving.ready.get() && serving.life.accepting.get() && !serving.life.drained.get());
-    let classes = Box::new(move || named.site.borrow().classes.all().map(str::to_string).collect());
-    let admin = AdminEndpoint { net, life, figures, serves, classes, draining: RefCell::default() };
+    let serves = Box::new(move || {
+        serving.ready.get() && serving.life.accepting.get() && !serving.life.drained.get()
+    });
+    let classes = Box::new(move || {
+        named
+            .site
+            .borrow()
+            .classes
+            .all()
+            .map(str::to_string)
+            .collect()
+    });
+    let admin = AdminEndpoint {
+        net,
+        life,
+        figures,
+        serves,
+        classes,
+        draining: RefCell::default(),
+    };
     front.net.start(admin::listen(Rc::new(admin), listener));
     Ok(())
 }
 
 /// Starts the Faktory front.
 async fn start_faktory(
-    net: &Net, clock: Clock, life: &Rc<Life>, file: config::Faktory, listener: &Async<TcpListener>,
+    net: &Net,
+    clock: Clock,
+    life: &Rc<Life>,
+    file: config::Faktory,
+    listener: &Async<TcpListener>,
 ) -> Result<Rc<Faktory>, Box<dyn Error>> {
     let (core, inbox) = actor::mailbox();
-    let settings = Settings { module: file.site.settings.clone(), seed: clock.now(), early: EARLY };
+    let settings = Settings {
+        module: file.site.settings.clone(),
+        seed: clock.now(),
+        early: EARLY,
+    };
     let address = listener.get_ref().local_addr()?;
     let front = Faktory::new(net.clone(), clock, life.clone(), file, core);
     net.start(Actor::new(settings, front.clone(), clock, inbox, Rc::default()).run());
--- a/src/net/buffer.rs
+++ b/src/net/buffer.rs
@@ -20,7 +20,11 @@
 impl Pool {
     /// An empty pool for a process that may use so much memory.
     pub fn new(memory_mb: usize) -> Rc<Self> {
-        let pool = Rc::new(Pool { free: RefCell::default(), out: Cell::new(0), most: Cell::new(0) });
+        let pool = Rc::new(Pool {
+            free: RefCell::default(),
+            out: Cell::new(0),
+            most: Cell::new(0),
+        });
         pool.keep_within(memory_mb);
         pool
     }
@@ -34,9 +38,17 @@
     /// An empty buffer.
     pub fn take(self: &Rc<Self>) -> Buffer {
         // Zeroed pages are only touched as they fill: a mostly empty buffer costs little memory.
-        let bytes = self.free.borrow_mut().pop().unwrap_or_else(|| vec![0; SIZE]);
+        let bytes = self
+            .free
+            .borrow_mut()
+            .pop()
+            .unwrap_or_else(|| vec![0; SIZE]);
         self.out.set(self.out.get() + 1);
-        Buffer { bytes, len: 0, pool: self.clone() }
+        Buffer {
+            bytes,
+            len: 0,
+            pool: self.clone(),
+        }
     }
 
     /// May one more message be read? Each may need a buffer more until it is passed on; a quarter is for answers
--- a/src/net/buffer/tests.rs
+++ b/src/net/buffer/tests.rs
@@ -14,6 +14,9 @@
     assert!(read * SIZE < 2 << 20, "{read} buffers for messages");
     out.extend((0..100).map(|_| pool.take()));
     drop(out);
-    assert!((read..=(2 << 20) / SIZE).contains(&pool.free.borrow().len()), "what is kept");
+    assert!(
+        (read..=(2 << 20) / SIZE).contains(&pool.free.borrow().len()),
+        "what is kept"
+    );
     assert!(pool.has_room() && pool.out.get() == 0);
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -68,12 +68,20 @@
 impl<'a> Head<'a> {
     /// The value of a header, by its name in any case.
     pub fn header(&self, name: &str) -> Option<&'a str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| *v)
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| *v)
     }
 
     /// Does one of these headers stand there more than once?
     pub fn repeats(&self, names: &[&str]) -> bool {
-        let count = |name: &&str| self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).count();
+        let count = |name: &&str| {
+            self.headers
+                .iter()
+                .filter(|(n, _)| n.eq_ignore_ascii_case(name))
+                .count()
+        };
         names.iter().any(|name| count(name) > 1)
     }
 }
@@ -105,7 +113,12 @@
             let mut request = httparse::Request::new(&mut slots);
             match request.parse(bytes).map_err(too_many)? {
                 Status::Partial => return partial(bytes),
-                Status::Complete(n) => (n, request.version == Some(0), false, framing(request.headers)?),
+                Status::Complete(n) => (
+                    n,
+                    request.version == Some(0),
+                    false,
+                    framing(request.headers)?,
+                ),
             }
         }
         Kind::Answer => {
@@ -114,7 +127,12 @@
                 Status::Partial => return partial(bytes),
                 Status::Complete(n) => {
                     let bodiless = matches!(answer.code, Some(100..=199 | 204 | 304));
-                    (n, answer.version == Some(0), bodiless, framing(answer.headers)?)
+                    (
+                        n,
+                        answer.version == Some(0),
+                        bodiless,
+                        framing(answer.headers)?,
+                    )
                 }
             }
         }
@@ -124,14 +142,29 @@
     }
     // A line end that one reader takes for an end and another does not could hide a message from one of them.
     let lines = &bytes[..head];
-    if lines.iter().enumerate().any(|(n, b)| *b == b'\n' && (n == 0 || lines[n - 1] != b'\r')) {
+    if lines
+        .iter()
+        .enumerate()
+        .any(|(n, b)| *b == b'\n' && (n == 0 || lines[n - 1] != b'\r'))
+    {
         return Err(Bad::Malformed);
     }
     if old && framing.chunked {
         return Err(Bad::Malformed); // HTTP/1.0 has no such coding
     }
-    let (keep, sized) = (!framing.close && !old, framing.chunked || framing.length.is_some());
-    let whole = |body: Range<usize>, total| Ok(Progress::Whole(Frame { head, body, total, keep, sized }));
+    let (keep, sized) = (
+        !framing.close && !old,
+        framing.chunked || framing.length.is_some(),
+    );
+    let whole = |body: Range<usize>, total| {
+        Ok(Progress::Whole(Frame {
+            head,
+            body,
+            total,
+            keep,
+            sized,
+        }))
+    };
     if framing.chunked && !bodiless {
         return match chunks(&bytes[head..])? {
             None => Ok(Progress::Part(framing.waits)),
@@ -146,7 +179,11 @@
             }
         };
     }
-    let length = if bodiless { 0 } else { framing.length.unwrap_or(0) };
+    let length = if bodiless {
+        0
+    } else {
+        framing.length.unwrap_or(0)
+    };
     if length > BODY {
         return Err(Bad::BodyTooLarge);
     }
@@ -160,27 +197,48 @@
 pub fn answer_head<T>(buffer: &Buffer, tell: impl FnOnce(&Head<'_>) -> T) -> Option<T> {
     let mut slots = [EMPTY_HEADER; HEADERS];
     let mut answer = httparse::Response::new(&mut slots);
-    let Ok(Status::Complete(head)) = answer.parse(buffer.filled()) else { return None };
-    let frame = Frame { head, body: head..head, total: head, keep: false, sized: false };
-    frame.read(buffer, Kind::Answer).map(|(head, _)| tell(&head))
+    let Ok(Status::Complete(head)) = answer.parse(buffer.filled()) else {
+        return None;
+    };
+    let frame = Frame {
+        head,
+        body: head..head,
+        total: head,
+        keep: false,
+        sized: false,
+    };
+    frame
+        .read(buffer, Kind::Answer)
+        .map(|(head, _)| tell(&head))
 }
 
 fn too_many(error: httparse::Error) -> Bad {
-    if error == httparse::Error::TooManyHeaders { Bad::HeadTooLarge } else { Bad::Malformed }
+    if error == httparse::Error::TooManyHeaders {
+        Bad::HeadTooLarge
+    } else {
+        Bad::Malformed
+    }
 }
 
 fn partial(bytes: &[u8]) -> Result<Progress, Bad> {
-    if bytes.len() > HEAD { Err(Bad::HeadTooLarge) } else { Ok(Progress::Part(false)) }
+    if bytes.len() > HEAD {
+        Err(Bad::HeadTooLarge)
+    } else {
+        Ok(Progress::Part(false))
+    }
 }
 
 fn framing(headers: &[Header<'_>]) -> Result<Framing, Bad> {
     let mut found = Framing::default();
     for header in headers {
-        let value = std::str::from_utf8(header.value).map_err(|_| Bad::Malformed)?.trim();
+        let value = std::str::from_utf8(header.value)
+            .map_err(|_| Bad::Malformed)?
+            .trim();
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-            let length =
-                digits.then(|| value.parse::<usize>().unwrap_or(usize::MAX)).ok_or(Bad::Malformed)?;
+            let length = digits
+                .then(|| value.parse::<usize>().unwrap_or(usize::MAX))
+                .ok_or(Bad::Malformed)?;
             // Two lengths could make two readers see two messages.
             if found.length.replace(length).is_some() {
                 return Err(Bad::Malformed);
@@ -193,12 +251,18 @@
                 return Err(Bad::Malformed);
             }
         } else if header.name.eq_ignore_ascii_case("connection") {
-            found.close |= value.split(',').any(|v| v.trim().eq_ignore_ascii_case("close"));
+            found.close |= value
+                .split(',')
+                .any(|v| v.trim().eq_ignore_ascii_case("close"));
         } else if header.name.eq_ignore_ascii_case("expect") {
             found.waits |= value.eq_ignore_ascii_case("100-continue");
         }
     }
-    if found.chunked && found.length.is_some() { Err(Bad::Malformed) } else { Ok(found) }
+    if found.chunked && found.length.is_some() {
+        Err(Bad::Malformed)
+    } else {
+        Ok(found)
+    }
 }
 
 /// The pieces of a chunked body and its length on the wire; `None` while some of it is missing.
@@ -206,10 +270,11 @@
 fn chunks(bytes: &[u8]) -> Result<Option<(Vec<Range<usize>>, usize)>, Bad> {
     let (mut at, mut sum, mut pieces) = (0, 0, Vec::new());
     loop {
-        let (line, size) = match httparse::parse_chunk_size(&bytes[at..]).map_err(|_| Bad::Malformed)? {
-            Status::Partial => return Ok(None),
-            Status::Complete(found) => found,
-        };
+        let (line, size) =
+            match httparse::parse_chunk_size(&bytes[at..]).map_err(|_| Bad::Malformed)? {
+                Status::Partial => return Ok(None),
+                Status::Complete(found) => found,
+            };
         let size = usize::try_from(size).unwrap_or(usize::MAX);
         if size > BODY - sum {
             return Err(Bad::BodyTooLarge);
@@ -229,7 +294,9 @@
     }
     // Trailers are read over.
     loop {
-        let Some(end) = bytes[at..].windows(2).position(|w| w == b"\r\n") else { return Ok(None) };
+        let Some(end) = bytes[at..].windows(2).position(|w| w == b"\r\n") else {
+            return Ok(None);
+        };
         at += end + 2;
         if end == 0 {
             return Ok(Some((pieces, at)));
@@ -256,7 +323,15 @@
         };
         let text = |h: &Header<'a>| Some((h.name, std::str::from_utf8(h.value).ok()?.trim()));
         let headers = found.iter().map(text).collect::<Option<Vec<_>>>()?;
-        Some((Head { method, target, status, headers }, &buffer.filled()[self.body.clone()]))
+        Some((
+            Head {
+                method,
+                target,
+                status,
+                headers,
+            },
+            &buffer.filled()[self.body.clone()],
+        ))
     }
 }
 
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -24,7 +24,11 @@
 fn lines() -> Option<&'static SyncSender<Line>> {
     let start = || {
         let (lines, waiting) = sync_channel(WAITING);
-        std::thread::Builder::new().name("log".into()).spawn(move || write(&waiting)).ok().map(|_| lines)
+        std::thread::Builder::new()
+            .name("log".into())
+            .spawn(move || write(&waiting))
+            .ok()
+            .map(|_| lines)
     };
     LINES.get_or_init(start).as_ref()
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -56,7 +56,11 @@
 impl Net {
     /// For a process that may hold so many descriptors and use so much memory.
     pub fn new(tasks: Rc<LocalExecutor<'static>>, descriptors: usize, memory_mb: usize) -> Self {
-        Net { tasks, pool: Pool::new(memory_mb), set: Set::new(descriptors) }
+        Net {
+            tasks,
+            pool: Pool::new(memory_mb),
+            set: Set::new(descriptors),
+        }
     }
 
     /// The process may hold so many descriptors and use so much memory from now on.
@@ -77,7 +81,9 @@
 
     /// Accepts connections for as long as the program runs; each is served by a task of its own.
     pub async fn serve<S: Future<Output = ()> + 'static>(
-        &self, listener: &Async<TcpListener>, serve: impl Fn(Link) -> S,
+        &self,
+        listener: &Async<TcpListener>,
+        serve: impl Fn(Link) -> S,
     ) {
         loop {
             let link = self.accept(listener).await;
@@ -111,7 +117,10 @@
                 Err(error) => {
                     drop(seat);
                     log(format_args!("accept failed: {error}"));
-                    if !matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) {
+                    if !matches!(
+                        error.kind(),
+                        ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                    ) {
                         self.set.shed(); // no descriptor is left (EMFILE): make room
                         Timer::after(FULL).await;
                     }
@@ -135,14 +144,19 @@
 
     /// Runs something on an accepted connection that may be asked to go meanwhile.
     pub async fn unless_shed<T>(
-        &self, rank: Rank, work: impl Future<Output = Result<T, Reason>>,
+        &self,
+        rank: Rank,
+        work: impl Future<Output = Result<T, Reason>>,
     ) -> Result<T, Reason> {
         self.unless_shed_from(rank, false, work).await
     }
 
     /// The same; a client's connection is also asked to go as the program drains.
     pub async fn unless_shed_from<T>(
-        &self, rank: Rank, client: bool, work: impl Future<Output = Result<T, Reason>>,
+        &self,
+        rank: Rank,
+        client: bool,
+        work: impl Future<Output = Result<T, Reason>>,
     ) -> Result<T, Reason> {
         let offer = self.set.offer(rank, client);
         if matches!(rank, Rank::Once | Rank::Used) {
@@ -157,7 +171,10 @@
 
     /// The same for what an accepted connection does first: it is of this rank once it is no longer fresh.
     pub async fn unless_shed_first<T>(
-        &self, accepted: Instant, rank: Rank, work: impl Future<Output = Result<T, Reason>>,
+        &self,
+        accepted: Instant,
+        rank: Rank,
+        work: impl Future<Output = Result<T, Reason>>,
     ) -> Result<T, Reason> {
         let mut work = std::pin::pin!(work);
         let fresh = FRESH.saturating_sub(accepted.elapsed());
@@ -200,8 +217,14 @@
             self.set.shed();
             return Err(Reason::NoRoom);
         };
-        let dial = async { Async::<TcpStream>::connect(to).await.map_err(|_| Reason::Refused) };
-        let stream = dial.or(async { after(limit, Reason::DialTimeout).await }).await?;
+        let dial = async {
+            Async::<TcpStream>::connect(to)
+                .await
+                .map_err(|_| Reason::Refused)
+        };
+        let stream = dial
+            .or(async { after(limit, Reason::DialTimeout).await })
+            .await?;
         Ok(Link::new(stream, seat))
     }
 }
@@ -213,7 +236,9 @@
 
 /// Runs something for no longer than the limit.
 pub async fn within<T>(
-    limit: Duration, reason: Reason, work: impl Future<Output = Result<T, Reason>>,
+    limit: Duration,
+    reason: Reason,
+    work: impl Future<Output = Result<T, Reason>>,
 ) -> Result<T, Reason> {
     work.or(after(limit, reason)).await
 }
@@ -266,7 +291,10 @@
 impl Reason {
     /// Was an answer the last that this side had to say?
     pub fn after_answer(self) -> bool {
-        matches!(self, Reason::Done | Reason::Malformed | Reason::Slow | Reason::NoRoom)
+        matches!(
+            self,
+            Reason::Done | Reason::Malformed | Reason::Slow | Reason::NoRoom
+        )
     }
 
     /// The code in the log.
@@ -308,7 +336,12 @@
     /// Takes over a stream.
     pub fn new(stream: Async<TcpStream>, seat: Seat) -> Self {
         let _ = stream.get_ref().set_nodelay(true);
-        Link { stream, extra: false, overrun: Cell::new(false), _seat: seat }
+        Link {
+            stream,
+            extra: false,
+            overrun: Cell::new(false),
+            _seat: seat,
+        }
     }
 
     /// Marks a connection that was let in beyond the room for clients.
@@ -323,7 +356,10 @@
 
     /// The other side's address.
     pub fn peer(&self) -> String {
-        self.stream.get_ref().peer_addr().map_or_else(|_| "-".into(), |a| a.to_string())
+        self.stream
+            .get_ref()
+            .peer_addr()
+            .map_or_else(|_| "-".into(), |a| a.to_string())
     }
 
     /// Reads what has come into the buffer's room. 0: the other side has closed, or the buffer is full.
@@ -344,7 +380,10 @@
         }
         let buffer = rest.get_or_insert_with(|| pool.take());
         loop {
-            if self.overrun.replace(self.overrun.get() || buffer.room().is_empty()) {
+            if self
+                .overrun
+                .replace(self.overrun.get() || buffer.room().is_empty())
+            {
                 Timer::after(OVERRUN).await;
             }
             if self.overrun.get() {
@@ -400,7 +439,11 @@
     /// Writes all of it within a time.
     pub async fn send(&self, bytes: &[u8], limit: Duration) -> Result<(), Reason> {
         let mut gone_out = 0;
-        let write = async { self.write(bytes, &mut gone_out).await.map_err(|_| Reason::Broke) };
+        let write = async {
+            self.write(bytes, &mut gone_out)
+                .await
+                .map_err(|_| Reason::Broke)
+        };
         within(limit, Reason::Stalled, write).await
     }
 
@@ -416,6 +459,10 @@
 
     /// Leaves the line of a connection that has ended.
     pub fn end(self, side: &str, reason: Reason, about: impl Display) {
-        log(format_args!("conn side={side} peer={} reason={} {about}", self.peer(), reason.code()));
+        log(format_args!(
+            "conn side={side} peer={} reason={} {about}",
+            self.peer(),
+            reason.code()
+        ));
     }
 }
--- a/src/net/set.rs
+++ b/src/net/set.rs
@@ -79,7 +79,14 @@
     /// A set for a process that may hold so many descriptors.
     pub fn new(descriptors: usize) -> Rc<Self> {
         let (limit, third, open, accepted, next) = Default::default();
-        let set = Rc::new(Set { limit, third, open, accepted, next, offers: RefCell::default() });
+        let set = Rc::new(Set {
+            limit,
+            third,
+            open,
+            accepted,
+            next,
+            offers: RefCell::default(),
+        });
         set.keep_within(descriptors);
         set.third.set(descriptors / 3);
         set
@@ -88,7 +95,8 @@
     /// So many descriptors are the process's from now on. What is open stays, and so does the clients' third: it is
     /// theirs over all processes of the scheduler together.
     pub fn keep_within(&self, descriptors: usize) {
-        self.limit.set(descriptors.saturating_sub(KEPT_BACK).max(16));
+        self.limit
+            .set(descriptors.saturating_sub(KEPT_BACK).max(16));
     }
 
     /// So many descriptors more, or fewer, are the process's: connections have gone from one process to another.
@@ -146,25 +154,33 @@
     /// stays; so does one that has just had its answer: where clients wait for a connection, the next job is on its
     /// way on it at that moment.
     pub fn thin_out(&self, now: Instant) {
-        if self.accepted.get() <= self.third.get() * THIN.0 / THIN.1 || self.shed_up_to(Rank::Part) {
+        if self.accepted.get() <= self.third.get() * THIN.0 / THIN.1 || self.shed_up_to(Rank::Part)
+        {
             return;
         }
         let mut offers = self.offers.borrow_mut();
         // Within a rank the oldest stands first: where it has not settled, none has.
         let settled = |rank| {
-            let first = offers.range((rank, 0)..).next().filter(|(key, _)| key.0 == rank);
-            first.filter(|(_, o)| now.saturating_duration_since(o.since) >= SETTLED).map(|(key, _)| *key)
+            let first = offers
+                .range((rank, 0)..)
+                .next()
+                .filter(|(key, _)| key.0 == rank);
+            first
+                .filter(|(_, o)| now.saturating_duration_since(o.since) >= SETTLED)
+                .map(|(key, _)| *key)
         };
         let goes = settled(Rank::Once).or_else(|| settled(Rank::Used));
-        let _ = goes.and_then(|key| offers.remove(&key)).map(|offered| offered.ask.try_send(()));
+        let _ = goes
+            .and_then(|key| offers.remove(&key))
+            .map(|offered| offered.ask.try_send(()));
     }
 
     /// Asks all that stand idle to close, but for those whose first message is or may be on its way, those that part,
     /// and, while there are jobs, job workers'.
     pub fn shed_all(&self, jobs: bool) {
         self.offers.borrow_mut().retain(|(rank, _), offered| {
-            let stays =
-                matches!(rank, Rank::Fresh | Rank::Part | Rank::Parting) || (jobs && *rank == Rank::Kept);
+            let stays = matches!(rank, Rank::Fresh | Rank::Part | Rank::Parting)
+                || (jobs && *rank == Rank::Kept);
             stays || offered.ask.try_send(()).is_err()
         });
     }
@@ -186,8 +202,19 @@
     pub fn offer(self: &Rc<Self>, rank: Rank, client: bool) -> Offer {
         let (ask, asked) = bounded(1);
         let key = (rank, self.next.replace(self.next.get() + 1));
-        self.offers.borrow_mut().insert(key, Offered { ask, client, since: Instant::now() });
-        Offer { set: self.clone(), key, asked }
+        self.offers.borrow_mut().insert(
+            key,
+            Offered {
+                ask,
+                client,
+                since: Instant::now(),
+            },
+        );
+        Offer {
+            set: self.clone(),
+            key,
+            asked,
+        }
     }
 
     /// Connections open now.
--- a/src/net/set/tests.rs
+++ b/src/net/set/tests.rs
@@ -7,7 +7,14 @@
 #[test]
 fn the_least_missed_goes_first_and_within_a_rank_the_oldest() {
     let set = Set::new(64);
-    let ranks = [Rank::Used, Rank::Fresh, Rank::Once, Rank::Part, Rank::Once, Rank::Silent];
+    let ranks = [
+        Rank::Used,
+        Rank::Fresh,
+        Rank::Once,
+        Rank::Part,
+        Rank::Once,
+        Rank::Silent,
+    ];
     let offers = ranks.map(|rank| set.offer(rank, false));
     let mut gone: Vec<usize> = Vec::new();
     while set.shed() {
@@ -25,11 +32,16 @@
     let set = Set::new(120);
     let seats: Vec<Seat> = (0..30).filter_map(|_| set.seat(Way::In)).collect();
     let _dialled: Vec<Seat> = (0..30).filter_map(|_| set.seat(Way::Out)).collect();
-    let offers = [Rank::Fresh, Rank::Used, Rank::Used, Rank::Once].map(|rank| set.offer(rank, false));
+    let offers =
+        [Rank::Fresh, Rank::Used, Rank::Used, Rank::Once].map(|rank| set.offer(rank, false));
     let asked = || offers.each_ref().map(|o| o.asked.len());
     let later = Instant::now() + SETTLED;
     set.thin_out(later);
-    assert_eq!((seats.len(), asked()), (30, [0; 4]), "30 of 40 are no reason");
+    assert_eq!(
+        (seats.len(), asked()),
+        (30, [0; 4]),
+        "30 of 40 are no reason"
+    );
     let more = set.seat(Way::In);
     // Guards against a job that meets a close as it comes right behind the answer to the one before.
     set.thin_out(Instant::now());
--- a/src/recall.rs
+++ b/src/recall.rs
@@ -14,26 +14,55 @@
 impl Dispatcher {
     /// Machines that the list holds, and how many of them get nothing now, or only a try, after failures.
     pub fn pool(&self, now: Time) -> (u64, u64) {
-        let listed = self.workers.iter().filter(|w| w.listed.state != WorkerState::Left);
+        let listed = self
+            .workers
+            .iter()
+            .filter(|w| w.listed.state != WorkerState::Left);
         let avoided = |w: &&Worker| w.active && (now < w.aside_until || w.failure > SUSPECT);
-        (listed.clone().count() as u64, listed.filter(avoided).count() as u64)
+        (
+            listed.clone().count() as u64,
+            listed.filter(avoided).count() as u64,
+        )
     }
 
     /// What it has learned until now, of workers that the list still names.
     pub fn learned(&self, now: Time) -> Learned<u32> {
         let kind = |(id, k): (usize, &Kind)| {
-            let draw = self.subject_draw.0.get(id).copied().unwrap_or(0.0).clamp(0.0, 1.0);
+            let draw = self
+                .subject_draw
+                .0
+                .get(id)
+                .copied()
+                .unwrap_or(0.0)
+                .clamp(0.0, 1.0);
             let (slots, reported, run) = (k.slots, k.reported, k.run.clone());
-            (id as u32, learned::Kind { slots, reported, run, draw })
+            (
+                id as u32,
+                learned::Kind {
+                    slots,
+                    reported,
+                    run,
+                    draw,
+                },
+            )
         };
         let class = |(id, i): (usize, &usize)| {
             let ClassStat { run, longest } = self.classes[*i].clone();
             (id as u32, learned::Class { run, longest })
         };
         let worker = |w: &Worker| {
-            let (born, quick, foreign, news_at) = (w.listed.ready_at, w.quick, w.foreign, w.news_at);
+            let (born, quick, foreign, news_at) =
+                (w.listed.ready_at, w.quick, w.foreign, w.news_at);
             let (failure, aside_until, silences) = (w.failure, w.aside_until, w.silences);
-            let of = learned::Worker { born, quick, foreign, news_at, failure, aside_until, silences };
+            let of = learned::Worker {
+                born,
+                quick,
+                foreign,
+                news_at,
+                failure,
+                aside_until,
+                silences,
+            };
             (w.listed.worker, of)
         };
         let tenants = (0..).map_while(|tenant| Some((tenant, self.arrivals.share(tenant)?)));
@@ -42,7 +71,9 @@
             at: now,
             kinds: self.kinds.iter().enumerate().map(kind).collect(),
             classes: self.class_of.iter().enumerate().map(class).collect(),
-            tenants: tenants.map(|(tenant, share)| (tenant, share.clamp(0.0, 1.0))).collect(),
+            tenants: tenants
+                .map(|(tenant, share)| (tenant, share.clamp(0.0, 1.0)))
+                .collect(),
             workers: self
                 .workers
                 .iter()
@@ -67,7 +98,10 @@
 
     /// Slots that its jobs hold at workers now.
     pub fn held_slots(&self) -> Vec<(WorkerId, f64)> {
-        self.busy.iter().map(|i| (self.workers[*i].listed.worker, self.workers[*i].own)).collect()
+        self.busy
+            .iter()
+            .map(|i| (self.workers[*i].listed.worker, self.workers[*i].own))
+            .collect()
     }
 
     /// Gives a request away to the process that takes over, with all that is out: it is not known here any more.
@@ -82,7 +116,12 @@
             self.held[q].retain(|other| *other != id);
         }
         for (n, t) in open.tries.iter().enumerate().filter(|(_, t)| !t.done) {
-            self.leave(now, t.worker, (id, n as AttemptNo), if t.silent { 0.0 } else { open.slots });
+            self.leave(
+                now,
+                t.worker,
+                (id, n as AttemptNo),
+                if t.silent { 0.0 } else { open.slots },
+            );
         }
         let worker = |i: usize| self.workers[i].listed.worker;
         Some(Carried {
@@ -99,9 +138,22 @@
     }
 
     /// Goes on with a request that another process has begun.
-    pub(super) fn adopt(&mut self, now: Time, id: RequestId, of: Carried<u32>, out: &mut Vec<Action>) {
-        let Some(class) = self.class_of.get(of.class as usize).copied() else { return };
-        let mut open = Open { class, late_from: of.late_from, deadline: of.deadline, ..Open::default() };
+    pub(super) fn adopt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        of: Carried<u32>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(class) = self.class_of.get(of.class as usize).copied() else {
+            return;
+        };
+        let mut open = Open {
+            class,
+            late_from: of.late_from,
+            deadline: of.deadline,
+            ..Open::default()
+        };
         (open.estimate, open.subject, open.slots) = (of.estimate, of.subject, of.slots);
         (open.attempts, open.over) = (of.attempts, of.over);
         for (n, t) in of.tries.into_iter().enumerate() {
@@ -109,8 +161,15 @@
             let i = *self.index.entry(t.worker).or_insert(next);
             if i == next {
                 // The list of this process has not named it: nothing new goes there.
-                let listed = Entry { worker: t.worker, ..Entry::default() };
-                self.workers.push(Worker { listed, quick: QUICK_FIRST, ..Worker::default() });
+                let listed = Entry {
+                    worker: t.worker,
+                    ..Entry::default()
+                };
+                self.workers.push(Worker {
+                    listed,
+                    quick: QUICK_FIRST,
+                    ..Worker::default()
+                });
                 self.kinds.resize(self.kinds.len().max(1), Kind::default());
                 self.solve_draw(now);
             }
@@ -125,7 +184,8 @@
                     w.unstarted.push((t.sent, id, n as AttemptNo, of.slots));
                     self.waiting += 1;
                     let moves = t.sent + (MOVE_FETCHES * self.fetches.cost()) as Time + MOVE_WAIT;
-                    self.due.extend(self.settings.limits.moves().then_some((moves, id)));
+                    self.due
+                        .extend(self.settings.limits.moves().then_some((moves, id)));
                 }
             }
             if !t.done && t.started.is_some() {
@@ -145,7 +205,8 @@
         let (runs, pace) = (aged(age, RUNS_LAST), aged(age, PACE_LASTS));
         for (id, of) in other.kinds {
             let id = (id as usize).min(KINDS_MOST);
-            self.kinds.resize(self.kinds.len().max(id + 1), Kind::default());
+            self.kinds
+                .resize(self.kinds.len().max(id + 1), Kind::default());
             let kind = &mut self.kinds[id];
             // Without reports slots are what was seen, the most counts; a report tells them for good.
             match (kind.reported, of.reported) {
@@ -160,14 +221,22 @@
             self.subject_draw.0[id] = of.draw;
         }
         for (id, of) in other.classes {
-            let Some(class) = self.class_of.get(id as usize).map(|i| &mut self.classes[*i]) else { continue };
+            let Some(class) = self
+                .class_of
+                .get(id as usize)
+                .map(|i| &mut self.classes[*i])
+            else {
+                continue;
+            };
             class.longest = class.longest.max(of.longest);
             if of.run.weight() * runs > class.run.weight() {
                 class.run = of.run.faded(runs);
             }
         }
         for (id, of) in other.workers {
-            let Some(w) = self.index.get(&id).map(|i| &mut self.workers[*i]) else { continue };
+            let Some(w) = self.index.get(&id).map(|i| &mut self.workers[*i]) else {
+                continue;
+            };
             // Another start of it is another worker.
             if w.listed.ready_at != of.born {
                 continue;
@@ -195,7 +264,10 @@
             self.run = (of.run.0 * runs, of.run.1 * runs);
             self.fetches = of.fetches.faded(runs);
             self.arrivals.resume(now, of.arrivals, pace);
-            other.tenants.iter().for_each(|(tenant, share)| self.arrivals.set_share(*tenant, *share));
+            other
+                .tenants
+                .iter()
+                .for_each(|(tenant, share)| self.arrivals.set_share(*tenant, *share));
             self.stay = 1.0 - (1.0 - of.stay) * pace;
             self.late_share = of.late_share.map(|share| share * pace);
             self.full_share = of.full_share * pace;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -61,7 +61,18 @@
     ("BOOT", &["randomSeed", "env"]),
     ("CRASH_NOW", &[]),
     ("REGISTRY", &["scope", "index", "hosts"]),
-    ("ROW", &["worker", "dc", "machine", "stripe", "stageState", "powerHint", "readyAt"]),
+    (
+        "ROW",
+        &[
+            "worker",
+            "dc",
+            "machine",
+            "stripe",
+            "stageState",
+            "powerHint",
+            "readyAt",
+        ],
+    ),
     (
         "ACCEPT",
         &[
@@ -78,9 +89,27 @@
             "reconnect",
         ],
     ),
-    ("HEAD_RECEIVED", &["requestId", "trial", "worker", "timeTaken"]),
-    ("HINT_UPDATE", &["requestId", "trial", "worker", "what", "level"]),
-    ("RESOLVED", &["requestId", "trial", "worker", "result", "timeTaken", "over", "info", "feedback"]),
+    (
+        "HEAD_RECEIVED",
+        &["requestId", "trial", "worker", "timeTaken"],
+    ),
+    (
+        "HINT_UPDATE",
+        &["requestId", "trial", "worker", "what", "level"],
+    ),
+    (
+        "RESOLVED",
+        &[
+            "requestId",
+            "trial",
+            "worker",
+            "result",
+            "timeTaken",
+            "over",
+            "info",
+            "feedback",
+        ],
+    ),
     ("DROPPED", &["requestId"]),
     ("DUE", &["name"]),
     ("ECHO", &["worker", "result", "timeTaken", "feedback"]),
@@ -102,7 +131,10 @@
     pub fn finish(&self) -> Result<(), WireError> {
         if self.in_batch {
             let message = "input ended inside a batch; expected EOB".to_string();
-            return Err(WireError { line: self.line, message });
+            return Err(WireError {
+                line: self.line,
+                message,
+            });
         }
         Ok(())
     }
@@ -114,7 +146,10 @@
         if text.is_empty() {
             return Ok(None);
         }
-        self.message(text).map_err(|message| WireError { line: self.line, message })
+        self.message(text).map_err(|message| WireError {
+            line: self.line,
+            message,
+        })
     }
 
     fn note(&mut self, about: String) {
@@ -164,12 +199,17 @@
             }
             _ => {}
         }
-        let who = self.current.ok_or_else(|| format!("{name} before any INSTANCE line of its batch"))?;
+        let who = self
+            .current
+            .ok_or_else(|| format!("{name} before any INSTANCE line of its batch"))?;
         match name {
             "BOOT" => {
                 let seed = fields.need("randomSeed")?;
                 let seed = seed.parse::<i128>().map_err(|_| {
-                    format!("BOOT: field 'randomSeed' must be an integer, got '{}'", head(seed))
+                    format!(
+                        "BOOT: field 'randomSeed' must be an integer, got '{}'",
+                        head(seed)
+                    )
                 })? as u64;
                 let env = fields.need("env")?.as_bytes().to_vec();
                 let site = Site::read(env).map_err(|e| format!("BOOT: {e}"))?;
@@ -184,7 +224,9 @@
             _ => {}
         }
         let Some(instance) = self.instances.get_mut(&who) else {
-            self.note(format!("{name} for an instance that was not started, skipped"));
+            self.note(format!(
+                "{name} for an instance that was not started, skipped"
+            ));
             return Ok(None);
         };
         let event = match name {
@@ -195,25 +237,40 @@
                     "C" => Scope::Cached,
                     "X" => Scope::Failed,
                     other => {
-                        return Err(format!("REGISTRY: scope must be D, F, C or X, got '{}'", head(other)));
+                        return Err(format!(
+                            "REGISTRY: scope must be D, F, C or X, got '{}'",
+                            head(other)
+                        ));
                     }
                 };
                 let left = fields.time("hosts")?;
                 if left > 0 {
-                    self.list = Some(PendingList { scope, left, entries: Vec::new() });
+                    self.list = Some(PendingList {
+                        scope,
+                        left,
+                        entries: Vec::new(),
+                    });
                     return Ok(None);
                 }
-                Some(Event::List { scope, entries: Vec::new() })
+                Some(Event::List {
+                    scope,
+                    entries: Vec::new(),
+                })
             }
             "ROW" => {
                 let entry = instance.entry(&fields)?;
-                let Some(list) = &mut self.list else { return Err("ROW outside a list".into()) };
+                let Some(list) = &mut self.list else {
+                    return Err("ROW outside a list".into());
+                };
                 list.entries.push(entry);
                 list.left -= 1;
                 if list.left > 0 {
                     return Ok(None);
                 }
-                self.list.take().map(|l| Event::List { scope: l.scope, entries: l.entries })
+                self.list.take().map(|l| Event::List {
+                    scope: l.scope,
+                    entries: l.entries,
+                })
             }
             _ => instance.event(&fields)?,
         };
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -20,14 +20,24 @@
         let mut pairs = SmallVec::new();
         while !rest.is_empty() {
             // The name ends at '='; a space before that, or no name at all, is malformed.
-            let end = rest.bytes().position(|b| b == b'=' || b == b' ').unwrap_or(0);
+            let end = rest
+                .bytes()
+                .position(|b| b == b'=' || b == b' ')
+                .unwrap_or(0);
             if end == 0 || rest.as_bytes()[end] != b'=' {
-                return Err(format!("{message}: expected name=value, got '{}'", head(rest)));
+                return Err(format!(
+                    "{message}: expected name=value, got '{}'",
+                    head(rest)
+                ));
             }
             let (name, after) = (&rest[..end], &rest[end + 1..]);
             // A text or object value runs to the end of the line.
             let runs_on = name == "env" || name == "noteText";
-            let stop = if runs_on { None } else { after.bytes().position(|b| b == b' ') };
+            let stop = if runs_on {
+                None
+            } else {
+                after.bytes().position(|b| b == b' ')
+            };
             let (value, next) = stop.map_or((after, ""), |n| (&after[..n], &after[n + 1..]));
             pairs.push((name, value));
             rest = next;
@@ -40,24 +50,35 @@
     }
 
     pub(super) fn need(&self, name: &str) -> Parse<&'a str> {
-        self.text(name).ok_or_else(|| format!("{}: missing field '{name}'", self.message))
+        self.text(name)
+            .ok_or_else(|| format!("{}: missing field '{name}'", self.message))
     }
 
     pub(super) fn number(&self, name: &str) -> Parse<Option<f64>> {
-        let Some(text) = self.text(name) else { return Ok(None) };
+        let Some(text) = self.text(name) else {
+            return Ok(None);
+        };
         match text.parse::<f64>() {
             Ok(v) if v.is_finite() => Ok(Some(v)),
-            _ => Err(format!("{}: field '{name}' must be a number, got '{}'", self.message, head(text))),
+            _ => Err(format!(
+                "{}: field '{name}' must be a number, got '{}'",
+                self.message,
+                head(text)
+            )),
         }
     }
 
     pub(super) fn integer(&self, name: &str) -> Parse<Option<i64>> {
-        let Some(text) = self.text(name) else { return Ok(None) };
+        let Some(text) = self.text(name) else {
+            return Ok(None);
+        };
         match text.parse::<i64>() {
             Ok(v) => Ok(Some(v)),
-            Err(_) => {
-                Err(format!("{}: field '{name}' must be an integer, got '{}'", self.message, head(text)))
-            }
+            Err(_) => Err(format!(
+                "{}: field '{name}' must be an integer, got '{}'",
+                self.message,
+                head(text)
+            )),
         }
     }
 
@@ -80,7 +101,10 @@
     }
 
     pub(super) fn skip_unknown(&self, known: &[&str]) -> Option<&'a str> {
-        self.pairs.iter().map(|(n, _)| *n).find(|n| !known.contains(n))
+        self.pairs
+            .iter()
+            .map(|(n, _)| *n)
+            .find(|n| !known.contains(n))
     }
 }
 
--- a/src/wire/instance.rs
+++ b/src/wire/instance.rs
@@ -58,12 +58,24 @@
     }
 
     fn load(&self, f: &Fields) -> Parse<Option<Load>> {
-        let Some(text) = f.text("feedback") else { return Ok(None) };
+        let Some(text) = f.text("feedback") else {
+            return Ok(None);
+        };
         let mut load = Load::default();
         for pair in text.split(',').filter(|p| !p.is_empty() && *p != "-") {
-            let bad = || format!("{}: feedback must be name:value pairs, got '{}'", f.message, head(pair));
+            let bad = || {
+                format!(
+                    "{}: feedback must be name:value pairs, got '{}'",
+                    f.message,
+                    head(pair)
+                )
+            };
             let (name, value) = pair.split_once(':').ok_or_else(bad)?;
-            let value = value.parse::<f64>().ok().filter(|v| v.is_finite()).ok_or_else(bad)?;
+            let value = value
+                .parse::<f64>()
+                .ok()
+                .filter(|v| v.is_finite())
+                .ok_or_else(bad)?;
             self.site.report(&mut load, name, value);
         }
         Ok(Some(load))
@@ -95,20 +107,29 @@
                 }
                 self.next_request += 1;
                 self.ids.insert(word.to_string(), request.id);
-                let known = KnownRequest { word: word.to_string(), attempts_out: 0, closed: false };
+                let known = KnownRequest {
+                    word: word.to_string(),
+                    attempts_out: 0,
+                    closed: false,
+                };
                 self.requests.insert(request.id, known);
                 Some(Event::Request(request))
             }
             "HEAD_RECEIVED" => {
                 let attempt = f.small("trial")?;
-                self.known(f)?.map(|request| Event::Streaming { request, attempt })
+                self.known(f)?
+                    .map(|request| Event::Streaming { request, attempt })
             }
             "HINT_UPDATE" => {
                 let attempt = f.small("trial")?;
                 let (what, level) = (f.need_integer("what")?, f.number("level")?);
                 self.known(f)?.and_then(|request| match what {
                     1 => Some(Event::Started { request, attempt }),
-                    2 => level.map(|done| Event::Progress { request, attempt, done }),
+                    2 => level.map(|done| Event::Progress {
+                        request,
+                        attempt,
+                        done,
+                    }),
                     _ => None,
                 })
             }
@@ -119,7 +140,13 @@
                 if let Some(id) = known {
                     self.settle(id, closed, 1);
                 }
-                known.map(|request| Event::Outcome { request, attempt, status, closed, load })
+                known.map(|request| Event::Outcome {
+                    request,
+                    attempt,
+                    status,
+                    closed,
+                    load,
+                })
             }
             "DROPPED" => {
                 let known = self.known(f)?;
@@ -130,20 +157,35 @@
             }
             "DUE" => {
                 let text = f.need("name")?;
-                let bad = || format!("DUE: field 'name' must be a whole number, got '{}'", head(text));
+                let bad = || {
+                    format!(
+                        "DUE: field 'name' must be a whole number, got '{}'",
+                        head(text)
+                    )
+                };
                 Some(Event::Timer(text.parse::<u64>().map_err(|_| bad())?))
             }
-            "ECHO" => {
-                Some(Event::Probed { worker: f.small("worker")?, status: status(f)?, load: self.load(f)? })
-            }
+            "ECHO" => Some(Event::Probed {
+                worker: f.small("worker")?,
+                status: status(f)?,
+                load: self.load(f)?,
+            }),
             "MAIL" => {
                 let text = f.need("content")?;
-                let bytes = if text == "-" { Ok(Vec::new()) } else { STANDARD.decode(text) };
-                let bytes = bytes.map_err(|_| "MAIL: field 'content' must be base64".to_string())?;
+                let bytes = if text == "-" {
+                    Ok(Vec::new())
+                } else {
+                    STANDARD.decode(text)
+                };
+                let bytes =
+                    bytes.map_err(|_| "MAIL: field 'content' must be base64".to_string())?;
                 // Five bytes for each worker: its id, low byte first, and the slots held there.
                 let line = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), b[4]);
                 let held = bytes.chunks_exact(5).map(line).collect();
-                Some(Event::Peer { from: f.small("originPeer")?, held })
+                Some(Event::Peer {
+                    from: f.small("originPeer")?,
+                    held,
+                })
             }
             _ => None,
         })
@@ -151,7 +193,9 @@
 
     /// Counts an outcome or a closing and forgets a request that can't be named again.
     fn settle(&mut self, id: RequestId, closed: bool, outcomes: u32) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         r.attempts_out = r.attempts_out.saturating_sub(outcomes);
         r.closed |= closed;
         if r.closed && r.attempts_out == 0 {
@@ -164,20 +208,44 @@
     pub(super) fn write(&mut self, action: &Action, out: &mut String) {
         let word = |id: &RequestId| self.requests.get(id).map_or("", |r| r.word.as_str());
         let _ = match action {
-            Action::Send { request, worker, timeout: 0, .. } => {
+            Action::Send {
+                request,
+                worker,
+                timeout: 0,
+                ..
+            } => {
                 writeln!(out, "ASSIGN requestId={} worker={worker}", word(request))
             }
-            Action::Send { request, worker, timeout, .. } => {
-                writeln!(out, "ASSIGN requestId={} worker={worker} allowFor={timeout}", word(request))
+            Action::Send {
+                request,
+                worker,
+                timeout,
+                ..
+            } => {
+                writeln!(
+                    out,
+                    "ASSIGN requestId={} worker={worker} allowFor={timeout}",
+                    word(request)
+                )
             }
             Action::Cancel { request, attempt } => {
                 writeln!(out, "UNDO_SEND requestId={} trial={attempt}", word(request))
             }
-            Action::Refuse { request, retry_after: 0 } => {
+            Action::Refuse {
+                request,
+                retry_after: 0,
+            } => {
                 writeln!(out, "PUSH_BACK requestId={}", word(request))
             }
-            Action::Refuse { request, retry_after } => {
-                writeln!(out, "PUSH_BACK requestId={} holdOff={retry_after}", word(request))
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
+                writeln!(
+                    out,
+                    "PUSH_BACK requestId={} holdOff={retry_after}",
+                    word(request)
+                )
             }
             Action::Fail { request } => writeln!(out, "SURRENDER requestId={}", word(request)),
             Action::Timer { at, name } => writeln!(out, "SET_TIMER when={at} name={name}"),
@@ -189,12 +257,18 @@
                     .flat_map(|(id, slots)| id.to_le_bytes().into_iter().chain([*slots]))
                     .take(255)
                     .collect();
-                let text = if bytes.is_empty() { "-".to_string() } else { STANDARD.encode(bytes) };
+                let text = if bytes.is_empty() {
+                    "-".to_string()
+                } else {
+                    STANDARD.encode(bytes)
+                };
                 writeln!(out, "SAY neighbourId=-1 content={text}")
             }
             Action::Watch(on) => writeln!(out, "KEEP_INFORMED enable={}", u8::from(*on)),
             Action::Fetch => writeln!(out, "RESOLVE"),
-            Action::Log(text) => writeln!(out, "RECORD noteText={}", text.replace(['\n', '\r'], " ")),
+            Action::Log(text) => {
+                writeln!(out, "RECORD noteText={}", text.replace(['\n', '\r'], " "))
+            }
         };
         match action {
             Action::Send { request, .. } => {
@@ -202,7 +276,9 @@
                     r.attempts_out += 1;
                 }
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => self.settle(*request, true, 0),
+            Action::Refuse { request, .. } | Action::Fail { request } => {
+                self.settle(*request, true, 0)
+            }
             _ => {}
         }
     }
@@ -218,6 +294,12 @@
         "R" => Status::Reset,
         "X" => Status::Cancelled,
         "N" => Status::Moot,
-        o => return Err(format!("{}: result must be one of S E F T C R X N, got '{}'", f.message, head(o))),
+        o => {
+            return Err(format!(
+                "{}: result must be one of S E F T C R X N, got '{}'",
+                f.message,
+                head(o)
+            ));
+        }
     })
 }
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -12,15 +12,27 @@
 const FETCH: Time = 400 * MS;
 
 fn about(id: RequestId, subject: u64) -> Event {
-    Event::Request(Request { subject: Some(subject), ..request(id, 0) })
+    Event::Request(Request {
+        subject: Some(subject),
+        ..request(id, 0)
+    })
 }
 
 fn workers(kinds: u32, each: u32) -> Vec<Entry> {
-    (0..kinds * each).map(|n| entry(100 + 7 * n, n % kinds)).collect()
+    (0..kinds * each)
+        .map(|n| entry(100 + 7 * n, n % kinds))
+        .collect()
 }
 
 fn stage(workers: &[Entry]) -> Stage {
-    Stage::new(Settings { dispatchers: 1, progress: SEC, ..settings() }, workers)
+    Stage::new(
+        Settings {
+            dispatchers: 1,
+            progress: SEC,
+            ..settings()
+        },
+        workers,
+    )
 }
 
 const RUN: Time = 1_200 * MS;
@@ -31,7 +43,11 @@
     while at + SEC < fetch + RUN {
         (at, _) = (at + SEC, s.pass(SEC));
         let done = at.saturating_sub(fetch) as f64 / RUN as f64;
-        s.event(Event::Progress { request: id, attempt: 0, done });
+        s.event(Event::Progress {
+            request: id,
+            attempt: 0,
+            done,
+        });
     }
     s.pass(fetch + RUN - at);
     s.end(id, 0, Status::Ok);
@@ -39,7 +55,11 @@
 
 /// Serves one job; a worker that lacks what it is about fetches it first. Returns the worker.
 fn serve(
-    s: &mut Stage, id: RequestId, of: u64, keeps: &mut BTreeSet<(WorkerId, u64)>, fetch: Time,
+    s: &mut Stage,
+    id: RequestId,
+    of: u64,
+    keeps: &mut BTreeSet<(WorkerId, u64)>,
+    fetch: Time,
 ) -> WorkerId {
     s.event(about(id, of));
     let worker = s.sent(id).expect("a worker is free");
@@ -63,13 +83,20 @@
 #[test]
 fn over_many_subjects_a_place_is_drawn_by_its_weight_and_a_change_moves_only_its_own() {
     let places = |w: [f64; 3]| (0..3u64).zip(w);
-    let draws: Vec<usize> = (0..20_000).filter_map(|s| draw(s, places([0.5, 0.3, 0.2]))).collect();
+    let draws: Vec<usize> = (0..20_000)
+        .filter_map(|s| draw(s, places([0.5, 0.3, 0.2])))
+        .collect();
     for (place, part) in [0.5, 0.3, 0.2].into_iter().enumerate() {
         let drawn = draws.iter().filter(|d| **d == place).count() as f64 / 20_000.0;
         assert!((drawn - part).abs() < 0.02, "{place}: {drawn}");
     }
     let more = (0..20_000).filter_map(|s| draw(s, places([0.5, 0.6, 0.2])));
-    assert!(draws.iter().zip(more).all(|(old, new)| *old == new || new == 1));
+    assert!(
+        draws
+            .iter()
+            .zip(more)
+            .all(|(old, new)| *old == new || new == 1)
+    );
     assert!((0..1_000).all(|s| draw(s, places([0.0, 1.0, 0.0])) == Some(1)));
     assert_eq!(draw(7, std::iter::empty()), None);
 }
@@ -79,7 +106,10 @@
     assert_eq!(subject(""), None);
     let long = "x".repeat(8 * 1024);
     let odd = "%00\u{7f}\u{e9}/~";
-    let all: BTreeSet<_> = ["a", "b", "A", "0", long.as_str(), odd].iter().map(|t| subject(t)).collect();
+    let all: BTreeSet<_> = ["a", "b", "A", "0", long.as_str(), odd]
+        .iter()
+        .map(|t| subject(t))
+        .collect();
     assert!(all.len() == 6 && !all.contains(&None));
     assert_eq!(subject(odd), subject(odd));
 }
@@ -87,14 +117,23 @@
 #[test]
 fn the_first_share_done_tells_how_long_the_fetch_took() {
     // Started at 2 s, 0.5 s to fetch, then 2 s of even running: at 3 s a quarter is done.
-    assert_eq!(fetch_time(2 * SEC, Some((3 * SEC, 0.25)), 4_500 * MS), Some(500_000.0));
-    assert_eq!(fetch_time(2 * SEC, Some((3 * SEC, 0.5)), 4 * SEC), Some(0.0));
+    assert_eq!(
+        fetch_time(2 * SEC, Some((3 * SEC, 0.25)), 4_500 * MS),
+        Some(500_000.0)
+    );
+    assert_eq!(
+        fetch_time(2 * SEC, Some((3 * SEC, 0.5)), 4 * SEC),
+        Some(0.0)
+    );
     // Nothing told, told before the start, or at the end: it says nothing.
     for told in [None, Some((SEC, 0.2)), Some((4 * SEC, 0.9))] {
         assert_eq!(fetch_time(2 * SEC, told, 4 * SEC), None);
     }
     // A share that says all is done long before the end.
-    assert_eq!(fetch_time(2 * SEC, Some((3 * SEC, 1.0)), 4 * SEC), Some(0.0));
+    assert_eq!(
+        fetch_time(2 * SEC, Some((3 * SEC, 1.0)), 4 * SEC),
+        Some(0.0)
+    );
 }
 
 /// Guards against jobs about the same being spread over all workers, each of which then fetches the same (0.24 of
@@ -103,7 +142,11 @@
 fn jobs_about_the_same_go_to_one_worker_and_every_dispatcher_takes_the_same() {
     let (list, mut first) = (workers(2, 4), BTreeMap::new());
     for me in 0..2 {
-        let settings = Settings { me, progress: SEC, ..settings() };
+        let settings = Settings {
+            me,
+            progress: SEC,
+            ..settings()
+        };
         let (mut s, mut keeps) = (Stage::new(settings, &list), BTreeSet::new());
         for id in 1..=120 {
             let (of, worker) = (id % 12, serve(&mut s, id, id % 12, &mut keeps, FETCH));
@@ -111,11 +154,18 @@
                 first.entry(of).or_insert_with(BTreeSet::new).insert(worker);
             }
         }
-        assert!(keeps.len() <= 30, "dispatcher {me}: {} fetches", keeps.len());
+        assert!(
+            keeps.len() <= 30,
+            "dispatcher {me}: {} fetches",
+            keeps.len()
+        );
     }
     let shared = first.values().filter(|w| w.len() == 1).count();
     assert!(shared >= 9, "{first:?}");
-    assert!(first.values().flatten().collect::<BTreeSet<_>>().len() >= 4, "{first:?}");
+    assert!(
+        first.values().flatten().collect::<BTreeSet<_>>().len() >= 4,
+        "{first:?}"
+    );
 }
 
 #[test]
@@ -169,7 +219,9 @@
         there.min_by(|a, b| rank(s, *a).total_cmp(&rank(s, *b)))
     };
     let gone = ids[4];
-    let moved = (0..2_000).filter(|s| first(*s, None) != first(*s, Some(gone))).count();
+    let moved = (0..2_000)
+        .filter(|s| first(*s, None) != first(*s, Some(gone)))
+        .count();
     let had = (0..2_000).filter(|s| first(*s, None) == Some(gone)).count();
     assert!(moved == had && (150..=250).contains(&had), "{moved} {had}");
 }
@@ -181,12 +233,15 @@
     let mut steady = Steady::default();
     steady.follow(&[0.8, 0.2]);
     assert_eq!(steady.0, [0.8, 0.2]);
-    let kind = |s: &Steady, subject| draw(subject, s.0.iter().enumerate().map(|(k, p)| (k as u64, *p)));
+    let kind =
+        |s: &Steady, subject| draw(subject, s.0.iter().enumerate().map(|(k, p)| (k as u64, *p)));
     let before: Vec<_> = (0..1_000).map(|n| kind(&steady, n)).collect();
     for n in 0..10 {
         steady.follow(if n % 2 == 0 { &[0.4, 0.6] } else { &[1.0, 0.0] });
     }
-    let moved = (0..1_000).filter(|n| kind(&steady, *n) != before[*n as usize]).count();
+    let moved = (0..1_000)
+        .filter(|n| kind(&steady, *n) != before[*n as usize])
+        .count();
     assert!(moved < 60, "{moved} of 1000 moved");
     for _ in 0..200 {
         steady.follow(&[0.1, 0.9]);
@@ -201,7 +256,12 @@
 #[test]
 fn a_freed_slot_goes_to_the_held_job_whose_like_goes_there() {
     let mut s = stage(&workers(1, 3));
-    let one_slot = Load { inflight: Some(0.0), queue: Some(0.0), free_slots: Some(1.0), ..Load::default() };
+    let one_slot = Load {
+        inflight: Some(0.0),
+        queue: Some(0.0),
+        free_slots: Some(1.0),
+        ..Load::default()
+    };
     // Reports say that workers have one slot; it is learned what a fetch takes, and late starts leave room for one to wait.
     for id in 0..20 {
         s.event(about(100 + id, 1));
@@ -216,11 +276,18 @@
     let ids: Vec<WorkerId> = workers(1, 3).iter().map(|e| e.worker).collect();
     let mut of = BTreeMap::new();
     for n in 0..30 {
-        let first = *ids.iter().min_by(|a, b| rank(n, **a).total_cmp(&rank(n, **b))).expect("three");
+        let first = *ids
+            .iter()
+            .min_by(|a, b| rank(n, **a).total_cmp(&rank(n, **b)))
+            .expect("three");
         of.entry(first).or_insert(n);
     }
     for worker in ids {
-        s.event(Event::Probed { worker, status: Status::Ok, load: Some(one_slot) });
+        s.event(Event::Probed {
+            worker,
+            status: Status::Ok,
+            load: Some(one_slot),
+        });
     }
     // Each worker has a job; of those that come then one or two wait at workers, the others are held.
     let (mut running, mut waiting, mut held) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
@@ -238,14 +305,20 @@
     }
     let newest = held.last().expect("some are held").1;
     // All that one worker has ends, the running one first.
-    let (worker, id) = running.iter().find(|(worker, _)| of[*worker] != newest).expect("another worker");
+    let (worker, id) = running
+        .iter()
+        .find(|(worker, _)| of[*worker] != newest)
+        .expect("another worker");
     s.report(*id, 0, Status::Ok, Some(one_slot));
     let nobody = held.iter().all(|(job, _)| s.sent(*job).is_none());
     for id in waiting.get(worker).into_iter().flatten() {
         assert!(nobody, "{:?}", s.out);
         s.report(*id, 0, Status::Ok, Some(one_slot));
     }
-    let went: Vec<_> = held.iter().filter_map(|(job, subject)| Some((s.sent(*job)?, *subject))).collect();
+    let went: Vec<_> = held
+        .iter()
+        .filter_map(|(job, subject)| Some((s.sent(*job)?, *subject)))
+        .collect();
     assert_eq!(went, [(*worker, of[worker])]);
 }
 
@@ -253,13 +326,24 @@
 /// 1.6 s): where its attempts are given up, nothing that is out there can tell when it is back.
 #[test]
 fn a_worker_that_hangs_is_left_alone_for_longer_each_time_until_it_gets_on_with_a_job() {
-    let limits = Limits { duplicates: false, ..settings().limits };
-    let site = Settings { dispatchers: 1, progress: SEC, limits, ..settings() };
+    let limits = Limits {
+        duplicates: false,
+        ..settings().limits
+    };
+    let site = Settings {
+        dispatchers: 1,
+        progress: SEC,
+        limits,
+        ..settings()
+    };
     let mut s = Stage::new(site, &[entry(1, 0)]);
     let mut gaps = Vec::new();
     let mut since = s.now;
     for id in 1..=4 {
-        s.event(Event::Request(Request { left: 60 * SEC, ..request(id, 0) }));
+        s.event(Event::Request(Request {
+            left: 60 * SEC,
+            ..request(id, 0)
+        }));
         let mut out = s.out.clone();
         while !out.iter().any(|a| matches!(a, Action::Send { .. })) {
             out = s.pass(20 * MS);
@@ -274,26 +358,42 @@
         let at = at.expect("sent");
         s.start(at, 0);
         let given_up = s.pass(2 * SEC);
-        let cancel = given_up.iter().any(|a| matches!(a, Action::Cancel { request, .. } if *request == at));
+        let cancel = given_up
+            .iter()
+            .any(|a| matches!(a, Action::Cancel { request, .. } if *request == at));
         assert!(cancel, "{given_up:?}");
         since = s.now;
         s.end(at, 0, Status::Cancelled);
         s.event(Event::Gone(at));
     }
-    assert!(gaps[1] >= SEC && gaps[2] > gaps[1] && gaps[3] > gaps[2], "{gaps:?}");
+    assert!(
+        gaps[1] >= SEC && gaps[2] > gaps[1] && gaps[3] > gaps[2],
+        "{gaps:?}"
+    );
     // It gets on with a job: it is as any other again at once.
-    s.event(Event::Request(Request { left: 60 * SEC, ..request(90, 0) }));
+    s.event(Event::Request(Request {
+        left: 60 * SEC,
+        ..request(90, 0)
+    }));
     let mut sent = s.sent(90);
     while sent.is_none() {
         let out = s.pass(20 * MS);
         sent = out.iter().find_map(|a| match a {
-            Action::Send { request: 90, worker, .. } => Some(*worker),
+            Action::Send {
+                request: 90,
+                worker,
+                ..
+            } => Some(*worker),
             _ => None,
         });
     }
     s.start(90, 0);
     s.pass(SEC);
-    s.event(Event::Progress { request: 90, attempt: 0, done: 0.5 });
+    s.event(Event::Progress {
+        request: 90,
+        attempt: 0,
+        done: 0.5,
+    });
     s.pass(SEC / 2);
     s.end(90, 0, Status::Ok);
     s.event(Event::Request(request(91, 0)));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -22,7 +22,10 @@
 
 /// Class 0 is safe, 1 keyed by cell, 2 unsafe, 3 keyed over all workers.
 pub fn settings() -> Settings {
-    let keyed = |group| Effect::Keyed { group, ttl: 3 * SEC };
+    let keyed = |group| Effect::Keyed {
+        group,
+        ttl: 3 * SEC,
+    };
     Settings {
         dispatchers: 2,
         me: 0,
@@ -69,7 +72,15 @@
 }
 
 pub fn entry(worker: WorkerId, kind: KindId) -> Entry {
-    Entry { worker, zone: 0, kind, cell: worker % 2, state: WorkerState::Active, power: 1.0, ready_at: 0 }
+    Entry {
+        worker,
+        zone: 0,
+        kind,
+        cell: worker % 2,
+        state: WorkerState::Active,
+        power: 1.0,
+        ready_at: 0,
+    }
 }
 
 pub fn request(id: RequestId, class: ClassId) -> Request {
@@ -101,7 +112,13 @@
 
     pub fn started(settings: Settings, workers: &[Entry], now: Time) -> Self {
         let d = Dispatcher::new(settings, 7, now);
-        let mut stage = Stage { d, now, out: Vec::new(), timer: None, next: 0 };
+        let mut stage = Stage {
+            d,
+            now,
+            out: Vec::new(),
+            timer: None,
+            next: 0,
+        };
         stage.list(Scope::Cached, workers);
         stage
     }
@@ -118,7 +135,10 @@
     }
 
     pub fn list(&mut self, scope: Scope, workers: &[Entry]) {
-        self.event(Event::List { scope, entries: workers.to_vec() });
+        self.event(Event::List {
+            scope,
+            entries: workers.to_vec(),
+        });
     }
 
     /// Hands over a request; returns the worker it was sent to at once.
@@ -131,30 +151,51 @@
 
     pub fn sent(&self, id: RequestId) -> Option<WorkerId> {
         self.out.iter().find_map(|a| match a {
-            Action::Send { request, worker, .. } if *request == id => Some(*worker),
+            Action::Send {
+                request, worker, ..
+            } if *request == id => Some(*worker),
             _ => None,
         })
     }
 
     pub fn refused(&self, id: RequestId) -> bool {
-        self.out.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+        self.out
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
     }
 
     pub fn failed(&self, id: RequestId) -> bool {
-        self.out.iter().any(|a| matches!(a, Action::Fail { request } if *request == id))
+        self.out
+            .iter()
+            .any(|a| matches!(a, Action::Fail { request } if *request == id))
     }
 
     pub fn start(&mut self, id: RequestId, attempt: AttemptNo) {
-        self.event(Event::Started { request: id, attempt });
+        self.event(Event::Started {
+            request: id,
+            attempt,
+        });
     }
 
     pub fn end(&mut self, id: RequestId, attempt: AttemptNo, status: Status) {
         self.report(id, attempt, status, None);
     }
 
-    pub fn report(&mut self, id: RequestId, attempt: AttemptNo, status: Status, load: Option<Load>) {
+    pub fn report(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNo,
+        status: Status,
+        load: Option<Load>,
+    ) {
         let closed = status == Status::Ok;
-        self.event(Event::Outcome { request: id, attempt, status, closed, load });
+        self.event(Event::Outcome {
+            request: id,
+            attempt,
+            status,
+            closed,
+            load,
+        });
     }
 
     /// Lets time pass and gives the timer its turns; returns all actions of that time.
--- a/tests/example.rs
+++ b/tests/example.rs
@@ -9,5 +9,8 @@
     in_process::main();
     let requests: Vec<_> = sent.iter().map(|s| s.0).collect();
     assert_eq!(requests, [1, 2, 2]);
-    assert_ne!(sent[1].1, sent[2].1, "a failed attempt goes to another worker");
+    assert_ne!(
+        sent[1].1, sent[2].1,
+        "a failed attempt goes to another worker"
+    );
 }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -64,7 +64,10 @@
             if let Some(line) = self.log.iter().find(|l| l.contains(text)) {
                 return line.clone();
             }
-            match self.lines.recv_timeout(until.saturating_duration_since(Instant::now())) {
+            match self
+                .lines
+                .recv_timeout(until.saturating_duration_since(Instant::now()))
+            {
                 Ok(line) => self.log.push(line),
                 Err(_) => panic!("no log line with {text:?} in {:#?}", self.log),
             }
@@ -105,13 +108,17 @@
 /// Does the text begin with the pattern? How much of it that takes; `None`: not yet; an error: never.
 fn matched(text: &str, pattern: &str) -> Result<Option<usize>, ()> {
     let mut parts = pattern.split('*');
-    let Some(mut at) = begins(text, parts.next().unwrap_or(""))? else { return Ok(None) };
+    let Some(mut at) = begins(text, parts.next().unwrap_or(""))? else {
+        return Ok(None);
+    };
     for part in parts {
         // The first place from which on it stands there whole.
-        let ends = (at..=text.len()).filter(|n| text.is_char_boundary(*n)).find_map(|n| {
-            let end = begins(&text[n..], part).ok().flatten()?;
-            Some(n + end)
-        });
+        let ends = (at..=text.len())
+            .filter(|n| text.is_char_boundary(*n))
+            .find_map(|n| {
+                let end = begins(&text[n..], part).ok().flatten()?;
+                Some(n + end)
+            });
         let Some(end) = ends else { return Ok(None) };
         at = end;
     }
@@ -123,7 +130,11 @@
     let number = part.split_once('{').and_then(|(before, rest)| {
         let (range, after) = rest.split_once('}')?;
         let (least, most) = range.split_once('-')?;
-        Some((before, least.parse::<u64>().ok()?..=most.parse::<u64>().ok()?, after))
+        Some((
+            before,
+            least.parse::<u64>().ok()?..=most.parse::<u64>().ok()?,
+            after,
+        ))
     });
     let Some((before, range, after)) = number else {
         return match text.starts_with(part) {
@@ -132,12 +143,17 @@
             false => Err(()),
         };
     };
-    let Some(at) = begins(text, before)? else { return Ok(None) };
+    let Some(at) = begins(text, before)? else {
+        return Ok(None);
+    };
     let digits = text[at..].bytes().take_while(u8::is_ascii_digit).count();
     if at + digits == text.len() {
         return Ok(None); // more of them may come
     }
-    if !text[at..at + digits].parse().is_ok_and(|number| range.contains(&number)) {
+    if !text[at..at + digits]
+        .parse()
+        .is_ok_and(|number| range.contains(&number))
+    {
         return Err(());
     }
     let end = at + digits;
@@ -156,10 +172,17 @@
     }
 
     fn start(&mut self, front: &str, more: &str) {
-        let given = |name: &str| more.split(' ').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
+        let given = |name: &str| {
+            more.split(' ')
+                .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
+        };
         let sockets = given("sockets").unwrap_or("256");
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-        let name = format!("{}-{:?}.json", std::process::id(), std::thread::current().id());
+        let name = format!(
+            "{}-{:?}.json",
+            std::process::id(),
+            std::thread::current().id()
+        );
         let path = dir.join(name.replace(['(', ')'], ""));
         // A limit lower than the one in the configuration, as another program's share would make it.
         let limit = given("ulimit").map_or(String::new(), |n| format!("ulimit -n {n}; "));
@@ -188,15 +211,32 @@
         }
         std::fs::write(&path, &text).expect("a configuration");
         self.file = (path, text);
-        let unset = if given("tmpdir") == Some("no") { "unset TMPDIR; " } else { "" };
+        let unset = if given("tmpdir") == Some("no") {
+            "unset TMPDIR; "
+        } else {
+            ""
+        };
         self.spawn(front, &format!("{unset}{limit}"), given("unread").is_some());
     }
 
     fn spawn(&mut self, front: &str, before: &str, unread: bool) {
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", &format!("{before}exec {}", env!("CARGO_BIN_EXE_indigofold"))]);
-        command.env_remove("GW_CONFIG").env_remove("INDIGOFOLD_FAKTORY").env("TMPDIR", &self.dir);
-        command.env(if front == "faktory" { "INDIGOFOLD_FAKTORY" } else { "GW_CONFIG" }, &self.file.0);
+        command.args([
+            "-c",
+            &format!("{before}exec {}", env!("CARGO_BIN_EXE_indigofold")),
+        ]);
+        command
+            .env_remove("GW_CONFIG")
+            .env_remove("INDIGOFOLD_FAKTORY")
+            .env("TMPDIR", &self.dir);
+        command.env(
+            if front == "faktory" {
+                "INDIGOFOLD_FAKTORY"
+            } else {
+                "GW_CONFIG"
+            },
+            &self.file.0,
+        );
         if front == "both" {
             command.env("INDIGOFOLD_FAKTORY", self.file.0.with_extension("faktory"));
         }
@@ -215,14 +255,26 @@
                 }
             }
         });
-        self.program = Some(Program { child, lines: log, log: Vec::new() });
-        let listens = [("gw", "start front="), ("door", "door listen="), ("faktory", "start front=faktory")];
+        self.program = Some(Program {
+            child,
+            lines: log,
+            log: Vec::new(),
+        });
+        let listens = [
+            ("gw", "start front="),
+            ("door", "door listen="),
+            ("faktory", "start front=faktory"),
+        ];
         let here = |name: &&(&str, &str)| {
             name.0 == "gw" || (name.0 == "door" && front != "faktory") || front == "both"
         };
         for (name, text) in listens.iter().filter(here).copied() {
             let line = self.log_line(text);
-            let address = line.rsplit("listen=").next().expect("an address").to_string();
+            let address = line
+                .rsplit("listen=")
+                .next()
+                .expect("an address")
+                .to_string();
             self.vars.insert(name.into(), address);
         }
     }
@@ -232,7 +284,13 @@
     }
 
     fn named(&mut self, name: &str) -> &mut Program {
-        if name == "old" { &mut self.old } else { &mut self.program }.as_mut().expect("started")
+        if name == "old" {
+            &mut self.old
+        } else {
+            &mut self.program
+        }
+        .as_mut()
+        .expect("started")
     }
 
     fn take(&mut self, name: &str, stream: TcpStream) {
@@ -259,13 +317,20 @@
                 Ok(count @ 1..) => {
                     got.extend(&bytes[..count]);
                     if name.starts_with('w') {
-                        self.seen_by_workers.entry(name.into()).or_default().extend(&bytes[..count]);
+                        self.seen_by_workers
+                            .entry(name.into())
+                            .or_default()
+                            .extend(&bytes[..count]);
                     }
                 }
                 other => panic!("{name}: wanted {pattern:?}, got {text:?}, then {other:?}"),
             }
         }
-        if let Some(salt) = pattern.starts_with("+HI").then(|| self.salt(name)).flatten() {
+        if let Some(salt) = pattern
+            .starts_with("+HI")
+            .then(|| self.salt(name))
+            .flatten()
+        {
             let hash = indigofold::front::faktory::codec::hashed("sesame", &salt, 3);
             self.vars.insert("hash".into(), hash);
         }
@@ -277,7 +342,11 @@
         let text = String::from_utf8_lossy(got).into_owned();
         let end = text.find("\r\n")? + 2;
         got.drain(..end);
-        text.split("\"s\":\"").nth(1)?.split('"').next().map(str::to_string)
+        text.split("\"s\":\"")
+            .nth(1)?
+            .split('"')
+            .next()
+            .map(str::to_string)
     }
 
     fn line(&mut self, line: &str) {
@@ -320,7 +389,11 @@
             }
             ("kill", _) => {
                 let program = self.named(rest);
-                program.child.kill().and_then(|()| program.child.wait()).expect("an end");
+                program
+                    .child
+                    .kill()
+                    .and_then(|()| program.child.wait())
+                    .expect("an end");
                 let old = self.old.take();
                 if rest != "old" {
                     self.program = old;
@@ -336,7 +409,10 @@
             ("was", _) => _ = self.old.as_mut().expect("started").log_line(rest),
             ("log", _) => _ = self.log_line(&self.filled(rest)),
             ("runs", job) => {
-                let (id, trace) = (format!("\"jid\":\"{job}\""), format!("X-Trace-Id: {job}\r\n"));
+                let (id, trace) = (
+                    format!("\"jid\":\"{job}\""),
+                    format!("X-Trace-Id: {job}\r\n"),
+                );
                 let text = |bytes: &Vec<u8>| String::from_utf8_lossy(bytes).into_owned();
                 let count = |text: String| text.matches(&id).count() + text.matches(&trace).count();
                 let runs: usize = self.seen_by_workers.values().map(text).map(count).sum();
@@ -344,13 +420,16 @@
             }
             ("term" | "hup" | "stop" | "cont", _) => {
                 let (id, signal) = (self.named(rest).child.id(), name.to_uppercase());
-                let kill = Command::new("kill").args([format!("-{signal}"), id.to_string()]).status();
+                let kill = Command::new("kill")
+                    .args([format!("-{signal}"), id.to_string()])
+                    .status();
                 assert!(kill.expect("kill").success());
             }
             ("config", _) => {
                 let (path, old) = &self.file;
                 let new = old.replace(&self.vars["disc"], &self.filled(rest));
-                std::fs::write(path, if rest.is_empty() { "" } else { &new }).expect("a configuration");
+                std::fs::write(path, if rest.is_empty() { "" } else { &new })
+                    .expect("a configuration");
             }
             ("edit" | "broken", _) => {
                 let (old, new) = rest.split_once(" => ").expect("OLD => NEW");
@@ -378,19 +457,30 @@
                 // after one second, three, and seven.
                 rustix::net::listen(listener, 0).expect("a short queue");
                 let filler = TcpStream::connect(listener.local_addr().expect("an address"));
-                self.fillers.insert(name.into(), filler.expect("a place in the queue"));
+                self.fillers
+                    .insert(name.into(), filler.expect("a place in the queue"));
             }
             (_, "quiet") => {
                 let listener = &self.listeners[name];
                 listener.set_nonblocking(true).expect("a listener");
                 let came = listener.accept().map_err(|e| e.kind());
                 listener.set_nonblocking(false).expect("a listener");
-                assert_eq!(came.err(), Some(std::io::ErrorKind::WouldBlock), "somebody has dialled {name}");
+                assert_eq!(
+                    came.err(),
+                    Some(std::io::ErrorKind::WouldBlock),
+                    "somebody has dialled {name}"
+                );
             }
             (_, "dialled") => {
-                let port = self.listeners[name].local_addr().expect("an address").port();
+                let port = self.listeners[name]
+                    .local_addr()
+                    .expect("an address")
+                    .port();
                 let (to, until) = (format!(":{port:04X} 02 "), Instant::now() + LIMIT);
-                while !std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&to) {
+                while !std::fs::read_to_string("/proc/net/tcp")
+                    .expect("a table")
+                    .contains(&to)
+                {
                     assert!(Instant::now() < until, "nobody dials {name}");
                     std::thread::sleep(Duration::from_millis(5));
                 }
@@ -401,31 +491,43 @@
                 rustix::net::listen(listener, 128).expect("a queue");
                 self.fillers.remove(name);
             }
-            ("pause", ms) => std::thread::sleep(Duration::from_millis(ms.parse().expect("a number"))),
+            ("pause", ms) => {
+                std::thread::sleep(Duration::from_millis(ms.parse().expect("a number")))
+            }
             (_, "reset") => {
                 let (stream, _) = self.links.remove(name).expect("a connection");
-                rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).expect("a reset");
+                rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO))
+                    .expect("a reset");
             }
             (_, "fill") => {
                 let (stream, _) = self.links.get_mut(name).expect("a connection");
-                stream.write_all(&vec![b'x'; more.parse().expect("a number")]).expect("sent");
+                stream
+                    .write_all(&vec![b'x'; more.parse().expect("a number")])
+                    .expect("sent");
             }
             (_, "end") => {
                 let (stream, got) = self.links.get_mut(name).expect("a connection");
                 stream.read_to_end(got).expect("an end without a reset");
-                assert!(got.is_empty(), "{name}: {:?} before the end", String::from_utf8_lossy(got));
+                assert!(
+                    got.is_empty(),
+                    "{name}: {:?} before the end",
+                    String::from_utf8_lossy(got)
+                );
             }
             (_, "deaf") => _ = self.listeners.remove(name),
             (_, "dial") => {
-                let stream = TcpStream::connect(&self.vars[if more.is_empty() { "gw" } else { more }])
-                    .expect("the program listens");
+                let stream =
+                    TcpStream::connect(&self.vars[if more.is_empty() { "gw" } else { more }])
+                        .expect("the program listens");
                 self.take(name, stream);
             }
             (_, "accept") => {
                 let listener = self.listeners[more].try_clone().expect("a copy");
                 let (to, from) = channel();
                 std::thread::spawn(move || to.send(listener.accept()));
-                let accepted = from.recv_timeout(LIMIT).unwrap_or_else(|_| panic!("nobody dialled {more}"));
+                let accepted = from
+                    .recv_timeout(LIMIT)
+                    .unwrap_or_else(|_| panic!("nobody dialled {more}"));
                 let stream = accepted.expect("a connection").0;
                 self.take(name, stream);
             }
@@ -440,8 +542,15 @@
                 let (stream, got) = self.links.get_mut(name).expect("a connection");
                 let end = stream.read_to_end(got);
                 let reset = |e: std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
-                assert!(end.is_ok() || end.is_err_and(reset), "{name} was not closed");
-                assert!(got.is_empty(), "{name}: {:?} before the end", String::from_utf8_lossy(got));
+                assert!(
+                    end.is_ok() || end.is_err_and(reset),
+                    "{name} was not closed"
+                );
+                assert!(
+                    got.is_empty(),
+                    "{name}: {:?} before the end",
+                    String::from_utf8_lossy(got)
+                );
             }
             _ => panic!("no such line: {line}"),
         }
@@ -453,19 +562,31 @@
     let text = std::fs::read_to_string(&path).expect("an exchange");
     let mut stage = Stage::default();
     stage.settings = SETTINGS.into();
-    stage.vars.insert("deep".into(), ["[".repeat(30_000), "]".repeat(30_000)].concat());
-    for line in text.lines().filter(|l| !l.is_empty() && !l.starts_with('#')) {
+    stage.vars.insert(
+        "deep".into(),
+        ["[".repeat(30_000), "]".repeat(30_000)].concat(),
+    );
+    for line in text
+        .lines()
+        .filter(|l| !l.is_empty() && !l.starts_with('#'))
+    {
         stage.line(line);
     }
 }
 
 #[test]
 fn patterns_match_from_the_first_byte_on() {
-    assert_eq!(matched("HTTP/1.1 200 OK\r\n\r\nab", "HTTP/1.1 200 *\r\n\r\na"), Ok(Some(20)));
+    assert_eq!(
+        matched("HTTP/1.1 200 OK\r\n\r\nab", "HTTP/1.1 200 *\r\n\r\na"),
+        Ok(Some(20))
+    );
     assert_eq!(matched("HTTP/1.1 200 OK", "HTTP/1.1 200 *\r\n"), Ok(None));
     assert_eq!(matched("HT", "HTTP"), Ok(None));
     assert_eq!(matched("HTTP/1.1 500", "HTTP/1.1 200"), Err(()));
     let matches = |text| matched(text, "w={3-40} *;");
     assert_eq!(matches("w=40 a;b"), Ok(Some(7)));
-    assert_eq!((matches("w=4"), matches("w=41 a;"), matches("w= a;")), (Ok(None), Err(()), Err(())));
+    assert_eq!(
+        (matches("w=4"), matches("w=41 a;"), matches("w= a;")),
+        (Ok(None), Err(()), Err(()))
+    );
 }
--- a/tests/faktory.rs
+++ b/tests/faktory.rs
@@ -28,7 +28,10 @@
 const PASSWORD: &str = "sesame";
 
 fn file(warm_after: &str) -> String {
-    let settings = SETTINGS.replace("\"warmAfter\": 9000000", &format!("\"warmAfter\": {warm_after}"));
+    let settings = SETTINGS.replace(
+        "\"warmAfter\": 9000000",
+        &format!("\"warmAfter\": {warm_after}"),
+    );
     format!(
         r#"{{"listen":"127.0.0.1:0","password":"{PASSWORD}","iterations":5,"reconnect_within_ms":100,"settings":{settings},
         "machines":[{{"machine":"m1","wids":["w-1","w-2"],"zone":"north","kind":"big"}}]}}"#
@@ -40,16 +43,28 @@
 
 impl Program {
     fn start(name: &str, warm_after: &str) -> Self {
-        let path = format!("{}/{name}-{}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+        let path = format!(
+            "{}/{name}-{}.json",
+            env!("CARGO_TARGET_TMPDIR"),
+            std::process::id()
+        );
         std::fs::write(&path, file(warm_after)).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_indigofold"));
-        command.env("INDIGOFOLD_FAKTORY", path).env_remove("GW_CONFIG").stderr(Stdio::piped());
+        command
+            .env("INDIGOFOLD_FAKTORY", path)
+            .env_remove("GW_CONFIG")
+            .stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program");
         let mut log = BufReader::new(child.stderr.take().expect("a log"));
         let mut line = String::new();
         log.read_line(&mut line).expect("a line");
         spawn(move || log.lines().for_each(drop));
-        let address = line.trim().rsplit("listen=").next().expect("an address").to_string();
+        let address = line
+            .trim()
+            .rsplit("listen=")
+            .next()
+            .expect("an address")
+            .to_string();
         Program(child, address)
     }
 }
@@ -67,18 +82,25 @@
 impl Client {
     fn connect(address: &str, wid: &str, pid: u32) -> Self {
         let stream = TcpStream::connect(address).expect("a server");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("a time-out");
         let mut client = Client(BufReader::new(stream));
         let hi = client.line();
-        let part =
-            |key: &str| hi.split(key).nth(1).map(|t| t.split([',', '}', '"']).next().expect("a value"));
+        let part = |key: &str| {
+            hi.split(key)
+                .nth(1)
+                .map(|t| t.split([',', '}', '"']).next().expect("a value"))
+        };
         let mut hash = String::new();
         if let (Some(salt), Some(times)) = (part("\"s\":\""), part("\"i\":")) {
             let mut bytes = Sha256::digest(format!("{PASSWORD}{salt}"));
             (1..times.parse().expect("a number")).for_each(|_: u32| bytes = Sha256::digest(bytes));
             hash = bytes.iter().map(|b| format!("{b:02x}")).collect();
         }
-        let hello = format!(r#"HELLO {{"v":2,"wid":"{wid}","hostname":"h","pid":{pid},"pwdhash":"{hash}"}}"#);
+        let hello = format!(
+            r#"HELLO {{"v":2,"wid":"{wid}","hostname":"h","pid":{pid},"pwdhash":"{hash}"}}"#
+        );
         assert_eq!(client.say(&hello), "+OK");
         client
     }
@@ -90,22 +112,36 @@
     }
 
     fn say(&mut self, command: &str) -> String {
-        self.0.get_mut().write_all(format!("{command}\r\n").as_bytes()).expect("sent");
+        self.0
+            .get_mut()
+            .write_all(format!("{command}\r\n").as_bytes())
+            .expect("sent");
         self.line()
     }
 
     fn push(&mut self, jid: &str, class: &str, deadline: u32) -> String {
         let custom = format!(r#"{{"key":"{jid}","deadline":{deadline}}}"#);
-        self.say(&format!(r#"PUSH {{"jid":"{jid}","jobtype":"{class}","args":[],"custom":{custom}}}"#))
+        self.say(&format!(
+            r#"PUSH {{"jid":"{jid}","jobtype":"{class}","args":[],"custom":{custom}}}"#
+        ))
     }
 
     /// Fetches a job, and counts it as a run.
     fn fetch(&mut self, runs: &Runs) -> Option<String> {
-        let length: i64 = self.say("FETCH default").strip_prefix('$')?.parse().expect("a length");
+        let length: i64 = self
+            .say("FETCH default")
+            .strip_prefix('$')?
+            .parse()
+            .expect("a length");
         let mut text = vec![0; usize::try_from(length).ok()? + 2];
         self.0.read_exact(&mut text).expect("a job");
         let text = String::from_utf8(text).expect("text");
-        let jid = text.split("\"jid\":\"").nth(1)?.split('"').next()?.to_string();
+        let jid = text
+            .split("\"jid\":\"")
+            .nth(1)?
+            .split('"')
+            .next()?
+            .to_string();
         *runs.lock().expect("runs").entry(jid.clone()).or_default() += 1;
         Some(jid)
     }
@@ -148,7 +184,9 @@
                         }
                         "FETCH" => {
                             let jobs = queue.0.lock().expect("a queue");
-                            let wait = queue.1.wait_timeout_while(jobs, FETCH, |jobs| jobs.is_empty());
+                            let wait = queue
+                                .1
+                                .wait_timeout_while(jobs, FETCH, |jobs| jobs.is_empty());
                             match wait.expect("a queue").0.pop_front() {
                                 Some(job) => {
                                     reserved.push(job.clone());
@@ -182,7 +220,10 @@
     let mut worker = Client::connect(address, "w-1", 7);
     let to = address.to_string();
     let client = spawn(move || Client::connect(&to, "", 1).push("job-00001", "reserve", 5000));
-    assert!((0..TRIES).any(|_| worker.fetch(&runs).is_some()), "the job never came");
+    assert!(
+        (0..TRIES).any(|_| worker.fetch(&runs).is_some()),
+        "the job never came"
+    );
     drop(worker);
     let mut worker = Client::connect(address, "w-1", 7);
     while count(&runs, "job-00001") < 2 && worker.fetch(&runs).is_some() {}
@@ -205,7 +246,11 @@
 #[test]
 fn the_scene_of_the_reconnect_can_see_a_second_run() {
     let address = plain_server();
-    assert_eq!(fetched_again_after_a_reconnect(&address), 2, "the plain server gave nothing out again");
+    assert_eq!(
+        fetched_again_after_a_reconnect(&address),
+        2,
+        "the plain server gave nothing out again"
+    );
 }
 
 #[test]
@@ -215,7 +260,11 @@
     let mut worker = Client::connect(address, "w-1", 7);
     let mut client = Client::connect(address, "", 1);
     let push = br#"PUSH {"jid":"job-00001","jobtype":"reserve","args":[]}"#;
-    client.0.get_mut().write_all(&[push, &b"\r\n"[..]].concat()).expect("sent");
+    client
+        .0
+        .get_mut()
+        .write_all(&[push, &b"\r\n"[..]].concat())
+        .expect("sent");
     assert_eq!(worker.fetch(&runs).as_deref(), Some("job-00001"));
     drop(client);
     let to = address.clone();
@@ -254,13 +303,22 @@
             let mut client = Client::connect(&address, "", n);
             for job in 0..10 {
                 let class = if job % 2 == 0 { "reserve" } else { "book" };
-                assert_eq!(client.push(&format!("job-{n}-{job:04}"), class, 20_000), "+OK");
+                assert_eq!(
+                    client.push(&format!("job-{n}-{job:04}"), class, 20_000),
+                    "+OK"
+                );
             }
         })
     });
-    clients.into_iter().chain(workers).for_each(|t| t.join().expect("no failure"));
+    clients
+        .into_iter()
+        .chain(workers)
+        .for_each(|t| t.join().expect("no failure"));
     let runs = runs.lock().expect("runs");
-    assert!(runs.len() == 40 && runs.values().all(|n| *n == 1), "{runs:?}");
+    assert!(
+        runs.len() == 40 && runs.values().all(|n| *n == 1),
+        "{runs:?}"
+    );
 }
 
 /// How many of twenty jobs that come at once are handed to a machine that has just started.
@@ -271,7 +329,9 @@
     let clients: Vec<_> = (0..20)
         .map(|n| {
             let address = program.1.clone();
-            spawn(move || Client::connect(&address, "", n).push(&format!("job-{n:05}"), "reserve", deadline))
+            spawn(move || {
+                Client::connect(&address, "", n).push(&format!("job-{n:05}"), "reserve", deadline)
+            })
         })
         .collect();
     for _ in 0..TRIES {
@@ -295,8 +355,13 @@
 fn the_core_hears_of_starts_drains_and_losses() {
     let tasks = Rc::new(LocalExecutor::new());
     async_io::block_on(tasks.run(async {
-        let file = config::Faktory::read(file("9000000").replace(PASSWORD, "").into_bytes()).expect("a file");
-        let (net, clock, (core, heard)) = (Net::new(tasks.clone(), 64, 64), Clock::new(), actor::mailbox());
+        let file = config::Faktory::read(file("9000000").replace(PASSWORD, "").into_bytes())
+            .expect("a file");
+        let (net, clock, (core, heard)) = (
+            Net::new(tasks.clone(), 64, 64),
+            Clock::new(),
+            actor::mailbox(),
+        );
         let front = faktory::Faktory::new(net.clone(), clock, Rc::new(Life::default()), file, core);
         front.open().await;
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
@@ -311,8 +376,11 @@
         assert_eq!(next().await, (Scope::Full, WorkerState::Left, 0));
         let begun = clock.now();
         let connect = |pid: u32| async move {
-            let mut link = Async::<TcpStream>::connect(address).await.expect("the front");
-            let hello = format!("HELLO {{\"v\":2,\"hostname\":\"h\",\"wid\":\"w-1\",\"pid\":{pid}}}\r\n");
+            let mut link = Async::<TcpStream>::connect(address)
+                .await
+                .expect("the front");
+            let hello =
+                format!("HELLO {{\"v\":2,\"hostname\":\"h\",\"wid\":\"w-1\",\"pid\":{pid}}}\r\n");
             link.write_all(hello.as_bytes()).await.expect("sent");
             let mut got = Vec::new();
             while !got.ends_with(b"+OK\r\n") {
@@ -327,9 +395,18 @@
         let (scope, state, cold_from) = next().await;
         assert!(scope == Scope::Delta && state == WorkerState::Active && cold_from >= begun);
         // A drain, and its end: not cold again.
-        first.write_all(b"BEAT {\"wid\":\"w-1\",\"current_state\":\"quiet\"}\r\n").await.expect("sent");
-        assert_eq!(next().await, (Scope::Delta, WorkerState::Leaving, cold_from));
-        first.write_all(b"BEAT {\"wid\":\"w-1\"}\r\n").await.expect("sent");
+        first
+            .write_all(b"BEAT {\"wid\":\"w-1\",\"current_state\":\"quiet\"}\r\n")
+            .await
+            .expect("sent");
+        assert_eq!(
+            next().await,
+            (Scope::Delta, WorkerState::Leaving, cold_from)
+        );
+        first
+            .write_all(b"BEAT {\"wid\":\"w-1\"}\r\n")
+            .await
+            .expect("sent");
         assert_eq!(next().await, (Scope::Delta, WorkerState::Active, cold_from));
         // Another process under the name: cold again.
         let second = connect(8).await;
--- a/tests/handing.rs
+++ b/tests/handing.rs
@@ -60,7 +60,11 @@
 
 impl Transport for Ground {
     fn send(&self, attempt: Attempt) -> bool {
-        let (fate, takes, wait) = (self.random(100), 20 + self.random(400), 1 + self.random(150));
+        let (fate, takes, wait) = (
+            self.random(100),
+            20 + self.random(400),
+            1 + self.random(150),
+        );
         let mut world = self.world.borrow_mut();
         let (now, two) = (world.now, world.duplicates);
         let trace = world.of[&attempt.id.job];
@@ -75,10 +79,17 @@
             faults.push(format!("job {trace}: twice at worker {}", attempt.machine));
         }
         if attempt.id.number != job.attempts {
-            faults.push(format!("job {trace}: attempt {} after {}", attempt.id.number, job.attempts));
+            faults.push(format!(
+                "job {trace}: attempt {} after {}",
+                attempt.id.number, job.attempts
+            ));
         }
-        if job.attempts >= 4 || (job.class == 2 && job.may_have_run > 0) || !job.answers.is_empty() {
-            faults.push(format!("job {trace}, class {}: attempt {} must not be", job.class, job.attempts));
+        if job.attempts >= 4 || (job.class == 2 && job.may_have_run > 0) || !job.answers.is_empty()
+        {
+            faults.push(format!(
+                "job {trace}, class {}: attempt {} must not be",
+                job.class, job.attempts
+            ));
         }
         job.attempts += 1;
         if fate >= 97 {
@@ -101,10 +112,14 @@
         }
         let number = attempt.id.number;
         if matches!(status, Some(Status::Ok | Status::Error | Status::Reset)) {
-            world.starts.insert((now + wait * MS, next), (trace, number));
+            world
+                .starts
+                .insert((now + wait * MS, next), (trace, number));
         }
         if let Some(status) = status {
-            world.happens.insert((at, next), (trace, number, status, attempt.machine));
+            world
+                .happens
+                .insert((at, next), (trace, number, status, attempt.machine));
         }
         world.faults.extend(faults);
         true
@@ -113,9 +128,18 @@
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp {
         let mut world = self.world.borrow_mut();
         let trace = world.of[&attempt.job];
-        world.jobs.get_mut(&trace).expect("a job").out.retain(|w| *w != machine);
-        world.happens.retain(|_, (t, number, _, _)| (*t, *number) != (trace, attempt.number));
-        world.starts.retain(|_, (t, number)| (*t, *number) != (trace, attempt.number));
+        world
+            .jobs
+            .get_mut(&trace)
+            .expect("a job")
+            .out
+            .retain(|w| *w != machine);
+        world
+            .happens
+            .retain(|_, (t, number, _, _)| (*t, *number) != (trace, attempt.number));
+        world
+            .starts
+            .retain(|_, (t, number)| (*t, *number) != (trace, attempt.number));
         GivenUp::Done
     }
 
@@ -129,14 +153,27 @@
     fn answer(&self, job: JobId, answer: Answer) {
         let mut world = self.world.borrow_mut();
         let (now, trace) = (world.now, world.of[&job]);
-        world.jobs.get_mut(&trace).expect("a job").answers.push((now, answer));
+        world
+            .jobs
+            .get_mut(&trace)
+            .expect("a job")
+            .answers
+            .push((now, answer));
     }
     fn forget(&self, _: JobId) {}
     fn note(&self, _: &str) {}
 }
 
 fn engine(settings: &indigofold::api::Settings, now: Time, seed: u64) -> Engine {
-    Engine::new(Settings { module: settings.clone(), seed, early: 40 * MS }, now, Rc::default())
+    Engine::new(
+        Settings {
+            module: settings.clone(),
+            seed,
+            early: 40 * MS,
+        },
+        now,
+        Rc::default(),
+    )
 }
 
 fn list(now: Time) -> Told {
@@ -157,7 +194,10 @@
     settings.limits.duplicates = duplicates;
     settings.progress = 200 * MS;
     let ground = Ground {
-        world: RefCell::new(World { duplicates, ..World::default() }),
+        world: RefCell::new(World {
+            duplicates,
+            ..World::default()
+        }),
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
     };
     let (begin, end, last) = (100 * SEC, 106 * SEC, 113 * SEC);
@@ -170,27 +210,50 @@
         ground.world.borrow_mut().now = now;
         while arrival <= now && arrival < end {
             let (class, left) = (ground.random(4) as u32, (1 + ground.random(5)) * SEC);
-            let request = Request { left, ..common::request(next_job, class) };
-            let seen = Seen { class, until: now + left, id: next_job, ..Seen::default() };
+            let request = Request {
+                left,
+                ..common::request(next_job, class)
+            };
+            let seen = Seen {
+                class,
+                until: now + left,
+                id: next_job,
+                ..Seen::default()
+            };
             trace += 1;
             ground.world.borrow_mut().jobs.insert(trace, seen);
             ground.world.borrow_mut().of.insert(next_job, trace);
-            engine_now.told(now, Told::Job(request, now + left, Reply::Transport), &ground);
+            engine_now.told(
+                now,
+                Told::Job(request, now + left, Reply::Transport),
+                &ground,
+            );
             (next_job, arrival) = (next_job + 1, arrival + (1 + ground.random(60)) * MS);
         }
         let starts: Vec<_> = {
             let mut world = ground.world.borrow_mut();
             let later = world.starts.split_off(&(now + 1, 0));
-            std::mem::replace(&mut world.starts, later).into_values().collect()
+            std::mem::replace(&mut world.starts, later)
+                .into_values()
+                .collect()
         };
         for (trace, attempt) in starts {
             let job = ground.world.borrow().jobs[&trace].id;
-            engine_now.told(now, Told::Started(AttemptId { job, number: attempt }), &ground);
+            engine_now.told(
+                now,
+                Told::Started(AttemptId {
+                    job,
+                    number: attempt,
+                }),
+                &ground,
+            );
         }
         let ends: Vec<_> = {
             let mut world = ground.world.borrow_mut();
             let later = world.happens.split_off(&(now + 1, 0));
-            std::mem::replace(&mut world.happens, later).into_values().collect()
+            std::mem::replace(&mut world.happens, later)
+                .into_values()
+                .collect()
         };
         for (trace, attempt, status, worker) in ends {
             let job = {
@@ -199,20 +262,42 @@
                 job.out.retain(|w| *w != worker);
                 job.id
             };
-            engine_now.told(now, Told::Ended(AttemptId { job, number: attempt }, status, None), &ground);
+            engine_now.told(
+                now,
+                Told::Ended(
+                    AttemptId {
+                        job,
+                        number: attempt,
+                    },
+                    status,
+                    None,
+                ),
+                &ground,
+            );
         }
         engine_now.step(now, &ground);
         // The next process: it takes in what was learned, and every open job that can go now; the rest go later.
-        if replaced < replacements && now >= begin + (replaced + 1) * (end - begin) / (replacements + 1) {
+        if replaced < replacements
+            && now >= begin + (replaced + 1) * (end - begin) / (replacements + 1)
+        {
             replaced += 1;
             let mut new = engine(&settings, now, seed ^ replaced);
             new.told(now, list(now), &ground);
             let (to, from) = async_channel::bounded(1);
             engine_now.told(now, Told::Recall(to, Recall::AllButHeld), &ground);
-            new.told(now, Told::Learned(Box::new(from.try_recv().expect("at once"))), &ground);
+            new.told(
+                now,
+                Told::Learned(Box::new(from.try_recv().expect("at once"))),
+                &ground,
+            );
             let open: Vec<(u64, JobId)> = {
                 let world = ground.world.borrow();
-                world.jobs.iter().filter(|j| j.1.answers.is_empty()).map(|j| (*j.0, j.1.id)).collect()
+                world
+                    .jobs
+                    .iter()
+                    .filter(|j| j.1.answers.is_empty())
+                    .map(|j| (*j.0, j.1.id))
+                    .collect()
             };
             // Those go that the module has heard all of; the rest a moment later, as the front tries again.
             let mut stay = open;
@@ -223,7 +308,9 @@
                 stay.retain(|(trace, id)| {
                     let (to, from) = async_channel::bounded(1);
                     engine_now.told(now, Told::Release(*id, to), &ground);
-                    let Some(released) = from.try_recv().expect("at once") else { return true };
+                    let Some(released) = from.try_recv().expect("at once") else {
+                        return true;
+                    };
                     {
                         let mut world = ground.world.borrow_mut();
                         let job = world.jobs.get_mut(trace).expect("a job");
@@ -231,12 +318,20 @@
                         world.of.insert(next_job, *trace);
                     }
                     let job = Box::new(released.job);
-                    new.told(now, Told::Adopted(next_job, job, released.until, Reply::Transport), &ground);
+                    new.told(
+                        now,
+                        Told::Adopted(next_job, job, released.until, Reply::Transport),
+                        &ground,
+                    );
                     (next_job, moved) = (next_job + 1, moved + 1);
                     false
                 });
             }
-            assert_eq!(engine_now.jobs(), 0, "the old process has nothing left to answer");
+            assert_eq!(
+                engine_now.jobs(),
+                0,
+                "the old process has nothing left to answer"
+            );
             engine_now = new;
         }
         now += 2 * MS;
@@ -251,7 +346,11 @@
     }
     for (trace, job) in &world.jobs {
         let [(at, answer)] = job.answers[..] else {
-            return Err(format!("job {trace}: {} answers after {} moves", job.answers.len(), job.moves));
+            return Err(format!(
+                "job {trace}: {} answers after {} moves",
+                job.answers.len(),
+                job.moves
+            ));
         };
         if at > job.until + 20 * MS {
             return Err(format!("job {trace}: answered {} us late", at - job.until));
@@ -289,22 +388,34 @@
             let served = |j: &&Seen| matches!(j.answers[..], [(_, Answer::Served)]);
             (world.jobs.values().filter(served).count(), world.jobs.len())
         };
-        (1000..1040).map(of).fold((0, 0), |sum, n| (sum.0 + n.0, sum.1 + n.1))
+        (1000..1040)
+            .map(of)
+            .fold((0, 0), |sum, n| (sum.0 + n.0, sum.1 + n.1))
     };
     let ((with, all), (without, of)) = (served(4), served(0));
     let (with, without) = (with as f64 / all as f64, without as f64 / of as f64);
-    assert!(with > without - 0.01, "served {with:.3} with replacements, {without:.3} without");
+    assert!(
+        with > without - 0.01,
+        "served {with:.3} with replacements, {without:.3} without"
+    );
 }
 
 /// Guards against a job that nobody has: its client left just as it was asked for, to be given away.
 #[test]
 fn a_job_that_nobody_waits_for_any_more_is_not_given_away() {
     let ground = Ground {
-        world: RefCell::new(World { now: SEC, ..World::default() }),
+        world: RefCell::new(World {
+            now: SEC,
+            ..World::default()
+        }),
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(1)),
     };
     let mut engine = engine(&common::settings(), SEC, 1);
-    engine.told(SEC, Told::Job(common::request(1, 0), 6 * SEC, Reply::Transport), &ground);
+    engine.told(
+        SEC,
+        Told::Job(common::request(1, 0), 6 * SEC, Reply::Transport),
+        &ground,
+    );
     engine.step(SEC, &ground);
     let ask = |engine: &mut Engine| {
         let (to, from) = async_channel::bounded(1);
--- a/tests/laboratory.rs
+++ b/tests/laboratory.rs
@@ -8,15 +8,29 @@
 use std::path::Path;
 
 fn scenario() -> Scenario {
-    let mut s = scenario::read(include_str!("../examples/replay/ten-minutes.json")).expect("the example");
+    let mut s =
+        scenario::read(include_str!("../examples/replay/ten-minutes.json")).expect("the example");
     (s.load.seconds, s.load.rate) = (12.0, 60.0);
-    s.load.jumps = vec![Jump { at_s: 5.0, for_s: 3.0, times: 2.0, edge_s: 0.2 }];
+    s.load.jumps = vec![Jump {
+        at_s: 5.0,
+        for_s: 3.0,
+        times: 2.0,
+        edge_s: 0.2,
+    }];
     // Few and slow job workers, so that little load fills them, on a busy machine too.
     s.kinds.truncate(1);
     s.kinds[0].count = 6;
     s.kinds[0].cores = 4;
-    let trouble = |at_s, for_s, worker, what| Trouble { at_s, for_s, workers: vec![worker], what };
-    s.troubles = vec![trouble(2.0, 3.0, 1, What::Hang), trouble(4.0, 2.0, 2, What::Crash)];
+    let trouble = |at_s, for_s, worker, what| Trouble {
+        at_s,
+        for_s,
+        workers: vec![worker],
+        what,
+    };
+    s.troubles = vec![
+        trouble(2.0, 3.0, 1, What::Hang),
+        trouble(4.0, 2.0, 2, What::Crash),
+    ];
     s.discovery.notice_ms = 300;
     s
 }
@@ -28,12 +42,21 @@
     let load = Made::new(&s, 3).expect("load");
     let run = sockets::play(&s, 3, Retries::Model, program, load).expect("a run");
     let ground = Ground::new(&s, 3, Retries::Model).expect("a ground");
-    let virt = ground.play(Made::new(&s, 3).expect("load"), |_| {}, |_| {}).expect("a run");
+    let virt = ground
+        .play(Made::new(&s, 3).expect("load"), |_| {}, |_| {})
+        .expect("a run");
     assert!(virt.verdict.kept(), "{:?}", virt.verdict.examples);
     assert!(run.verdict.kept(), "{:?}", run.verdict.examples);
-    assert_eq!(run.outcome.counts[0], virt.outcome.counts[0], "the same load on both grounds");
+    assert_eq!(
+        run.outcome.counts[0], virt.outcome.counts[0],
+        "the same load on both grounds"
+    );
     let ends: u64 = run.outcome.ends.iter().sum();
     assert_eq!(ends, run.outcome.counts[0], "each first try ends once");
     // Speed is no matter of a test: most jobs are served, in time or not.
-    assert!(run.outcome.ends[0] + run.outcome.ends[1] > ends * 8 / 10, "{:?}", run.outcome.ends);
+    assert!(
+        run.outcome.ends[0] + run.outcome.ends[1] > ends * 8 / 10,
+        "{:?}",
+        run.outcome.ends
+    );
 }
