--- a/tests/module.rs
+++ b/tests/module.rs
@@ -34,7 +34,10 @@
 
 #[test]
 fn solver_matches_brute_force() {
-    for (share, speed) in [([2.0, 3.0, 3.0], [2.0, 1.2, 0.8]), ([1.0, 1.0, 6.0], [1.5, 1.4, 0.4])] {
+    for (share, speed) in [
+        ([2.0, 3.0, 3.0], [2.0, 1.2, 0.8]),
+        ([1.0, 1.0, 6.0], [1.5, 1.4, 0.4]),
+    ] {
         for load in [0.15, 0.5, 0.8, 0.93] {
             for d in [1u32, 2, 3, 5] {
                 let p = solve(&share, &speed, load, d);
@@ -42,11 +45,18 @@
                 let mut best = f64::INFINITY;
                 for i in 0..=200 {
                     for j in 0..=200 - i {
-                        let q = [i as f64 / 200.0, j as f64 / 200.0, (200 - i - j) as f64 / 200.0];
+                        let q = [
+                            i as f64 / 200.0,
+                            j as f64 / 200.0,
+                            (200 - i - j) as f64 / 200.0,
+                        ];
                         best = best.min(objective(&q, &share, &speed, load, f64::from(d)));
                     }
                 }
-                assert!(found <= best * 1.0005, "load {load} d {d}: {found} against {best}, p {p:?}");
+                assert!(
+                    found <= best * 1.0005,
+                    "load {load} d {d}: {found} against {best}, p {p:?}"
+                );
             }
         }
     }
@@ -88,7 +98,10 @@
             let p = solve(&[2.0, 3.0, 3.0], &[2.0, 1.2, 0.8], i as f64 / 50.0, d);
             assert!((p.iter().sum::<f64>() - 1.0).abs() < 1e-9);
             // A slot of a faster kind gets at least the work of a slower one's.
-            assert!(p[0] / 2.0 >= p[1] / 3.0 - 1e-6 && p[1] >= p[2] - 1e-6, "{p:?}");
+            assert!(
+                p[0] / 2.0 >= p[1] / 3.0 - 1e-6 && p[1] >= p[2] - 1e-6,
+                "{p:?}"
+            );
         }
     }
 }
@@ -98,9 +111,15 @@
 #[test]
 fn the_fewest_in_flight_of_the_kind_wins() {
     let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-    let mut used: Vec<_> = (0..3).map(|_| s.ask(0).1.expect("a worker is free")).collect();
+    let mut used: Vec<_> = (0..3)
+        .map(|_| s.ask(0).1.expect("a worker is free"))
+        .collect();
     used.sort();
-    assert_eq!(used, [1, 2, 3], "each empty worker is taken before any gets a second job");
+    assert_eq!(
+        used,
+        [1, 2, 3],
+        "each empty worker is taken before any gets a second job"
+    );
 }
 
 #[test]
@@ -113,7 +132,10 @@
         let worker = s.serve(0, run).expect("idle workers take every job");
         fast += usize::from(n >= 200 && worker % 2 == 0);
     }
-    assert!(fast > 180, "at a light load the fast kind should get nearly all, got {fast} of 200");
+    assert!(
+        fast > 180,
+        "at a light load the fast kind should get nearly all, got {fast} of 200"
+    );
 }
 
 #[test]
@@ -129,7 +151,10 @@
 /// Guards against the load of a class that is bound to one kind driving the draw of the others off the fast kind.
 #[test]
 fn a_bound_class_stays_out_of_the_solve() {
-    let mut settings = Settings { tells_start: false, ..settings() };
+    let mut settings = Settings {
+        tells_start: false,
+        ..settings()
+    };
     settings.classes[1].kind = Some(1);
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let mut s = Stage::new(settings, &workers);
@@ -139,12 +164,21 @@
         for _ in 0..6 {
             let (request, _) = s.ask(1);
             let status = Status::Cancelled;
-            s.event(Event::Outcome { request, attempt: 0, status, closed: true, load: None });
+            s.event(Event::Outcome {
+                request,
+                attempt: 0,
+                status,
+                closed: true,
+                load: None,
+            });
         }
         let worker = s.serve(0, run).expect("idle workers take every job");
         fast += usize::from(n >= 200 && worker % 2 == 0);
     }
-    assert!(fast > 180, "at a light unbound load the fast kind should get nearly all, got {fast} of 200");
+    assert!(
+        fast > 180,
+        "at a light unbound load the fast kind should get nearly all, got {fast} of 200"
+    );
 }
 
 #[test]
@@ -160,7 +194,15 @@
                 s.start(id, 0);
             }
             log.extend(s.pass(20 * MS));
-            s.end(id, 0, if n % 7 == 0 { Status::Error } else { Status::Ok });
+            s.end(
+                id,
+                0,
+                if n % 7 == 0 {
+                    Status::Error
+                } else {
+                    Status::Ok
+                },
+            );
             log.extend(s.out.clone());
         }
         log
@@ -176,8 +218,15 @@
     settings.reports = Reports::WithOutcomes;
     let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0)]);
     for (free, worker) in [(2.0, 1), (0.0, 1), (2.0, 2)] {
-        let load = Some(Load { free_slots: Some(free), ..Load::default() });
-        s.event(Event::Probed { worker, status: Status::Ok, load });
+        let load = Some(Load {
+            free_slots: Some(free),
+            ..Load::default()
+        });
+        s.event(Event::Probed {
+            worker,
+            status: Status::Ok,
+            load,
+        });
     }
     for _ in 0..2 {
         assert_eq!(s.ask(0).1, Some(2), "worker 1 is full of others' jobs");
@@ -206,14 +255,29 @@
     let mut settings = settings();
     settings.reports = Reports::WithOutcomes;
     let mut s = Stage::new(settings, &[entry(1, 0)]);
-    let full = Load { free_slots: Some(2.0), ..Load::default() };
-    s.event(Event::Probed { worker: 1, status: Status::Ok, load: Some(full) });
+    let full = Load {
+        free_slots: Some(2.0),
+        ..Load::default()
+    };
+    s.event(Event::Probed {
+        worker: 1,
+        status: Status::Ok,
+        load: Some(full),
+    });
     let (a, _) = s.ask(0);
     s.pass(MS);
     s.start(a, 0);
     s.pass(SEC);
     // One of two slots was taken, by the job that now ends: the worker has room for two more.
-    s.report(a, 0, Status::Ok, Some(Load { free_slots: Some(1.0), ..Load::default() }));
+    s.report(
+        a,
+        0,
+        Status::Ok,
+        Some(Load {
+            free_slots: Some(1.0),
+            ..Load::default()
+        }),
+    );
     assert_eq!(s.ask(0).1, Some(1));
     assert_eq!(s.ask(0).1, Some(1), "nobody else holds a slot there");
 }
@@ -224,8 +288,16 @@
     let mut settings = settings();
     settings.reports = Reports::OnProbe;
     let mut s = Stage::new(settings, &[entry(1, 0)]);
-    let load = Load { inflight: Some(0.0), free_slots: Some(2.0), ..Load::default() };
-    s.event(Event::Probed { worker: 1, status: Status::Ok, load: Some(load) });
+    let load = Load {
+        inflight: Some(0.0),
+        free_slots: Some(2.0),
+        ..Load::default()
+    };
+    s.event(Event::Probed {
+        worker: 1,
+        status: Status::Ok,
+        load: Some(load),
+    });
     for _ in 0..6 {
         let (id, worker) = s.ask(0);
         s.pass(MS);
@@ -234,9 +306,16 @@
         }
     }
     s.list(Scope::Delta, &[entry(2, 0)]);
-    s.event(Event::Probed { worker: 2, status: Status::Ok, load: Some(load) });
+    s.event(Event::Probed {
+        worker: 2,
+        status: Status::Ok,
+        load: Some(load),
+    });
     let sent = (0..6).filter(|_| s.ask(0).1 == Some(2)).count();
-    assert!((2..=3).contains(&sent), "two run and one waits, {sent} were sent");
+    assert!(
+        (2..=3).contains(&sent),
+        "two run and one waits, {sent} were sent"
+    );
 }
 
 // ---- Holding ---------------------------------------------------------------------------------------------
@@ -265,11 +344,20 @@
         sends.extend(s.out.clone());
     }
     let sent = |a: &Action| match a {
-        Action::Send { request, worker, timeout, .. } => Some((*request, *worker, *timeout)),
+        Action::Send {
+            request,
+            worker,
+            timeout,
+            ..
+        } => Some((*request, *worker, *timeout)),
         _ => None,
     };
     let next = sends.iter().find_map(sent);
-    assert_eq!(next, Some((worthy, 1, 0)), "the request of most worth for its work leaves first");
+    assert_eq!(
+        next,
+        Some((worthy, 1, 0)),
+        "the request of most worth for its work leaves first"
+    );
 }
 
 /// Guards against a held request that fits nowhere keeping the whole queue behind it waiting.
@@ -294,7 +382,11 @@
         s.end(id, 0, Status::Ok);
         sends.extend(s.out.clone());
     }
-    let got = |id| sends.iter().any(|x| matches!(x, Action::Send { request, .. } if *request == id));
+    let got = |id| {
+        sends
+            .iter()
+            .any(|x| matches!(x, Action::Send { request, .. } if *request == id))
+    };
     assert!(got(c) && !got(blocked), "{sends:?}");
 }
 
@@ -303,12 +395,18 @@
 fn a_request_with_no_time_to_wait_is_answered_at_once() {
     for left in [0, 1, 10 * MS, 30 * MS] {
         let mut s = Stage::new(settings(), &[]);
-        s.event(Event::Request(Request { left, ..request(9, 0) }));
+        s.event(Event::Request(Request {
+            left,
+            ..request(9, 0)
+        }));
         assert!(s.refused(9), "{left} us left: {:?}", s.out);
     }
     // ... also where a worker is free but the time is already up.
     let mut s = Stage::new(settings(), &[entry(1, 0)]);
-    s.event(Event::Request(Request { left: 0, ..request(9, 0) }));
+    s.event(Event::Request(Request {
+        left: 0,
+        ..request(9, 0)
+    }));
     assert!(s.refused(9) && s.sent(9).is_none(), "{:?}", s.out);
 }
 
@@ -322,8 +420,15 @@
             s.serve(class, |_| 200 * MS);
         }
         for (id, left, fits) in [(1_001, 250 * MS, false), (1_002, 350 * MS, true)] {
-            s.event(Event::Request(Request { left, ..request(id, class) }));
-            assert_eq!((s.sent(id).is_some(), s.refused(id)), (fits, !fits), "class {class}, {left} us left");
+            s.event(Event::Request(Request {
+                left,
+                ..request(id, class)
+            }));
+            assert_eq!(
+                (s.sent(id).is_some(), s.refused(id)),
+                (fits, !fits),
+                "class {class}, {left} us left"
+            );
         }
     }
     // Where runs are long against what clients wait, half of that is enough: such a class is not refused altogether.
@@ -331,7 +436,10 @@
     settings.classes[0].deadline = 200 * MS;
     let mut s = Stage::new(settings, &[entry(1, 0)]);
     for id in 1..30 {
-        s.event(Event::Request(Request { left: 200 * MS, ..request(id, 0) }));
+        s.event(Event::Request(Request {
+            left: 200 * MS,
+            ..request(id, 0)
+        }));
         assert!(s.sent(id).is_some(), "{:?}", s.out);
         s.start(id, 0);
         s.pass(190 * MS);
@@ -345,10 +453,17 @@
     let ids: Vec<_> = (0..5).map(|n| s.ask(n % 4).0).collect();
     // Until a run is known, one takes as long as its class's aim, 0.4 s: one and a half of them are left at 5.4 s.
     let before = s.pass(5_300 * MS);
-    assert!(!before.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })));
+    assert!(
+        !before
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+    );
     s.pass(200 * MS);
     for id in ids {
-        assert!(s.refused(id), "nothing was sent, so any class may be refused");
+        assert!(
+            s.refused(id),
+            "nothing was sent, so any class may be refused"
+        );
     }
 }
 
@@ -370,13 +485,19 @@
             worker = s.sent(id);
             attempt += 1;
         }
-        assert!(worker.is_some(), "an error on one worker sends a safe request to another");
+        assert!(
+            worker.is_some(),
+            "an error on one worker sends a safe request to another"
+        );
         s.pass(20 * MS);
         s.start(id, attempt);
         s.pass(30 * MS);
         s.end(id, attempt, Status::Ok);
     }
-    assert!((1..=12).contains(&to_bad), "{to_bad} of 200 requests went to the erring worker");
+    assert!(
+        (1..=12).contains(&to_bad),
+        "{to_bad} of 200 requests went to the erring worker"
+    );
 }
 
 /// Guards against a worker left out for good: where no class is safe, or no other answer of it is out, nothing but
@@ -408,25 +529,43 @@
     let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
     let (id, worker) = s.ask(3);
     s.pass(250 * MS);
-    s.event(Event::Unheard { request: id, attempt: 0 });
+    s.event(Event::Unheard {
+        request: id,
+        attempt: 0,
+    });
     let other = s.sent(id);
-    assert!(other.is_some() && other != worker, "a keyed one goes to another worker beside");
+    assert!(
+        other.is_some() && other != worker,
+        "a keyed one goes to another worker beside"
+    );
     s.end(id, 1, Status::Ok);
     let (id, worker) = s.ask(2);
     s.pass(250 * MS);
-    s.event(Event::Unheard { request: id, attempt: 0 });
+    s.event(Event::Unheard {
+        request: id,
+        attempt: 0,
+    });
     assert_eq!(s.sent(id), None, "an unsafe one waits");
     s.pass(SEC);
     let (_, again) = s.ask(3);
     let (_, beside) = s.ask(3);
-    assert!([again, beside].contains(&worker), "its worker is not blocked");
+    assert!(
+        [again, beside].contains(&worker),
+        "its worker is not blocked"
+    );
 }
 
 #[test]
 fn a_draining_worker_gets_nothing_from_the_moment_it_is_told() {
     let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
     for state in [WorkerState::Leaving, WorkerState::Left] {
-        s.list(Scope::Delta, &[Entry { state, ..entry(1, 0) }]);
+        s.list(
+            Scope::Delta,
+            &[Entry {
+                state,
+                ..entry(1, 0)
+            }],
+        );
         for _ in 0..10 {
             assert_ne!(s.serve(0, |_| 10 * MS), Some(1));
         }
@@ -434,19 +573,31 @@
     }
     s.list(Scope::Full, &[entry(2, 0)]);
     for _ in 0..10 {
-        assert_ne!(s.serve(0, |_| 10 * MS), Some(1), "a worker that a full list lacks is gone");
+        assert_ne!(
+            s.serve(0, |_| 10 * MS),
+            Some(1),
+            "a worker that a full list lacks is gone"
+        );
     }
 }
 
 /// When worker 3 was sent jobs, with one of the class asked for at each step; each ends at once with this status.
-fn sends_to_third(s: &mut Stage, (class, ends): (ClassId, Status), step: Time, until: Time) -> Vec<Time> {
+fn sends_to_third(
+    s: &mut Stage,
+    (class, ends): (ClassId, Status),
+    step: Time,
+    until: Time,
+) -> Vec<Time> {
     let mut sends = Vec::new();
     while s.now < until {
         let mut said = s.pass(step);
         s.ask(class);
         said.extend(s.out.clone());
         for action in said {
-            if let Action::Send { request, worker: 3, .. } = action {
+            if let Action::Send {
+                request, worker: 3, ..
+            } = action
+            {
                 sends.push(s.now);
                 s.end(request, 0, ends);
             }
@@ -471,15 +622,32 @@
     }
     // Worker 3 has just started and is the only one left; every job it gets is turned away unseen.
     let ready_at = s.now;
-    s.list(Scope::Full, &[Entry { ready_at, ..entry(3, 0) }]);
-    let sends = sends_to_third(&mut s, (0, Status::Full), 7 * MS, ready_at + rules.warm_after);
+    s.list(
+        Scope::Full,
+        &[Entry {
+            ready_at,
+            ..entry(3, 0)
+        }],
+    );
+    let sends = sends_to_third(
+        &mut s,
+        (0, Status::Full),
+        7 * MS,
+        ready_at + rules.warm_after,
+    );
     assert!(sends.len() > 3, "a cold worker still gets some work");
     for t in &sends {
-        let recent = sends.iter().filter(|u| **u <= *t && **u + rules.tip_window > *t).count() as f64;
+        let recent = sends
+            .iter()
+            .filter(|u| **u <= *t && **u + rules.tip_window > *t)
+            .count() as f64;
         let warmth = least_warmth(&rules, *t - ready_at);
         // Its slots were never seen, so it is taken to have as many as its kind has shown: one.
         let budget = rules.tip_multiple * warmth * rules.tip_window as f64 / 3.0;
-        assert!(recent * 100_000.0 <= budget, "{recent} jobs in a window at warmth {warmth}");
+        assert!(
+            recent * 100_000.0 <= budget,
+            "{recent} jobs in a window at warmth {warmth}"
+        );
     }
 }
 
@@ -487,12 +655,19 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_one_that_never_ran_is_sent_again() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0)]);
+    let mut s = Stage::new(
+        settings(),
+        &[entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0)],
+    );
     for status in [Status::Error, Status::Reset, Status::Timeout] {
         let (id, worker) = s.ask(2);
         assert!(worker.is_some());
         s.end(id, 0, status);
-        assert!(s.failed(id) && s.sent(id).is_none(), "{status:?}: {:?}", s.out);
+        assert!(
+            s.failed(id) && s.sent(id).is_none(),
+            "{status:?}: {:?}",
+            s.out
+        );
     }
     let (id, first) = s.ask(2);
     s.end(id, 0, Status::ConnectFailed);
@@ -513,7 +688,10 @@
     let (id, _) = s.ask(1);
     s.pass(3_100 * MS);
     s.end(id, 0, Status::Error);
-    assert!(s.sent(id).is_none() && s.failed(id), "nothing legal can serve it, so it is told at once");
+    assert!(
+        s.sent(id).is_none() && s.failed(id),
+        "nothing legal can serve it, so it is told at once"
+    );
 }
 
 #[test]
@@ -547,9 +725,15 @@
         }
         asked.push(s.now - failed);
     }
-    assert!(asked.windows(2).all(|w| w[1] >= w[0]) && asked[3] > asked[0], "{asked:?}");
+    assert!(
+        asked.windows(2).all(|w| w[1] >= w[0]) && asked[3] > asked[0],
+        "{asked:?}"
+    );
     s.list(Scope::Full, &[entry(1, 0)]);
-    assert!(!s.pass(20 * SEC).contains(&Action::Watch(true)), "a live subscription is not renewed");
+    assert!(
+        !s.pass(20 * SEC).contains(&Action::Watch(true)),
+        "a live subscription is not renewed"
+    );
     assert_eq!(s.ask(0).1, Some(1));
 }
 
@@ -564,9 +748,20 @@
     assert_eq!(s.ask(0).1, None, "set aside after the second");
     s.pass(20 * MS);
     let ready_at = s.now - 7_950 * MS;
-    s.list(Scope::Delta, &[Entry { ready_at, ..entry(1, 0) }]);
+    s.list(
+        Scope::Delta,
+        &[Entry {
+            ready_at,
+            ..entry(1, 0)
+        }],
+    );
     s.pass(60 * MS);
-    assert_eq!(s.sent(3), Some(1), "the new process is not blamed: {:?}", s.out);
+    assert_eq!(
+        s.sent(3),
+        Some(1),
+        "the new process is not blamed: {:?}",
+        s.out
+    );
 }
 
 // ---- Odd input -------------------------------------------------------------------------------------------
@@ -575,32 +770,73 @@
 fn odd_events_are_harmless() {
     let mut settings = settings();
     settings.dispatchers = 0;
-    settings.tenants = vec![Tenant { quota_per_s: 0.0, fraction: 0.0 }];
+    settings.tenants = vec![Tenant {
+        quota_per_s: 0.0,
+        fraction: 0.0,
+    }];
     settings.limits.attempts = 0;
     let mut s = Stage::new(settings, &[]);
-    let odd = |v: f64| Load { inflight: Some(v), free_slots: Some(v), ..Load::default() };
-    s.list(Scope::Delta, &[Entry { kind: u32::MAX, power: f64::NAN, ready_at: u64::MAX, ..entry(1, 0) }]);
+    let odd = |v: f64| Load {
+        inflight: Some(v),
+        free_slots: Some(v),
+        ..Load::default()
+    };
+    s.list(
+        Scope::Delta,
+        &[Entry {
+            kind: u32::MAX,
+            power: f64::NAN,
+            ready_at: u64::MAX,
+            ..entry(1, 0)
+        }],
+    );
     for v in [f64::NAN, f64::INFINITY, -5.0, 1e300] {
         for worker in [1, 99] {
-            s.event(Event::Probed { worker, status: Status::Ok, load: Some(odd(v)) });
+            s.event(Event::Probed {
+                worker,
+                status: Status::Ok,
+                load: Some(odd(v)),
+            });
         }
-        let r =
-            Request { class: 77, tenant: 0, slots: v, memory: v, left: u64::MAX, ..request(v.to_bits(), 0) };
+        let r = Request {
+            class: 77,
+            tenant: 0,
+            slots: v,
+            memory: v,
+            left: u64::MAX,
+            ..request(v.to_bits(), 0)
+        };
         s.event(Event::Request(r.clone()));
         s.event(Event::Request(r));
-        s.event(Event::Progress { request: v.to_bits(), attempt: 0, done: v });
+        s.event(Event::Progress {
+            request: v.to_bits(),
+            attempt: 0,
+            done: v,
+        });
     }
     for id in [0, 12345] {
-        s.event(Event::Started { request: id, attempt: 9 });
-        s.event(Event::Streaming { request: id, attempt: 9 });
+        s.event(Event::Started {
+            request: id,
+            attempt: 9,
+        });
+        s.event(Event::Streaming {
+            request: id,
+            attempt: 9,
+        });
         s.end(id, 3, Status::Ok);
         s.event(Event::Gone(id));
     }
     s.event(Event::Timer(424242));
-    s.event(Event::Peer { from: 9, held: vec![(1, 255), (99, 7), (1, 3)] });
+    s.event(Event::Peer {
+        from: 9,
+        held: vec![(1, 255), (99, 7), (1, 3)],
+    });
     s.list(Scope::Full, &[]);
     s.pass(SEC);
-    assert!(!s.out.iter().any(|a| matches!(a, Action::Send { .. })), "no attempt is allowed here");
+    assert!(
+        !s.out.iter().any(|a| matches!(a, Action::Send { .. })),
+        "no attempt is allowed here"
+    );
 }
 
 /// Guards against a cold worker's budget in so many parts that none pays for a job before it is warm (Lde7595):
@@ -611,20 +847,33 @@
     for (n, worker) in [3, 4].into_iter().enumerate() {
         let mut total = 0;
         for me in 0..40 {
-            let mut settings = Settings { dispatchers: 40, me, ..settings() };
+            let mut settings = Settings {
+                dispatchers: 40,
+                me,
+                ..settings()
+            };
             settings.rules.warm_after = 60 * SEC;
             let mut s = Stage::new(settings, &[entry(1, 0)]);
             for _ in 0..30 {
                 s.serve(0, |_| 100 * MS);
             }
             let ready_at = s.now;
-            s.list(Scope::Full, &[Entry { ready_at, ..entry(worker, 0) }]);
+            s.list(
+                Scope::Full,
+                &[Entry {
+                    ready_at,
+                    ..entry(worker, 0)
+                }],
+            );
             let mut sends = 0;
             for _ in 0..15 {
                 s.ask(0);
                 let mut said = s.out.clone();
                 said.extend(s.pass(2 * SEC));
-                sends += said.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+                sends += said
+                    .iter()
+                    .filter(|a| matches!(a, Action::Send { .. }))
+                    .count();
             }
             users[n] |= u64::from(sends > 0) << me;
             total += sends;
@@ -645,8 +894,16 @@
     s.pass(SEC);
     s.ask(0);
     assert!(s.out.contains(&Action::Probe { worker: 1 }), "{:?}", s.out);
-    let load = Some(Load { inflight: Some(0.0), free_slots: Some(4.0), ..Load::default() });
-    s.event(Event::Probed { worker: 1, status: Status::Ok, load });
+    let load = Some(Load {
+        inflight: Some(0.0),
+        free_slots: Some(4.0),
+        ..Load::default()
+    });
+    s.event(Event::Probed {
+        worker: 1,
+        status: Status::Ok,
+        load,
+    });
     for _ in 0..3 {
         assert_eq!(s.ask(0).1, Some(1));
     }
@@ -656,11 +913,26 @@
 /// wait behind one of two slots. Budgets of cold workers are multiples of the slots.
 #[test]
 fn a_report_of_a_queue_beside_a_free_slot_tells_no_slots() {
-    let mut s = Stage::new(Settings { reports: Reports::OnProbe, ..settings() }, &[entry(1, 0)]);
+    let mut s = Stage::new(
+        Settings {
+            reports: Reports::OnProbe,
+            ..settings()
+        },
+        &[entry(1, 0)],
+    );
     let mut probed = |inflight, queue, free| {
         let (inflight, queue, free_slots) = (Some(inflight), Some(queue), Some(free));
-        let load = Some(Load { inflight, queue, free_slots, ..Load::default() });
-        s.event(Event::Probed { worker: 1, status: Status::Ok, load });
+        let load = Some(Load {
+            inflight,
+            queue,
+            free_slots,
+            ..Load::default()
+        });
+        s.event(Event::Probed {
+            worker: 1,
+            status: Status::Ok,
+            load,
+        });
     };
     probed(0.0, 0.0, 3.0);
     probed(40.0, 38.0, 1.0);
@@ -677,12 +949,25 @@
     settings.limits.peers = true;
     settings.charges.peer = 0.01;
     let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0)]);
-    s.event(Event::Peer { from: 1, held: vec![(1, 1)] });
+    s.event(Event::Peer {
+        from: 1,
+        held: vec![(1, 1)],
+    });
     let (id, worker) = s.ask(0);
-    assert_eq!(worker, Some(2), "the peer's job holds the one known slot of worker 1");
-    assert!(s.pass(100 * MS).contains(&Action::Tell { held: vec![(2, 1)] }));
+    assert_eq!(
+        worker,
+        Some(2),
+        "the peer's job holds the one known slot of worker 1"
+    );
+    assert!(
+        s.pass(100 * MS)
+            .contains(&Action::Tell { held: vec![(2, 1)] })
+    );
     s.start(id, 0);
-    s.event(Event::Peer { from: 1, held: vec![] });
+    s.event(Event::Peer {
+        from: 1,
+        held: vec![],
+    });
     assert_eq!(s.ask(0).1, Some(1));
     s.end(2, 0, Status::Ok);
     s.end(id, 0, Status::Ok);
@@ -697,7 +982,10 @@
     let mut s = Stage::new(settings, &[]);
     s.ask(0);
     // It comes with two of its six seconds left: its aim is long past, and late is worth nothing.
-    s.event(Event::Request(Request { left: 2 * SEC, ..request(50, 0) }));
+    s.event(Event::Request(Request {
+        left: 2 * SEC,
+        ..request(50, 0)
+    }));
     assert!(s.refused(50) && !s.refused(1), "{:?}", s.out);
 }
 
@@ -706,8 +994,19 @@
 #[test]
 fn few_jobs_wait_at_workers_that_look_free() {
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
-    let mut s = Stage::new(Settings { dispatchers: 40, ..settings() }, &workers);
-    let sends = |s: &Stage| s.out.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+    let mut s = Stage::new(
+        Settings {
+            dispatchers: 40,
+            ..settings()
+        },
+        &workers,
+    );
+    let sends = |s: &Stage| {
+        s.out
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count()
+    };
     // Much traffic, all of it turned away: the window shrinks to one job.
     for step in 0..300 {
         let mut said = s.pass(20 * MS);
@@ -744,7 +1043,13 @@
     for _ in 0..40 {
         let (request, worker) = s.ask(0);
         if worker.is_some() {
-            s.event(Event::Outcome { request, attempt: 0, status: Status::Full, closed: true, load: None });
+            s.event(Event::Outcome {
+                request,
+                attempt: 0,
+                status: Status::Full,
+                closed: true,
+                load: None,
+            });
         }
         s.pass(SEC);
     }
@@ -775,7 +1080,13 @@
                 let (attempt, status, load) = (0, Status::Ok, None);
                 s.event(Event::Started { request, attempt });
                 now_said.append(&mut s.out);
-                s.event(Event::Outcome { request, attempt, status, closed: true, load });
+                s.event(Event::Outcome {
+                    request,
+                    attempt,
+                    status,
+                    closed: true,
+                    load,
+                });
                 now_said.append(&mut s.out);
             }
             for _ in 0..extra_looks {
@@ -803,7 +1114,11 @@
     let (id, _) = s.ask(0);
     s.pass(900 * MS);
     s.start(id, 0);
-    assert_eq!(s.ask(0).1, Some(1), "one job may wait where all slots are taken");
+    assert_eq!(
+        s.ask(0).1,
+        Some(1),
+        "one job may wait where all slots are taken"
+    );
 }
 
 /// Guards against dispatchers spreading few jobs each over a large fleet, where none learns of any worker.
@@ -811,16 +1126,32 @@
 fn in_a_large_fleet_a_dispatcher_keeps_to_few_workers_and_the_windows_differ() {
     let workers: Vec<_> = (0..80).map(|i| entry(i, i % 2)).collect();
     let served = |me: u32| {
-        let settings = Settings { dispatchers: 40, me, ..settings() };
+        let settings = Settings {
+            dispatchers: 40,
+            me,
+            ..settings()
+        };
         let mut s = Stage::new(settings, &workers);
-        let used = (0..60).map(|_| s.serve(0, |_| 100 * MS).expect("idle workers take every job"));
+        let used = (0..60).map(|_| {
+            s.serve(0, |_| 100 * MS)
+                .expect("idle workers take every job")
+        });
         used.collect::<std::collections::BTreeSet<_>>()
     };
     let (first, last) = (served(0), served(39));
     assert!(first.len() <= 8 && last.len() <= 8, "{first:?} {last:?}");
-    assert!(first.intersection(&served(20)).next().is_none(), "dispatchers apart share no worker");
+    assert!(
+        first.intersection(&served(20)).next().is_none(),
+        "dispatchers apart share no worker"
+    );
     // With its near workers taken, it goes on to the others.
-    let mut s = Stage::new(Settings { dispatchers: 40, ..settings() }, &workers);
+    let mut s = Stage::new(
+        Settings {
+            dispatchers: 40,
+            ..settings()
+        },
+        &workers,
+    );
     let used: std::collections::BTreeSet<_> = (0..30).filter_map(|_| s.ask(0).1).collect();
     assert!(used.len() > 8, "{used:?}");
 }
@@ -830,7 +1161,10 @@
 fn jobs_leave_a_zone_whose_workers_start_them_late() {
     let mut settings = settings();
     settings.charges.cross_zone = 0.03;
-    let workers = [0, 1, 2, 3].map(|i| Entry { zone: i / 2, ..entry(i, 0) });
+    let workers = [0, 1, 2, 3].map(|i| Entry {
+        zone: i / 2,
+        ..entry(i, 0)
+    });
     let mut s = Stage::new(settings, &workers);
     // At home a job starts after two others are through, elsewhere at once.
     let mut away = [0, 0];
@@ -846,7 +1180,9 @@
     }
     assert!(away[1] > 25, "{away:?}");
     // Once the own zone starts them promptly again, they come back.
-    let home: Vec<_> = (0..300).map(|_| s.serve(0, |_| 100 * MS).expect("sent") < 2).collect();
+    let home: Vec<_> = (0..300)
+        .map(|_| s.serve(0, |_| 100 * MS).expect("sent") < 2)
+        .collect();
     assert!(home[240..].iter().all(|h| *h), "{home:?}");
 }
 
@@ -858,18 +1194,35 @@
     settings.charges.probe = 0.0002;
     let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
     let (id, worker) = s.ask(0);
-    let probed: Vec<_> = s.out.iter().filter(|a| matches!(a, Action::Probe { .. })).cloned().collect();
+    let probed: Vec<_> = s
+        .out
+        .iter()
+        .filter(|a| matches!(a, Action::Probe { .. }))
+        .cloned()
+        .collect();
     assert_eq!((probed.len(), worker), (3, None));
     for (worker, free) in [(1, 0.0), (2, 2.0), (3, 1.0)] {
         assert_eq!(s.sent(id), None);
-        let load = Some(Load { inflight: Some(2.0 - free), free_slots: Some(free), ..Load::default() });
-        s.event(Event::Probed { worker, status: Status::Ok, load });
+        let load = Some(Load {
+            inflight: Some(2.0 - free),
+            free_slots: Some(free),
+            ..Load::default()
+        });
+        s.event(Event::Probed {
+            worker,
+            status: Status::Ok,
+            load,
+        });
     }
     assert_eq!(s.sent(id), Some(2), "the emptiest of those sampled");
     // Without answers it goes out after a tenth of its aim. What is known is not asked again.
     s.pass(3 * SEC);
     let (id, _) = s.ask(0);
-    assert!(s.pass(30 * MS).iter().all(|a| !matches!(a, Action::Send { .. })));
+    assert!(
+        s.pass(30 * MS)
+            .iter()
+            .all(|a| !matches!(a, Action::Send { .. }))
+    );
     s.pass(30 * MS);
     assert!(s.sent(id).is_some());
 }
@@ -879,7 +1232,10 @@
 #[test]
 fn workers_are_probed_again_sooner_where_jobs_run_long() {
     let probes = |run: Time, dispatchers: u32| {
-        let mut settings = Settings { dispatchers, ..settings() };
+        let mut settings = Settings {
+            dispatchers,
+            ..settings()
+        };
         settings.reports = Reports::OnProbe;
         settings.charges.probe = 0.0002;
         let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
@@ -888,11 +1244,22 @@
             let (id, _) = s.ask(0);
             let mut said = s.out.clone();
             for worker in 1..4 {
-                let load = Some(Load { inflight: Some(0.0), free_slots: Some(2.0), ..Load::default() });
-                s.event(Event::Probed { worker, status: Status::Ok, load });
+                let load = Some(Load {
+                    inflight: Some(0.0),
+                    free_slots: Some(2.0),
+                    ..Load::default()
+                });
+                s.event(Event::Probed {
+                    worker,
+                    status: Status::Ok,
+                    load,
+                });
                 said.append(&mut s.out);
             }
-            count += said.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
+            count += said
+                .iter()
+                .filter(|a| matches!(a, Action::Probe { .. }))
+                .count();
             s.pass(run);
             s.start(id, 0);
             s.pass(run);
@@ -904,12 +1271,24 @@
         s.pass(5 * SEC);
         s.ask(0);
         for worker in 1..4 {
-            let load = Some(Load { inflight: Some(0.0), free_slots: Some(2.0), ..Load::default() });
-            s.event(Event::Probed { worker, status: Status::Ok, load });
+            let load = Some(Load {
+                inflight: Some(0.0),
+                free_slots: Some(2.0),
+                ..Load::default()
+            });
+            s.event(Event::Probed {
+                worker,
+                status: Status::Ok,
+                load,
+            });
         }
         s.pass(700 * MS);
         s.ask(0);
-        let again = s.out.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
+        let again = s
+            .out
+            .iter()
+            .filter(|a| matches!(a, Action::Probe { .. }))
+            .count();
         assert!(before > 0);
         again
     };
@@ -927,20 +1306,39 @@
         let class = if n % 2 == 0 { 0 } else { 2 };
         s.serve(class, |_| if class == 0 { 50 * MS } else { 500 * MS });
     }
-    let on_first = (0..200).filter(|_| s.serve(0, |_| 50 * MS) == Some(1)).count();
-    assert!((60..=140).contains(&on_first), "{on_first} of 200 on one of two equal kinds");
+    let on_first = (0..200)
+        .filter(|_| s.serve(0, |_| 50 * MS) == Some(1))
+        .count();
+    assert!(
+        (60..=140).contains(&on_first),
+        "{on_first} of 200 on one of two equal kinds"
+    );
 }
 
 /// Guards against cold budgets in many parts staying unused: those not near would never spend theirs.
 #[test]
 fn a_cold_worker_is_near_for_those_with_a_part_of_its_budget() {
     let now = 100 * SEC;
-    let cold = |i| Entry { ready_at: if i == 60 { now } else { 0 }, ..entry(i, i % 2) };
+    let cold = |i| Entry {
+        ready_at: if i == 60 { now } else { 0 },
+        ..entry(i, i % 2)
+    };
     let workers: Vec<_> = (0..80).map(cold).collect();
     let uses = |me: &u32| {
-        let mut s = Stage::new(Settings { dispatchers: 40, me: *me, ..settings() }, &workers);
+        let mut s = Stage::new(
+            Settings {
+                dispatchers: 40,
+                me: *me,
+                ..settings()
+            },
+            &workers,
+        );
         for _ in 0..30 {
-            assert_ne!(s.serve(0, |_| 10 * MS), Some(60), "idle warm workers come first");
+            assert_ne!(
+                s.serve(0, |_| 10 * MS),
+                Some(60),
+                "idle warm workers come first"
+            );
         }
         s.pass(4 * SEC);
         (0..6).any(|_| s.ask(0).1 == Some(60))
@@ -957,30 +1355,62 @@
     let mut sends: Vec<Time> = Vec::new();
     let mut ready_at = 0;
     for me in 0..300 {
-        let settings = Settings { dispatchers: 300, me, reports: Reports::OnProbe, ..settings() };
+        let settings = Settings {
+            dispatchers: 300,
+            me,
+            reports: Reports::OnProbe,
+            ..settings()
+        };
         let mut s = Stage::new(settings, &[entry(1, 0)]);
-        let load = Some(Load { inflight: Some(0.0), free_slots: Some(7.0), ..Load::default() });
-        s.event(Event::Probed { worker: 1, status: Status::Ok, load });
+        let load = Some(Load {
+            inflight: Some(0.0),
+            free_slots: Some(7.0),
+            ..Load::default()
+        });
+        s.event(Event::Probed {
+            worker: 1,
+            status: Status::Ok,
+            load,
+        });
         for _ in 0..30 {
             s.serve(2, |_| run);
         }
         (s.now, ready_at) = (110 * SEC, 110 * SEC);
-        s.list(Scope::Full, &[Entry { ready_at, ..entry(3, 0) }]);
+        s.list(
+            Scope::Full,
+            &[Entry {
+                ready_at,
+                ..entry(3, 0)
+            }],
+        );
         // Each gives its place back at once, so that only the budget limits.
-        sends.extend(sends_to_third(&mut s, (2, Status::Cancelled), step, ready_at + 4 * SEC));
+        sends.extend(sends_to_third(
+            &mut s,
+            (2, Status::Cancelled),
+            step,
+            ready_at + 4 * SEC,
+        ));
     }
-    let budget =
-        |at: Time| 7.0 * rules.tip_multiple * least_warmth(&rules, at - ready_at) * rules.tip_window as f64;
+    let budget = |at: Time| {
+        7.0 * rules.tip_multiple * least_warmth(&rules, at - ready_at) * rules.tip_window as f64
+    };
     for n in 0..4 * SEC / step {
         let at = ready_at + n * step;
-        let sent = sends.iter().filter(|t| **t <= at && **t + rules.tip_window > at).count() as f64;
+        let sent = sends
+            .iter()
+            .filter(|t| **t <= at && **t + rules.tip_window > at)
+            .count() as f64;
         assert!(
             sent * run as f64 <= 0.76 * budget(at),
             "{sent} jobs in the window that ends {n} steps after"
         );
     }
     let most = (0..4).map(|n| budget(ready_at + n * SEC)).sum::<f64>();
-    assert!(sends.len() as f64 * run as f64 > 0.4 * most, "{} jobs in 4 s", sends.len());
+    assert!(
+        sends.len() as f64 * run as f64 > 0.4 * most,
+        "{} jobs in 4 s",
+        sends.len()
+    );
 }
 
 /// Guards against jobs that can earn nothing any more keeping others waiting in a worker's queue.
@@ -991,11 +1421,20 @@
     let mut s = Stage::new(settings.clone(), &[entry(1, 0)]);
     let (id, _) = s.ask(0);
     let all = s.pass(3 * SEC);
-    assert!(all.contains(&Action::Cancel { request: id, attempt: 0 }) && s.refused(id));
+    assert!(
+        all.contains(&Action::Cancel {
+            request: id,
+            attempt: 0
+        }) && s.refused(id)
+    );
     settings.classes[0].late_worth = 0.3;
     let mut s = Stage::new(settings, &[entry(1, 0)]);
     s.ask(0);
-    assert!(s.pass(3 * SEC).iter().all(|a| matches!(a, Action::Timer { .. })));
+    assert!(
+        s.pass(3 * SEC)
+            .iter()
+            .all(|a| matches!(a, Action::Timer { .. }))
+    );
 }
 
 /// Guards against dispatchers that hammer full workers with what these turn away.
@@ -1005,9 +1444,18 @@
     let (id, _) = s.ask(0);
     s.pass(MS);
     s.end(id, 0, Status::Full);
-    assert!(s.pass(1900 * MS).iter().all(|a| !matches!(a, Action::Send { .. })));
+    assert!(
+        s.pass(1900 * MS)
+            .iter()
+            .all(|a| !matches!(a, Action::Send { .. }))
+    );
     let later = s.pass(200 * MS);
-    assert!(later.iter().any(|a| matches!(a, Action::Send { request, .. } if *request == id)), "{later:?}");
+    assert!(
+        later
+            .iter()
+            .any(|a| matches!(a, Action::Send { request, .. } if *request == id)),
+        "{later:?}"
+    );
 }
 
 // ---- Further rules, where the settings state them --------------------------------------------------------
@@ -1017,7 +1465,11 @@
 fn further_attempts_keep_to_their_budget_in_any_window() {
     let mut settings = settings();
     settings.limits.retry_after = false;
-    settings.rules.resends = Some(ResendBudget { free: 2.0, ratio: 0.1, window: Some(10 * SEC) });
+    settings.rules.resends = Some(ResendBudget {
+        free: 2.0,
+        ratio: 0.1,
+        window: Some(10 * SEC),
+    });
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
     let mut s = Stage::new(settings, &workers);
     let fail_until_answered = |s: &mut Stage| {
@@ -1044,7 +1496,11 @@
 #[test]
 fn attempts_that_were_never_sent_cost_none_of_the_budget() {
     let mut settings = settings();
-    settings.rules.resends = Some(ResendBudget { free: 1.0, ratio: 0.0, window: Some(10 * SEC) });
+    settings.rules.resends = Some(ResendBudget {
+        free: 1.0,
+        ratio: 0.0,
+        window: Some(10 * SEC),
+    });
     let workers: Vec<_> = (0..8).map(|i| entry(i, 0)).collect();
     let mut s = Stage::new(settings, &workers);
     let (id, _) = s.ask(0);
@@ -1060,7 +1516,11 @@
 #[test]
 fn a_budget_without_a_window_is_never_renewed() {
     let mut settings = settings();
-    settings.rules.resends = Some(ResendBudget { free: 1.0, ratio: 5.0, window: None });
+    settings.rules.resends = Some(ResendBudget {
+        free: 1.0,
+        ratio: 5.0,
+        window: None,
+    });
     let mut s = Stage::new(settings, &(0..8).map(|i| entry(i, 0)).collect::<Vec<_>>());
     for expected in [true, false] {
         let (id, _) = s.ask(0);
@@ -1085,7 +1545,11 @@
         let (keyed, first) = s.ask(1);
         s.end(keyed, 0, Status::Full);
         if no_proof {
-            assert!(s.sent(keyed).is_none_or(|w| w % 2 == first.expect("sent") % 2), "same cell");
+            assert!(
+                s.sent(keyed)
+                    .is_none_or(|w| w % 2 == first.expect("sent") % 2),
+                "same cell"
+            );
             s.end(keyed, 1, Status::Full);
             s.pass(3 * SEC);
             assert!(!s.refused(keyed), "a refusal would promise too much");
@@ -1096,11 +1560,21 @@
 /// Reported as: 'an idle connection was still open 0.81 s after this instance was told that it drains'.
 #[test]
 fn idle_connections_to_a_leaving_worker_are_closed_at_the_notice_and_after_each_end_there() {
-    let leaving = |w| Entry { state: WorkerState::Leaving, ..entry(w, 0) };
-    let closed = |s: &Stage, w| s.out.iter().filter(|a| **a == Action::Disconnect { worker: w }).count();
-    for (scope, list) in
-        [(Scope::Delta, vec![leaving(1)]), (Scope::Full, vec![leaving(1)]), (Scope::Full, vec![])]
-    {
+    let leaving = |w| Entry {
+        state: WorkerState::Leaving,
+        ..entry(w, 0)
+    };
+    let closed = |s: &Stage, w| {
+        s.out
+            .iter()
+            .filter(|a| **a == Action::Disconnect { worker: w })
+            .count()
+    };
+    for (scope, list) in [
+        (Scope::Delta, vec![leaving(1)]),
+        (Scope::Full, vec![leaving(1)]),
+        (Scope::Full, vec![]),
+    ] {
         let mut settings = settings();
         settings.rules.let_go_in = Some(800 * MS);
         let mut s = Stage::new(settings, &[entry(1, 0)]);
@@ -1113,15 +1587,27 @@
         s.list(scope, &list);
         assert_eq!(closed(&s, 1), 1, "{scope:?}: at the notice");
         s.list(scope, &list);
-        let more = s.pass(2 * SEC).iter().filter(|a| matches!(a, Action::Disconnect { .. })).count();
+        let more = s
+            .pass(2 * SEC)
+            .iter()
+            .filter(|a| matches!(a, Action::Disconnect { .. }))
+            .count();
         assert_eq!(closed(&s, 1) + more, 0, "not over and over");
         s.end(a, 0, Status::Ok);
         assert_eq!(closed(&s, 1), 1, "after an outcome");
         // The client leaves; the attempt that was out for it ends later.
         s.event(Event::Gone(b));
         s.end(b, 0, Status::Cancelled);
-        assert_eq!(closed(&s, 1), 1, "also of an attempt that outlived its request");
-        s.event(Event::Probed { worker: 1, status: Status::Ok, load: None });
+        assert_eq!(
+            closed(&s, 1),
+            1,
+            "also of an attempt that outlived its request"
+        );
+        s.event(Event::Probed {
+            worker: 1,
+            status: Status::Ok,
+            load: None,
+        });
         assert_eq!(closed(&s, 1), 1, "and after a probe");
     }
     // Where it is not asked, or the worker was never used, nothing is closed.
@@ -1143,7 +1629,10 @@
     let run = |resends| {
         let mut settings = settings();
         settings.rules.resends = resends;
-        let mut s = Stage::new(settings, &(0..6).map(|i| entry(i, i % 3)).collect::<Vec<_>>());
+        let mut s = Stage::new(
+            settings,
+            &(0..6).map(|i| entry(i, i % 3)).collect::<Vec<_>>(),
+        );
         let mut log = Vec::new();
         for n in 0..300u64 {
             let (id, _) = s.ask((n % 4) as u32);
@@ -1151,15 +1640,29 @@
             s.start(id, 0);
             log.extend(s.pass(20 * MS));
             // No reset before the start: that tells of idle connections, and closes them for another reason.
-            let ends = [Status::Ok, Status::Ok, Status::Error, Status::Full, Status::Error];
+            let ends = [
+                Status::Ok,
+                Status::Ok,
+                Status::Error,
+                Status::Full,
+                Status::Error,
+            ];
             s.end(id, 0, ends[n as usize % 5]);
             log.extend(s.out.clone());
         }
         log
     };
-    let ample = ResendBudget { free: 1e9, ratio: 0.0, window: Some(10 * SEC) };
+    let ample = ResendBudget {
+        free: 1e9,
+        ratio: 0.0,
+        window: Some(10 * SEC),
+    };
     assert_eq!(run(None), run(Some(ample)));
-    assert!(!run(None).iter().any(|a| matches!(a, Action::Disconnect { .. })));
+    assert!(
+        !run(None)
+            .iter()
+            .any(|a| matches!(a, Action::Disconnect { .. }))
+    );
 }
 
 // ---- Final answers ---------------------------------------------------------------------------------------
@@ -1178,7 +1681,10 @@
     s.end(keyed, 0, Status::Error);
     assert!(s.sent(keyed).is_none() && !s.failed(keyed));
     s.pass(3_100 * MS);
-    assert!(s.failed(keyed), "its deadline is 3 s off, its key's time is over");
+    assert!(
+        s.failed(keyed),
+        "its deadline is 3 s off, its key's time is over"
+    );
 }
 
 #[test]
@@ -1192,13 +1698,19 @@
         let all = s.pass(2 * SEC);
         let advice = |out: &[Action], id| {
             let told = |a: &Action| match a {
-                Action::Refuse { request, retry_after } if *request == id => Some(*retry_after),
+                Action::Refuse {
+                    request,
+                    retry_after,
+                } if *request == id => Some(*retry_after),
                 _ => None,
             };
             out.iter().find_map(told).expect("refused")
         };
         let told = advice(&all, late);
-        assert!(told <= settings.limits.max_retry_after && (told > 0) == listen, "{told}");
+        assert!(
+            told <= settings.limits.max_retry_after && (told > 0) == listen,
+            "{told}"
+        );
     }
 }
 
@@ -1208,15 +1720,30 @@
 #[test]
 fn traffic_over_a_share_is_let_in_less_while_attempts_are_turned_away() {
     let served = |turned_away: bool| {
-        let mut settings = Settings { over_share_worth: 0.05, dispatchers: 1, ..settings() };
-        settings.tenants =
-            vec![Tenant { quota_per_s: 2.0, fraction: 0.5 }, Tenant { quota_per_s: 1000.0, fraction: 0.5 }];
+        let mut settings = Settings {
+            over_share_worth: 0.05,
+            dispatchers: 1,
+            ..settings()
+        };
+        settings.tenants = vec![
+            Tenant {
+                quota_per_s: 2.0,
+                fraction: 0.5,
+            },
+            Tenant {
+                quota_per_s: 1000.0,
+                fraction: 0.5,
+            },
+        ];
         let mut s = Stage::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
         let mut served = [0, 0];
         for n in 0..600u64 {
             // Three of four requests come from the tenant with a small quota.
             let tenant = u32::from(n % 4 == 3);
-            s.event(Event::Request(Request { tenant, ..request(n, 0) }));
+            s.event(Event::Request(Request {
+                tenant,
+                ..request(n, 0)
+            }));
             let mut attempt = 0;
             while s.sent(n).is_some() && turned_away && n % 2 == 0 && attempt < 2 {
                 s.end(n, attempt, Status::Full);
@@ -1239,15 +1766,25 @@
 /// Guards against small tenants being taken for over their share where clients crowd to one dispatcher.
 #[test]
 fn a_tenant_with_less_than_its_part_of_the_arrivals_is_not_over_its_share() {
-    let mut settings = Settings { over_share_worth: 0.0, dispatchers: 50, ..settings() };
-    let quota = |fraction| Tenant { quota_per_s: 50.0 * fraction, fraction };
+    let mut settings = Settings {
+        over_share_worth: 0.0,
+        dispatchers: 50,
+        ..settings()
+    };
+    let quota = |fraction| Tenant {
+        quota_per_s: 50.0 * fraction,
+        fraction,
+    };
     settings.tenants = vec![quota(0.5), quota(0.5)];
     let mut s = Stage::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
     let mut refused = [0, 0];
     for n in 0..600u64 {
         // 20 a second here, where the quotas of all dispatchers together are 50: the first sends 9 of 10.
         let tenant = u32::from(n % 10 == 9);
-        s.event(Event::Request(Request { tenant, ..request(n, 0) }));
+        s.event(Event::Request(Request {
+            tenant,
+            ..request(n, 0)
+        }));
         refused[tenant as usize] += u32::from(s.refused(n));
         if s.sent(n).is_some() {
             s.end(n, 0, if n % 3 == 0 { Status::Full } else { Status::Ok });
@@ -1262,7 +1799,12 @@
 #[test]
 fn connections_idle_for_as_long_as_one_that_broke_are_closed_first_and_the_worker_is_not_blamed() {
     let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let closes = |s: &Stage| s.out.iter().filter(|a| matches!(a, Action::Disconnect { .. })).count();
+    let closes = |s: &Stage| {
+        s.out
+            .iter()
+            .filter(|a| matches!(a, Action::Disconnect { .. }))
+            .count()
+    };
     for _ in 0..4 {
         s.serve(0, |_| 20 * MS);
     }
@@ -1271,7 +1813,11 @@
     assert_eq!(closes(&s), 0, "nothing has broken yet");
     s.end(id, 0, Status::Reset);
     let again = s.sent(id).expect("a safe request goes again at once");
-    assert!(Some(again) != worker && closes(&s) == 1, "the other's connection is as old: {:?}", s.out);
+    assert!(
+        Some(again) != worker && closes(&s) == 1,
+        "the other's connection is as old: {:?}",
+        s.out
+    );
     s.pass(MS);
     s.start(id, 1);
     s.end(id, 1, Status::Ok);
@@ -1293,8 +1839,15 @@
         let (id, first) = s.ask(class);
         s.start(id, 0);
         s.pass(1_400 * MS);
-        assert!(s.sent(id).is_none(), "the first share done may take one and a half intervals");
-        s.event(Event::Progress { request: id, attempt: 0, done: 0.3 });
+        assert!(
+            s.sent(id).is_none(),
+            "the first share done may take one and a half intervals"
+        );
+        s.event(Event::Progress {
+            request: id,
+            attempt: 0,
+            done: 0.3,
+        });
         s.pass(1_100 * MS);
         assert!(s.sent(id).is_none(), "the next is not overdue");
         s.pass(300 * MS);
@@ -1302,7 +1855,10 @@
         assert!(s.sent(id) != first && !s.failed(id) && !s.refused(id));
         // The first one's answer still counts, and the copy is withdrawn.
         s.end(id, 0, Status::Ok);
-        let withdrawn = s.out.contains(&Action::Cancel { request: id, attempt: 1 });
+        let withdrawn = s.out.contains(&Action::Cancel {
+            request: id,
+            attempt: 1,
+        });
         assert_eq!(withdrawn, again);
     }
     // Where no shares done are told, a long job is not taken for a silent one.
@@ -1327,17 +1883,25 @@
 fn an_open_request_keeps_the_class_that_it_came_with() {
     let mut stage = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
     let (delicate, harmless) = (stage.ask(2).0, stage.ask(0).0);
-    stage.event(retuned(|s| (s.classes[2].effect, s.classes[0].effect) = (Effect::Safe, Effect::Unsafe)));
+    stage.event(retuned(|s| {
+        (s.classes[2].effect, s.classes[0].effect) = (Effect::Safe, Effect::Unsafe)
+    }));
     stage.end(delicate, 0, Status::Reset);
     assert!(stage.failed(delicate) && stage.sent(delicate).is_none());
     stage.end(harmless, 0, Status::Reset);
     assert!(stage.sent(harmless).is_some());
     for (class, again) in [(2, true), (0, false)] {
         let mut stage = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-        stage.event(retuned(|s| (s.classes[2].effect, s.classes[0].effect) = (Effect::Safe, Effect::Unsafe)));
+        stage.event(retuned(|s| {
+            (s.classes[2].effect, s.classes[0].effect) = (Effect::Safe, Effect::Unsafe)
+        }));
         let id = stage.ask(class).0;
         stage.end(id, 0, Status::Reset);
-        assert_eq!((stage.sent(id).is_some(), stage.failed(id)), (again, !again), "class {class}");
+        assert_eq!(
+            (stage.sent(id).is_some(), stage.failed(id)),
+            (again, !again),
+            "class {class}"
+        );
     }
 }
 
@@ -1350,13 +1914,21 @@
         let aim = 300 * MS + n;
         stage.event(retuned(|s| {
             s.classes[0].aim = aim;
-            s.classes.push(Class { effect: Effect::Safe, aim, ..s.classes[2].clone() });
+            s.classes.push(Class {
+                effect: Effect::Safe,
+                aim,
+                ..s.classes[2].clone()
+            });
         }));
     }
     for (class, again) in [(4, true), (2, false), (9, false)] {
         let id = stage.ask(class).0;
         stage.end(id, 0, Status::Reset);
-        assert_eq!((stage.sent(id).is_some(), stage.failed(id)), (again, !again), "class {class}");
+        assert_eq!(
+            (stage.sent(id).is_some(), stage.failed(id)),
+            (again, !again),
+            "class {class}"
+        );
         stage.end(id, 1, Status::Ok);
         stage.pass(7 * SEC);
     }
@@ -1372,7 +1944,10 @@
         let id = stage.ask(0).0;
         stage.event(retuned(|s| s.limits.attempts = after));
         stage.end(id, 0, Status::Reset);
-        assert!(stage.sent(id).is_none() && stage.refused(id), "{before} to {after}");
+        assert!(
+            stage.sent(id).is_none() && stage.refused(id),
+            "{before} to {after}"
+        );
     }
 }
 
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -6,12 +6,22 @@
 use indigofold::api::*;
 
 fn site(duplicates: bool, cancel: bool) -> Settings {
-    let limits = Limits { duplicates, cancel, ..settings().limits };
-    Settings { dispatchers: 40, progress: SEC, limits, ..settings() }
+    let limits = Limits {
+        duplicates,
+        cancel,
+        ..settings().limits
+    };
+    Settings {
+        dispatchers: 40,
+        progress: SEC,
+        limits,
+        ..settings()
+    }
 }
 
 fn given_up(out: &[Action], id: RequestId) -> bool {
-    out.iter().any(|a| matches!(a, Action::Cancel { request, .. } if *request == id))
+    out.iter()
+        .any(|a| matches!(a, Action::Cancel { request, .. } if *request == id))
 }
 
 /// Guards against jobs that stay in one queue while other workers are free (herd of the second site: of 48 schedulers each
@@ -22,8 +32,14 @@
         let mut s = Stage::new(site(false, true), &[entry(1, 0), entry(3, 0)]);
         let (id, first) = s.ask(class);
         let first = first.expect("both are free");
-        assert!(!given_up(&s.pass(90 * MS), id), "class {class}: not long yet");
-        assert!(given_up(&s.pass(60 * MS), id), "class {class}: it has waited for long");
+        assert!(
+            !given_up(&s.pass(90 * MS), id),
+            "class {class}: not long yet"
+        );
+        assert!(
+            given_up(&s.pass(60 * MS), id),
+            "class {class}: it has waited for long"
+        );
         // A start told meanwhile changes nothing: what counts is how the attempt ends.
         s.end(id, 0, Status::Cancelled);
         let second = s.sent(id).expect("it goes on at once");
@@ -53,7 +69,10 @@
     attempts.limits.attempts = 2;
     let mut s = Stage::new(attempts, &two);
     let (id, _) = s.ask(0);
-    assert!(!given_up(&s.pass(2 * SEC), id), "the last attempt is kept for a failure");
+    assert!(
+        !given_up(&s.pass(2 * SEC), id),
+        "the last attempt is kept for a failure"
+    );
 }
 
 #[test]
@@ -65,10 +84,17 @@
     s.start(id, 0);
     assert!(!given_up(&s.pass(SEC), id), "it has started");
     let mut none = site(false, true);
-    none.rules.resends = Some(ResendBudget { free: 0.0, ratio: 0.0, window: None });
+    none.rules.resends = Some(ResendBudget {
+        free: 0.0,
+        ratio: 0.0,
+        window: None,
+    });
     let mut s = Stage::new(none, &two);
     let (id, _) = s.ask(0);
-    assert!(!given_up(&s.pass(2 * SEC), id), "no further attempt may be made");
+    assert!(
+        !given_up(&s.pass(2 * SEC), id),
+        "no further attempt may be made"
+    );
 }
 
 /// Forty dispatchers that do not hear of each other, two workers, one of them taken for good: no job is left there.
@@ -76,7 +102,13 @@
 fn of_many_dispatchers_none_leaves_a_job_in_a_queue_that_does_not_move() {
     let mut moved = 0;
     for me in 0..40 {
-        let mut s = Stage::new(Settings { me, ..site(false, true) }, &[entry(1, 0), entry(3, 0)]);
+        let mut s = Stage::new(
+            Settings {
+                me,
+                ..site(false, true)
+            },
+            &[entry(1, 0), entry(3, 0)],
+        );
         for _ in 0..3 {
             let (id, worker) = s.ask(0);
             let mut out = s.pass(20 * MS);
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -21,14 +21,17 @@
 fn experienced(workers: &[Entry]) -> Stage {
     let mut old = Stage::new(settings(), workers);
     for _ in 0..300 {
-        old.serve(0, |w| if w % 2 == 0 { 100 * MS } else { 300 * MS }).expect("idle workers take every job");
+        old.serve(0, |w| if w % 2 == 0 { 100 * MS } else { 300 * MS })
+            .expect("idle workers take every job");
     }
     old
 }
 
 fn fast_of_thirty(s: &mut Stage) -> usize {
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
-    (0..30).filter(|_| s.serve(0, run).expect("idle workers take every job") % 2 == 0).count()
+    (0..30)
+        .filter(|_| s.serve(0, run).expect("idle workers take every job") % 2 == 0)
+        .count()
 }
 
 #[test]
@@ -39,7 +42,10 @@
     let mut with = next(&old, settings(), &workers);
     take(&mut with, old.d.learned(old.now));
     let (without, with) = (fast_of_thirty(&mut without), fast_of_thirty(&mut with));
-    assert!(with >= 27 && without < with, "fast of 30: {with} with what was learned, {without} without");
+    assert!(
+        with >= 27 && without < with,
+        "fast of 30: {with} with what was learned, {without} without"
+    );
 }
 
 /// Guards against a statement that grows or shifts each time it is handed on.
@@ -52,9 +58,15 @@
     take(&mut new, learned.clone());
     take(&mut new, learned.clone());
     let again = new.d.learned(new.now);
-    assert_eq!((&learned.classes, &learned.workers), (&again.classes, &again.workers));
+    assert_eq!(
+        (&learned.classes, &learned.workers),
+        (&again.classes, &again.workers)
+    );
     for ((_, was), (_, is)) in learned.kinds.iter().zip(&again.kinds) {
-        assert_eq!((was.slots, was.reported, &was.run), (is.slots, is.reported, &is.run));
+        assert_eq!(
+            (was.slots, was.reported, &was.run),
+            (is.slots, is.reported, &is.run)
+        );
         assert!(
             (was.draw - is.draw).abs() < 0.02,
             "it goes on following the solutions: {} {}",
@@ -80,7 +92,10 @@
     let mut same = next(&old, settings(), &[entry(1, 0)]);
     take(&mut same, learned.clone());
     assert_eq!((same.d.pool(same.now), same.ask(0).1), ((1, 1), None));
-    let anew = Entry { ready_at: 99 * SEC, ..entry(1, 0) };
+    let anew = Entry {
+        ready_at: 99 * SEC,
+        ..entry(1, 0)
+    };
     let mut other = next(&old, settings(), &[anew]);
     take(&mut other, learned);
     assert_eq!(other.d.pool(other.now), (1, 0));
@@ -89,8 +104,16 @@
 /// Guards against a right that is taken from what was written: of the list's states, and of a cold worker's budget.
 #[test]
 fn nothing_that_permits_is_taken() {
-    let rules = Rules { cold_from: 0.32, warm_after: 8 * SEC, ..settings().rules };
-    let settings = Settings { rules, dispatchers: 1, ..settings() };
+    let rules = Rules {
+        cold_from: 0.32,
+        warm_after: 8 * SEC,
+        ..settings().rules
+    };
+    let settings = Settings {
+        rules,
+        dispatchers: 1,
+        ..settings()
+    };
     let mut old = Stage::new(settings.clone(), &[entry(1, 0), entry(2, 0)]);
     for _ in 0..100 {
         old.serve(0, |_| 100 * MS);
@@ -98,8 +121,14 @@
     let learned = old.d.learned(old.now);
     assert!(learned.workers.len() == 2 && learned.kinds[0].1.run.weight() > 50.0);
     // The list says: one is leaving, one has just started. Nobody else is there.
-    let leaving = Entry { state: WorkerState::Leaving, ..entry(1, 0) };
-    let cold = Entry { ready_at: old.now, ..entry(2, 0) };
+    let leaving = Entry {
+        state: WorkerState::Leaving,
+        ..entry(1, 0)
+    };
+    let cold = Entry {
+        ready_at: old.now,
+        ..entry(2, 0)
+    };
     let sent = |learned: Option<Learned<u32>>| {
         let mut new = next(&old, settings.clone(), &[leaving.clone(), cold.clone()]);
         learned.into_iter().for_each(|l| take(&mut new, l));
@@ -108,20 +137,33 @@
         to.len()
     };
     let (with, without) = (sent(Some(learned)), sent(None));
-    assert!(with <= without.max(1), "at once to a cold worker: {with}, without {without}");
+    assert!(
+        with <= without.max(1),
+        "at once to a cold worker: {with}, without {without}"
+    );
 }
 
 #[test]
 fn slots_that_the_other_process_holds_are_taken_ones_until_the_news_is_old() {
     let mut new = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let held = Learned { at: new.now, held: vec![(1, 3.0), (77, 2.0)], ..Learned::default() };
+    let held = Learned {
+        at: new.now,
+        held: vec![(1, 3.0), (77, 2.0)],
+        ..Learned::default()
+    };
     take(&mut new, held);
     let (id, to) = new.ask(0);
     assert_eq!(to, Some(2), "the first looks full");
     new.event(Event::Gone(id));
     new.end(id, 0, Status::Cancelled);
     let at = new.now;
-    take(&mut new, Learned { at, ..Learned::default() });
+    take(
+        &mut new,
+        Learned {
+            at,
+            ..Learned::default()
+        },
+    );
     let sent: Vec<_> = (0..2).filter_map(|_| new.ask(0).1).collect();
     assert!(sent.contains(&1), "held no longer: {sent:?}");
 }
@@ -129,8 +171,18 @@
 /// Attempts of the process before count as its own in a budget of attempts; told twice, they count once.
 #[test]
 fn further_attempts_made_before_count_in_the_budget() {
-    let budget = ResendBudget { free: 1.0, ratio: 0.0, window: Some(10 * SEC) };
-    let settings = Settings { rules: Rules { resends: Some(budget), ..settings().rules }, ..settings() };
+    let budget = ResendBudget {
+        free: 1.0,
+        ratio: 0.0,
+        window: Some(10 * SEC),
+    };
+    let settings = Settings {
+        rules: Rules {
+            resends: Some(budget),
+            ..settings().rules
+        },
+        ..settings()
+    };
     let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
     let mut old = Stage::new(settings.clone(), &workers);
     let (id, _) = old.ask(0);
@@ -144,7 +196,11 @@
     assert_eq!(new.d.learned(new.now).resent.len(), 1);
     let (id, _) = new.ask(0);
     new.end(id, 0, Status::Error);
-    assert!(new.refused(id) && new.sent(id).is_none(), "it was used up: {:?}", new.out);
+    assert!(
+        new.refused(id) && new.sent(id).is_none(),
+        "it was used up: {:?}",
+        new.out
+    );
 }
 
 // ---- Age ----------------------------------------------------------------------------------------------------
@@ -174,7 +230,9 @@
     let mut new = Stage::started(settings(), &workers, old.now);
     take(&mut new, ahead);
     let known = new.d.learned(new.now);
-    assert!(known.workers[0].1.aside_until <= new.now + 6 * SEC && known.workers[0].1.news_at.is_none());
+    assert!(
+        known.workers[0].1.aside_until <= new.now + 6 * SEC && known.workers[0].1.news_at.is_none()
+    );
 }
 
 // ---- The written form ---------------------------------------------------------------------------------------
@@ -193,7 +251,9 @@
     assert!(form.len() < 20_000, "{} bytes for 200 workers", form.len());
     // Too many workers for one word.
     let mut large = learned;
-    large.workers = (0..4000).map(|n| (format!("s-{n:08x}"), large.workers[0].1.clone())).collect();
+    large.workers = (0..4000)
+        .map(|n| (format!("s-{n:08x}"), large.workers[0].1.clone()))
+        .collect();
     assert_eq!(large.write(), None);
 }
 
@@ -205,9 +265,20 @@
         .map(|n| u8::from_str_radix(&empty[2 * n..2 * n + 2], 16).expect("hex"))
         .collect();
     match Learned::read(&form) {
-        Ok(learned) => assert_eq!(learned, Learned { at: 300, ..Learned::default() }),
+        Ok(learned) => assert_eq!(
+            learned,
+            Learned {
+                at: 300,
+                ..Learned::default()
+            }
+        ),
         Err(why) => {
-            let now = Learned::<String> { at: 300, ..Learned::default() }.write().expect("short");
+            let now = Learned::<String> {
+                at: 300,
+                ..Learned::default()
+            }
+            .write()
+            .expect("short");
             let hex: String = now.iter().map(|b| format!("{b:02x}")).collect();
             panic!("{why}; it is written as {hex} now");
         }
@@ -216,36 +287,65 @@
 
 #[test]
 fn what_cannot_be_read_is_refused_with_its_reason() {
-    let learned = named(experienced(&[entry(1, 0), entry(2, 1)]).d.learned(130 * SEC));
+    let learned = named(
+        experienced(&[entry(1, 0), entry(2, 1)])
+            .d
+            .learned(130 * SEC),
+    );
     let form = learned.write().expect("short");
     let with = |at: usize, byte: u8| {
         let mut other = form.clone();
         other[at] = byte;
         Learned::read(&other).expect_err("changed").to_string()
     };
-    assert_eq!(with(0, b'X'), format!("it does not begin with {:?}", String::from_utf8_lossy(MAGIC)));
+    assert_eq!(
+        with(0, b'X'),
+        format!(
+            "it does not begin with {:?}",
+            String::from_utf8_lossy(MAGIC)
+        )
+    );
     assert_eq!(
         with(4, VERSION as u8 + 1),
         format!("its version is {}, 1 to {VERSION} can be read", VERSION + 1)
     );
-    assert_eq!(with(form.len() - 1, !form[form.len() - 1]), "its checksum does not fit");
-    assert!(matches!(Learned::read(&form[..form.len() - 1]), Err(Refused::Length(_))));
-    assert!(matches!(Learned::read(&vec![0; LONGEST + 1]), Err(Refused::Length(_))));
+    assert_eq!(
+        with(form.len() - 1, !form[form.len() - 1]),
+        "its checksum does not fit"
+    );
+    assert!(matches!(
+        Learned::read(&form[..form.len() - 1]),
+        Err(Refused::Length(_))
+    ));
+    assert!(matches!(
+        Learned::read(&vec![0; LONGEST + 1]),
+        Err(Refused::Length(_))
+    ));
     // Whole, with the right checksum, and still not possible.
     let refused = |change: &dyn Fn(&mut Learned<String>)| {
         let mut other = learned.clone();
         change(&mut other);
         let form = other.write().expect("short");
-        Learned::read(&form).expect_err("no such figure").to_string()
+        Learned::read(&form)
+            .expect_err("no such figure")
+            .to_string()
     };
-    assert_eq!(refused(&|l| l.kinds[0].1.slots = -2.0), "slots of a kind is -2, 0 to 1000000 is allowed");
+    assert_eq!(
+        refused(&|l| l.kinds[0].1.slots = -2.0),
+        "slots of a kind is -2, 0 to 1000000 is allowed"
+    );
     assert_eq!(
         refused(&|l| l.workers[0].1.failure = f64::NAN),
         "share of failures is NaN, 0 to 1 is allowed"
     );
     assert!(refused(&|l| l.kinds[0].1.draw = 1.5).starts_with("part of the draws is 1.5"));
-    assert!(refused(&|l| l.pace.as_mut().expect("learned").window = 0.0).starts_with("window is 0"));
-    assert!(refused(&|l| l.pace.as_mut().expect("learned").idle_most = 2.0 * UNLIMITED).contains("trusted"));
+    assert!(
+        refused(&|l| l.pace.as_mut().expect("learned").window = 0.0).starts_with("window is 0")
+    );
+    assert!(
+        refused(&|l| l.pace.as_mut().expect("learned").idle_most = 2.0 * UNLIMITED)
+            .contains("trusted")
+    );
 }
 
 proptest! {
@@ -317,10 +417,16 @@
     let (id, _) = old.ask(0);
     old.end(id, 0, Status::Error);
     let job = go_over(&mut old, id, &mut new, AS + 1);
-    assert_eq!(job.tries.iter().map(|t| t.done).collect::<Vec<_>>(), [true, false]);
+    assert_eq!(
+        job.tries.iter().map(|t| t.done).collect::<Vec<_>>(),
+        [true, false]
+    );
     new.end(AS + 1, 1, Status::Error);
     let third = new.sent(AS + 1).expect("a third attempt");
-    assert!(job.tries.iter().all(|t| t.worker != third), "not where it has been");
+    assert!(
+        job.tries.iter().all(|t| t.worker != third),
+        "not where it has been"
+    );
     // Keyed, dropped inside a cell for three seconds: another attempt only there, and not after that time.
     let (id, first) = old.ask(1);
     old.pass(SEC);
@@ -329,13 +435,19 @@
     new.pass(1900 * MS);
     new.end(AS + 2, 0, Status::Reset);
     let again = new.sent(AS + 2);
-    assert!(again.is_none_or(|w| w % 2 == first.expect("sent") % 2), "{first:?}, then {again:?}");
+    assert!(
+        again.is_none_or(|w| w % 2 == first.expect("sent") % 2),
+        "{first:?}, then {again:?}"
+    );
     let (id, _) = old.ask(1);
     old.pass(SEC);
     go_over(&mut old, id, &mut new, AS + 3);
     new.pass(2100 * MS);
     new.end(AS + 3, 0, Status::Reset);
-    assert!(new.failed(AS + 3) && new.sent(AS + 3).is_none(), "its window ran from the first send");
+    assert!(
+        new.failed(AS + 3) && new.sent(AS + 3).is_none(),
+        "its window ran from the first send"
+    );
 }
 
 /// Guards against slots that stay taken, or look free, in either process.
@@ -358,7 +470,14 @@
     new.pass(300 * MS);
     new.end(AS, 0, Status::Ok);
     new.event(Event::Gone(AS + 1));
-    assert!(new.out.contains(&Action::Cancel { request: AS + 1, attempt: 0 }), "{:?}", new.out);
+    assert!(
+        new.out.contains(&Action::Cancel {
+            request: AS + 1,
+            attempt: 0
+        }),
+        "{:?}",
+        new.out
+    );
     new.end(AS + 1, 0, Status::Cancelled);
     assert!(new.d.held_slots().is_empty());
     assert_eq!(old.d.release(old.now, 99), None, "no such job");
@@ -372,13 +491,22 @@
     let mut new = next(&old, settings(), &[entry(1, 0)]);
     go_over(&mut old, id, &mut new, AS);
     assert_eq!(new.sent(AS), Some(1));
-    assert!(old.pass(10 * SEC).iter().all(|a| matches!(a, Action::Timer { .. })), "nothing is owed there");
+    assert!(
+        old.pass(10 * SEC)
+            .iter()
+            .all(|a| matches!(a, Action::Timer { .. })),
+        "nothing is owed there"
+    );
     // Where nobody can take it there either, it is answered in time.
     let mut nobody = next(&old, settings(), &[]);
     let (id, _) = old.ask(0);
     go_over(&mut old, id, &mut nobody, AS);
     let ends = nobody.pass(6 * SEC);
-    assert!(ends.iter().any(|a| matches!(a, Action::Refuse { request: AS, .. })), "{ends:?}");
+    assert!(
+        ends.iter()
+            .any(|a| matches!(a, Action::Refuse { request: AS, .. })),
+        "{ends:?}"
+    );
 }
 
 /// A worker that the new process has not been told of keeps its job; nothing new goes there.
@@ -401,7 +529,10 @@
 /// A job whose next sign is overdue is found silent in the process that it went to.
 #[test]
 fn silence_is_noticed_across_a_replacement() {
-    let settings = Settings { progress: SEC, ..settings() };
+    let settings = Settings {
+        progress: SEC,
+        ..settings()
+    };
     let workers = [entry(1, 0), entry(2, 0)];
     let mut old = Stage::new(settings.clone(), &workers);
     let (id, first) = old.ask(0);
@@ -412,10 +543,17 @@
     go_over(&mut old, id, &mut new, AS);
     let sent = new.pass(1500 * MS);
     let again = sent.iter().find_map(|a| match a {
-        Action::Send { request: AS, worker, .. } => Some(*worker),
+        Action::Send {
+            request: AS,
+            worker,
+            ..
+        } => Some(*worker),
         _ => None,
     });
-    assert!(again.is_some() && again != first, "beside the silent one: {sent:?}");
+    assert!(
+        again.is_some() && again != first,
+        "beside the silent one: {sent:?}"
+    );
 }
 
 /// A job keeps the rules that it came with; another process only knows those of now.
@@ -428,5 +566,8 @@
     old.event(Event::Settings(Box::new(changed)));
     assert_eq!(old.d.release(old.now, id), None);
     old.end(id, 0, Status::Error);
-    assert!(old.failed(id) && old.sent(id).is_none(), "it is still known, and never repeated");
+    assert!(
+        old.failed(id) && old.sent(id).is_none(),
+        "it is still known, and never repeated"
+    );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -89,7 +89,12 @@
 
 impl Checker {
     fn new(settings: Settings) -> Self {
-        let workers: Vec<_> = (0..6).map(|i| Entry { zone: i % 2, ..entry(i, i % 3) }).collect();
+        let workers: Vec<_> = (0..6)
+            .map(|i| Entry {
+                zone: i % 2,
+                ..entry(i, i % 3)
+            })
+            .collect();
         Checker {
             stage: Stage::new(settings.clone(), &workers),
             settings,
@@ -105,28 +110,49 @@
     }
 
     fn effect(&self, class: u32) -> Effect {
-        self.settings.classes.get(class as usize).map_or(Effect::Unsafe, |c| c.effect)
+        self.settings
+            .classes
+            .get(class as usize)
+            .map_or(Effect::Unsafe, |c| c.effect)
     }
 
     fn check(&mut self) {
         let now = self.stage.now;
         for action in self.stage.out.clone() {
             match action {
-                Action::Send { request, worker, .. } => self.check_send(now, request, worker),
+                Action::Send {
+                    request, worker, ..
+                } => self.check_send(now, request, worker),
                 Action::Refuse { request, .. } | Action::Fail { request } => {
-                    let r = self.requests.get_mut(&request).expect("an answer names a known request");
+                    let r = self
+                        .requests
+                        .get_mut(&request)
+                        .expect("an answer names a known request");
                     assert!(!r.over, "a second final answer");
                     // One that stood still then can answer no sooner than it is back.
                     let due = r.deadline + self.settings.rules.answer_slack;
-                    let back = self.stalls.iter().find(|s| s.0 <= due && due < s.1).map_or(0, |s| s.1);
+                    let back = self
+                        .stalls
+                        .iter()
+                        .find(|s| s.0 <= due && due < s.1)
+                        .map_or(0, |s| s.1);
                     assert!(now <= due.max(back), "answered too late");
                     (r.over, r.finals) = (true, r.finals + 1);
                     let r = &self.requests[&request];
                     let full_ran = self.settings.rules.full_may_have_run;
                     let ran = r.attempts.iter().any(|a| !never_ran(a.status, full_ran));
-                    let all = matches!(self.effect(r.class), Effect::Keyed { group: Group::All, .. });
+                    let all = matches!(
+                        self.effect(r.class),
+                        Effect::Keyed {
+                            group: Group::All,
+                            ..
+                        }
+                    );
                     if matches!(action, Action::Refuse { .. }) && ran {
-                        assert!(self.effect(r.class) == Effect::Safe || all, "a refusal that may be untrue");
+                        assert!(
+                            self.effect(r.class) == Effect::Safe || all,
+                            "a refusal that may be untrue"
+                        );
                     }
                 }
                 Action::Cancel { request, attempt } => {
@@ -134,7 +160,10 @@
                     assert!((attempt as usize) < self.requests[&request].attempts.len());
                 }
                 Action::Disconnect { worker } => {
-                    assert!(self.settings.rules.let_go_in.is_none() || self.listed.contains_key(&worker));
+                    assert!(
+                        self.settings.rules.let_go_in.is_none()
+                            || self.listed.contains_key(&worker)
+                    );
                     self.idle.remove(&worker);
                 }
                 Action::Probe { .. } => assert!(self.settings.limits.probes),
@@ -144,31 +173,67 @@
         }
         if self.settings.rules.let_go_in.is_some() {
             // Nothing else has to come first: what can be closed is closed in the same breath.
-            let left = self.idle.iter().find(|w| self.listed[w].state != WorkerState::Active);
-            assert_eq!(left, None, "an idle connection to a worker that leaves stays open");
+            let left = self
+                .idle
+                .iter()
+                .find(|w| self.listed[w].state != WorkerState::Active);
+            assert_eq!(
+                left, None,
+                "an idle connection to a worker that leaves stays open"
+            );
         }
     }
 
     fn check_send(&mut self, now: Time, request: RequestId, worker: WorkerId) {
         let rules = self.settings.rules.clone();
-        let w = self.listed.get(&worker).expect("a send to a worker that the list never named");
-        assert_eq!(w.state, WorkerState::Active, "a send to a worker that drains or is gone");
+        let w = self
+            .listed
+            .get(&worker)
+            .expect("a send to a worker that the list never named");
+        assert_eq!(
+            w.state,
+            WorkerState::Active,
+            "a send to a worker that drains or is gone"
+        );
         let r = &self.requests[&request];
-        assert!(!r.over && now < r.deadline, "a send for a request that is over");
-        assert!(r.attempts.len() < self.settings.limits.attempts as usize, "over the cap");
+        assert!(
+            !r.over && now < r.deadline,
+            "a send for a request that is over"
+        );
+        assert!(
+            r.attempts.len() < self.settings.limits.attempts as usize,
+            "over the cap"
+        );
         if !self.settings.limits.duplicates {
-            assert!(r.attempts.iter().all(|a| a.status.is_some()), "two attempts out at once");
+            assert!(
+                r.attempts.iter().all(|a| a.status.is_some()),
+                "two attempts out at once"
+            );
         }
         if !r.attempts.is_empty()
             && let Some(budget) = rules.resends
         {
             let since = |t: &Time| budget.window.is_none_or(|w| *t + w >= now);
-            let taken = self.taken.iter().filter(|t| budget.window.is_some_and(|w| **t + w > now)).count();
+            let taken = self
+                .taken
+                .iter()
+                .filter(|t| budget.window.is_some_and(|w| **t + w > now))
+                .count();
             let moot = |(_, id, n): &&(Time, RequestId, usize)| {
-                self.requests.get(id).is_some_and(|r| r.attempts[*n].status == Some(Status::Moot))
+                self.requests
+                    .get(id)
+                    .is_some_and(|r| r.attempts[*n].status == Some(Status::Moot))
             };
-            let again = self.again.iter().filter(|a| since(&a.0) && !moot(a)).count() + 1;
-            assert!(again as f64 <= budget.free + budget.ratio * taken as f64 + 1e-9, "{again} of {taken}");
+            let again = self
+                .again
+                .iter()
+                .filter(|a| since(&a.0) && !moot(a))
+                .count()
+                + 1;
+            assert!(
+                again as f64 <= budget.free + budget.ratio * taken as f64 + 1e-9,
+                "{again} of {taken}"
+            );
             self.again.push((now, request, r.attempts.len()));
         }
         let full_ran = rules.full_may_have_run;
@@ -179,8 +244,14 @@
                 Effect::Unsafe => panic!("an unsafe request sent twice"),
                 Effect::Keyed { group, ttl } => {
                     assert!(now < first.sent + ttl, "a repeat past the window");
-                    assert!(group != Group::Cell || of.cell == w.cell, "a repeat in another cell");
-                    assert!(group != Group::Zone || of.zone == w.zone, "a repeat in another zone");
+                    assert!(
+                        group != Group::Cell || of.cell == w.cell,
+                        "a repeat in another cell"
+                    );
+                    assert!(
+                        group != Group::Zone || of.zone == w.zone,
+                        "a repeat in another zone"
+                    );
                 }
             }
         }
@@ -190,25 +261,43 @@
                 + (1.0 - rules.cold_from) * (now - w.ready_at) as f64 / rules.warm_after as f64;
             let sends = self.cold.entry(worker).or_default();
             sends.push(now);
-            let recent = sends.iter().filter(|t| **t + rules.tip_window > now).count() as f64;
+            let recent = sends
+                .iter()
+                .filter(|t| **t + rules.tip_window > now)
+                .count() as f64;
             let n = self.settings.dispatchers.max(1) as f64;
             let budget = rules.tip_multiple * warmth * 8.0 * rules.tip_window as f64 / n;
             // Runs here may turn out far shorter, and the module learns that: among few dispatchers the 8 slots
             // leave room for it. Small parts are checked in `a_small_part_of_a_cold_budget_is_saved_up`.
-            assert!(n > 5.0 || recent * 300_000.0 <= budget, "{recent} sends to a cold worker");
+            assert!(
+                n > 5.0 || recent * 300_000.0 <= budget,
+                "{recent} sends to a cold worker"
+            );
         }
         let r = self.requests.get_mut(&request).expect("known");
-        r.attempts.push(AttemptNo { worker, sent: now, status: None });
+        r.attempts.push(AttemptNo {
+            worker,
+            sent: now,
+            status: None,
+        });
     }
 
     /// The n-th attempt that is out, counted round.
     fn pick(&self, n: usize) -> Option<(RequestId, u32)> {
         let out = |(id, r): (&RequestId, &Asked)| -> Vec<(RequestId, u32)> {
-            let open = r.attempts.iter().enumerate().filter(|(_, a)| a.status.is_none());
+            let open = r
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, a)| a.status.is_none());
             open.map(|(i, _)| (*id, i as u32)).collect()
         };
         let all: Vec<_> = self.requests.iter().flat_map(out).collect();
-        if all.is_empty() { None } else { Some(all[n % all.len()]) }
+        if all.is_empty() {
+            None
+        } else {
+            Some(all[n % all.len()])
+        }
     }
 
     fn end(&mut self, id: RequestId, attempt: u32, status: Status) {
@@ -219,7 +308,13 @@
         }
         let closed = r.over;
         self.idle.insert(r.attempts[attempt as usize].worker);
-        self.stage.event(Event::Outcome { request: id, attempt, status, closed, load: None });
+        self.stage.event(Event::Outcome {
+            request: id,
+            attempt,
+            status,
+            closed,
+            load: None,
+        });
         self.check();
     }
 
@@ -229,13 +324,22 @@
         loop {
             let due = |r: &Asked| r.deadline.max(1);
             let out = |r: &Asked| r.attempts.iter().any(|a| a.status.is_none());
-            let next = self.requests.iter().filter(|(_, r)| out(r)).map(|(id, r)| (due(r), *id)).min();
+            let next = self
+                .requests
+                .iter()
+                .filter(|(_, r)| out(r))
+                .map(|(id, r)| (due(r), *id))
+                .min();
             let timer = self.stage.timer.filter(|t| t.0 <= end);
             match (next.filter(|n| n.0 <= end), timer) {
                 (Some((at, id)), timer) if timer.is_none_or(|t| at <= t.0) => {
                     self.stage.now = self.stage.now.max(at);
                     let r = &self.requests[&id];
-                    let n = r.attempts.iter().position(|a| a.status.is_none()).expect("one is out");
+                    let n = r
+                        .attempts
+                        .iter()
+                        .position(|a| a.status.is_none())
+                        .expect("one is out");
                     self.end(id, n as u32, Status::Timeout);
                 }
                 (_, Some((at, name))) => {
@@ -263,9 +367,23 @@
                 self.next += 1;
                 let (deadline, attempts) = (self.stage.now + left, Vec::new());
                 self.taken.push(self.stage.now);
-                self.requests.insert(id, Asked { class, deadline, attempts, over: false, finals: 0 });
+                self.requests.insert(
+                    id,
+                    Asked {
+                        class,
+                        deadline,
+                        attempts,
+                        over: false,
+                        finals: 0,
+                    },
+                );
                 let estimate = Some(300 * MS);
-                let r = Request { left, slots, estimate, ..request(id, class) };
+                let r = Request {
+                    left,
+                    slots,
+                    estimate,
+                    ..request(id, class)
+                };
                 self.stage.event(Event::Request(r));
                 self.check();
             }
@@ -281,13 +399,26 @@
                 }
             }
             Step::Pass(time) => self.pass(time),
-            Step::Drain(w) => self.tell(Entry { state: WorkerState::Leaving, ..self.listed[&w].clone() }),
-            Step::Drop(w) => self.tell(Entry { state: WorkerState::Left, ..self.listed[&w].clone() }),
-            Step::Return(w) => self.tell(Entry { state: WorkerState::Active, ..self.listed[&w].clone() }),
+            Step::Drain(w) => self.tell(Entry {
+                state: WorkerState::Leaving,
+                ..self.listed[&w].clone()
+            }),
+            Step::Drop(w) => self.tell(Entry {
+                state: WorkerState::Left,
+                ..self.listed[&w].clone()
+            }),
+            Step::Return(w) => self.tell(Entry {
+                state: WorkerState::Active,
+                ..self.listed[&w].clone()
+            }),
             Step::Restart(w) => {
                 let ready_at = self.stage.now;
                 self.cold.remove(&w);
-                self.tell(Entry { state: WorkerState::Active, ready_at, ..self.listed[&w].clone() });
+                self.tell(Entry {
+                    state: WorkerState::Active,
+                    ready_at,
+                    ..self.listed[&w].clone()
+                });
             }
             Step::FullList => {
                 let active = |e: &&Entry| e.state == WorkerState::Active;
@@ -311,7 +442,11 @@
             }
             Step::Probe(worker) => {
                 self.idle.insert(worker);
-                self.stage.event(Event::Probed { worker, status: Status::Ok, load: None });
+                self.stage.event(Event::Probed {
+                    worker,
+                    status: Status::Ok,
+                    load: None,
+                });
                 self.check();
             }
             Step::ListFails => {
@@ -319,7 +454,12 @@
                 self.check();
             }
             Step::Gone(n) => {
-                let ids: Vec<_> = self.requests.iter().filter(|(_, r)| !r.over).map(|(id, _)| *id).collect();
+                let ids: Vec<_> = self
+                    .requests
+                    .iter()
+                    .filter(|(_, r)| !r.over)
+                    .map(|(id, _)| *id)
+                    .collect();
                 if !ids.is_empty() {
                     let id = ids[n % ids.len()];
                     let r = self.requests.get_mut(&id).expect("known");
@@ -347,27 +487,54 @@
 fn further_rules() -> impl Strategy<Value = (Option<ResendBudget>, Option<Time>, bool)> {
     let window = prop_oneof![Just(None), (SEC..10 * SEC).prop_map(Some)];
     let budget = (0.0..4.0, 0.0..0.5, window);
-    let budget = budget.prop_map(|(free, ratio, window)| ResendBudget { free, ratio, window });
-    (prop::option::of(budget), prop::option::of(0..SEC), any::<bool>())
+    let budget = budget.prop_map(|(free, ratio, window)| ResendBudget {
+        free,
+        ratio,
+        window,
+    });
+    (
+        prop::option::of(budget),
+        prop::option::of(0..SEC),
+        any::<bool>(),
+    )
 }
 
 fn any_settings() -> impl Strategy<Value = Settings> {
-    (0u32..6, any::<bool>(), any::<bool>(), 0u32..5, any::<bool>(), any::<bool>()).prop_map(
-        |(dispatchers, duplicates, cancel, attempts, pushed, priced)| {
-            let mut s = settings();
-            // None at all, few, or more than workers, with and without reports, messages and shares.
-            s.dispatchers = if dispatchers == 5 { 60 } else { dispatchers };
-            s.me = dispatchers;
-            s.reports = if pushed { Reports::OnProbe } else { Reports::WithOutcomes };
-            s.limits.peers = priced;
-            s.tenants = vec![Tenant { quota_per_s: 0.0, fraction: 0.0 }; usize::from(priced)];
-            s.list_pushed = pushed;
-            s.charges.cross_zone = if priced { 0.1 } else { 0.0 };
-            s.classes[0].late_worth = if priced { 0.0 } else { 0.3 };
-            (s.limits.duplicates, s.limits.cancel, s.limits.attempts) = (duplicates, cancel, attempts);
-            s
-        },
+    (
+        0u32..6,
+        any::<bool>(),
+        any::<bool>(),
+        0u32..5,
+        any::<bool>(),
+        any::<bool>(),
     )
+        .prop_map(
+            |(dispatchers, duplicates, cancel, attempts, pushed, priced)| {
+                let mut s = settings();
+                // None at all, few, or more than workers, with and without reports, messages and shares.
+                s.dispatchers = if dispatchers == 5 { 60 } else { dispatchers };
+                s.me = dispatchers;
+                s.reports = if pushed {
+                    Reports::OnProbe
+                } else {
+                    Reports::WithOutcomes
+                };
+                s.limits.peers = priced;
+                s.tenants = vec![
+                    Tenant {
+                        quota_per_s: 0.0,
+                        fraction: 0.0
+                    };
+                    usize::from(priced)
+                ];
+                s.list_pushed = pushed;
+                s.charges.cross_zone = if priced { 0.1 } else { 0.0 };
+                s.classes[0].late_worth = if priced { 0.0 } else { 0.3 };
+                (s.limits.duplicates, s.limits.cancel, s.limits.attempts) =
+                    (duplicates, cancel, attempts);
+                s
+            },
+        )
 }
 
 proptest! {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -9,9 +9,16 @@
 
 fn boot(session: &mut Session, extra: &[&str]) -> Result<String, String> {
     let boot = format!("BOOT randomSeed=77 env={ENV}");
-    let mut lines = vec!["TICK wall=1000", "INSTANCE who=3", &boot, "REGISTRY scope=C index=1 hosts=2"];
+    let mut lines = vec![
+        "TICK wall=1000",
+        "INSTANCE who=3",
+        &boot,
+        "REGISTRY scope=C index=1 hosts=2",
+    ];
     lines.push("ROW worker=11 dc=b machine=k0 stripe=0 stageState=active powerHint=1");
-    lines.push("ROW worker=4000000000 dc=a machine=k1 stripe=1 stageState=active powerHint=1.5 readyAt=5");
+    lines.push(
+        "ROW worker=4000000000 dc=a machine=k1 stripe=1 stageState=active powerHint=1.5 readyAt=5",
+    );
     lines.extend(extra);
     feed(session, &lines)
 }
@@ -29,26 +36,47 @@
 #[test]
 fn empty_batches_are_answered() {
     let mut s = Session::new();
-    assert_eq!(feed(&mut s, &["TICK wall=5", "EOB", "TICK wall=6", "EOB"]).as_deref(), Ok("OK\nOK\n"));
+    assert_eq!(
+        feed(&mut s, &["TICK wall=5", "EOB", "TICK wall=6", "EOB"]).as_deref(),
+        Ok("OK\nOK\n")
+    );
     assert!(s.finish().is_ok());
 }
 
 #[test]
 fn a_request_goes_out_comes_back_and_ids_return_unaltered() {
     let mut s = Session::new();
-    let reply =
-        boot(&mut s, &["ACCEPT requestId=c:zq7 type=read realm=t0 left=6000000 needs=1 mem=0.5", "EOB"]);
+    let reply = boot(
+        &mut s,
+        &[
+            "ACCEPT requestId=c:zq7 type=read realm=t0 left=6000000 needs=1 mem=0.5",
+            "EOB",
+        ],
+    );
     let reply = reply.expect("legal");
     assert!(reply.starts_with("FOR who=3\nSET_TIMER when="), "{reply}");
-    assert!(reply.contains("KEEP_INFORMED enable=1\n") && reply.ends_with("OK\n"), "{reply}");
-    let line = reply.lines().find(|l| l.starts_with("ASSIGN requestId=c:zq7 worker=")).expect("sent");
+    assert!(
+        reply.contains("KEEP_INFORMED enable=1\n") && reply.ends_with("OK\n"),
+        "{reply}"
+    );
+    let line = reply
+        .lines()
+        .find(|l| l.starts_with("ASSIGN requestId=c:zq7 worker="))
+        .expect("sent");
     let worker = line.rsplit('=').next().expect("a worker");
     assert!(worker == "11" || worker == "4000000000");
     let start = format!("HINT_UPDATE requestId=c:zq7 trial=0 worker={worker} what=1");
     let end = format!(
         "RESOLVED requestId=c:zq7 trial=0 worker={worker} result=S timeTaken=9 over=1 feedback=served_ps:1,x0:2"
     );
-    let lines = ["TICK wall=2000", "INSTANCE who=3", &start, &end, "DROPPED requestId=c:zq7", "EOB"];
+    let lines = [
+        "TICK wall=2000",
+        "INSTANCE who=3",
+        &start,
+        &end,
+        "DROPPED requestId=c:zq7",
+        "EOB",
+    ];
     assert_eq!(feed(&mut s, &lines).as_deref(), Ok("OK\n"));
 }
 
@@ -56,13 +84,30 @@
 fn refusals_and_failures_are_written_with_their_words() {
     let mut s = Session::new();
     let lines = ["ACCEPT requestId=c:a type=pay left=0", "EOB"];
-    assert!(boot(&mut s, &lines).expect("legal").contains("PUSH_BACK requestId=c:a\n"));
-    let lines = ["TICK wall=2000", "INSTANCE who=3", "ACCEPT requestId=c:b type=pay left=5000000", "EOB"];
+    assert!(
+        boot(&mut s, &lines)
+            .expect("legal")
+            .contains("PUSH_BACK requestId=c:a\n")
+    );
+    let lines = [
+        "TICK wall=2000",
+        "INSTANCE who=3",
+        "ACCEPT requestId=c:b type=pay left=5000000",
+        "EOB",
+    ];
     let reply = feed(&mut s, &lines).expect("legal");
-    let worker = reply.lines().find_map(|l| l.strip_prefix("ASSIGN requestId=c:b worker=")).expect("sent");
-    let end = format!("RESOLVED requestId=c:b trial=0 worker={worker} result=E timeTaken=9 feedback=-");
+    let worker = reply
+        .lines()
+        .find_map(|l| l.strip_prefix("ASSIGN requestId=c:b worker="))
+        .expect("sent");
+    let end =
+        format!("RESOLVED requestId=c:b trial=0 worker={worker} result=E timeTaken=9 feedback=-");
     let lines = ["TICK wall=3000", "INSTANCE who=3", &end, "EOB"];
-    assert!(feed(&mut s, &lines).expect("legal").contains("SURRENDER requestId=c:b\n"));
+    assert!(
+        feed(&mut s, &lines)
+            .expect("legal")
+            .contains("SURRENDER requestId=c:b\n")
+    );
 }
 
 #[test]
@@ -83,9 +128,19 @@
         "EOB",
     ];
     let reply = feed(&mut s, &lines).expect("legal");
-    assert_eq!(reply.matches("PUSH_BACK requestId=c:a").count(), 1, "{reply}");
+    assert_eq!(
+        reply.matches("PUSH_BACK requestId=c:a").count(),
+        1,
+        "{reply}"
+    );
     assert_eq!(reply.matches("FOR who=").count(), 1, "{reply}");
-    assert_eq!(s.take_notes().iter().filter(|n| n.contains("not started")).count(), 2);
+    assert_eq!(
+        s.take_notes()
+            .iter()
+            .filter(|n| n.contains("not started"))
+            .count(),
+        2
+    );
 }
 
 #[test]
@@ -112,14 +167,26 @@
         ("ACCEPT requestId=c:a type=read left=soon", "integer"),
         ("ACCEPT requestId=c:a type=read left=5 needs=NaN", "number"),
         ("ACCEPT requestId", "name=value"),
-        ("RESOLVED requestId=c:a trial=0 worker=1 result=Q timeTaken=1", "result"),
-        ("RESOLVED requestId=c:a trial=-1 worker=1 result=S timeTaken=1", "trial"),
-        ("RESOLVED requestId=c:a trial=0 worker=1 result=S timeTaken=1 feedback=x0", "feedback"),
+        (
+            "RESOLVED requestId=c:a trial=0 worker=1 result=Q timeTaken=1",
+            "result",
+        ),
+        (
+            "RESOLVED requestId=c:a trial=-1 worker=1 result=S timeTaken=1",
+            "trial",
+        ),
+        (
+            "RESOLVED requestId=c:a trial=0 worker=1 result=S timeTaken=1 feedback=x0",
+            "feedback",
+        ),
         ("DUE name=-3", "whole number"),
         ("ECHO result=S timeTaken=1", "worker"),
         ("MAIL originPeer=1 content=%%%", "base64"),
         ("REGISTRY scope=Z index=1 hosts=0", "scope"),
-        ("ROW worker=1 dc=a machine=k0 stripe=0 stageState=active", "ROW outside"),
+        (
+            "ROW worker=1 dc=a machine=k0 stripe=0 stageState=active",
+            "ROW outside",
+        ),
         ("HINT_UPDATE requestId=c:a trial=0 worker=1", "what"),
         ("BOOT randomSeed=1 env={", "JSON"),
         ("BOOT randomSeed=1 env={}", "lack"),
@@ -128,11 +195,18 @@
     ] {
         let mut s = Session::new();
         let error = boot(&mut s, &[line]).expect_err(line);
-        assert!(error.starts_with("line 7: ") && error.contains(what), "{line}: {error}");
+        assert!(
+            error.starts_with("line 7: ") && error.contains(what),
+            "{line}: {error}"
+        );
     }
     let mut s = Session::new();
-    let error = boot(&mut s, &["REGISTRY scope=F index=2 hosts=2", "DUE name=1"]).expect_err("rows missing");
-    assert!(error.starts_with("line 8: ") && error.contains("ROW"), "{error}");
+    let error = boot(&mut s, &["REGISTRY scope=F index=2 hosts=2", "DUE name=1"])
+        .expect_err("rows missing");
+    assert!(
+        error.starts_with("line 8: ") && error.contains("ROW"),
+        "{error}"
+    );
     for line in ["EOB", "INSTANCE who=1", "DUE name=1"] {
         let error = feed(&mut Session::new(), &[line]).expect_err(line);
         assert!(error.contains("outside a batch"), "{error}");
@@ -168,11 +242,17 @@
     for (input, what) in [
         ("TICK wall=1\n", "line 1: input ended inside a batch"),
         ("TICK wall=1\nEOB\nEOB\n", "line 3: EOB outside a batch"),
-        ("TICK wall=x\n", "line 1: TICK: field 'wall' must be an integer"),
+        (
+            "TICK wall=x\n",
+            "line 1: TICK: field 'wall' must be an integer",
+        ),
     ] {
         let out = adapter(input);
         let err = String::from_utf8_lossy(&out.stderr).to_string();
-        assert!(!out.status.success() && err.lines().count() == 1 && err.contains(what), "{input}: {err}");
+        assert!(
+            !out.status.success() && err.lines().count() == 1 && err.contains(what),
+            "{input}: {err}"
+        );
     }
 }
 
@@ -197,7 +277,10 @@
 #[test]
 fn peer_messages_are_read_as_they_are_written() {
     let mut s = Session::new();
-    let env = ENV.replace(r#""mayDuplicate":true"#, r#""mayDuplicate":true,"peers":true"#);
+    let env = ENV.replace(
+        r#""mayDuplicate":true"#,
+        r#""mayDuplicate":true,"peers":true"#,
+    );
     let boot = format!("BOOT randomSeed=77 env={env}");
     let lines = [
         "TICK wall=1000",
@@ -215,7 +298,10 @@
         "EOB",
     ];
     let reply = feed(&mut s, &lines).expect("legal");
-    assert!(reply.contains("SAY neighbourId=-1 content=AChr7gE=\n"), "{reply}");
+    assert!(
+        reply.contains("SAY neighbourId=-1 content=AChr7gE=\n"),
+        "{reply}"
+    );
 }
 
 /// Legal lines of every message, to be damaged below.
@@ -271,7 +357,10 @@
     let with = |extra: &str| {
         let env = ENV.replace("\"overloadFor\"", &format!("{extra}\"overloadFor\""));
         let boot = format!("BOOT randomSeed=77 env={env}");
-        feed(&mut Session::new(), &["TICK wall=1000", "INSTANCE who=3", &boot, "EOB"])
+        feed(
+            &mut Session::new(),
+            &["TICK wall=1000", "INSTANCE who=3", &boot, "EOB"],
+        )
     };
     for right in [
         "",
@@ -292,14 +381,20 @@
         ("fullMayHaveRun", "1"),
     ] {
         let error = with(&format!("\"{key}\":{wrong},")).expect_err(key);
-        assert!(error.starts_with("line 3: ") && error.contains(key) && !error.contains('\n'), "{error}");
+        assert!(
+            error.starts_with("line 3: ") && error.contains(key) && !error.contains('\n'),
+            "{error}"
+        );
     }
 }
 
 #[test]
 fn a_budget_on_the_wire_binds_and_connections_to_a_draining_worker_are_closed() {
     let further = "\"freeResends\":0,\"letGoIn\":800000,\"fullMayHaveRun\":true,\"overloadFor\"";
-    let boot = format!("BOOT randomSeed=77 env={}", ENV.replace("\"overloadFor\"", further));
+    let boot = format!(
+        "BOOT randomSeed=77 env={}",
+        ENV.replace("\"overloadFor\"", further)
+    );
     let mut s = Session::new();
     let row = "ROW worker=11 dc=b machine=k0 stripe=0 powerHint=1 stageState=";
     let lines = [
@@ -311,10 +406,29 @@
         "ACCEPT requestId=c:a type=read realm=t0 left=6000000",
         "EOB",
     ];
-    assert!(feed(&mut s, &lines).expect("legal").contains("ASSIGN requestId=c:a worker=11\n"));
+    assert!(
+        feed(&mut s, &lines)
+            .expect("legal")
+            .contains("ASSIGN requestId=c:a worker=11\n")
+    );
     let end = "RESOLVED requestId=c:a trial=0 worker=11 result=F timeTaken=9";
-    let lines = ["TICK wall=2000", "INSTANCE who=3", "REGISTRY scope=D index=2 hosts=1"];
-    let reply = feed(&mut s, &[&lines[..], &[&format!("{row}leaving"), end, "EOB"]].concat()).expect("legal");
-    assert_eq!(reply.matches("DISCONNECT worker=11\n").count(), 1, "after the outcome");
-    assert!(reply.contains("PUSH_BACK requestId=c:a\n") && !reply.contains("ASSIGN"), "{reply}");
+    let lines = [
+        "TICK wall=2000",
+        "INSTANCE who=3",
+        "REGISTRY scope=D index=2 hosts=1",
+    ];
+    let reply = feed(
+        &mut s,
+        &[&lines[..], &[&format!("{row}leaving"), end, "EOB"]].concat(),
+    )
+    .expect("legal");
+    assert_eq!(
+        reply.matches("DISCONNECT worker=11\n").count(),
+        1,
+        "after the outcome"
+    );
+    assert!(
+        reply.contains("PUSH_BACK requestId=c:a\n") && !reply.contains("ASSIGN"),
+        "{reply}"
+    );
 }
