--- a/crates/control-plane/src/driver/start.rs
+++ b/crates/control-plane/src/driver/start.rs
@@ -37,14 +37,14 @@
         needed: "a folder on its disk",
     })?;
     let opened = open(directory).await;
-    if let Some(aside) = &opened.set_aside {
+    if let Some(aside) = &opened.quarantined {
         log::error!(
             "the database is set aside as {}: {}",
             aside.path.display(),
             aside.reason
         );
     }
-    if opened.has_forgotten && settings.bootstrap {
+    if opened.has_quarantined && settings.bootstrap {
         log::warn!(
             "`bootstrap` is passed over: a database was set aside here, so this is no first start"
         );
@@ -69,7 +69,7 @@
     };
     let mut node_settings = node_settings(settings)?;
     // A member that has forgotten what it had promised must not vote as one that never promised anything.
-    node_settings.bootstrap &= !opened.has_forgotten;
+    node_settings.bootstrap &= !opened.has_quarantined;
     Ok((Node::new(node_settings, opened.durable, clocks), requests))
 }
 
@@ -172,13 +172,13 @@
 /// The figures that the scheduler keeps to.
 fn scheduler_bounds(bounds: &indigofold_settings::Bounds) -> indigofold_scheduler::Bounds {
     indigofold_scheduler::Bounds {
-        max_hold_ms: bounds.max_hold_ms as u64,
+        max_lease_ms: bounds.max_hold_ms as u64,
         stop_ms: bounds.stop_ms as u64,
         gang_ms: bounds.gang_ms as u64,
         cancel_ms: bounds.cancel_ms as u64,
         status_s: bounds.status_s as u64,
-        far_x: bounds.far_x,
-        save_s: bounds.save_s as u64,
-        restore_ms: bounds.restore_ms as u64,
+        remote_slowdown: bounds.far_x,
+        checkpoint_interval_s: bounds.save_s as u64,
+        resume_cost_ms: bounds.restore_ms as u64,
     }
 }
--- a/crates/control-plane/src/head.rs
+++ b/crates/control-plane/src/head.rs
@@ -4,7 +4,7 @@
 use crate::sessions::ConnectionId;
 use crate::storage_thread::KeyValue;
 use indigofold_protocol::config::Config;
-use indigofold_protocol::internal::{ClientReply, CompanionOrders};
+use indigofold_protocol::internal::{AgentOrders, ClientReply};
 use indigofold_replication::RowChange;
 use indigofold_scheduler::{Bounds, Effect, Event, LateEnd, RowError, Scheduler, WriteId};
 use snafu::{ResultExt, Snafu};
@@ -26,7 +26,7 @@
     /// Write these rows; the ticket's fate is to be told to [`Head::committed`].
     Submit {
         /// Number of the write.
-        ticket: u64,
+        write_id: u64,
         /// The rows.
         changes: Vec<RowChange>,
     },
@@ -42,7 +42,7 @@
         /// Its connection.
         to: ConnectionId,
         /// The orders.
-        orders: CompanionOrders,
+        orders: AgentOrders,
     },
     /// Answer the operator.
     Answer {
@@ -88,9 +88,9 @@
 #[derive(Debug)]
 pub struct Unsettled {
     /// Where a later head goes on counting.
-    pub next_ticket: u64,
+    pub next_write_id: u64,
     /// Writes whose fate is open.
-    pub tickets: Vec<u64>,
+    pub write_ids: Vec<u64>,
 }
 
 /// The acting head's state.
@@ -98,15 +98,15 @@
     scheduler: Scheduler,
     authority: ConfigAuthority,
     writers: HashMap<u64, Writer>,
-    next_ticket: u64,
+    next_write_id: u64,
 }
 
 impl Head {
-    /// The head of view `epoch`, from all rows on disk. Tickets of its writes are counted from `first_ticket`.
+    /// The head of view `epoch`, from all rows on disk. Tickets of its writes are counted from `first_write_id`.
     pub fn load(
         bounds: Bounds,
         epoch: u64,
-        first_ticket: u64,
+        first_write_id: u64,
         clocks: Clocks,
         rows: Vec<KeyValue>,
     ) -> Result<Self, HeadError> {
@@ -121,7 +121,7 @@
             scheduler,
             authority,
             writers: HashMap::new(),
-            next_ticket: first_ticket,
+            next_write_id: first_write_id,
         })
     }
 
@@ -151,8 +151,8 @@
                     reply,
                 },
                 Effect::Late(end) => HeadOutput::Late(end),
-                Effect::Orders { companion, orders } => HeadOutput::Orders {
-                    to: ConnectionId(companion.0),
+                Effect::Orders { agent, orders } => HeadOutput::Orders {
+                    to: ConnectionId(agent.0),
                     orders,
                 },
             };
@@ -174,8 +174,8 @@
     }
 
     /// A write is on the disks of the whole chain.
-    pub fn committed(&mut self, clocks: Clocks, ticket: u64, outputs: &mut Vec<HeadOutput>) {
-        match self.writers.remove(&ticket) {
+    pub fn committed(&mut self, clocks: Clocks, write_id: u64, outputs: &mut Vec<HeadOutput>) {
+        match self.writers.remove(&write_id) {
             Some(Writer::Scheduler(write)) => self.event(clocks, Event::Committed(write), outputs),
             Some(Writer::Config) => {
                 let mut effects = Vec::new();
@@ -187,8 +187,8 @@
     }
 
     /// Whether this is one of its writes whose fate is open.
-    pub fn waits_for(&self, ticket: u64) -> bool {
-        self.writers.contains_key(&ticket)
+    pub fn waits_for(&self, write_id: u64) -> bool {
+        self.writers.contains_key(&write_id)
     }
 
     /// Writes that are not committed yet.
@@ -208,8 +208,8 @@
         });
         outputs.extend(answers);
         Unsettled {
-            next_ticket: self.next_ticket,
-            tickets: self.writers.into_keys().collect(),
+            next_write_id: self.next_write_id,
+            write_ids: self.writers.into_keys().collect(),
         }
     }
 
@@ -261,9 +261,9 @@
     }
 
     fn submit(&mut self, writer: Writer, changes: Vec<RowChange>) -> HeadOutput {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
-        self.writers.insert(ticket, writer);
-        HeadOutput::Submit { ticket, changes }
+        let write_id = self.next_write_id;
+        self.next_write_id += 1;
+        self.writers.insert(write_id, writer);
+        HeadOutput::Submit { write_id, changes }
     }
 }
--- a/crates/control-plane/src/inspection/rows.rs
+++ b/crates/control-plane/src/inspection/rows.rs
@@ -124,7 +124,7 @@
     /// It is done.
     pub done: bool,
     /// Progress to resume from.
-    pub saved: String,
+    pub checkpoint: String,
     /// Outstanding run: index into `instances`, attempt.
     pub run: Option<(u32, u32)>,
 }
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -141,7 +141,7 @@
     replica_inputs: VecDeque<indigofold_replication::Input>,
     replica_busy: bool,
     home: Home,
-    next_ticket: u64,
+    next_write_id: u64,
     /// Writes of this member's last time as head whose fate is open.
     unsettled: BTreeSet<u64>,
     sessions: Sessions,
@@ -171,7 +171,7 @@
             replica_inputs: VecDeque::new(),
             replica_busy: false,
             home: Home::Elsewhere,
-            next_ticket: 1,
+            next_write_id: 1,
             unsettled: BTreeSet::new(),
             sessions: Sessions::default(),
             peers: Peers::new(settings.random_seed),
--- a/crates/control-plane/src/node/calls.rs
+++ b/crates/control-plane/src/node/calls.rs
@@ -5,11 +5,9 @@
 use crate::head::{Clocks, HeadOutput};
 use crate::operator::{OperatorAnswer, OperatorCall};
 use crate::sessions::ConnectionId;
-use indigofold_protocol::internal::{
-    ClientCall, ClientOutcome, ClientReply, CompanionReport, Frame,
-};
+use indigofold_protocol::internal::{AgentReport, ClientCall, ClientOutcome, ClientReply, Frame};
 use indigofold_replication::Input as ReplicaInput;
-use indigofold_scheduler::{CallerId, CompanionId, Event};
+use indigofold_scheduler::{AgentId, CallerId, Event};
 
 /// When a client is to come back that has met no acting head, in milliseconds.
 const RETRY_AFTER_MS: u64 = 200;
@@ -86,19 +84,14 @@
     }
 
     /// A companion reports; without a lease nobody answers it, so that it looks for the acting head.
-    pub(super) fn report(
-        &mut self,
-        clocks: Clocks,
-        connection: ConnectionId,
-        report: CompanionReport,
-    ) {
+    pub(super) fn report(&mut self, clocks: Clocks, connection: ConnectionId, report: AgentReport) {
         if self.acts(clocks.steady_ms) && self.sessions.get(connection).is_some() {
             self.sessions
                 .worker_reported(connection, report.instance.as_ref());
             self.scheduler_event(
                 clocks,
                 Event::Report {
-                    companion: CompanionId(connection.0),
+                    agent: AgentId(connection.0),
                     report,
                 },
             );
@@ -140,8 +133,8 @@
     pub(super) fn head_outputs(&mut self, clocks: Clocks, outputs: Vec<HeadOutput>) {
         for output in outputs {
             match output {
-                HeadOutput::Submit { ticket, changes } => {
-                    self.replica_input(clocks, ReplicaInput::Submit { ticket, changes });
+                HeadOutput::Submit { write_id, changes } => {
+                    self.replica_input(clocks, ReplicaInput::Submit { write_id, changes });
                 }
                 HeadOutput::Reply { to, reply } => {
                     self.sessions.call_replied(to);
--- a/crates/control-plane/src/node/connections.rs
+++ b/crates/control-plane/src/node/connections.rs
@@ -5,7 +5,7 @@
 use crate::sessions::ConnectionId;
 use indigofold_protocol::internal::{Frame, Hello, ProcessKind, Welcome};
 use indigofold_replication::{Input as ReplicaInput, message};
-use indigofold_scheduler::{CallerId, CompanionId, Event};
+use indigofold_scheduler::{AgentId, CallerId, Event};
 use snafu::{OptionExt, Snafu, ensure};
 use std::net::SocketAddr;
 
@@ -50,12 +50,12 @@
             return;
         };
         let event = match session.kind {
-            ProcessKind::Edge => Event::CallerGone(CallerId(connection.0)),
-            ProcessKind::Companion => Event::CompanionDisconnected(CompanionId(connection.0)),
+            ProcessKind::Edge => Event::CallerDisconnected(CallerId(connection.0)),
+            ProcessKind::Agent => Event::AgentDisconnected(AgentId(connection.0)),
             ProcessKind::Core => return,
         };
-        if self.is_head() && session.kind == ProcessKind::Companion {
-            log::info!("companion {} is no longer connected", session.node_name);
+        if self.is_head() && session.kind == ProcessKind::Agent {
+            log::info!("node agent {} is no longer connected", session.node_name);
         }
         self.scheduler_event(clocks, event);
     }
@@ -83,7 +83,7 @@
         let (name, sender) = match frame {
             Frame::Replication(_) => ("Replication", Some(ProcessKind::Core)),
             Frame::Call(_) => ("Call", Some(ProcessKind::Edge)),
-            Frame::Report(_) => ("Report", Some(ProcessKind::Companion)),
+            Frame::Report(_) => ("Report", Some(ProcessKind::Agent)),
             Frame::Reply(_) => ("Reply", None),
             Frame::Orders(_) => ("Orders", None),
             Frame::Inspected(_) => ("Inspected", None),
@@ -146,15 +146,9 @@
                 .into_iter()
                 .for_each(|member| self.peers.heard_from(clocks.steady_ms, member.internal));
         }
-        if kind == ProcessKind::Companion && matches!(self.home, Home::Here(_)) {
-            let companion = CompanionId(connection.0);
-            self.scheduler_event(
-                clocks,
-                Event::CompanionConnected {
-                    companion,
-                    node_name,
-                },
-            );
+        if kind == ProcessKind::Agent && matches!(self.home, Home::Here(_)) {
+            let agent = AgentId(connection.0);
+            self.scheduler_event(clocks, Event::AgentConnected { agent, node_name });
         }
     }
 
@@ -166,7 +160,7 @@
             .into_iter()
             .filter(|member| member.internal != own)
         {
-            self.replica_input(clocks, ReplicaInput::MemberSeen { address });
+            self.replica_input(clocks, ReplicaInput::MemberDiscovered { address });
         }
         self.welcome_due_ms = 0;
     }
--- a/crates/control-plane/src/node/home.rs
+++ b/crates/control-plane/src/node/home.rs
@@ -5,7 +5,7 @@
 use crate::storage_thread::{KeyValue, StorageAnswer, StorageRequest};
 use indigofold_protocol::internal::{Frame, ProcessKind};
 use indigofold_replication::{Input as ReplicaInput, Output as ReplicaOutput, message};
-use indigofold_scheduler::{CompanionId, Event};
+use indigofold_scheduler::{AgentId, Event};
 
 /// After a failed reading of its rows a head tries again after this time, in milliseconds.
 const LOAD_RETRY_MS: u64 = 200;
@@ -118,9 +118,9 @@
                     bytes_max,
                 }));
             }
-            ReplicaOutput::Committed { ticket } => self.committed(clocks, ticket),
-            ReplicaOutput::Aborted { ticket } | ReplicaOutput::Refused { ticket } => {
-                self.write_lost(clocks, ticket);
+            ReplicaOutput::Committed { write_id } => self.committed(clocks, write_id),
+            ReplicaOutput::Aborted { write_id } | ReplicaOutput::Refused { write_id } => {
+                self.write_lost(clocks, write_id);
             }
             ReplicaOutput::HeadGained { view } => self.head_gained(clocks, view),
             ReplicaOutput::HeadRenewed { view } => {
@@ -136,32 +136,32 @@
         }
     }
 
-    fn committed(&mut self, clocks: Clocks, ticket: u64) {
-        self.settled(ticket);
+    fn committed(&mut self, clocks: Clocks, write_id: u64) {
+        self.settled(write_id);
         let Home::Here(head) = &mut self.home else {
             return;
         };
         let mut outputs = Vec::new();
-        head.committed(clocks, ticket, &mut outputs);
+        head.committed(clocks, write_id, &mut outputs);
         self.head_outputs(clocks, outputs);
     }
 
     /// A write of this head will not be confirmed: what it has decided since may differ from what is kept. It begins
     /// anew from its rows, once the fate of its other writes is known.
-    fn write_lost(&mut self, clocks: Clocks, ticket: u64) {
-        if matches!(&self.home, Home::Here(head) if head.waits_for(ticket)) {
+    fn write_lost(&mut self, clocks: Clocks, write_id: u64) {
+        if matches!(&self.home, Home::Here(head) if head.waits_for(write_id)) {
             self.head_lost(clocks, "a write was not confirmed");
             self.home = Home::Loading {
                 view: self.replica.view(),
                 retry_ms: clocks.steady_ms + LOAD_RETRY_MS,
             };
         }
-        self.settled(ticket);
+        self.settled(write_id);
     }
 
     /// The fate of a write is known.
-    fn settled(&mut self, ticket: u64) {
-        self.unsettled.remove(&ticket);
+    fn settled(&mut self, write_id: u64) {
+        self.unsettled.remove(&write_id);
     }
 
     fn head_gained(&mut self, clocks: Clocks, view: u64) {
@@ -182,8 +182,8 @@
         let Home::Here(head) = home else { return };
         let mut outputs = Vec::new();
         let unsettled = head.end(&mut outputs);
-        self.next_ticket = unsettled.next_ticket;
-        self.unsettled.extend(unsettled.tickets);
+        self.next_write_id = unsettled.next_write_id;
+        self.unsettled.extend(unsettled.write_ids);
         self.head_outputs(clocks, outputs);
         // Calls without a reply may have been written: their edges learn of it by the end of the connection.
         let unsure = self
@@ -210,38 +210,37 @@
             return;
         }
         let count = rows.len();
-        let mut head =
-            match Head::load(self.settings.bounds, loaded, self.next_ticket, clocks, rows) {
-                Ok(head) => head,
-                Err(error) => {
-                    log::error!("the rows cannot be used to act as head of view {loaded}: {error}");
-                    return self.load_failed(clocks, loaded);
-                }
-            };
+        let mut head = match Head::load(
+            self.settings.bounds,
+            loaded,
+            self.next_write_id,
+            clocks,
+            rows,
+        ) {
+            Ok(head) => head,
+            Err(error) => {
+                log::error!("the rows cannot be used to act as head of view {loaded}: {error}");
+                return self.load_failed(clocks, loaded);
+            }
+        };
         log::info!("head of view {loaded}: {count} rows read");
         let mut outputs = Vec::new();
         head.begin(clocks, &mut outputs);
         self.home = Home::Here(Box::new(head));
         self.head_outputs(clocks, outputs);
-        for (companion, node_name) in self.companions() {
-            self.scheduler_event(
-                clocks,
-                Event::CompanionConnected {
-                    companion,
-                    node_name,
-                },
-            );
+        for (agent, node_name) in self.agents() {
+            self.scheduler_event(clocks, Event::AgentConnected { agent, node_name });
         }
     }
 
     /// Companions connected, with the names of their machines.
-    fn companions(&self) -> Vec<(CompanionId, String)> {
-        let companions = self
+    fn agents(&self) -> Vec<(AgentId, String)> {
+        let agents = self
             .sessions
             .iter()
-            .filter(|(_, session)| session.kind == ProcessKind::Companion);
-        companions
-            .map(|(connection, session)| (CompanionId(connection.0), session.node_name.clone()))
+            .filter(|(_, session)| session.kind == ProcessKind::Agent);
+        agents
+            .map(|(connection, session)| (AgentId(connection.0), session.node_name.clone()))
             .collect()
     }
 }
--- a/crates/control-plane/src/node/inspect.rs
+++ b/crates/control-plane/src/node/inspect.rs
@@ -110,7 +110,7 @@
     }
 
     fn member_status(&self, clocks: Clocks, work: Option<WorkStatus>) -> MemberStatus {
-        let mark = self.replica.stored_mark();
+        let viewstamp = self.replica.stored_viewstamp();
         let connected = |kind| self.sessions.iter().filter(|(_, s)| s.kind == kind).count() as u32;
         MemberStatus {
             version: env!("CARGO_PKG_VERSION").to_owned(),
@@ -122,12 +122,12 @@
             head: self.replica.head(clocks.steady_ms),
             acting: self.acts(clocks.steady_ms),
             stored: StoredState {
-                view: mark.view,
-                seq: mark.seq,
+                view: viewstamp.view,
+                seq: viewstamp.seq,
             },
             storage_failing: self.storage_failing,
             peers: self.peer_statuses(),
-            companions: connected(ProcessKind::Companion),
+            agents: connected(ProcessKind::Agent),
             edges: connected(ProcessKind::Edge),
             work,
         }
--- a/crates/control-plane/tests/cluster/world.rs
+++ b/crates/control-plane/tests/cluster/world.rs
@@ -84,7 +84,7 @@
     pub fn restart(&mut self, member: usize) {
         let opened = Storage::open(self.directories[member].path()).expect("a database");
         let mut settings = self.settings(member);
-        settings.bootstrap &= !opened.has_forgotten;
+        settings.bootstrap &= !opened.has_quarantined;
         let node = Node::new(settings, opened.durable, self.clocks());
         self.members[member] = Some(Member {
             node,
--- a/crates/control-plane/tests/inspection.rs
+++ b/crates/control-plane/tests/inspection.rs
@@ -5,12 +5,12 @@
 use indigofold_control_plane::inspection::{Room, Survey, WorkerAccount, job_report};
 use indigofold_protocol::inspection::{EndedJobs, JobInspection, RunInspection, TaskCounts, Wait};
 use indigofold_protocol::internal::{
-    ClientCall, ClientOperation, CompanionReport, FinishedRun, InstanceReport,
+    AgentReport, ClientCall, ClientOperation, FinishedRun, InstanceReport,
 };
 use indigofold_protocol::job::{JobSpec, JobState, Resources, Step};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use indigofold_protocol::worker::{RunEnd, WorkerState};
-use indigofold_scheduler::{Bounds, CallerId, CompanionId, Event};
+use indigofold_scheduler::{AgentId, Bounds, CallerId, Event};
 use rstest::rstest;
 use std::collections::BTreeMap;
 
@@ -54,9 +54,9 @@
     /// A head with a worker of four cores.
     fn with_worker() -> Bench {
         let mut bench = Bench::new();
-        let companion = CompanionId(7);
-        bench.event(Event::CompanionConnected {
-            companion,
+        let agent = AgentId(7);
+        bench.event(Event::AgentConnected {
+            agent,
             node_name: "side-1".to_owned(),
         });
         bench.worker = Some(InstanceReport {
@@ -65,14 +65,14 @@
             zone: "a".to_owned(),
             state: WorkerState::Ready,
             remaining_ms: None,
-            cold_remaining_ms: 0,
+            warmup_remaining_ms: 0,
             capacity: Resources {
                 cpu: 4_000,
                 mem_mb: 4_000,
                 gpu: 0,
             },
             labels: vec!["plain".to_owned()],
-            silent_ms: 0,
+            since_heartbeat_ms: 0,
             running: Some(Vec::new()),
             finished: Vec::new(),
             in_flight: Vec::new(),
@@ -84,14 +84,14 @@
     fn report(&mut self) {
         self.clocks.steady_ms += 1_000;
         self.clocks.wall_ms += 1_000;
-        let report = CompanionReport {
+        let report = AgentReport {
             sent_ms: self.clocks.steady_ms,
             instance: self.worker.clone(),
-            gone: Vec::new(),
+            ended_instances: Vec::new(),
             not_started: Vec::new(),
         };
         self.event(Event::Report {
-            companion: CompanionId(7),
+            agent: AgentId(7),
             report,
         });
     }
@@ -123,7 +123,7 @@
 
     fn commit(&mut self, outputs: Vec<HeadOutput>) {
         for output in outputs {
-            let HeadOutput::Submit { ticket, changes } = output else {
+            let HeadOutput::Submit { write_id, changes } = output else {
                 continue;
             };
             for change in changes {
@@ -133,7 +133,7 @@
                 };
             }
             let mut more = Vec::new();
-            self.head.committed(self.clocks, ticket, &mut more);
+            self.head.committed(self.clocks, write_id, &mut more);
             self.commit(more);
         }
     }
@@ -292,7 +292,7 @@
         number: 1,
         run,
         end: RunEnd::Done,
-        saved: String::new(),
+        checkpoint: String::new(),
     };
     bench.worker.as_mut().expect("a worker").finished.push(end);
     bench.report();
@@ -320,38 +320,38 @@
 #[test]
 fn a_second_run_of_a_task_is_told_and_takes_its_room() {
     let mut bench = Bench::with_worker();
-    let companion = CompanionId(8);
-    bench.event(Event::CompanionConnected {
-        companion,
+    let agent = AgentId(8);
+    bench.event(Event::AgentConnected {
+        agent,
         node_name: "side-2".to_owned(),
     });
     let other = bench.worker.clone().map(|worker| InstanceReport {
         id: "i-2".to_owned(),
         ..worker
     });
-    let heard = |bench: &mut Bench, companion, instance: &Option<InstanceReport>| {
+    let heard = |bench: &mut Bench, agent, instance: &Option<InstanceReport>| {
         bench.clocks.steady_ms += 200;
         bench.clocks.wall_ms += 200;
         let (sent_ms, instance) = (bench.clocks.steady_ms, instance.clone());
-        let report = CompanionReport {
+        let report = AgentReport {
             sent_ms,
             instance,
-            gone: Vec::new(),
+            ended_instances: Vec::new(),
             not_started: Vec::new(),
         };
-        bench.event(Event::Report { companion, report });
+        bench.event(Event::Report { agent, report });
     };
-    heard(&mut bench, companion, &other);
+    heard(&mut bench, agent, &other);
     bench.submit(job(vec![Step {
         speculative: true,
         ..step(1, 1_000)
     }]));
     let first = bench.inspect().steps[0].runs[0].instance.clone();
     let (lost, left, instance) = match first.as_str() {
-        "i-1" => (CompanionId(7), CompanionId(8), other),
-        _ => (CompanionId(8), CompanionId(7), bench.worker.clone()),
+        "i-1" => (AgentId(7), AgentId(8), other),
+        _ => (AgentId(8), AgentId(7), bench.worker.clone()),
     };
-    bench.event(Event::CompanionDisconnected(lost));
+    bench.event(Event::AgentDisconnected(lost));
     (0..10).for_each(|_| heard(&mut bench, left, &instance));
     let runs = bench.inspect().steps[0].runs.clone();
     assert_eq!(
--- a/crates/control-plane/tests/node.rs
+++ b/crates/control-plane/tests/node.rs
@@ -8,7 +8,7 @@
 use indigofold_control_plane::storage_thread::{StorageAnswer, StorageRequest, carry_out};
 use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, Question};
 use indigofold_protocol::internal::{
-    ClientCall, ClientOperation, ClientOutcome, CompanionOrders, Frame, Hello, MemberAddress,
+    AgentOrders, ClientCall, ClientOperation, ClientOutcome, Frame, Hello, MemberAddress,
     ProcessKind, Welcome,
 };
 use indigofold_protocol::task::JobId;
@@ -378,11 +378,11 @@
 /// Frames that their sender does not send, and those that cannot be read: the connection ends, and nothing else happens.
 #[rstest]
 #[case::a_call_before_hello(None, call_frame())]
-#[case::a_call_of_a_companion(Some(ProcessKind::Companion), call_frame())]
+#[case::a_call_of_a_companion(Some(ProcessKind::Agent), call_frame())]
 #[case::replication_of_an_edge(Some(ProcessKind::Edge), Frame::Replication(Vec::new()))]
 #[case::a_message_cut_short(Some(ProcessKind::Core), Frame::Replication(vec![1, 2, 3]))]
 #[case::a_message_too_long(Some(ProcessKind::Core), Frame::Replication(vec![0xff; 100_000]))]
-#[case::orders_for_the_head(Some(ProcessKind::Companion), orders_frame())]
+#[case::orders_for_the_head(Some(ProcessKind::Agent), orders_frame())]
 fn a_frame_that_cannot_be_trusted_ends_its_connection(
     #[case] kind: Option<ProcessKind>,
     #[case] frame: Frame,
@@ -437,13 +437,13 @@
 }
 
 fn orders_frame() -> Frame {
-    Frame::Orders(CompanionOrders {
+    Frame::Orders(AgentOrders {
         epoch: 99,
         echo_sent_ms: None,
         instance: String::new(),
         start: Vec::new(),
         stop: Vec::new(),
-        last_seen: None,
+        acknowledged_end: None,
     })
 }
 
--- a/crates/data-plane/src/companion/authority.rs
+++ b/crates/data-plane/src/agent/authority.rs
@@ -1,21 +1,21 @@
 //! Whether a companion may extend the worker's holds: only while an acting head has heard it recently.
 
-use indigofold_protocol::internal::{HOLD_AUTHORITY_MS, HOLD_MS};
+use indigofold_protocol::internal::{LEASE_AUTHORITY_MS, RUN_LEASE_MS};
 
 /// Right to extend holds, renewed by each answered report.
 #[derive(Debug)]
 pub struct Authority {
-    hold_ms: u64,
+    lease_ms: u64,
     first_sent_ms: Option<u64>,
     last_sent_ms: u64,
     answered_ms: Option<u64>,
 }
 
 impl Authority {
-    /// No report has been answered yet. `max_hold_ms`: longest hold that workers keep.
-    pub fn new(max_hold_ms: u64) -> Self {
+    /// No report has been answered yet. `max_lease_ms`: longest hold that workers keep.
+    pub fn new(max_lease_ms: u64) -> Self {
         Authority {
-            hold_ms: HOLD_MS.min(max_hold_ms),
+            lease_ms: RUN_LEASE_MS.min(max_lease_ms),
             first_sent_ms: None,
             last_sent_ms: 0,
             answered_ms: None,
@@ -40,24 +40,24 @@
     }
 
     /// The hold that an answer given now may carry.
-    pub fn hold_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn lease_ms(&self, now_ms: u64) -> Option<u64> {
         let answered_ms = self.answered_ms?;
-        (now_ms < answered_ms + HOLD_AUTHORITY_MS).then_some(self.hold_ms)
+        (now_ms < answered_ms + LEASE_AUTHORITY_MS).then_some(self.lease_ms)
     }
 
     /// A head has answered once, but so long ago that another one may have given this companion's work to others.
-    pub fn has_lapsed(&self, now_ms: u64) -> bool {
-        self.answered_ms.is_some() && self.hold_ms(now_ms).is_none()
+    pub fn has_expired(&self, now_ms: u64) -> bool {
+        self.answered_ms.is_some() && self.lease_ms(now_ms).is_none()
     }
 }
 
-/// When a hold of `hold_ms` given at `now_ms` has lapsed for certain, by this machine's clock. Workers count a hold from
+/// When a hold of `lease_ms` given at `now_ms` has lapsed for certain, by this machine's clock. Workers count a hold from
 /// when they sent the heartbeat, so the time that an answer takes does not add to it.
-pub fn lapsed_at_ms(now_ms: u64, hold_ms: u64) -> u64 {
-    now_ms + hold_ms * CLOCK_DRIFT_PERCENT / 100 + LAPSE_MARGIN_MS
+pub fn expires_by_ms(now_ms: u64, lease_ms: u64) -> u64 {
+    now_ms + lease_ms * CLOCK_DRIFT_PERCENT / 100 + EXPIRY_MARGIN_MS
 }
 
 /// A worker's clock may run 2% slow; its hold may last so much longer by ours, in percent.
 const CLOCK_DRIFT_PERCENT: u64 = 103;
 /// Time a worker may take to kill what has lapsed.
-const LAPSE_MARGIN_MS: u64 = 200;
+const EXPIRY_MARGIN_MS: u64 = 200;
--- a/crates/data-plane/src/companion/life.rs
+++ b/crates/data-plane/src/agent/life.rs
@@ -1,8 +1,8 @@
 //! One life of the worker: from its first heartbeat until it leaves, is replaced or falls silent for good.
 
-use super::authority::lapsed_at_ms;
+use super::authority::expires_by_ms;
 use super::runs::{HandOut, Room, RunTable};
-use indigofold_protocol::internal::{FinishedRun, HOLD_MS, InstanceReport, RunningRun};
+use indigofold_protocol::internal::{FinishedRun, InstanceReport, RUN_LEASE_MS, RunningRun};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::{Finished, Heartbeat, Running, WorkerState};
 
@@ -38,20 +38,20 @@
     /// It was told to be gone, and has come back.
     pub returned: bool,
     /// It has been silent until all its holds lapsed.
-    pub lapsed: bool,
+    pub expired: bool,
     /// It has sent `DELETE` without having drained first, and serves on for a while.
     pub leaving: bool,
     /// Its runs.
     pub runs: RunTable,
     /// Ends up to this number are on the head's disk.
-    pub last_seen: Option<u64>,
+    pub acknowledged_end: Option<u64>,
     /// Rises when the set of runs at work or one of their saved texts changes.
     pub lists_revision: u64,
     newest: Heartbeat,
     newest_seq: Option<u64>,
     heard_ms: u64,
     /// All holds given have lapsed at this time.
-    held_until_ms: u64,
+    leased_until_ms: u64,
     running: Vec<RunningRun>,
     finished: Vec<FinishedRun>,
 }
@@ -64,15 +64,15 @@
             id,
             standing: Standing::Untold,
             returned: false,
-            lapsed: false,
+            expired: false,
             leaving: false,
             runs: RunTable::default(),
-            last_seen: None,
+            acknowledged_end: None,
             lists_revision: 0,
             newest: Heartbeat::default(),
             newest_seq: None,
             heard_ms: started_ms,
-            held_until_ms: lapsed_at_ms(started_ms, HOLD_MS),
+            leased_until_ms: expires_by_ms(started_ms, RUN_LEASE_MS),
             running: Vec::new(),
             finished: Vec::new(),
         }
@@ -126,16 +126,16 @@
         }
     }
 
-    /// What the answer to the newest heartbeat orders; `hold_ms` is the hold that it carries.
-    pub fn hand_out(&mut self, now_ms: u64, hold_ms: Option<u64>) -> HandOut {
-        if let Some(hold_ms) = hold_ms {
-            self.held_until_ms = self.held_until_ms.max(lapsed_at_ms(now_ms, hold_ms));
+    /// What the answer to the newest heartbeat orders; `lease_ms` is the hold that it carries.
+    pub fn hand_out(&mut self, now_ms: u64, lease_ms: Option<u64>) -> HandOut {
+        if let Some(lease_ms) = lease_ms {
+            self.leased_until_ms = self.leased_until_ms.max(expires_by_ms(now_ms, lease_ms));
         }
         let ready = self.newest.state == WorkerState::Ready;
         let room = Room {
             capacity: self.newest.capacity,
             ready,
-            held: hold_ms.is_some(),
+            held: lease_ms.is_some(),
         };
         self.runs.hand_out(now_ms, self.newest.seq_no, room)
     }
@@ -147,18 +147,19 @@
 
     /// The head has these ends on disk.
     pub fn acknowledge(&mut self, number: u64) {
-        self.last_seen = self.last_seen.max(Some(number));
+        self.acknowledged_end = self.acknowledged_end.max(Some(number));
         self.finished.retain(|end| end.number > number);
     }
 
     /// When all that may run there has lapsed, if it stays silent.
     pub fn lapses_at_ms(&self) -> u64 {
-        self.held_until_ms.max(lapsed_at_ms(self.heard_ms, HOLD_MS))
+        self.leased_until_ms
+            .max(expires_by_ms(self.heard_ms, RUN_LEASE_MS))
     }
 
     /// Its account for the head; `lists`: with the runs at work.
     pub fn report(&self, now_ms: u64, lists: bool) -> InstanceReport {
-        let silent_ms = now_ms.saturating_sub(self.heard_ms);
+        let since_heartbeat_ms = now_ms.saturating_sub(self.heard_ms);
         InstanceReport {
             id: self.id.clone(),
             backend: self.newest.backend.clone(),
@@ -167,11 +168,14 @@
             remaining_ms: self
                 .newest
                 .remaining_ms
-                .map(|left| left.saturating_sub(silent_ms)),
-            cold_remaining_ms: self.newest.cold_remaining_ms.saturating_sub(silent_ms),
+                .map(|left| left.saturating_sub(since_heartbeat_ms)),
+            warmup_remaining_ms: self
+                .newest
+                .warmup_remaining_ms
+                .saturating_sub(since_heartbeat_ms),
             capacity: self.newest.capacity,
             labels: self.newest.labels.clone(),
-            silent_ms,
+            since_heartbeat_ms,
             running: lists.then(|| self.running.clone()),
             finished: self.finished.clone(),
             in_flight: self.runs.in_flight(),
@@ -180,7 +184,7 @@
 
     /// Ends that the head has not acknowledged, in the order of their numbers.
     fn unacknowledged(&self, listed: Vec<Finished>) -> Vec<FinishedRun> {
-        let seen = self.last_seen.unwrap_or(0);
+        let seen = self.acknowledged_end.unwrap_or(0);
         let fresh = listed.into_iter().filter(|end| end.0 > seen);
         let mut ends: Vec<FinishedRun> = fresh
             .filter_map(|end| {
@@ -192,7 +196,7 @@
                     number: end.0,
                     run,
                     end: end.3,
-                    saved: end.4,
+                    checkpoint: end.4,
                 })
             })
             .collect();
@@ -215,7 +219,7 @@
         };
         Some(RunningRun {
             run,
-            saved: item.2,
+            checkpoint: item.2,
             percent: item.3,
         })
     });
@@ -228,5 +232,5 @@
     before.len() == after.len()
         && pairs
             .into_iter()
-            .all(|(a, b)| a.run == b.run && a.saved == b.saved)
+            .all(|(a, b)| a.run == b.run && a.checkpoint == b.checkpoint)
 }
--- a/crates/data-plane/src/companion/mod.rs
+++ b/crates/data-plane/src/agent/mod.rs
@@ -7,14 +7,14 @@
 mod news;
 mod runs;
 
-pub use authority::lapsed_at_ms;
+pub use authority::expires_by_ms;
 pub use closed::CLOSED_MAX;
 pub use life::Life;
 pub use news::{GONE_MAX, NOT_STARTED_MAX};
 pub use runs::{MISFIT_MS, PASSES_MAX, STARTS_PER_ANSWER};
 
 use authority::Authority;
-use indigofold_protocol::internal::{CompanionOrders, CompanionReport, HOLD_MS, StartOrder};
+use indigofold_protocol::internal::{AgentOrders, AgentReport, RUN_LEASE_MS, StartOrder};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::{Heartbeat, HeartbeatReply, Start, Stop};
 use life::Standing;
@@ -57,7 +57,7 @@
 
 /// Events that an operator may want to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CompanionEvent {
+pub enum AgentEvent {
     /// A new life of the worker has registered.
     Registered(String),
     /// The worker has said that it leaves.
@@ -70,7 +70,7 @@
 
 /// One worker's account.
 #[derive(Debug)]
-pub struct Companion {
+pub struct Agent {
     started_ms: u64,
     authority: Authority,
     epoch: u64,
@@ -79,7 +79,7 @@
     stranger: Option<String>,
     /// Lives that were replaced or have left; late heartbeats of theirs mean nothing.
     ended: Vec<String>,
-    gone: Gone,
+    ended_instances: Gone,
     not_started: NotStarted,
     ordered_ms: Option<u64>,
     linked: bool,
@@ -87,20 +87,20 @@
     reported_ms: Option<u64>,
     /// Life, revision and time of the lists told last on this connection.
     lists_told: Option<(String, u64, u64)>,
-    events: Vec<CompanionEvent>,
+    events: Vec<AgentEvent>,
 }
 
-impl Companion {
+impl Agent {
     /// A companion that has heard nothing yet.
-    pub fn new(now_ms: u64, max_hold_ms: u64) -> Self {
-        Companion {
+    pub fn new(now_ms: u64, max_lease_ms: u64) -> Self {
+        Agent {
             started_ms: now_ms,
-            authority: Authority::new(max_hold_ms),
+            authority: Authority::new(max_lease_ms),
             epoch: 0,
             life: None,
             stranger: None,
             ended: Vec::new(),
-            gone: Gone::new(GONE_MAX),
+            ended_instances: Gone::new(GONE_MAX),
             not_started: NotStarted::new(NOT_STARTED_MAX),
             ordered_ms: None,
             linked: false,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// `PUT /instances/ID` has come in; [`Companion::answer`] follows. `None` if the heartbeat is not to be read.
+    /// `PUT /instances/ID` has come in; [`Agent::answer`] follows. `None` if the heartbeat is not to be read.
     pub fn hear(&mut self, now_ms: u64, id: &str, beat: Heartbeat) -> Option<Heard> {
         if !self.admit(now_ms, id, &beat) {
             return None;
@@ -141,14 +141,14 @@
             return BeatOutcome::Late;
         };
         let confirmed = life.standing == Standing::Confirmed;
-        let hold_ms = confirmed.then(|| self.authority.hold_ms(now_ms)).flatten();
+        let lease_ms = confirmed.then(|| self.authority.lease_ms(now_ms)).flatten();
         let in_flight = life.runs.in_flight();
-        let out = life.hand_out(now_ms, hold_ms);
-        let (last_seen, idle) = (life.last_seen, life.runs.is_empty());
+        let out = life.hand_out(now_ms, lease_ms);
+        let (acknowledged_end, idle) = (life.acknowledged_end, life.runs.is_empty());
         self.urgent |= life.runs.in_flight() != in_flight;
         Self::push_all(&mut self.not_started, &out.not_started);
         self.end_if_left();
-        BeatOutcome::Answered(self.reply(now_ms, hold_ms, last_seen, idle, out))
+        BeatOutcome::Answered(self.reply(now_ms, lease_ms, acknowledged_end, idle, out))
     }
 
     /// `DELETE /instances/ID`. A worker that was draining ends now. One that was not serves on for a while: what runs
@@ -161,7 +161,7 @@
         else {
             return;
         };
-        self.events.push(CompanionEvent::Left(id.to_owned()));
+        self.events.push(AgentEvent::Left(id.to_owned()));
         let withdrawn = life.runs.withdraw_all();
         if life.is_draining() || life.runs.is_empty() {
             self.end_life();
@@ -173,7 +173,7 @@
     }
 
     /// What the head tells.
-    pub fn orders(&mut self, now_ms: u64, orders: CompanionOrders) {
+    pub fn orders(&mut self, now_ms: u64, orders: AgentOrders) {
         if orders.epoch < self.epoch {
             return;
         }
@@ -186,13 +186,13 @@
             self.asked_for_stranger(orders.instance);
             return;
         };
-        if let Some(number) = orders.last_seen {
+        if let Some(number) = orders.acknowledged_end {
             life.acknowledge(number);
         }
         if orders.has_work() {
             self.ordered_ms = Some(now_ms);
         }
-        let in_doubt = life.lapsed || (life.returned && life.standing != Standing::Confirmed);
+        let in_doubt = life.expired || (life.returned && life.standing != Standing::Confirmed);
         let mut given_back = Vec::new();
         for order in orders.start {
             given_back.extend(take_start(life, order, in_doubt));
@@ -211,7 +211,7 @@
         self.linked = true;
         self.urgent = true;
         self.lists_told = None;
-        self.gone.reconnected();
+        self.ended_instances.reconnected();
         self.not_started.reconnected();
     }
 
@@ -221,23 +221,23 @@
     }
 
     /// Lets time pass; returns the report that is due now.
-    pub fn tick(&mut self, now_ms: u64) -> Option<CompanionReport> {
+    pub fn tick(&mut self, now_ms: u64) -> Option<AgentReport> {
         self.check_silence(now_ms);
         let due = self.report_due_ms().is_some_and(|due_ms| due_ms <= now_ms);
         due.then(|| self.report(now_ms))
     }
 
-    /// When [`Companion::tick`] is to be called next, at the latest.
+    /// When [`Agent::tick`] is to be called next, at the latest.
     pub fn next_tick_ms(&self) -> Option<u64> {
         let silence_ms = self
             .life
             .as_ref()
-            .filter(|life| !life.lapsed)
+            .filter(|life| !life.expired)
             .map(Life::lapses_at_ms);
         let stranger_ms = self
             .stranger
             .as_ref()
-            .map(|_| lapsed_at_ms(self.started_ms, HOLD_MS));
+            .map(|_| expires_by_ms(self.started_ms, RUN_LEASE_MS));
         [silence_ms, stranger_ms, self.report_due_ms()]
             .into_iter()
             .flatten()
@@ -245,7 +245,7 @@
     }
 
     /// What has happened since the last call, for the log.
-    pub fn take_events(&mut self) -> Vec<CompanionEvent> {
+    pub fn take_events(&mut self) -> Vec<AgentEvent> {
         std::mem::take(&mut self.events)
     }
 
@@ -259,21 +259,21 @@
         }
         match &mut self.life {
             Some(life) if life.is_late(beat.seq_no) => return false,
-            Some(life) if !life.lapsed => return true,
+            Some(life) if !life.expired => return true,
             Some(life) => {
-                life.lapsed = false;
+                life.expired = false;
                 life.returned = true;
                 life.standing = Standing::Untold;
-                self.events.push(CompanionEvent::Returned(id.to_owned()));
+                self.events.push(AgentEvent::Returned(id.to_owned()));
             }
             None => {
                 let mut life = Life::new(id.to_owned(), self.started_ms);
-                life.returned = self.gone.contains(&life.id);
+                life.returned = self.ended_instances.contains(&life.id);
                 self.life = Some(life);
-                self.events.push(CompanionEvent::Registered(id.to_owned()));
+                self.events.push(AgentEvent::Registered(id.to_owned()));
             }
         }
-        self.gone.remove(&id.to_owned());
+        self.ended_instances.remove(&id.to_owned());
         self.stranger.take_if(|stranger| stranger == id);
         (self.urgent, self.lists_told) = (true, None);
         self.ordered_ms = Some(now_ms);
@@ -283,8 +283,8 @@
     fn reply(
         &self,
         now_ms: u64,
-        hold_ms: Option<u64>,
-        last_seen: Option<u64>,
+        lease_ms: Option<u64>,
+        acknowledged_end: Option<u64>,
         idle: bool,
         out: HandOut,
     ) -> HeartbeatReply {
@@ -296,13 +296,13 @@
                 order.run.task.to_string(),
                 order.run.attempt,
                 order.spec,
-                order.saved,
+                order.checkpoint,
             )
         };
         HeartbeatReply {
-            hold_ms,
-            last_seen,
-            fence_token: (self.epoch > 0).then_some(self.epoch),
+            lease_ms,
+            acknowledged_end,
+            fencing_token: (self.epoch > 0).then_some(self.epoch),
             start: out.start.into_iter().map(start).collect(),
             stop: out
                 .stop
@@ -331,7 +331,10 @@
 
     /// The head knows a life at this machine that is not the present one.
     fn asked_for_stranger(&mut self, instance: String) {
-        if instance.is_empty() || self.ended.contains(&instance) || self.gone.contains(&instance) {
+        if instance.is_empty()
+            || self.ended.contains(&instance)
+            || self.ended_instances.contains(&instance)
+        {
             return;
         }
         match self.life {
@@ -346,7 +349,7 @@
         if self.ended.len() > GONE_MAX {
             self.ended.remove(0);
         }
-        self.gone.push(id);
+        self.ended_instances.push(id);
         self.urgent = true;
     }
 
@@ -379,7 +382,7 @@
     /// Without authority nothing is started: what the worker has not listed yet is withdrawn, since a head that heard
     /// nothing of this companion may have started it elsewhere.
     fn check_authority(&mut self, now_ms: u64) {
-        if !self.authority.has_lapsed(now_ms) {
+        if !self.authority.has_expired(now_ms) {
             return;
         }
         let withdrawn = self
@@ -392,24 +395,25 @@
 
     /// Tells of a life whose holds have all lapsed that it is gone.
     fn check_silence(&mut self, now_ms: u64) {
-        if self.stranger.is_some() && lapsed_at_ms(self.started_ms, HOLD_MS) <= now_ms {
-            self.gone.push(self.stranger.take().unwrap_or_default());
+        if self.stranger.is_some() && expires_by_ms(self.started_ms, RUN_LEASE_MS) <= now_ms {
+            self.ended_instances
+                .push(self.stranger.take().unwrap_or_default());
             self.urgent = true;
         }
         let Some(life) = self
             .life
             .as_mut()
-            .filter(|life| !life.lapsed && life.lapses_at_ms() <= now_ms)
+            .filter(|life| !life.expired && life.lapses_at_ms() <= now_ms)
         else {
             return;
         };
-        life.lapsed = true;
+        life.expired = true;
         let id = life.id.clone();
         let given_back = life.runs.withdraw_all();
         self.give_back(given_back);
-        self.gone.push(id.clone());
+        self.ended_instances.push(id.clone());
         self.urgent = true;
-        self.events.push(CompanionEvent::Silent(id));
+        self.events.push(AgentEvent::Silent(id));
     }
 
     fn report_due_ms(&self) -> Option<u64> {
@@ -419,7 +423,7 @@
         let Some(reported_ms) = self.reported_ms else {
             return Some(self.started_ms);
         };
-        let urgent = self.urgent || self.gone.pending() || self.not_started.pending();
+        let urgent = self.urgent || self.ended_instances.pending() || self.not_started.pending();
         Some(
             reported_ms
                 + if urgent {
@@ -430,11 +434,11 @@
         )
     }
 
-    fn report(&mut self, now_ms: u64) -> CompanionReport {
+    fn report(&mut self, now_ms: u64) -> AgentReport {
         self.urgent = false;
         self.reported_ms = Some(now_ms);
         self.authority.sent(now_ms);
-        let present = self.life.as_mut().filter(|life| !life.lapsed);
+        let present = self.life.as_mut().filter(|life| !life.expired);
         let instance = present.map(|life| {
             if life.standing == Standing::Untold {
                 life.standing = Standing::Told(now_ms);
@@ -445,11 +449,11 @@
             }
             life.report(now_ms, lists)
         });
-        let (gone, not_started) = (self.gone.tell(), self.not_started.tell());
-        CompanionReport {
+        let (ended_instances, not_started) = (self.ended_instances.tell(), self.not_started.tell());
+        AgentReport {
             sent_ms: now_ms,
             instance,
-            gone,
+            ended_instances,
             not_started,
         }
     }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data plane: the edge, which takes clients' calls, and the companion, which sits beside a worker. State machines
-//! without I/O ([`companion`], [`core_link`], [`edge`]) and the processes around them ([`serve`]).
+//! without I/O ([`agent`], [`core_link`], [`edge`]) and the processes around them ([`serve`]).
 
-pub mod companion;
+pub mod agent;
 pub mod core_link;
 pub mod edge;
 pub mod serve;
--- a/crates/data-plane/src/serve/companion_role.rs
+++ b/crates/data-plane/src/serve/agent_role.rs
@@ -2,7 +2,7 @@
 
 use super::error::{NoAddressSnafu, ServeError};
 use super::node::{Node, Role};
-use crate::companion::{BeatOutcome, Companion, CompanionEvent, Heard, ORDERS_WAIT_MS};
+use crate::agent::{Agent, AgentEvent, BeatOutcome, Heard, ORDERS_WAIT_MS};
 use futures_channel::oneshot;
 use futures_util::future::select;
 use indigofold_net::http::{self, HttpOptions, HttpRequest, HttpResponse, Method};
@@ -27,43 +27,43 @@
 /// After SIGTERM what is being answered is finished within this time.
 const LEAVING: Duration = Duration::from_millis(200);
 
-struct CompanionRole {
-    companion: Companion,
+struct AgentRole {
+    agent: Agent,
     /// The answer to a heartbeat that waits for orders.
     awaits_orders: Option<oneshot::Sender<()>>,
 }
 
-impl CompanionRole {
+impl AgentRole {
     fn log_events(&mut self) {
-        for event in self.companion.take_events() {
+        for event in self.agent.take_events() {
             match event {
-                CompanionEvent::Registered(id) => log::info!("worker {id} has registered"),
-                CompanionEvent::Left(id) => log::info!("worker {id} has left"),
-                CompanionEvent::Silent(id) => {
+                AgentEvent::Registered(id) => log::info!("worker {id} has registered"),
+                AgentEvent::Left(id) => log::info!("worker {id} has left"),
+                AgentEvent::Silent(id) => {
                     log::warn!("worker {id} is gone: silent until its holds lapsed")
                 }
-                CompanionEvent::Returned(id) => log::info!("worker {id} is heard again"),
+                AgentEvent::Returned(id) => log::info!("worker {id} is heard again"),
             }
         }
     }
 }
 
-impl Role for CompanionRole {
+impl Role for AgentRole {
     fn note(&mut self, _answered_ms: u64, _config_version: u64, _limits: Option<&IngressLimits>) {}
 
     fn attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
-        self.companion.link_up();
+        self.agent.link_up();
         Vec::new()
     }
 
     fn detached(&mut self, _now_ms: u64) {
-        self.companion.link_down();
+        self.agent.link_down();
     }
 
     fn received(&mut self, now_ms: u64, frame: Frame) {
         if let Frame::Orders(orders) = frame {
             let has_work = orders.has_work();
-            self.companion.orders(now_ms, orders);
+            self.agent.orders(now_ms, orders);
             if let Some(answer) = self.awaits_orders.take_if(|_| has_work) {
                 let _ = answer.send(());
             }
@@ -80,7 +80,7 @@
     }
 
     fn tick(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
-        let report = self.companion.tick(now_ms);
+        let report = self.agent.tick(now_ms);
         self.log_events();
         report
             .map(|report| Rc::new(Frame::Report(report)))
@@ -89,7 +89,7 @@
     }
 
     fn next_tick_ms(&self) -> Option<u64> {
-        self.companion.next_tick_ms()
+        self.agent.next_tick_ms()
     }
 }
 
@@ -101,12 +101,12 @@
         role: settings.role.clone(),
     })?;
     let mut signals = Signals::register()?;
-    let max_hold_ms = settings.bounds.max_hold_ms as u64;
-    let role = CompanionRole {
-        companion: Companion::new(steady_ms(), max_hold_ms),
+    let max_lease_ms = settings.bounds.max_hold_ms as u64;
+    let role = AgentRole {
+        agent: Agent::new(steady_ms(), max_lease_ms),
         awaits_orders: None,
     };
-    let node = Node::new(&settings, ProcessKind::Companion, role);
+    let node = Node::new(&settings, ProcessKind::Agent, role);
     let calls_node = node.clone();
     let options = HttpOptions {
         max_body_bytes: HEARTBEAT_BYTES_MAX,
@@ -119,7 +119,7 @@
     };
     let server = http::serve(address, options, take_call).await?;
     node.start();
-    log::info!("companion {} serves {address}", settings.node_name);
+    log::info!("node agent {} serves {address}", settings.node_name);
 
     super::until_terminated(&mut signals, &node).await;
     log::info!("told to end");
@@ -127,7 +127,7 @@
     Ok(())
 }
 
-async fn answer_worker(node: &Node<CompanionRole>, request: &HttpRequest) -> HttpResponse {
+async fn answer_worker(node: &Node<AgentRole>, request: &HttpRequest) -> HttpResponse {
     let id = request
         .path
         .strip_prefix(INSTANCES_PATH)
@@ -138,19 +138,19 @@
     match request.method {
         Method::PUT => answer_heartbeat(node, id, &request.body).await,
         Method::DELETE => {
-            node.with_role(|role| role.companion.delete(id));
+            node.with_role(|role| role.agent.delete(id));
             HttpResponse::json(200, "{}")
         }
         _ => refusal(405, "the method must be PUT or DELETE"),
     }
 }
 
-async fn answer_heartbeat(node: &Node<CompanionRole>, id: &str, body: &[u8]) -> HttpResponse {
+async fn answer_heartbeat(node: &Node<AgentRole>, id: &str, body: &[u8]) -> HttpResponse {
     let beat = match parse_heartbeat(body) {
         Ok(beat) => beat,
         Err(error) => return refusal(400, &error.to_string()),
     };
-    let heard = node.with_role(|role| role.companion.hear(steady_ms(), id, beat));
+    let heard = node.with_role(|role| role.agent.hear(steady_ms(), id, beat));
     let reply = match heard {
         Some(heard) => reply(node, id, heard).await,
         None => HeartbeatReply::default(),
@@ -159,18 +159,18 @@
 }
 
 /// The reply to a heartbeat that was taken in; it waits for orders that are expected.
-async fn reply(node: &Node<CompanionRole>, id: &str, heard: Heard) -> HeartbeatReply {
+async fn reply(node: &Node<AgentRole>, id: &str, heard: Heard) -> HeartbeatReply {
     if heard.expects_orders {
         wait_for_orders(node).await;
     }
-    match node.with_role(|role| role.companion.answer(steady_ms(), id, heard.seq_no)) {
+    match node.with_role(|role| role.agent.answer(steady_ms(), id, heard.seq_no)) {
         BeatOutcome::Answered(reply) => reply,
         BeatOutcome::Late => HeartbeatReply::default(),
     }
 }
 
 /// Returns once orders have come in, a newer heartbeat waits, or the time is over.
-async fn wait_for_orders(node: &Node<CompanionRole>) {
+async fn wait_for_orders(node: &Node<AgentRole>) {
     let (sender, receiver) = oneshot::channel();
     node.with_role(|role| role.awaits_orders = Some(sender));
     let sleep = pin!(runtime::sleep(Duration::from_millis(ORDERS_WAIT_MS)));
--- a/crates/data-plane/src/serve/mod.rs
+++ b/crates/data-plane/src/serve/mod.rs
@@ -1,7 +1,7 @@
 //! The processes around the state machines: sockets, timers, signals.
 
+mod agent_role;
 mod alarm;
-mod companion_role;
 mod edge_role;
 mod error;
 mod node;
@@ -22,7 +22,7 @@
     if settings.serves(Serves::Edge) {
         edge_role::serve(settings).await
     } else if settings.serves(Serves::Side) {
-        companion_role::serve(settings).await
+        agent_role::serve(settings).await
     } else {
         error::NoRoleSnafu {
             role: settings.role,
--- a/crates/data-plane/tests/companion_answers.rs
+++ b/crates/data-plane/tests/agent_answers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Bench, WORKER, run, start};
-use indigofold_data_plane::companion::{BeatOutcome, Heard};
+use indigofold_data_plane::agent::{BeatOutcome, Heard};
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd};
 
 /// A worker at work on one run.
@@ -20,13 +20,13 @@
     bench.seq_no += 1;
     let beat = bench.heartbeat();
     bench
-        .companion
+        .agent
         .hear(bench.now_ms, WORKER, beat)
         .expect("the heartbeat is the newest")
 }
 
 fn answer(bench: &mut Bench, heard: Heard) -> HeartbeatReply {
-    match bench.companion.answer(bench.now_ms, WORKER, heard.seq_no) {
+    match bench.agent.answer(bench.now_ms, WORKER, heard.seq_no) {
         BeatOutcome::Answered(reply) => reply,
         BeatOutcome::Late => panic!("the heartbeat is the newest"),
     }
@@ -45,7 +45,7 @@
 fn without_a_head_no_orders_are_expected() {
     let mut bench = at_work();
     bench.end(run(1), RunEnd::Done);
-    bench.companion.link_down();
+    bench.agent.link_down();
     assert!(!hear(&mut bench).expects_orders);
 }
 
@@ -70,9 +70,7 @@
     let newest = hear(&mut bench);
     bench.order_start(&[start(run(2), 1_000)]);
     assert_eq!(
-        bench
-            .companion
-            .answer(bench.now_ms, WORKER, overtaken.seq_no),
+        bench.agent.answer(bench.now_ms, WORKER, overtaken.seq_no),
         BeatOutcome::Late
     );
     assert_eq!(
--- a/crates/data-plane/tests/companion_orders.rs
+++ b/crates/data-plane/tests/agent_orders.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Bench, WORKER, attempt, run, start};
-use indigofold_data_plane::companion::{BeatOutcome, MISFIT_MS, PASSES_MAX};
-use indigofold_protocol::internal::CompanionOrders;
+use indigofold_data_plane::agent::{BeatOutcome, MISFIT_MS, PASSES_MAX};
+use indigofold_protocol::internal::AgentOrders;
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
 #[test]
@@ -13,7 +13,7 @@
     bench.order_start(&[start(run(1), 500)]);
     let reply = bench.beat();
     assert_eq!(Bench::started(&reply), [run(1).task.to_string()]);
-    assert_eq!(reply.fence_token, Some(3));
+    assert_eq!(reply.fencing_token, Some(3));
     let instance = bench.report_now().instance.expect("registered");
     assert_eq!(instance.in_flight, [run(1)]);
     bench.obey(&reply);
@@ -169,7 +169,7 @@
 #[test]
 fn orders_of_a_lower_epoch_are_dropped() {
     let mut bench = Bench::settled();
-    let old = CompanionOrders {
+    let old = AgentOrders {
         epoch: 2,
         start: vec![start(run(1), 100)],
         ..bench.no_orders()
@@ -177,18 +177,18 @@
     bench.orders(old);
     let reply = bench.beat();
     assert!(reply.start.is_empty());
-    assert_eq!(reply.fence_token, Some(3));
+    assert_eq!(reply.fencing_token, Some(3));
     bench.epoch = 5;
     bench.order_start(&[start(run(2), 100)]);
     let reply = bench.beat();
-    assert_eq!((reply.start.len(), reply.fence_token), (1, Some(5)));
+    assert_eq!((reply.start.len(), reply.fencing_token), (1, Some(5)));
 }
 
 #[test]
 fn an_echo_of_a_lower_epoch_renews_no_hold() {
     let mut bench = Bench::fresh();
-    bench.companion.link_up();
-    bench.orders(CompanionOrders {
+    bench.agent.link_up();
+    bench.orders(AgentOrders {
         instance: String::new(),
         ..bench.no_orders()
     });
@@ -196,20 +196,20 @@
     let report = bench.report_now();
     bench.epoch = 2;
     bench.echo(report.sent_ms);
-    assert_eq!(bench.beat().hold_ms, None);
+    assert_eq!(bench.beat().lease_ms, None);
 }
 
 #[test]
 fn orders_for_another_life_are_dropped() {
     let mut bench = Bench::settled();
     let start = vec![start(run(1), 100)];
-    bench.orders(CompanionOrders {
+    bench.orders(AgentOrders {
         instance: "i-0".to_owned(),
         start,
         ..bench.no_orders()
     });
     assert!(bench.beat().start.is_empty());
-    assert_eq!(bench.report_now().gone, ["i-0"]);
+    assert_eq!(bench.report_now().ended_instances, ["i-0"]);
 }
 
 #[test]
@@ -242,16 +242,16 @@
     bench.running.push(run(1));
     bench.beat();
     bench.end(run(1), RunEnd::Done);
-    assert_eq!(bench.beat().last_seen, None);
+    assert_eq!(bench.beat().acknowledged_end, None);
     assert_eq!(
         bench.report_now().instance.expect("registered").finished[0].number,
         1
     );
-    bench.orders(CompanionOrders {
-        last_seen: Some(1),
+    bench.orders(AgentOrders {
+        acknowledged_end: Some(1),
         ..bench.no_orders()
     });
-    assert_eq!(bench.beat().last_seen, Some(1));
+    assert_eq!(bench.beat().acknowledged_end, Some(1));
     bench.pass(300);
     assert!(
         bench
--- a/crates/data-plane/tests/companion_reports.rs
+++ b/crates/data-plane/tests/agent_reports.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Bench, WORKER, run, start};
-use indigofold_data_plane::companion::{REPORT_INTERVAL_MS, REPORT_SPACING_MS};
+use indigofold_data_plane::agent::{REPORT_INTERVAL_MS, REPORT_SPACING_MS};
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
 #[test]
@@ -11,7 +11,7 @@
     let mut bench = Bench::fresh();
     bench.beat();
     assert_eq!(bench.report(), None);
-    bench.companion.link_up();
+    bench.agent.link_up();
     assert!(bench.report().is_some());
 }
 
@@ -20,13 +20,13 @@
     let mut bench = Bench::settled();
     let sent_ms = bench.now_ms;
     assert_eq!(
-        bench.companion.next_tick_ms(),
+        bench.agent.next_tick_ms(),
         Some(sent_ms + REPORT_INTERVAL_MS)
     );
     bench.now_ms = sent_ms + REPORT_INTERVAL_MS - 1;
-    assert_eq!(bench.companion.tick(bench.now_ms), None);
+    assert_eq!(bench.agent.tick(bench.now_ms), None);
     bench.pass(1);
-    assert!(bench.companion.tick(bench.now_ms).is_some());
+    assert!(bench.agent.tick(bench.now_ms).is_some());
 }
 
 #[test]
@@ -34,19 +34,14 @@
     let mut bench = Bench::settled();
     bench.running.push(run(1));
     bench.beat();
-    assert!(bench.companion.tick(bench.now_ms).is_some());
+    assert!(bench.agent.tick(bench.now_ms).is_some());
     bench.running.push(run(2));
     bench.seq_no += 1;
     let beat = bench.heartbeat();
-    assert!(
-        bench
-            .companion
-            .hear(bench.now_ms + 1, WORKER, beat)
-            .is_some()
-    );
-    assert_eq!(bench.companion.tick(bench.now_ms + 1), None);
+    assert!(bench.agent.hear(bench.now_ms + 1, WORKER, beat).is_some());
+    assert_eq!(bench.agent.tick(bench.now_ms + 1), None);
     assert_eq!(
-        bench.companion.next_tick_ms(),
+        bench.agent.next_tick_ms(),
         Some(bench.now_ms + REPORT_SPACING_MS)
     );
 }
@@ -93,8 +88,8 @@
         bench.report_now().instance.expect("registered").running,
         None
     );
-    bench.companion.link_down();
-    bench.companion.link_up();
+    bench.agent.link_down();
+    bench.agent.link_up();
     assert_eq!(
         bench
             .report_now()
@@ -112,20 +107,20 @@
     let mut bench = Bench::settled();
     bench.order_start(&[start(run(1), 100)]);
     bench.order_stop(&[run(1)]);
-    bench.companion.delete(WORKER);
+    bench.agent.delete(WORKER);
     let report = bench.report_now();
     assert_eq!(
-        (report.gone, report.not_started),
+        (report.ended_instances, report.not_started),
         (vec![WORKER.to_owned()], vec![run(1)])
     );
     bench.pass(REPORT_INTERVAL_MS);
     let report = bench.report_now();
-    assert!(report.gone.is_empty() && report.not_started.is_empty());
-    bench.companion.link_down();
-    bench.companion.link_up();
+    assert!(report.ended_instances.is_empty() && report.not_started.is_empty());
+    bench.agent.link_down();
+    bench.agent.link_up();
     let report = bench.report_now();
     assert_eq!(
-        (report.gone, report.not_started),
+        (report.ended_instances, report.not_started),
         (vec![WORKER.to_owned()], vec![run(1)])
     );
 }
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)]
 
-use indigofold_data_plane::companion::{BeatOutcome, Companion};
-use indigofold_protocol::internal::{CompanionOrders, CompanionReport, StartOrder};
+use indigofold_data_plane::agent::{Agent, BeatOutcome};
+use indigofold_protocol::internal::{AgentOrders, AgentReport, StartOrder};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use indigofold_protocol::worker::{
@@ -40,13 +40,13 @@
         run,
         resources,
         spec: "text".to_owned(),
-        saved: String::new(),
+        checkpoint: String::new(),
     }
 }
 
 /// The companion under test, a clock, and counters of its worker and head.
 pub struct Bench {
-    pub companion: Companion,
+    pub agent: Agent,
     pub now_ms: u64,
     pub seq_no: u64,
     pub epoch: u64,
@@ -60,7 +60,7 @@
     /// Nothing has happened.
     pub fn fresh() -> Bench {
         Bench {
-            companion: Companion::new(START_MS, MAX_HOLD_MS),
+            agent: Agent::new(START_MS, MAX_HOLD_MS),
             now_ms: START_MS,
             seq_no: 0,
             epoch: 3,
@@ -74,7 +74,7 @@
     /// The worker has registered, and the head has heard of it.
     pub fn settled() -> Bench {
         let mut bench = Bench::fresh();
-        bench.companion.link_up();
+        bench.agent.link_up();
         bench.beat();
         bench.report_and_echo();
         bench
@@ -128,8 +128,8 @@
 
     /// A heartbeat comes in and is answered at once.
     pub fn take(&mut self, id: &str, beat: Heartbeat) -> BeatOutcome {
-        match self.companion.hear(self.now_ms, id, beat) {
-            Some(heard) => self.companion.answer(self.now_ms, id, heard.seq_no),
+        match self.agent.hear(self.now_ms, id, beat) {
+            Some(heard) => self.agent.answer(self.now_ms, id, heard.seq_no),
             None => BeatOutcome::Late,
         }
     }
@@ -159,42 +159,42 @@
     }
 
     /// The report that is due, 20 ms later.
-    pub fn report(&mut self) -> Option<CompanionReport> {
+    pub fn report(&mut self) -> Option<AgentReport> {
         self.pass(20);
-        self.companion.tick(self.now_ms)
+        self.agent.tick(self.now_ms)
     }
 
-    pub fn report_now(&mut self) -> CompanionReport {
+    pub fn report_now(&mut self) -> AgentReport {
         self.report().expect("a report is due")
     }
 
-    pub fn report_and_echo(&mut self) -> CompanionReport {
+    pub fn report_and_echo(&mut self) -> AgentReport {
         let report = self.report_now();
         self.echo(report.sent_ms);
         report
     }
 
     pub fn echo(&mut self, sent_ms: u64) {
-        let orders = CompanionOrders {
+        let orders = AgentOrders {
             echo_sent_ms: Some(sent_ms),
             ..self.no_orders()
         };
         self.orders(orders);
     }
 
-    pub fn no_orders(&self) -> CompanionOrders {
-        CompanionOrders {
+    pub fn no_orders(&self) -> AgentOrders {
+        AgentOrders {
             epoch: self.epoch,
             echo_sent_ms: None,
             instance: WORKER.to_owned(),
             start: Vec::new(),
             stop: Vec::new(),
-            last_seen: None,
+            acknowledged_end: None,
         }
     }
 
     pub fn order_start(&mut self, starts: &[StartOrder]) {
-        let orders = CompanionOrders {
+        let orders = AgentOrders {
             start: starts.to_vec(),
             ..self.no_orders()
         };
@@ -210,15 +210,15 @@
     }
 
     pub fn order_stop(&mut self, stops: &[RunId]) {
-        let orders = CompanionOrders {
+        let orders = AgentOrders {
             stop: stops.to_vec(),
             ..self.no_orders()
         };
         self.orders(orders);
     }
 
-    pub fn orders(&mut self, orders: CompanionOrders) {
-        self.companion.orders(self.now_ms, orders);
+    pub fn orders(&mut self, orders: AgentOrders) {
+        self.agent.orders(self.now_ms, orders);
     }
 
     /// The runs that an answer starts.
--- a/crates/data-plane/tests/processes.rs
+++ b/crates/data-plane/tests/processes.rs
@@ -3,7 +3,7 @@
 use indigofold_protocol::codec;
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{
-    ClientCall, ClientOutcome, ClientReply, CompanionOrders, CompanionReport, Frame, MemberAddress,
+    AgentOrders, AgentReport, ClientCall, ClientOutcome, ClientReply, Frame, MemberAddress,
     StartOrder, Welcome,
 };
 use indigofold_protocol::job::Resources;
@@ -146,7 +146,7 @@
         }
     }
 
-    fn next_report(&mut self) -> CompanionReport {
+    fn next_report(&mut self) -> AgentReport {
         match self.next() {
             Frame::Report(report) => report,
             other => panic!("a report is expected, not {other:?}"),
@@ -292,15 +292,15 @@
         run,
         resources,
         spec: "t".to_owned(),
-        saved: String::new(),
+        checkpoint: String::new(),
     };
-    head.send(&Frame::Orders(CompanionOrders {
+    head.send(&Frame::Orders(AgentOrders {
         epoch: 4,
         echo_sent_ms: report.map(|report| report.sent_ms),
         instance: "i-1".to_owned(),
         start: vec![start],
         stop: Vec::new(),
-        last_seen: None,
+        acknowledged_end: None,
     }));
     let mut answers = (2..).map(beat);
     let (status, body) = answers
@@ -311,9 +311,9 @@
     assert_eq!(body, expected);
     assert_eq!(call(control, "PUT /instances/i-1 HTTP/1.1", "{").0, 400);
     assert_eq!(call(control, "DELETE /instances/i-1 HTTP/1.1", "").0, 200);
-    let report =
-        std::iter::repeat_with(|| head.next_report()).find(|report| !report.gone.is_empty());
-    assert_eq!(report.expect("a report").gone, ["i-1"]);
+    let report = std::iter::repeat_with(|| head.next_report())
+        .find(|report| !report.ended_instances.is_empty());
+    assert_eq!(report.expect("a report").ended_instances, ["i-1"]);
     program.terminate();
     assert!(program.child.wait().expect("an end").success());
 }
--- a/crates/protocol/schema/internal.capnp
+++ b/crates/protocol/schema/internal.capnp
@@ -16,8 +16,8 @@
     welcome @1 :Welcome;
     call @2 :ClientCall;
     reply @3 :ClientReply;
-    report @4 :CompanionReport;
-    orders @5 :CompanionOrders;
+    report @4 :AgentReport;
+    orders @5 :AgentOrders;
     # A message of the replication protocol, encoded by that part of the program.
     replication @6 :Data;
     # Questions of the command line tool and their answers, as the JSON that the tool shows.
@@ -28,7 +28,7 @@
 
 enum ProcessKind {
   edge @0;
-  companion @1;
+  agent @1;
   core @2;
 }
 
@@ -144,11 +144,11 @@
   attempt @4 :UInt32;
 }
 
-struct CompanionReport {
+struct AgentReport {
   sentMs @0 :UInt64;
   # Missing: no worker has registered.
   instance @1 :InstanceReport;
-  gone @2 :List(Text);
+  endedInstances @2 :List(Text);
   notStarted @3 :List(RunId);
 }
 
@@ -161,7 +161,7 @@
   done @0;
   failed @1;
   stopped @2;
-  lapsed @3;
+  expired @3;
   broken @4;
   alone @5;
   refused @6;
@@ -176,10 +176,10 @@
     unknown @4 :Void;
     milliseconds @5 :UInt64;
   }
-  coldRemainingMs @6 :UInt64;
+  warmupRemainingMs @6 :UInt64;
   capacity @7 :Resources;
   labels @8 :List(Text);
-  silentMs @9 :UInt64;
+  sinceHeartbeatMs @9 :UInt64;
   # Missing: as in the last report on this connection.
   running @10 :List(RunningRun);
   finished @11 :List(FinishedRun);
@@ -188,7 +188,7 @@
 
 struct RunningRun {
   run @0 :RunId;
-  saved @1 :Text;
+  checkpoint @1 :Text;
   percent @2 :UInt32;
 }
 
@@ -196,10 +196,10 @@
   number @0 :UInt64;
   run @1 :RunId;
   end @2 :RunEnd;
-  saved @3 :Text;
+  checkpoint @3 :Text;
 }
 
-struct CompanionOrders {
+struct AgentOrders {
   epoch @0 :UInt64;
   echoSent :union {
     none @1 :Void;
@@ -208,7 +208,7 @@
   instance @3 :Text;
   start @4 :List(StartOrder);
   stop @5 :List(RunId);
-  lastSeen :union {
+  acknowledgedEnd :union {
     none @6 :Void;
     number @7 :UInt64;
   }
@@ -218,5 +218,5 @@
   run @0 :RunId;
   resources @1 :Resources;
   spec @2 :Text;
-  saved @3 :Text;
+  checkpoint @3 :Text;
 }
--- a/crates/protocol/src/codec/companion.rs
+++ b/crates/protocol/src/codec/agent.rs
@@ -5,23 +5,24 @@
     write_runs, write_texts,
 };
 use crate::internal::{
-    CompanionOrders, CompanionReport, FinishedRun, InstanceReport, RunningRun, StartOrder,
+    AgentOrders, AgentReport, FinishedRun, InstanceReport, RunningRun, StartOrder,
 };
 use crate::internal_capnp::{
-    self as wire, companion_orders, companion_report, finished_run, instance_report, running_run,
+    self as wire, agent_orders, agent_report, finished_run, instance_report, running_run,
     start_order,
 };
 use crate::worker::{RunEnd, WorkerState};
 
-/// Writes a [`CompanionReport`].
-pub(super) fn write_report(mut to: companion_report::Builder, report: &CompanionReport) {
+/// Writes a [`AgentReport`].
+pub(super) fn write_report(mut to: agent_report::Builder, report: &AgentReport) {
     to.set_sent_ms(report.sent_ms);
     if let Some(instance) = &report.instance {
         write_instance(to.reborrow().init_instance(), instance);
     }
     write_texts(
-        to.reborrow().init_gone(report.gone.len() as u32),
-        &report.gone,
+        to.reborrow()
+            .init_ended_instances(report.ended_instances.len() as u32),
+        &report.ended_instances,
     );
     write_runs(
         to.init_not_started(report.not_started.len() as u32),
@@ -29,16 +30,16 @@
     );
 }
 
-/// Reads a [`CompanionReport`].
-pub(super) fn read_report(from: companion_report::Reader) -> capnp::Result<CompanionReport> {
+/// Reads a [`AgentReport`].
+pub(super) fn read_report(from: agent_report::Reader) -> capnp::Result<AgentReport> {
     let instance = from
         .has_instance()
         .then(|| read_instance(from.get_instance()?))
         .transpose()?;
-    Ok(CompanionReport {
+    Ok(AgentReport {
         sent_ms: from.get_sent_ms(),
         instance,
-        gone: read_texts(from.get_gone()?)?,
+        ended_instances: read_texts(from.get_ended_instances()?)?,
         not_started: read_runs(from.get_not_started()?),
     })
 }
@@ -57,13 +58,13 @@
             .init_remaining()
             .set_milliseconds(remaining_ms);
     }
-    to.set_cold_remaining_ms(instance.cold_remaining_ms);
+    to.set_warmup_remaining_ms(instance.warmup_remaining_ms);
     write_resources(to.reborrow().init_capacity(), &instance.capacity);
     write_texts(
         to.reborrow().init_labels(instance.labels.len() as u32),
         &instance.labels,
     );
-    to.set_silent_ms(instance.silent_ms);
+    to.set_since_heartbeat_ms(instance.since_heartbeat_ms);
     if let Some(running) = &instance.running {
         let mut list = to.reborrow().init_running(running.len() as u32);
         for (index, run) in (0..).zip(running) {
@@ -100,10 +101,10 @@
             instance_report::remaining::Unknown(()) => None,
             instance_report::remaining::Milliseconds(remaining_ms) => Some(remaining_ms),
         },
-        cold_remaining_ms: from.get_cold_remaining_ms(),
+        warmup_remaining_ms: from.get_warmup_remaining_ms(),
         capacity: read_resources(from.get_capacity()?),
         labels: read_texts(from.get_labels()?)?,
-        silent_ms: from.get_silent_ms(),
+        since_heartbeat_ms: from.get_since_heartbeat_ms(),
         running: from.has_running().then(read_running_list).transpose()?,
         finished: from
             .get_finished()?
@@ -117,7 +118,7 @@
 /// Writes a [`RunningRun`].
 fn write_running(mut to: running_run::Builder, running: &RunningRun) {
     write_run(to.reborrow().init_run(), &running.run);
-    to.set_saved(running.saved.as_str());
+    to.set_checkpoint(running.checkpoint.as_str());
     to.set_percent(running.percent);
 }
 
@@ -125,7 +126,7 @@
 fn read_running(from: running_run::Reader) -> capnp::Result<RunningRun> {
     Ok(RunningRun {
         run: read_run(from.get_run()?),
-        saved: read_text(from.get_saved())?,
+        checkpoint: read_text(from.get_checkpoint())?,
         percent: from.get_percent(),
     })
 }
@@ -138,12 +139,12 @@
         RunEnd::Done => wire::RunEnd::Done,
         RunEnd::Failed => wire::RunEnd::Failed,
         RunEnd::Stopped => wire::RunEnd::Stopped,
-        RunEnd::Lapsed => wire::RunEnd::Lapsed,
+        RunEnd::Expired => wire::RunEnd::Expired,
         RunEnd::Broken => wire::RunEnd::Broken,
         RunEnd::Alone => wire::RunEnd::Alone,
         RunEnd::Refused => wire::RunEnd::Refused,
     });
-    to.set_saved(finished.saved.as_str());
+    to.set_checkpoint(finished.checkpoint.as_str());
 }
 
 /// Reads a [`FinishedRun`].
@@ -155,17 +156,17 @@
             wire::RunEnd::Done => RunEnd::Done,
             wire::RunEnd::Failed => RunEnd::Failed,
             wire::RunEnd::Stopped => RunEnd::Stopped,
-            wire::RunEnd::Lapsed => RunEnd::Lapsed,
+            wire::RunEnd::Expired => RunEnd::Expired,
             wire::RunEnd::Broken => RunEnd::Broken,
             wire::RunEnd::Alone => RunEnd::Alone,
             wire::RunEnd::Refused => RunEnd::Refused,
         },
-        saved: read_text(from.get_saved())?,
+        checkpoint: read_text(from.get_checkpoint())?,
     })
 }
 
-/// Writes [`CompanionOrders`].
-pub(super) fn write_orders(mut to: companion_orders::Builder, orders: &CompanionOrders) {
+/// Writes [`AgentOrders`].
+pub(super) fn write_orders(mut to: agent_orders::Builder, orders: &AgentOrders) {
     to.set_epoch(orders.epoch);
     if let Some(echo_sent_ms) = orders.echo_sent_ms {
         to.reborrow()
@@ -173,8 +174,10 @@
             .set_milliseconds(echo_sent_ms);
     }
     to.set_instance(orders.instance.as_str());
-    if let Some(last_seen) = orders.last_seen {
-        to.reborrow().init_last_seen().set_number(last_seen);
+    if let Some(acknowledged_end) = orders.acknowledged_end {
+        to.reborrow()
+            .init_acknowledged_end()
+            .set_number(acknowledged_end);
     }
     let mut starts = to.reborrow().init_start(orders.start.len() as u32);
     for (index, start) in (0..).zip(&orders.start) {
@@ -183,13 +186,13 @@
     write_runs(to.init_stop(orders.stop.len() as u32), &orders.stop);
 }
 
-/// Reads [`CompanionOrders`].
-pub(super) fn read_orders(from: companion_orders::Reader) -> capnp::Result<CompanionOrders> {
-    Ok(CompanionOrders {
+/// Reads [`AgentOrders`].
+pub(super) fn read_orders(from: agent_orders::Reader) -> capnp::Result<AgentOrders> {
+    Ok(AgentOrders {
         epoch: from.get_epoch(),
         echo_sent_ms: match from.get_echo_sent().which()? {
-            companion_orders::echo_sent::None(()) => None,
-            companion_orders::echo_sent::Milliseconds(sent_ms) => Some(sent_ms),
+            agent_orders::echo_sent::None(()) => None,
+            agent_orders::echo_sent::Milliseconds(sent_ms) => Some(sent_ms),
         },
         instance: read_text(from.get_instance())?,
         start: from
@@ -198,9 +201,9 @@
             .map(read_start)
             .collect::<Result<_, _>>()?,
         stop: read_runs(from.get_stop()?),
-        last_seen: match from.get_last_seen().which()? {
-            companion_orders::last_seen::None(()) => None,
-            companion_orders::last_seen::Number(number) => Some(number),
+        acknowledged_end: match from.get_acknowledged_end().which()? {
+            agent_orders::acknowledged_end::None(()) => None,
+            agent_orders::acknowledged_end::Number(number) => Some(number),
         },
     })
 }
@@ -210,7 +213,7 @@
     write_run(to.reborrow().init_run(), &start.run);
     write_resources(to.reborrow().init_resources(), &start.resources);
     to.set_spec(start.spec.as_str());
-    to.set_saved(start.saved.as_str());
+    to.set_checkpoint(start.checkpoint.as_str());
 }
 
 /// Reads a [`StartOrder`].
@@ -219,6 +222,6 @@
         run: read_run(from.get_run()?),
         resources: read_resources(from.get_resources()?),
         spec: read_text(from.get_spec())?,
-        saved: read_text(from.get_saved())?,
+        checkpoint: read_text(from.get_checkpoint())?,
     })
 }
--- a/crates/protocol/src/codec/member.rs
+++ b/crates/protocol/src/codec/member.rs
@@ -10,7 +10,7 @@
     to.set_node_name(hello.node_name.as_str());
     to.set_kind(match hello.kind {
         ProcessKind::Edge => wire::ProcessKind::Edge,
-        ProcessKind::Companion => wire::ProcessKind::Companion,
+        ProcessKind::Agent => wire::ProcessKind::Agent,
         ProcessKind::Core => wire::ProcessKind::Core,
     });
     to.set_zone(hello.zone.as_str());
@@ -23,7 +23,7 @@
         node_name: read_text(from.get_node_name())?,
         kind: match from.get_kind()? {
             wire::ProcessKind::Edge => ProcessKind::Edge,
-            wire::ProcessKind::Companion => ProcessKind::Companion,
+            wire::ProcessKind::Agent => ProcessKind::Agent,
             wire::ProcessKind::Core => ProcessKind::Core,
         },
         zone: read_text(from.get_zone())?,
--- a/crates/protocol/src/codec/mod.rs
+++ b/crates/protocol/src/codec/mod.rs
@@ -1,9 +1,9 @@
 //! Frames as bytes: a length of four bytes (big endian), then the message in Cap'n Proto's stream encoding. The schema is
 //! `schema/internal.capnp`.
 
+mod agent;
 mod client;
 mod common;
-mod companion;
 mod member;
 
 use crate::internal::Frame;
@@ -109,8 +109,8 @@
         Frame::Welcome(welcome) => member::write_welcome(to.init_welcome(), welcome),
         Frame::Call(call) => client::write_call(to.init_call(), call),
         Frame::Reply(reply) => client::write_reply(to.init_reply(), reply),
-        Frame::Report(report) => companion::write_report(to.init_report(), report),
-        Frame::Orders(orders) => companion::write_orders(to.init_orders(), orders),
+        Frame::Report(report) => agent::write_report(to.init_report(), report),
+        Frame::Orders(orders) => agent::write_orders(to.init_orders(), orders),
         Frame::Replication(payload) => to.set_replication(payload),
         Frame::Inspect(call) => to.set_inspect(common::to_json(call).as_str()),
         Frame::Inspected(reply) => to.set_inspected(common::to_json(reply).as_str()),
@@ -124,8 +124,8 @@
         frame::Welcome(welcome) => Frame::Welcome(member::read_welcome(welcome?)?),
         frame::Call(call) => Frame::Call(client::read_call(call?)?),
         frame::Reply(reply) => Frame::Reply(client::read_reply(reply?)?),
-        frame::Report(report) => Frame::Report(companion::read_report(report?)?),
-        frame::Orders(orders) => Frame::Orders(companion::read_orders(orders?)?),
+        frame::Report(report) => Frame::Report(agent::read_report(report?)?),
+        frame::Orders(orders) => Frame::Orders(agent::read_orders(orders?)?),
         frame::Replication(payload) => Frame::Replication(payload?.to_vec()),
         frame::Inspect(call) => Frame::Inspect(common::from_json(call?)?),
         frame::Inspected(reply) => Frame::Inspected(common::from_json(reply?)?),
--- a/crates/protocol/src/inspection.rs
+++ b/crates/protocol/src/inspection.rs
@@ -80,7 +80,8 @@
     /// The other members and seeds, and whether its connection to each is open.
     pub peers: Vec<PeerStatus>,
     /// Companions connected to it.
-    pub companions: u32,
+    #[serde(rename = "companions")]
+    pub agents: u32,
     /// Edges connected to it.
     pub edges: u32,
     /// The work; told by the acting head only.
--- a/crates/protocol/src/internal.rs
+++ b/crates/protocol/src/internal.rs
@@ -17,7 +17,7 @@
     /// Takes clients' calls.
     Edge,
     /// Sits beside a worker.
-    Companion,
+    Agent,
     /// Keeps the control state.
     Core,
 }
@@ -130,13 +130,13 @@
 
 /// What a companion tells the head, at changes and at least every few hundred milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CompanionReport {
+pub struct AgentReport {
     /// The companion's steady clock when it sent this.
     pub sent_ms: u64,
     /// The worker's present life, if one has registered here.
     pub instance: Option<InstanceReport>,
     /// Earlier lives (or this one, once it has left or all its holds have lapsed): nothing of theirs runs or ever will.
-    pub gone: Vec<String>,
+    pub ended_instances: Vec<String>,
     /// Starts that were never passed on to the worker and never will be.
     pub not_started: Vec<RunId>,
 }
@@ -155,13 +155,13 @@
     /// Least time until it leaves, while it drains.
     pub remaining_ms: Option<u64>,
     /// How long it will still be slow after its start.
-    pub cold_remaining_ms: u64,
+    pub warmup_remaining_ms: u64,
     /// What it has.
     pub capacity: Resources,
     /// Its labels.
     pub labels: Vec<String>,
     /// Time since its last heartbeat.
-    pub silent_ms: u64,
+    pub since_heartbeat_ms: u64,
     /// What runs there, by its last heartbeat; `None`: as in the last report on this connection.
     pub running: Option<Vec<RunningRun>>,
     /// Ends that the head has not acknowledged yet, in the order of their numbers.
@@ -176,7 +176,7 @@
     /// The run.
     pub run: RunId,
     /// Its progress as saved last; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Part done, in percent.
     pub percent: u32,
 }
@@ -191,16 +191,16 @@
     /// How it ended.
     pub end: RunEnd,
     /// Its progress as saved last; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// What the head tells a companion; also the answer to each of its reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CompanionOrders {
+pub struct AgentOrders {
     /// The head's view: the fencing token. Orders of a lower one than the highest seen are dropped.
     pub epoch: u64,
     /// `sent_ms` of the newest report heard: the companion may extend holds for
-    /// [`HOLD_AUTHORITY_MS`] from then on. `None`: it may not because of this message.
+    /// [`LEASE_AUTHORITY_MS`] from then on. `None`: it may not because of this message.
     pub echo_sent_ms: Option<u64>,
     /// The worker's life that this is for; orders for another one are dropped.
     pub instance: String,
@@ -209,10 +209,10 @@
     /// Runs to stop.
     pub stop: Vec<RunId>,
     /// Ends up to this number are on disk and may be acknowledged to the worker.
-    pub last_seen: Option<u64>,
+    pub acknowledged_end: Option<u64>,
 }
 
-impl CompanionOrders {
+impl AgentOrders {
     /// Whether something is to be started or stopped.
     pub fn has_work(&self) -> bool {
         !self.start.is_empty() || !self.stop.is_empty()
@@ -220,10 +220,10 @@
 }
 
 /// For how long after sending a report that the head has answered a companion may go on extending holds.
-pub const HOLD_AUTHORITY_MS: u64 = 8_000;
+pub const LEASE_AUTHORITY_MS: u64 = 8_000;
 
-/// How long a companion lets the worker hold what runs, at each heartbeat; never above `max_hold_ms`.
-pub const HOLD_MS: u64 = 4_500;
+/// How long a companion lets the worker hold what runs, at each heartbeat; never above `max_lease_ms`.
+pub const RUN_LEASE_MS: u64 = 4_500;
 
 /// A run to start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -235,7 +235,7 @@
     /// The job's text.
     pub spec: String,
     /// Progress to resume from; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// All that is sent on an internal connection.
@@ -250,9 +250,9 @@
     /// Head to edge.
     Reply(ClientReply),
     /// Companion to head.
-    Report(CompanionReport),
+    Report(AgentReport),
     /// Head to companion.
-    Orders(CompanionOrders),
+    Orders(AgentOrders),
     /// Member to member: a message of the replication protocol, encoded by that crate.
     Replication(Vec<u8>),
     /// Command line tool to member: a question that changes nothing.
--- a/crates/protocol/src/internal_capnp.rs
+++ b/crates/protocol/src/internal_capnp.rs
@@ -279,12 +279,12 @@
             !self.builder.is_pointer_field_null(0)
         }
         #[inline]
-        pub fn set_report(&mut self, value: crate::internal_capnp::companion_report::Reader<'_>) -> ::capnp::Result<()> {
+        pub fn set_report(&mut self, value: crate::internal_capnp::agent_report::Reader<'_>) -> ::capnp::Result<()> {
             self.builder.set_data_field::<u16>(0, 4);
             ::capnp::traits::SetterInput::set_pointer_builder(self.builder.reborrow().get_pointer_field(0), value, false)
         }
         #[inline]
-        pub fn init_report(self, ) -> crate::internal_capnp::companion_report::Builder<'a> {
+        pub fn init_report(self, ) -> crate::internal_capnp::agent_report::Builder<'a> {
             self.builder.set_data_field::<u16>(0, 4);
             ::capnp::traits::FromPointerBuilder::init_pointer(self.builder.get_pointer_field(0), 0)
         }
@@ -294,12 +294,12 @@
             !self.builder.is_pointer_field_null(0)
         }
         #[inline]
-        pub fn set_orders(&mut self, value: crate::internal_capnp::companion_orders::Reader<'_>) -> ::capnp::Result<()> {
+        pub fn set_orders(&mut self, value: crate::internal_capnp::agent_orders::Reader<'_>) -> ::capnp::Result<()> {
             self.builder.set_data_field::<u16>(0, 5);
             ::capnp::traits::SetterInput::set_pointer_builder(self.builder.reborrow().get_pointer_field(0), value, false)
         }
         #[inline]
-        pub fn init_orders(self, ) -> crate::internal_capnp::companion_orders::Builder<'a> {
+        pub fn init_orders(self, ) -> crate::internal_capnp::agent_orders::Builder<'a> {
             self.builder.set_data_field::<u16>(0, 5);
             ::capnp::traits::FromPointerBuilder::init_pointer(self.builder.get_pointer_field(0), 0)
         }
@@ -530,7 +530,7 @@
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(114, 101, 112, 111, 114, 116, 0, 0),
             ::capnp::word(16, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(100, 91, 8, 175, 117, 191, 51, 128),
+            ::capnp::word(2, 94, 27, 236, 99, 59, 143, 212),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(16, 0, 0, 0, 0, 0, 0, 0),
@@ -538,7 +538,7 @@
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(111, 114, 100, 101, 114, 115, 0, 0),
             ::capnp::word(16, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(168, 176, 233, 171, 174, 159, 234, 213),
+            ::capnp::word(177, 20, 167, 50, 154, 137, 149, 158),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(16, 0, 0, 0, 0, 0, 0, 0),
@@ -577,8 +577,8 @@
                 1 => <crate::internal_capnp::welcome::Owned as ::capnp::introspect::Introspect>::introspect(),
                 2 => <crate::internal_capnp::client_call::Owned as ::capnp::introspect::Introspect>::introspect(),
                 3 => <crate::internal_capnp::client_reply::Owned as ::capnp::introspect::Introspect>::introspect(),
-                4 => <crate::internal_capnp::companion_report::Owned as ::capnp::introspect::Introspect>::introspect(),
-                5 => <crate::internal_capnp::companion_orders::Owned as ::capnp::introspect::Introspect>::introspect(),
+                4 => <crate::internal_capnp::agent_report::Owned as ::capnp::introspect::Introspect>::introspect(),
+                5 => <crate::internal_capnp::agent_orders::Owned as ::capnp::introspect::Introspect>::introspect(),
                 6 => <::capnp::data::Owned as ::capnp::introspect::Introspect>::introspect(),
                 7 => <::capnp::text::Owned as ::capnp::introspect::Introspect>::introspect(),
                 8 => <::capnp::text::Owned as ::capnp::introspect::Introspect>::introspect(),
@@ -611,15 +611,15 @@
         Inspect(A7),
         Inspected(A8),
     }
-    pub type WhichReader<'a,> = Which<::capnp::Result<crate::internal_capnp::hello::Reader<'a>>,::capnp::Result<crate::internal_capnp::welcome::Reader<'a>>,::capnp::Result<crate::internal_capnp::client_call::Reader<'a>>,::capnp::Result<crate::internal_capnp::client_reply::Reader<'a>>,::capnp::Result<crate::internal_capnp::companion_report::Reader<'a>>,::capnp::Result<crate::internal_capnp::companion_orders::Reader<'a>>,::capnp::Result<::capnp::data::Reader<'a>>,::capnp::Result<::capnp::text::Reader<'a>>,::capnp::Result<::capnp::text::Reader<'a>>>;
-    pub type WhichBuilder<'a,> = Which<::capnp::Result<crate::internal_capnp::hello::Builder<'a>>,::capnp::Result<crate::internal_capnp::welcome::Builder<'a>>,::capnp::Result<crate::internal_capnp::client_call::Builder<'a>>,::capnp::Result<crate::internal_capnp::client_reply::Builder<'a>>,::capnp::Result<crate::internal_capnp::companion_report::Builder<'a>>,::capnp::Result<crate::internal_capnp::companion_orders::Builder<'a>>,::capnp::Result<::capnp::data::Builder<'a>>,::capnp::Result<::capnp::text::Builder<'a>>,::capnp::Result<::capnp::text::Builder<'a>>>;
+    pub type WhichReader<'a,> = Which<::capnp::Result<crate::internal_capnp::hello::Reader<'a>>,::capnp::Result<crate::internal_capnp::welcome::Reader<'a>>,::capnp::Result<crate::internal_capnp::client_call::Reader<'a>>,::capnp::Result<crate::internal_capnp::client_reply::Reader<'a>>,::capnp::Result<crate::internal_capnp::agent_report::Reader<'a>>,::capnp::Result<crate::internal_capnp::agent_orders::Reader<'a>>,::capnp::Result<::capnp::data::Reader<'a>>,::capnp::Result<::capnp::text::Reader<'a>>,::capnp::Result<::capnp::text::Reader<'a>>>;
+    pub type WhichBuilder<'a,> = Which<::capnp::Result<crate::internal_capnp::hello::Builder<'a>>,::capnp::Result<crate::internal_capnp::welcome::Builder<'a>>,::capnp::Result<crate::internal_capnp::client_call::Builder<'a>>,::capnp::Result<crate::internal_capnp::client_reply::Builder<'a>>,::capnp::Result<crate::internal_capnp::agent_report::Builder<'a>>,::capnp::Result<crate::internal_capnp::agent_orders::Builder<'a>>,::capnp::Result<::capnp::data::Builder<'a>>,::capnp::Result<::capnp::text::Builder<'a>>,::capnp::Result<::capnp::text::Builder<'a>>>;
 }
 
 #[repr(u16)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessKind {
     Edge = 0,
-    Companion = 1,
+    Agent = 1,
     Core = 2,
 }
 
@@ -634,7 +634,7 @@
     fn try_from(value: u16) -> ::core::result::Result<Self, <ProcessKind as ::core::convert::TryFrom<u16>>::Error> {
         match value {
             0 => ::core::result::Result::Ok(Self::Edge),
-            1 => ::core::result::Result::Ok(Self::Companion),
+            1 => ::core::result::Result::Ok(Self::Agent),
             2 => ::core::result::Result::Ok(Self::Core),
             n => ::core::result::Result::Err(::capnp::NotInSchema(n)),
         }
@@ -648,7 +648,7 @@
     const TYPE_ID: u64 = 0xcc9a_0faf_e6c3_a05eu64;
 }
 mod process_kind {
-pub(crate) static ENCODED_NODE: [::capnp::Word; 31] = [
+pub(crate) static ENCODED_NODE: [::capnp::Word; 30] = [
     ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
     ::capnp::word(94, 160, 195, 230, 175, 15, 154, 204),
     ::capnp::word(15, 0, 0, 0, 2, 0, 0, 0),
@@ -671,14 +671,13 @@
     ::capnp::word(29, 0, 0, 0, 42, 0, 0, 0),
     ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
     ::capnp::word(1, 0, 0, 0, 0, 0, 0, 0),
-    ::capnp::word(21, 0, 0, 0, 82, 0, 0, 0),
+    ::capnp::word(21, 0, 0, 0, 50, 0, 0, 0),
     ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
     ::capnp::word(2, 0, 0, 0, 0, 0, 0, 0),
-    ::capnp::word(17, 0, 0, 0, 42, 0, 0, 0),
+    ::capnp::word(13, 0, 0, 0, 42, 0, 0, 0),
     ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
     ::capnp::word(101, 100, 103, 101, 0, 0, 0, 0),
-    ::capnp::word(99, 111, 109, 112, 97, 110, 105, 111),
-    ::capnp::word(110, 0, 0, 0, 0, 0, 0, 0),
+    ::capnp::word(97, 103, 101, 110, 116, 0, 0, 0),
     ::capnp::word(99, 111, 114, 101, 0, 0, 0, 0),
 ];
 pub(crate) fn get_annotation_types(child_index: Option<u16>, index: u32) -> ::capnp::introspect::Type {
@@ -5091,7 +5090,7 @@
     }
 }
 
-pub mod companion_report {
+pub mod agent_report {
     #[derive(Copy, Clone)]
     pub struct Owned(());
     impl ::capnp::introspect::Introspect for Owned { fn introspect() -> ::capnp::introspect::Type { ::capnp::introspect::TypeVariant::Struct(::capnp::introspect::RawBrandedStructSchema { generic: &_private::RAW_SCHEMA, field_types: _private::get_field_types, annotation_types: _private::get_annotation_types, type_id: ::core::any::TypeId::of::<Owned>() }).into() } }
@@ -5165,11 +5164,11 @@
             !self.reader.get_pointer_field(0).is_null()
         }
         #[inline]
-        pub fn get_gone(self) -> ::capnp::Result<::capnp::text_list::Reader<'a>> {
+        pub fn get_ended_instances(self) -> ::capnp::Result<::capnp::text_list::Reader<'a>> {
             ::capnp::traits::FromPointerReader::get_from_pointer(&self.reader.get_pointer_field(1), ::core::option::Option::None)
         }
         #[inline]
-        pub fn has_gone(&self) -> bool {
+        pub fn has_ended_instances(&self) -> bool {
             !self.reader.get_pointer_field(1).is_null()
         }
         #[inline]
@@ -5259,19 +5258,19 @@
             !self.builder.is_pointer_field_null(0)
         }
         #[inline]
-        pub fn get_gone(self) -> ::capnp::Result<::capnp::text_list::Builder<'a>> {
+        pub fn get_ended_instances(self) -> ::capnp::Result<::capnp::text_list::Builder<'a>> {
             ::capnp::traits::FromPointerBuilder::get_from_pointer(self.builder.get_pointer_field(1), ::core::option::Option::None)
         }
         #[inline]
-        pub fn set_gone(&mut self, value: impl ::capnp::traits::SetterInput<::capnp::text_list::Owned>) -> ::capnp::Result<()> {
+        pub fn set_ended_instances(&mut self, value: impl ::capnp::traits::SetterInput<::capnp::text_list::Owned>) -> ::capnp::Result<()> {
             ::capnp::traits::SetterInput::set_pointer_builder(self.builder.reborrow().get_pointer_field(1), value, false)
         }
         #[inline]
-        pub fn init_gone(self, size: u32) -> ::capnp::text_list::Builder<'a> {
+        pub fn init_ended_instances(self, size: u32) -> ::capnp::text_list::Builder<'a> {
             ::capnp::traits::FromPointerBuilder::init_pointer(self.builder.get_pointer_field(1), size)
         }
         #[inline]
-        pub fn has_gone(&self) -> bool {
+        pub fn has_ended_instances(&self) -> bool {
             !self.builder.is_pointer_field_null(1)
         }
         #[inline]
@@ -5304,23 +5303,23 @@
         }
     }
     mod _private {
-        pub(crate) static ENCODED_NODE: [::capnp::Word; 88] = [
+        pub(crate) static ENCODED_NODE: [::capnp::Word; 89] = [
             ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
-            ::capnp::word(100, 91, 8, 175, 117, 191, 51, 128),
+            ::capnp::word(2, 94, 27, 236, 99, 59, 143, 212),
             ::capnp::word(15, 0, 0, 0, 1, 0, 1, 0),
             ::capnp::word(38, 89, 227, 123, 168, 240, 193, 212),
             ::capnp::word(3, 0, 7, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(21, 0, 0, 0, 250, 0, 0, 0),
+            ::capnp::word(21, 0, 0, 0, 218, 0, 0, 0),
             ::capnp::word(33, 0, 0, 0, 7, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(29, 0, 0, 0, 231, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(105, 110, 116, 101, 114, 110, 97, 108),
-            ::capnp::word(46, 99, 97, 112, 110, 112, 58, 67),
-            ::capnp::word(111, 109, 112, 97, 110, 105, 111, 110),
-            ::capnp::word(82, 101, 112, 111, 114, 116, 0, 0),
+            ::capnp::word(46, 99, 97, 112, 110, 112, 58, 65),
+            ::capnp::word(103, 101, 110, 116, 82, 101, 112, 111),
+            ::capnp::word(114, 116, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 1, 0, 1, 0),
             ::capnp::word(16, 0, 0, 0, 3, 0, 4, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -5340,17 +5339,17 @@
             ::capnp::word(2, 0, 0, 0, 1, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 2, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(109, 0, 0, 0, 42, 0, 0, 0),
+            ::capnp::word(109, 0, 0, 0, 122, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(104, 0, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(132, 0, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(108, 0, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(136, 0, 0, 0, 2, 0, 1, 0),
             ::capnp::word(3, 0, 0, 0, 2, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 3, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(129, 0, 0, 0, 90, 0, 0, 0),
+            ::capnp::word(133, 0, 0, 0, 90, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(128, 0, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(156, 0, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(132, 0, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(160, 0, 0, 0, 2, 0, 1, 0),
             ::capnp::word(115, 101, 110, 116, 77, 115, 0, 0),
             ::capnp::word(9, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -5368,7 +5367,8 @@
             ::capnp::word(16, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(103, 111, 110, 101, 0, 0, 0, 0),
+            ::capnp::word(101, 110, 100, 101, 100, 73, 110, 115),
+            ::capnp::word(116, 97, 110, 99, 101, 115, 0, 0),
             ::capnp::word(14, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -5416,7 +5416,7 @@
         pub(crate) static NONUNION_MEMBERS : &[u16] = &[0,1,2,3];
         pub(crate) static MEMBERS_BY_DISCRIMINANT : &[u16] = &[];
         pub(crate) static MEMBERS_BY_NAME : &[u16] = &[2,1,3,0];
-        pub(crate) const TYPE_ID: u64 = 0x8033_bf75_af08_5b64;
+        pub(crate) const TYPE_ID: u64 = 0xd48f_3b63_ec1b_5e02;
     }
 }
 
@@ -5492,7 +5492,7 @@
     Done = 0,
     Failed = 1,
     Stopped = 2,
-    Lapsed = 3,
+    Expired = 3,
     Broken = 4,
     Alone = 5,
     Refused = 6,
@@ -5511,7 +5511,7 @@
             0 => ::core::result::Result::Ok(Self::Done),
             1 => ::core::result::Result::Ok(Self::Failed),
             2 => ::core::result::Result::Ok(Self::Stopped),
-            3 => ::core::result::Result::Ok(Self::Lapsed),
+            3 => ::core::result::Result::Ok(Self::Expired),
             4 => ::core::result::Result::Ok(Self::Broken),
             5 => ::core::result::Result::Ok(Self::Alone),
             6 => ::core::result::Result::Ok(Self::Refused),
@@ -5555,7 +5555,7 @@
     ::capnp::word(61, 0, 0, 0, 66, 0, 0, 0),
     ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
     ::capnp::word(3, 0, 0, 0, 0, 0, 0, 0),
-    ::capnp::word(53, 0, 0, 0, 58, 0, 0, 0),
+    ::capnp::word(53, 0, 0, 0, 66, 0, 0, 0),
     ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
     ::capnp::word(4, 0, 0, 0, 0, 0, 0, 0),
     ::capnp::word(45, 0, 0, 0, 58, 0, 0, 0),
@@ -5569,7 +5569,7 @@
     ::capnp::word(100, 111, 110, 101, 0, 0, 0, 0),
     ::capnp::word(102, 97, 105, 108, 101, 100, 0, 0),
     ::capnp::word(115, 116, 111, 112, 112, 101, 100, 0),
-    ::capnp::word(108, 97, 112, 115, 101, 100, 0, 0),
+    ::capnp::word(101, 120, 112, 105, 114, 101, 100, 0),
     ::capnp::word(98, 114, 111, 107, 101, 110, 0, 0),
     ::capnp::word(97, 108, 111, 110, 101, 0, 0, 0),
     ::capnp::word(114, 101, 102, 117, 115, 101, 100, 0),
@@ -5674,7 +5674,7 @@
             self.reader.into()
         }
         #[inline]
-        pub fn get_cold_remaining_ms(self) -> u64 {
+        pub fn get_warmup_remaining_ms(self) -> u64 {
             self.reader.get_data_field::<u64>(2)
         }
         #[inline]
@@ -5694,7 +5694,7 @@
             !self.reader.get_pointer_field(4).is_null()
         }
         #[inline]
-        pub fn get_silent_ms(self) -> u64 {
+        pub fn get_since_heartbeat_ms(self) -> u64 {
             self.reader.get_data_field::<u64>(3)
         }
         #[inline]
@@ -5842,11 +5842,11 @@
             self.builder.into()
         }
         #[inline]
-        pub fn get_cold_remaining_ms(self) -> u64 {
+        pub fn get_warmup_remaining_ms(self) -> u64 {
             self.builder.get_data_field::<u64>(2)
         }
         #[inline]
-        pub fn set_cold_remaining_ms(&mut self, value: u64)  {
+        pub fn set_warmup_remaining_ms(&mut self, value: u64)  {
             self.builder.set_data_field::<u64>(2, value);
         }
         #[inline]
@@ -5882,11 +5882,11 @@
             !self.builder.is_pointer_field_null(4)
         }
         #[inline]
-        pub fn get_silent_ms(self) -> u64 {
+        pub fn get_since_heartbeat_ms(self) -> u64 {
             self.builder.get_data_field::<u64>(3)
         }
         #[inline]
-        pub fn set_silent_ms(&mut self, value: u64)  {
+        pub fn set_since_heartbeat_ms(&mut self, value: u64)  {
             self.builder.set_data_field::<u64>(3, value);
         }
         #[inline]
@@ -5954,7 +5954,7 @@
         }
     }
     mod _private {
-        pub(crate) static ENCODED_NODE: [::capnp::Word; 213] = [
+        pub(crate) static ENCODED_NODE: [::capnp::Word; 215] = [
             ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
             ::capnp::word(74, 39, 106, 214, 134, 140, 145, 156),
             ::capnp::word(15, 0, 0, 0, 1, 0, 4, 0),
@@ -6011,52 +6011,52 @@
             ::capnp::word(5, 0, 0, 0, 2, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 6, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(61, 1, 0, 0, 130, 0, 0, 0),
+            ::capnp::word(61, 1, 0, 0, 146, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(60, 1, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(72, 1, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(64, 1, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(76, 1, 0, 0, 2, 0, 1, 0),
             ::capnp::word(6, 0, 0, 0, 3, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 7, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(69, 1, 0, 0, 74, 0, 0, 0),
+            ::capnp::word(73, 1, 0, 0, 74, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(68, 1, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(80, 1, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(72, 1, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(84, 1, 0, 0, 2, 0, 1, 0),
             ::capnp::word(7, 0, 0, 0, 4, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 8, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(77, 1, 0, 0, 58, 0, 0, 0),
+            ::capnp::word(81, 1, 0, 0, 58, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(72, 1, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(100, 1, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(76, 1, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(104, 1, 0, 0, 2, 0, 1, 0),
             ::capnp::word(8, 0, 0, 0, 3, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 9, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(97, 1, 0, 0, 74, 0, 0, 0),
+            ::capnp::word(101, 1, 0, 0, 138, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(96, 1, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(108, 1, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(104, 1, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(116, 1, 0, 0, 2, 0, 1, 0),
             ::capnp::word(9, 0, 0, 0, 5, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 10, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(105, 1, 0, 0, 66, 0, 0, 0),
+            ::capnp::word(113, 1, 0, 0, 66, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(100, 1, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(128, 1, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(108, 1, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(136, 1, 0, 0, 2, 0, 1, 0),
             ::capnp::word(10, 0, 0, 0, 6, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 11, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(125, 1, 0, 0, 74, 0, 0, 0),
+            ::capnp::word(133, 1, 0, 0, 74, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(124, 1, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(152, 1, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(132, 1, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(160, 1, 0, 0, 2, 0, 1, 0),
             ::capnp::word(11, 0, 0, 0, 7, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 12, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(149, 1, 0, 0, 74, 0, 0, 0),
+            ::capnp::word(157, 1, 0, 0, 74, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(148, 1, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(176, 1, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(156, 1, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(184, 1, 0, 0, 2, 0, 1, 0),
             ::capnp::word(105, 100, 0, 0, 0, 0, 0, 0),
             ::capnp::word(12, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -6091,8 +6091,9 @@
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(114, 101, 109, 97, 105, 110, 105, 110),
             ::capnp::word(103, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(99, 111, 108, 100, 82, 101, 109, 97),
-            ::capnp::word(105, 110, 105, 110, 103, 77, 115, 0),
+            ::capnp::word(119, 97, 114, 109, 117, 112, 82, 101),
+            ::capnp::word(109, 97, 105, 110, 105, 110, 103, 77),
+            ::capnp::word(115, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(9, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -6121,7 +6122,8 @@
             ::capnp::word(14, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(115, 105, 108, 101, 110, 116, 77, 115),
+            ::capnp::word(115, 105, 110, 99, 101, 72, 101, 97),
+            ::capnp::word(114, 116, 98, 101, 97, 116, 77, 115),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(9, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -6198,7 +6200,7 @@
         );
         pub(crate) static NONUNION_MEMBERS : &[u16] = &[0,1,2,3,4,5,6,7,8,9,10,11];
         pub(crate) static MEMBERS_BY_DISCRIMINANT : &[u16] = &[];
-        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[1,6,5,10,0,11,7,4,9,8,3,2];
+        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[1,6,10,0,11,7,4,9,8,3,5,2];
         pub(crate) const TYPE_ID: u64 = 0x9c91_8c86_d66a_274a;
     }
 
@@ -6523,11 +6525,11 @@
             !self.reader.get_pointer_field(0).is_null()
         }
         #[inline]
-        pub fn get_saved(self) -> ::capnp::Result<::capnp::text::Reader<'a>> {
+        pub fn get_checkpoint(self) -> ::capnp::Result<::capnp::text::Reader<'a>> {
             ::capnp::traits::FromPointerReader::get_from_pointer(&self.reader.get_pointer_field(1), ::core::option::Option::None)
         }
         #[inline]
-        pub fn has_saved(&self) -> bool {
+        pub fn has_checkpoint(&self) -> bool {
             !self.reader.get_pointer_field(1).is_null()
         }
         #[inline]
@@ -6605,19 +6607,19 @@
             !self.builder.is_pointer_field_null(0)
         }
         #[inline]
-        pub fn get_saved(self) -> ::capnp::Result<::capnp::text::Builder<'a>> {
+        pub fn get_checkpoint(self) -> ::capnp::Result<::capnp::text::Builder<'a>> {
             ::capnp::traits::FromPointerBuilder::get_from_pointer(self.builder.get_pointer_field(1), ::core::option::Option::None)
         }
         #[inline]
-        pub fn set_saved(&mut self, value: impl ::capnp::traits::SetterInput<::capnp::text::Owned>)  {
+        pub fn set_checkpoint(&mut self, value: impl ::capnp::traits::SetterInput<::capnp::text::Owned>)  {
             ::capnp::traits::SetterInput::set_pointer_builder(self.builder.reborrow().get_pointer_field(1), value, false).unwrap()
         }
         #[inline]
-        pub fn init_saved(self, size: u32) -> ::capnp::text::Builder<'a> {
+        pub fn init_checkpoint(self, size: u32) -> ::capnp::text::Builder<'a> {
             self.builder.get_pointer_field(1).init_text(size)
         }
         #[inline]
-        pub fn has_saved(&self) -> bool {
+        pub fn has_checkpoint(&self) -> bool {
             !self.builder.is_pointer_field_null(1)
         }
         #[inline]
@@ -6642,7 +6644,7 @@
         }
     }
     mod _private {
-        pub(crate) static ENCODED_NODE: [::capnp::Word; 63] = [
+        pub(crate) static ENCODED_NODE: [::capnp::Word; 64] = [
             ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
             ::capnp::word(241, 175, 95, 93, 131, 125, 33, 172),
             ::capnp::word(15, 0, 0, 0, 1, 0, 1, 0),
@@ -6671,17 +6673,17 @@
             ::capnp::word(1, 0, 0, 0, 1, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 1, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(73, 0, 0, 0, 50, 0, 0, 0),
+            ::capnp::word(73, 0, 0, 0, 90, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(68, 0, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(80, 0, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(72, 0, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(84, 0, 0, 0, 2, 0, 1, 0),
             ::capnp::word(2, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 2, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(77, 0, 0, 0, 66, 0, 0, 0),
+            ::capnp::word(81, 0, 0, 0, 66, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(72, 0, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(84, 0, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(76, 0, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(88, 0, 0, 0, 2, 0, 1, 0),
             ::capnp::word(114, 117, 110, 0, 0, 0, 0, 0),
             ::capnp::word(16, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(214, 25, 117, 69, 221, 151, 181, 208),
@@ -6690,7 +6692,8 @@
             ::capnp::word(16, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(115, 97, 118, 101, 100, 0, 0, 0),
+            ::capnp::word(99, 104, 101, 99, 107, 112, 111, 105),
+            ::capnp::word(110, 116, 0, 0, 0, 0, 0, 0),
             ::capnp::word(12, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -6727,7 +6730,7 @@
         );
         pub(crate) static NONUNION_MEMBERS : &[u16] = &[0,1,2];
         pub(crate) static MEMBERS_BY_DISCRIMINANT : &[u16] = &[];
-        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[2,0,1];
+        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[1,2,0];
         pub(crate) const TYPE_ID: u64 = 0xac21_7d83_5d5f_aff1;
     }
 }
@@ -6810,11 +6813,11 @@
             ::core::convert::TryFrom::try_from(self.reader.get_data_field::<u16>(4))
         }
         #[inline]
-        pub fn get_saved(self) -> ::capnp::Result<::capnp::text::Reader<'a>> {
+        pub fn get_checkpoint(self) -> ::capnp::Result<::capnp::text::Reader<'a>> {
             ::capnp::traits::FromPointerReader::get_from_pointer(&self.reader.get_pointer_field(1), ::core::option::Option::None)
         }
         #[inline]
-        pub fn has_saved(&self) -> bool {
+        pub fn has_checkpoint(&self) -> bool {
             !self.reader.get_pointer_field(1).is_null()
         }
     }
@@ -6904,19 +6907,19 @@
             self.builder.set_data_field::<u16>(4, value as u16);
         }
         #[inline]
-        pub fn get_saved(self) -> ::capnp::Result<::capnp::text::Builder<'a>> {
+        pub fn get_checkpoint(self) -> ::capnp::Result<::capnp::text::Builder<'a>> {
             ::capnp::traits::FromPointerBuilder::get_from_pointer(self.builder.get_pointer_field(1), ::core::option::Option::None)
         }
         #[inline]
-        pub fn set_saved(&mut self, value: impl ::capnp::traits::SetterInput<::capnp::text::Owned>)  {
+        pub fn set_checkpoint(&mut self, value: impl ::capnp::traits::SetterInput<::capnp::text::Owned>)  {
             ::capnp::traits::SetterInput::set_pointer_builder(self.builder.reborrow().get_pointer_field(1), value, false).unwrap()
         }
         #[inline]
-        pub fn init_saved(self, size: u32) -> ::capnp::text::Builder<'a> {
+        pub fn init_checkpoint(self, size: u32) -> ::capnp::text::Builder<'a> {
             self.builder.get_pointer_field(1).init_text(size)
         }
         #[inline]
-        pub fn has_saved(&self) -> bool {
+        pub fn has_checkpoint(&self) -> bool {
             !self.builder.is_pointer_field_null(1)
         }
     }
@@ -6933,7 +6936,7 @@
         }
     }
     mod _private {
-        pub(crate) static ENCODED_NODE: [::capnp::Word; 78] = [
+        pub(crate) static ENCODED_NODE: [::capnp::Word; 79] = [
             ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
             ::capnp::word(187, 82, 228, 243, 205, 56, 106, 159),
             ::capnp::word(15, 0, 0, 0, 1, 0, 2, 0),
@@ -6976,10 +6979,10 @@
             ::capnp::word(3, 0, 0, 0, 1, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 3, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(109, 0, 0, 0, 50, 0, 0, 0),
+            ::capnp::word(109, 0, 0, 0, 90, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(104, 0, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(116, 0, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(108, 0, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(120, 0, 0, 0, 2, 0, 1, 0),
             ::capnp::word(110, 117, 109, 98, 101, 114, 0, 0),
             ::capnp::word(9, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -7004,7 +7007,8 @@
             ::capnp::word(15, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(115, 97, 118, 101, 100, 0, 0, 0),
+            ::capnp::word(99, 104, 101, 99, 107, 112, 111, 105),
+            ::capnp::word(110, 116, 0, 0, 0, 0, 0, 0),
             ::capnp::word(12, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -7034,12 +7038,12 @@
         );
         pub(crate) static NONUNION_MEMBERS : &[u16] = &[0,1,2,3];
         pub(crate) static MEMBERS_BY_DISCRIMINANT : &[u16] = &[];
-        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[2,0,1,3];
+        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[3,2,0,1];
         pub(crate) const TYPE_ID: u64 = 0x9f6a_38cd_f3e4_52bb;
     }
 }
 
-pub mod companion_orders {
+pub mod agent_orders {
     #[derive(Copy, Clone)]
     pub struct Owned(());
     impl ::capnp::introspect::Introspect for Owned { fn introspect() -> ::capnp::introspect::Type { ::capnp::introspect::TypeVariant::Struct(::capnp::introspect::RawBrandedStructSchema { generic: &_private::RAW_SCHEMA, field_types: _private::get_field_types, annotation_types: _private::get_annotation_types, type_id: ::core::any::TypeId::of::<Owned>() }).into() } }
@@ -7105,7 +7109,7 @@
             self.reader.get_data_field::<u64>(0)
         }
         #[inline]
-        pub fn get_echo_sent(self) -> crate::internal_capnp::companion_orders::echo_sent::Reader<'a> {
+        pub fn get_echo_sent(self) -> crate::internal_capnp::agent_orders::echo_sent::Reader<'a> {
             self.reader.into()
         }
         #[inline]
@@ -7133,7 +7137,7 @@
             !self.reader.get_pointer_field(2).is_null()
         }
         #[inline]
-        pub fn get_last_seen(self) -> crate::internal_capnp::companion_orders::last_seen::Reader<'a> {
+        pub fn get_acknowledged_end(self) -> crate::internal_capnp::agent_orders::acknowledged_end::Reader<'a> {
             self.reader.into()
         }
     }
@@ -7199,11 +7203,11 @@
             self.builder.set_data_field::<u64>(0, value);
         }
         #[inline]
-        pub fn get_echo_sent(self) -> crate::internal_capnp::companion_orders::echo_sent::Builder<'a> {
+        pub fn get_echo_sent(self) -> crate::internal_capnp::agent_orders::echo_sent::Builder<'a> {
             self.builder.into()
         }
         #[inline]
-        pub fn init_echo_sent(self, ) -> crate::internal_capnp::companion_orders::echo_sent::Builder<'a> {
+        pub fn init_echo_sent(self, ) -> crate::internal_capnp::agent_orders::echo_sent::Builder<'a> {
             self.builder.set_data_field::<u16>(4, 0);
             self.builder.set_data_field::<u64>(2, 0u64);
             self.builder.into()
@@ -7257,11 +7261,11 @@
             !self.builder.is_pointer_field_null(2)
         }
         #[inline]
-        pub fn get_last_seen(self) -> crate::internal_capnp::companion_orders::last_seen::Builder<'a> {
+        pub fn get_acknowledged_end(self) -> crate::internal_capnp::agent_orders::acknowledged_end::Builder<'a> {
             self.builder.into()
         }
         #[inline]
-        pub fn init_last_seen(self, ) -> crate::internal_capnp::companion_orders::last_seen::Builder<'a> {
+        pub fn init_acknowledged_end(self, ) -> crate::internal_capnp::agent_orders::acknowledged_end::Builder<'a> {
             self.builder.set_data_field::<u16>(5, 0);
             self.builder.set_data_field::<u64>(3, 0u64);
             self.builder.into()
@@ -7275,31 +7279,31 @@
         }
     }
     impl Pipeline  {
-        pub fn get_echo_sent(&self) -> crate::internal_capnp::companion_orders::echo_sent::Pipeline {
+        pub fn get_echo_sent(&self) -> crate::internal_capnp::agent_orders::echo_sent::Pipeline {
             ::capnp::capability::FromTypelessPipeline::new(self._typeless.noop())
         }
-        pub fn get_last_seen(&self) -> crate::internal_capnp::companion_orders::last_seen::Pipeline {
+        pub fn get_acknowledged_end(&self) -> crate::internal_capnp::agent_orders::acknowledged_end::Pipeline {
             ::capnp::capability::FromTypelessPipeline::new(self._typeless.noop())
         }
     }
     mod _private {
         pub(crate) static ENCODED_NODE: [::capnp::Word; 105] = [
             ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
-            ::capnp::word(168, 176, 233, 171, 174, 159, 234, 213),
+            ::capnp::word(177, 20, 167, 50, 154, 137, 149, 158),
             ::capnp::word(15, 0, 0, 0, 1, 0, 4, 0),
             ::capnp::word(38, 89, 227, 123, 168, 240, 193, 212),
             ::capnp::word(3, 0, 7, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(21, 0, 0, 0, 250, 0, 0, 0),
+            ::capnp::word(21, 0, 0, 0, 218, 0, 0, 0),
             ::capnp::word(33, 0, 0, 0, 7, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(29, 0, 0, 0, 87, 1, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(105, 110, 116, 101, 114, 110, 97, 108),
-            ::capnp::word(46, 99, 97, 112, 110, 112, 58, 67),
-            ::capnp::word(111, 109, 112, 97, 110, 105, 111, 110),
-            ::capnp::word(79, 114, 100, 101, 114, 115, 0, 0),
+            ::capnp::word(46, 99, 97, 112, 110, 112, 58, 65),
+            ::capnp::word(103, 101, 110, 116, 79, 114, 100, 101),
+            ::capnp::word(114, 115, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 1, 0, 1, 0),
             ::capnp::word(24, 0, 0, 0, 3, 0, 4, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -7311,7 +7315,7 @@
             ::capnp::word(160, 0, 0, 0, 2, 0, 1, 0),
             ::capnp::word(1, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(1, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(124, 63, 204, 99, 250, 125, 187, 244),
+            ::capnp::word(190, 116, 61, 20, 247, 209, 18, 214),
             ::capnp::word(157, 0, 0, 0, 74, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -7339,8 +7343,8 @@
             ::capnp::word(188, 0, 0, 0, 2, 0, 1, 0),
             ::capnp::word(5, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(1, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(232, 18, 143, 175, 118, 245, 174, 179),
-            ::capnp::word(185, 0, 0, 0, 74, 0, 0, 0),
+            ::capnp::word(25, 209, 63, 121, 132, 242, 59, 238),
+            ::capnp::word(185, 0, 0, 0, 130, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -7387,17 +7391,17 @@
             ::capnp::word(14, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(108, 97, 115, 116, 83, 101, 101, 110),
-            ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
+            ::capnp::word(97, 99, 107, 110, 111, 119, 108, 101),
+            ::capnp::word(100, 103, 101, 100, 69, 110, 100, 0),
         ];
         pub(crate) fn get_field_types(index: u16) -> ::capnp::introspect::Type {
             match index {
                 0 => <u64 as ::capnp::introspect::Introspect>::introspect(),
-                1 => <crate::internal_capnp::companion_orders::echo_sent::Owned as ::capnp::introspect::Introspect>::introspect(),
+                1 => <crate::internal_capnp::agent_orders::echo_sent::Owned as ::capnp::introspect::Introspect>::introspect(),
                 2 => <::capnp::text::Owned as ::capnp::introspect::Introspect>::introspect(),
                 3 => <::capnp::struct_list::Owned<crate::internal_capnp::start_order::Owned> as ::capnp::introspect::Introspect>::introspect(),
                 4 => <::capnp::struct_list::Owned<crate::internal_capnp::run_id::Owned> as ::capnp::introspect::Introspect>::introspect(),
-                5 => <crate::internal_capnp::companion_orders::last_seen::Owned as ::capnp::introspect::Introspect>::introspect(),
+                5 => <crate::internal_capnp::agent_orders::acknowledged_end::Owned as ::capnp::introspect::Introspect>::introspect(),
                 _ => ::capnp::introspect::panic_invalid_field_index(index),
             }
         }
@@ -7413,8 +7417,8 @@
         );
         pub(crate) static NONUNION_MEMBERS : &[u16] = &[0,1,2,3,4,5];
         pub(crate) static MEMBERS_BY_DISCRIMINANT : &[u16] = &[];
-        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[1,0,2,5,3,4];
-        pub(crate) const TYPE_ID: u64 = 0xd5ea_9fae_abe9_b0a8;
+        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[5,1,0,2,3,4];
+        pub(crate) const TYPE_ID: u64 = 0x9e95_899a_32a7_14b1;
     }
 
     pub mod echo_sent {
@@ -7588,22 +7592,22 @@
         mod _private {
             pub(crate) static ENCODED_NODE: [::capnp::Word; 49] = [
                 ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
-                ::capnp::word(124, 63, 204, 99, 250, 125, 187, 244),
-                ::capnp::word(31, 0, 0, 0, 1, 0, 4, 0),
-                ::capnp::word(168, 176, 233, 171, 174, 159, 234, 213),
+                ::capnp::word(190, 116, 61, 20, 247, 209, 18, 214),
+                ::capnp::word(27, 0, 0, 0, 1, 0, 4, 0),
+                ::capnp::word(177, 20, 167, 50, 154, 137, 149, 158),
                 ::capnp::word(3, 0, 7, 0, 1, 0, 2, 0),
                 ::capnp::word(4, 0, 0, 0, 0, 0, 0, 0),
-                ::capnp::word(21, 0, 0, 0, 66, 1, 0, 0),
+                ::capnp::word(21, 0, 0, 0, 34, 1, 0, 0),
                 ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
                 ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
                 ::capnp::word(29, 0, 0, 0, 119, 0, 0, 0),
                 ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
                 ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
                 ::capnp::word(105, 110, 116, 101, 114, 110, 97, 108),
-                ::capnp::word(46, 99, 97, 112, 110, 112, 58, 67),
-                ::capnp::word(111, 109, 112, 97, 110, 105, 111, 110),
-                ::capnp::word(79, 114, 100, 101, 114, 115, 46, 101),
-                ::capnp::word(99, 104, 111, 83, 101, 110, 116, 0),
+                ::capnp::word(46, 99, 97, 112, 110, 112, 58, 65),
+                ::capnp::word(103, 101, 110, 116, 79, 114, 100, 101),
+                ::capnp::word(114, 115, 46, 101, 99, 104, 111, 83),
+                ::capnp::word(101, 110, 116, 0, 0, 0, 0, 0),
                 ::capnp::word(8, 0, 0, 0, 3, 0, 4, 0),
                 ::capnp::word(0, 0, 255, 255, 0, 0, 0, 0),
                 ::capnp::word(0, 0, 1, 0, 1, 0, 0, 0),
@@ -7657,7 +7661,7 @@
             pub(crate) static NONUNION_MEMBERS : &[u16] = &[];
             pub(crate) static MEMBERS_BY_DISCRIMINANT : &[u16] = &[0,1];
             pub(crate) static MEMBERS_BY_NAME : &[u16] = &[1,0];
-            pub(crate) const TYPE_ID: u64 = 0xf4bb_7dfa_63cc_3f7c;
+            pub(crate) const TYPE_ID: u64 = 0xd612_d1f7_143d_74be;
         }
         pub enum Which {
             None(()),
@@ -7667,7 +7671,7 @@
         pub type WhichBuilder = Which;
     }
 
-    pub mod last_seen {
+    pub mod acknowledged_end {
         pub use self::Which::{None,Number};
 
         #[derive(Copy, Clone)]
@@ -7836,24 +7840,25 @@
         impl Pipeline  {
         }
         mod _private {
-            pub(crate) static ENCODED_NODE: [::capnp::Word; 48] = [
+            pub(crate) static ENCODED_NODE: [::capnp::Word; 49] = [
                 ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
-                ::capnp::word(232, 18, 143, 175, 118, 245, 174, 179),
-                ::capnp::word(31, 0, 0, 0, 1, 0, 4, 0),
-                ::capnp::word(168, 176, 233, 171, 174, 159, 234, 213),
+                ::capnp::word(25, 209, 63, 121, 132, 242, 59, 238),
+                ::capnp::word(27, 0, 0, 0, 1, 0, 4, 0),
+                ::capnp::word(177, 20, 167, 50, 154, 137, 149, 158),
                 ::capnp::word(3, 0, 7, 0, 1, 0, 2, 0),
                 ::capnp::word(5, 0, 0, 0, 0, 0, 0, 0),
-                ::capnp::word(21, 0, 0, 0, 66, 1, 0, 0),
+                ::capnp::word(21, 0, 0, 0, 90, 1, 0, 0),
                 ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
                 ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-                ::capnp::word(29, 0, 0, 0, 119, 0, 0, 0),
+                ::capnp::word(33, 0, 0, 0, 119, 0, 0, 0),
                 ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
                 ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
                 ::capnp::word(105, 110, 116, 101, 114, 110, 97, 108),
-                ::capnp::word(46, 99, 97, 112, 110, 112, 58, 67),
-                ::capnp::word(111, 109, 112, 97, 110, 105, 111, 110),
-                ::capnp::word(79, 114, 100, 101, 114, 115, 46, 108),
-                ::capnp::word(97, 115, 116, 83, 101, 101, 110, 0),
+                ::capnp::word(46, 99, 97, 112, 110, 112, 58, 65),
+                ::capnp::word(103, 101, 110, 116, 79, 114, 100, 101),
+                ::capnp::word(114, 115, 46, 97, 99, 107, 110, 111),
+                ::capnp::word(119, 108, 101, 100, 103, 101, 100, 69),
+                ::capnp::word(110, 100, 0, 0, 0, 0, 0, 0),
                 ::capnp::word(8, 0, 0, 0, 3, 0, 4, 0),
                 ::capnp::word(0, 0, 255, 255, 0, 0, 0, 0),
                 ::capnp::word(0, 0, 1, 0, 6, 0, 0, 0),
@@ -7906,7 +7911,7 @@
             pub(crate) static NONUNION_MEMBERS : &[u16] = &[];
             pub(crate) static MEMBERS_BY_DISCRIMINANT : &[u16] = &[0,1];
             pub(crate) static MEMBERS_BY_NAME : &[u16] = &[0,1];
-            pub(crate) const TYPE_ID: u64 = 0xb3ae_f576_af8f_12e8;
+            pub(crate) const TYPE_ID: u64 = 0xee3b_f284_793f_d119;
         }
         pub enum Which {
             None(()),
@@ -8003,11 +8008,11 @@
             !self.reader.get_pointer_field(2).is_null()
         }
         #[inline]
-        pub fn get_saved(self) -> ::capnp::Result<::capnp::text::Reader<'a>> {
+        pub fn get_checkpoint(self) -> ::capnp::Result<::capnp::text::Reader<'a>> {
             ::capnp::traits::FromPointerReader::get_from_pointer(&self.reader.get_pointer_field(3), ::core::option::Option::None)
         }
         #[inline]
-        pub fn has_saved(&self) -> bool {
+        pub fn has_checkpoint(&self) -> bool {
             !self.reader.get_pointer_field(3).is_null()
         }
     }
@@ -8113,19 +8118,19 @@
             !self.builder.is_pointer_field_null(2)
         }
         #[inline]
-        pub fn get_saved(self) -> ::capnp::Result<::capnp::text::Builder<'a>> {
+        pub fn get_checkpoint(self) -> ::capnp::Result<::capnp::text::Builder<'a>> {
             ::capnp::traits::FromPointerBuilder::get_from_pointer(self.builder.get_pointer_field(3), ::core::option::Option::None)
         }
         #[inline]
-        pub fn set_saved(&mut self, value: impl ::capnp::traits::SetterInput<::capnp::text::Owned>)  {
+        pub fn set_checkpoint(&mut self, value: impl ::capnp::traits::SetterInput<::capnp::text::Owned>)  {
             ::capnp::traits::SetterInput::set_pointer_builder(self.builder.reborrow().get_pointer_field(3), value, false).unwrap()
         }
         #[inline]
-        pub fn init_saved(self, size: u32) -> ::capnp::text::Builder<'a> {
+        pub fn init_checkpoint(self, size: u32) -> ::capnp::text::Builder<'a> {
             self.builder.get_pointer_field(3).init_text(size)
         }
         #[inline]
-        pub fn has_saved(&self) -> bool {
+        pub fn has_checkpoint(&self) -> bool {
             !self.builder.is_pointer_field_null(3)
         }
     }
@@ -8145,7 +8150,7 @@
         }
     }
     mod _private {
-        pub(crate) static ENCODED_NODE: [::capnp::Word; 79] = [
+        pub(crate) static ENCODED_NODE: [::capnp::Word; 80] = [
             ::capnp::word(0, 0, 0, 0, 5, 0, 6, 0),
             ::capnp::word(170, 96, 165, 173, 214, 213, 91, 192),
             ::capnp::word(15, 0, 0, 0, 1, 0, 0, 0),
@@ -8188,10 +8193,10 @@
             ::capnp::word(3, 0, 0, 0, 3, 0, 0, 0),
             ::capnp::word(0, 0, 1, 0, 3, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(113, 0, 0, 0, 50, 0, 0, 0),
+            ::capnp::word(113, 0, 0, 0, 90, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(108, 0, 0, 0, 3, 0, 1, 0),
-            ::capnp::word(120, 0, 0, 0, 2, 0, 1, 0),
+            ::capnp::word(112, 0, 0, 0, 3, 0, 1, 0),
+            ::capnp::word(124, 0, 0, 0, 2, 0, 1, 0),
             ::capnp::word(114, 117, 110, 0, 0, 0, 0, 0),
             ::capnp::word(16, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(214, 25, 117, 69, 221, 151, 181, 208),
@@ -8217,7 +8222,8 @@
             ::capnp::word(12, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
-            ::capnp::word(115, 97, 118, 101, 100, 0, 0, 0),
+            ::capnp::word(99, 104, 101, 99, 107, 112, 111, 105),
+            ::capnp::word(110, 116, 0, 0, 0, 0, 0, 0),
             ::capnp::word(12, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
             ::capnp::word(0, 0, 0, 0, 0, 0, 0, 0),
@@ -8247,7 +8253,7 @@
         );
         pub(crate) static NONUNION_MEMBERS : &[u16] = &[0,1,2,3];
         pub(crate) static MEMBERS_BY_DISCRIMINANT : &[u16] = &[];
-        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[1,0,3,2];
+        pub(crate) static MEMBERS_BY_NAME : &[u16] = &[3,1,0,2];
         pub(crate) const TYPE_ID: u64 = 0xc05b_d5d6_ada5_60aa;
     }
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -62,7 +62,7 @@
     pub checkpoints: bool,
     /// Its tasks work only all together.
     pub gang: bool,
-    /// Spread over more than one rack, its tasks run `far_x` times as long.
+    /// Spread over more than one rack, its tasks run `remote_slowdown` times as long.
     pub rack_local: bool,
     /// Label that the worker must have; empty for none.
     pub requirements: String,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -25,7 +25,8 @@
     /// It was told to stop.
     Stopped,
     /// Its hold ran out.
-    Lapsed,
+    #[serde(rename = "lapsed")]
+    Expired,
     /// Another member of its gang ended.
     Broken,
     /// It waited in vain for the other members of its gang.
@@ -59,7 +60,8 @@
     /// Whether it takes new work.
     pub state: WorkerState,
     /// How long it will still be slow after its start, in milliseconds.
-    pub cold_remaining_ms: u64,
+    #[serde(rename = "cold_remaining_ms")]
+    pub warmup_remaining_ms: u64,
     /// What it has.
     pub capacity: Resources,
     /// Its labels: kind, rack.
@@ -89,14 +91,14 @@
 #[serde(default)]
 pub struct HeartbeatReply {
     /// For how long what runs is held, from when the heartbeat was sent; without it nothing is started or held on.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub hold_ms: Option<u64>,
+    #[serde(rename = "hold_ms", skip_serializing_if = "Option::is_none")]
+    pub lease_ms: Option<u64>,
     /// Ends up to this number are taken note of.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub last_seen: Option<u64>,
+    #[serde(rename = "last_seen", skip_serializing_if = "Option::is_none")]
+    pub acknowledged_end: Option<u64>,
     /// Orders under a lower token than the highest seen are not followed.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub fence_token: Option<u64>,
+    #[serde(rename = "fence_token", skip_serializing_if = "Option::is_none")]
+    pub fencing_token: Option<u64>,
     /// Runs to start.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub start: Vec<Start>,
--- a/crates/protocol/tests/frames/mod.rs
+++ b/crates/protocol/tests/frames/mod.rs
@@ -5,9 +5,8 @@
     InspectionAnswer, InspectionCall, InspectionReply, Question,
 };
 use indigofold_protocol::internal::{
-    ClientCall, ClientOperation, ClientOutcome, ClientReply, CompanionOrders, CompanionReport,
-    FinishedRun, Frame, Hello, InstanceReport, MemberAddress, ProcessKind, RunningRun, StartOrder,
-    Welcome,
+    AgentOrders, AgentReport, ClientCall, ClientOperation, ClientOutcome, ClientReply, FinishedRun,
+    Frame, Hello, InstanceReport, MemberAddress, ProcessKind, RunningRun, StartOrder, Welcome,
 };
 use indigofold_protocol::job::{JobSpec, JobState, Resources, Step};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
@@ -44,7 +43,7 @@
 fn hello() -> impl Strategy<Value = Hello> {
     let kind = prop::sample::select(vec![
         ProcessKind::Edge,
-        ProcessKind::Companion,
+        ProcessKind::Agent,
         ProcessKind::Core,
     ]);
     (text(), kind, text(), any::<u64>()).prop_map(|(node_name, kind, zone, incarnation)| Hello {
@@ -209,26 +208,28 @@
     any::<[u64; 3]>().prop_map(|[cpu, mem_mb, gpu]| Resources { cpu, mem_mb, gpu })
 }
 
-fn report() -> impl Strategy<Value = CompanionReport> {
+fn report() -> impl Strategy<Value = AgentReport> {
     (
         any::<u64>(),
         option::of(instance()),
         vec(text(), 0..ITEMS),
         vec(run(), 0..ITEMS),
     )
-        .prop_map(|(sent_ms, instance, gone, not_started)| CompanionReport {
-            sent_ms,
-            instance,
-            gone,
-            not_started,
-        })
+        .prop_map(
+            |(sent_ms, instance, ended_instances, not_started)| AgentReport {
+                sent_ms,
+                instance,
+                ended_instances,
+                not_started,
+            },
+        )
 }
 
 fn instance() -> impl Strategy<Value = InstanceReport> {
     let state = prop::sample::select(vec![WorkerState::Ready, WorkerState::Draining]);
-    let running = (run(), text(), any::<u32>()).prop_map(|(run, saved, percent)| RunningRun {
+    let running = (run(), text(), any::<u32>()).prop_map(|(run, checkpoint, percent)| RunningRun {
         run,
-        saved,
+        checkpoint,
         percent,
     });
     let names = (text(), text(), text(), vec(text(), 0..ITEMS));
@@ -240,7 +241,7 @@
     );
     (names, state, times, resources(), runs).prop_map(|(names, state, times, capacity, runs)| {
         let (id, backend, zone, labels) = names;
-        let (remaining_ms, [cold_remaining_ms, silent_ms]) = times;
+        let (remaining_ms, [warmup_remaining_ms, since_heartbeat_ms]) = times;
         let (running, finished, in_flight) = runs;
         InstanceReport {
             id,
@@ -248,10 +249,10 @@
             zone,
             state,
             remaining_ms,
-            cold_remaining_ms,
+            warmup_remaining_ms,
             capacity,
             labels,
-            silent_ms,
+            since_heartbeat_ms,
             running,
             finished,
             in_flight,
@@ -264,26 +265,28 @@
         RunEnd::Done,
         RunEnd::Failed,
         RunEnd::Stopped,
-        RunEnd::Lapsed,
+        RunEnd::Expired,
         RunEnd::Broken,
         RunEnd::Alone,
         RunEnd::Refused,
     ]);
-    (any::<u64>(), run(), end, text()).prop_map(|(number, run, end, saved)| FinishedRun {
+    (any::<u64>(), run(), end, text()).prop_map(|(number, run, end, checkpoint)| FinishedRun {
         number,
         run,
         end,
-        saved,
+        checkpoint,
     })
 }
 
-fn orders() -> impl Strategy<Value = CompanionOrders> {
+fn orders() -> impl Strategy<Value = AgentOrders> {
     let start =
-        (run(), resources(), text(), text()).prop_map(|(run, resources, spec, saved)| StartOrder {
-            run,
-            resources,
-            spec,
-            saved,
+        (run(), resources(), text(), text()).prop_map(|(run, resources, spec, checkpoint)| {
+            StartOrder {
+                run,
+                resources,
+                spec,
+                checkpoint,
+            }
         });
     let numbers = (
         any::<u64>(),
@@ -292,14 +295,14 @@
     );
     (numbers, text(), vec(start, 0..ITEMS), vec(run(), 0..ITEMS)).prop_map(
         |(numbers, instance, start, stop)| {
-            let (epoch, echo_sent_ms, last_seen) = numbers;
-            CompanionOrders {
+            let (epoch, echo_sent_ms, acknowledged_end) = numbers;
+            AgentOrders {
                 epoch,
                 echo_sent_ms,
                 instance,
                 start,
                 stop,
-                last_seen,
+                acknowledged_end,
             }
         },
     )
--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -1,6 +1,6 @@
 //! What a member keeps on disk beside the rows, and how both are changed.
 
-use crate::types::{Batch, Mark, Member, Row, View, ViewStart};
+use crate::types::{Batch, Member, Row, View, ViewStart, Viewstamp};
 use indigofold_protocol::internal::MemberAddress;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     /// That view is known to hold.
     pub agreed: bool,
     /// The state of its rows.
-    pub mark: Mark,
+    pub viewstamp: Viewstamp,
     /// The views that led to this state, oldest first; early ones may be missing.
     pub history: Vec<ViewStart>,
     /// Rows deleted at or before this sequence number have left no trace.
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -27,4 +27,4 @@
 pub use message::{Envelope, Message};
 pub use replica::{Input, Output, Replica, Settings};
 pub use storage::{Opened, Storage, StorageError};
-pub use types::{Batch, Mark, Member, Row, RowChange, RowsChunk, View, ViewStart};
+pub use types::{Batch, Member, Row, RowChange, RowsChunk, View, ViewStart, Viewstamp};
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between members.
 
-use crate::types::{Batch, Mark, Member, Row, View, ViewStart};
+use crate::types::{Batch, Member, Row, View, ViewStart, Viewstamp};
 use indigofold_protocol::internal::MemberAddress;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -29,16 +29,16 @@
         addresses: Vec<MemberAddress>,
     },
     /// Would you support me as a candidate?
-    Canvass {
+    PreVote {
         /// Number of this question; the answer carries it.
         round: u64,
         /// State of the sender's rows.
-        mark: Mark,
+        viewstamp: Viewstamp,
         /// Number of the view on the sender's disk, if the sender is its head; 0 otherwise.
         headed: u64,
     },
-    /// Answer to [`Message::Canvass`].
-    CanvassReply {
+    /// Answer to [`Message::PreVote`].
+    PreVoteReply {
         /// Number of the question.
         round: u64,
         /// Whether the sender would promise now.
@@ -58,7 +58,7 @@
         headed: u64,
     },
     /// Answer to [`Message::Prepare`], on disk.
-    Promise {
+    PrepareOk {
         /// The number.
         number: u64,
         /// The view accepted last.
@@ -66,13 +66,13 @@
         /// That view is known to hold.
         agreed: bool,
         /// State of the sender's rows.
-        mark: Mark,
+        viewstamp: Viewstamp,
         /// The sender is about to stop.
         leaving: bool,
     },
     /// The number of a [`Message::Prepare`], [`Message::Accept`] or [`Message::Heartbeat`] is too low, or the sender
     /// is bound to another head.
-    Refuse {
+    PrepareReject {
         /// The number refused.
         number: u64,
         /// Highest number that the sender has promised.
@@ -106,7 +106,7 @@
         /// The heartbeat's `sent_ms`.
         sent_ms: u64,
         /// State that the sender has on disk.
-        mark: Mark,
+        viewstamp: Viewstamp,
         /// Age of the sender's oldest store that is not done, in milliseconds.
         store_age_ms: u64,
         /// The sender is about to stop.
@@ -136,19 +136,19 @@
     /// The sender has this state on disk.
     Stored {
         /// The state.
-        mark: Mark,
+        viewstamp: Viewstamp,
     },
     /// The sender has received writes only up to here, and then a later one.
     Behind {
         /// What it has.
-        mark: Mark,
+        viewstamp: Viewstamp,
     },
     /// Send me the rows that I lack.
     Fetch {
         /// Number of the transfer; the answers carry it.
         round: u64,
         /// State that the sender has.
-        mark: Mark,
+        viewstamp: Viewstamp,
         /// Continue after this sequence number, in a transfer that has begun.
         after: Option<u64>,
     },
@@ -165,7 +165,7 @@
         /// More follow.
         more: bool,
         /// State that the rows lead to, once no more follow.
-        mark: Mark,
+        viewstamp: Viewstamp,
         /// The views that led to it.
         history: Vec<ViewStart>,
     },
--- a/crates/replication/src/replica/address_book.rs
+++ b/crates/replication/src/replica/address_book.rs
@@ -20,9 +20,9 @@
                 .map(|m| m.internal),
         );
         known.extend(
-            self.tenure
+            self.leadership
                 .iter()
-                .flat_map(|tenure| tenure.peers.keys())
+                .flat_map(|leadership| leadership.peers.keys())
                 .map(|m| m.internal),
         );
         self.durable
@@ -106,11 +106,11 @@
     }
 
     pub(super) fn announcement_due_ms(&self) -> Option<u64> {
-        self.tenure.is_none().then_some(self.announce_at_ms)
+        self.leadership.is_none().then_some(self.announce_at_ms)
     }
 
     pub(super) fn run_announcement(&mut self) {
-        if self.tenure.is_some() || self.now_ms < self.announce_at_ms {
+        if self.leadership.is_some() || self.now_ms < self.announce_at_ms {
             return;
         }
         self.announce_at_ms = self.now_ms + ANNOUNCE_MS;
@@ -126,7 +126,7 @@
 
     pub(super) fn on_announce(&mut self, from: Member, address: MemberAddress) {
         self.learn_address(address);
-        if self.tenure.is_some() {
+        if self.leadership.is_some() {
             self.on_newcomer(from);
         } else {
             self.send(
--- a/crates/replication/src/replica/candidacy.rs
+++ b/crates/replication/src/replica/campaign.rs
@@ -1,13 +1,13 @@
 //! What a candidate has collected.
 
-use crate::types::{Mark, Member, View, majority};
+use crate::types::{Member, View, Viewstamp, majority};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a candidate waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Whether a majority would support it.
-    Canvass { round: u64 },
+    PreVote { round: u64 },
     /// A majority's promises.
     Prepare,
     /// The newest state among those that have promised.
@@ -19,7 +19,7 @@
 /// What a voter has promised with.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Promised {
-    pub mark: Mark,
+    pub viewstamp: Viewstamp,
     pub leaving: bool,
 }
 
@@ -32,7 +32,7 @@
 
 /// An attempt to lead the next view.
 #[derive(Debug)]
-pub(super) struct Candidacy {
+pub(super) struct Campaign {
     pub phase: Phase,
     /// Number of the next view, once canvassing is over.
     pub number: u64,
@@ -53,7 +53,7 @@
     pub plan: Option<Plan>,
 }
 
-impl Candidacy {
+impl Campaign {
     /// Voters whose majorities are needed: those of the known view and, unless it is known to be established, of the one
     /// before. Until then what was committed before may be on disks of the former voters only.
     pub fn electorates(&self) -> [&[Member]; 2] {
@@ -92,9 +92,13 @@
     }
 
     /// The newest state promised, and a voter that has it, `own` before others.
-    pub fn newest(&self, own: Member) -> Option<(Member, Mark)> {
-        let newest = self.promises.values().map(|p| p.mark).max()?;
-        let holds = |member: &Member| self.promises.get(member).is_some_and(|p| p.mark == newest);
+    pub fn newest(&self, own: Member) -> Option<(Member, Viewstamp)> {
+        let newest = self.promises.values().map(|p| p.viewstamp).max()?;
+        let holds = |member: &Member| {
+            self.promises
+                .get(member)
+                .is_some_and(|p| p.viewstamp == newest)
+        };
         let holder = Some(own)
             .filter(|m| holds(m))
             .or_else(|| self.promises.keys().copied().find(|m| holds(m)));
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,53 +1,56 @@
 //! Writes: batches down the chain, and their count at the head.
 
-use super::tenure::{Outstanding, Pending, Tenure};
+use super::leadership::{Leadership, Outstanding, Pending};
 use super::{Output, Replica};
 use crate::durable::StoreOperation;
 use crate::message::Message;
 use crate::timing::{PENDING_BYTES_MAX, RESEND_MS};
-use crate::types::{Batch, Mark, Member, RowChange};
+use crate::types::{Batch, Member, RowChange, Viewstamp};
 use std::sync::Arc;
 
 impl Replica {
-    pub(super) fn on_submit(&mut self, ticket: u64, changes: Vec<RowChange>) {
+    pub(super) fn on_submit(&mut self, write_id: u64, changes: Vec<RowChange>) {
         let refused = self.is_leaving() || self.stores.is_failing();
         let bytes: usize = changes
             .iter()
             .map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len))
             .sum();
-        match self.tenure.as_mut().filter(|t| t.is_gained && !refused) {
-            Some(tenure) if tenure.pending_bytes + bytes <= PENDING_BYTES_MAX => {
-                tenure.pending_bytes += bytes;
-                tenure.pending.push_back(Pending { ticket, changes });
+        match self.leadership.as_mut().filter(|t| t.is_gained && !refused) {
+            Some(leadership) if leadership.pending_bytes + bytes <= PENDING_BYTES_MAX => {
+                leadership.pending_bytes += bytes;
+                leadership.pending.push_back(Pending { write_id, changes });
             }
-            _ => self.outputs.push(Output::Refused { ticket }),
+            _ => self.outputs.push(Output::Refused { write_id }),
         }
     }
 
     /// Writes all that waits as one batch, unless a store is under way.
     pub(super) fn make_batch(&mut self) {
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let ready = tenure.is_installed && self.candidacy.is_none() && self.stores.is_idle();
-        if !ready || tenure.pending.is_empty() || self.durable.promised != tenure.view.number {
+        let ready = leadership.is_installed && self.campaign.is_none() && self.stores.is_idle();
+        if !ready
+            || leadership.pending.is_empty()
+            || self.durable.promised != leadership.view.number
+        {
             return;
         }
-        self.durable.mark.seq += 1;
-        tenure.pending_bytes = 0;
-        let (tickets, changes): (Vec<u64>, Vec<Vec<RowChange>>) = tenure
+        self.durable.viewstamp.seq += 1;
+        leadership.pending_bytes = 0;
+        let (write_ids, changes): (Vec<u64>, Vec<Vec<RowChange>>) = leadership
             .pending
             .drain(..)
-            .map(|p| (p.ticket, p.changes))
+            .map(|p| (p.write_id, p.changes))
             .unzip();
         let changes = changes.into_iter().flatten().collect();
         let batch = Arc::new(Batch {
-            seq: self.durable.mark.seq,
+            seq: self.durable.viewstamp.seq,
             changes,
         });
-        tenure.outstanding.push_back(Outstanding {
+        leadership.outstanding.push_back(Outstanding {
             batch: Arc::clone(&batch),
-            tickets,
+            write_ids,
             sent_ms: self.now_ms,
         });
         self.stores.add(StoreOperation::Write(Arc::clone(&batch)));
@@ -57,11 +60,17 @@
 
     fn send_batch(&mut self, batch: &Arc<Batch>) {
         let own = self.durable.member;
-        let Some(tenure) = &self.tenure else { return };
-        let (number, successor) = (tenure.view.number, tenure.view.successor(own));
-        let is_direct =
-            |member: &Member| tenure.peers.get(member).is_some_and(|peer| peer.is_direct);
-        let others = tenure.view.chain.iter().copied().skip(1);
+        let Some(leadership) = &self.leadership else {
+            return;
+        };
+        let (number, successor) = (leadership.view.number, leadership.view.successor(own));
+        let is_direct = |member: &Member| {
+            leadership
+                .peers
+                .get(member)
+                .is_some_and(|peer| peer.is_direct)
+        };
+        let others = leadership.view.chain.iter().copied().skip(1);
         let direct: Vec<Member> = others
             .filter(|member| Some(*member) != successor && is_direct(member))
             .collect();
@@ -83,10 +92,10 @@
         if !self.takes_writes(number) {
             return;
         }
-        let next = self.durable.mark.seq + 1;
+        let next = self.durable.viewstamp.seq + 1;
         if batches.first().is_some_and(|batch| batch.seq > next) {
             self.send_to_head(Message::Behind {
-                mark: self.durable.mark,
+                viewstamp: self.durable.viewstamp,
             });
             return;
         }
@@ -98,7 +107,7 @@
             self.report_stored();
             return;
         };
-        self.durable.mark.seq = last.seq;
+        self.durable.viewstamp.seq = last.seq;
         for batch in &new {
             self.stores.add(StoreOperation::Write(Arc::clone(batch)));
         }
@@ -115,8 +124,8 @@
         };
         view.number == number
             && self.durable.promised == number
-            && self.durable.mark.view == number
-            && self.tenure.is_none()
+            && self.durable.viewstamp.view == number
+            && self.leadership.is_none()
             && view.chain.contains(&self.durable.member)
     }
 
@@ -144,8 +153,8 @@
 
     /// Tells the head what is on disk, or counts it at the head itself.
     pub(super) fn report_stored(&mut self) {
-        if let Some(tenure) = &mut self.tenure {
-            tenure.own_mark = self.stored_mark;
+        if let Some(leadership) = &mut self.leadership {
+            leadership.own_viewstamp = self.stored_viewstamp;
             self.count_stored();
             return;
         }
@@ -154,45 +163,45 @@
             .view
             .as_ref()
             .is_some_and(|v| v.chain.contains(&self.durable.member));
-        if in_chain && self.stored_mark.view == self.view() && self.durable.agreed {
+        if in_chain && self.stored_viewstamp.view == self.view() && self.durable.agreed {
             self.send_to_head(Message::Stored {
-                mark: self.stored_mark,
+                viewstamp: self.stored_viewstamp,
             });
         }
     }
 
-    pub(super) fn on_member_stored(&mut self, from: Member, mark: Mark) {
-        let (now_ms, newest) = (self.now_ms, self.durable.mark);
-        let Some(tenure) = &mut self.tenure else {
+    pub(super) fn on_member_stored(&mut self, from: Member, viewstamp: Viewstamp) {
+        let (now_ms, newest) = (self.now_ms, self.durable.viewstamp);
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let Some(peer) = tenure.peers.get_mut(&from) else {
+        let Some(peer) = leadership.peers.get_mut(&from) else {
             return;
         };
         // A state that this head has never given out.
-        if mark > newest {
+        if viewstamp > newest {
             return;
         }
         peer.heard_ms = now_ms;
-        peer.health.mark = peer.health.mark.max(mark);
+        peer.health.viewstamp = peer.health.viewstamp.max(viewstamp);
         self.count_stored();
     }
 
     /// Commits what the whole chain has on disk.
     pub(super) fn count_stored(&mut self) {
         let own = self.durable.member;
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let Some(stored) = tenure.stored_by_all(own) else {
+        let Some(stored) = leadership.stored_by_all(own) else {
             return;
         };
-        let newly_installed = !std::mem::replace(&mut tenure.is_installed, true);
-        let committed = take_committed(tenure, stored);
+        let newly_installed = !std::mem::replace(&mut leadership.is_installed, true);
+        let committed = take_committed(leadership, stored);
         self.outputs.extend(
             committed
                 .into_iter()
-                .map(|ticket| Output::Committed { ticket }),
+                .map(|write_id| Output::Committed { write_id }),
         );
         if newly_installed {
             self.establish_view();
@@ -202,24 +211,24 @@
 
     /// The whole chain has the view's first state: its voters decide alone from now on, and are told so.
     fn establish_view(&mut self) {
-        let Some(tenure) = self
-            .tenure
+        let Some(leadership) = self
+            .leadership
             .as_mut()
-            .filter(|tenure| !tenure.view.is_established())
+            .filter(|leadership| !leadership.view.is_established())
         else {
             return;
         };
-        tenure.view = tenure.view.clone().established();
+        leadership.view = leadership.view.clone().established();
         if let Some(view) = self
             .durable
             .view
             .as_mut()
-            .filter(|view| view.number == tenure.view.number)
+            .filter(|view| view.number == leadership.view.number)
         {
-            view.clone_from(&tenure.view);
+            view.clone_from(&leadership.view);
             self.stores.want();
         }
-        if self.candidacy.is_none() {
+        if self.campaign.is_none() {
             self.send_heartbeats();
         }
     }
@@ -227,50 +236,52 @@
     /// Tells the driver of a view that the whole chain has taken over; of the first one once the lease holds.
     fn tell_installed(&mut self) {
         let own = self.durable.member;
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let view = tenure.view.number;
-        if tenure.told_view == view
-            || (!tenure.is_gained && tenure.lease_until_ms(own) <= self.now_ms)
+        let view = leadership.view.number;
+        if leadership.told_view == view
+            || (!leadership.is_gained && leadership.lease_until_ms(own) <= self.now_ms)
         {
             return;
         }
-        let output = if tenure.is_gained {
+        let output = if leadership.is_gained {
             Output::HeadRenewed { view }
         } else {
             Output::HeadGained { view }
         };
-        tenure.is_gained = true;
-        tenure.told_view = view;
+        leadership.is_gained = true;
+        leadership.told_view = view;
         self.outputs.push(output);
     }
 
-    pub(super) fn on_behind(&mut self, from: Member, mark: Mark) {
-        let Some(tenure) = &self.tenure else { return };
-        if mark.view == tenure.view.number && tenure.view.chain.contains(&from) {
-            self.resend(from, mark.seq);
+    pub(super) fn on_behind(&mut self, from: Member, viewstamp: Viewstamp) {
+        let Some(leadership) = &self.leadership else {
+            return;
+        };
+        if viewstamp.view == leadership.view.number && leadership.view.chain.contains(&from) {
+            self.resend(from, viewstamp.seq);
         }
     }
 
     /// Sends writes again to members that have not stored them for a while.
     pub(super) fn resend_lacking(&mut self) {
         let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(tenure) = self.tenure.as_ref().filter(|t| t.is_installed) else {
+        let Some(leadership) = self.leadership.as_ref().filter(|t| t.is_installed) else {
             return;
         };
         let is_late = |member: &Member| {
-            tenure
+            leadership
                 .oldest_lacking(*member, own)
                 .is_some_and(|o| now_ms >= o.sent_ms + RESEND_MS)
         };
-        let late: Vec<(Member, u64)> = tenure
+        let late: Vec<(Member, u64)> = leadership
             .view
             .chain
             .iter()
             .copied()
             .filter(|member| *member != own && is_late(member))
-            .map(|member| (member, tenure.mark_of(member, own).seq))
+            .map(|member| (member, leadership.viewstamp_of(member, own).seq))
             .collect();
         for (member, after) in late {
             self.resend(member, after);
@@ -279,10 +290,10 @@
 
     fn resend(&mut self, member: Member, after: u64) {
         let now_ms = self.now_ms;
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let Some(peer) = tenure.peers.get_mut(&member) else {
+        let Some(peer) = leadership.peers.get_mut(&member) else {
             return;
         };
         if now_ms < peer.resent_ms + RESEND_MS / 2 {
@@ -290,11 +301,14 @@
         }
         peer.resent_ms = now_ms;
         peer.is_direct = true;
-        let lacking = tenure.outstanding.iter().filter(|o| o.batch.seq > after);
+        let lacking = leadership
+            .outstanding
+            .iter()
+            .filter(|o| o.batch.seq > after);
         let batches: Vec<Arc<Batch>> = lacking.map(|o| Arc::clone(&o.batch)).collect();
         if !batches.is_empty() {
             let message = Message::Write {
-                number: tenure.view.number,
+                number: leadership.view.number,
                 batches,
                 relay: false,
             };
@@ -304,20 +318,20 @@
 }
 
 /// Tickets of the writes up to `stored`.
-fn take_committed(tenure: &mut Tenure, stored: u64) -> Vec<u64> {
-    let mut tickets = Vec::new();
-    while tenure
+fn take_committed(leadership: &mut Leadership, stored: u64) -> Vec<u64> {
+    let mut write_ids = Vec::new();
+    while leadership
         .outstanding
         .front()
         .is_some_and(|o| o.batch.seq <= stored)
     {
-        tickets.extend(
-            tenure
+        write_ids.extend(
+            leadership
                 .outstanding
                 .pop_front()
                 .into_iter()
-                .flat_map(|done| done.tickets),
+                .flat_map(|done| done.write_ids),
         );
     }
-    tickets
+    write_ids
 }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,32 +1,32 @@
 //! How a voter becomes the head of the next view: canvass, promises, newest state, acceptance.
 
-use super::candidacy::{Candidacy, Phase, Plan, Promised, is_majority};
+use super::campaign::{Campaign, Phase, Plan, Promised, is_majority};
 use super::{AfterStore, Replica};
 use crate::message::Message;
 use crate::timing::{
     BACKOFF_MS, BACKOFF_SPREAD_MS, CANVASS_MS, MORE_PROMISES_MS, PHASE_MS, REFUSED_WAIT_MS,
     RESUME_CANVASS_MS, RESUME_STAND_MS,
 };
-use crate::types::{Mark, Member, View, majority};
+use crate::types::{Member, View, Viewstamp, majority};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Replica {
     pub(super) fn election_due_ms(&self) -> Option<u64> {
-        match &self.candidacy {
-            Some(candidacy) => {
-                let more = candidacy
+        match &self.campaign {
+            Some(campaign) => {
+                let more = campaign
                     .majority_ms
-                    .filter(|_| candidacy.phase == Phase::Prepare);
+                    .filter(|_| campaign.phase == Phase::Prepare);
                 let more_due = more.map_or(u64::MAX, |at| at + MORE_PROMISES_MS);
-                Some(candidacy.deadline_ms.min(more_due))
+                Some(campaign.deadline_ms.min(more_due))
             }
-            None => (self.tenure.is_none() && self.may_stand()).then_some(self.stand_at_ms),
+            None => (self.leadership.is_none() && self.may_stand()).then_some(self.stand_at_ms),
         }
     }
 
     pub(super) fn run_election(&mut self) {
         if self
-            .candidacy
+            .campaign
             .as_ref()
             .is_some_and(|c| self.now_ms >= c.deadline_ms)
         {
@@ -34,7 +34,7 @@
         }
         self.decide_promises();
         let due =
-            self.candidacy.is_none() && self.tenure.is_none() && self.now_ms >= self.stand_at_ms;
+            self.campaign.is_none() && self.leadership.is_none() && self.now_ms >= self.stand_at_ms;
         if due && self.may_stand() {
             self.start_candidacy();
         }
@@ -52,7 +52,7 @@
 
     /// Gives up being a candidate; stands again after a random time.
     pub(super) fn fail_candidacy(&mut self) {
-        self.candidacy = None;
+        self.campaign = None;
         if matches!(&self.pull, Some(pull) if pull.is_for_candidate()) {
             self.pull = None;
         }
@@ -72,7 +72,7 @@
             return;
         }
         self.last_round += 1;
-        let phase = Phase::Canvass {
+        let phase = Phase::PreVote {
             round: self.last_round,
         };
         let deadline_ms = self.now_ms
@@ -81,10 +81,10 @@
             } else {
                 CANVASS_MS
             };
-        let Some(candidacy) = self.new_candidacy(phase, deadline_ms, None) else {
+        let Some(campaign) = self.new_candidacy(phase, deadline_ms, None) else {
             return;
         };
-        self.candidacy = Some(candidacy);
+        self.campaign = Some(campaign);
         self.ask_voters();
         self.count_canvass(own);
     }
@@ -94,8 +94,8 @@
         phase: Phase,
         deadline_ms: u64,
         plan: Option<Plan>,
-    ) -> Option<Candidacy> {
-        Some(Candidacy {
+    ) -> Option<Campaign> {
+        Some(Campaign {
             phase,
             number: 0,
             known: self.durable.view.clone()?,
@@ -113,27 +113,27 @@
     /// Sends this phase's question to all voters that have not had it yet.
     fn ask_voters(&mut self) {
         let headed = self.headed();
-        let Some(candidacy) = &mut self.candidacy else {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        let message = match candidacy.phase {
-            Phase::Canvass { round } => Message::Canvass {
+        let message = match campaign.phase {
+            Phase::PreVote { round } => Message::PreVote {
                 round,
-                mark: self.durable.mark,
+                viewstamp: self.durable.viewstamp,
                 headed,
             },
             Phase::Prepare => Message::Prepare {
-                number: candidacy.number,
+                number: campaign.number,
                 headed,
             },
             Phase::Fetch | Phase::Propose { .. } => return,
         };
-        let new: Vec<Member> = candidacy
+        let new: Vec<Member> = campaign
             .voters()
-            .difference(&candidacy.asked)
+            .difference(&campaign.asked)
             .copied()
             .collect();
-        candidacy.asked.extend(&new);
+        campaign.asked.extend(&new);
         for voter in new {
             self.send(voter.internal, message.clone());
         }
@@ -147,21 +147,21 @@
         promised: u64,
         view: Option<View>,
     ) {
-        let Some(candidacy) = &mut self.candidacy else {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        if candidacy.phase != (Phase::Canvass { round }) {
+        if campaign.phase != (Phase::PreVote { round }) {
             return;
         }
-        candidacy.promised = candidacy.promised.max(promised);
+        campaign.promised = campaign.promised.max(promised);
         if let Some(view) = view {
-            candidacy.learn(view);
+            campaign.learn(view);
         }
         if support {
             self.count_canvass(from);
         } else {
-            candidacy.refused.insert(from);
-            if candidacy.is_hopeless() {
+            campaign.refused.insert(from);
+            if campaign.is_hopeless() {
                 self.fail_candidacy();
                 return;
             }
@@ -170,15 +170,15 @@
     }
 
     fn count_canvass(&mut self, from: Member) {
-        let Some(candidacy) = &mut self.candidacy else {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        candidacy.agreed.insert(from);
-        if !candidacy.has_majority(&candidacy.agreed) {
+        campaign.agreed.insert(from);
+        if !campaign.has_majority(&campaign.agreed) {
             return;
         }
-        let number = candidacy.promised.max(candidacy.known.number) + 1;
-        let known = candidacy.known.clone();
+        let number = campaign.promised.max(campaign.known.number) + 1;
+        let known = campaign.known.clone();
         if known.voters.contains(&self.durable.member) {
             self.prepare(number, Some(known), None);
         } else {
@@ -189,12 +189,12 @@
     /// Asks for promises; `plan` is what a head wants to change.
     pub(super) fn prepare(&mut self, number: u64, known: Option<View>, plan: Option<Plan>) {
         let deadline_ms = self.now_ms + PHASE_MS;
-        let Some(mut candidacy) = self.new_candidacy(Phase::Prepare, deadline_ms, plan) else {
+        let Some(mut campaign) = self.new_candidacy(Phase::Prepare, deadline_ms, plan) else {
             return;
         };
-        candidacy.number = number;
-        candidacy.known = known.unwrap_or(candidacy.known);
-        self.candidacy = Some(candidacy);
+        campaign.number = number;
+        campaign.known = known.unwrap_or(campaign.known);
+        self.campaign = Some(campaign);
         self.pull = None;
         self.durable.promised = number;
         self.stores.want_then(AfterStore::OwnPromise { number });
@@ -206,7 +206,7 @@
             self.durable.member,
             number,
             self.durable.view.clone(),
-            self.durable.mark,
+            self.durable.viewstamp,
             false,
         );
     }
@@ -216,20 +216,22 @@
         from: Member,
         number: u64,
         view: Option<View>,
-        mark: Mark,
+        viewstamp: Viewstamp,
         leaving: bool,
     ) {
-        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else {
+        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
             return;
         };
-        if candidacy.phase != Phase::Prepare {
+        if campaign.phase != Phase::Prepare {
             return;
         }
         if let Some(view) = view {
-            candidacy.learn(view);
+            campaign.learn(view);
         }
-        candidacy.agreed.insert(from);
-        candidacy.promises.insert(from, Promised { mark, leaving });
+        campaign.agreed.insert(from);
+        campaign
+            .promises
+            .insert(from, Promised { viewstamp, leaving });
         self.ask_voters();
         self.decide_promises();
     }
@@ -237,31 +239,27 @@
     /// Goes on once there is a majority of promises, and all others have come or take too long.
     fn decide_promises(&mut self) {
         let own = self.durable.member;
-        let Some(candidacy) = self
-            .candidacy
-            .as_mut()
-            .filter(|c| c.phase == Phase::Prepare)
-        else {
+        let Some(campaign) = self.campaign.as_mut().filter(|c| c.phase == Phase::Prepare) else {
             return;
         };
-        let ready = candidacy.agreed.contains(&own) && candidacy.has_majority(&candidacy.agreed);
+        let ready = campaign.agreed.contains(&own) && campaign.has_majority(&campaign.agreed);
         if !ready {
             return;
         }
-        let since = *candidacy.majority_ms.get_or_insert(self.now_ms);
-        let answered = candidacy.agreed.len() + candidacy.refused.len();
-        if answered < candidacy.asked.len() && self.now_ms < since + MORE_PROMISES_MS {
+        let since = *campaign.majority_ms.get_or_insert(self.now_ms);
+        let answered = campaign.agreed.len() + campaign.refused.len();
+        if answered < campaign.asked.len() && self.now_ms < since + MORE_PROMISES_MS {
             return;
         }
-        let Some((holder, newest)) = candidacy.newest(own) else {
+        let Some((holder, newest)) = campaign.newest(own) else {
             return;
         };
-        let number = candidacy.number;
+        let number = campaign.number;
         if holder == own {
             self.propose(newest);
         } else {
-            candidacy.phase = Phase::Fetch;
-            candidacy.deadline_ms = self.now_ms + PHASE_MS;
+            campaign.phase = Phase::Fetch;
+            campaign.deadline_ms = self.now_ms + PHASE_MS;
             self.abdicate();
             self.pull_as_candidate(holder, number, newest);
         }
@@ -269,32 +267,28 @@
 
     pub(super) fn on_fetched(&mut self, number: u64) {
         let fetched = self
-            .candidacy
+            .campaign
             .as_ref()
             .is_some_and(|c| c.number == number && c.phase == Phase::Fetch);
         if fetched {
-            self.propose(self.durable.mark);
+            self.propose(self.durable.viewstamp);
         }
     }
 
     /// Proposes the view on top of the state `base`, which this member has on disk.
-    fn propose(&mut self, base: Mark) {
+    fn propose(&mut self, base: Viewstamp) {
         let own = self.durable.member;
-        let Some(view) = self
-            .candidacy
-            .as_ref()
-            .and_then(|c| self.next_view(c, base))
-        else {
+        let Some(view) = self.campaign.as_ref().and_then(|c| self.next_view(c, base)) else {
             self.fail_candidacy();
             return;
         };
-        let Some(candidacy) = &mut self.candidacy else {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        candidacy.phase = Phase::Propose { view: view.clone() };
-        candidacy.deadline_ms = self.now_ms + PHASE_MS;
-        candidacy.agreed.clear();
-        candidacy.refused.clear();
+        campaign.phase = Phase::Propose { view: view.clone() };
+        campaign.deadline_ms = self.now_ms + PHASE_MS;
+        campaign.agreed.clear();
+        campaign.refused.clear();
         let number = view.number;
         let all: BTreeSet<Member> = view
             .voters
@@ -311,18 +305,18 @@
     }
 
     /// The view to propose; `None` where no chain comes together.
-    fn next_view(&self, candidacy: &Candidacy, base: Mark) -> Option<View> {
-        let known = &candidacy.known;
+    fn next_view(&self, campaign: &Campaign, base: Viewstamp) -> Option<View> {
+        let known = &campaign.known;
         // Voters change only on top of an established view.
         let fits = |plan: &&Plan| known.is_established() || plan.voters == known.voters;
-        let plan = candidacy.plan.as_ref().filter(fits);
+        let plan = campaign.plan.as_ref().filter(fits);
         let voters = plan.map_or(&known.voters, |plan| &plan.voters);
         let chain = match plan {
-            Some(plan) => planned_chain(plan, candidacy, known),
+            Some(plan) => planned_chain(plan, campaign, known),
             None => elected_chain(
                 self.durable.member,
                 voters,
-                candidacy,
+                campaign,
                 base,
                 self.chain_min(voters.len()),
             ),
@@ -331,7 +325,7 @@
         let leads =
             chain.first() == Some(&self.durable.member) && voters.contains(&self.durable.member);
         (enough && leads).then(|| View {
-            number: candidacy.number,
+            number: campaign.number,
             voters: voters.clone(),
             previous_voters: known.previous_voters.clone(),
             chain,
@@ -345,43 +339,43 @@
     }
 
     pub(super) fn on_accepted(&mut self, from: Member, number: u64) {
-        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else {
+        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
             return;
         };
-        let Phase::Propose { view } = &candidacy.phase else {
+        let Phase::Propose { view } = &campaign.phase else {
             return;
         };
-        candidacy.agreed.insert(from);
-        let own = candidacy.agreed.contains(&self.durable.member);
-        let holds = is_majority(&view.voters, &candidacy.agreed)
-            && is_majority(&view.previous_voters, &candidacy.agreed);
+        campaign.agreed.insert(from);
+        let own = campaign.agreed.contains(&self.durable.member);
+        let holds = is_majority(&view.voters, &campaign.agreed)
+            && is_majority(&view.previous_voters, &campaign.agreed);
         if own && holds {
             let view = view.clone();
-            self.candidacy = None;
+            self.campaign = None;
             self.lead(view);
         }
     }
 
     pub(super) fn on_refuse(&mut self, from: Member, number: u64, promised: u64) {
         self.note_refusal(from, number, promised);
-        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.number == number) else {
+        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
             return;
         };
-        candidacy.promised = candidacy.promised.max(promised);
-        candidacy.refused.insert(from);
+        campaign.promised = campaign.promised.max(promised);
+        campaign.refused.insert(from);
         if promised >= number {
-            candidacy.deadline_ms = candidacy.deadline_ms.min(self.now_ms + REFUSED_WAIT_MS);
+            campaign.deadline_ms = campaign.deadline_ms.min(self.now_ms + REFUSED_WAIT_MS);
         }
-        if candidacy.is_hopeless() {
+        if campaign.is_hopeless() {
             self.fail_candidacy();
         }
     }
 }
 
 /// The chain that a head has planned, without those that have not promised.
-fn planned_chain(plan: &Plan, candidacy: &Candidacy, known: &View) -> Vec<Member> {
+fn planned_chain(plan: &Plan, campaign: &Campaign, known: &View) -> Vec<Member> {
     let may_join =
-        |member: &Member| candidacy.promises.contains_key(member) || !known.voters.contains(member);
+        |member: &Member| campaign.promises.contains_key(member) || !known.voters.contains(member);
     plan.chain.iter().copied().filter(may_join).collect()
 }
 
@@ -389,22 +383,26 @@
 fn elected_chain(
     own: Member,
     voters: &[Member],
-    candidacy: &Candidacy,
-    base: Mark,
+    campaign: &Campaign,
+    base: Viewstamp,
     least: usize,
 ) -> Vec<Member> {
-    let mut others: Vec<(Member, Promised)> = candidacy
+    let mut others: Vec<(Member, Promised)> = campaign
         .promises
         .iter()
         .filter(|(member, _)| **member != own && voters.contains(member))
         .map(|(&member, &promised)| (member, promised))
         .collect();
     others.sort_by_key(|(member, promised)| {
-        (promised.leaving, std::cmp::Reverse(promised.mark), *member)
+        (
+            promised.leaving,
+            std::cmp::Reverse(promised.viewstamp),
+            *member,
+        )
     });
     let mut chain = vec![own];
     for (member, promised) in others {
-        let fit = promised.mark.view == base.view && !promised.leaving;
+        let fit = promised.viewstamp.view == base.view && !promised.leaving;
         if fit || chain.len() < least {
             chain.push(member);
         }
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -1,13 +1,13 @@
 //! The head's work beside writes: heartbeats, its lease, the end of its role.
 
-use super::tenure::{Health, Peer, Tenure};
+use super::leadership::{Health, Leadership, Peer};
 use super::{Output, Replica};
 use crate::message::Message;
 use crate::timing::{
     BACKOFF_SPREAD_MS, FORGET_NEWCOMER_MS, HEARTBEAT_MS, HISTORY_MAX, LEASE_MS, LEAVE_WAIT_MS,
     RESIGNED_QUIET_MS, SLOW_HEAD_MS, SLOW_MEMBER_MS, TENURE_MIN_MS,
 };
-use crate::types::{Mark, Member, View, ViewStart};
+use crate::types::{Member, View, ViewStart, Viewstamp};
 use std::net::SocketAddr;
 
 impl Replica {
@@ -18,8 +18,13 @@
 
     /// Until when [`Replica::may_act`] holds if nothing else happens; 0 if it does not.
     pub fn acting_until_ms(&self) -> u64 {
-        let gained = self.tenure.as_ref().filter(|tenure| tenure.is_gained);
-        gained.map_or(0, |tenure| tenure.lease_until_ms(self.durable.member))
+        let gained = self
+            .leadership
+            .as_ref()
+            .filter(|leadership| leadership.is_gained);
+        gained.map_or(0, |leadership| {
+            leadership.lease_until_ms(self.durable.member)
+        })
     }
 
     /// Leads a view that holds from now on.
@@ -27,11 +32,11 @@
         self.durable.agreed = true;
         self.enter_view(&view);
         self.lease = None;
-        match &mut self.tenure {
-            Some(tenure) => tenure.renew(view, self.now_ms),
+        match &mut self.leadership {
+            Some(leadership) => leadership.renew(view, self.now_ms),
             None => {
-                let tenure = Tenure::new(view, self.now_ms, self.stored_mark);
-                self.tenure = Some(tenure);
+                let leadership = Leadership::new(view, self.now_ms, self.stored_viewstamp);
+                self.leadership = Some(leadership);
             }
         }
         self.add_peers();
@@ -40,7 +45,7 @@
 
     /// Takes over the view's first state, which this member's rows are in already.
     pub(super) fn enter_view(&mut self, view: &View) {
-        self.durable.mark = Mark {
+        self.durable.viewstamp = Viewstamp {
             view: view.number,
             seq: view.base.seq,
         };
@@ -57,12 +62,12 @@
 
     fn add_peers(&mut self) {
         let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let voters = tenure.view.voters.clone();
+        let voters = leadership.view.voters.clone();
         for voter in voters.into_iter().filter(|&voter| voter != own) {
-            tenure
+            leadership
                 .peers
                 .entry(voter)
                 .or_insert_with(|| Peer::new(now_ms));
@@ -71,21 +76,23 @@
 
     pub(super) fn send_heartbeats(&mut self) {
         let own = self.durable.member;
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        tenure.heartbeat_ms = self.now_ms + HEARTBEAT_MS;
-        for internal in tenure.audience(own) {
+        leadership.heartbeat_ms = self.now_ms + HEARTBEAT_MS;
+        for internal in leadership.audience(own) {
             self.send_heartbeat(internal);
         }
     }
 
     fn send_heartbeat(&mut self, to: SocketAddr) {
-        let Some(tenure) = &self.tenure else { return };
+        let Some(leadership) = &self.leadership else {
+            return;
+        };
         let message = Message::Heartbeat {
-            view: tenure.view.clone(),
+            view: leadership.view.clone(),
             sent_ms: self.now_ms,
-            seq: self.durable.mark.seq,
+            seq: self.durable.viewstamp.seq,
             address: self.settings.address.clone(),
         };
         self.send(to, message);
@@ -93,22 +100,22 @@
 
     pub(super) fn on_grant(&mut self, from: Member, number: u64, sent_ms: u64, health: Health) {
         let now_ms = self.now_ms;
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
         let is_known =
-            (tenure.first_view..=tenure.view.number).contains(&number) && sent_ms <= now_ms;
+            (leadership.first_view..=leadership.view.number).contains(&number) && sent_ms <= now_ms;
         if !is_known {
             return;
         }
-        let peer = tenure
+        let peer = leadership
             .peers
             .entry(from)
             .or_insert_with(|| Peer::new(now_ms));
         peer.granted_ms = peer.granted_ms.max(Some(sent_ms));
         peer.heard_ms = now_ms;
         peer.health = Health {
-            mark: peer.health.mark.max(health.mark),
+            viewstamp: peer.health.viewstamp.max(health.viewstamp),
             ..health
         };
         self.count_stored();
@@ -117,14 +124,14 @@
     /// Somebody who hears of no head has announced itself.
     pub(super) fn on_newcomer(&mut self, member: Member) {
         let now_ms = self.now_ms;
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        tenure
+        leadership
             .peers
             .entry(member)
             .or_insert_with(|| Peer::new(now_ms));
-        if self.candidacy.is_none() {
+        if self.campaign.is_none() {
             self.send_heartbeat(member.internal);
         }
     }
@@ -132,31 +139,31 @@
     /// A member has refused a heartbeat, since it has promised a higher number.
     pub(super) fn note_refusal(&mut self, from: Member, number: u64, promised: u64) {
         let lease_holds = self.may_act(self.now_ms);
-        let Some(tenure) = self.tenure.as_mut().filter(|t| t.view.number == number) else {
+        let Some(leadership) = self.leadership.as_mut().filter(|t| t.view.number == number) else {
             return;
         };
         if promised <= self.durable.promised.max(number) {
             return;
         }
-        if let Some(peer) = tenure.peers.get_mut(&from) {
+        if let Some(peer) = leadership.peers.get_mut(&from) {
             peer.beyond = true;
             peer.heard_ms = self.now_ms;
         }
         if lease_holds {
             self.number_floor = self.number_floor.max(promised);
-        } else if tenure.view_since_ms + LEASE_MS < self.now_ms {
+        } else if leadership.view_since_ms + LEASE_MS < self.now_ms {
             self.abdicate();
         }
     }
 
     pub(super) fn tenure_due_ms(&self) -> Option<u64> {
-        let tenure = self.tenure.as_ref()?;
-        let heartbeat = if self.candidacy.is_some() {
+        let leadership = self.leadership.as_ref()?;
+        let heartbeat = if self.campaign.is_some() {
             u64::MAX
         } else {
-            tenure.heartbeat_ms
+            leadership.heartbeat_ms
         };
-        let slow = tenure
+        let slow = leadership
             .outstanding
             .front()
             .map_or(u64::MAX, |o| o.sent_ms + SLOW_MEMBER_MS);
@@ -168,13 +175,13 @@
     }
 
     pub(super) fn run_tenure(&mut self) {
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let lease_until_ms = tenure.lease_until_ms(self.durable.member);
+        let lease_until_ms = leadership.lease_until_ms(self.durable.member);
         if self.now_ms
             > lease_until_ms
-                .max(tenure.view_since_ms)
+                .max(leadership.view_since_ms)
                 .saturating_add(LEASE_MS)
         {
             self.withdraw();
@@ -184,12 +191,12 @@
         // Before heartbeats: one that came after the role was handed over would bind its receiver to this head again.
         self.leave_when_done();
         self.hand_over_if_slow();
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if self.candidacy.is_none() && self.now_ms >= tenure.heartbeat_ms {
-            let (voters, now_ms) = (tenure.view.voters.clone(), self.now_ms);
-            tenure
+        if self.campaign.is_none() && self.now_ms >= leadership.heartbeat_ms {
+            let (voters, now_ms) = (leadership.view.voters.clone(), self.now_ms);
+            leadership
                 .peers
                 .retain(|m, p| voters.contains(m) || p.silent_ms(now_ms) < FORGET_NEWCOMER_MS);
             self.send_heartbeats();
@@ -200,18 +207,18 @@
 
     /// The head's role ends here. What was submitted and is not on all disks has an unknown fate.
     pub(super) fn abdicate(&mut self) {
-        let Some(tenure) = self.tenure.take() else {
+        let Some(leadership) = self.leadership.take() else {
             return;
         };
-        for ticket in tenure.outstanding.into_iter().flat_map(|o| o.tickets) {
-            self.outputs.push(Output::Aborted { ticket });
+        for write_id in leadership.outstanding.into_iter().flat_map(|o| o.write_ids) {
+            self.outputs.push(Output::Aborted { write_id });
         }
-        for pending in tenure.pending {
+        for pending in leadership.pending {
             self.outputs.push(Output::Refused {
-                ticket: pending.ticket,
+                write_id: pending.write_id,
             });
         }
-        if tenure.is_gained {
+        if leadership.is_gained {
             self.outputs.push(Output::HeadLost);
         }
     }
@@ -221,8 +228,8 @@
             return;
         }
         self.leaving_since_ms = Some(self.now_ms);
-        if self.tenure.is_none() {
-            self.candidacy = None;
+        if self.leadership.is_none() {
+            self.campaign = None;
             self.send_grant();
         }
     }
@@ -231,8 +238,10 @@
         let Some(since) = self.leaving_since_ms else {
             return;
         };
-        let Some(tenure) = &self.tenure else { return };
-        let done = tenure.outstanding.is_empty() && tenure.pending.is_empty();
+        let Some(leadership) = &self.leadership else {
+            return;
+        };
+        let done = leadership.outstanding.is_empty() && leadership.pending.is_empty();
         if done || self.now_ms >= since + LEAVE_WAIT_MS {
             self.hand_over();
         }
@@ -240,35 +249,39 @@
 
     /// A head whose own disk hangs lets another member lead.
     fn hand_over_if_slow(&mut self) {
-        let Some(tenure) = &self.tenure else { return };
+        let Some(leadership) = &self.leadership else {
+            return;
+        };
         let is_slow = self.stores.age_ms(self.now_ms) >= SLOW_HEAD_MS;
-        if is_slow && self.now_ms >= tenure.since_ms + TENURE_MIN_MS {
+        if is_slow && self.now_ms >= leadership.since_ms + TENURE_MIN_MS {
             self.hand_over();
         }
     }
 
     /// Gives the lease back and lets the member with the newest state stand.
     fn hand_over(&mut self) {
-        let Some(tenure) = &self.tenure else { return };
+        let Some(leadership) = &self.leadership else {
+            return;
+        };
         let (own, now_ms) = (self.durable.member, self.now_ms);
-        let oldest = tenure.outstanding.front().map_or(0, |o| o.batch.seq);
+        let oldest = leadership.outstanding.front().map_or(0, |o| o.batch.seq);
         let is_fit = |peer: &Peer| {
             peer.silent_ms(now_ms) < 2 * HEARTBEAT_MS
                 && !peer.health.leaving
                 && peer.health.store_age_ms < SLOW_HEAD_MS / 2
-                && peer.health.mark.seq >= oldest
+                && peer.health.viewstamp.seq >= oldest
         };
-        let chain = tenure
+        let chain = leadership
             .view
             .chain
             .iter()
             .copied()
             .filter(|&member| member != own);
-        let fit = chain.filter(|member| tenure.peers.get(member).is_some_and(is_fit));
-        let Some(successor) = fit.max_by_key(|&member| tenure.mark_of(member, own)) else {
+        let fit = chain.filter(|member| leadership.peers.get(member).is_some_and(is_fit));
+        let Some(successor) = fit.max_by_key(|&member| leadership.viewstamp_of(member, own)) else {
             return;
         };
-        let (number, audience) = (tenure.view.number, tenure.audience(own));
+        let (number, audience) = (leadership.view.number, leadership.audience(own));
         self.withdraw();
         for internal in audience
             .into_iter()
--- a/crates/replication/src/replica/io.rs
+++ b/crates/replication/src/replica/io.rs
@@ -52,12 +52,12 @@
     /// Write these rows, all together.
     Submit {
         /// Chosen by the driver; comes back in the outcome.
-        ticket: u64,
+        write_id: u64,
         /// The rows.
         changes: Vec<RowChange>,
     },
     /// A member has been heard of (from its `Welcome`, or as somebody knows it).
-    MemberSeen {
+    MemberDiscovered {
         /// Its addresses.
         address: MemberAddress,
     },
@@ -96,17 +96,17 @@
     /// The write is on the disks of the whole chain.
     Committed {
         /// The submitter's number.
-        ticket: u64,
+        write_id: u64,
     },
     /// The write's fate is unknown: this member is no longer the head. It may or may not be kept.
     Aborted {
         /// The submitter's number.
-        ticket: u64,
+        write_id: u64,
     },
     /// The write has not been made and never will be.
     Refused {
         /// The submitter's number.
-        ticket: u64,
+        write_id: u64,
     },
     /// This member is the head of a view that holds; all rows are on its disk.
     HeadGained {
