--- a/crates/replication/src/replica/tenure.rs
+++ b/crates/replication/src/replica/leadership.rs
@@ -1,7 +1,7 @@
 //! What a head knows of its view, its peers and the writes under way.
 
 use crate::timing::{LEASE_MS, LEASE_USED_PERCENT, REJOIN_AFTER_MAX_MS, REJOIN_AFTER_MS};
-use crate::types::{Batch, Mark, Member, RowChange, View, majority};
+use crate::types::{Batch, Member, RowChange, View, Viewstamp, majority};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Health {
     /// State on its disk.
-    pub mark: Mark,
+    pub viewstamp: Viewstamp,
     pub store_age_ms: u64,
     pub leaving: bool,
 }
@@ -38,7 +38,7 @@
             granted_ms: None,
             heard_ms: now_ms,
             health: Health {
-                mark: Mark::default(),
+                viewstamp: Viewstamp::default(),
                 store_age_ms: 0,
                 leaving: false,
             },
@@ -64,7 +64,7 @@
 /// Row changes that wait for the next batch.
 #[derive(Debug)]
 pub(super) struct Pending {
-    pub ticket: u64,
+    pub write_id: u64,
     pub changes: Vec<RowChange>,
 }
 
@@ -72,13 +72,13 @@
 #[derive(Debug)]
 pub(super) struct Outstanding {
     pub batch: Arc<Batch>,
-    pub tickets: Vec<u64>,
+    pub write_ids: Vec<u64>,
     pub sent_ms: u64,
 }
 
 /// A head's time at work, over one or more views that follow each other.
 #[derive(Debug)]
-pub(super) struct Tenure {
+pub(super) struct Leadership {
     /// Number of its first view.
     pub first_view: u64,
     /// The view that it leads now.
@@ -98,12 +98,12 @@
     pub heartbeat_ms: u64,
     pub reconfigure_ms: u64,
     /// State on the head's own disk.
-    pub own_mark: Mark,
+    pub own_viewstamp: Viewstamp,
 }
 
-impl Tenure {
-    pub fn new(view: View, now_ms: u64, own_mark: Mark) -> Tenure {
-        Tenure {
+impl Leadership {
+    pub fn new(view: View, now_ms: u64, own_viewstamp: Viewstamp) -> Leadership {
+        Leadership {
             first_view: view.number,
             view,
             view_since_ms: now_ms,
@@ -117,7 +117,7 @@
             outstanding: VecDeque::new(),
             heartbeat_ms: now_ms,
             reconfigure_ms: now_ms,
-            own_mark,
+            own_viewstamp,
         }
     }
 
@@ -150,13 +150,13 @@
     }
 
     /// The state that `member` has on disk.
-    pub fn mark_of(&self, member: Member, own: Member) -> Mark {
+    pub fn viewstamp_of(&self, member: Member, own: Member) -> Viewstamp {
         if member == own {
-            return self.own_mark;
+            return self.own_viewstamp;
         }
         self.peers
             .get(&member)
-            .map_or(Mark::default(), |peer| peer.health.mark)
+            .map_or(Viewstamp::default(), |peer| peer.health.viewstamp)
     }
 
     /// Last write that the whole chain has on disk; `None` before all of it has taken over the view.
@@ -165,19 +165,19 @@
             .view
             .chain
             .iter()
-            .map(|&member| self.mark_of(member, own));
+            .map(|&member| self.viewstamp_of(member, own));
         let seqs: Option<Vec<u64>> = marks
-            .map(|mark| (mark.view == self.view.number).then_some(mark.seq))
+            .map(|viewstamp| (viewstamp.view == self.view.number).then_some(viewstamp.seq))
             .collect();
         seqs?.into_iter().min()
     }
 
     /// Oldest write that `member` has not stored.
     pub fn oldest_lacking(&self, member: Member, own: Member) -> Option<&Outstanding> {
-        let mark = self.mark_of(member, own);
+        let viewstamp = self.viewstamp_of(member, own);
         self.outstanding
             .iter()
-            .find(|o| mark.view != self.view.number || o.batch.seq > mark.seq)
+            .find(|o| viewstamp.view != self.view.number || o.batch.seq > viewstamp.seq)
     }
 
     /// Where heartbeats go to: voters and newcomers, without the head's own address.
--- a/crates/replication/src/replica/lease.rs
+++ b/crates/replication/src/replica/lease.rs
@@ -30,7 +30,7 @@
         if view.number < self.durable.promised || view.head() != Some(from) {
             self.send(
                 from.internal,
-                Message::Refuse {
+                Message::PrepareReject {
                     number: view.number,
                     promised: self.durable.promised,
                 },
@@ -67,7 +67,7 @@
 
     fn grant(&mut self, holder: Member, view: &View, sent_ms: u64) {
         let until_ms = self.now_ms + LEASE_MS;
-        self.candidacy = None;
+        self.campaign = None;
         self.lease = Some(Lease {
             holder,
             number: view.number,
@@ -103,7 +103,7 @@
         let message = Message::Grant {
             number,
             sent_ms,
-            mark: self.stored_mark,
+            viewstamp: self.stored_viewstamp,
             store_age_ms: self.stores.age_ms(self.now_ms),
             leaving: self.is_leaving(),
             address: self.settings.address.clone(),
@@ -121,7 +121,7 @@
     /// This member has been started again as the head of the view on its disk. It stands at once: no lease but its own,
     /// which ended with its process, can run in that view.
     pub(super) fn resumes(&self) -> bool {
-        self.headed() > 0 && self.tenure.is_none() && self.now_ms < self.promise_from_ms
+        self.headed() > 0 && self.leadership.is_none() && self.now_ms < self.promise_from_ms
     }
 
     /// Whether a lease that this member granted before its start can only have been `candidate`'s, which stands again. Leases
@@ -164,7 +164,7 @@
     }
 
     pub(super) fn on_stand(&mut self, from: Member, number: u64) {
-        if self.view() != number || self.candidacy.is_some() || self.tenure.is_some() {
+        if self.view() != number || self.campaign.is_some() || self.leadership.is_some() {
             return;
         }
         if self.lease.as_ref().is_none_or(|l| l.holder == from) {
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -1,15 +1,15 @@
 //! One member's side of the protocol.
 
 mod address_book;
-mod candidacy;
+mod campaign;
 mod chain;
 mod election;
 mod head;
 mod io;
+mod leadership;
 mod lease;
 mod reconfiguration;
 mod store_queue;
-mod tenure;
 mod transfer;
 mod voter;
 
@@ -18,16 +18,16 @@
 use crate::durable::Durable;
 use crate::message::{Envelope, Message};
 use crate::timing::{BACKOFF_SPREAD_MS, LEASE_MS, RESUME_STAND_MS};
-use crate::types::{Mark, Member, SEED_DISK, View, ViewStart};
-use candidacy::Candidacy;
+use crate::types::{Member, SEED_DISK, View, ViewStart, Viewstamp};
+use campaign::Campaign;
 use indigofold_protocol::internal::MemberAddress;
+use leadership::Leadership;
 use lease::Lease;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use store_queue::{AfterStore, StoreQueue};
-use tenure::Tenure;
 use transfer::{Pull, Serving};
 use voter::Supported;
 
@@ -38,7 +38,7 @@
     /// The record with all that is being stored or will be.
     durable: Durable,
     /// The state of the rows on disk.
-    stored_mark: Mark,
+    stored_viewstamp: Viewstamp,
     /// Number of the view accepted last, as it is on disk.
     stored_view: u64,
     stores: StoreQueue,
@@ -50,8 +50,8 @@
     /// When to announce itself, unless the head is heard before.
     announce_at_ms: u64,
     trim_notes: transfer::TrimNotes,
-    candidacy: Option<Candidacy>,
-    tenure: Option<Tenure>,
+    campaign: Option<Campaign>,
+    leadership: Option<Leadership>,
     supported: Option<Supported>,
     pull: Option<Pull>,
     reads: BTreeMap<u64, Serving>,
@@ -76,10 +76,10 @@
         let promise_from_ms = now_ms + lease_wait;
         let mut replica = Replica {
             stored_view: if is_restart { durable.view_number() } else { 0 },
-            stored_mark: if is_restart {
-                durable.mark
+            stored_viewstamp: if is_restart {
+                durable.viewstamp
             } else {
-                Mark::default()
+                Viewstamp::default()
             },
             durable,
             stores: StoreQueue::default(),
@@ -88,8 +88,8 @@
             stand_at_ms: 0,
             announce_at_ms: now_ms,
             trim_notes: transfer::TrimNotes::new(now_ms),
-            candidacy: None,
-            tenure: None,
+            campaign: None,
+            leadership: None,
             supported: None,
             pull: None,
             reads: BTreeMap::new(),
@@ -122,8 +122,8 @@
             Input::ReadFailed { read } => {
                 self.reads.remove(&read);
             }
-            Input::Submit { ticket, changes } => self.on_submit(ticket, changes),
-            Input::MemberSeen { address } => self.learn_address(address),
+            Input::Submit { write_id, changes } => self.on_submit(write_id, changes),
+            Input::MemberDiscovered { address } => self.learn_address(address),
             Input::StepDown => self.on_step_down(),
             Input::Timer => {}
         }
@@ -164,8 +164,8 @@
     }
 
     /// The state of the rows on disk.
-    pub fn stored_mark(&self) -> Mark {
-        self.stored_mark
+    pub fn stored_viewstamp(&self) -> Viewstamp {
+        self.stored_viewstamp
     }
 
     fn run_due(&mut self) {
@@ -186,12 +186,12 @@
             Message::Addresses { addresses } => {
                 addresses.into_iter().for_each(|a| self.learn_address(a))
             }
-            Message::Canvass {
+            Message::PreVote {
                 round,
-                mark,
+                viewstamp,
                 headed,
-            } => self.on_canvass(from, round, mark, headed),
-            Message::CanvassReply {
+            } => self.on_canvass(from, round, viewstamp, headed),
+            Message::PreVoteReply {
                 round,
                 support,
                 promised,
@@ -201,16 +201,16 @@
                 self.on_canvass_reply(from, round, support, promised, view);
             }
             Message::Prepare { number, headed } => self.on_prepare(from, number, headed),
-            Message::Promise {
+            Message::PrepareOk {
                 number,
                 view,
                 agreed: _,
-                mark,
+                viewstamp,
                 leaving,
             } => {
-                self.on_promise(from, number, view, mark, leaving);
+                self.on_promise(from, number, view, viewstamp, leaving);
             }
-            Message::Refuse { number, promised } => self.on_refuse(from, number, promised),
+            Message::PrepareReject { number, promised } => self.on_refuse(from, number, promised),
             Message::Accept { view } => self.on_accept(from, view),
             Message::Accepted { number } => self.on_accepted(from, number),
             Message::Heartbeat {
@@ -224,14 +224,14 @@
             Message::Grant {
                 number,
                 sent_ms,
-                mark,
+                viewstamp,
                 store_age_ms,
                 leaving,
                 address,
             } => {
                 self.learn_address(address);
-                let health = tenure::Health {
-                    mark,
+                let health = leadership::Health {
+                    viewstamp,
                     store_age_ms,
                     leaving,
                 };
@@ -244,16 +244,20 @@
                 batches,
                 relay,
             } => self.on_write(number, batches, relay),
-            Message::Stored { mark } => self.on_member_stored(from, mark),
-            Message::Behind { mark } => self.on_behind(from, mark),
-            Message::Fetch { round, mark, after } => self.on_fetch(from, round, mark, after),
+            Message::Stored { viewstamp } => self.on_member_stored(from, viewstamp),
+            Message::Behind { viewstamp } => self.on_behind(from, viewstamp),
+            Message::Fetch {
+                round,
+                viewstamp,
+                after,
+            } => self.on_fetch(from, round, viewstamp, after),
             Message::Rows {
                 round,
                 after,
                 clear,
                 rows,
                 more,
-                mark,
+                viewstamp,
                 history,
             } => {
                 self.on_rows(
@@ -264,7 +268,7 @@
                         clear,
                         rows,
                         more,
-                        mark,
+                        viewstamp,
                         history,
                     },
                 );
@@ -276,8 +280,8 @@
         let Some(finished) = self.stores.finish(store) else {
             return;
         };
-        let changed = finished.mark != self.stored_mark;
-        (self.stored_mark, self.stored_view) = (finished.mark, finished.view);
+        let changed = finished.viewstamp != self.stored_viewstamp;
+        (self.stored_viewstamp, self.stored_view) = (finished.viewstamp, finished.view);
         for effect in finished.after {
             match effect {
                 AfterStore::Send { to, message } => self.send(to, *message),
@@ -321,7 +325,7 @@
     let internal = settings.address.internal;
     let is_seed = settings.bootstrap && settings.seeds.contains(&internal);
     let view = is_seed.then(|| View::first(&settings.seeds));
-    let mark = view.as_ref().map_or(Mark::default(), |v| v.base);
+    let viewstamp = view.as_ref().map_or(Viewstamp::default(), |v| v.base);
     Durable {
         member: Member {
             internal,
@@ -331,9 +335,9 @@
                 random.next_u64().max(1)
             },
         },
-        promised: mark.view,
+        promised: viewstamp.view,
         agreed: is_seed,
-        mark,
+        viewstamp,
         history: view
             .iter()
             .map(|v| ViewStart {
--- a/crates/replication/src/replica/reconfiguration.rs
+++ b/crates/replication/src/replica/reconfiguration.rs
@@ -2,8 +2,8 @@
 //! voters are added, removed and replaced one at a time.
 
 use super::Replica;
-use super::candidacy::Plan;
-use super::tenure::{Peer, Tenure};
+use super::campaign::Plan;
+use super::leadership::{Leadership, Peer};
 use crate::timing::{
     INSTALL_MS, RECONFIGURE_MS, REJOIN_LAG, REJOIN_STORE_AGE_MS, REMOVE_AFTER_MS,
     REMOVE_LONE_AFTER_MS, REPLACE_AFTER_MS, SILENT_MEMBER_MS, SLOW_MEMBER_MS, VOTERS_MAX,
@@ -21,22 +21,24 @@
     /// Starts a new view under this head where the present one should change.
     pub(super) fn reconfigure(&mut self) {
         let own = self.durable.member;
-        if self.candidacy.is_some() || self.is_leaving() || self.stores.is_failing() {
+        if self.campaign.is_some() || self.is_leaving() || self.stores.is_failing() {
             return;
         }
-        let Some(tenure) = &self.tenure else { return };
-        let lease_holds = self.now_ms < tenure.lease_until_ms(own);
-        if self.now_ms < tenure.reconfigure_ms || !lease_holds {
+        let Some(leadership) = &self.leadership else {
+            return;
+        };
+        let lease_holds = self.now_ms < leadership.lease_until_ms(own);
+        if self.now_ms < leadership.reconfigure_ms || !lease_holds {
             return;
         }
-        let Some(plan) = self.plan(tenure) else {
+        let Some(plan) = self.plan(leadership) else {
             return;
         };
         let number = self
             .durable
             .promised
             .max(self.number_floor)
-            .max(tenure.view.number)
+            .max(leadership.view.number)
             + 1;
         self.exclude_dropped(&plan);
         self.delay_reconfiguration();
@@ -44,19 +46,19 @@
     }
 
     pub(super) fn delay_reconfiguration(&mut self) {
-        if let Some(tenure) = &mut self.tenure {
-            tenure.reconfigure_ms = self.now_ms + RECONFIGURE_MS;
+        if let Some(leadership) = &mut self.leadership {
+            leadership.reconfigure_ms = self.now_ms + RECONFIGURE_MS;
         }
     }
 
     fn exclude_dropped(&mut self, plan: &Plan) {
         let now_ms = self.now_ms;
-        let Some(tenure) = &mut self.tenure else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        for member in &tenure.view.chain {
+        for member in &leadership.view.chain {
             if !plan.chain.contains(member)
-                && let Some(peer) = tenure.peers.get_mut(member)
+                && let Some(peer) = leadership.peers.get_mut(member)
             {
                 peer.exclude(now_ms);
             }
@@ -64,22 +66,22 @@
     }
 
     /// What the view should become; `None` where it is good as it is.
-    fn plan(&self, tenure: &Tenure) -> Option<Plan> {
-        let voters = self.planned_voters(tenure);
-        let chain = self.planned_chain(tenure, &voters);
-        let changed = voters != tenure.view.voters || chain != tenure.view.chain;
-        let superseded = self.durable.promised != tenure.view.number
-            || tenure
+    fn plan(&self, leadership: &Leadership) -> Option<Plan> {
+        let voters = self.planned_voters(leadership);
+        let chain = self.planned_chain(leadership, &voters);
+        let changed = voters != leadership.view.voters || chain != leadership.view.chain;
+        let superseded = self.durable.promised != leadership.view.number
+            || leadership
                 .view
                 .voters
                 .iter()
-                .any(|v| tenure.peers.get(v).is_some_and(|peer| peer.beyond));
+                .any(|v| leadership.peers.get(v).is_some_and(|peer| peer.beyond));
         (changed || superseded).then_some(Plan { voters, chain })
     }
 
-    fn planned_voters(&self, tenure: &Tenure) -> Vec<Member> {
-        let mut voters = tenure.view.voters.clone();
-        match self.voter_change(tenure) {
+    fn planned_voters(&self, leadership: &Leadership) -> Vec<Member> {
+        let mut voters = leadership.view.voters.clone();
+        match self.voter_change(leadership) {
             Some(VoterChange::Add(new)) => voters.push(new),
             Some(VoterChange::Remove(old)) => voters.retain(|&voter| voter != old),
             Some(VoterChange::Replace { old, new }) => {
@@ -93,18 +95,18 @@
 
     /// The next step towards an odd number of voters, all of them in touch. An even number bears no more losses than the
     /// odd one below it, and a cut into two halves leaves neither half a majority.
-    fn voter_change(&self, tenure: &Tenure) -> Option<VoterChange> {
-        if !tenure.is_installed {
+    fn voter_change(&self, leadership: &Leadership) -> Option<VoterChange> {
+        if !leadership.is_installed {
             return None;
         }
-        let newcomers = self.ready_newcomers(tenure);
+        let newcomers = self.ready_newcomers(leadership);
         let replacement = newcomers.iter().find_map(|&new| {
-            let old = wiped_voter(tenure, new)?;
+            let old = wiped_voter(leadership, new)?;
             Some(VoterChange::Replace { old, new })
         });
         let replace_silent = || {
             let old = self
-                .silent_voters(tenure, REPLACE_AFTER_MS)
+                .silent_voters(leadership, REPLACE_AFTER_MS)
                 .first()
                 .copied()?;
             Some(VoterChange::Replace {
@@ -112,16 +114,16 @@
                 new: newcomers.first().copied()?,
             })
         };
-        let members = tenure.view.voters.len() + newcomers.len();
+        let members = leadership.view.voters.len() + newcomers.len();
         let add = || {
-            let is_wanted = tenure.view.voters.len() < self.voters_aimed_at(members);
+            let is_wanted = leadership.view.voters.len() < self.voters_aimed_at(members);
             newcomers
                 .first()
                 .copied()
                 .filter(|_| is_wanted)
                 .map(VoterChange::Add)
         };
-        let remove = || self.surplus_voter(tenure).map(VoterChange::Remove);
+        let remove = || self.surplus_voter(leadership).map(VoterChange::Remove);
         replacement
             .or_else(replace_silent)
             .or_else(add)
@@ -129,12 +131,12 @@
     }
 
     /// Members that are no voters, and could be.
-    fn ready_newcomers(&self, tenure: &Tenure) -> Vec<Member> {
-        let is_ready = |peer: &Peer| self.is_fit(tenure, peer) && self.now_ms >= peer.rejoin_ms;
-        let newcomers = tenure
+    fn ready_newcomers(&self, leadership: &Leadership) -> Vec<Member> {
+        let is_ready = |peer: &Peer| self.is_fit(leadership, peer) && self.now_ms >= peer.rejoin_ms;
+        let newcomers = leadership
             .peers
             .iter()
-            .filter(|(member, _)| !tenure.view.voters.contains(member));
+            .filter(|(member, _)| !leadership.view.voters.contains(member));
         newcomers
             .filter(|(_, peer)| is_ready(peer))
             .map(|(&member, _)| member)
@@ -142,15 +144,15 @@
     }
 
     /// Voters that have not been heard for `for_ms`, the most silent first.
-    fn silent_voters(&self, tenure: &Tenure, for_ms: u64) -> Vec<Member> {
+    fn silent_voters(&self, leadership: &Leadership, for_ms: u64) -> Vec<Member> {
         let own = self.durable.member;
         let silence = |voter: Member| {
-            tenure
+            leadership
                 .peers
                 .get(&voter)
                 .map_or(0, |p| p.silent_ms(self.now_ms))
         };
-        let others = tenure
+        let others = leadership
             .view
             .voters
             .iter()
@@ -163,24 +165,24 @@
 
     /// A voter beyond those wanted: a silent one (later if an even number would be left for it alone), and of an even
     /// number one that is not in the chain, or the last of the chain.
-    fn surplus_voter(&self, tenure: &Tenure) -> Option<Member> {
-        let voters = &tenure.view.voters;
+    fn surplus_voter(&self, leadership: &Leadership) -> Option<Member> {
+        let voters = &leadership.view.voters;
         if voters.len() <= self.voters_wanted() {
             return None;
         }
-        let silent = self.silent_voters(tenure, REMOVE_AFTER_MS);
+        let silent = self.silent_voters(leadership, REMOVE_AFTER_MS);
         if voters.len().is_multiple_of(2) {
             let outside = voters
                 .iter()
                 .copied()
-                .find(|voter| !tenure.view.chain.contains(voter));
+                .find(|voter| !leadership.view.chain.contains(voter));
             return silent
                 .first()
                 .copied()
                 .or(outside)
-                .or(tenure.view.chain.last().copied());
+                .or(leadership.view.chain.last().copied());
         }
-        let lone = self.silent_voters(tenure, REMOVE_LONE_AFTER_MS);
+        let lone = self.silent_voters(leadership, REMOVE_LONE_AFTER_MS);
         let several = silent.first().filter(|_| silent.len() > 1);
         several.or(lone.first()).copied()
     }
@@ -203,19 +205,19 @@
     }
 
     /// Whether a member outside the chain has the head's rows, stays, and could go on as a part of the chain.
-    fn is_fit(&self, tenure: &Tenure, peer: &Peer) -> bool {
-        let mark = peer.health.mark;
-        mark.view == tenure.view.number
-            && mark.seq + REJOIN_LAG >= self.durable.mark.seq
+    fn is_fit(&self, leadership: &Leadership, peer: &Peer) -> bool {
+        let viewstamp = peer.health.viewstamp;
+        viewstamp.view == leadership.view.number
+            && viewstamp.seq + REJOIN_LAG >= self.durable.viewstamp.seq
             && peer.health.store_age_ms < REJOIN_STORE_AGE_MS
             && peer.silent_ms(self.now_ms) < SILENT_MEMBER_MS / 2
             && !peer.health.leaving
     }
 
     /// The present chain without those that hold it up, and with those that have caught up.
-    fn planned_chain(&self, tenure: &Tenure, voters: &[Member]) -> Vec<Member> {
+    fn planned_chain(&self, leadership: &Leadership, voters: &[Member]) -> Vec<Member> {
         let least = self.chain_min(voters.len());
-        let present: Vec<Member> = tenure
+        let present: Vec<Member> = leadership
             .view
             .chain
             .iter()
@@ -224,8 +226,8 @@
             .collect();
         let (leaving, mut chain): (Vec<Member>, Vec<Member>) = present
             .into_iter()
-            .partition(|&member| self.holds_up(tenure, member));
-        chain.extend(self.joining(tenure, voters, !leaving.is_empty()));
+            .partition(|&member| self.holds_up(leadership, member));
+        chain.extend(self.joining(leadership, voters, !leaving.is_empty()));
         // A chain that would be too short keeps some of those that hold it up.
         let lacking = least.saturating_sub(chain.len());
         chain.extend(leaving.into_iter().take(lacking));
@@ -234,63 +236,63 @@
 
     /// Voters outside the chain that are taken into it. While the chain has not taken over the view's first state, only
     /// to replace one that holds it up (`needed`): such a chain may never come together otherwise.
-    fn joining(&self, tenure: &Tenure, voters: &[Member], needed: bool) -> Vec<Member> {
-        let installing = !tenure.is_installed;
+    fn joining(&self, leadership: &Leadership, voters: &[Member], needed: bool) -> Vec<Member> {
+        let installing = !leadership.is_installed;
         if installing && !needed {
             return Vec::new();
         }
         let joins = |voter: &Member| {
             let may_rejoin = |peer: &Peer| installing || self.now_ms >= peer.rejoin_ms;
-            tenure
+            leadership
                 .peers
                 .get(voter)
-                .is_some_and(|peer| self.is_fit(tenure, peer) && may_rejoin(peer))
+                .is_some_and(|peer| self.is_fit(leadership, peer) && may_rejoin(peer))
         };
         // One that is left out now has been in the chain: it joins again later, when its time of exclusion is over.
         voters
             .iter()
             .copied()
-            .filter(|v| !tenure.view.chain.contains(v) && joins(v))
+            .filter(|v| !leadership.view.chain.contains(v) && joins(v))
             .collect()
     }
 
     /// A member of the chain that is silent, about to stop, or slower than the others.
-    fn holds_up(&self, tenure: &Tenure, member: Member) -> bool {
+    fn holds_up(&self, leadership: &Leadership, member: Member) -> bool {
         let own = self.durable.member;
         if member == own {
             return false;
         }
-        let Some(peer) = tenure.peers.get(&member) else {
+        let Some(peer) = leadership.peers.get(&member) else {
             return false;
         };
-        let lacks_start = peer.health.mark.view != tenure.view.number
-            && self.now_ms >= tenure.view_since_ms + INSTALL_MS;
+        let lacks_start = peer.health.viewstamp.view != leadership.view.number
+            && self.now_ms >= leadership.view_since_ms + INSTALL_MS;
         peer.health.leaving
             || peer.silent_ms(self.now_ms) >= SILENT_MEMBER_MS
             || lacks_start
-            || self.is_slow(tenure, member)
+            || self.is_slow(leadership, member)
     }
 
-    fn is_slow(&self, tenure: &Tenure, member: Member) -> bool {
+    fn is_slow(&self, leadership: &Leadership, member: Member) -> bool {
         let own = self.durable.member;
-        let Some(oldest) = tenure.oldest_lacking(member, own) else {
+        let Some(oldest) = leadership.oldest_lacking(member, own) else {
             return false;
         };
         let seq = oldest.batch.seq;
-        let have = tenure
+        let have = leadership
             .view
             .chain
             .iter()
-            .filter(|&&m| tenure.mark_of(m, own).seq >= seq)
+            .filter(|&&m| leadership.viewstamp_of(m, own).seq >= seq)
             .count();
         let late = self.now_ms >= oldest.sent_ms + SLOW_MEMBER_MS;
-        tenure.is_installed && late && have >= self.chain_min(tenure.view.voters.len())
+        leadership.is_installed && late && have >= self.chain_min(leadership.view.voters.len())
     }
 }
 
 /// The voter that had the address of `new`, and has lost its disk.
-fn wiped_voter(tenure: &Tenure, new: Member) -> Option<Member> {
-    tenure
+fn wiped_voter(leadership: &Leadership, new: Member) -> Option<Member> {
+    leadership
         .view
         .voters
         .iter()
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -3,7 +3,7 @@
 use crate::durable::{Durable, StoreOperation, StoreRequest};
 use crate::message::Message;
 use crate::timing::STORE_RETRY_MS;
-use crate::types::Mark;
+use crate::types::Viewstamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(super) struct Finished {
     /// The state of the rows with it.
-    pub mark: Mark,
+    pub viewstamp: Viewstamp,
     /// Number of the view accepted last; 0 before the first.
     pub view: u64,
     /// What may be done now.
@@ -139,7 +139,7 @@
         let done = self.in_flight.take_if(|f| f.store == store)?;
         let durable = &done.request.durable;
         Some(Finished {
-            mark: durable.mark,
+            viewstamp: durable.viewstamp,
             view: durable.view_number(),
             after: done.after,
         })
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -6,7 +6,7 @@
 use crate::timing::{
     FETCH_GIVE_UP_MS, FETCH_RETRY_MS, TRANSFER_BYTES, TRIM_AFTER_MS, TRIM_STEP_MS,
 };
-use crate::types::{Mark, Member, Row, RowsChunk, View, ViewStart};
+use crate::types::{Member, Row, RowsChunk, View, ViewStart, Viewstamp};
 use std::collections::VecDeque;
 
 /// A reading for another member.
@@ -27,7 +27,7 @@
     pub clear: bool,
     pub rows: Vec<Row>,
     pub more: bool,
-    pub mark: Mark,
+    pub viewstamp: Viewstamp,
     pub history: Vec<ViewStart>,
 }
 
@@ -36,7 +36,7 @@
     /// To follow the head of this view.
     Follow { number: u64 },
     /// To propose a view on top of the newest state.
-    Candidate { number: u64, newest: Mark },
+    Candidate { number: u64, newest: Viewstamp },
 }
 
 /// A transfer to this member. The rows are kept in memory until all have come, for a part of them is no state.
@@ -82,12 +82,12 @@
     /// Brings the rows up to the head's where writes down the chain do not do it.
     pub(super) fn catch_up(&mut self, view: &View, head_seq: u64) {
         let Some(head) = view.head() else { return };
-        let mark = self.durable.mark;
+        let viewstamp = self.durable.viewstamp;
         let in_chain = view.chain.contains(&self.durable.member);
-        if mark.view == view.number && (in_chain || mark.seq >= head_seq) {
+        if viewstamp.view == view.number && (in_chain || viewstamp.seq >= head_seq) {
             return;
         }
-        if mark == view.base {
+        if viewstamp == view.base {
             self.enter_view(view);
         } else if self.pull.is_none() {
             self.start_pull(
@@ -99,7 +99,7 @@
         }
     }
 
-    pub(super) fn pull_as_candidate(&mut self, source: Member, number: u64, newest: Mark) {
+    pub(super) fn pull_as_candidate(&mut self, source: Member, number: u64, newest: Viewstamp) {
         self.start_pull(source, Purpose::Candidate { number, newest });
     }
 
@@ -119,11 +119,18 @@
     }
 
     fn ask_source(&mut self) {
-        let mark = self.durable.mark;
+        let viewstamp = self.durable.viewstamp;
         let Some(pull) = &mut self.pull else { return };
         pull.asked_ms = self.now_ms;
         let (to, round, after) = (pull.source.internal, pull.round, pull.next_after);
-        self.send(to, Message::Fetch { round, mark, after });
+        self.send(
+            to,
+            Message::Fetch {
+                round,
+                viewstamp,
+                after,
+            },
+        );
     }
 
     pub(super) fn pull_due_ms(&self) -> Option<u64> {
@@ -141,10 +148,16 @@
         }
     }
 
-    pub(super) fn on_fetch(&mut self, from: Member, round: u64, mark: Mark, after: Option<u64>) {
+    pub(super) fn on_fetch(
+        &mut self,
+        from: Member,
+        round: u64,
+        viewstamp: Viewstamp,
+        after: Option<u64>,
+    ) {
         let (after, clear) = match after {
             Some(after) => (after, false),
-            None if is_part_of(mark, &self.durable) => (mark.seq, false),
+            None if is_part_of(viewstamp, &self.durable) => (viewstamp.seq, false),
             None => (0, true),
         };
         self.last_read += 1;
@@ -157,7 +170,7 @@
                 round,
                 after,
                 clear,
-                view: self.durable.mark.view,
+                view: self.durable.viewstamp.view,
             },
         );
         self.outputs.push(Output::ReadRows {
@@ -171,13 +184,13 @@
         let Some(serving) = self.reads.remove(&read) else {
             return;
         };
-        if chunk.mark.view != serving.view {
+        if chunk.viewstamp.view != serving.view {
             return;
         }
         let RowsChunk {
             rows,
             more,
-            mark,
+            viewstamp,
             history,
         } = chunk;
         let Serving {
@@ -195,7 +208,7 @@
                 clear,
                 rows,
                 more,
-                mark,
+                viewstamp,
                 history,
             },
         );
@@ -220,20 +233,22 @@
             pull.next_after = Some(last_seq);
             self.ask_source();
         } else if let Some(pull) = self.pull.take() {
-            self.finish_pull(pull, part.mark, part.history);
+            self.finish_pull(pull, part.viewstamp, part.history);
         }
     }
 
-    fn finish_pull(&mut self, pull: Pull, mark: Mark, history: Vec<ViewStart>) {
+    fn finish_pull(&mut self, pull: Pull, viewstamp: Viewstamp, history: Vec<ViewStart>) {
         let fits = match &pull.purpose {
             Purpose::Follow { number } => {
-                mark.view == *number && self.durable.promised == *number && self.view() == *number
+                viewstamp.view == *number
+                    && self.durable.promised == *number
+                    && self.view() == *number
             }
             Purpose::Candidate { number, newest } => {
-                mark == *newest && self.candidacy.as_ref().is_some_and(|c| c.number == *number)
+                viewstamp == *newest && self.campaign.as_ref().is_some_and(|c| c.number == *number)
             }
         };
-        if !fits || mark < self.durable.mark {
+        if !fits || viewstamp < self.durable.viewstamp {
             if pull.is_for_candidate() {
                 self.fail_candidacy();
             }
@@ -241,10 +256,10 @@
         }
         if pull.clear {
             self.stores.add(StoreOperation::Clear);
-            self.durable.trimmed = mark.seq;
+            self.durable.trimmed = viewstamp.seq;
         }
         self.stores.add(StoreOperation::Put(pull.rows));
-        self.durable.mark = mark;
+        self.durable.viewstamp = viewstamp;
         self.durable.history = history;
         match pull.purpose {
             Purpose::Follow { .. } => self.stores.want(),
@@ -262,7 +277,7 @@
         self.trim_notes.due_ms = self.now_ms + TRIM_STEP_MS;
         self.trim_notes
             .notes
-            .push_back((self.now_ms, self.stored_mark.seq));
+            .push_back((self.now_ms, self.stored_viewstamp.seq));
         let is_old = |(at_ms, _): &&(u64, u64)| at_ms + TRIM_AFTER_MS <= self.now_ms;
         let Some(&(_, seq)) = self.trim_notes.notes.front().filter(is_old) else {
             return;
@@ -275,18 +290,18 @@
     }
 }
 
-/// Whether a member at `mark` has a part of the state of `durable`, so that it lacks only later rows.
-fn is_part_of(mark: Mark, durable: &Durable) -> bool {
-    if mark.seq < durable.trimmed || mark.view == 0 {
+/// Whether a member at `viewstamp` has a part of the state of `durable`, so that it lacks only later rows.
+fn is_part_of(viewstamp: Viewstamp, durable: &Durable) -> bool {
+    if viewstamp.seq < durable.trimmed || viewstamp.view == 0 {
         return false;
     }
-    if mark.view == durable.mark.view {
-        return mark.seq <= durable.mark.seq;
+    if viewstamp.view == durable.viewstamp.view {
+        return viewstamp.seq <= durable.viewstamp.seq;
     }
     let position = durable
         .history
         .iter()
-        .position(|start| start.view == mark.view);
+        .position(|start| start.view == viewstamp.view);
     let next = position.and_then(|position| durable.history.get(position + 1));
-    next.is_some_and(|next| mark.seq <= next.seq)
+    next.is_some_and(|next| viewstamp.seq <= next.seq)
 }
--- a/crates/replication/src/replica/voter.rs
+++ b/crates/replication/src/replica/voter.rs
@@ -1,10 +1,10 @@
 //! A voter's promises and acceptances, kept on disk before they are told.
 
-use super::candidacy::Phase;
+use super::campaign::Phase;
 use super::{AfterStore, Replica};
 use crate::message::Message;
 use crate::timing::{BACKOFF_SPREAD_MS, QUIET_MS, SUPPORT_MS};
-use crate::types::{Mark, Member, View};
+use crate::types::{Member, View, Viewstamp};
 
 /// The candidate that this member has told that it would support it.
 #[derive(Debug)]
@@ -14,19 +14,25 @@
 }
 
 impl Replica {
-    pub(super) fn on_canvass(&mut self, from: Member, round: u64, mark: Mark, headed: u64) {
-        let support = !self.is_bound_against(from, headed) && self.prefers(from, mark);
+    pub(super) fn on_canvass(
+        &mut self,
+        from: Member,
+        round: u64,
+        viewstamp: Viewstamp,
+        headed: u64,
+    ) {
+        let support = !self.is_bound_against(from, headed) && self.prefers(from, viewstamp);
         if support {
             self.supported = Some(Supported {
                 candidate: from,
                 until_ms: self.now_ms + SUPPORT_MS,
             });
-            self.candidacy = None;
+            self.campaign = None;
             self.stand_at_ms = self
                 .stand_at_ms
                 .max(self.now_ms + SUPPORT_MS + self.random_below(BACKOFF_SPREAD_MS));
         }
-        let reply = Message::CanvassReply {
+        let reply = Message::PreVoteReply {
             round,
             support,
             promised: self.durable.promised,
@@ -37,14 +43,14 @@
     }
 
     /// Whether `candidate` goes before this member's own candidacy and before the one it has supported just now.
-    fn prefers(&self, candidate: Member, mark: Mark) -> bool {
+    fn prefers(&self, candidate: Member, viewstamp: Viewstamp) -> bool {
         let supports_other = self
             .supported
             .as_ref()
             .is_some_and(|s| s.candidate != candidate && self.now_ms < s.until_ms);
-        let own_goes_first = self.candidacy.as_ref().is_some_and(|own| {
-            !matches!(own.phase, Phase::Canvass { .. })
-                || (self.durable.mark, candidate) > (mark, self.durable.member)
+        let own_goes_first = self.campaign.as_ref().is_some_and(|own| {
+            !matches!(own.phase, Phase::PreVote { .. })
+                || (self.durable.viewstamp, candidate) > (viewstamp, self.durable.member)
         });
         !supports_other && !own_goes_first
     }
@@ -53,7 +59,7 @@
         if number <= self.durable.promised || self.is_bound_against(from, headed) {
             self.send(
                 from.internal,
-                Message::Refuse {
+                Message::PrepareReject {
                     number,
                     promised: self.durable.promised,
                 },
@@ -64,11 +70,11 @@
         self.durable.promised = number;
         self.pull = None;
         self.stay_quiet();
-        let promise = Message::Promise {
+        let promise = Message::PrepareOk {
             number,
             view: self.durable.view.clone(),
             agreed: self.durable.agreed,
-            mark: self.durable.mark,
+            viewstamp: self.durable.viewstamp,
             leaving: self.is_leaving(),
         };
         self.stores.want_then(AfterStore::Send {
@@ -82,7 +88,7 @@
         if number < self.durable.promised || view.head() != Some(from) {
             self.send(
                 from.internal,
-                Message::Refuse {
+                Message::PrepareReject {
                     number,
                     promised: self.durable.promised,
                 },
@@ -106,7 +112,7 @@
 
     /// Another member's candidacy goes first: this member is neither head nor candidate any more.
     pub(super) fn withdraw(&mut self) {
-        self.candidacy = None;
+        self.campaign = None;
         self.abdicate();
     }
 
--- a/crates/replication/src/storage/mod.rs
+++ b/crates/replication/src/storage/mod.rs
@@ -9,7 +9,7 @@
 pub use error::StorageError;
 
 use crate::durable::{Durable, StoreOperation, StoreRequest};
-use crate::types::{Mark, RowsChunk, ViewStart};
+use crate::types::{RowsChunk, ViewStart, Viewstamp};
 use error::DatabaseSnafu;
 use rusqlite::{Connection, TransactionBehavior};
 use schema::Loaded;
@@ -24,14 +24,14 @@
     /// The record it holds; `None` for an empty one.
     pub durable: Option<Durable>,
     /// Where a database that cannot be used has been set aside, and why.
-    pub set_aside: Option<SetAside>,
+    pub quarantined: Option<Quarantined>,
     /// This or an earlier opening has set a database aside: what the member had promised is forgotten.
-    pub has_forgotten: bool,
+    pub has_quarantined: bool,
 }
 
 /// A database that cannot be used.
 #[derive(Debug)]
-pub struct SetAside {
+pub struct Quarantined {
     /// Where its file is now.
     pub path: PathBuf,
     /// Why, in a plain sentence.
@@ -43,7 +43,7 @@
 pub struct Storage {
     connection: Connection,
     path: PathBuf,
-    mark: Mark,
+    viewstamp: Viewstamp,
     history: Vec<ViewStart>,
 }
 
@@ -52,14 +52,14 @@
     /// set aside, and the member starts empty.
     pub fn open(dir: &Path) -> Result<Opened, StorageError> {
         let path = schema::database_path(dir);
-        let (loaded, set_aside) = match schema::load(dir, &path) {
+        let (loaded, quarantined) = match schema::load(dir, &path) {
             Ok(loaded) => (loaded, None),
             Err(error) if error.is_damage() => {
-                let kept = schema::set_aside(dir, &path)?;
+                let kept = schema::quarantined(dir, &path)?;
                 let reason = error.to_string();
                 (
                     schema::load(dir, &path)?,
-                    Some(SetAside { path: kept, reason }),
+                    Some(Quarantined { path: kept, reason }),
                 )
             }
             Err(error) => return Err(error),
@@ -68,21 +68,21 @@
             connection,
             durable,
         } = loaded;
-        let (mark, history) = durable
+        let (viewstamp, history) = durable
             .as_ref()
-            .map(|d| (d.mark, d.history.clone()))
+            .map(|d| (d.viewstamp, d.history.clone()))
             .unwrap_or_default();
-        let has_forgotten = schema::has_set_aside(&path);
+        let has_quarantined = schema::has_set_aside(&path);
         Ok(Opened {
             storage: Storage {
                 connection,
                 path,
-                mark,
+                viewstamp,
                 history,
             },
             durable,
-            set_aside,
-            has_forgotten,
+            quarantined,
+            has_quarantined,
         })
     }
 
@@ -95,7 +95,7 @@
             })?;
         write_transaction(&mut self.connection, record, &request.operations)
             .context(DatabaseSnafu { path: &self.path })?;
-        self.mark = request.durable.mark;
+        self.viewstamp = request.durable.viewstamp;
         if self.history != request.durable.history {
             self.history.clone_from(&request.durable.history);
         }
@@ -108,7 +108,7 @@
         Ok(RowsChunk {
             rows,
             more,
-            mark: self.mark,
+            viewstamp: self.viewstamp,
             history: self.history.clone(),
         })
     }
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -149,7 +149,7 @@
 }
 
 /// Renames the database's files so that a new one can be made; says where the database is now.
-pub(super) fn set_aside(dir: &Path, path: &Path) -> Result<PathBuf, StorageError> {
+pub(super) fn quarantined(dir: &Path, path: &Path) -> Result<PathBuf, StorageError> {
     let mut number = 1;
     while number < SET_ASIDE_MAX && aside_path(path, number).exists() {
         number += 1;
--- a/crates/replication/src/types.rs
+++ b/crates/replication/src/types.rs
@@ -20,7 +20,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Mark {
+pub struct Viewstamp {
     /// Number of the view.
     pub view: u64,
     /// Sequence number of the last write.
@@ -49,7 +49,7 @@
     /// Members that store each write, the head first; at least a majority of the voters.
     pub chain: Vec<Member>,
     /// The state that it takes over.
-    pub base: Mark,
+    pub base: Viewstamp,
 }
 
 impl View {
@@ -69,7 +69,7 @@
             previous_voters: voters.clone(),
             voters,
             chain: Vec::new(),
-            base: Mark {
+            base: Viewstamp {
                 view: FIRST_VIEW,
                 seq: 0,
             },
@@ -145,7 +145,7 @@
     /// More rows follow, after the sequence number of the last of these.
     pub more: bool,
     /// The state that was read.
-    pub mark: Mark,
+    pub viewstamp: Viewstamp,
     /// The views that led to it.
     pub history: Vec<ViewStart>,
 }
--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -164,11 +164,11 @@
     image.write(dir.path());
     let opened = Storage::open(dir.path()).expect("the database can be opened");
     assert!(
-        opened.set_aside.is_none(),
+        opened.quarantined.is_none(),
         "write {seq}: {:?}",
-        opened.set_aside
+        opened.quarantined
     );
-    let found = opened.durable.expect("the record is there").mark.seq;
+    let found = opened.durable.expect("the record is there").viewstamp.seq;
     let expected = match found {
         found if found == seq => after,
         found if found + 1 == seq => before,
@@ -276,7 +276,7 @@
         .write(dir.path());
         let opened = Storage::open(dir.path()).expect("a damaged database is no failure");
         tried += 1;
-        if opened.set_aside.is_some() {
+        if opened.quarantined.is_some() {
             found += 1;
             assert_eq!(opened.durable, None);
         } else if opened.durable.is_some() {
@@ -316,10 +316,10 @@
         let dir = TempDir::new().expect("a folder");
         image.write(dir.path());
         let opened = Storage::open(dir.path()).expect("a damaged log is no failure");
-        found += usize::from(opened.set_aside.is_some());
-        let seq = opened.durable.map(|durable| durable.mark.seq);
+        found += usize::from(opened.quarantined.is_some());
+        let seq = opened.durable.map(|durable| durable.viewstamp.seq);
         assert!(
-            opened.set_aside.is_some() || seq == Some(8),
+            opened.quarantined.is_some() || seq == Some(8),
             "byte {at}: the state of write {seq:?} is left"
         );
     }
--- a/crates/replication/tests/model/rules.rs
+++ b/crates/replication/tests/model/rules.rs
@@ -6,7 +6,7 @@
 //! arrives; an answer that is lost is an asker that crashes before its next step. What a head has said stays in
 //! [`Led`], and arrives at any later moment or never.
 
-use super::state::{Candidacy, Id, Led, Log, Member, Members, Power, Rows, State, Tenure, View};
+use super::state::{Campaign, Id, Leadership, Led, Log, Member, Members, Power, Rows, State, View};
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
 
@@ -55,7 +55,7 @@
         candidate: Id,
         number: u8,
     },
-    Promise {
+    PrepareOk {
         candidate: Id,
         voter: Id,
     },
@@ -151,12 +151,12 @@
                 log: log_of(id),
             },
             unsynced: false,
-            candidacy: None,
-            tenure: None,
+            campaign: None,
+            leadership: None,
         };
         let mut members: Vec<Member> = (0..self.members()).map(follower).collect();
         let stored = chain.iter().map(|id| (id, first_log.len())).collect();
-        members[0].tenure = Some(Tenure {
+        members[0].leadership = Some(Leadership {
             view: view.clone(),
             stored,
             is_installed: true,
@@ -183,26 +183,26 @@
         if view.voters.has(candidate) && number <= self.last_view {
             actions.push(Action::Stand { candidate, number });
         }
-        let Some(candidacy) = &member.candidacy else {
+        let Some(campaign) = &member.campaign else {
             return;
         };
         let others = (0..self.members()).filter(|&id| id != candidate);
         let asked = others.filter(|&id| state.members[usize::from(id)].power == Power::On);
-        match &candidacy.proposed {
+        match &campaign.proposed {
             None => {
-                let electorate = Members(candidacy.known.voters.0 | candidacy.known.previous.0);
+                let electorate = Members(campaign.known.voters.0 | campaign.known.previous.0);
                 let new =
-                    asked.filter(|&id| electorate.has(id) && !candidacy.promises.contains_key(&id));
-                actions.extend(new.map(|voter| Action::Promise { candidate, voter }));
-                self.proposals(state, candidate, candidacy, actions);
+                    asked.filter(|&id| electorate.has(id) && !campaign.promises.contains_key(&id));
+                actions.extend(new.map(|voter| Action::PrepareOk { candidate, voter }));
+                self.proposals(state, candidate, campaign, actions);
             }
             Some(view) => {
                 let electorate = Members(view.voters.0 | view.previous.0);
-                let new = asked.filter(|&id| electorate.has(id) && !candidacy.accepted.has(id));
+                let new = asked.filter(|&id| electorate.has(id) && !campaign.accepted.has(id));
                 actions.extend(new.map(|voter| Action::Accept { candidate, voter }));
-                let former = view.previous.majority_in(candidacy.accepted);
+                let former = view.previous.majority_in(campaign.accepted);
                 let former = former || self.fault == Fault::NewVotersOnly;
-                if former && view.voters.majority_in(candidacy.accepted) {
+                if former && view.voters.majority_in(campaign.accepted) {
                     actions.push(Action::Lead { candidate });
                 }
             }
@@ -214,11 +214,11 @@
         &self,
         state: &State,
         candidate: Id,
-        candidacy: &Candidacy,
+        campaign: &Campaign,
         actions: &mut Vec<Action>,
     ) {
-        let known = &candidacy.known;
-        let promised = Members::of(&candidacy.promises.keys().copied().collect::<Vec<Id>>());
+        let known = &campaign.known;
+        let promised = Members::of(&campaign.promises.keys().copied().collect::<Vec<Id>>());
         if !known.voters.majority_in(promised) || !known.previous.majority_in(promised) {
             return;
         }
@@ -239,8 +239,10 @@
     /// The voters as they are, and for the head of an established view those with one change.
     fn next_voters(&self, state: &State, candidate: Id, known: &View) -> Vec<Members> {
         let member = &state.members[usize::from(candidate)];
-        let leads = member.tenure.as_ref().is_some_and(|tenure| {
-            tenure.is_installed && tenure.view.number == known.number && known.is_established()
+        let leads = member.leadership.as_ref().is_some_and(|leadership| {
+            leadership.is_installed
+                && leadership.view.number == known.number
+                && known.is_established()
         });
         let mut choices = vec![known.voters];
         if !leads {
@@ -273,7 +275,7 @@
         member.promised = number;
         let promises = BTreeMap::from([(candidate, member.rows.clone())]);
         let accepted = Members::default();
-        member.candidacy = Some(Candidacy {
+        member.campaign = Some(Campaign {
             number,
             known,
             promises,
@@ -293,52 +295,52 @@
         withdraw(member);
         member.promised = number;
         let (view, rows) = (member.view.clone(), member.rows.clone());
-        let Some(candidacy) = &mut state.members[usize::from(candidate)].candidacy else {
+        let Some(campaign) = &mut state.members[usize::from(candidate)].campaign else {
             return;
         };
-        candidacy.promises.insert(voter, rows);
-        let known = &candidacy.known;
+        campaign.promises.insert(voter, rows);
+        let known = &campaign.known;
         let is_news = |view: &View| {
             view.number > known.number || (view.number == known.number && view.is_established())
         };
         if let Some(view) = view.filter(is_news) {
-            candidacy.known = view;
+            campaign.known = view;
         }
     }
 
     fn propose(&self, state: &mut State, candidate: Id, voters: Members, chain: Members) {
         let member = &mut state.members[usize::from(candidate)];
-        let Some(candidacy) = &mut member.candidacy else {
+        let Some(campaign) = &mut member.campaign else {
             return;
         };
-        let newest = candidacy
+        let newest = campaign
             .promises
             .values()
-            .max_by_key(|rows| rows.mark())
+            .max_by_key(|rows| rows.viewstamp())
             .cloned()
             .unwrap_or_default();
-        if newest.mark() > member.rows.mark() && self.fault != Fault::OwnRows {
+        if newest.viewstamp() > member.rows.viewstamp() && self.fault != Fault::OwnRows {
             member.rows = newest;
             member.unsynced = false;
-            member.tenure = None;
+            member.leadership = None;
         }
-        let (number, previous) = (candidacy.number, candidacy.known.previous);
+        let (number, previous) = (campaign.number, campaign.known.previous);
         let view = View {
             number,
             head: candidate,
             voters,
             previous,
             chain,
-            base: member.rows.mark(),
+            base: member.rows.viewstamp(),
         };
-        candidacy.proposed = Some(view.clone());
-        candidacy.accepted = Members::of(&[candidate]);
+        campaign.proposed = Some(view.clone());
+        campaign.accepted = Members::of(&[candidate]);
         member.view = Some(view);
     }
 
     fn accept(&self, state: &mut State, candidate: Id, voter: Id) {
-        let candidacy = state.members[usize::from(candidate)].candidacy.as_ref();
-        let Some(view) = candidacy.and_then(|c| c.proposed.clone()) else {
+        let campaign = state.members[usize::from(candidate)].campaign.as_ref();
+        let Some(view) = campaign.and_then(|c| c.proposed.clone()) else {
             return;
         };
         let member = &mut state.members[usize::from(voter)];
@@ -354,17 +356,17 @@
         {
             member.view = Some(view);
         }
-        if let Some(candidacy) = &mut state.members[usize::from(candidate)].candidacy {
-            candidacy.accepted = candidacy.accepted.with(voter);
+        if let Some(campaign) = &mut state.members[usize::from(candidate)].campaign {
+            campaign.accepted = campaign.accepted.with(voter);
         }
     }
 
     fn lead(&self, state: &mut State, candidate: Id) {
         let member = &mut state.members[usize::from(candidate)];
         let Some(view) = member
-            .candidacy
+            .campaign
             .take()
-            .and_then(|candidacy| candidacy.proposed)
+            .and_then(|campaign| campaign.proposed)
         else {
             return;
         };
@@ -373,7 +375,7 @@
             candidate,
             member.rows.log.len() - usize::from(member.unsynced),
         )]);
-        member.tenure = Some(Tenure {
+        member.leadership = Some(Leadership {
             view: view.clone(),
             stored,
             is_installed: false,
@@ -406,10 +408,10 @@
         let Some(stored) = stored_by_all(member) else {
             return;
         };
-        let Some(tenure) = &mut member.tenure else {
+        let Some(leadership) = &mut member.leadership else {
             return;
         };
-        let newly_installed = !std::mem::replace(&mut tenure.is_installed, true);
+        let newly_installed = !std::mem::replace(&mut leadership.is_installed, true);
         let committed = member.rows.log[..stored.min(member.rows.log.len())].to_vec();
         let common = committed.len().min(state.committed.len());
         if committed[..common] != state.committed[..common] {
@@ -440,7 +442,7 @@
         } else if view.is_established() {
             member.view = Some(view.clone());
         }
-        if member.rows.mark() == view.base {
+        if member.rows.viewstamp() == view.base {
             member.rows.view = number;
         }
         report_stored(state, to, number);
@@ -483,14 +485,14 @@
             return;
         };
         let number = view.number;
-        let follows = member.promised == number && member.tenure.is_none() && view.head != id;
+        let follows = member.promised == number && member.leadership.is_none() && view.head != id;
         let entered = member.rows.view == number;
         let head = &state.members[usize::from(view.head)];
         let source = head.power == Power::On && head.rows.view == number;
         if follows && source && (!entered || !view.chain.has(id)) {
             actions.push(Action::Fetch { member: id, number });
         }
-        let takes = member.tenure.is_none() && view.head != id && entered && view.chain.has(id);
+        let takes = member.leadership.is_none() && view.head != id && entered && view.chain.has(id);
         let obeys = member.promised == number || self.fault == Fault::WritesPastPromise;
         if takes && obeys && member.rows.log.len() < led.log.len() {
             actions.push(Action::Store { member: id, number });
@@ -502,15 +504,17 @@
         if member.unsynced {
             actions.push(Action::Sync { head: id });
         }
-        let Some(tenure) = &member.tenure else { return };
-        let open = tenure.is_installed
-            && member.promised == tenure.view.number
-            && member.candidacy.is_none();
+        let Some(leadership) = &member.leadership else {
+            return;
+        };
+        let open = leadership.is_installed
+            && member.promised == leadership.view.number
+            && member.campaign.is_none();
         if open && member.rows.log.len() < self.writes && !member.unsynced {
             actions.push(Action::Write { head: id });
         }
         let counts = stored_by_all(member);
-        if counts.is_some_and(|stored| !tenure.is_installed || stored > state.committed.len()) {
+        if counts.is_some_and(|stored| !leadership.is_installed || stored > state.committed.len()) {
             actions.push(Action::Commit { head: id });
         }
     }
@@ -526,14 +530,14 @@
 
     fn write(&self, state: &mut State, head: Id) {
         let member = &mut state.members[usize::from(head)];
-        let Some(tenure) = &mut member.tenure else {
+        let Some(leadership) = &mut member.leadership else {
             return;
         };
-        let number = tenure.view.number;
+        let number = leadership.view.number;
         member.rows.log.push(number);
         member.unsynced = true;
         if self.fault == Fault::CountsUnsynced {
-            tenure.stored.insert(head, member.rows.log.len());
+            leadership.stored.insert(head, member.rows.log.len());
         }
         if let Some(led) = state.led.get_mut(&number) {
             led.log.clone_from(&member.rows.log);
@@ -565,18 +569,18 @@
 
 fn number_of(state: &State, candidate: Id) -> Option<u8> {
     state.members[usize::from(candidate)]
-        .candidacy
+        .campaign
         .as_ref()
-        .map(|candidacy| candidacy.number)
+        .map(|campaign| campaign.number)
 }
 
 fn stored_by_all(member: &Member) -> Option<usize> {
-    let tenure = member.tenure.as_ref()?;
-    let stored: Option<Vec<usize>> = tenure
+    let leadership = member.leadership.as_ref()?;
+    let stored: Option<Vec<usize>> = leadership
         .view
         .chain
         .iter()
-        .map(|id| tenure.stored.get(&id).copied())
+        .map(|id| leadership.stored.get(&id).copied())
         .collect();
     stored?.into_iter().min()
 }
@@ -588,12 +592,12 @@
     let Some(led) = state.led.get(&number) else {
         return;
     };
-    let tenure = &mut state.members[usize::from(led.view.head)].tenure;
-    if let Some(tenure) = tenure
+    let leadership = &mut state.members[usize::from(led.view.head)].leadership;
+    if let Some(leadership) = leadership
         .as_mut()
-        .filter(|tenure| tenure.view.number == number && view == number)
+        .filter(|leadership| leadership.view.number == number && view == number)
     {
-        let stored = tenure.stored.entry(from).or_insert(len);
+        let stored = leadership.stored.entry(from).or_insert(len);
         *stored = (*stored).max(len);
     }
 }
@@ -601,18 +605,18 @@
 /// The view's own voters decide alone from now on, and its head says so.
 fn establish(state: &mut State, head: Id) {
     let member = &mut state.members[usize::from(head)];
-    let Some(tenure) = &mut member.tenure else {
+    let Some(leadership) = &mut member.leadership else {
         return;
     };
-    tenure.view.previous = tenure.view.voters;
+    leadership.view.previous = leadership.view.voters;
     if let Some(view) = member
         .view
         .as_mut()
-        .filter(|view| view.number == tenure.view.number)
+        .filter(|view| view.number == leadership.view.number)
     {
-        *view = tenure.view.clone();
+        *view = leadership.view.clone();
     }
-    if let Some(led) = state.led.get_mut(&tenure.view.number) {
+    if let Some(led) = state.led.get_mut(&leadership.view.number) {
         led.is_established = true;
     }
 }
@@ -628,18 +632,18 @@
                 .as_ref()
                 .is_some_and(|view| view.number == number)
     };
-    let is_acting = |tenure: &Tenure| {
-        let voters = tenure.view.voters;
+    let is_acting = |leadership: &Leadership| {
+        let voters = leadership.view.voters;
         let followers: Vec<Id> = voters
             .iter()
-            .filter(|&id| follows(id, tenure.view.number))
+            .filter(|&id| follows(id, leadership.view.number))
             .collect();
-        tenure.is_installed && voters.majority_in(Members::of(&followers))
+        leadership.is_installed && voters.majority_in(Members::of(&followers))
     };
     let acting = state
         .members
         .iter()
-        .filter(|m| m.tenure.as_ref().is_some_and(is_acting));
+        .filter(|m| m.leadership.as_ref().is_some_and(is_acting));
     let acting: Vec<&Member> = acting.collect();
     acting.len() <= 1
         && acting
@@ -648,8 +652,8 @@
 }
 
 fn withdraw(member: &mut Member) {
-    member.candidacy = None;
-    member.tenure = None;
+    member.campaign = None;
+    member.leadership = None;
 }
 
 impl Model for Protocol {
@@ -687,7 +691,7 @@
         let mut state = last.clone();
         match action {
             Action::Stand { candidate, number } => self.stand(&mut state, candidate, number),
-            Action::Promise { candidate, voter } => self.promise(&mut state, candidate, voter),
+            Action::PrepareOk { candidate, voter } => self.promise(&mut state, candidate, voter),
             Action::Propose {
                 candidate,
                 voters,
@@ -708,8 +712,8 @@
             Action::Sync { head } => {
                 let member = &mut state.members[usize::from(head)];
                 member.unsynced = false;
-                if let Some(tenure) = &mut member.tenure {
-                    tenure.stored.insert(head, member.rows.log.len());
+                if let Some(leadership) = &mut member.leadership {
+                    leadership.stored.insert(head, member.rows.log.len());
                 }
             }
             Action::Commit { head } => self.commit(&mut state, head),
--- a/crates/replication/tests/model/state.rs
+++ b/crates/replication/tests/model/state.rs
@@ -59,7 +59,7 @@
 
 impl Rows {
     /// As marks are compared in the program: the view first, then the number of writes.
-    pub fn mark(&self) -> (u8, usize) {
+    pub fn viewstamp(&self) -> (u8, usize) {
         (self.view, self.log.len())
     }
 }
@@ -101,7 +101,7 @@
 
 /// An attempt to lead the next view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Candidacy {
+pub struct Campaign {
     pub number: u8,
     pub known: View,
     pub promises: BTreeMap<Id, Rows>,
@@ -111,7 +111,7 @@
 
 /// A head's time at work.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Tenure {
+pub struct Leadership {
     pub view: View,
     pub stored: BTreeMap<Id, usize>,
     pub is_installed: bool,
@@ -125,8 +125,8 @@
     pub rows: Rows,
     /// The last write is not synced yet (at the head, which passes it on before).
     pub unsynced: bool,
-    pub candidacy: Option<Candidacy>,
-    pub tenure: Option<Tenure>,
+    pub campaign: Option<Campaign>,
+    pub leadership: Option<Leadership>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -3,8 +3,8 @@
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::timing::{LEASE_MS, LEASE_USED_PERCENT};
 use indigofold_replication::{
-    Batch, Durable, Envelope, Input, Mark, Member, Message, Output, Replica, RowChange, Settings,
-    View, ViewStart,
+    Batch, Durable, Envelope, Input, Member, Message, Output, Replica, RowChange, Settings, View,
+    ViewStart, Viewstamp,
 };
 use rstest::rstest;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -46,7 +46,7 @@
         voters: members(voters),
         previous_voters: members(previous),
         chain: members(&[0, 1]),
-        base: Mark {
+        base: Viewstamp {
             view: number - 1,
             seq: SEQ,
         },
@@ -66,7 +66,7 @@
 impl Bench {
     /// Member `own`, with this view and the state of view [`VIEW`] on its disk.
     fn restarted(own: u8, view: View) -> Bench {
-        let mark = Mark {
+        let viewstamp = Viewstamp {
             view: VIEW,
             seq: SEQ,
         };
@@ -74,7 +74,7 @@
             member: member(own),
             promised: view.number,
             agreed: true,
-            mark,
+            viewstamp,
             history: vec![ViewStart { view: VIEW, seq: 0 }],
             view: Some(view),
             trimmed: 0,
@@ -146,7 +146,7 @@
                 .iter()
                 .rev()
                 .find_map(|(_, message)| match message {
-                    Message::Canvass { round, .. } => Some(*round),
+                    Message::PreVote { round, .. } => Some(*round),
                     _ => None,
                 });
             if let Some(round) = asked {
@@ -157,7 +157,7 @@
     }
 
     fn support(&mut self, from: u8, round: u64, view: &View) {
-        let reply = Message::CanvassReply {
+        let reply = Message::PreVoteReply {
             round,
             support: true,
             promised: view.number,
@@ -173,11 +173,11 @@
 }
 
 fn is_promise(message: &Message) -> bool {
-    matches!(message, Message::Promise { .. })
+    matches!(message, Message::PrepareOk { .. })
 }
 
 fn is_refusal(message: &Message) -> bool {
-    matches!(message, Message::Refuse { .. })
+    matches!(message, Message::PrepareReject { .. })
 }
 
 fn is_grant(message: &Message) -> bool {
@@ -255,7 +255,7 @@
     bench.message(0, write(SEQ + 1));
     bench.store_all();
     assert_eq!(
-        bench.replica.stored_mark().seq,
+        bench.replica.stored_viewstamp().seq,
         SEQ + 1,
         "before the promise it takes them"
     );
@@ -269,7 +269,7 @@
     bench.store_all();
     bench.message(0, write(SEQ + 2));
     bench.store_all();
-    assert_eq!(bench.replica.stored_mark().seq, SEQ + 1);
+    assert_eq!(bench.replica.stored_viewstamp().seq, SEQ + 1);
 }
 
 #[test]
@@ -280,9 +280,9 @@
     bench.now_ms += LEASE_MS - 1;
     bench.message(
         2,
-        Message::Canvass {
+        Message::PreVote {
             round: 1,
-            mark: Mark {
+            viewstamp: Viewstamp {
                 view: VIEW,
                 seq: SEQ + 9,
             },
@@ -290,7 +290,7 @@
         },
     );
     let support =
-        |message: &Message| matches!(message, Message::CanvassReply { support: true, .. });
+        |message: &Message| matches!(message, Message::PreVoteReply { support: true, .. });
     assert!(!bench.told(2, support));
     bench.message(
         2,
@@ -405,17 +405,17 @@
     bench.support(1, round, &same_voters());
     bench.store_all();
     let number = VIEW + 1;
-    let mark = Mark {
+    let viewstamp = Viewstamp {
         view: VIEW,
         seq: SEQ,
     };
     bench.message(
         1,
-        Message::Promise {
+        Message::PrepareOk {
             number,
             view: Some(same_voters()),
             agreed: true,
-            mark,
+            viewstamp,
             leaving: false,
         },
     );
@@ -427,19 +427,19 @@
     bench
 }
 
-fn grant(number: u64, sent_ms: u64, mark: Mark) -> Message {
+fn grant(number: u64, sent_ms: u64, viewstamp: Viewstamp) -> Message {
     Message::Grant {
         number,
         sent_ms,
-        mark,
+        viewstamp,
         store_age_ms: 0,
         leaving: false,
         address: address(1),
     }
 }
 
-fn installed() -> Mark {
-    Mark {
+fn installed() -> Viewstamp {
+    Viewstamp {
         view: VIEW + 1,
         seq: SEQ,
     }
@@ -459,15 +459,15 @@
 #[case::of_a_view_before_its_time(VIEW, 0, installed())]
 #[case::of_a_view_never_given_out(VIEW + 2, 0, installed())]
 #[case::for_a_heartbeat_not_sent_yet(VIEW + 1, 100_000, installed())]
-#[case::without_the_first_state(VIEW + 1, 0, Mark { view: VIEW, seq: SEQ })]
+#[case::without_the_first_state(VIEW + 1, 0, Viewstamp { view: VIEW, seq: SEQ })]
 fn a_grant_that_the_head_cannot_have_asked_for_gives_no_lease(
     #[case] number: u64,
     #[case] later_ms: u64,
-    #[case] mark: Mark,
+    #[case] viewstamp: Viewstamp,
 ) {
     let mut bench = head();
     let sent_ms = bench.now_ms + later_ms;
-    bench.message(1, grant(number, sent_ms, mark));
+    bench.message(1, grant(number, sent_ms, viewstamp));
     assert!(!bench.replica.may_act(bench.now_ms));
 }
 
@@ -479,18 +479,21 @@
         key: b"row".to_vec(),
         value: Some(b"value".to_vec()),
     }];
-    bench.input(Input::Submit { ticket: 7, changes });
+    bench.input(Input::Submit {
+        write_id: 7,
+        changes,
+    });
     bench.store_all();
     let is_committed = |bench: &Bench| {
         bench
             .others
             .iter()
-            .any(|output| matches!(output, Output::Committed { ticket: 7 }))
+            .any(|output| matches!(output, Output::Committed { write_id: 7 }))
     };
     bench.message(
         1,
         Message::Stored {
-            mark: Mark {
+            viewstamp: Viewstamp {
                 view: VIEW + 1,
                 seq: SEQ + 2,
             },
@@ -499,7 +502,7 @@
     bench.message(
         1,
         Message::Stored {
-            mark: Mark {
+            viewstamp: Viewstamp {
                 view: VIEW + 9,
                 seq: SEQ + 1,
             },
@@ -508,7 +511,7 @@
     bench.message(
         3,
         Message::Stored {
-            mark: Mark {
+            viewstamp: Viewstamp {
                 view: VIEW + 1,
                 seq: SEQ + 1,
             },
@@ -518,7 +521,7 @@
     bench.message(
         1,
         Message::Stored {
-            mark: Mark {
+            viewstamp: Viewstamp {
                 view: VIEW + 1,
                 seq: SEQ + 1,
             },
--- a/crates/replication/tests/simulation/disk.rs
+++ b/crates/replication/tests/simulation/disk.rs
@@ -60,7 +60,7 @@
         RowsChunk {
             rows: all,
             more,
-            mark: durable.map(|d| d.mark).unwrap_or_default(),
+            viewstamp: durable.map(|d| d.viewstamp).unwrap_or_default(),
             history: durable.map(|d| d.history.clone()).unwrap_or_default(),
         }
     }
--- a/crates/replication/tests/simulation/world.rs
+++ b/crates/replication/tests/simulation/world.rs
@@ -44,7 +44,7 @@
     submitted: BTreeMap<u64, (Vec<u8>, Vec<u8>)>,
     pub aborted: u64,
     pub refused: u64,
-    next_ticket: u64,
+    next_write_id: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
     bodies: BTreeMap<u64, Event>,
     next_event: u64,
@@ -79,7 +79,7 @@
             submitted: BTreeMap::new(),
             aborted: 0,
             refused: 0,
-            next_ticket: 1,
+            next_write_id: 1,
             events: BinaryHeap::new(),
             bodies: BTreeMap::new(),
             next_event: 0,
@@ -239,16 +239,17 @@
 
     fn submit_anywhere(&mut self) {
         let Some(node) = self.acting() else { return };
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
-        let key = format!("row-{ticket}").into_bytes();
-        let value = format!("value-{ticket}").into_bytes();
-        self.submitted.insert(ticket, (key.clone(), value.clone()));
-        let shared = format!("shared-{}", ticket % 5).into_bytes();
-        let gone = format!("gone-{}", ticket % 3).into_bytes();
-        let deleted = ticket
+        let write_id = self.next_write_id;
+        self.next_write_id += 1;
+        let key = format!("row-{write_id}").into_bytes();
+        let value = format!("value-{write_id}").into_bytes();
+        self.submitted
+            .insert(write_id, (key.clone(), value.clone()));
+        let shared = format!("shared-{}", write_id % 5).into_bytes();
+        let gone = format!("gone-{}", write_id % 3).into_bytes();
+        let deleted = write_id
             .is_multiple_of(2)
-            .then(|| ticket.to_string().into_bytes());
+            .then(|| write_id.to_string().into_bytes());
         let changes = vec![
             RowChange {
                 key,
@@ -256,14 +257,14 @@
             },
             RowChange {
                 key: shared,
-                value: Some(ticket.to_string().into_bytes()),
+                value: Some(write_id.to_string().into_bytes()),
             },
             RowChange {
                 key: gone,
                 value: deleted,
             },
         ];
-        self.input(node, Input::Submit { ticket, changes });
+        self.input(node, Input::Submit { write_id, changes });
     }
 
     fn schedule(&mut self, at_ms: u64, event: Event) {
@@ -382,13 +383,13 @@
                     .tasks
                     .push_back(DiskTask::Read { read, since });
             }
-            Output::Committed { ticket } => {
+            Output::Committed { write_id } => {
                 let view = self.nodes[index].replica.as_ref().map_or(0, |r| r.view());
                 self.note(&format!(
-                    "write {ticket} committed by {index} in view {view}"
+                    "write {write_id} committed by {index} in view {view}"
                 ));
-                if let Some(write) = self.submitted.remove(&ticket) {
-                    self.committed.insert(ticket, write);
+                if let Some(write) = self.submitted.remove(&write_id) {
+                    self.committed.insert(write_id, write);
                 }
                 self.last_commit_ms = self.now_ms;
             }
@@ -446,11 +447,11 @@
     /// All that was committed is on the disk of `node`.
     pub fn check_kept(&self, node: usize) {
         let disk = &self.nodes[node].disk;
-        for (ticket, (key, value)) in &self.committed {
+        for (write_id, (key, value)) in &self.committed {
             assert_eq!(
                 disk.value(key),
                 Some(value.as_slice()),
-                "at {} ms the write {ticket} is lost at {node}",
+                "at {} ms the write {write_id} is lost at {node}",
                 self.now_ms
             );
         }
@@ -519,9 +520,9 @@
             .disk
             .durable
             .as_ref()
-            .map_or(0, |durable| durable.mark.view);
-        if request.durable.mark.view != known {
-            self.note(&format!("{index} enters {:?}", request.durable.mark));
+            .map_or(0, |durable| durable.viewstamp.view);
+        if request.durable.viewstamp.view != known {
+            self.note(&format!("{index} enters {:?}", request.durable.viewstamp));
         }
     }
 
@@ -531,7 +532,7 @@
             let now_ms = node.local_ms(self.now_ms);
             let frozen = node.is_frozen(self.now_ms);
             let replica = node.replica.as_ref();
-            let state = replica.map(|r| (r.accepted_view(), r.stored_mark(), r.head(now_ms)));
+            let state = replica.map(|r| (r.accepted_view(), r.stored_viewstamp(), r.head(now_ms)));
             format!(
                 "{}: frozen {frozen}, store in {} ms, {state:?}\n",
                 node.index, node.disk_ms
--- a/crates/replication/tests/storage.rs
+++ b/crates/replication/tests/storage.rs
@@ -2,7 +2,9 @@
 
 mod stored;
 
-use indigofold_replication::{Batch, Mark, Row, RowChange, Storage, StoreOperation, StoreRequest};
+use indigofold_replication::{
+    Batch, Row, RowChange, Storage, StoreOperation, StoreRequest, Viewstamp,
+};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::fs;
@@ -55,7 +57,7 @@
     let dir = TempDir::new().expect("a folder");
     let opened = Storage::open(dir.path()).expect("opened");
     assert_eq!(opened.durable, None);
-    assert!(opened.set_aside.is_none());
+    assert!(opened.quarantined.is_none());
     assert!(table(&opened.storage).is_empty());
 }
 
@@ -92,7 +94,7 @@
     let mut seqs = Vec::new();
     loop {
         let chunk = storage.rows_since(after, 10).expect("read");
-        assert_eq!(chunk.mark, Mark { view: 3, seq: 5 });
+        assert_eq!(chunk.viewstamp, Viewstamp { view: 3, seq: 5 });
         assert_eq!(chunk.rows.len() % 3, 0, "a write is not cut");
         seqs.extend(chunk.rows.iter().map(|row| row.seq));
         after = chunk.rows.last().map_or(after, |row| row.seq);
@@ -167,8 +169,8 @@
     let copy = after_power_loss(dir.path(), lost);
     drop(storage);
     let opened = Storage::open(copy.path()).expect("a torn log can be opened");
-    assert!(opened.set_aside.is_none());
-    let seq = opened.durable.map_or(0, |durable| durable.mark.seq);
+    assert!(opened.quarantined.is_none());
+    let seq = opened.durable.map_or(0, |durable| durable.viewstamp.seq);
     assert_eq!(
         table(&opened.storage).len() as u64,
         seq,
@@ -192,7 +194,7 @@
     bytes[offset..offset + damage.len()].copy_from_slice(damage);
     fs::write(&path, bytes).expect("written");
     let opened = Storage::open(dir.path()).expect("a member with a damaged database starts empty");
-    let aside = opened.set_aside.expect("set aside");
+    let aside = opened.quarantined.expect("set aside");
     assert!(aside.path.exists());
     assert!(aside.reason.contains("control.sqlite"), "{}", aside.reason);
     assert_eq!(opened.durable, None);
@@ -209,7 +211,7 @@
         .expect("changed");
     drop(connection);
     let opened = Storage::open(dir.path()).expect("opened");
-    let reason = opened.set_aside.expect("set aside").reason;
+    let reason = opened.quarantined.expect("set aside").reason;
     assert!(reason.contains("form 99"), "{reason}");
     assert_eq!(opened.durable, None);
 }
@@ -224,7 +226,7 @@
         .expect("changed");
     drop(connection);
     let opened = Storage::open(dir.path()).expect("opened");
-    assert!(opened.set_aside.is_some());
+    assert!(opened.quarantined.is_some());
 }
 
 #[test]
@@ -269,7 +271,7 @@
     write_without_checksums(dir.path());
     for _ in 0..2 {
         let opened = Storage::open(dir.path()).expect("opened");
-        assert!(opened.set_aside.is_none(), "{:?}", opened.set_aside);
+        assert!(opened.quarantined.is_none(), "{:?}", opened.quarantined);
         assert_eq!(opened.durable, Some(record(20)));
         let table = table(&opened.storage);
         assert_eq!((table.len(), table.get("row-5")), (19, None));
--- a/crates/replication/tests/stored/mod.rs
+++ b/crates/replication/tests/stored/mod.rs
@@ -1,6 +1,6 @@
 //! What the tests of the storage keep in their databases.
 
-use indigofold_replication::{Durable, Mark, Member, View, ViewStart};
+use indigofold_replication::{Durable, Member, View, ViewStart, Viewstamp};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The database's file.
@@ -14,7 +14,7 @@
         promised: 3,
         view: Some(View::first(&[internal])),
         agreed: true,
-        mark: Mark { view: 3, seq },
+        viewstamp: Viewstamp { view: 3, seq },
         history: vec![ViewStart { view: 3, seq: 0 }],
         trimmed: 0,
         addresses: Vec::new(),
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -2,7 +2,7 @@
 
 use crate::delays::LateEnd;
 use indigofold_protocol::config::Config;
-use indigofold_protocol::internal::{ClientCall, ClientReply, CompanionOrders, CompanionReport};
+use indigofold_protocol::internal::{AgentOrders, AgentReport, ClientCall, ClientReply};
 use std::sync::Arc;
 
 /// Whom a client's call came from and where its reply goes: chosen by the caller, unique among open connections.
@@ -11,7 +11,7 @@
 
 /// A connection of a companion: chosen by the caller, never used again for another connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct CompanionId(pub u64);
+pub struct AgentId(pub u64);
 
 /// Number of a write, counted from 1 by the scheduler. Writes are to be committed in the order of their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Longest hold that a worker grants, in milliseconds.
-    pub max_hold_ms: u64,
+    pub max_lease_ms: u64,
     /// Longest time that a stop takes, in milliseconds.
     pub stop_ms: u64,
     /// How long a gang's member waits for the others, in milliseconds.
@@ -31,24 +31,24 @@
     /// How long a job's state is shown after its end, in seconds.
     pub status_s: u64,
     /// Factor on run times away from the data, or of a gang that needs one rack and has several.
-    pub far_x: f64,
+    pub remote_slowdown: f64,
     /// Work between two saves of a task that keeps its progress, in seconds.
-    pub save_s: u64,
+    pub checkpoint_interval_s: u64,
     /// What resuming from saved progress costs, in milliseconds.
-    pub restore_ms: u64,
+    pub resume_cost_ms: u64,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Bounds {
-            max_hold_ms: 6_000,
+            max_lease_ms: 6_000,
             stop_ms: 900,
             gang_ms: 3_000,
             cancel_ms: 3_000,
             status_s: 120,
-            far_x: 1.5,
-            save_s: 2,
-            restore_ms: 600,
+            remote_slowdown: 1.5,
+            checkpoint_interval_s: 2,
+            resume_cost_ms: 600,
         }
     }
 }
@@ -66,24 +66,24 @@
         call: ClientCall,
     },
     /// The caller's connection is gone: its open calls need no reply.
-    CallerGone(CallerId),
+    CallerDisconnected(CallerId),
     /// All writes up to this one are committed.
     Committed(WriteId),
     /// A companion has connected.
-    CompanionConnected {
+    AgentConnected {
         /// Its connection.
-        companion: CompanionId,
+        agent: AgentId,
         /// Name of its machine.
         node_name: String,
     },
     /// A companion's connection is gone.
-    CompanionDisconnected(CompanionId),
+    AgentDisconnected(AgentId),
     /// A companion reports.
     Report {
         /// Its connection.
-        companion: CompanionId,
+        agent: AgentId,
         /// What it tells.
-        report: CompanionReport,
+        report: AgentReport,
     },
     /// The time given by [`Scheduler::next_timer_ms`](crate::Scheduler::next_timer_ms) has come.
     Timer,
@@ -120,8 +120,8 @@
     /// Orders for a companion.
     Orders {
         /// Its connection.
-        companion: CompanionId,
+        agent: AgentId,
         /// The orders.
-        orders: CompanionOrders,
+        orders: AgentOrders,
     },
 }
--- a/crates/scheduler/src/checks.rs
+++ b/crates/scheduler/src/checks.rs
@@ -35,7 +35,7 @@
         let in_touch = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.companion.is_some() && worker.in_full);
+            .filter(|(_, worker)| worker.agent.is_some() && worker.in_full);
         let lists: Vec<(WorkerId, Vec<TaskName>)> = in_touch
             .map(|(id, worker)| (id, worker.runs.iter().copied().collect()))
             .collect();
@@ -168,19 +168,19 @@
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
-        let listed =
-            self.now_ms.saturating_sub(run.listed_ms) < STALL_MIN_MS && worker.silent_ms < 1_000;
+        let listed = self.now_ms.saturating_sub(run.listed_ms) < STALL_MIN_MS
+            && worker.since_heartbeat_ms < 1_000;
         if step.long_running || !listed {
             return false;
         }
         let limit_ms = STALL_MIN_MS.max((self.expected_run_ms(id, task) * STALL_SHARE) as u64);
-        let restore_ms = if run.resumed {
-            self.bounds.restore_ms
+        let resume_cost_ms = if run.resumed {
+            self.bounds.resume_cost_ms
         } else {
             0
         };
         let gang_ms = if step.gang { self.bounds.gang_ms } else { 0 };
-        self.now_ms.saturating_sub(run.percent_ms) > limit_ms + restore_ms + gang_ms
+        self.now_ms.saturating_sub(run.percent_ms) > limit_ms + resume_cost_ms + gang_ms
     }
 }
 
--- a/crates/scheduler/src/draw.rs
+++ b/crates/scheduler/src/draw.rs
@@ -137,7 +137,7 @@
 
     fn solve(&mut self, workers: &Workers) {
         let ready = |kind: &Kind| {
-            let takes = |id: &&WorkerId| workers.get(**id).is_some_and(|w| w.companion.is_some());
+            let takes = |id: &&WorkerId| workers.get(**id).is_some_and(|w| w.agent.is_some());
             kind.workers.iter().filter(takes).count() as f64
         };
         let shares: Vec<f64> = self.kinds.iter().map(ready).collect();
--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -30,7 +30,7 @@
         };
         need.spares_idle = self.spares_idle(service, &need.resources);
         need.reach = reach;
-        let rack_wait_ms = (need.estimate_ms as f64 * (self.bounds.far_x - 1.0)) as u64;
+        let rack_wait_ms = (need.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
         let waited =
             reach == Reach::Away && need.waited_ms >= rack_wait_ms.min(ONE_RACK_WAIT_MAX_MS);
         let may_spread = !rack_local || waited;
@@ -86,12 +86,12 @@
         members: usize,
         rack: Option<&str>,
     ) -> Option<Vec<Choice>> {
-        let (now_ms, far_x) = (self.now_ms, self.bounds.far_x);
+        let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
         let state = self.services.get(service)?;
         let eligible = |id: WorkerId, worker: &Worker| {
             worker.takes_starts(now_ms)
                 && rack.is_none_or(|rack| worker.rack() == Some(rack))
-                && need.considers(scope, worker, far_x, false, now_ms)
+                && need.considers(scope, worker, remote_slowdown, false, now_ms)
                 && state
                     .reserved
                     .get(&id)
@@ -133,7 +133,7 @@
         let far = if near && !(rack_local && racks.len() > 1) {
             1.0
         } else {
-            self.bounds.far_x
+            self.bounds.remote_slowdown
         };
         let Some(state) = self
             .jobs
@@ -149,11 +149,11 @@
             .max()
             .unwrap_or(0)
             + 1;
-        let saved = state.gang_saved.clone();
+        let checkpoint = state.gang_saved.clone();
         state
             .tasks
             .iter_mut()
-            .for_each(|task| task.saved.clone_from(&saved));
+            .for_each(|task| task.checkpoint.clone_from(&checkpoint));
         for (index, choice) in plan.into_iter().enumerate() {
             let task = at.task(index as u32);
             if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,6 +1,6 @@
 //! Jobs and how far they have come: repetitions, steps, tasks, runs.
 
-use crate::api::{CompanionId, WriteId};
+use crate::api::{AgentId, WriteId};
 use crate::delays::Delays;
 use crate::order::cost_class;
 use crate::queue::{Prospect, QueueKey, StepRef};
@@ -133,7 +133,7 @@
     /// It is done.
     pub done: bool,
     /// Progress to resume from; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Its run that is not over.
     pub run: Option<Run>,
     /// A second run at the same time, on another worker; only while `run` is there, and only of `speculative` steps.
@@ -181,7 +181,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopOrder {
     /// Connection on which it was sent.
-    pub sent_to: Option<CompanionId>,
+    pub sent_to: Option<AgentId>,
     /// When it was sent last.
     pub sent_ms: u64,
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -42,7 +42,7 @@
 mod takeover;
 mod workers;
 
-pub use api::{Bounds, CallerId, CompanionId, Effect, Event, RowChange, WriteId};
+pub use api::{AgentId, Bounds, CallerId, Effect, Event, RowChange, WriteId};
 pub use delays::{Cause, Delays, LateEnd};
 pub use draw::{PlacementTrace, Reason};
 pub use rows::RowError;
--- a/crates/scheduler/src/need.rs
+++ b/crates/scheduler/src/need.rs
@@ -97,7 +97,7 @@
         &self,
         scope: Scope,
         worker: &Worker,
-        far_x: f64,
+        remote_slowdown: f64,
         failed_there: bool,
         now_ms: u64,
     ) -> bool {
@@ -118,7 +118,7 @@
                     && !(self.spares_idle && worker.runs.is_empty())
             }
             Scope::Allowed => {
-                let rack_ms = (self.estimate_ms as f64 * (far_x - 1.0)) as u64;
+                let rack_ms = (self.estimate_ms as f64 * (remote_slowdown - 1.0)) as u64;
                 let waited =
                     self.reach == Reach::Away && self.waited_ms >= rack_ms.min(RACK_WAIT_MAX_MS);
                 let placed_well = waited || self.near(worker);
--- a/crates/scheduler/src/placing.rs
+++ b/crates/scheduler/src/placing.rs
@@ -255,14 +255,20 @@
         let choice = [Scope::Preferred, Scope::Allowed]
             .into_iter()
             .find_map(|scope| {
-                let (now_ms, far_x) = (self.now_ms, self.bounds.far_x);
+                let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
                 let state = self.services.get(service)?;
                 state
                     .kinds
                     .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
                         worker.takes_starts(now_ms)
                             && need.permits(id, worker, 0)
-                            && need.considers(scope, worker, far_x, failed_on == Some(id), now_ms)
+                            && need.considers(
+                                scope,
+                                worker,
+                                remote_slowdown,
+                                failed_on == Some(id),
+                                now_ms,
+                            )
                             && state
                                 .reserved
                                 .get(&id)
@@ -277,7 +283,11 @@
             .workers
             .get(choice.worker)
             .is_some_and(|worker| need.near(worker));
-        let far = if near { 1.0 } else { self.bounds.far_x };
+        let far = if near {
+            1.0
+        } else {
+            self.bounds.remote_slowdown
+        };
         if need.anti_affinity > 0 {
             *need.on_worker.entry(choice.worker).or_default() += 1;
         }
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -221,7 +221,7 @@
         let ran_s = self.now_ms.saturating_sub(run.placed_ms) as f64 / 1_000.0;
         let lost_s = match (step.long_running, step.checkpoints) {
             (true, _) => RESTART_S,
-            (false, true) => ran_s.min(self.bounds.restore_ms as f64 / 1_000.0),
+            (false, true) => ran_s.min(self.bounds.resume_cost_ms as f64 / 1_000.0),
             (false, false) => ran_s,
         };
         let resources = step.resources();
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -1,11 +1,11 @@
 //! What companions report: lives, what runs there, ends, starts given back.
 
-use crate::api::CompanionId;
+use crate::api::AgentId;
 use crate::outbox::Deferred;
 use crate::runs::Over;
 use crate::scheduler::Scheduler;
 use crate::workers::WorkerId;
-use indigofold_protocol::internal::{CompanionReport, FinishedRun, InstanceReport, RunningRun};
+use indigofold_protocol::internal::{AgentReport, FinishedRun, InstanceReport, RunningRun};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::RunEnd;
 use rustc_hash::FxHashSet;
@@ -17,34 +17,34 @@
 
 impl Scheduler {
     /// A companion reports; it is answered with the orders for its worker.
-    pub(crate) fn report(&mut self, companion: CompanionId, report: CompanionReport) {
-        let Some(connection) = self.workers.connection(companion) else {
+    pub(crate) fn report(&mut self, agent: AgentId, report: AgentReport) {
+        let Some(connection) = self.workers.connection(agent) else {
             return;
         };
         let node_name = connection.node_name.clone();
         let present = report.instance.as_ref().map(|instance| instance.id.clone());
-        for gone in report
-            .gone
+        for ended in report
+            .ended_instances
             .iter()
-            .filter(|gone| Some(*gone) != present.as_ref())
+            .filter(|ended| Some(*ended) != present.as_ref())
         {
-            if let Some(id) = self.workers.find(gone) {
+            if let Some(id) = self.workers.find(ended) {
                 self.life_gone(id);
             }
         }
         let Some(instance) = report.instance else {
             return self.report_without_life(
-                companion,
+                agent,
                 &node_name,
                 &report.not_started,
                 report.sent_ms,
             );
         };
-        let id = self.meet(companion, &node_name, &instance);
+        let id = self.meet(agent, &node_name, &instance);
         self.give_back(&node_name, &report.not_started);
         self.take_running(id, &instance);
         self.take_ends(id, &instance.finished);
-        self.catch_up(companion, id, &instance);
+        self.catch_up(agent, id, &instance);
         self.stop_strangers(id, report.sent_ms, instance.running.is_some());
         self.outbox.orders_for(id).echo_sent_ms = Some(report.sent_ms);
     }
@@ -52,13 +52,13 @@
     /// The companion has no worker at present; a life known there is asked for.
     fn report_without_life(
         &mut self,
-        companion: CompanionId,
+        agent: AgentId,
         node_name: &str,
         not_started: &[RunId],
         sent_ms: u64,
     ) {
         self.give_back(node_name, not_started);
-        self.workers.detach(companion);
+        self.workers.detach(agent);
         let lives = self.workers.at(node_name);
         let now_ms = self.now_ms;
         let mut asked = String::new();
@@ -68,19 +68,14 @@
                 asked.clone_from(&worker.instance);
             }
         }
-        self.bare_answers.push((companion, asked, sent_ms));
+        self.bare_answers.push((agent, asked, sent_ms));
     }
 
     /// Enters the life that the companion reports; any other one known at its machine is gone.
-    fn meet(
-        &mut self,
-        companion: CompanionId,
-        node_name: &str,
-        report: &InstanceReport,
-    ) -> WorkerId {
+    fn meet(&mut self, agent: AgentId, node_name: &str, report: &InstanceReport) -> WorkerId {
         let now_ms = self.now_ms;
         let id = self.workers.life(&report.id, now_ms);
-        self.workers.attach(companion, id);
+        self.workers.attach(agent, id);
         self.keep_life(id, node_name);
         self.workers
             .others_at(node_name, id)
@@ -161,7 +156,7 @@
         if run.percent != listed.percent {
             (run.percent, run.percent_ms) = (listed.percent, now_ms);
         }
-        if self.keep_saved(&listed.run.task, &listed.saved) {
+        if self.keep_saved(&listed.run.task, &listed.checkpoint) {
             self.saved_changed(id, &listed.run.task);
         }
         true
@@ -201,11 +196,11 @@
         {
             worker.pause_until_ms = now_ms + GIVEN_BACK_PAUSE_MS;
         }
-        self.run_over(end.run, Over::Ended(end.end), &end.saved);
+        self.run_over(end.run, Over::Ended(end.end), &end.checkpoint);
     }
 
     /// After the first full report on a connection: orders that may have been lost are sent again.
-    fn catch_up(&mut self, companion: CompanionId, id: WorkerId, instance: &InstanceReport) {
+    fn catch_up(&mut self, agent: AgentId, id: WorkerId, instance: &InstanceReport) {
         let Some(running) = &instance.running else {
             return;
         };
@@ -236,7 +231,7 @@
             };
             let stop = run.stop;
             match stop {
-                Some(stop) if stop.sent_to != Some(companion) => self.send_stop(order),
+                Some(stop) if stop.sent_to != Some(agent) => self.send_stop(order),
                 Some(stop) if now_ms >= stop.sent_ms + STOP_AGAIN_MS => self.send_stop(order),
                 None if first && ended => self.send_stop_if_committed(order),
                 None if first && copy => self.stop_one(order),
--- a/crates/scheduler/src/reservation.rs
+++ b/crates/scheduler/src/reservation.rs
@@ -144,7 +144,7 @@
             .into_iter()
             .filter_map(|rack| self.outlook_in(service, need, members, Some(rack)));
         let best = of_racks.min_by_key(|outlook| outlook.free_ms);
-        let loss_ms = (need.estimate_ms as f64 * (self.bounds.far_x - 1.0)) as u64;
+        let loss_ms = (need.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
         Some(
             best.filter(|rack| rack.free_ms <= anywhere.free_ms + loss_ms)
                 .unwrap_or(anywhere),
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -103,7 +103,7 @@
     last_attempt: u32,
     failures: u32,
     done: bool,
-    saved: String,
+    checkpoint: String,
     /// Outstanding run: instance (index into `instances`), attempt.
     run: Option<(u32, u32)>,
 }
@@ -191,21 +191,21 @@
             instances.len() - 1
         }) as u32
     };
-    let saved = |task: &Task| {
+    let checkpoint = |task: &Task| {
         if gang {
             step.gang_saved.clone()
         } else {
-            task.saved.clone()
+            task.checkpoint.clone()
         }
     };
     let row = |task: &Task| TaskRow {
         last_attempt: task.last_attempt,
         failures: task.failures,
         done: task.done,
-        saved: if task.done {
+        checkpoint: if task.done {
             String::new()
         } else {
-            saved(task)
+            checkpoint(task)
         },
         run: task
             .run
@@ -318,7 +318,7 @@
                     done: row.done,
                     run: run.map(|(worker, attempt)| Run::restored(worker, attempt, now_ms)),
                     copy: None,
-                    saved: row.saved,
+                    checkpoint: row.checkpoint,
                     ..Task::default()
                 };
             }
@@ -328,7 +328,7 @@
     state.gang_saved = state
         .tasks
         .iter()
-        .map(|task| &task.saved)
+        .map(|task| &task.checkpoint)
         .max()
         .cloned()
         .unwrap_or_default();
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -93,7 +93,7 @@
             return;
         };
         entry.last_attempt = attempt;
-        let resumed = !entry.saved.is_empty();
+        let resumed = !entry.checkpoint.is_empty();
         let place = if entry.run.is_none() {
             &mut entry.run
         } else {
@@ -145,7 +145,7 @@
         let reachable = self
             .workers
             .get(worker)
-            .is_some_and(|worker| worker.companion.is_some() && worker.in_full);
+            .is_some_and(|worker| worker.agent.is_some() && worker.in_full);
         if !reachable || stopped || ended {
             return self.run_over(run, Over::NotStarted, "");
         }
@@ -169,12 +169,12 @@
         if task.done || job.end.is_some() {
             return;
         }
-        let (resources, saved) = (step.resources(), task.saved.clone());
+        let (resources, checkpoint) = (step.resources(), task.checkpoint.clone());
         let order = StartOrder {
             run,
             resources,
             spec: job.definition.spec.spec.clone(),
-            saved,
+            checkpoint,
         };
         self.outbox.orders_for(worker).start.push(order);
     }
@@ -242,23 +242,23 @@
             return;
         };
         let worker = run.worker;
-        let companion = self
+        let agent = self
             .workers
             .get(worker)
-            .and_then(|w| w.companion.filter(|_| w.in_full));
+            .and_then(|w| w.agent.filter(|_| w.in_full));
         if let Some(run) = self.run_mut(&order) {
             run.stop = Some(StopOrder {
-                sent_to: companion,
+                sent_to: agent,
                 sent_ms: now_ms,
             });
         }
-        if companion.is_some() {
+        if agent.is_some() {
             self.outbox.orders_for(worker).stop.push(order);
         }
     }
 
     /// A run is over.
-    pub(crate) fn run_over(&mut self, run: RunId, over: Over, saved: &str) {
+    pub(crate) fn run_over(&mut self, run: RunId, over: Over, checkpoint: &str) {
         let task = run.task;
         let at = StepRef::of(&task);
         let Some(traits) = self.traits(at) else {
@@ -275,7 +275,7 @@
             return;
         };
         let (done, runs_on) = (entry.done, entry.run.is_some());
-        self.keep_saved(&task, saved);
+        self.keep_saved(&task, checkpoint);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.outstanding = job.outstanding.saturating_sub(1);
         }
@@ -353,8 +353,12 @@
 
     /// Progress that a run has saved; any member's serves for its gang, and the newest is kept. Returns whether it is
     /// news.
-    pub(crate) fn keep_saved(&mut self, task: &TaskName, saved: &str) -> bool {
-        let Some(job) = self.jobs.get_mut(&task.job).filter(|_| !saved.is_empty()) else {
+    pub(crate) fn keep_saved(&mut self, task: &TaskName, checkpoint: &str) -> bool {
+        let Some(job) = self
+            .jobs
+            .get_mut(&task.job)
+            .filter(|_| !checkpoint.is_empty())
+        else {
             return false;
         };
         let gang = job.step(task.step).is_some_and(|step| step.gang);
@@ -364,13 +368,13 @@
         let Some(entry) = state
             .tasks
             .get_mut(task.index as usize)
-            .filter(|entry| entry.saved != saved)
+            .filter(|entry| entry.checkpoint != checkpoint)
         else {
             return false;
         };
-        saved.clone_into(&mut entry.saved);
+        checkpoint.clone_into(&mut entry.checkpoint);
         if gang {
-            saved.clone_into(&mut state.gang_saved);
+            checkpoint.clone_into(&mut state.gang_saved);
         }
         true
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,6 +1,6 @@
 //! The scheduler's state, and how an event passes through it.
 
-use crate::api::{Bounds, CompanionId, Effect, Event, RowChange, WriteId};
+use crate::api::{AgentId, Bounds, Effect, Event, RowChange, WriteId};
 use crate::clock::WallClock;
 use crate::delays::LateEnd;
 use crate::draw::{Kinds, PlacementTrace};
@@ -13,7 +13,7 @@
 use crate::rows::{self, RowKey};
 use crate::workers::{WorkerId, Workers};
 use indigofold_protocol::config::Config;
-use indigofold_protocol::internal::CompanionOrders;
+use indigofold_protocol::internal::AgentOrders;
 use indigofold_protocol::task::JobId;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,7 +51,7 @@
     /// Jobs that have not ended.
     pub(crate) open_jobs: u64,
     /// Answers to companions without a worker: connection, life asked for, report.
-    pub(crate) bare_answers: Vec<(CompanionId, String, u64)>,
+    pub(crate) bare_answers: Vec<(AgentId, String, u64)>,
     /// Nothing is placed before this time: after a take-over the companions come back one by one.
     pub(crate) place_from_ms: u64,
     pub(crate) next_tick_ms: u64,
@@ -100,7 +100,7 @@
             rng: Rng::new(seed),
             config: None,
             jobs: FxHashMap::default(),
-            workers: Workers::new(bounds.max_hold_ms),
+            workers: Workers::new(bounds.max_lease_ms),
             services: BTreeMap::new(),
             outbox: Outbox::default(),
             due: BTreeSet::new(),
@@ -164,16 +164,13 @@
         match event {
             Event::Config(config) => self.configure(config),
             Event::Call { from, call } => self.call(from, call),
-            Event::CallerGone(caller) => self.outbox.forget_caller(caller),
+            Event::CallerDisconnected(caller) => self.outbox.forget_caller(caller),
             Event::Committed(write) => self.outbox.commit(write),
-            Event::CompanionConnected {
-                companion,
-                node_name,
-            } => {
-                self.workers.connected(companion, node_name);
+            Event::AgentConnected { agent, node_name } => {
+                self.workers.connected(agent, node_name);
             }
-            Event::CompanionDisconnected(companion) => self.workers.disconnected(companion),
-            Event::Report { companion, report } => self.report(companion, report),
+            Event::AgentDisconnected(agent) => self.workers.disconnected(agent),
+            Event::Report { agent, report } => self.report(agent, report),
             Event::Timer => {}
         }
         self.open_due_repeats();
@@ -295,30 +292,30 @@
             let Some(worker) = self.workers.get(id) else {
                 continue;
             };
-            let Some(companion) = worker.companion else {
+            let Some(agent) = worker.agent else {
                 continue;
             };
-            let orders = CompanionOrders {
+            let orders = AgentOrders {
                 epoch,
                 echo_sent_ms: orders.echo_sent_ms,
                 instance: worker.instance.clone(),
                 start: orders.start,
                 stop: orders.stop,
-                last_seen: (worker.committed_end > 0).then_some(worker.committed_end),
+                acknowledged_end: (worker.committed_end > 0).then_some(worker.committed_end),
             };
-            effects.push(Effect::Orders { companion, orders });
+            effects.push(Effect::Orders { agent, orders });
         }
-        for (companion, instance, sent_ms) in std::mem::take(&mut self.bare_answers) {
-            let (start, stop, last_seen) = (Vec::new(), Vec::new(), None);
-            let orders = CompanionOrders {
+        for (agent, instance, sent_ms) in std::mem::take(&mut self.bare_answers) {
+            let (start, stop, acknowledged_end) = (Vec::new(), Vec::new(), None);
+            let orders = AgentOrders {
                 epoch,
                 echo_sent_ms: Some(sent_ms),
                 instance,
                 start,
                 stop,
-                last_seen,
+                acknowledged_end,
             };
-            effects.push(Effect::Orders { companion, orders });
+            effects.push(Effect::Orders { agent, orders });
         }
     }
 
--- a/crates/scheduler/src/speculation.rs
+++ b/crates/scheduler/src/speculation.rs
@@ -58,9 +58,9 @@
         let key = job.queue_key(StepRef::of(&task), self.now_ms);
         let at_stake = key.prospect != Prospect::Hopeless
             && self.now_ms as i64 + NEAR_MS >= key.latest_start_ms;
-        let silent = worker.companion.is_none()
+        let silent = worker.agent.is_none()
             || self.now_ms.saturating_sub(worker.heard_ms) > SILENT_MS
-            || worker.silent_ms > SILENT_MS;
+            || worker.since_heartbeat_ms > SILENT_MS;
         let stopping = run.stop.is_some();
         let doubtful = at_stake && (silent || !stopping && self.overdue(id, worker, &task, run));
         doubtful.then_some(Doubtful {
@@ -79,15 +79,15 @@
         } else {
             OVERDUE_FACTOR
         };
-        let restore_ms = if run.resumed {
-            self.bounds.restore_ms as f64
+        let resume_cost_ms = if run.resumed {
+            self.bounds.resume_cost_ms as f64
         } else {
             0.0
         };
         let expected_ms = self.expected_run_ms(id, task);
         let elapsed_ms = self.now_ms.saturating_sub(run.placed_ms) as f64;
         let stands = self.now_ms.saturating_sub(run.percent_ms) > PERCENT_FRESH_MS;
-        elapsed_ms > factor * expected_ms + OVERDUE_MIN_MS + restore_ms
+        elapsed_ms > factor * expected_ms + OVERDUE_MIN_MS + resume_cost_ms
             && (stands
                 || self.slowdown(id).is_some() && self.remaining_ms(id, task) as f64 > expected_ms)
     }
@@ -110,7 +110,7 @@
             return;
         };
         let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
-        let (now_ms, far_x) = (self.now_ms, self.bounds.far_x);
+        let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
         let choice = state
             .kinds
             .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
@@ -121,7 +121,7 @@
                     && need.considers(
                         Scope::Preferred,
                         worker,
-                        far_x,
+                        remote_slowdown,
                         failed_on == Some(id),
                         now_ms,
                     )
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap;
 
 /// Nothing is placed for so long after a take-over, so that what waits is spread over all workers.
-const COMPANIONS_BACK_MS: u64 = 120;
+const AGENTS_RECONNECT_MS: u64 = 120;
 
 impl Scheduler {
     /// Takes over what a predecessor has written: all rows whose keys [`is_row`](Self::is_row). To be called once,
@@ -51,7 +51,7 @@
             let job = progress.restore(definition, &mut self.workers, self.now_ms, due_ms);
             self.jobs.insert(id, job);
             self.resume_job(id);
-            self.place_from_ms = self.now_ms + COMPANIONS_BACK_MS;
+            self.place_from_ms = self.now_ms + AGENTS_RECONNECT_MS;
         }
         Ok(())
     }
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -1,8 +1,8 @@
 //! Workers as their companions report them: lives (instances), room, state, connections.
 
-use crate::api::CompanionId;
+use crate::api::AgentId;
 use crate::health::Health;
-use indigofold_protocol::internal::{HOLD_AUTHORITY_MS, HOLD_MS, InstanceReport};
+use indigofold_protocol::internal::{InstanceReport, LEASE_AUTHORITY_MS, RUN_LEASE_MS};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{RunId, TaskName};
 use indigofold_protocol::worker::WorkerState;
@@ -12,7 +12,7 @@
 /// Clocks may differ by so much, in percent.
 const CLOCK_PERCENT: u64 = 105;
 /// Added to the time after which all holds have lapsed.
-const LAPSE_MARGIN_MS: u64 = 300;
+const EXPIRY_MARGIN_MS: u64 = 300;
 /// A companion that has not reported for so long gets no new starts.
 const REPORT_FRESH_MS: u64 = 1_000;
 /// A worker that has been silent for so long gets no new starts.
@@ -34,7 +34,7 @@
     /// Machine that its row names, if it has one.
     pub kept_at: Option<String>,
     /// Connection over which it is reached.
-    pub companion: Option<CompanionId>,
+    pub agent: Option<AgentId>,
     /// Service it belongs to; empty until it reports.
     pub backend: String,
     /// Whether it takes new work.
@@ -56,7 +56,7 @@
     /// When its companion reported last.
     pub heard_ms: u64,
     /// How long it had been silent then.
-    pub silent_ms: u64,
+    pub since_heartbeat_ms: u64,
     /// When a report of its companion was answered last; before that, when this scheduler took over.
     pub answered_ms: u64,
     /// Its holds have lapsed without word from it.
@@ -87,7 +87,7 @@
             instance,
             node_name: None,
             kept_at: None,
-            companion: None,
+            agent: None,
             backend: String::new(),
             state: WorkerState::Ready,
             leaves_ms: None,
@@ -98,7 +98,7 @@
             runs: BTreeSet::new(),
             in_full: false,
             heard_ms: now_ms,
-            silent_ms: 0,
+            since_heartbeat_ms: 0,
             answered_ms: now_ms,
             lapsed_ms: None,
             given_up: Vec::new(),
@@ -125,8 +125,8 @@
             (self.capacity, self.state) = (report.capacity, report.state);
         }
         self.leaves_ms = report.remaining_ms.map(|left| now_ms + left);
-        self.cold_until_ms = now_ms + report.cold_remaining_ms;
-        (self.heard_ms, self.silent_ms) = (now_ms, report.silent_ms);
+        self.cold_until_ms = now_ms + report.warmup_remaining_ms;
+        (self.heard_ms, self.since_heartbeat_ms) = (now_ms, report.since_heartbeat_ms);
         changed
     }
 
@@ -143,10 +143,10 @@
 
     /// Whether it is in touch and takes new work, apart from short pauses.
     pub fn in_touch(&self, now_ms: u64) -> bool {
-        self.companion.is_some()
+        self.agent.is_some()
             && self.state == WorkerState::Ready
             && now_ms.saturating_sub(self.heard_ms) < REPORT_FRESH_MS
-            && self.silent_ms < SILENT_MS
+            && self.since_heartbeat_ms < SILENT_MS
     }
 
     /// Room that is left.
@@ -211,16 +211,16 @@
     lives: BTreeMap<WorkerId, Worker>,
     by_instance: FxHashMap<String, WorkerId>,
     by_node: FxHashMap<String, BTreeSet<WorkerId>>,
-    connections: FxHashMap<CompanionId, Connection>,
-    connection_of_node: FxHashMap<String, CompanionId>,
+    connections: FxHashMap<AgentId, Connection>,
+    connection_of_node: FxHashMap<String, AgentId>,
     next: u32,
     lapse_ms: u64,
 }
 
 impl Workers {
-    /// No lives yet. `max_hold_ms` is the longest hold that workers keep.
-    pub fn new(max_hold_ms: u64) -> Self {
-        let longest_ms = HOLD_AUTHORITY_MS + HOLD_MS.min(max_hold_ms);
+    /// No lives yet. `max_lease_ms` is the longest hold that workers keep.
+    pub fn new(max_lease_ms: u64) -> Self {
+        let longest_ms = LEASE_AUTHORITY_MS + RUN_LEASE_MS.min(max_lease_ms);
         Workers {
             lives: BTreeMap::new(),
             by_instance: FxHashMap::default(),
@@ -228,7 +228,7 @@
             connections: FxHashMap::default(),
             connection_of_node: FxHashMap::default(),
             next: 0,
-            lapse_ms: longest_ms * CLOCK_PERCENT / 100 + LAPSE_MARGIN_MS,
+            lapse_ms: longest_ms * CLOCK_PERCENT / 100 + EXPIRY_MARGIN_MS,
         }
     }
 
@@ -306,12 +306,12 @@
     }
 
     /// A companion has connected; an older connection of the same machine counts no more.
-    pub fn connected(&mut self, companion: CompanionId, node_name: String) {
-        if let Some(older) = self.connection_of_node.insert(node_name.clone(), companion) {
+    pub fn connected(&mut self, agent: AgentId, node_name: String) {
+        if let Some(older) = self.connection_of_node.insert(node_name.clone(), agent) {
             self.disconnected(older);
         }
         self.connections.insert(
-            companion,
+            agent,
             Connection {
                 node_name,
                 worker: None,
@@ -320,28 +320,28 @@
     }
 
     /// A connection is gone.
-    pub fn disconnected(&mut self, companion: CompanionId) {
-        let Some(connection) = self.connections.remove(&companion) else {
+    pub fn disconnected(&mut self, agent: AgentId) {
+        let Some(connection) = self.connections.remove(&agent) else {
             return;
         };
-        if self.connection_of_node.get(&connection.node_name) == Some(&companion) {
+        if self.connection_of_node.get(&connection.node_name) == Some(&agent) {
             self.connection_of_node.remove(&connection.node_name);
         }
         if let Some(worker) = connection.worker.and_then(|id| self.lives.get_mut(&id))
-            && worker.companion == Some(companion)
+            && worker.agent == Some(agent)
         {
-            (worker.companion, worker.in_full) = (None, false);
+            (worker.agent, worker.in_full) = (None, false);
         }
     }
 
     /// A connection that is in use.
-    pub fn connection(&self, companion: CompanionId) -> Option<&Connection> {
-        self.connections.get(&companion)
+    pub fn connection(&self, agent: AgentId) -> Option<&Connection> {
+        self.connections.get(&agent)
     }
 
     /// A connection reports a life.
-    pub fn attach(&mut self, companion: CompanionId, id: WorkerId) {
-        let Some(connection) = self.connections.get_mut(&companion) else {
+    pub fn attach(&mut self, agent: AgentId, id: WorkerId) {
+        let Some(connection) = self.connections.get_mut(&agent) else {
             return;
         };
         let before = connection.worker.replace(id);
@@ -350,13 +350,13 @@
             .filter(|before| *before != id)
             .and_then(|b| self.lives.get_mut(&b))
         {
-            (before.companion, before.in_full) = (None, false);
+            (before.agent, before.in_full) = (None, false);
         }
         let Some(worker) = self.lives.get_mut(&id) else {
             return;
         };
-        if worker.companion != Some(companion) {
-            (worker.companion, worker.in_full) = (Some(companion), false);
+        if worker.agent != Some(agent) {
+            (worker.agent, worker.in_full) = (Some(agent), false);
             (worker.strangers, worker.strangers_in_flight) = (Vec::new(), Vec::new());
         }
         self.place_at(id, node_name);
@@ -374,15 +374,15 @@
     }
 
     /// The connection reports no life at present.
-    pub fn detach(&mut self, companion: CompanionId) {
+    pub fn detach(&mut self, agent: AgentId) {
         let worker = self
             .connections
-            .get_mut(&companion)
+            .get_mut(&agent)
             .and_then(|c| c.worker.take());
         if let Some(worker) = worker.and_then(|id| self.lives.get_mut(&id))
-            && worker.companion == Some(companion)
+            && worker.agent == Some(agent)
         {
-            (worker.companion, worker.in_full) = (None, false);
+            (worker.agent, worker.in_full) = (None, false);
         }
     }
 
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -2,12 +2,12 @@
 
 mod world;
 
-use indigofold_protocol::internal::{ClientOutcome, HOLD_AUTHORITY_MS, HOLD_MS};
+use indigofold_protocol::internal::{ClientOutcome, LEASE_AUTHORITY_MS, RUN_LEASE_MS};
 use indigofold_protocol::job::JobState;
 use world::{World, spec, step};
 
 /// A silent companion's holds have all lapsed after this time, whatever the clocks.
-const LAPSED_MS: u64 = (HOLD_AUTHORITY_MS + HOLD_MS) * 105 / 100 + 300;
+const LAPSED_MS: u64 = (LEASE_AUTHORITY_MS + RUN_LEASE_MS) * 105 / 100 + 300;
 
 /// A head dies at any moment round a job's start; whatever was accepted is done by its successor.
 #[test]
@@ -128,7 +128,7 @@
     let now_ms = world.now_ms;
     for node in &mut world.nodes {
         node.crash(now_ms, 400);
-        (node.gone, node.not_started) = (Vec::new(), Vec::new());
+        (node.ended_instances, node.not_started) = (Vec::new(), Vec::new());
     }
     world.take_over();
     world.run_for(4_000);
--- a/crates/scheduler/tests/saving.rs
+++ b/crates/scheduler/tests/saving.rs
@@ -2,13 +2,13 @@
 
 mod world;
 
-use indigofold_protocol::internal::{HOLD_AUTHORITY_MS, HOLD_MS};
+use indigofold_protocol::internal::{LEASE_AUTHORITY_MS, RUN_LEASE_MS};
 use indigofold_protocol::job::{JobState, Step};
 use indigofold_protocol::task::JobId;
 use world::{World, spec, step};
 
 /// A silent companion's holds have all lapsed after this time, whatever the clocks.
-const LAPSED_MS: u64 = (HOLD_AUTHORITY_MS + HOLD_MS) * 105 / 100 + 300;
+const LAPSED_MS: u64 = (LEASE_AUTHORITY_MS + RUN_LEASE_MS) * 105 / 100 + 300;
 
 fn holders(world: &World) -> Vec<usize> {
     (0..world.nodes.len())
@@ -25,7 +25,7 @@
         .flat_map(|node| node.running.values());
     runs.map(|run| {
         run.order
-            .saved
+            .checkpoint
             .rsplit(':')
             .next()
             .and_then(|halves| halves.parse().ok())
--- a/crates/scheduler/tests/world/mod.rs
+++ b/crates/scheduler/tests/world/mod.rs
@@ -14,7 +14,7 @@
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use indigofold_protocol::worker::RunEnd;
 use indigofold_scheduler::{
-    CallerId, CompanionId, Effect, Event, LateEnd, RowChange, Scheduler, WriteId,
+    AgentId, CallerId, Effect, Event, LateEnd, RowChange, Scheduler, WriteId,
 };
 use node::{AtWork, GANG_MS, Node};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -70,8 +70,8 @@
 }
 
 enum Mail {
-    Orders(CompanionId, CompanionOrders),
-    Report(CompanionId, CompanionReport),
+    Orders(AgentId, AgentOrders),
+    Report(AgentId, AgentReport),
 }
 
 pub struct World {
@@ -83,7 +83,7 @@
     writes: VecDeque<(u64, WriteId, Vec<RowChange>)>,
     mail: VecDeque<(u64, Mail)>,
     pub nodes: Vec<Node>,
-    connections: BTreeMap<CompanionId, usize>,
+    connections: BTreeMap<AgentId, usize>,
     next_connection: u64,
     next_call: u64,
     calls: BTreeMap<u64, (JobId, bool)>,
@@ -160,9 +160,9 @@
                 }
                 Effect::Reply { reply, .. } => self.replied(reply),
                 Effect::Late(end) => self.late.push(*end),
-                Effect::Orders { companion, orders } => {
+                Effect::Orders { agent, orders } => {
                     self.mail
-                        .push_back((now_ms + NET_MS, Mail::Orders(companion, orders)));
+                        .push_back((now_ms + NET_MS, Mail::Orders(agent, orders)));
                 }
             }
         }
@@ -171,29 +171,26 @@
     // -- connections ------------------------------------------------------------------------------------------------
 
     pub fn connect(&mut self, node: usize) {
-        let companion = CompanionId(self.next_connection);
+        let agent = AgentId(self.next_connection);
         self.next_connection += 1;
-        self.connections.insert(companion, node);
+        self.connections.insert(agent, node);
         let at = &mut self.nodes[node];
         (at.connected, at.told_lists, at.urgent) = (true, false, true);
         let node_name = at.name.clone();
-        self.handle(Event::CompanionConnected {
-            companion,
-            node_name,
-        });
+        self.handle(Event::AgentConnected { agent, node_name });
     }
 
     pub fn disconnect(&mut self, node: usize) {
-        let gone: Vec<CompanionId> = self
+        let ended_instances: Vec<AgentId> = self
             .connections
             .iter()
             .filter(|(_, at)| **at == node)
             .map(|(id, _)| *id)
             .collect();
         self.nodes[node].connected = false;
-        for companion in gone {
-            self.connections.remove(&companion);
-            self.handle(Event::CompanionDisconnected(companion));
+        for agent in ended_instances {
+            self.connections.remove(&agent);
+            self.handle(Event::AgentDisconnected(agent));
         }
     }
 
@@ -351,8 +348,8 @@
 
     fn deliver(&mut self, mail: Mail) {
         match mail {
-            Mail::Orders(companion, orders) => {
-                let Some(&node) = self.connections.get(&companion) else {
+            Mail::Orders(agent, orders) => {
+                let Some(&node) = self.connections.get(&agent) else {
                     return;
                 };
                 let now_ms = self.now_ms;
@@ -360,9 +357,9 @@
                     self.note_ends(node, seen);
                 }
             }
-            Mail::Report(companion, report) => {
-                if self.connections.contains_key(&companion) {
-                    self.handle(Event::Report { companion, report });
+            Mail::Report(agent, report) => {
+                if self.connections.contains_key(&agent) {
+                    self.handle(Event::Report { agent, report });
                 }
             }
         }
@@ -407,24 +404,24 @@
         }
         self.work_on(node);
         if let Some(report) = self.nodes[node].report(now_ms) {
-            let companion = self
+            let agent = self
                 .connections
                 .iter()
                 .find(|(_, at)| **at == node)
                 .map(|(id, _)| *id);
-            let Some(companion) = companion else { return };
+            let Some(agent) = agent else { return };
             self.mail
-                .push_back((now_ms + NET_MS, Mail::Report(companion, report)));
+                .push_back((now_ms + NET_MS, Mail::Report(agent, report)));
         }
     }
 
     fn work_on(&mut self, node: usize) {
         let now_ms = self.now_ms;
-        if now_ms >= self.nodes[node].held_until_ms {
-            let lapsed: Vec<RunId> = self.nodes[node].running.keys().copied().collect();
-            lapsed
+        if now_ms >= self.nodes[node].leased_until_ms {
+            let expired: Vec<RunId> = self.nodes[node].running.keys().copied().collect();
+            expired
                 .into_iter()
-                .for_each(|run| self.nodes[node].end(run, RunEnd::Lapsed, String::new()));
+                .for_each(|run| self.nodes[node].end(run, RunEnd::Expired, String::new()));
         }
         if let Some(until_ms) = self.nodes[node].drains_until_ms
             && now_ms >= until_ms
@@ -454,7 +451,7 @@
         if at.stop_ms.is_some_and(|stop| now_ms >= stop) {
             let held_ms = at.began_ms.map_or(0, |began| now_ms - began);
             self.stopped_core_ms += held_ms as f64 * at.order.resources.cpu as f64 / 1_000.0;
-            return self.nodes[node].end(run, RunEnd::Stopped, at.saved(now_ms));
+            return self.nodes[node].end(run, RunEnd::Stopped, at.checkpoint(now_ms));
         }
         let Some(began_ms) = at.began_ms else {
             return self.wait_for_gang(node, run, at, step.count);
--- a/crates/scheduler/tests/world/node.rs
+++ b/crates/scheduler/tests/world/node.rs
@@ -27,10 +27,10 @@
 
 impl AtWork {
     /// Progress saved so far: every half second of work.
-    pub fn saved(&self, now_ms: u64) -> String {
+    pub fn checkpoint(&self, now_ms: u64) -> String {
         let halves = self.began_ms.map_or(0, |began| (now_ms - began) / 500);
         if halves == 0 {
-            self.order.saved.clone()
+            self.order.checkpoint.clone()
         } else {
             format!(
                 "{}:{}:{halves}",
@@ -55,7 +55,7 @@
     pub ends: Vec<FinishedRun>,
     pub next_end: u64,
     pub seen: u64,
-    pub held_until_ms: u64,
+    pub leased_until_ms: u64,
     /// Time that a stop takes.
     pub stop_ms: u64,
     pub hangs: bool,
@@ -64,7 +64,7 @@
     pub waiting: BTreeMap<RunId, StartOrder>,
     pub closed: BTreeSet<RunId>,
     pub not_started: Vec<RunId>,
-    pub gone: Vec<String>,
+    pub ended_instances: Vec<String>,
     pub epoch: u64,
     pub authority_ms: Option<u64>,
     pub connected: bool,
@@ -91,14 +91,14 @@
             ends: Vec::new(),
             next_end: 1,
             seen: 0,
-            held_until_ms: 0,
+            leased_until_ms: 0,
             stop_ms: STOP_MS,
             hangs: false,
             fails: false,
             waiting: BTreeMap::new(),
             closed: BTreeSet::new(),
             not_started: Vec::new(),
-            gone: Vec::new(),
+            ended_instances: Vec::new(),
             epoch: 0,
             authority_ms: None,
             connected: false,
@@ -116,13 +116,13 @@
 
     /// The worker crashes and comes back as another life.
     pub fn crash(&mut self, now_ms: u64, back_ms: u64) {
-        self.gone.push(self.instance());
+        self.ended_instances.push(self.instance());
         self.life += 1;
         self.up = false;
         self.boots_ms = now_ms + back_ms;
         self.running.clear();
         self.ends.clear();
-        (self.next_end, self.seen, self.held_until_ms) = (1, 0, 0);
+        (self.next_end, self.seen, self.leased_until_ms) = (1, 0, 0);
         self.not_started
             .extend(std::mem::take(&mut self.waiting).into_keys());
         self.drains_until_ms = None;
@@ -137,21 +137,21 @@
         })
     }
 
-    pub fn end(&mut self, run: RunId, end: RunEnd, saved: String) {
+    pub fn end(&mut self, run: RunId, end: RunEnd, checkpoint: String) {
         self.running.remove(&run);
         self.closed.insert(run);
         self.ends.push(FinishedRun {
             number: self.next_end,
             run,
             end,
-            saved,
+            checkpoint,
         });
         self.next_end += 1;
         self.urgent = true;
     }
 
     /// Orders of the head.
-    pub fn orders(&mut self, now_ms: u64, orders: CompanionOrders) -> Option<u64> {
+    pub fn orders(&mut self, now_ms: u64, orders: AgentOrders) -> Option<u64> {
         if orders.epoch < self.epoch {
             return None;
         }
@@ -173,7 +173,7 @@
         for run in orders.stop {
             self.stop(now_ms, run);
         }
-        orders.last_seen
+        orders.acknowledged_end
     }
 
     fn stop(&mut self, now_ms: u64, run: RunId) {
@@ -194,11 +194,11 @@
         self.next_beat_ms = now_ms + BEAT_MS;
         if self
             .authority_ms
-            .is_none_or(|sent| now_ms >= sent + HOLD_AUTHORITY_MS)
+            .is_none_or(|sent| now_ms >= sent + LEASE_AUTHORITY_MS)
         {
             return Vec::new();
         }
-        self.held_until_ms = self.held_until_ms.max(now_ms + HOLD_MS);
+        self.leased_until_ms = self.leased_until_ms.max(now_ms + RUN_LEASE_MS);
         let mut passed = Vec::new();
         let mut used = self.used();
         for (run, order) in std::mem::take(&mut self.waiting) {
@@ -220,7 +220,7 @@
     }
 
     /// The report that is due.
-    pub fn report(&mut self, now_ms: u64) -> Option<CompanionReport> {
+    pub fn report(&mut self, now_ms: u64) -> Option<AgentReport> {
         if !self.connected || now_ms < self.next_report_ms && !self.urgent {
             return None;
         }
@@ -234,10 +234,10 @@
         if instance.is_some() && self.drains_until_ms.is_some() {
             self.drain_told_ms.get_or_insert(now_ms);
         }
-        Some(CompanionReport {
+        Some(AgentReport {
             sent_ms: now_ms,
             instance,
-            gone: self.gone.clone(),
+            ended_instances: self.ended_instances.clone(),
             not_started: std::mem::take(&mut self.not_started),
         })
     }
@@ -250,7 +250,7 @@
         };
         let listed = |(run, at): (&RunId, &AtWork)| RunningRun {
             run: *run,
-            saved: at.saved(now_ms),
+            checkpoint: at.checkpoint(now_ms),
             percent: if self.hangs {
                 3
             } else {
@@ -267,10 +267,10 @@
             remaining_ms: self
                 .drains_until_ms
                 .map(|until| until.saturating_sub(now_ms)),
-            cold_remaining_ms: 0,
+            warmup_remaining_ms: 0,
             capacity: self.capacity,
             labels: self.labels.clone(),
-            silent_ms: 0,
+            since_heartbeat_ms: 0,
             running: lists.then(|| self.running.iter().map(listed).collect()),
             finished: self
                 .ends
--- a/crates/scheduler/tests/world/rules.rs
+++ b/crates/scheduler/tests/world/rules.rs
@@ -87,19 +87,21 @@
 
     /// Progress handed to a run must be the task's (the gang's), and the same for all members.
     fn check_saved(&self, order: &StartOrder, gang: bool) {
-        let own =
-            order.saved.is_empty() || order.saved.starts_with(&order.run.task.job.to_string());
+        let own = order.checkpoint.is_empty()
+            || order
+                .checkpoint
+                .starts_with(&order.run.task.job.to_string());
         assert!(
             own,
             "UNASKED: {} resumes from `{}`",
-            order.run.task, order.saved
+            order.run.task, order.checkpoint
         );
         let texts = self
             .gang_members(order.run)
             .into_iter()
-            .map(|(node, run)| &self.nodes[node].running[&run].order.saved);
+            .map(|(node, run)| &self.nodes[node].running[&run].order.checkpoint);
         assert!(
-            !gang || texts.into_iter().all(|text| *text == order.saved),
+            !gang || texts.into_iter().all(|text| *text == order.checkpoint),
             "UNASKED: a gang with two texts"
         );
     }
--- a/crates/toolbox/src/copies/copy.rs
+++ b/crates/toolbox/src/copies/copy.rs
@@ -87,7 +87,7 @@
         let copied = copy_database(folder, scratch.path()).context(FilesSnafu { folder })?;
         ensure!(copied, NoDatabaseSnafu { folder });
         let opened = Storage::open(scratch.path()).context(StorageSnafu { folder })?;
-        if let Some(aside) = opened.set_aside {
+        if let Some(aside) = opened.quarantined {
             return DamagedSnafu {
                 folder,
                 reason: aside.reason,
@@ -106,8 +106,8 @@
                 .as_ref()
                 .and_then(|durable| durable.view.as_ref())
                 .map(|view| view.number),
-            stored_view: chunk.mark.view,
-            stored_seq: chunk.mark.seq,
+            stored_view: chunk.viewstamp.view,
+            stored_seq: chunk.viewstamp.seq,
             trimmed: durable.map_or(0, |durable| durable.trimmed),
             history: chunk.history,
             rows: chunk
--- a/crates/toolbox/src/quickstart/worker.rs
+++ b/crates/toolbox/src/quickstart/worker.rs
@@ -104,7 +104,7 @@
             let lapsed = std::mem::take(&mut self.runs);
             lapsed
                 .into_iter()
-                .for_each(|run| self.end(now_ms, run, RunEnd::Lapsed));
+                .for_each(|run| self.end(now_ms, run, RunEnd::Expired));
         }
         (now_ms >= self.next_beat_ms).then(|| self.beat(now_ms))
     }
@@ -112,21 +112,21 @@
     /// The answer to the heartbeat sent at `sent_ms`.
     pub fn answered(&mut self, sent_ms: u64, now_ms: u64, reply: HeartbeatReply) {
         self.next_beat_ms = now_ms + reply.retry_delay_ms.unwrap_or(BEAT_MS);
-        let token = reply.fence_token.unwrap_or(0);
+        let token = reply.fencing_token.unwrap_or(0);
         if token < self.fence_token {
             return;
         }
         self.fence_token = token;
-        if let Some(seen) = reply.last_seen {
+        if let Some(seen) = reply.acknowledged_end {
             self.finished.retain(|end| end.0 > seen);
         }
-        let hold_ms = reply.hold_ms.map(|hold| hold.min(MAX_HOLD_MS));
-        self.held_until_ms = self.held_until_ms.max(sent_ms + hold_ms.unwrap_or(0));
+        let lease_ms = reply.lease_ms.map(|lease| lease.min(MAX_HOLD_MS));
+        self.held_until_ms = self.held_until_ms.max(sent_ms + lease_ms.unwrap_or(0));
         reply
             .stop
             .into_iter()
             .for_each(|stop| self.stop(now_ms, &stop));
-        if hold_ms.is_some() {
+        if lease_ms.is_some() {
             reply
                 .start
                 .into_iter()
@@ -213,10 +213,10 @@
         let sides = layout.of(Class::Side);
         let threads = sides.map(|machine| {
             let (stop, stopped) = channel();
-            let (companion, id) = (machine.control(), format!("worker-{}", machine.name));
+            let (agent, id) = (machine.control(), format!("worker-{}", machine.name));
             let wait =
                 move |time| !matches!(stopped.recv_timeout(time), Err(RecvTimeoutError::Timeout));
-            (stop, thread::spawn(move || work(companion, &id, wait)))
+            (stop, thread::spawn(move || work(agent, &id, wait)))
         });
         Workers {
             threads: threads.collect(),
@@ -235,14 +235,14 @@
 }
 
 /// Works until `wait` says that the time is over.
-fn work(companion: SocketAddr, id: &str, wait: impl Fn(Duration) -> bool) {
+fn work(agent: SocketAddr, id: &str, wait: impl Fn(Duration) -> bool) {
     let clock = Instant::now();
     let now_ms = || clock.elapsed().as_millis() as u64;
-    let mut worker = StandIn::new(companion.to_string(), WorkerLimits::default());
+    let mut worker = StandIn::new(agent.to_string(), WorkerLimits::default());
     loop {
         let sent_ms = now_ms();
         if let Some(beat) = worker.advance(sent_ms)
-            && let Some(reply) = tell(companion, id, &beat)
+            && let Some(reply) = tell(agent, id, &beat)
         {
             worker.answered(sent_ms, now_ms(), reply);
         }
@@ -255,7 +255,7 @@
 }
 
 /// Sends a heartbeat; `None` while the companion does not answer.
-fn tell(companion: SocketAddr, id: &str, beat: &Heartbeat) -> Option<HeartbeatReply> {
+fn tell(agent: SocketAddr, id: &str, beat: &Heartbeat) -> Option<HeartbeatReply> {
     let body = serde_json::to_string(beat).ok()?;
     let path = format!("/instances/{id}");
     let put = Call {
@@ -265,7 +265,7 @@
         headers: "",
         body: &body,
     };
-    let answer = call(companion, &put)
+    let answer = call(agent, &put)
         .ok()
         .filter(|answer| answer.status == 200)?;
     serde_json::from_str(&answer.body).ok()
--- a/crates/toolbox/src/status.rs
+++ b/crates/toolbox/src/status.rs
@@ -152,9 +152,9 @@
         ),
     };
     if let Some(head) = status.head() {
-        let (companions, edges) = (head.companions, head.edges);
+        let (agents, edges) = (head.agents, head.edges);
         text.push_str(&format!(
-            "clients: {companions} companions, {edges} edges connected to the head\n"
+            "clients: {agents} companions, {edges} edges connected to the head\n"
         ));
     }
     text
--- a/crates/toolbox/tests/copies.rs
+++ b/crates/toolbox/tests/copies.rs
@@ -2,7 +2,7 @@
 
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
-    Batch, Durable, Mark, Member, RowChange, Storage, StoreOperation, StoreRequest, ViewStart,
+    Batch, Durable, Member, RowChange, Storage, StoreOperation, StoreRequest, ViewStart, Viewstamp,
 };
 use indigofold_toolbox::copies::{Copy, common_seq, compare, run};
 use indigofold_toolbox::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
@@ -33,7 +33,7 @@
         promised: 1,
         view: None,
         agreed: false,
-        mark: Mark { view: 1, seq },
+        viewstamp: Viewstamp { view: 1, seq },
         history: vec![ViewStart { view: 1, seq: 0 }],
         trimmed: 0,
         addresses: Vec::<MemberAddress>::new(),
--- a/crates/toolbox/tests/stand_in.rs
+++ b/crates/toolbox/tests/stand_in.rs
@@ -13,10 +13,10 @@
     worker
 }
 
-fn orders(hold_ms: u64) -> HeartbeatReply {
+fn orders(lease_ms: u64) -> HeartbeatReply {
     HeartbeatReply {
-        hold_ms: Some(hold_ms),
-        fence_token: Some(3),
+        lease_ms: Some(lease_ms),
+        fencing_token: Some(3),
         ..HeartbeatReply::default()
     }
 }
@@ -67,7 +67,7 @@
         360,
         361,
         HeartbeatReply {
-            last_seen: Some(1),
+            acknowledged_end: Some(1),
             ..orders(4_000)
         },
     );
@@ -93,7 +93,7 @@
     );
     assert!(worker.advance(200).is_none());
     let beat = worker.advance(worker.next_due_ms()).expect("a heartbeat");
-    assert_eq!(beat.finished[0].3, RunEnd::Lapsed);
+    assert_eq!(beat.finished[0].3, RunEnd::Expired);
 }
 
 #[test]
@@ -130,7 +130,7 @@
         2,
         HeartbeatReply {
             start: start(),
-            fence_token: Some(2),
+            fencing_token: Some(2),
             ..orders(4_000)
         },
     );
@@ -139,7 +139,7 @@
         3,
         HeartbeatReply {
             start: start(),
-            fence_token: Some(3),
+            fencing_token: Some(3),
             ..HeartbeatReply::default()
         },
     );
--- a/crates/toolbox/tests/status.rs
+++ b/crates/toolbox/tests/status.rs
@@ -43,7 +43,7 @@
         stored: StoredState { view: 4, seq: 9 },
         storage_failing: false,
         peers: others.map(peer).collect(),
-        companions: 2,
+        agents: 2,
         edges: 1,
         work: (number == 1).then(work),
     }
