--- a/crates/toolbox/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,11 +1,9 @@
 //! `indigofold-ctl`: the operators' tool.
 
-use indigofold_toolbox::command_line::{self, Command, Verb};
-use indigofold_toolbox::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
-use indigofold_toolbox::report::Report;
-use indigofold_toolbox::{
-    check_config, check_deploy, check_settings, copies, job, quickstart, status,
-};
+use indigofold_ctl::command_line::{self, Command, Verb};
+use indigofold_ctl::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
+use indigofold_ctl::report::Report;
+use indigofold_ctl::{check_config, check_deploy, check_settings, copies, job, quickstart, status};
 use std::io::Write;
 use std::process::ExitCode;
 
--- a/crates/toolbox/tests/checks.rs
+++ b/crates/ctl/tests/checks.rs
@@ -1,7 +1,7 @@
 //! The verbs that check files.
 
-use indigofold_toolbox::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
-use indigofold_toolbox::{check_config, check_deploy, check_settings};
+use indigofold_ctl::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
+use indigofold_ctl::{check_config, check_deploy, check_settings};
 use rstest::rstest;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
--- a/crates/toolbox/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -1,7 +1,7 @@
 //! The command line of `indigofold-ctl`.
 
+use indigofold_ctl::command_line::{Command, Verb, parse};
 use indigofold_protocol::task::JobId;
-use indigofold_toolbox::command_line::{Command, Verb, parse};
 use rstest::rstest;
 use std::ffi::OsString;
 use std::path::PathBuf;
--- a/crates/toolbox/tests/copies.rs
+++ b/crates/ctl/tests/copies.rs
@@ -1,11 +1,11 @@
 //! Comparison of members' disks.
 
+use indigofold_ctl::copies::{Copy, common_seq, compare, run};
+use indigofold_ctl::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
     Batch, Durable, Member, RowChange, Storage, StoreOperation, StoreRequest, ViewStart, Viewstamp,
 };
-use indigofold_toolbox::copies::{Copy, common_seq, compare, run};
-use indigofold_toolbox::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
 use rstest::rstest;
 use std::sync::Arc;
 use tempfile::TempDir;
--- a/crates/toolbox/tests/stand_in.rs
+++ b/crates/ctl/tests/stand_in.rs
@@ -1,7 +1,7 @@
 //! The stand-in worker of the quick start.
 
+use indigofold_ctl::quickstart::{StandIn, WorkerLimits};
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd, Start, Stop};
-use indigofold_toolbox::quickstart::{StandIn, WorkerLimits};
 
 const TASK: &str = "00000000000000f1.0.0.0";
 
--- a/crates/toolbox/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -1,10 +1,10 @@
 //! What `status` finds wrong, and how it tells.
 
+use indigofold_ctl::status::{ClusterStatus, SilentMember, report};
 use indigofold_protocol::inspection::{
     MemberStatus, PeerStatus, QueueStatus, StoredState, TaskCounts, ViewStatus, WorkStatus,
 };
 use indigofold_protocol::internal::MemberAddress;
-use indigofold_toolbox::status::{ClusterStatus, SilentMember, report};
 use rstest::rstest;
 use std::net::SocketAddr;
 
--- a/crates/toolbox/tests/whole.rs
+++ b/crates/ctl/tests/whole.rs
@@ -1,6 +1,6 @@
 //! The tool against real daemons on loopback.
 
-use indigofold_toolbox::quickstart::{Options, Programs, run};
+use indigofold_ctl::quickstart::{Options, Programs, run};
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read};
 use std::path::{Path, PathBuf};
