--- a/examples/toy.rs
+++ b/examples/stand_in_worker.rs
@@ -1,6 +1,6 @@
 //! A toy to try the program with: discovery with one machine, and that machine's job worker, in one process.
 //!
-//!     cargo run --example toy                                      (in one terminal)
+//!     cargo run --example stand_in_worker                                      (in one terminal)
 //!     GW_CONFIG=examples/config.json cargo run                     (in another)
 //!     curl -i -d '' -H 'X-Trace-Id: a-1' http://127.0.0.1:8443/reserve/kit-7
 //!
--- a/src/bin/indigofold-drill.rs
+++ b/src/bin/indigofold-sim-adapter.rs
@@ -4,11 +4,11 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    std::panic::set_hook(Box::new(|info| eprintln!("indigofold-drill: {info}")));
+    std::panic::set_hook(Box::new(|info| eprintln!("indigofold-sim-adapter: {info}")));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("indigofold-drill: {error}");
+            eprintln!("indigofold-sim-adapter: {error}");
             ExitCode::FAILURE
         }
     }
@@ -26,7 +26,7 @@
         }
         let reply = session.line(line.trim_end_matches('\n'));
         for note in session.take_notes() {
-            eprintln!("indigofold-drill: {note}");
+            eprintln!("indigofold-sim-adapter: {note}");
         }
         if let Some(reply) = reply? {
             output.write_all(reply.as_bytes())?;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -216,7 +216,7 @@
 }
 
 fn adapter(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_indigofold-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_indigofold-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
