--- a/src/admin.rs
+++ b/src/admin.rs
@@ -2,6 +2,7 @@
 //! buffers with the fronts, so that what happens there does not delay an answer here.
 
 use crate::core::figures::Figures;
+use crate::decisions::WorkerCounts;
 use crate::front::Life;
 use crate::net::{Net, log};
 use async_executor::Task;
@@ -173,12 +174,13 @@
                 line(&format!("{end}.{name}"), count, 'c');
             }
         }
-        let ((size, avoided), (applied, rejected)) = (figures.pool.get(), figures.files.get());
+        let WorkerCounts { listed, avoided } = figures.workers.get();
+        let (applied, rejected) = figures.files.get();
         line("tries", figures.tries.get(), 'c');
         line("config_applied", applied, 'c');
         line("config_rejected", rejected, 'c');
         line("active", figures.open.get(), 'g');
-        line("pool_size", size, 'g');
+        line("pool_size", listed, 'g');
         line("pool_ejected", avoided, 'g');
         text + "eof\n"
     }
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,13 +1,13 @@
 //! The interface of the decision module: what it is told and what it may ask for.
 //!
-//! A caller owns one [`crate::choice::Dispatcher`] per dispatcher and hands it every event in the order in
+//! A caller owns one [`crate::decisions::Dispatcher`] per dispatcher and hands it every event in the order in
 //! which it happened, with a clock that never runs backwards. All names (classes, kinds, zones, tenants,
 //! workers, requests) are integer ids chosen by the caller; the module attaches no meaning to their values.
 //! Times and durations are whole microseconds.
 
-use crate::carried::Carried;
 pub use crate::ids::*;
-use crate::learned::Learned;
+use crate::learned_state::LearnedState;
+use crate::transferred_job::TransferredJob;
 
 /// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -389,10 +389,10 @@
     /// request keeps the class that it came with.
     Settings(Box<Settings>),
     /// What another one has learned that did this one's work until now; under this one's ids.
-    Learned(Box<Learned<u32>>),
+    LearnedState(Box<LearnedState<u32>>),
     /// A request goes on here that another one has begun, with what its attempts have done; under this one's ids. The
     /// dispatcher owes it its one final answer, and hears of what is still out.
-    Adopted(RequestId, Box<Carried<u32>>),
+    Adopted(RequestId, Box<TransferredJob<u32>>),
     /// A message from another dispatcher.
     Peer {
         /// The sender's number.
--- a/src/core/engine.rs
+++ b/src/core/engine.rs
@@ -7,9 +7,9 @@
 use super::job_table::JobTable;
 use super::{JobId, Recall, Released, Settings, Told, Transport};
 use crate::api::{self, Action, Event, Time};
-use crate::carried::Carried;
-use crate::choice::Dispatcher;
-use crate::learned::Learned;
+use crate::decisions::{Dispatcher, WorkerCounts};
+use crate::learned_state::LearnedState;
+use crate::transferred_job::TransferredJob;
 use std::collections::BTreeSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
@@ -35,29 +35,29 @@
     }
 
     /// What it has learned.
-    pub fn learned(&self, now: Time, how: Recall) -> Learned<u32> {
+    pub fn learned_state(&self, now: Time, how: Recall) -> LearnedState<u32> {
         match how {
-            Recall::All => self.0.learned(now),
-            Recall::AllButHeld => Learned {
+            Recall::All => self.0.learned_state(now),
+            Recall::AllButHeld => LearnedState {
                 held: Vec::new(),
-                ..self.0.learned(now)
+                ..self.0.learned_state(now)
             },
-            Recall::Held => Learned {
+            Recall::Held => LearnedState {
                 at: now,
                 held: self.0.held_slots(),
-                ..Learned::default()
+                ..LearnedState::default()
             },
         }
     }
 
     /// Gives away a request.
-    pub fn release(&mut self, now: Time, id: JobId) -> Option<Carried<u32>> {
+    pub fn release(&mut self, now: Time, id: JobId) -> Option<TransferredJob<u32>> {
         self.0.release(now, id)
     }
 
-    /// Machines in the list, and how many of them it avoids.
-    pub fn pool(&self, now: Time) -> (u64, u64) {
-        self.0.pool(now)
+    /// Workers of the list, and how many of them it avoids.
+    pub fn worker_counts(&self, now: Time) -> WorkerCounts {
+        self.0.worker_counts(now)
     }
 }
 
@@ -111,7 +111,7 @@
             Told::Settings(settings) => self.gap = settings.granularity,
             // Whoever asked may have turned to something else: then the job is still its client's here.
             Told::Release(job, to) if !to.is_closed() => _ = to.try_send(self.release(now, *job)),
-            Told::Recall(to, how) => _ = to.try_send(self.module.learned(now, *how)),
+            Told::Recall(to, how) => _ = to.try_send(self.module.learned_state(now, *how)),
             _ => {}
         }
         self.table.told(now, told, transport);
@@ -169,7 +169,7 @@
         }
         self.table.events_done(events);
         if any {
-            self.figures.pool.set(self.module.pool(now));
+            self.figures.workers.set(self.module.worker_counts(now));
         }
         any
     }
--- a/src/core/figures.rs
+++ b/src/core/figures.rs
@@ -1,6 +1,7 @@
 //! What is counted: each thing once, where it happens, and never set back.
 
 use crate::api::ClassId;
+use crate::decisions::WorkerCounts;
 use std::cell::{Cell, RefCell};
 
 /// How a job ended.
@@ -24,8 +25,8 @@
     pub open: Cell<u64>,
     /// Attempts whose last byte went out.
     pub tries: Cell<u64>,
-    /// Machines in the list, and how many of them the module avoids.
-    pub pool: Cell<(u64, u64)>,
+    /// Workers of the membership list, and those of them that the module avoids.
+    pub workers: Cell<WorkerCounts>,
     /// Configuration files taken, and turned down, at SIGHUP.
     pub files: Cell<(u64, u64)>,
 }
--- a/src/core/job_table.rs
+++ b/src/core/job_table.rs
@@ -3,7 +3,7 @@
 use super::figures::{End, Figures, add};
 use super::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
 use crate::api::{Action, ClassId, Event, Scope, Status, Time, WorkerId};
-use crate::carried;
+use crate::transferred_job;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -163,15 +163,15 @@
             }
             Told::List(scope, entries) => self.events.push(Event::List { scope, entries }),
             Told::Settings(settings) => self.events.push(Event::Settings(settings)),
-            Told::Learned(other) => self.events.push(Event::Learned(other)),
+            Told::LearnedState(other) => self.events.push(Event::LearnedState(other)),
             Told::Adopted(id, job, until, reply) => {
                 self.due.insert((until, id));
-                let held = |t: &carried::Try<WorkerId>| Held {
+                let held = |t: &transferred_job::Attempt<WorkerId>| Held {
                     machine: t.worker,
                     out: !t.done,
                     given_up: false,
                 };
-                let (class, attempts) = (job.class, job.tries.iter().map(held).collect());
+                let (class, attempts) = (job.class, job.attempts.iter().map(held).collect());
                 self.jobs.insert(
                     id,
                     Job {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -8,8 +8,8 @@
 pub mod job_table;
 
 use crate::api::{Entry, Load, Request, RequestId, Scope, Status, Time, WorkerId};
-use crate::carried::Carried;
-use crate::learned::Learned;
+use crate::learned_state::LearnedState;
+use crate::transferred_job::TransferredJob;
 use async_channel::Sender;
 
 /// A job's number, unique over the program's life.
@@ -78,14 +78,14 @@
     /// Other settings of the module from now on.
     Settings(Box<crate::api::Settings>),
     /// What another process of this scheduler has learned, under this one's ids.
-    Learned(Box<Learned<u32>>),
+    LearnedState(Box<LearnedState<u32>>),
     /// An open job is asked for, to be given away: it is forgotten here. `None` where it cannot go now: something has
     /// happened that the module has not heard of yet, or nothing more is owed.
     Release(JobId, Sender<Option<Released>>),
     /// A job goes on here that another process has begun; the client waits for it until this time.
-    Adopted(JobId, Box<Carried<u32>>, Time, Reply),
+    Adopted(JobId, Box<TransferredJob<u32>>, Time, Reply),
     /// What was learned here is asked for: all of it, or only the slots held.
-    Recall(Sender<Learned<u32>>, Recall),
+    Recall(Sender<LearnedState<u32>>, Recall),
     /// What a probe brought.
     Probed(WorkerId, Status, Option<Load>),
 }
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 pub struct Released {
     /// What the module knows of it.
-    pub job: Carried<u32>,
+    pub job: TransferredJob<u32>,
     /// Until when it must be answered.
     pub until: Time,
     /// Where its answer would have gone.
--- /dev/null
+++ b/src/decisions.rs
@@ -0,0 +1,246 @@
+//! The decision module of one dispatcher. [`crate::api`] has its inputs ([`Event`]) and outputs ([`Action`]).
+//!
+//! The mechanism is hybrid SQ(d) (Van Spilbeeck and Van Houdt): a request draws a listed kind k with probability
+//! p_k, solved now and then from problem (1), samples d ready workers of it and goes to the one with the fewest
+//! slots in flight. Around it stand the guards that the paper does without; `docs/design.md` has their conditions.
+//! It reads no clock, does no I/O and draws from a seeded generator.
+//!
+//! [`Dispatcher`] holds the state. The files beside this one each hold one concern of it: `admission` (accept, hold,
+//! answer), `attempts` (send, start, end), `sampling`, `load` and `draw` (which worker), `warm_up` (workers that have
+//! just started), `health` (ejection), `stragglers` (attempts that hang), `observations` (reports, probes, peers),
+//! `membership` (the list), `learning`, `takeover` and `reconfigure` (another process or other settings).
+
+mod admission;
+mod attempts;
+mod consistency;
+mod draw;
+mod health;
+mod learning;
+mod load;
+mod membership;
+mod observations;
+mod reconfigure;
+mod sampling;
+mod state;
+mod stragglers;
+mod takeover;
+mod tuning;
+mod warm_up;
+
+use crate::affinity::{Fetches, Steady};
+use crate::api::{Action, Class, Event, Load, RequestId, Settings, Status, Time, WorkerId};
+use crate::arrivals::Arrivals;
+use crate::runs::Sum;
+pub use crate::solve::solve;
+pub use learning::WorkerCounts;
+use rand_core::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use state::{AttemptId, ClassStats, Demand, Kind, ListRequest, OpenRequest, QueueIndex, Worker};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use tuning::{IDLE_GROWTH, LIST_BACKOFF_FIRST, SOLVE_TICKS, TICK_GRANULARITIES, TICK_MIN};
+
+/// One dispatcher: holds what its own events have told it, and decides.
+#[derive(Default)]
+pub struct Dispatcher {
+    settings: Settings,
+    /// Index of each class's present rules; other entries of the tables are of classes before a change of settings.
+    class_of: Vec<usize>,
+    rng: Option<Pcg64Mcg>,
+    workers: Vec<Worker>,
+    /// Index of each worker in `workers`.
+    index: BTreeMap<WorkerId, usize>,
+    kinds: Vec<Kind>,
+    classes: Vec<ClassStats>,
+    open: BTreeMap<RequestId, OpenRequest>,
+    /// Held requests by [`QueueIndex`], in the order held.
+    held: Vec<VecDeque<RequestId>>,
+    /// When to look at a request again.
+    due: BTreeSet<(Time, RequestId)>,
+    /// p_k of problem (1).
+    kind_weights: Vec<f64>,
+    /// p_k averaged for longer: requests with an affinity seldom move.
+    affinity_weights: Steady,
+    /// Active workers by group (see `tuning::group`) and kind: no event walks the whole fleet.
+    groups: Vec<Vec<usize>>,
+    /// Workers with own slots in flight.
+    busy: BTreeSet<usize>,
+    /// Workers that each peer has claimed slots at.
+    claimed: BTreeMap<u32, Vec<usize>>,
+    /// Own attempts whose start has not been reported ...
+    unstarted_count: usize,
+    /// ... and how many may wait in workers' queues at once.
+    wait_window: f64,
+    /// Weight and sum of run times at mean speed, over all classes.
+    run_times: Sum,
+    /// What jobs sent away from their home worker cost.
+    fetches: Fetches,
+    arrivals: Arrivals,
+    /// What probes and peer updates may cost now.
+    overhead_budget: f64,
+    /// Probes without an answer.
+    probes_in_flight: usize,
+    /// The last update to the peers.
+    last_peer_update: Vec<(WorkerId, u8)>,
+    /// Name of the timer that is live.
+    timer: u64,
+    /// Share of requests that prefer workers of the own zone.
+    home_preference: f64,
+    /// Recent shares of late starts, away and at home.
+    late_start_share: [f64; 2],
+    /// Connections idle for longer than this are not trusted.
+    trusted_idle: f64,
+    /// Recent value and work of the requests.
+    demand: Demand,
+    /// Recent share of attempts rejected for lack of capacity.
+    rejected_share: f64,
+    list_request: ListRequest,
+    /// When requests were accepted, in the window of the retry budget.
+    accepted_at: VecDeque<Time>,
+    /// When attempts beyond a request's first were made, in the same window.
+    retried_at: VecDeque<Time>,
+}
+
+impl Dispatcher {
+    /// A dispatcher without state. All its randomness comes from `seed`.
+    pub fn new(mut settings: Settings, seed: u64, now: Time) -> Self {
+        let class_of = (0..settings.classes.len()).collect();
+        // Requests of a class that the settings lack are taken for the strictest kind.
+        settings.classes.push(Class::UNKNOWN);
+        settings.dispatchers = settings.dispatchers.max(1);
+        let queues = settings.classes.len() * QueueIndex::PER_CLASS;
+        let tenants = settings.tenants.iter().map(|tenant| tenant.fraction);
+        Dispatcher {
+            rng: Some(Pcg64Mcg::seed_from_u64(seed)),
+            classes: settings.classes.iter().map(ClassStats::of).collect(),
+            held: vec![VecDeque::new(); queues],
+            // Finite, and cut to the number of workers by the first start.
+            wait_window: f64::MAX,
+            arrivals: Arrivals::new(tenants, now),
+            home_preference: 1.0,
+            trusted_idle: f64::MAX,
+            list_request: ListRequest {
+                due: if settings.list_pushed { Time::MAX } else { now },
+                backoff: LIST_BACKOFF_FIRST,
+            },
+            class_of,
+            settings,
+            ..Default::default()
+        }
+    }
+
+    /// Takes one event and appends what is to be done. `now` never runs backwards.
+    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+        if self.timer == 0 || matches!(event, Event::Timer(name) if name == self.timer) {
+            self.timer += 1;
+            out.push(Action::Timer {
+                at: now + self.tick(),
+                name: self.timer,
+            });
+        }
+        if self.handle_event(now, event, out) {
+            self.place_held(now, out);
+            debug_assert!(
+                self.is_consistent(),
+                "what is kept must agree with a fresh count"
+            );
+        }
+    }
+
+    /// Returns whether held requests may be sent because of it.
+    fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<Action>) -> bool {
+        let attempt_id = |request, attempt| AttemptId { request, attempt };
+        match event {
+            Event::List { scope, entries } => self.handle_list(now, scope, entries, out),
+            Event::Request(request) => {
+                if !self.open.contains_key(&request.id) {
+                    self.accept(now, request, out);
+                }
+                return false;
+            }
+            Event::Streaming { request, attempt } => {
+                self.handle_start(now, attempt_id(request, attempt));
+                self.close(request, out);
+            }
+            Event::Started { request, attempt } => {
+                self.handle_start(now, attempt_id(request, attempt));
+            }
+            Event::Outcome {
+                request,
+                attempt,
+                status,
+                closed,
+                load,
+            } => {
+                let id = attempt_id(request, attempt);
+                if let Some(worker) = self.handle_outcome(now, id, status, load) {
+                    self.close_idle(worker, out);
+                }
+                if closed || status == Status::Ok {
+                    self.close(request, out);
+                }
+                self.place_or_hold(now, request, out);
+            }
+            Event::Gone(request) => self.close(request, out),
+            Event::Unheard { request, attempt } => {
+                self.handle_unacknowledged(now, attempt_id(request, attempt), out);
+            }
+            Event::Timer(name) if name.wrapping_add(1) == self.timer => self.handle_tick(now, out),
+            Event::Timer(_) => return false,
+            Event::Probed { worker, load, .. } => self.handle_probed(now, worker, load, out),
+            Event::Settings(settings) => self.reconfigure(*settings),
+            Event::LearnedState(other) => self.merge_learned(now, *other),
+            Event::Adopted(id, job) => self.take_over(now, id, *job, out),
+            Event::Peer { from, held } => {
+                self.handle_peer_update(now, from, &held);
+                return false;
+            }
+            Event::Progress {
+                request,
+                attempt,
+                done,
+            } => {
+                self.handle_progress(now, attempt_id(request, attempt), done);
+                return false;
+            }
+        }
+        true
+    }
+
+    fn handle_tick(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.request_list(now, out);
+        self.update_peers(out);
+        if self.timer % SOLVE_TICKS == 0 {
+            self.solve_draw(now);
+            self.trusted_idle *= IDLE_GROWTH;
+            self.decay_failures(now);
+        }
+        self.review(now, out);
+    }
+
+    fn handle_probed(
+        &mut self,
+        now: Time,
+        worker: WorkerId,
+        load: Option<Load>,
+        out: &mut Vec<Action>,
+    ) {
+        self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
+        if let Some(&index) = self.index.get(&worker) {
+            load.iter()
+                .for_each(|load| self.handle_load(now, index, load));
+            self.close_idle(index, out);
+        }
+    }
+
+    /// Time between two ticks.
+    fn tick(&self) -> Time {
+        (self.settings.granularity * TICK_GRANULARITIES).max(TICK_MIN)
+    }
+}
+
+/// A number in [0, 1).
+fn unit(rng: &mut Option<Pcg64Mcg>) -> f64 {
+    rng.as_mut().map_or(0.0, |rng| {
+        (rng.next_u64() >> 12) as f64 / (1u64 << 52) as f64
+    })
+}
--- /dev/null
+++ b/src/decisions/attempts.rs
@@ -0,0 +1,345 @@
+//! Life of an attempt: sent within every limit, started, progressing, ended.
+
+use super::Dispatcher;
+use super::state::{Attempt, AttemptId, OpenRequest, Timed, UnstartedAttempt, Worker};
+use super::tuning::{
+    IDLE_TRUSTED, LATE_MARGIN, LATE_START_WAIT, LATE_STEP, MOVE_FETCHES, MOVE_WAIT,
+};
+use crate::affinity;
+use crate::api::{Action, AttemptNo, Effect, Group, Load, RequestId, Status, Time};
+use crate::runs::{self, fresh};
+
+/// Growth of the shortest start delay at each start that took longer.
+const START_DELAY_GROWTH: f64 = 1.01;
+
+impl Dispatcher {
+    /// The one place that sends. Every rule that limits a send is checked here, whatever chose the worker. Returns
+    /// whether the request was sent.
+    pub(super) fn send(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        index: usize,
+        out: &mut Vec<Action>,
+    ) -> bool {
+        let retries = self.retries_left(now);
+        let Some(open) = self.open.get(&id) else {
+            return false;
+        };
+        let worker = &self.workers[index];
+        let work = self.work(open.class, open.estimate);
+        let budget_left = self.warm_up_allowance(now, worker, work) - work;
+        let by = self.sendable_until(open);
+        let allowed = now < by
+            && (open.attempts.is_empty() || retries >= 1.0)
+            && (self.settings.limits.duplicates || open.attempts.iter().all(|a| a.done))
+            && worker.active
+            && self.effect_allows(open, worker)
+            && budget_left >= 0.0;
+        if !allowed {
+            return false;
+        }
+        self.workers[index].warm_up_budget = Timed {
+            value: budget_left,
+            at: now,
+        };
+        let connection_idle = self.take_connection(now, index, out);
+        self.record_send(now, id, index, connection_idle);
+        out.push(Action::Send {
+            request: id,
+            worker: self.workers[index].listed.worker,
+            timeout: 0,
+            by,
+        });
+        self.schedule_reviews(now, id);
+        true
+    }
+
+    /// Takes the connection that was used last; returns for how long the oldest idle one has not been used. Dropped
+    /// unseen, a connection would cost the attempt: where that was observed, old ones are closed first.
+    fn take_connection(&mut self, now: Time, index: usize, out: &mut Vec<Action>) -> Time {
+        let worker = &mut self.workers[index];
+        let idle = worker.idle_since.first().map_or(0, |since| now - since);
+        if idle as f64 > self.trusted_idle {
+            worker.idle_since.clear();
+            out.push(Action::Disconnect {
+                worker: worker.listed.worker,
+            });
+        }
+        worker.idle_since.pop();
+        idle
+    }
+
+    /// Notes an attempt that leaves now.
+    fn record_send(&mut self, now: Time, id: RequestId, index: usize, connection_idle: Time) {
+        let home = self.open.get(&id).and_then(|open| self.home_worker(open));
+        let away_from_home = home.is_some_and(|home| home != index);
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let worker = &mut self.workers[index];
+        let attempt = open.attempts.len() as AttemptNo;
+        let tells_start = self.settings.tells_start;
+        let started = (!tells_start && worker.own_slots == 0.0).then_some(now);
+        if tells_start {
+            worker.unstarted.push(UnstartedAttempt {
+                sent: now,
+                id: AttemptId {
+                    request: id,
+                    attempt,
+                },
+                slots: open.slots,
+            });
+            self.unstarted_count += 1;
+        }
+        if attempt > 0 && self.settings.rules.resends.is_some() {
+            self.retried_at.push_back(now);
+        }
+        worker.own_slots += open.slots;
+        self.busy.insert(index);
+        open.held_in = None;
+        open.attempts.push(Attempt {
+            worker: index,
+            sent: now,
+            connection_idle,
+            started,
+            away_from_home,
+            ..Attempt::default()
+        });
+    }
+
+    /// When to look at a request again that has just been sent.
+    fn schedule_reviews(&mut self, now: Time, id: RequestId) {
+        let Some(open) = self.open.get(&id).filter(|_| self.settings.tells_start) else {
+            return;
+        };
+        if self.settings.limits.moves() {
+            self.due.insert((self.move_due(now), id));
+        }
+        if self.settings.classes[open.class].late_worth <= 0.0 {
+            self.due.insert((open.late_from + 1, id));
+        }
+    }
+
+    /// When an attempt that was sent at this time may be moved to another worker.
+    pub(super) fn move_due(&self, sent: Time) -> Time {
+        sent + (MOVE_FETCHES * self.fetches.cost()) as Time + MOVE_WAIT
+    }
+
+    /// From this time on no rule allows one more attempt, or it would hardly be done by the deadline.
+    pub(super) fn sendable_until(&self, open: &OpenRequest) -> Time {
+        let runs = (LATE_MARGIN * self.work(open.class, open.estimate)) as Time;
+        let margin = runs.min(self.classes[open.class].longest_patience / 2);
+        let last = open.deadline.saturating_sub(margin);
+        let limit = open
+            .attempt_limit
+            .min(self.settings.limits.attempts as usize);
+        let may_have_run = open.attempts.iter().find(|a| !a.never_ran);
+        let until = |end: Time| end.saturating_sub(self.tick()).min(last);
+        match (may_have_run, self.settings.classes[open.class].effect) {
+            _ if open.closed || open.attempts.len() >= limit => 0,
+            (Some(_), Effect::Unsafe) => 0,
+            (Some(first), Effect::Keyed { ttl, .. }) => until(first.sent.saturating_add(ttl)),
+            _ => last,
+        }
+    }
+
+    /// Attempts beyond a request's first that their budget has left in the window that ends now.
+    pub(super) fn retries_left(&mut self, now: Time) -> f64 {
+        let Some(budget) = self.settings.rules.resends else {
+            return f64::INFINITY;
+        };
+        let from = |or: Time| {
+            budget
+                .window
+                .map_or(or, |window| now.saturating_sub(window))
+        };
+        let accepted_before = self.accepted_at.partition_point(|at| *at <= from(now));
+        self.accepted_at.drain(..accepted_before);
+        let retried_before = self.retried_at.partition_point(|at| *at < from(0));
+        self.retried_at.drain(..retried_before);
+        budget.free + budget.ratio * self.accepted_at.len() as f64 - self.retried_at.len() as f64
+    }
+
+    /// Whether the class's effect permits a further attempt on this worker.
+    pub(super) fn effect_allows(&self, open: &OpenRequest, worker: &Worker) -> bool {
+        let Some(first) = open.attempts.iter().find(|a| !a.never_ran) else {
+            return true;
+        };
+        let of = &self.workers[first.worker].listed;
+        match self.settings.classes[open.class].effect {
+            Effect::Keyed {
+                group: Group::Zone, ..
+            } => of.zone == worker.listed.zone,
+            Effect::Keyed {
+                group: Group::Cell, ..
+            } => of.cell == worker.listed.cell,
+            _ => true,
+        }
+    }
+
+    /// The worker has begun the job.
+    pub(super) fn handle_start(&mut self, now: Time, id: AttemptId) {
+        let Some(attempt) = self.attempt_mut(id) else {
+            return;
+        };
+        if attempt.done || attempt.started.is_some() {
+            return;
+        }
+        attempt.started = Some(now);
+        let index = attempt.worker;
+        let wait = now.saturating_sub(attempt.sent) as f64;
+        self.rejected_share -= LATE_STEP * self.rejected_share;
+        if self.run_times.0 > 0.0 {
+            // Long waits tell of shared queues: keep more here, where the most valuable can still go first.
+            let capacity = self.capacity(&self.workers[index]);
+            let target = LATE_START_WAIT * self.run_times.1 / self.run_times.0 / capacity;
+            self.count_start(index, wait >= target);
+        }
+        self.release_slots(now, index, id, 0.0);
+        self.handle_progress(now, id, 0.0);
+        self.learn_from_start(now, index, wait);
+    }
+
+    /// A late start tells that no slot was left for others or us, a prompt one that not all were taken.
+    fn learn_from_start(&mut self, now: Time, index: usize, wait: f64) {
+        let worker = &mut self.workers[index];
+        let kind = &mut self.kinds[worker.kind];
+        let started_slots = worker.started_slots();
+        let rest = (kind.slots - started_slots).max(0.0);
+        let is_late = worker.is_late_start(wait, self.settings.granularity);
+        let others = worker
+            .load_updated_at
+            .map_or(0.0, |at| worker.others_slots * fresh(now, at));
+        worker.others_slots = if is_late {
+            rest + 1.0
+        } else {
+            rest.min(others)
+        };
+        worker.load_updated_at = Some(now);
+        worker.start_delay = if wait < worker.start_delay {
+            wait
+        } else {
+            worker.start_delay * START_DELAY_GROWTH
+        };
+        if !kind.slots_reported {
+            let of_peers = if is_late {
+                0.0
+            } else {
+                worker.peer_slots(now).floor()
+            };
+            kind.slots = kind.slots.max(started_slots + of_peers);
+        }
+    }
+
+    /// Takes a progress report (or the start, as no progress), and looks at the request again when the next is overdue.
+    pub(super) fn handle_progress(&mut self, now: Time, id: AttemptId, done: f64) {
+        let Some(attempt) = self.attempt_mut(id) else {
+            return;
+        };
+        attempt.last_progress = (now, done);
+        let index = attempt.worker;
+        if done > 0.0 {
+            attempt.first_progress = attempt.first_progress.or(Some((now, done)));
+            self.record_progress(now, index);
+        }
+        let open = self.open.get(&id.request);
+        let due = open.map(|open| self.overdue_at(&open.attempts[id.attempt as usize]));
+        self.due.extend(due.map(|due| (due, id.request)));
+    }
+
+    fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        let open = self.open.get_mut(&id.request)?;
+        open.attempts.get_mut(id.attempt as usize)
+    }
+
+    /// An own attempt no longer waits at its worker; it gives back these slots.
+    pub(super) fn release_slots(&mut self, now: Time, index: usize, id: AttemptId, slots: f64) {
+        let worker = &mut self.workers[index];
+        worker.running(now);
+        worker.own_slots = (worker.own_slots - slots).max(0.0);
+        self.unstarted_count -= worker.unstarted.len();
+        worker.unstarted.retain(|unstarted| unstarted.id != id);
+        self.unstarted_count += worker.unstarted.len();
+        if worker.own_slots <= 0.0 {
+            self.busy.remove(&index);
+        }
+    }
+
+    /// An attempt has ended. Returns its worker; `None` if nothing of the kind was in flight.
+    pub(super) fn handle_outcome(
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        status: Status,
+        load: Option<Load>,
+    ) -> Option<usize> {
+        let full_may_have_run = self.settings.rules.full_may_have_run;
+        let open = self.open.get_mut(&id.request)?;
+        let attempt = open
+            .attempts
+            .get_mut(id.attempt as usize)
+            .filter(|attempt| !attempt.done)?;
+        attempt.done = true;
+        attempt.never_ran = match status {
+            Status::Full => !full_may_have_run,
+            Status::ConnectFailed | Status::Moot => true,
+            _ => false,
+        };
+        let ended = attempt.clone();
+        let (class, estimate) = (open.class, open.estimate);
+        let has_affinity = open.affinity.is_some();
+        let slots = if ended.timed_out { 0.0 } else { open.slots };
+        if status == Status::Moot && id.attempt > 0 {
+            self.take_back_retry(ended.sent);
+        }
+        let fetched = ended
+            .started
+            .filter(|_| has_affinity)
+            .and_then(|started| affinity::fetch_time(started, ended.first_progress, now));
+        let was_sent_away = ended.away_from_home && status == Status::Ok;
+        if let Some(took) = fetched.filter(|_| was_sent_away) {
+            self.fetches.sent_away(took);
+        }
+        self.release_slots(now, ended.worker, id, slots);
+        self.workers[ended.worker].idle_since.push(now);
+        load.iter()
+            .for_each(|load| self.handle_load(now, ended.worker, load));
+        self.learn_from_status(now, &ended, status);
+        if let (Status::Ok, Some(started)) = (status, ended.started) {
+            let run = now
+                .saturating_sub(started)
+                .saturating_sub(fetched.unwrap_or(0.0) as Time);
+            let kind = self.workers[ended.worker].kind;
+            let speed = &mut self.kinds[kind].speed;
+            let run_time = &mut self.classes[class].run_time;
+            runs::learn(speed, run_time, &mut self.run_times, estimate, run);
+        }
+        Some(ended.worker)
+    }
+
+    /// An attempt that was never made does not count against the budget of retries.
+    fn take_back_retry(&mut self, sent: Time) {
+        if let Ok(position) = self.retried_at.binary_search(&sent) {
+            self.retried_at.remove(position);
+        }
+    }
+
+    /// What the end says of the worker, or of the connection.
+    fn learn_from_status(&mut self, now: Time, ended: &Attempt, status: Status) {
+        let was_idle = ended.connection_idle > 0;
+        if status == Status::Reset && ended.started.is_none() && was_idle {
+            // Broken before the job began, on a connection long unused: that tells of it, not of the worker.
+            let trusted = ended.connection_idle as f64 * IDLE_TRUSTED;
+            self.trusted_idle = self.trusted_idle.min(trusted);
+        } else if status != Status::Timeout {
+            // A time-out has been recorded when it was overdue.
+            self.record_outcome(now, ended.worker, status);
+        }
+    }
+
+    /// Mean work of a request of this class, in microseconds at mean speed.
+    pub(super) fn work(&self, class: usize, estimate: Option<Time>) -> f64 {
+        self.classes[class].run_time.mean(estimate)
+    }
+}
--- /dev/null
+++ b/src/decisions/health.rs
@@ -0,0 +1,68 @@
+//! Health of workers by what comes back: failure rates, ejection, probation.
+
+use super::Dispatcher;
+use super::state::{OpenRequest, Worker};
+use super::tuning::{
+    EJECTION_BASE, EJECTION_MAX, FAILURE_DECAY, FAILURE_STEP, FULL_EJECTION_MAX, LATE_STEP,
+    PROBATION_FAILURE_RATE, TIMEOUT_STEP,
+};
+use crate::api::{Effect, Status, Time};
+
+impl Dispatcher {
+    /// Learns from the end of an attempt.
+    pub(super) fn record_outcome(&mut self, now: Time, index: usize, status: Status) {
+        match status {
+            Status::Ok => {
+                let worker = &mut self.workers[index];
+                worker.failure_rate -= FAILURE_STEP * worker.failure_rate;
+                self.record_progress(now, index);
+            }
+            Status::Error | Status::Reset | Status::ConnectFailed => {
+                self.workers[index].record_failure(now, FAILURE_STEP, false);
+            }
+            Status::Timeout => self.workers[index].record_failure(now, TIMEOUT_STEP, true),
+            Status::Full => {
+                // A slot frees within about a run time.
+                let run = (self.run_times.1 / self.run_times.0).min(FULL_EJECTION_MAX) as Time;
+                let worker = &mut self.workers[index];
+                worker.ejected_until = worker.ejected_until.max(now + run);
+                self.count_start(index, true);
+                self.rejected_share += LATE_STEP * (1.0 - self.rejected_share);
+            }
+            Status::Cancelled | Status::Moot => {}
+        }
+    }
+
+    /// The worker makes progress with a job: an ejection for being unresponsive is over.
+    pub(super) fn record_progress(&mut self, now: Time, index: usize) {
+        let worker = &mut self.workers[index];
+        if std::mem::take(&mut worker.timeouts_in_a_row) > 0 {
+            worker.ejected_until = worker.ejected_until.min(now);
+        }
+    }
+
+    /// Whether a worker on probation may get this request: one at a time, whose failure can be made good elsewhere.
+    pub(super) fn may_probe_health(&self, worker: &Worker, open: &OpenRequest) -> bool {
+        worker.own_slots == 0.0 && self.settings.classes[open.class].effect != Effect::Unsafe
+    }
+
+    /// Failure rates fade by themselves: where no class may be repeated, nothing else would ever end a probation.
+    pub(super) fn decay_failures(&mut self, now: Time) {
+        let listed = self.workers.iter_mut();
+        listed
+            .filter(|worker| worker.ejected_until <= now)
+            .for_each(|worker| worker.failure_rate *= FAILURE_DECAY);
+    }
+}
+
+impl Worker {
+    /// An error at once leaves the worker with few jobs in flight: without an ejection it would win every draw.
+    fn record_failure(&mut self, now: Time, step: f64, is_timeout: bool) {
+        self.failure_rate += step * (1.0 - self.failure_rate);
+        let ejection = (EJECTION_BASE / (1.0 - self.failure_rate).powi(2)).min(EJECTION_MAX);
+        // One failure alone may be the connection's, and would eject half the fleet; two in a row are not.
+        if is_timeout || self.failure_rate > PROBATION_FAILURE_RATE {
+            self.ejected_until = self.ejected_until.max(now + ejection as Time);
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/learning.rs
@@ -0,0 +1,231 @@
+//! What a dispatcher has learned, as a value, and merging what another one has learned: the process that it replaces,
+//! or its own former process. What restricts is taken as it stands, what is measured counts by its age, and what permits
+//! (a budget of a worker that warms up, a place in the membership list) is neither written nor taken.
+
+use super::Dispatcher;
+use super::state::{Demand, Kind, Worker};
+use super::tuning::{EJECTION_MAX, KINDS_MAX, PROBATION_FAILURE_RATE};
+use crate::api::{Time, WorkerId, WorkerState};
+use crate::learned_state::{self, LearnedState, Pace, aged};
+
+/// Run times, speeds and fetches are those of programs and machines: they are true for minutes.
+const RUN_TIMES_LAST: Time = 600_000_000;
+/// Arrivals, queues and late starts change within seconds, as the memory of the arrivals.
+const PACE_LASTS: Time = 5_000_000;
+/// Slots at one worker are told in a byte.
+const SLOTS_TOLD_MAX: f64 = 255.0;
+
+/// How many workers there are.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct WorkerCounts {
+    /// Workers that the membership list holds.
+    pub listed: u64,
+    /// Those of them that get nothing now, or only one request at a time, after failures.
+    pub avoided: u64,
+}
+
+impl Dispatcher {
+    /// Counts the workers of the list.
+    pub fn worker_counts(&self, now: Time) -> WorkerCounts {
+        let is_avoided = |worker: &Worker| {
+            let is_ejected = now < worker.ejected_until;
+            worker.active && (is_ejected || worker.failure_rate > PROBATION_FAILURE_RATE)
+        };
+        let mut counts = WorkerCounts::default();
+        for worker in self.listed_workers() {
+            counts.listed += 1;
+            counts.avoided += u64::from(is_avoided(worker));
+        }
+        counts
+    }
+
+    fn listed_workers(&self) -> impl Iterator<Item = &Worker> {
+        let workers = self.workers.iter();
+        workers.filter(|worker| worker.listed.state != WorkerState::Left)
+    }
+
+    /// What it has learned until now, of workers that the list still names.
+    pub fn learned_state(&self, now: Time) -> LearnedState<u32> {
+        let class = |(id, index): (usize, &usize)| {
+            let stats = &self.classes[*index];
+            let of = learned_state::Class {
+                run_time: stats.run_time.clone(),
+                longest_patience: stats.longest_patience,
+            };
+            (id as u32, of)
+        };
+        let kinds = 0..self.kinds.len();
+        let tenants = (0..).map_while(|tenant| Some((tenant, self.arrivals.share(tenant)?)));
+        let retried_from = self
+            .retried_at
+            .len()
+            .saturating_sub(learned_state::RETRIED_MAX);
+        LearnedState {
+            at: now,
+            kinds: kinds.map(|id| (id as u32, self.learned_kind(id))).collect(),
+            classes: self.class_of.iter().enumerate().map(class).collect(),
+            tenants: tenants
+                .map(|(tenant, share)| (tenant, share.clamp(0.0, 1.0)))
+                .collect(),
+            workers: self
+                .listed_workers()
+                .map(|worker| (worker.listed.worker, worker.learned()))
+                .collect(),
+            held: self.held_slots(),
+            retried_at: self.retried_at.iter().skip(retried_from).copied().collect(),
+            pace: Some(self.pace(now)),
+        }
+    }
+
+    fn learned_kind(&self, id: usize) -> learned_state::Kind {
+        let kind = &self.kinds[id];
+        let weight = self.affinity_weights.0.get(id).copied().unwrap_or(0.0);
+        learned_state::Kind {
+            slots: kind.slots,
+            slots_reported: kind.slots_reported,
+            speed: kind.speed.clone(),
+            weight: weight.clamp(0.0, 1.0),
+        }
+    }
+
+    fn pace(&self, now: Time) -> Pace {
+        Pace {
+            run_times: self.run_times,
+            fetches: self.fetches,
+            arrivals: self.arrivals.rates(now),
+            home_preference: self.home_preference,
+            late_start_share: self.late_start_share,
+            wait_window: self.wait_window.min(learned_state::UNLIMITED),
+            trusted_idle: self.trusted_idle.min(learned_state::UNLIMITED),
+            demand: (self.demand.value, self.demand.work),
+            rejected_share: self.rejected_share,
+        }
+    }
+
+    /// Slots that its jobs hold at workers now.
+    pub fn held_slots(&self) -> Vec<(WorkerId, f64)> {
+        let busy = self.busy.iter().map(|index| &self.workers[*index]);
+        busy.map(|worker| (worker.listed.worker, worker.own_slots))
+            .collect()
+    }
+
+    /// Merges what another one has learned. Of what both know, the one that has seen more is believed.
+    pub(super) fn merge_learned(&mut self, now: Time, other: LearnedState<u32>) {
+        let age = now.saturating_sub(other.at);
+        let run_weight = aged(age, RUN_TIMES_LAST);
+        let pace_weight = aged(age, PACE_LASTS);
+        for (id, kind) in other.kinds {
+            self.merge_kind(id as usize, kind, run_weight);
+        }
+        for (id, class) in other.classes {
+            self.merge_class(id as usize, class, run_weight);
+        }
+        for (id, worker) in other.workers {
+            let known = self.index.get(&id).map(|index| &mut self.workers[*index]);
+            // Another start of it is another worker.
+            if let Some(known) = known.filter(|known| known.listed.ready_at == worker.started_at) {
+                known.merge(now, &worker, pace_weight);
+            }
+        }
+        let slots = |(id, slots): &(u32, f64)| (*id, slots.round().min(SLOTS_TOLD_MAX) as u8);
+        let held: Vec<_> = other.held.iter().map(slots).collect();
+        self.handle_peer_update(other.at.min(now), self.settings.me, &held);
+        self.merge_retries(now, other.retried_at);
+        let has_seen_more = |pace: &Pace| pace.run_times.0 * run_weight > self.run_times.0;
+        if let Some(pace) = other.pace.filter(has_seen_more) {
+            self.take_pace(now, &pace, run_weight, pace_weight);
+            for (tenant, share) in &other.tenants {
+                self.arrivals.set_share(*tenant, *share);
+            }
+            if age < PACE_LASTS {
+                self.wait_window = self.wait_window.min(pace.wait_window);
+            }
+        }
+        self.solve_draw(now);
+    }
+
+    fn merge_kind(&mut self, id: usize, other: learned_state::Kind, run_weight: f64) {
+        let id = id.min(KINDS_MAX);
+        let kinds = self.kinds.len().max(id + 1);
+        self.kinds.resize(kinds, Kind::default());
+        let kind = &mut self.kinds[id];
+        // Without reports slots are what was observed, the most counts; a report tells them for good.
+        match (kind.slots_reported, other.slots_reported) {
+            (true, false) => {}
+            (false, true) => {
+                kind.slots = other.slots;
+                kind.slots_reported = true;
+            }
+            _ => kind.slots = kind.slots.max(other.slots),
+        }
+        if other.speed.weight() * run_weight > kind.speed.weight() {
+            kind.speed = other.speed.faded(run_weight);
+        }
+        self.affinity_weights.0.resize(kinds, 0.0);
+        self.affinity_weights.0[id] = other.weight;
+    }
+
+    fn merge_class(&mut self, id: usize, other: learned_state::Class, run_weight: f64) {
+        let Some(index) = self.class_of.get(id) else {
+            return;
+        };
+        let class = &mut self.classes[*index];
+        class.longest_patience = class.longest_patience.max(other.longest_patience);
+        if other.run_time.weight() * run_weight > class.run_time.weight() {
+            class.run_time = other.run_time.faded(run_weight);
+        }
+    }
+
+    /// The same may be told twice: what is known counts once.
+    fn merge_retries(&mut self, now: Time, retried_at: Vec<Time>) {
+        if self.settings.rules.resends.is_none() {
+            return;
+        }
+        let is_new = |at: &Time| *at <= now && self.retried_at.binary_search(at).is_err();
+        let new: Vec<Time> = retried_at.into_iter().filter(is_new).collect();
+        self.retried_at.extend(new);
+        self.retried_at.make_contiguous().sort_unstable();
+    }
+
+    fn take_pace(&mut self, now: Time, pace: &Pace, run_weight: f64, pace_weight: f64) {
+        self.run_times = (pace.run_times.0 * run_weight, pace.run_times.1 * run_weight);
+        self.fetches = pace.fetches.faded(run_weight);
+        self.arrivals.resume(now, pace.arrivals, pace_weight);
+        self.home_preference = 1.0 - (1.0 - pace.home_preference) * pace_weight;
+        self.late_start_share = pace.late_start_share.map(|share| share * pace_weight);
+        self.rejected_share = pace.rejected_share * pace_weight;
+        self.demand = Demand {
+            value: pace.demand.0,
+            work: pace.demand.1,
+        };
+        self.trusted_idle = self.trusted_idle.min(pace.trusted_idle);
+    }
+}
+
+impl Worker {
+    fn learned(&self) -> learned_state::Worker {
+        learned_state::Worker {
+            started_at: self.listed.ready_at,
+            start_delay: self.start_delay,
+            others_slots: self.others_slots,
+            load_updated_at: self.load_updated_at,
+            failure_rate: self.failure_rate,
+            ejected_until: self.ejected_until,
+            timeouts_in_a_row: self.timeouts_in_a_row,
+        }
+    }
+
+    fn merge(&mut self, now: Time, other: &learned_state::Worker, pace_weight: f64) {
+        self.start_delay = self.start_delay.min(other.start_delay);
+        self.failure_rate = self.failure_rate.max(other.failure_rate * pace_weight);
+        let ejected_until = other.ejected_until.min(now + EJECTION_MAX as Time);
+        self.ejected_until = self.ejected_until.max(ejected_until);
+        self.timeouts_in_a_row = self.timeouts_in_a_row.max(other.timeouts_in_a_row);
+        // A load update from the future would stay for good.
+        let updated_at = other.load_updated_at.filter(|at| *at <= now);
+        if updated_at > self.load_updated_at {
+            self.others_slots = other.others_slots;
+            self.load_updated_at = updated_at;
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/load.rs
@@ -0,0 +1,100 @@
+//! How loaded workers look, and how many own requests may wait in their queues.
+
+use super::Dispatcher;
+use super::state::Worker;
+use super::tuning::{CROSSING_LATE_STARTS, LATE_STEP, WAIT_LOAD, WINDOW_DECREASE, group};
+use crate::api::Time;
+use crate::runs::fresh;
+
+/// Half a slot more than there is still counts as a free one: loads are averages.
+const HALF_SLOT: f64 = 0.5;
+/// Attempts that may wait at workers which look free, whatever the window: a constant and a factor on the window.
+const LOOKS_FREE_MIN: f64 = 2.0;
+const LOOKS_FREE_WINDOWS: f64 = 2.0;
+
+impl Dispatcher {
+    /// Whether one more own attempt may wait. A worker that looks free does so to many dispatchers at once.
+    pub(super) fn may_wait(&self, is_unlikely: bool) -> bool {
+        let limit = if is_unlikely {
+            self.wait_window
+        } else {
+            LOOKS_FREE_WINDOWS * self.wait_window + LOOKS_FREE_MIN + WAIT_LOAD * self.arrivals.work
+        };
+        (self.unstarted_count as f64) < limit
+    }
+
+    /// Whether a worker may take some held request. While there is none, no request is looked at.
+    pub(super) fn has_free_worker(&self, now: Time) -> bool {
+        let may_queue = self.may_wait(true);
+        let is_free = |worker: &Worker| {
+            !self.is_crowded(now, worker, 0.0) || (may_queue && worker.unstarted.is_empty())
+        };
+        let takes = |index: &usize| {
+            let worker = &self.workers[*index];
+            now >= worker.ejected_until && is_free(worker)
+        };
+        let is_preferred = |position: usize| {
+            let group = position / self.kinds.len();
+            group == group::HOME_PREFERRED || group == group::AWAY_PREFERRED
+        };
+        let mut groups = self.groups.iter().enumerate();
+        groups.any(|(position, group)| {
+            (may_queue || is_preferred(position)) && group.iter().any(takes)
+        })
+    }
+
+    /// Slots in flight as far as known, per slot that a worker has at least while it warms up.
+    pub(super) fn load(&self, now: Time, worker: &Worker) -> f64 {
+        let in_flight = worker.own_slots + self.slots_of_others(now, worker) + 1.0;
+        in_flight / (self.slots(worker) * self.warm_up_fraction(now, worker))
+    }
+
+    /// Slots that others hold, by the last load update. A worker without one is not empty: late starts tell of all.
+    fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
+        let [away, home] = self.late_start_share;
+        let at_large = away.max(home) * self.slots(worker);
+        let recency = worker.load_updated_at.map_or(0.0, |at| fresh(now, at));
+        let expected = worker.others_slots * recency + at_large * (1.0 - recency);
+        expected.max(worker.peer_slots(now))
+    }
+
+    /// No slot is expected to be free: all known ones (and `more`) are taken, or an own attempt waits there.
+    pub(super) fn is_crowded(&self, now: Time, worker: &Worker, more: f64) -> bool {
+        let oldest = worker.unstarted.first();
+        let wait = oldest.map_or(0.0, |unstarted| now.saturating_sub(unstarted.sent) as f64);
+        worker.is_late_start(wait, self.settings.granularity)
+            || worker.own_slots + self.slots_of_others(now, worker) + HALF_SLOT
+                > self.slots(worker) + more
+    }
+
+    /// Slots of a worker, at least one.
+    pub(super) fn slots(&self, worker: &Worker) -> f64 {
+        self.kinds[worker.kind].slots.max(1.0)
+    }
+
+    /// Slots of a worker times its speed.
+    pub(super) fn capacity(&self, worker: &Worker) -> f64 {
+        self.slots(worker) * self.kinds[worker.kind].speed.speed
+    }
+
+    /// Whether a worker counts as one of the own zone; all do where crossing zones costs nothing.
+    pub(super) fn is_home(&self, worker: &Worker) -> bool {
+        self.settings.charges.cross_zone <= 0.0 || worker.listed.zone == self.settings.zone
+    }
+
+    /// Adapts the wait window and the preference for the own zone to a prompt or a late start.
+    pub(super) fn count_start(&mut self, index: usize, is_late: bool) {
+        let change = if is_late {
+            -WINDOW_DECREASE * self.wait_window
+        } else {
+            1.0 / self.wait_window
+        };
+        self.wait_window = (self.wait_window + change).clamp(1.0, self.workers.len() as f64);
+        let is_home = self.is_home(&self.workers[index]);
+        let share = &mut self.late_start_share[usize::from(is_home)];
+        *share += LATE_STEP * (f64::from(u8::from(is_late)) - *share);
+        let [away, home] = self.late_start_share;
+        let gain = home - away - CROSSING_LATE_STARTS * self.settings.charges.cross_zone;
+        self.home_preference = (self.home_preference - LATE_STEP * gain).clamp(0.0, 1.0);
+    }
+}
--- /dev/null
+++ b/src/decisions/membership.rs
@@ -0,0 +1,108 @@
+//! The membership list: which workers there are, and connections to those that leave.
+
+use super::state::{Kind, ListRequest, Timed, Worker};
+use super::tuning::{KINDS_MAX, LIST_BACKOFF_FIRST, LIST_BACKOFF_MAX};
+use super::{Dispatcher, unit};
+use crate::api::{Action, Entry, Scope, Time, WorkerState};
+
+impl Dispatcher {
+    /// Takes a list, a part of one, or the failure of a request for it.
+    pub(super) fn handle_list(
+        &mut self,
+        now: Time,
+        scope: Scope,
+        entries: Vec<Entry>,
+        out: &mut Vec<Action>,
+    ) {
+        self.schedule_list_request(now, scope);
+        if matches!(scope, Scope::Full | Scope::Cached) {
+            for worker in &mut self.workers {
+                worker.active = false;
+                worker.listed.state = WorkerState::Left;
+            }
+        }
+        for entry in entries {
+            self.update_entry(now, entry);
+        }
+        let is_leaving = |worker: &Worker| !worker.active && worker.has_connections;
+        let leaving: Vec<usize> = (0..self.workers.len())
+            .filter(|index| is_leaving(&self.workers[*index]))
+            .collect();
+        for index in leaving {
+            self.close_idle(index, out);
+        }
+        self.solve_draw(now);
+        self.request_list(now, out);
+    }
+
+    fn schedule_list_request(&mut self, now: Time, scope: Scope) {
+        let backoff = self.list_request.backoff;
+        self.list_request = match scope {
+            Scope::Failed => ListRequest {
+                due: now + backoff,
+                backoff: (2 * backoff)
+                    .min(LIST_BACKOFF_MAX)
+                    .min(self.settings.rules.ask_within),
+            },
+            Scope::Cached => self.list_request,
+            _ => ListRequest {
+                due: Time::MAX,
+                backoff: LIST_BACKOFF_FIRST,
+            },
+        };
+    }
+
+    /// Something ended at a worker: closes idle connections there if it leaves, where the settings ask for that.
+    pub(super) fn close_idle(&mut self, index: usize, out: &mut Vec<Action>) {
+        let worker = &mut self.workers[index];
+        worker.has_connections = worker.active || self.settings.rules.let_go_in.is_none();
+        if !worker.has_connections {
+            worker.idle_since.clear();
+            out.push(Action::Disconnect {
+                worker: worker.listed.worker,
+            });
+        }
+    }
+
+    fn update_entry(&mut self, now: Time, entry: Entry) {
+        let kind = (entry.kind as usize).min(KINDS_MAX);
+        let kinds = self.kinds.len().max(kind + 1);
+        self.kinds.resize(kinds, Kind::default());
+        let next = self.workers.len();
+        let index = *self.index.entry(entry.worker).or_insert(next);
+        if index == next {
+            self.workers.push(Worker::new(Entry::default()));
+        }
+        // Dispatchers hear of a start together: each begins to save at a point of its own.
+        let owed = -unit(&mut self.rng) * self.run_times.1 / self.run_times.0.max(1.0);
+        let worker = &mut self.workers[index];
+        if entry.ready_at > worker.listed.ready_at {
+            worker.warm_up_budget = Timed {
+                value: owed,
+                at: now,
+            };
+            worker.forget_former_process();
+        }
+        worker.active = entry.state == WorkerState::Active;
+        worker.kind = kind;
+        worker.listed = entry;
+    }
+
+    /// Keeps a subscription where the list must be requested; one event answers each request.
+    pub(super) fn request_list(&mut self, now: Time, out: &mut Vec<Action>) {
+        if now >= self.list_request.due {
+            self.list_request.due = now + self.settings.rules.ask_within;
+            out.push(Action::Watch(true));
+        }
+    }
+}
+
+impl Worker {
+    /// A new process under the old id: what was learned of the old one says nothing of it.
+    fn forget_former_process(&mut self) {
+        self.failure_rate = 0.0;
+        self.ejected_until = 0;
+        self.others_slots = 0.0;
+        self.load_updated_at = None;
+    }
+}
--- /dev/null
+++ b/src/decisions/observations.rs
@@ -0,0 +1,114 @@
+//! Load of workers as observed: reports, probes and what peers say.
+
+use super::Dispatcher;
+use super::state::PeerClaim;
+use super::tuning::{PEER_UPDATE_MAX, PROBE_AGE, PROBE_WAIT, REPORT_AGE, SAMPLE_SIZE};
+use crate::api::{Action, Load, RequestId, Time, WorkerId};
+
+/// Bytes of a peer update: for each worker, and for the rest.
+const PEER_UPDATE_WORKER_BYTES: usize = 5;
+const PEER_UPDATE_REST_BYTES: usize = 1;
+/// Bytes that the price of a peer update is for.
+const PRICED_BYTES: f64 = 256.0;
+/// An update is sent as soon as this many times its price is saved up.
+const PEER_UPDATE_PRICE_FACTOR: f64 = 2.0;
+/// Free slots from which a report with an empty queue tells all slots of a worker.
+const FREE_SLOTS_MIN: f64 = 0.7;
+/// A queue shorter than this counts as empty.
+const EMPTY_QUEUE: f64 = 0.5;
+/// Taken off the slots that a report implies, since its figures are averages.
+const SLOTS_ROUNDING: f64 = 0.3;
+
+impl Dispatcher {
+    /// Probes sampled workers without recent load: the sooner, the longer jobs run and the less own jobs tell.
+    pub(super) fn probe(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
+        let own_share = SAMPLE_SIZE as f64 / self.settings.dispatchers as f64;
+        let jobs_per_report = REPORT_AGE * self.run_times.0.max(1.0) / self.run_times.1.max(1.0);
+        let age = (jobs_per_report.max(own_share).min(1.0) * PROBE_AGE as f64) as Time;
+        let sample = self.sample(now, id);
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let target = self.settings.classes[open.class].aim;
+        for index in &sample {
+            let worker = &mut self.workers[*index];
+            let known_at = worker.load_updated_at.unwrap_or(0).max(worker.probed_at);
+            let is_recent = known_at + age > now;
+            if !is_recent && self.overhead_budget >= self.settings.charges.probe {
+                self.overhead_budget -= self.settings.charges.probe;
+                self.probes_in_flight += 1;
+                worker.probed_at = now;
+                open.wait_until = now + (target as f64 * PROBE_WAIT) as Time;
+                out.push(Action::Probe {
+                    worker: worker.listed.worker,
+                });
+            }
+        }
+        open.probed = sample;
+    }
+
+    /// Tells peers the slots in flight at each worker, as often as the price allows.
+    pub(super) fn update_peers(&mut self, out: &mut Vec<Action>) {
+        let workers = self.busy.len().min(PEER_UPDATE_MAX);
+        let peers = self.settings.dispatchers - 1;
+        let bytes =
+            (PEER_UPDATE_WORKER_BYTES * workers + PEER_UPDATE_REST_BYTES) as f64 * peers as f64;
+        let price = PEER_UPDATE_PRICE_FACTOR * self.settings.charges.peer * bytes / PRICED_BYTES;
+        if !self.settings.limits.peers || self.overhead_budget < price {
+            return;
+        }
+        let busy = self.busy.iter().map(|index| &self.workers[*index]);
+        let held: Vec<(WorkerId, u8)> = busy
+            .filter(|worker| worker.active)
+            .take(PEER_UPDATE_MAX)
+            .map(|worker| (worker.listed.worker, worker.own_slots.round() as u8))
+            .collect();
+        if held != self.last_peer_update {
+            self.overhead_budget -= price;
+            self.last_peer_update.clone_from(&held);
+            out.push(Action::Tell { held });
+        }
+    }
+
+    /// Replaces what a peer has claimed before.
+    pub(super) fn handle_peer_update(&mut self, now: Time, peer: u32, held: &[(WorkerId, u8)]) {
+        let claimed = self.claimed.entry(peer).or_default();
+        for index in claimed.drain(..) {
+            let claims = &mut self.workers[index].peer_claims;
+            claims.retain(|claim| claim.peer != peer);
+        }
+        for (worker, slots) in held {
+            let Some(&index) = self.index.get(worker) else {
+                continue;
+            };
+            self.workers[index].peer_claims.push(PeerClaim {
+                peer,
+                slots: f64::from(*slots),
+                at: now,
+            });
+            claimed.push(index);
+        }
+    }
+
+    /// Takes a load report of a worker.
+    pub(super) fn handle_load(&mut self, now: Time, index: usize, load: &Load) {
+        let worker = &mut self.workers[index];
+        let kind = &mut self.kinds[worker.kind];
+        let nothing_waits = load.queue.is_none_or(|queue| queue < EMPTY_QUEUE);
+        let free = load.free_slots.filter(|free| *free >= FREE_SLOTS_MIN);
+        if let Some(free) = free.filter(|_| nothing_waits) {
+            // Where nothing waits (it may beside a free slot, for two), occupied and free ones are all the slots.
+            let is_first = load.inflight.is_some() && !kind.slots_reported;
+            kind.slots_reported |= is_first;
+            let known = if is_first { 1.0 } else { kind.slots };
+            let slots = load.inflight.unwrap_or(0.0) + free - SLOTS_ROUNDING;
+            kind.slots = known.max(slots.round());
+        }
+        let implied = load.free_slots.map(|free| kind.slots - free);
+        if let Some(occupied) = load.inflight.or(implied) {
+            // The report tells of a moment before this one: own jobs are taken as they stood around then.
+            worker.others_slots = (occupied - worker.running(now)).max(0.0);
+            worker.load_updated_at = Some(now);
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/reconfigure.rs
@@ -0,0 +1,54 @@
+//! Other settings while requests are open: these keep the rules of their class, and what was learned stays.
+
+use super::Dispatcher;
+use super::state::{ClassStats, QueueIndex};
+use crate::api::{Class, Settings};
+use std::collections::VecDeque;
+
+impl Dispatcher {
+    /// Takes other settings.
+    pub(super) fn reconfigure(&mut self, mut settings: Settings) {
+        let present = std::mem::take(&mut self.settings.classes);
+        let wanted = std::mem::replace(&mut settings.classes, present);
+        self.arrivals
+            .tenants(settings.tenants.iter().map(|tenant| tenant.fraction));
+        self.settings = settings;
+        for (id, class) in wanted.into_iter().enumerate() {
+            self.replace_class(id, class);
+        }
+    }
+
+    /// A class whose rules change gets an entry in the tables that no open request is of: they stay small.
+    fn replace_class(&mut self, id: usize, class: Class) {
+        let known = self.class_of.get(id).copied();
+        if known.is_some_and(|index| self.settings.classes[index] == class) {
+            return;
+        }
+        let stats = known.map_or_else(
+            || ClassStats::of(&class),
+            |index| self.classes[index].clone(),
+        );
+        let index = self.spare_class();
+        let classes = self.classes.len().max(index + 1);
+        self.classes.resize(classes, ClassStats::default());
+        self.settings.classes.resize(classes, Class::UNKNOWN);
+        let queues = QueueIndex::PER_CLASS * classes;
+        self.held.resize(queues, VecDeque::new());
+        let ids = self.class_of.len().max(id + 1);
+        self.class_of.resize(ids, index);
+        self.classes[index] = stats;
+        self.settings.classes[index] = class;
+        self.class_of[id] = index;
+    }
+
+    /// The first entry that no class and no open request uses, or one past the last.
+    fn spare_class(&self) -> usize {
+        let is_used = |index: &usize| {
+            self.class_of.contains(index) || self.open.values().any(|open| open.class == *index)
+        };
+        let is_spare =
+            |index: &usize| !is_used(index) && self.settings.classes[*index] != Class::UNKNOWN;
+        let count = self.classes.len();
+        (0..count).find(is_spare).unwrap_or(count)
+    }
+}
--- /dev/null
+++ b/src/decisions/sampling.rs
@@ -0,0 +1,265 @@
+//! Which workers are sampled for a request (SQ(d)), and which of them it goes to.
+
+use super::state::{Attempt, OpenRequest, Worker};
+use super::tuning::{
+    AFFINITY_TIERS, ANY_ZONE_TIERS, HOME_FIRST_TIERS, PROBATION_FAILURE_RATE, SAMPLE_SIZE, Tier,
+};
+use super::{Dispatcher, unit};
+use crate::affinity;
+use crate::api::{RequestId, Time};
+use rand_pcg::Pcg64Mcg;
+
+/// Weight of a unit of capacity beside p_k: kinds that the solution would not use come last, by capacity.
+const CAPACITY_WEIGHT: f64 = 1e-12;
+
+/// What a sample is drawn for.
+struct Sampled<'a> {
+    open: &'a OpenRequest,
+    work: f64,
+    /// Index of the one kind that can run it, if it is bound to one.
+    bound_kind: Option<usize>,
+    affinity: Option<u64>,
+    home_worker: Option<usize>,
+}
+
+/// Which workers count as having capacity for the request.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Capacity {
+    /// A slot is expected to be free.
+    FreeSlot,
+    /// No own attempt waits there.
+    FreeQueue,
+}
+
+impl Dispatcher {
+    /// Picks a worker for the request, or none while it is better held.
+    pub(super) fn choose(&mut self, now: Time, id: RequestId) -> Option<usize> {
+        let may_go = |open: &&OpenRequest| {
+            now < self.sendable_until(open)
+                && (now >= open.wait_until || self.probes_in_flight == 0)
+        };
+        let open = self.open.get(&id).filter(may_go)?;
+        let work = self.work(open.class, open.estimate);
+        let has_affinity = self.affinity_of(open).is_some();
+        let is_free = |index: &usize| {
+            self.is_eligible(now, *index, open, work)
+                && !self.is_crowded(now, &self.workers[*index], 0.0)
+        };
+        let mut candidates: Vec<usize> = open.probed.iter().copied().filter(is_free).collect();
+        if candidates.is_empty() {
+            candidates = self.sample(now, id);
+        }
+        if has_affinity {
+            // These are in their own order: the first that takes the request.
+            return candidates.first().copied();
+        }
+        let load = |index: &usize| self.load(now, &self.workers[*index]);
+        candidates
+            .into_iter()
+            .min_by(|a, b| load(a).total_cmp(&load(b)))
+    }
+
+    /// Draws a kind by the solved p_k and samples d of its workers, of those that best suit: free ones first.
+    pub(super) fn sample(&mut self, now: Time, id: RequestId) -> Vec<usize> {
+        let mut rng = self.rng.clone();
+        let prefers_home = unit(&mut rng) < self.home_preference;
+        let Some(open) = self.open.get(&id) else {
+            return Vec::new();
+        };
+        let request = Sampled {
+            open,
+            work: self.work(open.class, open.estimate),
+            bound_kind: self.settings.classes[open.class]
+                .kind
+                .map(|kind| kind as usize),
+            affinity: self.affinity_of(open),
+            home_worker: self.home_worker(open),
+        };
+        let tiers = match (request.affinity, prefers_home) {
+            (Some(_), _) => AFFINITY_TIERS,
+            (None, true) => HOME_FIRST_TIERS,
+            (None, false) => ANY_ZONE_TIERS,
+        };
+        let mut found = Vec::new();
+        for capacity in [Capacity::FreeSlot, Capacity::FreeQueue] {
+            for tier in tiers {
+                let is_unlikely = capacity == Capacity::FreeQueue || tier.is_fallback;
+                if found.is_empty() && self.may_wait(is_unlikely) {
+                    found = self.sample_tier(now, &mut rng, &request, tier, capacity);
+                }
+            }
+        }
+        self.rng = rng;
+        found
+    }
+
+    /// Samples one kind after the other, each drawn by its weight, until one of them has a worker for the request.
+    fn sample_tier(
+        &self,
+        now: Time,
+        rng: &mut Option<Pcg64Mcg>,
+        request: &Sampled<'_>,
+        tier: &Tier,
+        capacity: Capacity,
+    ) -> Vec<usize> {
+        let is_candidate = |kind: &usize| {
+            request.bound_kind.is_none_or(|bound| bound == *kind) && self.tier_size(tier, *kind) > 0
+        };
+        let mut kinds: Vec<usize> = (0..self.kinds.len()).filter(is_candidate).collect();
+        let mut found = Vec::new();
+        while found.is_empty() && !kinds.is_empty() {
+            let kind = self.draw_kind(rng, request.affinity, tier, &mut kinds);
+            found = self.sample_kind(
+                now,
+                rng,
+                request,
+                self.pool(tier, kind, request.affinity),
+                capacity,
+            );
+        }
+        found
+    }
+
+    /// Takes a kind out of `kinds`, drawn by p_k.
+    fn draw_kind(
+        &self,
+        rng: &mut Option<Pcg64Mcg>,
+        affinity: Option<u64>,
+        tier: &Tier,
+        kinds: &mut Vec<usize>,
+    ) -> usize {
+        let solved = if affinity.is_some() {
+            &self.affinity_weights.0
+        } else {
+            &self.kind_weights
+        };
+        let weight = |kind: &usize| {
+            let of_kind = &self.kinds[*kind];
+            let capacity = of_kind.slots.max(1.0) * of_kind.speed.speed * CAPACITY_WEIGHT;
+            solved.get(*kind).copied().unwrap_or(0.0)
+                + self.tier_size(tier, *kind) as f64 * capacity
+        };
+        let mut rest = unit(rng) * kinds.iter().map(weight).sum::<f64>();
+        let drawn = match affinity {
+            Some(affinity) => affinity::draw(
+                affinity,
+                kinds.iter().map(|kind| (*kind as u64, weight(kind))),
+            ),
+            None => kinds.iter().position(|kind| {
+                rest -= weight(kind);
+                rest < 0.0
+            }),
+        };
+        kinds.swap_remove(drawn.unwrap_or(0))
+    }
+
+    /// SQ(d): d workers of the pool without replacement; those that do not suit are passed over as drawn. Requests with
+    /// the same affinity draw the same ones.
+    fn sample_kind(
+        &self,
+        now: Time,
+        rng: &mut Option<Pcg64Mcg>,
+        request: &Sampled<'_>,
+        mut pool: Vec<usize>,
+        capacity: Capacity,
+    ) -> Vec<usize> {
+        let mut found = Vec::new();
+        while found.len() < SAMPLE_SIZE && !pool.is_empty() {
+            let drawn = (unit(rng) * pool.len() as f64) as usize;
+            let index = if request.affinity.is_some() {
+                pool.remove(0)
+            } else {
+                pool.swap_remove(drawn)
+            };
+            let worker = &self.workers[index];
+            let has_capacity = match capacity {
+                Capacity::FreeQueue => worker.unstarted.is_empty(),
+                Capacity::FreeSlot if request.home_worker == Some(index) => {
+                    !self.is_crowded(now, worker, self.fetch_slots(worker))
+                }
+                Capacity::FreeSlot => !self.is_crowded(now, worker, 0.0),
+            };
+            if has_capacity && self.is_eligible(now, index, request.open, request.work) {
+                found.push(index);
+            }
+        }
+        found
+    }
+
+    /// Workers of a tier and kind; in the order of their ranks where there is an affinity.
+    fn pool(&self, tier: &Tier, kind: usize, affinity: Option<u64>) -> Vec<usize> {
+        let groups = tier.groups.iter();
+        let mut pool: Vec<usize> = groups
+            .flat_map(|group| self.group(*group, kind))
+            .copied()
+            .collect();
+        if let Some(affinity) = affinity {
+            let rank = |index: &usize| affinity::rank(affinity, self.workers[*index].listed.worker);
+            pool.sort_by(|a, b| rank(a).total_cmp(&rank(b)));
+        }
+        pool
+    }
+
+    fn group(&self, group: usize, kind: usize) -> &[usize] {
+        &self.groups[group * self.kinds.len() + kind]
+    }
+
+    fn tier_size(&self, tier: &Tier, kind: usize) -> usize {
+        let groups = tier.groups.iter();
+        groups.map(|group| self.group(*group, kind).len()).sum()
+    }
+
+    /// The request's affinity, unless it is known that workers keep nothing that it needs.
+    fn affinity_of(&self, open: &OpenRequest) -> Option<u64> {
+        let mean_run = self.run_times.1 / self.run_times.0.max(1.0);
+        open.affinity.filter(|_| !self.fetches.none(mean_run))
+    }
+
+    /// The worker where requests with the same affinity go first: of the kind that their common draw by p_k gives.
+    pub(super) fn home_worker(&self, open: &OpenRequest) -> Option<usize> {
+        let affinity = self.affinity_of(open)?;
+        let bound_kind = self.settings.classes[open.class].kind;
+        let weight = |kind: usize| match bound_kind {
+            Some(bound) if bound as usize != kind => 0.0,
+            _ => self.affinity_weights.0[kind],
+        };
+        let kinds = 0..self.kind_weights.len();
+        let kind = affinity::draw(affinity, kinds.map(|kind| (kind as u64, weight(kind))))?;
+        let rank = |index: &usize| affinity::rank(affinity, self.workers[*index].listed.worker);
+        let of_kind = self.groups.iter().skip(kind).step_by(self.kinds.len());
+        of_kind
+            .flatten()
+            .copied()
+            .min_by(|a, b| rank(a).total_cmp(&rank(b)))
+    }
+
+    /// The home worker, if it takes the request now.
+    pub(super) fn choose_home(&self, now: Time, id: RequestId) -> Option<usize> {
+        let may_go = |open: &&OpenRequest| now < self.sendable_until(open) && self.may_wait(false);
+        let open = self.open.get(&id).filter(may_go)?;
+        let work = self.work(open.class, open.estimate);
+        let home = self.home_worker(open)?;
+        let worker = &self.workers[home];
+        let takes = self.is_eligible(now, home, open, work)
+            && !self.is_crowded(now, worker, self.fetch_slots(worker));
+        takes.then_some(home)
+    }
+
+    /// Jobs that a worker would do in the time that a fetch elsewhere takes.
+    fn fetch_slots(&self, worker: &Worker) -> f64 {
+        self.fetches.cost() * self.capacity(worker) * self.run_times.0 / self.run_times.1.max(1.0)
+    }
+
+    /// Whether this worker may get this request at all, now.
+    fn is_eligible(&self, now: Time, index: usize, open: &OpenRequest, work: f64) -> bool {
+        let worker = &self.workers[index];
+        let is_healthy = worker.failure_rate <= PROBATION_FAILURE_RATE;
+        let may_have_run_there = |a: &Attempt| a.worker == index && !a.never_ran;
+        worker.active
+            && now >= worker.ejected_until
+            && (is_healthy || self.may_probe_health(worker, open))
+            && !open.attempts.iter().any(may_have_run_there)
+            && self.effect_allows(open, worker)
+            && self.warm_up_allowance(now, worker, work) >= work
+    }
+}
--- /dev/null
+++ b/src/decisions/stragglers.rs
@@ -0,0 +1,145 @@
+//! Attempts that wait too long or make no progress: moved, withdrawn, or joined by a second attempt.
+
+use super::Dispatcher;
+use super::state::{Attempt, AttemptId};
+use super::tuning::{EJECTION_MAX, MOVE_WAIT, OVERDUE_FIRST_INTERVALS, OVERDUE_INTERVALS};
+use crate::api::{Action, AttemptNo, Effect, RequestId, Status, Time};
+
+/// Ticks after which a request that found no other worker is looked at again.
+const REVIEW_TICKS: Time = 5;
+/// Clock granularities by which a progress report may be late.
+const REPORT_SLACK_GRANULARITIES: Time = 4;
+
+impl Dispatcher {
+    /// The worker has not acknowledged the attempt in time: it waits in no queue there. Where the class allows, another
+    /// attempt goes beside.
+    pub(super) fn handle_unacknowledged(
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        out: &mut Vec<Action>,
+    ) {
+        let open = self.open.get_mut(&id.request);
+        let attempt = open.and_then(|open| open.attempts.get_mut(id.attempt as usize));
+        if let Some(attempt) = attempt.filter(|a| !a.done && a.started.is_none()) {
+            attempt.unacknowledged = true;
+            self.handle_overdue(now, id.request, out);
+        }
+    }
+
+    /// A job that has waited long at a worker moves to one that looks free; one attempt is kept for failures.
+    fn move_waiting(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        let waits_long = |a: &&Attempt| {
+            !a.done && !a.timed_out && a.started.is_none() && now >= a.sent + MOVE_WAIT
+        };
+        let Some(from) = open.attempts.last().filter(waits_long).map(|a| a.worker) else {
+            return;
+        };
+        let made = open.attempts.len();
+        let limit = open
+            .attempt_limit
+            .min(self.settings.limits.attempts as usize);
+        let is_unsafe = self.settings.classes[open.class].effect == Effect::Unsafe;
+        if made + 1 >= limit || is_unsafe {
+            return;
+        }
+        let sample = self.sample(now, id);
+        let is_better =
+            |index: &usize| *index != from && !self.is_crowded(now, &self.workers[*index], 0.0);
+        if sample.iter().any(is_better) {
+            out.push(Action::Cancel {
+                request: id,
+                attempt: made as AttemptNo - 1,
+            });
+        } else {
+            self.due.insert((now + REVIEW_TICKS * self.tick(), id));
+        }
+    }
+
+    /// When the next progress report of a job is overdue; where none are sent, a long job looks the same.
+    pub(super) fn overdue_at(&self, attempt: &Attempt) -> Time {
+        let (reported_at, done) = attempt.last_progress;
+        let intervals = if done > 0.0 {
+            OVERDUE_INTERVALS
+        } else {
+            OVERDUE_FIRST_INTERVALS
+        };
+        let wait = intervals * self.settings.progress as f64;
+        let reports = self.settings.tells_start && wait > 0.0;
+        match attempt.started {
+            Some(_) if reports => {
+                let slack = REPORT_SLACK_GRANULARITIES * self.settings.granularity;
+                reported_at.saturating_add(wait as Time + slack)
+            }
+            None if attempt.unacknowledged => 0,
+            _ => Time::MAX,
+        }
+    }
+
+    /// Where a report is overdue, slots count as free; where the class allows, another attempt goes beside.
+    pub(super) fn handle_overdue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
+        let retries = self.retries_left(now);
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        let may_retry = retries >= 1.0 && now < self.sendable_until(open);
+        let moves = self.settings.limits.moves();
+        let is_overdue = |a: &Attempt| !a.done && !a.timed_out && now >= self.overdue_at(a);
+        if let Some(number) = open.attempts.iter().position(is_overdue) {
+            let attempt = number as AttemptNo;
+            self.time_out(
+                now,
+                AttemptId {
+                    request: id,
+                    attempt,
+                },
+            );
+            if may_retry && moves {
+                // Its end sends the next.
+                out.push(Action::Cancel {
+                    request: id,
+                    attempt,
+                });
+            }
+        }
+        if may_retry && moves {
+            self.move_waiting(now, id, out);
+        }
+        let has_none_in_time =
+            |attempts: &[Attempt]| attempts.iter().all(|a| a.done || a.timed_out);
+        let needs_another = self
+            .open
+            .get(&id)
+            .is_some_and(|open| has_none_in_time(&open.attempts));
+        let may_double = may_retry && self.settings.limits.duplicates;
+        if needs_another && may_double && !self.place(now, id, out) {
+            self.due.insert((now + REVIEW_TICKS * self.tick(), id));
+        }
+    }
+
+    /// Gives the slots of an overdue attempt back and records a time-out of its worker.
+    fn time_out(&mut self, now: Time, id: AttemptId) {
+        let Some(open) = self.open.get_mut(&id.request) else {
+            return;
+        };
+        let slots = open.slots;
+        let attempt = &mut open.attempts[id.attempt as usize];
+        attempt.timed_out = true;
+        let index = attempt.worker;
+        let waited = now - attempt.sent.max(attempt.last_progress.0);
+        self.release_slots(now, index, id, slots);
+        if self.settings.limits.moves() {
+            // Withdrawn, it will not say when the worker is back: no new attempt there sooner than it took to notice.
+            let worker = &mut self.workers[index];
+            worker.timeouts_in_a_row += u32::from(now >= worker.ejected_until);
+            let ejection = waited
+                .saturating_mul(worker.timeouts_in_a_row.into())
+                .min(EJECTION_MAX as Time);
+            worker.ejected_until = worker.ejected_until.max(now + ejection);
+        }
+        self.record_outcome(now, index, Status::Timeout);
+    }
+}
--- /dev/null
+++ b/src/decisions/takeover.rs
@@ -0,0 +1,128 @@
+//! Open requests that go over to the process that takes over.
+
+use super::Dispatcher;
+use super::state::{Attempt, AttemptId, Kind, OpenRequest, UnstartedAttempt, Worker};
+use crate::api::{Action, AttemptNo, Entry, RequestId, Time};
+use crate::transferred_job::TransferredJob;
+
+impl Dispatcher {
+    /// Gives a request away to the process that takes over, with all attempts in flight: it is not known here any more.
+    /// `None` where there is no such request, it has its final answer, or the settings have changed the rules that it
+    /// came with: it stays.
+    pub fn release(&mut self, now: Time, id: RequestId) -> Option<TransferredJob<u32>> {
+        let rules = self.open.get(&id).filter(|open| !open.closed)?.class;
+        let class = self.class_of.iter().position(|index| *index == rules)? as u32;
+        let open = self.open.remove(&id)?;
+        self.due.retain(|due| due.1 != id);
+        if let Some(queue) = open.held_in {
+            self.held[queue.0].retain(|other| *other != id);
+        }
+        for (number, attempt) in open.attempts.iter().enumerate() {
+            if attempt.done {
+                continue;
+            }
+            let slots = if attempt.timed_out { 0.0 } else { open.slots };
+            let of = AttemptId {
+                request: id,
+                attempt: number as AttemptNo,
+            };
+            self.release_slots(now, attempt.worker, of, slots);
+        }
+        let worker = |index: usize| self.workers[index].listed.worker;
+        let attempts = open.attempts.into_iter();
+        Some(TransferredJob {
+            class,
+            late_from: open.late_from,
+            deadline: open.deadline,
+            estimate: open.estimate,
+            affinity: open.affinity,
+            slots: open.slots,
+            attempt_limit: open.attempt_limit,
+            over_share: open.over_share,
+            attempts: attempts.map(|attempt| attempt.at(worker)).collect(),
+        })
+    }
+
+    /// Goes on with a request that another process has begun.
+    pub(super) fn take_over(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        job: TransferredJob<u32>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(class) = self.class_of.get(job.class as usize).copied() else {
+            return;
+        };
+        let mut open = OpenRequest {
+            class,
+            late_from: job.late_from,
+            deadline: job.deadline,
+            estimate: job.estimate,
+            affinity: job.affinity,
+            slots: job.slots,
+            attempt_limit: job.attempt_limit,
+            over_share: job.over_share,
+            ..OpenRequest::default()
+        };
+        for (number, attempt) in job.attempts.into_iter().enumerate() {
+            let index = self.worker_index(now, attempt.worker);
+            let attempt = attempt.at(|_| index);
+            let of = AttemptId {
+                request: id,
+                attempt: number as AttemptNo,
+            };
+            self.take_over_attempt(now, of, &attempt, open.slots);
+            open.attempts.push(attempt);
+        }
+        if self.settings.classes[class].late_worth <= 0.0 {
+            self.due.insert((open.late_from + 1, id));
+        }
+        self.open.insert(id, open);
+        self.place_or_hold(now, id, out);
+    }
+
+    /// Where a worker stands in the table. One that this process's list has not named gets nothing new.
+    fn worker_index(&mut self, now: Time, worker: u32) -> usize {
+        let next = self.workers.len();
+        let index = *self.index.entry(worker).or_insert(next);
+        if index == next {
+            self.workers.push(Worker::new(Entry {
+                worker,
+                ..Entry::default()
+            }));
+            let kinds = self.kinds.len().max(1);
+            self.kinds.resize(kinds, Kind::default());
+            self.solve_draw(now);
+        }
+        index
+    }
+
+    /// Counts an attempt of another process as one of this one's.
+    fn take_over_attempt(&mut self, now: Time, id: AttemptId, attempt: &Attempt, slots: f64) {
+        if attempt.done {
+            return;
+        }
+        if !attempt.timed_out {
+            let worker = &mut self.workers[attempt.worker];
+            worker.running(now);
+            worker.own_slots += slots;
+            self.busy.insert(attempt.worker);
+            if attempt.started.is_none() && self.settings.tells_start {
+                worker.unstarted.push(UnstartedAttempt {
+                    sent: attempt.sent,
+                    id,
+                    slots,
+                });
+                self.unstarted_count += 1;
+                let move_due = self.move_due(attempt.sent);
+                let moves = self.settings.limits.moves();
+                self.due.extend(moves.then_some((move_due, id.request)));
+            }
+        }
+        if attempt.started.is_some() {
+            let due = self.overdue_at(attempt);
+            self.due.insert((due, id.request));
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/warm_up.rs
@@ -0,0 +1,60 @@
+//! Workers that have just started: how much of their capacity is there, and what may be sent to them. The rule that
+//! limits this is a budget of work in any window (`tip_multiple`, `tip_window` of the settings).
+
+use super::Dispatcher;
+use super::state::Worker;
+use super::tuning::{SAMPLE_SIZE, WARM_UP_JOBS, WARM_UP_USE};
+use crate::api::Time;
+
+/// Least share of its capacity that a worker is taken to have at its start.
+const INITIAL_FRACTION_MIN: f64 = 0.01;
+/// Spreads the first dispatchers of the workers evenly: 2^64 over the golden ratio.
+const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+
+impl Dispatcher {
+    /// Share of its capacity that a worker has at least: rises evenly from the initial share.
+    pub(super) fn warm_up_fraction(&self, now: Time, worker: &Worker) -> f64 {
+        if worker.listed.ready_at == 0 {
+            return 1.0;
+        }
+        let rules = &self.settings.rules;
+        let age = now.saturating_sub(worker.listed.ready_at) as f64;
+        let initial = rules.cold_from.clamp(INITIAL_FRACTION_MIN, 1.0);
+        let fraction = initial + (1.0 - initial) * age / rules.warm_after.max(1) as f64;
+        fraction.min(1.0)
+    }
+
+    /// Work that may be sent in each unit of time to a worker that warms up; `None` for any other. Its budget goes to so
+    /// few dispatchers that a part soon pays for a job: a hundredth of it would not before the worker is warm.
+    pub(super) fn warm_up_rate(&self, now: Time, worker: &Worker) -> Option<f64> {
+        let fraction = self.warm_up_fraction(now, worker);
+        if fraction >= 1.0 {
+            return None;
+        }
+        let rules = &self.settings.rules;
+        let dispatchers = u64::from(self.settings.dispatchers);
+        let budget = rules.tip_multiple * WARM_UP_USE * self.capacity(worker);
+        let least = budget * rules.cold_from * rules.tip_window as f64 / WARM_UP_JOBS;
+        let jobs = (least * self.run_times.0 / self.run_times.1.max(1.0)) as u64;
+        let parts = jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
+        // Ids tell nothing, so each worker has a first dispatcher of its own, the same for all who compute it.
+        let first = u64::from(worker.listed.worker).wrapping_mul(SPREAD) >> 32;
+        let own_part = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
+        Some(if own_part {
+            budget * fraction / parts as f64
+        } else {
+            0.0
+        })
+    }
+
+    /// Work that may be sent to a worker now: to one that warms up its part of the budget, saved up evenly.
+    pub(super) fn warm_up_allowance(&self, now: Time, worker: &Worker, work: f64) -> f64 {
+        let Some(rate) = self.warm_up_rate(now, worker) else {
+            return f64::INFINITY;
+        };
+        let budget = worker.warm_up_budget;
+        let saved = budget.value + rate * now.saturating_sub(budget.at) as f64;
+        let most = rate * self.settings.rules.tip_window as f64 / WARM_UP_JOBS;
+        saved.min(work.max(most))
+    }
+}
--- a/src/front/platform/kin.rs
+++ b/src/front/platform/kin.rs
@@ -3,7 +3,7 @@
 use super::Platform;
 use crate::config::{Names, News};
 use crate::core::{Recall, Told};
-use crate::learned::Learned;
+use crate::learned_state::LearnedState;
 use crate::net::log;
 use async_channel::{Receiver, Sender, bounded};
 use std::cell::RefCell;
@@ -25,7 +25,7 @@
     /// This process takes clients now.
     Serves,
     /// What this process has learned, as written.
-    Learned(Vec<u8>),
+    LearnedState(Vec<u8>),
     /// A job goes over, with its client's connection.
     Moved(Vec<u8>, TcpStream),
 }
@@ -100,28 +100,28 @@
     pub async fn tell_learned(&self, kin: &Kin, how: Recall) {
         let (to, from) = bounded(1);
         let _ = self.core.send(Told::Recall(to, how)).await;
-        let Ok(learned) = from.recv().await else {
+        let Ok(learned_state) = from.recv().await else {
             return;
         };
-        let mut named = self.named(learned);
+        let mut named = self.named(learned_state);
         let form = named.write().or_else(|| {
             // Too many machines: what is known of kinds, classes and the whole is worth more.
             named.workers.clear();
             named.write()
         });
         if let Some(form) = form {
-            let _ = kin.words.send(Word::Learned(form)).await;
+            let _ = kin.words.send(Word::LearnedState(form)).await;
         }
     }
 
     /// Takes in what the other process has learned; a text that cannot be read changes nothing.
     pub async fn take_learned(&self, form: &[u8]) {
-        match Learned::read(form) {
+        match LearnedState::read(form) {
             Err(why) => log(format_args!(
                 "handover: what the other process has learned is not taken: {why}"
             )),
-            Ok(learned) => {
-                let of = self.numbered(learned);
+            Ok(learned_state) => {
+                let of = self.numbered(learned_state);
                 if of.pace.is_some() {
                     let (kinds, classes, machines) =
                         (of.kinds.len(), of.classes.len(), of.workers.len());
@@ -129,17 +129,17 @@
                         "handover: takes over what was learned kinds={kinds} classes={classes} machines={machines}"
                     ));
                 }
-                let _ = self.core.send(Told::Learned(Box::new(of))).await;
+                let _ = self.core.send(Told::LearnedState(Box::new(of))).await;
             }
         }
     }
 
     /// The same under names that mean the same in every process.
-    fn named(&self, learned: Learned<u32>) -> Learned<String> {
+    fn named(&self, learned_state: LearnedState<u32>) -> LearnedState<String> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
         let hosts: HashMap<u32, &String> = names.iter().map(|(host, id)| (*id, host)).collect();
         let name = |names: &Names, id: &u32| names.all().nth(*id as usize).map(str::to_string);
-        learned.renamed(
+        learned_state.renamed(
             |kind| name(&site.kinds, kind),
             |class| name(&site.classes, class),
             |tenant| name(&site.tenants, tenant),
@@ -148,9 +148,9 @@
     }
 
     /// The same under this process's numbers; what it has no name for is left out.
-    fn numbered(&self, learned: Learned<String>) -> Learned<u32> {
+    fn numbered(&self, learned_state: LearnedState<String>) -> LearnedState<u32> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
-        learned.renamed(
+        learned_state.renamed(
             |kind| site.kinds.find(kind),
             |class| site.class(class),
             |tenant| site.tenants.find(tenant),
--- a/src/front/platform/moving.rs
+++ b/src/front/platform/moving.rs
@@ -7,11 +7,11 @@
 use super::workers::{AttemptState, Order, Stage};
 use super::{Parcel, Platform};
 use crate::api::Time;
-use crate::carried::Carried;
 use crate::config::News;
 use crate::core::{AttemptId, JobId, Reply, Told};
 use crate::net::set::Way;
 use crate::net::{Link, log};
+use crate::transferred_job::TransferredJob;
 use async_channel::{Receiver, SendError, Sender, bounded};
 use async_io::{Async, Timer};
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
     keep: bool,
     rest: Vec<u8>,
     messages: u64,
-    job: Carried<String>,
+    job: TransferredJob<String>,
 }
 
 /// Where open jobs go, if anywhere.
@@ -115,7 +115,7 @@
                 let (to, from) = bounded(1);
                 let _ = self.core.send(Told::Release(id, to)).await;
                 if let Ok(Some(released)) = from.recv().await {
-                    let job = self.carried(released.job);
+                    let job = self.transferred_job(released.job);
                     let (text, body) = (parcel.text.filled().to_vec(), parcel.body);
                     let (rest, messages, until) =
                         (Vec::new(), served.messages.get(), released.until);
@@ -256,12 +256,12 @@
         let mut waits = None;
         if let Some((job, (id, parcel))) = taken {
             let attempts = job
-                .tries
+                .attempts
                 .iter()
                 .map(|t| AttemptState::new(t.worker, Stage::Taken));
             parcel.attempts.borrow_mut().extend(attempts);
             // Given up here, a machine must hear of it: it keeps an attempt until then.
-            for (n, t) in job.tries.iter().enumerate().filter(|(_, t)| !t.done) {
+            for (n, t) in job.attempts.iter().enumerate().filter(|(_, t)| !t.done) {
                 let attempt = AttemptId {
                     job: id,
                     number: n as u32,
@@ -292,7 +292,7 @@
         }
     }
 
-    fn carried(&self, job: Carried<u32>) -> Carried<String> {
+    fn transferred_job(&self, job: TransferredJob<u32>) -> TransferredJob<String> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
         let class = |id: &u32| {
             Some(
@@ -313,7 +313,7 @@
             .unwrap_or_else(|| unreachable!("every class is named"))
     }
 
-    fn numbered_job(&self, job: Carried<String>) -> Option<Carried<u32>> {
+    fn numbered_job(&self, job: TransferredJob<String>) -> Option<TransferredJob<u32>> {
         let class = self.site.borrow().class(&job.class)?;
         job.renamed(|_| Some(class), |host| self.number(host))
     }
--- a/src/learned.rs
+++ b/src/learned_state.rs
@@ -20,7 +20,7 @@
 /// Bytes before the value: the magic, the version, the length, the checksum.
 const HEAD: usize = 4 + 2 + 4 + 8;
 /// Attempts that may be named as made beyond the first of their jobs.
-pub const RESENT_MOST: usize = 4096;
+pub const RETRIED_MAX: usize = 4096;
 /// What has no limit is written as this.
 pub const UNLIMITED: f64 = 1e18;
 /// No time that is learned is longer, in microseconds: an hour.
@@ -28,7 +28,7 @@
 
 /// What a module has learned; `N` is what names kinds, classes, tenants and workers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Learned<N> {
+pub struct LearnedState<N> {
     /// When it was true, in microseconds of Unix time.
     pub at: Time,
     /// Kinds of workers.
@@ -42,7 +42,7 @@
     /// Slots held at workers by jobs of whoever wrote this.
     pub held: Vec<(N, f64)>,
     /// When attempts beyond their job's first were made, where these are counted.
-    pub resent: Vec<Time>,
+    pub retried_at: Vec<Time>,
     /// What is learned of the whole.
     pub pace: Option<Pace>,
 }
@@ -53,62 +53,62 @@
     /// Slots of a worker.
     pub slots: f64,
     /// ... and whether reports have told them.
-    pub reported: bool,
+    pub slots_reported: bool,
     /// How fast it is.
-    pub run: Speed,
+    pub speed: Speed,
     /// Its part of the draws, of late.
-    pub draw: f64,
+    pub weight: f64,
 }
 
 /// What is known of a class of jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// How long its jobs run.
-    pub run: Work,
+    pub run_time: Work,
     /// The longest that a client gave a try.
-    pub longest: Time,
+    pub longest_patience: Time,
 }
 
 /// What is known of a worker, and of which start of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
     /// When its process had last started, as the list says.
-    pub born: Time,
+    pub started_at: Time,
     /// Shortest recent time from send to start.
-    pub quick: f64,
+    pub start_delay: f64,
     /// Slots held there by other dispatchers.
-    pub foreign: f64,
+    pub others_slots: f64,
     /// ... and when that was news.
-    pub news_at: Option<Time>,
+    pub load_updated_at: Option<Time>,
     /// Recent share of failures.
-    pub failure: f64,
+    pub failure_rate: f64,
     /// It gets nothing before this.
-    pub aside_until: Time,
+    pub ejected_until: Time,
     /// How often in a row it was found silent.
-    pub silences: u32,
+    pub timeouts_in_a_row: u32,
 }
 
 /// What is known of the fleet and its traffic together. It changes in seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pace {
     /// Weight and sum of run times at mean speed.
-    pub run: Sum,
+    pub run_times: Sum,
     /// What fetches cost.
     pub fetches: Fetches,
     /// Work arriving a microsecond, that of it which any kind may do, and jobs a second.
     pub arrivals: (f64, f64, f64),
     /// Share of jobs that look at home first.
-    pub stay: f64,
+    pub home_preference: f64,
     /// Shares of late starts away and at home.
-    pub late_share: [f64; 2],
+    pub late_start_share: [f64; 2],
     /// Jobs that may wait in workers' queues.
-    pub window: f64,
+    pub wait_window: f64,
     /// Connections unused for longer are not trusted.
-    pub idle_most: f64,
+    pub trusted_idle: f64,
     /// Worth and work of late.
-    pub asked: (f64, f64),
+    pub demand: (f64, f64),
     /// Recent share of attempts turned away.
-    pub full_share: f64,
+    pub rejected_share: f64,
 }
 
 /// Why a written form is not taken.
@@ -154,7 +154,7 @@
     (-(age as f64) / lasts.max(1) as f64).exp()
 }
 
-impl<N> Learned<N> {
+impl<N> LearnedState<N> {
     /// The same under other names; what has none there is left out.
     pub fn renamed<M>(
         self,
@@ -162,20 +162,20 @@
         mut class: impl FnMut(&N) -> Option<M>,
         mut tenant: impl FnMut(&N) -> Option<M>,
         mut worker: impl FnMut(&N) -> Option<M>,
-    ) -> Learned<M> {
+    ) -> LearnedState<M> {
         fn map<N, M, T>(list: Vec<(N, T)>, name: &mut impl FnMut(&N) -> Option<M>) -> Vec<(M, T)> {
             list.into_iter()
                 .filter_map(|(n, value)| Some((name(&n)?, value)))
                 .collect()
         }
-        Learned {
+        LearnedState {
             at: self.at,
             kinds: map(self.kinds, &mut kind),
             classes: map(self.classes, &mut class),
             tenants: map(self.tenants, &mut tenant),
             workers: map(self.workers, &mut worker),
             held: map(self.held, &mut worker),
-            resent: self.resent,
+            retried_at: self.retried_at,
             pace: self.pace,
         }
     }
@@ -191,53 +191,63 @@
         };
         for (_, kind) in &self.kinds {
             within("slots of a kind", kind.slots, 0.0, 1e6)?;
-            within("part of the draws", kind.draw, 0.0, 1.0)?;
-            within("speed of a kind", kind.run.speed, 1e-4, 1e4)?;
-            within("weight of a kind's runs", kind.run.weight(), 0.0, 1e6)?;
+            within("part of the draws", kind.weight, 0.0, 1.0)?;
+            within("speed of a kind", kind.speed.speed, 1e-4, 1e4)?;
+            within("weight of a kind's runs", kind.speed.weight(), 0.0, 1e6)?;
         }
         for (_, class) in &self.classes {
-            within("mean run of a class", class.run.mean(None), 1e-6, TIME_MOST)?;
-            within("weight of a class's runs", class.run.weight(), 0.0, 1e6)?;
+            within(
+                "mean run of a class",
+                class.run_time.mean(None),
+                1e-6,
+                TIME_MOST,
+            )?;
+            within(
+                "weight of a class's runs",
+                class.run_time.weight(),
+                0.0,
+                1e6,
+            )?;
         }
         for (_, share) in &self.tenants {
             within("share of a tenant", *share, 0.0, 1.0)?;
         }
         for (_, w) in &self.workers {
-            within("time to a start", w.quick, 0.0, TIME_MOST)?;
-            within("slots held by others", w.foreign, 0.0, 1e6)?;
-            within("share of failures", w.failure, 0.0, 1.0)?;
+            within("time to a start", w.start_delay, 0.0, TIME_MOST)?;
+            within("slots held by others", w.others_slots, 0.0, 1e6)?;
+            within("share of failures", w.failure_rate, 0.0, 1.0)?;
         }
         for (_, slots) in &self.held {
             within("slots held", *slots, 0.0, 1e6)?;
         }
         within(
             "number of further attempts",
-            self.resent.len() as f64,
+            self.retried_at.len() as f64,
             0.0,
-            RESENT_MOST as f64,
+            RETRIED_MAX as f64,
         )?;
         if let Some(pace) = &self.pace {
-            within("weight of all runs", pace.run.0, 0.0, 1e6)?;
-            within("sum of all runs", pace.run.1, 0.0, 1e6 * TIME_MOST)?;
+            within("weight of all runs", pace.run_times.0, 0.0, 1e6)?;
+            within("sum of all runs", pace.run_times.1, 0.0, 1e6 * TIME_MOST)?;
             within("cost of a fetch", pace.fetches.cost(), 0.0, TIME_MOST)?;
             let (work, unbound, per_s) = pace.arrivals;
             within("work arriving", work, 0.0, 1e6)?;
             within("work of any kind arriving", unbound, 0.0, 1e6)?;
             within("jobs arriving", per_s, 0.0, 1e6)?;
-            within("share at home first", pace.stay, 0.0, 1.0)?;
-            within("late starts away", pace.late_share[0], 0.0, 1.0)?;
-            within("late starts at home", pace.late_share[1], 0.0, 1.0)?;
-            within("window", pace.window, 1.0, UNLIMITED)?;
-            within("trusted idle time", pace.idle_most, 0.0, UNLIMITED)?;
-            within("worth of late", pace.asked.0, 0.0, UNLIMITED)?;
-            within("work of late", pace.asked.1, 0.0, UNLIMITED)?;
-            within("share turned away", pace.full_share, 0.0, 1.0)?;
+            within("share at home first", pace.home_preference, 0.0, 1.0)?;
+            within("late starts away", pace.late_start_share[0], 0.0, 1.0)?;
+            within("late starts at home", pace.late_start_share[1], 0.0, 1.0)?;
+            within("window", pace.wait_window, 1.0, UNLIMITED)?;
+            within("trusted idle time", pace.trusted_idle, 0.0, UNLIMITED)?;
+            within("worth of late", pace.demand.0, 0.0, UNLIMITED)?;
+            within("work of late", pace.demand.1, 0.0, UNLIMITED)?;
+            within("share turned away", pace.rejected_share, 0.0, 1.0)?;
         }
         Ok(())
     }
 }
 
-impl Learned<String> {
+impl LearnedState<String> {
     /// The written form. `None` where it would be longer than any that is read.
     pub fn write(&self) -> Option<Vec<u8>> {
         let value = postcard::to_allocvec(self).ok()?;
--- a/src/carried.rs
+++ b/src/transferred_job.rs
@@ -7,7 +7,7 @@
 
 /// What a module knows of an open job; `N` is what names its class and the workers of its attempts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Carried<N> {
+pub struct TransferredJob<N> {
     /// Its class.
     pub class: N,
     /// Started after this, it would likely be late.
@@ -17,81 +17,81 @@
     /// Expected work, where given.
     pub estimate: Option<Time>,
     /// What it is about.
-    pub subject: Option<u64>,
+    pub affinity: Option<u64>,
     /// Slots that it takes.
     pub slots: f64,
     /// Attempts that it may have in all.
-    pub attempts: usize,
+    pub attempt_limit: usize,
     /// It is beyond its tenant's share.
-    pub over: bool,
+    pub over_share: bool,
     /// Its attempts so far, in order.
-    pub tries: Vec<Try<N>>,
+    pub attempts: Vec<Attempt<N>>,
 }
 
 /// One attempt.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Try<N> {
+pub struct Attempt<N> {
     /// Its worker.
     pub worker: N,
     /// When it was sent.
     pub sent: Time,
     /// How long a connection to the worker had been idle then.
-    pub unused: Time,
+    pub connection_idle: Time,
     /// When its job began. Where that is not told: when it was sent, if no other job of ours was there.
     pub started: Option<Time>,
     /// Its last sign, and the share done by then.
-    pub sign: (Time, f64),
+    pub last_progress: (Time, f64),
     /// The first share done that was told.
-    pub told: Option<(Time, f64)>,
+    pub first_progress: Option<(Time, f64)>,
     /// It did not go to the worker where its like goes first.
-    pub away: bool,
+    pub away_from_home: bool,
     /// No sign came when it was due: its slots are taken for free.
-    pub silent: bool,
+    pub timed_out: bool,
     /// The worker has not said in time that it took it.
-    pub unheard: bool,
+    pub unacknowledged: bool,
     /// It has ended.
     pub done: bool,
     /// ... and never ran.
     pub never_ran: bool,
 }
 
-impl<N> Try<N> {
+impl<N> Attempt<N> {
     /// The same at a worker by another name.
-    pub fn at<M>(self, name: impl FnOnce(N) -> M) -> Try<M> {
-        Try {
+    pub fn at<M>(self, name: impl FnOnce(N) -> M) -> Attempt<M> {
+        Attempt {
             worker: name(self.worker),
             sent: self.sent,
-            unused: self.unused,
+            connection_idle: self.connection_idle,
             started: self.started,
-            sign: self.sign,
-            told: self.told,
-            away: self.away,
-            silent: self.silent,
-            unheard: self.unheard,
+            last_progress: self.last_progress,
+            first_progress: self.first_progress,
+            away_from_home: self.away_from_home,
+            timed_out: self.timed_out,
+            unacknowledged: self.unacknowledged,
             done: self.done,
             never_ran: self.never_ran,
         }
     }
 }
 
-impl<N> Carried<N> {
+impl<N> TransferredJob<N> {
     /// The same under other names. `None`: its class has none there. A worker without one gets what `worker` makes up.
     pub fn renamed<M>(
         self,
         class: impl FnOnce(&N) -> Option<M>,
         mut worker: impl FnMut(&N) -> M,
-    ) -> Option<Carried<M>> {
-        Some(Carried {
+    ) -> Option<TransferredJob<M>> {
+        Some(TransferredJob {
             class: class(&self.class)?,
             late_from: self.late_from,
             deadline: self.deadline,
             estimate: self.estimate,
-            subject: self.subject,
+            affinity: self.affinity,
             slots: self.slots,
-            attempts: self.attempts,
-            over: self.over,
-            tries: self
-                .tries
+            attempt_limit: self.attempt_limit,
+            over_share: self.over_share,
+            attempts: self
+                .attempts
                 .into_iter()
                 .map(|t| t.at(|n| worker(&n)))
                 .collect(),
@@ -106,10 +106,13 @@
                 self.slots
             ));
         }
-        let shares = self
-            .tries
-            .iter()
-            .flat_map(|t| [t.sign.1, t.told.map_or(0.0, |told| told.1)]);
+        let shares = self.attempts.iter().flat_map(|t| {
+            [
+                t.last_progress.1,
+                t.first_progress
+                    .map_or(0.0, |first_progress| first_progress.1),
+            ]
+        });
         match shares
             .into_iter()
             .find(|share| !(0.0..=1.0).contains(share))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use indigofold::api::*;
-use indigofold::choice::Dispatcher;
+use indigofold::decisions::Dispatcher;
 
 pub const MS: Time = 1_000;
 pub const SEC: Time = 1_000_000;
--- a/tests/recall.rs
+++ b/tests/learned_state.rs
@@ -4,8 +4,9 @@
 
 use common::*;
 use indigofold::api::*;
-use indigofold::carried::Carried;
-use indigofold::learned::{LONGEST, Learned, MAGIC, Refused, UNLIMITED, VERSION};
+use indigofold::decisions::WorkerCounts;
+use indigofold::learned_state::{LONGEST, LearnedState, MAGIC, Refused, UNLIMITED, VERSION};
+use indigofold::transferred_job::TransferredJob;
 use proptest::prelude::*;
 
 /// The next process: what a dispatcher starts with, at the time of the one before.
@@ -13,8 +14,12 @@
     Stage::started(settings, workers, old.now)
 }
 
-fn take(to: &mut Stage, learned: Learned<u32>) {
-    to.event(Event::Learned(Box::new(learned)));
+fn counts(listed: u64, avoided: u64) -> WorkerCounts {
+    WorkerCounts { listed, avoided }
+}
+
+fn take(to: &mut Stage, learned_state: LearnedState<u32>) {
+    to.event(Event::LearnedState(Box::new(learned_state)));
 }
 
 /// One whose fast kind (even numbers) runs three times as fast, after 300 jobs.
@@ -40,7 +45,7 @@
     let old = experienced(&workers);
     let mut without = next(&old, settings(), &workers);
     let mut with = next(&old, settings(), &workers);
-    take(&mut with, old.d.learned(old.now));
+    take(&mut with, old.d.learned_state(old.now));
     let (without, with) = (fast_of_thirty(&mut without), fast_of_thirty(&mut with));
     assert!(
         with >= 27 && without < with,
@@ -53,28 +58,28 @@
 fn handed_on_at_once_what_was_learned_stays_as_it_was() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
-    let learned = old.d.learned(old.now);
+    let learned_state = old.d.learned_state(old.now);
     let mut new = next(&old, settings(), &workers);
-    take(&mut new, learned.clone());
-    take(&mut new, learned.clone());
-    let again = new.d.learned(new.now);
+    take(&mut new, learned_state.clone());
+    take(&mut new, learned_state.clone());
+    let again = new.d.learned_state(new.now);
     assert_eq!(
-        (&learned.classes, &learned.workers),
+        (&learned_state.classes, &learned_state.workers),
         (&again.classes, &again.workers)
     );
-    for ((_, was), (_, is)) in learned.kinds.iter().zip(&again.kinds) {
+    for ((_, was), (_, is)) in learned_state.kinds.iter().zip(&again.kinds) {
         assert_eq!(
-            (was.slots, was.reported, &was.run),
-            (is.slots, is.reported, &is.run)
+            (was.slots, was.slots_reported, &was.speed),
+            (is.slots, is.slots_reported, &is.speed)
         );
         assert!(
-            (was.draw - is.draw).abs() < 0.02,
+            (was.weight - is.weight).abs() < 0.02,
             "it goes on following the solutions: {} {}",
-            was.draw,
-            is.draw
+            was.weight,
+            is.weight
         );
     }
-    assert_eq!(learned.pace, again.pace);
+    assert_eq!(learned_state.pace, again.pace);
 }
 
 /// A failing worker is set aside; the process that takes over leaves it alone, unless it has started anew.
@@ -87,18 +92,21 @@
         old.end(id, 0, Status::Error);
         old.pass(20 * MS);
     }
-    assert_eq!(old.d.pool(old.now), (1, 1), "it is avoided");
-    let learned = old.d.learned(old.now);
+    assert_eq!(old.d.worker_counts(old.now), counts(1, 1), "it is avoided");
+    let learned_state = old.d.learned_state(old.now);
     let mut same = next(&old, settings(), &[entry(1, 0)]);
-    take(&mut same, learned.clone());
-    assert_eq!((same.d.pool(same.now), same.ask(0).1), ((1, 1), None));
+    take(&mut same, learned_state.clone());
+    assert_eq!(
+        (same.d.worker_counts(same.now), same.ask(0).1),
+        (counts(1, 1), None)
+    );
     let anew = Entry {
         ready_at: 99 * SEC,
         ..entry(1, 0)
     };
     let mut other = next(&old, settings(), &[anew]);
-    take(&mut other, learned);
-    assert_eq!(other.d.pool(other.now), (1, 0));
+    take(&mut other, learned_state);
+    assert_eq!(other.d.worker_counts(other.now), counts(1, 0));
 }
 
 /// Guards against a right that is taken from what was written: of the list's states, and of a cold worker's budget.
@@ -118,8 +126,8 @@
     for _ in 0..100 {
         old.serve(0, |_| 100 * MS);
     }
-    let learned = old.d.learned(old.now);
-    assert!(learned.workers.len() == 2 && learned.kinds[0].1.run.weight() > 50.0);
+    let learned_state = old.d.learned_state(old.now);
+    assert!(learned_state.workers.len() == 2 && learned_state.kinds[0].1.speed.weight() > 50.0);
     // The list says: one is leaving, one has just started. Nobody else is there.
     let leaving = Entry {
         state: WorkerState::Leaving,
@@ -129,14 +137,14 @@
         ready_at: old.now,
         ..entry(2, 0)
     };
-    let sent = |learned: Option<Learned<u32>>| {
+    let sent = |learned_state: Option<LearnedState<u32>>| {
         let mut new = next(&old, settings.clone(), &[leaving.clone(), cold.clone()]);
-        learned.into_iter().for_each(|l| take(&mut new, l));
+        learned_state.into_iter().for_each(|l| take(&mut new, l));
         let to: Vec<WorkerId> = (0..40).filter_map(|_| new.ask(0).1).collect();
         assert!(!to.contains(&1), "a leaving worker gets nothing");
         to.len()
     };
-    let (with, without) = (sent(Some(learned)), sent(None));
+    let (with, without) = (sent(Some(learned_state)), sent(None));
     assert!(
         with <= without.max(1),
         "at once to a cold worker: {with}, without {without}"
@@ -146,10 +154,10 @@
 #[test]
 fn slots_that_the_other_process_holds_are_taken_ones_until_the_news_is_old() {
     let mut new = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let held = Learned {
+    let held = LearnedState {
         at: new.now,
         held: vec![(1, 3.0), (77, 2.0)],
-        ..Learned::default()
+        ..LearnedState::default()
     };
     take(&mut new, held);
     let (id, to) = new.ask(0);
@@ -159,9 +167,9 @@
     let at = new.now;
     take(
         &mut new,
-        Learned {
+        LearnedState {
             at,
-            ..Learned::default()
+            ..LearnedState::default()
         },
     );
     let sent: Vec<_> = (0..2).filter_map(|_| new.ask(0).1).collect();
@@ -189,11 +197,11 @@
     old.end(id, 0, Status::Error);
     assert!(old.sent(id).is_some(), "one further attempt is free");
     let mut new = next(&old, settings, &workers);
-    let learned = old.d.learned(old.now);
-    assert_eq!(learned.resent.len(), 1);
-    take(&mut new, learned.clone());
-    take(&mut new, learned);
-    assert_eq!(new.d.learned(new.now).resent.len(), 1);
+    let learned_state = old.d.learned_state(old.now);
+    assert_eq!(learned_state.retried_at.len(), 1);
+    take(&mut new, learned_state.clone());
+    take(&mut new, learned_state);
+    assert_eq!(new.d.learned_state(new.now).retried_at.len(), 1);
     let (id, _) = new.ask(0);
     new.end(id, 0, Status::Error);
     assert!(
@@ -210,47 +218,48 @@
 fn what_was_learned_counts_by_its_age() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
-    let learned = old.d.learned(old.now);
+    let learned_state = old.d.learned_state(old.now);
     let after = |pause: Time| {
         let mut new = Stage::started(settings(), &workers, old.now + pause);
-        take(&mut new, learned.clone());
-        new.d.learned(new.now)
+        take(&mut new, learned_state.clone());
+        new.d.learned_state(new.now)
     };
     let (now, minute, day) = (after(0), after(60 * SEC), after(86_400 * SEC));
-    let weight = |l: &Learned<u32>| l.kinds[0].1.run.weight();
+    let weight = |l: &LearnedState<u32>| l.kinds[0].1.speed.weight();
     assert!(weight(&minute) > 0.85 * weight(&now) && weight(&day) < 0.01 * weight(&now));
-    assert!((minute.kinds[0].1.run.speed - now.kinds[0].1.run.speed).abs() < 1e-9);
-    let arrivals = |l: &Learned<u32>| l.pace.as_ref().map_or(0.0, |p| p.arrivals.2);
+    assert!((minute.kinds[0].1.speed.speed - now.kinds[0].1.speed.speed).abs() < 1e-9);
+    let arrivals = |l: &LearnedState<u32>| l.pace.as_ref().map_or(0.0, |p| p.arrivals.2);
     assert!(arrivals(&now) > 1.0 && arrivals(&minute) < 1e-4 * arrivals(&now));
     // From a clock that runs ahead: as if it were of now, and no suspicion for longer than there ever is.
-    let mut ahead = learned.clone();
+    let mut ahead = learned_state.clone();
     ahead.at += 3600 * SEC;
-    ahead.workers[0].1.aside_until = Time::MAX;
-    ahead.workers[0].1.news_at = Some(Time::MAX);
+    ahead.workers[0].1.ejected_until = Time::MAX;
+    ahead.workers[0].1.load_updated_at = Some(Time::MAX);
     let mut new = Stage::started(settings(), &workers, old.now);
     take(&mut new, ahead);
-    let known = new.d.learned(new.now);
+    let known = new.d.learned_state(new.now);
     assert!(
-        known.workers[0].1.aside_until <= new.now + 6 * SEC && known.workers[0].1.news_at.is_none()
+        known.workers[0].1.ejected_until <= new.now + 6 * SEC
+            && known.workers[0].1.load_updated_at.is_none()
     );
 }
 
 // ---- The written form ---------------------------------------------------------------------------------------
 
-fn named(learned: Learned<u32>) -> Learned<String> {
+fn named(learned_state: LearnedState<u32>) -> LearnedState<String> {
     let name = |n: &u32| Some(format!("n{n}"));
-    learned.renamed(name, name, name, |n| Some(format!("s-{n:08x}")))
+    learned_state.renamed(name, name, name, |n| Some(format!("s-{n:08x}")))
 }
 
 #[test]
 fn the_written_form_reads_as_it_was() {
     let workers: Vec<_> = (0..200).map(|i| entry(i, i % 2)).collect();
-    let learned = named(experienced(&workers).d.learned(130 * SEC));
-    let form = learned.write().expect("200 workers fit");
-    assert_eq!(Learned::read(&form), Ok(learned.clone()));
+    let learned_state = named(experienced(&workers).d.learned_state(130 * SEC));
+    let form = learned_state.write().expect("200 workers fit");
+    assert_eq!(LearnedState::read(&form), Ok(learned_state.clone()));
     assert!(form.len() < 20_000, "{} bytes for 200 workers", form.len());
     // Too many workers for one word.
-    let mut large = learned;
+    let mut large = learned_state;
     large.workers = (0..4000)
         .map(|n| (format!("s-{n:08x}"), large.workers[0].1.clone()))
         .collect();
@@ -264,18 +273,18 @@
     let form: Vec<u8> = (0..empty.len() / 2)
         .map(|n| u8::from_str_radix(&empty[2 * n..2 * n + 2], 16).expect("hex"))
         .collect();
-    match Learned::read(&form) {
-        Ok(learned) => assert_eq!(
-            learned,
-            Learned {
+    match LearnedState::read(&form) {
+        Ok(learned_state) => assert_eq!(
+            learned_state,
+            LearnedState {
                 at: 300,
-                ..Learned::default()
+                ..LearnedState::default()
             }
         ),
         Err(why) => {
-            let now = Learned::<String> {
+            let now = LearnedState::<String> {
                 at: 300,
-                ..Learned::default()
+                ..LearnedState::default()
             }
             .write()
             .expect("short");
@@ -287,16 +296,16 @@
 
 #[test]
 fn what_cannot_be_read_is_refused_with_its_reason() {
-    let learned = named(
+    let learned_state = named(
         experienced(&[entry(1, 0), entry(2, 1)])
             .d
-            .learned(130 * SEC),
+            .learned_state(130 * SEC),
     );
-    let form = learned.write().expect("short");
+    let form = learned_state.write().expect("short");
     let with = |at: usize, byte: u8| {
         let mut other = form.clone();
         other[at] = byte;
-        Learned::read(&other).expect_err("changed").to_string()
+        LearnedState::read(&other).expect_err("changed").to_string()
     };
     assert_eq!(
         with(0, b'X'),
@@ -314,19 +323,19 @@
         "its checksum does not fit"
     );
     assert!(matches!(
-        Learned::read(&form[..form.len() - 1]),
+        LearnedState::read(&form[..form.len() - 1]),
         Err(Refused::Length(_))
     ));
     assert!(matches!(
-        Learned::read(&vec![0; LONGEST + 1]),
+        LearnedState::read(&vec![0; LONGEST + 1]),
         Err(Refused::Length(_))
     ));
     // Whole, with the right checksum, and still not possible.
-    let refused = |change: &dyn Fn(&mut Learned<String>)| {
-        let mut other = learned.clone();
+    let refused = |change: &dyn Fn(&mut LearnedState<String>)| {
+        let mut other = learned_state.clone();
         change(&mut other);
         let form = other.write().expect("short");
-        Learned::read(&form)
+        LearnedState::read(&form)
             .expect_err("no such figure")
             .to_string()
     };
@@ -335,15 +344,16 @@
         "slots of a kind is -2, 0 to 1000000 is allowed"
     );
     assert_eq!(
-        refused(&|l| l.workers[0].1.failure = f64::NAN),
+        refused(&|l| l.workers[0].1.failure_rate = f64::NAN),
         "share of failures is NaN, 0 to 1 is allowed"
     );
-    assert!(refused(&|l| l.kinds[0].1.draw = 1.5).starts_with("part of the draws is 1.5"));
+    assert!(refused(&|l| l.kinds[0].1.weight = 1.5).starts_with("part of the draws is 1.5"));
     assert!(
-        refused(&|l| l.pace.as_mut().expect("learned").window = 0.0).starts_with("window is 0")
+        refused(&|l| l.pace.as_mut().expect("learned").wait_window = 0.0)
+            .starts_with("window is 0")
     );
     assert!(
-        refused(&|l| l.pace.as_mut().expect("learned").idle_most = 2.0 * UNLIMITED)
+        refused(&|l| l.pace.as_mut().expect("learned").trusted_idle = 2.0 * UNLIMITED)
             .contains("trusted")
     );
 }
@@ -352,13 +362,13 @@
     /// Guards against a form that ends the program, or is taken although a byte of it has changed.
     #[test]
     fn no_damaged_form_is_taken(at in 0usize..400, bit in 0u8..8, cut in 0usize..400) {
-        let learned = named(experienced(&[entry(1, 0), entry(2, 1)]).d.learned(130 * SEC));
-        let form = learned.write().expect("short");
+        let learned_state = named(experienced(&[entry(1, 0), entry(2, 1)]).d.learned_state(130 * SEC));
+        let form = learned_state.write().expect("short");
         let mut flipped = form.clone();
         let at = at % form.len();
         flipped[at] ^= 1 << bit;
-        prop_assert!(Learned::read(&flipped).is_err());
-        prop_assert!(Learned::read(&form[..cut % form.len()]).is_err());
+        prop_assert!(LearnedState::read(&flipped).is_err());
+        prop_assert!(LearnedState::read(&form[..cut % form.len()]).is_err());
     }
 
     /// Guards against figures that a checksum makes look right: whatever they are, the dispatcher goes on.
@@ -369,15 +379,15 @@
     ) {
         let workers = [entry(1, 0), entry(2, 1)];
         let old = experienced(&workers);
-        let mut learned = old.d.learned(old.now);
-        learned.at = at;
-        learned.kinds[0].1.slots = slots;
-        let w = &mut learned.workers[0].1;
-        (w.failure, w.quick, w.aside_until) = (failure, quick, aside);
-        learned.pace.as_mut().expect("learned").window = window;
-        prop_assert_eq!(learned.check(), Ok(()));
+        let mut learned_state = old.d.learned_state(old.now);
+        learned_state.at = at;
+        learned_state.kinds[0].1.slots = slots;
+        let w = &mut learned_state.workers[0].1;
+        (w.failure_rate, w.start_delay, w.ejected_until) = (failure, quick, aside);
+        learned_state.pace.as_mut().expect("learned").wait_window = window;
+        prop_assert_eq!(learned_state.check(), Ok(()));
         let mut new = next(&old, settings(), &workers);
-        take(&mut new, learned);
+        take(&mut new, learned_state);
         for _ in 0..5 {
             let (id, to) = new.ask(0);
             if to.is_some() {
@@ -393,7 +403,12 @@
 
 // ---- Jobs that go over --------------------------------------------------------------------------------------
 
-fn go_over(old: &mut Stage, id: RequestId, new: &mut Stage, as_id: RequestId) -> Carried<u32> {
+fn go_over(
+    old: &mut Stage,
+    id: RequestId,
+    new: &mut Stage,
+    as_id: RequestId,
+) -> TransferredJob<u32> {
     let job = old.d.release(old.now, id).expect("it is open");
     new.event(Event::Adopted(as_id, Box::new(job.clone())));
     job
@@ -418,13 +433,13 @@
     old.end(id, 0, Status::Error);
     let job = go_over(&mut old, id, &mut new, AS + 1);
     assert_eq!(
-        job.tries.iter().map(|t| t.done).collect::<Vec<_>>(),
+        job.attempts.iter().map(|t| t.done).collect::<Vec<_>>(),
         [true, false]
     );
     new.end(AS + 1, 1, Status::Error);
     let third = new.sent(AS + 1).expect("a third attempt");
     assert!(
-        job.tries.iter().all(|t| t.worker != third),
+        job.attempts.iter().all(|t| t.worker != third),
         "not where it has been"
     );
     // Keyed, dropped inside a cell for three seconds: another attempt only there, and not after that time.
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use indigofold::api::*;
-use indigofold::choice::solve;
+use indigofold::decisions::solve;
 
 // ---- Problem (1) ----------------------------------------------------------------------------------------
 
