--- a/tests/common/mod.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -1,8 +1,7 @@
 //! Settings and a small stage for module tests: no simulation, only the bookkeeping of what was said.
-#![allow(dead_code)]
 
-use indigofold::api::*;
-use indigofold::decisions::Dispatcher;
+use indigofold_decisions::api::*;
+use indigofold_decisions::dispatcher::Dispatcher;
 
 pub const MS: Time = 1_000;
 pub const SEC: Time = 1_000_000;
--- a/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -1,6 +1,6 @@
 //! The interface of the decision module: what it is told and what it may ask for.
 //!
-//! A caller owns one [`crate::decisions::Dispatcher`] per dispatcher and hands it every event in the order in
+//! A caller owns one [`crate::dispatcher::Dispatcher`] per dispatcher and hands it every event in the order in
 //! which it happened, with a clock that never runs backwards. All names (classes, kinds, zones, tenants,
 //! workers, requests) are integer ids chosen by the caller; the module attaches no meaning to their values.
 //! Times and durations are whole microseconds.
--- a/src/arrivals.rs
+++ b/crates/decisions/src/arrivals.rs
@@ -78,6 +78,3 @@
         self.tenants.get(tenant as usize).copied()
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/arrivals/tests.rs
+++ b/crates/decisions/tests/arrivals.rs
@@ -1,4 +1,6 @@
-use super::*;
+//! Estimators of what arrives.
+
+use indigofold_decisions::arrivals::Arrivals;
 
 #[test]
 fn rates_and_shares_follow_what_arrives() {
--- a/tests/learned_state.rs
+++ b/crates/decisions/tests/learned_state.rs
@@ -1,12 +1,12 @@
 //! What one dispatcher has learned, taken in by another, and open jobs that go over: by behaviour, without the bench.
 
-mod common;
-
-use common::*;
-use indigofold::api::*;
-use indigofold::decisions::WorkerCounts;
-use indigofold::learned_state::{LONGEST, LearnedState, MAGIC, Refused, UNLIMITED, VERSION};
-use indigofold::transferred_job::TransferredJob;
+use indigofold_decisions::api::*;
+use indigofold_decisions::dispatcher::WorkerCounts;
+use indigofold_decisions::learned_state::{
+    LONGEST, LearnedState, MAGIC, Refused, UNLIMITED, VERSION,
+};
+use indigofold_decisions::transferred_job::TransferredJob;
+use indigofold_decisions_testing::*;
 use proptest::prelude::*;
 
 /// The next process: what a dispatcher starts with, at the time of the one before.
--- a/tests/module.rs
+++ b/crates/decisions/tests/module.rs
@@ -1,10 +1,8 @@
 //! The decision module by behaviour, without the bench.
 
-mod common;
-
-use common::*;
-use indigofold::api::*;
-use indigofold::decisions::solve;
+use indigofold_decisions::api::*;
+use indigofold_decisions::dispatcher::solve;
+use indigofold_decisions_testing::*;
 
 // ---- Problem (1) ----------------------------------------------------------------------------------------
 
--- a/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -1,9 +1,7 @@
 //! Jobs that wait for long at a worker, on sites where giving an attempt up is the only way to move one.
 
-mod common;
-
-use common::*;
-use indigofold::api::*;
+use indigofold_decisions::api::*;
+use indigofold_decisions_testing::*;
 
 fn site(duplicates: bool, cancel: bool) -> Settings {
     let limits = Limits {
--- a/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -1,9 +1,7 @@
 //! The four rules as properties: random legal events, and a checker that shares no code with the module.
 
-mod common;
-
-use common::*;
-use indigofold::api::*;
+use indigofold_decisions::api::*;
+use indigofold_decisions_testing::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/examples/in_process.rs
+++ b/crates/indigofold/examples/in_process.rs
@@ -2,7 +2,7 @@
 //! second one meets an error and is tried again elsewhere. Run with `cargo run --example in_process`.
 
 use indigofold::api::*;
-use indigofold::decisions::Dispatcher;
+use indigofold::dispatcher::Dispatcher;
 
 /// A site with one safe class, a pushed worker list and workers that tell when a job starts.
 fn settings() -> Settings {
--- a/src/admin.rs
+++ b/crates/indigofold/src/admin.rs
@@ -2,7 +2,7 @@
 //! buffers with the fronts, so that what happens there does not delay an answer here.
 
 use crate::core::figures::Figures;
-use crate::decisions::WorkerCounts;
+use crate::dispatcher::WorkerCounts;
 use crate::front::Life;
 use crate::net::{Net, log};
 use async_executor::Task;
--- a/src/core/engine.rs
+++ b/crates/indigofold/src/core/engine.rs
@@ -7,7 +7,7 @@
 use super::job_table::JobTable;
 use super::{JobId, Recall, Released, Settings, Told, Transport};
 use crate::api::{self, Action, Event, Time};
-use crate::decisions::{Dispatcher, WorkerCounts};
+use crate::dispatcher::{Dispatcher, WorkerCounts};
 use crate::learned_state::LearnedState;
 use crate::transferred_job::TransferredJob;
 use std::collections::BTreeSet;
--- a/src/core/figures.rs
+++ b/crates/indigofold/src/core/figures.rs
@@ -1,7 +1,7 @@
 //! What is counted: each thing once, where it happens, and never set back.
 
 use crate::api::ClassId;
-use crate::decisions::WorkerCounts;
+use crate::dispatcher::WorkerCounts;
 use std::cell::{Cell, RefCell};
 
 /// How a job ended.
--- a/src/lib.rs
+++ b/crates/indigofold/src/lib.rs
@@ -1,6 +1,6 @@
 //! A scheduler that pushes jobs to job workers: hybrid SQ(d) over worker kinds.
 //!
-//! [`decisions::Dispatcher`] is the whole decision module. It is fed [`api::Event`]s and answers with
+//! [`dispatcher::Dispatcher`] is the whole decision module. It is fed [`api::Event`]s and answers with
 //! [`api::Action`]s; it does no I/O and reads no clock. [`wire`] translates a text protocol for the simulator.
 //! Round the module stand [`core`], which knows no wire, [`net`] and the fronts in [`front`];
 //! operators call at the [`admin`], and [`handover`] replaces the process.
@@ -9,17 +9,12 @@
 #![warn(missing_docs)]
 
 pub mod admin;
-pub mod affinity;
-pub mod api;
-pub mod arrivals;
 pub mod config;
 pub mod core;
-pub mod decisions;
 pub mod front;
 pub mod handover;
-pub mod ids;
-pub mod learned_state;
 pub mod net;
-pub mod transferred_job;
 pub mod wire;
-pub use indigofold_placement::{runs, solve};
+pub use indigofold_decisions::{
+    affinity, api, arrivals, dispatcher, ids, learned_state, runs, solve, transferred_job,
+};
--- a/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -1,12 +1,10 @@
 //! Jobs that say what they are about: where they go, what it may cost to send them elsewhere, and that nothing of
 //! it happens where workers keep nothing.
 
-mod common;
-
-use common::*;
 use indigofold::affinity::{Steady, draw, fetch_time, rank};
 use indigofold::api::*;
 use indigofold::config::subject;
+use indigofold_decisions_testing::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const FETCH: Time = 400 * MS;
--- a/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -424,6 +424,10 @@
     let example = include_str!("../examples/config.json").as_bytes().to_vec();
     let config = config::Platform::read(example, |_| None).expect("the example");
     assert_eq!(config.site.settings.classes.len(), 2);
-    let file = config::Faktory::read(include_str!("../deploy/faktory.json").as_bytes().to_vec());
+    let file = config::Faktory::read(
+        include_str!("../../../deploy/faktory.json")
+            .as_bytes()
+            .to_vec(),
+    );
     assert_eq!(file.expect("the operator's file").machines.len(), 2);
 }
--- a/tests/handing.rs
+++ b/crates/indigofold/tests/handing.rs
@@ -13,8 +13,6 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-mod common;
-
 const MS: Time = 1_000;
 const SEC: Time = 1_000_000;
 const WORKERS: u32 = 12;
@@ -182,14 +180,14 @@
         cell: n % 4,
         // Some have just started, whenever one asks.
         ready_at: if n % 5 == 0 { now - SEC } else { 0 },
-        ..common::entry(n, n % 3)
+        ..indigofold_decisions_testing::entry(n, n % 3)
     });
     Told::List(Scope::Full, entries.collect())
 }
 
 /// Plays one scheduler for some seconds, replaced so many times; returns its world and how many jobs went over.
 fn play(seed: u64, duplicates: bool, replacements: u64) -> (World, u32) {
-    let mut settings = common::settings();
+    let mut settings = indigofold_decisions_testing::settings();
     settings.dispatchers = 300;
     settings.limits.duplicates = duplicates;
     settings.progress = 200 * MS;
@@ -212,7 +210,7 @@
             let (class, left) = (ground.random(4) as u32, (1 + ground.random(5)) * SEC);
             let request = Request {
                 left,
-                ..common::request(next_job, class)
+                ..indigofold_decisions_testing::request(next_job, class)
             };
             let seen = Seen {
                 class,
@@ -410,10 +408,14 @@
         }),
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(1)),
     };
-    let mut engine = engine(&common::settings(), SEC, 1);
+    let mut engine = engine(&indigofold_decisions_testing::settings(), SEC, 1);
     engine.told(
         SEC,
-        Told::Job(common::request(1, 0), 6 * SEC, Reply::Transport),
+        Told::Job(
+            indigofold_decisions_testing::request(1, 0),
+            6 * SEC,
+            Reply::Transport,
+        ),
         &ground,
     );
     engine.step(SEC, &ground);
--- a/tests/laboratory.rs
+++ b/crates/indigofold/tests/laboratory.rs
@@ -8,8 +8,8 @@
 use std::path::Path;
 
 fn scenario() -> Scenario {
-    let mut s =
-        scenario::read(include_str!("../examples/replay/ten-minutes.json")).expect("the example");
+    let mut s = scenario::read(include_str!("../../../examples/replay/ten-minutes.json"))
+        .expect("the example");
     (s.load.seconds, s.load.rate) = (12.0, 60.0);
     s.load.jumps = vec![Jump {
         at_s: 5.0,
