--- a/crates/system-tests/src/checks/jobs.rs
+++ b/crates/system-tests/src/checks/jobs.rs
@@ -1,20 +1,20 @@
-//! Rules on jobs: only what was asked for, nothing long after a cancelling, nothing lost, true states.
+//! Rules on jobs: only what was submitted, nothing long after a cancellation, nothing lost, true states.
 
-use super::placement::{Presence, step_of};
-use super::{Case, Rule};
+use super::case::{Case, Rule, step_of};
+use super::presence::Presence;
+use crate::environment::{Entry, Event, JobRecord, JobState, Moment, Record};
 use crate::task::TaskName;
-use crate::wire::How;
-use crate::world::{Event, JobRecord, JobState, Moment, Record};
+use crate::wire::EndReason;
 
-/// UNASKED and REFUSED: a start is of a job that was sent and not refused, with its text and its progress.
+/// UNASKED and REFUSED: a start is of a job that was submitted and not refused, with its text and its checkpoint.
 pub(super) fn unasked(case: &mut Case) {
     let record = case.record;
     for entry in &record.entries {
         let Event::Started {
             run,
             spec,
-            saved,
-            saved_is_its_own,
+            checkpoint,
+            checkpoint_is_own,
             ..
         } = &entry.event
         else {
@@ -28,9 +28,10 @@
             Some(job) if job.job.spec != *spec => {
                 (Rule::Unasked, format!("{run} carries `{spec}`"))
             }
-            Some(_) if !saved_is_its_own => {
-                (Rule::Unasked, format!("{run} carries progress `{saved}`"))
-            }
+            Some(_) if !checkpoint_is_own => (
+                Rule::Unasked,
+                format!("{run} carries checkpoint `{checkpoint}`"),
+            ),
             Some(job) if job.is_refused() => {
                 (Rule::Refused, format!("{run} starts; its job was refused"))
             }
@@ -45,44 +46,33 @@
     task.index < count && task.repeat < job.job.repeats()
 }
 
-/// UNASKED: after a cancelling's acknowledgement nothing starts for long, and nothing runs on for long.
+/// UNASKED: after a cancellation's acknowledgement nothing starts for long, and nothing runs on for long.
 pub(super) fn cancelled(case: &mut Case) {
     let record = case.record;
     let (now, bounds) = (case.now, *case.bounds);
     let bound =
         |task: &TaskName| Some(record.jobs.get(&task.job)?.cancel_acknowledged? + bounds.cancel);
+    let starts_late = |task: &TaskName, at: Moment| bound(task).is_some_and(|bound| at > bound);
+    let runs_late =
+        |task: &TaskName, at: Moment| bound(task).is_some_and(|bound| at > bound + bounds.stop);
     let mut presence = Presence::default();
     for entry in &record.entries {
-        presence.follow(&entry.event);
-        match &entry.event {
-            Event::Started { run, .. }
-                if bound(&run.task).is_some_and(|bound| entry.at > bound) =>
-            {
-                case.report(
-                    Rule::Unasked,
-                    entry.at,
-                    format!("{run} starts after its cancelling"),
-                );
+        presence.apply(&entry.event);
+        let detail = match &entry.event {
+            Event::Started { run, .. } if starts_late(&run.task, entry.at) => {
+                format!("{run} starts after its cancellation")
             }
-            Event::Ended { run, .. }
-                if bound(&run.task).is_some_and(|bound| entry.at > bound + bounds.stop) =>
-            {
-                case.report(
-                    Rule::Unasked,
-                    entry.at,
-                    format!("{run} ran on after its cancelling"),
-                );
+            Event::Ended { run, .. } if runs_late(&run.task, entry.at) => {
+                format!("{run} ran on after its cancellation")
             }
-            _ => {}
-        }
+            _ => continue,
+        };
+        case.report(Rule::Unasked, entry.at, detail);
     }
     for (_, run) in presence.everywhere() {
-        if bound(&run.task).is_some_and(|bound| now > bound + bounds.stop) {
-            case.report(
-                Rule::Unasked,
-                now,
-                format!("{run} still runs after its cancelling"),
-            );
+        if runs_late(&run.task, now) {
+            let detail = format!("{run} still runs after its cancellation");
+            case.report(Rule::Unasked, now, detail);
         }
     }
 }
@@ -91,9 +81,9 @@
 pub(super) fn shown(case: &mut Case) {
     let record = case.record;
     for (index, entry) in record.entries.iter().enumerate() {
-        let Event::Shown {
+        let Event::JobStateShown {
             job: id,
-            asked,
+            requested_at,
             state,
         } = &entry.event
         else {
@@ -103,59 +93,46 @@
             continue;
         };
         let before = &record.entries[..index];
-        match state {
-            None if is_lost(case, job, *asked) => {
-                case.report(
-                    Rule::Lost,
-                    entry.at,
-                    format!("{id} was accepted and does not exist"),
-                );
-            }
-            Some(JobState::Completed) => {
-                if let Some(task) = first_not_done(record, id, job, before) {
-                    case.report(
-                        Rule::Mixed,
-                        entry.at,
-                        format!("{id} is shown completed; {task} is not done"),
-                    );
-                }
+        let (rule, detail) = match state {
+            None if is_lost(case, job, *requested_at) => {
+                (Rule::Lost, format!("{id} was accepted and does not exist"))
             }
+            Some(JobState::Completed) => match first_not_done(record, id, job, before) {
+                Some(task) => (
+                    Rule::Mixed,
+                    format!("{id} is shown completed; {task} is not done"),
+                ),
+                None => continue,
+            },
             Some(JobState::Failed) if !has_failed(record, id, job, before) => {
-                case.report(
-                    Rule::Lost,
-                    entry.at,
-                    format!("{id} is shown failed without cause"),
-                );
-            }
-            Some(JobState::Cancelled) if job.cancel_sent.is_none_or(|sent| sent > entry.at) => {
-                case.report(
-                    Rule::Lost,
-                    entry.at,
-                    format!("{id} is shown cancelled; nobody has cancelled it"),
-                );
+                (Rule::Lost, format!("{id} is shown failed without cause"))
             }
-            _ => {}
-        }
+            Some(JobState::Cancelled) if job.cancel_sent.is_none_or(|sent| sent > entry.at) => (
+                Rule::Lost,
+                format!("{id} is shown cancelled; nobody has cancelled it"),
+            ),
+            _ => continue,
+        };
+        case.report(rule, entry.at, detail);
     }
 }
 
-fn is_lost(case: &Case, job: &JobRecord, asked: Moment) -> bool {
+fn is_lost(case: &Case, job: &JobRecord, requested_at: Moment) -> bool {
     let bound = job.accepted.map(|accepted| accepted + case.bounds.visible);
-    job.cancel_sent.is_none() && bound.is_some_and(|bound| asked > bound)
+    job.cancel_sent.is_none() && bound.is_some_and(|bound| requested_at > bound)
 }
 
-type Entries = [crate::world::Entry];
-
+/// The first task of a job that had no end `done` among the entries `before`.
 fn first_not_done(
     record: &Record,
     id: &str,
     job: &JobRecord,
-    before: &Entries,
+    before: &[Entry],
 ) -> Option<TaskName> {
-    let ended = |task: &TaskName| {
-        before.iter().any(
-            |entry| matches!(&entry.event, Event::Ended { run, how: How::Done, .. } if run.task == *task),
-        )
+    let is_done = |task: &TaskName| {
+        before.iter().any(|entry| {
+            matches!(&entry.event, Event::Ended { run, reason: EndReason::Done, .. } if run.task == *task)
+        })
     };
     let steps = job.job.stages.iter().enumerate();
     let tasks = steps.flat_map(|(step, shape)| {
@@ -170,17 +147,17 @@
         })
     });
     let mut known = tasks.filter(|task| step_of(record, task).is_some());
-    known.find(|task| !ended(task))
+    known.find(|task| !is_done(task))
 }
 
 /// Whether a task (or a gang, by whichever member) has failed as often as the queue allows.
-fn has_failed(record: &Record, id: &str, job: &JobRecord, before: &Entries) -> bool {
+fn has_failed(record: &Record, id: &str, job: &JobRecord, before: &[Entry]) -> bool {
     let failures: Vec<&TaskName> = before
         .iter()
         .filter_map(|entry| match &entry.event {
             Event::Ended {
                 run,
-                how: How::Failed,
+                reason: EndReason::Failed,
                 ..
             } if run.task.job == id => Some(&run.task),
             _ => None,
@@ -193,16 +170,14 @@
     })
 }
 
-/// What workers are told can be read.
+/// WIRE: responses to workers can be read.
 pub(super) fn unreadable(case: &mut Case) {
-    for entry in &case.record.entries {
-        if let Event::Unreadable { life, why } = &entry.event {
-            let worker = &case.record.life(*life).worker;
-            case.found.push(super::Violation {
-                rule: Rule::Wire,
-                at: entry.at,
-                detail: format!("{worker} was told: {why}"),
-            });
+    let record = case.record;
+    for entry in &record.entries {
+        if let Event::Unreadable { instance, why } = &entry.event {
+            let worker = &record.instance(*instance).worker;
+            let detail = format!("{worker} received: {why}");
+            case.report(Rule::Wire, entry.at, detail);
         }
     }
 }
--- a/crates/system-tests/src/checks/runs.rs
+++ b/crates/system-tests/src/checks/runs.rs
@@ -1,11 +1,11 @@
-//! Rules on the runs of a task: once at a time, in order, numbered, within their budget, gangs whole.
+//! Rules on the runs of a task: one at a time, in order, numbered, within their budget, gangs complete.
 
-use super::placement::{Presence, step_of};
-use super::{Case, Rule};
+use super::case::{Case, Rule, step_of};
+use super::presence::Presence;
+use crate::environment::{Event, InstanceIndex, Moment, Record};
 use crate::job::since_1970;
 use crate::task::{RunName, TaskName};
-use crate::wire::How;
-use crate::world::{Event, Record};
+use crate::wire::EndReason;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
@@ -13,56 +13,66 @@
     step_of(record, task).is_some_and(|step| step.speculative)
 }
 
-/// TWICE: neither two runs at once nor a start after a `done` that is taken note of then or later.
+fn is_gang(record: &Record, task: &TaskName) -> bool {
+    step_of(record, task).is_some_and(|step| step.gang)
+}
+
+/// TWICE: neither two runs at once nor a start after a `done` that is acknowledged then or later.
 pub(super) fn twice(case: &mut Case) {
     let record = case.record;
-    let noted = noted(record, How::Done);
+    let acknowledged = acknowledged_ends(record, EndReason::Done);
     let mut presence = Presence::default();
     let mut done: HashSet<&TaskName> = HashSet::new();
     for entry in &record.entries {
         match &entry.event {
-            Event::Started { life, run, .. } if !is_speculative(record, &run.task) => {
-                let beside = presence
-                    .everywhere()
-                    .find(|(_, other)| other.task == run.task);
-                if let Some((other_life, other)) = beside {
-                    let (here, there) =
-                        (&record.life(*life).worker, &record.life(other_life).worker);
-                    case.report(
-                        Rule::Twice,
-                        entry.at,
-                        format!("{run} on {here} while {other} is on {there}"),
-                    );
-                }
+            Event::Started { instance, run, .. } if !is_speculative(record, &run.task) => {
+                report_concurrent_run(case, &presence, entry.at, *instance, run);
                 if done.contains(&run.task) {
-                    case.report(
-                        Rule::Twice,
-                        entry.at,
-                        format!("{run} starts after its task was done"),
-                    );
+                    let detail = format!("{run} starts after its task was done");
+                    case.report(Rule::Twice, entry.at, detail);
                 }
             }
             Event::Ended {
-                life,
+                instance,
                 run,
-                how: How::Done,
-            } if noted.contains(&(*life, run)) => {
+                reason: EndReason::Done,
+            } if acknowledged.contains(&(*instance, run)) => {
                 done.insert(&run.task);
             }
             _ => {}
         }
-        presence.follow(&entry.event);
+        presence.apply(&entry.event);
     }
 }
 
-/// Ends of this kind that were taken note of at some time.
-fn noted(record: &Record, wanted: How) -> HashSet<(crate::world::LifeId, &RunName)> {
-    let events = record.entries.iter().map(|entry| &entry.event);
-    let noted = events.filter_map(|event| match event {
-        Event::Noted { life, run, how } if *how == wanted => Some((*life, run)),
+fn report_concurrent_run(
+    case: &mut Case,
+    presence: &Presence,
+    at: Moment,
+    instance: InstanceIndex,
+    run: &RunName,
+) {
+    let mut present = presence.everywhere();
+    let Some((other_instance, other)) = present.find(|(_, other)| other.task == run.task) else {
+        return;
+    };
+    let worker = |instance| &case.record.instance(instance).worker;
+    let (here, there) = (worker(instance), worker(other_instance));
+    let detail = format!("{run} on {here} while {other} is on {there}");
+    case.report(Rule::Twice, at, detail);
+}
+
+/// Ends for this reason that were acknowledged at some time.
+fn acknowledged_ends(record: &Record, wanted: EndReason) -> HashSet<(InstanceIndex, &RunName)> {
+    let acknowledged = record.events().filter_map(|event| match event {
+        Event::EndAcknowledged {
+            instance,
+            run,
+            reason,
+        } if *reason == wanted => Some((*instance, run)),
         _ => None,
     });
-    noted.collect()
+    acknowledged.collect()
 }
 
 /// ORDER: the steps before are done, and a repetition's time has come.
@@ -73,24 +83,18 @@
         match &entry.event {
             Event::Ended {
                 run,
-                how: How::Done,
+                reason: EndReason::Done,
                 ..
             } => _ = done.insert(&run.task),
             Event::Started { run, .. } => {
                 if let Some(missing) = first_missing(record, &run.task, &done) {
-                    case.report(
-                        Rule::Order,
-                        entry.at,
-                        format!("{run} starts before {missing} is done"),
-                    );
+                    let detail = format!("{run} starts before {missing} is done");
+                    case.report(Rule::Order, entry.at, detail);
                 }
                 let early = earliness(case, &run.task, entry.at);
                 if early > case.bounds.early {
-                    case.report(
-                        Rule::Order,
-                        entry.at,
-                        format!("{run} starts {early:?} before its time"),
-                    );
+                    let detail = format!("{run} starts {early:?} before its time");
+                    case.report(Rule::Order, entry.at, detail);
                 }
             }
             _ => {}
@@ -98,10 +102,11 @@
     }
 }
 
+/// The first task that is not done of the steps that a task's step depends on.
 fn first_missing(record: &Record, task: &TaskName, done: &HashSet<&TaskName>) -> Option<TaskName> {
     let job = &record.jobs.get(&task.job)?.job;
-    let before = &job.stages.get(task.step)?.depends_on;
-    let tasks = before.iter().flat_map(|step| {
+    let dependencies = &job.stages.get(task.step)?.depends_on;
+    let mut tasks = dependencies.iter().flat_map(|step| {
         let count = job.stages.get(*step).map_or(0, |step| step.count);
         (0..count).map(|index| TaskName {
             step: *step,
@@ -109,11 +114,11 @@
             ..task.clone()
         })
     });
-    tasks.into_iter().find(|task| !done.contains(task))
+    tasks.find(|task| !done.contains(task))
 }
 
 /// How long before its repetition's due time a task started.
-fn earliness(case: &Case, task: &TaskName, at: Duration) -> Duration {
+fn earliness(case: &Case, task: &TaskName, at: Moment) -> Duration {
     let job = case.record.jobs.get(&task.job);
     let Some(due) = job.and_then(|job| job.job.due(task.repeat)) else {
         return Duration::ZERO;
@@ -122,7 +127,7 @@
     due.saturating_sub(started)
 }
 
-/// Run numbers of a task rise from start to start.
+/// ATTEMPT: attempt numbers of a task rise from start to start.
 pub(super) fn attempts(case: &mut Case) {
     let record = case.record;
     let mut highest: HashMap<&TaskName, u32> = HashMap::new();
@@ -132,46 +137,35 @@
         };
         let before = highest.insert(&run.task, run.attempt).unwrap_or(0);
         if run.attempt <= before && !is_speculative(record, &run.task) {
-            case.report(
-                Rule::Attempt,
-                entry.at,
-                format!("{run} starts after run {before}"),
-            );
+            let detail = format!("{run} starts after run {before}");
+            case.report(Rule::Attempt, entry.at, detail);
         }
     }
 }
 
-/// BUDGET: no start after as many noted failures as the queue allows. A gang fails as one.
+/// BUDGET: no start after as many acknowledged failures as the queue allows. A gang fails as one.
 pub(super) fn budget(case: &mut Case) {
     let record = case.record;
-    let noted = noted(record, How::Failed);
+    let acknowledged = acknowledged_ends(record, EndReason::Failed);
     let mut failures: HashMap<TaskName, u32> = HashMap::new();
     for entry in &record.entries {
         match &entry.event {
             Event::Ended {
-                life,
+                instance,
                 run,
-                how: How::Failed,
-            } if noted.contains(&(*life, run)) => {
-                *failures.entry(budget_key(record, &run.task)).or_default() += 1;
+                reason: EndReason::Failed,
+            } if acknowledged.contains(&(*instance, run)) => {
+                let key = budget_key(record, &run.task);
+                *failures.entry(key).or_default() += 1;
             }
             Event::Started { run, .. } => {
                 let key = budget_key(record, &run.task);
-                let allowed = record
-                    .jobs
-                    .get(&run.task.job)
-                    .map_or(u32::MAX, |job| job.queue.max_retries);
-                let lasts = step_of(record, &run.task).is_some_and(|step| step.long_running);
-                if !lasts
-                    && failures
-                        .get(&key)
-                        .is_some_and(|failures| *failures >= allowed)
-                {
-                    case.report(
-                        Rule::Budget,
-                        entry.at,
-                        format!("{run} starts after {allowed} failures"),
-                    );
+                let failed = failures.get(&key).copied();
+                let allowed = allowed_failures(record, &run.task);
+                if failed.is_some_and(|failed| allowed.is_some_and(|allowed| failed >= allowed)) {
+                    let allowed = allowed.unwrap_or_default();
+                    let detail = format!("{run} starts after {allowed} failures");
+                    case.report(Rule::Budget, entry.at, detail);
                 }
             }
             _ => {}
@@ -179,44 +173,47 @@
     }
 }
 
+/// So many failures fail a task's job; `None` for a long-running step, which is retried without a limit.
+fn allowed_failures(record: &Record, task: &TaskName) -> Option<u32> {
+    let long_running = step_of(record, task).is_some_and(|step| step.long_running);
+    let job = record.jobs.get(&task.job);
+    let allowed = job.map_or(u32::MAX, |job| job.queue.max_retries);
+    (!long_running).then_some(allowed)
+}
+
 /// The task that failures are counted at: of a gang, always the first.
 fn budget_key(record: &Record, task: &TaskName) -> TaskName {
-    let gang = step_of(record, task).is_some_and(|step| step.gang);
     TaskName {
-        index: if gang { 0 } else { task.index },
+        index: if is_gang(record, task) { 0 } else { task.index },
         ..task.clone()
     }
 }
 
-/// GANG: no member waits in vain before its job is cancelled, and all members carry the same progress.
+/// GANG: no member waits in vain before its job is cancelled, and all members start from the same checkpoint.
 pub(super) fn gangs(case: &mut Case) {
     let record = case.record;
-    let mut carried: HashMap<(TaskName, u32), &str> = HashMap::new();
+    let mut gang_checkpoints: HashMap<(TaskName, u32), &str> = HashMap::new();
     for entry in &record.entries {
         match &entry.event {
             Event::Ended {
                 run,
-                how: How::Alone,
+                reason: EndReason::Alone,
                 ..
             } => {
-                let cancelled = record
-                    .jobs
-                    .get(&run.task.job)
-                    .and_then(|job| job.cancel_sent);
+                let job = record.jobs.get(&run.task.job);
+                let cancelled = job.and_then(|job| job.cancel_sent);
                 if cancelled.is_none_or(|cancelled| cancelled > entry.at) {
-                    case.report(Rule::Gang, entry.at, format!("{run} has waited in vain"));
+                    let detail = format!("{run} has waited in vain");
+                    case.report(Rule::Gang, entry.at, detail);
                 }
             }
-            Event::Started { run, saved, .. }
-                if step_of(record, &run.task).is_some_and(|step| step.gang) =>
-            {
+            Event::Started {
+                run, checkpoint, ..
+            } if is_gang(record, &run.task) => {
                 let key = (budget_key(record, &run.task), run.attempt);
-                if *carried.entry(key).or_insert(saved) != saved {
-                    case.report(
-                        Rule::Gang,
-                        entry.at,
-                        format!("{run} carries other progress than its gang"),
-                    );
+                if *gang_checkpoints.entry(key).or_insert(checkpoint) != checkpoint {
+                    let detail = format!("{run} has another checkpoint than its gang");
+                    case.report(Rule::Gang, entry.at, detail);
                 }
             }
             _ => {}
--- a/crates/system-tests/src/client.rs
+++ b/crates/system-tests/src/client.rs
@@ -1,50 +1,47 @@
-//! A client: hands in jobs, asks for their states and cancels them, at any edge. All that it does and is shown goes
-//! into the record of the [`World`].
+//! A stand-in client: submits jobs, reads their states and cancels them, at any edge. All that it does and is shown goes
+//! into the record of the [`Environment`].
 
+use crate::backoff;
 use crate::configuration::{HOST, Queue};
-use crate::http::{Answer, Call, HttpError, call_once, send_part};
+use crate::environment::{Environment, JobState};
+use crate::http::{HttpError, Request, Response, request_once, send_truncated};
 use crate::job::Job;
 use crate::random;
 use crate::wait::TimedOut;
-use crate::world::{JobState, World};
 use snafu::Snafu;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a client waits for one answer.
-const ANSWER_TIME: Duration = Duration::from_secs(3);
-/// A call that has got no clear answer by then is given up.
-const CALL_TIME: Duration = Duration::from_secs(20);
-/// The pause after a try without a clear answer grows by this.
-const PAUSE_STEP: Duration = Duration::from_millis(20);
-/// Longest pause between two tries.
-const PAUSE_MAX: Duration = Duration::from_millis(200);
+/// How long a client waits for one response; also the deadline in each request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A request that has got no clear response by then is given up.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A call without the answer that it needs.
+/// A request without the response that it needs.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// No clear answer in all the time allowed.
-    #[snafu(display("{what}: no clear answer after {tries} tries; the last: {last}"))]
+    /// No clear response in all the time allowed.
+    #[snafu(display("{what}: no clear response after {attempts} attempts; the last: {last}"))]
     Unanswered {
-        /// The call.
+        /// The request.
         what: String,
-        /// Tries.
-        tries: u32,
-        /// The last answer.
+        /// Attempts.
+        attempts: u32,
+        /// The last response or error.
         last: String,
     },
-    /// An answer that the protocol does not have there.
-    #[snafu(display("{what}: answered {status}: {body}"))]
+    /// A response that the protocol does not have there.
+    #[snafu(display("{what}: responded with {status}: {body}"))]
     Unexpected {
-        /// The call.
+        /// The request.
         what: String,
         /// Its status.
         status: u16,
         /// Its body.
         body: String,
     },
-    /// A state did not come.
+    /// A job did not reach the wanted state in time.
     #[snafu(display("{id} was last shown as {last:?}: {source}"))]
     State {
         /// The job.
@@ -56,16 +53,24 @@
     },
 }
 
-/// A job that was handed in.
+/// A job's id and queue, as its client knows it.
 #[derive(Clone, Debug)]
-pub struct Handed {
+pub struct SubmittedJob {
     /// Its id.
     pub id: String,
     /// Its queue.
     pub queue: Queue,
 }
 
-impl Handed {
+impl SubmittedJob {
+    /// A job with a new id, which nobody has submitted.
+    pub fn new(queue: &Queue) -> Self {
+        SubmittedJob {
+            id: random::job_id(),
+            queue: queue.clone(),
+        }
+    }
+
     fn path(&self) -> String {
         format!("{}{}", self.queue.path_prefix, self.id)
     }
@@ -75,24 +80,21 @@
 #[derive(Clone, Debug)]
 pub struct Client {
     edges: Vec<SocketAddr>,
-    world: Arc<World>,
+    environment: Arc<Environment>,
 }
 
 impl Client {
     /// A client that reaches these edges.
-    pub fn new(edges: Vec<SocketAddr>, world: &Arc<World>) -> Self {
+    pub fn new(edges: Vec<SocketAddr>, environment: &Arc<Environment>) -> Self {
         Client {
             edges,
-            world: world.clone(),
+            environment: environment.clone(),
         }
     }
 
     /// The same client with these edges only.
     pub fn at(&self, edges: &[SocketAddr]) -> Self {
-        Client {
-            edges: edges.to_vec(),
-            world: self.world.clone(),
-        }
+        Client::new(edges.to_vec(), &self.environment)
     }
 
     /// The edges that it knows.
@@ -104,175 +106,172 @@
         self.edges[random::below(self.edges.len() as u64) as usize]
     }
 
-    /// Hands in a job, again with the same id until it is accepted.
-    pub fn submit(&self, queue: &Queue, job: &Job) -> Result<Handed, ClientError> {
-        let handed = self.draw(queue);
-        self.insist(&format!("job {}", handed.id), || {
-            self.hand_in(self.any_edge(), &handed, job)
-        })
-        .and_then(|answer| expect(answer, Answer::is_success, &format!("job {}", handed.id)))?;
-        Ok(handed)
+    /// Submits a job, retried with the same id until it is accepted.
+    pub fn submit(&self, queue: &Queue, job: &Job) -> Result<SubmittedJob, ClientError> {
+        let submitted = SubmittedJob::new(queue);
+        let what = format!("job {}", submitted.id);
+        let response = self.retry(&what, || self.submit_once(self.any_edge(), &submitted, job))?;
+        expect(response, Response::is_success, &what)?;
+        Ok(submitted)
     }
 
-    /// One call to hand in a job.
-    pub fn hand_in(
+    /// One request to submit a job.
+    pub fn submit_once(
         &self,
         edge: SocketAddr,
-        handed: &Handed,
+        submitted: &SubmittedJob,
         job: &Job,
-    ) -> Result<Answer, HttpError> {
-        let result = self.call_at(edge, &self.handing_in(handed, job));
-        self.world
-            .job_answered(&handed.id, result.as_ref().ok().map(|answer| answer.status));
+    ) -> Result<Response, HttpError> {
+        let result = self.request_at(edge, &self.submission(submitted, job));
+        let status = result.as_ref().ok().map(|response| response.status);
+        self.environment.job_responded(&submitted.id, status);
         result
     }
 
-    /// The call that hands in a job, which the world learns of.
-    fn handing_in(&self, handed: &Handed, job: &Job) -> Call {
-        self.world.job_sent(&handed.id, job, &handed.queue);
-        Call::new("POST", handed.path()).json(serde_json::to_vec(job).unwrap_or_default())
+    /// The request to submit a job, which is recorded as sent.
+    fn submission(&self, submitted: &SubmittedJob, job: &Job) -> Request {
+        self.environment
+            .job_sent(&submitted.id, job, &submitted.queue);
+        Request::new("POST", submitted.path()).json(serde_json::to_vec(job).unwrap_or_default())
     }
 
-    /// Sends the first `bytes` bytes of a call to hand in a job, and leaves without waiting for an answer.
-    pub fn hand_in_part(
+    /// Sends the first `bytes` bytes of a request to submit a job, and closes the connection without a response.
+    pub fn submit_truncated(
         &self,
         edge: SocketAddr,
-        handed: &Handed,
+        submitted: &SubmittedJob,
         job: &Job,
         bytes: usize,
     ) -> Result<(), HttpError> {
-        let call = self.handing_in(handed, job).header("Host", HOST);
-        let sent = send_part(edge, &call, bytes, ANSWER_TIME);
-        self.world.job_answered(&handed.id, None);
+        let request = self.submission(submitted, job).header("Host", HOST);
+        let sent = send_truncated(edge, &request, bytes, RESPONSE_TIMEOUT);
+        self.environment.job_responded(&submitted.id, None);
         sent
     }
 
-    /// A job that nobody has handed in.
-    pub fn draw(&self, queue: &Queue) -> Handed {
-        Handed {
-            id: random::job_id(),
-            queue: queue.clone(),
-        }
-    }
-
-    /// Asks for a job's state; `None`: it does not exist.
-    pub fn state(&self, handed: &Handed) -> Result<Option<JobState>, ClientError> {
-        let what = format!("state of {}", handed.id);
-        let mut asked = self.world.now();
-        let answer = self.insist(&what, || {
-            asked = self.world.now();
-            self.call_at(self.any_edge(), &Call::new("GET", handed.path()))
+    /// Reads a job's state; `None`: it does not exist.
+    pub fn state(&self, submitted: &SubmittedJob) -> Result<Option<JobState>, ClientError> {
+        let what = format!("state of {}", submitted.id);
+        let request = Request::new("GET", submitted.path());
+        let mut requested_at = self.environment.now();
+        let response = self.retry(&what, || {
+            requested_at = self.environment.now();
+            self.request_at(self.any_edge(), &request)
         })?;
-        let state = match answer.status {
-            200 => answer.json()["state"].as_str().and_then(JobState::of_word),
-            410 => None,
-            _ => return expect(answer, |_| false, &what).map(|_| None),
+        let state = match response.status {
+            200 => response.json()["state"]
+                .as_str()
+                .and_then(JobState::from_name),
+            _ => None,
         };
-        if answer.status == 200 && state.is_none() {
-            return expect(answer, |_| false, &what).map(|_| None);
+        if state.is_none() && response.status != 410 {
+            return expect(response, |_| false, &what).map(|_| None);
         }
-        self.world.job_shown(&handed.id, asked, state);
+        self.environment
+            .job_shown(&submitted.id, requested_at, state);
         Ok(state)
     }
 
-    /// Asks until the job's state is one that is wanted.
+    /// Reads a job's state until it is one that is wanted.
     pub fn wait_for(
         &self,
-        handed: &Handed,
+        submitted: &SubmittedJob,
         at_most: Duration,
         wanted: impl Fn(JobState) -> bool,
     ) -> Result<JobState, ClientError> {
         let mut last = None;
-        let found = self
-            .world
-            .signal()
-            .until("a state", at_most, || match self.state(handed) {
-                Ok(state) => {
-                    last = state;
-                    state.filter(|state| wanted(*state)).map(Ok)
-                }
-                Err(error) => Some(Err(error)),
-            });
+        let probe = || match self.state(submitted) {
+            Ok(state) => {
+                last = state;
+                state.filter(|state| wanted(*state)).map(Ok)
+            }
+            Err(error) => Some(Err(error)),
+        };
+        let signal = self.environment.signal();
+        let found = signal.wait_until("a state", at_most, probe);
         found.map_err(|source| ClientError::State {
-            id: handed.id.clone(),
+            id: submitted.id.clone(),
             last,
             source,
         })?
     }
 
-    /// Asks until the job has ended.
-    pub fn wait_end(&self, handed: &Handed, at_most: Duration) -> Result<JobState, ClientError> {
-        self.wait_for(handed, at_most, JobState::is_final)
+    /// Reads a job's state until it is final.
+    pub fn wait_end(
+        &self,
+        submitted: &SubmittedJob,
+        at_most: Duration,
+    ) -> Result<JobState, ClientError> {
+        self.wait_for(submitted, at_most, JobState::is_final)
     }
 
-    /// Cancels a job, until that is acknowledged.
-    pub fn cancel(&self, handed: &Handed) -> Result<(), ClientError> {
-        let what = format!("cancelling of {}", handed.id);
-        self.world.cancel_sent(&handed.id);
-        let call = Call::new("DELETE", handed.path());
-        let answer = self.insist(&what, || self.call_at(self.any_edge(), &call))?;
-        expect(answer, Answer::is_success, &what)?;
-        self.world.cancel_acknowledged(&handed.id);
+    /// Cancels a job, retried until that is acknowledged.
+    pub fn cancel(&self, submitted: &SubmittedJob) -> Result<(), ClientError> {
+        let what = format!("cancellation of {}", submitted.id);
+        self.environment.cancel_sent(&submitted.id);
+        let request = Request::new("DELETE", submitted.path());
+        let response = self.retry(&what, || self.request_at(self.any_edge(), &request))?;
+        expect(response, Response::is_success, &what)?;
+        self.environment.cancel_acknowledged(&submitted.id);
         Ok(())
     }
 
-    /// One call at any edge.
-    pub fn call(&self, call: &Call) -> Result<Answer, HttpError> {
-        self.call_at(self.any_edge(), call)
+    /// One request at any edge.
+    pub fn request(&self, request: &Request) -> Result<Response, HttpError> {
+        self.request_at(self.any_edge(), request)
     }
 
-    /// One call at this edge.
-    pub fn call_at(&self, edge: SocketAddr, call: &Call) -> Result<Answer, HttpError> {
-        let deadline = ANSWER_TIME.as_millis().to_string();
-        let call = call
+    /// One request at this edge.
+    pub fn request_at(&self, edge: SocketAddr, request: &Request) -> Result<Response, HttpError> {
+        let deadline_ms = RESPONSE_TIMEOUT.as_millis().to_string();
+        let request = request
             .clone()
             .header("Host", HOST)
-            .header("Indigofold-Deadline-Ms", deadline);
-        call_once(edge, &call, ANSWER_TIME)
+            .header("Indigofold-Deadline-Ms", deadline_ms);
+        request_once(edge, &request, RESPONSE_TIMEOUT)
     }
 
-    /// Tries again, with growing pauses, while there is no clear answer.
-    fn insist(
+    /// Retries a request, with growing backoff, until it has a clear response.
+    fn retry(
         &self,
         what: &str,
-        mut call: impl FnMut() -> Result<Answer, HttpError>,
-    ) -> Result<Answer, ClientError> {
-        let begun = Instant::now();
-        let mut tries = 0;
+        mut request: impl FnMut() -> Result<Response, HttpError>,
+    ) -> Result<Response, ClientError> {
+        let started = Instant::now();
+        let mut attempts = 0;
         loop {
-            tries += 1;
-            let last = match call() {
-                Ok(answer) if !matches!(answer.status, 429 | 500..) => return Ok(answer),
-                Ok(answer) => format!(
-                    "{} {}",
-                    answer.status,
-                    String::from_utf8_lossy(&answer.body)
-                ),
+            attempts += 1;
+            let last = match request() {
+                Ok(response) if !matches!(response.status, 429 | 500..) => return Ok(response),
+                Ok(response) => format!("{} {}", response.status, response.text()),
                 Err(error) => error.to_string(),
             };
-            if begun.elapsed() > CALL_TIME {
-                return UnansweredSnafu { what, tries, last }.fail();
+            if started.elapsed() > REQUEST_TIMEOUT {
+                let error = UnansweredSnafu {
+                    what,
+                    attempts,
+                    last,
+                };
+                return error.fail();
             }
-            self.world
-                .signal()
-                .wait_beyond(u64::MAX, (PAUSE_STEP * tries).min(PAUSE_MAX));
+            let backoff = backoff::after_attempt(attempts);
+            self.environment.signal().sleep(backoff);
         }
     }
 }
 
 fn expect(
-    answer: Answer,
-    good: impl Fn(&Answer) -> bool,
+    response: Response,
+    good: impl Fn(&Response) -> bool,
     what: &str,
-) -> Result<Answer, ClientError> {
-    if good(&answer) {
-        return Ok(answer);
+) -> Result<Response, ClientError> {
+    if good(&response) {
+        return Ok(response);
     }
-    let body = String::from_utf8_lossy(&answer.body).into_owned();
-    UnexpectedSnafu {
+    let unexpected = UnexpectedSnafu {
         what,
-        status: answer.status,
-        body,
-    }
-    .fail()
+        status: response.status,
+        body: response.text(),
+    };
+    unexpected.fail()
 }
--- a/crates/system-tests/src/cluster.rs
+++ b/crates/system-tests/src/cluster.rs
@@ -1,9 +1,10 @@
-//! A whole cluster with its stand-ins: what most tests start from.
+//! A complete cluster with its stand-ins: the set-up of most tests, and the steps that many of them share.
 
-use crate::checks::{Excuses, violations};
-use crate::client::{Client, Handed};
+use crate::checks::{Exemptions, violations};
+use crate::client::{Client, SubmittedJob};
 use crate::configuration::{Configuration, PLANNING, QUICK, Queue};
-use crate::http::{Call, call_once};
+use crate::environment::{Environment, JobState, WorkerSetup};
+use crate::http::{Request, request_once};
 use crate::job::Job;
 use crate::operator::Operator;
 use crate::settings::Bounds;
@@ -11,37 +12,43 @@
 use crate::wait::Signal;
 use crate::wire::Capacity;
 use crate::worker::Worker;
-use crate::world::{JobState, WorkerSetup, World};
+use serde_json::Value;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// The cluster must be ready by then.
-pub const START_TIME: Duration = Duration::from_secs(20);
+pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// A job of a test must have ended by then, failures of processes included.
-pub const JOB_TIME: Duration = Duration::from_secs(30);
-/// A member that is back counts again after this (`catch_up_s`).
+pub const JOB_TIMEOUT: Duration = Duration::from_secs(30);
+/// A restarted member counts for a quorum after this (`catch_up_s`).
 pub const CATCH_UP: Duration = Duration::from_secs(4);
+/// Resources of a worker.
+pub const WORKER_CAPACITY: Capacity = Capacity {
+    cpu: 4_000,
+    mem_mb: 8_192,
+    gpu: 2,
+};
 /// How long an edge may take to say whether it is ready.
-const READINESS_TIME: Duration = Duration::from_secs(1);
+const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Workers on one rack.
-const RACK: usize = 2;
+const WORKERS_PER_RACK: usize = 2;
 
 /// A cluster under test. Panics where a test cannot go on: its failure is the test's.
 pub struct Cluster {
-    // In the order in which they are to go: workers end before the companions that they call.
+    // In the order in which they are dropped: workers end before the node agents that they connect to.
     /// The workers, one for each side machine, in the same order.
     pub workers: Vec<Worker>,
     /// The machines.
     pub system: System,
-    /// The world.
-    pub world: Arc<World>,
+    /// The simulated environment.
+    pub environment: Arc<Environment>,
     /// The operator.
     pub operator: Operator,
     /// A client that knows all edges.
     pub client: Client,
-    /// The newest configuration that the operator has delivered.
+    /// The newest configuration that the test takes its queues from.
     pub configuration: Configuration,
-    excuses: Excuses,
+    exemptions: Exemptions,
 }
 
 impl Cluster {
@@ -49,65 +56,93 @@
     pub fn prepare(programs: Programs, shape: Shape) -> Self {
         let (bounds, signal) = (Bounds::default(), Arc::new(Signal::default()));
         let system = System::new(programs, shape, bounds, &signal).expect("machines");
-        let world = World::new(bounds, signal.clone());
-        let members = system
-            .cores()
-            .into_iter()
-            .map(|core| system.control_plane(core))
-            .collect();
-        let edges = system
-            .edges()
-            .into_iter()
-            .map(|edge| system.frontend(edge))
-            .collect();
-        let (operator, client) = (Operator::new(members, &signal), Client::new(edges, &world));
-        let (configuration, excuses) = (Configuration::standard(1), Excuses::default());
+        let environment = Environment::new(bounds, signal.clone());
+        let cores = system.cores().into_iter();
+        let members = cores.map(|core| system.control_plane(core)).collect();
+        let edges = system.edges().into_iter();
+        let frontends = edges.map(|edge| system.frontend(edge)).collect();
         Cluster {
             workers: Vec::new(),
+            operator: Operator::new(members, &signal),
+            client: Client::new(frontends, &environment),
             system,
-            world,
-            operator,
-            client,
-            configuration,
-            excuses,
+            environment,
+            configuration: Configuration::standard(1),
+            exemptions: Exemptions::default(),
         }
     }
 
-    /// A cluster at work: all processes, a worker beside each companion, the first configuration in force.
+    /// A running cluster: all processes, a worker beside each node agent, the first configuration in force.
     pub fn start(programs: Programs, shape: Shape) -> Self {
         let mut cluster = Cluster::prepare(programs, shape);
         let system = &cluster.system;
         let machines = [system.cores(), system.edges(), system.sides()].concat();
-        machines
-            .into_iter()
-            .for_each(|machine| cluster.start_machine(machine));
-        cluster.start_workers(PLANNING);
-        cluster.configure();
-        cluster.wait_ready();
+        cluster.start_with_workers(&machines);
         cluster
     }
 
+    /// Starts these machines and a worker beside each node agent, and waits until the first configuration is in force.
+    pub fn start_with_workers(&mut self, machines: &[MachineId]) {
+        self.start_machines(machines);
+        self.start_workers(PLANNING);
+        self.configure();
+        self.wait_ready();
+    }
+
     /// Starts a machine's process.
     pub fn start_machine(&mut self, machine: MachineId) {
         self.system.start(machine).expect("a process starts");
     }
 
-    /// Starts a worker of this service beside each companion that has none.
+    /// Starts the processes of these machines, in this order.
+    pub fn start_machines(&mut self, machines: &[MachineId]) {
+        for machine in machines {
+            self.start_machine(*machine);
+        }
+    }
+
+    /// Kills the processes of these machines.
+    pub fn kill_machines(&mut self, machines: &[MachineId]) {
+        for machine in machines {
+            self.system.kill(*machine);
+        }
+    }
+
+    /// Stops the processes of these machines from running.
+    pub fn freeze_machines(&mut self, machines: &[MachineId]) {
+        for machine in machines {
+            self.system.freeze(*machine).expect("frozen");
+        }
+    }
+
+    /// Lets the processes of these machines run again.
+    pub fn thaw_machines(&mut self, machines: &[MachineId]) {
+        for machine in machines {
+            self.system.thaw(*machine).expect("thawed");
+        }
+    }
+
+    /// Kills a machine's process and removes all that is on its disk.
+    pub fn kill_and_wipe(&mut self, machine: MachineId) {
+        self.system.kill(machine);
+        self.system.wipe(machine).expect("an empty disk");
+    }
+
+    /// Sends SIGTERM to a machine's process, and waits for its successful end.
+    pub fn terminate_and_wait(&mut self, machine: MachineId) {
+        self.system.terminate(machine).expect("a signal");
+        let status = self.system.wait_exit(machine).expect("an end in time");
+        assert!(status.success(), "ended with {status}");
+    }
+
+    /// Starts a worker of this service beside each node agent that has none.
     pub fn start_workers(&mut self, service: &str) {
         for side in self.system.sides().into_iter().skip(self.workers.len()) {
-            self.start_worker(
-                side,
-                service,
-                Capacity {
-                    cpu: 4_000,
-                    mem_mb: 8_192,
-                    gpu: 2,
-                },
-            );
+            self.start_worker(side, service, WORKER_CAPACITY);
         }
     }
 
-    /// Starts a worker beside this companion.
+    /// Starts a worker beside this node agent.
     pub fn start_worker(&mut self, side: MachineId, service: &str, capacity: Capacity) {
         let number = self.workers.len();
         let settings = self.system.settings(side);
@@ -118,64 +153,80 @@
             capacity,
             labels: vec![
                 "a".to_owned(),
-                format!("r1-{}", number / RACK),
+                format!("r1-{}", number / WORKERS_PER_RACK),
                 format!("only-{number}"),
             ],
             address: settings.address(settings.ports.frontend).to_string(),
         };
-        self.workers.push(Worker::start(
-            setup,
-            self.system.control_plane(side),
-            &self.world,
-        ));
+        let agent = self.system.control_plane(side);
+        self.workers
+            .push(Worker::start(setup, agent, &self.environment));
     }
 
-    /// Delivers the first configuration.
+    /// Puts the first configuration in force.
     pub fn configure(&mut self) {
-        let answer = self
+        self.put(&self.configuration, 0);
+    }
+
+    /// Puts a complete configuration in force that builds on version `base`.
+    pub fn put(&self, configuration: &Configuration, base: u64) {
+        let version = configuration.version;
+        let response = self
             .operator
-            .put(&self.configuration, 0)
-            .expect("the first configuration");
-        assert_eq!(
-            answer.status,
-            200,
-            "the first configuration: {}",
-            answer.json()
-        );
+            .put(configuration, base)
+            .expect("a clear response");
+        let (status, body) = (response.status, response.json());
+        assert_eq!(status, 200, "version {version}: {body}");
+    }
+
+    /// Changes named items on top of version `base`.
+    pub fn patch(&self, change: &Value, base: u64) {
+        let response = self.operator.patch(change, base).expect("a clear response");
+        let (status, body) = (response.status, response.json());
+        assert_eq!(status, 200, "a change of version {base}: {body}");
+    }
+
+    /// The configuration in force.
+    pub fn read_configuration(&self) -> Value {
+        self.operator.read().expect("the configuration")
     }
 
-    /// Waits until all edges say that they are ready.
+    /// Waits until all edges are ready.
     pub fn wait_ready(&self) {
         for edge in self.system.edges() {
             self.wait_edge(edge);
         }
     }
 
-    /// Waits until an edge says that it is ready.
+    /// Waits until an edge is ready.
     pub fn wait_edge(&self, edge: MachineId) {
-        let ready = self.world.signal().until("a ready edge", START_TIME, || {
-            self.is_ready(edge).then_some(())
-        });
-        ready.expect("readiness");
+        let probe = || self.is_ready(edge).then_some(());
+        self.environment
+            .signal()
+            .wait_until("a ready edge", START_TIMEOUT, probe)
+            .expect("readiness");
     }
 
-    /// Whether an edge says that it is ready.
+    /// Whether an edge reports that it is ready.
     pub fn is_ready(&self, edge: MachineId) -> bool {
-        let answer = call_once(
-            self.system.readiness(edge),
-            &Call::new("GET", "/readiness"),
-            READINESS_TIME,
-        );
-        answer.is_ok_and(|answer| answer.status == 200)
+        let request = Request::new("GET", "/readiness");
+        request_once(self.system.readiness(edge), &request, READINESS_TIMEOUT)
+            .is_ok_and(|response| response.status == 200)
     }
 
     /// The machine whose member acts as head.
     pub fn head(&self) -> MachineId {
-        let address = self.operator.head(START_TIME).expect("a head");
+        let address = self.operator.head(START_TIMEOUT).expect("a head");
         self.system.core_at(address).expect("the head's machine")
     }
 
-    /// The queue of this prefix in the newest configuration.
+    /// The core machines but one.
+    pub fn other_cores(&self, but: MachineId) -> Vec<MachineId> {
+        let cores = self.system.cores().into_iter();
+        cores.filter(|core| *core != but).collect()
+    }
+
+    /// The queue of this path prefix in the newest configuration.
     pub fn queue(&self, path_prefix: &str) -> Queue {
         self.configuration
             .queue(path_prefix)
@@ -183,91 +234,113 @@
             .clone()
     }
 
-    /// Hands in a job, until it is accepted.
-    pub fn submit(&self, path_prefix: &str, job: &Job) -> Handed {
+    /// Submits a job, retried until it is accepted.
+    pub fn submit(&self, path_prefix: &str, job: &Job) -> SubmittedJob {
         self.client
             .submit(&self.queue(path_prefix), job)
             .expect("an accepted job")
     }
 
     /// Waits until a job is shown as completed.
-    pub fn expect_completed(&self, handed: &Handed) {
+    pub fn expect_completed(&self, submitted: &SubmittedJob) {
         let state = self
             .client
-            .wait_end(handed, JOB_TIME)
+            .wait_end(submitted, JOB_TIMEOUT)
             .expect("the end of a job");
-        assert_eq!(state, JobState::Completed, "{}", handed.id);
+        assert_eq!(state, JobState::Completed, "{}", submitted.id);
+    }
+
+    /// The state that a job is shown with.
+    pub fn state(&self, submitted: &SubmittedJob) -> Option<JobState> {
+        self.client.state(submitted).expect("a state")
     }
 
-    /// Hands in small jobs, one after another, for so long.
-    pub fn work_for(&self, span: Duration) {
-        let until = self.world.now() + span;
-        while self.world.now() < until {
-            let handed = self.submit(QUICK, &Job::single(50));
-            self.expect_completed(&handed);
+    /// Submits small jobs, one after another, for so long.
+    pub fn work_for(&self, time: Duration) {
+        let until = self.environment.now() + time;
+        while self.environment.now() < until {
+            let submitted = self.submit(QUICK, &Job::single(50));
+            self.expect_completed(&submitted);
         }
     }
 
-    /// Waits until one of the job's tasks has been started, and returns the number of the worker.
-    pub fn wait_started(&self, handed: &Handed) -> usize {
-        let life = self.world.until("the start of a task", JOB_TIME, |record| {
-            let last = record.starts(&handed.id).last();
-            last.map(|(life, _)| record.life(life).worker.clone())
+    /// Waits until one of the job's tasks has started, and returns the number of the last such worker.
+    pub fn wait_started(&self, submitted: &SubmittedJob) -> usize {
+        let started = self
+            .environment
+            .wait_until("the start of a task", JOB_TIMEOUT, |record| {
+                let last = record.starts(&submitted.id).last();
+                last.map(|start| record.instance(start.instance).worker.clone())
+            });
+        let name = started.expect("a start");
+        let mut workers = self.workers.iter();
+        let number = workers.position(|worker| worker.name() == name);
+        number.expect("a known worker")
+    }
+
+    /// Waits until exactly so many of the job's runs have started.
+    pub fn wait_starts(&self, submitted: &SubmittedJob, count: usize) {
+        let what = format!("{count} starts");
+        let started = self.environment.wait_until(&what, JOB_TIMEOUT, |record| {
+            (record.count_starts(&submitted.id) == count).then_some(())
         });
-        let worker = life.expect("a start");
-        self.workers
-            .iter()
-            .position(|known| known.name() == worker)
-            .expect("a known worker")
+        started.expect("starts");
+    }
+
+    /// How many of the job's runs have started.
+    pub fn count_starts(&self, submitted: &SubmittedJob) -> usize {
+        self.environment
+            .read(|record| record.count_starts(&submitted.id))
     }
 
-    /// What the test does excuses this.
-    pub fn excuse(&mut self, excuses: Excuses) {
-        self.excuses = excuses;
+    /// Exempts the test from checks that do not apply to the faults it injects.
+    pub fn exempt(&mut self, exemptions: Exemptions) {
+        self.exemptions = exemptions;
     }
 
     /// Kills all core members at the same moment, and starts them again.
     pub fn restart_core(&mut self) {
         let cores = self.system.cores();
-        cores.iter().for_each(|core| self.system.kill(*core));
-        cores.iter().for_each(|core| self.start_machine(*core));
+        self.kill_machines(&cores);
+        self.start_machines(&cores);
     }
 
-    /// Waits for the ends of all accepted jobs that end by themselves, and holds all that has happened against the rules.
+    /// Waits for the ends of all accepted jobs that end by themselves, and checks all that has happened.
     pub fn finish(mut self) {
-        let owed = self.world.read(|record| {
-            let accepted = record.jobs.iter().filter(|(_, job)| job.accepted.is_some());
-            let owed = accepted.filter(|(_, job)| job.cancel_sent.is_none() && !job.job.lasts());
-            owed.map(|(id, job)| Handed {
-                id: id.clone(),
-                queue: job.queue.clone(),
-            })
-            .collect::<Vec<_>>()
-        });
-        for handed in &owed {
+        for submitted in self.jobs_to_end() {
             self.client
-                .wait_end(handed, JOB_TIME)
+                .wait_end(&submitted, JOB_TIMEOUT)
                 .expect("the end of an accepted job");
         }
         self.check();
     }
 
-    /// Holds all that has happened against the rules.
+    fn jobs_to_end(&self) -> Vec<SubmittedJob> {
+        self.environment.read(|record| {
+            let accepted = record.jobs.iter().filter(|(_, job)| job.accepted.is_some());
+            let to_end =
+                accepted.filter(|(_, job)| job.cancel_sent.is_none() && !job.job.is_long_running());
+            let jobs = to_end.map(|(id, job)| SubmittedJob {
+                id: id.clone(),
+                queue: job.queue.clone(),
+            });
+            jobs.collect()
+        })
+    }
+
+    /// Checks all that has happened against the rules, and that no process has ended by itself.
     pub fn check(&mut self) {
-        let (bounds, now, excuses) = (self.world.bounds(), self.world.now(), self.excuses);
+        let (bounds, now) = (self.environment.bounds(), self.environment.now());
         let found = self
-            .world
-            .read(|record| violations(record, &bounds, excuses, now));
+            .environment
+            .read(|record| violations(record, &bounds, self.exemptions, now));
         let shown: Vec<String> = found.iter().map(ToString::to_string).collect();
+        let shown = shown.join("\n  ");
+        assert!(found.is_empty(), "rules were broken:\n  {shown}");
+        let exited = self.system.unexpectedly_exited();
         assert!(
-            found.is_empty(),
-            "rules were broken:\n  {}",
-            shown.join("\n  ")
-        );
-        let ended = self.system.ended_by_themselves();
-        assert!(
-            ended.is_empty(),
-            "processes have ended by themselves: {ended:?}"
+            exited.is_empty(),
+            "processes have ended by themselves: {exited:?}"
         );
     }
 }
@@ -276,7 +349,7 @@
     fn drop(&mut self) {
         if std::thread::panicking() {
             self.system.print_logs();
-            self.world.read(|record| {
+            self.environment.read(|record| {
                 for entry in &record.entries {
                     eprintln!("{:8.3} {:?}", entry.at.as_secs_f64(), entry.event);
                 }
--- /dev/null
+++ b/crates/system-tests/src/environment/instance.rs
@@ -0,0 +1,240 @@
+//! One instance of a worker: the orders it has received, its runs, and the ends it still has to report.
+
+use super::ended_runs::EndedRuns;
+use super::record::{InstanceRecord, Moment};
+use super::run::Run;
+use crate::random;
+use crate::settings::Bounds;
+use crate::task::{RunName, TaskName};
+use crate::wire::{Capacity, EndReason, Heartbeat, RunningReport};
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+
+/// A draining instance stays for so long after the time that its draining needs.
+const DRAIN_MARGIN: Duration = Duration::from_millis(300);
+/// Slots in every heartbeat; no test depends on them.
+const SLOTS: u32 = 8;
+
+/// What stays the same over all instances of a worker.
+#[derive(Clone, Debug)]
+pub struct WorkerSetup {
+    /// Its name.
+    pub name: String,
+    /// Its service.
+    pub service: String,
+    /// Its zone.
+    pub zone: String,
+    /// Its resources.
+    pub capacity: Capacity,
+    /// Its labels.
+    pub labels: Vec<String>,
+    /// Address at which it could be reached.
+    pub address: String,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Drain {
+    remaining_until: Moment,
+    acknowledged: Option<Moment>,
+}
+
+/// What happens on an instance by itself.
+#[derive(Clone, Debug)]
+pub enum Due {
+    /// A run ends.
+    RunEnds(RunName, EndReason),
+    /// The run lease expires.
+    LeaseExpires,
+}
+
+/// An instance.
+#[derive(Debug)]
+pub struct Instance {
+    setup: WorkerSetup,
+    id: String,
+    /// False from the instance's end on.
+    up: bool,
+    /// The highest fencing token received.
+    fencing_token: u64,
+    /// End of the run lease; none before the first one and after an expiry.
+    lease_until: Option<Moment>,
+    last_expiry: Option<Moment>,
+    /// What runs, the runs that are being stopped included.
+    pub runs: BTreeMap<RunName, Run>,
+    /// By task, the highest attempt that was stopped or has ended here: it and those below it are refused.
+    barred: HashMap<TaskName, u32>,
+    /// Ends that have not been acknowledged.
+    pub ended_runs: EndedRuns,
+    /// Sequence number of the last heartbeat.
+    seq_no: u64,
+    drain: Option<Drain>,
+}
+
+impl Instance {
+    /// A worker that has just started.
+    pub fn new(setup: &WorkerSetup) -> Self {
+        Instance {
+            setup: setup.clone(),
+            id: format!("i-{:08x}", random::number() as u32),
+            up: true,
+            fencing_token: 0,
+            lease_until: None,
+            last_expiry: None,
+            runs: BTreeMap::new(),
+            barred: HashMap::new(),
+            ended_runs: EndedRuns::default(),
+            seq_no: 0,
+            drain: None,
+        }
+    }
+
+    /// What the record keeps of it.
+    pub fn record(&self) -> InstanceRecord {
+        let setup = self.setup.clone();
+        InstanceRecord {
+            id: self.id.clone(),
+            worker: setup.name,
+            service: setup.service,
+            capacity: setup.capacity,
+            labels: setup.labels,
+        }
+    }
+
+    /// Whether it has not ended.
+    pub fn is_up(&self) -> bool {
+        self.up
+    }
+
+    /// Ends the instance and returns its runs, which end with it.
+    pub fn end(&mut self) -> Vec<Run> {
+        self.up = false;
+        std::mem::take(&mut self.runs).into_values().collect()
+    }
+
+    /// The next thing that happens here by itself, and when.
+    pub fn next_due(&self) -> Option<(Moment, Due)> {
+        let ends = self.runs.values().filter_map(|run| {
+            let (at, reason) = run.due()?;
+            Some((at, Due::RunEnds(run.name.clone(), reason)))
+        });
+        let expiry = self
+            .lease_until
+            .filter(|_| !self.runs.is_empty())
+            .map(|at| (at, Due::LeaseExpires));
+        ends.chain(expiry).min_by_key(|(at, _)| *at)
+    }
+
+    /// The run lease has expired; returns the runs that end by it.
+    pub fn expire_lease(&mut self, now: Moment) -> Vec<RunName> {
+        self.lease_until = None;
+        self.last_expiry = Some(now);
+        self.runs.keys().cloned().collect()
+    }
+
+    /// Whether a response with this fencing token is to be followed: it is no lower than any received before.
+    pub fn accepts_fencing_token(&mut self, fencing_token: u64) -> bool {
+        let accepted = fencing_token >= self.fencing_token;
+        self.fencing_token = self.fencing_token.max(fencing_token);
+        accepted
+    }
+
+    /// Extends the run lease; it is never shortened.
+    pub fn extend_lease(&mut self, sent: Moment, lease: Duration, bounds: &Bounds) {
+        let until = sent + lease.min(bounds.max_run_lease);
+        self.lease_until = Some(self.lease_until.map_or(until, |before| before.max(until)));
+    }
+
+    /// Whether the run lease lasts beyond `now`.
+    pub fn has_lease(&self, now: Moment) -> bool {
+        self.lease_until.is_some_and(|until| until > now)
+    }
+
+    /// Whether a start of this run is refused: it was stopped or has ended here, or a higher one was or has.
+    pub fn refuses(&self, run: &RunName) -> bool {
+        self.barred
+            .get(&run.task)
+            .is_some_and(|barred| run.attempt <= *barred)
+    }
+
+    /// Refuses this run, and those below it, from now on.
+    pub fn bar(&mut self, run: &RunName) {
+        let barred = self.barred.entry(run.task.clone()).or_default();
+        *barred = run.attempt.max(*barred);
+    }
+
+    /// Acknowledges the ends up to a number. Those with no expiry of the run lease since are returned.
+    pub fn acknowledge_ends(&mut self, acknowledged_end: u64) -> Vec<(RunName, EndReason)> {
+        self.ended_runs
+            .acknowledge(acknowledged_end, self.last_expiry)
+    }
+
+    /// Starts draining; the instance needs `remaining` until it can end.
+    pub fn start_draining(&mut self, remaining: Duration, now: Moment) {
+        self.drain.get_or_insert(Drain {
+            remaining_until: now + remaining,
+            acknowledged: None,
+        });
+    }
+
+    /// A heartbeat with the state `draining` was acknowledged; true for the first.
+    pub fn acknowledge_drain(&mut self, sent_as_draining: bool, now: Moment) -> bool {
+        let Some(drain) = self.drain.as_mut().filter(|_| sent_as_draining) else {
+            return false;
+        };
+        let first = drain.acknowledged.is_none();
+        drain.acknowledged.get_or_insert(now);
+        first
+    }
+
+    /// Whether it is draining.
+    pub fn is_draining(&self) -> bool {
+        self.drain.is_some()
+    }
+
+    /// When it ends, once its draining is acknowledged.
+    pub fn ends_at(&self, bounds: &Bounds) -> Option<Moment> {
+        let drain = self.drain?;
+        let drained = drain.acknowledged? + bounds.drain + DRAIN_MARGIN;
+        Some(drain.remaining_until.max(drained))
+    }
+
+    /// Its id and its heartbeat.
+    pub fn heartbeat(&mut self, now: Moment) -> (String, Heartbeat) {
+        self.seq_no += 1;
+        let remaining = self
+            .drain
+            .map(|drain| drain.remaining_until.saturating_sub(now));
+        let state = if self.is_draining() {
+            "draining"
+        } else {
+            "ready"
+        };
+        let heartbeat = Heartbeat {
+            backend: self.setup.service.clone(),
+            address: self.setup.address.clone(),
+            zone: self.setup.zone.clone(),
+            version: "v1".to_owned(),
+            slots: SLOTS,
+            state,
+            warm_up_remaining_ms: 0,
+            capacity: self.setup.capacity,
+            labels: self.setup.labels.clone(),
+            remaining_ms: remaining.map(|time| time.as_millis() as u64),
+            now_ms: now.as_millis() as u64,
+            seq_no: self.seq_no,
+            running: self.running_reports(now),
+            finished: self.ended_runs.reports(),
+        };
+        (self.id.clone(), heartbeat)
+    }
+
+    fn running_reports(&mut self, now: Moment) -> Vec<RunningReport> {
+        let reports = self.runs.values_mut().map(|run| RunningReport {
+            task: run.name.task.to_string(),
+            attempt: run.name.attempt,
+            checkpoint: run.checkpoint(now),
+            percent: run.percent(now),
+        });
+        reports.collect()
+    }
+}
--- a/crates/system-tests/src/world/run.rs
+++ b/crates/system-tests/src/environment/run.rs
@@ -1,18 +1,18 @@
-//! One run of a task on a worker.
+//! One run of a task on a worker: its progress, its checkpoints, and the end it comes to.
 
 use super::record::Moment;
 use crate::job::Step;
 use crate::settings::Bounds;
 use crate::task::{RunName, TaskName};
-use crate::wire::How;
+use crate::wire::EndReason;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// Hexadecimal digits of the progress at the front of a saved text.
+/// Hexadecimal digits of the progress, in milliseconds, at the front of a checkpoint.
 const PROGRESS_DIGITS: usize = 8;
 
-/// How a run will end if nothing comes between.
+/// The end a run comes to if neither an order nor a fault ends it before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     /// With its work done.
@@ -21,8 +21,8 @@
     Fails,
     /// Never; it makes no progress.
     Hangs,
-    /// Never; it is at work until it is stopped.
-    Lasts,
+    /// Never; it runs until it is stopped.
+    RunsUntilStopped,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -45,17 +45,17 @@
     checkpoints: bool,
     phase: Phase,
     stop_at: Option<Moment>,
-    saved: String,
-    save_every: Duration,
+    checkpoint: String,
+    checkpoint_interval: Duration,
 }
 
 impl Run {
-    /// A run that has just been started, with the progress that its order carried. A member of a gang waits.
+    /// A run that has just been started, with the checkpoint of its order. A member of a gang waits for the others.
     pub fn new(
         name: RunName,
         step: &Step,
         fate: Fate,
-        saved: String,
+        checkpoint: String,
         bounds: &Bounds,
         now: Moment,
     ) -> Self {
@@ -69,8 +69,8 @@
                 until: now + bounds.gang,
             },
             stop_at: None,
-            saved,
-            save_every: bounds.save,
+            checkpoint,
+            checkpoint_interval: bounds.checkpoint_interval,
         };
         if !step.gang {
             run.begin(bounds, now);
@@ -80,7 +80,7 @@
 
     /// Begins its work.
     pub fn begin(&mut self, bounds: &Bounds, now: Moment) {
-        let before = progress_of(&self.saved);
+        let before = progress_of(&self.checkpoint);
         let from = if before.is_zero() {
             now
         } else {
@@ -94,22 +94,25 @@
         matches!(self.phase, Phase::Waiting { .. })
     }
 
-    /// It has been told to stop.
+    /// Stops it within the bound.
     pub fn stop(&mut self, bounds: &Bounds, now: Moment) {
         self.stop_at.get_or_insert(now + bounds.stop);
     }
 
     /// When and how it ends, as things stand.
-    pub fn due(&self) -> Option<(Moment, How)> {
+    pub fn due(&self) -> Option<(Moment, EndReason)> {
         let own = match self.phase {
-            Phase::Waiting { until } => Some((until, How::Alone)),
+            Phase::Waiting { until } => Some((until, EndReason::Alone)),
             Phase::Working { from, before } => match self.fate {
-                Fate::Done => Some((from + self.work.saturating_sub(before), How::Done)),
-                Fate::Fails => Some((from + (self.work / 2).saturating_sub(before), How::Failed)),
-                Fate::Hangs | Fate::Lasts => None,
+                Fate::Done => Some((from + self.work.saturating_sub(before), EndReason::Done)),
+                Fate::Fails => Some((
+                    from + (self.work / 2).saturating_sub(before),
+                    EndReason::Failed,
+                )),
+                Fate::Hangs | Fate::RunsUntilStopped => None,
             },
         };
-        let stop = self.stop_at.map(|at| (at, How::Stopped));
+        let stop = self.stop_at.map(|at| (at, EndReason::Stopped));
         [own, stop].into_iter().flatten().min_by_key(|(at, _)| *at)
     }
 
@@ -119,7 +122,7 @@
                 (before + now.saturating_sub(from)).min(self.work)
             }
             Phase::Working { before, .. } => before,
-            Phase::Waiting { .. } => progress_of(&self.saved),
+            Phase::Waiting { .. } => progress_of(&self.checkpoint),
         }
     }
 
@@ -128,33 +131,33 @@
         (self.progress(now).as_millis() * 100 / self.work.as_millis().max(1)) as u32
     }
 
-    /// Its saved progress: renewed with every so much work.
-    pub fn saved(&mut self, now: Moment) -> String {
-        let every = self.save_every.as_millis().max(1);
-        let whole = self.progress(now).as_millis() / every * every;
-        self.save(Duration::from_millis(whole as u64));
-        self.saved.clone()
+    /// Its checkpoint: a new one after each interval of work.
+    pub fn checkpoint(&mut self, now: Moment) -> String {
+        let interval_ms = self.checkpoint_interval.as_millis().max(1);
+        let saved_ms = self.progress(now).as_millis() / interval_ms * interval_ms;
+        self.update_checkpoint(Duration::from_millis(saved_ms as u64));
+        self.checkpoint.clone()
     }
 
-    /// Its saved progress at its end; a stop saves all of it.
-    pub fn saved_at_end(&mut self, how: How, now: Moment) -> String {
-        if how == How::Stopped {
-            self.save(self.progress(now));
-            return self.saved.clone();
+    /// Its checkpoint at its end. A stopped run saves all of its progress.
+    pub fn final_checkpoint(&mut self, reason: EndReason, now: Moment) -> String {
+        if reason == EndReason::Stopped {
+            self.update_checkpoint(self.progress(now));
+            return self.checkpoint.clone();
         }
-        self.saved(now)
+        self.checkpoint(now)
     }
 
-    fn save(&mut self, progress: Duration) {
-        if self.checkpoints && progress > progress_of(&self.saved) {
-            let tag = tag_of(&self.name.task, self.gang);
-            self.saved = format!("{:0PROGRESS_DIGITS$x}{tag:016x}", progress.as_millis());
+    fn update_checkpoint(&mut self, progress: Duration) {
+        if self.checkpoints && progress > progress_of(&self.checkpoint) {
+            let tag = owner_tag(&self.name.task, self.gang);
+            self.checkpoint = format!("{:0PROGRESS_DIGITS$x}{tag:016x}", progress.as_millis());
         }
     }
 }
 
-/// The part of a saved text that tells whose it is: a task's, or a gang's.
-fn tag_of(task: &TaskName, gang: bool) -> u64 {
+/// The part of a checkpoint that identifies its owner: a task, or a gang.
+fn owner_tag(task: &TaskName, gang: bool) -> u64 {
     let mut hasher = DefaultHasher::new();
     (
         &task.job,
@@ -166,13 +169,13 @@
     hasher.finish()
 }
 
-/// Whether a saved text names this task, or its gang.
-pub fn is_saved_by(saved: &str, task: &TaskName, gang: bool) -> bool {
-    saved.get(PROGRESS_DIGITS..) == Some(&format!("{:016x}", tag_of(task, gang)))
+/// Whether a checkpoint was written by this task, or by its gang.
+pub fn is_checkpoint_of(checkpoint: &str, task: &TaskName, gang: bool) -> bool {
+    checkpoint.get(PROGRESS_DIGITS..) == Some(&format!("{:016x}", owner_tag(task, gang)))
 }
 
-fn progress_of(saved: &str) -> Duration {
-    let digits = saved.get(..PROGRESS_DIGITS);
+fn progress_of(checkpoint: &str) -> Duration {
+    let digits = checkpoint.get(..PROGRESS_DIGITS);
     Duration::from_millis(
         digits
             .and_then(|digits| u64::from_str_radix(digits, 16).ok())
--- a/crates/system-tests/src/job.rs
+++ b/crates/system-tests/src/job.rs
@@ -203,7 +203,7 @@
     }
 
     /// Whether it runs until it is cancelled.
-    pub fn lasts(&self) -> bool {
+    pub fn is_long_running(&self) -> bool {
         self.stages.iter().any(|step| step.long_running)
     }
 }
--- a/crates/system-tests/src/lib.rs
+++ b/crates/system-tests/src/lib.rs
@@ -1,17 +1,19 @@
 //! Whole-program tests of the cluster: the real programs as child processes on loopback addresses, and stand-ins for
-//! all that calls them (job workers, clients, the operator).
+//! all that connects to them (workers, clients, the operator).
 //!
 //! The stand-ins are written from the operators' pages alone and share no type with the programs, so that a
-//! misunderstanding in the programs is not repeated here. All starts and ends of tasks on all workers are recorded
-//! ([`world`]), and at the end of a test the record is held against the rules ([`checks`]).
+//! misunderstanding in the programs is not repeated here. All starts and ends of runs on all workers are recorded
+//! ([`environment`]), and at the end of a test the record is checked against the rules ([`checks`]).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod backoff;
 pub mod checks;
 pub mod client;
 pub mod cluster;
 pub mod configuration;
+pub mod environment;
 pub mod http;
 pub mod job;
 pub mod network;
@@ -24,7 +26,6 @@
 pub mod wait;
 pub mod wire;
 pub mod worker;
-pub mod world;
 
 /// The programs under test. Cargo names them to integration tests only, so this has to be expanded there.
 #[macro_export]
--- a/crates/system-tests/src/network.rs
+++ b/crates/system-tests/src/network.rs
@@ -4,7 +4,7 @@
 use crate::random;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 
-/// Port on which the first address of a /24 is held for as long as the /24 is in use.
+/// Port on the first address of a /24 that stays bound for as long as the /24 is in use.
 const GUARD_PORT: u16 = 10_007;
 /// Lowest port for the machines; all stay below those that the kernel draws for outgoing connections.
 const FIRST_PORT: u16 = 12_000;
@@ -15,7 +15,7 @@
 /// Ports among them that the cluster's processes use among themselves.
 const INTERNAL_PORTS: u16 = 16;
 /// So many /24s are tried; far more than are in use at once.
-const TRIES: usize = 1_000;
+const ATTEMPTS_MAX: usize = 1_000;
 
 /// The ports of every machine of a system.
 #[derive(Clone, Copy, Debug)]
@@ -33,22 +33,22 @@
 /// A /24 of one system.
 #[derive(Debug)]
 pub struct Network {
-    prefix: [u8; 3],
+    subnet: [u8; 3],
     ports: Ports,
     _guard: TcpListener,
 }
 
 impl Network {
     /// Takes a /24 that is not in use. Panics if there is none: no test can run then.
-    pub fn take() -> Self {
-        let guarded = (0..TRIES).find_map(|_| {
-            let prefix = [127, 1 + random::below(253) as u8, random::below(256) as u8];
-            let at = SocketAddr::new(host(prefix, 1), GUARD_PORT);
-            TcpListener::bind(at).ok().map(|guard| (prefix, guard))
+    pub fn reserve() -> Self {
+        let guarded = (0..ATTEMPTS_MAX).find_map(|_| {
+            let subnet = [127, 1 + random::below(253) as u8, random::below(256) as u8];
+            let at = SocketAddr::new(host(subnet, 1), GUARD_PORT);
+            TcpListener::bind(at).ok().map(|guard| (subnet, guard))
         });
-        let (prefix, guard) = guarded.expect("a loopback network that is not in use");
+        let (subnet, guard) = guarded.expect("a loopback network that is not in use");
         Network {
-            prefix,
+            subnet,
             ports: draw_ports(),
             _guard: guard,
         }
@@ -56,7 +56,7 @@
 
     /// The address of a machine, counted from 0.
     pub fn machine(&self, number: usize) -> IpAddr {
-        host(self.prefix, number as u8 + 2)
+        host(self.subnet, number as u8 + 2)
     }
 
     /// The ports, alike on all machines.
@@ -65,8 +65,8 @@
     }
 }
 
-fn host(prefix: [u8; 3], last: u8) -> IpAddr {
-    IpAddr::V4(Ipv4Addr::new(prefix[0], prefix[1], prefix[2], last))
+fn host(subnet: [u8; 3], last: u8) -> IpAddr {
+    IpAddr::V4(Ipv4Addr::new(subnet[0], subnet[1], subnet[2], last))
 }
 
 fn draw_ports() -> Ports {
--- a/crates/system-tests/src/operator.rs
+++ b/crates/system-tests/src/operator.rs
@@ -1,7 +1,8 @@
-//! The operator: reads and changes the configuration at any member, as the protocol page says.
+//! A stand-in operator: reads and changes the configuration at any core member, as the protocol page says.
 
+use crate::backoff;
 use crate::configuration::Configuration;
-use crate::http::{Answer, Call, HttpError, call_once};
+use crate::http::{HttpError, Request, Response, request_once};
 use crate::random;
 use crate::wait::{Signal, TimedOut};
 use serde_json::Value;
@@ -10,34 +11,32 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A member that does not answer within this is left for another.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
+/// A member that does not respond within this is left for another.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// So many redirections are followed.
-const REDIRECTIONS: usize = 2;
-/// Statuses that end a call at once.
-const FINAL: [u16; 5] = [400, 409, 412, 413, 422];
-/// Other 4xx end a call at this try.
-const TRIES_OF_4XX: usize = 3;
-/// The pause after a try without a clear answer grows by this.
-const PAUSE_STEP: Duration = Duration::from_millis(20);
-/// Longest pause between two tries.
-const PAUSE_MAX: Duration = Duration::from_millis(200);
-/// An order that has got no clear answer by then is given up.
-const ORDER_TIME: Duration = Duration::from_secs(15);
-
-/// An order without a clear answer.
+const REDIRECTIONS_MAX: usize = 2;
+/// Statuses that end a request at once.
+const FINAL_STATUSES: [u16; 5] = [400, 409, 412, 413, 422];
+/// Other 4xx end a request at this attempt.
+const ATTEMPTS_ON_4XX: u32 = 3;
+/// A request that has got no clear response by then is given up.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// A request without a clear response.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// No clear answer in all the time allowed.
-    #[snafu(display("no clear answer after {tries} tries in {ORDER_TIME:?}; the last: {last}"))]
+    /// No clear response in all the time allowed.
+    #[snafu(display(
+        "no clear response after {attempts} attempts in {REQUEST_TIMEOUT:?}; the last: {last}"
+    ))]
     Unanswered {
-        /// Tries.
-        tries: usize,
-        /// The last answer.
+        /// Attempts.
+        attempts: u32,
+        /// The last response or error.
         last: String,
     },
     /// No member acts as head.
-    #[snafu(display("no member answers for itself: {source}"))]
+    #[snafu(display("no member acts as head: {source}"))]
     Headless {
         /// How long was waited.
         source: TimedOut,
@@ -65,89 +64,100 @@
         &self.members
     }
 
-    /// One call to one member, without following a redirection.
-    pub fn ask(&self, member: SocketAddr, call: &Call) -> Result<Answer, HttpError> {
-        call_once(member, call, ANSWER_TIME)
+    /// One request to one member, without following a redirection.
+    pub fn request_once(
+        &self,
+        member: SocketAddr,
+        request: &Request,
+    ) -> Result<Response, HttpError> {
+        request_once(member, request, RESPONSE_TIMEOUT)
     }
 
-    /// An order, sent unchanged to one member after another until it has a clear answer.
-    pub fn order(&self, call: &Call) -> Result<Answer, OperatorError> {
-        let begun = Instant::now();
+    /// A request, sent unchanged to one member after another until it has a clear response.
+    pub fn request(&self, request: &Request) -> Result<Response, OperatorError> {
+        let started = Instant::now();
         let mut last = String::new();
-        let mut tries = 0;
-        while begun.elapsed() < ORDER_TIME {
-            let first = self.members[(random::below(self.members.len() as u64)) as usize];
-            tries += 1;
-            match self.follow(first, call) {
-                Ok(answer) if is_clear(&answer, tries) => return Ok(answer),
-                Ok(answer) => last = format!("{} from {first}", answer.status),
+        let mut attempts = 0;
+        while started.elapsed() < REQUEST_TIMEOUT {
+            let first = self.members[random::below(self.members.len() as u64) as usize];
+            attempts += 1;
+            match self.follow_redirections(first, request) {
+                Ok(response) if is_clear(&response, attempts) => return Ok(response),
+                Ok(response) => last = format!("{} from {first}", response.status),
                 Err(error) => last = format!("{error} ({first})"),
             }
-            let pause = (PAUSE_STEP * tries as u32).min(PAUSE_MAX);
-            self.signal.wait_beyond(u64::MAX, pause);
+            self.signal.sleep(backoff::after_attempt(attempts));
         }
-        UnansweredSnafu { tries, last }.fail()
+        UnansweredSnafu { attempts, last }.fail()
     }
 
-    fn follow(&self, first: SocketAddr, call: &Call) -> Result<Answer, HttpError> {
-        let mut answer = self.ask(first, call)?;
-        for _ in 0..REDIRECTIONS {
-            let Some(next) = redirection(&answer) else {
+    fn follow_redirections(
+        &self,
+        first: SocketAddr,
+        request: &Request,
+    ) -> Result<Response, HttpError> {
+        let mut response = self.request_once(first, request)?;
+        for _ in 0..REDIRECTIONS_MAX {
+            let Some(next) = redirection(&response) else {
                 break;
             };
-            answer = self.ask(next, call)?;
+            response = self.request_once(next, request)?;
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Delivers a whole configuration that builds on version `base`.
-    pub fn put(&self, configuration: &Configuration, base: u64) -> Result<Answer, OperatorError> {
-        self.order(&put_call(&configuration.to_json(), base))
+    /// Sends a complete configuration that builds on version `base`.
+    pub fn put(&self, configuration: &Configuration, base: u64) -> Result<Response, OperatorError> {
+        self.request(&put_request(&configuration.to_json(), base))
     }
 
     /// Changes named items on top of version `base`.
-    pub fn patch(&self, change: &Value, base: u64) -> Result<Answer, OperatorError> {
-        self.order(
-            &Call::new("PATCH", "/config")
-                .header("If-Match", base.to_string())
-                .json(change.to_string()),
-        )
+    pub fn patch(&self, change: &Value, base: u64) -> Result<Response, OperatorError> {
+        self.request(&config_request("PATCH", change, base))
     }
 
     /// The newest configuration.
     pub fn read(&self) -> Result<Value, OperatorError> {
-        Ok(self.order(&Call::new("GET", "/config"))?.json())
+        Ok(self.request(&read_request())?.json())
     }
 
-    /// The member that answers for itself, once there is one. A configuration must be in place.
+    /// The member that acts as head, once there is one. A configuration must be in place.
     pub fn head(&self, at_most: Duration) -> Result<SocketAddr, OperatorError> {
-        let look = || {
-            self.members
-                .iter()
-                .copied()
-                .find(|member| self.is_head(*member))
+        let probe = || {
+            let mut members = self.members.iter().copied();
+            members.find(|member| self.is_head(*member))
         };
         self.signal
-            .until("a head", at_most, look)
+            .wait_until("a head", at_most, probe)
             .map_err(|source| OperatorError::Headless { source })
     }
 
     fn is_head(&self, member: SocketAddr) -> bool {
-        self.ask(member, &Call::new("GET", "/config"))
-            .is_ok_and(|answer| answer.status == 200)
+        self.request_once(member, &read_request())
+            .is_ok_and(|response| response.status == 200)
     }
 }
 
-/// The call that delivers a whole configuration.
-pub fn put_call(configuration: &Value, base: u64) -> Call {
-    Call::new("PUT", "/config")
+/// The request that reads the configuration.
+pub fn read_request() -> Request {
+    Request::new("GET", "/config")
+}
+
+/// The request that sends a complete configuration that builds on version `base`.
+pub fn put_request(configuration: &Value, base: u64) -> Request {
+    config_request("PUT", configuration, base)
+}
+
+fn config_request(method: &'static str, body: &Value, base: u64) -> Request {
+    Request::new(method, "/config")
         .header("If-Match", base.to_string())
-        .json(configuration.to_string())
+        .json(body.to_string())
 }
 
-/// Where an answer sends the caller.
-pub fn redirection(answer: &Answer) -> Option<SocketAddr> {
-    let location = answer.header("location").filter(|_| answer.status == 307)?;
+/// Where a response redirects the caller.
+pub fn redirection(response: &Response) -> Option<SocketAddr> {
+    let location = response.header("location");
+    let location = location.filter(|_| response.status == 307)?;
     location
         .strip_prefix("http://")?
         .split('/')
@@ -156,12 +166,13 @@
         .ok()
 }
 
-fn is_clear(answer: &Answer, tries: usize) -> bool {
-    match answer.status {
+/// Whether a response to attempt number `attempts` ends a request.
+fn is_clear(response: &Response, attempts: u32) -> bool {
+    match response.status {
         408 | 429 => false,
         200..300 => true,
-        status if FINAL.contains(&status) => true,
-        400..500 => tries >= TRIES_OF_4XX,
+        status if FINAL_STATUSES.contains(&status) => true,
+        400..500 => attempts >= ATTEMPTS_ON_4XX,
         _ => false,
     }
 }
--- a/crates/system-tests/src/process.rs
+++ b/crates/system-tests/src/process.rs
@@ -15,7 +15,7 @@
 /// Variables that a process gets from its caller.
 const INHERITED: [&str; 3] = ["PATH", "HOME", "LANG"];
 /// So many of a process's last lines are kept.
-const LINES_KEPT: usize = 400;
+const LOG_LINES_KEPT: usize = 400;
 
 /// A child that could not be started, signalled or waited for.
 #[derive(Debug, Snafu)]
@@ -36,7 +36,7 @@
     },
     /// A signal was not delivered.
     #[snafu(display("cannot signal {name}: {source}"))]
-    Signalled {
+    SignalNotSent {
         /// Its machine.
         name: String,
         /// Why.
@@ -44,7 +44,7 @@
     },
     /// It did not end in time.
     #[snafu(display("{name} does not end: {source}"))]
-    Unending {
+    DidNotExit {
         /// Its machine.
         name: String,
         /// Why.
@@ -52,7 +52,7 @@
     },
 }
 
-/// The last lines that a machine's processes have written, over all their lives.
+/// The last lines that a machine's processes have written, over all their restarts.
 #[derive(Debug, Default)]
 pub struct Log {
     lines: Mutex<VecDeque<String>>,
@@ -61,7 +61,7 @@
 impl Log {
     fn push(&self, line: String) {
         let mut lines = locked(&self.lines);
-        if lines.len() == LINES_KEPT {
+        if lines.len() == LOG_LINES_KEPT {
             lines.pop_front();
         }
         lines.push_back(line);
@@ -73,7 +73,7 @@
     }
 }
 
-/// One machine's process: its present life, if it has one.
+/// One machine's process; it can be started again after its end.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -108,13 +108,14 @@
             .stderr(Stdio::piped());
         let mut child = command.spawn().context(StartSnafu { program })?;
         self.log.push(format!("-- started as {}", child.id()));
-        self.keep_lines(child.stdout.take());
-        self.keep_lines(child.stderr.take());
+        self.keep_output(child.stdout.take());
+        self.keep_output(child.stderr.take());
         self.child = Some(child);
         Ok(())
     }
 
-    fn keep_lines(&self, stream: Option<impl Read + Send + 'static>) {
+    /// Keeps the last lines of an output stream.
+    fn keep_output(&self, stream: Option<impl Read + Send + 'static>) {
         let Some(stream) = stream else { return };
         let (log, signal) = (self.log.clone(), self.signal.clone());
         std::thread::spawn(move || {
@@ -134,11 +135,11 @@
     }
 
     /// Whether it was started and has ended by itself: not by [`kill`](Self::kill), nor awaited.
-    pub fn has_ended_by_itself(&mut self) -> bool {
+    pub fn has_exited_unexpectedly(&mut self) -> bool {
         self.child.is_some() && !self.is_running()
     }
 
-    /// Ends it without notice, and waits until it is gone.
+    /// Kills it, and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             // Either fails only if the child has ended before.
@@ -148,12 +149,12 @@
         }
     }
 
-    /// Asks it to end.
+    /// Sends it SIGTERM.
     pub fn terminate(&self) -> Result<(), ProcessError> {
         self.signal_child(ProcessSignal::TERM, "-- terminated")
     }
 
-    /// Stops it from running, as if its machine stood still.
+    /// Stops it from running, as if its machine were frozen.
     pub fn freeze(&self) -> Result<(), ProcessError> {
         self.signal_child(ProcessSignal::STOP, "-- frozen")
     }
@@ -163,30 +164,30 @@
         self.signal_child(ProcessSignal::CONT, "-- thawed")
     }
 
-    fn signal_child(&self, signal: ProcessSignal, note: &str) -> Result<(), ProcessError> {
+    fn signal_child(&self, signal: ProcessSignal, log_line: &str) -> Result<(), ProcessError> {
         let name = &self.name;
         let child = self.child.as_ref().context(NotRunningSnafu { name })?;
-        self.log.push(note.to_owned());
-        kill_process(Pid::from_child(child), signal).context(SignalledSnafu { name })
+        self.log.push(log_line.to_owned());
+        kill_process(Pid::from_child(child), signal).context(SignalNotSentSnafu { name })
     }
 
     /// Waits until it has ended.
-    pub fn wait_end(&mut self, at_most: Duration) -> Result<ExitStatus, ProcessError> {
+    pub fn wait_exit(&mut self, at_most: Duration) -> Result<ExitStatus, ProcessError> {
         let name = self.name.clone();
         let child = self
             .child
             .as_mut()
             .context(NotRunningSnafu { name: &name })?;
-        let ended = self.signal.until("the end of a process", at_most, || {
+        let ended = self.signal.wait_until("the end of a process", at_most, || {
             child.try_wait().ok().flatten()
         });
-        let status = ended.context(UnendingSnafu { name })?;
+        let status = ended.context(DidNotExitSnafu { name })?;
         self.child = None;
         self.log.push(format!("-- ended: {status}"));
         Ok(status)
     }
 
-    /// What it has written, over all its lives.
+    /// What it has written, over all its restarts.
     pub fn log(&self) -> &Log {
         &self.log
     }
--- a/crates/system-tests/src/settings.rs
+++ b/crates/system-tests/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files (`boot.toml`) as the platform writes them.
+//! Settings files (`boot.toml`) as the platform writes them. Names in the file are the platform's.
 
 use crate::network::Ports;
 use std::fmt::Write;
@@ -9,17 +9,17 @@
 /// What a machine is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MachineClass {
-    /// Takes clients' calls.
+    /// Takes clients' requests.
     Edge,
-    /// Sits beside a worker.
+    /// Runs the node agent of a worker.
     Side,
-    /// Keeps the control state.
+    /// Runs a core member.
     Core,
 }
 
 impl MachineClass {
-    /// The class as the settings name it.
-    pub fn word(self) -> &'static str {
+    /// The class's name in the settings.
+    pub fn name(self) -> &'static str {
         match self {
             MachineClass::Edge => "edge",
             MachineClass::Side => "side",
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Who may call its role from outside.
+    /// The role that it serves, by its name in the settings.
     fn serves(self) -> &'static str {
         match self {
             MachineClass::Edge => "edge",
@@ -37,18 +37,18 @@
     }
 }
 
-/// Time bounds of the deployment that the stand-ins and checks go by too.
+/// Time bounds of the deployment; the stand-ins and checks go by them too.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Interval of a worker's heartbeats.
     pub heartbeat: Duration,
-    /// Longest time for which a worker holds on to what runs.
-    pub max_hold: Duration,
+    /// Longest run lease of a worker (`max_hold_ms`).
+    pub max_run_lease: Duration,
     /// Longest time that a stop takes.
     pub stop: Duration,
     /// How long a member of a gang waits for the others.
     pub gang: Duration,
-    /// After a cancelling is acknowledged, nothing of the job starts later than this.
+    /// After a cancellation is acknowledged, nothing of the job starts later than this.
     pub cancel: Duration,
     /// After a job is accepted, its state can be read this much later.
     pub visible: Duration,
@@ -58,26 +58,26 @@
     pub drain: Duration,
     /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// A connection that ends this soon after a request may not have read it.
+    /// A process that closes a connection this soon after a request may not have read the request.
     pub loss_slack: Duration,
     /// An acknowledged configuration is in force everywhere after this.
     pub config_apply: Duration,
-    /// A proper order of the operator is acknowledged within this.
+    /// A valid request of the operator is acknowledged within this.
     pub acknowledgement: Duration,
-    /// Machines are in touch once nothing has happened for so long.
+    /// Machines have found each other once nothing has happened for so long.
     pub liveness: Duration,
-    /// Time between two savings of progress.
-    pub save: Duration,
-    /// Time to go on from saved progress.
+    /// Work between two checkpoints of a run (`save_s`).
+    pub checkpoint_interval: Duration,
+    /// Time to resume from a checkpoint (`restore_ms`).
     pub restore: Duration,
 }
 
 impl Default for Bounds {
-    /// Bounds as deployments have them, but with faster heartbeats, stops and savings.
+    /// Bounds as deployments have them, but with faster heartbeats, stops and checkpoints.
     fn default() -> Self {
         Bounds {
             heartbeat: Duration::from_millis(400),
-            max_hold: Duration::from_millis(6_000),
+            max_run_lease: Duration::from_millis(6_000),
             stop: Duration::from_millis(300),
             gang: Duration::from_millis(3_000),
             cancel: Duration::from_millis(3_000),
@@ -89,13 +89,13 @@
             config_apply: Duration::from_millis(2_000),
             acknowledgement: Duration::from_millis(4_000),
             liveness: Duration::from_millis(3_000),
-            save: Duration::from_secs(1),
+            checkpoint_interval: Duration::from_secs(1),
             restore: Duration::from_millis(100),
         }
     }
 }
 
-/// What one process is told.
+/// The settings of one process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of the machine.
@@ -112,7 +112,7 @@
     pub ports: Ports,
     /// `control_plane` addresses of up to three machines.
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// This is the first start of the system.
     pub bootstrap: bool,
     /// The disk, where there is one.
     pub data_dir: Option<PathBuf>,
@@ -121,7 +121,7 @@
 }
 
 impl Settings {
-    /// Where the process takes calls of this kind.
+    /// Address of one of its ports.
     pub fn address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip, port)
     }
@@ -138,7 +138,7 @@
     }
 
     fn write_machine(&self, text: &mut String) -> std::fmt::Result {
-        let class = self.class.word();
+        let class = self.class.name();
         let seeds: Vec<String> = self
             .seeds
             .iter()
@@ -213,7 +213,7 @@
 
     fn write_bounds(&self, text: &mut String) -> std::fmt::Result {
         let Bounds {
-            max_hold,
+            max_run_lease,
             stop,
             gang,
             cancel,
@@ -240,7 +240,7 @@
             text,
             "drain_ms = {}\nmax_hold_ms = {}",
             ms(drain),
-            ms(max_hold)
+            ms(max_run_lease)
         )?;
         writeln!(text, "stop_ms = {}\ngang_ms = {}", ms(stop), ms(gang))?;
         writeln!(
@@ -253,7 +253,7 @@
             text,
             "early_ms = {}\nsave_s = {}",
             ms(early),
-            self.bounds.save.as_secs()
+            self.bounds.checkpoint_interval.as_secs()
         )?;
         writeln!(text, "restore_ms = {}", ms(self.bounds.restore))
     }
--- a/crates/system-tests/src/system.rs
+++ b/crates/system-tests/src/system.rs
@@ -1,4 +1,4 @@
-//! A small system: machines with settings files and disks, and the processes on them.
+//! A small deployment: machines with settings files and disks, and the processes on them.
 
 use crate::network::Network;
 use crate::process::{Process, ProcessError};
@@ -18,15 +18,15 @@
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 /// The files of a core machine's database.
 const DATABASE_FILES: [&str; 2] = ["control.sqlite", "control.sqlite-wal"];
-/// So many of its bytes are overwritten by [`System::damage`].
-const DAMAGED_BYTES: usize = 64;
+/// So many of its bytes are overwritten by [`System::corrupt_database`].
+const CORRUPTED_BYTES: usize = 64;
 /// So many of each process's last lines are printed when a test fails.
-const LINES_SHOWN: usize = 60;
+const LOG_LINES_SHOWN: usize = 60;
 
 /// The programs under test.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The data plane: edges and companions.
+    /// The data plane: edges and node agents.
     pub data: PathBuf,
     /// The control plane: core members.
     pub control: PathBuf,
@@ -43,6 +43,24 @@
     pub sides: usize,
 }
 
+impl Shape {
+    /// The usual number of machines of each class, but so many core machines.
+    pub fn with_cores(cores: usize) -> Self {
+        Shape {
+            cores,
+            ..Shape::default()
+        }
+    }
+
+    /// The usual number of machines of each class, but so many side machines.
+    pub fn with_sides(sides: usize) -> Self {
+        Shape {
+            sides,
+            ..Shape::default()
+        }
+    }
+}
+
 impl Default for Shape {
     fn default() -> Self {
         Shape {
@@ -53,15 +71,15 @@
     }
 }
 
-/// Number of a machine.
+/// Index of a machine among those of its system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineId(usize);
 
-/// A system that cannot be set up, or a process that does not do what it is told.
+/// A system that cannot be set up, or a process that does not follow.
 #[derive(Debug, Snafu)]
 pub enum SystemError {
-    /// A file or folder cannot be written.
-    #[snafu(display("cannot write {}: {source}", path.display()))]
+    /// A file or folder cannot be read or written.
+    #[snafu(display("cannot access {}: {source}", path.display()))]
     Files {
         /// Which.
         path: PathBuf,
@@ -88,7 +106,7 @@
 pub struct System {
     programs: Programs,
     machines: Vec<Machine>,
-    // Both go last: the processes use them.
+    // Dropped last: the processes use both.
     _folder: TempDir,
     _network: Network,
 }
@@ -104,7 +122,7 @@
         let folder = tempfile::tempdir().context(FilesSnafu {
             path: std::env::temp_dir(),
         })?;
-        let network = Network::take();
+        let network = Network::reserve();
         let classes = [
             (MachineClass::Core, shape.cores),
             (MachineClass::Edge, shape.edges),
@@ -116,7 +134,7 @@
         let mut machines = Vec::new();
         for (at, (class, number)) in plan.enumerate() {
             let settings = Settings {
-                node_name: format!("{}-{number}", class.word()),
+                node_name: format!("{}-{number}", class.name()),
                 class,
                 ip: network.machine(at),
                 zone: ZONES[number % ZONES.len()].to_owned(),
@@ -170,19 +188,19 @@
         &self.machines[machine.0].settings
     }
 
-    /// Where an edge takes clients' calls.
+    /// Address at which an edge takes clients' requests.
     pub fn frontend(&self, machine: MachineId) -> SocketAddr {
         let settings = self.settings(machine);
         settings.address(settings.ports.frontend)
     }
 
-    /// Where an edge says whether it is ready.
+    /// Address at which an edge reports whether it is ready.
     pub fn readiness(&self, machine: MachineId) -> SocketAddr {
         let settings = self.settings(machine);
         settings.address(settings.ports.readiness)
     }
 
-    /// Where a core member takes the operator's calls, and a companion its worker's.
+    /// Address at which a core member takes the operator's requests, and a node agent its worker's.
     pub fn control_plane(&self, machine: MachineId) -> SocketAddr {
         let settings = self.settings(machine);
         settings.address(settings.ports.control_plane)
@@ -210,18 +228,18 @@
             MachineClass::Edge | MachineClass::Side => &self.programs.data,
         };
         process.start(program, settings_path)?;
-        // Only the first start of the whole system is one.
+        // `bootstrap` is set for the first start of the system only.
         settings.bootstrap = false;
         Ok(())
     }
 
-    /// The machine's settings say again that the whole system starts for the first time.
-    pub fn claim_first_start(&mut self, machine: MachineId) {
+    /// Sets the machine's settings back to the first start of the system.
+    pub fn set_bootstrap(&mut self, machine: MachineId) {
         self.machines[machine.0].settings.bootstrap = true;
     }
 
-    /// Overwrites the beginning of a core machine's database and of its log.
-    pub fn damage(&self, machine: MachineId) -> Result<(), SystemError> {
+    /// Overwrites the first bytes of a core machine's database and of its write-ahead log.
+    pub fn corrupt_database(&self, machine: MachineId) -> Result<(), SystemError> {
         let Some(folder) = &self.machines[machine.0].settings.data_dir else {
             return Ok(());
         };
@@ -230,19 +248,19 @@
             let mut bytes = std::fs::read(&path).context(FilesSnafu { path: &path })?;
             bytes
                 .iter_mut()
-                .take(DAMAGED_BYTES)
+                .take(CORRUPTED_BYTES)
                 .for_each(|byte| *byte = !*byte);
             std::fs::write(&path, bytes).context(FilesSnafu { path: &path })?;
         }
         Ok(())
     }
 
-    /// The machine joins a system that has started before.
-    pub fn enter_later(&mut self, machine: MachineId) {
+    /// Sets the machine's settings to join a system that has started before.
+    pub fn join_existing(&mut self, machine: MachineId) {
         self.machines[machine.0].settings.bootstrap = false;
     }
 
-    /// Kills a machine's process, and waits until it is gone.
+    /// Kills a machine's process, and waits until it has ended.
     pub fn kill(&mut self, machine: MachineId) {
         self.machines[machine.0].process.kill();
     }
@@ -262,11 +280,11 @@
     }
 
     /// Waits for the end of a process that was sent SIGTERM, for as long as the platform does.
-    pub fn wait_end(&mut self, machine: MachineId) -> Result<ExitStatus, SystemError> {
+    pub fn wait_exit(&mut self, machine: MachineId) -> Result<ExitStatus, SystemError> {
         let Machine {
             settings, process, ..
         } = &mut self.machines[machine.0];
-        Ok(process.wait_end(settings.bounds.grace)?)
+        Ok(process.wait_exit(settings.bounds.grace)?)
     }
 
     /// Stops a machine's process from running.
@@ -280,11 +298,11 @@
     }
 
     /// Names of the machines whose processes have ended by themselves.
-    pub fn ended_by_themselves(&mut self) -> Vec<String> {
+    pub fn unexpectedly_exited(&mut self) -> Vec<String> {
         let processes = self.machines.iter_mut().map(|machine| &mut machine.process);
         let ended = processes.filter_map(|process| {
             process
-                .has_ended_by_itself()
+                .has_exited_unexpectedly()
                 .then(|| process.name().to_owned())
         });
         ended.collect()
@@ -295,7 +313,7 @@
         for machine in &self.machines {
             eprintln!("== {} ({})", machine.process.name(), machine.settings.ip);
             let lines = machine.process.log().lines();
-            for line in &lines[lines.len().saturating_sub(LINES_SHOWN)..] {
+            for line in &lines[lines.len().saturating_sub(LOG_LINES_SHOWN)..] {
                 eprintln!("   {line}");
             }
         }
--- a/crates/system-tests/src/wait.rs
+++ b/crates/system-tests/src/wait.rs
@@ -1,12 +1,12 @@
-//! Waiting for conditions, bounded in time. Whatever changes in a test raises one [`Signal`]; whoever waits looks again
-//! at each raise, and every [`LOOK_AGAIN`] for what changes without one (a port, an answer).
+//! Waiting for conditions, bounded in time. Whatever changes in a test raises one [`Signal`]; who waits for a condition
+//! probes it at each raise, and every [`POLL_INTERVAL`] for what changes without one (a port, a response).
 
 use snafu::Snafu;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Longest pause between two looks at a condition.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(10);
+/// Longest time between two probes of a condition.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A condition did not come true in time.
 #[derive(Debug, Snafu)]
@@ -37,35 +37,40 @@
         *locked(&self.count)
     }
 
-    /// Returns at the first change after the `seen`th, or after `at_most`.
-    pub fn wait_beyond(&self, seen: u64, at_most: Duration) {
+    /// Returns once there have been more changes than `observed`, or after `at_most`.
+    pub fn wait_past(&self, observed: u64, at_most: Duration) {
         let count = locked(&self.count);
         let waited = self
             .changed
-            .wait_timeout_while(count, at_most, |count| *count <= seen);
+            .wait_timeout_while(count, at_most, |count| *count <= observed);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Looks until there is something to see.
-    pub fn until<T>(
+    /// Returns after `time`, whatever changes.
+    pub fn sleep(&self, time: Duration) {
+        self.wait_past(u64::MAX, time);
+    }
+
+    /// Probes a condition until it yields something, for `at_most`; `what` names it in the error.
+    pub fn wait_until<T>(
         &self,
         what: &str,
         at_most: Duration,
-        mut look: impl FnMut() -> Option<T>,
+        mut probe: impl FnMut() -> Option<T>,
     ) -> Result<T, TimedOut> {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            let seen = self.count();
-            if let Some(found) = look() {
+            let observed = self.count();
+            if let Some(found) = probe() {
                 return Ok(found);
             }
-            let Some(left) = at_most.checked_sub(begun.elapsed()) else {
+            let Some(left) = at_most.checked_sub(started.elapsed()) else {
                 return Err(TimedOut {
                     what: what.to_owned(),
                     at_most,
                 });
             };
-            self.wait_beyond(seen, left.min(LOOK_AGAIN));
+            self.wait_past(observed, left.min(POLL_INTERVAL));
         }
     }
 }
--- a/crates/system-tests/src/worker.rs
+++ b/crates/system-tests/src/worker.rs
@@ -1,67 +1,65 @@
-//! A job worker: sends heartbeats to the companion on its machine, and lives, crashes and leaves as the test says. What
-//! runs on it is kept by the [`World`].
+//! A stand-in worker: sends heartbeats to the node agent on its machine, and starts, crashes and drains as the test says.
+//! What runs on it is kept by the [`Environment`].
 
-use crate::http::{Call, Connection, HttpError};
+use crate::environment::{Environment, InstanceIndex, Moment, WorkerSetup};
+use crate::http::{Connection, HttpError, Request, Response};
 use crate::wait::locked;
-use crate::wire::HeartbeatAnswer;
-use crate::world::{LifeId, Moment, WorkerSetup, World};
+use crate::wire::HeartbeatResponse;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A heartbeat that got no answer within this counts as not acknowledged.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
-/// Largest answer that is read, in bytes.
-const ANSWER_BYTES_MAX: usize = 4 << 20;
-/// The next heartbeat follows an end by this.
+/// A heartbeat that got no response within this counts as not acknowledged.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest response that is read.
+const RESPONSE_BYTES_MAX: usize = 4 << 20;
+/// The next heartbeat follows an end of a run by this.
 const AFTER_END: Duration = Duration::from_millis(50);
-/// Pause after a heartbeat that was not acknowledged.
+/// Time until the next heartbeat after one that was not acknowledged.
 const AFTER_FAILURE: Duration = Duration::from_millis(100);
-/// A worker that gets no acknowledgement when it leaves ends after this.
-const LEAVE_TIME: Duration = Duration::from_secs(4);
-/// Longest pause between two looks at what the test wants of the worker.
-const LOOK: Duration = Duration::from_millis(200);
+/// A worker whose deregistration is not acknowledged ends after this.
+const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Longest time between two reads of what the test wants of the worker.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
+/// What the test wants of a worker; read by its heartbeat thread.
 #[derive(Debug, Default)]
-struct Wishes {
-    /// The life that is at work.
-    life: Option<LifeId>,
-    /// The test is over.
-    over: bool,
+struct WorkerControl {
+    /// The present instance; none after a crash.
+    instance: Option<InstanceIndex>,
+    /// The thread is to end.
+    shut_down: bool,
 }
 
-/// A job worker.
+/// A stand-in worker.
 #[derive(Debug)]
 pub struct Worker {
     setup: WorkerSetup,
-    world: Arc<World>,
-    wishes: Arc<Mutex<Wishes>>,
+    environment: Arc<Environment>,
+    control: Arc<Mutex<WorkerControl>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Worker {
-    /// Starts a worker that registers at `companion`.
-    pub fn start(setup: WorkerSetup, companion: SocketAddr, world: &Arc<World>) -> Self {
-        let wishes = Arc::new(Mutex::new(Wishes {
-            life: Some(world.begin_life(&setup)),
-            over: false,
+    /// Starts a worker that registers at the node agent `agent`.
+    pub fn start(setup: WorkerSetup, agent: SocketAddr, environment: &Arc<Environment>) -> Self {
+        let control = Arc::new(Mutex::new(WorkerControl {
+            instance: Some(environment.start_instance(&setup)),
+            shut_down: false,
         }));
-        let (theirs, their_world) = (wishes.clone(), world.clone());
-        let thread = std::thread::spawn(move || {
-            let link = Link::new(companion);
-            Beats {
-                world: their_world,
-                companion,
-                link,
-                answered: Moment::ZERO,
-            }
-            .run(&theirs);
-        });
+        let heartbeats = HeartbeatLoop {
+            environment: environment.clone(),
+            agent,
+            connection: HeartbeatConnection::new(agent),
+            last_heartbeat: Moment::ZERO,
+        };
+        let thread_control = control.clone();
+        let thread = std::thread::spawn(move || heartbeats.run(&thread_control));
         Worker {
             setup,
-            world: world.clone(),
-            wishes,
+            environment: environment.clone(),
+            control,
             thread: Some(thread),
         }
     }
@@ -71,37 +69,37 @@
         &self.setup.name
     }
 
-    /// The life that is at work.
-    pub fn life(&self) -> Option<LifeId> {
-        locked(&self.wishes).life
+    /// The present instance.
+    pub fn instance(&self) -> Option<InstanceIndex> {
+        locked(&self.control).instance
     }
 
-    /// It crashes. All that runs there is gone, and it says nothing.
+    /// Crashes the worker: its runs end, and it sends nothing more.
     pub fn crash(&self) {
-        if let Some(life) = locked(&self.wishes).life.take() {
-            self.world.end_life(life);
+        if let Some(instance) = locked(&self.control).instance.take() {
+            self.environment.end_instance(instance);
         }
     }
 
-    /// It starts again, with a new id.
+    /// Crashes the worker and starts it with a new id.
     pub fn restart(&self) {
         self.crash();
-        locked(&self.wishes).life = Some(self.world.begin_life(&self.setup));
-        self.world.signal().raise();
+        locked(&self.control).instance = Some(self.environment.start_instance(&self.setup));
+        self.environment.signal().raise();
     }
 
-    /// It will leave after `remaining`, says so, and leaves.
+    /// Starts draining: the worker reports that it ends after `remaining`, and deregisters then.
     pub fn drain(&self, remaining: Duration) {
-        if let Some(life) = self.life() {
-            self.world.drain(life, remaining);
+        if let Some(instance) = self.instance() {
+            self.environment.drain(instance, remaining);
         }
     }
 }
 
 impl Drop for Worker {
     fn drop(&mut self) {
-        locked(&self.wishes).over = true;
-        self.world.signal().raise();
+        locked(&self.control).shut_down = true;
+        self.environment.signal().raise();
         if let Some(thread) = self.thread.take() {
             // A panic there has been printed, and the test fails by what the worker no longer does.
             let _ = thread.join();
@@ -109,153 +107,157 @@
     }
 }
 
-/// The connection on which heartbeats go.
-struct Link {
+/// The connection that carries heartbeats; opened anew when it has ended.
+struct HeartbeatConnection {
     peer: SocketAddr,
     connection: Option<Connection>,
 }
 
-impl Link {
+impl HeartbeatConnection {
     fn new(peer: SocketAddr) -> Self {
-        Link {
+        HeartbeatConnection {
             peer,
             connection: None,
         }
     }
 
-    fn call(&mut self, call: &Call) -> Result<crate::http::Answer, HttpError> {
+    fn request(&mut self, request: &Request) -> Result<Response, HttpError> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
-            None => Connection::open(self.peer, ANSWER_TIME)?,
+            None => Connection::open(self.peer, RESPONSE_TIMEOUT)?,
         };
-        let answer = connection.call(call, ANSWER_TIME)?;
-        self.connection = Some(connection).filter(|connection| !connection.is_over());
-        Ok(answer)
+        let response = connection.request(request, RESPONSE_TIMEOUT)?;
+        self.connection = Some(connection).filter(|connection| !connection.is_closed());
+        Ok(response)
     }
 }
 
 /// The thread that sends a worker's heartbeats.
-struct Beats {
-    world: Arc<World>,
-    companion: SocketAddr,
-    link: Link,
-    /// When the last heartbeat was answered, or given up.
-    answered: Moment,
+struct HeartbeatLoop {
+    environment: Arc<Environment>,
+    agent: SocketAddr,
+    connection: HeartbeatConnection,
+    /// When the last heartbeat got its response, or was given up.
+    last_heartbeat: Moment,
 }
 
-impl Beats {
-    fn run(mut self, wishes: &Mutex<Wishes>) {
+impl HeartbeatLoop {
+    fn run(mut self, control: &Mutex<WorkerControl>) {
         let mut due = Moment::ZERO;
         let mut present = None;
         loop {
-            let seen = self.world.signal().count();
-            let (life, over) = {
-                let wishes = locked(wishes);
-                (wishes.life, wishes.over)
+            let observed = self.environment.signal().count();
+            let (instance, shut_down) = {
+                let control = locked(control);
+                (control.instance, control.shut_down)
             };
-            if over {
+            if shut_down {
                 return;
             }
-            if life != present {
-                // A new life knows nothing of the connections of the one before.
-                (present, self.link, due) = (life, Link::new(self.companion), self.world.now());
+            if instance != present {
+                // A new instance does not inherit the connection of the one before.
+                present = instance;
+                self.connection = HeartbeatConnection::new(self.agent);
+                due = self.environment.now();
             }
-            let Some(life) = life.filter(|life| self.world.is_up(*life)) else {
-                self.world.signal().wait_beyond(seen, LOOK);
+            let up = instance.filter(|instance| self.environment.is_up(*instance));
+            let Some(instance) = up else {
+                self.environment.signal().wait_past(observed, POLL_INTERVAL);
                 continue;
             };
-            due = self.step(life, due, seen);
+            due = self.step(instance, due, observed);
         }
     }
 
-    /// Leaves or sends a heartbeat if it is time for either, and waits for it otherwise. Returns when the next is due.
-    fn step(&mut self, life: LifeId, due: Moment, seen: u64) -> Moment {
-        let now = self.world.now();
-        if self
-            .world
-            .leaves_at(life)
-            .is_some_and(|leaves_at| leaves_at <= now)
-        {
-            self.leave(life);
+    /// Deregisters or sends a heartbeat if either is due, and waits for it otherwise. Returns when the next is due.
+    fn step(&mut self, instance: InstanceIndex, due: Moment, observed: u64) -> Moment {
+        let now = self.environment.now();
+        let ends_at = self.environment.ends_at(instance);
+        if ends_at.is_some_and(|ends_at| ends_at <= now) {
+            self.deregister(instance);
             return now;
         }
-        let after_end = self
-            .world
-            .unsent_end(life)
-            .map(|end| end.max(self.answered) + AFTER_END);
+        let unsent_end = self.environment.unsent_end(instance);
+        let after_end = unsent_end.map(|end| end.max(self.last_heartbeat) + AFTER_END);
         let next = after_end.map_or(due, |after_end| due.min(after_end));
         if next > now {
-            self.world
-                .signal()
-                .wait_beyond(seen, (next - now).min(LOOK));
+            let wait = (next - now).min(POLL_INTERVAL);
+            self.environment.signal().wait_past(observed, wait);
             return due;
         }
-        let pause = self.beat(life).unwrap_or(AFTER_FAILURE);
-        self.answered = self.world.now();
-        self.answered + pause
+        let delay = self.send_heartbeat(instance).unwrap_or(AFTER_FAILURE);
+        self.last_heartbeat = self.environment.now();
+        self.last_heartbeat + delay
     }
 
-    /// Sends one heartbeat; returns the pause until the next.
-    fn beat(&mut self, life: LifeId) -> Option<Duration> {
-        let (id, heartbeat) = self.world.heartbeat(life)?;
-        let sent = self.world.now();
+    /// Sends one heartbeat; returns the time until the next, or `None` if it was not acknowledged.
+    fn send_heartbeat(&mut self, instance: InstanceIndex) -> Option<Duration> {
+        let (id, heartbeat) = self.environment.heartbeat(instance)?;
+        let sent = self.environment.now();
         let body = serde_json::to_vec(&heartbeat).ok()?;
-        let call = Call::new("PUT", format!("/instances/{id}")).json(body);
-        let Ok(answer) = self.link.call(&call) else {
-            self.link = Link::new(self.companion);
+        let request = Request::new("PUT", format!("/instances/{id}")).json(body);
+        let Ok(response) = self.connection.request(&request) else {
+            self.connection = HeartbeatConnection::new(self.agent);
             return None;
         };
-        let in_time = self.world.now() - sent <= ANSWER_TIME;
-        if !answer.is_success() || !in_time || answer.body.len() > ANSWER_BYTES_MAX {
+        let in_time = self.environment.now() - sent <= RESPONSE_TIMEOUT;
+        if !response.is_success() || !in_time || response.body.len() > RESPONSE_BYTES_MAX {
             return None;
         }
-        match read_answer(&answer.body) {
-            Ok(orders) => Some(self.follow(life, sent, &orders)),
+        match read_response(&response.body) {
+            Ok(response) => Some(self.follow(instance, sent, &response)),
             Err(error) => {
-                self.world.unreadable_answer(life, error.to_string());
+                let why = error.to_string();
+                self.environment.unreadable_response(instance, why);
                 None
             }
         }
     }
 
-    fn follow(&mut self, life: LifeId, sent: Moment, orders: &HeartbeatAnswer) -> Duration {
-        self.world.answered(life, sent, orders);
-        let named = orders
-            .heartbeat_endpoint
-            .as_ref()
-            .and_then(|address| address.parse().ok());
-        if let Some(peer) = named.filter(|peer| *peer != self.link.peer) {
-            self.link = Link::new(peer);
+    /// Follows a response; returns the time until the next heartbeat.
+    fn follow(
+        &mut self,
+        instance: InstanceIndex,
+        sent: Moment,
+        response: &HeartbeatResponse,
+    ) -> Duration {
+        self.environment
+            .handle_heartbeat_response(instance, sent, response);
+        let endpoint = response.heartbeat_endpoint.as_ref();
+        let peer = endpoint.and_then(|address| address.parse().ok());
+        if let Some(peer) = peer.filter(|peer| *peer != self.connection.peer) {
+            self.connection = HeartbeatConnection::new(peer);
         }
-        orders
-            .retry_delay_ms
-            .map_or(self.world.bounds().heartbeat, Duration::from_millis)
+        let interval = self.environment.bounds().heartbeat;
+        let delay_ms = response.retry_delay_ms;
+        delay_ms.map_or(interval, Duration::from_millis)
     }
 
-    /// Says that the worker is gone, until this is acknowledged or the time for it is over.
-    fn leave(&mut self, life: LifeId) {
+    /// Deregisters until this is acknowledged or its time-out has passed, and ends the instance.
+    fn deregister(&mut self, instance: InstanceIndex) {
         let path = self
-            .world
-            .read(|record| format!("/instances/{}", record.life(life).id));
-        let call = Call::new("DELETE", path);
-        // In either case the worker ends.
-        let _ = self
-            .world
-            .signal()
-            .until("the acknowledgement of a leaving", LEAVE_TIME, || {
-                self.link
-                    .call(&call)
-                    .ok()
-                    .filter(|answer| answer.is_success())
-            });
-        self.world.end_life(life);
+            .environment
+            .read(|record| format!("/instances/{}", record.instance(instance).id));
+        let request = Request::new("DELETE", path);
+        let connection = &mut self.connection;
+        let acknowledged = self.environment.signal().wait_until(
+            "the acknowledgement of a deregistration",
+            DEREGISTER_TIMEOUT,
+            || {
+                let response = connection.request(&request).ok()?;
+                response.is_success().then_some(())
+            },
+        );
+        // The instance ends in either case.
+        drop(acknowledged);
+        self.environment.end_instance(instance);
     }
 }
 
-/// An answer without a body orders nothing.
-fn read_answer(body: &[u8]) -> Result<HeartbeatAnswer, serde_json::Error> {
+/// A response without a body has no orders.
+fn read_response(body: &[u8]) -> Result<HeartbeatResponse, serde_json::Error> {
     if body.is_empty() {
-        Ok(HeartbeatAnswer::default())
+        Ok(HeartbeatResponse::default())
     } else {
         serde_json::from_slice(body)
     }
--- a/crates/system-tests/tests/chaos.rs
+++ b/crates/system-tests/tests/chaos.rs
@@ -1,13 +1,13 @@
-//! Jobs of all kinds while machines, workers and the core are killed, frozen and restarted in an order drawn from a
-//! seed. At the end all that was accepted has ended, and no rule was broken.
+//! Jobs of all kinds while machines, workers and the core are killed, frozen and restarted, in an order that follows from a
+//! seed. At the end all accepted jobs have ended, and no rule was broken.
 
 mod chaos_support;
 
-use chaos_support::play;
+use chaos_support::run_seed;
 use indigofold_system_tests::programs;
 use rstest::rstest;
 
-/// Variable that names the seeds of [`hunt`], as FIRST..LAST.
+/// Variable that names the seeds of [`run_seeds_of_variable`], as FIRST..LAST.
 const SEEDS_VARIABLE: &str = "CHAOS_SEEDS";
 
 #[rstest]
@@ -15,18 +15,18 @@
 #[case(2)]
 #[case(3)]
 #[case(4)]
-fn accepted_jobs_end_and_rules_hold_in_trouble(#[case] seed: u64) {
-    play(programs!(), seed);
+fn accepted_jobs_end_and_rules_hold_under_faults(#[case] seed: u64) {
+    run_seed(programs!(), seed);
 }
 
 /// More seeds than the suite has time for: `CHAOS_SEEDS=100..140 cargo test --test chaos -- --ignored --nocapture`.
 #[rstest]
-#[ignore = "takes as long as it is told to"]
-fn hunt() {
+#[ignore = "takes as long as its seeds do"]
+fn run_seeds_of_variable() {
     let seeds = std::env::var(SEEDS_VARIABLE).expect("seeds as FIRST..LAST");
     let (first, last) = seeds.split_once("..").expect("seeds as FIRST..LAST");
     for seed in first.parse::<u64>().expect("a number")..last.parse().expect("a number") {
         eprintln!("seed {seed}");
-        play(programs!(), seed);
+        run_seed(programs!(), seed);
     }
 }
--- a/crates/system-tests/tests/chaos_support/jobs.rs
+++ b/crates/system-tests/tests/chaos_support/jobs.rs
@@ -1,8 +1,8 @@
-//! Clients that hand in jobs of all kinds.
+//! Clients that submit jobs of all kinds.
 
-use super::draw::Draw;
-use indigofold_system_tests::client::{Client, Handed};
-use indigofold_system_tests::cluster::JOB_TIME;
+use super::seeded_random::SeededRandom;
+use indigofold_system_tests::client::{Client, SubmittedJob};
+use indigofold_system_tests::cluster::JOB_TIMEOUT;
 use indigofold_system_tests::configuration::{BATCH, Configuration, QUICK};
 use indigofold_system_tests::job::{Job, Step};
 use std::collections::VecDeque;
@@ -12,39 +12,39 @@
 /// A client waits for its oldest job once so many are open.
 const OPEN_MAX: usize = 10;
 
-/// Hands in jobs, and cancels some, until told to stop.
-pub fn hand_in_until(
-    over: &AtomicBool,
+/// Submits jobs, and cancels some, until `stopping` is set.
+pub fn submit_until(
+    stopping: &AtomicBool,
     client: &Client,
     configuration: &Configuration,
-    mut draw: Draw,
+    mut random: SeededRandom,
 ) {
-    let mut open: VecDeque<Handed> = VecDeque::new();
-    while !over.load(Ordering::Relaxed) {
+    let mut open: VecDeque<SubmittedJob> = VecDeque::new();
+    while !stopping.load(Ordering::Relaxed) {
         let queue = configuration
-            .queue(draw.of(&[QUICK, BATCH]))
+            .queue(random.choose(&[QUICK, BATCH]))
             .expect("a queue");
-        let (job, cancels) = draw_job(&mut draw);
-        let handed = client.submit(queue, &job).expect("an accepted job");
+        let (job, cancels) = random_job(&mut random);
+        let submitted = client.submit(queue, &job).expect("an accepted job");
         if cancels {
-            client.state(&handed).expect("a state");
-            client.cancel(&handed).expect("cancelled");
+            client.state(&submitted).expect("a state");
+            client.cancel(&submitted).expect("cancelled");
         } else {
-            open.push_back(handed);
+            open.push_back(submitted);
         }
         if open.len() >= OPEN_MAX
             && let Some(oldest) = open.pop_front()
         {
-            client.wait_end(&oldest, JOB_TIME).expect("an end");
+            client.wait_end(&oldest, JOB_TIMEOUT).expect("an end");
         }
     }
 }
 
 /// A job, and whether it is to be cancelled at once.
-fn draw_job(draw: &mut Draw) -> (Job, bool) {
-    let work = 50 + draw.below(800);
-    let step = Step::new(1 + draw.below(4) as u32, work).cpu(draw.of(&[200, 500, 1_500]));
-    let job = match draw.below(12) {
+fn random_job(random: &mut SeededRandom) -> (Job, bool) {
+    let work = 50 + random.below(800);
+    let step = Step::new(1 + random.below(4) as u32, work).cpu(random.choose(&[200, 500, 1_500]));
+    let job = match random.below(12) {
         0 | 1 => Job::new(vec![step.checkpoints(), Step::new(2, work).after(&[0])]),
         2 => Job::new(vec![
             Step::new(2, work)
@@ -61,7 +61,7 @@
         6 => Job::new(vec![Step::new(3, 3_000).cpu(200).checkpoints()]),
         7 => Job::new(vec![Step::new(4, 2_500).cpu(200)]),
         8 => return (Job::new(vec![Step::new(2, 400).long_running()]), true),
-        9 => return (Job::new(vec![step]), draw.below(2) == 0),
+        9 => return (Job::new(vec![step]), random.below(2) == 0),
         _ => Job::new(vec![
             step,
             Step::new(1, work),
--- a/crates/system-tests/tests/chaos_support/mod.rs
+++ b/crates/system-tests/tests/chaos_support/mod.rs
@@ -1,24 +1,24 @@
-//! The play of one seed: clients that hand in jobs, and troubles that follow one another.
+//! The run of one seed: clients that submit jobs, and faults that are injected one after another.
 
-mod draw;
+mod faults;
 mod jobs;
-mod troubles;
+mod seeded_random;
 
-use draw::Draw;
-use indigofold_system_tests::checks::Excuses;
+use faults::FaultInjector;
+use indigofold_system_tests::checks::Exemptions;
 use indigofold_system_tests::cluster::Cluster;
 use indigofold_system_tests::system::{Programs, Shape};
+use seeded_random::SeededRandom;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use troubles::Troubles;
 
-/// Clients at work.
+/// Clients that submit jobs at the same time.
 const CLIENTS: u64 = 3;
-/// Troubles in one play.
-const TROUBLES: usize = 12;
+/// Faults in one run.
+const FAULT_COUNT: usize = 12;
 
-/// Plays a seed; panics if a rule was broken or an accepted job has not ended.
-pub fn play(programs: Programs, seed: u64) {
+/// Runs a seed; panics if a rule was broken or an accepted job has not ended.
+pub fn run_seed(programs: Programs, seed: u64) {
     let mut cluster = Cluster::start(
         programs,
         Shape {
@@ -27,22 +27,24 @@
             sides: 4,
         },
     );
-    cluster.excuse(Excuses {
+    cluster.exempt(Exemptions {
         gangs: true,
         late_stops: true,
     });
-    let over = Arc::new(AtomicBool::new(false));
+    let stopping = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
             let (client, configuration) = (cluster.client.clone(), cluster.configuration.clone());
-            let (over, draw) = (over.clone(), Draw::new(seed * 100 + number));
-            std::thread::spawn(move || jobs::hand_in_until(&over, &client, &configuration, draw))
+            let (stopping, random) = (stopping.clone(), SeededRandom::new(seed * 100 + number));
+            std::thread::spawn(move || {
+                jobs::submit_until(&stopping, &client, &configuration, random)
+            })
         })
         .collect();
-    let mut troubles = Troubles::new(Draw::new(seed));
-    (0..TROUBLES).for_each(|_| troubles.next(&mut cluster));
-    troubles.settle(&mut cluster);
-    over.store(true, Ordering::Relaxed);
+    let mut injector = FaultInjector::new(SeededRandom::new(seed));
+    (0..FAULT_COUNT).for_each(|_| injector.next(&mut cluster));
+    injector.repair_all(&mut cluster);
+    stopping.store(true, Ordering::Relaxed);
     clients
         .into_iter()
         .for_each(|client| client.join().expect("a client's jobs"));
--- a/crates/system-tests/tests/chaos_support/draw.rs
+++ b/crates/system-tests/tests/chaos_support/seeded_random.rs
@@ -1,12 +1,12 @@
 //! Numbers that follow from a seed (SplitMix64).
 
-/// A row of numbers.
-pub struct Draw(u64);
+/// A sequence of numbers.
+pub struct SeededRandom(u64);
 
-impl Draw {
-    /// The row of this seed.
+impl SeededRandom {
+    /// The sequence of this seed.
     pub fn new(seed: u64) -> Self {
-        Draw(seed)
+        SeededRandom(seed)
     }
 
     /// A number below `bound`.
@@ -19,7 +19,7 @@
     }
 
     /// One of these.
-    pub fn of<T: Copy>(&mut self, choices: &[T]) -> T {
+    pub fn choose<T: Copy>(&mut self, choices: &[T]) -> T {
         choices[self.below(choices.len() as u64) as usize]
     }
 }
--- a/crates/system-tests/tests/configuration.rs
+++ b/crates/system-tests/tests/configuration.rs
@@ -1,9 +1,9 @@
-//! The operator's configuration: taken once, in force everywhere, never lost to a race.
+//! The operator's configuration: each version is accepted once and comes into force at every edge.
 
-use indigofold_system_tests::cluster::{Cluster, START_TIME};
+use indigofold_system_tests::cluster::{Cluster, START_TIMEOUT};
 use indigofold_system_tests::configuration::{Configuration, PLANNING, QUICK, Queue, VISION};
-use indigofold_system_tests::http::Call;
-use indigofold_system_tests::operator::{put_call, redirection};
+use indigofold_system_tests::http::Request;
+use indigofold_system_tests::operator::{put_request, redirection};
 use indigofold_system_tests::programs;
 use indigofold_system_tests::system::Shape;
 use rstest::rstest;
@@ -17,30 +17,30 @@
 /// No job has this id.
 const NO_JOB: &str = "0123456789abcdef";
 
-/// What every edge answers about a job that does not exist: 410 on a known queue, 404 without one.
+/// Every edge's status for a job that does not exist: 410 on a known queue, 404 without one.
 fn statuses(cluster: &Cluster, path_prefix: &str) -> BTreeSet<u16> {
-    let call = Call::new("GET", format!("{path_prefix}{NO_JOB}"));
+    let request = Request::new("GET", format!("{path_prefix}{NO_JOB}"));
     let edges = cluster.client.edges().iter();
     edges
         .map(|edge| {
             cluster
                 .client
-                .call_at(*edge, &call)
-                .expect("an answer")
+                .request_at(*edge, &request)
+                .expect("a response")
                 .status
         })
         .collect()
 }
 
-/// Waits until all edges answer so, within the time that a configuration may take to be in force.
+/// Waits until all edges respond so, within the time that a configuration may take to come into force.
 fn wait_in_force(cluster: &Cluster, path_prefix: &str, status: u16) {
-    let bound = cluster.world.bounds().config_apply;
+    let bound = cluster.environment.bounds().config_apply;
     let wanted = BTreeSet::from([status]);
-    let look = || (statuses(cluster, path_prefix) == wanted).then_some(());
+    let probe = || (statuses(cluster, path_prefix) == wanted).then_some(());
     cluster
-        .world
+        .environment
         .signal()
-        .until("a configuration in force", bound, look)
+        .wait_until("a configuration in force", bound, probe)
         .expect("in force");
 }
 
@@ -57,7 +57,7 @@
     wait_in_force(&cluster, QUICK, 410);
     assert_eq!(statuses(&cluster, ADDED), BTreeSet::from([404]));
     assert_eq!(
-        cluster.operator.read().expect("the configuration"),
+        cluster.read_configuration(),
         cluster.configuration.to_json()
     );
     cluster.check();
@@ -67,18 +67,17 @@
 fn an_edge_without_configuration_answers_503() {
     let mut cluster = Cluster::prepare(programs!(), Shape::default());
     let machines = [cluster.system.cores(), cluster.system.edges()].concat();
-    machines
-        .into_iter()
-        .for_each(|machine| cluster.start_machine(machine));
+    cluster.start_machines(&machines);
     let edge = cluster.client.edges()[0];
-    let call = Call::new("GET", format!("{QUICK}{NO_JOB}"));
-    let answer = cluster
-        .world
-        .signal()
-        .until("an answer", Duration::from_secs(10), || {
-            cluster.client.call_at(edge, &call).ok()
-        });
-    assert_eq!(answer.expect("an answer").status, 503);
+    let request = Request::new("GET", format!("{QUICK}{NO_JOB}"));
+    let response =
+        cluster
+            .environment
+            .signal()
+            .wait_until("a response", Duration::from_secs(10), || {
+                cluster.client.request_at(edge, &request).ok()
+            });
+    assert_eq!(response.expect("a response").status, 503);
     cluster.check();
 }
 
@@ -87,28 +86,14 @@
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let route = Queue::new(ADDED, PLANNING, 1).to_json();
     let change = json!({"version": 4, "upsert": {"routes": [route]}});
-    assert_eq!(
-        cluster
-            .operator
-            .patch(&change, 1)
-            .expect("an answer")
-            .status,
-        200
-    );
+    cluster.patch(&change, 1);
     wait_in_force(&cluster, ADDED, 410);
     let change =
         json!({"version": 9, "remove": {"routes": [Queue::new(ADDED, PLANNING, 1).name()]}});
-    assert_eq!(
-        cluster
-            .operator
-            .patch(&change, 4)
-            .expect("an answer")
-            .status,
-        200
-    );
+    cluster.patch(&change, 4);
     wait_in_force(&cluster, ADDED, 404);
     wait_in_force(&cluster, QUICK, 410);
-    let read = cluster.operator.read().expect("the configuration");
+    let read = cluster.read_configuration();
     assert_eq!(
         read,
         Configuration {
@@ -121,39 +106,33 @@
 }
 
 #[rstest]
-fn a_repeated_order_is_acknowledged_anew_at_any_member() {
+fn a_repeated_put_is_acknowledged_at_any_member() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let second = Configuration::standard(5).with(Queue::new(ADDED, VISION, 1));
     for _ in 0..2 {
-        assert_eq!(
-            cluster.operator.put(&second, 1).expect("an answer").status,
-            200
-        );
+        cluster.put(&second, 1);
     }
     // The same order once more, and the first one, which another version has replaced since: never refused as new.
     for member in cluster.operator.members() {
-        let answer = cluster
+        let response = cluster
             .operator
-            .ask(*member, &put_call(&second.to_json(), 1))
-            .expect("an answer");
+            .request_once(*member, &put_request(&second.to_json(), 1))
+            .expect("a response");
         assert!(
-            matches!(answer.status, 200 | 307 | 503),
+            matches!(response.status, 200 | 307 | 503),
             "{}",
-            answer.status
+            response.status
         );
     }
     assert_eq!(
         cluster
             .operator
             .put(&cluster.configuration, 0)
-            .expect("an answer")
+            .expect("a response")
             .status,
         200
     );
-    assert_eq!(
-        cluster.operator.read().expect("the configuration"),
-        second.to_json()
-    );
+    assert_eq!(cluster.read_configuration(), second.to_json());
     cluster.check();
 }
 
@@ -162,11 +141,11 @@
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let other = Configuration::standard(1).with(Queue::new(ADDED, PLANNING, 1));
     assert_eq!(
-        cluster.operator.put(&other, 0).expect("an answer").status,
+        cluster.operator.put(&other, 0).expect("a response").status,
         412
     );
     assert_eq!(
-        cluster.operator.read().expect("the configuration"),
+        cluster.read_configuration(),
         cluster.configuration.to_json()
     );
     cluster.check();
@@ -183,7 +162,7 @@
     ];
     let operator = &cluster.operator;
     let statuses = std::thread::scope(|scope| {
-        let put = |order| scope.spawn(move || operator.put(order, 1).expect("an answer").status);
+        let put = |order| scope.spawn(move || operator.put(order, 1).expect("a response").status);
         let racing: Vec<_> = orders.iter().map(put).collect();
         racing
             .into_iter()
@@ -207,7 +186,7 @@
     configuration
 }
 
-fn with_shared_prefix(mut configuration: Value) -> Value {
+fn with_shared_path_prefix(mut configuration: Value) -> Value {
     configuration["routes"][0]["path_prefix"] = configuration["routes"][1]["path_prefix"].clone();
     configuration
 }
@@ -225,66 +204,65 @@
 
 #[rstest]
 #[case::unknown_service(without_service)]
-#[case::shared_host_and_prefix(with_shared_prefix)]
-#[case::no_time(without_time)]
+#[case::shared_host_and_path_prefix(with_shared_path_prefix)]
+#[case::no_timeout(without_time)]
 #[case::version_not_higher(not_newer)]
 fn an_invalid_configuration_is_refused(#[case] spoil: fn(Value) -> Value) {
-    let mut cluster = Cluster::start(
-        programs!(),
-        Shape {
-            sides: 1,
-            ..Shape::default()
-        },
-    );
+    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
     let spoilt = spoil(Configuration::standard(7).to_json());
-    let answer = cluster
+    let response = cluster
         .operator
-        .order(&put_call(&spoilt, 1))
-        .expect("an answer");
-    assert_eq!(answer.status, 400);
-    let cut = Call::new("PUT", "/config")
+        .request(&put_request(&spoilt, 1))
+        .expect("a response");
+    assert_eq!(response.status, 400);
+    let truncated = Request::new("PUT", "/config")
         .header("If-Match", "1")
         .json("{\"version\":8,\"routes\":[");
-    assert_eq!(cluster.operator.order(&cut).expect("an answer").status, 400);
     assert_eq!(
-        cluster.operator.read().expect("the configuration"),
+        cluster
+            .operator
+            .request(&truncated)
+            .expect("a response")
+            .status,
+        400
+    );
+    assert_eq!(
+        cluster.read_configuration(),
         cluster.configuration.to_json()
     );
     cluster.check();
 }
 
-/// Where a member that is not the head sends the caller, once it knows. Until then it knows no head, and says so.
-fn wait_redirection(cluster: &Cluster, member: SocketAddr, call: &Call) -> SocketAddr {
-    let redirected = cluster
-        .world
-        .signal()
-        .until("a redirection", START_TIME, || {
-            let answer = cluster.operator.ask(member, call).expect("an answer");
-            assert!(matches!(answer.status, 307 | 503), "{}", answer.status);
-            redirection(&answer)
-        });
+/// Where a member that is not the head redirects to, once it knows the head. Until then it responds with 503.
+fn wait_redirection(cluster: &Cluster, member: SocketAddr, request: &Request) -> SocketAddr {
+    let redirected =
+        cluster
+            .environment
+            .signal()
+            .wait_until("a redirection", START_TIMEOUT, || {
+                let response = cluster
+                    .operator
+                    .request_once(member, request)
+                    .expect("a response");
+                assert!(matches!(response.status, 307 | 503), "{}", response.status);
+                redirection(&response)
+            });
     redirected.expect("a redirection")
 }
 
 #[rstest]
-fn members_that_are_not_head_point_at_it() {
-    let mut cluster = Cluster::start(
-        programs!(),
-        Shape {
-            sides: 1,
-            ..Shape::default()
-        },
-    );
+fn members_that_are_not_head_redirect_to_it() {
+    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
     let head = cluster.system.control_plane(cluster.head());
-    let next = put_call(&Configuration::standard(2).to_json(), 1);
+    let next = put_request(&Configuration::standard(2).to_json(), 1);
     for member in cluster
         .operator
         .members()
         .iter()
         .filter(|member| **member != head)
     {
-        for call in [Call::new("GET", "/config"), next.clone()] {
-            assert_eq!(wait_redirection(&cluster, *member, &call), head);
+        for request in [Request::new("GET", "/config"), next.clone()] {
+            assert_eq!(wait_redirection(&cluster, *member, &request), head);
         }
     }
     cluster.check();
@@ -292,25 +270,19 @@
 
 #[rstest]
 fn members_without_a_head_answer_503_at_once() {
-    let mut cluster = Cluster::start(
-        programs!(),
-        Shape {
-            sides: 1,
-            ..Shape::default()
-        },
-    );
+    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
     let cores = cluster.system.cores();
-    let (gone, left) = cores.split_at(2);
-    gone.iter().for_each(|core| cluster.system.kill(*core));
-    let member = cluster.system.control_plane(left[0]);
-    let next = put_call(&Configuration::standard(2).to_json(), 1);
+    let (killed, remaining) = cores.split_at(2);
+    cluster.kill_machines(&killed);
+    let member = cluster.system.control_plane(remaining[0]);
+    let next = put_request(&Configuration::standard(2).to_json(), 1);
     let refused = cluster
-        .world
+        .environment
         .signal()
-        .until("a 503", Duration::from_secs(10), || {
+        .wait_until("a 503", Duration::from_secs(10), || {
             let begun = Instant::now();
-            let answer = cluster.operator.ask(member, &next).ok()?;
-            (answer.status == 503 && begun.elapsed() < Duration::from_millis(200)).then_some(())
+            let response = cluster.operator.request_once(member, &next).ok()?;
+            (response.status == 503 && begun.elapsed() < Duration::from_millis(200)).then_some(())
         });
     refused.expect("an immediate 503");
     cluster.check();
--- a/crates/system-tests/tests/discovery.rs
+++ b/crates/system-tests/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Processes that know nothing but three seed addresses find each other, whatever order they start in.
+//! Processes that know only three seed addresses find each other, whatever order they start in.
 
 use indigofold_system_tests::cluster::Cluster;
 use indigofold_system_tests::configuration::{PLANNING, QUICK};
@@ -30,7 +30,7 @@
 }
 
 #[rstest]
-fn seeds_may_start_in_reverse_with_all_others_waiting() {
+fn seeds_may_start_last_and_in_reverse() {
     let mut cluster = Cluster::prepare(programs!(), Shape::default());
     let system = &cluster.system;
     let machines = [system.edges(), system.sides(), system.cores()].concat();
@@ -47,14 +47,8 @@
 }
 
 #[rstest]
-fn five_core_members_of_which_three_are_seeds() {
-    let cluster = Cluster::start(
-        programs!(),
-        Shape {
-            cores: 5,
-            ..Shape::default()
-        },
-    );
+fn a_core_of_five_members_needs_three_seeds() {
+    let cluster = Cluster::start(programs!(), Shape::with_cores(5));
     let job = cluster.submit(QUICK, &Job::single(100));
     cluster.expect_completed(&job);
     cluster.finish();
@@ -65,17 +59,21 @@
     let mut cluster = Cluster::prepare(programs!(), Shape::default());
     let edge = cluster.system.edges()[0];
     cluster.start_machine(edge);
-    let listening = cluster.world.signal().until(
+    let listening = cluster.environment.signal().wait_until(
         "a listening edge",
-        indigofold_system_tests::cluster::START_TIME,
+        indigofold_system_tests::cluster::START_TIMEOUT,
         || {
-            let call = indigofold_system_tests::http::Call::new("GET", "/readiness");
+            let request = indigofold_system_tests::http::Request::new("GET", "/readiness");
             let second = std::time::Duration::from_secs(1);
-            indigofold_system_tests::http::call_once(cluster.system.readiness(edge), &call, second)
-                .ok()
+            indigofold_system_tests::http::request_once(
+                cluster.system.readiness(edge),
+                &request,
+                second,
+            )
+            .ok()
         },
     );
-    assert_ne!(listening.expect("an answer").status, 200);
+    assert_ne!(listening.expect("a response").status, 200);
     for machine in cluster.system.cores() {
         cluster.start_machine(machine);
     }
--- a/crates/system-tests/tests/edges.rs
+++ b/crates/system-tests/tests/edges.rs
@@ -1,9 +1,9 @@
-//! What edges make of clients that are slow, large or impatient.
+//! Edges and clients that are slow, send much, or set a deadline.
 
-use indigofold_system_tests::client::Handed;
-use indigofold_system_tests::cluster::{Cluster, JOB_TIME};
+use indigofold_system_tests::client::SubmittedJob;
+use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT};
 use indigofold_system_tests::configuration::{BATCH, HOST, QUICK};
-use indigofold_system_tests::http::{Call, Connection, call_once};
+use indigofold_system_tests::http::{Connection, Request, request_once};
 use indigofold_system_tests::job::Job;
 use indigofold_system_tests::programs;
 use indigofold_system_tests::random;
@@ -14,7 +14,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything here.
+/// Longest wait for anything in these tests.
 const TIME: Duration = Duration::from_secs(10);
 
 fn small() -> Shape {
@@ -31,50 +31,50 @@
         "max_header_bytes": 2_048, "max_body_bytes": 8_192, "header_timeout_ms": 300, "idle_timeout_ms": 400
     });
     let change = json!({"version": 2, "upsert": {"limits": limits}});
-    assert_eq!(
-        cluster
-            .operator
-            .patch(&change, 1)
-            .expect("an answer")
-            .status,
-        200
-    );
+    cluster.patch(&change, 1);
 }
 
 fn edge(cluster: &Cluster) -> SocketAddr {
     cluster.client.edges()[0]
 }
 
-/// Waits until the edge answers a call so.
-fn wait_answer(cluster: &Cluster, call: &Call, statuses: &[u16]) {
-    let bound = cluster.world.bounds().config_apply;
-    let answered = cluster
-        .world
-        .signal()
-        .until("an answer by the new limits", bound, || {
-            let answer = cluster.client.call(call).ok()?;
-            statuses.contains(&answer.status).then_some(())
-        });
-    answered.expect("limits in force");
+/// Waits until the edge responds to a request with one of these statuses.
+fn wait_for_response(cluster: &Cluster, request: &Request, statuses: &[u16]) {
+    let bound = cluster.environment.bounds().config_apply;
+    let in_force =
+        cluster
+            .environment
+            .signal()
+            .wait_until("a response by the new limits", bound, || {
+                let response = cluster.client.request(request).ok()?;
+                statuses.contains(&response.status).then_some(())
+            });
+    in_force.expect("limits in force");
 }
 
 #[rstest]
 fn limits_of_a_configuration_come_into_force() {
     let mut cluster = Cluster::start(programs!(), small());
     let job = json!({"spec": "x", "stages": [{"count": 1, "cpu": 1}], "more": "y".repeat(9_000)});
-    // Read, but for its id.
-    let large = Call::new("POST", format!("{QUICK}not-an-id")).json(job.to_string());
-    let long = Call::new("GET", QUICK).header("X-Long", "z".repeat(4_000));
-    assert_eq!(cluster.client.call(&large).expect("an answer").status, 400);
-    assert_eq!(cluster.client.call(&long).expect("an answer").status, 200);
+    // Read, and refused for its id only.
+    let large = Request::new("POST", format!("{QUICK}not-an-id")).json(job.to_string());
+    let long = Request::new("GET", QUICK).header("X-Long", "z".repeat(4_000));
+    assert_eq!(
+        cluster.client.request(&large).expect("a response").status,
+        400
+    );
+    assert_eq!(
+        cluster.client.request(&long).expect("a response").status,
+        200
+    );
     tighten(&cluster);
-    wait_answer(&cluster, &large, &[413]);
-    wait_answer(&cluster, &long, &[431]);
+    wait_for_response(&cluster, &large, &[413]);
+    wait_for_response(&cluster, &long, &[431]);
     assert_eq!(
         cluster
             .client
-            .call(&Call::new("GET", QUICK))
-            .expect("an answer")
+            .request(&Request::new("GET", QUICK))
+            .expect("a response")
             .status,
         200
     );
@@ -94,13 +94,13 @@
 #[rstest]
 #[case::idle(b"")]
 #[case::in_the_head(b"GET /quick/ HTTP/1.1\r\nHost: que")]
-fn connections_that_stand_still_are_closed(#[case] sent: &[u8]) {
+fn stalled_connections_are_closed(#[case] sent: &[u8]) {
     let mut cluster = Cluster::start(programs!(), small());
     tighten(&cluster);
     let closed = cluster
-        .world
+        .environment
         .signal()
-        .until("a closed connection", TIME, || {
+        .wait_until("a closed connection", TIME, || {
             let mut stream = TcpStream::connect(edge(&cluster)).ok()?;
             stream.write_all(sent).ok()?;
             (wait_closed(&mut stream) < Duration::from_secs(2)).then_some(())
@@ -110,7 +110,7 @@
 }
 
 #[rstest]
-fn calls_follow_one_another_on_a_connection() {
+fn a_connection_carries_several_requests() {
     let mut cluster = Cluster::start(programs!(), small());
     let mut connection = Connection::open(edge(&cluster), TIME).expect("a connection");
     let unknown = format!("{QUICK}{}", random::job_id());
@@ -120,13 +120,16 @@
         ("/nowhere/", 404),
         (QUICK, 200),
     ] {
-        let call = Call::new("GET", path).header("Host", HOST);
+        let request = Request::new("GET", path).header("Host", HOST);
         assert_eq!(
-            connection.call(&call, TIME).expect("an answer").status,
+            connection
+                .request(&request, TIME)
+                .expect("a response")
+                .status,
             status,
             "{path}"
         );
-        assert!(!connection.is_over(), "closed after {path}");
+        assert!(!connection.is_closed(), "closed after {path}");
     }
     cluster.check();
 }
@@ -134,12 +137,12 @@
 #[rstest]
 #[case::with_a_port(format!("{HOST}:8080"))]
 #[case::in_capitals(HOST.to_uppercase())]
-fn a_host_is_known_in_any_form(#[case] host: String) {
+fn a_host_matches_in_any_form(#[case] host: String) {
     let mut cluster = Cluster::start(programs!(), small());
-    let call = Call::new("GET", QUICK).header("Host", host);
+    let request = Request::new("GET", QUICK).header("Host", host);
     assert_eq!(
-        call_once(edge(&cluster), &call, TIME)
-            .expect("an answer")
+        request_once(edge(&cluster), &request, TIME)
+            .expect("a response")
             .status,
         200
     );
@@ -147,19 +150,18 @@
 }
 
 #[rstest]
-fn a_body_in_chunks_is_read() {
+fn a_chunked_body_is_read() {
     let cluster = Cluster::start(programs!(), small());
-    let handed = Handed {
-        id: random::job_id(),
-        queue: cluster.queue(BATCH),
-    };
+    let submitted = SubmittedJob::new(&cluster.queue(BATCH));
     let job = Job::single(50);
-    cluster.world.job_sent(&handed.id, &job, &handed.queue);
+    cluster
+        .environment
+        .job_sent(&submitted.id, &job, &submitted.queue);
     let body = serde_json::to_string(&job).expect("a job as JSON");
     let (first, second) = body.split_at(body.len() / 2);
     let head = format!(
         "POST {BATCH}{} HTTP/1.1\r\nHost: {HOST}\r\nTransfer-Encoding: chunked\r\n\r\n",
-        handed.id
+        submitted.id
     );
     let chunks = format!(
         "{:x}\r\n{first}\r\n{:x}\r\n{second}\r\n0\r\n\r\n",
@@ -170,58 +172,55 @@
     stream.set_read_timeout(Some(TIME)).expect("a timeout");
     stream.write_all((head + &chunks).as_bytes()).expect("sent");
     let mut status = [0; 12];
-    stream.read_exact(&mut status).expect("an answer");
+    stream.read_exact(&mut status).expect("a response");
     assert_eq!(&status, b"HTTP/1.1 200");
-    cluster.world.job_answered(&handed.id, Some(200));
-    cluster.expect_completed(&handed);
+    cluster.environment.job_responded(&submitted.id, Some(200));
+    cluster.expect_completed(&submitted);
     cluster.finish();
 }
 
-/// While nobody can decide, a call gets its final answer by its deadline, and says that it may have been taken only if
-/// it may have been.
+/// While the core is frozen, a request gets its response by its deadline. The response says that the request may have been
+/// accepted only if it may have been.
 #[rstest]
-fn an_impatient_call_is_answered_by_its_deadline() {
+fn a_request_gets_its_response_by_its_deadline() {
     let mut cluster = Cluster::start(programs!(), small());
     cluster.wait_ready();
-    for core in cluster.system.cores() {
-        cluster.system.freeze(core).expect("frozen");
-    }
+    cluster.freeze_machines(&cluster.system.cores());
     let begun = Instant::now();
-    let call = Call::new("GET", QUICK)
+    let request = Request::new("GET", QUICK)
         .header("Host", HOST)
         .header("Indigofold-Deadline-Ms", "400");
-    let answer = call_once(edge(&cluster), &call, TIME).expect("an answer");
-    assert!(matches!(answer.status, 503 | 504), "{}", answer.status);
+    let response = request_once(edge(&cluster), &request, TIME).expect("a response");
+    assert!(matches!(response.status, 503 | 504), "{}", response.status);
     assert!(
         begun.elapsed() < Duration::from_millis(800),
         "answered after {:?}",
         begun.elapsed()
     );
-    for core in cluster.system.cores() {
-        cluster.system.thaw(core).expect("thawed");
-    }
+    cluster.thaw_machines(&cluster.system.cores());
     let job = cluster.submit(QUICK, &Job::single(50));
     cluster.expect_completed(&job);
     cluster.finish();
 }
 
-/// Once the head is known to be gone, calls are refused at once: with a time to come back, and free to be sent again.
+/// Once the head is known to have ended, requests are refused at once, with a time after which to retry.
 #[rstest]
-fn without_a_core_calls_are_refused_at_once() {
+fn without_a_core_requests_are_refused_at_once() {
     let mut cluster = Cluster::start(programs!(), small());
     let cores = cluster.system.cores();
-    cores.iter().for_each(|core| cluster.system.kill(*core));
-    let refused = cluster
-        .world
-        .signal()
-        .until("an immediate refusal", JOB_TIME, || {
-            let begun = Instant::now();
-            let answer = cluster.client.call(&Call::new("GET", QUICK)).ok()?;
-            let told = answer.status == 503 && answer.header("retry-after").is_some();
-            (told && begun.elapsed() < Duration::from_millis(100)).then_some(())
-        });
+    cluster.kill_machines(&cores);
+    let refused =
+        cluster
+            .environment
+            .signal()
+            .wait_until("an immediate refusal", JOB_TIMEOUT, || {
+                let begun = Instant::now();
+                let response = cluster.client.request(&Request::new("GET", QUICK)).ok()?;
+                let refused = response.status == 503 && response.header("retry-after").is_some();
+                (refused && begun.elapsed() < Duration::from_millis(100)).then_some(())
+            });
     refused.expect("an immediate refusal");
-    cores.iter().for_each(|core| cluster.start_machine(*core));
+    cluster.start_machines(&cores);
     let job = cluster.submit(QUICK, &Job::single(50));
     cluster.expect_completed(&job);
     cluster.finish();
--- a/crates/system-tests/tests/failover.rs
+++ b/crates/system-tests/tests/failover.rs
@@ -1,7 +1,7 @@
-//! Losses of the core: its head, all of it, its disks.
+//! Faults of the core: of its head, of all members, of disks.
 
-use indigofold_system_tests::checks::Excuses;
-use indigofold_system_tests::cluster::{CATCH_UP, Cluster, JOB_TIME};
+use indigofold_system_tests::checks::Exemptions;
+use indigofold_system_tests::cluster::{CATCH_UP, Cluster, JOB_TIMEOUT};
 use indigofold_system_tests::configuration::{BATCH, Configuration, PLANNING, QUICK, Queue};
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
@@ -17,17 +17,19 @@
 }
 
 #[rstest]
-fn jobs_go_on_when_the_head_is_killed() {
+fn jobs_complete_after_the_head_is_killed() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
-    let handed: Vec<_> = (0..3).map(|_| cluster.submit(QUICK, &steps())).collect();
-    cluster.wait_started(&handed[2]);
+    let submitted: Vec<_> = (0..3).map(|_| cluster.submit(QUICK, &steps())).collect();
+    cluster.wait_started(&submitted[2]);
     let head = cluster.head();
     cluster.system.kill(head);
-    handed.iter().for_each(|job| cluster.expect_completed(job));
+    submitted
+        .iter()
+        .for_each(|job| cluster.expect_completed(job));
     cluster.finish();
 }
 
-/// The head is killed right after the kth acceptance, with others being handed in at the same time.
+/// The head is killed right after a given number of acceptances, while other jobs are being submitted.
 #[rstest]
 #[case(1)]
 #[case(4)]
@@ -48,16 +50,19 @@
             })
         })
         .collect();
-    let reached = cluster.world.signal().until("acceptances", JOB_TIME, || {
-        let count = cluster.world.read(|record| {
-            record
-                .jobs
-                .values()
-                .filter(|job| job.accepted.is_some())
-                .count()
+    let reached = cluster
+        .environment
+        .signal()
+        .wait_until("acceptances", JOB_TIMEOUT, || {
+            let count = cluster.environment.read(|record| {
+                record
+                    .jobs
+                    .values()
+                    .filter(|job| job.accepted.is_some())
+                    .count()
+            });
+            (count >= accepted).then_some(())
         });
-        (count >= accepted).then_some(())
-    });
     reached.expect("acceptances");
     cluster.system.kill(head);
     submitting
@@ -70,23 +75,23 @@
 #[rstest]
 fn a_gang_survives_the_loss_of_the_head() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
-    cluster.excuse(Excuses {
+    cluster.exempt(Exemptions {
         gangs: true,
-        ..Excuses::default()
+        ..Exemptions::default()
     });
     let gang = Job::new(vec![
         Step::new(2, 3_000).gang().checkpoints().anti_affinity(1),
     ]);
-    let handed = cluster.submit(QUICK, &gang);
-    cluster.wait_started(&handed);
+    let submitted = cluster.submit(QUICK, &gang);
+    cluster.wait_started(&submitted);
     let head = cluster.head();
     cluster.system.kill(head);
-    cluster.expect_completed(&handed);
+    cluster.expect_completed(&submitted);
     cluster.finish();
 }
 
 #[rstest]
-fn a_frozen_head_is_replaced_and_starts_nothing_when_it_wakes() {
+fn a_frozen_head_is_replaced_and_starts_nothing_when_thawed() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let first = cluster.submit(QUICK, &steps());
     cluster.wait_started(&first);
@@ -104,14 +109,11 @@
 
 #[rstest]
 #[case::while_tasks_run(true)]
-#[case::while_all_is_quiet(false)]
-fn a_core_killed_at_once_comes_back_with_all_that_it_took(#[case] at_work: bool) {
+#[case::while_idle(false)]
+fn a_killed_core_recovers_all_that_it_acknowledged(#[case] at_work: bool) {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let second = Configuration::standard(6).with(Queue::new("/later/", PLANNING, 1));
-    assert_eq!(
-        cluster.operator.put(&second, 1).expect("an answer").status,
-        200
-    );
+    cluster.put(&second, 1);
     cluster.configuration = second.clone();
     let ended = cluster.submit("/later/", &Job::single(100));
     cluster.expect_completed(&ended);
@@ -120,10 +122,7 @@
         cluster.wait_started(open);
     }
     cluster.restart_core();
-    assert_eq!(
-        cluster.operator.read().expect("the configuration"),
-        second.to_json()
-    );
+    assert_eq!(cluster.read_configuration(), second.to_json());
     cluster.expect_completed(&ended);
     if let Some(open) = &open {
         cluster.expect_completed(open);
@@ -132,34 +131,26 @@
 }
 
 #[rstest]
-fn a_core_killed_right_after_an_acceptance_keeps_the_job() {
+fn a_core_killed_right_after_an_acceptance_recovers_the_job() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
-    let handed = cluster.submit(QUICK, &steps());
+    let submitted = cluster.submit(QUICK, &steps());
     cluster.restart_core();
-    cluster.expect_completed(&handed);
+    cluster.expect_completed(&submitted);
     cluster.finish();
 }
 
-/// A member without its disk learns all from the others before it counts again: then any other may go.
+/// A member without its disk recovers by state transfer before it counts for a quorum; then any other may be lost.
 #[rstest]
-fn a_member_that_has_lost_its_disk_comes_back_and_another_may_go() {
+fn a_member_without_its_disk_recovers_before_another_is_lost() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let waiting = cluster.submit(QUICK, &Job::new(vec![Step::new(1, 100).requires("only-9")]));
     let cores = cluster.system.cores();
     let wiped = cluster.head();
-    cluster.system.kill(wiped);
-    cluster.system.wipe(wiped).expect("an empty disk");
+    cluster.kill_and_wipe(wiped);
     cluster.start_machine(wiped);
     let change =
         json!({"version": 3, "upsert": {"routes": [Queue::new("/third/", PLANNING, 1).to_json()]}});
-    assert_eq!(
-        cluster
-            .operator
-            .patch(&change, 1)
-            .expect("an answer")
-            .status,
-        200
-    );
+    cluster.patch(&change, 1);
     cluster.work_for(CATCH_UP);
     let other = cores
         .iter()
@@ -167,24 +158,23 @@
         .find(|core| *core != wiped)
         .expect("another member");
     cluster.system.kill(other);
-    let read = cluster.operator.read().expect("the configuration");
+    let read = cluster.read_configuration();
     assert_eq!(read["version"], 3);
-    assert!(cluster.client.state(&waiting).expect("a state").is_some());
+    assert!(cluster.state(&waiting).is_some());
     let job = cluster.submit(QUICK, &steps());
     cluster.expect_completed(&job);
     cluster.client.cancel(&waiting).expect("cancelled");
     cluster.finish();
 }
 
-/// The newest acceptance outlasts the loss of the head's disk.
+/// The newest acceptance survives the loss of the head's disk.
 #[rstest]
-fn a_job_accepted_right_before_the_head_lost_its_disk_is_kept() {
+fn a_job_accepted_right_before_the_head_loses_its_disk_is_kept() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let head = cluster.head();
-    let handed = cluster.submit(QUICK, &steps());
-    cluster.system.kill(head);
-    cluster.system.wipe(head).expect("an empty disk");
+    let submitted = cluster.submit(QUICK, &steps());
+    cluster.kill_and_wipe(head);
     cluster.start_machine(head);
-    cluster.expect_completed(&handed);
+    cluster.expect_completed(&submitted);
     cluster.finish();
 }
--- /dev/null
+++ b/crates/system-tests/tests/oracle_support/mod.rs
@@ -0,0 +1,188 @@
+//! An environment without any program, driven by hand-written responses to heartbeats.
+
+use indigofold_system_tests::checks::{Exemptions, Rule, violations};
+use indigofold_system_tests::configuration::{Configuration, PLANNING, QUICK, Queue};
+use indigofold_system_tests::environment::{Environment, InstanceIndex, WorkerSetup};
+use indigofold_system_tests::job::{Job, Step};
+use indigofold_system_tests::settings::Bounds;
+use indigofold_system_tests::wait::Signal;
+use indigofold_system_tests::wire::{
+    Capacity, EndReason, Heartbeat, HeartbeatResponse, StartOrder, StopOrder,
+};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The id of the fixture's job.
+pub const JOB: &str = "00000000000000aa";
+/// Longest wait for anything in these tests.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Run lease of responses that name none.
+const RUN_LEASE_MS: u64 = 5_000;
+
+/// An environment with one accepted job and two workers.
+pub struct Fixture {
+    pub environment: Arc<Environment>,
+    pub instances: [InstanceIndex; 2],
+}
+
+/// The queue of all jobs.
+pub fn queue() -> Queue {
+    Configuration::standard(1)
+        .queue(QUICK)
+        .expect("a queue")
+        .clone()
+}
+
+/// A worker with this number.
+pub fn setup(number: usize) -> WorkerSetup {
+    WorkerSetup {
+        name: format!("worker-{number}"),
+        service: PLANNING.to_owned(),
+        zone: "zone-a".to_owned(),
+        capacity: Capacity {
+            cpu: 1_000,
+            mem_mb: 1_024,
+            gpu: 0,
+        },
+        labels: vec![format!("only-{number}")],
+        address: "127.0.0.1:1".to_owned(),
+    }
+}
+
+/// Tasks that outlast the test.
+pub fn long(count: u32) -> Step {
+    Step::new(count, 60_000)
+}
+
+/// An order to start the first run of a task, named by repetition, step and index.
+pub fn start_order(
+    job: &str,
+    task: &str,
+    attempt: u32,
+    spec: &str,
+    checkpoint: &str,
+) -> StartOrder {
+    StartOrder {
+        task: format!("{job}.{task}"),
+        attempt,
+        spec: spec.to_owned(),
+        checkpoint: checkpoint.to_owned(),
+    }
+}
+
+impl Fixture {
+    /// A fixture whose job is `job`, with short bounds.
+    pub fn new(job: &Job) -> Self {
+        let bounds = Bounds {
+            gang: Duration::from_millis(200),
+            drain: Duration::from_millis(10),
+            cancel: Duration::from_millis(10),
+            stop: Duration::from_millis(20),
+            checkpoint_interval: Duration::from_millis(10),
+            restore: Duration::from_millis(1),
+            ..Bounds::default()
+        };
+        let environment = Environment::new(bounds, Arc::new(Signal::default()));
+        environment.job_sent(JOB, job, &queue());
+        environment.job_responded(JOB, Some(200));
+        let instances = [0, 1].map(|number| environment.start_instance(&setup(number)));
+        Fixture {
+            environment,
+            instances,
+        }
+    }
+
+    /// A worker gets this response to a heartbeat of this moment, with a run lease in any case.
+    pub fn respond(&self, worker: usize, response: HeartbeatResponse) {
+        let response = HeartbeatResponse {
+            run_lease_ms: response.run_lease_ms.or(Some(RUN_LEASE_MS)),
+            ..response
+        };
+        let (instance, sent) = (self.instances[worker], self.environment.now());
+        self.environment
+            .handle_heartbeat_response(instance, sent, &response);
+    }
+
+    /// A worker gets this start order.
+    pub fn start_by(&self, worker: usize, order: StartOrder) {
+        let response = HeartbeatResponse {
+            start: vec![order],
+            ..HeartbeatResponse::default()
+        };
+        self.respond(worker, response);
+    }
+
+    /// A worker gets an order to start a run as the job says.
+    pub fn start(&self, worker: usize, task: &str, attempt: u32) {
+        let order = start_order(JOB, task, attempt, &self.spec(), "");
+        self.start_by(worker, order);
+    }
+
+    /// A worker gets an order to stop a run.
+    pub fn stop(&self, worker: usize, task: &str, attempt: u32) {
+        let task = format!("{JOB}.{task}");
+        let response = HeartbeatResponse {
+            stop: vec![StopOrder { task, attempt }],
+            ..HeartbeatResponse::default()
+        };
+        self.respond(worker, response);
+    }
+
+    /// A worker's ends are acknowledged up to a number.
+    pub fn acknowledge_ends(&self, worker: usize, acknowledged_end: u64) {
+        let response = HeartbeatResponse {
+            acknowledged_end: Some(acknowledged_end),
+            ..HeartbeatResponse::default()
+        };
+        self.respond(worker, response);
+    }
+
+    /// A worker's heartbeat.
+    pub fn heartbeat(&self, worker: usize) -> Heartbeat {
+        let heartbeat = self.environment.heartbeat(self.instances[worker]);
+        heartbeat.expect("a heartbeat").1
+    }
+
+    /// The job's text.
+    pub fn spec(&self) -> String {
+        self.environment
+            .read(|record| record.jobs[JOB].job.spec.clone())
+    }
+
+    /// How many of the job's runs have started.
+    pub fn count_starts(&self) -> usize {
+        self.environment.read(|record| record.count_starts(JOB))
+    }
+
+    /// Waits until at least so many of the job's runs have ended for this reason.
+    pub fn wait_ends(&self, reason: EndReason, count: usize) {
+        let ended = self.environment.wait_until("ends", TIMEOUT, |record| {
+            (record.count_ends(JOB, reason) >= count).then_some(())
+        });
+        ended.expect("ends");
+    }
+
+    /// Reasons of all ends of the job's runs, in order.
+    pub fn ends(&self) -> Vec<EndReason> {
+        self.environment
+            .read(|record| record.ends(JOB).map(|end| end.reason).collect())
+    }
+
+    /// The rules that were broken, in the order of the checks.
+    pub fn broken(&self) -> Vec<Rule> {
+        let (bounds, now) = (self.environment.bounds(), self.environment.now());
+        let found = self
+            .environment
+            .read(|record| violations(record, &bounds, Exemptions::default(), now));
+        found.into_iter().map(|violation| violation.rule).collect()
+    }
+
+    /// Waits for so long.
+    pub fn pass(&self, time: Duration) {
+        let until = self.environment.now() + time;
+        let passed = self.environment.wait_until("time", TIMEOUT, |_| {
+            (self.environment.now() > until).then_some(())
+        });
+        passed.expect("time passes");
+    }
+}
--- a/crates/system-tests/tests/shutdown.rs
+++ b/crates/system-tests/tests/shutdown.rs
@@ -1,46 +1,47 @@
-//! Planned ends: SIGTERM cuts nothing off, and all goes on.
+//! Planned ends: after SIGTERM no request is lost, and jobs go on.
 
-use indigofold_system_tests::client::Client;
-use indigofold_system_tests::cluster::{Cluster, JOB_TIME};
-use indigofold_system_tests::configuration::{Configuration, PLANNING, QUICK, Queue};
-use indigofold_system_tests::http::{Answer, Call, Connection, HttpError};
+use indigofold_system_tests::client::{Client, SubmittedJob};
+use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT};
+use indigofold_system_tests::configuration::{Configuration, HOST, PLANNING, QUICK, Queue};
+use indigofold_system_tests::http::{Connection, HttpError, Request, Response};
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::system::{MachineId, Shape};
+use indigofold_system_tests::system::Shape;
 use indigofold_system_tests::wait::Signal;
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Connections that send one call after another to an edge.
+/// Connections that send one request after another to an edge.
 const CALLERS: usize = 6;
-/// A caller waits so long for one answer: longer than the platform lets a process live after SIGTERM.
-const ANSWER_TIME: Duration = Duration::from_secs(8);
-/// Calls answered before the signal is sent.
-const CALLS_BEFORE: usize = 60;
+/// Time-out of one request: longer than the platform lets a process live after SIGTERM.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Responses received before the signal is sent.
+const REQUESTS_BEFORE: usize = 60;
 
-/// A call that was read and got no whole answer: cut after its answer had begun, or too late to have been unread.
+/// Whether a request was read and got no complete response: its connection was lost after the response had begun, or too
+/// late for the request to have been unread.
 fn is_lost(error: &HttpError, slack: Duration) -> bool {
     match error {
         HttpError::Connect { .. } | HttpError::Send { .. } => false,
-        HttpError::Cut { after, received } => *received > 0 || *after > slack,
-        HttpError::Silent { .. } | HttpError::Malformed { .. } => true,
+        HttpError::ConnectionLost { after, received } => *received > 0 || *after > slack,
+        HttpError::TimedOut { .. } | HttpError::Malformed { .. } => true,
     }
 }
 
-/// Sends calls to an edge until it takes no more connections; returns those that were lost.
-fn call_until_gone(
+/// Sends requests to an edge until it takes no more connections; returns the errors of those that were lost.
+fn request_until_closed(
     edge: SocketAddr,
-    call: &Call,
+    request: &Request,
     slack: Duration,
-    answered: impl Fn(),
+    count_response: impl Fn(),
 ) -> Vec<HttpError> {
     let mut lost = Vec::new();
-    while let Ok(mut connection) = Connection::open(edge, ANSWER_TIME) {
-        while !connection.is_over() {
-            match connection.call(call, ANSWER_TIME) {
-                Ok(_) => answered(),
+    while let Ok(mut connection) = Connection::open(edge, RESPONSE_TIMEOUT) {
+        while !connection.is_closed() {
+            match connection.request(request, RESPONSE_TIMEOUT) {
+                Ok(_) => count_response(),
                 Err(error) if is_lost(&error, slack) => lost.push(error),
                 Err(_) => {}
             }
@@ -49,50 +50,51 @@
     lost
 }
 
-fn terminate_and_wait(cluster: &mut Cluster, machine: MachineId) {
-    cluster.system.terminate(machine).expect("a signal");
-    let status = cluster.system.wait_end(machine).expect("an end in time");
-    assert!(status.success(), "ended with {status}");
-}
-
 #[rstest]
-fn sigterm_of_an_edge_under_load_cuts_no_call_that_was_read() {
+fn sigterm_of_an_edge_under_load_loses_no_request_that_was_read() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
-    let (edge, slack) = (cluster.system.edges()[0], cluster.world.bounds().loss_slack);
+    let (edge, slack) = (
+        cluster.system.edges()[0],
+        cluster.environment.bounds().loss_slack,
+    );
     let (address, count, signal) = (
         cluster.system.frontend(edge),
         AtomicUsize::new(0),
         Signal::default(),
     );
-    let answered = || {
+    let count_response = || {
         count.fetch_add(1, Ordering::Relaxed);
         signal.raise();
     };
-    let call = Call::new("GET", QUICK).header("Host", indigofold_system_tests::configuration::HOST);
+    let request = Request::new("GET", QUICK).header("Host", HOST);
     let lost = std::thread::scope(|scope| {
-        let caller = || scope.spawn(|| call_until_gone(address, &call, slack, answered));
+        let caller =
+            || scope.spawn(|| request_until_closed(address, &request, slack, count_response));
         let callers: Vec<_> = (0..CALLERS).map(|_| caller()).collect();
-        let enough = || (count.load(Ordering::Relaxed) >= CALLS_BEFORE).then_some(());
+        let enough = || (count.load(Ordering::Relaxed) >= REQUESTS_BEFORE).then_some(());
         signal
-            .until("answered calls", JOB_TIME, enough)
-            .expect("answered calls");
-        terminate_and_wait(&mut cluster, edge);
+            .wait_until("responses", JOB_TIMEOUT, enough)
+            .expect("responses");
+        cluster.terminate_and_wait(edge);
         callers
             .into_iter()
             .flat_map(|caller| caller.join().expect("a caller"))
             .collect::<Vec<_>>()
     });
-    assert!(lost.is_empty(), "calls were lost: {lost:?}");
+    assert!(lost.is_empty(), "requests were lost: {lost:?}");
     cluster.start_machine(edge);
     cluster.wait_edge(edge);
     cluster.finish();
 }
 
-/// Calls that wait at an edge for a head that stands still, when the edge is told to end.
+/// Requests that wait at an edge for a frozen head when the edge gets SIGTERM.
 #[rstest]
-fn sigterm_of_an_edge_with_calls_under_way_answers_them() {
+fn sigterm_of_an_edge_with_pending_requests_completes_them() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
-    let (edge, slack) = (cluster.system.edges()[0], cluster.world.bounds().loss_slack);
+    let (edge, slack) = (
+        cluster.system.edges()[0],
+        cluster.environment.bounds().loss_slack,
+    );
     let head = cluster.head();
     cluster.system.freeze(head).expect("frozen");
     let (client, queue) = (
@@ -102,104 +104,98 @@
     let submitting: Vec<_> = (0..CALLERS)
         .map(|_| {
             let (client, queue) = (client.clone(), queue.clone());
-            std::thread::spawn(move || hand_in_once(&client, &queue))
+            std::thread::spawn(move || submit_small_job(&client, &queue))
         })
         .collect();
-    let sent = cluster.world.until("calls", JOB_TIME, |record| {
-        (record.jobs.len() == CALLERS).then(|| cluster.world.now())
-    });
-    // Calls that are cut later than this have been read.
-    let read = sent.expect("calls") + slack;
-    let waiting = cluster.world.until("calls under way", JOB_TIME, |_| {
-        (cluster.world.now() > read).then_some(())
-    });
-    waiting.expect("calls under way");
+    let sent = cluster
+        .environment
+        .wait_until("requests", JOB_TIMEOUT, |record| {
+            (record.jobs.len() == CALLERS).then(|| cluster.environment.now())
+        });
+    // Requests that are lost later than this have been read.
+    let read = sent.expect("requests") + slack;
+    let waiting = cluster
+        .environment
+        .wait_until("pending requests", JOB_TIMEOUT, |_| {
+            (cluster.environment.now() > read).then_some(())
+        });
+    waiting.expect("pending requests");
     cluster.system.terminate(edge).expect("a signal");
     let unready = || (!cluster.is_ready(edge)).then_some(());
     cluster
-        .world
+        .environment
         .signal()
-        .until("an edge that is not ready", JOB_TIME, unready)
+        .wait_until("an edge that is not ready", JOB_TIMEOUT, unready)
         .expect("not ready");
     cluster.system.thaw(head).expect("thawed");
     for client in submitting {
         if let Err(error) = client.join().expect("a client") {
-            assert!(!is_lost(&error, slack), "a call was lost: {error}");
+            assert!(!is_lost(&error, slack), "a request was lost: {error}");
         }
     }
     assert!(
         cluster
             .system
-            .wait_end(edge)
+            .wait_exit(edge)
             .expect("an end in time")
             .success()
     );
     cluster.finish();
 }
 
-fn hand_in_once(client: &Client, queue: &Queue) -> Result<Answer, HttpError> {
-    let handed = indigofold_system_tests::client::Handed {
-        id: indigofold_system_tests::random::job_id(),
-        queue: queue.clone(),
-    };
-    client.hand_in(client.edges()[0], &handed, &Job::single(50))
+fn submit_small_job(client: &Client, queue: &Queue) -> Result<Response, HttpError> {
+    let submitted = SubmittedJob::new(queue);
+    client.submit_once(client.edges()[0], &submitted, &Job::single(50))
 }
 
 #[rstest]
 fn an_idle_connection_does_not_keep_an_edge_from_ending() {
-    let mut cluster = Cluster::start(
-        programs!(),
-        Shape {
-            sides: 1,
-            ..Shape::default()
-        },
-    );
+    let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
     let edge = cluster.system.edges()[0];
     let mut idle =
-        Connection::open(cluster.system.frontend(edge), ANSWER_TIME).expect("a connection");
-    let call = Call::new("GET", QUICK).header("Host", indigofold_system_tests::configuration::HOST);
+        Connection::open(cluster.system.frontend(edge), RESPONSE_TIMEOUT).expect("a connection");
+    let request = Request::new("GET", QUICK).header("Host", HOST);
     assert_eq!(
-        idle.call(&call, ANSWER_TIME).expect("an answer").status,
+        idle.request(&request, RESPONSE_TIMEOUT)
+            .expect("a response")
+            .status,
         200
     );
-    terminate_and_wait(&mut cluster, edge);
+    cluster.terminate_and_wait(edge);
     cluster.check();
 }
 
 #[rstest]
-fn sigterm_of_the_head_stops_neither_jobs_nor_configurations() {
+fn jobs_and_configurations_go_on_after_sigterm_of_the_head() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let job = Job::new(vec![Step::new(4, 1_500), Step::new(2, 500).after(&[0])]);
-    let handed = cluster.submit(QUICK, &job);
-    cluster.wait_started(&handed);
+    let submitted = cluster.submit(QUICK, &job);
+    cluster.wait_started(&submitted);
     let head = cluster.head();
-    terminate_and_wait(&mut cluster, head);
+    cluster.terminate_and_wait(head);
     let next = Configuration::standard(2).with(Queue::new("/next/", PLANNING, 1));
-    assert_eq!(
-        cluster.operator.put(&next, 1).expect("an answer").status,
-        200
-    );
+    cluster.put(&next, 1);
     cluster.configuration = next;
     let second = cluster.submit("/next/", &Job::single(100));
     cluster.start_machine(head);
     cluster.expect_completed(&second);
-    cluster.expect_completed(&handed);
+    cluster.expect_completed(&submitted);
     cluster.finish();
 }
 
-/// All machines are stopped and started in turn while jobs come in; nothing is started twice or lost.
+/// All machines are stopped and started in turn while jobs are submitted; nothing is started twice or lost.
 #[rstest]
-fn a_rolling_restart_goes_unnoticed_by_jobs() {
+fn jobs_complete_during_a_rolling_restart() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let (client, queue) = (cluster.client.clone(), cluster.queue(QUICK));
-    let over = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let until = over.clone();
+    let stopping = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
+    let until = stopping.clone();
     let submitting = std::thread::spawn(move || {
         while !until.load(Ordering::Relaxed) {
-            let handed = client
+            let submitted = client
                 .submit(&queue, &Job::new(vec![Step::new(2, 150)]))
                 .expect("an accepted job");
-            client.wait_end(&handed, JOB_TIME).expect("an end");
+            client.wait_end(&submitted, JOB_TIMEOUT).expect("an end");
         }
     });
     let machines = [
@@ -209,12 +205,12 @@
     ]
     .concat();
     for machine in machines {
-        terminate_and_wait(&mut cluster, machine);
+        cluster.terminate_and_wait(machine);
         cluster.start_machine(machine);
         let done = cluster.submit(QUICK, &Job::single(50));
         cluster.expect_completed(&done);
     }
-    over.store(true, Ordering::Relaxed);
+    stopping.store(true, Ordering::Relaxed);
     submitting.join().expect("all jobs");
     cluster.finish();
 }
