--- a/crates/system-tests/src/cluster.rs
+++ b/crates/system-tests/src/cluster.rs
@@ -3,14 +3,14 @@
 use crate::checks::{Exemptions, violations};
 use crate::client::{Client, SubmittedJob};
 use crate::configuration::{Configuration, PLANNING, QUICK, Queue};
-use crate::environment::{Environment, JobState, WorkerSetup};
-use crate::http::{Request, request_once};
+use crate::environment::{Environment, JobState, Record, WorkerSetup};
+use crate::http::{HttpError, Request, Response, request_once};
 use crate::job::Job;
 use crate::operator::Operator;
 use crate::settings::Bounds;
 use crate::system::{MachineId, Programs, Shape, System};
 use crate::wait::Signal;
-use crate::wire::Capacity;
+use crate::wire::{Capacity, EndReason};
 use crate::worker::Worker;
 use serde_json::Value;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     mem_mb: 8_192,
     gpu: 2,
 };
-/// How long an edge may take to say whether it is ready.
+/// How long an edge may take to report whether it is ready.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Workers on one rack.
 const WORKERS_PER_RACK: usize = 2;
@@ -137,7 +137,8 @@
 
     /// Starts a worker of this service beside each node agent that has none.
     pub fn start_workers(&mut self, service: &str) {
-        for side in self.system.sides().into_iter().skip(self.workers.len()) {
+        let sides = self.system.sides();
+        for side in sides.into_iter().skip(self.workers.len()) {
             self.start_worker(side, service, WORKER_CAPACITY);
         }
     }
@@ -201,17 +202,19 @@
     /// Waits until an edge is ready.
     pub fn wait_edge(&self, edge: MachineId) {
         let probe = || self.is_ready(edge).then_some(());
-        self.environment
-            .signal()
-            .wait_until("a ready edge", START_TIMEOUT, probe)
-            .expect("readiness");
+        self.wait_for("a ready edge", START_TIMEOUT, probe);
     }
 
     /// Whether an edge reports that it is ready.
     pub fn is_ready(&self, edge: MachineId) -> bool {
+        self.readiness(edge)
+            .is_ok_and(|response| response.status == 200)
+    }
+
+    /// An edge's response to a readiness check.
+    pub fn readiness(&self, edge: MachineId) -> Result<Response, HttpError> {
         let request = Request::new("GET", "/readiness");
         request_once(self.system.readiness(edge), &request, READINESS_TIMEOUT)
-            .is_ok_and(|response| response.status == 200)
     }
 
     /// The machine whose member acts as head.
@@ -250,6 +253,13 @@
         assert_eq!(state, JobState::Completed, "{}", submitted.id);
     }
 
+    /// Waits until these jobs are shown as completed.
+    pub fn expect_all_completed(&self, submitted: &[SubmittedJob]) {
+        for job in submitted {
+            self.expect_completed(job);
+        }
+    }
+
     /// The state that a job is shown with.
     pub fn state(&self, submitted: &SubmittedJob) -> Option<JobState> {
         self.client.state(submitted).expect("a state")
@@ -264,15 +274,29 @@
         }
     }
 
+    /// Waits until `probe` yields something; `what` names it in the panic if it does not.
+    pub fn wait_for<T>(
+        &self,
+        what: &str,
+        at_most: Duration,
+        probe: impl FnMut() -> Option<T>,
+    ) -> T {
+        let signal = self.environment.signal();
+        let found = signal.wait_until(what, at_most, probe);
+        found.expect("a condition comes true in time")
+    }
+
+    /// Waits until the record shows something, for [`JOB_TIMEOUT`].
+    pub fn wait_for_record<T>(&self, what: &str, mut probe: impl FnMut(&Record) -> Option<T>) -> T {
+        self.wait_for(what, JOB_TIMEOUT, || self.environment.read(&mut probe))
+    }
+
     /// Waits until one of the job's tasks has started, and returns the number of the last such worker.
     pub fn wait_started(&self, submitted: &SubmittedJob) -> usize {
-        let started = self
-            .environment
-            .wait_until("the start of a task", JOB_TIMEOUT, |record| {
-                let last = record.starts(&submitted.id).last();
-                last.map(|start| record.instance(start.instance).worker.clone())
-            });
-        let name = started.expect("a start");
+        let name = self.wait_for_record("the start of a task", |record| {
+            let last = record.starts(&submitted.id).last();
+            last.map(|start| record.instance(start.instance).worker.clone())
+        });
         let mut workers = self.workers.iter();
         let number = workers.position(|worker| worker.name() == name);
         number.expect("a known worker")
@@ -281,10 +305,9 @@
     /// Waits until exactly so many of the job's runs have started.
     pub fn wait_starts(&self, submitted: &SubmittedJob, count: usize) {
         let what = format!("{count} starts");
-        let started = self.environment.wait_until(&what, JOB_TIMEOUT, |record| {
+        self.wait_for_record(&what, |record| {
             (record.count_starts(&submitted.id) == count).then_some(())
         });
-        started.expect("starts");
     }
 
     /// How many of the job's runs have started.
@@ -293,6 +316,12 @@
             .read(|record| record.count_starts(&submitted.id))
     }
 
+    /// How many of the job's runs have ended for this reason.
+    pub fn count_ends(&self, submitted: &SubmittedJob, reason: EndReason) -> usize {
+        self.environment
+            .read(|record| record.count_ends(&submitted.id, reason))
+    }
+
     /// Exempts the test from checks that do not apply to the faults it injects.
     pub fn exempt(&mut self, exemptions: Exemptions) {
         self.exemptions = exemptions;
--- a/crates/system-tests/src/configuration.rs
+++ b/crates/system-tests/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations as the operator writes them.
+//! Configurations as the operator writes them. Names in the JSON text are the protocol page's.
 
 use serde_json::{Value, json};
 
@@ -8,9 +8,9 @@
 pub const PLANNING: &str = "planning";
 /// Service of the queue [`IMAGES`].
 pub const VISION: &str = "vision";
-/// Queue that goes first.
+/// Queue of the highest priority.
 pub const QUICK: &str = "/quick/";
-/// Queue that goes last.
+/// Queue of the lowest priority.
 pub const BATCH: &str = "/batch/";
 /// Queue of the other service.
 pub const IMAGES: &str = "/images/";
@@ -22,14 +22,14 @@
     pub path_prefix: String,
     /// Its service.
     pub service: String,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
     /// A task that has failed so often fails its job.
     pub max_retries: u32,
 }
 
 impl Queue {
-    /// A queue with room for three failures.
+    /// A queue whose tasks may fail three times.
     pub fn new(path_prefix: &str, service: &str, priority: u32) -> Self {
         let (path_prefix, service) = (path_prefix.to_owned(), service.to_owned());
         Queue {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
     /// Its version.
--- a/crates/system-tests/src/environment/run.rs
+++ b/crates/system-tests/src/environment/run.rs
@@ -25,11 +25,12 @@
     RunsUntilStopped,
 }
 
+/// What a run does at present.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// For the other members of its gang.
+    /// Waits for the other members of its gang, up to `until`.
     Waiting { until: Moment },
-    /// `before` had been done at `from`.
+    /// Works; `before` had been done at `from`.
     Working { from: Moment, before: Duration },
 }
 
@@ -41,11 +42,16 @@
     /// Its step is a gang.
     pub gang: bool,
     fate: Fate,
+    /// All of its work; progress goes from zero to it.
     work: Duration,
+    /// Whether it writes checkpoints.
     checkpoints: bool,
     phase: Phase,
+    /// When it ends by a stop order.
     stop_at: Option<Moment>,
+    /// The newest checkpoint, at first that of its order; progress is counted from it.
     checkpoint: String,
+    /// Work between two checkpoints.
     checkpoint_interval: Duration,
 }
 
@@ -134,8 +140,8 @@
     /// Its checkpoint: a new one after each interval of work.
     pub fn checkpoint(&mut self, now: Moment) -> String {
         let interval_ms = self.checkpoint_interval.as_millis().max(1);
-        let saved_ms = self.progress(now).as_millis() / interval_ms * interval_ms;
-        self.update_checkpoint(Duration::from_millis(saved_ms as u64));
+        let checkpoint_ms = self.progress(now).as_millis() / interval_ms * interval_ms;
+        self.update_checkpoint(Duration::from_millis(checkpoint_ms as u64));
         self.checkpoint.clone()
     }
 
--- a/crates/system-tests/src/job.rs
+++ b/crates/system-tests/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as a client hands them in, together with what their tasks do once they run.
+//! Jobs as a client submits them, and what their tasks do once they run. Names of serialized fields are the wire's.
 
 use crate::wire::Capacity;
 use serde::Serialize;
@@ -11,7 +11,7 @@
     pub work: Duration,
     /// So many of its runs fail before one ends `done`.
     pub failures: u32,
-    /// Its first run never ends by itself.
+    /// Its first run makes no progress and does not end by itself.
     pub first_hangs: bool,
 }
 
@@ -29,13 +29,13 @@
     /// GPUs for each.
     #[serde(skip_serializing_if = "is_zero")]
     pub gpu: u64,
-    /// A guess of a task's time.
+    /// Estimate of a task's time.
     #[serde(skip_serializing_if = "is_zero")]
     pub estimate_ms: u64,
     /// Steps that must be done first.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub depends_on: Vec<usize>,
-    /// Its tasks keep their progress.
+    /// Its tasks write checkpoints.
     #[serde(skip_serializing_if = "is_false")]
     pub checkpoints: bool,
     /// Its tasks work only together.
@@ -47,7 +47,7 @@
     /// Most tasks on one worker.
     #[serde(skip_serializing_if = "is_zero")]
     pub anti_affinity: u64,
-    /// Copies may run at the same time.
+    /// Its tasks may have speculative runs.
     #[serde(skip_serializing_if = "is_false")]
     pub speculative: bool,
     /// Its tasks run until the job is cancelled.
@@ -101,7 +101,7 @@
         self
     }
 
-    /// The step with tasks that keep their progress.
+    /// The step with tasks that write checkpoints.
     pub fn checkpoints(mut self) -> Self {
         self.checkpoints = true;
         self
@@ -131,7 +131,7 @@
         self
     }
 
-    /// The step with tasks whose first run stands still.
+    /// The step with tasks whose first run makes no progress.
     pub fn first_hangs(mut self) -> Self {
         self.behaviour.first_hangs = true;
         self
@@ -150,7 +150,7 @@
 /// A job.
 #[derive(Clone, Debug, Serialize)]
 pub struct Job {
-    /// The text handed to each task.
+    /// The text that each task is started with.
     pub spec: String,
     /// The steps.
     pub stages: Vec<Step>,
--- a/crates/system-tests/src/network.rs
+++ b/crates/system-tests/src/network.rs
@@ -6,40 +6,44 @@
 
 /// Port on the first address of a /24 that stays bound for as long as the /24 is in use.
 const GUARD_PORT: u16 = 10_007;
-/// Lowest port for the machines; all stay below those that the kernel draws for outgoing connections.
+/// Lowest port for the machines; all stay below those that the kernel chooses for outgoing connections.
 const FIRST_PORT: u16 = 12_000;
-/// Ports are drawn from so many.
+/// The first port is chosen among so many.
 const PORTS: u64 = 16_000;
 /// Ports of one machine.
 const PORTS_PER_MACHINE: u16 = 24;
 /// Ports among them that the cluster's processes use among themselves.
 const INTERNAL_PORTS: u16 = 16;
-/// So many /24s are tried; far more than are in use at once.
+/// So many /24s are attempted; far more than are in use at once.
 const ATTEMPTS_MAX: usize = 1_000;
 
 /// The ports of every machine of a system.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
-    /// For clients.
+    /// For clients, at edges.
     pub frontend: u16,
-    /// For the platform's question whether an edge is ready.
+    /// For the platform's readiness checks, at edges.
     pub readiness: u16,
     /// For workers and the operator.
     pub control_plane: u16,
-    /// First and last port for the processes among themselves.
-    pub internal: (u16, u16),
+    /// First port for the processes among themselves.
+    pub internal_first: u16,
+    /// Last port for the processes among themselves.
+    pub internal_last: u16,
 }
 
 /// A /24 of one system.
 #[derive(Debug)]
 pub struct Network {
+    /// First three bytes of its addresses.
     subnet: [u8; 3],
     ports: Ports,
+    /// Keeps other tests from reserving the /24.
     _guard: TcpListener,
 }
 
 impl Network {
-    /// Takes a /24 that is not in use. Panics if there is none: no test can run then.
+    /// Reserves a /24 that is not in use. Panics if there is none: no test can run then.
     pub fn reserve() -> Self {
         let guarded = (0..ATTEMPTS_MAX).find_map(|_| {
             let subnet = [127, 1 + random::below(253) as u8, random::below(256) as u8];
@@ -49,13 +53,13 @@
         let (subnet, guard) = guarded.expect("a loopback network that is not in use");
         Network {
             subnet,
-            ports: draw_ports(),
+            ports: choose_ports(),
             _guard: guard,
         }
     }
 
     /// The address of a machine, counted from 0.
-    pub fn machine(&self, number: usize) -> IpAddr {
+    pub fn machine_address(&self, number: usize) -> IpAddr {
         host(self.subnet, number as u8 + 2)
     }
 
@@ -69,11 +73,12 @@
     IpAddr::V4(Ipv4Addr::new(subnet[0], subnet[1], subnet[2], last))
 }
 
-fn draw_ports() -> Ports {
+fn choose_ports() -> Ports {
     let first = FIRST_PORT + random::below(PORTS - u64::from(PORTS_PER_MACHINE)) as u16;
     let outer = first + INTERNAL_PORTS;
     Ports {
-        internal: (first, first + INTERNAL_PORTS - 1),
+        internal_first: first,
+        internal_last: first + INTERNAL_PORTS - 1,
         frontend: outer,
         readiness: outer + 1,
         control_plane: outer + 2,
--- a/crates/system-tests/src/process.rs
+++ b/crates/system-tests/src/process.rs
@@ -68,7 +68,7 @@
     }
 
     /// The lines that are kept.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn last_lines(&self) -> Vec<String> {
         locked(&self.lines).iter().cloned().collect()
     }
 }
@@ -164,10 +164,10 @@
         self.signal_child(ProcessSignal::CONT, "-- thawed")
     }
 
-    fn signal_child(&self, signal: ProcessSignal, log_line: &str) -> Result<(), ProcessError> {
+    fn signal_child(&self, signal: ProcessSignal, message: &str) -> Result<(), ProcessError> {
         let name = &self.name;
         let child = self.child.as_ref().context(NotRunningSnafu { name })?;
-        self.log.push(log_line.to_owned());
+        self.log.push(message.to_owned());
         kill_process(Pid::from_child(child), signal).context(SignalNotSentSnafu { name })
     }
 
--- a/crates/system-tests/src/random.rs
+++ b/crates/system-tests/src/random.rs
@@ -3,7 +3,7 @@
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 
-/// A number drawn anew at each call.
+/// A new number at each call.
 pub fn number() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/crates/system-tests/src/settings.rs
+++ b/crates/system-tests/src/settings.rs
@@ -155,7 +155,7 @@
         writeln!(
             text,
             "port_range = [{},{}]",
-            self.ports.internal.0, self.ports.internal.1
+            self.ports.internal_first, self.ports.internal_last
         )?;
         writeln!(text, "seed_nodes = [{}]", seeds.join(","))?;
         writeln!(text, "bootstrap = {}", self.bootstrap)?;
@@ -212,17 +212,7 @@
     }
 
     fn write_bounds(&self, text: &mut String) -> std::fmt::Result {
-        let Bounds {
-            max_run_lease,
-            stop,
-            gang,
-            cancel,
-            visible,
-            early,
-            drain,
-            ..
-        } = self.bounds;
-        let ms = |bound: Duration| bound.as_millis();
+        let bounds = &self.bounds;
         writeln!(
             text,
             "[bounds]\nseed_lag_s = 3\nreuse_after_s = 2\ncatch_up_s = 4\nrecovery_s = 12"
@@ -231,30 +221,24 @@
             text,
             "rollback_slack_ms = 250\nmax_skew_ms = 5000\nfinish_s = 14\nstatus_s = 120\nfar_x = 1.5"
         )?;
-        writeln!(text, "liveness_ms = {}", ms(self.bounds.liveness))?;
-        writeln!(text, "ack_timeout_ms = {}", ms(self.bounds.acknowledgement))?;
-        writeln!(text, "config_apply_ms = {}", ms(self.bounds.config_apply))?;
-        writeln!(text, "loss_slack_ms = {}", ms(self.bounds.loss_slack))?;
-        writeln!(text, "grace_s = {}", self.bounds.grace.as_secs())?;
-        writeln!(
-            text,
-            "drain_ms = {}\nmax_hold_ms = {}",
-            ms(drain),
-            ms(max_run_lease)
-        )?;
-        writeln!(text, "stop_ms = {}\ngang_ms = {}", ms(stop), ms(gang))?;
-        writeln!(
-            text,
-            "cancel_ms = {}\nvisible_ms = {}",
-            ms(cancel),
-            ms(visible)
-        )?;
-        writeln!(
-            text,
-            "early_ms = {}\nsave_s = {}",
-            ms(early),
-            self.bounds.checkpoint_interval.as_secs()
-        )?;
-        writeln!(text, "restore_ms = {}", ms(self.bounds.restore))
+        writeln!(text, "grace_s = {}", bounds.grace.as_secs())?;
+        writeln!(text, "save_s = {}", bounds.checkpoint_interval.as_secs())?;
+        let in_milliseconds = [
+            ("liveness_ms", bounds.liveness),
+            ("ack_timeout_ms", bounds.acknowledgement),
+            ("config_apply_ms", bounds.config_apply),
+            ("loss_slack_ms", bounds.loss_slack),
+            ("drain_ms", bounds.drain),
+            ("max_hold_ms", bounds.max_run_lease),
+            ("stop_ms", bounds.stop),
+            ("gang_ms", bounds.gang),
+            ("cancel_ms", bounds.cancel),
+            ("visible_ms", bounds.visible),
+            ("early_ms", bounds.early),
+            ("restore_ms", bounds.restore),
+        ];
+        in_milliseconds
+            .iter()
+            .try_for_each(|(key, bound)| writeln!(text, "{key} = {}", bound.as_millis()))
     }
 }
--- a/crates/system-tests/src/system.rs
+++ b/crates/system-tests/src/system.rs
@@ -1,12 +1,12 @@
 //! A small deployment: machines with settings files and disks, and the processes on them.
 
-use crate::network::Network;
+use crate::network::{Network, Ports};
 use crate::process::{Process, ProcessError};
 use crate::settings::{Bounds, MachineClass, Settings};
 use crate::wait::Signal;
 use snafu::{ResultExt, Snafu};
 use std::io;
-use std::net::SocketAddr;
+use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 use std::process::ExitStatus;
 use std::sync::Arc;
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineId(usize);
 
-/// A system that cannot be set up, or a process that does not follow.
+/// A machine that cannot be set up or controlled.
 #[derive(Debug, Snafu)]
 pub enum SystemError {
     /// A file or folder cannot be read or written.
@@ -86,7 +86,7 @@
         /// Why.
         source: io::Error,
     },
-    /// A process cannot be handled.
+    /// A process cannot be started, signalled or awaited.
     #[snafu(transparent)]
     Process {
         /// Why.
@@ -94,8 +94,10 @@
     },
 }
 
+/// A machine and its process.
 #[derive(Debug)]
 struct Machine {
+    /// Written to `settings_path` at each start of the process.
     settings: Settings,
     settings_path: PathBuf,
     process: Process,
@@ -128,29 +130,18 @@
             (MachineClass::Edge, shape.edges),
             (MachineClass::Side, shape.sides),
         ];
-        let plan = classes
-            .iter()
-            .flat_map(|(class, count)| (0..*count).map(move |number| (*class, number)));
         let mut machines = Vec::new();
-        for (at, (class, number)) in plan.enumerate() {
-            let settings = Settings {
-                node_name: format!("{}-{number}", class.name()),
-                class,
-                ip: network.machine(at),
-                zone: ZONES[number % ZONES.len()].to_owned(),
-                zones: ZONES.map(str::to_owned).to_vec(),
-                ports: network.ports(),
-                seeds: Vec::new(),
-                bootstrap: true,
-                data_dir: None,
-                bounds,
-            };
-            machines.push(prepare(settings, &folder, signal)?);
+        for (class, count) in classes {
+            for number in 0..count {
+                let ip = network.machine_address(machines.len());
+                let settings = first_settings(class, number, ip, network.ports(), bounds);
+                machines.push(prepare(settings, &folder, signal)?);
+            }
         }
         let seeds: Vec<SocketAddr> = control_addresses(&machines).take(SEEDS_MAX).collect();
-        machines
-            .iter_mut()
-            .for_each(|machine| machine.settings.seeds = seeds.clone());
+        for machine in &mut machines {
+            machine.settings.seeds = seeds.clone();
+        }
         Ok(System {
             programs,
             machines,
@@ -312,7 +303,7 @@
     pub fn print_logs(&self) {
         for machine in &self.machines {
             eprintln!("== {} ({})", machine.process.name(), machine.settings.ip);
-            let lines = machine.process.log().lines();
+            let lines = machine.process.log().last_lines();
             for line in &lines[lines.len().saturating_sub(LOG_LINES_SHOWN)..] {
                 eprintln!("   {line}");
             }
@@ -320,7 +311,29 @@
     }
 }
 
-/// Writes what a machine needs on disk.
+/// Settings of a class's machine of this number, without seeds and disk.
+fn first_settings(
+    class: MachineClass,
+    number: usize,
+    ip: IpAddr,
+    ports: Ports,
+    bounds: Bounds,
+) -> Settings {
+    Settings {
+        node_name: format!("{}-{number}", class.name()),
+        class,
+        ip,
+        zone: ZONES[number % ZONES.len()].to_owned(),
+        zones: ZONES.map(str::to_owned).to_vec(),
+        ports,
+        seeds: Vec::new(),
+        bootstrap: true,
+        data_dir: None,
+        bounds,
+    }
+}
+
+/// Creates a machine's folder and, for a core machine, its disk.
 fn prepare(
     mut settings: Settings,
     folder: &TempDir,
--- a/crates/system-tests/tests/chaos.rs
+++ b/crates/system-tests/tests/chaos.rs
@@ -15,7 +15,7 @@
 #[case(2)]
 #[case(3)]
 #[case(4)]
-fn accepted_jobs_end_and_rules_hold_under_faults(#[case] seed: u64) {
+fn accepted_jobs_end_and_no_rule_is_broken_under_faults(#[case] seed: u64) {
     run_seed(programs!(), seed);
 }
 
--- a/crates/system-tests/tests/configuration.rs
+++ b/crates/system-tests/tests/configuration.rs
@@ -37,11 +37,7 @@
     let bound = cluster.environment.bounds().config_apply;
     let wanted = BTreeSet::from([status]);
     let probe = || (statuses(cluster, path_prefix) == wanted).then_some(());
-    cluster
-        .environment
-        .signal()
-        .wait_until("a configuration in force", bound, probe)
-        .expect("in force");
+    cluster.wait_for("a configuration in force", bound, probe);
 }
 
 #[rstest]
@@ -64,20 +60,16 @@
 }
 
 #[rstest]
-fn an_edge_without_configuration_answers_503() {
+fn an_edge_without_configuration_responds_503() {
     let mut cluster = Cluster::prepare(programs!(), Shape::default());
     let machines = [cluster.system.cores(), cluster.system.edges()].concat();
     cluster.start_machines(&machines);
     let edge = cluster.client.edges()[0];
     let request = Request::new("GET", format!("{QUICK}{NO_JOB}"));
-    let response =
-        cluster
-            .environment
-            .signal()
-            .wait_until("a response", Duration::from_secs(10), || {
-                cluster.client.request_at(edge, &request).ok()
-            });
-    assert_eq!(response.expect("a response").status, 503);
+    let response = cluster.wait_for("a response", Duration::from_secs(10), || {
+        cluster.client.request_at(edge, &request).ok()
+    });
+    assert_eq!(response.status, 503);
     cluster.check();
 }
 
@@ -112,7 +104,7 @@
     for _ in 0..2 {
         cluster.put(&second, 1);
     }
-    // The same order once more, and the first one, which another version has replaced since: never refused as new.
+    // Neither a retry of the same put nor one of the first version, which has been replaced since, is refused as new.
     for member in cluster.operator.members() {
         let response = cluster
             .operator
@@ -137,7 +129,7 @@
 }
 
 #[rstest]
-fn another_configuration_under_a_taken_number_is_refused() {
+fn another_configuration_of_a_used_version_is_refused() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let other = Configuration::standard(1).with(Queue::new(ADDED, PLANNING, 1));
     assert_eq!(
@@ -152,21 +144,22 @@
 }
 
 #[rstest]
-#[case::at_the_same_number(3, 3)]
-#[case::at_different_numbers(3, 4)]
-fn of_two_racing_orders_one_wins(#[case] one: u64, #[case] other: u64) {
+#[case::with_the_same_version(3, 3)]
+#[case::with_different_versions(3, 4)]
+fn one_of_two_racing_puts_is_accepted(#[case] one: u64, #[case] other: u64) {
     let mut cluster = Cluster::start(programs!(), Shape::default());
-    let orders = [
+    let versions = [
         Configuration::standard(one).with(Queue::new("/one/", PLANNING, 1)),
         Configuration::standard(other).with(Queue::new("/other/", PLANNING, 1)),
     ];
     let operator = &cluster.operator;
     let statuses = std::thread::scope(|scope| {
-        let put = |order| scope.spawn(move || operator.put(order, 1).expect("a response").status);
-        let racing: Vec<_> = orders.iter().map(put).collect();
+        let put =
+            |version| scope.spawn(move || operator.put(version, 1).expect("a response").status);
+        let racing: Vec<_> = versions.iter().map(put).collect();
         racing
             .into_iter()
-            .map(|order| order.join().expect("an order"))
+            .map(|put| put.join().expect("an operator"))
             .collect::<Vec<_>>()
     });
     let winner = statuses
@@ -176,7 +169,7 @@
     assert_eq!(statuses[1 - winner], 412);
     assert_eq!(
         operator.read().expect("the configuration"),
-        orders[winner].to_json()
+        versions[winner].to_json()
     );
     cluster.check();
 }
@@ -191,7 +184,7 @@
     configuration
 }
 
-fn without_time(mut configuration: Value) -> Value {
+fn without_timeout(mut configuration: Value) -> Value {
     configuration["routes"][0]["timeout_ms"] = 0.into();
     configuration
 }
@@ -205,7 +198,7 @@
 #[rstest]
 #[case::unknown_service(without_service)]
 #[case::shared_host_and_path_prefix(with_shared_path_prefix)]
-#[case::no_timeout(without_time)]
+#[case::no_timeout(without_timeout)]
 #[case::version_not_higher(not_newer)]
 fn an_invalid_configuration_is_refused(#[case] spoil: fn(Value) -> Value) {
     let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
@@ -235,19 +228,14 @@
 
 /// Where a member that is not the head redirects to, once it knows the head. Until then it responds with 503.
 fn wait_redirection(cluster: &Cluster, member: SocketAddr, request: &Request) -> SocketAddr {
-    let redirected =
-        cluster
-            .environment
-            .signal()
-            .wait_until("a redirection", START_TIMEOUT, || {
-                let response = cluster
-                    .operator
-                    .request_once(member, request)
-                    .expect("a response");
-                assert!(matches!(response.status, 307 | 503), "{}", response.status);
-                redirection(&response)
-            });
-    redirected.expect("a redirection")
+    cluster.wait_for("a redirection", START_TIMEOUT, || {
+        let response = cluster
+            .operator
+            .request_once(member, request)
+            .expect("a response");
+        assert!(matches!(response.status, 307 | 503), "{}", response.status);
+        redirection(&response)
+    })
 }
 
 #[rstest]
@@ -269,21 +257,17 @@
 }
 
 #[rstest]
-fn members_without_a_head_answer_503_at_once() {
+fn members_without_a_head_respond_503_at_once() {
     let mut cluster = Cluster::start(programs!(), Shape::with_sides(1));
     let cores = cluster.system.cores();
     let (killed, remaining) = cores.split_at(2);
-    cluster.kill_machines(&killed);
+    cluster.kill_machines(killed);
     let member = cluster.system.control_plane(remaining[0]);
     let next = put_request(&Configuration::standard(2).to_json(), 1);
-    let refused = cluster
-        .environment
-        .signal()
-        .wait_until("a 503", Duration::from_secs(10), || {
-            let begun = Instant::now();
-            let response = cluster.operator.request_once(member, &next).ok()?;
-            (response.status == 503 && begun.elapsed() < Duration::from_millis(200)).then_some(())
-        });
-    refused.expect("an immediate 503");
+    cluster.wait_for("a 503", Duration::from_secs(10), || {
+        let started = Instant::now();
+        let response = cluster.operator.request_once(member, &next).ok()?;
+        (response.status == 503 && started.elapsed() < Duration::from_millis(200)).then_some(())
+    });
     cluster.check();
 }
--- a/crates/system-tests/tests/edges.rs
+++ b/crates/system-tests/tests/edges.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for anything in these tests.
-const TIME: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn small() -> Shape {
     Shape {
@@ -41,15 +41,10 @@
 /// Waits until the edge responds to a request with one of these statuses.
 fn wait_for_response(cluster: &Cluster, request: &Request, statuses: &[u16]) {
     let bound = cluster.environment.bounds().config_apply;
-    let in_force =
-        cluster
-            .environment
-            .signal()
-            .wait_until("a response by the new limits", bound, || {
-                let response = cluster.client.request(request).ok()?;
-                statuses.contains(&response.status).then_some(())
-            });
-    in_force.expect("limits in force");
+    cluster.wait_for("a response by the new limits", bound, || {
+        let response = cluster.client.request(request).ok()?;
+        statuses.contains(&response.status).then_some(())
+    });
 }
 
 #[rstest]
@@ -83,12 +78,12 @@
 
 /// Reads until the edge closes the connection; returns how long that took.
 fn wait_closed(stream: &mut TcpStream) -> Duration {
-    let begun = Instant::now();
-    stream.set_read_timeout(Some(TIME)).expect("a timeout");
+    let started = Instant::now();
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     let mut bytes = Vec::new();
     // A reset closes it too.
     let _ = stream.read_to_end(&mut bytes);
-    begun.elapsed()
+    started.elapsed()
 }
 
 #[rstest]
@@ -97,22 +92,18 @@
 fn stalled_connections_are_closed(#[case] sent: &[u8]) {
     let mut cluster = Cluster::start(programs!(), small());
     tighten(&cluster);
-    let closed = cluster
-        .environment
-        .signal()
-        .wait_until("a closed connection", TIME, || {
-            let mut stream = TcpStream::connect(edge(&cluster)).ok()?;
-            stream.write_all(sent).ok()?;
-            (wait_closed(&mut stream) < Duration::from_secs(2)).then_some(())
-        });
-    closed.expect("a closed connection");
+    cluster.wait_for("a closed connection", TIMEOUT, || {
+        let mut stream = TcpStream::connect(edge(&cluster)).ok()?;
+        stream.write_all(sent).ok()?;
+        (wait_closed(&mut stream) < Duration::from_secs(2)).then_some(())
+    });
     cluster.check();
 }
 
 #[rstest]
 fn a_connection_carries_several_requests() {
     let mut cluster = Cluster::start(programs!(), small());
-    let mut connection = Connection::open(edge(&cluster), TIME).expect("a connection");
+    let mut connection = Connection::open(edge(&cluster), TIMEOUT).expect("a connection");
     let unknown = format!("{QUICK}{}", random::job_id());
     for (path, status) in [
         (QUICK, 200),
@@ -123,7 +114,7 @@
         let request = Request::new("GET", path).header("Host", HOST);
         assert_eq!(
             connection
-                .request(&request, TIME)
+                .request(&request, TIMEOUT)
                 .expect("a response")
                 .status,
             status,
@@ -141,7 +132,7 @@
     let mut cluster = Cluster::start(programs!(), small());
     let request = Request::new("GET", QUICK).header("Host", host);
     assert_eq!(
-        request_once(edge(&cluster), &request, TIME)
+        request_once(edge(&cluster), &request, TIMEOUT)
             .expect("a response")
             .status,
         200
@@ -169,7 +160,7 @@
         second.len()
     );
     let mut stream = TcpStream::connect(edge(&cluster)).expect("a connection");
-    stream.set_read_timeout(Some(TIME)).expect("a timeout");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     stream.write_all((head + &chunks).as_bytes()).expect("sent");
     let mut status = [0; 12];
     stream.read_exact(&mut status).expect("a response");
@@ -186,16 +177,16 @@
     let mut cluster = Cluster::start(programs!(), small());
     cluster.wait_ready();
     cluster.freeze_machines(&cluster.system.cores());
-    let begun = Instant::now();
+    let started = Instant::now();
     let request = Request::new("GET", QUICK)
         .header("Host", HOST)
         .header("Indigofold-Deadline-Ms", "400");
-    let response = request_once(edge(&cluster), &request, TIME).expect("a response");
+    let response = request_once(edge(&cluster), &request, TIMEOUT).expect("a response");
     assert!(matches!(response.status, 503 | 504), "{}", response.status);
     assert!(
-        begun.elapsed() < Duration::from_millis(800),
-        "answered after {:?}",
-        begun.elapsed()
+        started.elapsed() < Duration::from_millis(800),
+        "responded after {:?}",
+        started.elapsed()
     );
     cluster.thaw_machines(&cluster.system.cores());
     let job = cluster.submit(QUICK, &Job::single(50));
@@ -209,17 +200,12 @@
     let mut cluster = Cluster::start(programs!(), small());
     let cores = cluster.system.cores();
     cluster.kill_machines(&cores);
-    let refused =
-        cluster
-            .environment
-            .signal()
-            .wait_until("an immediate refusal", JOB_TIMEOUT, || {
-                let begun = Instant::now();
-                let response = cluster.client.request(&Request::new("GET", QUICK)).ok()?;
-                let refused = response.status == 503 && response.header("retry-after").is_some();
-                (refused && begun.elapsed() < Duration::from_millis(100)).then_some(())
-            });
-    refused.expect("an immediate refusal");
+    cluster.wait_for("an immediate refusal", JOB_TIMEOUT, || {
+        let started = Instant::now();
+        let response = cluster.client.request(&Request::new("GET", QUICK)).ok()?;
+        let refused = response.status == 503 && response.header("retry-after").is_some();
+        (refused && started.elapsed() < Duration::from_millis(100)).then_some(())
+    });
     cluster.start_machines(&cores);
     let job = cluster.submit(QUICK, &Job::single(50));
     cluster.expect_completed(&job);
--- a/crates/system-tests/tests/failover.rs
+++ b/crates/system-tests/tests/failover.rs
@@ -23,9 +23,7 @@
     cluster.wait_started(&submitted[2]);
     let head = cluster.head();
     cluster.system.kill(head);
-    submitted
-        .iter()
-        .for_each(|job| cluster.expect_completed(job));
+    cluster.expect_all_completed(&submitted);
     cluster.finish();
 }
 
@@ -50,20 +48,10 @@
             })
         })
         .collect();
-    let reached = cluster
-        .environment
-        .signal()
-        .wait_until("acceptances", JOB_TIMEOUT, || {
-            let count = cluster.environment.read(|record| {
-                record
-                    .jobs
-                    .values()
-                    .filter(|job| job.accepted.is_some())
-                    .count()
-            });
-            (count >= accepted).then_some(())
-        });
-    reached.expect("acceptances");
+    cluster.wait_for("acceptances", JOB_TIMEOUT, || {
+        let count = cluster.environment.read(|record| record.count_accepted());
+        (count >= accepted).then_some(())
+    });
     cluster.system.kill(head);
     submitting
         .into_iter()
@@ -101,9 +89,7 @@
     cluster.wait_started(&second);
     cluster.system.thaw(head).expect("thawed");
     let third = cluster.submit(QUICK, &steps());
-    [first, second, third]
-        .iter()
-        .for_each(|job| cluster.expect_completed(job));
+    cluster.expect_all_completed(&[first, second, third]);
     cluster.finish();
 }
 
@@ -144,7 +130,6 @@
 fn a_member_without_its_disk_recovers_before_another_is_lost() {
     let mut cluster = Cluster::start(programs!(), Shape::default());
     let waiting = cluster.submit(QUICK, &Job::new(vec![Step::new(1, 100).requires("only-9")]));
-    let cores = cluster.system.cores();
     let wiped = cluster.head();
     cluster.kill_and_wipe(wiped);
     cluster.start_machine(wiped);
@@ -152,11 +137,7 @@
         json!({"version": 3, "upsert": {"routes": [Queue::new("/third/", PLANNING, 1).to_json()]}});
     cluster.patch(&change, 1);
     cluster.work_for(CATCH_UP);
-    let other = cores
-        .iter()
-        .copied()
-        .find(|core| *core != wiped)
-        .expect("another member");
+    let other = cluster.other_cores(wiped)[0];
     cluster.system.kill(other);
     let read = cluster.read_configuration();
     assert_eq!(read["version"], 3);
--- a/crates/system-tests/tests/hardening.rs
+++ b/crates/system-tests/tests/hardening.rs
@@ -4,29 +4,39 @@
 use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{CATCH_UP, Cluster};
 use indigofold_system_tests::configuration::{Configuration, PLANNING, QUICK, Queue};
-use indigofold_system_tests::http::{Request, Response};
+use indigofold_system_tests::http::{HttpError, Request, Response};
 use indigofold_system_tests::job::{Job, Step};
-use indigofold_system_tests::operator::put_request;
+use indigofold_system_tests::operator::{Operator, put_request, read_request};
 use indigofold_system_tests::programs;
 use indigofold_system_tests::system::{MachineId, Shape};
 use rstest::rstest;
 use serde_json::json;
+use std::net::SocketAddr;
+use std::thread::JoinHandle;
 use std::time::Duration;
 
 /// Changes that are made while a member is down.
 const CHANGES: u64 = 500;
+/// Requests to read the configuration that reach a head while it is frozen.
+const READERS: usize = 20;
 /// The head is killed at most so often until a certain member leads.
 const HEADS_MAX: usize = 10;
 
-fn read_request() -> Request {
-    Request::new("GET", "/config")
-}
-
-/// A configuration of this version that differs by `mark` from others of the same.
+/// A configuration of this version that differs by `label` from others of the same.
 fn labelled(version: u64, label: &str) -> Configuration {
     Configuration::standard(version).with(Queue::new(&format!("/{label}/"), PLANNING, 1))
 }
 
+/// Sends a request to one member on a thread of its own.
+fn request_in_thread(
+    operator: &Operator,
+    member: SocketAddr,
+    request: Request,
+) -> JoinHandle<Result<Response, HttpError>> {
+    let operator = operator.clone();
+    std::thread::spawn(move || operator.request_once(member, &request))
+}
+
 /// A head and one more member are frozen for a while. Once thawed, the head responds with the newest configuration, or that
 /// it is not the head.
 #[rstest]
@@ -42,18 +52,12 @@
     cluster.configuration = second.clone();
     let submitted = cluster.submit("/second/", &Job::single(50));
     cluster.expect_completed(&submitted);
-    let [address, _] = [head, other].map(|core| cluster.system.control_plane(core));
-    let readers: Vec<_> = (0..20)
-        .map(|_| {
-            let operator = cluster.operator.clone();
-            std::thread::spawn(move || operator.request_once(address, &read_request()))
-        })
+    let address = cluster.system.control_plane(head);
+    let readers: Vec<_> = (0..READERS)
+        .map(|_| request_in_thread(&cluster.operator, address, read_request()))
         .collect();
     let late = put_request(&labelled(2, "late").to_json(), 1);
-    let order = {
-        let (operator, late) = (cluster.operator.clone(), late.clone());
-        std::thread::spawn(move || operator.request_once(address, &late))
-    };
+    let late_put = request_in_thread(&cluster.operator, address, late.clone());
     cluster.thaw_machines(&[head, other]);
     let newest =
         |response: &Response| response.status != 200 || response.json() == second.to_json();
@@ -61,15 +65,11 @@
         .into_iter()
         .filter_map(|thread| thread.join().expect("a client").ok());
     responses.for_each(|response| assert!(newest(&response), "{}", response.json()));
-    let order = order
+    let late_status = late_put
         .join()
         .expect("an operator")
-        .map(|response| response.status);
-    assert_ne!(
-        order.unwrap_or_default(),
-        200,
-        "an order on a version that is not current"
-    );
+        .map_or(0, |response| response.status);
+    assert_ne!(late_status, 200, "a put on a version that is not current");
     assert_eq!(
         cluster.operator.request(&late).expect("a response").status,
         412
@@ -90,7 +90,7 @@
         let head = cluster.head();
         let senders = requests.clone().map(|request| {
             let operator = cluster.operator.clone();
-            std::thread::spawn(move || operator.request(&request).expect("a clear answer").status)
+            std::thread::spawn(move || operator.request(&request).expect("a clear response").status)
         });
         if after == 1 {
             cluster.system.kill(head);
@@ -103,7 +103,7 @@
             cluster
                 .operator
                 .request(&request)
-                .expect("a clear answer")
+                .expect("a clear response")
                 .status
         });
         assert_eq!(retried, statuses, "iteration {iteration}");
--- a/crates/system-tests/tests/jobs.rs
+++ b/crates/system-tests/tests/jobs.rs
@@ -3,7 +3,7 @@
 use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT, WORKER_CAPACITY};
 use indigofold_system_tests::configuration::{BATCH, IMAGES, PLANNING, QUICK, VISION};
-use indigofold_system_tests::environment::JobState;
+use indigofold_system_tests::environment::{JobState, Record};
 use indigofold_system_tests::http::Request;
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::programs;
@@ -14,6 +14,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// All runs of a cancelled job must have ended by then.
+const STOP_TIMEOUT: Duration = Duration::from_secs(4);
+
 fn one_task() -> Job {
     Job::single(200)
 }
@@ -66,9 +69,7 @@
     let cluster = Cluster::start(programs!(), Shape::default());
     let submitted = cluster.submit(QUICK, &job);
     cluster.expect_completed(&submitted);
-    let done = cluster
-        .environment
-        .read(|record| record.count_ends(&submitted.id, EndReason::Done));
+    let done = cluster.count_ends(&submitted, EndReason::Done);
     let tasks: u32 = job.stages.iter().map(|step| step.count).sum();
     assert_eq!(done, (tasks * job.repeats()) as usize);
     cluster.finish();
@@ -85,9 +86,7 @@
             .expect("an end"),
         JobState::Failed
     );
-    let failures = cluster
-        .environment
-        .read(|record| record.count_ends(&submitted.id, EndReason::Failed));
+    let failures = cluster.count_ends(&submitted, EndReason::Failed);
     assert_eq!(failures, submitted.queue.max_retries as usize);
     cluster.finish();
 }
@@ -109,9 +108,7 @@
     let path_prefixes = [QUICK, BATCH, IMAGES];
     let submitted = path_prefixes
         .map(|path_prefix| cluster.submit(path_prefix, &Job::new(vec![Step::new(4, 100)])));
-    submitted
-        .iter()
-        .for_each(|job| cluster.expect_completed(job));
+    cluster.expect_all_completed(&submitted);
     cluster.finish();
 }
 
@@ -123,27 +120,20 @@
         QUICK,
         &Job::new(vec![Step::new(2, 100).long_running().failures(4)]),
     );
-    let at_work = |wanted: u32| {
-        cluster
-            .environment
-            .wait_until("long-running tasks", JOB_TIMEOUT, |record| {
-                let last = record
-                    .starts(&submitted.id)
-                    .filter(|start| start.run.attempt >= wanted);
-                (last.count() >= 2).then_some(())
-            })
-    };
-    at_work(5).expect("starts after failures");
+    cluster.wait_for_record("long-running tasks after their failures", |record| {
+        let starts = record.starts(&submitted.id);
+        let last = starts.filter(|start| start.run.attempt >= 5);
+        (last.count() >= 2).then_some(())
+    });
     assert_eq!(cluster.state(&submitted), Some(JobState::Running));
     cluster.client.cancel(&submitted).expect("cancelled");
-    let stopped = cluster.environment.wait_until(
-        "the end of what was cancelled",
-        Duration::from_secs(4),
-        |record| {
-            (record.count_starts(&submitted.id) == record.ends(&submitted.id).count()).then_some(())
-        },
-    );
-    stopped.expect("an end");
+    let all_ended = |record: &Record| {
+        (record.count_starts(&submitted.id) == record.ends(&submitted.id).count()).then_some(())
+    };
+    cluster
+        .environment
+        .wait_until("the ends of what was cancelled", STOP_TIMEOUT, all_ended)
+        .expect("all ends");
     assert_eq!(cluster.state(&submitted), Some(JobState::Cancelled));
     cluster.check();
 }
--- a/crates/system-tests/tests/recovery.rs
+++ b/crates/system-tests/tests/recovery.rs
@@ -1,5 +1,6 @@
 //! Acknowledged state survives all faults of the core that the pages allow.
 
+use indigofold_system_tests::client::SubmittedJob;
 use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT, START_TIMEOUT};
 use indigofold_system_tests::configuration::{BATCH, Configuration, PLANNING, QUICK, Queue};
 use indigofold_system_tests::environment::JobState;
@@ -7,7 +8,6 @@
 use indigofold_system_tests::job::{Job, Step};
 use indigofold_system_tests::operator::{Operator, put_request};
 use indigofold_system_tests::programs;
-use indigofold_system_tests::random;
 use indigofold_system_tests::system::Shape;
 use indigofold_system_tests::wire::EndReason;
 use rstest::rstest;
@@ -89,11 +89,7 @@
         scope.spawn(|| put_versions(&operator, &acknowledged));
         for reached in [4, 10, 16] {
             let enough = || (acknowledged.load(Ordering::Acquire) >= reached).then_some(());
-            cluster
-                .environment
-                .signal()
-                .wait_until("acknowledged versions", JOB_TIMEOUT, enough)
-                .expect("versions");
+            cluster.wait_for("acknowledged versions", JOB_TIMEOUT, enough);
             let head = cluster.head();
             cluster.system.kill(head);
             cluster.start_machine(head);
@@ -108,15 +104,10 @@
     cluster.check();
 }
 
+/// One request to submit a new job.
 fn submit_new(cluster: &Cluster) -> Result<Response, HttpError> {
-    let queue = cluster.queue(QUICK);
-    let submitted = indigofold_system_tests::client::SubmittedJob {
-        id: random::job_id(),
-        queue,
-    };
-    cluster
-        .client
-        .submit_once(cluster.client.edges()[0], &submitted, &Job::single(50))
+    let (submitted, client) = (SubmittedJob::new(&cluster.queue(QUICK)), &cluster.client);
+    client.submit_once(client.edges()[0], &submitted, &Job::single(50))
 }
 
 #[rstest]
@@ -125,17 +116,13 @@
     let before = cluster.submit(QUICK, &steps());
     let cores = cluster.system.cores();
     let (killed, _) = cores.split_at(2);
-    cluster.kill_machines(&killed);
-    let refused = cluster
-        .environment
-        .signal()
-        .wait_until("refusals", START_TIMEOUT, || {
-            let response = submit_new(&cluster).expect("a response");
-            assert!(!response.is_success(), "accepted by a minority");
-            (response.status == 503 && response.header("retry-after").is_some()).then_some(())
-        });
-    refused.expect("refusals");
-    cluster.start_machines(&killed);
+    cluster.kill_machines(killed);
+    cluster.wait_for("refusals", START_TIMEOUT, || {
+        let response = submit_new(&cluster).expect("a response");
+        assert!(!response.is_success(), "accepted by a minority");
+        (response.status == 503 && response.header("retry-after").is_some()).then_some(())
+    });
+    cluster.start_machines(killed);
     cluster.expect_completed(&before);
     let after = cluster.submit(QUICK, &steps());
     cluster.expect_completed(&after);
@@ -150,11 +137,11 @@
     let address = cluster.system.control_plane(head);
     let others: Vec<_> = cluster.other_cores(head);
     cluster.freeze_machines(&others);
-    let order = put_request(&Configuration::standard(2).to_json(), 1);
-    let ordered = cluster.operator.request_once(address, &order);
+    let put = put_request(&Configuration::standard(2).to_json(), 1);
+    let response = cluster.operator.request_once(address, &put);
     assert!(
-        !ordered.is_ok_and(|response| response.is_success()),
-        "the order was acknowledged"
+        !response.is_ok_and(|response| response.is_success()),
+        "the put was acknowledged"
     );
     assert!(
         !submit_new(&cluster).is_ok_and(|response| response.is_success()),
@@ -180,12 +167,9 @@
     let head = cluster.head();
     cluster.system.kill(head);
     assert_eq!(cluster.state(&submitted), Some(JobState::Cancelled));
-    let ended = cluster
-        .environment
-        .wait_until("the end of what ran", JOB_TIMEOUT, |record| {
-            (record.count_starts(&submitted.id) == record.ends(&submitted.id).count()).then_some(())
-        });
-    ended.expect("an end");
+    cluster.wait_for_record("the end of what ran", |record| {
+        (record.count_starts(&submitted.id) == record.ends(&submitted.id).count()).then_some(())
+    });
     cluster.start_machine(head);
     cluster.restart_core();
     assert_eq!(cluster.state(&submitted), Some(JobState::Cancelled));
@@ -200,13 +184,11 @@
     cluster.wait_starts(&submitted, 4);
     let cores = cluster.system.cores();
     cluster.kill_machines(&cores);
-    let done = cluster
-        .environment
-        .wait_until("ends", JOB_TIMEOUT, |record| {
-            (record.ends(&submitted.id).count() == 4)
-                .then(|| record.count_ends(&submitted.id, EndReason::Done))
-        });
-    assert_eq!(done.expect("ends"), 4);
+    let done = cluster.wait_for_record("ends", |record| {
+        (record.ends(&submitted.id).count() == 4)
+            .then(|| record.count_ends(&submitted.id, EndReason::Done))
+    });
+    assert_eq!(done, 4);
     cluster.start_machines(&cores);
     cluster.expect_completed(&submitted);
     assert_eq!(cluster.count_starts(&submitted), 4);
--- a/crates/system-tests/tests/scheduling.rs
+++ b/crates/system-tests/tests/scheduling.rs
@@ -1,6 +1,6 @@
 //! Scheduling without failed processes: stalled tasks, full workers, checkpoints, repetitions.
 
-use indigofold_system_tests::cluster::{Cluster, JOB_TIMEOUT};
+use indigofold_system_tests::cluster::Cluster;
 use indigofold_system_tests::configuration::{BATCH, QUICK};
 use indigofold_system_tests::environment::Event;
 use indigofold_system_tests::http::Request;
@@ -16,12 +16,7 @@
     let cluster = Cluster::start(programs!(), Shape::default());
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 300).first_hangs()]));
     cluster.expect_completed(&submitted);
-    assert_eq!(
-        cluster
-            .environment
-            .read(|record| record.count_ends(&submitted.id, EndReason::Stopped)),
-        2
-    );
+    assert_eq!(cluster.count_ends(&submitted, EndReason::Stopped), 2);
     cluster.finish();
 }
 
@@ -36,9 +31,7 @@
     cluster.wait_starts(&long, 8);
     let urgent = cluster.submit(QUICK, &Job::new(vec![Step::new(2, 200).cpu(1_000)]));
     cluster.expect_completed(&urgent);
-    let done = cluster
-        .environment
-        .read(|record| record.count_ends(&long.id, EndReason::Done));
+    let done = cluster.count_ends(&long, EndReason::Done);
     assert_eq!(done, 0, "the urgent job has waited");
     cluster.finish();
 }
@@ -49,14 +42,10 @@
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(1, 4_000).checkpoints()]));
     let worker = cluster.wait_started(&submitted);
     let started = cluster.environment.now();
-    let checkpoint = cluster
-        .environment
-        .wait_until("a checkpoint", JOB_TIMEOUT, |_| {
-            (cluster.environment.now()
-                > started + cluster.environment.bounds().checkpoint_interval * 2)
-                .then_some(())
-        });
-    checkpoint.expect("a checkpoint");
+    cluster.wait_for_record("a checkpoint", |_| {
+        (cluster.environment.now() > started + cluster.environment.bounds().checkpoint_interval * 2)
+            .then_some(())
+    });
     cluster.workers[worker].restart();
     cluster.expect_completed(&submitted);
     let resumed = cluster.environment.read(|record| {
@@ -80,12 +69,9 @@
     cluster.wait_starts(&submitted, 700);
     let side = cluster.system.sides()[0];
     cluster.system.freeze(side).expect("frozen");
-    let ended = cluster
-        .environment
-        .wait_until("all ends", JOB_TIMEOUT, |record| {
-            (record.ends(&submitted.id).count() == 700).then_some(())
-        });
-    ended.expect("all ends");
+    cluster.wait_for_record("all ends", |record| {
+        (record.ends(&submitted.id).count() == 700).then_some(())
+    });
     cluster.system.thaw(side).expect("thawed");
     cluster.expect_completed(&submitted);
     cluster.finish();
@@ -103,14 +89,14 @@
 
 /// A job that fits no worker does not keep other jobs from running.
 #[rstest]
-fn a_job_that_fits_no_worker_delays_no_other() {
+fn a_job_that_fits_no_worker_blocks_no_other() {
     let cluster = Cluster::start(programs!(), Shape::default());
     let nowhere = Job::new(vec![Step::new(2, 100).cpu(64_000).gang()]);
     let waiting = cluster.submit(QUICK, &nowhere);
     let others: Vec<_> = (0..5)
         .map(|_| cluster.submit(BATCH, &Job::new(vec![Step::new(4, 100)])))
         .collect();
-    others.iter().for_each(|job| cluster.expect_completed(job));
+    cluster.expect_all_completed(&others);
     let pending = cluster
         .client
         .request(&Request::new("GET", QUICK))
--- a/crates/system-tests/tests/shutdown.rs
+++ b/crates/system-tests/tests/shutdown.rs
@@ -20,7 +20,7 @@
 /// Responses received before the signal is sent.
 const REQUESTS_BEFORE: usize = 60;
 
-/// Whether a request was read and got no complete response: its connection was lost after the response had begun, or too
+/// Whether a request was read and got no complete response: its connection was lost after the response had started, or too
 /// late for the request to have been unread.
 fn is_lost(error: &HttpError, slack: Duration) -> bool {
     match error {
@@ -87,6 +87,20 @@
     cluster.finish();
 }
 
+/// Waits until all callers' submissions have been sent, and so long ago that the edge has read them.
+fn wait_pending(cluster: &Cluster, slack: Duration) {
+    let environment = &cluster.environment;
+    let sent = environment.wait_until("requests", JOB_TIMEOUT, |record| {
+        (record.jobs.len() == CALLERS).then(|| environment.now())
+    });
+    // Requests that are lost later than this have been read.
+    let read = sent.expect("requests") + slack;
+    let waiting = environment.wait_until("pending requests", JOB_TIMEOUT, |_| {
+        (environment.now() > read).then_some(())
+    });
+    waiting.expect("pending requests");
+}
+
 /// Requests that wait at an edge for a frozen head when the edge gets SIGTERM.
 #[rstest]
 fn sigterm_of_an_edge_with_pending_requests_completes_them() {
@@ -107,26 +121,10 @@
             std::thread::spawn(move || submit_small_job(&client, &queue))
         })
         .collect();
-    let sent = cluster
-        .environment
-        .wait_until("requests", JOB_TIMEOUT, |record| {
-            (record.jobs.len() == CALLERS).then(|| cluster.environment.now())
-        });
-    // Requests that are lost later than this have been read.
-    let read = sent.expect("requests") + slack;
-    let waiting = cluster
-        .environment
-        .wait_until("pending requests", JOB_TIMEOUT, |_| {
-            (cluster.environment.now() > read).then_some(())
-        });
-    waiting.expect("pending requests");
+    wait_pending(&cluster, slack);
     cluster.system.terminate(edge).expect("a signal");
     let unready = || (!cluster.is_ready(edge)).then_some(());
-    cluster
-        .environment
-        .signal()
-        .wait_until("an edge that is not ready", JOB_TIMEOUT, unready)
-        .expect("not ready");
+    cluster.wait_for("an edge that is not ready", JOB_TIMEOUT, unready);
     cluster.system.thaw(head).expect("thawed");
     for client in submitting {
         if let Err(error) = client.join().expect("a client") {
--- a/crates/system-tests/tests/workers.rs
+++ b/crates/system-tests/tests/workers.rs
@@ -80,29 +80,24 @@
     let worker = &cluster.workers[cluster.wait_started(&long)];
     let instance = worker.instance().expect("an instance");
     worker.drain(Duration::from_millis(3_000));
-    let acknowledged = cluster
-        .environment
-        .wait_until("a draining worker", JOB_TIMEOUT, |record| {
-            record
-                .events()
-                .any(|event| matches!(event, Event::DrainAcknowledged { .. }))
-                .then_some(record.entries.len())
-        });
-    let entries_before = acknowledged.expect("an acknowledgement");
+    let acknowledged = cluster.wait_for_record("a draining worker", |record| {
+        record
+            .events()
+            .any(|event| matches!(event, Event::DrainAcknowledged { .. }))
+            .then_some(record.entries.len())
+    });
+    let entries_before = acknowledged;
     let short: Vec<_> = (0..4)
         .map(|_| cluster.submit(QUICK, &Job::new(vec![Step::new(3, 100)])))
         .collect();
-    short.iter().for_each(|job| cluster.expect_completed(job));
+    cluster.expect_all_completed(&short);
     cluster.expect_completed(&long);
-    let left = cluster
-        .environment
-        .wait_until("the end of the instance", JOB_TIMEOUT, |record| {
+    cluster.wait_for_record("the end of the instance", |record| {
             record
                 .events()
                 .any(|event| matches!(event, Event::InstanceEnded { instance: ended } if *ended == instance))
                 .then_some(())
         });
-    left.expect("an ended instance");
     // Orders in flight when the draining was acknowledged may still start runs; jobs submitted afterwards may not.
     cluster.environment.read(|record| {
         for job in &short {
@@ -125,13 +120,9 @@
     let worker = &cluster.workers[0];
     let instance = worker.instance().expect("an instance");
     worker.drain(Duration::from_millis(2_000));
-    cluster
-        .environment
-        .signal()
-        .wait_until("the end of the instance", JOB_TIMEOUT, || {
-            (!cluster.environment.is_up(instance)).then_some(())
-        })
-        .expect("an ended instance");
+    cluster.wait_for("the end of the instance", JOB_TIMEOUT, || {
+        (!cluster.environment.is_up(instance)).then_some(())
+    });
     let second = cluster.submit(QUICK, &Job::single(100));
     worker.restart();
     cluster.expect_completed(&second);
@@ -144,16 +135,12 @@
     let submitted = cluster.submit(QUICK, &Job::new(vec![Step::new(3, 2_000)]));
     let side = cluster.system.sides()[cluster.wait_started(&submitted)];
     cluster.system.freeze(side).expect("frozen");
-    let expired =
-        cluster
-            .environment
-            .wait_until("the expiry of the run lease", JOB_TIMEOUT, |record| {
-                let ends = record
-                    .ends(&submitted.id)
-                    .filter(|end| matches!(end.reason, EndReason::Expired | EndReason::Done));
-                (ends.count() == 3).then_some(())
-            });
-    expired.expect("ends");
+    cluster.wait_for_record("the expiry of the run lease", |record| {
+        let ends = record
+            .ends(&submitted.id)
+            .filter(|end| matches!(end.reason, EndReason::Expired | EndReason::Done));
+        (ends.count() == 3).then_some(())
+    });
     cluster.system.thaw(side).expect("thawed");
     cluster.expect_completed(&submitted);
     cluster.finish();
@@ -171,12 +158,9 @@
                 .expect("an accepted job");
         }
     });
-    let some = cluster
-        .environment
-        .wait_until("some jobs", JOB_TIMEOUT, |record| {
-            (record.jobs.len() >= 10).then_some(())
-        });
-    some.expect("some jobs");
+    cluster.wait_for_record("some jobs", |record| {
+        (record.jobs.len() >= 10).then_some(())
+    });
     cluster.system.kill(edge);
     submitting.join().expect("all jobs");
     cluster.start_machine(edge);
