--- /dev/null
+++ b/crates/system-tests/src/cluster/steps.rs
@@ -0,0 +1,128 @@
+//! Steps that many tests share: configurations, jobs, and waits for what happens.
+
+use super::{Cluster, JOB_TIMEOUT};
+use crate::client::SubmittedJob;
+use crate::configuration::{Configuration, QUICK, Queue};
+use crate::environment::{JobState, Record};
+use crate::job::Job;
+use crate::wire::EndReason;
+use serde_json::Value;
+use std::time::Duration;
+
+impl Cluster {
+    /// Puts a complete configuration in force that builds on version `base`.
+    pub fn put(&self, configuration: &Configuration, base: u64) {
+        let version = configuration.version;
+        let response = self
+            .operator
+            .put(configuration, base)
+            .expect("a clear response");
+        let (status, body) = (response.status, response.json());
+        assert_eq!(status, 200, "version {version}: {body}");
+    }
+
+    /// Changes named items on top of version `base`.
+    pub fn patch(&self, change: &Value, base: u64) {
+        let response = self.operator.patch(change, base).expect("a clear response");
+        let (status, body) = (response.status, response.json());
+        assert_eq!(status, 200, "a change of version {base}: {body}");
+    }
+
+    /// The configuration in force.
+    pub fn read_configuration(&self) -> Value {
+        self.operator.read().expect("the configuration")
+    }
+
+    /// The queue of this path prefix in the newest configuration.
+    pub fn queue(&self, path_prefix: &str) -> Queue {
+        self.configuration
+            .queue(path_prefix)
+            .expect("a queue of the configuration")
+            .clone()
+    }
+
+    /// Submits a job, retried until it is accepted.
+    pub fn submit(&self, path_prefix: &str, job: &Job) -> SubmittedJob {
+        self.client
+            .submit(&self.queue(path_prefix), job)
+            .expect("an accepted job")
+    }
+
+    /// Waits until a job is shown as completed.
+    pub fn expect_completed(&self, submitted: &SubmittedJob) {
+        let state = self
+            .client
+            .wait_end(submitted, JOB_TIMEOUT)
+            .expect("the end of a job");
+        assert_eq!(state, JobState::Completed, "{}", submitted.id);
+    }
+
+    /// Waits until these jobs are shown as completed.
+    pub fn expect_all_completed(&self, submitted: &[SubmittedJob]) {
+        for job in submitted {
+            self.expect_completed(job);
+        }
+    }
+
+    /// The state that a job is shown with.
+    pub fn state(&self, submitted: &SubmittedJob) -> Option<JobState> {
+        self.client.state(submitted).expect("a state")
+    }
+
+    /// Submits small jobs, one after another, for so long.
+    pub fn work_for(&self, time: Duration) {
+        let until = self.environment.now() + time;
+        while self.environment.now() < until {
+            let submitted = self.submit(QUICK, &Job::single(50));
+            self.expect_completed(&submitted);
+        }
+    }
+
+    /// Waits until `probe` yields something; `what` names it in the panic if it does not.
+    pub fn wait_for<T>(
+        &self,
+        what: &str,
+        at_most: Duration,
+        probe: impl FnMut() -> Option<T>,
+    ) -> T {
+        let signal = self.environment.signal();
+        let found = signal.wait_until(what, at_most, probe);
+        found.expect("a condition comes true in time")
+    }
+
+    /// Waits until the record shows something, for [`JOB_TIMEOUT`].
+    pub fn wait_for_record<T>(&self, what: &str, mut probe: impl FnMut(&Record) -> Option<T>) -> T {
+        self.wait_for(what, JOB_TIMEOUT, || self.environment.read(&mut probe))
+    }
+
+    /// Waits until one of the job's tasks has started, and returns the number of the last such worker.
+    pub fn wait_started(&self, submitted: &SubmittedJob) -> usize {
+        let name = self.wait_for_record("the start of a task", |record| {
+            let last = record.starts(&submitted.id).last();
+            last.map(|start| record.instance(start.instance).worker.clone())
+        });
+        let mut workers = self.workers.iter();
+        let number = workers.position(|worker| worker.name() == name);
+        number.expect("a known worker")
+    }
+
+    /// Waits until exactly so many of the job's runs have started.
+    pub fn wait_starts(&self, submitted: &SubmittedJob, count: usize) {
+        let what = format!("{count} starts");
+        self.wait_for_record(&what, |record| {
+            (record.count_starts(&submitted.id) == count).then_some(())
+        });
+    }
+
+    /// How many of the job's runs have started.
+    pub fn count_starts(&self, submitted: &SubmittedJob) -> usize {
+        self.environment
+            .read(|record| record.count_starts(&submitted.id))
+    }
+
+    /// How many of the job's runs have ended for this reason.
+    pub fn count_ends(&self, submitted: &SubmittedJob, reason: EndReason) -> usize {
+        self.environment
+            .read(|record| record.count_ends(&submitted.id, reason))
+    }
+}
