--- a/crates/indigofold/tests/laboratory.rs
+++ b/crates/indigofold/tests/laboratory.rs
@@ -1,10 +1,10 @@
 //! The laboratory's ground on sockets plays the program itself: a jump, a hang and a crash in twelve seconds, with all rules
 //! checked, and nearly the figure of virtual time.
 
-use indigofold_lab::load::Made;
-use indigofold_lab::scenario::{self, Jump, Scenario, Trouble, What};
-use indigofold_lab::sockets;
-use indigofold_lab::virt::{Ground, Retries};
+use indigofold_replay::load::Made;
+use indigofold_replay::scenario::{self, Jump, Scenario, Trouble, What};
+use indigofold_replay::sockets;
+use indigofold_replay::virt::{Ground, Retries};
 use std::path::Path;
 
 fn scenario() -> Scenario {
--- a/crates/lab/src/cli.rs
+++ b/crates/replay/src/cli.rs
@@ -2,15 +2,15 @@
 
 use crate::survey_call;
 use clap::{Args, Parser, Subcommand};
-use indigofold_lab::export::Form;
-use indigofold_lab::virt::Retries;
+use indigofold_replay::export::Form;
+use indigofold_replay::virt::Retries;
 use std::path::PathBuf;
 
 /// Recorded traffic, and the laboratory to play it in.
 ///
 /// Exit codes: 0 done; 1 it could not be done, and why is said; 2 the call was wrong; 3 a run broke a rule.
 #[derive(Parser)]
-#[command(name = "indigofold-lab", version)]
+#[command(name = "indigofold-replay", version)]
 pub struct Cli {
     /// Print results as JSON.
     #[arg(long, global = true)]
--- a/crates/lab/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -98,7 +98,7 @@
     pub fn new(form: Form, mut out: W, harm: (f64, f64), seed: u64) -> io::Result<Self> {
         if form == Form::Har {
             out.write_all(
-                br#"{"log":{"version":"1.2","creator":{"name":"indigofold-lab","version":"0.2"},"entries":["#,
+                br#"{"log":{"version":"1.2","creator":{"name":"indigofold-replay","version":"0.2"},"entries":["#,
             )?;
         }
         let minute = (i64::MIN, String::new());
--- a/crates/lab/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -18,7 +18,7 @@
 use cli::{Call, Cli, SchemaOf};
 use files::{first_time, text_of};
 use import_call::import_files;
-use indigofold_lab::{compare, foldcheck, report, scenario};
+use indigofold_replay::{compare, foldcheck, report, scenario};
 use indigofold_traffic::mapping;
 use indigofold_traffic::ops::{self, Factor, Scaled};
 use play_call::{live, read_run, read_scenario, replay};
@@ -41,7 +41,7 @@
             if cli.json {
                 say!("{}", json!({"error": error.to_string()}));
             }
-            eprintln!("indigofold-lab: {error}");
+            eprintln!("indigofold-replay: {error}");
             ExitCode::from(1)
         }
     }
--- a/crates/lab/src/play_call.rs
+++ b/crates/replay/src/play_call.rs
@@ -3,11 +3,11 @@
 use crate::Bad;
 use crate::cli::{Live, Replay, Results};
 use crate::files::{bar, open, text_of};
-use indigofold_lab::export::{self, Log};
-use indigofold_lab::load::{Made, Recorded};
-use indigofold_lab::scenario::{self, Scenario};
-use indigofold_lab::virt::{Ground, Logged, Retries, Run};
-use indigofold_lab::{report, sockets};
+use indigofold_replay::export::{self, Log};
+use indigofold_replay::load::{Made, Recorded};
+use indigofold_replay::scenario::{self, Scenario};
+use indigofold_replay::virt::{Ground, Logged, Retries, Run};
+use indigofold_replay::{report, sockets};
 use serde_json::json;
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -75,10 +75,10 @@
     }
     let until = args.seconds.map(|s| scenario.from() + (s * 1e6) as u64);
     let begin = Instant::now();
-    let in_time = move |a: &Result<indigofold_lab::load::Arrival, String>| {
+    let in_time = move |a: &Result<indigofold_replay::load::Arrival, String>| {
         a.as_ref().is_ok_and(|a| until.is_none_or(|u| a.at < u)) || a.is_err()
     };
-    let arrivals: Box<dyn Iterator<Item = Result<indigofold_lab::load::Arrival, String>> + '_> =
+    let arrivals: Box<dyn Iterator<Item = Result<indigofold_replay::load::Arrival, String>> + '_> =
         match &args.recording {
             Some(path) => {
                 Box::new(Recorded::new(&scenario, open(path)?, seed)?.take_while(in_time))
--- a/crates/lab/src/sockets/program.rs
+++ b/crates/replay/src/sockets/program.rs
@@ -33,7 +33,7 @@
     me: u32,
     discovery: &SocketAddr,
 ) -> Result<Program, String> {
-    let dir = std::env::temp_dir().join(format!("indigofold-lab-{}-{me}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("indigofold-replay-{}-{me}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     // A port that is free now; it is taken again at once.
     let free = TcpListener::bind("127.0.0.1:0")
--- a/crates/lab/src/survey_call.rs
+++ b/crates/replay/src/survey_call.rs
@@ -1,10 +1,10 @@
-//! `indigofold-lab survey`.
+//! `indigofold-replay survey`.
 
 use super::Bad;
 use super::files::bar;
 use clap::Args;
-use indigofold_lab::plain::Policy;
-use indigofold_lab::survey::{self, Plan, VERSION, page};
+use indigofold_replay::plain::Policy;
+use indigofold_replay::survey::{self, Plan, VERSION, page};
 use std::io::Write;
 use std::path::PathBuf;
 
--- a/crates/lab/tests/cli.rs
+++ b/crates/replay/tests/cli.rs
@@ -5,7 +5,7 @@
 
 fn call(args: &[&str]) -> Output {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    Command::new(env!("CARGO_BIN_EXE_indigofold-lab"))
+    Command::new(env!("CARGO_BIN_EXE_indigofold-replay"))
         .args(args)
         .current_dir(root)
         .output()
@@ -119,7 +119,7 @@
         );
         assert!(
             published.expect("a schema") == out.stdout,
-            "docs/{file} is out of date: indigofold-lab schema {of}"
+            "docs/{file} is out of date: indigofold-replay schema {of}"
         );
     }
 }
--- a/crates/lab/tests/grounds.rs
+++ b/crates/replay/tests/grounds.rs
@@ -1,11 +1,11 @@
 //! Virtual time: the same seed gives the same run; a recorded run replayed comes to the same figure.
 
-use indigofold_lab::compare::compare;
-use indigofold_lab::export::{Form, Log, mapping};
-use indigofold_lab::load::{Made, Recorded};
-use indigofold_lab::scenario::{self, Jump, Scenario, Trouble, What};
-use indigofold_lab::virt::{Ground, Logged, Retries, Run};
-use indigofold_lab::{foldcheck, report};
+use indigofold_replay::compare::compare;
+use indigofold_replay::export::{Form, Log, mapping};
+use indigofold_replay::load::{Made, Recorded};
+use indigofold_replay::scenario::{self, Jump, Scenario, Trouble, What};
+use indigofold_replay::virt::{Ground, Logged, Retries, Run};
+use indigofold_replay::{foldcheck, report};
 use indigofold_traffic::detect::Kind;
 use indigofold_traffic::import::{Imported, Options, import};
 use indigofold_traffic::line::LineFormat;
--- a/crates/lab/tests/rules.rs
+++ b/crates/replay/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Every checker catches the fault that it is for, and nothing where there is none.
 
-use indigofold_lab::check::{Checker, Rule, Seen, Verdict};
-use indigofold_lab::scenario::{self, Scenario};
+use indigofold_replay::check::{Checker, Rule, Seen, Verdict};
+use indigofold_replay::scenario::{self, Scenario};
 
 fn scenario() -> Scenario {
     scenario::read(include_str!("../../../examples/replay/ten-minutes.json")).expect("the example")
--- a/crates/lab/tests/survey.rs
+++ b/crates/replay/tests/survey.rs
@@ -1,11 +1,11 @@
 //! The survey: the same on any number of threads and however often it is stopped; and worlds in which plain rules come out
 //! as they must.
 
-use indigofold_lab::load::Made;
-use indigofold_lab::plain::Policy;
-use indigofold_lab::scenario::{self, Order, Scenario, Things, Trouble, What};
-use indigofold_lab::survey::{self, Plan, VERSION, draw, page};
-use indigofold_lab::virt::{Ground, Retries, Run};
+use indigofold_replay::load::Made;
+use indigofold_replay::plain::Policy;
+use indigofold_replay::scenario::{self, Order, Scenario, Things, Trouble, What};
+use indigofold_replay::survey::{self, Plan, VERSION, draw, page};
+use indigofold_replay::virt::{Ground, Retries, Run};
 
 fn plan(policies: &[Policy]) -> Plan {
     Plan {
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -1,6 +1,6 @@
 //! A model of views, promises, chain, replacement and lost disks, searched through by a model checker.
 //!
-//! `MODEL_STATES=N cargo test -p indigofold-replication --profile lab --test model -- --nocapture` goes through N states
+//! `MODEL_STATES=N cargo test -p indigofold-replication --profile tools --test model -- --nocapture` goes through N states
 //! of each case instead of the few that fit into every run.
 
 #[path = "model/rules.rs"]
