--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -9,12 +9,12 @@
 pub fn class(effect: Effect) -> Class {
     Class {
         kind: None,
-        aim: 400 * MS,
+        latency_target: 400 * MS,
         stretch: 2.5,
         deadline: 6 * SEC,
         effect,
-        worth: 1.0,
-        late_worth: 0.3,
+        value: 1.0,
+        late_value: 0.3,
         priority: 0,
     }
 }
@@ -37,12 +37,12 @@
             class(keyed(Group::All)),
         ],
         tenants: vec![],
-        list_pushed: true,
-        tells_start: true,
+        membership_pushed: true,
+        reports_start: true,
         progress: 0,
         reports: Reports::Off,
-        worth_by_work: false,
-        over_share_worth: 0.2,
+        value_by_work: false,
+        over_quota_value: 0.2,
         limits: Limits {
             attempts: 4,
             open: None,
@@ -57,8 +57,8 @@
         charges: Charges::default(),
         rules: Rules {
             answer_slack: 20 * MS,
-            ask_within: 10 * SEC,
-            cold_from: 0.3,
+            list_refresh_within: 10 * SEC,
+            initial_capacity: 0.3,
             warm_after: 8 * SEC,
             drain_grace: 500 * MS,
             tip_multiple: 3.0,
--- a/crates/decisions/src/affinity.rs
+++ b/crates/decisions/src/affinity.rs
@@ -40,8 +40,8 @@
 /// How long a job's fetch took, where it ended after having told a share done: from there on the run was even, so that
 /// it tells how long the share had taken. `None` where nothing was told, or no time passed since.
 pub fn fetch_time(started: Time, told: Option<(Time, f64)>, ended: Time) -> Option<f64> {
-    let (at, share) = told.filter(|(at, _)| (started..ended).contains(at))?;
-    let ran = share * (ended - at) as f64 / (1.0 - share).max(1e-9);
+    let (at, fraction) = told.filter(|(at, _)| (started..ended).contains(at))?;
+    let ran = fraction * (ended - at) as f64 / (1.0 - fraction).max(1e-9);
     Some(((at - started) as f64 - ran).max(0.0))
 }
 
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -6,7 +6,7 @@
 //! Times and durations are whole microseconds.
 
 pub use crate::ids::*;
-use crate::learned_state::LearnedState;
+use crate::statistics::Statistics;
 use crate::transferred_job::TransferredJob;
 
 /// Whether a request may take effect more than once.
@@ -42,17 +42,17 @@
     /// The one kind of worker that can run it, if it is bound to one.
     pub kind: Option<KindId>,
     /// An answer within this time, plus `stretch` times the job's own work, earns the full worth.
-    pub aim: Time,
+    pub latency_target: Time,
     /// Multiple of the job's own work (at speed 1) by which the aim is extended.
     pub stretch: f64,
     /// How long a client waits over all its tries.
     pub deadline: Time,
     /// Whether repeats are harmful.
     pub effect: Effect,
-    /// Worth of one request, or of a unit of its work where [`Settings::worth_by_work`] is set.
-    pub worth: f64,
+    /// Worth of one request, or of a unit of its work where [`Settings::value_by_work`] is set.
+    pub value: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Priority in the workers' queues, where they order by priority.
     pub priority: i32,
 }
@@ -61,12 +61,12 @@
     /// What a request of a class that the settings lack is taken for: it must never run twice.
     pub const UNKNOWN: Class = Class {
         kind: None,
-        aim: 1_000_000,
+        latency_target: 1_000_000,
         stretch: 0.0,
         deadline: 0,
         effect: Effect::Unsafe,
-        worth: 1.0,
-        late_worth: 1.0,
+        value: 1.0,
+        late_value: 1.0,
         priority: 0,
     };
 }
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reports {
     /// With the outcomes of attempts and with probes.
-    WithOutcomes,
+    WithResults,
     /// With probes only.
     OnProbe,
     /// There are none.
@@ -106,7 +106,7 @@
     pub duplicates: bool,
     /// `Probe` may be used.
     pub probes: bool,
-    /// `Tell` may be used.
+    /// `UpdatePeers` may be used.
     pub peers: bool,
     /// Clients are told when to retry.
     pub retry_after: bool,
@@ -157,9 +157,9 @@
     /// A final answer may come this long after the client's deadline.
     pub answer_slack: Time,
     /// Without a subscription the list must be asked for at least this often.
-    pub ask_within: Time,
+    pub list_refresh_within: Time,
     /// A worker starts at this share of its capacity or above.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// ... and is warm no later than this after its start.
     pub warm_after: Time,
     /// Sends to a draining or gone worker must have stopped this long after the dispatcher was told.
@@ -192,17 +192,17 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// The list of workers changes unasked (else only after `Watch` or `Fetch`).
-    pub list_pushed: bool,
+    pub membership_pushed: bool,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Time between progress notes; 0 for none.
     pub progress: Time,
     /// Where load reports come from.
     pub reports: Reports,
     /// Worth is counted for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub value_by_work: bool,
     /// Worth of a request beyond its tenant's share, as a fraction of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// What the site allows.
     pub limits: Limits,
     /// Prices.
@@ -217,7 +217,7 @@
     /// It takes work.
     Active,
     /// It finishes what it has; send it nothing new.
-    Leaving,
+    Draining,
     /// It is gone.
     #[default]
     Left,
@@ -373,7 +373,7 @@
         load: Option<Load>,
     },
     /// The client is gone; the request is closed.
-    Gone(RequestId),
+    RequestClosed(RequestId),
     /// A timer of this dispatcher is due.
     Timer(u64),
     /// The result of a probe.
@@ -389,7 +389,7 @@
     /// request keeps the class that it came with.
     Settings(Box<Settings>),
     /// What another one has learned that did this one's work until now; under this one's ids.
-    LearnedState(Box<LearnedState<u32>>),
+    Statistics(Box<Statistics<u32>>),
     /// A request goes on here that another one has begun, with what its attempts have done; under this one's ids. The
     /// dispatcher owes it its one final answer, and hears of what is still out.
     Adopted(RequestId, Box<TransferredJob<u32>>),
@@ -398,7 +398,7 @@
         /// The sender's number.
         from: u32,
         /// The slots that it holds at each worker where it holds any; a hint that may be late or lost.
-        held: Vec<(WorkerId, u8)>,
+        in_flight: Vec<(WorkerId, u8)>,
     },
 }
 
@@ -453,9 +453,9 @@
         worker: WorkerId,
     },
     /// Tell all other dispatchers what this one holds.
-    Tell {
+    UpdatePeers {
         /// Slots in flight at each worker where there are any; a few dozen workers at most.
-        held: Vec<(WorkerId, u8)>,
+        in_flight: Vec<(WorkerId, u8)>,
     },
     /// Subscribe to the worker list, or end the subscription.
     Watch(bool),
--- a/crates/decisions/src/arrivals.rs
+++ b/crates/decisions/src/arrivals.rs
@@ -46,11 +46,11 @@
         self.since = now;
         self.tenants
             .iter_mut()
-            .for_each(|share| *share *= TENANT_KEEP);
+            .for_each(|fraction| *fraction *= TENANT_KEEP);
         self.tenants
             .get_mut(tenant as usize)
             .into_iter()
-            .for_each(|share| *share += 1.0 - TENANT_KEEP);
+            .for_each(|fraction| *fraction += 1.0 - TENANT_KEEP);
     }
 
     /// Work arriving a microsecond, that of it which any kind may do, and requests a second, as of now.
@@ -66,15 +66,15 @@
     }
 
     /// Takes this for a tenant's share; one that the settings do not name has none.
-    pub fn set_share(&mut self, tenant: TenantId, share: f64) {
+    pub fn set_fraction(&mut self, tenant: TenantId, fraction: f64) {
         self.tenants
             .get_mut(tenant as usize)
             .into_iter()
-            .for_each(|known| *known = share);
+            .for_each(|known| *known = fraction);
     }
 
     /// A tenant's share of the arrivals; `None` for one that the settings do not name.
-    pub fn share(&self, tenant: TenantId) -> Option<f64> {
+    pub fn fraction(&self, tenant: TenantId) -> Option<f64> {
         self.tenants.get(tenant as usize).copied()
     }
 }
--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -8,22 +8,22 @@
 //! [`Dispatcher`] holds the state. The files beside this one each hold one concern of it: `admission` (accept, hold,
 //! answer), `attempts` (send, start, end), `sampling`, `load` and `draw` (which worker), `warm_up` (workers that have
 //! just started), `health` (ejection), `stragglers` (attempts that hang), `observations` (reports, probes, peers),
-//! `membership` (the list), `learning`, `takeover` and `reconfigure` (another process or other settings).
+//! `membership` (the list), `statistics_merge`, `adoption` and `reconfigure` (another process or other settings).
 
 mod admission;
+mod adoption;
 mod attempts;
 mod consistency;
 mod draw;
 mod health;
-mod learning;
 mod load;
 mod membership;
 mod observations;
 mod reconfigure;
 mod sampling;
 mod state;
+mod statistics_merge;
 mod stragglers;
-mod takeover;
 mod tuning;
 mod warm_up;
 
@@ -32,12 +32,14 @@
 use crate::arrivals::Arrivals;
 use crate::runs::Sum;
 pub use crate::solve::solve;
-pub use learning::WorkerCounts;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use state::{AttemptId, ClassStats, Demand, Kind, ListRequest, OpenRequest, QueueIndex, Worker};
+use state::{
+    AttemptId, ClassStats, Demand, Kind, MembershipRequest, OpenRequest, QueueIndex, Worker,
+};
+pub use statistics_merge::WorkerCounts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tuning::{IDLE_GROWTH, LIST_BACKOFF_FIRST, SOLVE_TICKS, TICK_GRANULARITIES, TICK_MIN};
+use tuning::{IDLE_GROWTH, MEMBERSHIP_BACKOFF_FIRST, SOLVE_TICKS, TICK_GRANULARITIES, TICK_MIN};
 
 /// One dispatcher: holds what its own events have told it, and decides.
 #[derive(Default)]
@@ -53,7 +55,7 @@
     classes: Vec<ClassStats>,
     open: BTreeMap<RequestId, OpenRequest>,
     /// Held requests by [`QueueIndex`], in the order held.
-    held: Vec<VecDeque<RequestId>>,
+    queued: Vec<VecDeque<RequestId>>,
     /// When to look at a request again.
     due: BTreeSet<(Time, RequestId)>,
     /// p_k of problem (1).
@@ -86,14 +88,14 @@
     /// Share of requests that prefer workers of the own zone.
     home_preference: f64,
     /// Recent shares of late starts, away and at home.
-    late_start_share: [f64; 2],
+    late_start_rate: [f64; 2],
     /// Connections idle for longer than this are not trusted.
     trusted_idle: f64,
     /// Recent value and work of the requests.
     demand: Demand,
     /// Recent share of attempts rejected for lack of capacity.
-    rejected_share: f64,
-    list_request: ListRequest,
+    rejection_rate: f64,
+    membership_request: MembershipRequest,
     /// When requests were accepted, in the window of the retry budget.
     accepted_at: VecDeque<Time>,
     /// When attempts beyond a request's first were made, in the same window.
@@ -112,15 +114,19 @@
         Dispatcher {
             rng: Some(Pcg64Mcg::seed_from_u64(seed)),
             classes: settings.classes.iter().map(ClassStats::of).collect(),
-            held: vec![VecDeque::new(); queues],
+            queued: vec![VecDeque::new(); queues],
             // Finite, and cut to the number of workers by the first start.
             wait_window: f64::MAX,
             arrivals: Arrivals::new(tenants, now),
             home_preference: 1.0,
             trusted_idle: f64::MAX,
-            list_request: ListRequest {
-                due: if settings.list_pushed { Time::MAX } else { now },
-                backoff: LIST_BACKOFF_FIRST,
+            membership_request: MembershipRequest {
+                due: if settings.membership_pushed {
+                    Time::MAX
+                } else {
+                    now
+                },
+                backoff: MEMBERSHIP_BACKOFF_FIRST,
             },
             class_of,
             settings,
@@ -138,7 +144,7 @@
             });
         }
         if self.handle_event(now, event, out) {
-            self.place_held(now, out);
+            self.send_queued(now, out);
             debug_assert!(
                 self.is_consistent(),
                 "what is kept must agree with a fresh count"
@@ -150,7 +156,7 @@
     fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<Action>) -> bool {
         let attempt_id = |request, attempt| AttemptId { request, attempt };
         match event {
-            Event::List { scope, entries } => self.handle_list(now, scope, entries, out),
+            Event::List { scope, entries } => self.handle_membership(now, scope, entries, out),
             Event::Request(request) => {
                 if !self.open.contains_key(&request.id) {
                     self.accept(now, request, out);
@@ -178,9 +184,9 @@
                 if closed || status == Status::Ok {
                     self.close(request, out);
                 }
-                self.place_or_hold(now, request, out);
+                self.send_or_queue(now, request, out);
             }
-            Event::Gone(request) => self.close(request, out),
+            Event::RequestClosed(request) => self.close(request, out),
             Event::Unheard { request, attempt } => {
                 self.handle_unacknowledged(now, attempt_id(request, attempt), out);
             }
@@ -188,10 +194,10 @@
             Event::Timer(_) => return false,
             Event::Probed { worker, load, .. } => self.handle_probed(now, worker, load, out),
             Event::Settings(settings) => self.reconfigure(*settings),
-            Event::LearnedState(other) => self.merge_learned(now, *other),
-            Event::Adopted(id, job) => self.take_over(now, id, *job, out),
-            Event::Peer { from, held } => {
-                self.handle_peer_update(now, from, &held);
+            Event::Statistics(other) => self.merge_statistics(now, *other),
+            Event::Adopted(id, job) => self.adopt(now, id, *job, out),
+            Event::Peer { from, in_flight } => {
+                self.handle_peer_update(now, from, &in_flight);
                 return false;
             }
             Event::Progress {
@@ -207,7 +213,7 @@
     }
 
     fn handle_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.request_list(now, out);
+        self.request_membership(now, out);
         self.update_peers(out);
         if self.timer % SOLVE_TICKS == 0 {
             self.solve_draw(now);
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -20,19 +20,19 @@
         let id = request.id;
         let open = self.open_request(now, request);
         let work = self.work(open.class, open.estimate);
-        let (class, over_share, slots) = (open.class, open.over_share, open.slots);
+        let (class, over_quota, slots) = (open.class, open.over_quota, open.slots);
         self.accepted_at
             .extend(self.settings.rules.resends.map(|_| now));
         self.open.insert(id, open);
-        if self.is_displaced(class, over_share, work, slots) {
+        if self.is_displaced(class, over_quota, work, slots) {
             return self.answer(now, id, out);
         }
-        self.make_room(now, out);
+        self.evict_least_valuable(now, out);
         self.overhead_budget = (self.overhead_budget + OVERHEAD_PER_REQUEST).min(OVERHEAD_MAX);
         if self.settings.limits.probes && self.settings.reports != Reports::Off {
             self.probe(now, id, out);
         }
-        self.place_or_hold(now, id, out);
+        self.send_or_queue(now, id, out);
     }
 
     /// Counts the arrival and works out what holds for the request.
@@ -46,14 +46,14 @@
         let work = self.work(class, estimate);
         let is_bound = self.settings.classes[class].kind.is_some();
         self.arrivals.count(now, work, is_bound, request.tenant);
-        let over_share = self.is_over_share(request.tenant);
+        let over_quota = self.is_over_quota(request.tenant);
         // A client's later attempt has less time left than the first ones of its class: its target runs since then.
         let longest = &mut self.classes[class].longest_patience;
         *longest = request.left.max(*longest);
         let arrived = now.saturating_sub(*longest - request.left);
         let rules = &self.settings.classes[class];
         let late_from = arrived
-            .saturating_add(rules.aim)
+            .saturating_add(rules.latency_target)
             .saturating_add_signed(((rules.stretch - LATE_MARGIN) * work) as i64);
         OpenRequest {
             class,
@@ -63,7 +63,7 @@
             affinity: request.subject,
             slots,
             attempt_limit: self.settings.limits.attempts as usize,
-            over_share,
+            over_quota,
             ..OpenRequest::default()
         }
     }
@@ -82,54 +82,54 @@
 
     /// While attempts are rejected for lack of capacity, a job displaces others (Erlang's formula): whether it is worth
     /// less than these.
-    fn is_displaced(&mut self, class: usize, over_share: bool, work: f64, slots: f64) -> bool {
-        let value = work * self.density(QueueIndex::new(class, over_share, false));
+    fn is_displaced(&mut self, class: usize, over_quota: bool, work: f64, slots: f64) -> bool {
+        let value = work * self.density(QueueIndex::new(class, over_quota, false));
         let mean = work * self.density(QueueIndex::new(class, false, false));
         self.demand.value = self.demand.value * KEEP + mean;
         self.demand.work = self.demand.work * KEEP + work * slots;
         let displaced =
-            self.rejected_share.sqrt() * self.demand.value / self.demand.work * work * slots;
+            self.rejection_rate.sqrt() * self.demand.value / self.demand.work * work * slots;
         unit(&mut self.rng) * displaced > value
     }
 
     /// Held requests keep better ones from connecting: at the limit, the oldest of the least worthy queue is answered.
-    fn make_room(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn evict_least_valuable(&mut self, now: Time, out: &mut Vec<Action>) {
         let limit = self.settings.limits.open;
         if limit.is_none_or(|limit| self.open.len() <= limit) {
             return;
         }
         let queues = self.queues_in_use().into_iter();
         if let Some(queue) = queues.min_by(|a, b| self.density(*a).total_cmp(&self.density(*b))) {
-            let id = self.held[queue.0].pop_front().unwrap_or_default();
+            let id = self.queued[queue.0].pop_front().unwrap_or_default();
             self.answer(now, id, out);
         }
     }
 
     /// Queues with held requests, in the order of their indices.
     fn queues_in_use(&self) -> Vec<QueueIndex> {
-        let indices = (0..self.held.len()).filter(|index| !self.held[*index].is_empty());
+        let indices = (0..self.queued.len()).filter(|index| !self.queued[*index].is_empty());
         indices.map(QueueIndex).collect()
     }
 
     /// Goes on with a request of which nothing is in flight.
-    pub(super) fn place_or_hold(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn send_or_queue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let is_idle =
-            |open: &&OpenRequest| open.held_in.is_none() && open.attempts.iter().all(|a| a.done);
+            |open: &&OpenRequest| open.queued_in.is_none() && open.attempts.iter().all(|a| a.done);
         match self.open.get(&id).filter(is_idle).map(|open| open.closed) {
             Some(true) => self.close(id, out),
-            Some(false) if !self.place(now, id, out) => self.hold(now, id, out),
+            Some(false) if !self.send_now(now, id, out) => self.enqueue(now, id, out),
             _ => {}
         }
     }
 
     /// Sends the request if a worker takes it now.
-    pub(super) fn place(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
+    pub(super) fn send_now(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
         self.choose(now, id)
             .is_some_and(|worker| self.send(now, id, worker, out))
     }
 
     /// Holds a request, or ends it where it can earn nothing more or no tick may come before its deadline.
-    fn hold(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
+    fn enqueue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
             return;
@@ -137,7 +137,7 @@
         let is_late = now > open.late_from;
         let last_tick = open.deadline.saturating_sub(2 * self.tick());
         let until = self.sendable_until(open).min(last_tick);
-        let is_worthless = is_late && self.settings.classes[open.class].late_worth <= 0.0;
+        let is_worthless = is_late && self.settings.classes[open.class].late_value <= 0.0;
         let has_no_retry = !open.attempts.is_empty() && retries < 1.0;
         if now >= until || is_worthless || has_no_retry {
             return self.answer(now, id, out);
@@ -145,19 +145,19 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let queue = QueueIndex::new(open.class, open.over_share, is_late);
-        open.held_in = Some(queue);
+        let queue = QueueIndex::new(open.class, open.over_quota, is_late);
+        open.queued_in = Some(queue);
         let due = if is_late {
             until
         } else {
             until.min(open.late_from + 1)
         };
         self.due.insert((due, id));
-        self.held[queue.0].push_back(id);
+        self.queued[queue.0].push_back(id);
     }
 
     /// Sends held requests while a worker takes them: the most valuable for their work first, then the newest.
-    pub(super) fn place_held(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn send_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut order = self.queues_in_use();
         if order.is_empty() || !self.may_wait(false) || !self.has_free_worker(now) {
             return;
@@ -171,14 +171,14 @@
         };
         for &home_only in rounds {
             for &queue in &order {
-                self.place_queue(now, queue, home_only, out);
+                self.send_from_queue(now, queue, home_only, out);
             }
         }
     }
 
     /// Sends requests of one queue, the newest first. One that only few workers may get does not keep those behind it
     /// waiting.
-    fn place_queue(
+    fn send_from_queue(
         &mut self,
         now: Time,
         queue: QueueIndex,
@@ -190,13 +190,13 @@
         } else {
             SCAN_MISSES_MAX
         };
-        let mut next = self.held[queue.0].len();
+        let mut next = self.queued[queue.0].len();
         let mut misses = 0;
         while next > 0 && misses < misses_max {
             next -= 1;
-            let id = self.held[queue.0][next];
-            let is_held = |open: &OpenRequest| !open.closed && open.held_in == Some(queue);
-            let waits = self.open.get(&id).is_some_and(is_held);
+            let id = self.queued[queue.0][next];
+            let is_queued = |open: &OpenRequest| !open.closed && open.queued_in == Some(queue);
+            let waits = self.open.get(&id).is_some_and(is_queued);
             let worker = match (waits, home_only) {
                 (false, _) => None,
                 (true, true) => self.choose_home(now, id),
@@ -209,29 +209,29 @@
             if worker.is_some_and(|worker| !self.send(now, id, worker, out)) {
                 self.answer(now, id, out);
             }
-            self.held[queue.0].remove(next);
+            self.queued[queue.0].remove(next);
         }
     }
 
     /// Value of a unit of work of the requests in a queue.
     fn density(&self, queue: QueueIndex) -> f64 {
         let class = &self.settings.classes[queue.class()];
-        let work = if self.settings.worth_by_work {
+        let work = if self.settings.value_by_work {
             1.0
         } else {
             self.work(queue.class(), None).max(WORK_MIN)
         };
-        let over_share = if queue.is_over_share() {
-            self.settings.over_share_worth
+        let over_quota = if queue.is_over_quota() {
+            self.settings.over_quota_value
         } else {
             1.0
         };
         let late = if queue.is_late() {
-            class.late_worth
+            class.late_value
         } else {
             1.0
         };
-        class.worth * over_share * late / work
+        class.value * over_quota * late / work
     }
 
     /// Ends what can earn nothing more, also at a worker, moves late held ones behind, finds overdue attempts.
@@ -241,11 +241,11 @@
             let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
                 continue;
             };
-            let earns_late = self.settings.classes[open.class].late_worth > 0.0;
+            let earns_late = self.settings.classes[open.class].late_value > 0.0;
             let is_worthless = !earns_late && now > open.late_from;
-            if let Some(queue) = open.held_in {
-                self.held[queue.0].retain(|other| *other != id);
-                self.hold(now, id, out);
+            if let Some(queue) = open.queued_in {
+                self.queued[queue.0].retain(|other| *other != id);
+                self.enqueue(now, id, out);
             } else if is_worthless && open.attempts.iter().all(|a| a.started.is_none()) {
                 self.answer(now, id, out);
             } else {
@@ -313,8 +313,8 @@
     }
 
     /// Whether an arrival is taken as beyond its tenant's share.
-    fn is_over_share(&mut self, tenant: TenantId) -> bool {
-        let Some(share) = self.arrivals.share(tenant) else {
+    fn is_over_quota(&mut self, tenant: TenantId) -> bool {
+        let Some(arriving) = self.arrivals.fraction(tenant) else {
             return false;
         };
         // Clients may crowd to this dispatcher: one with far less than its part of them is not to blame.
@@ -323,6 +323,6 @@
             fraction,
         } = self.settings.tenants[tenant as usize];
         let all = self.arrivals.per_s * self.settings.dispatchers as f64;
-        unit(&mut self.rng) * share > (quota_per_s / all).max(CROWDING * fraction)
+        unit(&mut self.rng) * arriving > (quota_per_s / all).max(CROWDING * fraction)
     }
 }
--- a/crates/decisions/src/dispatcher/takeover.rs
+++ b/crates/decisions/src/dispatcher/adoption.rs
@@ -14,8 +14,8 @@
         let class = self.class_of.iter().position(|index| *index == rules)? as u32;
         let open = self.open.remove(&id)?;
         self.due.retain(|due| due.1 != id);
-        if let Some(queue) = open.held_in {
-            self.held[queue.0].retain(|other| *other != id);
+        if let Some(queue) = open.queued_in {
+            self.queued[queue.0].retain(|other| *other != id);
         }
         for (number, attempt) in open.attempts.iter().enumerate() {
             if attempt.done {
@@ -38,13 +38,13 @@
             affinity: open.affinity,
             slots: open.slots,
             attempt_limit: open.attempt_limit,
-            over_share: open.over_share,
+            over_quota: open.over_quota,
             attempts: attempts.map(|attempt| attempt.at(worker)).collect(),
         })
     }
 
     /// Goes on with a request that another process has begun.
-    pub(super) fn take_over(
+    pub(super) fn adopt(
         &mut self,
         now: Time,
         id: RequestId,
@@ -62,7 +62,7 @@
             affinity: job.affinity,
             slots: job.slots,
             attempt_limit: job.attempt_limit,
-            over_share: job.over_share,
+            over_quota: job.over_quota,
             ..OpenRequest::default()
         };
         for (number, attempt) in job.attempts.into_iter().enumerate() {
@@ -72,14 +72,14 @@
                 request: id,
                 attempt: number as AttemptNo,
             };
-            self.take_over_attempt(now, of, &attempt, open.slots);
+            self.adopt_attempt(now, of, &attempt, open.slots);
             open.attempts.push(attempt);
         }
-        if self.settings.classes[class].late_worth <= 0.0 {
+        if self.settings.classes[class].late_value <= 0.0 {
             self.due.insert((open.late_from + 1, id));
         }
         self.open.insert(id, open);
-        self.place_or_hold(now, id, out);
+        self.send_or_queue(now, id, out);
     }
 
     /// Where a worker stands in the table. One that this process's list has not named gets nothing new.
@@ -99,7 +99,7 @@
     }
 
     /// Counts an attempt of another process as one of this one's.
-    fn take_over_attempt(&mut self, now: Time, id: AttemptId, attempt: &Attempt, slots: f64) {
+    fn adopt_attempt(&mut self, now: Time, id: AttemptId, attempt: &Attempt, slots: f64) {
         if attempt.done {
             return;
         }
@@ -108,7 +108,7 @@
             worker.running(now);
             worker.own_slots += slots;
             self.busy.insert(attempt.worker);
-            if attempt.started.is_none() && self.settings.tells_start {
+            if attempt.started.is_none() && self.settings.reports_start {
                 worker.unstarted.push(UnstartedAttempt {
                     sent: attempt.sent,
                     id,
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -79,9 +79,9 @@
         };
         let worker = &mut self.workers[index];
         let attempt = open.attempts.len() as AttemptNo;
-        let tells_start = self.settings.tells_start;
-        let started = (!tells_start && worker.own_slots == 0.0).then_some(now);
-        if tells_start {
+        let reports_start = self.settings.reports_start;
+        let started = (!reports_start && worker.own_slots == 0.0).then_some(now);
+        if reports_start {
             worker.unstarted.push(UnstartedAttempt {
                 sent: now,
                 id: AttemptId {
@@ -97,7 +97,7 @@
         }
         worker.own_slots += open.slots;
         self.busy.insert(index);
-        open.held_in = None;
+        open.queued_in = None;
         open.attempts.push(Attempt {
             worker: index,
             sent: now,
@@ -110,13 +110,13 @@
 
     /// When to look at a request again that has just been sent.
     fn schedule_reviews(&mut self, now: Time, id: RequestId) {
-        let Some(open) = self.open.get(&id).filter(|_| self.settings.tells_start) else {
+        let Some(open) = self.open.get(&id).filter(|_| self.settings.reports_start) else {
             return;
         };
         if self.settings.limits.moves() {
             self.due.insert((self.move_due(now), id));
         }
-        if self.settings.classes[open.class].late_worth <= 0.0 {
+        if self.settings.classes[open.class].late_value <= 0.0 {
             self.due.insert((open.late_from + 1, id));
         }
     }
@@ -189,7 +189,7 @@
         attempt.started = Some(now);
         let index = attempt.worker;
         let wait = now.saturating_sub(attempt.sent) as f64;
-        self.rejected_share -= LATE_STEP * self.rejected_share;
+        self.rejection_rate -= LATE_STEP * self.rejection_rate;
         if self.run_times.0 > 0.0 {
             // Long waits tell of shared queues: keep more here, where the most valuable can still go first.
             let capacity = self.capacity(&self.workers[index]);
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -14,19 +14,19 @@
 
 /// The groups of workers of one zone, or of all others.
 #[derive(Clone, Copy)]
-struct Place {
+struct Locality {
     is_home: bool,
     preferred: usize,
     other: usize,
 }
 
-const PLACES: [Place; 2] = [
-    Place {
+const LOCALITIES: [Locality; 2] = [
+    Locality {
         is_home: true,
         preferred: group::HOME_PREFERRED,
         other: group::HOME_OTHER,
     },
-    Place {
+    Locality {
         is_home: false,
         preferred: group::AWAY_PREFERRED,
         other: group::AWAY_OTHER,
@@ -38,38 +38,38 @@
     pub(super) fn solve_draw(&mut self, now: Time) {
         self.group_workers(now);
         let speeds: Vec<f64> = self.kinds.iter().map(|kind| kind.speed.speed).collect();
-        let mut share = vec![0.0; speeds.len()];
+        let mut fraction = vec![0.0; speeds.len()];
         let is_ready = |worker: &&Worker| {
             worker.active
                 && worker.ejected_until <= now
                 && worker.failure_rate <= PROBATION_FAILURE_RATE
         };
         for worker in self.workers.iter().filter(is_ready) {
-            share[worker.kind] += self.slots(worker) * self.warm_up_fraction(now, worker);
+            fraction[worker.kind] += self.slots(worker) * self.warm_up_fraction(now, worker);
         }
-        let by_kind = share.iter().zip(&speeds);
-        let capacity: f64 = by_kind.map(|(share, speed)| share * speed).sum();
+        let by_kind = fraction.iter().zip(&speeds);
+        let capacity: f64 = by_kind.map(|(fraction, speed)| fraction * speed).sum();
         let arriving = self.settings.dispatchers as f64 * self.arrivals.unbound;
         let load = arriving / capacity.max(CAPACITY_MIN);
-        self.kind_weights = solve(&share, &speeds, load, SAMPLE_SIZE as u32);
+        self.kind_weights = solve(&fraction, &speeds, load, SAMPLE_SIZE as u32);
         self.affinity_weights.follow(&self.kind_weights);
     }
 
     /// Groups the active workers by zone, preference and kind.
     fn group_workers(&mut self, now: Time) {
         self.groups = vec![Vec::new(); group::COUNT * self.kinds.len()];
-        for place in PLACES {
+        for send_now in LOCALITIES {
             let is_in = |index: &usize| {
                 let worker = &self.workers[*index];
-                worker.active && self.is_home(worker) == place.is_home
+                worker.active && self.is_home(worker) == send_now.is_home
             };
             let pool: Vec<usize> = self.index.values().copied().filter(is_in).collect();
-            if place.is_home && self.late_start_share == [0.0; 2] {
+            if send_now.is_home && self.late_start_rate == [0.0; 2] {
                 self.assume_home_preference(pool.len());
             }
-            let share = self.preferred_share(&pool);
+            let fraction = self.preferred_fraction(&pool);
             for kind in 0..self.kinds.len() {
-                self.group_kind(now, place, kind, &pool, share);
+                self.group_kind(now, send_now, kind, &pool, fraction);
             }
         }
     }
@@ -87,7 +87,7 @@
     }
 
     /// Share of these workers that own traffic would fill to the preferred load.
-    fn preferred_share(&self, pool: &[usize]) -> f64 {
+    fn preferred_fraction(&self, pool: &[usize]) -> f64 {
         let capacities = pool
             .iter()
             .map(|index| self.capacity(&self.workers[*index]));
@@ -99,20 +99,27 @@
 
     /// Prefers a stretch of a kind's workers, another one at each dispatcher: jobs spread thinly over a large fleet tell
     /// of no worker. Workers that warm up are preferred wherever this dispatcher has a part of their budget.
-    fn group_kind(&mut self, now: Time, place: Place, kind: usize, pool: &[usize], share: f64) {
+    fn group_kind(
+        &mut self,
+        now: Time,
+        send_now: Locality,
+        kind: usize,
+        pool: &[usize],
+        fraction: f64,
+    ) {
         let is_of_kind = |index: &usize| self.workers[*index].kind == kind;
         let all: Vec<usize> = pool.iter().copied().filter(is_of_kind).collect();
         let count = all.len();
         let first = count * self.settings.me as usize / self.settings.dispatchers as usize;
-        let preferred_count = (share * count as f64).ceil() as usize;
+        let preferred_count = (fraction * count as f64).ceil() as usize;
         for (position, &index) in all.iter().enumerate() {
             let warm_up_rate = self.warm_up_rate(now, &self.workers[index]);
             let from_first = (position + count - first % count) % count;
             let is_preferred = warm_up_rate.is_some() || from_first < preferred_count;
             let group = if is_preferred {
-                place.preferred
+                send_now.preferred
             } else {
-                place.other
+                send_now.other
             };
             if warm_up_rate != Some(0.0) {
                 self.groups[group * self.kinds.len() + kind].push(index);
--- a/crates/decisions/src/dispatcher/health.rs
+++ b/crates/decisions/src/dispatcher/health.rs
@@ -27,7 +27,7 @@
                 let worker = &mut self.workers[index];
                 worker.ejected_until = worker.ejected_until.max(now + run);
                 self.count_start(index, true);
-                self.rejected_share += LATE_STEP * (1.0 - self.rejected_share);
+                self.rejection_rate += LATE_STEP * (1.0 - self.rejection_rate);
             }
             Status::Cancelled | Status::Moot => {}
         }
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -51,7 +51,7 @@
 
     /// Slots that others hold, by the last load update. A worker without one is not empty: late starts tell of all.
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
-        let [away, home] = self.late_start_share;
+        let [away, home] = self.late_start_rate;
         let at_large = away.max(home) * self.slots(worker);
         let recency = worker.load_updated_at.map_or(0.0, |at| fresh(now, at));
         let expected = worker.others_slots * recency + at_large * (1.0 - recency);
@@ -91,9 +91,9 @@
         };
         self.wait_window = (self.wait_window + change).clamp(1.0, self.workers.len() as f64);
         let is_home = self.is_home(&self.workers[index]);
-        let share = &mut self.late_start_share[usize::from(is_home)];
-        *share += LATE_STEP * (f64::from(u8::from(is_late)) - *share);
-        let [away, home] = self.late_start_share;
+        let fraction = &mut self.late_start_rate[usize::from(is_home)];
+        *fraction += LATE_STEP * (f64::from(u8::from(is_late)) - *fraction);
+        let [away, home] = self.late_start_rate;
         let gain = home - away - CROSSING_LATE_STARTS * self.settings.charges.cross_zone;
         self.home_preference = (self.home_preference - LATE_STEP * gain).clamp(0.0, 1.0);
     }
--- a/crates/decisions/src/dispatcher/membership.rs
+++ b/crates/decisions/src/dispatcher/membership.rs
@@ -1,20 +1,20 @@
 //! The membership list: which workers there are, and connections to those that leave.
 
-use super::state::{Kind, ListRequest, Timed, Worker};
-use super::tuning::{KINDS_MAX, LIST_BACKOFF_FIRST, LIST_BACKOFF_MAX};
+use super::state::{Kind, MembershipRequest, Timed, Worker};
+use super::tuning::{KINDS_MAX, MEMBERSHIP_BACKOFF_FIRST, MEMBERSHIP_BACKOFF_MAX};
 use super::{Dispatcher, unit};
 use crate::api::{Action, Entry, Scope, Time, WorkerState};
 
 impl Dispatcher {
     /// Takes a list, a part of one, or the failure of a request for it.
-    pub(super) fn handle_list(
+    pub(super) fn handle_membership(
         &mut self,
         now: Time,
         scope: Scope,
         entries: Vec<Entry>,
         out: &mut Vec<Action>,
     ) {
-        self.schedule_list_request(now, scope);
+        self.schedule_membership_request(now, scope);
         if matches!(scope, Scope::Full | Scope::Cached) {
             for worker in &mut self.workers {
                 worker.active = false;
@@ -24,30 +24,30 @@
         for entry in entries {
             self.update_entry(now, entry);
         }
-        let is_leaving = |worker: &Worker| !worker.active && worker.has_connections;
-        let leaving: Vec<usize> = (0..self.workers.len())
-            .filter(|index| is_leaving(&self.workers[*index]))
+        let must_disconnect = |worker: &Worker| !worker.active && worker.has_connections;
+        let disconnecting: Vec<usize> = (0..self.workers.len())
+            .filter(|index| must_disconnect(&self.workers[*index]))
             .collect();
-        for index in leaving {
+        for index in disconnecting {
             self.close_idle(index, out);
         }
         self.solve_draw(now);
-        self.request_list(now, out);
+        self.request_membership(now, out);
     }
 
-    fn schedule_list_request(&mut self, now: Time, scope: Scope) {
-        let backoff = self.list_request.backoff;
-        self.list_request = match scope {
-            Scope::Failed => ListRequest {
+    fn schedule_membership_request(&mut self, now: Time, scope: Scope) {
+        let backoff = self.membership_request.backoff;
+        self.membership_request = match scope {
+            Scope::Failed => MembershipRequest {
                 due: now + backoff,
                 backoff: (2 * backoff)
-                    .min(LIST_BACKOFF_MAX)
-                    .min(self.settings.rules.ask_within),
+                    .min(MEMBERSHIP_BACKOFF_MAX)
+                    .min(self.settings.rules.list_refresh_within),
             },
-            Scope::Cached => self.list_request,
-            _ => ListRequest {
+            Scope::Cached => self.membership_request,
+            _ => MembershipRequest {
                 due: Time::MAX,
-                backoff: LIST_BACKOFF_FIRST,
+                backoff: MEMBERSHIP_BACKOFF_FIRST,
             },
         };
     }
@@ -89,9 +89,9 @@
     }
 
     /// Keeps a subscription where the list must be requested; one event answers each request.
-    pub(super) fn request_list(&mut self, now: Time, out: &mut Vec<Action>) {
-        if now >= self.list_request.due {
-            self.list_request.due = now + self.settings.rules.ask_within;
+    pub(super) fn request_membership(&mut self, now: Time, out: &mut Vec<Action>) {
+        if now >= self.membership_request.due {
+            self.membership_request.due = now + self.settings.rules.list_refresh_within;
             out.push(Action::Watch(true));
         }
     }
--- a/crates/decisions/src/dispatcher/observations.rs
+++ b/crates/decisions/src/dispatcher/observations.rs
@@ -22,14 +22,14 @@
 impl Dispatcher {
     /// Probes sampled workers without recent load: the sooner, the longer jobs run and the less own jobs tell.
     pub(super) fn probe(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let own_share = SAMPLE_SIZE as f64 / self.settings.dispatchers as f64;
+        let own_fraction = SAMPLE_SIZE as f64 / self.settings.dispatchers as f64;
         let jobs_per_report = REPORT_AGE * self.run_times.0.max(1.0) / self.run_times.1.max(1.0);
-        let age = (jobs_per_report.max(own_share).min(1.0) * PROBE_AGE as f64) as Time;
+        let age = (jobs_per_report.max(own_fraction).min(1.0) * PROBE_AGE as f64) as Time;
         let sample = self.sample(now, id);
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let target = self.settings.classes[open.class].aim;
+        let target = self.settings.classes[open.class].latency_target;
         for index in &sample {
             let worker = &mut self.workers[*index];
             let known_at = worker.load_updated_at.unwrap_or(0).max(worker.probed_at);
@@ -58,26 +58,31 @@
             return;
         }
         let busy = self.busy.iter().map(|index| &self.workers[*index]);
-        let held: Vec<(WorkerId, u8)> = busy
+        let in_flight: Vec<(WorkerId, u8)> = busy
             .filter(|worker| worker.active)
             .take(PEER_UPDATE_MAX)
             .map(|worker| (worker.listed.worker, worker.own_slots.round() as u8))
             .collect();
-        if held != self.last_peer_update {
+        if in_flight != self.last_peer_update {
             self.overhead_budget -= price;
-            self.last_peer_update.clone_from(&held);
-            out.push(Action::Tell { held });
+            self.last_peer_update.clone_from(&in_flight);
+            out.push(Action::UpdatePeers { in_flight });
         }
     }
 
     /// Replaces what a peer has claimed before.
-    pub(super) fn handle_peer_update(&mut self, now: Time, peer: u32, held: &[(WorkerId, u8)]) {
+    pub(super) fn handle_peer_update(
+        &mut self,
+        now: Time,
+        peer: u32,
+        in_flight: &[(WorkerId, u8)],
+    ) {
         let claimed = self.claimed.entry(peer).or_default();
         for index in claimed.drain(..) {
             let claims = &mut self.workers[index].peer_claims;
             claims.retain(|claim| claim.peer != peer);
         }
-        for (worker, slots) in held {
+        for (worker, slots) in in_flight {
             let Some(&index) = self.index.get(worker) else {
                 continue;
             };
--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -33,7 +33,7 @@
         self.classes.resize(classes, ClassStats::default());
         self.settings.classes.resize(classes, Class::UNKNOWN);
         let queues = QueueIndex::PER_CLASS * classes;
-        self.held.resize(queues, VecDeque::new());
+        self.queued.resize(queues, VecDeque::new());
         let ids = self.class_of.len().max(id + 1);
         self.class_of.resize(ids, index);
         self.classes[index] = stats;
--- a/crates/decisions/src/dispatcher/state.rs
+++ b/crates/decisions/src/dispatcher/state.rs
@@ -144,7 +144,7 @@
     /// Until a run time is known, a job is taken to be as long as its class's latency target.
     pub fn of(class: &Class) -> Self {
         ClassStats {
-            run_time: Work::of(class.aim),
+            run_time: Work::of(class.latency_target),
             longest_patience: 0,
         }
     }
@@ -157,12 +157,12 @@
 impl QueueIndex {
     /// Queues of each class.
     pub const PER_CLASS: usize = 4;
-    const OVER_SHARE: usize = 2;
+    const OVER_QUOTA: usize = 2;
     const LATE: usize = 1;
 
-    pub fn new(class: usize, over_share: bool, is_late: bool) -> Self {
+    pub fn new(class: usize, over_quota: bool, is_late: bool) -> Self {
         let of_class =
-            usize::from(over_share) * Self::OVER_SHARE + usize::from(is_late) * Self::LATE;
+            usize::from(over_quota) * Self::OVER_QUOTA + usize::from(is_late) * Self::LATE;
         QueueIndex(class * Self::PER_CLASS + of_class)
     }
 
@@ -170,8 +170,8 @@
         self.0 / Self::PER_CLASS
     }
 
-    pub fn is_over_share(self) -> bool {
-        self.0 & Self::OVER_SHARE != 0
+    pub fn is_over_quota(self) -> bool {
+        self.0 & Self::OVER_QUOTA != 0
     }
 
     pub fn is_late(self) -> bool {
@@ -197,11 +197,11 @@
     /// Attempts that it may have at most.
     pub attempt_limit: usize,
     /// It is beyond its tenant's share.
-    pub over_share: bool,
+    pub over_quota: bool,
     /// It has its final answer.
     pub closed: bool,
     /// The queue in which it is held.
-    pub held_in: Option<QueueIndex>,
+    pub queued_in: Option<QueueIndex>,
     /// Workers sampled for it that were probed first.
     pub probed: Vec<usize>,
     /// How long it waits for the probes' answers.
@@ -212,7 +212,7 @@
 
 /// When the membership list is requested next.
 #[derive(Clone, Copy, Default)]
-pub(super) struct ListRequest {
+pub(super) struct MembershipRequest {
     pub due: Time,
     /// Wait after the next failure.
     pub backoff: Time,
--- a/crates/decisions/src/dispatcher/learning.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -6,14 +6,14 @@
 use super::state::{Demand, Kind, Worker};
 use super::tuning::{EJECTION_MAX, KINDS_MAX, PROBATION_FAILURE_RATE};
 use crate::api::{Time, WorkerId, WorkerState};
-use crate::learned_state::{self, LearnedState, Pace, aged};
+use crate::statistics::{self, Pace, Statistics, aged};
 
 /// Run times, speeds and fetches are those of programs and machines: they are true for minutes.
 const RUN_TIMES_LAST: Time = 600_000_000;
 /// Arrivals, queues and late starts change within seconds, as the memory of the arrivals.
 const PACE_LASTS: Time = 5_000_000;
 /// Slots at one worker are told in a byte.
-const SLOTS_TOLD_MAX: f64 = 255.0;
+const SLOTS_REPORTED_MAX: f64 = 255.0;
 
 /// How many workers there are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -45,42 +45,44 @@
     }
 
     /// What it has learned until now, of workers that the list still names.
-    pub fn learned_state(&self, now: Time) -> LearnedState<u32> {
+    pub fn statistics(&self, now: Time) -> Statistics<u32> {
         let class = |(id, index): (usize, &usize)| {
             let stats = &self.classes[*index];
-            let of = learned_state::Class {
+            let of = statistics::Class {
                 run_time: stats.run_time.clone(),
                 longest_patience: stats.longest_patience,
             };
             (id as u32, of)
         };
         let kinds = 0..self.kinds.len();
-        let tenants = (0..).map_while(|tenant| Some((tenant, self.arrivals.share(tenant)?)));
+        let tenants = (0..).map_while(|tenant| Some((tenant, self.arrivals.fraction(tenant)?)));
         let retried_from = self
             .retried_at
             .len()
-            .saturating_sub(learned_state::RETRIED_MAX);
-        LearnedState {
+            .saturating_sub(statistics::RETRIED_MAX);
+        Statistics {
             at: now,
-            kinds: kinds.map(|id| (id as u32, self.learned_kind(id))).collect(),
+            kinds: kinds
+                .map(|id| (id as u32, self.kind_statistics(id)))
+                .collect(),
             classes: self.class_of.iter().enumerate().map(class).collect(),
             tenants: tenants
-                .map(|(tenant, share)| (tenant, share.clamp(0.0, 1.0)))
+                .map(|(tenant, fraction)| (tenant, fraction.clamp(0.0, 1.0)))
                 .collect(),
             workers: self
                 .listed_workers()
-                .map(|worker| (worker.listed.worker, worker.learned()))
+                .map(|worker| (worker.listed.worker, worker.statistics()))
                 .collect(),
-            held: self.held_slots(),
+            in_flight: self.slots_in_flight(),
             retried_at: self.retried_at.iter().skip(retried_from).copied().collect(),
             pace: Some(self.pace(now)),
         }
     }
 
-    fn learned_kind(&self, id: usize) -> learned_state::Kind {
+    fn kind_statistics(&self, id: usize) -> statistics::Kind {
         let kind = &self.kinds[id];
         let weight = self.affinity_weights.0.get(id).copied().unwrap_or(0.0);
-        learned_state::Kind {
+        statistics::Kind {
             slots: kind.slots,
             slots_reported: kind.slots_reported,
             speed: kind.speed.clone(),
@@ -94,23 +96,23 @@
             fetches: self.fetches,
             arrivals: self.arrivals.rates(now),
             home_preference: self.home_preference,
-            late_start_share: self.late_start_share,
-            wait_window: self.wait_window.min(learned_state::UNLIMITED),
-            trusted_idle: self.trusted_idle.min(learned_state::UNLIMITED),
+            late_start_rate: self.late_start_rate,
+            wait_window: self.wait_window.min(statistics::UNLIMITED),
+            trusted_idle: self.trusted_idle.min(statistics::UNLIMITED),
             demand: (self.demand.value, self.demand.work),
-            rejected_share: self.rejected_share,
+            rejection_rate: self.rejection_rate,
         }
     }
 
     /// Slots that its jobs hold at workers now.
-    pub fn held_slots(&self) -> Vec<(WorkerId, f64)> {
+    pub fn slots_in_flight(&self) -> Vec<(WorkerId, f64)> {
         let busy = self.busy.iter().map(|index| &self.workers[*index]);
         busy.map(|worker| (worker.listed.worker, worker.own_slots))
             .collect()
     }
 
     /// Merges what another one has learned. Of what both know, the one that has seen more is believed.
-    pub(super) fn merge_learned(&mut self, now: Time, other: LearnedState<u32>) {
+    pub(super) fn merge_statistics(&mut self, now: Time, other: Statistics<u32>) {
         let age = now.saturating_sub(other.at);
         let run_weight = aged(age, RUN_TIMES_LAST);
         let pace_weight = aged(age, PACE_LASTS);
@@ -127,15 +129,15 @@
                 known.merge(now, &worker, pace_weight);
             }
         }
-        let slots = |(id, slots): &(u32, f64)| (*id, slots.round().min(SLOTS_TOLD_MAX) as u8);
-        let held: Vec<_> = other.held.iter().map(slots).collect();
-        self.handle_peer_update(other.at.min(now), self.settings.me, &held);
+        let slots = |(id, slots): &(u32, f64)| (*id, slots.round().min(SLOTS_REPORTED_MAX) as u8);
+        let in_flight: Vec<_> = other.in_flight.iter().map(slots).collect();
+        self.handle_peer_update(other.at.min(now), self.settings.me, &in_flight);
         self.merge_retries(now, other.retried_at);
-        let has_seen_more = |pace: &Pace| pace.run_times.0 * run_weight > self.run_times.0;
-        if let Some(pace) = other.pace.filter(has_seen_more) {
+        let has_more_samples = |pace: &Pace| pace.run_times.0 * run_weight > self.run_times.0;
+        if let Some(pace) = other.pace.filter(has_more_samples) {
             self.take_pace(now, &pace, run_weight, pace_weight);
-            for (tenant, share) in &other.tenants {
-                self.arrivals.set_share(*tenant, *share);
+            for (tenant, fraction) in &other.tenants {
+                self.arrivals.set_fraction(*tenant, *fraction);
             }
             if age < PACE_LASTS {
                 self.wait_window = self.wait_window.min(pace.wait_window);
@@ -144,7 +146,7 @@
         self.solve_draw(now);
     }
 
-    fn merge_kind(&mut self, id: usize, other: learned_state::Kind, run_weight: f64) {
+    fn merge_kind(&mut self, id: usize, other: statistics::Kind, run_weight: f64) {
         let id = id.min(KINDS_MAX);
         let kinds = self.kinds.len().max(id + 1);
         self.kinds.resize(kinds, Kind::default());
@@ -165,7 +167,7 @@
         self.affinity_weights.0[id] = other.weight;
     }
 
-    fn merge_class(&mut self, id: usize, other: learned_state::Class, run_weight: f64) {
+    fn merge_class(&mut self, id: usize, other: statistics::Class, run_weight: f64) {
         let Some(index) = self.class_of.get(id) else {
             return;
         };
@@ -192,8 +194,8 @@
         self.fetches = pace.fetches.faded(run_weight);
         self.arrivals.resume(now, pace.arrivals, pace_weight);
         self.home_preference = 1.0 - (1.0 - pace.home_preference) * pace_weight;
-        self.late_start_share = pace.late_start_share.map(|share| share * pace_weight);
-        self.rejected_share = pace.rejected_share * pace_weight;
+        self.late_start_rate = pace.late_start_rate.map(|fraction| fraction * pace_weight);
+        self.rejection_rate = pace.rejection_rate * pace_weight;
         self.demand = Demand {
             value: pace.demand.0,
             work: pace.demand.1,
@@ -203,8 +205,8 @@
 }
 
 impl Worker {
-    fn learned(&self) -> learned_state::Worker {
-        learned_state::Worker {
+    fn statistics(&self) -> statistics::Worker {
+        statistics::Worker {
             started_at: self.listed.ready_at,
             start_delay: self.start_delay,
             others_slots: self.others_slots,
@@ -215,7 +217,7 @@
         }
     }
 
-    fn merge(&mut self, now: Time, other: &learned_state::Worker, pace_weight: f64) {
+    fn merge(&mut self, now: Time, other: &statistics::Worker, pace_weight: f64) {
         self.start_delay = self.start_delay.min(other.start_delay);
         self.failure_rate = self.failure_rate.max(other.failure_rate * pace_weight);
         let ejected_until = other.ejected_until.min(now + EJECTION_MAX as Time);
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -68,7 +68,7 @@
             OVERDUE_FIRST_INTERVALS
         };
         let wait = intervals * self.settings.progress as f64;
-        let reports = self.settings.tells_start && wait > 0.0;
+        let reports = self.settings.reports_start && wait > 0.0;
         match attempt.started {
             Some(_) if reports => {
                 let slack = REPORT_SLACK_GRANULARITIES * self.settings.granularity;
@@ -115,7 +115,7 @@
             .get(&id)
             .is_some_and(|open| has_none_in_time(&open.attempts));
         let may_double = may_retry && self.settings.limits.duplicates;
-        if needs_another && may_double && !self.place(now, id, out) {
+        if needs_another && may_double && !self.send_now(now, id, out) {
             self.due.insert((now + REVIEW_TICKS * self.tick(), id));
         }
     }
--- a/crates/decisions/src/dispatcher/tuning.rs
+++ b/crates/decisions/src/dispatcher/tuning.rs
@@ -79,9 +79,9 @@
 /// Mean jobs that a dispatcher's part of that budget pays for in a window; one may be saved up.
 pub(super) const WARM_UP_JOBS: f64 = 4.0;
 /// First wait between two requests for the membership list after a failure.
-pub(super) const LIST_BACKOFF_FIRST: Time = 500_000;
+pub(super) const MEMBERSHIP_BACKOFF_FIRST: Time = 500_000;
 /// Longest such wait.
-pub(super) const LIST_BACKOFF_MAX: Time = 4_000_000;
+pub(super) const MEMBERSHIP_BACKOFF_MAX: Time = 4_000_000;
 
 /// A group of workers: by zone, and whether this dispatcher prefers them.
 pub(super) mod group {
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -19,7 +19,7 @@
         }
         let rules = &self.settings.rules;
         let age = now.saturating_sub(worker.listed.ready_at) as f64;
-        let initial = rules.cold_from.clamp(INITIAL_FRACTION_MIN, 1.0);
+        let initial = rules.initial_capacity.clamp(INITIAL_FRACTION_MIN, 1.0);
         let fraction = initial + (1.0 - initial) * age / rules.warm_after.max(1) as f64;
         fraction.min(1.0)
     }
@@ -34,13 +34,13 @@
         let rules = &self.settings.rules;
         let dispatchers = u64::from(self.settings.dispatchers);
         let budget = rules.tip_multiple * WARM_UP_USE * self.capacity(worker);
-        let least = budget * rules.cold_from * rules.tip_window as f64 / WARM_UP_JOBS;
+        let least = budget * rules.initial_capacity * rules.tip_window as f64 / WARM_UP_JOBS;
         let jobs = (least * self.run_times.0 / self.run_times.1.max(1.0)) as u64;
         let parts = jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
         // Ids tell nothing, so each worker has a first dispatcher of its own, the same for all who compute it.
         let first = u64::from(worker.listed.worker).wrapping_mul(SPREAD) >> 32;
-        let own_part = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
-        Some(if own_part {
+        let is_own = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
+        Some(if is_own {
             budget * fraction / parts as f64
         } else {
             0.0
@@ -53,8 +53,8 @@
             return f64::INFINITY;
         };
         let budget = worker.warm_up_budget;
-        let saved = budget.value + rate * now.saturating_sub(budget.at) as f64;
+        let accumulated = budget.value + rate * now.saturating_sub(budget.at) as f64;
         let most = rate * self.settings.rules.tip_window as f64 / WARM_UP_JOBS;
-        saved.min(work.max(most))
+        accumulated.min(work.max(most))
     }
 }
--- a/crates/decisions/src/learned_state.rs
+++ b/crates/decisions/src/statistics.rs
@@ -28,7 +28,7 @@
 
 /// What a module has learned; `N` is what names kinds, classes, tenants and workers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LearnedState<N> {
+pub struct Statistics<N> {
     /// When it was true, in microseconds of Unix time.
     pub at: Time,
     /// Kinds of workers.
@@ -40,7 +40,7 @@
     /// Workers.
     pub workers: Vec<(N, Worker)>,
     /// Slots held at workers by jobs of whoever wrote this.
-    pub held: Vec<(N, f64)>,
+    pub in_flight: Vec<(N, f64)>,
     /// When attempts beyond their job's first were made, where these are counted.
     pub retried_at: Vec<Time>,
     /// What is learned of the whole.
@@ -100,7 +100,7 @@
     /// Share of jobs that look at home first.
     pub home_preference: f64,
     /// Shares of late starts away and at home.
-    pub late_start_share: [f64; 2],
+    pub late_start_rate: [f64; 2],
     /// Jobs that may wait in workers' queues.
     pub wait_window: f64,
     /// Connections unused for longer are not trusted.
@@ -108,7 +108,7 @@
     /// Worth and work of late.
     pub demand: (f64, f64),
     /// Recent share of attempts turned away.
-    pub rejected_share: f64,
+    pub rejection_rate: f64,
 }
 
 /// Why a written form is not taken.
@@ -123,7 +123,7 @@
     /// The checksum does not fit.
     Damaged,
     /// It is whole, but a figure in it cannot be one: which, and what is allowed.
-    Figure(String),
+    Value(String),
 }
 
 impl std::fmt::Display for Refused {
@@ -142,7 +142,7 @@
             ),
             Refused::Newer(v) => write!(f, "its version is {v}, 1 to {VERSION} can be read"),
             Refused::Damaged => write!(f, "its checksum does not fit"),
-            Refused::Figure(what) => write!(f, "{what}"),
+            Refused::Value(what) => write!(f, "{what}"),
         }
     }
 }
@@ -154,7 +154,7 @@
     (-(age as f64) / lasts.max(1) as f64).exp()
 }
 
-impl<N> LearnedState<N> {
+impl<N> Statistics<N> {
     /// The same under other names; what has none there is left out.
     pub fn renamed<M>(
         self,
@@ -162,19 +162,19 @@
         mut class: impl FnMut(&N) -> Option<M>,
         mut tenant: impl FnMut(&N) -> Option<M>,
         mut worker: impl FnMut(&N) -> Option<M>,
-    ) -> LearnedState<M> {
+    ) -> Statistics<M> {
         fn map<N, M, T>(list: Vec<(N, T)>, name: &mut impl FnMut(&N) -> Option<M>) -> Vec<(M, T)> {
             list.into_iter()
                 .filter_map(|(n, value)| Some((name(&n)?, value)))
                 .collect()
         }
-        LearnedState {
+        Statistics {
             at: self.at,
             kinds: map(self.kinds, &mut kind),
             classes: map(self.classes, &mut class),
             tenants: map(self.tenants, &mut tenant),
             workers: map(self.workers, &mut worker),
-            held: map(self.held, &mut worker),
+            in_flight: map(self.in_flight, &mut worker),
             retried_at: self.retried_at,
             pace: self.pace,
         }
@@ -185,7 +185,7 @@
         let within = |what: &str, value: f64, from: f64, to: f64| match (from..=to).contains(&value)
         {
             true => Ok(()),
-            false => Err(Refused::Figure(format!(
+            false => Err(Refused::Value(format!(
                 "{what} is {value}, {from} to {to} is allowed"
             ))),
         };
@@ -209,15 +209,15 @@
                 1e6,
             )?;
         }
-        for (_, share) in &self.tenants {
-            within("share of a tenant", *share, 0.0, 1.0)?;
+        for (_, fraction) in &self.tenants {
+            within("share of a tenant", *fraction, 0.0, 1.0)?;
         }
         for (_, w) in &self.workers {
             within("time to a start", w.start_delay, 0.0, TIME_MOST)?;
             within("slots held by others", w.others_slots, 0.0, 1e6)?;
             within("share of failures", w.failure_rate, 0.0, 1.0)?;
         }
-        for (_, slots) in &self.held {
+        for (_, slots) in &self.in_flight {
             within("slots held", *slots, 0.0, 1e6)?;
         }
         within(
@@ -235,19 +235,19 @@
             within("work of any kind arriving", unbound, 0.0, 1e6)?;
             within("jobs arriving", per_s, 0.0, 1e6)?;
             within("share at home first", pace.home_preference, 0.0, 1.0)?;
-            within("late starts away", pace.late_start_share[0], 0.0, 1.0)?;
-            within("late starts at home", pace.late_start_share[1], 0.0, 1.0)?;
+            within("late starts away", pace.late_start_rate[0], 0.0, 1.0)?;
+            within("late starts at home", pace.late_start_rate[1], 0.0, 1.0)?;
             within("window", pace.wait_window, 1.0, UNLIMITED)?;
             within("trusted idle time", pace.trusted_idle, 0.0, UNLIMITED)?;
             within("worth of late", pace.demand.0, 0.0, UNLIMITED)?;
             within("work of late", pace.demand.1, 0.0, UNLIMITED)?;
-            within("share turned away", pace.rejected_share, 0.0, 1.0)?;
+            within("share turned away", pace.rejection_rate, 0.0, 1.0)?;
         }
         Ok(())
     }
 }
 
-impl LearnedState<String> {
+impl Statistics<String> {
     /// The written form. `None` where it would be longer than any that is read.
     pub fn write(&self) -> Option<Vec<u8>> {
         let value = postcard::to_allocvec(self).ok()?;
@@ -279,12 +279,12 @@
         if head[10..] != Sha256::digest(value)[..8] {
             return Err(Refused::Damaged);
         }
-        let (learned, rest) =
+        let (statistics, rest) =
             postcard::take_from_bytes::<Self>(value).map_err(|_| Refused::Damaged)?;
         if !rest.is_empty() {
             return Err(Refused::Damaged);
         }
-        learned.check()?;
-        Ok(learned)
+        statistics.check()?;
+        Ok(statistics)
     }
 }
--- a/crates/decisions/src/transferred_job.rs
+++ b/crates/decisions/src/transferred_job.rs
@@ -23,7 +23,7 @@
     /// Attempts that it may have in all.
     pub attempt_limit: usize,
     /// It is beyond its tenant's share.
-    pub over_share: bool,
+    pub over_quota: bool,
     /// Its attempts so far, in order.
     pub attempts: Vec<Attempt<N>>,
 }
@@ -89,7 +89,7 @@
             affinity: self.affinity,
             slots: self.slots,
             attempt_limit: self.attempt_limit,
-            over_share: self.over_share,
+            over_quota: self.over_quota,
             attempts: self
                 .attempts
                 .into_iter()
@@ -115,10 +115,10 @@
         });
         match shares
             .into_iter()
-            .find(|share| !(0.0..=1.0).contains(share))
+            .find(|fraction| !(0.0..=1.0).contains(fraction))
         {
-            Some(share) => Err(format!(
-                "the share done of a job is {share}, 0 to 1 is allowed"
+            Some(fraction) => Err(format!(
+                "the share done of a job is {fraction}, 0 to 1 is allowed"
             )),
             None => Ok(()),
         }
--- a/crates/decisions/tests/arrivals.rs
+++ b/crates/decisions/tests/arrivals.rs
@@ -16,11 +16,11 @@
         a.work,
         a.unbound
     );
-    let shares = [0, 1, 2].map(|t| a.share(t));
+    let shares = [0, 1, 2].map(|t| a.fraction(t));
     assert!((shares[0].unwrap() - 0.75).abs() < 0.02 && (shares[1].unwrap() - 0.25).abs() < 0.02);
     assert_eq!(shares[2], None);
     a.tenants([0.3, 0.3, 0.4].into_iter());
-    assert_eq!((a.share(0), a.share(2)), (shares[0], Some(0.4)));
+    assert_eq!((a.fraction(0), a.fraction(2)), (shares[0], Some(0.4)));
     // Nothing for a minute: nothing is left.
     a.count(120_000_000, 0.0, false, 9);
     assert!(a.work < 1e-4 && a.per_s < 0.21);
--- a/crates/decisions/tests/module.rs
+++ b/crates/decisions/tests/module.rs
@@ -150,7 +150,7 @@
 #[test]
 fn a_bound_class_stays_out_of_the_solve() {
     let mut settings = Settings {
-        tells_start: false,
+        reports_start: false,
         ..settings()
     };
     settings.classes[1].kind = Some(1);
@@ -213,7 +213,7 @@
 #[test]
 fn a_worker_whose_reports_show_no_free_slot_is_passed_over() {
     let mut settings = settings();
-    settings.reports = Reports::WithOutcomes;
+    settings.reports = Reports::WithResults;
     let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0)]);
     for (free, worker) in [(2.0, 1), (0.0, 1), (2.0, 2)] {
         let load = Some(Load {
@@ -251,7 +251,7 @@
 #[test]
 fn an_answers_report_still_counts_the_job_that_brought_it() {
     let mut settings = settings();
-    settings.reports = Reports::WithOutcomes;
+    settings.reports = Reports::WithResults;
     let mut s = Stage::new(settings, &[entry(1, 0)]);
     let full = Load {
         free_slots: Some(2.0),
@@ -321,7 +321,7 @@
 #[test]
 fn backlog_waits_at_the_dispatcher_and_the_worthiest_goes_first() {
     let mut settings = settings();
-    settings.classes[1].worth = 50.0;
+    settings.classes[1].value = 50.0;
     settings.classes[1].effect = Effect::Safe;
     let mut s = Stage::new(settings, &[entry(1, 0)]);
     let (first, sent) = s.ask(0);
@@ -556,7 +556,7 @@
 #[test]
 fn a_draining_worker_gets_nothing_from_the_moment_it_is_told() {
     let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    for state in [WorkerState::Leaving, WorkerState::Left] {
+    for state in [WorkerState::Draining, WorkerState::Left] {
         s.list(
             Scope::Delta,
             &[Entry {
@@ -606,7 +606,7 @@
 
 /// Share of its capacity that a worker has at least, so long after its start.
 fn least_warmth(rules: &Rules, age: Time) -> f64 {
-    rules.cold_from + (1.0 - rules.cold_from) * age as f64 / rules.warm_after as f64
+    rules.initial_capacity + (1.0 - rules.initial_capacity) * age as f64 / rules.warm_after as f64
 }
 
 #[test]
@@ -710,7 +710,7 @@
 #[test]
 fn the_list_is_asked_for_and_asked_again_after_a_failure_with_back_off() {
     let mut settings = settings();
-    settings.list_pushed = false;
+    settings.membership_pushed = false;
     let mut s = Stage::new(settings, &[entry(1, 0)]);
     assert!(s.out.contains(&Action::Watch(true)));
     let mut asked = Vec::new();
@@ -822,12 +822,12 @@
             attempt: 9,
         });
         s.end(id, 3, Status::Ok);
-        s.event(Event::Gone(id));
+        s.event(Event::RequestClosed(id));
     }
     s.event(Event::Timer(424242));
     s.event(Event::Peer {
         from: 9,
-        held: vec![(1, 255), (99, 7), (1, 3)],
+        in_flight: vec![(1, 255), (99, 7), (1, 3)],
     });
     s.list(Scope::Full, &[]);
     s.pass(SEC);
@@ -949,7 +949,7 @@
     let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0)]);
     s.event(Event::Peer {
         from: 1,
-        held: vec![(1, 1)],
+        in_flight: vec![(1, 1)],
     });
     let (id, worker) = s.ask(0);
     assert_eq!(
@@ -957,26 +957,28 @@
         Some(2),
         "the peer's job holds the one known slot of worker 1"
     );
-    assert!(
-        s.pass(100 * MS)
-            .contains(&Action::Tell { held: vec![(2, 1)] })
-    );
+    assert!(s.pass(100 * MS).contains(&Action::UpdatePeers {
+        in_flight: vec![(2, 1)]
+    }));
     s.start(id, 0);
     s.event(Event::Peer {
         from: 1,
-        held: vec![],
+        in_flight: vec![],
     });
     assert_eq!(s.ask(0).1, Some(1));
     s.end(2, 0, Status::Ok);
     s.end(id, 0, Status::Ok);
-    assert!(s.pass(100 * MS).contains(&Action::Tell { held: vec![] }));
+    assert!(
+        s.pass(100 * MS)
+            .contains(&Action::UpdatePeers { in_flight: vec![] })
+    );
 }
 
 /// Guards against a client's later tries crowding out first tries that can still be in time.
 #[test]
 fn a_later_try_counts_from_the_first() {
     let mut settings = settings();
-    settings.classes[0].late_worth = 0.0;
+    settings.classes[0].late_value = 0.0;
     let mut s = Stage::new(settings, &[]);
     s.ask(0);
     // It comes with two of its six seconds left: its aim is long past, and late is worth nothing.
@@ -1088,7 +1090,7 @@
                 now_said.append(&mut s.out);
             }
             for _ in 0..extra_looks {
-                s.event(Event::Gone(1 << 40));
+                s.event(Event::RequestClosed(1 << 40));
                 now_said.append(&mut s.out);
             }
             running.extend(now_said.iter().filter_map(|a| match a {
@@ -1415,7 +1417,7 @@
 #[test]
 fn an_unstarted_job_past_its_aim_is_withdrawn_where_late_is_worth_nothing() {
     let mut settings = settings();
-    settings.classes[0].late_worth = 0.0;
+    settings.classes[0].late_value = 0.0;
     let mut s = Stage::new(settings.clone(), &[entry(1, 0)]);
     let (id, _) = s.ask(0);
     let all = s.pass(3 * SEC);
@@ -1425,7 +1427,7 @@
             attempt: 0
         }) && s.refused(id)
     );
-    settings.classes[0].late_worth = 0.3;
+    settings.classes[0].late_value = 0.3;
     let mut s = Stage::new(settings, &[entry(1, 0)]);
     s.ask(0);
     assert!(
@@ -1559,7 +1561,7 @@
 #[test]
 fn idle_connections_to_a_leaving_worker_are_closed_at_the_notice_and_after_each_end_there() {
     let leaving = |w| Entry {
-        state: WorkerState::Leaving,
+        state: WorkerState::Draining,
         ..entry(w, 0)
     };
     let closed = |s: &Stage, w| {
@@ -1594,7 +1596,7 @@
         s.end(a, 0, Status::Ok);
         assert_eq!(closed(&s, 1), 1, "after an outcome");
         // The client leaves; the attempt that was out for it ends later.
-        s.event(Event::Gone(b));
+        s.event(Event::RequestClosed(b));
         s.end(b, 0, Status::Cancelled);
         assert_eq!(
             closed(&s, 1),
@@ -1690,7 +1692,7 @@
     for listen in [true, false] {
         let mut settings = settings();
         settings.limits.retry_after = listen;
-        settings.classes[0].late_worth = 0.0;
+        settings.classes[0].late_value = 0.0;
         let mut s = Stage::new(settings.clone(), &[]);
         let (late, _) = s.ask(0);
         let all = s.pass(2 * SEC);
@@ -1719,7 +1721,7 @@
 fn traffic_over_a_share_is_let_in_less_while_attempts_are_turned_away() {
     let served = |turned_away: bool| {
         let mut settings = Settings {
-            over_share_worth: 0.05,
+            over_quota_value: 0.05,
             dispatchers: 1,
             ..settings()
         };
@@ -1765,7 +1767,7 @@
 #[test]
 fn a_tenant_with_less_than_its_part_of_the_arrivals_is_not_over_its_share() {
     let mut settings = Settings {
-        over_share_worth: 0.0,
+        over_quota_value: 0.0,
         dispatchers: 50,
         ..settings()
     };
@@ -1786,7 +1788,7 @@
         refused[tenant as usize] += u32::from(s.refused(n));
         if s.sent(n).is_some() {
             s.end(n, 0, if n % 3 == 0 { Status::Full } else { Status::Ok });
-            s.event(Event::Gone(n));
+            s.event(Event::RequestClosed(n));
         }
         s.pass(50 * MS);
     }
@@ -1909,12 +1911,12 @@
 fn an_added_class_has_rules_of_its_own_and_an_unknown_one_stays_unknown() {
     let mut stage = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
     for n in 0..50 {
-        let aim = 300 * MS + n;
+        let latency_target = 300 * MS + n;
         stage.event(retuned(|s| {
-            s.classes[0].aim = aim;
+            s.classes[0].latency_target = latency_target;
             s.classes.push(Class {
                 effect: Effect::Safe,
-                aim,
+                latency_target,
                 ..s.classes[2].clone()
             });
         }));
@@ -1957,7 +1959,7 @@
 fn the_least_worthy_held_request_is_refused_before_clients_have_no_connection_left() {
     let mut settings = settings();
     settings.limits.open = Some(3);
-    settings.classes[2].worth = 50.0;
+    settings.classes[2].value = 50.0;
     let mut stage = Stage::new(settings, &[]);
     let poor = [stage.ask(0).0, stage.ask(0).0];
     let rich = stage.ask(2).0;
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -165,7 +165,9 @@
                     self.idle.remove(&worker);
                 }
                 Action::Probe { .. } => assert!(self.settings.limits.probes),
-                Action::Tell { held } => assert!(self.settings.limits.peers && held.len() <= 51),
+                Action::UpdatePeers { in_flight } => {
+                    assert!(self.settings.limits.peers && in_flight.len() <= 51)
+                }
                 _ => {}
             }
         }
@@ -255,8 +257,9 @@
         }
         if w.ready_at > 0 && now < w.ready_at + rules.warm_after {
             // Every job here is one unit of 300 ms at speed 1 and no worker ever shows more than 8 slots.
-            let warmth = rules.cold_from
-                + (1.0 - rules.cold_from) * (now - w.ready_at) as f64 / rules.warm_after as f64;
+            let warmth = rules.initial_capacity
+                + (1.0 - rules.initial_capacity) * (now - w.ready_at) as f64
+                    / rules.warm_after as f64;
             let sends = self.cold.entry(worker).or_default();
             sends.push(now);
             let recent = sends
@@ -398,7 +401,7 @@
             }
             Step::Pass(time) => self.pass(time),
             Step::Drain(w) => self.tell(Entry {
-                state: WorkerState::Leaving,
+                state: WorkerState::Draining,
                 ..self.listed[&w].clone()
             }),
             Step::Drop(w) => self.tell(Entry {
@@ -462,7 +465,7 @@
                     let id = ids[n % ids.len()];
                     let r = self.requests.get_mut(&id).expect("known");
                     (r.over, r.finals) = (true, 1);
-                    self.stage.event(Event::Gone(id));
+                    self.stage.event(Event::RequestClosed(id));
                     self.check();
                 }
             }
@@ -515,7 +518,7 @@
                 s.reports = if pushed {
                     Reports::OnProbe
                 } else {
-                    Reports::WithOutcomes
+                    Reports::WithResults
                 };
                 s.limits.peers = priced;
                 s.tenants = vec![
@@ -525,9 +528,9 @@
                     };
                     usize::from(priced)
                 ];
-                s.list_pushed = pushed;
+                s.membership_pushed = pushed;
                 s.charges.cross_zone = if priced { 0.1 } else { 0.0 };
-                s.classes[0].late_worth = if priced { 0.0 } else { 0.3 };
+                s.classes[0].late_value = if priced { 0.0 } else { 0.3 };
                 (s.limits.duplicates, s.limits.cancel, s.limits.attempts) =
                     (duplicates, cancel, attempts);
                 s
--- a/crates/decisions/tests/learned_state.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -2,9 +2,7 @@
 
 use indigofold_decisions::api::*;
 use indigofold_decisions::dispatcher::WorkerCounts;
-use indigofold_decisions::learned_state::{
-    LONGEST, LearnedState, MAGIC, Refused, UNLIMITED, VERSION,
-};
+use indigofold_decisions::statistics::{LONGEST, MAGIC, Refused, Statistics, UNLIMITED, VERSION};
 use indigofold_decisions::transferred_job::TransferredJob;
 use indigofold_decisions_testing::*;
 use proptest::prelude::*;
@@ -18,8 +16,8 @@
     WorkerCounts { listed, avoided }
 }
 
-fn take(to: &mut Stage, learned_state: LearnedState<u32>) {
-    to.event(Event::LearnedState(Box::new(learned_state)));
+fn take(to: &mut Stage, statistics: Statistics<u32>) {
+    to.event(Event::Statistics(Box::new(statistics)));
 }
 
 /// One whose fast kind (even numbers) runs three times as fast, after 300 jobs.
@@ -45,7 +43,7 @@
     let old = experienced(&workers);
     let mut without = next(&old, settings(), &workers);
     let mut with = next(&old, settings(), &workers);
-    take(&mut with, old.d.learned_state(old.now));
+    take(&mut with, old.d.statistics(old.now));
     let (without, with) = (fast_of_thirty(&mut without), fast_of_thirty(&mut with));
     assert!(
         with >= 27 && without < with,
@@ -58,16 +56,16 @@
 fn handed_on_at_once_what_was_learned_stays_as_it_was() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
-    let learned_state = old.d.learned_state(old.now);
+    let statistics = old.d.statistics(old.now);
     let mut new = next(&old, settings(), &workers);
-    take(&mut new, learned_state.clone());
-    take(&mut new, learned_state.clone());
-    let again = new.d.learned_state(new.now);
+    take(&mut new, statistics.clone());
+    take(&mut new, statistics.clone());
+    let again = new.d.statistics(new.now);
     assert_eq!(
-        (&learned_state.classes, &learned_state.workers),
+        (&statistics.classes, &statistics.workers),
         (&again.classes, &again.workers)
     );
-    for ((_, was), (_, is)) in learned_state.kinds.iter().zip(&again.kinds) {
+    for ((_, was), (_, is)) in statistics.kinds.iter().zip(&again.kinds) {
         assert_eq!(
             (was.slots, was.slots_reported, &was.speed),
             (is.slots, is.slots_reported, &is.speed)
@@ -79,7 +77,7 @@
             is.weight
         );
     }
-    assert_eq!(learned_state.pace, again.pace);
+    assert_eq!(statistics.pace, again.pace);
 }
 
 /// A failing worker is set aside; the process that takes over leaves it alone, unless it has started anew.
@@ -93,9 +91,9 @@
         old.pass(20 * MS);
     }
     assert_eq!(old.d.worker_counts(old.now), counts(1, 1), "it is avoided");
-    let learned_state = old.d.learned_state(old.now);
+    let statistics = old.d.statistics(old.now);
     let mut same = next(&old, settings(), &[entry(1, 0)]);
-    take(&mut same, learned_state.clone());
+    take(&mut same, statistics.clone());
     assert_eq!(
         (same.d.worker_counts(same.now), same.ask(0).1),
         (counts(1, 1), None)
@@ -105,7 +103,7 @@
         ..entry(1, 0)
     };
     let mut other = next(&old, settings(), &[anew]);
-    take(&mut other, learned_state);
+    take(&mut other, statistics);
     assert_eq!(other.d.worker_counts(other.now), counts(1, 0));
 }
 
@@ -113,7 +111,7 @@
 #[test]
 fn nothing_that_permits_is_taken() {
     let rules = Rules {
-        cold_from: 0.32,
+        initial_capacity: 0.32,
         warm_after: 8 * SEC,
         ..settings().rules
     };
@@ -126,25 +124,25 @@
     for _ in 0..100 {
         old.serve(0, |_| 100 * MS);
     }
-    let learned_state = old.d.learned_state(old.now);
-    assert!(learned_state.workers.len() == 2 && learned_state.kinds[0].1.speed.weight() > 50.0);
+    let statistics = old.d.statistics(old.now);
+    assert!(statistics.workers.len() == 2 && statistics.kinds[0].1.speed.weight() > 50.0);
     // The list says: one is leaving, one has just started. Nobody else is there.
     let leaving = Entry {
-        state: WorkerState::Leaving,
+        state: WorkerState::Draining,
         ..entry(1, 0)
     };
     let cold = Entry {
         ready_at: old.now,
         ..entry(2, 0)
     };
-    let sent = |learned_state: Option<LearnedState<u32>>| {
+    let sent = |statistics: Option<Statistics<u32>>| {
         let mut new = next(&old, settings.clone(), &[leaving.clone(), cold.clone()]);
-        learned_state.into_iter().for_each(|l| take(&mut new, l));
+        statistics.into_iter().for_each(|l| take(&mut new, l));
         let to: Vec<WorkerId> = (0..40).filter_map(|_| new.ask(0).1).collect();
         assert!(!to.contains(&1), "a leaving worker gets nothing");
         to.len()
     };
-    let (with, without) = (sent(Some(learned_state)), sent(None));
+    let (with, without) = (sent(Some(statistics)), sent(None));
     assert!(
         with <= without.max(1),
         "at once to a cold worker: {with}, without {without}"
@@ -154,22 +152,22 @@
 #[test]
 fn slots_that_the_other_process_holds_are_taken_ones_until_the_news_is_old() {
     let mut new = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let held = LearnedState {
+    let held = Statistics {
         at: new.now,
-        held: vec![(1, 3.0), (77, 2.0)],
-        ..LearnedState::default()
+        in_flight: vec![(1, 3.0), (77, 2.0)],
+        ..Statistics::default()
     };
     take(&mut new, held);
     let (id, to) = new.ask(0);
     assert_eq!(to, Some(2), "the first looks full");
-    new.event(Event::Gone(id));
+    new.event(Event::RequestClosed(id));
     new.end(id, 0, Status::Cancelled);
     let at = new.now;
     take(
         &mut new,
-        LearnedState {
+        Statistics {
             at,
-            ..LearnedState::default()
+            ..Statistics::default()
         },
     );
     let sent: Vec<_> = (0..2).filter_map(|_| new.ask(0).1).collect();
@@ -197,11 +195,11 @@
     old.end(id, 0, Status::Error);
     assert!(old.sent(id).is_some(), "one further attempt is free");
     let mut new = next(&old, settings, &workers);
-    let learned_state = old.d.learned_state(old.now);
-    assert_eq!(learned_state.retried_at.len(), 1);
-    take(&mut new, learned_state.clone());
-    take(&mut new, learned_state);
-    assert_eq!(new.d.learned_state(new.now).retried_at.len(), 1);
+    let statistics = old.d.statistics(old.now);
+    assert_eq!(statistics.retried_at.len(), 1);
+    take(&mut new, statistics.clone());
+    take(&mut new, statistics);
+    assert_eq!(new.d.statistics(new.now).retried_at.len(), 1);
     let (id, _) = new.ask(0);
     new.end(id, 0, Status::Error);
     assert!(
@@ -218,26 +216,26 @@
 fn what_was_learned_counts_by_its_age() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
-    let learned_state = old.d.learned_state(old.now);
+    let statistics = old.d.statistics(old.now);
     let after = |pause: Time| {
         let mut new = Stage::started(settings(), &workers, old.now + pause);
-        take(&mut new, learned_state.clone());
-        new.d.learned_state(new.now)
+        take(&mut new, statistics.clone());
+        new.d.statistics(new.now)
     };
     let (now, minute, day) = (after(0), after(60 * SEC), after(86_400 * SEC));
-    let weight = |l: &LearnedState<u32>| l.kinds[0].1.speed.weight();
+    let weight = |l: &Statistics<u32>| l.kinds[0].1.speed.weight();
     assert!(weight(&minute) > 0.85 * weight(&now) && weight(&day) < 0.01 * weight(&now));
     assert!((minute.kinds[0].1.speed.speed - now.kinds[0].1.speed.speed).abs() < 1e-9);
-    let arrivals = |l: &LearnedState<u32>| l.pace.as_ref().map_or(0.0, |p| p.arrivals.2);
+    let arrivals = |l: &Statistics<u32>| l.pace.as_ref().map_or(0.0, |p| p.arrivals.2);
     assert!(arrivals(&now) > 1.0 && arrivals(&minute) < 1e-4 * arrivals(&now));
     // From a clock that runs ahead: as if it were of now, and no suspicion for longer than there ever is.
-    let mut ahead = learned_state.clone();
+    let mut ahead = statistics.clone();
     ahead.at += 3600 * SEC;
     ahead.workers[0].1.ejected_until = Time::MAX;
     ahead.workers[0].1.load_updated_at = Some(Time::MAX);
     let mut new = Stage::started(settings(), &workers, old.now);
     take(&mut new, ahead);
-    let known = new.d.learned_state(new.now);
+    let known = new.d.statistics(new.now);
     assert!(
         known.workers[0].1.ejected_until <= new.now + 6 * SEC
             && known.workers[0].1.load_updated_at.is_none()
@@ -246,20 +244,20 @@
 
 // ---- The written form ---------------------------------------------------------------------------------------
 
-fn named(learned_state: LearnedState<u32>) -> LearnedState<String> {
+fn named(statistics: Statistics<u32>) -> Statistics<String> {
     let name = |n: &u32| Some(format!("n{n}"));
-    learned_state.renamed(name, name, name, |n| Some(format!("s-{n:08x}")))
+    statistics.renamed(name, name, name, |n| Some(format!("s-{n:08x}")))
 }
 
 #[test]
 fn the_written_form_reads_as_it_was() {
     let workers: Vec<_> = (0..200).map(|i| entry(i, i % 2)).collect();
-    let learned_state = named(experienced(&workers).d.learned_state(130 * SEC));
-    let form = learned_state.write().expect("200 workers fit");
-    assert_eq!(LearnedState::read(&form), Ok(learned_state.clone()));
+    let statistics = named(experienced(&workers).d.statistics(130 * SEC));
+    let form = statistics.write().expect("200 workers fit");
+    assert_eq!(Statistics::read(&form), Ok(statistics.clone()));
     assert!(form.len() < 20_000, "{} bytes for 200 workers", form.len());
     // Too many workers for one word.
-    let mut large = learned_state;
+    let mut large = statistics;
     large.workers = (0..4000)
         .map(|n| (format!("s-{n:08x}"), large.workers[0].1.clone()))
         .collect();
@@ -273,18 +271,18 @@
     let form: Vec<u8> = (0..empty.len() / 2)
         .map(|n| u8::from_str_radix(&empty[2 * n..2 * n + 2], 16).expect("hex"))
         .collect();
-    match LearnedState::read(&form) {
-        Ok(learned_state) => assert_eq!(
-            learned_state,
-            LearnedState {
+    match Statistics::read(&form) {
+        Ok(statistics) => assert_eq!(
+            statistics,
+            Statistics {
                 at: 300,
-                ..LearnedState::default()
+                ..Statistics::default()
             }
         ),
         Err(why) => {
-            let now = LearnedState::<String> {
+            let now = Statistics::<String> {
                 at: 300,
-                ..LearnedState::default()
+                ..Statistics::default()
             }
             .write()
             .expect("short");
@@ -296,16 +294,16 @@
 
 #[test]
 fn what_cannot_be_read_is_refused_with_its_reason() {
-    let learned_state = named(
+    let statistics = named(
         experienced(&[entry(1, 0), entry(2, 1)])
             .d
-            .learned_state(130 * SEC),
+            .statistics(130 * SEC),
     );
-    let form = learned_state.write().expect("short");
+    let form = statistics.write().expect("short");
     let with = |at: usize, byte: u8| {
         let mut other = form.clone();
         other[at] = byte;
-        LearnedState::read(&other).expect_err("changed").to_string()
+        Statistics::read(&other).expect_err("changed").to_string()
     };
     assert_eq!(
         with(0, b'X'),
@@ -323,19 +321,19 @@
         "its checksum does not fit"
     );
     assert!(matches!(
-        LearnedState::read(&form[..form.len() - 1]),
+        Statistics::read(&form[..form.len() - 1]),
         Err(Refused::Length(_))
     ));
     assert!(matches!(
-        LearnedState::read(&vec![0; LONGEST + 1]),
+        Statistics::read(&vec![0; LONGEST + 1]),
         Err(Refused::Length(_))
     ));
     // Whole, with the right checksum, and still not possible.
-    let refused = |change: &dyn Fn(&mut LearnedState<String>)| {
-        let mut other = learned_state.clone();
+    let refused = |change: &dyn Fn(&mut Statistics<String>)| {
+        let mut other = statistics.clone();
         change(&mut other);
         let form = other.write().expect("short");
-        LearnedState::read(&form)
+        Statistics::read(&form)
             .expect_err("no such figure")
             .to_string()
     };
@@ -362,13 +360,13 @@
     /// Guards against a form that ends the program, or is taken although a byte of it has changed.
     #[test]
     fn no_damaged_form_is_taken(at in 0usize..400, bit in 0u8..8, cut in 0usize..400) {
-        let learned_state = named(experienced(&[entry(1, 0), entry(2, 1)]).d.learned_state(130 * SEC));
-        let form = learned_state.write().expect("short");
+        let statistics = named(experienced(&[entry(1, 0), entry(2, 1)]).d.statistics(130 * SEC));
+        let form = statistics.write().expect("short");
         let mut flipped = form.clone();
         let at = at % form.len();
         flipped[at] ^= 1 << bit;
-        prop_assert!(LearnedState::read(&flipped).is_err());
-        prop_assert!(LearnedState::read(&form[..cut % form.len()]).is_err());
+        prop_assert!(Statistics::read(&flipped).is_err());
+        prop_assert!(Statistics::read(&form[..cut % form.len()]).is_err());
     }
 
     /// Guards against figures that a checksum makes look right: whatever they are, the dispatcher goes on.
@@ -379,15 +377,15 @@
     ) {
         let workers = [entry(1, 0), entry(2, 1)];
         let old = experienced(&workers);
-        let mut learned_state = old.d.learned_state(old.now);
-        learned_state.at = at;
-        learned_state.kinds[0].1.slots = slots;
-        let w = &mut learned_state.workers[0].1;
+        let mut statistics = old.d.statistics(old.now);
+        statistics.at = at;
+        statistics.kinds[0].1.slots = slots;
+        let w = &mut statistics.workers[0].1;
         (w.failure_rate, w.start_delay, w.ejected_until) = (failure, quick, aside);
-        learned_state.pace.as_mut().expect("learned").wait_window = window;
-        prop_assert_eq!(learned_state.check(), Ok(()));
+        statistics.pace.as_mut().expect("learned").wait_window = window;
+        prop_assert_eq!(statistics.check(), Ok(()));
         let mut new = next(&old, settings(), &workers);
-        take(&mut new, learned_state);
+        take(&mut new, statistics);
         for _ in 0..5 {
             let (id, to) = new.ask(0);
             if to.is_some() {
@@ -477,14 +475,21 @@
             old.start(*id, 0);
         }
         go_over(&mut old, *id, &mut new, AS + n as u64);
-        assert!(new.d.held_slots().contains(&(worker.expect("sent"), 1.0)));
+        assert!(
+            new.d
+                .slots_in_flight()
+                .contains(&(worker.expect("sent"), 1.0))
+        );
     }
-    assert_eq!((old.d.held_slots().len(), new.d.held_slots().len()), (0, 2));
+    assert_eq!(
+        (old.d.slots_in_flight().len(), new.d.slots_in_flight().len()),
+        (0, 2)
+    );
     old.pass(SEC);
     new.start(AS + 1, 0);
     new.pass(300 * MS);
     new.end(AS, 0, Status::Ok);
-    new.event(Event::Gone(AS + 1));
+    new.event(Event::RequestClosed(AS + 1));
     assert!(
         new.out.contains(&Action::Cancel {
             request: AS + 1,
@@ -494,7 +499,7 @@
         new.out
     );
     new.end(AS + 1, 0, Status::Cancelled);
-    assert!(new.d.held_slots().is_empty());
+    assert!(new.d.slots_in_flight().is_empty());
     assert_eq!(old.d.release(old.now, 99), None, "no such job");
 }
 
@@ -535,7 +540,7 @@
     assert_eq!(to, None);
     new.start(AS, 0);
     new.end(AS, 0, Status::Ok);
-    assert!(new.d.held_slots().is_empty());
+    assert!(new.d.slots_in_flight().is_empty());
     // Named by the list later, it is one more worker.
     new.list(Scope::Full, &[entry(9, 3)]);
     assert_eq!(new.sent(held), Some(9));
--- a/crates/indigofold/examples/in_process.rs
+++ b/crates/indigofold/examples/in_process.rs
@@ -8,12 +8,12 @@
 fn settings() -> Settings {
     let class = Class {
         kind: None,
-        aim: 400_000,
+        latency_target: 400_000,
         stretch: 2.0,
         deadline: 5_000_000,
         effect: Effect::Safe,
-        worth: 1.0,
-        late_worth: 0.2,
+        value: 1.0,
+        late_value: 0.2,
         priority: 0,
     };
     Settings {
@@ -23,12 +23,12 @@
         granularity: 5_000,
         classes: vec![class],
         tenants: vec![],
-        list_pushed: true,
-        tells_start: true,
+        membership_pushed: true,
+        reports_start: true,
         progress: 0,
         reports: Reports::Off,
-        worth_by_work: false,
-        over_share_worth: 0.2,
+        value_by_work: false,
+        over_quota_value: 0.2,
         limits: Limits {
             open: None,
             attempts: 3,
@@ -43,8 +43,8 @@
         charges: Charges::default(),
         rules: Rules {
             answer_slack: 20_000,
-            ask_within: 10_000_000,
-            cold_from: 0.3,
+            list_refresh_within: 10_000_000,
+            initial_capacity: 0.3,
             warm_after: 8_000_000,
             drain_grace: 500_000,
             tip_multiple: 3.0,
--- a/crates/indigofold/src/config/faktory.rs
+++ b/crates/indigofold/src/config/faktory.rs
@@ -80,8 +80,8 @@
         // are no load reports and no probes; the list of machines changes unasked.
         let settings = &mut site.settings;
         (
-            settings.list_pushed,
-            settings.tells_start,
+            settings.membership_pushed,
+            settings.reports_start,
             settings.progress,
         ) = (true, true, 0);
         (
--- a/crates/indigofold/src/config/platform.rs
+++ b/crates/indigofold/src/config/platform.rs
@@ -70,7 +70,7 @@
             .map(|s| u64::from_str_radix(s, 16).unwrap_or_else(|_| hash(s)));
         let mut site = Site::from_value(&raw.settings)?.checked()?;
         // Over this protocol a list always has to be asked for, be it the agent's that it is pushed to.
-        site.pushed = std::mem::take(&mut site.settings.list_pushed);
+        site.pushed = std::mem::take(&mut site.settings.membership_pushed);
         let sockets = raw.limits.sockets.unwrap_or(1024);
         // Clients hold at most a third of the descriptors: a quarter of that is kept free for the next ones.
         site.settings.limits.open = Some(sockets / 4);
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -42,12 +42,12 @@
         let kind = domain.at("classKind").item(i).number();
         Ok(Class {
             kind: kind.filter(|k| *k >= 0.0).map(|k| k as KindId),
-            aim: c.time("aim")?,
+            latency_target: c.time("aim")?,
             stretch: stretch.unwrap_or(0.0),
             deadline: c.time("deadline")?,
             effect,
-            worth: c.number_or("worth", 1.0),
-            late_worth: c.number_or("lateWorth", 0.0),
+            value: c.number_or("worth", 1.0),
+            late_value: c.number_or("lateWorth", 0.0),
             priority: domain.at("classPriority").item(i).number().unwrap_or(0.0) as i32,
         })
     };
@@ -56,7 +56,7 @@
         classes.push(class(i, c).map_err(|why| format!("profiles[{i}] {name:?}: {why}"))?);
     }
     let sources = [
-        ("inline", Reports::WithOutcomes),
+        ("inline", Reports::WithResults),
         ("on_probe", Reports::OnProbe),
         ("off", Reports::Off),
     ];
@@ -71,19 +71,19 @@
         granularity: env.number_or("granularity", 1000.0).max(1.0) as Time,
         classes,
         tenants: tenants.collect(),
-        list_pushed: env
+        membership_pushed: env
             .word("discovery", &[("pushed", true), ("on_request", false)])?
             .unwrap_or(false),
-        tells_start: domain.at("tellsStart").flag(),
+        reports_start: domain.at("tellsStart").flag(),
         progress: domain.number_or("progress", 0.0).max(0.0) as Time,
         reports: env
             .at("telemetry")
             .word("source", &sources)?
             .unwrap_or(Reports::Off),
-        worth_by_work: env
+        value_by_work: env
             .word("worthBy", &[("request", false), ("work", true)])?
             .unwrap_or(false),
-        over_share_worth: env.number_or("overShareWorth", 1.0),
+        over_quota_value: env.number_or("overShareWorth", 1.0),
         limits: Limits {
             attempts: limits.within("attemptsCap", 0.0, f64::INFINITY)? as u32,
             open: None,
@@ -105,8 +105,8 @@
         },
         rules: Rules {
             answer_slack: rules.time("answerSlack")?,
-            ask_within: rules.time("askWithin")?,
-            cold_from: rules.within("coldFrom", 0.0, 1.0)?,
+            list_refresh_within: rules.time("askWithin")?,
+            initial_capacity: rules.within("coldFrom", 0.0, 1.0)?,
             warm_after: rules.time("warmAfter")?,
             drain_grace: rules.time("drainGrace")?,
             tip_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
--- a/crates/indigofold/src/core/engine.rs
+++ b/crates/indigofold/src/core/engine.rs
@@ -8,7 +8,7 @@
 use super::{JobId, Recall, Released, Settings, Told, Transport};
 use crate::api::{self, Action, Event, Time};
 use crate::dispatcher::{Dispatcher, WorkerCounts};
-use crate::learned_state::LearnedState;
+use crate::statistics::Statistics;
 use crate::transferred_job::TransferredJob;
 use std::collections::BTreeSet;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -35,17 +35,17 @@
     }
 
     /// What it has learned.
-    pub fn learned_state(&self, now: Time, how: Recall) -> LearnedState<u32> {
+    pub fn statistics(&self, now: Time, how: Recall) -> Statistics<u32> {
         match how {
-            Recall::All => self.0.learned_state(now),
-            Recall::AllButHeld => LearnedState {
-                held: Vec::new(),
-                ..self.0.learned_state(now)
+            Recall::All => self.0.statistics(now),
+            Recall::AllButHeld => Statistics {
+                in_flight: Vec::new(),
+                ..self.0.statistics(now)
             },
-            Recall::Held => LearnedState {
+            Recall::Held => Statistics {
                 at: now,
-                held: self.0.held_slots(),
-                ..LearnedState::default()
+                in_flight: self.0.slots_in_flight(),
+                ..Statistics::default()
             },
         }
     }
@@ -111,7 +111,7 @@
             Told::Settings(settings) => self.gap = settings.granularity,
             // Whoever asked may have turned to something else: then the job is still its client's here.
             Told::Release(job, to) if !to.is_closed() => _ = to.try_send(self.release(now, *job)),
-            Told::Recall(to, how) => _ = to.try_send(self.module.learned_state(now, *how)),
+            Told::Recall(to, how) => _ = to.try_send(self.module.statistics(now, *how)),
             _ => {}
         }
         self.table.told(now, told, transport);
--- a/crates/indigofold/src/core/job_table.rs
+++ b/crates/indigofold/src/core/job_table.rs
@@ -103,7 +103,7 @@
                 if open.answer.take().is_some() {
                     add(&self.figures.gone, 1);
                     self.figures.open.set(self.figures.open.get() - 1);
-                    self.events.push(Event::Gone(job));
+                    self.events.push(Event::RequestClosed(job));
                 }
                 self.settle(job, transport);
             }
@@ -157,13 +157,13 @@
                     });
                 } else if closed {
                     // Given up or taken for lost, yet done: the answer is good, and the job needs no more.
-                    self.events.push(Event::Gone(request));
+                    self.events.push(Event::RequestClosed(request));
                 }
                 self.settle(request, transport);
             }
             Told::List(scope, entries) => self.events.push(Event::List { scope, entries }),
             Told::Settings(settings) => self.events.push(Event::Settings(settings)),
-            Told::LearnedState(other) => self.events.push(Event::LearnedState(other)),
+            Told::Statistics(other) => self.events.push(Event::Statistics(other)),
             Told::Adopted(id, job, until, reply) => {
                 self.due.insert((until, id));
                 let held = |t: &transferred_job::Attempt<WorkerId>| Held {
@@ -244,7 +244,7 @@
                 transport.note("a job was left unanswered at its last moment and has failed");
                 ended(&self.figures, job.class, End::Failed);
                 give(answer, id, Answer::Failed, transport);
-                self.events.push(Event::Gone(id));
+                self.events.push(Event::RequestClosed(id));
             }
             self.settle(id, transport);
         }
@@ -372,7 +372,7 @@
                 }
             }
             Action::Log(text) => transport.note(&text),
-            Action::Timer { .. } | Action::Tell { .. } => {}
+            Action::Timer { .. } | Action::UpdatePeers { .. } => {}
         }
     }
 
--- a/crates/indigofold/src/core/job_table/tests.rs
+++ b/crates/indigofold/src/core/job_table/tests.rs
@@ -115,7 +115,7 @@
     assert_eq!(answer.try_recv(), Ok(Answer::Served));
     let events = format!("{:?}", table.take_events());
     assert!(
-        events.ends_with("Gone(1)]"),
+        events.ends_with("RequestClosed(1)]"),
         "the module learns that it is closed: {events}"
     );
     table.told(30, ended(1, Status::Ok), &transport);
--- a/crates/indigofold/src/core/mod.rs
+++ b/crates/indigofold/src/core/mod.rs
@@ -8,7 +8,7 @@
 pub mod job_table;
 
 use crate::api::{Entry, Load, Request, RequestId, Scope, Status, Time, WorkerId};
-use crate::learned_state::LearnedState;
+use crate::statistics::Statistics;
 use crate::transferred_job::TransferredJob;
 use async_channel::Sender;
 
@@ -78,14 +78,14 @@
     /// Other settings of the module from now on.
     Settings(Box<crate::api::Settings>),
     /// What another process of this scheduler has learned, under this one's ids.
-    LearnedState(Box<LearnedState<u32>>),
+    Statistics(Box<Statistics<u32>>),
     /// An open job is asked for, to be given away: it is forgotten here. `None` where it cannot go now: something has
     /// happened that the module has not heard of yet, or nothing more is owed.
     Release(JobId, Sender<Option<Released>>),
     /// A job goes on here that another process has begun; the client waits for it until this time.
     Adopted(JobId, Box<TransferredJob<u32>>, Time, Reply),
     /// What was learned here is asked for: all of it, or only the slots held.
-    Recall(Sender<LearnedState<u32>>, Recall),
+    Recall(Sender<Statistics<u32>>, Recall),
     /// What a probe brought.
     Probed(WorkerId, Status, Option<Load>),
 }
--- a/crates/indigofold/src/front/faktory/machines.rs
+++ b/crates/indigofold/src/front/faktory/machines.rs
@@ -253,7 +253,7 @@
     async fn list(&mut self) {
         let state = match &self.processes {
             all if all.values().any(Process::takes) => WorkerState::Active,
-            all if all.values().any(|p| !p.silent) => WorkerState::Leaving,
+            all if all.values().any(|p| !p.silent) => WorkerState::Draining,
             _ => WorkerState::Left,
         };
         if std::mem::replace(&mut self.entry.state, state) == state {
--- a/crates/indigofold/src/front/platform/kin.rs
+++ b/crates/indigofold/src/front/platform/kin.rs
@@ -3,8 +3,8 @@
 use super::Platform;
 use crate::config::{Names, News};
 use crate::core::{Recall, Told};
-use crate::learned_state::LearnedState;
 use crate::net::log;
+use crate::statistics::Statistics;
 use async_channel::{Receiver, Sender, bounded};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -25,7 +25,7 @@
     /// This process takes clients now.
     Serves,
     /// What this process has learned, as written.
-    LearnedState(Vec<u8>),
+    Statistics(Vec<u8>),
     /// A job goes over, with its client's connection.
     Moved(Vec<u8>, TcpStream),
 }
@@ -100,28 +100,28 @@
     pub async fn tell_learned(&self, kin: &Kin, how: Recall) {
         let (to, from) = bounded(1);
         let _ = self.core.send(Told::Recall(to, how)).await;
-        let Ok(learned_state) = from.recv().await else {
+        let Ok(statistics) = from.recv().await else {
             return;
         };
-        let mut named = self.named(learned_state);
+        let mut named = self.named(statistics);
         let form = named.write().or_else(|| {
             // Too many machines: what is known of kinds, classes and the whole is worth more.
             named.workers.clear();
             named.write()
         });
         if let Some(form) = form {
-            let _ = kin.words.send(Word::LearnedState(form)).await;
+            let _ = kin.words.send(Word::Statistics(form)).await;
         }
     }
 
     /// Takes in what the other process has learned; a text that cannot be read changes nothing.
     pub async fn take_learned(&self, form: &[u8]) {
-        match LearnedState::read(form) {
+        match Statistics::read(form) {
             Err(why) => log(format_args!(
                 "handover: what the other process has learned is not taken: {why}"
             )),
-            Ok(learned_state) => {
-                let of = self.numbered(learned_state);
+            Ok(statistics) => {
+                let of = self.numbered(statistics);
                 if of.pace.is_some() {
                     let (kinds, classes, machines) =
                         (of.kinds.len(), of.classes.len(), of.workers.len());
@@ -129,17 +129,17 @@
                         "handover: takes over what was learned kinds={kinds} classes={classes} machines={machines}"
                     ));
                 }
-                let _ = self.core.send(Told::LearnedState(Box::new(of))).await;
+                let _ = self.core.send(Told::Statistics(Box::new(of))).await;
             }
         }
     }
 
     /// The same under names that mean the same in every process.
-    fn named(&self, learned_state: LearnedState<u32>) -> LearnedState<String> {
+    fn named(&self, statistics: Statistics<u32>) -> Statistics<String> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
         let hosts: HashMap<u32, &String> = names.iter().map(|(host, id)| (*id, host)).collect();
         let name = |names: &Names, id: &u32| names.all().nth(*id as usize).map(str::to_string);
-        learned_state.renamed(
+        statistics.renamed(
             |kind| name(&site.kinds, kind),
             |class| name(&site.classes, class),
             |tenant| name(&site.tenants, tenant),
@@ -148,9 +148,9 @@
     }
 
     /// The same under this process's numbers; what it has no name for is left out.
-    fn numbered(&self, learned_state: LearnedState<String>) -> LearnedState<u32> {
+    fn numbered(&self, statistics: Statistics<String>) -> Statistics<u32> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
-        learned_state.renamed(
+        statistics.renamed(
             |kind| site.kinds.find(kind),
             |class| site.class(class),
             |tenant| site.tenants.find(tenant),
--- a/crates/indigofold/src/front/platform/machines.rs
+++ b/crates/indigofold/src/front/platform/machines.rs
@@ -91,7 +91,7 @@
 }
 
 /// Over how long calls are spread out, given how many call, how often they failed and how often they must be made.
-fn spread(step: Step, schedulers: u64, failed: u32, ask_within: Duration) -> Duration {
+fn spread(step: Step, schedulers: u64, failed: u32, list_refresh_within: Duration) -> Duration {
     match step {
         _ if schedulers < MANY => Duration::ZERO,
         Step::GoesOn => GO_ON,
@@ -99,7 +99,7 @@
         Step::Moves => MOVES,
         Step::Begins => {
             let each = SPREAD_EACH.saturating_mul(u32::try_from(schedulers).unwrap_or(u32::MAX));
-            each.min(ask_within.mul_f64(SPREAD_MOST))
+            each.min(list_refresh_within.mul_f64(SPREAD_MOST))
                 .saturating_mul(failed)
         }
     }
@@ -242,8 +242,9 @@
 
     /// How long the next call is put off: at random, so that all come one after another.
     fn put_off(&mut self, step: Step) -> Duration {
-        let ask_within = Duration::from_micros(self.front.site.borrow().settings.rules.ask_within);
-        let spread = spread(step, self.schedulers(), self.failed, ask_within);
+        let list_refresh_within =
+            Duration::from_micros(self.front.site.borrow().settings.rules.list_refresh_within);
+        let spread = spread(step, self.schedulers(), self.failed, list_refresh_within);
         let spread = spread.min(retry_within(self.failed_at.map(|at| at.elapsed())));
         // A process that is to replace another has some seconds to be ready, and few do so at once.
         let spread = spread.min(if self.replaces && !self.front.ready.get() {
--- a/crates/indigofold/src/front/platform/machines/tests.rs
+++ b/crates/indigofold/src/front/platform/machines/tests.rs
@@ -12,7 +12,7 @@
     for many in [8, 20, 48, 100, 1000, u64::MAX] {
         let [first, failed] = [1, FAILED].map(|failed| spread(Step::Begins, many, failed, within));
         assert!(first >= SPREAD_EACH * 8, "{many} schedulers");
-        // A call counts as made in time within `ask_within`, four times that after a failed one.
+        // A call counts as made in time within `list_refresh_within`, four times that after a failed one.
         assert!(
             first <= within / 2 && failed <= 2 * within,
             "{many} schedulers"
--- a/crates/indigofold/src/front/platform/mod.rs
+++ b/crates/indigofold/src/front/platform/mod.rs
@@ -202,7 +202,7 @@
             let state = match m.health.as_str() {
                 "Ready" => WorkerState::Active,
                 "Gone" => WorkerState::Left,
-                _ => WorkerState::Leaving,
+                _ => WorkerState::Draining,
             };
             let dial = m.dial.parse();
             if dial.is_ok() && !self.machines.borrow().contains_key(&worker) {
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -376,7 +376,7 @@
                     Word::Closed(id) => word(b'-', id.as_bytes()),
                     Word::News(text) => word(b'N', &text),
                     Word::Serves => word(b'S', &[]),
-                    Word::LearnedState(form) => word(b'K', &form),
+                    Word::Statistics(form) => word(b'K', &form),
                     Word::Moved(form, stream) => {
                         send_with(link, &word(b'M', &form), stream).await?;
                         continue;
--- a/crates/indigofold/src/lib.rs
+++ b/crates/indigofold/src/lib.rs
@@ -16,5 +16,5 @@
 pub mod net;
 pub mod wire;
 pub use indigofold_decisions::{
-    affinity, api, arrivals, dispatcher, ids, learned_state, runs, solve, transferred_job,
+    affinity, api, arrivals, dispatcher, ids, runs, solve, statistics, transferred_job,
 };
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -43,7 +43,7 @@
             cell: f.time("stripe")? as u32,
             state: match f.need("stageState")? {
                 "active" => WorkerState::Active,
-                "leaving" => WorkerState::Leaving,
+                "leaving" => WorkerState::Draining,
                 "left" => WorkerState::Left,
                 o => {
                     return Err(format!(
@@ -153,7 +153,7 @@
                 if let Some(id) = known {
                     self.settle(id, true, 0);
                 }
-                known.map(Event::Gone)
+                known.map(Event::RequestClosed)
             }
             "DUE" => {
                 let text = f.need("name")?;
@@ -179,12 +179,12 @@
                 };
                 let bytes =
                     bytes.map_err(|_| "MAIL: field 'content' must be base64".to_string())?;
-                // Five bytes for each worker: its id, low byte first, and the slots held there.
+                // Five bytes for each worker: its id, low byte first, and the slots in flight there.
                 let line = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), b[4]);
-                let held = bytes.chunks_exact(5).map(line).collect();
+                let in_flight = bytes.chunks_exact(5).map(line).collect();
                 Some(Event::Peer {
                     from: f.small("originPeer")?,
-                    held,
+                    in_flight,
                 })
             }
             _ => None,
@@ -251,8 +251,8 @@
             Action::Timer { at, name } => writeln!(out, "SET_TIMER when={at} name={name}"),
             Action::Probe { worker } => writeln!(out, "PING worker={worker}"),
             Action::Disconnect { worker } => writeln!(out, "DISCONNECT worker={worker}"),
-            Action::Tell { held } => {
-                let bytes: Vec<u8> = held
+            Action::UpdatePeers { in_flight } => {
+                let bytes: Vec<u8> = in_flight
                     .iter()
                     .flat_map(|(id, slots)| id.to_le_bytes().into_iter().chain([*slots]))
                     .take(255)
--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -362,7 +362,7 @@
         assert!(cancel, "{given_up:?}");
         since = s.now;
         s.end(at, 0, Status::Cancelled);
-        s.event(Event::Gone(at));
+        s.event(Event::RequestClosed(at));
     }
     assert!(
         gaps[1] >= SEC && gaps[2] > gaps[1] && gaps[3] > gaps[2],
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -392,8 +392,8 @@
         };
         // A start: there, and cold from now on.
         let mut first = connect(7).await;
-        let (scope, state, cold_from) = next().await;
-        assert!(scope == Scope::Delta && state == WorkerState::Active && cold_from >= begun);
+        let (scope, state, initial_capacity) = next().await;
+        assert!(scope == Scope::Delta && state == WorkerState::Active && initial_capacity >= begun);
         // A drain, and its end: not cold again.
         first
             .write_all(b"BEAT {\"wid\":\"w-1\",\"current_state\":\"quiet\"}\r\n")
@@ -401,17 +401,20 @@
             .expect("sent");
         assert_eq!(
             next().await,
-            (Scope::Delta, WorkerState::Leaving, cold_from)
+            (Scope::Delta, WorkerState::Draining, initial_capacity)
         );
         first
             .write_all(b"BEAT {\"wid\":\"w-1\"}\r\n")
             .await
             .expect("sent");
-        assert_eq!(next().await, (Scope::Delta, WorkerState::Active, cold_from));
+        assert_eq!(
+            next().await,
+            (Scope::Delta, WorkerState::Active, initial_capacity)
+        );
         // Another process under the name: cold again.
         let second = connect(8).await;
         let (_, state, again) = next().await;
-        assert!(state == WorkerState::Active && again > cold_from);
+        assert!(state == WorkerState::Active && again > initial_capacity);
         // Its connections are gone and none comes: so is the machine.
         drop((first, second));
         assert_eq!(next().await, (Scope::Delta, WorkerState::Left, again));
--- a/crates/indigofold/tests/handing.rs
+++ b/crates/indigofold/tests/handing.rs
@@ -285,7 +285,7 @@
             engine_now.told(now, Told::Recall(to, Recall::AllButHeld), &ground);
             new.told(
                 now,
-                Told::LearnedState(Box::new(from.try_recv().expect("at once"))),
+                Told::Statistics(Box::new(from.try_recv().expect("at once"))),
                 &ground,
             );
             let open: Vec<(u64, JobId)> = {
--- a/crates/replay/src/scenario/form.rs
+++ b/crates/replay/src/scenario/form.rs
@@ -64,7 +64,7 @@
     pub prices: Prices,
     /// Worth of a job beyond its parish's share.
     #[serde(default = "over")]
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// What each scheduler may hold.
     #[serde(default)]
     pub limits: Limits,
@@ -187,15 +187,15 @@
     pub slots: Vec<f64>,
     /// An answer within this time, and `stretch` times the job's own running time at speed 1, is in time.
     pub aim_ms: u64,
-    /// See `aim-ms`.
+    /// See `latency_target-ms`.
     pub stretch: f64,
     /// A client waits so long over all its tries.
     #[schemars(range(min = 1))]
     pub deadline_ms: u64,
     /// Worth of a job in time.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_value: f64,
 }
 
 fn half() -> f64 {
@@ -242,7 +242,7 @@
     pub queue_per_core: f64,
     /// Share of its capacity that a cold one starts with.
     #[serde(default = "cold")]
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// It is warm after so long.
     #[serde(default = "warm")]
     pub warm_s: f64,
--- a/crates/replay/src/scenario/settings.rs
+++ b/crates/replay/src/scenario/settings.rs
@@ -14,7 +14,7 @@
             .iter()
             .map(|c| {
                 let mut p = json!({"name": c.name, "aim": c.aim_ms * 1000, "deadline": c.deadline_ms * 1000,
-                    "worth": c.worth, "lateWorth": c.late_worth});
+                    "worth": c.value, "lateWorth": c.late_value});
                 match c.effect {
                     Effect::Safe => p["effect"] = "safe".into(),
                     Effect::Unsafe => p["effect"] = "unsafe".into(),
@@ -32,13 +32,17 @@
             .iter()
             .map(|p| json!({"name": p.name, "quotaPerS": p.share * capacity, "fraction": p.share}))
             .collect();
-        let cold = self.kinds.iter().map(|k| k.cold_from).fold(1.0, f64::min);
+        let cold = self
+            .kinds
+            .iter()
+            .map(|k| k.initial_capacity)
+            .fold(1.0, f64::min);
         json!({
             "balancers": self.schedulers, "me": me, "zones": self.zones,
             "myZone": self.zones[self.zone_of(me) as usize],
             "kinds": self.kinds.iter().map(|k| k.name.as_str()).collect::<Vec<_>>(),
             "granularity": us(self.limits.tick_ms), "discovery": "on_request",
-            "overShareWorth": self.over_share_worth, "worthBy": "request",
+            "overShareWorth": self.over_quota_value, "worthBy": "request",
             "charges": {"crossZone": self.prices.cross_zone, "probe": self.prices.probe,
                 "waste": self.prices.waste, "lateFail": self.prices.late_fail},
             "customers": customers,
--- a/crates/replay/src/scenario/wrong.rs
+++ b/crates/replay/src/scenario/wrong.rs
@@ -33,7 +33,7 @@
                     "at /kinds/{n}/speed: wanted are two numbers over 0, the lower first"
                 ));
             }
-            if !(k.cold_from > 0.0 && k.cold_from <= 1.0) {
+            if !(k.initial_capacity > 0.0 && k.initial_capacity <= 1.0) {
                 wrong.push(format!(
                     "at /kinds/{n}/cold-from: wanted is a share over 0 and up to 1"
                 ));
--- a/crates/replay/src/service.rs
+++ b/crates/replay/src/service.rs
@@ -113,7 +113,7 @@
     ends: [u64; 4],
     crossed: u64,
     work: [f64; 3], // asked for, run, answered
-    late_worth: f64,
+    late_value: f64,
     prices: [f64; 4],
     over: f64,
 }
@@ -167,14 +167,14 @@
             ends: [0; 4],
             crossed: 0,
             work: [0.0; 3],
-            late_worth: 0.0,
+            late_value: 0.0,
             prices: [
                 scenario.prices.cross_zone,
                 scenario.prices.waste,
                 scenario.prices.probe,
                 scenario.prices.late_fail,
             ],
-            over: scenario.over_share_worth,
+            over: scenario.over_quota_value,
         }
     }
 
@@ -247,8 +247,8 @@
     /// A job has ended.
     pub fn ended(&mut self, scenario: &Scenario, job: Counted, end: End, own_work: Micros) {
         let class = &scenario.classes[job.class as usize];
-        let worth = class.worth * if job.over { self.over } else { 1.0 };
-        let aim = class.aim_ms as f64 * 1e3 + class.stretch * own_work as f64;
+        let value = class.value * if job.over { self.over } else { 1.0 };
+        let latency_target = class.aim_ms as f64 * 1e3 + class.stretch * own_work as f64;
         self.work[0] += job.work as f64;
         let (which, earned) = match end {
             End::Served(at) => {
@@ -263,15 +263,15 @@
                     }
                 }
                 self.second(job.at).took_ms += took as f64 / 1e3;
-                let in_time = took as f64 <= aim;
+                let in_time = took as f64 <= latency_target;
                 (
                     usize::from(!in_time),
-                    worth * if in_time { 1.0 } else { class.late_worth },
+                    value * if in_time { 1.0 } else { class.late_value },
                 )
             }
             End::Refused(at) | End::Failed(at) | End::Late(at) => {
-                if at.saturating_sub(job.at) as f64 > aim {
-                    self.late_worth += worth;
+                if at.saturating_sub(job.at) as f64 > latency_target {
+                    self.late_value += value;
                 }
                 (if matches!(end, End::Refused(_)) { 2 } else { 3 }, 0.0)
             }
@@ -279,9 +279,9 @@
         self.ends[which] += 1;
         let second = self.second(job.at);
         second.ends[which] += 1;
-        second.asked += worth;
+        second.asked += value;
         second.earned += earned;
-        let add = |w: &mut Worth| (w.asked, w.earned) = (w.asked + worth, w.earned + earned);
+        let add = |w: &mut Worth| (w.asked, w.earned) = (w.asked + value, w.earned + earned);
         add(&mut self.classes[job.class as usize].1);
         if let Some((_, w)) = job
             .parish
@@ -332,7 +332,7 @@
             self.prices[0] * self.crossed as f64 / first,
             self.prices[1] * per((self.work[1] - self.work[2]).max(0.0), self.work[0]),
             self.prices[2] * self.counts[3] as f64 / first,
-            self.prices[3] * per(self.late_worth, all),
+            self.prices[3] * per(self.late_value, all),
         ];
         let parts = [whole, worst_stretch.0, worst_class.0, worst_parish.0];
         let figure =
--- a/crates/replay/src/survey/draw.rs
+++ b/crates/replay/src/survey/draw.rs
@@ -62,8 +62,8 @@
         aim_ms,
         stretch,
         deadline_ms: (usual * between(rng, 1.5, 6.0)).max(400.0) as u64,
-        worth: between(rng, 1.0, 10.0),
-        late_worth: if chance(rng, 0.25) {
+        value: between(rng, 1.0, 10.0),
+        late_value: if chance(rng, 0.25) {
             0.0
         } else {
             between(rng, 0.1, 0.5)
@@ -79,7 +79,7 @@
         cores: whole(rng, 2, 8),
         speed: [speed * (1.0 - spread), speed * (1.0 + spread)],
         queue_per_core: between(rng, 4.0, 20.0),
-        cold_from: between(rng, 0.3, 0.7),
+        initial_capacity: between(rng, 0.3, 0.7),
         warm_s: between(rng, 2.0, 9.0),
     }
 }
@@ -230,7 +230,7 @@
             cross_zone: between(rng, 0.0, 0.03),
             ..Prices::default()
         },
-        over_share_worth: 0.2,
+        over_quota_value: 0.2,
         limits: Limits {
             tick_ms: between(rng, 1.0, 5.0),
             ..Limits::default()
--- a/crates/replay/src/virt/events.rs
+++ b/crates/replay/src/virt/events.rs
@@ -199,8 +199,11 @@
                 self.at(now + WATCH, Ev::Watch(s));
             }
             Ev::Notice(w, state, born) => {
-                let state =
-                    [WorkerState::Active, WorkerState::Leaving, WorkerState::Left][state as usize];
+                let state = [
+                    WorkerState::Active,
+                    WorkerState::Draining,
+                    WorkerState::Left,
+                ][state as usize];
                 self.listed[w as usize] = (state, born);
                 for s in 0..self.scenario.schedulers {
                     if self.schedulers[s as usize].watching {
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -2,7 +2,7 @@
 //! owns it hands it jobs and the time, asks when something is due, and takes what has happened.
 //!
 //! A job runs on as many cores as it has slots. A cold job worker runs at a share of its speed that grows evenly with the
-//! work done, from `cold_from` to 1 at the latest after its warming time; the share is read when a job starts.
+//! work done, from `initial_capacity` to 1 at the latest after its warming time; the share is read when a job starts.
 
 use crate::scenario::{Kind, Micros, Order};
 use crate::store::Shelf;
@@ -101,7 +101,7 @@
     cores: u32,
     speed: f64,
     room: u32,
-    cold_from: f64,
+    initial_capacity: f64,
     warm: Micros,
     born: Micros,
     done_work: f64, // since its start, in microseconds at speed 1
@@ -124,7 +124,7 @@
             cores: kind.cores,
             speed,
             room: (f64::from(kind.cores) * kind.queue_per_core) as u32,
-            cold_from: kind.cold_from,
+            initial_capacity: kind.initial_capacity,
             warm: (kind.warm_s * 1e6) as Micros,
             born: 0,
             done_work: f64::MAX,
@@ -179,7 +179,7 @@
         // Work that a warm one would do in its warming time warms it.
         let by_work =
             self.done_work / (f64::from(self.cores) * self.speed * self.warm as f64 * 0.5);
-        (self.cold_from + (1.0 - self.cold_from) * by_time.max(by_work)).min(1.0)
+        (self.initial_capacity + (1.0 - self.initial_capacity) * by_time.max(by_work)).min(1.0)
     }
 
     /// Work that it can do in a microsecond now, at speed 1.
--- a/crates/replay/src/worker/tests.rs
+++ b/crates/replay/src/worker/tests.rs
@@ -7,7 +7,7 @@
         cores: 2,
         speed: [1.0, 1.0],
         queue_per_core: 2.0,
-        cold_from: 0.25,
+        initial_capacity: 0.25,
         warm_s: 8.0,
     }
 }
