--- a/crates/replay/src/scenario/form.rs
+++ b/crates/replay/src/scenario/form.rs
@@ -64,6 +64,7 @@
     pub prices: Prices,
     /// Worth of a job beyond its parish's share.
     #[serde(default = "over")]
+    #[serde(rename = "over-share-worth")]
     pub over_quota_value: f64,
     /// What each scheduler may hold.
     #[serde(default)]
@@ -187,14 +188,16 @@
     pub slots: Vec<f64>,
     /// An answer within this time, and `stretch` times the job's own running time at speed 1, is in time.
     pub aim_ms: u64,
-    /// See `latency_target-ms`.
+    /// See `aim-ms`.
     pub stretch: f64,
     /// A client waits so long over all its tries.
     #[schemars(range(min = 1))]
     pub deadline_ms: u64,
     /// Worth of a job in time.
+    #[serde(rename = "worth")]
     pub value: f64,
     /// Share of the worth that a late answer earns.
+    #[serde(rename = "late-worth")]
     pub late_value: f64,
 }
 
@@ -242,6 +245,7 @@
     pub queue_per_core: f64,
     /// Share of its capacity that a cold one starts with.
     #[serde(default = "cold")]
+    #[serde(rename = "cold-from")]
     pub initial_capacity: f64,
     /// It is warm after so long.
     #[serde(default = "warm")]
