--- a/crates/control-plane/tests/node.rs
+++ b/crates/control-plane/tests/node.rs
@@ -1,11 +1,11 @@
 //! A member alone in its cluster: how it becomes head, whom it serves, and what its disk keeps.
 
-use indigofold_control_plane::config_authority::{Answer, Order, OrderKind};
+use indigofold_control_plane::config_authority::{ChangeResponse, ConfigChange, ConfigMethod};
 use indigofold_control_plane::head::Clocks;
 use indigofold_control_plane::node::{Input, Node, NodeSettings, Output, SCRUB_INTERVAL_MS};
-use indigofold_control_plane::operator::{OperatorAnswer, OperatorCall};
+use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
 use indigofold_control_plane::sessions::ConnectionId;
-use indigofold_control_plane::storage_thread::{StorageAnswer, StorageRequest, carry_out};
+use indigofold_control_plane::storage_thread::{StorageRequest, StorageResponse, execute};
 use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, Question};
 use indigofold_protocol::internal::{
     AgentOrders, ClientCall, ClientOperation, ClientOutcome, Frame, Hello, MemberAddress,
@@ -55,17 +55,17 @@
 }
 
 /// A member with a real database and a clock of the test's own.
-struct Bench {
+struct TestNode {
     node: Node,
     storage: Storage,
     now_ms: u64,
     /// What the storage has done and the member has not heard of.
-    stored: Vec<StorageAnswer>,
+    stored: Vec<StorageResponse>,
     outputs: Vec<Output>,
 }
 
-impl Bench {
-    fn start(directory: &Path, seeds: &[u8]) -> Bench {
+impl TestNode {
+    fn start(directory: &Path, seeds: &[u8]) -> TestNode {
         let opened = Storage::open(directory).expect("a database");
         let durable: Option<Durable> = opened.durable;
         let clocks = Clocks {
@@ -73,7 +73,7 @@
             wall_ms: WALL_MS,
         };
         let node = Node::new(settings(seeds), durable, clocks);
-        Bench {
+        TestNode {
             node,
             storage: opened.storage,
             now_ms: START_MS,
@@ -83,19 +83,19 @@
     }
 
     /// A member that has become the acting head.
-    fn acting(directory: &Path) -> Bench {
-        let mut bench = Bench::start(directory, &[1]);
-        bench.input(Input::Frame {
+    fn acting(directory: &Path) -> TestNode {
+        let mut test = TestNode::start(directory, &[1]);
+        test.input(Input::Frame {
             connection: EDGE,
             frame: Frame::Hello(hello(ProcessKind::Edge)),
         });
-        bench.run_until(|outputs| {
+        test.run_until(|outputs| {
             outputs
                 .iter()
                 .any(|output| welcome(output).is_some_and(|w| w.acting))
         });
-        bench.outputs.clear();
-        bench
+        test.outputs.clear();
+        test
     }
 
     fn clocks(&self) -> Clocks {
@@ -112,7 +112,7 @@
     }
 
     fn finish(&mut self) {
-        for output in self.node.finish(self.now_ms) {
+        for output in self.node.poll_outputs(self.now_ms) {
             match output {
                 Output::Storage(request) => self.store(request),
                 other => self.outputs.push(other),
@@ -121,11 +121,11 @@
     }
 
     fn store(&mut self, request: StorageRequest) {
-        self.stored.push(carry_out(&mut self.storage, request));
+        self.stored.push(execute(&mut self.storage, request));
     }
 
     /// Tells the member all that the storage has done, until it asks for no more.
-    fn settle(&mut self) {
+    fn deliver_storage(&mut self) {
         while !self.stored.is_empty() {
             let answer = self.stored.remove(0);
             self.input(Input::Storage(answer));
@@ -135,12 +135,15 @@
     /// Lets time pass from timer to timer.
     fn run_until(&mut self, reached: impl Fn(&[Output]) -> bool) {
         for _ in 0..1_000 {
-            self.settle();
+            self.deliver_storage();
             if reached(&self.outputs) {
                 return;
             }
-            self.now_ms = self.node.next_tick_ms(self.clocks()).max(self.now_ms + 1);
-            self.node.tick(self.clocks());
+            self.now_ms = self
+                .node
+                .next_timeout_ms(self.clocks())
+                .max(self.now_ms + 1);
+            self.node.handle_timeout(self.clocks());
             self.finish();
         }
         panic!(
@@ -150,14 +153,14 @@
     }
 
     fn order(&mut self, call: u64, if_match: u64, body: &str) {
-        let order = Order {
-            kind: OrderKind::Put,
+        let order = ConfigChange {
+            method: ConfigMethod::Put,
             if_match: Some(if_match.to_string()),
             body: body.as_bytes().to_vec(),
         };
         self.input(Input::Operator {
             call,
-            request: OperatorCall::Change(order),
+            request: OperatorRequest::Change(order),
         });
     }
 
@@ -175,10 +178,10 @@
     }
 
     /// The operator's answers since the last look.
-    fn answers(&mut self) -> Vec<(u64, OperatorAnswer)> {
+    fn answers(&mut self) -> Vec<(u64, OperatorResponse)> {
         let outputs = std::mem::take(&mut self.outputs);
         let answers = outputs.into_iter().filter_map(|output| match output {
-            Output::Answer { call, answer } => Some((call, answer)),
+            Output::Respond { call, response } => Some((call, response)),
             _ => None,
         });
         answers.collect()
@@ -208,18 +211,18 @@
     }
 }
 
-fn taken() -> OperatorAnswer {
-    OperatorAnswer::Order(Answer::Taken { version: 5 })
+fn taken() -> OperatorResponse {
+    OperatorResponse::Change(ChangeResponse::Accepted { version: 5 })
 }
 
 #[test]
 fn an_order_is_answered_once_it_is_on_disk_and_edges_hear_of_it() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
-    bench.order(1, 0, CONFIG);
-    assert!(!bench.stored.is_empty() && bench.answers().is_empty());
-    bench.settle();
-    let told = bench
+    let mut test = TestNode::acting(directory.path());
+    test.order(1, 0, CONFIG);
+    assert!(!test.stored.is_empty() && test.answers().is_empty());
+    test.deliver_storage();
+    let told = test
         .outputs
         .iter()
         .filter_map(welcome)
@@ -227,67 +230,67 @@
         .cloned()
         .expect("the edge is told");
     assert_eq!((told.config_version, told.limits.max_body_bytes), (5, 9999));
-    assert_eq!(bench.answers(), [(1, taken())]);
-    bench.input(Input::Operator {
+    assert_eq!(test.answers(), [(1, taken())]);
+    test.input(Input::Operator {
         call: 2,
-        request: OperatorCall::Read,
+        request: OperatorRequest::Read,
     });
     assert_eq!(
-        bench.answers(),
-        [(2, OperatorAnswer::Config(CONFIG.as_bytes().to_vec()))]
+        test.answers(),
+        [(2, OperatorResponse::Config(CONFIG.as_bytes().to_vec()))]
     );
 }
 
 #[test]
 fn a_restarted_member_has_what_it_acknowledged() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
-    bench.order(1, 0, CONFIG);
-    bench.settle();
-    drop(bench);
-    let mut bench = Bench::acting(directory.path());
-    bench.input(Input::Operator {
+    let mut test = TestNode::acting(directory.path());
+    test.order(1, 0, CONFIG);
+    test.deliver_storage();
+    drop(test);
+    let mut test = TestNode::acting(directory.path());
+    test.input(Input::Operator {
         call: 2,
-        request: OperatorCall::Read,
+        request: OperatorRequest::Read,
     });
     assert_eq!(
-        bench.answers(),
-        [(2, OperatorAnswer::Config(CONFIG.as_bytes().to_vec()))]
+        test.answers(),
+        [(2, OperatorResponse::Config(CONFIG.as_bytes().to_vec()))]
     );
-    bench.order(3, 0, CONFIG);
-    assert_eq!(bench.answers(), [(3, taken())]);
+    test.order(3, 0, CONFIG);
+    assert_eq!(test.answers(), [(3, taken())]);
 }
 
 #[test]
 fn before_there_is_a_configuration_it_cannot_be_read() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
-    bench.input(Input::Operator {
+    let mut test = TestNode::acting(directory.path());
+    test.input(Input::Operator {
         call: 1,
-        request: OperatorCall::Read,
+        request: OperatorRequest::Read,
     });
-    assert_eq!(bench.answers(), [(1, OperatorAnswer::NoConfig)]);
+    assert_eq!(test.answers(), [(1, OperatorResponse::NoConfig)]);
 }
 
 #[test]
 fn a_member_that_is_not_the_head_serves_nobody() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::start(directory.path(), &[1, 2, 3]);
-    bench.input(Input::Frame {
+    let mut test = TestNode::start(directory.path(), &[1, 2, 3]);
+    test.input(Input::Frame {
         connection: EDGE,
         frame: Frame::Hello(hello(ProcessKind::Edge)),
     });
-    let greeting = bench
+    let greeting = test
         .outputs
         .iter()
         .find_map(welcome)
         .expect("it is greeted");
     assert!(!greeting.acting && greeting.head.is_none());
-    bench.order(1, 0, CONFIG);
-    assert_eq!(bench.answers(), [(1, OperatorAnswer::NoHead)]);
-    bench.call(ClientOperation::Get);
+    test.order(1, 0, CONFIG);
+    assert_eq!(test.answers(), [(1, OperatorResponse::NoHead)]);
+    test.call(ClientOperation::Get);
     assert!(matches!(
-        bench.replies()[..],
+        test.replies()[..],
         [ClientOutcome::Unavailable { .. }]
     ));
 }
@@ -295,19 +298,19 @@
 #[test]
 fn it_dials_the_seeds_and_says_who_it_is() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::start(directory.path(), &[1, 2]);
-    bench.run_until(|outputs| outputs.iter().any(|o| matches!(o, Output::Dial { .. })));
-    let dialled = bench
+    let mut test = TestNode::start(directory.path(), &[1, 2]);
+    test.run_until(|outputs| outputs.iter().any(|o| matches!(o, Output::Dial { .. })));
+    let dialled = test
         .outputs
         .iter()
         .filter(|o| matches!(o, Output::Dial { address: a } if *a == address(2)));
     assert_eq!(dialled.count(), 1);
-    bench.outputs.clear();
-    bench.input(Input::Dialled {
+    test.outputs.clear();
+    test.input(Input::Dialled {
         address: address(2),
         connection: ConnectionId(3),
     });
-    let sent = bench.outputs.iter().filter_map(|output| match output {
+    let sent = test.outputs.iter().filter_map(|output| match output {
         Output::Send {
             connection: ConnectionId(3),
             frame,
@@ -324,23 +327,23 @@
 #[test]
 fn a_head_that_steps_down_takes_no_more_orders() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
-    bench.input(Input::StepDown);
+    let mut test = TestNode::acting(directory.path());
+    test.input(Input::StepDown);
     for _ in 0..100 {
-        bench.settle();
-        if !bench.node.is_head() {
+        test.deliver_storage();
+        if !test.node.is_head() {
             break;
         }
-        bench.now_ms = bench
+        test.now_ms = test
             .node
-            .next_tick_ms(bench.clocks())
-            .max(bench.now_ms + 1);
-        bench.node.tick(bench.clocks());
-        bench.finish();
+            .next_timeout_ms(test.clocks())
+            .max(test.now_ms + 1);
+        test.node.handle_timeout(test.clocks());
+        test.finish();
     }
-    bench.outputs.clear();
-    bench.order(1, 0, CONFIG);
-    let answers = bench.answers();
+    test.outputs.clear();
+    test.order(1, 0, CONFIG);
+    let answers = test.answers();
     assert!(
         !answers.iter().any(|(_, answer)| *answer == taken()),
         "{answers:?}"
@@ -350,29 +353,31 @@
 #[test]
 fn the_rows_on_disk_are_scrubbed_and_damage_ends_the_process() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
-    bench.order(1, 0, CONFIG);
-    bench.settle();
-    bench.now_ms += SCRUB_INTERVAL_MS;
-    bench.node.tick(bench.clocks());
-    bench.finish();
-    let scrub = bench
+    let mut test = TestNode::acting(directory.path());
+    test.order(1, 0, CONFIG);
+    test.deliver_storage();
+    test.now_ms += SCRUB_INTERVAL_MS;
+    test.node.handle_timeout(test.clocks());
+    test.finish();
+    let scrub = test
         .stored
         .iter()
-        .find(|answer| matches!(answer, StorageAnswer::Scrub { .. }));
-    let is_whole =
-        |answer: &StorageAnswer| matches!(answer, StorageAnswer::Scrub { result: Ok(None) });
-    assert!(scrub.is_some_and(is_whole), "{scrub:?}");
+        .find(|answer| matches!(answer, StorageResponse::Scrub { .. }));
+    let is_complete =
+        |answer: &StorageResponse| matches!(answer, StorageResponse::Scrub { result: Ok(None) });
+    assert!(scrub.is_some_and(is_complete), "{scrub:?}");
     let error = StorageError::DamagedRow {
         path: directory.path().into(),
         key: "config".to_owned(),
     };
-    bench.input(Input::Storage(StorageAnswer::Scrub { result: Err(error) }));
-    let told = bench
+    test.input(Input::Storage(StorageResponse::Scrub {
+        result: Err(error),
+    }));
+    let told = test
         .outputs
         .iter()
         .any(|output| matches!(output, Output::Damaged { reason } if reason.contains("config")));
-    assert!(told, "{:?}", bench.outputs.last());
+    assert!(told, "{:?}", test.outputs.last());
 }
 
 /// Frames that their sender does not send, and those that cannot be read: the connection ends, and nothing else happens.
@@ -388,16 +393,16 @@
     #[case] frame: Frame,
 ) {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
+    let mut test = TestNode::acting(directory.path());
     let connection = ConnectionId(400);
     if let Some(kind) = kind {
-        bench.input(Input::Frame {
+        test.input(Input::Frame {
             connection,
             frame: Frame::Hello(hello(kind)),
         });
     }
-    bench.outputs.clear();
-    bench.input(Input::Frame { connection, frame });
+    test.outputs.clear();
+    test.input(Input::Frame { connection, frame });
     let is_close = |output: &Output| {
         matches!(
             output,
@@ -406,8 +411,8 @@
             }
         )
     };
-    assert!(bench.outputs.iter().any(is_close), "{:?}", bench.outputs);
-    let told = bench.outputs.iter().any(|output| {
+    assert!(test.outputs.iter().any(is_close), "{:?}", test.outputs);
+    let told = test.outputs.iter().any(|output| {
         matches!(
             output,
             Output::Send {
@@ -416,12 +421,12 @@
             }
         )
     });
-    assert!(!told, "{:?}", bench.outputs);
-    bench.outputs.clear();
-    bench.order(1, 0, CONFIG);
-    bench.settle();
+    assert!(!told, "{:?}", test.outputs);
+    test.outputs.clear();
+    test.order(1, 0, CONFIG);
+    test.deliver_storage();
     assert!(
-        bench.answers().iter().any(|(_, answer)| *answer == taken()),
+        test.answers().iter().any(|(_, answer)| *answer == taken()),
         "the member goes on"
     );
 }
@@ -450,31 +455,30 @@
 #[test]
 fn a_second_hello_ends_the_connection() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
-    bench.input(Input::Frame {
+    let mut test = TestNode::acting(directory.path());
+    test.input(Input::Frame {
         connection: EDGE,
         frame: Frame::Hello(hello(ProcessKind::Edge)),
     });
     assert!(
-        bench
-            .outputs
+        test.outputs
             .iter()
             .any(|output| matches!(output, Output::Close { connection: EDGE }))
     );
 }
 
 /// Asks over a connection that has not greeted.
-fn ask(bench: &mut Bench, call: u64, question: Question) {
+fn inspect(test: &mut TestNode, call: u64, question: Question) {
     let frame = Frame::Inspect(InspectionCall { call, question });
-    bench.input(Input::Frame {
+    test.input(Input::Frame {
         connection: ConnectionId(300),
         frame,
     });
 }
 
 /// The answers to questions since the last look.
-fn told(bench: &mut Bench) -> Vec<(u64, InspectionAnswer)> {
-    let outputs = std::mem::take(&mut bench.outputs);
+fn inspection_answers(test: &mut TestNode) -> Vec<(u64, InspectionAnswer)> {
+    let outputs = std::mem::take(&mut test.outputs);
     let answers = outputs.into_iter().filter_map(|output| match output {
         Output::Send {
             connection: ConnectionId(300),
@@ -488,10 +492,10 @@
 #[test]
 fn the_head_answers_questions_from_its_rows_and_changes_nothing() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
-    bench.order(1, 0, CONFIG);
-    bench.settle();
-    bench.outputs.clear();
+    let mut test = TestNode::acting(directory.path());
+    test.order(1, 0, CONFIG);
+    test.deliver_storage();
+    test.outputs.clear();
     let seq = |answer: &InspectionAnswer| match answer {
         InspectionAnswer::Status(status) => (
             status.stored.seq,
@@ -499,17 +503,17 @@
         ),
         other => panic!("a status is expected: {other:?}"),
     };
-    ask(&mut bench, 1, Question::Status);
+    inspect(&mut test, 1, Question::Status);
     assert!(
-        told(&mut bench).is_empty(),
+        inspection_answers(&mut test).is_empty(),
         "the rows have to be read first"
     );
-    bench.settle();
-    let first = told(&mut bench);
-    ask(&mut bench, 2, Question::Status);
-    ask(&mut bench, 3, Question::Job(JobId(7)));
-    bench.settle();
-    let later = told(&mut bench);
+    test.deliver_storage();
+    let first = inspection_answers(&mut test);
+    inspect(&mut test, 2, Question::Status);
+    inspect(&mut test, 3, Question::Job(JobId(7)));
+    test.deliver_storage();
+    let later = inspection_answers(&mut test);
     assert_eq!((first[0].0, seq(&first[0].1).1), (1, Some(5)));
     assert_eq!(seq(&later[0].1), seq(&first[0].1));
     assert_eq!(later[1], (3, InspectionAnswer::Job(None)));
@@ -518,10 +522,10 @@
 #[test]
 fn a_member_that_is_not_the_head_tells_of_itself_only() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::start(directory.path(), &[1, 2, 3]);
-    ask(&mut bench, 1, Question::Status);
-    ask(&mut bench, 2, Question::Job(JobId(7)));
-    let answers = told(&mut bench);
+    let mut test = TestNode::start(directory.path(), &[1, 2, 3]);
+    inspect(&mut test, 1, Question::Status);
+    inspect(&mut test, 2, Question::Job(JobId(7)));
+    let answers = inspection_answers(&mut test);
     let InspectionAnswer::Status(status) = &answers[0].1 else {
         panic!("a status is expected")
     };
@@ -532,9 +536,9 @@
 #[test]
 fn only_some_questions_wait_for_the_rows_at_a_time() {
     let directory = TempDir::new().expect("a folder");
-    let mut bench = Bench::acting(directory.path());
-    (0..6).for_each(|call| ask(&mut bench, call, Question::Status));
-    let refused = told(&mut bench);
+    let mut test = TestNode::acting(directory.path());
+    (0..6).for_each(|call| inspect(&mut test, call, Question::Status));
+    let refused = inspection_answers(&mut test);
     assert!(
         refused
             .iter()
@@ -544,6 +548,6 @@
         refused.iter().map(|(call, _)| *call).collect::<Vec<_>>(),
         [4, 5]
     );
-    bench.settle();
-    assert_eq!(told(&mut bench).len(), 4);
+    test.deliver_storage();
+    assert_eq!(inspection_answers(&mut test).len(), 4);
 }
--- a/crates/control-plane/tests/operator.rs
+++ b/crates/control-plane/tests/operator.rs
@@ -1,7 +1,9 @@
 //! The operator's calls as HTTP requests and responses.
 
-use indigofold_control_plane::config_authority::{Answer, OrderKind};
-use indigofold_control_plane::operator::{OperatorAnswer, OperatorCall, read_call, write_answer};
+use indigofold_control_plane::config_authority::{ChangeResponse, ConfigMethod};
+use indigofold_control_plane::operator::{
+    OperatorRequest, OperatorResponse, parse_request, write_response,
+};
 use indigofold_net::http::{HeaderMap, HttpRequest, Method, header};
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -21,24 +23,28 @@
 }
 
 #[rstest]
-#[case(Method::PUT, OrderKind::Put)]
-#[case(Method::PATCH, OrderKind::Patch)]
-fn orders_are_read(#[case] method: Method, #[case] kind: OrderKind) {
-    let call = read_call(request(method, "/config"));
-    let Ok(OperatorCall::Change(order)) = call else {
+#[case(Method::PUT, ConfigMethod::Put)]
+#[case(Method::PATCH, ConfigMethod::Patch)]
+fn orders_are_read(#[case] method: Method, #[case] expected: ConfigMethod) {
+    let call = parse_request(request(method, "/config"));
+    let Ok(OperatorRequest::Change(order)) = call else {
         panic!("{call:?}")
     };
     assert_eq!(
-        (order.kind, order.if_match.as_deref(), order.body.as_slice()),
-        (kind, Some("5"), b"{}".as_slice())
+        (
+            order.method,
+            order.if_match.as_deref(),
+            order.body.as_slice()
+        ),
+        (expected, Some("5"), b"{}".as_slice())
     );
 }
 
 #[test]
 fn reading_is_read() {
     assert!(matches!(
-        read_call(request(Method::GET, "/config")),
-        Ok(OperatorCall::Read)
+        parse_request(request(Method::GET, "/config")),
+        Ok(OperatorRequest::Read)
     ));
 }
 
@@ -51,7 +57,7 @@
     #[case] status: u16,
 ) {
     assert_eq!(
-        read_call(request(method, path))
+        parse_request(request(method, path))
             .expect_err("no call of the operator")
             .status,
         status
@@ -59,19 +65,19 @@
 }
 
 #[rstest]
-#[case(OperatorAnswer::Order(Answer::Taken { version: 7 }), 200)]
-#[case(OperatorAnswer::Order(Answer::Invalid { reason: "x".to_owned() }), 400)]
-#[case(OperatorAnswer::Order(Answer::OtherVersion { current: 7 }), 412)]
-#[case(OperatorAnswer::Order(Answer::Unclear), 503)]
-#[case(OperatorAnswer::NoConfig, 503)]
-#[case(OperatorAnswer::NoHead, 503)]
-fn answers_have_their_status(#[case] answer: OperatorAnswer, #[case] status: u16) {
-    assert_eq!(write_answer(answer).status, status);
+#[case(OperatorResponse::Change(ChangeResponse::Accepted { version: 7 }), 200)]
+#[case(OperatorResponse::Change(ChangeResponse::Invalid { reason: "x".to_owned() }), 400)]
+#[case(OperatorResponse::Change(ChangeResponse::VersionConflict { current: 7 }), 412)]
+#[case(OperatorResponse::Change(ChangeResponse::Undetermined), 503)]
+#[case(OperatorResponse::NoConfig, 503)]
+#[case(OperatorResponse::NoHead, 503)]
+fn answers_have_their_status(#[case] answer: OperatorResponse, #[case] status: u16) {
+    assert_eq!(write_response(answer).status, status);
 }
 
 #[test]
 fn the_configuration_goes_out_as_it_is() {
-    let response = write_answer(OperatorAnswer::Config(b"{\"version\": 7}".to_vec()));
+    let response = write_response(OperatorResponse::Config(b"{\"version\": 7}".to_vec()));
     assert_eq!(
         (response.status, response.body.as_slice()),
         (200, b"{\"version\": 7}".as_slice())
@@ -81,7 +87,7 @@
 #[test]
 fn a_member_that_is_not_the_head_names_it() {
     let head = SocketAddr::from(([10, 0, 0, 4], 8080));
-    let response = write_answer(OperatorAnswer::AskHead(head));
+    let response = write_response(OperatorResponse::RedirectToHead(head));
     let location = response
         .headers
         .iter()
@@ -96,6 +102,6 @@
 #[test]
 fn a_reason_with_quotes_stays_json() {
     let reason = "`a\"b\\c`\n".to_owned();
-    let response = write_answer(OperatorAnswer::Order(Answer::Invalid { reason }));
+    let response = write_response(OperatorResponse::Change(ChangeResponse::Invalid { reason }));
     assert_eq!(response.body, br#"{"error":"`a\"b\\c` "}"#);
 }
--- a/crates/control-plane/tests/peers.rs
+++ b/crates/control-plane/tests/peers.rs
@@ -12,11 +12,11 @@
     SocketAddr::from(([10, 0, 0, last], 7380))
 }
 
-fn following(lasts: &[u8]) -> Peers {
+fn peers_with(lasts: &[u8]) -> Peers {
     let mut peers = Peers::new(7);
     assert!(
         peers
-            .follow(NOW_MS, lasts.iter().copied().map(address).collect())
+            .set_addresses(NOW_MS, lasts.iter().copied().map(address).collect())
             .is_empty()
     );
     peers
@@ -24,10 +24,10 @@
 
 #[test]
 fn each_peer_is_dialled_once_at_first() {
-    let mut peers = following(&[1, 2]);
+    let mut peers = peers_with(&[1, 2]);
     assert_eq!(peers.next_due_ms(), NOW_MS);
-    assert_eq!(peers.take_due(NOW_MS), [address(1), address(2)]);
-    assert!(peers.take_due(NOW_MS).is_empty());
+    assert_eq!(peers.poll_dials(NOW_MS), [address(1), address(2)]);
+    assert!(peers.poll_dials(NOW_MS).is_empty());
     assert_eq!(peers.next_due_ms(), u64::MAX);
 }
 
@@ -36,12 +36,12 @@
 #[case::after_the_third(3, 400)]
 #[case::after_many(40, 800)]
 fn tries_are_spread_and_grow_rarer(#[case] failures: u32, #[case] longest_ms: u64) {
-    let mut peers = following(&[1]);
+    let mut peers = peers_with(&[1]);
     let mut now_ms = NOW_MS;
     for _ in 0..failures {
         now_ms = peers.next_due_ms();
-        assert_eq!(peers.take_due(now_ms), [address(1)]);
-        peers.failed(now_ms, address(1));
+        assert_eq!(peers.poll_dials(now_ms), [address(1)]);
+        peers.dial_failed(now_ms, address(1));
     }
     let wait_ms = peers.next_due_ms() - now_ms;
     assert!(
@@ -52,12 +52,15 @@
 
 #[test]
 fn a_closed_connection_is_dialled_again() {
-    let mut peers = following(&[1]);
-    peers.take_due(NOW_MS);
-    assert!(peers.opened(address(1), ConnectionId(4)));
+    let mut peers = peers_with(&[1]);
+    peers.poll_dials(NOW_MS);
+    assert!(peers.dial_succeeded(address(1), ConnectionId(4)));
     assert_eq!(peers.connection(address(1)), Some(ConnectionId(4)));
-    assert_eq!(peers.closed(NOW_MS, ConnectionId(9)), None);
-    assert_eq!(peers.closed(NOW_MS, ConnectionId(4)), Some(address(1)));
+    assert_eq!(peers.connection_closed(NOW_MS, ConnectionId(9)), None);
+    assert_eq!(
+        peers.connection_closed(NOW_MS, ConnectionId(4)),
+        Some(address(1))
+    );
     assert_eq!(peers.connection(address(1)), None);
     assert!(peers.next_due_ms() <= NOW_MS + 100);
 }
@@ -66,32 +69,32 @@
 /// is back.
 #[test]
 fn a_peer_that_connects_is_dialled_at_once() {
-    let mut peers = following(&[1, 2]);
-    peers.take_due(NOW_MS);
-    peers.heard_from(NOW_MS + 5, address(1));
-    peers.failed(NOW_MS + 5, address(2));
-    peers.heard_from(NOW_MS + 6, address(2));
-    assert_eq!(peers.take_due(NOW_MS + 6), [address(1), address(2)]);
-    assert!(peers.opened(address(1), ConnectionId(4)));
+    let mut peers = peers_with(&[1, 2]);
+    peers.poll_dials(NOW_MS);
+    peers.peer_connected(NOW_MS + 5, address(1));
+    peers.dial_failed(NOW_MS + 5, address(2));
+    peers.peer_connected(NOW_MS + 6, address(2));
+    assert_eq!(peers.poll_dials(NOW_MS + 6), [address(1), address(2)]);
+    assert!(peers.dial_succeeded(address(1), ConnectionId(4)));
     assert!(
-        !peers.opened(address(1), ConnectionId(5)),
+        !peers.dial_succeeded(address(1), ConnectionId(5)),
         "the dial that hung comes too late"
     );
-    peers.failed(NOW_MS + 400, address(1));
-    peers.heard_from(NOW_MS + 400, address(1));
+    peers.dial_failed(NOW_MS + 400, address(1));
+    peers.peer_connected(NOW_MS + 400, address(1));
     assert_eq!(peers.connection(address(1)), Some(ConnectionId(4)));
-    assert!(peers.take_due(NOW_MS + 400).is_empty());
+    assert!(peers.poll_dials(NOW_MS + 400).is_empty());
 }
 
 #[test]
 fn a_peer_that_is_no_more_is_let_go() {
-    let mut peers = following(&[1, 2]);
-    peers.take_due(NOW_MS);
-    peers.opened(address(1), ConnectionId(4));
+    let mut peers = peers_with(&[1, 2]);
+    peers.poll_dials(NOW_MS);
+    peers.dial_succeeded(address(1), ConnectionId(4));
     assert_eq!(
-        peers.follow(NOW_MS, BTreeSet::from([address(3)])),
+        peers.set_addresses(NOW_MS, BTreeSet::from([address(3)])),
         [ConnectionId(4)]
     );
-    assert!(!peers.opened(address(2), ConnectionId(5)));
-    assert_eq!(peers.take_due(NOW_MS), [address(3)]);
+    assert!(!peers.dial_succeeded(address(2), ConnectionId(5)));
+    assert_eq!(peers.poll_dials(NOW_MS), [address(3)]);
 }
