--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -48,7 +48,7 @@
     let connections = Connections::listen(settings.internal_address(), inbox.clone()).await?;
     let http = start::serve_operator(&settings, &inbox).await?;
     log::info!(
-        "{} is up at {}",
+        "started member={} address={}",
         settings.node_name,
         settings.internal_address()
     );
@@ -136,7 +136,7 @@
             Ok(settings) => self
                 .node
                 .handle(clocks, Input::Seeds(start::seeds(&settings))),
-            Err(error) => log::error!("the seeds stay as they were: {error}"),
+            Err(error) => log::error!("seeds not updated error={error}"),
         }
     }
 
@@ -150,13 +150,13 @@
                 self.node.handle(clocks, Input::Operator { call, request });
             }
             Event::Signal(Signal::Terminate) => {
-                log::info!("SIGTERM: hands over and stops");
+                log::info!("SIGTERM received, handing over");
                 self.stop_ms
                     .get_or_insert(clocks.steady_ms + STEP_DOWN_LIMIT_MS);
                 self.node.handle(clocks, Input::StepDown);
             }
             Event::Signal(Signal::Reload) => {
-                log::info!("SIGHUP: reads the seeds again");
+                log::info!("SIGHUP received, reading the seeds");
                 self.reload_seeds(clocks);
             }
         }
--- a/crates/control-plane/src/driver/connections.rs
+++ b/crates/control-plane/src/driver/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections to other processes, and the tasks that read them.
+//! The open connections to other processes, and the tasks that read frames from them.
 
 use super::error::{DriverError, NetSnafu};
 use super::event::Event;
@@ -15,9 +15,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a member that is dialled has to accept.
+/// Longest time for a member to accept a connection.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Wait after a failure to accept connections (out of descriptors, most likely).
+/// Wait after a failure to accept a connection, most likely for lack of descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
 /// The open connections; clones share them.
@@ -29,7 +29,11 @@
 }
 
 impl Connections {
-    /// Takes connections on the internal port from now on.
+    /// Accepts connections on the internal port from now on.
+    ///
+    /// # Errors
+    ///
+    /// The address cannot be used.
     pub(super) async fn listen(
         address: SocketAddr,
         inbox: Inbox<Event>,
@@ -44,7 +48,7 @@
         Ok(connections)
     }
 
-    /// Queues a frame; on a connection that is closed it is lost, as its end is told to the node.
+    /// Queues a frame. On a closed connection it is dropped: the node gets [`Input::Closed`].
     pub(super) fn send(&self, connection: ConnectionId, frame: &Frame) {
         if let Some(sender) = self.senders.borrow().get(&connection) {
             let _ = sender.send(frame);
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Dials a member; the outcome goes to the node.
+    /// Dials a member; the node gets the result.
     pub(super) fn dial(&self, address: SocketAddr) {
         let connections = self.clone();
         runtime::spawn(async move {
@@ -72,7 +76,7 @@
                     connections.read(id, reader).await;
                 }
                 Err(error) => {
-                    log::debug!("{error}");
+                    log::debug!("dial failed error={error}");
                     connections.push_input(Input::DialFailed { address });
                 }
             }
@@ -88,7 +92,7 @@
                     runtime::spawn(async move { connections.read(id, reader).await });
                 }
                 Err(error) => {
-                    log::warn!("{error}");
+                    log::warn!("accept failed, will retry error={error}");
                     runtime::sleep(ACCEPT_RETRY).await;
                 }
             }
@@ -102,7 +106,7 @@
                 Ok(Some(frame)) => self.push_input(Input::Frame { connection, frame }),
                 Ok(None) => break,
                 Err(error) => {
-                    log::debug!("{error}");
+                    log::debug!("connection failed error={error}");
                     break;
                 }
             }
--- a/crates/control-plane/src/driver/error.rs
+++ b/crates/control-plane/src/driver/error.rs
@@ -27,7 +27,7 @@
     StorageEnded,
     /// The database has been found damaged.
     #[snafu(display(
-        "{reason}; it is set aside at the next start, and the rows come from other members"
+        "{reason}; the next start quarantines it, and the rows come from other members"
     ))]
     Damaged {
         /// What was found.
--- a/crates/control-plane/src/driver/start.rs
+++ b/crates/control-plane/src/driver/start.rs
@@ -1,4 +1,4 @@
-//! Brings up the parts of a member: database, operator's API, signals.
+//! Starts the parts of a member: database, operator's API, signals.
 
 use super::error::{DriverError, MissingSnafu, NetSnafu, StorageThreadSnafu};
 use super::event::Event;
@@ -23,10 +23,10 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// Time between two tries to open the database.
+/// Wait between attempts to open the database.
 const OPEN_RETRY: Duration = Duration::from_millis(500);
 
-/// Opens the database and makes the node; answers of the storage thread go to the inbox.
+/// Opens the database and makes the node; responses of the storage thread go to the inbox.
 pub(super) async fn node(
     settings: &Settings,
     inbox: &Inbox<Event>,
@@ -37,30 +37,13 @@
         needed: "a folder on its disk",
     })?;
     let opened = open(directory).await;
-    if let Some(quarantined) = &opened.quarantined {
-        log::error!(
-            "the database is set quarantined as {}: {}",
-            quarantined.path.display(),
-            quarantined.reason
-        );
-    }
-    if opened.has_quarantined && settings.bootstrap {
-        log::warn!(
-            "`bootstrap` is passed over: a database was set quarantined here, so this is no first start"
-        );
-    }
-    let state = if opened.durable.is_some() {
-        "the disk holds a state"
-    } else {
-        "the disk is empty"
-    };
-    log::info!("{state}; bootstrap is {}", settings.bootstrap);
-    let (requests, mut answers) =
+    log_opened(&opened, settings.bootstrap);
+    let (requests, mut responses) =
         storage_thread::start(opened.storage).context(StorageThreadSnafu)?;
     let inbox = inbox.clone();
     runtime::spawn(async move {
-        while let Some(answer) = answers.next().await {
-            inbox.push(Event::Node(Input::Storage(answer)));
+        while let Some(response) = responses.next().await {
+            inbox.push(Event::Node(Input::Storage(response)));
         }
     });
     let clocks = Clocks {
@@ -68,19 +51,37 @@
         wall_ms: wall_ms(),
     };
     let mut node_settings = node_settings(settings)?;
-    // A member that has forgotten what it had promised must not vote as one that never promised anything.
+    // A member that has lost its record must not vote as one that has never prepared a view.
     node_settings.bootstrap &= !opened.has_quarantined;
     Ok((Node::new(node_settings, opened.durable, clocks), requests))
 }
 
-/// Opens the database; a disk that refuses is tried again, as its trouble may pass.
+fn log_opened(opened: &Opened, bootstrap: bool) {
+    if let Some(quarantined) = &opened.quarantined {
+        log::error!(
+            "database quarantined path={} reason={}",
+            quarantined.path.display(),
+            quarantined.reason
+        );
+    }
+    if opened.has_quarantined && bootstrap {
+        log::warn!("setting `bootstrap` ignored, a database was quarantined here");
+    }
+    log::info!(
+        "database opened has_state={} bootstrap={}",
+        opened.durable.is_some(),
+        bootstrap
+    );
+}
+
+/// Opens the database; an error is retried, as the fault of the disk may pass.
 async fn open(directory: &Path) -> Opened {
     let mut is_first = true;
     loop {
         match Storage::open(directory) {
             Ok(opened) => return opened,
             Err(error) if is_first => {
-                log::error!("the disk cannot be used, it is tried again: {error}")
+                log::error!("database cannot be opened, will retry error={error}")
             }
             Err(_) => {}
         }
@@ -99,13 +100,13 @@
         ..HttpOptions::default()
     };
     let inbox = inbox.clone();
-    let handler = move |request| answer(inbox.clone(), request);
+    let handler = move |request| respond(inbox.clone(), request);
     http::serve(control_address(settings)?, options, handler)
         .await
         .context(NetSnafu)
 }
 
-/// Hands signals to the inbox.
+/// Passes signals to the inbox.
 pub(super) fn watch_signals(inbox: &Inbox<Event>) -> Result<(), DriverError> {
     let mut signals = Signals::register().context(NetSnafu)?;
     let inbox = inbox.clone();
@@ -126,15 +127,15 @@
         .collect()
 }
 
-/// Answers one call of the operator.
-async fn answer(inbox: Inbox<Event>, request: HttpRequest) -> HttpResponse {
+/// Responds to one request of the operator.
+async fn respond(inbox: Inbox<Event>, request: HttpRequest) -> HttpResponse {
     let request = match operator::parse_request(request) {
         Ok(request) => request,
         Err(response) => return response,
     };
-    let (reply, answered) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     inbox.push(Event::Operator { request, reply });
-    operator::write_response(answered.await.unwrap_or(OperatorResponse::NoHead))
+    operator::write_response(response.await.unwrap_or(OperatorResponse::NoHead))
 }
 
 fn control_address(settings: &Settings) -> Result<SocketAddr, DriverError> {
@@ -169,7 +170,7 @@
     })
 }
 
-/// The figures that the scheduler keeps to.
+/// Bounds of the scheduler, under its own names.
 fn scheduler_bounds(bounds: &indigofold_settings::Bounds) -> indigofold_scheduler::Bounds {
     indigofold_scheduler::Bounds {
         max_lease_ms: bounds.max_hold_ms as u64,
--- a/crates/control-plane/src/inbox.rs
+++ b/crates/control-plane/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What has happened since the driver looked last: filled by the tasks that read sockets, emptied by the driver.
+//! Queue of events for the driver: filled by the tasks that read sockets, storage and signals.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// A queue within one thread whose reader takes all that waits at once; clones share it.
+/// A queue within one thread; clones share it.
 pub struct Inbox<T> {
     shared: Rc<RefCell<Shared<T>>>,
 }
--- a/crates/control-plane/src/node/announcement.rs
+++ b/crates/control-plane/src/node/announcement.rs
@@ -74,25 +74,29 @@
 /// Logs one line for each change that an operator may want to know of.
 fn log_changes(old: &Welcome, new: &Welcome) {
     if new.view != old.view {
-        log::info!("view {} follows view {}", new.view, old.view);
+        log::info!("view changed view={} previous={}", new.view, old.view);
     }
     let (old_head, new_head) = (head_name(old), head_name(new));
     if new_head != old_head {
-        log::info!("head: {}", new_head.unwrap_or("none is known"));
+        match new_head {
+            Some(head) => log::info!("head known head={head}"),
+            None => log::info!("no head known"),
+        }
     }
     if new.acting != old.acting {
-        log::info!(
-            "this member {} as head of view {}",
-            if new.acting { "acts" } else { "no longer acts" },
-            new.view
-        );
+        let view = new.view;
+        if new.acting {
+            log::info!("acting as head view={view}");
+        } else {
+            log::info!("no longer acting as head view={view}");
+        }
     }
     let (before, after) = (member_names(old), member_names(new));
     for joined in after.difference(&before) {
-        log::info!("member {joined} is known");
+        log::info!("member added member={joined}");
     }
     for left in before.difference(&after) {
-        log::info!("member {left} is gone");
+        log::info!("member removed member={left}");
     }
 }
 
--- a/crates/control-plane/src/node/connections.rs
+++ b/crates/control-plane/src/node/connections.rs
@@ -41,7 +41,7 @@
     /// A connection is closed, by either side.
     pub(super) fn handle_closed(&mut self, clocks: Clocks, connection: ConnectionId) {
         if let Some(address) = self.peers.connection_closed(clocks.steady_ms, connection) {
-            log::debug!("the connection to {address} is closed");
+            log::debug!("connection closed peer={address}");
         }
         let Some(session) = self.sessions.remove(connection) else {
             return;
@@ -52,7 +52,7 @@
             ProcessKind::Core => return,
         };
         if self.is_head() && session.kind == ProcessKind::Agent {
-            log::info!("node agent {} is no longer connected", session.node_name);
+            log::info!("node agent disconnected agent={}", session.node_name);
         }
         self.scheduler_event(clocks, event);
     }
@@ -60,7 +60,7 @@
     /// A frame was received.
     pub(super) fn handle_frame(&mut self, clocks: Clocks, connection: ConnectionId, frame: Frame) {
         if let Err(error) = self.check_sender(connection, &frame) {
-            log::warn!("a frame is refused and its connection closed: {error}");
+            log::warn!("frame rejected, connection closed error={error}");
             return self.close_connection(clocks, connection);
         }
         match frame {
@@ -108,7 +108,7 @@
             Err(error) => {
                 let session = self.sessions.get(connection);
                 let from = session.map_or("", |session| session.node_name.as_str());
-                log::warn!("a frame is refused and its connection closed: {from}: {error}");
+                log::warn!("frame rejected, connection closed member={from} error={error}");
                 self.close_connection(clocks, connection);
             }
         }
--- a/crates/control-plane/src/node/head_outputs.rs
+++ b/crates/control-plane/src/node/head_outputs.rs
@@ -38,7 +38,7 @@
                 }
                 HeadOutput::Late(end) => log::info!("{end}"),
                 HeadOutput::ConfigActivated { version } => {
-                    log::info!("configuration {version} is in force");
+                    log::info!("configuration activated version={version}");
                 }
             }
         }
@@ -50,17 +50,17 @@
     match response {
         ChangeResponse::Accepted { .. } => {}
         ChangeResponse::Invalid { reason } => {
-            log::info!("an order is refused as invalid: {reason}");
+            log::info!("configuration change rejected as invalid reason={reason}");
         }
         ChangeResponse::VersionConflict { current } => {
-            log::info!("an order is refused: version {current} is current");
+            log::info!("configuration change rejected for a version conflict current={current}");
         }
         ChangeResponse::Undetermined => {
-            log::info!("an order is left unclear: this member is no longer the head");
+            log::info!("configuration change undetermined, no longer head");
         }
         ChangeResponse::Forgotten { remembered_from } => {
             log::info!(
-                "an order is left unclear: it may have been taken before version {remembered_from}"
+                "configuration change undetermined, too old remembered_from={remembered_from}"
             );
         }
     }
--- a/crates/control-plane/src/node/leadership.rs
+++ b/crates/control-plane/src/node/leadership.rs
@@ -4,28 +4,50 @@
 use crate::head::{Clocks, Head};
 use crate::storage_thread::{StorageRequest, StoredRow};
 use indigofold_scheduler::Event;
+use std::fmt;
+
+/// Why a head has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum HeadLossReason {
+    /// Another view holds, or the leadership was handed over.
+    Superseded,
+    /// A write was not confirmed: the head starts anew from its rows.
+    WriteLost,
+    /// The head's role was lost and gained at once: the head starts anew from its rows.
+    Regained,
+}
+
+impl fmt::Display for HeadLossReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            HeadLossReason::Superseded => "superseded",
+            HeadLossReason::WriteLost => "write_lost",
+            HeadLossReason::Regained => "regained",
+        })
+    }
+}
 
 impl Node {
     /// This member has become the head of `view`.
     pub(super) fn head_gained(&mut self, clocks: Clocks, view: u64) {
         if self.is_head() {
-            self.head_lost(clocks, "the head's role was gained anew");
+            self.head_lost(clocks, HeadLossReason::Regained);
         }
-        log::info!("head of view {view}: reads its rows");
+        log::info!("became head, loading rows view={view}");
         self.head_role.start_loading(view, clocks.steady_ms);
         self.request_rows(clocks);
     }
 
     /// The view has changed to `view`, and this member is still its head.
     pub(super) fn head_renewed(&mut self, clocks: Clocks, view: u64) {
-        log::info!("still head, now of view {view}");
+        log::info!("still head after a view change view={view}");
         self.head_role.renew(view);
         self.request_rows(clocks);
     }
 
     /// This member is no longer the head.
-    pub(super) fn head_lost(&mut self, clocks: Clocks, reason: &str) {
-        log::info!("no longer head: {reason}");
+    pub(super) fn head_lost(&mut self, clocks: Clocks, reason: HeadLossReason) {
+        log::info!("no longer head reason={reason}");
         let mut outputs = Vec::new();
         if !self.head_role.resign(&mut outputs) {
             return;
@@ -56,10 +78,10 @@
             .head_role
             .lead(self.settings.bounds, view, clocks, rows, &mut outputs);
         if let Err(error) = result {
-            log::error!("the rows cannot be used to act as head of view {view}: {error}");
+            log::error!("loaded rows are not usable, will retry view={view} error={error}");
             return self.head_role.load_failed(view, clocks.steady_ms);
         }
-        log::info!("head of view {view}: {count} rows read");
+        log::info!("rows loaded view={view} rows={count}");
         self.apply_head_outputs(clocks, outputs);
         for (agent, node_name) in self.sessions.agents() {
             self.scheduler_event(clocks, Event::AgentConnected { agent, node_name });
@@ -82,7 +104,7 @@
     pub(super) fn write_lost(&mut self, clocks: Clocks, write_id: u64) {
         let is_own = |head: &Head| head.waits_for(write_id);
         if self.head_role.leading().is_some_and(is_own) {
-            self.head_lost(clocks, "a write was not confirmed");
+            self.head_lost(clocks, HeadLossReason::WriteLost);
             let view = self.replica.view();
             self.head_role.start_loading_later(view, clocks.steady_ms);
         }
--- a/crates/control-plane/src/node/replication.rs
+++ b/crates/control-plane/src/node/replication.rs
@@ -1,5 +1,6 @@
 //! Inputs and outputs of the replica.
 
+use super::leadership::HeadLossReason;
 use super::{Node, Output};
 use crate::head::Clocks;
 use crate::storage_thread::StorageRequest;
@@ -47,9 +48,7 @@
             }
             ReplicaOutput::HeadGained { view } => self.head_gained(clocks, view),
             ReplicaOutput::HeadRenewed { view } => self.head_renewed(clocks, view),
-            ReplicaOutput::HeadLost => {
-                self.head_lost(clocks, "another view holds, or the role was handed over")
-            }
+            ReplicaOutput::HeadLost => self.head_lost(clocks, HeadLossReason::Superseded),
         }
     }
 }
--- a/crates/control-plane/src/node/storage.rs
+++ b/crates/control-plane/src/node/storage.rs
@@ -29,7 +29,7 @@
                 view,
                 result: Err(error),
             } => {
-                log::error!("the rows cannot be read to act as head of view {view}: {error}");
+                log::error!("loading rows failed, will retry view={view} error={error}");
                 self.head_role.load_failed(view, clocks.steady_ms);
             }
         }
@@ -39,13 +39,13 @@
         match result {
             Ok(()) => {
                 if std::mem::take(&mut self.storage_failing) {
-                    log::info!("the disk takes writes again");
+                    log::info!("disk writes succeed again");
                 }
                 self.replica_input(clocks, ReplicaInput::Stored { store });
             }
             Err(error) => {
                 if !std::mem::replace(&mut self.storage_failing, true) {
-                    log::error!("a write to the disk has failed, it is tried again: {error}");
+                    log::error!("disk write failed, will retry error={error}");
                 }
                 self.replica_input(clocks, ReplicaInput::StoreFailed { store });
             }
@@ -56,7 +56,7 @@
         match result {
             Ok(chunk) => self.replica_input(clocks, ReplicaInput::RowsRead { read, chunk }),
             Err(error) => {
-                log::error!("rows for another member cannot be read: {error}");
+                log::error!("reading rows for another member failed error={error}");
                 self.replica_input(clocks, ReplicaInput::ReadFailed { read });
             }
         }
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other members: one to each, for this member's own messages. Decides whom to dial and when.
+//! Connections to the other members: one to each, for this member's own messages. Decides which members to dial, and when.
 
 use crate::sessions::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,7 +6,7 @@
 
 /// Wait after the first failure, in milliseconds; doubles with each further one.
 const RETRY_FIRST_MS: u64 = 100;
-/// Longest wait between two tries, in milliseconds.
+/// Longest wait between two attempts, in milliseconds.
 const RETRY_LONGEST_MS: u64 = 800;
 
 /// The members that this one dials.
@@ -36,7 +36,7 @@
 }
 
 impl Peers {
-    /// Nobody yet; `seed` starts the random numbers that spread the tries.
+    /// No peers; `seed` starts the random numbers that spread the attempts.
     pub fn new(seed: u64) -> Self {
         Peers {
             links: BTreeMap::new(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Keeps a connection to each of `addresses` from now on, and to nobody else; gives the connections to close.
+    /// Keeps a connection to each of `addresses` from now on, and to no other; returns the connections to close.
     pub fn set_addresses(
         &mut self,
         now_ms: u64,
@@ -68,7 +68,7 @@
         surplus
     }
 
-    /// Whom to dial now; each is to be reported by [`Self::dial_succeeded`] or [`Self::dial_failed`].
+    /// The addresses to dial now; the result of each is to be reported by [`Self::dial_succeeded`] or [`Self::dial_failed`].
     pub fn poll_dials(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         let mut due = Vec::new();
         for (address, link) in &mut self.links {
@@ -80,7 +80,7 @@
         due
     }
 
-    /// When somebody is to be dialled next.
+    /// When [`Self::poll_dials`] is due, on the steady clock in milliseconds.
     pub fn next_due_ms(&self) -> u64 {
         let waiting = self.links.values().filter_map(|link| match link.state {
             LinkState::Waiting { until_ms } => Some(until_ms),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A connection has come about; false if nobody wants it any more.
+    /// A dial has succeeded; false if the connection is not needed any more.
     pub fn dial_succeeded(&mut self, address: SocketAddr, connection: ConnectionId) -> bool {
         let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) else {
             return false;
@@ -109,14 +109,14 @@
         true
     }
 
-    /// Dialling has failed. Where another dial has come about since, that one stays.
+    /// A dial has failed. A connection of another dial stays.
     pub fn dial_failed(&mut self, now_ms: u64, address: SocketAddr) {
         if self.links.get(&address).is_some_and(|link| !link.is_open()) {
             self.schedule_retry(now_ms, address);
         }
     }
 
-    /// The peer is dialled again after a while.
+    /// Schedules the next dial, with backoff and jitter.
     fn schedule_retry(&mut self, now_ms: u64, address: SocketAddr) {
         let wait_ms = self.links.get(&address).map(|link| retry_ms(link.failures));
         let Some(wait_ms) = wait_ms.map(|longest| longest / 2 + self.draw(longest / 2)) else {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A connection is closed; gives the peer that it led to, if it was one of these.
+    /// A connection is closed; returns its peer, if it was one of these.
     pub fn connection_closed(
         &mut self,
         now_ms: u64,
@@ -156,16 +156,7 @@
         }
     }
 
-    /// The peer that this connection leads to.
-    pub fn address(&self, connection: ConnectionId) -> Option<SocketAddr> {
-        let open = LinkState::Open(connection);
-        self.links
-            .iter()
-            .find(|(_, link)| link.state == open)
-            .map(|(address, _)| *address)
-    }
-
-    /// A number from 0 to `below` (xorshift: good enough to spread tries).
+    /// A number from 0 to `below` (xorshift: good enough to spread attempts).
     fn draw(&mut self, below: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
