--- a/crates/control-plane/tests/cluster/main.rs
+++ b/crates/control-plane/tests/cluster/main.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn members_that_start_together_agree_on_one_head() {
+fn members_agree_on_one_head_at_first_start() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
     assert_eq!(
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlasts_the_head() {
+fn acknowledged_change_survives_the_head() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
     assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn it_outlasts_the_death_of_all() {
+fn acknowledged_change_survives_a_restart_of_all_members() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
     assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
@@ -78,7 +78,7 @@
 /// A row has changed on the disk of a member: it sets its database aside, and is a member again once it has all rows from
 /// the others. Then they die, and it leads with what it got.
 #[test]
-fn a_member_whose_disk_has_changed_a_row_gets_it_from_the_others() {
+fn damaged_member_recovers_its_rows_from_the_others() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
     assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_head_that_steps_down_is_followed_at_once() {
+fn successor_takes_over_at_once_after_step_down() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
     assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_head_that_is_cut_off_answers_nothing_and_its_order_is_left_unclear() {
+fn partitioned_head_stops_serving_and_its_change_is_undetermined() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
     cluster.partition(head);
@@ -148,7 +148,7 @@
 #[rstest]
 #[case::at_once(0, true)]
 #[case::after_a_freeze(FREEZE_MS, false)]
-fn what_was_looked_up_is_not_told_once_the_lease_has_run_out(
+fn look_up_results_are_withheld_after_lease_expiry(
     #[case] freeze_ms: u64,
     #[case] is_answered: bool,
 ) {
--- a/crates/control-plane/tests/command_line.rs
+++ b/crates/control-plane/tests/command_line.rs
@@ -14,7 +14,7 @@
 #[case("--log-level debug", Command::Run { log_level: LevelFilter::Debug })]
 #[case("--help", Command::Help)]
 #[case("-V", Command::Version)]
-fn a_command_line_is_understood(#[case] text: &str, #[case] command: Command) {
+fn parses_valid_arguments(#[case] text: &str, #[case] command: Command) {
     assert_eq!(parse(arguments(text)).expect("a command"), command);
 }
 
@@ -22,7 +22,7 @@
 #[case("--log-level loud", "trace are allowed")]
 #[case("--log-level", "--log-level")]
 #[case("run", "`run` is not understood")]
-fn what_is_wrong_is_named(#[case] text: &str, #[case] expected: &str) {
+fn error_names_the_invalid_argument(#[case] text: &str, #[case] expected: &str) {
     let error = parse(arguments(text))
         .expect_err("not a command")
         .to_string();
--- a/crates/control-plane/tests/config_authority.rs
+++ b/crates/control-plane/tests/config_authority.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_order_is_answered_and_in_force_only_once_it_is_committed() {
+fn change_is_acknowledged_and_activated_only_after_its_commit() {
     let mut test = TestAuthority::default();
     test.order(1, put(0, 5, 1000));
     assert!(test.replies.is_empty() && test.in_force.is_empty() && test.authority.text().is_none());
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn of_two_orders_on_one_version_the_first_wins() {
+fn first_of_two_changes_on_one_version_wins() {
     let mut test = TestAuthority::default();
     test.order(1, put(0, 5, 1000));
     test.order(2, put(0, 5, 2000));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_same_order_waits_for_the_write_of_the_first() {
+fn duplicate_change_is_decided_after_the_write_of_the_first() {
     let mut test = TestAuthority::default();
     test.order(1, put(0, 5, 1000));
     test.order(2, put(0, 5, 1000));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_order_on_the_version_being_written_is_taken_after_it() {
+fn change_on_the_pending_version_is_accepted_after_its_commit() {
     let mut test = TestAuthority::default();
     test.order(1, put(0, 5, 1000));
     test.order(2, put(5, 8, 1000));
@@ -159,7 +159,7 @@
 #[rstest]
 #[case::at_the_same_head(false)]
 #[case::at_a_successor(true)]
-fn an_order_taken_is_acknowledged_anew_whatever_came_after(#[case] moved: bool) {
+fn accepted_change_is_acknowledged_on_retry_after_later_changes(#[case] moved: bool) {
     let mut test = TestAuthority::default();
     assert_eq!(
         test.answer(put(0, 5, 1000)),
@@ -189,7 +189,7 @@
 #[case::version_not_higher(put(5, 5, 1001))]
 #[case::unknown_service(put_text(&config(9, 1000).replace(r#""backend":"s""#, r#""backend":"t""#)))]
 #[case::patch_without_version(patch(5, r#"{"remove":{"routes":["r"]}}"#))]
-fn an_invalid_order_changes_nothing(#[case] order: ConfigChange) {
+fn invalid_change_is_rejected_without_effect(#[case] order: ConfigChange) {
     let mut test = TestAuthority::default();
     test.answer(put(0, 5, 1000));
     let answer = test.answer(order);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn the_version_built_on_may_be_quoted() {
+fn if_match_version_may_be_quoted() {
     let mut test = TestAuthority::default();
     let quoted = ConfigChange {
         if_match: Some("\"0\"".to_owned()),
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_patch_changes_the_items_it_names() {
+fn patch_changes_the_items_it_names() {
     let mut test = TestAuthority::default();
     test.answer(put(0, 5, 1000));
     let change = config(5, 2000);
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_head_that_is_no_more_leaves_its_orders_unclear() {
+fn changes_are_undetermined_after_the_head_is_lost() {
     let mut test = TestAuthority::default();
     test.order(1, put(0, 5, 1000));
     test.order(2, put(0, 5, 1000));
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn only_the_newest_orders_are_remembered() {
+fn only_the_newest_changes_are_remembered() {
     let mut test = TestAuthority::default();
     let last = REMEMBERED_CHANGES_MAX as u64 + 1;
     for version in 1..=last {
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_row_that_is_damaged_is_an_error() {
+fn damaged_row_is_an_error() {
     assert!(ConfigAuthority::load([("order/ab", b"x".as_slice())]).is_err());
     assert!(ConfigAuthority::load([(CONFIG_KEY, b"{".as_slice())]).is_err());
     assert!(ConfigAuthority::load([("job/0", b"x".as_slice())]).is_ok());
--- a/crates/control-plane/tests/inspection.rs
+++ b/crates/control-plane/tests/inspection.rs
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn what_runs_and_what_waits_for_room_is_told() {
+fn reports_running_tasks_and_those_waiting_for_capacity() {
     let mut test = TestHead::with_worker();
     test.submit(job(vec![
         step(3, 2_000),
@@ -248,7 +248,7 @@
 #[case::label(Step { requirements: "gold".to_owned(), ..step(1, 100) }, Wait::NoWorkerFits)]
 #[case::size(step(1, 5_000), Wait::NoWorkerFits)]
 #[case::gang(Step { gang: true, ..step(3, 2_000) }, Wait::NoRoom { places: 2, needed: 3 })]
-fn the_reason_of_a_wait_is_told(#[case] wanted: Step, #[case] reason: Wait) {
+fn reports_why_a_step_waits(#[case] wanted: Step, #[case] reason: Wait) {
     let mut test = TestHead::with_worker();
     test.submit(job(vec![wanted]));
     let report = test.inspect();
@@ -259,14 +259,14 @@
 }
 
 #[test]
-fn without_workers_that_is_the_reason() {
+fn step_waits_for_workers_if_there_are_none() {
     let mut test = TestHead::new();
     test.submit(job(vec![step(1, 100)]));
     assert_eq!(test.inspect().steps[0].wait, Some(Wait::NoWorkers));
 }
 
 #[test]
-fn a_job_that_is_not_due_has_no_steps_and_tells_when() {
+fn job_before_its_start_time_has_no_steps_and_a_due_time() {
     let mut test = TestHead::with_worker();
     let start_at_ms = test.clocks.wall_ms + 60_000;
     let timed = JobSpec {
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn ended_jobs_are_counted() {
+fn counts_ended_jobs() {
     let mut test = TestHead::with_worker();
     test.submit(job(vec![step(1, 100)]));
     let task = TaskName {
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_cancelled_job_is_counted_as_such() {
+fn counts_cancelled_jobs() {
     let mut test = TestHead::new();
     test.submit(job(vec![step(1, 100)]));
     test.call(ClientOperation::Cancel);
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn a_second_run_of_a_task_is_told_and_takes_its_room() {
+fn speculative_run_is_listed_and_uses_capacity() {
     let mut test = TestHead::with_worker();
     let agent = AgentId(8);
     test.event(Event::AgentConnected {
--- a/crates/control-plane/tests/node.rs
+++ b/crates/control-plane/tests/node.rs
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn an_order_is_answered_once_it_is_on_disk_and_edges_hear_of_it() {
+fn change_is_acknowledged_and_announced_to_edges_once_it_is_stored() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::acting(directory.path());
     test.order(1, 0, CONFIG);
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_restarted_member_has_what_it_acknowledged() {
+fn acknowledged_change_survives_a_restart() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::acting(directory.path());
     test.order(1, 0, CONFIG);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn before_there_is_a_configuration_it_cannot_be_read() {
+fn reading_without_a_configuration_is_answered_as_such() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::acting(directory.path());
     test.input(Input::Operator {
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_member_that_is_not_the_head_serves_nobody() {
+fn follower_rejects_operators_and_edges() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::start(directory.path(), &[1, 2, 3]);
     test.input(Input::Frame {
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn it_dials_the_seeds_and_says_who_it_is() {
+fn dials_the_seeds_and_sends_its_greeting() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::start(directory.path(), &[1, 2]);
     test.run_until(|outputs| outputs.iter().any(|o| matches!(o, Output::Dial { .. })));
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_head_that_steps_down_takes_no_more_orders() {
+fn head_accepts_no_change_after_step_down() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::acting(directory.path());
     test.input(Input::StepDown);
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn the_rows_on_disk_are_scrubbed_and_damage_ends_the_process() {
+fn scrub_checks_stored_rows_and_damage_ends_the_process() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::acting(directory.path());
     test.order(1, 0, CONFIG);
@@ -382,13 +382,13 @@
 
 /// Frames that their sender does not send, and those that cannot be read: the connection ends, and nothing else happens.
 #[rstest]
-#[case::a_call_before_hello(None, call_frame())]
-#[case::a_call_of_a_companion(Some(ProcessKind::Agent), call_frame())]
-#[case::replication_of_an_edge(Some(ProcessKind::Edge), Frame::Replication(Vec::new()))]
-#[case::a_message_cut_short(Some(ProcessKind::Core), Frame::Replication(vec![1, 2, 3]))]
-#[case::a_message_too_long(Some(ProcessKind::Core), Frame::Replication(vec![0xff; 100_000]))]
-#[case::orders_for_the_head(Some(ProcessKind::Agent), orders_frame())]
-fn a_frame_that_cannot_be_trusted_ends_its_connection(
+#[case::call_before_hello(None, call_frame())]
+#[case::call_from_a_node_agent(Some(ProcessKind::Agent), call_frame())]
+#[case::replication_from_an_edge(Some(ProcessKind::Edge), Frame::Replication(Vec::new()))]
+#[case::truncated_message(Some(ProcessKind::Core), Frame::Replication(vec![1, 2, 3]))]
+#[case::oversized_message(Some(ProcessKind::Core), Frame::Replication(vec![0xff; 100_000]))]
+#[case::orders_to_the_head(Some(ProcessKind::Agent), orders_frame())]
+fn invalid_frame_closes_its_connection(
     #[case] kind: Option<ProcessKind>,
     #[case] frame: Frame,
 ) {
@@ -453,7 +453,7 @@
 }
 
 #[test]
-fn a_second_hello_ends_the_connection() {
+fn second_hello_closes_the_connection() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::acting(directory.path());
     test.input(Input::Frame {
@@ -490,7 +490,7 @@
 }
 
 #[test]
-fn the_head_answers_questions_from_its_rows_and_changes_nothing() {
+fn head_answers_questions_from_stored_rows_without_effect() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::acting(directory.path());
     test.order(1, 0, CONFIG);
@@ -520,7 +520,7 @@
 }
 
 #[test]
-fn a_member_that_is_not_the_head_tells_of_itself_only() {
+fn follower_reports_only_its_own_status() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::start(directory.path(), &[1, 2, 3]);
     inspect(&mut test, 1, Question::Status);
@@ -534,7 +534,7 @@
 }
 
 #[test]
-fn only_some_questions_wait_for_the_rows_at_a_time() {
+fn open_questions_are_limited() {
     let directory = TempDir::new().expect("a folder");
     let mut test = TestNode::acting(directory.path());
     (0..6).for_each(|call| inspect(&mut test, call, Question::Status));
--- a/crates/control-plane/tests/operator.rs
+++ b/crates/control-plane/tests/operator.rs
@@ -25,7 +25,7 @@
 #[rstest]
 #[case(Method::PUT, ConfigMethod::Put)]
 #[case(Method::PATCH, ConfigMethod::Patch)]
-fn orders_are_read(#[case] method: Method, #[case] expected: ConfigMethod) {
+fn parses_changes(#[case] method: Method, #[case] expected: ConfigMethod) {
     let call = parse_request(request(method, "/config"));
     let Ok(OperatorRequest::Change(order)) = call else {
         panic!("{call:?}")
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn reading_is_read() {
+fn parses_reads() {
     assert!(matches!(
         parse_request(request(Method::GET, "/config")),
         Ok(OperatorRequest::Read)
@@ -51,7 +51,7 @@
 #[rstest]
 #[case(Method::GET, "/other", 404)]
 #[case(Method::DELETE, "/config", 405)]
-fn other_calls_are_answered_at_once(
+fn other_requests_get_an_error_response(
     #[case] method: Method,
     #[case] path: &str,
     #[case] status: u16,
@@ -71,12 +71,12 @@
 #[case(OperatorResponse::Change(ChangeResponse::Undetermined), 503)]
 #[case(OperatorResponse::NoConfig, 503)]
 #[case(OperatorResponse::NoHead, 503)]
-fn answers_have_their_status(#[case] answer: OperatorResponse, #[case] status: u16) {
+fn responses_have_their_status(#[case] answer: OperatorResponse, #[case] status: u16) {
     assert_eq!(write_response(answer).status, status);
 }
 
 #[test]
-fn the_configuration_goes_out_as_it_is() {
+fn configuration_is_sent_verbatim() {
     let response = write_response(OperatorResponse::Config(b"{\"version\": 7}".to_vec()));
     assert_eq!(
         (response.status, response.body.as_slice()),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_member_that_is_not_the_head_names_it() {
+fn follower_redirects_to_the_head() {
     let head = SocketAddr::from(([10, 0, 0, 4], 8080));
     let response = write_response(OperatorResponse::RedirectToHead(head));
     let location = response
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_reason_with_quotes_stays_json() {
+fn reason_with_quotes_is_escaped() {
     let reason = "`a\"b\\c`\n".to_owned();
     let response = write_response(OperatorResponse::Change(ChangeResponse::Invalid { reason }));
     assert_eq!(response.body, br#"{"error":"`a\"b\\c` "}"#);
--- a/crates/control-plane/tests/peers.rs
+++ b/crates/control-plane/tests/peers.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn each_peer_is_dialled_once_at_first() {
+fn each_peer_is_dialled_once() {
     let mut peers = peers_with(&[1, 2]);
     assert_eq!(peers.next_due_ms(), NOW_MS);
     assert_eq!(peers.poll_dials(NOW_MS), [address(1), address(2)]);
@@ -35,7 +35,7 @@
 #[case::after_the_first_failure(1, 100)]
 #[case::after_the_third(3, 400)]
 #[case::after_many(40, 800)]
-fn tries_are_spread_and_grow_rarer(#[case] failures: u32, #[case] longest_ms: u64) {
+fn failed_dials_are_retried_with_backoff_and_jitter(#[case] failures: u32, #[case] longest_ms: u64) {
     let mut peers = peers_with(&[1]);
     let mut now_ms = NOW_MS;
     for _ in 0..failures {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_closed_connection_is_dialled_again() {
+fn closed_connection_is_dialled_anew() {
     let mut peers = peers_with(&[1]);
     peers.poll_dials(NOW_MS);
     assert!(peers.dial_succeeded(address(1), ConnectionId(4)));
@@ -68,7 +68,7 @@
 /// A dial to a machine without power hangs for the whole time that it is given; the peer's own connection shows that it
 /// is back.
 #[test]
-fn a_peer_that_connects_is_dialled_at_once() {
+fn connecting_peer_is_dialled_at_once() {
     let mut peers = peers_with(&[1, 2]);
     peers.poll_dials(NOW_MS);
     peers.peer_connected(NOW_MS + 5, address(1));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_peer_that_is_no_more_is_let_go() {
+fn connection_of_a_removed_peer_is_closed() {
     let mut peers = peers_with(&[1, 2]);
     peers.poll_dials(NOW_MS);
     peers.dial_succeeded(address(1), ConnectionId(4));
