--- a/crates/control-plane/tests/cluster/main.rs
+++ b/crates/control-plane/tests/control_plane/cluster.rs
@@ -1,38 +1,21 @@
-//! Three members with real databases, on links and a clock of the test's own.
+//! Three members with real databases, on simulated connections and a simulated clock.
 
-mod simulated_cluster;
-
-use indigofold_control_plane::config_authority::{ChangeResponse, ConfigChange, ConfigMethod};
-use indigofold_control_plane::node::{Input, Output};
+use crate::builders::{EDGE, accepted, config_read, edge_replies, first_config, hello, put};
+use crate::simulated_cluster::{CONTROL_PORT, SimulatedCluster};
+use indigofold_control_plane::config_authority::ChangeResponse;
+use indigofold_control_plane::node::Input;
 use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
-use indigofold_control_plane::sessions::ConnectionId;
 use indigofold_protocol::internal::{
     ClientCall, ClientOperation, ClientOutcome, Frame, ProcessKind,
 };
 use rstest::rstest;
-use simulated_cluster::{CONTROL_PORT, SimulatedCluster, hello};
 
 /// Longer than any lease.
 const FREEZE_MS: u64 = 60_000;
-const EDGE: ConnectionId = ConnectionId(1_000_000);
-
-const CONFIG: &str = r#"{"version":5,"routes":[],"services":[],"limits":{}}"#;
-
-fn order(if_match: &str, body: &str) -> OperatorRequest {
-    let body = body.as_bytes().to_vec();
-    OperatorRequest::Change(ConfigChange {
-        method: ConfigMethod::Put,
-        if_match: Some(if_match.to_owned()),
-        body,
-    })
-}
 
-fn taken() -> OperatorResponse {
-    OperatorResponse::Change(ChangeResponse::Accepted { version: 5 })
-}
-
-fn config() -> OperatorResponse {
-    OperatorResponse::Config(CONFIG.as_bytes().to_vec())
+/// The operator's request that makes the first configuration.
+fn put_first_config() -> OperatorRequest {
+    OperatorRequest::Change(put(0, &first_config()))
 }
 
 #[test]
@@ -44,7 +27,7 @@
         OperatorResponse::NoConfig
     );
     for other in (0..3).filter(|member| *member != head) {
-        let OperatorResponse::RedirectToHead(control) = cluster.request(other, order("0", CONFIG))
+        let OperatorResponse::RedirectToHead(control) = cluster.request(other, put_first_config())
         else {
             panic!("member {other} does not name the head");
         };
@@ -56,23 +39,26 @@
 fn acknowledged_change_survives_the_head() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
-    assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
     cluster.kill(head);
     let successor = cluster.run_to_head();
     assert_ne!(successor, head);
-    assert_eq!(cluster.request(successor, OperatorRequest::Read), config());
-    assert_eq!(cluster.request(successor, order("0", CONFIG)), taken());
+    assert_eq!(
+        cluster.request(successor, OperatorRequest::Read),
+        config_read()
+    );
+    assert_eq!(cluster.request(successor, put_first_config()), accepted());
 }
 
 #[test]
 fn acknowledged_change_survives_a_restart_of_all_members() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
-    assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
     (0..3).for_each(|member| cluster.kill(member));
     (0..3).for_each(|member| cluster.restart(member));
     let head = cluster.run_to_head();
-    assert_eq!(cluster.request(head, OperatorRequest::Read), config());
+    assert_eq!(cluster.request(head, OperatorRequest::Read), config_read());
 }
 
 /// A row has changed on the disk of a member: it sets its database aside, and is a member again once it has all rows from
@@ -81,7 +67,7 @@
 fn damaged_member_recovers_its_rows_from_the_others() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
-    assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
     let (damaged, third) = ((head + 1) % 3, (head + 2) % 3);
     cluster
         .run_until(|cluster| cluster.node(damaged).is_needed() && cluster.node(third).is_needed());
@@ -91,13 +77,16 @@
     cluster.run_until(|cluster| cluster.node(damaged).is_needed());
     cluster.kill(head);
     let successor = cluster.run_to_head();
-    assert_eq!(cluster.request(successor, OperatorRequest::Read), config());
+    assert_eq!(
+        cluster.request(successor, OperatorRequest::Read),
+        config_read()
+    );
     if successor != damaged {
         cluster.restart(head);
         cluster.run_until(|cluster| cluster.node(head).is_needed());
         cluster.kill(successor);
         let last = cluster.run_to_head();
-        assert_eq!(cluster.request(last, OperatorRequest::Read), config());
+        assert_eq!(cluster.request(last, OperatorRequest::Read), config_read());
     }
 }
 
@@ -105,7 +94,7 @@
 fn successor_takes_over_at_once_after_step_down() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
-    assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
     let before_ms = cluster.now_ms();
     cluster.input(head, Input::StepDown);
     cluster.run_until(|cluster| !cluster.node(head).is_needed());
@@ -116,7 +105,10 @@
         "{} ms",
         cluster.now_ms() - before_ms
     );
-    assert_eq!(cluster.request(successor, OperatorRequest::Read), config());
+    assert_eq!(
+        cluster.request(successor, OperatorRequest::Read),
+        config_read()
+    );
 }
 
 #[test]
@@ -124,7 +116,7 @@
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
     cluster.partition(head);
-    let call = cluster.call(head, order("0", CONFIG));
+    let call = cluster.call(head, put_first_config());
     let successor = cluster.run_to_head_other_than(head);
     assert!(!matches!(
         cluster.answer(call),
@@ -154,7 +146,7 @@
 ) {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
-    assert_eq!(cluster.request(head, order("0", CONFIG)), taken());
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
     cluster.input(
         head,
         Input::Frame {
@@ -177,14 +169,7 @@
         },
         freeze_ms,
     );
-    let replies = outputs.into_iter().filter_map(|output| match output {
-        Output::Send {
-            connection: EDGE,
-            frame: Frame::Reply(reply),
-        } => Some(reply.outcome),
-        _ => None,
-    });
-    let replies: Vec<ClientOutcome> = replies.collect();
+    let replies = edge_replies(outputs);
     let expected = |outcome: &ClientOutcome| match outcome {
         ClientOutcome::UnknownRoute => is_answered,
         ClientOutcome::Unavailable { .. } => !is_answered,
--- /dev/null
+++ b/crates/control-plane/tests/control_plane/main.rs
@@ -0,0 +1,13 @@
+//! Tests of the core member's process, without sockets: each part alone, one member, and a cluster of members.
+
+mod builders;
+mod cluster;
+mod command_line;
+mod config_authority;
+mod inspection;
+mod node;
+mod operator;
+mod peers;
+mod simulated_cluster;
+mod test_head;
+mod test_node;
--- /dev/null
+++ b/crates/control-plane/tests/control_plane/node.rs
@@ -0,0 +1,282 @@
+//! One member: how it becomes the head, which processes it serves, and what it stores.
+
+use crate::builders::{CONFIG_VERSION, EDGE, MAX_BODY_BYTES, accepted, config_read};
+use crate::test_node::{TestNode, address};
+use indigofold_control_plane::node::{Input, Output, SCRUB_INTERVAL_MS};
+use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
+use indigofold_control_plane::sessions::ConnectionId;
+use indigofold_control_plane::storage_thread::StorageResponse;
+use indigofold_protocol::inspection::{InspectionAnswer, Question};
+use indigofold_protocol::internal::{
+    AgentOrders, ClientCall, ClientOperation, ClientOutcome, Frame, ProcessKind,
+};
+use indigofold_protocol::task::JobId;
+use indigofold_replication::StorageError;
+use rstest::rstest;
+
+/// The frames that the member has sent on a connection.
+fn sent_to(test: &TestNode, connection: ConnectionId) -> Vec<&Frame> {
+    let frames = test.outputs().iter().filter_map(|output| match output {
+        Output::Send {
+            connection: to,
+            frame,
+        } if *to == connection => Some(frame),
+        _ => None,
+    });
+    frames.collect()
+}
+
+#[test]
+fn change_is_acknowledged_and_announced_to_edges_once_it_is_stored() {
+    let mut test = TestNode::acting();
+    test.put_first_config(1);
+    assert!(!test.undelivered().is_empty() && test.take_responses().is_empty());
+    test.deliver_storage();
+    let welcome = test.welcomes().last().expect("a welcome to the edge");
+    assert_eq!(
+        (welcome.config_version, welcome.limits.max_body_bytes),
+        (CONFIG_VERSION, MAX_BODY_BYTES)
+    );
+    assert_eq!(test.take_responses(), [(1, accepted())]);
+    test.operator(2, OperatorRequest::Read);
+    assert_eq!(test.take_responses(), [(2, config_read())]);
+}
+
+#[test]
+fn acknowledged_change_survives_a_restart() {
+    let mut test = TestNode::acting();
+    test.put_first_config(1);
+    test.deliver_storage();
+    let mut test = test.restart();
+    test.operator(2, OperatorRequest::Read);
+    assert_eq!(test.take_responses(), [(2, config_read())]);
+    test.put_first_config(3);
+    assert_eq!(test.take_responses(), [(3, accepted())]);
+}
+
+#[test]
+fn reading_without_a_configuration_is_answered_as_such() {
+    let mut test = TestNode::acting();
+    test.operator(1, OperatorRequest::Read);
+    assert_eq!(test.take_responses(), [(1, OperatorResponse::NoConfig)]);
+}
+
+#[test]
+fn follower_rejects_operators_and_edges() {
+    let mut test = TestNode::start(&[1, 2, 3]);
+    test.connect(EDGE, ProcessKind::Edge);
+    let welcome = test.welcomes().next().expect("a welcome to the edge");
+    assert!(!welcome.acting && welcome.head.is_none());
+    test.put_first_config(1);
+    assert_eq!(test.take_responses(), [(1, OperatorResponse::NoHead)]);
+    test.call(ClientOperation::Get);
+    assert!(matches!(
+        test.take_replies()[..],
+        [ClientOutcome::Unavailable { .. }]
+    ));
+}
+
+#[test]
+fn dials_the_seeds_and_sends_its_greeting() {
+    let mut test = TestNode::start(&[1, 2]);
+    test.run_until(|test| {
+        test.outputs()
+            .iter()
+            .any(|output| matches!(output, Output::Dial { .. }))
+    });
+    let dialled = test.outputs().iter().filter(
+        |output| matches!(output, Output::Dial { address: dialled } if *dialled == address(2)),
+    );
+    assert_eq!(dialled.count(), 1);
+    test.clear_outputs();
+    test.input(Input::Dialled {
+        address: address(2),
+        connection: ConnectionId(3),
+    });
+    let sent = sent_to(&test, ConnectionId(3));
+    assert!(
+        matches!(sent[..], [Frame::Hello(_), Frame::Welcome(_), ..]),
+        "{sent:?}"
+    );
+}
+
+#[test]
+fn head_accepts_no_change_after_step_down() {
+    let mut test = TestNode::acting();
+    test.input(Input::StepDown);
+    // Without another member to hand over to, it may stay the head.
+    for _ in 0..100 {
+        test.deliver_storage();
+        if !test.is_head() {
+            break;
+        }
+        test.advance_to_timer();
+    }
+    test.clear_outputs();
+    test.put_first_config(1);
+    let responses = test.take_responses();
+    assert!(
+        !responses
+            .iter()
+            .any(|(_, response)| *response == accepted()),
+        "{responses:?}"
+    );
+}
+
+#[test]
+fn scrub_checks_stored_rows_and_damage_ends_the_process() {
+    let mut test = TestNode::acting();
+    test.put_first_config(1);
+    test.deliver_storage();
+    test.advance(SCRUB_INTERVAL_MS);
+    let scrub = test
+        .undelivered()
+        .iter()
+        .find(|response| matches!(response, StorageResponse::Scrub { .. }));
+    assert!(
+        matches!(scrub, Some(StorageResponse::Scrub { result: Ok(None) })),
+        "{scrub:?}"
+    );
+    let error = StorageError::DamagedRow {
+        path: test.directory().into(),
+        key: "config".to_owned(),
+    };
+    test.input(Input::Storage(StorageResponse::Scrub {
+        result: Err(error),
+    }));
+    let is_reported = test
+        .outputs()
+        .iter()
+        .any(|output| matches!(output, Output::Damaged { reason } if reason.contains("config")));
+    assert!(is_reported, "{:?}", test.outputs().last());
+}
+
+/// Frames that their sender may not send, and those that cannot be decoded: the connection is closed without further
+/// effect.
+#[rstest]
+#[case::call_before_hello(None, call_frame())]
+#[case::call_from_a_node_agent(Some(ProcessKind::Agent), call_frame())]
+#[case::replication_from_an_edge(Some(ProcessKind::Edge), Frame::Replication(Vec::new()))]
+#[case::truncated_message(Some(ProcessKind::Core), Frame::Replication(vec![1, 2, 3]))]
+#[case::oversized_message(Some(ProcessKind::Core), Frame::Replication(vec![0xff; 100_000]))]
+#[case::orders_to_the_head(Some(ProcessKind::Agent), orders_frame())]
+fn invalid_frame_closes_its_connection(#[case] kind: Option<ProcessKind>, #[case] frame: Frame) {
+    let mut test = TestNode::acting();
+    let connection = ConnectionId(400);
+    if let Some(kind) = kind {
+        test.connect(connection, kind);
+    }
+    test.clear_outputs();
+    test.receive(connection, frame);
+    let is_close = |output: &Output| matches!(output, Output::Close { connection: closed } if *closed == connection);
+    assert!(test.outputs().iter().any(is_close), "{:?}", test.outputs());
+    assert!(
+        sent_to(&test, connection).is_empty(),
+        "{:?}",
+        test.outputs()
+    );
+    test.clear_outputs();
+    test.put_first_config(1);
+    test.deliver_storage();
+    assert!(
+        test.take_responses()
+            .iter()
+            .any(|(_, response)| *response == accepted()),
+        "the member still serves"
+    );
+}
+
+fn call_frame() -> Frame {
+    let (host, path) = ("a.example".to_owned(), "/p/1".to_owned());
+    Frame::Call(ClientCall {
+        call: 1,
+        host,
+        path,
+        operation: ClientOperation::Get,
+    })
+}
+
+fn orders_frame() -> Frame {
+    Frame::Orders(AgentOrders {
+        epoch: 99,
+        echo_sent_ms: None,
+        instance: String::new(),
+        start: Vec::new(),
+        stop: Vec::new(),
+        acknowledged_end: None,
+    })
+}
+
+#[test]
+fn second_hello_closes_the_connection() {
+    let mut test = TestNode::acting();
+    test.connect(EDGE, ProcessKind::Edge);
+    assert!(
+        test.outputs()
+            .iter()
+            .any(|output| matches!(output, Output::Close { connection: EDGE }))
+    );
+}
+
+#[test]
+fn head_answers_questions_from_stored_rows_without_effect() {
+    let mut test = TestNode::acting();
+    test.put_first_config(1);
+    test.deliver_storage();
+    test.clear_outputs();
+    let versions = |answer: &InspectionAnswer| match answer {
+        InspectionAnswer::Status(status) => (
+            status.stored.seq,
+            status.work.as_ref().map(|work| work.config_version),
+        ),
+        other => panic!("a status is expected: {other:?}"),
+    };
+    test.inspect(1, Question::Status);
+    assert!(
+        test.take_answers().is_empty(),
+        "the rows have to be read first"
+    );
+    test.deliver_storage();
+    let first = test.take_answers();
+    test.inspect(2, Question::Status);
+    test.inspect(3, Question::Job(JobId(7)));
+    test.deliver_storage();
+    let later = test.take_answers();
+    assert_eq!(
+        (first[0].0, versions(&first[0].1).1),
+        (1, Some(CONFIG_VERSION))
+    );
+    assert_eq!(versions(&later[0].1), versions(&first[0].1));
+    assert_eq!(later[1], (3, InspectionAnswer::Job(None)));
+}
+
+#[test]
+fn follower_reports_only_its_own_status() {
+    let mut test = TestNode::start(&[1, 2, 3]);
+    test.inspect(1, Question::Status);
+    test.inspect(2, Question::Job(JobId(7)));
+    let answers = test.take_answers();
+    let InspectionAnswer::Status(status) = &answers[0].1 else {
+        panic!("a status is expected")
+    };
+    assert!(!status.acting && status.work.is_none() && status.peers.len() == 2);
+    assert_eq!(answers[1], (2, InspectionAnswer::NotHead { head: None }));
+}
+
+#[test]
+fn open_questions_are_limited() {
+    let mut test = TestNode::acting();
+    (0..6).for_each(|call| test.inspect(call, Question::Status));
+    let rejected = test.take_answers();
+    assert!(
+        rejected
+            .iter()
+            .all(|(_, answer)| matches!(answer, InspectionAnswer::Unavailable { .. }))
+    );
+    assert_eq!(
+        rejected.iter().map(|(call, _)| *call).collect::<Vec<_>>(),
+        [4, 5]
+    );
+    test.deliver_storage();
+    assert_eq!(test.take_answers().len(), 4);
+}
--- a/crates/control-plane/tests/operator.rs
+++ b/crates/control-plane/tests/control_plane/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's calls as HTTP requests and responses.
+//! The operator's requests and responses in HTTP.
 
 use indigofold_control_plane::config_authority::{ChangeResponse, ConfigMethod};
 use indigofold_control_plane::operator::{
@@ -26,15 +26,15 @@
 #[case(Method::PUT, ConfigMethod::Put)]
 #[case(Method::PATCH, ConfigMethod::Patch)]
 fn parses_changes(#[case] method: Method, #[case] expected: ConfigMethod) {
-    let call = parse_request(request(method, "/config"));
-    let Ok(OperatorRequest::Change(order)) = call else {
-        panic!("{call:?}")
+    let parsed = parse_request(request(method, "/config"));
+    let Ok(OperatorRequest::Change(change)) = parsed else {
+        panic!("{parsed:?}")
     };
     assert_eq!(
         (
-            order.method,
-            order.if_match.as_deref(),
-            order.body.as_slice()
+            change.method,
+            change.if_match.as_deref(),
+            change.body.as_slice()
         ),
         (expected, Some("5"), b"{}".as_slice())
     );
@@ -58,7 +58,7 @@
 ) {
     assert_eq!(
         parse_request(request(method, path))
-            .expect_err("no call of the operator")
+            .expect_err("no request of the operator's API")
             .status,
         status
     );
@@ -71,8 +71,8 @@
 #[case(OperatorResponse::Change(ChangeResponse::Undetermined), 503)]
 #[case(OperatorResponse::NoConfig, 503)]
 #[case(OperatorResponse::NoHead, 503)]
-fn responses_have_their_status(#[case] answer: OperatorResponse, #[case] status: u16) {
-    assert_eq!(write_response(answer).status, status);
+fn responses_have_their_status(#[case] response: OperatorResponse, #[case] status: u16) {
+    assert_eq!(write_response(response).status, status);
 }
 
 #[test]
--- a/crates/control-plane/tests/peers.rs
+++ b/crates/control-plane/tests/control_plane/peers.rs
@@ -35,7 +35,10 @@
 #[case::after_the_first_failure(1, 100)]
 #[case::after_the_third(3, 400)]
 #[case::after_many(40, 800)]
-fn failed_dials_are_retried_with_backoff_and_jitter(#[case] failures: u32, #[case] longest_ms: u64) {
+fn failed_dials_are_retried_with_backoff_and_jitter(
+    #[case] failures: u32,
+    #[case] longest_ms: u64,
+) {
     let mut peers = peers_with(&[1]);
     let mut now_ms = NOW_MS;
     for _ in 0..failures {
--- a/crates/control-plane/tests/cluster/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -1,12 +1,13 @@
-//! The members, their links and the clock.
+//! A cluster of members with real databases, on simulated connections and a simulated clock.
 
+use crate::builders::{START_MS, clocks, hello};
 use indigofold_control_plane::config_authority::CallId;
 use indigofold_control_plane::head::Clocks;
 use indigofold_control_plane::node::{Input, Node, NodeSettings, Output};
 use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
 use indigofold_control_plane::sessions::ConnectionId;
 use indigofold_control_plane::storage_thread::{StorageRequest, execute};
-use indigofold_protocol::internal::{Frame, Hello, MemberAddress, ProcessKind};
+use indigofold_protocol::internal::{Frame, MemberAddress, ProcessKind};
 use indigofold_replication::Storage;
 use indigofold_scheduler::Bounds;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -15,8 +16,6 @@
 
 pub const CONTROL_PORT: u16 = 8080;
 const INTERNAL_PORT: u16 = 7380;
-const START_MS: u64 = 1_000_000;
-const WALL_MS: u64 = 1_700_000_000_000;
 /// More wake-ups than any test needs.
 const STEPS_MAX: usize = 20_000;
 
@@ -49,7 +48,7 @@
     /// Members that start for the first time, all of them seeds.
     pub fn start(count: usize) -> SimulatedCluster {
         let directories = (0..count)
-            .map(|_| TempDir::new().expect("a folder"))
+            .map(|_| TempDir::new().expect("a directory"))
             .collect();
         let mut cluster = SimulatedCluster {
             directories,
@@ -319,10 +318,7 @@
     }
 
     fn clocks(&self) -> Clocks {
-        Clocks {
-            steady_ms: self.now_ms,
-            wall_ms: WALL_MS + self.now_ms - START_MS,
-        }
+        clocks(self.now_ms)
     }
 
     fn number(&mut self) -> u64 {
@@ -330,12 +326,3 @@
         self.last_number
     }
 }
-
-pub fn hello(node_name: &str, kind: ProcessKind, incarnation: u64) -> Hello {
-    Hello {
-        node_name: node_name.to_owned(),
-        kind,
-        zone: "a".to_owned(),
-        incarnation,
-    }
-}
--- /dev/null
+++ b/crates/control-plane/tests/control_plane/test_node.rs
@@ -0,0 +1,245 @@
+//! One member with a real database and a simulated clock.
+
+use crate::builders::{EDGE, START_MS, clocks, edge_replies, first_config, hello, put};
+use indigofold_control_plane::head::Clocks;
+use indigofold_control_plane::node::{Input, Node, NodeSettings, Output};
+use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
+use indigofold_control_plane::sessions::ConnectionId;
+use indigofold_control_plane::storage_thread::{StorageResponse, execute};
+use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, Question};
+use indigofold_protocol::internal::{
+    ClientCall, ClientOperation, ClientOutcome, Frame, MemberAddress, ProcessKind, Welcome,
+};
+use indigofold_replication::Storage;
+use indigofold_scheduler::Bounds;
+use std::net::SocketAddr;
+use std::path::Path;
+use tempfile::TempDir;
+
+const INTERNAL_PORT: u16 = 7380;
+const CONTROL_PORT: u16 = 8080;
+/// The command line tool's connection; it sends no greeting.
+const TOOL: ConnectionId = ConnectionId(300);
+/// More timers than any test needs.
+const TIMEOUTS_MAX: usize = 1_000;
+
+/// Internal address of the machine with this last byte; the member under test is 1.
+pub fn address(last: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, last], INTERNAL_PORT))
+}
+
+pub struct TestNode {
+    node: Node,
+    storage: Storage,
+    directory: TempDir,
+    now_ms: u64,
+    /// Responses of the storage that have not been delivered.
+    undelivered: Vec<StorageResponse>,
+    outputs: Vec<Output>,
+}
+
+impl TestNode {
+    /// A member that starts for the first time, with the seeds at these machines.
+    pub fn start(seeds: &[u8]) -> TestNode {
+        TestNode::start_in(TempDir::new().expect("a directory"), seeds)
+    }
+
+    /// A member that has become the acting head, as it is the only one.
+    pub fn acting() -> TestNode {
+        TestNode::start(&[1]).into_acting()
+    }
+
+    /// Ends the process and starts it with the same database, until it acts.
+    pub fn restart(self) -> TestNode {
+        let TestNode {
+            directory, storage, ..
+        } = self;
+        drop(storage);
+        TestNode::start_in(directory, &[1]).into_acting()
+    }
+
+    fn start_in(directory: TempDir, seeds: &[u8]) -> TestNode {
+        let opened = Storage::open(directory.path()).expect("a database");
+        TestNode {
+            node: Node::new(settings(seeds), opened.durable, clocks(START_MS)),
+            storage: opened.storage,
+            directory,
+            now_ms: START_MS,
+            undelivered: Vec::new(),
+            outputs: Vec::new(),
+        }
+    }
+
+    fn into_acting(mut self) -> TestNode {
+        self.connect(EDGE, ProcessKind::Edge);
+        self.run_until(|test| test.welcomes().any(|welcome| welcome.acting));
+        self.outputs.clear();
+        self
+    }
+
+    pub fn directory(&self) -> &Path {
+        self.directory.path()
+    }
+
+    pub fn is_head(&self) -> bool {
+        self.node.is_head()
+    }
+
+    /// The outputs since they were last cleared or taken, without requests to the storage.
+    pub fn outputs(&self) -> &[Output] {
+        &self.outputs
+    }
+
+    pub fn clear_outputs(&mut self) {
+        self.outputs.clear();
+    }
+
+    /// The welcomes among the outputs to the edge.
+    pub fn welcomes(&self) -> impl Iterator<Item = &Welcome> {
+        self.outputs.iter().filter_map(|output| match output {
+            Output::Send {
+                connection: EDGE,
+                frame: Frame::Welcome(welcome),
+            } => Some(welcome),
+            _ => None,
+        })
+    }
+
+    /// Responses of the storage that have not been delivered.
+    pub fn undelivered(&self) -> &[StorageResponse] {
+        &self.undelivered
+    }
+
+    /// Handles an input. Requests to the storage are carried out; their responses are left undelivered.
+    pub fn input(&mut self, input: Input) {
+        self.node.handle(self.clocks(), input);
+        self.poll_outputs();
+    }
+
+    /// Handles a frame.
+    pub fn receive(&mut self, connection: ConnectionId, frame: Frame) {
+        self.input(Input::Frame { connection, frame });
+    }
+
+    /// A process connects and sends its greeting.
+    pub fn connect(&mut self, connection: ConnectionId, kind: ProcessKind) {
+        let hello = hello(&format!("{kind:?}"), kind, 1);
+        self.receive(connection, Frame::Hello(hello));
+    }
+
+    /// Delivers the responses of the storage, until there are no more.
+    pub fn deliver_storage(&mut self) {
+        while !self.undelivered.is_empty() {
+            let response = self.undelivered.remove(0);
+            self.input(Input::Storage(response));
+        }
+    }
+
+    /// Advances the clock and runs the timers that are due.
+    pub fn advance(&mut self, by_ms: u64) {
+        self.now_ms += by_ms;
+        self.node.handle_timeout(self.clocks());
+        self.poll_outputs();
+    }
+
+    /// Advances the clock to the next timer and runs it.
+    pub fn advance_to_timer(&mut self) {
+        let next_ms = self.node.next_timeout_ms(self.clocks());
+        self.advance(next_ms.saturating_sub(self.now_ms).max(1));
+    }
+
+    /// Runs from timer to timer, with the storage at work, until `reached`.
+    pub fn run_until(&mut self, reached: impl Fn(&TestNode) -> bool) {
+        for _ in 0..TIMEOUTS_MAX {
+            self.deliver_storage();
+            if reached(self) {
+                return;
+            }
+            self.advance_to_timer();
+        }
+        panic!("not reached; the last output is {:?}", self.outputs.last());
+    }
+
+    /// Handles a request of the operator.
+    pub fn operator(&mut self, call: u64, request: OperatorRequest) {
+        self.input(Input::Operator { call, request });
+    }
+
+    /// The operator sends [`first_config`] as the first configuration.
+    pub fn put_first_config(&mut self, call: u64) {
+        self.operator(call, OperatorRequest::Change(put(0, &first_config())));
+    }
+
+    /// The edge sends a client's call.
+    pub fn call(&mut self, operation: ClientOperation) {
+        let call = ClientCall {
+            call: 1,
+            host: "a.example".to_owned(),
+            path: "/p/00000000000000aa".to_owned(),
+            operation,
+        };
+        self.receive(EDGE, Frame::Call(call));
+    }
+
+    /// The command line tool sends a question.
+    pub fn inspect(&mut self, call: u64, question: Question) {
+        self.receive(TOOL, Frame::Inspect(InspectionCall { call, question }));
+    }
+
+    /// Takes the outputs, and returns the responses to the operator among them.
+    pub fn take_responses(&mut self) -> Vec<(u64, OperatorResponse)> {
+        let responses = self.outputs.drain(..).filter_map(|output| match output {
+            Output::Respond { call, response } => Some((call, response)),
+            _ => None,
+        });
+        responses.collect()
+    }
+
+    /// Takes the outputs, and returns the replies to the edge among them.
+    pub fn take_replies(&mut self) -> Vec<ClientOutcome> {
+        edge_replies(std::mem::take(&mut self.outputs))
+    }
+
+    /// Takes the outputs, and returns the answers to the command line tool among them.
+    pub fn take_answers(&mut self) -> Vec<(u64, InspectionAnswer)> {
+        let answers = self.outputs.drain(..).filter_map(|output| match output {
+            Output::Send {
+                connection: TOOL,
+                frame: Frame::Inspected(reply),
+            } => Some((reply.call, reply.answer)),
+            _ => None,
+        });
+        answers.collect()
+    }
+
+    fn clocks(&self) -> Clocks {
+        clocks(self.now_ms)
+    }
+
+    fn poll_outputs(&mut self) {
+        for output in self.node.poll_outputs(self.now_ms) {
+            match output {
+                Output::Storage(request) => {
+                    self.undelivered.push(execute(&mut self.storage, request));
+                }
+                other => self.outputs.push(other),
+            }
+        }
+    }
+}
+
+fn settings(seeds: &[u8]) -> NodeSettings {
+    NodeSettings {
+        hello: hello("core-1", ProcessKind::Core, 1),
+        address: MemberAddress {
+            node_name: "core-1".to_owned(),
+            internal: address(1),
+            control: SocketAddr::from(([10, 0, 0, 1], CONTROL_PORT)),
+        },
+        seeds: seeds.iter().copied().map(address).collect(),
+        bootstrap: true,
+        tolerated_losses: 0,
+        bounds: Bounds::default(),
+        random_seed: 7,
+    }
+}
