--- a/crates/control-plane/src/command_line.rs
+++ b/crates/control-plane/src/command_line.rs
@@ -24,7 +24,7 @@
 Exit codes: 0 after SIGTERM, 1 for a failure, 2 for a bad command line or settings.
 ";
 
-/// What the command line asks for.
+/// A command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Print [`HELP`].
@@ -33,12 +33,12 @@
     Version,
     /// Run a member.
     Run {
-        /// What is logged.
+        /// Lowest level that is logged.
         log_level: LevelFilter,
     },
 }
 
-/// A command line that cannot be understood.
+/// A command line that is not valid.
 #[derive(Debug, Snafu)]
 pub enum ArgumentError {
     /// A value is missing or not allowed.
@@ -47,7 +47,7 @@
         /// Why.
         source: pico_args::Error,
     },
-    /// There are arguments that mean nothing.
+    /// There are unknown arguments.
     #[snafu(display("`{}` is not understood; see --help", argument.to_string_lossy()))]
     Unknown {
         /// The first of them.
@@ -55,7 +55,11 @@
     },
 }
 
-/// Reads the arguments (without the program's name).
+/// Parses the arguments (without the program's name).
+///
+/// # Errors
+///
+/// An argument is unknown, or the log level is not valid.
 pub fn parse(arguments: Vec<OsString>) -> Result<Command, ArgumentError> {
     let mut arguments = pico_args::Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -54,8 +54,9 @@
     pub body: Vec<u8>,
 }
 
-/// Number of one request of the operator until it is answered; chosen by the caller.
-pub type CallId = u64;
+/// Identifies a request of the operator until it is answered; chosen by the caller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct CallId(pub u64);
 
 /// Response to a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -136,7 +137,7 @@
     }
 }
 
-/// A change whose turn has not come.
+/// A change that has not been decided.
 struct QueuedChange {
     call: CallId,
     change: ConfigChange,
@@ -207,7 +208,7 @@
         self.config().map_or(0, |config| config.version)
     }
 
-    /// Queues a change and decides it if its turn has come.
+    /// Queues a change, and decides it unless another one is being written.
     pub fn handle_change(&mut self, call: CallId, change: ConfigChange, effects: &mut Vec<Effect>) {
         self.queue.push_back(QueuedChange { call, change });
         self.decide_queued(effects);
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -1,14 +1,16 @@
 //! Runs a [`Node`]: connects it with sockets, storage thread, clocks and signals. One thread serves all but the disk.
 
+mod clock;
 mod connections;
 mod error;
 mod event;
+mod operator_api;
 mod start;
 
 pub use error::DriverError;
 
+use crate::clocks::Clocks;
 use crate::config_authority::CallId;
-use crate::head::Clocks;
 use crate::inbox::Inbox;
 use crate::node::{Input, Node, Output};
 use crate::operator::OperatorResponse;
@@ -18,7 +20,7 @@
 use futures_channel::oneshot;
 use indigofold_net::http::HttpServer;
 use indigofold_net::signals::Signal;
-use indigofold_net::{runtime, steady_ms, wall_ms};
+use indigofold_net::{runtime, steady_ms};
 use indigofold_settings::Settings;
 use std::collections::HashMap;
 use std::sync::mpsc::Sender;
@@ -42,11 +44,11 @@
 /// A setting is missing, a socket or the storage thread cannot be used, or the database is damaged.
 pub async fn run(settings: Settings) -> Result<(), DriverError> {
     let inbox = Inbox::default();
-    // First, as opening the database takes a while: a member that gets SIGTERM meanwhile ends as any other does.
+    // First, as opening the database takes a while: SIGTERM in that time is to end the member as usual.
     start::watch_signals(&inbox)?;
     let (node, storage) = start::node(&settings, &inbox).await?;
     let connections = Connections::listen(settings.internal_address(), inbox.clone()).await?;
-    let http = start::serve_operator(&settings, &inbox).await?;
+    let http = operator_api::serve(&settings, &inbox).await?;
     log::info!(
         "started member={} address={}",
         settings.node_name,
@@ -59,7 +61,7 @@
         connections,
         storage,
         calls: HashMap::new(),
-        next_call: 0,
+        next_call: CallId(0),
         stop_ms: None,
         settings_due_ms,
     };
@@ -85,7 +87,7 @@
     async fn serve(mut self, http: HttpServer) -> Result<(), DriverError> {
         while !self.has_stopped() {
             self.wait().await;
-            let clocks = clocks();
+            let clocks = clock::now();
             self.node.handle_timeout(clocks);
             self.refresh_seeds(clocks);
             while let Some(event) = self.inbox.pop() {
@@ -102,7 +104,7 @@
 
     /// Waits for events, or for the next timer of the node.
     async fn wait(&self) {
-        let now = clocks();
+        let now = clock::now();
         let due_ms = self
             .node
             .next_timeout_ms(now)
@@ -145,7 +147,7 @@
             Event::Node(input) => self.node.handle(clocks, input),
             Event::Operator { request, reply } => {
                 let call = self.next_call;
-                self.next_call += 1;
+                self.next_call = CallId(call.0 + 1);
                 self.calls.insert(call, reply);
                 self.node.handle(clocks, Input::Operator { call, request });
             }
@@ -176,15 +178,8 @@
                     .send(request)
                     .map_err(|_| DriverError::StorageEnded)?;
             }
-            Output::Damaged { reason } => return Err(DriverError::Damaged { reason }),
+            Output::Damaged { error } => return Err(DriverError::Damaged { source: error }),
         }
         Ok(())
     }
 }
-
-fn clocks() -> Clocks {
-    Clocks {
-        steady_ms: steady_ms(),
-        wall_ms: wall_ms(),
-    }
-}
--- /dev/null
+++ b/crates/control-plane/src/driver/clock.rs
@@ -0,0 +1,12 @@
+//! The clocks of the process.
+
+use crate::clocks::Clocks;
+use indigofold_net::{steady_ms, wall_ms};
+
+/// Reads both clocks.
+pub(super) fn now() -> Clocks {
+    Clocks {
+        steady_ms: steady_ms(),
+        wall_ms: wall_ms(),
+    }
+}
--- a/crates/control-plane/src/driver/error.rs
+++ b/crates/control-plane/src/driver/error.rs
@@ -2,6 +2,7 @@
 
 use crate::storage_thread::StartError;
 use indigofold_net::NetError;
+use indigofold_replication::StorageError;
 use snafu::Snafu;
 
 /// Why a member cannot run.
@@ -27,11 +28,11 @@
     StorageEnded,
     /// The database has been found damaged.
     #[snafu(display(
-        "{reason}; the next start quarantines it, and the rows come from other members"
+        "{source}; the next start quarantines it, and the rows come from other members"
     ))]
     Damaged {
         /// What was found.
-        reason: String,
+        source: StorageError,
     },
     /// A socket or signal cannot be used.
     #[snafu(display("{source}"))]
--- a/crates/control-plane/src/driver/start.rs
+++ b/crates/control-plane/src/driver/start.rs
@@ -1,18 +1,15 @@
-//! Starts the parts of a member: database, operator's API, signals.
+//! Starts the parts of a member: database, node, signals.
 
 use super::error::{DriverError, MissingSnafu, NetSnafu, StorageThreadSnafu};
 use super::event::Event;
-use crate::head::Clocks;
+use super::{clock, operator_api};
 use crate::inbox::Inbox;
 use crate::node::{Input, Node, NodeSettings};
-use crate::operator::{self, CONFIG_BYTES_MAX, OperatorResponse};
 use crate::storage_thread::{self, StorageRequest};
-use futures_channel::oneshot;
 use futures_util::StreamExt;
-use indigofold_net::http::{self, HttpOptions, HttpRequest, HttpResponse, HttpServer};
 use indigofold_net::runtime;
 use indigofold_net::signals::Signals;
-use indigofold_net::{steady_ms, wall_ms};
+use indigofold_net::wall_ms;
 use indigofold_protocol::internal::{Hello, MemberAddress, ProcessKind};
 use indigofold_replication::{Opened, Storage};
 use indigofold_settings::Settings;
@@ -27,6 +24,10 @@
 const OPEN_RETRY: Duration = Duration::from_millis(500);
 
 /// Opens the database and makes the node; responses of the storage thread go to the inbox.
+///
+/// # Errors
+///
+/// A setting is missing, or the storage thread cannot be started.
 pub(super) async fn node(
     settings: &Settings,
     inbox: &Inbox<Event>,
@@ -46,14 +47,12 @@
             inbox.push(Event::Node(Input::Storage(response)));
         }
     });
-    let clocks = Clocks {
-        steady_ms: steady_ms(),
-        wall_ms: wall_ms(),
-    };
+    let clocks = clock::now();
     let mut node_settings = node_settings(settings)?;
     // A member that has lost its record must not vote as one that has never prepared a view.
     node_settings.bootstrap &= !opened.has_quarantined;
-    Ok((Node::new(node_settings, opened.durable, clocks), requests))
+    let node = Node::new(node_settings, opened.durable, clocks);
+    Ok((node, requests))
 }
 
 fn log_opened(opened: &Opened, bootstrap: bool) {
@@ -90,23 +89,11 @@
     }
 }
 
-/// Serves the operator's API.
-pub(super) async fn serve_operator(
-    settings: &Settings,
-    inbox: &Inbox<Event>,
-) -> Result<HttpServer, DriverError> {
-    let options = HttpOptions {
-        max_body_bytes: CONFIG_BYTES_MAX,
-        ..HttpOptions::default()
-    };
-    let inbox = inbox.clone();
-    let handler = move |request| respond(inbox.clone(), request);
-    http::serve(control_address(settings)?, options, handler)
-        .await
-        .context(NetSnafu)
-}
-
 /// Passes signals to the inbox.
+///
+/// # Errors
+///
+/// A signal cannot be caught.
 pub(super) fn watch_signals(inbox: &Inbox<Event>) -> Result<(), DriverError> {
     let mut signals = Signals::register().context(NetSnafu)?;
     let inbox = inbox.clone();
@@ -127,31 +114,12 @@
         .collect()
 }
 
-/// Responds to one request of the operator.
-async fn respond(inbox: Inbox<Event>, request: HttpRequest) -> HttpResponse {
-    let request = match operator::parse_request(request) {
-        Ok(request) => request,
-        Err(response) => return response,
-    };
-    let (reply, response) = oneshot::channel();
-    inbox.push(Event::Operator { request, reply });
-    operator::write_response(response.await.unwrap_or(OperatorResponse::NoHead))
-}
-
-fn control_address(settings: &Settings) -> Result<SocketAddr, DriverError> {
-    let address = settings.bind_addrs.control_plane;
-    address.context(MissingSnafu {
-        field: "bind_addrs.control_plane",
-        needed: "the address of the operator's API",
-    })
-}
-
 fn node_settings(settings: &Settings) -> Result<NodeSettings, DriverError> {
     let random = RandomState::new();
     let address = MemberAddress {
         node_name: settings.node_name.clone(),
         internal: settings.internal_address(),
-        control: control_address(settings)?,
+        control: operator_api::address(settings)?,
     };
     let hello = Hello {
         node_name: settings.node_name.clone(),
--- a/crates/control-plane/src/head.rs
+++ b/crates/control-plane/src/head.rs
@@ -1,5 +1,6 @@
 //! The head: configuration authority and scheduler, with the writes whose results they wait for.
 
+use crate::clocks::Clocks;
 use crate::config_authority::{
     self, CallId, ChangeResponse, ConfigAuthority, ConfigChange, LoadError,
 };
@@ -13,15 +14,6 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A reading of both clocks.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Clocks {
-    /// The steady clock, in milliseconds.
-    pub steady_ms: u64,
-    /// The time of day, in milliseconds since 1970.
-    pub wall_ms: u64,
-}
-
 /// An action that the caller has to take for the head, in this order.
 #[derive(Debug)]
 pub enum HeadOutput {
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -6,6 +6,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod clocks;
 pub mod command_line;
 pub mod config_authority;
 pub mod driver;
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -2,8 +2,8 @@
 //! [`Node::poll_outputs`], called once per wake-up, returns the frames to send, the requests to the storage thread and the
 //! responses to the operator.
 //!
-//! Each part of the state stands in a module of its own (replica, role, sessions, peers, inspections, scrub); the
-//! `impl Node` blocks in the other modules pass inputs and outputs between the parts.
+//! Each part of the state is a type with a module of its own (role as head, sessions, peers, announcement, inspections,
+//! scrub); the `impl Node` blocks in the other modules pass inputs and outputs between the parts.
 
 mod announcement;
 mod connections;
@@ -24,7 +24,7 @@
 pub use interface::{Input, NodeSettings, Output};
 pub use scrub::SCRUB_INTERVAL_MS;
 
-use crate::head::Clocks;
+use crate::clocks::Clocks;
 use crate::peers::Peers;
 use crate::sessions::Sessions;
 use announcement::Announcement;
--- a/crates/control-plane/src/node/connections.rs
+++ b/crates/control-plane/src/node/connections.rs
@@ -1,7 +1,7 @@
 //! Frames that are received, and connections that open and close.
 
 use super::{Input, Node, Output};
-use crate::head::Clocks;
+use crate::clocks::Clocks;
 use crate::sessions::ConnectionId;
 use indigofold_protocol::internal::{Frame, Hello, ProcessKind};
 use indigofold_replication::{Input as ReplicaInput, message};
--- a/crates/control-plane/src/node/head_outputs.rs
+++ b/crates/control-plane/src/node/head_outputs.rs
@@ -1,8 +1,9 @@
 //! Events for the scheduler, and the outputs of the head.
 
 use super::{Node, Output};
+use crate::clocks::Clocks;
 use crate::config_authority::ChangeResponse;
-use crate::head::{Clocks, HeadOutput};
+use crate::head::HeadOutput;
 use crate::operator::OperatorResponse;
 use indigofold_protocol::internal::Frame;
 use indigofold_replication::Input as ReplicaInput;
--- a/crates/control-plane/src/node/head_role.rs
+++ b/crates/control-plane/src/node/head_role.rs
@@ -1,7 +1,8 @@
 //! The member's role towards the schedulers: follower, head that loads its rows, or leading head; and the writes that an
 //! earlier time as head has left without a result.
 
-use crate::head::{Clocks, Head, HeadError, HeadOutput};
+use crate::clocks::Clocks;
+use crate::head::{Head, HeadError, HeadOutput};
 use crate::storage_thread::StoredRow;
 use indigofold_scheduler::Bounds;
 use std::collections::BTreeSet;
--- a/crates/control-plane/src/node/inspect.rs
+++ b/crates/control-plane/src/node/inspect.rs
@@ -3,7 +3,7 @@
 
 use super::inspections::OpenQuestion;
 use super::{Node, Output};
-use crate::head::Clocks;
+use crate::clocks::Clocks;
 use crate::inspection::{ClusterCapacity, TableSummary, job_report};
 use crate::sessions::ConnectionId;
 use crate::storage_thread::StorageRequest;
--- a/crates/control-plane/src/node/interface.rs
+++ b/crates/control-plane/src/node/interface.rs
@@ -5,6 +5,7 @@
 use crate::sessions::ConnectionId;
 use crate::storage_thread::{StorageRequest, StorageResponse};
 use indigofold_protocol::internal::{Frame, Hello, MemberAddress};
+use indigofold_replication::StorageError;
 use indigofold_scheduler::Bounds;
 use std::net::SocketAddr;
 
@@ -106,6 +107,6 @@
     /// member without stored state.
     Damaged {
         /// What was found.
-        reason: String,
+        error: StorageError,
     },
 }
--- a/crates/control-plane/src/node/leadership.rs
+++ b/crates/control-plane/src/node/leadership.rs
@@ -1,7 +1,8 @@
 //! Transitions of the head's role.
 
 use super::{Node, Output};
-use crate::head::{Clocks, Head};
+use crate::clocks::Clocks;
+use crate::head::Head;
 use crate::storage_thread::{StorageRequest, StoredRow};
 use indigofold_scheduler::Event;
 use std::fmt;
--- a/crates/control-plane/src/node/lease_filter.rs
+++ b/crates/control-plane/src/node/lease_filter.rs
@@ -9,7 +9,7 @@
 pub(super) const RETRY_AFTER_MS: u64 = 200;
 
 /// The output that may be sent without a lease in place of `output`: what is true whoever the head is. The connection of a
-/// node agent whose orders are withheld is closed, so that the next head sends them anew.
+/// node agent whose orders are withheld is closed, so that the next head sends all of them.
 pub(super) fn without_lease(output: Output) -> Output {
     match output {
         Output::Send {
--- a/crates/control-plane/src/node/membership.rs
+++ b/crates/control-plane/src/node/membership.rs
@@ -1,7 +1,7 @@
-//! The other members: to whom connections are kept, and what this member announces about itself and them.
+//! The other members: connections to them, and the announcement of this member and the members that it knows.
 
 use super::{Node, Output};
-use crate::head::Clocks;
+use crate::clocks::Clocks;
 use indigofold_protocol::internal::{Frame, MemberAddress, Welcome};
 use indigofold_replication::Input as ReplicaInput;
 use std::collections::BTreeSet;
--- a/crates/control-plane/src/node/replication.rs
+++ b/crates/control-plane/src/node/replication.rs
@@ -2,7 +2,7 @@
 
 use super::leadership::HeadLossReason;
 use super::{Node, Output};
-use crate::head::Clocks;
+use crate::clocks::Clocks;
 use crate::storage_thread::StorageRequest;
 use indigofold_protocol::internal::Frame;
 use indigofold_replication::{Input as ReplicaInput, Output as ReplicaOutput, message};
--- a/crates/control-plane/src/node/requests.rs
+++ b/crates/control-plane/src/node/requests.rs
@@ -2,8 +2,8 @@
 
 use super::lease_filter::RETRY_AFTER_MS;
 use super::{Node, Output};
+use crate::clocks::Clocks;
 use crate::config_authority::CallId;
-use crate::head::Clocks;
 use crate::operator::{OperatorRequest, OperatorResponse};
 use crate::sessions::ConnectionId;
 use indigofold_protocol::internal::{AgentReport, ClientCall, ClientOutcome, ClientReply, Frame};
--- a/crates/control-plane/src/node/storage.rs
+++ b/crates/control-plane/src/node/storage.rs
@@ -1,19 +1,17 @@
 //! Responses of the storage thread.
 
 use super::{Node, Output};
-use crate::head::Clocks;
+use crate::clocks::Clocks;
 use crate::storage_thread::StorageResponse;
 use indigofold_replication::{Input as ReplicaInput, RowsChunk, StorageError};
 
 impl Node {
     /// Handles a response of the storage thread.
     pub(super) fn handle_storage(&mut self, clocks: Clocks, response: StorageResponse) {
-        if let Some(error) = response.damage() {
-            self.outputs.push(Output::Damaged {
-                reason: error.to_string(),
-            });
-            return;
-        }
+        let response = match response.check_damage() {
+            Ok(response) => response,
+            Err(error) => return self.outputs.push(Output::Damaged { error }),
+        };
         match response {
             StorageResponse::Scrub { result } => self.scrub.finish(clocks.steady_ms, result),
             StorageResponse::Store { store, result } => self.handle_stored(clocks, store, result),
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -89,8 +89,8 @@
         waiting.min().unwrap_or(u64::MAX)
     }
 
-    /// The peer has just connected to this member, so that it is up: it is dialled at once, also where a dial is under way,
-    /// as that may have begun while its machine was down, and would hang.
+    /// The peer has just connected to this member, so that it is up: it is dialled at once. An open dial does not prevent
+    /// that, as it may have begun while the machine was down, and would hang.
     pub fn peer_connected(&mut self, now_ms: u64, address: SocketAddr) {
         if let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) {
             link.state = LinkState::Waiting { until_ms: now_ms };
--- a/crates/control-plane/src/storage_thread.rs
+++ b/crates/control-plane/src/storage_thread.rs
@@ -100,16 +100,28 @@
 }
 
 impl StorageResponse {
-    /// The error that shows damage to the database, if the request has found any.
-    pub fn damage(&self) -> Option<&StorageError> {
-        let error = match self {
-            StorageResponse::Store { result, .. } => result.as_ref().err(),
-            StorageResponse::Read { result, .. } => result.as_ref().err(),
-            StorageResponse::Load { result, .. } => result.as_ref().err(),
-            StorageResponse::Scrub { result } => result.as_ref().err(),
-            StorageResponse::Summarize { result, .. } => result.as_ref().err(),
-        };
-        error.filter(|error| error.shows_damage())
+    /// Passes the response on unless it shows damage to the database.
+    ///
+    /// # Errors
+    ///
+    /// The damage that the request has found.
+    pub fn check_damage(self) -> Result<Self, StorageError> {
+        match self {
+            StorageResponse::Store {
+                result: Err(error), ..
+            }
+            | StorageResponse::Read {
+                result: Err(error), ..
+            }
+            | StorageResponse::Load {
+                result: Err(error), ..
+            }
+            | StorageResponse::Scrub { result: Err(error) }
+            | StorageResponse::Summarize {
+                result: Err(error), ..
+            } if error.shows_damage() => Err(error),
+            response => Ok(response),
+        }
     }
 }
 
--- a/crates/control-plane/tests/control_plane/builders.rs
+++ b/crates/control-plane/tests/control_plane/builders.rs
@@ -1,7 +1,7 @@
 //! Values that several tests use.
 
+use indigofold_control_plane::clocks::Clocks;
 use indigofold_control_plane::config_authority::{ChangeResponse, ConfigChange, ConfigMethod};
-use indigofold_control_plane::head::Clocks;
 use indigofold_control_plane::node::Output;
 use indigofold_control_plane::operator::OperatorResponse;
 use indigofold_control_plane::sessions::ConnectionId;
--- a/crates/control-plane/tests/control_plane/config_authority.rs
+++ b/crates/control-plane/tests/control_plane/config_authority.rs
@@ -2,7 +2,7 @@
 
 use crate::builders::{config_text, put};
 use indigofold_control_plane::config_authority::{
-    CONFIG_KEY, ChangeResponse, ConfigAuthority, ConfigChange, ConfigMethod, Effect,
+    CONFIG_KEY, CallId, ChangeResponse, ConfigAuthority, ConfigChange, ConfigMethod, Effect,
     REMEMBERED_CHANGES_MAX, RowChange,
 };
 use rstest::rstest;
@@ -38,14 +38,15 @@
             match effect {
                 Effect::Write(rows) => self.writing.push(rows),
                 Effect::Activated(config) => self.in_force.push(config.version),
-                Effect::Respond(call, response) => self.responses.push((call, response)),
+                Effect::Respond(call, response) => self.responses.push((call.0, response)),
             }
         }
     }
 
     fn change(&mut self, call: u64, change: ConfigChange) {
         let mut effects = Vec::new();
-        self.authority.handle_change(call, change, &mut effects);
+        self.authority
+            .handle_change(CallId(call), change, &mut effects);
         self.take(effects);
     }
 
--- a/crates/control-plane/tests/control_plane/node.rs
+++ b/crates/control-plane/tests/control_plane/node.rs
@@ -147,7 +147,7 @@
     let is_reported = test
         .outputs()
         .iter()
-        .any(|output| matches!(output, Output::Damaged { reason } if reason.contains("config")));
+        .any(|output| matches!(output, Output::Damaged { error } if error.to_string().contains("config")));
     assert!(is_reported, "{:?}", test.outputs().last());
 }
 
--- a/crates/control-plane/tests/control_plane/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -1,8 +1,8 @@
 //! A cluster of members with real databases, on simulated connections and a simulated clock.
 
 use crate::builders::{START_MS, clocks, hello};
+use indigofold_control_plane::clocks::Clocks;
 use indigofold_control_plane::config_authority::CallId;
-use indigofold_control_plane::head::Clocks;
 use indigofold_control_plane::node::{Input, Node, NodeSettings, Output};
 use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
 use indigofold_control_plane::sessions::ConnectionId;
@@ -134,7 +134,7 @@
 
     /// The operator calls a member.
     pub fn call(&mut self, member: usize, request: OperatorRequest) -> CallId {
-        let call = self.number();
+        let call = CallId(self.number());
         self.input(member, Input::Operator { call, request });
         call
     }
@@ -251,7 +251,7 @@
                 Output::Dial { address } => self.dial(member, address),
                 Output::Respond { call, response } => drop(self.answers.insert(call, response)),
                 Output::Storage(request) => self.events.push_back(Event::Store(member, request)),
-                Output::Damaged { reason } => panic!("the disk of member {member}: {reason}"),
+                Output::Damaged { error } => panic!("the disk of member {member}: {error}"),
             }
         }
     }
--- a/crates/control-plane/tests/control_plane/test_head.rs
+++ b/crates/control-plane/tests/control_plane/test_head.rs
@@ -1,7 +1,9 @@
 //! A head whose writes are committed at once, with one worker, and the table that its writes make.
 
 use crate::builders::{START_MS, clocks, first_config, put};
-use indigofold_control_plane::head::{Clocks, Head, HeadOutput};
+use indigofold_control_plane::clocks::Clocks;
+use indigofold_control_plane::config_authority::CallId;
+use indigofold_control_plane::head::{Head, HeadOutput};
 use indigofold_control_plane::inspection::{
     ClusterCapacity, TableSummary, WorkerProfile, job_report,
 };
@@ -42,7 +44,8 @@
         };
         let mut outputs = Vec::new();
         let change = put(0, &first_config());
-        test.head.handle_change(clocks, 1, change, &mut outputs);
+        test.head
+            .handle_change(clocks, CallId(1), change, &mut outputs);
         test.commit(outputs);
         test
     }
--- a/crates/control-plane/tests/control_plane/test_node.rs
+++ b/crates/control-plane/tests/control_plane/test_node.rs
@@ -1,7 +1,8 @@
 //! One member with a real database and a simulated clock.
 
 use crate::builders::{EDGE, START_MS, clocks, edge_replies, first_config, hello, put};
-use indigofold_control_plane::head::Clocks;
+use indigofold_control_plane::clocks::Clocks;
+use indigofold_control_plane::config_authority::CallId;
 use indigofold_control_plane::node::{Input, Node, NodeSettings, Output};
 use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
 use indigofold_control_plane::sessions::ConnectionId;
@@ -162,6 +163,7 @@
 
     /// Handles a request of the operator.
     pub fn operator(&mut self, call: u64, request: OperatorRequest) {
+        let call = CallId(call);
         self.input(Input::Operator { call, request });
     }
 
@@ -189,7 +191,7 @@
     /// Takes the outputs, and returns the responses to the operator among them.
     pub fn take_responses(&mut self) -> Vec<(u64, OperatorResponse)> {
         let responses = self.outputs.drain(..).filter_map(|output| match output {
-            Output::Respond { call, response } => Some((call, response)),
+            Output::Respond { call, response } => Some((call.0, response)),
             _ => None,
         });
         responses.collect()
