--- a/crates/control-plane/src/head.rs
+++ b/crates/control-plane/src/head.rs
@@ -128,12 +128,12 @@
     /// Starts the scheduler with the stored configuration, if there is one.
     pub fn begin(&mut self, clocks: Clocks, outputs: &mut Vec<HeadOutput>) {
         if let Some(config) = self.authority.config().cloned() {
-            self.event(clocks, Event::Config(config), outputs);
+            self.handle_event(clocks, Event::Config(config), outputs);
         }
     }
 
     /// Passes an event to the scheduler.
-    pub fn event(&mut self, clocks: Clocks, event: Event, outputs: &mut Vec<HeadOutput>) {
+    pub fn handle_event(&mut self, clocks: Clocks, event: Event, outputs: &mut Vec<HeadOutput>) {
         let mut effects = Vec::new();
         self.scheduler
             .handle(clocks.steady_ms, clocks.wall_ms, event, &mut effects);
@@ -176,7 +176,9 @@
     /// A write is on the disks of the whole chain.
     pub fn committed(&mut self, clocks: Clocks, write_id: u64, outputs: &mut Vec<HeadOutput>) {
         match self.writers.remove(&write_id) {
-            Some(Writer::Scheduler(write)) => self.event(clocks, Event::Committed(write), outputs),
+            Some(Writer::Scheduler(write)) => {
+                self.handle_event(clocks, Event::Committed(write), outputs)
+            }
             Some(Writer::Config) => {
                 let mut effects = Vec::new();
                 self.authority.committed(&mut effects);
@@ -247,7 +249,7 @@
                     outputs.push(HeadOutput::ConfigActivated {
                         version: config.version,
                     });
-                    self.event(clocks, Event::Config(config), outputs);
+                    self.handle_event(clocks, Event::Config(config), outputs);
                 }
                 config_authority::Effect::Respond(call, response) => {
                     outputs.push(HeadOutput::Respond { call, response });
--- a/crates/control-plane/src/node/head_outputs.rs
+++ b/crates/control-plane/src/node/head_outputs.rs
@@ -16,7 +16,7 @@
             return;
         };
         let mut outputs = Vec::new();
-        head.event(clocks, event, &mut outputs);
+        head.handle_event(clocks, event, &mut outputs);
         self.apply_head_outputs(clocks, outputs);
     }
 
--- a/crates/control-plane/tests/control_plane/cluster.rs
+++ b/crates/control-plane/tests/control_plane/cluster.rs
@@ -61,8 +61,8 @@
     assert_eq!(cluster.request(head, OperatorRequest::Read), config_read());
 }
 
-/// A row has changed on the disk of a member: it sets its database aside, and is a member again once it has all rows from
-/// the others. Then they die, and it leads with what it got.
+/// A row has changed on the disk of a member: it quarantines its database, and is in the chain once it has all rows from
+/// the others. Then the others are killed, and it leads with these rows.
 #[test]
 fn damaged_member_recovers_its_rows_from_the_others() {
     let mut cluster = SimulatedCluster::start(3);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn successor_takes_over_at_once_after_step_down() {
+fn successor_acts_at_once_after_step_down() {
     let mut cluster = SimulatedCluster::start(3);
     let head = cluster.run_to_head();
     assert_eq!(cluster.request(head, put_first_config()), accepted());
@@ -119,7 +119,7 @@
     let call = cluster.call(head, put_first_config());
     let successor = cluster.run_to_head_other_than(head);
     assert!(!matches!(
-        cluster.answer(call),
+        cluster.response(call),
         Some(OperatorResponse::Change(ChangeResponse::Accepted { .. }))
     ));
     assert_eq!(
@@ -132,7 +132,7 @@
     ));
     cluster.run_until(|cluster| !cluster.node(head).is_head());
     assert!(matches!(
-        cluster.answer(call),
+        cluster.response(call),
         Some(OperatorResponse::Change(ChangeResponse::Undetermined) | OperatorResponse::NoHead)
     ));
 }
@@ -140,7 +140,7 @@
 #[rstest]
 #[case::at_once(0, true)]
 #[case::after_a_freeze(FREEZE_MS, false)]
-fn look_up_results_are_withheld_after_lease_expiry(
+fn lookup_results_are_withheld_after_lease_expiry(
     #[case] freeze_ms: u64,
     #[case] is_answered: bool,
 ) {
--- a/crates/control-plane/tests/control_plane/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -19,27 +19,39 @@
 /// More wake-ups than any test needs.
 const STEPS_MAX: usize = 20_000;
 
-/// An end of a connection: the member and its number there.
-type End = (usize, ConnectionId);
+/// One end of a connection.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct Endpoint {
+    member: usize,
+    /// Its number at that member.
+    connection: ConnectionId,
+}
 
+/// A member that is up.
 struct Member {
     node: Node,
     storage: Storage,
 }
 
+/// An event that is yet to be handled.
 enum Event {
+    /// An input for a member.
     Input(usize, Input),
-    Frame { to: End, frame: Frame },
-    Store(usize, StorageRequest),
+    /// A frame that has been sent.
+    Frame { to: Endpoint, frame: Frame },
+    /// A request to a member's storage.
+    Storage(usize, StorageRequest),
 }
 
+/// Members by number, from 0; `None` for those that are down.
 pub struct SimulatedCluster {
     directories: Vec<TempDir>,
     members: Vec<Option<Member>>,
-    links: HashMap<End, End>,
+    /// The other end of each endpoint.
+    links: HashMap<Endpoint, Endpoint>,
     events: VecDeque<Event>,
     partitioned: BTreeSet<usize>,
-    answers: HashMap<CallId, OperatorResponse>,
+    responses: HashMap<CallId, OperatorResponse>,
     now_ms: u64,
     last_number: u64,
 }
@@ -56,7 +68,7 @@
             links: HashMap::new(),
             events: VecDeque::new(),
             partitioned: BTreeSet::new(),
-            answers: HashMap::new(),
+            responses: HashMap::new(),
             now_ms: START_MS,
             last_number: 0,
         };
@@ -79,7 +91,7 @@
             .node
     }
 
-    /// Starts a member with what its disk has kept.
+    /// Starts a member with its database.
     pub fn restart(&mut self, member: usize) {
         let opened = Storage::open(self.directories[member].path()).expect("a database");
         let mut settings = self.settings(member);
@@ -102,19 +114,19 @@
         std::fs::write(&path, bytes).expect("written");
     }
 
-    /// Ends a member as a kill does; its connections end.
+    /// Ends a member without notice; its connections are closed.
     pub fn kill(&mut self, member: usize) {
         self.members[member] = None;
-        let ends: Vec<End> = self
-            .links
-            .keys()
-            .filter(|end| end.0 == member)
-            .copied()
+        let endpoints = self.links.keys().copied();
+        let endpoints: Vec<Endpoint> = endpoints
+            .filter(|endpoint| endpoint.member == member)
             .collect();
-        ends.into_iter().for_each(|end| self.close(end));
+        endpoints
+            .into_iter()
+            .for_each(|endpoint| self.close(endpoint));
     }
 
-    /// From now on nothing reaches or leaves the member; nobody is told.
+    /// Drops all frames to and from the member from now on; its connections stay open.
     pub fn partition(&mut self, member: usize) {
         self.partitioned.insert(member);
     }
@@ -123,7 +135,7 @@
         self.events.push_back(Event::Input(member, input));
     }
 
-    /// Hands an input to a member that is frozen for a time before it sends anything.
+    /// Passes an input to a member that is frozen for a time before it sends anything; returns its outputs.
     pub fn freeze(&mut self, member: usize, input: Input, freeze_ms: u64) -> Vec<Output> {
         while self.step() {}
         let (clocks, sends_ms) = (self.clocks(), self.now_ms + freeze_ms);
@@ -132,30 +144,30 @@
         node.poll_outputs(sends_ms)
     }
 
-    /// The operator calls a member.
+    /// The operator sends a request to a member.
     pub fn call(&mut self, member: usize, request: OperatorRequest) -> CallId {
         let call = CallId(self.number());
         self.input(member, Input::Operator { call, request });
         call
     }
 
-    pub fn answer(&self, call: CallId) -> Option<&OperatorResponse> {
-        self.answers.get(&call)
+    pub fn response(&self, call: CallId) -> Option<&OperatorResponse> {
+        self.responses.get(&call)
     }
 
-    /// The operator calls a member and waits for the answer.
+    /// The operator sends a request to a member and waits for the response.
     pub fn request(&mut self, member: usize, request: OperatorRequest) -> OperatorResponse {
         let call = self.call(member, request);
-        self.run_until(|cluster| cluster.answers.contains_key(&call));
-        self.answers.remove(&call).expect("it is answered")
+        self.run_until(|cluster| cluster.responses.contains_key(&call));
+        self.responses.remove(&call).expect("it is answered")
     }
 
-    /// Runs until a member answers as acting head.
+    /// Runs until a member responds as acting head.
     pub fn run_to_head(&mut self) -> usize {
         self.run_to_head_other_than(usize::MAX)
     }
 
-    /// Runs until a member other than this one answers as acting head.
+    /// Runs until a member other than this one responds as acting head.
     pub fn run_to_head_other_than(&mut self, excluded: usize) -> usize {
         for _ in 0..STEPS_MAX {
             let up =
@@ -163,15 +175,15 @@
             for member in up.collect::<Vec<_>>() {
                 let call = self.call(member, OperatorRequest::Read);
                 while self.step() {}
-                let answer = self.answers.remove(&call);
+                let response = self.responses.remove(&call);
                 if matches!(
-                    answer,
+                    response,
                     Some(OperatorResponse::Config(_) | OperatorResponse::NoConfig)
                 ) {
                     return member;
                 }
             }
-            self.pass_time();
+            self.advance_to_timer();
         }
         panic!("no head is at work");
     }
@@ -182,7 +194,7 @@
             if reached(self) {
                 return;
             }
-            self.pass_time();
+            self.advance_to_timer();
         }
         panic!("not reached");
     }
@@ -195,24 +207,24 @@
         match event {
             Event::Input(member, input) => self.handle(member, input),
             Event::Frame {
-                to: (member, connection),
+                to: Endpoint { member, connection },
                 frame,
             } => {
                 self.handle(member, Input::Frame { connection, frame });
             }
-            Event::Store(member, request) => {
+            Event::Storage(member, request) => {
                 let Some(Member { storage, .. }) = &mut self.members[member] else {
                     return true;
                 };
-                let answer = execute(storage, request);
-                self.handle(member, Input::Storage(answer));
+                let response = execute(storage, request);
+                self.handle(member, Input::Storage(response));
             }
         }
         true
     }
 
-    /// Goes on to the time at which a member has something to do.
-    fn pass_time(&mut self) {
+    /// Advances the clock to the next timer of any member, and runs the timers that are due.
+    fn advance_to_timer(&mut self) {
         let clocks = self.clocks();
         let due_ms = self
             .members
@@ -246,31 +258,33 @@
         };
         for output in node.poll_outputs(now_ms) {
             match output {
-                Output::Send { connection, frame } => self.send((member, connection), frame),
-                Output::Close { connection } => self.close((member, connection)),
+                Output::Send { connection, frame } => {
+                    self.send(Endpoint { member, connection }, frame)
+                }
+                Output::Close { connection } => self.close(Endpoint { member, connection }),
                 Output::Dial { address } => self.dial(member, address),
-                Output::Respond { call, response } => drop(self.answers.insert(call, response)),
-                Output::Storage(request) => self.events.push_back(Event::Store(member, request)),
+                Output::Respond { call, response } => drop(self.responses.insert(call, response)),
+                Output::Storage(request) => self.events.push_back(Event::Storage(member, request)),
                 Output::Damaged { error } => panic!("the disk of member {member}: {error}"),
             }
         }
     }
 
-    fn send(&mut self, from: End, frame: Frame) {
+    fn send(&mut self, from: Endpoint, frame: Frame) {
         let Some(to) = self.links.get(&from).copied() else {
             return;
         };
-        if !self.partitioned.contains(&from.0) && !self.partitioned.contains(&to.0) {
+        if !self.partitioned.contains(&from.member) && !self.partitioned.contains(&to.member) {
             self.events.push_back(Event::Frame { to, frame });
         }
     }
 
-    fn close(&mut self, end: End) {
-        let Some(other) = self.links.remove(&end) else {
+    fn close(&mut self, endpoint: Endpoint) {
+        let Some(other) = self.links.remove(&endpoint) else {
             return;
         };
         self.links.remove(&other);
-        for (member, connection) in [end, other] {
+        for Endpoint { member, connection } in [endpoint, other] {
             self.events
                 .push_back(Event::Input(member, Input::Closed { connection }));
         }
@@ -285,15 +299,21 @@
             self.input(from, Input::DialFailed { address });
             return;
         };
-        let dialling_end = (from, ConnectionId(self.number()));
-        let accepting_end = (to, ConnectionId(self.number()));
+        let dialling_end = Endpoint {
+            member: from,
+            connection: ConnectionId(self.number()),
+        };
+        let accepting_end = Endpoint {
+            member: to,
+            connection: ConnectionId(self.number()),
+        };
         self.links.insert(dialling_end, accepting_end);
         self.links.insert(accepting_end, dialling_end);
         self.input(
             from,
             Input::Dialled {
                 address,
-                connection: dialling_end.1,
+                connection: dialling_end.connection,
             },
         );
     }
--- a/crates/control-plane/tests/control_plane/test_head.rs
+++ b/crates/control-plane/tests/control_plane/test_head.rs
@@ -147,7 +147,7 @@
 
     fn event(&mut self, event: Event) {
         let mut outputs = Vec::new();
-        self.head.event(self.clocks, event, &mut outputs);
+        self.head.handle_event(self.clocks, event, &mut outputs);
         self.commit(outputs);
     }
 
