--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -160,9 +160,13 @@
 /// Decides changes of the configuration; see the module.
 #[derive(Default)]
 pub struct ConfigAuthority {
+    /// The newest committed configuration.
     active: Option<ActiveConfig>,
+    /// Accepted changes; a change is added at its commit.
     remembered: RememberedChanges,
+    /// Set by the request of a write, cleared by its result.
     pending: Option<PendingChange>,
+    /// Changes to decide once no write is pending.
     queue: VecDeque<QueuedChange>,
 }
 
--- a/crates/control-plane/src/driver/connections.rs
+++ b/crates/control-plane/src/driver/connections.rs
@@ -24,6 +24,7 @@
 #[derive(Clone)]
 pub(super) struct Connections {
     senders: Rc<RefCell<HashMap<ConnectionId, FrameSender>>>,
+    /// Number of the next connection.
     next_id: Rc<Cell<u64>>,
     inbox: Inbox<Event>,
 }
--- a/crates/control-plane/src/head.rs
+++ b/crates/control-plane/src/head.rs
@@ -93,6 +93,7 @@
     authority: ConfigAuthority,
     /// Writes without a result, by id.
     writers: HashMap<u64, Writer>,
+    /// Id of the next write; also counted on by later heads of this process.
     next_write_id: u64,
 }
 
--- a/crates/control-plane/src/inbox.rs
+++ b/crates/control-plane/src/inbox.rs
@@ -13,6 +13,7 @@
 
 struct Shared<T> {
     items: VecDeque<T>,
+    /// Set while the reader waits for an item.
     reader: Option<Waker>,
 }
 
--- a/crates/control-plane/src/node/lease_filter.rs
+++ b/crates/control-plane/src/node/lease_filter.rs
@@ -41,7 +41,12 @@
         ClientOutcome::Accepted | ClientOutcome::Cancelled | ClientOutcome::Invalid { .. } => {
             outcome
         }
-        _ => ClientOutcome::Unavailable {
+        ClientOutcome::TooMany { .. }
+        | ClientOutcome::Unavailable { .. }
+        | ClientOutcome::UnknownRoute
+        | ClientOutcome::State(_)
+        | ClientOutcome::NoSuchJob
+        | ClientOutcome::Pending(_) => ClientOutcome::Unavailable {
             retry_after_ms: RETRY_AFTER_MS,
         },
     }
@@ -53,6 +58,13 @@
             ChangeResponse::Accepted { .. } | ChangeResponse::Undetermined,
         )
         | OperatorResponse::RedirectToHead(_) => response,
-        _ => OperatorResponse::NoHead,
+        OperatorResponse::Change(
+            ChangeResponse::Invalid { .. }
+            | ChangeResponse::VersionConflict { .. }
+            | ChangeResponse::Forgotten { .. },
+        )
+        | OperatorResponse::Config(_)
+        | OperatorResponse::NoConfig
+        | OperatorResponse::NoHead => OperatorResponse::NoHead,
     }
 }
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -12,19 +12,26 @@
 /// The members that this one dials.
 #[derive(Debug)]
 pub struct Peers {
+    /// The members to keep a connection to, by internal address.
     links: BTreeMap<SocketAddr, Link>,
+    /// State of the random numbers that spread the attempts; never 0.
     random: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
     state: LinkState,
+    /// Failures since the connection was last open.
     failures: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
-    Waiting { until_ms: u64 },
+    /// To be dialled at this time, on the steady clock.
+    Waiting {
+        until_ms: u64,
+    },
+    /// A dial was returned by [`Peers::poll_dials`].
     Dialling,
     Open(ConnectionId),
 }
@@ -84,7 +91,7 @@
     pub fn next_due_ms(&self) -> u64 {
         let waiting = self.links.values().filter_map(|link| match link.state {
             LinkState::Waiting { until_ms } => Some(until_ms),
-            _ => None,
+            LinkState::Dialling | LinkState::Open(_) => None,
         });
         waiting.min().unwrap_or(u64::MAX)
     }
@@ -152,7 +159,7 @@
     pub fn connection(&self, address: SocketAddr) -> Option<ConnectionId> {
         match self.links.get(&address)?.state {
             LinkState::Open(connection) => Some(connection),
-            _ => None,
+            LinkState::Waiting { .. } | LinkState::Dialling => None,
         }
     }
 
