--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -14,6 +14,7 @@
 use indigofold_protocol::config_check::{CheckedConfig, ConfigError, parse_config, parse_if_match};
 use indigofold_protocol::config_patch::apply_patch;
 use indigofold_protocol::order_digest::OrderDigest;
+use indigofold_replication::RowChange;
 use remembered::RememberedChanges;
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::collections::VecDeque;
@@ -85,15 +86,6 @@
     },
 }
 
-/// A change of one row.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RowChange {
-    /// The row's key.
-    pub key: String,
-    /// Its new value; `None` removes it.
-    pub value: Option<Vec<u8>>,
-}
-
 /// What the caller has to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
@@ -299,7 +291,7 @@
         let version = change.next.config.version.to_be_bytes().to_vec();
         let mut rows = vec![
             RowChange {
-                key: CONFIG_KEY.to_owned(),
+                key: CONFIG_KEY.as_bytes().to_vec(),
                 value: Some(change.next.checked.json().as_bytes().to_vec()),
             },
             RowChange {
@@ -330,6 +322,6 @@
 }
 
 /// Key of the row that remembers an accepted change.
-fn change_key(digest: &str) -> String {
-    format!("{CHANGE_KEY_START}{digest}")
+fn change_key(digest: &str) -> Vec<u8> {
+    format!("{CHANGE_KEY_START}{digest}").into_bytes()
 }
--- a/crates/control-plane/src/head.rs
+++ b/crates/control-plane/src/head.rs
@@ -239,12 +239,8 @@
     ) {
         for effect in effects {
             match effect {
-                config_authority::Effect::Write(rows) => {
-                    let changes = rows.into_iter().map(|row| RowChange {
-                        key: row.key.into_bytes(),
-                        value: row.value,
-                    });
-                    outputs.push(self.submit(Writer::Config, changes.collect()));
+                config_authority::Effect::Write(changes) => {
+                    outputs.push(self.submit(Writer::Config, changes));
                 }
                 config_authority::Effect::Activated(config) => {
                     outputs.push(HeadOutput::ConfigActivated {
--- a/crates/control-plane/tests/control_plane/config_authority.rs
+++ b/crates/control-plane/tests/control_plane/config_authority.rs
@@ -3,8 +3,9 @@
 use crate::builders::{config_text, put};
 use indigofold_control_plane::config_authority::{
     CONFIG_KEY, CallId, ChangeResponse, ConfigAuthority, ConfigChange, ConfigMethod, Effect,
-    REMEMBERED_CHANGES_MAX, RowChange,
+    REMEMBERED_CHANGES_MAX,
 };
+use indigofold_replication::RowChange;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
@@ -52,9 +53,10 @@
 
     fn commit(&mut self) {
         for row in self.writing.remove(0) {
+            let key = String::from_utf8(row.key).expect("a key of text");
             match row.value {
-                Some(value) => drop(self.rows.insert(row.key, value)),
-                None => drop(self.rows.remove(&row.key)),
+                Some(value) => drop(self.rows.insert(key, value)),
+                None => drop(self.rows.remove(&key)),
             }
         }
         let mut effects = Vec::new();
