--- a/crates/control-plane/src/driver/error.rs
+++ b/crates/control-plane/src/driver/error.rs
@@ -2,6 +2,7 @@
 
 use crate::storage_thread::StartError;
 use indigofold_net::NetError;
+use indigofold_replication::StorageError;
 use snafu::Snafu;
 
 /// Why a member cannot run.
@@ -24,14 +25,14 @@
     },
     /// The storage thread has ended.
     #[snafu(display("the storage thread has ended"))]
-    StorageGone,
+    StorageEnded,
     /// The database has been found damaged.
     #[snafu(display(
-        "{reason}; it is set aside at the next start, and the rows come from other members"
+        "{source}; the next start quarantines it, and the rows come from other members"
     ))]
     Damaged {
         /// What was found.
-        reason: String,
+        source: StorageError,
     },
     /// A socket or signal cannot be used.
     #[snafu(display("{source}"))]
--- /dev/null
+++ b/crates/control-plane/src/node/head_outputs.rs
@@ -0,0 +1,68 @@
+//! Events for the scheduler, and the outputs of the head.
+
+use super::{Node, Output};
+use crate::clocks::Clocks;
+use crate::config_authority::ChangeResponse;
+use crate::head::HeadOutput;
+use crate::operator::OperatorResponse;
+use indigofold_protocol::internal::Frame;
+use indigofold_replication::Input as ReplicaInput;
+use indigofold_scheduler::Event;
+
+impl Node {
+    /// Passes an event to the scheduler, if this member leads.
+    pub(super) fn scheduler_event(&mut self, clocks: Clocks, event: Event) {
+        let Some(head) = self.head_role.leading_mut() else {
+            return;
+        };
+        let mut outputs = Vec::new();
+        head.handle_event(clocks, event, &mut outputs);
+        self.apply_head_outputs(clocks, outputs);
+    }
+
+    /// Carries out outputs of the head, in their order.
+    pub(super) fn apply_head_outputs(&mut self, clocks: Clocks, outputs: Vec<HeadOutput>) {
+        for output in outputs {
+            match output {
+                HeadOutput::Submit { write_id, changes } => {
+                    self.replica_input(clocks, ReplicaInput::Submit { write_id, changes });
+                }
+                HeadOutput::Reply { to, reply } => {
+                    self.sessions.call_replied(to);
+                    self.send(to, Frame::Reply(reply));
+                }
+                HeadOutput::Orders { to, orders } => self.send(to, Frame::Orders(orders)),
+                HeadOutput::Respond { call, response } => {
+                    log_unless_accepted(&response);
+                    let response = OperatorResponse::Change(response);
+                    self.outputs.push(Output::Respond { call, response });
+                }
+                HeadOutput::Late(end) => log::info!("{end}"),
+                HeadOutput::ConfigActivated { version } => {
+                    log::info!("configuration activated version={version}");
+                }
+            }
+        }
+    }
+}
+
+/// Logs a change of the configuration that was rejected or whose result is unknown.
+fn log_unless_accepted(response: &ChangeResponse) {
+    match response {
+        ChangeResponse::Accepted { .. } => {}
+        ChangeResponse::Invalid { reason } => {
+            log::info!("configuration change rejected as invalid reason={reason}");
+        }
+        ChangeResponse::VersionConflict { current } => {
+            log::info!("configuration change rejected for a version conflict current={current}");
+        }
+        ChangeResponse::Undetermined => {
+            log::info!("configuration change undetermined, no longer head");
+        }
+        ChangeResponse::Forgotten { remembered_from } => {
+            log::info!(
+                "configuration change undetermined, too old remembered_from={remembered_from}"
+            );
+        }
+    }
+}
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other members: one to each, for this member's own messages. Decides whom to dial and when.
+//! Connections to the other members: one to each, for this member's own messages. Decides which members to dial, and when.
 
 use crate::sessions::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,25 +6,32 @@
 
 /// Wait after the first failure, in milliseconds; doubles with each further one.
 const RETRY_FIRST_MS: u64 = 100;
-/// Longest wait between two tries, in milliseconds.
+/// Longest wait between two attempts, in milliseconds.
 const RETRY_LONGEST_MS: u64 = 800;
 
 /// The members that this one dials.
 #[derive(Debug)]
 pub struct Peers {
+    /// The members to keep a connection to, by internal address.
     links: BTreeMap<SocketAddr, Link>,
+    /// State of the random numbers that spread the attempts; never 0.
     random: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
     state: LinkState,
+    /// Failures since the connection was last open.
     failures: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
-    Waiting { until_ms: u64 },
+    /// To be dialled at this time, on the steady clock.
+    Waiting {
+        until_ms: u64,
+    },
+    /// A dial was returned by [`Peers::poll_dials`].
     Dialling,
     Open(ConnectionId),
 }
@@ -36,7 +43,7 @@
 }
 
 impl Peers {
-    /// Nobody yet; `seed` starts the random numbers that spread the tries.
+    /// No peers; `seed` starts the random numbers that spread the attempts.
     pub fn new(seed: u64) -> Self {
         Peers {
             links: BTreeMap::new(),
@@ -44,8 +51,12 @@
         }
     }
 
-    /// Keeps a connection to each of `addresses` from now on, and to nobody else; gives the connections to close.
-    pub fn follow(&mut self, now_ms: u64, addresses: BTreeSet<SocketAddr>) -> Vec<ConnectionId> {
+    /// Keeps a connection to each of `addresses` from now on, and to no other; returns the connections to close.
+    pub fn set_addresses(
+        &mut self,
+        now_ms: u64,
+        addresses: BTreeSet<SocketAddr>,
+    ) -> Vec<ConnectionId> {
         let mut surplus = Vec::new();
         self.links.retain(|address, link| {
             let kept = addresses.contains(address);
@@ -64,8 +75,8 @@
         surplus
     }
 
-    /// Whom to dial now; each is to be reported by [`Self::opened`] or [`Self::failed`].
-    pub fn take_due(&mut self, now_ms: u64) -> Vec<SocketAddr> {
+    /// The addresses to dial now; the result of each is to be reported by [`Self::dial_succeeded`] or [`Self::dial_failed`].
+    pub fn poll_dials(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         let mut due = Vec::new();
         for (address, link) in &mut self.links {
             if matches!(link.state, LinkState::Waiting { until_ms } if until_ms <= now_ms) {
@@ -76,25 +87,25 @@
         due
     }
 
-    /// When somebody is to be dialled next.
+    /// When [`Self::poll_dials`] is due, on the steady clock in milliseconds.
     pub fn next_due_ms(&self) -> u64 {
         let waiting = self.links.values().filter_map(|link| match link.state {
             LinkState::Waiting { until_ms } => Some(until_ms),
-            _ => None,
+            LinkState::Dialling | LinkState::Open(_) => None,
         });
         waiting.min().unwrap_or(u64::MAX)
     }
 
-    /// The peer has just connected to this member, so that it is up: it is dialled at once, also where a dial is under way,
-    /// as that may have begun while its machine was down, and would hang.
-    pub fn heard_from(&mut self, now_ms: u64, address: SocketAddr) {
+    /// The peer has just connected to this member, so that it is up: it is dialled at once. An open dial does not prevent
+    /// that, as it may have begun while the machine was down, and would hang.
+    pub fn peer_connected(&mut self, now_ms: u64, address: SocketAddr) {
         if let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) {
             link.state = LinkState::Waiting { until_ms: now_ms };
         }
     }
 
-    /// A connection has come about; false if nobody wants it any more.
-    pub fn opened(&mut self, address: SocketAddr, connection: ConnectionId) -> bool {
+    /// A dial has succeeded; false if the connection is not needed any more.
+    pub fn dial_succeeded(&mut self, address: SocketAddr, connection: ConnectionId) -> bool {
         let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) else {
             return false;
         };
@@ -105,15 +116,15 @@
         true
     }
 
-    /// Dialling has failed. Where another dial has come about since, that one stays.
-    pub fn failed(&mut self, now_ms: u64, address: SocketAddr) {
+    /// A dial has failed. A connection of another dial stays.
+    pub fn dial_failed(&mut self, now_ms: u64, address: SocketAddr) {
         if self.links.get(&address).is_some_and(|link| !link.is_open()) {
-            self.wait(now_ms, address);
+            self.schedule_retry(now_ms, address);
         }
     }
 
-    /// The peer is dialled again after a while.
-    fn wait(&mut self, now_ms: u64, address: SocketAddr) {
+    /// Schedules the next dial, with backoff and jitter.
+    fn schedule_retry(&mut self, now_ms: u64, address: SocketAddr) {
         let wait_ms = self.links.get(&address).map(|link| retry_ms(link.failures));
         let Some(wait_ms) = wait_ms.map(|longest| longest / 2 + self.draw(longest / 2)) else {
             return;
@@ -128,15 +139,19 @@
         }
     }
 
-    /// A connection is closed; gives the peer that it led to, if it was one of these.
-    pub fn closed(&mut self, now_ms: u64, connection: ConnectionId) -> Option<SocketAddr> {
+    /// A connection is closed; returns its peer, if it was one of these.
+    pub fn connection_closed(
+        &mut self,
+        now_ms: u64,
+        connection: ConnectionId,
+    ) -> Option<SocketAddr> {
         let open = LinkState::Open(connection);
         let address = self
             .links
             .iter()
             .find(|(_, link)| link.state == open)
             .map(|(address, _)| *address)?;
-        self.wait(now_ms, address);
+        self.schedule_retry(now_ms, address);
         Some(address)
     }
 
@@ -144,20 +159,11 @@
     pub fn connection(&self, address: SocketAddr) -> Option<ConnectionId> {
         match self.links.get(&address)?.state {
             LinkState::Open(connection) => Some(connection),
-            _ => None,
+            LinkState::Waiting { .. } | LinkState::Dialling => None,
         }
     }
 
-    /// The peer that this connection leads to.
-    pub fn address(&self, connection: ConnectionId) -> Option<SocketAddr> {
-        let open = LinkState::Open(connection);
-        self.links
-            .iter()
-            .find(|(_, link)| link.state == open)
-            .map(|(address, _)| *address)
-    }
-
-    /// A number from 0 to `below` (xorshift: good enough to spread tries).
+    /// A number from 0 to `below` (xorshift: good enough to spread attempts).
     fn draw(&mut self, below: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
--- /dev/null
+++ b/crates/control-plane/tests/control_plane/cluster.rs
@@ -0,0 +1,182 @@
+//! Three members with real databases, on simulated connections and a simulated clock.
+
+use crate::builders::{EDGE, accepted, config_read, edge_replies, first_config, hello, put};
+use crate::simulated_cluster::{CONTROL_PORT, SimulatedCluster};
+use indigofold_control_plane::config_authority::ChangeResponse;
+use indigofold_control_plane::node::Input;
+use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
+use indigofold_protocol::internal::{
+    ClientCall, ClientOperation, ClientOutcome, Frame, ProcessKind,
+};
+use rstest::rstest;
+
+/// Longer than any lease.
+const FREEZE_MS: u64 = 60_000;
+
+/// The operator's request that makes the first configuration.
+fn put_first_config() -> OperatorRequest {
+    OperatorRequest::Change(put(0, &first_config()))
+}
+
+#[test]
+fn members_agree_on_one_head_at_first_start() {
+    let mut cluster = SimulatedCluster::start(3);
+    let head = cluster.run_to_head();
+    assert_eq!(
+        cluster.request(head, OperatorRequest::Read),
+        OperatorResponse::NoConfig
+    );
+    for other in (0..3).filter(|member| *member != head) {
+        let OperatorResponse::RedirectToHead(control) = cluster.request(other, put_first_config())
+        else {
+            panic!("member {other} does not name the head");
+        };
+        assert_eq!(control, cluster.address(head, CONTROL_PORT));
+    }
+}
+
+#[test]
+fn acknowledged_change_survives_the_head() {
+    let mut cluster = SimulatedCluster::start(3);
+    let head = cluster.run_to_head();
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
+    cluster.kill(head);
+    let successor = cluster.run_to_head();
+    assert_ne!(successor, head);
+    assert_eq!(
+        cluster.request(successor, OperatorRequest::Read),
+        config_read()
+    );
+    assert_eq!(cluster.request(successor, put_first_config()), accepted());
+}
+
+#[test]
+fn acknowledged_change_survives_a_restart_of_all_members() {
+    let mut cluster = SimulatedCluster::start(3);
+    let head = cluster.run_to_head();
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
+    (0..3).for_each(|member| cluster.kill(member));
+    (0..3).for_each(|member| cluster.restart(member));
+    let head = cluster.run_to_head();
+    assert_eq!(cluster.request(head, OperatorRequest::Read), config_read());
+}
+
+/// A row has changed on the disk of a member: it quarantines its database, and is in the chain once it has all rows from
+/// the others. Then the others are killed, and it leads with these rows.
+#[test]
+fn damaged_member_recovers_its_rows_from_the_others() {
+    let mut cluster = SimulatedCluster::start(3);
+    let head = cluster.run_to_head();
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
+    let (damaged, third) = ((head + 1) % 3, (head + 2) % 3);
+    cluster
+        .run_until(|cluster| cluster.node(damaged).is_needed() && cluster.node(third).is_needed());
+    cluster.kill(damaged);
+    cluster.flip_bit(damaged, "version");
+    cluster.restart(damaged);
+    cluster.run_until(|cluster| cluster.node(damaged).is_needed());
+    cluster.kill(head);
+    let successor = cluster.run_to_head();
+    assert_eq!(
+        cluster.request(successor, OperatorRequest::Read),
+        config_read()
+    );
+    if successor != damaged {
+        cluster.restart(head);
+        cluster.run_until(|cluster| cluster.node(head).is_needed());
+        cluster.kill(successor);
+        let last = cluster.run_to_head();
+        assert_eq!(cluster.request(last, OperatorRequest::Read), config_read());
+    }
+}
+
+#[test]
+fn successor_acts_at_once_after_step_down() {
+    let mut cluster = SimulatedCluster::start(3);
+    let head = cluster.run_to_head();
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
+    let before_ms = cluster.now_ms();
+    cluster.input(head, Input::StepDown);
+    cluster.run_until(|cluster| !cluster.node(head).is_needed());
+    let successor = cluster.run_to_head();
+    assert_ne!(successor, head);
+    assert!(
+        cluster.now_ms() < before_ms + 1_000,
+        "{} ms",
+        cluster.now_ms() - before_ms
+    );
+    assert_eq!(
+        cluster.request(successor, OperatorRequest::Read),
+        config_read()
+    );
+}
+
+#[test]
+fn partitioned_head_stops_serving_and_its_change_is_undetermined() {
+    let mut cluster = SimulatedCluster::start(3);
+    let head = cluster.run_to_head();
+    cluster.partition(head);
+    let call = cluster.call(head, put_first_config());
+    let successor = cluster.run_to_head_other_than(head);
+    assert!(!matches!(
+        cluster.response(call),
+        Some(OperatorResponse::Change(ChangeResponse::Accepted { .. }))
+    ));
+    assert_eq!(
+        cluster.request(successor, OperatorRequest::Read),
+        OperatorResponse::NoConfig
+    );
+    assert!(!matches!(
+        cluster.request(head, OperatorRequest::Read),
+        OperatorResponse::NoConfig
+    ));
+    cluster.run_until(|cluster| !cluster.node(head).is_head());
+    assert!(matches!(
+        cluster.response(call),
+        Some(OperatorResponse::Change(ChangeResponse::Undetermined) | OperatorResponse::NoHead)
+    ));
+}
+
+#[rstest]
+#[case::at_once(0, true)]
+#[case::after_a_freeze(FREEZE_MS, false)]
+fn lookup_results_are_withheld_after_lease_expiry(
+    #[case] freeze_ms: u64,
+    #[case] is_answered: bool,
+) {
+    let mut cluster = SimulatedCluster::start(3);
+    let head = cluster.run_to_head();
+    assert_eq!(cluster.request(head, put_first_config()), accepted());
+    cluster.input(
+        head,
+        Input::Frame {
+            connection: EDGE,
+            frame: Frame::Hello(hello("edge", ProcessKind::Edge, 1)),
+        },
+    );
+    let (host, path) = ("none.example".to_owned(), "/none/".to_owned());
+    let call = ClientCall {
+        call: 1,
+        host,
+        path,
+        operation: ClientOperation::Get,
+    };
+    let outputs = cluster.freeze(
+        head,
+        Input::Frame {
+            connection: EDGE,
+            frame: Frame::Call(call),
+        },
+        freeze_ms,
+    );
+    let replies = edge_replies(outputs);
+    let expected = |outcome: &ClientOutcome| match outcome {
+        ClientOutcome::UnknownRoute => is_answered,
+        ClientOutcome::Unavailable { .. } => !is_answered,
+        _ => false,
+    };
+    assert!(
+        replies.len() == 1 && replies.iter().all(expected),
+        "{replies:?}"
+    );
+}
--- a/crates/control-plane/tests/cluster/world.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -1,12 +1,13 @@
-//! The members, their links and the clock.
+//! A cluster of members with real databases, on simulated connections and a simulated clock.
 
+use crate::builders::{START_MS, clocks, hello};
+use indigofold_control_plane::clocks::Clocks;
 use indigofold_control_plane::config_authority::CallId;
-use indigofold_control_plane::head::Clocks;
 use indigofold_control_plane::node::{Input, Node, NodeSettings, Output};
-use indigofold_control_plane::operator::{OperatorAnswer, OperatorCall};
+use indigofold_control_plane::operator::{OperatorRequest, OperatorResponse};
 use indigofold_control_plane::sessions::ConnectionId;
-use indigofold_control_plane::storage_thread::{StorageRequest, carry_out};
-use indigofold_protocol::internal::{Frame, Hello, MemberAddress, ProcessKind};
+use indigofold_control_plane::storage_thread::{StorageRequest, execute};
+use indigofold_protocol::internal::{Frame, MemberAddress, ProcessKind};
 use indigofold_replication::Storage;
 use indigofold_scheduler::Bounds;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -15,54 +16,64 @@
 
 pub const CONTROL_PORT: u16 = 8080;
 const INTERNAL_PORT: u16 = 7380;
-const START_MS: u64 = 1_000_000;
-const WALL_MS: u64 = 1_700_000_000_000;
 /// More wake-ups than any test needs.
 const STEPS_MAX: usize = 20_000;
 
-/// An end of a connection: the member and its number there.
-type End = (usize, ConnectionId);
+/// One end of a connection.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct Endpoint {
+    member: usize,
+    /// Its number at that member.
+    connection: ConnectionId,
+}
 
+/// A member that is up.
 struct Member {
     node: Node,
     storage: Storage,
 }
 
+/// An event that is yet to be handled.
 enum Event {
+    /// An input for a member.
     Input(usize, Input),
-    Frame { to: End, frame: Frame },
-    Store(usize, StorageRequest),
+    /// A frame that has been sent.
+    Frame { to: Endpoint, frame: Frame },
+    /// A request to a member's storage.
+    Storage(usize, StorageRequest),
 }
 
-pub struct World {
+/// Members by number, from 0; `None` for those that are down.
+pub struct SimulatedCluster {
     directories: Vec<TempDir>,
     members: Vec<Option<Member>>,
-    links: HashMap<End, End>,
+    /// The other end of each endpoint.
+    links: HashMap<Endpoint, Endpoint>,
     events: VecDeque<Event>,
-    cut_off: BTreeSet<usize>,
-    answers: HashMap<CallId, OperatorAnswer>,
+    partitioned: BTreeSet<usize>,
+    responses: HashMap<CallId, OperatorResponse>,
     now_ms: u64,
     last_number: u64,
 }
 
-impl World {
+impl SimulatedCluster {
     /// Members that start for the first time, all of them seeds.
-    pub fn start(count: usize) -> World {
+    pub fn start(count: usize) -> SimulatedCluster {
         let directories = (0..count)
-            .map(|_| TempDir::new().expect("a folder"))
+            .map(|_| TempDir::new().expect("a directory"))
             .collect();
-        let mut world = World {
+        let mut cluster = SimulatedCluster {
             directories,
             members: (0..count).map(|_| None).collect(),
             links: HashMap::new(),
             events: VecDeque::new(),
-            cut_off: BTreeSet::new(),
-            answers: HashMap::new(),
+            partitioned: BTreeSet::new(),
+            responses: HashMap::new(),
             now_ms: START_MS,
             last_number: 0,
         };
-        (0..count).for_each(|member| world.restart(member));
-        world
+        (0..count).for_each(|member| cluster.restart(member));
+        cluster
     }
 
     pub fn address(&self, member: usize, port: u16) -> SocketAddr {
@@ -80,7 +91,7 @@
             .node
     }
 
-    /// Starts a member with what its disk has kept.
+    /// Starts a member with its database.
     pub fn restart(&mut self, member: usize) {
         let opened = Storage::open(self.directories[member].path()).expect("a database");
         let mut settings = self.settings(member);
@@ -103,87 +114,87 @@
         std::fs::write(&path, bytes).expect("written");
     }
 
-    /// Ends a member as a kill does; its connections end.
+    /// Ends a member without notice; its connections are closed.
     pub fn kill(&mut self, member: usize) {
         self.members[member] = None;
-        let ends: Vec<End> = self
-            .links
-            .keys()
-            .filter(|end| end.0 == member)
-            .copied()
+        let endpoints = self.links.keys().copied();
+        let endpoints: Vec<Endpoint> = endpoints
+            .filter(|endpoint| endpoint.member == member)
             .collect();
-        ends.into_iter().for_each(|end| self.close(end));
+        endpoints
+            .into_iter()
+            .for_each(|endpoint| self.close(endpoint));
     }
 
-    /// From now on nothing reaches or leaves the member; nobody is told.
-    pub fn cut_off(&mut self, member: usize) {
-        self.cut_off.insert(member);
+    /// Drops all frames to and from the member from now on; its connections stay open.
+    pub fn partition(&mut self, member: usize) {
+        self.partitioned.insert(member);
     }
 
     pub fn input(&mut self, member: usize, input: Input) {
         self.events.push_back(Event::Input(member, input));
     }
 
-    /// Hands an input to a member that is frozen for a time before it sends anything.
+    /// Passes an input to a member that is frozen for a time before it sends anything; returns its outputs.
     pub fn freeze(&mut self, member: usize, input: Input, freeze_ms: u64) -> Vec<Output> {
         while self.step() {}
         let (clocks, sends_ms) = (self.clocks(), self.now_ms + freeze_ms);
         let Member { node, .. } = self.members[member].as_mut().expect("the member is up");
         node.handle(clocks, input);
-        node.finish(sends_ms)
+        node.poll_outputs(sends_ms)
     }
 
-    /// The operator calls a member.
-    pub fn call(&mut self, member: usize, request: OperatorCall) -> CallId {
-        let call = self.number();
+    /// The operator sends a request to a member.
+    pub fn call(&mut self, member: usize, request: OperatorRequest) -> CallId {
+        let call = CallId(self.number());
         self.input(member, Input::Operator { call, request });
         call
     }
 
-    pub fn answer(&self, call: CallId) -> Option<&OperatorAnswer> {
-        self.answers.get(&call)
+    pub fn response(&self, call: CallId) -> Option<&OperatorResponse> {
+        self.responses.get(&call)
     }
 
-    /// The operator calls a member and waits for the answer.
-    pub fn ask(&mut self, member: usize, request: OperatorCall) -> OperatorAnswer {
+    /// The operator sends a request to a member and waits for the response.
+    pub fn request(&mut self, member: usize, request: OperatorRequest) -> OperatorResponse {
         let call = self.call(member, request);
-        self.run_until(|world| world.answers.contains_key(&call));
-        self.answers.remove(&call).expect("it is answered")
+        self.run_until(|cluster| cluster.responses.contains_key(&call));
+        self.responses.remove(&call).expect("it is answered")
     }
 
-    /// Runs until a member answers as acting head.
+    /// Runs until a member responds as acting head.
     pub fn run_to_head(&mut self) -> usize {
         self.run_to_head_other_than(usize::MAX)
     }
 
-    /// Runs until a member other than this one answers as acting head.
+    /// Runs until a member other than this one responds as acting head.
     pub fn run_to_head_other_than(&mut self, excluded: usize) -> usize {
         for _ in 0..STEPS_MAX {
             let up =
                 (0..self.members.len()).filter(|m| *m != excluded && self.members[*m].is_some());
             for member in up.collect::<Vec<_>>() {
-                let call = self.call(member, OperatorCall::Read);
+                let call = self.call(member, OperatorRequest::Read);
                 while self.step() {}
-                let answer = self.answers.remove(&call);
+                let response = self.responses.remove(&call);
                 if matches!(
-                    answer,
-                    Some(OperatorAnswer::Config(_) | OperatorAnswer::NoConfig)
+                    response,
+                    Some(OperatorResponse::Config(_) | OperatorResponse::NoConfig)
                 ) {
                     return member;
                 }
             }
-            self.pass_time();
+            self.advance_to_timer();
         }
         panic!("no head is at work");
     }
 
-    pub fn run_until(&mut self, reached: impl Fn(&World) -> bool) {
+    pub fn run_until(&mut self, reached: impl Fn(&SimulatedCluster) -> bool) {
         for _ in 0..STEPS_MAX {
             while self.step() {}
             if reached(self) {
                 return;
             }
-            self.pass_time();
+            self.advance_to_timer();
         }
         panic!("not reached");
     }
@@ -194,44 +205,44 @@
             return false;
         };
         match event {
-            Event::Input(member, input) => self.hand_in(member, input),
+            Event::Input(member, input) => self.handle(member, input),
             Event::Frame {
-                to: (member, connection),
+                to: Endpoint { member, connection },
                 frame,
             } => {
-                self.hand_in(member, Input::Frame { connection, frame });
+                self.handle(member, Input::Frame { connection, frame });
             }
-            Event::Store(member, request) => {
+            Event::Storage(member, request) => {
                 let Some(Member { storage, .. }) = &mut self.members[member] else {
                     return true;
                 };
-                let answer = carry_out(storage, request);
-                self.hand_in(member, Input::Storage(answer));
+                let response = execute(storage, request);
+                self.handle(member, Input::Storage(response));
             }
         }
         true
     }
 
-    /// Goes on to the time at which a member has something to do.
-    fn pass_time(&mut self) {
+    /// Advances the clock to the next timer of any member, and runs the timers that are due.
+    fn advance_to_timer(&mut self) {
         let clocks = self.clocks();
         let due_ms = self
             .members
             .iter()
             .flatten()
-            .map(|member| member.node.next_tick_ms(clocks))
+            .map(|member| member.node.next_timeout_ms(clocks))
             .min();
         self.now_ms = due_ms.unwrap_or(u64::MAX).max(self.now_ms + 1);
         let clocks = self.clocks();
         for member in 0..self.members.len() {
             if let Some(Member { node, .. }) = &mut self.members[member] {
-                node.tick(clocks);
+                node.handle_timeout(clocks);
                 self.finish(member);
             }
         }
     }
 
-    fn hand_in(&mut self, member: usize, input: Input) {
+    fn handle(&mut self, member: usize, input: Input) {
         let clocks = self.clocks();
         let Some(Member { node, .. }) = &mut self.members[member] else {
             return;
@@ -245,33 +256,35 @@
         let Some(Member { node, .. }) = &mut self.members[member] else {
             return;
         };
-        for output in node.finish(now_ms) {
+        for output in node.poll_outputs(now_ms) {
             match output {
-                Output::Send { connection, frame } => self.send((member, connection), frame),
-                Output::Close { connection } => self.close((member, connection)),
+                Output::Send { connection, frame } => {
+                    self.send(Endpoint { member, connection }, frame)
+                }
+                Output::Close { connection } => self.close(Endpoint { member, connection }),
                 Output::Dial { address } => self.dial(member, address),
-                Output::Answer { call, answer } => drop(self.answers.insert(call, answer)),
-                Output::Storage(request) => self.events.push_back(Event::Store(member, request)),
-                Output::Damaged { reason } => panic!("the disk of member {member}: {reason}"),
+                Output::Respond { call, response } => drop(self.responses.insert(call, response)),
+                Output::Storage(request) => self.events.push_back(Event::Storage(member, request)),
+                Output::Damaged { error } => panic!("the disk of member {member}: {error}"),
             }
         }
     }
 
-    fn send(&mut self, from: End, frame: Frame) {
+    fn send(&mut self, from: Endpoint, frame: Frame) {
         let Some(to) = self.links.get(&from).copied() else {
             return;
         };
-        if !self.cut_off.contains(&from.0) && !self.cut_off.contains(&to.0) {
+        if !self.partitioned.contains(&from.member) && !self.partitioned.contains(&to.member) {
             self.events.push_back(Event::Frame { to, frame });
         }
     }
 
-    fn close(&mut self, end: End) {
-        let Some(other) = self.links.remove(&end) else {
+    fn close(&mut self, endpoint: Endpoint) {
+        let Some(other) = self.links.remove(&endpoint) else {
             return;
         };
         self.links.remove(&other);
-        for (member, connection) in [end, other] {
+        for Endpoint { member, connection } in [endpoint, other] {
             self.events
                 .push_back(Event::Input(member, Input::Closed { connection }));
         }
@@ -281,20 +294,26 @@
         let to =
             (0..self.members.len()).find(|member| self.address(*member, INTERNAL_PORT) == address);
         let is_up =
-            |member: &usize| self.members[*member].is_some() && !self.cut_off.contains(member);
+            |member: &usize| self.members[*member].is_some() && !self.partitioned.contains(member);
         let Some(to) = to.filter(|to| is_up(to) && is_up(&from)) else {
             self.input(from, Input::DialFailed { address });
             return;
         };
-        let near = (from, ConnectionId(self.number()));
-        let far = (to, ConnectionId(self.number()));
-        self.links.insert(near, far);
-        self.links.insert(far, near);
+        let dialling_end = Endpoint {
+            member: from,
+            connection: ConnectionId(self.number()),
+        };
+        let accepting_end = Endpoint {
+            member: to,
+            connection: ConnectionId(self.number()),
+        };
+        self.links.insert(dialling_end, accepting_end);
+        self.links.insert(accepting_end, dialling_end);
         self.input(
             from,
             Input::Dialled {
                 address,
-                connection: near.1,
+                connection: dialling_end.connection,
             },
         );
     }
@@ -319,10 +338,7 @@
     }
 
     fn clocks(&self) -> Clocks {
-        Clocks {
-            steady_ms: self.now_ms,
-            wall_ms: WALL_MS + self.now_ms - START_MS,
-        }
+        clocks(self.now_ms)
     }
 
     fn number(&mut self) -> u64 {
@@ -330,12 +346,3 @@
         self.last_number
     }
 }
-
-pub fn hello(node_name: &str, kind: ProcessKind, incarnation: u64) -> Hello {
-    Hello {
-        node_name: node_name.to_owned(),
-        kind,
-        zone: "a".to_owned(),
-        incarnation,
-    }
-}
