--- a/crates/data-plane/src/agent/mod.rs
+++ b/crates/data-plane/src/agent.rs
@@ -1,25 +1,25 @@
 //! The companion of one worker: takes its heartbeats, answers them by itself, passes the head's orders on and tells the
 //! head what the worker lists. A state machine without I/O; `now_ms` is the machine's steady clock.
 
-mod authority;
-mod closed;
-mod life;
-mod news;
-mod runs;
-
-pub use authority::expires_by_ms;
-pub use closed::CLOSED_MAX;
-pub use life::Life;
-pub use news::{GONE_MAX, NOT_STARTED_MAX};
-pub use runs::{MISFIT_MS, PASSES_MAX, STARTS_PER_ANSWER};
-
-use authority::Authority;
+mod closed_runs;
+mod lease_authority;
+mod run_table;
+mod unreported;
+mod worker_instance;
+
+pub use closed_runs::CLOSED_MAX;
+pub use lease_authority::expires_by_ms;
+pub use run_table::{MISFIT_MS, PASSES_MAX, STARTS_PER_ANSWER};
+pub use unreported::{GONE_MAX, NOT_STARTED_MAX};
+pub use worker_instance::Life;
+
 use indigofold_protocol::internal::{AgentOrders, AgentReport, RUN_LEASE_MS, StartOrder};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::{Heartbeat, HeartbeatReply, Start, Stop};
-use life::Standing;
-use news::{Gone, NotStarted};
-use runs::HandOut;
+use lease_authority::Authority;
+use run_table::HandOut;
+use unreported::{Gone, NotStarted};
+use worker_instance::Standing;
 
 /// Reports to the head are at least so far apart.
 pub const REPORT_SPACING_MS: u64 = 5;
--- a/crates/data-plane/src/agent/runs.rs
+++ b/crates/data-plane/src/agent/run_table.rs
@@ -1,6 +1,6 @@
 //! The runs of one life of a worker: ordered, passed on, at work, ended.
 
-use super::closed::{Closed, Closing};
+use super::closed_runs::{Closed, Closing};
 use indigofold_protocol::internal::{FinishedRun, RunningRun, StartOrder};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::RunId;
--- a/crates/data-plane/src/agent/life.rs
+++ b/crates/data-plane/src/agent/worker_instance.rs
@@ -1,7 +1,7 @@
 //! One life of the worker: from its first heartbeat until it leaves, is replaced or falls silent for good.
 
-use super::authority::expires_by_ms;
-use super::runs::{HandOut, Room, RunTable};
+use super::lease_authority::expires_by_ms;
+use super::run_table::{HandOut, Room, RunTable};
 use indigofold_protocol::internal::{FinishedRun, InstanceReport, RUN_LEASE_MS, RunningRun};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::{Finished, Heartbeat, Running, WorkerState};
