--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -7,19 +7,19 @@
 mod unreported;
 mod worker_instance;
 
-pub use closed_runs::CLOSED_MAX;
+pub use closed_runs::CLOSED_RUNS_MAX;
 pub use lease_authority::expires_by_ms;
-pub use run_table::{MISFIT_MS, PASSES_MAX, STARTS_PER_ANSWER};
-pub use unreported::{GONE_MAX, NOT_STARTED_MAX};
-pub use worker_instance::Life;
+pub use run_table::{INCOMPATIBLE_MS, SEND_ATTEMPTS_MAX, STARTS_PER_ANSWER};
+pub use unreported::{ENDED_INSTANCES_MAX, NOT_STARTED_MAX};
+pub use worker_instance::WorkerInstance;
 
 use indigofold_protocol::internal::{AgentOrders, AgentReport, RUN_LEASE_MS, StartOrder};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::{Heartbeat, HeartbeatReply, Start, Stop};
-use lease_authority::Authority;
-use run_table::HandOut;
-use unreported::{Gone, NotStarted};
-use worker_instance::Standing;
+use lease_authority::LeaseAuthority;
+use run_table::OutgoingOrders;
+use unreported::{EndedInstances, NotStarted};
+use worker_instance::Confirmation;
 
 /// Reports to the head are at least so far apart.
 pub const REPORT_SPACING_MS: u64 = 5;
@@ -28,18 +28,18 @@
 /// Runs' progress in percent, where nothing else about them changed, is told so often.
 pub const PERCENT_INTERVAL_MS: u64 = 1_000;
 /// The worker's next heartbeat while something is ordered or runs.
-pub const BUSY_BEAT_MS: u64 = 20;
+pub const BUSY_HEARTBEAT_MS: u64 = 20;
 /// The worker's next heartbeat while nothing is ordered or runs.
-pub const IDLE_BEAT_MS: u64 = 50;
+pub const IDLE_HEARTBEAT_MS: u64 = 50;
 /// Longest time for which the answer to a heartbeat waits for orders that it expects: the way to the head, a write
 /// there and the way back. A worker that is busy sends its next heartbeat late, as each end of a run puts it off.
 pub const ORDERS_WAIT_MS: u64 = 100;
 /// An order makes the worker busy for so long.
-pub const ORDERED_LATELY_MS: u64 = 3_000;
+pub const RECENT_ORDER_MS: u64 = 3_000;
 
 /// A heartbeat that was taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct HeartbeatReceipt {
     /// Its number.
     pub seq_no: u64,
     /// Runs have ended, so that orders for the room may be on their way: the answer had better wait for them.
@@ -48,11 +48,11 @@
 
 /// What became of a heartbeat.
 #[derive(Debug, PartialEq)]
-pub enum BeatOutcome {
+pub enum HeartbeatOutcome {
     /// The newest one: the answer carries orders.
     Answered(HeartbeatReply),
     /// A newer one was read before, or its life is over: it is acknowledged, without orders.
-    Late,
+    Superseded,
 }
 
 /// Events that an operator may want to know.
@@ -61,9 +61,9 @@
     /// A new life of the worker has registered.
     Registered(String),
     /// The worker has said that it leaves.
-    Left(String),
+    Deregistered(String),
     /// The worker has been silent until its holds lapsed.
-    Silent(String),
+    Unresponsive(String),
     /// A silent life has come back.
     Returned(String),
 }
@@ -72,21 +72,21 @@
 #[derive(Debug)]
 pub struct Agent {
     started_ms: u64,
-    authority: Authority,
+    authority: LeaseAuthority,
     epoch: u64,
-    life: Option<Life>,
+    instance: Option<WorkerInstance>,
     /// A life that the head asks for and that this process has not heard of.
-    stranger: Option<String>,
+    unknown_instance: Option<String>,
     /// Lives that were replaced or have left; late heartbeats of theirs mean nothing.
     ended: Vec<String>,
-    ended_instances: Gone,
+    ended_instances: EndedInstances,
     not_started: NotStarted,
-    ordered_ms: Option<u64>,
-    linked: bool,
+    last_order_ms: Option<u64>,
+    connected: bool,
     urgent: bool,
     reported_ms: Option<u64>,
     /// Life, revision and time of the lists told last on this connection.
-    lists_told: Option<(String, u64, u64)>,
+    reported_runs: Option<(String, u64, u64)>,
     events: Vec<AgentEvent>,
 }
 
@@ -95,188 +95,203 @@
     pub fn new(now_ms: u64, max_lease_ms: u64) -> Self {
         Agent {
             started_ms: now_ms,
-            authority: Authority::new(max_lease_ms),
+            authority: LeaseAuthority::new(max_lease_ms),
             epoch: 0,
-            life: None,
-            stranger: None,
+            instance: None,
+            unknown_instance: None,
             ended: Vec::new(),
-            ended_instances: Gone::new(GONE_MAX),
+            ended_instances: EndedInstances::new(ENDED_INSTANCES_MAX),
             not_started: NotStarted::new(NOT_STARTED_MAX),
-            ordered_ms: None,
-            linked: false,
+            last_order_ms: None,
+            connected: false,
             urgent: false,
             reported_ms: None,
-            lists_told: None,
+            reported_runs: None,
             events: Vec::new(),
         }
     }
 
-    /// `PUT /instances/ID` has come in; [`Agent::answer`] follows. `None` if the heartbeat is not to be read.
-    pub fn hear(&mut self, now_ms: u64, id: &str, beat: Heartbeat) -> Option<Heard> {
-        if !self.admit(now_ms, id, &beat) {
+    /// `PUT /instances/ID` has come in; [`Agent::poll_heartbeat_reply`] follows. `None` if the heartbeat is not to be read.
+    pub fn handle_heartbeat(
+        &mut self,
+        now_ms: u64,
+        id: &str,
+        heartbeat: Heartbeat,
+    ) -> Option<HeartbeatReceipt> {
+        if !self.admit(now_ms, id, &heartbeat) {
             return None;
         }
         self.check_authority(now_ms);
-        let life = self.life.as_mut()?;
-        let seq_no = beat.seq_no;
-        let in_flight = life.runs.in_flight();
-        let changes = life.heard(now_ms, beat);
-        let confirmed = life.standing == Standing::Confirmed;
-        self.urgent |= changes.urgent || life.runs.in_flight() != in_flight;
-        self.give_back(changes.not_started);
-        Some(Heard {
+        let instance = self.instance.as_mut()?;
+        let seq_no = heartbeat.seq_no;
+        let in_flight = instance.runs.in_flight();
+        let changes = instance.handle_heartbeat(now_ms, heartbeat);
+        let confirmed = instance.confirmation == Confirmation::Confirmed;
+        self.urgent |= changes.urgent || instance.runs.in_flight() != in_flight;
+        self.report_not_started(changes.not_started);
+        Some(HeartbeatReceipt {
             seq_no,
-            expects_orders: changes.ended && confirmed && self.linked,
+            expects_orders: changes.ended && confirmed && self.connected,
         })
     }
 
     /// The answer to the heartbeat heard as `seq_no`; one that a newer heartbeat has overtaken gets nothing.
-    pub fn answer(&mut self, now_ms: u64, id: &str, seq_no: u64) -> BeatOutcome {
+    pub fn poll_heartbeat_reply(&mut self, now_ms: u64, id: &str, seq_no: u64) -> HeartbeatOutcome {
         self.check_authority(now_ms);
         let newest = self
-            .life
+            .instance
             .as_mut()
-            .filter(|life| life.id == id && life.is_newest(seq_no));
-        let Some(life) = newest else {
-            return BeatOutcome::Late;
+            .filter(|instance| instance.id == id && instance.is_newest(seq_no));
+        let Some(instance) = newest else {
+            return HeartbeatOutcome::Superseded;
         };
-        let confirmed = life.standing == Standing::Confirmed;
+        let confirmed = instance.confirmation == Confirmation::Confirmed;
         let lease_ms = confirmed.then(|| self.authority.lease_ms(now_ms)).flatten();
-        let in_flight = life.runs.in_flight();
-        let out = life.hand_out(now_ms, lease_ms);
-        let (acknowledged_end, idle) = (life.acknowledged_end, life.runs.is_empty());
-        self.urgent |= life.runs.in_flight() != in_flight;
+        let in_flight = instance.runs.in_flight();
+        let out = instance.poll_orders(now_ms, lease_ms);
+        let (acknowledged_end, idle) = (instance.acknowledged_end, instance.runs.is_empty());
+        self.urgent |= instance.runs.in_flight() != in_flight;
         Self::push_all(&mut self.not_started, &out.not_started);
-        self.end_if_left();
-        BeatOutcome::Answered(self.reply(now_ms, lease_ms, acknowledged_end, idle, out))
+        self.end_if_drained();
+        HeartbeatOutcome::Answered(self.reply(now_ms, lease_ms, acknowledged_end, idle, out))
     }
 
     /// `DELETE /instances/ID`. A worker that was draining ends now. One that was not serves on for a while: what runs
     /// there is not over before the worker has listed its end, or its holds have lapsed.
-    pub fn delete(&mut self, id: &str) {
-        let Some(life) = self
-            .life
+    pub fn handle_deregistration(&mut self, id: &str) {
+        let Some(instance) = self
+            .instance
             .as_mut()
-            .filter(|life| life.id == id && !life.leaving)
+            .filter(|instance| instance.id == id && !instance.deregistered)
         else {
             return;
         };
-        self.events.push(AgentEvent::Left(id.to_owned()));
-        let withdrawn = life.runs.withdraw_all();
-        if life.is_draining() || life.runs.is_empty() {
-            self.end_life();
+        self.events.push(AgentEvent::Deregistered(id.to_owned()));
+        let withdrawn = instance.runs.withdraw_all();
+        if instance.is_draining() || instance.runs.is_empty() {
+            self.end_instance();
         } else {
-            life.leave();
+            instance.deregister();
             self.urgent = true;
         }
-        self.give_back(withdrawn);
+        self.report_not_started(withdrawn);
     }
 
     /// What the head tells.
-    pub fn orders(&mut self, now_ms: u64, orders: AgentOrders) {
+    pub fn handle_orders(&mut self, now_ms: u64, orders: AgentOrders) {
         if orders.epoch < self.epoch {
             return;
         }
         self.epoch = orders.epoch;
         self.check_authority(now_ms);
         if let Some(echo_ms) = orders.echo_sent_ms {
-            self.echoed(echo_ms);
+            self.handle_echo(echo_ms);
         }
-        let Some(life) = self.life.as_mut().filter(|life| life.id == orders.instance) else {
-            self.asked_for_stranger(orders.instance);
+        let Some(instance) = self
+            .instance
+            .as_mut()
+            .filter(|instance| instance.id == orders.instance)
+        else {
+            self.handle_unknown_instance(orders.instance);
             return;
         };
         if let Some(number) = orders.acknowledged_end {
-            life.acknowledge(number);
+            instance.acknowledge(number);
         }
         if orders.has_work() {
-            self.ordered_ms = Some(now_ms);
+            self.last_order_ms = Some(now_ms);
         }
-        let in_doubt = life.expired || (life.returned && life.standing != Standing::Confirmed);
-        let mut given_back = Vec::new();
+        let in_doubt = instance.expired
+            || (instance.returned && instance.confirmation != Confirmation::Confirmed);
+        let mut not_started = Vec::new();
         for order in orders.start {
-            given_back.extend(take_start(life, order, in_doubt));
+            not_started.extend(take_start(instance, order, in_doubt));
         }
-        given_back.extend(
+        not_started.extend(
             orders
                 .stop
                 .into_iter()
-                .filter_map(|run| life.runs.order_stop(run)),
+                .filter_map(|run| instance.runs.order_stop(run)),
         );
-        self.give_back(given_back);
+        self.report_not_started(not_started);
     }
 
     /// A connection to an acting head is there: it is told everything.
-    pub fn link_up(&mut self) {
-        self.linked = true;
+    pub fn handle_connected(&mut self) {
+        self.connected = true;
         self.urgent = true;
-        self.lists_told = None;
-        self.ended_instances.reconnected();
-        self.not_started.reconnected();
+        self.reported_runs = None;
+        self.ended_instances.handle_connected();
+        self.not_started.handle_connected();
     }
 
     /// The connection to the head is lost.
-    pub fn link_down(&mut self) {
-        self.linked = false;
+    pub fn handle_disconnected(&mut self) {
+        self.connected = false;
     }
 
     /// Lets time pass; returns the report that is due now.
-    pub fn tick(&mut self, now_ms: u64) -> Option<AgentReport> {
-        self.check_silence(now_ms);
+    pub fn poll_report(&mut self, now_ms: u64) -> Option<AgentReport> {
+        self.expire_unresponsive(now_ms);
         let due = self.report_due_ms().is_some_and(|due_ms| due_ms <= now_ms);
         due.then(|| self.report(now_ms))
     }
 
-    /// When [`Agent::tick`] is to be called next, at the latest.
-    pub fn next_tick_ms(&self) -> Option<u64> {
-        let silence_ms = self
-            .life
+    /// When [`Agent::poll_report`] is to be called next, at the latest.
+    pub fn next_timeout_ms(&self) -> Option<u64> {
+        let expiry_ms = self
+            .instance
             .as_ref()
-            .filter(|life| !life.expired)
-            .map(Life::lapses_at_ms);
-        let stranger_ms = self
-            .stranger
+            .filter(|instance| !instance.expired)
+            .map(WorkerInstance::expires_at_ms);
+        let unknown_expiry_ms = self
+            .unknown_instance
             .as_ref()
             .map(|_| expires_by_ms(self.started_ms, RUN_LEASE_MS));
-        [silence_ms, stranger_ms, self.report_due_ms()]
+        [expiry_ms, unknown_expiry_ms, self.report_due_ms()]
             .into_iter()
             .flatten()
             .min()
     }
 
     /// What has happened since the last call, for the log.
-    pub fn take_events(&mut self) -> Vec<AgentEvent> {
+    pub fn poll_events(&mut self) -> Vec<AgentEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// Whether this heartbeat is to be read; a new or returning life takes its place first.
-    fn admit(&mut self, now_ms: u64, id: &str, beat: &Heartbeat) -> bool {
+    fn admit(&mut self, now_ms: u64, id: &str, heartbeat: &Heartbeat) -> bool {
         if self.ended.iter().any(|ended| ended == id) {
             return false;
         }
-        if self.life.as_ref().is_some_and(|life| life.id != id) {
-            self.end_life();
+        if self
+            .instance
+            .as_ref()
+            .is_some_and(|instance| instance.id != id)
+        {
+            self.end_instance();
         }
-        match &mut self.life {
-            Some(life) if life.is_late(beat.seq_no) => return false,
-            Some(life) if !life.expired => return true,
-            Some(life) => {
-                life.expired = false;
-                life.returned = true;
-                life.standing = Standing::Untold;
+        match &mut self.instance {
+            Some(instance) if instance.is_superseded(heartbeat.seq_no) => return false,
+            Some(instance) if !instance.expired => return true,
+            Some(instance) => {
+                instance.expired = false;
+                instance.returned = true;
+                instance.confirmation = Confirmation::Unreported;
                 self.events.push(AgentEvent::Returned(id.to_owned()));
             }
             None => {
-                let mut life = Life::new(id.to_owned(), self.started_ms);
-                life.returned = self.ended_instances.contains(&life.id);
-                self.life = Some(life);
+                let mut instance = WorkerInstance::new(id.to_owned(), self.started_ms);
+                instance.returned = self.ended_instances.contains(&instance.id);
+                self.instance = Some(instance);
                 self.events.push(AgentEvent::Registered(id.to_owned()));
             }
         }
         self.ended_instances.remove(&id.to_owned());
-        self.stranger.take_if(|stranger| stranger == id);
-        (self.urgent, self.lists_told) = (true, None);
-        self.ordered_ms = Some(now_ms);
+        self.unknown_instance
+            .take_if(|unknown_instance| unknown_instance == id);
+        (self.urgent, self.reported_runs) = (true, None);
+        self.last_order_ms = Some(now_ms);
         true
     }
 
@@ -286,11 +301,11 @@
         lease_ms: Option<u64>,
         acknowledged_end: Option<u64>,
         idle: bool,
-        out: HandOut,
+        out: OutgoingOrders,
     ) -> HeartbeatReply {
-        let lately = self
-            .ordered_ms
-            .is_some_and(|at_ms| now_ms < at_ms + ORDERED_LATELY_MS);
+        let recent = self
+            .last_order_ms
+            .is_some_and(|at_ms| now_ms < at_ms + RECENT_ORDER_MS);
         let start = |order: StartOrder| {
             Start(
                 order.run.task.to_string(),
@@ -309,44 +324,44 @@
                 .iter()
                 .map(|run| Stop(run.task.to_string(), run.attempt))
                 .collect(),
-            retry_delay_ms: Some(if idle && !lately {
-                IDLE_BEAT_MS
+            retry_delay_ms: Some(if idle && !recent {
+                IDLE_HEARTBEAT_MS
             } else {
-                BUSY_BEAT_MS
+                BUSY_HEARTBEAT_MS
             }),
         }
     }
 
     /// An acting head has answered the report sent at `echo_ms`.
-    fn echoed(&mut self, echo_ms: u64) {
+    fn handle_echo(&mut self, echo_ms: u64) {
         if !self.authority.answered(echo_ms) {
             return;
         }
-        if let Some(life) = &mut self.life
-            && matches!(life.standing, Standing::Told(told_ms) if told_ms <= echo_ms)
+        if let Some(instance) = &mut self.instance
+            && matches!(instance.confirmation, Confirmation::Reported(reported_ms) if reported_ms <= echo_ms)
         {
-            life.standing = Standing::Confirmed;
+            instance.confirmation = Confirmation::Confirmed;
         }
     }
 
     /// The head knows a life at this machine that is not the present one.
-    fn asked_for_stranger(&mut self, instance: String) {
+    fn handle_unknown_instance(&mut self, instance: String) {
         if instance.is_empty()
             || self.ended.contains(&instance)
             || self.ended_instances.contains(&instance)
         {
             return;
         }
-        match self.life {
+        match self.instance {
             Some(_) => self.retire(instance),
-            None => self.stranger = Some(instance),
+            None => self.unknown_instance = Some(instance),
         }
     }
 
     /// A life that was replaced or has left: nothing of it runs.
     fn retire(&mut self, id: String) {
         self.ended.push(id.clone());
-        if self.ended.len() > GONE_MAX {
+        if self.ended.len() > ENDED_INSTANCES_MAX {
             self.ended.remove(0);
         }
         self.ended_instances.push(id);
@@ -354,23 +369,23 @@
     }
 
     /// A worker that has sent `DELETE` and has nothing at work any more, whose ends the head has all heard of, is gone.
-    fn end_if_left(&mut self) {
+    fn end_if_drained(&mut self) {
         if self
-            .life
+            .instance
             .as_ref()
-            .is_some_and(|life| life.leaving && life.is_done())
+            .is_some_and(|instance| instance.deregistered && instance.is_done())
         {
-            self.end_life();
+            self.end_instance();
         }
     }
 
-    fn end_life(&mut self) {
-        if let Some(life) = self.life.take() {
-            self.retire(life.id);
+    fn end_instance(&mut self) {
+        if let Some(instance) = self.instance.take() {
+            self.retire(instance.id);
         }
     }
 
-    fn give_back(&mut self, runs: Vec<RunId>) {
+    fn report_not_started(&mut self, runs: Vec<RunId>) {
         self.urgent |= !runs.is_empty();
         Self::push_all(&mut self.not_started, &runs);
     }
@@ -386,38 +401,39 @@
             return;
         }
         let withdrawn = self
-            .life
+            .instance
             .as_mut()
-            .map(|life| life.runs.withdraw_all())
+            .map(|instance| instance.runs.withdraw_all())
             .unwrap_or_default();
-        self.give_back(withdrawn);
+        self.report_not_started(withdrawn);
     }
 
     /// Tells of a life whose holds have all lapsed that it is gone.
-    fn check_silence(&mut self, now_ms: u64) {
-        if self.stranger.is_some() && expires_by_ms(self.started_ms, RUN_LEASE_MS) <= now_ms {
+    fn expire_unresponsive(&mut self, now_ms: u64) {
+        if self.unknown_instance.is_some() && expires_by_ms(self.started_ms, RUN_LEASE_MS) <= now_ms
+        {
             self.ended_instances
-                .push(self.stranger.take().unwrap_or_default());
+                .push(self.unknown_instance.take().unwrap_or_default());
             self.urgent = true;
         }
-        let Some(life) = self
-            .life
+        let Some(instance) = self
+            .instance
             .as_mut()
-            .filter(|life| !life.expired && life.lapses_at_ms() <= now_ms)
+            .filter(|instance| !instance.expired && instance.expires_at_ms() <= now_ms)
         else {
             return;
         };
-        life.expired = true;
-        let id = life.id.clone();
-        let given_back = life.runs.withdraw_all();
-        self.give_back(given_back);
+        instance.expired = true;
+        let id = instance.id.clone();
+        let not_started = instance.runs.withdraw_all();
+        self.report_not_started(not_started);
         self.ended_instances.push(id.clone());
         self.urgent = true;
-        self.events.push(AgentEvent::Silent(id));
+        self.events.push(AgentEvent::Unresponsive(id));
     }
 
     fn report_due_ms(&self) -> Option<u64> {
-        if !self.linked {
+        if !self.connected {
             return None;
         }
         let Some(reported_ms) = self.reported_ms else {
@@ -438,18 +454,21 @@
         self.urgent = false;
         self.reported_ms = Some(now_ms);
         self.authority.sent(now_ms);
-        let present = self.life.as_mut().filter(|life| !life.expired);
-        let instance = present.map(|life| {
-            if life.standing == Standing::Untold {
-                life.standing = Standing::Told(now_ms);
+        let present = self.instance.as_mut().filter(|instance| !instance.expired);
+        let instance = present.map(|instance| {
+            if instance.confirmation == Confirmation::Unreported {
+                instance.confirmation = Confirmation::Reported(now_ms);
             }
-            let lists = !lists_are_told(&self.lists_told, life, now_ms);
-            if lists {
-                self.lists_told = Some((life.id.clone(), life.lists_revision, now_ms));
+            let include_runs = !runs_are_reported(&self.reported_runs, instance, now_ms);
+            if include_runs {
+                self.reported_runs = Some((instance.id.clone(), instance.runs_revision, now_ms));
             }
-            life.report(now_ms, lists)
+            instance.report(now_ms, include_runs)
         });
-        let (ended_instances, not_started) = (self.ended_instances.tell(), self.not_started.tell());
+        let (ended_instances, not_started) = (
+            self.ended_instances.take_unreported(),
+            self.not_started.take_unreported(),
+        );
         AgentReport {
             sent_ms: now_ms,
             instance,
@@ -460,18 +479,22 @@
 }
 
 /// Takes a start order; returns the run if it will never be passed on.
-fn take_start(life: &mut Life, order: StartOrder, in_doubt: bool) -> Option<RunId> {
+fn take_start(instance: &mut WorkerInstance, order: StartOrder, in_doubt: bool) -> Option<RunId> {
     match in_doubt {
-        true => life.runs.refuse_start(order.run),
-        false => life.runs.order_start(order),
+        true => instance.runs.refuse_start(order.run),
+        false => instance.runs.order_start(order),
     }
 }
 
 /// Whether the lists need not be told again on this connection.
-fn lists_are_told(told: &Option<(String, u64, u64)>, life: &Life, now_ms: u64) -> bool {
-    let Some((id, revision, told_ms)) = told else {
+fn runs_are_reported(
+    reported: &Option<(String, u64, u64)>,
+    instance: &WorkerInstance,
+    now_ms: u64,
+) -> bool {
+    let Some((id, revision, reported_ms)) = reported else {
         return false;
     };
-    let recent = now_ms < told_ms + PERCENT_INTERVAL_MS || life.runs.is_empty();
-    *id == life.id && *revision == life.lists_revision && recent
+    let recent = now_ms < reported_ms + PERCENT_INTERVAL_MS || instance.runs.is_empty();
+    *id == instance.id && *revision == instance.runs_revision && recent
 }
--- a/crates/data-plane/src/agent/lease_authority.rs
+++ b/crates/data-plane/src/agent/lease_authority.rs
@@ -4,17 +4,17 @@
 
 /// Right to extend holds, renewed by each answered report.
 #[derive(Debug)]
-pub struct Authority {
+pub struct LeaseAuthority {
     lease_ms: u64,
     first_sent_ms: Option<u64>,
     last_sent_ms: u64,
     answered_ms: Option<u64>,
 }
 
-impl Authority {
+impl LeaseAuthority {
     /// No report has been answered yet. `max_lease_ms`: longest hold that workers keep.
     pub fn new(max_lease_ms: u64) -> Self {
-        Authority {
+        LeaseAuthority {
             lease_ms: RUN_LEASE_MS.min(max_lease_ms),
             first_sent_ms: None,
             last_sent_ms: 0,
--- a/crates/data-plane/src/agent/run_table.rs
+++ b/crates/data-plane/src/agent/run_table.rs
@@ -1,15 +1,15 @@
 //! The runs of one life of a worker: ordered, passed on, at work, ended.
 
-use super::closed_runs::{Closed, Closing};
+use super::closed_runs::{CloseReason, ClosedRuns};
 use indigofold_protocol::internal::{FinishedRun, RunningRun, StartOrder};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::RunId;
 use std::collections::BTreeMap;
 
 /// A start that has not fitted for so long is given back to the head.
-pub const MISFIT_MS: u64 = 500;
+pub const INCOMPATIBLE_MS: u64 = 500;
 /// A start that was passed on so often without being listed is stopped instead.
-pub const PASSES_MAX: u32 = 10;
+pub const SEND_ATTEMPTS_MAX: u32 = 10;
 /// Most starts in one answer; a heartbeat's answer must stay below 4 MiB.
 pub const STARTS_PER_ANSWER: usize = 200;
 
@@ -19,15 +19,15 @@
     /// Ordered; to be put into an answer.
     Waiting {
         order: StartOrder,
-        misfit_since_ms: Option<u64>,
-        passes: u32,
+        incompatible_since_ms: Option<u64>,
+        send_attempts: u32,
     },
-    /// Put into the answer to heartbeat `beat`; no later heartbeat has been heard yet. Without an `order` only its stop
+    /// Put into the answer to heartbeat `heartbeat`; no later heartbeat has been heard yet. Without an `order` only its stop
     /// is known.
-    Passed {
+    Sent {
         order: Option<StartOrder>,
-        beat: u64,
-        passes: u32,
+        heartbeat: u64,
+        send_attempts: u32,
     },
     /// Listed as running by the newest heartbeat.
     Running,
@@ -39,7 +39,7 @@
     /// No stop was ordered.
     No,
     /// A stop is to be put into the next answer.
-    Wanted,
+    Due,
     /// The stop was put into the answer to this heartbeat; it is repeated in each answer.
     Sent(u64),
 }
@@ -55,7 +55,7 @@
 
 /// What goes into one answer.
 #[derive(Debug, Default)]
-pub struct HandOut {
+pub struct OutgoingOrders {
     /// Runs to start.
     pub start: Vec<StartOrder>,
     /// Runs to stop.
@@ -66,20 +66,20 @@
 
 /// Whether and where starts may be passed on.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct StartConditions {
     /// What the worker has.
     pub capacity: Resources,
     /// The worker takes new work.
     pub ready: bool,
     /// The answer carries a hold; without one nothing is started.
-    pub held: bool,
+    pub leased: bool,
 }
 
 /// All runs of one life that are ordered, passed on or at work.
 #[derive(Debug, Default)]
 pub struct RunTable {
     entries: BTreeMap<RunId, Entry>,
-    closed: Closed,
+    closed: ClosedRuns,
 }
 
 impl RunTable {
@@ -87,8 +87,8 @@
     /// to be told to the head once more.
     pub fn order_start(&mut self, order: StartOrder) -> Option<RunId> {
         match self.closed.get(&order.run) {
-            Some(Closing::NotStarted) => return Some(order.run),
-            Some(Closing::Ended) => return None,
+            Some(CloseReason::NotStarted) => return Some(order.run),
+            Some(CloseReason::Ended) => return None,
             None => {}
         }
         if let Some(entry) = self.entries.get_mut(&order.run) {
@@ -98,8 +98,8 @@
         let (run, resources) = (order.run, order.resources);
         let stage = Stage::Waiting {
             order,
-            misfit_since_ms: None,
-            passes: 0,
+            incompatible_since_ms: None,
+            send_attempts: 0,
         };
         self.entries.insert(
             run,
@@ -116,9 +116,9 @@
     /// Refuses a start order that must not be carried out; returns the run if the head has to be told.
     pub fn refuse_start(&mut self, run: RunId) -> Option<RunId> {
         let known =
-            self.entries.contains_key(&run) || self.closed.get(&run) == Some(Closing::Ended);
+            self.entries.contains_key(&run) || self.closed.get(&run) == Some(CloseReason::Ended);
         (!known).then(|| {
-            self.closed.insert(run, Closing::NotStarted);
+            self.closed.insert(run, CloseReason::NotStarted);
             run
         })
     }
@@ -126,20 +126,20 @@
     /// Takes a stop order. Returns the run if it was never passed on, so that there is nothing to stop.
     pub fn order_stop(&mut self, run: RunId) -> Option<RunId> {
         match self.closed.get(&run) {
-            Some(Closing::NotStarted) => return Some(run),
-            Some(Closing::Ended) => return None,
+            Some(CloseReason::NotStarted) => return Some(run),
+            Some(CloseReason::Ended) => return None,
             None => {}
         }
         let Some(entry) = self.entries.get_mut(&run) else {
-            let stage = Stage::Passed {
+            let stage = Stage::Sent {
                 order: None,
-                beat: 0,
-                passes: 0,
+                heartbeat: 0,
+                send_attempts: 0,
             };
             let entry = Entry {
                 stage,
                 resources: Resources::default(),
-                stop: Stop::Wanted,
+                stop: Stop::Due,
                 listed: false,
             };
             self.entries.insert(run, entry);
@@ -148,7 +148,7 @@
         if !entry.withdraw() {
             return None;
         }
-        self.close(run, Closing::NotStarted);
+        self.close(run, CloseReason::NotStarted);
         Some(run)
     }
 
@@ -164,10 +164,10 @@
             .collect()
     }
 
-    /// Reads the lists of heartbeat `beat`; returns the starts that are now known never to begin.
-    pub fn heard(
+    /// Reads the lists of heartbeat `heartbeat`; returns the starts that are now known never to begin.
+    pub fn handle_heartbeat(
         &mut self,
-        beat: u64,
+        heartbeat: u64,
         running: &[RunningRun],
         finished: &[FinishedRun],
     ) -> Vec<RunId> {
@@ -184,60 +184,68 @@
             entry.listed = true;
         }
         for run in finished.iter().map(|ended| ended.run) {
-            self.close(run, Closing::Ended);
+            self.close(run, CloseReason::Ended);
         }
         let mut not_started = Vec::new();
-        let mut vanished = Vec::new();
+        let mut ended = Vec::new();
         for (run, entry) in &mut self.entries {
             if std::mem::take(&mut entry.listed) {
                 continue;
             }
-            match entry.unlisted(beat) {
-                Unlisted::Stays => {}
-                Unlisted::NeverBegan => not_started.push(*run),
-                Unlisted::Vanished => vanished.push(*run),
+            match entry.unlisted(heartbeat) {
+                Unlisted::Keep => {}
+                Unlisted::NeverStarted => not_started.push(*run),
+                Unlisted::Ended => ended.push(*run),
             }
         }
-        vanished
+        ended
             .into_iter()
-            .for_each(|run| self.close(run, Closing::Ended));
+            .for_each(|run| self.close(run, CloseReason::Ended));
         not_started
             .iter()
-            .for_each(|run| self.close(*run, Closing::NotStarted));
+            .for_each(|run| self.close(*run, CloseReason::NotStarted));
         not_started
     }
 
-    /// What the answer to heartbeat `beat` orders.
-    pub fn hand_out(&mut self, now_ms: u64, beat: u64, room: Room) -> HandOut {
-        let mut out = HandOut::default();
+    /// What the answer to heartbeat `heartbeat` orders.
+    pub fn poll_orders(
+        &mut self,
+        now_ms: u64,
+        heartbeat: u64,
+        conditions: StartConditions,
+    ) -> OutgoingOrders {
+        let mut out = OutgoingOrders::default();
         let mut used = self.occupied();
         for (run, entry) in &mut self.entries {
             if let Stage::Waiting { .. } = entry.stage {
-                match entry.try_pass(now_ms, beat, room, &used, out.start.len()) {
-                    Pass::Start(order) => {
+                match entry.poll_start(now_ms, heartbeat, conditions, &used, out.start.len()) {
+                    StartDecision::Start(order) => {
                         used = used.plus(&entry.resources);
                         out.start.push(order);
                     }
-                    Pass::GiveBack => out.not_started.push(*run),
-                    Pass::Later => {}
+                    StartDecision::Withdraw => out.not_started.push(*run),
+                    StartDecision::Defer => {}
                 }
             }
             if entry.stop != Stop::No {
-                if entry.stop == Stop::Wanted {
-                    entry.stop = Stop::Sent(beat);
+                if entry.stop == Stop::Due {
+                    entry.stop = Stop::Sent(heartbeat);
                 }
                 out.stop.push(*run);
             }
         }
         out.not_started
             .iter()
-            .for_each(|run| self.close(*run, Closing::NotStarted));
+            .for_each(|run| self.close(*run, CloseReason::NotStarted));
         out
     }
 
     /// Runs passed on that no heartbeat has listed yet.
     pub fn in_flight(&self) -> Vec<RunId> {
-        let passed = self.entries.iter().filter(|(_, entry)| entry.is_passed());
+        let passed = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.is_in_flight());
         passed.map(|(run, _)| *run).collect()
     }
 
@@ -254,30 +262,30 @@
         })
     }
 
-    fn close(&mut self, run: RunId, closing: Closing) {
+    fn close(&mut self, run: RunId, reason: CloseReason) {
         self.entries.remove(&run);
-        self.closed.insert(run, closing);
+        self.closed.insert(run, reason);
     }
 }
 
 /// What becomes of a run that a heartbeat does not list.
 enum Unlisted {
     /// It is kept.
-    Stays,
+    Keep,
     /// It was passed on, stopped, and never began.
-    NeverBegan,
+    NeverStarted,
     /// It ran, and is over.
-    Vanished,
+    Ended,
 }
 
 /// What becomes of a waiting start at an answer.
-enum Pass {
+enum StartDecision {
     /// It goes into the answer.
     Start(StartOrder),
     /// It waits for a later answer.
-    Later,
+    Defer,
     /// It goes back to the head.
-    GiveBack,
+    Withdraw,
 }
 
 impl Entry {
@@ -286,105 +294,112 @@
         !matches!(self.stage, Stage::Waiting { .. })
     }
 
-    fn is_passed(&self) -> bool {
+    fn is_in_flight(&self) -> bool {
         matches!(
             self.stage,
-            Stage::Passed { .. } | Stage::Waiting { passes: 1.., .. }
+            Stage::Sent { .. }
+                | Stage::Waiting {
+                    send_attempts: 1..,
+                    ..
+                }
         )
     }
 
     /// Marks the run to be stopped; `true` if it was never passed on, so that it can simply be forgotten.
     fn withdraw(&mut self) -> bool {
-        if let Stage::Waiting { passes: 0, .. } = self.stage {
+        if let Stage::Waiting {
+            send_attempts: 0, ..
+        } = self.stage
+        {
             return true;
         }
-        if let Stage::Waiting { passes, .. } = self.stage {
-            self.stage = Stage::Passed {
+        if let Stage::Waiting { send_attempts, .. } = self.stage {
+            self.stage = Stage::Sent {
                 order: None,
-                beat: 0,
-                passes,
+                heartbeat: 0,
+                send_attempts,
             };
         }
         if self.stop == Stop::No {
-            self.stop = Stop::Wanted;
+            self.stop = Stop::Due;
         }
         false
     }
 
-    /// Heartbeat `beat` lists it neither as running nor as ended.
-    fn unlisted(&mut self, beat: u64) -> Unlisted {
+    /// Heartbeat `heartbeat` lists it neither as running nor as ended.
+    fn unlisted(&mut self, heartbeat: u64) -> Unlisted {
         match (&mut self.stage, self.stop) {
-            (Stage::Waiting { .. }, _) | (Stage::Passed { .. }, Stop::Wanted) => Unlisted::Stays,
-            (Stage::Running, _) => Unlisted::Vanished,
-            (Stage::Passed { .. }, Stop::Sent(sent)) if sent < beat => Unlisted::NeverBegan,
-            (Stage::Passed { .. }, Stop::Sent(_)) => Unlisted::Stays,
+            (Stage::Waiting { .. }, _) | (Stage::Sent { .. }, Stop::Due) => Unlisted::Keep,
+            (Stage::Running, _) => Unlisted::Ended,
+            (Stage::Sent { .. }, Stop::Sent(sent)) if sent < heartbeat => Unlisted::NeverStarted,
+            (Stage::Sent { .. }, Stop::Sent(_)) => Unlisted::Keep,
             (
-                Stage::Passed {
+                Stage::Sent {
                     order,
-                    beat: passed,
-                    passes,
+                    heartbeat: passed,
+                    send_attempts,
                 },
                 Stop::No,
             ) => {
-                if *passed < beat {
-                    let passes = *passes;
+                if *passed < heartbeat {
+                    let send_attempts = *send_attempts;
                     match order.take() {
-                        Some(order) if passes < PASSES_MAX => {
+                        Some(order) if send_attempts < SEND_ATTEMPTS_MAX => {
                             self.stage = Stage::Waiting {
                                 order,
-                                misfit_since_ms: None,
-                                passes,
+                                incompatible_since_ms: None,
+                                send_attempts,
                             };
                         }
-                        _ => self.stop = Stop::Wanted,
+                        _ => self.stop = Stop::Due,
                     }
                 }
-                Unlisted::Stays
+                Unlisted::Keep
             }
         }
     }
 
-    /// Moves a waiting start on if it may go into the answer to heartbeat `beat`.
-    fn try_pass(
+    /// Moves a waiting start on if it may go into the answer to heartbeat `heartbeat`.
+    fn poll_start(
         &mut self,
         now_ms: u64,
-        beat: u64,
-        room: Room,
+        heartbeat: u64,
+        conditions: StartConditions,
         used: &Resources,
         started: usize,
-    ) -> Pass {
+    ) -> StartDecision {
         let Stage::Waiting {
             order,
-            misfit_since_ms,
-            passes,
+            incompatible_since_ms,
+            send_attempts,
         } = &mut self.stage
         else {
-            return Pass::Later;
+            return StartDecision::Defer;
         };
-        if room.ready {
-            if room.capacity.holds(&used.plus(&self.resources)) {
-                if !room.held || started >= STARTS_PER_ANSWER {
-                    return Pass::Later;
+        if conditions.ready {
+            if conditions.capacity.holds(&used.plus(&self.resources)) {
+                if !conditions.leased || started >= STARTS_PER_ANSWER {
+                    return StartDecision::Defer;
                 }
-                let (order, passes) = (order.clone(), *passes + 1);
-                self.stage = Stage::Passed {
+                let (order, send_attempts) = (order.clone(), *send_attempts + 1);
+                self.stage = Stage::Sent {
                     order: Some(order.clone()),
-                    beat,
-                    passes,
+                    heartbeat,
+                    send_attempts,
                 };
-                return Pass::Start(order);
+                return StartDecision::Start(order);
             }
             if now_ms
-                < misfit_since_ms
+                < incompatible_since_ms
                     .get_or_insert(now_ms)
-                    .saturating_add(MISFIT_MS)
+                    .saturating_add(INCOMPATIBLE_MS)
             {
-                return Pass::Later;
+                return StartDecision::Defer;
             }
         }
         match self.withdraw() {
-            true => Pass::GiveBack,
-            false => Pass::Later,
+            true => StartDecision::Withdraw,
+            false => StartDecision::Defer,
         }
     }
 }
--- a/crates/data-plane/src/agent/unreported.rs
+++ b/crates/data-plane/src/agent/unreported.rs
@@ -6,19 +6,19 @@
 /// Most starts given back that are told again on a new connection.
 pub const NOT_STARTED_MAX: usize = 512;
 /// Most former lives that are told again on a new connection.
-pub const GONE_MAX: usize = 16;
+pub const ENDED_INSTANCES_MAX: usize = 16;
 
 /// Items of which each connection is told once; the oldest are forgotten first.
 #[derive(Debug)]
-pub struct News<T> {
+pub struct Unreported<T> {
     items: VecDeque<(T, bool)>,
     most: usize,
 }
 
-impl<T: Clone + PartialEq> News<T> {
+impl<T: Clone + PartialEq> Unreported<T> {
     /// Keeps `most` items.
     pub fn new(most: usize) -> Self {
-        News {
+        Unreported {
             items: VecDeque::new(),
             most,
         }
@@ -45,20 +45,22 @@
 
     /// Whether something has not been told on this connection.
     pub fn pending(&self) -> bool {
-        self.items.iter().any(|(_, told)| !told)
+        self.items.iter().any(|(_, reported)| !reported)
     }
 
     /// A new connection has been told nothing.
-    pub fn reconnected(&mut self) {
-        self.items.iter_mut().for_each(|(_, told)| *told = false);
+    pub fn handle_connected(&mut self) {
+        self.items
+            .iter_mut()
+            .for_each(|(_, reported)| *reported = false);
     }
 
     /// What has not been told on this connection, which is told with this.
-    pub fn tell(&mut self) -> Vec<T> {
-        let untold = self.items.iter_mut().filter(|(_, told)| !told);
+    pub fn take_unreported(&mut self) -> Vec<T> {
+        let untold = self.items.iter_mut().filter(|(_, reported)| !reported);
         untold
-            .map(|(item, told)| {
-                *told = true;
+            .map(|(item, reported)| {
+                *reported = true;
                 item.clone()
             })
             .collect()
@@ -66,6 +68,6 @@
 }
 
 /// Starts given back.
-pub type NotStarted = News<RunId>;
+pub type NotStarted = Unreported<RunId>;
 /// Former lives.
-pub type Gone = News<String>;
+pub type EndedInstances = Unreported<String>;
--- a/crates/data-plane/src/agent/worker_instance.rs
+++ b/crates/data-plane/src/agent/worker_instance.rs
@@ -1,18 +1,18 @@
 //! One life of the worker: from its first heartbeat until it leaves, is replaced or falls silent for good.
 
 use super::lease_authority::expires_by_ms;
-use super::run_table::{HandOut, Room, RunTable};
+use super::run_table::{OutgoingOrders, RunTable, StartConditions};
 use indigofold_protocol::internal::{FinishedRun, InstanceReport, RUN_LEASE_MS, RunningRun};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::{Finished, Heartbeat, Running, WorkerState};
 
 /// Whether the head knows this life, so that its orders may be carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Confirmation {
     /// No report has told of it.
-    Untold,
+    Unreported,
     /// Reports sent at this time or later tell of it; none of them has been answered.
-    Told(u64),
+    Reported(u64),
     /// An acting head has answered a report that tells of it.
     Confirmed,
 }
@@ -30,48 +30,48 @@
 
 /// One life of the worker.
 #[derive(Debug)]
-pub struct Life {
+pub struct WorkerInstance {
     /// Its id.
     pub id: String,
     /// Whether the head knows of it.
-    pub standing: Standing,
+    pub confirmation: Confirmation,
     /// It was told to be gone, and has come back.
     pub returned: bool,
     /// It has been silent until all its holds lapsed.
     pub expired: bool,
     /// It has sent `DELETE` without having drained first, and serves on for a while.
-    pub leaving: bool,
+    pub deregistered: bool,
     /// Its runs.
     pub runs: RunTable,
     /// Ends up to this number are on the head's disk.
     pub acknowledged_end: Option<u64>,
     /// Rises when the set of runs at work or one of their saved texts changes.
-    pub lists_revision: u64,
+    pub runs_revision: u64,
     newest: Heartbeat,
-    newest_seq: Option<u64>,
-    heard_ms: u64,
+    newest_seq_no: Option<u64>,
+    last_heartbeat_ms: u64,
     /// All holds given have lapsed at this time.
     leased_until_ms: u64,
     running: Vec<RunningRun>,
     finished: Vec<FinishedRun>,
 }
 
-impl Life {
+impl WorkerInstance {
     /// A life whose first heartbeat is about to be read. A predecessor of this process may have given a hold until
     /// `started_ms`.
     pub fn new(id: String, started_ms: u64) -> Self {
-        Life {
+        WorkerInstance {
             id,
-            standing: Standing::Untold,
+            confirmation: Confirmation::Unreported,
             returned: false,
             expired: false,
-            leaving: false,
+            deregistered: false,
             runs: RunTable::default(),
             acknowledged_end: None,
-            lists_revision: 0,
+            runs_revision: 0,
             newest: Heartbeat::default(),
-            newest_seq: None,
-            heard_ms: started_ms,
+            newest_seq_no: None,
+            last_heartbeat_ms: started_ms,
             leased_until_ms: expires_by_ms(started_ms, RUN_LEASE_MS),
             running: Vec::new(),
             finished: Vec::new(),
@@ -79,8 +79,8 @@
     }
 
     /// Whether a heartbeat with this number came late: a newer one has been read.
-    pub fn is_late(&self, seq_no: u64) -> bool {
-        self.newest_seq.is_some_and(|newest| seq_no <= newest)
+    pub fn is_superseded(&self, seq_no: u64) -> bool {
+        self.newest_seq_no.is_some_and(|newest| seq_no <= newest)
     }
 
     /// It has announced its end.
@@ -89,8 +89,8 @@
     }
 
     /// It has sent `DELETE`: from now on it is told as one that drains and has no time left.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    pub fn deregister(&mut self) {
+        self.deregistered = true;
         drain_at_once(&mut self.newest);
     }
 
@@ -100,25 +100,31 @@
     }
 
     /// Reads a heartbeat.
-    pub fn heard(&mut self, now_ms: u64, mut beat: Heartbeat) -> Changes {
-        if self.leaving {
-            drain_at_once(&mut beat);
+    pub fn handle_heartbeat(&mut self, now_ms: u64, mut heartbeat: Heartbeat) -> Changes {
+        if self.deregistered {
+            drain_at_once(&mut heartbeat);
         }
-        let running = running_runs(std::mem::take(&mut beat.running));
-        let finished = self.unacknowledged(std::mem::take(&mut beat.finished));
-        let not_started = self.runs.heard(beat.seq_no, &running, &finished);
-        let lists_changed = !same_lists(&self.running, &running);
+        let running = running_runs(std::mem::take(&mut heartbeat.running));
+        let finished = self.unacknowledged(std::mem::take(&mut heartbeat.finished));
+        let not_started = self
+            .runs
+            .handle_heartbeat(heartbeat.seq_no, &running, &finished);
+        let runs_changed = !same_runs(&self.running, &running);
         let newest_end = |ends: &[FinishedRun]| ends.last().map(|end| end.number);
         let ended = newest_end(&finished) > newest_end(&self.finished);
-        let urgent = lists_changed
+        let urgent = runs_changed
             || ended
-            || beat.state != self.newest.state
-            || beat.capacity != self.newest.capacity
-            || beat.labels != self.newest.labels;
-        self.lists_revision += u64::from(lists_changed);
-        self.newest_seq = Some(beat.seq_no);
-        (self.running, self.finished, self.newest, self.heard_ms) =
-            (running, finished, beat, now_ms);
+            || heartbeat.state != self.newest.state
+            || heartbeat.capacity != self.newest.capacity
+            || heartbeat.labels != self.newest.labels;
+        self.runs_revision += u64::from(runs_changed);
+        self.newest_seq_no = Some(heartbeat.seq_no);
+        (
+            self.running,
+            self.finished,
+            self.newest,
+            self.last_heartbeat_ms,
+        ) = (running, finished, heartbeat, now_ms);
         Changes {
             urgent,
             ended,
@@ -127,22 +133,23 @@
     }
 
     /// What the answer to the newest heartbeat orders; `lease_ms` is the hold that it carries.
-    pub fn hand_out(&mut self, now_ms: u64, lease_ms: Option<u64>) -> HandOut {
+    pub fn poll_orders(&mut self, now_ms: u64, lease_ms: Option<u64>) -> OutgoingOrders {
         if let Some(lease_ms) = lease_ms {
             self.leased_until_ms = self.leased_until_ms.max(expires_by_ms(now_ms, lease_ms));
         }
         let ready = self.newest.state == WorkerState::Ready;
-        let room = Room {
+        let conditions = StartConditions {
             capacity: self.newest.capacity,
             ready,
-            held: lease_ms.is_some(),
+            leased: lease_ms.is_some(),
         };
-        self.runs.hand_out(now_ms, self.newest.seq_no, room)
+        self.runs
+            .poll_orders(now_ms, self.newest.seq_no, conditions)
     }
 
     /// Whether this is the number of the newest heartbeat.
     pub fn is_newest(&self, seq_no: u64) -> bool {
-        self.newest_seq == Some(seq_no)
+        self.newest_seq_no == Some(seq_no)
     }
 
     /// The head has these ends on disk.
@@ -152,14 +159,14 @@
     }
 
     /// When all that may run there has lapsed, if it stays silent.
-    pub fn lapses_at_ms(&self) -> u64 {
+    pub fn expires_at_ms(&self) -> u64 {
         self.leased_until_ms
-            .max(expires_by_ms(self.heard_ms, RUN_LEASE_MS))
+            .max(expires_by_ms(self.last_heartbeat_ms, RUN_LEASE_MS))
     }
 
-    /// Its account for the head; `lists`: with the runs at work.
-    pub fn report(&self, now_ms: u64, lists: bool) -> InstanceReport {
-        let since_heartbeat_ms = now_ms.saturating_sub(self.heard_ms);
+    /// Its account for the head; `include_runs`: with the runs at work.
+    pub fn report(&self, now_ms: u64, include_runs: bool) -> InstanceReport {
+        let since_heartbeat_ms = now_ms.saturating_sub(self.last_heartbeat_ms);
         InstanceReport {
             id: self.id.clone(),
             backend: self.newest.backend.clone(),
@@ -176,7 +183,7 @@
             capacity: self.newest.capacity,
             labels: self.newest.labels.clone(),
             since_heartbeat_ms,
-            running: lists.then(|| self.running.clone()),
+            running: include_runs.then(|| self.running.clone()),
             finished: self.finished.clone(),
             in_flight: self.runs.in_flight(),
         }
@@ -205,9 +212,9 @@
     }
 }
 
-fn drain_at_once(beat: &mut Heartbeat) {
-    beat.state = WorkerState::Draining;
-    beat.remaining_ms = Some(0);
+fn drain_at_once(heartbeat: &mut Heartbeat) {
+    heartbeat.state = WorkerState::Draining;
+    heartbeat.remaining_ms = Some(0);
 }
 
 /// Runs at work as the heartbeat lists them. A name that is no task's was never ordered by this system.
@@ -227,7 +234,7 @@
 }
 
 /// Whether both lists name the same runs with the same saved texts.
-fn same_lists(before: &[RunningRun], after: &[RunningRun]) -> bool {
+fn same_runs(before: &[RunningRun], after: &[RunningRun]) -> bool {
     let pairs = before.iter().zip(after);
     before.len() == after.len()
         && pairs
--- a/crates/data-plane/src/core_link.rs
+++ b/crates/data-plane/src/core_link.rs
@@ -15,15 +15,15 @@
 /// A connection is given up on which the member does not answer the greeting within this time.
 pub const GREETING_TIMEOUT_MS: u64 = 700;
 /// A head that owes an answer and sends nothing for so long is suspected: others are asked.
-pub const SILENCE_MS: u64 = 700;
+pub const SUSPICION_TIMEOUT_MS: u64 = 700;
 /// A link that asks when idle asks a head for a sign of life that has sent nothing for so long.
-pub const IDLE_MS: u64 = 300;
+pub const IDLE_PROBE_MS: u64 = 300;
 /// A link that asks when idle leaves a head that owes an answer and sends nothing for so long.
-pub const GIVE_UP_MS: u64 = 2_000;
+pub const HEAD_TIMEOUT_MS: u64 = 2_000;
 /// A member that is not the head is listened to for so long, then another one is asked.
 pub const LISTEN_MS: u64 = 600;
 /// Most connections that look for the head at the same time.
-pub const PROBES_MAX: usize = 2;
+pub const SEARCH_CONNECTIONS_MAX: usize = 2;
 
 /// A connection, numbered by this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -40,7 +40,7 @@
         address: SocketAddr,
     },
     /// Ask the acting head for a sign of life, over this connection.
-    Ask(LinkId),
+    ProbeHead(LinkId),
     /// Close a connection.
     Close(LinkId),
     /// This connection leads to an acting head.
@@ -57,7 +57,7 @@
 }
 
 #[derive(Debug)]
-struct Probe {
+struct SearchConnection {
     link: LinkId,
     address: SocketAddr,
     stage: Stage,
@@ -74,7 +74,7 @@
     /// An answer is owed since this time, without a frame after it.
     owed_since_ms: Option<u64>,
     /// A frame came in last at this time.
-    heard_ms: u64,
+    last_frame_ms: u64,
     /// It was asked for a sign of life since then.
     probed: bool,
 }
@@ -83,9 +83,9 @@
 #[derive(Debug)]
 pub struct CoreLink {
     candidates: Candidates,
-    asks_when_idle: bool,
+    probes_when_idle: bool,
     attached: Option<Attachment>,
-    probes: Vec<Probe>,
+    searching_connections: Vec<SearchConnection>,
     /// The head that a member has named, to be dialled first, and the view it belongs to.
     hint: Option<(u64, SocketAddr)>,
     last_link: u64,
@@ -97,19 +97,19 @@
     pub fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
         CoreLink {
             candidates: Candidates::new(seeds, random_seed),
-            asks_when_idle: false,
+            probes_when_idle: false,
             attached: None,
-            probes: Vec::new(),
+            searching_connections: Vec::new(),
             hint: None,
             last_link: 0,
             actions: Vec::new(),
         }
     }
 
-    /// Asks a head that has been quiet for [`IDLE_MS`] for a sign of life, and leaves it if it stays silent for
-    /// [`GIVE_UP_MS`]. Processes that send nothing while they are idle notice a frozen or unreachable head only so.
-    pub fn asking_when_idle(mut self) -> Self {
-        self.asks_when_idle = true;
+    /// Asks a head that has been quiet for [`IDLE_PROBE_MS`] for a sign of life, and leaves it if it stays silent for
+    /// [`HEAD_TIMEOUT_MS`]. Processes that send nothing while they are idle notice a frozen or unreachable head only so.
+    pub fn probing_when_idle(mut self) -> Self {
+        self.probes_when_idle = true;
         self
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Up to when the head has been as talkative as it should: now, or since when it has owed an answer.
-    pub fn answered_ms(&self, now_ms: u64) -> u64 {
+    pub fn head_responsive_ms(&self, now_ms: u64) -> u64 {
         self.attached
             .as_ref()
             .and_then(|attached| attached.owed_since_ms)
@@ -151,87 +151,112 @@
     }
 
     /// Whether this connection is still of use.
-    pub fn wants(&self, link: LinkId) -> bool {
-        self.attached() == Some(link) || self.probes.iter().any(|probe| probe.link == link)
+    pub fn is_in_use(&self, link: LinkId) -> bool {
+        self.attached() == Some(link)
+            || self
+                .searching_connections
+                .iter()
+                .any(|connection| connection.link == link)
     }
 
     /// A connection is open, and the greeting sent.
-    pub fn connected(&mut self, now_ms: u64, link: LinkId) {
-        if let Some(probe) = self.probes.iter_mut().find(|probe| probe.link == link) {
-            (probe.stage, probe.until_ms) = (Stage::Greeting, now_ms + GREETING_TIMEOUT_MS);
+    pub fn handle_connected(&mut self, now_ms: u64, link: LinkId) {
+        if let Some(connection) = self
+            .searching_connections
+            .iter_mut()
+            .find(|connection| connection.link == link)
+        {
+            (connection.stage, connection.until_ms) =
+                (Stage::Greeting, now_ms + GREETING_TIMEOUT_MS);
         }
     }
 
     /// A connection could not be opened, or has ended.
-    pub fn failed(&mut self, now_ms: u64, link: LinkId) {
+    pub fn handle_disconnected(&mut self, now_ms: u64, link: LinkId) {
         if let Some(attached) = self.attached.take_if(|attached| attached.link == link) {
             self.candidates.back_off(attached.address, now_ms);
             self.actions.push(LinkAction::Detached);
         }
-        if let Some(index) = self.probes.iter().position(|probe| probe.link == link) {
-            let probe = self.probes.swap_remove(index);
-            self.candidates.back_off(probe.address, now_ms);
+        if let Some(index) = self
+            .searching_connections
+            .iter()
+            .position(|connection| connection.link == link)
+        {
+            let connection = self.searching_connections.swap_remove(index);
+            self.candidates.back_off(connection.address, now_ms);
         }
-        self.tick(now_ms);
+        self.handle_timeout(now_ms);
     }
 
     /// A member's account of itself has come in.
-    pub fn welcomed(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
+    pub fn handle_welcome(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
         let named = welcome.members.iter().chain(&welcome.head);
         self.candidates
             .set_members(&named.map(|member| member.internal).collect::<Vec<_>>());
         self.take_hint(welcome);
         if self.attached() == Some(link) {
             self.head_changed(now_ms, welcome);
-        } else if let Some(index) = self.probes.iter().position(|probe| probe.link == link) {
+        } else if let Some(index) = self
+            .searching_connections
+            .iter()
+            .position(|connection| connection.link == link)
+        {
             self.probe_answered(now_ms, index, welcome);
         }
-        self.tick(now_ms);
+        self.handle_timeout(now_ms);
     }
 
     /// Any frame has come in.
-    pub fn heard(&mut self, now_ms: u64, link: LinkId) {
+    pub fn handle_frame(&mut self, now_ms: u64, link: LinkId) {
         if let Some(attached) = self
             .attached
             .as_mut()
             .filter(|attached| attached.link == link)
         {
-            (attached.owed_since_ms, attached.heard_ms, attached.probed) = (None, now_ms, false);
+            (
+                attached.owed_since_ms,
+                attached.last_frame_ms,
+                attached.probed,
+            ) = (None, now_ms, false);
         }
     }
 
     /// Something was sent to the head that it has to answer, or an answer is still missing after a frame of it.
-    pub fn asked(&mut self, now_ms: u64) {
+    pub fn handle_request_sent(&mut self, now_ms: u64) {
         if let Some(attached) = &mut self.attached {
             attached.owed_since_ms.get_or_insert(now_ms);
         }
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now_ms: u64) {
+    pub fn handle_timeout(&mut self, now_ms: u64) {
         self.drop_expired(now_ms);
-        if self.asks_when_idle {
-            self.give_up(now_ms);
-            self.ask_idle(now_ms);
+        if self.probes_when_idle {
+            self.leave_unresponsive(now_ms);
+            self.probe_idle(now_ms);
         }
         if !self.searching(now_ms) {
-            let listening: Vec<LinkId> = self.probes.drain(..).map(|probe| probe.link).collect();
+            let listening: Vec<LinkId> = self
+                .searching_connections
+                .drain(..)
+                .map(|connection| connection.link)
+                .collect();
             self.actions
                 .extend(listening.into_iter().map(LinkAction::Close));
             return;
         }
         self.dial_hint(now_ms);
-        while self.probes.len() < PROBES_MAX {
-            let busy = self.busy();
-            let Some(address) = self.candidates.pick(now_ms, &busy) else {
+        while self.searching_connections.len() < SEARCH_CONNECTIONS_MAX {
+            let addresses_in_use = self.addresses_in_use();
+            let Some(address) = self.candidates.pick(now_ms, &addresses_in_use) else {
                 break;
             };
             self.dial(now_ms, address);
         }
     }
 
-    /// When [`CoreLink::tick`] is to be called next, at the latest.
-    pub fn next_tick_ms(&self, now_ms: u64) -> Option<u64> {
+    /// When [`CoreLink::handle_timeout`] is to be called next, at the latest.
+    pub fn next_timeout_ms(&self, now_ms: u64) -> Option<u64> {
         let head_ms = self
             .attached
             .as_ref()
@@ -239,16 +264,20 @@
         if !self.searching(now_ms) {
             return head_ms;
         }
-        let expiry_ms = self.probes.iter().map(|probe| probe.until_ms).min();
-        let room = self.probes.len() < PROBES_MAX;
-        let dial_ms = room
-            .then(|| self.candidates.next_ms(&self.busy()))
+        let expiry_ms = self
+            .searching_connections
+            .iter()
+            .map(|connection| connection.until_ms)
+            .min();
+        let has_capacity = self.searching_connections.len() < SEARCH_CONNECTIONS_MAX;
+        let dial_ms = has_capacity
+            .then(|| self.candidates.next_attempt_ms(&self.addresses_in_use()))
             .flatten();
         head_ms.into_iter().chain(expiry_ms).chain(dial_ms).min()
     }
 
     /// What is to be done since the last call, in order.
-    pub fn take_actions(&mut self) -> Vec<LinkAction> {
+    pub fn poll_actions(&mut self) -> Vec<LinkAction> {
         std::mem::take(&mut self.actions)
     }
 
@@ -259,53 +288,55 @@
         };
         attached
             .owed_since_ms
-            .is_some_and(|owed_ms| owed_ms + SILENCE_MS <= now_ms)
+            .is_some_and(|owed_ms| owed_ms + SUSPICION_TIMEOUT_MS <= now_ms)
     }
 
     /// When the attached head is to be asked, suspected or left, whichever comes first.
     fn head_due_ms(&self, now_ms: u64, attached: &Attachment) -> Option<u64> {
-        let ask_ms =
-            (self.asks_when_idle && !attached.probed).then_some(attached.heard_ms + IDLE_MS);
-        let suspect_ms = attached.owed_since_ms.map(|owed_ms| owed_ms + SILENCE_MS);
-        let leave_ms = attached.owed_since_ms.filter(|_| self.asks_when_idle);
-        let leave_ms = leave_ms.map(|owed_ms| owed_ms + GIVE_UP_MS);
+        let probe_ms = (self.probes_when_idle && !attached.probed)
+            .then_some(attached.last_frame_ms + IDLE_PROBE_MS);
+        let suspect_ms = attached
+            .owed_since_ms
+            .map(|owed_ms| owed_ms + SUSPICION_TIMEOUT_MS);
+        let leave_ms = attached.owed_since_ms.filter(|_| self.probes_when_idle);
+        let leave_ms = leave_ms.map(|owed_ms| owed_ms + HEAD_TIMEOUT_MS);
         let suspect_ms = suspect_ms.filter(|due_ms| *due_ms > now_ms);
-        ask_ms.into_iter().chain(suspect_ms).chain(leave_ms).min()
+        probe_ms.into_iter().chain(suspect_ms).chain(leave_ms).min()
     }
 
     /// Leaves a head that has been silent for too long. Its address is tried again over a new connection, which opens
     /// sooner than the old one recovers once a cut has healed.
-    fn give_up(&mut self, now_ms: u64) {
-        let silent = |attached: &mut Attachment| {
+    fn leave_unresponsive(&mut self, now_ms: u64) {
+        let is_timed_out = |attached: &mut Attachment| {
             attached
                 .owed_since_ms
-                .is_some_and(|owed_ms| owed_ms + GIVE_UP_MS <= now_ms)
+                .is_some_and(|owed_ms| owed_ms + HEAD_TIMEOUT_MS <= now_ms)
         };
-        let Some(left) = self.attached.take_if(silent) else {
+        let Some(former) = self.attached.take_if(is_timed_out) else {
             return;
         };
-        self.hint = self.hint.filter(|(_, address)| *address != left.address);
-        self.candidates.back_off(left.address, now_ms);
+        self.hint = self.hint.filter(|(_, address)| *address != former.address);
+        self.candidates.back_off(former.address, now_ms);
         self.actions.push(LinkAction::Detached);
-        self.actions.push(LinkAction::Close(left.link));
+        self.actions.push(LinkAction::Close(former.link));
     }
 
     /// Asks a head that has been quiet for a sign of life, once until it is heard.
-    fn ask_idle(&mut self, now_ms: u64) {
+    fn probe_idle(&mut self, now_ms: u64) {
         let Some(attached) = &mut self.attached else {
             return;
         };
-        if !attached.probed && attached.heard_ms + IDLE_MS <= now_ms {
+        if !attached.probed && attached.last_frame_ms + IDLE_PROBE_MS <= now_ms {
             attached.probed = true;
             attached.owed_since_ms.get_or_insert(now_ms);
-            self.actions.push(LinkAction::Ask(attached.link));
+            self.actions.push(LinkAction::ProbeHead(attached.link));
         }
     }
 
     fn take_hint(&mut self, welcome: &Welcome) {
         let Some(head) = &welcome.head else { return };
         if !welcome.acting && self.hint.is_none_or(|(view, _)| view < welcome.view) {
-            self.candidates.forgive(head.internal);
+            self.candidates.clear_backoff(head.internal);
             self.dial_anew(head.internal);
         }
         if self.hint.is_none_or(|(view, _)| view <= welcome.view) {
@@ -324,7 +355,7 @@
         } else if let Some(attached) = self.attached.take() {
             let until_ms = now_ms + LISTEN_MS;
             let Attachment { link, address, .. } = attached;
-            self.probes.push(Probe {
+            self.searching_connections.push(SearchConnection {
                 link,
                 address,
                 stage: Stage::Listening,
@@ -337,11 +368,12 @@
     fn probe_answered(&mut self, now_ms: u64, index: usize, welcome: &Welcome) {
         let known_view = self.attached.as_ref().map(|attached| attached.view);
         if welcome.acting && known_view.is_none_or(|view| view < welcome.view) {
-            let Probe { link, address, .. } = self.probes.swap_remove(index);
+            let SearchConnection { link, address, .. } =
+                self.searching_connections.swap_remove(index);
             self.attach(now_ms, link, address, welcome);
         } else {
-            let probe = &mut self.probes[index];
-            (probe.stage, probe.until_ms) = (Stage::Listening, now_ms + LISTEN_MS);
+            let connection = &mut self.searching_connections[index];
+            (connection.stage, connection.until_ms) = (Stage::Listening, now_ms + LISTEN_MS);
         }
     }
 
@@ -353,7 +385,7 @@
             config_version: welcome.config_version,
             limits: welcome.limits.clone(),
             owed_since_ms: None,
-            heard_ms: now_ms,
+            last_frame_ms: now_ms,
             probed: false,
         };
         if let Some(former) = self.attached.replace(attached) {
@@ -364,10 +396,12 @@
     }
 
     fn drop_expired(&mut self, now_ms: u64) {
-        let expired = self.probes.extract_if(.., |probe| probe.until_ms <= now_ms);
-        for probe in expired {
-            self.candidates.back_off(probe.address, now_ms);
-            self.actions.push(LinkAction::Close(probe.link));
+        let expired = self
+            .searching_connections
+            .extract_if(.., |connection| connection.until_ms <= now_ms);
+        for connection in expired {
+            self.candidates.back_off(connection.address, now_ms);
+            self.actions.push(LinkAction::Close(connection.link));
         }
     }
 
@@ -376,18 +410,21 @@
         let Some((_, address)) = self.hint else {
             return;
         };
-        if !self.busy().contains(&address) && self.candidates.may_dial(address, now_ms) {
+        if !self.addresses_in_use().contains(&address) && self.candidates.may_dial(address, now_ms)
+        {
             self.dial(now_ms, address);
         }
     }
 
     /// Gives up a dial that is under way to this address: it may have begun while the machine was down, and would hang.
     fn dial_anew(&mut self, address: SocketAddr) {
-        let hangs = |probe: &mut Probe| probe.address == address && probe.stage == Stage::Dialling;
+        let hangs = |connection: &mut SearchConnection| {
+            connection.address == address && connection.stage == Stage::Dialling
+        };
         let given_up: Vec<LinkId> = self
-            .probes
+            .searching_connections
             .extract_if(.., hangs)
-            .map(|probe| probe.link)
+            .map(|connection| connection.link)
             .collect();
         self.actions
             .extend(given_up.into_iter().map(LinkAction::Close));
@@ -397,7 +434,7 @@
         self.last_link += 1;
         let link = LinkId(self.last_link);
         let until_ms = now_ms + CONNECT_TIMEOUT_MS;
-        self.probes.push(Probe {
+        self.searching_connections.push(SearchConnection {
             link,
             address,
             stage: Stage::Dialling,
@@ -406,8 +443,11 @@
         self.actions.push(LinkAction::Dial { link, address });
     }
 
-    fn busy(&self) -> Vec<SocketAddr> {
-        let probed = self.probes.iter().map(|probe| probe.address);
+    fn addresses_in_use(&self) -> Vec<SocketAddr> {
+        let probed = self
+            .searching_connections
+            .iter()
+            .map(|connection| connection.address);
         probed
             .chain(self.attached.as_ref().map(|attached| attached.address))
             .collect()
--- a/crates/data-plane/src/core_link/candidates.rs
+++ b/crates/data-plane/src/core_link/candidates.rs
@@ -54,12 +54,12 @@
         members.iter().for_each(|member| self.add(*member, false));
     }
 
-    /// The next address that may be dialled now and is not among `busy`.
-    pub fn pick(&mut self, now_ms: u64, busy: &[SocketAddr]) -> Option<SocketAddr> {
+    /// The next address that may be dialled now and is not among `addresses_in_use`.
+    pub fn pick(&mut self, now_ms: u64, addresses_in_use: &[SocketAddr]) -> Option<SocketAddr> {
         let count = self.known.len();
         for offset in 0..count {
             let index = (self.next + offset) % count;
-            if self.free(index, now_ms, busy) {
+            if self.is_available(index, now_ms, addresses_in_use) {
                 self.next = index + 1;
                 return Some(self.known[index].address);
             }
@@ -75,31 +75,31 @@
 
     /// A connection to this address has failed or has served its purpose.
     pub fn back_off(&mut self, address: SocketAddr, now_ms: u64) {
-        let pause_ms = self.random.u64(BACKOFF_MIN_MS..=BACKOFF_MAX_MS);
+        let backoff_ms = self.random.u64(BACKOFF_MIN_MS..=BACKOFF_MAX_MS);
         if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
-            known.not_before_ms = now_ms + pause_ms;
+            known.not_before_ms = now_ms + backoff_ms;
         }
     }
 
     /// This address may be dialled at once, whatever has failed there: it has turned into the head's.
-    pub fn forgive(&mut self, address: SocketAddr) {
+    pub fn clear_backoff(&mut self, address: SocketAddr) {
         if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
             known.not_before_ms = 0;
         }
     }
 
-    /// When the next address that is not among `busy` may be dialled.
-    pub fn next_ms(&self, busy: &[SocketAddr]) -> Option<u64> {
-        let free = self
+    /// When the next address that is not among `addresses_in_use` may be dialled.
+    pub fn next_attempt_ms(&self, addresses_in_use: &[SocketAddr]) -> Option<u64> {
+        let is_available = self
             .known
             .iter()
-            .filter(|known| !busy.contains(&known.address));
-        free.map(|known| known.not_before_ms).min()
+            .filter(|known| !addresses_in_use.contains(&known.address));
+        is_available.map(|known| known.not_before_ms).min()
     }
 
-    fn free(&self, index: usize, now_ms: u64, busy: &[SocketAddr]) -> bool {
+    fn is_available(&self, index: usize, now_ms: u64, addresses_in_use: &[SocketAddr]) -> bool {
         let candidate = &self.known[index];
-        candidate.not_before_ms <= now_ms && !busy.contains(&candidate.address)
+        candidate.not_before_ms <= now_ms && !addresses_in_use.contains(&candidate.address)
     }
 
     fn add(&mut self, address: SocketAddr, seed: bool) {
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -6,6 +6,6 @@
 mod request;
 
 pub use answer::{Answer, Body, RETRY_MS};
-pub use calls::{CallId, CallLimits, Calls, Effect, sign_of_life};
+pub use calls::{CallId, CallLimits, Calls, Effect, liveness_probe};
 pub use readiness::{BRIEF_LOSS_MS, Readiness};
 pub use request::{DEADLINE_DEFAULT_MS, DEADLINE_HEADER, Method, ReadRequest, read_request};
--- a/crates/data-plane/src/edge/answer.rs
+++ b/crates/data-plane/src/edge/answer.rs
@@ -50,7 +50,7 @@
     }
 
     /// The call was not carried out; it may be repeated after `retry_after_ms`.
-    pub fn come_back(status: u16, retry_after_ms: u64, text: &str) -> Answer {
+    pub fn retry_later(status: u16, retry_after_ms: u64, text: &str) -> Answer {
         let retry_after_s = retry_after_ms.div_ceil(1_000).max(1);
         Answer {
             status,
@@ -61,7 +61,7 @@
 
     /// No acting head is known; the call was sent to nobody.
     pub fn no_head() -> Answer {
-        Answer::come_back(503, RETRY_MS, "no scheduler is at work")
+        Answer::retry_later(503, RETRY_MS, "no scheduler is at work")
     }
 
     /// The call was sent, and no reply has come: it may have been carried out.
@@ -88,10 +88,10 @@
         match outcome {
             ClientOutcome::Accepted | ClientOutcome::Cancelled => Answer::success(Body::Empty),
             ClientOutcome::TooMany { retry_after_ms } => {
-                Answer::come_back(429, retry_after_ms, "too many jobs wait")
+                Answer::retry_later(429, retry_after_ms, "too many jobs wait")
             }
             ClientOutcome::Unavailable { retry_after_ms } => {
-                Answer::come_back(503, retry_after_ms, "the scheduler takes no calls yet")
+                Answer::retry_later(503, retry_after_ms, "the scheduler takes no calls yet")
             }
             ClientOutcome::UnknownRoute => Answer::error(404, "no route leads there"),
             ClientOutcome::Invalid { reason } => Answer::error(400, reason),
--- a/crates/data-plane/src/edge/calls.rs
+++ b/crates/data-plane/src/edge/calls.rs
@@ -11,13 +11,13 @@
 pub type CallId = u64;
 
 /// A number that no client's call has.
-const NO_CALL: CallId = 0;
+const PROBE_CALL: CallId = 0;
 
 /// A call that no client waits for: no route leads there, so the head replies at once and does nothing.
-pub fn sign_of_life() -> Frame {
+pub fn liveness_probe() -> Frame {
     let (host, path) = (String::new(), String::new());
     Frame::Call(ClientCall {
-        call: NO_CALL,
+        call: PROBE_CALL,
         host,
         path,
         operation: ClientOperation::Get,
@@ -59,7 +59,7 @@
     frame: Rc<Frame>,
     reads_only: bool,
     /// Sent more than once: an earlier head may have carried it out.
-    sent_again: bool,
+    resent: bool,
     deadline_ms: u64,
     /// Its head was lost; it is given up at this time.
     orphaned_until_ms: Option<u64>,
@@ -80,19 +80,19 @@
         Calls {
             limits,
             calls: BTreeMap::new(),
-            last_call: NO_CALL,
+            last_call: PROBE_CALL,
             has_head: false,
         }
     }
 
-    /// A client's call; its client gives up `patience_ms` from now.
+    /// A client's call; its client gives up `client_timeout_ms` from now.
     pub fn begin(
         &mut self,
         now_ms: u64,
         host: String,
         path: String,
         operation: ClientOperation,
-        patience_ms: u64,
+        client_timeout_ms: u64,
     ) -> (CallId, Effect) {
         self.last_call += 1;
         let call = self.last_call;
@@ -100,7 +100,7 @@
             return (call, Effect::Answer(call, Answer::no_head()));
         }
         if self.calls.len() >= self.limits.calls_max {
-            let answer = Answer::come_back(503, super::RETRY_MS, "too many calls are under way");
+            let answer = Answer::retry_later(503, super::RETRY_MS, "too many calls are under way");
             return (call, Effect::Answer(call, answer));
         }
         let reads_only = operation == ClientOperation::Get;
@@ -110,12 +110,12 @@
             path,
             operation,
         }));
-        let margin_ms = self.limits.answer_margin_ms.min(patience_ms / 2);
-        let deadline_ms = now_ms + (patience_ms - margin_ms);
+        let margin_ms = self.limits.answer_margin_ms.min(client_timeout_ms / 2);
+        let deadline_ms = now_ms + (client_timeout_ms - margin_ms);
         let waiting = Call {
             frame: Rc::clone(&frame),
             reads_only,
-            sent_again: false,
+            resent: false,
             deadline_ms,
             orphaned_until_ms: None,
         };
@@ -124,7 +124,7 @@
     }
 
     /// The head's reply. One to a call that is over is passed over.
-    pub fn replied(&mut self, reply: ClientReply) -> Option<Effect> {
+    pub fn handle_reply(&mut self, reply: ClientReply) -> Option<Effect> {
         let call = self.calls.remove(&reply.call)?;
         Some(Effect::Answer(reply.call, call.answer(reply.outcome)))
     }
@@ -135,20 +135,20 @@
     }
 
     /// An acting head is connected: what waits is sent to it (again).
-    pub fn attached(&mut self) -> Vec<Effect> {
+    pub fn handle_attached(&mut self) -> Vec<Effect> {
         self.has_head = true;
         let waiting = self.calls.values_mut();
         waiting
             .map(|call| {
                 call.orphaned_until_ms = None;
-                call.sent_again = true;
+                call.resent = true;
                 Effect::Send(Rc::clone(&call.frame))
             })
             .collect()
     }
 
     /// The acting head is lost.
-    pub fn detached(&mut self, now_ms: u64) {
+    pub fn handle_detached(&mut self, now_ms: u64) {
         self.has_head = false;
         let until_ms = now_ms + self.limits.orphan_ms;
         self.calls.values_mut().for_each(|call| {
@@ -157,16 +157,17 @@
     }
 
     /// Gives up the calls whose time is over.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Effect> {
-        let over = self
+    pub fn handle_timeout(&mut self, now_ms: u64) -> Vec<Effect> {
+        let expired = self
             .calls
             .extract_if(.., |_, call| call.ends_ms() <= now_ms);
-        over.map(|(id, call)| Effect::Answer(id, call.gave_up()))
+        expired
+            .map(|(id, call)| Effect::Answer(id, call.gave_up()))
             .collect()
     }
 
-    /// When [`Calls::tick`] is to be called next, at the latest.
-    pub fn next_tick_ms(&self) -> Option<u64> {
+    /// When [`Calls::handle_timeout`] is to be called next, at the latest.
+    pub fn next_timeout_ms(&self) -> Option<u64> {
         self.calls.values().map(Call::ends_ms).min()
     }
 
@@ -192,7 +193,7 @@
                 | ClientOutcome::UnknownRoute
                 | ClientOutcome::Invalid { .. }
         );
-        if refused && self.sent_again && !self.reads_only {
+        if refused && self.resent && !self.reads_only {
             Answer::no_reply()
         } else {
             Answer::from(outcome)
--- a/crates/data-plane/src/edge/readiness.rs
+++ b/crates/data-plane/src/edge/readiness.rs
@@ -13,10 +13,10 @@
 
 impl Readiness {
     /// Notes what is known of the head: its configuration's version; 0 if there is no head or no configuration. The
-    /// head has owed nothing up to `answered_ms`: now, unless it is silent.
-    pub fn note(&mut self, answered_ms: u64, config_version: u64) {
+    /// head has owed nothing up to `responsive_ms`: now, unless it is silent.
+    pub fn update_head(&mut self, responsive_ms: u64, config_version: u64) {
         if config_version > 0 {
-            self.served_ms = Some(answered_ms);
+            self.served_ms = Some(responsive_ms);
         }
     }
 
--- a/crates/data-plane/src/edge/request.rs
+++ b/crates/data-plane/src/edge/request.rs
@@ -31,7 +31,7 @@
     /// What is asked.
     pub operation: ClientOperation,
     /// For how long the client waits.
-    pub patience_ms: u64,
+    pub client_timeout_ms: u64,
 }
 
 /// Reads a request, or says why it cannot be carried out.
@@ -48,7 +48,7 @@
     };
     Ok(ReadRequest {
         operation,
-        patience_ms: patience_ms(deadline),
+        client_timeout_ms: client_timeout_ms(deadline),
     })
 }
 
@@ -56,9 +56,11 @@
     parse_job(body).map_err(|error| Answer::error(400, error.to_string()))
 }
 
-fn patience_ms(deadline: Option<&str>) -> u64 {
-    let told = deadline
+fn client_timeout_ms(deadline: Option<&str>) -> u64 {
+    let stated = deadline
         .and_then(|text| text.trim().parse::<u64>().ok())
-        .filter(|told| *told > 0);
-    told.map_or(DEADLINE_DEFAULT_MS, |told| told.min(DEADLINE_MAX_MS))
+        .filter(|timeout_ms| *timeout_ms > 0);
+    stated.map_or(DEADLINE_DEFAULT_MS, |timeout_ms| {
+        timeout_ms.min(DEADLINE_MAX_MS)
+    })
 }
--- a/crates/data-plane/src/serve.rs
+++ b/crates/data-plane/src/serve.rs
@@ -37,15 +37,15 @@
     loop {
         match runtime::timeout(SETTINGS_INTERVAL, signals.next()).await {
             Some(Signal::Terminate) => return,
-            Some(Signal::Reload) => read_settings_again(node),
-            None if !node.has_head() => read_settings_again(node),
+            Some(Signal::Reload) => reload_settings(node),
+            None if !node.has_head() => reload_settings(node),
             None => {}
         }
     }
 }
 
 /// Takes the seeds of the settings as they are now. Settings that cannot be used are left.
-fn read_settings_again<R: Role>(node: &Node<R>) {
+fn reload_settings<R: Role>(node: &Node<R>) {
     match Settings::from_env() {
         Ok(settings) => {
             node.set_seeds(&settings);
--- a/crates/data-plane/src/serve/agent_role.rs
+++ b/crates/data-plane/src/serve/agent_role.rs
@@ -2,7 +2,7 @@
 
 use super::error::{NoAddressSnafu, ServeError};
 use super::node::{Node, Role};
-use crate::agent::{Agent, AgentEvent, BeatOutcome, Heard, ORDERS_WAIT_MS};
+use crate::agent::{Agent, AgentEvent, HeartbeatOutcome, HeartbeatReceipt, ORDERS_WAIT_MS};
 use futures_channel::oneshot;
 use futures_util::future::select;
 use indigofold_net::http::{self, HttpOptions, HttpRequest, HttpResponse, Method};
@@ -25,7 +25,7 @@
 /// A worker's connection may be idle for so long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// After SIGTERM what is being answered is finished within this time.
-const LEAVING: Duration = Duration::from_millis(200);
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(200);
 
 struct AgentRole {
     agent: Agent,
@@ -35,11 +35,11 @@
 
 impl AgentRole {
     fn log_events(&mut self) {
-        for event in self.agent.take_events() {
+        for event in self.agent.poll_events() {
             match event {
                 AgentEvent::Registered(id) => log::info!("worker {id} has registered"),
-                AgentEvent::Left(id) => log::info!("worker {id} has left"),
-                AgentEvent::Silent(id) => {
+                AgentEvent::Deregistered(id) => log::info!("worker {id} has left"),
+                AgentEvent::Unresponsive(id) => {
                     log::warn!("worker {id} is gone: silent until its holds lapsed")
                 }
                 AgentEvent::Returned(id) => log::info!("worker {id} is heard again"),
@@ -49,21 +49,27 @@
 }
 
 impl Role for AgentRole {
-    fn note(&mut self, _answered_ms: u64, _config_version: u64, _limits: Option<&IngressLimits>) {}
+    fn update_head(
+        &mut self,
+        _responsive_ms: u64,
+        _config_version: u64,
+        _limits: Option<&IngressLimits>,
+    ) {
+    }
 
-    fn attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
-        self.agent.link_up();
+    fn handle_attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
+        self.agent.handle_connected();
         Vec::new()
     }
 
-    fn detached(&mut self, _now_ms: u64) {
-        self.agent.link_down();
+    fn handle_detached(&mut self, _now_ms: u64) {
+        self.agent.handle_disconnected();
     }
 
-    fn received(&mut self, now_ms: u64, frame: Frame) {
+    fn handle_frame(&mut self, now_ms: u64, frame: Frame) {
         if let Frame::Orders(orders) = frame {
             let has_work = orders.has_work();
-            self.agent.orders(now_ms, orders);
+            self.agent.handle_orders(now_ms, orders);
             if let Some(answer) = self.awaits_orders.take_if(|_| has_work) {
                 let _ = answer.send(());
             }
@@ -71,7 +77,7 @@
     }
 
     /// Reports are frequent enough.
-    fn sign_of_life(&self) -> Option<Frame> {
+    fn liveness_probe(&self) -> Option<Frame> {
         None
     }
 
@@ -79,8 +85,8 @@
         false
     }
 
-    fn tick(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
-        let report = self.agent.tick(now_ms);
+    fn handle_timeout(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
+        let report = self.agent.poll_report(now_ms);
         self.log_events();
         report
             .map(|report| Rc::new(Frame::Report(report)))
@@ -88,8 +94,8 @@
             .collect()
     }
 
-    fn next_tick_ms(&self) -> Option<u64> {
-        self.agent.next_tick_ms()
+    fn next_timeout_ms(&self) -> Option<u64> {
+        self.agent.next_timeout_ms()
     }
 }
 
@@ -123,7 +129,7 @@
 
     super::until_terminated(&mut signals, &node).await;
     log::info!("told to end");
-    server.shutdown(Duration::ZERO, LEAVING).await;
+    server.shutdown(Duration::ZERO, SHUTDOWN_GRACE).await;
     Ok(())
 }
 
@@ -133,39 +139,42 @@
         .strip_prefix(INSTANCES_PATH)
         .filter(|id| !id.is_empty() && !id.contains('/'));
     let Some(id) = id else {
-        return refusal(404, "the path must be /instances/ID");
+        return error_response(404, "the path must be /instances/ID");
     };
     match request.method {
         Method::PUT => answer_heartbeat(node, id, &request.body).await,
         Method::DELETE => {
-            node.with_role(|role| role.agent.delete(id));
+            node.with_role(|role| role.agent.handle_deregistration(id));
             HttpResponse::json(200, "{}")
         }
-        _ => refusal(405, "the method must be PUT or DELETE"),
+        _ => error_response(405, "the method must be PUT or DELETE"),
     }
 }
 
 async fn answer_heartbeat(node: &Node<AgentRole>, id: &str, body: &[u8]) -> HttpResponse {
-    let beat = match parse_heartbeat(body) {
-        Ok(beat) => beat,
-        Err(error) => return refusal(400, &error.to_string()),
+    let heartbeat = match parse_heartbeat(body) {
+        Ok(heartbeat) => heartbeat,
+        Err(error) => return error_response(400, &error.to_string()),
     };
-    let heard = node.with_role(|role| role.agent.hear(steady_ms(), id, beat));
-    let reply = match heard {
-        Some(heard) => reply(node, id, heard).await,
+    let receipt = node.with_role(|role| role.agent.handle_heartbeat(steady_ms(), id, heartbeat));
+    let reply = match receipt {
+        Some(receipt) => reply(node, id, receipt).await,
         None => HeartbeatReply::default(),
     };
     HttpResponse::json(200, serde_json::to_vec(&reply).unwrap_or_default())
 }
 
 /// The reply to a heartbeat that was taken in; it waits for orders that are expected.
-async fn reply(node: &Node<AgentRole>, id: &str, heard: Heard) -> HeartbeatReply {
-    if heard.expects_orders {
+async fn reply(node: &Node<AgentRole>, id: &str, receipt: HeartbeatReceipt) -> HeartbeatReply {
+    if receipt.expects_orders {
         wait_for_orders(node).await;
     }
-    match node.with_role(|role| role.agent.answer(steady_ms(), id, heard.seq_no)) {
-        BeatOutcome::Answered(reply) => reply,
-        BeatOutcome::Late => HeartbeatReply::default(),
+    match node.with_role(|role| {
+        role.agent
+            .poll_heartbeat_reply(steady_ms(), id, receipt.seq_no)
+    }) {
+        HeartbeatOutcome::Answered(reply) => reply,
+        HeartbeatOutcome::Superseded => HeartbeatReply::default(),
     }
 }
 
@@ -177,6 +186,6 @@
     select(sleep, receiver).await;
 }
 
-fn refusal(status: u16, reason: &str) -> HttpResponse {
+fn error_response(status: u16, reason: &str) -> HttpResponse {
     HttpResponse::json(status, serde_json::json!({ "error": reason }).to_string())
 }
--- a/crates/data-plane/src/serve/edge_role.rs
+++ b/crates/data-plane/src/serve/edge_role.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// After SIGTERM clients are served as before for so long, until the platform sends no new ones.
-const LEAVING_MS: u64 = 2_500;
+const DRAINING_MS: u64 = 2_500;
 /// The process ends so long before the platform would kill it.
 const GRACE_MARGIN_MS: u64 = 700;
 /// A connection without a request is closed so long after the leaving time.
@@ -54,9 +54,13 @@
         read: edge::ReadRequest,
     ) -> (CallId, oneshot::Receiver<Answer>) {
         let (host, path) = (request.host.clone(), request.path.clone());
-        let (call, effect) =
-            self.calls
-                .begin(steady_ms(), host, path, read.operation, read.patience_ms);
+        let (call, effect) = self.calls.begin(
+            steady_ms(),
+            host,
+            path,
+            read.operation,
+            read.client_timeout_ms,
+        );
         let (sender, receiver) = oneshot::channel();
         self.waiters.insert(call, sender);
         self.carry_out(effect);
@@ -82,8 +86,13 @@
 }
 
 impl Role for EdgeRole {
-    fn note(&mut self, answered_ms: u64, config_version: u64, limits: Option<&IngressLimits>) {
-        self.readiness.note(answered_ms, config_version);
+    fn update_head(
+        &mut self,
+        responsive_ms: u64,
+        config_version: u64,
+        limits: Option<&IngressLimits>,
+    ) {
+        self.readiness.update_head(responsive_ms, config_version);
         if let (Some(limits), Some(frontend)) = (limits, &self.frontend)
             && self.limits.as_ref() != Some(limits)
         {
@@ -92,45 +101,45 @@
         }
     }
 
-    fn attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
+    fn handle_attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
         self.outbox.clear();
-        let effects = self.calls.attached();
+        let effects = self.calls.handle_attached();
         effects
             .into_iter()
             .for_each(|effect| self.carry_out(effect));
         std::mem::take(&mut self.outbox)
     }
 
-    fn detached(&mut self, now_ms: u64) {
-        self.calls.detached(now_ms);
+    fn handle_detached(&mut self, now_ms: u64) {
+        self.calls.handle_detached(now_ms);
     }
 
-    fn received(&mut self, _now_ms: u64, frame: Frame) {
+    fn handle_frame(&mut self, _now_ms: u64, frame: Frame) {
         if let Frame::Reply(reply) = frame
-            && let Some(effect) = self.calls.replied(reply)
+            && let Some(effect) = self.calls.handle_reply(reply)
         {
             self.carry_out(effect);
         }
     }
 
-    fn sign_of_life(&self) -> Option<Frame> {
-        Some(edge::sign_of_life())
+    fn liveness_probe(&self) -> Option<Frame> {
+        Some(edge::liveness_probe())
     }
 
     fn awaits_reply(&self) -> bool {
         !self.calls.is_empty()
     }
 
-    fn tick(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
-        let effects = self.calls.tick(now_ms);
+    fn handle_timeout(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
+        let effects = self.calls.handle_timeout(now_ms);
         effects
             .into_iter()
             .for_each(|effect| self.carry_out(effect));
         std::mem::take(&mut self.outbox)
     }
 
-    fn next_tick_ms(&self) -> Option<u64> {
-        self.calls.next_tick_ms()
+    fn next_timeout_ms(&self) -> Option<u64> {
+        self.calls.next_timeout_ms()
     }
 }
 
@@ -164,18 +173,18 @@
     log::info!("edge {} serves {frontend_address}", settings.node_name);
 
     super::until_terminated(&mut signals, &node).await;
-    leave(&settings, &node, &frontend).await;
+    drain(&settings, &node, &frontend).await;
     Ok(())
 }
 
 /// Serves as before until the platform sends no new clients, then finishes what is under way.
-async fn leave(settings: &Settings, node: &Node<EdgeRole>, frontend: &HttpServer) {
+async fn drain(settings: &Settings, node: &Node<EdgeRole>, frontend: &HttpServer) {
     log::info!("told to end: not ready any more, calls are served on for a while");
     node.with_role(|role| role.readiness.stop());
     let grace_ms = (settings.bounds.grace_s * 1_000.0) as u64;
-    let leaving_ms = LEAVING_MS.min(grace_ms / 2);
-    runtime::sleep(Duration::from_millis(leaving_ms)).await;
-    let limit_ms = grace_ms.saturating_sub(leaving_ms + GRACE_MARGIN_MS);
+    let draining_ms = DRAINING_MS.min(grace_ms / 2);
+    runtime::sleep(Duration::from_millis(draining_ms)).await;
+    let limit_ms = grace_ms.saturating_sub(draining_ms + GRACE_MARGIN_MS);
     let idle_grace = Duration::from_millis(IDLE_GRACE_MS.min(limit_ms));
     frontend
         .shutdown(idle_grace, Duration::from_millis(limit_ms))
--- a/crates/data-plane/src/serve/node.rs
+++ b/crates/data-plane/src/serve/node.rs
@@ -17,21 +17,26 @@
 pub trait Role: 'static {
     /// What is known of the head: the configuration's version (0 without a head) and its limits. The head has owed
     /// nothing up to `answered_ms`.
-    fn note(&mut self, answered_ms: u64, config_version: u64, limits: Option<&IngressLimits>);
+    fn update_head(
+        &mut self,
+        answered_ms: u64,
+        config_version: u64,
+        limits: Option<&IngressLimits>,
+    );
     /// An acting head is connected.
-    fn attached(&mut self, now_ms: u64) -> Vec<Rc<Frame>>;
+    fn handle_attached(&mut self, now_ms: u64) -> Vec<Rc<Frame>>;
     /// The acting head is lost.
-    fn detached(&mut self, now_ms: u64);
+    fn handle_detached(&mut self, now_ms: u64);
     /// The acting head has sent a frame.
-    fn received(&mut self, now_ms: u64, frame: Frame);
+    fn handle_frame(&mut self, now_ms: u64, frame: Frame);
     /// What an acting head answers at once, for a role that is to notice a silent head also while it is idle.
-    fn sign_of_life(&self) -> Option<Frame>;
+    fn liveness_probe(&self) -> Option<Frame>;
     /// Whether the acting head still owes a reply to something that was sent to it.
     fn awaits_reply(&self) -> bool;
     /// Time has passed, or something has come in.
-    fn tick(&mut self, now_ms: u64) -> Vec<Rc<Frame>>;
-    /// When [`Role::tick`] is to be called next, at the latest.
-    fn next_tick_ms(&self) -> Option<u64>;
+    fn handle_timeout(&mut self, now_ms: u64) -> Vec<Rc<Frame>>;
+    /// When [`Role::handle_timeout`] is to be called next, at the latest.
+    fn next_timeout_ms(&self) -> Option<u64>;
 }
 
 struct State<R> {
@@ -68,8 +73,8 @@
             incarnation,
         };
         let link = CoreLink::new(&seeds(settings), incarnation);
-        let link = if role.sign_of_life().is_some() {
-            link.asking_when_idle()
+        let link = if role.liveness_probe().is_some() {
+            link.probing_when_idle()
         } else {
             link
         };
@@ -119,8 +124,8 @@
     fn observed(&self) -> RefMut<'_, State<R>> {
         let mut state = self.state.borrow_mut();
         let State { role, link, .. } = &mut *state;
-        role.note(
-            link.answered_ms(steady_ms()),
+        role.update_head(
+            link.head_responsive_ms(steady_ms()),
             link.config_version(),
             link.limits(),
         );
@@ -131,20 +136,23 @@
     fn pump(&self) -> Option<u64> {
         let now_ms = steady_ms();
         let mut state = self.observed();
-        state.link.tick(now_ms);
-        for action in state.link.take_actions() {
+        state.link.handle_timeout(now_ms);
+        for action in state.link.poll_actions() {
             match action {
                 LinkAction::Dial { link, address } => self.dial(link, address),
-                LinkAction::Ask(link) => state.ask(link),
+                LinkAction::ProbeHead(link) => state.probe_head(link),
                 LinkAction::Close(link) => state.close(link),
                 LinkAction::Attached(_) => state.attached(now_ms),
                 LinkAction::Detached => state.detached(now_ms),
             }
         }
-        let frames = state.role.tick(now_ms);
+        let frames = state.role.handle_timeout(now_ms);
         state.send(now_ms, &frames);
-        let link_ms = state.link.next_tick_ms(now_ms);
-        link_ms.into_iter().chain(state.role.next_tick_ms()).min()
+        let link_ms = state.link.next_timeout_ms(now_ms);
+        link_ms
+            .into_iter()
+            .chain(state.role.next_timeout_ms())
+            .min()
     }
 
     fn dial(&self, link: LinkId, address: SocketAddr) {
@@ -155,7 +163,7 @@
             }
             let mut state = node.observed();
             state.senders.remove(&link);
-            state.link.failed(steady_ms(), link);
+            state.link.handle_disconnected(steady_ms(), link);
             drop(state);
             node.advance();
         });
@@ -178,25 +186,25 @@
     /// Greets the member; `false` if the connection is no longer wanted.
     fn connected(&self, link: LinkId, sender: FrameSender) -> bool {
         let mut state = self.state.borrow_mut();
-        if !state.link.wants(link) || sender.send(&Frame::Hello(state.hello.clone())).is_err() {
+        if !state.link.is_in_use(link) || sender.send(&Frame::Hello(state.hello.clone())).is_err() {
             return false;
         }
         state.senders.insert(link, sender);
-        state.link.connected(steady_ms(), link);
+        state.link.handle_connected(steady_ms(), link);
         true
     }
 
     fn received(&self, link: LinkId, frame: Frame) {
         let now_ms = steady_ms();
         let mut state = self.observed();
-        state.link.heard(now_ms, link);
+        state.link.handle_frame(now_ms, link);
         match frame {
-            Frame::Welcome(welcome) => state.link.welcomed(now_ms, link, &welcome),
-            frame if state.link.attached() == Some(link) => state.role.received(now_ms, frame),
+            Frame::Welcome(welcome) => state.link.handle_welcome(now_ms, link, &welcome),
+            frame if state.link.attached() == Some(link) => state.role.handle_frame(now_ms, frame),
             _ => {}
         }
         if state.role.awaits_reply() {
-            state.link.asked(now_ms);
+            state.link.handle_request_sent(now_ms);
         }
         drop(state);
         self.advance();
@@ -208,18 +216,18 @@
         if let Some((address, view)) = self.link.head() {
             log::info!("connected to the head {address} of view {view}");
         }
-        self.role.note(
-            self.link.answered_ms(now_ms),
+        self.role.update_head(
+            self.link.head_responsive_ms(now_ms),
             self.link.config_version(),
             self.link.limits(),
         );
-        let frames = self.role.attached(now_ms);
+        let frames = self.role.handle_attached(now_ms);
         self.send(now_ms, &frames);
     }
 
     fn detached(&mut self, now_ms: u64) {
         log::warn!("the head is lost: looking for its successor");
-        self.role.detached(now_ms);
+        self.role.handle_detached(now_ms);
     }
 
     /// Sends frames to the acting head. If the connection is closed, its reader tells.
@@ -239,12 +247,12 @@
                 return;
             }
         }
-        self.link.asked(now_ms);
+        self.link.handle_request_sent(now_ms);
     }
 
     /// Asks the head for a sign of life. If the connection is closed, its reader tells.
-    fn ask(&self, link: LinkId) {
-        if let (Some(sender), Some(frame)) = (self.senders.get(&link), self.role.sign_of_life()) {
+    fn probe_head(&self, link: LinkId) {
+        if let (Some(sender), Some(frame)) = (self.senders.get(&link), self.role.liveness_probe()) {
             let _ = sender.send(&frame);
         }
     }
--- a/crates/data-plane/tests/agent_replies.rs
+++ b/crates/data-plane/tests/agent_replies.rs
@@ -2,79 +2,84 @@
 
 mod common;
 
-use common::{Bench, WORKER, run, start};
-use indigofold_data_plane::agent::{BeatOutcome, Heard};
+use common::{AgentHarness, WORKER, run, start};
+use indigofold_data_plane::agent::{HeartbeatOutcome, HeartbeatReceipt};
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd};
 
 /// A worker at work on one run.
-fn at_work() -> Bench {
-    let mut bench = Bench::settled();
-    bench.order_start(&[start(run(1), 1_000)]);
-    let reply = bench.beat();
-    bench.obey(&reply);
-    bench.beat();
-    bench
+fn at_work() -> AgentHarness {
+    let mut harness = AgentHarness::confirmed();
+    harness.order_start(&[start(run(1), 1_000)]);
+    let reply = harness.send_heartbeat();
+    harness.carry_out(&reply);
+    harness.send_heartbeat();
+    harness
 }
 
-fn hear(bench: &mut Bench) -> Heard {
-    bench.seq_no += 1;
-    let beat = bench.heartbeat();
-    bench
+fn receive(harness: &mut AgentHarness) -> HeartbeatReceipt {
+    harness.seq_no += 1;
+    let heartbeat = harness.heartbeat();
+    harness
         .agent
-        .hear(bench.now_ms, WORKER, beat)
+        .handle_heartbeat(harness.now_ms, WORKER, heartbeat)
         .expect("the heartbeat is the newest")
 }
 
-fn answer(bench: &mut Bench, heard: Heard) -> HeartbeatReply {
-    match bench.agent.answer(bench.now_ms, WORKER, heard.seq_no) {
-        BeatOutcome::Answered(reply) => reply,
-        BeatOutcome::Late => panic!("the heartbeat is the newest"),
+fn answer(harness: &mut AgentHarness, receipt: HeartbeatReceipt) -> HeartbeatReply {
+    match harness
+        .agent
+        .poll_heartbeat_reply(harness.now_ms, WORKER, receipt.seq_no)
+    {
+        HeartbeatOutcome::Answered(reply) => reply,
+        HeartbeatOutcome::Superseded => panic!("the heartbeat is the newest"),
     }
 }
 
 #[test]
 fn orders_are_expected_once_after_each_end() {
-    let mut bench = at_work();
-    assert!(!hear(&mut bench).expects_orders);
-    bench.end(run(1), RunEnd::Done);
-    assert!(hear(&mut bench).expects_orders);
-    assert!(!hear(&mut bench).expects_orders);
+    let mut harness = at_work();
+    assert!(!receive(&mut harness).expects_orders);
+    harness.end(run(1), RunEnd::Done);
+    assert!(receive(&mut harness).expects_orders);
+    assert!(!receive(&mut harness).expects_orders);
 }
 
 #[test]
 fn without_a_head_no_orders_are_expected() {
-    let mut bench = at_work();
-    bench.end(run(1), RunEnd::Done);
-    bench.agent.link_down();
-    assert!(!hear(&mut bench).expects_orders);
+    let mut harness = at_work();
+    harness.end(run(1), RunEnd::Done);
+    harness.agent.handle_disconnected();
+    assert!(!receive(&mut harness).expects_orders);
 }
 
 /// The room of a run that has ended is used by the very answer to the heartbeat that lists its end.
 #[test]
 fn orders_that_come_meanwhile_are_in_the_answer() {
-    let mut bench = at_work();
-    bench.end(run(1), RunEnd::Done);
-    let heard = hear(&mut bench);
-    bench.report_and_echo();
-    bench.order_start(&[start(run(2), 1_000)]);
-    let reply = answer(&mut bench, heard);
-    assert_eq!(Bench::started(&reply), vec![run(2).task.to_string()]);
+    let mut harness = at_work();
+    harness.end(run(1), RunEnd::Done);
+    let receipt = receive(&mut harness);
+    harness.report_and_echo();
+    harness.order_start(&[start(run(2), 1_000)]);
+    let reply = answer(&mut harness, receipt);
+    assert_eq!(AgentHarness::started(&reply), vec![run(2).task.to_string()]);
 }
 
 /// The worker has given up waiting and sent another heartbeat: its answer alone starts anything.
 #[test]
 fn an_overtaken_heartbeat_is_given_nothing() {
-    let mut bench = at_work();
-    bench.end(run(1), RunEnd::Done);
-    let overtaken = hear(&mut bench);
-    let newest = hear(&mut bench);
-    bench.order_start(&[start(run(2), 1_000)]);
+    let mut harness = at_work();
+    harness.end(run(1), RunEnd::Done);
+    let overtaken = receive(&mut harness);
+    let newest = receive(&mut harness);
+    harness.order_start(&[start(run(2), 1_000)]);
     assert_eq!(
-        bench.agent.answer(bench.now_ms, WORKER, overtaken.seq_no),
-        BeatOutcome::Late
+        harness
+            .agent
+            .poll_heartbeat_reply(harness.now_ms, WORKER, overtaken.seq_no),
+        HeartbeatOutcome::Superseded
     );
     assert_eq!(
-        Bench::started(&answer(&mut bench, newest)),
+        AgentHarness::started(&answer(&mut harness, newest)),
         vec![run(2).task.to_string()]
     );
 }
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use indigofold_data_plane::agent::{Agent, BeatOutcome};
+use indigofold_data_plane::agent::{Agent, HeartbeatOutcome};
 use indigofold_protocol::internal::{AgentOrders, AgentReport, StartOrder};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{JobId, RunId, TaskName};
@@ -11,7 +11,7 @@
 };
 
 pub const WORKER: &str = "i-1";
-pub const MAX_HOLD_MS: u64 = 6_000;
+pub const MAX_LEASE_MS: u64 = 6_000;
 pub const START_MS: u64 = 1_000_000;
 
 pub fn run(index: u32) -> RunId {
@@ -45,7 +45,7 @@
 }
 
 /// The companion under test, a clock, and counters of its worker and head.
-pub struct Bench {
+pub struct AgentHarness {
     pub agent: Agent,
     pub now_ms: u64,
     pub seq_no: u64,
@@ -56,11 +56,11 @@
     pub finished: Vec<(u64, RunId, RunEnd)>,
 }
 
-impl Bench {
+impl AgentHarness {
     /// Nothing has happened.
-    pub fn fresh() -> Bench {
-        Bench {
-            agent: Agent::new(START_MS, MAX_HOLD_MS),
+    pub fn unconnected() -> AgentHarness {
+        AgentHarness {
+            agent: Agent::new(START_MS, MAX_LEASE_MS),
             now_ms: START_MS,
             seq_no: 0,
             epoch: 3,
@@ -72,15 +72,15 @@
     }
 
     /// The worker has registered, and the head has heard of it.
-    pub fn settled() -> Bench {
-        let mut bench = Bench::fresh();
-        bench.agent.link_up();
-        bench.beat();
-        bench.report_and_echo();
-        bench
+    pub fn confirmed() -> AgentHarness {
+        let mut harness = AgentHarness::unconnected();
+        harness.agent.handle_connected();
+        harness.send_heartbeat();
+        harness.report_and_echo();
+        harness
     }
 
-    pub fn pass(&mut self, ms: u64) -> &mut Bench {
+    pub fn advance(&mut self, ms: u64) -> &mut AgentHarness {
         self.now_ms += ms;
         self
     }
@@ -113,29 +113,31 @@
     }
 
     /// The worker's next heartbeat, 100 ms later.
-    pub fn beat(&mut self) -> HeartbeatReply {
-        self.beat_of(WORKER)
+    pub fn send_heartbeat(&mut self) -> HeartbeatReply {
+        self.send_heartbeat_of(WORKER)
     }
 
-    pub fn beat_of(&mut self, id: &str) -> HeartbeatReply {
-        self.pass(100);
+    pub fn send_heartbeat_of(&mut self, id: &str) -> HeartbeatReply {
+        self.advance(100);
         self.seq_no += 1;
-        match self.take(id, self.heartbeat()) {
-            BeatOutcome::Answered(reply) => reply,
-            BeatOutcome::Late => panic!("the heartbeat is the newest"),
+        match self.deliver(id, self.heartbeat()) {
+            HeartbeatOutcome::Answered(reply) => reply,
+            HeartbeatOutcome::Superseded => panic!("the heartbeat is the newest"),
         }
     }
 
     /// A heartbeat comes in and is answered at once.
-    pub fn take(&mut self, id: &str, beat: Heartbeat) -> BeatOutcome {
-        match self.agent.hear(self.now_ms, id, beat) {
-            Some(heard) => self.agent.answer(self.now_ms, id, heard.seq_no),
-            None => BeatOutcome::Late,
+    pub fn deliver(&mut self, id: &str, heartbeat: Heartbeat) -> HeartbeatOutcome {
+        match self.agent.handle_heartbeat(self.now_ms, id, heartbeat) {
+            Some(receipt) => self
+                .agent
+                .poll_heartbeat_reply(self.now_ms, id, receipt.seq_no),
+            None => HeartbeatOutcome::Superseded,
         }
     }
 
     /// The worker has carried out what an answer orders.
-    pub fn obey(&mut self, reply: &HeartbeatReply) {
+    pub fn carry_out(&mut self, reply: &HeartbeatReply) {
         let started = reply.start.iter().map(|s| RunId {
             task: s.0.parse().expect("a name"),
             attempt: s.1,
@@ -160,8 +162,8 @@
 
     /// The report that is due, 20 ms later.
     pub fn report(&mut self) -> Option<AgentReport> {
-        self.pass(20);
-        self.agent.tick(self.now_ms)
+        self.advance(20);
+        self.agent.poll_report(self.now_ms)
     }
 
     pub fn report_now(&mut self) -> AgentReport {
@@ -179,7 +181,7 @@
             echo_sent_ms: Some(sent_ms),
             ..self.no_orders()
         };
-        self.orders(orders);
+        self.deliver_orders(orders);
     }
 
     pub fn no_orders(&self) -> AgentOrders {
@@ -198,15 +200,15 @@
             start: starts.to_vec(),
             ..self.no_orders()
         };
-        self.orders(orders);
+        self.deliver_orders(orders);
     }
 
     /// The head orders starts, and the worker lists them as running.
-    pub fn run_all(&mut self, starts: &[StartOrder]) {
+    pub fn start_and_list(&mut self, starts: &[StartOrder]) {
         self.order_start(starts);
-        let reply = self.beat();
-        self.obey(&reply);
-        self.beat();
+        let reply = self.send_heartbeat();
+        self.carry_out(&reply);
+        self.send_heartbeat();
     }
 
     pub fn order_stop(&mut self, stops: &[RunId]) {
@@ -214,11 +216,11 @@
             stop: stops.to_vec(),
             ..self.no_orders()
         };
-        self.orders(orders);
+        self.deliver_orders(orders);
     }
 
-    pub fn orders(&mut self, orders: AgentOrders) {
-        self.agent.orders(self.now_ms, orders);
+    pub fn deliver_orders(&mut self, orders: AgentOrders) {
+        self.agent.handle_orders(self.now_ms, orders);
     }
 
     /// The runs that an answer starts.
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,8 +1,8 @@
 //! The link to the core: finds the acting head, stays with it, and finds its successor.
 
 use indigofold_data_plane::core_link::{
-    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GIVE_UP_MS, GREETING_TIMEOUT_MS, IDLE_MS,
-    LISTEN_MS, LinkAction, LinkId, PROBES_MAX, SILENCE_MS,
+    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GREETING_TIMEOUT_MS, HEAD_TIMEOUT_MS,
+    IDLE_PROBE_MS, LISTEN_MS, LinkAction, LinkId, SEARCH_CONNECTIONS_MAX, SUSPICION_TIMEOUT_MS,
 };
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{MemberAddress, Welcome};
@@ -40,7 +40,7 @@
 
 fn dialled(link: &mut CoreLink) -> Vec<(LinkId, SocketAddr)> {
     let dials = link
-        .take_actions()
+        .poll_actions()
         .into_iter()
         .filter_map(|action| match action {
             LinkAction::Dial { link, address } => Some((link, address)),
@@ -55,37 +55,37 @@
 }
 
 /// The same for a link that asks when idle.
-fn attached_idle() -> (CoreLink, LinkId, SocketAddr) {
-    attach(link().asking_when_idle())
+fn attached_probing() -> (CoreLink, LinkId, SocketAddr) {
+    attach(link().probing_when_idle())
 }
 
 fn attach(mut link: CoreLink) -> (CoreLink, LinkId, SocketAddr) {
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let (id, address) = dialled(&mut link)[0];
-    link.connected(NOW_MS, id);
+    link.handle_connected(NOW_MS, id);
     let head = address.to_string().as_bytes()[7] - b'0';
-    link.welcomed(NOW_MS, id, &welcome(5, Some(head), true));
-    assert!(link.take_actions().contains(&LinkAction::Attached(id)));
+    link.handle_welcome(NOW_MS, id, &welcome(5, Some(head), true));
+    assert!(link.poll_actions().contains(&LinkAction::Attached(id)));
     (link, id, address)
 }
 
 #[test]
 fn it_dials_some_seeds_and_closes_the_rest_once_attached() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    assert_eq!(dials.len(), PROBES_MAX);
-    link.connected(NOW_MS, dials[0].0);
-    link.welcomed(NOW_MS, dials[0].0, &welcome(5, Some(1), true));
+    assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
+    link.handle_connected(NOW_MS, dials[0].0);
+    link.handle_welcome(NOW_MS, dials[0].0, &welcome(5, Some(1), true));
     assert_eq!(
-        link.take_actions(),
+        link.poll_actions(),
         [
             LinkAction::Attached(dials[0].0),
             LinkAction::Close(dials[1].0)
         ]
     );
     assert_eq!(
-        (link.config_version(), link.next_tick_ms(NOW_MS)),
+        (link.config_version(), link.next_timeout_ms(NOW_MS)),
         (9, None)
     );
 }
@@ -93,35 +93,35 @@
 #[test]
 fn a_member_that_is_not_the_head_leads_to_the_head() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.connected(NOW_MS, first.0);
-    link.welcomed(NOW_MS, first.0, &welcome(5, Some(4), false));
+    link.handle_connected(NOW_MS, first.0);
+    link.handle_welcome(NOW_MS, first.0, &welcome(5, Some(4), false));
     let dials = dialled(&mut link);
     assert_eq!(
         dials.iter().map(|dial| dial.1).collect::<Vec<_>>(),
         [address(4)]
     );
-    link.connected(NOW_MS, dials[0].0);
-    link.welcomed(NOW_MS, dials[0].0, &welcome(5, Some(4), true));
+    link.handle_connected(NOW_MS, dials[0].0);
+    link.handle_welcome(NOW_MS, dials[0].0, &welcome(5, Some(4), true));
     assert_eq!(link.head(), Some((address(4), 5)));
 }
 
 #[test]
 fn a_failed_address_is_left_alone_for_a_moment_and_others_are_tried() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.failed(NOW_MS, dials[0].0);
+    link.handle_disconnected(NOW_MS, dials[0].0);
     let next = dialled(&mut link);
     assert_eq!(next.len(), 1);
     assert!(dials.iter().all(|dial| dial.1 != next[0].1));
-    link.failed(NOW_MS, next[0].0);
-    link.failed(NOW_MS, dials[1].0);
+    link.handle_disconnected(NOW_MS, next[0].0);
+    link.handle_disconnected(NOW_MS, dials[1].0);
     assert!(dialled(&mut link).is_empty());
-    let wake_ms = link.next_tick_ms(NOW_MS).expect("a later try");
+    let wake_ms = link.next_timeout_ms(NOW_MS).expect("a later try");
     assert!(wake_ms > NOW_MS && wake_ms <= NOW_MS + BACKOFF_MAX_MS);
-    link.tick(wake_ms);
+    link.handle_timeout(wake_ms);
     assert!(!dialled(&mut link).is_empty());
 }
 
@@ -129,15 +129,15 @@
 #[test]
 fn a_head_of_a_new_view_is_dialled_at_once_even_if_it_has_just_failed() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     let (failed, failed_address) = dials[0];
-    link.failed(NOW_MS, failed);
+    link.handle_disconnected(NOW_MS, failed);
     let others = dialled(&mut link);
     assert!(others.iter().all(|(_, address)| *address != failed_address));
     let host = failed_address.to_string().as_bytes()[7] - b'0';
-    link.connected(NOW_MS, dials[1].0);
-    link.welcomed(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
+    link.handle_connected(NOW_MS, dials[1].0);
+    link.handle_welcome(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
     assert_eq!(
         dialled(&mut link).first().map(|(_, address)| *address),
         Some(failed_address)
@@ -148,13 +148,13 @@
 #[test]
 fn a_dial_that_hangs_is_begun_anew_once_the_head_is_named() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     let (hanging, address) = dials[0];
     let host = address.to_string().as_bytes()[7] - b'0';
-    link.connected(NOW_MS, dials[1].0);
-    link.welcomed(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
-    let actions = link.take_actions();
+    link.handle_connected(NOW_MS, dials[1].0);
+    link.handle_welcome(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
+    let actions = link.poll_actions();
     assert_eq!(actions.first(), Some(&LinkAction::Close(hanging)));
     assert!(
         actions
@@ -166,34 +166,34 @@
 #[test]
 fn connections_that_do_not_open_or_greet_are_given_up() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.connected(NOW_MS + 10, dials[0].0);
-    link.tick(NOW_MS + CONNECT_TIMEOUT_MS);
-    assert!(link.take_actions().contains(&LinkAction::Close(dials[1].0)));
-    assert!(link.wants(dials[0].0) && !link.wants(dials[1].0));
-    link.tick(NOW_MS + 10 + GREETING_TIMEOUT_MS);
-    assert!(link.take_actions().contains(&LinkAction::Close(dials[0].0)));
+    link.handle_connected(NOW_MS + 10, dials[0].0);
+    link.handle_timeout(NOW_MS + CONNECT_TIMEOUT_MS);
+    assert!(link.poll_actions().contains(&LinkAction::Close(dials[1].0)));
+    assert!(link.is_in_use(dials[0].0) && !link.is_in_use(dials[1].0));
+    link.handle_timeout(NOW_MS + 10 + GREETING_TIMEOUT_MS);
+    assert!(link.poll_actions().contains(&LinkAction::Close(dials[0].0)));
 }
 
 #[test]
 fn a_member_that_knows_no_head_is_listened_to_for_a_while() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.connected(NOW_MS, first.0);
-    link.welcomed(NOW_MS, first.0, &welcome(5, None, false));
-    link.tick(NOW_MS + LISTEN_MS - 1);
-    assert!(link.wants(first.0));
-    link.welcomed(NOW_MS + LISTEN_MS - 1, first.0, &welcome(6, Some(1), true));
+    link.handle_connected(NOW_MS, first.0);
+    link.handle_welcome(NOW_MS, first.0, &welcome(5, None, false));
+    link.handle_timeout(NOW_MS + LISTEN_MS - 1);
+    assert!(link.is_in_use(first.0));
+    link.handle_welcome(NOW_MS + LISTEN_MS - 1, first.0, &welcome(6, Some(1), true));
     assert_eq!(link.attached(), Some(first.0));
 }
 
 #[test]
 fn a_head_that_stops_acting_is_left() {
     let (mut link, id, _) = attached();
-    link.welcomed(NOW_MS, id, &welcome(6, Some(4), false));
-    let actions = link.take_actions();
+    link.handle_welcome(NOW_MS, id, &welcome(6, Some(4), false));
+    let actions = link.poll_actions();
     assert_eq!(actions[0], LinkAction::Detached);
     assert!(
         actions
@@ -206,14 +206,14 @@
 #[test]
 fn a_lost_connection_detaches_and_looks_on() {
     let (mut link, id, lost) = attached();
-    link.failed(NOW_MS, id);
-    let actions = link.take_actions();
+    link.handle_disconnected(NOW_MS, id);
+    let actions = link.poll_actions();
     assert_eq!(actions[0], LinkAction::Detached);
     let dials: Vec<_> = actions
         .iter()
         .filter(|a| matches!(a, LinkAction::Dial { .. }))
         .collect();
-    assert_eq!(dials.len(), PROBES_MAX);
+    assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
     assert!(
         !dials
             .iter()
@@ -224,18 +224,21 @@
 #[test]
 fn a_silent_head_is_kept_while_others_are_asked() {
     let (mut link, id, head) = attached();
-    link.asked(NOW_MS);
-    link.asked(NOW_MS + 300);
-    assert_eq!(link.next_tick_ms(NOW_MS), Some(NOW_MS + SILENCE_MS));
-    link.tick(NOW_MS + SILENCE_MS);
+    link.handle_request_sent(NOW_MS);
+    link.handle_request_sent(NOW_MS + 300);
+    assert_eq!(
+        link.next_timeout_ms(NOW_MS),
+        Some(NOW_MS + SUSPICION_TIMEOUT_MS)
+    );
+    link.handle_timeout(NOW_MS + SUSPICION_TIMEOUT_MS);
     let dials = dialled(&mut link);
-    assert_eq!(dials.len(), PROBES_MAX);
+    assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
     assert!(dials.iter().all(|dial| dial.1 != head));
-    link.heard(NOW_MS + SILENCE_MS, id);
-    link.tick(NOW_MS + SILENCE_MS + 1);
+    link.handle_frame(NOW_MS + SUSPICION_TIMEOUT_MS, id);
+    link.handle_timeout(NOW_MS + SUSPICION_TIMEOUT_MS + 1);
     assert_eq!(
-        link.take_actions().len(),
-        PROBES_MAX,
+        link.poll_actions().len(),
+        SEARCH_CONNECTIONS_MAX,
         "the others are closed again"
     );
     assert_eq!(link.attached(), Some(id));
@@ -244,16 +247,16 @@
 #[test]
 fn a_silent_head_is_left_for_an_acting_one_of_a_higher_view_only() {
     let (mut link, id, _) = attached();
-    link.asked(NOW_MS);
-    let now_ms = NOW_MS + SILENCE_MS;
-    link.tick(now_ms);
+    link.handle_request_sent(NOW_MS);
+    let now_ms = NOW_MS + SUSPICION_TIMEOUT_MS;
+    link.handle_timeout(now_ms);
     let dials = dialled(&mut link);
-    link.connected(now_ms, dials[0].0);
-    link.welcomed(now_ms, dials[0].0, &welcome(5, Some(4), true));
+    link.handle_connected(now_ms, dials[0].0);
+    link.handle_welcome(now_ms, dials[0].0, &welcome(5, Some(4), true));
     assert_eq!(link.attached(), Some(id));
-    link.welcomed(now_ms, dials[0].0, &welcome(6, Some(4), true));
+    link.handle_welcome(now_ms, dials[0].0, &welcome(6, Some(4), true));
     assert_eq!(link.attached(), Some(dials[0].0));
-    let actions = link.take_actions();
+    let actions = link.poll_actions();
     let position = |action| {
         actions
             .iter()
@@ -267,7 +270,7 @@
 #[test]
 fn a_newer_version_of_the_configuration_is_noted() {
     let (mut link, id, _) = attached();
-    link.welcomed(
+    link.handle_welcome(
         NOW_MS,
         id,
         &Welcome {
@@ -276,96 +279,102 @@
         },
     );
     assert_eq!(link.config_version(), 12);
-    assert_eq!(link.take_actions(), []);
+    assert_eq!(link.poll_actions(), []);
 }
 
 #[test]
 fn new_seeds_are_dialled() {
     let mut link = CoreLink::new(&[], 1);
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     assert!(dialled(&mut link).is_empty());
     link.set_seeds(&[address(9)]);
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     assert_eq!(dialled(&mut link)[0].1, address(9));
 }
 
 #[test]
 fn an_idle_link_asks_a_quiet_head_once_until_it_is_heard() {
-    let (mut link, id, _) = attached_idle();
-    assert_eq!(link.next_tick_ms(NOW_MS), Some(NOW_MS + IDLE_MS));
-    link.tick(NOW_MS + IDLE_MS - 1);
-    assert_eq!(link.take_actions(), []);
-    let asked_ms = NOW_MS + IDLE_MS;
-    link.tick(asked_ms);
-    link.tick(asked_ms + 1);
-    assert_eq!(link.take_actions(), [LinkAction::Ask(id)]);
-    assert_eq!(link.next_tick_ms(asked_ms), Some(asked_ms + SILENCE_MS));
-    link.heard(asked_ms + 5, id);
-    link.welcomed(asked_ms + 5, id, &welcome(5, Some(1), true));
-    assert_eq!(link.answered_ms(asked_ms + 6), asked_ms + 6);
+    let (mut link, id, _) = attached_probing();
+    assert_eq!(link.next_timeout_ms(NOW_MS), Some(NOW_MS + IDLE_PROBE_MS));
+    link.handle_timeout(NOW_MS + IDLE_PROBE_MS - 1);
+    assert_eq!(link.poll_actions(), []);
+    let requested_ms = NOW_MS + IDLE_PROBE_MS;
+    link.handle_timeout(requested_ms);
+    link.handle_timeout(requested_ms + 1);
+    assert_eq!(link.poll_actions(), [LinkAction::ProbeHead(id)]);
+    assert_eq!(
+        link.next_timeout_ms(requested_ms),
+        Some(requested_ms + SUSPICION_TIMEOUT_MS)
+    );
+    link.handle_frame(requested_ms + 5, id);
+    link.handle_welcome(requested_ms + 5, id, &welcome(5, Some(1), true));
+    assert_eq!(link.head_responsive_ms(requested_ms + 6), requested_ms + 6);
     assert_eq!(
-        link.next_tick_ms(asked_ms + 6),
-        Some(asked_ms + 5 + IDLE_MS)
+        link.next_timeout_ms(requested_ms + 6),
+        Some(requested_ms + 5 + IDLE_PROBE_MS)
     );
-    assert_eq!(link.take_actions(), []);
+    assert_eq!(link.poll_actions(), []);
 }
 
 #[test]
 fn a_head_that_is_heard_is_not_asked() {
-    let (mut link, id, _) = attached_idle();
+    let (mut link, id, _) = attached_probing();
     for step in 1..10 {
-        let now_ms = NOW_MS + step * (IDLE_MS - 1);
-        link.heard(now_ms, id);
-        link.tick(now_ms);
+        let now_ms = NOW_MS + step * (IDLE_PROBE_MS - 1);
+        link.handle_frame(now_ms, id);
+        link.handle_timeout(now_ms);
     }
-    assert_eq!(link.take_actions(), []);
+    assert_eq!(link.poll_actions(), []);
 }
 
 #[rstest]
-#[case::idle(None, IDLE_MS + SILENCE_MS)]
-#[case::asked_at_once(Some(0), SILENCE_MS)]
-#[case::asked_later(Some(100), 100 + SILENCE_MS)]
+#[case::idle(None, IDLE_PROBE_MS + SUSPICION_TIMEOUT_MS)]
+#[case::request_at_once(Some(0), SUSPICION_TIMEOUT_MS)]
+#[case::request_later(Some(100), 100 + SUSPICION_TIMEOUT_MS)]
 fn a_silent_head_is_noticed_within_a_second(
-    #[case] asked_ms: Option<u64>,
+    #[case] requested_ms: Option<u64>,
     #[case] noticed_ms: u64,
 ) {
-    let (mut link, id, head) = attached_idle();
-    if let Some(asked_ms) = asked_ms {
-        link.asked(NOW_MS + asked_ms);
+    let (mut link, id, head) = attached_probing();
+    if let Some(requested_ms) = requested_ms {
+        link.handle_request_sent(NOW_MS + requested_ms);
     }
     let mut now_ms = NOW_MS;
     let dials = loop {
-        now_ms = link.next_tick_ms(now_ms).expect("something is due");
-        link.tick(now_ms);
+        now_ms = link.next_timeout_ms(now_ms).expect("something is due");
+        link.handle_timeout(now_ms);
         let dials = dialled(&mut link);
         if !dials.is_empty() {
             break dials;
         }
     };
     assert_eq!(now_ms, NOW_MS + noticed_ms);
-    assert!(dials.len() == PROBES_MAX && dials.iter().all(|dial| dial.1 != head));
+    assert!(dials.len() == SEARCH_CONNECTIONS_MAX && dials.iter().all(|dial| dial.1 != head));
     assert_eq!(link.attached(), Some(id));
-    link.connected(now_ms, dials[0].0);
-    link.welcomed(now_ms, dials[0].0, &welcome(6, Some(4), true));
+    link.handle_connected(now_ms, dials[0].0);
+    link.handle_welcome(now_ms, dials[0].0, &welcome(6, Some(4), true));
     assert_eq!(link.head(), Some((dials[0].1, 6)));
-    assert_eq!(link.answered_ms(now_ms), now_ms);
+    assert_eq!(link.head_responsive_ms(now_ms), now_ms);
 }
 
 #[test]
 fn a_head_that_stays_silent_is_left_and_tried_over_a_new_connection() {
-    let (mut link, id, head) = attached_idle();
-    link.asked(NOW_MS);
-    assert_eq!(link.answered_ms(NOW_MS + SILENCE_MS), NOW_MS);
+    let (mut link, id, head) = attached_probing();
+    link.handle_request_sent(NOW_MS);
+    assert_eq!(
+        link.head_responsive_ms(NOW_MS + SUSPICION_TIMEOUT_MS),
+        NOW_MS
+    );
     let mut now_ms = NOW_MS;
     while link.attached().is_some() {
         now_ms = link
-            .next_tick_ms(now_ms)
+            .next_timeout_ms(now_ms)
             .filter(|due_ms| *due_ms > now_ms)
             .expect("a later time");
-        link.tick(now_ms);
+        link.handle_timeout(now_ms);
     }
-    assert_eq!(now_ms, NOW_MS + GIVE_UP_MS);
-    let actions = link.take_actions();
+    assert_eq!(now_ms, NOW_MS + HEAD_TIMEOUT_MS);
+    let actions = link.poll_actions();
     let position = |action| {
         actions
             .iter()
@@ -378,17 +387,17 @@
         .iter()
         .any(|dial: &(LinkId, SocketAddr)| dial.1 == head)
     {
-        assert!(now_ms < NOW_MS + 2 * GIVE_UP_MS);
-        now_ms = link.next_tick_ms(now_ms).expect("a later try");
-        link.tick(now_ms);
+        assert!(now_ms < NOW_MS + 2 * HEAD_TIMEOUT_MS);
+        now_ms = link.next_timeout_ms(now_ms).expect("a later try");
+        link.handle_timeout(now_ms);
         dials = dialled(&mut link);
     }
-    let again = dials
+    let reconnected = dials
         .iter()
         .find(|dial| dial.1 == head)
         .expect("a new connection")
         .0;
-    link.connected(now_ms, again);
-    link.welcomed(now_ms, again, &welcome(5, Some(1), true));
-    assert_eq!(link.attached(), Some(again));
+    link.handle_connected(now_ms, reconnected);
+    link.handle_welcome(now_ms, reconnected, &welcome(5, Some(1), true));
+    assert_eq!(link.attached(), Some(reconnected));
 }
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,15 +1,15 @@
 //! The edge: requests read, calls carried to the head and its successors, outcomes as HTTP.
 
 use indigofold_data_plane::edge::{
-    Answer, BRIEF_LOSS_MS, Body, CallLimits, Calls, Effect, Method, Readiness, read_request,
-    sign_of_life,
+    Answer, BRIEF_LOSS_MS, Body, CallLimits, Calls, Effect, Method, Readiness, liveness_probe,
+    read_request,
 };
 use indigofold_protocol::internal::{ClientOperation, ClientOutcome, ClientReply, Frame};
 use indigofold_protocol::job::{JobSpec, JobState};
 use rstest::rstest;
 
 const NOW_MS: u64 = 1_000_000;
-const PATIENCE_MS: u64 = 3_000;
+const CLIENT_TIMEOUT_MS: u64 = 3_000;
 const LIMITS: CallLimits = CallLimits {
     answer_margin_ms: 100,
     orphan_ms: 1_200,
@@ -18,7 +18,7 @@
 
 fn calls() -> Calls {
     let mut calls = Calls::new(LIMITS);
-    assert!(calls.attached().is_empty());
+    assert!(calls.handle_attached().is_empty());
     calls
 }
 
@@ -28,7 +28,7 @@
         "host".to_owned(),
         "/queue/0000000000000007".to_owned(),
         operation,
-        PATIENCE_MS,
+        CLIENT_TIMEOUT_MS,
     )
 }
 
@@ -44,7 +44,9 @@
 }
 
 fn reply(calls: &mut Calls, call: u64, outcome: ClientOutcome) -> Option<Answer> {
-    calls.replied(ClientReply { call, outcome }).map(answer_of)
+    calls
+        .handle_reply(ClientReply { call, outcome })
+        .map(answer_of)
 }
 
 #[rstest]
@@ -91,11 +93,11 @@
 #[case(Some("1500"), 1_500)]
 #[case(Some("0"), 3_000)]
 #[case(Some("soon"), 3_000)]
-fn the_deadline_is_read(#[case] header: Option<&str>, #[case] patience_ms: u64) {
+fn the_deadline_is_read(#[case] header: Option<&str>, #[case] client_timeout_ms: u64) {
     let read = read_request(Method::Get, header, b"").expect("a call");
     assert_eq!(
-        (read.operation, read.patience_ms),
-        (ClientOperation::Get, patience_ms)
+        (read.operation, read.client_timeout_ms),
+        (ClientOperation::Get, client_timeout_ms)
     );
 }
 
@@ -161,10 +163,10 @@
 ) {
     let mut calls = calls();
     begin(&mut calls, operation);
-    let end_ms = NOW_MS + PATIENCE_MS - LIMITS.answer_margin_ms;
-    assert_eq!(calls.next_tick_ms(), Some(end_ms));
-    assert!(calls.tick(end_ms - 1).is_empty());
-    let effects = calls.tick(end_ms);
+    let end_ms = NOW_MS + CLIENT_TIMEOUT_MS - LIMITS.answer_margin_ms;
+    assert_eq!(calls.next_timeout_ms(), Some(end_ms));
+    assert!(calls.handle_timeout(end_ms - 1).is_empty());
+    let effects = calls.handle_timeout(end_ms);
     assert_eq!(
         answer_of(effects.into_iter().next().expect("an answer")).status,
         status
@@ -176,10 +178,13 @@
 fn a_call_whose_head_is_lost_is_given_up_when_no_successor_comes() {
     let mut calls = calls();
     begin(&mut calls, submit());
-    calls.detached(NOW_MS + 50);
-    calls.detached(NOW_MS + 500);
-    assert_eq!(calls.next_tick_ms(), Some(NOW_MS + 50 + LIMITS.orphan_ms));
-    let effects = calls.tick(NOW_MS + 50 + LIMITS.orphan_ms);
+    calls.handle_detached(NOW_MS + 50);
+    calls.handle_detached(NOW_MS + 500);
+    assert_eq!(
+        calls.next_timeout_ms(),
+        Some(NOW_MS + 50 + LIMITS.orphan_ms)
+    );
+    let effects = calls.handle_timeout(NOW_MS + 50 + LIMITS.orphan_ms);
     assert_eq!(
         answer_of(effects.into_iter().next().expect("an answer")).status,
         504
@@ -187,14 +192,14 @@
 }
 
 #[test]
-fn a_call_is_sent_again_to_the_successor() {
+fn a_call_is_resent_to_the_successor() {
     let mut calls = calls();
     let (call, first) = begin(&mut calls, submit());
-    calls.detached(NOW_MS + 50);
-    assert_eq!(calls.attached(), [first]);
+    calls.handle_detached(NOW_MS + 50);
+    assert_eq!(calls.handle_attached(), [first]);
     assert_eq!(
-        calls.next_tick_ms(),
-        Some(NOW_MS + PATIENCE_MS - LIMITS.answer_margin_ms)
+        calls.next_timeout_ms(),
+        Some(NOW_MS + CLIENT_TIMEOUT_MS - LIMITS.answer_margin_ms)
     );
     assert_eq!(
         reply(&mut calls, call, ClientOutcome::Accepted).map(|a| a.status),
@@ -215,8 +220,8 @@
 ) {
     let mut calls = calls();
     let (call, _) = begin(&mut calls, operation);
-    calls.detached(NOW_MS);
-    calls.attached();
+    calls.handle_detached(NOW_MS);
+    calls.handle_attached();
     assert_eq!(
         reply(&mut calls, call, outcome).map(|answer| answer.status),
         Some(status)
@@ -235,13 +240,13 @@
 #[test]
 fn the_edge_is_ready_with_a_configured_head_and_through_a_brief_loss() {
     let mut readiness = Readiness::default();
-    readiness.note(NOW_MS, 0);
+    readiness.update_head(NOW_MS, 0);
     assert!(!readiness.is_ready(NOW_MS));
-    readiness.note(NOW_MS, 5);
-    readiness.note(NOW_MS + 10, 0);
+    readiness.update_head(NOW_MS, 5);
+    readiness.update_head(NOW_MS + 10, 0);
     assert!(readiness.is_ready(NOW_MS + BRIEF_LOSS_MS - 1));
     assert!(!readiness.is_ready(NOW_MS + BRIEF_LOSS_MS));
-    readiness.note(NOW_MS + BRIEF_LOSS_MS, 5);
+    readiness.update_head(NOW_MS + BRIEF_LOSS_MS, 5);
     readiness.stop();
     assert!(!readiness.is_ready(NOW_MS + BRIEF_LOSS_MS));
 }
@@ -251,25 +256,25 @@
     let mut readiness = Readiness::default();
     let owed_ms = NOW_MS + 300;
     for now_ms in [NOW_MS, owed_ms, owed_ms + BRIEF_LOSS_MS - 1] {
-        readiness.note(owed_ms.min(now_ms), 5);
+        readiness.update_head(owed_ms.min(now_ms), 5);
         assert!(readiness.is_ready(now_ms));
     }
-    readiness.note(owed_ms, 5);
+    readiness.update_head(owed_ms, 5);
     assert!(!readiness.is_ready(owed_ms + BRIEF_LOSS_MS));
-    readiness.note(owed_ms + BRIEF_LOSS_MS + 9, 5);
+    readiness.update_head(owed_ms + BRIEF_LOSS_MS + 9, 5);
     assert!(readiness.is_ready(owed_ms + BRIEF_LOSS_MS + 9));
 }
 
 #[test]
-fn a_sign_of_life_answers_no_client() {
+fn a_liveness_probe_answers_no_client() {
     let mut calls = calls();
-    let Frame::Call(asked) = sign_of_life() else {
+    let Frame::Call(probe) = liveness_probe() else {
         panic!("a call is expected")
     };
     let (call, _) = begin(&mut calls, submit());
-    assert_ne!(asked.call, call);
+    assert_ne!(probe.call, call);
     assert_eq!(
-        reply(&mut calls, asked.call, ClientOutcome::UnknownRoute),
+        reply(&mut calls, probe.call, ClientOutcome::UnknownRoute),
         None
     );
     assert!(!calls.is_empty());
--- a/crates/data-plane/tests/processes.rs
+++ b/crates/data-plane/tests/processes.rs
@@ -43,7 +43,7 @@
             .spawn()
             .expect("the program");
         let mut program = Program { child, settings };
-        program.wait_for_line("serves");
+        program.wait_for_log("serves");
         program
     }
 
@@ -62,13 +62,13 @@
     }
 
     /// Waits until the log has a line with this text.
-    fn wait_for_line(&mut self, text: &str) {
+    fn wait_for_log(&mut self, text: &str) {
         let mut log = BufReader::new(self.child.stderr.as_mut().expect("a pipe"));
-        let mut line = String::new();
-        while !line.contains(text) {
-            line.clear();
+        let mut entry = String::new();
+        while !entry.contains(text) {
+            entry.clear();
             assert!(
-                log.read_line(&mut line).expect("a line") > 0,
+                log.read_line(&mut entry).expect("a line") > 0,
                 "the program has ended without `{text}`"
             );
         }
@@ -139,10 +139,10 @@
                 self.bytes.drain(..length);
                 return frame;
             }
-            let mut part = [0; 4_096];
-            let count = self.stream.read(&mut part).expect("bytes");
+            let mut buffer = [0; 4_096];
+            let count = self.stream.read(&mut buffer).expect("bytes");
             assert!(count > 0, "the program has closed the connection");
-            self.bytes.extend_from_slice(&part[..count]);
+            self.bytes.extend_from_slice(&buffer[..count]);
         }
     }
 
@@ -204,7 +204,7 @@
     assert_eq!(call(readiness, "GET /readiness HTTP/1.1", "").0, 503);
     assert_eq!(call(frontend, "GET /q/ HTTP/1.1", "").0, 503);
     let mut head = Head::accept(&listener);
-    program.wait_for_line("connected to the head");
+    program.wait_for_log("connected to the head");
     assert_eq!(call(readiness, "GET /readiness HTTP/1.1", "").0, 200);
 
     let job = r#"{"spec":"t","stages":[{"count":1,"cpu":100,"mem_mb":10}]}"#;
@@ -227,7 +227,7 @@
     let client = request(frontend, "GET /q/ HTTP/1.1", "");
     let sent = head.next_call();
     program.terminate();
-    program.wait_for_line("told to end");
+    program.wait_for_log("told to end");
     assert_eq!(call(readiness, "GET /readiness HTTP/1.1", "").0, 503);
     head.send(&Frame::Reply(ClientReply {
         call: sent.call,
@@ -247,13 +247,13 @@
         listener.local_addr().expect("an address"),
         &addresses,
     );
-    let mut silent = Head::accept(&listener);
-    program.wait_for_line("connected to the head");
-    assert!(matches!(silent.next(), Frame::Call(sent) if sent.path.is_empty()));
-    program.wait_for_line("the head is lost");
+    let mut unresponsive = Head::accept(&listener);
+    program.wait_for_log("connected to the head");
+    assert!(matches!(unresponsive.next(), Frame::Call(sent) if sent.path.is_empty()));
+    program.wait_for_log("the head is lost");
     assert_eq!(call(frontend, "GET /q/ HTTP/1.1", "").0, 503);
     let _other = Head::accept(&listener);
-    program.wait_for_line("connected to the head");
+    program.wait_for_log("connected to the head");
     assert_eq!(call(readiness, "GET /readiness HTTP/1.1", "").0, 200);
 }
 
@@ -264,14 +264,17 @@
     let address = format!("control_plane = \"{control}\"");
     let mut program = Program::start("side", listener.local_addr().expect("an address"), &address);
     let mut head = Head::accept(&listener);
-    program.wait_for_line("connected to the head");
-    let beat = |seq_no: u64| {
+    program.wait_for_log("connected to the head");
+    let send_heartbeat = |seq_no: u64| {
         let body = format!(
             r#"{{"backend":"s","address":"127.0.0.1:9","zone":"a","version":"v1","slots":8,"state":"ready","capacity":{{"cpu":1000,"mem_mb":100}},"seq_no":{seq_no}}}"#
         );
         call(control, "PUT /instances/i-1 HTTP/1.1", &body)
     };
-    assert_eq!(beat(1), (200, r#"{"retry_delay_ms":20}"#.to_owned()));
+    assert_eq!(
+        send_heartbeat(1),
+        (200, r#"{"retry_delay_ms":20}"#.to_owned())
+    );
     let report =
         std::iter::repeat_with(|| head.next_report()).find(|report| report.instance.is_some());
     let run = RunId {
@@ -302,7 +305,7 @@
         stop: Vec::new(),
         acknowledged_end: None,
     }));
-    let mut answers = (2..).map(beat);
+    let mut answers = (2..).map(send_heartbeat);
     let (status, body) = answers
         .find(|(_, body)| body.contains("start"))
         .expect("an answer");
