--- a/crates/data-plane/tests/agent_leases.rs
+++ b/crates/data-plane/tests/agent_leases.rs
@@ -1,4 +1,5 @@
-//! The companion extends holds only with authority, and tells lives gone only when nothing of theirs can run.
+//! Run leases: the node agent grants them only with authority, and reports an instance as ended only when none of its
+//! runs can be at work.
 
 mod common;
 
@@ -9,11 +10,11 @@
 use indigofold_protocol::internal::{AgentOrders, LEASE_AUTHORITY_MS, RUN_LEASE_MS};
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
-/// Long enough for every hold to lapse.
+/// Long enough for every run lease to expire.
 const ALL_LEASES_EXPIRED_MS: u64 = RUN_LEASE_MS + 1_500;
 
 #[test]
-fn a_hold_is_the_shorter_of_ours_and_the_workers() {
+fn run_lease_is_the_shorter_of_the_default_and_the_configured_limit() {
     let mut harness = AgentHarness::confirmed();
     assert_eq!(harness.send_heartbeat().lease_ms, Some(RUN_LEASE_MS));
     harness.agent = Agent::new(START_MS, 900);
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn after_a_start_of_its_own_nothing_is_held_or_started_before_the_head_has_answered() {
+fn a_restarted_agent_grants_no_lease_and_starts_nothing_before_the_head_replies() {
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
     harness.running.push(run(5));
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn an_answer_to_a_report_without_the_worker_is_not_enough() {
+fn reply_to_a_report_without_the_instance_grants_no_lease() {
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
     let empty = harness.report_now();
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn authority_ends_some_time_after_the_newest_answered_report() {
+fn lease_authority_expires_after_the_last_acknowledged_report() {
     let mut harness = AgentHarness::confirmed();
     harness.agent.handle_disconnected();
     harness.advance(LEASE_AUTHORITY_MS - 300);
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn an_echo_that_was_never_sent_gives_no_authority() {
+fn echo_of_a_report_never_sent_grants_no_authority() {
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
     harness.send_heartbeat();
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn authority_is_gone_after_a_freeze() {
+fn lease_authority_expires_while_the_process_is_frozen() {
     let mut harness = AgentHarness::confirmed();
     harness.send_heartbeat();
     harness.advance(LEASE_AUTHORITY_MS);
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn starts_that_outlast_the_authority_are_given_back() {
+fn starts_pending_when_authority_expires_are_reported_as_not_started() {
     let mut harness = AgentHarness::confirmed();
     for _ in 0..LEASE_AUTHORITY_MS / 100 {
         harness.send_heartbeat();
@@ -107,17 +108,17 @@
 }
 
 #[test]
-fn a_new_life_makes_the_former_one_gone() {
+fn a_new_instance_ends_the_previous_one() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 100)]);
     let reply = harness.send_heartbeat_of("i-2");
     assert!(
         reply.start.is_empty(),
-        "orders for the former life do not reach the new one"
+        "orders for the previous instance do not reach the new one"
     );
     assert_eq!(
         reply.lease_ms, None,
-        "the head does not know the new life yet"
+        "the head does not know the new instance yet"
     );
     let report = harness.report_now();
     assert_eq!(report.ended_instances, [WORKER]);
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn a_worker_that_leaves_is_gone() {
+fn a_deregistered_idle_instance_is_reported_as_ended() {
     let mut harness = AgentHarness::confirmed();
     harness.agent.handle_deregistration("i-0");
     harness.agent.handle_deregistration(WORKER);
@@ -141,11 +142,11 @@
     );
 }
 
-/// A worker that sends `DELETE` without having drained serves on: what runs there must not run elsewhere meanwhile.
+/// A worker that sends `DELETE` without having drained goes on running: its runs must not start elsewhere meanwhile.
 #[test]
-fn a_worker_that_leaves_unannounced_is_gone_once_its_runs_have_ended() {
+fn an_instance_deregistered_without_draining_ends_after_its_runs() {
     let mut harness = AgentHarness::confirmed();
-    harness.start_and_list(&[start(run(1), 100), start(run(2), 100)]);
+    harness.start_and_confirm(&[start(run(1), 100), start(run(2), 100)]);
     harness.agent.handle_deregistration(WORKER);
     let report = harness.report_and_echo();
     let instance = report.instance.expect("it still has runs");
@@ -178,9 +179,9 @@
 }
 
 #[test]
-fn a_worker_that_leaves_unannounced_and_falls_silent_is_gone_once_its_holds_have_lapsed() {
+fn an_unresponsive_deregistered_instance_ends_when_its_leases_expire() {
     let mut harness = AgentHarness::confirmed();
-    harness.start_and_list(&[start(run(1), 100)]);
+    harness.start_and_confirm(&[start(run(1), 100)]);
     let heartbeat_ms = harness.now_ms;
     harness.agent.handle_deregistration(WORKER);
     harness.now_ms = expires_by_ms(heartbeat_ms, RUN_LEASE_MS) - 1;
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn a_silent_worker_is_gone_once_its_holds_have_lapsed() {
+fn an_unresponsive_instance_ends_when_its_leases_expire() {
     let mut harness = AgentHarness::confirmed();
     harness.send_heartbeat();
     let heartbeat_ms = harness.now_ms;
@@ -209,7 +210,7 @@
 }
 
 #[test]
-fn the_hold_of_a_predecessor_counts_for_a_silent_worker() {
+fn leases_of_a_previous_agent_process_delay_the_end_of_an_unresponsive_instance() {
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
     harness.send_heartbeat();
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn heartbeats_without_hold_keep_a_worker_from_being_gone() {
+fn heartbeats_answered_without_a_lease_keep_the_instance_registered() {
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
     for _ in 0..100 {
@@ -235,7 +236,7 @@
 }
 
 #[test]
-fn a_life_that_comes_back_is_told_again_and_gets_no_start_from_before() {
+fn a_returning_instance_is_reported_in_full_and_receives_no_earlier_start() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 100), start(run(2), 100)]);
     let reply = harness.send_heartbeat();
@@ -265,7 +266,7 @@
 }
 
 #[test]
-fn starts_in_flight_at_a_silence_are_stopped_when_the_life_comes_back() {
+fn starts_in_flight_at_expiry_are_stopped_when_the_instance_returns() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 100)]);
     harness.send_heartbeat();
@@ -278,7 +279,7 @@
 }
 
 #[test]
-fn a_life_that_only_the_head_knows_is_gone_after_the_longest_hold() {
+fn an_instance_unknown_to_the_agent_ends_after_the_longest_lease() {
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
     harness.report_now();
@@ -292,7 +293,7 @@
 }
 
 #[test]
-fn a_worker_is_asked_to_call_more_often_while_it_is_busy() {
+fn heartbeat_interval_is_shorter_while_the_worker_is_busy() {
     let mut harness = AgentHarness::confirmed();
     harness.advance(RECENT_ORDER_MS);
     assert_eq!(
--- a/crates/data-plane/tests/agent_orders.rs
+++ b/crates/data-plane/tests/agent_orders.rs
@@ -1,4 +1,4 @@
-//! The companion passes orders on: once each, within capacity, only where they are safe.
+//! Orders: the node agent sends each to the worker once, within its capacity, and only while it has authority.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
 #[test]
-fn a_start_goes_into_the_next_answer_and_is_in_flight_until_listed() {
+fn a_start_is_sent_in_the_next_reply_and_in_flight_until_listed() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 500)]);
     let reply = harness.send_heartbeat();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_start_that_a_later_heartbeat_does_not_list_is_passed_on_again() {
+fn an_unlisted_start_is_resent() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 500)]);
     assert_eq!(harness.send_heartbeat().start.len(), 1);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_start_that_the_worker_never_lists_is_stopped_and_given_back() {
+fn a_start_never_listed_is_stopped_and_reported_as_not_started() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 500)]);
     for _ in 0..SEND_ATTEMPTS_MAX {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn starts_stay_within_capacity_and_what_does_not_fit_is_given_back() {
+fn starts_stay_within_capacity_and_incompatible_ones_are_reported_as_not_started() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 600), start(run(2), 600)]);
     let reply = harness.send_heartbeat();
@@ -76,21 +76,21 @@
     harness.end(run(1), RunEnd::Done);
     assert!(
         harness.send_heartbeat().start.is_empty(),
-        "a start given back is never carried out"
+        "a start reported as not started is never carried out"
     );
     harness.order_start(&[start(run(2), 600)]);
     assert!(harness.send_heartbeat().start.is_empty());
     assert_eq!(
         harness.report_now().not_started,
         [run(2)],
-        "told again, as the head has not understood"
+        "reported once more, as the head has repeated its order"
     );
 }
 
 #[test]
-fn a_run_that_is_being_stopped_takes_room_until_its_end_is_listed() {
+fn a_stopping_run_occupies_capacity_until_its_end_is_listed() {
     let mut harness = AgentHarness::confirmed();
-    harness.start_and_list(&[start(run(1), 600)]);
+    harness.start_and_confirm(&[start(run(1), 600)]);
     harness.order_stop(&[run(1)]);
     harness.order_start(&[start(run(2), 600)]);
     let reply = harness.send_heartbeat();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_stop_before_the_start_was_passed_on_gives_it_back_at_once() {
+fn a_stop_before_the_start_is_sent_withdraws_it_at_once() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 600)]);
     harness.order_stop(&[run(1)]);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_stop_of_a_start_in_flight_is_sent_and_the_start_given_back_once_it_is_surely_not_there() {
+fn a_stop_of_a_start_in_flight_is_sent_until_the_run_is_known_not_to_have_started() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 600)]);
     harness.send_heartbeat();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_stop_of_an_unknown_run_is_passed_on() {
+fn a_stop_of_an_unknown_run_is_sent() {
     let mut harness = AgentHarness::confirmed();
     harness.order_stop(&[run(9)]);
     assert_eq!(harness.send_heartbeat().stop.len(), 1);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_start_passed_on_before_the_drain_is_stopped_unless_it_is_listed() {
+fn a_start_in_flight_when_the_worker_drains_is_stopped_unless_listed() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 100), start(run(2), 100)]);
     harness.send_heartbeat();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn an_echo_of_a_lower_epoch_renews_no_hold() {
+fn an_echo_of_a_lower_epoch_grants_no_lease() {
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
     harness.deliver_orders(AgentOrders {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn orders_for_another_life_are_dropped() {
+fn orders_for_another_instance_are_dropped() {
     let mut harness = AgentHarness::confirmed();
     let start = vec![start(run(1), 100)];
     harness.deliver_orders(AgentOrders {
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_is_acknowledged_without_orders() {
+fn a_superseded_heartbeat_is_answered_without_orders() {
     let mut harness = AgentHarness::confirmed();
     harness.send_heartbeat();
     harness.order_start(&[start(run(1), 100)]);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_later_attempt_of_a_task_is_a_run_of_its_own() {
+fn each_attempt_of_a_task_is_a_separate_run() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 100)]);
     let reply = harness.send_heartbeat();
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn ends_are_acknowledged_to_the_worker_only_once_the_head_has_them() {
+fn ends_are_acknowledged_to_the_worker_after_the_head_acknowledged_them() {
     let mut harness = AgentHarness::confirmed();
     harness.running.push(run(1));
     harness.send_heartbeat();
--- a/crates/data-plane/tests/agent_replies.rs
+++ b/crates/data-plane/tests/agent_replies.rs
@@ -1,4 +1,4 @@
-//! The answer to a heartbeat waits for orders that are expected, and carries what came in meanwhile.
+//! Replies to heartbeats wait for expected orders and carry those received meanwhile.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use indigofold_data_plane::agent::{HeartbeatOutcome, HeartbeatReceipt};
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd};
 
-/// A worker at work on one run.
+/// A harness whose worker lists one run.
 fn at_work() -> AgentHarness {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 1_000)]);
@@ -52,9 +52,9 @@
     assert!(!receive(&mut harness).expects_orders);
 }
 
-/// The room of a run that has ended is used by the very answer to the heartbeat that lists its end.
+/// The capacity of an ended run is used by the reply to the heartbeat that lists its end.
 #[test]
-fn orders_that_come_meanwhile_are_in_the_answer() {
+fn orders_received_while_a_heartbeat_waits_are_in_its_reply() {
     let mut harness = at_work();
     harness.end(run(1), RunEnd::Done);
     let receipt = receive(&mut harness);
@@ -64,9 +64,9 @@
     assert_eq!(AgentHarness::started(&reply), vec![run(2).task.to_string()]);
 }
 
-/// The worker has given up waiting and sent another heartbeat: its answer alone starts anything.
+/// The worker has stopped waiting and sent another heartbeat: only the reply to that one carries orders.
 #[test]
-fn an_overtaken_heartbeat_is_given_nothing() {
+fn a_superseded_heartbeat_receives_no_orders() {
     let mut harness = at_work();
     harness.end(run(1), RunEnd::Done);
     let overtaken = receive(&mut harness);
--- a/crates/data-plane/tests/agent_reports.rs
+++ b/crates/data-plane/tests/agent_reports.rs
@@ -1,4 +1,4 @@
-//! The companion tells the head what matters at once, the rest now and then, and everything on a new connection.
+//! Reports: changes at once, progress at intervals, everything on a new connection.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
 #[test]
-fn nothing_is_told_without_a_connection() {
+fn no_report_is_sent_without_a_connection() {
     let mut harness = AgentHarness::unconnected();
     harness.send_heartbeat();
     assert_eq!(harness.report(), None);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_report_comes_at_least_every_interval() {
+fn a_report_is_sent_at_least_every_interval() {
     let mut harness = AgentHarness::confirmed();
     let sent_ms = harness.now_ms;
     assert_eq!(
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn an_unchanged_heartbeat_is_no_news() {
+fn an_unchanged_heartbeat_triggers_no_report() {
     let mut harness = AgentHarness::confirmed();
     harness.send_heartbeat();
     assert_eq!(harness.report(), None);
 }
 
 #[test]
-fn changes_are_told_at_once() {
+fn changes_are_reported_at_once() {
     let mut harness = AgentHarness::confirmed();
     harness.running.push(run(1));
     harness.send_heartbeat();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn unchanged_lists_are_told_once_on_each_connection() {
+fn unchanged_runs_are_reported_once_per_connection() {
     let mut harness = AgentHarness::confirmed();
     harness.running.push(run(1));
     harness.send_heartbeat();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn lives_gone_and_starts_given_back_are_told_once_on_each_connection() {
+fn ended_instances_and_starts_not_carried_out_are_reported_once_per_connection() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 100)]);
     harness.order_stop(&[run(1)]);
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A companion with its worker and its head, for tests.
+//! A node agent with a simulated worker and head, for tests.
 
 #![allow(dead_code)]
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The companion under test, a clock, and counters of its worker and head.
+/// The node agent under test, a clock, and the state of its simulated worker and head.
 pub struct AgentHarness {
     pub agent: Agent,
     pub now_ms: u64,
@@ -57,7 +57,7 @@
 }
 
 impl AgentHarness {
-    /// Nothing has happened.
+    /// Neither a worker nor a head has connected.
     pub fn unconnected() -> AgentHarness {
         AgentHarness {
             agent: Agent::new(START_MS, MAX_LEASE_MS),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The worker has registered, and the head has heard of it.
+    /// The worker has registered, and the head has acknowledged a report with its instance.
     pub fn confirmed() -> AgentHarness {
         let mut harness = AgentHarness::unconnected();
         harness.agent.handle_connected();
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A heartbeat comes in and is answered at once.
+    /// Delivers a heartbeat; it is answered at once.
     pub fn deliver(&mut self, id: &str, heartbeat: Heartbeat) -> HeartbeatOutcome {
         match self.agent.handle_heartbeat(self.now_ms, id, heartbeat) {
             Some(receipt) => self
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The worker has carried out what an answer orders.
+    /// The worker carries out the orders of a reply.
     pub fn carry_out(&mut self, reply: &HeartbeatReply) {
         let started = reply.start.iter().map(|s| RunId {
             task: s.0.parse().expect("a name"),
@@ -204,7 +204,7 @@
     }
 
     /// The head orders starts, and the worker lists them as running.
-    pub fn start_and_list(&mut self, starts: &[StartOrder]) {
+    pub fn start_and_confirm(&mut self, starts: &[StartOrder]) {
         self.order_start(starts);
         let reply = self.send_heartbeat();
         self.carry_out(&reply);
@@ -223,7 +223,7 @@
         self.agent.handle_orders(self.now_ms, orders);
     }
 
-    /// The runs that an answer starts.
+    /// Names of the tasks that a reply starts.
     pub fn started(reply: &HeartbeatReply) -> Vec<String> {
         reply.start.iter().map(|s| s.0.clone()).collect()
     }
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,4 +1,4 @@
-//! The link to the core: finds the acting head, stays with it, and finds its successor.
+//! The link to the core: finds the acting head, stays connected to it, and finds its successor.
 
 use indigofold_data_plane::core_link::{
     BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GREETING_TIMEOUT_MS, HEAD_TIMEOUT_MS,
@@ -54,7 +54,7 @@
     attach(link())
 }
 
-/// The same for a link that asks when idle.
+/// The same for a link that probes an idle head.
 fn attached_probing() -> (CoreLink, LinkId, SocketAddr) {
     attach(link().probing_when_idle())
 }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn it_dials_some_seeds_and_closes_the_rest_once_attached() {
+fn seeds_are_dialled_and_unused_connections_closed_once_attached() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_failed_address_is_left_alone_for_a_moment_and_others_are_tried() {
+fn a_failed_address_backs_off_while_others_are_dialled() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
@@ -125,9 +125,9 @@
     assert!(!dialled(&mut link).is_empty());
 }
 
-/// Processes that come back together dial each other in vain at first; the head has then to be found without delay.
+/// Processes that restart together fail to connect to each other at first; the head must then be found without delay.
 #[test]
-fn a_head_of_a_new_view_is_dialled_at_once_even_if_it_has_just_failed() {
+fn the_head_of_a_new_view_is_dialled_regardless_of_its_backoff() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
@@ -144,9 +144,9 @@
     );
 }
 
-/// A dial that began while the machine had no power hangs; the head's new view shows that it is back.
+/// A dial that began while the machine had no power hangs; the head's new view shows that the machine is up.
 #[test]
-fn a_dial_that_hangs_is_begun_anew_once_the_head_is_named() {
+fn a_hanging_dial_is_restarted_once_the_head_is_named() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn connections_that_do_not_open_or_greet_are_given_up() {
+fn connections_time_out_while_dialling_and_greeting() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_member_that_knows_no_head_is_listened_to_for_a_while() {
+fn a_connection_to_a_member_without_a_head_stays_open_for_the_listen_time() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_head_that_stops_acting_is_left() {
+fn a_head_that_stops_acting_is_detached() {
     let (mut link, id, _) = attached();
     link.handle_welcome(NOW_MS, id, &welcome(6, Some(4), false));
     let actions = link.poll_actions();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_lost_connection_detaches_and_looks_on() {
+fn a_lost_connection_detaches_and_starts_a_search() {
     let (mut link, id, lost) = attached();
     link.handle_disconnected(NOW_MS, id);
     let actions = link.poll_actions();
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_silent_head_is_kept_while_others_are_asked() {
+fn a_suspected_head_stays_attached_while_others_are_dialled() {
     let (mut link, id, head) = attached();
     link.handle_request_sent(NOW_MS);
     link.handle_request_sent(NOW_MS + 300);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_silent_head_is_left_for_an_acting_one_of_a_higher_view_only() {
+fn a_suspected_head_is_replaced_only_by_one_of_a_higher_view() {
     let (mut link, id, _) = attached();
     link.handle_request_sent(NOW_MS);
     let now_ms = NOW_MS + SUSPICION_TIMEOUT_MS;
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_newer_version_of_the_configuration_is_noted() {
+fn a_newer_configuration_version_is_taken_over() {
     let (mut link, id, _) = attached();
     link.handle_welcome(
         NOW_MS,
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn an_idle_link_asks_a_quiet_head_once_until_it_is_heard() {
+fn an_idle_head_is_probed_once_until_a_frame_arrives() {
     let (mut link, id, _) = attached_probing();
     assert_eq!(link.next_timeout_ms(NOW_MS), Some(NOW_MS + IDLE_PROBE_MS));
     link.handle_timeout(NOW_MS + IDLE_PROBE_MS - 1);
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_head_that_is_heard_is_not_asked() {
+fn an_active_head_is_not_probed() {
     let (mut link, id, _) = attached_probing();
     for step in 1..10 {
         let now_ms = NOW_MS + step * (IDLE_PROBE_MS - 1);
@@ -331,7 +331,7 @@
 #[case::idle(None, IDLE_PROBE_MS + SUSPICION_TIMEOUT_MS)]
 #[case::request_at_once(Some(0), SUSPICION_TIMEOUT_MS)]
 #[case::request_later(Some(100), 100 + SUSPICION_TIMEOUT_MS)]
-fn a_silent_head_is_noticed_within_a_second(
+fn an_unresponsive_head_is_suspected_within_a_second(
     #[case] requested_ms: Option<u64>,
     #[case] noticed_ms: u64,
 ) {
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn a_head_that_stays_silent_is_left_and_tried_over_a_new_connection() {
+fn a_timed_out_head_is_detached_and_dialled_anew() {
     let (mut link, id, head) = attached_probing();
     link.handle_request_sent(NOW_MS);
     assert_eq!(
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,4 +1,4 @@
-//! The edge: requests read, calls carried to the head and its successors, outcomes as HTTP.
+//! The edge: parsing of requests, calls to the head and its successors, outcomes as HTTP responses.
 
 use indigofold_data_plane::edge::{
     Answer, BRIEF_LOSS_MS, Body, CallLimits, Calls, Effect, Method, Readiness, liveness_probe,
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_job_is_read_and_a_bad_one_refused() {
+fn a_valid_job_is_parsed_and_an_invalid_one_rejected() {
     let body = br#"{"spec":"text","stages":[{"count":4,"cpu":500,"mem_mb":256}]}"#;
     let read = read_request(Method::Post, None, body).expect("a job");
     assert!(matches!(read.operation, ClientOperation::Submit(job) if job.stages[0].count == 4));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn without_a_head_a_call_is_turned_away_at_once() {
+fn without_a_head_a_call_is_rejected_at_once() {
     let mut calls = Calls::new(LIMITS);
     let answer = answer_of(begin(&mut calls, submit()).1);
     assert_eq!((answer.status, answer.retry_after_s), (503, Some(1)));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn calls_beyond_the_bound_are_turned_away() {
+fn calls_beyond_the_limit_are_rejected() {
     let mut calls = calls();
     for _ in 0..LIMITS.calls_max {
         assert!(matches!(begin(&mut calls, submit()).1, Effect::Send(_)));
@@ -157,7 +157,7 @@
 #[case(submit(), 504)]
 #[case(ClientOperation::Cancel, 504)]
 #[case(ClientOperation::Get, 503)]
-fn a_call_without_reply_is_given_up_before_its_client_does(
+fn a_call_without_reply_times_out_before_its_client(
     #[case] operation: ClientOperation,
     #[case] status: u16,
 ) {
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_call_whose_head_is_lost_is_given_up_when_no_successor_comes() {
+fn an_orphaned_call_times_out_without_a_successor() {
     let mut calls = calls();
     begin(&mut calls, submit());
     calls.handle_detached(NOW_MS + 50);
@@ -213,7 +213,7 @@
 #[case(submit(), ClientOutcome::UnknownRoute, 504)]
 #[case(ClientOperation::Cancel, ClientOutcome::NoSuchJob, 410)]
 #[case(ClientOperation::Get, ClientOutcome::Unavailable { retry_after_ms: 1 }, 503)]
-fn a_refusal_of_a_call_that_was_sent_twice_does_not_say_that_it_was_never_taken(
+fn rejection_of_a_resent_call_is_reported_as_unknown_outcome(
     #[case] operation: ClientOperation,
     #[case] outcome: ClientOutcome,
     #[case] status: u16,
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_forgotten() {
+fn an_abandoned_call_is_removed() {
     let mut calls = calls();
     let (call, _) = begin(&mut calls, submit());
     calls.abandon(call);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn the_edge_is_ready_with_a_configured_head_and_through_a_brief_loss() {
+fn the_edge_stays_ready_through_a_brief_loss_of_a_configured_head() {
     let mut readiness = Readiness::default();
     readiness.update_head(NOW_MS, 0);
     assert!(!readiness.is_ready(NOW_MS));
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_head_that_is_silent_for_long_makes_the_edge_unready() {
+fn a_long_unresponsive_head_makes_the_edge_unready() {
     let mut readiness = Readiness::default();
     let owed_ms = NOW_MS + 300;
     for now_ms in [NOW_MS, owed_ms, owed_ms + BRIEF_LOSS_MS - 1] {
--- a/crates/data-plane/tests/processes.rs
+++ b/crates/data-plane/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The program itself over loopback sockets, with a head that is played by the test.
+//! The program itself over loopback sockets; the test acts as the head.
 
 use indigofold_protocol::codec;
 use indigofold_protocol::config::IngressLimits;
@@ -14,8 +14,8 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-/// Nothing in these tests takes longer.
-const LONGEST: Duration = Duration::from_secs(20);
+/// Upper limit for each blocking read.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A port that was free a moment ago.
 fn free_port() -> u16 {
@@ -23,7 +23,7 @@
     listener.local_addr().expect("an address").port()
 }
 
-/// A running program; killed when the test ends.
+/// A child process with the program; killed when dropped.
 struct Program {
     child: Child,
     settings: tempfile::NamedTempFile,
@@ -61,7 +61,7 @@
         rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("a signal");
     }
 
-    /// Waits until the log has a line with this text.
+    /// Waits until the log contains an entry with this text.
     fn wait_for_log(&mut self, text: &str) {
         let mut log = BufReader::new(self.child.stderr.as_mut().expect("a pipe"));
         let mut entry = String::new();
@@ -83,17 +83,19 @@
     }
 }
 
-/// The head's end of a connection.
+/// The head's side of a connection.
 struct Head {
     stream: TcpStream,
     bytes: Vec<u8>,
 }
 
 impl Head {
-    /// Takes the program's connection and greets it as the acting head.
+    /// Accepts the program's connection and sends the welcome of an acting head.
     fn accept(listener: &TcpListener) -> Head {
         let (stream, _) = listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(LONGEST)).expect("an option");
+        stream
+            .set_read_timeout(Some(READ_TIMEOUT))
+            .expect("an option");
         let mut head = Head {
             stream,
             bytes: Vec::new(),
@@ -116,7 +118,7 @@
         head
     }
 
-    /// The next call of a client; signs of life are given in between.
+    /// The next call of a client; liveness probes are answered in between.
     fn next_call(&mut self) -> ClientCall {
         loop {
             match self.next() {
@@ -163,7 +165,9 @@
 /// Sends a request on a connection of its own.
 fn request(address: SocketAddr, head: &str, body: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(LONGEST)).expect("an option");
+    stream
+        .set_read_timeout(Some(READ_TIMEOUT))
+        .expect("an option");
     let text = format!(
         "{head}\r\nHost: h\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn an_edge_carries_calls_to_the_head_and_leaves_in_order() {
+fn an_edge_forwards_calls_to_the_head_and_shuts_down_gracefully() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (frontend, readiness) = (local(free_port()), local(free_port()));
     let addresses = format!("frontend = \"{frontend}\"\nreadiness = \"{readiness}\"");
@@ -238,7 +242,7 @@
 }
 
 #[test]
-fn an_idle_edge_leaves_a_silent_head() {
+fn an_idle_edge_detaches_from_an_unresponsive_head() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (frontend, readiness) = (local(free_port()), local(free_port()));
     let addresses = format!("frontend = \"{frontend}\"\nreadiness = \"{readiness}\"");
@@ -258,7 +262,7 @@
 }
 
 #[test]
-fn a_companion_passes_a_start_on() {
+fn a_node_agent_forwards_a_start_to_its_worker() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let control = local(free_port());
     let address = format!("control_plane = \"{control}\"");
