--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -1,117 +1,122 @@
-//! The companion of one worker: takes its heartbeats, answers them by itself, passes the head's orders on and tells the
-//! head what the worker lists. A state machine without I/O; `now_ms` is the machine's steady clock.
+//! The node agent of one worker: answers its heartbeats, sends the head's orders on to it, and reports to the head what it
+//! lists. A state machine without I/O: inputs are `handle_*`, outputs `poll_*`; `now_ms` is the machine's monotonic clock.
 
 mod closed_runs;
+mod former_instances;
+mod heartbeat_interval;
 mod lease_authority;
+mod report_schedule;
+mod reported_runs;
 mod run_table;
 mod unreported;
+mod wire_lists;
 mod worker_instance;
 
 pub use closed_runs::CLOSED_RUNS_MAX;
+pub use former_instances::ENDED_INSTANCES_MAX;
+pub use heartbeat_interval::{BUSY_HEARTBEAT_MS, IDLE_HEARTBEAT_MS, RECENT_ORDER_MS};
 pub use lease_authority::expires_by_ms;
-pub use run_table::{INCOMPATIBLE_MS, SEND_ATTEMPTS_MAX, STARTS_PER_ANSWER};
-pub use unreported::{ENDED_INSTANCES_MAX, NOT_STARTED_MAX};
-pub use worker_instance::WorkerInstance;
+pub use report_schedule::{REPORT_INTERVAL_MS, REPORT_SPACING_MS};
+pub use reported_runs::PERCENT_INTERVAL_MS;
+pub use run_table::{INCOMPATIBLE_MS, SEND_ATTEMPTS_MAX, STARTS_PER_REPLY_MAX};
 
-use indigofold_protocol::internal::{AgentOrders, AgentReport, RUN_LEASE_MS, StartOrder};
+use former_instances::FormerInstances;
+use heartbeat_interval::HeartbeatInterval;
+use indigofold_protocol::internal::{AgentOrders, AgentReport};
 use indigofold_protocol::task::RunId;
-use indigofold_protocol::worker::{Heartbeat, HeartbeatReply, Start, Stop};
+use indigofold_protocol::worker::{Heartbeat, HeartbeatReply};
 use lease_authority::LeaseAuthority;
-use run_table::OutgoingOrders;
-use unreported::{EndedInstances, NotStarted};
-use worker_instance::Confirmation;
-
-/// Reports to the head are at least so far apart.
-pub const REPORT_SPACING_MS: u64 = 5;
-/// Reports to the head are at most so far apart.
-pub const REPORT_INTERVAL_MS: u64 = 300;
-/// Runs' progress in percent, where nothing else about them changed, is told so often.
-pub const PERCENT_INTERVAL_MS: u64 = 1_000;
-/// The worker's next heartbeat while something is ordered or runs.
-pub const BUSY_HEARTBEAT_MS: u64 = 20;
-/// The worker's next heartbeat while nothing is ordered or runs.
-pub const IDLE_HEARTBEAT_MS: u64 = 50;
-/// Longest time for which the answer to a heartbeat waits for orders that it expects: the way to the head, a write
-/// there and the way back. A worker that is busy sends its next heartbeat late, as each end of a run puts it off.
+use report_schedule::ReportSchedule;
+use reported_runs::ReportedRuns;
+use unreported::Unreported;
+use wire_lists::{start_entries, stop_entries};
+use worker_instance::WorkerInstance;
+
+/// Most starts not carried out that are reported on a new connection.
+pub const NOT_STARTED_MAX: usize = 512;
+/// Longest time for which the reply to a heartbeat waits for expected orders: a message to the head, a write there, and
+/// the message back. A busy worker sends its next heartbeat late, as each end of a run delays it.
 pub const ORDERS_WAIT_MS: u64 = 100;
-/// An order makes the worker busy for so long.
-pub const RECENT_ORDER_MS: u64 = 3_000;
 
-/// A heartbeat that was taken in.
+/// A heartbeat that was taken over and awaits its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeartbeatReceipt {
     /// Its number.
     pub seq_no: u64,
-    /// Runs have ended, so that orders for the room may be on their way: the answer had better wait for them.
+    /// Runs have ended, so that orders for the free capacity may follow: the reply should wait for them.
     pub expects_orders: bool,
 }
 
-/// What became of a heartbeat.
+/// The result of a heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// The newest one: the answer carries orders.
+    /// It is the newest one: the reply carries orders.
     Answered(HeartbeatReply),
-    /// A newer one was read before, or its life is over: it is acknowledged, without orders.
+    /// A newer one was read before, or its instance has ended: it is acknowledged without orders.
     Superseded,
 }
 
-/// Events that an operator may want to know.
+/// Events for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentEvent {
-    /// A new life of the worker has registered.
-    Registered(String),
-    /// The worker has said that it leaves.
-    Deregistered(String),
-    /// The worker has been silent until its holds lapsed.
-    Unresponsive(String),
-    /// A silent life has come back.
-    Returned(String),
+    /// An instance of the worker has sent its first heartbeat.
+    Registered {
+        /// Id of the instance.
+        instance: String,
+    },
+    /// An instance has sent `DELETE`.
+    Deregistered {
+        /// Id of the instance.
+        instance: String,
+    },
+    /// An instance has sent no heartbeat until all its leases had expired.
+    Unresponsive {
+        /// Id of the instance.
+        instance: String,
+    },
+    /// An unresponsive instance sends heartbeats once more.
+    Returned {
+        /// Id of the instance.
+        instance: String,
+    },
 }
 
-/// One worker's account.
+/// The state of the node agent.
 #[derive(Debug)]
 pub struct Agent {
     started_ms: u64,
     authority: LeaseAuthority,
+    /// Highest epoch of the orders taken; 0 before the first.
     epoch: u64,
     instance: Option<WorkerInstance>,
-    /// A life that the head asks for and that this process has not heard of.
-    unknown_instance: Option<String>,
-    /// Lives that were replaced or have left; late heartbeats of theirs mean nothing.
-    ended: Vec<String>,
-    ended_instances: EndedInstances,
-    not_started: NotStarted,
-    last_order_ms: Option<u64>,
-    connected: bool,
-    urgent: bool,
-    reported_ms: Option<u64>,
-    /// Life, revision and time of the lists told last on this connection.
-    reported_runs: Option<(String, u64, u64)>,
+    former: FormerInstances,
+    /// Starts that will never be carried out.
+    not_started: Unreported<RunId>,
+    heartbeat_interval: HeartbeatInterval,
+    schedule: ReportSchedule,
+    reported_runs: ReportedRuns,
     events: Vec<AgentEvent>,
 }
 
 impl Agent {
-    /// A companion that has heard nothing yet.
+    /// An agent without worker and head. `max_lease_ms`: the longest lease that workers accept.
     pub fn new(now_ms: u64, max_lease_ms: u64) -> Self {
         Agent {
             started_ms: now_ms,
             authority: LeaseAuthority::new(max_lease_ms),
             epoch: 0,
             instance: None,
-            unknown_instance: None,
-            ended: Vec::new(),
-            ended_instances: EndedInstances::new(ENDED_INSTANCES_MAX),
-            not_started: NotStarted::new(NOT_STARTED_MAX),
-            last_order_ms: None,
-            connected: false,
-            urgent: false,
-            reported_ms: None,
-            reported_runs: None,
+            former: FormerInstances::new(now_ms),
+            not_started: Unreported::new(NOT_STARTED_MAX),
+            heartbeat_interval: HeartbeatInterval::default(),
+            schedule: ReportSchedule::new(now_ms),
+            reported_runs: ReportedRuns::default(),
             events: Vec::new(),
         }
     }
 
-    /// `PUT /instances/ID` has come in; [`Agent::poll_heartbeat_reply`] follows. `None` if the heartbeat is not to be read.
+    /// `PUT /instances/ID` has come in; [`Agent::poll_heartbeat_reply`] follows. `None` if the heartbeat is superseded or
+    /// its instance has ended.
     pub fn handle_heartbeat(
         &mut self,
         now_ms: u64,
@@ -124,60 +129,71 @@
         self.check_authority(now_ms);
         let instance = self.instance.as_mut()?;
         let seq_no = heartbeat.seq_no;
-        let in_flight = instance.runs.in_flight();
         let changes = instance.handle_heartbeat(now_ms, heartbeat);
-        let confirmed = instance.confirmation == Confirmation::Confirmed;
-        self.urgent |= changes.urgent || instance.runs.in_flight() != in_flight;
+        let confirmed = instance.is_confirmed();
+        self.schedule.expedite_if(changes.urgent);
         self.report_not_started(changes.not_started);
         Some(HeartbeatReceipt {
             seq_no,
-            expects_orders: changes.ended && confirmed && self.connected,
+            expects_orders: changes.ended && confirmed && self.schedule.is_connected(),
         })
     }
 
-    /// The answer to the heartbeat heard as `seq_no`; one that a newer heartbeat has overtaken gets nothing.
+    /// The reply to the heartbeat `seq_no`, which was taken over; one that a newer heartbeat supersedes gets no orders.
     pub fn poll_heartbeat_reply(&mut self, now_ms: u64, id: &str, seq_no: u64) -> HeartbeatOutcome {
         self.check_authority(now_ms);
         let newest = self
             .instance
             .as_mut()
-            .filter(|instance| instance.id == id && instance.is_newest(seq_no));
+            .filter(|instance| instance.id() == id && instance.is_newest(seq_no));
         let Some(instance) = newest else {
             return HeartbeatOutcome::Superseded;
         };
-        let confirmed = instance.confirmation == Confirmation::Confirmed;
-        let lease_ms = confirmed.then(|| self.authority.lease_ms(now_ms)).flatten();
-        let in_flight = instance.runs.in_flight();
-        let out = instance.poll_orders(now_ms, lease_ms);
-        let (acknowledged_end, idle) = (instance.acknowledged_end, instance.runs.is_empty());
-        self.urgent |= instance.runs.in_flight() != in_flight;
-        Self::push_all(&mut self.not_started, &out.not_started);
-        self.end_if_drained();
-        HeartbeatOutcome::Answered(self.reply(now_ms, lease_ms, acknowledged_end, idle, out))
+        let authority = &self.authority;
+        let lease_ms = instance
+            .is_confirmed()
+            .then(|| authority.lease_ms(now_ms))
+            .flatten();
+        let in_flight = instance.in_flight();
+        let orders = instance.poll_orders(now_ms, lease_ms);
+        let interval_ms = self.heartbeat_interval.next_ms(now_ms, instance.is_idle());
+        let reply = HeartbeatReply {
+            lease_ms,
+            acknowledged_end: instance.acknowledged_end(),
+            fencing_token: (self.epoch > 0).then_some(self.epoch),
+            start: start_entries(orders.start),
+            stop: stop_entries(&orders.stop),
+            retry_delay_ms: Some(interval_ms),
+        };
+        self.schedule.expedite_if(instance.in_flight() != in_flight);
+        self.report_not_started(orders.not_started);
+        self.end_if_finished();
+        HeartbeatOutcome::Answered(reply)
     }
 
-    /// `DELETE /instances/ID`. A worker that was draining ends now. One that was not serves on for a while: what runs
-    /// there is not over before the worker has listed its end, or its holds have lapsed.
+    /// `DELETE /instances/ID`. A worker that was draining ends now. One that was not goes on running for a while: its
+    /// runs have not ended before the worker has listed their ends, or its leases have expired.
     pub fn handle_deregistration(&mut self, id: &str) {
-        let Some(instance) = self
-            .instance
-            .as_mut()
-            .filter(|instance| instance.id == id && !instance.deregistered)
+        let present = self.instance.as_mut();
+        let Some(instance) =
+            present.filter(|instance| instance.id() == id && !instance.is_deregistered())
         else {
             return;
         };
-        self.events.push(AgentEvent::Deregistered(id.to_owned()));
-        let withdrawn = instance.runs.withdraw_all();
-        if instance.is_draining() || instance.runs.is_empty() {
+        self.events.push(AgentEvent::Deregistered {
+            instance: id.to_owned(),
+        });
+        let withdrawn = instance.withdraw_unlisted();
+        if instance.is_draining() || instance.is_idle() {
             self.end_instance();
         } else {
             instance.deregister();
-            self.urgent = true;
+            self.schedule.expedite_if(true);
         }
         self.report_not_started(withdrawn);
     }
 
-    /// What the head tells.
+    /// The head has sent orders. Those of a lower epoch than the highest one, or for another instance, are dropped.
     pub fn handle_orders(&mut self, now_ms: u64, orders: AgentOrders) {
         if orders.epoch < self.epoch {
             return;
@@ -187,314 +203,175 @@
         if let Some(echo_ms) = orders.echo_sent_ms {
             self.handle_echo(echo_ms);
         }
-        let Some(instance) = self
-            .instance
-            .as_mut()
-            .filter(|instance| instance.id == orders.instance)
-        else {
-            self.handle_unknown_instance(orders.instance);
+        let present = self.instance.as_mut();
+        let Some(instance) = present.filter(|instance| instance.id() == orders.instance) else {
+            let has_present = self.instance.is_some();
+            let changed = self.former.handle_unknown(orders.instance, has_present);
+            self.schedule.expedite_if(changed);
             return;
         };
         if let Some(number) = orders.acknowledged_end {
-            instance.acknowledge(number);
+            instance.handle_acknowledged_end(number);
         }
         if orders.has_work() {
-            self.last_order_ms = Some(now_ms);
+            self.heartbeat_interval.handle_activity(now_ms);
         }
-        let in_doubt = instance.expired
-            || (instance.returned && instance.confirmation != Confirmation::Confirmed);
         let mut not_started = Vec::new();
         for order in orders.start {
-            not_started.extend(take_start(instance, order, in_doubt));
+            not_started.extend(instance.handle_start(order));
+        }
+        for run in orders.stop {
+            not_started.extend(instance.handle_stop(run));
         }
-        not_started.extend(
-            orders
-                .stop
-                .into_iter()
-                .filter_map(|run| instance.runs.order_stop(run)),
-        );
         self.report_not_started(not_started);
     }
 
-    /// A connection to an acting head is there: it is told everything.
+    /// An acting head is connected: it has to be sent everything.
     pub fn handle_connected(&mut self) {
-        self.connected = true;
-        self.urgent = true;
-        self.reported_runs = None;
-        self.ended_instances.handle_connected();
+        self.schedule.handle_connected();
+        self.reported_runs.reset();
+        self.former.reports().handle_connected();
         self.not_started.handle_connected();
     }
 
     /// The connection to the head is lost.
     pub fn handle_disconnected(&mut self) {
-        self.connected = false;
+        self.schedule.handle_disconnected();
     }
 
-    /// Lets time pass; returns the report that is due now.
+    /// Expires what is due, and returns the report that is due now.
     pub fn poll_report(&mut self, now_ms: u64) -> Option<AgentReport> {
         self.expire_unresponsive(now_ms);
-        let due = self.report_due_ms().is_some_and(|due_ms| due_ms <= now_ms);
-        due.then(|| self.report(now_ms))
+        let is_due = self.report_due_ms().is_some_and(|due_ms| due_ms <= now_ms);
+        is_due.then(|| self.report(now_ms))
     }
 
     /// When [`Agent::poll_report`] is to be called next, at the latest.
     pub fn next_timeout_ms(&self) -> Option<u64> {
-        let expiry_ms = self
-            .instance
-            .as_ref()
-            .filter(|instance| !instance.expired)
-            .map(WorkerInstance::expires_at_ms);
-        let unknown_expiry_ms = self
-            .unknown_instance
-            .as_ref()
-            .map(|_| expires_by_ms(self.started_ms, RUN_LEASE_MS));
-        [expiry_ms, unknown_expiry_ms, self.report_due_ms()]
-            .into_iter()
-            .flatten()
-            .min()
+        let instance = self.instance.as_ref();
+        let timeouts = [
+            instance.and_then(WorkerInstance::next_timeout_ms),
+            self.former.next_timeout_ms(),
+            self.report_due_ms(),
+        ];
+        timeouts.into_iter().flatten().min()
     }
 
-    /// What has happened since the last call, for the log.
+    /// The events since the last call, oldest first.
     pub fn poll_events(&mut self) -> Vec<AgentEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether this heartbeat is to be read; a new or returning life takes its place first.
+    /// Whether this heartbeat is to be read; registers a new or returning instance first.
     fn admit(&mut self, now_ms: u64, id: &str, heartbeat: &Heartbeat) -> bool {
-        if self.ended.iter().any(|ended| ended == id) {
+        if self.former.is_closed(id) {
             return false;
         }
-        if self
-            .instance
-            .as_ref()
-            .is_some_and(|instance| instance.id != id)
-        {
+        let present = self.instance.as_ref();
+        if present.is_some_and(|instance| instance.id() != id) {
             self.end_instance();
         }
+        let id = id.to_owned();
         match &mut self.instance {
             Some(instance) if instance.is_superseded(heartbeat.seq_no) => return false,
-            Some(instance) if !instance.expired => return true,
+            Some(instance) if !instance.is_expired() => return true,
             Some(instance) => {
-                instance.expired = false;
-                instance.returned = true;
-                instance.confirmation = Confirmation::Unreported;
-                self.events.push(AgentEvent::Returned(id.to_owned()));
+                instance.handle_return();
+                let instance = id.clone();
+                self.events.push(AgentEvent::Returned { instance });
             }
             None => {
-                let mut instance = WorkerInstance::new(id.to_owned(), self.started_ms);
-                instance.returned = self.ended_instances.contains(&instance.id);
-                self.instance = Some(instance);
-                self.events.push(AgentEvent::Registered(id.to_owned()));
+                let returned = self.former.is_ended(&id);
+                self.instance = Some(WorkerInstance::new(id.clone(), self.started_ms, returned));
+                let instance = id.clone();
+                self.events.push(AgentEvent::Registered { instance });
             }
         }
-        self.ended_instances.remove(&id.to_owned());
-        self.unknown_instance
-            .take_if(|unknown_instance| unknown_instance == id);
-        (self.urgent, self.reported_runs) = (true, None);
-        self.last_order_ms = Some(now_ms);
+        self.former.handle_present(&id);
+        self.schedule.expedite_if(true);
+        self.reported_runs.reset();
+        self.heartbeat_interval.handle_activity(now_ms);
         true
     }
 
-    fn reply(
-        &self,
-        now_ms: u64,
-        lease_ms: Option<u64>,
-        acknowledged_end: Option<u64>,
-        idle: bool,
-        out: OutgoingOrders,
-    ) -> HeartbeatReply {
-        let recent = self
-            .last_order_ms
-            .is_some_and(|at_ms| now_ms < at_ms + RECENT_ORDER_MS);
-        let start = |order: StartOrder| {
-            Start(
-                order.run.task.to_string(),
-                order.run.attempt,
-                order.spec,
-                order.checkpoint,
-            )
-        };
-        HeartbeatReply {
-            lease_ms,
-            acknowledged_end,
-            fencing_token: (self.epoch > 0).then_some(self.epoch),
-            start: out.start.into_iter().map(start).collect(),
-            stop: out
-                .stop
-                .iter()
-                .map(|run| Stop(run.task.to_string(), run.attempt))
-                .collect(),
-            retry_delay_ms: Some(if idle && !recent {
-                IDLE_HEARTBEAT_MS
-            } else {
-                BUSY_HEARTBEAT_MS
-            }),
-        }
-    }
-
-    /// An acting head has answered the report sent at `echo_ms`.
+    /// An acting head has acknowledged the report sent at `echo_ms`.
     fn handle_echo(&mut self, echo_ms: u64) {
-        if !self.authority.answered(echo_ms) {
-            return;
-        }
-        if let Some(instance) = &mut self.instance
-            && matches!(instance.confirmation, Confirmation::Reported(reported_ms) if reported_ms <= echo_ms)
+        if self.authority.handle_echo(echo_ms)
+            && let Some(instance) = &mut self.instance
         {
-            instance.confirmation = Confirmation::Confirmed;
-        }
-    }
-
-    /// The head knows a life at this machine that is not the present one.
-    fn handle_unknown_instance(&mut self, instance: String) {
-        if instance.is_empty()
-            || self.ended.contains(&instance)
-            || self.ended_instances.contains(&instance)
-        {
-            return;
-        }
-        match self.instance {
-            Some(_) => self.retire(instance),
-            None => self.unknown_instance = Some(instance),
+            instance.handle_echo(echo_ms);
         }
     }
 
-    /// A life that was replaced or has left: nothing of it runs.
-    fn retire(&mut self, id: String) {
-        self.ended.push(id.clone());
-        if self.ended.len() > ENDED_INSTANCES_MAX {
-            self.ended.remove(0);
-        }
-        self.ended_instances.push(id);
-        self.urgent = true;
-    }
-
-    /// A worker that has sent `DELETE` and has nothing at work any more, whose ends the head has all heard of, is gone.
-    fn end_if_drained(&mut self) {
-        if self
-            .instance
-            .as_ref()
-            .is_some_and(|instance| instance.deregistered && instance.is_done())
-        {
+    /// Ends a deregistered instance that has nothing left to run or to report.
+    fn end_if_finished(&mut self) {
+        let present = self.instance.as_ref();
+        if present.is_some_and(WorkerInstance::is_finished) {
             self.end_instance();
         }
     }
 
     fn end_instance(&mut self) {
         if let Some(instance) = self.instance.take() {
-            self.retire(instance.id);
+            self.former.close(instance.id().to_owned());
+            self.schedule.expedite_if(true);
         }
     }
 
     fn report_not_started(&mut self, runs: Vec<RunId>) {
-        self.urgent |= !runs.is_empty();
-        Self::push_all(&mut self.not_started, &runs);
-    }
-
-    fn push_all(not_started: &mut NotStarted, runs: &[RunId]) {
-        runs.iter().for_each(|run| not_started.push(*run));
+        self.schedule.expedite_if(!runs.is_empty());
+        runs.into_iter().for_each(|run| self.not_started.push(run));
     }
 
-    /// Without authority nothing is started: what the worker has not listed yet is withdrawn, since a head that heard
-    /// nothing of this companion may have started it elsewhere.
+    /// Without authority nothing is started: what the worker has not listed yet is withdrawn, since a head that received
+    /// no report from this agent may have started it elsewhere.
     fn check_authority(&mut self, now_ms: u64) {
         if !self.authority.has_expired(now_ms) {
             return;
         }
-        let withdrawn = self
-            .instance
-            .as_mut()
-            .map(|instance| instance.runs.withdraw_all())
-            .unwrap_or_default();
-        self.report_not_started(withdrawn);
+        if let Some(instance) = &mut self.instance {
+            let withdrawn = instance.withdraw_unlisted();
+            self.report_not_started(withdrawn);
+        }
     }
 
-    /// Tells of a life whose holds have all lapsed that it is gone.
+    /// Reports an instance as ended once all its leases have expired.
     fn expire_unresponsive(&mut self, now_ms: u64) {
-        if self.unknown_instance.is_some() && expires_by_ms(self.started_ms, RUN_LEASE_MS) <= now_ms
-        {
-            self.ended_instances
-                .push(self.unknown_instance.take().unwrap_or_default());
-            self.urgent = true;
-        }
-        let Some(instance) = self
-            .instance
-            .as_mut()
-            .filter(|instance| !instance.expired && instance.expires_at_ms() <= now_ms)
-        else {
+        let changed = self.former.expire_unknown(now_ms);
+        self.schedule.expedite_if(changed);
+        let present = self.instance.as_mut();
+        let Some(instance) = present.filter(|instance| instance.is_expiry_due(now_ms)) else {
             return;
         };
-        instance.expired = true;
-        let id = instance.id.clone();
-        let not_started = instance.runs.withdraw_all();
-        self.report_not_started(not_started);
-        self.ended_instances.push(id.clone());
-        self.urgent = true;
-        self.events.push(AgentEvent::Unresponsive(id));
+        let id = instance.id().to_owned();
+        let withdrawn = instance.expire();
+        self.report_not_started(withdrawn);
+        self.former.expire(id.clone());
+        self.schedule.expedite_if(true);
+        self.events.push(AgentEvent::Unresponsive { instance: id });
     }
 
     fn report_due_ms(&self) -> Option<u64> {
-        if !self.connected {
-            return None;
-        }
-        let Some(reported_ms) = self.reported_ms else {
-            return Some(self.started_ms);
-        };
-        let urgent = self.urgent || self.ended_instances.pending() || self.not_started.pending();
-        Some(
-            reported_ms
-                + if urgent {
-                    REPORT_SPACING_MS
-                } else {
-                    REPORT_INTERVAL_MS
-                },
-        )
+        let pending = self.former.is_report_pending() || self.not_started.is_pending();
+        self.schedule.due_ms(pending)
     }
 
     fn report(&mut self, now_ms: u64) -> AgentReport {
-        self.urgent = false;
-        self.reported_ms = Some(now_ms);
-        self.authority.sent(now_ms);
-        let present = self.instance.as_mut().filter(|instance| !instance.expired);
-        let instance = present.map(|instance| {
-            if instance.confirmation == Confirmation::Unreported {
-                instance.confirmation = Confirmation::Reported(now_ms);
-            }
-            let include_runs = !runs_are_reported(&self.reported_runs, instance, now_ms);
-            if include_runs {
-                self.reported_runs = Some((instance.id.clone(), instance.runs_revision, now_ms));
-            }
-            instance.report(now_ms, include_runs)
-        });
-        let (ended_instances, not_started) = (
-            self.ended_instances.take_unreported(),
-            self.not_started.take_unreported(),
-        );
+        self.schedule.handle_report_sent(now_ms);
+        self.authority.handle_report_sent(now_ms);
+        let present = self.instance.as_mut();
+        let instance = present
+            .filter(|instance| !instance.is_expired())
+            .map(|instance| {
+                instance.handle_report_sent(now_ms);
+                let include_runs = self.reported_runs.needs_list(now_ms, instance);
+                instance.report(now_ms, include_runs)
+            });
         AgentReport {
             sent_ms: now_ms,
             instance,
-            ended_instances,
-            not_started,
+            ended_instances: self.former.reports().take_pending(),
+            not_started: self.not_started.take_pending(),
         }
     }
 }
-
-/// Takes a start order; returns the run if it will never be passed on.
-fn take_start(instance: &mut WorkerInstance, order: StartOrder, in_doubt: bool) -> Option<RunId> {
-    match in_doubt {
-        true => instance.runs.refuse_start(order.run),
-        false => instance.runs.order_start(order),
-    }
-}
-
-/// Whether the lists need not be told again on this connection.
-fn runs_are_reported(
-    reported: &Option<(String, u64, u64)>,
-    instance: &WorkerInstance,
-    now_ms: u64,
-) -> bool {
-    let Some((id, revision, reported_ms)) = reported else {
-        return false;
-    };
-    let recent = now_ms < reported_ms + PERCENT_INTERVAL_MS || instance.runs.is_empty();
-    *id == instance.id && *revision == instance.runs_revision && recent
-}
--- a/crates/data-plane/src/agent/closed_runs.rs
+++ b/crates/data-plane/src/agent/closed_runs.rs
@@ -1,21 +1,21 @@
-//! Runs that are over: a start order for one of them is never carried out.
+//! Runs that are closed: a start order for one of them is never carried out.
 
 use indigofold_protocol::task::RunId;
 use std::collections::{HashMap, VecDeque};
 
-/// Most runs remembered; the oldest are forgotten first.
+/// Most closed runs remembered; the oldest are forgotten first.
 pub const CLOSED_RUNS_MAX: usize = 4_096;
 
-/// How a run came to be over.
+/// Why a run is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The worker has run or refused it.
     Ended,
-    /// It never got to the worker.
+    /// It was never started, and never will be.
     NotStarted,
 }
 
-/// A bounded memory of runs that are over.
+/// A bounded memory of closed runs.
 #[derive(Debug, Default)]
 pub struct ClosedRuns {
     reasons: HashMap<RunId, CloseReason>,
@@ -23,12 +23,12 @@
 }
 
 impl ClosedRuns {
-    /// How this run came to be over, if it is.
+    /// Why this run is closed, if it is.
     pub fn get(&self, run: &RunId) -> Option<CloseReason> {
         self.reasons.get(run).copied()
     }
 
-    /// Remembers a run that is over.
+    /// Closes a run.
     pub fn insert(&mut self, run: RunId, reason: CloseReason) {
         if self.reasons.insert(run, reason).is_none() {
             self.oldest_first.push_back(run);
--- a/crates/data-plane/src/agent/unreported.rs
+++ b/crates/data-plane/src/agent/unreported.rs
@@ -1,73 +1,70 @@
-//! What the head has to be told once on each connection: lives that are gone, starts that never began.
+//! Updates that the head must receive once on each connection.
 
-use indigofold_protocol::task::RunId;
 use std::collections::VecDeque;
 
-/// Most starts given back that are told again on a new connection.
-pub const NOT_STARTED_MAX: usize = 512;
-/// Most former lives that are told again on a new connection.
-pub const ENDED_INSTANCES_MAX: usize = 16;
+#[derive(Debug)]
+struct Item<T> {
+    value: T,
+    /// It was sent on the present connection.
+    reported: bool,
+}
 
-/// Items of which each connection is told once; the oldest are forgotten first.
+/// Items that each connection carries once; the oldest are forgotten first.
 #[derive(Debug)]
 pub struct Unreported<T> {
-    items: VecDeque<(T, bool)>,
-    most: usize,
+    items: VecDeque<Item<T>>,
+    capacity: usize,
 }
 
 impl<T: Clone + PartialEq> Unreported<T> {
-    /// Keeps `most` items.
-    pub fn new(most: usize) -> Self {
+    /// Keeps up to `capacity` items.
+    pub fn new(capacity: usize) -> Self {
         Unreported {
             items: VecDeque::new(),
-            most,
+            capacity,
         }
     }
 
-    /// Adds an item, to be told (again).
-    pub fn push(&mut self, item: T) {
-        self.remove(&item);
-        self.items.push_back((item, false));
-        if self.items.len() > self.most {
+    /// Adds an item, to be reported even if it was reported before.
+    pub fn push(&mut self, value: T) {
+        self.remove(&value);
+        self.items.push_back(Item {
+            value,
+            reported: false,
+        });
+        if self.items.len() > self.capacity {
             self.items.pop_front();
         }
     }
 
-    /// Takes an item back.
-    pub fn remove(&mut self, item: &T) {
-        self.items.retain(|(kept, _)| kept != item);
+    /// Removes an item.
+    pub fn remove(&mut self, value: &T) {
+        self.items.retain(|item| item.value != *value);
     }
 
-    /// Whether this item is kept.
-    pub fn contains(&self, item: &T) -> bool {
-        self.items.iter().any(|(kept, _)| kept == item)
+    /// Whether this item is kept, reported or not.
+    pub fn contains(&self, value: &T) -> bool {
+        self.items.iter().any(|item| item.value == *value)
     }
 
-    /// Whether something has not been told on this connection.
-    pub fn pending(&self) -> bool {
-        self.items.iter().any(|(_, reported)| !reported)
+    /// Whether an item has not been reported on this connection.
+    pub fn is_pending(&self) -> bool {
+        self.items.iter().any(|item| !item.reported)
     }
 
-    /// A new connection has been told nothing.
+    /// A new connection has carried nothing yet.
     pub fn handle_connected(&mut self) {
-        self.items
-            .iter_mut()
-            .for_each(|(_, reported)| *reported = false);
+        self.items.iter_mut().for_each(|item| item.reported = false);
     }
 
-    /// What has not been told on this connection, which is told with this.
-    pub fn take_unreported(&mut self) -> Vec<T> {
-        let untold = self.items.iter_mut().filter(|(_, reported)| !reported);
-        untold
-            .map(|(item, reported)| {
-                *reported = true;
-                item.clone()
+    /// The items not yet reported on this connection, oldest first; they count as reported from now on.
+    pub fn take_pending(&mut self) -> Vec<T> {
+        let pending = self.items.iter_mut().filter(|item| !item.reported);
+        pending
+            .map(|item| {
+                item.reported = true;
+                item.value.clone()
             })
             .collect()
     }
 }
-
-/// Starts given back.
-pub type NotStarted = Unreported<RunId>;
-/// Former lives.
-pub type EndedInstances = Unreported<String>;
--- /dev/null
+++ b/crates/data-plane/src/agent/wire_lists.rs
@@ -0,0 +1,64 @@
+//! The lists of the worker protocol as runs, and orders as lists.
+
+use indigofold_protocol::internal::{FinishedRun, RunningRun, StartOrder};
+use indigofold_protocol::task::RunId;
+use indigofold_protocol::worker::{Finished, Running, Start, Stop};
+
+/// The runs that a heartbeat lists as running. A name that is not a task's is skipped: this system never ordered it.
+pub fn running_runs(listed: Vec<Running>) -> Vec<RunningRun> {
+    let runs = listed
+        .into_iter()
+        .filter_map(|Running(task, attempt, checkpoint, percent)| {
+            Some(RunningRun {
+                run: run_id(&task, attempt)?,
+                checkpoint,
+                percent,
+            })
+        });
+    runs.collect()
+}
+
+/// The ends that a heartbeat lists above the number `acknowledged`, in the order of their numbers.
+pub fn finished_runs(listed: Vec<Finished>, acknowledged: u64) -> Vec<FinishedRun> {
+    let mut ends: Vec<FinishedRun> = listed
+        .into_iter()
+        .filter(|Finished(number, ..)| *number > acknowledged)
+        .filter_map(|Finished(number, task, attempt, end, checkpoint)| {
+            Some(FinishedRun {
+                number,
+                run: run_id(&task, attempt)?,
+                end,
+                checkpoint,
+            })
+        })
+        .collect();
+    ends.sort_by_key(|end| end.number);
+    ends
+}
+
+/// Start orders as the reply lists them.
+pub fn start_entries(orders: Vec<StartOrder>) -> Vec<Start> {
+    let entries = orders.into_iter().map(|order| {
+        Start(
+            order.run.task.to_string(),
+            order.run.attempt,
+            order.spec,
+            order.checkpoint,
+        )
+    });
+    entries.collect()
+}
+
+/// Stop orders as the reply lists them.
+pub fn stop_entries(runs: &[RunId]) -> Vec<Stop> {
+    runs.iter()
+        .map(|run| Stop(run.task.to_string(), run.attempt))
+        .collect()
+}
+
+fn run_id(task: &str, attempt: u32) -> Option<RunId> {
+    Some(RunId {
+        task: task.parse().ok()?,
+        attempt,
+    })
+}
--- a/crates/data-plane/src/agent/worker_instance.rs
+++ b/crates/data-plane/src/agent/worker_instance.rs
@@ -1,26 +1,29 @@
-//! One life of the worker: from its first heartbeat until it leaves, is replaced or falls silent for good.
+//! One instance of the worker: from its first heartbeat until it deregisters, is replaced or its leases expire.
 
 use super::lease_authority::expires_by_ms;
-use super::run_table::{OutgoingOrders, RunTable, StartConditions};
-use indigofold_protocol::internal::{FinishedRun, InstanceReport, RUN_LEASE_MS, RunningRun};
+use super::run_table::{OutgoingOrders, ReplyContext, RunTable};
+use super::wire_lists::{finished_runs, running_runs};
+use indigofold_protocol::internal::{
+    FinishedRun, InstanceReport, RUN_LEASE_MS, RunningRun, StartOrder,
+};
 use indigofold_protocol::task::RunId;
-use indigofold_protocol::worker::{Finished, Heartbeat, Running, WorkerState};
+use indigofold_protocol::worker::{Heartbeat, WorkerState};
 
-/// Whether the head knows this life, so that its orders may be carried out.
+/// Whether the head knows this instance, so that its orders may be carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Confirmation {
-    /// No report has told of it.
+enum Confirmation {
+    /// No report has carried it.
     Unreported,
-    /// Reports sent at this time or later tell of it; none of them has been answered.
-    Reported(u64),
-    /// An acting head has answered a report that tells of it.
+    /// Reports sent at `since_ms` or later carry it; none of them has been acknowledged.
+    Reported { since_ms: u64 },
+    /// An acting head has acknowledged a report that carries it.
     Confirmed,
 }
 
-/// What a heartbeat changed that the head has to hear of at once.
+/// What a heartbeat has changed.
 #[derive(Debug, Default)]
-pub struct Changes {
-    /// State, lists, capacity or labels differ from before.
+pub struct HeartbeatChanges {
+    /// State, lists, capacity, labels or runs in flight differ: the head has to be informed at once.
     pub urgent: bool,
     /// Runs have ended.
     pub ended: bool,
@@ -28,42 +31,39 @@
     pub not_started: Vec<RunId>,
 }
 
-/// One life of the worker.
+/// One instance of the worker.
 #[derive(Debug)]
 pub struct WorkerInstance {
-    /// Its id.
-    pub id: String,
-    /// Whether the head knows of it.
-    pub confirmation: Confirmation,
-    /// It was told to be gone, and has come back.
-    pub returned: bool,
-    /// It has been silent until all its holds lapsed.
-    pub expired: bool,
-    /// It has sent `DELETE` without having drained first, and serves on for a while.
-    pub deregistered: bool,
-    /// Its runs.
-    pub runs: RunTable,
+    id: String,
+    confirmation: Confirmation,
+    /// It was reported as ended, and has come back.
+    returned: bool,
+    /// It was unresponsive until all its leases had expired.
+    expired: bool,
+    /// It has deregistered without having drained first, and goes on running for a while.
+    deregistered: bool,
+    runs: RunTable,
     /// Ends up to this number are on the head's disk.
-    pub acknowledged_end: Option<u64>,
-    /// Rises when the set of runs at work or one of their saved texts changes.
-    pub runs_revision: u64,
+    acknowledged_end: Option<u64>,
+    /// Rises when the set of running runs or one of their checkpoints changes.
+    runs_revision: u64,
     newest: Heartbeat,
     newest_seq_no: Option<u64>,
     last_heartbeat_ms: u64,
-    /// All holds given have lapsed at this time.
+    /// All leases granted have expired at this time.
     leased_until_ms: u64,
     running: Vec<RunningRun>,
     finished: Vec<FinishedRun>,
 }
 
 impl WorkerInstance {
-    /// A life whose first heartbeat is about to be read. A predecessor of this process may have given a hold until
-    /// `started_ms`.
-    pub fn new(id: String, started_ms: u64) -> Self {
+    /// An instance whose first heartbeat is about to be read. A previous agent process may have granted a lease until
+    /// `started_ms`. `returned`: it was reported as ended before.
+    pub fn new(id: String, started_ms: u64, returned: bool) -> Self {
         WorkerInstance {
             id,
             confirmation: Confirmation::Unreported,
-            returned: false,
+            returned,
             expired: false,
             deregistered: false,
             runs: RunTable::default(),
@@ -78,34 +78,77 @@
         }
     }
 
-    /// Whether a heartbeat with this number came late: a newer one has been read.
-    pub fn is_superseded(&self, seq_no: u64) -> bool {
-        self.newest_seq_no.is_some_and(|newest| seq_no <= newest)
+    /// Its id in `PUT /instances/ID`.
+    pub fn id(&self) -> &str {
+        &self.id
+    }
+
+    /// Whether an acting head has acknowledged a report that carries it.
+    pub fn is_confirmed(&self) -> bool {
+        self.confirmation == Confirmation::Confirmed
+    }
+
+    /// Whether all its leases have expired without a heartbeat.
+    pub fn is_expired(&self) -> bool {
+        self.expired
+    }
+
+    /// Whether it has deregistered without having drained first.
+    pub fn is_deregistered(&self) -> bool {
+        self.deregistered
     }
 
-    /// It has announced its end.
+    /// Whether it has announced its end.
     pub fn is_draining(&self) -> bool {
         self.newest.state == WorkerState::Draining
     }
 
-    /// It has sent `DELETE`: from now on it is told as one that drains and has no time left.
-    pub fn deregister(&mut self) {
-        self.deregistered = true;
-        drain_at_once(&mut self.newest);
+    /// Whether nothing is ordered or runs.
+    pub fn is_idle(&self) -> bool {
+        self.runs.is_empty()
     }
 
-    /// Nothing is at work or ordered, and the head has heard of all ends.
-    pub fn is_done(&self) -> bool {
-        self.runs.is_empty() && self.finished.is_empty()
+    /// It has deregistered, nothing runs or is ordered, and the head has acknowledged all ends.
+    pub fn is_finished(&self) -> bool {
+        self.deregistered && self.runs.is_empty() && self.finished.is_empty()
+    }
+
+    /// Whether a heartbeat with this number or a higher one has been read.
+    pub fn is_superseded(&self, seq_no: u64) -> bool {
+        self.newest_seq_no.is_some_and(|newest| seq_no <= newest)
     }
 
-    /// Reads a heartbeat.
-    pub fn handle_heartbeat(&mut self, now_ms: u64, mut heartbeat: Heartbeat) -> Changes {
+    /// Whether this is the number of the newest heartbeat.
+    pub fn is_newest(&self, seq_no: u64) -> bool {
+        self.newest_seq_no == Some(seq_no)
+    }
+
+    /// The number up to which the head has acknowledged ends.
+    pub fn acknowledged_end(&self) -> Option<u64> {
+        self.acknowledged_end
+    }
+
+    /// Rises when the set of running runs or one of their checkpoints changes.
+    pub fn runs_revision(&self) -> u64 {
+        self.runs_revision
+    }
+
+    /// Runs sent to the worker that no heartbeat has listed yet.
+    pub fn in_flight(&self) -> Vec<RunId> {
+        self.runs.in_flight()
+    }
+
+    /// Takes a heartbeat over.
+    pub fn handle_heartbeat(&mut self, now_ms: u64, mut heartbeat: Heartbeat) -> HeartbeatChanges {
         if self.deregistered {
             drain_at_once(&mut heartbeat);
         }
+        let in_flight = self.runs.in_flight();
         let running = running_runs(std::mem::take(&mut heartbeat.running));
-        let finished = self.unacknowledged(std::mem::take(&mut heartbeat.finished));
+        let finished = finished_runs(
+            std::mem::take(&mut heartbeat.finished),
+            self.acknowledged_end.unwrap_or(0),
+        );
         let not_started = self
             .runs
             .handle_heartbeat(heartbeat.seq_no, &running, &finished);
@@ -116,55 +159,107 @@
             || ended
             || heartbeat.state != self.newest.state
             || heartbeat.capacity != self.newest.capacity
-            || heartbeat.labels != self.newest.labels;
+            || heartbeat.labels != self.newest.labels
+            || self.runs.in_flight() != in_flight;
         self.runs_revision += u64::from(runs_changed);
         self.newest_seq_no = Some(heartbeat.seq_no);
-        (
-            self.running,
-            self.finished,
-            self.newest,
-            self.last_heartbeat_ms,
-        ) = (running, finished, heartbeat, now_ms);
-        Changes {
+        self.running = running;
+        self.finished = finished;
+        self.newest = heartbeat;
+        self.last_heartbeat_ms = now_ms;
+        HeartbeatChanges {
             urgent,
             ended,
             not_started,
         }
     }
 
-    /// What the answer to the newest heartbeat orders; `lease_ms` is the hold that it carries.
+    /// The orders that the reply to the newest heartbeat carries; `lease_ms` is the lease that it grants.
     pub fn poll_orders(&mut self, now_ms: u64, lease_ms: Option<u64>) -> OutgoingOrders {
         if let Some(lease_ms) = lease_ms {
             self.leased_until_ms = self.leased_until_ms.max(expires_by_ms(now_ms, lease_ms));
         }
-        let ready = self.newest.state == WorkerState::Ready;
-        let conditions = StartConditions {
+        self.runs.poll_orders(ReplyContext {
+            now_ms,
+            seq_no: self.newest.seq_no,
             capacity: self.newest.capacity,
-            ready,
+            ready: self.newest.state == WorkerState::Ready,
             leased: lease_ms.is_some(),
-        };
-        self.runs
-            .poll_orders(now_ms, self.newest.seq_no, conditions)
+        })
     }
 
-    /// Whether this is the number of the newest heartbeat.
-    pub fn is_newest(&self, seq_no: u64) -> bool {
-        self.newest_seq_no == Some(seq_no)
+    /// Takes a start order; returns the run if it will never be sent to the worker. After a return nothing is started
+    /// before the head has confirmed the instance: it may have ordered the start before it learned of the return.
+    pub fn handle_start(&mut self, order: StartOrder) -> Option<RunId> {
+        if self.expired || (self.returned && !self.is_confirmed()) {
+            self.runs.refuse_start(order.run)
+        } else {
+            self.runs.handle_start(order)
+        }
+    }
+
+    /// Takes a stop order; returns the run if it was never sent to the worker.
+    pub fn handle_stop(&mut self, run: RunId) -> Option<RunId> {
+        self.runs.handle_stop(run)
     }
 
-    /// The head has these ends on disk.
-    pub fn acknowledge(&mut self, number: u64) {
+    /// Withdraws all starts that the worker has not listed; returns those that were never sent to it.
+    pub fn withdraw_unlisted(&mut self) -> Vec<RunId> {
+        self.runs.withdraw_unlisted()
+    }
+
+    /// The head has the ends up to this number on disk.
+    pub fn handle_acknowledged_end(&mut self, number: u64) {
         self.acknowledged_end = self.acknowledged_end.max(Some(number));
         self.finished.retain(|end| end.number > number);
     }
 
-    /// When all that may run there has lapsed, if it stays silent.
-    pub fn expires_at_ms(&self) -> u64 {
-        self.leased_until_ms
-            .max(expires_by_ms(self.last_heartbeat_ms, RUN_LEASE_MS))
+    /// It has deregistered: from now on it is reported as draining, without time left.
+    pub fn deregister(&mut self) {
+        self.deregistered = true;
+        drain_at_once(&mut self.newest);
+    }
+
+    /// Whether all its leases have just expired.
+    pub fn is_expiry_due(&self, now_ms: u64) -> bool {
+        self.next_timeout_ms()
+            .is_some_and(|expiry_ms| expiry_ms <= now_ms)
+    }
+
+    /// When all its leases expire unless it sends a heartbeat; `None` if they have expired.
+    pub fn next_timeout_ms(&self) -> Option<u64> {
+        let expiry_ms = expires_by_ms(self.last_heartbeat_ms, RUN_LEASE_MS);
+        (!self.expired).then(|| self.leased_until_ms.max(expiry_ms))
+    }
+
+    /// All its leases have expired; returns the starts that were never sent to it.
+    pub fn expire(&mut self) -> Vec<RunId> {
+        self.expired = true;
+        self.runs.withdraw_unlisted()
+    }
+
+    /// It sends heartbeats after its leases had expired.
+    pub fn handle_return(&mut self) {
+        self.expired = false;
+        self.returned = true;
+        self.confirmation = Confirmation::Unreported;
+    }
+
+    /// A report that carries it is being sent.
+    pub fn handle_report_sent(&mut self, now_ms: u64) {
+        if self.confirmation == Confirmation::Unreported {
+            self.confirmation = Confirmation::Reported { since_ms: now_ms };
+        }
+    }
+
+    /// An acting head has acknowledged the report sent at `echo_ms`.
+    pub fn handle_echo(&mut self, echo_ms: u64) {
+        if matches!(self.confirmation, Confirmation::Reported { since_ms } if since_ms <= echo_ms) {
+            self.confirmation = Confirmation::Confirmed;
+        }
     }
 
-    /// Its account for the head; `include_runs`: with the runs at work.
+    /// Its report for the head; `include_runs`: with the list of running runs.
     pub fn report(&self, now_ms: u64, include_runs: bool) -> InstanceReport {
         let since_heartbeat_ms = now_ms.saturating_sub(self.last_heartbeat_ms);
         InstanceReport {
@@ -175,7 +270,7 @@
             remaining_ms: self
                 .newest
                 .remaining_ms
-                .map(|left| left.saturating_sub(since_heartbeat_ms)),
+                .map(|remaining_ms| remaining_ms.saturating_sub(since_heartbeat_ms)),
             warmup_remaining_ms: self
                 .newest
                 .warmup_remaining_ms
@@ -188,28 +283,6 @@
             in_flight: self.runs.in_flight(),
         }
     }
-
-    /// Ends that the head has not acknowledged, in the order of their numbers.
-    fn unacknowledged(&self, listed: Vec<Finished>) -> Vec<FinishedRun> {
-        let seen = self.acknowledged_end.unwrap_or(0);
-        let fresh = listed.into_iter().filter(|end| end.0 > seen);
-        let mut ends: Vec<FinishedRun> = fresh
-            .filter_map(|end| {
-                let run = RunId {
-                    task: end.1.parse().ok()?,
-                    attempt: end.2,
-                };
-                Some(FinishedRun {
-                    number: end.0,
-                    run,
-                    end: end.3,
-                    checkpoint: end.4,
-                })
-            })
-            .collect();
-        ends.sort_by_key(|end| end.number);
-        ends
-    }
 }
 
 fn drain_at_once(heartbeat: &mut Heartbeat) {
@@ -217,27 +290,11 @@
     heartbeat.remaining_ms = Some(0);
 }
 
-/// Runs at work as the heartbeat lists them. A name that is no task's was never ordered by this system.
-fn running_runs(listed: Vec<Running>) -> Vec<RunningRun> {
-    let runs = listed.into_iter().filter_map(|item| {
-        let run = RunId {
-            task: item.0.parse().ok()?,
-            attempt: item.1,
-        };
-        Some(RunningRun {
-            run,
-            checkpoint: item.2,
-            percent: item.3,
-        })
-    });
-    runs.collect()
-}
-
-/// Whether both lists name the same runs with the same saved texts.
+/// Whether both lists name the same runs with the same checkpoints.
 fn same_runs(before: &[RunningRun], after: &[RunningRun]) -> bool {
-    let pairs = before.iter().zip(after);
     before.len() == after.len()
-        && pairs
-            .into_iter()
+        && before
+            .iter()
+            .zip(after)
             .all(|(a, b)| a.run == b.run && a.checkpoint == b.checkpoint)
 }
--- a/crates/data-plane/src/serve/agent_role.rs
+++ b/crates/data-plane/src/serve/agent_role.rs
@@ -37,12 +37,12 @@
     fn log_events(&mut self) {
         for event in self.agent.poll_events() {
             match event {
-                AgentEvent::Registered(id) => log::info!("worker {id} has registered"),
-                AgentEvent::Deregistered(id) => log::info!("worker {id} has left"),
-                AgentEvent::Unresponsive(id) => {
+                AgentEvent::Registered { instance: id } => log::info!("worker {id} has registered"),
+                AgentEvent::Deregistered { instance: id } => log::info!("worker {id} has left"),
+                AgentEvent::Unresponsive { instance: id } => {
                     log::warn!("worker {id} is gone: silent until its holds lapsed")
                 }
-                AgentEvent::Returned(id) => log::info!("worker {id} is heard again"),
+                AgentEvent::Returned { instance: id } => log::info!("worker {id} is heard again"),
             }
         }
     }
