--- /dev/null
+++ b/crates/data-plane/src/core_link/attachment.rs
@@ -0,0 +1,139 @@
+//! The connection to the acting head, and whether the head still responds.
+
+use super::action::LinkId;
+use indigofold_protocol::config::IngressLimits;
+use indigofold_protocol::internal::Welcome;
+use std::net::SocketAddr;
+
+/// A head that owes a reply and sends nothing for this long is suspected: other members are dialled.
+pub const SUSPICION_TIMEOUT_MS: u64 = 700;
+/// With idle probing, a head that has sent nothing for this long is probed.
+pub const IDLE_PROBE_MS: u64 = 300;
+/// With idle probing, a head that owes a reply and sends nothing for this long is detached.
+pub const HEAD_TIMEOUT_MS: u64 = 2_000;
+
+/// The connection to the acting head.
+#[derive(Debug)]
+pub struct Attachment {
+    link: LinkId,
+    address: SocketAddr,
+    view: u64,
+    config_version: u64,
+    limits: IngressLimits,
+    /// A reply is owed since this time, and no frame has come in since.
+    owed_since_ms: Option<u64>,
+    last_frame_ms: u64,
+    /// A probe was sent after the last frame.
+    probed: bool,
+}
+
+impl Attachment {
+    /// The member at `address` has said in its welcome that it is the acting head.
+    pub fn new(now_ms: u64, link: LinkId, address: SocketAddr, welcome: &Welcome) -> Self {
+        Attachment {
+            link,
+            address,
+            view: welcome.view,
+            config_version: welcome.config_version,
+            limits: welcome.limits.clone(),
+            owed_since_ms: None,
+            last_frame_ms: now_ms,
+            probed: false,
+        }
+    }
+
+    /// The connection.
+    pub fn link(&self) -> LinkId {
+        self.link
+    }
+
+    /// Address of the head.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// View that the head leads.
+    pub fn view(&self) -> u64 {
+        self.view
+    }
+
+    /// Version of the configuration at the head.
+    pub fn config_version(&self) -> u64 {
+        self.config_version
+    }
+
+    /// Limits on clients' calls.
+    pub fn limits(&self) -> &IngressLimits {
+        &self.limits
+    }
+
+    /// Since when the head has owed a reply, without a frame after it.
+    pub fn owed_since_ms(&self) -> Option<u64> {
+        self.owed_since_ms
+    }
+
+    /// The acting head has sent another welcome.
+    pub fn handle_welcome(&mut self, welcome: &Welcome) {
+        self.view = welcome.view;
+        self.config_version = welcome.config_version;
+        self.limits = welcome.limits.clone();
+    }
+
+    /// The head has sent a frame.
+    pub fn handle_frame(&mut self, now_ms: u64) {
+        self.owed_since_ms = None;
+        self.last_frame_ms = now_ms;
+        self.probed = false;
+    }
+
+    /// The head owes a reply, since now unless it has owed one for longer.
+    pub fn handle_request_sent(&mut self, now_ms: u64) {
+        self.owed_since_ms.get_or_insert(now_ms);
+    }
+
+    /// Whether the head has owed a reply for [`SUSPICION_TIMEOUT_MS`].
+    pub fn is_suspected(&self, now_ms: u64) -> bool {
+        self.suspected_at_ms().is_some_and(|at_ms| at_ms <= now_ms)
+    }
+
+    /// Whether the head has owed a reply for [`HEAD_TIMEOUT_MS`].
+    pub fn is_timed_out(&self, now_ms: u64) -> bool {
+        self.timed_out_at_ms().is_some_and(|at_ms| at_ms <= now_ms)
+    }
+
+    /// Whether a probe is due; if so it counts as sent.
+    pub fn poll_probe(&mut self, now_ms: u64) -> bool {
+        let is_due = self.probe_at_ms().is_some_and(|at_ms| at_ms <= now_ms);
+        if is_due {
+            self.probed = true;
+            self.handle_request_sent(now_ms);
+        }
+        is_due
+    }
+
+    /// When the head is to be suspected or, with `idle_probing`, probed or detached, whichever comes first. A suspicion
+    /// that is due already needs no timer.
+    pub fn next_timeout_ms(&self, now_ms: u64, idle_probing: bool) -> Option<u64> {
+        let suspected_at_ms = self.suspected_at_ms().filter(|at_ms| *at_ms > now_ms);
+        let probe_at_ms = self.probe_at_ms().filter(|_| idle_probing);
+        let timed_out_at_ms = self.timed_out_at_ms().filter(|_| idle_probing);
+        [probe_at_ms, suspected_at_ms, timed_out_at_ms]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    fn probe_at_ms(&self) -> Option<u64> {
+        (!self.probed).then_some(self.last_frame_ms + IDLE_PROBE_MS)
+    }
+
+    fn suspected_at_ms(&self) -> Option<u64> {
+        self.owed_since_ms
+            .map(|since_ms| since_ms + SUSPICION_TIMEOUT_MS)
+    }
+
+    fn timed_out_at_ms(&self) -> Option<u64> {
+        self.owed_since_ms
+            .map(|since_ms| since_ms + HEAD_TIMEOUT_MS)
+    }
+}
--- a/crates/data-plane/src/core_link/candidates.rs
+++ b/crates/data-plane/src/core_link/candidates.rs
@@ -1,16 +1,17 @@
-//! Whom to dial next: the members that are known, then the seeds, each no sooner than its last failure allows.
+//! Which address to dial next: known members and seeds in rotation, each no sooner than its backoff allows.
 
 use fastrand::Rng;
 use std::net::SocketAddr;
 
-/// After a failure an address is left alone for at least so long.
+/// Least backoff of an address after a failure.
 pub const BACKOFF_MIN_MS: u64 = 50;
-/// After a failure an address is left alone for at most so long.
+/// Longest backoff of an address after a failure.
 pub const BACKOFF_MAX_MS: u64 = 200;
 
 #[derive(Debug)]
 struct Candidate {
     address: SocketAddr,
+    /// Named by the settings.
     seed: bool,
     not_before_ms: u64,
 }
@@ -24,7 +25,7 @@
 }
 
 impl Candidates {
-    /// Nothing but the seeds is known. `random_seed` spreads processes over the members.
+    /// Only the seeds are known. `random_seed` spreads processes over the members.
     pub fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
         let mut candidates = Candidates {
             known: Vec::new(),
@@ -36,7 +37,7 @@
         candidates
     }
 
-    /// The seeds of newly read settings; members learned meanwhile stay.
+    /// Replaces the seeds by those of reloaded settings; members named meanwhile stay.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.known
             .iter_mut()
@@ -44,7 +45,7 @@
         seeds.iter().for_each(|seed| self.add(*seed, true));
     }
 
-    /// The members that a core member has named. Earlier ones that are neither named nor seeds are forgotten.
+    /// Replaces the members by those that a core member has named; seeds stay. An empty list changes nothing.
     pub fn set_members(&mut self, members: &[SocketAddr]) {
         if members.is_empty() {
             return;
@@ -73,7 +74,7 @@
         known.is_none_or(|known| known.not_before_ms <= now_ms)
     }
 
-    /// A connection to this address has failed or has served its purpose.
+    /// A connection to this address has failed or was given up.
     pub fn back_off(&mut self, address: SocketAddr, now_ms: u64) {
         let backoff_ms = self.random.u64(BACKOFF_MIN_MS..=BACKOFF_MAX_MS);
         if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// This address may be dialled at once, whatever has failed there: it has turned into the head's.
+    /// This address may be dialled at once regardless of failures: a member has named it as the head's.
     pub fn clear_backoff(&mut self, address: SocketAddr) {
         if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
             known.not_before_ms = 0;
@@ -90,11 +91,11 @@
 
     /// When the next address that is not among `addresses_in_use` may be dialled.
     pub fn next_attempt_ms(&self, addresses_in_use: &[SocketAddr]) -> Option<u64> {
-        let is_available = self
+        let unused = self
             .known
             .iter()
             .filter(|known| !addresses_in_use.contains(&known.address));
-        is_available.map(|known| known.not_before_ms).min()
+        unused.map(|known| known.not_before_ms).min()
     }
 
     fn is_available(&self, index: usize, now_ms: u64, addresses_in_use: &[SocketAddr]) -> bool {
--- /dev/null
+++ b/crates/data-plane/src/core_link/head_hint.rs
@@ -0,0 +1,43 @@
+//! The head that a member has named, to be dialled before others.
+
+use indigofold_protocol::internal::Welcome;
+use std::net::SocketAddr;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct NamedHead {
+    view: u64,
+    address: SocketAddr,
+}
+
+/// The head of the highest view that a member has named.
+#[derive(Debug, Default)]
+pub struct HeadHint {
+    named: Option<NamedHead>,
+}
+
+impl HeadHint {
+    /// Address of the named head.
+    pub fn address(&self) -> Option<SocketAddr> {
+        self.named.map(|named| named.address)
+    }
+
+    /// Takes over the head that a welcome names, unless its view is lower. Returns its address if another member has
+    /// named it as the head of a new view, so that it should be dialled at once.
+    pub fn handle_welcome(&mut self, welcome: &Welcome) -> Option<SocketAddr> {
+        let address = welcome.head.as_ref()?.internal;
+        let known_view = self.named.map(|named| named.view);
+        let is_new_view = known_view.is_none_or(|view| view < welcome.view);
+        if known_view.is_none_or(|view| view <= welcome.view) {
+            self.named = Some(NamedHead {
+                view: welcome.view,
+                address,
+            });
+        }
+        (is_new_view && !welcome.acting).then_some(address)
+    }
+
+    /// Forgets the named head if it has this address.
+    pub fn forget(&mut self, address: SocketAddr) {
+        self.named.take_if(|named| named.address == address);
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/core_link/search.rs
@@ -0,0 +1,160 @@
+//! The connections that are open to find the acting head.
+
+use super::action::LinkId;
+use std::net::SocketAddr;
+
+/// A connection is given up that does not open within this time.
+pub const CONNECT_TIMEOUT_MS: u64 = 400;
+/// A connection is given up on which the member sends no welcome within this time.
+pub const GREETING_TIMEOUT_MS: u64 = 700;
+/// A connection to a member that is not the head is kept open for this long after each welcome.
+pub const LISTEN_MS: u64 = 600;
+/// Most connections that search for the head at the same time; the dial of a named head may exceed it.
+pub const SEARCH_CONNECTIONS_MAX: usize = 2;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Stage {
+    Dialling,
+    /// Open; the member's welcome is awaited.
+    Greeting,
+    /// The member is not the head; a later welcome of it may name the head.
+    Listening,
+}
+
+#[derive(Debug)]
+struct SearchConnection {
+    link: LinkId,
+    address: SocketAddr,
+    stage: Stage,
+    /// It is given up at this time.
+    until_ms: u64,
+}
+
+/// A connection that the search has given up or passed on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RemovedConnection {
+    /// The connection.
+    pub link: LinkId,
+    /// Where it leads.
+    pub address: SocketAddr,
+}
+
+impl From<SearchConnection> for RemovedConnection {
+    fn from(connection: SearchConnection) -> Self {
+        RemovedConnection {
+            link: connection.link,
+            address: connection.address,
+        }
+    }
+}
+
+/// The connections that search for the head.
+#[derive(Debug, Default)]
+pub struct Search {
+    connections: Vec<SearchConnection>,
+    last_link: u64,
+}
+
+impl Search {
+    /// Whether this connection belongs to the search.
+    pub fn contains(&self, link: LinkId) -> bool {
+        self.connections
+            .iter()
+            .any(|connection| connection.link == link)
+    }
+
+    /// Whether no further member is to be dialled.
+    pub fn is_full(&self) -> bool {
+        self.connections.len() >= SEARCH_CONNECTIONS_MAX
+    }
+
+    /// The addresses that the connections lead to.
+    pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
+        self.connections.iter().map(|connection| connection.address)
+    }
+
+    /// Adds a connection that is about to be opened; returns its number.
+    pub fn dial(&mut self, now_ms: u64, address: SocketAddr) -> LinkId {
+        self.last_link += 1;
+        let link = LinkId(self.last_link);
+        self.connections.push(SearchConnection {
+            link,
+            address,
+            stage: Stage::Dialling,
+            until_ms: now_ms + CONNECT_TIMEOUT_MS,
+        });
+        link
+    }
+
+    /// Adds an open connection to a member that is no longer the acting head.
+    pub fn listen(&mut self, now_ms: u64, link: LinkId, address: SocketAddr) {
+        self.connections.push(SearchConnection {
+            link,
+            address,
+            stage: Stage::Listening,
+            until_ms: now_ms + LISTEN_MS,
+        });
+    }
+
+    /// A connection is open, and the greeting was sent.
+    pub fn handle_connected(&mut self, now_ms: u64, link: LinkId) {
+        self.advance(link, Stage::Greeting, now_ms + GREETING_TIMEOUT_MS);
+    }
+
+    /// The member of a connection has sent a welcome without being a better head than the present one.
+    pub fn handle_welcome(&mut self, now_ms: u64, link: LinkId) {
+        self.advance(link, Stage::Listening, now_ms + LISTEN_MS);
+    }
+
+    /// Removes a connection.
+    pub fn remove(&mut self, link: LinkId) -> Option<RemovedConnection> {
+        let index = self
+            .connections
+            .iter()
+            .position(|connection| connection.link == link)?;
+        Some(self.connections.swap_remove(index).into())
+    }
+
+    /// Removes the connections whose time is over.
+    pub fn remove_expired(&mut self, now_ms: u64) -> Vec<RemovedConnection> {
+        self.remove_if(|connection| connection.until_ms <= now_ms)
+    }
+
+    /// Removes the connections to this address that have not opened yet.
+    pub fn remove_dialling(&mut self, address: SocketAddr) -> Vec<RemovedConnection> {
+        self.remove_if(|connection| {
+            connection.address == address && connection.stage == Stage::Dialling
+        })
+    }
+
+    /// Ends the search: removes all connections.
+    pub fn clear(&mut self) -> Vec<RemovedConnection> {
+        self.remove_if(|_| true)
+    }
+
+    /// When the next connection is to be given up.
+    pub fn next_timeout_ms(&self) -> Option<u64> {
+        self.connections
+            .iter()
+            .map(|connection| connection.until_ms)
+            .min()
+    }
+
+    fn advance(&mut self, link: LinkId, stage: Stage, until_ms: u64) {
+        let mut connections = self.connections.iter_mut();
+        if let Some(connection) = connections.find(|connection| connection.link == link) {
+            connection.stage = stage;
+            connection.until_ms = until_ms;
+        }
+    }
+
+    fn remove_if(
+        &mut self,
+        is_removed: impl Fn(&SearchConnection) -> bool,
+    ) -> Vec<RemovedConnection> {
+        self.connections
+            .extract_if(.., |connection| is_removed(connection))
+            .map(RemovedConnection::from)
+            .collect()
+    }
+}
--- a/crates/data-plane/src/serve/node.rs
+++ b/crates/data-plane/src/serve/node.rs
@@ -1,7 +1,7 @@
 //! A process of the data plane: a role, its link to the core, and the timer of both.
 
 use super::alarm::Alarm;
-use crate::core_link::{CONNECT_TIMEOUT_MS, CoreLink, LinkAction, LinkId};
+use crate::core_link::{CONNECT_TIMEOUT_MS, CoreLink, Head, LinkAction, LinkId};
 use indigofold_net::framed::{self, FrameSender};
 use indigofold_net::{NetError, runtime, steady_ms};
 use indigofold_protocol::config::IngressLimits;
@@ -74,7 +74,7 @@
         };
         let link = CoreLink::new(&seeds(settings), incarnation);
         let link = if role.liveness_probe().is_some() {
-            link.probing_when_idle()
+            link.with_idle_probing()
         } else {
             link
         };
@@ -213,7 +213,7 @@
 
 impl<R: Role> State<R> {
     fn attached(&mut self, now_ms: u64) {
-        if let Some((address, view)) = self.link.head() {
+        if let Some(Head { address, view }) = self.link.head() {
             log::info!("connected to the head {address} of view {view}");
         }
         self.role.update_head(
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,7 +1,7 @@
 //! The link to the core: finds the acting head, stays connected to it, and finds its successor.
 
 use indigofold_data_plane::core_link::{
-    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GREETING_TIMEOUT_MS, HEAD_TIMEOUT_MS,
+    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GREETING_TIMEOUT_MS, HEAD_TIMEOUT_MS, Head,
     IDLE_PROBE_MS, LISTEN_MS, LinkAction, LinkId, SEARCH_CONNECTIONS_MAX, SUSPICION_TIMEOUT_MS,
 };
 use indigofold_protocol::config::IngressLimits;
@@ -56,7 +56,7 @@
 
 /// The same for a link that probes an idle head.
 fn attached_probing() -> (CoreLink, LinkId, SocketAddr) {
-    attach(link().probing_when_idle())
+    attach(link().with_idle_probing())
 }
 
 fn attach(mut link: CoreLink) -> (CoreLink, LinkId, SocketAddr) {
@@ -104,7 +104,13 @@
     );
     link.handle_connected(NOW_MS, dials[0].0);
     link.handle_welcome(NOW_MS, dials[0].0, &welcome(5, Some(4), true));
-    assert_eq!(link.head(), Some((address(4), 5)));
+    assert_eq!(
+        link.head(),
+        Some(Head {
+            address: address(4),
+            view: 5
+        })
+    );
 }
 
 #[test]
@@ -353,7 +359,13 @@
     assert_eq!(link.attached(), Some(id));
     link.handle_connected(now_ms, dials[0].0);
     link.handle_welcome(now_ms, dials[0].0, &welcome(6, Some(4), true));
-    assert_eq!(link.head(), Some((dials[0].1, 6)));
+    assert_eq!(
+        link.head(),
+        Some(Head {
+            address: dials[0].1,
+            view: 6
+        })
+    );
     assert_eq!(link.head_responsive_ms(now_ms), now_ms);
 }
 
