--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -1,4 +1,5 @@
-//! The edge: takes clients' calls, carries them to the acting head and answers them. It decides nothing itself.
+//! The edge: takes clients' requests, sends them as calls to the acting head and returns its replies. State machines
+//! without I/O.
 
 mod answer;
 mod calls;
@@ -6,6 +7,6 @@
 mod request;
 
 pub use answer::{Answer, Body, RETRY_MS};
-pub use calls::{CallId, CallLimits, Calls, Effect, liveness_probe};
+pub use calls::{BegunCall, CallId, CallLimits, Calls, Effect, NewCall, liveness_probe};
 pub use readiness::{BRIEF_LOSS_MS, Readiness};
-pub use request::{DEADLINE_DEFAULT_MS, DEADLINE_HEADER, Method, ReadRequest, read_request};
+pub use request::{DEADLINE_DEFAULT_MS, DEADLINE_HEADER, Method, ParsedRequest, parse_request};
--- a/crates/data-plane/src/edge/answer.rs
+++ b/crates/data-plane/src/edge/answer.rs
@@ -1,12 +1,12 @@
-//! What clients are answered.
+//! Responses to clients.
 
 use indigofold_protocol::internal::ClientOutcome;
 use indigofold_protocol::job::JobState;
 
-/// When a client is asked to come back where nobody knows better.
+/// Wait before a retry, in milliseconds, where the head has not named one.
 pub const RETRY_MS: u64 = 1_000;
 
-/// Body of an answer.
+/// Body of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
     /// `{}`.
@@ -19,7 +19,7 @@
     Error(String),
 }
 
-/// An answer to a client.
+/// A response to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The call was not carried out, and is not to be repeated as it is.
+    /// The call was rejected; the client should not retry it unchanged.
     pub fn error(status: u16, text: impl Into<String>) -> Answer {
         Answer {
             status,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The call was not carried out; it may be repeated after `retry_after_ms`.
+    /// The call was not carried out; the client may retry it after `retry_after_ms`, rounded up to seconds.
     pub fn retry_later(status: u16, retry_after_ms: u64, text: &str) -> Answer {
         let retry_after_s = retry_after_ms.div_ceil(1_000).max(1);
         Answer {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// No acting head is known; the call was sent to nobody.
+    /// No acting head is known; the call was not sent, or it only reads.
     pub fn no_head() -> Answer {
         Answer::retry_later(503, RETRY_MS, "no scheduler is at work")
     }
 
-    /// The call was sent, and no reply has come: it may have been carried out.
+    /// The call was sent and no reply has come: it may have been carried out.
     pub fn no_reply() -> Answer {
         Answer::error(
             504,
--- a/crates/data-plane/src/edge/calls.rs
+++ b/crates/data-plane/src/edge/calls.rs
@@ -1,6 +1,7 @@
-//! Clients' calls under way: sent to the acting head, sent again to its successor, answered or given up in time.
+//! Clients' calls under way: sent to the acting head, resent to its successor, answered or timed out.
 
-use super::answer::Answer;
+use super::answer::{Answer, RETRY_MS};
+use super::request::ParsedRequest;
 use indigofold_protocol::internal::{
     ClientCall, ClientOperation, ClientOutcome, ClientReply, Frame,
 };
@@ -8,30 +9,31 @@
 use std::rc::Rc;
 
 /// Number of a call on this edge.
-pub type CallId = u64;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct CallId(pub u64);
 
-/// A number that no client's call has.
-const PROBE_CALL: CallId = 0;
+/// The number of liveness probes; no client's call has it.
+const PROBE_CALL: CallId = CallId(0);
 
-/// A call that no client waits for: no route leads there, so the head replies at once and does nothing.
+/// A call that no client waits for: it has no route, so the head replies at once without doing anything.
 pub fn liveness_probe() -> Frame {
     let (host, path) = (String::new(), String::new());
     Frame::Call(ClientCall {
-        call: PROBE_CALL,
+        call: PROBE_CALL.0,
         host,
         path,
         operation: ClientOperation::Get,
     })
 }
 
-/// How long calls wait.
+/// Limits on the calls under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
-    /// A call is given up so long before its client gives up.
+    /// A call times out this long before its client does.
     pub answer_margin_ms: u64,
-    /// A call whose head is lost waits at most so long for a successor.
+    /// A call whose head is lost waits at most this long for a successor.
     pub orphan_ms: u64,
-    /// Most calls under way; further ones are turned away.
+    /// Most calls under way; others are rejected.
     pub calls_max: usize,
 }
 
@@ -45,7 +47,7 @@
     }
 }
 
-/// What is to be done.
+/// What the process has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send this frame to the acting head.
@@ -54,14 +56,34 @@
     Answer(CallId, Answer),
 }
 
+/// A client's call that has come in.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NewCall {
+    /// Host that the client has named.
+    pub host: String,
+    /// Path of the request.
+    pub path: String,
+    /// The rest of the request.
+    pub request: ParsedRequest,
+}
+
+/// A call that was taken over.
+#[derive(Clone, Debug, PartialEq)]
+pub struct BegunCall {
+    /// Its number.
+    pub id: CallId,
+    /// What to do for it first.
+    pub effect: Effect,
+}
+
 #[derive(Debug)]
-struct Call {
+struct PendingCall {
     frame: Rc<Frame>,
     reads_only: bool,
     /// Sent more than once: an earlier head may have carried it out.
     resent: bool,
     deadline_ms: u64,
-    /// Its head was lost; it is given up at this time.
+    /// Its head was lost; it times out at this time.
     orphaned_until_ms: Option<u64>,
 }
 
@@ -69,13 +91,13 @@
 #[derive(Debug)]
 pub struct Calls {
     limits: CallLimits,
-    calls: BTreeMap<CallId, Call>,
+    calls: BTreeMap<CallId, PendingCall>,
     last_call: CallId,
     has_head: bool,
 }
 
 impl Calls {
-    /// No calls, no head.
+    /// No call is under way, and no head is connected.
     pub fn new(limits: CallLimits) -> Self {
         Calls {
             limits,
@@ -85,56 +107,62 @@
         }
     }
 
-    /// A client's call; its client gives up `client_timeout_ms` from now.
-    pub fn begin(
-        &mut self,
-        now_ms: u64,
-        host: String,
-        path: String,
-        operation: ClientOperation,
-        client_timeout_ms: u64,
-    ) -> (CallId, Effect) {
-        self.last_call += 1;
-        let call = self.last_call;
+    /// A client's call has come in.
+    pub fn begin(&mut self, now_ms: u64, call: NewCall) -> BegunCall {
+        self.last_call = CallId(self.last_call.0 + 1);
+        let id = self.last_call;
+        let effect = match self.rejection() {
+            Some(answer) => Effect::Answer(id, answer),
+            None => Effect::Send(self.insert(now_ms, id, call)),
+        };
+        BegunCall { id, effect }
+    }
+
+    fn rejection(&self) -> Option<Answer> {
         if !self.has_head {
-            return (call, Effect::Answer(call, Answer::no_head()));
-        }
-        if self.calls.len() >= self.limits.calls_max {
-            let answer = Answer::retry_later(503, super::RETRY_MS, "too many calls are under way");
-            return (call, Effect::Answer(call, answer));
+            return Some(Answer::no_head());
         }
+        (self.calls.len() >= self.limits.calls_max)
+            .then(|| Answer::retry_later(503, RETRY_MS, "too many calls are under way"))
+    }
+
+    fn insert(&mut self, now_ms: u64, id: CallId, call: NewCall) -> Rc<Frame> {
+        let ParsedRequest {
+            operation,
+            client_timeout_ms,
+        } = call.request;
         let reads_only = operation == ClientOperation::Get;
         let frame = Rc::new(Frame::Call(ClientCall {
-            call,
-            host,
-            path,
+            call: id.0,
+            host: call.host,
+            path: call.path,
             operation,
         }));
         let margin_ms = self.limits.answer_margin_ms.min(client_timeout_ms / 2);
-        let deadline_ms = now_ms + (client_timeout_ms - margin_ms);
-        let waiting = Call {
+        let pending = PendingCall {
             frame: Rc::clone(&frame),
             reads_only,
             resent: false,
-            deadline_ms,
+            deadline_ms: now_ms + (client_timeout_ms - margin_ms),
             orphaned_until_ms: None,
         };
-        self.calls.insert(call, waiting);
-        (call, Effect::Send(frame))
+        self.calls.insert(id, pending);
+        frame
     }
 
-    /// The head's reply. One to a call that is over is passed over.
+    /// The head has replied. A reply to a call that has ended is ignored.
     pub fn handle_reply(&mut self, reply: ClientReply) -> Option<Effect> {
-        let call = self.calls.remove(&reply.call)?;
-        Some(Effect::Answer(reply.call, call.answer(reply.outcome)))
+        let id = CallId(reply.call);
+        let call = self.calls.remove(&id)?;
+        Some(Effect::Answer(id, call.answer(reply.outcome)))
     }
 
-    /// The client has left.
-    pub fn abandon(&mut self, call: CallId) {
-        self.calls.remove(&call);
+    /// The client has disconnected.
+    pub fn abandon(&mut self, id: CallId) {
+        self.calls.remove(&id);
     }
 
-    /// An acting head is connected: what waits is sent to it (again).
+    /// An acting head is connected: all calls under way are resent to it.
     pub fn handle_attached(&mut self) -> Vec<Effect> {
         self.has_head = true;
         let waiting = self.calls.values_mut();
@@ -156,19 +184,19 @@
         });
     }
 
-    /// Gives up the calls whose time is over.
+    /// Times out calls.
     pub fn handle_timeout(&mut self, now_ms: u64) -> Vec<Effect> {
         let expired = self
             .calls
-            .extract_if(.., |_, call| call.ends_ms() <= now_ms);
+            .extract_if(.., |_, call| call.timeout_ms() <= now_ms);
         expired
-            .map(|(id, call)| Effect::Answer(id, call.gave_up()))
+            .map(|(id, call)| Effect::Answer(id, call.time_out_answer()))
             .collect()
     }
 
     /// When [`Calls::handle_timeout`] is to be called next, at the latest.
     pub fn next_timeout_ms(&self) -> Option<u64> {
-        self.calls.values().map(Call::ends_ms).min()
+        self.calls.values().map(PendingCall::timeout_ms).min()
     }
 
     /// Whether no call is under way.
@@ -177,30 +205,30 @@
     }
 }
 
-impl Call {
-    fn ends_ms(&self) -> u64 {
+impl PendingCall {
+    fn timeout_ms(&self) -> u64 {
         self.orphaned_until_ms
             .map_or(self.deadline_ms, |until_ms| until_ms.min(self.deadline_ms))
     }
 
-    /// The client's answer. A call that was refused when it was sent again may still have been carried out the first
-    /// time, so the client must not take it for refused.
+    /// The client's answer. A call that was rejected when it was resent may have been carried out the first time, so the
+    /// client must not take it for rejected.
     fn answer(&self, outcome: ClientOutcome) -> Answer {
-        let refused = matches!(
+        let is_rejected = matches!(
             outcome,
             ClientOutcome::TooMany { .. }
                 | ClientOutcome::Unavailable { .. }
                 | ClientOutcome::UnknownRoute
                 | ClientOutcome::Invalid { .. }
         );
-        if refused && self.resent && !self.reads_only {
+        if is_rejected && self.resent && !self.reads_only {
             Answer::no_reply()
         } else {
             Answer::from(outcome)
         }
     }
 
-    fn gave_up(&self) -> Answer {
+    fn time_out_answer(&self) -> Answer {
         if self.reads_only {
             Answer::no_head()
         } else {
--- a/crates/data-plane/src/edge/readiness.rs
+++ b/crates/data-plane/src/edge/readiness.rs
@@ -1,20 +1,20 @@
-//! When the edge tells the platform that it is ready.
+//! Whether the platform may route clients to this edge.
 
-/// Losing the head for less than this does not make the edge unready: all edges would go at once.
+/// Losing the head for a shorter time does not make the edge unready, as all edges would be withdrawn at once.
 pub const BRIEF_LOSS_MS: u64 = 2_500;
 
-/// What readiness depends on.
+/// The state that readiness depends on.
 #[derive(Debug, Default)]
 pub struct Readiness {
-    /// An acting head with a configuration was known last at this time.
+    /// Newest time at which a responsive head with a configuration was known.
     served_ms: Option<u64>,
     stopping: bool,
 }
 
 impl Readiness {
-    /// Notes what is known of the head: its configuration's version; 0 if there is no head or no configuration. The
-    /// head has owed nothing up to `responsive_ms`: now, unless it is silent.
-    pub fn update_head(&mut self, responsive_ms: u64, config_version: u64) {
+    /// Takes over what is known of the head: the version of its configuration (0 without a head or a configuration), and
+    /// up to when it was responsive.
+    pub fn handle_head_status(&mut self, responsive_ms: u64, config_version: u64) {
         if config_version > 0 {
             self.served_ms = Some(responsive_ms);
         }
--- a/crates/data-plane/src/edge/request.rs
+++ b/crates/data-plane/src/edge/request.rs
@@ -1,58 +1,62 @@
-//! Clients' HTTP requests as calls.
+//! Parsing of clients' HTTP requests.
 
 use super::answer::Answer;
 use indigofold_protocol::internal::ClientOperation;
 use indigofold_protocol::job::JobSpec;
 use indigofold_protocol::job_check::parse_job;
 
-/// Header in which a client says for how long it waits, in milliseconds.
+/// Header with the client's time-out, in milliseconds.
 pub const DEADLINE_HEADER: &str = "indigofold-deadline-ms";
-/// For how long a client waits that does not say.
+/// Time-out of a client that does not send the header.
 pub const DEADLINE_DEFAULT_MS: u64 = 3_000;
-/// Longest wait that is believed.
+/// Longest time-out that is accepted; longer ones are shortened to it.
 const DEADLINE_MAX_MS: u64 = 60_000;
 
 /// Methods that clients may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Hand a job in.
+    /// Submit a job.
     Post,
-    /// Ask for a state or a count.
+    /// Read a state or a count.
     Get,
     /// Cancel a job.
     Delete,
-    /// Any other one, which is refused.
+    /// Any other one, which is rejected.
     Other,
 }
 
-/// A request that has been read.
+/// A parsed request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReadRequest {
-    /// What is asked.
+pub struct ParsedRequest {
+    /// The operation.
     pub operation: ClientOperation,
-    /// For how long the client waits.
+    /// For how long the client waits, in milliseconds.
     pub client_timeout_ms: u64,
 }
 
-/// Reads a request, or says why it cannot be carried out.
-pub fn read_request(
+/// Parses a request.
+///
+/// # Errors
+///
+/// The response for a request that cannot be carried out: 400 for an invalid job, 405 for another method.
+pub fn parse_request(
     method: Method,
     deadline: Option<&str>,
     body: &[u8],
-) -> Result<ReadRequest, Answer> {
+) -> Result<ParsedRequest, Answer> {
     let operation = match method {
         Method::Get => ClientOperation::Get,
         Method::Delete => ClientOperation::Cancel,
-        Method::Post => ClientOperation::Submit(parse(body)?),
+        Method::Post => ClientOperation::Submit(parse_body(body)?),
         Method::Other => return Err(Answer::error(405, "the method must be POST, GET or DELETE")),
     };
-    Ok(ReadRequest {
+    Ok(ParsedRequest {
         operation,
         client_timeout_ms: client_timeout_ms(deadline),
     })
 }
 
-fn parse(body: &[u8]) -> Result<JobSpec, Answer> {
+fn parse_body(body: &[u8]) -> Result<JobSpec, Answer> {
     parse_job(body).map_err(|error| Answer::error(400, error.to_string()))
 }
 
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,5 +1,5 @@
-//! The data plane: the edge, which takes clients' calls, and the companion, which sits beside a worker. State machines
-//! without I/O ([`agent`], [`core_link`], [`edge`]) and the processes around them ([`serve`]).
+//! The data plane: the edge, which takes clients' requests, and the node agent, which runs beside a worker. State
+//! machines without I/O ([`agent`], [`core_link`], [`edge`]) and the processes around them ([`serve`]).
 
 pub mod agent;
 pub mod core_link;
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `indigofold-data`: the edge or the companion, as the settings say.
+//! `indigofold-data`: the edge or the node agent, as the settings say.
 
 use indigofold_data_plane::serve::serve;
 use indigofold_net::{logging, runtime};
@@ -23,7 +23,7 @@
   INDIGOFOLD_CONFIG  path of the settings file; `serves` names the role
 ";
 
-/// What the command line asks for.
+/// The command that the arguments name.
 enum Command {
     Help,
     Version,
--- a/crates/data-plane/src/serve/agent_role.rs
+++ b/crates/data-plane/src/serve/agent_role.rs
@@ -1,14 +1,15 @@
-//! The companion as a process.
+//! The node agent as a process.
 
 use super::error::{NoAddressSnafu, ServeError};
-use super::node::{Node, Role};
+use super::lifecycle::until_terminated;
+use super::node::Node;
+use super::role::{HeadStatus, Role};
 use crate::agent::{Agent, AgentEvent, HeartbeatOutcome, HeartbeatReceipt, ORDERS_WAIT_MS};
 use futures_channel::oneshot;
 use futures_util::future::select;
 use indigofold_net::http::{self, HttpOptions, HttpRequest, HttpResponse, Method};
 use indigofold_net::signals::Signals;
 use indigofold_net::{runtime, steady_ms};
-use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::heartbeat_check::parse_heartbeat;
 use indigofold_protocol::internal::{Frame, ProcessKind};
 use indigofold_protocol::worker::HeartbeatReply;
@@ -20,16 +21,16 @@
 
 /// Path of heartbeats, before the worker's id.
 const INSTANCES_PATH: &str = "/instances/";
-/// Largest heartbeat that is taken.
+/// Largest body of a heartbeat.
 const HEARTBEAT_BYTES_MAX: usize = 4 << 20;
-/// A worker's connection may be idle for so long.
+/// A worker's connection is closed after this time without a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// After SIGTERM what is being answered is finished within this time.
+/// After SIGTERM requests under way are finished within this time.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(200);
 
 struct AgentRole {
     agent: Agent,
-    /// The answer to a heartbeat that waits for orders.
+    /// Ends the wait of a reply for orders.
     awaits_orders: Option<oneshot::Sender<()>>,
 }
 
@@ -37,25 +38,25 @@
     fn log_events(&mut self) {
         for event in self.agent.poll_events() {
             match event {
-                AgentEvent::Registered { instance: id } => log::info!("worker {id} has registered"),
-                AgentEvent::Deregistered { instance: id } => log::info!("worker {id} has left"),
-                AgentEvent::Unresponsive { instance: id } => {
-                    log::warn!("worker {id} is gone: silent until its holds lapsed")
+                AgentEvent::Registered { instance } => {
+                    log::info!("worker instance registered instance={instance}");
+                }
+                AgentEvent::Deregistered { instance } => {
+                    log::info!("worker instance deregistered instance={instance}");
+                }
+                AgentEvent::Unresponsive { instance } => log::warn!(
+                    "worker instance unresponsive, its run leases have expired instance={instance}"
+                ),
+                AgentEvent::Returned { instance } => {
+                    log::info!("worker instance responsive after expiry instance={instance}");
                 }
-                AgentEvent::Returned { instance: id } => log::info!("worker {id} is heard again"),
             }
         }
     }
 }
 
 impl Role for AgentRole {
-    fn update_head(
-        &mut self,
-        _responsive_ms: u64,
-        _config_version: u64,
-        _limits: Option<&IngressLimits>,
-    ) {
-    }
+    fn handle_head_status(&mut self, _status: HeadStatus<'_>) {}
 
     fn handle_attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
         self.agent.handle_connected();
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Reports are frequent enough.
+    /// None: reports are frequent enough.
     fn liveness_probe(&self) -> Option<Frame> {
         None
     }
@@ -85,7 +86,7 @@
         false
     }
 
-    fn handle_timeout(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
+    fn poll_frames(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
         let report = self.agent.poll_report(now_ms);
         self.log_events();
         report
@@ -125,10 +126,13 @@
     };
     let server = http::serve(address, options, take_call).await?;
     node.start();
-    log::info!("node agent {} serves {address}", settings.node_name);
+    log::info!(
+        "node agent serving node={} address={address}",
+        settings.node_name
+    );
 
-    super::until_terminated(&mut signals, &node).await;
-    log::info!("told to end");
+    until_terminated(&mut signals, &node).await;
+    log::info!("SIGTERM received, shutting down");
     server.shutdown(Duration::ZERO, SHUTDOWN_GRACE).await;
     Ok(())
 }
@@ -164,7 +168,7 @@
     HttpResponse::json(200, serde_json::to_vec(&reply).unwrap_or_default())
 }
 
-/// The reply to a heartbeat that was taken in; it waits for orders that are expected.
+/// The reply to a heartbeat that was taken over; it waits for expected orders.
 async fn reply(node: &Node<AgentRole>, id: &str, receipt: HeartbeatReceipt) -> HeartbeatReply {
     if receipt.expects_orders {
         wait_for_orders(node).await;
@@ -178,7 +182,7 @@
     }
 }
 
-/// Returns once orders have come in, a newer heartbeat waits, or the time is over.
+/// Returns once orders have come in, a newer heartbeat waits, or [`ORDERS_WAIT_MS`] are over.
 async fn wait_for_orders(node: &Node<AgentRole>) {
     let (sender, receiver) = oneshot::channel();
     node.with_role(|role| role.awaits_orders = Some(sender));
--- a/crates/data-plane/src/serve/edge_role.rs
+++ b/crates/data-plane/src/serve/edge_role.rs
@@ -1,9 +1,12 @@
 //! The edge as a process.
 
 use super::error::{NoAddressSnafu, ServeError};
-use super::node::{Node, Role};
+use super::lifecycle::until_terminated;
+use super::node::Node;
+use super::role::{HeadStatus, Role};
 use crate::edge::{
-    self, Answer, CallId, CallLimits, Calls, DEADLINE_HEADER, Effect, Readiness, read_request,
+    self, Answer, BegunCall, CallId, CallLimits, Calls, DEADLINE_HEADER, Effect, NewCall,
+    ParsedRequest, Readiness, parse_request,
 };
 use futures_channel::oneshot;
 use indigofold_net::http::{
@@ -19,11 +22,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After SIGTERM clients are served as before for so long, until the platform sends no new ones.
+/// After SIGTERM calls are served as before for this long, until the platform routes no new clients here.
 const DRAINING_MS: u64 = 2_500;
-/// The process ends so long before the platform would kill it.
+/// The process ends this long before the platform would kill it.
 const GRACE_MARGIN_MS: u64 = 700;
-/// A connection without a request is closed so long after the leaving time.
+/// After [`DRAINING_MS`] a connection without a request is closed after this time.
 const IDLE_GRACE_MS: u64 = 300;
 
 struct EdgeRole {
@@ -47,33 +50,31 @@
         }
     }
 
-    /// Takes a client's call; the answer comes over the channel.
+    /// Takes over a client's call; the answer comes over the channel.
     fn begin(
         &mut self,
         request: &HttpRequest,
-        read: edge::ReadRequest,
+        parsed: ParsedRequest,
     ) -> (CallId, oneshot::Receiver<Answer>) {
-        let (host, path) = (request.host.clone(), request.path.clone());
-        let (call, effect) = self.calls.begin(
-            steady_ms(),
-            host,
-            path,
-            read.operation,
-            read.client_timeout_ms,
-        );
+        let call = NewCall {
+            host: request.host.clone(),
+            path: request.path.clone(),
+            request: parsed,
+        };
+        let BegunCall { id, effect } = self.calls.begin(steady_ms(), call);
         let (sender, receiver) = oneshot::channel();
-        self.waiters.insert(call, sender);
-        self.carry_out(effect);
-        (call, receiver)
+        self.waiters.insert(id, sender);
+        self.apply(effect);
+        (id, receiver)
     }
 
-    /// The call is over: answered, or its client has left.
+    /// The call has ended: it was answered, or its client has disconnected.
     fn end(&mut self, call: CallId) {
         self.calls.abandon(call);
         self.waiters.remove(&call);
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply(&mut self, effect: Effect) {
         match effect {
             Effect::Send(frame) => self.outbox.push(frame),
             Effect::Answer(call, answer) => {
@@ -86,14 +87,10 @@
 }
 
 impl Role for EdgeRole {
-    fn update_head(
-        &mut self,
-        responsive_ms: u64,
-        config_version: u64,
-        limits: Option<&IngressLimits>,
-    ) {
-        self.readiness.update_head(responsive_ms, config_version);
-        if let (Some(limits), Some(frontend)) = (limits, &self.frontend)
+    fn handle_head_status(&mut self, status: HeadStatus<'_>) {
+        self.readiness
+            .handle_head_status(status.responsive_ms, status.config_version);
+        if let (Some(limits), Some(frontend)) = (status.limits, &self.frontend)
             && self.limits.as_ref() != Some(limits)
         {
             frontend.set_options(http_options(limits));
@@ -104,9 +101,7 @@
     fn handle_attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
         self.outbox.clear();
         let effects = self.calls.handle_attached();
-        effects
-            .into_iter()
-            .for_each(|effect| self.carry_out(effect));
+        effects.into_iter().for_each(|effect| self.apply(effect));
         std::mem::take(&mut self.outbox)
     }
 
@@ -118,7 +113,7 @@
         if let Frame::Reply(reply) = frame
             && let Some(effect) = self.calls.handle_reply(reply)
         {
-            self.carry_out(effect);
+            self.apply(effect);
         }
     }
 
@@ -130,11 +125,9 @@
         !self.calls.is_empty()
     }
 
-    fn handle_timeout(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
+    fn poll_frames(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
         let effects = self.calls.handle_timeout(now_ms);
-        effects
-            .into_iter()
-            .for_each(|effect| self.carry_out(effect));
+        effects.into_iter().for_each(|effect| self.apply(effect));
         std::mem::take(&mut self.outbox)
     }
 
@@ -170,16 +163,19 @@
     let _readiness_server =
         http::serve(readiness_address, HttpOptions::default(), take_readiness).await?;
     node.start();
-    log::info!("edge {} serves {frontend_address}", settings.node_name);
+    log::info!(
+        "edge serving node={} address={frontend_address}",
+        settings.node_name
+    );
 
-    super::until_terminated(&mut signals, &node).await;
+    until_terminated(&mut signals, &node).await;
     drain(&settings, &node, &frontend).await;
     Ok(())
 }
 
-/// Serves as before until the platform sends no new clients, then finishes what is under way.
+/// Serves as before until the platform routes no new clients here, then finishes the calls under way.
 async fn drain(settings: &Settings, node: &Node<EdgeRole>, frontend: &HttpServer) {
-    log::info!("told to end: not ready any more, calls are served on for a while");
+    log::info!("SIGTERM received, not ready any more, draining calls");
     node.with_role(|role| role.readiness.stop());
     let grace_ms = (settings.bounds.grace_s * 1_000.0) as u64;
     let draining_ms = DRAINING_MS.min(grace_ms / 2);
@@ -189,17 +185,17 @@
     frontend
         .shutdown(idle_grace, Duration::from_millis(limit_ms))
         .await;
-    log::info!("ends with {} connections open", frontend.open_connections());
+    log::info!("stopped open_connections={}", frontend.open_connections());
 }
 
-/// Tells the node that a call is over when its client leaves before the answer.
-struct Abandon {
+/// Abandons a call when it is dropped before the answer: its client has disconnected.
+struct CallGuard {
     node: Node<EdgeRole>,
     call: CallId,
     answered: bool,
 }
 
-impl Drop for Abandon {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         if !self.answered {
             self.node.with_role(|role| role.end(self.call));
@@ -214,18 +210,18 @@
         Method::DELETE => edge::Method::Delete,
         _ => edge::Method::Other,
     };
-    let read = match read_request(method, request.header(DEADLINE_HEADER), &request.body) {
-        Ok(read) => read,
+    let parsed = match parse_request(method, request.header(DEADLINE_HEADER), &request.body) {
+        Ok(parsed) => parsed,
         Err(answer) => return response(&answer),
     };
-    let (call, receiver) = node.with_role(|role| role.begin(&request, read));
-    let mut abandon = Abandon {
+    let (call, receiver) = node.with_role(|role| role.begin(&request, parsed));
+    let mut guard = CallGuard {
         node,
         call,
         answered: false,
     };
     let answer = receiver.await;
-    abandon.answered = answer.is_ok();
+    guard.answered = answer.is_ok();
     response(&answer.unwrap_or_else(|_| Answer::no_reply()))
 }
 
--- a/crates/data-plane/src/serve/error.rs
+++ b/crates/data-plane/src/serve/error.rs
@@ -1,4 +1,4 @@
-//! Why a process of the data plane cannot go on.
+//! Errors that end a process of the data plane.
 
 use indigofold_net::NetError;
 use snafu::Snafu;
--- a/crates/data-plane/src/serve/node.rs
+++ b/crates/data-plane/src/serve/node.rs
@@ -1,10 +1,10 @@
 //! A process of the data plane: a role, its link to the core, and the timer of both.
 
-use super::alarm::Alarm;
+use super::role::{HeadStatus, Role};
+use super::timer::Timer;
 use crate::core_link::{CONNECT_TIMEOUT_MS, CoreLink, Head, LinkAction, LinkId};
 use indigofold_net::framed::{self, FrameSender};
 use indigofold_net::{NetError, runtime, steady_ms};
-use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{Frame, Hello, ProcessKind};
 use indigofold_settings::Settings;
 use std::cell::{RefCell, RefMut};
@@ -13,32 +13,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a role does with the link to the core. Returned frames are sent to the acting head.
-pub trait Role: 'static {
-    /// What is known of the head: the configuration's version (0 without a head) and its limits. The head has owed
-    /// nothing up to `answered_ms`.
-    fn update_head(
-        &mut self,
-        answered_ms: u64,
-        config_version: u64,
-        limits: Option<&IngressLimits>,
-    );
-    /// An acting head is connected.
-    fn handle_attached(&mut self, now_ms: u64) -> Vec<Rc<Frame>>;
-    /// The acting head is lost.
-    fn handle_detached(&mut self, now_ms: u64);
-    /// The acting head has sent a frame.
-    fn handle_frame(&mut self, now_ms: u64, frame: Frame);
-    /// What an acting head answers at once, for a role that is to notice a silent head also while it is idle.
-    fn liveness_probe(&self) -> Option<Frame>;
-    /// Whether the acting head still owes a reply to something that was sent to it.
-    fn awaits_reply(&self) -> bool;
-    /// Time has passed, or something has come in.
-    fn handle_timeout(&mut self, now_ms: u64) -> Vec<Rc<Frame>>;
-    /// When [`Role::handle_timeout`] is to be called next, at the latest.
-    fn next_timeout_ms(&self) -> Option<u64>;
-}
-
 struct State<R> {
     role: R,
     link: CoreLink,
@@ -49,20 +23,20 @@
 /// A role and its link to the core; clones share them.
 pub struct Node<R> {
     state: Rc<RefCell<State<R>>>,
-    alarm: Rc<Alarm>,
+    timer: Rc<Timer>,
 }
 
 impl<R> Clone for Node<R> {
     fn clone(&self) -> Self {
         Node {
             state: Rc::clone(&self.state),
-            alarm: Rc::clone(&self.alarm),
+            timer: Rc::clone(&self.timer),
         }
     }
 }
 
 impl<R: Role> Node<R> {
-    /// A process that knows nothing but its settings.
+    /// A process that is not connected yet.
     pub fn new(settings: &Settings, kind: ProcessKind, role: R) -> Self {
         let incarnation = fastrand::u64(..);
         let (node_name, zone) = (settings.node_name.clone(), settings.zone.clone());
@@ -86,17 +60,17 @@
         };
         Node {
             state: Rc::new(RefCell::new(state)),
-            alarm: Rc::new(Alarm::default()),
+            timer: Rc::new(Timer::default()),
         }
     }
 
-    /// Starts to look for the core.
+    /// Starts the search for the head.
     pub fn start(&self) {
         let node = self.clone();
-        runtime::spawn(async move { node.alarm.run(|| node.pump()).await });
+        runtime::spawn(async move { node.timer.run(|| node.pump()).await });
     }
 
-    /// The seeds of newly read settings.
+    /// Takes over the seeds of reloaded settings.
     pub fn set_seeds(&self, settings: &Settings) {
         self.state.borrow_mut().link.set_seeds(&seeds(settings));
         self.advance();
@@ -107,9 +81,9 @@
         self.state.borrow().link.attached().is_some()
     }
 
-    /// Lets the role take something in; what it wants sent is sent.
+    /// Gives the role an input and sends the frames that it returns.
     pub fn with_role<T>(&self, act: impl FnOnce(&mut R) -> T) -> T {
-        let result = act(&mut self.observed().role);
+        let result = act(&mut self.updated_state().role);
         self.advance();
         result
     }
@@ -117,36 +91,32 @@
     /// Does all that is due and sets the timer.
     fn advance(&self) {
         let next_ms = self.pump();
-        self.alarm.set(next_ms);
+        self.timer.set(next_ms);
     }
 
-    /// The state, after the role has been told what the link knows.
-    fn observed(&self) -> RefMut<'_, State<R>> {
+    /// The state, after the role has taken over what the link knows of the head.
+    fn updated_state(&self) -> RefMut<'_, State<R>> {
         let mut state = self.state.borrow_mut();
         let State { role, link, .. } = &mut *state;
-        role.update_head(
-            link.head_responsive_ms(steady_ms()),
-            link.config_version(),
-            link.limits(),
-        );
+        role.handle_head_status(head_status(link, steady_ms()));
         state
     }
 
     /// Does all that is due; returns when something is due next.
     fn pump(&self) -> Option<u64> {
         let now_ms = steady_ms();
-        let mut state = self.observed();
+        let mut state = self.updated_state();
         state.link.handle_timeout(now_ms);
         for action in state.link.poll_actions() {
             match action {
                 LinkAction::Dial { link, address } => self.dial(link, address),
                 LinkAction::ProbeHead(link) => state.probe_head(link),
                 LinkAction::Close(link) => state.close(link),
-                LinkAction::Attached(_) => state.attached(now_ms),
-                LinkAction::Detached => state.detached(now_ms),
+                LinkAction::Attached(_) => state.handle_attached(now_ms),
+                LinkAction::Detached => state.handle_detached(now_ms),
             }
         }
-        let frames = state.role.handle_timeout(now_ms);
+        let frames = state.role.poll_frames(now_ms);
         state.send(now_ms, &frames);
         let link_ms = state.link.next_timeout_ms(now_ms);
         link_ms
@@ -158,10 +128,10 @@
     fn dial(&self, link: LinkId, address: SocketAddr) {
         let node = self.clone();
         runtime::spawn(async move {
-            if let Err(error) = node.converse(link, address).await {
-                log::debug!("core member {address}: {error}");
+            if let Err(error) = node.run_connection(link, address).await {
+                log::debug!("connection to a core member failed: {error} address={address}");
             }
-            let mut state = node.observed();
+            let mut state = node.updated_state();
             state.senders.remove(&link);
             state.link.handle_disconnected(steady_ms(), link);
             drop(state);
@@ -170,21 +140,21 @@
     }
 
     /// Opens a connection, greets the member, and takes what it sends until the connection ends.
-    async fn converse(&self, link: LinkId, address: SocketAddr) -> Result<(), NetError> {
+    async fn run_connection(&self, link: LinkId, address: SocketAddr) -> Result<(), NetError> {
         let connection =
             framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
-        if !self.connected(link, connection.sender) {
+        if !self.greet(link, connection.sender) {
             return Ok(());
         }
         let mut reader = connection.reader;
         while let Some(frame) = reader.next().await? {
-            self.received(link, frame);
+            self.handle_frame(link, frame);
         }
         Ok(())
     }
 
-    /// Greets the member; `false` if the connection is no longer wanted.
-    fn connected(&self, link: LinkId, sender: FrameSender) -> bool {
+    /// Greets the member; `false` if the connection is no longer in use.
+    fn greet(&self, link: LinkId, sender: FrameSender) -> bool {
         let mut state = self.state.borrow_mut();
         if !state.link.is_in_use(link) || sender.send(&Frame::Hello(state.hello.clone())).is_err() {
             return false;
@@ -194,9 +164,9 @@
         true
     }
 
-    fn received(&self, link: LinkId, frame: Frame) {
+    fn handle_frame(&self, link: LinkId, frame: Frame) {
         let now_ms = steady_ms();
-        let mut state = self.observed();
+        let mut state = self.updated_state();
         state.link.handle_frame(now_ms, link);
         match frame {
             Frame::Welcome(welcome) => state.link.handle_welcome(now_ms, link, &welcome),
@@ -212,25 +182,22 @@
 }
 
 impl<R: Role> State<R> {
-    fn attached(&mut self, now_ms: u64) {
+    fn handle_attached(&mut self, now_ms: u64) {
         if let Some(Head { address, view }) = self.link.head() {
-            log::info!("connected to the head {address} of view {view}");
+            log::info!("connected to the head address={address} view={view}");
         }
-        self.role.update_head(
-            self.link.head_responsive_ms(now_ms),
-            self.link.config_version(),
-            self.link.limits(),
-        );
+        self.role
+            .handle_head_status(head_status(&self.link, now_ms));
         let frames = self.role.handle_attached(now_ms);
         self.send(now_ms, &frames);
     }
 
-    fn detached(&mut self, now_ms: u64) {
-        log::warn!("the head is lost: looking for its successor");
+    fn handle_detached(&mut self, now_ms: u64) {
+        log::warn!("connection to the head lost, searching for its successor");
         self.role.handle_detached(now_ms);
     }
 
-    /// Sends frames to the acting head. If the connection is closed, its reader tells.
+    /// Sends frames to the acting head. If the connection is closed, its reader notices.
     fn send(&mut self, now_ms: u64, frames: &[Rc<Frame>]) {
         if frames.is_empty() {
             return;
@@ -250,7 +217,7 @@
         self.link.handle_request_sent(now_ms);
     }
 
-    /// Asks the head for a sign of life. If the connection is closed, its reader tells.
+    /// Sends a liveness probe to the head. If the connection is closed, its reader notices.
     fn probe_head(&self, link: LinkId) {
         if let (Some(sender), Some(frame)) = (self.senders.get(&link), self.role.liveness_probe()) {
             let _ = sender.send(&frame);
@@ -264,6 +231,14 @@
     }
 }
 
+fn head_status(link: &CoreLink, now_ms: u64) -> HeadStatus<'_> {
+    HeadStatus {
+        responsive_ms: link.head_responsive_ms(now_ms),
+        config_version: link.config_version(),
+        limits: link.limits(),
+    }
+}
+
 fn seeds(settings: &Settings) -> Vec<SocketAddr> {
     settings
         .seed_internal_addresses()
--- a/crates/data-plane/src/serve/alarm.rs
+++ b/crates/data-plane/src/serve/timer.rs
@@ -1,4 +1,4 @@
-//! One timer for all that a process waits for: it is set again only when something is due earlier than before.
+//! One timer for all that a process waits for; it is restarted only when something is due earlier than before.
 
 use futures_channel::oneshot;
 use futures_util::future::{Either, select};
@@ -7,33 +7,35 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// The timer sleeps at most so long.
+/// The timer sleeps at most this long.
 const LONGEST_SLEEP_MS: u64 = 60_000;
 
-/// When the timer goes off.
+/// A timer that many parties may set.
 #[derive(Default)]
-pub struct Alarm {
+pub struct Timer {
     due_ms: Cell<u64>,
-    reset: RefCell<Option<oneshot::Sender<()>>>,
+    /// Ends the sleep that is under way.
+    restart: RefCell<Option<oneshot::Sender<()>>>,
 }
 
-impl Alarm {
-    /// Something is due at `due_ms`.
+impl Timer {
+    /// Something is due at `due_ms`; `None` for never. A later time than the one set before is ignored.
     pub fn set(&self, due_ms: Option<u64>) {
         let due_ms = due_ms.unwrap_or(u64::MAX);
-        let earlier = due_ms < self.due_ms.get();
-        if earlier {
-            self.due_ms.set(due_ms);
-            if let Some(reset) = self.reset.borrow_mut().take() {
-                let _ = reset.send(());
-            }
+        if due_ms >= self.due_ms.get() {
+            return;
+        }
+        self.due_ms.set(due_ms);
+        if let Some(restart) = self.restart.borrow_mut().take() {
+            // The sleep may have ended by itself.
+            let _ = restart.send(());
         }
     }
 
-    /// Calls `ring` whenever something is due; it returns when the next thing is.
-    pub async fn run(&self, ring: impl Fn() -> Option<u64>) {
+    /// Calls `on_due` whenever something is due; it returns when the next thing is.
+    pub async fn run(&self, on_due: impl Fn() -> Option<u64>) {
         loop {
-            self.due_ms.set(ring().unwrap_or(u64::MAX));
+            self.due_ms.set(on_due().unwrap_or(u64::MAX));
             while steady_ms() < self.due_ms.get() {
                 self.sleep().await;
             }
@@ -43,7 +45,7 @@
     /// Sleeps until something is due or is due earlier than before.
     async fn sleep(&self) {
         let (sender, receiver) = oneshot::channel();
-        *self.reset.borrow_mut() = Some(sender);
+        *self.restart.borrow_mut() = Some(sender);
         let sleep_ms = self
             .due_ms
             .get()
@@ -51,7 +53,7 @@
             .min(LONGEST_SLEEP_MS);
         let sleep = pin!(runtime::sleep(Duration::from_millis(sleep_ms)));
         if let Either::Left(_) = select(sleep, receiver).await {
-            self.reset.borrow_mut().take();
+            self.restart.borrow_mut().take();
         }
     }
 }
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,8 +1,8 @@
 //! The edge: parsing of requests, calls to the head and its successors, outcomes as HTTP responses.
 
 use indigofold_data_plane::edge::{
-    Answer, BRIEF_LOSS_MS, Body, CallLimits, Calls, Effect, Method, Readiness, liveness_probe,
-    read_request,
+    Answer, BRIEF_LOSS_MS, BegunCall, Body, CallId, CallLimits, Calls, Effect, Method, NewCall,
+    ParsedRequest, Readiness, liveness_probe, parse_request,
 };
 use indigofold_protocol::internal::{ClientOperation, ClientOutcome, ClientReply, Frame};
 use indigofold_protocol::job::{JobSpec, JobState};
@@ -22,14 +22,16 @@
     calls
 }
 
-fn begin(calls: &mut Calls, operation: ClientOperation) -> (u64, Effect) {
-    calls.begin(
-        NOW_MS,
-        "host".to_owned(),
-        "/queue/0000000000000007".to_owned(),
-        operation,
-        CLIENT_TIMEOUT_MS,
-    )
+fn begin(calls: &mut Calls, operation: ClientOperation) -> BegunCall {
+    let call = NewCall {
+        host: "host".to_owned(),
+        path: "/queue/0000000000000007".to_owned(),
+        request: ParsedRequest {
+            operation,
+            client_timeout_ms: CLIENT_TIMEOUT_MS,
+        },
+    };
+    calls.begin(NOW_MS, call)
 }
 
 fn submit() -> ClientOperation {
@@ -43,9 +45,12 @@
     }
 }
 
-fn reply(calls: &mut Calls, call: u64, outcome: ClientOutcome) -> Option<Answer> {
+fn reply(calls: &mut Calls, id: CallId, outcome: ClientOutcome) -> Option<Answer> {
     calls
-        .handle_reply(ClientReply { call, outcome })
+        .handle_reply(ClientReply {
+            call: id.0,
+            outcome,
+        })
         .map(answer_of)
 }
 
@@ -94,7 +99,7 @@
 #[case(Some("0"), 3_000)]
 #[case(Some("soon"), 3_000)]
 fn the_deadline_is_read(#[case] header: Option<&str>, #[case] client_timeout_ms: u64) {
-    let read = read_request(Method::Get, header, b"").expect("a call");
+    let read = parse_request(Method::Get, header, b"").expect("a call");
     assert_eq!(
         (read.operation, read.client_timeout_ms),
         (ClientOperation::Get, client_timeout_ms)
@@ -104,28 +109,28 @@
 #[test]
 fn a_valid_job_is_parsed_and_an_invalid_one_rejected() {
     let body = br#"{"spec":"text","stages":[{"count":4,"cpu":500,"mem_mb":256}]}"#;
-    let read = read_request(Method::Post, None, body).expect("a job");
+    let read = parse_request(Method::Post, None, body).expect("a job");
     assert!(matches!(read.operation, ClientOperation::Submit(job) if job.stages[0].count == 4));
     assert_eq!(
-        read_request(Method::Post, None, b"{")
+        parse_request(Method::Post, None, b"{")
             .expect_err("no job")
             .status,
         400
     );
     assert_eq!(
-        read_request(Method::Other, None, b"")
+        parse_request(Method::Other, None, b"")
             .expect_err("no method")
             .status,
         405
     );
-    let read = read_request(Method::Delete, None, b"").expect("a call");
+    let read = parse_request(Method::Delete, None, b"").expect("a call");
     assert_eq!(read.operation, ClientOperation::Cancel);
 }
 
 #[test]
 fn without_a_head_a_call_is_rejected_at_once() {
     let mut calls = Calls::new(LIMITS);
-    let answer = answer_of(begin(&mut calls, submit()).1);
+    let answer = answer_of(begin(&mut calls, submit()).effect);
     assert_eq!((answer.status, answer.retry_after_s), (503, Some(1)));
     assert!(calls.is_empty());
 }
@@ -133,24 +138,27 @@
 #[test]
 fn a_call_is_sent_and_its_reply_is_the_answer() {
     let mut calls = calls();
-    let (call, effect) = begin(&mut calls, submit());
+    let BegunCall { id, effect } = begin(&mut calls, submit());
     assert!(
-        matches!(&effect, Effect::Send(frame) if matches!(&**frame, Frame::Call(sent) if sent.call == call))
+        matches!(&effect, Effect::Send(frame) if matches!(&**frame, Frame::Call(sent) if sent.call == id.0))
     );
     assert_eq!(
-        reply(&mut calls, call, ClientOutcome::Accepted),
+        reply(&mut calls, id, ClientOutcome::Accepted),
         Some(Answer::success(Body::Empty))
     );
-    assert_eq!(reply(&mut calls, call, ClientOutcome::Accepted), None);
+    assert_eq!(reply(&mut calls, id, ClientOutcome::Accepted), None);
 }
 
 #[test]
 fn calls_beyond_the_limit_are_rejected() {
     let mut calls = calls();
     for _ in 0..LIMITS.calls_max {
-        assert!(matches!(begin(&mut calls, submit()).1, Effect::Send(_)));
+        assert!(matches!(
+            begin(&mut calls, submit()).effect,
+            Effect::Send(_)
+        ));
     }
-    assert_eq!(answer_of(begin(&mut calls, submit()).1).status, 503);
+    assert_eq!(answer_of(begin(&mut calls, submit()).effect).status, 503);
 }
 
 #[rstest]
@@ -194,15 +202,15 @@
 #[test]
 fn a_call_is_resent_to_the_successor() {
     let mut calls = calls();
-    let (call, first) = begin(&mut calls, submit());
+    let BegunCall { id, effect } = begin(&mut calls, submit());
     calls.handle_detached(NOW_MS + 50);
-    assert_eq!(calls.handle_attached(), [first]);
+    assert_eq!(calls.handle_attached(), [effect]);
     assert_eq!(
         calls.next_timeout_ms(),
         Some(NOW_MS + CLIENT_TIMEOUT_MS - LIMITS.answer_margin_ms)
     );
     assert_eq!(
-        reply(&mut calls, call, ClientOutcome::Accepted).map(|a| a.status),
+        reply(&mut calls, id, ClientOutcome::Accepted).map(|a| a.status),
         Some(200)
     );
 }
@@ -219,11 +227,11 @@
     #[case] status: u16,
 ) {
     let mut calls = calls();
-    let (call, _) = begin(&mut calls, operation);
+    let id = begin(&mut calls, operation).id;
     calls.handle_detached(NOW_MS);
     calls.handle_attached();
     assert_eq!(
-        reply(&mut calls, call, outcome).map(|answer| answer.status),
+        reply(&mut calls, id, outcome).map(|answer| answer.status),
         Some(status)
     );
 }
@@ -231,22 +239,22 @@
 #[test]
 fn an_abandoned_call_is_removed() {
     let mut calls = calls();
-    let (call, _) = begin(&mut calls, submit());
-    calls.abandon(call);
+    let id = begin(&mut calls, submit()).id;
+    calls.abandon(id);
     assert!(calls.is_empty());
-    assert_eq!(reply(&mut calls, call, ClientOutcome::Accepted), None);
+    assert_eq!(reply(&mut calls, id, ClientOutcome::Accepted), None);
 }
 
 #[test]
 fn the_edge_stays_ready_through_a_brief_loss_of_a_configured_head() {
     let mut readiness = Readiness::default();
-    readiness.update_head(NOW_MS, 0);
+    readiness.handle_head_status(NOW_MS, 0);
     assert!(!readiness.is_ready(NOW_MS));
-    readiness.update_head(NOW_MS, 5);
-    readiness.update_head(NOW_MS + 10, 0);
+    readiness.handle_head_status(NOW_MS, 5);
+    readiness.handle_head_status(NOW_MS + 10, 0);
     assert!(readiness.is_ready(NOW_MS + BRIEF_LOSS_MS - 1));
     assert!(!readiness.is_ready(NOW_MS + BRIEF_LOSS_MS));
-    readiness.update_head(NOW_MS + BRIEF_LOSS_MS, 5);
+    readiness.handle_head_status(NOW_MS + BRIEF_LOSS_MS, 5);
     readiness.stop();
     assert!(!readiness.is_ready(NOW_MS + BRIEF_LOSS_MS));
 }
@@ -256,12 +264,12 @@
     let mut readiness = Readiness::default();
     let owed_ms = NOW_MS + 300;
     for now_ms in [NOW_MS, owed_ms, owed_ms + BRIEF_LOSS_MS - 1] {
-        readiness.update_head(owed_ms.min(now_ms), 5);
+        readiness.handle_head_status(owed_ms.min(now_ms), 5);
         assert!(readiness.is_ready(now_ms));
     }
-    readiness.update_head(owed_ms, 5);
+    readiness.handle_head_status(owed_ms, 5);
     assert!(!readiness.is_ready(owed_ms + BRIEF_LOSS_MS));
-    readiness.update_head(owed_ms + BRIEF_LOSS_MS + 9, 5);
+    readiness.handle_head_status(owed_ms + BRIEF_LOSS_MS + 9, 5);
     assert!(readiness.is_ready(owed_ms + BRIEF_LOSS_MS + 9));
 }
 
@@ -271,10 +279,10 @@
     let Frame::Call(probe) = liveness_probe() else {
         panic!("a call is expected")
     };
-    let (call, _) = begin(&mut calls, submit());
-    assert_ne!(probe.call, call);
+    let id = begin(&mut calls, submit()).id;
+    assert_ne!(probe.call, id.0);
     assert_eq!(
-        reply(&mut calls, probe.call, ClientOutcome::UnknownRoute),
+        reply(&mut calls, CallId(probe.call), ClientOutcome::UnknownRoute),
         None
     );
     assert!(!calls.is_empty());
--- a/crates/data-plane/tests/processes.rs
+++ b/crates/data-plane/tests/processes.rs
@@ -43,7 +43,7 @@
             .spawn()
             .expect("the program");
         let mut program = Program { child, settings };
-        program.wait_for_log("serves");
+        program.wait_for_log("serving");
         program
     }
 
@@ -231,7 +231,7 @@
     let client = request(frontend, "GET /q/ HTTP/1.1", "");
     let sent = head.next_call();
     program.terminate();
-    program.wait_for_log("told to end");
+    program.wait_for_log("SIGTERM received");
     assert_eq!(call(readiness, "GET /readiness HTTP/1.1", "").0, 503);
     head.send(&Frame::Reply(ClientReply {
         call: sent.call,
@@ -254,7 +254,7 @@
     let mut unresponsive = Head::accept(&listener);
     program.wait_for_log("connected to the head");
     assert!(matches!(unresponsive.next(), Frame::Call(sent) if sent.path.is_empty()));
-    program.wait_for_log("the head is lost");
+    program.wait_for_log("connection to the head lost");
     assert_eq!(call(frontend, "GET /q/ HTTP/1.1", "").0, 503);
     let _other = Head::accept(&listener);
     program.wait_for_log("connected to the head");
