--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -9,7 +9,7 @@
 mod reported_runs;
 mod run_table;
 mod unreported;
-mod wire_lists;
+mod wire_runs;
 mod worker_instance;
 
 pub use closed_runs::CLOSED_RUNS_MAX;
@@ -29,7 +29,7 @@
 use report_schedule::ReportSchedule;
 use reported_runs::ReportedRuns;
 use unreported::Unreported;
-use wire_lists::{start_entries, stop_entries};
+use wire_runs::{start_entries, stop_entries};
 use worker_instance::WorkerInstance;
 
 /// Most starts not carried out that are reported on a new connection.
@@ -364,7 +364,7 @@
             .filter(|instance| !instance.is_expired())
             .map(|instance| {
                 instance.handle_report_sent(now_ms);
-                let include_runs = self.reported_runs.needs_list(now_ms, instance);
+                let include_runs = self.reported_runs.needs_runs(now_ms, instance);
                 instance.report(now_ms, include_runs)
             });
         AgentReport {
--- a/crates/data-plane/src/agent/reported_runs.rs
+++ b/crates/data-plane/src/agent/reported_runs.rs
@@ -6,7 +6,7 @@
 pub const PERCENT_INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug)]
-struct ReportedList {
+struct ReportedRevision {
     instance: String,
     revision: u64,
     sent_ms: u64,
@@ -15,7 +15,7 @@
 /// The newest list of runs sent on this connection.
 #[derive(Debug, Default)]
 pub struct ReportedRuns {
-    newest: Option<ReportedList>,
+    newest: Option<ReportedRevision>,
 }
 
 impl ReportedRuns {
@@ -25,11 +25,11 @@
     }
 
     /// Whether the report sent now has to carry the instance's list of runs; if so it counts as sent.
-    pub fn needs_list(&mut self, now_ms: u64, instance: &WorkerInstance) -> bool {
+    pub fn needs_runs(&mut self, now_ms: u64, instance: &WorkerInstance) -> bool {
         if self.is_current(now_ms, instance) {
             return false;
         }
-        self.newest = Some(ReportedList {
+        self.newest = Some(ReportedRevision {
             instance: instance.id().to_owned(),
             revision: instance.runs_revision(),
             sent_ms: now_ms,
--- a/crates/data-plane/src/agent/worker_instance.rs
+++ b/crates/data-plane/src/agent/worker_instance.rs
@@ -2,7 +2,7 @@
 
 use super::lease_authority::expires_by_ms;
 use super::run_table::{OutgoingOrders, ReplyContext, RunTable};
-use super::wire_lists::{finished_runs, running_runs};
+use super::wire_runs::{finished_runs, running_runs};
 use indigofold_protocol::internal::{
     FinishedRun, InstanceReport, RUN_LEASE_MS, RunningRun, StartOrder,
 };
--- a/crates/data-plane/tests/agent_leases.rs
+++ b/crates/data-plane/tests/agent_leases.rs
@@ -214,8 +214,8 @@
     let mut harness = AgentHarness::unconnected();
     harness.agent.handle_connected();
     harness.send_heartbeat();
-    let lapses_ms = harness.agent.next_timeout_ms().expect("a report is due");
-    assert!(lapses_ms <= harness.now_ms);
+    let due_ms = harness.agent.next_timeout_ms().expect("a report is due");
+    assert!(due_ms <= harness.now_ms);
     harness.report_now();
     harness.now_ms = START_MS + RUN_LEASE_MS;
     let report = harness.agent.poll_report(harness.now_ms).expect("due");
--- a/crates/data-plane/tests/agent_orders.rs
+++ b/crates/data-plane/tests/agent_orders.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_start_in_flight_when_the_worker_drains_is_stopped_unless_listed() {
+fn a_start_in_flight_at_draining_is_stopped_unless_listed() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 100), start(run(2), 100)]);
     harness.send_heartbeat();
--- a/crates/data-plane/tests/agent_reports.rs
+++ b/crates/data-plane/tests/agent_reports.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn ended_instances_and_starts_not_carried_out_are_reported_once_per_connection() {
+fn ended_instances_and_starts_never_sent_are_reported_once_per_connection() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 100)]);
     harness.order_stop(&[run(1)]);
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -245,7 +245,7 @@
     assert_eq!(
         link.poll_actions().len(),
         SEARCH_CONNECTIONS_MAX,
-        "the others are closed again"
+        "the others are closed"
     );
     assert_eq!(link.attached(), Some(id));
 }
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_newer_configuration_version_is_taken_over() {
+fn a_newer_configuration_version_is_adopted() {
     let (mut link, id, _) = attached();
     link.handle_welcome(
         NOW_MS,
