--- a/crates/data-plane/tests/agent_leases.rs
+++ b/crates/data-plane/tests/agent_leases.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{AgentHarness, START_MS, WORKER, run, start};
+use common::agent_harness::{AgentHarness, START_MS, WORKER, run, start};
 use indigofold_data_plane::agent::{
     Agent, BUSY_HEARTBEAT_MS, HeartbeatOutcome, IDLE_HEARTBEAT_MS, RECENT_ORDER_MS, expires_by_ms,
 };
--- a/crates/data-plane/tests/agent_orders.rs
+++ b/crates/data-plane/tests/agent_orders.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{AgentHarness, WORKER, attempt, run, start};
+use common::agent_harness::{AgentHarness, WORKER, attempt, run, start};
 use indigofold_data_plane::agent::{HeartbeatOutcome, INCOMPATIBLE_MS, SEND_ATTEMPTS_MAX};
 use indigofold_protocol::internal::AgentOrders;
 use indigofold_protocol::worker::{RunEnd, WorkerState};
--- a/crates/data-plane/tests/agent_replies.rs
+++ b/crates/data-plane/tests/agent_replies.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{AgentHarness, WORKER, run, start};
+use common::agent_harness::{AgentHarness, WORKER, run, start};
 use indigofold_data_plane::agent::{HeartbeatOutcome, HeartbeatReceipt};
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd};
 
--- a/crates/data-plane/tests/agent_reports.rs
+++ b/crates/data-plane/tests/agent_reports.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{AgentHarness, WORKER, run, start};
+use common::agent_harness::{AgentHarness, WORKER, run, start};
 use indigofold_data_plane::agent::{REPORT_INTERVAL_MS, REPORT_SPACING_MS};
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
--- /dev/null
+++ b/crates/data-plane/tests/common/agent_harness.rs
@@ -0,0 +1,228 @@
+//! A node agent with a simulated worker and head, for tests.
+
+use indigofold_data_plane::agent::{Agent, HeartbeatOutcome};
+use indigofold_protocol::internal::{AgentOrders, AgentReport, StartOrder};
+use indigofold_protocol::job::Resources;
+use indigofold_protocol::task::{JobId, RunId, TaskName};
+use indigofold_protocol::worker::{
+    Finished, Heartbeat, HeartbeatReply, RunEnd, Running, WorkerState,
+};
+
+pub const WORKER: &str = "i-1";
+pub const MAX_LEASE_MS: u64 = 6_000;
+pub const START_MS: u64 = 1_000_000;
+
+pub fn run(index: u32) -> RunId {
+    attempt(index, 1)
+}
+
+pub fn attempt(index: u32, attempt: u32) -> RunId {
+    RunId {
+        task: TaskName {
+            job: JobId(7),
+            repeat: 0,
+            step: 0,
+            index,
+        },
+        attempt,
+    }
+}
+
+pub fn start(run: RunId, cpu: u64) -> StartOrder {
+    let resources = Resources {
+        cpu,
+        mem_mb: 10,
+        gpu: 0,
+    };
+    StartOrder {
+        run,
+        resources,
+        spec: "text".to_owned(),
+        checkpoint: String::new(),
+    }
+}
+
+/// The node agent under test, a clock, and the state of its simulated worker and head.
+pub struct AgentHarness {
+    pub agent: Agent,
+    pub now_ms: u64,
+    pub seq_no: u64,
+    pub epoch: u64,
+    pub state: WorkerState,
+    pub ends: u64,
+    pub running: Vec<RunId>,
+    pub finished: Vec<(u64, RunId, RunEnd)>,
+}
+
+impl AgentHarness {
+    /// Neither a worker nor a head has connected.
+    pub fn unconnected() -> AgentHarness {
+        AgentHarness {
+            agent: Agent::new(START_MS, MAX_LEASE_MS),
+            now_ms: START_MS,
+            seq_no: 0,
+            epoch: 3,
+            state: WorkerState::Ready,
+            ends: 0,
+            running: Vec::new(),
+            finished: Vec::new(),
+        }
+    }
+
+    /// The worker has registered, and the head has acknowledged a report with its instance.
+    pub fn confirmed() -> AgentHarness {
+        let mut harness = AgentHarness::unconnected();
+        harness.agent.handle_connected();
+        harness.send_heartbeat();
+        harness.report_and_echo();
+        harness
+    }
+
+    pub fn advance(&mut self, ms: u64) -> &mut AgentHarness {
+        self.now_ms += ms;
+        self
+    }
+
+    pub fn heartbeat(&self) -> Heartbeat {
+        let running = |run: &RunId| Running(run.task.to_string(), run.attempt, String::new(), 5);
+        let finished = |(number, run, end): &(u64, RunId, RunEnd)| {
+            Finished(
+                *number,
+                run.task.to_string(),
+                run.attempt,
+                *end,
+                String::new(),
+            )
+        };
+        Heartbeat {
+            backend: "service".to_owned(),
+            zone: "a".to_owned(),
+            state: self.state,
+            capacity: Resources {
+                cpu: 1_000,
+                mem_mb: 1_000,
+                gpu: 0,
+            },
+            seq_no: self.seq_no,
+            running: self.running.iter().map(running).collect(),
+            finished: self.finished.iter().map(finished).collect(),
+            ..Heartbeat::default()
+        }
+    }
+
+    /// The worker's next heartbeat, 100 ms later.
+    pub fn send_heartbeat(&mut self) -> HeartbeatReply {
+        self.send_heartbeat_of(WORKER)
+    }
+
+    pub fn send_heartbeat_of(&mut self, id: &str) -> HeartbeatReply {
+        self.advance(100);
+        self.seq_no += 1;
+        match self.deliver(id, self.heartbeat()) {
+            HeartbeatOutcome::Answered(reply) => reply,
+            HeartbeatOutcome::Superseded => panic!("the heartbeat is the newest"),
+        }
+    }
+
+    /// Delivers a heartbeat; it is answered at once.
+    pub fn deliver(&mut self, id: &str, heartbeat: Heartbeat) -> HeartbeatOutcome {
+        match self.agent.handle_heartbeat(self.now_ms, id, heartbeat) {
+            Some(receipt) => self
+                .agent
+                .poll_heartbeat_reply(self.now_ms, id, receipt.seq_no),
+            None => HeartbeatOutcome::Superseded,
+        }
+    }
+
+    /// The worker carries out the orders of a reply.
+    pub fn carry_out(&mut self, reply: &HeartbeatReply) {
+        let started = reply.start.iter().map(|s| RunId {
+            task: s.0.parse().expect("a name"),
+            attempt: s.1,
+        });
+        self.running.extend(started);
+        for stop in &reply.stop {
+            let run = RunId {
+                task: stop.0.parse().expect("a name"),
+                attempt: stop.1,
+            };
+            self.end(run, RunEnd::Stopped);
+        }
+    }
+
+    pub fn end(&mut self, run: RunId, end: RunEnd) {
+        if self.running.contains(&run) {
+            self.running.retain(|other| *other != run);
+            self.ends += 1;
+            self.finished.push((self.ends, run, end));
+        }
+    }
+
+    /// The report that is due, 20 ms later.
+    pub fn report(&mut self) -> Option<AgentReport> {
+        self.advance(20);
+        self.agent.poll_report(self.now_ms)
+    }
+
+    pub fn report_now(&mut self) -> AgentReport {
+        self.report().expect("a report is due")
+    }
+
+    pub fn report_and_echo(&mut self) -> AgentReport {
+        let report = self.report_now();
+        self.echo(report.sent_ms);
+        report
+    }
+
+    pub fn echo(&mut self, sent_ms: u64) {
+        let orders = AgentOrders {
+            echo_sent_ms: Some(sent_ms),
+            ..self.no_orders()
+        };
+        self.deliver_orders(orders);
+    }
+
+    pub fn no_orders(&self) -> AgentOrders {
+        AgentOrders {
+            epoch: self.epoch,
+            echo_sent_ms: None,
+            instance: WORKER.to_owned(),
+            start: Vec::new(),
+            stop: Vec::new(),
+            acknowledged_end: None,
+        }
+    }
+
+    pub fn order_start(&mut self, starts: &[StartOrder]) {
+        let orders = AgentOrders {
+            start: starts.to_vec(),
+            ..self.no_orders()
+        };
+        self.deliver_orders(orders);
+    }
+
+    /// The head orders starts, and the worker lists them as running.
+    pub fn start_and_confirm(&mut self, starts: &[StartOrder]) {
+        self.order_start(starts);
+        let reply = self.send_heartbeat();
+        self.carry_out(&reply);
+        self.send_heartbeat();
+    }
+
+    pub fn order_stop(&mut self, stops: &[RunId]) {
+        let orders = AgentOrders {
+            stop: stops.to_vec(),
+            ..self.no_orders()
+        };
+        self.deliver_orders(orders);
+    }
+
+    pub fn deliver_orders(&mut self, orders: AgentOrders) {
+        self.agent.handle_orders(self.now_ms, orders);
+    }
+
+    /// Names of the tasks that a reply starts.
+    pub fn started(reply: &HeartbeatReply) -> Vec<String> {
+        reply.start.iter().map(|s| s.0.clone()).collect()
+    }
+}
--- /dev/null
+++ b/crates/data-plane/tests/common/program.rs
@@ -0,0 +1,226 @@
+//! The program as a child process, its clients, and the head, which the test acts as.
+
+use indigofold_protocol::codec;
+use indigofold_protocol::config::IngressLimits;
+use indigofold_protocol::internal::{
+    AgentReport, ClientCall, ClientOutcome, ClientReply, Frame, MemberAddress, Welcome,
+};
+use std::fs;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::process::{Child, Command, Stdio};
+use std::time::Duration;
+
+/// Upper limit for each blocking read.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// A loopback address that was free a moment ago.
+pub fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    listener.local_addr().expect("an address")
+}
+
+/// A child process with the program; killed when dropped.
+pub struct Program {
+    child: Child,
+    settings: tempfile::NamedTempFile,
+}
+
+impl Program {
+    pub fn start(serves: &str, head: SocketAddr, addresses: &str) -> Program {
+        let text = format!(
+            "node_name = \"n-1\"\nrole = \"r\"\nmachine_class = \"{serves}\"\nserves = [\"{serves}\"]\n\
+             ip = \"127.0.0.1\"\nzone = \"a\"\nport_range = [{port}, {port}]\nseed_nodes = [\"127.0.0.1:1\"]\n\
+             [bind_addrs]\n{addresses}\n[bounds]\ngrace_s = 2\nmax_hold_ms = 6000\n",
+            port = head.port()
+        );
+        let settings = tempfile::NamedTempFile::new().expect("a file");
+        fs::write(settings.path(), text).expect("written");
+        let child = Program::command(settings.path().as_os_str())
+            .spawn()
+            .expect("the program");
+        let mut program = Program { child, settings };
+        program.wait_for_log("serving");
+        program
+    }
+
+    pub fn command(settings: &std::ffi::OsStr) -> Command {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_indigofold-data"));
+        command
+            .env("INDIGOFOLD_CONFIG", settings)
+            .stderr(Stdio::piped())
+            .stdout(Stdio::piped());
+        command
+    }
+
+    pub fn terminate(&self) {
+        let pid = rustix::process::Pid::from_child(&self.child);
+        rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("a signal");
+    }
+
+    /// Waits for the end of the program, which must be a success.
+    pub fn assert_success(&mut self) {
+        assert!(self.child.wait().expect("an end").success());
+    }
+
+    /// Waits until the log contains an entry with this text.
+    pub fn wait_for_log(&mut self, text: &str) {
+        let mut log = BufReader::new(self.child.stderr.as_mut().expect("a pipe"));
+        let mut entry = String::new();
+        while !entry.contains(text) {
+            entry.clear();
+            assert!(
+                log.read_line(&mut entry).expect("a line") > 0,
+                "the program has ended without `{text}`"
+            );
+        }
+    }
+}
+
+impl Drop for Program {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = fs::remove_file(self.settings.path());
+    }
+}
+
+/// An edge that runs as a child process.
+pub struct EdgeProgram {
+    pub program: Program,
+    /// Where the edge finds the head.
+    pub listener: TcpListener,
+    pub frontend: SocketAddr,
+    pub readiness: SocketAddr,
+}
+
+impl EdgeProgram {
+    pub fn start() -> EdgeProgram {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let (frontend, readiness) = (free_address(), free_address());
+        let addresses = format!("frontend = \"{frontend}\"\nreadiness = \"{readiness}\"");
+        let head = listener.local_addr().expect("an address");
+        EdgeProgram {
+            program: Program::start("edge", head, &addresses),
+            listener,
+            frontend,
+            readiness,
+        }
+    }
+
+    pub fn readiness_status(&self) -> u16 {
+        call(self.readiness, "GET /readiness HTTP/1.1", "").0
+    }
+}
+
+/// The head's side of a connection.
+pub struct Head {
+    stream: TcpStream,
+    bytes: Vec<u8>,
+}
+
+impl Head {
+    /// Accepts the program's connection and sends the welcome of an acting head.
+    pub fn accept(listener: &TcpListener) -> Head {
+        let (stream, _) = listener.accept().expect("a connection");
+        stream
+            .set_read_timeout(Some(READ_TIMEOUT))
+            .expect("an option");
+        let mut head = Head {
+            stream,
+            bytes: Vec::new(),
+        };
+        assert!(matches!(head.next(), Frame::Hello(hello) if hello.node_name == "n-1"));
+        let address = listener.local_addr().expect("an address");
+        let member = MemberAddress {
+            node_name: "core-1".to_owned(),
+            internal: address,
+            control: address,
+        };
+        head.send(&Frame::Welcome(Welcome {
+            view: 4,
+            head: Some(member.clone()),
+            members: vec![member],
+            acting: true,
+            config_version: 3,
+            limits: IngressLimits::default(),
+        }));
+        head
+    }
+
+    /// The next call of a client; liveness probes are answered in between.
+    pub fn next_call(&mut self) -> ClientCall {
+        loop {
+            match self.next() {
+                Frame::Call(sent) if sent.path.is_empty() => {
+                    let outcome = ClientOutcome::UnknownRoute;
+                    self.send(&Frame::Reply(ClientReply {
+                        call: sent.call,
+                        outcome,
+                    }));
+                }
+                Frame::Call(call) => return call,
+                other => panic!("a call is expected, not {other:?}"),
+            }
+        }
+    }
+
+    pub fn next(&mut self) -> Frame {
+        loop {
+            if let Some((frame, length)) = codec::decode(&self.bytes).expect("frames") {
+                self.bytes.drain(..length);
+                return frame;
+            }
+            let mut buffer = [0; 4_096];
+            let count = self.stream.read(&mut buffer).expect("bytes");
+            assert!(count > 0, "the program has closed the connection");
+            self.bytes.extend_from_slice(&buffer[..count]);
+        }
+    }
+
+    /// The next report that satisfies the condition; others are skipped.
+    pub fn next_report_with(&mut self, condition: impl Fn(&AgentReport) -> bool) -> AgentReport {
+        loop {
+            match self.next() {
+                Frame::Report(report) if condition(&report) => return report,
+                Frame::Report(_) => {}
+                other => panic!("a report is expected, not {other:?}"),
+            }
+        }
+    }
+
+    pub fn send(&mut self, frame: &Frame) {
+        self.stream
+            .write_all(&codec::encode(frame))
+            .expect("written");
+    }
+}
+
+/// Sends a request on a connection of its own.
+pub fn request(address: SocketAddr, head: &str, body: &str) -> TcpStream {
+    let mut stream = TcpStream::connect(address).expect("a connection");
+    stream
+        .set_read_timeout(Some(READ_TIMEOUT))
+        .expect("an option");
+    let text = format!(
+        "{head}\r\nHost: h\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    stream.write_all(text.as_bytes()).expect("written");
+    stream
+}
+
+pub fn response(mut stream: TcpStream) -> (u16, String) {
+    let mut text = String::new();
+    stream.read_to_string(&mut text).expect("an answer");
+    let status = text
+        .get(9..12)
+        .and_then(|digits| digits.parse().ok())
+        .expect("a status");
+    let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
+    (status, body.to_owned())
+}
+
+pub fn call(address: SocketAddr, head: &str, body: &str) -> (u16, String) {
+    response(request(address, head, body))
+}
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -7,7 +7,7 @@
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{MemberAddress, Welcome};
 use rstest::rstest;
-use std::net::SocketAddr;
+use std::net::{IpAddr, SocketAddr};
 
 const NOW_MS: u64 = 1_000_000;
 
@@ -15,6 +15,13 @@
     SocketAddr::from(([10, 0, 0, host], 7_000))
 }
 
+fn host(address: SocketAddr) -> u8 {
+    match address.ip() {
+        IpAddr::V4(ip) => ip.octets()[3],
+        IpAddr::V6(ip) => panic!("an IPv4 address is expected, not {ip}"),
+    }
+}
+
 fn member(host: u8) -> MemberAddress {
     MemberAddress {
         node_name: format!("core-{host}"),
@@ -38,17 +45,29 @@
     CoreLink::new(&[address(1), address(2), address(3)], 11)
 }
 
-fn dialled(link: &mut CoreLink) -> Vec<(LinkId, SocketAddr)> {
+/// A connection that the link has asked the process to open.
+#[derive(Clone, Copy, Debug)]
+struct Dial {
+    link: LinkId,
+    address: SocketAddr,
+}
+
+fn dialled(link: &mut CoreLink) -> Vec<Dial> {
     let dials = link
         .poll_actions()
         .into_iter()
         .filter_map(|action| match action {
-            LinkAction::Dial { link, address } => Some((link, address)),
+            LinkAction::Dial { link, address } => Some(Dial { link, address }),
             _ => None,
         });
     dials.collect()
 }
 
+fn position(actions: &[LinkAction], action: &LinkAction) -> usize {
+    let position = actions.iter().position(|other| other == action);
+    position.expect("the action was polled")
+}
+
 /// A link that is attached to the head of view 5.
 fn attached() -> (CoreLink, LinkId, SocketAddr) {
     attach(link())
@@ -61,10 +80,10 @@
 
 fn attach(mut link: CoreLink) -> (CoreLink, LinkId, SocketAddr) {
     link.handle_timeout(NOW_MS);
-    let (id, address) = dialled(&mut link)[0];
+    let Dial { link: id, address } = dialled(&mut link)[0];
     link.handle_connected(NOW_MS, id);
-    let head = address.to_string().as_bytes()[7] - b'0';
-    link.handle_welcome(NOW_MS, id, &welcome(5, Some(head), true));
+    let head_host = host(address);
+    link.handle_welcome(NOW_MS, id, &welcome(5, Some(head_host), true));
     assert!(link.poll_actions().contains(&LinkAction::Attached(id)));
     (link, id, address)
 }
@@ -75,13 +94,13 @@
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
-    link.handle_connected(NOW_MS, dials[0].0);
-    link.handle_welcome(NOW_MS, dials[0].0, &welcome(5, Some(1), true));
+    link.handle_connected(NOW_MS, dials[0].link);
+    link.handle_welcome(NOW_MS, dials[0].link, &welcome(5, Some(1), true));
     assert_eq!(
         link.poll_actions(),
         [
-            LinkAction::Attached(dials[0].0),
-            LinkAction::Close(dials[1].0)
+            LinkAction::Attached(dials[0].link),
+            LinkAction::Close(dials[1].link)
         ]
     );
     assert_eq!(
@@ -95,15 +114,15 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.handle_connected(NOW_MS, first.0);
-    link.handle_welcome(NOW_MS, first.0, &welcome(5, Some(4), false));
+    link.handle_connected(NOW_MS, first.link);
+    link.handle_welcome(NOW_MS, first.link, &welcome(5, Some(4), false));
     let dials = dialled(&mut link);
     assert_eq!(
-        dials.iter().map(|dial| dial.1).collect::<Vec<_>>(),
+        dials.iter().map(|dial| dial.address).collect::<Vec<_>>(),
         [address(4)]
     );
-    link.handle_connected(NOW_MS, dials[0].0);
-    link.handle_welcome(NOW_MS, dials[0].0, &welcome(5, Some(4), true));
+    link.handle_connected(NOW_MS, dials[0].link);
+    link.handle_welcome(NOW_MS, dials[0].link, &welcome(5, Some(4), true));
     assert_eq!(
         link.head(),
         Some(Head {
@@ -118,12 +137,12 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.handle_disconnected(NOW_MS, dials[0].0);
+    link.handle_disconnected(NOW_MS, dials[0].link);
     let next = dialled(&mut link);
     assert_eq!(next.len(), 1);
-    assert!(dials.iter().all(|dial| dial.1 != next[0].1));
-    link.handle_disconnected(NOW_MS, next[0].0);
-    link.handle_disconnected(NOW_MS, dials[1].0);
+    assert!(dials.iter().all(|dial| dial.address != next[0].address));
+    link.handle_disconnected(NOW_MS, next[0].link);
+    link.handle_disconnected(NOW_MS, dials[1].link);
     assert!(dialled(&mut link).is_empty());
     let wake_ms = link.next_timeout_ms(NOW_MS).expect("a later try");
     assert!(wake_ms > NOW_MS && wake_ms <= NOW_MS + BACKOFF_MAX_MS);
@@ -137,15 +156,22 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    let (failed, failed_address) = dials[0];
+    let Dial {
+        link: failed,
+        address: failed_address,
+    } = dials[0];
     link.handle_disconnected(NOW_MS, failed);
     let others = dialled(&mut link);
-    assert!(others.iter().all(|(_, address)| *address != failed_address));
-    let host = failed_address.to_string().as_bytes()[7] - b'0';
-    link.handle_connected(NOW_MS, dials[1].0);
-    link.handle_welcome(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
+    assert!(others.iter().all(|dial| dial.address != failed_address));
+    let head_host = host(failed_address);
+    link.handle_connected(NOW_MS, dials[1].link);
+    link.handle_welcome(
+        NOW_MS + 1,
+        dials[1].link,
+        &welcome(6, Some(head_host), false),
+    );
     assert_eq!(
-        dialled(&mut link).first().map(|(_, address)| *address),
+        dialled(&mut link).first().map(|dial| dial.address),
         Some(failed_address)
     );
 }
@@ -156,10 +182,17 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    let (hanging, address) = dials[0];
-    let host = address.to_string().as_bytes()[7] - b'0';
-    link.handle_connected(NOW_MS, dials[1].0);
-    link.handle_welcome(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
+    let Dial {
+        link: hanging,
+        address,
+    } = dials[0];
+    let head_host = host(address);
+    link.handle_connected(NOW_MS, dials[1].link);
+    link.handle_welcome(
+        NOW_MS + 1,
+        dials[1].link,
+        &welcome(6, Some(head_host), false),
+    );
     let actions = link.poll_actions();
     assert_eq!(actions.first(), Some(&LinkAction::Close(hanging)));
     assert!(
@@ -174,12 +207,18 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.handle_connected(NOW_MS + 10, dials[0].0);
+    link.handle_connected(NOW_MS + 10, dials[0].link);
     link.handle_timeout(NOW_MS + CONNECT_TIMEOUT_MS);
-    assert!(link.poll_actions().contains(&LinkAction::Close(dials[1].0)));
-    assert!(link.is_in_use(dials[0].0) && !link.is_in_use(dials[1].0));
+    assert!(
+        link.poll_actions()
+            .contains(&LinkAction::Close(dials[1].link))
+    );
+    assert!(link.is_in_use(dials[0].link) && !link.is_in_use(dials[1].link));
     link.handle_timeout(NOW_MS + 10 + GREETING_TIMEOUT_MS);
-    assert!(link.poll_actions().contains(&LinkAction::Close(dials[0].0)));
+    assert!(
+        link.poll_actions()
+            .contains(&LinkAction::Close(dials[0].link))
+    );
 }
 
 #[test]
@@ -187,12 +226,16 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.handle_connected(NOW_MS, first.0);
-    link.handle_welcome(NOW_MS, first.0, &welcome(5, None, false));
+    link.handle_connected(NOW_MS, first.link);
+    link.handle_welcome(NOW_MS, first.link, &welcome(5, None, false));
     link.handle_timeout(NOW_MS + LISTEN_MS - 1);
-    assert!(link.is_in_use(first.0));
-    link.handle_welcome(NOW_MS + LISTEN_MS - 1, first.0, &welcome(6, Some(1), true));
-    assert_eq!(link.attached(), Some(first.0));
+    assert!(link.is_in_use(first.link));
+    link.handle_welcome(
+        NOW_MS + LISTEN_MS - 1,
+        first.link,
+        &welcome(6, Some(1), true),
+    );
+    assert_eq!(link.attached(), Some(first.link));
 }
 
 #[test]
@@ -239,7 +282,7 @@
     link.handle_timeout(NOW_MS + SUSPICION_TIMEOUT_MS);
     let dials = dialled(&mut link);
     assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
-    assert!(dials.iter().all(|dial| dial.1 != head));
+    assert!(dials.iter().all(|dial| dial.address != head));
     link.handle_frame(NOW_MS + SUSPICION_TIMEOUT_MS, id);
     link.handle_timeout(NOW_MS + SUSPICION_TIMEOUT_MS + 1);
     assert_eq!(
@@ -257,19 +300,16 @@
     let now_ms = NOW_MS + SUSPICION_TIMEOUT_MS;
     link.handle_timeout(now_ms);
     let dials = dialled(&mut link);
-    link.handle_connected(now_ms, dials[0].0);
-    link.handle_welcome(now_ms, dials[0].0, &welcome(5, Some(4), true));
+    link.handle_connected(now_ms, dials[0].link);
+    link.handle_welcome(now_ms, dials[0].link, &welcome(5, Some(4), true));
     assert_eq!(link.attached(), Some(id));
-    link.handle_welcome(now_ms, dials[0].0, &welcome(6, Some(4), true));
-    assert_eq!(link.attached(), Some(dials[0].0));
+    link.handle_welcome(now_ms, dials[0].link, &welcome(6, Some(4), true));
+    assert_eq!(link.attached(), Some(dials[0].link));
     let actions = link.poll_actions();
-    let position = |action| {
-        actions
-            .iter()
-            .position(|other| *other == action)
-            .expect("it is there")
-    };
-    assert!(position(LinkAction::Detached) < position(LinkAction::Attached(dials[0].0)));
+    assert!(
+        position(&actions, &LinkAction::Detached)
+            < position(&actions, &LinkAction::Attached(dials[0].link))
+    );
     assert!(actions.contains(&LinkAction::Close(id)));
 }
 
@@ -295,7 +335,7 @@
     assert!(dialled(&mut link).is_empty());
     link.set_seeds(&[address(9)]);
     link.handle_timeout(NOW_MS);
-    assert_eq!(dialled(&mut link)[0].1, address(9));
+    assert_eq!(dialled(&mut link)[0].address, address(9));
 }
 
 #[test]
@@ -355,14 +395,14 @@
         }
     };
     assert_eq!(now_ms, NOW_MS + noticed_ms);
-    assert!(dials.len() == SEARCH_CONNECTIONS_MAX && dials.iter().all(|dial| dial.1 != head));
+    assert!(dials.len() == SEARCH_CONNECTIONS_MAX && dials.iter().all(|dial| dial.address != head));
     assert_eq!(link.attached(), Some(id));
-    link.handle_connected(now_ms, dials[0].0);
-    link.handle_welcome(now_ms, dials[0].0, &welcome(6, Some(4), true));
+    link.handle_connected(now_ms, dials[0].link);
+    link.handle_welcome(now_ms, dials[0].link, &welcome(6, Some(4), true));
     assert_eq!(
         link.head(),
         Some(Head {
-            address: dials[0].1,
+            address: dials[0].address,
             view: 6
         })
     );
@@ -387,18 +427,9 @@
     }
     assert_eq!(now_ms, NOW_MS + HEAD_TIMEOUT_MS);
     let actions = link.poll_actions();
-    let position = |action| {
-        actions
-            .iter()
-            .position(|other| *other == action)
-            .expect("it is there")
-    };
-    assert!(position(LinkAction::Detached) < position(LinkAction::Close(id)));
+    assert!(position(&actions, &LinkAction::Detached) < position(&actions, &LinkAction::Close(id)));
     let mut dials = Vec::new();
-    while !dials
-        .iter()
-        .any(|dial: &(LinkId, SocketAddr)| dial.1 == head)
-    {
+    while !dials.iter().any(|dial: &Dial| dial.address == head) {
         assert!(now_ms < NOW_MS + 2 * HEAD_TIMEOUT_MS);
         now_ms = link.next_timeout_ms(now_ms).expect("a later try");
         link.handle_timeout(now_ms);
@@ -406,9 +437,9 @@
     }
     let reconnected = dials
         .iter()
-        .find(|dial| dial.1 == head)
+        .find(|dial| dial.address == head)
         .expect("a new connection")
-        .0;
+        .link;
     link.handle_connected(now_ms, reconnected);
     link.handle_welcome(now_ms, reconnected, &welcome(5, Some(1), true));
     assert_eq!(link.attached(), Some(reconnected));
