--- a/crates/data-plane/src/serve.rs
+++ b/crates/data-plane/src/serve.rs
@@ -1,7 +1,9 @@
 //! The processes around the state machines: sockets, timers, signals.
 
 mod agent_role;
+mod agent_server;
 mod edge_role;
+mod edge_server;
 mod error;
 mod lifecycle;
 mod node;
@@ -19,9 +21,9 @@
 /// The settings name no role of this program or lack an address, or a socket or the signals cannot be set up.
 pub async fn serve(settings: Settings) -> Result<(), ServeError> {
     if settings.serves(Serves::Edge) {
-        edge_role::serve(settings).await
+        edge_server::serve(settings).await
     } else if settings.serves(Serves::Side) {
-        agent_role::serve(settings).await
+        agent_server::serve(settings).await
     } else {
         error::NoRoleSnafu {
             role: settings.role,
--- a/crates/data-plane/src/serve/agent_role.rs
+++ b/crates/data-plane/src/serve/agent_role.rs
@@ -1,40 +1,39 @@
-//! The node agent as a process.
+//! The node agent as a role: its state machine on the link to the core.
 
-use super::error::{NoAddressSnafu, ServeError};
-use super::lifecycle::until_terminated;
-use super::node::Node;
 use super::role::{HeadStatus, Role};
-use crate::agent::{Agent, AgentEvent, HeartbeatOutcome, HeartbeatReceipt, ORDERS_WAIT_MS};
+use crate::agent::{Agent, AgentEvent};
 use futures_channel::oneshot;
-use futures_util::future::select;
-use indigofold_net::http::{self, HttpOptions, HttpRequest, HttpResponse, Method};
-use indigofold_net::signals::Signals;
-use indigofold_net::{runtime, steady_ms};
-use indigofold_protocol::heartbeat_check::parse_heartbeat;
-use indigofold_protocol::internal::{Frame, ProcessKind};
-use indigofold_protocol::worker::HeartbeatReply;
-use indigofold_settings::Settings;
-use snafu::OptionExt;
-use std::pin::pin;
+use indigofold_protocol::internal::Frame;
 use std::rc::Rc;
-use std::time::Duration;
 
-/// Path of heartbeats, before the worker's id.
-const INSTANCES_PATH: &str = "/instances/";
-/// Largest body of a heartbeat.
-const HEARTBEAT_BYTES_MAX: usize = 4 << 20;
-/// A worker's connection is closed after this time without a request.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// After SIGTERM requests under way are finished within this time.
-const SHUTDOWN_GRACE: Duration = Duration::from_millis(200);
-
-struct AgentRole {
+/// The node agent and the reply that waits for orders.
+pub struct AgentRole {
     agent: Agent,
-    /// Ends the wait of a reply for orders.
-    awaits_orders: Option<oneshot::Sender<()>>,
+    /// Ends the wait of a reply for orders; a newer heartbeat replaces it, which ends the wait of the older one.
+    waiting_reply: Option<oneshot::Sender<()>>,
 }
 
 impl AgentRole {
+    /// No reply waits.
+    pub fn new(agent: Agent) -> Self {
+        AgentRole {
+            agent,
+            waiting_reply: None,
+        }
+    }
+
+    /// The state machine.
+    pub fn agent(&mut self) -> &mut Agent {
+        &mut self.agent
+    }
+
+    /// A reply waits for orders; the receiver ends when they have come in or another reply waits.
+    pub fn wait_for_orders(&mut self) -> oneshot::Receiver<()> {
+        let (sender, receiver) = oneshot::channel();
+        self.waiting_reply = Some(sender);
+        receiver
+    }
+
     fn log_events(&mut self) {
         for event in self.agent.poll_events() {
             match event {
@@ -71,8 +70,9 @@
         if let Frame::Orders(orders) = frame {
             let has_work = orders.has_work();
             self.agent.handle_orders(now_ms, orders);
-            if let Some(answer) = self.awaits_orders.take_if(|_| has_work) {
-                let _ = answer.send(());
+            if let Some(reply) = self.waiting_reply.take_if(|_| has_work) {
+                // The reply may have stopped waiting.
+                let _ = reply.send(());
             }
         }
     }
@@ -99,97 +99,3 @@
         self.agent.next_timeout_ms()
     }
 }
-
-/// Serves the worker on this machine until the platform stops the process.
-pub async fn serve(settings: Settings) -> Result<(), ServeError> {
-    let address = settings.bind_addrs.control_plane;
-    let address = address.context(NoAddressSnafu {
-        field: "control_plane",
-        role: settings.role.clone(),
-    })?;
-    let mut signals = Signals::register()?;
-    let max_lease_ms = settings.bounds.max_hold_ms as u64;
-    let role = AgentRole {
-        agent: Agent::new(steady_ms(), max_lease_ms),
-        awaits_orders: None,
-    };
-    let node = Node::new(&settings, ProcessKind::Agent, role);
-    let calls_node = node.clone();
-    let options = HttpOptions {
-        max_body_bytes: HEARTBEAT_BYTES_MAX,
-        idle_timeout: IDLE_TIMEOUT,
-        ..HttpOptions::default()
-    };
-    let take_call = move |request: HttpRequest| {
-        let node = calls_node.clone();
-        async move { answer_worker(&node, &request).await }
-    };
-    let server = http::serve(address, options, take_call).await?;
-    node.start();
-    log::info!(
-        "node agent serving node={} address={address}",
-        settings.node_name
-    );
-
-    until_terminated(&mut signals, &node).await;
-    log::info!("SIGTERM received, shutting down");
-    server.shutdown(Duration::ZERO, SHUTDOWN_GRACE).await;
-    Ok(())
-}
-
-async fn answer_worker(node: &Node<AgentRole>, request: &HttpRequest) -> HttpResponse {
-    let id = request
-        .path
-        .strip_prefix(INSTANCES_PATH)
-        .filter(|id| !id.is_empty() && !id.contains('/'));
-    let Some(id) = id else {
-        return error_response(404, "the path must be /instances/ID");
-    };
-    match request.method {
-        Method::PUT => answer_heartbeat(node, id, &request.body).await,
-        Method::DELETE => {
-            node.with_role(|role| role.agent.handle_deregistration(id));
-            HttpResponse::json(200, "{}")
-        }
-        _ => error_response(405, "the method must be PUT or DELETE"),
-    }
-}
-
-async fn answer_heartbeat(node: &Node<AgentRole>, id: &str, body: &[u8]) -> HttpResponse {
-    let heartbeat = match parse_heartbeat(body) {
-        Ok(heartbeat) => heartbeat,
-        Err(error) => return error_response(400, &error.to_string()),
-    };
-    let receipt = node.with_role(|role| role.agent.handle_heartbeat(steady_ms(), id, heartbeat));
-    let reply = match receipt {
-        Some(receipt) => reply(node, id, receipt).await,
-        None => HeartbeatReply::default(),
-    };
-    HttpResponse::json(200, serde_json::to_vec(&reply).unwrap_or_default())
-}
-
-/// The reply to a heartbeat that was taken over; it waits for expected orders.
-async fn reply(node: &Node<AgentRole>, id: &str, receipt: HeartbeatReceipt) -> HeartbeatReply {
-    if receipt.expects_orders {
-        wait_for_orders(node).await;
-    }
-    match node.with_role(|role| {
-        role.agent
-            .poll_heartbeat_reply(steady_ms(), id, receipt.seq_no)
-    }) {
-        HeartbeatOutcome::Answered(reply) => reply,
-        HeartbeatOutcome::Superseded => HeartbeatReply::default(),
-    }
-}
-
-/// Returns once orders have come in, a newer heartbeat waits, or [`ORDERS_WAIT_MS`] are over.
-async fn wait_for_orders(node: &Node<AgentRole>) {
-    let (sender, receiver) = oneshot::channel();
-    node.with_role(|role| role.awaits_orders = Some(sender));
-    let sleep = pin!(runtime::sleep(Duration::from_millis(ORDERS_WAIT_MS)));
-    select(sleep, receiver).await;
-}
-
-fn error_response(status: u16, reason: &str) -> HttpResponse {
-    HttpResponse::json(status, serde_json::json!({ "error": reason }).to_string())
-}
