--- /dev/null
+++ b/crates/data-plane/src/agent.rs
@@ -0,0 +1,377 @@
+//! The node agent of one worker: answers its heartbeats, sends the head's orders on to it, and reports to the head what it
+//! lists. A state machine without I/O: inputs are `handle_*`, outputs `poll_*`; `now_ms` is the machine's monotonic clock.
+
+mod closed_runs;
+mod former_instances;
+mod heartbeat_interval;
+mod lease_authority;
+mod report_schedule;
+mod reported_runs;
+mod run_table;
+mod unreported;
+mod wire_runs;
+mod worker_instance;
+
+pub use closed_runs::CLOSED_RUNS_MAX;
+pub use former_instances::ENDED_INSTANCES_MAX;
+pub use heartbeat_interval::{BUSY_HEARTBEAT_MS, IDLE_HEARTBEAT_MS, RECENT_ORDER_MS};
+pub use lease_authority::expires_by_ms;
+pub use report_schedule::{REPORT_INTERVAL_MS, REPORT_SPACING_MS};
+pub use reported_runs::PERCENT_INTERVAL_MS;
+pub use run_table::{INCOMPATIBLE_MS, SEND_ATTEMPTS_MAX, STARTS_PER_REPLY_MAX};
+
+use former_instances::FormerInstances;
+use heartbeat_interval::HeartbeatInterval;
+use indigofold_protocol::internal::{AgentOrders, AgentReport};
+use indigofold_protocol::task::RunId;
+use indigofold_protocol::worker::{Heartbeat, HeartbeatReply};
+use lease_authority::LeaseAuthority;
+use report_schedule::ReportSchedule;
+use reported_runs::ReportedRuns;
+use unreported::Unreported;
+use wire_runs::{start_entries, stop_entries};
+use worker_instance::WorkerInstance;
+
+/// Most starts not carried out that are reported on a new connection.
+pub const NOT_STARTED_MAX: usize = 512;
+/// Longest time for which the reply to a heartbeat waits for expected orders: a message to the head, a write there, and
+/// the message back. A busy worker sends its next heartbeat late, as each end of a run delays it.
+pub const ORDERS_WAIT_MS: u64 = 100;
+
+/// A heartbeat that was taken over and awaits its reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeartbeatReceipt {
+    /// Its number.
+    pub seq_no: u64,
+    /// Runs have ended, so that orders for the free capacity may follow: the reply should wait for them.
+    pub expects_orders: bool,
+}
+
+/// The result of a heartbeat.
+#[derive(Debug, PartialEq)]
+pub enum HeartbeatOutcome {
+    /// It is the newest one: the reply carries orders.
+    Answered(HeartbeatReply),
+    /// A newer one was read before, or its instance has ended: it is acknowledged without orders.
+    Superseded,
+}
+
+/// Events for the log.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum AgentEvent {
+    /// An instance of the worker has sent its first heartbeat.
+    Registered {
+        /// Id of the instance.
+        instance: String,
+    },
+    /// An instance has sent `DELETE`.
+    Deregistered {
+        /// Id of the instance.
+        instance: String,
+    },
+    /// An instance has sent no heartbeat until all its leases had expired.
+    Unresponsive {
+        /// Id of the instance.
+        instance: String,
+    },
+    /// An unresponsive instance sends heartbeats once more.
+    Returned {
+        /// Id of the instance.
+        instance: String,
+    },
+}
+
+/// The state of the node agent.
+#[derive(Debug)]
+pub struct Agent {
+    started_ms: u64,
+    authority: LeaseAuthority,
+    /// Highest epoch of the orders taken; 0 before the first.
+    epoch: u64,
+    instance: Option<WorkerInstance>,
+    former: FormerInstances,
+    /// Starts that will never be carried out.
+    not_started: Unreported<RunId>,
+    heartbeat_interval: HeartbeatInterval,
+    schedule: ReportSchedule,
+    reported_runs: ReportedRuns,
+    events: Vec<AgentEvent>,
+}
+
+impl Agent {
+    /// An agent without worker and head. `max_lease_ms`: the longest lease that workers accept.
+    pub fn new(now_ms: u64, max_lease_ms: u64) -> Self {
+        Agent {
+            started_ms: now_ms,
+            authority: LeaseAuthority::new(max_lease_ms),
+            epoch: 0,
+            instance: None,
+            former: FormerInstances::new(now_ms),
+            not_started: Unreported::new(NOT_STARTED_MAX),
+            heartbeat_interval: HeartbeatInterval::default(),
+            schedule: ReportSchedule::new(now_ms),
+            reported_runs: ReportedRuns::default(),
+            events: Vec::new(),
+        }
+    }
+
+    /// `PUT /instances/ID` has come in; [`Agent::poll_heartbeat_reply`] follows. `None` if the heartbeat is superseded or
+    /// its instance has ended.
+    pub fn handle_heartbeat(
+        &mut self,
+        now_ms: u64,
+        id: &str,
+        heartbeat: Heartbeat,
+    ) -> Option<HeartbeatReceipt> {
+        if !self.admit(now_ms, id, &heartbeat) {
+            return None;
+        }
+        self.check_authority(now_ms);
+        let instance = self.instance.as_mut()?;
+        let seq_no = heartbeat.seq_no;
+        let changes = instance.handle_heartbeat(now_ms, heartbeat);
+        let confirmed = instance.is_confirmed();
+        self.schedule.expedite_if(changes.urgent);
+        self.report_not_started(changes.not_started);
+        Some(HeartbeatReceipt {
+            seq_no,
+            expects_orders: changes.ended && confirmed && self.schedule.is_connected(),
+        })
+    }
+
+    /// The reply to the heartbeat `seq_no`, which was taken over; one that a newer heartbeat supersedes gets no orders.
+    pub fn poll_heartbeat_reply(&mut self, now_ms: u64, id: &str, seq_no: u64) -> HeartbeatOutcome {
+        self.check_authority(now_ms);
+        let newest = self
+            .instance
+            .as_mut()
+            .filter(|instance| instance.id() == id && instance.is_newest(seq_no));
+        let Some(instance) = newest else {
+            return HeartbeatOutcome::Superseded;
+        };
+        let authority = &self.authority;
+        let lease_ms = instance
+            .is_confirmed()
+            .then(|| authority.lease_ms(now_ms))
+            .flatten();
+        let in_flight = instance.in_flight();
+        let orders = instance.poll_orders(now_ms, lease_ms);
+        let interval_ms = self.heartbeat_interval.next_ms(now_ms, instance.is_idle());
+        let reply = HeartbeatReply {
+            lease_ms,
+            acknowledged_end: instance.acknowledged_end(),
+            fencing_token: (self.epoch > 0).then_some(self.epoch),
+            start: start_entries(orders.start),
+            stop: stop_entries(&orders.stop),
+            retry_delay_ms: Some(interval_ms),
+        };
+        self.schedule.expedite_if(instance.in_flight() != in_flight);
+        self.report_not_started(orders.not_started);
+        self.end_if_finished();
+        HeartbeatOutcome::Answered(reply)
+    }
+
+    /// `DELETE /instances/ID`. A worker that was draining ends now. One that was not goes on running for a while: its
+    /// runs have not ended before the worker has listed their ends, or its leases have expired.
+    pub fn handle_deregistration(&mut self, id: &str) {
+        let present = self.instance.as_mut();
+        let Some(instance) =
+            present.filter(|instance| instance.id() == id && !instance.is_deregistered())
+        else {
+            return;
+        };
+        self.events.push(AgentEvent::Deregistered {
+            instance: id.to_owned(),
+        });
+        let withdrawn = instance.withdraw_unlisted();
+        if instance.is_draining() || instance.is_idle() {
+            self.end_instance();
+        } else {
+            instance.deregister();
+            self.schedule.expedite_if(true);
+        }
+        self.report_not_started(withdrawn);
+    }
+
+    /// The head has sent orders. Those of a lower epoch than the highest one, or for another instance, are dropped.
+    pub fn handle_orders(&mut self, now_ms: u64, orders: AgentOrders) {
+        if orders.epoch < self.epoch {
+            return;
+        }
+        self.epoch = orders.epoch;
+        self.check_authority(now_ms);
+        if let Some(echo_ms) = orders.echo_sent_ms {
+            self.handle_echo(echo_ms);
+        }
+        let present = self.instance.as_mut();
+        let Some(instance) = present.filter(|instance| instance.id() == orders.instance) else {
+            let has_present = self.instance.is_some();
+            let changed = self.former.handle_unknown(orders.instance, has_present);
+            self.schedule.expedite_if(changed);
+            return;
+        };
+        if let Some(number) = orders.acknowledged_end {
+            instance.handle_acknowledged_end(number);
+        }
+        if orders.has_work() {
+            self.heartbeat_interval.handle_activity(now_ms);
+        }
+        let mut not_started = Vec::new();
+        for order in orders.start {
+            not_started.extend(instance.handle_start(order));
+        }
+        for run in orders.stop {
+            not_started.extend(instance.handle_stop(run));
+        }
+        self.report_not_started(not_started);
+    }
+
+    /// An acting head is connected: it has to be sent everything.
+    pub fn handle_connected(&mut self) {
+        self.schedule.handle_connected();
+        self.reported_runs.reset();
+        self.former.reports().handle_connected();
+        self.not_started.handle_connected();
+    }
+
+    /// The connection to the head is lost.
+    pub fn handle_disconnected(&mut self) {
+        self.schedule.handle_disconnected();
+    }
+
+    /// Expires what is due, and returns the report that is due now.
+    pub fn poll_report(&mut self, now_ms: u64) -> Option<AgentReport> {
+        self.expire_unresponsive(now_ms);
+        let is_due = self.report_due_ms().is_some_and(|due_ms| due_ms <= now_ms);
+        is_due.then(|| self.report(now_ms))
+    }
+
+    /// When [`Agent::poll_report`] is to be called next, at the latest.
+    pub fn next_timeout_ms(&self) -> Option<u64> {
+        let instance = self.instance.as_ref();
+        let timeouts = [
+            instance.and_then(WorkerInstance::next_timeout_ms),
+            self.former.next_timeout_ms(),
+            self.report_due_ms(),
+        ];
+        timeouts.into_iter().flatten().min()
+    }
+
+    /// The events since the last call, oldest first.
+    pub fn poll_events(&mut self) -> Vec<AgentEvent> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// Whether this heartbeat is to be read; registers a new or returning instance first.
+    fn admit(&mut self, now_ms: u64, id: &str, heartbeat: &Heartbeat) -> bool {
+        if self.former.is_closed(id) {
+            return false;
+        }
+        let present = self.instance.as_ref();
+        if present.is_some_and(|instance| instance.id() != id) {
+            self.end_instance();
+        }
+        let id = id.to_owned();
+        match &mut self.instance {
+            Some(instance) if instance.is_superseded(heartbeat.seq_no) => return false,
+            Some(instance) if !instance.is_expired() => return true,
+            Some(instance) => {
+                instance.handle_return();
+                let instance = id.clone();
+                self.events.push(AgentEvent::Returned { instance });
+            }
+            None => {
+                let returned = self.former.is_ended(&id);
+                self.instance = Some(WorkerInstance::new(id.clone(), self.started_ms, returned));
+                let instance = id.clone();
+                self.events.push(AgentEvent::Registered { instance });
+            }
+        }
+        self.former.handle_present(&id);
+        self.schedule.expedite_if(true);
+        self.reported_runs.reset();
+        self.heartbeat_interval.handle_activity(now_ms);
+        true
+    }
+
+    /// An acting head has acknowledged the report sent at `echo_ms`.
+    fn handle_echo(&mut self, echo_ms: u64) {
+        if self.authority.handle_echo(echo_ms)
+            && let Some(instance) = &mut self.instance
+        {
+            instance.handle_echo(echo_ms);
+        }
+    }
+
+    /// Ends a deregistered instance that has nothing left to run or to report.
+    fn end_if_finished(&mut self) {
+        let present = self.instance.as_ref();
+        if present.is_some_and(WorkerInstance::is_finished) {
+            self.end_instance();
+        }
+    }
+
+    fn end_instance(&mut self) {
+        if let Some(instance) = self.instance.take() {
+            self.former.close(instance.id().to_owned());
+            self.schedule.expedite_if(true);
+        }
+    }
+
+    fn report_not_started(&mut self, runs: Vec<RunId>) {
+        self.schedule.expedite_if(!runs.is_empty());
+        runs.into_iter().for_each(|run| self.not_started.push(run));
+    }
+
+    /// Without authority nothing is started: what the worker has not listed yet is withdrawn, since a head that received
+    /// no report from this agent may have started it elsewhere.
+    fn check_authority(&mut self, now_ms: u64) {
+        if !self.authority.has_expired(now_ms) {
+            return;
+        }
+        if let Some(instance) = &mut self.instance {
+            let withdrawn = instance.withdraw_unlisted();
+            self.report_not_started(withdrawn);
+        }
+    }
+
+    /// Reports an instance as ended once all its leases have expired.
+    fn expire_unresponsive(&mut self, now_ms: u64) {
+        let changed = self.former.expire_unknown(now_ms);
+        self.schedule.expedite_if(changed);
+        let present = self.instance.as_mut();
+        let Some(instance) = present.filter(|instance| instance.is_expiry_due(now_ms)) else {
+            return;
+        };
+        let id = instance.id().to_owned();
+        let withdrawn = instance.expire();
+        self.report_not_started(withdrawn);
+        self.former.expire(id.clone());
+        self.schedule.expedite_if(true);
+        self.events.push(AgentEvent::Unresponsive { instance: id });
+    }
+
+    fn report_due_ms(&self) -> Option<u64> {
+        let pending = self.former.is_report_pending() || self.not_started.is_pending();
+        self.schedule.due_ms(pending)
+    }
+
+    fn report(&mut self, now_ms: u64) -> AgentReport {
+        self.schedule.handle_report_sent(now_ms);
+        self.authority.handle_report_sent(now_ms);
+        let present = self.instance.as_mut();
+        let instance = present
+            .filter(|instance| !instance.is_expired())
+            .map(|instance| {
+                instance.handle_report_sent(now_ms);
+                let include_runs = self.reported_runs.needs_runs(now_ms, instance);
+                instance.report(now_ms, include_runs)
+            });
+        AgentReport {
+            sent_ms: now_ms,
+            instance,
+            ended_instances: self.former.reports().take_pending(),
+            not_started: self.not_started.take_pending(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/agent/run_table.rs
@@ -0,0 +1,171 @@
+//! The runs of one instance of the worker: ordered, sent, running, closed.
+
+mod entry;
+
+pub use entry::{INCOMPATIBLE_MS, ReplyContext, SEND_ATTEMPTS_MAX, STARTS_PER_REPLY_MAX};
+
+use super::closed_runs::{CloseReason, ClosedRuns};
+use entry::{RunEntry, StartDecision, UnlistedRun};
+use indigofold_protocol::internal::{FinishedRun, RunningRun, StartOrder};
+use indigofold_protocol::job::Resources;
+use indigofold_protocol::task::RunId;
+use std::collections::BTreeMap;
+
+/// The orders that one reply carries.
+#[derive(Debug, Default)]
+pub struct OutgoingOrders {
+    /// Runs to start.
+    pub start: Vec<StartOrder>,
+    /// Runs to stop.
+    pub stop: Vec<RunId>,
+    /// Starts that are returned to the head.
+    pub not_started: Vec<RunId>,
+}
+
+/// All runs of one instance that are ordered, sent or running.
+#[derive(Debug, Default)]
+pub struct RunTable {
+    entries: BTreeMap<RunId, RunEntry>,
+    closed: ClosedRuns,
+}
+
+impl RunTable {
+    /// Takes a start order. A run that is known already is not started a second time; one that was returned to the head
+    /// is returned once more.
+    pub fn handle_start(&mut self, order: StartOrder) -> Option<RunId> {
+        match self.closed.get(&order.run) {
+            Some(CloseReason::NotStarted) => return Some(order.run),
+            Some(CloseReason::Ended) => return None,
+            None => {}
+        }
+        match self.entries.get_mut(&order.run) {
+            Some(entry) => entry.set_resources(order.resources),
+            None => {
+                self.entries.insert(order.run, RunEntry::waiting(order));
+            }
+        }
+        None
+    }
+
+    /// Refuses a start order that must not be carried out; returns the run unless the table knows it.
+    pub fn refuse_start(&mut self, run: RunId) -> Option<RunId> {
+        let known =
+            self.entries.contains_key(&run) || self.closed.get(&run) == Some(CloseReason::Ended);
+        (!known).then(|| {
+            self.closed.insert(run, CloseReason::NotStarted);
+            run
+        })
+    }
+
+    /// Takes a stop order. Returns the run if it was never sent, so that there is nothing to stop.
+    pub fn handle_stop(&mut self, run: RunId) -> Option<RunId> {
+        match self.closed.get(&run) {
+            Some(CloseReason::NotStarted) => return Some(run),
+            Some(CloseReason::Ended) => return None,
+            None => {}
+        }
+        let Some(entry) = self.entries.get_mut(&run) else {
+            self.entries.insert(run, RunEntry::stop_only());
+            return None;
+        };
+        if !entry.withdraw() {
+            return None;
+        }
+        self.close(run, CloseReason::NotStarted);
+        Some(run)
+    }
+
+    /// Withdraws all starts that the worker has not listed; returns those that were never sent.
+    pub fn withdraw_unlisted(&mut self) -> Vec<RunId> {
+        let unlisted = self.entries.iter().filter(|(_, entry)| !entry.is_running());
+        let runs: Vec<RunId> = unlisted.map(|(run, _)| *run).collect();
+        runs.into_iter()
+            .filter_map(|run| self.handle_stop(run))
+            .collect()
+    }
+
+    /// Reads the lists of heartbeat `seq_no`; returns the starts that are now known never to begin.
+    pub fn handle_heartbeat(
+        &mut self,
+        seq_no: u64,
+        running: &[RunningRun],
+        finished: &[FinishedRun],
+    ) -> Vec<RunId> {
+        for listed in running {
+            self.entries
+                .entry(listed.run)
+                .or_insert_with(RunEntry::running)
+                .handle_listed();
+        }
+        for ended in finished {
+            self.close(ended.run, CloseReason::Ended);
+        }
+        let mut not_started = Vec::new();
+        let mut ended = Vec::new();
+        for (run, entry) in &mut self.entries {
+            match entry.handle_heartbeat_end(seq_no) {
+                UnlistedRun::Kept => {}
+                UnlistedRun::NeverStarted => not_started.push(*run),
+                UnlistedRun::Ended => ended.push(*run),
+            }
+        }
+        self.close_all(&ended, CloseReason::Ended);
+        self.close_all(&not_started, CloseReason::NotStarted);
+        not_started
+    }
+
+    /// The orders that the reply carries.
+    pub fn poll_orders(&mut self, context: ReplyContext) -> OutgoingOrders {
+        let mut orders = OutgoingOrders::default();
+        let mut used = self.occupied();
+        for (run, entry) in &mut self.entries {
+            match entry.poll_start(&context, &used, orders.start.len()) {
+                StartDecision::Send(order) => {
+                    used = used.plus(entry.resources());
+                    orders.start.push(order);
+                }
+                StartDecision::Withdraw => orders.not_started.push(*run),
+                StartDecision::Defer => {}
+            }
+            if entry.poll_stop(context.seq_no) {
+                orders.stop.push(*run);
+            }
+        }
+        self.close_all(&orders.not_started, CloseReason::NotStarted);
+        orders
+    }
+
+    /// Runs sent to the worker that no heartbeat has listed yet.
+    pub fn in_flight(&self) -> Vec<RunId> {
+        let sent = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.is_in_flight());
+        sent.map(|(run, _)| *run).collect()
+    }
+
+    /// Whether nothing is ordered, sent or running.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// Capacity taken by runs that are running, are being stopped, or may be about to start.
+    fn occupied(&self) -> Resources {
+        let present = self
+            .entries
+            .values()
+            .filter(|entry| entry.occupies_capacity());
+        present.fold(Resources::default(), |sum, entry| {
+            sum.plus(entry.resources())
+        })
+    }
+
+    fn close_all(&mut self, runs: &[RunId], reason: CloseReason) {
+        runs.iter().for_each(|run| self.close(*run, reason));
+    }
+
+    fn close(&mut self, run: RunId, reason: CloseReason) {
+        self.entries.remove(&run);
+        self.closed.insert(run, reason);
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/core_link.rs
@@ -0,0 +1,296 @@
+//! The link to the core: finds the acting head, stays connected to it, and searches for its successor when it no longer
+//! responds. A state machine without I/O: inputs are `handle_*`, outputs `poll_*`; `now_ms` is the machine's monotonic clock.
+
+mod action;
+mod attachment;
+mod candidates;
+mod head_hint;
+mod search;
+
+pub use action::{LinkAction, LinkId};
+pub use attachment::{HEAD_TIMEOUT_MS, IDLE_PROBE_MS, SUSPICION_TIMEOUT_MS};
+pub use candidates::{BACKOFF_MAX_MS, BACKOFF_MIN_MS};
+pub use search::{CONNECT_TIMEOUT_MS, GREETING_TIMEOUT_MS, LISTEN_MS, SEARCH_CONNECTIONS_MAX};
+
+use attachment::Attachment;
+use candidates::Candidates;
+use head_hint::HeadHint;
+use indigofold_protocol::config::IngressLimits;
+use indigofold_protocol::internal::Welcome;
+use search::{RemovedConnection, Search};
+use std::net::SocketAddr;
+
+/// The acting head that the link is connected to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Head {
+    /// Its address for other processes.
+    pub address: SocketAddr,
+    /// The view that it leads.
+    pub view: u64,
+}
+
+/// Connections to the core.
+#[derive(Debug)]
+pub struct CoreLink {
+    candidates: Candidates,
+    hint: HeadHint,
+    search: Search,
+    attachment: Option<Attachment>,
+    idle_probing: bool,
+    actions: Vec<LinkAction>,
+}
+
+impl CoreLink {
+    /// Only the seeds are known. `random_seed` spreads processes over the members.
+    pub fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
+        CoreLink {
+            candidates: Candidates::new(seeds, random_seed),
+            hint: HeadHint::default(),
+            search: Search::default(),
+            attachment: None,
+            idle_probing: false,
+            actions: Vec::new(),
+        }
+    }
+
+    /// Probes a head that has sent nothing for [`IDLE_PROBE_MS`], and detaches from it if it does not respond within
+    /// [`HEAD_TIMEOUT_MS`]. Processes that send nothing while idle need this to notice a frozen or unreachable head.
+    pub fn with_idle_probing(mut self) -> Self {
+        self.idle_probing = true;
+        self
+    }
+
+    /// Takes over the seeds of reloaded settings.
+    pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
+        self.candidates.set_seeds(seeds);
+    }
+
+    /// The connection to the acting head.
+    pub fn attached(&self) -> Option<LinkId> {
+        self.attachment.as_ref().map(Attachment::link)
+    }
+
+    /// The acting head.
+    pub fn head(&self) -> Option<Head> {
+        self.attachment.as_ref().map(|attachment| Head {
+            address: attachment.address(),
+            view: attachment.view(),
+        })
+    }
+
+    /// Version of the configuration at the acting head; 0 without one.
+    pub fn config_version(&self) -> u64 {
+        self.attachment
+            .as_ref()
+            .map_or(0, Attachment::config_version)
+    }
+
+    /// The limits on clients' calls that the acting head has named.
+    pub fn limits(&self) -> Option<&IngressLimits> {
+        self.attachment.as_ref().map(Attachment::limits)
+    }
+
+    /// Up to when the head was responsive: since when it has owed a reply, or now if it owes none.
+    pub fn head_responsive_ms(&self, now_ms: u64) -> u64 {
+        self.attachment
+            .as_ref()
+            .and_then(Attachment::owed_since_ms)
+            .unwrap_or(now_ms)
+    }
+
+    /// Whether this connection is still in use.
+    pub fn is_in_use(&self, link: LinkId) -> bool {
+        self.attached() == Some(link) || self.search.contains(link)
+    }
+
+    /// A connection is open, and the greeting was sent.
+    pub fn handle_connected(&mut self, now_ms: u64, link: LinkId) {
+        self.search.handle_connected(now_ms, link);
+    }
+
+    /// A connection could not be opened, or has ended.
+    pub fn handle_disconnected(&mut self, now_ms: u64, link: LinkId) {
+        if let Some(lost) = self.attachment.take_if(|head| head.link() == link) {
+            self.candidates.back_off(lost.address(), now_ms);
+            self.actions.push(LinkAction::Detached);
+        }
+        if let Some(failed) = self.search.remove(link) {
+            self.candidates.back_off(failed.address, now_ms);
+        }
+        self.handle_timeout(now_ms);
+    }
+
+    /// A member has sent its welcome: which view, head and members it knows.
+    pub fn handle_welcome(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
+        let named = welcome.members.iter().chain(&welcome.head);
+        let addresses: Vec<SocketAddr> = named.map(|member| member.internal).collect();
+        self.candidates.set_members(&addresses);
+        if let Some(address) = self.hint.handle_welcome(welcome) {
+            self.candidates.clear_backoff(address);
+            // A dial that began while the machine was down would hang.
+            let hanging = self.search.remove_dialling(address);
+            self.close_all(hanging);
+        }
+        if self.attached() == Some(link) {
+            self.handle_head_welcome(now_ms, welcome);
+        } else if self.search.contains(link) {
+            self.handle_search_welcome(now_ms, link, welcome);
+        }
+        self.handle_timeout(now_ms);
+    }
+
+    /// A frame has come in over this connection.
+    pub fn handle_frame(&mut self, now_ms: u64, link: LinkId) {
+        let attachment = self.attachment.as_mut();
+        if let Some(attachment) = attachment.filter(|head| head.link() == link) {
+            attachment.handle_frame(now_ms);
+        }
+    }
+
+    /// A request was sent to the head that it has to reply to, or a reply is still missing after a frame of it.
+    pub fn handle_request_sent(&mut self, now_ms: u64) {
+        if let Some(attachment) = &mut self.attachment {
+            attachment.handle_request_sent(now_ms);
+        }
+    }
+
+    /// Does what is due at this time.
+    pub fn handle_timeout(&mut self, now_ms: u64) {
+        self.close_expired(now_ms);
+        if self.idle_probing {
+            self.detach_unresponsive(now_ms);
+            self.probe_idle(now_ms);
+        }
+        if !self.is_searching(now_ms) {
+            let unused = self.search.clear();
+            self.close_all(unused);
+            return;
+        }
+        self.dial_named_head(now_ms);
+        while !self.search.is_full() {
+            let addresses_in_use = self.addresses_in_use();
+            let Some(address) = self.candidates.pick(now_ms, &addresses_in_use) else {
+                break;
+            };
+            self.dial(now_ms, address);
+        }
+    }
+
+    /// When [`CoreLink::handle_timeout`] is to be called next, at the latest.
+    pub fn next_timeout_ms(&self, now_ms: u64) -> Option<u64> {
+        let attachment = self.attachment.as_ref();
+        let head_ms = attachment.and_then(|head| head.next_timeout_ms(now_ms, self.idle_probing));
+        if !self.is_searching(now_ms) {
+            return head_ms;
+        }
+        let dial_ms = if self.search.is_full() {
+            None
+        } else {
+            self.candidates.next_attempt_ms(&self.addresses_in_use())
+        };
+        [head_ms, self.search.next_timeout_ms(), dial_ms]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    /// The actions since the last call, in order.
+    pub fn poll_actions(&mut self) -> Vec<LinkAction> {
+        std::mem::take(&mut self.actions)
+    }
+
+    /// No head is known, or the one that is known is suspected.
+    fn is_searching(&self, now_ms: u64) -> bool {
+        self.attachment
+            .as_ref()
+            .is_none_or(|attachment| attachment.is_suspected(now_ms))
+    }
+
+    /// Detaches from a head that has timed out. Its address is dialled anew, as a new connection opens sooner than the
+    /// old one recovers once a network partition has healed.
+    fn detach_unresponsive(&mut self, now_ms: u64) {
+        let Some(lost) = self.attachment.take_if(|head| head.is_timed_out(now_ms)) else {
+            return;
+        };
+        self.hint.forget(lost.address());
+        self.candidates.back_off(lost.address(), now_ms);
+        self.actions.push(LinkAction::Detached);
+        self.actions.push(LinkAction::Close(lost.link()));
+    }
+
+    /// Probes a head that has been idle, once until it sends a frame.
+    fn probe_idle(&mut self, now_ms: u64) {
+        if let Some(attachment) = &mut self.attachment
+            && attachment.poll_probe(now_ms)
+        {
+            self.actions.push(LinkAction::ProbeHead(attachment.link()));
+        }
+    }
+
+    /// The attached member has sent another welcome.
+    fn handle_head_welcome(&mut self, now_ms: u64, welcome: &Welcome) {
+        if welcome.acting {
+            if let Some(attachment) = &mut self.attachment {
+                attachment.handle_welcome(welcome);
+            }
+        } else if let Some(former) = self.attachment.take() {
+            self.search.listen(now_ms, former.link(), former.address());
+            self.actions.push(LinkAction::Detached);
+        }
+    }
+
+    /// A member that the search is connected to has sent a welcome.
+    fn handle_search_welcome(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
+        let known_view = self.attachment.as_ref().map(Attachment::view);
+        let is_newer_head = welcome.acting && known_view.is_none_or(|view| view < welcome.view);
+        if !is_newer_head {
+            self.search.handle_welcome(now_ms, link);
+        } else if let Some(found) = self.search.remove(link) {
+            self.attach(now_ms, found, welcome);
+        }
+    }
+
+    fn attach(&mut self, now_ms: u64, found: RemovedConnection, welcome: &Welcome) {
+        let attachment = Attachment::new(now_ms, found.link, found.address, welcome);
+        if let Some(former) = self.attachment.replace(attachment) {
+            self.actions.push(LinkAction::Detached);
+            self.actions.push(LinkAction::Close(former.link()));
+        }
+        self.actions.push(LinkAction::Attached(found.link));
+    }
+
+    fn close_expired(&mut self, now_ms: u64) {
+        for expired in self.search.remove_expired(now_ms) {
+            self.candidates.back_off(expired.address, now_ms);
+            self.actions.push(LinkAction::Close(expired.link));
+        }
+    }
+
+    fn close_all(&mut self, removed: Vec<RemovedConnection>) {
+        let closes = removed
+            .into_iter()
+            .map(|removed| LinkAction::Close(removed.link));
+        self.actions.extend(closes);
+    }
+
+    /// Dials the head that a member has named, beside the connections that are open already.
+    fn dial_named_head(&mut self, now_ms: u64) {
+        let Some(address) = self.hint.address() else {
+            return;
+        };
+        if !self.addresses_in_use().contains(&address) && self.candidates.may_dial(address, now_ms)
+        {
+            self.dial(now_ms, address);
+        }
+    }
+
+    fn dial(&mut self, now_ms: u64, address: SocketAddr) {
+        let link = self.search.dial(now_ms, address);
+        self.actions.push(LinkAction::Dial { link, address });
+    }
+
+    fn addresses_in_use(&self) -> Vec<SocketAddr> {
+        let attached = self.attachment.as_ref().map(Attachment::address);
+        self.search.addresses().chain(attached).collect()
+    }
+}
--- a/crates/data-plane/src/core_link/candidates.rs
+++ b/crates/data-plane/src/core_link/candidates.rs
@@ -1,16 +1,17 @@
-//! Whom to dial next: the members that are known, then the seeds, each no sooner than its last failure allows.
+//! Which address to dial next: known members and seeds in rotation, each no sooner than its backoff allows.
 
 use fastrand::Rng;
 use std::net::SocketAddr;
 
-/// After a failure an address is left alone for at least so long.
+/// Least backoff of an address after a failure.
 pub const BACKOFF_MIN_MS: u64 = 50;
-/// After a failure an address is left alone for at most so long.
+/// Longest backoff of an address after a failure.
 pub const BACKOFF_MAX_MS: u64 = 200;
 
 #[derive(Debug)]
 struct Candidate {
     address: SocketAddr,
+    /// Named by the settings.
     seed: bool,
     not_before_ms: u64,
 }
@@ -24,7 +25,7 @@
 }
 
 impl Candidates {
-    /// Nothing but the seeds is known. `random_seed` spreads processes over the members.
+    /// Only the seeds are known. `random_seed` spreads processes over the members.
     pub fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
         let mut candidates = Candidates {
             known: Vec::new(),
@@ -36,7 +37,7 @@
         candidates
     }
 
-    /// The seeds of newly read settings; members learned meanwhile stay.
+    /// Replaces the seeds by those of reloaded settings; members named meanwhile stay.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.known
             .iter_mut()
@@ -44,7 +45,7 @@
         seeds.iter().for_each(|seed| self.add(*seed, true));
     }
 
-    /// The members that a core member has named. Earlier ones that are neither named nor seeds are forgotten.
+    /// Replaces the members by those that a core member has named; seeds stay. An empty list changes nothing.
     pub fn set_members(&mut self, members: &[SocketAddr]) {
         if members.is_empty() {
             return;
@@ -54,12 +55,12 @@
         members.iter().for_each(|member| self.add(*member, false));
     }
 
-    /// The next address that may be dialled now and is not among `busy`.
-    pub fn pick(&mut self, now_ms: u64, busy: &[SocketAddr]) -> Option<SocketAddr> {
+    /// The next address that may be dialled now and is not among `addresses_in_use`.
+    pub fn pick(&mut self, now_ms: u64, addresses_in_use: &[SocketAddr]) -> Option<SocketAddr> {
         let count = self.known.len();
         for offset in 0..count {
             let index = (self.next + offset) % count;
-            if self.free(index, now_ms, busy) {
+            if self.is_available(index, now_ms, addresses_in_use) {
                 self.next = index + 1;
                 return Some(self.known[index].address);
             }
@@ -73,33 +74,33 @@
         known.is_none_or(|known| known.not_before_ms <= now_ms)
     }
 
-    /// A connection to this address has failed or has served its purpose.
+    /// A connection to this address has failed or was given up.
     pub fn back_off(&mut self, address: SocketAddr, now_ms: u64) {
-        let pause_ms = self.random.u64(BACKOFF_MIN_MS..=BACKOFF_MAX_MS);
+        let backoff_ms = self.random.u64(BACKOFF_MIN_MS..=BACKOFF_MAX_MS);
         if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
-            known.not_before_ms = now_ms + pause_ms;
+            known.not_before_ms = now_ms + backoff_ms;
         }
     }
 
-    /// This address may be dialled at once, whatever has failed there: it has turned into the head's.
-    pub fn forgive(&mut self, address: SocketAddr) {
+    /// This address may be dialled at once regardless of failures: a member has named it as the head's.
+    pub fn clear_backoff(&mut self, address: SocketAddr) {
         if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
             known.not_before_ms = 0;
         }
     }
 
-    /// When the next address that is not among `busy` may be dialled.
-    pub fn next_ms(&self, busy: &[SocketAddr]) -> Option<u64> {
-        let free = self
+    /// When the next address that is not among `addresses_in_use` may be dialled.
+    pub fn next_attempt_ms(&self, addresses_in_use: &[SocketAddr]) -> Option<u64> {
+        let unused = self
             .known
             .iter()
-            .filter(|known| !busy.contains(&known.address));
-        free.map(|known| known.not_before_ms).min()
+            .filter(|known| !addresses_in_use.contains(&known.address));
+        unused.map(|known| known.not_before_ms).min()
     }
 
-    fn free(&self, index: usize, now_ms: u64, busy: &[SocketAddr]) -> bool {
+    fn is_available(&self, index: usize, now_ms: u64, addresses_in_use: &[SocketAddr]) -> bool {
         let candidate = &self.known[index];
-        candidate.not_before_ms <= now_ms && !busy.contains(&candidate.address)
+        candidate.not_before_ms <= now_ms && !addresses_in_use.contains(&candidate.address)
     }
 
     fn add(&mut self, address: SocketAddr, seed: bool) {
--- /dev/null
+++ b/crates/data-plane/src/serve.rs
@@ -0,0 +1,33 @@
+//! The processes around the state machines: sockets, timers, signals.
+
+mod agent_role;
+mod agent_server;
+mod edge_role;
+mod edge_server;
+mod error;
+mod lifecycle;
+mod node;
+mod role;
+mod timer;
+
+pub use error::ServeError;
+
+use indigofold_settings::{Serves, Settings};
+
+/// Runs the role that the settings name until the platform stops it.
+///
+/// # Errors
+///
+/// The settings name no role of this program or lack an address, or a socket or the signals cannot be set up.
+pub async fn serve(settings: Settings) -> Result<(), ServeError> {
+    if settings.serves(Serves::Edge) {
+        edge_server::serve(settings).await
+    } else if settings.serves(Serves::Side) {
+        agent_server::serve(settings).await
+    } else {
+        error::NoRoleSnafu {
+            role: settings.role,
+        }
+        .fail()
+    }
+}
--- a/crates/data-plane/src/serve/agent_role.rs
+++ b/crates/data-plane/src/serve/agent_role.rs
@@ -1,77 +1,84 @@
-//! The companion as a process.
+//! The node agent as a role: its state machine on the link to the core.
 
-use super::error::{NoAddressSnafu, ServeError};
-use super::node::{Node, Role};
-use crate::agent::{Agent, AgentEvent, BeatOutcome, Heard, ORDERS_WAIT_MS};
+use super::role::{HeadStatus, Role};
+use crate::agent::{Agent, AgentEvent};
 use futures_channel::oneshot;
-use futures_util::future::select;
-use indigofold_net::http::{self, HttpOptions, HttpRequest, HttpResponse, Method};
-use indigofold_net::signals::Signals;
-use indigofold_net::{runtime, steady_ms};
-use indigofold_protocol::config::IngressLimits;
-use indigofold_protocol::heartbeat_check::parse_heartbeat;
-use indigofold_protocol::internal::{Frame, ProcessKind};
-use indigofold_protocol::worker::HeartbeatReply;
-use indigofold_settings::Settings;
-use snafu::OptionExt;
-use std::pin::pin;
+use indigofold_protocol::internal::Frame;
 use std::rc::Rc;
-use std::time::Duration;
 
-/// Path of heartbeats, before the worker's id.
-const INSTANCES_PATH: &str = "/instances/";
-/// Largest heartbeat that is taken.
-const HEARTBEAT_BYTES_MAX: usize = 4 << 20;
-/// A worker's connection may be idle for so long.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// After SIGTERM what is being answered is finished within this time.
-const LEAVING: Duration = Duration::from_millis(200);
-
-struct AgentRole {
+/// The node agent and the reply that waits for orders.
+pub struct AgentRole {
     agent: Agent,
-    /// The answer to a heartbeat that waits for orders.
-    awaits_orders: Option<oneshot::Sender<()>>,
+    /// Ends the wait of a reply for orders; a newer heartbeat replaces it, which ends the wait of the older one.
+    waiting_reply: Option<oneshot::Sender<()>>,
 }
 
 impl AgentRole {
+    /// No reply waits.
+    pub fn new(agent: Agent) -> Self {
+        AgentRole {
+            agent,
+            waiting_reply: None,
+        }
+    }
+
+    /// The state machine.
+    pub fn agent(&mut self) -> &mut Agent {
+        &mut self.agent
+    }
+
+    /// A reply waits for orders; the receiver ends when they have come in or another reply waits.
+    pub fn wait_for_orders(&mut self) -> oneshot::Receiver<()> {
+        let (sender, receiver) = oneshot::channel();
+        self.waiting_reply = Some(sender);
+        receiver
+    }
+
     fn log_events(&mut self) {
-        for event in self.agent.take_events() {
+        for event in self.agent.poll_events() {
             match event {
-                AgentEvent::Registered(id) => log::info!("worker {id} has registered"),
-                AgentEvent::Left(id) => log::info!("worker {id} has left"),
-                AgentEvent::Silent(id) => {
-                    log::warn!("worker {id} is gone: silent until its holds lapsed")
+                AgentEvent::Registered { instance } => {
+                    log::info!("worker instance registered instance={instance}");
+                }
+                AgentEvent::Deregistered { instance } => {
+                    log::info!("worker instance deregistered instance={instance}");
+                }
+                AgentEvent::Unresponsive { instance } => log::warn!(
+                    "worker instance unresponsive, its run leases have expired instance={instance}"
+                ),
+                AgentEvent::Returned { instance } => {
+                    log::info!("worker instance responsive after expiry instance={instance}");
                 }
-                AgentEvent::Returned(id) => log::info!("worker {id} is heard again"),
             }
         }
     }
 }
 
 impl Role for AgentRole {
-    fn note(&mut self, _answered_ms: u64, _config_version: u64, _limits: Option<&IngressLimits>) {}
+    fn handle_head_status(&mut self, _status: HeadStatus<'_>) {}
 
-    fn attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
-        self.agent.link_up();
+    fn handle_attached(&mut self, _now_ms: u64) -> Vec<Rc<Frame>> {
+        self.agent.handle_connected();
         Vec::new()
     }
 
-    fn detached(&mut self, _now_ms: u64) {
-        self.agent.link_down();
+    fn handle_detached(&mut self, _now_ms: u64) {
+        self.agent.handle_disconnected();
     }
 
-    fn received(&mut self, now_ms: u64, frame: Frame) {
+    fn handle_frame(&mut self, now_ms: u64, frame: Frame) {
         if let Frame::Orders(orders) = frame {
             let has_work = orders.has_work();
-            self.agent.orders(now_ms, orders);
-            if let Some(answer) = self.awaits_orders.take_if(|_| has_work) {
-                let _ = answer.send(());
+            self.agent.handle_orders(now_ms, orders);
+            if let Some(reply) = self.waiting_reply.take_if(|_| has_work) {
+                // The reply may have stopped waiting.
+                let _ = reply.send(());
             }
         }
     }
 
-    /// Reports are frequent enough.
-    fn sign_of_life(&self) -> Option<Frame> {
+    /// None: reports are frequent enough.
+    fn liveness_probe(&self) -> Option<Frame> {
         None
     }
 
@@ -79,8 +86,8 @@
         false
     }
 
-    fn tick(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
-        let report = self.agent.tick(now_ms);
+    fn poll_frames(&mut self, now_ms: u64) -> Vec<Rc<Frame>> {
+        let report = self.agent.poll_report(now_ms);
         self.log_events();
         report
             .map(|report| Rc::new(Frame::Report(report)))
@@ -88,95 +95,7 @@
             .collect()
     }
 
-    fn next_tick_ms(&self) -> Option<u64> {
-        self.agent.next_tick_ms()
+    fn next_timeout_ms(&self) -> Option<u64> {
+        self.agent.next_timeout_ms()
     }
 }
-
-/// Serves the worker on this machine until the platform stops the process.
-pub async fn serve(settings: Settings) -> Result<(), ServeError> {
-    let address = settings.bind_addrs.control_plane;
-    let address = address.context(NoAddressSnafu {
-        field: "control_plane",
-        role: settings.role.clone(),
-    })?;
-    let mut signals = Signals::register()?;
-    let max_lease_ms = settings.bounds.max_hold_ms as u64;
-    let role = AgentRole {
-        agent: Agent::new(steady_ms(), max_lease_ms),
-        awaits_orders: None,
-    };
-    let node = Node::new(&settings, ProcessKind::Agent, role);
-    let calls_node = node.clone();
-    let options = HttpOptions {
-        max_body_bytes: HEARTBEAT_BYTES_MAX,
-        idle_timeout: IDLE_TIMEOUT,
-        ..HttpOptions::default()
-    };
-    let take_call = move |request: HttpRequest| {
-        let node = calls_node.clone();
-        async move { answer_worker(&node, &request).await }
-    };
-    let server = http::serve(address, options, take_call).await?;
-    node.start();
-    log::info!("node agent {} serves {address}", settings.node_name);
-
-    super::until_terminated(&mut signals, &node).await;
-    log::info!("told to end");
-    server.shutdown(Duration::ZERO, LEAVING).await;
-    Ok(())
-}
-
-async fn answer_worker(node: &Node<AgentRole>, request: &HttpRequest) -> HttpResponse {
-    let id = request
-        .path
-        .strip_prefix(INSTANCES_PATH)
-        .filter(|id| !id.is_empty() && !id.contains('/'));
-    let Some(id) = id else {
-        return refusal(404, "the path must be /instances/ID");
-    };
-    match request.method {
-        Method::PUT => answer_heartbeat(node, id, &request.body).await,
-        Method::DELETE => {
-            node.with_role(|role| role.agent.delete(id));
-            HttpResponse::json(200, "{}")
-        }
-        _ => refusal(405, "the method must be PUT or DELETE"),
-    }
-}
-
-async fn answer_heartbeat(node: &Node<AgentRole>, id: &str, body: &[u8]) -> HttpResponse {
-    let beat = match parse_heartbeat(body) {
-        Ok(beat) => beat,
-        Err(error) => return refusal(400, &error.to_string()),
-    };
-    let heard = node.with_role(|role| role.agent.hear(steady_ms(), id, beat));
-    let reply = match heard {
-        Some(heard) => reply(node, id, heard).await,
-        None => HeartbeatReply::default(),
-    };
-    HttpResponse::json(200, serde_json::to_vec(&reply).unwrap_or_default())
-}
-
-/// The reply to a heartbeat that was taken in; it waits for orders that are expected.
-async fn reply(node: &Node<AgentRole>, id: &str, heard: Heard) -> HeartbeatReply {
-    if heard.expects_orders {
-        wait_for_orders(node).await;
-    }
-    match node.with_role(|role| role.agent.answer(steady_ms(), id, heard.seq_no)) {
-        BeatOutcome::Answered(reply) => reply,
-        BeatOutcome::Late => HeartbeatReply::default(),
-    }
-}
-
-/// Returns once orders have come in, a newer heartbeat waits, or the time is over.
-async fn wait_for_orders(node: &Node<AgentRole>) {
-    let (sender, receiver) = oneshot::channel();
-    node.with_role(|role| role.awaits_orders = Some(sender));
-    let sleep = pin!(runtime::sleep(Duration::from_millis(ORDERS_WAIT_MS)));
-    select(sleep, receiver).await;
-}
-
-fn refusal(status: u16, reason: &str) -> HttpResponse {
-    HttpResponse::json(status, serde_json::json!({ "error": reason }).to_string())
-}
--- /dev/null
+++ b/crates/data-plane/tests/agent_replies.rs
@@ -0,0 +1,85 @@
+//! Replies to heartbeats wait for expected orders and carry those received meanwhile.
+
+mod common;
+
+use common::agent_harness::{AgentHarness, WORKER, run, start};
+use indigofold_data_plane::agent::{HeartbeatOutcome, HeartbeatReceipt};
+use indigofold_protocol::worker::{HeartbeatReply, RunEnd};
+
+/// A harness whose worker lists one run.
+fn at_work() -> AgentHarness {
+    let mut harness = AgentHarness::confirmed();
+    harness.order_start(&[start(run(1), 1_000)]);
+    let reply = harness.send_heartbeat();
+    harness.carry_out(&reply);
+    harness.send_heartbeat();
+    harness
+}
+
+fn receive(harness: &mut AgentHarness) -> HeartbeatReceipt {
+    harness.seq_no += 1;
+    let heartbeat = harness.heartbeat();
+    harness
+        .agent
+        .handle_heartbeat(harness.now_ms, WORKER, heartbeat)
+        .expect("the heartbeat is the newest")
+}
+
+fn answer(harness: &mut AgentHarness, receipt: HeartbeatReceipt) -> HeartbeatReply {
+    match harness
+        .agent
+        .poll_heartbeat_reply(harness.now_ms, WORKER, receipt.seq_no)
+    {
+        HeartbeatOutcome::Answered(reply) => reply,
+        HeartbeatOutcome::Superseded => panic!("the heartbeat is the newest"),
+    }
+}
+
+#[test]
+fn orders_are_expected_once_after_each_end() {
+    let mut harness = at_work();
+    assert!(!receive(&mut harness).expects_orders);
+    harness.end(run(1), RunEnd::Done);
+    assert!(receive(&mut harness).expects_orders);
+    assert!(!receive(&mut harness).expects_orders);
+}
+
+#[test]
+fn without_a_head_no_orders_are_expected() {
+    let mut harness = at_work();
+    harness.end(run(1), RunEnd::Done);
+    harness.agent.handle_disconnected();
+    assert!(!receive(&mut harness).expects_orders);
+}
+
+/// The capacity of an ended run is used by the reply to the heartbeat that lists its end.
+#[test]
+fn orders_received_while_a_heartbeat_waits_are_in_its_reply() {
+    let mut harness = at_work();
+    harness.end(run(1), RunEnd::Done);
+    let receipt = receive(&mut harness);
+    harness.report_and_echo();
+    harness.order_start(&[start(run(2), 1_000)]);
+    let reply = answer(&mut harness, receipt);
+    assert_eq!(AgentHarness::started(&reply), vec![run(2).task.to_string()]);
+}
+
+/// The worker has stopped waiting and sent another heartbeat: only the reply to that one carries orders.
+#[test]
+fn a_superseded_heartbeat_receives_no_orders() {
+    let mut harness = at_work();
+    harness.end(run(1), RunEnd::Done);
+    let overtaken = receive(&mut harness);
+    let newest = receive(&mut harness);
+    harness.order_start(&[start(run(2), 1_000)]);
+    assert_eq!(
+        harness
+            .agent
+            .poll_heartbeat_reply(harness.now_ms, WORKER, overtaken.seq_no),
+        HeartbeatOutcome::Superseded
+    );
+    assert_eq!(
+        AgentHarness::started(&answer(&mut harness, newest)),
+        vec![run(2).task.to_string()]
+    );
+}
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,13 +1,13 @@
-//! The link to the core: finds the acting head, stays with it, and finds its successor.
+//! The link to the core: finds the acting head, stays connected to it, and finds its successor.
 
 use indigofold_data_plane::core_link::{
-    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GIVE_UP_MS, GREETING_TIMEOUT_MS, IDLE_MS,
-    LISTEN_MS, LinkAction, LinkId, PROBES_MAX, SILENCE_MS,
+    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GREETING_TIMEOUT_MS, HEAD_TIMEOUT_MS, Head,
+    IDLE_PROBE_MS, LISTEN_MS, LinkAction, LinkId, SEARCH_CONNECTIONS_MAX, SUSPICION_TIMEOUT_MS,
 };
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{MemberAddress, Welcome};
 use rstest::rstest;
-use std::net::SocketAddr;
+use std::net::{IpAddr, SocketAddr};
 
 const NOW_MS: u64 = 1_000_000;
 
@@ -15,6 +15,13 @@
     SocketAddr::from(([10, 0, 0, host], 7_000))
 }
 
+fn host(address: SocketAddr) -> u8 {
+    match address.ip() {
+        IpAddr::V4(ip) => ip.octets()[3],
+        IpAddr::V6(ip) => panic!("an IPv4 address is expected, not {ip}"),
+    }
+}
+
 fn member(host: u8) -> MemberAddress {
     MemberAddress {
         node_name: format!("core-{host}"),
@@ -38,54 +45,66 @@
     CoreLink::new(&[address(1), address(2), address(3)], 11)
 }
 
-fn dialled(link: &mut CoreLink) -> Vec<(LinkId, SocketAddr)> {
+/// A connection that the link has asked the process to open.
+#[derive(Clone, Copy, Debug)]
+struct Dial {
+    link: LinkId,
+    address: SocketAddr,
+}
+
+fn dialled(link: &mut CoreLink) -> Vec<Dial> {
     let dials = link
-        .take_actions()
+        .poll_actions()
         .into_iter()
         .filter_map(|action| match action {
-            LinkAction::Dial { link, address } => Some((link, address)),
+            LinkAction::Dial { link, address } => Some(Dial { link, address }),
             _ => None,
         });
     dials.collect()
 }
 
+fn position(actions: &[LinkAction], action: &LinkAction) -> usize {
+    let position = actions.iter().position(|other| other == action);
+    position.expect("the action was polled")
+}
+
 /// A link that is attached to the head of view 5.
 fn attached() -> (CoreLink, LinkId, SocketAddr) {
     attach(link())
 }
 
-/// The same for a link that asks when idle.
-fn attached_idle() -> (CoreLink, LinkId, SocketAddr) {
-    attach(link().asking_when_idle())
+/// The same for a link that probes an idle head.
+fn attached_probing() -> (CoreLink, LinkId, SocketAddr) {
+    attach(link().with_idle_probing())
 }
 
 fn attach(mut link: CoreLink) -> (CoreLink, LinkId, SocketAddr) {
-    link.tick(NOW_MS);
-    let (id, address) = dialled(&mut link)[0];
-    link.connected(NOW_MS, id);
-    let head = address.to_string().as_bytes()[7] - b'0';
-    link.welcomed(NOW_MS, id, &welcome(5, Some(head), true));
-    assert!(link.take_actions().contains(&LinkAction::Attached(id)));
+    link.handle_timeout(NOW_MS);
+    let Dial { link: id, address } = dialled(&mut link)[0];
+    link.handle_connected(NOW_MS, id);
+    let head_host = host(address);
+    link.handle_welcome(NOW_MS, id, &welcome(5, Some(head_host), true));
+    assert!(link.poll_actions().contains(&LinkAction::Attached(id)));
     (link, id, address)
 }
 
 #[test]
-fn it_dials_some_seeds_and_closes_the_rest_once_attached() {
+fn seeds_are_dialled_and_unused_connections_closed_once_attached() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    assert_eq!(dials.len(), PROBES_MAX);
-    link.connected(NOW_MS, dials[0].0);
-    link.welcomed(NOW_MS, dials[0].0, &welcome(5, Some(1), true));
+    assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
+    link.handle_connected(NOW_MS, dials[0].link);
+    link.handle_welcome(NOW_MS, dials[0].link, &welcome(5, Some(1), true));
     assert_eq!(
-        link.take_actions(),
+        link.poll_actions(),
         [
-            LinkAction::Attached(dials[0].0),
-            LinkAction::Close(dials[1].0)
+            LinkAction::Attached(dials[0].link),
+            LinkAction::Close(dials[1].link)
         ]
     );
     assert_eq!(
-        (link.config_version(), link.next_tick_ms(NOW_MS)),
+        (link.config_version(), link.next_timeout_ms(NOW_MS)),
         (9, None)
     );
 }
@@ -93,68 +112,88 @@
 #[test]
 fn a_member_that_is_not_the_head_leads_to_the_head() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.connected(NOW_MS, first.0);
-    link.welcomed(NOW_MS, first.0, &welcome(5, Some(4), false));
+    link.handle_connected(NOW_MS, first.link);
+    link.handle_welcome(NOW_MS, first.link, &welcome(5, Some(4), false));
     let dials = dialled(&mut link);
     assert_eq!(
-        dials.iter().map(|dial| dial.1).collect::<Vec<_>>(),
+        dials.iter().map(|dial| dial.address).collect::<Vec<_>>(),
         [address(4)]
     );
-    link.connected(NOW_MS, dials[0].0);
-    link.welcomed(NOW_MS, dials[0].0, &welcome(5, Some(4), true));
-    assert_eq!(link.head(), Some((address(4), 5)));
+    link.handle_connected(NOW_MS, dials[0].link);
+    link.handle_welcome(NOW_MS, dials[0].link, &welcome(5, Some(4), true));
+    assert_eq!(
+        link.head(),
+        Some(Head {
+            address: address(4),
+            view: 5
+        })
+    );
 }
 
 #[test]
-fn a_failed_address_is_left_alone_for_a_moment_and_others_are_tried() {
+fn a_failed_address_backs_off_while_others_are_dialled() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.failed(NOW_MS, dials[0].0);
+    link.handle_disconnected(NOW_MS, dials[0].link);
     let next = dialled(&mut link);
     assert_eq!(next.len(), 1);
-    assert!(dials.iter().all(|dial| dial.1 != next[0].1));
-    link.failed(NOW_MS, next[0].0);
-    link.failed(NOW_MS, dials[1].0);
+    assert!(dials.iter().all(|dial| dial.address != next[0].address));
+    link.handle_disconnected(NOW_MS, next[0].link);
+    link.handle_disconnected(NOW_MS, dials[1].link);
     assert!(dialled(&mut link).is_empty());
-    let wake_ms = link.next_tick_ms(NOW_MS).expect("a later try");
+    let wake_ms = link.next_timeout_ms(NOW_MS).expect("a later try");
     assert!(wake_ms > NOW_MS && wake_ms <= NOW_MS + BACKOFF_MAX_MS);
-    link.tick(wake_ms);
+    link.handle_timeout(wake_ms);
     assert!(!dialled(&mut link).is_empty());
 }
 
-/// Processes that come back together dial each other in vain at first; the head has then to be found without delay.
+/// Processes that restart together fail to connect to each other at first; the head must then be found without delay.
 #[test]
-fn a_head_of_a_new_view_is_dialled_at_once_even_if_it_has_just_failed() {
+fn the_head_of_a_new_view_is_dialled_regardless_of_its_backoff() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    let (failed, failed_address) = dials[0];
-    link.failed(NOW_MS, failed);
+    let Dial {
+        link: failed,
+        address: failed_address,
+    } = dials[0];
+    link.handle_disconnected(NOW_MS, failed);
     let others = dialled(&mut link);
-    assert!(others.iter().all(|(_, address)| *address != failed_address));
-    let host = failed_address.to_string().as_bytes()[7] - b'0';
-    link.connected(NOW_MS, dials[1].0);
-    link.welcomed(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
+    assert!(others.iter().all(|dial| dial.address != failed_address));
+    let head_host = host(failed_address);
+    link.handle_connected(NOW_MS, dials[1].link);
+    link.handle_welcome(
+        NOW_MS + 1,
+        dials[1].link,
+        &welcome(6, Some(head_host), false),
+    );
     assert_eq!(
-        dialled(&mut link).first().map(|(_, address)| *address),
+        dialled(&mut link).first().map(|dial| dial.address),
         Some(failed_address)
     );
 }
 
-/// A dial that began while the machine had no power hangs; the head's new view shows that it is back.
+/// A dial that began while the machine had no power hangs; the head's new view shows that the machine is up.
 #[test]
-fn a_dial_that_hangs_is_begun_anew_once_the_head_is_named() {
+fn a_hanging_dial_is_restarted_once_the_head_is_named() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    let (hanging, address) = dials[0];
-    let host = address.to_string().as_bytes()[7] - b'0';
-    link.connected(NOW_MS, dials[1].0);
-    link.welcomed(NOW_MS + 1, dials[1].0, &welcome(6, Some(host), false));
-    let actions = link.take_actions();
+    let Dial {
+        link: hanging,
+        address,
+    } = dials[0];
+    let head_host = host(address);
+    link.handle_connected(NOW_MS, dials[1].link);
+    link.handle_welcome(
+        NOW_MS + 1,
+        dials[1].link,
+        &welcome(6, Some(head_host), false),
+    );
+    let actions = link.poll_actions();
     assert_eq!(actions.first(), Some(&LinkAction::Close(hanging)));
     assert!(
         actions
@@ -164,36 +203,46 @@
 }
 
 #[test]
-fn connections_that_do_not_open_or_greet_are_given_up() {
+fn connections_time_out_while_dialling_and_greeting() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.connected(NOW_MS + 10, dials[0].0);
-    link.tick(NOW_MS + CONNECT_TIMEOUT_MS);
-    assert!(link.take_actions().contains(&LinkAction::Close(dials[1].0)));
-    assert!(link.wants(dials[0].0) && !link.wants(dials[1].0));
-    link.tick(NOW_MS + 10 + GREETING_TIMEOUT_MS);
-    assert!(link.take_actions().contains(&LinkAction::Close(dials[0].0)));
+    link.handle_connected(NOW_MS + 10, dials[0].link);
+    link.handle_timeout(NOW_MS + CONNECT_TIMEOUT_MS);
+    assert!(
+        link.poll_actions()
+            .contains(&LinkAction::Close(dials[1].link))
+    );
+    assert!(link.is_in_use(dials[0].link) && !link.is_in_use(dials[1].link));
+    link.handle_timeout(NOW_MS + 10 + GREETING_TIMEOUT_MS);
+    assert!(
+        link.poll_actions()
+            .contains(&LinkAction::Close(dials[0].link))
+    );
 }
 
 #[test]
-fn a_member_that_knows_no_head_is_listened_to_for_a_while() {
+fn a_connection_to_a_member_without_a_head_stays_open_for_the_listen_time() {
     let mut link = link();
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.connected(NOW_MS, first.0);
-    link.welcomed(NOW_MS, first.0, &welcome(5, None, false));
-    link.tick(NOW_MS + LISTEN_MS - 1);
-    assert!(link.wants(first.0));
-    link.welcomed(NOW_MS + LISTEN_MS - 1, first.0, &welcome(6, Some(1), true));
-    assert_eq!(link.attached(), Some(first.0));
+    link.handle_connected(NOW_MS, first.link);
+    link.handle_welcome(NOW_MS, first.link, &welcome(5, None, false));
+    link.handle_timeout(NOW_MS + LISTEN_MS - 1);
+    assert!(link.is_in_use(first.link));
+    link.handle_welcome(
+        NOW_MS + LISTEN_MS - 1,
+        first.link,
+        &welcome(6, Some(1), true),
+    );
+    assert_eq!(link.attached(), Some(first.link));
 }
 
 #[test]
-fn a_head_that_stops_acting_is_left() {
+fn a_head_that_stops_acting_is_detached() {
     let (mut link, id, _) = attached();
-    link.welcomed(NOW_MS, id, &welcome(6, Some(4), false));
-    let actions = link.take_actions();
+    link.handle_welcome(NOW_MS, id, &welcome(6, Some(4), false));
+    let actions = link.poll_actions();
     assert_eq!(actions[0], LinkAction::Detached);
     assert!(
         actions
@@ -204,16 +253,16 @@
 }
 
 #[test]
-fn a_lost_connection_detaches_and_looks_on() {
+fn a_lost_connection_detaches_and_starts_a_search() {
     let (mut link, id, lost) = attached();
-    link.failed(NOW_MS, id);
-    let actions = link.take_actions();
+    link.handle_disconnected(NOW_MS, id);
+    let actions = link.poll_actions();
     assert_eq!(actions[0], LinkAction::Detached);
     let dials: Vec<_> = actions
         .iter()
         .filter(|a| matches!(a, LinkAction::Dial { .. }))
         .collect();
-    assert_eq!(dials.len(), PROBES_MAX);
+    assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
     assert!(
         !dials
             .iter()
@@ -222,52 +271,52 @@
 }
 
 #[test]
-fn a_silent_head_is_kept_while_others_are_asked() {
+fn a_suspected_head_stays_attached_while_others_are_dialled() {
     let (mut link, id, head) = attached();
-    link.asked(NOW_MS);
-    link.asked(NOW_MS + 300);
-    assert_eq!(link.next_tick_ms(NOW_MS), Some(NOW_MS + SILENCE_MS));
-    link.tick(NOW_MS + SILENCE_MS);
+    link.handle_request_sent(NOW_MS);
+    link.handle_request_sent(NOW_MS + 300);
+    assert_eq!(
+        link.next_timeout_ms(NOW_MS),
+        Some(NOW_MS + SUSPICION_TIMEOUT_MS)
+    );
+    link.handle_timeout(NOW_MS + SUSPICION_TIMEOUT_MS);
     let dials = dialled(&mut link);
-    assert_eq!(dials.len(), PROBES_MAX);
-    assert!(dials.iter().all(|dial| dial.1 != head));
-    link.heard(NOW_MS + SILENCE_MS, id);
-    link.tick(NOW_MS + SILENCE_MS + 1);
+    assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
+    assert!(dials.iter().all(|dial| dial.address != head));
+    link.handle_frame(NOW_MS + SUSPICION_TIMEOUT_MS, id);
+    link.handle_timeout(NOW_MS + SUSPICION_TIMEOUT_MS + 1);
     assert_eq!(
-        link.take_actions().len(),
-        PROBES_MAX,
-        "the others are closed again"
+        link.poll_actions().len(),
+        SEARCH_CONNECTIONS_MAX,
+        "the others are closed"
     );
     assert_eq!(link.attached(), Some(id));
 }
 
 #[test]
-fn a_silent_head_is_left_for_an_acting_one_of_a_higher_view_only() {
+fn a_suspected_head_is_replaced_only_by_one_of_a_higher_view() {
     let (mut link, id, _) = attached();
-    link.asked(NOW_MS);
-    let now_ms = NOW_MS + SILENCE_MS;
-    link.tick(now_ms);
+    link.handle_request_sent(NOW_MS);
+    let now_ms = NOW_MS + SUSPICION_TIMEOUT_MS;
+    link.handle_timeout(now_ms);
     let dials = dialled(&mut link);
-    link.connected(now_ms, dials[0].0);
-    link.welcomed(now_ms, dials[0].0, &welcome(5, Some(4), true));
+    link.handle_connected(now_ms, dials[0].link);
+    link.handle_welcome(now_ms, dials[0].link, &welcome(5, Some(4), true));
     assert_eq!(link.attached(), Some(id));
-    link.welcomed(now_ms, dials[0].0, &welcome(6, Some(4), true));
-    assert_eq!(link.attached(), Some(dials[0].0));
-    let actions = link.take_actions();
-    let position = |action| {
-        actions
-            .iter()
-            .position(|other| *other == action)
-            .expect("it is there")
-    };
-    assert!(position(LinkAction::Detached) < position(LinkAction::Attached(dials[0].0)));
+    link.handle_welcome(now_ms, dials[0].link, &welcome(6, Some(4), true));
+    assert_eq!(link.attached(), Some(dials[0].link));
+    let actions = link.poll_actions();
+    assert!(
+        position(&actions, &LinkAction::Detached)
+            < position(&actions, &LinkAction::Attached(dials[0].link))
+    );
     assert!(actions.contains(&LinkAction::Close(id)));
 }
 
 #[test]
-fn a_newer_version_of_the_configuration_is_noted() {
+fn a_newer_configuration_version_is_adopted() {
     let (mut link, id, _) = attached();
-    link.welcomed(
+    link.handle_welcome(
         NOW_MS,
         id,
         &Welcome {
@@ -276,119 +325,122 @@
         },
     );
     assert_eq!(link.config_version(), 12);
-    assert_eq!(link.take_actions(), []);
+    assert_eq!(link.poll_actions(), []);
 }
 
 #[test]
 fn new_seeds_are_dialled() {
     let mut link = CoreLink::new(&[], 1);
-    link.tick(NOW_MS);
+    link.handle_timeout(NOW_MS);
     assert!(dialled(&mut link).is_empty());
     link.set_seeds(&[address(9)]);
-    link.tick(NOW_MS);
-    assert_eq!(dialled(&mut link)[0].1, address(9));
+    link.handle_timeout(NOW_MS);
+    assert_eq!(dialled(&mut link)[0].address, address(9));
 }
 
 #[test]
-fn an_idle_link_asks_a_quiet_head_once_until_it_is_heard() {
-    let (mut link, id, _) = attached_idle();
-    assert_eq!(link.next_tick_ms(NOW_MS), Some(NOW_MS + IDLE_MS));
-    link.tick(NOW_MS + IDLE_MS - 1);
-    assert_eq!(link.take_actions(), []);
-    let asked_ms = NOW_MS + IDLE_MS;
-    link.tick(asked_ms);
-    link.tick(asked_ms + 1);
-    assert_eq!(link.take_actions(), [LinkAction::Ask(id)]);
-    assert_eq!(link.next_tick_ms(asked_ms), Some(asked_ms + SILENCE_MS));
-    link.heard(asked_ms + 5, id);
-    link.welcomed(asked_ms + 5, id, &welcome(5, Some(1), true));
-    assert_eq!(link.answered_ms(asked_ms + 6), asked_ms + 6);
+fn an_idle_head_is_probed_once_until_a_frame_arrives() {
+    let (mut link, id, _) = attached_probing();
+    assert_eq!(link.next_timeout_ms(NOW_MS), Some(NOW_MS + IDLE_PROBE_MS));
+    link.handle_timeout(NOW_MS + IDLE_PROBE_MS - 1);
+    assert_eq!(link.poll_actions(), []);
+    let requested_ms = NOW_MS + IDLE_PROBE_MS;
+    link.handle_timeout(requested_ms);
+    link.handle_timeout(requested_ms + 1);
+    assert_eq!(link.poll_actions(), [LinkAction::ProbeHead(id)]);
+    assert_eq!(
+        link.next_timeout_ms(requested_ms),
+        Some(requested_ms + SUSPICION_TIMEOUT_MS)
+    );
+    link.handle_frame(requested_ms + 5, id);
+    link.handle_welcome(requested_ms + 5, id, &welcome(5, Some(1), true));
+    assert_eq!(link.head_responsive_ms(requested_ms + 6), requested_ms + 6);
     assert_eq!(
-        link.next_tick_ms(asked_ms + 6),
-        Some(asked_ms + 5 + IDLE_MS)
+        link.next_timeout_ms(requested_ms + 6),
+        Some(requested_ms + 5 + IDLE_PROBE_MS)
     );
-    assert_eq!(link.take_actions(), []);
+    assert_eq!(link.poll_actions(), []);
 }
 
 #[test]
-fn a_head_that_is_heard_is_not_asked() {
-    let (mut link, id, _) = attached_idle();
+fn an_active_head_is_not_probed() {
+    let (mut link, id, _) = attached_probing();
     for step in 1..10 {
-        let now_ms = NOW_MS + step * (IDLE_MS - 1);
-        link.heard(now_ms, id);
-        link.tick(now_ms);
+        let now_ms = NOW_MS + step * (IDLE_PROBE_MS - 1);
+        link.handle_frame(now_ms, id);
+        link.handle_timeout(now_ms);
     }
-    assert_eq!(link.take_actions(), []);
+    assert_eq!(link.poll_actions(), []);
 }
 
 #[rstest]
-#[case::idle(None, IDLE_MS + SILENCE_MS)]
-#[case::asked_at_once(Some(0), SILENCE_MS)]
-#[case::asked_later(Some(100), 100 + SILENCE_MS)]
-fn a_silent_head_is_noticed_within_a_second(
-    #[case] asked_ms: Option<u64>,
+#[case::idle(None, IDLE_PROBE_MS + SUSPICION_TIMEOUT_MS)]
+#[case::request_at_once(Some(0), SUSPICION_TIMEOUT_MS)]
+#[case::request_later(Some(100), 100 + SUSPICION_TIMEOUT_MS)]
+fn an_unresponsive_head_is_suspected_within_a_second(
+    #[case] requested_ms: Option<u64>,
     #[case] noticed_ms: u64,
 ) {
-    let (mut link, id, head) = attached_idle();
-    if let Some(asked_ms) = asked_ms {
-        link.asked(NOW_MS + asked_ms);
+    let (mut link, id, head) = attached_probing();
+    if let Some(requested_ms) = requested_ms {
+        link.handle_request_sent(NOW_MS + requested_ms);
     }
     let mut now_ms = NOW_MS;
     let dials = loop {
-        now_ms = link.next_tick_ms(now_ms).expect("something is due");
-        link.tick(now_ms);
+        now_ms = link.next_timeout_ms(now_ms).expect("something is due");
+        link.handle_timeout(now_ms);
         let dials = dialled(&mut link);
         if !dials.is_empty() {
             break dials;
         }
     };
     assert_eq!(now_ms, NOW_MS + noticed_ms);
-    assert!(dials.len() == PROBES_MAX && dials.iter().all(|dial| dial.1 != head));
+    assert!(dials.len() == SEARCH_CONNECTIONS_MAX && dials.iter().all(|dial| dial.address != head));
     assert_eq!(link.attached(), Some(id));
-    link.connected(now_ms, dials[0].0);
-    link.welcomed(now_ms, dials[0].0, &welcome(6, Some(4), true));
-    assert_eq!(link.head(), Some((dials[0].1, 6)));
-    assert_eq!(link.answered_ms(now_ms), now_ms);
+    link.handle_connected(now_ms, dials[0].link);
+    link.handle_welcome(now_ms, dials[0].link, &welcome(6, Some(4), true));
+    assert_eq!(
+        link.head(),
+        Some(Head {
+            address: dials[0].address,
+            view: 6
+        })
+    );
+    assert_eq!(link.head_responsive_ms(now_ms), now_ms);
 }
 
 #[test]
-fn a_head_that_stays_silent_is_left_and_tried_over_a_new_connection() {
-    let (mut link, id, head) = attached_idle();
-    link.asked(NOW_MS);
-    assert_eq!(link.answered_ms(NOW_MS + SILENCE_MS), NOW_MS);
+fn a_timed_out_head_is_detached_and_dialled_anew() {
+    let (mut link, id, head) = attached_probing();
+    link.handle_request_sent(NOW_MS);
+    assert_eq!(
+        link.head_responsive_ms(NOW_MS + SUSPICION_TIMEOUT_MS),
+        NOW_MS
+    );
     let mut now_ms = NOW_MS;
     while link.attached().is_some() {
         now_ms = link
-            .next_tick_ms(now_ms)
+            .next_timeout_ms(now_ms)
             .filter(|due_ms| *due_ms > now_ms)
             .expect("a later time");
-        link.tick(now_ms);
+        link.handle_timeout(now_ms);
     }
-    assert_eq!(now_ms, NOW_MS + GIVE_UP_MS);
-    let actions = link.take_actions();
-    let position = |action| {
-        actions
-            .iter()
-            .position(|other| *other == action)
-            .expect("it is there")
-    };
-    assert!(position(LinkAction::Detached) < position(LinkAction::Close(id)));
+    assert_eq!(now_ms, NOW_MS + HEAD_TIMEOUT_MS);
+    let actions = link.poll_actions();
+    assert!(position(&actions, &LinkAction::Detached) < position(&actions, &LinkAction::Close(id)));
     let mut dials = Vec::new();
-    while !dials
-        .iter()
-        .any(|dial: &(LinkId, SocketAddr)| dial.1 == head)
-    {
-        assert!(now_ms < NOW_MS + 2 * GIVE_UP_MS);
-        now_ms = link.next_tick_ms(now_ms).expect("a later try");
-        link.tick(now_ms);
+    while !dials.iter().any(|dial: &Dial| dial.address == head) {
+        assert!(now_ms < NOW_MS + 2 * HEAD_TIMEOUT_MS);
+        now_ms = link.next_timeout_ms(now_ms).expect("a later try");
+        link.handle_timeout(now_ms);
         dials = dialled(&mut link);
     }
-    let again = dials
+    let reconnected = dials
         .iter()
-        .find(|dial| dial.1 == head)
+        .find(|dial| dial.address == head)
         .expect("a new connection")
-        .0;
-    link.connected(now_ms, again);
-    link.welcomed(now_ms, again, &welcome(5, Some(1), true));
-    assert_eq!(link.attached(), Some(again));
+        .link;
+    link.handle_connected(now_ms, reconnected);
+    link.handle_welcome(now_ms, reconnected, &welcome(5, Some(1), true));
+    assert_eq!(link.attached(), Some(reconnected));
 }
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,15 +1,15 @@
-//! The edge: requests read, calls carried to the head and its successors, outcomes as HTTP.
+//! The edge: parsing of requests, calls to the head and its successors, outcomes as HTTP responses.
 
 use indigofold_data_plane::edge::{
-    Answer, BRIEF_LOSS_MS, Body, CallLimits, Calls, Effect, Method, Readiness, read_request,
-    sign_of_life,
+    Answer, BRIEF_LOSS_MS, BegunCall, Body, CallId, CallLimits, Calls, Effect, Method, NewCall,
+    ParsedRequest, Readiness, liveness_probe, parse_request,
 };
 use indigofold_protocol::internal::{ClientOperation, ClientOutcome, ClientReply, Frame};
 use indigofold_protocol::job::{JobSpec, JobState};
 use rstest::rstest;
 
 const NOW_MS: u64 = 1_000_000;
-const PATIENCE_MS: u64 = 3_000;
+const CLIENT_TIMEOUT_MS: u64 = 3_000;
 const LIMITS: CallLimits = CallLimits {
     answer_margin_ms: 100,
     orphan_ms: 1_200,
@@ -18,18 +18,20 @@
 
 fn calls() -> Calls {
     let mut calls = Calls::new(LIMITS);
-    assert!(calls.attached().is_empty());
+    assert!(calls.handle_attached().is_empty());
     calls
 }
 
-fn begin(calls: &mut Calls, operation: ClientOperation) -> (u64, Effect) {
-    calls.begin(
-        NOW_MS,
-        "host".to_owned(),
-        "/queue/0000000000000007".to_owned(),
-        operation,
-        PATIENCE_MS,
-    )
+fn begin(calls: &mut Calls, operation: ClientOperation) -> BegunCall {
+    let call = NewCall {
+        host: "host".to_owned(),
+        path: "/queue/0000000000000007".to_owned(),
+        request: ParsedRequest {
+            operation,
+            client_timeout_ms: CLIENT_TIMEOUT_MS,
+        },
+    };
+    calls.begin(NOW_MS, call)
 }
 
 fn submit() -> ClientOperation {
@@ -43,8 +45,13 @@
     }
 }
 
-fn reply(calls: &mut Calls, call: u64, outcome: ClientOutcome) -> Option<Answer> {
-    calls.replied(ClientReply { call, outcome }).map(answer_of)
+fn reply(calls: &mut Calls, id: CallId, outcome: ClientOutcome) -> Option<Answer> {
+    calls
+        .handle_reply(ClientReply {
+            call: id.0,
+            outcome,
+        })
+        .map(answer_of)
 }
 
 #[rstest]
@@ -91,39 +98,39 @@
 #[case(Some("1500"), 1_500)]
 #[case(Some("0"), 3_000)]
 #[case(Some("soon"), 3_000)]
-fn the_deadline_is_read(#[case] header: Option<&str>, #[case] patience_ms: u64) {
-    let read = read_request(Method::Get, header, b"").expect("a call");
+fn the_deadline_is_read(#[case] header: Option<&str>, #[case] client_timeout_ms: u64) {
+    let read = parse_request(Method::Get, header, b"").expect("a call");
     assert_eq!(
-        (read.operation, read.patience_ms),
-        (ClientOperation::Get, patience_ms)
+        (read.operation, read.client_timeout_ms),
+        (ClientOperation::Get, client_timeout_ms)
     );
 }
 
 #[test]
-fn a_job_is_read_and_a_bad_one_refused() {
+fn a_valid_job_is_parsed_and_an_invalid_one_rejected() {
     let body = br#"{"spec":"text","stages":[{"count":4,"cpu":500,"mem_mb":256}]}"#;
-    let read = read_request(Method::Post, None, body).expect("a job");
+    let read = parse_request(Method::Post, None, body).expect("a job");
     assert!(matches!(read.operation, ClientOperation::Submit(job) if job.stages[0].count == 4));
     assert_eq!(
-        read_request(Method::Post, None, b"{")
+        parse_request(Method::Post, None, b"{")
             .expect_err("no job")
             .status,
         400
     );
     assert_eq!(
-        read_request(Method::Other, None, b"")
+        parse_request(Method::Other, None, b"")
             .expect_err("no method")
             .status,
         405
     );
-    let read = read_request(Method::Delete, None, b"").expect("a call");
+    let read = parse_request(Method::Delete, None, b"").expect("a call");
     assert_eq!(read.operation, ClientOperation::Cancel);
 }
 
 #[test]
-fn without_a_head_a_call_is_turned_away_at_once() {
+fn without_a_head_a_call_is_rejected_at_once() {
     let mut calls = Calls::new(LIMITS);
-    let answer = answer_of(begin(&mut calls, submit()).1);
+    let answer = answer_of(begin(&mut calls, submit()).effect);
     assert_eq!((answer.status, answer.retry_after_s), (503, Some(1)));
     assert!(calls.is_empty());
 }
@@ -131,40 +138,43 @@
 #[test]
 fn a_call_is_sent_and_its_reply_is_the_answer() {
     let mut calls = calls();
-    let (call, effect) = begin(&mut calls, submit());
+    let BegunCall { id, effect } = begin(&mut calls, submit());
     assert!(
-        matches!(&effect, Effect::Send(frame) if matches!(&**frame, Frame::Call(sent) if sent.call == call))
+        matches!(&effect, Effect::Send(frame) if matches!(&**frame, Frame::Call(sent) if sent.call == id.0))
     );
     assert_eq!(
-        reply(&mut calls, call, ClientOutcome::Accepted),
+        reply(&mut calls, id, ClientOutcome::Accepted),
         Some(Answer::success(Body::Empty))
     );
-    assert_eq!(reply(&mut calls, call, ClientOutcome::Accepted), None);
+    assert_eq!(reply(&mut calls, id, ClientOutcome::Accepted), None);
 }
 
 #[test]
-fn calls_beyond_the_bound_are_turned_away() {
+fn calls_beyond_the_limit_are_rejected() {
     let mut calls = calls();
     for _ in 0..LIMITS.calls_max {
-        assert!(matches!(begin(&mut calls, submit()).1, Effect::Send(_)));
+        assert!(matches!(
+            begin(&mut calls, submit()).effect,
+            Effect::Send(_)
+        ));
     }
-    assert_eq!(answer_of(begin(&mut calls, submit()).1).status, 503);
+    assert_eq!(answer_of(begin(&mut calls, submit()).effect).status, 503);
 }
 
 #[rstest]
 #[case(submit(), 504)]
 #[case(ClientOperation::Cancel, 504)]
 #[case(ClientOperation::Get, 503)]
-fn a_call_without_reply_is_given_up_before_its_client_does(
+fn a_call_without_reply_times_out_before_its_client(
     #[case] operation: ClientOperation,
     #[case] status: u16,
 ) {
     let mut calls = calls();
     begin(&mut calls, operation);
-    let end_ms = NOW_MS + PATIENCE_MS - LIMITS.answer_margin_ms;
-    assert_eq!(calls.next_tick_ms(), Some(end_ms));
-    assert!(calls.tick(end_ms - 1).is_empty());
-    let effects = calls.tick(end_ms);
+    let end_ms = NOW_MS + CLIENT_TIMEOUT_MS - LIMITS.answer_margin_ms;
+    assert_eq!(calls.next_timeout_ms(), Some(end_ms));
+    assert!(calls.handle_timeout(end_ms - 1).is_empty());
+    let effects = calls.handle_timeout(end_ms);
     assert_eq!(
         answer_of(effects.into_iter().next().expect("an answer")).status,
         status
@@ -173,13 +183,16 @@
 }
 
 #[test]
-fn a_call_whose_head_is_lost_is_given_up_when_no_successor_comes() {
+fn an_orphaned_call_times_out_without_a_successor() {
     let mut calls = calls();
     begin(&mut calls, submit());
-    calls.detached(NOW_MS + 50);
-    calls.detached(NOW_MS + 500);
-    assert_eq!(calls.next_tick_ms(), Some(NOW_MS + 50 + LIMITS.orphan_ms));
-    let effects = calls.tick(NOW_MS + 50 + LIMITS.orphan_ms);
+    calls.handle_detached(NOW_MS + 50);
+    calls.handle_detached(NOW_MS + 500);
+    assert_eq!(
+        calls.next_timeout_ms(),
+        Some(NOW_MS + 50 + LIMITS.orphan_ms)
+    );
+    let effects = calls.handle_timeout(NOW_MS + 50 + LIMITS.orphan_ms);
     assert_eq!(
         answer_of(effects.into_iter().next().expect("an answer")).status,
         504
@@ -187,17 +200,17 @@
 }
 
 #[test]
-fn a_call_is_sent_again_to_the_successor() {
+fn a_call_is_resent_to_the_successor() {
     let mut calls = calls();
-    let (call, first) = begin(&mut calls, submit());
-    calls.detached(NOW_MS + 50);
-    assert_eq!(calls.attached(), [first]);
+    let BegunCall { id, effect } = begin(&mut calls, submit());
+    calls.handle_detached(NOW_MS + 50);
+    assert_eq!(calls.handle_attached(), [effect]);
     assert_eq!(
-        calls.next_tick_ms(),
-        Some(NOW_MS + PATIENCE_MS - LIMITS.answer_margin_ms)
+        calls.next_timeout_ms(),
+        Some(NOW_MS + CLIENT_TIMEOUT_MS - LIMITS.answer_margin_ms)
     );
     assert_eq!(
-        reply(&mut calls, call, ClientOutcome::Accepted).map(|a| a.status),
+        reply(&mut calls, id, ClientOutcome::Accepted).map(|a| a.status),
         Some(200)
     );
 }
@@ -208,68 +221,68 @@
 #[case(submit(), ClientOutcome::UnknownRoute, 504)]
 #[case(ClientOperation::Cancel, ClientOutcome::NoSuchJob, 410)]
 #[case(ClientOperation::Get, ClientOutcome::Unavailable { retry_after_ms: 1 }, 503)]
-fn a_refusal_of_a_call_that_was_sent_twice_does_not_say_that_it_was_never_taken(
+fn rejection_of_a_resent_call_is_reported_as_unknown_outcome(
     #[case] operation: ClientOperation,
     #[case] outcome: ClientOutcome,
     #[case] status: u16,
 ) {
     let mut calls = calls();
-    let (call, _) = begin(&mut calls, operation);
-    calls.detached(NOW_MS);
-    calls.attached();
+    let id = begin(&mut calls, operation).id;
+    calls.handle_detached(NOW_MS);
+    calls.handle_attached();
     assert_eq!(
-        reply(&mut calls, call, outcome).map(|answer| answer.status),
+        reply(&mut calls, id, outcome).map(|answer| answer.status),
         Some(status)
     );
 }
 
 #[test]
-fn a_client_that_leaves_is_forgotten() {
+fn an_abandoned_call_is_removed() {
     let mut calls = calls();
-    let (call, _) = begin(&mut calls, submit());
-    calls.abandon(call);
+    let id = begin(&mut calls, submit()).id;
+    calls.abandon(id);
     assert!(calls.is_empty());
-    assert_eq!(reply(&mut calls, call, ClientOutcome::Accepted), None);
+    assert_eq!(reply(&mut calls, id, ClientOutcome::Accepted), None);
 }
 
 #[test]
-fn the_edge_is_ready_with_a_configured_head_and_through_a_brief_loss() {
+fn the_edge_stays_ready_through_a_brief_loss_of_a_configured_head() {
     let mut readiness = Readiness::default();
-    readiness.note(NOW_MS, 0);
+    readiness.handle_head_status(NOW_MS, 0);
     assert!(!readiness.is_ready(NOW_MS));
-    readiness.note(NOW_MS, 5);
-    readiness.note(NOW_MS + 10, 0);
+    readiness.handle_head_status(NOW_MS, 5);
+    readiness.handle_head_status(NOW_MS + 10, 0);
     assert!(readiness.is_ready(NOW_MS + BRIEF_LOSS_MS - 1));
     assert!(!readiness.is_ready(NOW_MS + BRIEF_LOSS_MS));
-    readiness.note(NOW_MS + BRIEF_LOSS_MS, 5);
+    readiness.handle_head_status(NOW_MS + BRIEF_LOSS_MS, 5);
     readiness.stop();
     assert!(!readiness.is_ready(NOW_MS + BRIEF_LOSS_MS));
 }
 
 #[test]
-fn a_head_that_is_silent_for_long_makes_the_edge_unready() {
+fn a_long_unresponsive_head_makes_the_edge_unready() {
     let mut readiness = Readiness::default();
     let owed_ms = NOW_MS + 300;
     for now_ms in [NOW_MS, owed_ms, owed_ms + BRIEF_LOSS_MS - 1] {
-        readiness.note(owed_ms.min(now_ms), 5);
+        readiness.handle_head_status(owed_ms.min(now_ms), 5);
         assert!(readiness.is_ready(now_ms));
     }
-    readiness.note(owed_ms, 5);
+    readiness.handle_head_status(owed_ms, 5);
     assert!(!readiness.is_ready(owed_ms + BRIEF_LOSS_MS));
-    readiness.note(owed_ms + BRIEF_LOSS_MS + 9, 5);
+    readiness.handle_head_status(owed_ms + BRIEF_LOSS_MS + 9, 5);
     assert!(readiness.is_ready(owed_ms + BRIEF_LOSS_MS + 9));
 }
 
 #[test]
-fn a_sign_of_life_answers_no_client() {
+fn a_liveness_probe_answers_no_client() {
     let mut calls = calls();
-    let Frame::Call(asked) = sign_of_life() else {
+    let Frame::Call(probe) = liveness_probe() else {
         panic!("a call is expected")
     };
-    let (call, _) = begin(&mut calls, submit());
-    assert_ne!(asked.call, call);
+    let id = begin(&mut calls, submit()).id;
+    assert_ne!(probe.call, id.0);
     assert_eq!(
-        reply(&mut calls, asked.call, ClientOutcome::UnknownRoute),
+        reply(&mut calls, CallId(probe.call), ClientOutcome::UnknownRoute),
         None
     );
     assert!(!calls.is_empty());
