--- a/crates/ctl/src/quickstart/worker.rs
+++ b/crates/ctl/src/quickstart/worker.rs
@@ -118,7 +118,7 @@
         }
         self.fence_token = token;
         if let Some(seen) = reply.acknowledged_end {
-            self.finished.retain(|end| end.0 > seen);
+            self.finished.retain(|end| end.number > seen);
         }
         let lease_ms = reply.lease_ms.map(|lease| lease.min(MAX_HOLD_MS));
         self.held_until_ms = self.held_until_ms.max(sent_ms + lease_ms.unwrap_or(0));
@@ -139,8 +139,12 @@
         self.next_beat_ms = now_ms + BEAT_MS;
         let percent =
             |run: &Run| ((now_ms - run.began_ms) * 100 / run.takes_ms.max(1)).min(99) as u32;
-        let running =
-            |run: &Run| Running(run.task.clone(), run.attempt, String::new(), percent(run));
+        let running = |run: &Run| Running {
+            task: run.task.clone(),
+            attempt: run.attempt,
+            checkpoint: String::new(),
+            percent: percent(run),
+        };
         Heartbeat {
             backend: SERVICE.to_owned(),
             address: self.address.clone(),
@@ -158,7 +162,13 @@
         }
     }
 
-    fn start(&mut self, now_ms: u64, Start(task, attempt, spec, _saved): Start) {
+    fn start(&mut self, now_ms: u64, start: Start) {
+        let Start {
+            task,
+            attempt,
+            spec,
+            ..
+        } = start;
         let known = self
             .runs
             .iter()
@@ -166,7 +176,7 @@
             || self
                 .finished
                 .iter()
-                .any(|end| end.1 == task && end.2 >= attempt);
+                .any(|end| end.task == task && end.attempt >= attempt);
         if !known {
             let takes_ms = spec.trim().parse().unwrap_or(DEFAULT_RUN_MS);
             self.runs.push(Run {
@@ -178,11 +188,11 @@
         }
     }
 
-    fn stop(&mut self, now_ms: u64, Stop(task, attempt): &Stop) {
+    fn stop(&mut self, now_ms: u64, stop: &Stop) {
         let position = self
             .runs
             .iter()
-            .position(|run| run.task == *task && run.attempt == *attempt);
+            .position(|run| run.task == stop.task && run.attempt == stop.attempt);
         if let Some(position) = position {
             let run = self.runs.remove(position);
             self.end(now_ms, run, RunEnd::Stopped);
@@ -190,13 +200,13 @@
     }
 
     fn end(&mut self, now_ms: u64, run: Run, how: RunEnd) {
-        self.finished.push(Finished(
-            self.next_number,
-            run.task,
-            run.attempt,
-            how,
-            String::new(),
-        ));
+        self.finished.push(Finished {
+            number: self.next_number,
+            task: run.task,
+            attempt: run.attempt,
+            end: how,
+            checkpoint: String::new(),
+        });
         self.next_number += 1;
         self.next_beat_ms = self.next_beat_ms.min(now_ms + END_BEAT_MS);
     }
--- a/crates/ctl/tests/stand_in.rs
+++ b/crates/ctl/tests/stand_in.rs
@@ -22,7 +22,12 @@
 }
 
 fn start() -> Vec<Start> {
-    vec![Start(TASK.to_owned(), 1, "300".to_owned(), String::new())]
+    vec![Start {
+        task: TASK.to_owned(),
+        attempt: 1,
+        spec: "300".to_owned(),
+        checkpoint: String::new(),
+    }]
 }
 
 #[test]
@@ -40,8 +45,8 @@
     let beat = worker.advance(30).expect("a heartbeat");
     assert_eq!(
         (
-            beat.running[0].0.as_str(),
-            beat.running[0].1,
+            beat.running[0].task.as_str(),
+            beat.running[0].attempt,
             beat.finished.len()
         ),
         (TASK, 1, 0)
@@ -60,7 +65,11 @@
         .advance(worker.next_due_ms())
         .expect("a heartbeat soon after the end");
     assert_eq!(
-        (beat.running.len(), beat.finished[0].0, beat.finished[0].3),
+        (
+            beat.running.len(),
+            beat.finished[0].number,
+            beat.finished[0].end
+        ),
         (0, 1, RunEnd::Done)
     );
     worker.answered(
@@ -93,7 +102,7 @@
     );
     assert!(worker.advance(200).is_none());
     let beat = worker.advance(worker.next_due_ms()).expect("a heartbeat");
-    assert_eq!(beat.finished[0].3, RunEnd::Expired);
+    assert_eq!(beat.finished[0].end, RunEnd::Expired);
 }
 
 #[test]
@@ -111,12 +120,15 @@
         0,
         20,
         HeartbeatReply {
-            stop: vec![Stop(TASK.to_owned(), 1)],
+            stop: vec![Stop {
+                task: TASK.to_owned(),
+                attempt: 1,
+            }],
             ..orders(4_000)
         },
     );
     assert_eq!(
-        worker.advance(70).expect("a heartbeat").finished[0].3,
+        worker.advance(70).expect("a heartbeat").finished[0].end,
         RunEnd::Stopped
     );
 }
--- a/crates/data-plane/src/agent/life.rs
+++ b/crates/data-plane/src/agent/life.rs
@@ -185,18 +185,18 @@
     /// Ends that the head has not acknowledged, in the order of their numbers.
     fn unacknowledged(&self, listed: Vec<Finished>) -> Vec<FinishedRun> {
         let seen = self.acknowledged_end.unwrap_or(0);
-        let fresh = listed.into_iter().filter(|end| end.0 > seen);
+        let fresh = listed.into_iter().filter(|end| end.number > seen);
         let mut ends: Vec<FinishedRun> = fresh
             .filter_map(|end| {
                 let run = RunId {
-                    task: end.1.parse().ok()?,
-                    attempt: end.2,
+                    task: end.task.parse().ok()?,
+                    attempt: end.attempt,
                 };
                 Some(FinishedRun {
-                    number: end.0,
+                    number: end.number,
                     run,
-                    end: end.3,
-                    checkpoint: end.4,
+                    end: end.end,
+                    checkpoint: end.checkpoint,
                 })
             })
             .collect();
@@ -214,13 +214,13 @@
 fn running_runs(listed: Vec<Running>) -> Vec<RunningRun> {
     let runs = listed.into_iter().filter_map(|item| {
         let run = RunId {
-            task: item.0.parse().ok()?,
-            attempt: item.1,
+            task: item.task.parse().ok()?,
+            attempt: item.attempt,
         };
         Some(RunningRun {
             run,
-            checkpoint: item.2,
-            percent: item.3,
+            checkpoint: item.checkpoint,
+            percent: item.percent,
         })
     });
     runs.collect()
--- a/crates/data-plane/src/agent/mod.rs
+++ b/crates/data-plane/src/agent/mod.rs
@@ -291,13 +291,11 @@
         let lately = self
             .ordered_ms
             .is_some_and(|at_ms| now_ms < at_ms + ORDERED_LATELY_MS);
-        let start = |order: StartOrder| {
-            Start(
-                order.run.task.to_string(),
-                order.run.attempt,
-                order.spec,
-                order.checkpoint,
-            )
+        let start = |order: StartOrder| Start {
+            task: order.run.task.to_string(),
+            attempt: order.run.attempt,
+            spec: order.spec,
+            checkpoint: order.checkpoint,
         };
         HeartbeatReply {
             lease_ms,
@@ -307,7 +305,10 @@
             stop: out
                 .stop
                 .iter()
-                .map(|run| Stop(run.task.to_string(), run.attempt))
+                .map(|run| Stop {
+                    task: run.task.to_string(),
+                    attempt: run.attempt,
+                })
                 .collect(),
             retry_delay_ms: Some(if idle && !lately {
                 IDLE_BEAT_MS
--- a/crates/data-plane/tests/agent_orders.rs
+++ b/crates/data-plane/tests/agent_orders.rs
@@ -161,7 +161,7 @@
     bench.state = WorkerState::Draining;
     let reply = bench.beat();
     assert!(reply.start.is_empty());
-    assert_eq!(reply.stop[0].0, run(2).task.to_string());
+    assert_eq!(reply.stop[0].task, run(2).task.to_string());
     bench.beat();
     assert_eq!(bench.report_now().not_started, [run(2)]);
 }
@@ -233,7 +233,7 @@
     bench.end(run(1), RunEnd::Failed);
     bench.beat();
     bench.order_start(&[start(attempt(1, 2), 100)]);
-    assert_eq!(bench.beat().start[0].1, 2);
+    assert_eq!(bench.beat().start[0].attempt, 2);
 }
 
 #[test]
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -86,15 +86,18 @@
     }
 
     pub fn heartbeat(&self) -> Heartbeat {
-        let running = |run: &RunId| Running(run.task.to_string(), run.attempt, String::new(), 5);
-        let finished = |(number, run, end): &(u64, RunId, RunEnd)| {
-            Finished(
-                *number,
-                run.task.to_string(),
-                run.attempt,
-                *end,
-                String::new(),
-            )
+        let running = |run: &RunId| Running {
+            task: run.task.to_string(),
+            attempt: run.attempt,
+            checkpoint: String::new(),
+            percent: 5,
+        };
+        let finished = |(number, run, end): &(u64, RunId, RunEnd)| Finished {
+            number: *number,
+            task: run.task.to_string(),
+            attempt: run.attempt,
+            end: *end,
+            checkpoint: String::new(),
         };
         Heartbeat {
             backend: "service".to_owned(),
@@ -136,15 +139,15 @@
 
     /// The worker has carried out what an answer orders.
     pub fn obey(&mut self, reply: &HeartbeatReply) {
-        let started = reply.start.iter().map(|s| RunId {
-            task: s.0.parse().expect("a name"),
-            attempt: s.1,
+        let started = reply.start.iter().map(|start| RunId {
+            task: start.task.parse().expect("a name"),
+            attempt: start.attempt,
         });
         self.running.extend(started);
         for stop in &reply.stop {
             let run = RunId {
-                task: stop.0.parse().expect("a name"),
-                attempt: stop.1,
+                task: stop.task.parse().expect("a name"),
+                attempt: stop.attempt,
             };
             self.end(run, RunEnd::Stopped);
         }
@@ -223,6 +226,6 @@
 
     /// The runs that an answer starts.
     pub fn started(reply: &HeartbeatReply) -> Vec<String> {
-        reply.start.iter().map(|s| s.0.clone()).collect()
+        reply.start.iter().map(|start| start.task.clone()).collect()
     }
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,7 +1,9 @@
 //! What workers tell in their heartbeats and are told in the answers (`PUT /instances/ID`).
 
+mod arrays;
+
 use crate::job::Resources;
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 
 /// Whether a worker takes new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,13 +37,54 @@
     Refused,
 }
 
-/// A run at work: `[task, run, saved, percent]` on the wire.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Running(pub String, pub u32, pub String, pub u32);
+/// A run at work. In JSON an array: `[task, run, saved, percent]`.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(from = "arrays::Running")]
+pub struct Running {
+    /// The task's name, `ID.K.STEP.INDEX`.
+    pub task: String,
+    /// Number of the run, from 1.
+    pub attempt: u32,
+    /// The newest checkpoint; empty for none.
+    pub checkpoint: String,
+    /// Part of the work that is done, in percent.
+    pub percent: u32,
+}
+
+/// A run that has ended. In JSON an array: `[N, task, run, how, saved]`.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(from = "arrays::Finished")]
+pub struct Finished {
+    /// Number of this end; rises from 1 within one instance.
+    pub number: u64,
+    /// The task's name, `ID.K.STEP.INDEX`.
+    pub task: String,
+    /// Number of the run, from 1.
+    pub attempt: u32,
+    /// How it ended.
+    pub end: RunEnd,
+    /// The last checkpoint; empty for none.
+    pub checkpoint: String,
+}
 
-/// A run that has ended: `[N, task, run, how, saved]` on the wire.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Finished(pub u64, pub String, pub u32, pub RunEnd, pub String);
+impl Serialize for Running {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.task, self.attempt, &self.checkpoint, self.percent).serialize(serializer)
+    }
+}
+
+impl Serialize for Finished {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let array = (
+            self.number,
+            &self.task,
+            self.attempt,
+            self.end,
+            &self.checkpoint,
+        );
+        array.serialize(serializer)
+    }
+}
 
 /// A worker's heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -78,13 +121,41 @@
     pub finished: Vec<Finished>,
 }
 
-/// An order to start: `[task, run, spec, saved]` on the wire.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Start(pub String, pub u32, pub String, pub String);
+/// An order to start a run. In JSON an array: `[task, run, spec, saved]`.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(from = "arrays::Start")]
+pub struct Start {
+    /// The task's name, `ID.K.STEP.INDEX`.
+    pub task: String,
+    /// Number of the run, from 1.
+    pub attempt: u32,
+    /// The job's text.
+    pub spec: String,
+    /// The checkpoint to resume from; empty for none.
+    pub checkpoint: String,
+}
+
+/// An order to stop a run. In JSON an array: `[task, run]`.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(from = "arrays::Stop")]
+pub struct Stop {
+    /// The task's name, `ID.K.STEP.INDEX`.
+    pub task: String,
+    /// Number of the run, from 1.
+    pub attempt: u32,
+}
 
-/// An order to stop: `[task, run]` on the wire.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stop(pub String, pub u32);
+impl Serialize for Start {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.task, self.attempt, &self.spec, &self.checkpoint).serialize(serializer)
+    }
+}
+
+impl Serialize for Stop {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.task, self.attempt).serialize(serializer)
+    }
+}
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/protocol/tests/heartbeat.rs
+++ b/crates/protocol/tests/heartbeat.rs
@@ -20,12 +20,23 @@
     let task = "5c0e7a21d94b36f8.0.1.17".to_owned();
     assert_eq!(
         heartbeat.running,
-        [Running(task, 2, "00000bb87a21d94b".to_owned(), 41)]
+        [Running {
+            task,
+            attempt: 2,
+            checkpoint: "00000bb87a21d94b".to_owned(),
+            percent: 41
+        }]
     );
     let task = "5c0e7a21d94b36f8.0.1.9".to_owned();
     assert_eq!(
         heartbeat.finished,
-        [Finished(58, task, 1, RunEnd::Done, String::new())]
+        [Finished {
+            number: 58,
+            task,
+            attempt: 1,
+            end: RunEnd::Done,
+            checkpoint: String::new()
+        }]
     );
 }
 
