--- a/crates/control-plane/src/inspection/room.rs
+++ b/crates/control-plane/src/inspection/room.rs
@@ -81,7 +81,7 @@
         let fits = |worker: &&WorkerAccount| {
             let labelled =
                 step.requirements.is_empty() || worker.labels.contains(&step.requirements);
-            labelled && worker.capacity.holds(&step.resources())
+            labelled && worker.capacity.can_fit(&step.resources())
         };
         let fitting: Vec<&WorkerAccount> = ready.into_iter().filter(fits).collect();
         if fitting.is_empty() {
@@ -90,8 +90,11 @@
         let needed = if step.gang { u64::from(step.count) } else { 1 };
         let places = |worker: &&WorkerAccount| self.places(worker, step, row, instances);
         match fitting.iter().map(places).sum() {
-            places if places < needed => Wait::NoRoom { places, needed },
-            places => Wait::HeldBack { places },
+            fitting_tasks if fitting_tasks < needed => Wait::InsufficientCapacity {
+                fitting_tasks,
+                needed,
+            },
+            fitting_tasks => Wait::Deferred { fitting_tasks },
         }
     }
 
--- a/crates/control-plane/tests/inspection.rs
+++ b/crates/control-plane/tests/inspection.rs
@@ -208,8 +208,8 @@
     );
     assert_eq!(
         told.steps[0].wait,
-        Some(Wait::NoRoom {
-            places: 0,
+        Some(Wait::InsufficientCapacity {
+            fitting_tasks: 0,
             needed: 1
         })
     );
@@ -241,7 +241,7 @@
 #[rstest]
 #[case::label(Step { requirements: "gold".to_owned(), ..step(1, 100) }, Wait::NoWorkerFits)]
 #[case::size(step(1, 5_000), Wait::NoWorkerFits)]
-#[case::gang(Step { gang: true, ..step(3, 2_000) }, Wait::NoRoom { places: 2, needed: 3 })]
+#[case::gang(Step { gang: true, ..step(3, 2_000) }, Wait::InsufficientCapacity { fitting_tasks: 2, needed: 3 })]
 fn the_reason_of_a_wait_is_told(#[case] wanted: Step, #[case] reason: Wait) {
     let mut bench = Bench::with_worker();
     bench.submit(job(vec![wanted]));
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -119,13 +119,16 @@
         Wait::NoWorkerFits => {
             "no worker of the service has the label and the capacity that a task needs".to_owned()
         }
-        Wait::NoRoom { places, needed } => {
+        Wait::InsufficientCapacity {
+            fitting_tasks,
+            needed,
+        } => {
             format!(
-                "no room: {places} tasks would fit beside what runs, {needed} are needed at once"
+                "no room: {fitting_tasks} tasks would fit beside what runs, {needed} are needed at once"
             )
         }
-        Wait::HeldBack { places } => format!(
-            "held back although {places} tasks would fit: room reserved for another step, workers suspected \
+        Wait::Deferred { fitting_tasks } => format!(
+            "held back although {fitting_tasks} tasks would fit: room reserved for another step, workers suspected \
              or paused, or the wait for a rack"
         ),
     }
--- a/crates/data-plane/src/agent/runs.rs
+++ b/crates/data-plane/src/agent/runs.rs
@@ -362,7 +362,7 @@
             return Pass::Later;
         };
         if room.ready {
-            if room.capacity.holds(&used.plus(&self.resources)) {
+            if room.capacity.can_fit(&used.plus(&self.resources)) {
                 if !room.held || started >= STARTS_PER_ANSWER {
                     return Pass::Later;
                 }
--- a/crates/protocol/src/inspection.rs
+++ b/crates/protocol/src/inspection.rs
@@ -258,16 +258,20 @@
     /// No worker of the service has the label and the capacity that a task needs.
     NoWorkerFits,
     /// Too few tasks fit beside what runs.
-    NoRoom {
+    #[serde(rename = "no_room")]
+    InsufficientCapacity {
         /// Tasks that fit now.
-        places: u64,
+        #[serde(rename = "places")]
+        fitting_tasks: u64,
         /// Tasks needed at once: all members of a gang, else 1.
         needed: u64,
     },
     /// There is room, yet the scheduler does not use it at this moment: it is reserved for another step, its workers
     /// are suspected, paused or not heard in full since a change of the head, or the step waits for its rack.
-    HeldBack {
+    #[serde(rename = "held_back")]
+    Deferred {
         /// Tasks that would fit.
-        places: u64,
+        #[serde(rename = "places")]
+        fitting_tasks: u64,
     },
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -19,7 +19,7 @@
 
 impl Resources {
     /// Whether `other` fits into this.
-    pub fn holds(&self, other: &Resources) -> bool {
+    pub fn can_fit(&self, other: &Resources) -> bool {
         other.cpu <= self.cpu && other.mem_mb <= self.mem_mb && other.gpu <= self.gpu
     }
 
--- /dev/null
+++ b/crates/protocol/tests/inspection.rs
@@ -0,0 +1,21 @@
+//! JSON of the answers that the command line tool shows.
+
+use indigofold_protocol::inspection::Wait;
+use rstest::rstest;
+use serde_json::{Value, json};
+
+#[rstest]
+#[case(Wait::Dependency(vec![0, 2]), json!({"dependency": [0, 2]}))]
+#[case(Wait::NoWorkers, json!("no_workers"))]
+#[case(Wait::NoWorkerFits, json!("no_worker_fits"))]
+#[case(
+    Wait::InsufficientCapacity { fitting_tasks: 2, needed: 3 },
+    json!({"no_room": {"places": 2, "needed": 3}})
+)]
+#[case(Wait::Deferred { fitting_tasks: 4 }, json!({"held_back": {"places": 4}}))]
+fn reasons_to_wait_round_trip(#[case] wait: Wait, #[case] expected: Value) {
+    let encoded = serde_json::to_value(&wait).expect("a reason has a JSON form");
+    assert_eq!(encoded, expected);
+    let decoded: Wait = serde_json::from_value(expected).expect("a valid reason");
+    assert_eq!(decoded, wait);
+}
--- a/crates/scheduler/src/placing.rs
+++ b/crates/scheduler/src/placing.rs
@@ -103,8 +103,8 @@
             return;
         };
         let patient = !(pass.spare && self.waits_long(key.at));
-        let hidden = patient && pass.blocked.iter().any(|less| resources.holds(less));
-        let beyond = hidden || !pass.room.holds(&resources);
+        let hidden = patient && pass.blocked.iter().any(|less| resources.can_fit(less));
+        let beyond = hidden || !pass.room.can_fit(&resources);
         if !beyond {
             self.place_step(service, key, reach);
         }
@@ -158,7 +158,7 @@
             .filter_map(|id| self.workers.get(id))
             .map(|w| w.capacity);
         let shares = capacities
-            .filter(|c| c.holds(resources))
+            .filter(|c| c.can_fit(resources))
             .map(|c| dominant_share(resources, &c));
         let whole = shares
             .min_by(f64::total_cmp)
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -159,7 +159,7 @@
             return Vec::new();
         };
         let labelled = need.label.is_empty() || worker.labels.contains(&need.label);
-        if !labelled || !worker.capacity.holds(&need.resources) {
+        if !labelled || !worker.capacity.can_fit(&need.resources) {
             return Vec::new();
         }
         let mut candidates: Vec<Victim> = worker
@@ -178,7 +178,7 @@
         };
         'tasks: for _ in 0..most {
             let mut offer = Offer::default();
-            while !worker.capacity.holds(&used.plus(&need.resources)) {
+            while !worker.capacity.can_fit(&used.plus(&need.resources)) {
                 let Some(victim) = candidates.next() else {
                     break 'tasks;
                 };
--- a/crates/scheduler/src/reservation.rs
+++ b/crates/scheduler/src/reservation.rs
@@ -115,7 +115,7 @@
             .kinds
             .workers()
             .filter_map(|id| self.workers.get(id));
-        let fitting = workers.filter(|worker| worker.capacity.holds(&need.resources));
+        let fitting = workers.filter(|worker| worker.capacity.can_fit(&need.resources));
         let share = |worker: &Worker| dominant_share(&need.resources, &worker.capacity);
         let share = fitting.map(share).min_by(f64::total_cmp)?;
         let members = if step.gang {
@@ -212,7 +212,7 @@
         };
         for count in 1..=u64::from(most) {
             let wanted = times(&need.resources, count);
-            while !worker.capacity.holds(&used.plus(&wanted)) {
+            while !worker.capacity.can_fit(&used.plus(&wanted)) {
                 let Some((end_ms, freed)) = ends.next() else {
                     return free;
                 };
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -156,7 +156,7 @@
 
     /// Whether these resources fit beside what runs.
     pub fn has_room(&self, resources: &Resources) -> bool {
-        self.capacity.holds(&self.used.plus(resources))
+        self.capacity.can_fit(&self.used.plus(resources))
     }
 
     /// Takes room for a run.
--- a/crates/scheduler/tests/world/node.rs
+++ b/crates/scheduler/tests/world/node.rs
@@ -206,7 +206,7 @@
                 self.closed.insert(run);
                 self.not_started.push(run);
                 self.urgent = true;
-            } else if self.capacity.holds(&used.plus(&order.resources)) {
+            } else if self.capacity.can_fit(&used.plus(&order.resources)) {
                 used = used.plus(&order.resources);
                 passed.push(order);
             } else {
--- a/crates/scheduler/tests/world/rules.rs
+++ b/crates/scheduler/tests/world/rules.rs
@@ -79,7 +79,7 @@
         self.nodes[node].urgent = true;
         let (used, capacity) = (self.nodes[node].used(), self.nodes[node].capacity);
         assert!(
-            capacity.holds(&used),
+            capacity.can_fit(&used),
             "LIMIT: {} has {used:?}",
             self.nodes[node].name
         );
