--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -12,7 +12,7 @@
 use capnp::serialize;
 use snafu::Snafu;
 
-/// Longest message that is taken, in bytes.
+/// Longest message that is accepted, in bytes.
 pub const FRAME_BYTES_MAX: usize = 64 << 20;
 /// Bytes of the length before each message.
 pub const LENGTH_BYTES: usize = 4;
@@ -21,13 +21,13 @@
 const TYPICAL_WORDS: u32 = 96;
 /// Bytes of a word of the encoding.
 const WORD_BYTES: usize = 8;
-/// How often each word of a message may be looked at while it is read, on average. A small message whose pointers lead
-/// to the same place again and again cannot become a large one.
+/// How often each word of a message may be visited while it is read, on average: a small message whose pointers all
+/// lead to the same word cannot become a large one.
 const VISITS_MAX: usize = 4;
-/// Words that may be looked at in any message.
+/// Words that may be visited in any message.
 const VISITED_WORDS_MIN: usize = 1_024;
 
-/// Bytes that are no message.
+/// Bytes that are not a message.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
     /// The length before the message is above [`FRAME_BYTES_MAX`].
@@ -57,7 +57,11 @@
     bytes
 }
 
-/// The first whole message in `bytes` and how many bytes it took; `None` while it is not whole.
+/// The first complete message in `bytes` and how many bytes it takes; `None` while it is incomplete.
+///
+/// # Errors
+///
+/// [`CodecError`] if the bytes can never become a message.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, CodecError> {
     let Some(head) = bytes.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -73,7 +77,7 @@
     Ok(Some((frame, LENGTH_BYTES + length)))
 }
 
-/// How many bytes are missing until `bytes` begin with a whole message; 0 if they do, or if they never will.
+/// How many bytes are missing until `bytes` begin with a complete message; 0 if they do, or if they never will.
 pub fn missing_bytes(bytes: &[u8]) -> usize {
     match bytes.first_chunk::<LENGTH_BYTES>() {
         Some(head) => match u32::from_be_bytes(*head) as usize {
--- a/crates/protocol/src/codec/agent.rs
+++ b/crates/protocol/src/codec/agent.rs
@@ -1,4 +1,4 @@
-//! Companions' reports and the head's orders.
+//! Encoding of node agents' reports and of the head's orders.
 
 use super::common::{
     read_resources, read_run, read_runs, read_text, read_texts, write_resources, write_run,
@@ -13,7 +13,7 @@
 };
 use crate::worker::{RunEnd, WorkerState};
 
-/// Writes a [`AgentReport`].
+/// Writes an [`AgentReport`].
 pub(super) fn write_report(mut to: agent_report::Builder, report: &AgentReport) {
     to.set_sent_ms(report.sent_ms);
     if let Some(instance) = &report.instance {
@@ -30,7 +30,7 @@
     );
 }
 
-/// Reads a [`AgentReport`].
+/// Reads an [`AgentReport`].
 pub(super) fn read_report(from: agent_report::Reader) -> capnp::Result<AgentReport> {
     let instance = from
         .has_instance()
--- a/crates/protocol/src/codec/client.rs
+++ b/crates/protocol/src/codec/client.rs
@@ -1,4 +1,4 @@
-//! Clients' calls and the replies.
+//! Encoding of clients' calls and of the replies.
 
 use super::common::read_text;
 use crate::internal::{ClientCall, ClientOperation, ClientOutcome, ClientReply};
--- a/crates/protocol/src/codec/common.rs
+++ b/crates/protocol/src/codec/common.rs
@@ -1,4 +1,4 @@
-//! Parts that several messages have in common.
+//! Encoding of what several messages have in common.
 
 use crate::internal_capnp::{resources, run_id, socket_address};
 use crate::job::Resources;
@@ -8,12 +8,12 @@
 use serde::de::DeserializeOwned;
 use std::net::{IpAddr, SocketAddr};
 
-/// A text of its own.
+/// An owned text.
 pub(super) fn read_text(from: capnp::Result<text::Reader>) -> capnp::Result<String> {
     Ok(from?.to_str()?.to_owned())
 }
 
-/// Texts of their own.
+/// Owned texts.
 pub(super) fn read_texts(from: text_list::Reader) -> capnp::Result<Vec<String>> {
     from.iter().map(read_text).collect()
 }
@@ -104,7 +104,7 @@
 
 /// A value as JSON.
 pub(super) fn to_json(value: &impl Serialize) -> String {
-    // The types that are sent so have no maps and no numbers that JSON cannot hold.
+    // The types that are sent as JSON have no maps and no numbers that JSON cannot represent.
     serde_json::to_string(value).unwrap_or_default()
 }
 
--- a/crates/protocol/src/codec/member.rs
+++ b/crates/protocol/src/codec/member.rs
@@ -1,4 +1,4 @@
-//! How processes introduce themselves.
+//! Encoding of the messages with which a connection begins.
 
 use super::common::{read_address, read_text, write_address};
 use crate::config::IngressLimits;
--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -8,23 +8,23 @@
 pub struct Route {
     /// Its name, unique in the configuration.
     pub name: String,
-    /// The `Host` header that it answers to.
+    /// The `Host` header that it matches.
     pub host: String,
-    /// The paths that begin so; among several the longest wins.
+    /// It matches the paths that begin with this; of several routes the one with the longest prefix is used.
     pub path_prefix: String,
     /// `idempotent` or `non_idempotent`.
     pub route_type: String,
-    /// Time-out of a call; above 0.
+    /// Time-out of a request, in milliseconds; above 0.
     pub timeout_ms: u64,
-    /// Part of a job's objective that does not depend on its work.
+    /// Part of a job's latency target that does not depend on its work, in milliseconds.
     pub target_latency_ms: u64,
-    /// 0 goes first and may preempt others.
+    /// 0 is the most urgent and may preempt others.
     pub priority: u32,
     /// The service whose workers run its tasks.
     pub backend: String,
     /// A task that has failed so often fails its job.
     pub max_retries: u32,
-    /// Part of a job's objective: multiple of its longest chain of work.
+    /// Part of a job's latency target: multiple of its longest chain of work.
     pub stretch: f64,
 }
 
@@ -38,11 +38,11 @@
     pub health_path: String,
     /// Most connections to one worker.
     pub max_connections: u32,
-    /// Its workers reject what does not fit.
+    /// Its workers reject a start that does not fit.
     pub guards: bool,
 }
 
-/// Limits on what comes in at the edges.
+/// Limits on requests at the edges.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct IngressLimits {
@@ -50,9 +50,9 @@
     pub max_header_bytes: u64,
     /// Most bytes of a request's body.
     pub max_body_bytes: u64,
-    /// Time for a request's head to come in.
+    /// Time for a request's head to come in, in milliseconds.
     pub header_timeout_ms: u64,
-    /// An idle connection is closed after this time.
+    /// An idle connection is closed after this time, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// A whole configuration, valid and in the form the scheduler uses.
+/// A complete configuration, valid and in the form the scheduler uses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Config {
@@ -82,7 +82,7 @@
 }
 
 impl Config {
-    /// The route for a call: the longest prefix of `path` among the routes of `host`.
+    /// The route for a request: the longest prefix of `path` among the routes of `host`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let here = self
             .routes
--- a/crates/protocol/src/config_check.rs
+++ b/crates/protocol/src/config_check.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of whole configurations (`PUT /config`).
+//! Reading and checking of complete configurations (`PUT /config`).
 
 use crate::config::Config;
 use crate::config_document;
@@ -29,7 +29,7 @@
         self.config
     }
 
-    /// The whole configuration as JSON, with all fields that were sent, known or not. [`parse_config`] reads it again.
+    /// The complete configuration as JSON, with all fields that were sent, known or not. [`parse_config`] reads it again.
     pub fn json(&self) -> &str {
         &self.json
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Reads and checks a whole configuration. Whether its version is above the current one is checked apart
+/// Reads and checks a complete configuration. Whether its version is above the current one is checked separately
 /// ([`CheckedConfig::ensure_newer_than`]).
 pub fn parse_config(bytes: &[u8]) -> Result<CheckedConfig, ConfigError> {
     let json = std::str::from_utf8(bytes).context(NotUtf8Snafu)?;
--- a/crates/protocol/src/config_document.rs
+++ b/crates/protocol/src/config_document.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration as it is written: which fields there are, which of them are required, and what each may
-//! hold. Read and checked with `schematic`; rules that span several fields are in [`crate::config_check`].
+//! The operator's configuration as it is written: its fields, which of them are required, and which values each allows.
+//! Read and checked with `schematic`; rules that span several fields are in the module `config_check`.
 
 use crate::config::{Config, IngressLimits, Route, Service};
 use crate::config_error::ConfigError;
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Name under which the library keeps the text; nothing is read from a file.
+/// Name that the library gives the text; nothing is read from a file.
 const SOURCE_NAME: &str = "configuration.json";
 
 /// A route as it is written.
@@ -54,7 +54,7 @@
     idle_timeout_ms: Option<u64>,
 }
 
-/// A whole configuration as it is written.
+/// A complete configuration as it is written.
 #[derive(Document)]
 #[config(allow_unknown_fields)]
 struct ConfigDocument {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Strict JSON. (The library's own format also takes comments.)
+/// Strict JSON. (The library's own format also accepts comments.)
 struct StrictJson;
 
 impl<T: DeserializeOwned> SourceFormat<T> for StrictJson {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Reads a whole configuration and checks each field.
+/// Reads a complete configuration and checks each field.
 pub(crate) fn read(text: &str) -> Result<Config, ConfigError> {
     let mut loader = ConfigLoader::<ConfigDocument>::new();
     loader.add_format(StrictJson);
--- a/crates/protocol/src/config_patch.rs
+++ b/crates/protocol/src/config_patch.rs
@@ -1,7 +1,7 @@
 //! Changes of named items of a configuration (`PATCH /config`).
 //!
-//! The change is made in the operator's own text: items that it does not name, and fields that are not known here, stay
-//! as they were written, to the letter.
+//! The change is made in the operator's own text: items that it does not name, and fields that are not known here, are
+//! kept byte for byte.
 
 use crate::config_check::{CheckedConfig, parse_config};
 use crate::config_error::ConfigError;
@@ -13,7 +13,7 @@
 /// The field of a configuration that holds its version.
 const VERSION: &str = "version";
 
-/// A configuration by its fields; the items of lists are not looked into.
+/// A configuration by its fields; the items of lists are not parsed.
 type Fields<'a> = BTreeMap<String, &'a RawValue>;
 
 /// A change as it is written.
@@ -27,7 +27,7 @@
     remove: BTreeMap<String, Vec<String>>,
 }
 
-/// What is read of an item to be told from others.
+/// The field that identifies an item.
 #[derive(Deserialize)]
 struct Named {
     name: String,
@@ -48,7 +48,7 @@
         Ok(items)
     }
 
-    /// Removes the items of these names; those that are not there stay away.
+    /// Removes the items of these names; names that are not there are skipped.
     fn remove(&mut self, names: &[String]) {
         for position in names.iter().filter_map(|name| self.positions.remove(name)) {
             self.items[position] = None;
@@ -85,10 +85,10 @@
 }
 
 /// The configuration that `patch` makes of `current`, checked. Whether its version is above the current one is checked
-/// apart ([`CheckedConfig::ensure_newer_than`]).
+/// separately ([`CheckedConfig::ensure_newer_than`]).
 ///
 /// `remove` goes first, and to remove what is not there changes nothing. Each field of `upsert` that is a list is merged
-/// by name; any other one (`limits`) is replaced whole.
+/// by name; any other one (`limits`) is replaced as a whole.
 pub fn apply_patch(current: &CheckedConfig, patch: &[u8]) -> Result<CheckedConfig, ConfigError> {
     let patch: Patch = read(patch)?;
     let mut fields: Fields = read(current.json().as_bytes())?;
@@ -137,7 +137,7 @@
     })
 }
 
-/// Reads a part of a JSON text.
+/// Reads a raw JSON value.
 fn read_raw<'a, T: Deserialize<'a>>(value: &'a RawValue) -> Result<T, ConfigError> {
     read(value.get().as_bytes())
 }
--- a/crates/protocol/src/heartbeat_check.rs
+++ b/crates/protocol/src/heartbeat_check.rs
@@ -9,7 +9,7 @@
 /// A heartbeat that cannot be used.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum HeartbeatError {
-    /// It is no JSON, or a field is of the wrong kind.
+    /// It is not JSON, or a field has the wrong type.
     #[snafu(display("the heartbeat cannot be read: {source}"))]
     Unreadable {
         /// What, where, and what is allowed.
--- a/crates/protocol/src/inspection.rs
+++ b/crates/protocol/src/inspection.rs
@@ -17,18 +17,18 @@
 /// A question. The answer carries the same `call`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InspectionCall {
-    /// Chosen by the asker.
+    /// Chosen by the tool.
     pub call: u64,
-    /// What is asked.
+    /// The question.
     pub question: Question,
 }
 
-/// What is asked.
+/// The question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
-    /// How the member and, if it is the acting head, the work stands.
+    /// The status of the member and, if it is the acting head, of the work.
     Status,
-    /// How a job stands and why it waits. For the acting head.
+    /// The status of a job and why it waits. Answered by the acting head.
     Job(JobId),
 }
 
@@ -37,35 +37,35 @@
 pub struct InspectionReply {
     /// The question's number.
     pub call: u64,
-    /// What the member tells.
+    /// The answer.
     pub answer: InspectionAnswer,
 }
 
-/// What a member tells.
+/// A member's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum InspectionAnswer {
-    /// How the member stands.
+    /// The member's status.
     Status(Box<MemberStatus>),
-    /// How the job stands; `None`: no such job is known.
+    /// The job's status; `None`: no such job is known.
     Job(Option<Box<JobInspection>>),
     /// This member is not the acting head.
     NotHead {
         /// The head, where it knows one that is at work.
         head: Option<MemberAddress>,
     },
-    /// The member cannot tell now.
+    /// The member cannot answer now.
     Unavailable {
         /// Why.
         reason: String,
     },
 }
 
-/// How a member stands.
+/// Status of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Version of its program.
     pub version: String,
-    /// Where it is reached.
+    /// Its addresses.
     pub address: MemberAddress,
     /// The view that it accepted last.
     pub view: Option<ViewStatus>,
@@ -79,12 +79,12 @@
     pub storage_failing: bool,
     /// The other members and seeds, and whether its connection to each is open.
     pub peers: Vec<PeerStatus>,
-    /// Companions connected to it.
+    /// Node agents connected to it.
     #[serde(rename = "companions")]
     pub agents: u32,
     /// Edges connected to it.
     pub edges: u32,
-    /// The work; told by the acting head only.
+    /// The work; only the acting head reports it.
     pub work: Option<WorkStatus>,
 }
 
@@ -93,7 +93,7 @@
 pub struct ViewStatus {
     /// Its number: the fencing token of the head's orders.
     pub number: u64,
-    /// It is known to hold.
+    /// A majority is known to have accepted it.
     pub agreed: bool,
     /// Internal addresses of the voters.
     pub voters: Vec<SocketAddr>,
@@ -134,18 +134,18 @@
     pub queues: Vec<QueueStatus>,
     /// Ended jobs that are still shown.
     pub ended: EndedJobs,
-    /// Rows that this version of the survey cannot read.
+    /// Rows that this version of the program cannot read.
     pub unreadable_rows: u64,
 }
 
-/// The workers of a service that are connected through their companions.
+/// The workers of a service that are connected through their node agents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
     /// The service's name.
     pub service: String,
     /// Workers that take new work.
     pub ready: u32,
-    /// Workers about to leave.
+    /// Workers that are draining.
     pub draining: u32,
 }
 
@@ -173,10 +173,10 @@
     pub cancelled: u64,
 }
 
-/// Tasks by how they stand. Only repetitions that are due count.
+/// Tasks by state. Only repetitions that are due count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCounts {
-    /// Their turn has come and nothing of them runs.
+    /// Their earlier steps are done and nothing of them runs.
     pub waiting: u64,
     /// Earlier steps are not done.
     pub blocked: u64,
@@ -196,30 +196,30 @@
     }
 }
 
-/// How a job stands.
+/// Status of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobInspection {
     /// Its id.
     pub id: String,
-    /// Its queue; not kept for ended jobs.
+    /// Its queue; not stored for ended jobs.
     pub queue: Option<String>,
-    /// The service whose workers run its tasks; not kept for ended jobs.
+    /// The service whose workers run its tasks; not stored for ended jobs.
     pub service: Option<String>,
     /// Its state as clients are shown it.
     pub state: JobState,
-    /// When it was taken, in milliseconds since 1970; not kept for ended jobs.
+    /// When it was accepted, in milliseconds since 1970; not stored for ended jobs.
     pub accepted_wall_ms: Option<u64>,
-    /// How often its steps run; not kept for ended jobs.
+    /// Number of its repetitions; not stored for ended jobs.
     pub repeats: Option<u32>,
     /// When the next repetition is due, in milliseconds since 1970.
     pub next_due_wall_ms: Option<u64>,
-    /// The steps of the repetitions that are due and not over.
+    /// The steps of the repetitions that are due and not complete.
     pub steps: Vec<StepInspection>,
     /// There are more steps than listed.
     pub more_steps: bool,
 }
 
-/// How a step of a repetition stands.
+/// Status of a step of a repetition.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepInspection {
     /// Repetition, from 0.
@@ -243,7 +243,7 @@
     pub index: u32,
     /// The run's number.
     pub attempt: u32,
-    /// The worker's life.
+    /// The worker's instance.
     pub instance: String,
 }
 
@@ -266,8 +266,8 @@
         /// Tasks needed at once: all members of a gang, else 1.
         needed: u64,
     },
-    /// There is room, yet the scheduler does not use it at this moment: it is reserved for another step, its workers
-    /// are suspected, paused or not heard in full since a change of the head, or the step waits for its rack.
+    /// There is capacity, yet the scheduler does not use it now: it is reserved for another step, its workers are
+    /// suspected, in backoff or without a full report since a change of the head, or the step waits for its rack.
     #[serde(rename = "held_back")]
     Deferred {
         /// Tasks that would fit.
--- a/crates/protocol/src/internal.rs
+++ b/crates/protocol/src/internal.rs
@@ -1,8 +1,8 @@
-//! Messages between the cluster's own processes. Edges and companions dial the core's members; members dial each
-//! other. The first frame on a connection is a [`Hello`]; a member answers with a [`Welcome`].
+//! Messages between the cluster's own processes. Edges and node agents connect to the core members; members
+//! connect to each other. The first frame on a connection is a [`Hello`]; a member answers with a [`Welcome`].
 //!
-//! All `*_ms` times are milliseconds; `sent_ms` values are readings of the sender's steady clock and mean something to
-//! that sender only.
+//! All `*_ms` times are milliseconds; `sent_ms` values are readings of the sender's steady clock, meaningful to that
+//! sender only.
 
 use crate::config::IngressLimits;
 use crate::inspection::{InspectionCall, InspectionReply};
@@ -16,15 +16,15 @@
 /// The kind of process that connects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessKind {
-    /// Takes clients' calls.
+    /// Takes clients' requests.
     Edge,
-    /// Sits beside a worker.
+    /// Node agent: runs beside a worker.
     Agent,
-    /// Keeps the control state.
+    /// Core member: holds a replica of the control state.
     Core,
 }
 
-/// First frame of the process that dials.
+/// First frame of the process that connects.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     /// Name of its machine.
@@ -63,11 +63,11 @@
     pub host: String,
     /// The path.
     pub path: String,
-    /// What is asked.
+    /// What the client requests.
     pub operation: ClientOperation,
 }
 
-/// What a client asks.
+/// What a client requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClientOperation {
     /// POST PREFIX + ID.
@@ -83,23 +83,23 @@
 pub struct ClientReply {
     /// The call's number.
     pub call: u64,
-    /// What became of it.
+    /// Its result.
     pub outcome: ClientOutcome,
 }
 
-/// What became of a client's call.
+/// The result of a client's call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClientOutcome {
-    /// The job is kept (200).
+    /// The job is stored (200).
     Accepted,
-    /// The job is not taken and never runs because of this call (429).
+    /// The job is not accepted and never runs because of this call (429).
     TooMany {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: u64,
     },
     /// The call was not carried out: this member is not the acting head, or has no configuration (503).
     Unavailable {
-        /// When to come back.
+        /// When to retry.
         retry_after_ms: u64,
     },
     /// No route leads there (404).
@@ -119,20 +119,21 @@
     Cancelled,
 }
 
-/// What a companion tells the head, at changes and at least every few hundred milliseconds.
+/// A node agent's report to the head, sent at changes and at least every few hundred milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentReport {
-    /// The companion's steady clock when it sent this.
+    /// The agent's steady clock when it sent this.
     pub sent_ms: u64,
-    /// The worker's present life, if one has registered here.
+    /// The worker's present instance, if one has registered here.
     pub instance: Option<InstanceReport>,
-    /// Earlier lives (or this one, once it has left or all its holds have lapsed): nothing of theirs runs or ever will.
+    /// Earlier instances (or this one, once it has ended or all its run leases have expired): nothing of theirs runs or
+    /// ever will.
     pub ended_instances: Vec<String>,
-    /// Starts that were never passed on to the worker and never will be.
+    /// Starts that were never sent to the worker and never will be.
     pub not_started: Vec<RunId>,
 }
 
-/// One life of a worker, as its companion knows it.
+/// An instance of a worker, as its node agent knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceReport {
     /// Its id.
@@ -143,11 +144,11 @@
     pub zone: String,
     /// Whether it takes new work.
     pub state: WorkerState,
-    /// Least time until it leaves, while it drains.
+    /// Least time until it ends, while it drains.
     pub remaining_ms: Option<u64>,
     /// How long it will still be slow after its start.
     pub warmup_remaining_ms: u64,
-    /// What it has.
+    /// Its resources.
     pub capacity: Resources,
     /// Its labels.
     pub labels: Vec<String>,
@@ -157,7 +158,7 @@
     pub running: Option<Vec<RunningRun>>,
     /// Ends that the head has not acknowledged yet, in the order of their numbers.
     pub finished: Vec<FinishedRun>,
-    /// Starts passed on whose run no heartbeat has listed yet.
+    /// Starts sent to the worker whose run no heartbeat has listed yet.
     pub in_flight: Vec<RunId>,
 }
 
@@ -166,36 +167,36 @@
 pub struct RunningRun {
     /// The run.
     pub run: RunId,
-    /// Its progress as saved last; empty for none.
+    /// Its last checkpoint; empty for none.
     pub checkpoint: String,
-    /// Part done, in percent.
+    /// Progress, in percent.
     pub percent: u32,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinishedRun {
-    /// The worker's number of this end; rises within one life.
+    /// The worker's number of this end; rises within one instance.
     pub number: u64,
     /// The run.
     pub run: RunId,
     /// How it ended.
     pub end: RunEnd,
-    /// Its progress as saved last; empty for none.
+    /// Its last checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// What the head tells a companion; also the answer to each of its reports.
+/// The head's orders to a node agent; also the answer to each of its reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentOrders {
-    /// The head's view: the fencing token. Orders of a lower one than the highest seen are dropped.
+    /// The head's view: the fencing token. Orders of a lower one than the highest received are dropped.
     pub epoch: u64,
-    /// `sent_ms` of the newest report heard: the companion may extend holds for
-    /// [`LEASE_AUTHORITY_MS`] from then on. `None`: it may not because of this message.
+    /// `sent_ms` of the newest report received: the agent may extend run leases for [`LEASE_AUTHORITY_MS`] from then on.
+    /// `None`: this message gives no authority to extend.
     pub echo_sent_ms: Option<u64>,
-    /// The worker's life that this is for; orders for another one are dropped.
+    /// The worker's instance that this is for; orders for another one are dropped.
     pub instance: String,
-    /// Runs to start. Sent again after a reconnection; a run known there already is not started twice.
+    /// Runs to start. Sent again after a reconnection; the agent does not start a known run twice.
     pub start: Vec<StartOrder>,
     /// Runs to stop.
     pub stop: Vec<RunId>,
@@ -210,10 +211,10 @@
     }
 }
 
-/// For how long after sending a report that the head has answered a companion may go on extending holds.
+/// For how long after sending a report that the head has answered a node agent may go on extending run leases.
 pub const LEASE_AUTHORITY_MS: u64 = 8_000;
 
-/// How long a companion lets the worker hold what runs, at each heartbeat; never above `max_lease_ms`.
+/// The run lease that a node agent grants at each heartbeat; never above the bound `max_hold_ms`.
 pub const RUN_LEASE_MS: u64 = 4_500;
 
 /// A run to start.
@@ -221,18 +222,18 @@
 pub struct StartOrder {
     /// The run.
     pub run: RunId,
-    /// What it takes; the companion passes it on only where it fits.
+    /// What it needs; the agent sends it on only where it fits.
     pub resources: Resources,
     /// The job's text.
     pub spec: String,
-    /// Progress to resume from; empty for none.
+    /// The checkpoint to resume from; empty for none.
     pub checkpoint: String,
 }
 
-/// All that is sent on an internal connection.
+/// Every message on an internal connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// First frame of the process that dials.
+    /// First frame of the process that connects.
     Hello(Hello),
     /// A member's answer.
     Welcome(Welcome),
@@ -240,9 +241,9 @@
     Call(ClientCall),
     /// Head to edge.
     Reply(ClientReply),
-    /// Companion to head.
+    /// Node agent to head.
     Report(AgentReport),
-    /// Head to companion.
+    /// Head to node agent.
     Orders(AgentOrders),
     /// Member to member: a message of the replication protocol, encoded by that crate.
     Replication(Vec<u8>),
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as clients hand them in, and the states they are shown in.
+//! Jobs as clients submit them, and the states that clients are shown.
 
 use serde::{Deserialize, Serialize};
 
@@ -58,7 +58,7 @@
     pub estimate_ms: u64,
     /// Earlier steps whose tasks must all be done first.
     pub depends_on: Vec<u32>,
-    /// Its tasks save their progress.
+    /// Its tasks make checkpoints.
     pub checkpoints: bool,
     /// Its tasks work only all together.
     pub gang: bool,
@@ -66,11 +66,11 @@
     pub rack_local: bool,
     /// Label that the worker must have; empty for none.
     pub requirements: String,
-    /// Rack that holds the data; empty for none.
+    /// Rack that has the data; empty for none.
     pub affinity: String,
     /// Most tasks of the step (of one repetition) on one worker; 0 for no bound.
     pub anti_affinity: u32,
-    /// Copies of a task may run at the same time.
+    /// Several runs of a task may run at the same time.
     pub speculative: bool,
     /// Its tasks run until the job is cancelled.
     pub long_running: bool,
@@ -87,15 +87,15 @@
     }
 }
 
-/// A job as its client hands it in.
+/// A job as its client submits it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct JobSpec {
-    /// Text handed to each task, [`SPEC_BYTES_MAX`] bytes at most.
+    /// Text passed to each task, [`SPEC_BYTES_MAX`] bytes at most.
     pub spec: String,
     /// The steps.
     pub stages: Vec<Step>,
-    /// How often the steps run; 0 for once, without a set time.
+    /// Number of repetitions; 0 for a single run of the steps, without a due time.
     pub repeat_count: u32,
     /// When repetition 0 is due, in milliseconds since 1970.
     pub start_at_ms: u64,
--- a/crates/protocol/src/job_check.rs
+++ b/crates/protocol/src/job_check.rs
@@ -12,13 +12,13 @@
 pub const TASKS_MAX: u64 = 50_000;
 /// Most repetitions of a job.
 pub const REPEATS_MAX: u32 = 1_000_000;
-/// Largest amount of anything that one task may ask for; sums over all tasks stay within 64 bits.
+/// Largest amount of anything that one task may need; sums over all tasks stay within 64 bits.
 pub const AMOUNT_MAX: u64 = 1 << 40;
 
-/// A job that is refused.
+/// A job that is rejected.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum JobError {
-    /// It is no JSON, or a field is of the wrong kind.
+    /// It is not JSON, or a field has the wrong type.
     #[snafu(display("the job cannot be read: {source}"))]
     Unreadable {
         /// What, where, and what is allowed.
@@ -58,14 +58,14 @@
         /// The step that it names.
         on: u32,
     },
-    /// A task asks for a nonsensical amount.
+    /// A task needs more than [`AMOUNT_MAX`] of something.
     #[snafu(display("`stages[{step}].{field}` is {amount}: at most {AMOUNT_MAX} is allowed"))]
     Amount {
         /// The step, from 0.
         step: usize,
         /// The field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         amount: u64,
     },
     /// Too many repetitions, or the last one falls due beyond the end of the calendar.
@@ -85,7 +85,7 @@
     Ok(job)
 }
 
-/// Checks what the types do not say. Edges check jobs as they read them, the scheduler as it takes them.
+/// Checks what the types do not ensure. Edges check jobs as they read them, the scheduler as it accepts them.
 pub fn check_job(job: &JobSpec) -> Result<(), JobError> {
     ensure!(
         job.spec.len() <= SPEC_BYTES_MAX,
--- a/crates/protocol/src/json.rs
+++ b/crates/protocol/src/json.rs
@@ -1,9 +1,9 @@
-//! Reading JSON with errors that tell the place.
+//! Reading JSON with errors that give the path of the field.
 
 use serde::Deserialize;
 use snafu::Snafu;
 
-/// JSON that does not have the form expected. Tells what, where and what is allowed.
+/// JSON that does not have the form expected: what is wrong, where, and what is allowed.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("`{path}`: {problem}"))]
 pub struct JsonError {
@@ -13,7 +13,7 @@
     pub problem: String,
 }
 
-/// Reads a value. The place of a mistake is looked for only once there is one.
+/// Reads a value. The path of the faulty field is determined only after an error.
 pub(crate) fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, JsonError> {
     serde_json::from_slice(bytes).or_else(|_| read_with_path(bytes))
 }
--- a/crates/protocol/src/order_digest.rs
+++ b/crates/protocol/src/order_digest.rs
@@ -1,17 +1,17 @@
-//! Recognition of orders that the operator sends again.
+//! Recognition of requests that the operator sends again.
 
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Bytes of a digest: enough that two different orders never share one.
+/// Bytes of a digest: enough that collisions are out of the question.
 const DIGEST_BYTES: usize = 16;
 
-/// Digest of an operator's order. The same order has the same digest, on all machines and in all versions.
+/// Digest of an operator's request. The same request has the same digest, on all machines and in all versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderDigest(pub [u8; DIGEST_BYTES]);
 
 impl OrderDigest {
-    /// The digest of a call with this method, `If-Match` header and body.
+    /// The digest of a request with this method, `If-Match` header and body.
     pub fn of(method: &str, if_match: Option<&str>, body: &[u8]) -> OrderDigest {
         let mut hasher = Sha256::new();
         add(&mut hasher, method.as_bytes());
--- a/crates/protocol/src/task.rs
+++ b/crates/protocol/src/task.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
-/// A text that is not the name of a job or task.
+/// A text that is not a job id or a task name.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum NameError {
     /// A job id must be 16 hexadecimal digits.
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,4 +1,4 @@
-//! What workers tell in their heartbeats and are told in the answers (`PUT /instances/ID`).
+//! Workers' heartbeats (`PUT /instances/ID`) and the replies.
 
 mod arrays;
 mod entries;
@@ -17,7 +17,7 @@
     /// It takes new work.
     #[default]
     Ready,
-    /// It is about to leave.
+    /// It takes no new work and is about to end.
     Draining,
 }
 
@@ -37,18 +37,18 @@
     pub slots: u32,
     /// Whether it takes new work.
     pub state: WorkerState,
-    /// How long it will still be slow after its start, in milliseconds.
+    /// Rest of its warm-up, in milliseconds.
     #[serde(rename = "cold_remaining_ms")]
     pub warmup_remaining_ms: u64,
-    /// What it has.
+    /// Its resources.
     pub capacity: Resources,
     /// Its labels: kind, rack.
     pub labels: Vec<String>,
-    /// Least time until it leaves, in milliseconds, while it drains.
+    /// Least time until it ends, in milliseconds, while it drains.
     pub remaining_ms: Option<u64>,
     /// Its own clock, in milliseconds.
     pub now_ms: u64,
-    /// Rises with each call.
+    /// Rises with each heartbeat.
     pub seq_no: u64,
     /// Runs at work.
     pub running: Vec<Running>,
@@ -60,13 +60,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HeartbeatReply {
-    /// For how long what runs is held, from when the heartbeat was sent; without it nothing is started or held on.
+    /// The run lease, in milliseconds from when the heartbeat was sent; without it nothing is started and no lease is
+    /// extended.
     #[serde(rename = "hold_ms", skip_serializing_if = "Option::is_none")]
     pub lease_ms: Option<u64>,
-    /// Ends up to this number are taken note of.
+    /// Ends up to this number are on disk.
     #[serde(rename = "last_seen", skip_serializing_if = "Option::is_none")]
     pub acknowledged_end: Option<u64>,
-    /// Orders under a lower token than the highest seen are not followed.
+    /// The worker follows no orders under a lower token than the highest one received.
     #[serde(rename = "fence_token", skip_serializing_if = "Option::is_none")]
     pub fencing_token: Option<u64>,
     /// Runs to start.
--- a/crates/protocol/src/worker/arrays.rs
+++ b/crates/protocol/src/worker/arrays.rs
@@ -1,6 +1,5 @@
-//! The entries of a heartbeat's lists and of its answer's, as the arrays that stand for them in JSON.
-//!
-//! Only the order of the fields is said here; their meaning is at the structs that are made of these.
+//! The JSON arrays of a heartbeat's lists and of its reply's. They fix the order of the fields; the meaning of each field
+//! is documented at the struct that is made of it.
 
 use super::run_end::RunEnd;
 use serde::Deserialize;
