--- a/crates/net/src/error.rs
+++ b/crates/net/src/error.rs
@@ -66,7 +66,7 @@
     },
     /// A peer has closed the connection within a frame.
     #[snafu(display("{peer} has closed the connection within a frame"))]
-    CutShort {
+    Truncated {
         /// The peer's address.
         peer: SocketAddr,
     },
--- a/crates/net/src/framed/mod.rs
+++ b/crates/net/src/framed.rs
@@ -1,5 +1,6 @@
 //! Connections between the cluster's own processes: frames in both directions over one TCP connection.
 
+mod link;
 mod reader;
 mod sender;
 
--- /dev/null
+++ b/crates/net/src/framed/link.rs
@@ -0,0 +1,132 @@
+//! What the two halves of a connection and its writing task share.
+
+use crate::socket::shut_down;
+use crate::waker_slot::WakerSlot;
+use compio::net::TcpStream;
+use std::cell::{Cell, RefCell};
+use std::future::poll_fn;
+use std::net::{Shutdown, SocketAddr};
+use std::task::{Poll, Waker};
+
+/// Capacity above which an emptied buffer is released.
+pub(super) const RETAINED_BUFFER_BYTES_MAX: usize = 64 << 10;
+
+/// One open connection: its socket, the queue of bytes to be written, and whether it has ended.
+pub(super) struct Link {
+    stream: TcpStream,
+    peer: SocketAddr,
+    /// Encoded frames that wait.
+    queue: RefCell<Vec<u8>>,
+    /// Bytes handed to the socket and not accepted by it yet.
+    writing: Cell<usize>,
+    /// Senders alive.
+    senders: Cell<usize>,
+    closed: Cell<bool>,
+    /// The task that writes the queue.
+    writer: WakerSlot,
+    /// The task that reads frames.
+    reader: WakerSlot,
+}
+
+impl Link {
+    /// An open connection with one sender.
+    pub(super) fn new(stream: TcpStream, peer: SocketAddr) -> Link {
+        Link {
+            stream,
+            peer,
+            queue: RefCell::default(),
+            writing: Cell::new(0),
+            senders: Cell::new(1),
+            closed: Cell::new(false),
+            writer: WakerSlot::default(),
+            reader: WakerSlot::default(),
+        }
+    }
+
+    /// The socket.
+    pub(super) fn stream(&self) -> &TcpStream {
+        &self.stream
+    }
+
+    /// Address of the peer's socket.
+    pub(super) fn peer(&self) -> SocketAddr {
+        self.peer
+    }
+
+    /// Ends the connection for both halves.
+    pub(super) fn close(&self) {
+        if !self.closed.replace(true) {
+            *self.queue.borrow_mut() = Vec::new();
+            shut_down(&self.stream, Shutdown::Both);
+            self.writer.wake();
+            self.reader.wake();
+        }
+    }
+
+    /// Whether the connection has ended.
+    pub(super) fn is_closed(&self) -> bool {
+        self.closed.get()
+    }
+
+    /// Wakes the reader's task with `waker` when the connection ends.
+    pub(super) fn wake_reader(&self, waker: &Waker) {
+        self.reader.register(waker);
+    }
+
+    /// A sender has been cloned.
+    pub(super) fn add_sender(&self) {
+        self.senders.set(self.senders.get() + 1);
+    }
+
+    /// A sender has been dropped. After the last one the connection ends once the queue is written.
+    pub(super) fn remove_sender(&self) {
+        let remaining = self.senders.get() - 1;
+        self.senders.set(remaining);
+        if remaining == 0 {
+            self.writer.wake();
+        }
+    }
+
+    /// Queues an encoded frame.
+    pub(super) fn enqueue(&self, bytes: Vec<u8>) {
+        let mut queue = self.queue.borrow_mut();
+        if queue.capacity() == 0 {
+            *queue = bytes;
+        } else {
+            queue.extend_from_slice(&bytes);
+        }
+        drop(queue);
+        self.writer.wake();
+    }
+
+    /// Bytes that wait to be written, or are being written.
+    pub(super) fn queued_bytes(&self) -> usize {
+        self.queue.borrow().len() + self.writing.get()
+    }
+
+    /// Sets how many bytes the socket is accepting at present.
+    pub(super) fn set_writing(&self, bytes: usize) {
+        self.writing.set(bytes);
+    }
+
+    /// Takes what is queued and leaves `spare` in its place; `None` once no more will come.
+    pub(super) async fn next_batch(&self, spare: Vec<u8>) -> Option<Vec<u8>> {
+        let mut spare = Some(spare);
+        poll_fn(|context| {
+            if self.is_closed() {
+                return Poll::Ready(None);
+            }
+            let mut queue = self.queue.borrow_mut();
+            if !queue.is_empty() {
+                let spare = spare.take().unwrap_or_default();
+                return Poll::Ready(Some(std::mem::replace(&mut *queue, spare)));
+            }
+            if self.senders.get() == 0 {
+                return Poll::Ready(None);
+            }
+            self.writer.register(context.waker());
+            Poll::Pending
+        })
+        .await
+    }
+}
--- a/crates/net/src/framed/reader.rs
+++ b/crates/net/src/framed/reader.rs
@@ -1,7 +1,7 @@
 //! The receiving half of a connection.
 
-use super::sender::Link;
-use crate::error::{ConnectionSnafu, CutShortSnafu, FrameSnafu, NetError};
+use super::link::{Link, RETAINED_BUFFER_BYTES_MAX};
+use crate::error::{ConnectionSnafu, FrameSnafu, NetError, TruncatedSnafu};
 use compio::BufResult;
 use compio::buf::{IntoInner, IoBuf};
 use compio::io::AsyncRead;
@@ -18,8 +18,6 @@
 
 /// Room made for each read.
 const READ_BYTES: usize = 8 << 10;
-/// Capacity above which an emptied buffer is given back.
-const BUFFER_KEPT_MAX: usize = 64 << 10;
 
 /// Receives frames. Dropping it closes the connection.
 pub struct FrameReader {
@@ -64,23 +62,23 @@
                 self.start += length;
                 return Ok(Some(frame));
             }
-            self.make_room();
+            self.reserve_space();
             let received = self.fill().await.context(ConnectionSnafu { peer })?;
             if received == 0 {
                 ensure!(
                     self.buffer.is_empty() || self.link.is_closed(),
-                    CutShortSnafu { peer }
+                    TruncatedSnafu { peer }
                 );
                 return Ok(None);
             }
         }
     }
 
-    /// Drops the bytes taken and makes room for what is still missing of the frame that has begun.
-    fn make_room(&mut self) {
+    /// Drops the bytes taken and reserves space for what is still missing of the frame that has begun.
+    fn reserve_space(&mut self) {
         self.buffer.drain(..self.start);
         self.start = 0;
-        if self.buffer.is_empty() && self.buffer.capacity() > BUFFER_KEPT_MAX {
+        if self.buffer.is_empty() && self.buffer.capacity() > RETAINED_BUFFER_BYTES_MAX {
             self.buffer = Vec::new();
         }
         let missing = codec::missing_bytes(&self.buffer);
@@ -90,9 +88,9 @@
     /// Reads what has come in, behind what is in the buffer; 0 once the connection is closed.
     async fn fill(&mut self) -> io::Result<usize> {
         let filled = self.buffer.len();
-        let room = std::mem::take(&mut self.buffer).slice(filled..);
+        let unfilled = std::mem::take(&mut self.buffer).slice(filled..);
         let mut stream = &self.stream;
-        let mut read = pin!(stream.read(room));
+        let mut read = pin!(stream.read(unfilled));
         let link = &self.link;
         let outcome = poll_fn(|context| {
             if link.is_closed() {
@@ -102,8 +100,8 @@
             read.as_mut().poll(context).map(Some)
         });
         match outcome.await {
-            Some(BufResult(received, room)) => {
-                self.buffer = room.into_inner();
+            Some(BufResult(received, filled)) => {
+                self.buffer = filled.into_inner();
                 received
             }
             None => Ok(0),
--- /dev/null
+++ b/crates/net/src/http/state.rs
@@ -0,0 +1,99 @@
+//! What the tasks of one server share.
+
+use super::options::HttpOptions;
+use super::progress::Progress;
+use crate::waker_slot::WakerSlot;
+use std::cell::{Cell, RefCell};
+use std::future::poll_fn;
+use std::rc::{Rc, Weak};
+use std::task::Poll;
+
+/// What the server's tasks share.
+pub(super) struct ServerState {
+    options: Cell<HttpOptions>,
+    shutting_down: Cell<bool>,
+    connections: RefCell<Vec<Weak<Progress>>>,
+    open: Cell<usize>,
+    /// The task that enforces time limits is at work.
+    watched: Cell<bool>,
+    /// The task that waits until no connection is open.
+    drained: WakerSlot,
+}
+
+impl ServerState {
+    /// The state of a server that has not accepted a connection yet.
+    pub(super) fn new(options: HttpOptions) -> ServerState {
+        ServerState {
+            options: Cell::new(options),
+            shutting_down: Cell::new(false),
+            connections: RefCell::default(),
+            open: Cell::new(0),
+            watched: Cell::new(false),
+            drained: WakerSlot::default(),
+        }
+    }
+
+    /// The limits in force.
+    pub(super) fn options(&self) -> HttpOptions {
+        self.options.get()
+    }
+
+    /// Sets the limits of requests that come in from now on.
+    pub(super) fn set_options(&self, options: HttpOptions) {
+        self.options.set(options);
+    }
+
+    /// Each response is to close its connection.
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.shutting_down.get()
+    }
+
+    /// From now on each response closes its connection.
+    pub(super) fn begin_shutdown(&self) {
+        self.shutting_down.set(true);
+    }
+
+    /// Number of open connections.
+    pub(super) fn open_connections(&self) -> usize {
+        self.open.get()
+    }
+
+    /// A connection has been accepted.
+    pub(super) fn opened(&self, progress: &Rc<Progress>) {
+        self.connections.borrow_mut().push(Rc::downgrade(progress));
+        self.open.set(self.open.get() + 1);
+    }
+
+    /// A connection has ended.
+    pub(super) fn closed(&self) {
+        self.open.set(self.open.get() - 1);
+        if self.open.get() == 0 {
+            self.drained.wake();
+        }
+    }
+
+    /// Calls `act` for each open connection and forgets those that are closed.
+    pub(super) fn for_each_connection(&self, act: impl Fn(&Progress)) {
+        self.connections.borrow_mut().retain(|connection| {
+            let connection = connection.upgrade();
+            connection.inspect(|progress| act(progress)).is_some()
+        });
+    }
+
+    /// Sets whether the task that enforces time limits is at work; returns what held before.
+    pub(super) fn set_watched(&self, watched: bool) -> bool {
+        self.watched.replace(watched)
+    }
+
+    /// Waits until no connection is open.
+    pub(super) async fn until_drained(&self) {
+        poll_fn(|context| {
+            if self.open.get() == 0 {
+                return Poll::Ready(());
+            }
+            self.drained.register(context.waker());
+            Poll::Pending
+        })
+        .await;
+    }
+}
--- a/crates/net/src/http/stream.rs
+++ b/crates/net/src/http/stream.rs
@@ -1,6 +1,6 @@
 //! A socket as the HTTP library's adapter takes it.
 
-use super::connection::Progress;
+use super::progress::Progress;
 use crate::socket::shut_down;
 use compio::BufResult;
 use compio::buf::{IoBuf, IoBufMut, IoVectoredBuf};
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -10,7 +10,8 @@
 pub mod logging;
 pub mod runtime;
 pub mod signals;
-pub mod socket;
+mod socket;
+mod waker_slot;
 
 pub use clock::{steady_ms, wall_ms};
 pub use error::NetError;
--- a/crates/net/src/logging.rs
+++ b/crates/net/src/logging.rs
@@ -8,13 +8,13 @@
 use logforth::{Diagnostic, Error, Layout};
 use std::io::Write;
 
-/// Bytes reserved for a line.
-const LINE_BYTES: usize = 128;
+/// Bytes reserved for a formatted record.
+const RECORD_BYTES: usize = 128;
 
 /// Sends what is logged at `level` and above to standard error, one plain line each. Call once; later calls do nothing.
 pub fn start(level: LevelFilter) {
     let logger = logforth::core::builder()
-        .dispatch(|to| to.append(Stderr::default().with_layout(Line)))
+        .dispatch(|to| to.append(Stderr::default().with_layout(PlainLayout)))
         .build();
     if log::set_boxed_logger(Box::new(LogBridge::new(logger))).is_ok() {
         log::set_max_level(level);
@@ -23,13 +23,13 @@
 
 /// A line: time in milliseconds since 1970, level, module, message.
 #[derive(Debug)]
-struct Line;
+struct PlainLayout;
 
-impl Layout for Line {
+impl Layout for PlainLayout {
     fn format(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
-        let mut line = Vec::with_capacity(LINE_BYTES);
+        let mut text = Vec::with_capacity(RECORD_BYTES);
         write!(
-            line,
+            text,
             "{} {} {}: {}",
             wall_ms(),
             record.level().name(),
@@ -37,6 +37,6 @@
             record.payload()
         )
         .map_err(Error::from_io_error)?;
-        Ok(line)
+        Ok(text)
     }
 }
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -8,8 +8,8 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Rounds of tasks, each of the tasks that were ready at its start, before sockets are looked at again.
-const ROUNDS_MAX: usize = 16;
+/// Most passes over the ready tasks before sockets are polled again. A pass runs the tasks that were ready at its start.
+const PASSES_MAX: usize = 16;
 
 /// A task that ends when its handle is dropped; await it for its result.
 pub type Task<T> = compio::runtime::JoinHandle<T>;
@@ -51,7 +51,7 @@
 
 /// Runs the tasks that are ready. True if some still are, after [`ROUNDS_MAX`].
 fn run_ready(runtime: &Runtime) -> bool {
-    (0..ROUNDS_MAX).all(|_| runtime.run())
+    (0..PASSES_MAX).all(|_| runtime.run())
 }
 
 /// Starts a task that nobody waits for.
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -62,7 +62,7 @@
                 // Both ends live as long as this value, so that nothing else but an empty pipe can be the cause.
                 _ => {
                     if let Err(error) = self.pipe.read_ready().await {
-                        log::warn!("the pipe of signals cannot be read: {error}");
+                        log::warn!("reading the signal pipe failed error={error}");
                         std::future::pending::<()>().await;
                     }
                 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -19,14 +19,14 @@
 const PROBES: u32 = 2;
 /// New connections that the system keeps until they are accepted.
 const BACKLOG: i32 = 1_024;
-/// Tries to listen on an address that is still taken, by a predecessor that is about to end.
-const LISTEN_TRIES: u32 = 20;
-/// Time between two such tries.
+/// Attempts to listen on an address that is still in use, by a predecessor that is about to end.
+const LISTEN_ATTEMPTS: u32 = 20;
+/// Time between two such attempts.
 const LISTEN_RETRY: Duration = Duration::from_millis(100);
 
 /// Listens on `address`; an address that is taken is tried for two seconds.
 pub(crate) async fn listen(address: SocketAddr) -> Result<TcpListener, NetError> {
-    for _ in 1..LISTEN_TRIES {
+    for _ in 1..LISTEN_ATTEMPTS {
         match bind(address) {
             Ok(listener) => return Ok(listener),
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => sleep(LISTEN_RETRY).await,
--- a/crates/net/tests/framed.rs
+++ b/crates/net/tests/framed.rs
@@ -17,10 +17,10 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A frame of `bytes` bytes whose first one is `mark`.
-fn frame(mark: u8, bytes: usize) -> Frame {
+/// A frame of `bytes` bytes whose first one is `tag`.
+fn frame(tag: u8, bytes: usize) -> Frame {
     let mut payload = vec![0; bytes.max(1)];
-    payload[0] = mark;
+    payload[0] = tag;
     Frame::Replication(payload)
 }
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn frames_arrive_whole_and_in_order() {
+fn frames_arrive_complete_and_in_order() {
     runtime::run(async {
         let (dialled, mut accepted, _listener) = pair().await;
         let frames: Vec<Frame> = [1, 10, 9_000, 300_000, 3]
@@ -65,16 +65,16 @@
 fn both_directions_are_independent() {
     runtime::run(async {
         let (mut dialled, mut accepted, _listener) = pair().await;
-        for round in 0..100 {
-            dialled.sender.send(&frame(round, 100)).expect("open");
+        for tag in 0..100 {
+            dialled.sender.send(&frame(tag, 100)).expect("open");
             assert_eq!(
                 accepted.reader.next().await.expect("a frame"),
-                Some(frame(round, 100))
+                Some(frame(tag, 100))
             );
-            accepted.sender.send(&frame(round, 50)).expect("open");
+            accepted.sender.send(&frame(tag, 50)).expect("open");
             assert_eq!(
                 dialled.reader.next().await.expect("a frame"),
-                Some(frame(round, 50))
+                Some(frame(tag, 50))
             );
         }
     })
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_was_queued_arrives_before_the_end_when_all_senders_are_dropped() {
+fn queued_frames_are_delivered_after_all_senders_are_dropped() {
     runtime::run(async {
         let (dialled, mut accepted, _listener) = pair().await;
         let Connection {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn closing_wakes_the_own_reader_and_ends_the_peers() {
+fn closing_wakes_the_local_reader_and_ends_the_peers() {
     runtime::run(async {
         let (mut dialled, mut accepted, _listener) = pair().await;
         let sender = dialled.sender.clone();
@@ -129,15 +129,15 @@
 #[rstest]
 #[case::nonsense(&[0xff; 64], "no frame")]
 #[case::broken_off(&[0, 0, 0, 9, 1], "within a frame")]
-fn what_is_no_frame_is_an_error(#[case] bytes: &'static [u8], #[case] expected: &'static str) {
+fn invalid_bytes_are_an_error(#[case] bytes: &'static [u8], #[case] expected: &'static str) {
     runtime::run(async move {
         let listener = framed::listen(loopback())
             .await
             .expect("loopback can be listened on");
-        let mut stranger =
+        let mut client =
             TcpStream::connect(listener.local_address()).expect("the listener is there");
-        stranger.write_all(bytes).expect("the connection is open");
-        drop(stranger);
+        client.write_all(bytes).expect("the connection is open");
+        drop(client);
         let mut accepted = listener
             .accept()
             .await
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn nobody_listening_is_an_error_that_names_the_address() {
+fn a_refused_connection_is_an_error_with_the_address() {
     runtime::run(async {
         let address = framed::listen(loopback())
             .await
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn an_address_is_free_again_at_once() {
+fn a_released_address_can_be_bound_immediately() {
     runtime::run(async {
         let (dialled, accepted, listener) = pair().await;
         let address = listener.local_address();
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -83,7 +83,7 @@
 }
 
 /// Reads one answer: its head, and the body that its content-length announces.
-fn read_answer(stream: &mut TcpStream) -> String {
+fn read_response(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
     let mut byte = [0];
     while !answer.ends_with(b"\r\n\r\n") {
@@ -95,7 +95,7 @@
         .to_ascii_lowercase();
     let length = head
         .lines()
-        .find_map(|line| line.strip_prefix("content-length: "));
+        .find_map(|field| field.strip_prefix("content-length: "));
     let mut body = vec![0; length.map_or(0, |length| length.trim().parse().expect("a length"))];
     stream.read_exact(&mut body).expect("the body comes");
     head + &String::from_utf8(body).expect("the body is text")
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn requests_of_one_connection_are_answered_one_after_another() {
+fn requests_of_one_connection_are_answered_in_order() {
     with_server(HttpOptions::default(), |address| {
         let mut stream = connect(address);
         for path in ["/a", "/b?x=1"] {
@@ -123,7 +123,7 @@
                 "POST {path} HTTP/1.1\r\nHost: Ficu.example:80\r\nContent-Length: 2\r\n\r\nhi"
             );
             stream.write_all(request.as_bytes()).expect("open");
-            let answer = read_answer(&mut stream);
+            let answer = read_response(&mut stream);
             let path = path.trim_end_matches("?x=1");
             assert!(answer.starts_with("http/1.1 200"), "{answer}");
             assert!(
@@ -156,7 +156,7 @@
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99\r\nExpect: 100-continue\r\n\r\n",
     "413"
 )]
-fn bad_requests_are_refused(#[case] request: &'static str, #[case] status: &'static str) {
+fn invalid_requests_are_rejected(#[case] request: &'static str, #[case] status: &'static str) {
     let options = HttpOptions {
         max_body_bytes: 8,
         ..HttpOptions::default()
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_head_over_the_limit_is_refused() {
+fn a_head_above_the_limit_is_rejected() {
     let request = format!(
         "GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
         "x".repeat(20_000)
@@ -183,11 +183,8 @@
 /// A head of 1,000 bytes, whatever the HTTP library reads at once.
 #[rstest]
 #[case::at_the_limit(1_000, "200")]
-#[case::over_the_limit(999, "431")]
-fn the_limit_of_a_head_is_kept_to_the_byte(
-    #[case] max_header_bytes: usize,
-    #[case] status: &'static str,
-) {
+#[case::above_the_limit(999, "431")]
+fn the_limit_of_a_head_is_exact(#[case] max_header_bytes: usize, #[case] status: &'static str) {
     let fixed = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX: \r\n";
     let padding = "x".repeat(1_000 - fixed.len());
     let request = format!("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX: {padding}\r\n\r\n");
@@ -206,7 +203,7 @@
 #[case::idle("")]
 #[case::within_the_head("GET / HTTP/1.1\r\nHo")]
 #[case::within_the_body("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n123")]
-fn a_peer_that_lets_the_server_wait_is_cut(#[case] request: &'static str) {
+fn a_connection_beyond_a_time_limit_is_closed(#[case] request: &'static str) {
     let soon = Duration::from_millis(50);
     let options = HttpOptions {
         header_timeout: soon,
@@ -218,7 +215,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_end_is_still_served() {
+fn a_request_sent_during_the_shutdown_is_served() {
     let grace = Duration::from_secs(1);
     let request = b"GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
     with_running_server(
@@ -226,16 +223,16 @@
         move |address, end| {
             let (mut first, mut second) = (connect(address), connect(address));
             first.write_all(request).expect("open");
-            assert!(!read_answer(&mut first).contains("connection: close"));
+            assert!(!read_response(&mut first).contains("connection: close"));
             end.send(()).expect("the server runs");
             // The end has begun once an answer tells it.
             while !{
                 let mut other = connect(address);
                 other.write_all(request).expect("open");
-                read_answer(&mut other).contains("connection: close")
+                read_response(&mut other).contains("connection: close")
             } {}
             first.write_all(request).expect("still open");
-            assert!(read_answer(&mut first).contains("connection: close"));
+            assert!(read_response(&mut first).contains("connection: close"));
             assert_eq!(first.read(&mut [0]).expect("the end"), 0);
             assert_eq!(
                 second
--- a/crates/net/tests/runtime.rs
+++ b/crates/net/tests/runtime.rs
@@ -12,7 +12,7 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 #[test]
-fn wake_ups_of_another_thread_are_not_lost() {
+fn wake_ups_from_another_thread_are_not_lost() {
     let (to_thread, mut from_runtime) = mpsc::unbounded::<u32>();
     let (to_runtime, mut from_thread) = mpsc::unbounded::<u32>();
     let thread = thread::spawn(move || {
@@ -48,31 +48,31 @@
 async fn pass_on(
     mut from: mpsc::UnboundedReceiver<()>,
     to: mpsc::UnboundedSender<()>,
-    rounds: Rc<Cell<u64>>,
+    passes: Rc<Cell<u64>>,
 ) {
     while from.next().await.is_some() {
-        rounds.set(rounds.get() + 1);
+        passes.set(passes.get() + 1);
         to.unbounded_send(()).expect("open");
     }
 }
 
 #[test]
-fn tasks_that_keep_each_other_busy_do_not_keep_timers_waiting() {
-    let rounds = runtime::run(async {
-        let rounds = Rc::new(Cell::new(0_u64));
+fn tasks_that_wake_each_other_do_not_delay_timers() {
+    let passes = runtime::run(async {
+        let passes = Rc::new(Cell::new(0_u64));
         let (to_first, from_second) = mpsc::unbounded::<()>();
         let (to_second, from_first) = mpsc::unbounded::<()>();
         to_first.unbounded_send(()).expect("open");
-        runtime::spawn(pass_on(from_second, to_second, rounds.clone()));
-        runtime::spawn(pass_on(from_first, to_first, rounds.clone()));
+        runtime::spawn(pass_on(from_second, to_second, passes.clone()));
+        runtime::spawn(pass_on(from_first, to_first, passes.clone()));
         runtime::sleep(Duration::from_millis(1)).await;
-        rounds.get()
+        passes.get()
     });
-    assert!(rounds.expect("the runtime starts") > 0);
+    assert!(passes.expect("the runtime starts") > 0);
 }
 
 #[test]
-fn a_task_ends_with_its_handle() {
+fn dropping_its_handle_ends_a_task() {
     runtime::run(async {
         let (sender, mut receiver) = mpsc::unbounded::<()>();
         let task = runtime::spawn_scoped(async move {
@@ -87,6 +87,6 @@
 
 #[test]
 #[should_panic(expected = "what the main task says")]
-fn a_panic_of_the_main_task_goes_on() {
+fn a_panic_of_the_main_task_is_propagated() {
     let _ = runtime::run(async { panic!("what the main task says") });
 }
--- a/crates/net/tests/signals.rs
+++ b/crates/net/tests/signals.rs
@@ -5,7 +5,7 @@
 use rustix::process::{Signal as Number, getpid, kill_process};
 
 #[test]
-fn signals_come_in_order() {
+fn signals_are_received_in_order() {
     runtime::run(async {
         let mut signals = Signals::register().expect("the signals can be caught");
         kill_process(getpid(), Number::HUP).expect("the process may signal itself");
