--- a/crates/net/src/framed.rs
+++ b/crates/net/src/framed.rs
@@ -44,7 +44,7 @@
     Ok(Connection::new(stream, address))
 }
 
-/// Takes connections on the internal port.
+/// Accepts connections on the internal port.
 pub struct FrameListener {
     listener: TcpListener,
     address: SocketAddr,
@@ -63,7 +63,8 @@
         self.address
     }
 
-    /// The next connection. An error (no descriptor is free, the peer has gone) passes; wait a little, then go on.
+    /// The next connection. An error (no descriptor is free, the peer has closed) is temporary; wait
+    /// briefly, then go on.
     pub async fn accept(&self) -> Result<Connection, NetError> {
         let address = self.address;
         let (stream, peer) = self
--- a/crates/net/src/framed/reader.rs
+++ b/crates/net/src/framed/reader.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// Room made for each read.
+/// Bytes reserved for each read.
 const READ_BYTES: usize = 8 << 10;
 
 /// Receives frames. Dropping it closes the connection.
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The next frame; `None` once the connection is closed, by the peer or by this side. Frames that had come in whole
+    /// The next frame; `None` once the connection is closed, by the peer or by this side. Frames that had come in completely
     /// before are still returned. After an error the connection is closed. Must be awaited to its end: a call that is
     /// dropped while it waits may lose what comes in.
     pub async fn next(&mut self) -> Result<Option<Frame>, NetError> {
--- a/crates/net/src/framed/sender.rs
+++ b/crates/net/src/framed/sender.rs
@@ -55,6 +55,10 @@
 
     /// Queues a frame. What is queued before the calling task waits leaves in one write. A queue that would grow
     /// beyond [`QUEUE_BYTES_MAX`] closes the connection: the peer does not read.
+    ///
+    /// # Errors
+    ///
+    /// [`Closed`] if the connection is closed, also by this call.
     pub fn send(&self, frame: &Frame) -> Result<(), Closed> {
         ensure!(!self.link.is_closed(), ClosedSnafu);
         let bytes = codec::encode(frame);
@@ -87,7 +91,7 @@
     }
 }
 
-/// Writes what is queued until the connection ends or all senders are gone.
+/// Writes what is queued until the connection ends or all senders are dropped.
 async fn write_queue(link: Rc<Link>) {
     let mut spare = Vec::new();
     while let Some(bytes) = link.next_batch(spare).await {
--- a/crates/net/src/http/message.rs
+++ b/crates/net/src/http/message.rs
@@ -1,4 +1,4 @@
-//! Requests and answers, whole.
+//! Requests and responses, complete with their bodies.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -30,7 +30,7 @@
     }
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpResponse {
     /// Its status code.
@@ -42,7 +42,7 @@
 }
 
 impl HttpResponse {
-    /// An answer without a body.
+    /// A response without a body.
     pub fn new(status: u16) -> HttpResponse {
         HttpResponse {
             status,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// An answer with a JSON body.
+    /// A response with a JSON body.
     pub fn json(status: u16, body: impl Into<Vec<u8>>) -> HttpResponse {
         let content_type = (
             header::CONTENT_TYPE,
@@ -63,14 +63,14 @@
         }
     }
 
-    /// The answer with one more header; a value that cannot stand in a header is left out.
+    /// The response with one more header; a value that cannot stand in a header is left out.
     pub fn with_header(mut self, name: HeaderName, value: &str) -> HttpResponse {
         self.headers
             .extend(HeaderValue::from_str(value).ok().map(|value| (name, value)));
         self
     }
 
-    /// The answer as the HTTP library takes it; `close` ends the connection after it.
+    /// The response in the form of the HTTP library; `close` ends the connection after it.
     pub(super) fn into_hyper(self, close: bool) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(Bytes::from(self.body)));
         *response.status_mut() =
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: its listener, its connections, its end.
+//! The server: its listener, its connections, its shutdown.
 
 use super::connection::serve_connection;
 use super::message::{HttpRequest, HttpResponse};
@@ -28,7 +28,7 @@
     accepting: Rc<RefCell<Option<Task<()>>>>,
 }
 
-/// Serves HTTP/1.1 on `address`: each request is read whole and answered with what `handler` returns. A handler's
+/// Serves HTTP/1.1 on `address`: each request is read completely and answered with what `handler` returns. A handler's
 /// future is dropped if its client closes the connection.
 pub async fn serve<H, F>(
     address: SocketAddr,
@@ -66,9 +66,9 @@
         self.state.open_connections()
     }
 
-    /// Ends the service. From now on each answer closes its connection (`Connection: close`); connections without a
-    /// request stay open for `idle_grace`, so that a request that crosses the end is still served. New connections are
-    /// taken for that time too. Returns once all connections are closed; after `limit` the rest is cut.
+    /// Ends the service. From now on each response closes its connection (`Connection: close`); connections without a
+    /// request stay open for `idle_grace`, so that a request already on its way is still served. New connections are
+    /// accepted for that time too. Returns once all connections are closed; after `limit` the rest is closed abruptly.
     pub async fn shutdown(&self, idle_grace: Duration, limit: Duration) {
         self.state.begin_shutdown();
         sleep(idle_grace.min(limit)).await;
@@ -84,7 +84,7 @@
     }
 }
 
-/// Takes connections for as long as the server runs.
+/// Accepts connections for as long as the server runs.
 async fn accept<H, F>(listener: TcpListener, state: Rc<ServerState>, handler: Rc<H>)
 where
     H: Fn(HttpRequest) -> F + 'static,
--- a/crates/net/src/http/stream.rs
+++ b/crates/net/src/http/stream.rs
@@ -1,4 +1,4 @@
-//! A socket as the HTTP library's adapter takes it.
+//! The socket in the form that the HTTP library's adapter expects.
 
 use super::progress::Progress;
 use crate::socket::shut_down;
@@ -11,7 +11,7 @@
 use std::net::Shutdown;
 use std::rc::Rc;
 
-/// A server's connection: tells when bytes come in.
+/// A connection's socket that records when bytes come in.
 pub(super) struct ServerStream {
     pub(super) stream: TcpStream,
     pub(super) progress: Rc<Progress>,
--- a/crates/net/src/logging.rs
+++ b/crates/net/src/logging.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// A line: time in milliseconds since 1970, level, module, message.
+/// One line for each record: time in milliseconds since 1970, level, module, message.
 #[derive(Debug)]
 struct PlainLayout;
 
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -26,7 +26,7 @@
         let mut main = pin!(runtime.spawn(main));
         loop {
             let busy = run_ready(&runtime);
-            // Clears the note that a wake-up came. One from another thread may have come since the tasks ran, so they
+            // Clears the flag that a wake-up came. One from another thread may have come since the tasks ran, so they
             // are run once more; one that comes from here on ends the wait below.
             let busy = if runtime.flush() {
                 run_ready(&runtime)
@@ -43,13 +43,13 @@
             }
         }
     });
-    // Nobody else holds the handle, so that the task has not been cancelled.
+    // The only handle is here, so that the task has not been cancelled.
     Ok(output
         .resume_unwind()
         .expect("the main task is not cancelled"))
 }
 
-/// Runs the tasks that are ready. True if some still are, after [`ROUNDS_MAX`].
+/// Runs the tasks that are ready. True if some still are, after [`PASSES_MAX`].
 fn run_ready(runtime: &Runtime) -> bool {
     (0..PASSES_MAX).all(|_| runtime.run())
 }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -13,7 +13,7 @@
 /// Number of SIGTERM.
 const SIGTERM: i32 = 15;
 
-/// What the platform tells a process.
+/// A signal that the platform sends to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGTERM: the process is to end.
@@ -76,7 +76,7 @@
     let number = signal.number();
     let writer = writer.clone();
     let handler = move || {
-        // A full pipe holds signals enough.
+        // A full pipe has enough signals in it already.
         let _ = rustix::io::write(&*writer, &[number as u8]);
     };
     // SAFETY: the handler calls write(2) only, which may be called in a signal handler.
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,6 +1,6 @@
 //! TCP sockets with the options that every connection of the cluster gets.
 //!
-//! Sockets are made and bound by direct system calls: the runtime would hand these, which never wait, to a thread.
+//! Sockets are made and bound by direct system calls: the runtime would pass these, which never block, to a thread.
 
 use crate::error::{ConnectSnafu, ConnectTimeoutSnafu, ListenSnafu, NetError};
 use crate::runtime::{sleep, timeout};
@@ -13,9 +13,9 @@
 
 /// Bytes sent to a peer that does not acknowledge them for this time end the connection.
 const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(2_500);
-/// A silent connection is probed after this time, and as often again.
+/// An idle connection is probed after this time, and as often again.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// So many probes without an answer end the connection.
+/// Number of probes without an answer that end the connection.
 const PROBES: u32 = 2;
 /// New connections that the system keeps until they are accepted.
 const BACKLOG: i32 = 1_024;
@@ -24,7 +24,7 @@
 /// Time between two such attempts.
 const LISTEN_RETRY: Duration = Duration::from_millis(100);
 
-/// Listens on `address`; an address that is taken is tried for two seconds.
+/// Listens on `address`; an address in use is tried again for two seconds.
 pub(crate) async fn listen(address: SocketAddr) -> Result<TcpListener, NetError> {
     for _ in 1..LISTEN_ATTEMPTS {
         match bind(address) {
@@ -49,7 +49,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Connects to `address`. A machine without power says nothing: the attempt ends after `limit`.
+/// Connects to `address`. A machine without power does not answer: the attempt ends after `limit`.
 pub(crate) async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, NetError> {
     let attempt = async {
         let socket = Socket::new(
@@ -84,7 +84,7 @@
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Ends both directions of a connection, whoever still holds it.
+/// Ends the given directions of a connection, whichever tasks still use it.
 pub(crate) fn shut_down(stream: &TcpStream, direction: std::net::Shutdown) {
     // Fails only on a connection that has ended already.
     let _ = SockRef::from(stream).shutdown(direction);
--- a/crates/net/tests/framed.rs
+++ b/crates/net/tests/framed.rs
@@ -165,7 +165,7 @@
         }
         let expected: usize = sent.iter().map(|frame| codec::encode(frame).len()).sum();
         assert_eq!(accepted.sender.queued_bytes(), expected);
-        // Blocks this thread for good unless the other tasks run first: the queue is written when this one waits.
+        // Blocks this thread forever unless the other tasks run first: the queue is written when this one waits.
         let read = runtime::spawn_scoped(async move {
             let mut bytes = vec![0; expected + LENGTH_BYTES];
             (peer.read(&mut bytes).expect("open"), peer)
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -16,7 +16,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Tells the request back.
+/// Returns the request.
 async fn echo(request: HttpRequest) -> HttpResponse {
     let body = String::from_utf8_lossy(&request.body).into_owned();
     HttpResponse::json(
@@ -225,7 +225,7 @@
             first.write_all(request).expect("open");
             assert!(!read_response(&mut first).contains("connection: close"));
             end.send(()).expect("the server runs");
-            // The end has begun once an answer tells it.
+            // The shutdown has begun once a response closes its connection.
             while !{
                 let mut other = connect(address);
                 other.write_all(request).expect("open");
