--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -23,7 +23,7 @@
 
 proptest! {
     #[test]
-    fn every_frame_round_trips(frame in any_frame()) {
+    fn every_frame_is_decoded_unchanged(frame in any_frame()) {
         let bytes = encode(&frame);
         let (decoded, length) = decode(&bytes).expect("a frame").expect("complete");
         prop_assert_eq!(decoded, frame);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_frame_of_a_megabyte_round_trips() {
+fn a_frame_of_a_megabyte_is_decoded_unchanged() {
     let frame = Frame::Replication((0..1 << 20).map(|i| i as u8).collect());
     assert_eq!(
         decode(&encode(&frame))
--- a/crates/protocol/tests/wire_examples.rs
+++ b/crates/protocol/tests/wire_examples.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_heartbeat_with_runs_round_trips() {
+fn a_heartbeat_with_runs_is_encoded_unchanged() {
     let text = draining_heartbeat().to_string();
     let heartbeat = parse_heartbeat(text.as_bytes()).expect("the heartbeat is valid");
     let expected = Heartbeat {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_registration_without_lists_is_encoded_with_empty_ones() {
+fn a_registration_without_runs_is_encoded_with_empty_arrays() {
     let mut body = draining_heartbeat();
     let fields = body.as_object_mut().expect("an object");
     for field in ["running", "finished", "remaining_ms"] {
@@ -114,7 +114,7 @@
 #[case("broken", RunEnd::Broken)]
 #[case("alone", RunEnd::Alone)]
 #[case("refused", RunEnd::Refused)]
-fn every_run_end_round_trips(#[case] name: &str, #[case] end: RunEnd) {
+fn every_run_end_is_encoded_unchanged(#[case] name: &str, #[case] end: RunEnd) {
     let entry = json!([1, "00000000000000aa.0.0.0", 1, name, ""]);
     let decoded: Finished = serde_json::from_value(entry.clone()).expect("a valid entry");
     assert_eq!(decoded.end, end);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_heartbeat_reply_with_orders_round_trips() {
+fn a_heartbeat_reply_with_orders_is_encoded_unchanged() {
     let reply = json!({
         "hold_ms": 3500, "last_seen": 6, "fence_token": 12,
         "start": [["00000000000000aa.0.0.4", 1, "resize 4", ""], ["00000000000000ab.1.2.1", 5, "", "page-9"]],
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_job_with_stages_round_trips() {
+fn a_job_with_stages_is_encoded_unchanged() {
     let job = parse_job(job_with_stages().to_string().as_bytes()).expect("the job is valid");
     let first = Step {
         count: 3,
@@ -256,7 +256,7 @@
 #[case("completed", JobState::Completed)]
 #[case("failed", JobState::Failed)]
 #[case("cancelled", JobState::Cancelled)]
-fn every_job_state_round_trips(#[case] name: &str, #[case] state: JobState) {
+fn every_job_state_is_encoded_unchanged(#[case] name: &str, #[case] state: JobState) {
     let decoded: JobState = serde_json::from_value(json!(name)).expect("a valid state");
     assert_eq!(decoded, state);
     assert_eq!(encoded(&state), json!(name));
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn a_configuration_round_trips() {
+fn a_configuration_is_encoded_unchanged() {
     let text = configuration().to_string();
     let config = parse_config(text.as_bytes()).expect("the configuration is valid");
     assert_eq!(config.config(), &expected_config());
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn a_patched_configuration_round_trips() {
+fn a_patched_configuration_is_encoded_unchanged() {
     let current = parse_config(configuration().to_string().as_bytes()).expect("valid");
     let patch = json!({
         "version": 14,
