--- a/crates/settings/src/lenient.rs
+++ b/crates/settings/src/lenient.rs
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Reads a figure: a whole number, a fraction, or true or false for 1 and 0. Negative ones are not allowed.
-pub(crate) fn figure<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
-    deserializer.deserialize_any(FigureVisitor)
+/// Reads a number: an integer, a fraction, or true or false for 1 and 0. Negative ones are not allowed.
+pub(crate) fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    deserializer.deserialize_any(NumberVisitor)
 }
 
-/// Visits whatever may stand for a figure.
-struct FigureVisitor;
+/// Visits every form that a number may have.
+struct NumberVisitor;
 
-impl Visitor<'_> for FigureVisitor {
+impl Visitor<'_> for NumberVisitor {
     type Value = f64;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -42,9 +42,9 @@
     }
 }
 
-/// Reads a figure as a whole number; a fraction is rounded.
-pub(crate) fn whole<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
-    figure(deserializer).map(|value| value.round() as u64)
+/// Reads a number as an integer; a fraction is rounded.
+pub(crate) fn rounded<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    number(deserializer).map(|value| value.round() as u64)
 }
 
 /// Reads an address; an empty text is none.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,6 +9,6 @@
 pub use bounds::Bounds;
 pub use error::SettingsError;
 pub use settings::{
-    BindAddresses, CONFIG_VARIABLE, Commands, FaultTolerance, Limits, MachineClass, SeedAddress,
-    Serves, Settings,
+    BindAddresses, CONFIG_VARIABLE, Commands, FaultTolerance, Limits, MachineClass, PortRange,
+    SeedAddress, Serves, Settings,
 };
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, ensure};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
@@ -66,23 +67,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Share of a core.
-    #[serde(deserialize_with = "lenient::figure")]
+    /// Part of a core that the process may use.
+    #[serde(deserialize_with = "lenient::number")]
     pub cpu_share: f64,
-    /// How many times as fast that core runs.
-    #[serde(deserialize_with = "lenient::figure")]
+    /// Speed of that core, as a factor.
+    #[serde(deserialize_with = "lenient::number")]
     pub cores: f64,
-    /// Memory above which the process is killed.
-    #[serde(deserialize_with = "lenient::whole")]
+    /// Memory above which the process is killed, in megabytes.
+    #[serde(deserialize_with = "lenient::rounded")]
     pub memory_mb: u64,
-    /// Most descriptors.
-    #[serde(deserialize_with = "lenient::whole")]
+    /// Most file descriptors.
+    #[serde(deserialize_with = "lenient::rounded")]
     pub max_fds: u64,
-    /// Bandwidth of the machine.
-    #[serde(deserialize_with = "lenient::figure")]
+    /// Bandwidth of the machine, in megabits per second.
+    #[serde(deserialize_with = "lenient::number")]
     pub link_mbps: f64,
-    /// Size of the disk; 0 for none.
-    #[serde(deserialize_with = "lenient::whole")]
+    /// Size of the disk, in megabytes; 0 for none.
+    #[serde(deserialize_with = "lenient::rounded")]
     pub disk_mb: u64,
 }
 
@@ -120,6 +121,41 @@
     pub internal: SocketAddr,
 }
 
+/// Ports from `first` to `last`. In the file an array: `[first, last]`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u16, u16)", into = "(u16, u16)")]
+pub struct PortRange {
+    /// The first port.
+    pub first: u16,
+    /// The last port.
+    pub last: u16,
+}
+
+impl PortRange {
+    /// Whether it has at least one port, and no port 0.
+    fn is_valid(&self) -> bool {
+        self.first > 0 && self.first <= self.last
+    }
+}
+
+impl From<(u16, u16)> for PortRange {
+    fn from((first, last): (u16, u16)) -> Self {
+        PortRange { first, last }
+    }
+}
+
+impl From<PortRange> for (u16, u16) {
+    fn from(range: PortRange) -> Self {
+        (range.first, range.last)
+    }
+}
+
+impl fmt::Display for PortRange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "[{}, {}]", self.first, self.last)
+    }
+}
+
 /// The settings of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
@@ -139,8 +175,8 @@
     /// Region of the machine.
     #[serde(default)]
     pub region: String,
-    /// First and last port that are free for talk within the cluster.
-    pub port_range: (u16, u16),
+    /// First and last port that are free for connections within the cluster.
+    pub port_range: PortRange,
     /// `control_plane` addresses of some core members.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddr>,
@@ -153,8 +189,11 @@
     /// Folder on the disk, on machines that have one.
     #[serde(default, deserialize_with = "lenient::path")]
     pub data_dir: Option<PathBuf>,
-    /// Interval between a worker's heartbeats.
-    #[serde(default = "default_heartbeat_ms", deserialize_with = "lenient::whole")]
+    /// Interval between a worker's heartbeats, in milliseconds.
+    #[serde(
+        default = "default_heartbeat_ms",
+        deserialize_with = "lenient::rounded"
+    )]
     pub heartbeat_ms: u64,
     /// Parts of the rules that are in force.
     #[serde(default)]
@@ -214,12 +253,12 @@
 
     /// Where this process takes internal connections.
     pub fn internal_address(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, self.port_range.0)
+        SocketAddr::new(self.ip, self.port_range.first)
     }
 
     /// The seeds; the internal port is the same on all machines.
     pub fn seed_internal_addresses(&self) -> Vec<SeedAddress> {
-        let internal_port = self.port_range.0;
+        let internal_port = self.port_range.first;
         let seed = |control: &SocketAddr| SeedAddress {
             control: *control,
             internal: SocketAddr::new(control.ip(), internal_port),
@@ -248,12 +287,11 @@
                 }
             );
         }
-        let (first, last) = self.port_range;
         ensure!(
-            first > 0 && first <= last,
+            self.port_range.is_valid(),
             NotAllowedSnafu {
                 field: "port_range",
-                found: format!("[{first}, {last}]"),
+                found: self.port_range.to_string(),
                 allowed: "[FIRST, LAST] with 0 < FIRST <= LAST"
             }
         );
--- a/crates/settings/tests/complete_file.rs
+++ b/crates/settings/tests/complete_file.rs
@@ -1,7 +1,8 @@
 //! A settings file with every field and every bound: decoded, compared field by field, and encoded again.
 
 use indigofold_settings::{
-    BindAddresses, Bounds, Commands, FaultTolerance, Limits, MachineClass, Serves, Settings,
+    BindAddresses, Bounds, Commands, FaultTolerance, Limits, MachineClass, PortRange, Serves,
+    Settings,
 };
 use toml::{Table, Value};
 
@@ -108,7 +109,10 @@
         ip: [10, 9, 0, 2].into(),
         zone: text("north"),
         region: text("coast"),
-        port_range: (7_100, 7_120),
+        port_range: PortRange {
+            first: 7_100,
+            last: 7_120,
+        },
         seed_nodes: vec![([10, 9, 0, 2], 8_200).into(), ([10, 9, 1, 2], 8_200).into()],
         bootstrap: true,
         counts_for_quorum: true,
@@ -158,7 +162,7 @@
 }
 
 #[test]
-fn a_complete_settings_file_round_trips() {
+fn a_complete_settings_file_is_encoded_unchanged() {
     let settings = Settings::from_toml(COMPLETE).expect("the settings are valid");
     assert_eq!(settings, expected_settings());
     let encoded = Value::try_from(&settings).expect("settings have a TOML form");
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -4,8 +4,8 @@
 use rstest::rstest;
 use std::path::Path;
 
-/// A settings file with everything on the operators' page.
-const WHOLE: &str = r#"
+/// A settings file with every kind of field.
+const COMPLETE: &str = r#"
 node_name = "edge-sala-frio-1"
 role = "edge"
 machine_class = "edge"
@@ -62,21 +62,21 @@
 port_range = [7000, 7003]
 "#;
 
-/// The short file with one line in the place of the field's own.
-fn short_with(line: &str) -> String {
-    let field = line.split('=').next().expect("a field").trim();
+/// The short file with `entry` in place of its field's own.
+fn short_with(entry: &str) -> String {
+    let field = entry.split('=').next().expect("a field").trim();
     let others = SHORT.lines().filter(|other| {
         other
             .split('=')
             .next()
             .is_none_or(|name| name.trim() != field)
     });
-    others.chain([line]).collect::<Vec<_>>().join("\n")
+    others.chain([entry]).collect::<Vec<_>>().join("\n")
 }
 
 #[test]
-fn everything_on_the_page_is_read() {
-    let settings = Settings::from_toml(WHOLE).expect("good settings");
+fn every_kind_of_field_is_decoded() {
+    let settings = Settings::from_toml(COMPLETE).expect("the settings are valid");
     assert_eq!(
         (settings.node_name.as_str(), settings.machine_class),
         ("edge-sala-frio-1", MachineClass::Edge)
@@ -126,8 +126,8 @@
 }
 
 #[test]
-fn what_may_be_missing_has_its_usual_value() {
-    let settings = Settings::from_toml(SHORT).expect("good settings");
+fn optional_fields_have_defaults() {
+    let settings = Settings::from_toml(SHORT).expect("the settings are valid");
     assert_eq!(
         (settings.heartbeat_ms, settings.commands),
         (1_500, Commands::Heartbeat)
@@ -146,7 +146,7 @@
 
 #[test]
 fn internal_addresses_have_the_first_port_of_the_range() {
-    let settings = Settings::from_toml(WHOLE).expect("good settings");
+    let settings = Settings::from_toml(COMPLETE).expect("the settings are valid");
     assert_eq!(settings.internal_address(), ([10, 1, 0, 38], 7380).into());
     let seeds = settings.seed_internal_addresses();
     assert_eq!(seeds.len(), 2);
@@ -159,9 +159,12 @@
 #[case("data_dir = \"\"")]
 #[case("backend = \"\"")]
 #[case("bind_addrs = { frontend = \"\" }")]
-fn an_empty_text_is_none(#[case] line: &str) {
-    let settings = Settings::from_toml(&short_with(line)).expect("good settings");
-    assert_eq!(settings, Settings::from_toml(SHORT).expect("good settings"));
+fn empty_strings_decode_as_none(#[case] entry: &str) {
+    let settings = Settings::from_toml(&short_with(entry)).expect("the settings are valid");
+    assert_eq!(
+        settings,
+        Settings::from_toml(SHORT).expect("the settings are valid")
+    );
 }
 
 #[rstest]
@@ -172,7 +175,7 @@
 #[case::name("node_name = 5", "node_name")]
 #[case::name_empty("node_name = \"\"", "`node_name` is empty: a name is allowed")]
 #[case::ports_missing("port_range = [7000]", "port_range")]
-#[case::ports_turned("port_range = [7003, 7000]", "`port_range` is [7003, 7000]")]
+#[case::ports_reversed("port_range = [7003, 7000]", "`port_range` is [7003, 7000]")]
 #[case::port_zero("port_range = [0, 7]", "0 < FIRST")]
 #[case::port_large("port_range = [7000, 70000]", "70000")]
 #[case::seeds("seed_nodes = [\"10.1.0.1\"]", "seed_nodes")]
@@ -182,23 +185,23 @@
 #[case::bound("bounds = { stop_ms = \"soon\" }", "a number that is not negative")]
 #[case::bound_negative("bounds = { stop_ms = -1 }", "a number that is not negative")]
 #[case::commands("commands = \"shout\"", "`invocation`")]
-fn a_wrong_field_is_an_error_that_tells_it(#[case] line: &str, #[case] expected: &str) {
-    let error = Settings::from_toml(&short_with(line))
-        .expect_err("bad settings")
+fn an_invalid_field_is_an_error_with_what_is_allowed(#[case] entry: &str, #[case] expected: &str) {
+    let error = Settings::from_toml(&short_with(entry))
+        .expect_err("the settings are invalid")
         .to_string();
     assert!(error.contains(expected), "{error}");
 }
 
 #[rstest]
-fn a_missing_field_is_an_error_that_names_it(
+fn a_missing_field_is_named_in_the_error(
     #[values("node_name", "role", "machine_class", "ip", "zone", "port_range")] field: &str,
 ) {
     let text: Vec<&str> = SHORT
         .lines()
-        .filter(|line| !line.starts_with(field))
+        .filter(|entry| !entry.starts_with(field))
         .collect();
     let error = Settings::from_toml(&text.join("\n"))
-        .expect_err("bad settings")
+        .expect_err("the settings are invalid")
         .to_string();
     assert!(
         error.contains(&format!("missing field `{field}`")),
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_an_error_that_names_it() {
+fn a_missing_file_is_named_in_the_error() {
     let error = Settings::from_file(Path::new("/nowhere/boot.toml")).expect_err("no file");
     assert!(matches!(error, SettingsError::Read { .. }), "{error}");
     assert!(error.to_string().contains("/nowhere/boot.toml"), "{error}");
