--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,9 +1,9 @@
-//! Figures of the rules in force (`[bounds]`), each with the operators' usual value as its default.
+//! The bounds of the rules in force (`[bounds]`), each with the operators' usual value as its default.
 
 use crate::lenient::number;
 use serde::{Deserialize, Serialize};
 
-/// Figures of the rules in force. `*_ms` are milliseconds, `*_s` seconds; whole numbers and fractions are taken alike.
+/// The bounds of the rules in force. `*_ms` are milliseconds, `*_s` seconds; integers and fractions are both accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -23,20 +23,20 @@
         /// Why.
         source: std::io::Error,
     },
-    /// The file is not TOML, or one of its fields is missing or of the wrong kind. The source tells line and field.
+    /// The file is not TOML, or one of its fields is missing or of the wrong type. The source gives line and field.
     #[snafu(display("the settings cannot be parsed: {source}"))]
     Parse {
         /// What, where and what is allowed.
         source: toml::de::Error,
     },
-    /// A field holds a value that is not allowed.
+    /// A field has a value that is not allowed.
     #[snafu(display("`{field}` is {found}: {allowed} is allowed"))]
     NotAllowed {
         /// The field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         found: String,
-        /// What it may hold.
+        /// The values that are allowed.
         allowed: &'static str,
     },
 }
--- a/crates/settings/src/lenient.rs
+++ b/crates/settings/src/lenient.rs
@@ -47,7 +47,7 @@
     number(deserializer).map(|value| value.round() as u64)
 }
 
-/// Reads an address; an empty text is none.
+/// Reads an address; an empty text is `None`.
 pub(crate) fn address<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<SocketAddr>, D::Error> {
@@ -60,14 +60,14 @@
         .map_err(|_| D::Error::invalid_value(Unexpected::Str(&text), &"an address, IP:PORT"))
 }
 
-/// Reads a path; an empty text is none.
+/// Reads a path; an empty text is `None`.
 pub(crate) fn path<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<PathBuf>, D::Error> {
     Ok(text(deserializer)?.map(PathBuf::from))
 }
 
-/// Reads a text; an empty one is none.
+/// Reads a text; an empty one is `None`.
 pub(crate) fn text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
     let text = String::deserialize(deserializer)?;
     Ok(if text.is_empty() { None } else { Some(text) })
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of a process: the TOML file that the variable `INDIGOFOLD_CONFIG` names. Unknown fields are skipped; what
-//! is missing or wrong is an error that says what, where and what is allowed.
+//! Settings of a process: the TOML file that the variable `INDIGOFOLD_CONFIG` names. Unknown fields are skipped; a
+//! missing or invalid field is an error with the field, its value and what is allowed.
 
 mod bounds;
 mod error;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -37,14 +37,14 @@
     Control,
 }
 
-/// How workers are told what to do.
+/// How orders reach the workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Commands {
-    /// In the answers to their heartbeats.
+    /// In the replies to their heartbeats.
     #[default]
     Heartbeat,
-    /// By calls to their own address.
+    /// By requests to their own address.
     Invocation,
 }
 
@@ -55,10 +55,10 @@
     /// Where clients' connections arrive.
     #[serde(deserialize_with = "lenient::address")]
     pub frontend: Option<SocketAddr>,
-    /// Where the platform asks `GET /readiness`.
+    /// Where the platform sends `GET /readiness`.
     #[serde(deserialize_with = "lenient::address")]
     pub readiness: Option<SocketAddr>,
-    /// Where workers and operators call.
+    /// Where workers and operators send requests.
     #[serde(deserialize_with = "lenient::address")]
     pub control_plane: Option<SocketAddr>,
 }
@@ -100,11 +100,11 @@
     }
 }
 
-/// What may be lost at once with all rules kept.
+/// What may be lost at once without breaking a rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Machines that count for the quorum.
+    /// Machines that `counts_for_quorum` marks.
     pub machines: u32,
     /// Zones.
     pub zones: u32,
@@ -112,12 +112,12 @@
     pub regions: u32,
 }
 
-/// A seed: a core member that everyone is told of.
+/// A seed: a core member that the settings of every process name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedAddress {
-    /// Where it takes operators' calls.
+    /// Where it accepts operators' requests.
     pub control: SocketAddr,
-    /// Where it takes internal connections.
+    /// Where it accepts internal connections.
     pub internal: SocketAddr,
 }
 
@@ -165,7 +165,7 @@
     pub role: String,
     /// Class of the machine.
     pub machine_class: MachineClass,
-    /// Who may call the role from outside.
+    /// Who may send requests to the role from outside.
     #[serde(default)]
     pub serves: Vec<Serves>,
     /// Address of the machine.
@@ -198,7 +198,7 @@
     /// Parts of the rules that are in force.
     #[serde(default)]
     pub contracts: Vec<String>,
-    /// How workers are told what to do.
+    /// How orders reach the workers.
     #[serde(default)]
     pub commands: Commands,
     /// On `side` machines: address of the worker.
@@ -219,18 +219,22 @@
     /// What may be lost at once.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the rules.
+    /// Bounds of the rules.
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-/// Interval between heartbeats where the file gives none.
+/// Interval between heartbeats where the file gives none, in milliseconds.
 fn default_heartbeat_ms() -> u64 {
     1_500
 }
 
 impl Settings {
     /// Reads the file that [`CONFIG_VARIABLE`] names.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] if the variable is not set, or as [`Settings::from_file`].
     pub fn from_env() -> Result<Settings, SettingsError> {
         let path = std::env::var_os(CONFIG_VARIABLE).context(NoVariableSnafu {
             variable: CONFIG_VARIABLE,
@@ -239,19 +243,27 @@
     }
 
     /// Reads a settings file.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] if the file cannot be read, or as [`Settings::from_toml`].
     pub fn from_file(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         Settings::from_toml(&text)
     }
 
     /// Reads settings from TOML.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] if the text is not TOML, or a field is missing or has a value that is not allowed.
     pub fn from_toml(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).context(ParseSnafu)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Where this process takes internal connections.
+    /// Where this process accepts internal connections.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.port_range.first)
     }
@@ -271,7 +283,7 @@
         self.serves.contains(&callers)
     }
 
-    /// Checks what the types do not say.
+    /// Checks what the types do not ensure.
     fn check(&self) -> Result<(), SettingsError> {
         for (field, text) in [
             ("node_name", &self.node_name),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Good and bad settings files.
+//! Valid and invalid settings files.
 
 use indigofold_settings::{Bounds, Commands, MachineClass, Serves, Settings, SettingsError};
 use rstest::rstest;
