--- a/crates/placement/src/runs.rs
+++ b/crates/placement/src/runs.rs
@@ -8,15 +8,15 @@
 
 /// Weight that old run times keep at each new one.
 pub const KEEP: f64 = 0.99;
-/// Run times that a kind's neutral prior counts for.
-const PRIOR: f64 = 5.0;
+/// Weight of the neutral prior of a kind's speed, in run times.
+const PRIOR_WEIGHT: f64 = 5.0;
 
-/// News of others' slots older than this says nothing.
-const NEWS_FRESH: Time = 2_000_000;
+/// Age at which an update about other dispatchers' slots has lost all its weight, in microseconds.
+const UPDATE_AGE_MAX_US: Time = 2_000_000;
 
 /// Weight of news that came so long ago: 1 when it is new.
 pub fn fresh(now: Time, since: Time) -> f64 {
-    (1.0 - now.saturating_sub(since) as f64 / NEWS_FRESH as f64).max(0.0)
+    (1.0 - now.saturating_sub(since) as f64 / UPDATE_AGE_MAX_US as f64).max(0.0)
 }
 
 /// Weight and sum of what was measured, older values counting for less.
@@ -30,8 +30,9 @@
 /// How fast the workers of a kind are.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Speed {
-    log: Sum, // log run times against the class's mean
-    /// ... and the speed against all kinds that follows.
+    /// Logarithms of run times relative to the class's mean.
+    log: Sum,
+    /// The speed relative to all kinds that follows from `log`.
     pub speed: f64,
 }
 
@@ -47,8 +48,10 @@
 /// How long the jobs of a class run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Work {
-    log: Sum,  // log run times at mean speed, less the log of the estimate
-    work: Sum, // sums of run times at mean speed and of their estimates (1 where there are none)
+    /// Logarithms of run times at mean speed, less the logarithm of the estimate.
+    log: Sum,
+    /// Sums of run times at mean speed and of their estimates (1 where there are none).
+    work: Sum,
 }
 
 impl Speed {
@@ -74,10 +77,10 @@
 
     /// The same run times with this part of the weight.
     pub fn faded(self, keep: f64) -> Self {
-        let less = |sum: Sum| (sum.0 * keep, sum.1 * keep);
+        let scaled = |sum: Sum| (sum.0 * keep, sum.1 * keep);
         Work {
-            log: less(self.log),
-            work: less(self.work),
+            log: scaled(self.log),
+            work: scaled(self.work),
         }
     }
 
@@ -112,5 +115,5 @@
     add(&mut class.log, KEEP, log + speed.ln());
     add(all, KEEP, at_mean_speed);
     add(&mut kind.log, KEEP, log - mean);
-    kind.speed = (-kind.log.1 / (kind.log.0 + PRIOR)).exp();
+    kind.speed = (-kind.log.1 / (kind.log.0 + PRIOR_WEIGHT)).exp();
 }
