--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,5 +1,5 @@
-//! What placement rests on, shared by the program in service and the cluster's scheduler: the numerical solution of
-//! problem (1) in [`solve`] and the estimators of run times in [`runs`]. Nothing here decides or does I/O.
+//! Numerical foundations of placement, shared by the older program and the cluster's scheduler: the solution of
+//! problem (1) of hybrid SQ(d) in [`solve`] and the estimators of run times in [`runs`]. No decisions and no I/O.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/placement/src/runs.rs
+++ b/crates/placement/src/runs.rs
@@ -1,12 +1,12 @@
-//! Estimators of run times: how long the jobs of a class run, and how fast the workers of a kind are; and for how long
-//! news of slots held tells something. Nothing here decides; the decision module asks.
+//! Estimators of run times: how long the jobs of a class run and how fast the workers of a kind are, by weighted means of
+//! the logarithms of run times; and the weight of an update about occupied slots by its age.
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds of a monotonic clock.
+/// Microseconds on a monotonic clock.
 pub type Time = u64;
 
-/// Weight that old run times keep at each new one.
+/// Factor on the weight of older run times at each new one.
 pub const KEEP: f64 = 0.99;
 /// Weight of the neutral prior of a kind's speed, in run times.
 const PRIOR_WEIGHT: f64 = 5.0;
@@ -14,15 +14,15 @@
 /// Age at which an update about other dispatchers' slots has lost all its weight, in microseconds.
 const UPDATE_AGE_MAX_US: Time = 2_000_000;
 
-/// Weight of news that came so long ago: 1 when it is new.
+/// Weight of an update received at `since`: 1 when it is new, falling linearly to 0.
 pub fn fresh(now: Time, since: Time) -> f64 {
     (1.0 - now.saturating_sub(since) as f64 / UPDATE_AGE_MAX_US as f64).max(0.0)
 }
 
-/// Weight and sum of what was measured, older values counting for less.
+/// Weight and sum of measured values; older ones weigh less.
 pub type Sum = (f64, f64);
 
-/// Adds a value; what is older keeps this weight.
+/// Adds a value; the weight of older ones is multiplied by `keep`.
 pub fn add(to: &mut Sum, keep: f64, value: f64) {
     *to = (to.0 * keep + 1.0, to.1 * keep + value);
 }
@@ -55,12 +55,12 @@
 }
 
 impl Speed {
-    /// Run times that it rests on.
+    /// Weight of the run times observed, in run times.
     pub fn weight(&self) -> f64 {
         self.log.0
     }
 
-    /// The same speed with this part of the weight.
+    /// The same speed with its weight multiplied by `keep`.
     pub fn faded(self, keep: f64) -> Self {
         Speed {
             log: (self.log.0 * keep, self.log.1 * keep),
@@ -70,12 +70,12 @@
 }
 
 impl Work {
-    /// Run times that it rests on.
+    /// Weight of the run times observed, in run times.
     pub fn weight(&self) -> f64 {
         self.log.0
     }
 
-    /// The same run times with this part of the weight.
+    /// The same run times with their weight multiplied by `keep`.
     pub fn faded(self, keep: f64) -> Self {
         let scaled = |sum: Sum| (sum.0 * keep, sum.1 * keep);
         Work {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Until a run time is known, a job is taken to be so long.
+    /// The prior for a class without observed run times: its jobs take `run` microseconds.
     pub fn of(run: Time) -> Self {
         Work {
             work: (run.max(1) as f64, 1.0),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Mean run time at mean speed, of a job with this estimate of its own.
+    /// Mean run time at mean speed, in microseconds, of a job with the client's `estimate`.
     pub fn mean(&self, estimate: Option<Time>) -> f64 {
         match estimate {
             Some(e) if self.log.0 == 0.0 => e as f64,
@@ -101,7 +101,8 @@
     }
 }
 
-/// A job of this class ran for so long on a worker of this kind; `all` sums up run times at mean speed.
+/// Updates the estimators with a run of a job of `class`, with the client's `estimate`, on a worker of `kind`.
+/// `all` sums up run times at mean speed.
 pub fn learn(kind: &mut Speed, class: &mut Work, all: &mut Sum, estimate: Option<Time>, run: Time) {
     let (speed, base) = (kind.speed, estimate.map_or(1.0, |e| e as f64));
     let (log, at_mean_speed) = ((run.max(1) as f64 / base).ln(), run as f64 * speed);
--- a/crates/placement/src/solve.rs
+++ b/crates/placement/src/solve.rs
@@ -1,4 +1,4 @@
-//! Problem (1) of the paper, as a numerical method: it decides nothing.
+//! Numerical solution of problem (1) of hybrid SQ(d).
 
 /// Loads outside are moved to the nearer bound: beyond them the solution does not change any more.
 const LOAD_MIN: f64 = 0.02;
@@ -72,7 +72,7 @@
     0.5 * (low + high)
 }
 
-/// g'(rho), or anything at least `enough` once it is known to reach that.
+/// g'(rho), or any value of at least `enough` once the sum has reached it.
 fn slope_at(rho: f64, d: u32, enough: f64) -> f64 {
     let (mut exponent, mut power, mut sum) = (1.0f64, 1.0f64, 0.0);
     loop {
