--- a/crates/net/src/framed.rs
+++ b/crates/net/src/framed.rs
@@ -16,6 +16,7 @@
 
 /// An open connection. It closes when the reader is dropped, when all senders are dropped and the queue is written,
 /// when [`FrameSender::close`] is called, and when either direction fails.
+#[derive(Debug)]
 pub struct Connection {
     /// Address of the peer's socket.
     pub peer: SocketAddr,
@@ -39,18 +40,27 @@
 }
 
 /// Connects to a peer's internal port.
+///
+/// # Errors
+///
+/// [`NetError`] if the peer cannot be reached within `timeout`.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Connection, NetError> {
     let stream = socket::connect(address, timeout).await?;
     Ok(Connection::new(stream, address))
 }
 
 /// Accepts connections on the internal port.
+#[derive(Debug)]
 pub struct FrameListener {
     listener: TcpListener,
     address: SocketAddr,
 }
 
 /// Listens on the internal port.
+///
+/// # Errors
+///
+/// [`NetError::Listen`] if the address cannot be bound.
 pub async fn listen(address: SocketAddr) -> Result<FrameListener, NetError> {
     let listener = socket::listen(address).await?;
     let address = listener.local_addr().context(ListenSnafu { address })?;
@@ -65,6 +75,10 @@
 
     /// The next connection. An error (no descriptor is free, the peer has closed) is temporary; wait
     /// briefly, then go on.
+    ///
+    /// # Errors
+    ///
+    /// [`NetError::Accept`].
     pub async fn accept(&self) -> Result<Connection, NetError> {
         let address = self.address;
         let (stream, peer) = self
--- a/crates/net/src/framed/reader.rs
+++ b/crates/net/src/framed/reader.rs
@@ -9,6 +9,7 @@
 use indigofold_protocol::codec;
 use indigofold_protocol::internal::Frame;
 use snafu::{ResultExt, ensure};
+use std::fmt;
 use std::future::{Future, poll_fn};
 use std::io;
 use std::net::SocketAddr;
@@ -44,6 +45,10 @@
     /// The next frame; `None` once the connection is closed, by the peer or by this side. Frames that had come in completely
     /// before are still returned. After an error the connection is closed. Must be awaited to its end: a call that is
     /// dropped while it waits may lose what comes in.
+    ///
+    /// # Errors
+    ///
+    /// [`NetError`] if the connection fails, ends within a frame, or carries what is not a frame.
     pub async fn next(&mut self) -> Result<Option<Frame>, NetError> {
         let frame = self.receive().await;
         if !matches!(frame, Ok(Some(_))) {
@@ -109,6 +114,14 @@
     }
 }
 
+impl fmt::Debug for FrameReader {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("FrameReader")
+            .field("peer", &self.peer)
+            .finish_non_exhaustive()
+    }
+}
+
 impl Drop for FrameReader {
     fn drop(&mut self) {
         self.link.close();
--- a/crates/net/src/framed/sender.rs
+++ b/crates/net/src/framed/sender.rs
@@ -9,6 +9,7 @@
 use indigofold_protocol::codec;
 use indigofold_protocol::internal::Frame;
 use snafu::{Snafu, ensure};
+use std::fmt;
 use std::net::{Shutdown, SocketAddr};
 use std::rc::Rc;
 
@@ -40,6 +41,14 @@
     }
 }
 
+impl fmt::Debug for FrameSender {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("FrameSender")
+            .field("peer", &self.link.peer())
+            .finish_non_exhaustive()
+    }
+}
+
 impl FrameSender {
     /// Starts the task that writes to `stream`.
     pub(super) fn start(stream: TcpStream, peer: SocketAddr) -> FrameSender {
--- a/crates/net/src/http/message.rs
+++ b/crates/net/src/http/message.rs
@@ -64,6 +64,7 @@
     }
 
     /// The response with one more header; a value that cannot stand in a header is left out.
+    #[must_use]
     pub fn with_header(mut self, name: HeaderName, value: &str) -> HttpResponse {
         self.headers
             .extend(HeaderValue::from_str(value).ok().map(|value| (name, value)));
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -12,6 +12,7 @@
 use compio::net::{TcpListener, TcpStream};
 use snafu::ResultExt;
 use std::cell::RefCell;
+use std::fmt;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,6 +31,10 @@
 
 /// Serves HTTP/1.1 on `address`: each request is read completely and answered with what `handler` returns. A handler's
 /// future is dropped if its client closes the connection.
+///
+/// # Errors
+///
+/// [`NetError::Listen`] if the address cannot be bound.
 pub async fn serve<H, F>(
     address: SocketAddr,
     options: HttpOptions,
@@ -50,6 +55,14 @@
     })
 }
 
+impl fmt::Debug for HttpServer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("HttpServer")
+            .field("address", &self.address)
+            .finish_non_exhaustive()
+    }
+}
+
 impl HttpServer {
     /// The address listened on.
     pub fn local_address(&self) -> SocketAddr {
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -18,6 +18,14 @@
 ///
 /// The runtime's own loop asks the system for events once without waiting whenever a task has woken another one, and
 /// again to wait. This one runs what is ready first and then waits, which halves the system calls of a request.
+///
+/// # Errors
+///
+/// [`NetError::Runtime`] if the poller cannot be set up.
+///
+/// # Panics
+///
+/// If `main` panics.
 pub fn run<F: Future + 'static>(main: F) -> Result<F::Output, NetError> {
     let runtime = Runtime::new().context(RuntimeSnafu)?;
     let output = runtime.enter(|| {
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -33,12 +33,17 @@
 }
 
 /// The signals that come in.
+#[derive(Debug)]
 pub struct Signals {
     pipe: PollFd<OwnedFd>,
 }
 
 impl Signals {
     /// Catches the signals from now on. The handlers stay when the value is dropped.
+    ///
+    /// # Errors
+    ///
+    /// [`NetError::Runtime`] if the pipe cannot be made, [`NetError::Signal`] if a handler cannot be installed.
     pub fn register() -> Result<Signals, NetError> {
         let flags = PipeFlags::CLOEXEC | PipeFlags::NONBLOCK;
         let (reader, writer) = pipe_with(flags)
@@ -72,6 +77,10 @@
 }
 
 /// Writes a byte into the pipe whenever `signal` comes.
+#[allow(
+    unsafe_code,
+    reason = "signal handlers are registered by an unsafe call"
+)]
 fn catch(signal: Signal, writer: &Arc<OwnedFd>) -> Result<(), NetError> {
     let number = signal.number();
     let writer = writer.clone();
--- a/crates/net/tests/framed.rs
+++ b/crates/net/tests/framed.rs
@@ -185,8 +185,7 @@
             .local_address();
         let error = framed::connect(address, PATIENCE)
             .await
-            .err()
-            .expect("nobody listens");
+            .expect_err("nobody listens");
         assert!(
             matches!(error, NetError::Connect { address: named, .. } if named == address),
             "{error}"
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -2,7 +2,6 @@
 //! problem (1) of hybrid SQ(d) in [`solve`] and the estimators of run times in [`runs`]. No decisions and no I/O.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod runs;
 pub mod solve;
--- a/crates/placement/src/runs.rs
+++ b/crates/placement/src/runs.rs
@@ -61,6 +61,7 @@
     }
 
     /// The same speed with its weight multiplied by `keep`.
+    #[must_use]
     pub fn faded(self, keep: f64) -> Self {
         Speed {
             log: (self.log.0 * keep, self.log.1 * keep),
@@ -76,6 +77,7 @@
     }
 
     /// The same run times with their weight multiplied by `keep`.
+    #[must_use]
     pub fn faded(self, keep: f64) -> Self {
         let scaled = |sum: Sum| (sum.0 * keep, sum.1 * keep);
         Work {
--- a/crates/placement/src/solve.rs
+++ b/crates/placement/src/solve.rs
@@ -17,8 +17,12 @@
 /// Exponent above which the rest of the series of g' is left out.
 const EXPONENT_MAX: f64 = 1e12;
 
-/// p_k of problem (1): minimise the sum of gamma_k g(rho_k), g(rho) the sum over i of rho^((d^i-1)/(d-1)), under
-/// sum of gamma_k mu_k rho_k = lambda.
+/// The `p_k` of problem (1):
+///
+/// ```text
+/// minimise    sum over k of gamma_k g(rho_k),   g(rho) = sum over i of rho^((d^i - 1) / (d - 1)),
+/// subject to  sum over k of gamma_k mu_k rho_k = lambda.
+/// ```
 ///
 /// `fractions` and `speeds` are gamma and mu, each on any scale, `load` is lambda divided by the total capacity. A kind
 /// whose fraction is 0 gets 0; all get 0 if no kind has any capacity.
--- a/crates/protocol/src/config_check.rs
+++ b/crates/protocol/src/config_check.rs
@@ -40,6 +40,10 @@
     }
 
     /// Checks that the version is above `current`, the one in force (0 for none).
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::VersionNotHigher`] if it is not.
     pub fn ensure_newer_than(&self, current: u64) -> Result<(), ConfigError> {
         ensure!(
             self.version() > current,
@@ -54,6 +58,10 @@
 
 /// Reads and checks a complete configuration. Whether its version is above the current one is checked separately
 /// ([`CheckedConfig::ensure_newer_than`]).
+///
+/// # Errors
+///
+/// [`ConfigError`] with what is wrong, where, and what is expected.
 pub fn parse_config(bytes: &[u8]) -> Result<CheckedConfig, ConfigError> {
     let json = std::str::from_utf8(bytes).context(NotUtf8Snafu)?;
     // The parser would read an array as an object, field by field.
@@ -72,6 +80,10 @@
 }
 
 /// The version that an `If-Match` header names; quotes around it are allowed.
+///
+/// # Errors
+///
+/// [`ConfigError::NoVersion`] if there is no header or no number in it.
 pub fn parse_if_match(header: Option<&str>) -> Result<u64, ConfigError> {
     let text = header.unwrap_or_default();
     let version = text.trim().trim_matches('"').parse().ok();
--- a/crates/protocol/src/config_patch.rs
+++ b/crates/protocol/src/config_patch.rs
@@ -89,6 +89,10 @@
 ///
 /// `remove` goes first, and to remove what is not there changes nothing. Each field of `upsert` that is a list is merged
 /// by name; any other one (`limits`) is replaced as a whole.
+///
+/// # Errors
+///
+/// [`ConfigError`] if the patch cannot be read, or the configuration that it makes is invalid.
 pub fn apply_patch(current: &CheckedConfig, patch: &[u8]) -> Result<CheckedConfig, ConfigError> {
     let patch: Patch = read(patch)?;
     let mut fields: Fields = read(current.json().as_bytes())?;
--- a/crates/protocol/src/heartbeat_check.rs
+++ b/crates/protocol/src/heartbeat_check.rs
@@ -21,6 +21,10 @@
 }
 
 /// Reads a heartbeat. Unknown fields are skipped, missing ones are 0, false or empty.
+///
+/// # Errors
+///
+/// [`HeartbeatError`] if it cannot be read or names no service.
 pub fn parse_heartbeat(bytes: &[u8]) -> Result<Heartbeat, HeartbeatError> {
     let heartbeat: Heartbeat = json::read(bytes).context(UnreadableSnafu)?;
     ensure!(!heartbeat.backend.is_empty(), NoBackendSnafu);
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -24,6 +24,7 @@
     }
 
     /// This and `other` together.
+    #[must_use]
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu + other.cpu,
@@ -33,6 +34,7 @@
     }
 
     /// What is left of this without `other`; never below zero.
+    #[must_use]
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_sub(other.cpu),
--- a/crates/protocol/src/job_check.rs
+++ b/crates/protocol/src/job_check.rs
@@ -79,6 +79,10 @@
 }
 
 /// Reads and checks a job. Unknown fields are skipped, missing ones are 0, false or empty.
+///
+/// # Errors
+///
+/// [`JobError`] if it cannot be read, or as [`check_job`].
 pub fn parse_job(bytes: &[u8]) -> Result<JobSpec, JobError> {
     let job: JobSpec = json::read(bytes).context(UnreadableSnafu)?;
     check_job(&job)?;
@@ -86,6 +90,10 @@
 }
 
 /// Checks what the types do not ensure. Edges check jobs as they read them, the scheduler as it accepts them.
+///
+/// # Errors
+///
+/// [`JobError`] with the field and what is allowed.
 pub fn check_job(job: &JobSpec) -> Result<(), JobError> {
     ensure!(
         job.spec.len() <= SPEC_BYTES_MAX,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,8 @@
 //! Messages of the cluster: what clients, workers and operators send (`job`, `worker`, `config`), and what the
 //! cluster's own processes send each other (`internal`). Types only: no sockets, no clocks.
 
+#![forbid(unsafe_code)]
+
 pub mod codec;
 pub mod config;
 pub mod config_check;
@@ -11,7 +13,15 @@
 pub mod inspection;
 pub mod internal;
 // Generated from schema/internal.capnp.
-#[allow(clippy::all, elided_lifetimes_in_paths)]
+#[allow(
+    clippy::all,
+    clippy::pedantic,
+    clippy::restriction,
+    missing_debug_implementations,
+    unreachable_pub,
+    unused_qualifications,
+    reason = "generated code"
+)]
 #[rustfmt::skip]
 mod internal_capnp;
 pub mod job;
--- a/crates/protocol/tests/config.rs
+++ b/crates/protocol/tests/config.rs
@@ -90,11 +90,8 @@
 #[test]
 fn limits_are_optional() {
     let config = parse_changed(|document| {
-        drop(
-            document
-                .as_object_mut()
-                .and_then(|fields| fields.remove("limits")),
-        )
+        let fields = document.as_object_mut().expect("an object");
+        fields.remove("limits");
     });
     assert_eq!(
         config.expect("valid").config().limits.idle_timeout_ms,
--- a/crates/protocol/tests/frames/mod.rs
+++ b/crates/protocol/tests/frames/mod.rs
@@ -20,7 +20,7 @@
 const ITEMS: usize = 4;
 
 /// Any frame.
-pub fn any_frame() -> impl Strategy<Value = Frame> {
+pub(crate) fn any_frame() -> impl Strategy<Value = Frame> {
     prop_oneof![
         hello().prop_map(Frame::Hello),
         welcome().prop_map(Frame::Welcome),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,8 @@
 //! Settings of a process: the TOML file that the variable `INDIGOFOLD_CONFIG` names. Unknown fields are skipped; a
 //! missing or invalid field is an error with the field, its value and what is allowed.
 
+#![forbid(unsafe_code)]
+
 mod bounds;
 mod error;
 mod lenient;
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -93,6 +93,11 @@
         settings.data_dir.as_deref(),
         Some(Path::new("/var/lib/indigofold"))
     );
+}
+
+#[test]
+fn every_kind_of_table_is_decoded() {
+    let settings = Settings::from_toml(COMPLETE).expect("the settings are valid");
     assert_eq!(
         settings.zones.get("sala-linha").map(String::as_str),
         Some("minho")
