--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,14 +3,17 @@
 
 #![forbid(unsafe_code)]
 
+mod addresses;
 mod bounds;
 mod error;
 mod lenient;
+mod limits;
+mod role;
 mod settings;
 
+pub use addresses::{BindAddresses, PortRange, SeedAddress};
 pub use bounds::Bounds;
 pub use error::SettingsError;
-pub use settings::{
-    BindAddresses, CONFIG_VARIABLE, Commands, FaultTolerance, Limits, MachineClass, PortRange,
-    SeedAddress, Serves, Settings,
-};
+pub use limits::{FaultTolerance, Limits};
+pub use role::{Commands, MachineClass, Serves};
+pub use settings::{CONFIG_VARIABLE, Settings};
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,161 +1,20 @@
 //! The settings file as types.
 
+use crate::addresses::{BindAddresses, PortRange, SeedAddress};
 use crate::bounds::Bounds;
 use crate::error::{NoVariableSnafu, NotAllowedSnafu, ParseSnafu, ReadSnafu, SettingsError};
 use crate::lenient;
+use crate::limits::{FaultTolerance, Limits};
+use crate::role::{Commands, MachineClass, Serves};
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, ensure};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
 /// The variable that names the settings file.
 pub const CONFIG_VARIABLE: &str = "INDIGOFOLD_CONFIG";
 
-/// The class of a machine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum MachineClass {
-    /// Reached by clients; no disk.
-    Edge,
-    /// Beside a worker; no disk.
-    Side,
-    /// Has a disk.
-    Core,
-}
-
-/// Who may call a role from outside.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Serves {
-    /// Clients.
-    Edge,
-    /// The worker on the same machine.
-    Side,
-    /// Workers and the operator.
-    Control,
-}
-
-/// How orders reach the workers.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Commands {
-    /// In the replies to their heartbeats.
-    #[default]
-    Heartbeat,
-    /// By requests to their own address.
-    Invocation,
-}
-
-/// Addresses for what the role serves.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default)]
-pub struct BindAddresses {
-    /// Where clients' connections arrive.
-    #[serde(deserialize_with = "lenient::address")]
-    pub frontend: Option<SocketAddr>,
-    /// Where the platform sends `GET /readiness`.
-    #[serde(deserialize_with = "lenient::address")]
-    pub readiness: Option<SocketAddr>,
-    /// Where workers and operators send requests.
-    #[serde(deserialize_with = "lenient::address")]
-    pub control_plane: Option<SocketAddr>,
-}
-
-/// What the process may use.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(default)]
-pub struct Limits {
-    /// Part of a core that the process may use.
-    #[serde(deserialize_with = "lenient::number")]
-    pub cpu_share: f64,
-    /// Speed of that core, as a factor.
-    #[serde(deserialize_with = "lenient::number")]
-    pub cores: f64,
-    /// Memory above which the process is killed, in megabytes.
-    #[serde(deserialize_with = "lenient::rounded")]
-    pub memory_mb: u64,
-    /// Most file descriptors.
-    #[serde(deserialize_with = "lenient::rounded")]
-    pub max_fds: u64,
-    /// Bandwidth of the machine, in megabits per second.
-    #[serde(deserialize_with = "lenient::number")]
-    pub link_mbps: f64,
-    /// Size of the disk, in megabytes; 0 for none.
-    #[serde(deserialize_with = "lenient::rounded")]
-    pub disk_mb: u64,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Limits {
-            cpu_share: 1.0,
-            cores: 1.0,
-            memory_mb: 128,
-            max_fds: 1_024,
-            link_mbps: 1_000.0,
-            disk_mb: 0,
-        }
-    }
-}
-
-/// What may be lost at once without breaking a rule.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default)]
-pub struct FaultTolerance {
-    /// Machines that `counts_for_quorum` marks.
-    pub machines: u32,
-    /// Zones.
-    pub zones: u32,
-    /// Regions.
-    pub regions: u32,
-}
-
-/// A seed: a core member that the settings of every process name.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SeedAddress {
-    /// Where it accepts operators' requests.
-    pub control: SocketAddr,
-    /// Where it accepts internal connections.
-    pub internal: SocketAddr,
-}
-
-/// Ports from `first` to `last`. In the file an array: `[first, last]`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "(u16, u16)", into = "(u16, u16)")]
-pub struct PortRange {
-    /// The first port.
-    pub first: u16,
-    /// The last port.
-    pub last: u16,
-}
-
-impl PortRange {
-    /// Whether it has at least one port, and no port 0.
-    fn is_valid(&self) -> bool {
-        self.first > 0 && self.first <= self.last
-    }
-}
-
-impl From<(u16, u16)> for PortRange {
-    fn from((first, last): (u16, u16)) -> Self {
-        PortRange { first, last }
-    }
-}
-
-impl From<PortRange> for (u16, u16) {
-    fn from(range: PortRange) -> Self {
-        (range.first, range.last)
-    }
-}
-
-impl fmt::Display for PortRange {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "[{}, {}]", self.first, self.last)
-    }
-}
-
 /// The settings of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
