--- a/crates/protocol/schema/internal.capnp
+++ b/crates/protocol/schema/internal.capnp
@@ -1,5 +1,5 @@
 # Messages between the cluster's own processes. The types that the programs work with, and what each field means, are in
-# src/internal.rs; src/codec/ converts between the two.
+# src/internal/; src/codec/ converts between the two.
 #
 # The generated src/internal_capnp.rs is committed, so that the build needs no generator. After a change here:
 #
