--- a/crates/protocol/src/config_error.rs
+++ b/crates/protocol/src/config_error.rs
@@ -1,5 +1,6 @@
 //! Why a configuration, or a change of one, is rejected.
 
+use crate::json::JsonError;
 use snafu::Snafu;
 
 /// A configuration, or a change of one, that is rejected.
@@ -12,7 +13,13 @@
         /// The first byte that is not.
         source: std::str::Utf8Error,
     },
-    /// It is not JSON (truncated, for example), or a field has the wrong type.
+    /// A change is not JSON (truncated, for example), or a field has the wrong type.
+    #[snafu(display("the configuration cannot be read: {source}"))]
+    Json {
+        /// What, where, and what is expected.
+        source: JsonError,
+    },
+    /// The configuration is not JSON, or a field has the wrong type.
     #[snafu(display("the configuration cannot be read: {problem}"))]
     Unreadable {
         /// What, where, and what is expected.
--- a/crates/protocol/src/config_patch.rs
+++ b/crates/protocol/src/config_patch.rs
@@ -4,10 +4,11 @@
 //! kept byte for byte.
 
 use crate::config_check::{CheckedConfig, parse_config};
-use crate::config_error::ConfigError;
+use crate::config_error::{ConfigError, JsonSnafu};
 use crate::json;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
+use snafu::ResultExt;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// The field of a configuration that holds its version.
@@ -136,9 +137,7 @@
 
 /// Reads JSON.
 fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, ConfigError> {
-    json::read(bytes).map_err(|error| ConfigError::Unreadable {
-        problem: error.to_string(),
-    })
+    json::read(bytes).context(JsonSnafu)
 }
 
 /// Reads a raw JSON value.
