--- a/crates/net/src/framed/reader.rs
+++ b/crates/net/src/framed/reader.rs
@@ -25,7 +25,7 @@
     stream: TcpStream,
     peer: SocketAddr,
     link: Rc<Link>,
-    /// Bytes received; those before `start` have been taken.
+    /// Bytes received; those before `start` have been decoded.
     buffer: Vec<u8>,
     start: usize,
 }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Drops the bytes taken and reserves space for what is still missing of the frame that has begun.
+    /// Drops the bytes decoded and reserves space for what is still missing of the frame that has begun.
     fn reserve_space(&mut self) {
         self.buffer.drain(..self.start);
         self.start = 0;
--- a/crates/net/src/http/receive.rs
+++ b/crates/net/src/http/receive.rs
@@ -65,8 +65,8 @@
     })
 }
 
-/// Bytes of a request's head, near enough as it came in. The HTTP library alone lets through what it happens to read
-/// at once, up to about twice its limit.
+/// Bytes of a request's head, nearly as received. The HTTP library alone accepts whatever it has read
+/// in one go, up to about twice its limit.
 fn head_bytes(head: &Parts) -> usize {
     let path = head
         .uri
--- a/crates/net/src/http/state.rs
+++ b/crates/net/src/http/state.rs
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Sets whether the task that enforces time limits is at work; returns what held before.
+    /// Sets whether the task that enforces time limits is at work; returns the previous value.
     pub(super) fn set_watched(&self, watched: bool) -> bool {
         self.watched.replace(watched)
     }
--- a/crates/protocol/src/config_error.rs
+++ b/crates/protocol/src/config_error.rs
@@ -73,7 +73,7 @@
         /// The version in force.
         current: u64,
     },
-    /// The `If-Match` header holds no version.
+    /// The `If-Match` header is no version.
     #[snafu(display("`If-Match` is `{text}`: a version (a whole number) is expected"))]
     NoVersion {
         /// The header, empty if there is none.
