--- a/crates/ctl/tests/whole.rs
+++ b/crates/ctl/tests/whole.rs
@@ -10,8 +10,8 @@
 
 fn programs() -> Programs {
     Programs {
-        control: env!("CARGO_BIN_EXE_toolbox-test-control").into(),
-        data: env!("CARGO_BIN_EXE_toolbox-test-data").into(),
+        control: env!("CARGO_BIN_EXE_ctl-test-control").into(),
+        data: env!("CARGO_BIN_EXE_ctl-test-data").into(),
     }
 }
 
