--- a/crates/ctl/src/check_config.rs
+++ b/crates/ctl/src/check_config.rs
@@ -24,7 +24,7 @@
         (false, current) => Ok(report(
             path,
             "configuration",
-            check_whole(current.as_ref(), &bytes),
+            check_configuration(current.as_ref(), &bytes),
         )),
     }
 }
@@ -51,7 +51,7 @@
     Ok(next)
 }
 
-fn check_whole(
+fn check_configuration(
     current: Option<&CheckedConfig>,
     bytes: &[u8],
 ) -> Result<CheckedConfig, ConfigError> {
@@ -65,7 +65,7 @@
     match checked {
         Err(error) => Report {
             text: String::new(),
-            figures: json!({ "kind": what }),
+            data: json!({ "kind": what }),
             findings: vec![format!("{path}: {error}")],
         },
         Ok(checked) => {
@@ -76,7 +76,7 @@
                 text: format!(
                     "{path}: a valid {what}: version {version}, {routes} routes, {services} services\n"
                 ),
-                figures: json!({ "kind": what, "version": version, "routes": routes, "services": services }),
+                data: json!({ "kind": what, "version": version, "routes": routes, "services": services }),
                 findings: Vec::new(),
             }
         }
--- a/crates/ctl/src/check_deploy.rs
+++ b/crates/ctl/src/check_deploy.rs
@@ -27,7 +27,7 @@
     let path = path.display();
     Ok(Report {
         text: format!("{path}: {roles} roles\n"),
-        figures: json!({ "roles": roles }),
+        data: json!({ "roles": roles }),
         findings: findings
             .into_iter()
             .map(|finding| format!("{path}: {finding}"))
@@ -39,7 +39,7 @@
 pub fn findings(document: &Table) -> Vec<String> {
     let mut findings = unknown_keys("", document, &TOP_KEYS);
     findings.extend(text_finding("build", document.get("build")));
-    findings.extend(list_finding("packages", document.get("packages"), None));
+    findings.extend(array_finding("packages", document.get("packages"), None));
     match document.get("roles") {
         Some(Value::Table(roles)) if !roles.is_empty() => {
             for (name, role) in roles {
@@ -67,7 +67,7 @@
         ));
     }
     findings.extend(extent_findings(&place, class, role));
-    findings.extend(list_finding(
+    findings.extend(array_finding(
         &format!("{place}.serves"),
         role.get("serves"),
         Some(&CALLERS),
@@ -86,7 +86,7 @@
     let number = |value: &Value| {
         value
             .as_float()
-            .or_else(|| value.as_integer().map(|whole| whole as f64))
+            .or_else(|| value.as_integer().map(|integer| integer as f64))
     };
     if let Some(share) = role.get("share")
         && !number(share).is_some_and(|share| share > 0.0 && share <= 1.0)
@@ -188,7 +188,7 @@
 }
 
 /// A list of texts, which may be missing.
-fn list_finding(place: &str, value: Option<&Value>, allowed: Option<&[&str]>) -> Option<String> {
+fn array_finding(place: &str, value: Option<&Value>, allowed: Option<&[&str]>) -> Option<String> {
     let value = value?;
     let text = |item: &Value| {
         item.as_str()
--- a/crates/ctl/src/check_settings.rs
+++ b/crates/ctl/src/check_settings.rs
@@ -30,13 +30,13 @@
         settings.internal_address(),
         settings.seed_nodes.len(),
     );
-    let figures = json!({
+    let data = json!({
         "node_name": settings.node_name, "zone": settings.zone, "role": settings.role,
         "internal": settings.internal_address(), "seeds": settings.seed_nodes,
     });
     Report {
         text: summary,
-        figures,
+        data,
         findings,
     }
 }
--- a/crates/ctl/src/command_line.rs
+++ b/crates/ctl/src/command_line.rs
@@ -58,7 +58,7 @@
         file: PathBuf,
     },
     /// `compare-copies`.
-    CompareCopies {
+    CompareReplicas {
         /// Data folders.
         folders: Vec<PathBuf>,
     },
@@ -151,7 +151,7 @@
         "check-config" => help::CHECK_CONFIG,
         "check-settings" => help::CHECK_SETTINGS,
         "check-deploy" => help::CHECK_DEPLOY,
-        "compare-copies" => help::COMPARE_COPIES,
+        "compare-copies" => help::COMPARE_REPLICAS,
         "quickstart" => help::QUICKSTART,
         _ => return UnknownVerbSnafu { verb }.fail(),
     })
@@ -196,7 +196,7 @@
             {
                 folders.push(more);
             }
-            Verb::CompareCopies { folders }
+            Verb::CompareReplicas { folders }
         }
         "quickstart" => Verb::Quickstart(quickstart(arguments)?),
         _ => return UnknownVerbSnafu { verb }.fail(),
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,9 +1,9 @@
 //! Why a verb cannot do its work, and the exit codes.
 
-use crate::ask::AskError;
-use crate::copies::CopyError;
 use crate::files::FileError;
+use crate::query::QueryError;
 use crate::quickstart::QuickstartError;
+use crate::replicas::ReplicaError;
 use snafu::Snafu;
 
 /// Nothing is wrong.
@@ -34,15 +34,15 @@
     },
     /// No member answers.
     #[snafu(transparent)]
-    Ask {
+    Query {
         /// Why.
-        source: AskError,
+        source: QueryError,
     },
     /// A copy cannot be opened.
     #[snafu(transparent)]
-    Copies {
+    Replicas {
         /// Which, and why.
-        source: CopyError,
+        source: ReplicaError,
     },
     /// The small cluster cannot be run.
     #[snafu(transparent)]
@@ -57,10 +57,10 @@
     pub fn exit_code(&self) -> u8 {
         match self {
             ToolError::File { .. } | ToolError::Input { .. } => EXIT_INPUT,
-            ToolError::Copies { source } if source.is_input() => EXIT_INPUT,
-            ToolError::Ask { .. } => EXIT_UNREACHABLE,
+            ToolError::Replicas { source } if source.is_input() => EXIT_INPUT,
+            ToolError::Query { .. } => EXIT_UNREACHABLE,
             ToolError::Quickstart { source } if source.is_input() => EXIT_INPUT,
-            ToolError::Copies { .. } | ToolError::Quickstart { .. } => EXIT_FOUND,
+            ToolError::Replicas { .. } | ToolError::Quickstart { .. } => EXIT_FOUND,
         }
     }
 }
--- a/crates/ctl/src/help.rs
+++ b/crates/ctl/src/help.rs
@@ -74,7 +74,7 @@
 ";
 
 /// For `compare-copies`.
-pub const COMPARE_COPIES: &str = "\
+pub const COMPARE_REPLICAS: &str = "\
 Tells which rows differ between the disks of core members. The members must be
 stopped. The folders are only read: their databases are copied and opened there.
 
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -1,6 +1,6 @@
 //! `job`: how a job stands, where its tasks run, and why it waits.
 
-use crate::ask::{self, AskError};
+use crate::query::{self, QueryError};
 use crate::report::Report;
 use indigofold_protocol::inspection::{
     InspectionAnswer, JobInspection, Question, StepInspection, TaskCounts, Wait,
@@ -13,20 +13,20 @@
 const HEADS_FOLLOWED: usize = 3;
 
 /// Asks the head, which any of the members may name.
-pub fn run(id: JobId, addresses: Vec<SocketAddr>) -> Result<Report, AskError> {
-    ask::run(look_up(id, addresses)).map(|job| report(id, job))
+pub fn run(id: JobId, addresses: Vec<SocketAddr>) -> Result<Report, QueryError> {
+    query::run(find_job(id, addresses)).map(|job| report(id, job))
 }
 
 /// The job as the acting head knows it; `None` if there is no such job.
-pub async fn look_up(
+pub async fn find_job(
     id: JobId,
     addresses: Vec<SocketAddr>,
-) -> Result<Option<JobInspection>, AskError> {
-    let mut asked = ask::ask_all(&addresses, Question::Job(id)).await;
+) -> Result<Option<JobInspection>, QueryError> {
+    let mut responses = query::query_all(&addresses, Question::Job(id)).await;
     for _ in 0..HEADS_FOLLOWED {
         let mut heads = Vec::new();
         let mut reasons = Vec::new();
-        for (address, answer) in asked {
+        for (address, answer) in responses {
             match answer {
                 Ok(InspectionAnswer::Job(job)) => return Ok(job.map(|job| *job)),
                 Ok(InspectionAnswer::NotHead { head: Some(head) }) => heads.push(head.internal),
@@ -43,13 +43,13 @@
         heads.sort();
         heads.dedup();
         if heads.is_empty() {
-            return Err(AskError::Nobody {
+            return Err(QueryError::Nobody {
                 reasons: reasons.join("; "),
             });
         }
-        asked = ask::ask_all(&heads, Question::Job(id)).await;
+        responses = query::query_all(&heads, Question::Job(id)).await;
     }
-    Err(ask::nobody(&asked))
+    Err(query::nobody(&responses))
 }
 
 /// The report of the answer.
@@ -57,7 +57,7 @@
     match job {
         None => Report {
             text: String::new(),
-            figures: Value::Null,
+            data: Value::Null,
             findings: vec![format!(
                 "job {id} is not known: never taken, or ended long ago"
             )],
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -6,16 +6,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod ask;
 pub mod check_config;
 pub mod check_deploy;
 pub mod check_settings;
 pub mod command_line;
-pub mod copies;
 pub mod error;
 pub mod files;
 pub mod help;
 pub mod job;
+pub mod query;
 pub mod quickstart;
+pub mod replicas;
 pub mod report;
 pub mod status;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -3,7 +3,9 @@
 use indigofold_ctl::command_line::{self, Command, Verb};
 use indigofold_ctl::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
 use indigofold_ctl::report::Report;
-use indigofold_ctl::{check_config, check_deploy, check_settings, copies, job, quickstart, status};
+use indigofold_ctl::{
+    check_config, check_deploy, check_settings, job, quickstart, replicas, status,
+};
 use std::io::Write;
 use std::process::ExitCode;
 
@@ -45,7 +47,7 @@
         Verb::CheckConfig { file, current } => check_config::run(&file, current.as_deref())?,
         Verb::CheckSettings { file } => check_settings::run(&file)?,
         Verb::CheckDeploy { file } => check_deploy::run(&file)?,
-        Verb::CompareCopies { folders } => copies::run(&folders)?,
+        Verb::CompareReplicas { folders } => replicas::run(&folders)?,
         Verb::Quickstart(options) => quickstart::run(&options, &mut std::io::stdout())?,
     })
 }
--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/query.rs
@@ -14,7 +14,7 @@
 
 /// Why a member has not answered.
 #[derive(Debug, Snafu)]
-pub enum AskError {
+pub enum QueryError {
     /// It cannot be reached, or its connection has failed.
     #[snafu(display("{source}"))]
     Reach {
@@ -31,7 +31,7 @@
     },
     /// It has not answered in time.
     #[snafu(display("{address} has not answered within {} ms", ANSWER_LIMIT.as_millis()))]
-    Silent {
+    Timeout {
         /// Its address.
         address: SocketAddr,
     },
@@ -50,26 +50,29 @@
 }
 
 /// A member's answer, or why there is none.
-pub type Asked = (SocketAddr, Result<InspectionAnswer, AskError>);
+pub type MemberResponse = (SocketAddr, Result<InspectionAnswer, QueryError>);
 
 /// Asks several members at the same time; the answers are in the order of the addresses.
-pub async fn ask_all(addresses: &[SocketAddr], question: Question) -> Vec<Asked> {
-    let asked = addresses
+pub async fn query_all(addresses: &[SocketAddr], question: Question) -> Vec<MemberResponse> {
+    let responses = addresses
         .iter()
-        .map(|&address| (address, runtime::spawn_scoped(ask(address, question))));
+        .map(|&address| (address, runtime::spawn_scoped(query(address, question))));
     let mut answers = Vec::new();
-    for (address, task) in asked.collect::<Vec<_>>() {
+    for (address, task) in responses.collect::<Vec<_>>() {
         // A task ends early only by a panic, which this takes for silence.
         answers.push((
             address,
-            task.await.unwrap_or(SilentSnafu { address }.fail()),
+            task.await.unwrap_or(TimeoutSnafu { address }.fail()),
         ));
     }
     answers
 }
 
 /// Asks one member.
-pub async fn ask(address: SocketAddr, question: Question) -> Result<InspectionAnswer, AskError> {
+pub async fn query(
+    address: SocketAddr,
+    question: Question,
+) -> Result<InspectionAnswer, QueryError> {
     let connection = framed::connect(address, CONNECT_LIMIT)
         .await
         .context(ReachSnafu)?;
@@ -90,23 +93,23 @@
     };
     runtime::timeout(ANSWER_LIMIT, answer)
         .await
-        .context(SilentSnafu { address })?
+        .context(TimeoutSnafu { address })?
 }
 
 /// The error for answers of which none came.
-pub fn nobody(asked: &[Asked]) -> AskError {
-    let reasons = asked
+pub fn nobody(responses: &[MemberResponse]) -> QueryError {
+    let reasons = responses
         .iter()
         .filter_map(|(_, result)| result.as_ref().err())
         .map(ToString::to_string);
-    AskError::Nobody {
+    QueryError::Nobody {
         reasons: reasons.collect::<Vec<_>>().join("; "),
     }
 }
 
 /// Runs a conversation to its end.
 pub fn run<T: 'static>(
-    conversation: impl Future<Output = Result<T, AskError>> + 'static,
-) -> Result<T, AskError> {
+    conversation: impl Future<Output = Result<T, QueryError>> + 'static,
+) -> Result<T, QueryError> {
     runtime::run(conversation).context(RuntimeSnafu)?
 }
--- a/crates/ctl/src/quickstart.rs
+++ b/crates/ctl/src/quickstart.rs
@@ -3,11 +3,11 @@
 mod children;
 mod http;
 mod layout;
-mod story;
-mod worker;
+mod scenario;
+mod stand_in;
 
 pub use children::Programs;
-pub use worker::{StandIn, WorkerLimits};
+pub use stand_in::{StandIn, WorkerLimits};
 
 use crate::report::Report;
 use children::Children;
@@ -15,11 +15,11 @@
 use serde_json::json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use snafu::{ResultExt, Snafu};
+use stand_in::Workers;
 use std::io::{self, Write};
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
-use worker::Workers;
 
 /// What is to be run.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -122,7 +122,7 @@
     let layout = Layout::new(options.members, std::process::id());
     let mut children = Children::start(&options.programs, &layout, folder.path())?;
     let workers = Workers::start(&layout);
-    let told = story::tell(&layout, &mut children, &interrupted, out, options.once);
+    let told = scenario::tell(&layout, &mut children, &interrupted, out, options.once);
     drop(workers);
     children.end();
     match told {
@@ -131,7 +131,7 @@
     }
     writeln!(out, "all processes have ended").context(OutputSnafu)?;
     Ok(Report {
-        figures: json!({ "members": options.members }),
+        data: json!({ "members": options.members }),
         ..Report::default()
     })
 }
--- a/crates/ctl/src/quickstart/children.rs
+++ b/crates/ctl/src/quickstart/children.rs
@@ -16,9 +16,9 @@
 /// Between SIGTERM and SIGKILL.
 const GRACE: Duration = Duration::from_secs(4);
 /// Time between two looks whether a child has ended.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Lines of a log that are shown if its process ends by itself.
-const LINES_SHOWN: usize = 8;
+const LOG_TAIL_ROWS: usize = 8;
 
 /// The daemons' programs.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -96,7 +96,7 @@
                 return Err(QuickstartError::Ended {
                     name,
                     status,
-                    log: last_lines(&daemon.log),
+                    log: log_tail(&daemon.log),
                 });
             }
         }
@@ -112,7 +112,7 @@
         let deadline = Instant::now() + GRACE;
         for mut daemon in self.daemons.drain(..) {
             while matches!(daemon.child.try_wait(), Ok(None)) && Instant::now() < deadline {
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
             }
             // Both fail only for one that has ended and was waited for.
             let _ = daemon.child.kill();
@@ -153,8 +153,8 @@
     })
 }
 
-fn last_lines(log: &Path) -> String {
+fn log_tail(log: &Path) -> String {
     let text = fs::read_to_string(log).unwrap_or_default();
     let lines: Vec<&str> = text.lines().collect();
-    lines[lines.len().saturating_sub(LINES_SHOWN)..].join("\n")
+    lines[lines.len().saturating_sub(LOG_TAIL_ROWS)..].join("\n")
 }
--- a/crates/ctl/src/quickstart/layout.rs
+++ b/crates/ctl/src/quickstart/layout.rs
@@ -7,7 +7,7 @@
 /// Host of the one queue.
 pub(super) const HOST: &str = "quickstart.example";
 /// Its prefix.
-pub(super) const PREFIX: &str = "/jobs/";
+pub(super) const QUEUE_PATH: &str = "/jobs/";
 /// The workers' service.
 pub(super) const SERVICE: &str = "stand-in";
 /// Id of the first job.
@@ -174,7 +174,7 @@
     json!({
         "version": 1,
         "routes": [{
-            "name": "jobs", "host": HOST, "path_prefix": PREFIX, "route_type": "non_idempotent",
+            "name": "jobs", "host": HOST, "path_prefix": QUEUE_PATH, "route_type": "non_idempotent",
             "timeout_ms": 3_000, "target_latency_ms": 1_000, "priority": 1, "backend": SERVICE,
             "max_retries": 3, "stretch": 2.0
         }],
--- a/crates/ctl/src/quickstart/story.rs
+++ b/crates/ctl/src/quickstart/scenario.rs
@@ -2,7 +2,9 @@
 
 use super::children::Children;
 use super::http::{Answer, Call, call};
-use super::layout::{Class, FIRST_JOB, HOST, Layout, Machine, PREFIX, configuration, first_job};
+use super::layout::{
+    Class, FIRST_JOB, HOST, Layout, Machine, QUEUE_PATH, configuration, first_job,
+};
 use super::{InterruptedSnafu, JobEndSnafu, LateSnafu, OutputSnafu, QuickstartError};
 use serde_json::Value;
 use snafu::{ResultExt, ensure};
@@ -17,7 +19,7 @@
 /// Time between two tries.
 const RETRY: Duration = Duration::from_millis(50);
 
-struct Story<'a, W> {
+struct Scenario<'a, W> {
     children: &'a mut Children,
     interrupted: &'a AtomicBool,
     out: &'a mut W,
@@ -31,26 +33,26 @@
     out: &mut impl Write,
     once: bool,
 ) -> Result<(), QuickstartError> {
-    let mut story = Story {
+    let mut scenario = Scenario {
         children,
         interrupted,
         out,
     };
-    story.say("started", &layout.machines)?;
-    story.configure(&layout.controls())?;
+    scenario.say("started", &layout.machines)?;
+    scenario.configure(&layout.controls())?;
     let Some(frontend) = layout.frontend() else {
         return Ok(());
     };
-    story.await_readiness(layout)?;
-    story.run_job(frontend)?;
+    scenario.await_readiness(layout)?;
+    scenario.run_job(frontend)?;
     if once {
         return Ok(());
     }
-    story.explain(layout, frontend)?;
-    story.serve()
+    scenario.explain(layout, frontend)?;
+    scenario.serve()
 }
 
-impl<W: Write> Story<'_, W> {
+impl<W: Write> Scenario<'_, W> {
     fn line(&mut self, text: &str) -> Result<(), QuickstartError> {
         writeln!(self.out, "{text}")
             .and_then(|()| self.out.flush())
@@ -125,7 +127,7 @@
     }
 
     fn run_job(&mut self, frontend: SocketAddr) -> Result<(), QuickstartError> {
-        let path = format!("{PREFIX}{FIRST_JOB}");
+        let path = format!("{QUEUE_PATH}{FIRST_JOB}");
         let body = first_job().to_string();
         self.until("the taking of the job", || {
             let post = Call {
@@ -162,8 +164,8 @@
         self.line(&format!(
             "\nserving until Ctrl-C. Try, in another terminal:\n  \
              indigofold-ctl status --at {}\n  \
-             curl -H 'Host: {HOST}' http://{frontend}{PREFIX}{FIRST_JOB}\n  \
-             curl -H 'Host: {HOST}' -d '{}' http://{frontend}{PREFIX}00000000000000f2",
+             curl -H 'Host: {HOST}' http://{frontend}{QUEUE_PATH}{FIRST_JOB}\n  \
+             curl -H 'Host: {HOST}' -d '{}' http://{frontend}{QUEUE_PATH}00000000000000f2",
             layout.internals(),
             first_job(),
         ))
--- a/crates/ctl/src/quickstart/worker.rs
+++ b/crates/ctl/src/quickstart/stand_in.rs
@@ -15,13 +15,13 @@
 /// Run time of a task whose `spec` is no number.
 const DEFAULT_RUN_MS: u64 = 300;
 /// Interval of heartbeats, where no answer sets another.
-const BEAT_MS: u64 = 500;
+const HEARTBEAT_MS: u64 = 500;
 /// The next heartbeat after an end.
-const END_BEAT_MS: u64 = 50;
+const HEARTBEAT_AFTER_END_MS: u64 = 50;
 /// Longest hold that is granted.
-const MAX_HOLD_MS: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 /// Ends told in one heartbeat.
-const ENDS_TOLD: usize = 500;
+const ENDS_REPORTED_MAX: usize = 500;
 
 /// What a stand-in worker has.
 #[derive(Clone, Debug)]
@@ -58,9 +58,9 @@
     finished: Vec<Finished>,
     next_number: u64,
     seq_no: u64,
-    fence_token: u64,
-    held_until_ms: u64,
-    next_beat_ms: u64,
+    fencing_token: u64,
+    lease_until_ms: u64,
+    next_heartbeat_ms: u64,
 }
 
 impl StandIn {
@@ -73,9 +73,9 @@
             finished: Vec::new(),
             next_number: 1,
             seq_no: 0,
-            fence_token: 0,
-            held_until_ms: 0,
-            next_beat_ms: 0,
+            fencing_token: 0,
+            lease_until_ms: 0,
+            next_heartbeat_ms: 0,
         }
     }
 
@@ -85,9 +85,9 @@
         let lapse = if self.runs.is_empty() {
             u64::MAX
         } else {
-            self.held_until_ms
+            self.lease_until_ms
         };
-        ends.fold(self.next_beat_ms.min(lapse), u64::min)
+        ends.fold(self.next_heartbeat_ms.min(lapse), u64::min)
     }
 
     /// Ends what is done, or what is no longer held; gives the heartbeat if one is due.
@@ -100,28 +100,28 @@
         let over: Vec<Run> = over;
         over.into_iter()
             .for_each(|run| self.end(now_ms, run, RunEnd::Done));
-        if now_ms >= self.held_until_ms {
+        if now_ms >= self.lease_until_ms {
             let lapsed = std::mem::take(&mut self.runs);
             lapsed
                 .into_iter()
                 .for_each(|run| self.end(now_ms, run, RunEnd::Expired));
         }
-        (now_ms >= self.next_beat_ms).then(|| self.beat(now_ms))
+        (now_ms >= self.next_heartbeat_ms).then(|| self.beat(now_ms))
     }
 
     /// The answer to the heartbeat sent at `sent_ms`.
     pub fn answered(&mut self, sent_ms: u64, now_ms: u64, reply: HeartbeatReply) {
-        self.next_beat_ms = now_ms + reply.retry_delay_ms.unwrap_or(BEAT_MS);
+        self.next_heartbeat_ms = now_ms + reply.retry_delay_ms.unwrap_or(HEARTBEAT_MS);
         let token = reply.fencing_token.unwrap_or(0);
-        if token < self.fence_token {
+        if token < self.fencing_token {
             return;
         }
-        self.fence_token = token;
+        self.fencing_token = token;
         if let Some(seen) = reply.acknowledged_end {
             self.finished.retain(|end| end.0 > seen);
         }
-        let lease_ms = reply.lease_ms.map(|lease| lease.min(MAX_HOLD_MS));
-        self.held_until_ms = self.held_until_ms.max(sent_ms + lease_ms.unwrap_or(0));
+        let lease_ms = reply.lease_ms.map(|lease| lease.min(MAX_LEASE_MS));
+        self.lease_until_ms = self.lease_until_ms.max(sent_ms + lease_ms.unwrap_or(0));
         reply
             .stop
             .into_iter()
@@ -136,7 +136,7 @@
 
     fn beat(&mut self, now_ms: u64) -> Heartbeat {
         self.seq_no += 1;
-        self.next_beat_ms = now_ms + BEAT_MS;
+        self.next_heartbeat_ms = now_ms + HEARTBEAT_MS;
         let percent =
             |run: &Run| ((now_ms - run.began_ms) * 100 / run.takes_ms.max(1)).min(99) as u32;
         let running =
@@ -153,7 +153,12 @@
             now_ms,
             seq_no: self.seq_no,
             running: self.runs.iter().map(running).collect(),
-            finished: self.finished.iter().take(ENDS_TOLD).cloned().collect(),
+            finished: self
+                .finished
+                .iter()
+                .take(ENDS_REPORTED_MAX)
+                .cloned()
+                .collect(),
             ..Heartbeat::default()
         }
     }
@@ -198,7 +203,7 @@
             String::new(),
         ));
         self.next_number += 1;
-        self.next_beat_ms = self.next_beat_ms.min(now_ms + END_BEAT_MS);
+        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now_ms + HEARTBEAT_AFTER_END_MS);
     }
 }
 
--- a/crates/ctl/src/copies.rs
+++ b/crates/ctl/src/replicas.rs
@@ -1,10 +1,10 @@
 //! `compare-copies`: rows that differ between the disks of core members.
 
 mod compare;
-mod copy;
+mod replica;
 
 pub use compare::{Comparison, Difference, common_seq, compare};
-pub use copy::{Copy, CopyError};
+pub use replica::{Replica, ReplicaError};
 
 use crate::report::{Report, table};
 use serde::Serialize;
@@ -14,49 +14,55 @@
 const DIFFERENCES_SHOWN: usize = 20;
 
 #[derive(Serialize)]
-struct Figures<'a> {
-    copies: &'a [Copy],
+struct ReplicaComparison<'a> {
+    #[serde(rename = "copies")]
+    replicas: &'a [Replica],
     pairs: &'a [Comparison],
 }
 
 /// Opens the copies and compares each with the first.
-pub fn run(folders: &[PathBuf]) -> Result<Report, CopyError> {
-    let copies: Vec<Copy> = folders
+pub fn run(folders: &[PathBuf]) -> Result<Report, ReplicaError> {
+    let replicas: Vec<Replica> = folders
         .iter()
-        .map(|folder| Copy::open(folder))
+        .map(|folder| Replica::open(folder))
         .collect::<Result<_, _>>()?;
-    let (first, others) = match copies.split_first() {
+    let (first, others) = match replicas.split_first() {
         Some(split) => split,
         None => return Ok(Report::default()),
     };
     let pairs: Vec<Comparison> = others.iter().map(|other| compare(first, other)).collect();
     let findings = pairs.iter().flat_map(Comparison::findings).collect();
-    let mut text = copies_text(&copies);
+    let mut text = replicas_text(&replicas);
     pairs
         .iter()
         .for_each(|pair| text.push_str(&pair_text(pair)));
     Ok(Report::new(
         text,
-        &Figures {
-            copies: &copies,
+        &ReplicaComparison {
+            replicas: &replicas,
             pairs: &pairs,
         },
         findings,
     ))
 }
 
-fn copies_text(copies: &[Copy]) -> String {
+fn replicas_text(replicas: &[Replica]) -> String {
     let head = ["folder", "member", "view", "stored", "rows", "deleted"];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
-    rows.extend(copies.iter().map(|copy| {
-        let deleted = copy.rows.values().filter(|row| row.value.is_none()).count();
+    rows.extend(replicas.iter().map(|replica| {
+        let deleted = replica
+            .rows
+            .values()
+            .filter(|row| row.value.is_none())
+            .count();
         vec![
-            copy.folder.display().to_string(),
-            copy.member
+            replica.folder.display().to_string(),
+            replica
+                .member
                 .map_or("-".to_owned(), |member| member.to_string()),
-            copy.view.map_or("-".to_owned(), |view| view.to_string()),
-            format!("{}/{}", copy.stored_view, copy.stored_seq),
-            (copy.rows.len() - deleted).to_string(),
+            replica.view.map_or("-".to_owned(), |view| view.to_string()),
+            format!("{}/{}", replica.stored_view, replica.stored_seq),
+            (replica.rows.len() - deleted).to_string(),
             deleted.to_string(),
         ]
     }));
--- a/crates/ctl/src/copies/compare.rs
+++ b/crates/ctl/src/replicas/compare.rs
@@ -1,6 +1,6 @@
 //! Two copies against each other.
 
-use super::copy::Copy;
+use super::replica::Replica;
 use indigofold_replication::{Row, ViewStart};
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -57,13 +57,14 @@
 }
 
 /// Compares two copies.
-pub fn compare(left: &Copy, right: &Copy) -> Comparison {
+pub fn compare(left: &Replica, right: &Replica) -> Comparison {
     let common_seq = common_seq(
         (&left.history, left.stored_seq),
         (&right.history, right.stored_seq),
     );
     let trimmed = left.trimmed.max(right.trimmed);
-    let dropped_later = |row: Option<&Row>, copy: &Copy| row.is_none() && copy.trimmed > common_seq;
+    let dropped_later =
+        |row: Option<&Row>, replica: &Replica| row.is_none() && replica.trimmed > common_seq;
     let keys: BTreeSet<&Vec<u8>> = left.rows.keys().chain(right.rows.keys()).collect();
     let differences = keys.into_iter().filter_map(|key| {
         let (ours, theirs) = (left.rows.get(key), right.rows.get(key));
--- a/crates/ctl/src/copies/copy.rs
+++ b/crates/ctl/src/replicas/replica.rs
@@ -13,7 +13,7 @@
 
 /// A copy that cannot be opened.
 #[derive(Debug, Snafu)]
-pub enum CopyError {
+pub enum ReplicaError {
     /// The folder holds no database.
     #[snafu(display("{} holds no {DATABASE}: is it the data_dir of a core member?", folder.display()))]
     NoDatabase {
@@ -46,16 +46,19 @@
     },
 }
 
-impl CopyError {
+impl ReplicaError {
     /// Whether the folder is not what was meant.
     pub fn is_input(&self) -> bool {
-        matches!(self, CopyError::NoDatabase { .. } | CopyError::Files { .. })
+        matches!(
+            self,
+            ReplicaError::NoDatabase { .. } | ReplicaError::Files { .. }
+        )
     }
 }
 
 /// The content of one member's database.
 #[derive(Debug, Serialize)]
-pub struct Copy {
+pub struct Replica {
     /// Its folder.
     pub folder: PathBuf,
     /// The member's internal address; none in an empty database.
@@ -80,11 +83,11 @@
     serializer.serialize_u64(rows.len() as u64)
 }
 
-impl Copy {
+impl Replica {
     /// Reads the database of a folder. It is copied first: to open one changes it.
-    pub fn open(folder: &Path) -> Result<Copy, CopyError> {
+    pub fn open(folder: &Path) -> Result<Replica, ReplicaError> {
         let scratch = tempfile::tempdir().context(FilesSnafu { folder })?;
-        let copied = copy_database(folder, scratch.path()).context(FilesSnafu { folder })?;
+        let copied = clone_database_files(folder, scratch.path()).context(FilesSnafu { folder })?;
         ensure!(copied, NoDatabaseSnafu { folder });
         let opened = Storage::open(scratch.path()).context(StorageSnafu { folder })?;
         if let Some(aside) = opened.quarantined {
@@ -99,7 +102,7 @@
             .rows_since(0, usize::MAX)
             .context(StorageSnafu { folder })?;
         let durable = opened.durable;
-        Ok(Copy {
+        Ok(Replica {
             folder: folder.to_owned(),
             member: durable.as_ref().map(|durable| durable.member.internal),
             view: durable
@@ -120,7 +123,7 @@
 }
 
 /// Copies the database's files; false if there is none.
-fn copy_database(from: &Path, to: &Path) -> io::Result<bool> {
+fn clone_database_files(from: &Path, to: &Path) -> io::Result<bool> {
     for suffix in ["", "-wal", "-journal"] {
         let name = format!("{DATABASE}{suffix}");
         let source = from.join(&name);
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -10,17 +10,17 @@
     /// For people, with an end of line.
     pub text: String,
     /// For programs.
-    pub figures: Value,
+    pub data: Value,
     /// What is wrong, a sentence each.
     pub findings: Vec<String>,
 }
 
 impl Report {
     /// A report of figures; they are plain data, which can always be written as JSON.
-    pub fn new(text: String, figures: &impl Serialize, findings: Vec<String>) -> Self {
+    pub fn new(text: String, data: &impl Serialize, findings: Vec<String>) -> Self {
         Report {
             text,
-            figures: serde_json::to_value(figures).unwrap_or(Value::Null),
+            data: serde_json::to_value(data).unwrap_or(Value::Null),
             findings,
         }
     }
@@ -37,7 +37,7 @@
     /// As it is printed with `--json`: one line.
     pub fn json(&self) -> String {
         let ok = self.findings.is_empty();
-        json!({ "ok": ok, "findings": self.findings, "report": self.figures }).to_string()
+        json!({ "ok": ok, "findings": self.findings, "report": self.data }).to_string()
     }
 
     /// As it is printed without.
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,6 +1,6 @@
 //! `status`: how the members and the work stand.
 
-use crate::ask::{self, AskError, Asked};
+use crate::query::{self, MemberResponse, QueryError};
 use crate::report::{Report, table};
 use indigofold_protocol::inspection::{
     InspectionAnswer, MemberStatus, Question, TaskCounts, WorkStatus,
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// Members named by others are asked too, so many at most.
-const MEMBERS_ASKED_MAX: usize = 32;
+const DISCOVERED_MEMBERS_MAX: usize = 32;
 
 /// The answers of all members.
 #[derive(Debug, Serialize)]
@@ -18,12 +18,13 @@
     /// Those that answered.
     pub members: Vec<MemberStatus>,
     /// Those that did not, and why.
-    pub silent: Vec<SilentMember>,
+    #[serde(rename = "silent")]
+    pub unresponsive: Vec<UnresponsiveMember>,
 }
 
 /// A member that did not answer.
 #[derive(Debug, Serialize)]
-pub struct SilentMember {
+pub struct UnresponsiveMember {
     /// Its internal address.
     pub internal: SocketAddr,
     /// Why.
@@ -31,48 +32,50 @@
 }
 
 /// Asks the members at these addresses, and those that they know.
-pub fn run(addresses: Vec<SocketAddr>) -> Result<Report, AskError> {
-    ask::run(gather(addresses)).map(|status| report(&status))
+pub fn run(addresses: Vec<SocketAddr>) -> Result<Report, QueryError> {
+    query::run(gather(addresses)).map(|status| report(&status))
 }
 
 /// Asks the members at these addresses, then those that they know of.
-pub async fn gather(addresses: Vec<SocketAddr>) -> Result<ClusterStatus, AskError> {
+pub async fn gather(addresses: Vec<SocketAddr>) -> Result<ClusterStatus, QueryError> {
     let mut status = ClusterStatus {
         members: Vec::new(),
-        silent: Vec::new(),
+        unresponsive: Vec::new(),
     };
-    let first = ask::ask_all(&addresses, Question::Status).await;
+    let first = query::query_all(&addresses, Question::Status).await;
     if first.iter().all(|(_, answer)| answer.is_err()) {
-        return Err(ask::nobody(&first));
+        return Err(query::nobody(&first));
     }
-    let mut asked: BTreeSet<SocketAddr> = addresses.into_iter().collect();
+    let mut queried: BTreeSet<SocketAddr> = addresses.into_iter().collect();
     status.take(first);
     let known = status
         .members
         .iter()
         .flat_map(|member| &member.peers)
         .map(|peer| peer.internal);
-    let more: BTreeSet<SocketAddr> = known.filter(|address| !asked.contains(address)).collect();
-    let more: Vec<SocketAddr> = more.into_iter().take(MEMBERS_ASKED_MAX).collect();
-    asked.extend(&more);
-    status.take(ask::ask_all(&more, Question::Status).await);
+    let more: BTreeSet<SocketAddr> = known.filter(|address| !queried.contains(address)).collect();
+    let more: Vec<SocketAddr> = more.into_iter().take(DISCOVERED_MEMBERS_MAX).collect();
+    queried.extend(&more);
+    status.take(query::query_all(&more, Question::Status).await);
     status.members.sort_by_key(|member| member.address.internal);
     Ok(status)
 }
 
 impl ClusterStatus {
-    fn take(&mut self, answers: Vec<Asked>) {
+    fn take(&mut self, answers: Vec<MemberResponse>) {
         for (internal, answer) in answers {
             match answer {
                 Ok(InspectionAnswer::Status(status)) => self.members.push(*status),
                 Ok(InspectionAnswer::Unavailable { reason }) => {
-                    self.silent.push(SilentMember { internal, reason });
+                    self.unresponsive
+                        .push(UnresponsiveMember { internal, reason });
                 }
                 Ok(_) => {
                     let reason = "the answer is to another question".to_owned();
-                    self.silent.push(SilentMember { internal, reason });
+                    self.unresponsive
+                        .push(UnresponsiveMember { internal, reason });
                 }
-                Err(error) => self.silent.push(SilentMember {
+                Err(error) => self.unresponsive.push(UnresponsiveMember {
                     internal,
                     reason: error.to_string(),
                 }),
@@ -182,7 +185,7 @@
             state.to_owned(),
         ]
     }));
-    rows.extend(status.silent.iter().map(|member| {
+    rows.extend(status.unresponsive.iter().map(|member| {
         let name = status.name(member.internal);
         let mut row = vec![name, member.internal.to_string()];
         row.extend(["-", "-", "-", "-", "no answer"].map(str::to_owned));
@@ -235,9 +238,9 @@
             running,
             done,
         } = queue.tasks;
-        let figures = [queue.queued, queue.running, waiting, blocked, running, done];
+        let counts = [queue.queued, queue.running, waiting, blocked, running, done];
         let mut row = vec![queue.queue.clone()];
-        row.extend(figures.map(|figure| figure.to_string()));
+        row.extend(counts.map(|count| count.to_string()));
         row
     }));
     format!("\n{}", table(&rows))
@@ -250,13 +253,13 @@
     if status.head().is_none() {
         findings.push("no member acts as head: no job and no order is taken".to_owned());
     }
-    for silent in &status.silent {
-        let votes = view.is_some_and(|view| view.voters.contains(&silent.internal));
+    for member in &status.unresponsive {
+        let votes = view.is_some_and(|view| view.voters.contains(&member.internal));
         if votes || view.is_none() {
             findings.push(format!(
                 "{} does not answer: {}",
-                status.name(silent.internal),
-                silent.reason
+                status.name(member.internal),
+                member.reason
             ));
         }
     }
--- a/crates/ctl/tests/checks.rs
+++ b/crates/ctl/tests/checks.rs
@@ -21,7 +21,7 @@
     let folder = TempDir::new().expect("a folder");
     let report = check_config::run(&file(&folder, "c", CONFIG), None).expect("a report");
     assert_eq!(
-        (report.exit_code(), &report.figures["version"]),
+        (report.exit_code(), &report.data["version"]),
         (EXIT_OK, &7.into())
     );
 }
@@ -47,7 +47,7 @@
 #[case::newer(r#"{"version":9,"remove":{"routes":["r"]}}"#, &[])]
 #[case::older(r#"{"version":7,"remove":{"routes":["r"]}}"#, &["above the current 7"])]
 #[case::unknown(r#"{"version":9,"remove":{"services":["s"]}}"#, &["unknown service `s`"])]
-#[case::whole(CONFIG, &["above the current 7"])]
+#[case::complete(CONFIG, &["above the current 7"])]
 fn a_change_is_held_against_the_current_configuration(#[case] text: &str, #[case] parts: &[&str]) {
     let folder = TempDir::new().expect("a folder");
     let current = file(&folder, "now", CONFIG);
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -40,7 +40,7 @@
     let folders = ["a", "b", "c"].map(PathBuf::from).to_vec();
     assert_eq!(
         verb("compare-copies a b c"),
-        Verb::CompareCopies { folders }
+        Verb::CompareReplicas { folders }
     );
     let Verb::Quickstart(options) = verb("quickstart --members 3 --once --programs bin") else {
         panic!()
@@ -54,8 +54,8 @@
 
 #[test]
 fn json_may_be_asked_for_anywhere() {
-    let asked = |line| matches!(parse(arguments(line)), Ok(Command::Run { json: true, .. }));
-    assert!(asked("--json check-deploy a") && asked("check-deploy a --json"));
+    let prints_json = |line| matches!(parse(arguments(line)), Ok(Command::Run { json: true, .. }));
+    assert!(prints_json("--json check-deploy a") && prints_json("check-deploy a --json"));
 }
 
 #[rstest]
--- a/crates/ctl/tests/copies.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -1,7 +1,7 @@
 //! Comparison of members' disks.
 
-use indigofold_ctl::copies::{Copy, common_seq, compare, run};
 use indigofold_ctl::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
+use indigofold_ctl::replicas::{Replica, common_seq, compare, run};
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
     Batch, Durable, Member, RowChange, Storage, StoreOperation, StoreRequest, ViewStart, Viewstamp,
@@ -53,7 +53,7 @@
 
 fn codes(left: &TempDir, right: &TempDir) -> (u8, usize) {
     let report = run(&[left.path().to_owned(), right.path().to_owned()]).expect("a report");
-    let pairs = report.figures["pairs"].as_array().expect("pairs");
+    let pairs = report.data["pairs"].as_array().expect("pairs");
     (
         report.exit_code(),
         pairs[0]["differences"]
@@ -100,7 +100,7 @@
 fn a_row_that_is_missing_among_common_writes_is_wrong() {
     let other = [(1, "a", Some("1")), (3, "a", None)];
     let (left, right) = (disk(&WRITES), disk(&other));
-    let [left, right] = [&left, &right].map(|folder| Copy::open(folder.path()).expect("a copy"));
+    let [left, right] = [&left, &right].map(|folder| Replica::open(folder.path()).expect("a copy"));
     let pair = compare(&left, &right);
     assert_eq!((pair.common_seq, pair.differences.len()), (3, 1));
     assert_eq!(
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -1,6 +1,6 @@
 //! What `status` finds wrong, and how it tells.
 
-use indigofold_ctl::status::{ClusterStatus, SilentMember, report};
+use indigofold_ctl::status::{ClusterStatus, UnresponsiveMember, report};
 use indigofold_protocol::inspection::{
     MemberStatus, PeerStatus, QueueStatus, StoredState, TaskCounts, ViewStatus, WorkStatus,
 };
@@ -72,7 +72,7 @@
 fn cluster() -> ClusterStatus {
     ClusterStatus {
         members: (1..=3).map(member).collect(),
-        silent: Vec::new(),
+        unresponsive: Vec::new(),
     }
 }
 
@@ -94,7 +94,7 @@
         );
     }
     assert_eq!(
-        report.figures["members"][0]["work"]["queues"][0]["tasks"]["blocked"],
+        report.data["members"][0]["work"]["queues"][0]["tasks"]["blocked"],
         6
     );
 }
@@ -105,7 +105,7 @@
 
 fn silent_voter(status: &mut ClusterStatus) {
     status.members.remove(2);
-    status.silent.push(SilentMember {
+    status.unresponsive.push(UnresponsiveMember {
         internal: internal(3),
         reason: "cut".to_owned(),
     });
@@ -160,7 +160,7 @@
 #[test]
 fn a_seed_that_is_no_voter_may_be_silent() {
     let mut status = cluster();
-    status.silent.push(SilentMember {
+    status.unresponsive.push(UnresponsiveMember {
         internal: internal(9),
         reason: "gone".to_owned(),
     });
