--- a/crates/ctl/src/quickstart/children.rs
+++ b/crates/ctl/src/quickstart/children.rs
@@ -1,9 +1,11 @@
-//! The daemons as child processes. They are ended by their ids, and never outlive this value.
+//! The daemons as child processes. They are ended by their process ids, and never outlive [`Children`].
 
-use super::layout::{Class, Layout, Machine};
-use super::{FilesSnafu, NoProgramSnafu, QuickstartError, StartSnafu};
+use super::error::{FilesSnafu, QuickstartError, StartSnafu};
+use super::layout::{Layout, Machine, MachineClass};
+use super::programs::Programs;
+use super::settings_file;
 use rustix::process::{Pid, Signal, kill_process};
-use snafu::{ResultExt, ensure};
+use snafu::ResultExt;
 use std::fs::{self, File};
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -11,47 +13,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Variable that names the settings file.
-const SETTINGS_VARIABLE: &str = indigofold_settings::CONFIG_VARIABLE;
-/// Between SIGTERM and SIGKILL.
-const GRACE: Duration = Duration::from_secs(4);
-/// Time between two looks whether a child has ended.
+/// Time between SIGTERM and SIGKILL.
+const TERMINATION_GRACE: Duration = Duration::from_secs(4);
+/// Time between two checks whether a child has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Lines of a log that are shown if its process ends by itself.
-const LOG_TAIL_ROWS: usize = 8;
-
-/// The daemons' programs.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Programs {
-    /// The control plane.
-    pub control: PathBuf,
-    /// The data plane.
-    pub data: PathBuf,
-}
-
-impl Programs {
-    /// Those of a folder.
-    pub fn in_folder(folder: &Path) -> Programs {
-        Programs {
-            control: folder.join("indigofold-control"),
-            data: folder.join("indigofold-data"),
-        }
-    }
-
-    /// Those beside this program.
-    pub fn beside_this() -> Programs {
-        let this = std::env::current_exe().unwrap_or_default();
-        Programs::in_folder(this.parent().unwrap_or(Path::new(".")))
-    }
-
-    /// Whether they are there.
-    pub(super) fn check(&self) -> Result<(), QuickstartError> {
-        for path in [&self.control, &self.data] {
-            ensure!(path.is_file(), NoProgramSnafu { path });
-        }
-        Ok(())
-    }
-}
+/// How much of its log is shown if a process ends by itself, in lines.
+const LOG_TAIL_LENGTH: usize = 8;
 
 /// A running daemon.
 struct Daemon {
@@ -60,6 +27,35 @@
     log: PathBuf,
 }
 
+impl Daemon {
+    /// Writes its settings file and starts it; both that file and its log are in `folder`.
+    fn start(
+        program: &Path,
+        machine: &Machine,
+        settings: &str,
+        folder: &Path,
+    ) -> Result<Daemon, QuickstartError> {
+        let path = folder.join(format!("{}.toml", machine.name));
+        fs::write(&path, settings).context(FilesSnafu { path: &path })?;
+        let log = folder.join(format!("{}.log", machine.name));
+        let output = File::create(&log).context(FilesSnafu { path: &log })?;
+        let mut command = Command::new(program);
+        command
+            .env(indigofold_settings::CONFIG_VARIABLE, &path)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(output);
+        // Ctrl-C on the terminal is for this program alone: it ends the daemons in good order.
+        command.process_group(0);
+        let child = command.spawn().context(StartSnafu { path: program })?;
+        Ok(Daemon {
+            name: machine.name.clone(),
+            child,
+            log,
+        })
+    }
+}
+
 /// The running daemons.
 pub(super) struct Children {
     daemons: Vec<Daemon>,
@@ -77,13 +73,12 @@
         };
         for machine in &layout.machines {
             let program = match machine.class {
-                Class::Core => &programs.control,
-                Class::Edge | Class::Side => &programs.data,
+                MachineClass::Core => &programs.control,
+                MachineClass::Edge | MachineClass::Side => &programs.data,
             };
-            let settings = layout.settings(machine, folder);
-            children
-                .daemons
-                .push(start(program, machine, &settings, folder)?);
+            let settings = settings_file::text(layout, machine, folder);
+            let daemon = Daemon::start(program, machine, &settings, folder)?;
+            children.daemons.push(daemon);
         }
         Ok(children)
     }
@@ -92,10 +87,9 @@
     pub fn check(&mut self) -> Result<(), QuickstartError> {
         for daemon in &mut self.daemons {
             if let Ok(Some(status)) = daemon.child.try_wait() {
-                let (name, status) = (daemon.name.clone(), status.to_string());
                 return Err(QuickstartError::Ended {
-                    name,
-                    status,
+                    name: daemon.name.clone(),
+                    status: status.to_string(),
                     log: log_tail(&daemon.log),
                 });
             }
@@ -109,7 +103,7 @@
             // Fails only for one that has ended.
             let _ = kill_process(Pid::from_child(&daemon.child), Signal::TERM);
         }
-        let deadline = Instant::now() + GRACE;
+        let deadline = Instant::now() + TERMINATION_GRACE;
         for mut daemon in self.daemons.drain(..) {
             while matches!(daemon.child.try_wait(), Ok(None)) && Instant::now() < deadline {
                 thread::sleep(POLL_INTERVAL);
@@ -127,34 +121,8 @@
     }
 }
 
-fn start(
-    program: &Path,
-    machine: &Machine,
-    settings: &str,
-    folder: &Path,
-) -> Result<Daemon, QuickstartError> {
-    let path = folder.join(format!("{}.toml", machine.name));
-    fs::write(&path, settings).context(FilesSnafu { path: &path })?;
-    let log = folder.join(format!("{}.log", machine.name));
-    let output = File::create(&log).context(FilesSnafu { path: &log })?;
-    let mut command = Command::new(program);
-    command
-        .env(SETTINGS_VARIABLE, &path)
-        .stdin(Stdio::null())
-        .stdout(Stdio::null())
-        .stderr(output);
-    // Ctrl-C on the terminal is for this program alone: it ends the daemons in good order.
-    command.process_group(0);
-    let child = command.spawn().context(StartSnafu { path: program })?;
-    Ok(Daemon {
-        name: machine.name.clone(),
-        child,
-        log,
-    })
-}
-
 fn log_tail(log: &Path) -> String {
     let text = fs::read_to_string(log).unwrap_or_default();
-    let lines: Vec<&str> = text.lines().collect();
-    lines[lines.len().saturating_sub(LOG_TAIL_ROWS)..].join("\n")
+    let entries: Vec<&str> = text.lines().collect();
+    entries[entries.len().saturating_sub(LOG_TAIL_LENGTH)..].join("\n")
 }
--- a/crates/ctl/src/quickstart/scenario.rs
+++ b/crates/ctl/src/quickstart/scenario.rs
@@ -1,13 +1,15 @@
 //! What the small cluster goes through: first configuration, first job, then serving.
 
 use super::children::Children;
-use super::http::{Answer, Call, call};
-use super::layout::{
-    Class, FIRST_JOB, HOST, Layout, Machine, QUEUE_PATH, configuration, first_job,
+use super::error::{
+    AttemptError, HttpSnafu, InterruptedSnafu, JobEndSnafu, LateSnafu, NoMembersSnafu, OutputSnafu,
+    QuickstartError, SameStateSnafu, StatusSnafu,
 };
-use super::{InterruptedSnafu, JobEndSnafu, LateSnafu, OutputSnafu, QuickstartError};
+use super::http::{Request, Response};
+use super::layout::{Layout, Machine, MachineClass};
+use super::workload::{FIRST_JOB, HOST, QUEUE_PATH, configuration, first_job};
 use serde_json::Value;
-use snafu::{ResultExt, ensure};
+use snafu::{OptionExt, ResultExt, ensure};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,9 +17,9 @@
 use std::time::{Duration, Instant};
 
 /// Time that each step has.
-const STEP_LIMIT: Duration = Duration::from_secs(30);
-/// Time between two tries.
-const RETRY: Duration = Duration::from_millis(50);
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two attempts, and between two checks of the daemons.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 struct Scenario<'a, W> {
     children: &'a mut Children,
@@ -25,8 +27,8 @@
     out: &'a mut W,
 }
 
-/// Goes through it all; with `once` it ends after the job, else at Ctrl-C.
-pub(super) fn tell(
+/// Runs all steps; with `once` it ends after the job, else at Ctrl-C.
+pub(super) fn run(
     layout: &Layout,
     children: &mut Children,
     interrupted: &AtomicBool,
@@ -38,8 +40,8 @@
         interrupted,
         out,
     };
-    scenario.say("started", &layout.machines)?;
-    scenario.configure(&layout.controls())?;
+    scenario.print_started(&layout.machines)?;
+    scenario.configure(&layout.control_addresses())?;
     let Some(frontend) = layout.frontend() else {
         return Ok(());
     };
@@ -48,107 +50,104 @@
     if once {
         return Ok(());
     }
-    scenario.explain(layout, frontend)?;
+    scenario.print_usage(layout, frontend)?;
     scenario.serve()
 }
 
 impl<W: Write> Scenario<'_, W> {
-    fn line(&mut self, text: &str) -> Result<(), QuickstartError> {
+    fn print(&mut self, text: &str) -> Result<(), QuickstartError> {
         writeln!(self.out, "{text}")
             .and_then(|()| self.out.flush())
             .context(OutputSnafu)
     }
 
-    fn say(&mut self, what: &str, machines: &[Machine]) -> Result<(), QuickstartError> {
+    fn print_started(&mut self, machines: &[Machine]) -> Result<(), QuickstartError> {
         for machine in machines {
-            self.line(&format!("{what} {} at {}", machine.name, machine.ip))?;
+            self.print(&format!("started {} at {}", machine.name, machine.ip))?;
         }
         Ok(())
     }
 
-    /// Tries again and again until something has happened. `attempt` gives the last answer while it has not.
-    fn until<T>(
+    /// Repeats an attempt until it succeeds, for [`STEP_TIMEOUT`] at most.
+    fn retry<T>(
         &mut self,
-        what: &'static str,
-        mut attempt: impl FnMut() -> Result<T, String>,
+        step: &'static str,
+        mut attempt: impl FnMut() -> Result<T, AttemptError>,
     ) -> Result<T, QuickstartError> {
-        let deadline = Instant::now() + STEP_LIMIT;
+        let deadline = Instant::now() + STEP_TIMEOUT;
         loop {
             ensure!(!self.interrupted.load(Ordering::Relaxed), InterruptedSnafu);
             self.children.check()?;
-            match attempt() {
-                Ok(happened) => return Ok(happened),
-                Err(last) => {
-                    let seconds = STEP_LIMIT.as_secs();
-                    ensure!(
-                        Instant::now() < deadline,
-                        LateSnafu {
-                            what,
-                            seconds,
-                            last
-                        }
-                    );
-                }
+            let result = attempt();
+            if result.is_ok() || Instant::now() >= deadline {
+                return result.context(LateSnafu {
+                    step,
+                    seconds: STEP_TIMEOUT.as_secs(),
+                });
             }
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_INTERVAL);
         }
     }
 
-    /// Hands the first configuration to one member after the other, until one takes it.
+    /// Sends the first configuration to one member after the other, until one takes it.
     fn configure(&mut self, controls: &[SocketAddr]) -> Result<(), QuickstartError> {
         let body = configuration().to_string();
+        let put = Request {
+            method: "PUT",
+            host: "operator",
+            path: "/config",
+            headers: "If-Match: 0\r\n",
+            body: &body,
+        };
         let mut members = controls.iter().cycle();
-        self.until("the first configuration", || {
-            let Some(member) = members.next() else {
-                return Err("there are no members".to_owned());
-            };
-            let headers = "If-Match: 0\r\n";
-            expect_200(call(
-                *member,
-                &Call {
-                    method: "PUT",
-                    host: "operator",
-                    path: "/config",
-                    headers,
-                    body: &body,
-                },
-            ))
+        self.retry("the first configuration", || {
+            let member = members.next().context(NoMembersSnafu)?;
+            send(&put, *member)
         })?;
-        self.line("configuration 1 is taken")
+        self.print("configuration 1 is taken")
     }
 
     fn await_readiness(&mut self, layout: &Layout) -> Result<(), QuickstartError> {
-        let edges: Vec<SocketAddr> = layout.of(Class::Edge).map(Machine::readiness).collect();
-        for edge in edges {
-            let look = || expect_200(call(edge, &get("platform", "/readiness")));
-            self.until("the readiness of the edge", look)?;
+        let get = Request::get("platform", "/readiness");
+        for edge in layout.machines_of(MachineClass::Edge) {
+            let readiness = edge.readiness();
+            self.retry("the readiness of the edge", || send(&get, readiness))?;
         }
-        self.line("the edge is ready")
+        self.print("the edge is ready")
     }
 
     fn run_job(&mut self, frontend: SocketAddr) -> Result<(), QuickstartError> {
         let path = format!("{QUEUE_PATH}{FIRST_JOB}");
         let body = first_job().to_string();
-        self.until("the taking of the job", || {
-            let post = Call {
-                method: "POST",
-                host: HOST,
-                path: &path,
-                headers: "",
-                body: &body,
-            };
-            expect_200(call(frontend, &post))
-        })?;
-        self.line(&format!("job {FIRST_JOB} is taken: 4 tasks, then 1"))?;
+        let post = Request {
+            method: "POST",
+            host: HOST,
+            path: &path,
+            headers: "",
+            body: &body,
+        };
+        self.retry("the taking of the job", || send(&post, frontend))?;
+        self.print(&format!("job {FIRST_JOB} is taken: 4 tasks, then 1"))?;
+        self.follow_job(frontend, &Request::get(HOST, &path))
+    }
+
+    /// Prints each change of the job's state, until it is completed.
+    fn follow_job(
+        &mut self,
+        frontend: SocketAddr,
+        get: &Request<'_>,
+    ) -> Result<(), QuickstartError> {
         let mut last = String::new();
         loop {
-            let state = self.until("a change of the job's state", || {
-                let answer = expect_200(call(frontend, &get(HOST, &path)))?;
-                state_of(&answer)
+            let state = self.retry("a change of the job's state", || {
+                let response = send(get, frontend)?;
+                job_state(&response)
                     .filter(|state| *state != last)
-                    .ok_or(answer.body)
+                    .context(SameStateSnafu {
+                        body: response.body,
+                    })
             })?;
-            self.line(&format!("job {FIRST_JOB} is {state}"))?;
+            self.print(&format!("job {FIRST_JOB} is {state}"))?;
             if state == "completed" {
                 return Ok(());
             }
@@ -160,13 +159,17 @@
         }
     }
 
-    fn explain(&mut self, layout: &Layout, frontend: SocketAddr) -> Result<(), QuickstartError> {
-        self.line(&format!(
+    fn print_usage(
+        &mut self,
+        layout: &Layout,
+        frontend: SocketAddr,
+    ) -> Result<(), QuickstartError> {
+        self.print(&format!(
             "\nserving until Ctrl-C. Try, in another terminal:\n  \
              indigofold-ctl status --at {}\n  \
              curl -H 'Host: {HOST}' http://{frontend}{QUEUE_PATH}{FIRST_JOB}\n  \
              curl -H 'Host: {HOST}' -d '{}' http://{frontend}{QUEUE_PATH}00000000000000f2",
-            layout.internals(),
+            layout.internal_addresses(),
             first_job(),
         ))
     }
@@ -174,31 +177,27 @@
     fn serve(&mut self) -> Result<(), QuickstartError> {
         while !self.interrupted.load(Ordering::Relaxed) {
             self.children.check()?;
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_INTERVAL);
         }
         Ok(())
     }
 }
 
-fn get<'a>(host: &'a str, path: &'a str) -> Call<'a> {
-    Call {
-        method: "GET",
-        host,
-        path,
-        headers: "",
-        body: "",
-    }
-}
-
-fn expect_200(answered: std::io::Result<Answer>) -> Result<Answer, String> {
-    match answered {
-        Ok(answer) if answer.status == 200 => Ok(answer),
-        Ok(answer) => Err(format!("{} {}", answer.status, answer.body)),
-        Err(error) => Err(error.to_string()),
-    }
+/// Sends a request; only status 200 is a success.
+fn send(request: &Request<'_>, address: SocketAddr) -> Result<Response, AttemptError> {
+    let response = request.send(address).context(HttpSnafu)?;
+    let Response { status, body } = &response;
+    ensure!(
+        *status == 200,
+        StatusSnafu {
+            status: *status,
+            body
+        }
+    );
+    Ok(response)
 }
 
-fn state_of(answer: &Answer) -> Option<String> {
-    let body: Value = serde_json::from_str(&answer.body).ok()?;
+fn job_state(response: &Response) -> Option<String> {
+    let body: Value = serde_json::from_str(&response.body).ok()?;
     body.get("state")?.as_str().map(str::to_owned)
 }
--- a/crates/ctl/tests/daemons.rs
+++ b/crates/ctl/tests/daemons.rs
@@ -37,10 +37,10 @@
     folder
 }
 
-/// A quick start that goes on serving.
+/// A running `quickstart` that serves until it is interrupted.
 struct Serving {
     child: Child,
-    lines: Vec<String>,
+    printed: Vec<String>,
     /// Kept open, as a terminal would be.
     output: BufReader<ChildStdout>,
 }
@@ -53,30 +53,31 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("the tool starts");
-        let mut lines = Vec::new();
+        let mut printed: Vec<String> = Vec::new();
         let mut output = BufReader::new(child.stdout.take().expect("its output"));
-        for line in output.by_ref().lines() {
-            lines.push(line.expect("a line"));
-            if lines
+        for text in output.by_ref().lines() {
+            printed.push(text.expect("a line"));
+            if printed
                 .last()
-                .is_some_and(|line| line.contains("status --at"))
+                .is_some_and(|text| text.contains("status --at"))
             {
                 break;
             }
         }
         Serving {
             child,
-            lines,
+            printed,
             output,
         }
     }
 
     fn member(&self) -> String {
-        let at = self
-            .lines
+        let command = self
+            .printed
             .iter()
-            .find_map(|line| line.split_once("status --at "));
-        at.unwrap_or_else(|| panic!("it does not serve: {:?}", self.lines))
+            .find_map(|text| text.split_once("status --at "));
+        command
+            .unwrap_or_else(|| panic!("it does not serve: {:?}", self.printed))
             .1
             .to_owned()
     }
@@ -108,7 +109,7 @@
 #[rstest]
 #[case::one_member(1)]
 #[case::three_members(3)]
-fn the_quick_start_shows_a_job_through_to_its_end(#[case] members: usize) {
+fn quickstart_runs_a_job_to_its_end(#[case] members: usize) {
     // The addresses follow from the number of the process, so each case runs one of its own.
     let folder = program_folder();
     let programs = folder.path().display().to_string();
@@ -120,37 +121,44 @@
         "--programs",
         &programs,
     ]);
-    let told = text(&output);
+    let printed = text(&output);
     assert_eq!(
         output.status.code(),
         Some(0),
-        "{told}{}",
+        "{printed}{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    assert!(told.contains(&format!("job {JOB} is completed")), "{told}");
+    assert!(
+        printed.contains(&format!("job {JOB} is completed")),
+        "{printed}"
+    );
     assert_eq!(
-        told.lines()
-            .filter(|line| line.starts_with("started core-"))
+        printed
+            .lines()
+            .filter(|text| text.starts_with("started core-"))
             .count(),
         members
     );
 }
 
 #[test]
-fn a_serving_cluster_can_be_looked_at_and_ends_at_an_interrupt() {
+fn a_serving_cluster_can_be_inspected_and_ends_on_an_interrupt() {
     let folder = program_folder();
     let mut serving = Serving::start(folder.path());
     let member = serving.member();
     let status = tool(&["status", "--at", &member]);
-    let told = text(&status);
-    assert_eq!(status.status.code(), Some(0), "{told}");
-    for part in [
+    let printed = text(&status);
+    assert_eq!(status.status.code(), Some(0), "{printed}");
+    for expected in [
         "head:    core-1",
         "configuration: version 1",
         "2 companions, 1 edges",
         "1 completed",
     ] {
-        assert!(told.contains(part), "`{part}` is missing: {told}");
+        assert!(
+            printed.contains(expected),
+            "`{expected}` is missing: {printed}"
+        );
     }
     let json: serde_json::Value =
         serde_json::from_slice(&tool(&["--json", "status", "--at", &member]).stdout).expect("JSON");
@@ -171,7 +179,7 @@
 }
 
 #[test]
-fn programs_that_are_missing_are_named() {
+fn an_error_names_the_missing_program() {
     let programs = Programs::in_folder(&PathBuf::from("/nowhere"));
     let options = Options {
         members: 1,
@@ -194,6 +202,6 @@
 #[case(&["check-deploy", "/nowhere"], 2)]
 #[case(&["--version"], 0)]
 #[case(&["status", "--help"], 0)]
-fn exit_codes_tell_what_happened(#[case] arguments: &[&str], #[case] code: i32) {
+fn exit_codes_follow_from_the_result(#[case] arguments: &[&str], #[case] code: i32) {
     assert_eq!(tool(arguments).status.code(), Some(code));
 }
--- a/crates/ctl/tests/stand_in.rs
+++ b/crates/ctl/tests/stand_in.rs
@@ -1,12 +1,12 @@
-//! The stand-in worker of the quick start.
+//! The stand-in worker of `quickstart`.
 
-use indigofold_ctl::quickstart::{StandIn, WorkerLimits};
+use indigofold_ctl::quickstart::{StandInWorker, WorkerLimits};
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd, Start, Stop};
 
 const TASK: &str = "00000000000000f1.0.0.0";
 
-fn worker() -> StandIn {
-    let mut worker = StandIn::new("127.0.0.1:1".to_owned(), WorkerLimits::default());
+fn worker() -> StandInWorker {
+    let mut worker = StandInWorker::new("127.0.0.1:1".to_owned(), WorkerLimits::default());
     worker
         .advance(0)
         .expect("the first heartbeat is due at once");
@@ -25,52 +25,43 @@
     vec![Start(TASK.to_owned(), 1, "300".to_owned(), String::new())]
 }
 
+fn start_orders(lease_ms: u64) -> HeartbeatReply {
+    HeartbeatReply {
+        start: start(),
+        ..orders(lease_ms)
+    }
+}
+
 #[test]
-fn a_task_runs_for_its_time_and_is_told_until_acknowledged() {
+fn a_task_runs_for_its_time_and_its_end_is_reported_until_acknowledged() {
     let mut worker = worker();
-    worker.answered(
-        0,
-        10,
-        HeartbeatReply {
-            start: start(),
-            retry_delay_ms: Some(20),
-            ..orders(4_000)
-        },
-    );
-    let beat = worker.advance(30).expect("a heartbeat");
-    assert_eq!(
-        (
-            beat.running[0].0.as_str(),
-            beat.running[0].1,
-            beat.finished.len()
-        ),
-        (TASK, 1, 0)
-    );
-    worker.answered(
-        30,
-        31,
-        HeartbeatReply {
-            retry_delay_ms: Some(1_000),
-            ..orders(4_000)
-        },
-    );
+    let reply = HeartbeatReply {
+        retry_delay_ms: Some(20),
+        ..start_orders(4_000)
+    };
+    worker.handle_reply(0, 10, reply);
+    let heartbeat = worker.advance(30).expect("a heartbeat");
+    let run = &heartbeat.running[0];
+    assert_eq!((run.0.as_str(), run.1), (TASK, 1));
+    assert!(heartbeat.finished.is_empty());
+    let reply = HeartbeatReply {
+        retry_delay_ms: Some(1_000),
+        ..orders(4_000)
+    };
+    worker.handle_reply(30, 31, reply);
     assert_eq!(worker.next_due_ms(), 310);
     assert!(worker.advance(310).is_none());
-    let beat = worker
+    let heartbeat = worker
         .advance(worker.next_due_ms())
         .expect("a heartbeat soon after the end");
-    assert_eq!(
-        (beat.running.len(), beat.finished[0].0, beat.finished[0].3),
-        (0, 1, RunEnd::Done)
-    );
-    worker.answered(
-        360,
-        361,
-        HeartbeatReply {
-            acknowledged_end: Some(1),
-            ..orders(4_000)
-        },
-    );
+    assert!(heartbeat.running.is_empty());
+    let end = &heartbeat.finished[0];
+    assert_eq!((end.0, end.3), (1, RunEnd::Done));
+    let reply = HeartbeatReply {
+        acknowledged_end: Some(1),
+        ..orders(4_000)
+    };
+    worker.handle_reply(360, 361, reply);
     assert!(
         worker
             .advance(worker.next_due_ms())
@@ -81,40 +72,23 @@
 }
 
 #[test]
-fn what_is_not_held_lapses() {
+fn runs_expire_with_their_lease() {
     let mut worker = worker();
-    worker.answered(
-        0,
-        10,
-        HeartbeatReply {
-            start: start(),
-            ..orders(200)
-        },
-    );
+    worker.handle_reply(0, 10, start_orders(200));
     assert!(worker.advance(200).is_none());
-    let beat = worker.advance(worker.next_due_ms()).expect("a heartbeat");
-    assert_eq!(beat.finished[0].3, RunEnd::Expired);
+    let heartbeat = worker.advance(worker.next_due_ms()).expect("a heartbeat");
+    assert_eq!(heartbeat.finished[0].3, RunEnd::Expired);
 }
 
 #[test]
-fn a_stop_ends_the_run() {
+fn a_stop_order_ends_the_run() {
     let mut worker = worker();
-    worker.answered(
-        0,
-        10,
-        HeartbeatReply {
-            start: start(),
-            ..orders(4_000)
-        },
-    );
-    worker.answered(
-        0,
-        20,
-        HeartbeatReply {
-            stop: vec![Stop(TASK.to_owned(), 1)],
-            ..orders(4_000)
-        },
-    );
+    worker.handle_reply(0, 10, start_orders(4_000));
+    let reply = HeartbeatReply {
+        stop: vec![Stop(TASK.to_owned(), 1)],
+        ..orders(4_000)
+    };
+    worker.handle_reply(0, 20, reply);
     assert_eq!(
         worker.advance(70).expect("a heartbeat").finished[0].3,
         RunEnd::Stopped
@@ -122,27 +96,20 @@
 }
 
 #[test]
-fn orders_of_an_older_head_and_those_without_a_hold_start_nothing() {
+fn orders_with_an_old_fencing_token_or_without_a_lease_start_nothing() {
     let mut worker = worker();
-    worker.answered(0, 1, orders(4_000));
-    worker.answered(
-        0,
-        2,
-        HeartbeatReply {
-            start: start(),
-            fencing_token: Some(2),
-            ..orders(4_000)
-        },
-    );
-    worker.answered(
-        0,
-        3,
-        HeartbeatReply {
-            start: start(),
-            fencing_token: Some(3),
-            ..HeartbeatReply::default()
-        },
-    );
+    worker.handle_reply(0, 1, orders(4_000));
+    let reply = HeartbeatReply {
+        fencing_token: Some(2),
+        ..start_orders(4_000)
+    };
+    worker.handle_reply(0, 2, reply);
+    let reply = HeartbeatReply {
+        start: start(),
+        fencing_token: Some(3),
+        ..HeartbeatReply::default()
+    };
+    worker.handle_reply(0, 3, reply);
     assert!(
         worker
             .advance(1_000)
@@ -153,33 +120,12 @@
 }
 
 #[test]
-fn the_same_start_again_starts_nothing() {
+fn a_duplicate_start_starts_nothing() {
     let mut worker = worker();
-    worker.answered(
-        0,
-        10,
-        HeartbeatReply {
-            start: start(),
-            ..orders(4_000)
-        },
-    );
-    worker.answered(
-        0,
-        20,
-        HeartbeatReply {
-            start: start(),
-            ..orders(4_000)
-        },
-    );
+    worker.handle_reply(0, 10, start_orders(4_000));
+    worker.handle_reply(0, 20, start_orders(4_000));
     assert_eq!(worker.advance(520).expect("a heartbeat").finished.len(), 1);
-    worker.answered(
-        520,
-        530,
-        HeartbeatReply {
-            start: start(),
-            ..orders(4_000)
-        },
-    );
+    worker.handle_reply(520, 530, start_orders(4_000));
     assert!(
         worker
             .advance(worker.next_due_ms())
