--- a/crates/ctl/src/check_config.rs
+++ b/crates/ctl/src/check_config.rs
@@ -1,41 +1,76 @@
-//! `check-config`: an operator's configuration, or a patch of one, held against the rules that the head applies.
+//! `check-config`: checks an operator's configuration, or a patch of one, by the rules that the head applies.
 
-use crate::error::ToolError;
-use crate::files;
+use crate::files::{self, FileError};
 use crate::report::Report;
 use indigofold_protocol::config_check::{CheckedConfig, ConfigError, parse_config};
 use indigofold_protocol::config_patch::apply_patch;
 use serde_json::{Value, json};
-use std::path::Path;
+use snafu::{OptionExt, ResultExt, Snafu};
+use std::fmt;
+use std::path::{Path, PathBuf};
+
+/// Why a configuration cannot be checked.
+#[derive(Debug, Snafu)]
+pub enum CheckConfigError {
+    /// A file cannot be read.
+    #[snafu(transparent)]
+    File {
+        /// Which, and why.
+        source: FileError,
+    },
+    /// The file is a patch, and the configuration that it changes is not given.
+    #[snafu(display(
+        "{}: this is a patch: --current FILE has to name what it changes",
+        path.display()
+    ))]
+    PatchWithoutCurrent {
+        /// The patch.
+        path: PathBuf,
+    },
+    /// The current configuration is not valid.
+    #[snafu(display("{}: {source}", path.display()))]
+    Current {
+        /// Its file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: ConfigError,
+    },
+}
+
+/// What a file holds.
+#[derive(Clone, Copy, Debug)]
+enum Kind {
+    /// The body of a `PUT /config`.
+    Configuration,
+    /// The body of a `PATCH /config`.
+    Patch,
+}
+
+impl fmt::Display for Kind {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Kind::Configuration => "configuration",
+            Kind::Patch => "patch",
+        })
+    }
+}
 
 /// Checks the file; `current` is the configuration that it would follow.
-pub fn run(path: &Path, current: Option<&Path>) -> Result<Report, ToolError> {
+pub fn run(path: &Path, current: Option<&Path>) -> Result<Report, CheckConfigError> {
     let bytes = files::read(path)?;
     let current = current.map(read_current).transpose()?;
-    match (is_patch(&bytes), &current) {
-        (true, None) => {
-            let problem = "this is a patch: --current FILE has to name what it changes".to_owned();
-            Err(ToolError::Input {
-                path: path.display().to_string(),
-                problem,
-            })
-        }
-        (true, Some(current)) => Ok(report(path, "patch", check_patch(current, &bytes))),
-        (false, current) => Ok(report(
-            path,
-            "configuration",
-            check_configuration(current.as_ref(), &bytes),
-        )),
+    if is_patch(&bytes) {
+        let current = current.context(PatchWithoutCurrentSnafu { path })?;
+        Ok(report(path, Kind::Patch, check_patch(&current, &bytes)))
+    } else {
+        let checked = check_configuration(current.as_ref(), &bytes);
+        Ok(report(path, Kind::Configuration, checked))
     }
 }
 
-fn read_current(path: &Path) -> Result<CheckedConfig, ToolError> {
+fn read_current(path: &Path) -> Result<CheckedConfig, CheckConfigError> {
     let bytes = files::read(path)?;
-    let invalid = |error: ConfigError| ToolError::Input {
-        path: path.display().to_string(),
-        problem: error.to_string(),
-    };
-    parse_config(&bytes).map_err(invalid)
+    parse_config(&bytes).context(CurrentSnafu { path })
 }
 
 /// Whether this is the body of a `PATCH`.
@@ -60,25 +95,28 @@
     Ok(next)
 }
 
-fn report(path: &Path, what: &str, checked: Result<CheckedConfig, ConfigError>) -> Report {
+fn report(path: &Path, kind: Kind, checked: Result<CheckedConfig, ConfigError>) -> Report {
     let path = path.display();
-    match checked {
-        Err(error) => Report {
-            text: String::new(),
-            data: json!({ "kind": what }),
-            findings: vec![format!("{path}: {error}")],
-        },
-        Ok(checked) => {
-            let config = checked.config();
-            let (routes, services) = (config.routes.len(), config.services.len());
-            let version = config.version;
-            Report {
-                text: format!(
-                    "{path}: a valid {what}: version {version}, {routes} routes, {services} services\n"
-                ),
-                data: json!({ "kind": what, "version": version, "routes": routes, "services": services }),
-                findings: Vec::new(),
-            }
+    let checked = match checked {
+        Ok(checked) => checked,
+        Err(error) => {
+            return Report {
+                text: String::new(),
+                data: json!({ "kind": kind.to_string() }),
+                findings: vec![format!("{path}: {error}")],
+            };
         }
+    };
+    let config = checked.config();
+    let (routes, services) = (config.routes.len(), config.services.len());
+    let version = config.version;
+    Report {
+        text: format!(
+            "{path}: a valid {kind}: version {version}, {routes} routes, {services} services\n"
+        ),
+        data: json!({
+            "kind": kind.to_string(), "version": version, "routes": routes, "services": services,
+        }),
+        findings: Vec::new(),
     }
 }
--- a/crates/ctl/src/check_deploy.rs
+++ b/crates/ctl/src/check_deploy.rs
@@ -1,15 +1,18 @@
-//! `check-deploy`: the deploy file (`deploy/system.toml`) held against the operators' page.
+//! `check-deploy`: checks the deploy file (`deploy/system.toml`) by the rules of the operators' page.
 
-use crate::files;
-use crate::files::FileError;
+use crate::files::{self, FileError};
 use crate::report::Report;
 use serde_json::json;
 use std::path::Path;
 use toml::{Table, Value};
 
+/// Keys of the file.
 const TOP_KEYS: [&str; 3] = ["build", "packages", "roles"];
+/// Keys of a role.
 const ROLE_KEYS: [&str; 6] = ["run", "on", "share", "count", "apart", "serves"];
+/// Classes of machines.
 const CLASSES: [&str; 3] = ["edge", "side", "core"];
+/// Callers that a role may serve.
 const CALLERS: [&str; 3] = ["edge", "side", "control"];
 /// Roles that a machine runs at most.
 const ROLES_MAX: usize = 2;
@@ -17,22 +20,26 @@
 /// Checks the file.
 pub fn run(path: &Path) -> Result<Report, FileError> {
     let text = files::read_text(path)?;
-    let (findings, roles) = match text.parse::<Table>() {
-        Err(error) => (
-            vec![format!("it is no TOML: {}", error.to_string().trim_end())],
-            0,
-        ),
-        Ok(document) => (findings(&document), tables(&document).count()),
+    let (roles, findings) = match text.parse::<Table>() {
+        Ok(document) => (role_tables(&document).count(), findings(&document)),
+        Err(error) => {
+            let problem = error.to_string();
+            (0, vec![format!("it is no TOML: {}", problem.trim_end())])
+        }
     };
+    Ok(report(path, roles, findings))
+}
+
+fn report(path: &Path, roles: usize, findings: Vec<String>) -> Report {
     let path = path.display();
-    Ok(Report {
+    Report {
         text: format!("{path}: {roles} roles\n"),
         data: json!({ "roles": roles }),
         findings: findings
             .into_iter()
             .map(|finding| format!("{path}: {finding}"))
             .collect(),
-    })
+    }
 }
 
 /// All that is wrong with a deploy file.
@@ -53,87 +60,87 @@
 }
 
 fn role_findings(name: &str, role: &Value) -> Vec<String> {
-    let place = format!("roles.{name}");
+    let key = format!("roles.{name}");
     let Value::Table(role) = role else {
-        return vec![format!("`{place}`: a table is expected")];
+        return vec![format!("`{key}`: a table is expected")];
     };
-    let mut findings = unknown_keys(&format!("{place}."), role, &ROLE_KEYS);
-    findings.extend(text_finding(&format!("{place}.run"), role.get("run")));
+    let mut findings = unknown_keys(&format!("{key}."), role, &ROLE_KEYS);
+    findings.extend(text_finding(&format!("{key}.run"), role.get("run")));
     let class = role.get("on").and_then(Value::as_str);
     if !class.is_some_and(|class| CLASSES.contains(&class)) {
         findings.push(format!(
-            "`{place}.on` is {}: one of {CLASSES:?} is expected",
+            "`{key}.on` is {}: one of {CLASSES:?} is expected",
             shown(role.get("on"))
         ));
     }
-    findings.extend(extent_findings(&place, class, role));
+    findings.extend(extent_findings(&key, class, role));
     findings.extend(array_finding(
-        &format!("{place}.serves"),
+        &format!("{key}.serves"),
         role.get("serves"),
         Some(&CALLERS),
     ));
     if serves(role).any(|caller| caller == "side") && class != Some("side") {
         findings.push(format!(
-            "`{place}.serves` has \"side\": only a role on \"side\" machines may"
+            "`{key}.serves` has \"side\": only a role on \"side\" machines may"
         ));
     }
     findings
 }
 
-/// `share`, `count` and `apart`.
-fn extent_findings(place: &str, class: Option<&str>, role: &Table) -> Vec<String> {
+/// `share`, `count` and `apart`: how many machines of its class the role runs on.
+fn extent_findings(key: &str, class: Option<&str>, role: &Table) -> Vec<String> {
     let mut findings = Vec::new();
-    let number = |value: &Value| {
-        value
-            .as_float()
-            .or_else(|| value.as_integer().map(|integer| integer as f64))
-    };
-    if let Some(share) = role.get("share")
-        && !number(share).is_some_and(|share| share > 0.0 && share <= 1.0)
+    if let Some(value) = role.get("share")
+        && !is_machine_fraction(value)
     {
         findings.push(format!(
-            "`{place}.share` is {share}: a number over 0 and up to 1 is expected"
+            "`{key}.share` is {value}: a number over 0 and up to 1 is expected"
         ));
     }
-    if let Some(count) = role.get("count")
-        && count.as_integer().is_none_or(|count| count <= 0)
+    if let Some(value) = role.get("count")
+        && value.as_integer().is_none_or(|count| count <= 0)
     {
         findings.push(format!(
-            "`{place}.count` is {count}: a whole number above 0 is expected"
+            "`{key}.count` is {value}: a whole number above 0 is expected"
         ));
     }
-    match (
-        role.contains_key("share"),
-        role.contains_key("count"),
-        class,
-    ) {
-        (true, true, _) => {
-            findings.push(format!(
-                "`{place}` has both `share` and `count`: one of them is expected"
-            ));
-        }
-        (false, false, Some("core")) => {
-            findings.push(format!(
-                "`{place}` has neither `share` nor `count`: one of them is expected"
-            ));
-        }
-        _ => {}
-    }
-    if role.get("apart").is_some_and(|apart| !apart.is_bool()) {
+    findings.extend(share_or_count_finding(key, class, role));
+    if let Some(value) = role.get("apart")
+        && !value.is_bool()
+    {
         findings.push(format!(
-            "`{place}.apart` is {}: true or false is expected",
-            shown(role.get("apart"))
+            "`{key}.apart` is {value}: true or false is expected"
         ));
     }
     findings
 }
 
+fn is_machine_fraction(value: &Value) -> bool {
+    let integer = || value.as_integer().map(|integer| integer as f64);
+    let fraction = value.as_float().or_else(integer);
+    fraction.is_some_and(|fraction| fraction > 0.0 && fraction <= 1.0)
+}
+
+/// One of `share` and `count` at most, and on core machines one at least.
+fn share_or_count_finding(key: &str, class: Option<&str>, role: &Table) -> Option<String> {
+    let (has_share, has_count) = (role.contains_key("share"), role.contains_key("count"));
+    match (has_share, has_count) {
+        (true, true) => Some(format!(
+            "`{key}` has both `share` and `count`: one of them is expected"
+        )),
+        (false, false) if class == Some("core") => Some(format!(
+            "`{key}` has neither `share` nor `count`: one of them is expected"
+        )),
+        _ => None,
+    }
+}
+
 /// What the roles of one class must not do together, and what nobody does.
 fn class_findings(document: &Table) -> Vec<String> {
     let mut findings = Vec::new();
     for class in CLASSES {
         let on_class = |role: &&Table| role.get("on").and_then(Value::as_str) == Some(class);
-        let roles: Vec<&Table> = tables(document).filter(on_class).collect();
+        let roles: Vec<&Table> = role_tables(document).filter(on_class).collect();
         if roles.len() > ROLES_MAX {
             findings.push(format!(
                 "{} roles on \"{class}\": a machine runs {ROLES_MAX} at most",
@@ -143,7 +150,7 @@
         for caller in CALLERS {
             let served = roles
                 .iter()
-                .filter(|role| serves(role).any(|c| c == caller))
+                .filter(|role| serves(role).any(|served| served == caller))
                 .count();
             if served > 1 {
                 findings.push(format!(
@@ -153,14 +160,14 @@
         }
     }
     for caller in CALLERS {
-        if !tables(document).any(|role| serves(role).any(|c| c == caller)) {
+        if !role_tables(document).any(|role| serves(role).any(|served| served == caller)) {
             findings.push(format!("no role serves \"{caller}\""));
         }
     }
     findings
 }
 
-fn tables(document: &Table) -> impl Iterator<Item = &Table> {
+fn role_tables(document: &Table) -> impl Iterator<Item = &Table> {
     let roles = document.get("roles").and_then(Value::as_table);
     roles
         .into_iter()
@@ -173,22 +180,22 @@
     callers.into_iter().flatten().filter_map(Value::as_str)
 }
 
-fn unknown_keys(place: &str, table: &Table, known: &[&str]) -> Vec<String> {
+fn unknown_keys(table_path: &str, table: &Table, known: &[&str]) -> Vec<String> {
     let unknown = table.keys().filter(|key| !known.contains(&key.as_str()));
     unknown
-        .map(|key| format!("`{place}{key}` is unknown: {known:?} are allowed"))
+        .map(|key| format!("`{table_path}{key}` is unknown: {known:?} are allowed"))
         .collect()
 }
 
-fn text_finding(place: &str, value: Option<&Value>) -> Option<String> {
+fn text_finding(key: &str, value: Option<&Value>) -> Option<String> {
     let sound = value
         .and_then(Value::as_str)
         .is_some_and(|text| !text.trim().is_empty());
-    (!sound).then(|| format!("`{place}` is {}: a text is expected", shown(value)))
+    (!sound).then(|| format!("`{key}` is {}: a text is expected", shown(value)))
 }
 
 /// A list of texts, which may be missing.
-fn array_finding(place: &str, value: Option<&Value>, allowed: Option<&[&str]>) -> Option<String> {
+fn array_finding(key: &str, value: Option<&Value>, allowed: Option<&[&str]>) -> Option<String> {
     let value = value?;
     let text = |item: &Value| {
         item.as_str()
@@ -198,7 +205,7 @@
     let expected = allowed.map_or("a list of texts".to_owned(), |all| {
         format!("a list of some of {all:?}")
     });
-    (!sound).then(|| format!("`{place}` is {value}: {expected} is expected"))
+    (!sound).then(|| format!("`{key}` is {value}: {expected} is expected"))
 }
 
 fn shown(value: Option<&Value>) -> String {
--- a/crates/ctl/src/check_settings.rs
+++ b/crates/ctl/src/check_settings.rs
@@ -1,7 +1,6 @@
 //! `check-settings`: a settings file (`boot.toml`) as the daemons read it, and what its role needs beyond that.
 
-use crate::files;
-use crate::files::FileError;
+use crate::files::{self, FileError};
 use crate::report::Report;
 use indigofold_settings::{MachineClass, Serves, Settings};
 use serde_json::json;
@@ -41,37 +40,44 @@
     }
 }
 
-/// What the daemons would miss at their start, or later.
-pub fn role_findings(settings: &Settings) -> Vec<String> {
+/// A field that the daemons of a role need.
+struct Requirement {
+    serves: Serves,
+    field: &'static str,
+    present: bool,
+}
+
+fn requirements(settings: &Settings) -> [Requirement; 5] {
     let addresses = &settings.bind_addrs;
-    let needs = [
-        (
+    let requirement = |serves, field, present| Requirement {
+        serves,
+        field,
+        present,
+    };
+    let control_plane = addresses.control_plane.is_some();
+    [
+        requirement(
             Serves::Edge,
             "bind_addrs.frontend",
             addresses.frontend.is_some(),
         ),
-        (
+        requirement(
             Serves::Edge,
             "bind_addrs.readiness",
             addresses.readiness.is_some(),
         ),
-        (
-            Serves::Side,
-            "bind_addrs.control_plane",
-            addresses.control_plane.is_some(),
-        ),
-        (
-            Serves::Control,
-            "bind_addrs.control_plane",
-            addresses.control_plane.is_some(),
-        ),
-        (Serves::Control, "data_dir", settings.data_dir.is_some()),
-    ];
-    let missing = needs
+        requirement(Serves::Side, "bind_addrs.control_plane", control_plane),
+        requirement(Serves::Control, "bind_addrs.control_plane", control_plane),
+        requirement(Serves::Control, "data_dir", settings.data_dir.is_some()),
+    ]
+}
+
+/// What the daemons would lack at their start, or later.
+pub fn role_findings(settings: &Settings) -> Vec<String> {
+    let mut findings: Vec<String> = requirements(settings)
         .into_iter()
-        .filter(|(serves, _, present)| settings.serves(*serves) && !present);
-    let mut findings: Vec<String> = missing
-        .map(|(serves, field, _)| {
+        .filter(|requirement| settings.serves(requirement.serves) && !requirement.present)
+        .map(|Requirement { serves, field, .. }| {
             format!("`{field}` is missing: a role that serves {serves:?} needs it")
         })
         .collect();
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,20 +1,13 @@
-//! Why a verb cannot do its work, and the exit codes.
+//! Why a verb cannot do its work, and which exit code that gives.
 
+use crate::check_config::CheckConfigError;
+use crate::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_UNREACHABLE};
 use crate::files::FileError;
 use crate::query::QueryError;
 use crate::quickstart::QuickstartError;
 use crate::replicas::ReplicaError;
 use snafu::Snafu;
 
-/// Nothing is wrong.
-pub const EXIT_OK: u8 = 0;
-/// Something wrong was found.
-pub const EXIT_FOUND: u8 = 1;
-/// The command line, or an input that is not what is being checked, cannot be used.
-pub const EXIT_INPUT: u8 = 2;
-/// Nobody could be reached.
-pub const EXIT_UNREACHABLE: u8 = 3;
-
 /// Why a verb cannot do its work.
 #[derive(Debug, Snafu)]
 pub enum ToolError {
@@ -24,13 +17,11 @@
         /// Which, and why.
         source: FileError,
     },
-    /// An input beside the one that is checked is not valid.
-    #[snafu(display("{path}: {problem}"))]
-    Input {
-        /// The file.
-        path: String,
-        /// What is wrong with it.
-        problem: String,
+    /// A configuration cannot be checked.
+    #[snafu(transparent)]
+    CheckConfig {
+        /// Why.
+        source: CheckConfigError,
     },
     /// No member answers.
     #[snafu(transparent)]
@@ -38,7 +29,7 @@
         /// Why.
         source: QueryError,
     },
-    /// A copy cannot be opened.
+    /// A replica cannot be opened.
     #[snafu(transparent)]
     Replicas {
         /// Which, and why.
@@ -56,7 +47,7 @@
     /// The exit code for it.
     pub fn exit_code(&self) -> u8 {
         match self {
-            ToolError::File { .. } | ToolError::Input { .. } => EXIT_INPUT,
+            ToolError::File { .. } | ToolError::CheckConfig { .. } => EXIT_INPUT,
             ToolError::Replicas { source } if source.is_input() => EXIT_INPUT,
             ToolError::Query { .. } => EXIT_UNREACHABLE,
             ToolError::Quickstart { source } if source.is_input() => EXIT_INPUT,
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -1,4 +1,4 @@
-//! Reading of files.
+//! Reading of the files that are checked.
 
 use snafu::{ResultExt, Snafu};
 use std::io;
@@ -8,7 +8,9 @@
 #[derive(Debug, Snafu)]
 #[snafu(display("{} cannot be read: {source}", path.display()))]
 pub struct FileError {
+    /// The file.
     path: PathBuf,
+    /// Why it cannot be read.
     source: io::Error,
 }
 
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod check_settings;
 pub mod command_line;
 pub mod error;
+pub mod exit_code;
 pub mod files;
 pub mod help;
 pub mod job;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,7 +1,8 @@
 //! `indigofold-ctl`: the operators' tool.
 
 use indigofold_ctl::command_line::{self, Command, Verb};
-use indigofold_ctl::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
+use indigofold_ctl::error::ToolError;
+use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
 use indigofold_ctl::report::Report;
 use indigofold_ctl::{
     check_config, check_deploy, check_settings, job, quickstart, replicas, status,
@@ -31,8 +32,8 @@
         Ok(report) => print(&report.plain(), report.exit_code()),
         Err(error) => {
             if json {
-                let line = serde_json::json!({ "ok": false, "error": error.to_string() });
-                print(&format!("{line}\n"), EXIT_OK);
+                let json = serde_json::json!({ "ok": false, "error": error.to_string() });
+                print(&format!("{json}\n"), EXIT_OK);
             }
             eprintln!("indigofold-ctl: {error}");
             error.exit_code()
@@ -52,7 +53,7 @@
     })
 }
 
-/// Prints; what cannot be printed (a closed pipe) turns success into a failure.
+/// Prints a text; a failure to (a closed pipe) turns success into `EXIT_FOUND`.
 fn print(text: &str, code: u8) -> u8 {
     let mut out = std::io::stdout().lock();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,6 +1,6 @@
 //! What a verb has found.
 
-use crate::error::{EXIT_FOUND, EXIT_OK};
+use crate::exit_code::{EXIT_FOUND, EXIT_OK};
 use serde::Serialize;
 use serde_json::{Value, json};
 
--- a/crates/ctl/tests/checks.rs
+++ b/crates/ctl/tests/checks.rs
@@ -1,6 +1,8 @@
 //! The verbs that check files.
 
-use indigofold_ctl::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
+use indigofold_ctl::error::ToolError;
+use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
+use indigofold_ctl::report::Report;
 use indigofold_ctl::{check_config, check_deploy, check_settings};
 use rstest::rstest;
 use std::path::{Path, PathBuf};
@@ -16,6 +18,19 @@
     path
 }
 
+/// The report has these findings, each of them with its expected text, and no others.
+fn assert_findings(report: &Report, expected: &[&str]) {
+    let findings = &report.findings;
+    assert_eq!(findings.len(), expected.len(), "{findings:?}");
+    assert!(
+        findings
+            .iter()
+            .zip(expected)
+            .all(|(finding, text)| finding.contains(text)),
+        "{findings:?}"
+    );
+}
+
 #[test]
 fn a_valid_configuration_passes() {
     let folder = TempDir::new().expect("a folder");
@@ -29,18 +44,22 @@
 #[rstest]
 #[case::service("\"backend\":\"s\"", "\"backend\":\"t\"", "unknown service `t`")]
 #[case::timeout("\"timeout_ms\":1000", "\"timeout_ms\":0", "routes[0].timeout_ms")]
-#[case::cut("}]", "", "cannot be read")]
+#[case::truncated("}]", "", "cannot be read")]
 #[case::version("\"version\":7", "\"version\":0", "version")]
-fn what_is_wrong_with_a_configuration_is_told(
+fn an_invalid_configuration_is_a_finding(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] part: &str,
+    #[case] expected: &str,
 ) {
     let folder = TempDir::new().expect("a folder");
     let path = file(&folder, "c", &CONFIG.replacen(from, to, 1));
     let report = check_config::run(&path, None).expect("a report");
     assert_eq!(report.exit_code(), EXIT_FOUND);
-    assert!(report.findings[0].contains(part), "{:?}", report.findings);
+    assert!(
+        report.findings[0].contains(expected),
+        "{:?}",
+        report.findings
+    );
 }
 
 #[rstest]
@@ -48,31 +67,28 @@
 #[case::older(r#"{"version":7,"remove":{"routes":["r"]}}"#, &["above the current 7"])]
 #[case::unknown(r#"{"version":9,"remove":{"services":["s"]}}"#, &["unknown service `s`"])]
 #[case::complete(CONFIG, &["above the current 7"])]
-fn a_change_is_held_against_the_current_configuration(#[case] text: &str, #[case] parts: &[&str]) {
+fn a_new_configuration_is_checked_against_the_current_one(
+    #[case] text: &str,
+    #[case] expected: &[&str],
+) {
     let folder = TempDir::new().expect("a folder");
     let current = file(&folder, "now", CONFIG);
     let report = check_config::run(&file(&folder, "next", text), Some(&current)).expect("a report");
-    assert_eq!(report.findings.len(), parts.len(), "{:?}", report.findings);
-    assert!(
-        report
-            .findings
-            .iter()
-            .zip(parts)
-            .all(|(f, part)| f.contains(part)),
-        "{:?}",
-        report.findings
-    );
+    assert_findings(&report, expected);
 }
 
 #[test]
-fn inputs_that_cannot_be_used_are_no_findings() {
+fn unusable_inputs_are_errors_and_no_findings() {
     let folder = TempDir::new().expect("a folder");
     let patch = file(&folder, "p", r#"{"version":9,"upsert":{}}"#);
     let broken = file(&folder, "b", "{");
+    let exit_code = |path: &Path, current: Option<&Path>| {
+        check_config::run(path, current).map_err(|error| ToolError::from(error).exit_code())
+    };
     let codes = [
-        check_config::run(&patch, None).map_err(|error| error.exit_code()),
-        check_config::run(&patch, Some(&broken)).map_err(|error| error.exit_code()),
-        check_config::run(Path::new("/nowhere"), None).map_err(|error| error.exit_code()),
+        exit_code(&patch, None),
+        exit_code(&patch, Some(&broken)),
+        exit_code(Path::new("/nowhere"), None),
     ];
     assert!(
         codes.iter().all(|code| *code == Err(EXIT_INPUT)),
@@ -88,20 +104,11 @@
 #[case::side("\"control\"]", "\"side\"]", &["`machine_class` must be \"side\""])]
 #[case::ports("7380,", "7399,", &["`port_range` is [7399, 7395]"])]
 #[case::type_of_field("7380,", "\"x\",", &["port_range"])]
-fn settings_are_checked(#[case] from: &str, #[case] to: &str, #[case] parts: &[&str]) {
+fn settings_are_checked(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
     let folder = TempDir::new().expect("a folder");
     let path = file(&folder, "boot.toml", &SETTINGS.replacen(from, to, 1));
     let report = check_settings::run(&path).expect("a report");
-    assert_eq!(report.findings.len(), parts.len(), "{:?}", report.findings);
-    assert!(
-        report
-            .findings
-            .iter()
-            .zip(parts)
-            .all(|(f, part)| f.contains(part)),
-        "{:?}",
-        report.findings
-    );
+    assert_findings(&report, expected);
 }
 
 #[rstest]
@@ -109,7 +116,7 @@
 #[case::key("share = 1.0", "shares = 1.0", &["`roles.edge.shares` is unknown"])]
 #[case::top("packages", "package", &["`package` is unknown"])]
 #[case::build("build =", "builds =", &["`builds` is unknown", "`build` is missing"])]
-#[case::share("share = 1.0", "share = 1.5", &["`roles.edge.share` is 1.5"])]
+#[case::fraction("share = 1.0", "share = 1.5", &["`roles.edge.share` is 1.5"])]
 #[case::count("share = 0.5", "count = 0", &["`roles.control.count` is 0"])]
 #[case::both("share = 0.5", "count = 1\nshare = 0.5", &["both `share` and `count`"])]
 #[case::neither("share = 0.5", "", &["neither `share` nor `count`"])]
@@ -119,18 +126,9 @@
 #[case::elsewhere("serves = [\"edge\"]", "serves = [\"edge\", \"side\"]", &["only a role on \"side\" machines may"])]
 #[case::twice("on = \"side\"\nserves = [\"side\"]", "on = \"edge\"\nserves = [\"edge\"]", &["2 roles on \"edge\" serve \"edge\"", "no role serves \"side\""])]
 #[case::no_toml("[roles.edge]", "[roles.edge", &["it is no TOML"])]
-fn deploy_files_are_checked(#[case] from: &str, #[case] to: &str, #[case] parts: &[&str]) {
+fn deploy_files_are_checked(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
     let folder = TempDir::new().expect("a folder");
     let path = file(&folder, "system.toml", &DEPLOY.replacen(from, to, 1));
     let report = check_deploy::run(&path).expect("a report");
-    assert_eq!(report.findings.len(), parts.len(), "{:?}", report.findings);
-    assert!(
-        report
-            .findings
-            .iter()
-            .zip(parts)
-            .all(|(f, part)| f.contains(part)),
-        "{:?}",
-        report.findings
-    );
+    assert_findings(&report, expected);
 }
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -1,6 +1,7 @@
 //! Comparison of members' disks.
 
-use indigofold_ctl::error::{EXIT_FOUND, EXIT_INPUT, EXIT_OK, ToolError};
+use indigofold_ctl::error::ToolError;
+use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
 use indigofold_ctl::replicas::{Replica, common_seq, compare, run};
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
