--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -1,18 +1,29 @@
-//! `job`: how a job stands, where its tasks run, and why it waits.
+//! `job`: the state of a job, where its tasks run, and why it waits.
 
-use crate::query::{self, QueryError};
+use crate::query::{self, MemberError, MemberResponse, NoAnswerSnafu, QueryError};
 use crate::report::Report;
 use indigofold_protocol::inspection::{
     InspectionAnswer, JobInspection, Question, StepInspection, TaskCounts, Wait,
 };
 use indigofold_protocol::task::JobId;
 use serde_json::Value;
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// A head that hands over is followed so often.
-const HEADS_FOLLOWED: usize = 3;
+/// Bound on the redirections to another head, while the leadership moves.
+const REDIRECTIONS_MAX: usize = 3;
 
-/// Asks the head, which any of the members may name.
+/// What the responses to a query for a job come to.
+enum Lookup {
+    /// The acting head has answered; `None` if there is no such job.
+    Answered(Option<JobInspection>),
+    /// Members name these as the head, by internal address, in order and without duplicates.
+    Redirected(Vec<SocketAddr>),
+    /// No member answers or knows the head.
+    Failed(Vec<MemberError>),
+}
+
+/// Queries the acting head, which is found through the members at these internal addresses.
 pub fn run(id: JobId, addresses: Vec<SocketAddr>) -> Result<Report, QueryError> {
     query::run(find_job(id, addresses)).map(|job| report(id, job))
 }
@@ -23,36 +34,47 @@
     addresses: Vec<SocketAddr>,
 ) -> Result<Option<JobInspection>, QueryError> {
     let mut responses = query::query_all(&addresses, Question::Job(id)).await;
-    for _ in 0..HEADS_FOLLOWED {
-        let mut heads = Vec::new();
-        let mut reasons = Vec::new();
-        for (address, answer) in responses {
-            match answer {
-                Ok(InspectionAnswer::Job(job)) => return Ok(job.map(|job| *job)),
-                Ok(InspectionAnswer::NotHead { head: Some(head) }) => heads.push(head.internal),
-                Ok(InspectionAnswer::NotHead { head: None }) => {
-                    reasons.push(format!("{address} knows no head"));
-                }
-                Ok(InspectionAnswer::Unavailable { reason }) => {
-                    reasons.push(format!("{address}: {reason}"))
-                }
-                Ok(InspectionAnswer::Status(_)) => reasons.push(format!("{address} answers amiss")),
-                Err(error) => reasons.push(error.to_string()),
+    for _ in 0..REDIRECTIONS_MAX {
+        match evaluate(responses) {
+            Lookup::Answered(job) => return Ok(job),
+            Lookup::Redirected(heads) => {
+                responses = query::query_all(&heads, Question::Job(id)).await;
             }
+            Lookup::Failed(failures) => return NoAnswerSnafu { failures }.fail(),
         }
-        heads.sort();
-        heads.dedup();
-        if heads.is_empty() {
-            return Err(QueryError::Nobody {
-                reasons: reasons.join("; "),
-            });
+    }
+    Err(query::no_answer(responses))
+}
+
+fn evaluate(responses: Vec<MemberResponse>) -> Lookup {
+    let mut heads = BTreeSet::new();
+    let mut failures = Vec::new();
+    for MemberResponse { address, result } in responses {
+        match result {
+            Ok(InspectionAnswer::Job(job)) => return Lookup::Answered(job.map(|job| *job)),
+            Ok(InspectionAnswer::NotHead { head: Some(head) }) => {
+                heads.insert(head.internal);
+            }
+            Ok(InspectionAnswer::NotHead { head: None }) => {
+                failures.push(MemberError::NoHead { address });
+            }
+            Ok(InspectionAnswer::Unavailable { reason }) => {
+                failures.push(MemberError::Unavailable { address, reason });
+            }
+            Ok(InspectionAnswer::Status(_)) => {
+                failures.push(MemberError::UnexpectedAnswer { address });
+            }
+            Err(error) => failures.push(error),
         }
-        responses = query::query_all(&heads, Question::Job(id)).await;
     }
-    Err(query::nobody(&responses))
+    if heads.is_empty() {
+        Lookup::Failed(failures)
+    } else {
+        Lookup::Redirected(heads.into_iter().collect())
+    }
 }
 
-/// The report of the answer.
+/// The report on a job; `None` if the head does not know it.
 pub fn report(id: JobId, job: Option<JobInspection>) -> Report {
     match job {
         None => Report {
@@ -71,17 +93,17 @@
     if let (Some(queue), Some(service)) = (&job.queue, &job.service) {
         text.push_str(&format!("queue {queue}, service {service}\n"));
     }
-    if let Some(taken) = job.accepted_wall_ms {
-        text.push_str(&format!("taken at {taken} ms since 1970\n"));
+    if let Some(accepted_ms) = job.accepted_wall_ms {
+        text.push_str(&format!("taken at {accepted_ms} ms since 1970\n"));
     }
-    if let (Some(due), Some(repeats)) = (job.next_due_wall_ms, job.repeats) {
+    if let (Some(due_ms), Some(repeats)) = (job.next_due_wall_ms, job.repeats) {
         text.push_str(&format!(
-            "not due: the next of {repeats} repetitions is due at {due} ms since 1970\n"
+            "not due: the next of {repeats} repetitions is due at {due_ms} ms since 1970\n"
         ));
     }
-    job.steps
-        .iter()
-        .for_each(|step| text.push_str(&step_text(step)));
+    for step in &job.steps {
+        text.push_str(&step_text(step));
+    }
     if job.more_steps {
         text.push_str("(more steps are not listed)\n");
     }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -20,3 +20,4 @@
 pub mod replicas;
 pub mod report;
 pub mod status;
+mod table;
--- a/crates/ctl/src/query.rs
+++ b/crates/ctl/src/query.rs
@@ -1,4 +1,4 @@
-//! Asks members of the core over their internal port.
+//! Inspection queries to core members, over their internal port.
 
 use indigofold_net::{NetError, framed, runtime};
 use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, Question};
@@ -8,16 +8,17 @@
 use std::time::Duration;
 
 /// How long a member has to accept a connection.
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long it has to answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(3_000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Why a member has not answered.
+/// Why one member has not answered a query.
 #[derive(Debug, Snafu)]
-pub enum QueryError {
+#[snafu(visibility(pub(crate)))]
+pub enum MemberError {
     /// It cannot be reached, or its connection has failed.
     #[snafu(display("{source}"))]
-    Reach {
+    Connection {
         /// Why.
         source: NetError,
     },
@@ -30,52 +31,85 @@
         address: SocketAddr,
     },
     /// It has not answered in time.
-    #[snafu(display("{address} has not answered within {} ms", ANSWER_LIMIT.as_millis()))]
+    #[snafu(display("{address} has not answered within {} ms", ANSWER_TIMEOUT.as_millis()))]
     Timeout {
         /// Its address.
         address: SocketAddr,
     },
+    /// Only the head can answer, and this member knows none.
+    #[snafu(display("{address} knows no head"))]
+    NoHead {
+        /// Its address.
+        address: SocketAddr,
+    },
+    /// It cannot answer now.
+    #[snafu(display("{address}: {reason}"))]
+    Unavailable {
+        /// Its address.
+        address: SocketAddr,
+        /// The reason that it gives.
+        reason: String,
+    },
+    /// Its answer is to another question.
+    #[snafu(display("{address} gives the answer to another question"))]
+    UnexpectedAnswer {
+        /// Its address.
+        address: SocketAddr,
+    },
+}
+
+/// Why a query has no result.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum QueryError {
     /// The runtime cannot be started.
     #[snafu(display("{source}"))]
     Runtime {
         /// Why.
         source: NetError,
     },
-    /// Nobody answers.
-    #[snafu(display("no member answers: {reasons}"))]
-    Nobody {
+    /// No member answers.
+    #[snafu(display("no member answers: {}", joined(failures)))]
+    NoAnswer {
         /// Why, for each.
-        reasons: String,
+        failures: Vec<MemberError>,
     },
 }
 
-/// A member's answer, or why there is none.
-pub type MemberResponse = (SocketAddr, Result<InspectionAnswer, QueryError>);
+fn joined(failures: &[MemberError]) -> String {
+    let reasons: Vec<String> = failures.iter().map(ToString::to_string).collect();
+    reasons.join("; ")
+}
+
+/// What has come of a query to one member.
+#[derive(Debug)]
+pub struct MemberResponse {
+    /// The member's internal address.
+    pub address: SocketAddr,
+    /// Its answer, or why there is none.
+    pub result: Result<InspectionAnswer, MemberError>,
+}
 
-/// Asks several members at the same time; the answers are in the order of the addresses.
+/// Queries several members at the same time; the responses are in the order of the addresses.
 pub async fn query_all(addresses: &[SocketAddr], question: Question) -> Vec<MemberResponse> {
-    let responses = addresses
+    let tasks: Vec<_> = addresses
         .iter()
-        .map(|&address| (address, runtime::spawn_scoped(query(address, question))));
-    let mut answers = Vec::new();
-    for (address, task) in responses.collect::<Vec<_>>() {
-        // A task ends early only by a panic, which this takes for silence.
-        answers.push((
-            address,
-            task.await.unwrap_or(TimeoutSnafu { address }.fail()),
-        ));
+        .map(|&address| runtime::spawn_scoped(query(address, question)))
+        .collect();
+    let mut responses = Vec::new();
+    for (&address, task) in addresses.iter().zip(tasks) {
+        // A task ends early only by a panic, which counts as a time-out here.
+        let result = task.await.unwrap_or(TimeoutSnafu { address }.fail());
+        responses.push(MemberResponse { address, result });
     }
-    answers
+    responses
 }
 
-/// Asks one member.
-pub async fn query(
-    address: SocketAddr,
-    question: Question,
-) -> Result<InspectionAnswer, QueryError> {
-    let connection = framed::connect(address, CONNECT_LIMIT)
+/// Queries one member.
+async fn query(address: SocketAddr, question: Question) -> Result<InspectionAnswer, MemberError> {
+    let connection = framed::connect(address, CONNECT_TIMEOUT)
         .await
-        .context(ReachSnafu)?;
+        .context(ConnectionSnafu)?;
     let call = Frame::Inspect(InspectionCall { call: 1, question });
     connection
         .sender
@@ -84,32 +118,31 @@
         .context(ClosedSnafu { address })?;
     let mut reader = connection.reader;
     let answer = async {
-        while let Some(frame) = reader.next().await.context(ReachSnafu)? {
+        while let Some(frame) = reader.next().await.context(ConnectionSnafu)? {
             if let Frame::Inspected(reply) = frame {
                 return Ok(reply.answer);
             }
         }
         ClosedSnafu { address }.fail()
     };
-    runtime::timeout(ANSWER_LIMIT, answer)
+    runtime::timeout(ANSWER_TIMEOUT, answer)
         .await
         .context(TimeoutSnafu { address })?
 }
 
-/// The error for answers of which none came.
-pub fn nobody(responses: &[MemberResponse]) -> QueryError {
-    let reasons = responses
-        .iter()
-        .filter_map(|(_, result)| result.as_ref().err())
-        .map(ToString::to_string);
-    QueryError::Nobody {
-        reasons: reasons.collect::<Vec<_>>().join("; "),
+/// The error for responses of which none can be used.
+pub fn no_answer(responses: Vec<MemberResponse>) -> QueryError {
+    let failures = responses
+        .into_iter()
+        .filter_map(|response| response.result.err());
+    QueryError::NoAnswer {
+        failures: failures.collect(),
     }
 }
 
-/// Runs a conversation to its end.
+/// Runs queries to their end, in a runtime of their own.
 pub fn run<T: 'static>(
-    conversation: impl Future<Output = Result<T, QueryError>> + 'static,
+    queries: impl Future<Output = Result<T, QueryError>> + 'static,
 ) -> Result<T, QueryError> {
-    runtime::run(conversation).context(RuntimeSnafu)?
+    runtime::run(queries).context(RuntimeSnafu)?
 }
--- a/crates/ctl/src/replicas.rs
+++ b/crates/ctl/src/replicas.rs
@@ -1,18 +1,23 @@
-//! `compare-copies`: rows that differ between the disks of core members.
+//! `compare-copies`: rows that differ between the replicas on core members' disks.
 
 mod compare;
+mod history;
 mod replica;
 
-pub use compare::{Comparison, Difference, common_seq, compare};
+pub use compare::{Comparison, Difference, compare};
+pub use history::{WriteHistory, common_seq};
 pub use replica::{Replica, ReplicaError};
 
-use crate::report::{Report, table};
+use crate::report::Report;
+use crate::table::Table;
+use indigofold_replication::Row;
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// So many differences of a pair are told in words; JSON has all of them.
-const DIFFERENCES_SHOWN: usize = 20;
+/// Bound on the differences of a pair in the text; JSON has all of them.
+const DIFFERENCES_SHOWN_MAX: usize = 20;
 
+/// The JSON of a comparison.
 #[derive(Serialize)]
 struct ReplicaComparison<'a> {
     #[serde(rename = "copies")]
@@ -20,53 +25,46 @@
     pairs: &'a [Comparison],
 }
 
-/// Opens the copies and compares each with the first.
+/// Opens the replicas in these folders and compares each with the first.
 pub fn run(folders: &[PathBuf]) -> Result<Report, ReplicaError> {
     let replicas: Vec<Replica> = folders
         .iter()
         .map(|folder| Replica::open(folder))
         .collect::<Result<_, _>>()?;
-    let (first, others) = match replicas.split_first() {
-        Some(split) => split,
-        None => return Ok(Report::default()),
+    let Some((first, others)) = replicas.split_first() else {
+        return Ok(Report::default());
     };
     let pairs: Vec<Comparison> = others.iter().map(|other| compare(first, other)).collect();
     let findings = pairs.iter().flat_map(Comparison::findings).collect();
     let mut text = replicas_text(&replicas);
-    pairs
-        .iter()
-        .for_each(|pair| text.push_str(&pair_text(pair)));
-    Ok(Report::new(
-        text,
-        &ReplicaComparison {
-            replicas: &replicas,
-            pairs: &pairs,
-        },
-        findings,
-    ))
+    for pair in &pairs {
+        text.push_str(&pair_text(pair));
+    }
+    let data = ReplicaComparison {
+        replicas: &replicas,
+        pairs: &pairs,
+    };
+    Ok(Report::new(text, &data, findings))
 }
 
 fn replicas_text(replicas: &[Replica]) -> String {
-    let head = ["folder", "member", "view", "stored", "rows", "deleted"];
-    let mut rows = vec![head.map(str::to_owned).to_vec()];
-    rows.extend(replicas.iter().map(|replica| {
-        let deleted = replica
-            .rows
-            .values()
-            .filter(|row| row.value.is_none())
-            .count();
-        vec![
+    let mut table = Table::new(["folder", "member", "view", "stored", "rows", "deleted"]);
+    let unknown = || "-".to_owned();
+    for replica in replicas {
+        let is_deleted = |row: &&Row| row.value.is_none();
+        let deleted = replica.rows.values().filter(is_deleted).count();
+        table.push([
             replica.folder.display().to_string(),
             replica
                 .member
-                .map_or("-".to_owned(), |member| member.to_string()),
-            replica.view.map_or("-".to_owned(), |view| view.to_string()),
+                .map_or_else(unknown, |member| member.to_string()),
+            replica.view.map_or_else(unknown, |view| view.to_string()),
             format!("{}/{}", replica.stored_view, replica.stored_seq),
             (replica.rows.len() - deleted).to_string(),
             deleted.to_string(),
-        ]
-    }));
-    table(&rows)
+        ]);
+    }
+    table.to_string()
 }
 
 fn pair_text(pair: &Comparison) -> String {
@@ -76,13 +74,13 @@
         pair.common_seq,
         pair.differences.len()
     );
-    for difference in pair.differences.iter().take(DIFFERENCES_SHOWN) {
+    for difference in pair.differences.iter().take(DIFFERENCES_SHOWN_MAX) {
         text.push_str(&format!("  {}\n", difference.sentence()));
     }
-    if pair.differences.len() > DIFFERENCES_SHOWN {
+    if pair.differences.len() > DIFFERENCES_SHOWN_MAX {
         text.push_str(&format!(
             "  and {} more\n",
-            pair.differences.len() - DIFFERENCES_SHOWN
+            pair.differences.len() - DIFFERENCES_SHOWN_MAX
         ));
     }
     text
--- a/crates/ctl/src/replicas/compare.rs
+++ b/crates/ctl/src/replicas/compare.rs
@@ -1,17 +1,18 @@
-//! Two copies against each other.
+//! Comparison of two replicas.
 
+use super::history::common_seq;
 use super::replica::Replica;
-use indigofold_replication::{Row, ViewStart};
+use indigofold_replication::Row;
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// How two copies differ.
+/// How two replicas differ.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
-    /// Folder of the one.
+    /// Folder of the left replica.
     pub left: PathBuf,
-    /// Folder of the other.
+    /// Folder of the right replica.
     pub right: PathBuf,
     /// Both have taken the same writes up to this sequence number.
     pub common_seq: u64,
@@ -24,16 +25,16 @@
 pub struct Difference {
     /// Its key.
     pub key: String,
-    /// Sequence number of the one's row; none if it has no such row.
+    /// Sequence number of the left replica's row; none if it has no such row.
     pub left_seq: Option<u64>,
-    /// The same of the other's.
+    /// The same of the right replica.
     pub right_seq: Option<u64>,
-    /// Both copies should agree on it: neither lacks the write that set it.
+    /// Both replicas should agree on it: neither lacks the write that set it.
     pub wrong: bool,
 }
 
 impl Difference {
-    /// In words.
+    /// As it is printed.
     pub fn sentence(&self) -> String {
         let side = |seq: Option<u64>| seq.map_or("no row".to_owned(), |seq| format!("write {seq}"));
         let (left, right) = (side(self.left_seq), side(self.right_seq));
@@ -56,21 +57,18 @@
     }
 }
 
-/// Compares two copies.
+/// Compares two replicas.
 pub fn compare(left: &Replica, right: &Replica) -> Comparison {
-    let common_seq = common_seq(
-        (&left.history, left.stored_seq),
-        (&right.history, right.stored_seq),
-    );
+    let common_seq = common_seq(left.write_history(), right.write_history());
     let trimmed = left.trimmed.max(right.trimmed);
     let dropped_later =
         |row: Option<&Row>, replica: &Replica| row.is_none() && replica.trimmed > common_seq;
     let keys: BTreeSet<&Vec<u8>> = left.rows.keys().chain(right.rows.keys()).collect();
     let differences = keys.into_iter().filter_map(|key| {
-        let (ours, theirs) = (left.rows.get(key), right.rows.get(key));
-        let mut found = difference(key, ours, theirs, common_seq, trimmed)?;
-        found.wrong &= !dropped_later(ours, left) && !dropped_later(theirs, right);
-        Some(found)
+        let (left_row, right_row) = (left.rows.get(key), right.rows.get(key));
+        let mut difference = difference(key, left_row, right_row, common_seq, trimmed)?;
+        difference.wrong &= !dropped_later(left_row, left) && !dropped_later(right_row, right);
+        Some(difference)
     });
     Comparison {
         left: left.folder.clone(),
@@ -87,7 +85,7 @@
     common_seq: u64,
     trimmed: u64,
 ) -> Option<Difference> {
-    if left == right || (is_trace(left, trimmed) && is_trace(right, trimmed)) {
+    if left == right || (is_tombstone(left, trimmed) && is_tombstone(right, trimmed)) {
         return None;
     }
     let (left_seq, right_seq) = (left.map(|row| row.seq), right.map(|row| row.seq));
@@ -101,26 +99,7 @@
     })
 }
 
-/// Whether this is the trace of a deleted row, or none where it may have been dropped.
-fn is_trace(row: Option<&Row>, trimmed: u64) -> bool {
+/// Whether this is the tombstone of a deleted row, or none where it may have been dropped.
+fn is_tombstone(row: Option<&Row>, trimmed: u64) -> bool {
     row.is_none_or(|row| row.value.is_none() && row.seq <= trimmed)
 }
-
-/// Up to which sequence number two copies have taken the same writes: each by its views and its last write. Views share
-/// their writes up to where the first of two different successors took over.
-pub fn common_seq(left: (&[ViewStart], u64), right: (&[ViewStart], u64)) -> u64 {
-    let (left_history, left_end) = left;
-    let (right_history, right_end) = right;
-    let shared = left_history
-        .iter()
-        .rev()
-        .find(|start| right_history.contains(start));
-    let Some(shared) = shared else {
-        return 0;
-    };
-    let end = |history: &[ViewStart], last: u64| {
-        let next = history.iter().find(|start| start.view > shared.view);
-        next.map_or(last, |next| next.seq.min(last))
-    };
-    end(left_history, left_end).min(end(right_history, right_end))
-}
--- a/crates/ctl/src/replicas/replica.rs
+++ b/crates/ctl/src/replicas/replica.rs
@@ -1,5 +1,6 @@
-//! One member's database, read without a change to its folder.
+//! The replica in one member's database, read without a change to its folder.
 
+use super::history::WriteHistory;
 use indigofold_replication::{Row, Storage, StorageError, ViewStart};
 use serde::{Serialize, Serializer};
 use snafu::{ResultExt, Snafu, ensure};
@@ -8,10 +9,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Files of a database begin so.
+/// Name of the database file; its log and journal have a suffix to it.
 const DATABASE: &str = "control.sqlite";
 
-/// A copy that cannot be opened.
+/// A replica that cannot be opened.
 #[derive(Debug, Snafu)]
 pub enum ReplicaError {
     /// The folder holds no database.
@@ -56,7 +57,7 @@
     }
 }
 
-/// The content of one member's database.
+/// The replica in one member's database.
 #[derive(Debug, Serialize)]
 pub struct Replica {
     /// Its folder.
@@ -69,60 +70,65 @@
     pub stored_view: u64,
     /// Sequence number of its last write.
     pub stored_seq: u64,
-    /// Rows deleted up to here have left no trace.
+    /// Up to this sequence number the tombstones of deleted rows may have been dropped.
     pub trimmed: u64,
     /// The views that led to its state.
     #[serde(skip)]
     pub history: Vec<ViewStart>,
-    /// All rows, by key, with those deleted.
-    #[serde(serialize_with = "count")]
+    /// All rows by key, with the tombstones of those deleted. JSON has their number.
+    #[serde(serialize_with = "row_count")]
     pub rows: BTreeMap<Vec<u8>, Row>,
 }
 
-fn count<S: Serializer>(rows: &BTreeMap<Vec<u8>, Row>, serializer: S) -> Result<S::Ok, S::Error> {
+fn row_count<S: Serializer>(
+    rows: &BTreeMap<Vec<u8>, Row>,
+    serializer: S,
+) -> Result<S::Ok, S::Error> {
     serializer.serialize_u64(rows.len() as u64)
 }
 
 impl Replica {
-    /// Reads the database of a folder. It is copied first: to open one changes it.
+    /// Reads the database of a folder. Its files are cloned first: to open a database changes it.
     pub fn open(folder: &Path) -> Result<Replica, ReplicaError> {
         let scratch = tempfile::tempdir().context(FilesSnafu { folder })?;
-        let copied = clone_database_files(folder, scratch.path()).context(FilesSnafu { folder })?;
-        ensure!(copied, NoDatabaseSnafu { folder });
+        let found = clone_database_files(folder, scratch.path()).context(FilesSnafu { folder })?;
+        ensure!(found, NoDatabaseSnafu { folder });
         let opened = Storage::open(scratch.path()).context(StorageSnafu { folder })?;
-        if let Some(aside) = opened.quarantined {
-            return DamagedSnafu {
-                folder,
-                reason: aside.reason,
-            }
-            .fail();
+        if let Some(quarantined) = opened.quarantined {
+            let reason = quarantined.reason;
+            return DamagedSnafu { folder, reason }.fail();
         }
         let chunk = opened
             .storage
             .rows_since(0, usize::MAX)
             .context(StorageSnafu { folder })?;
         let durable = opened.durable;
+        let member = durable.as_ref().map(|durable| durable.member.internal);
+        let view = durable.as_ref().and_then(|durable| durable.view.as_ref());
+        let view = view.map(|view| view.number);
+        let rows = chunk.rows.into_iter().map(|row| (row.key.clone(), row));
         Ok(Replica {
             folder: folder.to_owned(),
-            member: durable.as_ref().map(|durable| durable.member.internal),
-            view: durable
-                .as_ref()
-                .and_then(|durable| durable.view.as_ref())
-                .map(|view| view.number),
+            member,
+            view,
             stored_view: chunk.viewstamp.view,
             stored_seq: chunk.viewstamp.seq,
             trimmed: durable.map_or(0, |durable| durable.trimmed),
             history: chunk.history,
-            rows: chunk
-                .rows
-                .into_iter()
-                .map(|row| (row.key.clone(), row))
-                .collect(),
+            rows: rows.collect(),
         })
     }
+
+    /// Which writes it has taken.
+    pub(super) fn write_history(&self) -> WriteHistory<'_> {
+        WriteHistory {
+            views: &self.history,
+            last_seq: self.stored_seq,
+        }
+    }
 }
 
-/// Copies the database's files; false if there is none.
+/// Clones the database's files; false if there are none.
 fn clone_database_files(from: &Path, to: &Path) -> io::Result<bool> {
     for suffix in ["", "-wal", "-journal"] {
         let name = format!("{DATABASE}{suffix}");
--- /dev/null
+++ b/crates/ctl/src/table.rs
@@ -0,0 +1,47 @@
+//! Tables in the printed reports.
+
+use std::fmt;
+
+/// Text between two columns.
+const COLUMN_SEPARATOR: &str = "  ";
+
+/// A table with a header row; its columns are aligned to the left when it is displayed.
+#[derive(Clone, Debug)]
+pub struct Table<const COLUMNS: usize> {
+    rows: Vec<[String; COLUMNS]>,
+}
+
+impl<const COLUMNS: usize> Table<COLUMNS> {
+    /// A table that has a header row only.
+    pub fn new(header: [&str; COLUMNS]) -> Self {
+        Table {
+            rows: vec![header.map(str::to_owned)],
+        }
+    }
+
+    /// Appends a row.
+    pub fn push(&mut self, row: [String; COLUMNS]) {
+        self.rows.push(row);
+    }
+
+    /// The width of a column, in characters.
+    fn width(&self, column: usize) -> usize {
+        let widths = self.rows.iter().map(|row| row[column].chars().count());
+        widths.max().unwrap_or(0)
+    }
+}
+
+impl<const COLUMNS: usize> fmt::Display for Table<COLUMNS> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let widths: [usize; COLUMNS] = std::array::from_fn(|column| self.width(column));
+        for row in &self.rows {
+            let cells = row
+                .iter()
+                .zip(&widths)
+                .map(|(cell, width)| format!("{cell:<width$}"));
+            let cells = cells.collect::<Vec<_>>().join(COLUMN_SEPARATOR);
+            writeln!(formatter, "{}", cells.trim_end())?;
+        }
+        Ok(())
+    }
+}
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -1,8 +1,8 @@
-//! Comparison of members' disks.
+//! Comparison of the replicas on members' disks.
 
 use indigofold_ctl::error::ToolError;
 use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
-use indigofold_ctl::replicas::{Replica, common_seq, compare, run};
+use indigofold_ctl::replicas::{Replica, WriteHistory, common_seq, compare, run};
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
     Batch, Durable, Member, RowChange, Storage, StoreOperation, StoreRequest, ViewStart, Viewstamp,
@@ -18,14 +18,33 @@
     }
 }
 
+/// A write of one row.
+#[derive(Clone, Copy)]
+struct Write {
+    seq: u64,
+    key: &'static str,
+    /// `None` deletes the row.
+    value: Option<&'static str>,
+}
+
+const fn put(seq: u64, key: &'static str, value: &'static str) -> Write {
+    let value = Some(value);
+    Write { seq, key, value }
+}
+
+const fn delete(seq: u64, key: &'static str) -> Write {
+    let value = None;
+    Write { seq, key, value }
+}
+
 /// A folder with a database of these writes, all of view 1.
-fn disk(writes: &[(u64, &str, Option<&str>)]) -> TempDir {
+fn disk(writes: &[Write]) -> TempDir {
     let folder = TempDir::new().expect("a folder");
-    let seq = writes.last().map_or(0, |write| write.0);
-    let operations = writes.iter().map(|(seq, key, value)| {
+    let seq = writes.last().map_or(0, |write| write.seq);
+    let operations = writes.iter().map(|write| {
         StoreOperation::Write(Arc::new(Batch {
-            seq: *seq,
-            changes: vec![change(key, *value)],
+            seq: write.seq,
+            changes: vec![change(write.key, write.value)],
         }))
     });
     let internal = ([10, 0, 0, 1], 7380).into();
@@ -49,10 +68,10 @@
     folder
 }
 
-const WRITES: [(u64, &str, Option<&str>); 3] =
-    [(1, "a", Some("1")), (2, "b", Some("2")), (3, "a", None)];
+const WRITES: [Write; 3] = [put(1, "a", "1"), put(2, "b", "2"), delete(3, "a")];
 
-fn codes(left: &TempDir, right: &TempDir) -> (u8, usize) {
+/// The exit code of a comparison, and how many rows differ.
+fn compared(left: &TempDir, right: &TempDir) -> (u8, usize) {
     let report = run(&[left.path().to_owned(), right.path().to_owned()]).expect("a report");
     let pairs = report.data["pairs"].as_array().expect("pairs");
     (
@@ -65,16 +84,16 @@
 }
 
 #[test]
-fn like_copies_do_not_differ_and_are_left_as_they_were() {
+fn equal_replicas_do_not_differ_and_stay_unchanged() {
     let (left, right) = (disk(&WRITES), disk(&WRITES));
     let files = |folder: &TempDir| {
         let mut all: Vec<(String, Vec<u8>)> = std::fs::read_dir(folder.path())
             .expect("a folder")
             .map(|entry| entry.expect("an entry"))
-            .map(|e| {
+            .map(|entry| {
                 (
-                    e.file_name().to_string_lossy().into_owned(),
-                    std::fs::read(e.path()).expect("bytes"),
+                    entry.file_name().to_string_lossy().into_owned(),
+                    std::fs::read(entry.path()).expect("bytes"),
                 )
             })
             .collect();
@@ -82,26 +101,27 @@
         all
     };
     let before = files(&left);
-    assert_eq!(codes(&left, &right), (EXIT_OK, 0));
+    assert_eq!(compared(&left, &right), (EXIT_OK, 0));
     assert_eq!(files(&left), before);
 }
 
 #[test]
-fn a_copy_that_lacks_the_newest_writes_is_behind() {
-    assert_eq!(codes(&disk(&WRITES), &disk(&WRITES[..2])), (EXIT_OK, 1));
+fn a_replica_without_the_newest_writes_is_behind_and_not_wrong() {
+    assert_eq!(compared(&disk(&WRITES), &disk(&WRITES[..2])), (EXIT_OK, 1));
 }
 
 #[test]
 fn a_row_that_differs_in_common_writes_is_wrong() {
-    let other = [(1, "a", Some("1")), (2, "b", Some("other")), (3, "a", None)];
-    assert_eq!(codes(&disk(&WRITES), &disk(&other)), (EXIT_FOUND, 1));
+    let other = [put(1, "a", "1"), put(2, "b", "other"), delete(3, "a")];
+    assert_eq!(compared(&disk(&WRITES), &disk(&other)), (EXIT_FOUND, 1));
 }
 
 #[test]
 fn a_row_that_is_missing_among_common_writes_is_wrong() {
-    let other = [(1, "a", Some("1")), (3, "a", None)];
+    let other = [put(1, "a", "1"), delete(3, "a")];
     let (left, right) = (disk(&WRITES), disk(&other));
-    let [left, right] = [&left, &right].map(|folder| Replica::open(folder.path()).expect("a copy"));
+    let [left, right] =
+        [&left, &right].map(|folder| Replica::open(folder.path()).expect("a replica"));
     let pair = compare(&left, &right);
     assert_eq!((pair.common_seq, pair.differences.len()), (3, 1));
     assert_eq!(
@@ -116,7 +136,7 @@
 
 #[rstest]
 #[case::same(&[(1, 0)], 7, &[(1, 0)], 5, 5)]
-#[case::left_took_over_earlier(&[(1, 0), (3, 4)], 9, &[(1, 0)], 6, 4)]
+#[case::left_has_an_earlier_successor(&[(1, 0), (3, 4)], 9, &[(1, 0)], 6, 4)]
 #[case::two_successors(&[(1, 0), (3, 4)], 9, &[(1, 0), (4, 6)], 8, 4)]
 #[case::later_view_shared(&[(3, 4)], 9, &[(1, 0), (3, 4)], 8, 8)]
 #[case::nothing_shared(&[(3, 4)], 9, &[(1, 0)], 8, 0)]
@@ -133,10 +153,16 @@
             .map(|&(view, seq)| ViewStart { view, seq })
             .collect()
     };
-    assert_eq!(
-        common_seq((&history(left), left_end), (&history(right), right_end)),
-        common
-    );
+    let (left, right) = (history(left), history(right));
+    let left = WriteHistory {
+        views: &left,
+        last_seq: left_end,
+    };
+    let right = WriteHistory {
+        views: &right,
+        last_seq: right_end,
+    };
+    assert_eq!(common_seq(left, right), common);
 }
 
 #[test]
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -1,4 +1,4 @@
-//! What `status` finds wrong, and how it tells.
+//! The report and the findings of `status`.
 
 use indigofold_ctl::status::{ClusterStatus, UnresponsiveMember, report};
 use indigofold_protocol::inspection::{
@@ -77,10 +77,10 @@
 }
 
 #[test]
-fn a_sound_cluster_is_told_with_its_work() {
+fn the_report_of_a_healthy_cluster_shows_its_work() {
     let report = report(&cluster());
     assert_eq!((report.exit_code(), report.findings.len()), (0, 0));
-    for part in [
+    for expected in [
         "voters:  core-1, core-2, core-3",
         "core-1 > core-2",
         "version 12",
@@ -88,8 +88,8 @@
         "2 companions",
     ] {
         assert!(
-            report.text.contains(part),
-            "`{part}` is missing: {}",
+            report.text.contains(expected),
+            "`{expected}` is missing: {}",
             report.text
         );
     }
@@ -103,15 +103,15 @@
     status.members[0].acting = false;
 }
 
-fn silent_voter(status: &mut ClusterStatus) {
+fn unresponsive_voter(status: &mut ClusterStatus) {
     status.members.remove(2);
     status.unresponsive.push(UnresponsiveMember {
         internal: internal(3),
-        reason: "cut".to_owned(),
+        reason: "timed out".to_owned(),
     });
 }
 
-fn left_out(status: &mut ClusterStatus) {
+fn voter_outside_the_chain(status: &mut ClusterStatus) {
     for member in &mut status.members {
         member.view.as_mut().expect("a view").chain.remove(1);
     }
@@ -121,11 +121,11 @@
     status.members[1].storage_failing = true;
 }
 
-fn cut_link(status: &mut ClusterStatus) {
+fn disconnected_peer(status: &mut ClusterStatus) {
     status.members[1].peers[1].connected = false;
 }
 
-fn unreadable(status: &mut ClusterStatus) {
+fn unreadable_rows(status: &mut ClusterStatus) {
     status.members[0]
         .work
         .as_mut()
@@ -135,14 +135,14 @@
 
 #[rstest]
 #[case(without_head, "no member acts as head")]
-#[case(silent_voter, "core-3 does not answer: cut")]
-#[case(left_out, "core-2 votes and is not in the chain")]
+#[case(unresponsive_voter, "core-3 does not answer: timed out")]
+#[case(voter_outside_the_chain, "core-2 votes and is not in the chain")]
 #[case(failing_disk, "the disk of core-2 refuses writes")]
-#[case(cut_link, "core-2 has no connection to core-3")]
-#[case(unreadable, "2 rows cannot be read")]
-fn what_is_wrong_is_found(#[case] harm: fn(&mut ClusterStatus), #[case] finding: &str) {
+#[case(disconnected_peer, "core-2 has no connection to core-3")]
+#[case(unreadable_rows, "2 rows cannot be read")]
+fn each_fault_is_a_finding(#[case] inject_fault: fn(&mut ClusterStatus), #[case] finding: &str) {
     let mut status = cluster();
-    harm(&mut status);
+    inject_fault(&mut status);
     let report = report(&status);
     assert_eq!(
         (report.exit_code(), report.findings.len()),
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_seed_that_is_no_voter_may_be_silent() {
+fn an_unresponsive_seed_that_is_no_voter_is_no_finding() {
     let mut status = cluster();
     status.unresponsive.push(UnresponsiveMember {
         internal: internal(9),
