--- a/crates/ctl/src/command_line.rs
+++ b/crates/ctl/src/command_line.rs
@@ -5,18 +5,19 @@
 use indigofold_protocol::task::{JobId, NameError};
 use pico_args::Arguments;
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
-use std::ffi::OsString;
+use std::convert::Infallible;
+use std::ffi::{OsStr, OsString};
 use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
 
-/// What the command line asks for.
+/// What the command line calls for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Print a text.
     Help(&'static str),
     /// Print the version.
     Version,
-    /// Carry a verb out.
+    /// Run a verb.
     Run {
         /// The verb.
         verb: Verb,
@@ -90,13 +91,13 @@
         /// Which.
         what: &'static str,
     },
-    /// The job's id is none.
+    /// The argument is no job id.
     #[snafu(display("{source}"))]
     Id {
         /// Why.
         source: NameError,
     },
-    /// An address is none.
+    /// An argument of `--at` is no address.
     #[snafu(display("--at: `{text}` is no address, IP:PORT is expected: {source}"))]
     Address {
         /// The text.
@@ -110,7 +111,7 @@
         /// The number.
         members: usize,
     },
-    /// There are arguments that mean nothing.
+    /// There are arguments that the verb does not take.
     #[snafu(display("`{}` is not understood; see --help", argument.to_string_lossy()))]
     Surplus {
         /// The first of them.
@@ -162,47 +163,49 @@
         "status" => Verb::Status {
             at: addresses(arguments)?,
         },
-        "job" => {
-            let at = addresses(arguments)?;
-            let id: String = arguments
-                .opt_free_from_str()
-                .context(ArgumentSnafu)?
-                .context(missing("ID"))?;
-            Verb::Job {
-                id: id.parse().context(IdSnafu)?,
-                at,
-            }
-        }
-        "check-config" => {
-            let current = arguments
-                .opt_value_from_os_str("--current", path)
-                .context(ArgumentSnafu)?;
-            Verb::CheckConfig {
-                file: file(arguments)?,
-                current,
-            }
-        }
+        "job" => job(arguments)?,
+        "check-config" => check_config(arguments)?,
         "check-settings" => Verb::CheckSettings {
-            file: file(arguments)?,
+            file: required_path(arguments, "FILE")?,
         },
         "check-deploy" => Verb::CheckDeploy {
-            file: file(arguments)?,
+            file: required_path(arguments, "FILE")?,
         },
-        "compare-copies" => {
-            let mut folders = vec![folder(arguments)?, folder(arguments)?];
-            while let Some(more) = arguments
-                .opt_free_from_os_str(path)
-                .context(ArgumentSnafu)?
-            {
-                folders.push(more);
-            }
-            Verb::CompareReplicas { folders }
-        }
+        "compare-copies" => compare_replicas(arguments)?,
         "quickstart" => Verb::Quickstart(quickstart(arguments)?),
         _ => return UnknownVerbSnafu { verb }.fail(),
     })
 }
 
+fn job(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
+    let at = addresses(arguments)?;
+    let id: String = arguments
+        .opt_free_from_str()
+        .context(ArgumentSnafu)?
+        .context(MissingSnafu { what: "ID" })?;
+    let id = id.parse().context(IdSnafu)?;
+    Ok(Verb::Job { id, at })
+}
+
+fn check_config(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
+    let current = arguments
+        .opt_value_from_os_str("--current", path)
+        .context(ArgumentSnafu)?;
+    let file = required_path(arguments, "FILE")?;
+    Ok(Verb::CheckConfig { file, current })
+}
+
+fn compare_replicas(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
+    let mut folders = vec![
+        required_path(arguments, "DIR")?,
+        required_path(arguments, "DIR")?,
+    ];
+    while let Some(folder) = optional_path(arguments)? {
+        folders.push(folder);
+    }
+    Ok(Verb::CompareReplicas { folders })
+}
+
 fn quickstart(arguments: &mut Arguments) -> Result<Options, CommandLineError> {
     let members = arguments
         .opt_value_from_str("--members")
@@ -221,30 +224,24 @@
 }
 
 fn addresses(arguments: &mut Arguments) -> Result<Vec<SocketAddr>, CommandLineError> {
-    let list: String = arguments.value_from_str("--at").context(ArgumentSnafu)?;
-    list.split(',')
+    let addresses: String = arguments.value_from_str("--at").context(ArgumentSnafu)?;
+    addresses
+        .split(',')
         .map(|text| text.trim().parse().context(AddressSnafu { text }))
         .collect()
 }
 
-fn file(arguments: &mut Arguments) -> Result<PathBuf, CommandLineError> {
-    arguments
-        .opt_free_from_os_str(path)
-        .context(ArgumentSnafu)?
-        .context(missing("FILE"))
-}
-
-fn folder(arguments: &mut Arguments) -> Result<PathBuf, CommandLineError> {
-    arguments
-        .opt_free_from_os_str(path)
-        .context(ArgumentSnafu)?
-        .context(missing("DIR"))
+fn required_path(
+    arguments: &mut Arguments,
+    what: &'static str,
+) -> Result<PathBuf, CommandLineError> {
+    optional_path(arguments)?.context(MissingSnafu { what })
 }
 
-fn missing(what: &'static str) -> MissingSnafu<&'static str> {
-    MissingSnafu { what }
+fn optional_path(arguments: &mut Arguments) -> Result<Option<PathBuf>, CommandLineError> {
+    arguments.opt_free_from_os_str(path).context(ArgumentSnafu)
 }
 
-fn path(text: &std::ffi::OsStr) -> Result<PathBuf, std::convert::Infallible> {
+fn path(text: &OsStr) -> Result<PathBuf, Infallible> {
     Ok(PathBuf::from(text))
 }
--- a/crates/ctl/src/help.rs
+++ b/crates/ctl/src/help.rs
@@ -12,7 +12,7 @@
   check-config    check an operator's configuration, or a patch of one
   check-settings  check a settings file (boot.toml)
   check-deploy    check the deploy file (system.toml)
-  compare-copies  tell which rows differ between the disks of core members
+  compare-copies  print which rows differ between the disks of core members
   quickstart      run a small cluster on this machine
 
 Options:
@@ -75,16 +75,16 @@
 
 /// For `compare-copies`.
 pub const COMPARE_REPLICAS: &str = "\
-Tells which rows differ between the disks of core members. The members must be
-stopped. The folders are only read: their databases are copied and opened there.
+Prints which rows differ between the disks of core members. The members must be
+stopped. The folders are only read: their databases are cloned and opened there.
 
 Usage: indigofold-ctl [--json] compare-copies DIR DIR..
 
   DIR  `data_dir` of a member
 
-A copy that lacks the newest writes is behind, which is not wrong. Wrong, exit
-code 1: rows that differ although both copies have taken the same writes, or a
-damaged database.
+A replica that lacks the newest writes is behind, which is not wrong. Wrong,
+exit code 1: rows that differ although both replicas have taken the same writes,
+or a damaged database.
 ";
 
 /// For `quickstart`.
