--- a/crates/ctl/src/command_line.rs
+++ b/crates/ctl/src/command_line.rs
@@ -215,7 +215,9 @@
     let folder = arguments
         .opt_value_from_os_str("--programs", path)
         .context(ArgumentSnafu)?;
-    let programs = folder.map_or_else(Programs::beside_this, |folder| Programs::in_folder(&folder));
+    let programs = folder.map_or_else(Programs::beside_this_program, |folder| {
+        Programs::in_folder(&folder)
+    });
     Ok(Options {
         members,
         once: arguments.contains("--once"),
--- a/crates/ctl/src/quickstart/programs.rs
+++ b/crates/ctl/src/quickstart/programs.rs
@@ -23,7 +23,7 @@
     }
 
     /// Those in the folder of this program.
-    pub fn beside_this() -> Programs {
+    pub fn beside_this_program() -> Programs {
         let this = std::env::current_exe().unwrap_or_default();
         Programs::in_folder(this.parent().unwrap_or(Path::new(".")))
     }
--- a/crates/ctl/src/quickstart/workload.rs
+++ b/crates/ctl/src/quickstart/workload.rs
@@ -10,6 +10,7 @@
 pub(super) const SERVICE: &str = "stand-in";
 /// Id of the first job.
 pub(super) const FIRST_JOB: &str = "00000000000000f1";
+
 /// The first configuration: one queue, one service.
 pub(super) fn configuration() -> Value {
     json!({
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -6,12 +6,12 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-fn arguments(line: &str) -> Vec<OsString> {
-    line.split_whitespace().map(OsString::from).collect()
+fn arguments(text: &str) -> Vec<OsString> {
+    text.split_whitespace().map(OsString::from).collect()
 }
 
-fn verb(line: &str) -> Verb {
-    match parse(arguments(line)) {
+fn verb(text: &str) -> Verb {
+    match parse(arguments(text)) {
         Ok(Command::Run { verb, json: false }) => verb,
         other => panic!("a verb is expected: {other:?}"),
     }
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn json_may_be_asked_for_anywhere() {
-    let prints_json = |line| matches!(parse(arguments(line)), Ok(Command::Run { json: true, .. }));
+fn the_json_option_is_accepted_at_any_position() {
+    let prints_json = |text| matches!(parse(arguments(text)), Ok(Command::Run { json: true, .. }));
     assert!(prints_json("--json check-deploy a") && prints_json("check-deploy a --json"));
 }
 
@@ -67,11 +67,11 @@
 #[case("check-deploy --help", "packages")]
 #[case("compare-copies --help", "DIR DIR")]
 #[case("quickstart --help", "--once")]
-fn each_verb_has_its_help(#[case] line: &str, #[case] part: &str) {
-    let Ok(Command::Help(text)) = parse(arguments(line)) else {
+fn each_verb_has_its_help(#[case] command: &str, #[case] expected: &str) {
+    let Ok(Command::Help(text)) = parse(arguments(command)) else {
         panic!("help is expected")
     };
-    assert!(text.contains(part), "{text}");
+    assert!(text.contains(expected), "{text}");
 }
 
 #[rstest]
@@ -86,7 +86,9 @@
 #[case("check-deploy a b", "`b` is not understood")]
 #[case("compare-copies a", "DIR is missing")]
 #[case("quickstart --members 2", "1 or 3")]
-fn mistakes_are_named(#[case] line: &str, #[case] part: &str) {
-    let error = parse(arguments(line)).expect_err("a mistake").to_string();
-    assert!(error.contains(part), "{error}");
+fn errors_name_the_wrong_argument(#[case] command: &str, #[case] expected: &str) {
+    let error = parse(arguments(command))
+        .expect_err("a mistake")
+        .to_string();
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -73,6 +73,7 @@
 /// The exit code of a comparison, and how many rows differ.
 fn compared(left: &TempDir, right: &TempDir) -> (u8, usize) {
     let report = run(&[left.path().to_owned(), right.path().to_owned()]).expect("a report");
+    assert_eq!(report.data["copies"].as_array().map(Vec::len), Some(2));
     let pairs = report.data["pairs"].as_array().expect("pairs");
     (
         report.exit_code(),
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -167,4 +167,5 @@
     let report = report(&status);
     assert_eq!(report.exit_code(), 0, "{:?}", report.findings);
     assert!(report.text.contains("no answer"));
+    assert_eq!(report.data["silent"][0]["reason"], "gone");
 }
