--- a/crates/control-plane/src/node/home.rs
+++ b/crates/control-plane/src/node/home.rs
@@ -119,7 +119,7 @@
                 }));
             }
             ReplicaOutput::Committed { write_id } => self.committed(clocks, write_id),
-            ReplicaOutput::Aborted { write_id } | ReplicaOutput::Refused { write_id } => {
+            ReplicaOutput::Aborted { write_id } | ReplicaOutput::Rejected { write_id } => {
                 self.write_lost(clocks, write_id);
             }
             ReplicaOutput::HeadGained { view } => self.head_gained(clocks, view),
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -31,18 +31,18 @@
     /// Would you support me as a candidate?
     PreVote {
         /// Number of this question; the answer carries it.
-        round: u64,
+        request_id: u64,
         /// State of the sender's rows.
         viewstamp: Viewstamp,
         /// Number of the view on the sender's disk, if the sender is its head; 0 otherwise.
-        headed: u64,
+        headed_view: u64,
     },
     /// Answer to [`Message::PreVote`].
     PreVoteReply {
         /// Number of the question.
-        round: u64,
+        request_id: u64,
         /// Whether the sender would promise now.
-        support: bool,
+        granted: bool,
         /// Highest number that it has promised.
         promised: u64,
         /// The view it accepted last.
@@ -55,7 +55,7 @@
         /// The number.
         number: u64,
         /// Number of the view on the sender's disk, if the sender is its head; 0 otherwise.
-        headed: u64,
+        headed_view: u64,
     },
     /// Answer to [`Message::Prepare`], on disk.
     PrepareOk {
@@ -68,7 +68,7 @@
         /// State of the sender's rows.
         viewstamp: Viewstamp,
         /// The sender is about to stop.
-        leaving: bool,
+        draining: bool,
     },
     /// The number of a [`Message::Prepare`], [`Message::Accept`] or [`Message::Heartbeat`] is too low, or the sender
     /// is bound to another head.
@@ -110,7 +110,7 @@
         /// Age of the sender's oldest store that is not done, in milliseconds.
         store_age_ms: u64,
         /// The sender is about to stop.
-        leaving: bool,
+        draining: bool,
         /// The sender's addresses.
         address: MemberAddress,
     },
@@ -120,7 +120,7 @@
         number: u64,
     },
     /// Stand as a candidate at once.
-    Stand {
+    CampaignNow {
         /// Number of the view that ends.
         number: u64,
     },
@@ -139,14 +139,14 @@
         viewstamp: Viewstamp,
     },
     /// The sender has received writes only up to here, and then a later one.
-    Behind {
+    WriteGap {
         /// What it has.
         viewstamp: Viewstamp,
     },
     /// Send me the rows that I lack.
     Fetch {
         /// Number of the transfer; the answers carry it.
-        round: u64,
+        request_id: u64,
         /// State that the sender has.
         viewstamp: Viewstamp,
         /// Continue after this sequence number, in a transfer that has begun.
@@ -155,7 +155,7 @@
     /// Answer to [`Message::Fetch`].
     Rows {
         /// Number of the transfer.
-        round: u64,
+        request_id: u64,
         /// These are rows after this sequence number.
         after: u64,
         /// The receiver has to drop all rows it has first.
--- a/crates/replication/src/replica/address_book.rs
+++ b/crates/replication/src/replica/address_book.rs
@@ -2,7 +2,7 @@
 
 use super::Replica;
 use crate::message::Message;
-use crate::timing::{ADDRESSES_MAX, ANNOUNCE_MS};
+use crate::timing::{ADDRESSES_MAX, ANNOUNCE_INTERVAL_MS};
 use crate::types::Member;
 use indigofold_protocol::internal::MemberAddress;
 use std::collections::BTreeSet;
@@ -57,7 +57,7 @@
             .lease
             .as_ref()
             .filter(|lease| now_ms < lease.until_ms)?;
-        self.address_of(lease.holder)
+        self.address_of(lease.head)
     }
 
     fn address_of(&self, member: Member) -> Option<MemberAddress> {
@@ -83,7 +83,7 @@
             self.forget_surplus_address();
         }
         if self.durable.view.is_some() {
-            self.stores.want();
+            self.stores.request_store();
         }
     }
 
@@ -113,7 +113,7 @@
         if self.leadership.is_some() || self.now_ms < self.announce_at_ms {
             return;
         }
-        self.announce_at_ms = self.now_ms + ANNOUNCE_MS;
+        self.announce_at_ms = self.now_ms + ANNOUNCE_INTERVAL_MS;
         for peer in self.peers() {
             self.send(
                 peer,
--- a/crates/replication/src/replica/campaign.rs
+++ b/crates/replication/src/replica/campaign.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Whether a majority would support it.
-    PreVote { round: u64 },
+    PreVote { request_id: u64 },
     /// A majority's promises.
     Prepare,
     /// The newest state among those that have promised.
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Promised {
     pub viewstamp: Viewstamp,
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// A change that a head wants to make to its view.
@@ -41,10 +41,10 @@
     /// Highest number that anybody has promised.
     pub promised: u64,
     /// Voters asked in this phase.
-    pub asked: BTreeSet<Member>,
+    pub requested: BTreeSet<Member>,
     /// Voters that have agreed in this phase.
     pub agreed: BTreeSet<Member>,
-    pub refused: BTreeSet<Member>,
+    pub rejected: BTreeSet<Member>,
     pub promises: BTreeMap<Member, Promised>,
     /// When there was a majority of promises.
     pub majority_ms: Option<u64>,
@@ -83,26 +83,26 @@
     /// So many have refused that no majority can come together.
     pub fn is_hopeless(&self) -> bool {
         self.electorates().into_iter().any(|electorate| {
-            let refused = electorate
+            let rejected = electorate
                 .iter()
-                .filter(|m| self.refused.contains(m))
+                .filter(|m| self.rejected.contains(m))
                 .count();
-            electorate.len() - refused < majority(electorate.len())
+            electorate.len() - rejected < majority(electorate.len())
         })
     }
 
     /// The newest state promised, and a voter that has it, `own` before others.
     pub fn newest(&self, own: Member) -> Option<(Member, Viewstamp)> {
         let newest = self.promises.values().map(|p| p.viewstamp).max()?;
-        let holds = |member: &Member| {
+        let has_newest = |member: &Member| {
             self.promises
                 .get(member)
                 .is_some_and(|p| p.viewstamp == newest)
         };
-        let holder = Some(own)
-            .filter(|m| holds(m))
-            .or_else(|| self.promises.keys().copied().find(|m| holds(m)));
-        holder.map(|member| (member, newest))
+        let source = Some(own)
+            .filter(|m| has_newest(m))
+            .or_else(|| self.promises.keys().copied().find(|m| has_newest(m)));
+        source.map(|member| (member, newest))
     }
 }
 
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -10,17 +10,21 @@
 
 impl Replica {
     pub(super) fn on_submit(&mut self, write_id: u64, changes: Vec<RowChange>) {
-        let refused = self.is_leaving() || self.stores.is_failing();
+        let rejected = self.is_draining() || self.stores.is_failing();
         let bytes: usize = changes
             .iter()
             .map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len))
             .sum();
-        match self.leadership.as_mut().filter(|t| t.is_gained && !refused) {
+        match self
+            .leadership
+            .as_mut()
+            .filter(|t| t.is_gained && !rejected)
+        {
             Some(leadership) if leadership.pending_bytes + bytes <= PENDING_BYTES_MAX => {
                 leadership.pending_bytes += bytes;
                 leadership.pending.push_back(Pending { write_id, changes });
             }
-            _ => self.outputs.push(Output::Refused { write_id }),
+            _ => self.outputs.push(Output::Rejected { write_id }),
         }
     }
 
@@ -54,7 +58,7 @@
             sent_ms: self.now_ms,
         });
         self.stores.add(StoreOperation::Write(Arc::clone(&batch)));
-        self.stores.want();
+        self.stores.request_store();
         self.send_batch(&batch);
     }
 
@@ -94,7 +98,7 @@
         }
         let next = self.durable.viewstamp.seq + 1;
         if batches.first().is_some_and(|batch| batch.seq > next) {
-            self.send_to_head(Message::Behind {
+            self.send_to_head(Message::WriteGap {
                 viewstamp: self.durable.viewstamp,
             });
             return;
@@ -111,9 +115,9 @@
         for batch in &new {
             self.stores.add(StoreOperation::Write(Arc::clone(batch)));
         }
-        self.stores.want();
+        self.stores.request_store();
         if relay {
-            self.pass_on(number, new);
+            self.relay_batches(number, new);
         }
     }
 
@@ -129,7 +133,7 @@
             && view.chain.contains(&self.durable.member)
     }
 
-    fn pass_on(&mut self, number: u64, batches: Vec<Arc<Batch>>) {
+    fn relay_batches(&mut self, number: u64, batches: Vec<Arc<Batch>>) {
         let Some(view) = &self.durable.view else {
             return;
         };
@@ -182,7 +186,7 @@
         if viewstamp > newest {
             return;
         }
-        peer.heard_ms = now_ms;
+        peer.last_received_ms = now_ms;
         peer.health.viewstamp = peer.health.viewstamp.max(viewstamp);
         self.count_stored();
     }
@@ -206,7 +210,7 @@
         if newly_installed {
             self.establish_view();
         }
-        self.tell_installed();
+        self.report_installed();
     }
 
     /// The whole chain has the view's first state: its voters decide alone from now on, and are told so.
@@ -226,7 +230,7 @@
             .filter(|view| view.number == leadership.view.number)
         {
             view.clone_from(&leadership.view);
-            self.stores.want();
+            self.stores.request_store();
         }
         if self.campaign.is_none() {
             self.send_heartbeats();
@@ -234,13 +238,13 @@
     }
 
     /// Tells the driver of a view that the whole chain has taken over; of the first one once the lease holds.
-    fn tell_installed(&mut self) {
+    fn report_installed(&mut self) {
         let own = self.durable.member;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         let view = leadership.view.number;
-        if leadership.told_view == view
+        if leadership.reported_view == view
             || (!leadership.is_gained && leadership.lease_until_ms(own) <= self.now_ms)
         {
             return;
@@ -251,11 +255,11 @@
             Output::HeadGained { view }
         };
         leadership.is_gained = true;
-        leadership.told_view = view;
+        leadership.reported_view = view;
         self.outputs.push(output);
     }
 
-    pub(super) fn on_behind(&mut self, from: Member, viewstamp: Viewstamp) {
+    pub(super) fn on_write_gap(&mut self, from: Member, viewstamp: Viewstamp) {
         let Some(leadership) = &self.leadership else {
             return;
         };
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -4,8 +4,8 @@
 use super::{AfterStore, Replica};
 use crate::message::Message;
 use crate::timing::{
-    BACKOFF_MS, BACKOFF_SPREAD_MS, CANVASS_MS, MORE_PROMISES_MS, PHASE_MS, REFUSED_WAIT_MS,
-    RESUME_CANVASS_MS, RESUME_STAND_MS,
+    BACKOFF_MS, BACKOFF_SPREAD_MS, MORE_PREPARE_OKS_MS, PHASE_MS, PRE_VOTE_MS, REJECTED_WAIT_MS,
+    RESUME_CAMPAIGN_MS, RESUME_PRE_VOTE_MS,
 };
 use crate::types::{Member, View, Viewstamp, majority};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,10 +17,12 @@
                 let more = campaign
                     .majority_ms
                     .filter(|_| campaign.phase == Phase::Prepare);
-                let more_due = more.map_or(u64::MAX, |at| at + MORE_PROMISES_MS);
+                let more_due = more.map_or(u64::MAX, |at| at + MORE_PREPARE_OKS_MS);
                 Some(campaign.deadline_ms.min(more_due))
             }
-            None => (self.leadership.is_none() && self.may_stand()).then_some(self.stand_at_ms),
+            None => {
+                (self.leadership.is_none() && self.may_campaign()).then_some(self.campaign_at_ms)
+            }
         }
     }
 
@@ -30,79 +32,75 @@
             .as_ref()
             .is_some_and(|c| self.now_ms >= c.deadline_ms)
         {
-            self.fail_candidacy();
+            self.fail_campaign();
         }
-        self.decide_promises();
-        let due =
-            self.campaign.is_none() && self.leadership.is_none() && self.now_ms >= self.stand_at_ms;
-        if due && self.may_stand() {
-            self.start_candidacy();
+        self.decide_prepare();
+        let due = self.campaign.is_none()
+            && self.leadership.is_none()
+            && self.now_ms >= self.campaign_at_ms;
+        if due && self.may_campaign() {
+            self.start_campaign();
         }
     }
 
-    fn may_stand(&self) -> bool {
+    fn may_campaign(&self) -> bool {
         let Some(view) = &self.durable.view else {
             return false;
         };
         let own = &self.durable.member;
         let votes = view.voters.contains(own)
             || (!self.durable.agreed && view.previous_voters.contains(own));
-        votes && !self.is_leaving()
+        votes && !self.is_draining()
     }
 
     /// Gives up being a candidate; stands again after a random time.
-    pub(super) fn fail_candidacy(&mut self) {
+    pub(super) fn fail_campaign(&mut self) {
         self.campaign = None;
-        if matches!(&self.pull, Some(pull) if pull.is_for_candidate()) {
-            self.pull = None;
+        if matches!(&self.transfer, Some(transfer) if transfer.is_for_candidate()) {
+            self.transfer = None;
         }
-        self.stand_at_ms = match self.resumes() {
-            true => self.now_ms + RESUME_STAND_MS,
+        self.campaign_at_ms = match self.is_resuming() {
+            true => self.now_ms + RESUME_CAMPAIGN_MS,
             false => self.now_ms + BACKOFF_MS + self.random_below(BACKOFF_SPREAD_MS),
         };
         self.delay_reconfiguration();
     }
 
     /// Asks whether a majority would support this member; nothing is promised yet.
-    pub(super) fn start_candidacy(&mut self) {
+    pub(super) fn start_campaign(&mut self) {
         let own = self.durable.member;
-        if self.is_bound_against(own, self.headed()) {
-            self.stand_at_ms =
+        if self.is_bound_against(own, self.headed_view()) {
+            self.campaign_at_ms =
                 self.bound_until_ms() + BACKOFF_MS + self.random_below(BACKOFF_SPREAD_MS);
             return;
         }
-        self.last_round += 1;
+        self.last_request_id += 1;
         let phase = Phase::PreVote {
-            round: self.last_round,
+            request_id: self.last_request_id,
         };
         let deadline_ms = self.now_ms
-            + if self.resumes() {
-                RESUME_CANVASS_MS
+            + if self.is_resuming() {
+                RESUME_PRE_VOTE_MS
             } else {
-                CANVASS_MS
+                PRE_VOTE_MS
             };
-        let Some(campaign) = self.new_candidacy(phase, deadline_ms, None) else {
+        let Some(campaign) = self.new_campaign(phase, deadline_ms, None) else {
             return;
         };
         self.campaign = Some(campaign);
-        self.ask_voters();
-        self.count_canvass(own);
+        self.request_votes();
+        self.count_pre_vote(own);
     }
 
-    fn new_candidacy(
-        &self,
-        phase: Phase,
-        deadline_ms: u64,
-        plan: Option<Plan>,
-    ) -> Option<Campaign> {
+    fn new_campaign(&self, phase: Phase, deadline_ms: u64, plan: Option<Plan>) -> Option<Campaign> {
         Some(Campaign {
             phase,
             number: 0,
             known: self.durable.view.clone()?,
             promised: self.durable.promised,
-            asked: BTreeSet::from([self.durable.member]),
+            requested: BTreeSet::from([self.durable.member]),
             agreed: BTreeSet::new(),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             promises: BTreeMap::new(),
             majority_ms: None,
             deadline_ms,
@@ -111,65 +109,65 @@
     }
 
     /// Sends this phase's question to all voters that have not had it yet.
-    fn ask_voters(&mut self) {
-        let headed = self.headed();
+    fn request_votes(&mut self) {
+        let headed_view = self.headed_view();
         let Some(campaign) = &mut self.campaign else {
             return;
         };
         let message = match campaign.phase {
-            Phase::PreVote { round } => Message::PreVote {
-                round,
+            Phase::PreVote { request_id } => Message::PreVote {
+                request_id,
                 viewstamp: self.durable.viewstamp,
-                headed,
+                headed_view,
             },
             Phase::Prepare => Message::Prepare {
                 number: campaign.number,
-                headed,
+                headed_view,
             },
             Phase::Fetch | Phase::Propose { .. } => return,
         };
         let new: Vec<Member> = campaign
             .voters()
-            .difference(&campaign.asked)
+            .difference(&campaign.requested)
             .copied()
             .collect();
-        campaign.asked.extend(&new);
+        campaign.requested.extend(&new);
         for voter in new {
             self.send(voter.internal, message.clone());
         }
     }
 
-    pub(super) fn on_canvass_reply(
+    pub(super) fn on_pre_vote_reply(
         &mut self,
         from: Member,
-        round: u64,
-        support: bool,
+        request_id: u64,
+        granted: bool,
         promised: u64,
         view: Option<View>,
     ) {
         let Some(campaign) = &mut self.campaign else {
             return;
         };
-        if campaign.phase != (Phase::PreVote { round }) {
+        if campaign.phase != (Phase::PreVote { request_id }) {
             return;
         }
         campaign.promised = campaign.promised.max(promised);
         if let Some(view) = view {
             campaign.learn(view);
         }
-        if support {
-            self.count_canvass(from);
+        if granted {
+            self.count_pre_vote(from);
         } else {
-            campaign.refused.insert(from);
+            campaign.rejected.insert(from);
             if campaign.is_hopeless() {
-                self.fail_candidacy();
+                self.fail_campaign();
                 return;
             }
         }
-        self.ask_voters();
+        self.request_votes();
     }
 
-    fn count_canvass(&mut self, from: Member) {
+    fn count_pre_vote(&mut self, from: Member) {
         let Some(campaign) = &mut self.campaign else {
             return;
         };
@@ -182,27 +180,28 @@
         if known.voters.contains(&self.durable.member) {
             self.prepare(number, Some(known), None);
         } else {
-            self.fail_candidacy();
+            self.fail_campaign();
         }
     }
 
     /// Asks for promises; `plan` is what a head wants to change.
     pub(super) fn prepare(&mut self, number: u64, known: Option<View>, plan: Option<Plan>) {
         let deadline_ms = self.now_ms + PHASE_MS;
-        let Some(mut campaign) = self.new_candidacy(Phase::Prepare, deadline_ms, plan) else {
+        let Some(mut campaign) = self.new_campaign(Phase::Prepare, deadline_ms, plan) else {
             return;
         };
         campaign.number = number;
         campaign.known = known.unwrap_or(campaign.known);
         self.campaign = Some(campaign);
-        self.pull = None;
+        self.transfer = None;
         self.durable.promised = number;
-        self.stores.want_then(AfterStore::OwnPromise { number });
-        self.ask_voters();
+        self.stores
+            .request_store_then(AfterStore::OwnPrepareOk { number });
+        self.request_votes();
     }
 
-    pub(super) fn on_own_promise(&mut self, number: u64) {
-        self.on_promise(
+    pub(super) fn on_own_prepare_ok(&mut self, number: u64) {
+        self.on_prepare_ok(
             self.durable.member,
             number,
             self.durable.view.clone(),
@@ -211,13 +210,13 @@
         );
     }
 
-    pub(super) fn on_promise(
+    pub(super) fn on_prepare_ok(
         &mut self,
         from: Member,
         number: u64,
         view: Option<View>,
         viewstamp: Viewstamp,
-        leaving: bool,
+        draining: bool,
     ) {
         let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
             return;
@@ -229,15 +228,19 @@
             campaign.learn(view);
         }
         campaign.agreed.insert(from);
-        campaign
-            .promises
-            .insert(from, Promised { viewstamp, leaving });
-        self.ask_voters();
-        self.decide_promises();
+        campaign.promises.insert(
+            from,
+            Promised {
+                viewstamp,
+                draining,
+            },
+        );
+        self.request_votes();
+        self.decide_prepare();
     }
 
     /// Goes on once there is a majority of promises, and all others have come or take too long.
-    fn decide_promises(&mut self) {
+    fn decide_prepare(&mut self) {
         let own = self.durable.member;
         let Some(campaign) = self.campaign.as_mut().filter(|c| c.phase == Phase::Prepare) else {
             return;
@@ -247,25 +250,25 @@
             return;
         }
         let since = *campaign.majority_ms.get_or_insert(self.now_ms);
-        let answered = campaign.agreed.len() + campaign.refused.len();
-        if answered < campaign.asked.len() && self.now_ms < since + MORE_PROMISES_MS {
+        let answered = campaign.agreed.len() + campaign.rejected.len();
+        if answered < campaign.requested.len() && self.now_ms < since + MORE_PREPARE_OKS_MS {
             return;
         }
-        let Some((holder, newest)) = campaign.newest(own) else {
+        let Some((source, newest)) = campaign.newest(own) else {
             return;
         };
         let number = campaign.number;
-        if holder == own {
+        if source == own {
             self.propose(newest);
         } else {
             campaign.phase = Phase::Fetch;
             campaign.deadline_ms = self.now_ms + PHASE_MS;
-            self.abdicate();
-            self.pull_as_candidate(holder, number, newest);
+            self.end_leadership();
+            self.transfer_to_candidate(source, number, newest);
         }
     }
 
-    pub(super) fn on_fetched(&mut self, number: u64) {
+    pub(super) fn on_transfer_stored(&mut self, number: u64) {
         let fetched = self
             .campaign
             .as_ref()
@@ -279,7 +282,7 @@
     fn propose(&mut self, base: Viewstamp) {
         let own = self.durable.member;
         let Some(view) = self.campaign.as_ref().and_then(|c| self.next_view(c, base)) else {
-            self.fail_candidacy();
+            self.fail_campaign();
             return;
         };
         let Some(campaign) = &mut self.campaign else {
@@ -288,7 +291,7 @@
         campaign.phase = Phase::Propose { view: view.clone() };
         campaign.deadline_ms = self.now_ms + PHASE_MS;
         campaign.agreed.clear();
-        campaign.refused.clear();
+        campaign.rejected.clear();
         let number = view.number;
         let all: BTreeSet<Member> = view
             .voters
@@ -298,7 +301,8 @@
             .collect();
         self.durable.view = Some(view.clone());
         self.durable.agreed = false;
-        self.stores.want_then(AfterStore::OwnAccepted { number });
+        self.stores
+            .request_store_then(AfterStore::OwnAccepted { number });
         for member in all.into_iter().filter(|&member| member != own) {
             self.send(member.internal, Message::Accept { view: view.clone() });
         }
@@ -347,27 +351,27 @@
         };
         campaign.agreed.insert(from);
         let own = campaign.agreed.contains(&self.durable.member);
-        let holds = is_majority(&view.voters, &campaign.agreed)
+        let is_accepted = is_majority(&view.voters, &campaign.agreed)
             && is_majority(&view.previous_voters, &campaign.agreed);
-        if own && holds {
+        if own && is_accepted {
             let view = view.clone();
             self.campaign = None;
             self.lead(view);
         }
     }
 
-    pub(super) fn on_refuse(&mut self, from: Member, number: u64, promised: u64) {
-        self.note_refusal(from, number, promised);
+    pub(super) fn on_prepare_reject(&mut self, from: Member, number: u64, promised: u64) {
+        self.on_heartbeat_rejected(from, number, promised);
         let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
             return;
         };
         campaign.promised = campaign.promised.max(promised);
-        campaign.refused.insert(from);
+        campaign.rejected.insert(from);
         if promised >= number {
-            campaign.deadline_ms = campaign.deadline_ms.min(self.now_ms + REFUSED_WAIT_MS);
+            campaign.deadline_ms = campaign.deadline_ms.min(self.now_ms + REJECTED_WAIT_MS);
         }
         if campaign.is_hopeless() {
-            self.fail_candidacy();
+            self.fail_campaign();
         }
     }
 }
@@ -385,7 +389,7 @@
     voters: &[Member],
     campaign: &Campaign,
     base: Viewstamp,
-    least: usize,
+    chain_min: usize,
 ) -> Vec<Member> {
     let mut others: Vec<(Member, Promised)> = campaign
         .promises
@@ -395,15 +399,15 @@
         .collect();
     others.sort_by_key(|(member, promised)| {
         (
-            promised.leaving,
+            promised.draining,
             std::cmp::Reverse(promised.viewstamp),
             *member,
         )
     });
     let mut chain = vec![own];
     for (member, promised) in others {
-        let fit = promised.viewstamp.view == base.view && !promised.leaving;
-        if fit || chain.len() < least {
+        let fit = promised.viewstamp.view == base.view && !promised.draining;
+        if fit || chain.len() < chain_min {
             chain.push(member);
         }
     }
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -4,8 +4,8 @@
 use super::{Output, Replica};
 use crate::message::Message;
 use crate::timing::{
-    BACKOFF_SPREAD_MS, FORGET_NEWCOMER_MS, HEARTBEAT_MS, HISTORY_MAX, LEASE_MS, LEAVE_WAIT_MS,
-    RESIGNED_QUIET_MS, SLOW_HEAD_MS, SLOW_MEMBER_MS, TENURE_MIN_MS,
+    BACKOFF_SPREAD_MS, DRAIN_WAIT_MS, FORGET_NEWCOMER_MS, HEARTBEAT_INTERVAL_MS, HISTORY_MAX,
+    LEADERSHIP_MIN_MS, LEASE_MS, RESIGNED_DEFER_MS, SLOW_HEAD_MS, SLOW_MEMBER_MS,
 };
 use crate::types::{Member, View, ViewStart, Viewstamp};
 use std::net::SocketAddr;
@@ -57,7 +57,7 @@
         if history.len() > HISTORY_MAX {
             history.drain(..history.len() - HISTORY_MAX);
         }
-        self.stores.want();
+        self.stores.request_store();
     }
 
     fn add_peers(&mut self) {
@@ -79,8 +79,8 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership.heartbeat_ms = self.now_ms + HEARTBEAT_MS;
-        for internal in leadership.audience(own) {
+        leadership.heartbeat_ms = self.now_ms + HEARTBEAT_INTERVAL_MS;
+        for internal in leadership.heartbeat_recipients(own) {
             self.send_heartbeat(internal);
         }
     }
@@ -113,7 +113,7 @@
             .entry(from)
             .or_insert_with(|| Peer::new(now_ms));
         peer.granted_ms = peer.granted_ms.max(Some(sent_ms));
-        peer.heard_ms = now_ms;
+        peer.last_received_ms = now_ms;
         peer.health = Health {
             viewstamp: peer.health.viewstamp.max(health.viewstamp),
             ..health
@@ -137,8 +137,8 @@
     }
 
     /// A member has refused a heartbeat, since it has promised a higher number.
-    pub(super) fn note_refusal(&mut self, from: Member, number: u64, promised: u64) {
-        let lease_holds = self.may_act(self.now_ms);
+    pub(super) fn on_heartbeat_rejected(&mut self, from: Member, number: u64, promised: u64) {
+        let has_lease = self.may_act(self.now_ms);
         let Some(leadership) = self.leadership.as_mut().filter(|t| t.view.number == number) else {
             return;
         };
@@ -146,17 +146,17 @@
             return;
         }
         if let Some(peer) = leadership.peers.get_mut(&from) {
-            peer.beyond = true;
-            peer.heard_ms = self.now_ms;
+            peer.has_promised_later = true;
+            peer.last_received_ms = self.now_ms;
         }
-        if lease_holds {
+        if has_lease {
             self.number_floor = self.number_floor.max(promised);
         } else if leadership.view_since_ms + LEASE_MS < self.now_ms {
-            self.abdicate();
+            self.end_leadership();
         }
     }
 
-    pub(super) fn tenure_due_ms(&self) -> Option<u64> {
+    pub(super) fn leadership_due_ms(&self) -> Option<u64> {
         let leadership = self.leadership.as_ref()?;
         let heartbeat = if self.campaign.is_some() {
             u64::MAX
@@ -168,13 +168,13 @@
             .front()
             .map_or(u64::MAX, |o| o.sent_ms + SLOW_MEMBER_MS);
         let leave = self
-            .leaving_since_ms
-            .map_or(u64::MAX, |since| since + LEAVE_WAIT_MS);
+            .draining_since_ms
+            .map_or(u64::MAX, |since| since + DRAIN_WAIT_MS);
         let ahead = [slow, leave].into_iter().filter(|&due| due > self.now_ms);
         ahead.chain([heartbeat]).min()
     }
 
-    pub(super) fn run_tenure(&mut self) {
+    pub(super) fn run_leadership(&mut self) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
@@ -185,20 +185,20 @@
                 .saturating_add(LEASE_MS)
         {
             self.withdraw();
-            self.stand_at_ms = self.now_ms + LEASE_MS + self.random_below(BACKOFF_SPREAD_MS);
+            self.campaign_at_ms = self.now_ms + LEASE_MS + self.random_below(BACKOFF_SPREAD_MS);
             return;
         }
         // Before heartbeats: one that came after the role was handed over would bind its receiver to this head again.
-        self.leave_when_done();
-        self.hand_over_if_slow();
+        self.drain();
+        self.transfer_leadership_if_slow();
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         if self.campaign.is_none() && self.now_ms >= leadership.heartbeat_ms {
             let (voters, now_ms) = (leadership.view.voters.clone(), self.now_ms);
-            leadership
-                .peers
-                .retain(|m, p| voters.contains(m) || p.silent_ms(now_ms) < FORGET_NEWCOMER_MS);
+            leadership.peers.retain(|m, p| {
+                voters.contains(m) || p.since_received_ms(now_ms) < FORGET_NEWCOMER_MS
+            });
             self.send_heartbeats();
             self.resend_lacking();
         }
@@ -206,7 +206,7 @@
     }
 
     /// The head's role ends here. What was submitted and is not on all disks has an unknown fate.
-    pub(super) fn abdicate(&mut self) {
+    pub(super) fn end_leadership(&mut self) {
         let Some(leadership) = self.leadership.take() else {
             return;
         };
@@ -214,7 +214,7 @@
             self.outputs.push(Output::Aborted { write_id });
         }
         for pending in leadership.pending {
-            self.outputs.push(Output::Refused {
+            self.outputs.push(Output::Rejected {
                 write_id: pending.write_id,
             });
         }
@@ -224,50 +224,50 @@
     }
 
     pub(super) fn on_step_down(&mut self) {
-        if self.is_leaving() {
+        if self.is_draining() {
             return;
         }
-        self.leaving_since_ms = Some(self.now_ms);
+        self.draining_since_ms = Some(self.now_ms);
         if self.leadership.is_none() {
             self.campaign = None;
             self.send_grant();
         }
     }
 
-    fn leave_when_done(&mut self) {
-        let Some(since) = self.leaving_since_ms else {
+    fn drain(&mut self) {
+        let Some(since) = self.draining_since_ms else {
             return;
         };
         let Some(leadership) = &self.leadership else {
             return;
         };
         let done = leadership.outstanding.is_empty() && leadership.pending.is_empty();
-        if done || self.now_ms >= since + LEAVE_WAIT_MS {
-            self.hand_over();
+        if done || self.now_ms >= since + DRAIN_WAIT_MS {
+            self.transfer_leadership();
         }
     }
 
     /// A head whose own disk hangs lets another member lead.
-    fn hand_over_if_slow(&mut self) {
+    fn transfer_leadership_if_slow(&mut self) {
         let Some(leadership) = &self.leadership else {
             return;
         };
         let is_slow = self.stores.age_ms(self.now_ms) >= SLOW_HEAD_MS;
-        if is_slow && self.now_ms >= leadership.since_ms + TENURE_MIN_MS {
-            self.hand_over();
+        if is_slow && self.now_ms >= leadership.since_ms + LEADERSHIP_MIN_MS {
+            self.transfer_leadership();
         }
     }
 
     /// Gives the lease back and lets the member with the newest state stand.
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let Some(leadership) = &self.leadership else {
             return;
         };
         let (own, now_ms) = (self.durable.member, self.now_ms);
         let oldest = leadership.outstanding.front().map_or(0, |o| o.batch.seq);
         let is_fit = |peer: &Peer| {
-            peer.silent_ms(now_ms) < 2 * HEARTBEAT_MS
-                && !peer.health.leaving
+            peer.since_received_ms(now_ms) < 2 * HEARTBEAT_INTERVAL_MS
+                && !peer.health.draining
                 && peer.health.store_age_ms < SLOW_HEAD_MS / 2
                 && peer.health.viewstamp.seq >= oldest
         };
@@ -281,15 +281,16 @@
         let Some(successor) = fit.max_by_key(|&member| leadership.viewstamp_of(member, own)) else {
             return;
         };
-        let (number, audience) = (leadership.view.number, leadership.audience(own));
+        let (number, heartbeat_recipients) =
+            (leadership.view.number, leadership.heartbeat_recipients(own));
         self.withdraw();
-        for internal in audience
+        for internal in heartbeat_recipients
             .into_iter()
             .filter(|&internal| internal != successor.internal)
         {
             self.send(internal, Message::Release { number });
         }
-        self.send(successor.internal, Message::Stand { number });
-        self.stand_at_ms = self.now_ms + RESIGNED_QUIET_MS;
+        self.send(successor.internal, Message::CampaignNow { number });
+        self.campaign_at_ms = self.now_ms + RESIGNED_DEFER_MS;
     }
 }
--- a/crates/replication/src/replica/io.rs
+++ b/crates/replication/src/replica/io.rs
@@ -104,7 +104,7 @@
         write_id: u64,
     },
     /// The write has not been made and never will be.
-    Refused {
+    Rejected {
         /// The submitter's number.
         write_id: u64,
     },
--- a/crates/replication/src/replica/leadership.rs
+++ b/crates/replication/src/replica/leadership.rs
@@ -12,7 +12,7 @@
     /// State on its disk.
     pub viewstamp: Viewstamp,
     pub store_age_ms: u64,
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// A member as the head knows it.
@@ -20,13 +20,13 @@
 pub(super) struct Peer {
     /// `sent_ms` of the newest heartbeat that it has answered.
     pub granted_ms: Option<u64>,
-    pub heard_ms: u64,
+    pub last_received_ms: u64,
     pub health: Health,
     /// It is not taken into the chain before this time.
     pub rejoin_ms: u64,
     penalty_ms: u64,
     /// It has promised a number above the view's.
-    pub beyond: bool,
+    pub has_promised_later: bool,
     /// The head sends writes to it itself, for its predecessor's do not reach it.
     pub is_direct: bool,
     pub resent_ms: u64,
@@ -36,15 +36,15 @@
     pub fn new(now_ms: u64) -> Peer {
         Peer {
             granted_ms: None,
-            heard_ms: now_ms,
+            last_received_ms: now_ms,
             health: Health {
                 viewstamp: Viewstamp::default(),
                 store_age_ms: 0,
-                leaving: false,
+                draining: false,
             },
             rejoin_ms: 0,
             penalty_ms: REJOIN_AFTER_MS,
-            beyond: false,
+            has_promised_later: false,
             is_direct: false,
             resent_ms: 0,
         }
@@ -56,8 +56,8 @@
         self.penalty_ms = (2 * self.penalty_ms).min(REJOIN_AFTER_MAX_MS);
     }
 
-    pub fn silent_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.heard_ms)
+    pub fn since_received_ms(&self, now_ms: u64) -> u64 {
+        now_ms.saturating_sub(self.last_received_ms)
     }
 }
 
@@ -90,7 +90,7 @@
     /// The driver has been told that this member is the head.
     pub is_gained: bool,
     /// Number of the view that the driver has been told of last.
-    pub told_view: u64,
+    pub reported_view: u64,
     pub peers: BTreeMap<Member, Peer>,
     pub pending: VecDeque<Pending>,
     pub pending_bytes: usize,
@@ -110,7 +110,7 @@
             since_ms: now_ms,
             is_installed: false,
             is_gained: false,
-            told_view: 0,
+            reported_view: 0,
             peers: BTreeMap::new(),
             pending: VecDeque::new(),
             pending_bytes: 0,
@@ -128,7 +128,7 @@
         self.is_installed = false;
         self.heartbeat_ms = now_ms;
         for peer in self.peers.values_mut() {
-            peer.beyond = false;
+            peer.has_promised_later = false;
             peer.is_direct = false;
         }
     }
@@ -161,12 +161,12 @@
 
     /// Last write that the whole chain has on disk; `None` before all of it has taken over the view.
     pub fn stored_by_all(&self, own: Member) -> Option<u64> {
-        let marks = self
+        let viewstamps = self
             .view
             .chain
             .iter()
             .map(|&member| self.viewstamp_of(member, own));
-        let seqs: Option<Vec<u64>> = marks
+        let seqs: Option<Vec<u64>> = viewstamps
             .map(|viewstamp| (viewstamp.view == self.view.number).then_some(viewstamp.seq))
             .collect();
         seqs?.into_iter().min()
@@ -181,7 +181,7 @@
     }
 
     /// Where heartbeats go to: voters and newcomers, without the head's own address.
-    pub fn audience(&self, own: Member) -> BTreeSet<SocketAddr> {
+    pub fn heartbeat_recipients(&self, own: Member) -> BTreeSet<SocketAddr> {
         let members = self.view.voters.iter().chain(self.peers.keys());
         members
             .map(|member| member.internal)
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::durable::Durable;
 use crate::message::{Envelope, Message};
-use crate::timing::{BACKOFF_SPREAD_MS, LEASE_MS, RESUME_STAND_MS};
+use crate::timing::{BACKOFF_SPREAD_MS, LEASE_MS, RESUME_CAMPAIGN_MS};
 use crate::types::{Member, SEED_DISK, View, ViewStart, Viewstamp};
 use campaign::Campaign;
 use indigofold_protocol::internal::MemberAddress;
@@ -28,8 +28,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use store_queue::{AfterStore, StoreQueue};
-use transfer::{Pull, Serving};
-use voter::Supported;
+use transfer::{RowsRequest, StateTransfer};
+use voter::PreVoteGranted;
 
 /// A member: takes [`Input`]s and returns [`Output`]s.
 #[derive(Debug)]
@@ -44,23 +44,23 @@
     stores: StoreQueue,
     lease: Option<Lease>,
     /// Before this time no promise is given: a lease may run that was granted before the start.
-    promise_from_ms: u64,
+    vote_from_ms: u64,
     /// When to stand as a candidate, unless the head is heard before.
-    stand_at_ms: u64,
+    campaign_at_ms: u64,
     /// When to announce itself, unless the head is heard before.
     announce_at_ms: u64,
-    trim_notes: transfer::TrimNotes,
+    trim_schedule: transfer::TrimSchedule,
     campaign: Option<Campaign>,
     leadership: Option<Leadership>,
-    supported: Option<Supported>,
-    pull: Option<Pull>,
-    reads: BTreeMap<u64, Serving>,
+    pre_vote: Option<PreVoteGranted>,
+    transfer: Option<StateTransfer>,
+    reads: BTreeMap<u64, RowsRequest>,
     last_read: u64,
     /// Number of the last canvass or transfer; random at the start, so that answers to an earlier life are known.
-    last_round: u64,
+    last_request_id: u64,
     /// The next number that this member proposes is above this.
     number_floor: u64,
-    leaving_since_ms: Option<u64>,
+    draining_since_ms: Option<u64>,
     random: Pcg64Mcg,
     now_ms: u64,
     outputs: Vec<Output>,
@@ -73,7 +73,7 @@
         let is_restart = durable.is_some();
         let durable = durable.unwrap_or_else(|| first_record(&settings, &mut random));
         let lease_wait = if is_restart { LEASE_MS } else { 0 };
-        let promise_from_ms = now_ms + lease_wait;
+        let vote_from_ms = now_ms + lease_wait;
         let mut replica = Replica {
             stored_view: if is_restart { durable.view_number() } else { 0 },
             stored_viewstamp: if is_restart {
@@ -84,27 +84,27 @@
             durable,
             stores: StoreQueue::default(),
             lease: None,
-            promise_from_ms,
-            stand_at_ms: 0,
+            vote_from_ms,
+            campaign_at_ms: 0,
             announce_at_ms: now_ms,
-            trim_notes: transfer::TrimNotes::new(now_ms),
+            trim_schedule: transfer::TrimSchedule::new(now_ms),
             campaign: None,
             leadership: None,
-            supported: None,
-            pull: None,
+            pre_vote: None,
+            transfer: None,
             reads: BTreeMap::new(),
             last_read: 0,
-            last_round: random.next_u64() >> 1,
+            last_request_id: random.next_u64() >> 1,
             number_floor: 0,
-            leaving_since_ms: None,
+            draining_since_ms: None,
             random,
             now_ms,
             outputs: Vec::new(),
             settings,
         };
-        replica.stand_at_ms = match replica.resumes() {
-            true => now_ms + RESUME_STAND_MS,
-            false => promise_from_ms + replica.random_below(BACKOFF_SPREAD_MS),
+        replica.campaign_at_ms = match replica.is_resuming() {
+            true => now_ms + RESUME_CAMPAIGN_MS,
+            false => vote_from_ms + replica.random_below(BACKOFF_SPREAD_MS),
         };
         let own_address = replica.settings.address.clone();
         replica.learn_address(own_address);
@@ -138,9 +138,9 @@
             self.stores.retry_ms(),
             self.announcement_due_ms(),
             self.election_due_ms(),
-            self.tenure_due_ms(),
-            self.pull_due_ms(),
-            Some(self.trim_notes.due_ms()),
+            self.leadership_due_ms(),
+            self.transfer_due_ms(),
+            Some(self.trim_schedule.due_ms()),
         ];
         due.into_iter().flatten().min().unwrap_or(u64::MAX)
     }
@@ -170,10 +170,10 @@
 
     fn run_due(&mut self) {
         self.run_announcement();
-        self.run_pull();
+        self.run_transfer();
         self.run_election();
-        self.run_tenure();
-        self.run_trim_notes();
+        self.run_leadership();
+        self.run_trim_schedule();
     }
 
     fn on_message(&mut self, envelope: Envelope) {
@@ -187,30 +187,35 @@
                 addresses.into_iter().for_each(|a| self.learn_address(a))
             }
             Message::PreVote {
-                round,
+                request_id,
                 viewstamp,
-                headed,
-            } => self.on_canvass(from, round, viewstamp, headed),
+                headed_view,
+            } => self.on_pre_vote(from, request_id, viewstamp, headed_view),
             Message::PreVoteReply {
-                round,
-                support,
+                request_id,
+                granted,
                 promised,
                 view,
                 agreed: _,
             } => {
-                self.on_canvass_reply(from, round, support, promised, view);
+                self.on_pre_vote_reply(from, request_id, granted, promised, view);
             }
-            Message::Prepare { number, headed } => self.on_prepare(from, number, headed),
+            Message::Prepare {
+                number,
+                headed_view,
+            } => self.on_prepare(from, number, headed_view),
             Message::PrepareOk {
                 number,
                 view,
                 agreed: _,
                 viewstamp,
-                leaving,
+                draining,
             } => {
-                self.on_promise(from, number, view, viewstamp, leaving);
+                self.on_prepare_ok(from, number, view, viewstamp, draining);
+            }
+            Message::PrepareReject { number, promised } => {
+                self.on_prepare_reject(from, number, promised)
             }
-            Message::PrepareReject { number, promised } => self.on_refuse(from, number, promised),
             Message::Accept { view } => self.on_accept(from, view),
             Message::Accepted { number } => self.on_accepted(from, number),
             Message::Heartbeat {
@@ -226,33 +231,33 @@
                 sent_ms,
                 viewstamp,
                 store_age_ms,
-                leaving,
+                draining,
                 address,
             } => {
                 self.learn_address(address);
                 let health = leadership::Health {
                     viewstamp,
                     store_age_ms,
-                    leaving,
+                    draining,
                 };
                 self.on_grant(from, number, sent_ms, health);
             }
             Message::Release { number } => self.on_release(from, number),
-            Message::Stand { number } => self.on_stand(from, number),
+            Message::CampaignNow { number } => self.on_campaign_now(from, number),
             Message::Write {
                 number,
                 batches,
                 relay,
             } => self.on_write(number, batches, relay),
             Message::Stored { viewstamp } => self.on_member_stored(from, viewstamp),
-            Message::Behind { viewstamp } => self.on_behind(from, viewstamp),
+            Message::WriteGap { viewstamp } => self.on_write_gap(from, viewstamp),
             Message::Fetch {
-                round,
+                request_id,
                 viewstamp,
                 after,
-            } => self.on_fetch(from, round, viewstamp, after),
+            } => self.on_fetch(from, request_id, viewstamp, after),
             Message::Rows {
-                round,
+                request_id,
                 after,
                 clear,
                 rows,
@@ -262,8 +267,8 @@
             } => {
                 self.on_rows(
                     from,
-                    transfer::Part {
-                        round,
+                    transfer::TransferChunk {
+                        request_id,
                         after,
                         clear,
                         rows,
@@ -285,9 +290,9 @@
         for effect in finished.after {
             match effect {
                 AfterStore::Send { to, message } => self.send(to, *message),
-                AfterStore::OwnPromise { number } => self.on_own_promise(number),
+                AfterStore::OwnPrepareOk { number } => self.on_own_prepare_ok(number),
                 AfterStore::OwnAccepted { number } => self.on_accepted(self.durable.member, number),
-                AfterStore::Fetched { number } => self.on_fetched(number),
+                AfterStore::TransferStored { number } => self.on_transfer_stored(number),
                 AfterStore::Grant => self.send_grant(),
             }
         }
@@ -311,8 +316,8 @@
         self.outputs.push(Output::Send { to, envelope });
     }
 
-    fn is_leaving(&self) -> bool {
-        self.leaving_since_ms.is_some()
+    fn is_draining(&self) -> bool {
+        self.draining_since_ms.is_some()
     }
 
     fn random_below(&mut self, bound: u64) -> u64 {
--- a/crates/replication/src/replica/reconfiguration.rs
+++ b/crates/replication/src/replica/reconfiguration.rs
@@ -5,8 +5,8 @@
 use super::campaign::Plan;
 use super::leadership::{Leadership, Peer};
 use crate::timing::{
-    INSTALL_MS, RECONFIGURE_MS, REJOIN_LAG, REJOIN_STORE_AGE_MS, REMOVE_AFTER_MS,
-    REMOVE_LONE_AFTER_MS, REPLACE_AFTER_MS, SILENT_MEMBER_MS, SLOW_MEMBER_MS, VOTERS_MAX,
+    INSTALL_MS, RECONFIGURE_MS, REJOIN_LAG_WRITES, REJOIN_STORE_AGE_MS, REMOVE_AFTER_MS,
+    REMOVE_LONE_AFTER_MS, REPLACE_AFTER_MS, SLOW_MEMBER_MS, UNRESPONSIVE_MEMBER_MS, VOTERS_MAX,
 };
 use crate::types::Member;
 
@@ -21,14 +21,14 @@
     /// Starts a new view under this head where the present one should change.
     pub(super) fn reconfigure(&mut self) {
         let own = self.durable.member;
-        if self.campaign.is_some() || self.is_leaving() || self.stores.is_failing() {
+        if self.campaign.is_some() || self.is_draining() || self.stores.is_failing() {
             return;
         }
         let Some(leadership) = &self.leadership else {
             return;
         };
-        let lease_holds = self.now_ms < leadership.lease_until_ms(own);
-        if self.now_ms < leadership.reconfigure_ms || !lease_holds {
+        let has_lease = self.now_ms < leadership.lease_until_ms(own);
+        if self.now_ms < leadership.reconfigure_ms || !has_lease {
             return;
         }
         let Some(plan) = self.plan(leadership) else {
@@ -71,11 +71,12 @@
         let chain = self.planned_chain(leadership, &voters);
         let changed = voters != leadership.view.voters || chain != leadership.view.chain;
         let superseded = self.durable.promised != leadership.view.number
-            || leadership
-                .view
-                .voters
-                .iter()
-                .any(|v| leadership.peers.get(v).is_some_and(|peer| peer.beyond));
+            || leadership.view.voters.iter().any(|v| {
+                leadership
+                    .peers
+                    .get(v)
+                    .is_some_and(|peer| peer.has_promised_later)
+            });
         (changed || superseded).then_some(Plan { voters, chain })
     }
 
@@ -104,9 +105,9 @@
             let old = wiped_voter(leadership, new)?;
             Some(VoterChange::Replace { old, new })
         });
-        let replace_silent = || {
+        let replace_unresponsive = || {
             let old = self
-                .silent_voters(leadership, REPLACE_AFTER_MS)
+                .unresponsive_voters(leadership, REPLACE_AFTER_MS)
                 .first()
                 .copied()?;
             Some(VoterChange::Replace {
@@ -125,7 +126,7 @@
         };
         let remove = || self.surplus_voter(leadership).map(VoterChange::Remove);
         replacement
-            .or_else(replace_silent)
+            .or_else(replace_unresponsive)
             .or_else(add)
             .or_else(remove)
     }
@@ -144,13 +145,13 @@
     }
 
     /// Voters that have not been heard for `for_ms`, the most silent first.
-    fn silent_voters(&self, leadership: &Leadership, for_ms: u64) -> Vec<Member> {
+    fn unresponsive_voters(&self, leadership: &Leadership, for_ms: u64) -> Vec<Member> {
         let own = self.durable.member;
-        let silence = |voter: Member| {
+        let since_received_ms = |voter: Member| {
             leadership
                 .peers
                 .get(&voter)
-                .map_or(0, |p| p.silent_ms(self.now_ms))
+                .map_or(0, |p| p.since_received_ms(self.now_ms))
         };
         let others = leadership
             .view
@@ -158,9 +159,11 @@
             .iter()
             .copied()
             .filter(|&voter| voter != own);
-        let mut silent: Vec<Member> = others.filter(|&voter| silence(voter) >= for_ms).collect();
-        silent.sort_by_key(|&voter| std::cmp::Reverse(silence(voter)));
-        silent
+        let mut unresponsive: Vec<Member> = others
+            .filter(|&voter| since_received_ms(voter) >= for_ms)
+            .collect();
+        unresponsive.sort_by_key(|&voter| std::cmp::Reverse(since_received_ms(voter)));
+        unresponsive
     }
 
     /// A voter beyond those wanted: a silent one (later if an even number would be left for it alone), and of an even
@@ -170,20 +173,20 @@
         if voters.len() <= self.voters_wanted() {
             return None;
         }
-        let silent = self.silent_voters(leadership, REMOVE_AFTER_MS);
+        let unresponsive = self.unresponsive_voters(leadership, REMOVE_AFTER_MS);
         if voters.len().is_multiple_of(2) {
             let outside = voters
                 .iter()
                 .copied()
                 .find(|voter| !leadership.view.chain.contains(voter));
-            return silent
-                .first()
-                .copied()
-                .or(outside)
-                .or(leadership.view.chain.last().copied());
+            return unresponsive.first().copied().or(outside).or(leadership
+                .view
+                .chain
+                .last()
+                .copied());
         }
-        let lone = self.silent_voters(leadership, REMOVE_LONE_AFTER_MS);
-        let several = silent.first().filter(|_| silent.len() > 1);
+        let lone = self.unresponsive_voters(leadership, REMOVE_LONE_AFTER_MS);
+        let several = unresponsive.first().filter(|_| unresponsive.len() > 1);
         several.or(lone.first()).copied()
     }
 
@@ -208,15 +211,15 @@
     fn is_fit(&self, leadership: &Leadership, peer: &Peer) -> bool {
         let viewstamp = peer.health.viewstamp;
         viewstamp.view == leadership.view.number
-            && viewstamp.seq + REJOIN_LAG >= self.durable.viewstamp.seq
+            && viewstamp.seq + REJOIN_LAG_WRITES >= self.durable.viewstamp.seq
             && peer.health.store_age_ms < REJOIN_STORE_AGE_MS
-            && peer.silent_ms(self.now_ms) < SILENT_MEMBER_MS / 2
-            && !peer.health.leaving
+            && peer.since_received_ms(self.now_ms) < UNRESPONSIVE_MEMBER_MS / 2
+            && !peer.health.draining
     }
 
     /// The present chain without those that hold it up, and with those that have caught up.
     fn planned_chain(&self, leadership: &Leadership, voters: &[Member]) -> Vec<Member> {
-        let least = self.chain_min(voters.len());
+        let chain_min = self.chain_min(voters.len());
         let present: Vec<Member> = leadership
             .view
             .chain
@@ -224,13 +227,13 @@
             .copied()
             .filter(|member| voters.contains(member))
             .collect();
-        let (leaving, mut chain): (Vec<Member>, Vec<Member>) = present
+        let (delaying, mut chain): (Vec<Member>, Vec<Member>) = present
             .into_iter()
-            .partition(|&member| self.holds_up(leadership, member));
-        chain.extend(self.joining(leadership, voters, !leaving.is_empty()));
+            .partition(|&member| self.slows_chain(leadership, member));
+        chain.extend(self.joining(leadership, voters, !delaying.is_empty()));
         // A chain that would be too short keeps some of those that hold it up.
-        let lacking = least.saturating_sub(chain.len());
-        chain.extend(leaving.into_iter().take(lacking));
+        let lacking = chain_min.saturating_sub(chain.len());
+        chain.extend(delaying.into_iter().take(lacking));
         chain
     }
 
@@ -257,7 +260,7 @@
     }
 
     /// A member of the chain that is silent, about to stop, or slower than the others.
-    fn holds_up(&self, leadership: &Leadership, member: Member) -> bool {
+    fn slows_chain(&self, leadership: &Leadership, member: Member) -> bool {
         let own = self.durable.member;
         if member == own {
             return false;
@@ -267,8 +270,8 @@
         };
         let lacks_start = peer.health.viewstamp.view != leadership.view.number
             && self.now_ms >= leadership.view_since_ms + INSTALL_MS;
-        peer.health.leaving
-            || peer.silent_ms(self.now_ms) >= SILENT_MEMBER_MS
+        peer.health.draining
+            || peer.since_received_ms(self.now_ms) >= UNRESPONSIVE_MEMBER_MS
             || lacks_start
             || self.is_slow(leadership, member)
     }
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -16,11 +16,11 @@
         message: Box<Message>,
     },
     /// Count this member's own promise.
-    OwnPromise { number: u64 },
+    OwnPrepareOk { number: u64 },
     /// Count this member's own acceptance of its view.
     OwnAccepted { number: u64 },
     /// Propose a view on top of a state that has been fetched.
-    Fetched { number: u64 },
+    TransferStored { number: u64 },
     /// Grant the lease to the head of the view that is on disk now.
     Grant,
 }
@@ -52,18 +52,18 @@
     in_flight: Option<InFlight>,
     operations: Vec<StoreOperation>,
     after: Vec<AfterStore>,
-    wanted: bool,
+    is_requested: bool,
 }
 
 impl StoreQueue {
     /// The record has changed and has to be stored.
-    pub(super) fn want(&mut self) {
-        self.wanted = true;
+    pub(super) fn request_store(&mut self) {
+        self.is_requested = true;
     }
 
-    /// As [`StoreQueue::want`], and `after` follows.
-    pub(super) fn want_then(&mut self, after: AfterStore) {
-        self.wanted = true;
+    /// As [`StoreQueue::request_store`], and `after` follows.
+    pub(super) fn request_store_then(&mut self, after: AfterStore) {
+        self.is_requested = true;
         self.after.push(after);
     }
 
@@ -103,12 +103,12 @@
         durable: &Durable,
     ) -> Option<(u64, Arc<StoreRequest>)> {
         if self.in_flight.is_some() {
-            return self.start_again(now_ms);
+            return self.retry(now_ms);
         }
-        if !self.wanted {
+        if !self.is_requested {
             return None;
         }
-        self.wanted = false;
+        self.is_requested = false;
         self.last_store += 1;
         let operations = std::mem::take(&mut self.operations);
         let request = Arc::new(StoreRequest {
@@ -125,7 +125,7 @@
         Some((self.last_store, request))
     }
 
-    fn start_again(&mut self, now_ms: u64) -> Option<(u64, Arc<StoreRequest>)> {
+    fn retry(&mut self, now_ms: u64) -> Option<(u64, Arc<StoreRequest>)> {
         let failed = self.in_flight.as_mut()?;
         failed.retry_ms.filter(|&due| due <= now_ms)?;
         failed.retry_ms = None;
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -4,16 +4,16 @@
 use crate::durable::{Durable, StoreOperation};
 use crate::message::Message;
 use crate::timing::{
-    FETCH_GIVE_UP_MS, FETCH_RETRY_MS, TRANSFER_BYTES, TRIM_AFTER_MS, TRIM_STEP_MS,
+    FETCH_RETRY_MS, TRANSFER_BYTES, TRANSFER_TIMEOUT_MS, TRIM_AFTER_MS, TRIM_INTERVAL_MS,
 };
 use crate::types::{Member, Row, RowsChunk, View, ViewStart, Viewstamp};
 use std::collections::VecDeque;
 
 /// A reading for another member.
 #[derive(Debug)]
-pub(super) struct Serving {
+pub(super) struct RowsRequest {
     to: Member,
-    round: u64,
+    request_id: u64,
     after: u64,
     clear: bool,
     view: u64,
@@ -21,8 +21,8 @@
 
 /// Rows that another member has sent.
 #[derive(Debug)]
-pub(super) struct Part {
-    pub round: u64,
+pub(super) struct TransferChunk {
+    pub request_id: u64,
     pub after: u64,
     pub clear: bool,
     pub rows: Vec<Row>,
@@ -41,18 +41,18 @@
 
 /// A transfer to this member. The rows are kept in memory until all have come, for a part of them is no state.
 #[derive(Debug)]
-pub(super) struct Pull {
+pub(super) struct StateTransfer {
     source: Member,
-    round: u64,
+    request_id: u64,
     purpose: Purpose,
     clear: bool,
     rows: Vec<Row>,
     next_after: Option<u64>,
-    asked_ms: u64,
-    heard_ms: u64,
+    requested_ms: u64,
+    last_received_ms: u64,
 }
 
-impl Pull {
+impl StateTransfer {
     pub(super) fn is_for_candidate(&self) -> bool {
         matches!(self.purpose, Purpose::Candidate { .. })
     }
@@ -60,16 +60,16 @@
 
 /// How far the table had come at earlier times, to drop traces of deleted rows.
 #[derive(Debug)]
-pub(super) struct TrimNotes {
-    notes: VecDeque<(u64, u64)>,
+pub(super) struct TrimSchedule {
+    samples: VecDeque<(u64, u64)>,
     due_ms: u64,
 }
 
-impl TrimNotes {
-    pub(super) fn new(now_ms: u64) -> TrimNotes {
-        TrimNotes {
-            notes: VecDeque::new(),
-            due_ms: now_ms + TRIM_STEP_MS,
+impl TrimSchedule {
+    pub(super) fn new(now_ms: u64) -> TrimSchedule {
+        TrimSchedule {
+            samples: VecDeque::new(),
+            due_ms: now_ms + TRIM_INTERVAL_MS,
         }
     }
 
@@ -89,8 +89,8 @@
         }
         if viewstamp == view.base {
             self.enter_view(view);
-        } else if self.pull.is_none() {
-            self.start_pull(
+        } else if self.transfer.is_none() {
+            self.start_transfer(
                 head,
                 Purpose::Follow {
                     number: view.number,
@@ -99,75 +99,83 @@
         }
     }
 
-    pub(super) fn pull_as_candidate(&mut self, source: Member, number: u64, newest: Viewstamp) {
-        self.start_pull(source, Purpose::Candidate { number, newest });
+    pub(super) fn transfer_to_candidate(&mut self, source: Member, number: u64, newest: Viewstamp) {
+        self.start_transfer(source, Purpose::Candidate { number, newest });
     }
 
-    fn start_pull(&mut self, source: Member, purpose: Purpose) {
-        self.last_round += 1;
-        self.pull = Some(Pull {
+    fn start_transfer(&mut self, source: Member, purpose: Purpose) {
+        self.last_request_id += 1;
+        self.transfer = Some(StateTransfer {
             source,
-            round: self.last_round,
+            request_id: self.last_request_id,
             purpose,
             clear: false,
             rows: Vec::new(),
             next_after: None,
-            asked_ms: 0,
-            heard_ms: self.now_ms,
+            requested_ms: 0,
+            last_received_ms: self.now_ms,
         });
-        self.ask_source();
+        self.request_rows();
     }
 
-    fn ask_source(&mut self) {
+    fn request_rows(&mut self) {
         let viewstamp = self.durable.viewstamp;
-        let Some(pull) = &mut self.pull else { return };
-        pull.asked_ms = self.now_ms;
-        let (to, round, after) = (pull.source.internal, pull.round, pull.next_after);
+        let Some(transfer) = &mut self.transfer else {
+            return;
+        };
+        transfer.requested_ms = self.now_ms;
+        let (to, request_id, after) = (
+            transfer.source.internal,
+            transfer.request_id,
+            transfer.next_after,
+        );
         self.send(
             to,
             Message::Fetch {
-                round,
+                request_id,
                 viewstamp,
                 after,
             },
         );
     }
 
-    pub(super) fn pull_due_ms(&self) -> Option<u64> {
-        self.pull
+    pub(super) fn transfer_due_ms(&self) -> Option<u64> {
+        self.transfer
             .as_ref()
-            .map(|pull| pull.asked_ms + FETCH_RETRY_MS)
+            .map(|transfer| transfer.requested_ms + FETCH_RETRY_MS)
     }
 
-    pub(super) fn run_pull(&mut self) {
-        let Some(pull) = &self.pull else { return };
-        if self.now_ms >= pull.heard_ms + FETCH_GIVE_UP_MS {
-            self.pull = None;
-        } else if self.now_ms >= pull.asked_ms + FETCH_RETRY_MS {
-            self.ask_source();
+    pub(super) fn run_transfer(&mut self) {
+        let Some(transfer) = &self.transfer else {
+            return;
+        };
+        if self.now_ms >= transfer.last_received_ms + TRANSFER_TIMEOUT_MS {
+            self.transfer = None;
+        } else if self.now_ms >= transfer.requested_ms + FETCH_RETRY_MS {
+            self.request_rows();
         }
     }
 
     pub(super) fn on_fetch(
         &mut self,
         from: Member,
-        round: u64,
+        request_id: u64,
         viewstamp: Viewstamp,
         after: Option<u64>,
     ) {
         let (after, clear) = match after {
             Some(after) => (after, false),
-            None if is_part_of(viewstamp, &self.durable) => (viewstamp.seq, false),
+            None if is_earlier_state_of(viewstamp, &self.durable) => (viewstamp.seq, false),
             None => (0, true),
         };
         self.last_read += 1;
         let read = self.last_read;
-        self.reads.retain(|_, serving| serving.to != from);
+        self.reads.retain(|_, request| request.to != from);
         self.reads.insert(
             read,
-            Serving {
+            RowsRequest {
                 to: from,
-                round,
+                request_id,
                 after,
                 clear,
                 view: self.durable.viewstamp.view,
@@ -181,10 +189,10 @@
     }
 
     pub(super) fn on_rows_read(&mut self, read: u64, chunk: RowsChunk) {
-        let Some(serving) = self.reads.remove(&read) else {
+        let Some(request) = self.reads.remove(&read) else {
             return;
         };
-        if chunk.viewstamp.view != serving.view {
+        if chunk.viewstamp.view != request.view {
             return;
         }
         let RowsChunk {
@@ -193,17 +201,17 @@
             viewstamp,
             history,
         } = chunk;
-        let Serving {
+        let RowsRequest {
             to,
-            round,
+            request_id,
             after,
             clear,
             ..
-        } = serving;
+        } = request;
         self.send(
             to.internal,
             Message::Rows {
-                round,
+                request_id,
                 after,
                 clear,
                 rows,
@@ -214,31 +222,41 @@
         );
     }
 
-    pub(super) fn on_rows(&mut self, from: Member, part: Part) {
+    pub(super) fn on_rows(&mut self, from: Member, chunk: TransferChunk) {
         let now_ms = self.now_ms;
-        let is_asked = |pull: &&mut Pull| pull.source == from && pull.round == part.round;
-        let Some(pull) = self.pull.as_mut().filter(is_asked) else {
+        let is_answer = |transfer: &&mut StateTransfer| {
+            transfer.source == from && transfer.request_id == chunk.request_id
+        };
+        let Some(transfer) = self.transfer.as_mut().filter(is_answer) else {
             return;
         };
-        if pull.next_after.is_some_and(|after| after != part.after) {
+        if transfer
+            .next_after
+            .is_some_and(|after| after != chunk.after)
+        {
             return;
         }
-        pull.heard_ms = now_ms;
-        if pull.next_after.is_none() {
-            pull.clear = part.clear;
+        transfer.last_received_ms = now_ms;
+        if transfer.next_after.is_none() {
+            transfer.clear = chunk.clear;
         }
-        let last_seq = part.rows.last().map_or(part.after, |row| row.seq);
-        pull.rows.extend(part.rows);
-        if part.more {
-            pull.next_after = Some(last_seq);
-            self.ask_source();
-        } else if let Some(pull) = self.pull.take() {
-            self.finish_pull(pull, part.viewstamp, part.history);
+        let last_seq = chunk.rows.last().map_or(chunk.after, |row| row.seq);
+        transfer.rows.extend(chunk.rows);
+        if chunk.more {
+            transfer.next_after = Some(last_seq);
+            self.request_rows();
+        } else if let Some(transfer) = self.transfer.take() {
+            self.finish_transfer(transfer, chunk.viewstamp, chunk.history);
         }
     }
 
-    fn finish_pull(&mut self, pull: Pull, viewstamp: Viewstamp, history: Vec<ViewStart>) {
-        let fits = match &pull.purpose {
+    fn finish_transfer(
+        &mut self,
+        transfer: StateTransfer,
+        viewstamp: Viewstamp,
+        history: Vec<ViewStart>,
+    ) {
+        let fits = match &transfer.purpose {
             Purpose::Follow { number } => {
                 viewstamp.view == *number
                     && self.durable.promised == *number
@@ -249,40 +267,40 @@
             }
         };
         if !fits || viewstamp < self.durable.viewstamp {
-            if pull.is_for_candidate() {
-                self.fail_candidacy();
+            if transfer.is_for_candidate() {
+                self.fail_campaign();
             }
             return;
         }
-        if pull.clear {
+        if transfer.clear {
             self.stores.add(StoreOperation::Clear);
             self.durable.trimmed = viewstamp.seq;
         }
-        self.stores.add(StoreOperation::Put(pull.rows));
+        self.stores.add(StoreOperation::Put(transfer.rows));
         self.durable.viewstamp = viewstamp;
         self.durable.history = history;
-        match pull.purpose {
-            Purpose::Follow { .. } => self.stores.want(),
-            Purpose::Candidate { number, .. } => {
-                self.stores.want_then(AfterStore::Fetched { number })
-            }
+        match transfer.purpose {
+            Purpose::Follow { .. } => self.stores.request_store(),
+            Purpose::Candidate { number, .. } => self
+                .stores
+                .request_store_then(AfterStore::TransferStored { number }),
         }
     }
 
     /// Drops traces of rows deleted long ago, together with the next store.
-    pub(super) fn run_trim_notes(&mut self) {
-        if self.now_ms < self.trim_notes.due_ms {
+    pub(super) fn run_trim_schedule(&mut self) {
+        if self.now_ms < self.trim_schedule.due_ms {
             return;
         }
-        self.trim_notes.due_ms = self.now_ms + TRIM_STEP_MS;
-        self.trim_notes
-            .notes
+        self.trim_schedule.due_ms = self.now_ms + TRIM_INTERVAL_MS;
+        self.trim_schedule
+            .samples
             .push_back((self.now_ms, self.stored_viewstamp.seq));
         let is_old = |(at_ms, _): &&(u64, u64)| at_ms + TRIM_AFTER_MS <= self.now_ms;
-        let Some(&(_, seq)) = self.trim_notes.notes.front().filter(is_old) else {
+        let Some(&(_, seq)) = self.trim_schedule.samples.front().filter(is_old) else {
             return;
         };
-        self.trim_notes.notes.pop_front();
+        self.trim_schedule.samples.pop_front();
         if seq > self.durable.trimmed {
             self.durable.trimmed = seq;
             self.stores.add(StoreOperation::Trim(seq));
@@ -291,7 +309,7 @@
 }
 
 /// Whether a member at `viewstamp` has a part of the state of `durable`, so that it lacks only later rows.
-fn is_part_of(viewstamp: Viewstamp, durable: &Durable) -> bool {
+fn is_earlier_state_of(viewstamp: Viewstamp, durable: &Durable) -> bool {
     if viewstamp.seq < durable.trimmed || viewstamp.view == 0 {
         return false;
     }
--- a/crates/replication/src/replica/voter.rs
+++ b/crates/replication/src/replica/voter.rs
@@ -3,38 +3,38 @@
 use super::campaign::Phase;
 use super::{AfterStore, Replica};
 use crate::message::Message;
-use crate::timing::{BACKOFF_SPREAD_MS, QUIET_MS, SUPPORT_MS};
+use crate::timing::{BACKOFF_SPREAD_MS, PRE_VOTE_GRANTED_MS, PREPARED_DEFER_MS};
 use crate::types::{Member, View, Viewstamp};
 
 /// The candidate that this member has told that it would support it.
 #[derive(Debug)]
-pub(super) struct Supported {
+pub(super) struct PreVoteGranted {
     candidate: Member,
     until_ms: u64,
 }
 
 impl Replica {
-    pub(super) fn on_canvass(
+    pub(super) fn on_pre_vote(
         &mut self,
         from: Member,
-        round: u64,
+        request_id: u64,
         viewstamp: Viewstamp,
-        headed: u64,
+        headed_view: u64,
     ) {
-        let support = !self.is_bound_against(from, headed) && self.prefers(from, viewstamp);
-        if support {
-            self.supported = Some(Supported {
+        let granted = !self.is_bound_against(from, headed_view) && self.prefers(from, viewstamp);
+        if granted {
+            self.pre_vote = Some(PreVoteGranted {
                 candidate: from,
-                until_ms: self.now_ms + SUPPORT_MS,
+                until_ms: self.now_ms + PRE_VOTE_GRANTED_MS,
             });
             self.campaign = None;
-            self.stand_at_ms = self
-                .stand_at_ms
-                .max(self.now_ms + SUPPORT_MS + self.random_below(BACKOFF_SPREAD_MS));
+            self.campaign_at_ms = self
+                .campaign_at_ms
+                .max(self.now_ms + PRE_VOTE_GRANTED_MS + self.random_below(BACKOFF_SPREAD_MS));
         }
         let reply = Message::PreVoteReply {
-            round,
-            support,
+            request_id,
+            granted,
             promised: self.durable.promised,
             view: self.durable.view.clone(),
             agreed: self.durable.agreed,
@@ -45,7 +45,7 @@
     /// Whether `candidate` goes before this member's own candidacy and before the one it has supported just now.
     fn prefers(&self, candidate: Member, viewstamp: Viewstamp) -> bool {
         let supports_other = self
-            .supported
+            .pre_vote
             .as_ref()
             .is_some_and(|s| s.candidate != candidate && self.now_ms < s.until_ms);
         let own_goes_first = self.campaign.as_ref().is_some_and(|own| {
@@ -55,8 +55,8 @@
         !supports_other && !own_goes_first
     }
 
-    pub(super) fn on_prepare(&mut self, from: Member, number: u64, headed: u64) {
-        if number <= self.durable.promised || self.is_bound_against(from, headed) {
+    pub(super) fn on_prepare(&mut self, from: Member, number: u64, headed_view: u64) {
+        if number <= self.durable.promised || self.is_bound_against(from, headed_view) {
             self.send(
                 from.internal,
                 Message::PrepareReject {
@@ -68,18 +68,18 @@
         }
         self.withdraw();
         self.durable.promised = number;
-        self.pull = None;
-        self.stay_quiet();
-        let promise = Message::PrepareOk {
+        self.transfer = None;
+        self.defer_campaign();
+        let prepare_ok = Message::PrepareOk {
             number,
             view: self.durable.view.clone(),
             agreed: self.durable.agreed,
             viewstamp: self.durable.viewstamp,
-            leaving: self.is_leaving(),
+            draining: self.is_draining(),
         };
-        self.stores.want_then(AfterStore::Send {
+        self.stores.request_store_then(AfterStore::Send {
             to: from.internal,
-            message: Box::new(promise),
+            message: Box::new(prepare_ok),
         });
     }
 
@@ -101,10 +101,10 @@
             self.durable.view = Some(view);
             self.durable.agreed = false;
         }
-        self.pull = None;
-        self.stay_quiet();
+        self.transfer = None;
+        self.defer_campaign();
         let accepted = Message::Accepted { number };
-        self.stores.want_then(AfterStore::Send {
+        self.stores.request_store_then(AfterStore::Send {
             to: from.internal,
             message: Box::new(accepted),
         });
@@ -113,11 +113,11 @@
     /// Another member's candidacy goes first: this member is neither head nor candidate any more.
     pub(super) fn withdraw(&mut self) {
         self.campaign = None;
-        self.abdicate();
+        self.end_leadership();
     }
 
-    fn stay_quiet(&mut self) {
-        let until = self.now_ms + QUIET_MS + self.random_below(BACKOFF_SPREAD_MS);
-        self.stand_at_ms = self.stand_at_ms.max(until);
+    fn defer_campaign(&mut self) {
+        let until = self.now_ms + PREPARED_DEFER_MS + self.random_below(BACKOFF_SPREAD_MS);
+        self.campaign_at_ms = self.campaign_at_ms.max(until);
     }
 }
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -23,7 +23,7 @@
 const PAGE_SIZES: std::ops::RangeInclusive<usize> = 512..=65_536;
 /// Each write is synced before the next one begins, so that a loss of power leaves frames of one write behind a broken
 /// one. Ends of so many writes behind it prove that the log has changed since.
-const ENDS_THAT_PROVE: usize = 2;
+const COMMITS_THAT_PROVE: usize = 2;
 
 /// Whether writes that were synced cannot be read any more.
 pub(super) fn has_lost_writes(path: &Path) -> io::Result<bool> {
@@ -45,7 +45,7 @@
     /// `None` where there is no whole header: then nothing was written behind it.
     fn of(bytes: &'a [u8]) -> Option<Log<'a>> {
         let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
-        let page_size = word(header, PAGE_SIZE_AT)? as usize;
+        let page_size = big_endian_u32(header, PAGE_SIZE_AT)? as usize;
         let is_page_size = PAGE_SIZES.contains(&page_size) && page_size.is_power_of_two();
         let frames = rest.chunks_exact(FRAME_HEADER_BYTES + page_size);
         is_page_size.then(|| Log {
@@ -58,8 +58,8 @@
     fn has_lost_writes(self) -> bool {
         let salts = &self.header[SALTS_AT..SALTS_AT + SALTS_BYTES];
         let mut before = (
-            word(self.header, CHECKSUM_AT),
-            word(self.header, CHECKSUM_AT + 4),
+            big_endian_u32(self.header, CHECKSUM_AT),
+            big_endian_u32(self.header, CHECKSUM_AT + 4),
         );
         let (mut is_broken, mut ends) = (false, 0);
         for frame in self
@@ -70,20 +70,20 @@
             let checksum = add(before, &frame[..FRAME_CHECKED_BYTES], self.is_big_endian);
             let checksum = add(checksum, &frame[FRAME_HEADER_BYTES..], self.is_big_endian);
             before = (
-                word(frame, FRAME_CHECKSUM_AT),
-                word(frame, FRAME_CHECKSUM_AT + 4),
+                big_endian_u32(frame, FRAME_CHECKSUM_AT),
+                big_endian_u32(frame, FRAME_CHECKSUM_AT + 4),
             );
-            let is_whole = checksum == before;
-            let ends_write = word(frame, DATABASE_PAGES_AT) != Some(0);
-            ends += usize::from(is_broken && is_whole && ends_write);
-            is_broken |= !is_whole;
+            let is_valid = checksum == before;
+            let ends_write = big_endian_u32(frame, DATABASE_PAGES_AT) != Some(0);
+            ends += usize::from(is_broken && is_valid && ends_write);
+            is_broken |= !is_valid;
         }
-        ends >= ENDS_THAT_PROVE
+        ends >= COMMITS_THAT_PROVE
     }
 }
 
 /// The big-endian number at `at`.
-fn word(bytes: &[u8], at: usize) -> Option<u32> {
+fn big_endian_u32(bytes: &[u8], at: usize) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(at..)?.first_chunk().copied()?))
 }
 
@@ -100,8 +100,8 @@
         true => u32::from_be_bytes(bytes),
         false => u32::from_le_bytes(bytes),
     };
-    let (words, _) = bytes.as_chunks::<4>();
-    let (pairs, _) = words.as_chunks::<2>();
+    let (values, _) = bytes.as_chunks::<4>();
+    let (pairs, _) = values.as_chunks::<2>();
     for [one, other] in pairs {
         first = first.wrapping_add(number(*one)).wrapping_add(second);
         second = second.wrapping_add(number(*other)).wrapping_add(first);
--- a/crates/replication/src/storage/mod.rs
+++ b/crates/replication/src/storage/mod.rs
@@ -72,7 +72,7 @@
             .as_ref()
             .map(|d| (d.viewstamp, d.history.clone()))
             .unwrap_or_default();
-        let has_quarantined = schema::has_set_aside(&path);
+        let has_quarantined = schema::has_quarantined(&path);
         Ok(Opened {
             storage: Storage {
                 connection,
--- a/crates/replication/src/storage/rows.rs
+++ b/crates/replication/src/storage/rows.rs
@@ -99,7 +99,7 @@
     let mut found = statement
         .query(params![after, count as i64])
         .context(context)?;
-    let (mut last, mut seen) = (None, 0);
+    let (mut last, mut checked) = (None, 0);
     while let Some(row) = found.next().context(context)? {
         let row = StoredRow::read(row).context(context)?.check(path)?;
         ensure!(
@@ -110,9 +110,9 @@
             }
         );
         last = Some(row.key.to_vec());
-        seen += 1;
+        checked += 1;
     }
-    Ok(last.filter(|_| seen == count))
+    Ok(last.filter(|_| checked == count))
 }
 
 /// Whether a transfer, which reads in the order of the writes, would find the row.
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -15,11 +15,11 @@
 /// What it adds to the name of the log.
 const LOG_SUFFIX: &str = "-wal";
 /// Form of the tables; SQLite's `user_version`. 0 is a database without tables.
-const FORM: u32 = 2;
+const FORMAT: u32 = 2;
 /// The form without checksums.
-const FORM_WITHOUT_CHECKSUMS: u32 = 1;
+const FORMAT_WITHOUT_CHECKSUMS: u32 = 1;
 /// Databases set aside are numbered up to here; the last one is replaced.
-const SET_ASIDE_MAX: u32 = 8;
+const QUARANTINED_MAX: u32 = 8;
 
 const SETTINGS: &str = "
     PRAGMA locking_mode = EXCLUSIVE;
@@ -62,13 +62,13 @@
     connection
         .execute_batch(SETTINGS)
         .context(DatabaseSnafu { path })?;
-    let form = read_form(&connection).context(DatabaseSnafu { path })?;
+    let form = read_format(&connection).context(DatabaseSnafu { path })?;
     ensure!(
-        form <= FORM,
+        form <= FORMAT,
         super::error::NewerFormSnafu {
             path,
             found: form,
-            known: FORM
+            known: FORMAT
         }
     );
     if form == 0 {
@@ -78,7 +78,7 @@
         sync_folder(dir)?;
     } else {
         check(&connection, path)?;
-        if form == FORM_WITHOUT_CHECKSUMS {
+        if form == FORMAT_WITHOUT_CHECKSUMS {
             add_checksums(&mut connection).context(DatabaseSnafu { path })?;
         }
         rows::check_all(&connection, path)?;
@@ -90,7 +90,7 @@
     })
 }
 
-fn read_form(connection: &Connection) -> rusqlite::Result<u32> {
+fn read_format(connection: &Connection) -> rusqlite::Result<u32> {
     connection.query_row("PRAGMA user_version", [], |row| row.get(0))
 }
 
@@ -133,7 +133,7 @@
     if let Some(record) = record {
         write_record(&transaction, record)?;
     }
-    transaction.pragma_update(None, "user_version", FORM)?;
+    transaction.pragma_update(None, "user_version", FORMAT)?;
     transaction.commit()
 }
 
@@ -151,28 +151,28 @@
 /// Renames the database's files so that a new one can be made; says where the database is now.
 pub(super) fn quarantined(dir: &Path, path: &Path) -> Result<PathBuf, StorageError> {
     let mut number = 1;
-    while number < SET_ASIDE_MAX && aside_path(path, number).exists() {
+    while number < QUARANTINED_MAX && quarantine_path(path, number).exists() {
         number += 1;
     }
-    let aside = aside_path(path, number);
-    fs::rename(path, &aside).context(FilesSnafu { path })?;
+    let quarantine = quarantine_path(path, number);
+    fs::rename(path, &quarantine).context(FilesSnafu { path })?;
     for suffix in SIDE_FILES {
         let side_file = with_suffix(path, suffix);
         if side_file.exists() {
-            fs::rename(&side_file, with_suffix(&aside, suffix))
+            fs::rename(&side_file, with_suffix(&quarantine, suffix))
                 .context(FilesSnafu { path: side_file })?;
         }
     }
     sync_folder(dir)?;
-    Ok(aside)
+    Ok(quarantine)
 }
 
 /// A database of this folder has been set aside before.
-pub(super) fn has_set_aside(path: &Path) -> bool {
-    (1..=SET_ASIDE_MAX).any(|number| aside_path(path, number).exists())
+pub(super) fn has_quarantined(path: &Path) -> bool {
+    (1..=QUARANTINED_MAX).any(|number| quarantine_path(path, number).exists())
 }
 
-fn aside_path(path: &Path, number: u32) -> PathBuf {
+fn quarantine_path(path: &Path, number: u32) -> PathBuf {
     with_suffix(path, &format!(".bad-{number}"))
 }
 
--- a/crates/replication/src/timing.rs
+++ b/crates/replication/src/timing.rs
@@ -5,7 +5,7 @@
 /// Part of [`LEASE_MS`], in percent, for which the head counts on an answer, from when it sent the heartbeat.
 pub const LEASE_USED_PERCENT: u64 = 90;
 /// Time between two heartbeats of the head.
-pub const HEARTBEAT_MS: u64 = 120;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 120;
 /// Bytes of rows in one message of a transfer, roughly.
 pub const TRANSFER_BYTES: usize = 128 << 10;
 /// A member of the chain that has not stored a write for so long while others have is left out. A sync takes 10 ms.
@@ -13,7 +13,7 @@
 /// A head whose own store takes so long hands its role over, if another member's disk is fast.
 pub const SLOW_HEAD_MS: u64 = 200;
 /// A member of the chain that has not answered heartbeats for so long is left out.
-pub const SILENT_MEMBER_MS: u64 = 800;
+pub const UNRESPONSIVE_MEMBER_MS: u64 = 800;
 /// A member of the chain that has not taken over the view's first state for so long is left out.
 pub const INSTALL_MS: u64 = 1_500;
 /// A voter that has been silent for so long may be replaced by a newcomer.
@@ -33,32 +33,32 @@
 /// A member whose store has taken this long is not taken into the chain.
 pub const REJOIN_STORE_AGE_MS: u64 = 100;
 /// A member that lacks at most so many writes may be taken into the chain.
-pub const REJOIN_LAG: u64 = 100;
+pub const REJOIN_LAG_WRITES: u64 = 100;
 /// Time between two attempts of the head to change the view.
 pub const RECONFIGURE_MS: u64 = 300;
 /// Writes that a member has not stored for so long are sent to it again, by the head itself.
 pub const RESEND_MS: u64 = 150;
 /// A head serves at least this long before it hands its role over because of its disk.
-pub const TENURE_MIN_MS: u64 = 3_000;
+pub const LEADERSHIP_MIN_MS: u64 = 3_000;
 /// A head about to stop waits at most so long for its writes before it hands its role over.
-pub const LEAVE_WAIT_MS: u64 = 400;
+pub const DRAIN_WAIT_MS: u64 = 400;
 
 /// How long a candidate waits for answers to its canvass.
-pub const CANVASS_MS: u64 = 250;
+pub const PRE_VOTE_MS: u64 = 250;
 /// The same for a head that has been started again, whose voters may have been started again as well.
-pub const RESUME_CANVASS_MS: u64 = 80;
+pub const RESUME_PRE_VOTE_MS: u64 = 80;
 /// Time after which such a head stands (again), until others may.
-pub const RESUME_STAND_MS: u64 = 20;
+pub const RESUME_CAMPAIGN_MS: u64 = 20;
 /// How long a candidate waits for each further step.
 pub const PHASE_MS: u64 = 1_000;
 /// How long a candidate waits for the others once a voter has promised another one's number.
-pub const REFUSED_WAIT_MS: u64 = 150;
+pub const REJECTED_WAIT_MS: u64 = 150;
 /// How long a candidate that has a majority of promises waits for the others'.
-pub const MORE_PROMISES_MS: u64 = 60;
+pub const MORE_PREPARE_OKS_MS: u64 = 60;
 /// How long a voter that has said it would support a candidate supports no other.
-pub const SUPPORT_MS: u64 = 100;
+pub const PRE_VOTE_GRANTED_MS: u64 = 100;
 /// How long a voter that has promised leaves the candidate time.
-pub const QUIET_MS: u64 = 700;
+pub const PREPARED_DEFER_MS: u64 = 700;
 /// Least time before a failed candidate stands again.
 pub const BACKOFF_MS: u64 = 50;
 /// Random part of the time before a candidate stands.
@@ -66,21 +66,21 @@
 /// A voter that is not in the chain waits longer by this.
 pub const BACKOFF_OUTSIDE_CHAIN_MS: u64 = 150;
 /// A head that has handed its role over does not stand for so long.
-pub const RESIGNED_QUIET_MS: u64 = 3_000;
+pub const RESIGNED_DEFER_MS: u64 = 3_000;
 
 /// Time between two announcements of a member that hears of no head.
-pub const ANNOUNCE_MS: u64 = 500;
+pub const ANNOUNCE_INTERVAL_MS: u64 = 500;
 /// A member that has not heard the head for so long announces itself.
-pub const HEAD_SILENT_MS: u64 = 600;
+pub const UNRESPONSIVE_HEAD_MS: u64 = 600;
 /// A request of a transfer is repeated after this.
 pub const FETCH_RETRY_MS: u64 = 250;
 /// A transfer without an answer for so long is given up.
-pub const FETCH_GIVE_UP_MS: u64 = 1_000;
+pub const TRANSFER_TIMEOUT_MS: u64 = 1_000;
 /// A store that has failed is tried again after this.
 pub const STORE_RETRY_MS: u64 = 300;
 
 /// Time between two notes of how far the table had come.
-pub const TRIM_STEP_MS: u64 = 30_000;
+pub const TRIM_INTERVAL_MS: u64 = 30_000;
 /// Traces of deleted rows are kept for so long at least.
 pub const TRIM_AFTER_MS: u64 = 120_000;
 /// Views that a member remembers.
--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -94,13 +94,7 @@
 }
 
 /// `before` with a random part of what differs in `after`, sector by sector, from byte `from` to byte `until`.
-fn partly(
-    random: &mut Pcg64Mcg,
-    before: &[u8],
-    after: &[u8],
-    from: usize,
-    until: usize,
-) -> Vec<u8> {
+fn torn(random: &mut Pcg64Mcg, before: &[u8], after: &[u8], from: usize, until: usize) -> Vec<u8> {
     let chance = random.next_u64() % 101;
     let mut bytes = before.to_vec();
     let mut at = from;
@@ -133,14 +127,14 @@
     let stage = random.next_u64() % 4;
     if copied && stage == 0 {
         let until = after.database.len();
-        let database = partly(random, &before.database, &after.database, 0, until);
+        let database = torn(random, &before.database, &after.database, 0, until);
         return Image {
             database,
             log: after.log.clone(),
         };
     }
     if new_header && stage == 1 {
-        let log = partly(random, &before.log, &after.log, 0, LOG_HEADER);
+        let log = torn(random, &before.log, &after.log, 0, LOG_HEADER);
         return Image {
             database: before.database.clone(),
             log,
@@ -151,7 +145,7 @@
         log.resize(LOG_HEADER, 0);
     }
     log[..LOG_HEADER].copy_from_slice(&after.log[..LOG_HEADER]);
-    let log = partly(random, &log, &after.log, LOG_HEADER, after.log.len());
+    let log = torn(random, &log, &after.log, LOG_HEADER, after.log.len());
     Image {
         database: before.database.clone(),
         log,
@@ -181,18 +175,18 @@
 }
 
 #[rstest]
-fn a_loss_of_power_at_any_point_leaves_a_whole_number_of_writes(#[values(0, 1, 2, 3)] part: u64) {
-    let mut random = Pcg64Mcg::seed_from_u64(part);
+fn power_loss_at_any_point_loses_no_synced_write(#[values(0, 1, 2, 3)] shard: u64) {
+    let mut random = Pcg64Mcg::seed_from_u64(shard);
     let dir = TempDir::new().expect("a folder");
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     storage.apply(&write(1)).expect("stored");
     let (mut before, mut rows_before) = (Image::of(dir.path()), table(&storage));
-    let (mut points, mut copies) = (0, 0);
+    let (mut points, mut checkpoints) = (0, 0);
     for seq in 2..=WRITES {
         storage.apply(&write(seq)).expect("stored");
         let (after, rows_after) = (Image::of(dir.path()), table(&storage));
         let copied = before.database != after.database;
-        copies += u64::from(copied);
+        checkpoints += u64::from(copied);
         // Writes that copy the log or begin it anew are few: power is lost in them more often.
         let is_special = copied || before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
         let losses = if is_special {
@@ -200,7 +194,7 @@
         } else {
             LOSSES_A_WRITE
         };
-        if is_special || seq % 4 == part {
+        if is_special || seq % 4 == shard {
             for _ in 0..losses {
                 check_image(
                     &lost_power(&mut random, &before, &after),
@@ -213,24 +207,24 @@
         }
         (before, rows_before) = (after, rows_after);
     }
-    println!("{points} losses of power, {copies} copies of the log into the database");
+    println!("{points} losses of power, {checkpoints} copies of the log into the database");
     assert!(
-        points >= 350 && copies >= 2,
-        "{points} points, {copies} copies"
+        points >= 350 && checkpoints >= 2,
+        "{points} points, {checkpoints} copies"
     );
 }
 
 /// Power is lost while the database is being made: the member is as empty as before.
 #[test]
-fn a_loss_of_power_while_the_database_is_made_leaves_an_empty_member() {
+fn after_power_loss_during_creation_the_database_is_empty() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let dir = TempDir::new().expect("a folder");
     let storage = Storage::open(dir.path()).expect("opened").storage;
     let made = Image::of(dir.path());
     drop(storage);
     for _ in 0..200 {
-        let database = partly(&mut random, &[], &made.database, 0, made.database.len());
-        let log = partly(&mut random, &[], &made.log, 0, made.log.len());
+        let database = torn(&mut random, &[], &made.database, 0, made.database.len());
+        let log = torn(&mut random, &[], &made.log, 0, made.log.len());
         let dir = TempDir::new().expect("a folder");
         Image { database, log }.write(dir.path());
         let opened = Storage::open(dir.path()).expect("a member with half a database starts empty");
@@ -241,7 +235,7 @@
 
 /// A bit that has changed on disk is found when the database is opened, or has changed nothing.
 #[rstest]
-fn a_flipped_bit_is_found_or_changes_nothing(#[values(0, 1, 2, 3)] part: usize) {
+fn a_flipped_bit_is_detected_or_has_no_effect(#[values(0, 1, 2, 3)] shard: usize) {
     let dir = TempDir::new().expect("a folder");
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     let small = |seq: u64| {
@@ -265,7 +259,7 @@
     drop(storage);
     let bytes = fs::read(dir.path().join(DATABASE)).expect("read");
     let (mut found, mut tried) = (0, 0);
-    for at in (part..bytes.len()).step_by(4 * 13) {
+    for at in (shard..bytes.len()).step_by(4 * 13) {
         let mut damaged = bytes.clone();
         damaged[at] ^= 1 << (at % 8);
         let dir = TempDir::new().expect("a folder");
@@ -302,16 +296,16 @@
 /// A bit that has changed in the log, before its last two writes: SQLite would read the log up to there, and all later
 /// writes would be gone. In the last two it cannot be told from a loss of power.
 #[rstest]
-fn a_flipped_bit_in_the_log_takes_no_write_away_unnoticed(#[values(0, 1, 2, 3)] part: usize) {
+fn a_flipped_bit_in_the_log_loses_no_write_undetected(#[values(0, 1, 2, 3)] shard: usize) {
     let dir = TempDir::new().expect("a folder");
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     (1..=6).for_each(|seq| storage.apply(&write(seq)).expect("stored"));
     let until = Image::of(dir.path()).log.len();
     (7..=8).for_each(|seq| storage.apply(&write(seq)).expect("stored"));
-    let whole = Image::of(dir.path());
+    let intact = Image::of(dir.path());
     let mut found = 0;
-    for at in (LOG_HEADER + part..until).step_by(4 * 97) {
-        let mut image = whole.clone();
+    for at in (LOG_HEADER + shard..until).step_by(4 * 97) {
+        let mut image = intact.clone();
         image.log[at] ^= 1 << (at % 8);
         let dir = TempDir::new().expect("a folder");
         image.write(dir.path());
@@ -328,7 +322,7 @@
 
 /// An entry of the index that does not lead to its row any more: a transfer would leave the row out.
 #[test]
-fn the_scrub_finds_a_row_that_a_transfer_would_leave_out() {
+fn scrub_detects_a_row_that_is_missing_from_the_index() {
     let dir = TempDir::new().expect("a folder");
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     for seq in 1..=6_000_u64 {
@@ -375,7 +369,7 @@
 
 /// The same while the database is in use: no reading hands out a changed row, and the scrub finds it.
 #[test]
-fn a_row_that_changes_on_disk_is_not_read_and_the_scrub_finds_it() {
+fn a_row_changed_on_disk_is_not_read_and_scrub_detects_it() {
     let dir = TempDir::new().expect("a folder");
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     for seq in 1..=400_u64 {
@@ -403,16 +397,16 @@
         .expect("it is in the file");
     bytes[at] ^= 4;
     fs::write(&path, bytes).expect("written");
-    let whole = |result: Result<(), indigofold_replication::StorageError>| {
+    let assert_damaged = |result: Result<(), indigofold_replication::StorageError>| {
         let error = result.expect_err("the row has changed");
         assert!(
             error.shows_damage() && error.to_string().contains("row-    17"),
             "{error}"
         );
     };
-    whole(storage.all_rows(|key, _| assert_ne!(key, b"row-    17")));
-    whole(storage.rows_since(0, usize::MAX).map(drop));
-    whole(storage.scrub(b"", 100).map(drop));
+    assert_damaged(storage.all_rows(|key, _| assert_ne!(key, b"row-    17")));
+    assert_damaged(storage.rows_since(0, usize::MAX).map(drop));
+    assert_damaged(storage.scrub(b"", 100).map(drop));
     let rest = storage
         .scrub(b"row-    17", 100)
         .expect("the rows after it are as they were");
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -43,7 +43,7 @@
 }
 
 /// The same, where nothing is written but what has been committed at the start.
-fn quiet(voters: u8, last_view: u8, crashes: u8, disks_lost: u8) -> Protocol {
+fn without_writes(voters: u8, last_view: u8, crashes: u8, disks_lost: u8) -> Protocol {
     Protocol {
         writes: 1,
         ..protocol(voters, last_view, crashes, disks_lost)
@@ -95,12 +95,12 @@
 #[case::two_changes(protocol(3, 4, 0, 0))]
 #[case::two_changes_and_a_crash(protocol(3, 4, 1, 0))]
 #[case::two_changes_and_a_lost_disk(protocol(3, 4, 0, 1))]
-#[case::two_quiet_changes(quiet(3, 4, 0, 0))]
-#[case::two_quiet_changes_and_a_lost_disk(quiet(3, 4, 0, 1))]
-#[case::three_quiet_changes(quiet(3, 5, 0, 0))]
-#[case::four_voters(quiet(4, 4, 0, 0))]
-#[case::five_voters(quiet(5, 4, 0, 0))]
-fn the_invariants_hold(#[case] model: Protocol) {
+#[case::two_changes_without_writes(without_writes(3, 4, 0, 0))]
+#[case::two_changes_without_writes_and_a_lost_disk(without_writes(3, 4, 0, 1))]
+#[case::three_changes_without_writes(without_writes(3, 5, 0, 0))]
+#[case::four_voters(without_writes(4, 4, 0, 0))]
+#[case::five_voters(without_writes(5, 4, 0, 0))]
+fn invariants_are_never_violated(#[case] model: Protocol) {
     let name = format!("{model:?}");
     assert_eq!(steps_to_break(&name, model, bound()), None);
 }
@@ -116,22 +116,22 @@
 
 /// The invariants notice faults: each of these breaks one.
 #[rstest]
-#[case::established_when_accepted(Fault::EstablishedWhenAccepted, quiet(3, 4, 0, 0))]
-#[case::promise_not_synced(Fault::PromiseNotSynced, protocol(3, 3, 1, 0))]
-#[case::new_voters_only(Fault::NewVotersOnly, quiet(3, 4, 0, 0))]
-fn a_planted_fault_is_found(#[case] fault: Fault, #[case] model: Protocol) {
+#[case::established_when_accepted(Fault::EstablishedWhenAccepted, without_writes(3, 4, 0, 0))]
+#[case::prepare_not_synced(Fault::PrepareNotSynced, protocol(3, 3, 1, 0))]
+#[case::new_voters_only(Fault::NewVotersOnly, without_writes(3, 4, 0, 0))]
+fn an_injected_fault_is_detected(#[case] fault: Fault, #[case] model: Protocol) {
     assert_found(fault, model);
 }
 
 /// The same for faults that lie deeper: `cargo test ... --test model -- --ignored`.
 #[rstest]
-#[case::short_chain(Fault::ShortChain, quiet(3, 4, 0, 0))]
-#[case::writes_past_promise(Fault::WritesPastPromise, protocol(3, 4, 0, 0))]
+#[case::short_chain(Fault::ShortChain, without_writes(3, 4, 0, 0))]
+#[case::writes_after_prepare(Fault::WritesAfterPrepare, protocol(3, 4, 0, 0))]
 #[case::counts_unsynced(Fault::CountsUnsynced, protocol(3, 3, 1, 1))]
-#[case::own_rows(Fault::OwnRows, quiet(3, 4, 0, 0))]
+#[case::own_rows(Fault::OwnRows, without_writes(3, 4, 0, 0))]
 #[case::forgetful_voter(Fault::ForgetfulVoter, protocol(3, 4, 0, 1))]
-#[case::accepts_past_promise(Fault::AcceptsPastPromise, protocol(3, 4, 0, 0))]
+#[case::accepts_after_prepare(Fault::AcceptsAfterPrepare, protocol(3, 4, 0, 0))]
 #[ignore = "takes minutes"]
-fn a_planted_fault_deeper_down_is_found(#[case] fault: Fault, #[case] model: Protocol) {
+fn a_deeper_injected_fault_is_detected(#[case] fault: Fault, #[case] model: Protocol) {
     assert_found(fault, model);
 }
--- a/crates/replication/tests/model/rules.rs
+++ b/crates/replication/tests/model/rules.rs
@@ -19,9 +19,9 @@
     /// The chain may be shorter than a majority of the voters.
     ShortChain,
     /// A member takes writes of a view although it has promised a later one.
-    WritesPastPromise,
+    WritesAfterPrepare,
     /// A promise is forgotten with the process.
-    PromiseNotSynced,
+    PrepareNotSynced,
     /// A write counts as stored at the head before it is on its disk.
     CountsUnsynced,
     /// A candidate leads with its own rows, whatever the others have promised with.
@@ -31,7 +31,7 @@
     /// A machine without its disk goes on voting under its old name.
     ForgetfulVoter,
     /// A member accepts a view although it has promised a later one.
-    AcceptsPastPromise,
+    AcceptsAfterPrepare,
 }
 
 /// The model and its bounds.
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    Stand {
+    StartCampaign {
         candidate: Id,
         number: u8,
     },
@@ -181,24 +181,24 @@
         let Some(view) = &member.view else { return };
         let number = member.promised.max(view.number) + 1;
         if view.voters.has(candidate) && number <= self.last_view {
-            actions.push(Action::Stand { candidate, number });
+            actions.push(Action::StartCampaign { candidate, number });
         }
         let Some(campaign) = &member.campaign else {
             return;
         };
         let others = (0..self.members()).filter(|&id| id != candidate);
-        let asked = others.filter(|&id| state.members[usize::from(id)].power == Power::On);
+        let responsive = others.filter(|&id| state.members[usize::from(id)].power == Power::On);
         match &campaign.proposed {
             None => {
                 let electorate = Members(campaign.known.voters.0 | campaign.known.previous.0);
-                let new =
-                    asked.filter(|&id| electorate.has(id) && !campaign.promises.contains_key(&id));
+                let new = responsive
+                    .filter(|&id| electorate.has(id) && !campaign.promises.contains_key(&id));
                 actions.extend(new.map(|voter| Action::PrepareOk { candidate, voter }));
                 self.proposals(state, candidate, campaign, actions);
             }
             Some(view) => {
                 let electorate = Members(view.voters.0 | view.previous.0);
-                let new = asked.filter(|&id| electorate.has(id) && !campaign.accepted.has(id));
+                let new = responsive.filter(|&id| electorate.has(id) && !campaign.accepted.has(id));
                 actions.extend(new.map(|voter| Action::Accept { candidate, voter }));
                 let former = view.previous.majority_in(campaign.accepted);
                 let former = former || self.fault == Fault::NewVotersOnly;
@@ -267,7 +267,7 @@
         choices
     }
 
-    fn stand(&self, state: &mut State, candidate: Id, number: u8) {
+    fn start_campaign(&self, state: &mut State, candidate: Id, number: u8) {
         let member = &mut state.members[usize::from(candidate)];
         let Some(known) = member.view.clone() else {
             return;
@@ -284,7 +284,7 @@
         });
     }
 
-    fn promise(&self, state: &mut State, candidate: Id, voter: Id) {
+    fn prepare(&self, state: &mut State, candidate: Id, voter: Id) {
         let Some(number) = number_of(state, candidate) else {
             return;
         };
@@ -300,10 +300,10 @@
         };
         campaign.promises.insert(voter, rows);
         let known = &campaign.known;
-        let is_news = |view: &View| {
+        let is_newer = |view: &View| {
             view.number > known.number || (view.number == known.number && view.is_established())
         };
-        if let Some(view) = view.filter(is_news) {
+        if let Some(view) = view.filter(is_newer) {
             campaign.known = view;
         }
     }
@@ -344,7 +344,7 @@
             return;
         };
         let member = &mut state.members[usize::from(voter)];
-        if view.number < member.promised && self.fault != Fault::AcceptsPastPromise {
+        if view.number < member.promised && self.fault != Fault::AcceptsAfterPrepare {
             return;
         }
         withdraw(member);
@@ -493,7 +493,7 @@
             actions.push(Action::Fetch { member: id, number });
         }
         let takes = member.leadership.is_none() && view.head != id && entered && view.chain.has(id);
-        let obeys = member.promised == number || self.fault == Fault::WritesPastPromise;
+        let obeys = member.promised == number || self.fault == Fault::WritesAfterPrepare;
         if takes && obeys && member.rows.log.len() < led.log.len() {
             actions.push(Action::Store { member: id, number });
         }
@@ -546,7 +546,7 @@
 
     fn crash(&self, member: &mut Member) {
         member.power = Power::Off;
-        if self.fault == Fault::PromiseNotSynced {
+        if self.fault == Fault::PrepareNotSynced {
             member.promised = member.view.as_ref().map_or(0, |view| view.number);
         }
         withdraw(member);
@@ -558,7 +558,7 @@
     fn lose_disk(&self, state: &mut State, id: Id) {
         let lost = &mut state.members[usize::from(id)];
         self.crash(lost);
-        lost.power = Power::Gone;
+        lost.power = Power::Lost;
         if self.fault == Fault::ForgetfulVoter {
             lost.power = Power::Off;
             (lost.promised, lost.rows) = (0, Rows::default());
@@ -670,7 +670,7 @@
         }
         for id in 0..self.members() {
             match state.members[usize::from(id)].power {
-                Power::Gone => continue,
+                Power::Lost => continue,
                 Power::Off => actions.push(Action::Start { member: id }),
                 Power::On => {
                     self.candidate_actions(state, id, actions);
@@ -690,8 +690,10 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Stand { candidate, number } => self.stand(&mut state, candidate, number),
-            Action::PrepareOk { candidate, voter } => self.promise(&mut state, candidate, voter),
+            Action::StartCampaign { candidate, number } => {
+                self.start_campaign(&mut state, candidate, number)
+            }
+            Action::PrepareOk { candidate, voter } => self.prepare(&mut state, candidate, voter),
             Action::Propose {
                 candidate,
                 voters,
--- a/crates/replication/tests/model/state.rs
+++ b/crates/replication/tests/model/state.rs
@@ -96,7 +96,7 @@
     On,
     Off,
     /// Its disk is lost, or the machine was taken away.
-    Gone,
+    Lost,
 }
 
 /// An attempt to lead the next view.
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -54,7 +54,7 @@
 }
 
 /// A member that has been started again, and what it has been told to do.
-struct Bench {
+struct Harness {
     replica: Replica,
     own: u8,
     now_ms: u64,
@@ -63,9 +63,9 @@
     others: Vec<Output>,
 }
 
-impl Bench {
+impl Harness {
     /// Member `own`, with this view and the state of view [`VIEW`] on its disk.
-    fn restarted(own: u8, view: View) -> Bench {
+    fn restarted(own: u8, view: View) -> Harness {
         let viewstamp = Viewstamp {
             view: VIEW,
             seq: SEQ,
@@ -88,7 +88,7 @@
             random_seed: 1,
         };
         let replica = Replica::new(settings, Some(durable), START_MS);
-        Bench {
+        Harness {
             replica,
             own,
             now_ms: START_MS,
@@ -99,10 +99,10 @@
     }
 
     /// The same, long after its start.
-    fn calm(own: u8, view: View) -> Bench {
-        let mut bench = Bench::restarted(own, view);
-        bench.now_ms = CALM_MS;
-        bench
+    fn calm(own: u8, view: View) -> Harness {
+        let mut harness = Harness::restarted(own, view);
+        harness.now_ms = CALM_MS;
+        harness
     }
 
     fn input(&mut self, input: Input) {
@@ -122,7 +122,7 @@
         }));
     }
 
-    /// The disk has done all that it was asked.
+    /// The disk has done all that it was requested.
     fn store_all(&mut self) {
         while !self.stores.is_empty() {
             let store = self.stores.remove(0);
@@ -130,36 +130,36 @@
         }
     }
 
-    fn told(&self, to: u8, is_wanted: impl Fn(&Message) -> bool) -> bool {
+    fn has_sent(&self, to: u8, is_wanted: impl Fn(&Message) -> bool) -> bool {
         self.sent
             .iter()
             .any(|(address, message)| *address == member(to).internal && is_wanted(message))
     }
 
     /// Lets time pass until the member asks for support; the number of its question.
-    fn canvass(&mut self) -> u64 {
+    fn run_until_pre_vote(&mut self) -> u64 {
         for _ in 0..200 {
             self.now_ms = self.replica.next_timer_ms().max(self.now_ms);
             self.input(Input::Timer);
-            let asked = self
+            let requested = self
                 .sent
                 .iter()
                 .rev()
                 .find_map(|(_, message)| match message {
-                    Message::PreVote { round, .. } => Some(*round),
+                    Message::PreVote { request_id, .. } => Some(*request_id),
                     _ => None,
                 });
-            if let Some(round) = asked {
-                return round;
+            if let Some(request_id) = requested {
+                return request_id;
             }
         }
         panic!("member {} does not stand", self.own);
     }
 
-    fn support(&mut self, from: u8, round: u64, view: &View) {
+    fn grant_pre_vote(&mut self, from: u8, request_id: u64, view: &View) {
         let reply = Message::PreVoteReply {
-            round,
-            support: true,
+            request_id,
+            granted: true,
             promised: view.number,
             view: Some(view.clone()),
             agreed: true,
@@ -172,11 +172,11 @@
     matches!(message, Message::Prepare { .. })
 }
 
-fn is_promise(message: &Message) -> bool {
+fn is_prepare_ok(message: &Message) -> bool {
     matches!(message, Message::PrepareOk { .. })
 }
 
-fn is_refusal(message: &Message) -> bool {
+fn is_prepare_reject(message: &Message) -> bool {
     matches!(message, Message::PrepareReject { .. })
 }
 
@@ -198,49 +198,49 @@
 }
 
 #[test]
-fn a_promise_is_told_once_it_is_on_disk() {
-    let mut bench = Bench::calm(1, same_voters());
-    bench.message(
+fn prepare_ok_is_sent_once_it_is_on_disk() {
+    let mut harness = Harness::calm(1, same_voters());
+    harness.message(
         2,
         Message::Prepare {
             number: VIEW + 1,
-            headed: 0,
+            headed_view: 0,
         },
     );
     assert!(
-        !bench.told(2, is_promise),
+        !harness.has_sent(2, is_prepare_ok),
         "it would be forgotten with the process"
     );
-    assert_eq!(bench.stores.len(), 1);
-    bench.store_all();
-    assert!(bench.told(2, is_promise));
+    assert_eq!(harness.stores.len(), 1);
+    harness.store_all();
+    assert!(harness.has_sent(2, is_prepare_ok));
 }
 
 #[test]
-fn a_number_that_was_promised_is_promised_to_nobody_else() {
-    let mut bench = Bench::calm(1, same_voters());
-    bench.message(
+fn a_prepared_number_is_rejected_for_other_candidates() {
+    let mut harness = Harness::calm(1, same_voters());
+    harness.message(
         2,
         Message::Prepare {
             number: VIEW + 1,
-            headed: 0,
+            headed_view: 0,
         },
     );
-    bench.store_all();
-    bench.message(
+    harness.store_all();
+    harness.message(
         0,
         Message::Prepare {
             number: VIEW + 1,
-            headed: 0,
+            headed_view: 0,
         },
     );
-    bench.store_all();
-    assert!(bench.told(0, is_refusal) && !bench.told(0, is_promise));
+    harness.store_all();
+    assert!(harness.has_sent(0, is_prepare_reject) && !harness.has_sent(0, is_prepare_ok));
 }
 
 #[test]
-fn a_member_that_has_promised_takes_no_writes_of_an_older_view() {
-    let mut bench = Bench::calm(1, same_voters());
+fn a_prepared_member_ignores_writes_of_an_older_view() {
+    let mut harness = Harness::calm(1, same_voters());
     let write = |seq| {
         let changes = vec![RowChange {
             key: b"row".to_vec(),
@@ -252,65 +252,65 @@
             relay: false,
         }
     };
-    bench.message(0, write(SEQ + 1));
-    bench.store_all();
+    harness.message(0, write(SEQ + 1));
+    harness.store_all();
     assert_eq!(
-        bench.replica.stored_viewstamp().seq,
+        harness.replica.stored_viewstamp().seq,
         SEQ + 1,
         "before the promise it takes them"
     );
-    bench.message(
+    harness.message(
         2,
         Message::Prepare {
             number: VIEW + 1,
-            headed: 0,
+            headed_view: 0,
         },
     );
-    bench.store_all();
-    bench.message(0, write(SEQ + 2));
-    bench.store_all();
-    assert_eq!(bench.replica.stored_viewstamp().seq, SEQ + 1);
+    harness.store_all();
+    harness.message(0, write(SEQ + 2));
+    harness.store_all();
+    assert_eq!(harness.replica.stored_viewstamp().seq, SEQ + 1);
 }
 
 #[test]
-fn a_voter_with_a_lease_supports_and_promises_nobody_but_its_holder() {
-    let mut bench = Bench::calm(1, same_voters());
-    bench.message(0, heartbeat(&same_voters(), 1));
-    assert!(bench.told(0, is_grant));
-    bench.now_ms += LEASE_MS - 1;
-    bench.message(
+fn a_voter_with_a_lease_rejects_pre_vote_and_prepare_of_other_candidates() {
+    let mut harness = Harness::calm(1, same_voters());
+    harness.message(0, heartbeat(&same_voters(), 1));
+    assert!(harness.has_sent(0, is_grant));
+    harness.now_ms += LEASE_MS - 1;
+    harness.message(
         2,
         Message::PreVote {
-            round: 1,
+            request_id: 1,
             viewstamp: Viewstamp {
                 view: VIEW,
                 seq: SEQ + 9,
             },
-            headed: 0,
+            headed_view: 0,
         },
     );
-    let support =
-        |message: &Message| matches!(message, Message::PreVoteReply { support: true, .. });
-    assert!(!bench.told(2, support));
-    bench.message(
+    let is_granted =
+        |message: &Message| matches!(message, Message::PreVoteReply { granted: true, .. });
+    assert!(!harness.has_sent(2, is_granted));
+    harness.message(
         2,
         Message::Prepare {
             number: VIEW + 1,
-            headed: 0,
+            headed_view: 0,
         },
     );
-    bench.store_all();
-    assert!(bench.told(2, is_refusal) && !bench.told(2, is_promise));
-    bench.now_ms += 1;
-    bench.message(
+    harness.store_all();
+    assert!(harness.has_sent(2, is_prepare_reject) && !harness.has_sent(2, is_prepare_ok));
+    harness.now_ms += 1;
+    harness.message(
         2,
         Message::Prepare {
             number: VIEW + 1,
-            headed: 0,
+            headed_view: 0,
         },
     );
-    bench.store_all();
-    assert!(bench.told(2, is_promise), "the lease is over");
+    harness.store_all();
+    assert!(harness.has_sent(2, is_prepare_ok), "the lease is over");
 }
 
 /// A voter that was started again may have granted a lease to the head of the view on its disk, and to no other.
@@ -320,111 +320,111 @@
 #[case::a_head_of_a_later_view(0, VIEW + 1, false)]
 #[case::the_head_without_its_disk(0, 0, false)]
 #[case::another_member(2, 0, false)]
-#[case::another_member_that_says_it_heads_the_view(2, VIEW, false)]
-fn a_voter_that_was_started_again_waits_for_the_lease_it_may_have_granted(
+#[case::another_member_that_claims_to_head_the_view(2, VIEW, false)]
+fn a_restarted_voter_waits_until_a_lease_it_may_have_granted_has_expired(
     #[case] candidate: u8,
-    #[case] headed: u64,
+    #[case] headed_view: u64,
     #[case] at_once: bool,
 ) {
-    let mut bench = Bench::restarted(1, same_voters());
-    bench.message(
+    let mut harness = Harness::restarted(1, same_voters());
+    harness.message(
         candidate,
         Message::Prepare {
             number: VIEW + 3,
-            headed,
+            headed_view,
         },
     );
-    bench.store_all();
-    assert_eq!(bench.told(candidate, is_promise), at_once);
-    bench.now_ms = START_MS + LEASE_MS;
-    bench.message(
+    harness.store_all();
+    assert_eq!(harness.has_sent(candidate, is_prepare_ok), at_once);
+    harness.now_ms = START_MS + LEASE_MS;
+    harness.message(
         candidate,
         Message::Prepare {
             number: VIEW + 4,
-            headed,
+            headed_view,
         },
     );
-    bench.store_all();
-    assert!(bench.told(candidate, is_promise));
+    harness.store_all();
+    assert!(harness.has_sent(candidate, is_prepare_ok));
 }
 
 #[test]
 fn a_lease_is_granted_once_its_view_is_on_disk() {
-    let mut bench = Bench::calm(1, same_voters());
+    let mut harness = Harness::calm(1, same_voters());
     let next = view(VIEW + 1, &[0, 1, 2], &[0, 1, 2]);
-    bench.message(0, heartbeat(&next, 1));
+    harness.message(0, heartbeat(&next, 1));
     assert!(
-        !bench.told(0, is_grant),
+        !harness.has_sent(0, is_grant),
         "after a restart nobody would know of it"
     );
-    bench.store_all();
-    assert!(bench.told(0, is_grant));
+    harness.store_all();
+    assert!(harness.has_sent(0, is_grant));
 }
 
 /// The view's chain may not have its first state: what was committed before may be on disks of former voters only.
 #[test]
-fn a_view_that_is_not_established_needs_the_former_voters_too() {
+fn a_view_that_is_not_established_needs_majorities_of_both_electorates() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
-    let mut bench = Bench::calm(2, unestablished.clone());
-    let round = bench.canvass();
-    bench.support(3, round, &unestablished);
+    let mut harness = Harness::calm(2, unestablished.clone());
+    let request_id = harness.run_until_pre_vote();
+    harness.grant_pre_vote(3, request_id, &unestablished);
     assert!(
-        !bench.told(3, is_prepare),
+        !harness.has_sent(3, is_prepare),
         "2 and 3 are a majority of the new voters only"
     );
-    bench.support(1, round, &unestablished);
-    assert!(bench.told(3, is_prepare) && bench.told(1, is_prepare));
+    harness.grant_pre_vote(1, request_id, &unestablished);
+    assert!(harness.has_sent(3, is_prepare) && harness.has_sent(1, is_prepare));
 }
 
 #[test]
 fn the_voters_of_an_established_view_decide_alone() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
     let established = unestablished.clone().established();
-    let mut bench = Bench::calm(2, unestablished);
-    bench.message(0, heartbeat(&established, 1));
-    bench.store_all();
-    let round = bench.canvass();
-    bench.support(3, round, &established);
-    assert!(bench.told(3, is_prepare));
+    let mut harness = Harness::calm(2, unestablished);
+    harness.message(0, heartbeat(&established, 1));
+    harness.store_all();
+    let request_id = harness.run_until_pre_vote();
+    harness.grant_pre_vote(3, request_id, &established);
+    assert!(harness.has_sent(3, is_prepare));
 }
 
 /// A member that has been told of it by another one knows it too.
 #[test]
-fn that_a_view_is_established_is_learned_from_any_voter() {
+fn a_candidate_learns_from_any_voter_that_a_view_is_established() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
-    let mut bench = Bench::calm(2, unestablished.clone());
-    let round = bench.canvass();
-    bench.support(3, round, &unestablished.established());
-    assert!(bench.told(3, is_prepare));
+    let mut harness = Harness::calm(2, unestablished.clone());
+    let request_id = harness.run_until_pre_vote();
+    harness.grant_pre_vote(3, request_id, &unestablished.established());
+    assert!(harness.has_sent(3, is_prepare));
 }
 
 /// Member 0, made head by the answers of member 1.
-fn head() -> Bench {
-    let mut bench = Bench::restarted(0, same_voters());
-    let round = bench.canvass();
-    bench.support(1, round, &same_voters());
-    bench.store_all();
+fn head() -> Harness {
+    let mut harness = Harness::restarted(0, same_voters());
+    let request_id = harness.run_until_pre_vote();
+    harness.grant_pre_vote(1, request_id, &same_voters());
+    harness.store_all();
     let number = VIEW + 1;
     let viewstamp = Viewstamp {
         view: VIEW,
         seq: SEQ,
     };
-    bench.message(
+    harness.message(
         1,
         Message::PrepareOk {
             number,
             view: Some(same_voters()),
             agreed: true,
             viewstamp,
-            leaving: false,
+            draining: false,
         },
     );
-    bench.now_ms += 100;
-    bench.input(Input::Timer);
-    bench.store_all();
-    bench.message(1, Message::Accepted { number });
-    bench.store_all();
-    bench
+    harness.now_ms += 100;
+    harness.input(Input::Timer);
+    harness.store_all();
+    harness.message(1, Message::Accepted { number });
+    harness.store_all();
+    harness
 }
 
 fn grant(number: u64, sent_ms: u64, viewstamp: Viewstamp) -> Message {
@@ -433,7 +433,7 @@
         sent_ms,
         viewstamp,
         store_age_ms: 0,
-        leaving: false,
+        draining: false,
         address: address(1),
     }
 }
@@ -446,13 +446,13 @@
 }
 
 #[test]
-fn a_head_acts_while_a_majority_has_granted_and_stops_before_the_end() {
-    let mut bench = head();
-    let sent_ms = bench.now_ms;
-    assert!(!bench.replica.may_act(sent_ms));
-    bench.message(1, grant(VIEW + 1, sent_ms, installed()));
+fn a_head_acts_until_the_lease_of_its_majority_expires() {
+    let mut harness = head();
+    let sent_ms = harness.now_ms;
+    assert!(!harness.replica.may_act(sent_ms));
+    harness.message(1, grant(VIEW + 1, sent_ms, installed()));
     let until_ms = sent_ms + LEASE_MS * LEASE_USED_PERCENT / 100;
-    assert!(bench.replica.may_act(until_ms - 1) && !bench.replica.may_act(until_ms));
+    assert!(harness.replica.may_act(until_ms - 1) && !harness.replica.may_act(until_ms));
 }
 
 #[rstest]
@@ -460,37 +460,37 @@
 #[case::of_a_view_never_given_out(VIEW + 2, 0, installed())]
 #[case::for_a_heartbeat_not_sent_yet(VIEW + 1, 100_000, installed())]
 #[case::without_the_first_state(VIEW + 1, 0, Viewstamp { view: VIEW, seq: SEQ })]
-fn a_grant_that_the_head_cannot_have_asked_for_gives_no_lease(
+fn a_grant_without_a_matching_heartbeat_gives_no_lease(
     #[case] number: u64,
     #[case] later_ms: u64,
     #[case] viewstamp: Viewstamp,
 ) {
-    let mut bench = head();
-    let sent_ms = bench.now_ms + later_ms;
-    bench.message(1, grant(number, sent_ms, viewstamp));
-    assert!(!bench.replica.may_act(bench.now_ms));
+    let mut harness = head();
+    let sent_ms = harness.now_ms + later_ms;
+    harness.message(1, grant(number, sent_ms, viewstamp));
+    assert!(!harness.replica.may_act(harness.now_ms));
 }
 
 #[test]
-fn a_write_is_committed_once_the_whole_chain_has_stored_it_and_not_by_states_never_given_out() {
-    let mut bench = head();
-    bench.message(1, grant(VIEW + 1, bench.now_ms, installed()));
+fn a_write_is_committed_once_the_chain_has_stored_it_and_impossible_reports_are_ignored() {
+    let mut harness = head();
+    harness.message(1, grant(VIEW + 1, harness.now_ms, installed()));
     let changes = vec![RowChange {
         key: b"row".to_vec(),
         value: Some(b"value".to_vec()),
     }];
-    bench.input(Input::Submit {
+    harness.input(Input::Submit {
         write_id: 7,
         changes,
     });
-    bench.store_all();
-    let is_committed = |bench: &Bench| {
-        bench
+    harness.store_all();
+    let is_committed = |harness: &Harness| {
+        harness
             .others
             .iter()
             .any(|output| matches!(output, Output::Committed { write_id: 7 }))
     };
-    bench.message(
+    harness.message(
         1,
         Message::Stored {
             viewstamp: Viewstamp {
@@ -499,7 +499,7 @@
             },
         },
     );
-    bench.message(
+    harness.message(
         1,
         Message::Stored {
             viewstamp: Viewstamp {
@@ -508,7 +508,7 @@
             },
         },
     );
-    bench.message(
+    harness.message(
         3,
         Message::Stored {
             viewstamp: Viewstamp {
@@ -517,8 +517,8 @@
             },
         },
     );
-    assert!(!is_committed(&bench));
-    bench.message(
+    assert!(!is_committed(&harness));
+    harness.message(
         1,
         Message::Stored {
             viewstamp: Viewstamp {
@@ -527,5 +527,5 @@
             },
         },
     );
-    assert!(is_committed(&bench));
+    assert!(is_committed(&harness));
 }
--- a/crates/replication/tests/simulation.rs
+++ b/crates/replication/tests/simulation.rs
@@ -1,110 +1,108 @@
 //! Whole clusters of replicas under simulated time: faults of many kinds, and what has to hold all along.
 
+#[path = "simulation/cluster.rs"]
+mod cluster;
 #[path = "simulation/disk.rs"]
 mod disk;
 #[path = "simulation/faults.rs"]
 mod faults;
-#[path = "simulation/figures.rs"]
-mod figures;
 #[path = "simulation/node.rs"]
 mod node;
+#[path = "simulation/outages.rs"]
+mod outages;
 #[path = "simulation/scenarios.rs"]
 mod scenarios;
-#[path = "simulation/world.rs"]
-mod world;
 
+use cluster::Cluster;
 use faults::Faults;
 use rstest::rstest;
-use world::World;
 
-const EVERY_MS: u64 = 20;
+const SUBMIT_INTERVAL_MS: u64 = 20;
 /// Machines that may be put in the place of others.
 const SPARES: usize = 8;
 
-fn started(seed: u64, machines: usize) -> World {
-    let mut world = World::new(seed, machines, machines.min(3));
-    world.trace = std::env::var_os("SIMULATION_TRACE").is_some();
-    world.start_all();
-    world.run(6_000, EVERY_MS);
-    world
+fn started(seed: u64, machines: usize) -> Cluster {
+    let mut cluster = Cluster::new(seed, machines, machines.min(3));
+    cluster.trace = std::env::var_os("SIMULATION_TRACE").is_some();
+    cluster.start_all();
+    cluster.run(6_000, SUBMIT_INTERVAL_MS);
+    cluster
 }
 
 #[rstest]
 #[case(3)]
 #[case(4)]
 #[case(5)]
-fn a_cluster_starts_and_takes_all_machines_in(#[case] machines: usize) {
+fn a_cluster_bootstraps_with_all_machines(#[case] machines: usize) {
     for seed in 0..20 {
-        let mut world = started(seed, machines);
+        let mut cluster = started(seed, machines);
         assert!(
-            world.gained[0].0 < 1_500,
+            cluster.gained[0].0 < 1_500,
             "the first head came at {} ms",
-            world.gained[0].0
+            cluster.gained[0].0
         );
-        world.check_whole(&(0..machines).collect::<Vec<_>>());
+        cluster.check_converged(&(0..machines).collect::<Vec<_>>());
         assert!(
-            world.committed.len() > 100,
+            cluster.committed.len() > 100,
             "{} writes",
-            world.committed.len()
+            cluster.committed.len()
         );
-        assert_eq!(world.gained.len(), 1, "{:?}", world.gained);
+        assert_eq!(cluster.gained.len(), 1, "{:?}", cluster.gained);
     }
 }
 
 /// After `ended_ms` nothing is in trouble any more: writes go on soon, and the cluster becomes whole.
-fn check_recovery(world: &mut World, seed: u64) {
-    let ended_ms = world.now_ms;
-    world.run(ended_ms + 3_500, EVERY_MS);
+fn check_recovery(cluster: &mut Cluster, seed: u64) {
+    let ended_ms = cluster.now_ms;
+    cluster.run(ended_ms + 3_500, SUBMIT_INTERVAL_MS);
     assert!(
-        world.last_commit_ms > ended_ms,
+        cluster.last_commit_ms > ended_ms,
         "seed {seed}: nothing is written 3.5 s after all troubles\n{}",
-        world.describe()
+        cluster.describe()
     );
-    world.run(ended_ms + 14_000, EVERY_MS);
-    world.run(ended_ms + 14_500, 10_000);
-    world.check_whole(&world.present());
+    cluster.run(ended_ms + 14_000, SUBMIT_INTERVAL_MS);
+    cluster.run(ended_ms + 14_500, 10_000);
+    cluster.check_converged(&cluster.present());
 }
 
 #[rstest]
-fn nothing_committed_is_lost_in_random_troubles(#[values(0, 1, 2, 3)] part: u64) {
+fn no_committed_write_is_lost_under_random_faults(#[values(0, 1, 2, 3)] shard: u64) {
     let (first, count) = seeds();
-    for seed in (first..first + count).filter(|seed| seed % 4 == part) {
+    for seed in (first..first + count).filter(|seed| seed % 4 == shard) {
         println!("seed {seed}");
-        let mut world = started(seed, 3 + (seed / 4 % 3) as usize);
-        let until_ms = world.now_ms + 40_000;
-        Faults::default().run(&mut world, until_ms, EVERY_MS);
-        check_recovery(&mut world, seed);
+        let mut cluster = started(seed, 3 + (seed / 4 % 3) as usize);
+        let until_ms = cluster.now_ms + 40_000;
+        Faults::default().run(&mut cluster, until_ms, SUBMIT_INTERVAL_MS);
+        check_recovery(&mut cluster, seed);
     }
 }
 
 fn check_overlapping(seed: u64) {
     println!("seed {seed}");
     let machines = 3 + (seed / 4 % 3) as usize;
-    let mut world = World::new(seed, machines + SPARES, 3);
-    world.keep_spare(machines);
-    world.trace = std::env::var_os("SIMULATION_TRACE").is_some();
-    world.start_all();
-    world.run(6_000, EVERY_MS);
-    let until_ms = world.now_ms + 40_000;
-    Faults::overlapping().run(&mut world, until_ms, EVERY_MS);
-    check_recovery(&mut world, seed);
+    let mut cluster = Cluster::new(seed, machines + SPARES, 3);
+    cluster.keep_spare(machines);
+    cluster.trace = std::env::var_os("SIMULATION_TRACE").is_some();
+    cluster.start_all();
+    cluster.run(6_000, SUBMIT_INTERVAL_MS);
+    let until_ms = cluster.now_ms + 40_000;
+    Faults::overlapping().run(&mut cluster, until_ms, SUBMIT_INTERVAL_MS);
+    check_recovery(&mut cluster, seed);
 }
 
 /// Troubles of all kinds at the same time, disks lost and machines replaced in the middle of them.
 #[rstest]
-fn nothing_committed_is_lost_when_troubles_overlap(#[values(0, 1, 2, 3)] part: u64) {
+fn no_committed_write_is_lost_when_faults_overlap(#[values(0, 1, 2, 3)] shard: u64) {
     let (first, count) = seeds();
     (first..first + count)
-        .filter(|seed| seed % 4 == part)
+        .filter(|seed| seed % 4 == shard)
         .for_each(check_overlapping);
 }
 
 /// Seeds that have found something. All of these: a machine of the shortest possible chain was lost with its disk before
 /// it had taken over the view's first state; the head kept its lease and never wrote again.
 #[rstest]
-fn overlapping_troubles_that_have_found_something(
-    #[values(136, 254, 308, 379, 797, 947)] seed: u64,
-) {
+fn regression_seeds_of_overlapping_faults(#[values(136, 254, 308, 379, 797, 947)] seed: u64) {
     check_overlapping(seed);
 }
 
--- a/crates/replication/tests/simulation/world.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -1,6 +1,6 @@
 //! A cluster under simulated time, with checks at each step.
 
-use super::node::{DiskTask, Flight, Node, Place, index_of};
+use super::node::{DiskTask, InFlight, Node, Presence, index_of};
 use indigofold_replication::{Envelope, Input, Member, Output, RowChange, StoreRequest, message};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,22 +16,22 @@
 const SEEDS: usize = 3;
 
 /// Writes that were submitted before are on all disks after so long, also on those of members that do not vote.
-const SETTLE_MS: u64 = 400;
+const PROPAGATION_MS: u64 = 400;
 
 #[derive(Debug)]
 enum Event {
-    Deliver(Box<Flight>),
-    DiskDone { node: usize, life: u64 },
-    Wake { node: usize, life: u64 },
+    Deliver(Box<InFlight>),
+    DiskDone { node: usize, incarnation: u64 },
+    Wake { node: usize, incarnation: u64 },
 }
 
 /// The cluster.
-pub struct World {
+pub struct Cluster {
     pub now_ms: u64,
     pub nodes: Vec<Node>,
     pub seeds: Vec<usize>,
     /// Directed links that lose everything.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub blocked_links: BTreeSet<(usize, usize)>,
     pub loss_percent: u64,
     /// Part of the messages that arrive twice.
     pub repeat_percent: u64,
@@ -43,16 +43,16 @@
     pub trace: bool,
     submitted: BTreeMap<u64, (Vec<u8>, Vec<u8>)>,
     pub aborted: u64,
-    pub refused: u64,
+    pub rejected: u64,
     next_write_id: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    bodies: BTreeMap<u64, Event>,
+    event_bodies: BTreeMap<u64, Event>,
     next_event: u64,
-    wakes: BTreeMap<usize, u64>,
+    planned_wakes: BTreeMap<usize, u64>,
 }
 
-impl World {
-    pub fn new(seed: u64, machines: usize, seeds: usize) -> World {
+impl Cluster {
+    pub fn new(seed: u64, machines: usize, seeds: usize) -> Cluster {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let nodes = (0..machines)
             .map(|index| {
@@ -63,11 +63,11 @@
                 )
             })
             .collect();
-        World {
+        Cluster {
             now_ms: 0,
             nodes,
             seeds: (0..seeds).collect(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             loss_percent: 0,
             repeat_percent: 0,
             delay_spread_ms: 3,
@@ -78,12 +78,12 @@
             trace: false,
             submitted: BTreeMap::new(),
             aborted: 0,
-            refused: 0,
+            rejected: 0,
             next_write_id: 1,
             events: BinaryHeap::new(),
-            bodies: BTreeMap::new(),
+            event_bodies: BTreeMap::new(),
             next_event: 0,
-            wakes: BTreeMap::new(),
+            planned_wakes: BTreeMap::new(),
         }
     }
 
@@ -95,14 +95,14 @@
     }
 
     pub fn is_present(&self, node: usize) -> bool {
-        self.nodes[node].place == Place::Present
+        self.nodes[node].presence == Presence::Present
     }
 
     /// The machines from `first` on are not there yet.
     pub fn keep_spare(&mut self, first: usize) {
         self.nodes[first..]
             .iter_mut()
-            .for_each(|node| node.place = Place::Spare);
+            .for_each(|node| node.presence = Presence::Spare);
     }
 
     /// A machine that has not been there yet.
@@ -110,24 +110,24 @@
         let spare = self
             .nodes
             .iter()
-            .position(|node| node.place == Place::Spare)?;
-        self.nodes[spare].place = Place::Coming;
+            .position(|node| node.presence == Presence::Spare)?;
+        self.nodes[spare].presence = Presence::Installing;
         Some(spare)
     }
 
     /// A new machine starts for the first time, beside those that are there.
     pub fn install(&mut self, node: usize) {
-        self.note(&format!("install {node}"));
-        self.nodes[node].place = Place::Present;
+        self.log_event(&format!("install {node}"));
+        self.nodes[node].presence = Presence::Present;
         self.name_seeds();
         self.start(node, false);
     }
 
     /// A machine goes for good, with its disk.
     pub fn remove(&mut self, node: usize) {
-        self.note(&format!("remove {node}"));
+        self.log_event(&format!("remove {node}"));
         self.wipe(node);
-        self.nodes[node].place = Place::Gone;
+        self.nodes[node].presence = Presence::Removed;
         self.name_seeds();
     }
 
@@ -144,7 +144,7 @@
         let seed = self.random.next_u64();
         let seeds = self.seeds.clone();
         self.nodes[node].start(self.now_ms, &seeds, bootstrap, seed);
-        self.wakes.remove(&node);
+        self.planned_wakes.remove(&node);
         self.input(node, Input::Timer);
     }
 
@@ -156,36 +156,36 @@
 
     pub fn stop(&mut self, node: usize) {
         let survives = self.below(2) == 0;
-        self.note(&format!("stop {node}"));
+        self.log_event(&format!("stop {node}"));
         self.nodes[node].stop(survives);
     }
 
     pub fn wipe(&mut self, node: usize) {
         self.stop(node);
-        self.note(&format!("wipe {node}"));
+        self.log_event(&format!("wipe {node}"));
         self.nodes[node].disk = Default::default();
     }
 
     pub fn freeze(&mut self, node: usize, for_ms: u64) {
-        self.note(&format!("freeze {node} for {for_ms}"));
+        self.log_event(&format!("freeze {node} for {for_ms}"));
         self.nodes[node].frozen_until_ms = self.now_ms + for_ms;
     }
 
-    pub fn cut_both(&mut self, a: usize, b: usize) {
-        self.note(&format!("cut {a} {b}"));
-        self.cut.insert((a, b));
-        self.cut.insert((b, a));
+    pub fn block_both(&mut self, a: usize, b: usize) {
+        self.log_event(&format!("cut {a} {b}"));
+        self.blocked_links.insert((a, b));
+        self.blocked_links.insert((b, a));
     }
 
-    pub fn note(&self, text: &str) {
+    pub fn log_event(&self, text: &str) {
         if self.trace {
             println!("{:>6} {text}", self.now_ms);
         }
     }
 
-    /// Runs until `until_ms`; each `every_ms` a write is submitted to whoever acts.
-    pub fn run(&mut self, until_ms: u64, every_ms: u64) {
-        let mut next_submit_ms = self.now_ms + every_ms;
+    /// Runs until `until_ms`; each `submit_interval_ms` a write is submitted to whoever acts.
+    pub fn run(&mut self, until_ms: u64, submit_interval_ms: u64) {
+        let mut next_submit_ms = self.now_ms + submit_interval_ms;
         while self.now_ms < until_ms {
             let due = self.events.peek().map_or(until_ms, |Reverse((at, _))| *at);
             let step = due.min(until_ms).min(next_submit_ms).max(self.now_ms);
@@ -193,14 +193,14 @@
             self.check_one_head();
             if step == next_submit_ms {
                 self.submit_anywhere();
-                next_submit_ms += every_ms;
+                next_submit_ms += submit_interval_ms;
             }
             while let Some(Reverse((at, id))) = self.events.peek().copied() {
                 if at > self.now_ms {
                     break;
                 }
                 self.events.pop();
-                if let Some(event) = self.bodies.remove(&id) {
+                if let Some(event) = self.event_bodies.remove(&id) {
                     self.run_event(event);
                 }
             }
@@ -246,8 +246,8 @@
         self.submitted
             .insert(write_id, (key.clone(), value.clone()));
         let shared = format!("shared-{}", write_id % 5).into_bytes();
-        let gone = format!("gone-{}", write_id % 3).into_bytes();
-        let deleted = write_id
+        let deleted_key = format!("gone-{}", write_id % 3).into_bytes();
+        let deleted_value = write_id
             .is_multiple_of(2)
             .then(|| write_id.to_string().into_bytes());
         let changes = vec![
@@ -260,8 +260,8 @@
                 value: Some(write_id.to_string().into_bytes()),
             },
             RowChange {
-                key: gone,
-                value: deleted,
+                key: deleted_key,
+                value: deleted_value,
             },
         ];
         self.input(node, Input::Submit { write_id, changes });
@@ -270,12 +270,12 @@
     fn schedule(&mut self, at_ms: u64, event: Event) {
         self.next_event += 1;
         self.events.push(Reverse((at_ms, self.next_event)));
-        self.bodies.insert(self.next_event, event);
+        self.event_bodies.insert(self.next_event, event);
     }
 
     fn run_event(&mut self, event: Event) {
         let node = match &event {
-            Event::Deliver(flight) => flight.to,
+            Event::Deliver(in_flight) => in_flight.to,
             Event::DiskDone { node, .. } | Event::Wake { node, .. } => *node,
         };
         let thaw_ms = self.nodes[node].frozen_until_ms;
@@ -284,26 +284,26 @@
             return;
         }
         match event {
-            Event::Deliver(flight) => self.deliver(*flight),
-            Event::DiskDone { node, life } => self.disk_done(node, life),
-            Event::Wake { node, life } => {
-                self.wakes.remove(&node);
-                if self.nodes[node].life == life {
+            Event::Deliver(in_flight) => self.deliver(*in_flight),
+            Event::DiskDone { node, incarnation } => self.disk_done(node, incarnation),
+            Event::Wake { node, incarnation } => {
+                self.planned_wakes.remove(&node);
+                if self.nodes[node].incarnation == incarnation {
                     self.input(node, Input::Timer);
                 }
             }
         }
     }
 
-    fn deliver(&mut self, flight: Flight) {
-        let bytes = message::encode(&flight.envelope);
+    fn deliver(&mut self, in_flight: InFlight) {
+        let bytes = message::encode(&in_flight.envelope);
         let envelope = message::decode(&bytes).expect("an encoded message can be decoded");
-        self.input(flight.to, Input::Message(envelope));
+        self.input(in_flight.to, Input::Message(envelope));
     }
 
-    fn disk_done(&mut self, index: usize, life: u64) {
+    fn disk_done(&mut self, index: usize, incarnation: u64) {
         let node = &mut self.nodes[index];
-        if node.life != life {
+        if node.incarnation != incarnation {
             return;
         }
         node.busy = false;
@@ -333,8 +333,14 @@
         node.busy = true;
         let is_read = matches!(node.tasks.front(), Some(DiskTask::Read { .. }));
         let for_ms = if is_read { READ_MS } else { node.disk_ms };
-        let (at_ms, life) = (self.now_ms + for_ms, node.life);
-        self.schedule(at_ms, Event::DiskDone { node: index, life });
+        let (at_ms, incarnation) = (self.now_ms + for_ms, node.incarnation);
+        self.schedule(
+            at_ms,
+            Event::DiskDone {
+                node: index,
+                incarnation,
+            },
+        );
     }
 
     fn input(&mut self, index: usize, input: Input) {
@@ -357,23 +363,29 @@
         if due == u64::MAX {
             return;
         }
-        let (at_ms, life) = (node.true_ms(due).max(self.now_ms + 1), node.life);
+        let (at_ms, incarnation) = (node.true_ms(due).max(self.now_ms + 1), node.incarnation);
         if self
-            .wakes
+            .planned_wakes
             .get(&index)
             .is_some_and(|&planned| planned <= at_ms && planned > self.now_ms)
         {
             return;
         }
-        self.wakes.insert(index, at_ms);
-        self.schedule(at_ms, Event::Wake { node: index, life });
+        self.planned_wakes.insert(index, at_ms);
+        self.schedule(
+            at_ms,
+            Event::Wake {
+                node: index,
+                incarnation,
+            },
+        );
     }
 
     fn output(&mut self, index: usize, output: Output) {
         match output {
             Output::Send { to, envelope } => self.send(index, index_of(to), *envelope),
             Output::Store { store, request } => {
-                self.note_view(index, &request);
+                self.log_view(index, &request);
                 self.nodes[index]
                     .tasks
                     .push_back(DiskTask::Store { store, request });
@@ -385,7 +397,7 @@
             }
             Output::Committed { write_id } => {
                 let view = self.nodes[index].replica.as_ref().map_or(0, |r| r.view());
-                self.note(&format!(
+                self.log_event(&format!(
                     "write {write_id} committed by {index} in view {view}"
                 ));
                 if let Some(write) = self.submitted.remove(&write_id) {
@@ -394,11 +406,11 @@
                 self.last_commit_ms = self.now_ms;
             }
             Output::Aborted { .. } => self.aborted += 1,
-            Output::Refused { .. } => self.refused += 1,
+            Output::Rejected { .. } => self.rejected += 1,
             Output::HeadGained { view } => {
-                self.note(&format!("head gained by {index}, view {view}"));
+                self.log_event(&format!("head gained by {index}, view {view}"));
                 self.gained.push((self.now_ms, index, view));
-                self.check_kept(index);
+                self.check_committed_rows(index);
             }
             Output::HeadRenewed { view } => {
                 let chain = self.nodes[index]
@@ -406,46 +418,47 @@
                     .as_ref()
                     .and_then(|r| r.accepted_view());
                 let text = chain.map(|(v, _)| {
-                    let names = |list: &[Member]| {
-                        list.iter()
+                    let names = |members: &[Member]| {
+                        members
+                            .iter()
                             .map(|m| index_of(m.internal))
                             .collect::<Vec<usize>>()
                     };
                     format!("voters {:?} chain {:?}", names(&v.voters), names(&v.chain))
                 });
-                self.note(&format!(
+                self.log_event(&format!(
                     "head renewed by {index}, view {view}, {}",
                     text.unwrap_or_default()
                 ));
             }
-            Output::HeadLost => self.note(&format!("head lost by {index}")),
+            Output::HeadLost => self.log_event(&format!("head lost by {index}")),
         }
     }
 
     fn send(&mut self, from: usize, to: usize, envelope: Envelope) {
         if to >= self.nodes.len()
-            || self.cut.contains(&(from, to))
+            || self.blocked_links.contains(&(from, to))
             || self.below(100) < self.loss_percent
         {
             return;
         }
-        let copies = if self.repeat_percent > 0 && self.below(100) < self.repeat_percent {
+        let count = if self.repeat_percent > 0 && self.below(100) < self.repeat_percent {
             2
         } else {
             1
         };
-        for _ in 0..copies {
+        for _ in 0..count {
             let delay_ms = 1 + self.below(self.delay_spread_ms);
-            let flight = Flight {
+            let in_flight = InFlight {
                 to,
                 envelope: envelope.clone(),
             };
-            self.schedule(self.now_ms + delay_ms, Event::Deliver(Box::new(flight)));
+            self.schedule(self.now_ms + delay_ms, Event::Deliver(Box::new(in_flight)));
         }
     }
 
     /// All that was committed is on the disk of `node`.
-    pub fn check_kept(&self, node: usize) {
+    pub fn check_committed_rows(&self, node: usize) {
         let disk = &self.nodes[node].disk;
         for (write_id, (key, value)) in &self.committed {
             assert_eq!(
@@ -459,8 +472,8 @@
 
     /// The cluster is whole: one head acts; an odd number of the machines vote (at least three), all of these are in the
     /// chain; all machines have the same rows once the writes under way are on all disks.
-    pub fn check_whole(&mut self, running: &[usize]) {
-        self.run(self.now_ms + SETTLE_MS, 2 * SETTLE_MS);
+    pub fn check_converged(&mut self, running: &[usize]) {
+        self.run(self.now_ms + PROPAGATION_MS, 2 * PROPAGATION_MS);
         let head = self.acting().expect("a head acts");
         let replica = self.nodes[head].replica.as_ref().expect("the head runs");
         let (view, _) = replica.accepted_view().expect("the head has a view");
@@ -512,17 +525,17 @@
                 "rows {keys:?} of {node} differ from those of the head {head}"
             );
         }
-        self.check_kept(head);
+        self.check_committed_rows(head);
     }
 
-    fn note_view(&self, index: usize, request: &StoreRequest) {
+    fn log_view(&self, index: usize, request: &StoreRequest) {
         let known = self.nodes[index]
             .disk
             .durable
             .as_ref()
             .map_or(0, |durable| durable.viewstamp.view);
         if request.durable.viewstamp.view != known {
-            self.note(&format!("{index} enters {:?}", request.durable.viewstamp));
+            self.log_event(&format!("{index} enters {:?}", request.durable.viewstamp));
         }
     }
 
@@ -542,7 +555,7 @@
     }
 
     pub fn step_down(&mut self, node: usize) {
-        self.note(&format!("step down {node}"));
+        self.log_event(&format!("step down {node}"));
         self.input(node, Input::StepDown);
     }
 }
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -1,6 +1,6 @@
 //! Random troubles, and their ends.
 
-use super::world::World;
+use super::cluster::Cluster;
 
 /// A machine's disk may be lost only after so long a calm, and nothing else may be in trouble for so long after it
 /// (unless troubles overlap: then another disk may be lost only after such a calm).
@@ -10,7 +10,7 @@
 
 /// The end of a trouble.
 #[derive(Debug)]
-enum Relief {
+enum Recovery {
     Start(usize),
     Stop(usize),
     Join(usize, usize),
@@ -25,7 +25,7 @@
 /// A generator of troubles.
 #[derive(Debug, Default)]
 pub struct Faults {
-    reliefs: Vec<(u64, Relief)>,
+    recoveries: Vec<(u64, Recovery)>,
     calm_from_ms: u64,
     /// Troubles overlap: a disk is lost or a machine replaced whatever else is going on.
     overlapping: bool,
@@ -43,244 +43,255 @@
     }
 
     /// Troubles until `until_ms`; then all of them end.
-    pub fn run(&mut self, world: &mut World, until_ms: u64, every_ms: u64) {
-        while world.now_ms < until_ms {
-            let pause_ms = self.pause_ms(world);
-            self.go_on(world, (world.now_ms + pause_ms).min(until_ms), every_ms);
-            self.disk_lost &= world.now_ms < self.calm_from_ms + CATCH_UP_MS;
-            self.trouble(world);
+    pub fn run(&mut self, cluster: &mut Cluster, until_ms: u64, submit_interval_ms: u64) {
+        while cluster.now_ms < until_ms {
+            let next_delay_ms = self.next_delay_ms(cluster);
+            self.run_until(
+                cluster,
+                (cluster.now_ms + next_delay_ms).min(until_ms),
+                submit_interval_ms,
+            );
+            self.disk_lost &= cluster.now_ms < self.calm_from_ms + CATCH_UP_MS;
+            self.inject(cluster);
         }
-        self.go_on(world, until_ms + CATCH_UP_MS, every_ms);
-        self.end(world);
+        self.run_until(cluster, until_ms + CATCH_UP_MS, submit_interval_ms);
+        self.end(cluster);
     }
 
-    fn pause_ms(&self, world: &mut World) -> u64 {
+    fn next_delay_ms(&self, cluster: &mut Cluster) -> u64 {
         if !self.overlapping {
-            return 100 + world.below(1_500);
+            return 100 + cluster.below(1_500);
         }
-        if world.below(CALM_ONE_IN) > 0 {
-            return 5 + world.below(1_200);
+        if cluster.below(CALM_ONE_IN) > 0 {
+            return 5 + cluster.below(1_200);
         }
-        (self.calm_from_ms + CATCH_UP_MS).saturating_sub(world.now_ms) + 10
+        (self.calm_from_ms + CATCH_UP_MS).saturating_sub(cluster.now_ms) + 10
     }
 
-    fn end(&mut self, world: &mut World) {
-        for (_, relief) in std::mem::take(&mut self.reliefs) {
-            relieve(world, &relief);
+    fn end(&mut self, cluster: &mut Cluster) {
+        for (_, recovery) in std::mem::take(&mut self.recoveries) {
+            recover(cluster, &recovery);
         }
-        world.cut.clear();
-        for node in world.present() {
-            if world.nodes[node].replica.is_none() {
-                world.start(node, false);
+        cluster.blocked_links.clear();
+        for node in cluster.present() {
+            if cluster.nodes[node].replica.is_none() {
+                cluster.start(node, false);
             }
         }
     }
 
-    fn go_on(&mut self, world: &mut World, until_ms: u64, every_ms: u64) {
-        while world.now_ms < until_ms {
+    fn run_until(&mut self, cluster: &mut Cluster, until_ms: u64, submit_interval_ms: u64) {
+        while cluster.now_ms < until_ms {
             let next = self
-                .reliefs
+                .recoveries
                 .iter()
                 .map(|(at, _)| *at)
                 .min()
                 .unwrap_or(until_ms);
-            world.run(next.clamp(world.now_ms, until_ms), every_ms);
-            let due: Vec<(u64, Relief)> = self
-                .reliefs
-                .extract_if(.., |(at, _)| *at <= world.now_ms)
+            cluster.run(next.clamp(cluster.now_ms, until_ms), submit_interval_ms);
+            let due: Vec<(u64, Recovery)> = self
+                .recoveries
+                .extract_if(.., |(at, _)| *at <= cluster.now_ms)
                 .collect();
-            due.iter().for_each(|(_, relief)| relieve(world, relief));
+            due.iter()
+                .for_each(|(_, recovery)| recover(cluster, recovery));
         }
     }
 
-    fn later(&mut self, world: &World, after_ms: u64, relief: Relief) {
-        let at_ms = world.now_ms + after_ms;
+    fn later(&mut self, cluster: &Cluster, after_ms: u64, recovery: Recovery) {
+        let at_ms = cluster.now_ms + after_ms;
         self.calm_from_ms = self.calm_from_ms.max(at_ms);
-        self.reliefs.push((at_ms, relief));
+        self.recoveries.push((at_ms, recovery));
     }
 
-    fn trouble(&mut self, world: &mut World) {
-        let present = world.present();
+    fn inject(&mut self, cluster: &mut Cluster) {
+        let present = cluster.present();
         let count = present.len() as u64;
-        let first = world.below(count) as usize;
-        let second = (first + 1 + world.below(count - 1) as usize) % count as usize;
+        let first = cluster.below(count) as usize;
+        let second = (first + 1 + cluster.below(count - 1) as usize) % count as usize;
         let (node, other) = (present[first], present[second]);
-        let for_ms = 200 + world.below(4_000);
+        let for_ms = 200 + cluster.below(4_000);
         let kinds = if self.overlapping { 18 } else { 14 };
-        match world.below(kinds) {
-            0 | 1 => self.kill(world, node, 100 + for_ms / 3),
+        match cluster.below(kinds) {
+            0 | 1 => self.kill(cluster, node, 100 + for_ms / 3),
             2 => present.into_iter().for_each(|node| {
-                let for_ms = 300 + world.below(2_000);
-                self.kill(world, node, for_ms);
+                let for_ms = 300 + cluster.below(2_000);
+                self.kill(cluster, node, for_ms);
             }),
             3 | 4 => {
-                world.freeze(node, for_ms);
-                self.calm_from_ms = self.calm_from_ms.max(world.now_ms + for_ms);
+                cluster.freeze(node, for_ms);
+                self.calm_from_ms = self.calm_from_ms.max(cluster.now_ms + for_ms);
             }
-            5 => self.cut(world, node, other, for_ms),
+            5 => self.block_link(cluster, node, other, for_ms),
             6 => {
-                self.cut(world, node, other, for_ms);
-                self.cut(world, other, node, for_ms);
+                self.block_link(cluster, node, other, for_ms);
+                self.block_link(cluster, other, node, for_ms);
             }
-            7 => self.part(world, for_ms),
-            8 | 9 => self.slow_disk(world, node, for_ms),
-            10 => self.poor_network(world, for_ms),
-            11 => self.planned_stop(world, node, for_ms),
-            14 | 15 => self.replace(world, node),
-            16 => self.halves(world, for_ms),
-            _ => self.lose_disk(world, node),
+            7 => self.partition(cluster, for_ms),
+            8 | 9 => self.slow_disk(cluster, node, for_ms),
+            10 => self.poor_network(cluster, for_ms),
+            11 => self.planned_stop(cluster, node, for_ms),
+            14 | 15 => self.replace(cluster, node),
+            16 => self.partition_into_halves(cluster, for_ms),
+            _ => self.lose_disk(cluster, node),
         }
     }
 
-    fn kill(&mut self, world: &mut World, node: usize, for_ms: u64) {
-        if world.nodes[node].replica.is_some() {
-            world.stop(node);
-            self.later(world, for_ms, Relief::Start(node));
+    fn kill(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
+        if cluster.nodes[node].replica.is_some() {
+            cluster.stop(node);
+            self.later(cluster, for_ms, Recovery::Start(node));
         }
     }
 
-    fn cut(&mut self, world: &mut World, from: usize, to: usize, for_ms: u64) {
-        world.note(&format!("cut {from} -> {to} for {for_ms}"));
-        world.cut.insert((from, to));
-        self.later(world, for_ms, Relief::Join(from, to));
+    fn block_link(&mut self, cluster: &mut Cluster, from: usize, to: usize, for_ms: u64) {
+        cluster.log_event(&format!("cut {from} -> {to} for {for_ms}"));
+        cluster.blocked_links.insert((from, to));
+        self.later(cluster, for_ms, Recovery::Join(from, to));
     }
 
-    fn part(&mut self, world: &mut World, for_ms: u64) {
-        let count = world.nodes.len();
-        let sides: Vec<bool> = (0..count).map(|_| world.below(2) == 0).collect();
-        self.separate(world, &sides, for_ms);
+    fn partition(&mut self, cluster: &mut Cluster, for_ms: u64) {
+        let count = cluster.nodes.len();
+        let sides: Vec<bool> = (0..count).map(|_| cluster.below(2) == 0).collect();
+        self.separate(cluster, &sides, for_ms);
     }
 
     /// A cut into two halves, as even as they can be.
-    fn halves(&mut self, world: &mut World, for_ms: u64) {
-        let first = world.below(2) == 0;
-        let mut sides = vec![first; world.nodes.len()];
-        for (position, node) in world.present().into_iter().enumerate() {
+    fn partition_into_halves(&mut self, cluster: &mut Cluster, for_ms: u64) {
+        let first = cluster.below(2) == 0;
+        let mut sides = vec![first; cluster.nodes.len()];
+        for (position, node) in cluster.present().into_iter().enumerate() {
             sides[node] = (position % 2 == 0) == first;
         }
-        self.separate(world, &sides, for_ms);
+        self.separate(cluster, &sides, for_ms);
     }
 
-    fn separate(&mut self, world: &mut World, sides: &[bool], for_ms: u64) {
-        let present = world.present();
+    fn separate(&mut self, cluster: &mut Cluster, sides: &[bool], for_ms: u64) {
+        let present = cluster.present();
         for &from in &present {
             for &to in present.iter().filter(|&&to| sides[from] != sides[to]) {
-                self.cut(world, from, to, for_ms);
+                self.block_link(cluster, from, to, for_ms);
             }
         }
     }
 
-    fn slow_disk(&mut self, world: &mut World, node: usize, for_ms: u64) {
-        let choice = world.below(4) as usize;
-        world.note(&format!("disk trouble {choice} at {node} for {for_ms}"));
-        world.nodes[node].disk_ms = [100, 400, 1_500, 9][choice];
-        world.nodes[node].disk_refuses = choice == 3;
-        self.later(world, for_ms, Relief::NormalDisk(node));
+    fn slow_disk(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
+        let fault = cluster.below(4) as usize;
+        cluster.log_event(&format!("disk trouble {fault} at {node} for {for_ms}"));
+        cluster.nodes[node].disk_ms = [100, 400, 1_500, 9][fault];
+        cluster.nodes[node].disk_refuses = fault == 3;
+        self.later(cluster, for_ms, Recovery::NormalDisk(node));
     }
 
-    fn poor_network(&mut self, world: &mut World, for_ms: u64) {
-        world.note(&format!("poor network for {for_ms}"));
-        world.loss_percent = world.below(40);
-        world.repeat_percent = if self.overlapping { world.below(30) } else { 0 };
-        world.delay_spread_ms = 1 + world.below(300);
-        self.later(world, for_ms, Relief::NormalNetwork);
+    fn poor_network(&mut self, cluster: &mut Cluster, for_ms: u64) {
+        cluster.log_event(&format!("poor network for {for_ms}"));
+        cluster.loss_percent = cluster.below(40);
+        cluster.repeat_percent = if self.overlapping {
+            cluster.below(30)
+        } else {
+            0
+        };
+        cluster.delay_spread_ms = 1 + cluster.below(300);
+        self.later(cluster, for_ms, Recovery::NormalNetwork);
     }
 
-    fn planned_stop(&mut self, world: &mut World, node: usize, for_ms: u64) {
-        if world.nodes[node].replica.is_some() {
-            world.step_down(node);
-            self.later(world, 800, Relief::Stop(node));
-            self.later(world, 900 + for_ms, Relief::Start(node));
+    fn planned_stop(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
+        if cluster.nodes[node].replica.is_some() {
+            cluster.step_down(node);
+            self.later(cluster, 800, Recovery::Stop(node));
+            self.later(cluster, 900 + for_ms, Recovery::Start(node));
         }
     }
 
     /// One disk is lost after a calm; at times all other machines lose power at the same moment.
-    fn lose_disk(&mut self, world: &mut World, node: usize) {
+    fn lose_disk(&mut self, cluster: &mut Cluster, node: usize) {
         if self.overlapping {
-            self.lose_disk_at_once(world, node);
+            self.lose_disk_while_overlapping(cluster, node);
             return;
         }
         let calm_ms = self.calm_from_ms + CATCH_UP_MS;
-        if world.now_ms < calm_ms {
+        if cluster.now_ms < calm_ms {
             return;
         }
-        world.wipe(node);
-        let back_ms = 100 + world.below(1_500);
-        self.later(world, back_ms, Relief::Start(node));
-        if world.below(2) == 0 {
-            self.kill_others(world, node);
+        cluster.wipe(node);
+        let back_ms = 100 + cluster.below(1_500);
+        self.later(cluster, back_ms, Recovery::Start(node));
+        if cluster.below(2) == 0 {
+            self.kill_others(cluster, node);
         }
         let until_ms = self.calm_from_ms + CATCH_UP_MS;
-        self.go_on(world, until_ms, 20);
+        self.run_until(cluster, until_ms, 20);
     }
 
-    fn kill_others(&mut self, world: &mut World, node: usize) {
-        for other in world.present().into_iter().filter(|&other| other != node) {
-            let back_ms = 300 + world.below(1_500);
-            self.kill(world, other, back_ms);
+    fn kill_others(&mut self, cluster: &mut Cluster, node: usize) {
+        for other in cluster.present().into_iter().filter(|&other| other != node) {
+            let back_ms = 300 + cluster.below(1_500);
+            self.kill(cluster, other, back_ms);
         }
     }
 
     /// A disk is lost whatever else is going on, unless one that was lost before may not have been made good.
-    fn lose_disk_at_once(&mut self, world: &mut World, node: usize) {
+    fn lose_disk_while_overlapping(&mut self, cluster: &mut Cluster, node: usize) {
         if self.disk_lost {
             return;
         }
         self.disk_lost = true;
-        world.wipe(node);
-        let back_ms = 100 + world.below(4_000);
-        self.later(world, back_ms, Relief::Start(node));
-        if world.below(3) == 0 {
-            self.kill_others(world, node);
+        cluster.wipe(node);
+        let back_ms = 100 + cluster.below(4_000);
+        self.later(cluster, back_ms, Recovery::Start(node));
+        if cluster.below(3) == 0 {
+            self.kill_others(cluster, node);
         }
     }
 
     /// A machine is replaced by one at another address: the new one first or the old one first, planned or not.
-    fn replace(&mut self, world: &mut World, node: usize) {
+    fn replace(&mut self, cluster: &mut Cluster, node: usize) {
         if self.disk_lost {
             return;
         }
-        let Some(new) = world.next_spare() else {
+        let Some(new) = cluster.next_spare() else {
             return;
         };
         self.disk_lost = true;
-        let (new_first, planned) = (world.below(2) == 0, world.below(2) == 0);
-        let gap_ms = world.below(3_000);
-        world.note(&format!(
+        let (new_first, planned) = (cluster.below(2) == 0, cluster.below(2) == 0);
+        let gap_ms = cluster.below(3_000);
+        cluster.log_event(&format!(
             "replace {node} by {new}, new first {new_first}, planned {planned}, gap {gap_ms}"
         ));
         let leave_ms = if new_first { gap_ms } else { 0 };
         if planned && leave_ms == 0 {
-            world.step_down(node);
+            cluster.step_down(node);
         }
         let stop_ms = if planned { leave_ms + 800 } else { leave_ms };
-        self.later(world, stop_ms, Relief::Remove(node));
+        self.later(cluster, stop_ms, Recovery::Remove(node));
         let install_ms = if new_first { 0 } else { stop_ms + gap_ms };
-        self.later(world, install_ms, Relief::Install(new));
+        self.later(cluster, install_ms, Recovery::Install(new));
     }
 }
 
-fn relieve(world: &mut World, relief: &Relief) {
-    world.note(&format!("{relief:?}"));
-    match *relief {
-        Relief::Start(node) if world.is_present(node) && world.nodes[node].replica.is_none() => {
-            world.start(node, false);
+fn recover(cluster: &mut Cluster, recovery: &Recovery) {
+    cluster.log_event(&format!("{recovery:?}"));
+    match *recovery {
+        Recovery::Start(node)
+            if cluster.is_present(node) && cluster.nodes[node].replica.is_none() =>
+        {
+            cluster.start(node, false);
         }
-        Relief::Start(_) => {}
-        Relief::Install(node) => world.install(node),
-        Relief::Remove(node) => world.remove(node),
-        Relief::Stop(node) => world.stop(node),
-        Relief::Join(from, to) => {
-            world.cut.remove(&(from, to));
+        Recovery::Start(_) => {}
+        Recovery::Install(node) => cluster.install(node),
+        Recovery::Remove(node) => cluster.remove(node),
+        Recovery::Stop(node) => cluster.stop(node),
+        Recovery::Join(from, to) => {
+            cluster.blocked_links.remove(&(from, to));
         }
-        Relief::NormalDisk(node) => {
-            world.nodes[node].disk_ms = 9;
-            world.nodes[node].disk_refuses = false;
+        Recovery::NormalDisk(node) => {
+            cluster.nodes[node].disk_ms = 9;
+            cluster.nodes[node].disk_refuses = false;
         }
-        Relief::NormalNetwork => {
-            world.loss_percent = 0;
-            world.repeat_percent = 0;
-            world.delay_spread_ms = 3;
+        Recovery::NormalNetwork => {
+            cluster.loss_percent = 0;
+            cluster.repeat_percent = 0;
+            cluster.delay_spread_ms = 3;
         }
     }
 }
--- a/crates/replication/tests/simulation/node.rs
+++ b/crates/replication/tests/simulation/node.rs
@@ -22,25 +22,25 @@
 
 /// Whether a machine is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Presence {
     /// Not yet.
     Spare,
     /// It will be installed soon.
-    Coming,
+    Installing,
     Present,
     /// Removed for good.
-    Gone,
+    Removed,
 }
 
 /// A machine.
 #[derive(Debug)]
 pub struct Node {
     pub index: usize,
-    pub place: Place,
+    pub presence: Presence,
     pub replica: Option<Replica>,
     pub disk: Disk,
     /// Rises with each start of the process; events of earlier lives are dropped.
-    pub life: u64,
+    pub incarnation: u64,
     pub frozen_until_ms: u64,
     pub disk_ms: u64,
     pub disk_refuses: bool,
@@ -72,10 +72,10 @@
     pub fn new(index: usize, clock_offset_ms: u64, clock_rate_permille: u64) -> Node {
         Node {
             index,
-            place: Place::Present,
+            presence: Presence::Present,
             replica: None,
             disk: Disk::default(),
-            life: 0,
+            incarnation: 0,
             frozen_until_ms: 0,
             disk_ms: 9,
             disk_refuses: false,
@@ -98,7 +98,7 @@
     }
 
     pub fn start(&mut self, true_ms: u64, seeds: &[usize], bootstrap: bool, random_seed: u64) {
-        self.life += 1;
+        self.incarnation += 1;
         self.tasks.clear();
         self.busy = false;
         let settings = Settings {
@@ -121,7 +121,7 @@
             self.disk.apply(&request);
         }
         self.replica = None;
-        self.life += 1;
+        self.incarnation += 1;
         self.tasks.clear();
         self.busy = false;
     }
@@ -138,7 +138,7 @@
 
 /// A message on its way.
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct InFlight {
     pub to: usize,
     pub envelope: Envelope,
 }
--- a/crates/replication/tests/simulation/figures.rs
+++ b/crates/replication/tests/simulation/outages.rs
@@ -1,9 +1,9 @@
 //! Times without a committed write after the loss of members: the figures of `docs/system/control.md`, and their bounds.
 //! `cargo test -p indigofold-replication figures -- --nocapture` prints them.
 
-use super::EVERY_MS;
+use super::SUBMIT_INTERVAL_MS;
+use super::cluster::Cluster;
 use super::started;
-use super::world::World;
 use rstest::rstest;
 
 const SEEDS: u64 = 20;
@@ -24,8 +24,8 @@
 
 impl Lost {
     /// The machines, by their places in the chain of the acting head.
-    fn machines(self, world: &World) -> Vec<usize> {
-        let chain = world.chain();
+    fn machines(self, cluster: &Cluster) -> Vec<usize> {
+        let chain = cluster.chain();
         match self {
             Lost::Head => vec![chain[0]],
             Lost::Middle => vec![chain[chain.len() / 2]],
@@ -38,24 +38,24 @@
 
 /// The lost members are killed and come back; the longest time between two committed writes.
 fn gap_ms(seed: u64, machines: usize, lost: Lost) -> u64 {
-    let mut world = started(seed, machines);
-    let mut away = lost.machines(&world);
-    away.iter().for_each(|&machine| world.stop(machine));
-    let back_ms = world.now_ms + AWAY_MS;
+    let mut cluster = started(seed, machines);
+    let mut away = lost.machines(&cluster);
+    away.iter().for_each(|&machine| cluster.stop(machine));
+    let back_ms = cluster.now_ms + AWAY_MS;
     let until_ms = back_ms + WATCHED_MS;
-    let (mut longest_ms, mut last_ms) = (0, world.now_ms);
-    while world.now_ms < until_ms {
-        world.run(world.now_ms + EVERY_MS, EVERY_MS);
-        if world.now_ms >= back_ms {
+    let (mut longest_ms, mut last_ms) = (0, cluster.now_ms);
+    while cluster.now_ms < until_ms {
+        cluster.run(cluster.now_ms + SUBMIT_INTERVAL_MS, SUBMIT_INTERVAL_MS);
+        if cluster.now_ms >= back_ms {
             away.drain(..)
-                .for_each(|machine| world.start(machine, false));
+                .for_each(|machine| cluster.start(machine, false));
         }
-        let newest_ms = world.last_commit_ms.max(last_ms);
+        let newest_ms = cluster.last_commit_ms.max(last_ms);
         longest_ms = longest_ms.max(newest_ms - last_ms);
         last_ms = newest_ms;
     }
-    world.run(world.now_ms + 6_000, EVERY_MS);
-    world.check_whole(&(0..machines).collect::<Vec<_>>());
+    cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
+    cluster.check_converged(&(0..machines).collect::<Vec<_>>());
     longest_ms.max(until_ms - last_ms)
 }
 
@@ -70,7 +70,7 @@
 #[case::tail_of_5(5, Lost::Tail, 350)]
 #[case::majority_of_5(5, Lost::Majority, 1_100)]
 #[case::all_of_5(5, Lost::All, 1_000)]
-fn writes_go_on_soon_after_a_loss(
+fn writes_resume_within_a_bound_after_a_loss(
     #[case] machines: usize,
     #[case] lost: Lost,
     #[case] bound_ms: u64,
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -1,110 +1,112 @@
 //! One trouble at a time, and how soon the cluster is at work again.
 
-use super::world::World;
-use super::{EVERY_MS, started};
+use super::cluster::Cluster;
+use super::{SUBMIT_INTERVAL_MS, started};
 use rstest::rstest;
 
 const SEEDS: u64 = 30;
 
 /// Longest time without a committed write from `from_ms` on, while the cluster runs for `for_ms`.
-fn longest_gap_ms(world: &mut World, for_ms: u64) -> u64 {
-    let until_ms = world.now_ms + for_ms;
+fn longest_gap_ms(cluster: &mut Cluster, for_ms: u64) -> u64 {
+    let until_ms = cluster.now_ms + for_ms;
     let mut longest_ms = 0;
-    let mut last_ms = world.now_ms;
-    while world.now_ms < until_ms {
-        let next_ms = world.now_ms + EVERY_MS;
-        world.run(next_ms, EVERY_MS);
-        if world.last_commit_ms > last_ms {
-            longest_ms = longest_ms.max(world.last_commit_ms - last_ms);
-            last_ms = world.last_commit_ms;
+    let mut last_ms = cluster.now_ms;
+    while cluster.now_ms < until_ms {
+        let next_ms = cluster.now_ms + SUBMIT_INTERVAL_MS;
+        cluster.run(next_ms, SUBMIT_INTERVAL_MS);
+        if cluster.last_commit_ms > last_ms {
+            longest_ms = longest_ms.max(cluster.last_commit_ms - last_ms);
+            last_ms = cluster.last_commit_ms;
         }
     }
     longest_ms.max(until_ms - last_ms)
 }
 
-fn head(world: &World) -> usize {
-    world.acting().expect("a head acts")
+fn head(cluster: &Cluster) -> usize {
+    cluster.acting().expect("a head acts")
 }
 
 /// A member that is not the head.
-fn follower(world: &World) -> usize {
-    (head(world) + 1) % world.nodes.len()
+fn follower(cluster: &Cluster) -> usize {
+    (head(cluster) + 1) % cluster.nodes.len()
 }
 
-fn all(world: &World) -> Vec<usize> {
-    (0..world.nodes.len()).collect()
+fn all(cluster: &Cluster) -> Vec<usize> {
+    (0..cluster.nodes.len()).collect()
 }
 
 #[rstest]
-fn another_member_leads_soon_after_the_head_has_died(#[values(3, 4, 5)] machines: usize) {
+fn another_member_leads_soon_after_the_head_dies(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut world = started(seed, machines);
-        let head = head(&world);
-        world.stop(head);
-        let gap_ms = longest_gap_ms(&mut world, 3_000);
+        let mut cluster = started(seed, machines);
+        let head = head(&cluster);
+        cluster.stop(head);
+        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
         assert!(gap_ms <= 2_000, "seed {seed}: no write for {gap_ms} ms");
-        world.start(head, false);
-        world.run(world.now_ms + 6_000, EVERY_MS);
-        world.check_whole(&all(&world));
+        cluster.start(head, false);
+        cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
+        cluster.check_converged(&all(&cluster));
     }
 }
 
 /// The head stands as soon as it is back, and voters that were started again need not wait for a lease of its own.
 #[rstest]
-fn after_all_were_killed_together_the_same_head_acts_at_once(#[values(3, 4, 5)] machines: usize) {
+fn the_same_head_resumes_at_once_after_all_were_killed(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut world = started(seed, machines);
-        let former = head(&world);
-        all(&world).into_iter().for_each(|node| world.stop(node));
-        world.run(world.now_ms + 500, EVERY_MS);
-        all(&world)
+        let mut cluster = started(seed, machines);
+        let former = head(&cluster);
+        all(&cluster)
             .into_iter()
-            .for_each(|node| world.start(node, false));
-        let gap_ms = longest_gap_ms(&mut world, 3_000);
+            .for_each(|node| cluster.stop(node));
+        cluster.run(cluster.now_ms + 500, SUBMIT_INTERVAL_MS);
+        all(&cluster)
+            .into_iter()
+            .for_each(|node| cluster.start(node, false));
+        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
         assert!(gap_ms <= 250, "seed {seed}: no write for {gap_ms} ms");
         assert_eq!(
-            world.gained.last().map(|(_, node, _)| *node),
+            cluster.gained.last().map(|(_, node, _)| *node),
             Some(former),
             "seed {seed}"
         );
-        world.check_whole(&all(&world));
+        cluster.check_converged(&all(&cluster));
     }
 }
 
 /// A head that was succeeded while it was down stands again beside voters that were started again: only those whose
 /// disks still have its view support it, and that is no majority.
 #[rstest]
-fn a_succeeded_head_that_stands_again_is_not_followed(#[values(3, 5)] machines: usize) {
+fn a_superseded_head_is_not_elected(#[values(3, 5)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut world = started(seed, machines);
-        let former = head(&world);
-        world.stop(former);
-        world.run(world.now_ms + 2_500, EVERY_MS);
-        let present = head(&world);
-        all(&world)
+        let mut cluster = started(seed, machines);
+        let former = head(&cluster);
+        cluster.stop(former);
+        cluster.run(cluster.now_ms + 2_500, SUBMIT_INTERVAL_MS);
+        let present = head(&cluster);
+        all(&cluster)
             .into_iter()
             .filter(|node| *node != present)
-            .for_each(|node| world.stop(node));
-        all(&world)
+            .for_each(|node| cluster.stop(node));
+        all(&cluster)
             .into_iter()
             .filter(|node| *node != present)
-            .for_each(|node| world.start(node, false));
-        let gap_ms = longest_gap_ms(&mut world, 3_000);
+            .for_each(|node| cluster.start(node, false));
+        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
         assert!(gap_ms <= 1_500, "seed {seed}: no write for {gap_ms} ms");
-        world.check_whole(&all(&world));
+        cluster.check_converged(&all(&cluster));
     }
 }
 
 #[rstest]
-fn a_planned_stop_of_the_head_costs_little(#[values(3, 4)] machines: usize) {
+fn a_planned_stop_of_the_head_interrupts_writes_briefly(#[values(3, 4)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut world = started(seed, machines);
-        let head = head(&world);
-        world.step_down(head);
-        let gap_ms = longest_gap_ms(&mut world, 800);
+        let mut cluster = started(seed, machines);
+        let head = head(&cluster);
+        cluster.step_down(head);
+        let gap_ms = longest_gap_ms(&mut cluster, 800);
         assert!(gap_ms <= 400, "seed {seed}: no write for {gap_ms} ms");
-        world.stop(head);
-        let gap_ms = longest_gap_ms(&mut world, 3_000);
+        cluster.stop(head);
+        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
         assert!(
             gap_ms <= 200,
             "seed {seed}: no write for {gap_ms} ms after the stop"
@@ -113,15 +115,15 @@
 }
 
 #[test]
-fn a_planned_stop_of_another_member_costs_little() {
+fn a_planned_stop_of_a_follower_interrupts_writes_briefly() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let member = follower(&world);
-        world.step_down(member);
-        let gap_ms = longest_gap_ms(&mut world, 600);
+        let mut cluster = started(seed, 3);
+        let member = follower(&cluster);
+        cluster.step_down(member);
+        let gap_ms = longest_gap_ms(&mut cluster, 600);
         assert!(gap_ms <= 200, "seed {seed}: no write for {gap_ms} ms");
-        world.stop(member);
-        let gap_ms = longest_gap_ms(&mut world, 3_000);
+        cluster.stop(member);
+        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
         assert!(
             gap_ms <= 100,
             "seed {seed}: no write for {gap_ms} ms after the stop"
@@ -130,42 +132,42 @@
 }
 
 #[test]
-fn a_member_that_dies_is_left_out_of_the_chain() {
+fn a_dead_member_is_excluded_from_the_chain() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let member = follower(&world);
-        world.stop(member);
-        let gap_ms = longest_gap_ms(&mut world, 4_000);
+        let mut cluster = started(seed, 3);
+        let member = follower(&cluster);
+        cluster.stop(member);
+        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
         assert!(gap_ms <= 1_500, "seed {seed}: no write for {gap_ms} ms");
-        world.start(member, false);
-        world.run(world.now_ms + 5_000, EVERY_MS);
-        world.check_whole(&all(&world));
+        cluster.start(member, false);
+        cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
+        cluster.check_converged(&all(&cluster));
     }
 }
 
 #[test]
-fn a_member_with_a_hanging_disk_is_left_out_and_comes_back() {
+fn a_member_with_a_hanging_disk_is_excluded_and_rejoins() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let member = follower(&world);
-        world.nodes[member].disk_ms = 4_000;
-        let gap_ms = longest_gap_ms(&mut world, 4_000);
+        let mut cluster = started(seed, 3);
+        let member = follower(&cluster);
+        cluster.nodes[member].disk_ms = 4_000;
+        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
         assert!(gap_ms <= 1_200, "seed {seed}: no write for {gap_ms} ms");
-        world.nodes[member].disk_ms = 9;
-        world.run(world.now_ms + 12_000, EVERY_MS);
-        world.check_whole(&all(&world));
+        cluster.nodes[member].disk_ms = 9;
+        cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
+        cluster.check_converged(&all(&cluster));
     }
 }
 
 #[test]
-fn a_head_with_a_hanging_disk_hands_its_role_over() {
+fn a_head_with_a_hanging_disk_transfers_its_leadership() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let head = head(&world);
-        world.nodes[head].disk_ms = 5_000;
-        let gap_ms = longest_gap_ms(&mut world, 4_000);
+        let mut cluster = started(seed, 3);
+        let head = head(&cluster);
+        cluster.nodes[head].disk_ms = 5_000;
+        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
         assert!(gap_ms <= 1_500, "seed {seed}: no write for {gap_ms} ms");
-        assert_ne!(world.acting(), Some(head), "seed {seed}");
+        assert_ne!(cluster.acting(), Some(head), "seed {seed}");
     }
 }
 
@@ -173,156 +175,162 @@
 #[rstest]
 #[case::of_the_head(0)]
 #[case::of_the_next_in_the_chain(1)]
-fn a_slow_disk_holds_writes_up_for_a_moment_only(#[case] offset: usize) {
+fn a_slow_disk_slows_writes_only_briefly(#[case] offset: usize) {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let slow = (head(&world) + offset) % world.nodes.len();
-        world.nodes[slow].disk_ms = 250;
-        let gap_ms = longest_gap_ms(&mut world, 1_200);
+        let mut cluster = started(seed, 3);
+        let slow = (head(&cluster) + offset) % cluster.nodes.len();
+        cluster.nodes[slow].disk_ms = 250;
+        let gap_ms = longest_gap_ms(&mut cluster, 1_200);
         assert!(gap_ms <= 800, "seed {seed}: no write for {gap_ms} ms");
-        let gap_ms = longest_gap_ms(&mut world, 700);
+        let gap_ms = longest_gap_ms(&mut cluster, 700);
         assert!(
             gap_ms <= 200,
             "seed {seed}: no write for {gap_ms} ms while the disk is still slow"
         );
-        world.nodes[slow].disk_ms = 9;
-        world.run(world.now_ms + 12_000, EVERY_MS);
-        world.check_whole(&all(&world));
+        cluster.nodes[slow].disk_ms = 9;
+        cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
+        cluster.check_converged(&all(&cluster));
     }
 }
 
 #[test]
-fn full_disks_refuse_writes_and_take_them_again_later() {
+fn writes_are_rejected_while_disks_are_full_and_accepted_afterwards() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let head = head(&world);
-        world
+        let mut cluster = started(seed, 3);
+        let head = head(&cluster);
+        cluster
             .nodes
             .iter_mut()
             .for_each(|node| node.disk_refuses = true);
-        world.run(world.now_ms + 5_000, EVERY_MS);
-        assert!(world.refused > 100, "{} writes were refused", world.refused);
+        cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
+        assert!(
+            cluster.rejected > 100,
+            "{} writes were refused",
+            cluster.rejected
+        );
         assert_eq!(
-            world.acting(),
+            cluster.acting(),
             Some(head),
             "the head goes on with what it has"
         );
-        world
+        cluster
             .nodes
             .iter_mut()
             .for_each(|node| node.disk_refuses = false);
-        let gap_ms = longest_gap_ms(&mut world, 2_000);
+        let gap_ms = longest_gap_ms(&mut cluster, 2_000);
         assert!(gap_ms <= 700, "seed {seed}: no write for {gap_ms} ms");
-        world.check_kept(head);
+        cluster.check_committed_rows(head);
     }
 }
 
 #[test]
-fn a_frozen_head_is_succeeded_and_does_not_act_when_it_wakes() {
+fn a_frozen_head_is_superseded_and_does_not_act_after_it() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let head = head(&world);
-        world.freeze(head, 4_000);
-        let gap_ms = longest_gap_ms(&mut world, 3_500);
+        let mut cluster = started(seed, 3);
+        let head = head(&cluster);
+        cluster.freeze(head, 4_000);
+        let gap_ms = longest_gap_ms(&mut cluster, 3_500);
         assert!(gap_ms <= 2_200, "seed {seed}: no write for {gap_ms} ms");
-        let gap_ms = longest_gap_ms(&mut world, 4_000);
+        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
         assert!(
             gap_ms <= 300,
             "seed {seed}: no write for {gap_ms} ms around the waking"
         );
-        world.check_whole(&all(&world));
+        cluster.check_converged(&all(&cluster));
     }
 }
 
 #[test]
-fn two_members_cut_from_each_other_do_not_stop_the_cluster() {
+fn a_partition_between_two_members_does_not_stop_writes() {
     for seed in 0..SEEDS {
         for with_head in [false, true] {
-            let mut world = started(seed, 3);
-            let head = head(&world);
+            let mut cluster = started(seed, 3);
+            let head = head(&cluster);
             let (a, b) = if with_head {
                 (head, (head + 1) % 3)
             } else {
                 ((head + 1) % 3, (head + 2) % 3)
             };
-            world.cut_both(a, b);
-            let gap_ms = longest_gap_ms(&mut world, 8_000);
+            cluster.block_both(a, b);
+            let gap_ms = longest_gap_ms(&mut cluster, 8_000);
             assert!(
                 gap_ms <= 2_200,
                 "seed {seed}, with head {with_head}: no write for {gap_ms} ms"
             );
-            world.cut.clear();
-            world.run(world.now_ms + 12_000, EVERY_MS);
-            world.check_whole(&all(&world));
+            cluster.blocked_links.clear();
+            cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
+            cluster.check_converged(&all(&cluster));
         }
     }
 }
 
 #[test]
-fn a_head_that_hears_nobody_is_succeeded() {
+fn a_head_that_receives_nothing_is_superseded() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let head = head(&world);
+        let mut cluster = started(seed, 3);
+        let head = head(&cluster);
         for other in (0..3).filter(|&other| other != head) {
-            world.cut.insert((other, head));
+            cluster.blocked_links.insert((other, head));
         }
-        let gap_ms = longest_gap_ms(&mut world, 7_000);
+        let gap_ms = longest_gap_ms(&mut cluster, 7_000);
         assert!(gap_ms <= 4_500, "seed {seed}: no write for {gap_ms} ms");
     }
 }
 
 #[test]
-fn a_head_cut_off_is_succeeded() {
+fn a_partitioned_head_is_superseded() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let head = head(&world);
+        let mut cluster = started(seed, 3);
+        let head = head(&cluster);
         for other in (0..3).filter(|&other| other != head) {
-            world.cut_both(other, head);
+            cluster.block_both(other, head);
         }
-        let gap_ms = longest_gap_ms(&mut world, 4_000);
+        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
         assert!(gap_ms <= 2_200, "seed {seed}: no write for {gap_ms} ms");
-        world.cut.clear();
-        world.run(world.now_ms + 5_000, EVERY_MS);
-        world.check_whole(&all(&world));
+        cluster.blocked_links.clear();
+        cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
+        cluster.check_converged(&all(&cluster));
     }
 }
 
 #[rstest]
-fn the_cluster_goes_on_after_all_have_lost_power(#[values(3, 4, 5)] machines: usize) {
+fn the_cluster_recovers_after_all_members_lose_power(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut world = started(seed, machines);
-        let members = all(&world);
-        members.iter().for_each(|&member| world.stop(member));
-        world.run(world.now_ms + 500, EVERY_MS);
+        let mut cluster = started(seed, machines);
+        let members = all(&cluster);
+        members.iter().for_each(|&member| cluster.stop(member));
+        cluster.run(cluster.now_ms + 500, SUBMIT_INTERVAL_MS);
         members
             .iter()
-            .for_each(|&member| world.start(member, false));
-        let gap_ms = longest_gap_ms(&mut world, 3_000);
+            .for_each(|&member| cluster.start(member, false));
+        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
         assert!(gap_ms <= 2_300, "seed {seed}: no write for {gap_ms} ms");
-        world.run(world.now_ms + 4_000, EVERY_MS);
-        world.check_whole(&members);
+        cluster.run(cluster.now_ms + 4_000, SUBMIT_INTERVAL_MS);
+        cluster.check_converged(&members);
     }
 }
 
 #[rstest]
-fn writes_survive_a_lost_disk_while_all_others_lose_power(#[values(3, 4, 5)] machines: usize) {
+fn committed_writes_survive_a_lost_disk_while_all_others_lose_power(
+    #[values(3, 4, 5)] machines: usize,
+) {
     for seed in 0..2 * SEEDS {
-        let mut world = started(seed, machines);
+        let mut cluster = started(seed, machines);
         let wiped = seed as usize % machines;
-        world.wipe(wiped);
-        let others: Vec<usize> = all(&world)
+        cluster.wipe(wiped);
+        let others: Vec<usize> = all(&cluster)
             .into_iter()
             .filter(|&other| other != wiped)
             .collect();
-        others.iter().for_each(|&other| world.stop(other));
-        world.run(world.now_ms + 300, EVERY_MS);
-        all(&world)
+        others.iter().for_each(|&other| cluster.stop(other));
+        cluster.run(cluster.now_ms + 300, SUBMIT_INTERVAL_MS);
+        all(&cluster)
             .into_iter()
-            .for_each(|member| world.start(member, false));
-        let gap_ms = longest_gap_ms(&mut world, 3_500);
+            .for_each(|member| cluster.start(member, false));
+        let gap_ms = longest_gap_ms(&mut cluster, 3_500);
         assert!(gap_ms <= 2_500, "seed {seed}: no write for {gap_ms} ms");
-        world.run(world.now_ms + 6_000, EVERY_MS);
-        world.check_whole(&all(&world));
+        cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
+        cluster.check_converged(&all(&cluster));
     }
 }
 
@@ -331,84 +339,88 @@
 #[test]
 fn machines_are_replaced_until_no_seed_is_left() {
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, 6, 3);
-        (0..3).for_each(|member| world.start(member, true));
-        world.run(4_000, EVERY_MS);
+        let mut cluster = Cluster::new(seed, 6, 3);
+        (0..3).for_each(|member| cluster.start(member, true));
+        cluster.run(4_000, SUBMIT_INTERVAL_MS);
         for (old, new) in [(0, 3), (1, 4), (2, 5)] {
-            world.stop(old);
-            world.run(world.now_ms + 500, EVERY_MS);
-            world.seeds = (old + 1..new).collect();
-            world.start(new, false);
-            world.run(world.now_ms + 8_000, EVERY_MS);
+            cluster.stop(old);
+            cluster.run(cluster.now_ms + 500, SUBMIT_INTERVAL_MS);
+            cluster.seeds = (old + 1..new).collect();
+            cluster.start(new, false);
+            cluster.run(cluster.now_ms + 8_000, SUBMIT_INTERVAL_MS);
         }
-        world.check_whole(&[3, 4, 5]);
-        [3, 4, 5].into_iter().for_each(|member| world.stop(member));
-        world.seeds = vec![0, 1, 2];
-        world.run(world.now_ms + 500, EVERY_MS);
+        cluster.check_converged(&[3, 4, 5]);
         [3, 4, 5]
             .into_iter()
-            .for_each(|member| world.start(member, false));
-        world.run(world.now_ms + 6_000, EVERY_MS);
-        world.check_whole(&[3, 4, 5]);
+            .for_each(|member| cluster.stop(member));
+        cluster.seeds = vec![0, 1, 2];
+        cluster.run(cluster.now_ms + 500, SUBMIT_INTERVAL_MS);
+        [3, 4, 5]
+            .into_iter()
+            .for_each(|member| cluster.start(member, false));
+        cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
+        cluster.check_converged(&[3, 4, 5]);
     }
 }
 
 /// The world checks at each step that no two heads act.
 #[test]
-fn voters_that_start_again_respect_the_lease_that_they_had_granted() {
+fn restarted_voters_respect_leases_granted_before() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let head = head(&world);
+        let mut cluster = started(seed, 3);
+        let head = head(&cluster);
         let others: Vec<usize> = (0..3).filter(|&other| other != head).collect();
-        others.iter().for_each(|&other| world.cut_both(other, head));
-        others.iter().for_each(|&other| world.stop(other));
-        others.iter().for_each(|&other| world.start(other, false));
-        let gap_ms = longest_gap_ms(&mut world, 3_000);
+        others
+            .iter()
+            .for_each(|&other| cluster.block_both(other, head));
+        others.iter().for_each(|&other| cluster.stop(other));
+        others.iter().for_each(|&other| cluster.start(other, false));
+        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
         assert!(gap_ms <= 2_200, "seed {seed}: no write for {gap_ms} ms");
-        assert_ne!(world.acting(), Some(head), "seed {seed}");
+        assert_ne!(cluster.acting(), Some(head), "seed {seed}");
     }
 }
 
 /// Runs until the head has had a new view agreed.
-fn run_until_next_view(world: &mut World, head: usize, former: u64) {
-    let agreed = |world: &World| {
-        let view = world.nodes[head]
+fn run_until_next_view(cluster: &mut Cluster, head: usize, former: u64) {
+    let agreed = |cluster: &Cluster| {
+        let view = cluster.nodes[head]
             .replica
             .as_ref()
             .and_then(|replica| replica.accepted_view());
         view.is_some_and(|(view, agreed)| agreed && view.number > former)
     };
-    let until_ms = world.now_ms + 3_000;
-    while !agreed(world) && world.now_ms < until_ms {
-        world.run(world.now_ms + 1, EVERY_MS);
+    let until_ms = cluster.now_ms + 3_000;
+    while !agreed(cluster) && cluster.now_ms < until_ms {
+        cluster.run(cluster.now_ms + 1, SUBMIT_INTERVAL_MS);
     }
 }
 
 /// A view is agreed by two of three while the third is cut off; then the second loses its disk before it has taken over
 /// the view, and the third is back. The head has a majority, and goes on with the third.
 #[test]
-fn a_chain_that_lost_a_member_before_it_took_over_goes_on_with_another() {
+fn a_chain_that_loses_a_member_during_installation_replaces_it() {
     for seed in 0..SEEDS {
-        let mut world = started(seed, 3);
-        let head = head(&world);
+        let mut cluster = started(seed, 3);
+        let head = head(&cluster);
         let (lost, third) = ((head + 1) % 3, (head + 2) % 3);
-        let former = world.nodes[head]
+        let former = cluster.nodes[head]
             .replica
             .as_ref()
             .map_or(0, |replica| replica.view());
         [head, lost]
             .into_iter()
-            .for_each(|other| world.cut_both(other, third));
-        world.stop(head);
-        world.start(head, false);
-        run_until_next_view(&mut world, head, former);
-        world.wipe(lost);
-        world.cut.clear();
-        let gap_ms = longest_gap_ms(&mut world, 10_000);
+            .for_each(|other| cluster.block_both(other, third));
+        cluster.stop(head);
+        cluster.start(head, false);
+        run_until_next_view(&mut cluster, head, former);
+        cluster.wipe(lost);
+        cluster.blocked_links.clear();
+        let gap_ms = longest_gap_ms(&mut cluster, 10_000);
         assert!(
             gap_ms <= 3_000,
             "seed {seed}: no write for {gap_ms} ms\n{}",
-            world.describe()
+            cluster.describe()
         );
     }
 }
