--- a/crates/replication/tests/storage.rs
+++ b/crates/replication/tests/storage.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_empty_folder_holds_no_record() {
+fn an_empty_folder_has_no_record() {
     let dir = TempDir::new().expect("a folder");
     let opened = Storage::open(dir.path()).expect("opened");
     assert_eq!(opened.durable, None);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn writes_and_the_record_are_there_after_opening_again() {
+fn writes_and_the_record_survive_reopening() {
     let dir = TempDir::new().expect("a folder");
     let mut storage = filled(dir.path());
     storage
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn rows_come_in_the_order_of_their_writes_and_whole_writes_at_a_time() {
+fn rows_are_read_in_write_order_and_writes_are_never_split() {
     let dir = TempDir::new().expect("a folder");
     let mut storage = Storage::open(dir.path()).expect("opened").storage;
     for seq in 1..=5 {
@@ -107,23 +107,23 @@
 }
 
 #[test]
-fn deleted_rows_leave_a_trace_until_it_is_trimmed() {
+fn deleted_rows_leave_a_tombstone_until_it_is_trimmed() {
     let dir = TempDir::new().expect("a folder");
     let mut storage = filled(dir.path());
     storage
         .apply(&write(21, vec![change("row-3", None)]))
         .expect("stored");
-    let traces = |storage: &Storage| {
+    let tombstones = |storage: &Storage| {
         let rows = storage.rows_since(20, 1_000).expect("read").rows;
         rows.into_iter().filter(|row| row.value.is_none()).count()
     };
-    assert_eq!(traces(&storage), 1);
+    assert_eq!(tombstones(&storage), 1);
     let trim = StoreRequest {
         durable: record(21),
         operations: vec![StoreOperation::Trim(21)],
     };
     storage.apply(&trim).expect("stored");
-    assert_eq!(traces(&storage), 0);
+    assert_eq!(tombstones(&storage), 0);
     assert_eq!(table(&storage).len(), 19);
 }
 
@@ -161,14 +161,14 @@
 }
 
 #[rstest]
-fn a_torn_log_holds_a_whole_number_of_writes(
+fn a_torn_log_contains_complete_writes_only(
     #[values(0, 1, 100, 4_095, 4_120, 9_000, 20_000, 50_000)] lost: usize,
 ) {
     let dir = TempDir::new().expect("a folder");
     let storage = filled(dir.path());
-    let copy = after_power_loss(dir.path(), lost);
+    let damaged_dir = after_power_loss(dir.path(), lost);
     drop(storage);
-    let opened = Storage::open(copy.path()).expect("a torn log can be opened");
+    let opened = Storage::open(damaged_dir.path()).expect("a torn log can be opened");
     assert!(opened.quarantined.is_none());
     let seq = opened.durable.map_or(0, |durable| durable.viewstamp.seq);
     assert_eq!(
@@ -187,22 +187,26 @@
 #[rstest]
 #[case::no_database(0, b"this is no database at all, and never was")]
 #[case::overwritten_pages(4_096, &[0xa5; 8_192])]
-fn a_damaged_database_is_set_aside(#[case] offset: usize, #[case] damage: &[u8]) {
+fn a_damaged_database_is_quarantined(#[case] offset: usize, #[case] damage: &[u8]) {
     let dir = TempDir::new().expect("a folder");
     let path = close(dir.path());
     let mut bytes = fs::read(&path).expect("read");
     bytes[offset..offset + damage.len()].copy_from_slice(damage);
     fs::write(&path, bytes).expect("written");
     let opened = Storage::open(dir.path()).expect("a member with a damaged database starts empty");
-    let aside = opened.quarantined.expect("set aside");
-    assert!(aside.path.exists());
-    assert!(aside.reason.contains("control.sqlite"), "{}", aside.reason);
+    let quarantined = opened.quarantined.expect("set aside");
+    assert!(quarantined.path.exists());
+    assert!(
+        quarantined.reason.contains("control.sqlite"),
+        "{}",
+        quarantined.reason
+    );
     assert_eq!(opened.durable, None);
     assert!(table(&opened.storage).is_empty());
 }
 
 #[test]
-fn a_database_of_a_newer_form_is_set_aside() {
+fn a_database_of_a_newer_format_is_quarantined() {
     let dir = TempDir::new().expect("a folder");
     let path = close(dir.path());
     let connection = rusqlite::Connection::open(&path).expect("opened");
@@ -217,7 +221,7 @@
 }
 
 #[test]
-fn a_database_whose_record_cannot_be_read_is_set_aside() {
+fn a_database_with_an_unreadable_record_is_quarantined() {
     let dir = TempDir::new().expect("a folder");
     let path = close(dir.path());
     let connection = rusqlite::Connection::open(&path).expect("opened");
@@ -230,7 +234,7 @@
 }
 
 #[test]
-fn a_folder_that_is_a_file_is_refused() {
+fn a_path_that_is_a_file_is_an_error() {
     let dir = TempDir::new().expect("a folder");
     let path = dir.path().join("file");
     fs::write(&path, "").expect("written");
@@ -266,7 +270,7 @@
 }
 
 #[test]
-fn a_database_without_checksums_gets_them_and_keeps_everything() {
+fn a_database_without_checksums_is_upgraded_without_loss() {
     let dir = TempDir::new().expect("a folder");
     write_without_checksums(dir.path());
     for _ in 0..2 {
