--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model/main.rs
@@ -3,9 +3,7 @@
 //! `MODEL_STATES=N cargo test -p indigofold-replication --profile lab --test model -- --nocapture` goes through N states
 //! of each case instead of the few that fit into every run.
 
-#[path = "model/rules.rs"]
 mod rules;
-#[path = "model/state.rs"]
 mod state;
 
 use rstest::rstest;
--- a/crates/replication/tests/simulation.rs
+++ b/crates/replication/tests/simulation/main.rs
@@ -1,16 +1,10 @@
 //! Whole clusters of replicas under simulated time: faults of many kinds, and what has to hold all along.
 
-#[path = "simulation/cluster.rs"]
 mod cluster;
-#[path = "simulation/disk.rs"]
 mod disk;
-#[path = "simulation/faults.rs"]
 mod faults;
-#[path = "simulation/node.rs"]
 mod node;
-#[path = "simulation/outages.rs"]
 mod outages;
-#[path = "simulation/scenarios.rs"]
 mod scenarios;
 
 use cluster::Cluster;
