--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica.rs
@@ -1,17 +1,29 @@
 //! One member's side of the protocol.
+//!
+//! [`Replica`] takes inputs, hands each to the part of the protocol that it belongs to, and collects the outputs. State that
+//! one part alone changes is kept in a type of its own beside it: [`voter`] (leases and pre-votes granted), [`campaign`],
+//! [`leadership`] with its [`write_queue`], [`state_transfer`], [`rows_server`], [`trim_schedule`] and [`store_queue`].
+//! The record ([`Durable`]) is shared by all parts, because it is stored as a whole.
 
 mod address_book;
 mod campaign;
 mod chain;
 mod election;
+mod following;
 mod head;
 mod io;
 mod leadership;
-mod lease;
+mod planner;
+mod proposal;
 mod reconfiguration;
+mod rows_server;
+mod state_transfer;
 mod store_queue;
 mod transfer;
+mod trim_schedule;
 mod voter;
+mod voting;
+mod write_queue;
 
 pub use io::{Input, Output, Settings};
 
@@ -22,14 +34,14 @@
 use campaign::Campaign;
 use indigofold_protocol::internal::MemberAddress;
 use leadership::Leadership;
-use lease::Lease;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::BTreeMap;
+use rows_server::RowsServer;
+use state_transfer::{StateTransfer, TransferChunk};
 use std::net::SocketAddr;
 use store_queue::{AfterStore, StoreQueue};
-use transfer::{RowsRequest, StateTransfer};
-use voter::PreVoteGranted;
+use trim_schedule::TrimSchedule;
+use voter::Voter;
 
 /// A member: takes [`Input`]s and returns [`Output`]s.
 #[derive(Debug)]
@@ -42,21 +54,17 @@
     /// Number of the view accepted last, as it is on disk.
     stored_view: u64,
     stores: StoreQueue,
-    lease: Option<Lease>,
-    /// Before this time no promise is given: a lease may run that was granted before the start.
-    vote_from_ms: u64,
-    /// When to stand as a candidate, unless the head is heard before.
+    voter: Voter,
+    /// When to campaign, unless the head is heard before.
     campaign_at_ms: u64,
     /// When to announce itself, unless the head is heard before.
     announce_at_ms: u64,
-    trim_schedule: transfer::TrimSchedule,
+    trim_schedule: TrimSchedule,
     campaign: Option<Campaign>,
     leadership: Option<Leadership>,
-    pre_vote: Option<PreVoteGranted>,
     transfer: Option<StateTransfer>,
-    reads: BTreeMap<u64, RowsRequest>,
-    last_read: u64,
-    /// Number of the last canvass or transfer; random at the start, so that answers to an earlier life are known.
+    rows_server: RowsServer,
+    /// Id of the last pre-vote or transfer; random at the start, so that answers to an earlier incarnation are told apart.
     last_request_id: u64,
     /// The next number that this member proposes is above this.
     number_floor: u64,
@@ -83,17 +91,14 @@
             },
             durable,
             stores: StoreQueue::default(),
-            lease: None,
-            vote_from_ms,
+            voter: Voter::new(vote_from_ms),
             campaign_at_ms: 0,
             announce_at_ms: now_ms,
-            trim_schedule: transfer::TrimSchedule::new(now_ms),
+            trim_schedule: TrimSchedule::new(now_ms),
             campaign: None,
             leadership: None,
-            pre_vote: None,
             transfer: None,
-            reads: BTreeMap::new(),
-            last_read: 0,
+            rows_server: RowsServer::default(),
             last_request_id: random.next_u64() >> 1,
             number_floor: 0,
             draining_since_ms: None,
@@ -120,7 +125,7 @@
             Input::StoreFailed { store } => self.stores.fail(self.now_ms, store),
             Input::RowsRead { read, chunk } => self.on_rows_read(read, chunk),
             Input::ReadFailed { read } => {
-                self.reads.remove(&read);
+                self.rows_server.finish(read);
             }
             Input::Submit { write_id, changes } => self.on_submit(write_id, changes),
             Input::MemberDiscovered { address } => self.learn_address(address),
@@ -267,7 +272,7 @@
             } => {
                 self.on_rows(
                     from,
-                    transfer::TransferChunk {
+                    TransferChunk {
                         request_id,
                         after,
                         clear,
--- a/crates/replication/src/replica/address_book.rs
+++ b/crates/replication/src/replica/address_book.rs
@@ -53,10 +53,7 @@
         if self.may_act(now_ms) {
             return Some(self.settings.address.clone());
         }
-        let lease = self
-            .lease
-            .as_ref()
-            .filter(|lease| now_ms < lease.until_ms)?;
+        let lease = self.voter.lease().filter(|lease| now_ms < lease.until_ms)?;
         self.address_of(lease.head)
     }
 
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,30 +1,24 @@
 //! Writes: batches down the chain, and their count at the head.
+//!
+//! As in chain replication (van Renesse and Schneider 2004) writes enter at the head and are committed once the whole chain
+//! has them on disk. Unlike there, each member reports to the head, which answers the clients.
 
-use super::leadership::{Leadership, Outstanding, Pending};
 use super::{Output, Replica};
 use crate::durable::StoreOperation;
 use crate::message::Message;
-use crate::timing::{PENDING_BYTES_MAX, RESEND_MS};
+use crate::timing::RESEND_MS;
 use crate::types::{Batch, Member, RowChange, Viewstamp};
 use std::sync::Arc;
 
 impl Replica {
     pub(super) fn on_submit(&mut self, write_id: u64, changes: Vec<RowChange>) {
-        let rejected = self.is_draining() || self.stores.is_failing();
-        let bytes: usize = changes
-            .iter()
-            .map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len))
-            .sum();
-        match self
-            .leadership
-            .as_mut()
-            .filter(|t| t.is_gained && !rejected)
-        {
-            Some(leadership) if leadership.pending_bytes + bytes <= PENDING_BYTES_MAX => {
-                leadership.pending_bytes += bytes;
-                leadership.pending.push_back(Pending { write_id, changes });
-            }
-            _ => self.outputs.push(Output::Rejected { write_id }),
+        let accepts = !self.is_draining() && !self.stores.is_failing();
+        let leadership = self.leadership.as_mut();
+        let is_taken = leadership
+            .filter(|leadership| leadership.is_gained && accepts)
+            .is_some_and(|leadership| leadership.writes.submit(write_id, changes));
+        if !is_taken {
+            self.outputs.push(Output::Rejected { write_id });
         }
     }
 
@@ -35,28 +29,15 @@
         };
         let ready = leadership.is_installed && self.campaign.is_none() && self.stores.is_idle();
         if !ready
-            || leadership.pending.is_empty()
+            || !leadership.writes.has_pending()
             || self.durable.promised != leadership.view.number
         {
             return;
         }
         self.durable.viewstamp.seq += 1;
-        leadership.pending_bytes = 0;
-        let (write_ids, changes): (Vec<u64>, Vec<Vec<RowChange>>) = leadership
-            .pending
-            .drain(..)
-            .map(|p| (p.write_id, p.changes))
-            .unzip();
-        let changes = changes.into_iter().flatten().collect();
-        let batch = Arc::new(Batch {
-            seq: self.durable.viewstamp.seq,
-            changes,
-        });
-        leadership.outstanding.push_back(Outstanding {
-            batch: Arc::clone(&batch),
-            write_ids,
-            sent_ms: self.now_ms,
-        });
+        let batch = leadership
+            .writes
+            .next_batch(self.durable.viewstamp.seq, self.now_ms);
         self.stores.add(StoreOperation::Write(Arc::clone(&batch)));
         self.stores.request_store();
         self.send_batch(&batch);
@@ -186,8 +167,7 @@
         if viewstamp > newest {
             return;
         }
-        peer.last_received_ms = now_ms;
-        peer.health.viewstamp = peer.health.viewstamp.max(viewstamp);
+        peer.has_stored(viewstamp, now_ms);
         self.count_stored();
     }
 
@@ -201,7 +181,7 @@
             return;
         };
         let newly_installed = !std::mem::replace(&mut leadership.is_installed, true);
-        let committed = take_committed(leadership, stored);
+        let committed = leadership.writes.commit(stored);
         self.outputs.extend(
             committed
                 .into_iter()
@@ -271,7 +251,7 @@
     /// Sends writes again to members that have not stored them for a while.
     pub(super) fn resend_lacking(&mut self) {
         let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(leadership) = self.leadership.as_ref().filter(|t| t.is_installed) else {
+        let Some(leadership) = self.leadership.as_ref().filter(|l| l.is_installed) else {
             return;
         };
         let is_late = |member: &Member| {
@@ -305,11 +285,7 @@
         }
         peer.resent_ms = now_ms;
         peer.is_direct = true;
-        let lacking = leadership
-            .outstanding
-            .iter()
-            .filter(|o| o.batch.seq > after);
-        let batches: Vec<Arc<Batch>> = lacking.map(|o| Arc::clone(&o.batch)).collect();
+        let batches = leadership.writes.batches_after(after);
         if !batches.is_empty() {
             let message = Message::Write {
                 number: leadership.view.number,
@@ -320,22 +296,3 @@
         }
     }
 }
-
-/// Tickets of the writes up to `stored`.
-fn take_committed(leadership: &mut Leadership, stored: u64) -> Vec<u64> {
-    let mut write_ids = Vec::new();
-    while leadership
-        .outstanding
-        .front()
-        .is_some_and(|o| o.batch.seq <= stored)
-    {
-        write_ids.extend(
-            leadership
-                .outstanding
-                .pop_front()
-                .into_iter()
-                .flat_map(|done| done.write_ids),
-        );
-    }
-    write_ids
-}
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,13 +1,15 @@
-//! How a voter becomes the head of the next view: canvass, promises, newest state, acceptance.
+//! How a voter becomes the head of the next view, in the phases of Paxos: a pre-vote (Raft thesis, section 9.6), promises,
+//! the transfer of the newest state among those that have promised, and acceptance.
 
 use super::campaign::{Campaign, Phase, Plan, Promised, is_majority};
+use super::proposal::next_view;
 use super::{AfterStore, Replica};
 use crate::message::Message;
 use crate::timing::{
     BACKOFF_MS, BACKOFF_SPREAD_MS, MORE_PREPARE_OKS_MS, PHASE_MS, PRE_VOTE_MS, REJECTED_WAIT_MS,
     RESUME_CAMPAIGN_MS, RESUME_PRE_VOTE_MS,
 };
-use crate::types::{Member, View, Viewstamp, majority};
+use crate::types::{Member, View, Viewstamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Replica {
@@ -70,8 +72,9 @@
     pub(super) fn start_campaign(&mut self) {
         let own = self.durable.member;
         if self.is_bound_against(own, self.headed_view()) {
-            self.campaign_at_ms =
-                self.bound_until_ms() + BACKOFF_MS + self.random_below(BACKOFF_SPREAD_MS);
+            self.campaign_at_ms = self.voter.bound_until_ms(self.now_ms)
+                + BACKOFF_MS
+                + self.random_below(BACKOFF_SPREAD_MS);
             return;
         }
         self.last_request_id += 1;
@@ -281,7 +284,9 @@
     /// Proposes the view on top of the state `base`, which this member has on disk.
     fn propose(&mut self, base: Viewstamp) {
         let own = self.durable.member;
-        let Some(view) = self.campaign.as_ref().and_then(|c| self.next_view(c, base)) else {
+        let campaign = self.campaign.as_ref();
+        let view = campaign.and_then(|c| next_view(c, own, base, &self.settings));
+        let Some(view) = view else {
             self.fail_campaign();
             return;
         };
@@ -308,40 +313,6 @@
         }
     }
 
-    /// The view to propose; `None` where no chain comes together.
-    fn next_view(&self, campaign: &Campaign, base: Viewstamp) -> Option<View> {
-        let known = &campaign.known;
-        // Voters change only on top of an established view.
-        let fits = |plan: &&Plan| known.is_established() || plan.voters == known.voters;
-        let plan = campaign.plan.as_ref().filter(fits);
-        let voters = plan.map_or(&known.voters, |plan| &plan.voters);
-        let chain = match plan {
-            Some(plan) => planned_chain(plan, campaign, known),
-            None => elected_chain(
-                self.durable.member,
-                voters,
-                campaign,
-                base,
-                self.chain_min(voters.len()),
-            ),
-        };
-        let enough = chain.len() >= self.chain_min(voters.len());
-        let leads =
-            chain.first() == Some(&self.durable.member) && voters.contains(&self.durable.member);
-        (enough && leads).then(|| View {
-            number: campaign.number,
-            voters: voters.clone(),
-            previous_voters: known.previous_voters.clone(),
-            chain,
-            base,
-        })
-    }
-
-    /// Least length of the chain with so many voters.
-    pub(super) fn chain_min(&self, voters: usize) -> usize {
-        majority(voters).max(voters.min(self.settings.tolerated_losses + 1))
-    }
-
     pub(super) fn on_accepted(&mut self, from: Member, number: u64) {
         let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
             return;
@@ -375,41 +346,3 @@
         }
     }
 }
-
-/// The chain that a head has planned, without those that have not promised.
-fn planned_chain(plan: &Plan, campaign: &Campaign, known: &View) -> Vec<Member> {
-    let may_join =
-        |member: &Member| campaign.promises.contains_key(member) || !known.voters.contains(member);
-    plan.chain.iter().copied().filter(may_join).collect()
-}
-
-/// The candidate, then the voters that have promised: those that are up to date, and others where these are too few.
-fn elected_chain(
-    own: Member,
-    voters: &[Member],
-    campaign: &Campaign,
-    base: Viewstamp,
-    chain_min: usize,
-) -> Vec<Member> {
-    let mut others: Vec<(Member, Promised)> = campaign
-        .promises
-        .iter()
-        .filter(|(member, _)| **member != own && voters.contains(member))
-        .map(|(&member, &promised)| (member, promised))
-        .collect();
-    others.sort_by_key(|(member, promised)| {
-        (
-            promised.draining,
-            std::cmp::Reverse(promised.viewstamp),
-            *member,
-        )
-    });
-    let mut chain = vec![own];
-    for (member, promised) in others {
-        let fit = promised.viewstamp.view == base.view && !promised.draining;
-        if fit || chain.len() < chain_min {
-            chain.push(member);
-        }
-    }
-    chain
-}
--- a/crates/replication/src/replica/lease.rs
+++ b/crates/replication/src/replica/following.rs
@@ -1,22 +1,16 @@
-//! The lease that a voter grants, and its answer to the head's heartbeats.
+//! How a member follows the head: its answers to heartbeats, the leases that it grants with them, and which candidate it
+//! is bound against.
+//!
+//! A head acts while a majority has granted it a lease (Gray and Cheriton 1989), and counts each one from when it sent the
+//! heartbeat, so that clocks need not agree; they only have to run at nearly the same rate.
 
+use super::voter::Lease;
 use super::{AfterStore, Replica};
 use crate::message::Message;
 use crate::timing::{BACKOFF_OUTSIDE_CHAIN_MS, BACKOFF_SPREAD_MS, LEASE_MS, UNRESPONSIVE_HEAD_MS};
 use crate::types::{Member, View};
 use indigofold_protocol::internal::MemberAddress;
 
-/// A promise to support no candidate but `head` for a time.
-#[derive(Debug)]
-pub(super) struct Lease {
-    pub head: Member,
-    /// Number of the head's view.
-    pub number: u64,
-    /// The heartbeat's `sent_ms`.
-    pub sent_ms: u64,
-    pub until_ms: u64,
-}
-
 impl Replica {
     pub(super) fn on_heartbeat(
         &mut self,
@@ -28,13 +22,7 @@
     ) {
         self.learn_address(address);
         if view.number < self.durable.promised || view.head() != Some(from) {
-            self.send(
-                from.internal,
-                Message::PrepareReject {
-                    number: view.number,
-                    promised: self.durable.promised,
-                },
-            );
+            self.reject(from, view.number);
             return;
         }
         self.follow(&view);
@@ -68,7 +56,7 @@
     fn grant(&mut self, head: Member, view: &View, sent_ms: u64) {
         let until_ms = self.now_ms + LEASE_MS;
         self.campaign = None;
-        self.lease = Some(Lease {
+        self.voter.grant_lease(Lease {
             head,
             number: view.number,
             sent_ms,
@@ -93,8 +81,8 @@
     /// lease may have been granted.
     pub(super) fn send_grant(&mut self) {
         let Some(lease) = self
-            .lease
-            .as_ref()
+            .voter
+            .lease()
             .filter(|lease| lease.number <= self.stored_view)
         else {
             return;
@@ -121,7 +109,9 @@
     /// This member has been started again as the head of the view on its disk. It stands at once: no lease but its own,
     /// which ended with its process, can run in that view.
     pub(super) fn is_resuming(&self) -> bool {
-        self.headed_view() > 0 && self.leadership.is_none() && self.now_ms < self.vote_from_ms
+        self.headed_view() > 0
+            && self.leadership.is_none()
+            && self.voter.may_have_unknown_lease(self.now_ms)
     }
 
     /// Whether a lease that this member granted before its start can only have been `candidate`'s, which stands again. Leases
@@ -135,29 +125,15 @@
     /// Whether this member is bound to a head other than `candidate`, which heads the view of number `headed_view` on its disk (0:
     /// none).
     pub(super) fn is_bound_against(&self, candidate: Member, headed_view: u64) -> bool {
-        let granted = self
-            .lease
-            .as_ref()
-            .is_some_and(|l| l.head != candidate && self.now_ms < l.until_ms);
-        let own = candidate != self.durable.member && self.may_act(self.now_ms);
-        let unknown =
-            self.now_ms < self.vote_from_ms && !self.granted_to_none_but(candidate, headed_view);
-        granted || own || unknown
-    }
-
-    /// Until when this member may not stand itself.
-    pub(super) fn bound_until_ms(&self) -> u64 {
-        let granted = self.lease.as_ref().map_or(0, |lease| lease.until_ms);
-        granted.max(self.vote_from_ms).max(self.now_ms)
+        let is_leased = self.voter.is_leased_against(candidate, self.now_ms);
+        let is_acting = candidate != self.durable.member && self.may_act(self.now_ms);
+        let may_be_leased = self.voter.may_have_unknown_lease(self.now_ms)
+            && !self.granted_to_none_but(candidate, headed_view);
+        is_leased || is_acting || may_be_leased
     }
 
     pub(super) fn on_release(&mut self, from: Member, number: u64) {
-        if self
-            .lease
-            .as_ref()
-            .is_some_and(|l| l.head == from && l.number == number)
-        {
-            self.lease = None;
+        if self.voter.release_lease(from, number) {
             self.campaign_at_ms =
                 self.now_ms + BACKOFF_SPREAD_MS + self.random_below(BACKOFF_SPREAD_MS);
         }
@@ -167,8 +143,8 @@
         if self.view() != number || self.campaign.is_some() || self.leadership.is_some() {
             return;
         }
-        if self.lease.as_ref().is_none_or(|l| l.head == from) {
-            self.lease = None;
+        if self.voter.lease().is_none_or(|lease| lease.head == from) {
+            self.voter.clear_lease();
             self.start_campaign();
         }
     }
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -31,7 +31,7 @@
     pub(super) fn lead(&mut self, view: View) {
         self.durable.agreed = true;
         self.enter_view(&view);
-        self.lease = None;
+        self.voter.clear_lease();
         match &mut self.leadership {
             Some(leadership) => leadership.renew(view, self.now_ms),
             None => {
@@ -67,10 +67,7 @@
         };
         let voters = leadership.view.voters.clone();
         for voter in voters.into_iter().filter(|&voter| voter != own) {
-            leadership
-                .peers
-                .entry(voter)
-                .or_insert_with(|| Peer::new(now_ms));
+            leadership.peer_or_new(voter, now_ms);
         }
     }
 
@@ -108,16 +105,9 @@
         if !is_known {
             return;
         }
-        let peer = leadership
-            .peers
-            .entry(from)
-            .or_insert_with(|| Peer::new(now_ms));
-        peer.granted_ms = peer.granted_ms.max(Some(sent_ms));
-        peer.last_received_ms = now_ms;
-        peer.health = Health {
-            viewstamp: peer.health.viewstamp.max(health.viewstamp),
-            ..health
-        };
+        leadership
+            .peer_or_new(from, now_ms)
+            .has_granted(sent_ms, health, now_ms);
         self.count_stored();
     }
 
@@ -127,10 +117,7 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership
-            .peers
-            .entry(member)
-            .or_insert_with(|| Peer::new(now_ms));
+        leadership.peer_or_new(member, now_ms);
         if self.campaign.is_none() {
             self.send_heartbeat(member.internal);
         }
@@ -139,7 +126,7 @@
     /// A member has refused a heartbeat, since it has promised a higher number.
     pub(super) fn on_heartbeat_rejected(&mut self, from: Member, number: u64, promised: u64) {
         let has_lease = self.may_act(self.now_ms);
-        let Some(leadership) = self.leadership.as_mut().filter(|t| t.view.number == number) else {
+        let Some(leadership) = self.leadership.as_mut().filter(|l| l.view.number == number) else {
             return;
         };
         if promised <= self.durable.promised.max(number) {
@@ -164,8 +151,8 @@
             leadership.heartbeat_ms
         };
         let slow = leadership
-            .outstanding
-            .front()
+            .writes
+            .oldest()
             .map_or(u64::MAX, |o| o.sent_ms + SLOW_MEMBER_MS);
         let leave = self
             .draining_since_ms
@@ -210,15 +197,15 @@
         let Some(leadership) = self.leadership.take() else {
             return;
         };
-        for write_id in leadership.outstanding.into_iter().flat_map(|o| o.write_ids) {
+        let is_gained = leadership.is_gained;
+        let unfinished = leadership.writes.into_unfinished();
+        for write_id in unfinished.unknown {
             self.outputs.push(Output::Aborted { write_id });
         }
-        for pending in leadership.pending {
-            self.outputs.push(Output::Rejected {
-                write_id: pending.write_id,
-            });
+        for write_id in unfinished.unsent {
+            self.outputs.push(Output::Rejected { write_id });
         }
-        if leadership.is_gained {
+        if is_gained {
             self.outputs.push(Output::HeadLost);
         }
     }
@@ -241,8 +228,7 @@
         let Some(leadership) = &self.leadership else {
             return;
         };
-        let done = leadership.outstanding.is_empty() && leadership.pending.is_empty();
-        if done || self.now_ms >= since + DRAIN_WAIT_MS {
+        if leadership.writes.is_empty() || self.now_ms >= since + DRAIN_WAIT_MS {
             self.transfer_leadership();
         }
     }
@@ -264,7 +250,7 @@
             return;
         };
         let (own, now_ms) = (self.durable.member, self.now_ms);
-        let oldest = leadership.outstanding.front().map_or(0, |o| o.batch.seq);
+        let oldest = leadership.writes.oldest().map_or(0, |o| o.batch.seq);
         let is_fit = |peer: &Peer| {
             peer.since_received_ms(now_ms) < 2 * HEARTBEAT_INTERVAL_MS
                 && !peer.health.draining
--- a/crates/replication/src/replica/io.rs
+++ b/crates/replication/src/replica/io.rs
@@ -2,7 +2,7 @@
 
 use crate::durable::StoreRequest;
 use crate::message::Envelope;
-use crate::types::{RowChange, RowsChunk};
+use crate::types::{RowChange, RowsChunk, majority};
 use indigofold_protocol::internal::MemberAddress;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,6 +22,19 @@
     pub random_seed: u64,
 }
 
+impl Settings {
+    /// Least number of voters.
+    pub(super) fn voters_min(&self) -> usize {
+        self.seeds.len().max(2 * self.tolerated_losses + 1)
+    }
+
+    /// Least length of the chain with so many voters: a majority, so that each later view's promises come from a member
+    /// that has all committed writes; and long enough for the losses that are tolerated.
+    pub(super) fn chain_min(&self, voters: usize) -> usize {
+        majority(voters).max(voters.min(self.tolerated_losses + 1))
+    }
+}
+
 /// What happens to a member.
 #[derive(Clone, Debug)]
 pub enum Input {
--- a/crates/replication/src/replica/leadership.rs
+++ b/crates/replication/src/replica/leadership.rs
@@ -1,17 +1,19 @@
 //! What a head knows of its view, its peers and the writes under way.
 
+use super::write_queue::{Outstanding, WriteQueue};
 use crate::timing::{LEASE_MS, LEASE_USED_PERCENT, REJOIN_AFTER_MAX_MS, REJOIN_AFTER_MS};
-use crate::types::{Batch, Member, RowChange, View, Viewstamp, majority};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use crate::types::{Member, View, Viewstamp, majority};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use std::sync::Arc;
 
-/// What a member tells of itself with its answer to a heartbeat.
+/// What a member reports of itself with its answer to a heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Health {
     /// State on its disk.
     pub viewstamp: Viewstamp,
+    /// Age of its oldest store that is not done.
     pub store_age_ms: u64,
+    /// It is about to stop.
     pub draining: bool,
 }
 
@@ -24,16 +26,18 @@
     pub health: Health,
     /// It is not taken into the chain before this time.
     pub rejoin_ms: u64,
+    /// How long the next exclusion lasts.
     penalty_ms: u64,
     /// It has promised a number above the view's.
     pub has_promised_later: bool,
-    /// The head sends writes to it itself, for its predecessor's do not reach it.
+    /// The head sends writes to it itself, because its predecessor's do not reach it.
     pub is_direct: bool,
+    /// When writes were sent to it again last.
     pub resent_ms: u64,
 }
 
 impl Peer {
-    pub fn new(now_ms: u64) -> Peer {
+    fn new(now_ms: u64) -> Peer {
         Peer {
             granted_ms: None,
             last_received_ms: now_ms,
@@ -56,27 +60,29 @@
         self.penalty_ms = (2 * self.penalty_ms).min(REJOIN_AFTER_MAX_MS);
     }
 
+    /// Time since the last message from it.
     pub fn since_received_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.last_received_ms)
     }
-}
 
-/// Row changes that wait for the next batch.
-#[derive(Debug)]
-pub(super) struct Pending {
-    pub write_id: u64,
-    pub changes: Vec<RowChange>,
-}
+    /// Takes a state that it has on disk. Messages may overtake each other: an older state changes nothing.
+    pub fn has_stored(&mut self, viewstamp: Viewstamp, now_ms: u64) {
+        self.last_received_ms = now_ms;
+        self.health.viewstamp = self.health.viewstamp.max(viewstamp);
+    }
 
-/// A batch that not all members of the chain have stored.
-#[derive(Debug)]
-pub(super) struct Outstanding {
-    pub batch: Arc<Batch>,
-    pub write_ids: Vec<u64>,
-    pub sent_ms: u64,
+    /// Takes the answer to the heartbeat sent at `sent_ms`.
+    pub fn has_granted(&mut self, sent_ms: u64, health: Health, now_ms: u64) {
+        self.granted_ms = self.granted_ms.max(Some(sent_ms));
+        self.last_received_ms = now_ms;
+        self.health = Health {
+            viewstamp: self.health.viewstamp.max(health.viewstamp),
+            ..health
+        };
+    }
 }
 
-/// A head's time at work, over one or more views that follow each other.
+/// What a head knows while it leads, over one or more views that follow each other.
 #[derive(Debug)]
 pub(super) struct Leadership {
     /// Number of its first view.
@@ -87,21 +93,22 @@
     pub since_ms: u64,
     /// The whole chain has taken over the view's first state.
     pub is_installed: bool,
-    /// The driver has been told that this member is the head.
+    /// The driver has been notified that this member is the head.
     pub is_gained: bool,
-    /// Number of the view that the driver has been told of last.
+    /// Number of the view that was reported to the driver last.
     pub reported_view: u64,
     pub peers: BTreeMap<Member, Peer>,
-    pub pending: VecDeque<Pending>,
-    pub pending_bytes: usize,
-    pub outstanding: VecDeque<Outstanding>,
+    pub writes: WriteQueue,
+    /// When the next heartbeats are due.
     pub heartbeat_ms: u64,
+    /// When the view may be changed next.
     pub reconfigure_ms: u64,
     /// State on the head's own disk.
     pub own_viewstamp: Viewstamp,
 }
 
 impl Leadership {
+    /// A head that knows nothing of its peers yet.
     pub fn new(view: View, now_ms: u64, own_viewstamp: Viewstamp) -> Leadership {
         Leadership {
             first_view: view.number,
@@ -112,9 +119,7 @@
             is_gained: false,
             reported_view: 0,
             peers: BTreeMap::new(),
-            pending: VecDeque::new(),
-            pending_bytes: 0,
-            outstanding: VecDeque::new(),
+            writes: WriteQueue::default(),
             heartbeat_ms: now_ms,
             reconfigure_ms: now_ms,
             own_viewstamp,
@@ -133,7 +138,14 @@
         }
     }
 
-    /// Until when a majority of the voters supports no other head.
+    /// The peer, which is added if it is not known yet.
+    pub fn peer_or_new(&mut self, member: Member, now_ms: u64) -> &mut Peer {
+        self.peers
+            .entry(member)
+            .or_insert_with(|| Peer::new(now_ms))
+    }
+
+    /// Until when a majority of the voters votes for no other head.
     pub fn lease_until_ms(&self, own: Member) -> u64 {
         let others = self.view.voters.iter().filter(|&&voter| voter != own);
         let mut granted: Vec<u64> = others
@@ -161,11 +173,8 @@
 
     /// Last write that the whole chain has on disk; `None` before all of it has taken over the view.
     pub fn stored_by_all(&self, own: Member) -> Option<u64> {
-        let viewstamps = self
-            .view
-            .chain
-            .iter()
-            .map(|&member| self.viewstamp_of(member, own));
+        let chain = self.view.chain.iter();
+        let viewstamps = chain.map(|&member| self.viewstamp_of(member, own));
         let seqs: Option<Vec<u64>> = viewstamps
             .map(|viewstamp| (viewstamp.view == self.view.number).then_some(viewstamp.seq))
             .collect();
@@ -175,9 +184,7 @@
     /// Oldest write that `member` has not stored.
     pub fn oldest_lacking(&self, member: Member, own: Member) -> Option<&Outstanding> {
         let viewstamp = self.viewstamp_of(member, own);
-        self.outstanding
-            .iter()
-            .find(|o| viewstamp.view != self.view.number || o.batch.seq > viewstamp.seq)
+        self.writes.oldest_lacking(viewstamp, self.view.number)
     }
 
     /// Where heartbeats go to: voters and newcomers, without the head's own address.
--- /dev/null
+++ b/crates/replication/src/replica/state_transfer.rs
@@ -0,0 +1,142 @@
+//! A transfer of rows to this member, chunk by chunk.
+//!
+//! The rows are kept in memory until all of them have come, because a part of them is no state that the table ever had.
+//! They are stored in one transaction.
+
+use crate::durable::StoreOperation;
+use crate::message::Message;
+use crate::timing::{FETCH_RETRY_MS, TRANSFER_TIMEOUT_MS};
+use crate::types::{Member, Row, ViewStart, Viewstamp};
+
+/// Rows that another member has sent (`Message::Rows`).
+#[derive(Debug)]
+pub(super) struct TransferChunk {
+    pub request_id: u64,
+    /// These are rows after this sequence number.
+    pub after: u64,
+    /// The receiver has to drop all its rows first.
+    pub clear: bool,
+    pub rows: Vec<Row>,
+    /// Further chunks follow.
+    pub more: bool,
+    /// State that the rows lead to, once no more follow.
+    pub viewstamp: Viewstamp,
+    /// The views that led to it.
+    pub history: Vec<ViewStart>,
+}
+
+/// What the rows are for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Purpose {
+    /// To follow the head of this view.
+    Follow { number: u64 },
+    /// To propose a view on top of the newest state.
+    Candidate { number: u64, newest: Viewstamp },
+}
+
+/// What a chunk has led to.
+#[derive(Debug, PartialEq, Eq)]
+pub(super) enum Progress {
+    /// It belongs to another transfer, or has come before.
+    Ignored,
+    /// The next chunk has to be requested.
+    MoreNeeded,
+    /// All rows are there.
+    Complete,
+}
+
+/// A transfer from one other member.
+#[derive(Debug)]
+pub(super) struct StateTransfer {
+    source: Member,
+    request_id: u64,
+    purpose: Purpose,
+    /// The first chunk said that rows have to be dropped.
+    clear: bool,
+    rows: Vec<Row>,
+    /// Where the next chunk goes on; `None` until the first has come.
+    next_after: Option<u64>,
+    requested_ms: u64,
+    last_received_ms: u64,
+}
+
+impl StateTransfer {
+    pub fn new(source: Member, request_id: u64, purpose: Purpose, now_ms: u64) -> StateTransfer {
+        StateTransfer {
+            source,
+            request_id,
+            purpose,
+            clear: false,
+            rows: Vec::new(),
+            next_after: None,
+            requested_ms: 0,
+            last_received_ms: now_ms,
+        }
+    }
+
+    pub fn source(&self) -> Member {
+        self.source
+    }
+
+    pub fn purpose(&self) -> Purpose {
+        self.purpose
+    }
+
+    pub fn is_for_candidate(&self) -> bool {
+        matches!(self.purpose, Purpose::Candidate { .. })
+    }
+
+    /// When the present request is repeated.
+    pub fn due_ms(&self) -> u64 {
+        self.requested_ms + FETCH_RETRY_MS
+    }
+
+    /// The source has not answered for so long that the transfer is given up.
+    pub fn is_timed_out(&self, now_ms: u64) -> bool {
+        now_ms >= self.last_received_ms + TRANSFER_TIMEOUT_MS
+    }
+
+    /// The request for the next chunk; `viewstamp` is the state of this member's rows.
+    pub fn next_request(&mut self, now_ms: u64, viewstamp: Viewstamp) -> Message {
+        self.requested_ms = now_ms;
+        Message::Fetch {
+            request_id: self.request_id,
+            viewstamp,
+            after: self.next_after,
+        }
+    }
+
+    /// Takes the rows of a chunk.
+    pub fn receive(&mut self, now_ms: u64, from: Member, chunk: &mut TransferChunk) -> Progress {
+        let is_answer = self.source == from && self.request_id == chunk.request_id;
+        let is_next = self.next_after.is_none_or(|after| after == chunk.after);
+        if !is_answer || !is_next {
+            return Progress::Ignored;
+        }
+        self.last_received_ms = now_ms;
+        if self.next_after.is_none() {
+            self.clear = chunk.clear;
+        }
+        let last_seq = chunk.rows.last().map_or(chunk.after, |row| row.seq);
+        self.rows.append(&mut chunk.rows);
+        if !chunk.more {
+            return Progress::Complete;
+        }
+        self.next_after = Some(last_seq);
+        Progress::MoreNeeded
+    }
+
+    /// All rows of this member are replaced, traces of deleted ones included.
+    pub fn replaces_all(&self) -> bool {
+        self.clear
+    }
+
+    /// How the rows are stored.
+    pub fn into_operations(self) -> Vec<StoreOperation> {
+        let clear = self.clear.then_some(StoreOperation::Clear);
+        clear
+            .into_iter()
+            .chain([StoreOperation::Put(self.rows)])
+            .collect()
+    }
+}
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -1,82 +1,13 @@
-//! Transfers: how a member gets the rows that it lacks, from the head or, as a candidate, from another voter.
+//! State transfer: how a member gets the rows that it lacks, from the head or, as a candidate, from another voter; and how
+//! it serves others (Viewstamped Replication's state transfer).
 
+use super::rows_server::RowsRequest;
+use super::state_transfer::{Progress, Purpose, StateTransfer, TransferChunk};
 use super::{AfterStore, Output, Replica};
 use crate::durable::{Durable, StoreOperation};
 use crate::message::Message;
-use crate::timing::{
-    FETCH_RETRY_MS, TRANSFER_BYTES, TRANSFER_TIMEOUT_MS, TRIM_AFTER_MS, TRIM_INTERVAL_MS,
-};
-use crate::types::{Member, Row, RowsChunk, View, ViewStart, Viewstamp};
-use std::collections::VecDeque;
-
-/// A reading for another member.
-#[derive(Debug)]
-pub(super) struct RowsRequest {
-    to: Member,
-    request_id: u64,
-    after: u64,
-    clear: bool,
-    view: u64,
-}
-
-/// Rows that another member has sent.
-#[derive(Debug)]
-pub(super) struct TransferChunk {
-    pub request_id: u64,
-    pub after: u64,
-    pub clear: bool,
-    pub rows: Vec<Row>,
-    pub more: bool,
-    pub viewstamp: Viewstamp,
-    pub history: Vec<ViewStart>,
-}
-
-#[derive(Debug, PartialEq, Eq)]
-enum Purpose {
-    /// To follow the head of this view.
-    Follow { number: u64 },
-    /// To propose a view on top of the newest state.
-    Candidate { number: u64, newest: Viewstamp },
-}
-
-/// A transfer to this member. The rows are kept in memory until all have come, for a part of them is no state.
-#[derive(Debug)]
-pub(super) struct StateTransfer {
-    source: Member,
-    request_id: u64,
-    purpose: Purpose,
-    clear: bool,
-    rows: Vec<Row>,
-    next_after: Option<u64>,
-    requested_ms: u64,
-    last_received_ms: u64,
-}
-
-impl StateTransfer {
-    pub(super) fn is_for_candidate(&self) -> bool {
-        matches!(self.purpose, Purpose::Candidate { .. })
-    }
-}
-
-/// How far the table had come at earlier times, to drop traces of deleted rows.
-#[derive(Debug)]
-pub(super) struct TrimSchedule {
-    samples: VecDeque<(u64, u64)>,
-    due_ms: u64,
-}
-
-impl TrimSchedule {
-    pub(super) fn new(now_ms: u64) -> TrimSchedule {
-        TrimSchedule {
-            samples: VecDeque::new(),
-            due_ms: now_ms + TRIM_INTERVAL_MS,
-        }
-    }
-
-    pub(super) fn due_ms(&self) -> u64 {
-        self.due_ms
-    }
-}
+use crate::timing::TRANSFER_BYTES;
+use crate::types::{Member, RowsChunk, View, ViewStart, Viewstamp};
 
 impl Replica {
     /// Brings the rows up to the head's where writes down the chain do not do it.
@@ -90,68 +21,43 @@
         if viewstamp == view.base {
             self.enter_view(view);
         } else if self.transfer.is_none() {
-            self.start_transfer(
-                head,
-                Purpose::Follow {
-                    number: view.number,
-                },
-            );
+            let number = view.number;
+            self.start_transfer(head, Purpose::Follow { number });
         }
     }
 
+    /// Fetches the newest state, on top of which this member wants to propose the view `number`.
     pub(super) fn transfer_to_candidate(&mut self, source: Member, number: u64, newest: Viewstamp) {
         self.start_transfer(source, Purpose::Candidate { number, newest });
     }
 
     fn start_transfer(&mut self, source: Member, purpose: Purpose) {
         self.last_request_id += 1;
-        self.transfer = Some(StateTransfer {
-            source,
-            request_id: self.last_request_id,
-            purpose,
-            clear: false,
-            rows: Vec::new(),
-            next_after: None,
-            requested_ms: 0,
-            last_received_ms: self.now_ms,
-        });
+        let transfer = StateTransfer::new(source, self.last_request_id, purpose, self.now_ms);
+        self.transfer = Some(transfer);
         self.request_rows();
     }
 
     fn request_rows(&mut self) {
-        let viewstamp = self.durable.viewstamp;
         let Some(transfer) = &mut self.transfer else {
             return;
         };
-        transfer.requested_ms = self.now_ms;
-        let (to, request_id, after) = (
-            transfer.source.internal,
-            transfer.request_id,
-            transfer.next_after,
-        );
-        self.send(
-            to,
-            Message::Fetch {
-                request_id,
-                viewstamp,
-                after,
-            },
-        );
+        let to = transfer.source().internal;
+        let request = transfer.next_request(self.now_ms, self.durable.viewstamp);
+        self.send(to, request);
     }
 
     pub(super) fn transfer_due_ms(&self) -> Option<u64> {
-        self.transfer
-            .as_ref()
-            .map(|transfer| transfer.requested_ms + FETCH_RETRY_MS)
+        self.transfer.as_ref().map(StateTransfer::due_ms)
     }
 
     pub(super) fn run_transfer(&mut self) {
         let Some(transfer) = &self.transfer else {
             return;
         };
-        if self.now_ms >= transfer.last_received_ms + TRANSFER_TIMEOUT_MS {
+        if transfer.is_timed_out(self.now_ms) {
             self.transfer = None;
-        } else if self.now_ms >= transfer.requested_ms + FETCH_RETRY_MS {
+        } else if self.now_ms >= transfer.due_ms() {
             self.request_rows();
         }
     }
@@ -168,19 +74,13 @@
             None if is_earlier_state_of(viewstamp, &self.durable) => (viewstamp.seq, false),
             None => (0, true),
         };
-        self.last_read += 1;
-        let read = self.last_read;
-        self.reads.retain(|_, request| request.to != from);
-        self.reads.insert(
-            read,
-            RowsRequest {
-                to: from,
-                request_id,
-                after,
-                clear,
-                view: self.durable.viewstamp.view,
-            },
-        );
+        let read = self.rows_server.start(RowsRequest {
+            to: from,
+            request_id,
+            after,
+            clear,
+            view: self.durable.viewstamp.view,
+        });
         self.outputs.push(Output::ReadRows {
             read,
             since: after,
@@ -189,118 +89,83 @@
     }
 
     pub(super) fn on_rows_read(&mut self, read: u64, chunk: RowsChunk) {
-        let Some(request) = self.reads.remove(&read) else {
+        let Some(request) = self.rows_server.finish(read) else {
             return;
         };
+        // The rows have been replaced since the request came: its answer would mix two states.
         if chunk.viewstamp.view != request.view {
             return;
         }
-        let RowsChunk {
-            rows,
-            more,
-            viewstamp,
-            history,
-        } = chunk;
-        let RowsRequest {
-            to,
-            request_id,
-            after,
-            clear,
-            ..
-        } = request;
-        self.send(
-            to.internal,
-            Message::Rows {
-                request_id,
-                after,
-                clear,
-                rows,
-                more,
-                viewstamp,
-                history,
-            },
-        );
+        let message = Message::Rows {
+            request_id: request.request_id,
+            after: request.after,
+            clear: request.clear,
+            rows: chunk.rows,
+            more: chunk.more,
+            viewstamp: chunk.viewstamp,
+            history: chunk.history,
+        };
+        self.send(request.to.internal, message);
     }
 
-    pub(super) fn on_rows(&mut self, from: Member, chunk: TransferChunk) {
-        let now_ms = self.now_ms;
-        let is_answer = |transfer: &&mut StateTransfer| {
-            transfer.source == from && transfer.request_id == chunk.request_id
-        };
-        let Some(transfer) = self.transfer.as_mut().filter(is_answer) else {
+    pub(super) fn on_rows(&mut self, from: Member, mut chunk: TransferChunk) {
+        let Some(transfer) = &mut self.transfer else {
             return;
         };
-        if transfer
-            .next_after
-            .is_some_and(|after| after != chunk.after)
-        {
-            return;
-        }
-        transfer.last_received_ms = now_ms;
-        if transfer.next_after.is_none() {
-            transfer.clear = chunk.clear;
-        }
-        let last_seq = chunk.rows.last().map_or(chunk.after, |row| row.seq);
-        transfer.rows.extend(chunk.rows);
-        if chunk.more {
-            transfer.next_after = Some(last_seq);
-            self.request_rows();
-        } else if let Some(transfer) = self.transfer.take() {
-            self.finish_transfer(transfer, chunk.viewstamp, chunk.history);
+        match transfer.receive(self.now_ms, from, &mut chunk) {
+            Progress::Ignored => {}
+            Progress::MoreNeeded => self.request_rows(),
+            Progress::Complete => self.finish_transfer(chunk.viewstamp, chunk.history),
         }
     }
 
-    fn finish_transfer(
-        &mut self,
-        transfer: StateTransfer,
-        viewstamp: Viewstamp,
-        history: Vec<ViewStart>,
-    ) {
-        let fits = match &transfer.purpose {
-            Purpose::Follow { number } => {
-                viewstamp.view == *number
-                    && self.durable.promised == *number
-                    && self.view() == *number
-            }
-            Purpose::Candidate { number, newest } => {
-                viewstamp == *newest && self.campaign.as_ref().is_some_and(|c| c.number == *number)
-            }
+    fn finish_transfer(&mut self, viewstamp: Viewstamp, history: Vec<ViewStart>) {
+        let Some(transfer) = self.transfer.take() else {
+            return;
         };
-        if !fits || viewstamp < self.durable.viewstamp {
+        let purpose = transfer.purpose();
+        if !self.may_adopt(purpose, viewstamp) {
             if transfer.is_for_candidate() {
                 self.fail_campaign();
             }
             return;
         }
-        if transfer.clear {
-            self.stores.add(StoreOperation::Clear);
+        if transfer.replaces_all() {
             self.durable.trimmed = viewstamp.seq;
         }
-        self.stores.add(StoreOperation::Put(transfer.rows));
+        for operation in transfer.into_operations() {
+            self.stores.add(operation);
+        }
         self.durable.viewstamp = viewstamp;
         self.durable.history = history;
-        match transfer.purpose {
+        match purpose {
             Purpose::Follow { .. } => self.stores.request_store(),
-            Purpose::Candidate { number, .. } => self
-                .stores
-                .request_store_then(AfterStore::TransferStored { number }),
+            Purpose::Candidate { number, .. } => {
+                self.stores
+                    .request_store_then(AfterStore::TransferStored { number });
+            }
         }
     }
 
+    /// The state that a transfer led to is the one that it was started for, and is not older than this member's own.
+    fn may_adopt(&self, purpose: Purpose, viewstamp: Viewstamp) -> bool {
+        let is_expected = match purpose {
+            Purpose::Follow { number } => {
+                viewstamp.view == number && self.durable.promised == number && self.view() == number
+            }
+            Purpose::Candidate { number, newest } => {
+                viewstamp == newest && self.campaign.as_ref().is_some_and(|c| c.number == number)
+            }
+        };
+        is_expected && viewstamp >= self.durable.viewstamp
+    }
+
     /// Drops traces of rows deleted long ago, together with the next store.
     pub(super) fn run_trim_schedule(&mut self) {
-        if self.now_ms < self.trim_schedule.due_ms {
-            return;
-        }
-        self.trim_schedule.due_ms = self.now_ms + TRIM_INTERVAL_MS;
-        self.trim_schedule
-            .samples
-            .push_back((self.now_ms, self.stored_viewstamp.seq));
-        let is_old = |(at_ms, _): &&(u64, u64)| at_ms + TRIM_AFTER_MS <= self.now_ms;
-        let Some(&(_, seq)) = self.trim_schedule.samples.front().filter(is_old) else {
+        let stored_seq = self.stored_viewstamp.seq;
+        let Some(seq) = self.trim_schedule.run(self.now_ms, stored_seq) else {
             return;
         };
-        self.trim_schedule.samples.pop_front();
         if seq > self.durable.trimmed {
             self.durable.trimmed = seq;
             self.stores.add(StoreOperation::Trim(seq));
@@ -308,7 +173,8 @@
     }
 }
 
-/// Whether a member at `viewstamp` has a part of the state of `durable`, so that it lacks only later rows.
+/// Whether the state `viewstamp` is a prefix of the state of `durable`, so that a member that has it lacks only later
+/// rows.
 fn is_earlier_state_of(viewstamp: Viewstamp, durable: &Durable) -> bool {
     if viewstamp.seq < durable.trimmed || viewstamp.view == 0 {
         return false;
--- a/crates/replication/src/replica/voter.rs
+++ b/crates/replication/src/replica/voter.rs
@@ -1,123 +1,99 @@
-//! A voter's promises and acceptances, kept on disk before they are told.
+//! What binds a voter beside the record on its disk: the lease that it has granted, and its answer to a pre-vote.
+//!
+//! Nothing of this is on disk. A voter that was started again therefore counts as bound for a whole lease after its start.
 
-use super::campaign::Phase;
-use super::{AfterStore, Replica};
-use crate::message::Message;
-use crate::timing::{BACKOFF_SPREAD_MS, PRE_VOTE_GRANTED_MS, PREPARED_DEFER_MS};
-use crate::types::{Member, View, Viewstamp};
+use crate::timing::PRE_VOTE_GRANTED_MS;
+use crate::types::Member;
 
-/// The candidate that this member has told that it would support it.
+/// A promise to vote for no candidate but `head` for a time.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Lease {
+    pub head: Member,
+    /// Number of the head's view.
+    pub number: u64,
+    /// The heartbeat's `sent_ms`; the answer carries it.
+    pub sent_ms: u64,
+    /// On this member's clock.
+    pub until_ms: u64,
+}
+
+/// The candidate to which this member has granted a pre-vote last.
 #[derive(Debug)]
-pub(super) struct PreVoteGranted {
+struct PreVoteGranted {
     candidate: Member,
     until_ms: u64,
 }
 
-impl Replica {
-    pub(super) fn on_pre_vote(
-        &mut self,
-        from: Member,
-        request_id: u64,
-        viewstamp: Viewstamp,
-        headed_view: u64,
-    ) {
-        let granted = !self.is_bound_against(from, headed_view) && self.prefers(from, viewstamp);
-        if granted {
-            self.pre_vote = Some(PreVoteGranted {
-                candidate: from,
-                until_ms: self.now_ms + PRE_VOTE_GRANTED_MS,
-            });
-            self.campaign = None;
-            self.campaign_at_ms = self
-                .campaign_at_ms
-                .max(self.now_ms + PRE_VOTE_GRANTED_MS + self.random_below(BACKOFF_SPREAD_MS));
+/// To whom a voter is bound.
+#[derive(Debug)]
+pub(super) struct Voter {
+    /// Set by each heartbeat that is answered; cleared when the head gives the lease back, or this member leads itself.
+    lease: Option<Lease>,
+    pre_vote: Option<PreVoteGranted>,
+    /// Until then a lease may run that was granted before the start.
+    vote_from_ms: u64,
+}
+
+impl Voter {
+    /// A voter that may have granted a lease which ends by `vote_from_ms`.
+    pub fn new(vote_from_ms: u64) -> Voter {
+        Voter {
+            lease: None,
+            pre_vote: None,
+            vote_from_ms,
         }
-        let reply = Message::PreVoteReply {
-            request_id,
-            granted,
-            promised: self.durable.promised,
-            view: self.durable.view.clone(),
-            agreed: self.durable.agreed,
-        };
-        self.send(from.internal, reply);
     }
 
-    /// Whether `candidate` goes before this member's own candidacy and before the one it has supported just now.
-    fn prefers(&self, candidate: Member, viewstamp: Viewstamp) -> bool {
-        let supports_other = self
-            .pre_vote
-            .as_ref()
-            .is_some_and(|s| s.candidate != candidate && self.now_ms < s.until_ms);
-        let own_goes_first = self.campaign.as_ref().is_some_and(|own| {
-            !matches!(own.phase, Phase::PreVote { .. })
-                || (self.durable.viewstamp, candidate) > (viewstamp, self.durable.member)
-        });
-        !supports_other && !own_goes_first
+    /// The lease granted last, whether it has expired or not.
+    pub fn lease(&self) -> Option<&Lease> {
+        self.lease.as_ref()
     }
 
-    pub(super) fn on_prepare(&mut self, from: Member, number: u64, headed_view: u64) {
-        if number <= self.durable.promised || self.is_bound_against(from, headed_view) {
-            self.send(
-                from.internal,
-                Message::PrepareReject {
-                    number,
-                    promised: self.durable.promised,
-                },
-            );
-            return;
-        }
-        self.withdraw();
-        self.durable.promised = number;
-        self.transfer = None;
-        self.defer_campaign();
-        let prepare_ok = Message::PrepareOk {
-            number,
-            view: self.durable.view.clone(),
-            agreed: self.durable.agreed,
-            viewstamp: self.durable.viewstamp,
-            draining: self.is_draining(),
-        };
-        self.stores.request_store_then(AfterStore::Send {
-            to: from.internal,
-            message: Box::new(prepare_ok),
-        });
+    /// Grants a lease, in place of any other.
+    pub fn grant_lease(&mut self, lease: Lease) {
+        self.lease = Some(lease);
     }
 
-    pub(super) fn on_accept(&mut self, from: Member, view: View) {
-        let number = view.number;
-        if number < self.durable.promised || view.head() != Some(from) {
-            self.send(
-                from.internal,
-                Message::PrepareReject {
-                    number,
-                    promised: self.durable.promised,
-                },
-            );
-            return;
-        }
-        self.withdraw();
-        self.durable.promised = number;
-        if self.durable.view.as_ref().is_none_or(|v| v.number < number) {
-            self.durable.view = Some(view);
-            self.durable.agreed = false;
-        }
-        self.transfer = None;
-        self.defer_campaign();
-        let accepted = Message::Accepted { number };
-        self.stores.request_store_then(AfterStore::Send {
-            to: from.internal,
-            message: Box::new(accepted),
-        });
+    /// Forgets the lease granted.
+    pub fn clear_lease(&mut self) {
+        self.lease = None;
+    }
+
+    /// Forgets the lease of this head and view; `false` if it is another's.
+    pub fn release_lease(&mut self, head: Member, number: u64) -> bool {
+        let is_released = |lease: &mut Lease| lease.head == head && lease.number == number;
+        self.lease.take_if(is_released).is_some()
     }
 
-    /// Another member's candidacy goes first: this member is neither head nor candidate any more.
-    pub(super) fn withdraw(&mut self) {
-        self.campaign = None;
-        self.end_leadership();
+    /// A lease runs that was granted to another member than `candidate`.
+    pub fn is_leased_against(&self, candidate: Member, now_ms: u64) -> bool {
+        self.lease
+            .is_some_and(|lease| lease.head != candidate && now_ms < lease.until_ms)
     }
 
-    fn defer_campaign(&mut self) {
-        let until = self.now_ms + PREPARED_DEFER_MS + self.random_below(BACKOFF_SPREAD_MS);
-        self.campaign_at_ms = self.campaign_at_ms.max(until);
+    /// A lease may run that was granted before the start.
+    pub fn may_have_unknown_lease(&self, now_ms: u64) -> bool {
+        now_ms < self.vote_from_ms
+    }
+
+    /// Until when this member may not campaign itself.
+    pub fn bound_until_ms(&self, now_ms: u64) -> u64 {
+        let granted = self.lease.map_or(0, |lease| lease.until_ms);
+        granted.max(self.vote_from_ms).max(now_ms)
+    }
+
+    /// Grants a pre-vote; for [`PRE_VOTE_GRANTED_MS`] no other candidate gets one.
+    pub fn grant_pre_vote(&mut self, candidate: Member, now_ms: u64) {
+        self.pre_vote = Some(PreVoteGranted {
+            candidate,
+            until_ms: now_ms + PRE_VOTE_GRANTED_MS,
+        });
+    }
+
+    /// Another candidate has been granted a pre-vote just now.
+    pub fn has_pre_voted_against(&self, candidate: Member, now_ms: u64) -> bool {
+        self.pre_vote
+            .as_ref()
+            .is_some_and(|granted| granted.candidate != candidate && now_ms < granted.until_ms)
     }
 }
--- /dev/null
+++ b/crates/replication/src/replica/write_queue.rs
@@ -0,0 +1,121 @@
+//! The writes of a head: those that wait for the next batch, and the batches on their way down the chain.
+
+use crate::timing::PENDING_BYTES_MAX;
+use crate::types::{Batch, RowChange, Viewstamp};
+use std::collections::VecDeque;
+use std::sync::Arc;
+
+/// Row changes that wait for the next batch.
+#[derive(Debug)]
+struct Pending {
+    write_id: u64,
+    changes: Vec<RowChange>,
+}
+
+/// A batch that not all members of the chain have stored.
+#[derive(Debug)]
+pub(super) struct Outstanding {
+    pub batch: Arc<Batch>,
+    pub write_ids: Vec<u64>,
+    /// When it was sent down the chain.
+    pub sent_ms: u64,
+}
+
+/// Writes that were submitted and not committed when the head's role ended.
+#[derive(Debug)]
+pub(super) struct Unfinished {
+    /// Sent down the chain: they may or may not be kept.
+    pub unknown: Vec<u64>,
+    /// Never sent.
+    pub unsent: Vec<u64>,
+}
+
+/// The writes of a head, in the order in which they were submitted.
+#[derive(Debug, Default)]
+pub(super) struct WriteQueue {
+    pending: VecDeque<Pending>,
+    pending_bytes: usize,
+    outstanding: VecDeque<Outstanding>,
+}
+
+impl WriteQueue {
+    /// Takes a write into the next batch; `false` where too much waits already.
+    pub fn submit(&mut self, write_id: u64, changes: Vec<RowChange>) -> bool {
+        let bytes: usize = changes.iter().map(bytes_of).sum();
+        if self.pending_bytes + bytes > PENDING_BYTES_MAX {
+            return false;
+        }
+        self.pending_bytes += bytes;
+        self.pending.push_back(Pending { write_id, changes });
+        true
+    }
+
+    /// Something waits for the next batch.
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
+    }
+
+    /// All that was submitted is committed.
+    pub fn is_empty(&self) -> bool {
+        self.pending.is_empty() && self.outstanding.is_empty()
+    }
+
+    /// Makes a batch of all that waits.
+    pub fn next_batch(&mut self, seq: u64, now_ms: u64) -> Arc<Batch> {
+        self.pending_bytes = 0;
+        let (write_ids, changes): (Vec<u64>, Vec<Vec<RowChange>>) = self
+            .pending
+            .drain(..)
+            .map(|pending| (pending.write_id, pending.changes))
+            .unzip();
+        let changes = changes.into_iter().flatten().collect();
+        let batch = Arc::new(Batch { seq, changes });
+        self.outstanding.push_back(Outstanding {
+            batch: Arc::clone(&batch),
+            write_ids,
+            sent_ms: now_ms,
+        });
+        batch
+    }
+
+    /// The oldest batch that is not committed.
+    pub fn oldest(&self) -> Option<&Outstanding> {
+        self.outstanding.front()
+    }
+
+    /// The oldest batch that a member at `viewstamp` has not stored, in the view `number`.
+    pub fn oldest_lacking(&self, viewstamp: Viewstamp, number: u64) -> Option<&Outstanding> {
+        self.outstanding
+            .iter()
+            .find(|o| viewstamp.view != number || o.batch.seq > viewstamp.seq)
+    }
+
+    /// Batches after the sequence number `after`.
+    pub fn batches_after(&self, after: u64) -> Vec<Arc<Batch>> {
+        let later = self.outstanding.iter().filter(|o| o.batch.seq > after);
+        later.map(|o| Arc::clone(&o.batch)).collect()
+    }
+
+    /// Removes the batches up to the sequence number `stored` and returns their writes.
+    pub fn commit(&mut self, stored: u64) -> Vec<u64> {
+        let is_later = |o: &Outstanding| o.batch.seq > stored;
+        let count = self.outstanding.iter().position(is_later);
+        let committed = self
+            .outstanding
+            .drain(..count.unwrap_or(self.outstanding.len()));
+        committed.flat_map(|o| o.write_ids).collect()
+    }
+
+    /// What is left at the end of the head's role.
+    pub fn into_unfinished(self) -> Unfinished {
+        let outstanding = self.outstanding.into_iter();
+        Unfinished {
+            unknown: outstanding.flat_map(|o| o.write_ids).collect(),
+            unsent: self.pending.into_iter().map(|p| p.write_id).collect(),
+        }
+    }
+}
+
+fn bytes_of(change: &RowChange) -> usize {
+    change.key.len() + change.value.as_ref().map_or(0, Vec::len)
+}
