--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -37,7 +37,7 @@
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rows_server::RowsServer;
-use state_transfer::{StateTransfer, TransferChunk};
+use state_transfer::StateTransfer;
 use std::net::SocketAddr;
 use store_queue::{AfterStore, StoreQueue};
 use trim_schedule::TrimSchedule;
@@ -191,98 +191,27 @@
             Message::Addresses { addresses } => {
                 addresses.into_iter().for_each(|a| self.learn_address(a))
             }
-            Message::PreVote {
-                request_id,
-                viewstamp,
-                headed_view,
-            } => self.on_pre_vote(from, request_id, viewstamp, headed_view),
-            Message::PreVoteReply {
-                request_id,
-                granted,
-                promised,
-                view,
-                agreed: _,
-            } => {
-                self.on_pre_vote_reply(from, request_id, granted, promised, view);
-            }
+            Message::PreVote(pre_vote) => self.on_pre_vote(from, &pre_vote),
+            Message::PreVoteReply(reply) => self.on_pre_vote_reply(from, reply),
             Message::Prepare {
                 number,
                 headed_view,
             } => self.on_prepare(from, number, headed_view),
-            Message::PrepareOk {
-                number,
-                view,
-                agreed: _,
-                viewstamp,
-                draining,
-            } => {
-                self.on_prepare_ok(from, number, view, viewstamp, draining);
-            }
+            Message::PrepareOk(prepare_ok) => self.on_prepare_ok(from, prepare_ok),
             Message::PrepareReject { number, promised } => {
                 self.on_prepare_reject(from, number, promised)
             }
             Message::Accept { view } => self.on_accept(from, view),
             Message::Accepted { number } => self.on_accepted(from, number),
-            Message::Heartbeat {
-                view,
-                sent_ms,
-                seq,
-                address,
-            } => {
-                self.on_heartbeat(from, view, sent_ms, seq, address);
-            }
-            Message::Grant {
-                number,
-                sent_ms,
-                viewstamp,
-                store_age_ms,
-                draining,
-                address,
-            } => {
-                self.learn_address(address);
-                let health = leadership::Health {
-                    viewstamp,
-                    store_age_ms,
-                    draining,
-                };
-                self.on_grant(from, number, sent_ms, health);
-            }
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat),
+            Message::Grant(grant) => self.on_grant(from, grant),
             Message::Release { number } => self.on_release(from, number),
             Message::CampaignNow { number } => self.on_campaign_now(from, number),
-            Message::Write {
-                number,
-                batches,
-                relay,
-            } => self.on_write(number, batches, relay),
+            Message::Write(write) => self.on_write(write),
             Message::Stored { viewstamp } => self.on_member_stored(from, viewstamp),
             Message::WriteGap { viewstamp } => self.on_write_gap(from, viewstamp),
-            Message::Fetch {
-                request_id,
-                viewstamp,
-                after,
-            } => self.on_fetch(from, request_id, viewstamp, after),
-            Message::Rows {
-                request_id,
-                after,
-                clear,
-                rows,
-                more,
-                viewstamp,
-                history,
-            } => {
-                self.on_rows(
-                    from,
-                    TransferChunk {
-                        request_id,
-                        after,
-                        clear,
-                        rows,
-                        more,
-                        viewstamp,
-                        history,
-                    },
-                );
-            }
+            Message::Fetch(fetch) => self.on_fetch(from, &fetch),
+            Message::Rows(rows) => self.on_rows(from, rows),
         }
     }
 
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -5,7 +5,7 @@
 
 use super::{Output, Replica};
 use crate::durable::StoreOperation;
-use crate::message::Message;
+use crate::message::{Message, Write};
 use crate::timing::RESEND_MS;
 use crate::types::{Batch, Member, RowChange, Viewstamp};
 use std::sync::Arc;
@@ -64,16 +64,21 @@
             let batches = vec![Arc::clone(batch)];
             self.send(
                 member.internal,
-                Message::Write {
+                Message::Write(Write {
                     number,
                     batches,
                     relay,
-                },
+                }),
             );
         }
     }
 
-    pub(super) fn on_write(&mut self, number: u64, batches: Vec<Arc<Batch>>, relay: bool) {
+    pub(super) fn on_write(&mut self, write: Write) {
+        let Write {
+            number,
+            batches,
+            relay,
+        } = write;
         if !self.takes_writes(number) {
             return;
         }
@@ -121,11 +126,11 @@
         if let Some(successor) = view.successor(self.durable.member) {
             self.send(
                 successor.internal,
-                Message::Write {
+                Message::Write(Write {
                     number,
                     batches,
                     relay: true,
-                },
+                }),
             );
         }
     }
@@ -287,11 +292,11 @@
         peer.is_direct = true;
         let batches = leadership.writes.batches_after(after);
         if !batches.is_empty() {
-            let message = Message::Write {
+            let message = Message::Write(Write {
                 number: leadership.view.number,
                 batches,
                 relay: false,
-            };
+            });
             self.send(member.internal, message);
         }
     }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -4,7 +4,7 @@
 use super::campaign::{Campaign, Phase, Plan, Promised, is_majority};
 use super::proposal::next_view;
 use super::{AfterStore, Replica};
-use crate::message::Message;
+use crate::message::{Message, PreVote, PreVoteReply, PrepareOk};
 use crate::timing::{
     BACKOFF_MS, BACKOFF_SPREAD_MS, MORE_PREPARE_OKS_MS, PHASE_MS, PRE_VOTE_MS, REJECTED_WAIT_MS,
     RESUME_CAMPAIGN_MS, RESUME_PRE_VOTE_MS,
@@ -118,11 +118,11 @@
             return;
         };
         let message = match campaign.phase {
-            Phase::PreVote { request_id } => Message::PreVote {
+            Phase::PreVote { request_id } => Message::PreVote(PreVote {
                 request_id,
                 viewstamp: self.durable.viewstamp,
                 headed_view,
-            },
+            }),
             Phase::Prepare => Message::Prepare {
                 number: campaign.number,
                 headed_view,
@@ -140,25 +140,19 @@
         }
     }
 
-    pub(super) fn on_pre_vote_reply(
-        &mut self,
-        from: Member,
-        request_id: u64,
-        granted: bool,
-        promised: u64,
-        view: Option<View>,
-    ) {
+    pub(super) fn on_pre_vote_reply(&mut self, from: Member, reply: PreVoteReply) {
         let Some(campaign) = &mut self.campaign else {
             return;
         };
+        let request_id = reply.request_id;
         if campaign.phase != (Phase::PreVote { request_id }) {
             return;
         }
-        campaign.promised = campaign.promised.max(promised);
-        if let Some(view) = view {
+        campaign.promised = campaign.promised.max(reply.promised);
+        if let Some(view) = reply.view {
             campaign.learn(view);
         }
-        if granted {
+        if reply.granted {
             self.count_pre_vote(from);
         } else {
             campaign.rejected.insert(from);
@@ -203,41 +197,35 @@
         self.request_votes();
     }
 
+    /// This member's own promise is on its disk.
     pub(super) fn on_own_prepare_ok(&mut self, number: u64) {
-        self.on_prepare_ok(
-            self.durable.member,
+        let prepare_ok = PrepareOk {
             number,
-            self.durable.view.clone(),
-            self.durable.viewstamp,
-            false,
-        );
+            view: self.durable.view.clone(),
+            agreed: self.durable.agreed,
+            viewstamp: self.durable.viewstamp,
+            draining: false,
+        };
+        self.on_prepare_ok(self.durable.member, prepare_ok);
     }
 
-    pub(super) fn on_prepare_ok(
-        &mut self,
-        from: Member,
-        number: u64,
-        view: Option<View>,
-        viewstamp: Viewstamp,
-        draining: bool,
-    ) {
+    pub(super) fn on_prepare_ok(&mut self, from: Member, prepare_ok: PrepareOk) {
+        let number = prepare_ok.number;
         let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
             return;
         };
         if campaign.phase != Phase::Prepare {
             return;
         }
-        if let Some(view) = view {
+        if let Some(view) = prepare_ok.view {
             campaign.learn(view);
         }
         campaign.agreed.insert(from);
-        campaign.promises.insert(
-            from,
-            Promised {
-                viewstamp,
-                draining,
-            },
-        );
+        let promised = Promised {
+            viewstamp: prepare_ok.viewstamp,
+            draining: prepare_ok.draining,
+        };
+        campaign.promises.insert(from, promised);
         self.request_votes();
         self.decide_prepare();
     }
--- a/crates/replication/src/replica/following.rs
+++ b/crates/replication/src/replica/following.rs
@@ -6,20 +6,18 @@
 
 use super::voter::Lease;
 use super::{AfterStore, Replica};
-use crate::message::Message;
+use crate::message::{Grant, Heartbeat, Message};
 use crate::timing::{BACKOFF_OUTSIDE_CHAIN_MS, BACKOFF_SPREAD_MS, LEASE_MS, UNRESPONSIVE_HEAD_MS};
 use crate::types::{Member, View};
-use indigofold_protocol::internal::MemberAddress;
 
 impl Replica {
-    pub(super) fn on_heartbeat(
-        &mut self,
-        from: Member,
-        view: View,
-        sent_ms: u64,
-        seq: u64,
-        address: MemberAddress,
-    ) {
+    pub(super) fn on_heartbeat(&mut self, from: Member, heartbeat: Heartbeat) {
+        let Heartbeat {
+            view,
+            sent_ms,
+            seq,
+            address,
+        } = heartbeat;
         self.learn_address(address);
         if view.number < self.durable.promised || view.head() != Some(from) {
             self.reject(from, view.number);
@@ -88,14 +86,14 @@
             return;
         };
         let (to, number, sent_ms) = (lease.head.internal, lease.number, lease.sent_ms);
-        let message = Message::Grant {
+        let message = Message::Grant(Grant {
             number,
             sent_ms,
             viewstamp: self.stored_viewstamp,
             store_age_ms: self.stores.age_ms(self.now_ms),
             draining: self.is_draining(),
             address: self.settings.address.clone(),
-        };
+        });
         self.send(to, message);
     }
 
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -2,7 +2,7 @@
 
 use super::leadership::{Health, Leadership, Peer};
 use super::{Output, Replica};
-use crate::message::Message;
+use crate::message::{Grant, Heartbeat, Message};
 use crate::timing::{
     BACKOFF_SPREAD_MS, DRAIN_WAIT_MS, FORGET_NEWCOMER_MS, HEARTBEAT_INTERVAL_MS, HISTORY_MAX,
     LEADERSHIP_MIN_MS, LEASE_MS, RESIGNED_DEFER_MS, SLOW_HEAD_MS, SLOW_MEMBER_MS,
@@ -86,17 +86,24 @@
         let Some(leadership) = &self.leadership else {
             return;
         };
-        let message = Message::Heartbeat {
+        let message = Message::Heartbeat(Heartbeat {
             view: leadership.view.clone(),
             sent_ms: self.now_ms,
             seq: self.durable.viewstamp.seq,
             address: self.settings.address.clone(),
-        };
+        });
         self.send(to, message);
     }
 
-    pub(super) fn on_grant(&mut self, from: Member, number: u64, sent_ms: u64, health: Health) {
+    pub(super) fn on_grant(&mut self, from: Member, grant: Grant) {
         let now_ms = self.now_ms;
+        let (number, sent_ms) = (grant.number, grant.sent_ms);
+        let health = Health {
+            viewstamp: grant.viewstamp,
+            store_age_ms: grant.store_age_ms,
+            draining: grant.draining,
+        };
+        self.learn_address(grant.address);
         let Some(leadership) = &mut self.leadership else {
             return;
         };
--- a/crates/replication/src/replica/state_transfer.rs
+++ b/crates/replication/src/replica/state_transfer.rs
@@ -4,26 +4,9 @@
 //! They are stored in one transaction.
 
 use crate::durable::StoreOperation;
-use crate::message::Message;
+use crate::message::{Fetch, Message, Rows};
 use crate::timing::{FETCH_RETRY_MS, TRANSFER_TIMEOUT_MS};
-use crate::types::{Member, Row, ViewStart, Viewstamp};
-
-/// Rows that another member has sent (`Message::Rows`).
-#[derive(Debug)]
-pub(super) struct TransferChunk {
-    pub request_id: u64,
-    /// These are rows after this sequence number.
-    pub after: u64,
-    /// The receiver has to drop all its rows first.
-    pub clear: bool,
-    pub rows: Vec<Row>,
-    /// Further chunks follow.
-    pub more: bool,
-    /// State that the rows lead to, once no more follow.
-    pub viewstamp: Viewstamp,
-    /// The views that led to it.
-    pub history: Vec<ViewStart>,
-}
+use crate::types::{Member, Row, Viewstamp};
 
 /// What the rows are for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,15 +82,15 @@
     /// The request for the next chunk; `viewstamp` is the state of this member's rows.
     pub fn next_request(&mut self, now_ms: u64, viewstamp: Viewstamp) -> Message {
         self.requested_ms = now_ms;
-        Message::Fetch {
+        Message::Fetch(Fetch {
             request_id: self.request_id,
             viewstamp,
             after: self.next_after,
-        }
+        })
     }
 
     /// Takes the rows of a chunk.
-    pub fn receive(&mut self, now_ms: u64, from: Member, chunk: &mut TransferChunk) -> Progress {
+    pub fn receive(&mut self, now_ms: u64, from: Member, chunk: &mut Rows) -> Progress {
         let is_answer = self.source == from && self.request_id == chunk.request_id;
         let is_next = self.next_after.is_none_or(|after| after == chunk.after);
         if !is_answer || !is_next {
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -2,10 +2,10 @@
 //! it serves others (Viewstamped Replication's state transfer).
 
 use super::rows_server::RowsRequest;
-use super::state_transfer::{Progress, Purpose, StateTransfer, TransferChunk};
+use super::state_transfer::{Progress, Purpose, StateTransfer};
 use super::{AfterStore, Output, Replica};
 use crate::durable::{Durable, StoreOperation};
-use crate::message::Message;
+use crate::message::{Fetch, Message, Rows};
 use crate::timing::TRANSFER_BYTES;
 use crate::types::{Member, RowsChunk, View, ViewStart, Viewstamp};
 
@@ -62,21 +62,16 @@
         }
     }
 
-    pub(super) fn on_fetch(
-        &mut self,
-        from: Member,
-        request_id: u64,
-        viewstamp: Viewstamp,
-        after: Option<u64>,
-    ) {
-        let (after, clear) = match after {
+    pub(super) fn on_fetch(&mut self, from: Member, fetch: &Fetch) {
+        let viewstamp = fetch.viewstamp;
+        let (after, clear) = match fetch.after {
             Some(after) => (after, false),
             None if is_earlier_state_of(viewstamp, &self.durable) => (viewstamp.seq, false),
             None => (0, true),
         };
         let read = self.rows_server.start(RowsRequest {
             to: from,
-            request_id,
+            request_id: fetch.request_id,
             after,
             clear,
             view: self.durable.viewstamp.view,
@@ -96,7 +91,7 @@
         if chunk.viewstamp.view != request.view {
             return;
         }
-        let message = Message::Rows {
+        let message = Message::Rows(Rows {
             request_id: request.request_id,
             after: request.after,
             clear: request.clear,
@@ -104,18 +99,18 @@
             more: chunk.more,
             viewstamp: chunk.viewstamp,
             history: chunk.history,
-        };
+        });
         self.send(request.to.internal, message);
     }
 
-    pub(super) fn on_rows(&mut self, from: Member, mut chunk: TransferChunk) {
+    pub(super) fn on_rows(&mut self, from: Member, mut rows: Rows) {
         let Some(transfer) = &mut self.transfer else {
             return;
         };
-        match transfer.receive(self.now_ms, from, &mut chunk) {
+        match transfer.receive(self.now_ms, from, &mut rows) {
             Progress::Ignored => {}
             Progress::MoreNeeded => self.request_rows(),
-            Progress::Complete => self.finish_transfer(chunk.viewstamp, chunk.history),
+            Progress::Complete => self.finish_transfer(rows.viewstamp, rows.history),
         }
     }
 
--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -2,19 +2,14 @@
 
 use super::campaign::Phase;
 use super::{AfterStore, Replica};
-use crate::message::Message;
+use crate::message::{Message, PreVote, PreVoteReply, PrepareOk};
 use crate::timing::{BACKOFF_SPREAD_MS, PRE_VOTE_GRANTED_MS, PREPARED_DEFER_MS};
 use crate::types::{Member, View, Viewstamp};
 
 impl Replica {
-    pub(super) fn on_pre_vote(
-        &mut self,
-        from: Member,
-        request_id: u64,
-        viewstamp: Viewstamp,
-        headed_view: u64,
-    ) {
-        let granted = !self.is_bound_against(from, headed_view) && self.prefers(from, viewstamp);
+    pub(super) fn on_pre_vote(&mut self, from: Member, pre_vote: &PreVote) {
+        let granted = !self.is_bound_against(from, pre_vote.headed_view)
+            && self.prefers(from, pre_vote.viewstamp);
         if granted {
             self.voter.grant_pre_vote(from, self.now_ms);
             self.campaign = None;
@@ -22,13 +17,13 @@
                 .campaign_at_ms
                 .max(self.now_ms + PRE_VOTE_GRANTED_MS + self.random_below(BACKOFF_SPREAD_MS));
         }
-        let reply = Message::PreVoteReply {
-            request_id,
+        let reply = Message::PreVoteReply(PreVoteReply {
+            request_id: pre_vote.request_id,
             granted,
             promised: self.durable.promised,
             view: self.durable.view.clone(),
             agreed: self.durable.agreed,
-        };
+        });
         self.send(from.internal, reply);
     }
 
@@ -49,13 +44,13 @@
             return;
         }
         self.adopt_number(number);
-        let prepare_ok = Message::PrepareOk {
+        let prepare_ok = Message::PrepareOk(PrepareOk {
             number,
             view: self.durable.view.clone(),
             agreed: self.durable.agreed,
             viewstamp: self.durable.viewstamp,
             draining: self.is_draining(),
-        };
+        });
         self.send_once_stored(from, prepare_ok);
     }
 
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,6 +1,7 @@
 //! One member with messages handed in one by one: what it may answer, store and count, and when.
 
 use indigofold_protocol::internal::MemberAddress;
+use indigofold_replication::message::{Grant, Heartbeat, PreVote, PreVoteReply, PrepareOk, Write};
 use indigofold_replication::timing::{LEASE_MS, LEASE_USED_PERCENT};
 use indigofold_replication::{
     Batch, Durable, Envelope, Input, Member, Message, Output, Replica, RowChange, Settings, View,
@@ -146,7 +147,7 @@
                 .iter()
                 .rev()
                 .find_map(|(_, message)| match message {
-                    Message::PreVote { request_id, .. } => Some(*request_id),
+                    Message::PreVote(PreVote { request_id, .. }) => Some(*request_id),
                     _ => None,
                 });
             if let Some(request_id) = requested {
@@ -157,13 +158,13 @@
     }
 
     fn grant_pre_vote(&mut self, from: u8, request_id: u64, view: &View) {
-        let reply = Message::PreVoteReply {
+        let reply = Message::PreVoteReply(PreVoteReply {
             request_id,
             granted: true,
             promised: view.number,
             view: Some(view.clone()),
             agreed: true,
-        };
+        });
         self.message(from, reply);
     }
 }
@@ -173,7 +174,7 @@
 }
 
 fn is_prepare_ok(message: &Message) -> bool {
-    matches!(message, Message::PrepareOk { .. })
+    matches!(message, Message::PrepareOk(PrepareOk { .. }))
 }
 
 fn is_prepare_reject(message: &Message) -> bool {
@@ -181,16 +182,16 @@
 }
 
 fn is_grant(message: &Message) -> bool {
-    matches!(message, Message::Grant { .. })
+    matches!(message, Message::Grant(Grant { .. }))
 }
 
 fn heartbeat(view: &View, sent_ms: u64) -> Message {
-    Message::Heartbeat {
+    Message::Heartbeat(Heartbeat {
         view: view.clone(),
         sent_ms,
         seq: SEQ,
         address: address(0),
-    }
+    })
 }
 
 fn same_voters() -> View {
@@ -246,11 +247,11 @@
             key: b"row".to_vec(),
             value: None,
         }];
-        Message::Write {
+        Message::Write(Write {
             number: VIEW,
             batches: vec![Arc::new(Batch { seq, changes })],
             relay: false,
-        }
+        })
     };
     harness.message(0, write(SEQ + 1));
     harness.store_all();
@@ -280,17 +281,21 @@
     harness.now_ms += LEASE_MS - 1;
     harness.message(
         2,
-        Message::PreVote {
+        Message::PreVote(PreVote {
             request_id: 1,
             viewstamp: Viewstamp {
                 view: VIEW,
                 seq: SEQ + 9,
             },
             headed_view: 0,
-        },
+        }),
     );
-    let is_granted =
-        |message: &Message| matches!(message, Message::PreVoteReply { granted: true, .. });
+    let is_granted = |message: &Message| {
+        matches!(
+            message,
+            Message::PreVoteReply(PreVoteReply { granted: true, .. })
+        )
+    };
     assert!(!harness.has_sent(2, is_granted));
     harness.message(
         2,
@@ -411,13 +416,13 @@
     };
     harness.message(
         1,
-        Message::PrepareOk {
+        Message::PrepareOk(PrepareOk {
             number,
             view: Some(same_voters()),
             agreed: true,
             viewstamp,
             draining: false,
-        },
+        }),
     );
     harness.now_ms += 100;
     harness.input(Input::Timer);
@@ -428,14 +433,14 @@
 }
 
 fn grant(number: u64, sent_ms: u64, viewstamp: Viewstamp) -> Message {
-    Message::Grant {
+    Message::Grant(Grant {
         number,
         sent_ms,
         viewstamp,
         store_age_ms: 0,
         draining: false,
         address: address(1),
-    }
+    })
 }
 
 fn installed() -> Viewstamp {
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -4,9 +4,12 @@
 //! `fixtures/control.sqlite` was written by the code of commit 13256bf, and so was each of the encoded messages.
 
 use indigofold_protocol::internal::MemberAddress;
+use indigofold_replication::message::{
+    self, Fetch, Grant, Heartbeat, PreVote, PreVoteReply, PrepareOk, Rows, Write,
+};
 use indigofold_replication::{
     Batch, Durable, Envelope, Member, Message, Row, RowChange, Storage, StoreRequest, View,
-    ViewStart, Viewstamp, message,
+    ViewStart, Viewstamp,
 };
 use std::collections::BTreeMap;
 use std::fs;
@@ -137,68 +140,68 @@
         Message::Addresses {
             addresses: vec![address(1), address(2)],
         },
-        Message::PreVote {
+        Message::PreVote(PreVote {
             request_id: 70_000,
             viewstamp: viewstamp(),
             headed_view: 300,
-        },
-        Message::PreVoteReply {
+        }),
+        Message::PreVoteReply(PreVoteReply {
             request_id: 70_000,
             granted: true,
             promised: 301,
             view: Some(view()),
             agreed: false,
-        },
+        }),
         Message::Prepare {
             number: 302,
             headed_view: 0,
         },
-        Message::PrepareOk {
+        Message::PrepareOk(PrepareOk {
             number: 302,
             view: None,
             agreed: true,
             viewstamp: viewstamp(),
             draining: false,
-        },
+        }),
         Message::PrepareReject {
             number: 302,
             promised: 303,
         },
         Message::Accept { view: view() },
         Message::Accepted { number: 302 },
-        Message::Heartbeat {
+        Message::Heartbeat(Heartbeat {
             view: view(),
             sent_ms: 1_234_567,
             seq: LAST_SEQ,
             address: address(2),
-        },
-        Message::Grant {
+        }),
+        Message::Grant(Grant {
             number: 300,
             sent_ms: 1_234_567,
             viewstamp: viewstamp(),
             store_age_ms: 17,
             draining: true,
             address: address(3),
-        },
+        }),
         Message::Release { number: 300 },
         Message::CampaignNow { number: 300 },
-        Message::Write {
+        Message::Write(Write {
             number: 300,
             batches: vec![batch()],
             relay: true,
-        },
+        }),
         Message::Stored {
             viewstamp: viewstamp(),
         },
         Message::WriteGap {
             viewstamp: viewstamp(),
         },
-        Message::Fetch {
+        Message::Fetch(Fetch {
             request_id: 70_001,
             viewstamp: viewstamp(),
             after: Some(9),
-        },
-        Message::Rows {
+        }),
+        Message::Rows(Rows {
             request_id: 70_001,
             after: 9,
             clear: true,
@@ -206,7 +209,7 @@
             more: false,
             viewstamp: viewstamp(),
             history: history(),
-        },
+        }),
     ]
 }
 
