--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,27 +1,20 @@
 //! How a voter becomes the head of the next view, in the phases of Paxos: a pre-vote (Raft thesis, section 9.6), promises,
 //! the transfer of the newest state among those that have promised, and acceptance.
 
-use super::campaign::{Campaign, Phase, Plan, Promised, is_majority};
+use super::campaign::{Campaign, Plan};
 use super::proposal::next_view;
 use super::{AfterStore, Replica};
-use crate::message::{Message, PreVote, PreVoteReply, PrepareOk};
+use crate::message::{Message, PreVoteReply, PrepareOk};
 use crate::timing::{
-    BACKOFF_MS, BACKOFF_SPREAD_MS, MORE_PREPARE_OKS_MS, PHASE_MS, PRE_VOTE_MS, REJECTED_WAIT_MS,
-    RESUME_CAMPAIGN_MS, RESUME_PRE_VOTE_MS,
+    BACKOFF_MS, BACKOFF_SPREAD_MS, PHASE_MS, PRE_VOTE_MS, RESUME_CAMPAIGN_MS, RESUME_PRE_VOTE_MS,
 };
 use crate::types::{Member, View, Viewstamp};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 impl Replica {
     pub(super) fn election_due_ms(&self) -> Option<u64> {
         match &self.campaign {
-            Some(campaign) => {
-                let more = campaign
-                    .majority_ms
-                    .filter(|_| campaign.phase == Phase::Prepare);
-                let more_due = more.map_or(u64::MAX, |at| at + MORE_PREPARE_OKS_MS);
-                Some(campaign.deadline_ms.min(more_due))
-            }
+            Some(campaign) => Some(campaign.due_ms()),
             None => {
                 (self.leadership.is_none() && self.may_campaign()).then_some(self.campaign_at_ms)
             }
@@ -29,22 +22,20 @@
     }
 
     pub(super) fn run_election(&mut self) {
-        if self
-            .campaign
-            .as_ref()
-            .is_some_and(|c| self.now_ms >= c.deadline_ms)
-        {
+        let campaign = self.campaign.as_ref();
+        if campaign.is_some_and(|campaign| campaign.is_timed_out(self.now_ms)) {
             self.fail_campaign();
         }
         self.decide_prepare();
-        let due = self.campaign.is_none()
+        let is_due = self.campaign.is_none()
             && self.leadership.is_none()
             && self.now_ms >= self.campaign_at_ms;
-        if due && self.may_campaign() {
+        if is_due && self.may_campaign() {
             self.start_campaign();
         }
     }
 
+    /// This member votes, and is not about to stop.
     fn may_campaign(&self) -> bool {
         let Some(view) = &self.durable.view else {
             return false;
@@ -55,7 +46,7 @@
         votes && !self.is_draining()
     }
 
-    /// Gives up being a candidate; stands again after a random time.
+    /// Gives the campaign up; the next one begins after a random time.
     pub(super) fn fail_campaign(&mut self) {
         self.campaign = None;
         if matches!(&self.transfer, Some(transfer) if transfer.is_for_candidate()) {
@@ -68,7 +59,7 @@
         self.delay_reconfiguration();
     }
 
-    /// Asks whether a majority would support this member; nothing is promised yet.
+    /// Asks whether a majority would vote for this member; nothing is promised yet.
     pub(super) fn start_campaign(&mut self) {
         let own = self.durable.member;
         if self.is_bound_against(own, self.headed_view()) {
@@ -78,102 +69,63 @@
             return;
         }
         self.last_request_id += 1;
-        let phase = Phase::PreVote {
-            request_id: self.last_request_id,
-        };
-        let deadline_ms = self.now_ms
-            + if self.is_resuming() {
-                RESUME_PRE_VOTE_MS
-            } else {
-                PRE_VOTE_MS
-            };
-        let Some(campaign) = self.new_campaign(phase, deadline_ms, None) else {
+        let Some(known) = self.durable.view.clone() else {
             return;
         };
+        let wait_ms = if self.is_resuming() {
+            RESUME_PRE_VOTE_MS
+        } else {
+            PRE_VOTE_MS
+        };
+        let promised = self.durable.promised;
+        let mut campaign = Campaign::pre_vote(own, known, promised, self.last_request_id);
+        campaign.set_deadline(self.now_ms + wait_ms);
         self.campaign = Some(campaign);
-        self.request_votes();
-        self.count_pre_vote(own);
-    }
-
-    fn new_campaign(&self, phase: Phase, deadline_ms: u64, plan: Option<Plan>) -> Option<Campaign> {
-        Some(Campaign {
-            phase,
-            number: 0,
-            known: self.durable.view.clone()?,
-            promised: self.durable.promised,
-            requested: BTreeSet::from([self.durable.member]),
-            agreed: BTreeSet::new(),
-            rejected: BTreeSet::new(),
-            promises: BTreeMap::new(),
-            majority_ms: None,
-            deadline_ms,
-            plan,
-        })
+        self.send_requests();
+        if let Some(campaign) = &mut self.campaign {
+            campaign.count(own);
+        }
+        self.decide_pre_vote();
     }
 
-    /// Sends this phase's question to all voters that have not had it yet.
-    fn request_votes(&mut self) {
+    /// Sends this phase's request to all voters that have not had it yet.
+    fn send_requests(&mut self) {
         let headed_view = self.headed_view();
+        let viewstamp = self.durable.viewstamp;
         let Some(campaign) = &mut self.campaign else {
             return;
         };
-        let message = match campaign.phase {
-            Phase::PreVote { request_id } => Message::PreVote(PreVote {
-                request_id,
-                viewstamp: self.durable.viewstamp,
-                headed_view,
-            }),
-            Phase::Prepare => Message::Prepare {
-                number: campaign.number,
-                headed_view,
-            },
-            Phase::Fetch | Phase::Propose { .. } => return,
+        let Some((message, voters)) = campaign.next_requests(viewstamp, headed_view) else {
+            return;
         };
-        let new: Vec<Member> = campaign
-            .voters()
-            .difference(&campaign.requested)
-            .copied()
-            .collect();
-        campaign.requested.extend(&new);
-        for voter in new {
+        for voter in voters {
             self.send(voter.internal, message.clone());
         }
     }
 
     pub(super) fn on_pre_vote_reply(&mut self, from: Member, reply: PreVoteReply) {
+        let is_granted = reply.granted;
         let Some(campaign) = &mut self.campaign else {
             return;
         };
-        let request_id = reply.request_id;
-        if campaign.phase != (Phase::PreVote { request_id }) {
+        if !campaign.receive_pre_vote_reply(from, reply) {
             return;
         }
-        campaign.promised = campaign.promised.max(reply.promised);
-        if let Some(view) = reply.view {
-            campaign.learn(view);
-        }
-        if reply.granted {
-            self.count_pre_vote(from);
-        } else {
-            campaign.rejected.insert(from);
-            if campaign.is_hopeless() {
-                self.fail_campaign();
-                return;
-            }
+        if is_granted {
+            self.decide_pre_vote();
+        } else if campaign.is_hopeless() {
+            self.fail_campaign();
+            return;
         }
-        self.request_votes();
+        self.send_requests();
     }
 
-    fn count_pre_vote(&mut self, from: Member) {
-        let Some(campaign) = &mut self.campaign else {
+    /// Asks for promises once a majority would vote for this member.
+    fn decide_pre_vote(&mut self) {
+        let Some(campaign) = self.campaign.as_ref().filter(|c| c.has_majority()) else {
             return;
         };
-        campaign.agreed.insert(from);
-        if !campaign.has_majority(&campaign.agreed) {
-            return;
-        }
-        let number = campaign.promised.max(campaign.known.number) + 1;
-        let known = campaign.known.clone();
+        let (number, known) = (campaign.next_number(), campaign.known().clone());
         if known.voters.contains(&self.durable.member) {
             self.prepare(number, Some(known), None);
         } else {
@@ -183,18 +135,18 @@
 
     /// Asks for promises; `plan` is what a head wants to change.
     pub(super) fn prepare(&mut self, number: u64, known: Option<View>, plan: Option<Plan>) {
-        let deadline_ms = self.now_ms + PHASE_MS;
-        let Some(mut campaign) = self.new_campaign(Phase::Prepare, deadline_ms, plan) else {
+        let Some(known) = known.or_else(|| self.durable.view.clone()) else {
             return;
         };
-        campaign.number = number;
-        campaign.known = known.unwrap_or(campaign.known);
+        let (own, promised) = (self.durable.member, self.durable.promised);
+        let mut campaign = Campaign::prepare(own, known, promised, number, plan);
+        campaign.set_deadline(self.now_ms + PHASE_MS);
         self.campaign = Some(campaign);
         self.transfer = None;
         self.durable.promised = number;
         self.stores
             .request_store_then(AfterStore::OwnPrepareOk { number });
-        self.request_votes();
+        self.send_requests();
     }
 
     /// This member's own promise is on its disk.
@@ -210,61 +162,39 @@
     }
 
     pub(super) fn on_prepare_ok(&mut self, from: Member, prepare_ok: PrepareOk) {
-        let number = prepare_ok.number;
-        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        if campaign.phase != Phase::Prepare {
-            return;
-        }
-        if let Some(view) = prepare_ok.view {
-            campaign.learn(view);
+        if campaign.receive_prepare_ok(from, prepare_ok) {
+            self.send_requests();
+            self.decide_prepare();
         }
-        campaign.agreed.insert(from);
-        let promised = Promised {
-            viewstamp: prepare_ok.viewstamp,
-            draining: prepare_ok.draining,
-        };
-        campaign.promises.insert(from, promised);
-        self.request_votes();
-        self.decide_prepare();
     }
 
-    /// Goes on once there is a majority of promises, and all others have come or take too long.
+    /// Proposes a view once the newest state is decided, or fetches that state first.
     fn decide_prepare(&mut self) {
         let own = self.durable.member;
-        let Some(campaign) = self.campaign.as_mut().filter(|c| c.phase == Phase::Prepare) else {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        let ready = campaign.agreed.contains(&own) && campaign.has_majority(&campaign.agreed);
-        if !ready {
-            return;
-        }
-        let since = *campaign.majority_ms.get_or_insert(self.now_ms);
-        let answered = campaign.agreed.len() + campaign.rejected.len();
-        if answered < campaign.requested.len() && self.now_ms < since + MORE_PREPARE_OKS_MS {
-            return;
-        }
-        let Some((source, newest)) = campaign.newest(own) else {
+        let Some(newest) = campaign.decided_state(own, self.now_ms) else {
             return;
         };
-        let number = campaign.number;
-        if source == own {
-            self.propose(newest);
-        } else {
-            campaign.phase = Phase::Fetch;
-            campaign.deadline_ms = self.now_ms + PHASE_MS;
-            self.end_leadership();
-            self.transfer_to_candidate(source, number, newest);
+        if newest.source == own {
+            self.propose(newest.viewstamp);
+            return;
         }
+        let number = campaign.number();
+        campaign.fetch();
+        campaign.set_deadline(self.now_ms + PHASE_MS);
+        self.end_leadership();
+        self.transfer_to_candidate(newest.source, number, newest.viewstamp);
     }
 
+    /// The state that a candidate has fetched is on its disk.
     pub(super) fn on_transfer_stored(&mut self, number: u64) {
-        let fetched = self
-            .campaign
-            .as_ref()
-            .is_some_and(|c| c.number == number && c.phase == Phase::Fetch);
-        if fetched {
+        let campaign = self.campaign.as_ref();
+        if campaign.is_some_and(|campaign| campaign.is_fetching(number)) {
             self.propose(self.durable.viewstamp);
         }
     }
@@ -278,42 +208,26 @@
             self.fail_campaign();
             return;
         };
-        let Some(campaign) = &mut self.campaign else {
-            return;
-        };
-        campaign.phase = Phase::Propose { view: view.clone() };
-        campaign.deadline_ms = self.now_ms + PHASE_MS;
-        campaign.agreed.clear();
-        campaign.rejected.clear();
-        let number = view.number;
-        let all: BTreeSet<Member> = view
-            .voters
-            .iter()
-            .chain(&view.previous_voters)
-            .copied()
-            .collect();
+        if let Some(campaign) = &mut self.campaign {
+            campaign.propose(view.clone());
+            campaign.set_deadline(self.now_ms + PHASE_MS);
+        }
         self.durable.view = Some(view.clone());
         self.durable.agreed = false;
+        let number = view.number;
         self.stores
             .request_store_then(AfterStore::OwnAccepted { number });
-        for member in all.into_iter().filter(|&member| member != own) {
+        let electorates = view.voters.iter().chain(&view.previous_voters);
+        let others: BTreeSet<Member> = electorates.copied().filter(|&m| m != own).collect();
+        for member in others {
             self.send(member.internal, Message::Accept { view: view.clone() });
         }
     }
 
     pub(super) fn on_accepted(&mut self, from: Member, number: u64) {
-        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
-            return;
-        };
-        let Phase::Propose { view } = &campaign.phase else {
-            return;
-        };
-        campaign.agreed.insert(from);
-        let own = campaign.agreed.contains(&self.durable.member);
-        let is_accepted = is_majority(&view.voters, &campaign.agreed)
-            && is_majority(&view.previous_voters, &campaign.agreed);
-        if own && is_accepted {
-            let view = view.clone();
+        let own = self.durable.member;
+        let campaign = self.campaign.as_mut();
+        if let Some(view) = campaign.and_then(|c| c.receive_accepted(from, number, own)) {
             self.campaign = None;
             self.lead(view);
         }
@@ -321,15 +235,11 @@
 
     pub(super) fn on_prepare_reject(&mut self, from: Member, number: u64, promised: u64) {
         self.on_heartbeat_rejected(from, number, promised);
-        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        campaign.promised = campaign.promised.max(promised);
-        campaign.rejected.insert(from);
-        if promised >= number {
-            campaign.deadline_ms = campaign.deadline_ms.min(self.now_ms + REJECTED_WAIT_MS);
-        }
-        if campaign.is_hopeless() {
+        let is_own = campaign.receive_reject(from, number, promised, self.now_ms);
+        if is_own && campaign.is_hopeless() {
             self.fail_campaign();
         }
     }
--- a/crates/replication/src/replica/proposal.rs
+++ b/crates/replication/src/replica/proposal.rs
@@ -12,10 +12,10 @@
     base: Viewstamp,
     settings: &Settings,
 ) -> Option<View> {
-    let known = &campaign.known;
+    let known = campaign.known();
     // Voters change only on top of an established view.
     let fits = |plan: &&Plan| known.is_established() || plan.voters == known.voters;
-    let plan = campaign.plan.as_ref().filter(fits);
+    let plan = campaign.plan().filter(fits);
     let voters = plan.map_or(&known.voters, |plan| &plan.voters);
     let chain_min = settings.chain_min(voters.len());
     let chain = match plan {
@@ -24,7 +24,7 @@
     };
     let leads = chain.first() == Some(&own) && voters.contains(&own);
     (chain.len() >= chain_min && leads).then(|| View {
-        number: campaign.number,
+        number: campaign.number(),
         voters: voters.clone(),
         previous_voters: known.previous_voters.clone(),
         chain,
@@ -35,7 +35,7 @@
 /// The chain that a head has planned, without voters that have not promised.
 fn planned_chain(plan: &Plan, campaign: &Campaign) -> Vec<Member> {
     let may_join = |member: &Member| {
-        campaign.promises.contains_key(member) || !campaign.known.voters.contains(member)
+        campaign.promises().contains_key(member) || !campaign.known().voters.contains(member)
     };
     plan.chain.iter().copied().filter(may_join).collect()
 }
@@ -49,7 +49,7 @@
     chain_min: usize,
 ) -> Vec<Member> {
     let mut others: Vec<(Member, Promised)> = campaign
-        .promises
+        .promises()
         .iter()
         .filter(|(member, _)| **member != own && voters.contains(member))
         .map(|(&member, &promised)| (member, promised))
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -149,7 +149,7 @@
                 viewstamp.view == number && self.durable.promised == number && self.view() == number
             }
             Purpose::Candidate { number, newest } => {
-                viewstamp == newest && self.campaign.as_ref().is_some_and(|c| c.number == number)
+                viewstamp == newest && self.campaign.as_ref().is_some_and(|c| c.number() == number)
             }
         };
         is_expected && viewstamp >= self.durable.viewstamp
--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -1,6 +1,5 @@
 //! How a voter answers candidates. What it promises or accepts is on its disk before it says so (Paxos).
 
-use super::campaign::Phase;
 use super::{AfterStore, Replica};
 use crate::message::{Message, PreVote, PreVoteReply, PrepareOk};
 use crate::timing::{BACKOFF_SPREAD_MS, PRE_VOTE_GRANTED_MS, PREPARED_DEFER_MS};
@@ -32,7 +31,7 @@
     fn prefers(&self, candidate: Member, viewstamp: Viewstamp) -> bool {
         let is_granted_to_other = self.voter.has_pre_voted_against(candidate, self.now_ms);
         let own_goes_first = self.campaign.as_ref().is_some_and(|own| {
-            !matches!(own.phase, Phase::PreVote { .. })
+            !own.is_pre_vote()
                 || (self.durable.viewstamp, candidate) > (viewstamp, self.durable.member)
         });
         !is_granted_to_other && !own_goes_first
