--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -5,22 +5,22 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A member's own record.
+/// A member's own record. It is encoded with postcard: the order of fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Durable {
-    /// Who it is.
+    /// The member itself.
     pub member: Member,
     /// It takes part in no view below this number.
     pub promised: u64,
     /// The view accepted last.
     pub view: Option<View>,
-    /// That view is known to hold.
+    /// That view is known to be agreed: accepted by majorities of its electorates.
     pub agreed: bool,
     /// The state of its rows.
     pub viewstamp: Viewstamp,
     /// The views that led to this state, oldest first; early ones may be missing.
     pub history: Vec<ViewStart>,
-    /// Rows deleted at or before this sequence number have left no trace.
+    /// Rows deleted at or before this sequence number have no tombstone any more.
     pub trimmed: u64,
     /// Members' addresses as far as they are known.
     pub addresses: Vec<MemberAddress>,
@@ -40,9 +40,9 @@
     Clear,
     /// Apply a write.
     Write(Arc<Batch>),
-    /// Put rows as another member has them.
+    /// Write rows as another member has them.
     Put(Vec<Row>),
-    /// Drop the traces of rows deleted at or before this sequence number.
+    /// Drop the tombstones of rows deleted at or before this sequence number.
     Trim(u64),
 }
 
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,4 +1,6 @@
 //! Messages between members.
+//!
+//! They are encoded with postcard: the order of variants and fields is the wire format, names are not part of it.
 
 use crate::types::{Batch, Member, Row, View, ViewStart, Viewstamp};
 use indigofold_protocol::internal::MemberAddress;
@@ -9,83 +11,83 @@
 /// A message with its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sends it.
+    /// The sender.
     pub from: Member,
-    /// What it says.
+    /// Its content.
     pub message: Message,
 }
 
-/// What members tell each other.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// I am here and hear of no head.
+    /// The sender has no head, and looks for one.
     Announce {
         /// The sender's addresses.
         address: MemberAddress,
     },
-    /// Answer to [`Message::Announce`]: whom I know.
+    /// Answer to [`Message::Announce`] of a member that is not the head.
     Addresses {
-        /// Members' addresses.
+        /// Addresses of the members that the sender knows.
         addresses: Vec<MemberAddress>,
     },
-    /// Would you support me as a candidate?
+    /// Asks for a pre-vote.
     PreVote(PreVote),
     /// Answer to [`Message::PreVote`].
     PreVoteReply(PreVoteReply),
-    /// Promise to take part in no view below this number.
+    /// Asks for the promise to take part in no view below this number (Paxos, first phase).
     Prepare {
-        /// The number.
+        /// Number of the view to come.
         number: u64,
         /// Number of the view on the sender's disk, if the sender is its head; 0 otherwise.
         headed_view: u64,
     },
-    /// Answer to [`Message::Prepare`], on disk.
+    /// Answer to [`Message::Prepare`].
     PrepareOk(PrepareOk),
     /// The number of a [`Message::Prepare`], [`Message::Accept`] or [`Message::Heartbeat`] is too low, or the sender
     /// is bound to another head.
     PrepareReject {
-        /// The number refused.
+        /// The number that is rejected.
         number: u64,
         /// Highest number that the sender has promised.
         promised: u64,
     },
-    /// Accept this view.
+    /// Asks to accept a view (Paxos, second phase).
     Accept {
         /// The view.
         view: View,
     },
-    /// Answer to [`Message::Accept`], on disk.
+    /// Answer to [`Message::Accept`], sent once the view is on disk.
     Accepted {
         /// The view's number.
         number: u64,
     },
-    /// The head is at work: its view holds.
+    /// The head leads.
     Heartbeat(Heartbeat),
-    /// Answer to [`Message::Heartbeat`]: a lease.
+    /// Answer to [`Message::Heartbeat`].
     Grant(Grant),
     /// The head gives its lease back.
     Release {
         /// Number of its view.
         number: u64,
     },
-    /// Stand as a candidate at once.
+    /// Asks the receiver to campaign at once (`TimeoutNow` in the Raft thesis, section 3.10).
     CampaignNow {
         /// Number of the view that ends.
         number: u64,
     },
-    /// Writes, down the chain.
+    /// Writes on their way down the chain.
     Write(Write),
     /// The sender has this state on disk.
     Stored {
         /// The state.
         viewstamp: Viewstamp,
     },
-    /// The sender has received writes only up to here, and then a later one.
+    /// Writes are missing between the sender's state and one that it has received.
     WriteGap {
-        /// What it has.
+        /// The sender's state.
         viewstamp: Viewstamp,
     },
-    /// Send me the rows that I lack.
+    /// Requests rows.
     Fetch(Fetch),
     /// Answer to [`Message::Fetch`].
     Rows(Rows),
@@ -94,7 +96,7 @@
 /// Asks whether the receiver would vote for the sender (Raft thesis, section 9.6). It binds nobody.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreVote {
-    /// Number of this question; the answer carries it.
+    /// Id of this request; the answer carries it.
     pub request_id: u64,
     /// State of the sender's rows.
     pub viewstamp: Viewstamp,
@@ -105,26 +107,26 @@
 /// Answer to [`PreVote`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreVoteReply {
-    /// Number of the question.
+    /// Id of the request.
     pub request_id: u64,
-    /// Whether the sender would promise now.
+    /// Whether the sender would vote for the candidate now.
     pub granted: bool,
     /// Highest number that it has promised.
     pub promised: u64,
     /// The view it accepted last.
     pub view: Option<View>,
-    /// That view is known to hold.
+    /// That view is known to be agreed.
     pub agreed: bool,
 }
 
 /// Answer to [`Message::Prepare`], sent once the promise is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrepareOk {
-    /// The number.
+    /// The number promised.
     pub number: u64,
     /// The view accepted last.
     pub view: Option<View>,
-    /// That view is known to hold.
+    /// That view is known to be agreed.
     pub agreed: bool,
     /// State of the sender's rows.
     pub viewstamp: Viewstamp,
@@ -169,14 +171,14 @@
     pub number: u64,
     /// The writes, in order.
     pub batches: Vec<Arc<Batch>>,
-    /// Pass them on to the next member of the chain.
+    /// The receiver has to relay them to the next member of the chain.
     pub relay: bool,
 }
 
 /// Requests the rows that the sender lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fetch {
-    /// Number of the transfer; the answers carry it.
+    /// Id of the transfer; the answers carry it.
     pub request_id: u64,
     /// State that the sender has.
     pub viewstamp: Viewstamp,
@@ -187,7 +189,7 @@
 /// Answer to [`Fetch`]: a chunk of rows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rows {
-    /// Number of the transfer.
+    /// Id of the transfer.
     pub request_id: u64,
     /// These are rows after this sequence number.
     pub after: u64,
@@ -195,7 +197,7 @@
     pub clear: bool,
     /// The rows.
     pub rows: Vec<Row>,
-    /// More follow.
+    /// Further chunks follow.
     pub more: bool,
     /// State that the rows lead to, once no more follow.
     pub viewstamp: Viewstamp,
@@ -203,19 +205,23 @@
     pub history: Vec<ViewStart>,
 }
 
-/// Bytes that are no message.
+/// Bytes that are not a message.
 #[derive(Debug, Snafu)]
 #[snafu(display("a message of the replication protocol cannot be decoded: {source}"))]
 pub struct DecodeError {
     source: postcard::Error,
 }
 
-/// An envelope as bytes.
+/// Encodes an envelope. None of its types can fail to be encoded.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
     postcard::to_allocvec(envelope).unwrap_or_default()
 }
 
-/// The envelope in these bytes.
+/// Decodes an envelope.
+///
+/// # Errors
+///
+/// The bytes are not what [`encode`] makes.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, DecodeError> {
     postcard::from_bytes(bytes).map_err(|source| DecodeError { source })
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -18,6 +18,7 @@
 mod reconfiguration;
 mod rows_server;
 mod state_transfer;
+mod step_down;
 mod store_queue;
 mod transfer;
 mod trim_schedule;
@@ -55,9 +56,9 @@
     stored_view: u64,
     stores: StoreQueue,
     voter: Voter,
-    /// When to campaign, unless the head is heard before.
+    /// When to campaign, unless a heartbeat comes before.
     campaign_at_ms: u64,
-    /// When to announce itself, unless the head is heard before.
+    /// When to announce itself, unless a heartbeat comes before.
     announce_at_ms: u64,
     trim_schedule: TrimSchedule,
     campaign: Option<Campaign>,
@@ -160,7 +161,7 @@
         self.durable.member
     }
 
-    /// The view accepted last, and whether it is known to hold.
+    /// The view accepted last, and whether it is known to be agreed.
     pub fn accepted_view(&self) -> Option<(&View, bool)> {
         self.durable
             .view
--- a/crates/replication/src/replica/address_book.rs
+++ b/crates/replication/src/replica/address_book.rs
@@ -1,4 +1,4 @@
-//! Whom a member knows, and how members find each other.
+//! Addresses of members, and how members find each other.
 
 use super::Replica;
 use crate::message::Message;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl Replica {
-    /// The members of the view, and those that wish to join, as far as their addresses are known.
+    /// The members of the view, and those that want to join, as far as their addresses are known.
     pub fn members(&self) -> Vec<MemberAddress> {
         let mut known: BTreeSet<SocketAddr> = BTreeSet::from([self.settings.address.internal]);
         known.extend(
@@ -33,7 +33,7 @@
             .collect()
     }
 
-    /// Internal addresses of everyone worth a connection: seeds, members, those heard of; without this member.
+    /// Internal addresses of all to connect to: seeds, members, and those whose addresses are known; without this member.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let mut peers: BTreeSet<SocketAddr> = self.settings.seeds.iter().copied().collect();
         peers.extend(
@@ -48,7 +48,7 @@
         peers.into_iter().collect()
     }
 
-    /// The head that is at work as far as this member knows.
+    /// The head, as far as this member knows: itself while it may act, or the holder of the lease that it has granted.
     pub fn head(&self, now_ms: u64) -> Option<MemberAddress> {
         if self.may_act(now_ms) {
             return Some(self.settings.address.clone());
@@ -65,6 +65,7 @@
             .cloned()
     }
 
+    /// Takes an address; it is stored with the record, so that it survives a restart.
     pub(super) fn learn_address(&mut self, address: MemberAddress) {
         let addresses = &mut self.durable.addresses;
         if let Some(known) = addresses
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Tells the head what is on disk, or counts it at the head itself.
+    /// Reports to the head what is on disk, or counts it at the head itself.
     pub(super) fn report_stored(&mut self) {
         if let Some(leadership) = &mut self.leadership {
             leadership.own_viewstamp = self.stored_viewstamp;
@@ -168,7 +168,7 @@
         let Some(peer) = leadership.peers.get_mut(&from) else {
             return;
         };
-        // A state that this head has never given out.
+        // A state that this head has never sent out.
         if viewstamp > newest {
             return;
         }
@@ -198,7 +198,7 @@
         self.report_installed();
     }
 
-    /// The whole chain has the view's first state: its voters decide alone from now on, and are told so.
+    /// The whole chain has the view's first state: its voters decide alone from now on. The next heartbeats say so.
     fn establish_view(&mut self) {
         let Some(leadership) = self
             .leadership
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Tells the driver of a view that the whole chain has taken over; of the first one once the lease holds.
+    /// Notifies the driver of a view that the whole chain has taken over; of the first one once the head has a lease.
     fn report_installed(&mut self) {
         let own = self.durable.member;
         let Some(leadership) = &mut self.leadership else {
--- a/crates/replication/src/replica/following.rs
+++ b/crates/replication/src/replica/following.rs
@@ -28,7 +28,7 @@
         self.catch_up(&view, seq);
     }
 
-    /// Takes over a view that is known to hold and that another member leads.
+    /// Takes over an agreed view that another member leads.
     pub(super) fn follow(&mut self, view: &View) {
         let known = self
             .durable
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Answers the heartbeat heard last, once its view is on disk: after a restart the view on disk tells to which head a
+    /// Answers the last heartbeat once its view is on disk: after a restart only the view on disk says to which head a
     /// lease may have been granted.
     pub(super) fn send_grant(&mut self) {
         let Some(lease) = self
@@ -104,7 +104,7 @@
         if heads { self.durable.view_number() } else { 0 }
     }
 
-    /// This member has been started again as the head of the view on its disk. It stands at once: no lease but its own,
+    /// This member has been started again as the head of the view on its disk. It campaigns at once: no lease but its own,
     /// which ended with its process, can run in that view.
     pub(super) fn is_resuming(&self) -> bool {
         self.headed_view() > 0
@@ -112,7 +112,7 @@
             && self.voter.may_have_unknown_lease(self.now_ms)
     }
 
-    /// Whether a lease that this member granted before its start can only have been `candidate`'s, which stands again. Leases
+    /// Whether a lease that this member granted before its start can only have been `candidate`'s, which campaigns again. Leases
     /// are granted once their view is on disk, so that none can have been granted in a later view than that one; heads of
     /// earlier views lost theirs when a majority promised for it. `headed_view` is what the candidate says of its own disk.
     fn granted_to_none_but(&self, candidate: Member, headed_view: u64) -> bool {
@@ -120,7 +120,7 @@
         view.is_some_and(|view| view.number == headed_view && view.head() == Some(candidate))
     }
 
-    /// Whether this member is bound to a head other than `candidate`, which heads the view of number `headed_view` on its disk (0:
+    /// Whether this member is bound to a head other than `candidate`, which heads the view `headed_view` on its disk (0:
     /// none).
     pub(super) fn is_bound_against(&self, candidate: Member, headed_view: u64) -> bool {
         let is_leased = self.voter.is_leased_against(candidate, self.now_ms);
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -1,11 +1,11 @@
-//! The head's work beside writes: heartbeats, its lease, the end of its role.
+//! The head's work beside writes: heartbeats, and its lease.
 
-use super::leadership::{Health, Leadership, Peer};
-use super::{Output, Replica};
+use super::Replica;
+use super::leadership::{Health, Leadership};
 use crate::message::{Grant, Heartbeat, Message};
 use crate::timing::{
     BACKOFF_SPREAD_MS, DRAIN_WAIT_MS, FORGET_NEWCOMER_MS, HEARTBEAT_INTERVAL_MS, HISTORY_MAX,
-    LEADERSHIP_MIN_MS, LEASE_MS, RESIGNED_DEFER_MS, SLOW_HEAD_MS, SLOW_MEMBER_MS,
+    LEASE_MS, SLOW_MEMBER_MS,
 };
 use crate::types::{Member, View, ViewStart, Viewstamp};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
         now_ms < self.acting_until_ms()
     }
 
-    /// Until when [`Replica::may_act`] holds if nothing else happens; 0 if it does not.
+    /// Until when [`Replica::may_act`] is true if nothing else happens; 0 if it is false.
     pub fn acting_until_ms(&self) -> u64 {
         let gained = self
             .leadership
@@ -27,7 +27,7 @@
         })
     }
 
-    /// Leads a view that holds from now on.
+    /// Leads an agreed view.
     pub(super) fn lead(&mut self, view: View) {
         self.durable.agreed = true;
         self.enter_view(&view);
@@ -118,7 +118,7 @@
         self.count_stored();
     }
 
-    /// Somebody who hears of no head has announced itself.
+    /// A member without a head has announced itself.
     pub(super) fn on_newcomer(&mut self, member: Member) {
         let now_ms = self.now_ms;
         let Some(leadership) = &mut self.leadership else {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A member has refused a heartbeat, since it has promised a higher number.
+    /// A member has rejected a heartbeat because it has promised a higher number.
     pub(super) fn on_heartbeat_rejected(&mut self, from: Member, number: u64, promised: u64) {
         let has_lease = self.may_act(self.now_ms);
         let Some(leadership) = self.leadership.as_mut().filter(|l| l.view.number == number) else {
@@ -182,7 +182,7 @@
             self.campaign_at_ms = self.now_ms + LEASE_MS + self.random_below(BACKOFF_SPREAD_MS);
             return;
         }
-        // Before heartbeats: one that came after the role was handed over would bind its receiver to this head again.
+        // Before heartbeats: one sent after the leadership was transferred would bind its receiver to this head again.
         self.drain();
         self.transfer_leadership_if_slow();
         let Some(leadership) = &mut self.leadership else {
@@ -198,92 +198,4 @@
         }
         self.reconfigure();
     }
-
-    /// The head's role ends here. What was submitted and is not on all disks has an unknown fate.
-    pub(super) fn end_leadership(&mut self) {
-        let Some(leadership) = self.leadership.take() else {
-            return;
-        };
-        let is_gained = leadership.is_gained;
-        let unfinished = leadership.writes.into_unfinished();
-        for write_id in unfinished.unknown {
-            self.outputs.push(Output::Aborted { write_id });
-        }
-        for write_id in unfinished.unsent {
-            self.outputs.push(Output::Rejected { write_id });
-        }
-        if is_gained {
-            self.outputs.push(Output::HeadLost);
-        }
-    }
-
-    pub(super) fn on_step_down(&mut self) {
-        if self.is_draining() {
-            return;
-        }
-        self.draining_since_ms = Some(self.now_ms);
-        if self.leadership.is_none() {
-            self.campaign = None;
-            self.send_grant();
-        }
-    }
-
-    fn drain(&mut self) {
-        let Some(since) = self.draining_since_ms else {
-            return;
-        };
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        if leadership.writes.is_empty() || self.now_ms >= since + DRAIN_WAIT_MS {
-            self.transfer_leadership();
-        }
-    }
-
-    /// A head whose own disk hangs lets another member lead.
-    fn transfer_leadership_if_slow(&mut self) {
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        let is_slow = self.stores.age_ms(self.now_ms) >= SLOW_HEAD_MS;
-        if is_slow && self.now_ms >= leadership.since_ms + LEADERSHIP_MIN_MS {
-            self.transfer_leadership();
-        }
-    }
-
-    /// Gives the lease back and lets the member with the newest state stand.
-    fn transfer_leadership(&mut self) {
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        let (own, now_ms) = (self.durable.member, self.now_ms);
-        let oldest = leadership.writes.oldest().map_or(0, |o| o.batch.seq);
-        let is_fit = |peer: &Peer| {
-            peer.since_received_ms(now_ms) < 2 * HEARTBEAT_INTERVAL_MS
-                && !peer.health.draining
-                && peer.health.store_age_ms < SLOW_HEAD_MS / 2
-                && peer.health.viewstamp.seq >= oldest
-        };
-        let chain = leadership
-            .view
-            .chain
-            .iter()
-            .copied()
-            .filter(|&member| member != own);
-        let fit = chain.filter(|member| leadership.peers.get(member).is_some_and(is_fit));
-        let Some(successor) = fit.max_by_key(|&member| leadership.viewstamp_of(member, own)) else {
-            return;
-        };
-        let (number, heartbeat_recipients) =
-            (leadership.view.number, leadership.heartbeat_recipients(own));
-        self.withdraw();
-        for internal in heartbeat_recipients
-            .into_iter()
-            .filter(|&internal| internal != successor.internal)
-        {
-            self.send(internal, Message::Release { number });
-        }
-        self.send(successor.internal, Message::CampaignNow { number });
-        self.campaign_at_ms = self.now_ms + RESIGNED_DEFER_MS;
-    }
 }
--- a/crates/replication/src/replica/io.rs
+++ b/crates/replication/src/replica/io.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a member is told at its start.
+/// A member's settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Its own addresses.
@@ -45,7 +45,7 @@
         /// Its number.
         store: u64,
     },
-    /// The store of this number has failed: nothing of it has been kept. It is asked for again later.
+    /// The store of this number has failed, and nothing of it is on disk. It is retried later.
     StoreFailed {
         /// Its number.
         store: u64,
@@ -64,17 +64,17 @@
     },
     /// Write these rows, all together.
     Submit {
-        /// Chosen by the driver; comes back in the outcome.
+        /// Chosen by the driver; the output that ends the write carries it.
         write_id: u64,
         /// The rows.
         changes: Vec<RowChange>,
     },
-    /// A member has been heard of (from its `Welcome`, or as somebody knows it).
+    /// The address of a member is known (from its `Welcome`, or from another process).
     MemberDiscovered {
         /// Its addresses.
         address: MemberAddress,
     },
-    /// The process is about to stop: hand the head's role over, leave the chain.
+    /// The process is about to stop: transfer the leadership, leave the chain.
     StepDown,
     /// The time of [`Replica::next_timer_ms`](crate::Replica::next_timer_ms) has come.
     Timer,
@@ -85,9 +85,9 @@
 pub enum Output {
     /// Send this to the member at this internal address.
     Send {
-        /// Where to.
+        /// The receiver's internal address.
         to: SocketAddr,
-        /// What.
+        /// The message.
         envelope: Box<Envelope>,
     },
     /// Make these changes on disk. At most one store is under way at a time.
@@ -108,20 +108,20 @@
     },
     /// The write is on the disks of the whole chain.
     Committed {
-        /// The submitter's number.
+        /// The write's id.
         write_id: u64,
     },
-    /// The write's fate is unknown: this member is no longer the head. It may or may not be kept.
+    /// This member is no longer the head, and whether the write is kept is unknown.
     Aborted {
-        /// The submitter's number.
+        /// The write's id.
         write_id: u64,
     },
     /// The write has not been made and never will be.
     Rejected {
-        /// The submitter's number.
+        /// The write's id.
         write_id: u64,
     },
-    /// This member is the head of a view that holds; all rows are on its disk.
+    /// This member is the head of an agreed view; all rows are on its disk.
     HeadGained {
         /// The view's number.
         view: u64,
--- a/crates/replication/src/replica/state_transfer.rs
+++ b/crates/replication/src/replica/state_transfer.rs
@@ -109,7 +109,7 @@
         Progress::MoreNeeded
     }
 
-    /// All rows of this member are replaced, traces of deleted ones included.
+    /// All rows of this member are replaced, tombstones of deleted ones included.
     pub fn replaces_all(&self) -> bool {
         self.clear
     }
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -1,4 +1,5 @@
-//! Stores one after the other: what is to be stored while one is under way goes into the next, all together.
+//! The stores of a member, one after the other: what is requested while one is under way goes into the next, all
+//! together (group commit).
 
 use crate::durable::{Durable, StoreOperation, StoreRequest};
 use crate::message::Message;
@@ -10,16 +11,16 @@
 /// What may be done once a store is on disk.
 #[derive(Debug)]
 pub(super) enum AfterStore {
-    /// Send a message that tells of it.
+    /// Send a message that depends on it.
     Send {
         to: SocketAddr,
         message: Box<Message>,
     },
-    /// Count this member's own promise.
+    /// Count this member's own promise in its campaign.
     OwnPrepareOk { number: u64 },
     /// Count this member's own acceptance of its view.
     OwnAccepted { number: u64 },
-    /// Propose a view on top of a state that has been fetched.
+    /// Propose a view on top of the state that a candidate has fetched.
     TransferStored { number: u64 },
     /// Grant the lease to the head of the view that is on disk now.
     Grant,
@@ -77,7 +78,7 @@
         self.in_flight.is_none()
     }
 
-    /// The disk has refused the store under way.
+    /// The store under way has failed and is to be retried.
     pub(super) fn is_failing(&self) -> bool {
         self.in_flight
             .as_ref()
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -155,7 +155,7 @@
         is_expected && viewstamp >= self.durable.viewstamp
     }
 
-    /// Drops traces of rows deleted long ago, together with the next store.
+    /// Drops tombstones of rows deleted long ago, together with the next store.
     pub(super) fn run_trim_schedule(&mut self) {
         let stored_seq = self.stored_viewstamp.seq;
         let Some(seq) = self.trim_schedule.run(self.now_ms, stored_seq) else {
--- a/crates/replication/src/replica/trim_schedule.rs
+++ b/crates/replication/src/replica/trim_schedule.rs
@@ -1,7 +1,7 @@
-//! When traces of deleted rows may be dropped.
+//! When tombstones of deleted rows may be dropped.
 //!
-//! A deleted row leaves a trace, so that a member that was away learns of the deletion from a transfer of later rows. The
-//! schedule samples how far the table has come, and lets traces go once they are [`TRIM_AFTER_MS`] old.
+//! A deleted row leaves a tombstone, so that a member that was away learns of the deletion from a transfer of later rows.
+//! The schedule samples how far the table has come; a tombstone may go once it is [`TRIM_AFTER_MS`] old.
 
 use crate::timing::{TRIM_AFTER_MS, TRIM_INTERVAL_MS};
 use std::collections::VecDeque;
@@ -34,7 +34,8 @@
         self.due_ms
     }
 
-    /// Takes a sample when it is due; `seq` is the last write on disk. Returns the sequence number up to which traces may
+    /// Takes a sample when it is due; `seq` is the last write on disk. Returns the sequence number up to which tombstones
+    /// may
     /// be dropped now.
     pub fn run(&mut self, now_ms: u64, seq: u64) -> Option<u64> {
         if now_ms < self.due_ms {
--- a/crates/replication/src/replica/write_queue.rs
+++ b/crates/replication/src/replica/write_queue.rs
@@ -21,7 +21,7 @@
     pub sent_ms: u64,
 }
 
-/// Writes that were submitted and not committed when the head's role ended.
+/// Writes that were submitted and not committed when the leadership ended.
 #[derive(Debug)]
 pub(super) struct Unfinished {
     /// Sent down the chain: they may or may not be kept.
@@ -106,7 +106,7 @@
         committed.flat_map(|o| o.write_ids).collect()
     }
 
-    /// What is left at the end of the head's role.
+    /// What is left at the end of the leadership.
     pub fn into_unfinished(self) -> Unfinished {
         let outstanding = self.outstanding.into_iter();
         Unfinished {
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -1,4 +1,6 @@
 //! One member's rows and record in a SQLite database.
+//!
+//! Each row and the record have a checksum of their own, because SQLite has none for pages of the database.
 
 mod checksum;
 mod error;
@@ -21,11 +23,11 @@
 pub struct Opened {
     /// The database.
     pub storage: Storage,
-    /// The record it holds; `None` for an empty one.
+    /// The record in it; `None` for an empty one.
     pub durable: Option<Durable>,
-    /// Where a database that cannot be used has been set aside, and why.
+    /// A database that could not be used and was quarantined by this opening.
     pub quarantined: Option<Quarantined>,
-    /// This or an earlier opening has set a database aside: what the member had promised is forgotten.
+    /// This or an earlier opening has quarantined a database: what the member had promised is forgotten.
     pub has_quarantined: bool,
 }
 
@@ -34,7 +36,7 @@
 pub struct Quarantined {
     /// Where its file is now.
     pub path: PathBuf,
-    /// Why, in a plain sentence.
+    /// Why it cannot be used, for the log.
     pub reason: String,
 }
 
@@ -48,8 +50,12 @@
 }
 
 impl Storage {
-    /// Opens the database in the folder `dir`, or makes an empty one. A database that is damaged or of a newer form is
-    /// set aside, and the member starts empty.
+    /// Opens the database in the folder `dir`, or makes an empty one. A database that is damaged or of a newer format is
+    /// quarantined, and the member starts empty.
+    ///
+    /// # Errors
+    ///
+    /// The folder or its files cannot be used, or SQLite fails for a reason other than damage.
     pub fn open(dir: &Path) -> Result<Opened, StorageError> {
         let path = schema::database_path(dir);
         let (loaded, quarantined) = match schema::load(dir, &path) {
@@ -87,6 +93,10 @@
     }
 
     /// Makes the changes in one transaction, with one sync.
+    ///
+    /// # Errors
+    ///
+    /// The record cannot be encoded or SQLite fails; nothing of the request is on disk then.
     pub fn apply(&mut self, request: &StoreRequest) -> Result<(), StorageError> {
         let record =
             postcard::to_allocvec(&request.durable).map_err(|source| StorageError::Record {
@@ -103,6 +113,10 @@
     }
 
     /// Rows that changed after `since`, about `bytes_max` bytes of them, with the state that they belong to.
+    ///
+    /// # Errors
+    ///
+    /// SQLite fails, or a row does not agree with its checksum.
     pub fn rows_since(&self, since: u64, bytes_max: usize) -> Result<RowsChunk, StorageError> {
         let (rows, more) = rows::since(&self.connection, &self.path, since, bytes_max)?;
         Ok(RowsChunk {
@@ -113,13 +127,21 @@
         })
     }
 
-    /// Hands each row that is not deleted to `take` as (key, value), in the order of keys.
-    pub fn all_rows(&self, take: impl FnMut(&[u8], &[u8])) -> Result<(), StorageError> {
-        rows::visit(&self.connection, &self.path, take)
+    /// Calls `visitor` with key and value of each row that is not deleted, in the order of keys.
+    ///
+    /// # Errors
+    ///
+    /// SQLite fails, or a row does not agree with its checksum; rows before it have been visited.
+    pub fn all_rows(&self, visitor: impl FnMut(&[u8], &[u8])) -> Result<(), StorageError> {
+        rows::visit(&self.connection, &self.path, visitor)
     }
 
     /// Compares `count` rows after the key `after` with their checksums; returns the last key, `None` at the end of the
     /// table.
+    ///
+    /// # Errors
+    ///
+    /// SQLite fails, a row does not agree with its checksum, or the index does not lead to it.
     pub fn scrub(&self, after: &[u8], count: usize) -> Result<Option<Vec<u8>>, StorageError> {
         rows::check(&self.connection, &self.path, after, count)
     }
--- a/crates/replication/src/storage/rows.rs
+++ b/crates/replication/src/storage/rows.rs
@@ -39,11 +39,11 @@
     }
 }
 
-/// Hands each row that is not deleted to `take` as (key, value), in the order of keys.
+/// Calls `visitor` with key and value of each row that is not deleted, in the order of keys.
 pub(super) fn visit(
     connection: &Connection,
     path: &Path,
-    mut take: impl FnMut(&[u8], &[u8]),
+    mut visitor: impl FnMut(&[u8], &[u8]),
 ) -> Result<(), StorageError> {
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows WHERE value IS NOT NULL ORDER BY key";
@@ -51,7 +51,7 @@
     let mut found = statement.query([]).context(context)?;
     while let Some(row) = found.next().context(context)? {
         let row = StoredRow::read(row).context(context)?.check(path)?;
-        take(row.key, row.value.unwrap_or_default());
+        visitor(row.key, row.value.unwrap_or_default());
     }
     Ok(())
 }
@@ -115,7 +115,7 @@
     Ok(last.filter(|_| checked == count))
 }
 
-/// Whether a transfer, which reads in the order of the writes, would find the row.
+/// Whether a transfer, which reads by sequence number, would find the row.
 fn is_indexed(connection: &Connection, row: &StoredRow<'_>) -> rusqlite::Result<bool> {
     let query =
         "SELECT EXISTS (SELECT 1 FROM rows INDEXED BY rows_by_seq WHERE seq = ?1 AND key = ?2)";
@@ -136,7 +136,7 @@
     Ok(())
 }
 
-/// Writes a row, or the trace of its deletion.
+/// Writes a row, or the tombstone of a deleted one.
 pub(super) fn put(
     connection: &Connection,
     key: &[u8],
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-/// Drops the traces of rows deleted at or before `seq`.
+/// Drops the tombstones of rows deleted at or before `seq`.
 pub(super) fn trim(connection: &Connection, seq: u64) -> rusqlite::Result<()> {
     connection
         .prepare_cached("DELETE FROM rows WHERE seq <= ?1 AND value IS NULL")?
--- a/crates/replication/src/types.rs
+++ b/crates/replication/src/types.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One disk at one address. A machine that has lost its disk comes back as another member, so that nobody counts on
-/// what the lost disk had promised.
+/// One disk at one address. A machine that has lost its disk comes back as another member, because promises on the lost
+/// disk can no longer be kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     /// Where it takes internal connections.
@@ -16,7 +16,8 @@
 /// The disk of a seed that takes part in the cluster's very first start.
 pub const SEED_DISK: u64 = 0;
 
-/// A state of the table: all writes up to `seq`, as the view of this number ordered them.
+/// A state of the table: all writes up to `seq`, as the view of this number ordered them (Oki and Liskov, Viewstamped
+/// Replication). States are compared by view first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -36,7 +37,7 @@
     pub seq: u64,
 }
 
-/// Who votes and who is written to, under one number.
+/// Voters and chain under one number, as in Viewstamped Replication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// Its number; rises from view to view.
