--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -1,4 +1,4 @@
-//! Losses of power at each sync of the database: of what was written since the one before, each sector is there, missing
+//! Power loss between any two syncs of the database: of what was written since the last sync, each sector is there, missing
 //! or torn. And bits that change on disk, in every kind of page.
 
 mod stored;
@@ -21,9 +21,9 @@
 const LOG_HEADER: usize = 32;
 const KEYS: u64 = 24;
 const VALUE_BYTES: usize = 9_000;
-/// Enough writes for the log to be copied into the database and begun anew several times.
+/// Enough writes for several checkpoints, at which the log is copied into the database and restarted.
 const WRITES: u64 = 700;
-/// Power is lost so often within each write.
+/// Power losses simulated within each write.
 const LOSSES_A_WRITE: usize = 2;
 
 type Table = BTreeMap<Vec<u8>, Vec<u8>>;
@@ -62,14 +62,45 @@
             value: (!(seq + offset).is_multiple_of(7)).then_some(value),
         }
     };
-    let batch = Batch {
-        seq,
-        changes: (0..3).map(change).collect(),
-    };
+    write_of(seq, (0..3).map(change).collect())
+}
+
+/// A write of these rows, with the record that goes with it.
+fn write_of(seq: u64, changes: Vec<RowChange>) -> StoreRequest {
     StoreRequest {
         durable: record(seq),
-        operations: vec![StoreOperation::Write(Arc::new(batch))],
+        operations: vec![StoreOperation::Write(Arc::new(Batch { seq, changes }))],
+    }
+}
+
+/// As [`write`], with values short enough for all rows to fit into a few pages.
+fn small_write(seq: u64) -> StoreRequest {
+    let mut request = write(seq);
+    if let StoreOperation::Write(batch) = &request.operations[0] {
+        let mut changes = batch.changes.clone();
+        for value in changes
+            .iter_mut()
+            .filter_map(|change| change.value.as_mut())
+        {
+            value.truncate(40 + value.len() / 40);
+        }
+        request = write_of(seq, changes);
     }
+    request
+}
+
+fn open(dir: &Path) -> Storage {
+    Storage::open(dir).expect("opened").storage
+}
+
+/// A folder whose database has these writes, and is closed.
+fn folder_with(requests: impl Iterator<Item = StoreRequest>) -> TempDir {
+    let dir = TempDir::new().expect("a folder");
+    let mut storage = open(dir.path());
+    for request in requests {
+        storage.apply(&request).expect("stored");
+    }
+    dir
 }
 
 fn table(storage: &Storage) -> Table {
@@ -152,7 +183,7 @@
     }
 }
 
-/// All that was synced before is there; of the write under way all or nothing.
+/// All that was synced before is there; the write under way is there completely or not at all.
 fn check_image(image: &Image, seq: u64, before: &Table, after: &Table) {
     let dir = TempDir::new().expect("a folder");
     image.write(dir.path());
@@ -170,7 +201,7 @@
     };
     assert!(
         table(&opened.storage) == *expected,
-        "write {seq}: the rows of write {found} are not whole"
+        "write {seq}: the rows of write {found} are incomplete"
     );
 }
 
@@ -178,7 +209,7 @@
 fn power_loss_at_any_point_loses_no_synced_write(#[values(0, 1, 2, 3)] shard: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(shard);
     let dir = TempDir::new().expect("a folder");
-    let mut storage = Storage::open(dir.path()).expect("opened").storage;
+    let mut storage = open(dir.path());
     storage.apply(&write(1)).expect("stored");
     let (mut before, mut rows_before) = (Image::of(dir.path()), table(&storage));
     let (mut points, mut checkpoints) = (0, 0);
@@ -187,7 +218,7 @@
         let (after, rows_after) = (Image::of(dir.path()), table(&storage));
         let copied = before.database != after.database;
         checkpoints += u64::from(copied);
-        // Writes that copy the log or begin it anew are few: power is lost in them more often.
+        // Writes that copy or restart the log are few: more power losses are simulated in them.
         let is_special = copied || before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
         let losses = if is_special {
             20 * LOSSES_A_WRITE
@@ -214,12 +245,12 @@
     );
 }
 
-/// Power is lost while the database is being made: the member is as empty as before.
+/// Power is lost while the database is created: the member is as empty as before.
 #[test]
 fn after_power_loss_during_creation_the_database_is_empty() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let dir = TempDir::new().expect("a folder");
-    let storage = Storage::open(dir.path()).expect("opened").storage;
+    let storage = open(dir.path());
     let made = Image::of(dir.path());
     drop(storage);
     for _ in 0..200 {
@@ -233,30 +264,11 @@
     }
 }
 
-/// A bit that has changed on disk is found when the database is opened, or has changed nothing.
+/// A bit that has changed on disk is detected when the database is opened, or changes nothing that is read.
 #[rstest]
 fn a_flipped_bit_is_detected_or_has_no_effect(#[values(0, 1, 2, 3)] shard: usize) {
-    let dir = TempDir::new().expect("a folder");
-    let mut storage = Storage::open(dir.path()).expect("opened").storage;
-    let small = |seq: u64| {
-        let mut request = write(seq);
-        let StoreOperation::Write(batch) = &request.operations[0] else {
-            return request;
-        };
-        let shorten = |change: &RowChange| RowChange {
-            value: change
-                .value
-                .as_ref()
-                .map(|value| value[..40 + value.len() / 40].to_vec()),
-            ..change.clone()
-        };
-        let changes = batch.changes.iter().map(shorten).collect();
-        request.operations = vec![StoreOperation::Write(Arc::new(Batch { seq, changes }))];
-        request
-    };
-    (1..=60).for_each(|seq| storage.apply(&small(seq)).expect("stored"));
-    let rows = table(&storage);
-    drop(storage);
+    let dir = folder_with((1..=60).map(small_write));
+    let rows = table(&open(dir.path()));
     let bytes = fs::read(dir.path().join(DATABASE)).expect("read");
     let (mut found, mut tried) = (0, 0);
     for at in (shard..bytes.len()).step_by(4 * 13) {
@@ -276,16 +288,16 @@
         } else if opened.durable.is_some() {
             assert!(
                 table(&opened.storage) == rows,
-                "byte {at}: rows have changed unnoticed"
+                "byte {at}: rows have changed undetected"
             );
             assert!(
                 transfer(&opened.storage) == rows,
-                "byte {at}: a transfer has changed unnoticed"
+                "byte {at}: a transfer has changed undetected"
             );
             assert_eq!(
                 opened.durable,
                 Some(record(60)),
-                "byte {at}: the record has changed unnoticed"
+                "byte {at}: the record has changed undetected"
             );
         }
     }
@@ -298,7 +310,7 @@
 #[rstest]
 fn a_flipped_bit_in_the_log_loses_no_write_undetected(#[values(0, 1, 2, 3)] shard: usize) {
     let dir = TempDir::new().expect("a folder");
-    let mut storage = Storage::open(dir.path()).expect("opened").storage;
+    let mut storage = open(dir.path());
     (1..=6).for_each(|seq| storage.apply(&write(seq)).expect("stored"));
     let until = Image::of(dir.path()).log.len();
     (7..=8).for_each(|seq| storage.apply(&write(seq)).expect("stored"));
@@ -323,27 +335,13 @@
 /// An entry of the index that does not lead to its row any more: a transfer would leave the row out.
 #[test]
 fn scrub_detects_a_row_that_is_missing_from_the_index() {
-    let dir = TempDir::new().expect("a folder");
-    let mut storage = Storage::open(dir.path()).expect("opened").storage;
-    for seq in 1..=6_000_u64 {
+    let long_key = |seq: u64| {
         let key = format!("row-{seq:>6}-{}", "x".repeat(200)).into_bytes();
-        let batch = Batch {
-            seq,
-            changes: vec![RowChange {
-                key,
-                value: Some(vec![1]),
-            }],
-        };
-        let operations = vec![StoreOperation::Write(Arc::new(batch))];
-        storage
-            .apply(&StoreRequest {
-                durable: record(seq),
-                operations,
-            })
-            .expect("stored");
-    }
-    drop(storage);
-    let storage = Storage::open(dir.path()).expect("opened").storage;
+        let value = Some(vec![1]);
+        write_of(seq, vec![RowChange { key, value }])
+    };
+    let dir = folder_with((1..=6_000).map(long_key));
+    let storage = open(dir.path());
     let path = dir.path().join(DATABASE);
     let mut bytes = fs::read(&path).expect("read");
     let text = b"row-  3000-";
@@ -370,24 +368,13 @@
 /// The same while the database is in use: no reading hands out a changed row, and the scrub finds it.
 #[test]
 fn a_row_changed_on_disk_is_not_read_and_scrub_detects_it() {
-    let dir = TempDir::new().expect("a folder");
-    let mut storage = Storage::open(dir.path()).expect("opened").storage;
-    for seq in 1..=400_u64 {
-        let value = format!("value {seq:>6} ").repeat(300).into_bytes();
-        let changes = vec![RowChange {
-            key: format!("row-{seq:>6}").into_bytes(),
-            value: Some(value),
-        }];
-        let operations = vec![StoreOperation::Write(Arc::new(Batch { seq, changes }))];
-        storage
-            .apply(&StoreRequest {
-                durable: record(seq),
-                operations,
-            })
-            .expect("stored");
-    }
-    drop(storage);
-    let storage = Storage::open(dir.path()).expect("opened").storage;
+    let long_value = |seq: u64| {
+        let key = format!("row-{seq:>6}").into_bytes();
+        let value = Some(format!("value {seq:>6} ").repeat(300).into_bytes());
+        write_of(seq, vec![RowChange { key, value }])
+    };
+    let dir = folder_with((1..=400).map(long_value));
+    let storage = open(dir.path());
     let path = dir.path().join(DATABASE);
     let mut bytes = fs::read(&path).expect("read");
     let text = b"value     17 ";
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// A member that has been started again, and what it has been told to do.
+/// A member that has been started again, with its outputs.
 struct Harness {
     replica: Replica,
     own: u8,
@@ -137,7 +137,7 @@
             .any(|(address, message)| *address == member(to).internal && is_wanted(message))
     }
 
-    /// Lets time pass until the member asks for support; the number of its question.
+    /// Lets time pass until the member asks for pre-votes; the id of its request.
     fn run_until_pre_vote(&mut self) -> u64 {
         for _ in 0..200 {
             self.now_ms = self.replica.next_timer_ms().max(self.now_ms);
@@ -154,7 +154,22 @@
                 return request_id;
             }
         }
-        panic!("member {} does not stand", self.own);
+        panic!("member {} does not campaign", self.own);
+    }
+
+    /// Member `from` asks for a promise.
+    fn prepare(&mut self, from: u8, number: u64, headed_view: u64) {
+        let prepare = Message::Prepare {
+            number,
+            headed_view,
+        };
+        self.message(from, prepare);
+    }
+
+    /// Member `from` reports a state that it has on disk.
+    fn has_stored(&mut self, from: u8, view: u64, seq: u64) {
+        let viewstamp = Viewstamp { view, seq };
+        self.message(from, Message::Stored { viewstamp });
     }
 
     fn grant_pre_vote(&mut self, from: u8, request_id: u64, view: &View) {
@@ -201,13 +216,7 @@
 #[test]
 fn prepare_ok_is_sent_once_it_is_on_disk() {
     let mut harness = Harness::calm(1, same_voters());
-    harness.message(
-        2,
-        Message::Prepare {
-            number: VIEW + 1,
-            headed_view: 0,
-        },
-    );
+    harness.prepare(2, VIEW + 1, 0);
     assert!(
         !harness.has_sent(2, is_prepare_ok),
         "it would be forgotten with the process"
@@ -220,21 +229,9 @@
 #[test]
 fn a_prepared_number_is_rejected_for_other_candidates() {
     let mut harness = Harness::calm(1, same_voters());
-    harness.message(
-        2,
-        Message::Prepare {
-            number: VIEW + 1,
-            headed_view: 0,
-        },
-    );
+    harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
-    harness.message(
-        0,
-        Message::Prepare {
-            number: VIEW + 1,
-            headed_view: 0,
-        },
-    );
+    harness.prepare(0, VIEW + 1, 0);
     harness.store_all();
     assert!(harness.has_sent(0, is_prepare_reject) && !harness.has_sent(0, is_prepare_ok));
 }
@@ -258,15 +255,9 @@
     assert_eq!(
         harness.replica.stored_viewstamp().seq,
         SEQ + 1,
-        "before the promise it takes them"
-    );
-    harness.message(
-        2,
-        Message::Prepare {
-            number: VIEW + 1,
-            headed_view: 0,
-        },
+        "before the promise it stores them"
     );
+    harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
     harness.message(0, write(SEQ + 2));
     harness.store_all();
@@ -297,23 +288,11 @@
         )
     };
     assert!(!harness.has_sent(2, is_granted));
-    harness.message(
-        2,
-        Message::Prepare {
-            number: VIEW + 1,
-            headed_view: 0,
-        },
-    );
+    harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
     assert!(harness.has_sent(2, is_prepare_reject) && !harness.has_sent(2, is_prepare_ok));
     harness.now_ms += 1;
-    harness.message(
-        2,
-        Message::Prepare {
-            number: VIEW + 1,
-            headed_view: 0,
-        },
-    );
+    harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
     assert!(harness.has_sent(2, is_prepare_ok), "the lease is over");
 }
@@ -332,23 +311,11 @@
     #[case] at_once: bool,
 ) {
     let mut harness = Harness::restarted(1, same_voters());
-    harness.message(
-        candidate,
-        Message::Prepare {
-            number: VIEW + 3,
-            headed_view,
-        },
-    );
+    harness.prepare(candidate, VIEW + 3, headed_view);
     harness.store_all();
     assert_eq!(harness.has_sent(candidate, is_prepare_ok), at_once);
     harness.now_ms = START_MS + LEASE_MS;
-    harness.message(
-        candidate,
-        Message::Prepare {
-            number: VIEW + 4,
-            headed_view,
-        },
-    );
+    harness.prepare(candidate, VIEW + 4, headed_view);
     harness.store_all();
     assert!(harness.has_sent(candidate, is_prepare_ok));
 }
@@ -393,7 +360,7 @@
     assert!(harness.has_sent(3, is_prepare));
 }
 
-/// A member that has been told of it by another one knows it too.
+/// What one voter knows, it passes on with its answer to a pre-vote.
 #[test]
 fn a_candidate_learns_from_any_voter_that_a_view_is_established() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
@@ -403,7 +370,7 @@
     assert!(harness.has_sent(3, is_prepare));
 }
 
-/// Member 0, made head by the answers of member 1.
+/// Member 0, elected head by the answers of member 1.
 fn head() -> Harness {
     let mut harness = Harness::restarted(0, same_voters());
     let request_id = harness.run_until_pre_vote();
@@ -495,42 +462,10 @@
             .iter()
             .any(|output| matches!(output, Output::Committed { write_id: 7 }))
     };
-    harness.message(
-        1,
-        Message::Stored {
-            viewstamp: Viewstamp {
-                view: VIEW + 1,
-                seq: SEQ + 2,
-            },
-        },
-    );
-    harness.message(
-        1,
-        Message::Stored {
-            viewstamp: Viewstamp {
-                view: VIEW + 9,
-                seq: SEQ + 1,
-            },
-        },
-    );
-    harness.message(
-        3,
-        Message::Stored {
-            viewstamp: Viewstamp {
-                view: VIEW + 1,
-                seq: SEQ + 1,
-            },
-        },
-    );
+    harness.has_stored(1, VIEW + 1, SEQ + 2);
+    harness.has_stored(1, VIEW + 9, SEQ + 1);
+    harness.has_stored(3, VIEW + 1, SEQ + 1);
     assert!(!is_committed(&harness));
-    harness.message(
-        1,
-        Message::Stored {
-            viewstamp: Viewstamp {
-                view: VIEW + 1,
-                seq: SEQ + 1,
-            },
-        },
-    );
+    harness.has_stored(1, VIEW + 1, SEQ + 1);
     assert!(is_committed(&harness));
 }
