--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -1,13 +1,15 @@
-//! A cluster under simulated time, with checks at each step.
+//! A cluster under simulated time: its machines, its network, and the writes that it is given.
 
+use super::events::{Event, EventQueue};
 use super::node::{DiskTask, InFlight, Node, Presence, index_of};
-use indigofold_replication::{Envelope, Input, Member, Output, RowChange, StoreRequest, message};
+use indigofold_replication::{
+    Envelope, Input, Member, Output, RowChange, StoreRequest, View, message,
+};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Rows in one part of a transfer: few, so that transfers have many parts.
+/// Rows in one chunk of a transfer: few, so that transfers have many chunks.
 const TRANSFER_ROWS: usize = 40;
 /// Time that a reading takes.
 const READ_MS: u64 = 1;
@@ -15,14 +17,19 @@
 /// How many machines a settings file names.
 const SEEDS: usize = 3;
 
-/// Writes that were submitted before are on all disks after so long, also on those of members that do not vote.
-const PROPAGATION_MS: u64 = 400;
+/// A row that a write has set.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WrittenRow {
+    pub key: Vec<u8>,
+    pub value: Vec<u8>,
+}
 
-#[derive(Debug)]
-enum Event {
-    Deliver(Box<InFlight>),
-    DiskDone { node: usize, incarnation: u64 },
-    Wake { node: usize, incarnation: u64 },
+/// A member has become the head.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeadGained {
+    pub at_ms: u64,
+    pub node: usize,
+    pub view: u64,
 }
 
 /// The cluster.
@@ -37,17 +44,15 @@
     pub repeat_percent: u64,
     pub delay_spread_ms: u64,
     pub random: Pcg64Mcg,
-    pub committed: BTreeMap<u64, (Vec<u8>, Vec<u8>)>,
+    pub committed: BTreeMap<u64, WrittenRow>,
     pub last_commit_ms: u64,
-    pub gained: Vec<(u64, usize, u64)>,
+    pub gained: Vec<HeadGained>,
     pub trace: bool,
-    submitted: BTreeMap<u64, (Vec<u8>, Vec<u8>)>,
+    submitted: BTreeMap<u64, WrittenRow>,
     pub aborted: u64,
     pub rejected: u64,
     next_write_id: u64,
-    events: BinaryHeap<Reverse<(u64, u64)>>,
-    event_bodies: BTreeMap<u64, Event>,
-    next_event: u64,
+    events: EventQueue,
     planned_wakes: BTreeMap<usize, u64>,
 }
 
@@ -80,9 +85,7 @@
             aborted: 0,
             rejected: 0,
             next_write_id: 1,
-            events: BinaryHeap::new(),
-            event_bodies: BTreeMap::new(),
-            next_event: 0,
+            events: EventQueue::default(),
             planned_wakes: BTreeMap::new(),
         }
     }
@@ -98,14 +101,14 @@
         self.nodes[node].presence == Presence::Present
     }
 
-    /// The machines from `first` on are not there yet.
+    /// The machines from `first` on are not installed yet.
     pub fn keep_spare(&mut self, first: usize) {
         self.nodes[first..]
             .iter_mut()
             .for_each(|node| node.presence = Presence::Spare);
     }
 
-    /// A machine that has not been there yet.
+    /// Takes a machine that has not been installed yet.
     pub fn next_spare(&mut self) -> Option<usize> {
         let spare = self
             .nodes
@@ -115,7 +118,7 @@
         Some(spare)
     }
 
-    /// A new machine starts for the first time, beside those that are there.
+    /// A new machine starts for the first time, beside those that are present.
     pub fn install(&mut self, node: usize) {
         self.log_event(&format!("install {node}"));
         self.nodes[node].presence = Presence::Present;
@@ -123,7 +126,7 @@
         self.start(node, false);
     }
 
-    /// A machine goes for good, with its disk.
+    /// A machine is removed for good, with its disk.
     pub fn remove(&mut self, node: usize) {
         self.log_event(&format!("remove {node}"));
         self.wipe(node);
@@ -131,7 +134,7 @@
         self.name_seeds();
     }
 
-    /// Those that start from now on are told of three machines that are there.
+    /// Machines that start from now on have three present machines as their seeds.
     fn name_seeds(&mut self) {
         self.seeds = self.present().into_iter().take(SEEDS).collect();
     }
@@ -183,11 +186,11 @@
         }
     }
 
-    /// Runs until `until_ms`; each `submit_interval_ms` a write is submitted to whoever acts.
+    /// Runs until `until_ms`; each `submit_interval_ms` a write is submitted to the acting head.
     pub fn run(&mut self, until_ms: u64, submit_interval_ms: u64) {
         let mut next_submit_ms = self.now_ms + submit_interval_ms;
         while self.now_ms < until_ms {
-            let due = self.events.peek().map_or(until_ms, |Reverse((at, _))| *at);
+            let due = self.events.next_ms().unwrap_or(until_ms);
             let step = due.min(until_ms).min(next_submit_ms).max(self.now_ms);
             self.now_ms = step;
             self.check_one_head();
@@ -195,14 +198,8 @@
                 self.submit_anywhere();
                 next_submit_ms += submit_interval_ms;
             }
-            while let Some(Reverse((at, id))) = self.events.peek().copied() {
-                if at > self.now_ms {
-                    break;
-                }
-                self.events.pop();
-                if let Some(event) = self.event_bodies.remove(&id) {
-                    self.run_event(event);
-                }
+            while let Some(event) = self.events.pop_due(self.now_ms) {
+                self.run_event(event);
             }
             self.check_one_head();
         }
@@ -223,28 +220,17 @@
             .collect()
     }
 
-    fn check_one_head(&self) {
-        let acting: Vec<usize> = self
-            .nodes
-            .iter()
-            .filter(|n| n.may_act(self.now_ms))
-            .map(|n| n.index)
-            .collect();
-        assert!(
-            acting.len() <= 1,
-            "at {} ms these act as heads: {acting:?}",
-            self.now_ms
-        );
-    }
-
     fn submit_anywhere(&mut self) {
         let Some(node) = self.acting() else { return };
         let write_id = self.next_write_id;
         self.next_write_id += 1;
         let key = format!("row-{write_id}").into_bytes();
         let value = format!("value-{write_id}").into_bytes();
-        self.submitted
-            .insert(write_id, (key.clone(), value.clone()));
+        let row = WrittenRow {
+            key: key.clone(),
+            value: value.clone(),
+        };
+        self.submitted.insert(write_id, row);
         let shared = format!("shared-{}", write_id % 5).into_bytes();
         let deleted_key = format!("gone-{}", write_id % 3).into_bytes();
         let deleted_value = write_id
@@ -267,12 +253,6 @@
         self.input(node, Input::Submit { write_id, changes });
     }
 
-    fn schedule(&mut self, at_ms: u64, event: Event) {
-        self.next_event += 1;
-        self.events.push(Reverse((at_ms, self.next_event)));
-        self.event_bodies.insert(self.next_event, event);
-    }
-
     fn run_event(&mut self, event: Event) {
         let node = match &event {
             Event::Deliver(in_flight) => in_flight.to,
@@ -280,7 +260,7 @@
         };
         let thaw_ms = self.nodes[node].frozen_until_ms;
         if self.now_ms < thaw_ms {
-            self.schedule(thaw_ms, event);
+            self.events.schedule(thaw_ms, event);
             return;
         }
         match event {
@@ -334,7 +314,7 @@
         let is_read = matches!(node.tasks.front(), Some(DiskTask::Read { .. }));
         let for_ms = if is_read { READ_MS } else { node.disk_ms };
         let (at_ms, incarnation) = (self.now_ms + for_ms, node.incarnation);
-        self.schedule(
+        self.events.schedule(
             at_ms,
             Event::DiskDone {
                 node: index,
@@ -372,7 +352,7 @@
             return;
         }
         self.planned_wakes.insert(index, at_ms);
-        self.schedule(
+        self.events.schedule(
             at_ms,
             Event::Wake {
                 node: index,
@@ -409,32 +389,35 @@
             Output::Rejected { .. } => self.rejected += 1,
             Output::HeadGained { view } => {
                 self.log_event(&format!("head gained by {index}, view {view}"));
-                self.gained.push((self.now_ms, index, view));
+                self.gained.push(HeadGained {
+                    at_ms: self.now_ms,
+                    node: index,
+                    view,
+                });
                 self.check_committed_rows(index);
             }
             Output::HeadRenewed { view } => {
-                let chain = self.nodes[index]
-                    .replica
-                    .as_ref()
-                    .and_then(|r| r.accepted_view());
-                let text = chain.map(|(v, _)| {
-                    let names = |members: &[Member]| {
-                        members
-                            .iter()
-                            .map(|m| index_of(m.internal))
-                            .collect::<Vec<usize>>()
-                    };
-                    format!("voters {:?} chain {:?}", names(&v.voters), names(&v.chain))
-                });
-                self.log_event(&format!(
-                    "head renewed by {index}, view {view}, {}",
-                    text.unwrap_or_default()
-                ));
+                let members = self.describe_view(index);
+                self.log_event(&format!("head renewed by {index}, view {view}, {members}"));
             }
             Output::HeadLost => self.log_event(&format!("head lost by {index}")),
         }
     }
 
+    /// Voters and chain of the view that a machine follows.
+    fn describe_view(&self, index: usize) -> String {
+        let replica = self.nodes[index].replica.as_ref();
+        let view = replica.and_then(|replica| replica.accepted_view());
+        let indexes = |members: &[Member]| -> Vec<usize> {
+            members.iter().map(|m| index_of(m.internal)).collect()
+        };
+        let describe = |view: &View| {
+            let (voters, chain) = (indexes(&view.voters), indexes(&view.chain));
+            format!("voters {voters:?} chain {chain:?}")
+        };
+        view.map_or(String::new(), |(view, _)| describe(view))
+    }
+
     fn send(&mut self, from: usize, to: usize, envelope: Envelope) {
         if to >= self.nodes.len()
             || self.blocked_links.contains(&(from, to))
@@ -453,79 +436,9 @@
                 to,
                 envelope: envelope.clone(),
             };
-            self.schedule(self.now_ms + delay_ms, Event::Deliver(Box::new(in_flight)));
-        }
-    }
-
-    /// All that was committed is on the disk of `node`.
-    pub fn check_committed_rows(&self, node: usize) {
-        let disk = &self.nodes[node].disk;
-        for (write_id, (key, value)) in &self.committed {
-            assert_eq!(
-                disk.value(key),
-                Some(value.as_slice()),
-                "at {} ms the write {write_id} is lost at {node}",
-                self.now_ms
-            );
-        }
-    }
-
-    /// The cluster is whole: one head acts; an odd number of the machines vote (at least three), all of these are in the
-    /// chain; all machines have the same rows once the writes under way are on all disks.
-    pub fn check_converged(&mut self, running: &[usize]) {
-        self.run(self.now_ms + PROPAGATION_MS, 2 * PROPAGATION_MS);
-        let head = self.acting().expect("a head acts");
-        let replica = self.nodes[head].replica.as_ref().expect("the head runs");
-        let (view, _) = replica.accepted_view().expect("the head has a view");
-        let chain: BTreeSet<usize> = view.chain.iter().map(|m| index_of(m.internal)).collect();
-        let voters: BTreeSet<usize> = view.voters.iter().map(|m| index_of(m.internal)).collect();
-        let expected = running.len() - usize::from(running.len().is_multiple_of(2));
-        let live = voters
-            .iter()
-            .filter(|voter| running.contains(voter))
-            .count();
-        assert_eq!(
-            live,
-            expected,
-            "voters {voters:?}, running {running:?}\n{}",
-            self.describe()
-        );
-        assert!(
-            chain.is_subset(&voters),
-            "chain of view {}\n{}",
-            view.number,
-            self.describe()
-        );
-        assert_eq!(
-            chain.len(),
-            expected,
-            "chain of view {}\n{}",
-            view.number,
-            self.describe()
-        );
-        assert!(
-            running
-                .iter()
-                .all(|node| self.nodes[*node].replica.is_some()),
-            "{}",
-            self.describe()
-        );
-        let table = self.nodes[head].disk.table();
-        for &node in running {
-            let other = self.nodes[node].disk.table();
-            let differs = |key: &&&[u8]| table.get(**key) != other.get(**key);
-            let keys: BTreeSet<String> = table
-                .keys()
-                .chain(other.keys())
-                .filter(differs)
-                .map(|k| String::from_utf8_lossy(k).into_owned())
-                .collect();
-            assert!(
-                keys.is_empty(),
-                "rows {keys:?} of {node} differ from those of the head {head}"
-            );
+            self.events
+                .schedule(self.now_ms + delay_ms, Event::Deliver(Box::new(in_flight)));
         }
-        self.check_committed_rows(head);
     }
 
     fn log_view(&self, index: usize, request: &StoreRequest) {
@@ -539,21 +452,6 @@
         }
     }
 
-    /// What each machine knows, for a failed check.
-    pub fn describe(&self) -> String {
-        let of = |node: &Node| {
-            let now_ms = node.local_ms(self.now_ms);
-            let frozen = node.is_frozen(self.now_ms);
-            let replica = node.replica.as_ref();
-            let state = replica.map(|r| (r.accepted_view(), r.stored_viewstamp(), r.head(now_ms)));
-            format!(
-                "{}: frozen {frozen}, store in {} ms, {state:?}\n",
-                node.index, node.disk_ms
-            )
-        };
-        self.nodes.iter().map(of).collect()
-    }
-
     pub fn step_down(&mut self, node: usize) {
         self.log_event(&format!("step down {node}"));
         self.input(node, Input::StepDown);
--- a/crates/replication/tests/simulation/disk.rs
+++ b/crates/replication/tests/simulation/disk.rs
@@ -3,11 +3,18 @@
 use indigofold_replication::{Durable, Row, RowsChunk, StoreOperation, StoreRequest};
 use std::collections::BTreeMap;
 
+/// A row as it is on disk; without a value it is a tombstone.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoredRow {
+    pub value: Option<Vec<u8>>,
+    pub seq: u64,
+}
+
 /// Rows and record as they are on disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub durable: Option<Durable>,
-    pub rows: BTreeMap<Vec<u8>, (Option<Vec<u8>>, u64)>,
+    pub rows: BTreeMap<Vec<u8>, StoredRow>,
 }
 
 impl Disk {
@@ -18,35 +25,41 @@
                 StoreOperation::Clear => self.rows.clear(),
                 StoreOperation::Write(batch) => {
                     for change in &batch.changes {
-                        self.rows
-                            .insert(change.key.clone(), (change.value.clone(), batch.seq));
+                        self.put(&change.key, change.value.as_ref(), batch.seq);
                     }
                 }
                 StoreOperation::Put(rows) => {
                     for row in rows {
-                        self.rows
-                            .insert(row.key.clone(), (row.value.clone(), row.seq));
+                        self.put(&row.key, row.value.as_ref(), row.seq);
                     }
                 }
                 StoreOperation::Trim(seq) => {
                     self.rows
-                        .retain(|_, (value, row_seq)| value.is_some() || *row_seq > *seq);
+                        .retain(|_, row| row.value.is_some() || row.seq > *seq);
                 }
             }
         }
         self.durable = Some(request.durable.clone());
     }
 
+    fn put(&mut self, key: &[u8], value: Option<&Vec<u8>>, seq: u64) {
+        let row = StoredRow {
+            value: value.cloned(),
+            seq,
+        };
+        self.rows.insert(key.to_vec(), row);
+    }
+
     /// Rows after `since`, a few at a time.
     pub fn rows_since(&self, since: u64, rows_max: usize) -> RowsChunk {
         let mut all: Vec<Row> = self
             .rows
             .iter()
-            .filter(|(_, (_, seq))| *seq > since)
-            .map(|(key, (value, seq))| Row {
+            .filter(|(_, row)| row.seq > since)
+            .map(|(key, row)| Row {
                 key: key.clone(),
-                value: value.clone(),
-                seq: *seq,
+                value: row.value.clone(),
+                seq: row.seq,
             })
             .collect();
         all.sort_by_key(|row| row.seq);
@@ -67,7 +80,7 @@
 
     /// The value of a key.
     pub fn value(&self, key: &[u8]) -> Option<&[u8]> {
-        self.rows.get(key).and_then(|(value, _)| value.as_deref())
+        self.rows.get(key).and_then(|row| row.value.as_deref())
     }
 
     /// All rows that are not deleted.
@@ -75,7 +88,7 @@
         let live = self
             .rows
             .iter()
-            .filter_map(|(key, (value, _))| Some((key.as_slice(), value.as_deref()?)));
+            .filter_map(|(key, row)| Some((key.as_slice(), row.value.as_deref()?)));
         live.collect()
     }
 }
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -1,14 +1,14 @@
-//! Random troubles, and their ends.
+//! Random faults, and the recoveries from them.
 
 use super::cluster::Cluster;
 
-/// A machine's disk may be lost only after so long a calm, and nothing else may be in trouble for so long after it
-/// (unless troubles overlap: then another disk may be lost only after such a calm).
+/// A machine's disk may be lost only after so long without faults, and no other fault may begin for so long after it
+/// (when faults overlap, that is so for lost disks only).
 const CATCH_UP_MS: u64 = 4_500;
-/// One in so many pauses between overlapping troubles lasts until the cluster is whole again.
-const CALM_ONE_IN: u64 = 12;
+/// One in so many delays between overlapping faults lasts until the cluster has converged.
+const CATCH_UP_ONE_IN: u64 = 12;
 
-/// The end of a trouble.
+/// The end of a fault.
 #[derive(Debug)]
 enum Recovery {
     Start(usize),
@@ -22,19 +22,19 @@
     Remove(usize),
 }
 
-/// A generator of troubles.
+/// A generator of faults.
 #[derive(Debug, Default)]
 pub struct Faults {
     recoveries: Vec<(u64, Recovery)>,
-    calm_from_ms: u64,
-    /// Troubles overlap: a disk is lost or a machine replaced whatever else is going on.
+    faultless_from_ms: u64,
+    /// A disk may be lost or a machine replaced while other faults last.
     overlapping: bool,
-    /// A disk has been lost (or a machine replaced), and there has been no calm since in which it was made good.
+    /// A disk has been lost (or a machine replaced), and the cluster has had no time since to catch up.
     disk_lost: bool,
 }
 
 impl Faults {
-    /// Troubles that overlap as far as the operators' pages allow: no more disks are lost than tolerated.
+    /// Faults that overlap as far as the operators' pages allow: no more disks are lost than tolerated.
     pub fn overlapping() -> Faults {
         Faults {
             overlapping: true,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Troubles until `until_ms`; then all of them end.
+    /// Injects faults until `until_ms`; then all of them end.
     pub fn run(&mut self, cluster: &mut Cluster, until_ms: u64, submit_interval_ms: u64) {
         while cluster.now_ms < until_ms {
             let next_delay_ms = self.next_delay_ms(cluster);
@@ -51,7 +51,7 @@
                 (cluster.now_ms + next_delay_ms).min(until_ms),
                 submit_interval_ms,
             );
-            self.disk_lost &= cluster.now_ms < self.calm_from_ms + CATCH_UP_MS;
+            self.disk_lost &= cluster.now_ms < self.faultless_from_ms + CATCH_UP_MS;
             self.inject(cluster);
         }
         self.run_until(cluster, until_ms + CATCH_UP_MS, submit_interval_ms);
@@ -62,10 +62,10 @@
         if !self.overlapping {
             return 100 + cluster.below(1_500);
         }
-        if cluster.below(CALM_ONE_IN) > 0 {
+        if cluster.below(CATCH_UP_ONE_IN) > 0 {
             return 5 + cluster.below(1_200);
         }
-        (self.calm_from_ms + CATCH_UP_MS).saturating_sub(cluster.now_ms) + 10
+        (self.faultless_from_ms + CATCH_UP_MS).saturating_sub(cluster.now_ms) + 10
     }
 
     fn end(&mut self, cluster: &mut Cluster) {
@@ -100,7 +100,7 @@
 
     fn later(&mut self, cluster: &Cluster, after_ms: u64, recovery: Recovery) {
         let at_ms = cluster.now_ms + after_ms;
-        self.calm_from_ms = self.calm_from_ms.max(at_ms);
+        self.faultless_from_ms = self.faultless_from_ms.max(at_ms);
         self.recoveries.push((at_ms, recovery));
     }
 
@@ -120,7 +120,7 @@
             }),
             3 | 4 => {
                 cluster.freeze(node, for_ms);
-                self.calm_from_ms = self.calm_from_ms.max(cluster.now_ms + for_ms);
+                self.faultless_from_ms = self.faultless_from_ms.max(cluster.now_ms + for_ms);
             }
             5 => self.block_link(cluster, node, other, for_ms),
             6 => {
@@ -156,7 +156,7 @@
         self.separate(cluster, &sides, for_ms);
     }
 
-    /// A cut into two halves, as even as they can be.
+    /// A partition into two halves, as even as they can be.
     fn partition_into_halves(&mut self, cluster: &mut Cluster, for_ms: u64) {
         let first = cluster.below(2) == 0;
         let mut sides = vec![first; cluster.nodes.len()];
@@ -203,14 +203,14 @@
         }
     }
 
-    /// One disk is lost after a calm; at times all other machines lose power at the same moment.
+    /// One disk is lost after a time without faults; at times all other machines lose power at the same moment.
     fn lose_disk(&mut self, cluster: &mut Cluster, node: usize) {
         if self.overlapping {
             self.lose_disk_while_overlapping(cluster, node);
             return;
         }
-        let calm_ms = self.calm_from_ms + CATCH_UP_MS;
-        if cluster.now_ms < calm_ms {
+        let caught_up_ms = self.faultless_from_ms + CATCH_UP_MS;
+        if cluster.now_ms < caught_up_ms {
             return;
         }
         cluster.wipe(node);
@@ -219,7 +219,7 @@
         if cluster.below(2) == 0 {
             self.kill_others(cluster, node);
         }
-        let until_ms = self.calm_from_ms + CATCH_UP_MS;
+        let until_ms = self.faultless_from_ms + CATCH_UP_MS;
         self.run_until(cluster, until_ms, 20);
     }
 
@@ -230,7 +230,7 @@
         }
     }
 
-    /// A disk is lost whatever else is going on, unless one that was lost before may not have been made good.
+    /// A disk is lost while other faults last, unless the cluster may not have caught up with a loss before.
     fn lose_disk_while_overlapping(&mut self, cluster: &mut Cluster, node: usize) {
         if self.disk_lost {
             return;
--- a/crates/replication/tests/simulation/main.rs
+++ b/crates/replication/tests/simulation/main.rs
@@ -1,7 +1,9 @@
-//! Whole clusters of replicas under simulated time: faults of many kinds, and what has to hold all along.
+//! Clusters of replicas under simulated time: faults of many kinds, and what has to be true all along.
 
+mod checks;
 mod cluster;
 mod disk;
+mod events;
 mod faults;
 mod node;
 mod outages;
@@ -12,7 +14,7 @@
 use rstest::rstest;
 
 const SUBMIT_INTERVAL_MS: u64 = 20;
-/// Machines that may be put in the place of others.
+/// Machines that may replace others.
 const SPARES: usize = 8;
 
 fn started(seed: u64, machines: usize) -> Cluster {
@@ -31,9 +33,9 @@
     for seed in 0..20 {
         let mut cluster = started(seed, machines);
         assert!(
-            cluster.gained[0].0 < 1_500,
+            cluster.gained[0].at_ms < 1_500,
             "the first head came at {} ms",
-            cluster.gained[0].0
+            cluster.gained[0].at_ms
         );
         cluster.check_converged(&(0..machines).collect::<Vec<_>>());
         assert!(
@@ -45,13 +47,13 @@
     }
 }
 
-/// After `ended_ms` nothing is in trouble any more: writes go on soon, and the cluster becomes whole.
+/// All faults have ended: writes are committed again soon, and the cluster converges.
 fn check_recovery(cluster: &mut Cluster, seed: u64) {
     let ended_ms = cluster.now_ms;
     cluster.run(ended_ms + 3_500, SUBMIT_INTERVAL_MS);
     assert!(
         cluster.last_commit_ms > ended_ms,
-        "seed {seed}: nothing is written 3.5 s after all troubles\n{}",
+        "seed {seed}: nothing is written 3.5 s after all faults\n{}",
         cluster.describe()
     );
     cluster.run(ended_ms + 14_000, SUBMIT_INTERVAL_MS);
@@ -84,7 +86,7 @@
     check_recovery(&mut cluster, seed);
 }
 
-/// Troubles of all kinds at the same time, disks lost and machines replaced in the middle of them.
+/// Faults of all kinds at the same time, disks lost and machines replaced in the middle of them.
 #[rstest]
 fn no_committed_write_is_lost_when_faults_overlap(#[values(0, 1, 2, 3)] shard: u64) {
     let (first, count) = seeds();
@@ -93,14 +95,14 @@
         .for_each(check_overlapping);
 }
 
-/// Seeds that have found something. All of these: a machine of the shortest possible chain was lost with its disk before
+/// Seeds that have found a fault of the program. All of these: a machine of the shortest possible chain was lost with its disk before
 /// it had taken over the view's first state; the head kept its lease and never wrote again.
 #[rstest]
 fn regression_seeds_of_overlapping_faults(#[values(136, 254, 308, 379, 797, 947)] seed: u64) {
     check_overlapping(seed);
 }
 
-/// Which seeds to play: `SIMULATION_SEEDS=FIRST,COUNT` plays others than the usual.
+/// The seeds to run: `SIMULATION_SEEDS=FIRST,COUNT` runs others than the usual.
 fn seeds() -> (u64, u64) {
     let chosen = std::env::var("SIMULATION_SEEDS").unwrap_or_default();
     let parsed = chosen
--- a/crates/replication/tests/simulation/node.rs
+++ b/crates/replication/tests/simulation/node.rs
@@ -20,12 +20,12 @@
     },
 }
 
-/// Whether a machine is there.
+/// Whether a machine is part of the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// Not yet.
+    /// Not installed yet.
     Spare,
-    /// It will be installed soon.
+    /// About to be installed.
     Installing,
     Present,
     /// Removed for good.
@@ -39,7 +39,7 @@
     pub presence: Presence,
     pub replica: Option<Replica>,
     pub disk: Disk,
-    /// Rises with each start of the process; events of earlier lives are dropped.
+    /// Rises with each start of the process; events of earlier incarnations are dropped.
     pub incarnation: u64,
     pub frozen_until_ms: u64,
     pub disk_ms: u64,
@@ -136,7 +136,7 @@
     }
 }
 
-/// A message on its way.
+/// A message that has been sent and not delivered.
 #[derive(Clone, Debug)]
 pub struct InFlight {
     pub to: usize,
--- a/crates/replication/tests/simulation/outages.rs
+++ b/crates/replication/tests/simulation/outages.rs
@@ -1,5 +1,5 @@
-//! Times without a committed write after the loss of members: the figures of `docs/system/control.md`, and their bounds.
-//! `cargo test -p indigofold-replication figures -- --nocapture` prints them.
+//! Times without a committed write after the loss of members: the results in `docs/system/control.md`, and their bounds.
+//! `cargo test -p indigofold-replication outages -- --nocapture` prints them.
 
 use super::SUBMIT_INTERVAL_MS;
 use super::cluster::Cluster;
@@ -23,7 +23,7 @@
 }
 
 impl Lost {
-    /// The machines, by their places in the chain of the acting head.
+    /// The machines, by their positions in the chain of the acting head.
     fn machines(self, cluster: &Cluster) -> Vec<usize> {
         let chain = cluster.chain();
         match self {
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -1,4 +1,4 @@
-//! One trouble at a time, and how soon the cluster is at work again.
+//! One fault at a time, and how soon writes are committed again.
 
 use super::cluster::Cluster;
 use super::{SUBMIT_INTERVAL_MS, started};
@@ -49,7 +49,7 @@
     }
 }
 
-/// The head stands as soon as it is back, and voters that were started again need not wait for a lease of its own.
+/// The head campaigns as soon as it is back, and restarted voters need not wait for a lease of its own.
 #[rstest]
 fn the_same_head_resumes_at_once_after_all_were_killed(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
@@ -65,7 +65,7 @@
         let gap_ms = longest_gap_ms(&mut cluster, 3_000);
         assert!(gap_ms <= 250, "seed {seed}: no write for {gap_ms} ms");
         assert_eq!(
-            cluster.gained.last().map(|(_, node, _)| *node),
+            cluster.gained.last().map(|gained| gained.node),
             Some(former),
             "seed {seed}"
         );
@@ -73,8 +73,8 @@
     }
 }
 
-/// A head that was succeeded while it was down stands again beside voters that were started again: only those whose
-/// disks still have its view support it, and that is no majority.
+/// A head that was superseded while it was down campaigns beside restarted voters: only those whose disks still have its
+/// view vote for it, and that is no majority.
 #[rstest]
 fn a_superseded_head_is_not_elected(#[values(3, 5)] machines: usize) {
     for seed in 0..SEEDS {
@@ -171,7 +171,7 @@
     }
 }
 
-/// A disk that is slow, not hanging: every write would wait for it for as long as it is in the chain.
+/// A disk that is slow, not hanging: every write would wait for it while it is in the chain.
 #[rstest]
 #[case::of_the_head(0)]
 #[case::of_the_next_in_the_chain(1)]
@@ -363,7 +363,7 @@
     }
 }
 
-/// The world checks at each step that no two heads act.
+/// The cluster checks at each step that no two heads act.
 #[test]
 fn restarted_voters_respect_leases_granted_before() {
     for seed in 0..SEEDS {
@@ -396,8 +396,8 @@
     }
 }
 
-/// A view is agreed by two of three while the third is cut off; then the second loses its disk before it has taken over
-/// the view, and the third is back. The head has a majority, and goes on with the third.
+/// A view is agreed by two of three while the third is partitioned; then the second loses its disk before it has taken
+/// over the view, and the third is back. The head has a majority, and goes on with the third.
 #[test]
 fn a_chain_that_loses_a_member_during_installation_replaces_it() {
     for seed in 0..SEEDS {
