--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -3,6 +3,7 @@
 use crate::types::{Batch, Member, Row, View, ViewStart, Viewstamp};
 use indigofold_protocol::internal::MemberAddress;
 use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// A member's own record. It is encoded with postcard: the order of fields is the stored format.
@@ -31,6 +32,12 @@
     pub fn view_number(&self) -> u64 {
         self.view.as_ref().map_or(0, |view| view.number)
     }
+
+    /// Internal addresses of the voters of the view accepted last.
+    pub(crate) fn voter_addresses(&self) -> impl Iterator<Item = SocketAddr> {
+        let voters = self.view.iter().flat_map(|view| &view.voters);
+        voters.map(|voter| voter.internal)
+    }
 }
 
 /// One change of the rows.
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -8,6 +8,7 @@
 mod address_book;
 mod campaign;
 mod chain;
+mod commit;
 mod election;
 mod following;
 mod head;
@@ -25,6 +26,7 @@
 mod voter;
 mod voting;
 mod write_queue;
+mod writes;
 
 pub use io::{Input, Output, Settings};
 
--- a/crates/replication/src/replica/address_book.rs
+++ b/crates/replication/src/replica/address_book.rs
@@ -12,13 +12,7 @@
     /// The members of the view, and those that want to join, as far as their addresses are known.
     pub fn members(&self) -> Vec<MemberAddress> {
         let mut known: BTreeSet<SocketAddr> = BTreeSet::from([self.settings.address.internal]);
-        known.extend(
-            self.durable
-                .view
-                .iter()
-                .flat_map(|view| &view.voters)
-                .map(|m| m.internal),
-        );
+        known.extend(self.durable.voter_addresses());
         known.extend(
             self.leadership
                 .iter()
@@ -36,13 +30,7 @@
     /// Internal addresses of all to connect to: seeds, members, and those whose addresses are known; without this member.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let mut peers: BTreeSet<SocketAddr> = self.settings.seeds.iter().copied().collect();
-        peers.extend(
-            self.durable
-                .view
-                .iter()
-                .flat_map(|view| &view.voters)
-                .map(|m| m.internal),
-        );
+        peers.extend(self.durable.voter_addresses());
         peers.extend(self.durable.addresses.iter().map(|a| a.internal));
         peers.remove(&self.settings.address.internal);
         peers.into_iter().collect()
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,78 +1,15 @@
-//! Writes: batches down the chain, and their count at the head.
+//! A member's part in the chain: it stores writes in order, relays them to its successor and reports to the head.
 //!
 //! As in chain replication (van Renesse and Schneider 2004) writes enter at the head and are committed once the whole chain
 //! has them on disk. Unlike there, each member reports to the head, which answers the clients.
 
-use super::{Output, Replica};
+use super::Replica;
 use crate::durable::StoreOperation;
 use crate::message::{Message, Write};
-use crate::timing::RESEND_MS;
-use crate::types::{Batch, Member, RowChange, Viewstamp};
+use crate::types::Batch;
 use std::sync::Arc;
 
 impl Replica {
-    pub(super) fn on_submit(&mut self, write_id: u64, changes: Vec<RowChange>) {
-        let accepts = !self.is_draining() && !self.stores.is_failing();
-        let leadership = self.leadership.as_mut();
-        let is_taken = leadership
-            .filter(|leadership| leadership.is_gained && accepts)
-            .is_some_and(|leadership| leadership.writes.submit(write_id, changes));
-        if !is_taken {
-            self.outputs.push(Output::Rejected { write_id });
-        }
-    }
-
-    /// Writes all that waits as one batch, unless a store is under way.
-    pub(super) fn make_batch(&mut self) {
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let ready = leadership.is_installed && self.campaign.is_none() && self.stores.is_idle();
-        if !ready
-            || !leadership.writes.has_pending()
-            || self.durable.promised != leadership.view.number
-        {
-            return;
-        }
-        self.durable.viewstamp.seq += 1;
-        let batch = leadership
-            .writes
-            .next_batch(self.durable.viewstamp.seq, self.now_ms);
-        self.stores.add(StoreOperation::Write(Arc::clone(&batch)));
-        self.stores.request_store();
-        self.send_batch(&batch);
-    }
-
-    fn send_batch(&mut self, batch: &Arc<Batch>) {
-        let own = self.durable.member;
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        let (number, successor) = (leadership.view.number, leadership.view.successor(own));
-        let is_direct = |member: &Member| {
-            leadership
-                .peers
-                .get(member)
-                .is_some_and(|peer| peer.is_direct)
-        };
-        let others = leadership.view.chain.iter().copied().skip(1);
-        let direct: Vec<Member> = others
-            .filter(|member| Some(*member) != successor && is_direct(member))
-            .collect();
-        for member in successor.into_iter().chain(direct) {
-            let relay = Some(member) == successor;
-            let batches = vec![Arc::clone(batch)];
-            self.send(
-                member.internal,
-                Message::Write(Write {
-                    number,
-                    batches,
-                    relay,
-                }),
-            );
-        }
-    }
-
     pub(super) fn on_write(&mut self, write: Write) {
         let Write {
             number,
@@ -144,7 +81,7 @@
     /// Reports to the head what is on disk, or counts it at the head itself.
     pub(super) fn report_stored(&mut self) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.own_viewstamp = self.stored_viewstamp;
+            leadership.set_own_viewstamp(self.stored_viewstamp);
             self.count_stored();
             return;
         }
@@ -159,145 +96,4 @@
             });
         }
     }
-
-    pub(super) fn on_member_stored(&mut self, from: Member, viewstamp: Viewstamp) {
-        let (now_ms, newest) = (self.now_ms, self.durable.viewstamp);
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let Some(peer) = leadership.peers.get_mut(&from) else {
-            return;
-        };
-        // A state that this head has never sent out.
-        if viewstamp > newest {
-            return;
-        }
-        peer.has_stored(viewstamp, now_ms);
-        self.count_stored();
-    }
-
-    /// Commits what the whole chain has on disk.
-    pub(super) fn count_stored(&mut self) {
-        let own = self.durable.member;
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let Some(stored) = leadership.stored_by_all(own) else {
-            return;
-        };
-        let newly_installed = !std::mem::replace(&mut leadership.is_installed, true);
-        let committed = leadership.writes.commit(stored);
-        self.outputs.extend(
-            committed
-                .into_iter()
-                .map(|write_id| Output::Committed { write_id }),
-        );
-        if newly_installed {
-            self.establish_view();
-        }
-        self.report_installed();
-    }
-
-    /// The whole chain has the view's first state: its voters decide alone from now on. The next heartbeats say so.
-    fn establish_view(&mut self) {
-        let Some(leadership) = self
-            .leadership
-            .as_mut()
-            .filter(|leadership| !leadership.view.is_established())
-        else {
-            return;
-        };
-        leadership.view = leadership.view.clone().established();
-        if let Some(view) = self
-            .durable
-            .view
-            .as_mut()
-            .filter(|view| view.number == leadership.view.number)
-        {
-            view.clone_from(&leadership.view);
-            self.stores.request_store();
-        }
-        if self.campaign.is_none() {
-            self.send_heartbeats();
-        }
-    }
-
-    /// Notifies the driver of a view that the whole chain has taken over; of the first one once the head has a lease.
-    fn report_installed(&mut self) {
-        let own = self.durable.member;
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let view = leadership.view.number;
-        if leadership.reported_view == view
-            || (!leadership.is_gained && leadership.lease_until_ms(own) <= self.now_ms)
-        {
-            return;
-        }
-        let output = if leadership.is_gained {
-            Output::HeadRenewed { view }
-        } else {
-            Output::HeadGained { view }
-        };
-        leadership.is_gained = true;
-        leadership.reported_view = view;
-        self.outputs.push(output);
-    }
-
-    pub(super) fn on_write_gap(&mut self, from: Member, viewstamp: Viewstamp) {
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        if viewstamp.view == leadership.view.number && leadership.view.chain.contains(&from) {
-            self.resend(from, viewstamp.seq);
-        }
-    }
-
-    /// Sends writes again to members that have not stored them for a while.
-    pub(super) fn resend_lacking(&mut self) {
-        let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(leadership) = self.leadership.as_ref().filter(|l| l.is_installed) else {
-            return;
-        };
-        let is_late = |member: &Member| {
-            leadership
-                .oldest_lacking(*member, own)
-                .is_some_and(|o| now_ms >= o.sent_ms + RESEND_MS)
-        };
-        let late: Vec<(Member, u64)> = leadership
-            .view
-            .chain
-            .iter()
-            .copied()
-            .filter(|member| *member != own && is_late(member))
-            .map(|member| (member, leadership.viewstamp_of(member, own).seq))
-            .collect();
-        for (member, after) in late {
-            self.resend(member, after);
-        }
-    }
-
-    fn resend(&mut self, member: Member, after: u64) {
-        let now_ms = self.now_ms;
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let Some(peer) = leadership.peers.get_mut(&member) else {
-            return;
-        };
-        if now_ms < peer.resent_ms + RESEND_MS / 2 {
-            return;
-        }
-        peer.resent_ms = now_ms;
-        peer.is_direct = true;
-        let batches = leadership.writes.batches_after(after);
-        if !batches.is_empty() {
-            let message = Message::Write(Write {
-                number: leadership.view.number,
-                batches,
-                relay: false,
-            });
-            self.send(member.internal, message);
-        }
-    }
 }
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -3,10 +3,7 @@
 use super::Replica;
 use super::leadership::{Health, Leadership};
 use crate::message::{Grant, Heartbeat, Message};
-use crate::timing::{
-    BACKOFF_SPREAD_MS, DRAIN_WAIT_MS, FORGET_NEWCOMER_MS, HEARTBEAT_INTERVAL_MS, HISTORY_MAX,
-    LEASE_MS, SLOW_MEMBER_MS,
-};
+use crate::timing::{BACKOFF_SPREAD_MS, DRAIN_WAIT_MS, HISTORY_MAX, LEASE_MS, SLOW_MEMBER_MS};
 use crate::types::{Member, View, ViewStart, Viewstamp};
 use std::net::SocketAddr;
 
@@ -21,10 +18,8 @@
         let gained = self
             .leadership
             .as_ref()
-            .filter(|leadership| leadership.is_gained);
-        gained.map_or(0, |leadership| {
-            leadership.lease_until_ms(self.durable.member)
-        })
+            .filter(|leadership| leadership.is_gained());
+        gained.map_or(0, |leadership| leadership.lease_until_ms())
     }
 
     /// Leads an agreed view.
@@ -35,11 +30,15 @@
         match &mut self.leadership {
             Some(leadership) => leadership.renew(view, self.now_ms),
             None => {
-                let leadership = Leadership::new(view, self.now_ms, self.stored_viewstamp);
+                let leadership = Leadership::new(
+                    self.durable.member,
+                    view,
+                    self.now_ms,
+                    self.stored_viewstamp,
+                );
                 self.leadership = Some(leadership);
             }
         }
-        self.add_peers();
         self.send_heartbeats();
     }
 
@@ -60,24 +59,12 @@
         self.stores.request_store();
     }
 
-    fn add_peers(&mut self) {
-        let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let voters = leadership.view.voters.clone();
-        for voter in voters.into_iter().filter(|&voter| voter != own) {
-            leadership.peer_or_new(voter, now_ms);
-        }
-    }
-
     pub(super) fn send_heartbeats(&mut self) {
-        let own = self.durable.member;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership.heartbeat_ms = self.now_ms + HEARTBEAT_INTERVAL_MS;
-        for internal in leadership.heartbeat_recipients(own) {
+        leadership.schedule_heartbeat(self.now_ms);
+        for internal in leadership.heartbeat_recipients() {
             self.send_heartbeat(internal);
         }
     }
@@ -107,8 +94,7 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let is_known =
-            (leadership.first_view..=leadership.view.number).contains(&number) && sent_ms <= now_ms;
+        let is_known = leadership.has_led(number) && sent_ms <= now_ms;
         if !is_known {
             return;
         }
@@ -145,7 +131,7 @@
         }
         if has_lease {
             self.number_floor = self.number_floor.max(promised);
-        } else if leadership.view_since_ms + LEASE_MS < self.now_ms {
+        } else if leadership.view_age_ms(self.now_ms) > LEASE_MS {
             self.end_leadership();
         }
     }
@@ -155,7 +141,7 @@
         let heartbeat = if self.campaign.is_some() {
             u64::MAX
         } else {
-            leadership.heartbeat_ms
+            leadership.heartbeat_ms()
         };
         let slow = leadership
             .writes
@@ -172,12 +158,7 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let lease_until_ms = leadership.lease_until_ms(self.durable.member);
-        if self.now_ms
-            > lease_until_ms
-                .max(leadership.view_since_ms)
-                .saturating_add(LEASE_MS)
-        {
+        if leadership.is_lost(self.now_ms) {
             self.withdraw();
             self.campaign_at_ms = self.now_ms + LEASE_MS + self.random_below(BACKOFF_SPREAD_MS);
             return;
@@ -188,11 +169,8 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if self.campaign.is_none() && self.now_ms >= leadership.heartbeat_ms {
-            let (voters, now_ms) = (leadership.view.voters.clone(), self.now_ms);
-            leadership.peers.retain(|m, p| {
-                voters.contains(m) || p.since_received_ms(now_ms) < FORGET_NEWCOMER_MS
-            });
+        if self.campaign.is_none() && self.now_ms >= leadership.heartbeat_ms() {
+            leadership.forget_newcomers(self.now_ms);
             self.send_heartbeats();
             self.resend_lacking();
         }
--- a/crates/replication/src/replica/planner.rs
+++ b/crates/replication/src/replica/planner.rs
@@ -69,7 +69,7 @@
     /// The next step towards an odd number of voters, all of them responsive. With an even number a partition into two
     /// halves would leave neither half a majority.
     fn voter_change(&self) -> Option<VoterChange> {
-        if !self.leadership.is_installed {
+        if !self.leadership.is_installed() {
             return None;
         }
         let newcomers = self.ready_newcomers();
@@ -185,7 +185,7 @@
     /// Voters outside the chain that are taken into it. While the chain has not taken over the view's first state, only
     /// to replace one that delays it (`is_needed`): such a chain may never come together otherwise.
     fn joining(&self, voters: &[Member], is_needed: bool) -> Vec<Member> {
-        let is_installing = !self.leadership.is_installed;
+        let is_installing = !self.leadership.is_installed();
         if is_installing && !is_needed {
             return Vec::new();
         }
@@ -210,7 +210,7 @@
             return false;
         };
         let lacks_first_state = peer.health.viewstamp.view != self.leadership.view.number
-            && self.now_ms >= self.leadership.view_since_ms + INSTALL_MS;
+            && self.leadership.view_age_ms(self.now_ms) >= INSTALL_MS;
         peer.health.draining
             || peer.since_received_ms(self.now_ms) >= UNRESPONSIVE_MEMBER_MS
             || lacks_first_state
@@ -220,14 +220,13 @@
     /// A member that has not stored a write for a while, which enough others for a chain have stored.
     fn is_slow(&self, member: Member) -> bool {
         let leadership = self.leadership;
-        let Some(oldest) = leadership.oldest_lacking(member, self.own) else {
+        let Some(oldest) = leadership.oldest_lacking(member) else {
             return false;
         };
-        let has_stored =
-            |&&other: &&Member| leadership.viewstamp_of(other, self.own).seq >= oldest.batch.seq;
+        let has_stored = |&&other: &&Member| leadership.viewstamp_of(other).seq >= oldest.batch.seq;
         let stored = leadership.view.chain.iter().filter(has_stored).count();
         let is_late = self.now_ms >= oldest.sent_ms + SLOW_MEMBER_MS;
         let chain_min = self.settings.chain_min(leadership.view.voters.len());
-        leadership.is_installed && is_late && stored >= chain_min
+        leadership.is_installed() && is_late && stored >= chain_min
     }
 }
--- a/crates/replication/src/replica/reconfiguration.rs
+++ b/crates/replication/src/replica/reconfiguration.rs
@@ -3,7 +3,6 @@
 use super::Replica;
 use super::campaign::Plan;
 use super::planner::Planner;
-use crate::timing::RECONFIGURE_MS;
 
 impl Replica {
     /// Starts a new view under this head where the present one should change.
@@ -25,8 +24,7 @@
     fn due_plan(&self) -> Option<Plan> {
         let own = self.durable.member;
         let leadership = self.leadership.as_ref()?;
-        let has_lease = self.now_ms < leadership.lease_until_ms(own);
-        if self.now_ms < leadership.reconfigure_ms || !has_lease {
+        if !leadership.may_reconfigure(self.now_ms) {
             return None;
         }
         let planner = Planner {
@@ -40,10 +38,10 @@
         planner.plan()
     }
 
-    /// The view is not changed again before [`RECONFIGURE_MS`] have passed.
+    /// The view is not changed again for a while.
     pub(super) fn delay_reconfiguration(&mut self) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.reconfigure_ms = self.now_ms + RECONFIGURE_MS;
+            leadership.delay_reconfiguration(self.now_ms);
         }
     }
 
--- a/crates/replication/src/replica/step_down.rs
+++ b/crates/replication/src/replica/step_down.rs
@@ -14,7 +14,7 @@
         let Some(leadership) = self.leadership.take() else {
             return;
         };
-        let is_gained = leadership.is_gained;
+        let is_gained = leadership.is_gained();
         let unfinished = leadership.writes.into_unfinished();
         for write_id in unfinished.unknown {
             self.outputs.push(Output::Aborted { write_id });
@@ -57,7 +57,7 @@
             return;
         };
         let is_slow = self.stores.age_ms(self.now_ms) >= SLOW_HEAD_MS;
-        if is_slow && self.now_ms >= leadership.since_ms + LEADERSHIP_MIN_MS {
+        if is_slow && leadership.age_ms(self.now_ms) >= LEADERSHIP_MIN_MS {
             self.transfer_leadership();
         }
     }
@@ -72,7 +72,7 @@
             return;
         };
         let number = leadership.view.number;
-        let mut others = leadership.heartbeat_recipients(own);
+        let mut others = leadership.heartbeat_recipients();
         others.remove(&successor.internal);
         self.withdraw();
         for internal in others {
@@ -95,5 +95,5 @@
     let others = leadership.view.chain.iter().copied().filter(|&m| m != own);
     others
         .filter(|member| leadership.peers.get(member).is_some_and(is_fit))
-        .max_by_key(|&member| leadership.viewstamp_of(member, own))
+        .max_by_key(|&member| leadership.viewstamp_of(member))
 }
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -61,7 +61,7 @@
         let (loaded, quarantined) = match schema::load(dir, &path) {
             Ok(loaded) => (loaded, None),
             Err(error) if error.is_damage() => {
-                let kept = schema::quarantined(dir, &path)?;
+                let kept = schema::quarantine(dir, &path)?;
                 let reason = error.to_string();
                 (
                     schema::load(dir, &path)?,
--- a/crates/replication/src/storage/error.rs
+++ b/crates/replication/src/storage/error.rs
@@ -46,12 +46,12 @@
     },
     /// A later release of this program has written it.
     #[snafu(display("the database {} has form {found}; this program knows forms up to {known}", path.display()))]
-    NewerForm {
+    NewerFormat {
         /// Its file.
         path: PathBuf,
-        /// Its form.
+        /// Its format.
         found: u32,
-        /// The newest form that is known.
+        /// The newest format that is known.
         known: u32,
     },
     /// The member's record cannot be read or written.
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -1,6 +1,7 @@
-//! The log beside the database (SQLite's WAL), looked through before it is opened. SQLite reads it up to the first frame
-//! that does not agree with its checksum, as after a loss of power; a bit that has changed in the middle would take all
-//! later writes away unnoticed, promises among them.
+//! A check of SQLite's write-ahead log before the database is opened.
+//!
+//! SQLite reads the log up to the first frame that does not agree with its checksum, as after a loss of power. A bit that
+//! has changed in the middle would drop all later writes undetected, promises among them.
 
 use std::fs;
 use std::io;
@@ -22,7 +23,7 @@
 /// Page sizes that SQLite knows.
 const PAGE_SIZES: std::ops::RangeInclusive<usize> = 512..=65_536;
 /// Each write is synced before the next one begins, so that a loss of power leaves frames of one write behind a broken
-/// one. Ends of so many writes behind it prove that the log has changed since.
+/// one. So many commits behind it prove that the log has changed since.
 const COMMITS_THAT_PROVE: usize = 2;
 
 /// Whether writes that were synced cannot be read any more.
@@ -57,54 +58,68 @@
 
     fn has_lost_writes(self) -> bool {
         let salts = &self.header[SALTS_AT..SALTS_AT + SALTS_BYTES];
-        let mut before = (
-            big_endian_u32(self.header, CHECKSUM_AT),
-            big_endian_u32(self.header, CHECKSUM_AT + 4),
-        );
-        let (mut is_broken, mut ends) = (false, 0);
-        for frame in self
-            .frames
-            .filter(|frame| frame[FRAME_SALTS_AT..].starts_with(salts))
-        {
+        let Some(mut before) = Checksum::read(self.header, CHECKSUM_AT) else {
+            return false;
+        };
+        let (mut is_broken, mut commits) = (false, 0);
+        let has_salts = |frame: &&[u8]| frame[FRAME_SALTS_AT..].starts_with(salts);
+        for frame in self.frames.filter(has_salts) {
             // A checksum goes on from that of the frame before, so that a frame can be checked behind a broken one.
-            let checksum = add(before, &frame[..FRAME_CHECKED_BYTES], self.is_big_endian);
-            let checksum = add(checksum, &frame[FRAME_HEADER_BYTES..], self.is_big_endian);
-            before = (
-                big_endian_u32(frame, FRAME_CHECKSUM_AT),
-                big_endian_u32(frame, FRAME_CHECKSUM_AT + 4),
-            );
-            let is_valid = checksum == before;
-            let ends_write = big_endian_u32(frame, DATABASE_PAGES_AT) != Some(0);
-            ends += usize::from(is_broken && is_valid && ends_write);
+            let checksum = before
+                .add(&frame[..FRAME_CHECKED_BYTES], self.is_big_endian)
+                .add(&frame[FRAME_HEADER_BYTES..], self.is_big_endian);
+            let Some(written) = Checksum::read(frame, FRAME_CHECKSUM_AT) else {
+                return false;
+            };
+            let is_valid = checksum == written;
+            let is_commit = big_endian_u32(frame, DATABASE_PAGES_AT) != Some(0);
+            commits += usize::from(is_broken && is_valid && is_commit);
             is_broken |= !is_valid;
+            before = written;
         }
-        ends >= COMMITS_THAT_PROVE
+        commits >= COMMITS_THAT_PROVE
     }
 }
 
-/// The big-endian number at `at`.
-fn big_endian_u32(bytes: &[u8], at: usize) -> Option<u32> {
-    Some(u32::from_be_bytes(bytes.get(at..)?.first_chunk().copied()?))
+/// SQLite's running checksum over pairs of four-byte words (file format, "WAL checksum algorithm").
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Checksum {
+    first: u32,
+    second: u32,
 }
 
-/// SQLite's running checksum over pairs of words.
-fn add(
-    sum: (Option<u32>, Option<u32>),
-    bytes: &[u8],
-    is_big_endian: bool,
-) -> (Option<u32>, Option<u32>) {
-    let (Some(mut first), Some(mut second)) = sum else {
-        return sum;
-    };
-    let number = |bytes: [u8; 4]| match is_big_endian {
-        true => u32::from_be_bytes(bytes),
-        false => u32::from_le_bytes(bytes),
-    };
-    let (values, _) = bytes.as_chunks::<4>();
-    let (pairs, _) = values.as_chunks::<2>();
-    for [one, other] in pairs {
-        first = first.wrapping_add(number(*one)).wrapping_add(second);
-        second = second.wrapping_add(number(*other)).wrapping_add(first);
+impl Checksum {
+    /// The checksum that is stored at `at`.
+    fn read(bytes: &[u8], at: usize) -> Option<Checksum> {
+        Some(Checksum {
+            first: big_endian_u32(bytes, at)?,
+            second: big_endian_u32(bytes, at + 4)?,
+        })
     }
-    (Some(first), Some(second))
+
+    /// Goes on over these bytes.
+    fn add(mut self, bytes: &[u8], is_big_endian: bool) -> Checksum {
+        let number = |bytes: [u8; 4]| match is_big_endian {
+            true => u32::from_be_bytes(bytes),
+            false => u32::from_le_bytes(bytes),
+        };
+        let (values, _) = bytes.as_chunks::<4>();
+        let (pairs, _) = values.as_chunks::<2>();
+        for [one, other] in pairs {
+            self.first = self
+                .first
+                .wrapping_add(number(*one))
+                .wrapping_add(self.second);
+            self.second = self
+                .second
+                .wrapping_add(number(*other))
+                .wrapping_add(self.first);
+        }
+        self
+    }
+}
+
+/// The big-endian number at `at`.
+fn big_endian_u32(bytes: &[u8], at: usize) -> Option<u32> {
+    Some(u32::from_be_bytes(bytes.get(at..)?.first_chunk().copied()?))
 }
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -14,11 +14,11 @@
 const SIDE_FILES: [&str; 3] = [LOG_SUFFIX, "-shm", "-journal"];
 /// What it adds to the name of the log.
 const LOG_SUFFIX: &str = "-wal";
-/// Form of the tables; SQLite's `user_version`. 0 is a database without tables.
+/// Version of the tables' format; SQLite's `user_version`. 0 is a database without tables.
 const FORMAT: u32 = 2;
-/// The form without checksums.
+/// The format without checksums.
 const FORMAT_WITHOUT_CHECKSUMS: u32 = 1;
-/// Databases set aside are numbered up to here; the last one is replaced.
+/// Quarantined databases are numbered up to here; the last one is replaced.
 const QUARANTINED_MAX: u32 = 8;
 
 const SETTINGS: &str = "
@@ -62,23 +62,23 @@
     connection
         .execute_batch(SETTINGS)
         .context(DatabaseSnafu { path })?;
-    let form = read_format(&connection).context(DatabaseSnafu { path })?;
+    let format = read_format(&connection).context(DatabaseSnafu { path })?;
     ensure!(
-        form <= FORMAT,
-        super::error::NewerFormSnafu {
+        format <= FORMAT,
+        super::error::NewerFormatSnafu {
             path,
-            found: form,
+            found: format,
             known: FORMAT
         }
     );
-    if form == 0 {
+    if format == 0 {
         connection
             .execute_batch(TABLES)
             .context(DatabaseSnafu { path })?;
         sync_folder(dir)?;
     } else {
         check(&connection, path)?;
-        if form == FORMAT_WITHOUT_CHECKSUMS {
+        if format == FORMAT_WITHOUT_CHECKSUMS {
             add_checksums(&mut connection).context(DatabaseSnafu { path })?;
         }
         rows::check_all(&connection, path)?;
@@ -120,7 +120,7 @@
     postcard::from_bytes(record).context(RecordSnafu { path })
 }
 
-/// Brings a database of the form before to the present one.
+/// Upgrades a database of the format without checksums.
 fn add_checksums(connection: &mut Connection) -> rusqlite::Result<()> {
     let transaction = connection.transaction()?;
     transaction.execute_batch("ALTER TABLE rows ADD COLUMN crc INTEGER NOT NULL DEFAULT 0")?;
@@ -148,26 +148,26 @@
     Ok(())
 }
 
-/// Renames the database's files so that a new one can be made; says where the database is now.
-pub(super) fn quarantined(dir: &Path, path: &Path) -> Result<PathBuf, StorageError> {
+/// Renames the database's files so that a new one can be made; returns where the database is now.
+pub(super) fn quarantine(dir: &Path, path: &Path) -> Result<PathBuf, StorageError> {
     let mut number = 1;
     while number < QUARANTINED_MAX && quarantine_path(path, number).exists() {
         number += 1;
     }
-    let quarantine = quarantine_path(path, number);
-    fs::rename(path, &quarantine).context(FilesSnafu { path })?;
+    let target = quarantine_path(path, number);
+    fs::rename(path, &target).context(FilesSnafu { path })?;
     for suffix in SIDE_FILES {
         let side_file = with_suffix(path, suffix);
         if side_file.exists() {
-            fs::rename(&side_file, with_suffix(&quarantine, suffix))
+            fs::rename(&side_file, with_suffix(&target, suffix))
                 .context(FilesSnafu { path: side_file })?;
         }
     }
     sync_folder(dir)?;
-    Ok(quarantine)
+    Ok(target)
 }
 
-/// A database of this folder has been set aside before.
+/// A database of this folder has been quarantined before.
 pub(super) fn has_quarantined(path: &Path) -> bool {
     (1..=QUARANTINED_MAX).any(|number| quarantine_path(path, number).exists())
 }
