--- /dev/null
+++ b/crates/replication/tests/model/chain.rs
@@ -0,0 +1,196 @@
+//! Rules of the model: members follow a view that is led, store its writes, and the head commits them.
+
+use super::elections::withdraw;
+use super::rules::{Action, Fault, Protocol};
+use super::state::{Id, Member, Power, State};
+
+impl Protocol {
+    pub fn follower_actions(&self, state: &State, id: Id, actions: &mut Vec<Action>) {
+        let member = &state.members[usize::from(id)];
+        for (&number, led) in &state.led {
+            if led.view.head == id || number < member.promised {
+                continue;
+            }
+            actions.push(Action::Follow {
+                member: id,
+                number,
+                established: false,
+            });
+            if led.is_established {
+                actions.push(Action::Follow {
+                    member: id,
+                    number,
+                    established: true,
+                });
+            }
+        }
+        let Some(view) = &member.view else { return };
+        let Some(led) = state.led.get(&view.number) else {
+            return;
+        };
+        let number = view.number;
+        let follows = member.promised == number && member.leadership.is_none() && view.head != id;
+        let entered = member.rows.view == number;
+        let head = &state.members[usize::from(view.head)];
+        let source = head.power == Power::On && head.rows.view == number;
+        if follows && source && (!entered || !view.chain.has(id)) {
+            actions.push(Action::Fetch { member: id, number });
+        }
+        let takes = member.leadership.is_none() && view.head != id && entered && view.chain.has(id);
+        let obeys = member.promised == number || self.fault == Fault::WritesAfterPrepare;
+        if takes && obeys && member.rows.log.len() < led.log.len() {
+            actions.push(Action::Store { member: id, number });
+        }
+    }
+
+    pub fn head_actions(&self, state: &State, id: Id, actions: &mut Vec<Action>) {
+        let member = &state.members[usize::from(id)];
+        if member.unsynced {
+            actions.push(Action::Sync { head: id });
+        }
+        let Some(leadership) = &member.leadership else {
+            return;
+        };
+        let open = leadership.is_installed
+            && member.promised == leadership.view.number
+            && member.campaign.is_none();
+        if open && member.rows.log.len() < self.writes && !member.unsynced {
+            actions.push(Action::Write { head: id });
+        }
+        let counts = stored_by_all(member);
+        if counts.is_some_and(|stored| !leadership.is_installed || stored > state.committed.len()) {
+            actions.push(Action::Commit { head: id });
+        }
+    }
+
+    pub fn follow(&self, state: &mut State, to: Id, number: u8, established: bool) {
+        let Some(led) = state.led.get(&number).cloned() else {
+            return;
+        };
+        let mut view = led.view;
+        if established {
+            view.previous = view.voters;
+        }
+        let member = &mut state.members[usize::from(to)];
+        let known = member.view.as_ref().filter(|known| known.number == number);
+        if known.is_none() || member.promised < number {
+            withdraw(member);
+            member.promised = number;
+            member.view = Some(view.clone());
+        } else if view.is_established() {
+            member.view = Some(view.clone());
+        }
+        if member.rows.viewstamp() == view.base {
+            member.rows.view = number;
+        }
+        report_stored(state, to, number);
+    }
+
+    pub fn fetch(&self, state: &mut State, to: Id, number: u8) {
+        let Some(led) = state.led.get(&number) else {
+            return;
+        };
+        let head = &state.members[usize::from(led.view.head)];
+        let mut rows = head.rows.clone();
+        if head.unsynced {
+            rows.log.pop();
+        }
+        state.members[usize::from(to)].rows = rows;
+        report_stored(state, to, number);
+    }
+
+    pub fn store(&self, state: &mut State, to: Id, number: u8) {
+        let Some(led) = state.led.get(&number) else {
+            return;
+        };
+        let rows = &mut state.members[usize::from(to)].rows;
+        rows.log = led.log[..rows.log.len() + 1].to_vec();
+        report_stored(state, to, number);
+    }
+
+    pub fn write(&self, state: &mut State, head: Id) {
+        let member = &mut state.members[usize::from(head)];
+        let Some(leadership) = &mut member.leadership else {
+            return;
+        };
+        let number = leadership.view.number;
+        member.rows.log.push(number);
+        member.unsynced = true;
+        if self.fault == Fault::CountsUnsynced {
+            leadership.stored.insert(head, member.rows.log.len());
+        }
+        if let Some(led) = state.led.get_mut(&number) {
+            led.log.clone_from(&member.rows.log);
+        }
+    }
+
+    /// What the whole chain has stored is committed.
+    pub fn commit(&self, state: &mut State, head: Id) {
+        let member = &mut state.members[usize::from(head)];
+        let Some(stored) = stored_by_all(member) else {
+            return;
+        };
+        let Some(leadership) = &mut member.leadership else {
+            return;
+        };
+        let newly_installed = !std::mem::replace(&mut leadership.is_installed, true);
+        let committed = member.rows.log[..stored.min(member.rows.log.len())].to_vec();
+        let common = committed.len().min(state.committed.len());
+        if committed[..common] != state.committed[..common] {
+            state.broken = Some("two heads have committed different writes");
+        }
+        if committed.len() > state.committed.len() {
+            state.committed = committed;
+        }
+        if newly_installed {
+            establish(state, head);
+        }
+    }
+}
+
+fn stored_by_all(member: &Member) -> Option<usize> {
+    let leadership = member.leadership.as_ref()?;
+    let stored: Option<Vec<usize>> = leadership
+        .view
+        .chain
+        .iter()
+        .map(|id| leadership.stored.get(&id).copied())
+        .collect();
+    stored?.into_iter().min()
+}
+
+/// The head of the view notes what a member has on disk.
+fn report_stored(state: &mut State, from: Id, number: u8) {
+    let rows = &state.members[usize::from(from)].rows;
+    let (view, len) = (rows.view, rows.log.len());
+    let Some(led) = state.led.get(&number) else {
+        return;
+    };
+    let leadership = &mut state.members[usize::from(led.view.head)].leadership;
+    if let Some(leadership) = leadership
+        .as_mut()
+        .filter(|leadership| leadership.view.number == number && view == number)
+    {
+        let stored = leadership.stored.entry(from).or_insert(len);
+        *stored = (*stored).max(len);
+    }
+}
+
+/// The view's own voters decide alone from now on, and its head says so.
+pub fn establish(state: &mut State, head: Id) {
+    let member = &mut state.members[usize::from(head)];
+    let Some(leadership) = &mut member.leadership else {
+        return;
+    };
+    leadership.view.previous = leadership.view.voters;
+    if let Some(view) = member
+        .view
+        .as_mut()
+        .filter(|view| view.number == leadership.view.number)
+    {
+        *view = leadership.view.clone();
+    }
+    if let Some(led) = state.led.get_mut(&leadership.view.number) {
+        led.is_established = true;
+    }
+}
--- /dev/null
+++ b/crates/replication/tests/model/elections.rs
@@ -0,0 +1,247 @@
+//! Rules of the model: campaigns, from the promise to the view that is led.
+
+use super::chain::establish;
+use super::rules::{Action, Fault, Protocol};
+use super::state::{Campaign, Id, Leadership, Led, Members, Power, State, View};
+use std::collections::BTreeMap;
+
+impl Protocol {
+    pub fn candidate_actions(&self, state: &State, candidate: Id, actions: &mut Vec<Action>) {
+        let member = &state.members[usize::from(candidate)];
+        let Some(view) = &member.view else { return };
+        let number = member.promised.max(view.number) + 1;
+        if view.voters.has(candidate) && number <= self.last_view {
+            actions.push(Action::StartCampaign { candidate, number });
+        }
+        let Some(campaign) = &member.campaign else {
+            return;
+        };
+        let others = (0..self.members()).filter(|&id| id != candidate);
+        let responsive = others.filter(|&id| state.members[usize::from(id)].power == Power::On);
+        match &campaign.proposed {
+            None => {
+                let electorate = Members(campaign.known.voters.0 | campaign.known.previous.0);
+                let new = responsive
+                    .filter(|&id| electorate.has(id) && !campaign.promises.contains_key(&id));
+                actions.extend(new.map(|voter| Action::PrepareOk { candidate, voter }));
+                self.proposals(state, candidate, campaign, actions);
+            }
+            Some(view) => {
+                let electorate = Members(view.voters.0 | view.previous.0);
+                let new = responsive.filter(|&id| electorate.has(id) && !campaign.accepted.has(id));
+                actions.extend(new.map(|voter| Action::Accept { candidate, voter }));
+                let former = view.previous.majority_in(campaign.accepted);
+                let former = former || self.fault == Fault::NewVotersOnly;
+                if former && view.voters.majority_in(campaign.accepted) {
+                    actions.push(Action::Lead { candidate });
+                }
+            }
+        }
+    }
+
+    /// Each view that a candidate with enough promises may propose.
+    fn proposals(
+        &self,
+        state: &State,
+        candidate: Id,
+        campaign: &Campaign,
+        actions: &mut Vec<Action>,
+    ) {
+        let known = &campaign.known;
+        let promised = Members::of(&campaign.promises.keys().copied().collect::<Vec<Id>>());
+        if !known.voters.majority_in(promised) || !known.previous.majority_in(promised) {
+            return;
+        }
+        for voters in self.next_voters(state, candidate, known) {
+            let newcomers = Members(voters.0 & !known.voters.0);
+            let possible = Members(voters.0 & (promised.0 | newcomers.0)).with(candidate);
+            let long_enough =
+                |chain: &Members| chain.has(candidate) && chain.count() >= self.chain_min(voters);
+            let chains = possible.subsets().filter(long_enough);
+            actions.extend(chains.map(|chain| Action::Propose {
+                candidate,
+                voters,
+                chain,
+            }));
+        }
+    }
+
+    /// The voters as they are, and for the head of an established view those with one change.
+    fn next_voters(&self, state: &State, candidate: Id, known: &View) -> Vec<Members> {
+        let member = &state.members[usize::from(candidate)];
+        let leads = member.leadership.as_ref().is_some_and(|leadership| {
+            leadership.is_installed
+                && leadership.view.number == known.number
+                && known.is_established()
+        });
+        let mut choices = vec![known.voters];
+        if !leads {
+            return choices;
+        }
+        let others: Vec<Id> = known.voters.without(candidate).iter().collect();
+        let has_rows = |id: &Id| state.members[usize::from(*id)].rows.view == known.number;
+        let newcomers = (0..self.members())
+            .filter(|&id| !known.voters.has(id))
+            .filter(has_rows);
+        for new in newcomers {
+            choices.push(known.voters.with(new));
+            choices.extend(
+                others
+                    .iter()
+                    .map(|&old| known.voters.with(new).without(old)),
+            );
+        }
+        if known.voters.count() > 2 {
+            choices.extend(others.iter().map(|&old| known.voters.without(old)));
+        }
+        choices
+    }
+
+    pub fn start_campaign(&self, state: &mut State, candidate: Id, number: u8) {
+        let member = &mut state.members[usize::from(candidate)];
+        let Some(known) = member.view.clone() else {
+            return;
+        };
+        member.promised = number;
+        let promises = BTreeMap::from([(candidate, member.rows.clone())]);
+        let accepted = Members::default();
+        member.campaign = Some(Campaign {
+            number,
+            known,
+            promises,
+            proposed: None,
+            accepted,
+        });
+    }
+
+    pub fn prepare(&self, state: &mut State, candidate: Id, voter: Id) {
+        let Some(number) = number_of(state, candidate) else {
+            return;
+        };
+        let member = &mut state.members[usize::from(voter)];
+        if number <= member.promised {
+            return;
+        }
+        withdraw(member);
+        member.promised = number;
+        let (view, rows) = (member.view.clone(), member.rows.clone());
+        let Some(campaign) = &mut state.members[usize::from(candidate)].campaign else {
+            return;
+        };
+        campaign.promises.insert(voter, rows);
+        let known = &campaign.known;
+        let is_newer = |view: &View| {
+            view.number > known.number || (view.number == known.number && view.is_established())
+        };
+        if let Some(view) = view.filter(is_newer) {
+            campaign.known = view;
+        }
+    }
+
+    pub fn propose(&self, state: &mut State, candidate: Id, voters: Members, chain: Members) {
+        let member = &mut state.members[usize::from(candidate)];
+        let Some(campaign) = &mut member.campaign else {
+            return;
+        };
+        let newest = campaign
+            .promises
+            .values()
+            .max_by_key(|rows| rows.viewstamp())
+            .cloned()
+            .unwrap_or_default();
+        if newest.viewstamp() > member.rows.viewstamp() && self.fault != Fault::OwnRows {
+            member.rows = newest;
+            member.unsynced = false;
+            member.leadership = None;
+        }
+        let (number, previous) = (campaign.number, campaign.known.previous);
+        let view = View {
+            number,
+            head: candidate,
+            voters,
+            previous,
+            chain,
+            base: member.rows.viewstamp(),
+        };
+        campaign.proposed = Some(view.clone());
+        campaign.accepted = Members::of(&[candidate]);
+        member.view = Some(view);
+    }
+
+    pub fn accept(&self, state: &mut State, candidate: Id, voter: Id) {
+        let campaign = state.members[usize::from(candidate)].campaign.as_ref();
+        let Some(view) = campaign.and_then(|c| c.proposed.clone()) else {
+            return;
+        };
+        let member = &mut state.members[usize::from(voter)];
+        if view.number < member.promised && self.fault != Fault::AcceptsAfterPrepare {
+            return;
+        }
+        withdraw(member);
+        member.promised = member.promised.max(view.number);
+        if member
+            .view
+            .as_ref()
+            .is_none_or(|known| known.number < view.number)
+        {
+            member.view = Some(view);
+        }
+        if let Some(campaign) = &mut state.members[usize::from(candidate)].campaign {
+            campaign.accepted = campaign.accepted.with(voter);
+        }
+    }
+
+    pub fn lead(&self, state: &mut State, candidate: Id) {
+        let member = &mut state.members[usize::from(candidate)];
+        let Some(view) = member
+            .campaign
+            .take()
+            .and_then(|campaign| campaign.proposed)
+        else {
+            return;
+        };
+        member.rows.view = view.number;
+        let stored = BTreeMap::from([(
+            candidate,
+            member.rows.log.len() - usize::from(member.unsynced),
+        )]);
+        member.leadership = Some(Leadership {
+            view: view.clone(),
+            stored,
+            is_installed: false,
+        });
+        let log = member.rows.log.clone();
+        let is_established = view.is_established();
+        let number = view.number;
+        if state
+            .led
+            .insert(
+                number,
+                Led {
+                    view,
+                    is_established,
+                    log,
+                },
+            )
+            .is_some()
+        {
+            state.broken = Some("a view was led twice");
+        }
+        if self.fault == Fault::EstablishedWhenAccepted {
+            establish(state, candidate);
+        }
+    }
+}
+
+fn number_of(state: &State, candidate: Id) -> Option<u8> {
+    state.members[usize::from(candidate)]
+        .campaign
+        .as_ref()
+        .map(|campaign| campaign.number)
+}
+
+/// The member is neither head nor candidate any more.
+pub fn withdraw(member: &mut super::state::Member) {
+    member.campaign = None;
+    member.leadership = None;
+}
--- /dev/null
+++ b/crates/replication/tests/model/failures.rs
@@ -0,0 +1,29 @@
+//! Rules of the model: members lose what is not on disk, or their disks.
+
+use super::elections::withdraw;
+use super::rules::{Fault, Protocol};
+use super::state::{Id, Member, Power, Rows, State};
+
+impl Protocol {
+    pub fn crash(&self, member: &mut Member) {
+        member.power = Power::Off;
+        if self.fault == Fault::PrepareNotSynced {
+            member.promised = member.view.as_ref().map_or(0, |view| view.number);
+        }
+        withdraw(member);
+        if std::mem::take(&mut member.unsynced) {
+            member.rows.log.pop();
+        }
+    }
+
+    pub fn lose_disk(&self, state: &mut State, id: Id) {
+        let lost = &mut state.members[usize::from(id)];
+        self.crash(lost);
+        lost.power = Power::Lost;
+        if self.fault == Fault::ForgetfulVoter {
+            lost.power = Power::Off;
+            (lost.promised, lost.rows) = (0, Rows::default());
+        }
+        state.disks_lost += 1;
+    }
+}
--- a/crates/replication/tests/model/main.rs
+++ b/crates/replication/tests/model/main.rs
@@ -1,8 +1,11 @@
-//! A model of views, promises, chain, replacement and lost disks, searched through by a model checker.
+//! A model of views, promises, chain, replacement and lost disks, explored by a model checker.
 //!
-//! `MODEL_STATES=N cargo test -p indigofold-replication --profile lab --test model -- --nocapture` goes through N states
-//! of each case instead of the few that fit into every run.
+//! `MODEL_STATES=N cargo test -p indigofold-replication --profile lab --test model -- --nocapture` explores N states of
+//! each case instead of the few that fit into every run.
 
+mod chain;
+mod elections;
+mod failures;
 mod rules;
 mod state;
 
@@ -11,9 +14,9 @@
 use stateright::{Checker, Model};
 use std::time::Instant;
 
-/// States that are searched through in every run of the tests.
+/// States of each case that every run of the tests explores.
 const STATES: usize = 300_000;
-/// So many may be searched through until a planted fault is found.
+/// Most states that are explored until an injected fault is detected.
 const FAULT_STATES: usize = 30_000_000;
 const THREADS: usize = 4;
 
@@ -48,8 +51,9 @@
     }
 }
 
-/// Searches breadth first; says how far it came. The length of the shortest way to a broken invariant, if there is one.
-fn steps_to_break(name: &str, model: Protocol, states: usize) -> Option<usize> {
+/// Explores breadth first and prints how far it came. Returns the length of the shortest path to a violated invariant, if
+/// there is one.
+fn steps_to_violation(name: &str, model: Protocol, states: usize) -> Option<usize> {
     let started = Instant::now();
     let checker = model
         .checker()
@@ -100,28 +104,28 @@
 #[case::five_voters(without_writes(5, 4, 0, 0))]
 fn invariants_are_never_violated(#[case] model: Protocol) {
     let name = format!("{model:?}");
-    assert_eq!(steps_to_break(&name, model, bound()), None);
+    assert_eq!(steps_to_violation(&name, model, bound()), None);
 }
 
-fn assert_found(fault: Fault, model: Protocol) {
-    let steps = steps_to_break(
+fn assert_detected(fault: Fault, model: Protocol) {
+    let steps = steps_to_violation(
         &format!("{fault:?}"),
         Protocol { fault, ..model },
         FAULT_STATES,
     );
-    assert!(steps.is_some(), "{fault:?} was not found");
+    assert!(steps.is_some(), "{fault:?} was not detected");
 }
 
-/// The invariants notice faults: each of these breaks one.
+/// The invariants detect faults: each of these violates one.
 #[rstest]
 #[case::established_when_accepted(Fault::EstablishedWhenAccepted, without_writes(3, 4, 0, 0))]
 #[case::prepare_not_synced(Fault::PrepareNotSynced, protocol(3, 3, 1, 0))]
 #[case::new_voters_only(Fault::NewVotersOnly, without_writes(3, 4, 0, 0))]
 fn an_injected_fault_is_detected(#[case] fault: Fault, #[case] model: Protocol) {
-    assert_found(fault, model);
+    assert_detected(fault, model);
 }
 
-/// The same for faults that lie deeper: `cargo test ... --test model -- --ignored`.
+/// The same for faults that need more steps: `cargo test ... --test model -- --ignored`.
 #[rstest]
 #[case::short_chain(Fault::ShortChain, without_writes(3, 4, 0, 0))]
 #[case::writes_after_prepare(Fault::WritesAfterPrepare, protocol(3, 4, 0, 0))]
@@ -131,5 +135,5 @@
 #[case::accepts_after_prepare(Fault::AcceptsAfterPrepare, protocol(3, 4, 0, 0))]
 #[ignore = "takes minutes"]
 fn a_deeper_injected_fault_is_detected(#[case] fault: Fault, #[case] model: Protocol) {
-    assert_found(fault, model);
+    assert_detected(fault, model);
 }
--- a/crates/replication/tests/model/state.rs
+++ b/crates/replication/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! The state of the model: members with their disks, the views that were ever led, and what was committed.
+//! The state of the model: members with their disks, the views that were led, and what was committed.
 
 use std::collections::BTreeMap;
 
@@ -58,7 +58,7 @@
 }
 
 impl Rows {
-    /// As marks are compared in the program: the view first, then the number of writes.
+    /// As viewstamps are compared in the program: the view first, then the number of writes.
     pub fn viewstamp(&self) -> (u8, usize) {
         (self.view, self.log.len())
     }
@@ -80,12 +80,12 @@
     }
 }
 
-/// A view that somebody has led. What its head ever said may arrive late, again and again, or never.
+/// A view that was led. What its head has sent may arrive late, several times, or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Led {
     /// As it was accepted.
     pub view: View,
-    /// Its head has said that it is established.
+    /// Its head has announced that it is established.
     pub is_established: bool,
     /// Each write that its head has sent down the chain, after those that it had taken over.
     pub log: Log,
@@ -95,7 +95,7 @@
 pub enum Power {
     On,
     Off,
-    /// Its disk is lost, or the machine was taken away.
+    /// Its disk is lost, or the machine was removed.
     Lost,
 }
 
@@ -109,7 +109,7 @@
     pub accepted: Members,
 }
 
-/// A head's time at work.
+/// What a head knows while it leads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leadership {
     pub view: View,
@@ -123,7 +123,7 @@
     pub promised: u8,
     pub view: Option<View>,
     pub rows: Rows,
-    /// The last write is not synced yet (at the head, which passes it on before).
+    /// The last write is not synced yet (at the head, which sends it down the chain before).
     pub unsynced: bool,
     pub campaign: Option<Campaign>,
     pub leadership: Option<Leadership>,
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -18,7 +18,7 @@
 /// Writes that the member under test has.
 const SEQ: u64 = 40;
 /// Long after every lease and every wait of the start.
-const CALM_MS: u64 = START_MS + 10 * LEASE_MS;
+const AFTER_START_WAITS_MS: u64 = START_MS + 10 * LEASE_MS;
 
 fn address(index: u8) -> MemberAddress {
     let ip = Ipv4Addr::new(10, 0, 0, index + 1);
@@ -100,9 +100,9 @@
     }
 
     /// The same, long after its start.
-    fn calm(own: u8, view: View) -> Harness {
+    fn after_start_waits(own: u8, view: View) -> Harness {
         let mut harness = Harness::restarted(own, view);
-        harness.now_ms = CALM_MS;
+        harness.now_ms = AFTER_START_WAITS_MS;
         harness
     }
 
@@ -215,7 +215,7 @@
 
 #[test]
 fn prepare_ok_is_sent_once_it_is_on_disk() {
-    let mut harness = Harness::calm(1, same_voters());
+    let mut harness = Harness::after_start_waits(1, same_voters());
     harness.prepare(2, VIEW + 1, 0);
     assert!(
         !harness.has_sent(2, is_prepare_ok),
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_prepared_number_is_rejected_for_other_candidates() {
-    let mut harness = Harness::calm(1, same_voters());
+    let mut harness = Harness::after_start_waits(1, same_voters());
     harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
     harness.prepare(0, VIEW + 1, 0);
@@ -238,7 +238,7 @@
 
 #[test]
 fn a_prepared_member_ignores_writes_of_an_older_view() {
-    let mut harness = Harness::calm(1, same_voters());
+    let mut harness = Harness::after_start_waits(1, same_voters());
     let write = |seq| {
         let changes = vec![RowChange {
             key: b"row".to_vec(),
@@ -266,7 +266,7 @@
 
 #[test]
 fn a_voter_with_a_lease_rejects_pre_vote_and_prepare_of_other_candidates() {
-    let mut harness = Harness::calm(1, same_voters());
+    let mut harness = Harness::after_start_waits(1, same_voters());
     harness.message(0, heartbeat(&same_voters(), 1));
     assert!(harness.has_sent(0, is_grant));
     harness.now_ms += LEASE_MS - 1;
@@ -322,7 +322,7 @@
 
 #[test]
 fn a_lease_is_granted_once_its_view_is_on_disk() {
-    let mut harness = Harness::calm(1, same_voters());
+    let mut harness = Harness::after_start_waits(1, same_voters());
     let next = view(VIEW + 1, &[0, 1, 2], &[0, 1, 2]);
     harness.message(0, heartbeat(&next, 1));
     assert!(
@@ -337,7 +337,7 @@
 #[test]
 fn a_view_that_is_not_established_needs_majorities_of_both_electorates() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
-    let mut harness = Harness::calm(2, unestablished.clone());
+    let mut harness = Harness::after_start_waits(2, unestablished.clone());
     let request_id = harness.run_until_pre_vote();
     harness.grant_pre_vote(3, request_id, &unestablished);
     assert!(
@@ -352,7 +352,7 @@
 fn the_voters_of_an_established_view_decide_alone() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
     let established = unestablished.clone().established();
-    let mut harness = Harness::calm(2, unestablished);
+    let mut harness = Harness::after_start_waits(2, unestablished);
     harness.message(0, heartbeat(&established, 1));
     harness.store_all();
     let request_id = harness.run_until_pre_vote();
@@ -364,7 +364,7 @@
 #[test]
 fn a_candidate_learns_from_any_voter_that_a_view_is_established() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
-    let mut harness = Harness::calm(2, unestablished.clone());
+    let mut harness = Harness::after_start_waits(2, unestablished.clone());
     let request_id = harness.run_until_pre_vote();
     harness.grant_pre_vote(3, request_id, &unestablished.established());
     assert!(harness.has_sent(3, is_prepare));
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -177,7 +177,7 @@
 
     fn slow_disk(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
         let fault = cluster.below(4) as usize;
-        cluster.log_event(&format!("disk trouble {fault} at {node} for {for_ms}"));
+        cluster.log_event(&format!("disk fault {fault} at {node} for {for_ms}"));
         cluster.nodes[node].disk_ms = [100, 400, 1_500, 9][fault];
         cluster.nodes[node].disk_refuses = fault == 3;
         self.later(cluster, for_ms, Recovery::NormalDisk(node));
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -6,7 +6,7 @@
 
 const SEEDS: u64 = 30;
 
-/// Longest time without a committed write from `from_ms` on, while the cluster runs for `for_ms`.
+/// Longest time without a committed write while the cluster runs for `for_ms`.
 fn longest_gap_ms(cluster: &mut Cluster, for_ms: u64) -> u64 {
     let until_ms = cluster.now_ms + for_ms;
     let mut longest_ms = 0;
@@ -22,6 +22,17 @@
     longest_ms.max(until_ms - last_ms)
 }
 
+/// While the cluster runs for `for_ms`, no time without a committed write is longer than `bound_ms`.
+#[track_caller]
+fn assert_gap(cluster: &mut Cluster, seed: u64, for_ms: u64, bound_ms: u64) {
+    let gap_ms = longest_gap_ms(cluster, for_ms);
+    assert!(
+        gap_ms <= bound_ms,
+        "seed {seed}: no write for {gap_ms} ms\n{}",
+        cluster.describe()
+    );
+}
+
 fn head(cluster: &Cluster) -> usize {
     cluster.acting().expect("a head acts")
 }
@@ -41,8 +52,7 @@
         let mut cluster = started(seed, machines);
         let head = head(&cluster);
         cluster.stop(head);
-        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
-        assert!(gap_ms <= 2_000, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 3_000, 2_000);
         cluster.start(head, false);
         cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -62,8 +72,7 @@
         all(&cluster)
             .into_iter()
             .for_each(|node| cluster.start(node, false));
-        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
-        assert!(gap_ms <= 250, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 3_000, 250);
         assert_eq!(
             cluster.gained.last().map(|gained| gained.node),
             Some(former),
@@ -91,8 +100,7 @@
             .into_iter()
             .filter(|node| *node != present)
             .for_each(|node| cluster.start(node, false));
-        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
-        assert!(gap_ms <= 1_500, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 3_000, 1_500);
         cluster.check_converged(&all(&cluster));
     }
 }
@@ -103,14 +111,9 @@
         let mut cluster = started(seed, machines);
         let head = head(&cluster);
         cluster.step_down(head);
-        let gap_ms = longest_gap_ms(&mut cluster, 800);
-        assert!(gap_ms <= 400, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 800, 400);
         cluster.stop(head);
-        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
-        assert!(
-            gap_ms <= 200,
-            "seed {seed}: no write for {gap_ms} ms after the stop"
-        );
+        assert_gap(&mut cluster, seed, 3_000, 200);
     }
 }
 
@@ -120,14 +123,9 @@
         let mut cluster = started(seed, 3);
         let member = follower(&cluster);
         cluster.step_down(member);
-        let gap_ms = longest_gap_ms(&mut cluster, 600);
-        assert!(gap_ms <= 200, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 600, 200);
         cluster.stop(member);
-        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
-        assert!(
-            gap_ms <= 100,
-            "seed {seed}: no write for {gap_ms} ms after the stop"
-        );
+        assert_gap(&mut cluster, seed, 3_000, 100);
     }
 }
 
@@ -137,8 +135,7 @@
         let mut cluster = started(seed, 3);
         let member = follower(&cluster);
         cluster.stop(member);
-        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
-        assert!(gap_ms <= 1_500, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 4_000, 1_500);
         cluster.start(member, false);
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -151,8 +148,7 @@
         let mut cluster = started(seed, 3);
         let member = follower(&cluster);
         cluster.nodes[member].disk_ms = 4_000;
-        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
-        assert!(gap_ms <= 1_200, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 4_000, 1_200);
         cluster.nodes[member].disk_ms = 9;
         cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -165,8 +161,7 @@
         let mut cluster = started(seed, 3);
         let head = head(&cluster);
         cluster.nodes[head].disk_ms = 5_000;
-        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
-        assert!(gap_ms <= 1_500, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 4_000, 1_500);
         assert_ne!(cluster.acting(), Some(head), "seed {seed}");
     }
 }
@@ -180,13 +175,8 @@
         let mut cluster = started(seed, 3);
         let slow = (head(&cluster) + offset) % cluster.nodes.len();
         cluster.nodes[slow].disk_ms = 250;
-        let gap_ms = longest_gap_ms(&mut cluster, 1_200);
-        assert!(gap_ms <= 800, "seed {seed}: no write for {gap_ms} ms");
-        let gap_ms = longest_gap_ms(&mut cluster, 700);
-        assert!(
-            gap_ms <= 200,
-            "seed {seed}: no write for {gap_ms} ms while the disk is still slow"
-        );
+        assert_gap(&mut cluster, seed, 1_200, 800);
+        assert_gap(&mut cluster, seed, 700, 200);
         cluster.nodes[slow].disk_ms = 9;
         cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -217,8 +207,7 @@
             .nodes
             .iter_mut()
             .for_each(|node| node.disk_refuses = false);
-        let gap_ms = longest_gap_ms(&mut cluster, 2_000);
-        assert!(gap_ms <= 700, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 2_000, 700);
         cluster.check_committed_rows(head);
     }
 }
@@ -229,13 +218,8 @@
         let mut cluster = started(seed, 3);
         let head = head(&cluster);
         cluster.freeze(head, 4_000);
-        let gap_ms = longest_gap_ms(&mut cluster, 3_500);
-        assert!(gap_ms <= 2_200, "seed {seed}: no write for {gap_ms} ms");
-        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
-        assert!(
-            gap_ms <= 300,
-            "seed {seed}: no write for {gap_ms} ms around the waking"
-        );
+        assert_gap(&mut cluster, seed, 3_500, 2_200);
+        assert_gap(&mut cluster, seed, 4_000, 300);
         cluster.check_converged(&all(&cluster));
     }
 }
@@ -272,8 +256,7 @@
         for other in (0..3).filter(|&other| other != head) {
             cluster.blocked_links.insert((other, head));
         }
-        let gap_ms = longest_gap_ms(&mut cluster, 7_000);
-        assert!(gap_ms <= 4_500, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 7_000, 4_500);
     }
 }
 
@@ -285,8 +268,7 @@
         for other in (0..3).filter(|&other| other != head) {
             cluster.block_both(other, head);
         }
-        let gap_ms = longest_gap_ms(&mut cluster, 4_000);
-        assert!(gap_ms <= 2_200, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 4_000, 2_200);
         cluster.blocked_links.clear();
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -303,8 +285,7 @@
         members
             .iter()
             .for_each(|&member| cluster.start(member, false));
-        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
-        assert!(gap_ms <= 2_300, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 3_000, 2_300);
         cluster.run(cluster.now_ms + 4_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&members);
     }
@@ -327,8 +308,7 @@
         all(&cluster)
             .into_iter()
             .for_each(|member| cluster.start(member, false));
-        let gap_ms = longest_gap_ms(&mut cluster, 3_500);
-        assert!(gap_ms <= 2_500, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 3_500, 2_500);
         cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
     }
@@ -375,8 +355,7 @@
             .for_each(|&other| cluster.block_both(other, head));
         others.iter().for_each(|&other| cluster.stop(other));
         others.iter().for_each(|&other| cluster.start(other, false));
-        let gap_ms = longest_gap_ms(&mut cluster, 3_000);
-        assert!(gap_ms <= 2_200, "seed {seed}: no write for {gap_ms} ms");
+        assert_gap(&mut cluster, seed, 3_000, 2_200);
         assert_ne!(cluster.acting(), Some(head), "seed {seed}");
     }
 }
--- a/crates/replication/tests/storage.rs
+++ b/crates/replication/tests/storage.rs
@@ -289,6 +289,6 @@
             16,
             "with the trace of one"
         );
-        assert_eq!(opened.storage.scrub(b"", 100).expect("whole"), None);
+        assert_eq!(opened.storage.scrub(b"", 100).expect("undamaged"), None);
     }
 }
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -131,7 +131,7 @@
     })
 }
 
-/// One message of each kind, in the order of the variants.
+/// One message of each kind, in the order of the variants. (Long, because it is one literal a kind.)
 fn messages() -> Vec<Message> {
     vec![
         Message::Announce {
