--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -4,6 +4,7 @@
 
 mod checksum;
 mod error;
+mod files;
 mod log;
 mod rows;
 mod schema;
@@ -57,11 +58,11 @@
     ///
     /// The folder or its files cannot be used, or SQLite fails for a reason other than damage.
     pub fn open(dir: &Path) -> Result<Opened, StorageError> {
-        let path = schema::database_path(dir);
+        let path = files::database_path(dir);
         let (loaded, quarantined) = match schema::load(dir, &path) {
             Ok(loaded) => (loaded, None),
             Err(error) if error.is_damage() => {
-                let kept = schema::quarantine(dir, &path)?;
+                let kept = files::quarantine(dir, &path)?;
                 let reason = error.to_string();
                 (
                     schema::load(dir, &path)?,
@@ -78,7 +79,7 @@
             .as_ref()
             .map(|d| (d.viewstamp, d.history.clone()))
             .unwrap_or_default();
-        let has_quarantined = schema::has_quarantined(&path);
+        let has_quarantined = files::has_quarantined(&path);
         Ok(Opened {
             storage: Storage {
                 connection,
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -1,26 +1,23 @@
-//! The database's files and tables, and how they are opened.
+//! The database's tables and record, and how a database is opened.
 
-use super::error::{DamagedRecordSnafu, DatabaseSnafu, FilesSnafu, RecordSnafu, StorageError};
+use super::error::{
+    DamagedLogSnafu, DamagedRecordSnafu, DamagedSnafu, DatabaseSnafu, FilesSnafu, NewerFormatSnafu,
+    RecordSnafu, StorageError,
+};
+use super::files::{log_path, sync_folder};
 use super::{checksum, log, rows};
 use crate::durable::Durable;
 use rusqlite::{Connection, OptionalExtension, params};
 use snafu::{OptionExt, ResultExt, ensure};
-use std::fs::{self, File};
-use std::path::{Path, PathBuf};
+use std::fs;
+use std::path::Path;
 
-/// The database's file.
-const FILE_NAME: &str = "control.sqlite";
-/// What SQLite adds to the names of its other files.
-const SIDE_FILES: [&str; 3] = [LOG_SUFFIX, "-shm", "-journal"];
-/// What it adds to the name of the log.
-const LOG_SUFFIX: &str = "-wal";
 /// Version of the tables' format; SQLite's `user_version`. 0 is a database without tables.
 const FORMAT: u32 = 2;
 /// The format without checksums.
 const FORMAT_WITHOUT_CHECKSUMS: u32 = 1;
-/// Quarantined databases are numbered up to here; the last one is replaced.
-const QUARANTINED_MAX: u32 = 8;
 
+/// Each commit is synced, and one process alone has the database open.
 const SETTINGS: &str = "
     PRAGMA locking_mode = EXCLUSIVE;
     PRAGMA journal_mode = WAL;
@@ -48,16 +45,11 @@
     pub durable: Option<Durable>,
 }
 
-/// Where the database of the folder `dir` is.
-pub(super) fn database_path(dir: &Path) -> PathBuf {
-    dir.join(FILE_NAME)
-}
-
 /// Opens the database and reads its record; makes the tables where there are none.
 pub(super) fn load(dir: &Path, path: &Path) -> Result<Loaded, StorageError> {
     fs::create_dir_all(dir).context(FilesSnafu { path: dir })?;
-    let lost = log::has_lost_writes(&with_suffix(path, LOG_SUFFIX)).context(FilesSnafu { path })?;
-    ensure!(!lost, super::error::DamagedLogSnafu { path });
+    let lost = log::has_lost_writes(&log_path(path)).context(FilesSnafu { path })?;
+    ensure!(!lost, DamagedLogSnafu { path });
     let mut connection = Connection::open(path).context(DatabaseSnafu { path })?;
     connection
         .execute_batch(SETTINGS)
@@ -65,7 +57,7 @@
     let format = read_format(&connection).context(DatabaseSnafu { path })?;
     ensure!(
         format <= FORMAT,
-        super::error::NewerFormatSnafu {
+        NewerFormatSnafu {
             path,
             found: format,
             known: FORMAT
@@ -98,10 +90,7 @@
     let finding: String = connection
         .query_row("PRAGMA integrity_check(1)", [], |row| row.get(0))
         .context(DatabaseSnafu { path })?;
-    ensure!(
-        finding == "ok",
-        super::error::DamagedSnafu { path, finding }
-    );
+    ensure!(finding == "ok", DamagedSnafu { path, finding });
     Ok(())
 }
 
@@ -147,43 +136,3 @@
         .execute(params![checksum::seal_record(record)])?;
     Ok(())
 }
-
-/// Renames the database's files so that a new one can be made; returns where the database is now.
-pub(super) fn quarantine(dir: &Path, path: &Path) -> Result<PathBuf, StorageError> {
-    let mut number = 1;
-    while number < QUARANTINED_MAX && quarantine_path(path, number).exists() {
-        number += 1;
-    }
-    let target = quarantine_path(path, number);
-    fs::rename(path, &target).context(FilesSnafu { path })?;
-    for suffix in SIDE_FILES {
-        let side_file = with_suffix(path, suffix);
-        if side_file.exists() {
-            fs::rename(&side_file, with_suffix(&target, suffix))
-                .context(FilesSnafu { path: side_file })?;
-        }
-    }
-    sync_folder(dir)?;
-    Ok(target)
-}
-
-/// A database of this folder has been quarantined before.
-pub(super) fn has_quarantined(path: &Path) -> bool {
-    (1..=QUARANTINED_MAX).any(|number| quarantine_path(path, number).exists())
-}
-
-fn quarantine_path(path: &Path, number: u32) -> PathBuf {
-    with_suffix(path, &format!(".bad-{number}"))
-}
-
-fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
-    let mut name = path.as_os_str().to_owned();
-    name.push(suffix);
-    PathBuf::from(name)
-}
-
-fn sync_folder(dir: &Path) -> Result<(), StorageError> {
-    File::open(dir)
-        .and_then(|folder| folder.sync_all())
-        .context(FilesSnafu { path: dir })
-}
