--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,9 +1,9 @@
 //! One member's side of the protocol.
 //!
 //! [`Replica`] takes inputs, hands each to the part of the protocol that it belongs to, and collects the outputs. State that
-//! one part alone changes is kept in a type of its own beside it: [`voter`] (leases and pre-votes granted), [`campaign`],
-//! [`leadership`] with its [`write_queue`], [`state_transfer`], [`rows_server`], [`trim_schedule`] and [`store_queue`].
-//! The record ([`Durable`]) is shared by all parts, because it is stored as a whole.
+//! one part alone changes is kept in a type of its own: `Voter` (leases and pre-votes granted), `Campaign`, `Leadership`
+//! with its `WriteQueue`, `StateTransfer`, `RowsServer`, `TrimSchedule` and `StoreQueue`. The record ([`Durable`]) is shared
+//! by all parts, because it is stored as a whole.
 
 mod address_book;
 mod campaign;
@@ -14,6 +14,7 @@
 mod head;
 mod io;
 mod leadership;
+mod peer;
 mod planner;
 mod proposal;
 mod reconfiguration;
@@ -52,10 +53,6 @@
     settings: Settings,
     /// The record with all that is being stored or will be.
     durable: Durable,
-    /// The state of the rows on disk.
-    stored_viewstamp: Viewstamp,
-    /// Number of the view accepted last, as it is on disk.
-    stored_view: u64,
     stores: StoreQueue,
     voter: Voter,
     /// When to campaign, unless a heartbeat comes before.
@@ -81,19 +78,13 @@
     /// A member that starts with what its disk has kept, if anything.
     pub fn new(settings: Settings, durable: Option<Durable>, now_ms: u64) -> Replica {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
-        let is_restart = durable.is_some();
+        let stores = StoreQueue::new(durable.as_ref());
+        let lease_wait_ms = if durable.is_some() { LEASE_MS } else { 0 };
+        let vote_from_ms = now_ms + lease_wait_ms;
         let durable = durable.unwrap_or_else(|| first_record(&settings, &mut random));
-        let lease_wait = if is_restart { LEASE_MS } else { 0 };
-        let vote_from_ms = now_ms + lease_wait;
         let mut replica = Replica {
-            stored_view: if is_restart { durable.view_number() } else { 0 },
-            stored_viewstamp: if is_restart {
-                durable.viewstamp
-            } else {
-                Viewstamp::default()
-            },
             durable,
-            stores: StoreQueue::default(),
+            stores,
             voter: Voter::new(vote_from_ms),
             campaign_at_ms: 0,
             announce_at_ms: now_ms,
@@ -173,7 +164,7 @@
 
     /// The state of the rows on disk.
     pub fn stored_viewstamp(&self) -> Viewstamp {
-        self.stored_viewstamp
+        self.stores.stored_viewstamp()
     }
 
     fn run_due(&mut self) {
@@ -222,8 +213,6 @@
         let Some(finished) = self.stores.finish(store) else {
             return;
         };
-        let changed = finished.viewstamp != self.stored_viewstamp;
-        (self.stored_viewstamp, self.stored_view) = (finished.viewstamp, finished.view);
         for effect in finished.after {
             match effect {
                 AfterStore::Send { to, message } => self.send(to, *message),
@@ -233,7 +222,7 @@
                 AfterStore::Grant => self.send_grant(),
             }
         }
-        if changed {
+        if finished.has_new_rows {
             self.report_stored();
         }
     }
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -81,7 +81,7 @@
     /// Reports to the head what is on disk, or counts it at the head itself.
     pub(super) fn report_stored(&mut self) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.set_own_viewstamp(self.stored_viewstamp);
+            leadership.set_own_viewstamp(self.stores.stored_viewstamp());
             self.count_stored();
             return;
         }
@@ -90,9 +90,9 @@
             .view
             .as_ref()
             .is_some_and(|v| v.chain.contains(&self.durable.member));
-        if in_chain && self.stored_viewstamp.view == self.view() && self.durable.agreed {
+        if in_chain && self.stores.stored_viewstamp().view == self.view() && self.durable.agreed {
             self.send_to_head(Message::Stored {
-                viewstamp: self.stored_viewstamp,
+                viewstamp: self.stores.stored_viewstamp(),
             });
         }
     }
--- a/crates/replication/src/replica/following.rs
+++ b/crates/replication/src/replica/following.rs
@@ -68,7 +68,7 @@
             BACKOFF_OUTSIDE_CHAIN_MS
         };
         self.campaign_at_ms = until_ms + extra + self.random_below(BACKOFF_SPREAD_MS);
-        if view.number > self.stored_view {
+        if view.number > self.stores.stored_view() {
             self.stores.request_store_then(AfterStore::Grant);
         } else {
             self.send_grant();
@@ -81,7 +81,7 @@
         let Some(lease) = self
             .voter
             .lease()
-            .filter(|lease| lease.number <= self.stored_view)
+            .filter(|lease| lease.number <= self.stores.stored_view())
         else {
             return;
         };
@@ -89,7 +89,7 @@
         let message = Message::Grant(Grant {
             number,
             sent_ms,
-            viewstamp: self.stored_viewstamp,
+            viewstamp: self.stores.stored_viewstamp(),
             store_age_ms: self.stores.age_ms(self.now_ms),
             draining: self.is_draining(),
             address: self.settings.address.clone(),
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -1,7 +1,8 @@
 //! The head's work beside writes: heartbeats, and its lease.
 
 use super::Replica;
-use super::leadership::{Health, Leadership};
+use super::leadership::Leadership;
+use super::peer::Health;
 use crate::message::{Grant, Heartbeat, Message};
 use crate::timing::{BACKOFF_SPREAD_MS, DRAIN_WAIT_MS, HISTORY_MAX, LEASE_MS, SLOW_MEMBER_MS};
 use crate::types::{Member, View, ViewStart, Viewstamp};
@@ -34,7 +35,7 @@
                     self.durable.member,
                     view,
                     self.now_ms,
-                    self.stored_viewstamp,
+                    self.stores.stored_viewstamp(),
                 );
                 self.leadership = Some(leadership);
             }
@@ -126,8 +127,7 @@
             return;
         }
         if let Some(peer) = leadership.peers.get_mut(&from) {
-            peer.has_promised_later = true;
-            peer.last_received_ms = self.now_ms;
+            peer.has_rejected(self.now_ms);
         }
         if has_lease {
             self.number_floor = self.number_floor.max(promised);
--- a/crates/replication/src/replica/leadership.rs
+++ b/crates/replication/src/replica/leadership.rs
@@ -1,90 +1,14 @@
 //! What a head knows of its view, its peers and the writes under way.
 
+use super::peer::Peer;
 use super::write_queue::{Outstanding, WriteQueue};
 use crate::timing::{
     FORGET_NEWCOMER_MS, HEARTBEAT_INTERVAL_MS, LEASE_MS, LEASE_USED_PERCENT, RECONFIGURE_MS,
-    REJOIN_AFTER_MAX_MS, REJOIN_AFTER_MS,
 };
 use crate::types::{Member, View, Viewstamp, majority};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What a member reports of itself with its answer to a heartbeat.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Health {
-    /// State on its disk.
-    pub viewstamp: Viewstamp,
-    /// Age of its oldest store that is not done.
-    pub store_age_ms: u64,
-    /// It is about to stop.
-    pub draining: bool,
-}
-
-/// A member as the head knows it.
-#[derive(Debug)]
-pub(super) struct Peer {
-    /// `sent_ms` of the newest heartbeat that it has answered.
-    pub granted_ms: Option<u64>,
-    pub last_received_ms: u64,
-    pub health: Health,
-    /// It is not taken into the chain before this time.
-    pub rejoin_ms: u64,
-    /// How long the next exclusion lasts.
-    penalty_ms: u64,
-    /// It has promised a number above the view's.
-    pub has_promised_later: bool,
-    /// The head sends writes to it itself, because its predecessor's do not reach it.
-    pub is_direct: bool,
-    /// When writes were sent to it again last.
-    pub resent_ms: u64,
-}
-
-impl Peer {
-    fn new(now_ms: u64) -> Peer {
-        Peer {
-            granted_ms: None,
-            last_received_ms: now_ms,
-            health: Health {
-                viewstamp: Viewstamp::default(),
-                store_age_ms: 0,
-                draining: false,
-            },
-            rejoin_ms: 0,
-            penalty_ms: REJOIN_AFTER_MS,
-            has_promised_later: false,
-            is_direct: false,
-            resent_ms: 0,
-        }
-    }
-
-    /// Keeps the member out of the chain for a time that grows from one exclusion to the next.
-    pub fn exclude(&mut self, now_ms: u64) {
-        self.rejoin_ms = now_ms + self.penalty_ms;
-        self.penalty_ms = (2 * self.penalty_ms).min(REJOIN_AFTER_MAX_MS);
-    }
-
-    /// Time since the last message from it.
-    pub fn since_received_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.last_received_ms)
-    }
-
-    /// Takes a state that it has on disk. Messages may overtake each other: an older state changes nothing.
-    pub fn has_stored(&mut self, viewstamp: Viewstamp, now_ms: u64) {
-        self.last_received_ms = now_ms;
-        self.health.viewstamp = self.health.viewstamp.max(viewstamp);
-    }
-
-    /// Takes the answer to the heartbeat sent at `sent_ms`.
-    pub fn has_granted(&mut self, sent_ms: u64, health: Health, now_ms: u64) {
-        self.granted_ms = self.granted_ms.max(Some(sent_ms));
-        self.last_received_ms = now_ms;
-        self.health = Health {
-            viewstamp: self.health.viewstamp.max(health.viewstamp),
-            ..health
-        };
-    }
-}
-
 /// What the driver has to be notified of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeadReport {
@@ -147,8 +71,7 @@
         self.is_installed = false;
         self.heartbeat_ms = now_ms;
         for peer in self.peers.values_mut() {
-            peer.has_promised_later = false;
-            peer.is_direct = false;
+            peer.enter_view();
         }
         self.add_voters(now_ms);
     }
@@ -255,7 +178,7 @@
     pub fn lease_until_ms(&self) -> u64 {
         let others = self.view.voters.iter().filter(|&&voter| voter != self.own);
         let mut granted: Vec<u64> = others
-            .filter_map(|voter| self.peers.get(voter)?.granted_ms)
+            .filter_map(|voter| self.peers.get(voter)?.granted_ms())
             .collect();
         granted.sort_unstable_by(|a, b| b.cmp(a));
         let needed = majority(self.view.voters.len()) - 1;
@@ -274,7 +197,7 @@
         }
         self.peers
             .get(&member)
-            .map_or(Viewstamp::default(), |peer| peer.health.viewstamp)
+            .map_or(Viewstamp::default(), |peer| peer.health().viewstamp)
     }
 
     /// Last write that the whole chain has on disk; `None` before all of it has taken over the view.
--- a/crates/replication/src/replica/planner.rs
+++ b/crates/replication/src/replica/planner.rs
@@ -7,7 +7,8 @@
 
 use super::Settings;
 use super::campaign::Plan;
-use super::leadership::{Leadership, Peer};
+use super::leadership::Leadership;
+use super::peer::Peer;
 use crate::timing::{
     INSTALL_MS, REJOIN_LAG_WRITES, REJOIN_STORE_AGE_MS, REMOVE_AFTER_MS, REMOVE_LONE_AFTER_MS,
     REPLACE_AFTER_MS, SLOW_MEMBER_MS, UNRESPONSIVE_MEMBER_MS, VOTERS_MAX,
@@ -42,7 +43,7 @@
         let voters = self.planned_voters();
         let chain = self.planned_chain(&voters);
         let is_changed = voters != view.voters || chain != view.chain;
-        let has_promised_later = |voter| self.peer(voter).is_some_and(|p| p.has_promised_later);
+        let has_promised_later = |voter| self.peer(voter).is_some_and(|p| p.has_promised_later());
         let is_superseded =
             self.promised != view.number || view.voters.iter().copied().any(has_promised_later);
         (is_changed || is_superseded).then_some(Plan { voters, chain })
@@ -104,7 +105,7 @@
 
     /// Members that are no voters, and could be.
     fn ready_newcomers(&self) -> Vec<Member> {
-        let is_ready = |peer: &Peer| self.is_fit(peer) && self.now_ms >= peer.rejoin_ms;
+        let is_ready = |peer: &Peer| self.is_fit(peer) && peer.may_rejoin(self.now_ms);
         let peers = self.leadership.peers.iter();
         peers
             .filter(|(member, _)| !self.leadership.view.voters.contains(member))
@@ -158,12 +159,12 @@
 
     /// Whether a member outside the chain has the head's rows, stays, and could go on as a part of the chain.
     fn is_fit(&self, peer: &Peer) -> bool {
-        let viewstamp = peer.health.viewstamp;
+        let viewstamp = peer.health().viewstamp;
         viewstamp.view == self.leadership.view.number
             && viewstamp.seq + REJOIN_LAG_WRITES >= self.head_seq
-            && peer.health.store_age_ms < REJOIN_STORE_AGE_MS
+            && peer.health().store_age_ms < REJOIN_STORE_AGE_MS
             && peer.since_received_ms(self.now_ms) < UNRESPONSIVE_MEMBER_MS / 2
-            && !peer.health.draining
+            && !peer.health().draining
     }
 
     /// The present chain without those that delay it, and with those that have caught up.
@@ -189,7 +190,7 @@
         if is_installing && !is_needed {
             return Vec::new();
         }
-        let may_rejoin = |peer: &Peer| is_installing || self.now_ms >= peer.rejoin_ms;
+        let may_rejoin = |peer: &Peer| is_installing || peer.may_rejoin(self.now_ms);
         let joins = |peer: &Peer| self.is_fit(peer) && may_rejoin(peer);
         // One that is left out now has been in the chain: it joins again later, when its time of exclusion is over.
         let outside = voters
@@ -209,9 +210,9 @@
         let Some(peer) = self.peer(member) else {
             return false;
         };
-        let lacks_first_state = peer.health.viewstamp.view != self.leadership.view.number
+        let lacks_first_state = peer.health().viewstamp.view != self.leadership.view.number
             && self.leadership.view_age_ms(self.now_ms) >= INSTALL_MS;
-        peer.health.draining
+        peer.health().draining
             || peer.since_received_ms(self.now_ms) >= UNRESPONSIVE_MEMBER_MS
             || lacks_first_state
             || self.is_slow(member)
--- a/crates/replication/src/replica/step_down.rs
+++ b/crates/replication/src/replica/step_down.rs
@@ -1,6 +1,7 @@
 //! How a leadership ends: it is lost, or the head transfers it because it drains or its disk hangs.
 
-use super::leadership::{Leadership, Peer};
+use super::leadership::Leadership;
+use super::peer::Peer;
 use super::{Output, Replica};
 use crate::message::Message;
 use crate::timing::{
@@ -88,9 +89,9 @@
     let oldest_seq = leadership.writes.oldest().map_or(0, |o| o.batch.seq);
     let is_fit = |peer: &Peer| {
         peer.since_received_ms(now_ms) < 2 * HEARTBEAT_INTERVAL_MS
-            && !peer.health.draining
-            && peer.health.store_age_ms < SLOW_HEAD_MS / 2
-            && peer.health.viewstamp.seq >= oldest_seq
+            && !peer.health().draining
+            && peer.health().store_age_ms < SLOW_HEAD_MS / 2
+            && peer.health().viewstamp.seq >= oldest_seq
     };
     let others = leadership.view.chain.iter().copied().filter(|&m| m != own);
     others
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -29,10 +29,8 @@
 /// A store that is on disk.
 #[derive(Debug)]
 pub(super) struct Finished {
-    /// The state of the rows with it.
-    pub viewstamp: Viewstamp,
-    /// Number of the view accepted last; 0 before the first.
-    pub view: u64,
+    /// The state of the rows has changed with it.
+    pub has_new_rows: bool,
     /// What may be done now.
     pub after: Vec<AfterStore>,
 }
@@ -47,8 +45,12 @@
 }
 
 /// The stores of a member.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(super) struct StoreQueue {
+    /// The state of the rows on disk.
+    stored_viewstamp: Viewstamp,
+    /// Number of the view accepted last, as it is on disk; 0 before the first.
+    stored_view: u64,
     last_store: u64,
     in_flight: Option<InFlight>,
     operations: Vec<StoreOperation>,
@@ -57,6 +59,29 @@
 }
 
 impl StoreQueue {
+    /// The queue of a member that has this record on its disk, if any.
+    pub(super) fn new(durable: Option<&Durable>) -> StoreQueue {
+        StoreQueue {
+            stored_viewstamp: durable.map_or(Viewstamp::default(), |d| d.viewstamp),
+            stored_view: durable.map_or(0, Durable::view_number),
+            last_store: 0,
+            in_flight: None,
+            operations: Vec::new(),
+            after: Vec::new(),
+            is_requested: false,
+        }
+    }
+
+    /// The state of the rows on disk.
+    pub(super) fn stored_viewstamp(&self) -> Viewstamp {
+        self.stored_viewstamp
+    }
+
+    /// Number of the view accepted last, as it is on disk; 0 before the first.
+    pub(super) fn stored_view(&self) -> u64 {
+        self.stored_view
+    }
+
     /// The record has changed and has to be stored.
     pub(super) fn request_store(&mut self) {
         self.is_requested = true;
@@ -139,9 +164,11 @@
     pub(super) fn finish(&mut self, store: u64) -> Option<Finished> {
         let done = self.in_flight.take_if(|f| f.store == store)?;
         let durable = &done.request.durable;
+        let has_new_rows = durable.viewstamp != self.stored_viewstamp;
+        self.stored_viewstamp = durable.viewstamp;
+        self.stored_view = durable.view_number();
         Some(Finished {
-            viewstamp: durable.viewstamp,
-            view: durable.view_number(),
+            has_new_rows,
             after: done.after,
         })
     }
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -157,7 +157,7 @@
 
     /// Drops tombstones of rows deleted long ago, together with the next store.
     pub(super) fn run_trim_schedule(&mut self) {
-        let stored_seq = self.stored_viewstamp.seq;
+        let stored_seq = self.stores.stored_viewstamp().seq;
         let Some(seq) = self.trim_schedule.run(self.now_ms, stored_seq) else {
             return;
         };
--- a/crates/replication/src/replica/writes.rs
+++ b/crates/replication/src/replica/writes.rs
@@ -50,7 +50,7 @@
             leadership
                 .peers
                 .get(member)
-                .is_some_and(|peer| peer.is_direct)
+                .is_some_and(|peer| peer.is_direct())
         };
         let others = leadership.view.chain.iter().copied().skip(1);
         let direct: Vec<Member> = others
@@ -111,11 +111,9 @@
         let Some(peer) = leadership.peers.get_mut(&member) else {
             return;
         };
-        if now_ms < peer.resent_ms + RESEND_MS / 2 {
+        if !peer.begin_resend(now_ms) {
             return;
         }
-        peer.resent_ms = now_ms;
-        peer.is_direct = true;
         let batches = leadership.writes.batches_after(after);
         if !batches.is_empty() {
             let message = Message::Write(Write {
