--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -1,5 +1,6 @@
 //! What a member keeps on disk beside the rows, and how both are changed.
 
+use crate::timing::ADDRESSES_MAX;
 use crate::types::{Batch, Member, Row, View, ViewStart, Viewstamp};
 use indigofold_protocol::internal::MemberAddress;
 use serde::{Deserialize, Serialize};
@@ -38,6 +39,36 @@
         let voters = self.view.iter().flat_map(|view| &view.voters);
         voters.map(|voter| voter.internal)
     }
+
+    /// The addresses of a member, if they are known.
+    pub(crate) fn address_of(&self, member: Member) -> Option<&MemberAddress> {
+        let mut addresses = self.addresses.iter();
+        addresses.find(|address| address.internal == member.internal)
+    }
+
+    /// Takes a member's addresses; `false` if they were known. At most [`ADDRESSES_MAX`] are kept: the oldest one that is
+    /// neither a voter's nor this member's own (`own`) is removed.
+    pub(crate) fn learn_address(&mut self, address: MemberAddress, own: SocketAddr) -> bool {
+        let mut addresses = self.addresses.iter_mut();
+        if let Some(known) = addresses.find(|known| known.internal == address.internal) {
+            let is_changed = *known != address;
+            *known = address;
+            return is_changed;
+        }
+        self.addresses.push(address);
+        if self.addresses.len() > ADDRESSES_MAX {
+            self.forget_surplus_address(own);
+        }
+        true
+    }
+
+    fn forget_surplus_address(&mut self, own: SocketAddr) {
+        let voters: Vec<SocketAddr> = self.voter_addresses().collect();
+        let is_surplus = |a: &MemberAddress| a.internal != own && !voters.contains(&a.internal);
+        if let Some(position) = self.addresses.iter().position(is_surplus) {
+            self.addresses.remove(position);
+        }
+    }
 }
 
 /// One change of the rows.
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -5,10 +5,10 @@
 //! with its `WriteQueue`, `StateTransfer`, `RowsServer`, `TrimSchedule` and `StoreQueue`. The record ([`Durable`]) is shared
 //! by all parts, because it is stored as a whole.
 
-mod address_book;
 mod campaign;
 mod chain;
 mod commit;
+mod discovery;
 mod election;
 mod following;
 mod head;
--- a/crates/replication/src/replica/address_book.rs
+++ b/crates/replication/src/replica/discovery.rs
@@ -1,8 +1,8 @@
-//! Addresses of members, and how members find each other.
+//! How members find each other: whom a member knows, and its announcements while it has no head.
 
 use super::Replica;
 use crate::message::Message;
-use crate::timing::{ADDRESSES_MAX, ANNOUNCE_INTERVAL_MS};
+use crate::timing::ANNOUNCE_INTERVAL_MS;
 use crate::types::Member;
 use indigofold_protocol::internal::MemberAddress;
 use std::collections::BTreeSet;
@@ -42,52 +42,15 @@
             return Some(self.settings.address.clone());
         }
         let lease = self.voter.lease().filter(|lease| now_ms < lease.until_ms)?;
-        self.address_of(lease.head)
-    }
-
-    fn address_of(&self, member: Member) -> Option<MemberAddress> {
-        self.durable
-            .addresses
-            .iter()
-            .find(|a| a.internal == member.internal)
-            .cloned()
+        self.durable.address_of(lease.head).cloned()
     }
 
     /// Takes an address; it is stored with the record, so that it survives a restart.
     pub(super) fn learn_address(&mut self, address: MemberAddress) {
-        let addresses = &mut self.durable.addresses;
-        if let Some(known) = addresses
-            .iter_mut()
-            .find(|a| a.internal == address.internal)
-        {
-            if *known == address {
-                return;
-            }
-            *known = address;
-        } else {
-            addresses.push(address);
-            self.forget_surplus_address();
-        }
-        if self.durable.view.is_some() {
-            self.stores.request_store();
-        }
-    }
-
-    fn forget_surplus_address(&mut self) {
-        if self.durable.addresses.len() <= ADDRESSES_MAX {
-            return;
-        }
         let own = self.settings.address.internal;
-        let voters: Vec<SocketAddr> = self
-            .durable
-            .view
-            .iter()
-            .flat_map(|view| &view.voters)
-            .map(|m| m.internal)
-            .collect();
-        let is_surplus = |a: &MemberAddress| a.internal != own && !voters.contains(&a.internal);
-        if let Some(position) = self.durable.addresses.iter().position(is_surplus) {
-            self.durable.addresses.remove(position);
+        let is_changed = self.durable.learn_address(address, own);
+        if is_changed && self.durable.view.is_some() {
+            self.stores.request_store();
         }
     }
 
--- a/crates/replication/src/types.rs
+++ b/crates/replication/src/types.rs
@@ -94,7 +94,7 @@
         self.chain.first().copied()
     }
 
-    /// The member that `member` passes writes on to.
+    /// The member that `member` relays writes to.
     pub fn successor(&self, member: Member) -> Option<Member> {
         let position = self.chain.iter().position(|&m| m == member)?;
         self.chain.get(position + 1).copied()
