--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -4,6 +4,19 @@
 //! the steady clock and carries out the [`Output`]s that come back. [`Storage`] keeps one member's rows and its
 //! [`Durable`] record in SQLite; the driver runs it on a thread of its own.
 //!
+//! Writes follow chain replication (van Renesse and Schneider, OSDI 2004). Who votes and who is in the chain is a *view*,
+//! as in Viewstamped Replication (Oki and Liskov, PODC 1988; Liskov and Cowling, 2012); views are agreed by majorities in the
+//! two phases of Paxos (Lamport, 1998), after a pre-vote (Ongaro's thesis on Raft, section 9.6). What is in which module:
+//!
+//! | module | content |
+//! | --- | --- |
+//! | [`types`] | members, views, viewstamps, rows |
+//! | [`message`] | messages between members, and their encoding |
+//! | [`replica`] | the protocol |
+//! | [`timing`] | its times and sizes |
+//! | [`durable`] | what is stored: the record, and changes of rows |
+//! | [`storage`] | the SQLite database |
+//!
 //! A driver does this:
 //!
 //! 1. `Storage::open(dir)`, then `Replica::new(settings, opened.durable, now_ms)`.
--- a/crates/replication/src/storage/error.rs
+++ b/crates/replication/src/storage/error.rs
@@ -73,16 +73,22 @@
 }
 
 impl StorageError {
-    /// The database itself is bad, so that trying again does not help.
+    /// The database itself cannot be used, so that a retry does not help.
     pub(super) fn is_damage(&self) -> bool {
         match self {
             StorageError::Database { source, .. } => is_damage_code(source),
             StorageError::Files { .. } => false,
-            _ => true,
+            StorageError::Damaged { .. }
+            | StorageError::DamagedRow { .. }
+            | StorageError::DamagedRecord { .. }
+            | StorageError::DamagedLog { .. }
+            | StorageError::NewerFormat { .. }
+            | StorageError::Record { .. } => true,
         }
     }
 
-    /// The database is shown to be damaged while it is in use. What a disk in trouble answers is no proof.
+    /// The database is proved to be damaged while it is in use. Errors of input and output are no proof: the disk may
+    /// recover.
     pub fn shows_damage(&self) -> bool {
         match self {
             StorageError::DamagedRow { .. } => true,
@@ -92,12 +98,17 @@
                     .sqlite_error_code()
                     .is_some_and(|code| DAMAGE_CODES.contains(&code)),
             },
-            _ => false,
+            StorageError::Damaged { .. }
+            | StorageError::DamagedRecord { .. }
+            | StorageError::DamagedLog { .. }
+            | StorageError::NewerFormat { .. }
+            | StorageError::Record { .. }
+            | StorageError::Files { .. } => false,
         }
     }
 }
 
-/// SQLite's answers that speak of the database itself.
+/// Error codes of SQLite that are about the database itself.
 const DAMAGE_CODES: [ErrorCode; 2] = [ErrorCode::DatabaseCorrupt, ErrorCode::NotADatabase];
 
 fn is_damage_code(error: &rusqlite::Error) -> bool {
