--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -17,6 +17,13 @@
 /// How many machines a settings file names.
 const SEEDS: usize = 3;
 
+/// A directed link that loses everything.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Link {
+    from: usize,
+    to: usize,
+}
+
 /// A row that a write has set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WrittenRow {
@@ -37,8 +44,7 @@
     pub now_ms: u64,
     pub nodes: Vec<Node>,
     pub seeds: Vec<usize>,
-    /// Directed links that lose everything.
-    pub blocked_links: BTreeSet<(usize, usize)>,
+    blocked_links: BTreeSet<Link>,
     pub loss_percent: u64,
     /// Part of the messages that arrive twice.
     pub repeat_percent: u64,
@@ -174,10 +180,24 @@
         self.nodes[node].frozen_until_ms = self.now_ms + for_ms;
     }
 
+    /// The two machines are partitioned from each other.
     pub fn block_both(&mut self, a: usize, b: usize) {
         self.log_event(&format!("cut {a} {b}"));
-        self.blocked_links.insert((a, b));
-        self.blocked_links.insert((b, a));
+        self.block_link(a, b);
+        self.block_link(b, a);
+    }
+
+    /// What `from` sends to `to` is lost from now on.
+    pub fn block_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert(Link { from, to });
+    }
+
+    pub fn unblock_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.remove(&Link { from, to });
+    }
+
+    pub fn unblock_all(&mut self) {
+        self.blocked_links.clear();
     }
 
     pub fn log_event(&self, text: &str) {
@@ -420,7 +440,7 @@
 
     fn send(&mut self, from: usize, to: usize, envelope: Envelope) {
         if to >= self.nodes.len()
-            || self.blocked_links.contains(&(from, to))
+            || self.blocked_links.contains(&Link { from, to })
             || self.below(100) < self.loss_percent
         {
             return;
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -22,10 +22,58 @@
     Remove(usize),
 }
 
+/// Numbers from which the kind of a fault is drawn (see [`Kind::of`]).
+const KINDS: u64 = 14;
+/// The same for faults that overlap.
+const KINDS_OVERLAPPING: u64 = 18;
+
+#[derive(Clone, Copy, Debug)]
+enum Kind {
+    Kill,
+    KillAll,
+    Freeze,
+    BlockOneWay,
+    BlockBothWays,
+    Partition,
+    SlowDisk,
+    PoorNetwork,
+    PlannedStop,
+    LoseDisk,
+    Replace,
+    PartitionIntoHalves,
+}
+
+impl Kind {
+    /// The kind of a drawn number; those with several numbers are more frequent.
+    fn of(number: u64) -> Kind {
+        match number {
+            0 | 1 => Kind::Kill,
+            2 => Kind::KillAll,
+            3 | 4 => Kind::Freeze,
+            5 => Kind::BlockOneWay,
+            6 => Kind::BlockBothWays,
+            7 => Kind::Partition,
+            8 | 9 => Kind::SlowDisk,
+            10 => Kind::PoorNetwork,
+            11 => Kind::PlannedStop,
+            14 | 15 => Kind::Replace,
+            16 => Kind::PartitionIntoHalves,
+            _ => Kind::LoseDisk,
+        }
+    }
+}
+
+/// A recovery, and when it is due.
+#[derive(Debug)]
+struct Due {
+    at_ms: u64,
+    recovery: Recovery,
+}
+
 /// A generator of faults.
 #[derive(Debug, Default)]
 pub struct Faults {
-    recoveries: Vec<(u64, Recovery)>,
+    recoveries: Vec<Due>,
     faultless_from_ms: u64,
     /// A disk may be lost or a machine replaced while other faults last.
     overlapping: bool,
@@ -69,10 +117,10 @@
     }
 
     fn end(&mut self, cluster: &mut Cluster) {
-        for (_, recovery) in std::mem::take(&mut self.recoveries) {
-            recover(cluster, &recovery);
+        for due in std::mem::take(&mut self.recoveries) {
+            recover(cluster, &due.recovery);
         }
-        cluster.blocked_links.clear();
+        cluster.unblock_all();
         for node in cluster.present() {
             if cluster.nodes[node].replica.is_none() {
                 cluster.start(node, false);
@@ -85,23 +133,22 @@
             let next = self
                 .recoveries
                 .iter()
-                .map(|(at, _)| *at)
+                .map(|due| due.at_ms)
                 .min()
                 .unwrap_or(until_ms);
             cluster.run(next.clamp(cluster.now_ms, until_ms), submit_interval_ms);
-            let due: Vec<(u64, Recovery)> = self
+            let due: Vec<Due> = self
                 .recoveries
-                .extract_if(.., |(at, _)| *at <= cluster.now_ms)
+                .extract_if(.., |due| due.at_ms <= cluster.now_ms)
                 .collect();
-            due.iter()
-                .for_each(|(_, recovery)| recover(cluster, recovery));
+            due.iter().for_each(|due| recover(cluster, &due.recovery));
         }
     }
 
     fn later(&mut self, cluster: &Cluster, after_ms: u64, recovery: Recovery) {
         let at_ms = cluster.now_ms + after_ms;
         self.faultless_from_ms = self.faultless_from_ms.max(at_ms);
-        self.recoveries.push((at_ms, recovery));
+        self.recoveries.push(Due { at_ms, recovery });
     }
 
     fn inject(&mut self, cluster: &mut Cluster) {
@@ -111,29 +158,33 @@
         let second = (first + 1 + cluster.below(count - 1) as usize) % count as usize;
         let (node, other) = (present[first], present[second]);
         let for_ms = 200 + cluster.below(4_000);
-        let kinds = if self.overlapping { 18 } else { 14 };
-        match cluster.below(kinds) {
-            0 | 1 => self.kill(cluster, node, 100 + for_ms / 3),
-            2 => present.into_iter().for_each(|node| {
+        let kinds = if self.overlapping {
+            KINDS_OVERLAPPING
+        } else {
+            KINDS
+        };
+        match Kind::of(cluster.below(kinds)) {
+            Kind::Kill => self.kill(cluster, node, 100 + for_ms / 3),
+            Kind::KillAll => present.into_iter().for_each(|node| {
                 let for_ms = 300 + cluster.below(2_000);
                 self.kill(cluster, node, for_ms);
             }),
-            3 | 4 => {
+            Kind::Freeze => {
                 cluster.freeze(node, for_ms);
                 self.faultless_from_ms = self.faultless_from_ms.max(cluster.now_ms + for_ms);
             }
-            5 => self.block_link(cluster, node, other, for_ms),
-            6 => {
+            Kind::BlockOneWay => self.block_link(cluster, node, other, for_ms),
+            Kind::BlockBothWays => {
                 self.block_link(cluster, node, other, for_ms);
                 self.block_link(cluster, other, node, for_ms);
             }
-            7 => self.partition(cluster, for_ms),
-            8 | 9 => self.slow_disk(cluster, node, for_ms),
-            10 => self.poor_network(cluster, for_ms),
-            11 => self.planned_stop(cluster, node, for_ms),
-            14 | 15 => self.replace(cluster, node),
-            16 => self.partition_into_halves(cluster, for_ms),
-            _ => self.lose_disk(cluster, node),
+            Kind::Partition => self.partition(cluster, for_ms),
+            Kind::SlowDisk => self.slow_disk(cluster, node, for_ms),
+            Kind::PoorNetwork => self.poor_network(cluster, for_ms),
+            Kind::PlannedStop => self.planned_stop(cluster, node, for_ms),
+            Kind::LoseDisk => self.lose_disk(cluster, node),
+            Kind::Replace => self.replace(cluster, node),
+            Kind::PartitionIntoHalves => self.partition_into_halves(cluster, for_ms),
         }
     }
 
@@ -146,7 +197,7 @@
 
     fn block_link(&mut self, cluster: &mut Cluster, from: usize, to: usize, for_ms: u64) {
         cluster.log_event(&format!("cut {from} -> {to} for {for_ms}"));
-        cluster.blocked_links.insert((from, to));
+        cluster.block_link(from, to);
         self.later(cluster, for_ms, Recovery::Join(from, to));
     }
 
@@ -282,7 +333,7 @@
         Recovery::Remove(node) => cluster.remove(node),
         Recovery::Stop(node) => cluster.stop(node),
         Recovery::Join(from, to) => {
-            cluster.blocked_links.remove(&(from, to));
+            cluster.unblock_link(from, to);
         }
         Recovery::NormalDisk(node) => {
             cluster.nodes[node].disk_ms = 9;
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -241,7 +241,7 @@
                 gap_ms <= 2_200,
                 "seed {seed}, with head {with_head}: no write for {gap_ms} ms"
             );
-            cluster.blocked_links.clear();
+            cluster.unblock_all();
             cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
             cluster.check_converged(&all(&cluster));
         }
@@ -254,7 +254,7 @@
         let mut cluster = started(seed, 3);
         let head = head(&cluster);
         for other in (0..3).filter(|&other| other != head) {
-            cluster.blocked_links.insert((other, head));
+            cluster.block_link(other, head);
         }
         assert_gap(&mut cluster, seed, 7_000, 4_500);
     }
@@ -269,7 +269,7 @@
             cluster.block_both(other, head);
         }
         assert_gap(&mut cluster, seed, 4_000, 2_200);
-        cluster.blocked_links.clear();
+        cluster.unblock_all();
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
     }
@@ -394,7 +394,7 @@
         cluster.start(head, false);
         run_until_next_view(&mut cluster, head, former);
         cluster.wipe(lost);
-        cluster.blocked_links.clear();
+        cluster.unblock_all();
         let gap_ms = longest_gap_ms(&mut cluster, 10_000);
         assert!(
             gap_ms <= 3_000,
