--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica.rs
@@ -1,35 +1,51 @@
 //! One member's side of the protocol.
+//!
+//! [`Replica`] takes inputs, hands each to the part of the protocol that it belongs to, and collects the outputs. State that
+//! one part alone changes is kept in a type of its own: `Voter` (leases and pre-votes granted), `Campaign`, `Leadership`
+//! with its `WriteQueue`, `StateTransfer`, `RowsServer`, `TrimSchedule` and `StoreQueue`. The record ([`Durable`]) is shared
+//! by all parts, because it is stored as a whole.
 
-mod address_book;
 mod campaign;
 mod chain;
+mod commit;
+mod discovery;
 mod election;
+mod following;
 mod head;
 mod io;
 mod leadership;
-mod lease;
+mod peer;
+mod planner;
+mod proposal;
 mod reconfiguration;
+mod rows_server;
+mod state_transfer;
+mod step_down;
 mod store_queue;
 mod transfer;
+mod trim_schedule;
 mod voter;
+mod voting;
+mod write_queue;
+mod writes;
 
 pub use io::{Input, Output, Settings};
 
 use crate::durable::Durable;
 use crate::message::{Envelope, Message};
-use crate::timing::{BACKOFF_SPREAD_MS, LEASE_MS, RESUME_STAND_MS};
+use crate::timing::{BACKOFF_SPREAD_MS, LEASE_MS, RESUME_CAMPAIGN_MS};
 use crate::types::{Member, SEED_DISK, View, ViewStart, Viewstamp};
 use campaign::Campaign;
 use indigofold_protocol::internal::MemberAddress;
 use leadership::Leadership;
-use lease::Lease;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::BTreeMap;
+use rows_server::RowsServer;
+use state_transfer::StateTransfer;
 use std::net::SocketAddr;
 use store_queue::{AfterStore, StoreQueue};
-use transfer::{Pull, Serving};
-use voter::Supported;
+use trim_schedule::TrimSchedule;
+use voter::Voter;
 
 /// A member: takes [`Input`]s and returns [`Output`]s.
 #[derive(Debug)]
@@ -37,30 +53,22 @@
     settings: Settings,
     /// The record with all that is being stored or will be.
     durable: Durable,
-    /// The state of the rows on disk.
-    stored_viewstamp: Viewstamp,
-    /// Number of the view accepted last, as it is on disk.
-    stored_view: u64,
     stores: StoreQueue,
-    lease: Option<Lease>,
-    /// Before this time no promise is given: a lease may run that was granted before the start.
-    promise_from_ms: u64,
-    /// When to stand as a candidate, unless the head is heard before.
-    stand_at_ms: u64,
-    /// When to announce itself, unless the head is heard before.
+    voter: Voter,
+    /// When to campaign, unless a heartbeat comes before.
+    campaign_at_ms: u64,
+    /// When to announce itself, unless a heartbeat comes before.
     announce_at_ms: u64,
-    trim_notes: transfer::TrimNotes,
+    trim_schedule: TrimSchedule,
     campaign: Option<Campaign>,
     leadership: Option<Leadership>,
-    supported: Option<Supported>,
-    pull: Option<Pull>,
-    reads: BTreeMap<u64, Serving>,
-    last_read: u64,
-    /// Number of the last canvass or transfer; random at the start, so that answers to an earlier life are known.
-    last_round: u64,
+    transfer: Option<StateTransfer>,
+    rows_server: RowsServer,
+    /// Id of the last pre-vote or transfer; random at the start, so that answers to an earlier incarnation are told apart.
+    last_request_id: u64,
     /// The next number that this member proposes is above this.
     number_floor: u64,
-    leaving_since_ms: Option<u64>,
+    draining_since_ms: Option<u64>,
     random: Pcg64Mcg,
     now_ms: u64,
     outputs: Vec<Output>,
@@ -70,41 +78,32 @@
     /// A member that starts with what its disk has kept, if anything.
     pub fn new(settings: Settings, durable: Option<Durable>, now_ms: u64) -> Replica {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
-        let is_restart = durable.is_some();
+        let stores = StoreQueue::new(durable.as_ref());
+        let lease_wait_ms = if durable.is_some() { LEASE_MS } else { 0 };
+        let vote_from_ms = now_ms + lease_wait_ms;
         let durable = durable.unwrap_or_else(|| first_record(&settings, &mut random));
-        let lease_wait = if is_restart { LEASE_MS } else { 0 };
-        let promise_from_ms = now_ms + lease_wait;
         let mut replica = Replica {
-            stored_view: if is_restart { durable.view_number() } else { 0 },
-            stored_viewstamp: if is_restart {
-                durable.viewstamp
-            } else {
-                Viewstamp::default()
-            },
             durable,
-            stores: StoreQueue::default(),
-            lease: None,
-            promise_from_ms,
-            stand_at_ms: 0,
+            stores,
+            voter: Voter::new(vote_from_ms),
+            campaign_at_ms: 0,
             announce_at_ms: now_ms,
-            trim_notes: transfer::TrimNotes::new(now_ms),
+            trim_schedule: TrimSchedule::new(now_ms),
             campaign: None,
             leadership: None,
-            supported: None,
-            pull: None,
-            reads: BTreeMap::new(),
-            last_read: 0,
-            last_round: random.next_u64() >> 1,
+            transfer: None,
+            rows_server: RowsServer::default(),
+            last_request_id: random.next_u64() >> 1,
             number_floor: 0,
-            leaving_since_ms: None,
+            draining_since_ms: None,
             random,
             now_ms,
             outputs: Vec::new(),
             settings,
         };
-        replica.stand_at_ms = match replica.resumes() {
-            true => now_ms + RESUME_STAND_MS,
-            false => promise_from_ms + replica.random_below(BACKOFF_SPREAD_MS),
+        replica.campaign_at_ms = match replica.is_resuming() {
+            true => now_ms + RESUME_CAMPAIGN_MS,
+            false => vote_from_ms + replica.random_below(BACKOFF_SPREAD_MS),
         };
         let own_address = replica.settings.address.clone();
         replica.learn_address(own_address);
@@ -120,7 +119,7 @@
             Input::StoreFailed { store } => self.stores.fail(self.now_ms, store),
             Input::RowsRead { read, chunk } => self.on_rows_read(read, chunk),
             Input::ReadFailed { read } => {
-                self.reads.remove(&read);
+                self.rows_server.finish(read);
             }
             Input::Submit { write_id, changes } => self.on_submit(write_id, changes),
             Input::MemberDiscovered { address } => self.learn_address(address),
@@ -138,9 +137,9 @@
             self.stores.retry_ms(),
             self.announcement_due_ms(),
             self.election_due_ms(),
-            self.tenure_due_ms(),
-            self.pull_due_ms(),
-            Some(self.trim_notes.due_ms()),
+            self.leadership_due_ms(),
+            self.transfer_due_ms(),
+            Some(self.trim_schedule.due_ms()),
         ];
         due.into_iter().flatten().min().unwrap_or(u64::MAX)
     }
@@ -155,7 +154,7 @@
         self.durable.member
     }
 
-    /// The view accepted last, and whether it is known to hold.
+    /// The view accepted last, and whether it is known to be agreed.
     pub fn accepted_view(&self) -> Option<(&View, bool)> {
         self.durable
             .view
@@ -165,15 +164,15 @@
 
     /// The state of the rows on disk.
     pub fn stored_viewstamp(&self) -> Viewstamp {
-        self.stored_viewstamp
+        self.stores.stored_viewstamp()
     }
 
     fn run_due(&mut self) {
         self.run_announcement();
-        self.run_pull();
+        self.run_transfer();
         self.run_election();
-        self.run_tenure();
-        self.run_trim_notes();
+        self.run_leadership();
+        self.run_trim_schedule();
     }
 
     fn on_message(&mut self, envelope: Envelope) {
@@ -186,93 +185,27 @@
             Message::Addresses { addresses } => {
                 addresses.into_iter().for_each(|a| self.learn_address(a))
             }
-            Message::PreVote {
-                round,
-                viewstamp,
-                headed,
-            } => self.on_canvass(from, round, viewstamp, headed),
-            Message::PreVoteReply {
-                round,
-                support,
-                promised,
-                view,
-                agreed: _,
-            } => {
-                self.on_canvass_reply(from, round, support, promised, view);
-            }
-            Message::Prepare { number, headed } => self.on_prepare(from, number, headed),
-            Message::PrepareOk {
+            Message::PreVote(pre_vote) => self.on_pre_vote(from, &pre_vote),
+            Message::PreVoteReply(reply) => self.on_pre_vote_reply(from, reply),
+            Message::Prepare {
                 number,
-                view,
-                agreed: _,
-                viewstamp,
-                leaving,
-            } => {
-                self.on_promise(from, number, view, viewstamp, leaving);
+                headed_view,
+            } => self.on_prepare(from, number, headed_view),
+            Message::PrepareOk(prepare_ok) => self.on_prepare_ok(from, prepare_ok),
+            Message::PrepareReject { number, promised } => {
+                self.on_prepare_reject(from, number, promised)
             }
-            Message::PrepareReject { number, promised } => self.on_refuse(from, number, promised),
             Message::Accept { view } => self.on_accept(from, view),
             Message::Accepted { number } => self.on_accepted(from, number),
-            Message::Heartbeat {
-                view,
-                sent_ms,
-                seq,
-                address,
-            } => {
-                self.on_heartbeat(from, view, sent_ms, seq, address);
-            }
-            Message::Grant {
-                number,
-                sent_ms,
-                viewstamp,
-                store_age_ms,
-                leaving,
-                address,
-            } => {
-                self.learn_address(address);
-                let health = leadership::Health {
-                    viewstamp,
-                    store_age_ms,
-                    leaving,
-                };
-                self.on_grant(from, number, sent_ms, health);
-            }
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat),
+            Message::Grant(grant) => self.on_grant(from, grant),
             Message::Release { number } => self.on_release(from, number),
-            Message::Stand { number } => self.on_stand(from, number),
-            Message::Write {
-                number,
-                batches,
-                relay,
-            } => self.on_write(number, batches, relay),
+            Message::CampaignNow { number } => self.on_campaign_now(from, number),
+            Message::Write(write) => self.on_write(write),
             Message::Stored { viewstamp } => self.on_member_stored(from, viewstamp),
-            Message::Behind { viewstamp } => self.on_behind(from, viewstamp),
-            Message::Fetch {
-                round,
-                viewstamp,
-                after,
-            } => self.on_fetch(from, round, viewstamp, after),
-            Message::Rows {
-                round,
-                after,
-                clear,
-                rows,
-                more,
-                viewstamp,
-                history,
-            } => {
-                self.on_rows(
-                    from,
-                    transfer::Part {
-                        round,
-                        after,
-                        clear,
-                        rows,
-                        more,
-                        viewstamp,
-                        history,
-                    },
-                );
-            }
+            Message::WriteGap { viewstamp } => self.on_write_gap(from, viewstamp),
+            Message::Fetch(fetch) => self.on_fetch(from, &fetch),
+            Message::Rows(rows) => self.on_rows(from, rows),
         }
     }
 
@@ -280,18 +213,16 @@
         let Some(finished) = self.stores.finish(store) else {
             return;
         };
-        let changed = finished.viewstamp != self.stored_viewstamp;
-        (self.stored_viewstamp, self.stored_view) = (finished.viewstamp, finished.view);
         for effect in finished.after {
             match effect {
                 AfterStore::Send { to, message } => self.send(to, *message),
-                AfterStore::OwnPromise { number } => self.on_own_promise(number),
+                AfterStore::OwnPrepareOk { number } => self.on_own_prepare_ok(number),
                 AfterStore::OwnAccepted { number } => self.on_accepted(self.durable.member, number),
-                AfterStore::Fetched { number } => self.on_fetched(number),
+                AfterStore::TransferStored { number } => self.on_transfer_stored(number),
                 AfterStore::Grant => self.send_grant(),
             }
         }
-        if changed {
+        if finished.has_new_rows {
             self.report_stored();
         }
     }
@@ -311,8 +242,8 @@
         self.outputs.push(Output::Send { to, envelope });
     }
 
-    fn is_leaving(&self) -> bool {
-        self.leaving_since_ms.is_some()
+    fn is_draining(&self) -> bool {
+        self.draining_since_ms.is_some()
     }
 
     fn random_below(&mut self, bound: u64) -> u64 {
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,100 +1,27 @@
-//! Writes: batches down the chain, and their count at the head.
+//! A member's part in the chain: it stores writes in order, relays them to its successor and reports to the head.
+//!
+//! As in chain replication (van Renesse and Schneider 2004) writes enter at the head and are committed once the whole chain
+//! has them on disk. Unlike there, each member reports to the head, which answers the clients.
 
-use super::leadership::{Leadership, Outstanding, Pending};
-use super::{Output, Replica};
+use super::Replica;
 use crate::durable::StoreOperation;
-use crate::message::Message;
-use crate::timing::{PENDING_BYTES_MAX, RESEND_MS};
-use crate::types::{Batch, Member, RowChange, Viewstamp};
+use crate::message::{Message, Write};
+use crate::types::Batch;
 use std::sync::Arc;
 
 impl Replica {
-    pub(super) fn on_submit(&mut self, write_id: u64, changes: Vec<RowChange>) {
-        let refused = self.is_leaving() || self.stores.is_failing();
-        let bytes: usize = changes
-            .iter()
-            .map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len))
-            .sum();
-        match self.leadership.as_mut().filter(|t| t.is_gained && !refused) {
-            Some(leadership) if leadership.pending_bytes + bytes <= PENDING_BYTES_MAX => {
-                leadership.pending_bytes += bytes;
-                leadership.pending.push_back(Pending { write_id, changes });
-            }
-            _ => self.outputs.push(Output::Refused { write_id }),
-        }
-    }
-
-    /// Writes all that waits as one batch, unless a store is under way.
-    pub(super) fn make_batch(&mut self) {
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let ready = leadership.is_installed && self.campaign.is_none() && self.stores.is_idle();
-        if !ready
-            || leadership.pending.is_empty()
-            || self.durable.promised != leadership.view.number
-        {
-            return;
-        }
-        self.durable.viewstamp.seq += 1;
-        leadership.pending_bytes = 0;
-        let (write_ids, changes): (Vec<u64>, Vec<Vec<RowChange>>) = leadership
-            .pending
-            .drain(..)
-            .map(|p| (p.write_id, p.changes))
-            .unzip();
-        let changes = changes.into_iter().flatten().collect();
-        let batch = Arc::new(Batch {
-            seq: self.durable.viewstamp.seq,
-            changes,
-        });
-        leadership.outstanding.push_back(Outstanding {
-            batch: Arc::clone(&batch),
-            write_ids,
-            sent_ms: self.now_ms,
-        });
-        self.stores.add(StoreOperation::Write(Arc::clone(&batch)));
-        self.stores.want();
-        self.send_batch(&batch);
-    }
-
-    fn send_batch(&mut self, batch: &Arc<Batch>) {
-        let own = self.durable.member;
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        let (number, successor) = (leadership.view.number, leadership.view.successor(own));
-        let is_direct = |member: &Member| {
-            leadership
-                .peers
-                .get(member)
-                .is_some_and(|peer| peer.is_direct)
-        };
-        let others = leadership.view.chain.iter().copied().skip(1);
-        let direct: Vec<Member> = others
-            .filter(|member| Some(*member) != successor && is_direct(member))
-            .collect();
-        for member in successor.into_iter().chain(direct) {
-            let relay = Some(member) == successor;
-            let batches = vec![Arc::clone(batch)];
-            self.send(
-                member.internal,
-                Message::Write {
-                    number,
-                    batches,
-                    relay,
-                },
-            );
-        }
-    }
-
-    pub(super) fn on_write(&mut self, number: u64, batches: Vec<Arc<Batch>>, relay: bool) {
+    pub(super) fn on_write(&mut self, write: Write) {
+        let Write {
+            number,
+            batches,
+            relay,
+        } = write;
         if !self.takes_writes(number) {
             return;
         }
         let next = self.durable.viewstamp.seq + 1;
         if batches.first().is_some_and(|batch| batch.seq > next) {
-            self.send_to_head(Message::Behind {
+            self.send_to_head(Message::WriteGap {
                 viewstamp: self.durable.viewstamp,
             });
             return;
@@ -111,9 +38,9 @@
         for batch in &new {
             self.stores.add(StoreOperation::Write(Arc::clone(batch)));
         }
-        self.stores.want();
+        self.stores.request_store();
         if relay {
-            self.pass_on(number, new);
+            self.relay_batches(number, new);
         }
     }
 
@@ -129,18 +56,18 @@
             && view.chain.contains(&self.durable.member)
     }
 
-    fn pass_on(&mut self, number: u64, batches: Vec<Arc<Batch>>) {
+    fn relay_batches(&mut self, number: u64, batches: Vec<Arc<Batch>>) {
         let Some(view) = &self.durable.view else {
             return;
         };
         if let Some(successor) = view.successor(self.durable.member) {
             self.send(
                 successor.internal,
-                Message::Write {
+                Message::Write(Write {
                     number,
                     batches,
                     relay: true,
-                },
+                }),
             );
         }
     }
@@ -151,10 +78,10 @@
         }
     }
 
-    /// Tells the head what is on disk, or counts it at the head itself.
+    /// Reports to the head what is on disk, or counts it at the head itself.
     pub(super) fn report_stored(&mut self) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.own_viewstamp = self.stored_viewstamp;
+            leadership.set_own_viewstamp(self.stores.stored_viewstamp());
             self.count_stored();
             return;
         }
@@ -163,175 +90,10 @@
             .view
             .as_ref()
             .is_some_and(|v| v.chain.contains(&self.durable.member));
-        if in_chain && self.stored_viewstamp.view == self.view() && self.durable.agreed {
+        if in_chain && self.stores.stored_viewstamp().view == self.view() && self.durable.agreed {
             self.send_to_head(Message::Stored {
-                viewstamp: self.stored_viewstamp,
+                viewstamp: self.stores.stored_viewstamp(),
             });
         }
     }
-
-    pub(super) fn on_member_stored(&mut self, from: Member, viewstamp: Viewstamp) {
-        let (now_ms, newest) = (self.now_ms, self.durable.viewstamp);
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let Some(peer) = leadership.peers.get_mut(&from) else {
-            return;
-        };
-        // A state that this head has never given out.
-        if viewstamp > newest {
-            return;
-        }
-        peer.heard_ms = now_ms;
-        peer.health.viewstamp = peer.health.viewstamp.max(viewstamp);
-        self.count_stored();
-    }
-
-    /// Commits what the whole chain has on disk.
-    pub(super) fn count_stored(&mut self) {
-        let own = self.durable.member;
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let Some(stored) = leadership.stored_by_all(own) else {
-            return;
-        };
-        let newly_installed = !std::mem::replace(&mut leadership.is_installed, true);
-        let committed = take_committed(leadership, stored);
-        self.outputs.extend(
-            committed
-                .into_iter()
-                .map(|write_id| Output::Committed { write_id }),
-        );
-        if newly_installed {
-            self.establish_view();
-        }
-        self.tell_installed();
-    }
-
-    /// The whole chain has the view's first state: its voters decide alone from now on, and are told so.
-    fn establish_view(&mut self) {
-        let Some(leadership) = self
-            .leadership
-            .as_mut()
-            .filter(|leadership| !leadership.view.is_established())
-        else {
-            return;
-        };
-        leadership.view = leadership.view.clone().established();
-        if let Some(view) = self
-            .durable
-            .view
-            .as_mut()
-            .filter(|view| view.number == leadership.view.number)
-        {
-            view.clone_from(&leadership.view);
-            self.stores.want();
-        }
-        if self.campaign.is_none() {
-            self.send_heartbeats();
-        }
-    }
-
-    /// Tells the driver of a view that the whole chain has taken over; of the first one once the lease holds.
-    fn tell_installed(&mut self) {
-        let own = self.durable.member;
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let view = leadership.view.number;
-        if leadership.told_view == view
-            || (!leadership.is_gained && leadership.lease_until_ms(own) <= self.now_ms)
-        {
-            return;
-        }
-        let output = if leadership.is_gained {
-            Output::HeadRenewed { view }
-        } else {
-            Output::HeadGained { view }
-        };
-        leadership.is_gained = true;
-        leadership.told_view = view;
-        self.outputs.push(output);
-    }
-
-    pub(super) fn on_behind(&mut self, from: Member, viewstamp: Viewstamp) {
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        if viewstamp.view == leadership.view.number && leadership.view.chain.contains(&from) {
-            self.resend(from, viewstamp.seq);
-        }
-    }
-
-    /// Sends writes again to members that have not stored them for a while.
-    pub(super) fn resend_lacking(&mut self) {
-        let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(leadership) = self.leadership.as_ref().filter(|t| t.is_installed) else {
-            return;
-        };
-        let is_late = |member: &Member| {
-            leadership
-                .oldest_lacking(*member, own)
-                .is_some_and(|o| now_ms >= o.sent_ms + RESEND_MS)
-        };
-        let late: Vec<(Member, u64)> = leadership
-            .view
-            .chain
-            .iter()
-            .copied()
-            .filter(|member| *member != own && is_late(member))
-            .map(|member| (member, leadership.viewstamp_of(member, own).seq))
-            .collect();
-        for (member, after) in late {
-            self.resend(member, after);
-        }
-    }
-
-    fn resend(&mut self, member: Member, after: u64) {
-        let now_ms = self.now_ms;
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let Some(peer) = leadership.peers.get_mut(&member) else {
-            return;
-        };
-        if now_ms < peer.resent_ms + RESEND_MS / 2 {
-            return;
-        }
-        peer.resent_ms = now_ms;
-        peer.is_direct = true;
-        let lacking = leadership
-            .outstanding
-            .iter()
-            .filter(|o| o.batch.seq > after);
-        let batches: Vec<Arc<Batch>> = lacking.map(|o| Arc::clone(&o.batch)).collect();
-        if !batches.is_empty() {
-            let message = Message::Write {
-                number: leadership.view.number,
-                batches,
-                relay: false,
-            };
-            self.send(member.internal, message);
-        }
-    }
-}
-
-/// Tickets of the writes up to `stored`.
-fn take_committed(leadership: &mut Leadership, stored: u64) -> Vec<u64> {
-    let mut write_ids = Vec::new();
-    while leadership
-        .outstanding
-        .front()
-        .is_some_and(|o| o.batch.seq <= stored)
-    {
-        write_ids.extend(
-            leadership
-                .outstanding
-                .pop_front()
-                .into_iter()
-                .flat_map(|done| done.write_ids),
-        );
-    }
-    write_ids
 }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,276 +1,200 @@
-//! How a voter becomes the head of the next view: canvass, promises, newest state, acceptance.
+//! How a voter becomes the head of the next view, in the phases of Paxos: a pre-vote (Raft thesis, section 9.6), promises,
+//! the transfer of the newest state among those that have promised, and acceptance.
 
-use super::campaign::{Campaign, Phase, Plan, Promised, is_majority};
+use super::campaign::{Campaign, Plan};
+use super::proposal::next_view;
 use super::{AfterStore, Replica};
-use crate::message::Message;
+use crate::message::{Message, PreVoteReply, PrepareOk};
 use crate::timing::{
-    BACKOFF_MS, BACKOFF_SPREAD_MS, CANVASS_MS, MORE_PROMISES_MS, PHASE_MS, REFUSED_WAIT_MS,
-    RESUME_CANVASS_MS, RESUME_STAND_MS,
+    BACKOFF_MS, BACKOFF_SPREAD_MS, PHASE_MS, PRE_VOTE_MS, RESUME_CAMPAIGN_MS, RESUME_PRE_VOTE_MS,
 };
-use crate::types::{Member, View, Viewstamp, majority};
-use std::collections::{BTreeMap, BTreeSet};
+use crate::types::{Member, View, Viewstamp};
+use std::collections::BTreeSet;
 
 impl Replica {
     pub(super) fn election_due_ms(&self) -> Option<u64> {
         match &self.campaign {
-            Some(campaign) => {
-                let more = campaign
-                    .majority_ms
-                    .filter(|_| campaign.phase == Phase::Prepare);
-                let more_due = more.map_or(u64::MAX, |at| at + MORE_PROMISES_MS);
-                Some(campaign.deadline_ms.min(more_due))
+            Some(campaign) => Some(campaign.due_ms()),
+            None => {
+                (self.leadership.is_none() && self.may_campaign()).then_some(self.campaign_at_ms)
             }
-            None => (self.leadership.is_none() && self.may_stand()).then_some(self.stand_at_ms),
         }
     }
 
     pub(super) fn run_election(&mut self) {
-        if self
-            .campaign
-            .as_ref()
-            .is_some_and(|c| self.now_ms >= c.deadline_ms)
-        {
-            self.fail_candidacy();
+        let campaign = self.campaign.as_ref();
+        if campaign.is_some_and(|campaign| campaign.is_timed_out(self.now_ms)) {
+            self.fail_campaign();
         }
-        self.decide_promises();
-        let due =
-            self.campaign.is_none() && self.leadership.is_none() && self.now_ms >= self.stand_at_ms;
-        if due && self.may_stand() {
-            self.start_candidacy();
+        self.decide_prepare();
+        let is_due = self.campaign.is_none()
+            && self.leadership.is_none()
+            && self.now_ms >= self.campaign_at_ms;
+        if is_due && self.may_campaign() {
+            self.start_campaign();
         }
     }
 
-    fn may_stand(&self) -> bool {
+    /// This member votes, and is not about to stop.
+    fn may_campaign(&self) -> bool {
         let Some(view) = &self.durable.view else {
             return false;
         };
         let own = &self.durable.member;
         let votes = view.voters.contains(own)
             || (!self.durable.agreed && view.previous_voters.contains(own));
-        votes && !self.is_leaving()
+        votes && !self.is_draining()
     }
 
-    /// Gives up being a candidate; stands again after a random time.
-    pub(super) fn fail_candidacy(&mut self) {
+    /// Gives the campaign up; the next one begins after a random time.
+    pub(super) fn fail_campaign(&mut self) {
         self.campaign = None;
-        if matches!(&self.pull, Some(pull) if pull.is_for_candidate()) {
-            self.pull = None;
+        if matches!(&self.transfer, Some(transfer) if transfer.is_for_candidate()) {
+            self.transfer = None;
         }
-        self.stand_at_ms = match self.resumes() {
-            true => self.now_ms + RESUME_STAND_MS,
+        self.campaign_at_ms = match self.is_resuming() {
+            true => self.now_ms + RESUME_CAMPAIGN_MS,
             false => self.now_ms + BACKOFF_MS + self.random_below(BACKOFF_SPREAD_MS),
         };
         self.delay_reconfiguration();
     }
 
-    /// Asks whether a majority would support this member; nothing is promised yet.
-    pub(super) fn start_candidacy(&mut self) {
+    /// Asks whether a majority would vote for this member; nothing is promised yet.
+    pub(super) fn start_campaign(&mut self) {
         let own = self.durable.member;
-        if self.is_bound_against(own, self.headed()) {
-            self.stand_at_ms =
-                self.bound_until_ms() + BACKOFF_MS + self.random_below(BACKOFF_SPREAD_MS);
+        if self.is_bound_against(own, self.headed_view()) {
+            self.campaign_at_ms = self.voter.bound_until_ms(self.now_ms)
+                + BACKOFF_MS
+                + self.random_below(BACKOFF_SPREAD_MS);
             return;
         }
-        self.last_round += 1;
-        let phase = Phase::PreVote {
-            round: self.last_round,
-        };
-        let deadline_ms = self.now_ms
-            + if self.resumes() {
-                RESUME_CANVASS_MS
-            } else {
-                CANVASS_MS
-            };
-        let Some(campaign) = self.new_candidacy(phase, deadline_ms, None) else {
+        self.last_request_id += 1;
+        let Some(known) = self.durable.view.clone() else {
             return;
         };
+        let wait_ms = if self.is_resuming() {
+            RESUME_PRE_VOTE_MS
+        } else {
+            PRE_VOTE_MS
+        };
+        let promised = self.durable.promised;
+        let mut campaign = Campaign::pre_vote(own, known, promised, self.last_request_id);
+        campaign.set_deadline(self.now_ms + wait_ms);
         self.campaign = Some(campaign);
-        self.ask_voters();
-        self.count_canvass(own);
-    }
-
-    fn new_candidacy(
-        &self,
-        phase: Phase,
-        deadline_ms: u64,
-        plan: Option<Plan>,
-    ) -> Option<Campaign> {
-        Some(Campaign {
-            phase,
-            number: 0,
-            known: self.durable.view.clone()?,
-            promised: self.durable.promised,
-            asked: BTreeSet::from([self.durable.member]),
-            agreed: BTreeSet::new(),
-            refused: BTreeSet::new(),
-            promises: BTreeMap::new(),
-            majority_ms: None,
-            deadline_ms,
-            plan,
-        })
+        self.send_requests();
+        if let Some(campaign) = &mut self.campaign {
+            campaign.count(own);
+        }
+        self.decide_pre_vote();
     }
 
-    /// Sends this phase's question to all voters that have not had it yet.
-    fn ask_voters(&mut self) {
-        let headed = self.headed();
+    /// Sends this phase's request to all voters that have not had it yet.
+    fn send_requests(&mut self) {
+        let headed_view = self.headed_view();
+        let viewstamp = self.durable.viewstamp;
         let Some(campaign) = &mut self.campaign else {
             return;
         };
-        let message = match campaign.phase {
-            Phase::PreVote { round } => Message::PreVote {
-                round,
-                viewstamp: self.durable.viewstamp,
-                headed,
-            },
-            Phase::Prepare => Message::Prepare {
-                number: campaign.number,
-                headed,
-            },
-            Phase::Fetch | Phase::Propose { .. } => return,
+        let Some((message, voters)) = campaign.next_requests(viewstamp, headed_view) else {
+            return;
         };
-        let new: Vec<Member> = campaign
-            .voters()
-            .difference(&campaign.asked)
-            .copied()
-            .collect();
-        campaign.asked.extend(&new);
-        for voter in new {
+        for voter in voters {
             self.send(voter.internal, message.clone());
         }
     }
 
-    pub(super) fn on_canvass_reply(
-        &mut self,
-        from: Member,
-        round: u64,
-        support: bool,
-        promised: u64,
-        view: Option<View>,
-    ) {
+    pub(super) fn on_pre_vote_reply(&mut self, from: Member, reply: PreVoteReply) {
+        let is_granted = reply.granted;
         let Some(campaign) = &mut self.campaign else {
             return;
         };
-        if campaign.phase != (Phase::PreVote { round }) {
+        if !campaign.receive_pre_vote_reply(from, reply) {
             return;
         }
-        campaign.promised = campaign.promised.max(promised);
-        if let Some(view) = view {
-            campaign.learn(view);
-        }
-        if support {
-            self.count_canvass(from);
-        } else {
-            campaign.refused.insert(from);
-            if campaign.is_hopeless() {
-                self.fail_candidacy();
-                return;
-            }
+        if is_granted {
+            self.decide_pre_vote();
+        } else if campaign.is_hopeless() {
+            self.fail_campaign();
+            return;
         }
-        self.ask_voters();
+        self.send_requests();
     }
 
-    fn count_canvass(&mut self, from: Member) {
-        let Some(campaign) = &mut self.campaign else {
+    /// Asks for promises once a majority would vote for this member.
+    fn decide_pre_vote(&mut self) {
+        let Some(campaign) = self.campaign.as_ref().filter(|c| c.has_majority()) else {
             return;
         };
-        campaign.agreed.insert(from);
-        if !campaign.has_majority(&campaign.agreed) {
-            return;
-        }
-        let number = campaign.promised.max(campaign.known.number) + 1;
-        let known = campaign.known.clone();
+        let (number, known) = (campaign.next_number(), campaign.known().clone());
         if known.voters.contains(&self.durable.member) {
             self.prepare(number, Some(known), None);
         } else {
-            self.fail_candidacy();
+            self.fail_campaign();
         }
     }
 
     /// Asks for promises; `plan` is what a head wants to change.
     pub(super) fn prepare(&mut self, number: u64, known: Option<View>, plan: Option<Plan>) {
-        let deadline_ms = self.now_ms + PHASE_MS;
-        let Some(mut campaign) = self.new_candidacy(Phase::Prepare, deadline_ms, plan) else {
+        let Some(known) = known.or_else(|| self.durable.view.clone()) else {
             return;
         };
-        campaign.number = number;
-        campaign.known = known.unwrap_or(campaign.known);
+        let (own, promised) = (self.durable.member, self.durable.promised);
+        let mut campaign = Campaign::prepare(own, known, promised, number, plan);
+        campaign.set_deadline(self.now_ms + PHASE_MS);
         self.campaign = Some(campaign);
-        self.pull = None;
+        self.transfer = None;
         self.durable.promised = number;
-        self.stores.want_then(AfterStore::OwnPromise { number });
-        self.ask_voters();
+        self.stores
+            .request_store_then(AfterStore::OwnPrepareOk { number });
+        self.send_requests();
     }
 
-    pub(super) fn on_own_promise(&mut self, number: u64) {
-        self.on_promise(
-            self.durable.member,
+    /// This member's own promise is on its disk.
+    pub(super) fn on_own_prepare_ok(&mut self, number: u64) {
+        let prepare_ok = PrepareOk {
             number,
-            self.durable.view.clone(),
-            self.durable.viewstamp,
-            false,
-        );
+            view: self.durable.view.clone(),
+            agreed: self.durable.agreed,
+            viewstamp: self.durable.viewstamp,
+            draining: false,
+        };
+        self.on_prepare_ok(self.durable.member, prepare_ok);
     }
 
-    pub(super) fn on_promise(
-        &mut self,
-        from: Member,
-        number: u64,
-        view: Option<View>,
-        viewstamp: Viewstamp,
-        leaving: bool,
-    ) {
-        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
+    pub(super) fn on_prepare_ok(&mut self, from: Member, prepare_ok: PrepareOk) {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        if campaign.phase != Phase::Prepare {
-            return;
-        }
-        if let Some(view) = view {
-            campaign.learn(view);
+        if campaign.receive_prepare_ok(from, prepare_ok) {
+            self.send_requests();
+            self.decide_prepare();
         }
-        campaign.agreed.insert(from);
-        campaign
-            .promises
-            .insert(from, Promised { viewstamp, leaving });
-        self.ask_voters();
-        self.decide_promises();
     }
 
-    /// Goes on once there is a majority of promises, and all others have come or take too long.
-    fn decide_promises(&mut self) {
+    /// Proposes a view once the newest state is decided, or fetches that state first.
+    fn decide_prepare(&mut self) {
         let own = self.durable.member;
-        let Some(campaign) = self.campaign.as_mut().filter(|c| c.phase == Phase::Prepare) else {
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        let ready = campaign.agreed.contains(&own) && campaign.has_majority(&campaign.agreed);
-        if !ready {
-            return;
-        }
-        let since = *campaign.majority_ms.get_or_insert(self.now_ms);
-        let answered = campaign.agreed.len() + campaign.refused.len();
-        if answered < campaign.asked.len() && self.now_ms < since + MORE_PROMISES_MS {
-            return;
-        }
-        let Some((holder, newest)) = campaign.newest(own) else {
+        let Some(newest) = campaign.decided_state(own, self.now_ms) else {
             return;
         };
-        let number = campaign.number;
-        if holder == own {
-            self.propose(newest);
-        } else {
-            campaign.phase = Phase::Fetch;
-            campaign.deadline_ms = self.now_ms + PHASE_MS;
-            self.abdicate();
-            self.pull_as_candidate(holder, number, newest);
+        if newest.source == own {
+            self.propose(newest.viewstamp);
+            return;
         }
+        let number = campaign.number();
+        campaign.fetch();
+        campaign.set_deadline(self.now_ms + PHASE_MS);
+        self.end_leadership();
+        self.transfer_to_candidate(newest.source, number, newest.viewstamp);
     }
 
-    pub(super) fn on_fetched(&mut self, number: u64) {
-        let fetched = self
-            .campaign
-            .as_ref()
-            .is_some_and(|c| c.number == number && c.phase == Phase::Fetch);
-        if fetched {
+    /// The state that a candidate has fetched is on its disk.
+    pub(super) fn on_transfer_stored(&mut self, number: u64) {
+        let campaign = self.campaign.as_ref();
+        if campaign.is_some_and(|campaign| campaign.is_fetching(number)) {
             self.propose(self.durable.viewstamp);
         }
     }
@@ -278,134 +202,45 @@
     /// Proposes the view on top of the state `base`, which this member has on disk.
     fn propose(&mut self, base: Viewstamp) {
         let own = self.durable.member;
-        let Some(view) = self.campaign.as_ref().and_then(|c| self.next_view(c, base)) else {
-            self.fail_candidacy();
+        let campaign = self.campaign.as_ref();
+        let view = campaign.and_then(|c| next_view(c, own, base, &self.settings));
+        let Some(view) = view else {
+            self.fail_campaign();
             return;
         };
-        let Some(campaign) = &mut self.campaign else {
-            return;
-        };
-        campaign.phase = Phase::Propose { view: view.clone() };
-        campaign.deadline_ms = self.now_ms + PHASE_MS;
-        campaign.agreed.clear();
-        campaign.refused.clear();
-        let number = view.number;
-        let all: BTreeSet<Member> = view
-            .voters
-            .iter()
-            .chain(&view.previous_voters)
-            .copied()
-            .collect();
+        if let Some(campaign) = &mut self.campaign {
+            campaign.propose(view.clone());
+            campaign.set_deadline(self.now_ms + PHASE_MS);
+        }
         self.durable.view = Some(view.clone());
         self.durable.agreed = false;
-        self.stores.want_then(AfterStore::OwnAccepted { number });
-        for member in all.into_iter().filter(|&member| member != own) {
+        let number = view.number;
+        self.stores
+            .request_store_then(AfterStore::OwnAccepted { number });
+        let electorates = view.voters.iter().chain(&view.previous_voters);
+        let others: BTreeSet<Member> = electorates.copied().filter(|&m| m != own).collect();
+        for member in others {
             self.send(member.internal, Message::Accept { view: view.clone() });
         }
     }
 
-    /// The view to propose; `None` where no chain comes together.
-    fn next_view(&self, campaign: &Campaign, base: Viewstamp) -> Option<View> {
-        let known = &campaign.known;
-        // Voters change only on top of an established view.
-        let fits = |plan: &&Plan| known.is_established() || plan.voters == known.voters;
-        let plan = campaign.plan.as_ref().filter(fits);
-        let voters = plan.map_or(&known.voters, |plan| &plan.voters);
-        let chain = match plan {
-            Some(plan) => planned_chain(plan, campaign, known),
-            None => elected_chain(
-                self.durable.member,
-                voters,
-                campaign,
-                base,
-                self.chain_min(voters.len()),
-            ),
-        };
-        let enough = chain.len() >= self.chain_min(voters.len());
-        let leads =
-            chain.first() == Some(&self.durable.member) && voters.contains(&self.durable.member);
-        (enough && leads).then(|| View {
-            number: campaign.number,
-            voters: voters.clone(),
-            previous_voters: known.previous_voters.clone(),
-            chain,
-            base,
-        })
-    }
-
-    /// Least length of the chain with so many voters.
-    pub(super) fn chain_min(&self, voters: usize) -> usize {
-        majority(voters).max(voters.min(self.settings.tolerated_losses + 1))
-    }
-
     pub(super) fn on_accepted(&mut self, from: Member, number: u64) {
-        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
-            return;
-        };
-        let Phase::Propose { view } = &campaign.phase else {
-            return;
-        };
-        campaign.agreed.insert(from);
-        let own = campaign.agreed.contains(&self.durable.member);
-        let holds = is_majority(&view.voters, &campaign.agreed)
-            && is_majority(&view.previous_voters, &campaign.agreed);
-        if own && holds {
-            let view = view.clone();
+        let own = self.durable.member;
+        let campaign = self.campaign.as_mut();
+        if let Some(view) = campaign.and_then(|c| c.receive_accepted(from, number, own)) {
             self.campaign = None;
             self.lead(view);
         }
     }
 
-    pub(super) fn on_refuse(&mut self, from: Member, number: u64, promised: u64) {
-        self.note_refusal(from, number, promised);
-        let Some(campaign) = self.campaign.as_mut().filter(|c| c.number == number) else {
+    pub(super) fn on_prepare_reject(&mut self, from: Member, number: u64, promised: u64) {
+        self.on_heartbeat_rejected(from, number, promised);
+        let Some(campaign) = &mut self.campaign else {
             return;
         };
-        campaign.promised = campaign.promised.max(promised);
-        campaign.refused.insert(from);
-        if promised >= number {
-            campaign.deadline_ms = campaign.deadline_ms.min(self.now_ms + REFUSED_WAIT_MS);
-        }
-        if campaign.is_hopeless() {
-            self.fail_candidacy();
-        }
-    }
-}
-
-/// The chain that a head has planned, without those that have not promised.
-fn planned_chain(plan: &Plan, campaign: &Campaign, known: &View) -> Vec<Member> {
-    let may_join =
-        |member: &Member| campaign.promises.contains_key(member) || !known.voters.contains(member);
-    plan.chain.iter().copied().filter(may_join).collect()
-}
-
-/// The candidate, then the voters that have promised: those that are up to date, and others where these are too few.
-fn elected_chain(
-    own: Member,
-    voters: &[Member],
-    campaign: &Campaign,
-    base: Viewstamp,
-    least: usize,
-) -> Vec<Member> {
-    let mut others: Vec<(Member, Promised)> = campaign
-        .promises
-        .iter()
-        .filter(|(member, _)| **member != own && voters.contains(member))
-        .map(|(&member, &promised)| (member, promised))
-        .collect();
-    others.sort_by_key(|(member, promised)| {
-        (
-            promised.leaving,
-            std::cmp::Reverse(promised.viewstamp),
-            *member,
-        )
-    });
-    let mut chain = vec![own];
-    for (member, promised) in others {
-        let fit = promised.viewstamp.view == base.view && !promised.leaving;
-        if fit || chain.len() < least {
-            chain.push(member);
+        let is_own = campaign.receive_reject(from, number, promised, self.now_ms);
+        if is_own && campaign.is_hopeless() {
+            self.fail_campaign();
         }
     }
-    chain
 }
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -1,12 +1,10 @@
-//! The head's work beside writes: heartbeats, its lease, the end of its role.
+//! The head's work beside writes: heartbeats, and its lease.
 
-use super::leadership::{Health, Leadership, Peer};
-use super::{Output, Replica};
-use crate::message::Message;
-use crate::timing::{
-    BACKOFF_SPREAD_MS, FORGET_NEWCOMER_MS, HEARTBEAT_MS, HISTORY_MAX, LEASE_MS, LEAVE_WAIT_MS,
-    RESIGNED_QUIET_MS, SLOW_HEAD_MS, SLOW_MEMBER_MS, TENURE_MIN_MS,
-};
+use super::Replica;
+use super::leadership::Leadership;
+use super::peer::Health;
+use crate::message::{Grant, Heartbeat, Message};
+use crate::timing::{BACKOFF_SPREAD_MS, DRAIN_WAIT_MS, HISTORY_MAX, LEASE_MS, SLOW_MEMBER_MS};
 use crate::types::{Member, View, ViewStart, Viewstamp};
 use std::net::SocketAddr;
 
@@ -16,30 +14,32 @@
         now_ms < self.acting_until_ms()
     }
 
-    /// Until when [`Replica::may_act`] holds if nothing else happens; 0 if it does not.
+    /// Until when [`Replica::may_act`] is true if nothing else happens; 0 if it is false.
     pub fn acting_until_ms(&self) -> u64 {
         let gained = self
             .leadership
             .as_ref()
-            .filter(|leadership| leadership.is_gained);
-        gained.map_or(0, |leadership| {
-            leadership.lease_until_ms(self.durable.member)
-        })
+            .filter(|leadership| leadership.is_gained());
+        gained.map_or(0, |leadership| leadership.lease_until_ms())
     }
 
-    /// Leads a view that holds from now on.
+    /// Leads an agreed view.
     pub(super) fn lead(&mut self, view: View) {
         self.durable.agreed = true;
         self.enter_view(&view);
-        self.lease = None;
+        self.voter.clear_lease();
         match &mut self.leadership {
             Some(leadership) => leadership.renew(view, self.now_ms),
             None => {
-                let leadership = Leadership::new(view, self.now_ms, self.stored_viewstamp);
+                let leadership = Leadership::new(
+                    self.durable.member,
+                    view,
+                    self.now_ms,
+                    self.stores.stored_viewstamp(),
+                );
                 self.leadership = Some(leadership);
             }
         }
-        self.add_peers();
         self.send_heartbeats();
     }
 
@@ -57,30 +57,15 @@
         if history.len() > HISTORY_MAX {
             history.drain(..history.len() - HISTORY_MAX);
         }
-        self.stores.want();
-    }
-
-    fn add_peers(&mut self) {
-        let (own, now_ms) = (self.durable.member, self.now_ms);
-        let Some(leadership) = &mut self.leadership else {
-            return;
-        };
-        let voters = leadership.view.voters.clone();
-        for voter in voters.into_iter().filter(|&voter| voter != own) {
-            leadership
-                .peers
-                .entry(voter)
-                .or_insert_with(|| Peer::new(now_ms));
-        }
+        self.stores.request_store();
     }
 
     pub(super) fn send_heartbeats(&mut self) {
-        let own = self.durable.member;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership.heartbeat_ms = self.now_ms + HEARTBEAT_MS;
-        for internal in leadership.audience(own) {
+        leadership.schedule_heartbeat(self.now_ms);
+        for internal in leadership.heartbeat_recipients() {
             self.send_heartbeat(internal);
         }
     }
@@ -89,207 +74,106 @@
         let Some(leadership) = &self.leadership else {
             return;
         };
-        let message = Message::Heartbeat {
+        let message = Message::Heartbeat(Heartbeat {
             view: leadership.view.clone(),
             sent_ms: self.now_ms,
             seq: self.durable.viewstamp.seq,
             address: self.settings.address.clone(),
-        };
+        });
         self.send(to, message);
     }
 
-    pub(super) fn on_grant(&mut self, from: Member, number: u64, sent_ms: u64, health: Health) {
+    pub(super) fn on_grant(&mut self, from: Member, grant: Grant) {
         let now_ms = self.now_ms;
+        let (number, sent_ms) = (grant.number, grant.sent_ms);
+        let health = Health {
+            viewstamp: grant.viewstamp,
+            store_age_ms: grant.store_age_ms,
+            draining: grant.draining,
+        };
+        self.learn_address(grant.address);
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let is_known =
-            (leadership.first_view..=leadership.view.number).contains(&number) && sent_ms <= now_ms;
+        let is_known = leadership.has_led(number) && sent_ms <= now_ms;
         if !is_known {
             return;
         }
-        let peer = leadership
-            .peers
-            .entry(from)
-            .or_insert_with(|| Peer::new(now_ms));
-        peer.granted_ms = peer.granted_ms.max(Some(sent_ms));
-        peer.heard_ms = now_ms;
-        peer.health = Health {
-            viewstamp: peer.health.viewstamp.max(health.viewstamp),
-            ..health
-        };
+        leadership
+            .peer_or_new(from, now_ms)
+            .has_granted(sent_ms, health, now_ms);
         self.count_stored();
     }
 
-    /// Somebody who hears of no head has announced itself.
+    /// A member without a head has announced itself.
     pub(super) fn on_newcomer(&mut self, member: Member) {
         let now_ms = self.now_ms;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership
-            .peers
-            .entry(member)
-            .or_insert_with(|| Peer::new(now_ms));
+        leadership.peer_or_new(member, now_ms);
         if self.campaign.is_none() {
             self.send_heartbeat(member.internal);
         }
     }
 
-    /// A member has refused a heartbeat, since it has promised a higher number.
-    pub(super) fn note_refusal(&mut self, from: Member, number: u64, promised: u64) {
-        let lease_holds = self.may_act(self.now_ms);
-        let Some(leadership) = self.leadership.as_mut().filter(|t| t.view.number == number) else {
+    /// A member has rejected a heartbeat because it has promised a higher number.
+    pub(super) fn on_heartbeat_rejected(&mut self, from: Member, number: u64, promised: u64) {
+        let has_lease = self.may_act(self.now_ms);
+        let Some(leadership) = self.leadership.as_mut().filter(|l| l.view.number == number) else {
             return;
         };
         if promised <= self.durable.promised.max(number) {
             return;
         }
         if let Some(peer) = leadership.peers.get_mut(&from) {
-            peer.beyond = true;
-            peer.heard_ms = self.now_ms;
+            peer.has_rejected(self.now_ms);
         }
-        if lease_holds {
+        if has_lease {
             self.number_floor = self.number_floor.max(promised);
-        } else if leadership.view_since_ms + LEASE_MS < self.now_ms {
-            self.abdicate();
+        } else if leadership.view_age_ms(self.now_ms) > LEASE_MS {
+            self.end_leadership();
         }
     }
 
-    pub(super) fn tenure_due_ms(&self) -> Option<u64> {
+    pub(super) fn leadership_due_ms(&self) -> Option<u64> {
         let leadership = self.leadership.as_ref()?;
         let heartbeat = if self.campaign.is_some() {
             u64::MAX
         } else {
-            leadership.heartbeat_ms
+            leadership.heartbeat_ms()
         };
         let slow = leadership
-            .outstanding
-            .front()
+            .writes
+            .oldest()
             .map_or(u64::MAX, |o| o.sent_ms + SLOW_MEMBER_MS);
         let leave = self
-            .leaving_since_ms
-            .map_or(u64::MAX, |since| since + LEAVE_WAIT_MS);
+            .draining_since_ms
+            .map_or(u64::MAX, |since| since + DRAIN_WAIT_MS);
         let ahead = [slow, leave].into_iter().filter(|&due| due > self.now_ms);
         ahead.chain([heartbeat]).min()
     }
 
-    pub(super) fn run_tenure(&mut self) {
+    pub(super) fn run_leadership(&mut self) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let lease_until_ms = leadership.lease_until_ms(self.durable.member);
-        if self.now_ms
-            > lease_until_ms
-                .max(leadership.view_since_ms)
-                .saturating_add(LEASE_MS)
-        {
+        if leadership.is_lost(self.now_ms) {
             self.withdraw();
-            self.stand_at_ms = self.now_ms + LEASE_MS + self.random_below(BACKOFF_SPREAD_MS);
+            self.campaign_at_ms = self.now_ms + LEASE_MS + self.random_below(BACKOFF_SPREAD_MS);
             return;
         }
-        // Before heartbeats: one that came after the role was handed over would bind its receiver to this head again.
-        self.leave_when_done();
-        self.hand_over_if_slow();
+        // Before heartbeats: one sent after the leadership was transferred would bind its receiver to this head again.
+        self.drain();
+        self.transfer_leadership_if_slow();
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if self.campaign.is_none() && self.now_ms >= leadership.heartbeat_ms {
-            let (voters, now_ms) = (leadership.view.voters.clone(), self.now_ms);
-            leadership
-                .peers
-                .retain(|m, p| voters.contains(m) || p.silent_ms(now_ms) < FORGET_NEWCOMER_MS);
+        if self.campaign.is_none() && self.now_ms >= leadership.heartbeat_ms() {
+            leadership.forget_newcomers(self.now_ms);
             self.send_heartbeats();
             self.resend_lacking();
         }
         self.reconfigure();
     }
-
-    /// The head's role ends here. What was submitted and is not on all disks has an unknown fate.
-    pub(super) fn abdicate(&mut self) {
-        let Some(leadership) = self.leadership.take() else {
-            return;
-        };
-        for write_id in leadership.outstanding.into_iter().flat_map(|o| o.write_ids) {
-            self.outputs.push(Output::Aborted { write_id });
-        }
-        for pending in leadership.pending {
-            self.outputs.push(Output::Refused {
-                write_id: pending.write_id,
-            });
-        }
-        if leadership.is_gained {
-            self.outputs.push(Output::HeadLost);
-        }
-    }
-
-    pub(super) fn on_step_down(&mut self) {
-        if self.is_leaving() {
-            return;
-        }
-        self.leaving_since_ms = Some(self.now_ms);
-        if self.leadership.is_none() {
-            self.campaign = None;
-            self.send_grant();
-        }
-    }
-
-    fn leave_when_done(&mut self) {
-        let Some(since) = self.leaving_since_ms else {
-            return;
-        };
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        let done = leadership.outstanding.is_empty() && leadership.pending.is_empty();
-        if done || self.now_ms >= since + LEAVE_WAIT_MS {
-            self.hand_over();
-        }
-    }
-
-    /// A head whose own disk hangs lets another member lead.
-    fn hand_over_if_slow(&mut self) {
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        let is_slow = self.stores.age_ms(self.now_ms) >= SLOW_HEAD_MS;
-        if is_slow && self.now_ms >= leadership.since_ms + TENURE_MIN_MS {
-            self.hand_over();
-        }
-    }
-
-    /// Gives the lease back and lets the member with the newest state stand.
-    fn hand_over(&mut self) {
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        let (own, now_ms) = (self.durable.member, self.now_ms);
-        let oldest = leadership.outstanding.front().map_or(0, |o| o.batch.seq);
-        let is_fit = |peer: &Peer| {
-            peer.silent_ms(now_ms) < 2 * HEARTBEAT_MS
-                && !peer.health.leaving
-                && peer.health.store_age_ms < SLOW_HEAD_MS / 2
-                && peer.health.viewstamp.seq >= oldest
-        };
-        let chain = leadership
-            .view
-            .chain
-            .iter()
-            .copied()
-            .filter(|&member| member != own);
-        let fit = chain.filter(|member| leadership.peers.get(member).is_some_and(is_fit));
-        let Some(successor) = fit.max_by_key(|&member| leadership.viewstamp_of(member, own)) else {
-            return;
-        };
-        let (number, audience) = (leadership.view.number, leadership.audience(own));
-        self.withdraw();
-        for internal in audience
-            .into_iter()
-            .filter(|&internal| internal != successor.internal)
-        {
-            self.send(internal, Message::Release { number });
-        }
-        self.send(successor.internal, Message::Stand { number });
-        self.stand_at_ms = self.now_ms + RESIGNED_QUIET_MS;
-    }
 }
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -1,4 +1,5 @@
-//! Stores one after the other: what is to be stored while one is under way goes into the next, all together.
+//! The stores of a member, one after the other: what is requested while one is under way goes into the next, all
+//! together (group commit).
 
 use crate::durable::{Durable, StoreOperation, StoreRequest};
 use crate::message::Message;
@@ -10,17 +11,17 @@
 /// What may be done once a store is on disk.
 #[derive(Debug)]
 pub(super) enum AfterStore {
-    /// Send a message that tells of it.
+    /// Send a message that depends on it.
     Send {
         to: SocketAddr,
         message: Box<Message>,
     },
-    /// Count this member's own promise.
-    OwnPromise { number: u64 },
+    /// Count this member's own promise in its campaign.
+    OwnPrepareOk { number: u64 },
     /// Count this member's own acceptance of its view.
     OwnAccepted { number: u64 },
-    /// Propose a view on top of a state that has been fetched.
-    Fetched { number: u64 },
+    /// Propose a view on top of the state that a candidate has fetched.
+    TransferStored { number: u64 },
     /// Grant the lease to the head of the view that is on disk now.
     Grant,
 }
@@ -28,10 +29,8 @@
 /// A store that is on disk.
 #[derive(Debug)]
 pub(super) struct Finished {
-    /// The state of the rows with it.
-    pub viewstamp: Viewstamp,
-    /// Number of the view accepted last; 0 before the first.
-    pub view: u64,
+    /// The state of the rows has changed with it.
+    pub has_new_rows: bool,
     /// What may be done now.
     pub after: Vec<AfterStore>,
 }
@@ -46,24 +45,51 @@
 }
 
 /// The stores of a member.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(super) struct StoreQueue {
+    /// The state of the rows on disk.
+    stored_viewstamp: Viewstamp,
+    /// Number of the view accepted last, as it is on disk; 0 before the first.
+    stored_view: u64,
     last_store: u64,
     in_flight: Option<InFlight>,
     operations: Vec<StoreOperation>,
     after: Vec<AfterStore>,
-    wanted: bool,
+    is_requested: bool,
 }
 
 impl StoreQueue {
+    /// The queue of a member that has this record on its disk, if any.
+    pub(super) fn new(durable: Option<&Durable>) -> StoreQueue {
+        StoreQueue {
+            stored_viewstamp: durable.map_or(Viewstamp::default(), |d| d.viewstamp),
+            stored_view: durable.map_or(0, Durable::view_number),
+            last_store: 0,
+            in_flight: None,
+            operations: Vec::new(),
+            after: Vec::new(),
+            is_requested: false,
+        }
+    }
+
+    /// The state of the rows on disk.
+    pub(super) fn stored_viewstamp(&self) -> Viewstamp {
+        self.stored_viewstamp
+    }
+
+    /// Number of the view accepted last, as it is on disk; 0 before the first.
+    pub(super) fn stored_view(&self) -> u64 {
+        self.stored_view
+    }
+
     /// The record has changed and has to be stored.
-    pub(super) fn want(&mut self) {
-        self.wanted = true;
+    pub(super) fn request_store(&mut self) {
+        self.is_requested = true;
     }
 
-    /// As [`StoreQueue::want`], and `after` follows.
-    pub(super) fn want_then(&mut self, after: AfterStore) {
-        self.wanted = true;
+    /// As [`StoreQueue::request_store`], and `after` follows.
+    pub(super) fn request_store_then(&mut self, after: AfterStore) {
+        self.is_requested = true;
         self.after.push(after);
     }
 
@@ -77,7 +103,7 @@
         self.in_flight.is_none()
     }
 
-    /// The disk has refused the store under way.
+    /// The store under way has failed and is to be retried.
     pub(super) fn is_failing(&self) -> bool {
         self.in_flight
             .as_ref()
@@ -103,12 +129,12 @@
         durable: &Durable,
     ) -> Option<(u64, Arc<StoreRequest>)> {
         if self.in_flight.is_some() {
-            return self.start_again(now_ms);
+            return self.retry(now_ms);
         }
-        if !self.wanted {
+        if !self.is_requested {
             return None;
         }
-        self.wanted = false;
+        self.is_requested = false;
         self.last_store += 1;
         let operations = std::mem::take(&mut self.operations);
         let request = Arc::new(StoreRequest {
@@ -125,7 +151,7 @@
         Some((self.last_store, request))
     }
 
-    fn start_again(&mut self, now_ms: u64) -> Option<(u64, Arc<StoreRequest>)> {
+    fn retry(&mut self, now_ms: u64) -> Option<(u64, Arc<StoreRequest>)> {
         let failed = self.in_flight.as_mut()?;
         failed.retry_ms.filter(|&due| due <= now_ms)?;
         failed.retry_ms = None;
@@ -138,9 +164,11 @@
     pub(super) fn finish(&mut self, store: u64) -> Option<Finished> {
         let done = self.in_flight.take_if(|f| f.store == store)?;
         let durable = &done.request.durable;
+        let has_new_rows = durable.viewstamp != self.stored_viewstamp;
+        self.stored_viewstamp = durable.viewstamp;
+        self.stored_view = durable.view_number();
         Some(Finished {
-            viewstamp: durable.viewstamp,
-            view: durable.view_number(),
+            has_new_rows,
             after: done.after,
         })
     }
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -1,82 +1,13 @@
-//! Transfers: how a member gets the rows that it lacks, from the head or, as a candidate, from another voter.
+//! State transfer: how a member gets the rows that it lacks, from the head or, as a candidate, from another voter; and how
+//! it serves others (Viewstamped Replication's state transfer).
 
+use super::rows_server::RowsRequest;
+use super::state_transfer::{Progress, Purpose, StateTransfer};
 use super::{AfterStore, Output, Replica};
 use crate::durable::{Durable, StoreOperation};
-use crate::message::Message;
-use crate::timing::{
-    FETCH_GIVE_UP_MS, FETCH_RETRY_MS, TRANSFER_BYTES, TRIM_AFTER_MS, TRIM_STEP_MS,
-};
-use crate::types::{Member, Row, RowsChunk, View, ViewStart, Viewstamp};
-use std::collections::VecDeque;
-
-/// A reading for another member.
-#[derive(Debug)]
-pub(super) struct Serving {
-    to: Member,
-    round: u64,
-    after: u64,
-    clear: bool,
-    view: u64,
-}
-
-/// Rows that another member has sent.
-#[derive(Debug)]
-pub(super) struct Part {
-    pub round: u64,
-    pub after: u64,
-    pub clear: bool,
-    pub rows: Vec<Row>,
-    pub more: bool,
-    pub viewstamp: Viewstamp,
-    pub history: Vec<ViewStart>,
-}
-
-#[derive(Debug, PartialEq, Eq)]
-enum Purpose {
-    /// To follow the head of this view.
-    Follow { number: u64 },
-    /// To propose a view on top of the newest state.
-    Candidate { number: u64, newest: Viewstamp },
-}
-
-/// A transfer to this member. The rows are kept in memory until all have come, for a part of them is no state.
-#[derive(Debug)]
-pub(super) struct Pull {
-    source: Member,
-    round: u64,
-    purpose: Purpose,
-    clear: bool,
-    rows: Vec<Row>,
-    next_after: Option<u64>,
-    asked_ms: u64,
-    heard_ms: u64,
-}
-
-impl Pull {
-    pub(super) fn is_for_candidate(&self) -> bool {
-        matches!(self.purpose, Purpose::Candidate { .. })
-    }
-}
-
-/// How far the table had come at earlier times, to drop traces of deleted rows.
-#[derive(Debug)]
-pub(super) struct TrimNotes {
-    notes: VecDeque<(u64, u64)>,
-    due_ms: u64,
-}
-
-impl TrimNotes {
-    pub(super) fn new(now_ms: u64) -> TrimNotes {
-        TrimNotes {
-            notes: VecDeque::new(),
-            due_ms: now_ms + TRIM_STEP_MS,
-        }
-    }
-
-    pub(super) fn due_ms(&self) -> u64 {
-        self.due_ms
-    }
-}
+use crate::message::{Fetch, Message, Rows};
+use crate::timing::TRANSFER_BYTES;
+use crate::types::{Member, RowsChunk, View, ViewStart, Viewstamp};
 
 impl Replica {
     /// Brings the rows up to the head's where writes down the chain do not do it.
@@ -89,90 +20,62 @@
         }
         if viewstamp == view.base {
             self.enter_view(view);
-        } else if self.pull.is_none() {
-            self.start_pull(
-                head,
-                Purpose::Follow {
-                    number: view.number,
-                },
-            );
+        } else if self.transfer.is_none() {
+            let number = view.number;
+            self.start_transfer(head, Purpose::Follow { number });
         }
     }
 
-    pub(super) fn pull_as_candidate(&mut self, source: Member, number: u64, newest: Viewstamp) {
-        self.start_pull(source, Purpose::Candidate { number, newest });
+    /// Fetches the newest state, on top of which this member wants to propose the view `number`.
+    pub(super) fn transfer_to_candidate(&mut self, source: Member, number: u64, newest: Viewstamp) {
+        self.start_transfer(source, Purpose::Candidate { number, newest });
     }
 
-    fn start_pull(&mut self, source: Member, purpose: Purpose) {
-        self.last_round += 1;
-        self.pull = Some(Pull {
-            source,
-            round: self.last_round,
-            purpose,
-            clear: false,
-            rows: Vec::new(),
-            next_after: None,
-            asked_ms: 0,
-            heard_ms: self.now_ms,
-        });
-        self.ask_source();
+    fn start_transfer(&mut self, source: Member, purpose: Purpose) {
+        self.last_request_id += 1;
+        let transfer = StateTransfer::new(source, self.last_request_id, purpose, self.now_ms);
+        self.transfer = Some(transfer);
+        self.request_rows();
     }
 
-    fn ask_source(&mut self) {
-        let viewstamp = self.durable.viewstamp;
-        let Some(pull) = &mut self.pull else { return };
-        pull.asked_ms = self.now_ms;
-        let (to, round, after) = (pull.source.internal, pull.round, pull.next_after);
-        self.send(
-            to,
-            Message::Fetch {
-                round,
-                viewstamp,
-                after,
-            },
-        );
+    fn request_rows(&mut self) {
+        let Some(transfer) = &mut self.transfer else {
+            return;
+        };
+        let to = transfer.source().internal;
+        let request = transfer.next_request(self.now_ms, self.durable.viewstamp);
+        self.send(to, request);
     }
 
-    pub(super) fn pull_due_ms(&self) -> Option<u64> {
-        self.pull
-            .as_ref()
-            .map(|pull| pull.asked_ms + FETCH_RETRY_MS)
+    pub(super) fn transfer_due_ms(&self) -> Option<u64> {
+        self.transfer.as_ref().map(StateTransfer::due_ms)
     }
 
-    pub(super) fn run_pull(&mut self) {
-        let Some(pull) = &self.pull else { return };
-        if self.now_ms >= pull.heard_ms + FETCH_GIVE_UP_MS {
-            self.pull = None;
-        } else if self.now_ms >= pull.asked_ms + FETCH_RETRY_MS {
-            self.ask_source();
+    pub(super) fn run_transfer(&mut self) {
+        let Some(transfer) = &self.transfer else {
+            return;
+        };
+        if transfer.is_timed_out(self.now_ms) {
+            self.transfer = None;
+        } else if self.now_ms >= transfer.due_ms() {
+            self.request_rows();
         }
     }
 
-    pub(super) fn on_fetch(
-        &mut self,
-        from: Member,
-        round: u64,
-        viewstamp: Viewstamp,
-        after: Option<u64>,
-    ) {
-        let (after, clear) = match after {
+    pub(super) fn on_fetch(&mut self, from: Member, fetch: &Fetch) {
+        let viewstamp = fetch.viewstamp;
+        let (after, clear) = match fetch.after {
             Some(after) => (after, false),
-            None if is_part_of(viewstamp, &self.durable) => (viewstamp.seq, false),
+            None if is_earlier_state_of(viewstamp, &self.durable) => (viewstamp.seq, false),
             None => (0, true),
         };
-        self.last_read += 1;
-        let read = self.last_read;
-        self.reads.retain(|_, serving| serving.to != from);
-        self.reads.insert(
-            read,
-            Serving {
-                to: from,
-                round,
-                after,
-                clear,
-                view: self.durable.viewstamp.view,
-            },
-        );
+        let read = self.rows_server.start(RowsRequest {
+            to: from,
+            request_id: fetch.request_id,
+            after,
+            clear,
+            view: self.durable.viewstamp.view,
+        });
         self.outputs.push(Output::ReadRows {
             read,
             since: after,
@@ -181,108 +84,83 @@
     }
 
     pub(super) fn on_rows_read(&mut self, read: u64, chunk: RowsChunk) {
-        let Some(serving) = self.reads.remove(&read) else {
+        let Some(request) = self.rows_server.finish(read) else {
             return;
         };
-        if chunk.viewstamp.view != serving.view {
+        // The rows have been replaced since the request came: its answer would mix two states.
+        if chunk.viewstamp.view != request.view {
             return;
         }
-        let RowsChunk {
-            rows,
-            more,
-            viewstamp,
-            history,
-        } = chunk;
-        let Serving {
-            to,
-            round,
-            after,
-            clear,
-            ..
-        } = serving;
-        self.send(
-            to.internal,
-            Message::Rows {
-                round,
-                after,
-                clear,
-                rows,
-                more,
-                viewstamp,
-                history,
-            },
-        );
+        let message = Message::Rows(Rows {
+            request_id: request.request_id,
+            after: request.after,
+            clear: request.clear,
+            rows: chunk.rows,
+            more: chunk.more,
+            viewstamp: chunk.viewstamp,
+            history: chunk.history,
+        });
+        self.send(request.to.internal, message);
     }
 
-    pub(super) fn on_rows(&mut self, from: Member, part: Part) {
-        let now_ms = self.now_ms;
-        let is_asked = |pull: &&mut Pull| pull.source == from && pull.round == part.round;
-        let Some(pull) = self.pull.as_mut().filter(is_asked) else {
+    pub(super) fn on_rows(&mut self, from: Member, mut rows: Rows) {
+        let Some(transfer) = &mut self.transfer else {
             return;
         };
-        if pull.next_after.is_some_and(|after| after != part.after) {
-            return;
-        }
-        pull.heard_ms = now_ms;
-        if pull.next_after.is_none() {
-            pull.clear = part.clear;
-        }
-        let last_seq = part.rows.last().map_or(part.after, |row| row.seq);
-        pull.rows.extend(part.rows);
-        if part.more {
-            pull.next_after = Some(last_seq);
-            self.ask_source();
-        } else if let Some(pull) = self.pull.take() {
-            self.finish_pull(pull, part.viewstamp, part.history);
+        match transfer.receive(self.now_ms, from, &mut rows) {
+            Progress::Ignored => {}
+            Progress::MoreNeeded => self.request_rows(),
+            Progress::Complete => self.finish_transfer(rows.viewstamp, rows.history),
         }
     }
 
-    fn finish_pull(&mut self, pull: Pull, viewstamp: Viewstamp, history: Vec<ViewStart>) {
-        let fits = match &pull.purpose {
-            Purpose::Follow { number } => {
-                viewstamp.view == *number
-                    && self.durable.promised == *number
-                    && self.view() == *number
-            }
-            Purpose::Candidate { number, newest } => {
-                viewstamp == *newest && self.campaign.as_ref().is_some_and(|c| c.number == *number)
-            }
+    fn finish_transfer(&mut self, viewstamp: Viewstamp, history: Vec<ViewStart>) {
+        let Some(transfer) = self.transfer.take() else {
+            return;
         };
-        if !fits || viewstamp < self.durable.viewstamp {
-            if pull.is_for_candidate() {
-                self.fail_candidacy();
+        let purpose = transfer.purpose();
+        if !self.may_adopt(purpose, viewstamp) {
+            if transfer.is_for_candidate() {
+                self.fail_campaign();
             }
             return;
         }
-        if pull.clear {
-            self.stores.add(StoreOperation::Clear);
+        if transfer.replaces_all() {
             self.durable.trimmed = viewstamp.seq;
         }
-        self.stores.add(StoreOperation::Put(pull.rows));
+        for operation in transfer.into_operations() {
+            self.stores.add(operation);
+        }
         self.durable.viewstamp = viewstamp;
         self.durable.history = history;
-        match pull.purpose {
-            Purpose::Follow { .. } => self.stores.want(),
+        match purpose {
+            Purpose::Follow { .. } => self.stores.request_store(),
             Purpose::Candidate { number, .. } => {
-                self.stores.want_then(AfterStore::Fetched { number })
+                self.stores
+                    .request_store_then(AfterStore::TransferStored { number });
             }
         }
     }
 
-    /// Drops traces of rows deleted long ago, together with the next store.
-    pub(super) fn run_trim_notes(&mut self) {
-        if self.now_ms < self.trim_notes.due_ms {
-            return;
-        }
-        self.trim_notes.due_ms = self.now_ms + TRIM_STEP_MS;
-        self.trim_notes
-            .notes
-            .push_back((self.now_ms, self.stored_viewstamp.seq));
-        let is_old = |(at_ms, _): &&(u64, u64)| at_ms + TRIM_AFTER_MS <= self.now_ms;
-        let Some(&(_, seq)) = self.trim_notes.notes.front().filter(is_old) else {
+    /// The state that a transfer led to is the one that it was started for, and is not older than this member's own.
+    fn may_adopt(&self, purpose: Purpose, viewstamp: Viewstamp) -> bool {
+        let is_expected = match purpose {
+            Purpose::Follow { number } => {
+                viewstamp.view == number && self.durable.promised == number && self.view() == number
+            }
+            Purpose::Candidate { number, newest } => {
+                viewstamp == newest && self.campaign.as_ref().is_some_and(|c| c.number() == number)
+            }
+        };
+        is_expected && viewstamp >= self.durable.viewstamp
+    }
+
+    /// Drops tombstones of rows deleted long ago, together with the next store.
+    pub(super) fn run_trim_schedule(&mut self) {
+        let stored_seq = self.stores.stored_viewstamp().seq;
+        let Some(seq) = self.trim_schedule.run(self.now_ms, stored_seq) else {
             return;
         };
-        self.trim_notes.notes.pop_front();
         if seq > self.durable.trimmed {
             self.durable.trimmed = seq;
             self.stores.add(StoreOperation::Trim(seq));
@@ -290,8 +168,9 @@
     }
 }
 
-/// Whether a member at `viewstamp` has a part of the state of `durable`, so that it lacks only later rows.
-fn is_part_of(viewstamp: Viewstamp, durable: &Durable) -> bool {
+/// Whether the state `viewstamp` is a prefix of the state of `durable`, so that a member that has it lacks only later
+/// rows.
+fn is_earlier_state_of(viewstamp: Viewstamp, durable: &Durable) -> bool {
     if viewstamp.seq < durable.trimmed || viewstamp.view == 0 {
         return false;
     }
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -1,26 +1,23 @@
-//! The database's files and tables, and how they are opened.
+//! The database's tables and record, and how a database is opened.
 
-use super::error::{DamagedRecordSnafu, DatabaseSnafu, FilesSnafu, RecordSnafu, StorageError};
+use super::error::{
+    DamagedLogSnafu, DamagedRecordSnafu, DamagedSnafu, DatabaseSnafu, FilesSnafu, NewerFormatSnafu,
+    RecordSnafu, StorageError,
+};
+use super::files::{log_path, sync_folder};
 use super::{checksum, log, rows};
 use crate::durable::Durable;
 use rusqlite::{Connection, OptionalExtension, params};
 use snafu::{OptionExt, ResultExt, ensure};
-use std::fs::{self, File};
-use std::path::{Path, PathBuf};
+use std::fs;
+use std::path::Path;
 
-/// The database's file.
-const FILE_NAME: &str = "control.sqlite";
-/// What SQLite adds to the names of its other files.
-const SIDE_FILES: [&str; 3] = [LOG_SUFFIX, "-shm", "-journal"];
-/// What it adds to the name of the log.
-const LOG_SUFFIX: &str = "-wal";
-/// Form of the tables; SQLite's `user_version`. 0 is a database without tables.
-const FORM: u32 = 2;
-/// The form without checksums.
-const FORM_WITHOUT_CHECKSUMS: u32 = 1;
-/// Databases set aside are numbered up to here; the last one is replaced.
-const SET_ASIDE_MAX: u32 = 8;
+/// Version of the tables' format; SQLite's `user_version`. 0 is a database without tables.
+const FORMAT: u32 = 2;
+/// The format without checksums.
+const FORMAT_WITHOUT_CHECKSUMS: u32 = 1;
 
+/// Each commit is synced, and one process alone has the database open.
 const SETTINGS: &str = "
     PRAGMA locking_mode = EXCLUSIVE;
     PRAGMA journal_mode = WAL;
@@ -48,37 +45,32 @@
     pub durable: Option<Durable>,
 }
 
-/// Where the database of the folder `dir` is.
-pub(super) fn database_path(dir: &Path) -> PathBuf {
-    dir.join(FILE_NAME)
-}
-
 /// Opens the database and reads its record; makes the tables where there are none.
 pub(super) fn load(dir: &Path, path: &Path) -> Result<Loaded, StorageError> {
     fs::create_dir_all(dir).context(FilesSnafu { path: dir })?;
-    let lost = log::has_lost_writes(&with_suffix(path, LOG_SUFFIX)).context(FilesSnafu { path })?;
-    ensure!(!lost, super::error::DamagedLogSnafu { path });
+    let lost = log::has_lost_writes(&log_path(path)).context(FilesSnafu { path })?;
+    ensure!(!lost, DamagedLogSnafu { path });
     let mut connection = Connection::open(path).context(DatabaseSnafu { path })?;
     connection
         .execute_batch(SETTINGS)
         .context(DatabaseSnafu { path })?;
-    let form = read_form(&connection).context(DatabaseSnafu { path })?;
+    let format = read_format(&connection).context(DatabaseSnafu { path })?;
     ensure!(
-        form <= FORM,
-        super::error::NewerFormSnafu {
+        format <= FORMAT,
+        NewerFormatSnafu {
             path,
-            found: form,
-            known: FORM
+            found: format,
+            known: FORMAT
         }
     );
-    if form == 0 {
+    if format == 0 {
         connection
             .execute_batch(TABLES)
             .context(DatabaseSnafu { path })?;
         sync_folder(dir)?;
     } else {
         check(&connection, path)?;
-        if form == FORM_WITHOUT_CHECKSUMS {
+        if format == FORMAT_WITHOUT_CHECKSUMS {
             add_checksums(&mut connection).context(DatabaseSnafu { path })?;
         }
         rows::check_all(&connection, path)?;
@@ -90,7 +82,7 @@
     })
 }
 
-fn read_form(connection: &Connection) -> rusqlite::Result<u32> {
+fn read_format(connection: &Connection) -> rusqlite::Result<u32> {
     connection.query_row("PRAGMA user_version", [], |row| row.get(0))
 }
 
@@ -98,10 +90,7 @@
     let finding: String = connection
         .query_row("PRAGMA integrity_check(1)", [], |row| row.get(0))
         .context(DatabaseSnafu { path })?;
-    ensure!(
-        finding == "ok",
-        super::error::DamagedSnafu { path, finding }
-    );
+    ensure!(finding == "ok", DamagedSnafu { path, finding });
     Ok(())
 }
 
@@ -120,7 +109,7 @@
     postcard::from_bytes(record).context(RecordSnafu { path })
 }
 
-/// Brings a database of the form before to the present one.
+/// Upgrades a database of the format without checksums.
 fn add_checksums(connection: &mut Connection) -> rusqlite::Result<()> {
     let transaction = connection.transaction()?;
     transaction.execute_batch("ALTER TABLE rows ADD COLUMN crc INTEGER NOT NULL DEFAULT 0")?;
@@ -133,7 +122,7 @@
     if let Some(record) = record {
         write_record(&transaction, record)?;
     }
-    transaction.pragma_update(None, "user_version", FORM)?;
+    transaction.pragma_update(None, "user_version", FORMAT)?;
     transaction.commit()
 }
 
@@ -147,43 +136,3 @@
         .execute(params![checksum::seal_record(record)])?;
     Ok(())
 }
-
-/// Renames the database's files so that a new one can be made; says where the database is now.
-pub(super) fn quarantined(dir: &Path, path: &Path) -> Result<PathBuf, StorageError> {
-    let mut number = 1;
-    while number < SET_ASIDE_MAX && aside_path(path, number).exists() {
-        number += 1;
-    }
-    let aside = aside_path(path, number);
-    fs::rename(path, &aside).context(FilesSnafu { path })?;
-    for suffix in SIDE_FILES {
-        let side_file = with_suffix(path, suffix);
-        if side_file.exists() {
-            fs::rename(&side_file, with_suffix(&aside, suffix))
-                .context(FilesSnafu { path: side_file })?;
-        }
-    }
-    sync_folder(dir)?;
-    Ok(aside)
-}
-
-/// A database of this folder has been set aside before.
-pub(super) fn has_set_aside(path: &Path) -> bool {
-    (1..=SET_ASIDE_MAX).any(|number| aside_path(path, number).exists())
-}
-
-fn aside_path(path: &Path, number: u32) -> PathBuf {
-    with_suffix(path, &format!(".bad-{number}"))
-}
-
-fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
-    let mut name = path.as_os_str().to_owned();
-    name.push(suffix);
-    PathBuf::from(name)
-}
-
-fn sync_folder(dir: &Path) -> Result<(), StorageError> {
-    File::open(dir)
-        .and_then(|folder| folder.sync_all())
-        .context(FilesSnafu { path: dir })
-}
--- /dev/null
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -0,0 +1,479 @@
+//! A cluster under simulated time: its machines, its network, and the writes that it is given.
+
+use super::events::{Event, EventQueue};
+use super::node::{DiskTask, InFlight, Node, Presence, index_of};
+use indigofold_replication::{
+    Envelope, Input, Member, Output, RowChange, StoreRequest, View, message,
+};
+use rand_core::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Rows in one chunk of a transfer: few, so that transfers have many chunks.
+const TRANSFER_ROWS: usize = 40;
+/// Time that a reading takes.
+const READ_MS: u64 = 1;
+
+/// How many machines a settings file names.
+const SEEDS: usize = 3;
+
+/// A directed link that loses everything.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Link {
+    from: usize,
+    to: usize,
+}
+
+/// A row that a write has set.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WrittenRow {
+    pub key: Vec<u8>,
+    pub value: Vec<u8>,
+}
+
+/// A member has become the head.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeadGained {
+    pub at_ms: u64,
+    pub node: usize,
+    pub view: u64,
+}
+
+/// The cluster.
+pub struct Cluster {
+    pub now_ms: u64,
+    pub nodes: Vec<Node>,
+    pub seeds: Vec<usize>,
+    blocked_links: BTreeSet<Link>,
+    pub loss_percent: u64,
+    /// Part of the messages that arrive twice.
+    pub repeat_percent: u64,
+    pub delay_spread_ms: u64,
+    pub random: Pcg64Mcg,
+    pub committed: BTreeMap<u64, WrittenRow>,
+    pub last_commit_ms: u64,
+    pub gained: Vec<HeadGained>,
+    pub trace: bool,
+    submitted: BTreeMap<u64, WrittenRow>,
+    pub aborted: u64,
+    pub rejected: u64,
+    next_write_id: u64,
+    events: EventQueue,
+    planned_wakes: BTreeMap<usize, u64>,
+}
+
+impl Cluster {
+    pub fn new(seed: u64, machines: usize, seeds: usize) -> Cluster {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let nodes = (0..machines)
+            .map(|index| {
+                Node::new(
+                    index,
+                    random.next_u64() % 100_000,
+                    980 + random.next_u64() % 41,
+                )
+            })
+            .collect();
+        Cluster {
+            now_ms: 0,
+            nodes,
+            seeds: (0..seeds).collect(),
+            blocked_links: BTreeSet::new(),
+            loss_percent: 0,
+            repeat_percent: 0,
+            delay_spread_ms: 3,
+            random,
+            committed: BTreeMap::new(),
+            last_commit_ms: 0,
+            gained: Vec::new(),
+            trace: false,
+            submitted: BTreeMap::new(),
+            aborted: 0,
+            rejected: 0,
+            next_write_id: 1,
+            events: EventQueue::default(),
+            planned_wakes: BTreeMap::new(),
+        }
+    }
+
+    /// Machines that have been installed and not been removed.
+    pub fn present(&self) -> Vec<usize> {
+        (0..self.nodes.len())
+            .filter(|&node| self.is_present(node))
+            .collect()
+    }
+
+    pub fn is_present(&self, node: usize) -> bool {
+        self.nodes[node].presence == Presence::Present
+    }
+
+    /// The machines from `first` on are not installed yet.
+    pub fn keep_spare(&mut self, first: usize) {
+        self.nodes[first..]
+            .iter_mut()
+            .for_each(|node| node.presence = Presence::Spare);
+    }
+
+    /// Takes a machine that has not been installed yet.
+    pub fn next_spare(&mut self) -> Option<usize> {
+        let spare = self
+            .nodes
+            .iter()
+            .position(|node| node.presence == Presence::Spare)?;
+        self.nodes[spare].presence = Presence::Installing;
+        Some(spare)
+    }
+
+    /// A new machine starts for the first time, beside those that are present.
+    pub fn install(&mut self, node: usize) {
+        self.log_event(&format!("install {node}"));
+        self.nodes[node].presence = Presence::Present;
+        self.name_seeds();
+        self.start(node, false);
+    }
+
+    /// A machine is removed for good, with its disk.
+    pub fn remove(&mut self, node: usize) {
+        self.log_event(&format!("remove {node}"));
+        self.wipe(node);
+        self.nodes[node].presence = Presence::Removed;
+        self.name_seeds();
+    }
+
+    /// Machines that start from now on have three present machines as their seeds.
+    fn name_seeds(&mut self) {
+        self.seeds = self.present().into_iter().take(SEEDS).collect();
+    }
+
+    pub fn below(&mut self, bound: u64) -> u64 {
+        self.random.next_u64() % bound.max(1)
+    }
+
+    pub fn start(&mut self, node: usize, bootstrap: bool) {
+        let seed = self.random.next_u64();
+        let seeds = self.seeds.clone();
+        self.nodes[node].start(self.now_ms, &seeds, bootstrap, seed);
+        self.planned_wakes.remove(&node);
+        self.input(node, Input::Timer);
+    }
+
+    pub fn start_all(&mut self) {
+        for node in self.present() {
+            self.start(node, true);
+        }
+    }
+
+    pub fn stop(&mut self, node: usize) {
+        let survives = self.below(2) == 0;
+        self.log_event(&format!("stop {node}"));
+        self.nodes[node].stop(survives);
+    }
+
+    pub fn wipe(&mut self, node: usize) {
+        self.stop(node);
+        self.log_event(&format!("wipe {node}"));
+        self.nodes[node].disk = Default::default();
+    }
+
+    pub fn freeze(&mut self, node: usize, for_ms: u64) {
+        self.log_event(&format!("freeze {node} for {for_ms}"));
+        self.nodes[node].frozen_until_ms = self.now_ms + for_ms;
+    }
+
+    /// The two machines are partitioned from each other.
+    pub fn block_both(&mut self, a: usize, b: usize) {
+        self.log_event(&format!("cut {a} {b}"));
+        self.block_link(a, b);
+        self.block_link(b, a);
+    }
+
+    /// What `from` sends to `to` is lost from now on.
+    pub fn block_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert(Link { from, to });
+    }
+
+    pub fn unblock_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.remove(&Link { from, to });
+    }
+
+    pub fn unblock_all(&mut self) {
+        self.blocked_links.clear();
+    }
+
+    pub fn log_event(&self, text: &str) {
+        if self.trace {
+            println!("{:>6} {text}", self.now_ms);
+        }
+    }
+
+    /// Runs until `until_ms`; each `submit_interval_ms` a write is submitted to the acting head.
+    pub fn run(&mut self, until_ms: u64, submit_interval_ms: u64) {
+        let mut next_submit_ms = self.now_ms + submit_interval_ms;
+        while self.now_ms < until_ms {
+            let due = self.events.next_ms().unwrap_or(until_ms);
+            let step = due.min(until_ms).min(next_submit_ms).max(self.now_ms);
+            self.now_ms = step;
+            self.check_one_head();
+            if step == next_submit_ms {
+                self.submit_anywhere();
+                next_submit_ms += submit_interval_ms;
+            }
+            while let Some(event) = self.events.pop_due(self.now_ms) {
+                self.run_event(event);
+            }
+            self.check_one_head();
+        }
+    }
+
+    pub fn acting(&self) -> Option<usize> {
+        self.nodes.iter().position(|node| node.may_act(self.now_ms))
+    }
+
+    /// Machines of the acting head's chain, head first.
+    pub fn chain(&self) -> Vec<usize> {
+        let head = self.acting().expect("a head acts");
+        let replica = self.nodes[head].replica.as_ref().expect("the head runs");
+        let (view, _) = replica.accepted_view().expect("the head has a view");
+        view.chain
+            .iter()
+            .map(|member| index_of(member.internal))
+            .collect()
+    }
+
+    fn submit_anywhere(&mut self) {
+        let Some(node) = self.acting() else { return };
+        let write_id = self.next_write_id;
+        self.next_write_id += 1;
+        let key = format!("row-{write_id}").into_bytes();
+        let value = format!("value-{write_id}").into_bytes();
+        let row = WrittenRow {
+            key: key.clone(),
+            value: value.clone(),
+        };
+        self.submitted.insert(write_id, row);
+        let shared = format!("shared-{}", write_id % 5).into_bytes();
+        let deleted_key = format!("gone-{}", write_id % 3).into_bytes();
+        let deleted_value = write_id
+            .is_multiple_of(2)
+            .then(|| write_id.to_string().into_bytes());
+        let changes = vec![
+            RowChange {
+                key,
+                value: Some(value),
+            },
+            RowChange {
+                key: shared,
+                value: Some(write_id.to_string().into_bytes()),
+            },
+            RowChange {
+                key: deleted_key,
+                value: deleted_value,
+            },
+        ];
+        self.input(node, Input::Submit { write_id, changes });
+    }
+
+    fn run_event(&mut self, event: Event) {
+        let node = match &event {
+            Event::Deliver(in_flight) => in_flight.to,
+            Event::DiskDone { node, .. } | Event::Wake { node, .. } => *node,
+        };
+        let thaw_ms = self.nodes[node].frozen_until_ms;
+        if self.now_ms < thaw_ms {
+            self.events.schedule(thaw_ms, event);
+            return;
+        }
+        match event {
+            Event::Deliver(in_flight) => self.deliver(*in_flight),
+            Event::DiskDone { node, incarnation } => self.disk_done(node, incarnation),
+            Event::Wake { node, incarnation } => {
+                self.planned_wakes.remove(&node);
+                if self.nodes[node].incarnation == incarnation {
+                    self.input(node, Input::Timer);
+                }
+            }
+        }
+    }
+
+    fn deliver(&mut self, in_flight: InFlight) {
+        let bytes = message::encode(&in_flight.envelope);
+        let envelope = message::decode(&bytes).expect("an encoded message can be decoded");
+        self.input(in_flight.to, Input::Message(envelope));
+    }
+
+    fn disk_done(&mut self, index: usize, incarnation: u64) {
+        let node = &mut self.nodes[index];
+        if node.incarnation != incarnation {
+            return;
+        }
+        node.busy = false;
+        let Some(task) = node.tasks.pop_front() else {
+            return;
+        };
+        let input = match task {
+            DiskTask::Store { store, .. } if node.disk_refuses => Input::StoreFailed { store },
+            DiskTask::Store { store, request } => {
+                node.disk.apply(&request);
+                Input::Stored { store }
+            }
+            DiskTask::Read { read, since } => Input::RowsRead {
+                read,
+                chunk: node.disk.rows_since(since, TRANSFER_ROWS),
+            },
+        };
+        self.input(index, input);
+        self.start_disk(index);
+    }
+
+    fn start_disk(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
+        if node.busy || node.tasks.is_empty() {
+            return;
+        }
+        node.busy = true;
+        let is_read = matches!(node.tasks.front(), Some(DiskTask::Read { .. }));
+        let for_ms = if is_read { READ_MS } else { node.disk_ms };
+        let (at_ms, incarnation) = (self.now_ms + for_ms, node.incarnation);
+        self.events.schedule(
+            at_ms,
+            Event::DiskDone {
+                node: index,
+                incarnation,
+            },
+        );
+    }
+
+    fn input(&mut self, index: usize, input: Input) {
+        let now_ms = self.nodes[index].local_ms(self.now_ms);
+        let Some(replica) = &mut self.nodes[index].replica else {
+            return;
+        };
+        let outputs = replica.handle(now_ms, input);
+        for output in outputs {
+            self.output(index, output);
+        }
+        self.start_disk(index);
+        self.plan_wake(index);
+    }
+
+    fn plan_wake(&mut self, index: usize) {
+        let node = &self.nodes[index];
+        let Some(replica) = &node.replica else { return };
+        let due = replica.next_timer_ms();
+        if due == u64::MAX {
+            return;
+        }
+        let (at_ms, incarnation) = (node.true_ms(due).max(self.now_ms + 1), node.incarnation);
+        if self
+            .planned_wakes
+            .get(&index)
+            .is_some_and(|&planned| planned <= at_ms && planned > self.now_ms)
+        {
+            return;
+        }
+        self.planned_wakes.insert(index, at_ms);
+        self.events.schedule(
+            at_ms,
+            Event::Wake {
+                node: index,
+                incarnation,
+            },
+        );
+    }
+
+    fn output(&mut self, index: usize, output: Output) {
+        match output {
+            Output::Send { to, envelope } => self.send(index, index_of(to), *envelope),
+            Output::Store { store, request } => {
+                self.log_view(index, &request);
+                self.nodes[index]
+                    .tasks
+                    .push_back(DiskTask::Store { store, request });
+            }
+            Output::ReadRows { read, since, .. } => {
+                self.nodes[index]
+                    .tasks
+                    .push_back(DiskTask::Read { read, since });
+            }
+            Output::Committed { write_id } => {
+                let view = self.nodes[index].replica.as_ref().map_or(0, |r| r.view());
+                self.log_event(&format!(
+                    "write {write_id} committed by {index} in view {view}"
+                ));
+                if let Some(write) = self.submitted.remove(&write_id) {
+                    self.committed.insert(write_id, write);
+                }
+                self.last_commit_ms = self.now_ms;
+            }
+            Output::Aborted { .. } => self.aborted += 1,
+            Output::Rejected { .. } => self.rejected += 1,
+            Output::HeadGained { view } => {
+                self.log_event(&format!("head gained by {index}, view {view}"));
+                self.gained.push(HeadGained {
+                    at_ms: self.now_ms,
+                    node: index,
+                    view,
+                });
+                self.check_committed_rows(index);
+            }
+            Output::HeadRenewed { view } => {
+                let members = self.describe_view(index);
+                self.log_event(&format!("head renewed by {index}, view {view}, {members}"));
+            }
+            Output::HeadLost => self.log_event(&format!("head lost by {index}")),
+        }
+    }
+
+    /// Voters and chain of the view that a machine follows.
+    fn describe_view(&self, index: usize) -> String {
+        let replica = self.nodes[index].replica.as_ref();
+        let view = replica.and_then(|replica| replica.accepted_view());
+        let indexes = |members: &[Member]| -> Vec<usize> {
+            members.iter().map(|m| index_of(m.internal)).collect()
+        };
+        let describe = |view: &View| {
+            let (voters, chain) = (indexes(&view.voters), indexes(&view.chain));
+            format!("voters {voters:?} chain {chain:?}")
+        };
+        view.map_or(String::new(), |(view, _)| describe(view))
+    }
+
+    fn send(&mut self, from: usize, to: usize, envelope: Envelope) {
+        if to >= self.nodes.len()
+            || self.blocked_links.contains(&Link { from, to })
+            || self.below(100) < self.loss_percent
+        {
+            return;
+        }
+        let count = if self.repeat_percent > 0 && self.below(100) < self.repeat_percent {
+            2
+        } else {
+            1
+        };
+        for _ in 0..count {
+            let delay_ms = 1 + self.below(self.delay_spread_ms);
+            let in_flight = InFlight {
+                to,
+                envelope: envelope.clone(),
+            };
+            self.events
+                .schedule(self.now_ms + delay_ms, Event::Deliver(Box::new(in_flight)));
+        }
+    }
+
+    fn log_view(&self, index: usize, request: &StoreRequest) {
+        let known = self.nodes[index]
+            .disk
+            .durable
+            .as_ref()
+            .map_or(0, |durable| durable.viewstamp.view);
+        if request.durable.viewstamp.view != known {
+            self.log_event(&format!("{index} enters {:?}", request.durable.viewstamp));
+        }
+    }
+
+    pub fn step_down(&mut self, node: usize) {
+        self.log_event(&format!("step down {node}"));
+        self.input(node, Input::StepDown);
+    }
+}
