--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -1,6 +1,6 @@
 //! What goes into the scheduler and what comes out of it.
 
-use crate::delays::LateEnd;
+use crate::latency::LateEnd;
 use indigofold_protocol::config::Config;
 use indigofold_protocol::internal::{AgentOrders, AgentReport, ClientCall, ClientReply};
 use std::sync::Arc;
--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -4,9 +4,9 @@
 use indigofold_protocol::job::{Resources, Step};
 
 /// The backlog is worked out anew after this time.
-const KEPT_MS: u64 = 250;
+const BACKLOG_CACHE_MS: u64 = 250;
 /// A client that was refused is to come back once this part of the backlog is done.
-const PART: u64 = 10;
+const RETRY_DIVISOR: u64 = 10;
 /// Bounds on the time after which it comes back.
 const RETRY_MS: (u64, u64) = (500, 15_000);
 
@@ -14,7 +14,7 @@
     /// When a client is to come back whose job was refused.
     pub(crate) fn retry_after_ms(&mut self, service: &str) -> u64 {
         let (least_ms, most_ms) = RETRY_MS;
-        (self.backlog_ms(service) / PART).clamp(least_ms, most_ms)
+        (self.backlog_ms(service) / RETRY_DIVISOR).clamp(least_ms, most_ms)
     }
 
     /// How long the service's workers will take for all that waits in its queue.
@@ -23,12 +23,15 @@
         let Some(state) = self.services.get(service) else {
             return 0;
         };
-        if let Some((ms, _)) = state.backlog.filter(|(_, at_ms)| now_ms < at_ms + KEPT_MS) {
+        if let Some((ms, _)) = state
+            .backlog
+            .filter(|(_, at_ms)| now_ms < at_ms + BACKLOG_CACHE_MS)
+        {
             return ms;
         }
         let workers = state.kinds.workers().filter_map(|id| self.workers.get(id));
         let capacity = workers
-            .filter(|worker| worker.in_touch(now_ms))
+            .filter(|worker| worker.is_responsive(now_ms))
             .fold(Resources::default(), |sum, worker| {
                 sum.plus(&worker.capacity)
             });
@@ -52,14 +55,14 @@
 
 /// Part of the whole service that one task takes, by the resource of which it takes most.
 fn share(step: &Step, capacity: &Resources) -> f64 {
-    let part = |taken: u64, all: u64| {
+    let fraction = |taken: u64, all: u64| {
         if taken > 0 {
             taken as f64 / all.max(1) as f64
         } else {
             0.0
         }
     };
-    part(step.cpu, capacity.cpu)
-        .max(part(step.mem_mb, capacity.mem_mb))
-        .max(part(step.gpu, capacity.gpu))
+    fraction(step.cpu, capacity.cpu)
+        .max(fraction(step.mem_mb, capacity.mem_mb))
+        .max(fraction(step.gpu, capacity.gpu))
 }
--- a/crates/scheduler/src/saving.rs
+++ b/crates/scheduler/src/checkpoints.rs
@@ -7,7 +7,7 @@
 use indigofold_protocol::task::{JobId, TaskName};
 
 /// Only runs of at least this length are worth it.
-const WORTH_MS: f64 = 2_000.0;
+const RUN_MIN_MS: f64 = 2_000.0;
 /// A job is written for its saved progress at most once in this time.
 const WRITE_MS: u64 = 2_000;
 /// Jobs last written this long ago join a write that is made anyway.
@@ -15,7 +15,7 @@
 
 impl Scheduler {
     /// A report has brought new saved progress of a run.
-    pub(crate) fn saved_changed(&mut self, worker: WorkerId, task: &TaskName) {
+    pub(crate) fn checkpoint_changed(&mut self, worker: WorkerId, task: &TaskName) {
         let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else {
             return;
         };
@@ -23,13 +23,13 @@
         let lasting = self
             .traits(StepRef::of(task))
             .is_none_or(|traits| traits.long_running);
-        if !done && !lasting && self.expected_run_ms(worker, task) >= WORTH_MS {
-            self.unsaved.insert(task.job);
+        if !done && !lasting && self.expected_run_ms(worker, task) >= RUN_MIN_MS {
+            self.unwritten_checkpoints.insert(task.job);
         }
     }
 
     /// Writes saved progress that is due. Nothing waits for this write, so the jobs' last writes stay what they are.
-    pub(crate) fn write_saved(&mut self) {
+    pub(crate) fn write_checkpoints(&mut self) {
         let since_ms = |scheduler: &Self, id: &JobId| {
             scheduler
                 .jobs
@@ -37,10 +37,13 @@
                 .map_or(0, |job| scheduler.now_ms.saturating_sub(job.written_ms))
         };
         let due = self.outbox.has_changes()
-            || self.unsaved.iter().any(|id| since_ms(self, id) >= WRITE_MS);
+            || self
+                .unwritten_checkpoints
+                .iter()
+                .any(|id| since_ms(self, id) >= WRITE_MS);
         if due {
             let joining = self
-                .unsaved
+                .unwritten_checkpoints
                 .iter()
                 .filter(|id| since_ms(self, id) >= JOIN_MS);
             let joining: Vec<JobId> = joining.copied().collect();
--- a/crates/scheduler/src/calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -50,7 +50,7 @@
                     },
                 );
             }
-            (ClientOperation::Get, Ok(id)) => self.tell_state(from, call.call, id),
+            (ClientOperation::Get, Ok(id)) => self.reply_state(from, call.call, id),
             (ClientOperation::Get, Err(_)) if rest.is_empty() => {
                 let pending = self.pending.get(&route.name).copied().unwrap_or(0);
                 self.reply_at_once(from, call.call, ClientOutcome::Pending(pending));
@@ -105,11 +105,11 @@
             }
         });
         self.jobs.insert(id, job);
-        self.appraise(id);
+        self.update_value(id);
         self.open_jobs += 1;
         *self.pending.entry(route.name.clone()).or_default() += 1;
         self.outbox.taken.insert(id);
-        self.mark(id);
+        self.set_dirty(id);
         self.await_next_repeat(id);
         self.open_due_repeats();
         self.outbox.reply(
@@ -120,7 +120,7 @@
         );
     }
 
-    fn tell_state(&mut self, from: CallerId, call: u64, id: JobId) {
+    fn reply_state(&mut self, from: CallerId, call: u64, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return self.reply_at_once(from, call, ClientOutcome::NoSuchJob);
         };
--- a/crates/scheduler/src/need.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,8 +1,8 @@
 //! What a step asks of workers, and which of them it may use by now.
 
-use crate::draw::Class;
-use crate::health::Standing;
+use crate::health::HealthStatus;
 use crate::job::Job;
+use crate::kinds::Class;
 use crate::queue::StepRef;
 use crate::workers::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
@@ -16,7 +16,7 @@
 const RACK_WAIT_MAX_MS: u64 = 1_000;
 
 /// What a step asks of workers.
-pub(crate) struct Need {
+pub(crate) struct StepDemand {
     pub at: StepRef,
     pub resources: Resources,
     pub label: String,
@@ -30,9 +30,9 @@
     pub long_running: bool,
     pub priority: u32,
     /// Whether the tasks may run away from their data.
-    pub reach: Reach,
+    pub locality: Locality,
     /// Idle workers are kept for steps that need a whole one, as long as there is room on others.
-    pub spares_idle: bool,
+    pub avoids_idle_workers: bool,
 }
 
 /// Whom a try to place may consider.
@@ -46,15 +46,15 @@
 
 /// How far tasks may be from where they run at full speed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reach {
+pub(crate) enum Locality {
     /// Near their data, in one rack.
-    Near,
+    LocalOnly,
     /// Anywhere, once they have waited.
-    Away,
+    Anywhere,
 }
 
-impl Need {
-    pub fn of(job: &Job, at: StepRef, now_ms: u64) -> Option<Need> {
+impl StepDemand {
+    pub fn of(job: &Job, at: StepRef, now_ms: u64) -> Option<StepDemand> {
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
         let mut on_worker = FxHashMap::default();
         if step.anti_affinity > 0 {
@@ -62,7 +62,7 @@
                 *on_worker.entry(run.worker).or_default() += 1;
             }
         }
-        Some(Need {
+        Some(StepDemand {
             at,
             resources: step.resources(),
             label: step.requirements.clone(),
@@ -74,8 +74,8 @@
             waited_ms: now_ms.saturating_sub(state.waiting_since_ms),
             long_running: step.long_running,
             priority: job.terms.priority,
-            reach: Reach::Away,
-            spares_idle: false,
+            locality: Locality::Anywhere,
+            avoids_idle_workers: false,
         })
     }
 
@@ -83,12 +83,12 @@
     pub fn permits(&self, id: WorkerId, worker: &Worker, extra: u32) -> bool {
         let labelled = self.label.is_empty() || worker.labels.contains(&self.label);
         let there = self.on_worker.get(&id).copied().unwrap_or(0) + extra;
-        let apart = self.anti_affinity == 0 || there < self.anti_affinity;
-        labelled && apart && worker.has_room(&times(&self.resources, u64::from(extra) + 1))
+        let spread = self.anti_affinity == 0 || there < self.anti_affinity;
+        labelled && spread && worker.has_capacity(&times(&self.resources, u64::from(extra) + 1))
     }
 
     /// Whether this worker is near the data, or the step has none.
-    pub fn near(&self, worker: &Worker) -> bool {
+    pub fn is_local(&self, worker: &Worker) -> bool {
         self.affinity.is_empty() || worker.rack() == Some(&self.affinity)
     }
 
@@ -101,28 +101,28 @@
         failed_there: bool,
         now_ms: u64,
     ) -> bool {
-        let standing = worker.health.standing(now_ms);
+        let status = worker.health.status(now_ms);
         let any = self.waited_ms >= ANY_WORKER_MS;
-        let sound = match standing {
-            Standing::Sound => true,
-            Standing::OnTrial => true,
-            Standing::Suspected => any,
+        let usable = match status {
+            HealthStatus::Healthy => true,
+            HealthStatus::OnProbation => true,
+            HealthStatus::Suspected => any,
         };
         match scope {
             Scope::Preferred => {
-                sound
-                    && standing != Standing::Suspected
-                    && self.near(worker)
+                usable
+                    && status != HealthStatus::Suspected
+                    && self.is_local(worker)
                     && !failed_there
-                    && worker.cold_until_ms <= now_ms
-                    && !(self.spares_idle && worker.runs.is_empty())
+                    && worker.warm_up_until_ms <= now_ms
+                    && !(self.avoids_idle_workers && worker.runs.is_empty())
             }
             Scope::Allowed => {
                 let rack_ms = (self.estimate_ms as f64 * (remote_slowdown - 1.0)) as u64;
-                let waited =
-                    self.reach == Reach::Away && self.waited_ms >= rack_ms.min(RACK_WAIT_MAX_MS);
-                let placed_well = waited || self.near(worker);
-                sound && placed_well && (!failed_there || self.waited_ms >= FAILED_THERE_MS)
+                let waited = self.locality == Locality::Anywhere
+                    && self.waited_ms >= rack_ms.min(RACK_WAIT_MAX_MS);
+                let placed_well = waited || self.is_local(worker);
+                usable && placed_well && (!failed_there || self.waited_ms >= FAILED_THERE_MS)
             }
         }
     }
--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -1,7 +1,7 @@
 //! Placement of gangs: all members at once, with one run number and the same saved progress, or none.
 
-use crate::draw::Choice;
-use crate::need::{Need, Reach, Scope};
+use crate::demand::{Locality, Scope, StepDemand};
+use crate::kinds::Selection;
 use crate::queue::StepRef;
 use crate::runs::Placement;
 use crate::scheduler::Scheduler;
@@ -14,7 +14,7 @@
 
 impl Scheduler {
     /// Places a gang if all members fit.
-    pub(crate) fn place_gang(&mut self, service: &str, at: StepRef, reach: Reach) {
+    pub(crate) fn place_gang(&mut self, service: &str, at: StepRef, locality: Locality) {
         let Some(job) = self.jobs.get(&at.job) else {
             return;
         };
@@ -25,32 +25,32 @@
             return;
         }
         let (rack_local, members) = (step.rack_local, state.tasks.len());
-        let Some(mut need) = Need::of(job, at, self.now_ms) else {
+        let Some(mut demand) = StepDemand::of(job, at, self.now_ms) else {
             return;
         };
-        need.spares_idle = self.spares_idle(service, &need.resources);
-        need.reach = reach;
-        let rack_wait_ms = (need.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
-        let waited =
-            reach == Reach::Away && need.waited_ms >= rack_wait_ms.min(ONE_RACK_WAIT_MAX_MS);
+        demand.avoids_idle_workers = self.avoids_idle_workers(service, &demand.resources);
+        demand.locality = locality;
+        let rack_wait_ms = (demand.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
+        let waited = locality == Locality::Anywhere
+            && demand.waited_ms >= rack_wait_ms.min(ONE_RACK_WAIT_MAX_MS);
         let may_spread = !rack_local || waited;
         let plan = [Scope::Preferred, Scope::Allowed]
             .into_iter()
             .find_map(|scope| {
                 let in_rack = if rack_local {
-                    self.plan_in_rack(service, &need, scope, members)
+                    self.plan_in_rack(service, &demand, scope, members)
                 } else {
                     None
                 };
                 let spread = || {
                     may_spread
-                        .then(|| self.plan(service, &need, scope, members, None))
+                        .then(|| self.plan(service, &demand, scope, members, None))
                         .flatten()
                 };
                 in_rack.or_else(spread)
             });
         if let Some(plan) = plan {
-            self.start_gang(service, at, rack_local, &need, plan);
+            self.start_gang(service, at, rack_local, &demand, plan);
         }
     }
 
@@ -58,10 +58,10 @@
     fn plan_in_rack(
         &mut self,
         service: &str,
-        need: &Need,
+        demand: &StepDemand,
         scope: Scope,
         members: usize,
-    ) -> Option<Vec<Choice>> {
+    ) -> Option<Vec<Selection>> {
         let state = self.services.get(service)?;
         let racks = state
             .kinds
@@ -70,7 +70,7 @@
         let mut racks: Vec<String> = racks.collect::<BTreeSet<String>>().into_iter().collect();
         while !racks.is_empty() {
             let rack = racks.swap_remove(self.rng.below(racks.len()));
-            if let Some(plan) = self.plan(service, need, scope, members, Some(&rack)) {
+            if let Some(plan) = self.plan(service, demand, scope, members, Some(&rack)) {
                 return Some(plan);
             }
         }
@@ -81,34 +81,34 @@
     fn plan(
         &mut self,
         service: &str,
-        need: &Need,
+        demand: &StepDemand,
         scope: Scope,
         members: usize,
         rack: Option<&str>,
-    ) -> Option<Vec<Choice>> {
+    ) -> Option<Vec<Selection>> {
         let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
         let state = self.services.get(service)?;
         let eligible = |id: WorkerId, worker: &Worker| {
-            worker.takes_starts(now_ms)
+            worker.accepts_starts(now_ms)
                 && rack.is_none_or(|rack| worker.rack() == Some(rack))
-                && need.considers(scope, worker, remote_slowdown, false, now_ms)
+                && demand.considers(scope, worker, remote_slowdown, false, now_ms)
                 && state
                     .reserved
                     .get(&id)
-                    .is_none_or(|kept| kept.gives_way(need))
+                    .is_none_or(|reservation| reservation.yields_to(demand))
         };
         let mut planned: FxHashMap<WorkerId, u32> = FxHashMap::default();
         let mut plan = Vec::with_capacity(members);
         for _ in 0..members {
-            let choice =
+            let selection =
                 state
                     .kinds
-                    .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
+                    .select(&mut self.rng, &self.workers, &demand.label, |id, worker| {
                         let extra = planned.get(&id).copied().unwrap_or(0);
-                        need.permits(id, worker, extra) && eligible(id, worker)
+                        demand.permits(id, worker, extra) && eligible(id, worker)
                     })?;
-            *planned.entry(choice.worker).or_default() += 1;
-            plan.push(choice);
+            *planned.entry(selection.worker).or_default() += 1;
+            plan.push(selection);
         }
         Some(plan)
     }
@@ -118,19 +118,19 @@
         service: &str,
         at: StepRef,
         rack_local: bool,
-        need: &Need,
-        plan: Vec<Choice>,
+        demand: &StepDemand,
+        plan: Vec<Selection>,
     ) {
         let racks: BTreeSet<Option<&str>> = plan
             .iter()
-            .filter_map(|choice| self.workers.get(choice.worker))
+            .filter_map(|selection| self.workers.get(selection.worker))
             .map(Worker::rack)
             .collect();
-        let near = plan
+        let is_local = plan
             .iter()
-            .filter_map(|choice| self.workers.get(choice.worker))
-            .all(|w| need.near(w));
-        let far = if near && !(rack_local && racks.len() > 1) {
+            .filter_map(|selection| self.workers.get(selection.worker))
+            .all(|w| demand.is_local(w));
+        let remote_factor = if is_local && !(rack_local && racks.len() > 1) {
             1.0
         } else {
             self.bounds.remote_slowdown
@@ -149,28 +149,30 @@
             .max()
             .unwrap_or(0)
             + 1;
-        let checkpoint = state.gang_saved.clone();
+        let checkpoint = state.gang_checkpoint.clone();
         state
             .tasks
             .iter_mut()
             .for_each(|task| task.checkpoint.clone_from(&checkpoint));
-        for (index, choice) in plan.into_iter().enumerate() {
+        for (index, selection) in plan.into_iter().enumerate() {
             let task = at.task(index as u32);
             if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
-                traces.push(state.kinds.trace(task, &choice, &self.workers));
+                traces.push(state.kinds.trace(task, &selection, &self.workers));
             }
-            self.place(
+            self.place_run(
                 task,
                 attempt,
                 Placement {
-                    worker: choice.worker,
-                    bound: choice.bound,
-                    far,
+                    worker: selection.worker,
+                    bound: selection.bound,
+                    remote_factor,
                 },
             );
         }
         if let Some(state) = self.services.get_mut(service) {
-            state.reserved.retain(|_, kept| kept.step != at);
+            state
+                .reserved
+                .retain(|_, reservation| reservation.step != at);
         }
     }
 }
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -6,17 +6,17 @@
 use crate::workers::Worker;
 
 /// Part of the service's processors that is left free.
-const SHARE: f64 = 0.10;
+const HEADROOM_FRACTION: f64 = 0.10;
 /// Urgent tasks have come within this time.
-const LATELY_MS: u64 = 10_000;
+const RECENT_MS: u64 = 10_000;
 /// A task that takes at most this part of the largest worker is small.
-const SMALL_SHARE: u64 = 16;
+const SMALL_DIVISOR: u64 = 16;
 /// Work that need not start sooner than this leaves headroom.
 const TIME_LEFT_MS: i64 = 1_500;
 
 impl Scheduler {
     /// Notes whether small tasks wait, and their priority.
-    pub(crate) fn note_urgent(&mut self, service: &str, keys: &[QueueKey]) {
+    pub(crate) fn observe_urgent(&mut self, service: &str, keys: &[QueueKey]) {
         let Some(first) = keys.iter().find(|key| !key.hopeless) else {
             return;
         };
@@ -27,27 +27,28 @@
         else {
             return;
         };
-        let small = step.cpu * SMALL_SHARE <= self.largest_capacity(service)
+        let small = step.cpu * SMALL_DIVISOR <= self.largest_capacity(service)
             && !step.gang
             && !step.long_running;
         let now_ms = self.now_ms;
         let state = self.service(service);
         let known = state
             .urgent
-            .filter(|(_, seen_ms)| now_ms < seen_ms + LATELY_MS);
+            .filter(|(_, observed_ms)| now_ms < observed_ms + RECENT_MS);
         if small && known.is_none_or(|(priority, _)| first.priority <= priority) {
             state.urgent = Some((first.priority, now_ms));
         }
     }
 
     /// Whether the step has to leave headroom: it is less urgent, and has time.
-    pub(crate) fn keeps_headroom(&self, service: &str, key: QueueKey) -> bool {
-        let Some((priority, seen_ms)) = self.services.get(service).and_then(|state| state.urgent)
+    pub(crate) fn must_leave_headroom(&self, service: &str, key: QueueKey) -> bool {
+        let Some((priority, observed_ms)) =
+            self.services.get(service).and_then(|state| state.urgent)
         else {
             return false;
         };
-        let lately = self.now_ms < seen_ms + LATELY_MS;
-        lately
+        let recent = self.now_ms < observed_ms + RECENT_MS;
+        recent
             && key.priority > priority
             && (key.hopeless || key.latest_start_ms > self.now_ms as i64 + TIME_LEFT_MS)
     }
@@ -58,10 +59,11 @@
             return 0.0;
         };
         let workers = state.kinds.workers().filter_map(|id| self.workers.get(id));
-        let beyond =
-            |worker: &Worker| worker.free().cpu as f64 - SHARE * worker.capacity.cpu as f64;
+        let beyond = |worker: &Worker| {
+            worker.free().cpu as f64 - HEADROOM_FRACTION * worker.capacity.cpu as f64
+        };
         workers
-            .filter(|worker| worker.takes_starts(self.now_ms))
+            .filter(|worker| worker.accepts_starts(self.now_ms))
             .map(beyond)
             .sum()
     }
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -6,15 +6,15 @@
 /// Weight of failures from which on a worker may be suspected.
 const SUSPECT_WEIGHT: f64 = 2.5;
 /// Share of failures among its outcomes from which on a worker is suspected.
-const SUSPECT_SHARE: f64 = 0.4;
+const SUSPECT_FRACTION: f64 = 0.4;
 /// So many failures in a row make a worker suspected whatever it did before.
 const SUSPECT_STREAK: f64 = 3.0;
 /// Weight of a failure of a job that has failed elsewhere too: rather the job's own fault.
 const DOUBTFUL_FAILURE: f64 = 0.15;
 /// A suspected worker is tried again after this time, which doubles each time it fails the trial.
-const FIRST_TRIAL_MS: u64 = 4_000;
+const FIRST_PROBATION_MS: u64 = 4_000;
 /// Longest time between two trials.
-const TRIAL_MAX_MS: u64 = 30_000;
+const PROBATION_BACKOFF_MAX_MS: u64 = 30_000;
 /// Weight that the old pace keeps at each new run.
 const PACE_KEEP: f64 = 0.7;
 /// A worker whose runs take so many times as long as expected is suspected.
@@ -35,20 +35,20 @@
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     /// When it is tried next at the earliest.
-    trial_ms: u64,
+    probation_ms: u64,
     /// Time between two trials.
-    pause_ms: u64,
+    backoff_ms: u64,
     /// A run was placed there to try it, and has not ended yet.
-    tried: bool,
+    probing: bool,
 }
 
 /// Whether a worker is to be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum HealthStatus {
     /// Like any other.
-    Sound,
+    Healthy,
     /// One run at a time, to see whether it has recovered.
-    OnTrial,
+    OnProbation,
     /// Only if nothing else is left.
     Suspected,
 }
@@ -73,13 +73,13 @@
         self.good += 1.0;
         self.streak = 0.0;
         if let Some(pace) = pace {
-            let news = pace.clamp(0.1, 20.0).ln();
+            let sample = pace.clamp(0.1, 20.0).ln();
             let keep = if self.suspected.is_some() {
                 0.0
             } else {
                 PACE_KEEP
             };
-            self.pace = self.pace * keep + news * (1.0 - keep);
+            self.pace = self.pace * keep + sample * (1.0 - keep);
         }
         if self.pace > SLOW_PACE.ln() {
             self.suspect(now_ms);
@@ -88,13 +88,17 @@
         }
     }
 
-    /// A run there failed or hung; `doubtful`: the job has failed on another worker too.
-    pub fn failed(&mut self, now_ms: u64, doubtful: bool) {
+    /// A run there failed or hung; `speculation_candidate`: the job has failed on another worker too.
+    pub fn failed(&mut self, now_ms: u64, speculation_candidate: bool) {
         self.fade(now_ms);
-        let weight = if doubtful { DOUBTFUL_FAILURE } else { 1.0 };
+        let weight = if speculation_candidate {
+            DOUBTFUL_FAILURE
+        } else {
+            1.0
+        };
         (self.bad, self.streak) = (self.bad + weight, self.streak + weight);
         let share =
-            self.bad >= SUSPECT_WEIGHT && self.bad >= SUSPECT_SHARE * (self.good + self.bad);
+            self.bad >= SUSPECT_WEIGHT && self.bad >= SUSPECT_FRACTION * (self.good + self.bad);
         if self.suspected.is_some() || share || self.streak >= SUSPECT_STREAK {
             self.suspect(now_ms);
         }
@@ -108,40 +112,40 @@
     }
 
     /// Whether it is to be used now.
-    pub fn standing(&self, now_ms: u64) -> Standing {
+    pub fn status(&self, now_ms: u64) -> HealthStatus {
         match self.suspected {
-            None => Standing::Sound,
-            Some(suspicion) if now_ms >= suspicion.trial_ms => Standing::OnTrial,
-            Some(_) => Standing::Suspected,
+            None => HealthStatus::Healthy,
+            Some(suspicion) if now_ms >= suspicion.probation_ms => HealthStatus::OnProbation,
+            Some(_) => HealthStatus::Suspected,
         }
     }
 
     /// A run was placed there: on a worker that is on trial, the one that tries it. Should nothing be heard of it, the
     /// worker is tried again.
     pub fn placed(&mut self, now_ms: u64) {
-        if self.standing(now_ms) == Standing::OnTrial
+        if self.status(now_ms) == HealthStatus::OnProbation
             && let Some(suspicion) = &mut self.suspected
         {
-            (suspicion.tried, suspicion.trial_ms) = (true, now_ms + suspicion.pause_ms);
+            (suspicion.probing, suspicion.probation_ms) = (true, now_ms + suspicion.backoff_ms);
         }
     }
 
     fn suspect(&mut self, now_ms: u64) {
-        let pause_ms = match self.suspected {
-            None => FIRST_TRIAL_MS,
-            Some(before) if before.tried || now_ms >= before.trial_ms => {
-                (before.pause_ms * 2).min(TRIAL_MAX_MS)
+        let backoff_ms = match self.suspected {
+            None => FIRST_PROBATION_MS,
+            Some(before) if before.probing || now_ms >= before.probation_ms => {
+                (before.backoff_ms * 2).min(PROBATION_BACKOFF_MAX_MS)
             }
-            Some(before) => before.pause_ms,
+            Some(before) => before.backoff_ms,
         };
-        let trial_ms = self
+        let probation_ms = self
             .suspected
-            .map_or(0, |before| before.trial_ms)
-            .max(now_ms + pause_ms);
+            .map_or(0, |before| before.probation_ms)
+            .max(now_ms + backoff_ms);
         self.suspected = Some(Suspicion {
-            trial_ms,
-            pause_ms,
-            tried: false,
+            probation_ms,
+            backoff_ms,
+            probing: false,
         });
     }
 
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,9 +1,9 @@
 //! Jobs and how far they have come: repetitions, steps, tasks, runs.
 
 use crate::api::{AgentId, WriteId};
-use crate::delays::Delays;
-use crate::order::cost_class;
+use crate::latency::LatencyBreakdown;
 use crate::queue::{Prospect, QueueKey, StepRef};
+use crate::value::cost_class;
 use crate::workers::WorkerId;
 use indigofold_protocol::job::{JobSpec, JobState, Step};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
@@ -15,7 +15,7 @@
 /// Repetitions with so many tasks in all may be open at a time, or one.
 const OPEN_TASKS_MAX: usize = 10_000;
 /// Longer objectives are cut to this.
-const OBJECTIVE_MAX_MS: u64 = 1 << 40;
+const LATENCY_TARGET_MAX_MS: u64 = 1 << 40;
 
 /// What a queue grants its jobs, as its route says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -68,9 +68,9 @@
     /// Run time to be expected of each step's tasks, in milliseconds.
     pub run_ms: Vec<u64>,
     /// What it earns in time, against the mean of its queue's jobs.
-    pub worth: f64,
+    pub value: f64,
     /// Repetitions that are due and not over.
-    pub repeats: BTreeMap<u32, Repeat>,
+    pub repeats: BTreeMap<u32, Repetition>,
     /// The first repetition that is not due yet; those below that are not in `repeats` are over.
     pub next_repeat: u32,
     /// How it ended.
@@ -89,7 +89,7 @@
 
 /// One repetition of a job's steps.
 #[derive(Debug)]
-pub struct Repeat {
+pub struct Repetition {
     /// When it was due, on the steady clock (may lie before its beginning).
     pub due_ms: i64,
     /// Its steps.
@@ -110,13 +110,13 @@
     /// Since when something waits.
     pub waiting_since_ms: u64,
     /// What it has waited for since then, as seen when it was looked at.
-    pub waits: Delays,
+    pub waits: LatencyBreakdown,
     /// When it was looked at last.
     pub looked_at_ms: u64,
     /// Where the time went before its turn came.
-    pub chain: Delays,
+    pub chain: LatencyBreakdown,
     /// Progress of the gang as heard last.
-    pub gang_saved: String,
+    pub gang_checkpoint: String,
     /// Attempts of the gang that have failed.
     pub gang_failures: u32,
     /// The newest of these attempts.
@@ -137,13 +137,13 @@
     /// Its run that is not over.
     pub run: Option<Run>,
     /// A second run at the same time, on another worker; only while `run` is there, and only of `speculative` steps.
-    pub copy: Option<Run>,
+    pub speculative_run: Option<Run>,
     /// Worker on which it failed last.
     pub failed_on: Option<WorkerId>,
     /// Since when it waits to be placed.
     pub waits_since_ms: u64,
     /// Where its time went since its step's turn came.
-    pub delays: Delays,
+    pub latency: LatencyBreakdown,
 }
 
 /// A run that is not over.
@@ -168,7 +168,7 @@
     /// It was bound to one kind of workers.
     pub bound: bool,
     /// Factor on its run time on this worker (data or gang on other racks).
-    pub far: f64,
+    pub remote_factor: f64,
     /// Part done, as listed last.
     pub percent: u32,
     /// When that changed last.
@@ -189,7 +189,7 @@
 impl Task {
     /// Its runs that are not over.
     pub fn runs(&self) -> impl Iterator<Item = &Run> {
-        self.run.iter().chain(&self.copy)
+        self.run.iter().chain(&self.speculative_run)
     }
 
     /// Its run on this worker.
@@ -201,24 +201,24 @@
     pub fn run_mut(&mut self, attempt: u32) -> Option<&mut Run> {
         self.run
             .iter_mut()
-            .chain(&mut self.copy)
+            .chain(&mut self.speculative_run)
             .find(|run| run.attempt == attempt)
     }
 
     /// Takes its run of this number out; a copy that is left takes the place of the run.
     pub fn take_run(&mut self, attempt: u32) -> Option<Run> {
         if self
-            .copy
+            .speculative_run
             .as_ref()
-            .is_some_and(|copy| copy.attempt == attempt)
+            .is_some_and(|speculative_run| speculative_run.attempt == attempt)
         {
-            return self.copy.take();
+            return self.speculative_run.take();
         }
-        let copy = self.copy.take();
+        let speculative_run = self.speculative_run.take();
         let run = self.run.take_if(|run| run.attempt == attempt);
         match run {
-            Some(_) => self.run = copy,
-            None => self.copy = copy,
+            Some(_) => self.run = speculative_run,
+            None => self.speculative_run = speculative_run,
         }
         run
     }
@@ -237,7 +237,7 @@
                 .iter()
                 .map(|step| step.estimate_ms)
                 .collect(),
-            worth: 1.0,
+            value: 1.0,
             definition,
             repeats: BTreeMap::new(),
             next_repeat: 0,
@@ -286,7 +286,7 @@
     }
 
     /// The objective on the time from its due time to its end, in milliseconds.
-    pub fn objective_ms(&self) -> u64 {
+    pub fn latency_target_ms(&self) -> u64 {
         let chain = self.chain_ms.iter().max().copied().unwrap_or(0);
         (self.terms.stretch.max(0.0) * chain as f64) as u64 + self.terms.target_latency_ms
     }
@@ -325,16 +325,16 @@
 
     /// All tasks of all repetitions are done.
     pub fn is_complete(&self) -> bool {
-        self.next_repeat == self.repeat_total() && self.repeats.values().all(Repeat::is_done)
+        self.next_repeat == self.repeat_total() && self.repeats.values().all(Repetition::is_done)
     }
 
     /// A repetition whose steps have not begun.
-    pub fn fresh_repeat(&self, due_ms: i64) -> Repeat {
+    pub fn fresh_repeat(&self, due_ms: i64) -> Repetition {
         let fresh = |step: &Step| StepState {
             tasks: vec![Task::default(); step.count as usize],
             ..StepState::default()
         };
-        Repeat {
+        Repetition {
             due_ms,
             steps: self.definition.spec.stages.iter().map(fresh).collect(),
         }
@@ -371,17 +371,17 @@
     /// Where a step stands in the queue: by priority, then by the work that its job still needs for what it
     /// earns, then by when it has to start for the job's objective to be met.
     pub fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
-        let lasts = self.step(at.step).is_some_and(|step| step.long_running);
-        let (prospect, latest_start_ms) = if lasts {
-            self.lasting_prospect(at)
+        let long_running = self.step(at.step).is_some_and(|step| step.long_running);
+        let (prospect, latest_start_ms) = if long_running {
+            self.long_running_prospect(at)
         } else {
-            self.ending_prospect(at, now_ms)
+            self.finite_prospect(at, now_ms)
         };
         let hopeless = prospect == Prospect::Hopeless;
-        let cost_class = if lasts {
+        let cost_class = if long_running {
             i16::MIN
         } else {
-            cost_class(self.work_left(at), self.worth, prospect)
+            cost_class(self.work_left(at), self.value, prospect)
         };
         let priority = self.terms.priority;
         QueueKey {
@@ -396,27 +396,29 @@
 
     /// A step that lasts earns as long as it runs: however late it is, it is worth its place, from when it last began
     /// to wait.
-    fn lasting_prospect(&self, at: StepRef) -> (Prospect, i64) {
+    fn long_running_prospect(&self, at: StepRef) -> (Prospect, i64) {
         let waiting_since_ms = self
             .step_state(at)
             .map_or(0, |state| state.waiting_since_ms);
-        let target_ms = self.terms.target_latency_ms.min(OBJECTIVE_MAX_MS);
+        let target_ms = self.terms.target_latency_ms.min(LATENCY_TARGET_MAX_MS);
         (
             Prospect::InTime,
             waiting_since_ms.saturating_add(target_ms) as i64,
         )
     }
 
-    fn ending_prospect(&self, at: StepRef, now_ms: u64) -> (Prospect, i64) {
+    fn finite_prospect(&self, at: StepRef, now_ms: u64) -> (Prospect, i64) {
         let due_ms = self
             .repeats
             .get(&at.repeat)
             .map_or(0, |repeat| repeat.due_ms);
         let chain = self.chain_ms.get(at.step as usize).copied().unwrap_or(0) as i64;
-        let objective_ms = self.objective_ms().min(OBJECTIVE_MAX_MS) as i64;
-        let latest_start_ms = due_ms.saturating_add(objective_ms).saturating_sub(chain);
+        let latency_target_ms = self.latency_target_ms().min(LATENCY_TARGET_MAX_MS) as i64;
+        let latest_start_ms = due_ms
+            .saturating_add(latency_target_ms)
+            .saturating_sub(chain);
         let hopeless_ms = due_ms
-            .saturating_add(objective_ms.saturating_mul(LATE_FACTOR))
+            .saturating_add(latency_target_ms.saturating_mul(LATE_FACTOR))
             .saturating_sub(chain);
         let prospect = match now_ms as i64 {
             now if now <= latest_start_ms => Prospect::InTime,
@@ -427,14 +429,14 @@
     }
 }
 
-impl Repeat {
+impl Repetition {
     /// All its tasks are done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepState::is_done)
     }
 
     /// All its tasks are done and no run is outstanding.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.is_done()
             && self
                 .steps
--- a/crates/scheduler/src/draw.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -81,7 +81,7 @@
 
 /// A choice.
 #[derive(Debug)]
-pub struct Choice {
+pub struct Selection {
     /// The worker.
     pub worker: WorkerId,
     /// Whether the step was bound to a kind.
@@ -98,7 +98,7 @@
         self.kind_of.clear();
         for (id, worker) in workers
             .iter()
-            .filter(|(_, w)| w.backend == backend && w.lapsed_ms.is_none())
+            .filter(|(_, w)| w.backend == backend && w.expired_ms.is_none())
         {
             let kind = self.kind_for(worker);
             self.kinds[kind].workers.push(id);
@@ -164,15 +164,15 @@
 
     /// Mean speed of the kinds that have been heard of.
     fn mean_speed(&self) -> f64 {
-        let heard = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
-        let (sum, count) = heard.fold((0.0, 0.0), |(sum, count), kind| {
+        let known = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
+        let (sum, count) = known.fold((0.0, 0.0), |(sum, count), kind| {
             (sum + kind.speed.speed, count + 1.0)
         });
         if count > 0.0 { sum / count } else { 1.0 }
     }
 
     /// A run of this class took `run_ms` on this worker.
-    pub fn learned(&mut self, worker: WorkerId, class: &Class, estimate_ms: u64, run_ms: f64) {
+    pub fn record_run(&mut self, worker: WorkerId, class: &Class, estimate_ms: u64, run_ms: f64) {
         let Some(&kind) = self.kind_of.get(&worker) else {
             return;
         };
@@ -206,13 +206,13 @@
     /// Run time to be expected on a worker of mean speed, in milliseconds.
     pub fn expected_at_mean_speed_ms(&self, class: &Class, estimate_ms: u64) -> f64 {
         let estimate = (estimate_ms > 0).then_some(estimate_ms * MICROS);
-        let learned = self.classes.get(class).and_then(|work| work.mean(estimate));
+        let class_mean = self.classes.get(class).and_then(|work| work.mean(estimate));
         let given_ms = if estimate_ms > 0 {
             estimate_ms as f64
         } else {
             UNKNOWN_RUN_MS
         };
-        learned.map_or(given_ms, |micros| micros / MICROS as f64)
+        class_mean.map_or(given_ms, |micros| micros / MICROS as f64)
     }
 
     /// Workers of the service.
@@ -224,13 +224,13 @@
 
     /// Draws a kind by p_k (or takes the one that `label` binds to) and samples workers that `fits`; the one with the
     /// fewest runs wins. Without any the other kinds follow by p_k.
-    pub fn choose(
+    pub fn select(
         &self,
         rng: &mut Rng,
         workers: &Workers,
         label: &str,
         fits: impl Fn(WorkerId, &Worker) -> bool,
-    ) -> Option<Choice> {
+    ) -> Option<Selection> {
         let allowed = self.allowed(label);
         let bound = !label.is_empty() && allowed.len() == 1;
         let drawn = if bound {
@@ -247,7 +247,7 @@
         if let Some(at) = drawn.and_then(|drawn| order.iter().position(|kind| *kind == drawn)) {
             order[..=at].rotate_right(1);
         }
-        for (place, kind) in order.iter().enumerate() {
+        for (rank, kind) in order.iter().enumerate() {
             let sampled = sample(rng, &self.kinds[*kind].workers, workers, &fits);
             let in_flight = |id: &WorkerId| {
                 workers
@@ -255,12 +255,12 @@
                     .map_or(usize::MAX, |worker| worker.runs.len())
             };
             if let Some(&worker) = sampled.iter().min_by_key(|id| in_flight(id)) {
-                let reason = match place {
+                let reason = match rank {
                     0 if bound => Reason::FewestOfBound,
                     0 => Reason::FewestOfDrawn,
                     _ => Reason::FewestOfNext,
                 };
-                return Some(Choice {
+                return Some(Selection {
                     worker,
                     bound,
                     drawn,
@@ -299,7 +299,12 @@
     }
 
     /// The choice as it is shown to whoever follows placements.
-    pub fn trace(&self, task: TaskName, choice: &Choice, workers: &Workers) -> PlacementTrace {
+    pub fn trace(
+        &self,
+        task: TaskName,
+        selection: &Selection,
+        workers: &Workers,
+    ) -> PlacementTrace {
         let name = |id: WorkerId| {
             workers
                 .get(id)
@@ -308,15 +313,15 @@
         let in_flight = |id: WorkerId| workers.get(id).map_or(0, |worker| worker.runs.len());
         PlacementTrace {
             task,
-            drawn: choice.drawn,
+            drawn: selection.drawn,
             probabilities: self.kinds.iter().map(|kind| kind.probability).collect(),
-            sampled: choice
+            sampled: selection
                 .sampled
                 .iter()
                 .map(|id| (name(*id), in_flight(*id)))
                 .collect(),
-            winner: name(choice.worker),
-            reason: choice.reason,
+            winner: name(selection.worker),
+            reason: selection.reason,
         }
     }
 }
@@ -324,7 +329,7 @@
 impl ClassWork {
     /// Takes note of how far off both ways of telling this run time were.
     fn judge(&mut self, estimate: Option<u64>, run: f64) {
-        let error = |told: f64| (told.max(1.0) / run.max(1.0)).ln().powi(2);
+        let error = |predicted: f64| (predicted.max(1.0) / run.max(1.0)).ln().powi(2);
         if self.by_mean.weight() > 0.0 {
             add(
                 &mut self.errors_by_mean,
@@ -345,9 +350,9 @@
     fn mean(&self, estimate: Option<u64>) -> Option<f64> {
         let known = self.by_mean.weight() > 0.0;
         let mean = |(weight, sum): Sum| if weight > 0.0 { sum / weight } else { 0.0 };
-        let estimates_tell = mean(self.errors_by_estimate) <= mean(self.errors_by_mean);
+        let estimates_are_better = mean(self.errors_by_estimate) <= mean(self.errors_by_mean);
         match estimate {
-            Some(_) if estimates_tell => {
+            Some(_) if estimates_are_better => {
                 (self.by_estimate.weight() > 0.0).then(|| self.by_estimate.mean(estimate))
             }
             _ => known.then(|| self.by_mean.mean(None)),
--- a/crates/scheduler/src/delays.rs
+++ b/crates/scheduler/src/latency.rs
@@ -3,7 +3,7 @@
 
 use crate::job::{Run, StepState};
 use crate::queue::StepRef;
-use crate::runs::Over;
+use crate::runs::RunResult;
 use crate::scheduler::Scheduler;
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{JobId, TaskName};
@@ -14,21 +14,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
     /// Due, but not in the hands of this scheduler.
-    Before,
+    Predecessor,
     /// Waiting behind other steps.
-    Turn,
+    Queue,
     /// First in turn, waiting for room on any worker.
-    Room,
+    Capacity,
     /// Waiting for room near the data, in one rack, or for a whole gang.
-    Place,
+    Locality,
     /// Placed, waiting for the write.
     Commit,
     /// Ordered, not yet listed by the worker.
-    Way,
+    Dispatch,
     /// At work, done in the end.
     Run,
     /// The part of such work that being away from the data or the rack has cost.
-    Away,
+    Remote,
     /// Work that failed.
     Failed,
     /// Work that was stopped, or never started.
@@ -39,14 +39,14 @@
 
 /// All causes, in the order of the job's way.
 const CAUSES: [(Cause, &str); 11] = [
-    (Cause::Before, "before"),
-    (Cause::Turn, "turn"),
-    (Cause::Room, "room"),
-    (Cause::Place, "place"),
+    (Cause::Predecessor, "before"),
+    (Cause::Queue, "turn"),
+    (Cause::Capacity, "room"),
+    (Cause::Locality, "place"),
     (Cause::Commit, "commit"),
-    (Cause::Way, "way"),
+    (Cause::Dispatch, "way"),
     (Cause::Run, "run"),
-    (Cause::Away, "away"),
+    (Cause::Remote, "away"),
     (Cause::Failed, "failed"),
     (Cause::Stopped, "stopped"),
     (Cause::Lost, "lost"),
@@ -54,7 +54,7 @@
 
 /// Milliseconds by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Delays([u32; CAUSES.len()]);
+pub struct LatencyBreakdown([u32; CAUSES.len()]);
 
 /// A job, or one of its repetitions, that ended after its objective or failed.
 #[derive(Clone, Debug, PartialEq)]
@@ -70,12 +70,12 @@
     /// Time from when it was due to its end, in milliseconds.
     pub took_ms: u64,
     /// Its objective on that, in milliseconds.
-    pub objective_ms: u64,
+    pub latency_target_ms: u64,
     /// Where the time went.
-    pub delays: Delays,
+    pub breakdown: LatencyBreakdown,
 }
 
-impl Delays {
+impl LatencyBreakdown {
     /// Time spent on one cause, in milliseconds.
     pub fn of(&self, cause: Cause) -> u64 {
         u64::from(self.0[cause as usize])
@@ -90,44 +90,46 @@
         *sum = sum.saturating_add(u32::try_from(ms).unwrap_or(u32::MAX));
     }
 
-    fn add_all(&mut self, other: &Delays) {
+    fn add_all(&mut self, other: &LatencyBreakdown) {
         CAUSES
             .iter()
             .for_each(|(cause, _)| self.add(*cause, other.of(*cause)));
     }
 
-    /// Adds a wait of `ms`, shared among causes as `seen` is; with nothing seen it was for its turn.
-    fn add_wait(&mut self, ms: u64, seen: &Delays) {
-        let total_ms = seen.total_ms();
+    /// Adds a wait of `ms`, shared among causes as `observed` is; with nothing seen it was for its turn.
+    fn add_wait(&mut self, ms: u64, observed: &LatencyBreakdown) {
+        let total_ms = observed.total_ms();
         if total_ms == 0 {
-            return self.add(Cause::Turn, ms);
+            return self.add(Cause::Queue, ms);
         }
         CAUSES
             .iter()
-            .for_each(|(cause, _)| self.add(*cause, ms * seen.of(*cause) / total_ms));
+            .for_each(|(cause, _)| self.add(*cause, ms * observed.of(*cause) / total_ms));
     }
 
     /// Adds a run that is over.
-    fn add_run(&mut self, run: &Run, over: Over, now_ms: u64) {
+    fn add_run(&mut self, run: &Run, result: RunResult, now_ms: u64) {
         let spent_ms = now_ms.saturating_sub(run.placed_ms);
-        match over {
-            Over::Ended(RunEnd::Done) => {}
-            Over::Ended(RunEnd::Failed) => return self.add(Cause::Failed, spent_ms),
-            Over::Gone => return self.add(Cause::Lost, spent_ms),
-            Over::Ended(_) | Over::NotStarted => return self.add(Cause::Stopped, spent_ms),
+        match result {
+            RunResult::Ended(RunEnd::Done) => {}
+            RunResult::Ended(RunEnd::Failed) => return self.add(Cause::Failed, spent_ms),
+            RunResult::Lost => return self.add(Cause::Lost, spent_ms),
+            RunResult::Ended(_) | RunResult::NotStarted => {
+                return self.add(Cause::Stopped, spent_ms);
+            }
         }
         let sent_ms = run.sent_ms.max(run.placed_ms);
         let began_ms = run.began_ms.unwrap_or(sent_ms).max(sent_ms);
         let ran_ms = now_ms.saturating_sub(began_ms);
-        let near_ms = (ran_ms as f64 / run.far.max(1.0)) as u64;
+        let local_ms = (ran_ms as f64 / run.remote_factor.max(1.0)) as u64;
         self.add(Cause::Commit, sent_ms - run.placed_ms);
-        self.add(Cause::Way, began_ms - sent_ms);
-        self.add(Cause::Run, near_ms);
-        self.add(Cause::Away, ran_ms - near_ms);
+        self.add(Cause::Dispatch, began_ms - sent_ms);
+        self.add(Cause::Run, local_ms);
+        self.add(Cause::Remote, ran_ms - local_ms);
     }
 }
 
-impl Display for Delays {
+impl Display for LatencyBreakdown {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let spent = CAUSES.iter().filter(|(cause, _)| self.of(*cause) > 0);
         for (number, (cause, name)) in spent.enumerate() {
@@ -150,13 +152,13 @@
             repeat,
             route,
             took_ms,
-            objective_ms,
-            delays,
+            latency_target_ms,
+            breakdown,
             ..
         } = self;
         write!(
             formatter,
-            "job {job}.{repeat} of {route} {end} after {took_ms} ms, objective {objective_ms} ms: {delays}"
+            "job {job}.{repeat} of {route} {end} after {took_ms} ms, objective {latency_target_ms} ms: {breakdown}"
         )
     }
 }
@@ -173,7 +175,7 @@
     pub(crate) fn end_wait(&mut self, index: u32, now_ms: u64) {
         let waits = self.waits;
         if let Some(task) = self.tasks.get_mut(index as usize) {
-            task.delays
+            task.latency
                 .add_wait(now_ms.saturating_sub(task.waits_since_ms), &waits);
         }
     }
@@ -181,7 +183,7 @@
 
 impl Scheduler {
     /// A step was looked at and still waits.
-    pub(crate) fn note_wait(&mut self, at: StepRef, cause: Cause) {
+    pub(crate) fn record_wait(&mut self, at: StepRef, cause: Cause) {
         let now_ms = self.now_ms;
         if let Some(state) = self
             .jobs
@@ -193,41 +195,41 @@
     }
 
     /// A run of a task is over.
-    pub(crate) fn note_run(&mut self, task: &TaskName, run: &Run, over: Over) {
+    pub(crate) fn record_run_latency(&mut self, task: &TaskName, run: &Run, result: RunResult) {
         let now_ms = self.now_ms;
         if let Some(entry) = self
             .jobs
             .get_mut(&task.job)
             .and_then(|job| job.task_mut(task))
         {
-            entry.delays.add_run(run, over, now_ms);
+            entry.latency.add_run(run, result, now_ms);
         }
     }
 
     /// Time that went before a repetition was opened here.
-    pub(crate) fn delays_before(&self, due_ms: i64) -> Delays {
-        let mut delays = Delays::default();
-        delays.add(
-            Cause::Before,
+    pub(crate) fn latency_before_opening(&self, due_ms: i64) -> LatencyBreakdown {
+        let mut latency = LatencyBreakdown::default();
+        latency.add(
+            Cause::Predecessor,
             (self.now_ms as i64).saturating_sub(due_ms).max(0) as u64,
         );
-        delays
+        latency
     }
 
     /// Where the time went from the repetition's due time to the end of this task.
-    pub(crate) fn delays_until(&self, task: &TaskName) -> Delays {
+    pub(crate) fn latency_until(&self, task: &TaskName) -> LatencyBreakdown {
         let job = self.jobs.get(&task.job);
-        let mut delays = job
+        let mut latency = job
             .and_then(|job| job.step_state(StepRef::of(task)))
-            .map_or_else(Delays::default, |s| s.chain);
+            .map_or_else(LatencyBreakdown::default, |s| s.chain);
         if let Some(entry) = job.and_then(|job| job.task(task)) {
-            delays.add_all(&entry.delays);
+            latency.add_all(&entry.latency);
         }
-        delays
+        latency
     }
 
     /// A repetition has ended with this task; if that is late, or it has failed, its delays are told.
-    pub(crate) fn note_end(&mut self, task: &TaskName, state: JobState) {
+    pub(crate) fn record_late_end(&mut self, task: &TaskName, state: JobState) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -235,20 +237,20 @@
             return;
         };
         let took_ms = (self.now_ms as i64).saturating_sub(repeat.due_ms).max(0) as u64;
-        let objective_ms = job.objective_ms();
-        if state == JobState::Completed && took_ms <= objective_ms {
+        let latency_target_ms = job.latency_target_ms();
+        if state == JobState::Completed && took_ms <= latency_target_ms {
             return;
         }
         let (job_id, repeat, route) = (task.job, task.repeat, job.definition.route.clone());
-        let delays = self.delays_until(task);
+        let breakdown = self.latency_until(task);
         self.late.push(LateEnd {
             job: job_id,
             repeat,
             route,
             state,
             took_ms,
-            objective_ms,
-            delays,
+            latency_target_ms,
+            breakdown,
         });
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -2,8 +2,8 @@
 //! follows their runs. A state machine: time and events go in; writes, replies and orders come out. It does no I/O,
 //! reads no clock and draws from a seeded generator.
 //!
-//! One event passes through [`Scheduler::handle`]: it changes jobs (`steps`), runs (`runs`) and workers
-//! (`reports`); then waiting tasks are placed in the order of the queue (`placing`, `draw`, `gang`); then all
+//! One event passes through [`Scheduler::handle`]: it changes jobs (`lifecycle`), runs (`runs`) and workers
+//! (`reports`); then waiting tasks are placed in the order of the queue (`placement`, `kinds`, `gang`); then all
 //! rows that have changed leave as one write (`rows`). Whatever rests on the write (replies, start orders,
 //! acknowledged ends) waits in the `outbox` until it is committed.
 
@@ -12,38 +12,38 @@
 
 mod api;
 mod backlog;
-mod calls;
-mod checks;
+mod checkpoints;
+mod client_calls;
 mod clock;
-mod delays;
-mod dragging;
-mod draw;
+mod demand;
 mod gang;
 mod headroom;
 mod health;
+mod instance_rows;
 mod job;
-mod life_rows;
-mod need;
-mod order;
+mod kinds;
+mod latency;
+mod lifecycle;
 mod outbox;
-mod outcomes;
-mod placing;
+mod placement;
 mod preemption;
 mod queue;
 mod reports;
 mod reservation;
 mod rng;
 mod rows;
+mod run_checks;
+mod run_results;
 mod runs;
-mod saving;
 mod scheduler;
 mod speculation;
-mod steps;
+mod straggler;
 mod takeover;
+mod value;
 mod workers;
 
 pub use api::{AgentId, Bounds, CallerId, Effect, Event, RowChange, WriteId};
-pub use delays::{Cause, Delays, LateEnd};
-pub use draw::{PlacementTrace, Reason};
+pub use kinds::{PlacementTrace, Reason};
+pub use latency::{Cause, LateEnd, LatencyBreakdown};
 pub use rows::RowError;
 pub use scheduler::Scheduler;
--- a/crates/scheduler/src/steps.rs
+++ b/crates/scheduler/src/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Life of a job: repetitions fall due, steps become ready, tasks wait and are done, the job ends and is forgotten.
 
-use crate::delays::Delays;
 use crate::job::{Job, JobEnd, StepState};
+use crate::latency::LatencyBreakdown;
 use crate::queue::StepRef;
 use crate::scheduler::Scheduler;
 use indigofold_protocol::job::JobState;
@@ -52,14 +52,14 @@
             .map(|step| step.tasks.len() as u64)
             .sum::<u64>();
         job.repeats.insert(repeat, fresh);
-        self.mark(id);
-        self.ready_steps(id, repeat, self.delays_before(due_ms));
+        self.set_dirty(id);
+        self.ready_steps(id, repeat, self.latency_before_opening(due_ms));
         self.await_next_repeat(id);
     }
 
-    /// Lets all tasks wait whose steps' turn has come and that neither wait, run nor are done. `delays`: where the time
+    /// Lets all tasks wait whose steps' turn has come and that neither wait, run nor are done. `latency`: where the time
     /// went until now.
-    pub(crate) fn ready_steps(&mut self, id: JobId, repeat: u32, delays: Delays) {
+    pub(crate) fn ready_steps(&mut self, id: JobId, repeat: u32, latency: LatencyBreakdown) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -108,7 +108,7 @@
                 .filter(|(_, task)| !task.done && task.run.is_none());
             let idle: Vec<u32> = idle.map(|(index, _)| index as u32).collect();
             if state.queued.is_none() && !idle.is_empty() {
-                state.chain = delays;
+                state.chain = latency;
             }
             idle.into_iter().for_each(|index| state.wait(index, now_ms));
             self.enqueue(at);
@@ -128,7 +128,7 @@
             return;
         }
         state.waiting_since_ms = now_ms;
-        state.waits = Delays::default();
+        state.waits = LatencyBreakdown::default();
         let (key, service) = (job.queue_key(at, now_ms), job.service.clone());
         let Some(state) = job.step_state_mut(at) else {
             return;
@@ -177,7 +177,7 @@
     }
 
     /// A task is to be placed (again). A gang waits until no member runs; those that do are stopped.
-    pub(crate) fn wait_again(&mut self, task: TaskName) {
+    pub(crate) fn requeue_task(&mut self, task: TaskName) {
         let (at, now_ms) = (StepRef::of(&task), self.now_ms);
         let Some(job) = self.jobs.get_mut(&at.job) else {
             return;
@@ -232,30 +232,30 @@
         state.done += newly;
         let (step_done, idle) = (state.is_done(), state.waiting.is_empty());
         self.open_tasks = self.open_tasks.saturating_sub(u64::from(newly));
-        self.mark(at.job);
+        self.set_dirty(at.job);
         if idle {
             self.dequeue(at);
         }
         if step_done && newly > 0 {
-            self.ready_steps(at.job, at.repeat, self.delays_until(&task));
-            self.note_repeat_done(&task);
-            self.tidy_repeat(at.job, at.repeat);
+            self.ready_steps(at.job, at.repeat, self.latency_until(&task));
+            self.record_repeat_end(&task);
+            self.close_repeat_if_finished(at.job, at.repeat);
         }
     }
 
     /// Tells of a repetition that this task has completed late.
-    fn note_repeat_done(&mut self, task: &TaskName) {
+    fn record_repeat_end(&mut self, task: &TaskName) {
         let repeat = self
             .jobs
             .get(&task.job)
             .and_then(|job| job.repeats.get(&task.repeat));
         if repeat.is_some_and(|repeat| repeat.is_done()) {
-            self.note_end(task, JobState::Completed);
+            self.record_late_end(task, JobState::Completed);
         }
     }
 
     /// Forgets a repetition that is over; ends the job if it was the last.
-    pub(crate) fn tidy_repeat(&mut self, id: JobId, repeat: u32) {
+    pub(crate) fn close_repeat_if_finished(&mut self, id: JobId, repeat: u32) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -265,10 +265,10 @@
         if job
             .repeats
             .get(&repeat)
-            .is_some_and(|state| state.is_over())
+            .is_some_and(|state| state.is_finished())
         {
             job.repeats.remove(&repeat);
-            self.mark(id);
+            self.set_dirty(id);
             self.await_next_repeat(id);
         }
     }
@@ -289,7 +289,7 @@
         if !job.started {
             self.no_longer_pending(id);
         }
-        self.mark(id);
+        self.set_dirty(id);
         let runs = self
             .jobs
             .get(&id)
@@ -298,7 +298,7 @@
         if state != JobState::Completed {
             runs.into_iter().for_each(|(run, _)| self.stop_ended(run));
         }
-        self.close_if_idle(id);
+        self.close_job_if_idle(id);
     }
 
     pub(crate) fn no_longer_pending(&mut self, id: JobId) {
@@ -312,7 +312,7 @@
     }
 
     /// Keeps of an ended job without outstanding runs its end alone.
-    pub(crate) fn close_if_idle(&mut self, id: JobId) {
+    pub(crate) fn close_job_if_idle(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -322,7 +322,7 @@
         job.repeats.clear();
         job.definition.spec = Default::default();
         self.outbox.closed.insert(id);
-        self.mark(id);
+        self.set_dirty(id);
         let at_wall_ms = self.forget_at(end.wall_ms);
         self.forget.insert((at_wall_ms, id));
     }
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -43,7 +43,7 @@
     /// Jobs of which only the end is kept from now on.
     pub closed: BTreeSet<JobId>,
     /// Lives whose machine became known in the present event, or (`None`) that are over.
-    pub lives: BTreeMap<String, Option<String>>,
+    pub instances: BTreeMap<String, Option<String>>,
     /// Orders of the present event.
     pub orders: BTreeMap<WorkerId, WorkerOrders>,
     deferred: BTreeMap<WriteId, Vec<Deferred>>,
@@ -72,7 +72,7 @@
     /// Whether the present event has changed a row.
     pub fn has_changes(&self) -> bool {
         let jobs = self.dirty.is_empty() && self.forgotten.is_empty() && self.closed.is_empty();
-        !(jobs && self.lives.is_empty())
+        !(jobs && self.instances.is_empty())
     }
 
     /// Whether this write is committed.
--- a/crates/scheduler/src/placing.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,9 +1,9 @@
 //! Placement of admitted tasks: the steps in the queue's order, each task by hybrid SQ(d) among the workers that may
 //! take it.
 
-use crate::delays::Cause;
-use crate::draw::dominant_share;
-use crate::need::{ANY_WORKER_MS, Need, Reach, Scope};
+use crate::demand::{ANY_WORKER_MS, Locality, Scope, StepDemand};
+use crate::kinds::dominant_share;
+use crate::latency::Cause;
 use crate::queue::{QueueKey, StepRef};
 use crate::reservation::{RESERVATIONS_MAX, Reservation};
 use crate::runs::Placement;
@@ -18,7 +18,7 @@
 /// A task that takes more than this part of a worker needs one as a whole.
 const HALF: f64 = 0.5;
 /// Such a task has come within this time.
-const WHOLE_LATELY_MS: u64 = 30_000;
+const LARGE_TASK_RECENT_MS: u64 = 30_000;
 
 /// What one pass over a queue has found so far.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     /// Much of the service is idle.
     spare: bool,
     /// The most of each resource that any one worker has free.
-    room: Resources,
+    largest_free: Resources,
     /// Tasks that found no room, though they ask for nothing else.
     blocked: Vec<Resources>,
     /// Steps that keep workers.
@@ -37,7 +37,7 @@
     /// Places what can be placed, in all services where something has changed.
     pub(crate) fn schedule(&mut self) {
         let now_ms = self.now_ms;
-        if now_ms < self.place_from_ms {
+        if now_ms < self.placement_start_ms {
             return;
         }
         let turn = |s: &ServiceState| (s.dirty || s.regroup) && now_ms >= s.next_pass_ms;
@@ -76,45 +76,46 @@
             return;
         }
         let mut pass = Pass {
-            spare: self.has_spare(service),
-            room: self.largest_room(service),
+            spare: self.has_spare_capacity(service),
+            largest_free: self.largest_free(service),
             blocked: Vec::new(),
             reserved: Vec::new(),
         };
-        self.note_urgent(service, &keys);
+        self.observe_urgent(service, &keys);
         for same in keys.chunk_by(|a, b| (a.hopeless, a.priority) == (b.hopeless, b.priority)) {
             same.iter()
-                .for_each(|key| self.try_step(service, *key, Reach::Near, &mut pass));
+                .for_each(|key| self.visit_step(service, *key, Locality::LocalOnly, &mut pass));
             let left = same
                 .iter()
-                .filter(|key| self.has_place(key.at) && self.waits(key.at));
+                .filter(|key| self.has_locality(key.at) && self.waits(key.at));
             let left: Vec<QueueKey> = left.copied().collect();
             left.into_iter()
-                .for_each(|key| self.try_step(service, key, Reach::Away, &mut pass));
+                .for_each(|key| self.visit_step(service, key, Locality::Anywhere, &mut pass));
         }
         self.service(service)
             .reserved
-            .retain(|_, kept| pass.reserved.contains(&kept.step));
+            .retain(|_, reservation| pass.reserved.contains(&reservation.step));
     }
 
     /// Tries to place a step's tasks.
-    fn try_step(&mut self, service: &str, key: QueueKey, reach: Reach, pass: &mut Pass) {
-        let Some((resources, picky)) = self.demand(key.at) else {
+    fn visit_step(&mut self, service: &str, key: QueueKey, locality: Locality, pass: &mut Pass) {
+        let Some((resources, constrained)) = self.task_shape(key.at) else {
             return;
         };
-        let patient = !(pass.spare && self.waits_long(key.at));
-        let hidden = patient && pass.blocked.iter().any(|less| resources.holds(less));
-        let beyond = hidden || !pass.room.holds(&resources);
+        let honors_blocked = !(pass.spare && self.waits_long(key.at));
+        let blocked_by_earlier =
+            honors_blocked && pass.blocked.iter().any(|less| resources.holds(less));
+        let beyond = blocked_by_earlier || !pass.largest_free.holds(&resources);
         if !beyond {
-            self.place_step(service, key, reach);
+            self.place_step(service, key, locality);
         }
         if !self.waits(key.at) {
             return self.dequeue(key.at);
         }
-        self.note_wait(key.at, self.wait_cause(key.at, hidden, beyond));
+        self.record_wait(key.at, self.wait_cause(key.at, blocked_by_earlier, beyond));
         if !beyond {
-            pass.room = self.largest_room(service);
-            if !picky {
+            pass.largest_free = self.largest_free(service);
+            if !constrained {
                 pass.blocked.push(resources);
             }
         }
@@ -124,30 +125,30 @@
     }
 
     /// What a step waits for that was looked at: others before it, room, or room in the right place.
-    fn wait_cause(&self, at: StepRef, hidden: bool, beyond: bool) -> Cause {
+    fn wait_cause(&self, at: StepRef, blocked_by_earlier: bool, beyond: bool) -> Cause {
         let gang = self
             .jobs
             .get(&at.job)
             .and_then(|job| job.step(at.step))
             .is_some_and(|step| step.gang);
-        if hidden {
-            Cause::Turn
-        } else if !beyond && (gang || self.has_place(at)) {
-            Cause::Place
+        if blocked_by_earlier {
+            Cause::Queue
+        } else if !beyond && (gang || self.has_locality(at)) {
+            Cause::Locality
         } else {
-            Cause::Room
+            Cause::Capacity
         }
     }
 
     /// Whether the step's tasks run faster in some places than in others: near data, or in one rack.
-    fn has_place(&self, at: StepRef) -> bool {
+    fn has_locality(&self, at: StepRef) -> bool {
         let step = self.jobs.get(&at.job).and_then(|job| job.step(at.step));
         step.is_some_and(|step| !step.affinity.is_empty() || step.rack_local)
     }
 
     /// Whether tasks of this size leave idle workers alone: steps that need a whole worker come to this service, and
     /// this is none of them.
-    pub(crate) fn spares_idle(&mut self, service: &str, resources: &Resources) -> bool {
+    pub(crate) fn avoids_idle_workers(&mut self, service: &str, resources: &Resources) -> bool {
         let now_ms = self.now_ms;
         let Some(state) = self.services.get_mut(service) else {
             return false;
@@ -160,26 +161,26 @@
         let shares = capacities
             .filter(|c| c.holds(resources))
             .map(|c| dominant_share(resources, &c));
-        let whole = shares
+        let large = shares
             .min_by(f64::total_cmp)
             .is_some_and(|share| share > HALF);
-        if whole {
-            state.whole_seen_ms = Some(now_ms);
+        if large {
+            state.large_task_ms = Some(now_ms);
         }
-        !whole
+        !large
             && state
-                .whole_seen_ms
-                .is_some_and(|seen| now_ms < seen + WHOLE_LATELY_MS)
+                .large_task_ms
+                .is_some_and(|observed| now_ms < observed + LARGE_TASK_RECENT_MS)
     }
 
     /// What a task of the step takes, and whether the step asks for more than room.
-    fn demand(&self, at: StepRef) -> Option<(Resources, bool)> {
+    fn task_shape(&self, at: StepRef) -> Option<(Resources, bool)> {
         let step = self.jobs.get(&at.job)?.step(at.step)?;
         let state = self.jobs.get(&at.job)?.step_state(at)?;
         let retried = state.tasks.iter().any(|task| task.failed_on.is_some());
-        let picky = step.gang || retried || step.anti_affinity > 0 || step.long_running;
-        let picky = picky || !step.requirements.is_empty() || !step.affinity.is_empty();
-        Some((step.resources(), picky))
+        let constrained = step.gang || retried || step.anti_affinity > 0 || step.long_running;
+        let constrained = constrained || !step.requirements.is_empty() || !step.affinity.is_empty();
+        Some((step.resources(), constrained))
     }
 
     /// Whether a step has waited for so long that it may use workers which those before it may not.
@@ -194,13 +195,13 @@
     }
 
     /// The most of each resource that any one worker has free.
-    fn largest_room(&self, service: &str) -> Resources {
+    fn largest_free(&self, service: &str) -> Resources {
         let Some(state) = self.services.get(service) else {
             return Resources::default();
         };
         let ready = state.kinds.workers().filter_map(|id| self.workers.get(id));
         ready
-            .filter(|worker| worker.takes_starts(self.now_ms))
+            .filter(|worker| worker.accepts_starts(self.now_ms))
             .fold(Resources::default(), |most, worker| {
                 let free = worker.free();
                 Resources {
@@ -212,7 +213,7 @@
     }
 
     /// Places as many waiting tasks of a step as there is room for.
-    fn place_step(&mut self, service: &str, key: QueueKey, reach: Reach) {
+    fn place_step(&mut self, service: &str, key: QueueKey, locality: Locality) {
         let at = key.at;
         let Some(job) = self.jobs.get(&at.job) else {
             return;
@@ -221,83 +222,91 @@
             return;
         };
         if step.gang {
-            return self.place_gang(service, at, reach);
+            return self.place_gang(service, at, locality);
         }
         let Some(state) = job.step_state(at) else {
             return;
         };
         let waiting: Vec<u32> = state.waiting.iter().copied().collect();
-        let Some(mut need) = Need::of(job, at, self.now_ms) else {
+        let Some(mut demand) = StepDemand::of(job, at, self.now_ms) else {
             return;
         };
-        need.spares_idle = self.spares_idle(service, &need.resources);
-        need.reach = reach;
-        let keeps = self.keeps_headroom(service, key);
+        demand.avoids_idle_workers = self.avoids_idle_workers(service, &demand.resources);
+        demand.locality = locality;
+        let keeps = self.must_leave_headroom(service, key);
         let mut spare = if keeps {
             self.beyond_headroom(service)
         } else {
             f64::INFINITY
         };
         for index in waiting {
-            spare -= need.resources.cpu as f64;
-            if spare < 0.0 || !self.place_task(service, &mut need, index) {
+            spare -= demand.resources.cpu as f64;
+            if spare < 0.0 || !self.place_task(service, &mut demand, index) {
                 return;
             }
         }
     }
 
-    fn place_task(&mut self, service: &str, need: &mut Need, index: u32) -> bool {
-        let task = need.at.task(index);
+    fn place_task(&mut self, service: &str, demand: &mut StepDemand, index: u32) -> bool {
+        let task = demand.at.task(index);
         let Some(entry) = self.jobs.get(&task.job).and_then(|job| job.task(&task)) else {
             return false;
         };
         let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
-        let choice = [Scope::Preferred, Scope::Allowed]
+        let selection = [Scope::Preferred, Scope::Allowed]
             .into_iter()
             .find_map(|scope| {
                 let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
                 let state = self.services.get(service)?;
                 state
                     .kinds
-                    .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
-                        worker.takes_starts(now_ms)
-                            && need.permits(id, worker, 0)
-                            && need.considers(
+                    .select(&mut self.rng, &self.workers, &demand.label, |id, worker| {
+                        worker.accepts_starts(now_ms)
+                            && demand.permits(id, worker, 0)
+                            && demand.considers(
                                 scope,
                                 worker,
                                 remote_slowdown,
                                 failed_on == Some(id),
                                 now_ms,
                             )
-                            && state
-                                .reserved
-                                .get(&id)
-                                .is_none_or(|kept| kept_free(kept, need, id, worker, state, now_ms))
+                            && state.reserved.get(&id).is_none_or(|reservation| {
+                                usable_despite_reservation(
+                                    reservation,
+                                    demand,
+                                    id,
+                                    worker,
+                                    state,
+                                    now_ms,
+                                )
+                            })
                     })
             });
-        let Some(choice) = choice else { return false };
+        let Some(selection) = selection else {
+            return false;
+        };
         if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
-            traces.push(state.kinds.trace(task, &choice, &self.workers));
+            traces.push(state.kinds.trace(task, &selection, &self.workers));
         }
-        let near = self
+        let is_local = self
             .workers
-            .get(choice.worker)
-            .is_some_and(|worker| need.near(worker));
-        let far = if near {
+            .get(selection.worker)
+            .is_some_and(|worker| demand.is_local(worker));
+        let remote_factor = if is_local {
             1.0
         } else {
             self.bounds.remote_slowdown
         };
-        if need.anti_affinity > 0 {
-            *need.on_worker.entry(choice.worker).or_default() += 1;
+        if demand.anti_affinity > 0 {
+            *demand.on_worker.entry(selection.worker).or_default() += 1;
         }
-        self.place(
+        self.place_run(
             task,
             attempt,
             Placement {
-                worker: choice.worker,
-                bound: choice.bound,
-                far,
+                worker: selection.worker,
+                bound: selection.bound,
+                remote_factor,
             },
         );
         true
@@ -305,16 +314,18 @@
 }
 
 /// Whether a task may use a worker that is reserved for another step: it fits beside, or ends before.
-fn kept_free(
-    kept: &Reservation,
-    need: &Need,
+fn usable_despite_reservation(
+    reservation: &Reservation,
+    demand: &StepDemand,
     id: WorkerId,
     worker: &Worker,
     state: &ServiceState,
     now_ms: u64,
 ) -> bool {
-    let beside = worker.has_room(&need.resources.plus(&kept.resources));
-    let expected_ms = state.kinds.expected_ms(id, &need.class, need.estimate_ms) as u64;
-    let ends_before = !need.long_running && now_ms + expected_ms <= kept.free_ms;
-    kept.gives_way(need) || beside || ends_before
+    let beside = worker.has_capacity(&demand.resources.plus(&reservation.resources));
+    let expected_ms = state
+        .kinds
+        .expected_ms(id, &demand.class, demand.estimate_ms) as u64;
+    let ends_before = !demand.long_running && now_ms + expected_ms <= reservation.free_ms;
+    reservation.yields_to(demand) || beside || ends_before
 }
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -1,10 +1,10 @@
 //! Preemption: runs of a lower priority give way to a step that would otherwise miss its objective. Victims are those
 //! whose stop loses least; what would lose more than the step is worth is left alone.
 
-use crate::need::Need;
-use crate::order::cores;
+use crate::demand::StepDemand;
 use crate::queue::{Prospect, QueueKey};
 use crate::scheduler::Scheduler;
+use crate::value::cores;
 use crate::workers::WorkerId;
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{RunId, TaskName};
@@ -83,17 +83,17 @@
         };
         let waiting = state.waiting.len() as u32;
         let together = if step.gang { waiting } else { 1 };
-        let Some(need) = Need::of(job, key.at, self.now_ms) else {
+        let Some(demand) = StepDemand::of(job, key.at, self.now_ms) else {
             return;
         };
         let in_time = |free_ms: u64| free_ms as i64 + SLACK_MS <= key.latest_start_ms;
         if self
-            .outlook(service, &need, together)
+            .outlook(service, &demand, together)
             .is_none_or(|outlook| in_time(outlook.free_ms))
         {
             return;
         }
-        let victims = self.victims(service, key, &need, (together, waiting), claimed);
+        let victims = self.victims(service, key, &demand, (together, waiting), claimed);
         victims
             .into_iter()
             .for_each(|victim| self.stop_run(victim.run));
@@ -105,7 +105,7 @@
         &self,
         service: &str,
         key: QueueKey,
-        need: &Need,
+        demand: &StepDemand,
         (together, waiting): (u32, u32),
         claimed: &mut Claimed,
     ) -> Vec<Victim> {
@@ -116,7 +116,7 @@
         let mut offers: Vec<(WorkerId, VecDeque<Offer>)> = workers
             .map(|id| {
                 let taken = claimed.get(&id).copied().unwrap_or_default();
-                (id, self.offers(id, key, need, waiting, &taken).into())
+                (id, self.offers(id, key, demand, waiting, &taken).into())
             })
             .collect();
         let (mut loss, mut victims, mut used) = (0.0, Vec::new(), Vec::new());
@@ -141,7 +141,7 @@
         }
         for id in used {
             let taken = claimed.entry(id).or_default();
-            *taken = taken.plus(&need.resources);
+            *taken = taken.plus(&demand.resources);
         }
         victims
     }
@@ -151,15 +151,19 @@
         &self,
         id: WorkerId,
         key: QueueKey,
-        need: &Need,
+        demand: &StepDemand,
         count: u32,
         claimed: &Resources,
     ) -> Vec<Offer> {
-        let Some(worker) = self.workers.get(id).filter(|w| w.in_touch(self.now_ms)) else {
+        let Some(worker) = self
+            .workers
+            .get(id)
+            .filter(|w| w.is_responsive(self.now_ms))
+        else {
             return Vec::new();
         };
-        let labelled = need.label.is_empty() || worker.labels.contains(&need.label);
-        if !labelled || !worker.capacity.holds(&need.resources) {
+        let labelled = demand.label.is_empty() || worker.labels.contains(&demand.label);
+        if !labelled || !worker.capacity.holds(&demand.resources) {
             return Vec::new();
         }
         let mut candidates: Vec<Victim> = worker
@@ -167,18 +171,22 @@
             .iter()
             .filter_map(|task| self.victim(id, *task, key))
             .collect();
-        candidates.sort_by(|a, b| per_room(a, need).total_cmp(&per_room(b, need)));
-        let mut used = worker.used.minus(&self.leaving(id)).plus(claimed);
+        candidates
+            .sort_by(|a, b| loss_per_capacity(a, demand).total_cmp(&loss_per_capacity(b, demand)));
+        let mut used = worker
+            .used
+            .minus(&self.stopping_resources(id))
+            .plus(claimed);
         let mut candidates = candidates.into_iter();
         let mut offers = Vec::new();
-        let most = if need.anti_affinity > 0 {
-            count.min(need.anti_affinity)
+        let most = if demand.anti_affinity > 0 {
+            count.min(demand.anti_affinity)
         } else {
             count
         };
         'tasks: for _ in 0..most {
             let mut offer = Offer::default();
-            while !worker.capacity.holds(&used.plus(&need.resources)) {
+            while !worker.capacity.holds(&used.plus(&demand.resources)) {
                 let Some(victim) = candidates.next() else {
                     break 'tasks;
                 };
@@ -186,14 +194,14 @@
                 offer.loss += victim.loss;
                 offer.victims.push(victim);
             }
-            used = used.plus(&need.resources);
+            used = used.plus(&demand.resources);
             offers.push(offer);
         }
         offers
     }
 
     /// Room of runs there that are being stopped already.
-    fn leaving(&self, id: WorkerId) -> Resources {
+    fn stopping_resources(&self, id: WorkerId) -> Resources {
         let Some(worker) = self.workers.get(id) else {
             return Resources::default();
         };
@@ -241,15 +249,15 @@
 const RESTART_S: f64 = 1.0;
 
 /// Loss for each part of the room wanted that a victim frees.
-fn per_room(victim: &Victim, need: &Need) -> f64 {
-    let part = |freed: u64, wanted: u64| {
+fn loss_per_capacity(victim: &Victim, demand: &StepDemand) -> f64 {
+    let fraction = |freed: u64, wanted: u64| {
         if wanted > 0 {
             freed.min(wanted) as f64 / wanted as f64
         } else {
             0.0
         }
     };
-    let freed = part(victim.resources.cpu, need.resources.cpu)
-        + part(victim.resources.gpu, need.resources.gpu);
+    let freed = fraction(victim.resources.cpu, demand.resources.cpu)
+        + fraction(victim.resources.gpu, demand.resources.gpu);
     victim.loss / freed.max(0.001)
 }
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -2,7 +2,7 @@
 
 use crate::api::AgentId;
 use crate::outbox::Deferred;
-use crate::runs::Over;
+use crate::runs::RunResult;
 use crate::scheduler::Scheduler;
 use crate::workers::WorkerId;
 use indigofold_protocol::internal::{AgentReport, FinishedRun, InstanceReport, RunningRun};
@@ -11,9 +11,9 @@
 use rustc_hash::FxHashSet;
 
 /// A worker that gave a start back or refused one gets no other for so long.
-const GIVEN_BACK_PAUSE_MS: u64 = 200;
+const REJECTED_START_BACKOFF_MS: u64 = 200;
 /// A stop is sent again if the run is still listed after this time.
-const STOP_AGAIN_MS: u64 = 1_000;
+const STOP_RETRY_MS: u64 = 1_000;
 
 impl Scheduler {
     /// A companion reports; it is answered with the orders for its worker.
@@ -29,64 +29,69 @@
             .filter(|ended| Some(*ended) != present.as_ref())
         {
             if let Some(id) = self.workers.find(ended) {
-                self.life_gone(id);
+                self.instance_ended(id);
             }
         }
         let Some(instance) = report.instance else {
-            return self.report_without_life(
+            return self.report_without_instance(
                 agent,
                 &node_name,
                 &report.not_started,
                 report.sent_ms,
             );
         };
-        let id = self.meet(agent, &node_name, &instance);
-        self.give_back(&node_name, &report.not_started);
-        self.take_running(id, &instance);
-        self.take_ends(id, &instance.finished);
-        self.catch_up(agent, id, &instance);
-        self.stop_strangers(id, report.sent_ms, instance.running.is_some());
+        let id = self.reconcile_instance(agent, &node_name, &instance);
+        self.handle_not_started(&node_name, &report.not_started);
+        self.handle_running(id, &instance);
+        self.handle_ends(id, &instance.finished);
+        self.resend_orders(agent, id, &instance);
+        self.stop_unknown_runs(id, report.sent_ms, instance.running.is_some());
         self.outbox.orders_for(id).echo_sent_ms = Some(report.sent_ms);
     }
 
     /// The companion has no worker at present; a life known there is asked for.
-    fn report_without_life(
+    fn report_without_instance(
         &mut self,
         agent: AgentId,
         node_name: &str,
         not_started: &[RunId],
         sent_ms: u64,
     ) {
-        self.give_back(node_name, not_started);
+        self.handle_not_started(node_name, not_started);
         self.workers.detach(agent);
-        let lives = self.workers.at(node_name);
+        let instances = self.workers.at(node_name);
         let now_ms = self.now_ms;
         let mut asked = String::new();
-        for id in lives {
+        for id in instances {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.answered_ms = now_ms;
                 asked.clone_from(&worker.instance);
             }
         }
-        self.bare_answers.push((agent, asked, sent_ms));
+        self.answers_without_instance.push((agent, asked, sent_ms));
     }
 
     /// Enters the life that the companion reports; any other one known at its machine is gone.
-    fn meet(&mut self, agent: AgentId, node_name: &str, report: &InstanceReport) -> WorkerId {
+    fn reconcile_instance(
+        &mut self,
+        agent: AgentId,
+        node_name: &str,
+        report: &InstanceReport,
+    ) -> WorkerId {
         let now_ms = self.now_ms;
-        let id = self.workers.life(&report.id, now_ms);
+        let id = self.workers.get_or_register(&report.id, now_ms);
         self.workers.attach(agent, id);
-        self.keep_life(id, node_name);
+        self.record_instance(id, node_name);
         self.workers
             .others_at(node_name, id)
             .into_iter()
-            .for_each(|other| self.life_gone(other));
+            .for_each(|other| self.instance_ended(other));
         let Some(worker) = self.workers.get_mut(id) else {
             return id;
         };
         worker.answered_ms = now_ms;
         let before = worker.backend.clone();
-        let changed = worker.describe(now_ms, report) | worker.lapsed_ms.take().is_some();
+        let changed = worker.apply_report(now_ms, report) | worker.expired_ms.take().is_some();
         if changed {
             self.regroup(&before);
             self.regroup(&report.backend);
@@ -95,7 +100,7 @@
     }
 
     /// Starts that the companion never passed on are over.
-    fn give_back(&mut self, node_name: &str, not_started: &[RunId]) {
+    fn handle_not_started(&mut self, node_name: &str, not_started: &[RunId]) {
         let now_ms = self.now_ms;
         for run in not_started {
             let Some(present) = self.run_mut(run) else {
@@ -109,36 +114,36 @@
                 continue;
             }
             if wanted {
-                worker.pause_until_ms = now_ms + GIVEN_BACK_PAUSE_MS;
+                worker.backoff_until_ms = now_ms + REJECTED_START_BACKOFF_MS;
             }
-            self.run_over(*run, Over::NotStarted, "");
+            self.finish_run(*run, RunResult::NotStarted, "");
         }
     }
 
-    fn take_running(&mut self, id: WorkerId, instance: &InstanceReport) {
+    fn handle_running(&mut self, id: WorkerId, instance: &InstanceReport) {
         let in_flight = &instance.in_flight;
-        let strangers: Vec<RunId> = in_flight
+        let unknown_runs: Vec<RunId> = in_flight
             .iter()
             .copied()
-            .filter(|run| !self.heard_of(id, run))
+            .filter(|run| !self.record_in_flight(id, run))
             .collect();
         let listed = instance.running.as_ref().map(|running| {
             let strange = running
                 .iter()
-                .filter(|listed| !self.take_listed(id, listed));
+                .filter(|listed| !self.update_listed_run(id, listed));
             strange.map(|listed| listed.run).collect::<Vec<RunId>>()
         });
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.strangers_in_flight = strangers;
+        worker.unknown_in_flight = unknown_runs;
         if let Some(listed) = listed {
-            worker.strangers = listed;
+            worker.unknown_runs = listed;
         }
     }
 
     /// A start in flight is known; `false` if it is not outstanding there.
-    fn heard_of(&mut self, id: WorkerId, run: &RunId) -> bool {
+    fn record_in_flight(&mut self, id: WorkerId, run: &RunId) -> bool {
         let now_ms = self.now_ms;
         self.run_on(run, id)
             .map(|run| run.listed_ms = now_ms)
@@ -146,7 +151,7 @@
     }
 
     /// Takes in the state of a run at work; `false` if it is not outstanding there.
-    fn take_listed(&mut self, id: WorkerId, listed: &RunningRun) -> bool {
+    fn update_listed_run(&mut self, id: WorkerId, listed: &RunningRun) -> bool {
         let now_ms = self.now_ms;
         let Some(run) = self.run_on(&listed.run, id) else {
             return false;
@@ -156,24 +161,24 @@
         if run.percent != listed.percent {
             (run.percent, run.percent_ms) = (listed.percent, now_ms);
         }
-        if self.keep_saved(&listed.run.task, &listed.checkpoint) {
-            self.saved_changed(id, &listed.run.task);
+        if self.store_checkpoint(&listed.run.task, &listed.checkpoint) {
+            self.checkpoint_changed(id, &listed.run.task);
         }
         true
     }
 
-    fn take_ends(&mut self, id: WorkerId, finished: &[FinishedRun]) {
-        let Some(taken) = self.workers.get(id).map(|worker| worker.taken_end) else {
+    fn handle_ends(&mut self, id: WorkerId, finished: &[FinishedRun]) {
+        let Some(taken) = self.workers.get(id).map(|worker| worker.handled_end) else {
             return;
         };
         let mut newest = taken;
         for end in finished.iter().filter(|end| end.number > taken) {
             newest = newest.max(end.number);
-            self.take_end(id, end);
+            self.handle_end(id, end);
         }
         if newest > taken {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.taken_end = newest;
+                worker.handled_end = newest;
             }
             self.outbox.defer(
                 self.outbox.newest_write(),
@@ -182,32 +187,32 @@
         }
     }
 
-    fn take_end(&mut self, id: WorkerId, end: &FinishedRun) {
+    fn handle_end(&mut self, id: WorkerId, end: &FinishedRun) {
         let now_ms = self.now_ms;
         let task = end.run.task;
         if self.run_on(&end.run, id).is_none() {
             if end.end == RunEnd::Done {
-                self.late_done(task);
+                self.handle_late_done(task);
             }
             return;
         }
         if end.end == RunEnd::Refused
             && let Some(worker) = self.workers.get_mut(id)
         {
-            worker.pause_until_ms = now_ms + GIVEN_BACK_PAUSE_MS;
+            worker.backoff_until_ms = now_ms + REJECTED_START_BACKOFF_MS;
         }
-        self.run_over(end.run, Over::Ended(end.end), &end.checkpoint);
+        self.finish_run(end.run, RunResult::Ended(end.end), &end.checkpoint);
     }
 
     /// After the first full report on a connection: orders that may have been lost are sent again.
-    fn catch_up(&mut self, agent: AgentId, id: WorkerId, instance: &InstanceReport) {
+    fn resend_orders(&mut self, agent: AgentId, id: WorkerId, instance: &InstanceReport) {
         let Some(running) = &instance.running else {
             return;
         };
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let first = !std::mem::replace(&mut worker.in_full, true);
+        let first = !std::mem::replace(&mut worker.full_report_received, true);
         let tasks = worker.runs.clone();
         let present: FxHashSet<RunId> = running
             .iter()
@@ -221,7 +226,7 @@
             };
             let ended = job.end.is_some();
             let done = job.task(&task).is_some_and(|task| task.done);
-            let copy = done && job.step(task.step).is_some_and(|step| !step.gang);
+            let superseded = done && job.step(task.step).is_some_and(|step| !step.gang);
             let Some(run) = self.run_at(id, &task).filter(|run| run.sent) else {
                 continue;
             };
@@ -232,9 +237,9 @@
             let stop = run.stop;
             match stop {
                 Some(stop) if stop.sent_to != Some(agent) => self.send_stop(order),
-                Some(stop) if now_ms >= stop.sent_ms + STOP_AGAIN_MS => self.send_stop(order),
+                Some(stop) if now_ms >= stop.sent_ms + STOP_RETRY_MS => self.send_stop(order),
                 None if first && ended => self.send_stop_if_committed(order),
-                None if first && copy => self.stop_one(order),
+                None if first && superseded => self.stop_one(order),
                 None if first && !present.contains(&order) => self.order_start(order),
                 _ => {}
             }
@@ -250,23 +255,23 @@
     }
 
     /// Runs that must not be there are stopped; until they are over the worker gets no starts.
-    fn stop_strangers(&mut self, id: WorkerId, sent_ms: u64, lists: bool) {
+    fn stop_unknown_runs(&mut self, id: WorkerId, sent_ms: u64, reports_running: bool) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let mut stop: Vec<RunId> = worker.strangers_in_flight.clone();
-        if lists {
-            stop.extend(worker.strangers.iter().copied());
+        let mut stop: Vec<RunId> = worker.unknown_in_flight.clone();
+        if reports_running {
+            stop.extend(worker.unknown_runs.iter().copied());
         }
         if !worker.given_up.is_empty() {
-            match worker.given_up_told {
-                Some(told_ms) if sent_ms > told_ms => {
+            match worker.given_up_report_sent_ms {
+                Some(report_sent_ms) if sent_ms > report_sent_ms => {
                     worker.given_up.clear();
-                    worker.given_up_told = None;
+                    worker.given_up_report_sent_ms = None;
                 }
                 _ => {
                     stop.extend(worker.given_up.iter().copied());
-                    worker.given_up_told = Some(sent_ms);
+                    worker.given_up_report_sent_ms = Some(sent_ms);
                 }
             }
         }
--- a/crates/scheduler/src/reservation.rs
+++ b/crates/scheduler/src/reservation.rs
@@ -1,8 +1,8 @@
 //! Reservations: a step whose tasks need much room at once keeps workers, so that small tasks do not starve it. Tasks
 //! that fit beside, or end before the room is needed, still use them.
 
-use crate::draw::dominant_share;
-use crate::need::{Need, times};
+use crate::demand::{StepDemand, times};
+use crate::kinds::dominant_share;
 use crate::queue::{QueueKey, StepRef};
 use crate::scheduler::Scheduler;
 use crate::workers::{Worker, WorkerId};
@@ -15,7 +15,7 @@
 /// Reservations are worked out anew so often.
 const RESERVE_MS: u64 = 200;
 /// Tasks that take at least this part of a worker need reservations; smaller ones find room by themselves.
-const LARGE_SHARE: f64 = 0.25;
+const LARGE_FRACTION: f64 = 0.25;
 /// While less than this part of the service is in use, nobody waits long for a reserved worker.
 const IDLE_LOAD: f64 = 0.55;
 /// How long they wait then.
@@ -49,15 +49,17 @@
 
 impl Reservation {
     /// Whether a step may use the worker although it is kept for another one.
-    pub fn gives_way(&self, need: &Need) -> bool {
-        self.step == need.at || need.priority < self.priority || need.waited_ms >= self.patience_ms
+    pub fn yields_to(&self, demand: &StepDemand) -> bool {
+        self.step == demand.at
+            || demand.priority < self.priority
+            || demand.waited_ms >= self.patience_ms
     }
 }
 
 impl Scheduler {
     /// Whether only about half of the service is in use, or less, by the resource used most or by its cores: then no
     /// step may wait long where there is room for it.
-    pub(crate) fn has_spare(&self, service: &str) -> bool {
+    pub(crate) fn has_spare_capacity(&self, service: &str) -> bool {
         let Some(state) = self.services.get(service) else {
             return false;
         };
@@ -75,65 +77,75 @@
         let Some(state) = self.services.get(service) else {
             return false;
         };
-        let holds = state.reserved.values().any(|kept| kept.step == key.at);
+        let holds = state
+            .reserved
+            .values()
+            .any(|reservation| reservation.step == key.at);
         if holds && now_ms < state.next_reserve_ms {
             return true;
         }
-        let Some((need, members)) = self.large_need(service, key.at) else {
+        let Some((demand, members)) = self.large_demand(service, key.at) else {
             return false;
         };
-        let outlook = self.outlook(service, &need, members);
-        let spare = self.has_spare(service);
+        let outlook = self.outlook(service, &demand, members);
+        let spare = self.has_spare_capacity(service);
         let Some(state) = self.services.get_mut(service) else {
             return false;
         };
         state.next_reserve_ms = now_ms + RESERVE_MS;
-        state.reserved.retain(|_, kept| kept.step != key.at);
+        state
+            .reserved
+            .retain(|_, reservation| reservation.step != key.at);
         let Some(outlook) = outlook else { return false };
         let patience_ms = if spare { IDLE_PATIENCE_MS } else { u64::MAX };
         for (id, count) in outlook.tasks {
-            let kept = Reservation {
+            let reservation = Reservation {
                 step: key.at,
                 priority: key.priority,
-                resources: times(&need.resources, u64::from(count)),
+                resources: times(&demand.resources, u64::from(count)),
                 free_ms: outlook.free_ms,
                 patience_ms,
             };
-            state.reserved.insert(id, kept);
+            state.reserved.insert(id, reservation);
         }
         true
     }
 
     /// What a step needs, and for how many tasks at once, if it needs much.
-    fn large_need(&self, service: &str, at: StepRef) -> Option<(Need, u32)> {
+    fn large_demand(&self, service: &str, at: StepRef) -> Option<(StepDemand, u32)> {
         let job = self.jobs.get(&at.job)?;
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
-        let need = Need::of(job, at, self.now_ms)?;
+        let demand = StepDemand::of(job, at, self.now_ms)?;
         let workers = self
             .services
             .get(service)?
             .kinds
             .workers()
             .filter_map(|id| self.workers.get(id));
-        let fitting = workers.filter(|worker| worker.capacity.holds(&need.resources));
-        let share = |worker: &Worker| dominant_share(&need.resources, &worker.capacity);
+        let fitting = workers.filter(|worker| worker.capacity.holds(&demand.resources));
+        let share = |worker: &Worker| dominant_share(&demand.resources, &worker.capacity);
         let share = fitting.map(share).min_by(f64::total_cmp)?;
         let members = if step.gang {
             state.tasks.len() as u32
         } else {
             1
         };
-        (step.gang || share >= LARGE_SHARE).then_some((need, members))
+        (step.gang || share >= LARGE_FRACTION).then_some((demand, members))
     }
 
     /// Where and when `members` tasks will find room, if what runs ends as expected; in one rack if the step needs
     /// that and it does not take too long.
-    pub(crate) fn outlook(&self, service: &str, need: &Need, members: u32) -> Option<Outlook> {
-        let anywhere = self.outlook_in(service, need, members, None)?;
+    pub(crate) fn outlook(
+        &self,
+        service: &str,
+        demand: &StepDemand,
+        members: u32,
+    ) -> Option<Outlook> {
+        let anywhere = self.outlook_in(service, demand, members, None)?;
         let rack_local = self
             .jobs
-            .get(&need.at.job)
-            .and_then(|job| job.step(need.at.step))
+            .get(&demand.at.job)
+            .and_then(|job| job.step(demand.at.step))
             .is_some_and(|s| s.rack_local);
         if !rack_local {
             return Some(anywhere);
@@ -142,9 +154,9 @@
         let racks: BTreeSet<&str> = ids.filter_map(|id| self.workers.get(id)?.rack()).collect();
         let of_racks = racks
             .into_iter()
-            .filter_map(|rack| self.outlook_in(service, need, members, Some(rack)));
+            .filter_map(|rack| self.outlook_in(service, demand, members, Some(rack)));
         let best = of_racks.min_by_key(|outlook| outlook.free_ms);
-        let loss_ms = (need.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
+        let loss_ms = (demand.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
         Some(
             best.filter(|rack| rack.free_ms <= anywhere.free_ms + loss_ms)
                 .unwrap_or(anywhere),
@@ -154,7 +166,7 @@
     fn outlook_in(
         &self,
         service: &str,
-        need: &Need,
+        demand: &StepDemand,
         members: u32,
         rack: Option<&str>,
     ) -> Option<Outlook> {
@@ -164,15 +176,16 @@
             let Some(worker) = self.workers.get(id) else {
                 continue;
             };
-            let kept = state.reserved.get(&id);
-            let other =
-                kept.is_some_and(|kept| kept.step != need.at && kept.priority <= need.priority);
+            let reservation = state.reserved.get(&id);
+            let other = reservation.is_some_and(|reservation| {
+                reservation.step != demand.at && reservation.priority <= demand.priority
+            });
             let elsewhere = rack.is_some_and(|rack| worker.rack() != Some(rack));
-            if other || elsewhere || !worker.in_touch(self.now_ms) {
+            if other || elsewhere || !worker.is_responsive(self.now_ms) {
                 continue;
             }
-            let stay_ms = if kept.is_some() { STAY_MS } else { 0 };
-            let times = self.free_times(id, worker, need, members);
+            let stay_ms = if reservation.is_some() { STAY_MS } else { 0 };
+            let times = self.free_times(id, worker, demand, members);
             rooms.extend(times.into_iter().map(|at| (at.saturating_sub(stay_ms), id)));
         }
         rooms.sort_unstable();
@@ -186,8 +199,14 @@
     }
 
     /// When the worker is expected to have room for one, two, ... tasks (at most `members`) of the step.
-    fn free_times(&self, id: WorkerId, worker: &Worker, need: &Need, members: u32) -> Vec<u64> {
-        let labelled = need.label.is_empty() || worker.labels.contains(&need.label);
+    fn free_times(
+        &self,
+        id: WorkerId,
+        worker: &Worker,
+        demand: &StepDemand,
+        members: u32,
+    ) -> Vec<u64> {
+        let labelled = demand.label.is_empty() || worker.labels.contains(&demand.label);
         if !labelled {
             return Vec::new();
         }
@@ -205,13 +224,13 @@
         let mut ends = ends.into_iter();
         let (mut used, mut at_ms) = (worker.used, self.now_ms);
         let mut free = Vec::new();
-        let most = if need.anti_affinity > 0 {
-            members.min(need.anti_affinity)
+        let most = if demand.anti_affinity > 0 {
+            members.min(demand.anti_affinity)
         } else {
             members
         };
         for count in 1..=u64::from(most) {
-            let wanted = times(&need.resources, count);
+            let wanted = times(&demand.resources, count);
             while !worker.capacity.holds(&used.plus(&wanted)) {
                 let Some((end_ms, freed)) = ends.next() else {
                     return free;
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -71,12 +71,12 @@
     repeats: Vec<(u32, Vec<StepRow>)>,
     /// Second runs; they follow the rest of the row, and only if there are any.
     #[serde(skip)]
-    copies: Vec<CopyRow>,
+    speculative_runs: Vec<SpeculativeRunRow>,
 }
 
 /// A second run of a task.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct CopyRow {
+struct SpeculativeRunRow {
     repeat: u32,
     step: u32,
     index: u32,
@@ -125,39 +125,40 @@
             .collect();
         repeats.push((number, steps));
     }
-    let (end, next_repeat, copies) = (job.end, job.next_repeat, copy_rows(job, workers));
+    let (end, next_repeat, speculative_runs) =
+        (job.end, job.next_repeat, speculative_run_rows(job, workers));
     let progress = Progress {
         end,
         next_repeat,
         instances,
         repeats,
-        copies,
+        speculative_runs,
     };
     let row = postcard::to_allocvec(&progress).unwrap_or_default();
-    if progress.copies.is_empty() {
+    if progress.speculative_runs.is_empty() {
         return row;
     }
-    postcard::to_extend(&progress.copies, row).unwrap_or_default()
+    postcard::to_extend(&progress.speculative_runs, row).unwrap_or_default()
 }
 
-fn copy_rows(job: &Job, workers: &Workers) -> Vec<CopyRow> {
+fn speculative_run_rows(job: &Job, workers: &Workers) -> Vec<SpeculativeRunRow> {
     let mut rows = Vec::new();
     for (&repeat, state) in &job.repeats {
         for (step, state) in state.steps.iter().enumerate() {
-            let copies = state
+            let speculative_runs = state
                 .tasks
                 .iter()
                 .enumerate()
-                .filter_map(|(n, task)| Some((n, task.copy.as_ref()?)));
-            rows.extend(copies.map(|(index, copy)| {
-                CopyRow {
+                .filter_map(|(n, task)| Some((n, task.speculative_run.as_ref()?)));
+            rows.extend(speculative_runs.map(|(index, speculative_run)| {
+                SpeculativeRunRow {
                     repeat,
                     step: step as u32,
                     index: index as u32,
                     instance: workers
-                        .get(copy.worker)
+                        .get(speculative_run.worker)
                         .map_or_else(String::new, |w| w.instance.clone()),
-                    attempt: copy.attempt,
+                    attempt: speculative_run.attempt,
                 }
             }));
         }
@@ -193,7 +194,7 @@
     };
     let checkpoint = |task: &Task| {
         if gang {
-            step.gang_saved.clone()
+            step.gang_checkpoint.clone()
         } else {
             task.checkpoint.clone()
         }
@@ -229,7 +230,7 @@
     let (mut progress, rest): (Progress, &[u8]) =
         postcard::take_from_bytes(value).map_err(|source| unreadable(key, source))?;
     if !rest.is_empty() {
-        progress.copies = read(key, rest)?;
+        progress.speculative_runs = read(key, rest)?;
     }
     Ok(progress)
 }
@@ -260,33 +261,33 @@
         job.next_repeat = self.next_repeat;
         job.started = self.next_repeat as usize > self.repeats.len();
         job.last_write = WriteId(0);
-        let lives: Vec<WorkerId> = self
+        let worker_ids: Vec<WorkerId> = self
             .instances
             .iter()
-            .map(|name| workers.life(name, now_ms))
+            .map(|name| workers.get_or_register(name, now_ms))
             .collect();
         let mut repeats = BTreeMap::new();
         for (number, rows) in self.repeats {
             let mut repeat = job.fresh_repeat(due_ms(&job, number));
             for (state, row) in repeat.steps.iter_mut().zip(rows) {
-                job.outstanding += restore_step(state, row, &lives, now_ms);
+                job.outstanding += restore_step(state, row, &worker_ids, now_ms);
                 job.started |= state.tasks.iter().any(|task| task.last_attempt > 0);
             }
             repeats.insert(number, repeat);
         }
         job.repeats = repeats;
-        for copy in self.copies {
-            let worker = workers.life(&copy.instance, now_ms);
+        for speculative_run in self.speculative_runs {
+            let worker = workers.get_or_register(&speculative_run.instance, now_ms);
             let at = StepRef {
                 job: JobId(0),
-                repeat: copy.repeat,
-                step: copy.step,
+                repeat: speculative_run.repeat,
+                step: speculative_run.step,
             };
             if let Some(task) = job
-                .task_mut(&at.task(copy.index))
+                .task_mut(&at.task(speculative_run.index))
                 .filter(|task| task.run.is_some())
             {
-                task.copy = Some(Run::restored(worker, copy.attempt, now_ms));
+                task.speculative_run = Some(Run::restored(worker, speculative_run.attempt, now_ms));
                 job.outstanding += 1;
             }
         }
@@ -295,7 +296,7 @@
 }
 
 /// Fills a step's state in; returns its number of outstanding runs.
-fn restore_step(state: &mut StepState, row: StepRow, lives: &[WorkerId], now_ms: u64) -> u32 {
+fn restore_step(state: &mut StepState, row: StepRow, workers: &[WorkerId], now_ms: u64) -> u32 {
     match row {
         StepRow::Fresh => {}
         StepRow::Done => state.tasks.iter_mut().for_each(|task| {
@@ -309,15 +310,15 @@
         } => {
             (state.gang_failures, state.gang_failed_attempt) = (gang_failures, gang_failed_attempt);
             for (task, row) in state.tasks.iter_mut().zip(tasks) {
-                let run = row
-                    .run
-                    .and_then(|(life, attempt)| Some((*lives.get(life as usize)?, attempt)));
+                let run = row.run.and_then(|(instance, attempt)| {
+                    Some((*workers.get(instance as usize)?, attempt))
+                });
                 *task = Task {
                     last_attempt: row.last_attempt,
                     failures: row.failures,
                     done: row.done,
                     run: run.map(|(worker, attempt)| Run::restored(worker, attempt, now_ms)),
-                    copy: None,
+                    speculative_run: None,
                     checkpoint: row.checkpoint,
                     ..Task::default()
                 };
@@ -325,7 +326,7 @@
         }
     }
     // A gang's members all have the same text, except in rows of earlier versions; then any of them serves.
-    state.gang_saved = state
+    state.gang_checkpoint = state
         .tasks
         .iter()
         .map(|task| &task.checkpoint)
@@ -350,7 +351,7 @@
             placed_ms: now_ms,
             resumed: true,
             bound: false,
-            far: 1.0,
+            remote_factor: 1.0,
             percent: 0,
             percent_ms: now_ms,
             listed_ms: now_ms,
--- a/crates/scheduler/src/checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -3,7 +3,7 @@
 use crate::health::Health;
 use crate::job::Run;
 use crate::queue::StepRef;
-use crate::runs::Over;
+use crate::runs::RunResult;
 use crate::scheduler::Scheduler;
 use crate::workers::WorkerId;
 use indigofold_protocol::job::Resources;
@@ -13,13 +13,13 @@
 /// Time between two looks.
 const CHECK_MS: u64 = 300;
 /// The order of a run that is not listed for so long is sent again.
-const ORDER_AGAIN_MS: u64 = 3_000;
+const ORDER_RETRY_MS: u64 = 3_000;
 /// A run that no list has named for so long, though the worker is in touch and was told again, is over.
 const ABSENT_MS: u64 = 20_000;
 /// A run without any progress for so long may hang.
 const STALL_MIN_MS: u64 = 3_000;
 /// ... and for such a part of its expected run time.
-const STALL_SHARE: f64 = 0.5;
+const STALL_FRACTION: f64 = 0.5;
 /// Kept free at the end of a worker's drain.
 const DRAIN_MARGIN_MS: u64 = 300;
 /// Percents from which on they say when a run ends.
@@ -32,14 +32,14 @@
             return;
         }
         self.next_check_ms = self.now_ms + CHECK_MS;
-        let in_touch = self
+        let is_responsive = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.agent.is_some() && worker.in_full);
-        let lists: Vec<(WorkerId, Vec<TaskName>)> = in_touch
+            .filter(|(_, worker)| worker.agent.is_some() && worker.full_report_received);
+        let tasks_by_worker: Vec<(WorkerId, Vec<TaskName>)> = is_responsive
             .map(|(id, worker)| (id, worker.runs.iter().copied().collect()))
             .collect();
-        for (id, tasks) in lists {
+        for (id, tasks) in tasks_by_worker {
             let slowdown = self.slowdown(id);
             tasks
                 .into_iter()
@@ -66,25 +66,25 @@
             run.stop.is_some() || ended,
         );
         if absent_ms >= ABSENT_MS {
-            return self.run_over(order, Over::NotStarted, "");
+            return self.finish_run(order, RunResult::NotStarted, "");
         }
         if stopping {
             return;
         }
-        if absent_ms >= ORDER_AGAIN_MS && absent_ms % ORDER_AGAIN_MS < CHECK_MS {
+        if absent_ms >= ORDER_RETRY_MS && absent_ms % ORDER_RETRY_MS < CHECK_MS {
             self.order_start(order);
         }
-        if self.must_leave(id, &task) {
+        if self.outlasts_drain(id, &task) {
             self.stop_run(order);
         } else if self.hangs(id, &task) {
-            self.take_away(id, order, |health| health.failed(now_ms, false));
-        } else if slowdown.is_some_and(|slowdown| self.drags(id, &task, slowdown)) {
-            self.take_away(id, order, |health| health.too_slow(now_ms));
+            self.move_run(id, order, |health| health.failed(now_ms, false));
+        } else if slowdown.is_some_and(|slowdown| self.is_straggling(id, &task, slowdown)) {
+            self.move_run(id, order, |health| health.too_slow(now_ms));
         }
     }
 
     /// Stops a run that gets nowhere; the task goes to another worker.
-    fn take_away(&mut self, id: WorkerId, run: RunId, note: impl Fn(&mut Health)) {
+    fn move_run(&mut self, id: WorkerId, run: RunId, note: impl Fn(&mut Health)) {
         if let Some(worker) = self.workers.get_mut(id) {
             note(&mut worker.health);
         }
@@ -99,7 +99,7 @@
     }
 
     /// The worker leaves before the run can end.
-    fn must_leave(&self, id: WorkerId, task: &TaskName) -> bool {
+    fn outlasts_drain(&self, id: WorkerId, task: &TaskName) -> bool {
         let Some(worker) = self
             .workers
             .get(id)
@@ -111,8 +111,8 @@
             return false;
         };
         let left_ms = worker
-            .leaves_ms
-            .map_or(0, |leaves| leaves.saturating_sub(self.now_ms));
+            .drain_end_ms
+            .map_or(0, |drain_end_ms| drain_end_ms.saturating_sub(self.now_ms));
         traits.long_running || self.remaining_ms(id, task) + DRAIN_MARGIN_MS > left_ms
     }
 
@@ -147,14 +147,14 @@
         let Some(traits) = self.traits(at) else {
             return 0.0;
         };
-        let far = self.run_at(id, task).map_or(1.0, |run| run.far);
+        let remote_factor = self.run_at(id, task).map_or(1.0, |run| run.remote_factor);
         let kinds = self
             .services
             .get(&traits.service)
             .map(|service| &service.kinds);
         kinds.map_or(0.0, |kinds| {
             kinds.expected_ms(id, &traits.class, traits.estimate_ms)
-        }) * far
+        }) * remote_factor
     }
 
     /// The run stands still for much longer than it takes to make any progress.
@@ -173,7 +173,7 @@
         if step.long_running || !listed {
             return false;
         }
-        let limit_ms = STALL_MIN_MS.max((self.expected_run_ms(id, task) * STALL_SHARE) as u64);
+        let limit_ms = STALL_MIN_MS.max((self.expected_run_ms(id, task) * STALL_FRACTION) as u64);
         let resume_cost_ms = if run.resumed {
             self.bounds.resume_cost_ms
         } else {
@@ -186,7 +186,7 @@
 
 /// How long a run will have taken as a whole, by its progress; `None` if that does not tell yet.
 pub(crate) fn projected_total_ms(run: &Run) -> Option<u64> {
-    let tells = (TELLING_PERCENT..100).contains(&run.percent) && !run.resumed;
-    let so_far_ms = run.percent_ms.saturating_sub(run.placed_ms);
-    tells.then(|| so_far_ms * 100 / u64::from(run.percent))
+    let conclusive = (TELLING_PERCENT..100).contains(&run.percent) && !run.resumed;
+    let elapsed_ms = run.percent_ms.saturating_sub(run.placed_ms);
+    conclusive.then(|| elapsed_ms * 100 / u64::from(run.percent))
 }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/run_results.rs
@@ -1,7 +1,7 @@
 //! What outcomes of runs teach: speeds of kinds, work of classes, health of workers.
 
 use crate::job::Run;
-use crate::runs::{Over, StepTraits};
+use crate::runs::{RunResult, StepTraits};
 use crate::scheduler::Scheduler;
 use indigofold_protocol::task::TaskName;
 use indigofold_protocol::worker::RunEnd;
@@ -13,36 +13,38 @@
 
 impl Scheduler {
     /// A run is over. Only `done` gives a sample of speed, and only if the run did the whole work.
-    pub(crate) fn note_outcome(
+    pub(crate) fn learn_from_run(
         &mut self,
         task: &TaskName,
         run: &Run,
-        over: Over,
+        result: RunResult,
         traits: &StepTraits,
     ) {
-        match over {
-            Over::Ended(RunEnd::Done) if !traits.long_running => self.note_done(run, traits),
-            Over::Ended(RunEnd::Failed) => self.note_failed(task, run, traits),
+        match result {
+            RunResult::Ended(RunEnd::Done) if !traits.long_running => {
+                self.learn_from_success(run, traits)
+            }
+            RunResult::Ended(RunEnd::Failed) => self.learn_from_failure(task, run, traits),
             _ => {}
         }
     }
 
-    fn note_done(&mut self, run: &Run, traits: &StepTraits) {
+    fn learn_from_success(&mut self, run: &Run, traits: &StepTraits) {
         let now_ms = self.now_ms;
-        let run_ms = now_ms.saturating_sub(run.placed_ms) as f64 / run.far.max(1.0);
+        let run_ms = now_ms.saturating_sub(run.placed_ms) as f64 / run.remote_factor.max(1.0);
         let kinds = &mut self.service(&traits.service).kinds;
         let expected_ms = kinds.expected_ms(run.worker, &traits.class, traits.estimate_ms);
         let pace = (!run.resumed).then_some(run_ms / (expected_ms + ORDER_MS));
         if !run.resumed {
-            kinds.learned(run.worker, &traits.class, traits.estimate_ms, run_ms);
+            kinds.record_run(run.worker, &traits.class, traits.estimate_ms, run_ms);
         }
         if let Some(worker) = self.workers.get_mut(run.worker) {
-            let pace = pace.filter(|_| worker.cold_until_ms <= run.placed_ms);
+            let pace = pace.filter(|_| worker.warm_up_until_ms <= run.placed_ms);
             worker.health.succeeded(now_ms, pace);
         }
     }
 
-    fn note_failed(&mut self, task: &TaskName, run: &Run, traits: &StepTraits) {
+    fn learn_from_failure(&mut self, task: &TaskName, run: &Run, traits: &StepTraits) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,7 +1,7 @@
 //! Life of a run: placed, ordered, stopped, over.
 
-use crate::draw::Class;
 use crate::job::{Run, StopOrder, Task};
+use crate::kinds::Class;
 use crate::outbox::Deferred;
 use crate::queue::StepRef;
 use crate::scheduler::Scheduler;
@@ -13,13 +13,13 @@
 
 /// How a run came to be over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Over {
+pub(crate) enum RunResult {
     /// Its end was listed.
     Ended(RunEnd),
     /// It never got to the worker.
     NotStarted,
     /// The worker's life is gone, or its holds have lapsed.
-    Gone,
+    Lost,
 }
 
 /// Where and how a run is placed.
@@ -28,7 +28,7 @@
     pub worker: WorkerId,
     pub bound: bool,
     /// Factor on the run time there.
-    pub far: f64,
+    pub remote_factor: f64,
 }
 
 /// What of a step matters for its runs.
@@ -75,7 +75,7 @@
     }
 
     /// Places a waiting task, or a copy of one that runs; its order leaves once this is committed.
-    pub(crate) fn place(&mut self, task: TaskName, attempt: u32, placement: Placement) {
+    pub(crate) fn place_run(&mut self, task: TaskName, attempt: u32, placement: Placement) {
         let (id, now_ms) = (task.job, self.now_ms);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -94,12 +94,12 @@
         };
         entry.last_attempt = attempt;
         let resumed = !entry.checkpoint.is_empty();
-        let place = if entry.run.is_none() {
+        let slot = if entry.run.is_none() {
             &mut entry.run
         } else {
-            &mut entry.copy
+            &mut entry.speculative_run
         };
-        *place = Some(Run {
+        *slot = Some(Run {
             attempt,
             worker: placement.worker,
             sent: false,
@@ -109,7 +109,7 @@
             placed_ms: now_ms,
             resumed,
             bound: placement.bound,
-            far: placement.far,
+            remote_factor: placement.remote_factor,
             percent: 0,
             percent_ms: now_ms,
             listed_ms: now_ms,
@@ -123,7 +123,7 @@
         if first {
             self.no_longer_pending(id);
         }
-        self.mark(id);
+        self.set_dirty(id);
         self.outbox.defer(
             self.outbox.present_write(),
             Deferred::Start(RunId { task, attempt }),
@@ -145,9 +145,9 @@
         let reachable = self
             .workers
             .get(worker)
-            .is_some_and(|worker| worker.agent.is_some() && worker.in_full);
+            .is_some_and(|worker| worker.agent.is_some() && worker.full_report_received);
         if !reachable || stopped || ended {
-            return self.run_over(run, Over::NotStarted, "");
+            return self.finish_run(run, RunResult::NotStarted, "");
         }
         if let Some(present) = self.run_mut(&run) {
             (present.sent, present.sent_ms) = (true, now_ms);
@@ -212,7 +212,7 @@
             return;
         };
         if !run.sent {
-            return self.run_over(order, Over::NotStarted, "");
+            return self.finish_run(order, RunResult::NotStarted, "");
         }
         if run.stop.is_none() {
             run.stop = Some(StopOrder {
@@ -229,7 +229,7 @@
             return;
         };
         if !run.sent {
-            return self.run_over(order, Over::NotStarted, "");
+            return self.finish_run(order, RunResult::NotStarted, "");
         }
         self.outbox
             .defer(self.outbox.present_write(), Deferred::Stop(order));
@@ -245,7 +245,7 @@
         let agent = self
             .workers
             .get(worker)
-            .and_then(|w| w.agent.filter(|_| w.in_full));
+            .and_then(|w| w.agent.filter(|_| w.full_report_received));
         if let Some(run) = self.run_mut(&order) {
             run.stop = Some(StopOrder {
                 sent_to: agent,
@@ -258,7 +258,7 @@
     }
 
     /// A run is over.
-    pub(crate) fn run_over(&mut self, run: RunId, over: Over, checkpoint: &str) {
+    pub(crate) fn finish_run(&mut self, run: RunId, result: RunResult, checkpoint: &str) {
         let task = run.task;
         let at = StepRef::of(&task);
         let Some(traits) = self.traits(at) else {
@@ -275,26 +275,26 @@
             return;
         };
         let (done, runs_on) = (entry.done, entry.run.is_some());
-        self.keep_saved(&task, checkpoint);
+        self.store_checkpoint(&task, checkpoint);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.outstanding = job.outstanding.saturating_sub(1);
         }
-        self.mark(task.job);
+        self.set_dirty(task.job);
         if let Some(worker) = self.workers.get_mut(run.worker) {
             worker.release(&task, &traits.resources, run.bound);
         }
         self.service(&traits.service).dirty = true;
-        self.note_outcome(&task, &run, over, &traits);
-        self.note_run(&task, &run, over);
-        match over {
-            _ if ended => self.close_if_idle(task.job),
-            _ if done => self.tidy_repeat(task.job, task.repeat),
-            Over::Ended(RunEnd::Done) if !traits.long_running => self.run_done(task),
-            Over::Ended(RunEnd::Failed) if !traits.long_running => {
+        self.learn_from_run(&task, &run, result, &traits);
+        self.record_run_latency(&task, &run, result);
+        match result {
+            _ if ended => self.close_job_if_idle(task.job),
+            _ if done => self.close_repeat_if_finished(task.job, task.repeat),
+            RunResult::Ended(RunEnd::Done) if !traits.long_running => self.run_done(task),
+            RunResult::Ended(RunEnd::Failed) if !traits.long_running => {
                 self.task_failed(task, &run, &traits)
             }
             _ if runs_on => {}
-            _ => self.wait_again(task),
+            _ => self.requeue_task(task),
         }
     }
 
@@ -308,7 +308,7 @@
         {
             self.stop_task(task);
         }
-        self.tidy_repeat(task.job, task.repeat);
+        self.close_repeat_if_finished(task.job, task.repeat);
     }
 
     /// Counts a failure; the last one allowed fails the job.
@@ -338,7 +338,7 @@
             task_failures
         };
         if failures >= limit {
-            self.note_end(&task, JobState::Failed);
+            self.record_late_end(&task, JobState::Failed);
             return self.end_job(task.job, JobState::Failed);
         }
         let runs_on = self
@@ -347,13 +347,13 @@
             .and_then(|job| job.task(&task))
             .is_some_and(|t| t.run.is_some());
         if !runs_on {
-            self.wait_again(task);
+            self.requeue_task(task);
         }
     }
 
     /// Progress that a run has saved; any member's serves for its gang, and the newest is kept. Returns whether it is
     /// news.
-    pub(crate) fn keep_saved(&mut self, task: &TaskName, checkpoint: &str) -> bool {
+    pub(crate) fn store_checkpoint(&mut self, task: &TaskName, checkpoint: &str) -> bool {
         let Some(job) = self
             .jobs
             .get_mut(&task.job)
@@ -374,13 +374,13 @@
         };
         checkpoint.clone_into(&mut entry.checkpoint);
         if gang {
-            checkpoint.clone_into(&mut state.gang_saved);
+            checkpoint.clone_into(&mut state.gang_checkpoint);
         }
         true
     }
 
     /// A `done` of a run that was given up: it counts while the task is not done.
-    pub(crate) fn late_done(&mut self, task: TaskName) {
+    pub(crate) fn handle_late_done(&mut self, task: TaskName) {
         let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else {
             return;
         };
@@ -405,27 +405,27 @@
         };
         self.task_done(task);
         members.for_each(|index| self.stop_task(StepRef::of(&task).task(index)));
-        self.tidy_repeat(task.job, task.repeat);
+        self.close_repeat_if_finished(task.job, task.repeat);
     }
 
     /// A life is gone for good: nothing of it runs.
-    pub(crate) fn life_gone(&mut self, id: WorkerId) {
+    pub(crate) fn instance_ended(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
         let (backend, runs) = (worker.backend.clone(), worker.runs.clone());
         for task in runs {
             if let Some(attempt) = self.run_at(id, &task).map(|run| run.attempt) {
-                self.run_over(RunId { task, attempt }, Over::Gone, "");
+                self.finish_run(RunId { task, attempt }, RunResult::Lost, "");
             }
         }
-        self.forget_life(id);
+        self.forget_instance(id);
         self.regroup(&backend);
     }
 
     /// Gives up the runs of lives whose holds have lapsed without word from them.
-    pub(crate) fn give_up_lapsed(&mut self) {
-        for id in self.workers.newly_lapsed(self.now_ms) {
+    pub(crate) fn give_up_expired(&mut self) {
+        for id in self.workers.newly_expired(self.now_ms) {
             let Some(worker) = self.workers.get(id) else {
                 continue;
             };
@@ -440,15 +440,15 @@
                 if let Some(worker) = self.workers.get_mut(id) {
                     worker.given_up.push(run);
                 }
-                self.run_over(run, Over::Gone, "");
+                self.finish_run(run, RunResult::Lost, "");
             }
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.lapsed_ms = Some(self.now_ms);
+                worker.expired_ms = Some(self.now_ms);
             }
             self.regroup(&backend);
         }
-        for id in self.workers.long_lapsed(self.now_ms) {
-            self.forget_life(id);
+        for id in self.workers.long_expired(self.now_ms) {
+            self.forget_instance(id);
         }
     }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -2,15 +2,15 @@
 
 use crate::api::{AgentId, Bounds, Effect, Event, RowChange, WriteId};
 use crate::clock::WallClock;
-use crate::delays::LateEnd;
-use crate::draw::{Kinds, PlacementTrace};
+use crate::instance_rows::{instance_key, instance_of};
 use crate::job::Job;
-use crate::life_rows::{instance_of, life_key};
-use crate::order::MeanWork;
+use crate::kinds::{Kinds, PlacementTrace};
+use crate::latency::LateEnd;
 use crate::outbox::{Deferred, Outbox};
 use crate::queue::Queue;
 use crate::rng::Rng;
 use crate::rows::{self, RowKey};
+use crate::value::MeanWork;
 use crate::workers::{WorkerId, Workers};
 use indigofold_protocol::config::Config;
 use indigofold_protocol::internal::AgentOrders;
@@ -47,13 +47,13 @@
     /// Tasks of open jobs that are not done.
     pub(crate) open_tasks: u64,
     /// Jobs with saved progress that their rows do not have yet.
-    pub(crate) unsaved: BTreeSet<JobId>,
+    pub(crate) unwritten_checkpoints: BTreeSet<JobId>,
     /// Jobs that have not ended.
     pub(crate) open_jobs: u64,
     /// Answers to companions without a worker: connection, life asked for, report.
-    pub(crate) bare_answers: Vec<(AgentId, String, u64)>,
+    pub(crate) answers_without_instance: Vec<(AgentId, String, u64)>,
     /// Nothing is placed before this time: after a take-over the companions come back one by one.
-    pub(crate) place_from_ms: u64,
+    pub(crate) placement_start_ms: u64,
     pub(crate) next_tick_ms: u64,
     pub(crate) next_resolve_ms: u64,
     pub(crate) next_check_ms: u64,
@@ -81,7 +81,7 @@
     /// How long all that waits will take, and when this was worked out.
     pub backlog: Option<(u64, u64)>,
     /// When a step came last whose tasks need a whole worker each.
-    pub whole_seen_ms: Option<u64>,
+    pub large_task_ms: Option<u64>,
     /// Highest priority of which small tasks came lately, and when.
     pub urgent: Option<(u32, u64)>,
     /// Workers kept for a step that needs more room at once than there is, and until when they are expected to be free.
@@ -108,10 +108,10 @@
             pending: FxHashMap::default(),
             mean_work: FxHashMap::default(),
             open_tasks: 0,
-            unsaved: BTreeSet::new(),
+            unwritten_checkpoints: BTreeSet::new(),
             open_jobs: 0,
-            bare_answers: Vec::new(),
-            place_from_ms: now_ms,
+            answers_without_instance: Vec::new(),
+            placement_start_ms: now_ms,
             next_tick_ms: now_ms,
             next_resolve_ms: now_ms,
             next_check_ms: now_ms,
@@ -192,10 +192,10 @@
             } else {
                 IDLE_TICK_MS
             };
-        self.give_up_lapsed();
+        self.give_up_expired();
         self.forget_ended();
         self.check_runs();
-        self.write_saved();
+        self.write_checkpoints();
         self.resolve_kinds();
         self.reorder_queues();
         self.preempt();
@@ -214,7 +214,7 @@
     }
 
     /// The job's progress goes into the present write.
-    pub(crate) fn mark(&mut self, id: JobId) {
+    pub(crate) fn set_dirty(&mut self, id: JobId) {
         let write = self.outbox.present_write();
         if let Some(job) = self.jobs.get_mut(&id) {
             job.last_write = write;
@@ -249,7 +249,7 @@
         let closed = std::mem::take(&mut self.outbox.closed);
         let forgotten = std::mem::take(&mut self.outbox.forgotten);
         dirty.iter().chain(&forgotten).for_each(|id| {
-            self.unsaved.remove(id);
+            self.unwritten_checkpoints.remove(id);
         });
         let row = |key: RowKey, value| RowChange {
             key: key.bytes(),
@@ -276,10 +276,10 @@
                 .into_iter()
                 .map(|id| row(RowKey::Progress(id), None)),
         );
-        for (instance, node_name) in std::mem::take(&mut self.outbox.lives) {
+        for (instance, node_name) in std::mem::take(&mut self.outbox.instances) {
             let value = node_name.map(String::into_bytes);
             changes.push(RowChange {
-                key: life_key(&instance),
+                key: instance_key(&instance),
                 value,
             });
         }
@@ -305,7 +305,7 @@
             };
             effects.push(Effect::Orders { agent, orders });
         }
-        for (agent, instance, sent_ms) in std::mem::take(&mut self.bare_answers) {
+        for (agent, instance, sent_ms) in std::mem::take(&mut self.answers_without_instance) {
             let (start, stop, acknowledged_end) = (Vec::new(), Vec::new(), None);
             let orders = AgentOrders {
                 epoch,
--- a/crates/scheduler/src/speculation.rs
+++ b/crates/scheduler/src/speculation.rs
@@ -1,9 +1,9 @@
 //! Second runs of `speculative` tasks: while the first one's worker is silent or suspected, or the run takes far longer
 //! than expected, and the job's objective is at stake. Whichever run ends first counts, the other is stopped.
 
-use crate::health::Standing;
+use crate::demand::{Scope, StepDemand};
+use crate::health::HealthStatus;
 use crate::job::Run;
-use crate::need::{Need, Scope};
 use crate::queue::{Prospect, QueueKey, StepRef};
 use crate::runs::Placement;
 use crate::scheduler::Scheduler;
@@ -11,9 +11,9 @@
 use indigofold_protocol::task::TaskName;
 
 /// A worker from which nothing was heard for so long is silent.
-const SILENT_MS: u64 = 600;
+const UNRESPONSIVE_MS: u64 = 600;
 /// A copy is started once the step would be late if it began so much later.
-const NEAR_MS: i64 = 600;
+const DEADLINE_MARGIN_MS: i64 = 600;
 /// A run is overdue after so many times the time expected ...
 const OVERDUE_FACTOR: f64 = 2.0;
 /// ... or so many times on a suspected worker ...
@@ -25,7 +25,7 @@
 
 /// A run that is to get a copy.
 #[derive(Clone, Copy, Debug)]
-struct Doubtful {
+struct SpeculationCandidate {
     key: QueueKey,
     task: TaskName,
     worker: WorkerId,
@@ -34,36 +34,44 @@
 impl Scheduler {
     /// Starts copies of runs that may not end in time, where there is room that nothing else waits for.
     pub(crate) fn speculate(&mut self) {
-        let mut doubtful: Vec<Doubtful> = Vec::new();
+        let mut speculation_candidate: Vec<SpeculationCandidate> = Vec::new();
         for (id, worker) in self.workers.iter() {
             let runs = worker
                 .runs
                 .iter()
-                .filter_map(|task| self.doubtful(id, worker, *task));
-            doubtful.extend(runs);
+                .filter_map(|task| self.speculation_candidate(id, worker, *task));
+            speculation_candidate.extend(runs);
         }
-        doubtful.sort_by_key(|run| (run.key, run.task));
-        doubtful.into_iter().for_each(|run| self.place_copy(run));
+        speculation_candidate.sort_by_key(|run| (run.key, run.task));
+        speculation_candidate
+            .into_iter()
+            .for_each(|run| self.place_speculative_run(run));
     }
 
     /// The task's run on this worker, if it is to get a copy.
-    fn doubtful(&self, id: WorkerId, worker: &Worker, task: TaskName) -> Option<Doubtful> {
+    fn speculation_candidate(
+        &self,
+        id: WorkerId,
+        worker: &Worker,
+        task: TaskName,
+    ) -> Option<SpeculationCandidate> {
         let job = self.jobs.get(&task.job).filter(|job| job.end.is_none())?;
         job.step(task.step)
             .filter(|step| step.speculative && !step.gang && !step.long_running)?;
         let entry = job
             .task(&task)
-            .filter(|entry| !entry.done && entry.copy.is_none())?;
+            .filter(|entry| !entry.done && entry.speculative_run.is_none())?;
         let run = entry.run_at(id).filter(|run| run.sent)?;
         let key = job.queue_key(StepRef::of(&task), self.now_ms);
         let at_stake = key.prospect != Prospect::Hopeless
-            && self.now_ms as i64 + NEAR_MS >= key.latest_start_ms;
-        let silent = worker.agent.is_none()
-            || self.now_ms.saturating_sub(worker.heard_ms) > SILENT_MS
-            || worker.since_heartbeat_ms > SILENT_MS;
+            && self.now_ms as i64 + DEADLINE_MARGIN_MS >= key.latest_start_ms;
+        let unresponsive = worker.agent.is_none()
+            || self.now_ms.saturating_sub(worker.last_report_ms) > UNRESPONSIVE_MS
+            || worker.since_heartbeat_ms > UNRESPONSIVE_MS;
         let stopping = run.stop.is_some();
-        let doubtful = at_stake && (silent || !stopping && self.overdue(id, worker, &task, run));
-        doubtful.then_some(Doubtful {
+        let speculation_candidate =
+            at_stake && (unresponsive || !stopping && self.overdue(id, worker, &task, run));
+        speculation_candidate.then_some(SpeculationCandidate {
             key,
             task,
             worker: id,
@@ -73,7 +81,7 @@
     /// The run takes far longer than expected, and not for its own length: it stands still, or its worker is slow and
     /// another one would be done first even if it began anew.
     fn overdue(&self, id: WorkerId, worker: &Worker, task: &TaskName, run: &Run) -> bool {
-        let suspected = worker.health.standing(self.now_ms) != Standing::Sound;
+        let suspected = worker.health.status(self.now_ms) != HealthStatus::Healthy;
         let factor = if suspected {
             OVERDUE_FACTOR_SUSPECTED
         } else {
@@ -92,7 +100,7 @@
                 || self.slowdown(id).is_some() && self.remaining_ms(id, task) as f64 > expected_ms)
     }
 
-    fn place_copy(&mut self, run: Doubtful) {
+    fn place_speculative_run(&mut self, run: SpeculationCandidate) {
         let Some(job) = self.jobs.get(&run.task.job) else {
             return;
         };
@@ -104,41 +112,44 @@
         if state.queue.first().is_some_and(others_wait) {
             return;
         }
-        let (Some(need), Some(entry)) =
-            (Need::of(job, run.key.at, self.now_ms), job.task(&run.task))
-        else {
+        let (Some(demand), Some(entry)) = (
+            StepDemand::of(job, run.key.at, self.now_ms),
+            job.task(&run.task),
+        ) else {
             return;
         };
         let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
         let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
-        let choice = state
-            .kinds
-            .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
-                let kept = state.reserved.get(&id);
-                id != run.worker
-                    && worker.takes_starts(now_ms)
-                    && need.permits(id, worker, 0)
-                    && need.considers(
-                        Scope::Preferred,
-                        worker,
-                        remote_slowdown,
-                        failed_on == Some(id),
-                        now_ms,
-                    )
-                    && kept
-                        .is_none_or(|kept| worker.has_room(&need.resources.plus(&kept.resources)))
-            });
-        let Some(choice) = choice else { return };
+        let selection =
+            state
+                .kinds
+                .select(&mut self.rng, &self.workers, &demand.label, |id, worker| {
+                    let reservation = state.reserved.get(&id);
+                    id != run.worker
+                        && worker.accepts_starts(now_ms)
+                        && demand.permits(id, worker, 0)
+                        && demand.considers(
+                            Scope::Preferred,
+                            worker,
+                            remote_slowdown,
+                            failed_on == Some(id),
+                            now_ms,
+                        )
+                        && reservation.is_none_or(|reservation| {
+                            worker.has_capacity(&demand.resources.plus(&reservation.resources))
+                        })
+                });
+        let Some(selection) = selection else { return };
         if let Some(traces) = &mut self.traces {
-            traces.push(state.kinds.trace(run.task, &choice, &self.workers));
+            traces.push(state.kinds.trace(run.task, &selection, &self.workers));
         }
-        self.place(
+        self.place_run(
             run.task,
             attempt,
             Placement {
-                worker: choice.worker,
-                bound: choice.bound,
-                far: 1.0,
+                worker: selection.worker,
+                bound: selection.bound,
+                remote_factor: 1.0,
             },
         );
     }
--- a/crates/scheduler/src/dragging.rs
+++ b/crates/scheduler/src/straggler.rs
@@ -1,20 +1,20 @@
 //! Workers that have turned slow, told by the progress of what runs there, and the runs that had better begin anew
 //! elsewhere. One run alone tells nothing: the work of jobs differs far more than the speed of workers.
 
-use crate::checks::projected_total_ms;
+use crate::run_checks::projected_total_ms;
 use crate::scheduler::Scheduler;
 use crate::workers::WorkerId;
 use indigofold_protocol::task::{JobId, TaskName};
 use std::collections::BTreeMap;
 
 /// Runs of so many jobs have to tell before a worker counts as slow.
-const JOBS_THAT_TELL: usize = 3;
+const JOBS_MIN: usize = 3;
 /// A worker counts as slow if its runs take so many times as long as expected (the median over jobs).
 const SLOWDOWN: f64 = 2.5;
 /// A run is taken away if it will still take so many times as long as on a sound worker ...
-const DRAG_FACTOR: f64 = 1.3;
+const STRAGGLER_FACTOR: f64 = 1.3;
 /// ... and so much more, in milliseconds.
-const DRAG_MIN_MS: f64 = 800.0;
+const STRAGGLER_MIN_MS: f64 = 800.0;
 
 impl Scheduler {
     /// How many times as long as expected the runs on this worker take, if it has turned slow.
@@ -33,11 +33,11 @@
         let mut ratios: Vec<f64> = by_job.into_values().collect();
         ratios.sort_by(f64::total_cmp);
         let median = ratios.get(ratios.len() / 2).copied()?;
-        (ratios.len() >= JOBS_THAT_TELL && median >= SLOWDOWN).then_some(median)
+        (ratios.len() >= JOBS_MIN && median >= SLOWDOWN).then_some(median)
     }
 
     /// On a worker that has turned slow: another one would be done first even if it began anew.
-    pub(crate) fn drags(&self, id: WorkerId, task: &TaskName, slowdown: f64) -> bool {
+    pub(crate) fn is_straggling(&self, id: WorkerId, task: &TaskName, slowdown: f64) -> bool {
         let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
             return false;
         };
@@ -45,7 +45,8 @@
             return false;
         };
         !step.gang
-            && self.remaining_ms(id, task) as f64 > DRAG_FACTOR * total_ms / slowdown + DRAG_MIN_MS
+            && self.remaining_ms(id, task) as f64
+                > STRAGGLER_FACTOR * total_ms / slowdown + STRAGGLER_MIN_MS
     }
 
     /// How long the run will have taken as a whole, by its progress, and how long it was expected to; `None` if its
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -1,11 +1,11 @@
 //! Take-over: the state as a predecessor has written it.
 
 use crate::clock::WallClock;
+use crate::instance_rows::instance_of;
 use crate::job::Job;
-use crate::life_rows::instance_of;
+use crate::lifecycle::open_tasks;
 use crate::rows::{RowError, RowKey, read_definition, read_progress};
 use crate::scheduler::Scheduler;
-use crate::steps::open_tasks;
 use indigofold_protocol::task::JobId;
 use rustc_hash::FxHashMap;
 
@@ -23,7 +23,7 @@
         let mut progresses = Vec::new();
         for (key, value) in rows {
             if let Some(instance) = instance_of(&key) {
-                self.load_life(instance, &value);
+                self.load_instance(instance, &value);
                 continue;
             }
             match RowKey::parse(&key) {
@@ -51,7 +51,7 @@
             let job = progress.restore(definition, &mut self.workers, self.now_ms, due_ms);
             self.jobs.insert(id, job);
             self.resume_job(id);
-            self.place_from_ms = self.now_ms + AGENTS_RECONNECT_MS;
+            self.placement_start_ms = self.now_ms + AGENTS_RECONNECT_MS;
         }
         Ok(())
     }
@@ -61,7 +61,7 @@
         if self.jobs.get(&id).is_some_and(|job| job.end.is_some()) {
             return self.resume_ended(id);
         }
-        self.appraise(id);
+        self.update_value(id);
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -80,7 +80,7 @@
                 .get(&id)
                 .and_then(|job| job.repeats.get(&repeat))
                 .map_or(0, |r| r.due_ms);
-            self.ready_steps(id, repeat, self.delays_before(due_ms));
+            self.ready_steps(id, repeat, self.latency_before_opening(due_ms));
         }
         self.await_next_repeat(id);
     }
--- a/crates/scheduler/src/order.rs
+++ b/crates/scheduler/src/value.rs
@@ -11,13 +11,13 @@
 /// A GPU counts as so many cores.
 const CORES_OF_GPU: f64 = 8.0;
 /// Part of its worth that a job has whatever its work (the rules' page, "Worth").
-const WORTH_BASE: f64 = 0.3;
+const VALUE_BASE: f64 = 0.3;
 /// Part of its worth that a job has by its work against the mean of its queue.
-const WORTH_BY_WORK: f64 = 0.7;
+const VALUE_BY_WORK: f64 = 0.7;
 /// The most that a job is worth against the mean of its queue.
-const WORTH_MAX: f64 = 4.0;
+const VALUE_MAX: f64 = 4.0;
 /// Part of its worth that a job earns after its objective.
-const LATE_PART: f64 = 0.5;
+const LATE_VALUE_FRACTION: f64 = 0.5;
 /// Steps of one class differ in cost by less than a factor of two to the power of one by this number.
 const CLASSES_OF_A_DOUBLING: f64 = 1.0;
 /// Most steps of one queue that are put to new places at a time.
@@ -29,20 +29,20 @@
 
 impl MeanWork {
     /// Takes in a job's work; returns what the job is worth against the others of its queue.
-    fn appraise(&mut self, work: f64) -> f64 {
+    fn update_value(&mut self, work: f64) -> f64 {
         add(&mut self.0, KEEP, work);
         let mean = self.0.1 / self.0.0;
         let share = if mean > 0.0 { work / mean } else { 1.0 };
-        (WORTH_BASE + WORTH_BY_WORK * share).min(WORTH_MAX)
+        (VALUE_BASE + VALUE_BY_WORK * share).min(VALUE_MAX)
     }
 }
 
-/// Class of the cost of what a job earns: `work` that it still needs for its `worth`. Steps of one class go by their
+/// Class of the cost of what a job earns: `work` that it still needs for its `value`. Steps of one class go by their
 /// deadlines; without any work left there is nothing to weigh.
-pub(crate) fn cost_class(work: f64, worth: f64, prospect: Prospect) -> i16 {
+pub(crate) fn cost_class(work: f64, value: f64, prospect: Prospect) -> i16 {
     let earned = match prospect {
-        Prospect::InTime => worth,
-        Prospect::Late | Prospect::Hopeless => worth * LATE_PART,
+        Prospect::InTime => value,
+        Prospect::Late | Prospect::Hopeless => value * LATE_VALUE_FRACTION,
     };
     if work <= 0.0 || earned <= 0.0 {
         return i16::MIN;
@@ -97,14 +97,14 @@
 
 impl Scheduler {
     /// Works out what a job is worth against the others of its queue.
-    pub(crate) fn appraise(&mut self, id: JobId) {
+    pub(crate) fn update_value(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         let (work, route) = (job.work(), job.definition.route.clone());
-        let worth = self.mean_work.entry(route).or_default().appraise(work);
+        let value = self.mean_work.entry(route).or_default().update_value(work);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.worth = worth;
+            job.value = value;
         }
     }
 
@@ -117,11 +117,12 @@
             let keys =
                 steps.filter_map(|key| Some(self.jobs.get(&key.at.job)?.queue_key(key.at, now_ms)));
             let keys: Vec<QueueKey> = keys.collect();
-            keys.into_iter().for_each(|key| self.requeue(&name, key));
+            keys.into_iter()
+                .for_each(|key| self.update_queue_key(&name, key));
         }
     }
 
-    fn requeue(&mut self, service: &str, key: QueueKey) {
+    fn update_queue_key(&mut self, service: &str, key: QueueKey) {
         let Some(job) = self.jobs.get_mut(&key.at.job) else {
             return;
         };
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -16,9 +16,9 @@
 /// A companion that has not reported for so long gets no new starts.
 const REPORT_FRESH_MS: u64 = 1_000;
 /// A worker that has been silent for so long gets no new starts.
-const SILENT_MS: u64 = 1_500;
+const UNRESPONSIVE_MS: u64 = 1_500;
 /// A life that lapsed and never came back is forgotten after this time.
-const LAPSED_FORGET_MS: u64 = 600_000;
+const EXPIRED_FORGET_MS: u64 = 600_000;
 
 /// A life of a worker; never used again for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
     /// Machine that it and its companion run on; unknown until it reports.
     pub node_name: Option<String>,
     /// Machine that its row names, if it has one.
-    pub kept_at: Option<String>,
+    pub recorded_node: Option<String>,
     /// Connection over which it is reached.
     pub agent: Option<AgentId>,
     /// Service it belongs to; empty until it reports.
@@ -40,7 +40,7 @@
     /// Whether it takes new work.
     pub state: WorkerState,
     /// When it leaves at the earliest, while it drains.
-    pub leaves_ms: Option<u64>,
+    pub drain_end_ms: Option<u64>,
     /// What it has.
     pub capacity: Resources,
     /// Its labels.
@@ -52,31 +52,31 @@
     /// Tasks with an outstanding run here.
     pub runs: BTreeSet<TaskName>,
     /// All of its lists have been reported on the present connection.
-    pub in_full: bool,
+    pub full_report_received: bool,
     /// When its companion reported last.
-    pub heard_ms: u64,
+    pub last_report_ms: u64,
     /// How long it had been silent then.
     pub since_heartbeat_ms: u64,
     /// When a report of its companion was answered last; before that, when this scheduler took over.
     pub answered_ms: u64,
     /// Its holds have lapsed without word from it.
-    pub lapsed_ms: Option<u64>,
+    pub expired_ms: Option<u64>,
     /// Runs that were given up when it lapsed; to be stopped should it come back.
     pub given_up: Vec<RunId>,
     /// When the companion sent the report that was answered with these stops.
-    pub given_up_told: Option<u64>,
+    pub given_up_report_sent_ms: Option<u64>,
     /// Runs listed as running that are not outstanding here.
-    pub strangers: Vec<RunId>,
+    pub unknown_runs: Vec<RunId>,
     /// The same among the starts in flight.
-    pub strangers_in_flight: Vec<RunId>,
+    pub unknown_in_flight: Vec<RunId>,
     /// Number of the newest end that was taken in.
-    pub taken_end: u64,
+    pub handled_end: u64,
     /// Number of the newest end that is committed.
     pub committed_end: u64,
     /// No new starts before this time.
-    pub pause_until_ms: u64,
+    pub backoff_until_ms: u64,
     /// It is slow until then.
-    pub cold_until_ms: u64,
+    pub warm_up_until_ms: u64,
     /// What its outcomes tell.
     pub health: Health,
 }
@@ -86,35 +86,35 @@
         Worker {
             instance,
             node_name: None,
-            kept_at: None,
+            recorded_node: None,
             agent: None,
             backend: String::new(),
             state: WorkerState::Ready,
-            leaves_ms: None,
+            drain_end_ms: None,
             capacity: Resources::default(),
             labels: Vec::new(),
             used: Resources::default(),
             used_bound: Resources::default(),
             runs: BTreeSet::new(),
-            in_full: false,
-            heard_ms: now_ms,
+            full_report_received: false,
+            last_report_ms: now_ms,
             since_heartbeat_ms: 0,
             answered_ms: now_ms,
-            lapsed_ms: None,
+            expired_ms: None,
             given_up: Vec::new(),
-            given_up_told: None,
-            strangers: Vec::new(),
-            strangers_in_flight: Vec::new(),
-            taken_end: 0,
+            given_up_report_sent_ms: None,
+            unknown_runs: Vec::new(),
+            unknown_in_flight: Vec::new(),
+            handled_end: 0,
             committed_end: 0,
-            pause_until_ms: 0,
-            cold_until_ms: 0,
+            backoff_until_ms: 0,
+            warm_up_until_ms: 0,
             health: Health::default(),
         }
     }
 
     /// Takes over what a report says about the life as a whole; returns whether its kind or readiness changed.
-    pub fn describe(&mut self, now_ms: u64, report: &InstanceReport) -> bool {
+    pub fn apply_report(&mut self, now_ms: u64, report: &InstanceReport) -> bool {
         let changed = self.backend != report.backend
             || self.capacity != report.capacity
             || self.labels != report.labels
@@ -124,29 +124,29 @@
             self.labels.clone_from(&report.labels);
             (self.capacity, self.state) = (report.capacity, report.state);
         }
-        self.leaves_ms = report.remaining_ms.map(|left| now_ms + left);
-        self.cold_until_ms = now_ms + report.warmup_remaining_ms;
-        (self.heard_ms, self.since_heartbeat_ms) = (now_ms, report.since_heartbeat_ms);
+        self.drain_end_ms = report.remaining_ms.map(|left| now_ms + left);
+        self.warm_up_until_ms = now_ms + report.warmup_remaining_ms;
+        (self.last_report_ms, self.since_heartbeat_ms) = (now_ms, report.since_heartbeat_ms);
         changed
     }
 
     /// Whether it may be given new runs now, as far as it is in touch.
-    pub fn takes_starts(&self, now_ms: u64) -> bool {
-        self.in_touch(now_ms)
-            && self.in_full
-            && self.lapsed_ms.is_none()
+    pub fn accepts_starts(&self, now_ms: u64) -> bool {
+        self.is_responsive(now_ms)
+            && self.full_report_received
+            && self.expired_ms.is_none()
             && self.given_up.is_empty()
-            && self.strangers.is_empty()
-            && self.strangers_in_flight.is_empty()
-            && now_ms >= self.pause_until_ms
+            && self.unknown_runs.is_empty()
+            && self.unknown_in_flight.is_empty()
+            && now_ms >= self.backoff_until_ms
     }
 
     /// Whether it is in touch and takes new work, apart from short pauses.
-    pub fn in_touch(&self, now_ms: u64) -> bool {
+    pub fn is_responsive(&self, now_ms: u64) -> bool {
         self.agent.is_some()
             && self.state == WorkerState::Ready
-            && now_ms.saturating_sub(self.heard_ms) < REPORT_FRESH_MS
-            && self.since_heartbeat_ms < SILENT_MS
+            && now_ms.saturating_sub(self.last_report_ms) < REPORT_FRESH_MS
+            && self.since_heartbeat_ms < UNRESPONSIVE_MS
     }
 
     /// Room that is left.
@@ -155,7 +155,7 @@
     }
 
     /// Whether these resources fit beside what runs.
-    pub fn has_room(&self, resources: &Resources) -> bool {
+    pub fn has_capacity(&self, resources: &Resources) -> bool {
         self.capacity.holds(&self.used.plus(resources))
     }
 
@@ -208,13 +208,13 @@
 /// All lives and connections.
 #[derive(Debug)]
 pub struct Workers {
-    lives: BTreeMap<WorkerId, Worker>,
+    instances: BTreeMap<WorkerId, Worker>,
     by_instance: FxHashMap<String, WorkerId>,
     by_node: FxHashMap<String, BTreeSet<WorkerId>>,
     connections: FxHashMap<AgentId, Connection>,
     connection_of_node: FxHashMap<String, AgentId>,
     next: u32,
-    lapse_ms: u64,
+    lease_expiry_ms: u64,
 }
 
 impl Workers {
@@ -222,40 +222,40 @@
     pub fn new(max_lease_ms: u64) -> Self {
         let longest_ms = LEASE_AUTHORITY_MS + RUN_LEASE_MS.min(max_lease_ms);
         Workers {
-            lives: BTreeMap::new(),
+            instances: BTreeMap::new(),
             by_instance: FxHashMap::default(),
             by_node: FxHashMap::default(),
             connections: FxHashMap::default(),
             connection_of_node: FxHashMap::default(),
             next: 0,
-            lapse_ms: longest_ms * CLOCK_PERCENT / 100 + EXPIRY_MARGIN_MS,
+            lease_expiry_ms: longest_ms * CLOCK_PERCENT / 100 + EXPIRY_MARGIN_MS,
         }
     }
 
     /// A life.
     pub fn get(&self, worker: WorkerId) -> Option<&Worker> {
-        self.lives.get(&worker)
+        self.instances.get(&worker)
     }
 
     /// A life.
     pub fn get_mut(&mut self, worker: WorkerId) -> Option<&mut Worker> {
-        self.lives.get_mut(&worker)
+        self.instances.get_mut(&worker)
     }
 
     /// All lives.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &Worker)> {
-        self.lives.iter().map(|(id, worker)| (*id, worker))
+        self.instances.iter().map(|(id, worker)| (*id, worker))
     }
 
     /// The life of this name, entered if it is new.
-    pub fn life(&mut self, instance: &str, now_ms: u64) -> WorkerId {
+    pub fn get_or_register(&mut self, instance: &str, now_ms: u64) -> WorkerId {
         if let Some(&known) = self.by_instance.get(instance) {
             return known;
         }
         let id = WorkerId(self.next);
         self.next += 1;
         self.by_instance.insert(instance.to_owned(), id);
-        self.lives
+        self.instances
             .insert(id, Worker::new(instance.to_owned(), now_ms));
         id
     }
@@ -267,16 +267,16 @@
 
     /// Forgets a life; its runs must have been ended before.
     pub fn forget(&mut self, id: WorkerId) {
-        let Some(worker) = self.lives.remove(&id) else {
+        let Some(worker) = self.instances.remove(&id) else {
             return;
         };
         self.by_instance.remove(&worker.instance);
-        if let Some(lives) = worker
+        if let Some(instances) = worker
             .node_name
             .as_ref()
             .and_then(|node| self.by_node.get_mut(node))
         {
-            lives.remove(&id);
+            instances.remove(&id);
         }
         for connection in self
             .connections
@@ -327,10 +327,10 @@
         if self.connection_of_node.get(&connection.node_name) == Some(&agent) {
             self.connection_of_node.remove(&connection.node_name);
         }
-        if let Some(worker) = connection.worker.and_then(|id| self.lives.get_mut(&id))
+        if let Some(worker) = connection.worker.and_then(|id| self.instances.get_mut(&id))
             && worker.agent == Some(agent)
         {
-            (worker.agent, worker.in_full) = (None, false);
+            (worker.agent, worker.full_report_received) = (None, false);
         }
     }
 
@@ -348,23 +348,23 @@
         let node_name = connection.node_name.clone();
         if let Some(before) = before
             .filter(|before| *before != id)
-            .and_then(|b| self.lives.get_mut(&b))
+            .and_then(|b| self.instances.get_mut(&b))
         {
-            (before.agent, before.in_full) = (None, false);
+            (before.agent, before.full_report_received) = (None, false);
         }
-        let Some(worker) = self.lives.get_mut(&id) else {
+        let Some(worker) = self.instances.get_mut(&id) else {
             return;
         };
         if worker.agent != Some(agent) {
-            (worker.agent, worker.in_full) = (Some(agent), false);
-            (worker.strangers, worker.strangers_in_flight) = (Vec::new(), Vec::new());
+            (worker.agent, worker.full_report_received) = (Some(agent), false);
+            (worker.unknown_runs, worker.unknown_in_flight) = (Vec::new(), Vec::new());
         }
-        self.place_at(id, node_name);
+        self.set_node(id, node_name);
     }
 
     /// The life is on this machine.
-    pub fn place_at(&mut self, id: WorkerId, node_name: String) {
-        let Some(worker) = self.lives.get_mut(&id) else {
+    pub fn set_node(&mut self, id: WorkerId, node_name: String) {
+        let Some(worker) = self.instances.get_mut(&id) else {
             return;
         };
         if worker.node_name.as_ref() != Some(&node_name) {
@@ -379,27 +379,28 @@
             .connections
             .get_mut(&agent)
             .and_then(|c| c.worker.take());
-        if let Some(worker) = worker.and_then(|id| self.lives.get_mut(&id))
+        if let Some(worker) = worker.and_then(|id| self.instances.get_mut(&id))
             && worker.agent == Some(agent)
         {
-            (worker.agent, worker.in_full) = (None, false);
+            (worker.agent, worker.full_report_received) = (None, false);
         }
     }
 
     /// Lives whose holds have all lapsed by now.
-    pub fn newly_lapsed(&self, now_ms: u64) -> Vec<WorkerId> {
-        let over = |w: &Worker| w.lapsed_ms.is_none() && now_ms >= w.answered_ms + self.lapse_ms;
+    pub fn newly_expired(&self, now_ms: u64) -> Vec<WorkerId> {
+        let has_expired =
+            |w: &Worker| w.expired_ms.is_none() && now_ms >= w.answered_ms + self.lease_expiry_ms;
         self.iter()
-            .filter(|(_, worker)| over(worker))
+            .filter(|(_, worker)| has_expired(worker))
             .map(|(id, _)| id)
             .collect()
     }
 
     /// Lives that lapsed long ago.
-    pub fn long_lapsed(&self, now_ms: u64) -> Vec<WorkerId> {
+    pub fn long_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let old = |w: &Worker| {
-            w.lapsed_ms
-                .is_some_and(|at| now_ms >= at + LAPSED_FORGET_MS)
+            w.expired_ms
+                .is_some_and(|at| now_ms >= at + EXPIRED_FORGET_MS)
         };
         self.iter()
             .filter(|(_, worker)| old(worker))
