--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -20,7 +20,7 @@
 /// Figures of the settings that the scheduler keeps to (`[bounds]` of boot.toml).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Longest hold that a worker grants, in milliseconds.
+    /// Longest run lease that a worker grants, in milliseconds.
     pub max_lease_ms: u64,
     /// Longest time that a stop takes, in milliseconds.
     pub stop_ms: u64,
@@ -38,6 +38,13 @@
     pub resume_cost_ms: u64,
 }
 
+impl Bounds {
+    /// Factor on the run time of a task that is with its data (and its gang), or is not.
+    pub(crate) fn remote_factor(&self, is_local: bool) -> f64 {
+        if is_local { 1.0 } else { self.remote_slowdown }
+    }
+}
+
 impl Default for Bounds {
     fn default() -> Self {
         Bounds {
--- a/crates/scheduler/src/checkpoints.rs
+++ b/crates/scheduler/src/checkpoints.rs
@@ -2,7 +2,7 @@
 //! worker's machine, its successor knows it from the row alone.
 
 use crate::queue::StepRef;
-use crate::scheduler::Scheduler;
+use crate::state::ClusterState;
 use crate::workers::WorkerId;
 use indigofold_protocol::task::{JobId, TaskName};
 
@@ -13,7 +13,7 @@
 /// Jobs last written this long ago join a write that is made anyway.
 const JOIN_MS: u64 = 1_000;
 
-impl Scheduler {
+impl ClusterState {
     /// A report has brought new saved progress of a run.
     pub(crate) fn checkpoint_changed(&mut self, worker: WorkerId, task: &TaskName) {
         let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else {
@@ -21,20 +21,21 @@
         };
         let done = job.task(task).is_none_or(|entry| entry.done);
         let lasting = self
+            .view()
             .traits(StepRef::of(task))
             .is_none_or(|traits| traits.long_running);
-        if !done && !lasting && self.expected_run_ms(worker, task) >= RUN_MIN_MS {
+        if !done && !lasting && self.view().expected_run_ms(worker, task) >= RUN_MIN_MS {
             self.unwritten_checkpoints.insert(task.job);
         }
     }
 
     /// Writes saved progress that is due. Nothing waits for this write, so the jobs' last writes stay what they are.
     pub(crate) fn write_checkpoints(&mut self) {
-        let since_ms = |scheduler: &Self, id: &JobId| {
-            scheduler
+        let since_ms = |state: &Self, id: &JobId| {
+            state
                 .jobs
                 .get(id)
-                .map_or(0, |job| scheduler.now_ms.saturating_sub(job.written_ms))
+                .map_or(0, |job| state.now_ms.saturating_sub(job.written_ms))
         };
         let due = self.outbox.has_changes()
             || self
@@ -47,7 +48,9 @@
                 .iter()
                 .filter(|id| since_ms(self, id) >= JOIN_MS);
             let joining: Vec<JobId> = joining.copied().collect();
-            self.outbox.dirty.extend(joining);
+            joining
+                .into_iter()
+                .for_each(|id| self.outbox.progress_changed(id));
         }
     }
 }
--- a/crates/scheduler/src/client_calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -1,9 +1,11 @@
 //! Clients' calls: submit, state, cancel, count of what waits; and the configuration that routes them.
 
 use crate::api::CallerId;
-use crate::job::{Definition, Job, Terms};
+use crate::backlog::retry_after_ms;
+use crate::definition::{Definition, Terms};
+use crate::job::Job;
 use crate::outbox::Outbox;
-use crate::scheduler::Scheduler;
+use crate::state::ClusterState;
 use indigofold_protocol::config::{Config, Route};
 use indigofold_protocol::internal::{ClientCall, ClientOperation, ClientOutcome};
 use indigofold_protocol::job::{JobSpec, JobState};
@@ -13,14 +15,8 @@
 
 /// When a client is to come back while there is no configuration.
 const UNCONFIGURED_RETRY_MS: u64 = 500;
-/// With so many tasks open no further job is taken.
-const OPEN_TASKS_MAX: u64 = 20_000;
-/// With so many jobs open no further job is taken, whatever the number of their tasks.
-const OPEN_JOBS_MAX: u64 = 8_000;
-/// With so many jobs kept, ended ones included, no further job is taken.
-const JOBS_MAX: usize = 30_000;
 
-impl Scheduler {
+impl ClusterState {
     /// A client's call.
     pub(crate) fn call(&mut self, from: CallerId, call: ClientCall) {
         let Some(config) = self.config.clone() else {
@@ -52,7 +48,7 @@
             }
             (ClientOperation::Get, Ok(id)) => self.reply_state(from, call.call, id),
             (ClientOperation::Get, Err(_)) if rest.is_empty() => {
-                let pending = self.pending.get(&route.name).copied().unwrap_or(0);
+                let pending = self.load.pending(&route.name);
                 self.reply_at_once(from, call.call, ClientOutcome::Pending(pending));
             }
             (ClientOperation::Cancel, Ok(id)) => self.cancel(from, call.call, id),
@@ -79,10 +75,9 @@
                 },
             );
         }
-        let full = self.open_tasks >= OPEN_TASKS_MAX || self.open_jobs >= OPEN_JOBS_MAX;
-        if full || self.jobs.len() >= JOBS_MAX {
+        if self.load.is_full(self.jobs.len()) {
             let outcome = ClientOutcome::TooMany {
-                retry_after_ms: self.retry_after_ms(&route.backend),
+                retry_after_ms: retry_after_ms(self.backlog_ms(&route.backend)),
             };
             return self.reply_at_once(from, call, outcome);
         }
@@ -94,7 +89,7 @@
             accepted_wall_ms: self.clock.wall_ms(self.now_ms),
         };
         let mut job = Job::new(definition);
-        let kinds = &self.service(&route.backend).kinds;
+        let kinds = &self.services.entry(&route.backend).kinds;
         job.expect(|step, description| {
             let class = (route.name.clone(), step);
             let known_ms = kinds.expected_at_mean_speed_ms(&class, description.estimate_ms) as u64;
@@ -106,9 +101,9 @@
         });
         self.jobs.insert(id, job);
         self.update_value(id);
-        self.open_jobs += 1;
-        *self.pending.entry(route.name.clone()).or_default() += 1;
-        self.outbox.taken.insert(id);
+        self.load.job_opened();
+        self.load.job_pending(&route.name);
+        self.outbox.job_accepted(id);
         self.set_dirty(id);
         self.await_next_repeat(id);
         self.open_due_repeats();
@@ -120,6 +115,20 @@
         );
     }
 
+    /// How long the service's workers will take for all that waits in its queue.
+    fn backlog_ms(&mut self, service: &str) -> u64 {
+        let now_ms = self.now_ms;
+        let Some(state) = self.services.get(service) else {
+            return 0;
+        };
+        if let Some(backlog_ms) = state.backlog.get(now_ms) {
+            return backlog_ms;
+        }
+        let backlog_ms = self.view().backlog_ms(state);
+        self.services.entry(service).backlog.set(backlog_ms, now_ms);
+        backlog_ms
+    }
+
     fn reply_state(&mut self, from: CallerId, call: u64, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return self.reply_at_once(from, call, ClientOutcome::NoSuchJob);
@@ -153,7 +162,7 @@
     pub(crate) fn configure(&mut self, config: Arc<Config>) {
         let before = self.config.replace(config.clone());
         for service in &config.services {
-            self.service(&service.name);
+            self.services.entry(&service.name);
         }
         let same = |route: &Route| {
             let old = before
--- /dev/null
+++ b/crates/scheduler/src/definition.rs
@@ -0,0 +1,41 @@
+//! A job as it was accepted, in the form in which its row is stored.
+
+use indigofold_protocol::job::{JobSpec, JobState};
+use serde::{Deserialize, Serialize};
+
+/// What a queue grants its jobs, as its route says.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Terms {
+    /// 0 goes first.
+    pub priority: u32,
+    /// A task that has failed so often fails its job.
+    pub max_retries: u32,
+    /// Part of the objective: multiple of the longest chain of work.
+    pub stretch: f64,
+    /// Part of the objective that does not depend on the work.
+    pub target_latency_ms: u64,
+}
+
+/// A job as it was taken; written once.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Definition {
+    /// What the client handed in.
+    pub spec: JobSpec,
+    /// Name of its queue's route.
+    pub route: String,
+    /// Service to which the route led then.
+    pub service: String,
+    /// Terms of the route then.
+    pub terms: Terms,
+    /// When it was taken, in milliseconds since 1970.
+    pub accepted_wall_ms: u64,
+}
+
+/// The end of a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct JobEnd {
+    /// `Completed`, `Failed` or `Cancelled`.
+    pub state: JobState,
+    /// When, in milliseconds since 1970.
+    pub wall_ms: u64,
+}
--- /dev/null
+++ b/crates/scheduler/src/estimates.rs
@@ -0,0 +1,54 @@
+//! How long runs are expected to take, and to take still.
+
+use crate::queue::StepRef;
+use crate::task::Run;
+use crate::view::ClusterView;
+use crate::workers::WorkerId;
+use indigofold_protocol::task::TaskName;
+
+/// From this percentage on, a run's progress says when it ends.
+const CONCLUSIVE_PERCENT: u32 = 10;
+
+impl ClusterView<'_> {
+    /// How long a run will still take.
+    pub(crate) fn remaining_ms(&self, id: WorkerId, task: &TaskName) -> u64 {
+        let Some(run) = self.run_at(id, task) else {
+            return 0;
+        };
+        if let Some(stop) = run.stop {
+            let stopping_ms = self.now_ms.saturating_sub(stop.sent_ms);
+            return self.bounds.stop_ms.saturating_sub(stopping_ms);
+        }
+        let elapsed_ms = self.now_ms.saturating_sub(run.placed_ms);
+        let expected_ms = self.expected_run_ms(id, task);
+        if let Some(total_ms) = projected_total_ms(run) {
+            return total_ms.saturating_sub(elapsed_ms);
+        }
+        let left_ms = expected_ms * f64::from(100 - run.percent.min(100)) / 100.0;
+        let unheard_ms = if run.percent == 0 { elapsed_ms } else { 0 };
+        (left_ms as u64).saturating_sub(unheard_ms)
+    }
+
+    /// How long the task is expected to run on this worker as a whole.
+    pub(crate) fn expected_run_ms(&self, id: WorkerId, task: &TaskName) -> f64 {
+        let at = StepRef::of(task);
+        let Some(traits) = self.traits(at) else {
+            return 0.0;
+        };
+        let remote_factor = self.run_at(id, task).map_or(1.0, |run| run.remote_factor);
+        let kinds = self
+            .services
+            .get(&traits.service)
+            .map(|service| &service.kinds);
+        kinds.map_or(0.0, |kinds| {
+            kinds.expected_ms(id, &traits.class, traits.estimate_ms)
+        }) * remote_factor
+    }
+}
+
+/// How long a run will have taken as a whole, by its progress; `None` if that does not tell yet.
+pub(crate) fn projected_total_ms(run: &Run) -> Option<u64> {
+    let conclusive = (CONCLUSIVE_PERCENT..100).contains(&run.percent) && !run.resumed;
+    let elapsed_ms = run.percent_ms.saturating_sub(run.placed_ms);
+    conclusive.then(|| elapsed_ms * 100 / u64::from(run.percent))
+}
--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -4,7 +4,7 @@
 use crate::kinds::Selection;
 use crate::queue::StepRef;
 use crate::runs::Placement;
-use crate::scheduler::Scheduler;
+use crate::state::ClusterState;
 use crate::workers::{Worker, WorkerId};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 /// Longest time that a gang which needs one rack waits for one.
 const ONE_RACK_WAIT_MAX_MS: u64 = 1_500;
 
-impl Scheduler {
+impl ClusterState {
     /// Places a gang if all members fit.
     pub(crate) fn place_gang(&mut self, service: &str, at: StepRef, locality: Locality) {
         let Some(job) = self.jobs.get(&at.job) else {
@@ -63,11 +63,10 @@
         members: usize,
     ) -> Option<Vec<Selection>> {
         let state = self.services.get(service)?;
-        let racks = state
-            .kinds
-            .workers()
-            .filter_map(|id| self.workers.get(id)?.rack().map(str::to_owned));
-        let mut racks: Vec<String> = racks.collect::<BTreeSet<String>>().into_iter().collect();
+        let view = self.view();
+        let racks = view.workers_of(state).filter_map(Worker::rack);
+        let racks: BTreeSet<&str> = racks.collect();
+        let mut racks: Vec<String> = racks.into_iter().map(str::to_owned).collect();
         while !racks.is_empty() {
             let rack = racks.swap_remove(self.rng.below(racks.len()));
             if let Some(plan) = self.plan(service, demand, scope, members, Some(&rack)) {
@@ -93,8 +92,8 @@
                 && rack.is_none_or(|rack| worker.rack() == Some(rack))
                 && demand.considers(scope, worker, remote_slowdown, false, now_ms)
                 && state
-                    .reserved
-                    .get(&id)
+                    .reservations
+                    .get(id)
                     .is_none_or(|reservation| reservation.yields_to(demand))
         };
         let mut planned: FxHashMap<WorkerId, u32> = FxHashMap::default();
@@ -130,11 +129,9 @@
             .iter()
             .filter_map(|selection| self.workers.get(selection.worker))
             .all(|w| demand.is_local(w));
-        let remote_factor = if is_local && !(rack_local && racks.len() > 1) {
-            1.0
-        } else {
-            self.bounds.remote_slowdown
-        };
+        let remote_factor = self
+            .bounds
+            .remote_factor(is_local && !(rack_local && racks.len() > 1));
         let Some(state) = self
             .jobs
             .get_mut(&at.job)
@@ -156,9 +153,7 @@
             .for_each(|task| task.checkpoint.clone_from(&checkpoint));
         for (index, selection) in plan.into_iter().enumerate() {
             let task = at.task(index as u32);
-            if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
-                traces.push(state.kinds.trace(task, &selection, &self.workers));
-            }
+            self.trace_placement(service, task, &selection);
             self.place_run(
                 task,
                 attempt,
@@ -170,9 +165,7 @@
             );
         }
         if let Some(state) = self.services.get_mut(service) {
-            state
-                .reserved
-                .retain(|_, reservation| reservation.step != at);
+            state.reservations.release(at);
         }
     }
 }
--- a/crates/scheduler/src/instance_rows.rs
+++ b/crates/scheduler/src/instance_rows.rs
@@ -1,7 +1,7 @@
 //! Rows `life/INSTANCE`: on which machine a worker's life was reported. A successor learns from them that a life is gone
 //! as soon as another one registers on that machine.
 
-use crate::scheduler::Scheduler;
+use crate::state::ClusterState;
 use crate::workers::WorkerId;
 
 const INSTANCE_PREFIX: &str = "life/";
@@ -16,7 +16,7 @@
     std::str::from_utf8(key).ok()?.strip_prefix(INSTANCE_PREFIX)
 }
 
-impl Scheduler {
+impl ClusterState {
     /// A life is known to be on this machine: that is written, once.
     pub(crate) fn record_instance(&mut self, id: WorkerId, node_name: &str) {
         let Some(worker) = self.workers.get_mut(id) else {
@@ -26,8 +26,7 @@
             worker.recorded_node = Some(node_name.to_owned());
             let instance = worker.instance.clone();
             self.outbox
-                .instances
-                .insert(instance, Some(node_name.to_owned()));
+                .instance_changed(instance, Some(node_name.to_owned()));
         }
     }
 
@@ -36,7 +35,7 @@
         if let Some(worker) = self.workers.get(id)
             && worker.recorded_node.is_some()
         {
-            self.outbox.instances.insert(worker.instance.clone(), None);
+            self.outbox.instance_changed(worker.instance.clone(), None);
         }
         self.workers.forget(id);
     }
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,14 +1,14 @@
-//! Jobs and how far they have come: repetitions, steps, tasks, runs.
+//! Jobs and how far they have come.
 
-use crate::api::{AgentId, WriteId};
-use crate::latency::LatencyBreakdown;
+use crate::api::WriteId;
+use crate::definition::{Definition, JobEnd, Terms};
 use crate::queue::{Prospect, QueueKey, StepRef};
-use crate::value::cost_class;
+use crate::task::{Run, StepState, Task};
+use crate::value::{cost_class, work_of};
 use crate::workers::WorkerId;
-use indigofold_protocol::job::{JobSpec, JobState, Step};
+use indigofold_protocol::job::Step;
 use indigofold_protocol::task::{JobId, RunId, TaskName};
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// A job that ends within so many times its objective still earns something.
 const LATE_FACTOR: i64 = 3;
@@ -17,43 +17,6 @@
 /// Longer objectives are cut to this.
 const LATENCY_TARGET_MAX_MS: u64 = 1 << 40;
 
-/// What a queue grants its jobs, as its route says.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
-    /// 0 goes first.
-    pub priority: u32,
-    /// A task that has failed so often fails its job.
-    pub max_retries: u32,
-    /// Part of the objective: multiple of the longest chain of work.
-    pub stretch: f64,
-    /// Part of the objective that does not depend on the work.
-    pub target_latency_ms: u64,
-}
-
-/// A job as it was taken; written once.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Definition {
-    /// What the client handed in.
-    pub spec: JobSpec,
-    /// Name of its queue's route.
-    pub route: String,
-    /// Service to which the route led then.
-    pub service: String,
-    /// Terms of the route then.
-    pub terms: Terms,
-    /// When it was taken, in milliseconds since 1970.
-    pub accepted_wall_ms: u64,
-}
-
-/// The end of a job.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobEnd {
-    /// `Completed`, `Failed` or `Cancelled`.
-    pub state: JobState,
-    /// When, in milliseconds since 1970.
-    pub wall_ms: u64,
-}
-
 /// A job.
 #[derive(Debug)]
 pub struct Job {
@@ -96,134 +59,6 @@
     pub steps: Vec<StepState>,
 }
 
-/// One step of a repetition.
-#[derive(Debug, Default)]
-pub struct StepState {
-    /// Its tasks.
-    pub tasks: Vec<Task>,
-    /// Number of tasks done.
-    pub done: u32,
-    /// Tasks that are to be placed.
-    pub waiting: BTreeSet<u32>,
-    /// Place in the queue while something waits.
-    pub queued: Option<QueueKey>,
-    /// Since when something waits.
-    pub waiting_since_ms: u64,
-    /// What it has waited for since then, as seen when it was looked at.
-    pub waits: LatencyBreakdown,
-    /// When it was looked at last.
-    pub looked_at_ms: u64,
-    /// Where the time went before its turn came.
-    pub chain: LatencyBreakdown,
-    /// Progress of the gang as heard last.
-    pub gang_checkpoint: String,
-    /// Attempts of the gang that have failed.
-    pub gang_failures: u32,
-    /// The newest of these attempts.
-    pub gang_failed_attempt: u32,
-}
-
-/// One task.
-#[derive(Clone, Debug, Default)]
-pub struct Task {
-    /// Highest number of a run so far.
-    pub last_attempt: u32,
-    /// Runs that ended `failed`.
-    pub failures: u32,
-    /// It is done.
-    pub done: bool,
-    /// Progress to resume from; empty for none.
-    pub checkpoint: String,
-    /// Its run that is not over.
-    pub run: Option<Run>,
-    /// A second run at the same time, on another worker; only while `run` is there, and only of `speculative` steps.
-    pub speculative_run: Option<Run>,
-    /// Worker on which it failed last.
-    pub failed_on: Option<WorkerId>,
-    /// Since when it waits to be placed.
-    pub waits_since_ms: u64,
-    /// Where its time went since its step's turn came.
-    pub latency: LatencyBreakdown,
-}
-
-/// A run that is not over.
-#[derive(Clone, Debug)]
-pub struct Run {
-    /// Its number.
-    pub attempt: u32,
-    /// Where it runs.
-    pub worker: WorkerId,
-    /// Its order may have left this process.
-    pub sent: bool,
-    /// When its order left.
-    pub sent_ms: u64,
-    /// When its worker listed it first.
-    pub began_ms: Option<u64>,
-    /// Where its stop was sent last and when; `Some((None, _))` if it is to be sent.
-    pub stop: Option<StopOrder>,
-    /// When it was placed.
-    pub placed_ms: u64,
-    /// It resumes from saved progress, or was placed by a predecessor: how long it takes tells nothing.
-    pub resumed: bool,
-    /// It was bound to one kind of workers.
-    pub bound: bool,
-    /// Factor on its run time on this worker (data or gang on other racks).
-    pub remote_factor: f64,
-    /// Part done, as listed last.
-    pub percent: u32,
-    /// When that changed last.
-    pub percent_ms: u64,
-    /// When a report listed it last.
-    pub listed_ms: u64,
-}
-
-/// A stop that was decided.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopOrder {
-    /// Connection on which it was sent.
-    pub sent_to: Option<AgentId>,
-    /// When it was sent last.
-    pub sent_ms: u64,
-}
-
-impl Task {
-    /// Its runs that are not over.
-    pub fn runs(&self) -> impl Iterator<Item = &Run> {
-        self.run.iter().chain(&self.speculative_run)
-    }
-
-    /// Its run on this worker.
-    pub fn run_at(&self, worker: WorkerId) -> Option<&Run> {
-        self.runs().find(|run| run.worker == worker)
-    }
-
-    /// Its run of this number.
-    pub fn run_mut(&mut self, attempt: u32) -> Option<&mut Run> {
-        self.run
-            .iter_mut()
-            .chain(&mut self.speculative_run)
-            .find(|run| run.attempt == attempt)
-    }
-
-    /// Takes its run of this number out; a copy that is left takes the place of the run.
-    pub fn take_run(&mut self, attempt: u32) -> Option<Run> {
-        if self
-            .speculative_run
-            .as_ref()
-            .is_some_and(|speculative_run| speculative_run.attempt == attempt)
-        {
-            return self.speculative_run.take();
-        }
-        let speculative_run = self.speculative_run.take();
-        let run = self.run.take_if(|run| run.attempt == attempt);
-        match run {
-            Some(_) => self.run = speculative_run,
-            None => self.speculative_run = speculative_run,
-        }
-        run
-    }
-}
-
 impl Job {
     /// A job that has just been taken.
     pub fn new(definition: Definition) -> Self {
@@ -445,18 +280,38 @@
     }
 }
 
-impl StepState {
-    /// A task is to be placed (again).
-    pub fn wait(&mut self, index: u32, now_ms: u64) {
-        let newly = self.waiting.insert(index);
-        if let Some(task) = self.tasks.get_mut(index as usize).filter(|_| newly) {
-            task.waits_since_ms = now_ms;
-        }
+impl Job {
+    /// All its work, in core-milliseconds.
+    pub fn work(&self) -> f64 {
+        let steps = self.definition.spec.stages.iter().zip(&self.run_ms);
+        steps
+            .map(|(step, run_ms)| work_of(step, step.count as usize, *run_ms))
+            .sum()
     }
 
-    /// All its tasks are done.
-    pub fn is_done(&self) -> bool {
-        self.done as usize == self.tasks.len()
+    /// Work of this step that waits and of the steps behind it, in core-milliseconds.
+    pub fn work_left(&self, at: StepRef) -> f64 {
+        let Some(repeat) = self.repeats.get(&at.repeat) else {
+            return 0.0;
+        };
+        let steps = self
+            .definition
+            .spec
+            .stages
+            .iter()
+            .zip(&repeat.steps)
+            .zip(&self.run_ms);
+        let from_here = steps.enumerate().skip(at.step as usize);
+        let left = from_here.map(|(number, ((step, state), run_ms))| {
+            let not_done = state.tasks.len() - state.done as usize;
+            let tasks = if number == at.step as usize {
+                state.waiting.len()
+            } else {
+                not_done
+            };
+            work_of(step, tasks, *run_ms)
+        });
+        left.sum()
     }
 }
 
--- /dev/null
+++ b/crates/scheduler/src/job_table.rs
@@ -0,0 +1,50 @@
+//! All jobs that are kept, by id.
+
+use crate::job::Job;
+use crate::queue::StepRef;
+use indigofold_protocol::job::Step;
+use indigofold_protocol::task::JobId;
+use rustc_hash::FxHashMap;
+
+/// Open jobs, and ended ones that are still shown.
+#[derive(Debug, Default)]
+pub(crate) struct JobTable {
+    jobs: FxHashMap<JobId, Job>,
+}
+
+impl JobTable {
+    /// A job.
+    pub fn get(&self, id: &JobId) -> Option<&Job> {
+        self.jobs.get(id)
+    }
+
+    /// A job.
+    pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
+        self.jobs.get_mut(id)
+    }
+
+    /// The description of a step.
+    pub fn step(&self, at: StepRef) -> Option<&Step> {
+        self.get(&at.job)?.step(at.step)
+    }
+
+    /// All jobs, in no particular order.
+    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+        self.jobs.iter()
+    }
+
+    /// Number of jobs.
+    pub fn len(&self) -> usize {
+        self.jobs.len()
+    }
+
+    /// Enters a job.
+    pub fn insert(&mut self, id: JobId, job: Job) {
+        self.jobs.insert(id, job);
+    }
+
+    /// Forgets a job.
+    pub fn remove(&mut self, id: &JobId) {
+        self.jobs.remove(id);
+    }
+}
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -10,37 +10,55 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod admission;
 mod api;
 mod backlog;
+mod backlog_cache;
 mod checkpoints;
 mod client_calls;
 mod clock;
+mod definition;
 mod demand;
+mod due_jobs;
+mod estimates;
 mod gang;
 mod headroom;
 mod health;
 mod instance_rows;
 mod job;
+mod job_table;
 mod kinds;
+mod late_ends;
 mod latency;
 mod lifecycle;
 mod outbox;
+mod outlook;
 mod placement;
 mod preemption;
 mod queue;
+mod queue_order;
+mod recent_demand;
 mod reports;
-mod reservation;
+mod reservations;
 mod rng;
 mod rows;
 mod run_checks;
+mod run_result;
 mod run_results;
 mod runs;
 mod scheduler;
+mod services;
 mod speculation;
+mod state;
+mod step_traits;
 mod straggler;
 mod takeover;
+mod task;
+mod timers;
 mod value;
+mod view;
 mod workers;
+mod writes;
 
 pub use api::{AgentId, Bounds, CallerId, Effect, Event, RowChange, WriteId};
 pub use kinds::{PlacementTrace, Reason};
--- a/crates/scheduler/src/lifecycle.rs
+++ b/crates/scheduler/src/lifecycle.rs
@@ -1,16 +1,19 @@
 //! Life of a job: repetitions fall due, steps become ready, tasks wait and are done, the job ends and is forgotten.
 
-use crate::job::{Job, JobEnd, StepState};
+use crate::definition::JobEnd;
+use crate::due_jobs::DueJob;
+use crate::job::Job;
 use crate::latency::LatencyBreakdown;
 use crate::queue::StepRef;
-use crate::scheduler::Scheduler;
+use crate::state::ClusterState;
+use crate::task::StepState;
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{JobId, TaskName};
 
 /// Ended jobs are kept so much longer than required, for clocks that differ.
 const KEEP_MARGIN_MS: u64 = 30_000;
 
-impl Scheduler {
+impl ClusterState {
     /// Lets the job's next repetition be opened when it is due, unless so many are open that others have to end first.
     pub(crate) fn await_next_repeat(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
@@ -24,7 +27,7 @@
         }
         match job.due_wall_ms(job.next_repeat) {
             Some(wall_ms) => {
-                self.due.insert((wall_ms, id));
+                self.due.add_repetition(DueJob { wall_ms, job: id });
             }
             None => self.open_repeat(id, self.now_ms as i64),
         }
@@ -33,9 +36,8 @@
     /// Opens all repetitions that are due.
     pub(crate) fn open_due_repeats(&mut self) {
         let wall_ms = self.clock.wall_ms(self.now_ms);
-        while let Some(&(due_wall_ms, id)) = self.due.first().filter(|(due, _)| *due <= wall_ms) {
-            self.due.pop_first();
-            self.open_repeat(id, self.clock.steady_ms(due_wall_ms));
+        while let Some(due) = self.due.pop_repetition(wall_ms) {
+            self.open_repeat(due.job, self.clock.steady_ms(due.wall_ms));
         }
     }
 
@@ -46,11 +48,12 @@
         let repeat = job.next_repeat;
         job.next_repeat += 1;
         let fresh = job.fresh_repeat(due_ms);
-        self.open_tasks += fresh
+        let opened = fresh
             .steps
             .iter()
             .map(|step| step.tasks.len() as u64)
             .sum::<u64>();
+        self.load.tasks_opened(opened);
         job.repeats.insert(repeat, fresh);
         self.set_dirty(id);
         self.ready_steps(id, repeat, self.latency_before_opening(due_ms));
@@ -134,9 +137,7 @@
             return;
         };
         state.queued = Some(key);
-        let service = self.service(&service);
-        service.queue.insert(key);
-        service.dirty = true;
+        self.services.entry(&service).enqueue(key);
     }
 
     /// Takes a step out of its service's queue.
@@ -146,11 +147,7 @@
         };
         let service = job.service.clone();
         if let Some(key) = job.step_state_mut(at).and_then(|state| state.queued.take()) {
-            let service = self.service(&service);
-            service.queue.remove(&key);
-            service
-                .reserved
-                .retain(|_, reservation| reservation.step != at);
+            self.services.entry(&service).dequeue(&key);
         }
     }
 
@@ -231,7 +228,7 @@
         }
         state.done += newly;
         let (step_done, idle) = (state.is_done(), state.waiting.is_empty());
-        self.open_tasks = self.open_tasks.saturating_sub(u64::from(newly));
+        self.load.tasks_closed(u64::from(newly));
         self.set_dirty(at.job);
         if idle {
             self.dequeue(at);
@@ -281,11 +278,10 @@
             return;
         };
         job.end = Some(JobEnd { state, wall_ms });
-        if let Some(due_wall_ms) = job.due_wall_ms(job.next_repeat) {
-            self.due.remove(&(due_wall_ms, id));
+        if let Some(wall_ms) = job.due_wall_ms(job.next_repeat) {
+            self.due.remove_repetition(DueJob { wall_ms, job: id });
         }
-        self.open_jobs = self.open_jobs.saturating_sub(1);
-        self.open_tasks = self.open_tasks.saturating_sub(open_tasks(job));
+        self.load.job_ended(open_tasks(job));
         if !job.started {
             self.no_longer_pending(id);
         }
@@ -302,12 +298,8 @@
     }
 
     pub(crate) fn no_longer_pending(&mut self, id: JobId) {
-        let route = self
-            .jobs
-            .get(&id)
-            .and_then(|job| self.pending.get_mut(&job.definition.route));
-        if let Some(count) = route {
-            *count = count.saturating_sub(1);
+        if let Some(job) = self.jobs.get(&id) {
+            self.load.job_no_longer_pending(&job.definition.route);
         }
     }
 
@@ -321,24 +313,23 @@
         };
         job.repeats.clear();
         job.definition.spec = Default::default();
-        self.outbox.closed.insert(id);
+        self.outbox.job_closed(id);
         self.set_dirty(id);
-        let at_wall_ms = self.forget_at(end.wall_ms);
-        self.forget.insert((at_wall_ms, id));
+        self.await_expiry(id, end.wall_ms);
     }
 
-    /// When a job that ended then is forgotten, in milliseconds since 1970.
-    pub(crate) fn forget_at(&self, end_wall_ms: u64) -> u64 {
-        end_wall_ms + self.bounds.status_s * 1_000 + KEEP_MARGIN_MS
+    /// The job, which ended at this time of day, is forgotten once its end has been shown for long enough.
+    pub(crate) fn await_expiry(&mut self, id: JobId, end_wall_ms: u64) {
+        let wall_ms = end_wall_ms + self.bounds.status_s * 1_000 + KEEP_MARGIN_MS;
+        self.due.add_expiry(DueJob { wall_ms, job: id });
     }
 
     /// Forgets jobs that ended long ago.
     pub(crate) fn forget_ended(&mut self) {
         let wall_ms = self.clock.wall_ms(self.now_ms);
-        while let Some(&(at_wall_ms, id)) = self.forget.first().filter(|(at, _)| *at <= wall_ms) {
-            self.forget.remove(&(at_wall_ms, id));
-            self.jobs.remove(&id);
-            self.outbox.forgotten.insert(id);
+        while let Some(due) = self.due.pop_expiry(wall_ms) {
+            self.jobs.remove(&due.job);
+            self.outbox.job_forgotten(due.job);
         }
     }
 }
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -31,21 +31,26 @@
     pub stop: Vec<RunId>,
 }
 
-/// Everything that waits to leave.
+/// Rows that the present event has changed.
 #[derive(Debug, Default)]
-pub struct Outbox {
-    /// Jobs whose progress changed in the present event.
-    pub dirty: BTreeSet<JobId>,
-    /// Jobs taken in the present event.
-    pub taken: BTreeSet<JobId>,
-    /// Jobs forgotten in the present event, with what is deleted.
+pub struct ChangedRows {
+    /// Jobs whose progress changed.
+    pub progress: BTreeSet<JobId>,
+    /// Jobs accepted.
+    pub accepted: BTreeSet<JobId>,
+    /// Jobs forgotten, with what is deleted.
     pub forgotten: BTreeSet<JobId>,
     /// Jobs of which only the end is kept from now on.
     pub closed: BTreeSet<JobId>,
-    /// Lives whose machine became known in the present event, or (`None`) that are over.
+    /// Instances whose machine became known, or (`None`) that have ended.
     pub instances: BTreeMap<String, Option<String>>,
-    /// Orders of the present event.
-    pub orders: BTreeMap<WorkerId, WorkerOrders>,
+}
+
+/// Everything that waits to leave.
+#[derive(Debug, Default)]
+pub struct Outbox {
+    changed: ChangedRows,
+    orders: BTreeMap<WorkerId, WorkerOrders>,
     deferred: BTreeMap<WriteId, Vec<Deferred>>,
     issued: u64,
     committed: u64,
@@ -55,6 +60,31 @@
     /// Stands for a write that was committed before everything else.
     pub const NO_WRITE: WriteId = WriteId(0);
 
+    /// The job's progress has changed.
+    pub fn progress_changed(&mut self, job: JobId) {
+        self.changed.progress.insert(job);
+    }
+
+    /// The job was accepted: its definition is written.
+    pub fn job_accepted(&mut self, job: JobId) {
+        self.changed.accepted.insert(job);
+    }
+
+    /// Of an ended job only the end is kept: its definition is deleted.
+    pub fn job_closed(&mut self, job: JobId) {
+        self.changed.closed.insert(job);
+    }
+
+    /// The job is forgotten: its progress is deleted.
+    pub fn job_forgotten(&mut self, job: JobId) {
+        self.changed.forgotten.insert(job);
+    }
+
+    /// The machine of an instance became known, or (`None`) the instance has ended.
+    pub fn instance_changed(&mut self, instance: String, node_name: Option<String>) {
+        self.changed.instances.insert(instance, node_name);
+    }
+
     /// The write that the present event's changes go into.
     pub fn present_write(&self) -> WriteId {
         WriteId(self.issued + 1)
@@ -71,8 +101,11 @@
 
     /// Whether the present event has changed a row.
     pub fn has_changes(&self) -> bool {
-        let jobs = self.dirty.is_empty() && self.forgotten.is_empty() && self.closed.is_empty();
-        !(jobs && self.instances.is_empty())
+        let changed = &self.changed;
+        !(changed.progress.is_empty()
+            && changed.forgotten.is_empty()
+            && changed.closed.is_empty()
+            && changed.instances.is_empty())
     }
 
     /// Whether this write is committed.
@@ -90,10 +123,10 @@
         self.defer(write, Deferred::Reply(to, ClientReply { call, outcome }));
     }
 
-    /// The present event's changes get their number.
-    pub fn issue(&mut self) -> WriteId {
+    /// Takes the present event's changes; they get their number.
+    pub fn take_changes(&mut self) -> (WriteId, ChangedRows) {
         self.issued += 1;
-        WriteId(self.issued)
+        (WriteId(self.issued), std::mem::take(&mut self.changed))
     }
 
     /// Writes up to this one are committed.
@@ -121,4 +154,9 @@
     pub fn orders_for(&mut self, worker: WorkerId) -> &mut WorkerOrders {
         self.orders.entry(worker).or_default()
     }
+
+    /// Takes the present event's orders.
+    pub fn take_orders(&mut self) -> BTreeMap<WorkerId, WorkerOrders> {
+        std::mem::take(&mut self.orders)
+    }
 }
--- a/crates/scheduler/src/reservation.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -4,7 +4,10 @@
 use crate::demand::{StepDemand, times};
 use crate::kinds::dominant_share;
 use crate::queue::{QueueKey, StepRef};
-use crate::scheduler::Scheduler;
+use crate::reservations::Reservation;
+use crate::services::ServiceState;
+use crate::state::ClusterState;
+use crate::view::ClusterView;
 use crate::workers::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
 use rustc_hash::FxHashMap;
@@ -12,8 +15,6 @@
 
 /// Most steps of one service that keep workers at a time.
 pub(crate) const RESERVATIONS_MAX: usize = 2;
-/// Reservations are worked out anew so often.
-const RESERVE_MS: u64 = 200;
 /// Tasks that take at least this part of a worker need reservations; smaller ones find room by themselves.
 const LARGE_FRACTION: f64 = 0.25;
 /// While less than this part of the service is in use, nobody waits long for a reserved worker.
@@ -23,22 +24,7 @@
 /// A worker that is kept already counts as free by so much earlier, so that reservations stay where they are.
 const STAY_MS: u64 = 400;
 
-/// A worker kept for a step.
-#[derive(Clone, Debug)]
-pub(crate) struct Reservation {
-    /// The step.
-    pub step: StepRef,
-    /// Its priority.
-    pub priority: u32,
-    /// Room that it is to have there.
-    pub resources: Resources,
-    /// When this room is expected to be free.
-    pub free_ms: u64,
-    /// Others that have waited for so long use the worker all the same.
-    pub patience_ms: u64,
-}
-
-/// Rooms for the tasks of a step, and when all of them are expected to be free.
+/// Capacity for the tasks of a step, and when all of them are expected to be free.
 #[derive(Clone, Debug)]
 pub(crate) struct Outlook {
     /// When.
@@ -47,58 +33,78 @@
     pub tasks: FxHashMap<WorkerId, u32>,
 }
 
-impl Reservation {
-    /// Whether a step may use the worker although it is kept for another one.
-    pub fn yields_to(&self, demand: &StepDemand) -> bool {
-        self.step == demand.at
-            || demand.priority < self.priority
-            || demand.waited_ms >= self.patience_ms
-    }
+/// What a step needs that needs much at once.
+struct LargeDemand {
+    /// What one task asks for.
+    demand: StepDemand,
+    /// Tasks that have to start together.
+    members: u32,
 }
 
-impl Scheduler {
-    /// Whether only about half of the service is in use, or less, by the resource used most or by its cores: then no
-    /// step may wait long where there is room for it.
-    pub(crate) fn has_spare_capacity(&self, service: &str) -> bool {
-        let Some(state) = self.services.get(service) else {
-            return false;
-        };
-        let workers = state.kinds.workers().filter_map(|id| self.workers.get(id));
-        let (used, all) = workers.fold((0, 0), |(used, all), w| {
-            (used + w.used.cpu, all + w.capacity.cpu)
-        });
-        (used as f64) < IDLE_LOAD * all as f64
-            || state.kinds.measured_load(&self.workers) < IDLE_LOAD
-    }
+/// Capacity for one task; ordered by time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Slot {
+    /// When it is expected to be free.
+    free_ms: u64,
+    worker: WorkerId,
+}
+
+/// The expected end of a run.
+struct ExpectedEnd {
+    at_ms: u64,
+    freed: Resources,
+}
 
-    /// Keeps workers for a step that does not fit now; returns whether it keeps some.
+impl ClusterState {
+    /// Reserves workers for a step that does not fit now; returns whether it has reservations.
     pub(crate) fn reserve(&mut self, service: &str, key: QueueKey) -> bool {
         let now_ms = self.now_ms;
         let Some(state) = self.services.get(service) else {
             return false;
         };
-        let holds = state
-            .reserved
-            .values()
-            .any(|reservation| reservation.step == key.at);
-        if holds && now_ms < state.next_reserve_ms {
+        if state.reservations.are_current(key.at, now_ms) {
             return true;
         }
-        let Some((demand, members)) = self.large_demand(service, key.at) else {
+        let Some(reserved) = self.view().reservations_for(state, key) else {
             return false;
         };
-        let outlook = self.outlook(service, &demand, members);
-        let spare = self.has_spare_capacity(service);
-        let Some(state) = self.services.get_mut(service) else {
-            return false;
+        let found = reserved.is_some();
+        if let Some(state) = self.services.get_mut(service) {
+            let reserved = reserved.into_iter().flatten();
+            state.reservations.replace(key.at, reserved, now_ms);
+        }
+        found
+    }
+}
+
+impl ClusterView<'_> {
+    /// Whether only about half of the service is in use, or less, by the resource used most or by its cores: then no
+    /// step may wait long where there is room for it.
+    pub(crate) fn has_spare_capacity(&self, service: &ServiceState) -> bool {
+        let (used, all) = self.workers_of(service).fold((0, 0), |(used, all), w| {
+            (used + w.used.cpu, all + w.capacity.cpu)
+        });
+        (used as f64) < IDLE_LOAD * all as f64
+            || service.kinds.measured_load(self.workers) < IDLE_LOAD
+    }
+
+    /// The workers to reserve for a step: `None` if it needs no reservations, `Some(None)` if there are no workers for
+    /// it.
+    fn reservations_for(
+        &self,
+        service: &ServiceState,
+        key: QueueKey,
+    ) -> Option<Option<Vec<(WorkerId, Reservation)>>> {
+        let LargeDemand { demand, members } = self.large_demand(service, key.at)?;
+        let Some(outlook) = self.outlook(service, &demand, members) else {
+            return Some(None);
         };
-        state.next_reserve_ms = now_ms + RESERVE_MS;
-        state
-            .reserved
-            .retain(|_, reservation| reservation.step != key.at);
-        let Some(outlook) = outlook else { return false };
-        let patience_ms = if spare { IDLE_PATIENCE_MS } else { u64::MAX };
-        for (id, count) in outlook.tasks {
+        let patience_ms = if self.has_spare_capacity(service) {
+            IDLE_PATIENCE_MS
+        } else {
+            u64::MAX
+        };
+        let reservation = |(id, count): (WorkerId, u32)| {
             let reservation = Reservation {
                 step: key.at,
                 priority: key.priority,
@@ -106,22 +112,17 @@
                 free_ms: outlook.free_ms,
                 patience_ms,
             };
-            state.reserved.insert(id, reservation);
-        }
-        true
+            (id, reservation)
+        };
+        Some(Some(outlook.tasks.into_iter().map(reservation).collect()))
     }
 
     /// What a step needs, and for how many tasks at once, if it needs much.
-    fn large_demand(&self, service: &str, at: StepRef) -> Option<(StepDemand, u32)> {
+    fn large_demand(&self, service: &ServiceState, at: StepRef) -> Option<LargeDemand> {
         let job = self.jobs.get(&at.job)?;
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
         let demand = StepDemand::of(job, at, self.now_ms)?;
-        let workers = self
-            .services
-            .get(service)?
-            .kinds
-            .workers()
-            .filter_map(|id| self.workers.get(id));
+        let workers = self.workers_of(service);
         let fitting = workers.filter(|worker| worker.capacity.holds(&demand.resources));
         let share = |worker: &Worker| dominant_share(&demand.resources, &worker.capacity);
         let share = fitting.map(share).min_by(f64::total_cmp)?;
@@ -130,14 +131,14 @@
         } else {
             1
         };
-        (step.gang || share >= LARGE_FRACTION).then_some((demand, members))
+        (step.gang || share >= LARGE_FRACTION).then_some(LargeDemand { demand, members })
     }
 
     /// Where and when `members` tasks will find room, if what runs ends as expected; in one rack if the step needs
     /// that and it does not take too long.
     pub(crate) fn outlook(
         &self,
-        service: &str,
+        service: &ServiceState,
         demand: &StepDemand,
         members: u32,
     ) -> Option<Outlook> {
@@ -150,8 +151,7 @@
         if !rack_local {
             return Some(anywhere);
         }
-        let ids = self.services.get(service)?.kinds.workers();
-        let racks: BTreeSet<&str> = ids.filter_map(|id| self.workers.get(id)?.rack()).collect();
+        let racks: BTreeSet<&str> = self.workers_of(service).filter_map(Worker::rack).collect();
         let of_racks = racks
             .into_iter()
             .filter_map(|rack| self.outlook_in(service, demand, members, Some(rack)));
@@ -165,18 +165,17 @@
 
     fn outlook_in(
         &self,
-        service: &str,
+        service: &ServiceState,
         demand: &StepDemand,
         members: u32,
         rack: Option<&str>,
     ) -> Option<Outlook> {
-        let state = self.services.get(service)?;
-        let mut rooms: Vec<(u64, WorkerId)> = Vec::new();
-        for id in state.kinds.workers() {
+        let mut slots: Vec<Slot> = Vec::new();
+        for id in service.kinds.workers() {
             let Some(worker) = self.workers.get(id) else {
                 continue;
             };
-            let reservation = state.reserved.get(&id);
+            let reservation = service.reservations.get(id);
             let other = reservation.is_some_and(|reservation| {
                 reservation.step != demand.at && reservation.priority <= demand.priority
             });
@@ -186,15 +185,21 @@
             }
             let stay_ms = if reservation.is_some() { STAY_MS } else { 0 };
             let times = self.free_times(id, worker, demand, members);
-            rooms.extend(times.into_iter().map(|at| (at.saturating_sub(stay_ms), id)));
+            slots.extend(times.into_iter().map(|free_ms| Slot {
+                free_ms: free_ms.saturating_sub(stay_ms),
+                worker: id,
+            }));
         }
-        rooms.sort_unstable();
-        rooms.truncate(members as usize);
-        let free_ms = rooms.last().filter(|_| rooms.len() == members as usize)?.0;
+        slots.sort_unstable();
+        slots.truncate(members as usize);
+        let free_ms = slots
+            .last()
+            .filter(|_| slots.len() == members as usize)?
+            .free_ms;
         let mut tasks = FxHashMap::default();
-        rooms
+        slots
             .into_iter()
-            .for_each(|(_, id)| *tasks.entry(id).or_default() += 1);
+            .for_each(|slot| *tasks.entry(slot.worker).or_default() += 1);
         Some(Outlook { free_ms, tasks })
     }
 
@@ -210,17 +215,15 @@
         if !labelled {
             return Vec::new();
         }
-        let mut ends: Vec<(u64, Resources)> = worker
+        let mut ends: Vec<ExpectedEnd> = worker
             .runs
             .iter()
-            .map(|task| {
-                (
-                    self.now_ms + self.remaining_ms(id, task),
-                    self.resources(*task),
-                )
+            .map(|task| ExpectedEnd {
+                at_ms: self.now_ms + self.remaining_ms(id, task),
+                freed: self.resources(*task),
             })
             .collect();
-        ends.sort_unstable_by_key(|(at, _)| *at);
+        ends.sort_unstable_by_key(|end| end.at_ms);
         let mut ends = ends.into_iter();
         let (mut used, mut at_ms) = (worker.used, self.now_ms);
         let mut free = Vec::new();
@@ -232,10 +235,10 @@
         for count in 1..=u64::from(most) {
             let wanted = times(&demand.resources, count);
             while !worker.capacity.holds(&used.plus(&wanted)) {
-                let Some((end_ms, freed)) = ends.next() else {
+                let Some(end) = ends.next() else {
                     return free;
                 };
-                (at_ms, used) = (at_ms.max(end_ms), used.minus(&freed));
+                (at_ms, used) = (at_ms.max(end.at_ms), used.minus(&end.freed));
             }
             free.push(at_ms);
         }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -2,29 +2,29 @@
 //! take it.
 
 use crate::demand::{ANY_WORKER_MS, Locality, Scope, StepDemand};
-use crate::kinds::dominant_share;
+use crate::kinds::{Selection, dominant_share};
 use crate::latency::Cause;
+use crate::outlook::RESERVATIONS_MAX;
 use crate::queue::{QueueKey, StepRef};
-use crate::reservation::{RESERVATIONS_MAX, Reservation};
+use crate::reservations::Reservation;
 use crate::runs::Placement;
-use crate::scheduler::{Scheduler, ServiceState};
+use crate::services::ServiceState;
+use crate::state::ClusterState;
+use crate::view::ClusterView;
 use crate::workers::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
+use indigofold_protocol::task::TaskName;
 
 /// Most steps that one pass over the queue looks at.
 const PASS_STEPS: usize = 400;
-/// While something waits, passes over a queue are so far apart.
-const BACKLOG_PASS_MS: u64 = 10;
 /// A task that takes more than this part of a worker needs one as a whole.
 const HALF: f64 = 0.5;
-/// Such a task has come within this time.
-const LARGE_TASK_RECENT_MS: u64 = 30_000;
 
 /// What one pass over a queue has found so far.
 #[derive(Debug)]
 struct Pass {
     /// Much of the service is idle.
-    spare: bool,
+    has_spare_capacity: bool,
     /// The most of each resource that any one worker has free.
     largest_free: Resources,
     /// Tasks that found no room, though they ask for nothing else.
@@ -33,34 +33,31 @@
     reserved: Vec<StepRef>,
 }
 
-impl Scheduler {
+/// What a task takes.
+struct TaskShape {
+    resources: Resources,
+    /// The step asks for more than capacity: certain workers, or several at once.
+    constrained: bool,
+}
+
+impl ClusterState {
     /// Places what can be placed, in all services where something has changed.
     pub(crate) fn schedule(&mut self) {
         let now_ms = self.now_ms;
         if now_ms < self.placement_start_ms {
             return;
         }
-        let turn = |s: &ServiceState| (s.dirty || s.regroup) && now_ms >= s.next_pass_ms;
-        let names: Vec<String> = self
-            .services
-            .iter()
-            .filter(|(_, s)| turn(s))
-            .map(|(name, _)| name.clone())
-            .collect();
-        for name in names {
+        let is_due = |service: &ServiceState| {
+            service
+                .next_pass_ms()
+                .is_some_and(|pass_ms| now_ms >= pass_ms)
+        };
+        for name in self.services.names_where(is_due) {
             if let Some(service) = self.services.get_mut(&name) {
-                service.dirty = false;
-                if std::mem::take(&mut service.regroup) {
-                    service.kinds.regroup(&self.workers, &name);
-                }
+                service.begin_pass(&self.workers, &name);
             }
             self.pass(&name);
-            let service = self.service(&name);
-            service.next_pass_ms = if service.queue.is_empty() {
-                now_ms
-            } else {
-                now_ms + BACKLOG_PASS_MS
-            };
+            self.services.entry(&name).end_pass(now_ms);
         }
     }
 
@@ -71,13 +68,13 @@
         let Some(state) = self.services.get(service) else {
             return;
         };
-        let keys: Vec<QueueKey> = state.queue.iter().take(PASS_STEPS).copied().collect();
+        let keys: Vec<QueueKey> = state.queue().iter().take(PASS_STEPS).copied().collect();
         if keys.is_empty() {
             return;
         }
         let mut pass = Pass {
-            spare: self.has_spare_capacity(service),
-            largest_free: self.largest_free(service),
+            has_spare_capacity: self.view().has_spare_capacity(state),
+            largest_free: self.view().largest_free(service),
             blocked: Vec::new(),
             reserved: Vec::new(),
         };
@@ -87,35 +84,51 @@
                 .for_each(|key| self.visit_step(service, *key, Locality::LocalOnly, &mut pass));
             let left = same
                 .iter()
-                .filter(|key| self.has_locality(key.at) && self.waits(key.at));
+                .filter(|key| self.view().has_locality(key.at) && self.view().waits(key.at));
             let left: Vec<QueueKey> = left.copied().collect();
             left.into_iter()
                 .for_each(|key| self.visit_step(service, key, Locality::Anywhere, &mut pass));
         }
-        self.service(service)
-            .reserved
-            .retain(|_, reservation| pass.reserved.contains(&reservation.step));
+        self.services
+            .entry(service)
+            .reservations
+            .retain(&pass.reserved);
+    }
+
+    /// Notes the priority of the first step if its tasks are small: less urgent work has to leave headroom for them.
+    fn observe_urgent(&mut self, service: &str, keys: &[QueueKey]) {
+        let now_ms = self.now_ms;
+        let priority = self
+            .services
+            .get(service)
+            .and_then(|state| self.view().small_task_priority(state, keys));
+        if let Some(priority) = priority {
+            let recent = &mut self.services.entry(service).recent;
+            recent.observe_urgent(priority, now_ms);
+        }
     }
 
     /// Tries to place a step's tasks.
     fn visit_step(&mut self, service: &str, key: QueueKey, locality: Locality, pass: &mut Pass) {
-        let Some((resources, constrained)) = self.task_shape(key.at) else {
+        let Some(shape) = self.view().task_shape(key.at) else {
             return;
         };
-        let honors_blocked = !(pass.spare && self.waits_long(key.at));
+        let resources = shape.resources;
+        let honors_blocked = !(pass.has_spare_capacity && self.view().waits_long(key.at));
         let blocked_by_earlier =
             honors_blocked && pass.blocked.iter().any(|less| resources.holds(less));
         let beyond = blocked_by_earlier || !pass.largest_free.holds(&resources);
         if !beyond {
             self.place_step(service, key, locality);
         }
-        if !self.waits(key.at) {
+        if !self.view().waits(key.at) {
             return self.dequeue(key.at);
         }
-        self.record_wait(key.at, self.wait_cause(key.at, blocked_by_earlier, beyond));
+        let cause = self.view().wait_cause(key.at, blocked_by_earlier, beyond);
+        self.record_wait(key.at, cause);
         if !beyond {
-            pass.largest_free = self.largest_free(service);
-            if !constrained {
+            pass.largest_free = self.view().largest_free(service);
+            if !shape.constrained {
                 pass.blocked.push(resources);
             }
         }
@@ -124,13 +137,118 @@
         }
     }
 
-    /// What a step waits for that was looked at: others before it, room, or room in the right place.
+    /// Places as many waiting tasks of a step as there is capacity for.
+    fn place_step(&mut self, service: &str, key: QueueKey, locality: Locality) {
+        let at = key.at;
+        let Some(job) = self.jobs.get(&at.job) else {
+            return;
+        };
+        let (Some(step), Some(state)) = (job.step(at.step), job.step_state(at)) else {
+            return;
+        };
+        if step.gang {
+            return self.place_gang(service, at, locality);
+        }
+        let waiting: Vec<u32> = state.waiting.iter().copied().collect();
+        let Some(mut demand) = StepDemand::of(job, at, self.now_ms) else {
+            return;
+        };
+        demand.avoids_idle_workers = self.avoids_idle_workers(service, &demand.resources);
+        demand.locality = locality;
+        let mut spare = match self.services.get(service) {
+            Some(state) if self.view().must_leave_headroom(state, key) => {
+                self.view().free_beyond_headroom(state)
+            }
+            _ => f64::INFINITY,
+        };
+        for index in waiting {
+            spare -= demand.resources.cpu as f64;
+            if spare < 0.0 || !self.place_task(service, &mut demand, index) {
+                return;
+            }
+        }
+    }
+
+    /// Whether tasks of this size leave idle workers alone: steps that need most of a worker come to this service, and
+    /// this is none of them.
+    pub(crate) fn avoids_idle_workers(&mut self, service: &str, resources: &Resources) -> bool {
+        let now_ms = self.now_ms;
+        let Some(state) = self.services.get(service) else {
+            return false;
+        };
+        let large = self.view().needs_most_of_worker(state, resources);
+        let recent = &mut self.services.entry(service).recent;
+        if large {
+            recent.observe_large_task(now_ms);
+        }
+        !large && recent.has_large_tasks(now_ms)
+    }
+
+    /// Places one task; returns whether a worker was found.
+    fn place_task(&mut self, service: &str, demand: &mut StepDemand, index: u32) -> bool {
+        let task = demand.at.task(index);
+        let Some(entry) = self.jobs.get(&task.job).and_then(|job| job.task(&task)) else {
+            return false;
+        };
+        let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
+        let selection = [Scope::Preferred, Scope::Allowed]
+            .into_iter()
+            .find_map(|scope| self.select_worker(service, demand, scope, failed_on));
+        let Some(selection) = selection else {
+            return false;
+        };
+        self.trace_placement(service, task, &selection);
+        let is_local = self
+            .workers
+            .get(selection.worker)
+            .is_some_and(|worker| demand.is_local(worker));
+        if demand.anti_affinity > 0 {
+            *demand.on_worker.entry(selection.worker).or_default() += 1;
+        }
+        let placement = Placement {
+            worker: selection.worker,
+            bound: selection.bound,
+            remote_factor: self.bounds.remote_factor(is_local),
+        };
+        self.place_run(task, attempt, placement);
+        true
+    }
+
+    /// Selects a worker that may take a task of the step now.
+    fn select_worker(
+        &mut self,
+        service: &str,
+        demand: &StepDemand,
+        scope: Scope,
+        failed_on: Option<WorkerId>,
+    ) -> Option<Selection> {
+        let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
+        let state = self.services.get(service)?;
+        let fits = |id: WorkerId, worker: &Worker| {
+            let failed_there = failed_on == Some(id);
+            worker.accepts_starts(now_ms)
+                && demand.permits(id, worker, 0)
+                && demand.considers(scope, worker, remote_slowdown, failed_there, now_ms)
+                && state.reservations.get(id).is_none_or(|reservation| {
+                    usable_despite_reservation(reservation, demand, id, worker, state, now_ms)
+                })
+        };
+        let kinds = &state.kinds;
+        kinds.select(&mut self.rng, &self.workers, &demand.label, fits)
+    }
+
+    /// Records how a worker was selected, for whoever follows placements.
+    pub(crate) fn trace_placement(&mut self, service: &str, task: TaskName, selection: &Selection) {
+        if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
+            traces.push(state.kinds.trace(task, selection, &self.workers));
+        }
+    }
+}
+
+impl ClusterView<'_> {
+    /// What a step waits for that was looked at: others before it, capacity, or capacity in the right place.
     fn wait_cause(&self, at: StepRef, blocked_by_earlier: bool, beyond: bool) -> Cause {
-        let gang = self
-            .jobs
-            .get(&at.job)
-            .and_then(|job| job.step(at.step))
-            .is_some_and(|step| step.gang);
+        let gang = self.jobs.step(at).is_some_and(|step| step.gang);
         if blocked_by_earlier {
             Cause::Queue
         } else if !beyond && (gang || self.has_locality(at)) {
@@ -140,47 +258,38 @@
         }
     }
 
-    /// Whether the step's tasks run faster in some places than in others: near data, or in one rack.
+    /// Whether the step's tasks run faster on some workers than on others: with their data, or in one rack.
     fn has_locality(&self, at: StepRef) -> bool {
-        let step = self.jobs.get(&at.job).and_then(|job| job.step(at.step));
+        let step = self.jobs.step(at);
         step.is_some_and(|step| !step.affinity.is_empty() || step.rack_local)
     }
 
-    /// Whether tasks of this size leave idle workers alone: steps that need a whole worker come to this service, and
-    /// this is none of them.
-    pub(crate) fn avoids_idle_workers(&mut self, service: &str, resources: &Resources) -> bool {
-        let now_ms = self.now_ms;
-        let Some(state) = self.services.get_mut(service) else {
-            return false;
-        };
-        let capacities = state
-            .kinds
-            .workers()
-            .filter_map(|id| self.workers.get(id))
-            .map(|w| w.capacity);
+    /// Whether a task of this size takes more than half of any worker of the service that can run it.
+    fn needs_most_of_worker(&self, service: &ServiceState, resources: &Resources) -> bool {
+        let capacities = self.workers_of(service).map(|worker| worker.capacity);
         let shares = capacities
-            .filter(|c| c.holds(resources))
-            .map(|c| dominant_share(resources, &c));
-        let large = shares
+            .filter(|capacity| capacity.holds(resources))
+            .map(|capacity| dominant_share(resources, &capacity));
+        shares
             .min_by(f64::total_cmp)
-            .is_some_and(|share| share > HALF);
-        if large {
-            state.large_task_ms = Some(now_ms);
-        }
-        !large
-            && state
-                .large_task_ms
-                .is_some_and(|observed| now_ms < observed + LARGE_TASK_RECENT_MS)
+            .is_some_and(|share| share > HALF)
     }
 
-    /// What a task of the step takes, and whether the step asks for more than room.
-    fn task_shape(&self, at: StepRef) -> Option<(Resources, bool)> {
-        let step = self.jobs.get(&at.job)?.step(at.step)?;
-        let state = self.jobs.get(&at.job)?.step_state(at)?;
+    /// What a task of the step takes, and whether the step asks for more than capacity.
+    fn task_shape(&self, at: StepRef) -> Option<TaskShape> {
+        let job = self.jobs.get(&at.job)?;
+        let (step, state) = (job.step(at.step)?, job.step_state(at)?);
         let retried = state.tasks.iter().any(|task| task.failed_on.is_some());
-        let constrained = step.gang || retried || step.anti_affinity > 0 || step.long_running;
-        let constrained = constrained || !step.requirements.is_empty() || !step.affinity.is_empty();
-        Some((step.resources(), constrained))
+        let constrained = step.gang
+            || retried
+            || step.anti_affinity > 0
+            || step.long_running
+            || !step.requirements.is_empty()
+            || !step.affinity.is_empty();
+        Some(TaskShape {
+            resources: step.resources(),
+            constrained,
+        })
     }
 
     /// Whether a step has waited for so long that it may use workers which those before it may not.
@@ -189,6 +298,7 @@
         state.is_some_and(|state| self.now_ms >= state.waiting_since_ms + ANY_WORKER_MS)
     }
 
+    /// Whether any task of the step is to be placed.
     fn waits(&self, at: StepRef) -> bool {
         let state = self.jobs.get(&at.job).and_then(|job| job.step_state(at));
         state.is_some_and(|state| !state.waiting.is_empty())
@@ -199,8 +309,7 @@
         let Some(state) = self.services.get(service) else {
             return Resources::default();
         };
-        let ready = state.kinds.workers().filter_map(|id| self.workers.get(id));
-        ready
+        self.workers_of(state)
             .filter(|worker| worker.accepts_starts(self.now_ms))
             .fold(Resources::default(), |most, worker| {
                 let free = worker.free();
@@ -211,106 +320,6 @@
                 }
             })
     }
-
-    /// Places as many waiting tasks of a step as there is room for.
-    fn place_step(&mut self, service: &str, key: QueueKey, locality: Locality) {
-        let at = key.at;
-        let Some(job) = self.jobs.get(&at.job) else {
-            return;
-        };
-        let Some(step) = job.step(at.step) else {
-            return;
-        };
-        if step.gang {
-            return self.place_gang(service, at, locality);
-        }
-        let Some(state) = job.step_state(at) else {
-            return;
-        };
-        let waiting: Vec<u32> = state.waiting.iter().copied().collect();
-        let Some(mut demand) = StepDemand::of(job, at, self.now_ms) else {
-            return;
-        };
-        demand.avoids_idle_workers = self.avoids_idle_workers(service, &demand.resources);
-        demand.locality = locality;
-        let keeps = self.must_leave_headroom(service, key);
-        let mut spare = if keeps {
-            self.beyond_headroom(service)
-        } else {
-            f64::INFINITY
-        };
-        for index in waiting {
-            spare -= demand.resources.cpu as f64;
-            if spare < 0.0 || !self.place_task(service, &mut demand, index) {
-                return;
-            }
-        }
-    }
-
-    fn place_task(&mut self, service: &str, demand: &mut StepDemand, index: u32) -> bool {
-        let task = demand.at.task(index);
-        let Some(entry) = self.jobs.get(&task.job).and_then(|job| job.task(&task)) else {
-            return false;
-        };
-        let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
-        let selection = [Scope::Preferred, Scope::Allowed]
-            .into_iter()
-            .find_map(|scope| {
-                let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
-                let state = self.services.get(service)?;
-                state
-                    .kinds
-                    .select(&mut self.rng, &self.workers, &demand.label, |id, worker| {
-                        worker.accepts_starts(now_ms)
-                            && demand.permits(id, worker, 0)
-                            && demand.considers(
-                                scope,
-                                worker,
-                                remote_slowdown,
-                                failed_on == Some(id),
-                                now_ms,
-                            )
-                            && state.reserved.get(&id).is_none_or(|reservation| {
-                                usable_despite_reservation(
-                                    reservation,
-                                    demand,
-                                    id,
-                                    worker,
-                                    state,
-                                    now_ms,
-                                )
-                            })
-                    })
-            });
-        let Some(selection) = selection else {
-            return false;
-        };
-        if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
-            traces.push(state.kinds.trace(task, &selection, &self.workers));
-        }
-        let is_local = self
-            .workers
-            .get(selection.worker)
-            .is_some_and(|worker| demand.is_local(worker));
-        let remote_factor = if is_local {
-            1.0
-        } else {
-            self.bounds.remote_slowdown
-        };
-        if demand.anti_affinity > 0 {
-            *demand.on_worker.entry(selection.worker).or_default() += 1;
-        }
-        self.place_run(
-            task,
-            attempt,
-            Placement {
-                worker: selection.worker,
-                bound: selection.bound,
-                remote_factor,
-            },
-        );
-        true
-    }
 }
 
 /// Whether a task may use a worker that is reserved for another step: it fits beside, or ends before.
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -3,18 +3,20 @@
 
 use crate::demand::StepDemand;
 use crate::queue::{Prospect, QueueKey};
-use crate::scheduler::Scheduler;
+use crate::services::ServiceState;
+use crate::state::ClusterState;
 use crate::value::cores;
+use crate::view::ClusterView;
 use crate::workers::WorkerId;
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{RunId, TaskName};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// Time between two looks at one service.
-const PREEMPT_MS: u64 = 200;
+/// Time between two looks for steps that are late.
+pub(crate) const PREEMPT_MS: u64 = 200;
 /// Steps at the head of a queue that may preempt.
-const STEPS_LOOKED_AT: usize = 12;
+const STEPS_CONSIDERED: usize = 12;
 /// A step preempts once it would miss its objective if it waited so much longer than it has to.
 const SLACK_MS: i64 = 300;
 /// Most core-seconds that may be lost for one step at a time.
@@ -38,81 +40,83 @@
     victims: Vec<Victim>,
 }
 
-/// Room on workers that goes to steps further ahead.
+/// Tasks of a step that need capacity.
+#[derive(Clone, Copy, Debug)]
+struct WantedTasks {
+    /// How many have to start together.
+    together: u32,
+    /// How many wait.
+    waiting: u32,
+}
+
+/// Capacity on workers that goes to steps further ahead.
 type Claimed = FxHashMap<WorkerId, Resources>;
 
-impl Scheduler {
-    /// Looks for steps that are late for want of room, and stops runs for them.
+impl ClusterState {
+    /// Looks for steps that are late for want of capacity, and stops runs for them. Capacity that is free or being freed
+    /// goes to the steps in their order: what those before have claimed is not there for the next.
     pub(crate) fn preempt(&mut self) {
-        let now_ms = self.now_ms;
-        if now_ms < self.next_preempt_ms {
-            return;
-        }
-        self.next_preempt_ms = now_ms + PREEMPT_MS;
-        let names: Vec<String> = self
+        for name in self
             .services
-            .iter()
-            .filter(|(_, s)| !s.queue.is_empty())
-            .map(|(name, _)| name.clone())
-            .collect();
-        for name in names {
-            let keys: Vec<QueueKey> = self.services[&name]
-                .queue
-                .iter()
-                .take(STEPS_LOOKED_AT)
+            .names_where(|service| !service.queue().is_empty())
+        {
+            let Some(service) = self.services.get(&name) else {
+                continue;
+            };
+            let first = service.queue().iter().take(STEPS_CONSIDERED);
+            let keys: Vec<QueueKey> = first
+                .filter(|key| key.prospect != Prospect::Hopeless)
                 .copied()
                 .collect();
             let mut claimed = Claimed::default();
-            for key in keys
-                .into_iter()
-                .filter(|key| key.prospect != Prospect::Hopeless)
-            {
-                self.preempt_for(&name, key, &mut claimed);
+            for key in keys {
+                self.view()
+                    .victims_for(&name, key, &mut claimed)
+                    .into_iter()
+                    .for_each(|victim| self.stop_run(victim.run));
             }
         }
     }
+}
 
-    /// Stops runs for a step if it would otherwise be late. Room that is free or on its way goes to the steps in their
-    /// order: what those before have `claimed` is not there for this one.
-    fn preempt_for(&mut self, service: &str, key: QueueKey, claimed: &mut Claimed) {
-        let Some(job) = self.jobs.get(&key.at.job) else {
-            return;
+impl ClusterView<'_> {
+    /// Runs to stop for a step that would otherwise be late.
+    fn victims_for(&self, service: &str, key: QueueKey, claimed: &mut Claimed) -> Vec<Victim> {
+        let found = self.services.get(service).zip(self.jobs.get(&key.at.job));
+        let Some((service, job)) = found else {
+            return Vec::new();
         };
         let (Some(step), Some(state)) = (job.step(key.at.step), job.step_state(key.at)) else {
-            return;
+            return Vec::new();
         };
-        let waiting = state.waiting.len() as u32;
-        let together = if step.gang { waiting } else { 1 };
         let Some(demand) = StepDemand::of(job, key.at, self.now_ms) else {
-            return;
+            return Vec::new();
         };
+        let waiting = state.waiting.len() as u32;
+        let together = if step.gang { waiting } else { 1 };
         let in_time = |free_ms: u64| free_ms as i64 + SLACK_MS <= key.latest_start_ms;
         if self
             .outlook(service, &demand, together)
             .is_none_or(|outlook| in_time(outlook.free_ms))
         {
-            return;
+            return Vec::new();
         }
-        let victims = self.victims(service, key, &demand, (together, waiting), claimed);
-        victims
-            .into_iter()
-            .for_each(|victim| self.stop_run(victim.run));
+        let wanted = WantedTasks { together, waiting };
+        self.victims(service, key, &demand, wanted, claimed)
     }
 
     /// The cheapest runs that make room for the waiting tasks, at least for as many as `together`; none if that loses
     /// too much, or if room is on its way already.
     fn victims(
         &self,
-        service: &str,
+        service: &ServiceState,
         key: QueueKey,
         demand: &StepDemand,
-        (together, waiting): (u32, u32),
+        wanted: WantedTasks,
         claimed: &mut Claimed,
     ) -> Vec<Victim> {
-        let Some(state) = self.services.get(service) else {
-            return Vec::new();
-        };
-        let workers = state.kinds.workers();
+        let waiting = wanted.waiting;
+        let workers = service.kinds.workers();
         let mut offers: Vec<(WorkerId, VecDeque<Offer>)> = workers
             .map(|id| {
                 let taken = claimed.get(&id).copied().unwrap_or_default();
@@ -136,7 +140,7 @@
             used.push(id);
             victims.extend(offer.victims);
         }
-        if used.len() < together as usize {
+        if used.len() < wanted.together as usize {
             return Vec::new();
         }
         for id in used {
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -2,8 +2,8 @@
 
 use crate::api::AgentId;
 use crate::outbox::Deferred;
-use crate::runs::RunResult;
-use crate::scheduler::Scheduler;
+use crate::run_result::RunResult;
+use crate::state::{AnswerWithoutInstance, ClusterState};
 use crate::workers::WorkerId;
 use indigofold_protocol::internal::{AgentReport, FinishedRun, InstanceReport, RunningRun};
 use indigofold_protocol::task::RunId;
@@ -15,7 +15,7 @@
 /// A stop is sent again if the run is still listed after this time.
 const STOP_RETRY_MS: u64 = 1_000;
 
-impl Scheduler {
+impl ClusterState {
     /// A companion reports; it is answered with the orders for its worker.
     pub(crate) fn report(&mut self, agent: AgentId, report: AgentReport) {
         let Some(connection) = self.workers.connection(agent) else {
@@ -49,7 +49,7 @@
         self.outbox.orders_for(id).echo_sent_ms = Some(report.sent_ms);
     }
 
-    /// The companion has no worker at present; a life known there is asked for.
+    /// The companion has no worker at present; a life known there is expected_instance for.
     fn report_without_instance(
         &mut self,
         agent: AgentId,
@@ -61,14 +61,18 @@
         self.workers.detach(agent);
         let instances = self.workers.at(node_name);
         let now_ms = self.now_ms;
-        let mut asked = String::new();
+        let mut expected_instance = String::new();
         for id in instances {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.answered_ms = now_ms;
-                asked.clone_from(&worker.instance);
+                expected_instance.clone_from(&worker.instance);
             }
         }
-        self.answers_without_instance.push((agent, asked, sent_ms));
+        self.answers_without_instance.push(AnswerWithoutInstance {
+            agent,
+            instance: expected_instance,
+            sent_ms,
+        });
     }
 
     /// Enters the life that the companion reports; any other one known at its machine is gone.
@@ -227,7 +231,7 @@
             let ended = job.end.is_some();
             let done = job.task(&task).is_some_and(|task| task.done);
             let superseded = done && job.step(task.step).is_some_and(|step| !step.gang);
-            let Some(run) = self.run_at(id, &task).filter(|run| run.sent) else {
+            let Some(run) = self.view().run_at(id, &task).filter(|run| run.sent) else {
                 continue;
             };
             let order = RunId {
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -1,8 +1,10 @@
 //! Rows of the control state: `job/ID`, written once, and `progress/ID` with all tasks of a job.
 
 use crate::api::WriteId;
-use crate::job::{Definition, Job, JobEnd, Run, StepState, Task};
+use crate::definition::{Definition, JobEnd};
+use crate::job::Job;
 use crate::queue::StepRef;
+use crate::task::{Run, StepState, Task};
 use crate::workers::{WorkerId, Workers};
 use indigofold_protocol::task::JobId;
 use serde::{Deserialize, Serialize};
--- a/crates/scheduler/src/run_results.rs
+++ b/crates/scheduler/src/run_results.rs
@@ -1,8 +1,9 @@
 //! What outcomes of runs teach: speeds of kinds, work of classes, health of workers.
 
-use crate::job::Run;
-use crate::runs::{RunResult, StepTraits};
-use crate::scheduler::Scheduler;
+use crate::run_result::RunResult;
+use crate::state::ClusterState;
+use crate::step_traits::StepTraits;
+use crate::task::Run;
 use indigofold_protocol::task::TaskName;
 use indigofold_protocol::worker::RunEnd;
 
@@ -11,7 +12,7 @@
 /// Most workers remembered on which a job has failed.
 const FAILED_ON_MAX: usize = 4;
 
-impl Scheduler {
+impl ClusterState {
     /// A run is over. Only `done` gives a sample of speed, and only if the run did the whole work.
     pub(crate) fn learn_from_run(
         &mut self,
@@ -32,7 +33,7 @@
     fn learn_from_success(&mut self, run: &Run, traits: &StepTraits) {
         let now_ms = self.now_ms;
         let run_ms = now_ms.saturating_sub(run.placed_ms) as f64 / run.remote_factor.max(1.0);
-        let kinds = &mut self.service(&traits.service).kinds;
+        let kinds = &mut self.services.entry(&traits.service).kinds;
         let expected_ms = kinds.expected_ms(run.worker, &traits.class, traits.estimate_ms);
         let pace = (!run.resumed).then_some(run_ms / (expected_ms + ORDER_MS));
         if !run.resumed {
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,61 +1,29 @@
 //! Life of a run: placed, ordered, stopped, over.
 
-use crate::job::{Run, StopOrder, Task};
-use crate::kinds::Class;
 use crate::outbox::Deferred;
 use crate::queue::StepRef;
-use crate::scheduler::Scheduler;
+use crate::run_result::RunResult;
+use crate::state::ClusterState;
+use crate::step_traits::StepTraits;
+use crate::task::{Run, StopOrder, Task};
 use crate::workers::WorkerId;
 use indigofold_protocol::internal::StartOrder;
-use indigofold_protocol::job::{JobState, Resources};
+use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{RunId, TaskName};
 use indigofold_protocol::worker::RunEnd;
 
-/// How a run came to be over.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RunResult {
-    /// Its end was listed.
-    Ended(RunEnd),
-    /// It never got to the worker.
-    NotStarted,
-    /// The worker's life is gone, or its holds have lapsed.
-    Lost,
-}
-
 /// Where and how a run is placed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement {
+    /// The worker.
     pub worker: WorkerId,
+    /// Whether the step is bound to the worker's kind.
     pub bound: bool,
-    /// Factor on the run time there.
+    /// Factor on the run time there, for data or a gang on other racks.
     pub remote_factor: f64,
 }
 
-/// What of a step matters for its runs.
-#[derive(Clone, Debug)]
-pub(crate) struct StepTraits {
-    pub resources: Resources,
-    pub gang: bool,
-    pub long_running: bool,
-    pub estimate_ms: u64,
-    pub class: Class,
-    pub service: String,
-}
-
-impl Scheduler {
-    pub(crate) fn traits(&self, at: StepRef) -> Option<StepTraits> {
-        let job = self.jobs.get(&at.job)?;
-        let step = job.step(at.step)?;
-        Some(StepTraits {
-            resources: step.resources(),
-            gang: step.gang,
-            long_running: step.long_running,
-            estimate_ms: step.estimate_ms,
-            class: (job.definition.route.clone(), at.step),
-            service: job.service.clone(),
-        })
-    }
-
+impl ClusterState {
     /// The task's run, if it has this number and is on this worker.
     pub(crate) fn run_on(&mut self, run: &RunId, worker: WorkerId) -> Option<&mut Run> {
         self.run_mut(run).filter(|present| present.worker == worker)
@@ -69,11 +37,6 @@
             .run_mut(run.attempt)
     }
 
-    /// The task's run on this worker.
-    pub(crate) fn run_at(&self, worker: WorkerId, task: &TaskName) -> Option<&Run> {
-        self.jobs.get(&task.job)?.task(task)?.run_at(worker)
-    }
-
     /// Places a waiting task, or a copy of one that runs; its order leaves once this is committed.
     pub(crate) fn place_run(&mut self, task: TaskName, attempt: u32, placement: Placement) {
         let (id, now_ms) = (task.job, self.now_ms);
@@ -261,7 +224,7 @@
     pub(crate) fn finish_run(&mut self, run: RunId, result: RunResult, checkpoint: &str) {
         let task = run.task;
         let at = StepRef::of(&task);
-        let Some(traits) = self.traits(at) else {
+        let Some(traits) = self.view().traits(at) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -283,7 +246,7 @@
         if let Some(worker) = self.workers.get_mut(run.worker) {
             worker.release(&task, &traits.resources, run.bound);
         }
-        self.service(&traits.service).dirty = true;
+        self.services.entry(&traits.service).request_pass();
         self.learn_from_run(&task, &run, result, &traits);
         self.record_run_latency(&task, &run, result);
         match result {
@@ -415,7 +378,7 @@
         };
         let (backend, runs) = (worker.backend.clone(), worker.runs.clone());
         for task in runs {
-            if let Some(attempt) = self.run_at(id, &task).map(|run| run.attempt) {
+            if let Some(attempt) = self.view().run_at(id, &task).map(|run| run.attempt) {
                 self.finish_run(RunId { task, attempt }, RunResult::Lost, "");
             }
         }
@@ -431,7 +394,7 @@
             };
             let (backend, tasks) = (worker.backend.clone(), worker.runs.clone());
             for task in tasks {
-                let Some(run) = self.run_at(id, &task).map(|run| RunId {
+                let Some(run) = self.view().run_at(id, &task).map(|run| RunId {
                     task,
                     attempt: run.attempt,
                 }) else {
@@ -454,8 +417,7 @@
 
     pub(crate) fn regroup(&mut self, backend: &str) {
         if !backend.is_empty() {
-            let service = self.service(backend);
-            (service.regroup, service.dirty) = (true, true);
+            self.services.entry(backend).request_regroup();
         }
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/services.rs
@@ -0,0 +1,142 @@
+//! The services: each one's queue, kinds of workers, reservations, and when its queue is looked at next.
+
+use crate::backlog_cache::BacklogCache;
+use crate::kinds::Kinds;
+use crate::queue::{Queue, QueueKey};
+use crate::recent_demand::RecentDemand;
+use crate::reservations::Reservations;
+use crate::workers::Workers;
+use std::collections::BTreeMap;
+
+/// While something waits, passes over a queue are so far apart.
+const BACKLOG_PASS_MS: u64 = 10;
+
+/// One service's part of the state.
+#[derive(Debug, Default)]
+pub(crate) struct ServiceState {
+    /// Its workers by kind.
+    pub kinds: Kinds,
+    /// Workers kept for steps that need much capacity at once.
+    pub reservations: Reservations,
+    /// What came recently.
+    pub recent: RecentDemand,
+    /// How long all that waits will take.
+    pub backlog: BacklogCache,
+    /// Steps with tasks to place.
+    queue: Queue,
+    /// Something has changed that may let a task be placed.
+    dirty: bool,
+    /// A worker has come, ended or changed.
+    regroup: bool,
+    /// The next pass over the queue is not before this time.
+    next_pass_ms: u64,
+}
+
+impl ServiceState {
+    /// Steps with tasks to place, in order of admission.
+    pub fn queue(&self) -> &Queue {
+        &self.queue
+    }
+
+    /// Puts a step into the queue.
+    pub fn enqueue(&mut self, key: QueueKey) {
+        self.queue.insert(key);
+        self.dirty = true;
+    }
+
+    /// Takes a step out of the queue, and gives up its reservations.
+    pub fn dequeue(&mut self, key: &QueueKey) {
+        self.queue.remove(key);
+        self.reservations.release(key.at);
+    }
+
+    /// A step's position in the queue changes.
+    pub fn reposition(&mut self, before: &QueueKey, key: QueueKey) {
+        self.queue.remove(before);
+        self.queue.insert(key);
+    }
+
+    /// Something has changed that may let a task be placed.
+    pub fn request_pass(&mut self) {
+        self.dirty = true;
+    }
+
+    /// Looks at the queue again if anything waits.
+    pub fn request_pass_if_queued(&mut self) {
+        self.dirty |= !self.queue.is_empty();
+    }
+
+    /// A worker has come, ended or changed.
+    pub fn request_regroup(&mut self) {
+        (self.regroup, self.dirty) = (true, true);
+    }
+
+    /// When the next pass is due; `None` while nothing has changed.
+    pub fn next_pass_ms(&self) -> Option<u64> {
+        (self.dirty || self.regroup).then_some(self.next_pass_ms)
+    }
+
+    /// A pass over the queue of this service, called `name`, begins.
+    pub fn begin_pass(&mut self, workers: &Workers, name: &str) {
+        self.dirty = false;
+        if std::mem::take(&mut self.regroup) {
+            self.kinds.regroup(workers, name);
+        }
+    }
+
+    /// A pass over the queue has ended.
+    pub fn end_pass(&mut self, now_ms: u64) {
+        self.next_pass_ms = if self.queue.is_empty() {
+            now_ms
+        } else {
+            now_ms + BACKLOG_PASS_MS
+        };
+    }
+}
+
+/// All services by name.
+#[derive(Debug, Default)]
+pub(crate) struct Services {
+    by_name: BTreeMap<String, ServiceState>,
+}
+
+impl Services {
+    /// A service, if it is known.
+    pub fn get(&self, name: &str) -> Option<&ServiceState> {
+        self.by_name.get(name)
+    }
+
+    /// A service, if it is known.
+    pub fn get_mut(&mut self, name: &str) -> Option<&mut ServiceState> {
+        self.by_name.get_mut(name)
+    }
+
+    /// A service, entered if it is new.
+    pub fn entry(&mut self, name: &str) -> &mut ServiceState {
+        if !self.by_name.contains_key(name) {
+            self.by_name
+                .insert(name.to_owned(), ServiceState::default());
+        }
+        self.by_name.entry(name.to_owned()).or_default()
+    }
+
+    /// All services, by name.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &ServiceState)> {
+        self.by_name
+            .iter()
+            .map(|(name, service)| (name.as_str(), service))
+    }
+
+    /// All services, by name.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut ServiceState> {
+        self.by_name.values_mut()
+    }
+
+    /// Names of the services that fulfil a condition.
+    pub fn names_where(&self, condition: impl Fn(&ServiceState) -> bool) -> Vec<String> {
+        self.iter()
+            .filter(|(_, service)| condition(service))
+            .map(|(name, _)| name.to_owned())
+            .collect()
+    }
+}
--- a/crates/scheduler/src/speculation.rs
+++ b/crates/scheduler/src/speculation.rs
@@ -3,10 +3,11 @@
 
 use crate::demand::{Scope, StepDemand};
 use crate::health::HealthStatus;
-use crate::job::Run;
 use crate::queue::{Prospect, QueueKey, StepRef};
 use crate::runs::Placement;
-use crate::scheduler::Scheduler;
+use crate::state::ClusterState;
+use crate::task::Run;
+use crate::view::ClusterView;
 use crate::workers::{Worker, WorkerId};
 use indigofold_protocol::task::TaskName;
 
@@ -31,23 +32,77 @@
     worker: WorkerId,
 }
 
-impl Scheduler {
+impl ClusterState {
     /// Starts copies of runs that may not end in time, where there is room that nothing else waits for.
     pub(crate) fn speculate(&mut self) {
-        let mut speculation_candidate: Vec<SpeculationCandidate> = Vec::new();
+        let mut candidates: Vec<SpeculationCandidate> = Vec::new();
         for (id, worker) in self.workers.iter() {
             let runs = worker
                 .runs
                 .iter()
-                .filter_map(|task| self.speculation_candidate(id, worker, *task));
-            speculation_candidate.extend(runs);
+                .filter_map(|task| self.view().speculation_candidate(id, worker, *task));
+            candidates.extend(runs);
         }
-        speculation_candidate.sort_by_key(|run| (run.key, run.task));
-        speculation_candidate
+        candidates.sort_by_key(|run| (run.key, run.task));
+        candidates
             .into_iter()
             .for_each(|run| self.place_speculative_run(run));
     }
 
+    fn place_speculative_run(&mut self, run: SpeculationCandidate) {
+        let Some(job) = self.jobs.get(&run.task.job) else {
+            return;
+        };
+        let service = job.service.clone();
+        let Some(state) = self.services.get(&service) else {
+            return;
+        };
+        let others_wait = |key: &QueueKey| !key.hopeless && key.priority <= run.key.priority;
+        if state.queue().first().is_some_and(others_wait) {
+            return;
+        }
+        let (Some(demand), Some(entry)) = (
+            StepDemand::of(job, run.key.at, self.now_ms),
+            job.task(&run.task),
+        ) else {
+            return;
+        };
+        let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
+        let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
+        let selection =
+            state
+                .kinds
+                .select(&mut self.rng, &self.workers, &demand.label, |id, worker| {
+                    let reservation = state.reservations.get(id);
+                    id != run.worker
+                        && worker.accepts_starts(now_ms)
+                        && demand.permits(id, worker, 0)
+                        && demand.considers(
+                            Scope::Preferred,
+                            worker,
+                            remote_slowdown,
+                            failed_on == Some(id),
+                            now_ms,
+                        )
+                        && reservation.is_none_or(|reservation| {
+                            worker.has_capacity(&demand.resources.plus(&reservation.resources))
+                        })
+                });
+        let Some(selection) = selection else { return };
+        self.trace_placement(&service, run.task, &selection);
+        self.place_run(
+            run.task,
+            attempt,
+            Placement {
+                worker: selection.worker,
+                bound: selection.bound,
+                remote_factor: 1.0,
+            },
+        );
+    }
+}
+
+impl ClusterView<'_> {
     /// The task's run on this worker, if it is to get a copy.
     fn speculation_candidate(
         &self,
@@ -69,9 +124,9 @@
             || self.now_ms.saturating_sub(worker.last_report_ms) > UNRESPONSIVE_MS
             || worker.since_heartbeat_ms > UNRESPONSIVE_MS;
         let stopping = run.stop.is_some();
-        let speculation_candidate =
+        let is_candidate =
             at_stake && (unresponsive || !stopping && self.overdue(id, worker, &task, run));
-        speculation_candidate.then_some(SpeculationCandidate {
+        is_candidate.then_some(SpeculationCandidate {
             key,
             task,
             worker: id,
@@ -99,58 +154,4 @@
             && (stands
                 || self.slowdown(id).is_some() && self.remaining_ms(id, task) as f64 > expected_ms)
     }
-
-    fn place_speculative_run(&mut self, run: SpeculationCandidate) {
-        let Some(job) = self.jobs.get(&run.task.job) else {
-            return;
-        };
-        let service = job.service.clone();
-        let Some(state) = self.services.get(&service) else {
-            return;
-        };
-        let others_wait = |key: &QueueKey| !key.hopeless && key.priority <= run.key.priority;
-        if state.queue.first().is_some_and(others_wait) {
-            return;
-        }
-        let (Some(demand), Some(entry)) = (
-            StepDemand::of(job, run.key.at, self.now_ms),
-            job.task(&run.task),
-        ) else {
-            return;
-        };
-        let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
-        let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
-        let selection =
-            state
-                .kinds
-                .select(&mut self.rng, &self.workers, &demand.label, |id, worker| {
-                    let reservation = state.reserved.get(&id);
-                    id != run.worker
-                        && worker.accepts_starts(now_ms)
-                        && demand.permits(id, worker, 0)
-                        && demand.considers(
-                            Scope::Preferred,
-                            worker,
-                            remote_slowdown,
-                            failed_on == Some(id),
-                            now_ms,
-                        )
-                        && reservation.is_none_or(|reservation| {
-                            worker.has_capacity(&demand.resources.plus(&reservation.resources))
-                        })
-                });
-        let Some(selection) = selection else { return };
-        if let Some(traces) = &mut self.traces {
-            traces.push(state.kinds.trace(run.task, &selection, &self.workers));
-        }
-        self.place_run(
-            run.task,
-            attempt,
-            Placement {
-                worker: selection.worker,
-                bound: selection.bound,
-                remote_factor: 1.0,
-            },
-        );
-    }
 }
--- /dev/null
+++ b/crates/scheduler/src/step_traits.rs
@@ -0,0 +1,38 @@
+//! What of a step matters for its runs.
+
+use crate::job::Job;
+use crate::kinds::Class;
+use crate::queue::StepRef;
+use indigofold_protocol::job::Resources;
+
+/// What of a step matters for its runs.
+#[derive(Clone, Debug)]
+pub(crate) struct StepTraits {
+    /// What each task takes.
+    pub resources: Resources,
+    /// All tasks run at the same time or not at all.
+    pub gang: bool,
+    /// Tasks run until they are cancelled.
+    pub long_running: bool,
+    /// The client's estimate of a task's run time, in milliseconds; 0 for none.
+    pub estimate_ms: u64,
+    /// Class whose run times are learned together.
+    pub class: Class,
+    /// Service that runs the tasks.
+    pub service: String,
+}
+
+impl StepTraits {
+    /// The traits of one of the job's steps.
+    pub fn of(job: &Job, at: StepRef) -> Option<StepTraits> {
+        let step = job.step(at.step)?;
+        Some(StepTraits {
+            resources: step.resources(),
+            gang: step.gang,
+            long_running: step.long_running,
+            estimate_ms: step.estimate_ms,
+            class: (job.definition.route.clone(), at.step),
+            service: job.service.clone(),
+        })
+    }
+}
--- a/crates/scheduler/src/straggler.rs
+++ b/crates/scheduler/src/straggler.rs
@@ -1,8 +1,8 @@
 //! Workers that have turned slow, told by the progress of what runs there, and the runs that had better begin anew
 //! elsewhere. One run alone tells nothing: the work of jobs differs far more than the speed of workers.
 
-use crate::run_checks::projected_total_ms;
-use crate::scheduler::Scheduler;
+use crate::estimates::projected_total_ms;
+use crate::view::ClusterView;
 use crate::workers::WorkerId;
 use indigofold_protocol::task::{JobId, TaskName};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 /// ... and so much more, in milliseconds.
 const STRAGGLER_MIN_MS: f64 = 800.0;
 
-impl Scheduler {
+impl ClusterView<'_> {
     /// How many times as long as expected the runs on this worker take, if it has turned slow.
     pub(crate) fn slowdown(&self, id: WorkerId) -> Option<f64> {
         let worker = self.workers.get(id)?;
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -5,17 +5,17 @@
 use crate::job::Job;
 use crate::lifecycle::open_tasks;
 use crate::rows::{RowError, RowKey, read_definition, read_progress};
-use crate::scheduler::Scheduler;
+use crate::state::ClusterState;
 use indigofold_protocol::task::JobId;
 use rustc_hash::FxHashMap;
 
 /// Nothing is placed for so long after a take-over, so that what waits is spread over all workers.
 const AGENTS_RECONNECT_MS: u64 = 120;
 
-impl Scheduler {
-    /// Takes over what a predecessor has written: all rows whose keys [`is_row`](Self::is_row). To be called once,
+impl ClusterState {
+    /// Takes over what a predecessor has written: all rows whose keys [`is_row`](crate::Scheduler::is_row). To be called once,
     /// before the first event.
-    pub fn load(
+    pub(crate) fn load(
         &mut self,
         rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
     ) -> Result<(), RowError> {
@@ -65,13 +65,10 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        self.open_jobs += 1;
-        self.open_tasks += open_tasks(job);
+        self.load.job_opened();
+        self.load.tasks_opened(open_tasks(job));
         if !job.started {
-            *self
-                .pending
-                .entry(job.definition.route.clone())
-                .or_default() += 1;
+            self.load.job_pending(&job.definition.route);
         }
         let repeats: Vec<u32> = job.repeats.keys().copied().collect();
         for repeat in repeats {
@@ -93,8 +90,7 @@
         if job.outstanding == 0
             && let Some(end) = job.end
         {
-            let at_wall_ms = self.forget_at(end.wall_ms);
-            self.forget.insert((at_wall_ms, id));
+            self.await_expiry(id, end.wall_ms);
         }
     }
 
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -1,12 +1,10 @@
 //! What jobs are worth against the work that they still need: the order in which most is earned while more waits than
 //! can be done in time.
 
-use crate::job::Job;
-use crate::queue::{Prospect, QueueKey, StepRef};
-use crate::scheduler::Scheduler;
+use crate::queue::Prospect;
 use indigofold_placement::runs::{KEEP, Sum, add};
 use indigofold_protocol::job::{Resources, Step};
-use indigofold_protocol::task::JobId;
+use rustc_hash::FxHashMap;
 
 /// A GPU counts as so many cores.
 const CORES_OF_GPU: f64 = 8.0;
@@ -20,16 +18,14 @@
 const LATE_VALUE_FRACTION: f64 = 0.5;
 /// Steps of one class differ in cost by less than a factor of two to the power of one by this number.
 const CLASSES_OF_A_DOUBLING: f64 = 1.0;
-/// Most steps of one queue that are put to new places at a time.
-const REORDERED_MAX: usize = 2_000;
 
 /// Work of a queue's jobs, old ones fading: weight, weighted sum.
 #[derive(Debug, Default)]
-pub(crate) struct MeanWork(Sum);
+struct MeanWork(Sum);
 
 impl MeanWork {
     /// Takes in a job's work; returns what the job is worth against the others of its queue.
-    fn update_value(&mut self, work: f64) -> f64 {
+    fn value(&mut self, work: f64) -> f64 {
         add(&mut self.0, KEEP, work);
         let mean = self.0.1 / self.0.0;
         let share = if mean > 0.0 { work / mean } else { 1.0 };
@@ -56,84 +52,22 @@
 }
 
 /// Work of so many tasks of a step that run for `run_ms` each, in core-milliseconds.
-fn work_of(step: &Step, tasks: usize, run_ms: u64) -> f64 {
+pub(crate) fn work_of(step: &Step, tasks: usize, run_ms: u64) -> f64 {
     tasks as f64 * cores(&step.resources()) * run_ms as f64
 }
 
-impl Job {
-    /// All its work, in core-milliseconds.
-    fn work(&self) -> f64 {
-        let steps = self.definition.spec.stages.iter().zip(&self.run_ms);
-        steps
-            .map(|(step, run_ms)| work_of(step, step.count as usize, *run_ms))
-            .sum()
-    }
-
-    /// Work of this step that waits and of the steps behind it, in core-milliseconds.
-    pub(crate) fn work_left(&self, at: StepRef) -> f64 {
-        let Some(repeat) = self.repeats.get(&at.repeat) else {
-            return 0.0;
-        };
-        let steps = self
-            .definition
-            .spec
-            .stages
-            .iter()
-            .zip(&repeat.steps)
-            .zip(&self.run_ms);
-        let from_here = steps.enumerate().skip(at.step as usize);
-        let left = from_here.map(|(number, ((step, state), run_ms))| {
-            let not_done = state.tasks.len() - state.done as usize;
-            let tasks = if number == at.step as usize {
-                state.waiting.len()
-            } else {
-                not_done
-            };
-            work_of(step, tasks, *run_ms)
-        });
-        left.sum()
-    }
+/// Mean work of the jobs of each route.
+#[derive(Debug, Default)]
+pub(crate) struct QueueValues {
+    by_route: FxHashMap<String, MeanWork>,
 }
 
-impl Scheduler {
-    /// Works out what a job is worth against the others of its queue.
-    pub(crate) fn update_value(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else {
-            return;
-        };
-        let (work, route) = (job.work(), job.definition.route.clone());
-        let value = self.mean_work.entry(route).or_default().update_value(work);
-        if let Some(job) = self.jobs.get_mut(&id) {
-            job.value = value;
-        }
-    }
-
-    /// Puts the steps of all queues to the places that they have by now.
-    pub(crate) fn reorder_queues(&mut self) {
-        let now_ms = self.now_ms;
-        let names: Vec<String> = self.services.keys().cloned().collect();
-        for name in names {
-            let steps = self.services[&name].queue.iter().take(REORDERED_MAX);
-            let keys =
-                steps.filter_map(|key| Some(self.jobs.get(&key.at.job)?.queue_key(key.at, now_ms)));
-            let keys: Vec<QueueKey> = keys.collect();
-            keys.into_iter()
-                .for_each(|key| self.update_queue_key(&name, key));
-        }
-    }
-
-    fn update_queue_key(&mut self, service: &str, key: QueueKey) {
-        let Some(job) = self.jobs.get_mut(&key.at.job) else {
-            return;
-        };
-        let Some(state) = job.step_state_mut(key.at) else {
-            return;
-        };
-        let Some(before) = state.queued.replace(key).filter(|before| *before != key) else {
-            return;
-        };
-        let queue = &mut self.service(service).queue;
-        queue.remove(&before);
-        queue.insert(key);
+impl QueueValues {
+    /// Takes in the work of a job, in core-milliseconds; returns its value against the others of its route.
+    pub fn value(&mut self, route: &str, work: f64) -> f64 {
+        self.by_route
+            .entry(route.to_owned())
+            .or_default()
+            .value(work)
     }
 }
