--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -360,3 +360,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
