--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -1,20 +1,20 @@
-//! Where the time of a job went that ended after its objective, or failed: along the chain of tasks that decided its
-//! end, each of which was the last of its step to be done.
+//! Where the time of a job went that ended after its latency target, or failed: along the chain of tasks that decided
+//! its end, each of which was the last of its step to be done.
 
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::JobId;
 use std::fmt::{self, Display, Formatter};
 
-/// What a part of a job's time was spent on.
+/// What time of a job was spent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// Due, but not in the hands of this scheduler.
+    /// Due, but under another head.
     Predecessor,
-    /// Waiting behind other steps.
+    /// Waiting behind other steps of the queue.
     Queue,
-    /// First in turn, waiting for room on any worker.
+    /// First in the queue, waiting for free capacity on any worker.
     Capacity,
-    /// Waiting for room near the data, in one rack, or for a whole gang.
+    /// Waiting for free capacity on the rack of the data, in one rack, or for a complete gang.
     Locality,
     /// Placed, waiting for the write.
     Commit,
@@ -22,7 +22,7 @@
     Dispatch,
     /// At work, done in the end.
     Run,
-    /// The part of such work that being away from the data or the rack has cost.
+    /// The fraction of such work that is due to running remote from the data or in several racks.
     Remote,
     /// Work that failed.
     Failed,
@@ -34,24 +34,24 @@
 
 /// All causes, in the order of the job's way.
 const CAUSES: [(Cause, &str); 11] = [
-    (Cause::Predecessor, "before"),
-    (Cause::Queue, "turn"),
-    (Cause::Capacity, "room"),
-    (Cause::Locality, "place"),
-    (Cause::Commit, "commit"),
-    (Cause::Dispatch, "way"),
-    (Cause::Run, "run"),
-    (Cause::Remote, "away"),
-    (Cause::Failed, "failed"),
-    (Cause::Stopped, "stopped"),
-    (Cause::Lost, "lost"),
+    (Cause::Predecessor, "predecessor_ms"),
+    (Cause::Queue, "queue_ms"),
+    (Cause::Capacity, "capacity_ms"),
+    (Cause::Locality, "locality_ms"),
+    (Cause::Commit, "commit_ms"),
+    (Cause::Dispatch, "dispatch_ms"),
+    (Cause::Run, "run_ms"),
+    (Cause::Remote, "remote_ms"),
+    (Cause::Failed, "failed_ms"),
+    (Cause::Stopped, "stopped_ms"),
+    (Cause::Lost, "lost_ms"),
 ];
 
 /// Milliseconds by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LatencyBreakdown([u32; CAUSES.len()]);
 
-/// A job, or one of its repetitions, that ended after its objective or failed.
+/// A job, or one of its repetitions, that ended after its latency target or failed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LateEnd {
     /// The job.
@@ -64,7 +64,7 @@
     pub state: JobState,
     /// Time from when it was due to its end, in milliseconds.
     pub took_ms: u64,
-    /// Its objective on that, in milliseconds.
+    /// Its latency target, in milliseconds.
     pub latency_target_ms: u64,
     /// Where the time went.
     pub breakdown: LatencyBreakdown,
@@ -91,7 +91,7 @@
             .for_each(|(cause, _)| self.add(*cause, other.of(*cause)));
     }
 
-    /// Adds a wait of `ms`, shared among causes as `observed` is; with nothing seen it was for its turn.
+    /// Adds a wait of `ms`, shared among causes as `observed` is; without any, it counts as waiting in the queue.
     pub(crate) fn add_wait(&mut self, ms: u64, observed: &LatencyBreakdown) {
         let total_ms = observed.total_ms();
         if total_ms == 0 {
@@ -107,8 +107,8 @@
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let spent = CAUSES.iter().filter(|(cause, _)| self.of(*cause) > 0);
         for (number, (cause, name)) in spent.enumerate() {
-            let comma = if number > 0 { ", " } else { "" };
-            write!(formatter, "{comma}{name} {}", self.of(*cause))?;
+            let space = if number > 0 { " " } else { "" };
+            write!(formatter, "{space}{name}={}", self.of(*cause))?;
         }
         Ok(())
     }
@@ -116,10 +116,10 @@
 
 impl Display for LateEnd {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let end = if self.state == JobState::Failed {
-            "failed"
+        let message = if self.state == JobState::Failed {
+            "job failed"
         } else {
-            "ended late"
+            "job ended late"
         };
         let LateEnd {
             job,
@@ -132,7 +132,7 @@
         } = self;
         write!(
             formatter,
-            "job {job}.{repeat} of {route} {end} after {took_ms} ms, objective {latency_target_ms} ms: {breakdown}"
+            "{message} job={job}.{repeat} route={route} took_ms={took_ms} latency_target_ms={latency_target_ms} {breakdown}"
         )
     }
 }
