--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -6,7 +6,7 @@
 const OPEN_TASKS_MAX: u64 = 20_000;
 /// With so many jobs open no further job is accepted, whatever the number of their tasks.
 const OPEN_JOBS_MAX: u64 = 8_000;
-/// With so many jobs kept, ended ones included, no further job is accepted.
+/// With so many jobs in the table, ended ones included, no further job is accepted.
 const JOBS_MAX: usize = 30_000;
 
 /// Numbers of open jobs and tasks.
@@ -21,7 +21,7 @@
 }
 
 impl AdmissionLoad {
-    /// Whether no further job is accepted while `jobs` are kept.
+    /// Whether no further job is accepted while `jobs` are in the table.
     pub fn is_full(&self, jobs: usize) -> bool {
         self.open_tasks >= OPEN_TASKS_MAX || self.open_jobs >= OPEN_JOBS_MAX || jobs >= JOBS_MAX
     }
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// A connection of a companion: chosen by the caller, never used again for another connection.
+/// A connection of a node agent: chosen by the caller, never used again for another connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AgentId(pub u64);
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WriteId(pub u64);
 
-/// Figures of the settings that the scheduler keeps to (`[bounds]` of boot.toml).
+/// Limits and costs from the settings (`[bounds]` of boot.toml).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Longest run lease that a worker grants, in milliseconds.
@@ -30,11 +30,11 @@
     pub cancel_ms: u64,
     /// How long a job's state is shown after its end, in seconds.
     pub status_s: u64,
-    /// Factor on run times away from the data, or of a gang that needs one rack and has several.
+    /// Factor on run times remote from the data, or of a gang that needs one rack and has several.
     pub remote_slowdown: f64,
-    /// Work between two saves of a task that keeps its progress, in seconds.
+    /// Work between two checkpoints of a task, in seconds.
     pub checkpoint_interval_s: u64,
-    /// What resuming from saved progress costs, in milliseconds.
+    /// What resuming from a checkpoint costs, in milliseconds.
     pub resume_cost_ms: u64,
 }
 
@@ -76,20 +76,20 @@
     CallerDisconnected(CallerId),
     /// All writes up to this one are committed.
     Committed(WriteId),
-    /// A companion has connected.
+    /// A node agent has connected.
     AgentConnected {
         /// Its connection.
         agent: AgentId,
         /// Name of its machine.
         node_name: String,
     },
-    /// A companion's connection is gone.
+    /// A node agent's connection is gone.
     AgentDisconnected(AgentId),
-    /// A companion reports.
+    /// A node agent reports.
     Report {
         /// Its connection.
         agent: AgentId,
-        /// What it tells.
+        /// The report.
         report: AgentReport,
     },
     /// The time given by [`Scheduler::next_timer_ms`](crate::Scheduler::next_timer_ms) has come.
@@ -122,9 +122,9 @@
         /// The reply.
         reply: ClientReply,
     },
-    /// A job ended after its objective, or failed: for the log.
+    /// A job ended after its latency target, or failed: for the log.
     Late(Box<LateEnd>),
-    /// Orders for a companion.
+    /// Orders for a node agent.
     Orders {
         /// Its connection.
         agent: AgentId,
--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -1,17 +1,17 @@
-//! How much work waits for a service: what clients are told when they are refused.
+//! How much work waits for a service, and when a client whose job was rejected should retry.
 
 use crate::services::ServiceState;
 use crate::view::ClusterView;
 use indigofold_protocol::job::{Resources, Step};
 
-/// A client that was refused is to come back once this part of the backlog is done.
+/// A rejected client should retry once the backlog divided by this is done.
 const RETRY_DIVISOR: u64 = 10;
-/// It comes back after this time at the earliest.
+/// Shortest time until the retry.
 const RETRY_MIN_MS: u64 = 500;
-/// It comes back after this time at the latest.
+/// Longest time until the retry.
 const RETRY_MAX_MS: u64 = 15_000;
 
-/// When a client is to come back whose job was rejected, in milliseconds from now.
+/// When a client whose job was rejected should retry, in milliseconds from now.
 pub(crate) fn retry_after_ms(backlog_ms: u64) -> u64 {
     (backlog_ms / RETRY_DIVISOR).clamp(RETRY_MIN_MS, RETRY_MAX_MS)
 }
--- a/crates/scheduler/src/checkpoints.rs
+++ b/crates/scheduler/src/checkpoints.rs
@@ -6,7 +6,7 @@
 use crate::workers::WorkerId;
 use indigofold_protocol::task::{JobId, TaskName};
 
-/// Only runs of at least this length are worth it.
+/// Checkpoints of runs that are expected to be shorter are not written.
 const RUN_MIN_MS: f64 = 2_000.0;
 /// A job is written for its saved progress at most once in this time.
 const WRITE_MS: u64 = 2_000;
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -1,8 +1,8 @@
-//! Time of day derived from the steady clock, so that a step of the system's time neither hurries nor delays what is due.
+//! Time of day derived from the steady clock, so that a step of the system's time does not move what is due.
 
 /// A difference between the clocks up to this is drift, and followed at once.
 const DRIFT_MS: i64 = 100;
-/// A larger one is taken over once it has lasted for so long.
+/// A larger one is adopted once it has been stable for this time.
 const STABLE_MS: u64 = 15_000;
 
 /// Maps the steady clock to the time of day.
@@ -12,7 +12,7 @@
     candidate: Option<Candidate>,
 }
 
-/// Another offset, and since when it has been seen.
+/// Another offset, and since when it has been observed.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     offset_ms: i64,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Takes note of both clocks.
+    /// Observes both clocks, read at the same moment.
     pub fn observe(&mut self, now_ms: u64, wall_ms: u64) {
         let offset_ms = wall_ms as i64 - now_ms as i64;
         if (offset_ms - self.offset_ms).abs() <= DRIFT_MS {
--- a/crates/scheduler/src/definition.rs
+++ b/crates/scheduler/src/definition.rs
@@ -10,16 +10,16 @@
     pub priority: u32,
     /// A task that has failed so often fails its job.
     pub max_retries: u32,
-    /// Part of the objective: multiple of the longest chain of work.
+    /// Part of the latency target: multiple of the longest chain of work.
     pub stretch: f64,
-    /// Part of the objective that does not depend on the work.
+    /// Part of the latency target that does not depend on the work.
     pub target_latency_ms: u64,
 }
 
-/// A job as it was taken; written once.
+/// A job as it was accepted; written once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Definition {
-    /// What the client handed in.
+    /// What the client submitted.
     pub spec: JobSpec,
     /// Name of its queue's route.
     pub route: String,
@@ -27,7 +27,7 @@
     pub service: String,
     /// Terms of the route then.
     pub terms: Terms,
-    /// When it was taken, in milliseconds since 1970.
+    /// When it was accepted, in milliseconds since 1970.
     pub accepted_wall_ms: u64,
 }
 
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,4 +1,4 @@
-//! What a step asks of workers, and which of them it may use by now.
+//! What a step requires of workers, and which of them it may use by now.
 
 use crate::health::HealthStatus;
 use crate::job::Job;
@@ -12,10 +12,10 @@
 pub(crate) const ANY_WORKER_MS: u64 = 1_500;
 /// A task may go back to the worker where it failed after this time.
 const FAILED_THERE_MS: u64 = 600;
-/// Longest time that a step waits for the rack that it would like.
+/// Longest time that a step waits for the rack of its data.
 const RACK_WAIT_MAX_MS: u64 = 1_000;
 
-/// What a step asks of workers.
+/// What a step requires of workers.
 pub(crate) struct StepDemand {
     pub at: StepRef,
     pub resources: Resources,
@@ -29,27 +29,27 @@
     pub waited_ms: u64,
     pub long_running: bool,
     pub priority: u32,
-    /// Whether the tasks may run away from their data.
+    /// Whether the tasks may run on a rack that does not have their data.
     pub locality: Locality,
-    /// Idle workers are kept for steps that need a whole one, as long as there is room on others.
+    /// Idle workers are left to steps that need most of one, as long as others have capacity.
     pub avoids_idle_workers: bool,
 }
 
-/// Whom a try to place may consider.
+/// Which workers an attempt to place a task considers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// Sound workers where the step would like to be.
+    /// Healthy workers, local ones if the step has data.
     Preferred,
     /// Any worker that the time waited so far allows.
     Allowed,
 }
 
-/// How far tasks may be from where they run at full speed.
+/// Where tasks may run in relation to their data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Locality {
-    /// Near their data, in one rack.
+    /// Only on the rack that has the data, gangs in one rack.
     LocalOnly,
-    /// Anywhere, once they have waited.
+    /// On any rack, once they have waited.
     Anywhere,
 }
 
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Whether the rules allow this worker: label, `anti_affinity`, room beside `extra` tasks more of this step.
+    /// Whether label, `anti_affinity` and free capacity (beside `extra` more tasks of this step) allow this worker.
     pub fn permits(&self, id: WorkerId, worker: &Worker, extra: u32) -> bool {
         let labelled = self.label.is_empty() || worker.labels.contains(&self.label);
         let there = self.on_worker.get(&id).copied().unwrap_or(0) + extra;
@@ -87,7 +87,7 @@
         labelled && spread && worker.has_capacity(&times(&self.resources, u64::from(extra) + 1))
     }
 
-    /// Whether this worker is near the data, or the step has none.
+    /// Whether this worker is on the rack of the data, or the step has none.
     pub fn is_local(&self, worker: &Worker) -> bool {
         self.affinity.is_empty() || worker.rack() == Some(&self.affinity)
     }
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -10,7 +10,7 @@
 const CONCLUSIVE_PERCENT: u32 = 10;
 
 impl ClusterView<'_> {
-    /// How long a run will still take.
+    /// Expected time until a run ends, in milliseconds.
     pub(crate) fn remaining_ms(&self, id: WorkerId, task: &TaskName) -> u64 {
         let Some(run) = self.run_at(id, task) else {
             return 0;
@@ -29,7 +29,7 @@
         (left_ms as u64).saturating_sub(unheard_ms)
     }
 
-    /// How long the task is expected to run on this worker as a whole.
+    /// Expected total run time of the task on this worker, in milliseconds.
     pub(crate) fn expected_run_ms(&self, id: WorkerId, task: &TaskName) -> f64 {
         let at = StepRef::of(task);
         let Some(traits) = self.traits(at) else {
@@ -46,7 +46,7 @@
     }
 }
 
-/// How long a run will have taken as a whole, by its progress; `None` if that does not tell yet.
+/// Total run time projected from the progress, in milliseconds; `None` while that is not conclusive.
 pub(crate) fn projected_total_ms(run: &Run) -> Option<u64> {
     let conclusive = (CONCLUSIVE_PERCENT..100).contains(&run.percent) && !run.resumed;
     let elapsed_ms = run.percent_ms.saturating_sub(run.placed_ms);
--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -1,4 +1,4 @@
-//! Placement of gangs: all members at once, with one run number and the same saved progress, or none.
+//! Placement of gangs: all members at once, with one run number and the same checkpoint, or none.
 
 use crate::demand::{Locality, Scope, StepDemand};
 use crate::kinds::Selection;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A plan within one rack, the first that has room in random order.
+    /// A plan within one rack: the first with capacity, in random order.
     fn plan_in_rack(
         &mut self,
         service: &str,
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,26 +1,26 @@
-//! What a worker's outcomes tell about it: one that fails, hangs or is refused what it has room for is avoided and
-//! tried again later.
+//! A worker's health by the results of its runs: one that fails, hangs or is slow is suspected, and later used on
+//! probation until a run succeeds.
 
-/// Old outcomes lose half their weight in this time.
+/// Older results lose half of their weight in this time.
 const HALF_LIFE_MS: f64 = 8_000.0;
 /// Weight of failures from which on a worker may be suspected.
 const SUSPECT_WEIGHT: f64 = 2.5;
-/// Share of failures among its outcomes from which on a worker is suspected.
+/// Fraction of failures among its results from which on a worker is suspected.
 const SUSPECT_FRACTION: f64 = 0.4;
 /// So many failures in a row make a worker suspected whatever it did before.
 const SUSPECT_STREAK: f64 = 3.0;
 /// Weight of a failure of a job that has failed elsewhere too: rather the job's own fault.
 const DOUBTFUL_FAILURE: f64 = 0.15;
-/// A suspected worker is tried again after this time, which doubles each time it fails the trial.
+/// Time from suspicion to probation; it doubles each time the run on probation fails.
 const FIRST_PROBATION_MS: u64 = 4_000;
-/// Longest time between two trials.
+/// Longest time from suspicion to probation.
 const PROBATION_BACKOFF_MAX_MS: u64 = 30_000;
-/// Weight that the old pace keeps at each new run.
+/// Weight of the former pace in the exponential mean.
 const PACE_KEEP: f64 = 0.7;
 /// A worker whose runs take so many times as long as expected is suspected.
 const SLOW_PACE: f64 = 2.5;
 
-/// Outcomes of one worker.
+/// Results of one worker's runs.
 #[derive(Debug)]
 pub struct Health {
     good: f64,
@@ -34,15 +34,15 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
-    /// When it is tried next at the earliest.
+    /// When probation begins.
     probation_ms: u64,
-    /// Time between two trials.
+    /// Time from suspicion to probation.
     backoff_ms: u64,
-    /// A run was placed there to try it, and has not ended yet.
+    /// The run on probation was placed, and has not ended yet.
     probing: bool,
 }
 
-/// Whether a worker is to be used.
+/// Whether new runs are placed on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthStatus {
     /// Like any other.
@@ -104,14 +104,14 @@
         }
     }
 
-    /// A run there is so much slower than expected that it was taken away.
+    /// A run there was so much slower than expected that it was moved.
     pub fn too_slow(&mut self, now_ms: u64) {
         self.fade(now_ms);
         self.pace = self.pace.max(SLOW_PACE.ln());
         self.suspect(now_ms);
     }
 
-    /// Whether it is to be used now.
+    /// Whether new runs are placed there now.
     pub fn status(&self, now_ms: u64) -> HealthStatus {
         match self.suspected {
             None => HealthStatus::Healthy,
@@ -120,8 +120,8 @@
         }
     }
 
-    /// A run was placed there: on a worker that is on trial, the one that tries it. Should nothing be heard of it, the
-    /// worker is tried again.
+    /// A run was placed there: on probation, the one that decides. If its end is never reported, another probation
+    /// follows.
     pub fn placed(&mut self, now_ms: u64) {
         if self.status(now_ms) == HealthStatus::OnProbation
             && let Some(suspicion) = &mut self.suspected
--- a/crates/scheduler/src/instance_rows.rs
+++ b/crates/scheduler/src/instance_rows.rs
@@ -1,23 +1,23 @@
-//! Rows `life/INSTANCE`: on which machine a worker's life was reported. A successor learns from them that a life is gone
-//! as soon as another one registers on that machine.
+//! Rows `life/INSTANCE`: on which machine a worker instance was reported. A successor learns from them that an instance
+//! has ended as soon as another one registers on that machine.
 
 use crate::state::ClusterState;
 use crate::workers::WorkerId;
 
 const INSTANCE_PREFIX: &str = "life/";
 
-/// Key of the row of a life.
+/// Key of the row of an instance.
 pub(crate) fn instance_key(instance: &str) -> Vec<u8> {
     format!("{INSTANCE_PREFIX}{instance}").into_bytes()
 }
 
-/// The life that a key names, if it is the key of such a row.
+/// The instance that a key names, if it is the key of such a row.
 pub(crate) fn instance_of(key: &[u8]) -> Option<&str> {
     std::str::from_utf8(key).ok()?.strip_prefix(INSTANCE_PREFIX)
 }
 
 impl ClusterState {
-    /// A life is known to be on this machine: that is written, once.
+    /// An instance is known to be on this machine: that is written, once.
     pub(crate) fn record_instance(&mut self, id: WorkerId, node_name: &str) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A life is over for good: its row is deleted.
+    /// An instance has ended: its row is deleted.
     pub(crate) fn forget_instance(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get(id)
             && worker.recorded_node.is_some()
@@ -40,7 +40,7 @@
         self.workers.forget(id);
     }
 
-    /// Takes over the row of a life; its machine's name is the row's value.
+    /// Loads the row of an instance; the name of its machine is the row's value.
     pub(crate) fn load_instance(&mut self, instance: &str, node_name: &[u8]) {
         let id = self.workers.get_or_register(instance, self.now_ms);
         let node_name = String::from_utf8_lossy(node_name).into_owned();
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -10,17 +10,17 @@
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use std::collections::BTreeMap;
 
-/// A job that ends within so many times its objective still earns something.
+/// A job that ends within so many times its latency target still earns something.
 const LATE_FACTOR: i64 = 3;
 /// Repetitions with so many tasks in all may be open at a time, or one.
 const OPEN_TASKS_MAX: usize = 10_000;
-/// Longer objectives are cut to this.
+/// Longer latency targets are limited to this.
 const LATENCY_TARGET_MAX_MS: u64 = 1 << 40;
 
 /// A job.
 #[derive(Debug)]
 pub struct Job {
-    /// What the client handed in, and where.
+    /// What the client submitted, and where.
     pub definition: Definition,
     /// Service that runs its tasks from now on.
     pub service: String,
@@ -30,17 +30,17 @@
     pub chain_ms: Vec<u64>,
     /// Run time to be expected of each step's tasks, in milliseconds.
     pub run_ms: Vec<u64>,
-    /// What it earns in time, against the mean of its queue's jobs.
+    /// What it earns if it meets its latency target, in relation to the mean of its queue.
     pub value: f64,
-    /// Repetitions that are due and not over.
+    /// Repetitions that are due and have not ended.
     pub repeats: BTreeMap<u32, Repetition>,
-    /// The first repetition that is not due yet; those below that are not in `repeats` are over.
+    /// The first repetition that is not due yet; those below that are not in `repeats` have ended.
     pub next_repeat: u32,
     /// How it ended.
     pub end: Option<JobEnd>,
     /// Something of it has been started.
     pub started: bool,
-    /// Runs of it that are not over.
+    /// Number of its runs that have not ended.
     pub outstanding: u32,
     /// Workers on which tasks of it have failed.
     pub failed_on: Vec<WorkerId>,
@@ -60,7 +60,7 @@
 }
 
 impl Job {
-    /// A job that has just been taken.
+    /// A job that has just been accepted.
     pub fn new(definition: Definition) -> Self {
         Job {
             service: definition.service.clone(),
@@ -120,7 +120,7 @@
         (spec.repeat_count > 0).then(|| spec.start_at_ms.saturating_add(after))
     }
 
-    /// The objective on the time from its due time to its end, in milliseconds.
+    /// The latency target on the time from its due time to its end, in milliseconds.
     pub fn latency_target_ms(&self) -> u64 {
         let chain = self.chain_ms.iter().max().copied().unwrap_or(0);
         (self.terms.stretch.max(0.0) * chain as f64) as u64 + self.terms.target_latency_ms
@@ -203,8 +203,8 @@
         outstanding
     }
 
-    /// Where a step stands in the queue: by priority, then by the work that its job still needs for what it
-    /// earns, then by when it has to start for the job's objective to be met.
+    /// Position of a step in the queue: by priority, then by the work that its job still needs for what it
+    /// earns, then by when it has to start for the latency target of the job to be met.
     pub fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
         let long_running = self.step(at.step).is_some_and(|step| step.long_running);
         let (prospect, latest_start_ms) = if long_running {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// A step that lasts earns as long as it runs: however late it is, it is worth its place, from when it last began
+    /// A long-running step earns as long as it runs: however late it is, it keeps its value, from when it last began
     /// to wait.
     fn long_running_prospect(&self, at: StepRef) -> (Prospect, i64) {
         let waiting_since_ms = self
@@ -315,7 +315,7 @@
     }
 }
 
-/// Longest chain of work from each step to the end; `expected_ms` tells the run time of a step's tasks.
+/// Longest chain of work from each step to the end; `expected_ms` gives the run time of a step's tasks.
 fn chains(steps: &[Step], expected_ms: impl Fn(u32, &Step) -> u64) -> Vec<u64> {
     let own: Vec<u64> = steps
         .iter()
--- a/crates/scheduler/src/job_table.rs
+++ b/crates/scheduler/src/job_table.rs
@@ -1,4 +1,4 @@
-//! All jobs that are kept, by id.
+//! All open jobs, and ended ones that are still shown, by id.
 
 use crate::job::Job;
 use crate::queue::StepRef;
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -1,4 +1,4 @@
-//! Hybrid SQ(d): the workers of a service by kind, the kinds' shares p_k of problem (1), and the choice of a worker.
+//! Hybrid SQ(d): the workers of a service by kind, the kinds' shares p_k of problem (1), and the selection of a worker.
 
 use crate::rng::Rng;
 use crate::workers::{Worker, WorkerId, Workers, is_rack};
@@ -10,11 +10,11 @@
 
 /// Workers sampled for a task.
 pub const SAMPLES: usize = 3;
-/// Weight that the old load keeps at each new solution.
+/// Weight of the former load in the exponential mean.
 const LOAD_KEEP: f64 = 0.7;
 /// Microseconds of a millisecond.
 const MICROS: u64 = 1_000;
-/// A run of an unknown class without an estimate is taken to last so long, in milliseconds.
+/// A run of an unknown class without an estimate is assumed to last so long, in milliseconds.
 const UNKNOWN_RUN_MS: f64 = 1_000.0;
 
 /// Workers with like labels (racks apart) and capacity.
@@ -30,8 +30,8 @@
 /// A class of tasks: a step of a queue's jobs.
 pub type Class = (String, u32);
 
-/// How long the tasks of a class run. Clients' estimates are rough: they are used only where they have told more than
-/// the class's mean.
+/// How long the tasks of a class run. Clients' estimates are rough: they are used only where they have predicted better
+/// than the class's mean.
 #[derive(Debug, Default)]
 struct ClassWork {
     by_estimate: Work,
@@ -58,11 +58,11 @@
     FewestOfDrawn,
     /// Fewest runs among the workers sampled of the only kind that the step may use.
     FewestOfBound,
-    /// The drawn kind had no room; fewest among the workers sampled of the next kind by p_k.
+    /// The drawn kind had no capacity; fewest among the workers sampled of the next kind by p_k.
     FewestOfNext,
 }
 
-/// How a worker was chosen.
+/// How a worker was selected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementTrace {
     /// The task.
@@ -71,15 +71,15 @@
     pub drawn: Option<usize>,
     /// p_k of all kinds.
     pub probabilities: Vec<f64>,
-    /// Workers sampled with room, and their runs in flight.
+    /// Workers sampled that have capacity, and their numbers of runs.
     pub sampled: Vec<(String, usize)>,
-    /// The worker chosen.
+    /// The selected worker.
     pub winner: String,
     /// Why.
     pub reason: Reason,
 }
 
-/// A choice.
+/// A selected worker.
 #[derive(Debug)]
 pub struct Selection {
     /// The worker.
@@ -92,7 +92,7 @@
 }
 
 impl Kinds {
-    /// Sorts the service's workers into kinds anew; speeds are kept.
+    /// Sorts the service's workers into kinds anew; known speeds stay.
     pub fn regroup(&mut self, workers: &Workers, backend: &str) {
         self.kinds.iter_mut().for_each(|kind| kind.workers.clear());
         self.kind_of.clear();
@@ -162,7 +162,7 @@
         if all > 0.0 { used / all } else { 0.0 }
     }
 
-    /// Mean speed of the kinds that have been heard of.
+    /// Mean speed of the kinds that have a speed estimate.
     fn mean_speed(&self) -> f64 {
         let known = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
         let (sum, count) = known.fold((0.0, 0.0), |(sum, count), kind| {
@@ -298,7 +298,7 @@
         allowed.last().copied()
     }
 
-    /// The choice as it is shown to whoever follows placements.
+    /// The selection as it is shown to whoever follows placements.
     pub fn trace(
         &self,
         task: TaskName,
@@ -327,7 +327,7 @@
 }
 
 impl ClassWork {
-    /// Takes note of how far off both ways of telling this run time were.
+    /// Records the errors of both predictions of this run time.
     fn judge(&mut self, estimate: Option<u64>, run: f64) {
         let error = |predicted: f64| (predicted.max(1.0) / run.max(1.0)).ln().powi(2);
         if self.by_mean.weight() > 0.0 {
--- a/crates/scheduler/src/late_ends.rs
+++ b/crates/scheduler/src/late_ends.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A run of a task is over.
+    /// A run of a task has ended.
     pub(crate) fn record_run_latency(&mut self, task: &TaskName, run: &Run, result: RunResult) {
         let now_ms = self.now_ms;
         if let Some(entry) = self
@@ -55,7 +55,7 @@
         latency
     }
 
-    /// A repetition has ended with this task; if that is late, or it has failed, its delays are told.
+    /// A repetition has ended with this task; if that is late, or it has failed, its latency breakdown is reported.
     pub(crate) fn record_late_end(&mut self, task: &TaskName, state: JobState) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,11 +1,19 @@
-//! The scheduler of the cluster, held by the acting head of the core: takes jobs, places their tasks on workers,
-//! follows their runs. A state machine: time and events go in; writes, replies and orders come out. It does no I/O,
-//! reads no clock and draws from a seeded generator.
+//! The scheduler of the cluster, driven by the acting head of the core: accepts jobs, places their tasks on workers and
+//! follows their runs. A state machine without I/O: time and events go in; writes, replies and orders come out. It reads
+//! no clock and draws from a seeded generator, so that the same events give the same decisions.
 //!
-//! One event passes through [`Scheduler::handle`]: it changes jobs (`lifecycle`), runs (`runs`) and workers
-//! (`reports`); then waiting tasks are placed in the order of the queue (`placement`, `kinds`, `gang`); then all
-//! rows that have changed leave as one write (`rows`). Whatever rests on the write (replies, start orders,
-//! acknowledged ends) waits in the `outbox` until it is committed.
+//! The modules in layers; each uses those above it in this list:
+//!
+//! - Values: `api` (inputs and outputs), `queue` (order of admission), `latency`, `definition`, `run_result`.
+//! - Parts with state of their own: `clock`, `rng`, `health`, `workers` (registry of instances and connections), `kinds`
+//!   (hybrid SQ(d)), `task`, `job`, `job_table`, `admission` (load), `due_jobs`, `recent_demand`, `reservations`,
+//!   `services`, `outbox` (rows and what waits for their commit).
+//! - Decisions, which read a `view` of the parts: `demand`, `estimates`, `straggler`, `headroom`, `backlog`, `outlook`.
+//! - Transitions of the cluster's `state`: `runs` and `lifecycle` (runs, tasks, jobs), `placement` and `gang`,
+//!   `preemption`, `speculation`, `run_checks`, `run_results`, `reports`, `client_calls`, `takeover`, `writes`.
+//! - `scheduler`, which routes each event and collects the effects.
+//!
+//! Whatever rests on a write (replies, start orders, acknowledged ends) waits in the outbox until it is committed.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/scheduler/src/lifecycle.rs
+++ b/crates/scheduler/src/lifecycle.rs
@@ -1,4 +1,5 @@
-//! Life of a job: repetitions fall due, steps become ready, tasks wait and are done, the job ends and is forgotten.
+//! Lifecycle of a job: repetitions fall due, steps become ready, tasks wait and are done, the job
+//! ends and is forgotten.
 
 use crate::definition::JobEnd;
 use crate::due_jobs::DueJob;
@@ -10,7 +11,7 @@
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{JobId, TaskName};
 
-/// Ended jobs are kept so much longer than required, for clocks that differ.
+/// Ended jobs are shown for so much longer than required, since clocks differ.
 const KEEP_MARGIN_MS: u64 = 30_000;
 
 impl ClusterState {
@@ -60,7 +61,7 @@
         self.await_next_repeat(id);
     }
 
-    /// Lets all tasks wait whose steps' turn has come and that neither wait, run nor are done. `latency`: where the time
+    /// Makes all tasks wait whose steps are ready and that neither wait, run nor are done. `latency`: where the time
     /// went until now.
     pub(crate) fn ready_steps(&mut self, id: JobId, repeat: u32, latency: LatencyBreakdown) {
         let now_ms = self.now_ms;
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Tells of a repetition that this task has completed late.
+    /// Reports a repetition that this task has completed late.
     fn record_repeat_end(&mut self, task: &TaskName) {
         let repeat = self
             .jobs
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Forgets a repetition that is over; ends the job if it was the last.
+    /// Removes a repetition that has ended; ends the job if it was the last.
     pub(crate) fn close_repeat_if_finished(&mut self, id: JobId, repeat: u32) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -40,7 +40,7 @@
     pub accepted: BTreeSet<JobId>,
     /// Jobs forgotten, with what is deleted.
     pub forgotten: BTreeSet<JobId>,
-    /// Jobs of which only the end is kept from now on.
+    /// Jobs of which only the end stays stored from now on.
     pub closed: BTreeSet<JobId>,
     /// Instances whose machine became known, or (`None`) that have ended.
     pub instances: BTreeMap<String, Option<String>>,
@@ -70,7 +70,7 @@
         self.changed.accepted.insert(job);
     }
 
-    /// Of an ended job only the end is kept: its definition is deleted.
+    /// Of an ended job only the end stays stored: its definition is deleted.
     pub fn job_closed(&mut self, job: JobId) {
         self.changed.closed.insert(job);
     }
@@ -143,7 +143,7 @@
             .collect()
     }
 
-    /// Drops replies to a caller that is gone.
+    /// Drops replies to a caller that has disconnected.
     pub fn forget_caller(&mut self, caller: CallerId) {
         for waiting in self.deferred.values_mut() {
             waiting.retain(|what| !matches!(what, Deferred::Reply(to, _) if *to == caller));
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -1,5 +1,5 @@
-//! Reservations: a step whose tasks need much room at once keeps workers, so that small tasks do not starve it. Tasks
-//! that fit beside, or end before the room is needed, still use them.
+//! Which workers to reserve: a step whose tasks need much capacity at once reserves workers, so that small tasks do not
+//! starve it. Tasks that fit beside, or end before the capacity is needed, still use them (EASY backfilling).
 
 use crate::demand::{StepDemand, times};
 use crate::kinds::dominant_share;
@@ -13,15 +13,15 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// Most steps of one service that keep workers at a time.
+/// Most steps of one service that have reservations at a time.
 pub(crate) const RESERVATIONS_MAX: usize = 2;
-/// Tasks that take at least this part of a worker need reservations; smaller ones find room by themselves.
+/// Tasks that take at least this part of a worker need reservations; smaller ones find capacity without.
 const LARGE_FRACTION: f64 = 0.25;
 /// While less than this part of the service is in use, nobody waits long for a reserved worker.
 const IDLE_LOAD: f64 = 0.55;
 /// How long they wait then.
 const IDLE_PATIENCE_MS: u64 = 2_400;
-/// A worker that is kept already counts as free by so much earlier, so that reservations stay where they are.
+/// A worker that is reserved already counts as free by so much earlier, so that reservations do not move.
 const STAY_MS: u64 = 400;
 
 /// Capacity for the tasks of a step, and when all of them are expected to be free.
@@ -79,7 +79,7 @@
 
 impl ClusterView<'_> {
     /// Whether only about half of the service is in use, or less, by the resource used most or by its cores: then no
-    /// step may wait long where there is room for it.
+    /// step may wait long where there is capacity for it.
     pub(crate) fn has_spare_capacity(&self, service: &ServiceState) -> bool {
         let (used, all) = self.workers_of(service).fold((0, 0), |(used, all), w| {
             (used + w.used.cpu, all + w.capacity.cpu)
@@ -134,7 +134,7 @@
         (step.gang || share >= LARGE_FRACTION).then_some(LargeDemand { demand, members })
     }
 
-    /// Where and when `members` tasks will find room, if what runs ends as expected; in one rack if the step needs
+    /// Where and when `members` tasks will find capacity, if what runs ends as expected; in one rack if the step needs
     /// that and it does not take too long.
     pub(crate) fn outlook(
         &self,
@@ -203,7 +203,7 @@
         Some(Outlook { free_ms, tasks })
     }
 
-    /// When the worker is expected to have room for one, two, ... tasks (at most `members`) of the step.
+    /// When the worker is expected to have capacity for one, two, ... tasks (at most `members`) of the step.
     fn free_times(
         &self,
         id: WorkerId,
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -27,9 +27,9 @@
     has_spare_capacity: bool,
     /// The most of each resource that any one worker has free.
     largest_free: Resources,
-    /// Tasks that found no room, though they ask for nothing else.
+    /// Sizes of tasks that found no worker, though they ask for nothing but capacity.
     blocked: Vec<Resources>,
-    /// Steps that keep workers.
+    /// Steps with reservations.
     reserved: Vec<StepRef>,
 }
 
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Looks at the steps in the queue's order, places what fits and lets steps that need much room keep workers.
-    /// Among steps of one priority, room goes first to tasks that run at full speed there: a task away from its data
-    /// takes room for several times as long.
+    /// Looks at the steps in the queue's order, places what fits and reserves workers for steps that need much capacity.
+    /// Among steps of one priority, capacity goes first to tasks that are local there: a remote task occupies it for
+    /// several times as long.
     fn pass(&mut self, service: &str) {
         let Some(state) = self.services.get(service) else {
             return;
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption: runs of a lower priority give way to a step that would otherwise miss its objective. Victims are those
-//! whose stop loses least; what would lose more than the step is worth is left alone.
+//! Preemption: runs of a lower priority are stopped for a step that would otherwise miss its latency target. Victims are
+//! those whose stop loses least work; nothing is stopped if more than a limit would be lost.
 
 use crate::demand::StepDemand;
 use crate::queue::{Prospect, QueueKey};
@@ -17,12 +17,12 @@
 pub(crate) const PREEMPT_MS: u64 = 200;
 /// Steps at the head of a queue that may preempt.
 const STEPS_CONSIDERED: usize = 12;
-/// A step preempts once it would miss its objective if it waited so much longer than it has to.
+/// A step preempts once it would miss its latency target if it waited so much longer than it has to.
 const SLACK_MS: i64 = 300;
 /// Most core-seconds that may be lost for one step at a time.
 const LOSS_MAX_CORE_S: f64 = 20.0;
 
-/// A run that may give way.
+/// A run that may be stopped.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
     run: RunId,
@@ -31,12 +31,12 @@
     loss: f64,
 }
 
-/// Room for one task more on a worker.
+/// Capacity for one task more on a worker.
 #[derive(Debug, Default)]
 struct Offer {
     /// Core-seconds lost.
     loss: f64,
-    /// Runs to stop; none if room is free or on its way.
+    /// Runs to stop; none if capacity is free or being freed.
     victims: Vec<Victim>,
 }
 
@@ -105,8 +105,8 @@
         self.victims(service, key, &demand, wanted, claimed)
     }
 
-    /// The cheapest runs that make room for the waiting tasks, at least for as many as `together`; none if that loses
-    /// too much, or if room is on its way already.
+    /// The cheapest runs whose stops free capacity for the waiting tasks, at least for as many as start together; none
+    /// if that loses too much, or if capacity is being freed already.
     fn victims(
         &self,
         service: &ServiceState,
@@ -150,7 +150,7 @@
         victims
     }
 
-    /// What a worker asks for making room for one, two, ... tasks: the loss of each further one, and whom it takes.
+    /// What freeing capacity for one, two, ... tasks on a worker costs: the loss of each further one, and its victims.
     fn offers(
         &self,
         id: WorkerId,
@@ -204,7 +204,7 @@
         offers
     }
 
-    /// Room of runs there that are being stopped already.
+    /// Resources of runs there that are being stopped already.
     fn stopping_resources(&self, id: WorkerId) -> Resources {
         let Some(worker) = self.workers.get(id) else {
             return Resources::default();
@@ -252,7 +252,7 @@
 /// What the restart of a task that lasts costs, in seconds.
 const RESTART_S: f64 = 1.0;
 
-/// Loss for each part of the room wanted that a victim frees.
+/// Loss in relation to the wanted capacity that a victim frees.
 fn loss_per_capacity(victim: &Victim, demand: &StepDemand) -> f64 {
     let fraction = |freed: u64, wanted: u64| {
         if wanted > 0 {
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -38,16 +38,16 @@
 /// What a step may still earn.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Prospect {
-    /// The objective can be met.
+    /// The latency target can be met.
     #[default]
     InTime,
-    /// The objective is missed, not by far.
+    /// The latency target is missed, not by far.
     Late,
-    /// The objective is missed by so much that nothing is earned.
+    /// The latency target is missed by so much that nothing is earned.
     Hopeless,
 }
 
-/// Place of a step in the queue; the smallest goes first.
+/// Position of a step in the queue; the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     /// Steps that can earn nothing any more go last.
@@ -58,7 +58,7 @@
     pub cost_class: i16,
     /// What it may still earn.
     pub prospect: Prospect,
-    /// When it has to start for the job's objective to be met, on the steady clock.
+    /// When it has to start for the latency target of the job to be met, on the steady clock.
     pub latest_start_ms: i64,
     /// The step.
     pub at: StepRef,
--- a/crates/scheduler/src/queue_order.rs
+++ b/crates/scheduler/src/queue_order.rs
@@ -1,4 +1,4 @@
-//! Puts waiting steps to the positions in their queues that they have by now.
+//! Keeps the order of admission up to date: values of jobs, and positions of waiting steps.
 
 use crate::queue::QueueKey;
 use crate::state::ClusterState;
@@ -8,7 +8,7 @@
 const REPOSITIONED_MAX: usize = 2_000;
 
 impl ClusterState {
-    /// Works out what a job is worth against the others of its queue.
+    /// Works out the value of a job in relation to the others of its queue.
     pub(crate) fn update_value(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Puts the steps of all queues to the places that they have by now.
+    /// Repositions the steps of all queues by their present keys.
     pub(crate) fn reorder_queues(&mut self) {
         let now_ms = self.now_ms;
         for name in self.services.names_where(|_| true) {
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -1,4 +1,4 @@
-//! What companions report: lives, what runs there, ends, starts given back.
+//! Reports of node agents: the worker instance, its runs, ends, and starts that did not happen.
 
 use crate::api::AgentId;
 use crate::outbox::Deferred;
@@ -10,13 +10,13 @@
 use indigofold_protocol::worker::RunEnd;
 use rustc_hash::FxHashSet;
 
-/// A worker that gave a start back or refused one gets no other for so long.
+/// A worker that rejected a start gets no other for this time.
 const REJECTED_START_BACKOFF_MS: u64 = 200;
 /// A stop is sent again if the run is still listed after this time.
 const STOP_RETRY_MS: u64 = 1_000;
 
 impl ClusterState {
-    /// A companion reports; it is answered with the orders for its worker.
+    /// A node agent reports; it is answered with the orders for its worker.
     pub(crate) fn report(&mut self, agent: AgentId, report: AgentReport) {
         let Some(connection) = self.workers.connection(agent) else {
             return;
@@ -49,7 +49,7 @@
         self.outbox.orders_for(id).echo_sent_ms = Some(report.sent_ms);
     }
 
-    /// The companion has no worker at present; a life known there is expected_instance for.
+    /// The node agent has no worker at present; an instance known there is asked for.
     fn report_without_instance(
         &mut self,
         agent: AgentId,
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Enters the life that the companion reports; any other one known at its machine is gone.
+    /// Enters the instance that the node agent reports; any other one known on its machine has ended.
     fn reconcile_instance(
         &mut self,
         agent: AgentId,
@@ -103,7 +103,7 @@
         id
     }
 
-    /// Starts that the companion never passed on are over.
+    /// Starts that the node agent never passed on have ended.
     fn handle_not_started(&mut self, node_name: &str, not_started: &[RunId]) {
         let now_ms = self.now_ms;
         for run in not_started {
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -68,15 +68,15 @@
 pub struct Progress {
     end: Option<JobEnd>,
     next_repeat: u32,
-    /// Workers' lives that `runs` point to.
+    /// Worker instances that `runs` point to.
     instances: Vec<String>,
     repeats: Vec<(u32, Vec<StepRow>)>,
-    /// Second runs; they follow the rest of the row, and only if there are any.
+    /// Speculative runs; they follow the rest of the row, and only if there are any.
     #[serde(skip)]
     speculative_runs: Vec<SpeculativeRunRow>,
 }
 
-/// A second run of a task.
+/// A speculative run of a task.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct SpeculativeRunRow {
     repeat: u32,
@@ -249,7 +249,7 @@
 }
 
 impl Progress {
-    /// The job as it was when its rows were written. Runs of lives that `workers` does not know are entered there.
+    /// The job as it was when its rows were written. Instances that `workers` does not know are entered there.
     /// `due_ms` gives the steady clock's reading at which a repetition was due.
     pub fn restore(
         self,
@@ -341,7 +341,7 @@
 
 impl Run {
     /// A run that a predecessor has placed; its order may have been sent. It counts as resumed: when it began is not
-    /// known, so its end tells nothing about how long such tasks run.
+    /// known, so its end says nothing about how long such tasks run.
     fn restored(worker: WorkerId, attempt: u32, now_ms: u64) -> Self {
         Run {
             attempt,
--- a/crates/scheduler/src/rows/tests.rs
+++ b/crates/scheduler/src/rows/tests.rs
@@ -34,7 +34,7 @@
 );
 
 /// Value of `progress/0000000000000009`: a completed job of which only the end is kept.
-const ENDED_PROGRESS_ROW: &str = concat!("010291dc95ffbc31010000",);
+const ENDED_PROGRESS_ROW: &str = "010291dc95ffbc31010000";
 
 /// Longest run lease, for the registry of workers that the rows refer to.
 const MAX_LEASE_MS: u64 = 6_000;
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -1,4 +1,4 @@
-//! Regular look at what runs: orders that got lost, runs that cannot end before their worker leaves, runs that hang.
+//! Regular checks of all runs: lost orders, runs that cannot end before their worker has drained, runs that hang.
 
 use crate::health::Health;
 use crate::queue::StepRef;
@@ -13,7 +13,7 @@
 pub(crate) const CHECK_MS: u64 = 300;
 /// The order of a run that is not listed for so long is sent again.
 const ORDER_RETRY_MS: u64 = 3_000;
-/// A run that no list has named for so long, though the worker is in touch and was told again, is over.
+/// A run that no report has listed for so long, though its order was sent again, is lost.
 const ABSENT_MS: u64 = 20_000;
 /// A run without any progress for so long may hang.
 const STALL_MIN_MS: u64 = 3_000;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Stops a run that gets nowhere; the task goes to another worker.
+    /// Stops a run that hangs or straggles; the task goes to another worker.
     fn move_run(&mut self, id: WorkerId, run: RunId, note: impl Fn(&mut Health)) {
         if let Some(worker) = self.workers.get_mut(id) {
             note(&mut worker.health);
@@ -93,7 +93,7 @@
 }
 
 impl ClusterView<'_> {
-    /// The worker leaves before the run can end.
+    /// The worker ends its drain before the run can end.
     fn outlasts_drain(&self, id: WorkerId, task: &TaskName) -> bool {
         let Some(worker) = self
             .workers
@@ -111,7 +111,7 @@
         traits.long_running || self.remaining_ms(id, task) + DRAIN_MARGIN_MS > left_ms
     }
 
-    /// The run stands still for much longer than it takes to make any progress.
+    /// The run has made no progress for much longer than expected.
     fn hangs(&self, id: WorkerId, task: &TaskName) -> bool {
         let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
             return false;
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,4 +1,4 @@
-//! Life of a run: placed, ordered, stopped, over.
+//! Lifecycle of a run: placed, ordered, stopped, ended.
 
 use crate::outbox::Deferred;
 use crate::queue::StepRef;
@@ -29,7 +29,7 @@
         self.run_mut(run).filter(|present| present.worker == worker)
     }
 
-    /// A run that is not over.
+    /// A run that has not ended.
     pub(crate) fn run_mut(&mut self, run: &RunId) -> Option<&mut Run> {
         self.jobs
             .get_mut(&run.task.job)?
@@ -37,7 +37,7 @@
             .run_mut(run.attempt)
     }
 
-    /// Places a waiting task, or a copy of one that runs; its order leaves once this is committed.
+    /// Places a run of a waiting task, or a speculative run; its order leaves once this is committed.
     pub(crate) fn place_run(&mut self, task: TaskName, attempt: u32, placement: Placement) {
         let (id, now_ms) = (task.job, self.now_ms);
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -142,7 +142,7 @@
         self.outbox.orders_for(worker).start.push(order);
     }
 
-    /// Stops a run at once, and with a gang's member all others. A run whose order has not left is over with that.
+    /// Stops a run at once, and with a gang's member all others. A run whose order has not left ends with that.
     pub(crate) fn stop_run(&mut self, run: RunId) {
         let at = StepRef::of(&run.task);
         let Some(job) = self.jobs.get(&at.job) else {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// A run is over.
+    /// A run has ended.
     pub(crate) fn finish_run(&mut self, run: RunId, result: RunResult, checkpoint: &str) {
         let task = run.task;
         let at = StepRef::of(&task);
@@ -314,8 +314,7 @@
         }
     }
 
-    /// Progress that a run has saved; any member's serves for its gang, and the newest is kept. Returns whether it is
-    /// news.
+    /// Stores a checkpoint of a run; any member's serves for its gang, and the newest stays. Returns whether it is new.
     pub(crate) fn store_checkpoint(&mut self, task: &TaskName, checkpoint: &str) -> bool {
         let Some(job) = self
             .jobs
@@ -342,7 +341,7 @@
         true
     }
 
-    /// A `done` of a run that was given up: it counts while the task is not done.
+    /// A `done` of a run that counted as lost: it counts while the task is not done.
     pub(crate) fn handle_late_done(&mut self, task: TaskName) {
         let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else {
             return;
@@ -371,7 +370,7 @@
         self.close_repeat_if_finished(task.job, task.repeat);
     }
 
-    /// A life is gone for good: nothing of it runs.
+    /// An instance has ended: nothing of it runs.
     pub(crate) fn instance_ended(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -386,7 +385,7 @@
         self.regroup(&backend);
     }
 
-    /// Gives up the runs of lives whose holds have lapsed without word from them.
+    /// The runs of instances are lost whose leases have expired without a report.
     pub(crate) fn give_up_expired(&mut self) {
         for id in self.workers.newly_expired(self.now_ms) {
             let Some(worker) = self.workers.get(id) else {
--- a/crates/scheduler/src/services.rs
+++ b/crates/scheduler/src/services.rs
@@ -16,7 +16,7 @@
 pub(crate) struct ServiceState {
     /// Its workers by kind.
     pub kinds: Kinds,
-    /// Workers kept for steps that need much capacity at once.
+    /// Workers reserved for steps that need much capacity at once.
     pub reservations: Reservations,
     /// What came recently.
     pub recent: RecentDemand,
--- a/crates/scheduler/src/speculation.rs
+++ b/crates/scheduler/src/speculation.rs
@@ -1,5 +1,6 @@
-//! Second runs of `speculative` tasks: while the first one's worker is silent or suspected, or the run takes far longer
-//! than expected, and the job's objective is at stake. Whichever run ends first counts, the other is stopped.
+//! Speculative runs: a second run of a `speculative` task while the first one's worker is unresponsive or suspected, or
+//! the run takes far longer than expected, and the latency target is at stake. Whichever run ends first counts, the
+//! other is stopped.
 
 use crate::demand::{Scope, StepDemand};
 use crate::health::HealthStatus;
@@ -11,9 +12,9 @@
 use crate::workers::{Worker, WorkerId};
 use indigofold_protocol::task::TaskName;
 
-/// A worker from which nothing was heard for so long is silent.
+/// A worker without a report or heartbeat for so long is unresponsive.
 const UNRESPONSIVE_MS: u64 = 600;
-/// A copy is started once the step would be late if it began so much later.
+/// A speculative run is started once the step would be late if it began so much later.
 const DEADLINE_MARGIN_MS: i64 = 600;
 /// A run is overdue after so many times the time expected ...
 const OVERDUE_FACTOR: f64 = 2.0;
@@ -24,7 +25,7 @@
 /// Percents older than this say nothing about when a run ends.
 const PERCENT_FRESH_MS: u64 = 1_500;
 
-/// A run that is to get a copy.
+/// A run that is to get a speculative run beside it.
 #[derive(Clone, Copy, Debug)]
 struct SpeculationCandidate {
     key: QueueKey,
@@ -33,7 +34,7 @@
 }
 
 impl ClusterState {
-    /// Starts copies of runs that may not end in time, where there is room that nothing else waits for.
+    /// Starts speculative runs for those that may not end in time, where capacity is free that no other step waits for.
     pub(crate) fn speculate(&mut self) {
         let mut candidates: Vec<SpeculationCandidate> = Vec::new();
         for (id, worker) in self.workers.iter() {
@@ -103,7 +104,7 @@
 }
 
 impl ClusterView<'_> {
-    /// The task's run on this worker, if it is to get a copy.
+    /// The task's run on this worker, if it is to get a speculative run beside it.
     fn speculation_candidate(
         &self,
         id: WorkerId,
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -42,7 +42,7 @@
     pub rng: Rng,
     /// The configuration in force; `None` until the first one arrives.
     pub config: Option<Arc<Config>>,
-    /// All jobs that are kept.
+    /// All open jobs, and ended ones that are still shown.
     pub jobs: JobTable,
     /// All worker instances and connections of node agents.
     pub workers: Workers,
--- a/crates/scheduler/src/straggler.rs
+++ b/crates/scheduler/src/straggler.rs
@@ -1,5 +1,5 @@
-//! Workers that have turned slow, told by the progress of what runs there, and the runs that had better begin anew
-//! elsewhere. One run alone tells nothing: the work of jobs differs far more than the speed of workers.
+//! Stragglers: workers that have become slow, by the progress of their runs, and the runs that end sooner if they begin
+//! anew elsewhere. One run alone is not conclusive: jobs differ far more than workers.
 
 use crate::estimates::projected_total_ms;
 use crate::view::ClusterView;
@@ -7,11 +7,11 @@
 use indigofold_protocol::task::{JobId, TaskName};
 use std::collections::BTreeMap;
 
-/// Runs of so many jobs have to tell before a worker counts as slow.
+/// Runs of so many jobs have to be conclusive before a worker counts as slow.
 const JOBS_MIN: usize = 3;
 /// A worker counts as slow if its runs take so many times as long as expected (the median over jobs).
 const SLOWDOWN: f64 = 2.5;
-/// A run is taken away if it will still take so many times as long as on a sound worker ...
+/// A run is moved if its remaining time is so many times its total time on a healthy worker ...
 const STRAGGLER_FACTOR: f64 = 1.3;
 /// ... and so much more, in milliseconds.
 const STRAGGLER_MIN_MS: f64 = 800.0;
@@ -49,8 +49,7 @@
                 > STRAGGLER_FACTOR * total_ms / slowdown + STRAGGLER_MIN_MS
     }
 
-    /// How long the run will have taken as a whole, by its progress, and how long it was expected to; `None` if its
-    /// progress does not tell yet.
+    /// Projected and expected total run time; `None` while the progress is not conclusive.
     fn projected_ms(&self, id: WorkerId, task: &TaskName) -> Option<(f64, f64)> {
         let job = self.jobs.get(&task.job)?;
         let run = self
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Outstanding runs count against their workers' room.
+    /// Outstanding runs occupy capacity of their workers.
     fn occupy_workers(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -17,17 +17,17 @@
     pub done: u32,
     /// Tasks that are to be placed.
     pub waiting: BTreeSet<u32>,
-    /// Place in the queue while something waits.
+    /// Position in the queue while something waits.
     pub queued: Option<QueueKey>,
     /// Since when something waits.
     pub waiting_since_ms: u64,
-    /// What it has waited for since then, as seen when it was looked at.
+    /// What it has waited for since then, as observed at each pass.
     pub waits: LatencyBreakdown,
     /// When it was looked at last.
     pub looked_at_ms: u64,
-    /// Where the time went before its turn came.
+    /// Where the time went until the step was ready.
     pub chain: LatencyBreakdown,
-    /// Progress of the gang as heard last.
+    /// Checkpoint of the gang as reported last.
     pub gang_checkpoint: String,
     /// Attempts of the gang that have failed.
     pub gang_failures: u32,
@@ -46,19 +46,19 @@
     pub done: bool,
     /// Progress to resume from; empty for none.
     pub checkpoint: String,
-    /// Its run that is not over.
+    /// Its run that has not ended.
     pub run: Option<Run>,
-    /// A second run at the same time, on another worker; only while `run` is there, and only of `speculative` steps.
+    /// A speculative run, on another worker; only while `run` is there, and only of `speculative` steps.
     pub speculative_run: Option<Run>,
     /// Worker on which it failed last.
     pub failed_on: Option<WorkerId>,
     /// Since when it waits to be placed.
     pub waits_since_ms: u64,
-    /// Where its time went since its step's turn came.
+    /// Where its time went since its step was ready.
     pub latency: LatencyBreakdown,
 }
 
-/// A run that is not over.
+/// A run that has not ended.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// Its number.
@@ -75,7 +75,7 @@
     pub stop: Option<StopOrder>,
     /// When it was placed.
     pub placed_ms: u64,
-    /// It resumes from saved progress, or was placed by a predecessor: how long it takes tells nothing.
+    /// It resumes from a checkpoint, or was placed by a predecessor: how long it takes says nothing about its class.
     pub resumed: bool,
     /// It was bound to one kind of workers.
     pub bound: bool,
@@ -99,7 +99,7 @@
 }
 
 impl Task {
-    /// Its runs that are not over.
+    /// Its runs that have not ended.
     pub fn runs(&self) -> impl Iterator<Item = &Run> {
         self.run.iter().chain(&self.speculative_run)
     }
@@ -117,7 +117,7 @@
             .find(|run| run.attempt == attempt)
     }
 
-    /// Takes its run of this number out; a copy that is left takes the place of the run.
+    /// Takes its run of this number out; a speculative run that is left replaces the run.
     pub fn take_run(&mut self, attempt: u32) -> Option<Run> {
         if self
             .speculative_run
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -1,5 +1,4 @@
-//! What jobs are worth against the work that they still need: the order in which most is earned while more waits than
-//! can be done in time.
+//! The value of jobs in relation to the work that they still need: under overload, the order by which most is earned.
 
 use crate::queue::Prospect;
 use indigofold_placement::runs::{KEEP, Sum, add};
@@ -8,13 +7,13 @@
 
 /// A GPU counts as so many cores.
 const CORES_OF_GPU: f64 = 8.0;
-/// Part of its worth that a job has whatever its work (the rules' page, "Worth").
+/// Value of a job that does not depend on its work (the rules' page, "Worth").
 const VALUE_BASE: f64 = 0.3;
-/// Part of its worth that a job has by its work against the mean of its queue.
+/// Value of a job by its work in relation to the mean of its queue.
 const VALUE_BY_WORK: f64 = 0.7;
-/// The most that a job is worth against the mean of its queue.
+/// Highest value of a job in relation to the mean of its queue.
 const VALUE_MAX: f64 = 4.0;
-/// Part of its worth that a job earns after its objective.
+/// Fraction of its value that a job earns after its latency target.
 const LATE_VALUE_FRACTION: f64 = 0.5;
 /// Steps of one class differ in cost by less than a factor of two to the power of one by this number.
 const CLASSES_OF_A_DOUBLING: f64 = 1.0;
@@ -24,7 +23,7 @@
 struct MeanWork(Sum);
 
 impl MeanWork {
-    /// Takes in a job's work; returns what the job is worth against the others of its queue.
+    /// Takes in a job's work; returns the job's value in relation to the others of its queue.
     fn value(&mut self, work: f64) -> f64 {
         add(&mut self.0, KEEP, work);
         let mean = self.0.1 / self.0.0;
--- a/crates/scheduler/src/view.rs
+++ b/crates/scheduler/src/view.rs
@@ -1,4 +1,4 @@
-//! A read-only view of the parts on which decisions are based, and what it tells about runs.
+//! A read-only view of the parts on which decisions are based.
 
 use crate::api::Bounds;
 use crate::job_table::JobTable;
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers as their companions report them: lives (instances), room, state, connections.
+//! Worker instances as their node agents report them: capacity, state, runs, connections.
 
 use crate::api::AgentId;
 use crate::health::Health;
@@ -9,27 +9,27 @@
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Clocks may differ by so much, in percent.
+/// Clocks may run at different rates, up to this percentage.
 const CLOCK_PERCENT: u64 = 105;
-/// Added to the time after which all holds have lapsed.
+/// Added to the time after which all leases have expired.
 const EXPIRY_MARGIN_MS: u64 = 300;
-/// A companion that has not reported for so long gets no new starts.
+/// A node agent that has not reported for so long gets no new starts.
 const REPORT_FRESH_MS: u64 = 1_000;
-/// A worker that has been silent for so long gets no new starts.
+/// A worker without a heartbeat for so long gets no new starts.
 const UNRESPONSIVE_MS: u64 = 1_500;
-/// A life that lapsed and never came back is forgotten after this time.
+/// An expired instance that never came back is forgotten after this time.
 const EXPIRED_FORGET_MS: u64 = 600_000;
 
-/// A life of a worker; never used again for another one.
+/// Number of a worker instance; never used again for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WorkerId(pub u32);
 
-/// One life of a worker.
+/// One worker instance.
 #[derive(Debug)]
 pub struct Worker {
     /// Its id among workers.
     pub instance: String,
-    /// Machine that it and its companion run on; unknown until it reports.
+    /// Machine that it and its node agent run on; unknown until it reports.
     pub node_name: Option<String>,
     /// Machine that its row names, if it has one.
     pub recorded_node: Option<String>,
@@ -39,7 +39,7 @@
     pub backend: String,
     /// Whether it takes new work.
     pub state: WorkerState,
-    /// When it leaves at the earliest, while it drains.
+    /// When its drain ends, while it is draining.
     pub drain_end_ms: Option<u64>,
     /// What it has.
     pub capacity: Resources,
@@ -47,37 +47,37 @@
     pub labels: Vec<String>,
     /// What outstanding runs take.
     pub used: Resources,
-    /// What of this is taken by runs that were bound to a kind.
+    /// What of this is used by runs that were bound to a kind.
     pub used_bound: Resources,
     /// Tasks with an outstanding run here.
     pub runs: BTreeSet<TaskName>,
-    /// All of its lists have been reported on the present connection.
+    /// A full report was received on the present connection.
     pub full_report_received: bool,
-    /// When its companion reported last.
+    /// When its node agent reported last.
     pub last_report_ms: u64,
-    /// How long it had been silent then.
+    /// Time since its last heartbeat then, in milliseconds.
     pub since_heartbeat_ms: u64,
-    /// When a report of its companion was answered last; before that, when this scheduler took over.
+    /// When a report of its node agent was answered last; before that, when this scheduler took over.
     pub answered_ms: u64,
-    /// Its holds have lapsed without word from it.
+    /// When its leases expired without a report; `None` while they may be valid.
     pub expired_ms: Option<u64>,
-    /// Runs that were given up when it lapsed; to be stopped should it come back.
+    /// Runs that counted as lost when it expired; to be stopped should it come back.
     pub given_up: Vec<RunId>,
-    /// When the companion sent the report that was answered with these stops.
+    /// When the node agent sent the report that was answered with these stops.
     pub given_up_report_sent_ms: Option<u64>,
     /// Runs listed as running that are not outstanding here.
     pub unknown_runs: Vec<RunId>,
     /// The same among the starts in flight.
     pub unknown_in_flight: Vec<RunId>,
-    /// Number of the newest end that was taken in.
+    /// Number of the newest end that was handled.
     pub handled_end: u64,
     /// Number of the newest end that is committed.
     pub committed_end: u64,
     /// No new starts before this time.
     pub backoff_until_ms: u64,
-    /// It is slow until then.
+    /// It warms up until then.
     pub warm_up_until_ms: u64,
-    /// What its outcomes tell.
+    /// Its health by the results of its runs.
     pub health: Health,
 }
 
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Takes over what a report says about the life as a whole; returns whether its kind or readiness changed.
+    /// Applies what a report says about the instance; returns whether its kind or readiness changed.
     pub fn apply_report(&mut self, now_ms: u64, report: &InstanceReport) -> bool {
         let changed = self.backend != report.backend
             || self.capacity != report.capacity
@@ -130,7 +130,7 @@
         changed
     }
 
-    /// Whether it may be given new runs now, as far as it is in touch.
+    /// Whether it may be sent new runs now.
     pub fn accepts_starts(&self, now_ms: u64) -> bool {
         self.is_responsive(now_ms)
             && self.full_report_received
@@ -141,7 +141,7 @@
             && now_ms >= self.backoff_until_ms
     }
 
-    /// Whether it is in touch and takes new work, apart from short pauses.
+    /// Whether it is connected, ready and heard from recently; a backoff does not matter.
     pub fn is_responsive(&self, now_ms: u64) -> bool {
         self.agent.is_some()
             && self.state == WorkerState::Ready
@@ -149,7 +149,7 @@
             && self.since_heartbeat_ms < UNRESPONSIVE_MS
     }
 
-    /// Room that is left.
+    /// Free capacity.
     pub fn free(&self) -> Resources {
         self.capacity.minus(&self.used)
     }
@@ -159,7 +159,7 @@
         self.capacity.holds(&self.used.plus(resources))
     }
 
-    /// Takes room for a run.
+    /// Takes capacity for a run.
     pub fn occupy(&mut self, task: TaskName, resources: &Resources, bound: bool) {
         self.runs.insert(task);
         self.used = self.used.plus(resources);
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Frees the room of a run.
+    /// Frees the capacity of a run.
     pub fn release(&mut self, task: &TaskName, resources: &Resources, bound: bool) {
         if self.runs.remove(task) {
             self.used = self.used.minus(resources);
@@ -196,16 +196,16 @@
     parts.is_some_and(|(row, rack)| digits(row) && digits(rack))
 }
 
-/// A connection of a companion.
+/// A connection of a node agent.
 #[derive(Clone, Debug)]
 pub struct Connection {
     /// Name of its machine.
     pub node_name: String,
-    /// The life reported last.
+    /// The instance reported last.
     pub worker: Option<WorkerId>,
 }
 
-/// All lives and connections.
+/// All instances and connections.
 #[derive(Debug)]
 pub struct Workers {
     instances: BTreeMap<WorkerId, Worker>,
@@ -218,7 +218,7 @@
 }
 
 impl Workers {
-    /// No lives yet. `max_lease_ms` is the longest hold that workers keep.
+    /// No instances yet. `max_lease_ms` is the longest run lease that workers grant.
     pub fn new(max_lease_ms: u64) -> Self {
         let longest_ms = LEASE_AUTHORITY_MS + RUN_LEASE_MS.min(max_lease_ms);
         Workers {
@@ -232,22 +232,22 @@
         }
     }
 
-    /// A life.
+    /// An instance.
     pub fn get(&self, worker: WorkerId) -> Option<&Worker> {
         self.instances.get(&worker)
     }
 
-    /// A life.
+    /// An instance.
     pub fn get_mut(&mut self, worker: WorkerId) -> Option<&mut Worker> {
         self.instances.get_mut(&worker)
     }
 
-    /// All lives.
+    /// All instances, by number.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &Worker)> {
         self.instances.iter().map(|(id, worker)| (*id, worker))
     }
 
-    /// The life of this name, entered if it is new.
+    /// The instance of this id, entered if it is new.
     pub fn get_or_register(&mut self, instance: &str, now_ms: u64) -> WorkerId {
         if let Some(&known) = self.by_instance.get(instance) {
             return known;
@@ -260,12 +260,12 @@
         id
     }
 
-    /// The life of this name, if it is known.
+    /// The instance of this id, if it is known.
     pub fn find(&self, instance: &str) -> Option<WorkerId> {
         self.by_instance.get(instance).copied()
     }
 
-    /// Forgets a life; its runs must have been ended before.
+    /// Forgets an instance; its runs must have been ended before.
     pub fn forget(&mut self, id: WorkerId) {
         let Some(worker) = self.instances.remove(&id) else {
             return;
@@ -287,7 +287,7 @@
         }
     }
 
-    /// Other lives known at the machine of this one.
+    /// Other instances known on the machine of this one.
     pub fn others_at(&self, node_name: &str, id: WorkerId) -> Vec<WorkerId> {
         self.at(node_name)
             .into_iter()
@@ -295,7 +295,7 @@
             .collect()
     }
 
-    /// Lives known at this machine.
+    /// Instances known on this machine.
     pub fn at(&self, node_name: &str) -> Vec<WorkerId> {
         self.by_node
             .get(node_name)
@@ -305,7 +305,7 @@
             .collect()
     }
 
-    /// A companion has connected; an older connection of the same machine counts no more.
+    /// A node agent has connected; it replaces an older connection of the same machine.
     pub fn connected(&mut self, agent: AgentId, node_name: String) {
         if let Some(older) = self.connection_of_node.insert(node_name.clone(), agent) {
             self.disconnected(older);
@@ -319,7 +319,7 @@
         );
     }
 
-    /// A connection is gone.
+    /// A connection has closed.
     pub fn disconnected(&mut self, agent: AgentId) {
         let Some(connection) = self.connections.remove(&agent) else {
             return;
@@ -339,7 +339,7 @@
         self.connections.get(&agent)
     }
 
-    /// A connection reports a life.
+    /// A connection reports an instance.
     pub fn attach(&mut self, agent: AgentId, id: WorkerId) {
         let Some(connection) = self.connections.get_mut(&agent) else {
             return;
@@ -362,7 +362,7 @@
         self.set_node(id, node_name);
     }
 
-    /// The life is on this machine.
+    /// The instance is on this machine.
     pub fn set_node(&mut self, id: WorkerId, node_name: String) {
         let Some(worker) = self.instances.get_mut(&id) else {
             return;
@@ -373,7 +373,7 @@
         }
     }
 
-    /// The connection reports no life at present.
+    /// The connection reports no instance at present.
     pub fn detach(&mut self, agent: AgentId) {
         let worker = self
             .connections
@@ -386,7 +386,7 @@
         }
     }
 
-    /// Lives whose holds have all lapsed by now.
+    /// Instances whose leases have all expired by now.
     pub fn newly_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let has_expired =
             |w: &Worker| w.expired_ms.is_none() && now_ms >= w.answered_ms + self.lease_expiry_ms;
@@ -396,7 +396,7 @@
             .collect()
     }
 
-    /// Lives that lapsed long ago.
+    /// Instances that expired long ago.
     pub fn long_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let old = |w: &Worker| {
             w.expired_ms
