--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -29,7 +29,7 @@
             let job = self.jobs.get(&key.at.job)?;
             let step = job.step(key.at.step)?;
             let waiting = job.step_state(key.at)?.waiting.len();
-            let class = (job.definition.route.clone(), key.at.step);
+            let class = job.class(key.at.step);
             let run_ms = service
                 .kinds
                 .expected_at_mean_speed_ms(&class, step.estimate_ms);
--- a/crates/scheduler/src/client_calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -4,6 +4,7 @@
 use crate::backlog::retry_after_ms;
 use crate::definition::{Definition, Terms};
 use crate::job::Job;
+use crate::kinds::Class;
 use crate::outbox::Outbox;
 use crate::state::ClusterState;
 use indigofold_protocol::config::{Config, Route};
@@ -81,6 +82,25 @@
             };
             return self.reply_at_once(from, call, outcome);
         }
+        let job = self.new_job(route, spec);
+        self.jobs.insert(id, job);
+        self.update_value(id);
+        self.load.job_opened();
+        self.load.job_pending(&route.name);
+        self.outbox.job_accepted(id);
+        self.set_dirty(id);
+        self.await_next_repeat(id);
+        self.open_due_repeats();
+        self.outbox.reply(
+            self.outbox.present_write(),
+            from,
+            call,
+            ClientOutcome::Accepted,
+        );
+    }
+
+    /// A job with the run times that are expected for its route.
+    fn new_job(&mut self, route: &Route, spec: JobSpec) -> Job {
         let definition = Definition {
             spec,
             route: route.name.clone(),
@@ -91,7 +111,10 @@
         let mut job = Job::new(definition);
         let kinds = &self.services.entry(&route.backend).kinds;
         job.expect(|step, description| {
-            let class = (route.name.clone(), step);
+            let class = Class {
+                route: route.name.clone(),
+                step,
+            };
             let known_ms = kinds.expected_at_mean_speed_ms(&class, description.estimate_ms) as u64;
             if description.long_running {
                 0
@@ -99,20 +122,7 @@
                 known_ms
             }
         });
-        self.jobs.insert(id, job);
-        self.update_value(id);
-        self.load.job_opened();
-        self.load.job_pending(&route.name);
-        self.outbox.job_accepted(id);
-        self.set_dirty(id);
-        self.await_next_repeat(id);
-        self.open_due_repeats();
-        self.outbox.reply(
-            self.outbox.present_write(),
-            from,
-            call,
-            ClientOutcome::Accepted,
-        );
+        job
     }
 
     /// How long the service's workers will take for all that waits in its queue.
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -69,7 +69,7 @@
             affinity: step.affinity.clone(),
             anti_affinity: step.anti_affinity,
             on_worker,
-            class: (job.definition.route.clone(), at.step),
+            class: job.class(at.step),
             estimate_ms: step.estimate_ms,
             waited_ms: now_ms.saturating_sub(state.waiting_since_ms),
             long_running: step.long_running,
--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -112,6 +112,19 @@
         Some(plan)
     }
 
+    /// Factor on the run time of a gang on these workers.
+    fn gang_remote_factor(&self, rack_local: bool, demand: &StepDemand, plan: &[Selection]) -> f64 {
+        let workers = || {
+            plan.iter()
+                .filter_map(|selection| self.workers.get(selection.worker))
+        };
+        let racks: BTreeSet<Option<&str>> = workers().map(Worker::rack).collect();
+        let is_local = workers().all(|worker| demand.is_local(worker));
+        self.bounds
+            .remote_factor(is_local && !(rack_local && racks.len() > 1))
+    }
+
+    /// Starts all members with one attempt number and the same checkpoint.
     fn start_gang(
         &mut self,
         service: &str,
@@ -120,18 +133,7 @@
         demand: &StepDemand,
         plan: Vec<Selection>,
     ) {
-        let racks: BTreeSet<Option<&str>> = plan
-            .iter()
-            .filter_map(|selection| self.workers.get(selection.worker))
-            .map(Worker::rack)
-            .collect();
-        let is_local = plan
-            .iter()
-            .filter_map(|selection| self.workers.get(selection.worker))
-            .all(|w| demand.is_local(w));
-        let remote_factor = self
-            .bounds
-            .remote_factor(is_local && !(rack_local && racks.len() > 1));
+        let remote_factor = self.gang_remote_factor(rack_local, demand, &plan);
         let Some(state) = self
             .jobs
             .get_mut(&at.job)
@@ -154,15 +156,8 @@
         for (index, selection) in plan.into_iter().enumerate() {
             let task = at.task(index as u32);
             self.trace_placement(service, task, &selection);
-            self.place_run(
-                task,
-                attempt,
-                Placement {
-                    worker: selection.worker,
-                    bound: selection.bound,
-                    remote_factor,
-                },
-            );
+            let placement = Placement::new(&selection, remote_factor);
+            self.place_run(task, attempt, placement);
         }
         if let Some(state) = self.services.get_mut(service) {
             state.reservations.release(at);
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -2,6 +2,7 @@
 
 use crate::api::WriteId;
 use crate::definition::{Definition, JobEnd, Terms};
+use crate::kinds::Class;
 use crate::queue::{Prospect, QueueKey, StepRef};
 use crate::task::{Run, StepState, Task};
 use crate::value::{cost_class, work_of};
@@ -50,6 +51,22 @@
     pub written_ms: u64,
 }
 
+/// What a step may still earn.
+struct StepProspect {
+    prospect: Prospect,
+    /// When it has to start for the latency target to be met, on the steady clock.
+    latest_start_ms: i64,
+}
+
+/// A run that has not ended, and where it is.
+#[derive(Clone, Copy, Debug)]
+pub struct OutstandingRun {
+    /// The run.
+    pub run: RunId,
+    /// Its worker.
+    pub worker: WorkerId,
+}
+
 /// One repetition of a job's steps.
 #[derive(Debug)]
 pub struct Repetition {
@@ -126,11 +143,36 @@
         (self.terms.stretch.max(0.0) * chain as f64) as u64 + self.terms.target_latency_ms
     }
 
+    /// Class of the tasks of a step.
+    pub fn class(&self, step: u32) -> Class {
+        Class {
+            route: self.definition.route.clone(),
+            step,
+        }
+    }
+
     /// Description of a step.
     pub fn step(&self, step: u32) -> Option<&Step> {
         self.definition.spec.stages.get(step as usize)
     }
 
+    /// Steps of a repetition for which all steps before them are done.
+    pub fn ready_steps(&self, repeat: u32) -> Vec<u32> {
+        let Some(state) = self.repeats.get(&repeat) else {
+            return Vec::new();
+        };
+        let is_done = |step: &u32| {
+            state
+                .steps
+                .get(*step as usize)
+                .is_some_and(StepState::is_done)
+        };
+        let stages = &self.definition.spec.stages;
+        (0..state.steps.len() as u32)
+            .filter(|step| stages[*step as usize].depends_on.iter().all(is_done))
+            .collect()
+    }
+
     /// State of a step.
     pub fn step_state(&self, at: StepRef) -> Option<&StepState> {
         self.repeats.get(&at.repeat)?.steps.get(at.step as usize)
@@ -176,7 +218,7 @@
     }
 
     /// Its runs that are not over, and where they are.
-    pub fn outstanding_runs(&self, id: JobId) -> Vec<(RunId, WorkerId)> {
+    pub fn outstanding_runs(&self, id: JobId) -> Vec<OutstandingRun> {
         let mut outstanding = Vec::new();
         for (&repeat, state) in &self.repeats {
             for (step, state) in state.steps.iter().enumerate() {
@@ -187,14 +229,12 @@
                 };
                 for (index, task) in state.tasks.iter().enumerate() {
                     let task_name = at.task(index as u32);
-                    let named = |run: &Run| {
-                        (
-                            RunId {
-                                task: task_name,
-                                attempt: run.attempt,
-                            },
-                            run.worker,
-                        )
+                    let named = |run: &Run| OutstandingRun {
+                        run: RunId {
+                            task: task_name,
+                            attempt: run.attempt,
+                        },
+                        worker: run.worker,
                     };
                     outstanding.extend(task.runs().map(named));
                 }
@@ -207,7 +247,10 @@
     /// earns, then by when it has to start for the latency target of the job to be met.
     pub fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
         let long_running = self.step(at.step).is_some_and(|step| step.long_running);
-        let (prospect, latest_start_ms) = if long_running {
+        let StepProspect {
+            prospect,
+            latest_start_ms,
+        } = if long_running {
             self.long_running_prospect(at)
         } else {
             self.finite_prospect(at, now_ms)
@@ -231,18 +274,18 @@
 
     /// A long-running step earns as long as it runs: however late it is, it keeps its value, from when it last began
     /// to wait.
-    fn long_running_prospect(&self, at: StepRef) -> (Prospect, i64) {
+    fn long_running_prospect(&self, at: StepRef) -> StepProspect {
         let waiting_since_ms = self
             .step_state(at)
             .map_or(0, |state| state.waiting_since_ms);
         let target_ms = self.terms.target_latency_ms.min(LATENCY_TARGET_MAX_MS);
-        (
-            Prospect::InTime,
-            waiting_since_ms.saturating_add(target_ms) as i64,
-        )
+        StepProspect {
+            prospect: Prospect::InTime,
+            latest_start_ms: waiting_since_ms.saturating_add(target_ms) as i64,
+        }
     }
 
-    fn finite_prospect(&self, at: StepRef, now_ms: u64) -> (Prospect, i64) {
+    fn finite_prospect(&self, at: StepRef, now_ms: u64) -> StepProspect {
         let due_ms = self
             .repeats
             .get(&at.repeat)
@@ -260,7 +303,10 @@
             now if now <= hopeless_ms => Prospect::Late,
             _ => Prospect::Hopeless,
         };
-        (prospect, latest_start_ms)
+        StepProspect {
+            prospect,
+            latest_start_ms,
+        }
     }
 }
 
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -27,8 +27,14 @@
     probability: f64,
 }
 
-/// A class of tasks: a step of a queue's jobs.
-pub type Class = (String, u32);
+/// A class of tasks whose run times are learned together: one step of the jobs of a route.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Class {
+    /// Name of the route.
+    pub route: String,
+    /// Number of the step.
+    pub step: u32,
+}
 
 /// How long the tasks of a class run. Clients' estimates are rough: they are used only where they have predicted better
 /// than the class's mean.
@@ -62,6 +68,15 @@
     FewestOfNext,
 }
 
+/// A worker of a sample.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SampledWorker {
+    /// Id of the worker instance.
+    pub instance: String,
+    /// Number of its runs.
+    pub runs: usize,
+}
+
 /// How a worker was selected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementTrace {
@@ -71,8 +86,8 @@
     pub drawn: Option<usize>,
     /// p_k of all kinds.
     pub probabilities: Vec<f64>,
-    /// Workers sampled that have capacity, and their numbers of runs.
-    pub sampled: Vec<(String, usize)>,
+    /// Workers sampled that have capacity.
+    pub sampled: Vec<SampledWorker>,
     /// The selected worker.
     pub winner: String,
     /// Why.
@@ -238,15 +253,7 @@
         } else {
             self.draw(rng, &allowed)
         };
-        let mut order = allowed;
-        order.sort_by(|a, b| {
-            self.kinds[*b]
-                .probability
-                .total_cmp(&self.kinds[*a].probability)
-        });
-        if let Some(at) = drawn.and_then(|drawn| order.iter().position(|kind| *kind == drawn)) {
-            order[..=at].rotate_right(1);
-        }
+        let order = self.by_probability(allowed, drawn);
         for (rank, kind) in order.iter().enumerate() {
             let sampled = sample(rng, &self.kinds[*kind].workers, workers, &fits);
             let in_flight = |id: &WorkerId| {
@@ -272,6 +279,19 @@
         None
     }
 
+    /// Kinds in the order in which they are sampled: the drawn one first, the others by falling probability.
+    fn by_probability(&self, mut kinds: Vec<usize>, drawn: Option<usize>) -> Vec<usize> {
+        kinds.sort_by(|a, b| {
+            self.kinds[*b]
+                .probability
+                .total_cmp(&self.kinds[*a].probability)
+        });
+        if let Some(at) = drawn.and_then(|drawn| kinds.iter().position(|kind| *kind == drawn)) {
+            kinds[..=at].rotate_right(1);
+        }
+        kinds
+    }
+
     /// Kinds with this label; all of them if no kind has it (it may name a rack).
     fn allowed(&self, label: &str) -> Vec<usize> {
         let named = |kind: &usize| self.kinds[*kind].labels.iter().any(|l| l == label);
@@ -318,7 +338,10 @@
             sampled: selection
                 .sampled
                 .iter()
-                .map(|id| (name(*id), in_flight(*id)))
+                .map(|id| SampledWorker {
+                    instance: name(*id),
+                    runs: in_flight(*id),
+                })
                 .collect(),
             winner: name(selection.worker),
             reason: selection.reason,
--- a/crates/scheduler/src/late_ends.rs
+++ b/crates/scheduler/src/late_ends.rs
@@ -48,7 +48,7 @@
         let job = self.jobs.get(&task.job);
         let mut latency = job
             .and_then(|job| job.step_state(StepRef::of(task)))
-            .map_or_else(LatencyBreakdown::default, |s| s.chain);
+            .map_or_else(LatencyBreakdown::default, |step| step.latency_until_ready);
         if let Some(entry) = job.and_then(|job| job.task(task)) {
             latency.add_all(&entry.latency);
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -69,7 +69,7 @@
 mod writes;
 
 pub use api::{AgentId, Bounds, CallerId, Effect, Event, RowChange, WriteId};
-pub use kinds::{PlacementTrace, Reason};
+pub use kinds::{PlacementTrace, Reason, SampledWorker};
 pub use latency::{Cause, LateEnd, LatencyBreakdown};
 pub use rows::RowError;
 pub use scheduler::Scheduler;
--- a/crates/scheduler/src/lifecycle.rs
+++ b/crates/scheduler/src/lifecycle.rs
@@ -7,7 +7,6 @@
 use crate::latency::LatencyBreakdown;
 use crate::queue::StepRef;
 use crate::state::ClusterState;
-use crate::task::StepState;
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{JobId, TaskName};
 
@@ -64,59 +63,44 @@
     /// Makes all tasks wait whose steps are ready and that neither wait, run nor are done. `latency`: where the time
     /// went until now.
     pub(crate) fn ready_steps(&mut self, id: JobId, repeat: u32, latency: LatencyBreakdown) {
-        let now_ms = self.now_ms;
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(state) = job.repeats.get(&repeat) else {
-            return;
-        };
-        let done = |before: &u32| {
-            state
-                .steps
-                .get(*before as usize)
-                .is_some_and(StepState::is_done)
-        };
-        let turn = |step: &usize| {
-            job.definition.spec.stages[*step]
-                .depends_on
-                .iter()
-                .all(done)
-        };
-        let ready: Vec<usize> = (0..state.steps.len()).filter(turn).collect();
-        for step in ready {
+        for step in job.ready_steps(repeat) {
             let at = StepRef {
                 job: id,
                 repeat,
-                step: step as u32,
-            };
-            let gang = self
-                .jobs
-                .get(&id)
-                .and_then(|job| job.step(at.step))
-                .is_some_and(|s| s.gang);
-            let Some(state) = self
-                .jobs
-                .get_mut(&id)
-                .and_then(|job| job.step_state_mut(at))
-            else {
-                return;
+                step,
             };
-            if gang && state.tasks.iter().any(|task| task.run.is_some()) {
-                continue;
-            }
-            let idle = state
-                .tasks
-                .iter()
-                .enumerate()
-                .filter(|(_, task)| !task.done && task.run.is_none());
-            let idle: Vec<u32> = idle.map(|(index, _)| index as u32).collect();
-            if state.queued.is_none() && !idle.is_empty() {
-                state.chain = latency;
-            }
-            idle.into_iter().for_each(|index| state.wait(index, now_ms));
-            self.enqueue(at);
+            self.await_idle_tasks(at, latency);
+        }
+    }
+
+    /// Makes the tasks of a ready step wait that neither wait, run nor are done; of a gang only if no member runs.
+    fn await_idle_tasks(&mut self, at: StepRef, latency: LatencyBreakdown) {
+        let now_ms = self.now_ms;
+        let gang = self.jobs.step(at).is_some_and(|step| step.gang);
+        let state = self
+            .jobs
+            .get_mut(&at.job)
+            .and_then(|job| job.step_state_mut(at));
+        let Some(state) = state else {
+            return;
+        };
+        if gang && state.tasks.iter().any(|task| task.run.is_some()) {
+            return;
+        }
+        let idle = state
+            .tasks
+            .iter()
+            .enumerate()
+            .filter(|(_, task)| !task.done && task.run.is_none());
+        let idle: Vec<u32> = idle.map(|(index, _)| index as u32).collect();
+        if state.queued.is_none() && !idle.is_empty() {
+            state.latency_until_ready = latency;
         }
+        idle.into_iter().for_each(|index| state.wait(index, now_ms));
+        self.enqueue(at);
     }
 
     /// Puts a step into its service's queue if tasks of it wait.
@@ -293,7 +277,8 @@
             .map(|job| job.outstanding_runs(id))
             .unwrap_or_default();
         if state != JobState::Completed {
-            runs.into_iter().for_each(|(run, _)| self.stop_ended(run));
+            runs.into_iter()
+                .for_each(|outstanding| self.stop_ended(outstanding.run));
         }
         self.close_job_if_idle(id);
     }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -205,11 +205,8 @@
         if demand.anti_affinity > 0 {
             *demand.on_worker.entry(selection.worker).or_default() += 1;
         }
-        let placement = Placement {
-            worker: selection.worker,
-            bound: selection.bound,
-            remote_factor: self.bounds.remote_factor(is_local),
-        };
+        let remote_factor = self.bounds.remote_factor(is_local);
+        let placement = Placement::new(&selection, remote_factor);
         self.place_run(task, attempt, placement);
         true
     }
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -7,7 +7,7 @@
 use crate::state::ClusterState;
 use crate::value::cores;
 use crate::view::ClusterView;
-use crate::workers::WorkerId;
+use crate::workers::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{RunId, TaskName};
 use rustc_hash::FxHashMap;
@@ -22,6 +22,9 @@
 /// Most core-seconds that may be lost for one step at a time.
 const LOSS_MAX_CORE_S: f64 = 20.0;
 
+/// What the restart of a long-running task costs, in seconds.
+const RESTART_S: f64 = 1.0;
+
 /// A run that may be stopped.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
@@ -40,6 +43,22 @@
     victims: Vec<Victim>,
 }
 
+/// The offers of one worker, the cheapest first.
+#[derive(Debug)]
+struct WorkerOffers {
+    worker: WorkerId,
+    offers: VecDeque<Offer>,
+}
+
+impl WorkerOffers {
+    /// Core-seconds that the next offer loses; infinite if there is none.
+    fn next_loss(&self) -> f64 {
+        self.offers
+            .front()
+            .map_or(f64::INFINITY, |offer| offer.loss)
+    }
+}
+
 /// Tasks of a step that need capacity.
 #[derive(Clone, Copy, Debug)]
 struct WantedTasks {
@@ -117,20 +136,22 @@
     ) -> Vec<Victim> {
         let waiting = wanted.waiting;
         let workers = service.kinds.workers();
-        let mut offers: Vec<(WorkerId, VecDeque<Offer>)> = workers
-            .map(|id| {
-                let taken = claimed.get(&id).copied().unwrap_or_default();
-                (id, self.offers(id, key, demand, waiting, &taken).into())
+        let mut offers: Vec<WorkerOffers> = workers
+            .map(|worker| {
+                let taken = claimed.get(&worker).copied().unwrap_or_default();
+                let offers = self.offers(worker, key, demand, waiting, &taken).into();
+                WorkerOffers { worker, offers }
             })
             .collect();
         let (mut loss, mut victims, mut used) = (0.0, Vec::new(), Vec::new());
         while used.len() < waiting as usize {
-            let next = |offers: &(WorkerId, VecDeque<Offer>)| {
-                offers.1.front().map_or(f64::INFINITY, |offer| offer.loss)
+            let cheapest = offers
+                .iter_mut()
+                .min_by(|a, b| a.next_loss().total_cmp(&b.next_loss()));
+            let Some(cheapest) = cheapest else {
+                break;
             };
-            let cheapest = offers.iter_mut().min_by(|a, b| next(a).total_cmp(&next(b)));
-            let Some((id, Some(offer))) = cheapest.map(|(id, offers)| (*id, offers.pop_front()))
-            else {
+            let (id, Some(offer)) = (cheapest.worker, cheapest.offers.pop_front()) else {
                 break;
             };
             loss += offer.loss;
@@ -170,18 +191,11 @@
         if !labelled || !worker.capacity.holds(&demand.resources) {
             return Vec::new();
         }
-        let mut candidates: Vec<Victim> = worker
-            .runs
-            .iter()
-            .filter_map(|task| self.victim(id, *task, key))
-            .collect();
-        candidates
-            .sort_by(|a, b| loss_per_capacity(a, demand).total_cmp(&loss_per_capacity(b, demand)));
         let mut used = worker
             .used
             .minus(&self.stopping_resources(id))
             .plus(claimed);
-        let mut candidates = candidates.into_iter();
+        let mut candidates = self.candidates(id, worker, key, demand).into_iter();
         let mut offers = Vec::new();
         let most = if demand.anti_affinity > 0 {
             count.min(demand.anti_affinity)
@@ -204,6 +218,23 @@
         offers
     }
 
+    /// Runs on the worker that may be stopped, those first whose stop loses least.
+    fn candidates(
+        &self,
+        id: WorkerId,
+        worker: &Worker,
+        key: QueueKey,
+        demand: &StepDemand,
+    ) -> Vec<Victim> {
+        let victims = worker.runs.iter();
+        let mut candidates: Vec<Victim> = victims
+            .filter_map(|task| self.victim(id, *task, key))
+            .collect();
+        candidates
+            .sort_by(|a, b| loss_per_capacity(a, demand).total_cmp(&loss_per_capacity(b, demand)));
+        candidates
+    }
+
     /// Resources of runs there that are being stopped already.
     fn stopping_resources(&self, id: WorkerId) -> Resources {
         let Some(worker) = self.workers.get(id) else {
@@ -249,9 +280,6 @@
     }
 }
 
-/// What the restart of a task that lasts costs, in seconds.
-const RESTART_S: f64 = 1.0;
-
 /// Loss in relation to the wanted capacity that a victim frees.
 fn loss_per_capacity(victim: &Victim, demand: &StepDemand) -> f64 {
     let fraction = |freed: u64, wanted: u64| {
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -70,12 +70,19 @@
     next_repeat: u32,
     /// Worker instances that `runs` point to.
     instances: Vec<String>,
-    repeats: Vec<(u32, Vec<StepRow>)>,
+    repeats: Vec<RepetitionRow>,
     /// Speculative runs; they follow the rest of the row, and only if there are any.
     #[serde(skip)]
     speculative_runs: Vec<SpeculativeRunRow>,
 }
 
+/// A repetition that is due and has not ended.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+struct RepetitionRow {
+    number: u32,
+    steps: Vec<StepRow>,
+}
+
 /// A speculative run of a task.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct SpeculativeRunRow {
@@ -106,8 +113,16 @@
     failures: u32,
     done: bool,
     checkpoint: String,
-    /// Outstanding run: instance (index into `instances`), attempt.
-    run: Option<(u32, u32)>,
+    /// Its outstanding run.
+    run: Option<RunRow>,
+}
+
+/// An outstanding run of a task.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+struct RunRow {
+    /// Index into `instances`.
+    instance: u32,
+    attempt: u32,
 }
 
 /// The value of `job/ID`.
@@ -125,7 +140,7 @@
         let steps = steps
             .map(|(step, stage)| step_row(step, stage.gang, workers, &mut instances))
             .collect();
-        repeats.push((number, steps));
+        repeats.push(RepetitionRow { number, steps });
     }
     let (end, next_repeat, speculative_runs) =
         (job.end, job.next_repeat, speculative_run_rows(job, workers));
@@ -210,10 +225,10 @@
         } else {
             checkpoint(task)
         },
-        run: task
-            .run
-            .as_ref()
-            .map(|run| (number(run.worker), run.attempt)),
+        run: task.run.as_ref().map(|run| RunRow {
+            instance: number(run.worker),
+            attempt: run.attempt,
+        }),
     };
     StepRow::Open {
         gang_failures: step.gang_failures,
@@ -269,9 +284,9 @@
             .map(|name| workers.get_or_register(name, now_ms))
             .collect();
         let mut repeats = BTreeMap::new();
-        for (number, rows) in self.repeats {
+        for RepetitionRow { number, steps } in self.repeats {
             let mut repeat = job.fresh_repeat(due_ms(&job, number));
-            for (state, row) in repeat.steps.iter_mut().zip(rows) {
+            for (state, row) in repeat.steps.iter_mut().zip(steps) {
                 job.outstanding += restore_step(state, row, &worker_ids, now_ms);
                 job.started |= state.tasks.iter().any(|task| task.last_attempt > 0);
             }
@@ -312,14 +327,15 @@
         } => {
             (state.gang_failures, state.gang_failed_attempt) = (gang_failures, gang_failed_attempt);
             for (task, row) in state.tasks.iter_mut().zip(tasks) {
-                let run = row.run.and_then(|(instance, attempt)| {
-                    Some((*workers.get(instance as usize)?, attempt))
+                let run = row.run.and_then(|run| {
+                    let worker = *workers.get(run.instance as usize)?;
+                    Some(Run::restored(worker, run.attempt, now_ms))
                 });
                 *task = Task {
                     last_attempt: row.last_attempt,
                     failures: row.failures,
                     done: row.done,
-                    run: run.map(|(worker, attempt)| Run::restored(worker, attempt, now_ms)),
+                    run,
                     speculative_run: None,
                     checkpoint: row.checkpoint,
                     ..Task::default()
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,5 +1,6 @@
 //! Lifecycle of a run: placed, ordered, stopped, ended.
 
+use crate::kinds::Selection;
 use crate::outbox::Deferred;
 use crate::queue::StepRef;
 use crate::run_result::RunResult;
@@ -23,6 +24,36 @@
     pub remote_factor: f64,
 }
 
+impl Placement {
+    /// A run on the selected worker.
+    pub fn new(selection: &Selection, remote_factor: f64) -> Self {
+        Placement {
+            worker: selection.worker,
+            bound: selection.bound,
+            remote_factor,
+        }
+    }
+
+    /// The run, placed now and not ordered yet.
+    fn run(&self, attempt: u32, resumed: bool, now_ms: u64) -> Run {
+        Run {
+            attempt,
+            worker: self.worker,
+            sent: false,
+            sent_ms: 0,
+            began_ms: None,
+            stop: None,
+            placed_ms: now_ms,
+            resumed,
+            bound: self.bound,
+            remote_factor: self.remote_factor,
+            percent: 0,
+            percent_ms: now_ms,
+            listed_ms: now_ms,
+        }
+    }
+}
+
 impl ClusterState {
     /// The task's run, if it has this number and is on this worker.
     pub(crate) fn run_on(&mut self, run: &RunId, worker: WorkerId) -> Option<&mut Run> {
@@ -62,21 +93,7 @@
         } else {
             &mut entry.speculative_run
         };
-        *slot = Some(Run {
-            attempt,
-            worker: placement.worker,
-            sent: false,
-            sent_ms: 0,
-            began_ms: None,
-            stop: None,
-            placed_ms: now_ms,
-            resumed,
-            bound: placement.bound,
-            remote_factor: placement.remote_factor,
-            percent: 0,
-            percent_ms: now_ms,
-            listed_ms: now_ms,
-        });
+        *slot = Some(placement.run(attempt, resumed, now_ms));
         job.outstanding += 1;
         let first = !std::mem::replace(&mut job.started, true);
         if let Some(worker) = self.workers.get_mut(placement.worker) {
--- a/crates/scheduler/src/speculation.rs
+++ b/crates/scheduler/src/speculation.rs
@@ -4,6 +4,7 @@
 
 use crate::demand::{Scope, StepDemand};
 use crate::health::HealthStatus;
+use crate::kinds::Selection;
 use crate::queue::{Prospect, QueueKey, StepRef};
 use crate::runs::Placement;
 use crate::state::ClusterState;
@@ -50,56 +51,54 @@
             .for_each(|run| self.place_speculative_run(run));
     }
 
+    /// Starts a speculative run beside this one, unless another step waits for the capacity.
     fn place_speculative_run(&mut self, run: SpeculationCandidate) {
         let Some(job) = self.jobs.get(&run.task.job) else {
             return;
         };
-        let service = job.service.clone();
-        let Some(state) = self.services.get(&service) else {
-            return;
-        };
-        let others_wait = |key: &QueueKey| !key.hopeless && key.priority <= run.key.priority;
-        if state.queue().first().is_some_and(others_wait) {
-            return;
-        }
         let (Some(demand), Some(entry)) = (
             StepDemand::of(job, run.key.at, self.now_ms),
             job.task(&run.task),
         ) else {
             return;
         };
-        let (attempt, failed_on) = (entry.last_attempt + 1, entry.failed_on);
-        let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
-        let selection =
-            state
-                .kinds
-                .select(&mut self.rng, &self.workers, &demand.label, |id, worker| {
-                    let reservation = state.reservations.get(id);
-                    id != run.worker
-                        && worker.accepts_starts(now_ms)
-                        && demand.permits(id, worker, 0)
-                        && demand.considers(
-                            Scope::Preferred,
-                            worker,
-                            remote_slowdown,
-                            failed_on == Some(id),
-                            now_ms,
-                        )
-                        && reservation.is_none_or(|reservation| {
-                            worker.has_capacity(&demand.resources.plus(&reservation.resources))
-                        })
-                });
-        let Some(selection) = selection else { return };
+        let (service, attempt) = (job.service.clone(), entry.last_attempt + 1);
+        let failed_on = entry.failed_on;
+        let Some(selection) = self.select_other_worker(&service, &run, &demand, failed_on) else {
+            return;
+        };
         self.trace_placement(&service, run.task, &selection);
-        self.place_run(
-            run.task,
-            attempt,
-            Placement {
-                worker: selection.worker,
-                bound: selection.bound,
-                remote_factor: 1.0,
-            },
-        );
+        let placement = Placement::new(&selection, 1.0);
+        self.place_run(run.task, attempt, placement);
+    }
+
+    /// A worker for a speculative run: another one than that of the first run, local and healthy.
+    fn select_other_worker(
+        &mut self,
+        service: &str,
+        run: &SpeculationCandidate,
+        demand: &StepDemand,
+        failed_on: Option<WorkerId>,
+    ) -> Option<Selection> {
+        let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
+        let state = self.services.get(service)?;
+        let others_wait = |key: &QueueKey| !key.hopeless && key.priority <= run.key.priority;
+        if state.queue().first().is_some_and(others_wait) {
+            return None;
+        }
+        let fits = |id: WorkerId, worker: &Worker| {
+            let failed_there = failed_on == Some(id);
+            let scope = Scope::Preferred;
+            id != run.worker
+                && worker.accepts_starts(now_ms)
+                && demand.permits(id, worker, 0)
+                && demand.considers(scope, worker, remote_slowdown, failed_there, now_ms)
+                && state.reservations.get(id).is_none_or(|reservation| {
+                    worker.has_capacity(&demand.resources.plus(&reservation.resources))
+                })
+        };
+        let kinds = &state.kinds;
+        kinds.select(&mut self.rng, &self.workers, &demand.label, fits)
     }
 }
 
--- a/crates/scheduler/src/step_traits.rs
+++ b/crates/scheduler/src/step_traits.rs
@@ -31,7 +31,7 @@
             gang: step.gang,
             long_running: step.long_running,
             estimate_ms: step.estimate_ms,
-            class: (job.definition.route.clone(), at.step),
+            class: job.class(at.step),
             service: job.service.clone(),
         })
     }
--- a/crates/scheduler/src/straggler.rs
+++ b/crates/scheduler/src/straggler.rs
@@ -16,14 +16,22 @@
 /// ... and so much more, in milliseconds.
 const STRAGGLER_MIN_MS: f64 = 800.0;
 
+/// Total run times of one run, in milliseconds.
+struct ProjectedRun {
+    /// Projected from its progress.
+    total_ms: f64,
+    /// Expected for its class and worker.
+    expected_ms: f64,
+}
+
 impl ClusterView<'_> {
     /// How many times as long as expected the runs on this worker take, if it has turned slow.
     pub(crate) fn slowdown(&self, id: WorkerId) -> Option<f64> {
         let worker = self.workers.get(id)?;
         let mut by_job: BTreeMap<JobId, f64> = BTreeMap::new();
         for task in &worker.runs {
-            if let Some((total_ms, expected_ms)) = self.projected_ms(id, task) {
-                let ratio = total_ms / expected_ms.max(1.0);
+            if let Some(projected) = self.projected(id, task) {
+                let ratio = projected.total_ms / projected.expected_ms.max(1.0);
                 by_job
                     .entry(task.job)
                     .and_modify(|least| *least = least.min(ratio))
@@ -41,23 +49,23 @@
         let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
             return false;
         };
-        let Some((total_ms, _)) = self.projected_ms(id, task) else {
+        let Some(projected) = self.projected(id, task) else {
             return false;
         };
         !step.gang
             && self.remaining_ms(id, task) as f64
-                > STRAGGLER_FACTOR * total_ms / slowdown + STRAGGLER_MIN_MS
+                > STRAGGLER_FACTOR * projected.total_ms / slowdown + STRAGGLER_MIN_MS
     }
 
     /// Projected and expected total run time; `None` while the progress is not conclusive.
-    fn projected_ms(&self, id: WorkerId, task: &TaskName) -> Option<(f64, f64)> {
+    fn projected(&self, id: WorkerId, task: &TaskName) -> Option<ProjectedRun> {
         let job = self.jobs.get(&task.job)?;
         let run = self
             .run_at(id, task)
             .filter(|_| job.step(task.step).is_some_and(|step| !step.long_running))?;
-        Some((
-            projected_total_ms(run)? as f64,
-            self.expected_run_ms(id, task),
-        ))
+        Some(ProjectedRun {
+            total_ms: projected_total_ms(run)? as f64,
+            expected_ms: self.expected_run_ms(id, task),
+        })
     }
 }
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::WallClock;
 use crate::instance_rows::instance_of;
-use crate::job::Job;
+use crate::job::{Job, OutstandingRun};
 use crate::lifecycle::open_tasks;
 use crate::rows::{RowError, RowKey, read_definition, read_progress};
 use crate::state::ClusterState;
@@ -99,7 +99,7 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        for (run, worker) in job.outstanding_runs(id) {
+        for OutstandingRun { run, worker } in job.outstanding_runs(id) {
             let resources = job
                 .step(run.task.step)
                 .map(|step| step.resources())
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -26,7 +26,7 @@
     /// When it was looked at last.
     pub looked_at_ms: u64,
     /// Where the time went until the step was ready.
-    pub chain: LatencyBreakdown,
+    pub latency_until_ready: LatencyBreakdown,
     /// Checkpoint of the gang as reported last.
     pub gang_checkpoint: String,
     /// Attempts of the gang that have failed.
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -18,12 +18,12 @@
     let traces = cluster.scheduler.take_traces();
     assert_eq!(traces.len(), 120);
     for trace in &traces {
-        let fewest = trace.sampled.iter().map(|(_, runs)| *runs).min();
+        let fewest = trace.sampled.iter().map(|worker| worker.runs).min();
         let winner = trace
             .sampled
             .iter()
-            .find(|(name, _)| *name == trace.winner)
-            .map(|(_, runs)| *runs);
+            .find(|worker| worker.instance == trace.winner)
+            .map(|worker| worker.runs);
         assert_eq!(winner, fewest);
         assert!(trace.sampled.len() <= 3);
         assert!((trace.probabilities.iter().sum::<f64>() - 1.0).abs() < 1e-9);
