--- a/crates/scheduler/tests/checkpoints.rs
+++ b/crates/scheduler/tests/checkpoints.rs
@@ -2,20 +2,10 @@
 
 mod cluster;
 
-use cluster::{Cluster, spec, step};
-use indigofold_protocol::internal::{LEASE_AUTHORITY_MS, RUN_LEASE_MS};
+use cluster::{Cluster, EXPIRED_MS, spec, step};
 use indigofold_protocol::job::{JobState, Step};
 use indigofold_protocol::task::JobId;
 
-/// A silent companion's holds have all lapsed after this time, whatever the clocks.
-const EXPIRED_MS: u64 = (LEASE_AUTHORITY_MS + RUN_LEASE_MS) * 105 / 100 + 300;
-
-fn busy_nodes(cluster: &Cluster) -> Vec<usize> {
-    (0..cluster.nodes.len())
-        .filter(|node| !cluster.nodes[*node].running.is_empty())
-        .collect()
-}
-
 /// Progress that the runs at work resumed from: number of half seconds.
 fn resumed_half_seconds(cluster: &Cluster) -> Vec<u64> {
     let runs = cluster
@@ -36,9 +26,7 @@
 
 fn completes(cluster: &mut Cluster, id: JobId) {
     cluster.run_for(8_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 fn checkpointed(count: u32, ms: u64) -> Step {
@@ -55,7 +43,7 @@
     cluster.run_for(200);
     let id = cluster.submit("bulk", 1, spec(vec![checkpointed(1, 60_000)]));
     cluster.run_for(5_000);
-    let first = busy_nodes(&cluster)[0];
+    let first = cluster.busy_nodes()[0];
     cluster.disconnect(first);
     cluster.run_for(EXPIRED_MS + 500);
     assert!(
@@ -68,11 +56,10 @@
 
 #[test]
 fn a_crashed_run_resumes_from_the_last_reported_checkpoint() {
-    let mut cluster = Cluster::new(2);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(2);
     let id = cluster.submit("bulk", 1, spec(vec![checkpointed(1, 6_000)]));
     cluster.run_for(4_000);
-    let first = busy_nodes(&cluster)[0];
+    let first = cluster.busy_nodes()[0];
     cluster.nodes[first].crash(cluster.now_ms, 500);
     cluster.run_for(400);
     assert!(
@@ -92,7 +79,8 @@
         cluster.run_for(200);
         let id = cluster.submit("bulk", 1, spec(vec![checkpointed(2, 9_000)]));
         cluster.run_for(run_ms);
-        busy_nodes(&cluster)
+        cluster
+            .busy_nodes()
             .into_iter()
             .for_each(|node| cluster.nodes[node].crash(cluster.now_ms, 500));
         cluster.fail_over();
@@ -120,7 +108,7 @@
     };
     let id = cluster.submit("vision", 1, spec(vec![gang]));
     cluster.run_for(5_000);
-    let first = busy_nodes(&cluster)[0];
+    let first = cluster.busy_nodes()[0];
     cluster.nodes[first].crash(cluster.now_ms, 500);
     cluster.fail_over();
     cluster.run_for(1_500);
@@ -135,8 +123,7 @@
 /// When one member's worker drains, the gang is stopped as a whole and goes on elsewhere from where it was.
 #[test]
 fn a_gang_moves_when_one_worker_is_draining() {
-    let mut cluster = Cluster::new(5);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(5);
     let gang = Step {
         gang: true,
         gpu: 8,
@@ -144,7 +131,7 @@
     };
     let id = cluster.submit("vision", 1, spec(vec![gang]));
     cluster.run_for(4_000);
-    let first = busy_nodes(&cluster)[0];
+    let first = cluster.busy_nodes()[0];
     cluster.nodes[first].drain_end_ms = Some(cluster.now_ms + 2_500);
     cluster.nodes[first].report_now = true;
     cluster.run_for(1_200);
@@ -166,8 +153,7 @@
 /// Saved progress costs a write every other second, whatever the number of jobs.
 #[test]
 fn checkpoint_writes_are_batched() {
-    let mut cluster = Cluster::new(6);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(6);
     for number in 0..8 {
         cluster.submit("bulk", 1 + number, spec(vec![checkpointed(4, 60_000)]));
     }
--- a/crates/scheduler/tests/clock.rs
+++ b/crates/scheduler/tests/clock.rs
@@ -10,8 +10,7 @@
 #[case::forward(2_400_000)]
 #[case::back(-2_400_000)]
 fn a_wall_clock_step_does_not_move_due_times(#[case] by_ms: i64) {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     let start_at_ms = cluster.wall_ms() + 4_000;
     let job = JobSpec {
         repeat_count: 3,
@@ -25,7 +24,5 @@
     cluster.run_for(5_000);
     cluster.clock_step_ms = 0;
     cluster.run_for(2_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
--- a/crates/scheduler/tests/cluster/invariants.rs
+++ b/crates/scheduler/tests/cluster/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules, checked at every start and whenever a job is shown as completed.
+//! The invariants, checked at every start of a run and whenever a job is shown as completed.
 
 use super::node::ActiveRun;
 use super::{ClientJob, Cluster};
@@ -61,10 +61,7 @@
             step.long_running || step.gang || failed < 3,
             "BUDGET: {task}"
         );
-        let work_ms = self
-            .work
-            .get(&task)
-            .map_or(step.estimate_ms, |(work_ms, _)| *work_ms);
+        let work_ms = self.work_of(task, step).run_ms;
         let gang = step.gang;
         self.history.entry(task).or_default().starts += 1;
         let began_ms = (!gang).then_some(self.now_ms);
@@ -85,7 +82,7 @@
         );
     }
 
-    /// Progress handed to a run must be the task's (the gang's), and the same for all members.
+    /// The checkpoint that a run resumes from must be the task's (the gang's), and the same for all members.
     fn check_checkpoint(&self, order: &StartOrder, gang: bool) {
         let own = order.checkpoint.is_empty()
             || order
@@ -106,7 +103,7 @@
         );
     }
 
-    /// Copies of speculative steps may run at the same time, and for a second after the end of one was taken note of.
+    /// Speculative runs may run at the same time, and for a second after the end of one was acknowledged.
     fn check_single_run(&self, run: RunId, speculative: bool) {
         if speculative {
             let acknowledged_ms = self
@@ -117,7 +114,7 @@
                 acknowledged_ms.is_some_and(|acknowledged| self.now_ms >= acknowledged + 1_000);
             return assert!(
                 !late,
-                "TWICE: a copy of {} starts long after it was done",
+                "TWICE: a speculative run of {} starts long after it was done",
                 run.task
             );
         }
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -1,22 +1,22 @@
-//! A small cluster in virtual time round one scheduler: storage, companions, workers, clients; and the rules, checked
-//! at every start.
+//! A simulated cluster in virtual time round one scheduler: storage, node agents, workers, clients; and the invariants,
+//! checked at every start of a run.
 
 #![allow(dead_code)] // each test file uses its part
 
+mod clients;
 mod idle_jobs;
 mod invariants;
 pub mod node;
+mod running;
 mod setup;
 
 use indigofold_protocol::config::Config;
 use indigofold_protocol::internal::*;
 use indigofold_protocol::job::{JobSpec, JobState};
-use indigofold_protocol::task::{JobId, RunId, TaskName};
+use indigofold_protocol::task::{JobId, TaskName};
 use indigofold_protocol::worker::RunEnd;
-use indigofold_scheduler::{
-    AgentId, CallerId, Effect, Event, LateEnd, RowChange, Scheduler, WriteId,
-};
-use node::{ActiveRun, GANG_MS, Node};
+use indigofold_scheduler::{AgentId, Effect, Event, LateEnd, RowChange, Scheduler, WriteId};
+use node::Node;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -26,6 +26,12 @@
 pub const WALL_MS: u64 = 1_700_000_000_000;
 /// A write is committed after this time.
 const COMMIT_MS: u64 = 12;
+/// All workers have registered after this time.
+const REGISTRATION_MS: u64 = 200;
+/// A reply to a client has arrived after this time.
+const REPLY_MS: u64 = 50;
+/// The leases of a disconnected node agent have all expired after this time, whatever the rates of the clocks.
+pub const EXPIRED_MS: u64 = (LEASE_AUTHORITY_MS + RUN_LEASE_MS) * 105 / 100 + 300;
 /// Messages take this time.
 const NET_MS: u64 = 2;
 
@@ -59,7 +65,7 @@
     pub ended_ms: Option<u64>,
 }
 
-/// What workers have seen of a task.
+/// What workers have done of a task.
 #[derive(Debug, Default)]
 pub struct TaskHistory {
     pub done: bool,
@@ -74,33 +80,54 @@
     Report(AgentId, AgentReport),
 }
 
+struct MessageInTransit {
+    arrives_ms: u64,
+    message: Message,
+}
+
+/// A write that is not committed yet.
+struct PendingWrite {
+    commits_ms: u64,
+    write: WriteId,
+    changes: Vec<RowChange>,
+}
+
+/// How a task runs, where that is not what its step says.
+#[derive(Clone, Copy, Debug)]
+pub struct TaskWork {
+    /// Time that each run works.
+    pub run_ms: u64,
+    /// Number of runs that fail before one succeeds.
+    pub failures: u32,
+}
+
+/// The simulated cluster.
 pub struct Cluster {
     pub now_ms: u64,
     pub rng: TestRng,
     pub scheduler: Scheduler,
     pub epoch: u64,
     pub rows: BTreeMap<Vec<u8>, Vec<u8>>,
-    writes: VecDeque<(u64, WriteId, Vec<RowChange>)>,
-    messages: VecDeque<(u64, Message)>,
+    writes: VecDeque<PendingWrite>,
+    messages: VecDeque<MessageInTransit>,
     pub nodes: Vec<Node>,
     connections: BTreeMap<AgentId, usize>,
     next_connection: u64,
     next_call: u64,
-    calls: BTreeMap<u64, (JobId, bool)>,
+    calls: BTreeMap<u64, JobId>,
     pub jobs: BTreeMap<JobId, ClientJob>,
     pub history: BTreeMap<TaskName, TaskHistory>,
     pub config: Arc<Config>,
-    pub work: BTreeMap<TaskName, (u64, u32)>,
+    work: BTreeMap<TaskName, TaskWork>,
     pub replies: Vec<ClientReply>,
-    pub ended_alone: u32,
     pub fault_free: bool,
-    /// Late ends that were told.
+    /// Late ends that were reported.
     pub late: Vec<LateEnd>,
     pub writes_made: u64,
     pub stopped_core_ms: f64,
-    /// How far the scheduler's time of day is off.
+    /// Offset of the scheduler's time of day.
     pub clock_step_ms: i64,
-    /// Jobs must not sit idle while there is room (the 3 s rule); since when they do.
+    /// Whether the rule on idle jobs is checked, and since when each idle job is idle.
     pub checks_idle: bool,
     idle_since: BTreeMap<JobId, u64>,
 }
@@ -129,7 +156,6 @@
             config: Arc::new(config()),
             work: BTreeMap::new(),
             replies: Vec::new(),
-            ended_alone: 0,
             fault_free: true,
             late: Vec::new(),
             writes_made: 0,
@@ -143,6 +169,13 @@
         cluster
     }
 
+    /// A cluster whose workers have registered.
+    pub fn started(seed: u64) -> Self {
+        let mut cluster = Cluster::new(seed);
+        cluster.run_for(REGISTRATION_MS);
+        cluster
+    }
+
     pub fn wall_ms(&self) -> u64 {
         WALL_MS + self.now_ms
     }
@@ -156,20 +189,21 @@
             match effect {
                 Effect::Write { write, changes } => {
                     self.writes_made += 1;
-                    self.writes.push_back((now_ms + COMMIT_MS, write, changes));
+                    self.writes.push_back(PendingWrite {
+                        commits_ms: now_ms + COMMIT_MS,
+                        write,
+                        changes,
+                    });
                 }
                 Effect::Reply { reply, .. } => self.handle_reply(reply),
                 Effect::Late(end) => self.late.push(*end),
                 Effect::Orders { agent, orders } => {
-                    self.messages
-                        .push_back((now_ms + NET_MS, Message::Orders(agent, orders)));
+                    self.send(Message::Orders(agent, orders));
                 }
             }
         }
     }
 
-    // -- connections ------------------------------------------------------------------------------------------------
-
     pub fn connect(&mut self, node: usize) {
         let agent = AgentId(self.next_connection);
         self.next_connection += 1;
@@ -198,8 +232,8 @@
     pub fn fail_over(&mut self) {
         self.epoch += 1;
         let committed = self.rng.below(self.writes.len() as u64 + 1) as usize;
-        for (_, _, changes) in std::mem::take(&mut self.writes).into_iter().take(committed) {
-            apply(&mut self.rows, changes);
+        for pending in std::mem::take(&mut self.writes).into_iter().take(committed) {
+            apply(&mut self.rows, pending.changes);
         }
         self.messages.clear();
         self.connections.clear();
@@ -217,95 +251,6 @@
         }
     }
 
-    // -- clients ----------------------------------------------------------------------------------------------------
-
-    fn call(&mut self, id: JobId, path: String, operation: ClientOperation, cancel: bool) {
-        let call = self.next_call;
-        self.next_call += 1;
-        self.calls.insert(call, (id, cancel));
-        let call = ClientCall {
-            call,
-            host: "h".to_owned(),
-            path,
-            operation,
-        };
-        self.handle(Event::Call {
-            from: CallerId(1),
-            call,
-        });
-    }
-
-    pub fn submit(&mut self, route: &str, id: u64, spec: JobSpec) -> JobId {
-        let id = JobId(id);
-        let entry = self.jobs.entry(id).or_default();
-        if entry.sent_ms == 0 {
-            (entry.spec, entry.route, entry.sent_ms) =
-                (spec.clone(), route.to_owned(), self.now_ms);
-        }
-        self.call(
-            id,
-            format!("/{route}/{id}"),
-            ClientOperation::Submit(spec),
-            false,
-        );
-        id
-    }
-
-    pub fn get(&mut self, id: JobId) {
-        let route = self.jobs[&id].route.clone();
-        self.call(id, format!("/{route}/{id}"), ClientOperation::Get, false);
-    }
-
-    pub fn cancel(&mut self, id: JobId) {
-        let route = self.jobs[&id].route.clone();
-        self.call(id, format!("/{route}/{id}"), ClientOperation::Cancel, true);
-    }
-
-    fn handle_reply(&mut self, reply: ClientReply) {
-        self.replies.push(reply.clone());
-        let Some((id, _)) = self.calls.remove(&reply.call) else {
-            return;
-        };
-        let now_ms = self.now_ms;
-        let Some(job) = self.jobs.get_mut(&id) else {
-            return;
-        };
-        match reply.outcome {
-            ClientOutcome::Accepted => {
-                job.accepted_ms.get_or_insert(now_ms);
-            }
-            ClientOutcome::Cancelled => {
-                job.cancelled_ms.get_or_insert(now_ms);
-            }
-            ClientOutcome::Invalid { .. } | ClientOutcome::TooMany { .. } => job.rejected = true,
-            ClientOutcome::State(state) => {
-                if matches!(
-                    state,
-                    JobState::Completed | JobState::Failed | JobState::Cancelled
-                ) {
-                    job.ended_ms.get_or_insert(now_ms);
-                }
-                assert!(
-                    !matches!(job.state, Some(JobState::Completed)) || state == JobState::Completed,
-                    "{id} was completed and is {state:?}"
-                );
-                job.state = Some(state);
-                if state == JobState::Completed {
-                    self.check_completed(id);
-                }
-            }
-            ClientOutcome::NoSuchJob => {
-                let open = job.accepted_ms.is_some()
-                    && job.ended_ms.is_none()
-                    && job.cancelled_ms.is_none();
-                assert!(!open, "LOST: {id} is unknown");
-            }
-            _ => {}
-        }
-    }
-
-    // -- time -------------------------------------------------------------------------------------------------------
-
     pub fn run_until(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             self.now_ms += 1;
@@ -321,23 +266,23 @@
         while self
             .writes
             .front()
-            .is_some_and(|(at, ..)| *at <= self.now_ms)
+            .is_some_and(|pending| pending.commits_ms <= self.now_ms)
         {
-            let Some((_, write, changes)) = self.writes.pop_front() else {
+            let Some(pending) = self.writes.pop_front() else {
                 break;
             };
-            apply(&mut self.rows, changes);
-            self.handle(Event::Committed(write));
+            apply(&mut self.rows, pending.changes);
+            self.handle(Event::Committed(pending.write));
         }
         while self
             .messages
             .front()
-            .is_some_and(|(at, _)| *at <= self.now_ms)
+            .is_some_and(|transit| transit.arrives_ms <= self.now_ms)
         {
-            let Some((_, message)) = self.messages.pop_front() else {
+            let Some(transit) = self.messages.pop_front() else {
                 break;
             };
-            self.deliver(message);
+            self.deliver(transit.message);
         }
         for node in 0..self.nodes.len() {
             self.advance_node(node);
@@ -369,6 +314,14 @@
         }
     }
 
+    fn send(&mut self, message: Message) {
+        let arrives_ms = self.now_ms + NET_MS;
+        self.messages.push_back(MessageInTransit {
+            arrives_ms,
+            message,
+        });
+    }
+
     fn record_acknowledged_ends(&mut self, node: usize, acknowledged: u64) {
         let at = &mut self.nodes[node];
         assert!(
@@ -414,120 +367,7 @@
                 .find(|(_, at)| **at == node)
                 .map(|(id, _)| *id);
             let Some(agent) = agent else { return };
-            self.messages
-                .push_back((now_ms + NET_MS, Message::Report(agent, report)));
-        }
-    }
-
-    fn run_node(&mut self, node: usize) {
-        let now_ms = self.now_ms;
-        if now_ms >= self.nodes[node].leased_until_ms {
-            let expired: Vec<RunId> = self.nodes[node].running.keys().copied().collect();
-            expired
-                .into_iter()
-                .for_each(|run| self.nodes[node].end(run, RunEnd::Expired, String::new()));
-        }
-        if let Some(until_ms) = self.nodes[node].drain_end_ms
-            && now_ms >= until_ms
-        {
-            self.nodes[node].crash(now_ms, 3_000);
-        }
-        let runs: Vec<(RunId, ActiveRun)> = self.nodes[node]
-            .running
-            .iter()
-            .map(|(run, at)| (*run, at.clone()))
-            .collect();
-        for (run, at) in runs {
-            self.advance_run(node, run, &at);
-        }
-    }
-
-    fn advance_run(&mut self, node: usize, run: RunId, at: &ActiveRun) {
-        let now_ms = self.now_ms;
-        let Some(step) = self.jobs[&run.task.job]
-            .spec
-            .stages
-            .get(run.task.step as usize)
-            .cloned()
-        else {
-            return;
-        };
-        if at.stop_ms.is_some_and(|stop| now_ms >= stop) {
-            let ran_ms = at.began_ms.map_or(0, |began| now_ms - began);
-            self.stopped_core_ms += ran_ms as f64 * at.order.resources.cpu as f64 / 1_000.0;
-            return self.nodes[node].end(run, RunEnd::Stopped, at.checkpoint(now_ms));
-        }
-        let Some(began_ms) = at.began_ms else {
-            return self.wait_for_gang(node, run, at, step.count);
-        };
-        let (work_ms, failures) = self
-            .work
-            .get(&run.task)
-            .copied()
-            .unwrap_or((step.estimate_ms, 0));
-        if step.long_running || self.nodes[node].hangs || now_ms < began_ms + work_ms {
-            return;
-        }
-        let failed_attempts = self
-            .history
-            .get(&run.task)
-            .map_or(0, |h| h.failed_acknowledged.len() as u32);
-        if self.nodes[node].fails || failed_attempts < failures {
-            self.nodes[node].end(run, RunEnd::Failed, String::new());
-            return self.break_gang(run, step.gang);
-        }
-        self.nodes[node].end(run, RunEnd::Done, String::new());
-        self.history.entry(run.task).or_default().done = true;
-        if step.gang {
-            self.end_gang(run);
-        }
-    }
-
-    fn gang_members(&self, run: RunId) -> Vec<(usize, RunId)> {
-        let same = |other: &RunId| {
-            other.attempt == run.attempt
-                && (other.task.job, other.task.repeat, other.task.step)
-                    == (run.task.job, run.task.repeat, run.task.step)
-        };
-        let on = |(node, at): (usize, &Node)| {
-            let here: Vec<(usize, RunId)> = at
-                .running
-                .keys()
-                .filter(|r| same(r))
-                .map(|r| (node, *r))
-                .collect();
-            here
-        };
-        self.nodes.iter().enumerate().flat_map(on).collect()
-    }
-
-    fn wait_for_gang(&mut self, node: usize, run: RunId, at: &ActiveRun, count: u32) {
-        let members = self.gang_members(run);
-        if members.len() as u32 == count {
-            for (node, run) in members {
-                if let Some(at) = self.nodes[node].running.get_mut(&run) {
-                    at.began_ms = Some(self.now_ms);
-                }
-            }
-        } else if self.now_ms >= at.arrived_ms + GANG_MS {
-            self.ended_alone += 1;
-            assert!(!self.fault_free, "GANG: {} ended alone", run.task);
-            self.nodes[node].end(run, RunEnd::Alone, String::new());
-        }
-    }
-
-    fn end_gang(&mut self, run: RunId) {
-        for (node, member) in self.gang_members(run) {
-            self.nodes[node].end(member, RunEnd::Done, String::new());
-            self.history.entry(member.task).or_default().done = true;
-        }
-    }
-
-    fn break_gang(&mut self, run: RunId, gang: bool) {
-        if gang {
-            for (node, member) in self.gang_members(run) {
-                self.nodes[node].end(member, RunEnd::Broken, String::new());
-            }
+            self.send(Message::Report(agent, report));
         }
     }
 }
--- a/crates/scheduler/tests/cluster/node.rs
+++ b/crates/scheduler/tests/cluster/node.rs
@@ -1,4 +1,4 @@
-//! A worker and the companion beside it, in virtual time.
+//! A worker and the node agent beside it, in virtual time.
 
 use indigofold_protocol::internal::*;
 use indigofold_protocol::job::Resources;
@@ -6,7 +6,7 @@
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Beats of a worker are so far apart.
+/// Period of a worker's heartbeats.
 const HEARTBEAT_MS: u64 = 50;
 /// Time that a stop takes, unless a test wants it otherwise.
 const STOP_MS: u64 = 120;
@@ -26,7 +26,7 @@
 }
 
 impl ActiveRun {
-    /// Progress saved so far: every half second of work.
+    /// The newest checkpoint: one every half second of work.
     pub fn checkpoint(&self, now_ms: u64) -> String {
         let half_seconds = self.began_ms.map_or(0, |began| (now_ms - began) / 500);
         if half_seconds == 0 {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A machine with a worker and its companion.
+/// A machine with a worker and its node agent.
 pub struct Node {
     pub name: String,
     pub incarnation: u32,
@@ -60,7 +60,7 @@
     pub stop_ms: u64,
     pub hangs: bool,
     pub fails: bool,
-    /// Companion: orders not passed on, runs that are over, what is to be told.
+    /// Node agent: orders not passed on, runs that have ended, what is to be reported.
     pub undelivered: BTreeMap<RunId, StartOrder>,
     pub closed_runs: BTreeSet<RunId>,
     pub not_started: Vec<RunId>,
@@ -114,7 +114,7 @@
         format!("i-{}-{}", self.name, self.incarnation)
     }
 
-    /// The worker crashes and comes back as another life.
+    /// The worker crashes and comes back as another instance.
     pub fn crash(&mut self, now_ms: u64, back_ms: u64) {
         self.ended_instances.push(self.instance());
         self.incarnation += 1;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Runs that the companion passes on with the answer to a heartbeat.
+    /// Runs that the node agent passes on with the answer to a heartbeat.
     pub fn heartbeat(&mut self, now_ms: u64) -> Vec<StartOrder> {
         if !self.up || now_ms < self.next_heartbeat_ms {
             return Vec::new();
--- /dev/null
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -0,0 +1,135 @@
+//! What workers of the simulated cluster do with their runs.
+
+use super::node::{ActiveRun, GANG_MS, Node};
+use super::{Cluster, TaskWork};
+use indigofold_protocol::job::Step;
+use indigofold_protocol::task::{RunId, TaskName};
+use indigofold_protocol::worker::RunEnd;
+
+impl Cluster {
+    /// Nodes on which something runs.
+    pub fn busy_nodes(&self) -> Vec<usize> {
+        (0..self.nodes.len())
+            .filter(|node| !self.nodes[*node].running.is_empty())
+            .collect()
+    }
+
+    /// Runs of this task work for `run_ms`, and the first `failures` of them fail.
+    pub fn set_work(&mut self, task: TaskName, run_ms: u64, failures: u32) {
+        self.work.insert(task, TaskWork { run_ms, failures });
+    }
+
+    pub(super) fn work_of(&self, task: TaskName, step: &Step) -> TaskWork {
+        self.work.get(&task).copied().unwrap_or(TaskWork {
+            run_ms: step.estimate_ms,
+            failures: 0,
+        })
+    }
+
+    pub(super) fn run_node(&mut self, node: usize) {
+        let now_ms = self.now_ms;
+        if now_ms >= self.nodes[node].leased_until_ms {
+            let expired: Vec<RunId> = self.nodes[node].running.keys().copied().collect();
+            expired
+                .into_iter()
+                .for_each(|run| self.nodes[node].end(run, RunEnd::Expired, String::new()));
+        }
+        if let Some(until_ms) = self.nodes[node].drain_end_ms
+            && now_ms >= until_ms
+        {
+            self.nodes[node].crash(now_ms, 3_000);
+        }
+        let runs: Vec<(RunId, ActiveRun)> = self.nodes[node]
+            .running
+            .iter()
+            .map(|(run, at)| (*run, at.clone()))
+            .collect();
+        for (run, at) in runs {
+            self.advance_run(node, run, &at);
+        }
+    }
+
+    fn advance_run(&mut self, node: usize, run: RunId, at: &ActiveRun) {
+        let now_ms = self.now_ms;
+        let Some(step) = self.jobs[&run.task.job]
+            .spec
+            .stages
+            .get(run.task.step as usize)
+            .cloned()
+        else {
+            return;
+        };
+        if at.stop_ms.is_some_and(|stop| now_ms >= stop) {
+            let ran_ms = at.began_ms.map_or(0, |began| now_ms - began);
+            self.stopped_core_ms += ran_ms as f64 * at.order.resources.cpu as f64 / 1_000.0;
+            return self.nodes[node].end(run, RunEnd::Stopped, at.checkpoint(now_ms));
+        }
+        let Some(began_ms) = at.began_ms else {
+            return self.wait_for_gang(node, run, at, step.count);
+        };
+        let TaskWork { run_ms, failures } = self.work_of(run.task, &step);
+        if step.long_running || self.nodes[node].hangs || now_ms < began_ms + run_ms {
+            return;
+        }
+        let failed_attempts = self
+            .history
+            .get(&run.task)
+            .map_or(0, |h| h.failed_acknowledged.len() as u32);
+        if self.nodes[node].fails || failed_attempts < failures {
+            self.nodes[node].end(run, RunEnd::Failed, String::new());
+            return self.break_gang(run, step.gang);
+        }
+        self.nodes[node].end(run, RunEnd::Done, String::new());
+        self.history.entry(run.task).or_default().done = true;
+        if step.gang {
+            self.end_gang(run);
+        }
+    }
+
+    pub(super) fn gang_members(&self, run: RunId) -> Vec<(usize, RunId)> {
+        let same = |other: &RunId| {
+            other.attempt == run.attempt
+                && (other.task.job, other.task.repeat, other.task.step)
+                    == (run.task.job, run.task.repeat, run.task.step)
+        };
+        let on = |(node, at): (usize, &Node)| {
+            let here: Vec<(usize, RunId)> = at
+                .running
+                .keys()
+                .filter(|r| same(r))
+                .map(|r| (node, *r))
+                .collect();
+            here
+        };
+        self.nodes.iter().enumerate().flat_map(on).collect()
+    }
+
+    fn wait_for_gang(&mut self, node: usize, run: RunId, at: &ActiveRun, count: u32) {
+        let members = self.gang_members(run);
+        if members.len() as u32 == count {
+            for (node, run) in members {
+                if let Some(at) = self.nodes[node].running.get_mut(&run) {
+                    at.began_ms = Some(self.now_ms);
+                }
+            }
+        } else if self.now_ms >= at.arrived_ms + GANG_MS {
+            assert!(!self.fault_free, "GANG: {} ended alone", run.task);
+            self.nodes[node].end(run, RunEnd::Alone, String::new());
+        }
+    }
+
+    fn end_gang(&mut self, run: RunId) {
+        for (node, member) in self.gang_members(run) {
+            self.nodes[node].end(member, RunEnd::Done, String::new());
+            self.history.entry(member.task).or_default().done = true;
+        }
+    }
+
+    fn break_gang(&mut self, run: RunId, gang: bool) {
+        if gang {
+            for (node, member) in self.gang_members(run) {
+                self.nodes[node].end(member, RunEnd::Broken, String::new());
+            }
+        }
+    }
+}
--- a/crates/scheduler/tests/cluster/setup.rs
+++ b/crates/scheduler/tests/cluster/setup.rs
@@ -1,8 +1,9 @@
-//! What the tests' clusters are made of.
+//! Builders: configuration, jobs and nodes of the tests' clusters.
 
 use super::node::Node;
 use indigofold_protocol::config::{Config, Route, Service};
 use indigofold_protocol::job::{JobSpec, Resources, Step};
+use indigofold_protocol::task::{JobId, TaskName};
 use indigofold_scheduler::Bounds;
 
 pub fn bounds() -> Bounds {
@@ -86,3 +87,13 @@
         vision("n7", "r1-2"),
     ]
 }
+
+/// The first task of a step, in the first repetition.
+pub fn first_task(job: JobId, step: u32) -> TaskName {
+    TaskName {
+        job,
+        repeat: 0,
+        step,
+        index: 0,
+    }
+}
--- a/crates/scheduler/tests/headroom.rs
+++ b/crates/scheduler/tests/headroom.rs
@@ -1,4 +1,4 @@
-//! Room kept free for small urgent tasks.
+//! Capacity that is left free for small urgent tasks.
 
 mod cluster;
 
@@ -9,11 +9,10 @@
     cluster.nodes[..4].iter().map(|node| node.used().cpu).sum()
 }
 
-/// Work with time to spare leaves room while small urgent tasks keep coming, and takes it once they do not.
+/// Work with slack leaves headroom while small urgent tasks come, and uses it once they do not.
 #[test]
 fn work_with_slack_leaves_headroom_for_urgent_tasks() {
-    let mut cluster = Cluster::new(11);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(11);
     cluster.submit("quick", 1, spec(vec![step(4, 240, 300)]));
     cluster.run_for(1_000);
     cluster.submit("bulk", 2, spec(vec![step(64, 1_000, 30_000)]));
@@ -28,11 +27,10 @@
     assert_eq!(used(&cluster), all, "nothing urgent came for long");
 }
 
-/// Where nothing small is urgent, all room is used at once.
+/// Without small urgent tasks all capacity is used at once.
 #[test]
 fn without_urgent_tasks_there_is_no_headroom() {
-    let mut cluster = Cluster::new(12);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(12);
     cluster.submit("bulk", 2, spec(vec![step(64, 1_000, 30_000)]));
     cluster.run_for(500);
     assert_eq!(used(&cluster), 4 * 16_000);
--- a/crates/scheduler/tests/idle_jobs.rs
+++ b/crates/scheduler/tests/idle_jobs.rs
@@ -1,4 +1,4 @@
-//! No job sits idle while there is room for it, whatever keeps the scheduler from the workers that it would prefer.
+//! No job is idle while there is capacity for it, even if it cannot use the workers that it would prefer.
 
 mod cluster;
 
@@ -92,8 +92,8 @@
     cluster.run_for(6_000);
 }
 
-/// A gang waits for whole workers of which one is long in use: the rest of the service is kept for it, but not from
-/// those that would sit idle.
+/// A gang waits for complete workers of which one is long in use: the others are reserved for it, but not against jobs
+/// that would be idle.
 #[rstest]
 #[case::gang(Step { gang: true, gpu: 1, ..step(2, 2_000, 9_000) })]
 #[case::long(Step { gpu: 1, ..step(2, 2_000, 9_000) })]
--- a/crates/scheduler/tests/invariants.rs
+++ b/crates/scheduler/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules over many random days: crashes, drains, cuts, take-overs, cancels.
+//! The invariants under random faults: crashes, drains, partitions, failovers, cancellations.
 
 mod cluster;
 
@@ -7,7 +7,7 @@
 use indigofold_protocol::task::JobId;
 use rstest::rstest;
 
-/// What may go wrong on a day.
+/// Which faults are injected.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     NoFault,
@@ -20,82 +20,77 @@
     All,
 }
 
+/// A job of random kind, with its route.
 fn random_job(cluster: &mut Cluster) -> (&'static str, JobSpec) {
     let rng = &mut cluster.rng;
-    let after_first = Step {
+    match rng.below(8) {
+        0 => ("quick", two_steps(speculative(6, 240, 700))),
+        1..3 => ("quick", two_steps(step(6, 240, 300 + rng.below(600)))),
+        3 => ("bulk", speculative_steps()),
+        4 => ("bulk", spec(vec![labelled()])),
+        5 => ("vision", spec(vec![gang()])),
+        6 => ("vision", spec(vec![with_affinity()])),
+        _ => ("quick", repeated(cluster)),
+    }
+}
+
+fn speculative(count: u32, cpu: u64, ms: u64) -> Step {
+    Step {
+        speculative: true,
+        ..step(count, cpu, ms)
+    }
+}
+
+/// This step, and one with checkpoints that depends on it.
+fn two_steps(first: Step) -> JobSpec {
+    let second = Step {
         depends_on: vec![0],
         checkpoints: true,
         ..step(3, 400, 600)
     };
-    match rng.below(8) {
-        0 => (
-            "quick",
-            spec(vec![
-                Step {
-                    speculative: true,
-                    ..step(6, 240, 700)
-                },
-                after_first,
-            ]),
-        ),
-        1..3 => (
-            "quick",
-            spec(vec![step(6, 240, 300 + rng.below(600)), after_first]),
-        ),
-        3 => {
-            let wide = Step {
-                speculative: true,
-                ..step(14, 520, 2_000)
-            };
-            (
-                "bulk",
-                spec(vec![
-                    wide,
-                    Step {
-                        anti_affinity: 2,
-                        speculative: true,
-                        ..step(6, 500, 800)
-                    },
-                ]),
-            )
-        }
-        4 => (
-            "bulk",
-            spec(vec![Step {
-                requirements: "b".to_owned(),
-                ..step(4, 2_000, 900)
-            }]),
-        ),
-        5 => (
-            "vision",
-            spec(vec![Step {
-                gang: true,
-                rack_local: true,
-                gpu: 4,
-                ..step(2, 15_000, 1_500)
-            }]),
-        ),
-        6 => (
-            "vision",
-            spec(vec![Step {
-                gpu: 1,
-                affinity: "r1-1".to_owned(),
-                ..step(6, 2_800, 1_000)
-            }]),
-        ),
-        _ => {
-            let start_at_ms = cluster.wall_ms() + cluster.rng.below(1_500);
-            let plain = spec(vec![step(2, 300, 500)]);
-            (
-                "quick",
-                JobSpec {
-                    repeat_count: 3,
-                    start_at_ms,
-                    interval_ms: 400,
-                    ..plain
-                },
-            )
-        }
+    spec(vec![first, second])
+}
+
+fn speculative_steps() -> JobSpec {
+    let spread = Step {
+        anti_affinity: 2,
+        ..speculative(6, 500, 800)
+    };
+    spec(vec![speculative(14, 520, 2_000), spread])
+}
+
+fn labelled() -> Step {
+    Step {
+        requirements: "b".to_owned(),
+        ..step(4, 2_000, 900)
+    }
+}
+
+fn gang() -> Step {
+    Step {
+        gang: true,
+        rack_local: true,
+        gpu: 4,
+        ..step(2, 15_000, 1_500)
+    }
+}
+
+fn with_affinity() -> Step {
+    Step {
+        gpu: 1,
+        affinity: "r1-1".to_owned(),
+        ..step(6, 2_800, 1_000)
+    }
+}
+
+/// Three repetitions, the first due within 1.5 s.
+fn repeated(cluster: &mut Cluster) -> JobSpec {
+    let start_at_ms = cluster.wall_ms() + cluster.rng.below(1_500);
+    JobSpec {
+        repeat_count: 3,
+        start_at_ms,
+        interval_ms: 400,
+        ..spec(vec![step(2, 300, 500)])
     }
 }
 
@@ -153,7 +148,7 @@
     finish(&mut cluster, &ids);
 }
 
-/// Trouble ends; every job that was taken must come to its end.
+/// Faults end; every job that was accepted must come to its end.
 fn finish(cluster: &mut Cluster, ids: &[JobId]) {
     for node in 0..cluster.nodes.len() {
         cluster.nodes[node].hangs = false;
--- a/crates/scheduler/tests/job_lifecycle.rs
+++ b/crates/scheduler/tests/job_lifecycle.rs
@@ -8,8 +8,7 @@
 
 #[test]
 fn a_simple_job_is_accepted_and_completes() {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     let id = cluster.submit("quick", 1, spec(vec![step(6, 240, 700)]));
     assert!(
         cluster.jobs[&id].accepted_ms.is_none(),
@@ -21,9 +20,7 @@
     cluster.get(id);
     assert_eq!(cluster.jobs[&id].state, Some(JobState::Running));
     cluster.run_for(1_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 #[test]
@@ -39,9 +36,7 @@
     };
     let id = cluster.submit("bulk", 2, spec(vec![step(3, 500, 400), second, third]));
     cluster.run_for(2_500);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 #[test]
@@ -54,7 +49,7 @@
         step: 0,
         index: 1,
     };
-    cluster.work.insert(task, (100, 99));
+    cluster.set_work(task, 100, 99);
     let good = cluster.submit("quick", 4, spec(vec![step(2, 240, 100)]));
     cluster.run_for(5_000);
     cluster.get(bad);
@@ -77,9 +72,7 @@
     };
     let id = cluster.submit("quick", 5, job);
     cluster.run_for(3_200);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 #[test]
@@ -130,9 +123,7 @@
     };
     let id = cluster.submit("vision", 8, spec(vec![gang]));
     cluster.run_for(3_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 #[test]
--- a/crates/scheduler/tests/latency.rs
+++ b/crates/scheduler/tests/latency.rs
@@ -1,19 +1,18 @@
-//! A job that ends late, or fails, is told with where its time went; one that ends in time is not.
+//! A job that ends late, or fails, is reported with a latency breakdown; one that meets its target is not.
 
 mod cluster;
 
-use cluster::{Cluster, spec, step};
+use cluster::{Cluster, first_task, spec, step};
 use indigofold_protocol::job::{JobState, Step};
-use indigofold_protocol::task::TaskName;
 use indigofold_scheduler::{Cause, LateEnd};
 
-/// What was told of the only late end.
+/// The only late end.
 fn only_late_end(cluster: &Cluster) -> &LateEnd {
     assert_eq!(cluster.late.len(), 1, "{:?}", cluster.late);
     &cluster.late[0]
 }
 
-/// The parts make up the whole, but for what rounding takes.
+/// The breakdown adds up to the total time, but for rounding.
 fn assert_breakdown_complete(end: &LateEnd) {
     let causes = [
         Cause::Predecessor,
@@ -37,8 +36,7 @@
 
 #[test]
 fn a_job_that_meets_its_latency_target_is_not_reported() {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     cluster.submit("quick", 1, spec(vec![step(8, 500, 700)]));
     cluster.run_for(3_000);
     assert_eq!(cluster.late, vec![]);
@@ -47,8 +45,7 @@
 /// Two steps, both behind a full service; the second one's first run fails.
 #[test]
 fn waits_runs_and_failures_add_up_to_the_total_time() {
-    let mut cluster = Cluster::new(2);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(2);
     cluster.submit("quick", 1, spec(vec![step(64, 1_000, 6_000)]));
     cluster.run_for(100);
     let second = Step {
@@ -56,15 +53,7 @@
         ..step(1, 1_000, 500)
     };
     let job = cluster.submit("quick", 2, spec(vec![step(2, 1_000, 500), second]));
-    cluster.work.insert(
-        TaskName {
-            job,
-            repeat: 0,
-            step: 1,
-            index: 0,
-        },
-        (500, 1),
-    );
+    cluster.set_work(first_task(job, 1), 500, 1);
     cluster.run_for(12_000);
     let end = only_late_end(&cluster);
     assert_eq!(
@@ -84,11 +73,10 @@
     assert!(end.breakdown.of(Cause::Commit) >= 24, "{end}");
 }
 
-/// The rack with the data is full, others are not: the wait is for the place, not for room.
+/// The rack with the data is full, others are not: the wait is for locality, not for capacity.
 #[test]
 fn a_wait_for_a_local_worker_counts_as_locality() {
-    let mut cluster = Cluster::new(3);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(3);
     let in_rack = |count, ms| Step {
         affinity: "r1-1".to_owned(),
         ..step(count, 1_000, ms)
@@ -96,15 +84,7 @@
     cluster.submit("quick", 1, spec(vec![in_rack(32, 2_000)]));
     cluster.run_for(50);
     let job = cluster.submit("quick", 2, spec(vec![in_rack(1, 300)]));
-    cluster.work.insert(
-        TaskName {
-            job,
-            repeat: 0,
-            step: 0,
-            index: 0,
-        },
-        (2_500, 0),
-    );
+    cluster.set_work(first_task(job, 0), 2_500, 0);
     cluster.run_for(6_000);
     let late = cluster
         .late
@@ -118,18 +98,9 @@
 
 #[test]
 fn a_failed_job_is_reported() {
-    let mut cluster = Cluster::new(4);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(4);
     let job = cluster.submit("quick", 1, spec(vec![step(1, 1_000, 300)]));
-    cluster.work.insert(
-        TaskName {
-            job,
-            repeat: 0,
-            step: 0,
-            index: 0,
-        },
-        (300, 9),
-    );
+    cluster.set_work(first_task(job, 0), 300, 9);
     cluster.run_for(4_000);
     let end = only_late_end(&cluster);
     assert_eq!((end.job, end.state), (job, JobState::Failed));
@@ -140,8 +111,7 @@
 /// The head is lost: its successor did not see what went before and says so.
 #[test]
 fn time_under_a_predecessor_has_its_own_cause() {
-    let mut cluster = Cluster::new(5);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(5);
     cluster.submit("quick", 1, spec(vec![step(64, 1_000, 2_500)]));
     cluster.run_for(100);
     let job = cluster.submit("quick", 2, spec(vec![step(1, 1_000, 300)]));
--- a/crates/scheduler/tests/locality.rs
+++ b/crates/scheduler/tests/locality.rs
@@ -1,4 +1,4 @@
-//! Tasks that run faster in some places than in others, when there is too little room.
+//! Tasks that run faster on the rack of their data, when there is too little capacity.
 
 mod cluster;
 
@@ -15,12 +15,11 @@
         .count()
 }
 
-/// More tasks want one rack than it holds, and others of their priority wait too: room elsewhere goes to those, as
-/// tasks away from their data would hold it for several times as long.
+/// More tasks want one rack than fit there, and others of their priority wait too: capacity elsewhere goes to those, as
+/// remote tasks would occupy it for several times as long.
 #[test]
 fn capacity_goes_first_to_tasks_that_are_local_there() {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     cluster.submit("quick", 1, spec(vec![step(64, 1_000, 2_000)]));
     cluster.run_for(100);
     let with_affinity = Step {
@@ -51,11 +50,10 @@
     assert!(plain_ran > 0);
 }
 
-/// Room that nobody else of their priority wants is used by tasks away from their data, after a while.
+/// Capacity that nobody else of their priority wants is used by remote tasks, after a while.
 #[test]
 fn unused_capacity_is_used_by_remote_tasks() {
-    let mut cluster = Cluster::new(2);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(2);
     let with_affinity = Step {
         affinity: "r1-1".to_owned(),
         ..step(64, 1_000, 8_000)
--- a/crates/scheduler/tests/long_running.rs
+++ b/crates/scheduler/tests/long_running.rs
@@ -1,4 +1,4 @@
-//! Tasks that last, and tasks that take long.
+//! Long-running tasks, and tasks that take long.
 
 mod cluster;
 
@@ -11,11 +11,10 @@
     running.filter(|run| run.task.job == job).count()
 }
 
-/// A task that lasts earns as long as it runs: once lost, it goes before work of its priority that came later.
+/// A long-running task earns as long as it runs: once lost, it goes before work of its priority that came later.
 #[test]
 fn a_lost_long_running_task_restarts_before_later_work() {
-    let mut cluster = Cluster::new(5);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(5);
     let watcher = cluster.submit(
         "vision",
         1,
@@ -46,8 +45,7 @@
 /// Jobs of one class differ far more than workers: a long task alone is no reason to begin anew elsewhere.
 #[test]
 fn a_long_task_is_not_taken_for_a_straggler() {
-    let mut cluster = Cluster::new(6);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(6);
     for number in 0..10 {
         cluster.submit("quick", 100 + number, spec(vec![step(2, 240, 700)]));
         cluster.run_for(1_500);
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More work than there is room for: what is refused, when its client is to come back, and what stays bounded.
+//! Overload: which jobs are rejected, when their clients should retry, and what stays bounded.
 
 mod cluster;
 
@@ -19,10 +19,9 @@
         })
 }
 
-/// Fills the queue with tasks of this length and returns what a refused client is told.
+/// Fills the queue with tasks of this length and returns the time after which a rejected client should retry.
 fn retry_after_behind(task_ms: u64) -> u64 {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     for number in 0..11 {
         cluster.submit("bulk", 1 + number, spec(vec![step(2_000, 500, task_ms)]));
     }
@@ -42,8 +41,7 @@
 
 #[test]
 fn a_rejected_job_never_runs_and_may_be_submitted_later() {
-    let mut cluster = Cluster::new(2);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(2);
     let first = cluster.submit("bulk", 1, spec(vec![step(20_000, 10, 100)]));
     cluster.run_for(50);
     let id = cluster.submit("quick", 2, spec(vec![step(1, 10, 100)]));
@@ -54,16 +52,13 @@
     cluster.jobs.remove(&id);
     cluster.submit("quick", 2, spec(vec![step(1, 10, 100)]));
     cluster.run_for(1_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 /// Very many repetitions that are all due at once are opened as earlier ones end.
 #[test]
 fn repetitions_are_opened_as_others_end() {
-    let mut cluster = Cluster::new(3);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(3);
     let start_at_ms = cluster.wall_ms();
     let often = JobSpec {
         repeat_count: 30,
@@ -76,15 +71,12 @@
     let row = cluster.rows[format!("progress/{id}").as_bytes()].len();
     assert!(row < 200_000, "the row has {row} bytes");
     cluster.run_for(6_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 /// When the jobs of one queue ended that waited behind a full service, in their order.
 fn ends_on_a_saturated_service(specs: Vec<JobSpec>) -> Vec<u64> {
-    let mut cluster = Cluster::new(4);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(4);
     cluster.submit("quick", 1, spec(vec![step(64, 1_000, 1_000)]));
     cluster.run_for(100);
     let ids: Vec<_> = specs
@@ -118,12 +110,11 @@
     assert!(ends.is_sorted(), "{ends:?}");
 }
 
-/// Estimates that say nothing, or absurd ones, neither end in a division by nothing nor keep others waiting for ever.
+/// Missing or absurd estimates neither end in a division by zero nor make others wait for ever.
 #[test]
 fn absurd_estimates_do_not_starve_others() {
     let job = |estimate_ms| spec(vec![step(4, 1_000, estimate_ms)]);
-    let mut cluster = Cluster::new(5);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(5);
     let ids: Vec<_> = [0, 1, AMOUNT_MAX, 500]
         .into_iter()
         .zip(1..)
@@ -136,15 +127,13 @@
                     step: 0,
                     index,
                 };
-                cluster.work.insert(name, (300, 0));
+                cluster.set_work(name, 300, 0);
             });
             id
         })
         .collect();
     cluster.run_for(5_000);
     for id in ids {
-        cluster.get(id);
-        cluster.run_for(50);
-        assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed), "{id}");
+        assert_eq!(cluster.state_of(id), Some(JobState::Completed), "{id}");
     }
 }
--- a/crates/scheduler/tests/priorities.rs
+++ b/crates/scheduler/tests/priorities.rs
@@ -1,15 +1,14 @@
-//! Who gets room when there is too little: reservations for what needs much, preemption by priority, retries elsewhere.
+//! Who gets capacity when there is too little: reservations, preemption by priority, retries on other workers.
 
 mod cluster;
 
 use cluster::{Cluster, spec, step};
 use indigofold_protocol::job::{JobState, Step};
 
-/// Small tasks that keep coming must not starve a gang that needs two whole workers.
+/// Small tasks that keep coming must not starve a gang that needs two complete workers.
 #[test]
 fn a_gang_is_not_starved_by_small_tasks() {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     let small = || {
         spec(vec![Step {
             gpu: 1,
@@ -31,16 +30,13 @@
         cluster.submit("vision", 200 + number, small());
         cluster.run_for(300);
     }
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 /// A quick job preempts bulk work when every worker is full, and the bulk work is done later.
 #[test]
 fn a_higher_priority_preempts() {
-    let mut cluster = Cluster::new(2);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(2);
     let bulk = cluster.submit(
         "bulk",
         1,
@@ -57,20 +53,15 @@
     );
     let quick = cluster.submit("quick", 2, spec(vec![step(6, 240, 700)]));
     cluster.run_for(4_000);
-    cluster.get(quick);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&quick].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(quick), Some(JobState::Completed));
     cluster.run_for(45_000);
-    cluster.get(bulk);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&bulk].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(bulk), Some(JobState::Completed));
 }
 
-/// Nothing is preempted by work of its own priority, or while the objective can be met.
+/// Nothing is preempted by work of its own priority, or while the latency target can be met.
 #[test]
 fn equal_priorities_are_not_preempted() {
-    let mut cluster = Cluster::new(3);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(3);
     cluster.submit("bulk", 1, spec(vec![step(64, 1_000, 5_000)]));
     cluster.run_for(500);
     cluster.submit("bulk", 2, spec(vec![step(6, 240, 700)]));
@@ -81,8 +72,7 @@
 /// A worker that fails all it starts is found out before jobs run out of retries.
 #[test]
 fn a_failing_worker_is_avoided() {
-    let mut cluster = Cluster::new(4);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(4);
     cluster.nodes[0].fails = true;
     for number in 0..60 {
         cluster.submit("quick", 1 + number, spec(vec![step(6, 240, 300)]));
@@ -100,25 +90,21 @@
     assert_eq!(failed, 0);
 }
 
-/// A run that stands still is stopped and started elsewhere.
+/// A stalled run is stopped and the task started on another worker.
 #[test]
 fn a_hanging_run_is_moved() {
-    let mut cluster = Cluster::new(5);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(5);
     cluster.nodes[1].hangs = true;
     let id = cluster.submit("quick", 1, spec(vec![step(12, 240, 700)]));
     cluster.run_for(9_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
-/// Urgent jobs begin to come while all workers are full of long tasks and stops take long: room on its way to one of
-/// them is not counted on by the next as well, so that they catch up within seconds.
+/// Urgent jobs begin to come while all workers are full of long tasks and stops take long: capacity that is being freed for
+/// one of them is not counted on by the next as well, so that they catch up within seconds.
 #[test]
 fn a_flood_of_urgent_jobs_gets_capacity_within_seconds() {
-    let mut cluster = Cluster::new(7);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(7);
     cluster.nodes.iter_mut().for_each(|node| node.stop_ms = 900);
     for number in 0..8 {
         cluster.submit("bulk", 1 + number, spec(vec![step(16, 1_000, 20_000)]));
@@ -146,11 +132,10 @@
     assert!(done >= 38, "{done} of 40 are done");
 }
 
-/// A worker on which something lasts is never idle. Once it has recovered, it is tried all the same and used again.
+/// A worker with a long-running task is never idle. Once it has recovered, it is on probation all the same and used.
 #[test]
 fn a_recovered_worker_is_used_beside_a_long_running_task() {
-    let mut cluster = Cluster::new(9);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(9);
     let watcher = Step {
         long_running: true,
         anti_affinity: 1,
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -1,14 +1,11 @@
-//! What outlives a head, a companion's silence, and a job's end.
+//! What survives a failover, a disconnection of a node agent, and the end of a job.
 
 mod cluster;
 
-use cluster::{Cluster, spec, step};
-use indigofold_protocol::internal::{ClientOutcome, LEASE_AUTHORITY_MS, RUN_LEASE_MS};
+use cluster::{Cluster, EXPIRED_MS, spec, step};
+use indigofold_protocol::internal::ClientOutcome;
 use indigofold_protocol::job::JobState;
 
-/// A silent companion's holds have all lapsed after this time, whatever the clocks.
-const EXPIRED_MS: u64 = (LEASE_AUTHORITY_MS + RUN_LEASE_MS) * 105 / 100 + 300;
-
 /// A head dies at any moment round a job's start; whatever was accepted is done by its successor.
 #[test]
 fn a_successor_resends_lost_orders() {
@@ -21,10 +18,8 @@
         cluster.fail_over();
         cluster.run_for(3_000);
         if cluster.jobs[&id].accepted_ms.is_some() {
-            cluster.get(id);
-            cluster.run_for(50);
             assert_eq!(
-                cluster.jobs[&id].state,
+                cluster.state_of(id),
                 Some(JobState::Completed),
                 "after {delay_ms} ms"
             );
@@ -32,7 +27,7 @@
     }
 }
 
-/// A companion is out of reach for so long that its run is started elsewhere; the end it brings back still counts.
+/// A node agent is out of reach for so long that its run is started elsewhere; the end it brings back still counts.
 #[test]
 fn a_completion_reported_after_expiry_counts() {
     let mut cluster = Cluster::new(3);
@@ -56,16 +51,13 @@
     );
     cluster.connect(node);
     cluster.run_for(400);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
-/// While a companion is out of reach for less than its holds last, its run is not started elsewhere.
+/// While a node agent is disconnected for less than its leases last, its run is not started elsewhere.
 #[test]
 fn a_disconnection_shorter_than_the_lease_changes_nothing() {
-    let mut cluster = Cluster::new(4);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(4);
     let id = cluster.submit("bulk", 1, spec(vec![step(1, 500, 9_000)]));
     cluster.run_for(300);
     let node = cluster
@@ -77,24 +69,19 @@
     cluster.run_for(6_000);
     cluster.connect(node);
     cluster.run_for(4_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
 
 /// An ended job is shown for `status_s`, also by a successor, and then its rows are deleted.
 #[test]
 fn ended_jobs_are_kept_for_status_s_and_then_deleted() {
-    let mut cluster = Cluster::new(5);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(5);
     let id = cluster.submit("quick", 1, spec(vec![step(2, 240, 100)]));
     cluster.run_for(1_000);
     cluster.fail_over();
     cluster.run_for(4_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
     assert!(
         cluster.rows.keys().all(|key| !key.starts_with(b"job/")),
         "the definition is not needed any more"
@@ -116,8 +103,8 @@
     );
 }
 
-/// Head, companions and workers lose power together: a successor knows from the rows which machine a life was on, and
-/// that it is gone once another life registers there.
+/// Head, node agents and workers lose power together: a successor knows from the rows which machine an instance was
+/// on, and that it has ended once another instance registers there.
 #[test]
 fn instances_lost_with_the_head_are_ended_by_their_successors() {
     let mut cluster = Cluster::new(8);
@@ -132,9 +119,7 @@
     }
     cluster.fail_over();
     cluster.run_for(4_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
     let instance_count = cluster
         .rows
         .keys()
@@ -147,11 +132,10 @@
     );
 }
 
-/// A row as it was written before there were copies, byte by byte: two tasks running.
+/// A row as it was written before there were speculative runs, byte by byte: two tasks running.
 #[test]
 fn rows_without_speculative_runs_are_read() {
-    let mut cluster = Cluster::new(7);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(7);
     let id = cluster.submit("quick", 1, spec(vec![step(2, 240, 400)]));
     cluster.run_for(100);
     let key = format!("progress/{id}").into_bytes();
@@ -195,16 +179,13 @@
     );
     cluster.fail_over();
     cluster.run_for(2_000);
-    cluster.get(id);
-    cluster.run_for(50);
-    assert_eq!(cluster.jobs[&id].state, Some(JobState::Completed));
+    assert_eq!(cluster.state_of(id), Some(JobState::Completed));
 }
 
 /// The same id again is the same job, whatever has become of it.
 #[test]
 fn submission_is_idempotent() {
-    let mut cluster = Cluster::new(6);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(6);
     let job = || spec(vec![step(2, 240, 100)]);
     cluster.submit("quick", 1, job());
     cluster.submit("quick", 1, job());
--- a/crates/scheduler/tests/speculation.rs
+++ b/crates/scheduler/tests/speculation.rs
@@ -1,4 +1,4 @@
-//! Copies of speculative tasks: started when the first run is in doubt, and whichever ends first counts.
+//! Speculative runs: started when the first run is in doubt; whichever ends first counts.
 
 mod cluster;
 
@@ -12,13 +12,6 @@
     }])
 }
 
-/// Nodes that hold something.
-fn busy_nodes(cluster: &Cluster) -> Vec<usize> {
-    (0..cluster.nodes.len())
-        .filter(|node| !cluster.nodes[*node].running.is_empty())
-        .collect()
-}
-
 fn completed(cluster: &mut Cluster, id: indigofold_protocol::task::JobId) -> bool {
     cluster.get(id);
     cluster.run_for(50);
@@ -27,11 +20,10 @@
 
 #[test]
 fn a_run_on_an_unresponsive_worker_gets_a_speculative_run() {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     let id = cluster.submit("quick", 1, speculative(1, 700));
     cluster.run_for(200);
-    let first = busy_nodes(&cluster)[0];
+    let first = cluster.busy_nodes()[0];
     cluster.disconnect(first);
     cluster.run_for(3_500);
     assert!(completed(&mut cluster, id));
@@ -39,45 +31,42 @@
     assert_eq!(cluster.history[&task].starts, 2);
     cluster.connect(first);
     cluster.run_for(2_000);
-    assert!(busy_nodes(&cluster).is_empty());
+    assert!(cluster.busy_nodes().is_empty());
     assert!(completed(&mut cluster, id));
 }
 
 #[test]
 fn a_stalled_run_gets_a_speculative_run_on_another_worker() {
-    let mut cluster = Cluster::new(2);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(2);
     cluster.nodes[1].hangs = true;
     let id = cluster.submit("quick", 1, speculative(12, 700));
     cluster.run_for(3_300);
     assert!(completed(&mut cluster, id));
     cluster.run_for(1_000);
     assert!(
-        busy_nodes(&cluster).is_empty(),
+        cluster.busy_nodes().is_empty(),
         "the run that lost is stopped"
     );
 }
 
 #[test]
 fn tasks_that_are_not_speculative_have_one_run_at_a_time() {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     cluster.submit("quick", 1, spec(vec![step(1, 240, 700)]));
     cluster.run_for(200);
-    let first = busy_nodes(&cluster)[0];
+    let first = cluster.busy_nodes()[0];
     cluster.disconnect(first);
     cluster.run_for(5_000);
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
 
-/// There is no hurry as long as the objective can be met.
+/// There is no hurry as long as the latency target can be met.
 #[test]
 fn no_speculative_run_while_the_latency_target_can_be_met() {
-    let mut cluster = Cluster::new(1);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(1);
     cluster.submit("bulk", 1, speculative(1, 6_000));
     cluster.run_for(200);
-    let first = busy_nodes(&cluster)[0];
+    let first = cluster.busy_nodes()[0];
     cluster.disconnect(first);
     cluster.run_for(2_000);
     cluster.connect(first);
@@ -85,7 +74,7 @@
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
 
-/// The record holds both runs: whatever moment a head dies at, its successor knows them and stops the loser.
+/// The row has both runs: whenever a head fails, its successor knows them and stops the one that loses.
 #[test]
 fn a_successor_knows_both_runs() {
     for delay_ms in (0..3_000).step_by(100) {
@@ -94,7 +83,7 @@
         cluster.run_for(200);
         let id = cluster.submit("quick", 1, speculative(2, 900));
         cluster.run_for(200);
-        let first = busy_nodes(&cluster)[0];
+        let first = cluster.busy_nodes()[0];
         cluster.disconnect(first);
         cluster.run_for(delay_ms);
         cluster.fail_over();
@@ -103,22 +92,21 @@
         cluster.run_for(5_000);
         assert!(completed(&mut cluster, id), "after {delay_ms} ms");
         cluster.run_for(2_000);
-        assert!(busy_nodes(&cluster).is_empty(), "after {delay_ms} ms");
+        assert!(cluster.busy_nodes().is_empty(), "after {delay_ms} ms");
     }
 }
 
 #[test]
 fn cancelling_stops_both_runs() {
-    let mut cluster = Cluster::new(4);
-    cluster.run_for(200);
+    let mut cluster = Cluster::started(4);
     cluster.nodes[0].hangs = true;
     cluster.nodes[1].hangs = true;
     cluster.nodes[2].hangs = true;
     cluster.nodes[3].hangs = true;
     let id = cluster.submit("quick", 1, speculative(1, 700));
     cluster.run_for(2_500);
-    assert_eq!(busy_nodes(&cluster).len(), 2);
+    assert_eq!(cluster.busy_nodes().len(), 2);
     cluster.cancel(id);
     cluster.run_for(500);
-    assert!(busy_nodes(&cluster).is_empty());
+    assert!(cluster.busy_nodes().is_empty());
 }
--- a/crates/scheduler/tests/validation.rs
+++ b/crates/scheduler/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Jobs that cannot be read or done are refused with a reason.
+//! Jobs that cannot be done are rejected with a reason.
 
 mod cluster;
 
