--- a/crates/scheduler/tests/invariants.rs
+++ b/crates/scheduler/tests/invariants.rs
@@ -10,7 +10,7 @@
 /// Which faults are injected.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    NoFault,
+    Quiet,
     Cancels,
     Crashes,
     Partitions,
@@ -128,10 +128,10 @@
 
 fn play(kind: Fault, seed: u64) {
     let mut cluster = Cluster::new(seed);
-    cluster.fault_free = matches!(kind, Fault::NoFault | Fault::Cancels);
+    cluster.fault_free = matches!(kind, Fault::Quiet | Fault::Cancels);
     cluster.checks_idle = matches!(
         kind,
-        Fault::NoFault | Fault::Cancels | Fault::Drains | Fault::Hangs
+        Fault::Quiet | Fault::Cancels | Fault::Drains | Fault::Hangs
     );
     let mut ids = Vec::new();
     for number in 0..60 {
@@ -191,7 +191,7 @@
 #[rstest]
 fn invariants_hold_under_faults(
     #[values(
-        Fault::NoFault,
+        Fault::Quiet,
         Fault::Cancels,
         Fault::Crashes,
         Fault::Partitions,
