--- a/crates/scheduler/src/checkpoints.rs
+++ b/crates/scheduler/src/checkpoints.rs
@@ -3,7 +3,7 @@
 
 use crate::queue::StepRef;
 use crate::state::ClusterState;
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 use indigofold_protocol::task::{JobId, TaskName};
 
 /// Checkpoints of runs that are expected to be shorter are not written.
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -4,7 +4,7 @@
 use crate::job::Job;
 use crate::kinds::Class;
 use crate::queue::StepRef;
-use crate::workers::{Worker, WorkerId};
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
 use rustc_hash::FxHashMap;
 
@@ -114,7 +114,7 @@
                     && status != HealthStatus::Suspected
                     && self.is_local(worker)
                     && !failed_there
-                    && worker.warm_up_until_ms <= now_ms
+                    && worker.is_warm(now_ms)
                     && !(self.avoids_idle_workers && worker.runs.is_empty())
             }
             Scope::Allowed => {
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -3,7 +3,7 @@
 use crate::queue::StepRef;
 use crate::task::Run;
 use crate::view::ClusterView;
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 use indigofold_protocol::task::TaskName;
 
 /// From this percentage on, a run's progress says when it ends.
--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -5,7 +5,7 @@
 use crate::queue::StepRef;
 use crate::runs::Placement;
 use crate::state::ClusterState;
-use crate::workers::{Worker, WorkerId};
+use crate::worker::{Worker, WorkerId};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -4,7 +4,7 @@
 use crate::queue::QueueKey;
 use crate::services::ServiceState;
 use crate::view::ClusterView;
-use crate::workers::Worker;
+use crate::worker::Worker;
 
 /// Part of the service's processors that is left free.
 const HEADROOM_FRACTION: f64 = 0.10;
--- a/crates/scheduler/src/instance_rows.rs
+++ b/crates/scheduler/src/instance_rows.rs
@@ -2,7 +2,7 @@
 //! has ended as soon as another one registers on that machine.
 
 use crate::state::ClusterState;
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 
 const INSTANCE_PREFIX: &str = "life/";
 
@@ -22,8 +22,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.recorded_node.as_deref() != Some(node_name) {
-            worker.recorded_node = Some(node_name.to_owned());
+        if worker.set_recorded_node(node_name) {
             let instance = worker.instance.clone();
             self.outbox
                 .instance_changed(instance, Some(node_name.to_owned()));
@@ -33,7 +32,7 @@
     /// An instance has ended: its row is deleted.
     pub(crate) fn forget_instance(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get(id)
-            && worker.recorded_node.is_some()
+            && worker.is_recorded()
         {
             self.outbox.instance_changed(worker.instance.clone(), None);
         }
@@ -45,7 +44,7 @@
         let id = self.workers.get_or_register(instance, self.now_ms);
         let node_name = String::from_utf8_lossy(node_name).into_owned();
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.recorded_node = Some(node_name.clone());
+            worker.set_recorded_node(&node_name);
         }
         self.workers.set_node(id, node_name);
     }
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -6,7 +6,7 @@
 use crate::queue::{Prospect, QueueKey, StepRef};
 use crate::task::{Run, StepState, Task};
 use crate::value::{cost_class, work_of};
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 use indigofold_protocol::job::Step;
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use std::collections::BTreeMap;
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -1,7 +1,8 @@
 //! Hybrid SQ(d): the workers of a service by kind, the kinds' shares p_k of problem (1), and the selection of a worker.
 
 use crate::rng::Rng;
-use crate::workers::{Worker, WorkerId, Workers, is_rack};
+use crate::worker::{Worker, WorkerId, is_rack};
+use crate::workers::Workers;
 use indigofold_placement::runs::{KEEP, Speed, Sum, Work, add, learn};
 use indigofold_placement::solve::solve;
 use indigofold_protocol::job::Resources;
@@ -113,7 +114,7 @@
         self.kind_of.clear();
         for (id, worker) in workers
             .iter()
-            .filter(|(_, w)| w.backend == backend && w.expired_ms.is_none())
+            .filter(|(_, w)| w.backend == backend && w.expired_ms().is_none())
         {
             let kind = self.kind_for(worker);
             self.kinds[kind].workers.push(id);
@@ -169,8 +170,9 @@
     pub fn measured_load(&self, workers: &Workers) -> f64 {
         let (mut used, mut all) = (0.0, 0.0);
         for worker in self.kind_of.keys().filter_map(|id| workers.get(*id)) {
-            let bound = dominant_share(&worker.used_bound, &worker.capacity);
-            let unbound = dominant_share(&worker.used.minus(&worker.used_bound), &worker.capacity);
+            let bound = dominant_share(&worker.used_bound(), &worker.capacity);
+            let unbound =
+                dominant_share(&worker.used.minus(&worker.used_bound()), &worker.capacity);
             used += unbound;
             all += (1.0 - bound).max(unbound);
         }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -5,7 +5,8 @@
 //! The modules in layers; each uses those above it in this list:
 //!
 //! - Values: `api` (inputs and outputs), `queue` (order of admission), `latency`, `definition`, `run_result`.
-//! - Parts with state of their own: `clock`, `rng`, `health`, `workers` (registry of instances and connections), `kinds`
+//! - Parts with state of their own: `clock`, `rng`, `health`, `worker`, `unexpected_runs`, `workers` (registry of
+//!   instances and connections), `kinds`
 //!   (hybrid SQ(d)), `task`, `job`, `job_table`, `admission` (load), `due_jobs`, `recent_demand`, `reservations`,
 //!   `services`, `outbox` (rows and what waits for their commit).
 //! - Decisions, which read a `view` of the parts: `demand`, `estimates`, `straggler`, `headroom`, `backlog`, `outlook`.
@@ -63,8 +64,10 @@
 mod takeover;
 mod task;
 mod timers;
+mod unexpected_runs;
 mod value;
 mod view;
+mod worker;
 mod workers;
 mod writes;
 
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -2,7 +2,7 @@
 //! committed.
 
 use crate::api::{CallerId, WriteId};
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 use indigofold_protocol::internal::{ClientOutcome, ClientReply, StartOrder};
 use indigofold_protocol::task::{JobId, RunId};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -8,7 +8,7 @@
 use crate::services::ServiceState;
 use crate::state::ClusterState;
 use crate::view::ClusterView;
-use crate::workers::{Worker, WorkerId};
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -11,7 +11,7 @@
 use crate::services::ServiceState;
 use crate::state::ClusterState;
 use crate::view::ClusterView;
-use crate::workers::{Worker, WorkerId};
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::TaskName;
 
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -7,7 +7,7 @@
 use crate::state::ClusterState;
 use crate::value::cores;
 use crate::view::ClusterView;
-use crate::workers::{Worker, WorkerId};
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{RunId, TaskName};
 use rustc_hash::FxHashMap;
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -4,7 +4,7 @@
 use crate::outbox::Deferred;
 use crate::run_result::RunResult;
 use crate::state::{AnswerWithoutInstance, ClusterState};
-use crate::workers::WorkerId;
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::internal::{AgentReport, FinishedRun, InstanceReport, RunningRun};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::RunEnd;
@@ -45,7 +45,7 @@
         self.handle_running(id, &instance);
         self.handle_ends(id, &instance.finished);
         self.resend_orders(agent, id, &instance);
-        self.stop_unknown_runs(id, report.sent_ms, instance.running.is_some());
+        self.stop_unexpected_runs(id, report.sent_ms, instance.running.is_some());
         self.outbox.orders_for(id).echo_sent_ms = Some(report.sent_ms);
     }
 
@@ -64,7 +64,7 @@
         let mut expected_instance = String::new();
         for id in instances {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.answered_ms = now_ms;
+                worker.answered(now_ms);
                 expected_instance.clone_from(&worker.instance);
             }
         }
@@ -93,9 +93,9 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return id;
         };
-        worker.answered_ms = now_ms;
+        worker.answered(now_ms);
         let before = worker.backend.clone();
-        let changed = worker.apply_report(now_ms, report) | worker.expired_ms.take().is_some();
+        let changed = worker.apply_report(now_ms, report) | worker.revive();
         if changed {
             self.regroup(&before);
             self.regroup(&report.backend);
@@ -114,11 +114,11 @@
             let Some(worker) = self.workers.get_mut(id) else {
                 continue;
             };
-            if worker.node_name.as_deref() != Some(node_name) {
+            if worker.node_name() != Some(node_name) {
                 continue;
             }
             if wanted {
-                worker.backoff_until_ms = now_ms + REJECTED_START_BACKOFF_MS;
+                worker.back_off_until(now_ms + REJECTED_START_BACKOFF_MS);
             }
             self.finish_run(*run, RunResult::NotStarted, "");
         }
@@ -126,23 +126,19 @@
 
     fn handle_running(&mut self, id: WorkerId, instance: &InstanceReport) {
         let in_flight = &instance.in_flight;
-        let unknown_runs: Vec<RunId> = in_flight
+        let in_flight: Vec<RunId> = in_flight
             .iter()
             .copied()
             .filter(|run| !self.record_in_flight(id, run))
             .collect();
-        let listed = instance.running.as_ref().map(|running| {
-            let strange = running
+        let running = instance.running.as_ref().map(|running| {
+            let unknown = running
                 .iter()
                 .filter(|listed| !self.update_listed_run(id, listed));
-            strange.map(|listed| listed.run).collect::<Vec<RunId>>()
+            unknown.map(|listed| listed.run).collect::<Vec<RunId>>()
         });
-        let Some(worker) = self.workers.get_mut(id) else {
-            return;
-        };
-        worker.unknown_in_flight = unknown_runs;
-        if let Some(listed) = listed {
-            worker.unknown_runs = listed;
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.unexpected.set(in_flight, running);
         }
     }
 
@@ -172,17 +168,17 @@
     }
 
     fn handle_ends(&mut self, id: WorkerId, finished: &[FinishedRun]) {
-        let Some(taken) = self.workers.get(id).map(|worker| worker.handled_end) else {
+        let Some(handled) = self.workers.get(id).map(Worker::handled_end) else {
             return;
         };
-        let mut newest = taken;
-        for end in finished.iter().filter(|end| end.number > taken) {
+        let mut newest = handled;
+        for end in finished.iter().filter(|end| end.number > handled) {
             newest = newest.max(end.number);
             self.handle_end(id, end);
         }
-        if newest > taken {
+        if newest > handled {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.handled_end = newest;
+                worker.handle_ends_until(newest);
             }
             self.outbox.defer(
                 self.outbox.newest_write(),
@@ -203,7 +199,7 @@
         if end.end == RunEnd::Refused
             && let Some(worker) = self.workers.get_mut(id)
         {
-            worker.backoff_until_ms = now_ms + REJECTED_START_BACKOFF_MS;
+            worker.back_off_until(now_ms + REJECTED_START_BACKOFF_MS);
         }
         self.finish_run(end.run, RunResult::Ended(end.end), &end.checkpoint);
     }
@@ -258,29 +254,14 @@
         }
     }
 
-    /// Runs that must not be there are stopped; until they are over the worker gets no starts.
-    fn stop_unknown_runs(&mut self, id: WorkerId, sent_ms: u64, reports_running: bool) {
+    /// Runs that must not be there are stopped; until they have ended the worker gets no starts.
+    fn stop_unexpected_runs(&mut self, id: WorkerId, sent_ms: u64, reports_running: bool) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let mut stop: Vec<RunId> = worker.unknown_in_flight.clone();
-        if reports_running {
-            stop.extend(worker.unknown_runs.iter().copied());
-        }
-        if !worker.given_up.is_empty() {
-            match worker.given_up_report_sent_ms {
-                Some(report_sent_ms) if sent_ms > report_sent_ms => {
-                    worker.given_up.clear();
-                    worker.given_up_report_sent_ms = None;
-                }
-                _ => {
-                    stop.extend(worker.given_up.iter().copied());
-                    worker.given_up_report_sent_ms = Some(sent_ms);
-                }
-            }
-        }
-        if !stop.is_empty() {
-            self.outbox.orders_for(id).stop.extend(stop);
+        let stops = worker.unexpected.stops(sent_ms, reports_running);
+        if !stops.is_empty() {
+            self.outbox.orders_for(id).stop.extend(stops);
         }
     }
 }
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -2,7 +2,7 @@
 
 use crate::demand::StepDemand;
 use crate::queue::StepRef;
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 use indigofold_protocol::job::Resources;
 use rustc_hash::FxHashMap;
 
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -5,7 +5,7 @@
 use crate::run_result::RunResult;
 use crate::state::ClusterState;
 use crate::view::ClusterView;
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 use indigofold_protocol::task::{RunId, TaskName};
 use indigofold_protocol::worker::WorkerState;
 
@@ -28,7 +28,7 @@
         let reachable = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.agent.is_some() && worker.full_report_received);
+            .filter(|(_, worker)| worker.order_connection().is_some());
         let tasks_by_worker: Vec<(WorkerId, Vec<TaskName>)> = reachable
             .map(|(id, worker)| (id, worker.runs.iter().copied().collect()))
             .collect();
--- a/crates/scheduler/src/run_results.rs
+++ b/crates/scheduler/src/run_results.rs
@@ -40,7 +40,7 @@
             kinds.record_run(run.worker, &traits.class, traits.estimate_ms, run_ms);
         }
         if let Some(worker) = self.workers.get_mut(run.worker) {
-            let pace = pace.filter(|_| worker.warm_up_until_ms <= run.placed_ms);
+            let pace = pace.filter(|_| worker.is_warm(run.placed_ms));
             worker.health.succeeded(now_ms, pace);
         }
     }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -7,7 +7,7 @@
 use crate::state::ClusterState;
 use crate::step_traits::StepTraits;
 use crate::task::{Run, StopOrder, Task};
-use crate::workers::WorkerId;
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::internal::StartOrder;
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{RunId, TaskName};
@@ -125,7 +125,7 @@
         let reachable = self
             .workers
             .get(worker)
-            .is_some_and(|worker| worker.agent.is_some() && worker.full_report_received);
+            .is_some_and(|worker| worker.order_connection().is_some());
         if !reachable || stopped || ended {
             return self.finish_run(run, RunResult::NotStarted, "");
         }
@@ -222,10 +222,7 @@
             return;
         };
         let worker = run.worker;
-        let agent = self
-            .workers
-            .get(worker)
-            .and_then(|w| w.agent.filter(|_| w.full_report_received));
+        let agent = self.workers.get(worker).and_then(Worker::order_connection);
         if let Some(run) = self.run_mut(&order) {
             run.stop = Some(StopOrder {
                 sent_to: agent,
@@ -417,12 +414,12 @@
                     continue;
                 };
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.given_up.push(run);
+                    worker.unexpected.add_lost(run);
                 }
                 self.finish_run(run, RunResult::Lost, "");
             }
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.expired_ms = Some(self.now_ms);
+                worker.expire(self.now_ms);
             }
             self.regroup(&backend);
         }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -161,7 +161,7 @@
                 Deferred::Stop(run) => state.send_stop(run),
                 Deferred::Acknowledge(worker, number) => {
                     if let Some(worker) = state.workers.get_mut(worker) {
-                        worker.committed_end = worker.committed_end.max(number);
+                        worker.commit_ends_until(number);
                     }
                 }
             }
@@ -184,7 +184,7 @@
                 instance: worker.instance.clone(),
                 start: orders.start,
                 stop: orders.stop,
-                acknowledged_end: (worker.committed_end > 0).then_some(worker.committed_end),
+                acknowledged_end: worker.acknowledged_end(),
             };
             effects.push(Effect::Orders { agent, orders });
         }
--- a/crates/scheduler/src/speculation.rs
+++ b/crates/scheduler/src/speculation.rs
@@ -10,7 +10,7 @@
 use crate::state::ClusterState;
 use crate::task::Run;
 use crate::view::ClusterView;
-use crate::workers::{Worker, WorkerId};
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::task::TaskName;
 
 /// A worker without a report or heartbeat for so long is unresponsive.
@@ -120,9 +120,7 @@
         let key = job.queue_key(StepRef::of(&task), self.now_ms);
         let at_stake = key.prospect != Prospect::Hopeless
             && self.now_ms as i64 + DEADLINE_MARGIN_MS >= key.latest_start_ms;
-        let unresponsive = worker.agent.is_none()
-            || self.now_ms.saturating_sub(worker.last_report_ms) > UNRESPONSIVE_MS
-            || worker.since_heartbeat_ms > UNRESPONSIVE_MS;
+        let unresponsive = worker.is_unresponsive_for(UNRESPONSIVE_MS, self.now_ms);
         let stopping = run.stop.is_some();
         let is_candidate =
             at_stake && (unresponsive || !stopping && self.overdue(id, worker, &task, run));
--- a/crates/scheduler/src/straggler.rs
+++ b/crates/scheduler/src/straggler.rs
@@ -3,7 +3,7 @@
 
 use crate::estimates::projected_total_ms;
 use crate::view::ClusterView;
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 use indigofold_protocol::task::{JobId, TaskName};
 use std::collections::BTreeMap;
 
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -4,7 +4,7 @@
 use crate::latency::{Cause, LatencyBreakdown};
 use crate::queue::QueueKey;
 use crate::run_result::RunResult;
-use crate::workers::WorkerId;
+use crate::worker::WorkerId;
 use indigofold_protocol::worker::RunEnd;
 use std::collections::BTreeSet;
 
--- a/crates/scheduler/src/view.rs
+++ b/crates/scheduler/src/view.rs
@@ -6,7 +6,8 @@
 use crate::services::{ServiceState, Services};
 use crate::step_traits::StepTraits;
 use crate::task::Run;
-use crate::workers::{Worker, WorkerId, Workers};
+use crate::worker::{Worker, WorkerId};
+use crate::workers::Workers;
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::TaskName;
 
