--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -69,3 +69,6 @@
         self.open_tasks = self.open_tasks.saturating_sub(count);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/backlog_cache.rs
+++ b/crates/scheduler/src/backlog_cache.rs
@@ -31,3 +31,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/due_jobs.rs
+++ b/crates/scheduler/src/due_jobs.rs
@@ -55,3 +55,6 @@
     jobs.first().filter(|due| due.wall_ms <= wall_ms)?;
     jobs.pop_first()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -154,3 +154,6 @@
         (self.good, self.bad, self.updated_ms) = (self.good * keep, self.bad * keep, now_ms);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -2,16 +2,18 @@
 //! follows their runs. A state machine without I/O: time and events go in; writes, replies and orders come out. It reads
 //! no clock and draws from a seeded generator, so that the same events give the same decisions.
 //!
-//! The modules in layers; each uses those above it in this list:
+//! The modules in layers; each uses only modules above it in this list, or earlier in its own line:
 //!
-//! - Values: `api` (inputs and outputs), `queue` (order of admission), `latency`, `definition`, `run_result`.
-//! - Parts with state of their own: `clock`, `rng`, `health`, `worker`, `unexpected_runs`, `workers` (registry of
-//!   instances and connections), `kinds`
-//!   (hybrid SQ(d)), `task`, `job`, `job_table`, `admission` (load), `due_jobs`, `recent_demand`, `reservations`,
-//!   `services`, `outbox` (rows and what waits for their commit).
-//! - Decisions, which read a `view` of the parts: `demand`, `estimates`, `straggler`, `headroom`, `backlog`, `outlook`.
-//! - Transitions of the cluster's `state`: `runs` and `lifecycle` (runs, tasks, jobs), `placement` and `gang`,
-//!   `preemption`, `speculation`, `run_checks`, `run_results`, `reports`, `client_calls`, `takeover`, `writes`.
+//! - Values: `latency`, `api` (inputs and outputs), `run_result`, `queue` (order of admission), `value`, `definition`.
+//! - Parts with state of their own: `clock`, `timers`, `rng`, `health`, `unexpected_runs`, `worker`, `workers` (registry
+//!   of instances and connections), `kinds` (hybrid SQ(d)), `task`, `job`, `step_traits`, `job_table`, `admission` (load),
+//!   `due_jobs`, `demand`, `reservations`, `recent_demand`, `backlog_cache`, `services`, `rows` (stored forms), `outbox`
+//!   (changed rows and what waits for their commit).
+//! - `view`: what decisions read; `state`: all parts, which transitions change.
+//! - Decisions: `estimates`, `straggler`, `headroom`, `backlog`, `outlook` (reservations).
+//! - Transitions: `late_ends`, `queue_order`, `run_results`, `instance_rows`, `checkpoints`, `lifecycle` (tasks and jobs),
+//!   `runs`, `placement`, `gang`, `preemption`, `speculation`, `run_checks`, `reports`, `client_calls`, `takeover`,
+//!   `writes`.
 //! - `scheduler`, which routes each event and collects the effects.
 //!
 //! Whatever rests on a write (replies, start orders, acknowledged ends) waits in the outbox until it is committed.
--- a/crates/scheduler/src/recent_demand.rs
+++ b/crates/scheduler/src/recent_demand.rs
@@ -53,3 +53,6 @@
             .is_some_and(|observed_ms| now_ms < observed_ms + LARGE_TASK_RECENT_MS)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -74,3 +74,6 @@
         self.by_worker.retain(|_, held| steps.contains(&held.step));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/timers.rs
+++ b/crates/scheduler/src/timers.rs
@@ -25,3 +25,6 @@
         true
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/unexpected_runs.rs
+++ b/crates/scheduler/src/unexpected_runs.rs
@@ -62,3 +62,6 @@
         stops
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -70,3 +70,6 @@
             .value(work)
     }
 }
+
+#[cfg(test)]
+mod tests;
