--- a/crates/scheduler/src/checkpoints.rs
+++ b/crates/scheduler/src/checkpoints.rs
@@ -1,5 +1,5 @@
-//! Progress that runs have saved, as reports tell it, is written now and then: should the head be lost together with a
-//! worker's machine, its successor knows it from the row alone.
+//! Reported checkpoints of runs are written from time to time: if the head is lost together with a worker's machine, its
+//! successor knows them from the row alone.
 
 use crate::queue::StepRef;
 use crate::state::ClusterState;
@@ -8,13 +8,13 @@
 
 /// Checkpoints of runs that are expected to be shorter are not written.
 const RUN_MIN_MS: f64 = 2_000.0;
-/// A job is written for its saved progress at most once in this time.
+/// A job is written for its checkpoints at most once in this time.
 const WRITE_MS: u64 = 2_000;
 /// Jobs last written this long ago join a write that is made anyway.
 const JOIN_MS: u64 = 1_000;
 
 impl ClusterState {
-    /// A report has brought new saved progress of a run.
+    /// A report has brought a new checkpoint of a run.
     pub(crate) fn checkpoint_changed(&mut self, worker: WorkerId, task: &TaskName) {
         let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else {
             return;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Writes saved progress that is due. Nothing waits for this write, so the jobs' last writes stay what they are.
+    /// Writes checkpoints that are due. Nothing waits for this write, so the jobs' last writes stay what they are.
     pub(crate) fn write_checkpoints(&mut self) {
         let since_ms = |state: &Self, id: &JobId| {
             state
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -1,4 +1,4 @@
-//! How long runs are expected to take, and to take still.
+//! Expected total and remaining run times.
 
 use crate::queue::StepRef;
 use crate::task::Run;
@@ -25,8 +25,8 @@
             return total_ms.saturating_sub(elapsed_ms);
         }
         let left_ms = expected_ms * f64::from(100 - run.percent.min(100)) / 100.0;
-        let unheard_ms = if run.percent == 0 { elapsed_ms } else { 0 };
-        (left_ms as u64).saturating_sub(unheard_ms)
+        let unreported_ms = if run.percent == 0 { elapsed_ms } else { 0 };
+        (left_ms as u64).saturating_sub(unreported_ms)
     }
 
     /// Expected total run time of the task on this worker, in milliseconds.
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -1,14 +1,14 @@
-//! Headroom: while small urgent tasks keep coming, work of lower priority that has time leaves a part of the service's
-//! processors free, so that the urgent start without waiting for stops.
+//! Headroom: while small urgent tasks keep coming, work of lower priority that has time leaves a fraction of the
+//! service's processors free, so that urgent tasks start without waiting for stops.
 
 use crate::queue::QueueKey;
 use crate::services::ServiceState;
 use crate::view::ClusterView;
 use crate::worker::Worker;
 
-/// Part of the service's processors that is left free.
+/// Fraction of the service's processors that is left free.
 const HEADROOM_FRACTION: f64 = 0.10;
-/// A task that takes at most this part of the largest worker is small.
+/// A task is small if it takes at most the largest worker's processors divided by this.
 const SMALL_DIVISOR: u64 = 16;
 /// Work that need not start sooner than this leaves headroom.
 const TIME_LEFT_MS: i64 = 1_500;
--- a/crates/scheduler/src/lifecycle.rs
+++ b/crates/scheduler/src/lifecycle.rs
@@ -41,6 +41,7 @@
         }
     }
 
+    /// Opens the next repetition, which was due at this time of the steady clock.
     fn open_repeat(&mut self, id: JobId, due_ms: i64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -87,15 +88,10 @@
         let Some(state) = state else {
             return;
         };
-        if gang && state.tasks.iter().any(|task| task.run.is_some()) {
+        if gang && !state.running_tasks().is_empty() {
             return;
         }
-        let idle = state
-            .tasks
-            .iter()
-            .enumerate()
-            .filter(|(_, task)| !task.done && task.run.is_none());
-        let idle: Vec<u32> = idle.map(|(index, _)| index as u32).collect();
+        let idle = state.idle_tasks();
         if state.queued.is_none() && !idle.is_empty() {
             state.latency_until_ready = latency;
         }
@@ -173,12 +169,7 @@
         let Some(state) = job.step_state_mut(at) else {
             return;
         };
-        let with_run = state
-            .tasks
-            .iter()
-            .enumerate()
-            .filter(|(_, task)| task.run.is_some());
-        let running: Vec<u32> = with_run.map(|(index, _)| index as u32).collect();
+        let running = state.running_tasks();
         if running.is_empty() {
             (0..state.tasks.len() as u32).for_each(|index| state.wait(index, now_ms));
             return self.enqueue(at);
@@ -198,20 +189,7 @@
         let Some(state) = job.step_state_mut(at) else {
             return;
         };
-        let members = if gang {
-            0..state.tasks.len() as u32
-        } else {
-            task.index..task.index + 1
-        };
-        let mut newly = 0;
-        for index in members {
-            let Some(member) = state.tasks.get_mut(index as usize) else {
-                continue;
-            };
-            newly += u32::from(!std::mem::replace(&mut member.done, true));
-            state.waiting.remove(&index);
-        }
-        state.done += newly;
+        let newly = state.complete(state.members(task.index, gang));
         let (step_done, idle) = (state.is_done(), state.waiting.is_empty());
         self.load.tasks_closed(u64::from(newly));
         self.set_dirty(at.job);
@@ -283,6 +261,7 @@
         self.close_job_if_idle(id);
     }
 
+    /// Something of the job has been started, or it has ended.
     pub(crate) fn no_longer_pending(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get(&id) {
             self.load.job_no_longer_pending(&job.definition.route);
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -150,17 +150,13 @@
             .is_some()
     }
 
-    /// Takes in the state of a run at work; `false` if it is not outstanding there.
+    /// Updates a run that is listed as running; `false` if it is not outstanding there.
     fn update_listed_run(&mut self, id: WorkerId, listed: &RunningRun) -> bool {
         let now_ms = self.now_ms;
         let Some(run) = self.run_on(&listed.run, id) else {
             return false;
         };
-        run.listed_ms = now_ms;
-        run.began_ms.get_or_insert(now_ms);
-        if run.percent != listed.percent {
-            (run.percent, run.percent_ms) = (listed.percent, now_ms);
-        }
+        run.listed(listed.percent, now_ms);
         if self.store_checkpoint(&listed.run.task, &listed.checkpoint) {
             self.checkpoint_changed(id, &listed.run.task);
         }
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -9,7 +9,7 @@
 use indigofold_protocol::task::{RunId, TaskName};
 use indigofold_protocol::worker::WorkerState;
 
-/// Time between two looks.
+/// Time between two checks of all runs.
 pub(crate) const CHECK_MS: u64 = 300;
 /// The order of a run that is not listed for so long is sent again.
 const ORDER_RETRY_MS: u64 = 3_000;
@@ -19,11 +19,13 @@
 const STALL_MIN_MS: u64 = 3_000;
 /// ... and for such a part of its expected run time.
 const STALL_FRACTION: f64 = 0.5;
-/// Kept free at the end of a worker's drain.
+/// A heartbeat that is older than this says nothing about runs.
+const HEARTBEAT_FRESH_MS: u64 = 1_000;
+/// Left free at the end of a worker's drain.
 const DRAIN_MARGIN_MS: u64 = 300;
 
 impl ClusterState {
-    /// Looks at all runs, now and then.
+    /// Checks all runs of workers that can be sent orders.
     pub(crate) fn check_runs(&mut self) {
         let reachable = self
             .workers
@@ -41,6 +43,7 @@
         self.speculate();
     }
 
+    /// Resends a lost order, and stops a run that cannot end there or would end sooner elsewhere.
     fn check_run(&mut self, id: WorkerId, task: TaskName, slowdown: Option<f64>) {
         let now_ms = self.now_ms;
         let ended = self
@@ -51,13 +54,11 @@
             return;
         };
         let absent_ms = now_ms.saturating_sub(run.listed_ms);
-        let (order, stopping) = (
-            RunId {
-                task,
-                attempt: run.attempt,
-            },
-            run.stop.is_some() || ended,
-        );
+        let stopping = run.stop.is_some() || ended;
+        let order = RunId {
+            task,
+            attempt: run.attempt,
+        };
         if absent_ms >= ABSENT_MS {
             return self.finish_run(order, RunResult::NotStarted, "");
         }
@@ -77,9 +78,9 @@
     }
 
     /// Stops a run that hangs or straggles; the task goes to another worker.
-    fn move_run(&mut self, id: WorkerId, run: RunId, note: impl Fn(&mut Health)) {
+    fn move_run(&mut self, id: WorkerId, run: RunId, update_health: impl Fn(&mut Health)) {
         if let Some(worker) = self.workers.get_mut(id) {
-            note(&mut worker.health);
+            update_health(&mut worker.health);
         }
         if let Some(entry) = self
             .jobs
@@ -123,7 +124,7 @@
             return false;
         };
         let listed = self.now_ms.saturating_sub(run.listed_ms) < STALL_MIN_MS
-            && worker.since_heartbeat_ms < 1_000;
+            && worker.since_heartbeat_ms < HEARTBEAT_FRESH_MS;
         if step.long_running || !listed {
             return false;
         }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -187,6 +187,7 @@
             .for_each(|attempt| self.stop_one(RunId { task, attempt }));
     }
 
+    /// Stops one run at once; if its order has not left, it ends with that.
     pub(crate) fn stop_one(&mut self, order: RunId) {
         let Some(run) = self.run_mut(&order) else {
             return;
@@ -275,14 +276,11 @@
         }
     }
 
+    /// A run has ended `done`: its task is done, and a speculative run beside it is stopped.
     fn run_done(&mut self, task: TaskName) {
         self.task_done(task);
-        if self
-            .jobs
-            .get(&task.job)
-            .and_then(|job| job.step(task.step))
-            .is_some_and(|step| !step.gang)
-        {
+        let step = self.jobs.step(StepRef::of(&task));
+        if step.is_some_and(|step| !step.gang) {
             self.stop_task(task);
         }
         self.close_repeat_if_finished(task.job, task.repeat);
@@ -297,23 +295,7 @@
         let Some(state) = job.step_state_mut(StepRef::of(&task)) else {
             return;
         };
-        if let Some(entry) = state.tasks.get_mut(task.index as usize) {
-            entry.failures += 1;
-            entry.failed_on = Some(run.worker);
-        }
-        if traits.gang && run.attempt > state.gang_failed_attempt {
-            state.gang_failures += 1;
-            state.gang_failed_attempt = run.attempt;
-        }
-        let task_failures = state
-            .tasks
-            .get(task.index as usize)
-            .map_or(0, |entry| entry.failures);
-        let failures = if traits.gang {
-            state.gang_failures
-        } else {
-            task_failures
-        };
+        let failures = state.record_failure(task.index, run, traits.gang);
         if failures >= limit {
             self.record_late_end(&task, JobState::Failed);
             return self.end_job(task.job, JobState::Failed);
@@ -338,21 +320,8 @@
             return false;
         };
         let gang = job.step(task.step).is_some_and(|step| step.gang);
-        let Some(state) = job.step_state_mut(StepRef::of(task)) else {
-            return false;
-        };
-        let Some(entry) = state
-            .tasks
-            .get_mut(task.index as usize)
-            .filter(|entry| entry.checkpoint != checkpoint)
-        else {
-            return false;
-        };
-        checkpoint.clone_into(&mut entry.checkpoint);
-        if gang {
-            checkpoint.clone_into(&mut state.gang_checkpoint);
-        }
-        true
+        job.step_state_mut(StepRef::of(task))
+            .is_some_and(|state| state.store_checkpoint(task.index, gang, checkpoint))
     }
 
     /// A `done` of a run that counted as lost: it counts while the task is not done.
@@ -374,11 +343,7 @@
         {
             return;
         }
-        let members = if gang {
-            0..state.tasks.len() as u32
-        } else {
-            task.index..task.index + 1
-        };
+        let members = state.members(task.index, gang);
         self.task_done(task);
         members.for_each(|index| self.stop_task(StepRef::of(&task).task(index)));
         self.close_repeat_if_finished(task.job, task.repeat);
@@ -428,6 +393,7 @@
         }
     }
 
+    /// Workers of the service have come, ended or changed.
     pub(crate) fn regroup(&mut self, backend: &str) {
         if !backend.is_empty() {
             self.services.entry(backend).request_regroup();
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -11,7 +11,7 @@
 use crate::timers::Periodic;
 use indigofold_protocol::internal::AgentOrders;
 
-/// Time between two looks at everything that depends on time alone.
+/// Period of everything that depends on time alone.
 const TICK_MS: u64 = 100;
 /// The same while no job is open.
 const IDLE_TICK_MS: u64 = 500;
--- a/crates/scheduler/src/straggler.rs
+++ b/crates/scheduler/src/straggler.rs
@@ -25,7 +25,7 @@
 }
 
 impl ClusterView<'_> {
-    /// How many times as long as expected the runs on this worker take, if it has turned slow.
+    /// How many times as long as expected the runs on this worker take, if it has become slow.
     pub(crate) fn slowdown(&self, id: WorkerId) -> Option<f64> {
         let worker = self.workers.get(id)?;
         let mut by_job: BTreeMap<JobId, f64> = BTreeMap::new();
@@ -44,7 +44,7 @@
         (ratios.len() >= JOBS_MIN && median >= SLOWDOWN).then_some(median)
     }
 
-    /// On a worker that has turned slow: another one would be done first even if it began anew.
+    /// On a worker that has become slow: a new run elsewhere is expected to end first.
     pub(crate) fn is_straggling(&self, id: WorkerId, task: &TaskName, slowdown: f64) -> bool {
         let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
             return false;
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -7,6 +7,7 @@
 use crate::worker::WorkerId;
 use indigofold_protocol::worker::RunEnd;
 use std::collections::BTreeSet;
+use std::ops::Range;
 
 /// One step of a repetition.
 #[derive(Debug, Default)]
@@ -149,9 +150,76 @@
     pub fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
-}
 
-impl StepState {
+    /// Tasks whose ends count together: all of a gang, or the task alone.
+    pub fn members(&self, index: u32, gang: bool) -> Range<u32> {
+        if gang {
+            0..self.tasks.len() as u32
+        } else {
+            index..index + 1
+        }
+    }
+
+    /// Tasks with a run that has not ended.
+    pub fn running_tasks(&self) -> Vec<u32> {
+        self.tasks_where(|task| task.run.is_some())
+    }
+
+    /// Tasks that are not done and have no run.
+    pub fn idle_tasks(&self) -> Vec<u32> {
+        self.tasks_where(|task| !task.done && task.run.is_none())
+    }
+
+    fn tasks_where(&self, condition: impl Fn(&Task) -> bool) -> Vec<u32> {
+        let tasks = self.tasks.iter().enumerate();
+        tasks
+            .filter(|(_, task)| condition(task))
+            .map(|(index, _)| index as u32)
+            .collect()
+    }
+
+    /// These tasks are done; returns for how many that is new.
+    pub fn complete(&mut self, members: Range<u32>) -> u32 {
+        let mut newly = 0;
+        for index in members {
+            let Some(member) = self.tasks.get_mut(index as usize) else {
+                continue;
+            };
+            newly += u32::from(!std::mem::replace(&mut member.done, true));
+            self.waiting.remove(&index);
+        }
+        self.done += newly;
+        newly
+    }
+
+    /// A run of a task has failed; returns how many attempts of the task, or of its gang, have failed.
+    pub fn record_failure(&mut self, index: u32, run: &Run, gang: bool) -> u32 {
+        if gang && run.attempt > self.gang_failed_attempt {
+            self.gang_failures += 1;
+            self.gang_failed_attempt = run.attempt;
+        }
+        let mut failures = 0;
+        if let Some(task) = self.tasks.get_mut(index as usize) {
+            task.failures += 1;
+            task.failed_on = Some(run.worker);
+            failures = task.failures;
+        }
+        if gang { self.gang_failures } else { failures }
+    }
+
+    /// A run has a checkpoint; any member's serves for its gang, and the newest stays. Returns whether it is new.
+    pub fn store_checkpoint(&mut self, index: u32, gang: bool, checkpoint: &str) -> bool {
+        let task = self.tasks.get_mut(index as usize);
+        let Some(task) = task.filter(|task| task.checkpoint != checkpoint) else {
+            return false;
+        };
+        checkpoint.clone_into(&mut task.checkpoint);
+        if gang {
+            checkpoint.clone_into(&mut self.gang_checkpoint);
+        }
+        true
+    }
+
     /// The step has waited for this since it was looked at last.
     pub fn waited_for(&mut self, cause: Cause, now_ms: u64) {
         let since_ms = self.looked_at_ms.max(self.waiting_since_ms);
@@ -170,6 +238,15 @@
 }
 
 impl Run {
+    /// A report lists the run as running.
+    pub fn listed(&mut self, percent: u32, now_ms: u64) {
+        self.listed_ms = now_ms;
+        self.began_ms.get_or_insert(now_ms);
+        if self.percent != percent {
+            (self.percent, self.percent_ms) = (percent, now_ms);
+        }
+    }
+
     /// Adds the time that the run took, now that it has ended, to the breakdown of its task.
     pub fn add_latency(&self, breakdown: &mut LatencyBreakdown, result: RunResult, now_ms: u64) {
         let spent_ms = now_ms.saturating_sub(self.placed_ms);
