--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -17,17 +17,27 @@
 
 /// What a step requires of workers.
 pub(crate) struct StepDemand {
+    /// The step.
     pub at: StepRef,
+    /// What each task takes.
     pub resources: Resources,
+    /// Label that workers must have; empty for none.
     pub label: String,
+    /// Label of the rack that has the data; empty for none.
     pub affinity: String,
+    /// Most tasks of the step on one worker; 0 for no limit.
     pub anti_affinity: u32,
     /// Tasks of the step on each worker.
     pub on_worker: FxHashMap<WorkerId, u32>,
+    /// Class of its tasks.
     pub class: Class,
+    /// The client's estimate of a task's run time, in milliseconds; 0 for none.
     pub estimate_ms: u64,
+    /// For how long the step has waited, in milliseconds.
     pub waited_ms: u64,
+    /// Tasks run until they are cancelled.
     pub long_running: bool,
+    /// Priority of its job; 0 goes first.
     pub priority: u32,
     /// Whether the tasks may run on a rack that does not have their data.
     pub locality: Locality,
@@ -54,6 +64,7 @@
 }
 
 impl StepDemand {
+    /// What this step of the job requires; `None` if there is no such step.
     pub fn of(job: &Job, at: StepRef, now_ms: u64) -> Option<StepDemand> {
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
         let mut on_worker = FxHashMap::default();
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -23,15 +23,20 @@
 /// Results of one worker's runs.
 #[derive(Debug)]
 pub struct Health {
+    /// Weight of successes; older ones fade.
     good: f64,
+    /// Weight of failures; older ones fade.
     bad: f64,
+    /// Weight of failures since the last success.
     streak: f64,
     /// Logarithm of run times against what was expected.
     pace: f64,
+    /// When the weights were faded last, on the steady clock.
     updated_ms: u64,
     suspected: Option<Suspicion>,
 }
 
+/// What is known of a suspected worker.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     /// When probation begins.
@@ -97,9 +102,9 @@
             1.0
         };
         (self.bad, self.streak) = (self.bad + weight, self.streak + weight);
-        let share =
+        let fails_often =
             self.bad >= SUSPECT_WEIGHT && self.bad >= SUSPECT_FRACTION * (self.good + self.bad);
-        if self.suspected.is_some() || share || self.streak >= SUSPECT_STREAK {
+        if self.suspected.is_some() || fails_often || self.streak >= SUSPECT_STREAK {
             self.suspect(now_ms);
         }
     }
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -1,4 +1,5 @@
-//! Hybrid SQ(d): the workers of a service by kind, the kinds' shares p_k of problem (1), and the selection of a worker.
+//! Hybrid SQ(d): the workers of a service by kind, the probabilities p_k of the kinds by problem (1), and the selection of a
+//! worker.
 
 use crate::rng::Rng;
 use crate::worker::{Worker, WorkerId, is_rack};
@@ -156,17 +157,17 @@
             let takes = |id: &&WorkerId| workers.get(**id).is_some_and(|w| w.agent.is_some());
             kind.workers.iter().filter(takes).count() as f64
         };
-        let shares: Vec<f64> = self.kinds.iter().map(ready).collect();
+        let ready_workers: Vec<f64> = self.kinds.iter().map(ready).collect();
         let mean = self.mean_speed();
         let speeds: Vec<f64> = self.kinds.iter().map(|kind| kind.speed_or(mean)).collect();
-        let probabilities = solve(&shares, &speeds, self.load, SAMPLES as u32);
+        let probabilities = solve(&ready_workers, &speeds, self.load, SAMPLES as u32);
         self.kinds
             .iter_mut()
             .zip(probabilities)
             .for_each(|(kind, p)| kind.probability = p);
     }
 
-    /// Part of the capacity, apart from what bound runs take, that unbound runs take.
+    /// Fraction of the capacity, without what bound runs take, that unbound runs take.
     pub fn measured_load(&self, workers: &Workers) -> f64 {
         let (mut used, mut all) = (0.0, 0.0);
         for worker in self.kind_of.keys().filter_map(|id| workers.get(*id)) {
@@ -413,16 +414,16 @@
     sampled
 }
 
-/// The largest part that is used of any resource.
+/// The largest fraction that is used of any resource (dominant share, Ghodsi and others, NSDI 2011).
 pub fn dominant_share(used: &Resources, capacity: &Resources) -> f64 {
-    let share = |used: u64, all: u64| {
+    let fraction = |used: u64, all: u64| {
         if all > 0 {
             used as f64 / all as f64
         } else {
             0.0
         }
     };
-    share(used.cpu, capacity.cpu)
-        .max(share(used.mem_mb, capacity.mem_mb))
-        .max(share(used.gpu, capacity.gpu))
+    fraction(used.cpu, capacity.cpu)
+        .max(fraction(used.mem_mb, capacity.mem_mb))
+        .max(fraction(used.gpu, capacity.gpu))
 }
--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -32,24 +32,43 @@
     Lost,
 }
 
-/// All causes, in the order of the job's way.
-const CAUSES: [(Cause, &str); 11] = [
-    (Cause::Predecessor, "predecessor_ms"),
-    (Cause::Queue, "queue_ms"),
-    (Cause::Capacity, "capacity_ms"),
-    (Cause::Locality, "locality_ms"),
-    (Cause::Commit, "commit_ms"),
-    (Cause::Dispatch, "dispatch_ms"),
-    (Cause::Run, "run_ms"),
-    (Cause::Remote, "remote_ms"),
-    (Cause::Failed, "failed_ms"),
-    (Cause::Stopped, "stopped_ms"),
-    (Cause::Lost, "lost_ms"),
-];
+impl Cause {
+    /// All causes, in the order in which a job meets them.
+    pub const ALL: [Cause; 11] = [
+        Cause::Predecessor,
+        Cause::Queue,
+        Cause::Capacity,
+        Cause::Locality,
+        Cause::Commit,
+        Cause::Dispatch,
+        Cause::Run,
+        Cause::Remote,
+        Cause::Failed,
+        Cause::Stopped,
+        Cause::Lost,
+    ];
+
+    /// Name in log lines.
+    fn name(self) -> &'static str {
+        match self {
+            Cause::Predecessor => "predecessor_ms",
+            Cause::Queue => "queue_ms",
+            Cause::Capacity => "capacity_ms",
+            Cause::Locality => "locality_ms",
+            Cause::Commit => "commit_ms",
+            Cause::Dispatch => "dispatch_ms",
+            Cause::Run => "run_ms",
+            Cause::Remote => "remote_ms",
+            Cause::Failed => "failed_ms",
+            Cause::Stopped => "stopped_ms",
+            Cause::Lost => "lost_ms",
+        }
+    }
+}
 
 /// Milliseconds by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LatencyBreakdown([u32; CAUSES.len()]);
+pub struct LatencyBreakdown([u32; Cause::ALL.len()]);
 
 /// A job, or one of its repetitions, that ended after its latency target or failed.
 #[derive(Clone, Debug, PartialEq)]
@@ -80,35 +99,37 @@
         self.0.iter().copied().map(u64::from).sum()
     }
 
+    /// Adds time spent on one cause, in milliseconds.
     pub(crate) fn add(&mut self, cause: Cause, ms: u64) {
         let sum = &mut self.0[cause as usize];
         *sum = sum.saturating_add(u32::try_from(ms).unwrap_or(u32::MAX));
     }
 
+    /// Adds another breakdown.
     pub(crate) fn add_all(&mut self, other: &LatencyBreakdown) {
-        CAUSES
-            .iter()
-            .for_each(|(cause, _)| self.add(*cause, other.of(*cause)));
+        for cause in Cause::ALL {
+            self.add(cause, other.of(cause));
+        }
     }
 
-    /// Adds a wait of `ms`, shared among causes as `observed` is; without any, it counts as waiting in the queue.
+    /// Adds a wait of `ms`, divided among causes as `observed` is; without any, it counts as waiting in the queue.
     pub(crate) fn add_wait(&mut self, ms: u64, observed: &LatencyBreakdown) {
         let total_ms = observed.total_ms();
         if total_ms == 0 {
             return self.add(Cause::Queue, ms);
         }
-        CAUSES
-            .iter()
-            .for_each(|(cause, _)| self.add(*cause, ms * observed.of(*cause) / total_ms));
+        for cause in Cause::ALL {
+            self.add(cause, ms * observed.of(cause) / total_ms);
+        }
     }
 }
 
 impl Display for LatencyBreakdown {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let spent = CAUSES.iter().filter(|(cause, _)| self.of(*cause) > 0);
-        for (number, (cause, name)) in spent.enumerate() {
+        let spent = Cause::ALL.into_iter().filter(|cause| self.of(*cause) > 0);
+        for (number, cause) in spent.enumerate() {
             let space = if number > 0 { " " } else { "" };
-            write!(formatter, "{space}{name}={}", self.of(*cause))?;
+            write!(formatter, "{space}{}={}", cause.name(), self.of(cause))?;
         }
         Ok(())
     }
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -124,14 +124,14 @@
         let demand = StepDemand::of(job, at, self.now_ms)?;
         let workers = self.workers_of(service);
         let fitting = workers.filter(|worker| worker.capacity.holds(&demand.resources));
-        let share = |worker: &Worker| dominant_share(&demand.resources, &worker.capacity);
-        let share = fitting.map(share).min_by(f64::total_cmp)?;
+        let fractions = fitting.map(|worker| dominant_share(&demand.resources, &worker.capacity));
+        let least = fractions.min_by(f64::total_cmp)?;
         let members = if step.gang {
             state.tasks.len() as u32
         } else {
             1
         };
-        (step.gang || share >= LARGE_FRACTION).then_some(LargeDemand { demand, members })
+        (step.gang || least >= LARGE_FRACTION).then_some(LargeDemand { demand, members })
     }
 
     /// Where and when `members` tasks will find capacity, if what runs ends as expected; in one rack if the step needs
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -264,12 +264,12 @@
     /// Whether a task of this size takes more than half of any worker of the service that can run it.
     fn needs_most_of_worker(&self, service: &ServiceState, resources: &Resources) -> bool {
         let capacities = self.workers_of(service).map(|worker| worker.capacity);
-        let shares = capacities
+        let fractions = capacities
             .filter(|capacity| capacity.holds(resources))
             .map(|capacity| dominant_share(resources, &capacity));
-        shares
+        fractions
             .min_by(f64::total_cmp)
-            .is_some_and(|share| share > HALF)
+            .is_some_and(|least| least > HALF)
     }
 
     /// What a task of the step takes, and whether the step asks for more than capacity.
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -48,7 +48,10 @@
 
     /// Whether the step has reservations that need not be worked out anew yet.
     pub fn are_current(&self, step: StepRef, now_ms: u64) -> bool {
-        let reserved = self.by_worker.values().any(|held| held.step == step);
+        let reserved = self
+            .by_worker
+            .values()
+            .any(|reservation| reservation.step == step);
         reserved && now_ms < self.next_update_ms
     }
 
@@ -66,12 +69,14 @@
 
     /// Gives up the reservations of a step.
     pub fn release(&mut self, step: StepRef) {
-        self.by_worker.retain(|_, held| held.step != step);
+        self.by_worker
+            .retain(|_, reservation| reservation.step != step);
     }
 
     /// Gives up the reservations of all steps but these.
     pub fn retain(&mut self, steps: &[StepRef]) {
-        self.by_worker.retain(|_, held| steps.contains(&held.step));
+        self.by_worker
+            .retain(|_, reservation| steps.contains(&reservation.step));
     }
 }
 
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -184,6 +184,17 @@
     rows
 }
 
+/// Index of a worker's instance in `instances`, entered if it is new.
+fn instance_index(worker: WorkerId, workers: &Workers, instances: &mut Vec<String>) -> u32 {
+    let name = workers.get(worker).map_or("", |w| &w.instance);
+    let known = instances.iter().position(|instance| instance == name);
+    known.unwrap_or_else(|| {
+        instances.push(name.to_owned());
+        instances.len() - 1
+    }) as u32
+}
+
+/// The row of a step; `instances` are those that its runs point to.
 fn step_row(
     step: &StepState,
     gang: bool,
@@ -202,16 +213,10 @@
     {
         return StepRow::Fresh;
     }
-    let mut number = |worker: WorkerId| {
-        let name = workers.get(worker).map_or("", |w| &w.instance);
-        let known = instances.iter().position(|instance| instance == name);
-        known.unwrap_or_else(|| {
-            instances.push(name.to_owned());
-            instances.len() - 1
-        }) as u32
-    };
     let checkpoint = |task: &Task| {
-        if gang {
+        if task.done {
+            String::new()
+        } else if gang {
             step.gang_checkpoint.clone()
         } else {
             task.checkpoint.clone()
@@ -221,13 +226,9 @@
         last_attempt: task.last_attempt,
         failures: task.failures,
         done: task.done,
-        checkpoint: if task.done {
-            String::new()
-        } else {
-            checkpoint(task)
-        },
+        checkpoint: checkpoint(task),
         run: task.run.as_ref().map(|run| RunRow {
-            instance: number(run.worker),
+            instance: instance_index(run.worker, workers, instances),
             attempt: run.attempt,
         }),
     };
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -27,8 +27,8 @@
     fn value(&mut self, work: f64) -> f64 {
         add(&mut self.0, KEEP, work);
         let mean = self.0.1 / self.0.0;
-        let share = if mean > 0.0 { work / mean } else { 1.0 };
-        (VALUE_BASE + VALUE_BY_WORK * share).min(VALUE_MAX)
+        let relative_work = if mean > 0.0 { work / mean } else { 1.0 };
+        (VALUE_BASE + VALUE_BY_WORK * relative_work).min(VALUE_MAX)
     }
 }
 
--- a/crates/scheduler/tests/cluster/invariants.rs
+++ b/crates/scheduler/tests/cluster/invariants.rs
@@ -35,6 +35,16 @@
         }
     }
 
+    fn check_not_cancelled(&self, task: TaskName, job: &ClientJob) {
+        if let Some(cancelled_ms) = job.cancelled_ms {
+            assert!(
+                self.now_ms < cancelled_ms + 300,
+                "UNASKED: {task} after its job was cancelled"
+            );
+        }
+    }
+
+    /// A run arrives at a worker.
     pub(super) fn start(&mut self, node: usize, order: StartOrder) {
         let (run, task) = (order.run, order.run.task);
         let job = self
@@ -44,12 +54,7 @@
         let step = &job.spec.stages[task.step as usize];
         assert_eq!(order.spec, job.spec.spec, "UNASKED: another text");
         assert!(!job.rejected, "REFUSED: {task}");
-        if let Some(cancelled_ms) = job.cancelled_ms {
-            assert!(
-                self.now_ms < cancelled_ms + 300,
-                "UNASKED: {task} after its job was cancelled"
-            );
-        }
+        self.check_not_cancelled(task, job);
         let speculative = step.speculative;
         self.check_single_run(run, speculative);
         self.check_checkpoint(&order, step.gang);
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -209,7 +209,7 @@
         self.next_connection += 1;
         self.connections.insert(agent, node);
         let at = &mut self.nodes[node];
-        (at.connected, at.run_list_sent, at.report_now) = (true, false, true);
+        (at.connected, at.running_reported, at.report_now) = (true, false, true);
         let node_name = at.name.clone();
         self.handle(Event::AgentConnected { agent, node_name });
     }
--- a/crates/scheduler/tests/cluster/node.rs
+++ b/crates/scheduler/tests/cluster/node.rs
@@ -68,11 +68,11 @@
     pub epoch: u64,
     pub authority_ms: Option<u64>,
     pub connected: bool,
-    pub run_list_sent: bool,
+    pub running_reported: bool,
     pub next_heartbeat_ms: u64,
     pub next_report_ms: u64,
     pub report_now: bool,
-    pub run_list_ms: u64,
+    pub running_reported_ms: u64,
 }
 
 impl Node {
@@ -102,11 +102,11 @@
             epoch: 0,
             authority_ms: None,
             connected: false,
-            run_list_sent: false,
+            running_reported: false,
             next_heartbeat_ms: 0,
             next_report_ms: 0,
             report_now: true,
-            run_list_ms: 0,
+            running_reported_ms: 0,
         }
     }
 
@@ -127,7 +127,7 @@
             .extend(std::mem::take(&mut self.undelivered).into_keys());
         self.drain_end_ms = None;
         self.drain_reported_ms = None;
-        (self.report_now, self.run_list_sent) = (true, false);
+        (self.report_now, self.running_reported) = (true, false);
     }
 
     /// What all its runs take.
@@ -226,11 +226,11 @@
         }
         self.next_report_ms = now_ms + 300;
         let with_runs =
-            self.report_now || !self.run_list_sent || now_ms >= self.run_list_ms + 1_000;
+            self.report_now || !self.running_reported || now_ms >= self.running_reported_ms + 1_000;
         if with_runs {
-            self.run_list_ms = now_ms;
+            self.running_reported_ms = now_ms;
         }
-        (self.report_now, self.run_list_sent) = (false, true);
+        (self.report_now, self.running_reported) = (false, true);
         let instance = self.up.then(|| self.describe(now_ms, with_runs));
         if instance.is_some() && self.drain_end_ms.is_some() {
             self.drain_reported_ms.get_or_insert(now_ms);
--- a/crates/scheduler/tests/invariants.rs
+++ b/crates/scheduler/tests/invariants.rs
@@ -15,7 +15,7 @@
     Crashes,
     Partitions,
     Failovers,
-    Drains,
+    Draining,
     Hangs,
     All,
 }
@@ -116,7 +116,7 @@
     if (all || matches!(kind, Fault::Failovers)) && cluster.rng.chance(4) {
         cluster.fail_over();
     }
-    if (all || matches!(kind, Fault::Drains)) && cluster.rng.chance(4) {
+    if (all || matches!(kind, Fault::Draining)) && cluster.rng.chance(4) {
         let until_ms = cluster.now_ms + 1_500 + cluster.rng.below(4_000);
         cluster.nodes[node].drain_end_ms.get_or_insert(until_ms);
         cluster.nodes[node].report_now = true;
@@ -131,7 +131,7 @@
     cluster.fault_free = matches!(kind, Fault::Quiet | Fault::Cancels);
     cluster.checks_idle = matches!(
         kind,
-        Fault::Quiet | Fault::Cancels | Fault::Drains | Fault::Hangs
+        Fault::Quiet | Fault::Cancels | Fault::Draining | Fault::Hangs
     );
     let mut ids = Vec::new();
     for number in 0..60 {
@@ -196,7 +196,7 @@
         Fault::Crashes,
         Fault::Partitions,
         Fault::Failovers,
-        Fault::Drains,
+        Fault::Draining,
         Fault::Hangs,
         Fault::All
     )]
--- a/crates/scheduler/tests/latency.rs
+++ b/crates/scheduler/tests/latency.rs
@@ -14,20 +14,7 @@
 
 /// The breakdown adds up to the total time, but for rounding.
 fn assert_breakdown_complete(end: &LateEnd) {
-    let causes = [
-        Cause::Predecessor,
-        Cause::Queue,
-        Cause::Capacity,
-        Cause::Locality,
-        Cause::Commit,
-        Cause::Dispatch,
-        Cause::Run,
-        Cause::Remote,
-        Cause::Failed,
-        Cause::Stopped,
-        Cause::Lost,
-    ];
-    let sum: u64 = causes.iter().map(|cause| end.breakdown.of(*cause)).sum();
+    let sum: u64 = Cause::ALL.map(|cause| end.breakdown.of(cause)).iter().sum();
     assert!(
         end.took_ms.abs_diff(sum) <= 12,
         "{end}: the parts make {sum} ms"
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -132,6 +132,16 @@
     );
 }
 
+/// Instance of the node, one of these, on which the task runs.
+fn instance_of_task(cluster: &Cluster, nodes: &[usize], task: u32) -> String {
+    let has_run = |at: &&usize| {
+        let mut runs = cluster.nodes[**at].running.keys();
+        runs.any(|run| run.task.index == task)
+    };
+    let node = nodes.iter().find(has_run).expect("it runs");
+    cluster.nodes[*node].instance()
+}
+
 /// A row as it was written before there were speculative runs, byte by byte: two tasks running.
 #[test]
 fn rows_without_speculative_runs_are_read() {
@@ -148,15 +158,7 @@
         .map(|node| cluster.nodes[*node].instance())
         .collect();
     let mut expected = vec![0, 1, instances.len() as u8];
-    let numbered = |task: u32| {
-        let run = |at: &usize| {
-            cluster.nodes[*at]
-                .running
-                .keys()
-                .any(|run| run.task.index == task)
-        };
-        cluster.nodes[*nodes.iter().find(|at| run(at)).expect("it runs")].instance()
-    };
+    let numbered = |task: u32| instance_of_task(&cluster, &nodes, task);
     let mut named: Vec<String> = Vec::new();
     for instance in [numbered(0), numbered(1)] {
         if !named.contains(&instance) {
