--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Part of the whole service that one task takes, by the resource of which it takes most.
+/// Fraction of the service that one task takes, by the resource of which it takes most.
 fn fraction_of_service(step: &Step, capacity: &Resources) -> f64 {
     let fraction = |taken: u64, all: u64| {
         if taken > 0 {
--- a/crates/scheduler/src/definition.rs
+++ b/crates/scheduler/src/definition.rs
@@ -3,16 +3,16 @@
 use indigofold_protocol::job::{JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 
-/// What a queue grants its jobs, as its route says.
+/// Terms of service of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Terms {
     /// 0 goes first.
     pub priority: u32,
     /// A task that has failed so often fails its job.
     pub max_retries: u32,
-    /// Part of the latency target: multiple of the longest chain of work.
+    /// Component of the latency target: multiple of the longest chain of work.
     pub stretch: f64,
-    /// Part of the latency target that does not depend on the work.
+    /// Component of the latency target that does not depend on the work, in milliseconds.
     pub target_latency_ms: u64,
 }
 
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -8,7 +8,7 @@
 use indigofold_protocol::job::Resources;
 use rustc_hash::FxHashMap;
 
-/// A step that has waited for so long may use any worker that is allowed at all.
+/// A step that has waited for this time may use any worker that its rules allow.
 pub(crate) const ANY_WORKER_MS: u64 = 1_500;
 /// A task may go back to the worker where it failed after this time.
 const FAILED_THERE_MS: u64 = 600;
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -6,7 +6,7 @@
 use crate::worker::WorkerId;
 use indigofold_protocol::task::TaskName;
 
-/// From this percentage on, a run's progress says when it ends.
+/// From this percentage on, a run's progress predicts its end.
 const CONCLUSIVE_PERCENT: u32 = 10;
 
 impl ClusterView<'_> {
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -16,7 +16,7 @@
 const LOAD_KEEP: f64 = 0.7;
 /// Microseconds of a millisecond.
 const MICROS: u64 = 1_000;
-/// A run of an unknown class without an estimate is assumed to last so long, in milliseconds.
+/// A run of an unknown class without an estimate is assumed to take this time, in milliseconds.
 const UNKNOWN_RUN_MS: f64 = 1_000.0;
 
 /// Workers with like labels (racks apart) and capacity.
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -15,9 +15,9 @@
 
 /// Most steps of one service that have reservations at a time.
 pub(crate) const RESERVATIONS_MAX: usize = 2;
-/// Tasks that take at least this part of a worker need reservations; smaller ones find capacity without.
+/// Tasks that take at least this fraction of a worker need reservations; smaller ones find capacity without.
 const LARGE_FRACTION: f64 = 0.25;
-/// While less than this part of the service is in use, nobody waits long for a reserved worker.
+/// While less than this fraction of the service is in use, nobody waits long for a reserved worker.
 const IDLE_LOAD: f64 = 0.55;
 /// How long they wait then.
 const IDLE_PATIENCE_MS: u64 = 2_400;
@@ -41,6 +41,22 @@
     members: u32,
 }
 
+/// A worker that is to be reserved.
+struct PlannedReservation {
+    worker: WorkerId,
+    reservation: Reservation,
+}
+
+/// Which workers to reserve for a step.
+enum ReservationPlan {
+    /// Its tasks find capacity without reservations.
+    NotNeeded,
+    /// No workers will have capacity for it.
+    NoWorkers,
+    /// These workers, at least one.
+    Workers(Vec<PlannedReservation>),
+}
+
 /// Capacity for one task; ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Slot {
@@ -65,12 +81,15 @@
         if state.reservations.are_current(key.at, now_ms) {
             return true;
         }
-        let Some(reserved) = self.view().reservations_for(state, key) else {
-            return false;
+        let reserved = match self.view().plan_reservations(state, key) {
+            ReservationPlan::NotNeeded => return false,
+            ReservationPlan::NoWorkers => Vec::new(),
+            ReservationPlan::Workers(reserved) => reserved,
         };
-        let found = reserved.is_some();
+        let found = !reserved.is_empty();
         if let Some(state) = self.services.get_mut(service) {
-            let reserved = reserved.into_iter().flatten();
+            let reserved = reserved.into_iter();
+            let reserved = reserved.map(|planned| (planned.worker, planned.reservation));
             state.reservations.replace(key.at, reserved, now_ms);
         }
         found
@@ -88,33 +107,30 @@
             || service.kinds.measured_load(self.workers) < IDLE_LOAD
     }
 
-    /// The workers to reserve for a step: `None` if it needs no reservations, `Some(None)` if there are no workers for
-    /// it.
-    fn reservations_for(
-        &self,
-        service: &ServiceState,
-        key: QueueKey,
-    ) -> Option<Option<Vec<(WorkerId, Reservation)>>> {
-        let LargeDemand { demand, members } = self.large_demand(service, key.at)?;
+    /// The workers to reserve for a step.
+    fn plan_reservations(&self, service: &ServiceState, key: QueueKey) -> ReservationPlan {
+        let Some(LargeDemand { demand, members }) = self.large_demand(service, key.at) else {
+            return ReservationPlan::NotNeeded;
+        };
         let Some(outlook) = self.outlook(service, &demand, members) else {
-            return Some(None);
+            return ReservationPlan::NoWorkers;
         };
         let patience_ms = if self.has_spare_capacity(service) {
             IDLE_PATIENCE_MS
         } else {
             u64::MAX
         };
-        let reservation = |(id, count): (WorkerId, u32)| {
-            let reservation = Reservation {
+        let planned = |(worker, count): (WorkerId, u32)| PlannedReservation {
+            worker,
+            reservation: Reservation {
                 step: key.at,
                 priority: key.priority,
                 resources: times(&demand.resources, u64::from(count)),
                 free_ms: outlook.free_ms,
                 patience_ms,
-            };
-            (id, reservation)
+            },
         };
-        Some(Some(outlook.tasks.into_iter().map(reservation).collect()))
+        ReservationPlan::Workers(outlook.tasks.into_iter().map(planned).collect())
     }
 
     /// What a step needs, and for how many tasks at once, if it needs much.
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -15,10 +15,10 @@
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::TaskName;
 
-/// Most steps that one pass over the queue looks at.
+/// Most steps that one pass over the queue considers.
 const PASS_STEPS: usize = 400;
-/// A task that takes more than this part of a worker needs one as a whole.
-const HALF: f64 = 0.5;
+/// A task is large if it takes more than this fraction of a worker.
+const LARGE_FRACTION: f64 = 0.5;
 
 /// What one pass over a queue has found so far.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Looks at the steps in the queue's order, places what fits and reserves workers for steps that need much capacity.
+    /// Visits the steps in the order of the queue, places what fits and reserves workers for steps that need much capacity.
     /// Among steps of one priority, capacity goes first to tasks that are local there: a remote task occupies it for
     /// several times as long.
     fn pass(&mut self, service: &str) {
@@ -95,7 +95,7 @@
             .retain(&pass.reserved);
     }
 
-    /// Notes the priority of the first step if its tasks are small: less urgent work has to leave headroom for them.
+    /// Records the priority of the first step if its tasks are small: less urgent work has to leave headroom for them.
     fn observe_urgent(&mut self, service: &str, keys: &[QueueKey]) {
         let now_ms = self.now_ms;
         let priority = self
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Tries to place a step's tasks.
+    /// Places the tasks of a step that fit, and reserves workers for the others if they need much.
     fn visit_step(&mut self, service: &str, key: QueueKey, locality: Locality, pass: &mut Pass) {
         let Some(shape) = self.view().task_shape(key.at) else {
             return;
@@ -269,7 +269,7 @@
             .map(|capacity| dominant_share(resources, &capacity));
         fractions
             .min_by(f64::total_cmp)
-            .is_some_and(|least| least > HALF)
+            .is_some_and(|least| least > LARGE_FRACTION)
     }
 
     /// What a task of the step takes, and whether the step asks for more than capacity.
@@ -289,7 +289,7 @@
         })
     }
 
-    /// Whether a step has waited for so long that it may use workers which those before it may not.
+    /// Whether a step has waited long enough to use workers which those before it may not.
     fn waits_long(&self, at: StepRef) -> bool {
         let state = self.jobs.get(&at.job).and_then(|job| job.step_state(at));
         state.is_some_and(|state| self.now_ms >= state.waiting_since_ms + ANY_WORKER_MS)
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -11,13 +11,13 @@
 
 /// Time between two checks of all runs.
 pub(crate) const CHECK_MS: u64 = 300;
-/// The order of a run that is not listed for so long is sent again.
+/// The order of a run that has not been listed for this time is sent again.
 const ORDER_RETRY_MS: u64 = 3_000;
-/// A run that no report has listed for so long, though its order was sent again, is lost.
+/// A run that no report has listed for this time, though its order was sent again, is lost.
 const ABSENT_MS: u64 = 20_000;
-/// A run without any progress for so long may hang.
+/// A run hangs if it has made no progress for at least this time ...
 const STALL_MIN_MS: u64 = 3_000;
-/// ... and for such a part of its expected run time.
+/// ... and for this fraction of its expected run time.
 const STALL_FRACTION: f64 = 0.5;
 /// A heartbeat that is older than this says nothing about runs.
 const HEARTBEAT_FRESH_MS: u64 = 1_000;
--- a/crates/scheduler/src/run_results.rs
+++ b/crates/scheduler/src/run_results.rs
@@ -7,13 +7,13 @@
 use indigofold_protocol::task::TaskName;
 use indigofold_protocol::worker::RunEnd;
 
-/// Part of a run's time that orders and reports take, in milliseconds.
+/// Time from placement to report that orders and reports take, in milliseconds.
 const ORDER_MS: f64 = 250.0;
 /// Most workers remembered on which a job has failed.
 const FAILED_ON_MAX: usize = 4;
 
 impl ClusterState {
-    /// A run is over. Only `done` gives a sample of speed, and only if the run did the whole work.
+    /// A run has ended. Only `done` gives a sample of speed, and only if the run did all of the work.
     pub(crate) fn learn_from_run(
         &mut self,
         task: &TaskName,
--- a/crates/scheduler/src/services.rs
+++ b/crates/scheduler/src/services.rs
@@ -11,7 +11,7 @@
 /// While something waits, passes over a queue are so far apart.
 const BACKLOG_PASS_MS: u64 = 10;
 
-/// One service's part of the state.
+/// The state of one service.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceState {
     /// Its workers by kind.
@@ -61,7 +61,7 @@
         self.dirty = true;
     }
 
-    /// Looks at the queue again if anything waits.
+    /// Requests a pass if anything waits.
     pub fn request_pass_if_queued(&mut self) {
         self.dirty |= !self.queue.is_empty();
     }
--- a/crates/scheduler/src/speculation.rs
+++ b/crates/scheduler/src/speculation.rs
@@ -13,7 +13,7 @@
 use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::task::TaskName;
 
-/// A worker without a report or heartbeat for so long is unresponsive.
+/// A worker without a report or heartbeat for this time is unresponsive.
 const UNRESPONSIVE_MS: u64 = 600;
 /// A speculative run is started once the step would be late if it began so much later.
 const DEADLINE_MARGIN_MS: i64 = 600;
@@ -23,7 +23,7 @@
 const OVERDUE_FACTOR_SUSPECTED: f64 = 1.2;
 /// ... and so much more, in milliseconds.
 const OVERDUE_MIN_MS: f64 = 300.0;
-/// Percents older than this say nothing about when a run ends.
+/// Progress that is older than this does not predict the end of a run.
 const PERCENT_FRESH_MS: u64 = 1_500;
 
 /// A run that is to get a speculative run beside it.
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -9,7 +9,7 @@
 use indigofold_protocol::task::JobId;
 use rustc_hash::FxHashMap;
 
-/// Nothing is placed for so long after a take-over, so that what waits is spread over all workers.
+/// Nothing is placed for this time after a take-over, so that waiting tasks are spread over all workers.
 const AGENTS_RECONNECT_MS: u64 = 120;
 
 impl ClusterState {
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -82,7 +82,7 @@
     pub bound: bool,
     /// Factor on its run time on this worker (data or gang on other racks).
     pub remote_factor: f64,
-    /// Part done, as listed last.
+    /// Percentage done, as listed last.
     pub percent: u32,
     /// When that changed last.
     pub percent_ms: u64,
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -23,7 +23,7 @@
 struct MeanWork(Sum);
 
 impl MeanWork {
-    /// Takes in a job's work; returns the job's value in relation to the others of its queue.
+    /// Adds a job's work to the mean; returns the job's value in relation to the others of its queue.
     fn value(&mut self, work: f64) -> f64 {
         add(&mut self.0, KEEP, work);
         let mean = self.0.1 / self.0.0;
@@ -62,7 +62,7 @@
 }
 
 impl QueueValues {
-    /// Takes in the work of a job, in core-milliseconds; returns its value against the others of its route.
+    /// Adds the work of a job, in core-milliseconds, to the mean of its route; returns its value in relation to that.
     pub fn value(&mut self, route: &str, work: f64) -> f64 {
         self.by_route
             .entry(route.to_owned())
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -9,9 +9,9 @@
 use indigofold_protocol::worker::WorkerState;
 use std::collections::BTreeSet;
 
-/// A node agent that has not reported for so long gets no new starts.
+/// A worker whose node agent has not reported for this time gets no new starts.
 const REPORT_FRESH_MS: u64 = 1_000;
-/// A worker without a heartbeat for so long gets no new starts.
+/// A worker without a heartbeat for this time gets no new starts.
 const UNRESPONSIVE_MS: u64 = 1_500;
 
 /// Number of a worker instance; never used again for another one.
