--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -7,7 +7,7 @@
 use crate::task::{Run, StepState, Task};
 use crate::value::{cost_class, work_of};
 use crate::worker::WorkerId;
-use indigofold_protocol::job::Step;
+use indigofold_protocol::job::{JobSpec, Step};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use std::collections::BTreeMap;
 
@@ -15,6 +15,8 @@
 const LATE_FACTOR: i64 = 3;
 /// Repetitions with so many tasks in all may be open at a time, or one.
 const OPEN_TASKS_MAX: usize = 10_000;
+/// Most workers remembered on which a job has failed.
+const FAILED_ON_MAX: usize = 4;
 /// Longer latency targets are limited to this.
 const LATENCY_TARGET_MAX_MS: u64 = 1 << 40;
 
@@ -44,7 +46,7 @@
     /// Number of its runs that have not ended.
     pub outstanding: u32,
     /// Workers on which tasks of it have failed.
-    pub failed_on: Vec<WorkerId>,
+    failed_on: Vec<WorkerId>,
     /// The newest write that has something of it.
     pub last_write: WriteId,
     /// When its progress was written last.
@@ -200,6 +202,32 @@
             .get_mut(name.index as usize)
     }
 
+    /// A run of it was placed; returns whether that is the first.
+    pub fn run_placed(&mut self) -> bool {
+        self.outstanding += 1;
+        !std::mem::replace(&mut self.started, true)
+    }
+
+    /// A run of it has ended.
+    pub fn run_finished(&mut self) {
+        self.outstanding = self.outstanding.saturating_sub(1);
+    }
+
+    /// A run of it has failed on this worker; returns whether others have failed on another one.
+    pub fn failed_on(&mut self, worker: WorkerId) -> bool {
+        let elsewhere = self.failed_on.iter().any(|other| *other != worker);
+        if self.failed_on.len() < FAILED_ON_MAX && !self.failed_on.contains(&worker) {
+            self.failed_on.push(worker);
+        }
+        elsewhere
+    }
+
+    /// It has ended and nothing of it runs: only its end stays.
+    pub fn discard_progress(&mut self) {
+        self.repeats.clear();
+        self.definition.spec = JobSpec::default();
+    }
+
     /// All tasks of all repetitions are done.
     pub fn is_complete(&self) -> bool {
         self.next_repeat == self.repeat_total() && self.repeats.values().all(Repetition::is_done)
--- a/crates/scheduler/src/run_results.rs
+++ b/crates/scheduler/src/learning.rs
@@ -1,4 +1,4 @@
-//! What outcomes of runs teach: speeds of kinds, work of classes, health of workers.
+//! What ended runs teach: speeds of kinds, run times of classes, health of workers.
 
 use crate::run_result::RunResult;
 use crate::state::ClusterState;
@@ -9,8 +9,6 @@
 
 /// Time from placement to report that orders and reports take, in milliseconds.
 const ORDER_MS: f64 = 250.0;
-/// Most workers remembered on which a job has failed.
-const FAILED_ON_MAX: usize = 4;
 
 impl ClusterState {
     /// A run has ended. Only `done` gives a sample of speed, and only if the run did all of the work.
@@ -30,6 +28,7 @@
         }
     }
 
+    /// Learns the speed of the kind and the run time of the class; the worker is healthier.
     fn learn_from_success(&mut self, run: &Run, traits: &StepTraits) {
         let now_ms = self.now_ms;
         let run_ms = now_ms.saturating_sub(run.placed_ms) as f64 / run.remote_factor.max(1.0);
@@ -45,15 +44,13 @@
         }
     }
 
+    /// The worker is less healthy, unless the job fails elsewhere too.
     fn learn_from_failure(&mut self, task: &TaskName, run: &Run, traits: &StepTraits) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let elsewhere = job.failed_on.iter().any(|other| *other != run.worker);
-        if job.failed_on.len() < FAILED_ON_MAX && !job.failed_on.contains(&run.worker) {
-            job.failed_on.push(run.worker);
-        }
+        let elsewhere = job.failed_on(run.worker);
         if let Some(worker) = self.workers.get_mut(run.worker) {
             worker
                 .health
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -11,7 +11,7 @@
 //!   (changed rows and what waits for their commit).
 //! - `view`: what decisions read; `state`: all parts, which transitions change.
 //! - Decisions: `estimates`, `straggler`, `headroom`, `backlog`, `outlook` (reservations).
-//! - Transitions: `late_ends`, `queue_order`, `run_results`, `instance_rows`, `checkpoints`, `lifecycle` (tasks and jobs),
+//! - Transitions: `late_ends`, `queue_order`, `learning`, `instance_rows`, `checkpoints`, `lifecycle` (tasks and jobs),
 //!   `runs`, `placement`, `gang`, `preemption`, `speculation`, `run_checks`, `reports`, `client_calls`, `takeover`,
 //!   `writes`.
 //! - `scheduler`, which routes each event and collects the effects.
@@ -41,6 +41,7 @@
 mod kinds;
 mod late_ends;
 mod latency;
+mod learning;
 mod lifecycle;
 mod outbox;
 mod outlook;
@@ -55,7 +56,7 @@
 mod rows;
 mod run_checks;
 mod run_result;
-mod run_results;
+
 mod runs;
 mod scheduler;
 mod services;
--- a/crates/scheduler/src/lifecycle.rs
+++ b/crates/scheduler/src/lifecycle.rs
@@ -276,8 +276,7 @@
         let Some(end) = job.end.filter(|_| job.outstanding == 0) else {
             return;
         };
-        job.repeats.clear();
-        job.definition.spec = Default::default();
+        job.discard_progress();
         self.outbox.job_closed(id);
         self.set_dirty(id);
         self.await_expiry(id, end.wall_ms);
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -94,8 +94,7 @@
             &mut entry.speculative_run
         };
         *slot = Some(placement.run(attempt, resumed, now_ms));
-        job.outstanding += 1;
-        let first = !std::mem::replace(&mut job.started, true);
+        let first = job.run_placed();
         if let Some(worker) = self.workers.get_mut(placement.worker) {
             worker.occupy(task, &resources, placement.bound);
             worker.health.placed(now_ms);
@@ -255,7 +254,7 @@
         let (done, runs_on) = (entry.done, entry.run.is_some());
         self.store_checkpoint(&task, checkpoint);
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.outstanding = job.outstanding.saturating_sub(1);
+            job.run_finished();
         }
         self.set_dirty(task.job);
         if let Some(worker) = self.workers.get_mut(run.worker) {
