--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -2,7 +2,8 @@
 //! follows their runs. A state machine without I/O: time and events go in; writes, replies and orders come out. It reads
 //! no clock and draws from a seeded generator, so that the same events give the same decisions.
 //!
-//! The modules in layers; each uses only modules above it in this list, or earlier in its own line:
+//! The modules in layers; each imports only modules above it in this list, or earlier in its own line. Ends of runs and
+//! progress of jobs follow from each other, so `lifecycle` and `runs` call each other's transitions of the state.
 //!
 //! - Values: `latency`, `api` (inputs and outputs), `run_result`, `queue` (order of admission), `value`, `definition`.
 //! - Parts with state of their own: `clock`, `timers`, `rng`, `health`, `unexpected_runs`, `worker`, `workers` (registry
