--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -1,20 +1,20 @@
-//! Placement of gangs: all members at once, with one run number and the same saved progress, or none.
+//! Placement of gangs: all members at once, with one run number and the same checkpoint, or none.
 
-use crate::draw::Choice;
-use crate::need::{Need, Reach, Scope};
+use crate::demand::{Locality, Scope, StepDemand};
+use crate::kinds::Selection;
 use crate::queue::StepRef;
 use crate::runs::Placement;
-use crate::scheduler::Scheduler;
-use crate::workers::{Worker, WorkerId};
+use crate::state::ClusterState;
+use crate::worker::{Worker, WorkerId};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
 /// Longest time that a gang which needs one rack waits for one.
 const ONE_RACK_WAIT_MAX_MS: u64 = 1_500;
 
-impl Scheduler {
+impl ClusterState {
     /// Places a gang if all members fit.
-    pub(crate) fn place_gang(&mut self, service: &str, at: StepRef, reach: Reach) {
+    pub(crate) fn place_gang(&mut self, service: &str, at: StepRef, locality: Locality) {
         let Some(job) = self.jobs.get(&at.job) else {
             return;
         };
@@ -25,52 +25,51 @@
             return;
         }
         let (rack_local, members) = (step.rack_local, state.tasks.len());
-        let Some(mut need) = Need::of(job, at, self.now_ms) else {
+        let Some(mut demand) = StepDemand::of(job, at, self.now_ms) else {
             return;
         };
-        need.spares_idle = self.spares_idle(service, &need.resources);
-        need.reach = reach;
-        let rack_wait_ms = (need.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
-        let waited =
-            reach == Reach::Away && need.waited_ms >= rack_wait_ms.min(ONE_RACK_WAIT_MAX_MS);
+        demand.avoids_idle_workers = self.avoids_idle_workers(service, &demand.resources);
+        demand.locality = locality;
+        let rack_wait_ms = (demand.estimate_ms as f64 * (self.bounds.remote_slowdown - 1.0)) as u64;
+        let waited = locality == Locality::Anywhere
+            && demand.waited_ms >= rack_wait_ms.min(ONE_RACK_WAIT_MAX_MS);
         let may_spread = !rack_local || waited;
         let plan = [Scope::Preferred, Scope::Allowed]
             .into_iter()
             .find_map(|scope| {
                 let in_rack = if rack_local {
-                    self.plan_in_rack(service, &need, scope, members)
+                    self.plan_in_rack(service, &demand, scope, members)
                 } else {
                     None
                 };
                 let spread = || {
                     may_spread
-                        .then(|| self.plan(service, &need, scope, members, None))
+                        .then(|| self.plan(service, &demand, scope, members, None))
                         .flatten()
                 };
                 in_rack.or_else(spread)
             });
         if let Some(plan) = plan {
-            self.start_gang(service, at, rack_local, &need, plan);
+            self.start_gang(service, at, rack_local, &demand, plan);
         }
     }
 
-    /// A plan within one rack, the first that has room in random order.
+    /// A plan within one rack: the first with capacity, in random order.
     fn plan_in_rack(
         &mut self,
         service: &str,
-        need: &Need,
+        demand: &StepDemand,
         scope: Scope,
         members: usize,
-    ) -> Option<Vec<Choice>> {
+    ) -> Option<Vec<Selection>> {
         let state = self.services.get(service)?;
-        let racks = state
-            .kinds
-            .workers()
-            .filter_map(|id| self.workers.get(id)?.rack().map(str::to_owned));
-        let mut racks: Vec<String> = racks.collect::<BTreeSet<String>>().into_iter().collect();
+        let view = self.view();
+        let racks = view.workers_of(state).filter_map(Worker::rack);
+        let racks: BTreeSet<&str> = racks.collect();
+        let mut racks: Vec<String> = racks.into_iter().map(str::to_owned).collect();
         while !racks.is_empty() {
             let rack = racks.swap_remove(self.rng.below(racks.len()));
-            if let Some(plan) = self.plan(service, need, scope, members, Some(&rack)) {
+            if let Some(plan) = self.plan(service, demand, scope, members, Some(&rack)) {
                 return Some(plan);
             }
         }
@@ -81,60 +80,60 @@
     fn plan(
         &mut self,
         service: &str,
-        need: &Need,
+        demand: &StepDemand,
         scope: Scope,
         members: usize,
         rack: Option<&str>,
-    ) -> Option<Vec<Choice>> {
+    ) -> Option<Vec<Selection>> {
         let (now_ms, remote_slowdown) = (self.now_ms, self.bounds.remote_slowdown);
         let state = self.services.get(service)?;
         let eligible = |id: WorkerId, worker: &Worker| {
-            worker.takes_starts(now_ms)
+            worker.accepts_starts(now_ms)
                 && rack.is_none_or(|rack| worker.rack() == Some(rack))
-                && need.considers(scope, worker, remote_slowdown, false, now_ms)
+                && demand.considers(scope, worker, remote_slowdown, false, now_ms)
                 && state
-                    .reserved
-                    .get(&id)
-                    .is_none_or(|kept| kept.gives_way(need))
+                    .reservations
+                    .get(id)
+                    .is_none_or(|reservation| reservation.yields_to(demand))
         };
         let mut planned: FxHashMap<WorkerId, u32> = FxHashMap::default();
         let mut plan = Vec::with_capacity(members);
         for _ in 0..members {
-            let choice =
+            let selection =
                 state
                     .kinds
-                    .choose(&mut self.rng, &self.workers, &need.label, |id, worker| {
+                    .select(&mut self.rng, &self.workers, &demand.label, |id, worker| {
                         let extra = planned.get(&id).copied().unwrap_or(0);
-                        need.permits(id, worker, extra) && eligible(id, worker)
+                        demand.permits(id, worker, extra) && eligible(id, worker)
                     })?;
-            *planned.entry(choice.worker).or_default() += 1;
-            plan.push(choice);
+            *planned.entry(selection.worker).or_default() += 1;
+            plan.push(selection);
         }
         Some(plan)
     }
 
+    /// Factor on the run time of a gang on these workers.
+    fn gang_remote_factor(&self, rack_local: bool, demand: &StepDemand, plan: &[Selection]) -> f64 {
+        let workers = || {
+            plan.iter()
+                .filter_map(|selection| self.workers.get(selection.worker))
+        };
+        let racks: BTreeSet<Option<&str>> = workers().map(Worker::rack).collect();
+        let is_local = workers().all(|worker| demand.is_local(worker));
+        self.bounds
+            .remote_factor(is_local && !(rack_local && racks.len() > 1))
+    }
+
+    /// Starts all members with one attempt number and the same checkpoint.
     fn start_gang(
         &mut self,
         service: &str,
         at: StepRef,
         rack_local: bool,
-        need: &Need,
-        plan: Vec<Choice>,
+        demand: &StepDemand,
+        plan: Vec<Selection>,
     ) {
-        let racks: BTreeSet<Option<&str>> = plan
-            .iter()
-            .filter_map(|choice| self.workers.get(choice.worker))
-            .map(Worker::rack)
-            .collect();
-        let near = plan
-            .iter()
-            .filter_map(|choice| self.workers.get(choice.worker))
-            .all(|w| need.near(w));
-        let far = if near && !(rack_local && racks.len() > 1) {
-            1.0
-        } else {
-            self.bounds.remote_slowdown
-        };
+        let remote_factor = self.gang_remote_factor(rack_local, demand, &plan);
         let Some(state) = self
             .jobs
             .get_mut(&at.job)
@@ -149,28 +148,19 @@
             .max()
             .unwrap_or(0)
             + 1;
-        let checkpoint = state.gang_saved.clone();
+        let checkpoint = state.gang_checkpoint.clone();
         state
             .tasks
             .iter_mut()
             .for_each(|task| task.checkpoint.clone_from(&checkpoint));
-        for (index, choice) in plan.into_iter().enumerate() {
+        for (index, selection) in plan.into_iter().enumerate() {
             let task = at.task(index as u32);
-            if let (Some(traces), Some(state)) = (&mut self.traces, self.services.get(service)) {
-                traces.push(state.kinds.trace(task, &choice, &self.workers));
-            }
-            self.place(
-                task,
-                attempt,
-                Placement {
-                    worker: choice.worker,
-                    bound: choice.bound,
-                    far,
-                },
-            );
+            self.trace_placement(service, task, &selection);
+            let placement = Placement::new(&selection, remote_factor);
+            self.place_run(task, attempt, placement);
         }
         if let Some(state) = self.services.get_mut(service) {
-            state.reserved.retain(|_, kept| kept.step != at);
+            state.reservations.release(at);
         }
     }
 }
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,63 +1,29 @@
-//! Jobs and how far they have come: repetitions, steps, tasks, runs.
+//! Jobs and how far they have come.
 
-use crate::api::{AgentId, WriteId};
-use crate::delays::Delays;
-use crate::order::cost_class;
+use crate::api::WriteId;
+use crate::definition::{Definition, JobEnd, Terms};
+use crate::kinds::Class;
 use crate::queue::{Prospect, QueueKey, StepRef};
-use crate::workers::WorkerId;
-use indigofold_protocol::job::{JobSpec, JobState, Step};
+use crate::task::{Run, StepState, Task};
+use crate::value::{cost_class, work_of};
+use crate::worker::WorkerId;
+use indigofold_protocol::job::{JobSpec, Step};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-/// A job that ends within so many times its objective still earns something.
+/// A job that ends within so many times its latency target still earns something.
 const LATE_FACTOR: i64 = 3;
 /// Repetitions with so many tasks in all may be open at a time, or one.
 const OPEN_TASKS_MAX: usize = 10_000;
-/// Longer objectives are cut to this.
-const OBJECTIVE_MAX_MS: u64 = 1 << 40;
-
-/// What a queue grants its jobs, as its route says.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
-    /// 0 goes first.
-    pub priority: u32,
-    /// A task that has failed so often fails its job.
-    pub max_retries: u32,
-    /// Part of the objective: multiple of the longest chain of work.
-    pub stretch: f64,
-    /// Part of the objective that does not depend on the work.
-    pub target_latency_ms: u64,
-}
-
-/// A job as it was taken; written once.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Definition {
-    /// What the client handed in.
-    pub spec: JobSpec,
-    /// Name of its queue's route.
-    pub route: String,
-    /// Service to which the route led then.
-    pub service: String,
-    /// Terms of the route then.
-    pub terms: Terms,
-    /// When it was taken, in milliseconds since 1970.
-    pub accepted_wall_ms: u64,
-}
-
-/// The end of a job.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobEnd {
-    /// `Completed`, `Failed` or `Cancelled`.
-    pub state: JobState,
-    /// When, in milliseconds since 1970.
-    pub wall_ms: u64,
-}
+/// Most workers remembered on which a job has failed.
+const FAILED_ON_MAX: usize = 4;
+/// Longer latency targets are limited to this.
+const LATENCY_TARGET_MAX_MS: u64 = 1 << 40;
 
 /// A job.
 #[derive(Debug)]
 pub struct Job {
-    /// What the client handed in, and where.
+    /// What the client submitted, and where.
     pub definition: Definition,
     /// Service that runs its tasks from now on.
     pub service: String,
@@ -67,165 +33,53 @@
     pub chain_ms: Vec<u64>,
     /// Run time to be expected of each step's tasks, in milliseconds.
     pub run_ms: Vec<u64>,
-    /// What it earns in time, against the mean of its queue's jobs.
-    pub worth: f64,
-    /// Repetitions that are due and not over.
-    pub repeats: BTreeMap<u32, Repeat>,
-    /// The first repetition that is not due yet; those below that are not in `repeats` are over.
+    /// What it earns if it meets its latency target, in relation to the mean of its queue.
+    pub value: f64,
+    /// Repetitions that are due and have not ended.
+    pub repeats: BTreeMap<u32, Repetition>,
+    /// The first repetition that is not due yet; those below that are not in `repeats` have ended.
     pub next_repeat: u32,
     /// How it ended.
     pub end: Option<JobEnd>,
     /// Something of it has been started.
     pub started: bool,
-    /// Runs of it that are not over.
+    /// Number of its runs that have not ended.
     pub outstanding: u32,
     /// Workers on which tasks of it have failed.
-    pub failed_on: Vec<WorkerId>,
+    failed_on: Vec<WorkerId>,
     /// The newest write that has something of it.
     pub last_write: WriteId,
     /// When its progress was written last.
     pub written_ms: u64,
 }
 
+/// What a step may still earn.
+struct StepProspect {
+    prospect: Prospect,
+    /// When it has to start for the latency target to be met, on the steady clock.
+    latest_start_ms: i64,
+}
+
+/// A run that has not ended, and where it is.
+#[derive(Clone, Copy, Debug)]
+pub struct OutstandingRun {
+    /// The run.
+    pub run: RunId,
+    /// Its worker.
+    pub worker: WorkerId,
+}
+
 /// One repetition of a job's steps.
 #[derive(Debug)]
-pub struct Repeat {
+pub struct Repetition {
     /// When it was due, on the steady clock (may lie before its beginning).
     pub due_ms: i64,
     /// Its steps.
     pub steps: Vec<StepState>,
 }
 
-/// One step of a repetition.
-#[derive(Debug, Default)]
-pub struct StepState {
-    /// Its tasks.
-    pub tasks: Vec<Task>,
-    /// Number of tasks done.
-    pub done: u32,
-    /// Tasks that are to be placed.
-    pub waiting: BTreeSet<u32>,
-    /// Place in the queue while something waits.
-    pub queued: Option<QueueKey>,
-    /// Since when something waits.
-    pub waiting_since_ms: u64,
-    /// What it has waited for since then, as seen when it was looked at.
-    pub waits: Delays,
-    /// When it was looked at last.
-    pub looked_at_ms: u64,
-    /// Where the time went before its turn came.
-    pub chain: Delays,
-    /// Progress of the gang as heard last.
-    pub gang_saved: String,
-    /// Attempts of the gang that have failed.
-    pub gang_failures: u32,
-    /// The newest of these attempts.
-    pub gang_failed_attempt: u32,
-}
-
-/// One task.
-#[derive(Clone, Debug, Default)]
-pub struct Task {
-    /// Highest number of a run so far.
-    pub last_attempt: u32,
-    /// Runs that ended `failed`.
-    pub failures: u32,
-    /// It is done.
-    pub done: bool,
-    /// Progress to resume from; empty for none.
-    pub checkpoint: String,
-    /// Its run that is not over.
-    pub run: Option<Run>,
-    /// A second run at the same time, on another worker; only while `run` is there, and only of `speculative` steps.
-    pub copy: Option<Run>,
-    /// Worker on which it failed last.
-    pub failed_on: Option<WorkerId>,
-    /// Since when it waits to be placed.
-    pub waits_since_ms: u64,
-    /// Where its time went since its step's turn came.
-    pub delays: Delays,
-}
-
-/// A run that is not over.
-#[derive(Clone, Debug)]
-pub struct Run {
-    /// Its number.
-    pub attempt: u32,
-    /// Where it runs.
-    pub worker: WorkerId,
-    /// Its order may have left this process.
-    pub sent: bool,
-    /// When its order left.
-    pub sent_ms: u64,
-    /// When its worker listed it first.
-    pub began_ms: Option<u64>,
-    /// Where its stop was sent last and when; `Some((None, _))` if it is to be sent.
-    pub stop: Option<StopOrder>,
-    /// When it was placed.
-    pub placed_ms: u64,
-    /// It resumes from saved progress, or was placed by a predecessor: how long it takes tells nothing.
-    pub resumed: bool,
-    /// It was bound to one kind of workers.
-    pub bound: bool,
-    /// Factor on its run time on this worker (data or gang on other racks).
-    pub far: f64,
-    /// Part done, as listed last.
-    pub percent: u32,
-    /// When that changed last.
-    pub percent_ms: u64,
-    /// When a report listed it last.
-    pub listed_ms: u64,
-}
-
-/// A stop that was decided.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopOrder {
-    /// Connection on which it was sent.
-    pub sent_to: Option<AgentId>,
-    /// When it was sent last.
-    pub sent_ms: u64,
-}
-
-impl Task {
-    /// Its runs that are not over.
-    pub fn runs(&self) -> impl Iterator<Item = &Run> {
-        self.run.iter().chain(&self.copy)
-    }
-
-    /// Its run on this worker.
-    pub fn run_at(&self, worker: WorkerId) -> Option<&Run> {
-        self.runs().find(|run| run.worker == worker)
-    }
-
-    /// Its run of this number.
-    pub fn run_mut(&mut self, attempt: u32) -> Option<&mut Run> {
-        self.run
-            .iter_mut()
-            .chain(&mut self.copy)
-            .find(|run| run.attempt == attempt)
-    }
-
-    /// Takes its run of this number out; a copy that is left takes the place of the run.
-    pub fn take_run(&mut self, attempt: u32) -> Option<Run> {
-        if self
-            .copy
-            .as_ref()
-            .is_some_and(|copy| copy.attempt == attempt)
-        {
-            return self.copy.take();
-        }
-        let copy = self.copy.take();
-        let run = self.run.take_if(|run| run.attempt == attempt);
-        match run {
-            Some(_) => self.run = copy,
-            None => self.copy = copy,
-        }
-        run
-    }
-}
-
 impl Job {
-    /// A job that has just been taken.
+    /// A job that has just been accepted.
     pub fn new(definition: Definition) -> Self {
         Job {
             service: definition.service.clone(),
@@ -237,7 +91,7 @@
                 .iter()
                 .map(|step| step.estimate_ms)
                 .collect(),
-            worth: 1.0,
+            value: 1.0,
             definition,
             repeats: BTreeMap::new(),
             next_repeat: 0,
@@ -285,17 +139,42 @@
         (spec.repeat_count > 0).then(|| spec.start_at_ms.saturating_add(after))
     }
 
-    /// The objective on the time from its due time to its end, in milliseconds.
-    pub fn objective_ms(&self) -> u64 {
+    /// The latency target on the time from its due time to its end, in milliseconds.
+    pub fn latency_target_ms(&self) -> u64 {
         let chain = self.chain_ms.iter().max().copied().unwrap_or(0);
         (self.terms.stretch.max(0.0) * chain as f64) as u64 + self.terms.target_latency_ms
     }
 
+    /// Class of the tasks of a step.
+    pub fn class(&self, step: u32) -> Class {
+        Class {
+            route: self.definition.route.clone(),
+            step,
+        }
+    }
+
     /// Description of a step.
     pub fn step(&self, step: u32) -> Option<&Step> {
         self.definition.spec.stages.get(step as usize)
     }
 
+    /// Steps of a repetition for which all steps before them are done.
+    pub fn ready_steps(&self, repeat: u32) -> Vec<u32> {
+        let Some(state) = self.repeats.get(&repeat) else {
+            return Vec::new();
+        };
+        let is_done = |step: &u32| {
+            state
+                .steps
+                .get(*step as usize)
+                .is_some_and(StepState::is_done)
+        };
+        let stages = &self.definition.spec.stages;
+        (0..state.steps.len() as u32)
+            .filter(|step| stages[*step as usize].depends_on.iter().all(is_done))
+            .collect()
+    }
+
     /// State of a step.
     pub fn step_state(&self, at: StepRef) -> Option<&StepState> {
         self.repeats.get(&at.repeat)?.steps.get(at.step as usize)
@@ -323,25 +202,51 @@
             .get_mut(name.index as usize)
     }
 
+    /// A run of it was placed; returns whether that is the first.
+    pub fn run_placed(&mut self) -> bool {
+        self.outstanding += 1;
+        !std::mem::replace(&mut self.started, true)
+    }
+
+    /// A run of it has ended.
+    pub fn run_finished(&mut self) {
+        self.outstanding = self.outstanding.saturating_sub(1);
+    }
+
+    /// A run of it has failed on this worker; returns whether others have failed on another one.
+    pub fn failed_on(&mut self, worker: WorkerId) -> bool {
+        let elsewhere = self.failed_on.iter().any(|other| *other != worker);
+        if self.failed_on.len() < FAILED_ON_MAX && !self.failed_on.contains(&worker) {
+            self.failed_on.push(worker);
+        }
+        elsewhere
+    }
+
+    /// It has ended and nothing of it runs: only its end stays.
+    pub fn discard_progress(&mut self) {
+        self.repeats.clear();
+        self.definition.spec = JobSpec::default();
+    }
+
     /// All tasks of all repetitions are done.
     pub fn is_complete(&self) -> bool {
-        self.next_repeat == self.repeat_total() && self.repeats.values().all(Repeat::is_done)
+        self.next_repeat == self.repeat_total() && self.repeats.values().all(Repetition::is_done)
     }
 
     /// A repetition whose steps have not begun.
-    pub fn fresh_repeat(&self, due_ms: i64) -> Repeat {
+    pub fn fresh_repeat(&self, due_ms: i64) -> Repetition {
         let fresh = |step: &Step| StepState {
             tasks: vec![Task::default(); step.count as usize],
             ..StepState::default()
         };
-        Repeat {
+        Repetition {
             due_ms,
             steps: self.definition.spec.stages.iter().map(fresh).collect(),
         }
     }
 
     /// Its runs that are not over, and where they are.
-    pub fn outstanding_runs(&self, id: JobId) -> Vec<(RunId, WorkerId)> {
+    pub fn outstanding_runs(&self, id: JobId) -> Vec<OutstandingRun> {
         let mut outstanding = Vec::new();
         for (&repeat, state) in &self.repeats {
             for (step, state) in state.steps.iter().enumerate() {
@@ -352,14 +257,12 @@
                 };
                 for (index, task) in state.tasks.iter().enumerate() {
                     let task_name = at.task(index as u32);
-                    let named = |run: &Run| {
-                        (
-                            RunId {
-                                task: task_name,
-                                attempt: run.attempt,
-                            },
-                            run.worker,
-                        )
+                    let named = |run: &Run| OutstandingRun {
+                        run: RunId {
+                            task: task_name,
+                            attempt: run.attempt,
+                        },
+                        worker: run.worker,
                     };
                     outstanding.extend(task.runs().map(named));
                 }
@@ -368,20 +271,23 @@
         outstanding
     }
 
-    /// Where a step stands in the queue: by priority, then by the work that its job still needs for what it
-    /// earns, then by when it has to start for the job's objective to be met.
+    /// Position of a step in the queue: by priority, then by the work that its job still needs for what it
+    /// earns, then by when it has to start for the latency target of the job to be met.
     pub fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
-        let lasts = self.step(at.step).is_some_and(|step| step.long_running);
-        let (prospect, latest_start_ms) = if lasts {
-            self.lasting_prospect(at)
+        let long_running = self.step(at.step).is_some_and(|step| step.long_running);
+        let StepProspect {
+            prospect,
+            latest_start_ms,
+        } = if long_running {
+            self.long_running_prospect(at)
         } else {
-            self.ending_prospect(at, now_ms)
+            self.finite_prospect(at, now_ms)
         };
         let hopeless = prospect == Prospect::Hopeless;
-        let cost_class = if lasts {
+        let cost_class = if long_running {
             i16::MIN
         } else {
-            cost_class(self.work_left(at), self.worth, prospect)
+            cost_class(self.work_left(at), self.value, prospect)
         };
         let priority = self.terms.priority;
         QueueKey {
@@ -394,47 +300,52 @@
         }
     }
 
-    /// A step that lasts earns as long as it runs: however late it is, it is worth its place, from when it last began
+    /// A long-running step earns as long as it runs: however late it is, it keeps its value, from when it last began
     /// to wait.
-    fn lasting_prospect(&self, at: StepRef) -> (Prospect, i64) {
+    fn long_running_prospect(&self, at: StepRef) -> StepProspect {
         let waiting_since_ms = self
             .step_state(at)
             .map_or(0, |state| state.waiting_since_ms);
-        let target_ms = self.terms.target_latency_ms.min(OBJECTIVE_MAX_MS);
-        (
-            Prospect::InTime,
-            waiting_since_ms.saturating_add(target_ms) as i64,
-        )
+        let target_ms = self.terms.target_latency_ms.min(LATENCY_TARGET_MAX_MS);
+        StepProspect {
+            prospect: Prospect::InTime,
+            latest_start_ms: waiting_since_ms.saturating_add(target_ms) as i64,
+        }
     }
 
-    fn ending_prospect(&self, at: StepRef, now_ms: u64) -> (Prospect, i64) {
+    fn finite_prospect(&self, at: StepRef, now_ms: u64) -> StepProspect {
         let due_ms = self
             .repeats
             .get(&at.repeat)
             .map_or(0, |repeat| repeat.due_ms);
         let chain = self.chain_ms.get(at.step as usize).copied().unwrap_or(0) as i64;
-        let objective_ms = self.objective_ms().min(OBJECTIVE_MAX_MS) as i64;
-        let latest_start_ms = due_ms.saturating_add(objective_ms).saturating_sub(chain);
+        let latency_target_ms = self.latency_target_ms().min(LATENCY_TARGET_MAX_MS) as i64;
+        let latest_start_ms = due_ms
+            .saturating_add(latency_target_ms)
+            .saturating_sub(chain);
         let hopeless_ms = due_ms
-            .saturating_add(objective_ms.saturating_mul(LATE_FACTOR))
+            .saturating_add(latency_target_ms.saturating_mul(LATE_FACTOR))
             .saturating_sub(chain);
         let prospect = match now_ms as i64 {
             now if now <= latest_start_ms => Prospect::InTime,
             now if now <= hopeless_ms => Prospect::Late,
             _ => Prospect::Hopeless,
         };
-        (prospect, latest_start_ms)
+        StepProspect {
+            prospect,
+            latest_start_ms,
+        }
     }
 }
 
-impl Repeat {
+impl Repetition {
     /// All its tasks are done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepState::is_done)
     }
 
     /// All its tasks are done and no run is outstanding.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.is_done()
             && self
                 .steps
@@ -443,22 +354,42 @@
     }
 }
 
-impl StepState {
-    /// A task is to be placed (again).
-    pub fn wait(&mut self, index: u32, now_ms: u64) {
-        let newly = self.waiting.insert(index);
-        if let Some(task) = self.tasks.get_mut(index as usize).filter(|_| newly) {
-            task.waits_since_ms = now_ms;
-        }
+impl Job {
+    /// All its work, in core-milliseconds.
+    pub fn work(&self) -> f64 {
+        let steps = self.definition.spec.stages.iter().zip(&self.run_ms);
+        steps
+            .map(|(step, run_ms)| work_of(step, step.count as usize, *run_ms))
+            .sum()
     }
 
-    /// All its tasks are done.
-    pub fn is_done(&self) -> bool {
-        self.done as usize == self.tasks.len()
+    /// Work of this step that waits and of the steps behind it, in core-milliseconds.
+    pub fn work_left(&self, at: StepRef) -> f64 {
+        let Some(repeat) = self.repeats.get(&at.repeat) else {
+            return 0.0;
+        };
+        let steps = self
+            .definition
+            .spec
+            .stages
+            .iter()
+            .zip(&repeat.steps)
+            .zip(&self.run_ms);
+        let from_here = steps.enumerate().skip(at.step as usize);
+        let left = from_here.map(|(number, ((step, state), run_ms))| {
+            let not_done = state.tasks.len() - state.done as usize;
+            let tasks = if number == at.step as usize {
+                state.waiting.len()
+            } else {
+                not_done
+            };
+            work_of(step, tasks, *run_ms)
+        });
+        left.sum()
     }
 }
 
-/// Longest chain of work from each step to the end; `expected_ms` tells the run time of a step's tasks.
+/// Longest chain of work from each step to the end; `expected_ms` gives the run time of a step's tasks.
 fn chains(steps: &[Step], expected_ms: impl Fn(u32, &Step) -> u64) -> Vec<u64> {
     let own: Vec<u64> = steps
         .iter()
--- a/crates/scheduler/src/draw.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -1,7 +1,9 @@
-//! Hybrid SQ(d): the workers of a service by kind, the kinds' shares p_k of problem (1), and the choice of a worker.
+//! Hybrid SQ(d): the workers of a service by kind, the probabilities p_k of the kinds by problem (1), and the selection of a
+//! worker.
 
 use crate::rng::Rng;
-use crate::workers::{Worker, WorkerId, Workers, is_rack};
+use crate::worker::{Worker, WorkerId, is_rack};
+use crate::workers::Workers;
 use indigofold_placement::runs::{KEEP, Speed, Sum, Work, add, learn};
 use indigofold_placement::solve::solve;
 use indigofold_protocol::job::Resources;
@@ -10,11 +12,11 @@
 
 /// Workers sampled for a task.
 pub const SAMPLES: usize = 3;
-/// Weight that the old load keeps at each new solution.
+/// Weight of the former load in the exponential mean.
 const LOAD_KEEP: f64 = 0.7;
 /// Microseconds of a millisecond.
 const MICROS: u64 = 1_000;
-/// A run of an unknown class without an estimate is taken to last so long, in milliseconds.
+/// A run of an unknown class without an estimate is assumed to take this time, in milliseconds.
 const UNKNOWN_RUN_MS: f64 = 1_000.0;
 
 /// Workers with like labels (racks apart) and capacity.
@@ -27,11 +29,17 @@
     probability: f64,
 }
 
-/// A class of tasks: a step of a queue's jobs.
-pub type Class = (String, u32);
+/// A class of tasks whose run times are learned together: one step of the jobs of a route.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Class {
+    /// Name of the route.
+    pub route: String,
+    /// Number of the step.
+    pub step: u32,
+}
 
-/// How long the tasks of a class run. Clients' estimates are rough: they are used only where they have told more than
-/// the class's mean.
+/// How long the tasks of a class run. Clients' estimates are rough: they are used only where they have predicted better
+/// than the class's mean.
 #[derive(Debug, Default)]
 struct ClassWork {
     by_estimate: Work,
@@ -58,11 +66,20 @@
     FewestOfDrawn,
     /// Fewest runs among the workers sampled of the only kind that the step may use.
     FewestOfBound,
-    /// The drawn kind had no room; fewest among the workers sampled of the next kind by p_k.
+    /// The drawn kind had no capacity; fewest among the workers sampled of the next kind by p_k.
     FewestOfNext,
 }
 
-/// How a worker was chosen.
+/// A worker of a sample.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SampledWorker {
+    /// Id of the worker instance.
+    pub instance: String,
+    /// Number of its runs.
+    pub runs: usize,
+}
+
+/// How a worker was selected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementTrace {
     /// The task.
@@ -71,17 +88,17 @@
     pub drawn: Option<usize>,
     /// p_k of all kinds.
     pub probabilities: Vec<f64>,
-    /// Workers sampled with room, and their runs in flight.
-    pub sampled: Vec<(String, usize)>,
-    /// The worker chosen.
+    /// Workers sampled that have capacity.
+    pub sampled: Vec<SampledWorker>,
+    /// The selected worker.
     pub winner: String,
     /// Why.
     pub reason: Reason,
 }
 
-/// A choice.
+/// A selected worker.
 #[derive(Debug)]
-pub struct Choice {
+pub struct Selection {
     /// The worker.
     pub worker: WorkerId,
     /// Whether the step was bound to a kind.
@@ -92,13 +109,13 @@
 }
 
 impl Kinds {
-    /// Sorts the service's workers into kinds anew; speeds are kept.
+    /// Sorts the service's workers into kinds anew; known speeds stay.
     pub fn regroup(&mut self, workers: &Workers, backend: &str) {
         self.kinds.iter_mut().for_each(|kind| kind.workers.clear());
         self.kind_of.clear();
         for (id, worker) in workers
             .iter()
-            .filter(|(_, w)| w.backend == backend && w.lapsed_ms.is_none())
+            .filter(|(_, w)| w.backend == backend && w.expired_ms().is_none())
         {
             let kind = self.kind_for(worker);
             self.kinds[kind].workers.push(id);
@@ -140,39 +157,40 @@
             let takes = |id: &&WorkerId| workers.get(**id).is_some_and(|w| w.agent.is_some());
             kind.workers.iter().filter(takes).count() as f64
         };
-        let shares: Vec<f64> = self.kinds.iter().map(ready).collect();
+        let ready_workers: Vec<f64> = self.kinds.iter().map(ready).collect();
         let mean = self.mean_speed();
         let speeds: Vec<f64> = self.kinds.iter().map(|kind| kind.speed_or(mean)).collect();
-        let probabilities = solve(&shares, &speeds, self.load, SAMPLES as u32);
+        let probabilities = solve(&ready_workers, &speeds, self.load, SAMPLES as u32);
         self.kinds
             .iter_mut()
             .zip(probabilities)
             .for_each(|(kind, p)| kind.probability = p);
     }
 
-    /// Part of the capacity, apart from what bound runs take, that unbound runs take.
+    /// Fraction of the capacity, without what bound runs take, that unbound runs take.
     pub fn measured_load(&self, workers: &Workers) -> f64 {
         let (mut used, mut all) = (0.0, 0.0);
         for worker in self.kind_of.keys().filter_map(|id| workers.get(*id)) {
-            let bound = dominant_share(&worker.used_bound, &worker.capacity);
-            let unbound = dominant_share(&worker.used.minus(&worker.used_bound), &worker.capacity);
+            let bound = dominant_share(&worker.used_bound(), &worker.capacity);
+            let unbound =
+                dominant_share(&worker.used.minus(&worker.used_bound()), &worker.capacity);
             used += unbound;
             all += (1.0 - bound).max(unbound);
         }
         if all > 0.0 { used / all } else { 0.0 }
     }
 
-    /// Mean speed of the kinds that have been heard of.
+    /// Mean speed of the kinds that have a speed estimate.
     fn mean_speed(&self) -> f64 {
-        let heard = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
-        let (sum, count) = heard.fold((0.0, 0.0), |(sum, count), kind| {
+        let known = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
+        let (sum, count) = known.fold((0.0, 0.0), |(sum, count), kind| {
             (sum + kind.speed.speed, count + 1.0)
         });
         if count > 0.0 { sum / count } else { 1.0 }
     }
 
     /// A run of this class took `run_ms` on this worker.
-    pub fn learned(&mut self, worker: WorkerId, class: &Class, estimate_ms: u64, run_ms: f64) {
+    pub fn record_run(&mut self, worker: WorkerId, class: &Class, estimate_ms: u64, run_ms: f64) {
         let Some(&kind) = self.kind_of.get(&worker) else {
             return;
         };
@@ -206,13 +224,13 @@
     /// Run time to be expected on a worker of mean speed, in milliseconds.
     pub fn expected_at_mean_speed_ms(&self, class: &Class, estimate_ms: u64) -> f64 {
         let estimate = (estimate_ms > 0).then_some(estimate_ms * MICROS);
-        let learned = self.classes.get(class).and_then(|work| work.mean(estimate));
+        let class_mean = self.classes.get(class).and_then(|work| work.mean(estimate));
         let given_ms = if estimate_ms > 0 {
             estimate_ms as f64
         } else {
             UNKNOWN_RUN_MS
         };
-        learned.map_or(given_ms, |micros| micros / MICROS as f64)
+        class_mean.map_or(given_ms, |micros| micros / MICROS as f64)
     }
 
     /// Workers of the service.
@@ -224,13 +242,13 @@
 
     /// Draws a kind by p_k (or takes the one that `label` binds to) and samples workers that `fits`; the one with the
     /// fewest runs wins. Without any the other kinds follow by p_k.
-    pub fn choose(
+    pub fn select(
         &self,
         rng: &mut Rng,
         workers: &Workers,
         label: &str,
         fits: impl Fn(WorkerId, &Worker) -> bool,
-    ) -> Option<Choice> {
+    ) -> Option<Selection> {
         let allowed = self.allowed(label);
         let bound = !label.is_empty() && allowed.len() == 1;
         let drawn = if bound {
@@ -238,16 +256,8 @@
         } else {
             self.draw(rng, &allowed)
         };
-        let mut order = allowed;
-        order.sort_by(|a, b| {
-            self.kinds[*b]
-                .probability
-                .total_cmp(&self.kinds[*a].probability)
-        });
-        if let Some(at) = drawn.and_then(|drawn| order.iter().position(|kind| *kind == drawn)) {
-            order[..=at].rotate_right(1);
-        }
-        for (place, kind) in order.iter().enumerate() {
+        let order = self.by_probability(allowed, drawn);
+        for (rank, kind) in order.iter().enumerate() {
             let sampled = sample(rng, &self.kinds[*kind].workers, workers, &fits);
             let in_flight = |id: &WorkerId| {
                 workers
@@ -255,12 +265,12 @@
                     .map_or(usize::MAX, |worker| worker.runs.len())
             };
             if let Some(&worker) = sampled.iter().min_by_key(|id| in_flight(id)) {
-                let reason = match place {
+                let reason = match rank {
                     0 if bound => Reason::FewestOfBound,
                     0 => Reason::FewestOfDrawn,
                     _ => Reason::FewestOfNext,
                 };
-                return Some(Choice {
+                return Some(Selection {
                     worker,
                     bound,
                     drawn,
@@ -272,6 +282,19 @@
         None
     }
 
+    /// Kinds in the order in which they are sampled: the drawn one first, the others by falling probability.
+    fn by_probability(&self, mut kinds: Vec<usize>, drawn: Option<usize>) -> Vec<usize> {
+        kinds.sort_by(|a, b| {
+            self.kinds[*b]
+                .probability
+                .total_cmp(&self.kinds[*a].probability)
+        });
+        if let Some(at) = drawn.and_then(|drawn| kinds.iter().position(|kind| *kind == drawn)) {
+            kinds[..=at].rotate_right(1);
+        }
+        kinds
+    }
+
     /// Kinds with this label; all of them if no kind has it (it may name a rack).
     fn allowed(&self, label: &str) -> Vec<usize> {
         let named = |kind: &usize| self.kinds[*kind].labels.iter().any(|l| l == label);
@@ -298,8 +321,13 @@
         allowed.last().copied()
     }
 
-    /// The choice as it is shown to whoever follows placements.
-    pub fn trace(&self, task: TaskName, choice: &Choice, workers: &Workers) -> PlacementTrace {
+    /// The selection as it is shown to whoever follows placements.
+    pub fn trace(
+        &self,
+        task: TaskName,
+        selection: &Selection,
+        workers: &Workers,
+    ) -> PlacementTrace {
         let name = |id: WorkerId| {
             workers
                 .get(id)
@@ -308,23 +336,26 @@
         let in_flight = |id: WorkerId| workers.get(id).map_or(0, |worker| worker.runs.len());
         PlacementTrace {
             task,
-            drawn: choice.drawn,
+            drawn: selection.drawn,
             probabilities: self.kinds.iter().map(|kind| kind.probability).collect(),
-            sampled: choice
+            sampled: selection
                 .sampled
                 .iter()
-                .map(|id| (name(*id), in_flight(*id)))
+                .map(|id| SampledWorker {
+                    instance: name(*id),
+                    runs: in_flight(*id),
+                })
                 .collect(),
-            winner: name(choice.worker),
-            reason: choice.reason,
+            winner: name(selection.worker),
+            reason: selection.reason,
         }
     }
 }
 
 impl ClassWork {
-    /// Takes note of how far off both ways of telling this run time were.
+    /// Records the errors of both predictions of this run time.
     fn judge(&mut self, estimate: Option<u64>, run: f64) {
-        let error = |told: f64| (told.max(1.0) / run.max(1.0)).ln().powi(2);
+        let error = |predicted: f64| (predicted.max(1.0) / run.max(1.0)).ln().powi(2);
         if self.by_mean.weight() > 0.0 {
             add(
                 &mut self.errors_by_mean,
@@ -345,9 +376,9 @@
     fn mean(&self, estimate: Option<u64>) -> Option<f64> {
         let known = self.by_mean.weight() > 0.0;
         let mean = |(weight, sum): Sum| if weight > 0.0 { sum / weight } else { 0.0 };
-        let estimates_tell = mean(self.errors_by_estimate) <= mean(self.errors_by_mean);
+        let estimates_are_better = mean(self.errors_by_estimate) <= mean(self.errors_by_mean);
         match estimate {
-            Some(_) if estimates_tell => {
+            Some(_) if estimates_are_better => {
                 (self.by_estimate.weight() > 0.0).then(|| self.by_estimate.mean(estimate))
             }
             _ => known.then(|| self.by_mean.mean(None)),
@@ -383,16 +414,16 @@
     sampled
 }
 
-/// The largest part that is used of any resource.
+/// The largest fraction that is used of any resource (dominant share, Ghodsi and others, NSDI 2011).
 pub fn dominant_share(used: &Resources, capacity: &Resources) -> f64 {
-    let share = |used: u64, all: u64| {
+    let fraction = |used: u64, all: u64| {
         if all > 0 {
             used as f64 / all as f64
         } else {
             0.0
         }
     };
-    share(used.cpu, capacity.cpu)
-        .max(share(used.mem_mb, capacity.mem_mb))
-        .max(share(used.gpu, capacity.gpu))
+    fraction(used.cpu, capacity.cpu)
+        .max(fraction(used.mem_mb, capacity.mem_mb))
+        .max(fraction(used.gpu, capacity.gpu))
 }
--- a/crates/scheduler/src/steps.rs
+++ b/crates/scheduler/src/lifecycle.rs
@@ -1,16 +1,19 @@
-//! Life of a job: repetitions fall due, steps become ready, tasks wait and are done, the job ends and is forgotten.
+//! Lifecycle of a job: repetitions fall due, steps become ready, tasks wait and are done, the job
+//! ends and is forgotten.
 
-use crate::delays::Delays;
-use crate::job::{Job, JobEnd, StepState};
+use crate::definition::JobEnd;
+use crate::due_jobs::DueJob;
+use crate::job::Job;
+use crate::latency::LatencyBreakdown;
 use crate::queue::StepRef;
-use crate::scheduler::Scheduler;
+use crate::state::ClusterState;
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{JobId, TaskName};
 
-/// Ended jobs are kept so much longer than required, for clocks that differ.
+/// Ended jobs are shown for so much longer than required, since clocks differ.
 const KEEP_MARGIN_MS: u64 = 30_000;
 
-impl Scheduler {
+impl ClusterState {
     /// Lets the job's next repetition be opened when it is due, unless so many are open that others have to end first.
     pub(crate) fn await_next_repeat(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
@@ -24,7 +27,7 @@
         }
         match job.due_wall_ms(job.next_repeat) {
             Some(wall_ms) => {
-                self.due.insert((wall_ms, id));
+                self.due.add_repetition(DueJob { wall_ms, job: id });
             }
             None => self.open_repeat(id, self.now_ms as i64),
         }
@@ -33,12 +36,12 @@
     /// Opens all repetitions that are due.
     pub(crate) fn open_due_repeats(&mut self) {
         let wall_ms = self.clock.wall_ms(self.now_ms);
-        while let Some(&(due_wall_ms, id)) = self.due.first().filter(|(due, _)| *due <= wall_ms) {
-            self.due.pop_first();
-            self.open_repeat(id, self.clock.steady_ms(due_wall_ms));
+        while let Some(due) = self.due.pop_repetition(wall_ms) {
+            self.open_repeat(due.job, self.clock.steady_ms(due.wall_ms));
         }
     }
 
+    /// Opens the next repetition, which was due at this time of the steady clock.
     fn open_repeat(&mut self, id: JobId, due_ms: i64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -46,73 +49,54 @@
         let repeat = job.next_repeat;
         job.next_repeat += 1;
         let fresh = job.fresh_repeat(due_ms);
-        self.open_tasks += fresh
+        let opened = fresh
             .steps
             .iter()
             .map(|step| step.tasks.len() as u64)
             .sum::<u64>();
+        self.load.tasks_opened(opened);
         job.repeats.insert(repeat, fresh);
-        self.mark(id);
-        self.ready_steps(id, repeat, self.delays_before(due_ms));
+        self.set_dirty(id);
+        self.ready_steps(id, repeat, self.latency_before_opening(due_ms));
         self.await_next_repeat(id);
     }
 
-    /// Lets all tasks wait whose steps' turn has come and that neither wait, run nor are done. `delays`: where the time
+    /// Makes all tasks wait whose steps are ready and that neither wait, run nor are done. `latency`: where the time
     /// went until now.
-    pub(crate) fn ready_steps(&mut self, id: JobId, repeat: u32, delays: Delays) {
-        let now_ms = self.now_ms;
+    pub(crate) fn ready_steps(&mut self, id: JobId, repeat: u32, latency: LatencyBreakdown) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(state) = job.repeats.get(&repeat) else {
-            return;
-        };
-        let done = |before: &u32| {
-            state
-                .steps
-                .get(*before as usize)
-                .is_some_and(StepState::is_done)
-        };
-        let turn = |step: &usize| {
-            job.definition.spec.stages[*step]
-                .depends_on
-                .iter()
-                .all(done)
-        };
-        let ready: Vec<usize> = (0..state.steps.len()).filter(turn).collect();
-        for step in ready {
+        for step in job.ready_steps(repeat) {
             let at = StepRef {
                 job: id,
                 repeat,
-                step: step as u32,
-            };
-            let gang = self
-                .jobs
-                .get(&id)
-                .and_then(|job| job.step(at.step))
-                .is_some_and(|s| s.gang);
-            let Some(state) = self
-                .jobs
-                .get_mut(&id)
-                .and_then(|job| job.step_state_mut(at))
-            else {
-                return;
+                step,
             };
-            if gang && state.tasks.iter().any(|task| task.run.is_some()) {
-                continue;
-            }
-            let idle = state
-                .tasks
-                .iter()
-                .enumerate()
-                .filter(|(_, task)| !task.done && task.run.is_none());
-            let idle: Vec<u32> = idle.map(|(index, _)| index as u32).collect();
-            if state.queued.is_none() && !idle.is_empty() {
-                state.chain = delays;
-            }
-            idle.into_iter().for_each(|index| state.wait(index, now_ms));
-            self.enqueue(at);
+            self.await_idle_tasks(at, latency);
+        }
+    }
+
+    /// Makes the tasks of a ready step wait that neither wait, run nor are done; of a gang only if no member runs.
+    fn await_idle_tasks(&mut self, at: StepRef, latency: LatencyBreakdown) {
+        let now_ms = self.now_ms;
+        let gang = self.jobs.step(at).is_some_and(|step| step.gang);
+        let state = self
+            .jobs
+            .get_mut(&at.job)
+            .and_then(|job| job.step_state_mut(at));
+        let Some(state) = state else {
+            return;
+        };
+        if gang && !state.running_tasks().is_empty() {
+            return;
         }
+        let idle = state.idle_tasks();
+        if state.queued.is_none() && !idle.is_empty() {
+            state.latency_until_ready = latency;
+        }
+        idle.into_iter().for_each(|index| state.wait(index, now_ms));
+        self.enqueue(at);
     }
 
     /// Puts a step into its service's queue if tasks of it wait.
@@ -128,15 +112,13 @@
             return;
         }
         state.waiting_since_ms = now_ms;
-        state.waits = Delays::default();
+        state.waits = LatencyBreakdown::default();
         let (key, service) = (job.queue_key(at, now_ms), job.service.clone());
         let Some(state) = job.step_state_mut(at) else {
             return;
         };
         state.queued = Some(key);
-        let service = self.service(&service);
-        service.queue.insert(key);
-        service.dirty = true;
+        self.services.entry(&service).enqueue(key);
     }
 
     /// Takes a step out of its service's queue.
@@ -146,11 +128,7 @@
         };
         let service = job.service.clone();
         if let Some(key) = job.step_state_mut(at).and_then(|state| state.queued.take()) {
-            let service = self.service(&service);
-            service.queue.remove(&key);
-            service
-                .reserved
-                .retain(|_, reservation| reservation.step != at);
+            self.services.entry(&service).dequeue(&key);
         }
     }
 
@@ -177,7 +155,7 @@
     }
 
     /// A task is to be placed (again). A gang waits until no member runs; those that do are stopped.
-    pub(crate) fn wait_again(&mut self, task: TaskName) {
+    pub(crate) fn requeue_task(&mut self, task: TaskName) {
         let (at, now_ms) = (StepRef::of(&task), self.now_ms);
         let Some(job) = self.jobs.get_mut(&at.job) else {
             return;
@@ -191,12 +169,7 @@
         let Some(state) = job.step_state_mut(at) else {
             return;
         };
-        let with_run = state
-            .tasks
-            .iter()
-            .enumerate()
-            .filter(|(_, task)| task.run.is_some());
-        let running: Vec<u32> = with_run.map(|(index, _)| index as u32).collect();
+        let running = state.running_tasks();
         if running.is_empty() {
             (0..state.tasks.len() as u32).for_each(|index| state.wait(index, now_ms));
             return self.enqueue(at);
@@ -216,46 +189,33 @@
         let Some(state) = job.step_state_mut(at) else {
             return;
         };
-        let members = if gang {
-            0..state.tasks.len() as u32
-        } else {
-            task.index..task.index + 1
-        };
-        let mut newly = 0;
-        for index in members {
-            let Some(member) = state.tasks.get_mut(index as usize) else {
-                continue;
-            };
-            newly += u32::from(!std::mem::replace(&mut member.done, true));
-            state.waiting.remove(&index);
-        }
-        state.done += newly;
+        let newly = state.complete(state.members(task.index, gang));
         let (step_done, idle) = (state.is_done(), state.waiting.is_empty());
-        self.open_tasks = self.open_tasks.saturating_sub(u64::from(newly));
-        self.mark(at.job);
+        self.load.tasks_closed(u64::from(newly));
+        self.set_dirty(at.job);
         if idle {
             self.dequeue(at);
         }
         if step_done && newly > 0 {
-            self.ready_steps(at.job, at.repeat, self.delays_until(&task));
-            self.note_repeat_done(&task);
-            self.tidy_repeat(at.job, at.repeat);
+            self.ready_steps(at.job, at.repeat, self.latency_until(&task));
+            self.record_repeat_end(&task);
+            self.close_repeat_if_finished(at.job, at.repeat);
         }
     }
 
-    /// Tells of a repetition that this task has completed late.
-    fn note_repeat_done(&mut self, task: &TaskName) {
+    /// Reports a repetition that this task has completed late.
+    fn record_repeat_end(&mut self, task: &TaskName) {
         let repeat = self
             .jobs
             .get(&task.job)
             .and_then(|job| job.repeats.get(&task.repeat));
         if repeat.is_some_and(|repeat| repeat.is_done()) {
-            self.note_end(task, JobState::Completed);
+            self.record_late_end(task, JobState::Completed);
         }
     }
 
-    /// Forgets a repetition that is over; ends the job if it was the last.
-    pub(crate) fn tidy_repeat(&mut self, id: JobId, repeat: u32) {
+    /// Removes a repetition that has ended; ends the job if it was the last.
+    pub(crate) fn close_repeat_if_finished(&mut self, id: JobId, repeat: u32) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -265,10 +225,10 @@
         if job
             .repeats
             .get(&repeat)
-            .is_some_and(|state| state.is_over())
+            .is_some_and(|state| state.is_finished())
         {
             job.repeats.remove(&repeat);
-            self.mark(id);
+            self.set_dirty(id);
             self.await_next_repeat(id);
         }
     }
@@ -281,64 +241,59 @@
             return;
         };
         job.end = Some(JobEnd { state, wall_ms });
-        if let Some(due_wall_ms) = job.due_wall_ms(job.next_repeat) {
-            self.due.remove(&(due_wall_ms, id));
+        if let Some(wall_ms) = job.due_wall_ms(job.next_repeat) {
+            self.due.remove_repetition(DueJob { wall_ms, job: id });
         }
-        self.open_jobs = self.open_jobs.saturating_sub(1);
-        self.open_tasks = self.open_tasks.saturating_sub(open_tasks(job));
+        self.load.job_ended(open_tasks(job));
         if !job.started {
             self.no_longer_pending(id);
         }
-        self.mark(id);
+        self.set_dirty(id);
         let runs = self
             .jobs
             .get(&id)
             .map(|job| job.outstanding_runs(id))
             .unwrap_or_default();
         if state != JobState::Completed {
-            runs.into_iter().for_each(|(run, _)| self.stop_ended(run));
+            runs.into_iter()
+                .for_each(|outstanding| self.stop_ended(outstanding.run));
         }
-        self.close_if_idle(id);
+        self.close_job_if_idle(id);
     }
 
+    /// Something of the job has been started, or it has ended.
     pub(crate) fn no_longer_pending(&mut self, id: JobId) {
-        let route = self
-            .jobs
-            .get(&id)
-            .and_then(|job| self.pending.get_mut(&job.definition.route));
-        if let Some(count) = route {
-            *count = count.saturating_sub(1);
+        if let Some(job) = self.jobs.get(&id) {
+            self.load.job_no_longer_pending(&job.definition.route);
         }
     }
 
     /// Keeps of an ended job without outstanding runs its end alone.
-    pub(crate) fn close_if_idle(&mut self, id: JobId) {
+    pub(crate) fn close_job_if_idle(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         let Some(end) = job.end.filter(|_| job.outstanding == 0) else {
             return;
         };
-        job.repeats.clear();
-        job.definition.spec = Default::default();
-        self.outbox.closed.insert(id);
-        self.mark(id);
-        let at_wall_ms = self.forget_at(end.wall_ms);
-        self.forget.insert((at_wall_ms, id));
+        job.discard_progress();
+        self.outbox.job_closed(id);
+        self.set_dirty(id);
+        self.await_expiry(id, end.wall_ms);
     }
 
-    /// When a job that ended then is forgotten, in milliseconds since 1970.
-    pub(crate) fn forget_at(&self, end_wall_ms: u64) -> u64 {
-        end_wall_ms + self.bounds.status_s * 1_000 + KEEP_MARGIN_MS
+    /// The job, which ended at this time of day, is forgotten once its end has been shown for long enough.
+    pub(crate) fn await_expiry(&mut self, id: JobId, end_wall_ms: u64) {
+        let wall_ms = end_wall_ms + self.bounds.status_s * 1_000 + KEEP_MARGIN_MS;
+        self.due.add_expiry(DueJob { wall_ms, job: id });
     }
 
     /// Forgets jobs that ended long ago.
     pub(crate) fn forget_ended(&mut self) {
         let wall_ms = self.clock.wall_ms(self.now_ms);
-        while let Some(&(at_wall_ms, id)) = self.forget.first().filter(|(at, _)| *at <= wall_ms) {
-            self.forget.remove(&(at_wall_ms, id));
-            self.jobs.remove(&id);
-            self.outbox.forgotten.insert(id);
+        while let Some(due) = self.due.pop_expiry(wall_ms) {
+            self.jobs.remove(&due.job);
+            self.outbox.job_forgotten(due.job);
         }
     }
 }
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -1,26 +1,31 @@
-//! Preemption: runs of a lower priority give way to a step that would otherwise miss its objective. Victims are those
-//! whose stop loses least; what would lose more than the step is worth is left alone.
+//! Preemption: runs of a lower priority are stopped for a step that would otherwise miss its latency target. Victims are
+//! those whose stop loses least work; nothing is stopped if more than a limit would be lost.
 
-use crate::need::Need;
-use crate::order::cores;
+use crate::demand::StepDemand;
 use crate::queue::{Prospect, QueueKey};
-use crate::scheduler::Scheduler;
-use crate::workers::WorkerId;
+use crate::services::ServiceState;
+use crate::state::ClusterState;
+use crate::value::cores;
+use crate::view::ClusterView;
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::{RunId, TaskName};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// Time between two looks at one service.
-const PREEMPT_MS: u64 = 200;
+/// Time between two looks for steps that are late.
+pub(crate) const PREEMPT_MS: u64 = 200;
 /// Steps at the head of a queue that may preempt.
-const STEPS_LOOKED_AT: usize = 12;
-/// A step preempts once it would miss its objective if it waited so much longer than it has to.
+const STEPS_CONSIDERED: usize = 12;
+/// A step preempts once it would miss its latency target if it waited so much longer than it has to.
 const SLACK_MS: i64 = 300;
 /// Most core-seconds that may be lost for one step at a time.
 const LOSS_MAX_CORE_S: f64 = 20.0;
 
-/// A run that may give way.
+/// What the restart of a long-running task costs, in seconds.
+const RESTART_S: f64 = 1.0;
+
+/// A run that may be stopped.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
     run: RunId,
@@ -29,104 +34,124 @@
     loss: f64,
 }
 
-/// Room for one task more on a worker.
+/// Capacity for one task more on a worker.
 #[derive(Debug, Default)]
 struct Offer {
     /// Core-seconds lost.
     loss: f64,
-    /// Runs to stop; none if room is free or on its way.
+    /// Runs to stop; none if capacity is free or being freed.
     victims: Vec<Victim>,
 }
 
-/// Room on workers that goes to steps further ahead.
+/// The offers of one worker, the cheapest first.
+#[derive(Debug)]
+struct WorkerOffers {
+    worker: WorkerId,
+    offers: VecDeque<Offer>,
+}
+
+impl WorkerOffers {
+    /// Core-seconds that the next offer loses; infinite if there is none.
+    fn next_loss(&self) -> f64 {
+        self.offers
+            .front()
+            .map_or(f64::INFINITY, |offer| offer.loss)
+    }
+}
+
+/// Tasks of a step that need capacity.
+#[derive(Clone, Copy, Debug)]
+struct WantedTasks {
+    /// How many have to start together.
+    together: u32,
+    /// How many wait.
+    waiting: u32,
+}
+
+/// Capacity on workers that goes to steps further ahead.
 type Claimed = FxHashMap<WorkerId, Resources>;
 
-impl Scheduler {
-    /// Looks for steps that are late for want of room, and stops runs for them.
+impl ClusterState {
+    /// Looks for steps that are late for want of capacity, and stops runs for them. Capacity that is free or being freed
+    /// goes to the steps in their order: what those before have claimed is not there for the next.
     pub(crate) fn preempt(&mut self) {
-        let now_ms = self.now_ms;
-        if now_ms < self.next_preempt_ms {
-            return;
-        }
-        self.next_preempt_ms = now_ms + PREEMPT_MS;
-        let names: Vec<String> = self
+        for name in self
             .services
-            .iter()
-            .filter(|(_, s)| !s.queue.is_empty())
-            .map(|(name, _)| name.clone())
-            .collect();
-        for name in names {
-            let keys: Vec<QueueKey> = self.services[&name]
-                .queue
-                .iter()
-                .take(STEPS_LOOKED_AT)
+            .names_where(|service| !service.queue().is_empty())
+        {
+            let Some(service) = self.services.get(&name) else {
+                continue;
+            };
+            let first = service.queue().iter().take(STEPS_CONSIDERED);
+            let keys: Vec<QueueKey> = first
+                .filter(|key| key.prospect != Prospect::Hopeless)
                 .copied()
                 .collect();
             let mut claimed = Claimed::default();
-            for key in keys
-                .into_iter()
-                .filter(|key| key.prospect != Prospect::Hopeless)
-            {
-                self.preempt_for(&name, key, &mut claimed);
+            for key in keys {
+                self.view()
+                    .victims_for(&name, key, &mut claimed)
+                    .into_iter()
+                    .for_each(|victim| self.stop_run(victim.run));
             }
         }
     }
+}
 
-    /// Stops runs for a step if it would otherwise be late. Room that is free or on its way goes to the steps in their
-    /// order: what those before have `claimed` is not there for this one.
-    fn preempt_for(&mut self, service: &str, key: QueueKey, claimed: &mut Claimed) {
-        let Some(job) = self.jobs.get(&key.at.job) else {
-            return;
+impl ClusterView<'_> {
+    /// Runs to stop for a step that would otherwise be late.
+    fn victims_for(&self, service: &str, key: QueueKey, claimed: &mut Claimed) -> Vec<Victim> {
+        let found = self.services.get(service).zip(self.jobs.get(&key.at.job));
+        let Some((service, job)) = found else {
+            return Vec::new();
         };
         let (Some(step), Some(state)) = (job.step(key.at.step), job.step_state(key.at)) else {
-            return;
+            return Vec::new();
+        };
+        let Some(demand) = StepDemand::of(job, key.at, self.now_ms) else {
+            return Vec::new();
         };
         let waiting = state.waiting.len() as u32;
         let together = if step.gang { waiting } else { 1 };
-        let Some(need) = Need::of(job, key.at, self.now_ms) else {
-            return;
-        };
         let in_time = |free_ms: u64| free_ms as i64 + SLACK_MS <= key.latest_start_ms;
         if self
-            .outlook(service, &need, together)
+            .outlook(service, &demand, together)
             .is_none_or(|outlook| in_time(outlook.free_ms))
         {
-            return;
+            return Vec::new();
         }
-        let victims = self.victims(service, key, &need, (together, waiting), claimed);
-        victims
-            .into_iter()
-            .for_each(|victim| self.stop_run(victim.run));
+        let wanted = WantedTasks { together, waiting };
+        self.victims(service, key, &demand, wanted, claimed)
     }
 
-    /// The cheapest runs that make room for the waiting tasks, at least for as many as `together`; none if that loses
-    /// too much, or if room is on its way already.
+    /// The cheapest runs whose stops free capacity for the waiting tasks, at least for as many as start together; none
+    /// if that loses too much, or if capacity is being freed already.
     fn victims(
         &self,
-        service: &str,
+        service: &ServiceState,
         key: QueueKey,
-        need: &Need,
-        (together, waiting): (u32, u32),
+        demand: &StepDemand,
+        wanted: WantedTasks,
         claimed: &mut Claimed,
     ) -> Vec<Victim> {
-        let Some(state) = self.services.get(service) else {
-            return Vec::new();
-        };
-        let workers = state.kinds.workers();
-        let mut offers: Vec<(WorkerId, VecDeque<Offer>)> = workers
-            .map(|id| {
-                let taken = claimed.get(&id).copied().unwrap_or_default();
-                (id, self.offers(id, key, need, waiting, &taken).into())
+        let waiting = wanted.waiting;
+        let workers = service.kinds.workers();
+        let mut offers: Vec<WorkerOffers> = workers
+            .map(|worker| {
+                let taken = claimed.get(&worker).copied().unwrap_or_default();
+                let offers = self.offers(worker, key, demand, waiting, &taken).into();
+                WorkerOffers { worker, offers }
             })
             .collect();
         let (mut loss, mut victims, mut used) = (0.0, Vec::new(), Vec::new());
         while used.len() < waiting as usize {
-            let next = |offers: &(WorkerId, VecDeque<Offer>)| {
-                offers.1.front().map_or(f64::INFINITY, |offer| offer.loss)
+            let cheapest = offers
+                .iter_mut()
+                .min_by(|a, b| a.next_loss().total_cmp(&b.next_loss()));
+            let Some(cheapest) = cheapest else {
+                break;
             };
-            let cheapest = offers.iter_mut().min_by(|a, b| next(a).total_cmp(&next(b)));
-            let Some((id, Some(offer))) = cheapest.map(|(id, offers)| (*id, offers.pop_front()))
-            else {
+            let (id, Some(offer)) = (cheapest.worker, cheapest.offers.pop_front()) else {
                 break;
             };
             loss += offer.loss;
@@ -136,49 +161,50 @@
             used.push(id);
             victims.extend(offer.victims);
         }
-        if used.len() < together as usize {
+        if used.len() < wanted.together as usize {
             return Vec::new();
         }
         for id in used {
             let taken = claimed.entry(id).or_default();
-            *taken = taken.plus(&need.resources);
+            *taken = taken.plus(&demand.resources);
         }
         victims
     }
 
-    /// What a worker asks for making room for one, two, ... tasks: the loss of each further one, and whom it takes.
+    /// What freeing capacity for one, two, ... tasks on a worker costs: the loss of each further one, and its victims.
     fn offers(
         &self,
         id: WorkerId,
         key: QueueKey,
-        need: &Need,
+        demand: &StepDemand,
         count: u32,
         claimed: &Resources,
     ) -> Vec<Offer> {
-        let Some(worker) = self.workers.get(id).filter(|w| w.in_touch(self.now_ms)) else {
+        let Some(worker) = self
+            .workers
+            .get(id)
+            .filter(|w| w.is_responsive(self.now_ms))
+        else {
             return Vec::new();
         };
-        let labelled = need.label.is_empty() || worker.labels.contains(&need.label);
-        if !labelled || !worker.capacity.can_fit(&need.resources) {
+        let labelled = demand.label.is_empty() || worker.labels.contains(&demand.label);
+        if !labelled || !worker.capacity.can_fit(&demand.resources) {
             return Vec::new();
         }
-        let mut candidates: Vec<Victim> = worker
-            .runs
-            .iter()
-            .filter_map(|task| self.victim(id, *task, key))
-            .collect();
-        candidates.sort_by(|a, b| per_room(a, need).total_cmp(&per_room(b, need)));
-        let mut used = worker.used.minus(&self.leaving(id)).plus(claimed);
-        let mut candidates = candidates.into_iter();
+        let mut used = worker
+            .used
+            .minus(&self.stopping_resources(id))
+            .plus(claimed);
+        let mut candidates = self.candidates(id, worker, key, demand).into_iter();
         let mut offers = Vec::new();
-        let most = if need.anti_affinity > 0 {
-            count.min(need.anti_affinity)
+        let most = if demand.anti_affinity > 0 {
+            count.min(demand.anti_affinity)
         } else {
             count
         };
         'tasks: for _ in 0..most {
             let mut offer = Offer::default();
-            while !worker.capacity.can_fit(&used.plus(&need.resources)) {
+            while !worker.capacity.can_fit(&used.plus(&demand.resources)) {
                 let Some(victim) = candidates.next() else {
                     break 'tasks;
                 };
@@ -186,14 +212,31 @@
                 offer.loss += victim.loss;
                 offer.victims.push(victim);
             }
-            used = used.plus(&need.resources);
+            used = used.plus(&demand.resources);
             offers.push(offer);
         }
         offers
     }
 
-    /// Room of runs there that are being stopped already.
-    fn leaving(&self, id: WorkerId) -> Resources {
+    /// Runs on the worker that may be stopped, those first whose stop loses least.
+    fn candidates(
+        &self,
+        id: WorkerId,
+        worker: &Worker,
+        key: QueueKey,
+        demand: &StepDemand,
+    ) -> Vec<Victim> {
+        let victims = worker.runs.iter();
+        let mut candidates: Vec<Victim> = victims
+            .filter_map(|task| self.victim(id, *task, key))
+            .collect();
+        candidates
+            .sort_by(|a, b| loss_per_capacity(a, demand).total_cmp(&loss_per_capacity(b, demand)));
+        candidates
+    }
+
+    /// Resources of runs there that are being stopped already.
+    fn stopping_resources(&self, id: WorkerId) -> Resources {
         let Some(worker) = self.workers.get(id) else {
             return Resources::default();
         };
@@ -237,19 +280,16 @@
     }
 }
 
-/// What the restart of a task that lasts costs, in seconds.
-const RESTART_S: f64 = 1.0;
-
-/// Loss for each part of the room wanted that a victim frees.
-fn per_room(victim: &Victim, need: &Need) -> f64 {
-    let part = |freed: u64, wanted: u64| {
+/// Loss in relation to the wanted capacity that a victim frees.
+fn loss_per_capacity(victim: &Victim, demand: &StepDemand) -> f64 {
+    let fraction = |freed: u64, wanted: u64| {
         if wanted > 0 {
             freed.min(wanted) as f64 / wanted as f64
         } else {
             0.0
         }
     };
-    let freed = part(victim.resources.cpu, need.resources.cpu)
-        + part(victim.resources.gpu, need.resources.gpu);
+    let freed = fraction(victim.resources.cpu, demand.resources.cpu)
+        + fraction(victim.resources.gpu, demand.resources.gpu);
     victim.loss / freed.max(0.001)
 }
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -1,9 +1,12 @@
 //! Rows of the control state: `job/ID`, written once, and `progress/ID` with all tasks of a job.
 
 use crate::api::WriteId;
-use crate::job::{Definition, Job, JobEnd, Run, StepState, Task};
+use crate::definition::{Definition, JobEnd};
+use crate::job::Job;
 use crate::queue::StepRef;
-use crate::workers::{WorkerId, Workers};
+use crate::task::{Run, StepState, Task};
+use crate::worker::WorkerId;
+use crate::workers::Workers;
 use indigofold_protocol::task::JobId;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -66,17 +69,24 @@
 pub struct Progress {
     end: Option<JobEnd>,
     next_repeat: u32,
-    /// Workers' lives that `runs` point to.
+    /// Worker instances that `runs` point to.
     instances: Vec<String>,
-    repeats: Vec<(u32, Vec<StepRow>)>,
-    /// Second runs; they follow the rest of the row, and only if there are any.
+    repeats: Vec<RepetitionRow>,
+    /// Speculative runs; they follow the rest of the row, and only if there are any.
     #[serde(skip)]
-    copies: Vec<CopyRow>,
+    speculative_runs: Vec<SpeculativeRunRow>,
 }
 
-/// A second run of a task.
+/// A repetition that is due and has not ended.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct CopyRow {
+struct RepetitionRow {
+    number: u32,
+    steps: Vec<StepRow>,
+}
+
+/// A speculative run of a task.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+struct SpeculativeRunRow {
     repeat: u32,
     step: u32,
     index: u32,
@@ -104,8 +114,16 @@
     failures: u32,
     done: bool,
     checkpoint: String,
-    /// Outstanding run: instance (index into `instances`), attempt.
-    run: Option<(u32, u32)>,
+    /// Its outstanding run.
+    run: Option<RunRow>,
+}
+
+/// An outstanding run of a task.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+struct RunRow {
+    /// Index into `instances`.
+    instance: u32,
+    attempt: u32,
 }
 
 /// The value of `job/ID`.
@@ -123,41 +141,42 @@
         let steps = steps
             .map(|(step, stage)| step_row(step, stage.gang, workers, &mut instances))
             .collect();
-        repeats.push((number, steps));
+        repeats.push(RepetitionRow { number, steps });
     }
-    let (end, next_repeat, copies) = (job.end, job.next_repeat, copy_rows(job, workers));
+    let (end, next_repeat, speculative_runs) =
+        (job.end, job.next_repeat, speculative_run_rows(job, workers));
     let progress = Progress {
         end,
         next_repeat,
         instances,
         repeats,
-        copies,
+        speculative_runs,
     };
     let row = postcard::to_allocvec(&progress).unwrap_or_default();
-    if progress.copies.is_empty() {
+    if progress.speculative_runs.is_empty() {
         return row;
     }
-    postcard::to_extend(&progress.copies, row).unwrap_or_default()
+    postcard::to_extend(&progress.speculative_runs, row).unwrap_or_default()
 }
 
-fn copy_rows(job: &Job, workers: &Workers) -> Vec<CopyRow> {
+fn speculative_run_rows(job: &Job, workers: &Workers) -> Vec<SpeculativeRunRow> {
     let mut rows = Vec::new();
     for (&repeat, state) in &job.repeats {
         for (step, state) in state.steps.iter().enumerate() {
-            let copies = state
+            let speculative_runs = state
                 .tasks
                 .iter()
                 .enumerate()
-                .filter_map(|(n, task)| Some((n, task.copy.as_ref()?)));
-            rows.extend(copies.map(|(index, copy)| {
-                CopyRow {
+                .filter_map(|(n, task)| Some((n, task.speculative_run.as_ref()?)));
+            rows.extend(speculative_runs.map(|(index, speculative_run)| {
+                SpeculativeRunRow {
                     repeat,
                     step: step as u32,
                     index: index as u32,
                     instance: workers
-                        .get(copy.worker)
+                        .get(speculative_run.worker)
                         .map_or_else(String::new, |w| w.instance.clone()),
-                    attempt: copy.attempt,
+                    attempt: speculative_run.attempt,
                 }
             }));
         }
@@ -165,6 +184,17 @@
     rows
 }
 
+/// Index of a worker's instance in `instances`, entered if it is new.
+fn instance_index(worker: WorkerId, workers: &Workers, instances: &mut Vec<String>) -> u32 {
+    let name = workers.get(worker).map_or("", |w| &w.instance);
+    let known = instances.iter().position(|instance| instance == name);
+    known.unwrap_or_else(|| {
+        instances.push(name.to_owned());
+        instances.len() - 1
+    }) as u32
+}
+
+/// The row of a step; `instances` are those that its runs point to.
 fn step_row(
     step: &StepState,
     gang: bool,
@@ -183,17 +213,11 @@
     {
         return StepRow::Fresh;
     }
-    let mut number = |worker: WorkerId| {
-        let name = workers.get(worker).map_or("", |w| &w.instance);
-        let known = instances.iter().position(|instance| instance == name);
-        known.unwrap_or_else(|| {
-            instances.push(name.to_owned());
-            instances.len() - 1
-        }) as u32
-    };
     let checkpoint = |task: &Task| {
-        if gang {
-            step.gang_saved.clone()
+        if task.done {
+            String::new()
+        } else if gang {
+            step.gang_checkpoint.clone()
         } else {
             task.checkpoint.clone()
         }
@@ -202,15 +226,11 @@
         last_attempt: task.last_attempt,
         failures: task.failures,
         done: task.done,
-        checkpoint: if task.done {
-            String::new()
-        } else {
-            checkpoint(task)
-        },
-        run: task
-            .run
-            .as_ref()
-            .map(|run| (number(run.worker), run.attempt)),
+        checkpoint: checkpoint(task),
+        run: task.run.as_ref().map(|run| RunRow {
+            instance: instance_index(run.worker, workers, instances),
+            attempt: run.attempt,
+        }),
     };
     StepRow::Open {
         gang_failures: step.gang_failures,
@@ -229,7 +249,7 @@
     let (mut progress, rest): (Progress, &[u8]) =
         postcard::take_from_bytes(value).map_err(|source| unreadable(key, source))?;
     if !rest.is_empty() {
-        progress.copies = read(key, rest)?;
+        progress.speculative_runs = read(key, rest)?;
     }
     Ok(progress)
 }
@@ -246,7 +266,7 @@
 }
 
 impl Progress {
-    /// The job as it was when its rows were written. Runs of lives that `workers` does not know are entered there.
+    /// The job as it was when its rows were written. Instances that `workers` does not know are entered there.
     /// `due_ms` gives the steady clock's reading at which a repetition was due.
     pub fn restore(
         self,
@@ -260,33 +280,33 @@
         job.next_repeat = self.next_repeat;
         job.started = self.next_repeat as usize > self.repeats.len();
         job.last_write = WriteId(0);
-        let lives: Vec<WorkerId> = self
+        let worker_ids: Vec<WorkerId> = self
             .instances
             .iter()
-            .map(|name| workers.life(name, now_ms))
+            .map(|name| workers.get_or_register(name, now_ms))
             .collect();
         let mut repeats = BTreeMap::new();
-        for (number, rows) in self.repeats {
+        for RepetitionRow { number, steps } in self.repeats {
             let mut repeat = job.fresh_repeat(due_ms(&job, number));
-            for (state, row) in repeat.steps.iter_mut().zip(rows) {
-                job.outstanding += restore_step(state, row, &lives, now_ms);
+            for (state, row) in repeat.steps.iter_mut().zip(steps) {
+                job.outstanding += restore_step(state, row, &worker_ids, now_ms);
                 job.started |= state.tasks.iter().any(|task| task.last_attempt > 0);
             }
             repeats.insert(number, repeat);
         }
         job.repeats = repeats;
-        for copy in self.copies {
-            let worker = workers.life(&copy.instance, now_ms);
+        for speculative_run in self.speculative_runs {
+            let worker = workers.get_or_register(&speculative_run.instance, now_ms);
             let at = StepRef {
                 job: JobId(0),
-                repeat: copy.repeat,
-                step: copy.step,
+                repeat: speculative_run.repeat,
+                step: speculative_run.step,
             };
             if let Some(task) = job
-                .task_mut(&at.task(copy.index))
+                .task_mut(&at.task(speculative_run.index))
                 .filter(|task| task.run.is_some())
             {
-                task.copy = Some(Run::restored(worker, copy.attempt, now_ms));
+                task.speculative_run = Some(Run::restored(worker, speculative_run.attempt, now_ms));
                 job.outstanding += 1;
             }
         }
@@ -295,7 +315,7 @@
 }
 
 /// Fills a step's state in; returns its number of outstanding runs.
-fn restore_step(state: &mut StepState, row: StepRow, lives: &[WorkerId], now_ms: u64) -> u32 {
+fn restore_step(state: &mut StepState, row: StepRow, workers: &[WorkerId], now_ms: u64) -> u32 {
     match row {
         StepRow::Fresh => {}
         StepRow::Done => state.tasks.iter_mut().for_each(|task| {
@@ -309,15 +329,16 @@
         } => {
             (state.gang_failures, state.gang_failed_attempt) = (gang_failures, gang_failed_attempt);
             for (task, row) in state.tasks.iter_mut().zip(tasks) {
-                let run = row
-                    .run
-                    .and_then(|(life, attempt)| Some((*lives.get(life as usize)?, attempt)));
+                let run = row.run.and_then(|run| {
+                    let worker = *workers.get(run.instance as usize)?;
+                    Some(Run::restored(worker, run.attempt, now_ms))
+                });
                 *task = Task {
                     last_attempt: row.last_attempt,
                     failures: row.failures,
                     done: row.done,
-                    run: run.map(|(worker, attempt)| Run::restored(worker, attempt, now_ms)),
-                    copy: None,
+                    run,
+                    speculative_run: None,
                     checkpoint: row.checkpoint,
                     ..Task::default()
                 };
@@ -325,7 +346,7 @@
         }
     }
     // A gang's members all have the same text, except in rows of earlier versions; then any of them serves.
-    state.gang_saved = state
+    state.gang_checkpoint = state
         .tasks
         .iter()
         .map(|task| &task.checkpoint)
@@ -338,7 +359,7 @@
 
 impl Run {
     /// A run that a predecessor has placed; its order may have been sent. It counts as resumed: when it began is not
-    /// known, so its end tells nothing about how long such tasks run.
+    /// known, so its end says nothing about how long such tasks run.
     fn restored(worker: WorkerId, attempt: u32, now_ms: u64) -> Self {
         Run {
             attempt,
@@ -350,10 +371,13 @@
             placed_ms: now_ms,
             resumed: true,
             bound: false,
-            far: 1.0,
+            remote_factor: 1.0,
             percent: 0,
             percent_ms: now_ms,
             listed_ms: now_ms,
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduler/src/rows/tests.rs
@@ -0,0 +1,66 @@
+//! Rows as an earlier version wrote them are read, and written again byte for byte: a successor may be of another version.
+
+use super::*;
+use crate::instance_rows::{instance_key, instance_of};
+use crate::workers::Workers;
+use rstest::rstest;
+
+/// Rows that version 13256bf wrote, one a line: key, and value in hexadecimal digits.
+///
+/// Job 7 has three repetitions of a speculative step and one with checkpoints, a label and a rack; stalled tasks have a
+/// speculative run each. Job 8 is a gang with a checkpoint. Job 9 has completed: only its end is stored.
+const FIXTURE: &str = include_str!("../../tests/fixtures/rows-13256bf.txt");
+
+/// Longest run lease, for the registry of workers that the rows refer to.
+const MAX_LEASE_MS: u64 = 6_000;
+
+/// The value of a row of the fixture.
+fn stored(key: &str) -> Vec<u8> {
+    let mut rows = FIXTURE.lines().filter_map(|line| line.split_once(' '));
+    let (_, hex) = rows
+        .find(|(stored, _)| *stored == key)
+        .expect("the row is in the fixture");
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("a hexadecimal number"))
+        .collect()
+}
+
+#[rstest]
+#[case::repeated("job/0000000000000007")]
+#[case::gang("job/0000000000000008")]
+fn a_definition_row_is_read_and_written_unchanged(#[case] key: &str) {
+    let row = stored(key);
+    let definition = read_definition(key.as_bytes(), &row).expect("the row is readable");
+    assert!(!definition.spec.stages.is_empty());
+    assert_eq!(definition_bytes(&definition), row);
+}
+
+#[rstest]
+#[case::speculative(Some("job/0000000000000007"), "progress/0000000000000007", 4)]
+#[case::gang(Some("job/0000000000000008"), "progress/0000000000000008", 0)]
+#[case::ended(None, "progress/0000000000000009", 0)]
+fn a_progress_row_is_read_and_written_unchanged(
+    #[case] definition: Option<&str>,
+    #[case] key: &str,
+    #[case] speculative_runs: usize,
+) {
+    let definition = definition.map_or_else(Definition::default, |key| {
+        read_definition(key.as_bytes(), &stored(key)).expect("the row is readable")
+    });
+    let row = stored(key);
+    let progress = read_progress(key.as_bytes(), &row).expect("the row is readable");
+    assert_eq!(progress.speculative_runs.len(), speculative_runs);
+    let mut workers = Workers::new(MAX_LEASE_MS);
+    let job = progress.restore(definition, &mut workers, 1_000, |_, _| 1_000);
+    assert_eq!(progress_bytes(&job, &workers), row);
+}
+
+#[test]
+fn keys_are_read_and_written_unchanged() {
+    for key in [&b"job/0000000000000007"[..], b"progress/0000000000000007"] {
+        assert_eq!(RowKey::parse(key).expect("a key of a job").bytes(), key);
+    }
+    assert_eq!(instance_of(b"life/i-n1-1"), Some("i-n1-1"));
+    assert_eq!(instance_key("i-n1-1"), b"life/i-n1-1");
+}
--- /dev/null
+++ b/crates/scheduler/src/run_checks.rs
@@ -0,0 +1,140 @@
+//! Regular checks of all runs: lost orders, runs that cannot end before their worker has drained, runs that hang.
+
+use crate::health::Health;
+use crate::queue::StepRef;
+use crate::run_result::RunResult;
+use crate::state::ClusterState;
+use crate::view::ClusterView;
+use crate::worker::WorkerId;
+use indigofold_protocol::task::{RunId, TaskName};
+use indigofold_protocol::worker::WorkerState;
+
+/// Time between two checks of all runs.
+pub(crate) const CHECK_MS: u64 = 300;
+/// The order of a run that has not been listed for this time is sent again.
+const ORDER_RETRY_MS: u64 = 3_000;
+/// A run that no report has listed for this time, though its order was sent again, is lost.
+const ABSENT_MS: u64 = 20_000;
+/// A run hangs if it has made no progress for at least this time ...
+const STALL_MIN_MS: u64 = 3_000;
+/// ... and for this fraction of its expected run time.
+const STALL_FRACTION: f64 = 0.5;
+/// A heartbeat that is older than this says nothing about runs.
+const HEARTBEAT_FRESH_MS: u64 = 1_000;
+/// Left free at the end of a worker's drain.
+const DRAIN_MARGIN_MS: u64 = 300;
+
+impl ClusterState {
+    /// Checks all runs of workers that can be sent orders.
+    pub(crate) fn check_runs(&mut self) {
+        let reachable = self
+            .workers
+            .iter()
+            .filter(|(_, worker)| worker.order_connection().is_some());
+        let tasks_by_worker: Vec<(WorkerId, Vec<TaskName>)> = reachable
+            .map(|(id, worker)| (id, worker.runs.iter().copied().collect()))
+            .collect();
+        for (id, tasks) in tasks_by_worker {
+            let slowdown = self.view().slowdown(id);
+            tasks
+                .into_iter()
+                .for_each(|task| self.check_run(id, task, slowdown));
+        }
+        self.speculate();
+    }
+
+    /// Resends a lost order, and stops a run that cannot end there or would end sooner elsewhere.
+    fn check_run(&mut self, id: WorkerId, task: TaskName, slowdown: Option<f64>) {
+        let now_ms = self.now_ms;
+        let ended = self
+            .jobs
+            .get(&task.job)
+            .is_some_and(|job| job.end.is_some());
+        let Some(run) = self.view().run_at(id, &task).filter(|run| run.sent) else {
+            return;
+        };
+        let absent_ms = now_ms.saturating_sub(run.listed_ms);
+        let stopping = run.stop.is_some() || ended;
+        let order = RunId {
+            task,
+            attempt: run.attempt,
+        };
+        if absent_ms >= ABSENT_MS {
+            return self.finish_run(order, RunResult::NotStarted, "");
+        }
+        if stopping {
+            return;
+        }
+        if absent_ms >= ORDER_RETRY_MS && absent_ms % ORDER_RETRY_MS < CHECK_MS {
+            self.order_start(order);
+        }
+        if self.view().outlasts_drain(id, &task) {
+            self.stop_run(order);
+        } else if self.view().hangs(id, &task) {
+            self.move_run(id, order, |health| health.failed(now_ms, false));
+        } else if slowdown.is_some_and(|slowdown| self.view().is_straggling(id, &task, slowdown)) {
+            self.move_run(id, order, |health| health.too_slow(now_ms));
+        }
+    }
+
+    /// Stops a run that hangs or straggles; the task goes to another worker.
+    fn move_run(&mut self, id: WorkerId, run: RunId, update_health: impl Fn(&mut Health)) {
+        if let Some(worker) = self.workers.get_mut(id) {
+            update_health(&mut worker.health);
+        }
+        if let Some(entry) = self
+            .jobs
+            .get_mut(&run.task.job)
+            .and_then(|job| job.task_mut(&run.task))
+        {
+            entry.failed_on = Some(id);
+        }
+        self.stop_run(run);
+    }
+}
+
+impl ClusterView<'_> {
+    /// The worker ends its drain before the run can end.
+    fn outlasts_drain(&self, id: WorkerId, task: &TaskName) -> bool {
+        let Some(worker) = self
+            .workers
+            .get(id)
+            .filter(|w| w.state == WorkerState::Draining)
+        else {
+            return false;
+        };
+        let Some(traits) = self.traits(StepRef::of(task)) else {
+            return false;
+        };
+        let left_ms = worker
+            .drain_end_ms
+            .map_or(0, |drain_end_ms| drain_end_ms.saturating_sub(self.now_ms));
+        traits.long_running || self.remaining_ms(id, task) + DRAIN_MARGIN_MS > left_ms
+    }
+
+    /// The run has made no progress for much longer than expected.
+    fn hangs(&self, id: WorkerId, task: &TaskName) -> bool {
+        let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
+            return false;
+        };
+        let Some(run) = self.run_at(id, task) else {
+            return false;
+        };
+        let Some(worker) = self.workers.get(id) else {
+            return false;
+        };
+        let listed = self.now_ms.saturating_sub(run.listed_ms) < STALL_MIN_MS
+            && worker.since_heartbeat_ms < HEARTBEAT_FRESH_MS;
+        if step.long_running || !listed {
+            return false;
+        }
+        let limit_ms = STALL_MIN_MS.max((self.expected_run_ms(id, task) * STALL_FRACTION) as u64);
+        let resume_cost_ms = if run.resumed {
+            self.bounds.resume_cost_ms
+        } else {
+            0
+        };
+        let gang_ms = if step.gang { self.bounds.gang_ms } else { 0 };
+        self.now_ms.saturating_sub(run.percent_ms) > limit_ms + resume_cost_ms + gang_ms
+    }
+}
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,67 +1,66 @@
-//! Life of a run: placed, ordered, stopped, over.
+//! Lifecycle of a run: placed, ordered, stopped, ended.
 
-use crate::draw::Class;
-use crate::job::{Run, StopOrder, Task};
+use crate::kinds::Selection;
 use crate::outbox::Deferred;
 use crate::queue::StepRef;
-use crate::scheduler::Scheduler;
-use crate::workers::WorkerId;
+use crate::run_result::RunResult;
+use crate::state::ClusterState;
+use crate::step_traits::StepTraits;
+use crate::task::{Run, StopOrder, Task};
+use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::internal::StartOrder;
-use indigofold_protocol::job::{JobState, Resources};
+use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{RunId, TaskName};
 use indigofold_protocol::worker::RunEnd;
 
-/// How a run came to be over.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Over {
-    /// Its end was listed.
-    Ended(RunEnd),
-    /// It never got to the worker.
-    NotStarted,
-    /// The worker's life is gone, or its holds have lapsed.
-    Gone,
-}
-
 /// Where and how a run is placed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement {
+    /// The worker.
     pub worker: WorkerId,
+    /// Whether the step is bound to the worker's kind.
     pub bound: bool,
-    /// Factor on the run time there.
-    pub far: f64,
+    /// Factor on the run time there, for data or a gang on other racks.
+    pub remote_factor: f64,
 }
 
-/// What of a step matters for its runs.
-#[derive(Clone, Debug)]
-pub(crate) struct StepTraits {
-    pub resources: Resources,
-    pub gang: bool,
-    pub long_running: bool,
-    pub estimate_ms: u64,
-    pub class: Class,
-    pub service: String,
-}
+impl Placement {
+    /// A run on the selected worker.
+    pub fn new(selection: &Selection, remote_factor: f64) -> Self {
+        Placement {
+            worker: selection.worker,
+            bound: selection.bound,
+            remote_factor,
+        }
+    }
 
-impl Scheduler {
-    pub(crate) fn traits(&self, at: StepRef) -> Option<StepTraits> {
-        let job = self.jobs.get(&at.job)?;
-        let step = job.step(at.step)?;
-        Some(StepTraits {
-            resources: step.resources(),
-            gang: step.gang,
-            long_running: step.long_running,
-            estimate_ms: step.estimate_ms,
-            class: (job.definition.route.clone(), at.step),
-            service: job.service.clone(),
-        })
+    /// The run, placed now and not ordered yet.
+    fn run(&self, attempt: u32, resumed: bool, now_ms: u64) -> Run {
+        Run {
+            attempt,
+            worker: self.worker,
+            sent: false,
+            sent_ms: 0,
+            began_ms: None,
+            stop: None,
+            placed_ms: now_ms,
+            resumed,
+            bound: self.bound,
+            remote_factor: self.remote_factor,
+            percent: 0,
+            percent_ms: now_ms,
+            listed_ms: now_ms,
+        }
     }
+}
 
+impl ClusterState {
     /// The task's run, if it has this number and is on this worker.
     pub(crate) fn run_on(&mut self, run: &RunId, worker: WorkerId) -> Option<&mut Run> {
         self.run_mut(run).filter(|present| present.worker == worker)
     }
 
-    /// A run that is not over.
+    /// A run that has not ended.
     pub(crate) fn run_mut(&mut self, run: &RunId) -> Option<&mut Run> {
         self.jobs
             .get_mut(&run.task.job)?
@@ -69,13 +68,8 @@
             .run_mut(run.attempt)
     }
 
-    /// The task's run on this worker.
-    pub(crate) fn run_at(&self, worker: WorkerId, task: &TaskName) -> Option<&Run> {
-        self.jobs.get(&task.job)?.task(task)?.run_at(worker)
-    }
-
-    /// Places a waiting task, or a copy of one that runs; its order leaves once this is committed.
-    pub(crate) fn place(&mut self, task: TaskName, attempt: u32, placement: Placement) {
+    /// Places a run of a waiting task, or a speculative run; its order leaves once this is committed.
+    pub(crate) fn place_run(&mut self, task: TaskName, attempt: u32, placement: Placement) {
         let (id, now_ms) = (task.job, self.now_ms);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -94,28 +88,13 @@
         };
         entry.last_attempt = attempt;
         let resumed = !entry.checkpoint.is_empty();
-        let place = if entry.run.is_none() {
+        let slot = if entry.run.is_none() {
             &mut entry.run
         } else {
-            &mut entry.copy
+            &mut entry.speculative_run
         };
-        *place = Some(Run {
-            attempt,
-            worker: placement.worker,
-            sent: false,
-            sent_ms: 0,
-            began_ms: None,
-            stop: None,
-            placed_ms: now_ms,
-            resumed,
-            bound: placement.bound,
-            far: placement.far,
-            percent: 0,
-            percent_ms: now_ms,
-            listed_ms: now_ms,
-        });
-        job.outstanding += 1;
-        let first = !std::mem::replace(&mut job.started, true);
+        *slot = Some(placement.run(attempt, resumed, now_ms));
+        let first = job.run_placed();
         if let Some(worker) = self.workers.get_mut(placement.worker) {
             worker.occupy(task, &resources, placement.bound);
             worker.health.placed(now_ms);
@@ -123,7 +102,7 @@
         if first {
             self.no_longer_pending(id);
         }
-        self.mark(id);
+        self.set_dirty(id);
         self.outbox.defer(
             self.outbox.present_write(),
             Deferred::Start(RunId { task, attempt }),
@@ -145,9 +124,9 @@
         let reachable = self
             .workers
             .get(worker)
-            .is_some_and(|worker| worker.agent.is_some() && worker.in_full);
+            .is_some_and(|worker| worker.order_connection().is_some());
         if !reachable || stopped || ended {
-            return self.run_over(run, Over::NotStarted, "");
+            return self.finish_run(run, RunResult::NotStarted, "");
         }
         if let Some(present) = self.run_mut(&run) {
             (present.sent, present.sent_ms) = (true, now_ms);
@@ -179,7 +158,7 @@
         self.outbox.orders_for(worker).start.push(order);
     }
 
-    /// Stops a run at once, and with a gang's member all others. A run whose order has not left is over with that.
+    /// Stops a run at once, and with a gang's member all others. A run whose order has not left ends with that.
     pub(crate) fn stop_run(&mut self, run: RunId) {
         let at = StepRef::of(&run.task);
         let Some(job) = self.jobs.get(&at.job) else {
@@ -207,12 +186,13 @@
             .for_each(|attempt| self.stop_one(RunId { task, attempt }));
     }
 
+    /// Stops one run at once; if its order has not left, it ends with that.
     pub(crate) fn stop_one(&mut self, order: RunId) {
         let Some(run) = self.run_mut(&order) else {
             return;
         };
         if !run.sent {
-            return self.run_over(order, Over::NotStarted, "");
+            return self.finish_run(order, RunResult::NotStarted, "");
         }
         if run.stop.is_none() {
             run.stop = Some(StopOrder {
@@ -229,7 +209,7 @@
             return;
         };
         if !run.sent {
-            return self.run_over(order, Over::NotStarted, "");
+            return self.finish_run(order, RunResult::NotStarted, "");
         }
         self.outbox
             .defer(self.outbox.present_write(), Deferred::Stop(order));
@@ -242,10 +222,7 @@
             return;
         };
         let worker = run.worker;
-        let agent = self
-            .workers
-            .get(worker)
-            .and_then(|w| w.agent.filter(|_| w.in_full));
+        let agent = self.workers.get(worker).and_then(Worker::order_connection);
         if let Some(run) = self.run_mut(&order) {
             run.stop = Some(StopOrder {
                 sent_to: agent,
@@ -257,11 +234,11 @@
         }
     }
 
-    /// A run is over.
-    pub(crate) fn run_over(&mut self, run: RunId, over: Over, checkpoint: &str) {
+    /// A run has ended.
+    pub(crate) fn finish_run(&mut self, run: RunId, result: RunResult, checkpoint: &str) {
         let task = run.task;
         let at = StepRef::of(&task);
-        let Some(traits) = self.traits(at) else {
+        let Some(traits) = self.view().traits(at) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -275,40 +252,37 @@
             return;
         };
         let (done, runs_on) = (entry.done, entry.run.is_some());
-        self.keep_saved(&task, checkpoint);
+        self.store_checkpoint(&task, checkpoint);
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.outstanding = job.outstanding.saturating_sub(1);
+            job.run_finished();
         }
-        self.mark(task.job);
+        self.set_dirty(task.job);
         if let Some(worker) = self.workers.get_mut(run.worker) {
             worker.release(&task, &traits.resources, run.bound);
         }
-        self.service(&traits.service).dirty = true;
-        self.note_outcome(&task, &run, over, &traits);
-        self.note_run(&task, &run, over);
-        match over {
-            _ if ended => self.close_if_idle(task.job),
-            _ if done => self.tidy_repeat(task.job, task.repeat),
-            Over::Ended(RunEnd::Done) if !traits.long_running => self.run_done(task),
-            Over::Ended(RunEnd::Failed) if !traits.long_running => {
+        self.services.entry(&traits.service).request_pass();
+        self.learn_from_run(&task, &run, result, &traits);
+        self.record_run_latency(&task, &run, result);
+        match result {
+            _ if ended => self.close_job_if_idle(task.job),
+            _ if done => self.close_repeat_if_finished(task.job, task.repeat),
+            RunResult::Ended(RunEnd::Done) if !traits.long_running => self.run_done(task),
+            RunResult::Ended(RunEnd::Failed) if !traits.long_running => {
                 self.task_failed(task, &run, &traits)
             }
             _ if runs_on => {}
-            _ => self.wait_again(task),
+            _ => self.requeue_task(task),
         }
     }
 
+    /// A run has ended `done`: its task is done, and a speculative run beside it is stopped.
     fn run_done(&mut self, task: TaskName) {
         self.task_done(task);
-        if self
-            .jobs
-            .get(&task.job)
-            .and_then(|job| job.step(task.step))
-            .is_some_and(|step| !step.gang)
-        {
+        let step = self.jobs.step(StepRef::of(&task));
+        if step.is_some_and(|step| !step.gang) {
             self.stop_task(task);
         }
-        self.tidy_repeat(task.job, task.repeat);
+        self.close_repeat_if_finished(task.job, task.repeat);
     }
 
     /// Counts a failure; the last one allowed fails the job.
@@ -320,25 +294,9 @@
         let Some(state) = job.step_state_mut(StepRef::of(&task)) else {
             return;
         };
-        if let Some(entry) = state.tasks.get_mut(task.index as usize) {
-            entry.failures += 1;
-            entry.failed_on = Some(run.worker);
-        }
-        if traits.gang && run.attempt > state.gang_failed_attempt {
-            state.gang_failures += 1;
-            state.gang_failed_attempt = run.attempt;
-        }
-        let task_failures = state
-            .tasks
-            .get(task.index as usize)
-            .map_or(0, |entry| entry.failures);
-        let failures = if traits.gang {
-            state.gang_failures
-        } else {
-            task_failures
-        };
+        let failures = state.record_failure(task.index, run, traits.gang);
         if failures >= limit {
-            self.note_end(&task, JobState::Failed);
+            self.record_late_end(&task, JobState::Failed);
             return self.end_job(task.job, JobState::Failed);
         }
         let runs_on = self
@@ -347,13 +305,12 @@
             .and_then(|job| job.task(&task))
             .is_some_and(|t| t.run.is_some());
         if !runs_on {
-            self.wait_again(task);
+            self.requeue_task(task);
         }
     }
 
-    /// Progress that a run has saved; any member's serves for its gang, and the newest is kept. Returns whether it is
-    /// news.
-    pub(crate) fn keep_saved(&mut self, task: &TaskName, checkpoint: &str) -> bool {
+    /// Stores a checkpoint of a run; any member's serves for its gang, and the newest stays. Returns whether it is new.
+    pub(crate) fn store_checkpoint(&mut self, task: &TaskName, checkpoint: &str) -> bool {
         let Some(job) = self
             .jobs
             .get_mut(&task.job)
@@ -362,25 +319,12 @@
             return false;
         };
         let gang = job.step(task.step).is_some_and(|step| step.gang);
-        let Some(state) = job.step_state_mut(StepRef::of(task)) else {
-            return false;
-        };
-        let Some(entry) = state
-            .tasks
-            .get_mut(task.index as usize)
-            .filter(|entry| entry.checkpoint != checkpoint)
-        else {
-            return false;
-        };
-        checkpoint.clone_into(&mut entry.checkpoint);
-        if gang {
-            checkpoint.clone_into(&mut state.gang_saved);
-        }
-        true
+        job.step_state_mut(StepRef::of(task))
+            .is_some_and(|state| state.store_checkpoint(task.index, gang, checkpoint))
     }
 
-    /// A `done` of a run that was given up: it counts while the task is not done.
-    pub(crate) fn late_done(&mut self, task: TaskName) {
+    /// A `done` of a run that counted as lost: it counts while the task is not done.
+    pub(crate) fn handle_late_done(&mut self, task: TaskName) {
         let Some(job) = self.jobs.get(&task.job).filter(|job| job.end.is_none()) else {
             return;
         };
@@ -398,64 +342,60 @@
         {
             return;
         }
-        let members = if gang {
-            0..state.tasks.len() as u32
-        } else {
-            task.index..task.index + 1
-        };
+        let members = state.members(task.index, gang);
         self.task_done(task);
         members.for_each(|index| self.stop_task(StepRef::of(&task).task(index)));
-        self.tidy_repeat(task.job, task.repeat);
+        self.close_repeat_if_finished(task.job, task.repeat);
     }
 
-    /// A life is gone for good: nothing of it runs.
-    pub(crate) fn life_gone(&mut self, id: WorkerId) {
+    /// An instance has ended: nothing of it runs.
+    pub(crate) fn instance_ended(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
         let (backend, runs) = (worker.backend.clone(), worker.runs.clone());
         for task in runs {
-            if let Some(attempt) = self.run_at(id, &task).map(|run| run.attempt) {
-                self.run_over(RunId { task, attempt }, Over::Gone, "");
+            if let Some(attempt) = self.view().run_at(id, &task).map(|run| run.attempt) {
+                self.finish_run(RunId { task, attempt }, RunResult::Lost, "");
             }
         }
-        self.forget_life(id);
+        self.forget_instance(id);
         self.regroup(&backend);
     }
 
-    /// Gives up the runs of lives whose holds have lapsed without word from them.
-    pub(crate) fn give_up_lapsed(&mut self) {
-        for id in self.workers.newly_lapsed(self.now_ms) {
+    /// The runs of instances are lost whose leases have expired without a report.
+    pub(crate) fn give_up_expired(&mut self) {
+        for id in self.workers.newly_expired(self.now_ms) {
             let Some(worker) = self.workers.get(id) else {
                 continue;
             };
             let (backend, tasks) = (worker.backend.clone(), worker.runs.clone());
             for task in tasks {
-                let Some(run) = self.run_at(id, &task).map(|run| RunId {
+                let Some(run) = self.view().run_at(id, &task).map(|run| RunId {
                     task,
                     attempt: run.attempt,
                 }) else {
                     continue;
                 };
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.given_up.push(run);
+                    worker.unexpected.add_lost(run);
                 }
-                self.run_over(run, Over::Gone, "");
+                self.finish_run(run, RunResult::Lost, "");
             }
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.lapsed_ms = Some(self.now_ms);
+                worker.expire(self.now_ms);
             }
             self.regroup(&backend);
         }
-        for id in self.workers.long_lapsed(self.now_ms) {
-            self.forget_life(id);
+        for id in self.workers.long_expired(self.now_ms) {
+            self.forget_instance(id);
         }
     }
 
+    /// Workers of the service have come, ended or changed.
     pub(crate) fn regroup(&mut self, backend: &str) {
         if !backend.is_empty() {
-            let service = self.service(backend);
-            (service.regroup, service.dirty) = (true, true);
+            self.services.entry(backend).request_regroup();
         }
     }
 }
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -1,21 +1,21 @@
 //! Take-over: the state as a predecessor has written it.
 
 use crate::clock::WallClock;
-use crate::job::Job;
-use crate::life_rows::instance_of;
+use crate::instance_rows::instance_of;
+use crate::job::{Job, OutstandingRun};
+use crate::lifecycle::open_tasks;
 use crate::rows::{RowError, RowKey, read_definition, read_progress};
-use crate::scheduler::Scheduler;
-use crate::steps::open_tasks;
+use crate::state::ClusterState;
 use indigofold_protocol::task::JobId;
 use rustc_hash::FxHashMap;
 
-/// Nothing is placed for so long after a take-over, so that what waits is spread over all workers.
+/// Nothing is placed for this time after a take-over, so that waiting tasks are spread over all workers.
 const AGENTS_RECONNECT_MS: u64 = 120;
 
-impl Scheduler {
-    /// Takes over what a predecessor has written: all rows whose keys [`is_row`](Self::is_row). To be called once,
+impl ClusterState {
+    /// Takes over what a predecessor has written: all rows whose keys [`is_row`](crate::Scheduler::is_row). To be called once,
     /// before the first event.
-    pub fn load(
+    pub(crate) fn load(
         &mut self,
         rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
     ) -> Result<(), RowError> {
@@ -23,7 +23,7 @@
         let mut progresses = Vec::new();
         for (key, value) in rows {
             if let Some(instance) = instance_of(&key) {
-                self.load_life(instance, &value);
+                self.load_instance(instance, &value);
                 continue;
             }
             match RowKey::parse(&key) {
@@ -51,7 +51,7 @@
             let job = progress.restore(definition, &mut self.workers, self.now_ms, due_ms);
             self.jobs.insert(id, job);
             self.resume_job(id);
-            self.place_from_ms = self.now_ms + AGENTS_RECONNECT_MS;
+            self.placement_start_ms = self.now_ms + AGENTS_RECONNECT_MS;
         }
         Ok(())
     }
@@ -61,17 +61,14 @@
         if self.jobs.get(&id).is_some_and(|job| job.end.is_some()) {
             return self.resume_ended(id);
         }
-        self.appraise(id);
+        self.update_value(id);
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        self.open_jobs += 1;
-        self.open_tasks += open_tasks(job);
+        self.load.job_opened();
+        self.load.tasks_opened(open_tasks(job));
         if !job.started {
-            *self
-                .pending
-                .entry(job.definition.route.clone())
-                .or_default() += 1;
+            self.load.job_pending(&job.definition.route);
         }
         let repeats: Vec<u32> = job.repeats.keys().copied().collect();
         for repeat in repeats {
@@ -80,7 +77,7 @@
                 .get(&id)
                 .and_then(|job| job.repeats.get(&repeat))
                 .map_or(0, |r| r.due_ms);
-            self.ready_steps(id, repeat, self.delays_before(due_ms));
+            self.ready_steps(id, repeat, self.latency_before_opening(due_ms));
         }
         self.await_next_repeat(id);
     }
@@ -93,17 +90,16 @@
         if job.outstanding == 0
             && let Some(end) = job.end
         {
-            let at_wall_ms = self.forget_at(end.wall_ms);
-            self.forget.insert((at_wall_ms, id));
+            self.await_expiry(id, end.wall_ms);
         }
     }
 
-    /// Outstanding runs count against their workers' room.
+    /// Outstanding runs occupy capacity of their workers.
     fn occupy_workers(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        for (run, worker) in job.outstanding_runs(id) {
+        for OutstandingRun { run, worker } in job.outstanding_runs(id) {
             let resources = job
                 .step(run.task.step)
                 .map(|step| step.resources())
--- /dev/null
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -0,0 +1,382 @@
+//! A simulated cluster in virtual time round one scheduler: storage, node agents, workers, clients; and the invariants,
+//! checked at every start of a run.
+
+#![allow(dead_code)] // each test file uses its part
+
+mod clients;
+mod idle_jobs;
+mod invariants;
+pub mod node;
+mod running;
+mod setup;
+
+use indigofold_protocol::config::Config;
+use indigofold_protocol::internal::*;
+use indigofold_protocol::job::{JobSpec, JobState};
+use indigofold_protocol::task::{JobId, TaskName};
+use indigofold_protocol::worker::RunEnd;
+use indigofold_scheduler::{AgentId, Effect, Event, LateEnd, RowChange, Scheduler, WriteId};
+use node::Node;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+
+pub use setup::*;
+
+/// Time of day at the beginning.
+pub const WALL_MS: u64 = 1_700_000_000_000;
+/// A write is committed after this time.
+const COMMIT_MS: u64 = 12;
+/// All workers have registered after this time.
+const REGISTRATION_MS: u64 = 200;
+/// A reply to a client has arrived after this time.
+const REPLY_MS: u64 = 50;
+/// The leases of a disconnected node agent have all expired after this time, whatever the rates of the clocks.
+pub const EXPIRED_MS: u64 = (LEASE_AUTHORITY_MS + RUN_LEASE_MS) * 105 / 100 + 300;
+/// Messages take this time.
+const NET_MS: u64 = 2;
+
+/// Random numbers of a test.
+pub struct TestRng(u64);
+
+impl TestRng {
+    pub fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 33) % bound.max(1)
+    }
+
+    pub fn chance(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
+    }
+}
+
+/// What the clients know about a job.
+#[derive(Debug, Default)]
+pub struct ClientJob {
+    pub spec: JobSpec,
+    pub route: String,
+    pub sent_ms: u64,
+    pub accepted_ms: Option<u64>,
+    pub rejected: bool,
+    pub cancelled_ms: Option<u64>,
+    pub state: Option<JobState>,
+    pub ended_ms: Option<u64>,
+}
+
+/// What workers have done of a task.
+#[derive(Debug, Default)]
+pub struct TaskHistory {
+    pub done: bool,
+    pub done_acknowledged: bool,
+    pub done_acknowledged_ms: Option<u64>,
+    pub failed_acknowledged: BTreeSet<u32>,
+    pub starts: u32,
+}
+
+enum Message {
+    Orders(AgentId, AgentOrders),
+    Report(AgentId, AgentReport),
+}
+
+struct MessageInTransit {
+    arrives_ms: u64,
+    message: Message,
+}
+
+/// A write that is not committed yet.
+struct PendingWrite {
+    commits_ms: u64,
+    write: WriteId,
+    changes: Vec<RowChange>,
+}
+
+/// How a task runs, where that is not what its step says.
+#[derive(Clone, Copy, Debug)]
+pub struct TaskWork {
+    /// Time that each run works.
+    pub run_ms: u64,
+    /// Number of runs that fail before one succeeds.
+    pub failures: u32,
+}
+
+/// The simulated cluster.
+pub struct Cluster {
+    pub now_ms: u64,
+    pub rng: TestRng,
+    pub scheduler: Scheduler,
+    pub epoch: u64,
+    pub rows: BTreeMap<Vec<u8>, Vec<u8>>,
+    writes: VecDeque<PendingWrite>,
+    messages: VecDeque<MessageInTransit>,
+    pub nodes: Vec<Node>,
+    connections: BTreeMap<AgentId, usize>,
+    next_connection: u64,
+    next_call: u64,
+    calls: BTreeMap<u64, JobId>,
+    pub jobs: BTreeMap<JobId, ClientJob>,
+    pub history: BTreeMap<TaskName, TaskHistory>,
+    pub config: Arc<Config>,
+    work: BTreeMap<TaskName, TaskWork>,
+    pub replies: Vec<ClientReply>,
+    pub fault_free: bool,
+    /// Late ends that were reported.
+    pub late: Vec<LateEnd>,
+    pub writes_made: u64,
+    pub stopped_core_ms: f64,
+    /// Offset of the scheduler's time of day.
+    pub clock_step_ms: i64,
+    /// Whether the rule on idle jobs is checked, and since when each idle job is idle.
+    pub checks_idle: bool,
+    idle_since: BTreeMap<JobId, u64>,
+}
+
+impl Cluster {
+    pub fn new(seed: u64) -> Self {
+        Self::with_nodes(seed, nodes())
+    }
+
+    pub fn with_nodes(seed: u64, nodes: Vec<Node>) -> Self {
+        let mut cluster = Cluster {
+            now_ms: 1_000,
+            rng: TestRng(seed.wrapping_mul(77) + 5),
+            scheduler: Scheduler::new(bounds(), 1, seed, 1_000, WALL_MS + 1_000),
+            epoch: 1,
+            rows: BTreeMap::new(),
+            writes: VecDeque::new(),
+            messages: VecDeque::new(),
+            nodes,
+            connections: BTreeMap::new(),
+            next_connection: 1,
+            next_call: 1,
+            calls: BTreeMap::new(),
+            jobs: BTreeMap::new(),
+            history: BTreeMap::new(),
+            config: Arc::new(config()),
+            work: BTreeMap::new(),
+            replies: Vec::new(),
+            fault_free: true,
+            late: Vec::new(),
+            writes_made: 0,
+            stopped_core_ms: 0.0,
+            clock_step_ms: 0,
+            checks_idle: false,
+            idle_since: BTreeMap::new(),
+        };
+        cluster.handle(Event::Config(cluster.config.clone()));
+        (0..cluster.nodes.len()).for_each(|node| cluster.connect(node));
+        cluster
+    }
+
+    /// A cluster whose workers have registered.
+    pub fn started(seed: u64) -> Self {
+        let mut cluster = Cluster::new(seed);
+        cluster.run_for(REGISTRATION_MS);
+        cluster
+    }
+
+    pub fn wall_ms(&self) -> u64 {
+        WALL_MS + self.now_ms
+    }
+
+    pub fn handle(&mut self, event: Event) {
+        let mut effects = Vec::new();
+        let now_ms = self.now_ms;
+        let wall_ms = self.wall_ms().saturating_add_signed(self.clock_step_ms);
+        self.scheduler.handle(now_ms, wall_ms, event, &mut effects);
+        for effect in effects {
+            match effect {
+                Effect::Write { write, changes } => {
+                    self.writes_made += 1;
+                    self.writes.push_back(PendingWrite {
+                        commits_ms: now_ms + COMMIT_MS,
+                        write,
+                        changes,
+                    });
+                }
+                Effect::Reply { reply, .. } => self.handle_reply(reply),
+                Effect::Late(end) => self.late.push(*end),
+                Effect::Orders { agent, orders } => {
+                    self.send(Message::Orders(agent, orders));
+                }
+            }
+        }
+    }
+
+    pub fn connect(&mut self, node: usize) {
+        let agent = AgentId(self.next_connection);
+        self.next_connection += 1;
+        self.connections.insert(agent, node);
+        let at = &mut self.nodes[node];
+        (at.connected, at.running_reported, at.report_now) = (true, false, true);
+        let node_name = at.name.clone();
+        self.handle(Event::AgentConnected { agent, node_name });
+    }
+
+    pub fn disconnect(&mut self, node: usize) {
+        let ended_instances: Vec<AgentId> = self
+            .connections
+            .iter()
+            .filter(|(_, at)| **at == node)
+            .map(|(id, _)| *id)
+            .collect();
+        self.nodes[node].connected = false;
+        for agent in ended_instances {
+            self.connections.remove(&agent);
+            self.handle(Event::AgentDisconnected(agent));
+        }
+    }
+
+    /// The head dies; its successor takes over what is committed.
+    pub fn fail_over(&mut self) {
+        self.epoch += 1;
+        let committed = self.rng.below(self.writes.len() as u64 + 1) as usize;
+        for pending in std::mem::take(&mut self.writes).into_iter().take(committed) {
+            apply(&mut self.rows, pending.changes);
+        }
+        self.messages.clear();
+        self.connections.clear();
+        self.calls.clear();
+        let (now_ms, wall_ms) = (self.now_ms, self.wall_ms());
+        self.scheduler = Scheduler::new(bounds(), self.epoch, self.epoch, now_ms, wall_ms);
+        self.scheduler
+            .load(self.rows.clone())
+            .expect("rows are readable");
+        self.handle(Event::Config(self.config.clone()));
+        for node in 0..self.nodes.len() {
+            if self.nodes[node].connected {
+                self.connect(node);
+            }
+        }
+    }
+
+    pub fn run_until(&mut self, until_ms: u64) {
+        while self.now_ms < until_ms {
+            self.now_ms += 1;
+            self.advance();
+        }
+    }
+
+    pub fn run_for(&mut self, ms: u64) {
+        self.run_until(self.now_ms + ms);
+    }
+
+    fn advance(&mut self) {
+        while self
+            .writes
+            .front()
+            .is_some_and(|pending| pending.commits_ms <= self.now_ms)
+        {
+            let Some(pending) = self.writes.pop_front() else {
+                break;
+            };
+            apply(&mut self.rows, pending.changes);
+            self.handle(Event::Committed(pending.write));
+        }
+        while self
+            .messages
+            .front()
+            .is_some_and(|transit| transit.arrives_ms <= self.now_ms)
+        {
+            let Some(transit) = self.messages.pop_front() else {
+                break;
+            };
+            self.deliver(transit.message);
+        }
+        for node in 0..self.nodes.len() {
+            self.advance_node(node);
+        }
+        if self.now_ms >= self.scheduler.next_timer_ms() {
+            self.handle(Event::Timer);
+        }
+        if self.checks_idle && self.now_ms.is_multiple_of(20) {
+            self.check_idle();
+        }
+    }
+
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Orders(agent, orders) => {
+                let Some(&node) = self.connections.get(&agent) else {
+                    return;
+                };
+                let now_ms = self.now_ms;
+                if let Some(acknowledged) = self.nodes[node].orders(now_ms, orders) {
+                    self.record_acknowledged_ends(node, acknowledged);
+                }
+            }
+            Message::Report(agent, report) => {
+                if self.connections.contains_key(&agent) {
+                    self.handle(Event::Report { agent, report });
+                }
+            }
+        }
+    }
+
+    fn send(&mut self, message: Message) {
+        let arrives_ms = self.now_ms + NET_MS;
+        self.messages.push_back(MessageInTransit {
+            arrives_ms,
+            message,
+        });
+    }
+
+    fn record_acknowledged_ends(&mut self, node: usize, acknowledged: u64) {
+        let at = &mut self.nodes[node];
+        assert!(
+            acknowledged < at.next_end,
+            "an end was acknowledged that was never listed"
+        );
+        let before = at.acknowledged;
+        at.acknowledged = before.max(acknowledged);
+        for end in at
+            .ends
+            .iter()
+            .filter(|end| end.number > before && end.number <= acknowledged)
+        {
+            let history = self.history.entry(end.run.task).or_default();
+            match end.end {
+                RunEnd::Done => {
+                    history.done_acknowledged = true;
+                    history.done_acknowledged_ms.get_or_insert(self.now_ms);
+                }
+                RunEnd::Failed => {
+                    history.failed_acknowledged.insert(end.run.attempt);
+                }
+                _ => {}
+            }
+        }
+        at.ends.retain(|end| end.number > acknowledged);
+    }
+
+    fn advance_node(&mut self, node: usize) {
+        let now_ms = self.now_ms;
+        if !self.nodes[node].up && now_ms >= self.nodes[node].boot_ms {
+            self.nodes[node].up = true;
+            self.nodes[node].report_now = true;
+        }
+        for order in self.nodes[node].heartbeat(now_ms) {
+            self.start(node, order);
+        }
+        self.run_node(node);
+        if let Some(report) = self.nodes[node].report(now_ms) {
+            let agent = self
+                .connections
+                .iter()
+                .find(|(_, at)| **at == node)
+                .map(|(id, _)| *id);
+            let Some(agent) = agent else { return };
+            self.send(Message::Report(agent, report));
+        }
+    }
+}
+
+fn apply(rows: &mut BTreeMap<Vec<u8>, Vec<u8>>, changes: Vec<RowChange>) {
+    for change in changes {
+        match change.value {
+            Some(value) => rows.insert(change.key, value),
+            None => rows.remove(&change.key),
+        };
+    }
+}
--- /dev/null
+++ b/crates/scheduler/tests/idle_jobs.rs
@@ -0,0 +1,174 @@
+//! No job is idle while there is capacity for it, even if it cannot use the workers that it would prefer.
+
+mod cluster;
+
+use cluster::{Cluster, spec, step};
+use indigofold_protocol::job::Step;
+use rstest::rstest;
+
+/// What is asked of workers that have all failed, hung or been slow before.
+#[derive(Clone, Copy, Debug)]
+enum Constraint {
+    Unconstrained,
+    Label,
+    Spread,
+    Rack,
+    Gang,
+    LongRunning,
+}
+
+fn step_with(what: Constraint) -> Step {
+    let plain = step(2, 240, 400);
+    match what {
+        Constraint::Unconstrained => plain,
+        Constraint::Label => Step {
+            requirements: "b".to_owned(),
+            ..plain
+        },
+        Constraint::Spread => Step {
+            anti_affinity: 1,
+            ..plain
+        },
+        Constraint::Rack => Step {
+            affinity: "r1-2".to_owned(),
+            ..plain
+        },
+        Constraint::Gang => Step {
+            gang: true,
+            rack_local: true,
+            ..plain
+        },
+        Constraint::LongRunning => Step {
+            long_running: true,
+            ..plain
+        },
+    }
+}
+
+fn set_fails(cluster: &mut Cluster, fails: bool) {
+    cluster.nodes.iter_mut().for_each(|node| node.fails = fails);
+}
+
+/// All workers have failed for a while: they are suspected, then on trial.
+#[rstest]
+fn jobs_run_when_all_workers_are_suspected(
+    #[values(
+        Constraint::Unconstrained,
+        Constraint::Label,
+        Constraint::Spread,
+        Constraint::Rack,
+        Constraint::Gang,
+        Constraint::LongRunning
+    )]
+    what: Constraint,
+    #[values(true, false)] with_long_running_work: bool,
+    #[values(true, false)] recovers: bool,
+) {
+    let mut cluster = Cluster::new(1);
+    cluster.checks_idle = true;
+    cluster.run_for(200);
+    if with_long_running_work {
+        cluster.submit(
+            "bulk",
+            500,
+            spec(vec![Step {
+                long_running: true,
+                anti_affinity: 1,
+                ..step(4, 100, 100)
+            }]),
+        );
+        cluster.run_for(300);
+    }
+    set_fails(&mut cluster, true);
+    for number in 0..12 {
+        cluster.submit("quick", 100 + number, spec(vec![step(6, 240, 200)]));
+        cluster.run_for(150);
+    }
+    set_fails(&mut cluster, !recovers);
+    for number in 0..12 {
+        cluster.submit("quick", 1 + number, spec(vec![step_with(what)]));
+        cluster.run_for(700);
+    }
+    cluster.run_for(6_000);
+}
+
+/// A gang waits for complete workers of which one is long in use: the others are reserved for it, but not against jobs
+/// that would be idle.
+#[rstest]
+#[case::gang(Step { gang: true, gpu: 1, ..step(2, 2_000, 9_000) })]
+#[case::long(Step { gpu: 1, ..step(2, 2_000, 9_000) })]
+#[case::long_running(Step { long_running: true, gpu: 1, ..step(2, 2_000, 500) })]
+#[case::large(Step { gpu: 3, ..step(1, 9_000, 9_000) })]
+fn waiting_for_reserved_workers_is_bounded(#[case] other: Step) {
+    let mut cluster = Cluster::new(2);
+    cluster.checks_idle = true;
+    cluster.run_for(200);
+    cluster.submit(
+        "vision",
+        1,
+        spec(vec![Step {
+            gpu: 1,
+            ..step(1, 2_000, 30_000)
+        }]),
+    );
+    cluster.run_for(200);
+    cluster.submit(
+        "vision",
+        2,
+        spec(vec![Step {
+            gang: true,
+            gpu: 8,
+            ..step(3, 4_000, 1_000)
+        }]),
+    );
+    cluster.run_for(300);
+    for number in 0..3 {
+        cluster.submit("vision", 3 + number, spec(vec![other.clone()]));
+        cluster.run_for(400);
+    }
+    cluster.run_for(6_000);
+}
+
+/// Steps that come first in the queue but may not use a worker yet hide none that may.
+#[test]
+fn new_steps_do_not_block_steps_that_have_waited() {
+    let mut cluster = Cluster::new(3);
+    cluster.checks_idle = true;
+    cluster.run_for(200);
+    cluster.submit(
+        "vision",
+        1,
+        spec(vec![Step {
+            gpu: 1,
+            ..step(1, 2_000, 60_000)
+        }]),
+    );
+    cluster.run_for(200);
+    cluster.submit(
+        "vision",
+        2,
+        spec(vec![Step {
+            gang: true,
+            gpu: 8,
+            ..step(3, 4_000, 1_000)
+        }]),
+    );
+    for number in 0..40 {
+        cluster.submit(
+            "vision",
+            10 + number,
+            spec(vec![Step {
+                gpu: 1,
+                ..step(1, 1_000, 9_000)
+            }]),
+        );
+        cluster.run_for(300);
+        if number == 3 {
+            let large = Step {
+                gpu: 1,
+                ..step(1, 1_500, 20_000)
+            };
+            cluster.submit("vision", 9, spec(vec![large]));
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/tests/latency.rs
@@ -0,0 +1,118 @@
+//! A job that ends late, or fails, is reported with a latency breakdown; one that meets its target is not.
+
+mod cluster;
+
+use cluster::{Cluster, first_task, spec, step};
+use indigofold_protocol::job::{JobState, Step};
+use indigofold_scheduler::{Cause, LateEnd};
+
+/// The only late end.
+fn only_late_end(cluster: &Cluster) -> &LateEnd {
+    assert_eq!(cluster.late.len(), 1, "{:?}", cluster.late);
+    &cluster.late[0]
+}
+
+/// The breakdown adds up to the total time, but for rounding.
+fn assert_breakdown_complete(end: &LateEnd) {
+    let sum: u64 = Cause::ALL.map(|cause| end.breakdown.of(cause)).iter().sum();
+    assert!(
+        end.took_ms.abs_diff(sum) <= 12,
+        "{end}: the parts make {sum} ms"
+    );
+}
+
+#[test]
+fn a_job_that_meets_its_latency_target_is_not_reported() {
+    let mut cluster = Cluster::started(1);
+    cluster.submit("quick", 1, spec(vec![step(8, 500, 700)]));
+    cluster.run_for(3_000);
+    assert_eq!(cluster.late, vec![]);
+}
+
+/// Two steps, both behind a full service; the second one's first run fails.
+#[test]
+fn waits_runs_and_failures_add_up_to_the_total_time() {
+    let mut cluster = Cluster::started(2);
+    cluster.submit("quick", 1, spec(vec![step(64, 1_000, 6_000)]));
+    cluster.run_for(100);
+    let second = Step {
+        depends_on: vec![0],
+        ..step(1, 1_000, 500)
+    };
+    let job = cluster.submit("quick", 2, spec(vec![step(2, 1_000, 500), second]));
+    cluster.set_work(first_task(job, 1), 500, 1);
+    cluster.run_for(12_000);
+    let end = only_late_end(&cluster);
+    assert_eq!(
+        (end.job, end.state, end.route.as_str()),
+        (job, JobState::Completed, "quick")
+    );
+    assert_breakdown_complete(end);
+    assert!(end.breakdown.of(Cause::Capacity) > 4_000, "{end}");
+    assert!(
+        (500..800).contains(&end.breakdown.of(Cause::Failed)),
+        "{end}"
+    );
+    assert!(
+        (900..1_300).contains(&end.breakdown.of(Cause::Run)),
+        "{end}"
+    );
+    assert!(end.breakdown.of(Cause::Commit) >= 24, "{end}");
+}
+
+/// The rack with the data is full, others are not: the wait is for locality, not for capacity.
+#[test]
+fn a_wait_for_a_local_worker_counts_as_locality() {
+    let mut cluster = Cluster::started(3);
+    let in_rack = |count, ms| Step {
+        affinity: "r1-1".to_owned(),
+        ..step(count, 1_000, ms)
+    };
+    cluster.submit("quick", 1, spec(vec![in_rack(32, 2_000)]));
+    cluster.run_for(50);
+    let job = cluster.submit("quick", 2, spec(vec![in_rack(1, 300)]));
+    cluster.set_work(first_task(job, 0), 2_500, 0);
+    cluster.run_for(6_000);
+    let late = cluster
+        .late
+        .iter()
+        .find(|end| end.job == job)
+        .expect("it is late");
+    assert_breakdown_complete(late);
+    assert!(late.breakdown.of(Cause::Locality) > 100, "{late}");
+    assert_eq!(late.breakdown.of(Cause::Queue), 0, "{late}");
+}
+
+#[test]
+fn a_failed_job_is_reported() {
+    let mut cluster = Cluster::started(4);
+    let job = cluster.submit("quick", 1, spec(vec![step(1, 1_000, 300)]));
+    cluster.set_work(first_task(job, 0), 300, 9);
+    cluster.run_for(4_000);
+    let end = only_late_end(&cluster);
+    assert_eq!((end.job, end.state), (job, JobState::Failed));
+    assert!(end.breakdown.of(Cause::Failed) > 900, "{end}");
+    assert_breakdown_complete(end);
+}
+
+/// The head is lost: its successor did not see what went before and says so.
+#[test]
+fn time_under_a_predecessor_has_its_own_cause() {
+    let mut cluster = Cluster::started(5);
+    cluster.submit("quick", 1, spec(vec![step(64, 1_000, 2_500)]));
+    cluster.run_for(100);
+    let job = cluster.submit("quick", 2, spec(vec![step(1, 1_000, 300)]));
+    cluster.run_for(1_000);
+    cluster.fail_over();
+    cluster.run_for(8_000);
+    let late = cluster
+        .late
+        .iter()
+        .find(|end| end.job == job)
+        .expect("it is late");
+    assert!(
+        (800..1_300).contains(&late.breakdown.of(Cause::Predecessor)),
+        "{late}"
+    );
+    assert_breakdown_complete(late);
+}
--- /dev/null
+++ b/crates/scheduler/tests/locality.rs
@@ -0,0 +1,66 @@
+//! Tasks that run faster on the rack of their data, when there is too little capacity.
+
+mod cluster;
+
+use cluster::{Cluster, spec, step};
+use indigofold_protocol::job::Step;
+use indigofold_protocol::task::JobId;
+
+/// Runs of a job on the nodes of rack `r1-2`.
+fn runs_on_other_rack(cluster: &Cluster, job: JobId) -> usize {
+    cluster.nodes[2..4]
+        .iter()
+        .flat_map(|node| node.running.keys())
+        .filter(|run| run.task.job == job)
+        .count()
+}
+
+/// More tasks want one rack than fit there, and others of their priority wait too: capacity elsewhere goes to those, as
+/// remote tasks would occupy it for several times as long.
+#[test]
+fn capacity_goes_first_to_tasks_that_are_local_there() {
+    let mut cluster = Cluster::started(1);
+    cluster.submit("quick", 1, spec(vec![step(64, 1_000, 2_000)]));
+    cluster.run_for(100);
+    let with_affinity = Step {
+        affinity: "r1-1".to_owned(),
+        ..step(64, 1_000, 1_000)
+    };
+    let with_data = cluster.submit("quick", 2, spec(vec![with_affinity]));
+    let plain = cluster.submit("quick", 3, spec(vec![step(64, 1_000, 1_000)]));
+    let mut plain_ran = 0;
+    for _ in 0..40 {
+        cluster.run_for(100);
+        let plain_waits = cluster
+            .history
+            .keys()
+            .filter(|task| task.job == plain)
+            .count()
+            < 64;
+        if plain_waits {
+            assert_eq!(
+                runs_on_other_rack(&cluster, with_data),
+                0,
+                "at {} ms",
+                cluster.now_ms
+            );
+        }
+        plain_ran = plain_ran.max(runs_on_other_rack(&cluster, plain));
+    }
+    assert!(plain_ran > 0);
+}
+
+/// Capacity that nobody else of their priority wants is used by remote tasks, after a while.
+#[test]
+fn unused_capacity_is_used_by_remote_tasks() {
+    let mut cluster = Cluster::started(2);
+    let with_affinity = Step {
+        affinity: "r1-1".to_owned(),
+        ..step(64, 1_000, 8_000)
+    };
+    let with_data = cluster.submit("quick", 1, spec(vec![with_affinity]));
+    cluster.run_for(500);
+    assert_eq!(runs_on_other_rack(&cluster, with_data), 0);
+    cluster.run_for(1_500);
+    assert_eq!(runs_on_other_rack(&cluster, with_data), 32);
+}
--- /dev/null
+++ b/crates/scheduler/tests/long_running.rs
@@ -0,0 +1,56 @@
+//! Long-running tasks, and tasks that take long.
+
+mod cluster;
+
+use cluster::{Cluster, spec, step};
+use indigofold_protocol::job::Step;
+use indigofold_protocol::task::JobId;
+
+fn run_count(cluster: &Cluster, job: JobId) -> usize {
+    let running = cluster.nodes.iter().flat_map(|node| node.running.keys());
+    running.filter(|run| run.task.job == job).count()
+}
+
+/// A long-running task earns as long as it runs: once lost, it goes before work of its priority that came later.
+#[test]
+fn a_lost_long_running_task_restarts_before_later_work() {
+    let mut cluster = Cluster::started(5);
+    let watcher = cluster.submit(
+        "vision",
+        1,
+        spec(vec![Step {
+            long_running: true,
+            ..step(1, 15_000, 400)
+        }]),
+    );
+    cluster.run_for(30_000);
+    let at = cluster
+        .nodes
+        .iter()
+        .position(|node| node.used().cpu == 15_000)
+        .expect("the watcher runs");
+    for number in 0..30 {
+        cluster.submit("vision", 100 + number, spec(vec![step(6, 15_000, 3_000)]));
+    }
+    cluster.run_for(500);
+    let (now_ms, back_ms) = (cluster.now_ms, 500);
+    cluster.nodes[at].crash(now_ms, back_ms);
+    cluster.run_for(9_000);
+    assert!(
+        run_count(&cluster, watcher) > 0,
+        "the watcher waits behind work that ends"
+    );
+}
+
+/// Jobs of one class differ far more than workers: a long task alone is no reason to begin anew elsewhere.
+#[test]
+fn a_long_task_is_not_taken_for_a_straggler() {
+    let mut cluster = Cluster::started(6);
+    for number in 0..10 {
+        cluster.submit("quick", 100 + number, spec(vec![step(2, 240, 700)]));
+        cluster.run_for(1_500);
+    }
+    cluster.submit("quick", 1, spec(vec![step(2, 240, 9_000)]));
+    cluster.run_for(15_000);
+    assert_eq!(cluster.stopped_core_ms, 0.0);
+}
