--- a/crates/replication/src/replica/commit.rs
+++ b/crates/replication/src/replica/commit.rs
@@ -1,7 +1,8 @@
 //! What the whole chain has on disk: the head commits its writes, and establishes a new view.
 
+use super::Replica;
+use super::io::Output;
 use super::leadership::HeadReport;
-use super::{Output, Replica};
 use crate::types::{Member, Viewstamp};
 
 impl Replica {
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,9 +1,10 @@
 //! How a voter becomes the head of the next view, in the phases of Paxos: a pre-vote (Raft thesis, section 9.6), promises,
 //! the transfer of the newest state among those that have promised, and acceptance.
 
+use super::Replica;
 use super::campaign::{Campaign, Plan};
 use super::proposal::next_view;
-use super::{AfterStore, Replica};
+use super::store_queue::AfterStore;
 use crate::message::{Message, PreVoteReply, PrepareOk};
 use crate::timing::{
     BACKOFF_MS, BACKOFF_SPREAD_MS, PHASE_MS, PRE_VOTE_MS, RESUME_CAMPAIGN_MS, RESUME_PRE_VOTE_MS,
--- a/crates/replication/src/replica/following.rs
+++ b/crates/replication/src/replica/following.rs
@@ -4,8 +4,9 @@
 //! A head acts while a majority has granted it a lease (Gray and Cheriton 1989), and counts each one from when it sent the
 //! heartbeat, so that clocks need not agree; they only have to run at nearly the same rate.
 
+use super::Replica;
+use super::store_queue::AfterStore;
 use super::voter::Lease;
-use super::{AfterStore, Replica};
 use crate::message::{Grant, Heartbeat, Message};
 use crate::timing::{BACKOFF_OUTSIDE_CHAIN_MS, BACKOFF_SPREAD_MS, LEASE_MS, UNRESPONSIVE_HEAD_MS};
 use crate::types::{Member, View};
--- a/crates/replication/src/replica/planner.rs
+++ b/crates/replication/src/replica/planner.rs
@@ -5,8 +5,8 @@
 //! after overlapping. An even number of voters bears no more losses than the odd number below it, so that the planner aims
 //! at odd numbers.
 
-use super::Settings;
 use super::campaign::Plan;
+use super::io::Settings;
 use super::leadership::Leadership;
 use super::peer::Peer;
 use crate::timing::{
--- a/crates/replication/src/replica/step_down.rs
+++ b/crates/replication/src/replica/step_down.rs
@@ -1,8 +1,9 @@
 //! How a leadership ends: it is lost, or the head transfers it because it drains or its disk hangs.
 
+use super::Replica;
+use super::io::Output;
 use super::leadership::Leadership;
 use super::peer::Peer;
-use super::{Output, Replica};
 use crate::message::Message;
 use crate::timing::{
     DRAIN_WAIT_MS, HEARTBEAT_INTERVAL_MS, LEADERSHIP_MIN_MS, RESIGNED_DEFER_MS, SLOW_HEAD_MS,
--- a/crates/replication/src/replica/transfer.rs
+++ b/crates/replication/src/replica/transfer.rs
@@ -1,9 +1,11 @@
 //! State transfer: how a member gets the rows that it lacks, from the head or, as a candidate, from another voter; and how
 //! it serves others (Viewstamped Replication's state transfer).
 
+use super::Replica;
+use super::io::Output;
 use super::rows_server::RowsRequest;
 use super::state_transfer::{Progress, Purpose, StateTransfer};
-use super::{AfterStore, Output, Replica};
+use super::store_queue::AfterStore;
 use crate::durable::{Durable, StoreOperation};
 use crate::message::{Fetch, Message, Rows};
 use crate::timing::TRANSFER_BYTES;
--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -1,6 +1,7 @@
 //! How a voter answers candidates. What it promises or accepts is on its disk before it says so (Paxos).
 
-use super::{AfterStore, Replica};
+use super::Replica;
+use super::store_queue::AfterStore;
 use crate::message::{Message, PreVote, PreVoteReply, PrepareOk};
 use crate::timing::{BACKOFF_SPREAD_MS, PRE_VOTE_GRANTED_MS, PREPARED_DEFER_MS};
 use crate::types::{Member, View, Viewstamp};
--- a/crates/replication/src/replica/writes.rs
+++ b/crates/replication/src/replica/writes.rs
@@ -1,6 +1,7 @@
 //! Writes at the head: batches are sent down the chain, and again to members that lack them.
 
-use super::{Output, Replica};
+use super::Replica;
+use super::io::Output;
 use crate::durable::StoreOperation;
 use crate::message::{Message, Write};
 use crate::timing::RESEND_MS;
