--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -32,8 +32,8 @@
     Kill,
     KillAll,
     Freeze,
-    BlockOneWay,
-    BlockBothWays,
+    BlockDirection,
+    BlockLink,
     Partition,
     SlowDisk,
     PoorNetwork,
@@ -50,8 +50,8 @@
             0 | 1 => Kind::Kill,
             2 => Kind::KillAll,
             3 | 4 => Kind::Freeze,
-            5 => Kind::BlockOneWay,
-            6 => Kind::BlockBothWays,
+            5 => Kind::BlockDirection,
+            6 => Kind::BlockLink,
             7 => Kind::Partition,
             8 | 9 => Kind::SlowDisk,
             10 => Kind::PoorNetwork,
@@ -173,8 +173,8 @@
                 cluster.freeze(node, for_ms);
                 self.faultless_from_ms = self.faultless_from_ms.max(cluster.now_ms + for_ms);
             }
-            Kind::BlockOneWay => self.block_link(cluster, node, other, for_ms),
-            Kind::BlockBothWays => {
+            Kind::BlockDirection => self.block_link(cluster, node, other, for_ms),
+            Kind::BlockLink => {
                 self.block_link(cluster, node, other, for_ms);
                 self.block_link(cluster, other, node, for_ms);
             }
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn storing_the_same_record_again_leaves_the_same_bytes() {
+fn an_unchanged_record_is_stored_as_the_same_bytes() {
     let dir = folder_with_fixture();
     let stored_record = || -> Vec<u8> {
         let connection = rusqlite::Connection::open(dir.path().join(DATABASE)).expect("opened");
