--- a/crates/ctl/src/check_config.rs
+++ b/crates/ctl/src/check_config.rs
@@ -37,7 +37,7 @@
     },
 }
 
-/// What a file holds.
+/// The two kinds of file that are checked.
 #[derive(Clone, Copy, Debug)]
 enum Kind {
     /// The body of a `PUT /config`.
--- a/crates/ctl/src/help.rs
+++ b/crates/ctl/src/help.rs
@@ -2,13 +2,13 @@
 
 /// For the program.
 pub const GENERAL: &str = "\
-indigofold-ctl: looks at a running cluster, checks its files, compares its disks
+indigofold-ctl: inspects a running cluster, checks its files, compares its disks
 
 Usage: indigofold-ctl [--json] VERB [ARGUMENTS]
 
 Verbs:
-  status          how the core members and the work stand
-  job             how a job stands, where its tasks run, why it waits
+  status          state of the core members and of the work
+  job             state of a job, where its tasks run, why it waits
   check-config    check an operator's configuration, or a patch of one
   check-settings  check a settings file (boot.toml)
   check-deploy    check the deploy file (system.toml)
@@ -21,13 +21,13 @@
   -V, --version  print the version
 
 Exit codes: 0 nothing is wrong, 1 something wrong was found, 2 bad usage or
-input, 3 nobody could be reached.
+input, 3 no member could be reached.
 ";
 
 /// For `status`.
 pub const STATUS: &str = "\
-How the core members and the work stand. Asks the members given and those that
-they know; changes nothing.
+Shows the state of the core members and of the work. Queries the members given
+and those that they know; changes nothing.
 
 Usage: indigofold-ctl [--json] status --at IP:PORT[,IP:PORT..]
 
@@ -39,7 +39,8 @@
 
 /// For `job`.
 pub const JOB: &str = "\
-How a job stands, where its tasks run, and why its steps wait. Changes nothing.
+Shows the state of a job, where its tasks run, and why its steps wait. Changes
+nothing.
 
 Usage: indigofold-ctl [--json] job ID --at IP:PORT[,IP:PORT..]
 
@@ -76,7 +77,8 @@
 /// For `compare-copies`.
 pub const COMPARE_REPLICAS: &str = "\
 Prints which rows differ between the disks of core members. The members must be
-stopped. The folders are only read: their databases are cloned and opened there.
+stopped. The folders are only read: their databases are opened as clones in a
+temporary folder.
 
 Usage: indigofold-ctl [--json] compare-copies DIR DIR..
 
@@ -90,7 +92,7 @@
 /// For `quickstart`.
 pub const QUICKSTART: &str = "\
 Runs a small cluster on loopback addresses of this machine: core members, an
-edge, two companions with stand-in workers. Takes a configuration, runs a job
+edge, two node agents with stand-in workers. Takes a configuration, runs a job
 through to its end, then serves until Ctrl-C.
 
 Usage: indigofold-ctl quickstart [OPTIONS]
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -13,7 +13,7 @@
 /// Bound on the redirections to another head, while the leadership moves.
 const REDIRECTIONS_MAX: usize = 3;
 
-/// What the responses to a query for a job come to.
+/// The outcome of the responses to a query for a job.
 enum Lookup {
     /// The acting head has answered; `None` if there is no such job.
     Answered(Option<JobInspection>),
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! `indigofold-ctl`: looks at a running cluster, checks the operators' files with the daemons' own code, compares the
+//! `indigofold-ctl`: inspects a running cluster, checks the operators' files with the daemons' own code, compares the
 //! disks of core members, and starts a small cluster on this machine.
 //!
 //! Each verb gives a [`Report`](report::Report): its text, its JSON, and what was found wrong.
--- a/crates/ctl/src/quickstart.rs
+++ b/crates/ctl/src/quickstart.rs
@@ -1,4 +1,4 @@
-//! `quickstart`: a whole small cluster on loopback addresses of this machine, with stand-in workers and a first job.
+//! `quickstart`: a complete small cluster on loopback addresses of this machine, with stand-in workers and a first job.
 
 mod children;
 mod error;
--- a/crates/ctl/src/quickstart/scenario.rs
+++ b/crates/ctl/src/quickstart/scenario.rs
@@ -1,4 +1,4 @@
-//! What the small cluster goes through: first configuration, first job, then serving.
+//! The steps of `quickstart`: first configuration, first job, then serving.
 
 use super::children::Children;
 use super::error::{
--- a/crates/ctl/src/quickstart/stand_in.rs
+++ b/crates/ctl/src/quickstart/stand_in.rs
@@ -18,7 +18,7 @@
 /// Bound on the ended runs in one heartbeat.
 const ENDS_REPORTED_MAX: usize = 500;
 
-/// What a stand-in worker has.
+/// The resources of a stand-in worker.
 #[derive(Clone, Debug)]
 pub struct WorkerLimits {
     /// Capacity for tasks.
--- a/crates/ctl/src/replicas/history.rs
+++ b/crates/ctl/src/replicas/history.rs
@@ -20,7 +20,7 @@
 }
 
 /// Up to which sequence number two replicas have taken the same writes. Views share their writes up to where the first
-/// of two different successors took over.
+/// of two different successors starts.
 pub fn common_seq(left: WriteHistory<'_>, right: WriteHistory<'_>) -> u64 {
     let shared = left
         .views
--- a/crates/ctl/src/status/text.rs
+++ b/crates/ctl/src/status/text.rs
@@ -9,7 +9,7 @@
 /// Stands in a table for a value that is not known.
 const UNKNOWN: &str = "-";
 
-/// The whole text.
+/// The complete text.
 pub(super) fn text(status: &ClusterStatus) -> String {
     let mut text = String::new();
     if let Some(newest) = status.newest() {
