--- a/crates/ctl/src/quickstart/children.rs
+++ b/crates/ctl/src/quickstart/children.rs
@@ -63,7 +63,7 @@
 
 impl Children {
     /// Writes the settings files and starts a daemon for each machine.
-    pub fn start(
+    pub(super) fn start(
         programs: &Programs,
         layout: &Layout,
         folder: &Path,
@@ -84,7 +84,7 @@
     }
 
     /// Fails if a daemon has ended by itself.
-    pub fn check(&mut self) -> Result<(), QuickstartError> {
+    pub(super) fn check(&mut self) -> Result<(), QuickstartError> {
         for daemon in &mut self.daemons {
             if let Ok(Some(status)) = daemon.child.try_wait() {
                 return Err(QuickstartError::Ended {
@@ -98,7 +98,7 @@
     }
 
     /// Ends them: SIGTERM, and SIGKILL for those that take too long.
-    pub fn end(&mut self) {
+    pub(super) fn end(&mut self) {
         for daemon in &self.daemons {
             // Fails only for one that has ended.
             let _ = kill_process(Pid::from_child(&daemon.child), Signal::TERM);
--- a/crates/ctl/src/quickstart/http.rs
+++ b/crates/ctl/src/quickstart/http.rs
@@ -25,7 +25,7 @@
 
 impl<'a> Request<'a> {
     /// A `GET` without further header fields.
-    pub fn get(host: &'a str, path: &'a str) -> Request<'a> {
+    pub(super) fn get(host: &'a str, path: &'a str) -> Request<'a> {
         Request {
             method: "GET",
             host,
@@ -36,7 +36,7 @@
     }
 
     /// Sends it and reads the response to its end.
-    pub fn send(&self, address: SocketAddr) -> io::Result<Response> {
+    pub(super) fn send(&self, address: SocketAddr) -> io::Result<Response> {
         let mut stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)?;
         stream.set_read_timeout(Some(IO_TIMEOUT))?;
         stream.set_write_timeout(Some(IO_TIMEOUT))?;
--- a/crates/ctl/src/quickstart/layout.rs
+++ b/crates/ctl/src/quickstart/layout.rs
@@ -38,7 +38,7 @@
 impl Layout {
     /// `members` core members, an edge and node agents. `salt` chooses their network among the loopback addresses, so
     /// that several clusters can run on one machine.
-    pub fn new(members: usize, salt: u32) -> Layout {
+    pub(super) fn new(members: usize, salt: u32) -> Layout {
         let [.., high, low] = salt.to_be_bytes();
         let network = |host: usize| Ipv4Addr::new(127, 64 + high % 64, low, host as u8);
         let mut machines = Vec::new();
@@ -59,28 +59,28 @@
     }
 
     /// The machines of a class.
-    pub fn machines_of(&self, class: MachineClass) -> impl Iterator<Item = &Machine> {
+    pub(super) fn machines_of(&self, class: MachineClass) -> impl Iterator<Item = &Machine> {
         self.machines
             .iter()
             .filter(move |machine| machine.class == class)
     }
 
     /// Where the core members take the operator's requests.
-    pub fn control_addresses(&self) -> Vec<SocketAddr> {
+    pub(super) fn control_addresses(&self) -> Vec<SocketAddr> {
         self.machines_of(MachineClass::Core)
             .map(Machine::control)
             .collect()
     }
 
     /// Where the edge takes clients' requests.
-    pub fn frontend(&self) -> Option<SocketAddr> {
+    pub(super) fn frontend(&self) -> Option<SocketAddr> {
         self.machines_of(MachineClass::Edge)
             .next()
             .map(Machine::frontend)
     }
 
     /// The core members' internal addresses, as `--at` takes them.
-    pub fn internal_addresses(&self) -> String {
+    pub(super) fn internal_addresses(&self) -> String {
         let addresses = self
             .machines_of(MachineClass::Core)
             .map(|machine| machine.at(INTERNAL_PORT).to_string());
@@ -90,17 +90,17 @@
 
 impl Machine {
     /// Where a core member takes the operator's requests, and a node agent its worker's heartbeats.
-    pub fn control(&self) -> SocketAddr {
+    pub(super) fn control(&self) -> SocketAddr {
         self.at(CONTROL_PORT)
     }
 
     /// Where an edge takes clients' requests.
-    pub fn frontend(&self) -> SocketAddr {
+    pub(super) fn frontend(&self) -> SocketAddr {
         self.at(FRONTEND_PORT)
     }
 
     /// Where an edge answers whether it is ready.
-    pub fn readiness(&self) -> SocketAddr {
+    pub(super) fn readiness(&self) -> SocketAddr {
         self.at(READINESS_PORT)
     }
 
@@ -111,7 +111,7 @@
 
 impl MachineClass {
     /// Its name in the settings file.
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             MachineClass::Core => "core",
             MachineClass::Edge => "edge",
@@ -120,7 +120,7 @@
     }
 
     /// The callers that its role serves, as the settings file names them.
-    pub fn serves(self) -> &'static str {
+    pub(super) fn serves(self) -> &'static str {
         match self {
             MachineClass::Core => "control",
             MachineClass::Edge => "edge",
--- a/crates/ctl/src/quickstart/workers.rs
+++ b/crates/ctl/src/quickstart/workers.rs
@@ -22,7 +22,7 @@
 
 impl Workers {
     /// One for each node agent.
-    pub fn start(layout: &Layout) -> Workers {
+    pub(super) fn start(layout: &Layout) -> Workers {
         let agents = layout.machines_of(MachineClass::Side);
         let threads = agents.map(|machine| {
             let agent = machine.control();
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -7,20 +7,20 @@
 
 /// A table with a header row; its columns are aligned to the left when it is displayed.
 #[derive(Clone, Debug)]
-pub struct Table<const COLUMNS: usize> {
+pub(crate) struct Table<const COLUMNS: usize> {
     rows: Vec<[String; COLUMNS]>,
 }
 
 impl<const COLUMNS: usize> Table<COLUMNS> {
     /// A table that has a header row only.
-    pub fn new(header: [&str; COLUMNS]) -> Self {
+    pub(crate) fn new(header: [&str; COLUMNS]) -> Self {
         Table {
             rows: vec![header.map(str::to_owned)],
         }
     }
 
     /// Appends a row.
-    pub fn push(&mut self, row: [String; COLUMNS]) {
+    pub(crate) fn push(&mut self, row: [String; COLUMNS]) {
         self.rows.push(row);
     }
 
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -22,50 +22,50 @@
 
 impl AdmissionLoad {
     /// Whether no further job is accepted while `jobs` are in the table.
-    pub fn is_full(&self, jobs: usize) -> bool {
+    pub(crate) fn is_full(&self, jobs: usize) -> bool {
         self.open_tasks >= OPEN_TASKS_MAX || self.open_jobs >= OPEN_JOBS_MAX || jobs >= JOBS_MAX
     }
 
     /// Whether any job is open.
-    pub fn has_open_jobs(&self) -> bool {
+    pub(crate) fn has_open_jobs(&self) -> bool {
         self.open_jobs > 0
     }
 
     /// Number of jobs of a route of which nothing has been started.
-    pub fn pending(&self, route: &str) -> u64 {
+    pub(crate) fn pending(&self, route: &str) -> u64 {
         self.pending.get(route).copied().unwrap_or(0)
     }
 
     /// A job is open from now on.
-    pub fn job_opened(&mut self) {
+    pub(crate) fn job_opened(&mut self) {
         self.open_jobs += 1;
     }
 
     /// An open job has ended; `open_tasks` of its tasks are not done.
-    pub fn job_ended(&mut self, open_tasks: u64) {
+    pub(crate) fn job_ended(&mut self, open_tasks: u64) {
         self.open_jobs = self.open_jobs.saturating_sub(1);
         self.tasks_closed(open_tasks);
     }
 
     /// A job of this route waits for its first start.
-    pub fn job_pending(&mut self, route: &str) {
+    pub(crate) fn job_pending(&mut self, route: &str) {
         *self.pending.entry(route.to_owned()).or_default() += 1;
     }
 
     /// A job of this route waits for its first start no longer.
-    pub fn job_no_longer_pending(&mut self, route: &str) {
+    pub(crate) fn job_no_longer_pending(&mut self, route: &str) {
         if let Some(count) = self.pending.get_mut(route) {
             *count = count.saturating_sub(1);
         }
     }
 
     /// So many tasks are open from now on.
-    pub fn tasks_opened(&mut self, count: u64) {
+    pub(crate) fn tasks_opened(&mut self, count: u64) {
         self.open_tasks += count;
     }
 
     /// So many open tasks are done, or their job has ended.
-    pub fn tasks_closed(&mut self, count: u64) {
+    pub(crate) fn tasks_closed(&mut self, count: u64) {
         self.open_tasks = self.open_tasks.saturating_sub(count);
     }
 }
--- a/crates/scheduler/src/backlog_cache.rs
+++ b/crates/scheduler/src/backlog_cache.rs
@@ -17,14 +17,14 @@
 
 impl BacklogCache {
     /// The estimate, unless it is too old.
-    pub fn get(&self, now_ms: u64) -> Option<u64> {
+    pub(crate) fn get(&self, now_ms: u64) -> Option<u64> {
         self.latest
             .filter(|estimate| now_ms < estimate.estimated_ms + BACKLOG_CACHE_MS)
             .map(|estimate| estimate.backlog_ms)
     }
 
     /// Keeps a new estimate.
-    pub fn set(&mut self, backlog_ms: u64, now_ms: u64) {
+    pub(crate) fn set(&mut self, backlog_ms: u64, now_ms: u64) {
         self.latest = Some(Estimate {
             backlog_ms,
             estimated_ms: now_ms,
--- a/crates/scheduler/src/client_calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -36,7 +36,7 @@
         let id = rest.parse::<JobId>();
         match (call.operation, id) {
             (ClientOperation::Submit(spec), Ok(id)) => {
-                self.submit(from, call.call, id, route, spec)
+                self.submit(from, call.call, id, route, spec);
             }
             (ClientOperation::Submit(_), Err(error)) => {
                 self.reply_at_once(
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -7,7 +7,7 @@
 
 /// Maps the steady clock to the time of day.
 #[derive(Debug)]
-pub struct WallClock {
+pub(crate) struct WallClock {
     offset_ms: i64,
     candidate: Option<Candidate>,
 }
@@ -21,7 +21,7 @@
 
 impl WallClock {
     /// Both clocks read at the same moment.
-    pub fn new(now_ms: u64, wall_ms: u64) -> Self {
+    pub(crate) fn new(now_ms: u64, wall_ms: u64) -> Self {
         WallClock {
             offset_ms: wall_ms as i64 - now_ms as i64,
             candidate: None,
@@ -29,7 +29,7 @@
     }
 
     /// Observes both clocks, read at the same moment.
-    pub fn observe(&mut self, now_ms: u64, wall_ms: u64) {
+    pub(crate) fn observe(&mut self, now_ms: u64, wall_ms: u64) {
         let offset_ms = wall_ms as i64 - now_ms as i64;
         if (offset_ms - self.offset_ms).abs() <= DRIFT_MS {
             (self.offset_ms, self.candidate) = (offset_ms, None);
@@ -49,12 +49,12 @@
     }
 
     /// Time of day at this reading of the steady clock.
-    pub fn wall_ms(&self, now_ms: u64) -> u64 {
+    pub(crate) fn wall_ms(&self, now_ms: u64) -> u64 {
         (now_ms as i64).saturating_add(self.offset_ms).max(0) as u64
     }
 
     /// Reading of the steady clock at this time of day; below zero for times before it began.
-    pub fn steady_ms(&self, wall_ms: u64) -> i64 {
+    pub(crate) fn steady_ms(&self, wall_ms: u64) -> i64 {
         (wall_ms.min(i64::MAX as u64) as i64).saturating_sub(self.offset_ms)
     }
 }
--- a/crates/scheduler/src/definition.rs
+++ b/crates/scheduler/src/definition.rs
@@ -5,7 +5,7 @@
 
 /// Terms of service of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub(crate) struct Terms {
     /// 0 goes first.
     pub priority: u32,
     /// A task that has failed so often fails its job.
@@ -18,7 +18,7 @@
 
 /// A job as it was accepted; written once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Definition {
+pub(crate) struct Definition {
     /// What the client submitted.
     pub spec: JobSpec,
     /// Name of its queue's route.
@@ -33,7 +33,7 @@
 
 /// The end of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobEnd {
+pub(crate) struct JobEnd {
     /// `Completed`, `Failed` or `Cancelled`.
     pub state: JobState,
     /// When, in milliseconds since 1970.
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -65,11 +65,11 @@
 
 impl StepDemand {
     /// What this step of the job requires; `None` if there is no such step.
-    pub fn of(job: &Job, at: StepRef, now_ms: u64) -> Option<StepDemand> {
+    pub(crate) fn of(job: &Job, at: StepRef, now_ms: u64) -> Option<StepDemand> {
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
         let mut on_worker = FxHashMap::default();
         if step.anti_affinity > 0 {
-            for run in state.tasks.iter().flat_map(|task| task.runs()) {
+            for run in state.tasks.iter().flat_map(super::task::Task::runs) {
                 *on_worker.entry(run.worker).or_default() += 1;
             }
         }
@@ -91,7 +91,7 @@
     }
 
     /// Whether label, `anti_affinity` and free capacity (beside `extra` more tasks of this step) allow this worker.
-    pub fn permits(&self, id: WorkerId, worker: &Worker, extra: u32) -> bool {
+    pub(crate) fn permits(&self, id: WorkerId, worker: &Worker, extra: u32) -> bool {
         let labelled = self.label.is_empty() || worker.labels.contains(&self.label);
         let there = self.on_worker.get(&id).copied().unwrap_or(0) + extra;
         let spread = self.anti_affinity == 0 || there < self.anti_affinity;
@@ -99,12 +99,12 @@
     }
 
     /// Whether this worker is on the rack of the data, or the step has none.
-    pub fn is_local(&self, worker: &Worker) -> bool {
+    pub(crate) fn is_local(&self, worker: &Worker) -> bool {
         self.affinity.is_empty() || worker.rack() == Some(&self.affinity)
     }
 
     /// Whether a worker is to be considered in this scope.
-    pub fn considers(
+    pub(crate) fn considers(
         &self,
         scope: Scope,
         worker: &Worker,
@@ -115,8 +115,7 @@
         let status = worker.health.status(now_ms);
         let any = self.waited_ms >= ANY_WORKER_MS;
         let usable = match status {
-            HealthStatus::Healthy => true,
-            HealthStatus::OnProbation => true,
+            HealthStatus::Healthy | HealthStatus::OnProbation => true,
             HealthStatus::Suspected => any,
         };
         match scope {
--- a/crates/scheduler/src/due_jobs.rs
+++ b/crates/scheduler/src/due_jobs.rs
@@ -21,32 +21,32 @@
 
 impl DueJobs {
     /// The job's next repetition is to be opened at this time.
-    pub fn add_repetition(&mut self, due: DueJob) {
+    pub(crate) fn add_repetition(&mut self, due: DueJob) {
         self.repetitions.insert(due);
     }
 
     /// The job's next repetition is not to be opened any more.
-    pub fn remove_repetition(&mut self, due: DueJob) {
+    pub(crate) fn remove_repetition(&mut self, due: DueJob) {
         self.repetitions.remove(&due);
     }
 
     /// When the next repetition is due, in milliseconds since 1970.
-    pub fn next_repetition_wall_ms(&self) -> Option<u64> {
+    pub(crate) fn next_repetition_wall_ms(&self) -> Option<u64> {
         self.repetitions.first().map(|due| due.wall_ms)
     }
 
     /// Takes the first repetition that is due at this time.
-    pub fn pop_repetition(&mut self, wall_ms: u64) -> Option<DueJob> {
+    pub(crate) fn pop_repetition(&mut self, wall_ms: u64) -> Option<DueJob> {
         pop_due(&mut self.repetitions, wall_ms)
     }
 
     /// The ended job is to be forgotten at this time.
-    pub fn add_expiry(&mut self, due: DueJob) {
+    pub(crate) fn add_expiry(&mut self, due: DueJob) {
         self.expiries.insert(due);
     }
 
     /// Takes the first ended job that is to be forgotten at this time.
-    pub fn pop_expiry(&mut self, wall_ms: u64) -> Option<DueJob> {
+    pub(crate) fn pop_expiry(&mut self, wall_ms: u64) -> Option<DueJob> {
         pop_due(&mut self.expiries, wall_ms)
     }
 }
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -22,7 +22,7 @@
 
 /// Results of one worker's runs.
 #[derive(Debug)]
-pub struct Health {
+pub(crate) struct Health {
     /// Weight of successes; older ones fade.
     good: f64,
     /// Weight of failures; older ones fade.
@@ -49,7 +49,7 @@
 
 /// Whether new runs are placed on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HealthStatus {
+pub(crate) enum HealthStatus {
     /// Like any other.
     Healthy,
     /// One run at a time, to see whether it has recovered.
@@ -73,7 +73,7 @@
 
 impl Health {
     /// A run there ended `done` after `pace` times the time expected.
-    pub fn succeeded(&mut self, now_ms: u64, pace: Option<f64>) {
+    pub(crate) fn succeeded(&mut self, now_ms: u64, pace: Option<f64>) {
         self.fade(now_ms);
         self.good += 1.0;
         self.streak = 0.0;
@@ -94,7 +94,7 @@
     }
 
     /// A run there failed or hung; `speculation_candidate`: the job has failed on another worker too.
-    pub fn failed(&mut self, now_ms: u64, speculation_candidate: bool) {
+    pub(crate) fn failed(&mut self, now_ms: u64, speculation_candidate: bool) {
         self.fade(now_ms);
         let weight = if speculation_candidate {
             DOUBTFUL_FAILURE
@@ -110,14 +110,14 @@
     }
 
     /// A run there was so much slower than expected that it was moved.
-    pub fn too_slow(&mut self, now_ms: u64) {
+    pub(crate) fn too_slow(&mut self, now_ms: u64) {
         self.fade(now_ms);
         self.pace = self.pace.max(SLOW_PACE.ln());
         self.suspect(now_ms);
     }
 
     /// Whether new runs are placed there now.
-    pub fn status(&self, now_ms: u64) -> HealthStatus {
+    pub(crate) fn status(&self, now_ms: u64) -> HealthStatus {
         match self.suspected {
             None => HealthStatus::Healthy,
             Some(suspicion) if now_ms >= suspicion.probation_ms => HealthStatus::OnProbation,
@@ -127,7 +127,7 @@
 
     /// A run was placed there: on probation, the one that decides. If its end is never reported, another probation
     /// follows.
-    pub fn placed(&mut self, now_ms: u64) {
+    pub(crate) fn placed(&mut self, now_ms: u64) {
         if self.status(now_ms) == HealthStatus::OnProbation
             && let Some(suspicion) = &mut self.suspected
         {
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -22,7 +22,7 @@
 
 /// A job.
 #[derive(Debug)]
-pub struct Job {
+pub(crate) struct Job {
     /// What the client submitted, and where.
     pub definition: Definition,
     /// Service that runs its tasks from now on.
@@ -62,7 +62,7 @@
 
 /// A run that has not ended, and where it is.
 #[derive(Clone, Copy, Debug)]
-pub struct OutstandingRun {
+pub(crate) struct OutstandingRun {
     /// The run.
     pub run: RunId,
     /// Its worker.
@@ -71,7 +71,7 @@
 
 /// One repetition of a job's steps.
 #[derive(Debug)]
-pub struct Repetition {
+pub(crate) struct Repetition {
     /// When it was due, on the steady clock (may lie before its beginning).
     pub due_ms: i64,
     /// Its steps.
@@ -80,7 +80,7 @@
 
 impl Job {
     /// A job that has just been accepted.
-    pub fn new(definition: Definition) -> Self {
+    pub(crate) fn new(definition: Definition) -> Self {
         Job {
             service: definition.service.clone(),
             terms: definition.terms,
@@ -105,7 +105,7 @@
     }
 
     /// Works its chains out anew with what is known of its queue's run times.
-    pub fn expect(&mut self, expected_ms: impl Fn(u32, &Step) -> u64) {
+    pub(crate) fn expect(&mut self, expected_ms: impl Fn(u32, &Step) -> u64) {
         let stages = &self.definition.spec.stages;
         self.run_ms = stages
             .iter()
@@ -116,12 +116,12 @@
     }
 
     /// How often its steps run.
-    pub fn repeat_total(&self) -> u32 {
+    pub(crate) fn repeat_total(&self) -> u32 {
         self.definition.spec.repeat_count.max(1)
     }
 
     /// How many of its repetitions may be open at a time.
-    pub fn repeats_open_max(&self) -> usize {
+    pub(crate) fn repeats_open_max(&self) -> usize {
         let tasks: usize = self
             .definition
             .spec
@@ -133,20 +133,20 @@
     }
 
     /// When repetition `repeat` is due, in milliseconds since 1970; `None` for a job without set times.
-    pub fn due_wall_ms(&self, repeat: u32) -> Option<u64> {
+    pub(crate) fn due_wall_ms(&self, repeat: u32) -> Option<u64> {
         let spec = &self.definition.spec;
         let after = spec.interval_ms.saturating_mul(u64::from(repeat));
         (spec.repeat_count > 0).then(|| spec.start_at_ms.saturating_add(after))
     }
 
     /// The latency target on the time from its due time to its end, in milliseconds.
-    pub fn latency_target_ms(&self) -> u64 {
+    pub(crate) fn latency_target_ms(&self) -> u64 {
         let chain = self.chain_ms.iter().max().copied().unwrap_or(0);
         (self.terms.stretch.max(0.0) * chain as f64) as u64 + self.terms.target_latency_ms
     }
 
     /// Class of the tasks of a step.
-    pub fn class(&self, step: u32) -> Class {
+    pub(crate) fn class(&self, step: u32) -> Class {
         Class {
             route: self.definition.route.clone(),
             step,
@@ -154,12 +154,12 @@
     }
 
     /// Description of a step.
-    pub fn step(&self, step: u32) -> Option<&Step> {
+    pub(crate) fn step(&self, step: u32) -> Option<&Step> {
         self.definition.spec.stages.get(step as usize)
     }
 
     /// Steps of a repetition for which all steps before them are done.
-    pub fn ready_steps(&self, repeat: u32) -> Vec<u32> {
+    pub(crate) fn ready_steps(&self, repeat: u32) -> Vec<u32> {
         let Some(state) = self.repeats.get(&repeat) else {
             return Vec::new();
         };
@@ -176,12 +176,12 @@
     }
 
     /// State of a step.
-    pub fn step_state(&self, at: StepRef) -> Option<&StepState> {
+    pub(crate) fn step_state(&self, at: StepRef) -> Option<&StepState> {
         self.repeats.get(&at.repeat)?.steps.get(at.step as usize)
     }
 
     /// State of a step.
-    pub fn step_state_mut(&mut self, at: StepRef) -> Option<&mut StepState> {
+    pub(crate) fn step_state_mut(&mut self, at: StepRef) -> Option<&mut StepState> {
         self.repeats
             .get_mut(&at.repeat)?
             .steps
@@ -189,32 +189,32 @@
     }
 
     /// A task.
-    pub fn task(&self, name: &TaskName) -> Option<&Task> {
+    pub(crate) fn task(&self, name: &TaskName) -> Option<&Task> {
         self.step_state(StepRef::of(name))?
             .tasks
             .get(name.index as usize)
     }
 
     /// A task.
-    pub fn task_mut(&mut self, name: &TaskName) -> Option<&mut Task> {
+    pub(crate) fn task_mut(&mut self, name: &TaskName) -> Option<&mut Task> {
         self.step_state_mut(StepRef::of(name))?
             .tasks
             .get_mut(name.index as usize)
     }
 
     /// A run of it was placed; returns whether that is the first.
-    pub fn run_placed(&mut self) -> bool {
+    pub(crate) fn run_placed(&mut self) -> bool {
         self.outstanding += 1;
         !std::mem::replace(&mut self.started, true)
     }
 
     /// A run of it has ended.
-    pub fn run_finished(&mut self) {
+    pub(crate) fn run_finished(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
     /// A run of it has failed on this worker; returns whether others have failed on another one.
-    pub fn failed_on(&mut self, worker: WorkerId) -> bool {
+    pub(crate) fn failed_on(&mut self, worker: WorkerId) -> bool {
         let elsewhere = self.failed_on.iter().any(|other| *other != worker);
         if self.failed_on.len() < FAILED_ON_MAX && !self.failed_on.contains(&worker) {
             self.failed_on.push(worker);
@@ -223,18 +223,18 @@
     }
 
     /// It has ended and nothing of it runs: only its end stays.
-    pub fn discard_progress(&mut self) {
+    pub(crate) fn discard_progress(&mut self) {
         self.repeats.clear();
         self.definition.spec = JobSpec::default();
     }
 
     /// All tasks of all repetitions are done.
-    pub fn is_complete(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.next_repeat == self.repeat_total() && self.repeats.values().all(Repetition::is_done)
     }
 
     /// A repetition whose steps have not begun.
-    pub fn fresh_repeat(&self, due_ms: i64) -> Repetition {
+    pub(crate) fn fresh_repeat(&self, due_ms: i64) -> Repetition {
         let fresh = |step: &Step| StepState {
             tasks: vec![Task::default(); step.count as usize],
             ..StepState::default()
@@ -246,7 +246,7 @@
     }
 
     /// Its runs that are not over, and where they are.
-    pub fn outstanding_runs(&self, id: JobId) -> Vec<OutstandingRun> {
+    pub(crate) fn outstanding_runs(&self, id: JobId) -> Vec<OutstandingRun> {
         let mut outstanding = Vec::new();
         for (&repeat, state) in &self.repeats {
             for (step, state) in state.steps.iter().enumerate() {
@@ -273,7 +273,7 @@
 
     /// Position of a step in the queue: by priority, then by the work that its job still needs for what it
     /// earns, then by when it has to start for the latency target of the job to be met.
-    pub fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
+    pub(crate) fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
         let long_running = self.step(at.step).is_some_and(|step| step.long_running);
         let StepProspect {
             prospect,
@@ -340,12 +340,12 @@
 
 impl Repetition {
     /// All its tasks are done.
-    pub fn is_done(&self) -> bool {
+    pub(crate) fn is_done(&self) -> bool {
         self.steps.iter().all(StepState::is_done)
     }
 
     /// All its tasks are done and no run is outstanding.
-    pub fn is_finished(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         self.is_done()
             && self
                 .steps
@@ -356,7 +356,7 @@
 
 impl Job {
     /// All its work, in core-milliseconds.
-    pub fn work(&self) -> f64 {
+    pub(crate) fn work(&self) -> f64 {
         let steps = self.definition.spec.stages.iter().zip(&self.run_ms);
         steps
             .map(|(step, run_ms)| work_of(step, step.count as usize, *run_ms))
@@ -364,7 +364,7 @@
     }
 
     /// Work of this step that waits and of the steps behind it, in core-milliseconds.
-    pub fn work_left(&self, at: StepRef) -> f64 {
+    pub(crate) fn work_left(&self, at: StepRef) -> f64 {
         let Some(repeat) = self.repeats.get(&at.repeat) else {
             return 0.0;
         };
--- a/crates/scheduler/src/job_table.rs
+++ b/crates/scheduler/src/job_table.rs
@@ -14,37 +14,37 @@
 
 impl JobTable {
     /// A job.
-    pub fn get(&self, id: &JobId) -> Option<&Job> {
+    pub(crate) fn get(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
     /// A job.
-    pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
+    pub(crate) fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         self.jobs.get_mut(id)
     }
 
     /// The description of a step.
-    pub fn step(&self, at: StepRef) -> Option<&Step> {
+    pub(crate) fn step(&self, at: StepRef) -> Option<&Step> {
         self.get(&at.job)?.step(at.step)
     }
 
     /// All jobs, in no particular order.
-    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.jobs.iter()
     }
 
     /// Number of jobs.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.jobs.len()
     }
 
     /// Enters a job.
-    pub fn insert(&mut self, id: JobId, job: Job) {
+    pub(crate) fn insert(&mut self, id: JobId, job: Job) {
         self.jobs.insert(id, job);
     }
 
     /// Forgets a job.
-    pub fn remove(&mut self, id: &JobId) {
+    pub(crate) fn remove(&mut self, id: &JobId) {
         self.jobs.remove(id);
     }
 }
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -1,4 +1,4 @@
-//! Hybrid SQ(d): the workers of a service by kind, the probabilities p_k of the kinds by problem (1), and the selection of a
+//! Hybrid SQ(d): the workers of a service by kind, the probabilities `p_k` of the kinds by problem (1), and the selection of a
 //! worker.
 
 use crate::rng::Rng;
@@ -11,7 +11,7 @@
 use rustc_hash::FxHashMap;
 
 /// Workers sampled for a task.
-pub const SAMPLES: usize = 3;
+pub(crate) const SAMPLES: usize = 3;
 /// Weight of the former load in the exponential mean.
 const LOAD_KEEP: f64 = 0.7;
 /// Microseconds of a millisecond.
@@ -31,7 +31,7 @@
 
 /// A class of tasks whose run times are learned together: one step of the jobs of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Class {
+pub(crate) struct Class {
     /// Name of the route.
     pub route: String,
     /// Number of the step.
@@ -51,7 +51,7 @@
 
 /// The kinds of one service.
 #[derive(Debug, Default)]
-pub struct Kinds {
+pub(crate) struct Kinds {
     kinds: Vec<Kind>,
     kind_of: FxHashMap<WorkerId, usize>,
     classes: FxHashMap<Class, ClassWork>,
@@ -66,7 +66,7 @@
     FewestOfDrawn,
     /// Fewest runs among the workers sampled of the only kind that the step may use.
     FewestOfBound,
-    /// The drawn kind had no capacity; fewest among the workers sampled of the next kind by p_k.
+    /// The drawn kind had no capacity; fewest among the workers sampled of the next kind by `p_k`.
     FewestOfNext,
 }
 
@@ -86,7 +86,7 @@
     pub task: TaskName,
     /// Number of the drawn kind; `None` for a step bound to a kind.
     pub drawn: Option<usize>,
-    /// p_k of all kinds.
+    /// `p_k` of all kinds.
     pub probabilities: Vec<f64>,
     /// Workers sampled that have capacity.
     pub sampled: Vec<SampledWorker>,
@@ -98,7 +98,7 @@
 
 /// A selected worker.
 #[derive(Debug)]
-pub struct Selection {
+pub(crate) struct Selection {
     /// The worker.
     pub worker: WorkerId,
     /// Whether the step was bound to a kind.
@@ -110,7 +110,7 @@
 
 impl Kinds {
     /// Sorts the service's workers into kinds anew; known speeds stay.
-    pub fn regroup(&mut self, workers: &Workers, backend: &str) {
+    pub(crate) fn regroup(&mut self, workers: &Workers, backend: &str) {
         self.kinds.iter_mut().for_each(|kind| kind.workers.clear());
         self.kind_of.clear();
         for (id, worker) in workers
@@ -146,7 +146,7 @@
     }
 
     /// Solves problem (1) for the present load.
-    pub fn resolve(&mut self, workers: &Workers) {
+    pub(crate) fn resolve(&mut self, workers: &Workers) {
         let load = self.measured_load(workers);
         self.load = LOAD_KEEP * self.load + (1.0 - LOAD_KEEP) * load;
         self.solve(workers);
@@ -168,7 +168,7 @@
     }
 
     /// Fraction of the capacity, without what bound runs take, that unbound runs take.
-    pub fn measured_load(&self, workers: &Workers) -> f64 {
+    pub(crate) fn measured_load(&self, workers: &Workers) -> f64 {
         let (mut used, mut all) = (0.0, 0.0);
         for worker in self.kind_of.keys().filter_map(|id| workers.get(*id)) {
             let bound = dominant_share(&worker.used_bound(), &worker.capacity);
@@ -190,7 +190,13 @@
     }
 
     /// A run of this class took `run_ms` on this worker.
-    pub fn record_run(&mut self, worker: WorkerId, class: &Class, estimate_ms: u64, run_ms: f64) {
+    pub(crate) fn record_run(
+        &mut self,
+        worker: WorkerId,
+        class: &Class,
+        estimate_ms: u64,
+        run_ms: f64,
+    ) {
         let Some(&kind) = self.kind_of.get(&worker) else {
             return;
         };
@@ -213,7 +219,7 @@
     }
 
     /// Run time to be expected on this worker, in milliseconds.
-    pub fn expected_ms(&self, worker: WorkerId, class: &Class, estimate_ms: u64) -> f64 {
+    pub(crate) fn expected_ms(&self, worker: WorkerId, class: &Class, estimate_ms: u64) -> f64 {
         let speed = self
             .kind_of
             .get(&worker)
@@ -222,7 +228,7 @@
     }
 
     /// Run time to be expected on a worker of mean speed, in milliseconds.
-    pub fn expected_at_mean_speed_ms(&self, class: &Class, estimate_ms: u64) -> f64 {
+    pub(crate) fn expected_at_mean_speed_ms(&self, class: &Class, estimate_ms: u64) -> f64 {
         let estimate = (estimate_ms > 0).then_some(estimate_ms * MICROS);
         let class_mean = self.classes.get(class).and_then(|work| work.mean(estimate));
         let given_ms = if estimate_ms > 0 {
@@ -234,15 +240,15 @@
     }
 
     /// Workers of the service.
-    pub fn workers(&self) -> impl Iterator<Item = WorkerId> {
+    pub(crate) fn workers(&self) -> impl Iterator<Item = WorkerId> {
         self.kinds
             .iter()
             .flat_map(|kind| kind.workers.iter().copied())
     }
 
-    /// Draws a kind by p_k (or takes the one that `label` binds to) and samples workers that `fits`; the one with the
-    /// fewest runs wins. Without any the other kinds follow by p_k.
-    pub fn select(
+    /// Draws a kind by `p_k` (or takes the one that `label` binds to) and samples workers that `fits`; the one with the
+    /// fewest runs wins. Without any the other kinds follow by `p_k`.
+    pub(crate) fn select(
         &self,
         rng: &mut Rng,
         workers: &Workers,
@@ -322,7 +328,7 @@
     }
 
     /// The selection as it is shown to whoever follows placements.
-    pub fn trace(
+    pub(crate) fn trace(
         &self,
         task: TaskName,
         selection: &Selection,
@@ -415,7 +421,7 @@
 }
 
 /// The largest fraction that is used of any resource (dominant share, Ghodsi and others, NSDI 2011).
-pub fn dominant_share(used: &Resources, capacity: &Resources) -> f64 {
+pub(crate) fn dominant_share(used: &Resources, capacity: &Resources) -> f64 {
     let fraction = |used: u64, all: u64| {
         if all > 0 {
             used as f64 / all as f64
--- a/crates/scheduler/src/learning.rs
+++ b/crates/scheduler/src/learning.rs
@@ -21,7 +21,7 @@
     ) {
         match result {
             RunResult::Ended(RunEnd::Done) if !traits.long_running => {
-                self.learn_from_success(run, traits)
+                self.learn_from_success(run, traits);
             }
             RunResult::Ended(RunEnd::Failed) => self.learn_from_failure(task, run, traits),
             _ => {}
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -20,7 +20,6 @@
 //! Whatever rests on a write (replies, start orders, acknowledged ends) waits in the outbox until it is committed.
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod admission;
 mod api;
--- a/crates/scheduler/src/lifecycle.rs
+++ b/crates/scheduler/src/lifecycle.rs
@@ -209,7 +209,7 @@
             .jobs
             .get(&task.job)
             .and_then(|job| job.repeats.get(&task.repeat));
-        if repeat.is_some_and(|repeat| repeat.is_done()) {
+        if repeat.is_some_and(super::job::Repetition::is_done) {
             self.record_late_end(task, JobState::Completed);
         }
     }
@@ -225,7 +225,7 @@
         if job
             .repeats
             .get(&repeat)
-            .is_some_and(|state| state.is_finished())
+            .is_some_and(super::job::Repetition::is_finished)
         {
             job.repeats.remove(&repeat);
             self.set_dirty(id);
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -9,7 +9,7 @@
 
 /// Something that waits for a write.
 #[derive(Debug)]
-pub enum Deferred {
+pub(crate) enum Deferred {
     /// A reply to a client.
     Reply(CallerId, ClientReply),
     /// A run's start order.
@@ -22,7 +22,7 @@
 
 /// Orders for one worker.
 #[derive(Debug, Default)]
-pub struct WorkerOrders {
+pub(crate) struct WorkerOrders {
     /// The report that they answer.
     pub echo_sent_ms: Option<u64>,
     /// Runs to start.
@@ -33,7 +33,7 @@
 
 /// Rows that the present event has changed.
 #[derive(Debug, Default)]
-pub struct ChangedRows {
+pub(crate) struct ChangedRows {
     /// Jobs whose progress changed.
     pub progress: BTreeSet<JobId>,
     /// Jobs accepted.
@@ -48,7 +48,7 @@
 
 /// Everything that waits to leave.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub(crate) struct Outbox {
     changed: ChangedRows,
     orders: BTreeMap<WorkerId, WorkerOrders>,
     deferred: BTreeMap<WriteId, Vec<Deferred>>,
@@ -58,40 +58,40 @@
 
 impl Outbox {
     /// Stands for a write that was committed before everything else.
-    pub const NO_WRITE: WriteId = WriteId(0);
+    pub(crate) const NO_WRITE: WriteId = WriteId(0);
 
     /// The job's progress has changed.
-    pub fn progress_changed(&mut self, job: JobId) {
+    pub(crate) fn progress_changed(&mut self, job: JobId) {
         self.changed.progress.insert(job);
     }
 
     /// The job was accepted: its definition is written.
-    pub fn job_accepted(&mut self, job: JobId) {
+    pub(crate) fn job_accepted(&mut self, job: JobId) {
         self.changed.accepted.insert(job);
     }
 
     /// Of an ended job only the end stays stored: its definition is deleted.
-    pub fn job_closed(&mut self, job: JobId) {
+    pub(crate) fn job_closed(&mut self, job: JobId) {
         self.changed.closed.insert(job);
     }
 
     /// The job is forgotten: its progress is deleted.
-    pub fn job_forgotten(&mut self, job: JobId) {
+    pub(crate) fn job_forgotten(&mut self, job: JobId) {
         self.changed.forgotten.insert(job);
     }
 
     /// The machine of an instance became known, or (`None`) the instance has ended.
-    pub fn instance_changed(&mut self, instance: String, node_name: Option<String>) {
+    pub(crate) fn instance_changed(&mut self, instance: String, node_name: Option<String>) {
         self.changed.instances.insert(instance, node_name);
     }
 
     /// The write that the present event's changes go into.
-    pub fn present_write(&self) -> WriteId {
+    pub(crate) fn present_write(&self) -> WriteId {
         WriteId(self.issued + 1)
     }
 
     /// The newest write, including the present one if something has changed.
-    pub fn newest_write(&self) -> WriteId {
+    pub(crate) fn newest_write(&self) -> WriteId {
         if self.has_changes() {
             self.present_write()
         } else {
@@ -100,7 +100,7 @@
     }
 
     /// Whether the present event has changed a row.
-    pub fn has_changes(&self) -> bool {
+    pub(crate) fn has_changes(&self) -> bool {
         let changed = &self.changed;
         !(changed.progress.is_empty()
             && changed.forgotten.is_empty()
@@ -109,33 +109,39 @@
     }
 
     /// Whether this write is committed.
-    pub fn is_committed(&self, write: WriteId) -> bool {
+    pub(crate) fn is_committed(&self, write: WriteId) -> bool {
         write.0 <= self.committed
     }
 
     /// Lets something wait for a write.
-    pub fn defer(&mut self, write: WriteId, what: Deferred) {
+    pub(crate) fn defer(&mut self, write: WriteId, what: Deferred) {
         self.deferred.entry(write).or_default().push(what);
     }
 
     /// A reply that waits for a write.
-    pub fn reply(&mut self, write: WriteId, to: CallerId, call: u64, outcome: ClientOutcome) {
+    pub(crate) fn reply(
+        &mut self,
+        write: WriteId,
+        to: CallerId,
+        call: u64,
+        outcome: ClientOutcome,
+    ) {
         self.defer(write, Deferred::Reply(to, ClientReply { call, outcome }));
     }
 
     /// Takes the present event's changes; they get their number.
-    pub fn take_changes(&mut self) -> (WriteId, ChangedRows) {
+    pub(crate) fn take_changes(&mut self) -> (WriteId, ChangedRows) {
         self.issued += 1;
         (WriteId(self.issued), std::mem::take(&mut self.changed))
     }
 
     /// Writes up to this one are committed.
-    pub fn commit(&mut self, write: WriteId) {
+    pub(crate) fn commit(&mut self, write: WriteId) {
         self.committed = self.committed.max(write.0);
     }
 
     /// What need not wait any longer, in the order of its writes.
-    pub fn released(&mut self) -> Vec<Deferred> {
+    pub(crate) fn released(&mut self) -> Vec<Deferred> {
         let waiting = self.deferred.split_off(&WriteId(self.committed + 1));
         std::mem::replace(&mut self.deferred, waiting)
             .into_values()
@@ -144,19 +150,19 @@
     }
 
     /// Drops replies to a caller that has disconnected.
-    pub fn forget_caller(&mut self, caller: CallerId) {
+    pub(crate) fn forget_caller(&mut self, caller: CallerId) {
         for waiting in self.deferred.values_mut() {
             waiting.retain(|what| !matches!(what, Deferred::Reply(to, _) if *to == caller));
         }
     }
 
     /// The present event's orders for a worker.
-    pub fn orders_for(&mut self, worker: WorkerId) -> &mut WorkerOrders {
+    pub(crate) fn orders_for(&mut self, worker: WorkerId) -> &mut WorkerOrders {
         self.orders.entry(worker).or_default()
     }
 
     /// Takes the present event's orders.
-    pub fn take_orders(&mut self) -> BTreeMap<WorkerId, WorkerOrders> {
+    pub(crate) fn take_orders(&mut self) -> BTreeMap<WorkerId, WorkerOrders> {
         std::mem::take(&mut self.orders)
     }
 }
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -5,7 +5,7 @@
 
 /// A step of one repetition of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct StepRef {
+pub(crate) struct StepRef {
     /// The job.
     pub job: JobId,
     /// Repetition.
@@ -16,7 +16,7 @@
 
 impl StepRef {
     /// The step of a task.
-    pub fn of(task: &TaskName) -> Self {
+    pub(crate) fn of(task: &TaskName) -> Self {
         StepRef {
             job: task.job,
             repeat: task.repeat,
@@ -25,7 +25,7 @@
     }
 
     /// A task of the step.
-    pub fn task(self, index: u32) -> TaskName {
+    pub(crate) fn task(self, index: u32) -> TaskName {
         TaskName {
             job: self.job,
             repeat: self.repeat,
@@ -37,7 +37,7 @@
 
 /// What a step may still earn.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Prospect {
+pub(crate) enum Prospect {
     /// The latency target can be met.
     #[default]
     InTime,
@@ -49,7 +49,7 @@
 
 /// Position of a step in the queue; the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct QueueKey {
+pub(crate) struct QueueKey {
     /// Steps that can earn nothing any more go last.
     pub hopeless: bool,
     /// Priority of the job's queue.
@@ -65,4 +65,4 @@
 }
 
 /// Steps with tasks to place, in order of admission.
-pub type Queue = BTreeSet<QueueKey>;
+pub(crate) type Queue = BTreeSet<QueueKey>;
--- a/crates/scheduler/src/recent_demand.rs
+++ b/crates/scheduler/src/recent_demand.rs
@@ -23,7 +23,7 @@
 
 impl RecentDemand {
     /// Small tasks of this priority wait.
-    pub fn observe_urgent(&mut self, priority: u32, now_ms: u64) {
+    pub(crate) fn observe_urgent(&mut self, priority: u32, now_ms: u64) {
         if self
             .urgent_priority(now_ms)
             .is_none_or(|known| priority <= known)
@@ -36,19 +36,19 @@
     }
 
     /// Highest priority of which small tasks came recently.
-    pub fn urgent_priority(&self, now_ms: u64) -> Option<u32> {
+    pub(crate) fn urgent_priority(&self, now_ms: u64) -> Option<u32> {
         self.urgent
             .filter(|urgent| now_ms < urgent.observed_ms + URGENT_RECENT_MS)
             .map(|urgent| urgent.priority)
     }
 
     /// A task that needs most of a worker waits.
-    pub fn observe_large_task(&mut self, now_ms: u64) {
+    pub(crate) fn observe_large_task(&mut self, now_ms: u64) {
         self.large_task_ms = Some(now_ms);
     }
 
     /// Whether a task that needs most of a worker came recently.
-    pub fn has_large_tasks(&self, now_ms: u64) -> bool {
+    pub(crate) fn has_large_tasks(&self, now_ms: u64) -> bool {
         self.large_task_ms
             .is_some_and(|observed_ms| now_ms < observed_ms + LARGE_TASK_RECENT_MS)
     }
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -26,7 +26,7 @@
 
 impl Reservation {
     /// Whether a step may use the worker although it is reserved for another one.
-    pub fn yields_to(&self, demand: &StepDemand) -> bool {
+    pub(crate) fn yields_to(&self, demand: &StepDemand) -> bool {
         self.step == demand.at
             || demand.priority < self.priority
             || demand.waited_ms >= self.patience_ms
@@ -42,12 +42,12 @@
 
 impl Reservations {
     /// The reservation of a worker.
-    pub fn get(&self, worker: WorkerId) -> Option<&Reservation> {
+    pub(crate) fn get(&self, worker: WorkerId) -> Option<&Reservation> {
         self.by_worker.get(&worker)
     }
 
     /// Whether the step has reservations that need not be worked out anew yet.
-    pub fn are_current(&self, step: StepRef, now_ms: u64) -> bool {
+    pub(crate) fn are_current(&self, step: StepRef, now_ms: u64) -> bool {
         let reserved = self
             .by_worker
             .values()
@@ -56,7 +56,7 @@
     }
 
     /// Replaces the reservations of a step.
-    pub fn replace(
+    pub(crate) fn replace(
         &mut self,
         step: StepRef,
         reservations: impl IntoIterator<Item = (WorkerId, Reservation)>,
@@ -68,13 +68,13 @@
     }
 
     /// Gives up the reservations of a step.
-    pub fn release(&mut self, step: StepRef) {
+    pub(crate) fn release(&mut self, step: StepRef) {
         self.by_worker
             .retain(|_, reservation| reservation.step != step);
     }
 
     /// Gives up the reservations of all steps but these.
-    pub fn retain(&mut self, steps: &[StepRef]) {
+    pub(crate) fn retain(&mut self, steps: &[StepRef]) {
         self.by_worker
             .retain(|_, reservation| steps.contains(&reservation.step));
     }
--- a/crates/scheduler/src/rng.rs
+++ b/crates/scheduler/src/rng.rs
@@ -2,11 +2,11 @@
 
 /// The generator.
 #[derive(Debug)]
-pub struct Rng(u64);
+pub(crate) struct Rng(u64);
 
 impl Rng {
     /// A generator with this seed.
-    pub fn new(seed: u64) -> Self {
+    pub(crate) fn new(seed: u64) -> Self {
         Rng(seed)
     }
 
@@ -19,12 +19,12 @@
     }
 
     /// A number below `bound`; 0 if `bound` is 0.
-    pub fn below(&mut self, bound: usize) -> usize {
+    pub(crate) fn below(&mut self, bound: usize) -> usize {
         ((u128::from(self.next()) * bound as u128) >> 64) as usize
     }
 
     /// A number in [0, 1).
-    pub fn unit(&mut self) -> f64 {
+    pub(crate) fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -36,7 +36,7 @@
 
 /// Which row a key names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RowKey {
+pub(crate) enum RowKey {
     /// `job/ID`.
     Job(JobId),
     /// `progress/ID`.
@@ -45,7 +45,7 @@
 
 impl RowKey {
     /// The key as bytes.
-    pub fn bytes(self) -> Vec<u8> {
+    pub(crate) fn bytes(self) -> Vec<u8> {
         match self {
             RowKey::Job(id) => format!("job/{id}").into_bytes(),
             RowKey::Progress(id) => format!("progress/{id}").into_bytes(),
@@ -53,7 +53,7 @@
     }
 
     /// Reads a key.
-    pub fn parse(key: &[u8]) -> Option<RowKey> {
+    pub(crate) fn parse(key: &[u8]) -> Option<RowKey> {
         let id = |digits: &[u8]| std::str::from_utf8(digits).ok()?.parse().ok();
         if let Some(digits) = key.strip_prefix(JOB_PREFIX) {
             return id(digits).map(RowKey::Job);
@@ -66,7 +66,7 @@
 
 /// How far a job has come.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Progress {
+pub(crate) struct Progress {
     end: Option<JobEnd>,
     next_repeat: u32,
     /// Worker instances that `runs` point to.
@@ -127,12 +127,12 @@
 }
 
 /// The value of `job/ID`.
-pub fn definition_bytes(definition: &Definition) -> Vec<u8> {
+pub(crate) fn definition_bytes(definition: &Definition) -> Vec<u8> {
     postcard::to_allocvec(definition).unwrap_or_default()
 }
 
 /// The value of `progress/ID`.
-pub fn progress_bytes(job: &Job, workers: &Workers) -> Vec<u8> {
+pub(crate) fn progress_bytes(job: &Job, workers: &Workers) -> Vec<u8> {
     let mut instances = Vec::new();
     let mut repeats = Vec::new();
     for (&number, repeat) in &job.repeats {
@@ -240,12 +240,12 @@
 }
 
 /// Reads the value of `job/ID`.
-pub fn read_definition(key: &[u8], value: &[u8]) -> Result<Definition, RowError> {
+pub(crate) fn read_definition(key: &[u8], value: &[u8]) -> Result<Definition, RowError> {
     read(key, value)
 }
 
 /// Reads the value of `progress/ID`.
-pub fn read_progress(key: &[u8], value: &[u8]) -> Result<Progress, RowError> {
+pub(crate) fn read_progress(key: &[u8], value: &[u8]) -> Result<Progress, RowError> {
     let (mut progress, rest): (Progress, &[u8]) =
         postcard::take_from_bytes(value).map_err(|source| unreadable(key, source))?;
     if !rest.is_empty() {
@@ -268,7 +268,7 @@
 impl Progress {
     /// The job as it was when its rows were written. Instances that `workers` does not know are entered there.
     /// `due_ms` gives the steady clock's reading at which a repetition was due.
-    pub fn restore(
+    pub(crate) fn restore(
         self,
         definition: Definition,
         workers: &mut Workers,
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -26,7 +26,7 @@
 
 impl Placement {
     /// A run on the selected worker.
-    pub fn new(selection: &Selection, remote_factor: f64) -> Self {
+    pub(crate) fn new(selection: &Selection, remote_factor: f64) -> Self {
         Placement {
             worker: selection.worker,
             bound: selection.bound,
@@ -74,7 +74,10 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let Some(resources) = job.step(task.step).map(|step| step.resources()) else {
+        let Some(resources) = job
+            .step(task.step)
+            .map(indigofold_protocol::job::Step::resources)
+        else {
             return;
         };
         let Some(state) = job.step_state_mut(StepRef::of(&task)) else {
@@ -268,7 +271,7 @@
             _ if done => self.close_repeat_if_finished(task.job, task.repeat),
             RunResult::Ended(RunEnd::Done) if !traits.long_running => self.run_done(task),
             RunResult::Ended(RunEnd::Failed) if !traits.long_running => {
-                self.task_failed(task, &run, &traits)
+                self.task_failed(task, &run, &traits);
             }
             _ if runs_on => {}
             _ => self.requeue_task(task),
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -49,7 +49,11 @@
     }
 
     /// Takes over what a predecessor has written: all rows whose keys [`is_row`](Self::is_row). To be called once,
-    /// before the first event. An error names the first row that is not one of the scheduler's or cannot be read.
+    /// before the first event.
+    ///
+    /// # Errors
+    ///
+    /// Names the first row that is not one of the scheduler's or cannot be read.
     pub fn load(
         &mut self,
         rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
--- a/crates/scheduler/src/services.rs
+++ b/crates/scheduler/src/services.rs
@@ -34,50 +34,50 @@
 
 impl ServiceState {
     /// Steps with tasks to place, in order of admission.
-    pub fn queue(&self) -> &Queue {
+    pub(crate) fn queue(&self) -> &Queue {
         &self.queue
     }
 
     /// Puts a step into the queue.
-    pub fn enqueue(&mut self, key: QueueKey) {
+    pub(crate) fn enqueue(&mut self, key: QueueKey) {
         self.queue.insert(key);
         self.dirty = true;
     }
 
     /// Takes a step out of the queue, and gives up its reservations.
-    pub fn dequeue(&mut self, key: &QueueKey) {
+    pub(crate) fn dequeue(&mut self, key: &QueueKey) {
         self.queue.remove(key);
         self.reservations.release(key.at);
     }
 
     /// A step's position in the queue changes.
-    pub fn reposition(&mut self, before: &QueueKey, key: QueueKey) {
+    pub(crate) fn reposition(&mut self, before: &QueueKey, key: QueueKey) {
         self.queue.remove(before);
         self.queue.insert(key);
     }
 
     /// Something has changed that may let a task be placed.
-    pub fn request_pass(&mut self) {
+    pub(crate) fn request_pass(&mut self) {
         self.dirty = true;
     }
 
     /// Requests a pass if anything waits.
-    pub fn request_pass_if_queued(&mut self) {
+    pub(crate) fn request_pass_if_queued(&mut self) {
         self.dirty |= !self.queue.is_empty();
     }
 
     /// A worker has come, ended or changed.
-    pub fn request_regroup(&mut self) {
+    pub(crate) fn request_regroup(&mut self) {
         (self.regroup, self.dirty) = (true, true);
     }
 
     /// When the next pass is due; `None` while nothing has changed.
-    pub fn next_pass_ms(&self) -> Option<u64> {
+    pub(crate) fn next_pass_ms(&self) -> Option<u64> {
         (self.dirty || self.regroup).then_some(self.next_pass_ms)
     }
 
     /// A pass over the queue of this service, called `name`, begins.
-    pub fn begin_pass(&mut self, workers: &Workers, name: &str) {
+    pub(crate) fn begin_pass(&mut self, workers: &Workers, name: &str) {
         self.dirty = false;
         if std::mem::take(&mut self.regroup) {
             self.kinds.regroup(workers, name);
@@ -85,7 +85,7 @@
     }
 
     /// A pass over the queue has ended.
-    pub fn end_pass(&mut self, now_ms: u64) {
+    pub(crate) fn end_pass(&mut self, now_ms: u64) {
         self.next_pass_ms = if self.queue.is_empty() {
             now_ms
         } else {
@@ -102,17 +102,17 @@
 
 impl Services {
     /// A service, if it is known.
-    pub fn get(&self, name: &str) -> Option<&ServiceState> {
+    pub(crate) fn get(&self, name: &str) -> Option<&ServiceState> {
         self.by_name.get(name)
     }
 
     /// A service, if it is known.
-    pub fn get_mut(&mut self, name: &str) -> Option<&mut ServiceState> {
+    pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut ServiceState> {
         self.by_name.get_mut(name)
     }
 
     /// A service, entered if it is new.
-    pub fn entry(&mut self, name: &str) -> &mut ServiceState {
+    pub(crate) fn entry(&mut self, name: &str) -> &mut ServiceState {
         if !self.by_name.contains_key(name) {
             self.by_name
                 .insert(name.to_owned(), ServiceState::default());
@@ -121,19 +121,19 @@
     }
 
     /// All services, by name.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &ServiceState)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &ServiceState)> {
         self.by_name
             .iter()
             .map(|(name, service)| (name.as_str(), service))
     }
 
     /// All services, by name.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut ServiceState> {
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut ServiceState> {
         self.by_name.values_mut()
     }
 
     /// Names of the services that fulfil a condition.
-    pub fn names_where(&self, condition: impl Fn(&ServiceState) -> bool) -> Vec<String> {
+    pub(crate) fn names_where(&self, condition: impl Fn(&ServiceState) -> bool) -> Vec<String> {
         self.iter()
             .filter(|(_, service)| condition(service))
             .map(|(name, _)| name.to_owned())
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -70,7 +70,7 @@
 
 impl ClusterState {
     /// A state without jobs and workers. `now_ms` is a reading of the steady clock, `wall_ms` the time of day since 1970.
-    pub fn new(bounds: Bounds, seed: u64, now_ms: u64, wall_ms: u64) -> Self {
+    pub(crate) fn new(bounds: Bounds, seed: u64, now_ms: u64, wall_ms: u64) -> Self {
         ClusterState {
             bounds,
             now_ms,
@@ -93,7 +93,7 @@
     }
 
     /// What decisions are based on.
-    pub fn view(&self) -> ClusterView<'_> {
+    pub(crate) fn view(&self) -> ClusterView<'_> {
         ClusterView {
             now_ms: self.now_ms,
             bounds: &self.bounds,
@@ -104,7 +104,7 @@
     }
 
     /// The job's progress goes into the present write.
-    pub fn set_dirty(&mut self, id: JobId) {
+    pub(crate) fn set_dirty(&mut self, id: JobId) {
         let write = self.outbox.present_write();
         if let Some(job) = self.jobs.get_mut(&id) {
             job.last_write = write;
--- a/crates/scheduler/src/step_traits.rs
+++ b/crates/scheduler/src/step_traits.rs
@@ -24,7 +24,7 @@
 
 impl StepTraits {
     /// The traits of one of the job's steps.
-    pub fn of(job: &Job, at: StepRef) -> Option<StepTraits> {
+    pub(crate) fn of(job: &Job, at: StepRef) -> Option<StepTraits> {
         let step = job.step(at.step)?;
         Some(StepTraits {
             resources: step.resources(),
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -102,7 +102,7 @@
         for OutstandingRun { run, worker } in job.outstanding_runs(id) {
             let resources = job
                 .step(run.task.step)
-                .map(|step| step.resources())
+                .map(indigofold_protocol::job::Step::resources)
                 .unwrap_or_default();
             if let Some(worker) = self.workers.get_mut(worker) {
                 worker.occupy(run.task, &resources, false);
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -11,7 +11,7 @@
 
 /// One step of a repetition.
 #[derive(Debug, Default)]
-pub struct StepState {
+pub(crate) struct StepState {
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// Number of tasks done.
@@ -38,7 +38,7 @@
 
 /// One task.
 #[derive(Clone, Debug, Default)]
-pub struct Task {
+pub(crate) struct Task {
     /// Highest number of a run so far.
     pub last_attempt: u32,
     /// Runs that ended `failed`.
@@ -61,7 +61,7 @@
 
 /// A run that has not ended.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub(crate) struct Run {
     /// Its number.
     pub attempt: u32,
     /// Where it runs.
@@ -92,7 +92,7 @@
 
 /// A stop that was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopOrder {
+pub(crate) struct StopOrder {
     /// Connection on which it was sent.
     pub sent_to: Option<AgentId>,
     /// When it was sent last.
@@ -101,17 +101,17 @@
 
 impl Task {
     /// Its runs that have not ended.
-    pub fn runs(&self) -> impl Iterator<Item = &Run> {
+    pub(crate) fn runs(&self) -> impl Iterator<Item = &Run> {
         self.run.iter().chain(&self.speculative_run)
     }
 
     /// Its run on this worker.
-    pub fn run_at(&self, worker: WorkerId) -> Option<&Run> {
+    pub(crate) fn run_at(&self, worker: WorkerId) -> Option<&Run> {
         self.runs().find(|run| run.worker == worker)
     }
 
     /// Its run of this number.
-    pub fn run_mut(&mut self, attempt: u32) -> Option<&mut Run> {
+    pub(crate) fn run_mut(&mut self, attempt: u32) -> Option<&mut Run> {
         self.run
             .iter_mut()
             .chain(&mut self.speculative_run)
@@ -119,7 +119,7 @@
     }
 
     /// Takes its run of this number out; a speculative run that is left replaces the run.
-    pub fn take_run(&mut self, attempt: u32) -> Option<Run> {
+    pub(crate) fn take_run(&mut self, attempt: u32) -> Option<Run> {
         if self
             .speculative_run
             .as_ref()
@@ -139,7 +139,7 @@
 
 impl StepState {
     /// A task is to be placed (again).
-    pub fn wait(&mut self, index: u32, now_ms: u64) {
+    pub(crate) fn wait(&mut self, index: u32, now_ms: u64) {
         let newly = self.waiting.insert(index);
         if let Some(task) = self.tasks.get_mut(index as usize).filter(|_| newly) {
             task.waits_since_ms = now_ms;
@@ -147,12 +147,12 @@
     }
 
     /// All its tasks are done.
-    pub fn is_done(&self) -> bool {
+    pub(crate) fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
     /// Tasks whose ends count together: all of a gang, or the task alone.
-    pub fn members(&self, index: u32, gang: bool) -> Range<u32> {
+    pub(crate) fn members(&self, index: u32, gang: bool) -> Range<u32> {
         if gang {
             0..self.tasks.len() as u32
         } else {
@@ -161,12 +161,12 @@
     }
 
     /// Tasks with a run that has not ended.
-    pub fn running_tasks(&self) -> Vec<u32> {
+    pub(crate) fn running_tasks(&self) -> Vec<u32> {
         self.tasks_where(|task| task.run.is_some())
     }
 
     /// Tasks that are not done and have no run.
-    pub fn idle_tasks(&self) -> Vec<u32> {
+    pub(crate) fn idle_tasks(&self) -> Vec<u32> {
         self.tasks_where(|task| !task.done && task.run.is_none())
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// These tasks are done; returns for how many that is new.
-    pub fn complete(&mut self, members: Range<u32>) -> u32 {
+    pub(crate) fn complete(&mut self, members: Range<u32>) -> u32 {
         let mut newly = 0;
         for index in members {
             let Some(member) = self.tasks.get_mut(index as usize) else {
@@ -193,7 +193,7 @@
     }
 
     /// A run of a task has failed; returns how many attempts of the task, or of its gang, have failed.
-    pub fn record_failure(&mut self, index: u32, run: &Run, gang: bool) -> u32 {
+    pub(crate) fn record_failure(&mut self, index: u32, run: &Run, gang: bool) -> u32 {
         if gang && run.attempt > self.gang_failed_attempt {
             self.gang_failures += 1;
             self.gang_failed_attempt = run.attempt;
@@ -208,7 +208,7 @@
     }
 
     /// A run has a checkpoint; any member's serves for its gang, and the newest stays. Returns whether it is new.
-    pub fn store_checkpoint(&mut self, index: u32, gang: bool, checkpoint: &str) -> bool {
+    pub(crate) fn store_checkpoint(&mut self, index: u32, gang: bool, checkpoint: &str) -> bool {
         let task = self.tasks.get_mut(index as usize);
         let Some(task) = task.filter(|task| task.checkpoint != checkpoint) else {
             return false;
@@ -221,14 +221,14 @@
     }
 
     /// The step has waited for this since it was looked at last.
-    pub fn waited_for(&mut self, cause: Cause, now_ms: u64) {
+    pub(crate) fn waited_for(&mut self, cause: Cause, now_ms: u64) {
         let since_ms = self.looked_at_ms.max(self.waiting_since_ms);
         self.waits.add(cause, now_ms.saturating_sub(since_ms));
         self.looked_at_ms = now_ms;
     }
 
     /// A task has waited until now.
-    pub fn end_wait(&mut self, index: u32, now_ms: u64) {
+    pub(crate) fn end_wait(&mut self, index: u32, now_ms: u64) {
         let waits = self.waits;
         if let Some(task) = self.tasks.get_mut(index as usize) {
             task.latency
@@ -239,7 +239,7 @@
 
 impl Run {
     /// A report lists the run as running.
-    pub fn listed(&mut self, percent: u32, now_ms: u64) {
+    pub(crate) fn listed(&mut self, percent: u32, now_ms: u64) {
         self.listed_ms = now_ms;
         self.began_ms.get_or_insert(now_ms);
         if self.percent != percent {
@@ -248,7 +248,12 @@
     }
 
     /// Adds the time that the run took, now that it has ended, to the breakdown of its task.
-    pub fn add_latency(&self, breakdown: &mut LatencyBreakdown, result: RunResult, now_ms: u64) {
+    pub(crate) fn add_latency(
+        &self,
+        breakdown: &mut LatencyBreakdown,
+        result: RunResult,
+        now_ms: u64,
+    ) {
         let spent_ms = now_ms.saturating_sub(self.placed_ms);
         match result {
             RunResult::Ended(RunEnd::Done) => {}
--- a/crates/scheduler/src/timers.rs
+++ b/crates/scheduler/src/timers.rs
@@ -9,7 +9,7 @@
 
 impl Periodic {
     /// Due at once, and then every `period_ms`.
-    pub fn new(period_ms: u64, now_ms: u64) -> Self {
+    pub(crate) fn new(period_ms: u64, now_ms: u64) -> Self {
         Periodic {
             period_ms,
             next_ms: now_ms,
@@ -17,7 +17,7 @@
     }
 
     /// Whether the period has ended; if so, the next one begins now.
-    pub fn take_due(&mut self, now_ms: u64) -> bool {
+    pub(crate) fn take_due(&mut self, now_ms: u64) -> bool {
         if now_ms < self.next_ms {
             return false;
         }
--- a/crates/scheduler/src/unexpected_runs.rs
+++ b/crates/scheduler/src/unexpected_runs.rs
@@ -17,12 +17,12 @@
 
 impl UnexpectedRuns {
     /// Whether there are none.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.running.is_empty() && self.in_flight.is_empty() && self.lost.is_empty()
     }
 
     /// A report lists these.
-    pub fn set(&mut self, in_flight: Vec<RunId>, running: Option<Vec<RunId>>) {
+    pub(crate) fn set(&mut self, in_flight: Vec<RunId>, running: Option<Vec<RunId>>) {
         self.in_flight = in_flight;
         if let Some(running) = running {
             self.running = running;
@@ -30,18 +30,18 @@
     }
 
     /// Another connection reports the instance: what the former one listed is not valid any more.
-    pub fn forget_listed(&mut self) {
+    pub(crate) fn forget_listed(&mut self) {
         (self.running, self.in_flight) = (Vec::new(), Vec::new());
     }
 
     /// A run counts as lost.
-    pub fn add_lost(&mut self, run: RunId) {
+    pub(crate) fn add_lost(&mut self, run: RunId) {
         self.lost.push(run);
     }
 
     /// Runs to stop in the answer to a report that was sent at this time. Lost runs are stopped until a later report
     /// shows that the answer has arrived.
-    pub fn stops(&mut self, sent_ms: u64, reports_running: bool) -> Vec<RunId> {
+    pub(crate) fn stops(&mut self, sent_ms: u64, reports_running: bool) -> Vec<RunId> {
         let mut stops = self.in_flight.clone();
         if reports_running {
             stops.extend(self.running.iter().copied());
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -63,7 +63,7 @@
 
 impl QueueValues {
     /// Adds the work of a job, in core-milliseconds, to the mean of its route; returns its value in relation to that.
-    pub fn value(&mut self, route: &str, work: f64) -> f64 {
+    pub(crate) fn value(&mut self, route: &str, work: f64) -> f64 {
         self.by_route
             .entry(route.to_owned())
             .or_default()
--- a/crates/scheduler/src/view.rs
+++ b/crates/scheduler/src/view.rs
@@ -28,23 +28,24 @@
 
 impl<'a> ClusterView<'a> {
     /// What of a step matters for its runs.
-    pub fn traits(&self, at: StepRef) -> Option<StepTraits> {
+    pub(crate) fn traits(&self, at: StepRef) -> Option<StepTraits> {
         StepTraits::of(self.jobs.get(&at.job)?, at)
     }
 
     /// The task's run on this worker.
-    pub fn run_at(&self, worker: WorkerId, task: &TaskName) -> Option<&'a Run> {
+    pub(crate) fn run_at(&self, worker: WorkerId, task: &TaskName) -> Option<&'a Run> {
         self.jobs.get(&task.job)?.task(task)?.run_at(worker)
     }
 
     /// What a task takes.
-    pub fn resources(&self, task: TaskName) -> Resources {
+    pub(crate) fn resources(&self, task: TaskName) -> Resources {
         let step = self.jobs.get(&task.job).and_then(|job| job.step(task.step));
-        step.map(|step| step.resources()).unwrap_or_default()
+        step.map(indigofold_protocol::job::Step::resources)
+            .unwrap_or_default()
     }
 
     /// The workers of a service.
-    pub fn workers_of(&self, service: &'a ServiceState) -> impl Iterator<Item = &'a Worker> {
+    pub(crate) fn workers_of(&self, service: &'a ServiceState) -> impl Iterator<Item = &'a Worker> {
         let workers = self.workers;
         service.kinds.workers().filter_map(|id| workers.get(id))
     }
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -16,11 +16,11 @@
 
 /// Number of a worker instance; never used again for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct WorkerId(pub u32);
+pub(crate) struct WorkerId(pub u32);
 
 /// One worker instance.
 #[derive(Debug)]
-pub struct Worker {
+pub(crate) struct Worker {
     /// Its id among workers.
     pub instance: String,
     /// Machine that it and its node agent run on; unknown until it reports.
@@ -71,7 +71,7 @@
 
 impl Worker {
     /// An instance that has not been reported yet; `now_ms` is the steady clock.
-    pub fn new(instance: String, now_ms: u64) -> Self {
+    pub(crate) fn new(instance: String, now_ms: u64) -> Self {
         Worker {
             instance,
             node_name: None,
@@ -100,7 +100,7 @@
     }
 
     /// Applies what a report says about the instance; returns whether its kind or readiness changed.
-    pub fn apply_report(&mut self, now_ms: u64, report: &InstanceReport) -> bool {
+    pub(crate) fn apply_report(&mut self, now_ms: u64, report: &InstanceReport) -> bool {
         let changed = self.backend != report.backend
             || self.capacity != report.capacity
             || self.labels != report.labels
@@ -117,7 +117,7 @@
     }
 
     /// The instance is on this machine; returns whether that is new.
-    pub fn set_node(&mut self, node_name: &str) -> bool {
+    pub(crate) fn set_node(&mut self, node_name: &str) -> bool {
         let changed = self.node_name.as_deref() != Some(node_name);
         if changed {
             self.node_name = Some(node_name.to_owned());
@@ -126,12 +126,12 @@
     }
 
     /// Machine that it and its node agent run on; unknown until it reports.
-    pub fn node_name(&self) -> Option<&str> {
+    pub(crate) fn node_name(&self) -> Option<&str> {
         self.node_name.as_deref()
     }
 
     /// Its row names this machine; returns whether that is new.
-    pub fn set_recorded_node(&mut self, node_name: &str) -> bool {
+    pub(crate) fn set_recorded_node(&mut self, node_name: &str) -> bool {
         let changed = self.recorded_node.as_deref() != Some(node_name);
         if changed {
             self.recorded_node = Some(node_name.to_owned());
@@ -140,12 +140,12 @@
     }
 
     /// Whether it has a row.
-    pub fn is_recorded(&self) -> bool {
+    pub(crate) fn is_recorded(&self) -> bool {
         self.recorded_node.is_some()
     }
 
     /// It is reported over this connection.
-    pub fn attach(&mut self, agent: AgentId) {
+    pub(crate) fn attach(&mut self, agent: AgentId) {
         if self.agent != Some(agent) {
             (self.agent, self.full_report_received) = (Some(agent), false);
             self.unexpected.forget_listed();
@@ -153,84 +153,84 @@
     }
 
     /// It is not reported over any connection.
-    pub fn detach(&mut self) {
+    pub(crate) fn detach(&mut self) {
         (self.agent, self.full_report_received) = (None, false);
     }
 
     /// A report of its node agent is answered: its leases may be valid from now on.
-    pub fn answered(&mut self, now_ms: u64) {
+    pub(crate) fn answered(&mut self, now_ms: u64) {
         self.answered_ms = now_ms;
     }
 
     /// When a report of its node agent was answered last; before that, when this scheduler took over.
-    pub fn answered_ms(&self) -> u64 {
+    pub(crate) fn answered_ms(&self) -> u64 {
         self.answered_ms
     }
 
     /// Its leases have expired without a report.
-    pub fn expire(&mut self, now_ms: u64) {
+    pub(crate) fn expire(&mut self, now_ms: u64) {
         self.expired_ms = Some(now_ms);
     }
 
     /// It is reported again; returns whether its leases had expired.
-    pub fn revive(&mut self) -> bool {
+    pub(crate) fn revive(&mut self) -> bool {
         self.expired_ms.take().is_some()
     }
 
     /// When its leases expired; `None` while they may be valid.
-    pub fn expired_ms(&self) -> Option<u64> {
+    pub(crate) fn expired_ms(&self) -> Option<u64> {
         self.expired_ms
     }
 
     /// Ends up to this number have been handled.
-    pub fn handle_ends_until(&mut self, number: u64) {
+    pub(crate) fn handle_ends_until(&mut self, number: u64) {
         self.handled_end = number;
     }
 
     /// Number of the newest end that was handled.
-    pub fn handled_end(&self) -> u64 {
+    pub(crate) fn handled_end(&self) -> u64 {
         self.handled_end
     }
 
     /// Ends up to this number are committed.
-    pub fn commit_ends_until(&mut self, number: u64) {
+    pub(crate) fn commit_ends_until(&mut self, number: u64) {
         self.committed_end = self.committed_end.max(number);
     }
 
     /// Number of the newest end that is committed, if any.
-    pub fn acknowledged_end(&self) -> Option<u64> {
+    pub(crate) fn acknowledged_end(&self) -> Option<u64> {
         (self.committed_end > 0).then_some(self.committed_end)
     }
 
     /// It gets no new starts before this time.
-    pub fn back_off_until(&mut self, until_ms: u64) {
+    pub(crate) fn back_off_until(&mut self, until_ms: u64) {
         self.backoff_until_ms = until_ms;
     }
 
     /// Whether it has warmed up by this time.
-    pub fn is_warm(&self, now_ms: u64) -> bool {
+    pub(crate) fn is_warm(&self, now_ms: u64) -> bool {
         self.warm_up_until_ms <= now_ms
     }
 
     /// Whether it or its node agent has not been heard from for longer than this.
-    pub fn is_unresponsive_for(&self, limit_ms: u64, now_ms: u64) -> bool {
+    pub(crate) fn is_unresponsive_for(&self, limit_ms: u64, now_ms: u64) -> bool {
         self.agent.is_none()
             || now_ms.saturating_sub(self.last_report_ms) > limit_ms
             || self.since_heartbeat_ms > limit_ms
     }
 
     /// What runs take that were bound to a kind.
-    pub fn used_bound(&self) -> Resources {
+    pub(crate) fn used_bound(&self) -> Resources {
         self.used_bound
     }
 
     /// Connection over which orders can be sent: one on which a full report was received.
-    pub fn order_connection(&self) -> Option<AgentId> {
+    pub(crate) fn order_connection(&self) -> Option<AgentId> {
         self.agent.filter(|_| self.full_report_received)
     }
 
     /// Whether it may be sent new runs now.
-    pub fn accepts_starts(&self, now_ms: u64) -> bool {
+    pub(crate) fn accepts_starts(&self, now_ms: u64) -> bool {
         self.is_responsive(now_ms)
             && self.full_report_received
             && self.expired_ms.is_none()
@@ -239,7 +239,7 @@
     }
 
     /// Whether it is connected, ready and heard from recently; a backoff does not matter.
-    pub fn is_responsive(&self, now_ms: u64) -> bool {
+    pub(crate) fn is_responsive(&self, now_ms: u64) -> bool {
         self.agent.is_some()
             && self.state == WorkerState::Ready
             && now_ms.saturating_sub(self.last_report_ms) < REPORT_FRESH_MS
@@ -247,17 +247,17 @@
     }
 
     /// Free capacity.
-    pub fn free(&self) -> Resources {
+    pub(crate) fn free(&self) -> Resources {
         self.capacity.minus(&self.used)
     }
 
     /// Whether these resources fit beside what runs.
-    pub fn has_capacity(&self, resources: &Resources) -> bool {
+    pub(crate) fn has_capacity(&self, resources: &Resources) -> bool {
         self.capacity.can_fit(&self.used.plus(resources))
     }
 
     /// Takes capacity for a run.
-    pub fn occupy(&mut self, task: TaskName, resources: &Resources, bound: bool) {
+    pub(crate) fn occupy(&mut self, task: TaskName, resources: &Resources, bound: bool) {
         self.runs.insert(task);
         self.used = self.used.plus(resources);
         if bound {
@@ -266,7 +266,7 @@
     }
 
     /// Frees the capacity of a run.
-    pub fn release(&mut self, task: &TaskName, resources: &Resources, bound: bool) {
+    pub(crate) fn release(&mut self, task: &TaskName, resources: &Resources, bound: bool) {
         if self.runs.remove(task) {
             self.used = self.used.minus(resources);
             if bound {
@@ -276,7 +276,7 @@
     }
 
     /// Rack, if a label names one.
-    pub fn rack(&self) -> Option<&str> {
+    pub(crate) fn rack(&self) -> Option<&str> {
         self.labels
             .iter()
             .map(String::as_str)
@@ -285,7 +285,7 @@
 }
 
 /// Whether a label names a rack: `r`, digits, `-`, digits.
-pub fn is_rack(label: &str) -> bool {
+pub(crate) fn is_rack(label: &str) -> bool {
     let digits = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
     let parts = label
         .strip_prefix('r')
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -15,7 +15,7 @@
 
 /// A connection of a node agent.
 #[derive(Clone, Debug)]
-pub struct Connection {
+pub(crate) struct Connection {
     /// Name of its machine.
     pub node_name: String,
     /// The instance reported last.
@@ -24,7 +24,7 @@
 
 /// All instances and connections.
 #[derive(Debug)]
-pub struct Workers {
+pub(crate) struct Workers {
     instances: BTreeMap<WorkerId, Worker>,
     by_instance: FxHashMap<String, WorkerId>,
     by_node: FxHashMap<String, BTreeSet<WorkerId>>,
@@ -36,7 +36,7 @@
 
 impl Workers {
     /// No instances yet. `max_lease_ms` is the longest run lease that workers grant.
-    pub fn new(max_lease_ms: u64) -> Self {
+    pub(crate) fn new(max_lease_ms: u64) -> Self {
         let longest_ms = LEASE_AUTHORITY_MS + RUN_LEASE_MS.min(max_lease_ms);
         Workers {
             instances: BTreeMap::new(),
@@ -50,22 +50,22 @@
     }
 
     /// An instance.
-    pub fn get(&self, worker: WorkerId) -> Option<&Worker> {
+    pub(crate) fn get(&self, worker: WorkerId) -> Option<&Worker> {
         self.instances.get(&worker)
     }
 
     /// An instance.
-    pub fn get_mut(&mut self, worker: WorkerId) -> Option<&mut Worker> {
+    pub(crate) fn get_mut(&mut self, worker: WorkerId) -> Option<&mut Worker> {
         self.instances.get_mut(&worker)
     }
 
     /// All instances, by number.
-    pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &Worker)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (WorkerId, &Worker)> {
         self.instances.iter().map(|(id, worker)| (*id, worker))
     }
 
     /// The instance of this id, entered if it is new.
-    pub fn get_or_register(&mut self, instance: &str, now_ms: u64) -> WorkerId {
+    pub(crate) fn get_or_register(&mut self, instance: &str, now_ms: u64) -> WorkerId {
         if let Some(&known) = self.by_instance.get(instance) {
             return known;
         }
@@ -78,12 +78,12 @@
     }
 
     /// The instance of this id, if it is known.
-    pub fn find(&self, instance: &str) -> Option<WorkerId> {
+    pub(crate) fn find(&self, instance: &str) -> Option<WorkerId> {
         self.by_instance.get(instance).copied()
     }
 
     /// Forgets an instance; its runs must have been ended before.
-    pub fn forget(&mut self, id: WorkerId) {
+    pub(crate) fn forget(&mut self, id: WorkerId) {
         let Some(worker) = self.instances.remove(&id) else {
             return;
         };
@@ -104,7 +104,7 @@
     }
 
     /// Other instances known on the machine of this one.
-    pub fn others_at(&self, node_name: &str, id: WorkerId) -> Vec<WorkerId> {
+    pub(crate) fn others_at(&self, node_name: &str, id: WorkerId) -> Vec<WorkerId> {
         self.at(node_name)
             .into_iter()
             .filter(|other| *other != id)
@@ -112,7 +112,7 @@
     }
 
     /// Instances known on this machine.
-    pub fn at(&self, node_name: &str) -> Vec<WorkerId> {
+    pub(crate) fn at(&self, node_name: &str) -> Vec<WorkerId> {
         self.by_node
             .get(node_name)
             .into_iter()
@@ -122,7 +122,7 @@
     }
 
     /// A node agent has connected; it replaces an older connection of the same machine.
-    pub fn connected(&mut self, agent: AgentId, node_name: String) {
+    pub(crate) fn connected(&mut self, agent: AgentId, node_name: String) {
         if let Some(older) = self.connection_of_node.insert(node_name.clone(), agent) {
             self.disconnected(older);
         }
@@ -136,7 +136,7 @@
     }
 
     /// A connection has closed.
-    pub fn disconnected(&mut self, agent: AgentId) {
+    pub(crate) fn disconnected(&mut self, agent: AgentId) {
         let Some(connection) = self.connections.remove(&agent) else {
             return;
         };
@@ -151,12 +151,12 @@
     }
 
     /// A connection that is in use.
-    pub fn connection(&self, agent: AgentId) -> Option<&Connection> {
+    pub(crate) fn connection(&self, agent: AgentId) -> Option<&Connection> {
         self.connections.get(&agent)
     }
 
     /// A connection reports an instance.
-    pub fn attach(&mut self, agent: AgentId, id: WorkerId) {
+    pub(crate) fn attach(&mut self, agent: AgentId, id: WorkerId) {
         let Some(connection) = self.connections.get_mut(&agent) else {
             return;
         };
@@ -176,7 +176,7 @@
     }
 
     /// The instance is on this machine.
-    pub fn set_node(&mut self, id: WorkerId, node_name: String) {
+    pub(crate) fn set_node(&mut self, id: WorkerId, node_name: String) {
         let Some(worker) = self.instances.get_mut(&id) else {
             return;
         };
@@ -186,7 +186,7 @@
     }
 
     /// The connection reports no instance at present.
-    pub fn detach(&mut self, agent: AgentId) {
+    pub(crate) fn detach(&mut self, agent: AgentId) {
         let worker = self
             .connections
             .get_mut(&agent)
@@ -199,7 +199,7 @@
     }
 
     /// Instances whose leases have all expired by now.
-    pub fn newly_expired(&self, now_ms: u64) -> Vec<WorkerId> {
+    pub(crate) fn newly_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let has_expired = |w: &Worker| {
             w.expired_ms().is_none() && now_ms >= w.answered_ms() + self.lease_expiry_ms
         };
@@ -210,7 +210,7 @@
     }
 
     /// Instances that expired long ago.
-    pub fn long_expired(&self, now_ms: u64) -> Vec<WorkerId> {
+    pub(crate) fn long_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let old = |w: &Worker| {
             w.expired_ms()
                 .is_some_and(|at| now_ms >= at + EXPIRED_FORGET_MS)
--- a/crates/scheduler/tests/cluster/clients.rs
+++ b/crates/scheduler/tests/cluster/clients.rs
@@ -23,7 +23,7 @@
         });
     }
 
-    pub fn submit(&mut self, route: &str, id: u64, spec: JobSpec) -> JobId {
+    pub(crate) fn submit(&mut self, route: &str, id: u64, spec: JobSpec) -> JobId {
         let id = JobId(id);
         let entry = self.jobs.entry(id).or_default();
         if entry.sent_ms == 0 {
@@ -34,18 +34,18 @@
         id
     }
 
-    pub fn get(&mut self, id: JobId) {
+    pub(crate) fn get(&mut self, id: JobId) {
         let route = self.jobs[&id].route.clone();
         self.call(id, format!("/{route}/{id}"), ClientOperation::Get);
     }
 
-    pub fn cancel(&mut self, id: JobId) {
+    pub(crate) fn cancel(&mut self, id: JobId) {
         let route = self.jobs[&id].route.clone();
         self.call(id, format!("/{route}/{id}"), ClientOperation::Cancel);
     }
 
     /// The job's state as a client is shown it.
-    pub fn state_of(&mut self, id: JobId) -> Option<JobState> {
+    pub(crate) fn state_of(&mut self, id: JobId) -> Option<JobState> {
         self.get(id);
         self.run_for(REPLY_MS);
         self.jobs[&id].state
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -1,12 +1,12 @@
 //! A simulated cluster in virtual time round one scheduler: storage, node agents, workers, clients; and the invariants,
 //! checked at every start of a run.
 
-#![allow(dead_code)] // each test file uses its part
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod clients;
 mod idle_jobs;
 mod invariants;
-pub mod node;
+pub(crate) mod node;
 mod running;
 mod setup;
 
@@ -20,10 +20,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-pub use setup::*;
+pub(crate) use setup::*;
 
 /// Time of day at the beginning.
-pub const WALL_MS: u64 = 1_700_000_000_000;
+pub(crate) const WALL_MS: u64 = 1_700_000_000_000;
 /// A write is committed after this time.
 const COMMIT_MS: u64 = 12;
 /// All workers have registered after this time.
@@ -31,15 +31,15 @@
 /// A reply to a client has arrived after this time.
 const REPLY_MS: u64 = 50;
 /// The leases of a disconnected node agent have all expired after this time, whatever the rates of the clocks.
-pub const EXPIRED_MS: u64 = (LEASE_AUTHORITY_MS + RUN_LEASE_MS) * 105 / 100 + 300;
+pub(crate) const EXPIRED_MS: u64 = (LEASE_AUTHORITY_MS + RUN_LEASE_MS) * 105 / 100 + 300;
 /// Messages take this time.
 const NET_MS: u64 = 2;
 
 /// Random numbers of a test.
-pub struct TestRng(u64);
+pub(crate) struct TestRng(u64);
 
 impl TestRng {
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -47,14 +47,14 @@
         (self.0 >> 33) % bound.max(1)
     }
 
-    pub fn chance(&mut self, percent: u64) -> bool {
+    pub(crate) fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
 
 /// What the clients know about a job.
 #[derive(Debug, Default)]
-pub struct ClientJob {
+pub(crate) struct ClientJob {
     pub spec: JobSpec,
     pub route: String,
     pub sent_ms: u64,
@@ -67,7 +67,7 @@
 
 /// What workers have done of a task.
 #[derive(Debug, Default)]
-pub struct TaskHistory {
+pub(crate) struct TaskHistory {
     pub done: bool,
     pub done_acknowledged: bool,
     pub done_acknowledged_ms: Option<u64>,
@@ -94,7 +94,7 @@
 
 /// How a task runs, where that is not what its step says.
 #[derive(Clone, Copy, Debug)]
-pub struct TaskWork {
+pub(crate) struct TaskWork {
     /// Time that each run works.
     pub run_ms: u64,
     /// Number of runs that fail before one succeeds.
@@ -102,7 +102,7 @@
 }
 
 /// The simulated cluster.
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now_ms: u64,
     pub rng: TestRng,
     pub scheduler: Scheduler,
@@ -133,11 +133,11 @@
 }
 
 impl Cluster {
-    pub fn new(seed: u64) -> Self {
+    pub(crate) fn new(seed: u64) -> Self {
         Self::with_nodes(seed, nodes())
     }
 
-    pub fn with_nodes(seed: u64, nodes: Vec<Node>) -> Self {
+    pub(crate) fn with_nodes(seed: u64, nodes: Vec<Node>) -> Self {
         let mut cluster = Cluster {
             now_ms: 1_000,
             rng: TestRng(seed.wrapping_mul(77) + 5),
@@ -170,17 +170,17 @@
     }
 
     /// A cluster whose workers have registered.
-    pub fn started(seed: u64) -> Self {
+    pub(crate) fn started(seed: u64) -> Self {
         let mut cluster = Cluster::new(seed);
         cluster.run_for(REGISTRATION_MS);
         cluster
     }
 
-    pub fn wall_ms(&self) -> u64 {
+    pub(crate) fn wall_ms(&self) -> u64 {
         WALL_MS + self.now_ms
     }
 
-    pub fn handle(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         let mut effects = Vec::new();
         let now_ms = self.now_ms;
         let wall_ms = self.wall_ms().saturating_add_signed(self.clock_step_ms);
@@ -204,7 +204,7 @@
         }
     }
 
-    pub fn connect(&mut self, node: usize) {
+    pub(crate) fn connect(&mut self, node: usize) {
         let agent = AgentId(self.next_connection);
         self.next_connection += 1;
         self.connections.insert(agent, node);
@@ -214,7 +214,7 @@
         self.handle(Event::AgentConnected { agent, node_name });
     }
 
-    pub fn disconnect(&mut self, node: usize) {
+    pub(crate) fn disconnect(&mut self, node: usize) {
         let ended_instances: Vec<AgentId> = self
             .connections
             .iter()
@@ -229,7 +229,7 @@
     }
 
     /// The head dies; its successor takes over what is committed.
-    pub fn fail_over(&mut self) {
+    pub(crate) fn fail_over(&mut self) {
         self.epoch += 1;
         let committed = self.rng.below(self.writes.len() as u64 + 1) as usize;
         for pending in std::mem::take(&mut self.writes).into_iter().take(committed) {
@@ -251,14 +251,14 @@
         }
     }
 
-    pub fn run_until(&mut self, until_ms: u64) {
+    pub(crate) fn run_until(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             self.now_ms += 1;
             self.advance();
         }
     }
 
-    pub fn run_for(&mut self, ms: u64) {
+    pub(crate) fn run_for(&mut self, ms: u64) {
         self.run_until(self.now_ms + ms);
     }
 
--- a/crates/scheduler/tests/cluster/node.rs
+++ b/crates/scheduler/tests/cluster/node.rs
@@ -11,11 +11,11 @@
 /// Time that a stop takes, unless a test wants it otherwise.
 const STOP_MS: u64 = 120;
 /// A gang's member waits so long for the others.
-pub const GANG_MS: u64 = 3_000;
+pub(crate) const GANG_MS: u64 = 3_000;
 
 /// A run at the worker.
 #[derive(Clone, Debug)]
-pub struct ActiveRun {
+pub(crate) struct ActiveRun {
     pub order: StartOrder,
     pub arrived_ms: u64,
     /// When it began to work; a gang's member begins when all are present.
@@ -27,7 +27,7 @@
 
 impl ActiveRun {
     /// The newest checkpoint: one every half second of work.
-    pub fn checkpoint(&self, now_ms: u64) -> String {
+    pub(crate) fn checkpoint(&self, now_ms: u64) -> String {
         let half_seconds = self.began_ms.map_or(0, |began| (now_ms - began) / 500);
         if half_seconds == 0 {
             self.order.checkpoint.clone()
@@ -41,7 +41,7 @@
 }
 
 /// A machine with a worker and its node agent.
-pub struct Node {
+pub(crate) struct Node {
     pub name: String,
     pub incarnation: u32,
     pub up: bool,
@@ -76,7 +76,7 @@
 }
 
 impl Node {
-    pub fn new(name: &str, backend: &str, labels: &[&str], capacity: Resources) -> Self {
+    pub(crate) fn new(name: &str, backend: &str, labels: &[&str], capacity: Resources) -> Self {
         Node {
             name: name.to_owned(),
             incarnation: 1,
@@ -110,12 +110,12 @@
         }
     }
 
-    pub fn instance(&self) -> String {
+    pub(crate) fn instance(&self) -> String {
         format!("i-{}-{}", self.name, self.incarnation)
     }
 
     /// The worker crashes and comes back as another instance.
-    pub fn crash(&mut self, now_ms: u64, back_ms: u64) {
+    pub(crate) fn crash(&mut self, now_ms: u64, back_ms: u64) {
         self.ended_instances.push(self.instance());
         self.incarnation += 1;
         self.up = false;
@@ -131,13 +131,13 @@
     }
 
     /// What all its runs take.
-    pub fn used(&self) -> Resources {
+    pub(crate) fn used(&self) -> Resources {
         self.running.values().fold(Resources::default(), |sum, at| {
             sum.plus(&at.order.resources)
         })
     }
 
-    pub fn end(&mut self, run: RunId, end: RunEnd, checkpoint: String) {
+    pub(crate) fn end(&mut self, run: RunId, end: RunEnd, checkpoint: String) {
         self.running.remove(&run);
         self.closed_runs.insert(run);
         self.ends.push(FinishedRun {
@@ -151,7 +151,7 @@
     }
 
     /// Orders of the head.
-    pub fn orders(&mut self, now_ms: u64, orders: AgentOrders) -> Option<u64> {
+    pub(crate) fn orders(&mut self, now_ms: u64, orders: AgentOrders) -> Option<u64> {
         if orders.epoch < self.epoch {
             return None;
         }
@@ -187,7 +187,7 @@
     }
 
     /// Runs that the node agent passes on with the answer to a heartbeat.
-    pub fn heartbeat(&mut self, now_ms: u64) -> Vec<StartOrder> {
+    pub(crate) fn heartbeat(&mut self, now_ms: u64) -> Vec<StartOrder> {
         if !self.up || now_ms < self.next_heartbeat_ms {
             return Vec::new();
         }
@@ -220,7 +220,7 @@
     }
 
     /// The report that is due.
-    pub fn report(&mut self, now_ms: u64) -> Option<AgentReport> {
+    pub(crate) fn report(&mut self, now_ms: u64) -> Option<AgentReport> {
         if !self.connected || now_ms < self.next_report_ms && !self.report_now {
             return None;
         }
--- a/crates/scheduler/tests/cluster/running.rs
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -8,14 +8,14 @@
 
 impl Cluster {
     /// Nodes on which something runs.
-    pub fn busy_nodes(&self) -> Vec<usize> {
+    pub(crate) fn busy_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|node| !self.nodes[*node].running.is_empty())
             .collect()
     }
 
     /// Runs of this task work for `run_ms`, and the first `failures` of them fail.
-    pub fn set_work(&mut self, task: TaskName, run_ms: u64, failures: u32) {
+    pub(crate) fn set_work(&mut self, task: TaskName, run_ms: u64, failures: u32) {
         self.work.insert(task, TaskWork { run_ms, failures });
     }
 
--- a/crates/scheduler/tests/cluster/setup.rs
+++ b/crates/scheduler/tests/cluster/setup.rs
@@ -6,14 +6,14 @@
 use indigofold_protocol::task::{JobId, TaskName};
 use indigofold_scheduler::Bounds;
 
-pub fn bounds() -> Bounds {
+pub(crate) fn bounds() -> Bounds {
     Bounds {
         status_s: 5,
         ..Bounds::default()
     }
 }
 
-pub fn route(name: &str, backend: &str, priority: u32) -> Route {
+pub(crate) fn route(name: &str, backend: &str, priority: u32) -> Route {
     Route {
         name: name.to_owned(),
         host: "h".to_owned(),
@@ -28,7 +28,7 @@
     }
 }
 
-pub fn config() -> Config {
+pub(crate) fn config() -> Config {
     let service = |name: &str| Service {
         name: name.to_owned(),
         ..Service::default()
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn resources(cpu: u64, gpu: u64) -> Resources {
+pub(crate) fn resources(cpu: u64, gpu: u64) -> Resources {
     Resources {
         cpu,
         mem_mb: cpu * 2,
@@ -54,7 +54,7 @@
 }
 
 /// `count` tasks of `cpu` thousandths of a core and about `ms`.
-pub fn step(count: u32, cpu: u64, ms: u64) -> Step {
+pub(crate) fn step(count: u32, cpu: u64, ms: u64) -> Step {
     Step {
         count,
         cpu,
@@ -64,7 +64,7 @@
     }
 }
 
-pub fn spec(stages: Vec<Step>) -> JobSpec {
+pub(crate) fn spec(stages: Vec<Step>) -> JobSpec {
     JobSpec {
         spec: "text".to_owned(),
         stages,
@@ -72,7 +72,7 @@
     }
 }
 
-pub fn nodes() -> Vec<Node> {
+pub(crate) fn nodes() -> Vec<Node> {
     let plain = |name: &str, kind: &str, rack: &str| {
         Node::new(name, "s", &[kind, rack], resources(16_000, 0))
     };
@@ -89,7 +89,7 @@
 }
 
 /// The first task of a step, in the first repetition.
-pub fn first_task(job: JobId, step: u32) -> TaskName {
+pub(crate) fn first_task(job: JobId, step: u32) -> TaskName {
     TaskName {
         job,
         repeat: 0,
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The draw: kinds by p_k, three workers sampled, the fewest runs win; bound steps skip the draw.
+//! The draw: kinds by `p_k`, three workers sampled, the fewest runs win; bound steps skip the draw.
 
 mod cluster;
 
--- a/crates/system-tests/src/backoff.rs
+++ b/crates/system-tests/src/backoff.rs
@@ -8,6 +8,6 @@
 const BACKOFF_MAX: Duration = Duration::from_millis(200);
 
 /// Time to wait after attempt number `attempts`, counted from 1.
-pub fn after_attempt(attempts: u32) -> Duration {
+pub(crate) fn after_attempt(attempts: u32) -> Duration {
     (BACKOFF_STEP * attempts).min(BACKOFF_MAX)
 }
--- a/crates/system-tests/src/environment/ended_runs.rs
+++ b/crates/system-tests/src/environment/ended_runs.rs
@@ -18,7 +18,7 @@
 
 /// The ended runs of one instance that have not been acknowledged.
 #[derive(Debug, Default)]
-pub struct EndedRuns {
+pub(super) struct EndedRuns {
     ends: VecDeque<EndedRun>,
     last_number: u64,
     /// Set by the first end after a heartbeat, cleared by the next heartbeat.
@@ -27,7 +27,7 @@
 
 impl EndedRuns {
     /// Reports an end in the heartbeats from now on.
-    pub fn add(&mut self, run: RunName, reason: EndReason, checkpoint: String, now: Moment) {
+    pub(super) fn add(&mut self, run: RunName, reason: EndReason, checkpoint: String, now: Moment) {
         self.last_number += 1;
         self.ends.push_back(EndedRun {
             number: self.last_number,
@@ -40,7 +40,7 @@
     }
 
     /// Drops the ends up to number `acknowledged_end`. Those that came after `last_expiry` of the run lease are returned.
-    pub fn acknowledge(
+    pub(super) fn acknowledge(
         &mut self,
         acknowledged_end: u64,
         last_expiry: Option<Moment>,
@@ -56,12 +56,12 @@
     }
 
     /// When the first end came that no heartbeat has carried yet.
-    pub fn unsent_since(&self) -> Option<Moment> {
+    pub(super) fn unsent_since(&self) -> Option<Moment> {
         self.unsent_since
     }
 
     /// The ends as the next heartbeat carries them.
-    pub fn reports(&mut self) -> Vec<EndReport> {
+    pub(super) fn reports(&mut self) -> Vec<EndReport> {
         self.unsent_since = None;
         let reports = self.ends.iter().take(ENDS_MAX).map(|end| EndReport {
             number: end.number,
--- a/crates/system-tests/src/environment/instance.rs
+++ b/crates/system-tests/src/environment/instance.rs
@@ -40,7 +40,7 @@
 
 /// What happens on an instance by itself.
 #[derive(Clone, Debug)]
-pub enum Due {
+pub(super) enum Due {
     /// A run ends.
     RunEnds(RunName, EndReason),
     /// The run lease expires.
@@ -49,7 +49,7 @@
 
 /// An instance.
 #[derive(Debug)]
-pub struct Instance {
+pub(super) struct Instance {
     setup: WorkerSetup,
     id: String,
     /// False from the instance's end on.
@@ -72,7 +72,7 @@
 
 impl Instance {
     /// A worker that has just started.
-    pub fn new(setup: &WorkerSetup) -> Self {
+    pub(super) fn new(setup: &WorkerSetup) -> Self {
         Instance {
             setup: setup.clone(),
             id: format!("i-{:08x}", random::number() as u32),
@@ -89,7 +89,7 @@
     }
 
     /// What the record keeps of it.
-    pub fn record(&self) -> InstanceRecord {
+    pub(super) fn record(&self) -> InstanceRecord {
         let setup = self.setup.clone();
         InstanceRecord {
             id: self.id.clone(),
@@ -101,18 +101,18 @@
     }
 
     /// Whether it has not ended.
-    pub fn is_up(&self) -> bool {
+    pub(super) fn is_up(&self) -> bool {
         self.up
     }
 
     /// Ends the instance and returns its runs, which end with it.
-    pub fn end(&mut self) -> Vec<Run> {
+    pub(super) fn end(&mut self) -> Vec<Run> {
         self.up = false;
         std::mem::take(&mut self.runs).into_values().collect()
     }
 
     /// The next thing that happens here by itself, and when.
-    pub fn next_due(&self) -> Option<(Moment, Due)> {
+    pub(super) fn next_due(&self) -> Option<(Moment, Due)> {
         let ends = self.runs.values().filter_map(|run| {
             let (at, reason) = run.due()?;
             Some((at, Due::RunEnds(run.name.clone(), reason)))
@@ -125,51 +125,51 @@
     }
 
     /// The run lease has expired; returns the runs that end by it.
-    pub fn expire_lease(&mut self, now: Moment) -> Vec<RunName> {
+    pub(super) fn expire_lease(&mut self, now: Moment) -> Vec<RunName> {
         self.lease_until = None;
         self.last_expiry = Some(now);
         self.runs.keys().cloned().collect()
     }
 
     /// Whether a response with this fencing token is to be followed: it is no lower than any received before.
-    pub fn accepts_fencing_token(&mut self, fencing_token: u64) -> bool {
+    pub(super) fn accepts_fencing_token(&mut self, fencing_token: u64) -> bool {
         let accepted = fencing_token >= self.fencing_token;
         self.fencing_token = self.fencing_token.max(fencing_token);
         accepted
     }
 
     /// Extends the run lease; it is never shortened.
-    pub fn extend_lease(&mut self, sent: Moment, lease: Duration, bounds: &Bounds) {
+    pub(super) fn extend_lease(&mut self, sent: Moment, lease: Duration, bounds: &Bounds) {
         let until = sent + lease.min(bounds.max_run_lease);
         self.lease_until = Some(self.lease_until.map_or(until, |before| before.max(until)));
     }
 
     /// Whether the run lease lasts beyond `now`.
-    pub fn has_lease(&self, now: Moment) -> bool {
+    pub(super) fn has_lease(&self, now: Moment) -> bool {
         self.lease_until.is_some_and(|until| until > now)
     }
 
     /// Whether a start of this run is refused: it was stopped or has ended here, or a higher one was or has.
-    pub fn refuses(&self, run: &RunName) -> bool {
+    pub(super) fn refuses(&self, run: &RunName) -> bool {
         self.barred
             .get(&run.task)
             .is_some_and(|barred| run.attempt <= *barred)
     }
 
     /// Refuses this run, and those below it, from now on.
-    pub fn bar(&mut self, run: &RunName) {
+    pub(super) fn bar(&mut self, run: &RunName) {
         let barred = self.barred.entry(run.task.clone()).or_default();
         *barred = run.attempt.max(*barred);
     }
 
     /// Acknowledges the ends up to a number. Those with no expiry of the run lease since are returned.
-    pub fn acknowledge_ends(&mut self, acknowledged_end: u64) -> Vec<(RunName, EndReason)> {
+    pub(super) fn acknowledge_ends(&mut self, acknowledged_end: u64) -> Vec<(RunName, EndReason)> {
         self.ended_runs
             .acknowledge(acknowledged_end, self.last_expiry)
     }
 
     /// Starts draining; the instance needs `remaining` until it can end.
-    pub fn start_draining(&mut self, remaining: Duration, now: Moment) {
+    pub(super) fn start_draining(&mut self, remaining: Duration, now: Moment) {
         self.drain.get_or_insert(Drain {
             remaining_until: now + remaining,
             acknowledged: None,
@@ -177,7 +177,7 @@
     }
 
     /// A heartbeat with the state `draining` was acknowledged; true for the first.
-    pub fn acknowledge_drain(&mut self, sent_as_draining: bool, now: Moment) -> bool {
+    pub(super) fn acknowledge_drain(&mut self, sent_as_draining: bool, now: Moment) -> bool {
         let Some(drain) = self.drain.as_mut().filter(|_| sent_as_draining) else {
             return false;
         };
@@ -187,19 +187,19 @@
     }
 
     /// Whether it is draining.
-    pub fn is_draining(&self) -> bool {
+    pub(super) fn is_draining(&self) -> bool {
         self.drain.is_some()
     }
 
     /// When it ends, once its draining is acknowledged.
-    pub fn ends_at(&self, bounds: &Bounds) -> Option<Moment> {
+    pub(super) fn ends_at(&self, bounds: &Bounds) -> Option<Moment> {
         let drain = self.drain?;
         let drained = drain.acknowledged? + bounds.drain + DRAIN_MARGIN;
         Some(drain.remaining_until.max(drained))
     }
 
     /// Its id and its heartbeat.
-    pub fn heartbeat(&mut self, now: Moment) -> (String, Heartbeat) {
+    pub(super) fn heartbeat(&mut self, now: Moment) -> (String, Heartbeat) {
         self.seq_no += 1;
         let remaining = self
             .drain
--- a/crates/system-tests/src/environment/run.rs
+++ b/crates/system-tests/src/environment/run.rs
@@ -14,7 +14,7 @@
 
 /// The end a run comes to if neither an order nor a fault ends it before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub(super) enum Fate {
     /// With its work done.
     Done,
     /// Halfway, by failing.
@@ -36,7 +36,7 @@
 
 /// A run that is present on a worker.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub(super) struct Run {
     /// Its name.
     pub name: RunName,
     /// Its step is a gang.
@@ -57,7 +57,7 @@
 
 impl Run {
     /// A run that has just been started, with the checkpoint of its order. A member of a gang waits for the others.
-    pub fn new(
+    pub(super) fn new(
         name: RunName,
         step: &Step,
         fate: Fate,
@@ -85,7 +85,7 @@
     }
 
     /// Begins its work.
-    pub fn begin(&mut self, bounds: &Bounds, now: Moment) {
+    pub(super) fn begin(&mut self, bounds: &Bounds, now: Moment) {
         let before = progress_of(&self.checkpoint);
         let from = if before.is_zero() {
             now
@@ -96,17 +96,17 @@
     }
 
     /// Whether it waits for the other members of its gang.
-    pub fn is_waiting(&self) -> bool {
+    pub(super) fn is_waiting(&self) -> bool {
         matches!(self.phase, Phase::Waiting { .. })
     }
 
     /// Stops it within the bound.
-    pub fn stop(&mut self, bounds: &Bounds, now: Moment) {
+    pub(super) fn stop(&mut self, bounds: &Bounds, now: Moment) {
         self.stop_at.get_or_insert(now + bounds.stop);
     }
 
     /// When and how it ends, as things stand.
-    pub fn due(&self) -> Option<(Moment, EndReason)> {
+    pub(super) fn due(&self) -> Option<(Moment, EndReason)> {
         let own = match self.phase {
             Phase::Waiting { until } => Some((until, EndReason::Alone)),
             Phase::Working { from, before } => match self.fate {
@@ -133,12 +133,12 @@
     }
 
     /// Its progress in percent.
-    pub fn percent(&self, now: Moment) -> u32 {
+    pub(super) fn percent(&self, now: Moment) -> u32 {
         (self.progress(now).as_millis() * 100 / self.work.as_millis().max(1)) as u32
     }
 
     /// Its checkpoint: a new one after each interval of work.
-    pub fn checkpoint(&mut self, now: Moment) -> String {
+    pub(super) fn checkpoint(&mut self, now: Moment) -> String {
         let interval_ms = self.checkpoint_interval.as_millis().max(1);
         let checkpoint_ms = self.progress(now).as_millis() / interval_ms * interval_ms;
         self.update_checkpoint(Duration::from_millis(checkpoint_ms as u64));
@@ -146,7 +146,7 @@
     }
 
     /// Its checkpoint at its end. A stopped run saves all of its progress.
-    pub fn final_checkpoint(&mut self, reason: EndReason, now: Moment) -> String {
+    pub(super) fn final_checkpoint(&mut self, reason: EndReason, now: Moment) -> String {
         if reason == EndReason::Stopped {
             self.update_checkpoint(self.progress(now));
             return self.checkpoint.clone();
@@ -176,7 +176,7 @@
 }
 
 /// Whether a checkpoint was written by this task, or by its gang.
-pub fn is_checkpoint_of(checkpoint: &str, task: &TaskName, gang: bool) -> bool {
+pub(super) fn is_checkpoint_of(checkpoint: &str, task: &TaskName, gang: bool) -> bool {
     checkpoint.get(PROGRESS_DIGITS..) == Some(&format!("{:016x}", owner_tag(task, gang)))
 }
 
--- a/crates/system-tests/src/environment/state.rs
+++ b/crates/system-tests/src/environment/state.rs
@@ -15,7 +15,7 @@
 
 /// All workers' instances and the record.
 #[derive(Debug)]
-pub struct State {
+pub(super) struct State {
     bounds: Bounds,
     instances: Vec<Instance>,
     record: Record,
@@ -34,7 +34,7 @@
 
 impl State {
     /// No workers, no jobs.
-    pub fn new(bounds: Bounds) -> Self {
+    pub(super) fn new(bounds: Bounds) -> Self {
         State {
             bounds,
             instances: Vec::new(),
@@ -45,36 +45,36 @@
     }
 
     /// What has happened.
-    pub fn record(&self) -> &Record {
+    pub(super) fn record(&self) -> &Record {
         &self.record
     }
 
     /// An instance.
-    pub fn instance(&self, instance: InstanceIndex) -> &Instance {
+    pub(super) fn instance(&self, instance: InstanceIndex) -> &Instance {
         &self.instances[instance.0]
     }
 
     /// Adds an event to the record.
-    pub fn push_event(&mut self, at: Moment, event: Event) {
+    pub(super) fn push_event(&mut self, at: Moment, event: Event) {
         self.record.entries.push(Entry { at, event });
     }
 
     /// A client is about to submit a job.
-    pub fn job_sent(&mut self, id: &str, job: &Job, queue: &Queue) {
+    pub(super) fn job_sent(&mut self, id: &str, job: &Job, queue: &Queue) {
         let new = || JobRecord::new(job.clone(), queue.clone());
         let record = self.record.jobs.entry(id.to_owned()).or_insert_with(new);
         record.submissions += 1;
     }
 
     /// Changes the record of a job, if there is one.
-    pub fn change_job(&mut self, id: &str, change: impl FnOnce(&mut JobRecord)) {
+    pub(super) fn change_job(&mut self, id: &str, change: impl FnOnce(&mut JobRecord)) {
         if let Some(job) = self.record.jobs.get_mut(id) {
             change(job);
         }
     }
 
     /// A client was shown a job's state.
-    pub fn job_shown(
+    pub(super) fn job_shown(
         &mut self,
         id: &str,
         requested_at: Moment,
@@ -90,7 +90,7 @@
     }
 
     /// An instance of a worker starts.
-    pub fn start_instance(&mut self, setup: &WorkerSetup, now: Moment) -> InstanceIndex {
+    pub(super) fn start_instance(&mut self, setup: &WorkerSetup, now: Moment) -> InstanceIndex {
         let (index, instance) = (InstanceIndex(self.instances.len()), Instance::new(setup));
         self.record.instances.push(instance.record());
         self.instances.push(instance);
@@ -99,7 +99,7 @@
     }
 
     /// An instance of a worker ends.
-    pub fn end_instance(&mut self, instance: InstanceIndex, now: Moment) {
+    pub(super) fn end_instance(&mut self, instance: InstanceIndex, now: Moment) {
         if !self.instances[instance.0].is_up() {
             return;
         }
@@ -111,12 +111,12 @@
     }
 
     /// An instance starts draining.
-    pub fn drain(&mut self, instance: InstanceIndex, remaining: Duration, now: Moment) {
+    pub(super) fn drain(&mut self, instance: InstanceIndex, remaining: Duration, now: Moment) {
         self.instances[instance.0].start_draining(remaining, now);
     }
 
     /// An instance's id and heartbeat; `None` once it has ended.
-    pub fn heartbeat(
+    pub(super) fn heartbeat(
         &mut self,
         instance: InstanceIndex,
         now: Moment,
@@ -132,12 +132,12 @@
     }
 
     /// The next moment at which something happens by itself.
-    pub fn next_due(&self) -> Option<Moment> {
+    pub(super) fn next_due(&self) -> Option<Moment> {
         self.earliest().map(|event| event.at)
     }
 
     /// Handles all that has come due by `now`, in order.
-    pub fn advance(&mut self, now: Moment) {
+    pub(super) fn advance(&mut self, now: Moment) {
         while let Some(event) = self.earliest().filter(|event| event.at <= now) {
             let DueEvent { at, instance, due } = event;
             match due {
--- a/crates/system-tests/src/environment/state/orders.rs
+++ b/crates/system-tests/src/environment/state/orders.rs
@@ -12,7 +12,7 @@
 
 impl State {
     /// The response to a heartbeat that was sent at `sent`.
-    pub fn handle_heartbeat_response(
+    pub(crate) fn handle_heartbeat_response(
         &mut self,
         index: InstanceIndex,
         sent: Moment,
--- a/crates/system-tests/tests/chaos_support/faults.rs
+++ b/crates/system-tests/tests/chaos_support/faults.rs
@@ -60,7 +60,7 @@
 ];
 
 /// Injects faults and keeps which of them are not repaired.
-pub struct FaultInjector {
+pub(super) struct FaultInjector {
     random: SeededRandom,
     /// Machines whose process has ended.
     down: Vec<MachineId>,
@@ -73,7 +73,7 @@
 
 impl FaultInjector {
     /// No fault has been injected yet.
-    pub fn new(random: SeededRandom) -> Self {
+    pub(super) fn new(random: SeededRandom) -> Self {
         FaultInjector {
             random,
             down: Vec::new(),
@@ -84,7 +84,7 @@
     }
 
     /// Injects the next fault, and waits until some jobs have been accepted.
-    pub fn next(&mut self, cluster: &mut Cluster) {
+    pub(super) fn next(&mut self, cluster: &mut Cluster) {
         // Before every second fault, on average, the earlier ones are repaired.
         if self.random.below(2) == 0 {
             self.repair(cluster);
@@ -103,7 +103,7 @@
     }
 
     /// Repairs all faults and waits until the edges are ready.
-    pub fn repair_all(&mut self, cluster: &mut Cluster) {
+    pub(super) fn repair_all(&mut self, cluster: &mut Cluster) {
         self.repair(cluster);
         cluster.wait_ready();
     }
--- a/crates/system-tests/tests/chaos_support/jobs.rs
+++ b/crates/system-tests/tests/chaos_support/jobs.rs
@@ -13,7 +13,7 @@
 const OPEN_MAX: usize = 10;
 
 /// Submits jobs, and cancels some, until `stopping` is set.
-pub fn submit_until(
+pub(super) fn submit_until(
     stopping: &AtomicBool,
     client: &Client,
     configuration: &Configuration,
--- a/crates/system-tests/tests/chaos_support/mod.rs
+++ b/crates/system-tests/tests/chaos_support/mod.rs
@@ -18,7 +18,7 @@
 const FAULT_COUNT: usize = 12;
 
 /// Runs a seed; panics if a rule was broken or an accepted job has not ended.
-pub fn run_seed(programs: Programs, seed: u64) {
+pub(crate) fn run_seed(programs: Programs, seed: u64) {
     let mut cluster = Cluster::start(
         programs,
         Shape {
--- a/crates/system-tests/tests/chaos_support/seeded_random.rs
+++ b/crates/system-tests/tests/chaos_support/seeded_random.rs
@@ -1,16 +1,16 @@
 //! Numbers that follow from a seed (SplitMix64).
 
 /// A sequence of numbers.
-pub struct SeededRandom(u64);
+pub(super) struct SeededRandom(u64);
 
 impl SeededRandom {
     /// The sequence of this seed.
-    pub fn new(seed: u64) -> Self {
+    pub(super) fn new(seed: u64) -> Self {
         SeededRandom(seed)
     }
 
     /// A number below `bound`.
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub(super) fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -19,7 +19,7 @@
     }
 
     /// One of these.
-    pub fn choose<T: Copy>(&mut self, choices: &[T]) -> T {
+    pub(super) fn choose<T: Copy>(&mut self, choices: &[T]) -> T {
         choices[self.below(choices.len() as u64) as usize]
     }
 }
--- a/crates/system-tests/tests/oracle_support/mod.rs
+++ b/crates/system-tests/tests/oracle_support/mod.rs
@@ -13,20 +13,20 @@
 use std::time::Duration;
 
 /// The id of the fixture's job.
-pub const JOB: &str = "00000000000000aa";
+pub(crate) const JOB: &str = "00000000000000aa";
 /// Longest wait for anything in these tests.
 const TIMEOUT: Duration = Duration::from_secs(5);
 /// Run lease of responses that name none.
 const RUN_LEASE_MS: u64 = 5_000;
 
 /// An environment with one accepted job and two workers.
-pub struct Fixture {
+pub(crate) struct Fixture {
     pub environment: Arc<Environment>,
     pub instances: [InstanceIndex; 2],
 }
 
 /// The queue of all jobs.
-pub fn queue() -> Queue {
+pub(crate) fn queue() -> Queue {
     Configuration::standard(1)
         .queue(QUICK)
         .expect("a queue")
@@ -34,7 +34,7 @@
 }
 
 /// A worker with this number.
-pub fn setup(number: usize) -> WorkerSetup {
+pub(crate) fn setup(number: usize) -> WorkerSetup {
     WorkerSetup {
         name: format!("worker-{number}"),
         service: PLANNING.to_owned(),
@@ -50,12 +50,12 @@
 }
 
 /// Tasks that outlast the test.
-pub fn long(count: u32) -> Step {
+pub(crate) fn long(count: u32) -> Step {
     Step::new(count, 60_000)
 }
 
 /// An order to start the first run of a task, named by repetition, step and index.
-pub fn start_order(
+pub(crate) fn start_order(
     job: &str,
     task: &str,
     attempt: u32,
@@ -72,7 +72,7 @@
 
 impl Fixture {
     /// A fixture whose job is `job`, with short bounds.
-    pub fn new(job: &Job) -> Self {
+    pub(crate) fn new(job: &Job) -> Self {
         let bounds = Bounds {
             gang: Duration::from_millis(200),
             drain: Duration::from_millis(10),
@@ -93,7 +93,7 @@
     }
 
     /// A worker gets this response to a heartbeat of this moment, with a run lease in any case.
-    pub fn respond(&self, worker: usize, response: HeartbeatResponse) {
+    pub(crate) fn respond(&self, worker: usize, response: HeartbeatResponse) {
         let response = HeartbeatResponse {
             run_lease_ms: response.run_lease_ms.or(Some(RUN_LEASE_MS)),
             ..response
@@ -104,7 +104,7 @@
     }
 
     /// A worker gets this start order.
-    pub fn start_by(&self, worker: usize, order: StartOrder) {
+    pub(crate) fn start_by(&self, worker: usize, order: StartOrder) {
         let response = HeartbeatResponse {
             start: vec![order],
             ..HeartbeatResponse::default()
@@ -113,13 +113,13 @@
     }
 
     /// A worker gets an order to start a run as the job says.
-    pub fn start(&self, worker: usize, task: &str, attempt: u32) {
+    pub(crate) fn start(&self, worker: usize, task: &str, attempt: u32) {
         let order = start_order(JOB, task, attempt, &self.spec(), "");
         self.start_by(worker, order);
     }
 
     /// A worker gets an order to stop a run.
-    pub fn stop(&self, worker: usize, task: &str, attempt: u32) {
+    pub(crate) fn stop(&self, worker: usize, task: &str, attempt: u32) {
         let task = format!("{JOB}.{task}");
         let response = HeartbeatResponse {
             stop: vec![StopOrder { task, attempt }],
@@ -129,7 +129,7 @@
     }
 
     /// A worker's ends are acknowledged up to a number.
-    pub fn acknowledge_ends(&self, worker: usize, acknowledged_end: u64) {
+    pub(crate) fn acknowledge_ends(&self, worker: usize, acknowledged_end: u64) {
         let response = HeartbeatResponse {
             acknowledged_end: Some(acknowledged_end),
             ..HeartbeatResponse::default()
@@ -138,24 +138,24 @@
     }
 
     /// A worker's heartbeat.
-    pub fn heartbeat(&self, worker: usize) -> Heartbeat {
+    pub(crate) fn heartbeat(&self, worker: usize) -> Heartbeat {
         let heartbeat = self.environment.heartbeat(self.instances[worker]);
         heartbeat.expect("a heartbeat").1
     }
 
     /// The job's text.
-    pub fn spec(&self) -> String {
+    pub(crate) fn spec(&self) -> String {
         self.environment
             .read(|record| record.jobs[JOB].job.spec.clone())
     }
 
     /// How many of the job's runs have started.
-    pub fn count_starts(&self) -> usize {
+    pub(crate) fn count_starts(&self) -> usize {
         self.environment.read(|record| record.count_starts(JOB))
     }
 
     /// Waits until at least so many of the job's runs have ended for this reason.
-    pub fn wait_ends(&self, reason: EndReason, count: usize) {
+    pub(crate) fn wait_ends(&self, reason: EndReason, count: usize) {
         let ended = self.environment.wait_until("ends", TIMEOUT, |record| {
             (record.count_ends(JOB, reason) >= count).then_some(())
         });
@@ -163,13 +163,13 @@
     }
 
     /// Reasons of all ends of the job's runs, in order.
-    pub fn ends(&self) -> Vec<EndReason> {
+    pub(crate) fn ends(&self) -> Vec<EndReason> {
         self.environment
             .read(|record| record.ends(JOB).map(|end| end.reason).collect())
     }
 
     /// The rules that were broken, in the order of the checks.
-    pub fn broken(&self) -> Vec<Rule> {
+    pub(crate) fn broken(&self) -> Vec<Rule> {
         let (bounds, now) = (self.environment.bounds(), self.environment.now());
         let found = self
             .environment
@@ -178,7 +178,7 @@
     }
 
     /// Waits for so long.
-    pub fn pass(&self, time: Duration) {
+    pub(crate) fn pass(&self, time: Duration) {
         let until = self.environment.now() + time;
         let passed = self.environment.wait_until("time", TIMEOUT, |_| {
             (self.environment.now() > until).then_some(())
