--- a/crates/traffic/benches/import.rs
+++ b/crates/traffic/benches/import.rs
@@ -2,12 +2,12 @@
 
 use divan::counter::{BytesCount, ItemsCount};
 use divan::{Bencher, black_box};
+use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::detect::Kind;
-use indigofold_traffic::har::{self, Piece, Splitter};
+use indigofold_traffic::har::{self, Element, Splitter};
 use indigofold_traffic::import::{Options, import};
-use indigofold_traffic::line::LineFormat;
-use indigofold_traffic::mapping::{Interned, Mapping};
-use indigofold_traffic::stamp::Reader;
+use indigofold_traffic::mapping::{Mapping, NameInterner};
+use indigofold_traffic::timestamp::Reader;
 use jiff::tz::TimeZone;
 use std::io::Write;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     divan::main();
 }
 
-const LINES: usize = 20_000;
+const RECORDS: usize = 20_000;
 const MAPPING: &str = r#"{"version":1,"networks":{"real":["10.0.0.0/8"]},"parish":[{"from":"network"}],
     "class":[{"from":{"segment":0}}],"subject":[{"from":{"segment":1}}],"deadline-of":{"reserve-stock":5000}}"#;
 const JSON: &str = r#"{"time":"/ts","time-form":"seconds","target":"/path","method":"/method","status":"/status","took":"/took",
@@ -24,7 +24,7 @@
 
 fn text(format: &str) -> String {
     let mut out = String::new();
-    for n in 0..LINES {
+    for n in 0..RECORDS {
         let (s, kit, ip) = (n / 300, n % 977, n % 250);
         let (m, s) = (s / 60, s % 60);
         let line = match format {
@@ -67,10 +67,10 @@
     }
 }
 
-fn line_format(name: &str) -> LineFormat {
+fn line_format(name: &str) -> LogFormat {
     match name {
-        "json" => LineFormat::Json(Box::new(serde_json::from_str(JSON).expect("fields"))),
-        name => LineFormat::named(name).expect("a format"),
+        "json" => LogFormat::Json(Box::new(serde_json::from_str(JSON).expect("fields"))),
+        name => LogFormat::named(name).expect("a format"),
     }
 }
 
@@ -80,11 +80,11 @@
     let (text, format) = (text(name), line_format(name));
     bencher
         .counter(BytesCount::new(text.len()))
-        .counter(ItemsCount::new(LINES))
+        .counter(ItemsCount::new(RECORDS))
         .bench_local(|| {
-            let mut stamps = Reader::new(TimeZone::UTC);
+            let mut timestamps = Reader::new(TimeZone::UTC);
             text.lines()
-                .filter(|line| black_box(format.read(line, &mut stamps)).is_ok())
+                .filter(|line| black_box(format.read(line, &mut timestamps)).is_ok())
                 .count()
         });
 }
@@ -95,14 +95,14 @@
     let text = text("har");
     bencher
         .counter(BytesCount::new(text.len()))
-        .counter(ItemsCount::new(LINES))
+        .counter(ItemsCount::new(RECORDS))
         .bench_local(|| {
-            let (mut splitter, mut stamps, mut good) =
+            let (mut splitter, mut timestamps, mut good) =
                 (Splitter::default(), Reader::new(TimeZone::UTC), 0);
-            for piece in text.as_bytes().chunks(64 * 1024) {
-                splitter.push(piece, |piece| {
-                    if let Piece::Entry(text) = piece {
-                        good += usize::from(black_box(har::read(text, &mut stamps)).is_ok());
+            for chunk in text.as_bytes().chunks(64 * 1024) {
+                splitter.push(chunk, |element| {
+                    if let Element::Entry(text) = element {
+                        good += usize::from(black_box(har::read(text, &mut timestamps)).is_ok());
                     }
                 });
             }
@@ -112,25 +112,25 @@
 
 /// Records to what they mean.
 #[divan::bench]
-fn meaning(bencher: Bencher<'_, '_>) {
+fn map_record(bencher: Bencher<'_, '_>) {
     let (text, format) = (text("combined"), line_format("combined"));
     let mapping = Mapping::read(MAPPING).expect("a mapping");
-    let mut stamps = Reader::new(TimeZone::UTC);
+    let mut timestamps = Reader::new(TimeZone::UTC);
     let raws: Vec<_> = text
         .lines()
-        .filter_map(|line| format.read(line, &mut stamps).ok())
+        .filter_map(|line| format.read(line, &mut timestamps).ok())
         .collect();
-    bencher.counter(ItemsCount::new(LINES)).bench_local(|| {
-        let mut names = Interned::default();
+    bencher.counter(ItemsCount::new(RECORDS)).bench_local(|| {
+        let mut names = NameInterner::default();
         raws.iter()
-            .filter(|raw| black_box(mapping.meaning(raw, &mut names)).is_ok())
+            .filter(|raw| black_box(mapping.map_record(raw, &mut names)).is_ok())
             .count()
     });
 }
 
 /// The whole way from a file to a recording that is not kept.
 #[divan::bench(args = ["common", "combined", "nginx", "envoy", "json", "har"])]
-fn whole_import(bencher: Bencher<'_, '_>, name: &str) {
+fn full_import(bencher: Bencher<'_, '_>, name: &str) {
     let text = text(name);
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(text.as_bytes()).expect("written");
@@ -149,7 +149,7 @@
     let paths = [file.path().to_path_buf()];
     bencher
         .counter(BytesCount::new(text.len()))
-        .counter(ItemsCount::new(LINES))
+        .counter(ItemsCount::new(RECORDS))
         .bench_local(|| {
             import(&paths, &options, std::io::sink(), &Arc::default())
                 .expect("a recording")
--- a/crates/traffic/src/line/mod.rs
+++ b/crates/traffic/src/access_log.rs
@@ -1,4 +1,4 @@
-//! One line of an access log to one [`Raw`] record, by a format that was compiled once.
+//! One line of an access log to one [`RawRecord`] record, by a format that was compiled once.
 
 pub mod apache;
 pub mod envoy;
@@ -6,9 +6,9 @@
 pub mod nginx;
 pub mod template;
 
-use crate::raw::Raw;
-use crate::stamp::Reader;
+use crate::raw::RawRecord;
 use crate::tally::Reason;
+use crate::timestamp::Reader;
 use template::Template;
 
 /// The Common Log Format.
@@ -31,14 +31,14 @@
 
 /// A format of lines.
 #[derive(Clone, Debug)]
-pub enum LineFormat {
+pub enum LogFormat {
     /// Text of fields between literals.
     Text(Template),
     /// JSON objects, one a line.
     Json(Box<json::Fields>),
 }
 
-impl LineFormat {
+impl LogFormat {
     /// The format of this name: `common`, `combined`, `nginx` or `envoy`, or a format string as its server is given it,
     /// behind `apache:`, `nginx:` or `envoy:`.
     ///
@@ -62,17 +62,21 @@
                 }
             },
         };
-        Ok(LineFormat::Text(template))
+        Ok(LogFormat::Text(template))
     }
 
     /// Reads one line, without its end.
     ///
     /// # Errors
     /// Why it is none of this format.
-    pub fn read<'a>(&'a self, line: &'a str, stamps: &mut Reader) -> Result<Raw<'a>, Reason> {
+    pub fn read<'a>(
+        &'a self,
+        line: &'a str,
+        timestamps: &mut Reader,
+    ) -> Result<RawRecord<'a>, Reason> {
         match self {
-            LineFormat::Text(template) => template.read(line, stamps),
-            LineFormat::Json(fields) => fields.read(line, stamps),
+            LogFormat::Text(template) => template.read(line, timestamps),
+            LogFormat::Json(fields) => fields.read(line, timestamps),
         }
     }
 }
--- a/crates/traffic/src/line/apache.rs
+++ b/crates/traffic/src/access_log/apache.rs
@@ -1,24 +1,24 @@
 //! Apache's `LogFormat` strings (mod_log_config).
 
 use super::template::{Builder, Escapes, Field, Template};
-use crate::stamp::Form;
+use crate::timestamp::TimeFormat;
 
 /// Compiles a `LogFormat` string. Apache logs when a request began, unless the format says otherwise.
 ///
 /// # Errors
 /// What in it is not understood.
 pub fn compile(format: &str) -> Result<Template, String> {
-    let (mut parts, mut end) = (Builder::default(), false);
+    let (mut builder, mut end) = (Builder::default(), false);
     let mut rest = format;
     while let Some(at) = rest.find(['%', '\\']) {
-        parts.literal(&rest[..at]);
-        let (mark, after) = (rest.as_bytes()[at], &rest[at + 1..]);
-        if mark == b'\\' {
+        builder.literal(&rest[..at]);
+        let (introducer, after) = (rest.as_bytes()[at], &rest[at + 1..]);
+        if introducer == b'\\' {
             let escaped = after
                 .chars()
                 .next()
                 .ok_or("the format ends in a backslash")?;
-            parts.literal(&match escaped {
+            builder.literal(&match escaped {
                 'n' => "\n".to_string(),
                 't' => "\t".to_string(),
                 other => other.to_string(),
@@ -39,23 +39,23 @@
             None => (None, body),
         };
         let body = body.trim_start_matches(['<', '>']);
-        let letter = body.chars().next().ok_or("the format ends in '%'")?;
+        let directive = body.chars().next().ok_or("the format ends in '%'")?;
         // `%^ti` and `%^to` are trailers.
-        if letter == '^' {
+        if directive == '^' {
             rest = body.get(3..).ok_or("the format ends in '%^'")?;
-            parts.field(Field::Skip);
+            builder.field(Field::Skip);
             continue;
         }
-        rest = &body[letter.len_utf8()..];
-        let field = match (letter, argument) {
+        rest = &body[directive.len_utf8()..];
+        let field = match (directive, argument) {
             ('%', _) => {
-                parts.literal("%");
+                builder.literal("%");
                 continue;
             }
             ('t', None) => {
-                parts.literal("[");
-                parts.field(Field::Time(Form::Clf));
-                parts.literal("]");
+                builder.literal("[");
+                builder.field(Field::Time(TimeFormat::Clf));
+                builder.literal("]");
                 continue;
             }
             ('t', Some(argument)) => {
@@ -66,13 +66,13 @@
                 };
                 end |= of_end;
                 match pattern {
-                    "" => Field::Time(Form::Clf),
-                    "sec" => Field::Time(Form::Seconds),
-                    "msec" => Field::Time(Form::Millis),
-                    "usec" => Field::Time(Form::Micros),
+                    "" => Field::Time(TimeFormat::Clf),
+                    "sec" => Field::Time(TimeFormat::Seconds),
+                    "msec" => Field::Time(TimeFormat::Millis),
+                    "usec" => Field::Time(TimeFormat::Micros),
                     "msec_frac" => Field::Fraction(3),
                     "usec_frac" => Field::Fraction(6),
-                    pattern => Field::Time(Form::Pattern(pattern.into())),
+                    pattern => Field::Time(TimeFormat::Pattern(pattern.into())),
                 }
             }
             ('h', _) => Field::Peer,
@@ -95,10 +95,14 @@
                 | 'p' | 'P' | 'R' | 'S' | 'v' | 'V' | 'X',
                 _,
             ) => Field::Skip,
-            (letter, _) => return Err(format!("%{letter} is no directive of Apache's LogFormat")),
+            (directive, _) => {
+                return Err(format!(
+                    "%{directive} is no directive of Apache's LogFormat"
+                ));
+            }
         };
-        parts.field(field);
+        builder.field(field);
     }
-    parts.literal(rest);
-    parts.done(Escapes::Backslash, end)
+    builder.literal(rest);
+    builder.done(Escapes::Backslash, end)
 }
--- a/crates/traffic/src/line/envoy.rs
+++ b/crates/traffic/src/access_log/envoy.rs
@@ -1,20 +1,20 @@
 //! Envoy's access log format strings.
 
 use super::template::{Builder, Escapes, Field, Template};
-use crate::stamp::Form;
+use crate::timestamp::TimeFormat;
 
 /// Compiles a format string. `START_TIME` is when the request began.
 ///
 /// # Errors
 /// What in it is not understood.
 pub fn compile(format: &str) -> Result<Template, String> {
-    let mut parts = Builder::default();
+    let mut builder = Builder::default();
     let mut rest = format.trim_end_matches('\n');
     while let Some(at) = rest.find('%') {
-        parts.literal(&rest[..at]);
+        builder.literal(&rest[..at]);
         let after = &rest[at + 1..];
         if let Some(behind) = after.strip_prefix('%') {
-            parts.literal("%");
+            builder.literal("%");
             rest = behind;
             continue;
         }
@@ -36,24 +36,24 @@
             .find('%')
             .ok_or_else(|| format!("'%{name}' in the format is never closed"))?;
         rest = &tail[close + 1..];
-        parts.field(field(name, argument)?);
+        builder.field(field(name, argument)?);
     }
-    parts.literal(rest);
-    parts.done(Escapes::None, false)
+    builder.literal(rest);
+    builder.done(Escapes::None, false)
 }
 
 fn field(name: &str, argument: Option<&str>) -> Result<Field, String> {
     Ok(match (name, argument) {
-        ("START_TIME", None) => Field::Time(Form::Iso),
-        ("START_TIME", Some("%s")) => Field::Time(Form::Seconds),
-        ("START_TIME", Some("%s.%3f" | "%s.%6f" | "%s.%9f")) => Field::Time(Form::Seconds),
+        ("START_TIME", None) => Field::Time(TimeFormat::Iso),
+        ("START_TIME", Some("%s")) => Field::Time(TimeFormat::Seconds),
+        ("START_TIME", Some("%s.%3f" | "%s.%6f" | "%s.%9f")) => Field::Time(TimeFormat::Seconds),
         // Envoy writes a fraction as %3f, where the reader knows %.3f with the dot before it.
         ("START_TIME", Some(pattern)) => {
             let mut pattern = pattern.to_string();
             for digits in ["3", "6", "9"] {
                 pattern = pattern.replace(&format!(".%{digits}f"), &format!("%.{digits}f"));
             }
-            Field::Time(Form::Pattern(pattern))
+            Field::Time(TimeFormat::Pattern(pattern))
         }
         ("REQ", Some(header)) => {
             let first = header.split('?').next().unwrap_or("");
--- a/crates/traffic/src/line/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -1,9 +1,9 @@
 //! JSON lines, by a map of fields.
 
 use super::template::duration;
-use crate::raw::Raw;
-use crate::stamp::{Form, Reader};
+use crate::raw::RawRecord;
 use crate::tally::Reason;
+use crate::timestamp::{Reader, TimeFormat};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -82,7 +82,11 @@
     ///
     /// # Errors
     /// Why it cannot be read.
-    pub fn read<'a>(&self, line: &'a str, stamps: &mut Reader) -> Result<Raw<'a>, Reason> {
+    pub fn read<'a>(
+        &self,
+        line: &'a str,
+        timestamps: &mut Reader,
+    ) -> Result<RawRecord<'a>, Reason> {
         let value: Value = serde_json::from_str(line).map_err(|_| Reason::Malformed)?;
         if !value.is_object() {
             return Err(Reason::Malformed);
@@ -94,16 +98,16 @@
         };
         let of = |pointer: &Option<String>| pointer.as_deref().and_then(text);
         let form = match &self.time_form {
-            TimeForm::Iso => Form::Iso,
-            TimeForm::Clf => Form::Clf,
-            TimeForm::Seconds => Form::Seconds,
-            TimeForm::Millis => Form::Millis,
-            TimeForm::Micros => Form::Micros,
-            TimeForm::Pattern(pattern) => Form::Pattern(pattern.clone()),
+            TimeForm::Iso => TimeFormat::Iso,
+            TimeForm::Clf => TimeFormat::Clf,
+            TimeForm::Seconds => TimeFormat::Seconds,
+            TimeForm::Millis => TimeFormat::Millis,
+            TimeForm::Micros => TimeFormat::Micros,
+            TimeForm::Pattern(pattern) => TimeFormat::Pattern(pattern.clone()),
         };
         let time = text(&self.time).ok_or(Reason::NoTime)?;
-        let mut stamp = stamps.read(&form, &time).map_err(|_| Reason::BadTime)?;
-        stamp.end = self.time_is_end;
+        let mut time = timestamps.read(&form, &time).map_err(|_| Reason::BadTime)?;
+        time.end = self.time_is_end;
         let status = match of(&self.status).as_deref() {
             None | Some("0") => None,
             Some(text) => match text.parse::<u16>() {
@@ -116,10 +120,10 @@
             Unit::Ms => 1_000,
             Unit::Us => 1,
         };
-        let mut raw = Raw {
-            stamp: Some(stamp),
+        let mut raw = RawRecord {
+            time: Some(time),
             status,
-            ..Raw::default()
+            ..RawRecord::default()
         };
         raw.target = Some(Cow::Owned(text(&self.target).ok_or(Reason::BadRequest)?));
         raw.method = of(&self.method).map(Cow::Owned);
--- a/crates/traffic/src/line/nginx.rs
+++ b/crates/traffic/src/access_log/nginx.rs
@@ -1,17 +1,17 @@
 //! nginx's `log_format` strings.
 
 use super::template::{Builder, Escapes, Field, Template};
-use crate::stamp::Form;
+use crate::timestamp::TimeFormat;
 
 /// Compiles a `log_format` string. nginx logs a request, and reads the clock for it, when the request ends.
 ///
 /// # Errors
 /// What in it is not understood.
 pub fn compile(format: &str) -> Result<Template, String> {
-    let mut parts = Builder::default();
+    let mut builder = Builder::default();
     let mut rest = format;
     while let Some(at) = rest.find('$') {
-        parts.literal(&rest[..at]);
+        builder.literal(&rest[..at]);
         let after = &rest[at + 1..];
         let name = |c: char| c.is_ascii_alphanumeric() || c == '_';
         let variable = match after.strip_prefix('{') {
@@ -33,10 +33,10 @@
                 "'${variable}' is no variable: letters, digits and '_' are allowed"
             ));
         }
-        parts.field(field(variable));
+        builder.field(field(variable));
     }
-    parts.literal(rest);
-    parts.done(Escapes::Backslash, true)
+    builder.literal(rest);
+    builder.done(Escapes::Backslash, true)
 }
 
 /// What a variable says. Modules add variables of their own: one that is not known is passed over.
@@ -44,9 +44,9 @@
     match variable {
         "remote_addr" | "realip_remote_addr" => Field::Peer,
         "remote_user" => Field::User,
-        "time_local" => Field::Time(Form::Clf),
-        "time_iso8601" => Field::Time(Form::Iso),
-        "msec" => Field::Time(Form::Seconds),
+        "time_local" => Field::Time(TimeFormat::Clf),
+        "time_iso8601" => Field::Time(TimeFormat::Iso),
+        "msec" => Field::Time(TimeFormat::Seconds),
         "request" => Field::Request,
         "request_method" => Field::Method,
         "request_uri" | "uri" | "document_uri" => Field::Target,
--- a/crates/traffic/src/line/template.rs
+++ b/crates/traffic/src/access_log/template.rs
@@ -1,9 +1,9 @@
 //! Fields between literals: what Apache's, nginx's and Envoy's format strings all come down to.
 
 use crate::job::Micros;
-use crate::raw::Raw;
-use crate::stamp::{Form, Reader};
+use crate::raw::RawRecord;
 use crate::tally::Reason;
+use crate::timestamp::{Reader, TimeFormat};
 use memchr::{memchr, memmem};
 use std::borrow::Cow;
 
@@ -17,7 +17,7 @@
     /// The authenticated user.
     User,
     /// A time.
-    Time(Form),
+    Time(TimeFormat),
     /// The part of a second, in this many decimals, that goes with a time elsewhere in the line.
     Fraction(u32),
     /// Method, target and version.
@@ -48,7 +48,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Part {
+enum Segment {
     Literal(Vec<u8>),
     Field(Field),
 }
@@ -56,7 +56,7 @@
 /// A compiled format.
 #[derive(Clone, Debug)]
 pub struct Template {
-    parts: Vec<Part>,
+    segments: Vec<Segment>,
     escapes: Escapes,
     /// Stamps are of the request's end.
     end: bool,
@@ -65,21 +65,21 @@
 /// A template in the making.
 #[derive(Default)]
 pub struct Builder {
-    parts: Vec<Part>,
+    segments: Vec<Segment>,
 }
 
 impl Builder {
     /// Adds text that stands there as it is.
     pub fn literal(&mut self, text: &str) {
-        match self.parts.last_mut() {
-            Some(Part::Literal(bytes)) => bytes.extend(text.bytes()),
-            _ => self.parts.push(Part::Literal(text.into())),
+        match self.segments.last_mut() {
+            Some(Segment::Literal(bytes)) => bytes.extend(text.bytes()),
+            _ => self.segments.push(Segment::Literal(text.into())),
         }
     }
 
     /// Adds a field.
     pub fn field(&mut self, field: Field) {
-        self.parts.push(Part::Field(field));
+        self.segments.push(Segment::Field(field));
     }
 
     /// The template.
@@ -87,26 +87,26 @@
     /// # Errors
     /// Two fields with nothing between them, of which none can be told from the other; no time; no request.
     pub fn done(mut self, escapes: Escapes, end: bool) -> Result<Template, String> {
-        self.parts
-            .retain(|p| !matches!(p, Part::Literal(text) if text.is_empty()));
-        let fields = |p: &Part| matches!(p, Part::Field(_));
+        self.segments
+            .retain(|p| !matches!(p, Segment::Literal(text) if text.is_empty()));
+        let fields = |p: &Segment| matches!(p, Segment::Field(_));
         // Some texts are empty more often than not, and stand right behind another: path and query are one.
-        let joined = |pair: &[Part]| {
+        let joined = |pair: &[Segment]| {
             matches!(
                 pair,
-                [Part::Field(Field::Target), Part::Field(Field::Query)]
+                [Segment::Field(Field::Target), Segment::Field(Field::Query)]
             )
         };
-        while let Some(n) = self.parts.windows(2).position(joined) {
-            self.parts.remove(n + 1);
+        while let Some(n) = self.segments.windows(2).position(joined) {
+            self.segments.remove(n + 1);
         }
-        if self.parts.windows(2).any(|pair| pair.iter().all(fields)) {
+        if self.segments.windows(2).any(|pair| pair.iter().all(fields)) {
             return Err("two fields stand side by side with no text between them".into());
         }
         let has = |wanted: &dyn Fn(&Field) -> bool| {
-            self.parts
+            self.segments
                 .iter()
-                .any(|p| matches!(p, Part::Field(f) if wanted(f)))
+                .any(|p| matches!(p, Segment::Field(f) if wanted(f)))
         };
         if !has(&|f| matches!(f, Field::Time(_))) {
             return Err("the format has no time".into());
@@ -115,7 +115,7 @@
             return Err("the format has no request".into());
         }
         Ok(Template {
-            parts: self.parts,
+            segments: self.segments,
             escapes,
             end,
         })
@@ -153,22 +153,26 @@
     ///
     /// # Errors
     /// Why it is none of this format.
-    pub fn read<'a>(&'a self, line: &'a str, stamps: &mut Reader) -> Result<Raw<'a>, Reason> {
-        let (mut raw, mut at, bytes) = (Raw::default(), 0, line.as_bytes());
+    pub fn read<'a>(
+        &'a self,
+        line: &'a str,
+        timestamps: &mut Reader,
+    ) -> Result<RawRecord<'a>, Reason> {
+        let (mut raw, mut at, bytes) = (RawRecord::default(), 0, line.as_bytes());
         let (mut before, mut fraction): (&[u8], Option<(Micros, Micros)>) = (&[], None);
-        for (n, part) in self.parts.iter().enumerate() {
-            match part {
-                Part::Literal(text) => {
+        for (n, segment) in self.segments.iter().enumerate() {
+            match segment {
+                Segment::Literal(text) => {
                     if !bytes[at..].starts_with(text) {
                         return Err(Reason::Malformed);
                     }
                     at += text.len();
                     before = text;
                 }
-                Part::Field(field) => {
+                Segment::Field(field) => {
                     let rest = &bytes[at..];
-                    let end = match self.parts.get(n + 1) {
-                        Some(Part::Literal(next)) => {
+                    let end = match self.segments.get(n + 1) {
+                        Some(Segment::Literal(next)) => {
                             let quoted =
                                 before.last() == Some(&b'"') && next.first() == Some(&b'"');
                             value_end(rest, next, quoted, self.escapes).ok_or(Reason::Malformed)?
@@ -177,25 +181,25 @@
                     };
                     let value = line.get(at..at + end).ok_or(Reason::Malformed)?;
                     at += end;
-                    self.take(&mut raw, field, value, stamps, &mut fraction)?;
+                    self.take(&mut raw, field, value, timestamps, &mut fraction)?;
                 }
             }
         }
         if at != bytes.len() {
             return Err(Reason::Malformed);
         }
-        if let (Some(stamp), Some((part, within))) = (&mut raw.stamp, fraction) {
-            (stamp.at, stamp.within) = (stamp.at + part, within);
+        if let (Some(time), Some((decimals, within))) = (&mut raw.time, fraction) {
+            (time.at, time.within) = (time.at + decimals, within);
         }
         Ok(raw)
     }
 
     fn take<'a>(
         &self,
-        raw: &mut Raw<'a>,
+        raw: &mut RawRecord<'a>,
         field: &'a Field,
         value: &'a str,
-        stamps: &mut Reader,
+        timestamps: &mut Reader,
         fraction: &mut Option<(Micros, Micros)>,
     ) -> Result<(), Reason> {
         let absent = value == "-" || value.is_empty();
@@ -205,20 +209,20 @@
                 if absent {
                     return Err(Reason::NoTime);
                 }
-                let mut stamp = stamps.read(form, value).map_err(|_| Reason::BadTime)?;
-                stamp.end = self.end;
+                let mut time = timestamps.read(form, value).map_err(|_| Reason::BadTime)?;
+                time.end = self.end;
                 // Of two, the one that tells it more exactly counts.
-                if raw.stamp.is_none_or(|s| stamp.within < s.within) {
-                    raw.stamp = Some(stamp);
+                if raw.time.is_none_or(|s| time.within < s.within) {
+                    raw.time = Some(time);
                 }
             }
             Field::Fraction(digits) => {
                 let unit = 10i64.pow(6u32.saturating_sub(*digits));
-                let part = value
+                let decimals = value
                     .parse::<Micros>()
                     .ok()
                     .filter(|p| (0..1_000_000 / unit).contains(p));
-                *fraction = Some((part.ok_or(Reason::BadTime)? * unit, unit));
+                *fraction = Some((decimals.ok_or(Reason::BadTime)? * unit, unit));
             }
             Field::Request => {
                 if absent {
@@ -227,8 +231,10 @@
                 let text = self.plain(value);
                 // A cut or hostile request line is as the server found it.
                 let (method, target) = match text {
-                    Cow::Borrowed(text) => request_line(text).map(|(m, t)| (m.into(), t.into())),
-                    Cow::Owned(text) => request_line(&text)
+                    Cow::Borrowed(text) => {
+                        parse_request_line(text).map(|(m, t)| (m.into(), t.into()))
+                    }
+                    Cow::Owned(text) => parse_request_line(&text)
                         .map(|(m, t)| (Cow::from(m.to_string()), Cow::from(t.to_string()))),
                 }
                 .ok_or(Reason::BadRequest)?;
@@ -308,16 +314,16 @@
 }
 
 /// Method and target of `METHOD TARGET HTTP/1.1`; the version may be missing, as in HTTP/0.9.
-fn request_line(text: &str) -> Option<(&str, &str)> {
+fn parse_request_line(text: &str) -> Option<(&str, &str)> {
     let (method, rest) = text.split_once(' ')?;
     let target = rest
         .rsplit_once(" HTTP/")
         .map_or(rest, |(target, _)| target)
         .trim();
-    let word = !method.is_empty()
+    let is_token = !method.is_empty()
         && method.len() <= 32
         && method.bytes().all(|b| b.is_ascii_alphabetic() || b == b'-');
-    (word && !target.is_empty()).then_some((method, target))
+    (is_token && !target.is_empty()).then_some((method, target))
 }
 
 /// A duration in units of so many microseconds. nginx lists several, one for each upstream asked: their sum counts.
@@ -330,10 +336,10 @@
     if let Some(value) = one(text) {
         return Some(value);
     }
-    let parts: Vec<Micros> = text
+    let durations: Vec<Micros> = text
         .split([',', ':'])
         .filter(|p| p.trim() != "-")
         .map(one)
         .collect::<Option<_>>()?;
-    (!parts.is_empty()).then(|| parts.iter().sum())
+    (!durations.is_empty()).then(|| durations.iter().sum())
 }
--- a/crates/traffic/src/detect.rs
+++ b/crates/traffic/src/detect.rs
@@ -1,8 +1,8 @@
 //! What a file most likely is, by its beginning.
 
-use crate::line::LineFormat;
+use crate::access_log::LogFormat;
 use crate::recording::FORMAT;
-use crate::stamp::Reader;
+use crate::timestamp::Reader;
 use jiff::tz::TimeZone;
 
 /// What a file holds.
@@ -13,17 +13,17 @@
     /// A recording of this project.
     Recording,
     /// Lines.
-    Lines(LineFormat),
+    Lines(LogFormat),
 }
 
 /// Lines that are tried.
-const LINES: usize = 50;
+const MAX_SAMPLES: usize = 50;
 
 /// Guesses what a file is. JSON lines have no form of their own, and are taken only where their fields are known.
 ///
 /// # Errors
 /// That it cannot be told, and what to do.
-pub fn detect(head: &[u8], json: Option<&crate::line::json::Fields>) -> Result<Kind, String> {
+pub fn detect(head: &[u8], json: Option<&crate::access_log::json::Fields>) -> Result<Kind, String> {
     let text = String::from_utf8_lossy(head);
     let trimmed = text.trim_start();
     let first = trimmed.lines().next().unwrap_or("");
@@ -31,13 +31,13 @@
         return Ok(Kind::Recording);
     }
     if first.starts_with('{') {
-        let whole = serde_json::from_str::<serde_json::Value>(first);
+        let value = serde_json::from_str::<serde_json::Value>(first);
         let is_har = |text: &str| text.contains("\"log\"");
-        return match (whole, json) {
+        return match (value, json) {
             (Ok(value), _) if value.get("log").is_some_and(|log| log.get("entries").is_some()) => {
                 Ok(Kind::Har)
             }
-            (Ok(_), Some(fields)) => Ok(Kind::Lines(LineFormat::Json(Box::new(fields.clone())))),
+            (Ok(_), Some(fields)) => Ok(Kind::Lines(LogFormat::Json(Box::new(fields.clone())))),
             (Err(_), _) if is_har(&trimmed[..trimmed.floor_char_boundary(4096)]) => Ok(Kind::Har),
             _ => {
                 Err("these look like JSON lines: the mapping must say under 'json' where the fields stand"
@@ -45,14 +45,14 @@
             }
         };
     }
-    let mut best: Option<(usize, LineFormat)> = None;
+    let mut best: Option<(usize, LogFormat)> = None;
     for name in ["combined", "common", "nginx", "envoy"] {
-        let format = LineFormat::named(name)?;
-        let mut stamps = Reader::new(TimeZone::UTC);
+        let format = LogFormat::named(name)?;
+        let mut timestamps = Reader::new(TimeZone::UTC);
         let fits = text
             .lines()
-            .take(LINES)
-            .filter(|line| format.read(line, &mut stamps).is_ok())
+            .take(MAX_SAMPLES)
+            .filter(|line| format.read(line, &mut timestamps).is_ok())
             .count();
         if fits > best.as_ref().map_or(0, |b| b.0) {
             best = Some((fits, format));
--- a/crates/traffic/src/document.rs
+++ b/crates/traffic/src/document.rs
@@ -13,7 +13,7 @@
 /// kind of file in errors.
 ///
 /// # Errors
-/// Each thing that is wrong, with its place.
+/// Each thing that is wrong, with its place in the document.
 pub fn read<T: JsonSchema + DeserializeOwned>(what: &str, text: &str) -> Result<T, Vec<String>> {
     let value: Value =
         serde_json::from_str(text).map_err(|e| vec![format!("the {what} is no JSON: {e}")])?;
@@ -22,10 +22,14 @@
     let wrong: Vec<String> = validator
         .iter_errors(&value)
         .map(|e| {
-            let place = e.instance_path().to_string();
+            let pointer = e.instance_path().to_string();
             format!(
                 "at {}: {e}",
-                if place.is_empty() { "the top" } else { &place }
+                if pointer.is_empty() {
+                    "the top"
+                } else {
+                    &pointer
+                }
             )
         })
         .collect();
--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -1,13 +1,13 @@
 //! Client retries become one first try: by key, by mark, and, where there is neither, by who asked for what.
 //!
 //! Tries come in the order in which they were made. A first try stays open until no retry can belong to it any more; jobs
-//! come out in the order of their first tries. How sure a fold is says [`Again::sure`](crate::Again): by key or id, that
+//! come out in the order of their first tries. How sure a fold is says [`Retry::confidence`](crate::Retry): by key or id, that
 //! two clients do not draw the same one. By mark and by guess several jobs may fit; how long clients wait before they come
 //! back is learned from those retries that fit one job alone, and the job whose wait is the likeliest is taken. A guess is
 //! also weighed against another job of that client about the same subject, whose rate is counted as the log goes on.
 
-use crate::job::{Again, How, Job, Micros, done};
-use crate::order::Try;
+use crate::job::{Evidence, Job, Micros, Retry, done};
+use crate::order::Attempt;
 use crate::tally::{Remark, Tally};
 use rustc_hash::{FxHashMap, FxHasher};
 use smallvec::SmallVec;
@@ -15,19 +15,19 @@
 use std::hash::{Hash, Hasher};
 
 /// A key or an id counts for so long after the last try's end.
-const KEYED: Micros = 15_000_000;
+const KEYED_RETRY_WINDOW: Micros = 15_000_000;
 /// A marked retry comes so long after the last try's end, at the latest.
-const MARKED: Micros = 5_000_000;
+const MARKED_RETRY_WINDOW: Micros = 5_000_000;
 /// An answer and the retry that follows it may be logged in the wrong order by so much.
-const SLACK: Micros = 2_000;
+const REORDERING_TOLERANCE: Micros = 2_000;
 /// Where nobody says how long a client waits, it is taken to be this.
-const WAIT: Micros = 10_000_000;
+const DEFAULT_CLIENT_WAIT: Micros = 10_000_000;
 /// Open first tries at the most; beyond that the oldest are closed.
-const OPEN: usize = 100_000;
+const MAX_OPEN_JOBS: usize = 100_000;
 /// How often a try that was not served is followed by a retry, as far as nothing else is known.
-const RETRIED: f64 = 0.7;
+const RETRY_PROBABILITY: f64 = 0.7;
 /// How sure two tries with the same key belong together.
-const SURE: f32 = 0.999;
+const KEY_CONFIDENCE: f32 = 0.999;
 
 /// How retries are known.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
     /// A retry without key or mark comes so long after the end of the try before, at the latest; 0: none is guessed.
     pub guess_within: Micros,
     /// Tries of one job, the first included.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Clients keep the request id.
     pub id_kept: bool,
     /// Clients mark their retries: what has no mark is no retry, unless its key says so.
@@ -86,7 +86,7 @@
     /// Open first tries by key, id, who and what, who alone; the newest last.
     by: [FxHashMap<u64, SmallVec<[u64; 2]>>; 4],
     /// Jobs of one client about one thing.
-    seen: FxHashMap<u64, u32>,
+    jobs_of_client: FxHashMap<u64, u32>,
     began: Option<Micros>,
     now: Micros,
     waits: Waits,
@@ -101,14 +101,14 @@
 impl Folder {
     /// A folder by these rules.
     pub fn new(rules: Rules) -> Self {
-        let (open, by, seen) = Default::default();
+        let (open, by, jobs_of_client) = Default::default();
         let waits = Waits([0.02; Waits::BINS]);
         Folder {
             rules,
             open,
             first: 0,
             by,
-            seen,
+            jobs_of_client,
             began: None,
             now: Micros::MIN,
             waits,
@@ -116,7 +116,7 @@
     }
 
     /// Takes the next try and hands out the jobs that are closed by then.
-    pub fn push(&mut self, t: Try, tally: &mut Tally, mut out: impl FnMut(Job)) {
+    pub fn push(&mut self, t: Attempt, tally: &mut Tally, mut out: impl FnMut(Job)) {
         self.now = self.now.max(t.job.at);
         self.began.get_or_insert(t.job.at);
         let job = &t.job;
@@ -128,14 +128,14 @@
             (job.client != 0 || !job.parish.is_empty())
                 .then(|| mixed((job.client, &job.class, &job.parish, 0u8))),
         ];
-        match self.first_try_of(&t, &keys) {
-            Some((n, how, sure, learn)) => {
+        match self.find_first_attempt(&t, &keys) {
+            Some((n, how, confidence, learn)) => {
                 if learn {
                     let wait = t.job.at - self.open[self.index(n)].ended;
                     self.waits.learn(wait);
                 }
                 tally.folded += 1;
-                self.join(n, &t, how, sure);
+                self.join(n, &t, how, confidence);
             }
             None => {
                 tally.taken += 1;
@@ -157,7 +157,7 @@
     fn end(at: Micros, took: Option<Micros>, deadline: Option<Micros>) -> (Micros, Micros) {
         match took {
             Some(took) => (at + took, at + took),
-            None => (at, at + deadline.unwrap_or(WAIT)),
+            None => (at, at + deadline.unwrap_or(DEFAULT_CLIENT_WAIT)),
         }
     }
 
@@ -166,7 +166,7 @@
         (number - self.first) as usize
     }
 
-    fn begin(&mut self, t: Try, keys: [Option<u64>; 4]) {
+    fn begin(&mut self, t: Attempt, keys: [Option<u64>; 4]) {
         let number = self.first + self.open.len() as u64;
         for (by, key) in self.by.iter_mut().zip(keys) {
             if let Some(key) = key {
@@ -175,11 +175,11 @@
         }
         if let Some(what) = keys[2] {
             // Bounded: what was seen long ago says little of now.
-            if self.seen.len() > 4 * OPEN {
-                self.seen.clear();
+            if self.jobs_of_client.len() > 4 * MAX_OPEN_JOBS {
+                self.jobs_of_client.clear();
                 self.began = Some(self.now);
             }
-            *self.seen.entry(what).or_default() += 1;
+            *self.jobs_of_client.entry(what).or_default() += 1;
         }
         let (ended, end) = Self::end(t.job.at, t.job.took, t.job.deadline);
         let served = done(t.job.status);
@@ -198,15 +198,15 @@
     /// How long after its end a job may still get a retry.
     fn stays(&self, served: bool, keys: &[Option<u64>; 4]) -> Micros {
         match (keys[0].or(keys[1]).is_some(), served) {
-            (true, _) => KEYED,
+            (true, _) => KEYED_RETRY_WINDOW,
             // Its answer may have been logged as sent and not have come.
             (false, true) => 0,
-            (false, false) if self.rules.marks => MARKED,
+            (false, false) if self.rules.marks => MARKED_RETRY_WINDOW,
             (false, false) => self.rules.guess_within.max(2_500_000),
         }
     }
 
-    fn join(&mut self, number: u64, t: &Try, how: How, sure: f32) {
+    fn join(&mut self, number: u64, t: &Attempt, how: Evidence, confidence: f32) {
         let n = self.index(number);
         let (ended, end) = Self::end(
             t.job.at,
@@ -217,36 +217,40 @@
         let stays = self.stays(served, &self.open[n].keys);
         let open = &mut self.open[n];
         let (at, status, took) = (t.job.at, t.job.status, t.job.took);
-        open.job.tries.push(Again {
+        open.job.retries.push(Retry {
             at,
             status,
             took,
-            how,
-            sure,
+            evidence: how,
+            confidence,
         });
         (open.ended, open.end, open.within) = (ended, end, t.within);
         (open.served, open.closes) = (served, end + stays);
     }
 
     /// The job that a try is a retry of, by what, how sure that is, and whether the wait before it is one to learn from.
-    fn first_try_of(&self, t: &Try, keys: &[Option<u64>; 4]) -> Option<(u64, How, f32, bool)> {
+    fn find_first_attempt(
+        &self,
+        t: &Attempt,
+        keys: &[Option<u64>; 4],
+    ) -> Option<(u64, Evidence, f32, bool)> {
         let at = t.job.at;
         let all = |n: usize| {
             let list = keys[n].and_then(|key| self.by[n].get(&key));
             list.into_iter().flatten().rev().copied()
         };
         let open = |number: u64| &self.open[self.index(number)];
-        let more = |o: &Open| (o.job.tries.len() as u32) + 1 < self.rules.tries;
+        let more = |o: &Open| (o.job.retries.len() as u32) + 1 < self.rules.max_attempts;
         // The same key or id: whatever became of the tries before.
         for n in [0, 1] {
             if let Some(number) =
                 all(n).find(|number| open(*number).closes >= at && more(open(*number)))
             {
-                return Some((number, How::Key, SURE, false));
+                return Some((number, Evidence::Key, KEY_CONFIDENCE, false));
             }
         }
         // Ended before this one began, as far as that is known, and not served.
-        let slack = |o: &Open| o.within + t.within + SLACK;
+        let slack = |o: &Open| o.within + t.within + REORDERING_TOLERANCE;
         let failed = |number: &u64, within: Micros| {
             let o = open(*number);
             let differs = o.job.key.is_some() && t.job.key.is_some(); // equal keys were found above
@@ -268,10 +272,11 @@
         };
         if t.marked {
             for n in [2, 3] {
-                let fitting: SmallVec<[u64; 4]> =
-                    all(n).filter(|number| failed(number, MARKED)).collect();
-                if let Some((number, sure, alone)) = likeliest(&fitting) {
-                    return Some((number, How::Marker, sure, alone && n == 2));
+                let fitting: SmallVec<[u64; 4]> = all(n)
+                    .filter(|number| failed(number, MARKED_RETRY_WINDOW))
+                    .collect();
+                if let Some((number, confidence, alone)) = likeliest(&fitting) {
+                    return Some((number, Evidence::Marker, confidence, alone && n == 2));
                 }
             }
             return None;
@@ -282,21 +287,32 @@
         }
         let fitting: SmallVec<[u64; 4]> = all(2).filter(|number| failed(number, within)).collect();
         let (number, among, alone) = likeliest(&fitting)?;
-        let sure = self.likely(keys[2]?, at - open(number).ended);
-        (sure >= 0.5).then_some((number, How::Guess, sure * among, alone && sure > 0.95))
+        let confidence = self.likely(keys[2]?, at - open(number).ended);
+        (confidence >= 0.5).then_some((
+            number,
+            Evidence::Guess,
+            confidence * among,
+            alone && confidence > 0.95,
+        ))
     }
 
     /// How likely a try so long after a failed one is its retry, and not another job about the same.
     fn likely(&self, what: u64, gap: Micros) -> f32 {
-        let known = (self.now - self.began.unwrap_or(self.now)).max(1) as f64;
-        let others = self.seen.get(&what).copied().unwrap_or(1).saturating_sub(1) as f64 + 0.1;
-        let by_chance = 1.0 - (-others / known * gap.max(50_000) as f64).exp();
-        (RETRIED / (RETRIED + by_chance)) as f32
+        let observed_time = (self.now - self.began.unwrap_or(self.now)).max(1) as f64;
+        let others = self
+            .jobs_of_client
+            .get(&what)
+            .copied()
+            .unwrap_or(1)
+            .saturating_sub(1) as f64
+            + 0.1;
+        let by_chance = 1.0 - (-others / observed_time * gap.max(50_000) as f64).exp();
+        (RETRY_PROBABILITY / (RETRY_PROBABILITY + by_chance)) as f32
     }
 
     fn close(&mut self, all: bool, out: &mut impl FnMut(Job)) {
         while let Some(first) = self.open.front() {
-            if !all && first.closes >= self.now && self.open.len() <= OPEN {
+            if !all && first.closes >= self.now && self.open.len() <= MAX_OPEN_JOBS {
                 break;
             }
             let Some(open) = self.open.pop_front() else {
--- a/crates/traffic/src/har.rs
+++ b/crates/traffic/src/har.rs
@@ -4,22 +4,22 @@
 //! texts (bodies) only the beginning is kept, so that memory is bounded whatever the document holds.
 
 use crate::job::Micros;
-use crate::raw::Raw;
-use crate::stamp::{Form, Reader};
+use crate::raw::RawRecord;
 use crate::tally::Reason;
+use crate::timestamp::{Reader, TimeFormat};
 use serde::Deserialize;
 use std::borrow::Cow;
 
 /// What is kept of a text in an entry, in bytes.
-const TEXT: usize = 8 * 1024;
+const MAX_TEXT_BYTES: usize = 8 * 1024;
 /// The longest entry once its texts are cut.
-pub const ENTRY: usize = 1 << 20;
+pub const MAX_ENTRY_BYTES: usize = 1 << 20;
 /// Brackets that may stand within each other in an entry.
-const DEPTH: u32 = 64;
+const MAX_DEPTH: u32 = 64;
 
 /// Where in the document the splitter is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum ParserState {
     /// Before the `[` of `log.entries`.
     Before,
     /// Between two entries.
@@ -32,7 +32,7 @@
 
 /// An element of the array `log.entries`.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece<'a> {
+pub enum Element<'a> {
     /// Its whole text, long texts in it cut.
     Entry(&'a [u8]),
     /// It is too long or too deep; its beginning.
@@ -42,17 +42,17 @@
 /// Finds the entries in a document that comes in pieces.
 #[derive(Debug)]
 pub struct Splitter {
-    place: Place,
+    state: ParserState,
     depth: u32,
     quoted: bool,
     escaped: bool,
-    hex: u8,   // digits of an escape still to come
-    cut: bool, // the rest of this text is left out
+    hex: u8,         // digits of an escape still to come
+    truncated: bool, // the rest of this text is left out
     /// Keys of the open objects, as far as they are needed: those at depth 1 and 2.
     keys: [Vec<u8>; 2],
     /// The text being read, while looking for the array; then whether it was a key is known by the `:` behind it.
     text: Vec<u8>,
-    texts: usize, // bytes of the text being read in an entry
+    text_bytes: usize, // bytes of the text being read in an entry
     entry: Vec<u8>,
     too_long: bool,
 }
@@ -61,15 +61,15 @@
     fn default() -> Self {
         let (keys, text, entry) = Default::default();
         Splitter {
-            place: Place::Before,
+            state: ParserState::Before,
             depth: 0,
             quoted: false,
             escaped: false,
             hex: 0,
-            cut: false,
+            truncated: false,
             keys,
             text,
-            texts: 0,
+            text_bytes: 0,
             entry,
             too_long: false,
         }
@@ -78,11 +78,11 @@
 
 impl Splitter {
     /// Takes a piece of the document and hands out the entries that end in it.
-    pub fn push(&mut self, bytes: &[u8], mut each: impl FnMut(Piece<'_>)) {
+    pub fn push(&mut self, bytes: &[u8], mut each: impl FnMut(Element<'_>)) {
         for byte in bytes {
-            match self.place {
-                Place::Before => self.before(*byte),
-                Place::After => return,
+            match self.state {
+                ParserState::Before => self.before(*byte),
+                ParserState::After => return,
                 _ => self.entries(*byte, &mut each),
             }
         }
@@ -93,10 +93,12 @@
     /// # Errors
     /// The document has no array `log.entries`.
     pub fn finish(&mut self) -> Result<Option<&[u8]>, &'static str> {
-        match self.place {
-            Place::Before => Err("the document has no array log.entries, as HAR 1.2 wants it"),
-            Place::Within => Ok(Some(&self.entry)),
-            Place::Between | Place::After => Ok(None),
+        match self.state {
+            ParserState::Before => {
+                Err("the document has no array log.entries, as HAR 1.2 wants it")
+            }
+            ParserState::Within => Ok(Some(&self.entry)),
+            ParserState::Between | ParserState::After => Ok(None),
         }
     }
 
@@ -120,7 +122,7 @@
                 self.keys[self.depth as usize - 1] = std::mem::take(&mut self.text);
             }
             b'[' if self.depth == 2 && self.keys[0] == b"log" && self.keys[1] == b"entries" => {
-                self.place = Place::Between;
+                self.state = ParserState::Between;
                 self.depth = 0;
             }
             b'{' | b'[' => {
@@ -134,12 +136,12 @@
         }
     }
 
-    fn entries(&mut self, byte: u8, each: &mut impl FnMut(Piece<'_>)) {
-        if self.place == Place::Between {
+    fn entries(&mut self, byte: u8, each: &mut impl FnMut(Element<'_>)) {
+        if self.state == ParserState::Between {
             match byte {
-                b']' => self.place = Place::After,
+                b']' => self.state = ParserState::After,
                 b'{' => {
-                    self.place = Place::Within;
+                    self.state = ParserState::Within;
                     (self.depth, self.quoted, self.escaped, self.too_long) =
                         (1, false, false, false);
                     self.entry.clear();
@@ -151,13 +153,13 @@
         }
         let mut keep = true;
         if self.quoted {
-            self.texts += 1;
+            self.text_bytes += 1;
             let ends = byte == b'"' && !self.escaped && self.hex == 0;
             // A text is cut before a plain character only: never within one of several bytes, an escape, or the two
             // escapes of one character.
             let plain = !self.escaped && self.hex == 0 && byte != b'\\' && byte & 0xc0 != 0x80;
-            self.cut |= self.texts > TEXT && plain;
-            keep = ends || !self.cut;
+            self.truncated |= self.text_bytes > MAX_TEXT_BYTES && plain;
+            keep = ends || !self.truncated;
             self.hex = match byte {
                 b'u' if self.escaped => 4,
                 _ => self.hex.saturating_sub(1),
@@ -168,24 +170,26 @@
             }
         } else {
             match byte {
-                b'"' => (self.quoted, self.cut, self.hex, self.texts) = (true, false, 0, 0),
+                b'"' => {
+                    (self.quoted, self.truncated, self.hex, self.text_bytes) = (true, false, 0, 0)
+                }
                 b'{' | b'[' => self.depth += 1,
                 b'}' | b']' => self.depth -= 1,
                 b' ' | b'\t' | b'\r' | b'\n' => keep = false,
                 _ => {}
             }
         }
-        self.too_long |= self.depth > DEPTH;
-        if keep && self.entry.len() < ENTRY {
+        self.too_long |= self.depth > MAX_DEPTH;
+        if keep && self.entry.len() < MAX_ENTRY_BYTES {
             self.entry.push(byte);
         } else if keep {
             self.too_long = true;
         }
         if self.depth == 0 {
-            self.place = Place::Between;
+            self.state = ParserState::Between;
             match self.too_long {
-                false => each(Piece::Entry(&self.entry)),
-                true => each(Piece::TooLong(&self.entry)),
+                false => each(Element::Entry(&self.entry)),
+                true => each(Element::TooLong(&self.entry)),
             }
             self.entry.clear();
             self.entry.shrink_to(64 * 1024);
@@ -200,7 +204,7 @@
     time: Option<f64>,
     request: Option<Request>,
     response: Option<Response>,
-    /// Some tools write who asked; the standard has no place for it.
+    /// Some tools write who asked; the standard has no field for it.
     #[serde(alias = "_clientIPAddress", alias = "clientIPAddress")]
     client: Option<String>,
 }
@@ -234,14 +238,14 @@
 ///
 /// # Errors
 /// Why it cannot be read.
-pub fn read(text: &[u8], stamps: &mut Reader) -> Result<Raw<'static>, Reason> {
+pub fn read(text: &[u8], timestamps: &mut Reader) -> Result<RawRecord<'static>, Reason> {
     let entry: Entry = serde_json::from_slice(text).map_err(|_| Reason::Malformed)?;
     let started = entry
         .started_date_time
         .filter(|t| !t.is_empty())
         .ok_or(Reason::NoTime)?;
-    let stamp = stamps
-        .read(&Form::Iso, &started)
+    let time = timestamps
+        .read(&TimeFormat::Iso, &started)
         .map_err(|_| Reason::BadTime)?;
     let request = entry.request.ok_or(Reason::BadRequest)?;
     let url = request
@@ -270,8 +274,8 @@
         let name = format!("cookie.{}", p.name);
         own(p, name)
     }));
-    Ok(Raw {
-        stamp: Some(stamp),
+    Ok(RawRecord {
+        time: Some(time),
         peer: entry.client.map(Cow::Owned),
         method: request.method.map(Cow::Owned),
         target: Some(Cow::Owned(url)),
@@ -282,6 +286,6 @@
             .map(|ms| (ms * 1000.0).round() as Micros),
         received: request.body_size.filter(|b| *b >= 0.0).map(|b| b as u64),
         headers,
-        ..Raw::default()
+        ..RawRecord::default()
     })
 }
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -1,17 +1,17 @@
 //! The whole way from files to a recording.
 
+use crate::access_log::LogFormat;
 use crate::detect::{Kind, detect};
 use crate::fold::{Folder, Rules};
-use crate::har::{self, Piece, Splitter};
+use crate::har::{self, Element, Splitter};
 use crate::job::{Job, Micros};
-use crate::line::LineFormat;
-use crate::mapping::{Interned, Mapping};
-use crate::order::{Sorter, Spread, Try};
-use crate::raw::Raw;
+use crate::mapping::{Mapping, NameInterner};
+use crate::order::{Attempt, Sorter, Spread};
+use crate::raw::RawRecord;
 use crate::recording::{self, End, Header, Writer};
 use crate::source;
-use crate::stamp::Reader;
-use crate::tally::{Place, Reason, Remark, Tally};
+use crate::tally::{Position, Reason, Remark, Tally};
+use crate::timestamp::Reader;
 use memchr::memchr;
 use rustc_hash::{FxHashMap, FxHasher};
 use std::hash::Hasher;
@@ -21,13 +21,13 @@
 use std::sync::atomic::AtomicU64;
 
 /// The longest line that is a record.
-const LINE: usize = 64 * 1024;
+const MAX_LINE_BYTES: usize = 64 * 1024;
 /// A clock went back if a record began so long before the latest of its file.
-const BACK: Micros = 60_000_000;
+const CLOCK_STEP_BACK: Micros = 60_000_000;
 /// Nothing recorded for so long is a gap.
-const GAP: Micros = 900_000_000;
+const MIN_GAP: Micros = 900_000_000;
 /// Records by which one that was read twice is known.
-const REMEMBERED: usize = 200_000;
+const MAX_RECENT_RECORDS: usize = 200_000;
 
 /// How to import.
 pub struct Options {
@@ -45,13 +45,13 @@
 
 /// Why there is no recording.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum ImportError {
     /// A file cannot be read or written.
     #[error("{0}: {1}")]
     File(String, io::Error),
     /// A file is not what it should be.
     #[error("{0}: {1}")]
-    Form(String, String),
+    Format(String, String),
     /// Strictly, one bad record is too many.
     #[error("{file}, line {line}: {reason:?}: {text}")]
     Strict {
@@ -74,15 +74,15 @@
 
 /// Known records, the oldest half forgotten now and then.
 #[derive(Default)]
-struct Known([FxHashMap<u64, u32>; 2]);
+struct RecentRecords([FxHashMap<u64, u32>; 2]);
 
-impl Known {
+impl RecentRecords {
     /// The file in which it was seen first, if that is another; `always`: in any.
-    fn seen(&mut self, what: u64, file: u32, always: bool) -> bool {
+    fn is_duplicate(&mut self, what: u64, file: u32, always: bool) -> bool {
         if let Some(first) = self.0.iter().find_map(|half| half.get(&what)) {
             return always || *first != file;
         }
-        if self.0[0].len() >= REMEMBERED {
+        if self.0[0].len() >= MAX_RECENT_RECORDS {
             self.0.swap(0, 1);
             self.0[0].clear();
         }
@@ -95,26 +95,26 @@
 struct Intake<'a> {
     options: &'a Options,
     tally: Tally,
-    names: Interned,
+    names: NameInterner,
     sorter: Sorter,
-    known: Known,
+    recent: RecentRecords,
     files: usize,
     seq: u64,
     /// The latest time of this file, and that of the record before.
     latest: Option<Micros>,
     before: Option<Micros>,
-    wrong: Option<Failed>,
+    fatal: Option<ImportError>,
 }
 
 impl Intake<'_> {
-    fn reject(&mut self, reason: Reason, place: Place<'_>, text: &[u8]) {
-        self.tally.reject(reason, place, text);
-        if self.options.strict && reason.is_bad() && self.wrong.is_none() {
+    fn reject(&mut self, reason: Reason, position: Position<'_>, text: &[u8]) {
+        self.tally.reject(reason, position, text);
+        if self.options.strict && reason.is_bad() && self.fatal.is_none() {
             let example = self.tally.rejected[&reason].examples.last();
             let text = example.map(|e| e.text.clone()).unwrap_or_default();
-            self.wrong = Some(Failed::Strict {
-                file: place.file.into(),
-                line: place.line,
+            self.fatal = Some(ImportError::Strict {
+                file: position.file.into(),
+                line: position.line,
                 reason,
                 text,
             });
@@ -124,47 +124,49 @@
     /// Takes a record that was read, or was not. `true`: it goes on.
     fn take(
         &mut self,
-        raw: Result<Raw<'_>, Reason>,
+        raw: Result<RawRecord<'_>, Reason>,
         file: u32,
-        place: Place<'_>,
+        position: Position<'_>,
         text: &[u8],
-        stamps: &mut Reader,
+        timestamps: &mut Reader,
     ) -> io::Result<bool> {
         // Asked of each record, so that none answers for one that was rejected before it.
-        let dst = stamps.was_dst();
-        let meant = raw.and_then(|raw| self.options.mapping.meaning(&raw, &mut self.names));
-        let meant = match meant {
-            Ok(meant) => meant,
+        let dst = timestamps.was_dst();
+        let mapped = raw.and_then(|raw| self.options.mapping.map_record(&raw, &mut self.names));
+        let mapped = match mapped {
+            Ok(mapped) => mapped,
             Err(reason) => {
-                self.reject(reason, place, text);
+                self.reject(reason, position, text);
                 return Ok(false);
             }
         };
         let mut hash = FxHasher::default();
-        hash.write_u64(meant.id);
-        hash.write_i64(meant.job.at);
-        if meant.id == 0 {
+        hash.write_u64(mapped.id);
+        hash.write_i64(mapped.job.at);
+        if mapped.id == 0 {
             hash.write(text);
         }
         // Without an id two equal lines may be two requests, unless they stand in two files: then one is a copy.
-        let ided = meant.id != 0;
-        if (ided || self.files > 1) && self.known.seen(hash.finish(), file, ided) {
-            self.reject(Reason::Duplicate, place, text);
+        let has_id = mapped.id != 0;
+        if (has_id || self.files > 1) && self.recent.is_duplicate(hash.finish(), file, has_id) {
+            self.reject(Reason::Duplicate, position, text);
             return Ok(false);
         }
-        for remark in &meant.remarks {
-            self.tally.remark(*remark, place, text);
+        for remark in &mapped.remarks {
+            self.tally.remark(*remark, position, text);
         }
         if dst {
-            self.tally.remark(Remark::Dst, place, text);
+            self.tally.remark(Remark::Dst, position, text);
         }
-        let at = meant.job.at;
+        let at = mapped.job.at;
         match (self.latest, self.before) {
-            (Some(latest), _) if at + BACK < latest => {
-                self.tally.remark(Remark::ClockBack, place, text);
+            (Some(latest), _) if at + CLOCK_STEP_BACK < latest => {
+                self.tally.remark(Remark::ClockBack, position, text);
                 self.latest = Some(at); // from here on the new time counts
             }
-            (Some(latest), _) if at > latest + GAP => self.tally.remark(Remark::Gap, place, text),
+            (Some(latest), _) if at > latest + MIN_GAP => {
+                self.tally.remark(Remark::Gap, position, text)
+            }
             (_, Some(before)) if at < before => self.tally.remark_only(Remark::Reordered, 1),
             _ => {}
         }
@@ -172,26 +174,26 @@
         self.before = Some(at);
         self.tally.pass();
         self.seq += 1;
-        let (job, within, marked) = (meant.job, meant.within, meant.marked);
-        self.sorter.push(Try {
+        let (job, within, marked) = (mapped.job, mapped.within, mapped.marked);
+        self.sorter.push(Attempt {
             job,
             within,
             seq: self.seq,
-            id: meant.id,
+            id: mapped.id,
             marked,
             file,
         })?;
         Ok(true)
     }
 
-    fn lines(
+    fn read_access_log(
         &mut self,
-        format: &LineFormat,
+        format: &LogFormat,
         from: &mut dyn BufRead,
         name: &str,
         file: u32,
     ) -> io::Result<()> {
-        let mut stamps = Reader::new(self.options.mapping.zone.clone());
+        let mut timestamps = Reader::new(self.options.mapping.zone.clone());
         let (mut line, mut kept, mut latin, mut too_long) = (0, Vec::new(), String::new(), false);
         loop {
             let bytes = match from.fill_buf() {
@@ -200,7 +202,7 @@
                     // What of the last record came before that is in `kept`.
                     self.reject(
                         Reason::Truncated,
-                        Place {
+                        Position {
                             file: name,
                             line: line + 1,
                         },
@@ -215,74 +217,78 @@
                 return Ok(());
             }
             let end = memchr(b'\n', bytes);
-            let (whole, used) = match end {
+            let (complete, used) = match end {
                 Some(end) => (true, end + 1),
                 None => (last, bytes.len()),
             };
-            let piece = &bytes[..end.unwrap_or(used)];
-            if !whole || !kept.is_empty() || too_long {
-                // It goes on in the next piece, or did in the one before.
-                if kept.len() + piece.len() > LINE {
+            let chunk = &bytes[..end.unwrap_or(used)];
+            if !complete || !kept.is_empty() || too_long {
+                // It goes on in the next chunk, or did in the one before.
+                if kept.len() + chunk.len() > MAX_LINE_BYTES {
                     too_long = true;
                     kept.truncate(1024);
                 } else if !too_long {
-                    kept.extend_from_slice(piece);
+                    kept.extend_from_slice(chunk);
                 }
-                if !whole {
+                if !complete {
                     from.consume(used);
                     continue;
                 }
                 line += 1;
-                let place = Place { file: name, line };
+                let position = Position { file: name, line };
                 let text = std::mem::take(&mut kept);
                 match std::mem::take(&mut too_long) {
-                    true => self.reject(Reason::TooLong, place, &text),
-                    false => {
-                        self.line(format, &text, (file, place, last), &mut stamps, &mut latin)?
-                    }
+                    true => self.reject(Reason::TooLong, position, &text),
+                    false => self.read_record(
+                        format,
+                        &text,
+                        (file, position, last),
+                        &mut timestamps,
+                        &mut latin,
+                    )?,
                 }
                 kept = text;
                 kept.clear();
-            } else if piece.len() > LINE {
+            } else if chunk.len() > MAX_LINE_BYTES {
                 line += 1;
-                self.reject(Reason::TooLong, Place { file: name, line }, piece);
+                self.reject(Reason::TooLong, Position { file: name, line }, chunk);
             } else {
                 line += 1;
-                self.line(
+                self.read_record(
                     format,
-                    piece,
-                    (file, Place { file: name, line }, false),
-                    &mut stamps,
+                    chunk,
+                    (file, Position { file: name, line }, false),
+                    &mut timestamps,
                     &mut latin,
                 )?;
             }
             from.consume(used);
-            if self.wrong.is_some() {
+            if self.fatal.is_some() {
                 return Ok(());
             }
         }
     }
 
     /// One line; the last of a file may lack its end.
-    fn line(
+    fn read_record(
         &mut self,
-        format: &LineFormat,
+        format: &LogFormat,
         bytes: &[u8],
-        (file, place, last): (u32, Place<'_>, bool),
-        stamps: &mut Reader,
+        (file, position, last): (u32, Position<'_>, bool),
+        timestamps: &mut Reader,
         latin: &mut String,
     ) -> io::Result<()> {
         let bytes = bytes.strip_suffix(b"\r").unwrap_or(bytes);
         if bytes.iter().all(u8::is_ascii_whitespace) {
-            self.reject(Reason::Blank, place, bytes);
+            self.reject(Reason::Blank, position, bytes);
             return Ok(());
         }
         if bytes[0] == b'#' {
-            self.reject(Reason::Comment, place, bytes);
+            self.reject(Reason::Comment, position, bytes);
             return Ok(());
         }
         if bytes.iter().any(|b| *b < 0x20 && *b != b'\t') {
-            self.reject(Reason::Binary, place, bytes);
+            self.reject(Reason::Binary, position, bytes);
             return Ok(());
         }
         let text = match std::str::from_utf8(bytes) {
@@ -293,15 +299,14 @@
                 latin.as_str()
             }
         };
-        let raw =
-            format
-                .read(text, stamps)
-                .map_err(|reason| match last && reason == Reason::Malformed {
-                    true => Reason::Truncated,
-                    false => reason,
-                });
-        if self.take(raw, file, place, bytes, stamps)? && text.len() != bytes.len() {
-            self.tally.remark(Remark::Latin1, place, bytes);
+        let raw = format.read(text, timestamps).map_err(|reason| {
+            match last && reason == Reason::Malformed {
+                true => Reason::Truncated,
+                false => reason,
+            }
+        });
+        if self.take(raw, file, position, bytes, timestamps)? && text.len() != bytes.len() {
+            self.tally.remark(Remark::Latin1, position, bytes);
         }
         Ok(())
     }
@@ -311,9 +316,9 @@
         from: &mut dyn BufRead,
         name: &str,
         file: u32,
-        io: &dyn Fn(io::Error) -> Failed,
-    ) -> Result<(), Failed> {
-        let mut stamps = Reader::new(self.options.mapping.zone.clone());
+        io: &dyn Fn(io::Error) -> ImportError,
+    ) -> Result<(), ImportError> {
+        let mut timestamps = Reader::new(self.options.mapping.zone.clone());
         let (mut splitter, mut entry, mut failed) = (Splitter::default(), 0, None);
         loop {
             let bytes = match from.fill_buf() {
@@ -325,37 +330,37 @@
             if used == 0 {
                 break;
             }
-            splitter.push(bytes, |piece| {
+            splitter.push(bytes, |element| {
                 entry += 1;
-                let place = Place {
+                let position = Position {
                     file: name,
                     line: entry,
                 };
-                match piece {
-                    Piece::Entry(text) => {
-                        let raw = har::read(text, &mut stamps);
+                match element {
+                    Element::Entry(text) => {
+                        let raw = har::read(text, &mut timestamps);
                         failed = failed
                             .take()
-                            .or(self.take(raw, file, place, text, &mut stamps).err());
+                            .or(self.take(raw, file, position, text, &mut timestamps).err());
                     }
-                    Piece::TooLong(text) => self.reject(Reason::TooLong, place, text),
+                    Element::TooLong(text) => self.reject(Reason::TooLong, position, text),
                 }
             });
             from.consume(used);
             if let Some(e) = failed {
                 return Err(io(e));
             }
-            if self.wrong.is_some() {
+            if self.fatal.is_some() {
                 return Ok(());
             }
         }
         match splitter.finish() {
-            Err(why) => return Err(Failed::Form(name.into(), why.into())),
+            Err(why) => return Err(ImportError::Format(name.into(), why.into())),
             Ok(Some(text)) => {
                 let text = text.to_vec();
                 self.reject(
                     Reason::Truncated,
-                    Place {
+                    Position {
                         file: name,
                         line: entry + 1,
                     },
@@ -368,18 +373,18 @@
     }
 
     /// A recording is read again as the tries that it was made of.
-    fn recording(&mut self, from: &mut dyn BufRead, name: &str) -> Result<(), Failed> {
-        let reader =
-            recording::Reader::new(from).map_err(|e| Failed::Form(name.into(), e.to_string()))?;
+    fn recording(&mut self, from: &mut dyn BufRead, name: &str) -> Result<(), ImportError> {
+        let reader = recording::Reader::new(from)
+            .map_err(|e| ImportError::Format(name.into(), e.to_string()))?;
         for job in reader {
-            let job = job.map_err(|e| Failed::Form(name.into(), e.to_string()))?;
-            for t in unfolded(job) {
+            let job = job.map_err(|e| ImportError::Format(name.into(), e.to_string()))?;
+            for t in attempts_of(job) {
                 self.tally.pass();
                 self.seq += 1;
-                let t = Try { seq: self.seq, ..t };
+                let t = Attempt { seq: self.seq, ..t };
                 self.sorter
                     .push(t)
-                    .map_err(|e| Failed::File(name.into(), e))?;
+                    .map_err(|e| ImportError::File(name.into(), e))?;
             }
         }
         Ok(())
@@ -387,11 +392,11 @@
 }
 
 /// The tries of a job, the first and its retries, each as if it were a first try.
-pub fn unfolded(mut job: Job) -> impl Iterator<Item = Try> {
-    let again = std::mem::take(&mut job.tries);
+pub fn attempts_of(mut job: Job) -> impl Iterator<Item = Attempt> {
+    let retries = std::mem::take(&mut job.retries);
     let first = job.clone();
-    let rest = again.into_iter().map(move |a| {
-        let marked = a.how != crate::job::How::Key;
+    let rest = retries.into_iter().map(move |a| {
+        let marked = a.evidence != crate::job::Evidence::Key;
         (
             Job {
                 at: a.at,
@@ -406,7 +411,7 @@
         .chain(rest)
         .map(|(job, marked)| {
             let (within, seq, id, file) = (1, 0, 0, 0);
-            Try {
+            Attempt {
                 job,
                 within,
                 seq,
@@ -435,71 +440,71 @@
     options: &Options,
     out: impl Write,
     read: &Arc<AtomicU64>,
-) -> Result<Imported, Failed> {
-    let (names, known, sorter) = Default::default();
+) -> Result<Imported, ImportError> {
+    let (names, recent, sorter) = Default::default();
     let mut intake = Intake {
         options,
         tally: Tally::default(),
         names,
         sorter,
-        known,
+        recent,
         files: paths.len(),
         seq: 0,
         latest: None,
         before: None,
-        wrong: None,
+        fatal: None,
     };
     let mut files = Vec::new();
     for path in paths {
-        files.push(probed(path, options)?);
+        files.push(probe(path, options)?);
     }
     files.sort_by(|a, b| (a.first, a.path).cmp(&(b.first, b.path)));
     let mut made_of = Vec::new();
-    for (n, Probed { path, kind, .. }) in files.into_iter().enumerate() {
+    for (n, ProbedFile { path, kind, .. }) in files.into_iter().enumerate() {
         let name = path.file_name().map_or_else(
             || path.display().to_string(),
             |n| n.to_string_lossy().into_owned(),
         );
-        let io = |e| Failed::File(path.display().to_string(), e);
+        let io = |e| ImportError::File(path.display().to_string(), e);
         let mut from = source::open(path, read.clone()).map_err(io)?;
         (intake.latest, intake.before) = (None, None);
         match kind {
             Kind::Lines(format) => intake
-                .lines(&format, &mut *from, &name, n as u32)
+                .read_access_log(&format, &mut *from, &name, n as u32)
                 .map_err(io)?,
             Kind::Har => intake.har(&mut *from, &name, n as u32, &io)?,
             Kind::Recording => intake.recording(&mut *from, &name)?,
         }
-        if let Some(wrong) = intake.wrong.take() {
-            return Err(wrong);
+        if let Some(fatal) = intake.fatal.take() {
+            return Err(fatal);
         }
         made_of.push(name);
     }
     let (bad, all) = (intake.tally.bad(), intake.tally.read);
     if bad as f64 > options.max_bad * all as f64 {
-        return Err(Failed::TooMany(
+        return Err(ImportError::TooMany(
             bad,
             all,
             bad as f64 / all as f64,
             options.max_bad,
         ));
     }
-    let io = |e| Failed::File("the recording".into(), e);
+    let io = |e| ImportError::File("the recording".into(), e);
     let mut tally = intake.tally;
-    let mut tries = Spread::new(intake.sorter.finish().map_err(io)?, options.seed);
+    let mut attempts = Spread::new(intake.sorter.finish().map_err(io)?, options.seed);
     let guess = &options.mapping.file.guess;
     let guess_within = (guess.within_ms.min(3_600_000) * 1000) as Micros;
     let file = &options.mapping.file;
-    let marks = !file.retry_mark.is_empty() && !guess.unmarked_too;
+    let marks = !file.retry_marker.is_empty() && !guess.unmarked_too;
     let mut folder = Folder::new(Rules {
         guess_within,
-        tries: guess.tries,
+        max_attempts: guess.max_attempts,
         id_kept: file.id_kept,
         marks,
     });
     let mut writer = Writer::new(out, &Header::new(made_of, options.seed)).map_err(io)?;
     let mut failed = None;
-    for t in &mut tries {
+    for t in &mut attempts {
         let t = t.map_err(io)?;
         folder.push(t, &mut tally, |job| {
             failed = failed.take().or(writer.write(&job).err())
@@ -512,9 +517,9 @@
     if let Some(e) = failed {
         return Err(io(e));
     }
-    tally.remark_only(Remark::Spread, tries.spread);
+    tally.remark_only(Remark::Spread, attempts.spread);
     if tally.taken == 0 {
-        return Err(Failed::Nothing(tally.read, Box::new(tally)));
+        return Err(ImportError::Nothing(tally.read, Box::new(tally)));
     }
     let (_, end) = writer.finish(Some(tally.clone())).map_err(io)?;
     Ok(Imported { end, tally })
@@ -530,25 +535,28 @@
 }
 
 /// The beginning of a file, uncompressed.
-fn head(path: &Path) -> Result<Vec<u8>, Failed> {
-    let io = |e| Failed::File(path.display().to_string(), e);
+fn head(path: &Path) -> Result<Vec<u8>, ImportError> {
+    let io = |e| ImportError::File(path.display().to_string(), e);
     let mut from = source::open(path, Arc::default()).map_err(io)?;
     let mut head = Vec::new();
-    match io::Read::read_to_end(&mut io::Read::take(&mut from, LINE as u64), &mut head) {
+    match io::Read::read_to_end(
+        &mut io::Read::take(&mut from, MAX_LINE_BYTES as u64),
+        &mut head,
+    ) {
         Err(e) if !broken_off(&e) => Err(io(e)),
         _ => Ok(head),
     }
 }
 
 /// A file of which the beginning was read.
-struct Probed<'a> {
+struct ProbedFile<'a> {
     path: &'a Path,
     kind: Kind,
     /// The first time that can be read in it: rotated files are read in the order of these.
     first: Micros,
 }
 
-fn probed<'a>(path: &'a Path, options: &Options) -> Result<Probed<'a>, Failed> {
+fn probe<'a>(path: &'a Path, options: &Options) -> Result<ProbedFile<'a>, ImportError> {
     let head = match &options.format {
         Some(Kind::Har | Kind::Recording) => Vec::new(), // nothing that is asked here stands there
         _ => head(path)?,
@@ -556,16 +564,16 @@
     let kind = match &options.format {
         Some(kind) => kind.clone(),
         None => detect(&head, options.mapping.file.json.as_ref())
-            .map_err(|why| Failed::Form(path.display().to_string(), why))?,
+            .map_err(|why| ImportError::Format(path.display().to_string(), why))?,
     };
     let mut first = Micros::MAX;
     if let Kind::Lines(format) = &kind {
-        let mut stamps = Reader::new(options.mapping.zone.clone());
+        let mut timestamps = Reader::new(options.mapping.zone.clone());
         let text = String::from_utf8_lossy(&head);
-        let stamp = text
+        let time = text
             .lines()
-            .find_map(|line| format.read(line, &mut stamps).ok()?.stamp);
-        first = stamp.map_or(first, |s| s.at);
+            .find_map(|line| format.read(line, &mut timestamps).ok()?.time);
+        first = time.map_or(first, |s| s.at);
     }
-    Ok(Probed { path, kind, first })
+    Ok(ProbedFile { path, kind, first })
 }
--- a/crates/traffic/src/job.rs
+++ b/crates/traffic/src/job.rs
@@ -31,13 +31,14 @@
     pub status: u16,
     /// How long the recorded answer took.
     pub took: Option<Micros>,
-    /// Further tries of the client, in order.
-    pub tries: Vec<Again>,
+    /// Retries by the client, in order.
+    #[serde(rename = "tries")]
+    pub retries: Vec<Retry>,
 }
 
 /// A retry of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Again {
+pub struct Retry {
     /// When it was sent.
     pub at: Micros,
     /// The recorded status; 0: none.
@@ -45,15 +46,17 @@
     /// How long the recorded answer took.
     pub took: Option<Micros>,
     /// By what it was taken for a retry.
-    pub how: How,
+    #[serde(rename = "how")]
+    pub evidence: Evidence,
     /// How sure that is, 0 to 1.
-    pub sure: f32,
+    #[serde(rename = "sure")]
+    pub confidence: f32,
 }
 
 /// By what a try was taken for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
+pub enum Evidence {
     /// It carries the same key, or the same request id.
     Key,
     /// The client marked it.
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,19 +1,19 @@
 //! Recorded traffic: HAR files and access logs become one plain type, [`Job`], and one file format to keep it in.
 //!
-//! The decoding does no I/O: [`mod@line`] and [`har`] turn bytes that somebody else has read into [`raw::Raw`] records,
+//! The decoding does no I/O: [`access_log`] and [`har`] turn bytes that somebody else has read into [`raw::RawRecord`] records,
 //! [`mapping`] says what job a record is, [`order`] sorts and spreads, [`fold`] finds the retries of one first try, and
 //! [`ops`] works on what comes out. Files are touched in [`source`], [`order`] and [`import`] alone.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod access_log;
 pub mod detect;
 pub mod document;
 pub mod fold;
 pub mod har;
 pub mod import;
 pub mod job;
-pub mod line;
 pub mod mapping;
 pub mod networks;
 pub mod ops;
@@ -21,8 +21,8 @@
 pub mod raw;
 pub mod recording;
 pub mod source;
-pub mod stamp;
 pub mod tally;
+pub mod timestamp;
 
-pub use job::{Again, How, Job};
+pub use job::{Evidence, Job, Retry};
 pub use tally::{Reason, Remark, Tally};
--- a/crates/traffic/src/mapping.rs
+++ b/crates/traffic/src/mapping.rs
@@ -1,32 +1,32 @@
 //! What a record means: its class, parish, subject and key, by an operator's file.
 
+mod extractor;
 mod file;
-mod way;
 
 pub use file::{File, From, Guess, Jobs, Rule, schema};
 
 use crate::document;
 use crate::job::{Job, Micros, number};
 use crate::networks::{Networks, address, client};
-use crate::raw::Raw;
+use crate::raw::RawRecord;
 use crate::tally::{Reason, Remark};
+use extractor::{Extractor, RecordContext, compile};
 use jiff::tz::TimeZone;
 use rustc_hash::FxHashMap;
 use std::borrow::Cow;
 use std::sync::Arc;
-use way::{Seen, Way, way};
 
 /// An error in a mapping file: where, what, and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MapError(pub Vec<String>);
+pub struct MappingError(pub Vec<String>);
 
-impl std::fmt::Display for MapError {
+impl std::fmt::Display for MappingError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0.join("\n"))
     }
 }
 
-impl std::error::Error for MapError {}
+impl std::error::Error for MappingError {}
 
 /// A mapping, compiled.
 #[derive(Clone, Debug)]
@@ -37,19 +37,19 @@
     pub zone: TimeZone,
     trusted: Networks,
     networks: Networks,
-    class: Vec<Way>,
-    parish: Vec<Way>,
-    subject: Vec<Way>,
-    key: Vec<Way>,
-    id: Vec<Way>,
-    mark: Vec<Way>,
-    deadline: Vec<Way>,
-    slots: Vec<Way>,
+    class: Vec<Extractor>,
+    parish: Vec<Extractor>,
+    subject: Vec<Extractor>,
+    key: Vec<Extractor>,
+    id: Vec<Extractor>,
+    retry_marker: Vec<Extractor>,
+    deadline: Vec<Extractor>,
+    slots: Vec<Extractor>,
 }
 
 /// What a record means.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Meant {
+pub struct MappedRecord {
     /// The job, as if it were a first try. Its time is that of the stamp, which may be of the request's end.
     pub job: Job,
     /// How exactly the time is known.
@@ -64,9 +64,9 @@
 
 /// Names that come again and again, kept once.
 #[derive(Clone, Debug, Default)]
-pub struct Interned(FxHashMap<String, Arc<str>>);
+pub struct NameInterner(FxHashMap<String, Arc<str>>);
 
-impl Interned {
+impl NameInterner {
     /// The one copy of a name.
     pub fn name(&mut self, text: &str) -> Arc<str> {
         if let Some(name) = self.0.get(text) {
@@ -86,8 +86,8 @@
     ///
     /// # Errors
     /// Each thing that is wrong, with its place.
-    pub fn read(text: &str) -> Result<Self, MapError> {
-        let file: File = document::read("mapping", text).map_err(MapError)?;
+    pub fn read(text: &str) -> Result<Self, MappingError> {
+        let file: File = document::read("mapping", text).map_err(MappingError)?;
         Mapping::new(file)
     }
 
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// Each thing that is wrong, with its place.
-    pub fn new(file: File) -> Result<Self, MapError> {
+    pub fn new(file: File) -> Result<Self, MappingError> {
         let mut wrong = Vec::new();
         let zone = TimeZone::get(&file.zone).unwrap_or_else(|_| {
             wrong.push(format!(
@@ -117,27 +117,27 @@
                     .inspect_err(|e| wrong.push(format!("at /networks/{name}/{n}: {e}")));
             }
         }
-        let mut ways = |name: &str, rules: &[Rule]| -> Vec<Way> {
-            let mut ways = Vec::new();
+        let mut compile_all = |name: &str, rules: &[Rule]| -> Vec<Extractor> {
+            let mut extractors = Vec::new();
             for (n, rule) in rules.iter().enumerate() {
-                match way(rule, networks.is_empty()) {
-                    Ok(way) => ways.push(way),
+                match compile(rule, networks.is_empty()) {
+                    Ok(extractor) => extractors.push(extractor),
                     Err(e) => wrong.push(format!("at /{name}/{n}: {e}")),
                 }
             }
-            ways
+            extractors
         };
         let [class, parish, subject, key] = [
-            ways("class", &file.class),
-            ways("parish", &file.parish),
-            ways("subject", &file.subject),
-            ways("key", &file.key),
+            compile_all("class", &file.class),
+            compile_all("parish", &file.parish),
+            compile_all("subject", &file.subject),
+            compile_all("key", &file.key),
         ];
-        let [id, mark, deadline, slots] = [
-            ways("id", &file.id),
-            ways("retry-mark", &file.retry_mark),
-            ways("deadline-ms", &file.deadline_ms),
-            ways("slots", &file.slots),
+        let [id, retry_marker, deadline, slots] = [
+            compile_all("id", &file.id),
+            compile_all("retry-mark", &file.retry_marker),
+            compile_all("deadline-ms", &file.deadline_ms),
+            compile_all("slots", &file.slots),
         ];
         if file.id_kept && file.id.is_empty() {
             wrong.push("at /id-kept: there is no rule for the id that is kept".into());
@@ -153,11 +153,11 @@
                 subject,
                 key,
                 id,
-                mark,
+                retry_marker,
                 deadline,
                 slots,
             }),
-            false => Err(MapError(wrong)),
+            false => Err(MappingError(wrong)),
         }
     }
 
@@ -165,11 +165,15 @@
     ///
     /// # Errors
     /// Why it is no job.
-    pub fn meaning(&self, raw: &Raw<'_>, names: &mut Interned) -> Result<Meant, Reason> {
-        let stamp = raw.stamp.ok_or(Reason::NoTime)?;
+    pub fn map_record(
+        &self,
+        raw: &RawRecord<'_>,
+        names: &mut NameInterner,
+    ) -> Result<MappedRecord, Reason> {
+        let time = raw.time.ok_or(Reason::NoTime)?;
         let path = raw.path().ok_or(Reason::BadRequest)?;
         let (jobs, method) = (&self.file.jobs, raw.method.as_deref());
-        let begins = |list: &[String]| list.iter().any(|p| path.starts_with(p.as_str()));
+        let begins = |prefixes: &[String]| prefixes.iter().any(|p| path.starts_with(p.as_str()));
         let of_method = jobs.methods.is_empty()
             || method.is_some_and(|m| jobs.methods.iter().any(|j| j.eq_ignore_ascii_case(m)));
         if !of_method || (!jobs.paths.is_empty() && !begins(&jobs.paths)) || begins(&jobs.not_paths)
@@ -190,22 +194,22 @@
                 None => {}
             }
         }
-        let seen = Seen {
+        let context = RecordContext {
             raw,
             path,
             from,
             networks: &self.networks,
         };
-        let class = seen.first(&self.class).ok_or(Reason::NoClass)?;
+        let class = context.first(&self.class).ok_or(Reason::NoClass)?;
         let class = names.name(&class);
-        let parish = match seen.first(&self.parish) {
+        let parish = match context.first(&self.parish) {
             Some(name) => names.name(&name),
             None if self.file.parish_required => return Err(Reason::NoParish),
             None => names.name(""),
         };
         let mut odd = raw.odd_number;
-        let mut count = |ways: &[Way], most: f64| {
-            let text = seen.first(ways)?;
+        let mut count = |extractors: &[Extractor], most: f64| {
+            let text = context.first(extractors)?;
             let value = text
                 .trim()
                 .parse::<f64>()
@@ -228,9 +232,9 @@
         if raw.status.is_none() {
             remarks.push(Remark::NoAnswer);
         }
-        let mut at = stamp.at;
+        let mut at = time.at;
         match raw.took {
-            Some(took) if stamp.end => at -= took,
+            Some(took) if time.end => at -= took,
             None if raw.status.is_some() => remarks.push(Remark::NoDuration),
             _ => {}
         }
@@ -240,26 +244,26 @@
             at,
             class,
             parish,
-            subject: seen
+            subject: context
                 .first(&self.subject)
                 .map(Cow::into_owned)
                 .unwrap_or_default(),
-            key: seen.first(&self.key).map(Cow::into_owned),
+            key: context.first(&self.key).map(Cow::into_owned),
             deadline,
             bytes: raw.received.unwrap_or(0),
             slots,
             client: who ^ user,
             status: raw.status.unwrap_or(0),
             took: raw.took,
-            tries: Vec::new(),
+            retries: Vec::new(),
         };
-        let marked = seen
-            .first(&self.mark)
+        let marked = context
+            .first(&self.retry_marker)
             .is_some_and(|m| !matches!(m.trim(), "" | "0" | "false"));
-        let id = seen.first(&self.id).map_or(0, |id| number(&id).max(1));
-        Ok(Meant {
+        let id = context.first(&self.id).map_or(0, |id| number(&id).max(1));
+        Ok(MappedRecord {
             job,
-            within: stamp.within,
+            within: time.within,
             id,
             marked,
             remarks,
--- a/crates/traffic/src/mapping/way.rs
+++ b/crates/traffic/src/mapping/extractor.rs
@@ -2,7 +2,7 @@
 
 use super::file::{From, Rule};
 use crate::networks::Networks;
-use crate::raw::Raw;
+use crate::raw::RawRecord;
 use regex::Regex;
 use rustc_hash::FxHashMap;
 use std::borrow::Cow;
@@ -24,14 +24,14 @@
 
 /// A way to a value.
 #[derive(Clone, Debug)]
-pub(super) struct Way {
+pub(super) struct Extractor {
     source: Source,
     names: FxHashMap<String, String>,
     others: bool,
 }
 
 /// A rule of the file, compiled; an error says what is wrong with it.
-pub(super) fn way(rule: &Rule, no_networks: bool) -> Result<Way, String> {
+pub(super) fn compile(rule: &Rule, no_networks: bool) -> Result<Extractor, String> {
     let source = match &rule.from {
         From::Segment(n) => Source::Segment(*n),
         From::Path(pattern) => {
@@ -56,7 +56,7 @@
         .iter()
         .map(|(a, b)| (a.clone(), b.clone()))
         .collect();
-    Ok(Way {
+    Ok(Extractor {
         source,
         names,
         others: rule.others,
@@ -64,24 +64,24 @@
 }
 
 /// A record, and who sent it.
-pub(super) struct Seen<'a> {
-    pub raw: &'a Raw<'a>,
+pub(super) struct RecordContext<'a> {
+    pub raw: &'a RawRecord<'a>,
     pub path: &'a str,
     pub from: Option<std::net::IpAddr>,
     pub networks: &'a Networks,
 }
 
-impl<'a> Seen<'a> {
+impl<'a> RecordContext<'a> {
     /// The first value that one of these ways leads to.
-    pub fn first(&self, ways: &'a [Way]) -> Option<Cow<'a, str>> {
-        ways.iter().find_map(|way| {
-            let value = self.value(&way.source).filter(|v| !v.is_empty())?;
-            if way.names.is_empty() {
+    pub fn first(&self, extractors: &'a [Extractor]) -> Option<Cow<'a, str>> {
+        extractors.iter().find_map(|extractor| {
+            let value = self.value(&extractor.source).filter(|v| !v.is_empty())?;
+            if extractor.names.is_empty() {
                 return Some(value);
             }
-            match way.names.get(value.as_ref()) {
+            match extractor.names.get(value.as_ref()) {
                 Some(name) => Some(Cow::Borrowed(name.as_str())),
-                None => way.others.then_some(value),
+                None => extractor.others.then_some(value),
             }
         })
     }
--- a/crates/traffic/src/mapping/file.rs
+++ b/crates/traffic/src/mapping/file.rs
@@ -1,7 +1,7 @@
 //! The mapping file: its form and its schema.
 
+use crate::access_log::json::Fields;
 use crate::document;
-use crate::line::json::Fields;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -49,8 +49,8 @@
     #[serde(default)]
     pub id_kept: bool,
     /// What a client marks its retries with: any value but "", "0" and "false" is a mark.
-    #[serde(default)]
-    pub retry_mark: Vec<Rule>,
+    #[serde(default, rename = "retry-mark")]
+    pub retry_marker: Vec<Rule>,
     /// How long the client says that it waits, in milliseconds.
     #[serde(default)]
     pub deadline_ms: Vec<Rule>,
@@ -106,8 +106,8 @@
     #[serde(default = "within")]
     pub within_ms: u64,
     /// Tries of one job at the most, the first included.
-    #[serde(default = "tries")]
-    pub tries: u32,
+    #[serde(default = "max_attempts", rename = "tries")]
+    pub max_attempts: u32,
     /// Where `retry-mark` has rules, what has no mark is taken for no retry. With this, it may be one all the same.
     #[serde(default)]
     pub unmarked_too: bool,
@@ -117,7 +117,7 @@
     2_500
 }
 
-fn tries() -> u32 {
+fn max_attempts() -> u32 {
     8
 }
 
@@ -125,7 +125,7 @@
     fn default() -> Self {
         Guess {
             within_ms: within(),
-            tries: tries(),
+            max_attempts: max_attempts(),
             unmarked_too: false,
         }
     }
--- a/crates/traffic/src/networks.rs
+++ b/crates/traffic/src/networks.rs
@@ -62,7 +62,7 @@
     }
 
     /// Does any of them hold the address?
-    pub fn hold(&self, address: IpAddr) -> bool {
+    pub fn contains(&self, address: IpAddr) -> bool {
         self.find(address).is_some()
     }
 
@@ -99,7 +99,7 @@
 /// none. An error: an entry that had to be believed is no address, and the last one that was is handed back.
 pub fn client(peer: IpAddr, forwarded: Option<&str>, trusted: &Networks) -> Result<IpAddr, IpAddr> {
     let mut last = peer;
-    if !trusted.hold(peer) {
+    if !trusted.contains(peer) {
         return Ok(peer);
     }
     for text in forwarded
@@ -111,12 +111,9 @@
             Some(address) => last = address,
             None => return Err(last),
         }
-        if !trusted.hold(last) {
+        if !trusted.contains(last) {
             break;
         }
     }
     Ok(last)
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -39,14 +39,14 @@
     /// Counts a job.
     pub fn add(&mut self, job: &Job) {
         self.jobs += 1;
-        self.retries += job.tries.len() as u64;
+        self.retries += job.retries.len() as u64;
         let from = *self.from.get_or_insert(job.at);
         self.to = Some(job.at);
         *self.classes.entry(job.class.to_string()).or_default() += 1;
         *self.parishes.entry(job.parish.to_string()).or_default() += 1;
-        let last = job.tries.last().map_or(job.status, |a| a.status);
+        let last = job.retries.last().map_or(job.status, |a| a.status);
         *self.statuses.entry(last).or_default() += 1;
-        // A gap of months would make a list of millions: a year's seconds are the most.
+        // A gap of months would make a allowed of millions: a year's seconds are the most.
         let second = ((job.at - from).max(0) / 1_000_000).min(31_622_400) as usize;
         if self.per_second.len() <= second {
             self.per_second.resize(second + 1, 0);
@@ -55,7 +55,7 @@
         for took in job
             .took
             .into_iter()
-            .chain(job.tries.iter().filter_map(|a| a.took))
+            .chain(job.retries.iter().filter_map(|a| a.took))
         {
             self.took = (self.took.0 + took as f64, self.took.1 + 1);
         }
@@ -78,19 +78,24 @@
 }
 
 /// Keeps jobs whose first try lies in `[from, to)`.
-pub fn cut(jobs: impl Iterator<Item = Job>, from: Micros, to: Micros) -> impl Iterator<Item = Job> {
+pub fn time_range(
+    jobs: impl Iterator<Item = Job>,
+    from: Micros,
+    to: Micros,
+) -> impl Iterator<Item = Job> {
     jobs.skip_while(move |j| j.at < from)
         .take_while(move |j| j.at < to)
 }
 
-/// Keeps jobs of these classes and parishes; an empty list keeps all.
+/// Keeps jobs of these classes and parishes; an empty allowed keeps all.
 pub fn filter(
     jobs: impl Iterator<Item = Job>,
     classes: Vec<String>,
     parishes: Vec<String>,
 ) -> impl Iterator<Item = Job> {
-    let in_list = |list: &[String], name: &str| list.is_empty() || list.iter().any(|n| n == name);
-    jobs.filter(move |j| in_list(&classes, &j.class) && in_list(&parishes, &j.parish))
+    let is_selected =
+        |allowed: &[String], name: &str| allowed.is_empty() || allowed.iter().any(|n| n == name);
+    jobs.filter(move |j| is_selected(&classes, &j.class) && is_selected(&parishes, &j.parish))
 }
 
 /// Several recordings as one, by time.
@@ -166,7 +171,7 @@
     block: Micros,
     rng: Pcg64Mcg,
     ready: VecDeque<Job>,
-    copies: u64,
+    clones: u64,
 }
 
 impl<I: Iterator<Item = Job>> Scaled<I> {
@@ -179,7 +184,7 @@
             block: block.max(1),
             rng,
             ready,
-            copies: 0,
+            clones: 0,
         }
     }
 
@@ -192,25 +197,25 @@
         }
         let times = self.factor.at(start + self.block / 2).max(0.0);
         let mut all = Vec::new();
-        for copy in 0..times.ceil() as u64 {
-            let share = (times - copy as f64).min(1.0);
-            let turn = if copy == 0 {
+        for clone_number in 0..times.ceil() as u64 {
+            let probability = (times - clone_number as f64).min(1.0);
+            let turn = if clone_number == 0 {
                 0
             } else {
                 (unit(&mut self.rng) * self.block as f64) as Micros
             };
             for job in &own {
-                if share < 1.0 && unit(&mut self.rng) >= share {
+                if probability < 1.0 && unit(&mut self.rng) >= probability {
                     continue;
                 }
                 let mut job = job.clone();
-                if copy > 0 {
-                    self.copies += 1;
+                if clone_number > 0 {
+                    self.clones += 1;
                     let moved = start + (job.at - start + turn) % self.block;
                     let by = moved - job.at;
                     job.at = moved;
-                    job.tries.iter_mut().for_each(|a| a.at += by);
-                    let own = |text: &str| format!("{text}~{}", self.copies);
+                    job.retries.iter_mut().for_each(|a| a.at += by);
+                    let own = |text: &str| format!("{text}~{}", self.clones);
                     job.key = job.key.as_deref().map(own);
                     if !job.subject.is_empty() {
                         job.subject = own(&job.subject);
--- a/crates/traffic/src/order.rs
+++ b/crates/traffic/src/order.rs
@@ -15,15 +15,15 @@
 use std::io::{self, BufReader, BufWriter, Read, Seek, Write};
 
 /// Tries held in memory while sorting.
-const ROOM: usize = 32_768;
+const DEFAULT_CAPACITY: usize = 32_768;
 /// Runs that are merged at once.
-const RUNS: usize = 64;
+const MAX_MERGED_RUNS: usize = 64;
 /// Where a run is written in one go.
 const BUFFER: usize = 64 * 1024;
 
 /// One request of a client: a first try or a retry, nobody knows yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Try {
+pub struct Attempt {
     /// As if it were a first try.
     pub job: Job,
     /// How exactly its time is known.
@@ -39,29 +39,29 @@
 }
 
 /// By run, time and place; the try itself does not count.
-struct Keyed(u32, Micros, u64, Box<Try>);
+struct HeapEntry(u32, Micros, u64, Box<Attempt>);
 
-impl Keyed {
+impl HeapEntry {
     fn key(&self) -> (u32, Micros, u64) {
         (self.0, self.1, self.2)
     }
 }
 
-impl PartialEq for Keyed {
+impl PartialEq for HeapEntry {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl Eq for Keyed {}
+impl Eq for HeapEntry {}
 
-impl PartialOrd for Keyed {
+impl PartialOrd for HeapEntry {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Keyed {
+impl Ord for HeapEntry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.key().cmp(&other.key())
     }
@@ -81,7 +81,7 @@
         })
     }
 
-    fn write(&mut self, t: &Try) -> io::Result<()> {
+    fn write(&mut self, t: &Attempt) -> io::Result<()> {
         self.bytes.clear();
         self.bytes =
             postcard::to_extend(t, std::mem::take(&mut self.bytes)).map_err(io::Error::other)?;
@@ -109,7 +109,7 @@
 }
 
 impl Run {
-    fn next(&mut self) -> io::Result<Option<Box<Try>>> {
+    fn next(&mut self) -> io::Result<Option<Box<Attempt>>> {
         let mut length = [0; 4];
         match self.from.read_exact(&mut length) {
             Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Ok(None),
@@ -125,8 +125,8 @@
 
 /// Sorts tries by time.
 pub struct Sorter {
-    heap: BinaryHeap<Reverse<Keyed>>,
-    room: usize,
+    heap: BinaryHeap<Reverse<HeapEntry>>,
+    capacity: usize,
     run: u32,
     last: Micros,
     out: Option<Spill>,
@@ -135,17 +135,17 @@
 
 impl Default for Sorter {
     fn default() -> Self {
-        Sorter::new(ROOM)
+        Sorter::new(DEFAULT_CAPACITY)
     }
 }
 
 impl Sorter {
     /// One that holds so many tries in memory.
-    pub fn new(room: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         let heap = BinaryHeap::new();
         Sorter {
             heap,
-            room: room.max(1),
+            capacity: capacity.max(1),
             run: 0,
             last: Micros::MIN,
             out: None,
@@ -157,25 +157,25 @@
     ///
     /// # Errors
     /// A temporary file cannot be written.
-    pub fn push(&mut self, t: Try) -> io::Result<()> {
+    pub fn push(&mut self, t: Attempt) -> io::Result<()> {
         // What is older than what this run has written goes to the next one.
         let run = self.run + u32::from(self.out.is_some() && t.job.at < self.last);
         self.heap
-            .push(Reverse(Keyed(run, t.job.at, t.seq, Box::new(t))));
-        if self.heap.len() > self.room
-            && let Some(Reverse(Keyed(run, at, _, t))) = self.heap.pop()
+            .push(Reverse(HeapEntry(run, t.job.at, t.seq, Box::new(t))));
+        if self.heap.len() > self.capacity
+            && let Some(Reverse(HeapEntry(run, at, _, t))) = self.heap.pop()
         {
             self.spill(run, at, &t)?;
         }
         Ok(())
     }
 
-    fn spill(&mut self, run: u32, at: Micros, t: &Try) -> io::Result<()> {
+    fn spill(&mut self, run: u32, at: Micros, t: &Attempt) -> io::Result<()> {
         if run != self.run || self.out.is_none() {
             if let Some(done) = self.out.take() {
                 self.runs.push(done.read()?);
             }
-            if self.runs.len() >= RUNS {
+            if self.runs.len() >= MAX_MERGED_RUNS {
                 let mut merged = Spill::new()?;
                 for t in Merge::new(std::mem::take(&mut self.runs))? {
                     merged.write(&*t?)?;
@@ -197,12 +197,12 @@
         if let Some(done) = self.out.take() {
             self.runs.push(done.read()?);
         }
-        let mut rest: Vec<Keyed> = self.heap.into_iter().map(|r| r.0).collect();
+        let mut rest: Vec<HeapEntry> = self.heap.into_iter().map(|r| r.0).collect();
         rest.sort_by_key(|k| (k.1, k.2));
         let rest = rest.into_iter().map(|k| k.3).collect();
         Ok(Sorted {
             merge: Merge::new(self.runs)?,
-            held: None,
+            peeked: None,
             rest,
         })
     }
@@ -210,7 +210,7 @@
 
 /// Several runs as one.
 struct Merge {
-    runs: Vec<(Run, Option<Box<Try>>)>,
+    runs: Vec<(Run, Option<Box<Attempt>>)>,
     heads: BinaryHeap<Reverse<(Micros, u64, usize)>>,
 }
 
@@ -238,7 +238,7 @@
 }
 
 impl Iterator for Merge {
-    type Item = io::Result<Box<Try>>;
+    type Item = io::Result<Box<Attempt>>;
 
     fn next(&mut self) -> Option<Self::Item> {
         let Reverse((_, _, n)) = self.heads.pop()?;
@@ -250,29 +250,29 @@
 /// Tries in order.
 pub struct Sorted {
     merge: Merge,
-    held: Option<Box<Try>>,
-    rest: VecDeque<Box<Try>>,
+    peeked: Option<Box<Attempt>>,
+    rest: VecDeque<Box<Attempt>>,
 }
 
 impl Iterator for Sorted {
-    type Item = io::Result<Try>;
+    type Item = io::Result<Attempt>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        if self.held.is_none() {
+        if self.peeked.is_none() {
             match self.merge.next() {
-                Some(Ok(t)) => self.held = Some(t),
+                Some(Ok(t)) => self.peeked = Some(t),
                 Some(Err(e)) => return Some(Err(e)),
                 None => {}
             }
         }
-        let key = |t: &Try| (t.job.at, t.seq);
-        let from_runs = match (&self.held, self.rest.front()) {
+        let key = |t: &Attempt| (t.job.at, t.seq);
+        let from_runs = match (&self.peeked, self.rest.front()) {
             (Some(a), Some(b)) => key(a) <= key(b),
             (Some(_), None) => true,
             (None, _) => false,
         };
         let next = if from_runs {
-            self.held.take()
+            self.peeked.take()
         } else {
             self.rest.pop_front()
         };
@@ -286,12 +286,12 @@
 pub struct Spread<I: Iterator> {
     from: std::iter::Peekable<I>,
     rng: Pcg64Mcg,
-    heap: BinaryHeap<Reverse<Keyed>>,
+    heap: BinaryHeap<Reverse<HeapEntry>>,
     /// Tries that were spread over a second or more.
     pub spread: u64,
 }
 
-impl<I: Iterator<Item = io::Result<Try>>> Spread<I> {
+impl<I: Iterator<Item = io::Result<Attempt>>> Spread<I> {
     /// Draws begin at the seed.
     pub fn new(from: I, seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
@@ -310,11 +310,11 @@
             Err(e) => return Some(Err(e)),
         };
         let (at, within) = (first.job.at, first.within.max(1));
-        let same = |t: &io::Result<Try>| {
+        let same = |t: &io::Result<Attempt>| {
             t.as_ref()
                 .is_ok_and(|t| t.job.at == at && t.within.max(1) == within)
         };
-        let mut group: SmallVec<[Try; 1]> = SmallVec::from_buf([first]);
+        let mut group: SmallVec<[Attempt; 1]> = SmallVec::from_buf([first]);
         while let Some(Ok(t)) = self.from.next_if(same) {
             group.push(t);
         }
@@ -338,14 +338,14 @@
         }
         for t in group {
             self.heap
-                .push(Reverse(Keyed(0, t.job.at, t.seq, Box::new(t))));
+                .push(Reverse(HeapEntry(0, t.job.at, t.seq, Box::new(t))));
         }
         Some(Ok(()))
     }
 }
 
-impl<I: Iterator<Item = io::Result<Try>>> Iterator for Spread<I> {
-    type Item = io::Result<Try>;
+impl<I: Iterator<Item = io::Result<Attempt>>> Iterator for Spread<I> {
+    type Item = io::Result<Attempt>;
 
     fn next(&mut self) -> Option<Self::Item> {
         loop {
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -1,14 +1,14 @@
 //! A record as a log or HAR tells it, before anything says what it means.
 
 use crate::job::Micros;
-use crate::stamp::Stamp;
+use crate::timestamp::RecordedTime;
 use std::borrow::Cow;
 
 /// One request as it was recorded. Texts are as they stand there, escapes undone.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Raw<'a> {
+pub struct RawRecord<'a> {
     /// When; which end of the request it speaks of stands in it.
-    pub stamp: Option<Stamp>,
+    pub time: Option<RecordedTime>,
     /// Who was connected: an address, perhaps with a port.
     pub peer: Option<Cow<'a, str>>,
     /// The authenticated user.
@@ -31,7 +31,7 @@
     pub odd_number: bool,
 }
 
-impl Raw<'_> {
+impl RawRecord<'_> {
     /// A header's value, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
--- a/crates/traffic/src/recording.rs
+++ b/crates/traffic/src/recording.rs
@@ -19,7 +19,7 @@
 //! | `l` | how long that took | unknown |
 //! | `r` | retries, each `[time after t, status, how long, by what, how sure]` | none |
 
-use crate::job::{Again, How, Job, Micros};
+use crate::job::{Evidence, Job, Micros, Retry};
 use crate::tally::Tally;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -30,7 +30,7 @@
 /// The name in the header.
 pub const FORMAT: &str = "indigofold-recording";
 /// The longest line.
-const LINE: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// The first line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -65,7 +65,8 @@
     /// First tries.
     pub jobs: u64,
     /// Retries.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub retries: u64,
     /// What became of what was read, where it was imported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tally: Option<Tally>,
@@ -80,10 +81,10 @@
     *value == T::default()
 }
 
-type Retry = (Micros, u16, Option<Micros>, How, f32);
+type RetryEntry = (Micros, u16, Option<Micros>, Evidence, f32);
 
 #[derive(Serialize, Deserialize)]
-struct Line<'a> {
+struct JobLine<'a> {
     t: Micros,
     #[serde(borrow)]
     c: Cow<'a, str>,
@@ -106,7 +107,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     l: Option<Micros>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    r: Vec<Retry>,
+    r: Vec<RetryEntry>,
 }
 
 /// Writes a recording.
@@ -144,8 +145,8 @@
             ));
         }
         self.last = job.at;
-        let retry = |a: &Again| (a.at - job.at, a.status, a.took, a.how, a.sure);
-        let line = Line {
+        let retry = |a: &Retry| (a.at - job.at, a.status, a.took, a.evidence, a.confidence);
+        let line = JobLine {
             t: job.at,
             c: Cow::Borrowed(&job.class),
             p: Cow::Borrowed(&job.parish),
@@ -157,13 +158,15 @@
             u: job.client,
             a: job.status,
             l: job.took,
-            r: job.tries.iter().map(retry).collect(),
+            r: job.retries.iter().map(retry).collect(),
         };
         self.bytes.clear();
         serde_json::to_writer(&mut self.bytes, &line)?;
         self.bytes.push(b'\n');
-        (self.end.jobs, self.end.tries) =
-            (self.end.jobs + 1, self.end.tries + job.tries.len() as u64);
+        (self.end.jobs, self.end.retries) = (
+            self.end.jobs + 1,
+            self.end.retries + job.retries.len() as u64,
+        );
         self.out.write_all(&self.bytes)
     }
 
@@ -187,7 +190,7 @@
 
 /// What is wrong with a recording.
 #[derive(Debug, thiserror::Error)]
-pub enum Bad {
+pub enum RecordingError {
     /// It cannot be read.
     #[error("the recording cannot be read: {0}")]
     Io(#[from] io::Error),
@@ -204,7 +207,7 @@
     Line(u64, String),
     /// It ends before its last line.
     #[error("the recording was cut off after line {0}: its last line, with the counts, is missing")]
-    CutOff(u64),
+    Truncated(u64),
     /// The last line counts other jobs than there are.
     #[error("the recording's last line counts {0} jobs, but there are {1}")]
     Counts(u64, u64),
@@ -221,8 +224,8 @@
     line: u64,
     jobs: u64,
     last: Micros,
-    names: crate::mapping::Interned,
-    over: bool,
+    names: crate::mapping::NameInterner,
+    finished: bool,
 }
 
 impl<R: BufRead> Reader<R> {
@@ -230,15 +233,15 @@
     ///
     /// # Errors
     /// It is none, or of a version that is not known.
-    pub fn new(mut from: R) -> Result<Self, Bad> {
+    pub fn new(mut from: R) -> Result<Self, RecordingError> {
         let mut text = Vec::new();
-        line(&mut from, &mut text)?;
-        let header: Header = serde_json::from_slice(&text).map_err(|_| Bad::NoHeader)?;
+        read_line(&mut from, &mut text)?;
+        let header: Header = serde_json::from_slice(&text).map_err(|_| RecordingError::NoHeader)?;
         if header.format != FORMAT {
-            return Err(Bad::NoHeader);
+            return Err(RecordingError::NoHeader);
         }
         if !(1..=VERSION).contains(&header.version) {
-            return Err(Bad::Version(header.version));
+            return Err(RecordingError::Version(header.version));
         }
         let (names, last) = (Default::default(), Micros::MIN);
         Ok(Reader {
@@ -250,36 +253,37 @@
             jobs: 0,
             last,
             names,
-            over: false,
+            finished: false,
         })
     }
 
-    fn job(&mut self) -> Result<Option<Job>, Bad> {
+    fn job(&mut self) -> Result<Option<Job>, RecordingError> {
         self.text.clear();
-        if !line(&mut self.from, &mut self.text)? {
-            return Err(Bad::CutOff(self.line));
+        if !read_line(&mut self.from, &mut self.text)? {
+            return Err(RecordingError::Truncated(self.line));
         }
         self.line += 1;
-        let bad = |e: String| Bad::Line(self.line, e);
+        let bad = |e: String| RecordingError::Line(self.line, e);
         if self.text.starts_with(b"{\"end\"") {
             let last: Last = serde_json::from_slice(&self.text).map_err(|e| bad(e.to_string()))?;
             if last.end.jobs != self.jobs {
-                return Err(Bad::Counts(last.end.jobs, self.jobs));
+                return Err(RecordingError::Counts(last.end.jobs, self.jobs));
             }
             self.end = Some(last.end);
             return Ok(None);
         }
-        let line: Line<'_> = serde_json::from_slice(&self.text).map_err(|e| bad(e.to_string()))?;
+        let line: JobLine<'_> =
+            serde_json::from_slice(&self.text).map_err(|e| bad(e.to_string()))?;
         if line.t < self.last {
             return Err(bad("jobs must stand in the order of their times".into()));
         }
         (self.jobs, self.last) = (self.jobs + 1, line.t);
-        let again = |(dt, status, took, how, sure): &Retry| Again {
+        let retry = |(dt, status, took, how, confidence): &RetryEntry| Retry {
             at: line.t + dt,
             status: *status,
             took: *took,
-            how: *how,
-            sure: *sure,
+            evidence: *how,
+            confidence: *confidence,
         };
         Ok(Some(Job {
             at: line.t,
@@ -293,17 +297,17 @@
             client: line.u,
             status: line.a,
             took: line.l,
-            tries: line.r.iter().map(again).collect(),
+            retries: line.r.iter().map(retry).collect(),
         }))
     }
 }
 
 /// Reads a line without its end. `false`: there is none.
-fn line(from: &mut impl BufRead, text: &mut Vec<u8>) -> io::Result<bool> {
-    let count = io::Read::take(&mut *from, LINE as u64).read_until(b'\n', text)?;
+fn read_line(from: &mut impl BufRead, text: &mut Vec<u8>) -> io::Result<bool> {
+    let count = io::Read::take(&mut *from, MAX_LINE_BYTES as u64).read_until(b'\n', text)?;
     if text.last() == Some(&b'\n') {
         text.pop();
-    } else if count == LINE {
+    } else if count == MAX_LINE_BYTES {
         return Err(io::Error::other(
             "a line is longer than any that is written",
         ));
@@ -312,14 +316,14 @@
 }
 
 impl<R: BufRead> Iterator for Reader<R> {
-    type Item = Result<Job, Bad>;
+    type Item = Result<Job, RecordingError>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        if self.over {
+        if self.finished {
             return None;
         }
         let job = self.job().transpose();
-        self.over = !matches!(job, Some(Ok(_)));
+        self.finished = !matches!(job, Some(Ok(_)));
         job
     }
 }
--- a/crates/traffic/src/tally.rs
+++ b/crates/traffic/src/tally.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 /// Examples kept for each reason.
-const EXAMPLES: usize = 3;
+const MAX_EXAMPLES: usize = 3;
 /// Characters kept of an example.
-const SHOWN: usize = 160;
+const MAX_EXAMPLE_CHARS: usize = 160;
 
 /// Why a record was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -102,7 +102,7 @@
 
 /// Where a record stands.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct Position<'a> {
     /// The file.
     pub file: &'a str,
     /// Line (or entry of a HAR), from 1.
@@ -125,18 +125,18 @@
 }
 
 impl Count {
-    fn add(&mut self, place: Place<'_>, text: &[u8]) {
+    fn add(&mut self, position: Position<'_>, text: &[u8]) {
         self.count += 1;
-        if self.examples.len() < EXAMPLES {
-            let text = String::from_utf8_lossy(&text[..text.len().min(SHOWN * 4)]);
+        if self.examples.len() < MAX_EXAMPLES {
+            let text = String::from_utf8_lossy(&text[..text.len().min(MAX_EXAMPLE_CHARS * 4)]);
             let text = text
                 .chars()
                 .map(|c| if c.is_control() { '\u{fffd}' } else { c })
-                .take(SHOWN)
+                .take(MAX_EXAMPLE_CHARS)
                 .collect();
             self.examples.push(Example {
-                file: place.file.to_string(),
-                line: place.line,
+                file: position.file.to_string(),
+                line: position.line,
                 text,
             });
         }
@@ -145,9 +145,9 @@
 
 impl Tally {
     /// A record was rejected.
-    pub fn reject(&mut self, reason: Reason, place: Place<'_>, text: &[u8]) {
+    pub fn reject(&mut self, reason: Reason, position: Position<'_>, text: &[u8]) {
         self.read += 1;
-        self.rejected.entry(reason).or_default().add(place, text);
+        self.rejected.entry(reason).or_default().add(position, text);
     }
 
     /// A record goes on; it is taken or folded later.
@@ -156,8 +156,8 @@
     }
 
     /// Something was odd about a record.
-    pub fn remark(&mut self, remark: Remark, place: Place<'_>, text: &[u8]) {
-        self.remarks.entry(remark).or_default().add(place, text);
+    pub fn remark(&mut self, remark: Remark, position: Position<'_>, text: &[u8]) {
+        self.remarks.entry(remark).or_default().add(position, text);
     }
 
     /// The same of so many records, whose texts are gone.
--- a/crates/traffic/src/stamp.rs
+++ b/crates/traffic/src/timestamp.rs
@@ -8,13 +8,13 @@
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
 /// Times before 1990 and after 2200 are not meant.
-const MEANT: (Micros, Micros) = (631_152_000 * SECOND, 7_258_118_400 * SECOND);
+const PLAUSIBLE_TIMES: (Micros, Micros) = (631_152_000 * SECOND, 7_258_118_400 * SECOND);
 /// A local time that comes twice is read as the later one if the earlier lies this far before the record before.
 const BACK: Micros = 300 * SECOND;
 
 /// A time and how exactly it is known: the true one lies in `[at, at + within)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stamp {
+pub struct RecordedTime {
     /// The time.
     pub at: Micros,
     /// The width of what it may stand for.
@@ -25,11 +25,11 @@
 
 /// Why a stamp could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadStamp;
+pub struct InvalidTimestamp;
 
 /// How a stamp is written.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Form {
+pub enum TimeFormat {
     /// `10/Oct/2000:13:55:36 -0700`
     Clf,
     /// ISO 8601, with or without an offset.
@@ -71,20 +71,24 @@
     }
 
     /// Reads a stamp.
-    pub fn read(&mut self, form: &Form, text: &str) -> Result<Stamp, BadStamp> {
+    pub fn read(
+        &mut self,
+        form: &TimeFormat,
+        text: &str,
+    ) -> Result<RecordedTime, InvalidTimestamp> {
         let (at, within) = match form {
-            Form::Clf => (self.clf(text.as_bytes())?, SECOND),
-            Form::Iso => self.iso(text)?,
-            Form::Seconds => decimal(text, SECOND)?,
-            Form::Millis => decimal(text, 1_000)?,
-            Form::Micros => decimal(text, 1)?,
-            Form::Pattern(pattern) => self.pattern(pattern, text)?,
+            TimeFormat::Clf => (self.clf(text.as_bytes())?, SECOND),
+            TimeFormat::Iso => self.iso(text)?,
+            TimeFormat::Seconds => decimal(text, SECOND)?,
+            TimeFormat::Millis => decimal(text, 1_000)?,
+            TimeFormat::Micros => decimal(text, 1)?,
+            TimeFormat::Pattern(pattern) => self.pattern(pattern, text)?,
         };
-        if at < MEANT.0 || at >= MEANT.1 {
-            return Err(BadStamp);
+        if at < PLAUSIBLE_TIMES.0 || at >= PLAUSIBLE_TIMES.1 {
+            return Err(InvalidTimestamp);
         }
         self.last = Some(at);
-        Ok(Stamp {
+        Ok(RecordedTime {
             at,
             within,
             end: false,
@@ -92,63 +96,65 @@
     }
 
     /// `10/Oct/2000:13:55:36 -0700`, with the minute's start remembered.
-    fn clf(&mut self, text: &[u8]) -> Result<Micros, BadStamp> {
+    fn clf(&mut self, text: &[u8]) -> Result<Micros, InvalidTimestamp> {
         let (Some(minute), Some(seconds), Some(offset)) =
             (text.get(..17), text.get(17..20), text.get(21..26))
         else {
-            return Err(BadStamp);
+            return Err(InvalidTimestamp);
         };
         if text.len() != 26 || seconds[0] != b':' || text[20] != b' ' {
-            return Err(BadStamp);
+            return Err(InvalidTimestamp);
         }
         let base = match &self.minute {
             Some((m, o, base)) if m == minute && o == offset => *base,
             _ => {
-                let base = clf_minute(minute, offset).ok_or(BadStamp)?;
+                let base = clf_minute(minute, offset).ok_or(InvalidTimestamp)?;
                 let copied = (
-                    minute.try_into().map_err(|_| BadStamp)?,
-                    offset.try_into().map_err(|_| BadStamp)?,
+                    minute.try_into().map_err(|_| InvalidTimestamp)?,
+                    offset.try_into().map_err(|_| InvalidTimestamp)?,
                 );
                 self.minute = Some((copied.0, copied.1, base));
                 base
             }
         };
-        let second = two(&seconds[1..]).filter(|s| *s <= 60).ok_or(BadStamp)?;
+        let second = two(&seconds[1..])
+            .filter(|s| *s <= 60)
+            .ok_or(InvalidTimestamp)?;
         Ok(base + second.min(59) * SECOND)
     }
 
-    fn iso(&mut self, text: &str) -> Result<(Micros, Micros), BadStamp> {
+    fn iso(&mut self, text: &str) -> Result<(Micros, Micros), InvalidTimestamp> {
         let within = fraction(text);
-        if let Ok(stamp) = text.parse::<Timestamp>() {
-            return Ok((stamp.as_microsecond(), within));
+        if let Ok(time) = text.parse::<Timestamp>() {
+            return Ok((time.as_microsecond(), within));
         }
-        let local: DateTime = text.parse().map_err(|_| BadStamp)?;
+        let local: DateTime = text.parse().map_err(|_| InvalidTimestamp)?;
         Ok((self.local(local)?, within))
     }
 
-    fn pattern(&mut self, pattern: &str, text: &str) -> Result<(Micros, Micros), BadStamp> {
-        let read = strtime::parse(pattern, text).map_err(|_| BadStamp)?;
+    fn pattern(&mut self, pattern: &str, text: &str) -> Result<(Micros, Micros), InvalidTimestamp> {
+        let read = strtime::parse(pattern, text).map_err(|_| InvalidTimestamp)?;
         let within = match () {
             () if pattern.contains('f') && pattern.contains('%') => fraction(text),
             () => SECOND,
         };
-        if let Ok(stamp) = read.to_timestamp() {
-            return Ok((stamp.as_microsecond(), within));
+        if let Ok(time) = read.to_timestamp() {
+            return Ok((time.as_microsecond(), within));
         }
         Ok((
-            self.local(read.to_datetime().map_err(|_| BadStamp)?)?,
+            self.local(read.to_datetime().map_err(|_| InvalidTimestamp)?)?,
             within,
         ))
     }
 
     /// A local time. One that comes twice is read as the first of the two, unless the log has gone past that; one that
     /// does not come at all is read with the offset before the change.
-    fn local(&mut self, local: DateTime) -> Result<Micros, BadStamp> {
+    fn local(&mut self, local: DateTime) -> Result<Micros, InvalidTimestamp> {
         let with = |offset: jiff::tz::Offset| {
             offset
                 .to_timestamp(local)
                 .map(|t| t.as_microsecond())
-                .map_err(|_| BadStamp)
+                .map_err(|_| InvalidTimestamp)
         };
         match self.zone.to_ambiguous_timestamp(local).offset() {
             AmbiguousOffset::Unambiguous { offset } => with(offset),
@@ -219,29 +225,26 @@
 }
 
 /// A decimal number of units, exactly.
-fn decimal(text: &str, unit: Micros) -> Result<(Micros, Micros), BadStamp> {
-    let (whole, part) = text.split_once('.').unwrap_or((text, ""));
+fn decimal(text: &str, unit: Micros) -> Result<(Micros, Micros), InvalidTimestamp> {
+    let (integer, decimals) = text.split_once('.').unwrap_or((text, ""));
     let digits = |t: &str| t.bytes().all(|b| b.is_ascii_digit());
-    if whole.is_empty() || whole.len() > 18 || !digits(whole) || !digits(part) {
-        return Err(BadStamp);
+    if integer.is_empty() || integer.len() > 18 || !digits(integer) || !digits(decimals) {
+        return Err(InvalidTimestamp);
     }
-    let mut at = whole
+    let mut at = integer
         .parse::<Micros>()
         .ok()
         .and_then(|w| w.checked_mul(unit))
-        .ok_or(BadStamp)?;
+        .ok_or(InvalidTimestamp)?;
     let mut within = unit;
-    for digit in part.bytes() {
+    for digit in decimals.bytes() {
         if within < 10 {
             break;
         }
         within /= 10;
         at = at
             .checked_add(within * Micros::from(digit - b'0'))
-            .ok_or(BadStamp)?;
+            .ok_or(InvalidTimestamp)?;
     }
     Ok((at, within))
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -1,26 +1,26 @@
 //! Lines of each format, and what they say.
 
-use indigofold_traffic::har::{self, Piece, Splitter};
-use indigofold_traffic::line::LineFormat;
-use indigofold_traffic::raw::Raw;
-use indigofold_traffic::stamp::Reader;
+use indigofold_traffic::access_log::LogFormat;
+use indigofold_traffic::har::{self, Element, Splitter};
+use indigofold_traffic::raw::RawRecord;
 use indigofold_traffic::tally::Reason;
+use indigofold_traffic::timestamp::Reader;
 use jiff::tz::TimeZone;
 
-fn stamps() -> Reader {
+fn timestamps() -> Reader {
     Reader::new(TimeZone::UTC)
 }
 
 /// What is read of a line, in short; or why nothing is.
 fn read(format: &str, line: &str) -> String {
-    let format = LineFormat::named(format).expect("a format");
-    let read = format.read(line, &mut stamps()).map(|raw| short(&raw));
+    let format = LogFormat::named(format).expect("a format");
+    let read = format.read(line, &mut timestamps()).map(|raw| short(&raw));
     read.unwrap_or_else(|reason| format!("{reason:?}"))
 }
 
-fn short(raw: &Raw<'_>) -> String {
+fn short(raw: &RawRecord<'_>) -> String {
     let text = |t: &Option<std::borrow::Cow<'_, str>>| t.as_deref().unwrap_or("-").to_string();
-    let stamp = raw.stamp.map_or("no time".into(), |s| {
+    let time = raw.time.map_or("no time".into(), |s| {
         format!(
             "{}.{:06}{}",
             s.at / 1_000_000,
@@ -34,7 +34,7 @@
         .map(|(n, v)| format!("{n}={v}"))
         .collect();
     format!(
-        "{stamp} | {} {} | {} {} | {:?} {:?} | {}",
+        "{time} | {} {} | {} {} | {:?} {:?} | {}",
         text(&raw.peer),
         text(&raw.user),
         text(&raw.method),
@@ -46,14 +46,15 @@
 }
 
 #[test]
-fn common_and_combined_lines() {
+fn common_and_combined_formats_are_decoded() {
     let line = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326"#;
-    let said = "1791636936.000000 | 192.0.2.1 anna | POST /reserve-stock/kit-7 | Some(200) None | ";
-    assert_eq!(read("common", line), said);
+    let expected =
+        "1791636936.000000 | 192.0.2.1 anna | POST /reserve-stock/kit-7 | Some(200) None | ";
+    assert_eq!(read("common", line), expected);
     let more = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326 "-" "a \"b\" c""#;
     assert_eq!(
         read("combined", more),
-        format!("{said}user-agent=a \"b\" c")
+        format!("{expected}user-agent=a \"b\" c")
     );
     assert_eq!(
         read("combined", line),
@@ -61,13 +62,13 @@
         "the quotes are missing"
     );
     assert!(
-        read("common", more).starts_with(&said[..60]),
+        read("common", more).starts_with(&expected[..60]),
         "the rest of the line is the count of bytes, which is not used"
     );
 }
 
 #[test]
-fn broken_lines_say_why() {
+fn malformed_records_are_rejected_with_a_reason() {
     let of = |from: &str, to: &str| {
         let line =
             r#"192.0.2.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a/b HTTP/1.1" 200 2 "-" "-""#;
@@ -91,13 +92,13 @@
 #[test]
 fn apache_formats_with_durations_headers_and_fractions() {
     let format = r#"apache:%a %{X-Forwarded-For}i %{%d/%b/%Y %T}t.%{msec_frac}t %{%z}t "%r" %>s %D %{session}C %{ms}T"#;
-    assert!(LineFormat::named(format).is_ok());
+    assert!(LogFormat::named(format).is_ok());
     let format =
         r#"apache:%a [%{sec}t.%{usec_frac}t] "%m %U%q %H" %>s %b %{us}T "%{X-Customer}i" %{who}C"#;
     let line =
         r#"2001:db8::7 [1791636936.250000] "POST /a/b?x=1 HTTP/2.0" 503 - 1500 "gualtar" anna"#;
-    let said = "1791636936.250000 | 2001:db8::7 - | POST /a/b?x=1 | Some(503) Some(1500) | x-customer=gualtar cookie.who=anna";
-    assert_eq!(read(format, line), said);
+    let expected = "1791636936.250000 | 2001:db8::7 - | POST /a/b?x=1 | Some(503) Some(1500) | x-customer=gualtar cookie.who=anna";
+    assert_eq!(read(format, line), expected);
     let end = r#"apache:%h %{end:usec}t "%r" %s %{ms}T"#;
     let line = r#"h 1791636936250000 "POST /a HTTP/1.1" 200 12"#;
     assert_eq!(
@@ -107,14 +108,18 @@
 }
 
 #[test]
-fn nginx_lines_speak_of_the_end() {
+fn nginx_timestamps_mark_the_end_of_the_request() {
     let format = concat!(
         r#"nginx:$remote_addr [$time_local] "$request" $status $msec rt=$request_time ut="$upstream_response_time" "#,
         r#"${http_x_customer} "$http_user_agent" $unknown_thing"#
     );
     let line = r#"10.0.0.1 [10/Oct/2026:13:55:36 +0100] "POST /a/\x22b HTTP/1.1" 200 1791636936.125 rt=0.050 ut="0.01, 0.02" real "x" ?"#;
-    let said = "1791636936.125000 end | 10.0.0.1 - | POST /a/\"b | Some(200) Some(50000) | x-customer=real user-agent=x";
-    assert_eq!(read(format, line), said, "the finer of two times counts");
+    let expected = "1791636936.125000 end | 10.0.0.1 - | POST /a/\"b | Some(200) Some(50000) | x-customer=real user-agent=x";
+    assert_eq!(
+        read(format, line),
+        expected,
+        "the finer of two times counts"
+    );
     let plain = r#"10.0.0.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a HTTP/1.1" 499 0 "-" "-""#;
     assert_eq!(
         read("nginx", plain),
@@ -123,14 +128,14 @@
 }
 
 #[test]
-fn envoy_lines() {
+fn envoy_default_and_custom_formats_are_decoded() {
     let line = concat!(
         r#"[2026-10-10T12:55:36.250Z] "POST /book-delivery/7 HTTP/1.1" 0 DC downstream_remote_disconnect - "-" 128 0 412 - "#,
         r#""10.4.0.9" "office/1.0" "id-1" "jobs.internal" "127.0.0.1:8443""#
     );
-    let said = "1791636936.250000 | - - | POST /book-delivery/7 | None Some(412000) | x-forwarded-for=10.4.0.9 \
+    let expected = "1791636936.250000 | - - | POST /book-delivery/7 | None Some(412000) | x-forwarded-for=10.4.0.9 \
                 user-agent=office/1.0 x-request-id=id-1 :authority=jobs.internal";
-    assert_eq!(read("envoy", line), said);
+    assert_eq!(read("envoy", line), expected);
     let own = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
     let line = "1791636936.250 10.0.0.1:4711 POST /a 200 7";
     assert_eq!(
@@ -140,7 +145,7 @@
 }
 
 #[test]
-fn formats_that_cannot_work_are_turned_down_with_the_reason() {
+fn invalid_format_strings_are_rejected_with_the_reason() {
     for (format, why) in [
         ("apache:%h %r", "no time"),
         ("apache:%h %t %Q", "%Q is no directive"),
@@ -154,17 +159,17 @@
         ("envoy:[%START_TIME%] 5% %REQ(:PATH)%", "stands alone"),
         ("iis", "allowed are common"),
     ] {
-        let error = LineFormat::named(format).expect_err(format);
+        let error = LogFormat::named(format).expect_err(format);
         assert!(error.contains(why), "{format}: {error}");
     }
 }
 
 #[test]
-fn json_lines_by_a_map_of_fields() {
+fn json_records_are_decoded_by_a_field_map() {
     let fields = r#"{"time":"/ts","time-form":"millis","target":"/req/path","method":"/req/m","status":"/status",
         "took":"/ms","took-unit":"ms","peer":"/ip","headers":{"X-Customer":"/h/0"}}"#;
-    let format = LineFormat::Json(Box::new(serde_json::from_str(fields).expect("fields")));
-    let read = |line: &str| match format.read(line, &mut stamps()) {
+    let format = LogFormat::Json(Box::new(serde_json::from_str(fields).expect("fields")));
+    let read = |line: &str| match format.read(line, &mut timestamps()) {
         Ok(raw) => short(&raw),
         Err(reason) => format!("{reason:?}"),
     };
@@ -187,11 +192,11 @@
 /// The entries of a document that comes in pieces of a size.
 fn entries(text: &str, size: usize) -> Vec<Result<String, Reason>> {
     let (mut splitter, mut out) = (Splitter::default(), Vec::new());
-    for piece in text.as_bytes().chunks(size) {
-        splitter.push(piece, |piece| {
-            out.push(match piece {
-                Piece::Entry(text) => har::read(text, &mut stamps()).map(|raw| short(&raw)),
-                Piece::TooLong(_) => Err(Reason::TooLong),
+    for chunk in text.as_bytes().chunks(size) {
+        splitter.push(chunk, |element| {
+            out.push(match element {
+                Element::Entry(text) => har::read(text, &mut timestamps()).map(|raw| short(&raw)),
+                Element::TooLong(_) => Err(Reason::TooLong),
             });
         });
     }
@@ -202,7 +207,7 @@
 }
 
 #[test]
-fn har_entries_also_of_an_aborted_session() {
+fn har_entries_of_an_aborted_session_are_decoded() {
     let entry = |more: &str| {
         format!(
             r#"{{"startedDateTime":"2026-10-10T13:55:36.250+01:00","request":{{"method":"POST","url":"https://x.org/a/b?q=1",
@@ -216,23 +221,23 @@
         entry(""),
         entry(r#","time":5,"response":{"status":9999}"#),
     );
-    let said = |status: &str| {
+    let expected = |status: &str| {
         Ok(format!(
             "1791636936.250000 | - - | POST https://x.org/a/b?q=1 | {status} | x-customer=real cookie.who=anna"
         ))
     };
     let wanted = [
-        said("Some(200) Some(12500)"),
-        said("None None"),
-        said("None None"),
+        expected("Some(200) Some(12500)"),
+        expected("None None"),
+        expected("None None"),
         Err(Reason::BadStatus),
         Err(Reason::NoTime),
     ];
     for size in [1, 2, 7, 64, 100_000] {
         assert_eq!(entries(&text, size), wanted, "in pieces of {size}");
     }
-    let cut = &text[..text.len() - 5];
-    assert_eq!(entries(cut, 64).last(), Some(&Err(Reason::Truncated)));
+    let truncated = &text[..text.len() - 5];
+    assert_eq!(entries(truncated, 64).last(), Some(&Err(Reason::Truncated)));
     assert!(
         Splitter::default().finish().is_err(),
         "no array of entries is an error"
@@ -241,7 +246,7 @@
 
 /// Guards against a document with large bodies taking as much memory, and against cuts that break the text.
 #[test]
-fn long_texts_in_an_entry_are_cut_where_that_leaves_json() {
+fn long_strings_in_an_entry_are_truncated_to_valid_json() {
     let body = |unit: &str| unit.repeat(60_000);
     for unit in ["x", "é", "\\u00e9x", "\\\"y", "a\\\\", "😀"] {
         let text = format!(
@@ -250,17 +255,17 @@
         );
         let mut sizes = Vec::new();
         let mut splitter = Splitter::default();
-        for piece in text.as_bytes().chunks(1000) {
-            splitter.push(piece, |piece| match piece {
-                Piece::Entry(text) => {
+        for chunk in text.as_bytes().chunks(1000) {
+            splitter.push(chunk, |element| match element {
+                Element::Entry(text) => {
                     assert!(
-                        har::read(text, &mut stamps()).is_ok(),
+                        har::read(text, &mut timestamps()).is_ok(),
                         "{unit}: {:?}",
                         String::from_utf8_lossy(&text[text.len() - 60..])
                     );
                     sizes.push(text.len());
                 }
-                Piece::TooLong(_) => panic!("{unit}"),
+                Element::TooLong(_) => panic!("{unit}"),
             });
         }
         assert!(sizes.len() == 1 && sizes[0] < 10_000, "{unit}: {sizes:?}");
--- a/crates/traffic/tests/importing.rs
+++ b/crates/traffic/tests/importing.rs
@@ -1,10 +1,10 @@
 //! Whole imports: the hard cases of logs, and the counts that must add up.
 
-use indigofold_traffic::import::{Failed, Imported, Options, import};
-use indigofold_traffic::line::LineFormat;
+use indigofold_traffic::access_log::LogFormat;
+use indigofold_traffic::import::{ImportError, Imported, Options, import};
 use indigofold_traffic::mapping::Mapping;
 use indigofold_traffic::recording::Reader;
-use indigofold_traffic::{How, Job, Reason, Remark, detect::Kind};
+use indigofold_traffic::{Evidence, Job, Reason, Remark, detect::Kind};
 use std::io::Write;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
     "retry-mark":[{"from":{"header":"X-Second-Try"}}],"deadline-of":{"reserve-stock":5000},"guess":{"unmarked-too":true}}"#;
 const HEADERS: &str = r#"apache:%h %l %u %t "%r" %>s %b %D "%{X-Trace-Id}i" "%{Idempotency-Key}i" "%{X-Second-Try}i""#;
 
-struct Dir(tempfile::TempDir);
+struct TestDir(tempfile::TempDir);
 
-impl Dir {
+impl TestDir {
     fn new() -> Self {
-        Dir(tempfile::tempdir().expect("a folder"))
+        TestDir(tempfile::tempdir().expect("a folder"))
     }
 
     fn file(&self, name: &str, bytes: &[u8]) -> PathBuf {
@@ -32,7 +32,7 @@
 }
 
 fn options(format: Option<&str>) -> Options {
-    let format = format.map(|f| Kind::Lines(LineFormat::named(f).expect("a format")));
+    let format = format.map(|f| Kind::Lines(LogFormat::named(f).expect("a format")));
     Options {
         format,
         mapping: Mapping::read(MAPPING).expect("a mapping"),
@@ -42,22 +42,22 @@
     }
 }
 
-fn taken(paths: &[PathBuf], options: &Options) -> Result<(Imported, Vec<Job>), Failed> {
+fn import_jobs(paths: &[PathBuf], options: &Options) -> Result<(Imported, Vec<Job>), ImportError> {
     let mut bytes = Vec::new();
     let imported = import(paths, options, &mut bytes, &Arc::default())?;
     assert!(imported.tally.adds_up(), "{:?}", imported.tally);
     let mut reader = Reader::new(&bytes[..]).expect("a recording");
     let jobs: Vec<Job> = reader.by_ref().map(|j| j.expect("a job")).collect();
     assert_eq!(reader.end.as_ref(), Some(&imported.end));
-    let tries: usize = jobs.iter().map(|j| j.tries.len()).sum();
+    let retries: usize = jobs.iter().map(|j| j.retries.len()).sum();
     assert_eq!(
-        (jobs.len() as u64, tries as u64),
+        (jobs.len() as u64, retries as u64),
         (imported.tally.taken, imported.tally.folded)
     );
     Ok((imported, jobs))
 }
 
-fn line(second: u32, path: &str, more: &str) -> String {
+fn log_line(second: u32, path: &str, more: &str) -> String {
     format!(
         "192.0.2.7 - - [10/Oct/2026:13:{:02}:{:02} +0000] \"POST {path} HTTP/1.1\" {more}\n",
         second / 60,
@@ -74,25 +74,25 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_counted_under_its_reason_with_its_line() {
-    let dir = Dir::new();
+fn rejected_records_are_counted_by_reason_with_their_position() {
+    let dir = TestDir::new();
     let mut text = Vec::new();
     for bytes in [
-        line(1, "/reserve/kit-1", "200 5").as_bytes(),
+        log_line(1, "/reserve/kit-1", "200 5").as_bytes(),
         b"\r\n# a comment\nthis is no log line\n",
-        line(2, "/reserve/kit-2", "200 5").replace("POST", "GET").as_bytes(),
-        line(3, "/other/kit-2", "200 5").as_bytes(),
-        line(4, "/reserve/kit-3", "abc 5").as_bytes(),
-        line(5, "/reserve/\0\0\0\0", "200 5").as_bytes(),
-        line(6, &format!("/reserve/{}", "k".repeat(70_000)), "200 5").as_bytes(),
+        log_line(2, "/reserve/kit-2", "200 5").replace("POST", "GET").as_bytes(),
+        log_line(3, "/other/kit-2", "200 5").as_bytes(),
+        log_line(4, "/reserve/kit-3", "abc 5").as_bytes(),
+        log_line(5, "/reserve/\0\0\0\0", "200 5").as_bytes(),
+        log_line(6, &format!("/reserve/{}", "k".repeat(70_000)), "200 5").as_bytes(),
         &[&b"192.0.2.7 - S\xe3o [10/Oct/2026:13:00:07 +0000] \"POST /reserve/kit-4 HTTP/1.1\" 200 5\r\n"[..], &[]].concat(),
-        &line(8, "/reserve/kit-5", "200 5").as_bytes()[..60],
+        &log_line(8, "/reserve/kit-5", "200 5").as_bytes()[..60],
     ] {
         text.extend(bytes);
     }
     let path = dir.file("access.log", &text);
     let (imported, jobs) =
-        taken(std::slice::from_ref(&path), &options(Some("common"))).expect("jobs");
+        import_jobs(std::slice::from_ref(&path), &options(Some("common"))).expect("jobs");
     let of = |reason| rejected(&imported, reason);
     assert_eq!((imported.tally.read, imported.tally.taken), (11, 2));
     let reasons = [
@@ -124,43 +124,43 @@
         ..options(Some("common"))
     };
     assert!(matches!(
-        taken(std::slice::from_ref(&path), &strict),
-        Err(Failed::Strict {
+        import_jobs(std::slice::from_ref(&path), &strict),
+        Err(ImportError::Strict {
             line: 4,
             reason: Reason::Malformed,
             ..
         })
     ));
-    let share = Options {
+    let limited = Options {
         max_bad: 0.1,
         ..options(Some("common"))
     };
     assert!(matches!(
-        taken(&[path], &share),
-        Err(Failed::TooMany(6, 11, _, _))
+        import_jobs(&[path], &limited),
+        Err(ImportError::TooMany(6, 11, _, _))
     ));
 }
 
 #[test]
-fn compressed_and_rotated_files_are_told_by_their_content_and_read_in_order() {
-    let dir = Dir::new();
-    let lines = |from: u32, to: u32| {
+fn compressed_and_rotated_files_are_detected_by_content_and_read_in_time_order() {
+    let dir = TestDir::new();
+    let log_lines = |from: u32, to: u32| {
         (from..to)
-            .map(|s| line(s, &format!("/reserve/kit-{s}"), "200 5"))
+            .map(|s| log_line(s, &format!("/reserve/kit-{s}"), "200 5"))
             .collect::<String>()
     };
     let mut gz = flate2::write::GzEncoder::new(Vec::new(), flate2::Compression::fast());
-    gz.write_all(lines(0, 60).as_bytes()).expect("written");
+    gz.write_all(log_lines(0, 60).as_bytes()).expect("written");
     let gz = gz.finish().expect("gzip");
-    let zst = zstd::encode_all(lines(60, 120).as_bytes(), 1).expect("zstd");
+    let zst = zstd::encode_all(log_lines(60, 120).as_bytes(), 1).expect("zstd");
     // The newest file is rotated by copying: its first lines stand in the older one as well.
-    let newest = lines(110, 180);
+    let newest = log_lines(110, 180);
     let paths = [
         dir.file("a.log", newest.as_bytes()),
         dir.file("b.txt", &zst),
         dir.file("c", &gz),
     ];
-    let (imported, jobs) = taken(&paths, &options(None)).expect("jobs");
+    let (imported, jobs) = import_jobs(&paths, &options(None)).expect("jobs");
     assert_eq!(
         (jobs.len(), rejected(&imported, Reason::Duplicate)),
         (180, 10)
@@ -169,7 +169,7 @@
     assert!(jobs.iter().map(|j| &j.subject).eq(subjects.iter()));
     // A file that breaks off in the middle of compressed data gives what came before.
     let half = dir.file("half.gz", &gz[..gz.len() / 2]);
-    let (imported, jobs) = taken(&[half], &options(Some("common"))).expect("jobs");
+    let (imported, jobs) = import_jobs(&[half], &options(Some("common"))).expect("jobs");
     assert!(
         !jobs.is_empty() && jobs.len() < 60 && rejected(&imported, Reason::Truncated) == 1,
         "{}",
@@ -178,13 +178,13 @@
 }
 
 #[test]
-fn one_second_stamps_are_spread_in_the_order_of_the_lines() {
-    let dir = Dir::new();
+fn timestamps_of_one_second_are_spread_in_log_order() {
+    let dir = TestDir::new();
     let text: String = (0..400)
-        .map(|n| line(n / 100, &format!("/reserve/kit-{n}"), "200 5"))
+        .map(|n| log_line(n / 100, &format!("/reserve/kit-{n}"), "200 5"))
         .collect();
     let path = dir.file("a.log", text.as_bytes());
-    let jobs = taken(std::slice::from_ref(&path), &options(None))
+    let jobs = import_jobs(std::slice::from_ref(&path), &options(None))
         .expect("jobs")
         .1;
     let subjects: Vec<String> = (0..400).map(|n| format!("kit-{n}")).collect();
@@ -205,7 +205,7 @@
     assert!((400_000..600_000).contains(&mean), "{mean}");
     assert_eq!(
         jobs,
-        taken(std::slice::from_ref(&path), &options(None))
+        import_jobs(std::slice::from_ref(&path), &options(None))
             .expect("jobs")
             .1,
         "the same seed, the same draws"
@@ -214,16 +214,16 @@
         seed: 2,
         ..options(None)
     };
-    assert_ne!(jobs, taken(&[path], &other).expect("jobs").1);
+    assert_ne!(jobs, import_jobs(&[path], &other).expect("jobs").1);
 }
 
 #[test]
-fn clock_steps_gaps_and_reordering_are_remarked_and_end_nothing() {
-    let dir = Dir::new();
-    let at = |s: u32| line(s, &format!("/reserve/kit-{s}"), "200 5");
+fn clock_steps_gaps_and_reordering_are_remarked_and_the_import_continues() {
+    let dir = TestDir::new();
+    let at = |s: u32| log_line(s, &format!("/reserve/kit-{s}"), "200 5");
     let text = [at(200), at(201), at(199), at(20), at(21), at(3500)].concat();
     let (imported, jobs) =
-        taken(&[dir.file("a.log", text.as_bytes())], &options(None)).expect("jobs");
+        import_jobs(&[dir.file("a.log", text.as_bytes())], &options(None)).expect("jobs");
     let seconds: Vec<String> = jobs.iter().map(|j| j.subject.replace("kit-", "")).collect();
     assert_eq!(seconds, ["20", "21", "199", "200", "201", "3500"]);
     assert_eq!(
@@ -233,13 +233,13 @@
 }
 
 #[test]
-fn retries_become_one_first_try_by_key_mark_and_guess() {
-    let dir = Dir::new();
-    let at = |s: u32, path: &str, status: u32, us: u32, id: &str, key: &str, mark: &str| {
-        line(
+fn retries_are_folded_by_key_marker_and_guess() {
+    let dir = TestDir::new();
+    let at = |s: u32, path: &str, status: u32, us: u32, id: &str, key: &str, retry_marker: &str| {
+        log_line(
             s,
             path,
-            &format!("{status} 0 {us} \"{id}\" \"{key}\" \"{mark}\""),
+            &format!("{status} 0 {us} \"{id}\" \"{key}\" \"{retry_marker}\""),
         )
     };
     let text = [
@@ -257,20 +257,25 @@
         at(50, "/reserve/kit-5", 200, 1000, "e2", "-", "-"), // too late for a guess
         at(60, "/reserve/kit-6", 200, 1000, "f1", "-", "1"), // its first try is lost
     ];
-    let (imported, jobs) = taken(
+    let (imported, jobs) = import_jobs(
         &[dir.file("a.log", text.concat().as_bytes())],
         &options(Some(HEADERS)),
     )
     .expect("jobs");
-    let found: Vec<(String, Vec<How>)> = jobs
+    let found: Vec<(String, Vec<Evidence>)> = jobs
         .iter()
-        .map(|j| (j.subject.clone(), j.tries.iter().map(|a| a.how).collect()))
+        .map(|j| {
+            (
+                j.subject.clone(),
+                j.retries.iter().map(|a| a.evidence).collect(),
+            )
+        })
         .collect();
     let wanted = [
-        ("kit-1", vec![How::Key, How::Key]),
+        ("kit-1", vec![Evidence::Key, Evidence::Key]),
         ("kit-1", vec![]),
-        ("kit-2", vec![How::Marker]),
-        ("kit-3", vec![How::Guess]),
+        ("kit-2", vec![Evidence::Marker]),
+        ("kit-3", vec![Evidence::Guess]),
         ("kit-4", vec![]),
         ("kit-4", vec![]),
         ("kit-5", vec![]),
@@ -279,16 +284,19 @@
     ];
     assert_eq!(found, wanted.map(|(s, t)| (s.to_string(), t)));
     assert_eq!(remarked(&imported, Remark::Orphan), 1);
-    let sure = |n: usize| jobs[n].tries[0].sure;
+    let confidence = |n: usize| jobs[n].retries[0].confidence;
     assert!(
-        sure(0) > 0.99 && sure(2) > 0.99 && sure(3) > 0.5 && sure(3) < sure(2),
+        confidence(0) > 0.99
+            && confidence(2) > 0.99
+            && confidence(3) > 0.5
+            && confidence(3) < confidence(2),
         "a guess is less sure"
     );
 }
 
 #[test]
-fn a_har_sorted_by_page_and_cut_off_comes_out_in_order() {
-    let dir = Dir::new();
+fn a_truncated_har_sorted_by_page_is_imported_in_time_order() {
+    let dir = TestDir::new();
     let entry = |s: u32, status: u32| {
         format!(
             r#"{{"startedDateTime":"2026-10-10T13:00:{s:02}.000Z","time":5,"request":{{"method":"POST","url":"http://x/reserve/kit-{s}",
@@ -306,7 +314,7 @@
         &entry(59, 200)[..40]
     );
     let (imported, jobs) =
-        taken(&[dir.file("x.har", text.as_bytes())], &options(None)).expect("jobs");
+        import_jobs(&[dir.file("x.har", text.as_bytes())], &options(None)).expect("jobs");
     let subjects: Vec<&str> = jobs.iter().map(|j| j.subject.as_str()).collect();
     assert_eq!(subjects, ["kit-10", "kit-20", "kit-30", "kit-40", "kit-50"]);
     assert!(jobs.iter().all(|j| &*j.parish == "palmeira"));
@@ -320,14 +328,14 @@
     );
     let none = dir.file("y.har", br#"{"log":{"pages":[]}}"#);
     assert!(matches!(
-        taken(&[none], &options(None)),
-        Err(Failed::Form(..))
+        import_jobs(&[none], &options(None)),
+        Err(ImportError::Format(..))
     ));
 }
 
 #[test]
-fn local_times_follow_the_log_over_the_change_of_the_clocks() {
-    let dir = Dir::new();
+fn local_times_stay_monotonic_across_a_daylight_saving_change() {
+    let dir = TestDir::new();
     let fields = r#""json":{"time":"/t","target":"/p","method":"/m"}"#;
     let mapping = MAPPING.replacen("\"version\":1,", &format!("\"version\":1,{fields},"), 1);
     let times = [
@@ -341,7 +349,8 @@
         mapping: Mapping::read(&mapping).expect("a mapping"),
         ..options(None)
     };
-    let (imported, jobs) = taken(&[dir.file("a.json", text.as_bytes())], &options).expect("jobs");
+    let (imported, jobs) =
+        import_jobs(&[dir.file("a.json", text.as_bytes())], &options).expect("jobs");
     let minutes: Vec<i64> = jobs
         .windows(2)
         .map(|w| (w[1].at / 1_000_000 + 1) / 60 - (w[0].at / 1_000_000 + 1) / 60)
@@ -356,7 +365,7 @@
 }
 
 #[test]
-fn a_mapping_that_cannot_work_is_turned_down_with_all_that_is_wrong() {
+fn an_invalid_mapping_is_rejected_with_all_its_errors() {
     let error = |text: &str| Mapping::read(text).expect_err("an error").to_string();
     let e = error(r#"{"version":1,"clas":[],"class":[{"from":"network"}]}"#);
     assert!(e.contains("clas"), "{e}");
@@ -364,7 +373,7 @@
         r#"{"version":1,"zone":"Braga","trusted":["10.0.0.1/8"],"networks":{"a":["1.2.3.0/24"],"b":["1.2.3.0/24"]},
         "class":[{"from":{"path":"("}}],"parish":[{"from":"network"}],"id-kept":true}"#,
     );
-    for part in [
+    for expected in [
         "/zone",
         "/trusted/0",
         "/networks/b/0",
@@ -372,7 +381,7 @@
         "/class/0",
         "/id-kept",
     ] {
-        assert!(e.contains(part), "{part}: {e}");
+        assert!(e.contains(expected), "{expected}: {e}");
     }
     assert!(error(r#"{"version":2,"class":[{"from":"user"}]}"#).contains("/version"));
     assert!(error(r#"{"version":1,"class":[]}"#).contains("/class"));
@@ -382,18 +391,18 @@
 
 /// Guards against one file's lines being put before the other's in each second, which made bursts that never were.
 #[test]
-fn lines_of_two_files_in_one_second_are_not_put_one_after_the_other() {
-    let dir = Dir::new();
-    let lines = |name: &str| {
+fn records_of_two_files_in_one_second_are_interleaved() {
+    let dir = TestDir::new();
+    let log_lines = |name: &str| {
         (0..200)
-            .map(|n| line(5, &format!("/reserve/{name}-{n}"), "200 5"))
+            .map(|n| log_line(5, &format!("/reserve/{name}-{n}"), "200 5"))
             .collect::<String>()
     };
     let paths = [
-        dir.file("a.log", lines("a").as_bytes()),
-        dir.file("b.log", lines("b").as_bytes()),
+        dir.file("a.log", log_lines("a").as_bytes()),
+        dir.file("b.log", log_lines("b").as_bytes()),
     ];
-    let jobs = taken(&paths, &options(None)).expect("jobs").1;
+    let jobs = import_jobs(&paths, &options(None)).expect("jobs").1;
     for name in ["a-", "b-"] {
         let of: Vec<i64> = jobs
             .iter()
@@ -408,15 +417,15 @@
 
 /// Guards against remarks on records that were rejected, and on the record behind one.
 #[test]
-fn remarks_speak_of_records_that_went_on() {
-    let dir = Dir::new();
+fn remarks_are_counted_only_for_accepted_records() {
+    let dir = TestDir::new();
     let latin = [
         b"192.0.2.7 - S\xe3o [10/Oct/2026:13:00:07 +0000] \"GET /reserve/kit-4 HTTP/1.1\" 200 5\n",
-        line(8, "/reserve/kit-5", "200 5").as_bytes(),
+        log_line(8, "/reserve/kit-5", "200 5").as_bytes(),
     ]
     .concat();
     let (imported, _) =
-        taken(&[dir.file("a.log", &latin)], &options(Some("common"))).expect("jobs");
+        import_jobs(&[dir.file("a.log", &latin)], &options(Some("common"))).expect("jobs");
     assert_eq!(
         (
             remarked(&imported, Remark::Latin1),
@@ -436,6 +445,7 @@
         mapping: Mapping::read(&mapping).expect("a mapping"),
         ..options(None)
     };
-    let (imported, jobs) = taken(&[dir.file("a.json", text.as_bytes())], &options).expect("jobs");
+    let (imported, jobs) =
+        import_jobs(&[dir.file("a.json", text.as_bytes())], &options).expect("jobs");
     assert_eq!((jobs.len(), remarked(&imported, Remark::Dst)), (1, 0));
 }
--- a/crates/traffic/src/networks/tests.rs
+++ b/crates/traffic/tests/networks.rs
@@ -1,13 +1,14 @@
 //! Networks and addresses.
 
-use super::*;
+use indigofold_traffic::networks::{Networks, address, client};
+use std::net::IpAddr;
 
 fn ip(text: &str) -> IpAddr {
     address(text).expect("an address")
 }
 
 #[test]
-fn the_longest_prefix_names_an_address() {
+fn the_longest_network_prefix_names_an_address() {
     let mut nets = Networks::default();
     for (net, name) in [
         ("10.0.0.0/8", "all"),
@@ -32,7 +33,7 @@
 
 /// Guards against clients that write themselves another parish into the header.
 #[test]
-fn only_what_trusted_proxies_say_is_believed() {
+fn only_trusted_proxies_forwarded_addresses_are_used() {
     let mut trusted = Networks::default();
     trusted.add("10.0.0.0/8", "proxy").expect("a network");
     let of = |peer: &str, forwarded| client(ip(peer), forwarded, &trusted).map(|a| a.to_string());
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -1,21 +1,21 @@
-//! Whatever comes, decoders end, memory is bounded, counts add up, and what was written is read again.
+//! Whatever comes, decoders end, memory is bounded, counts add up, and what was written is read retry.
 
-use indigofold_traffic::har::{self, ENTRY, Piece, Splitter};
+use indigofold_traffic::access_log::LogFormat;
+use indigofold_traffic::har::{self, Element, MAX_ENTRY_BYTES, Splitter};
 use indigofold_traffic::import::{Options, import};
-use indigofold_traffic::job::{Again, How, Job};
-use indigofold_traffic::line::LineFormat;
+use indigofold_traffic::job::{Evidence, Job, Retry};
 use indigofold_traffic::mapping::Mapping;
 use indigofold_traffic::ops::{Factor, Scaled};
-use indigofold_traffic::order::{Sorter, Spread, Try};
+use indigofold_traffic::order::{Attempt, Sorter, Spread};
 use indigofold_traffic::recording::{Header, Reader, Writer};
-use indigofold_traffic::stamp;
+use indigofold_traffic::timestamp;
 use jiff::tz::TimeZone;
 use proptest::prelude::*;
 use std::io::Write;
 use std::sync::Arc;
 
 fn job() -> impl Strategy<Value = Job> {
-    let again = (
+    let retry = (
         0..5_000_000i64,
         0u16..600,
         proptest::option::of(0..9_000_000i64),
@@ -33,8 +33,8 @@
         any::<u64>(),
         0u16..600,
     );
-    (texts, counts, proptest::collection::vec(again, 0..4)).prop_map(
-        |((class, parish, subject, key), (at, bytes, client, status), again)| Job {
+    (texts, counts, proptest::collection::vec(retry, 0..4)).prop_map(
+        |((class, parish, subject, key), (at, bytes, client, status), retry)| Job {
             at,
             class: class.into(),
             parish: parish.into(),
@@ -46,22 +46,22 @@
             client,
             status,
             took: (status > 0).then_some(i64::from(status)),
-            tries: again
+            retries: retry
                 .into_iter()
-                .map(|(d, status, took, sure)| Again {
+                .map(|(d, status, took, confidence)| Retry {
                     at: at + d,
                     status,
                     took,
-                    how: How::Guess,
-                    sure,
+                    evidence: Evidence::Guess,
+                    confidence,
                 })
                 .collect(),
         },
     )
 }
 
-fn tried(job: Job, seq: u64, within: i64) -> Try {
-    Try {
+fn attempt_of(job: Job, seq: u64, within: i64) -> Attempt {
+    Attempt {
         job,
         within,
         seq,
@@ -75,24 +75,24 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn line_decoders_end_on_anything(text in any::<String>(), line in "[ -~]{0,200}", n in 0usize..5) {
+    fn access_log_decoders_terminate_on_any_input(text in any::<String>(), line in "[ -~]{0,200}", n in 0usize..5) {
         let name = ["common", "combined", "nginx", "envoy", "apache:%{%s}t %{X}i %U%q %D \"%r\" %{ms}T"][n];
-        let format = LineFormat::named(name).expect("a format");
-        let mut stamps = stamp::Reader::new(TimeZone::UTC);
-        let _ = format.read(&text, &mut stamps);
-        let _ = format.read(&line, &mut stamps);
+        let format = LogFormat::named(name).expect("a format");
+        let mut timestamps = timestamp::Reader::new(TimeZone::UTC);
+        let _ = format.read(&text, &mut timestamps);
+        let _ = format.read(&line, &mut timestamps);
     }
 
     #[test]
-    fn formats_are_compiled_or_turned_down(text in "[%$(){}\\\\a-zA-Z:!,<> \"?.-]{0,60}") {
+    fn format_strings_compile_or_are_rejected(text in "[%$(){}\\\\a-zA-Z:!,<> \"?.-]{0,60}") {
         for server in ["apache", "nginx", "envoy"] {
-            let _ = LineFormat::named(&format!("{server}:{text}"));
+            let _ = LogFormat::named(&format!("{server}:{text}"));
         }
     }
 
     /// A good line with one byte changed, lost or doubled is read or rejected, and counted.
     #[test]
-    fn damaged_logs_are_counted_whole(harm in proptest::collection::vec((0usize..4000, 0usize..3, any::<u8>()), 0..12)) {
+    fn every_record_of_a_damaged_log_is_counted(harm in proptest::collection::vec((0usize..4000, 0usize..3, any::<u8>()), 0..12)) {
         let mut bytes: Vec<u8> = (0..24).flat_map(|n| {
             format!("192.0.2.{n} - - [10/Oct/2026:13:55:{n:02} +0000] \"POST /reserve/kit-{n} HTTP/1.1\" 200 5 \"-\" \"é\"\n").into_bytes()
         }).collect();
@@ -107,7 +107,7 @@
         let mut file = tempfile::NamedTempFile::new().expect("a file");
         file.write_all(&bytes).expect("written");
         let mapping = Mapping::read(r#"{"version":1,"class":[{"from":{"segment":0}}],"subject":[{"from":{"segment":1}}]}"#).expect("a mapping");
-        let format = Some(indigofold_traffic::detect::Kind::Lines(LineFormat::named("combined").expect("a format")));
+        let format = Some(indigofold_traffic::detect::Kind::Lines(LogFormat::named("combined").expect("a format")));
         let options = Options { format, mapping, strict: false, max_bad: 1.0, seed: 1 };
         let imported = import(&[file.path().to_path_buf()], &options, std::io::sink(), &Arc::default()).expect("some lines are whole");
         prop_assert!(imported.tally.adds_up());
@@ -116,40 +116,40 @@
     }
 
     #[test]
-    fn har_entries_do_not_depend_on_the_pieces(text in any::<String>(), tail in any::<Vec<u8>>(), size in 1usize..50) {
+    fn har_entries_do_not_depend_on_the_chunk_size(text in any::<String>(), tail in any::<Vec<u8>>(), size in 1usize..50) {
         let body = serde_json::to_string(&text).expect("text");
         let mut bytes = format!("{{\"log\":{{\"entries\":[{{\"a\":{body}}},{{\"b\":[{body}]}}]}}}}").into_bytes();
         bytes.extend(tail);
         let read = |size: usize| {
             let (mut splitter, mut all) = (Splitter::default(), Vec::new());
-            for piece in bytes.chunks(size) {
-                splitter.push(piece, |piece| if let Piece::Entry(text) = piece { all.push(text.to_vec()) });
+            for chunk in bytes.chunks(size) {
+                splitter.push(chunk, |element| if let Element::Entry(text) = element { all.push(text.to_vec()) });
             }
             all
         };
-        let whole = read(bytes.len());
-        prop_assert_eq!(whole.len(), 2);
-        prop_assert_eq!(read(size), whole);
+        let complete = read(bytes.len());
+        prop_assert_eq!(complete.len(), 2);
+        prop_assert_eq!(read(size), complete);
     }
 
     #[test]
-    fn har_decoder_ends_on_anything_in_bounded_memory(bytes in any::<Vec<u8>>(), opening in "[\\[{\"a:,\\\\]{0,300}") {
+    fn har_decoder_terminates_on_any_input_in_bounded_memory(bytes in any::<Vec<u8>>(), opening in "[\\[{\"a:,\\\\]{0,300}") {
         let mut splitter = Splitter::default();
-        let mut stamps = stamp::Reader::new(TimeZone::UTC);
-        for part in [&b"{\"log\":{\"entries\":["[..], opening.as_bytes(), &bytes] {
-            splitter.push(part, |piece| match piece {
-                Piece::Entry(text) => {
-                    assert!(text.len() <= ENTRY);
-                    let _ = har::read(text, &mut stamps);
+        let mut timestamps = timestamp::Reader::new(TimeZone::UTC);
+        for chunk in [&b"{\"log\":{\"entries\":["[..], opening.as_bytes(), &bytes] {
+            splitter.push(chunk, |element| match element {
+                Element::Entry(text) => {
+                    assert!(text.len() <= MAX_ENTRY_BYTES);
+                    let _ = har::read(text, &mut timestamps);
                 }
-                Piece::TooLong(text) => assert!(text.len() <= ENTRY),
+                Element::TooLong(text) => assert!(text.len() <= MAX_ENTRY_BYTES),
             });
         }
         let _ = splitter.finish();
     }
 
     #[test]
-    fn recordings_are_read_as_they_were_written(mut jobs in proptest::collection::vec(job(), 0..20)) {
+    fn recordings_round_trip_and_truncation_is_detected(mut jobs in proptest::collection::vec(job(), 0..20)) {
         jobs.sort_by_key(|j| j.at);
         let mut writer = Writer::new(Vec::new(), &Header::new(vec!["x".into()], 3)).expect("a writer");
         jobs.iter().for_each(|j| writer.write(j).expect("written"));
@@ -159,28 +159,28 @@
         prop_assert_eq!(reader.end, Some(end));
         prop_assert_eq!(&read, &jobs);
         // Cut anywhere, it is told.
-        for cut in (0..bytes.len() - 1).step_by(97) {
-            let read = Reader::new(&bytes[..cut]).map(|r| r.collect::<Result<Vec<Job>, _>>());
-            prop_assert!(!matches!(read, Ok(Ok(_))), "cut at {cut}");
+        for length in (0..bytes.len() - 1).step_by(97) {
+            let read = Reader::new(&bytes[..length]).map(|r| r.collect::<Result<Vec<Job>, _>>());
+            prop_assert!(!matches!(read, Ok(Ok(_))), "cut at {length}");
         }
     }
 
     #[test]
-    fn recordings_of_anything_are_turned_down(bytes in any::<Vec<u8>>()) {
+    fn arbitrary_recordings_are_rejected(bytes in any::<Vec<u8>>()) {
         let text = [&b"{\"format\":\"indigofold-recording\",\"version\":1}\n"[..], &bytes].concat();
         if let Ok(reader) = Reader::new(&text[..]) {
             prop_assert!(reader.last().is_none_or(|last| last.is_err()));
         }
     }
 
-    /// In whatever order tries come, and however little memory there is, they come out by time.
+    /// In whatever order retries come, and however little memory there is, they come out by time.
     #[test]
-    fn sorting_in_little_memory_is_sorting(jobs in proptest::collection::vec(job(), 0..60), room in 1usize..8) {
-        let mut sorter = Sorter::new(room);
+    fn sorting_with_spilled_runs_orders_by_time(jobs in proptest::collection::vec(job(), 0..60), capacity in 1usize..8) {
+        let mut sorter = Sorter::new(capacity);
         let mut wanted: Vec<(i64, u64)> = Vec::new();
         for (n, job) in jobs.into_iter().enumerate() {
             wanted.push((job.at, n as u64));
-            sorter.push(tried(job, n as u64, 1)).expect("sorted");
+            sorter.push(attempt_of(job, n as u64, 1)).expect("sorted");
         }
         wanted.sort_unstable();
         let found: Vec<(i64, u64)> = sorter.finish().expect("sorted").map(|t| t.map(|t| (t.job.at, t.seq)).expect("a try")).collect();
@@ -188,17 +188,17 @@
     }
 
     #[test]
-    fn spreading_keeps_the_order_and_the_width(stamps in proptest::collection::vec((0i64..20, 0usize..3), 1..80), seed in any::<u64>()) {
+    fn spreading_keeps_the_order_within_the_resolution(timestamps in proptest::collection::vec((0i64..20, 0usize..3), 1..80), seed in any::<u64>()) {
         let widths = [1, 1_000, 1_000_000];
-        let mut tries: Vec<Try> = stamps.iter().enumerate().map(|(n, (s, w))| {
+        let mut retries: Vec<Attempt> = timestamps.iter().enumerate().map(|(n, (s, w))| {
             let (at, within) = (s * 1_000_000, widths[*w]);
             let job = Job { at, class: "c".into(), parish: "".into(), subject: String::new(), key: None, deadline: None, bytes: at as u64,
-                slots: None, client: 0, status: 0, took: None, tries: Vec::new() };
-            tried(job, n as u64, within)
+                slots: None, client: 0, status: 0, took: None, retries: Vec::new() };
+            attempt_of(job, n as u64, within)
         }).collect();
-        tries.sort_by_key(|t| (t.job.at, t.seq));
-        let spread: Vec<Try> = Spread::new(tries.into_iter().map(Ok), seed).map(|t| t.expect("a try")).collect();
-        prop_assert_eq!(spread.len(), stamps.len());
+        retries.sort_by_key(|t| (t.job.at, t.seq));
+        let spread: Vec<Attempt> = Spread::new(retries.into_iter().map(Ok), seed).map(|t| t.expect("a try")).collect();
+        prop_assert_eq!(spread.len(), timestamps.len());
         prop_assert!(spread.windows(2).all(|w| w[0].job.at <= w[1].job.at));
         for t in &spread {
             let by = t.job.at - t.job.bytes as i64;
@@ -207,7 +207,7 @@
     }
 
     #[test]
-    fn scaling_keeps_order_retries_and_the_course(mut jobs in proptest::collection::vec(job(), 1..60), by in 0.1f64..4.0, seed in any::<u64>()) {
+    fn scaling_keeps_order_retries_and_rate_profile(mut jobs in proptest::collection::vec(job(), 1..60), by in 0.1f64..4.0, seed in any::<u64>()) {
         jobs.iter_mut().for_each(|j| j.at %= 60_000_000);
         jobs.sort_by_key(|j| j.at);
         let scaled: Vec<Job> = Scaled::new(jobs.iter().cloned(), Factor::Always(by), 1_000_000, seed).collect();
@@ -219,8 +219,8 @@
         for j in &scaled {
             // Each comes from a job of its second, with that job's retries at their distances.
             let same = |o: &&Job| {
-                o.at / 1_000_000 == j.at / 1_000_000 && o.client == j.client && o.tries.len() == j.tries.len()
-                    && o.tries.iter().zip(&j.tries).all(|(a, b)| a.at - o.at == b.at - j.at)
+                o.at / 1_000_000 == j.at / 1_000_000 && o.client == j.client && o.retries.len() == j.retries.len()
+                    && o.retries.iter().zip(&j.retries).all(|(a, b)| a.at - o.at == b.at - j.at)
             };
             prop_assert!(jobs.iter().find(same).is_some());
         }
--- a/crates/traffic/src/stamp/tests.rs
+++ b/crates/traffic/tests/timestamps.rs
@@ -1,15 +1,16 @@
 //! Forms of time stamps.
 
-use super::*;
+use indigofold_traffic::timestamp::{InvalidTimestamp, Reader, SECOND, TimeFormat};
+use jiff::tz::TimeZone;
 
 fn reader() -> Reader {
     Reader::new(TimeZone::get("Europe/Lisbon").expect("a zone"))
 }
 
 #[test]
-fn common_log_stamps_mean_what_a_calendar_says() {
+fn common_log_timestamps_match_the_calendar() {
     let mut r = reader();
-    let at = |r: &mut Reader, text: &str| r.read(&Form::Clf, text).map(|s| s.at / SECOND);
+    let at = |r: &mut Reader, text: &str| r.read(&TimeFormat::Clf, text).map(|s| s.at / SECOND);
     assert_eq!(at(&mut r, "10/Oct/2000:13:55:36 -0700"), Ok(971_211_336));
     assert_eq!(at(&mut r, "10/Oct/2000:13:55:59 -0700"), Ok(971_211_359));
     assert_eq!(
@@ -25,34 +26,37 @@
         "10/Oct/2000:24:55:36 -0700",
         "10/Oct/1970:13:55:36 -0700",
     ] {
-        assert_eq!(at(&mut r, bad), Err(BadStamp), "{bad}");
+        assert_eq!(at(&mut r, bad), Err(InvalidTimestamp), "{bad}");
     }
 }
 
 #[test]
-fn fractions_say_how_exact_a_stamp_is() {
+fn fraction_digits_set_the_resolution() {
     let mut r = reader();
-    let mut read = |form: &Form, text: &str| r.read(form, text).map(|s| (s.at, s.within));
+    let mut read = |form: &TimeFormat, text: &str| r.read(form, text).map(|s| (s.at, s.within));
     let second = 1_700_000_000 * SECOND;
-    assert_eq!(read(&Form::Seconds, "1700000000"), Ok((second, SECOND)));
     assert_eq!(
-        read(&Form::Seconds, "1700000000.125"),
+        read(&TimeFormat::Seconds, "1700000000"),
+        Ok((second, SECOND))
+    );
+    assert_eq!(
+        read(&TimeFormat::Seconds, "1700000000.125"),
         Ok((second + 125_000, 1_000))
     );
     assert_eq!(
-        read(&Form::Millis, "1700000000125"),
+        read(&TimeFormat::Millis, "1700000000125"),
         Ok((second + 125_000, 1_000))
     );
     assert_eq!(
-        read(&Form::Iso, "2023-11-14T22:13:20.5Z"),
+        read(&TimeFormat::Iso, "2023-11-14T22:13:20.5Z"),
         Ok((second + 500_000, 100_000))
     );
     assert_eq!(
-        read(&Form::Iso, "2023-11-14T22:13:20"),
+        read(&TimeFormat::Iso, "2023-11-14T22:13:20"),
         Ok((second, SECOND)),
         "Lisbon is at UTC in winter"
     );
-    let pattern = Form::Pattern("%Y/%m/%d %H:%M:%S%.3f %z".into());
+    let pattern = TimeFormat::Pattern("%Y/%m/%d %H:%M:%S%.3f %z".into());
     assert_eq!(
         read(&pattern, "2023/11/14 23:13:20.125 +0100"),
         Ok((second + 125_000, 1_000))
@@ -61,10 +65,10 @@
 
 /// The hour that comes twice: the log goes on, and does not jump back.
 #[test]
-fn a_local_hour_that_comes_twice_follows_the_log() {
+fn an_ambiguous_local_time_is_resolved_by_the_preceding_records() {
     let mut r = reader();
     let mut at = |text: &str| {
-        let at = r.read(&Form::Iso, text).expect("a time").at / SECOND;
+        let at = r.read(&TimeFormat::Iso, text).expect("a time").at / SECOND;
         (at, r.was_dst())
     };
     let (first, dst) = at("2026-10-25T01:10:00");
--- a/fuzz/fuzz_targets/har.rs
+++ b/fuzz/fuzz_targets/har.rs
@@ -1,20 +1,20 @@
 //! HAR documents in pieces: no panic, bounded memory, and the same entries whatever the pieces.
 #![no_main]
-use indigofold_traffic::har::{self, ENTRY, Piece, Splitter};
-use indigofold_traffic::stamp::Reader;
+use indigofold_traffic::har::{self, MAX_ENTRY_BYTES, Element, Splitter};
+use indigofold_traffic::timestamp::Reader;
 use libfuzzer_sys::fuzz_target;
 
 fn entries(data: &[u8], size: usize) -> usize {
-    let (mut splitter, mut stamps, mut count) = (Splitter::default(), Reader::new(jiff::tz::TimeZone::UTC), 0);
-    for piece in data.chunks(size) {
-        splitter.push(piece, |piece| {
+    let (mut splitter, mut timestamps, mut count) = (Splitter::default(), Reader::new(jiff::tz::TimeZone::UTC), 0);
+    for chunk in data.chunks(size) {
+        splitter.push(chunk, |element| {
             count += 1;
-            match piece {
-                Piece::Entry(text) => {
-                    assert!(text.len() <= ENTRY);
-                    let _ = har::read(text, &mut stamps);
+            match element {
+                Element::Entry(text) => {
+                    assert!(text.len() <= MAX_ENTRY_BYTES);
+                    let _ = har::read(text, &mut timestamps);
                 }
-                Piece::TooLong(text) => assert!(text.len() <= ENTRY),
+                Element::TooLong(text) => assert!(text.len() <= MAX_ENTRY_BYTES),
             }
         });
     }
@@ -23,7 +23,7 @@
 }
 
 fuzz_target!(|data: &[u8]| {
-    let whole = [b"{\"log\":{\"entries\":[", data].concat();
-    assert_eq!(entries(&whole, whole.len()), entries(&whole, 7));
+    let document = [b"{\"log\":{\"entries\":[", data].concat();
+    assert_eq!(entries(&document, document.len()), entries(&document, 7));
     entries(data, 64);
 });
--- a/fuzz/fuzz_targets/json.rs
+++ b/fuzz/fuzz_targets/json.rs
@@ -1,7 +1,7 @@
 //! JSON lines: no panic.
 #![no_main]
-use indigofold_traffic::line::json::{Fields, TimeForm, Unit};
-use indigofold_traffic::stamp::Reader;
+use indigofold_traffic::access_log::json::{Fields, TimeForm, Unit};
+use indigofold_traffic::timestamp::Reader;
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|line: &str| {
--- a/fuzz/fuzz_targets/lines.rs
+++ b/fuzz/fuzz_targets/lines.rs
@@ -1,12 +1,12 @@
 //! Lines of the known text formats: no panic.
 #![no_main]
-use indigofold_traffic::line::LineFormat;
-use indigofold_traffic::stamp::Reader;
+use indigofold_traffic::access_log::LogFormat;
+use indigofold_traffic::timestamp::Reader;
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|data: &[u8]| {
     let Some((which, line)) = data.split_first() else { return };
     let name = ["common", "combined", "nginx", "envoy", "apache:%h %{%s}t \"%r\" %>s %D %{X}i"][*which as usize % 5];
-    let (Ok(format), Ok(line)) = (LineFormat::named(name), std::str::from_utf8(line)) else { return };
+    let (Ok(format), Ok(line)) = (LogFormat::named(name), std::str::from_utf8(line)) else { return };
     let _ = format.read(line, &mut Reader::new(jiff::tz::TimeZone::UTC));
 });
--- a/fuzz/fuzz_targets/recording.rs
+++ b/fuzz/fuzz_targets/recording.rs
@@ -6,7 +6,7 @@
 fuzz_target!(|data: &[u8]| {
     let text = [b"{\"format\":\"indigofold-recording\",\"version\":1}\n", data].concat();
     if let Ok(mut reader) = Reader::new(&text[..]) {
-        let whole = reader.by_ref().all(|job| job.is_ok());
-        assert_eq!(whole, reader.end.is_some());
+        let complete = reader.by_ref().all(|job| job.is_ok());
+        assert_eq!(complete, reader.end.is_some());
     }
 });
