--- a/crates/replay/src/foldcheck.rs
+++ b/crates/replay/src/foldcheck.rs
@@ -6,7 +6,7 @@
 use indigofold_traffic::Tally;
 use indigofold_traffic::fold::{Folder, Rules};
 use indigofold_traffic::job::{Job, Micros, number};
-use indigofold_traffic::order::{Sorter, Spread, Try};
+use indigofold_traffic::order::{Sorter, Spread, Attempt};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
@@ -41,7 +41,7 @@
 pub fn check(scenario: &Scenario, seeds: u64) -> Result<Vec<Row>, String> {
     let mut sums = [[0u64; 3]; WAYS.len()]; // retries, folded, right
     for seed in 1..=seeds {
-        let mut tries: Vec<(Try, u64)> = Vec::new();
+        let mut tries: Vec<(Attempt, u64)> = Vec::new();
         let names: Vec<_> = scenario
             .classes
             .iter()
@@ -71,11 +71,11 @@
                     client: number(&crate::export::address(a.parish.unwrap_or(200), a.office)),
                     status: t.status.unwrap_or(0),
                     took: Some((t.to - t.from) as Micros),
-                    tries: Vec::new(),
+                    retries: Vec::new(),
                 };
                 let seq = tries.len() as u64;
                 tries.push((
-                    Try {
+                    Attempt {
                         job,
                         within: 1,
                         seq,
@@ -105,7 +105,7 @@
 
 fn fold(
     scenario: &Scenario,
-    tries: &[(Try, u64)],
+    tries: &[(Attempt, u64)],
     (_, key, mark, within): &(&str, bool, bool, Micros),
     seed: u64,
 ) -> std::io::Result<[u64; 3]> {
@@ -124,7 +124,7 @@
     let (mut truth, mut folded): (FxHashMap<Micros, u64>, Vec<Job>) = Default::default();
     let rules = Rules {
         guess_within: (scenario.clients.max_retry_after_ms as Micros + 300) * 1000,
-        tries: scenario.clients.retries + 1,
+        max_attempts: scenario.clients.retries + 1,
         id_kept: false,
         marks: *mark,
     };
@@ -139,7 +139,7 @@
     let mut right = 0;
     for job in &folded {
         let of = truth.get(&job.at);
-        right += job.tries.iter().filter(|a| truth.get(&a.at) == of).count() as u64;
+        right += job.retries.iter().filter(|a| truth.get(&a.at) == of).count() as u64;
     }
     Ok([retries, tally.folded, right])
 }
--- a/crates/replay/src/import_call.rs
+++ b/crates/replay/src/import_call.rs
@@ -5,8 +5,8 @@
 use crate::files::{bar, create, text_of};
 use indigofold_traffic::Tally;
 use indigofold_traffic::detect::Kind;
-use indigofold_traffic::import::{Failed, Options, import};
-use indigofold_traffic::line::LineFormat;
+use indigofold_traffic::import::{ImportError, Options, import};
+use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::mapping::Mapping;
 use serde_json::{Value, json};
 use std::io::Write;
@@ -28,9 +28,9 @@
                 .json
                 .clone()
                 .ok_or("the mapping must say under 'json' where the fields stand")?;
-            Some(Kind::Lines(LineFormat::Json(Box::new(fields))))
+            Some(Kind::Lines(LogFormat::Json(Box::new(fields))))
         }
-        Some(name) => Some(Kind::Lines(LineFormat::named(name)?)),
+        Some(name) => Some(Kind::Lines(LogFormat::named(name)?)),
     };
     let size: u64 = args
         .files
@@ -71,7 +71,7 @@
         Ok(imported) => imported,
         Err(error) => {
             let _ = std::fs::remove_file(&part);
-            if let Failed::Nothing(_, tally) = &error {
+            if let ImportError::Nothing(_, tally) = &error {
                 print_tally(tally, json)?;
             }
             return Err(error.into());
--- a/crates/replay/src/load.rs
+++ b/crates/replay/src/load.rs
@@ -314,7 +314,7 @@
             subject: job.subject,
             office: (job.client % 65_536) as u32,
             retries: job
-                .tries
+                .retries
                 .iter()
                 .map(|a| (a.at - job.at).max(0) as Micros)
                 .collect(),
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -55,7 +55,7 @@
             let first = first_time(&files.recording)?;
             let at = |s: f64| first + (s * 1e6) as i64;
             change(files, cli.json, |jobs| {
-                Box::new(ops::cut(jobs, at(*from), at(*to)))
+                Box::new(ops::time_range(jobs, at(*from), at(*to)))
             })?;
         }
         Call::Filter {
--- a/crates/replay/src/recordings.rs
+++ b/crates/replay/src/recordings.rs
@@ -95,7 +95,7 @@
     std::fs::rename(&part, to)?;
     match json {
         true => say!("{}", serde_json::to_string(&end)?),
-        false => say!("{} first tries, {} retries", end.jobs, end.tries),
+        false => say!("{} first tries, {} retries", end.jobs, end.retries),
     }
     Ok(())
 }
--- a/crates/replay/tests/grounds.rs
+++ b/crates/replay/tests/grounds.rs
@@ -8,7 +8,7 @@
 use indigofold_replay::{foldcheck, report};
 use indigofold_traffic::detect::Kind;
 use indigofold_traffic::import::{Imported, Options, import};
-use indigofold_traffic::line::LineFormat;
+use indigofold_traffic::access_log::LogFormat;
 use indigofold_traffic::mapping::Mapping;
 use indigofold_traffic::recording::Reader;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
     let mapping = Mapping::read(&mapping(s, form).to_string()).expect("a mapping");
     let format = match form {
         Form::Har => Kind::Har,
-        _ => Kind::Lines(LineFormat::named(&form.name()).expect("a format")),
+        _ => Kind::Lines(LogFormat::named(&form.name()).expect("a format")),
     };
     let options = Options {
         format: Some(format),
