--- a/crates/traffic/benches/import.rs
+++ b/crates/traffic/benches/import.rs
@@ -27,7 +27,7 @@
     for n in 0..RECORDS {
         let (s, kit, ip) = (n / 300, n % 977, n % 250);
         let (m, s) = (s / 60, s % 60);
-        let line = match format {
+        let record = match format {
             "combined" | "common" | "nginx" => {
                 let more = if format == "common" {
                     ""
@@ -55,7 +55,7 @@
                 "made ".repeat(40)
             ),
         };
-        out.push_str(&line);
+        out.push_str(&record);
         out.push('\n');
     }
     match format {
@@ -67,7 +67,7 @@
     }
 }
 
-fn line_format(name: &str) -> LogFormat {
+fn log_format(name: &str) -> LogFormat {
     match name {
         "json" => LogFormat::Json(Box::new(serde_json::from_str(JSON).expect("fields"))),
         name => LogFormat::named(name).expect("a format"),
@@ -77,7 +77,7 @@
 /// Lines to records: what the format alone costs.
 #[divan::bench(args = ["common", "combined", "nginx", "envoy", "json"])]
 fn decode(bencher: Bencher<'_, '_>, name: &str) {
-    let (text, format) = (text(name), line_format(name));
+    let (text, format) = (text(name), log_format(name));
     bencher
         .counter(BytesCount::new(text.len()))
         .counter(ItemsCount::new(RECORDS))
@@ -113,7 +113,7 @@
 /// Records to what they mean.
 #[divan::bench]
 fn map_record(bencher: Bencher<'_, '_>) {
-    let (text, format) = (text("combined"), line_format("combined"));
+    let (text, format) = (text("combined"), log_format("combined"));
     let mapping = Mapping::read(MAPPING).expect("a mapping");
     let mut timestamps = Reader::new(TimeZone::UTC);
     let raws: Vec<_> = text
@@ -136,7 +136,7 @@
     file.write_all(text.as_bytes()).expect("written");
     let format = match name {
         "har" => Kind::Har,
-        name => Kind::Lines(line_format(name)),
+        name => Kind::AccessLog(log_format(name)),
     };
     let mapping = Mapping::read(MAPPING).expect("a mapping");
     let options = Options {
--- a/crates/traffic/src/access_log.rs
+++ b/crates/traffic/src/access_log.rs
@@ -71,12 +71,12 @@
     /// Why it is none of this format.
     pub fn read<'a>(
         &'a self,
-        line: &'a str,
+        record: &'a str,
         timestamps: &mut Reader,
     ) -> Result<RawRecord<'a>, Reason> {
         match self {
-            LogFormat::Text(template) => template.read(line, timestamps),
-            LogFormat::Json(fields) => fields.read(line, timestamps),
+            LogFormat::Text(template) => template.read(record, timestamps),
+            LogFormat::Json(fields) => fields.read(record, timestamps),
         }
     }
 }
--- a/crates/traffic/src/access_log/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -84,10 +84,10 @@
     /// Why it cannot be read.
     pub fn read<'a>(
         &self,
-        line: &'a str,
+        record: &'a str,
         timestamps: &mut Reader,
     ) -> Result<RawRecord<'a>, Reason> {
-        let value: Value = serde_json::from_str(line).map_err(|_| Reason::Malformed)?;
+        let value: Value = serde_json::from_str(record).map_err(|_| Reason::Malformed)?;
         if !value.is_object() {
             return Err(Reason::Malformed);
         }
--- a/crates/traffic/src/access_log/template.rs
+++ b/crates/traffic/src/access_log/template.rs
@@ -155,10 +155,10 @@
     /// Why it is none of this format.
     pub fn read<'a>(
         &'a self,
-        line: &'a str,
+        record: &'a str,
         timestamps: &mut Reader,
     ) -> Result<RawRecord<'a>, Reason> {
-        let (mut raw, mut at, bytes) = (RawRecord::default(), 0, line.as_bytes());
+        let (mut raw, mut at, bytes) = (RawRecord::default(), 0, record.as_bytes());
         let (mut before, mut fraction): (&[u8], Option<(Micros, Micros)>) = (&[], None);
         for (n, segment) in self.segments.iter().enumerate() {
             match segment {
@@ -179,7 +179,7 @@
                         }
                         _ => rest.len(),
                     };
-                    let value = line.get(at..at + end).ok_or(Reason::Malformed)?;
+                    let value = record.get(at..at + end).ok_or(Reason::Malformed)?;
                     at += end;
                     self.take(&mut raw, field, value, timestamps, &mut fraction)?;
                 }
--- a/crates/traffic/src/detect.rs
+++ b/crates/traffic/src/detect.rs
@@ -12,8 +12,8 @@
     Har,
     /// A recording of this project.
     Recording,
-    /// Lines.
-    Lines(LogFormat),
+    /// An access log, one record a line.
+    AccessLog(LogFormat),
 }
 
 /// Lines that are tried.
@@ -37,7 +37,7 @@
             (Ok(value), _) if value.get("log").is_some_and(|log| log.get("entries").is_some()) => {
                 Ok(Kind::Har)
             }
-            (Ok(_), Some(fields)) => Ok(Kind::Lines(LogFormat::Json(Box::new(fields.clone())))),
+            (Ok(_), Some(fields)) => Ok(Kind::AccessLog(LogFormat::Json(Box::new(fields.clone())))),
             (Err(_), _) if is_har(&trimmed[..trimmed.floor_char_boundary(4096)]) => Ok(Kind::Har),
             _ => {
                 Err("these look like JSON lines: the mapping must say under 'json' where the fields stand"
@@ -58,7 +58,7 @@
             best = Some((fits, format));
         }
     }
-    best.map(|(_, format)| Kind::Lines(format)).ok_or_else(|| {
+    best.map(|(_, format)| Kind::AccessLog(format)).ok_or_else(|| {
         "its form is none that is known by itself: name it with --format, as common, combined, nginx, envoy, json, har, \
          recording, or apache:FORMAT, nginx:FORMAT, envoy:FORMAT"
             .into()
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -469,7 +469,7 @@
         let mut from = source::open(path, read.clone()).map_err(io)?;
         (intake.latest, intake.before) = (None, None);
         match kind {
-            Kind::Lines(format) => intake
+            Kind::AccessLog(format) => intake
                 .read_access_log(&format, &mut *from, &name, n as u32)
                 .map_err(io)?,
             Kind::Har => intake.har(&mut *from, &name, n as u32, &io)?,
@@ -567,7 +567,7 @@
             .map_err(|why| ImportError::Format(path.display().to_string(), why))?,
     };
     let mut first = Micros::MAX;
-    if let Kind::Lines(format) = &kind {
+    if let Kind::AccessLog(format) = &kind {
         let mut timestamps = Reader::new(options.mapping.zone.clone());
         let text = String::from_utf8_lossy(&head);
         let time = text
--- a/crates/traffic/src/recording.rs
+++ b/crates/traffic/src/recording.rs
@@ -84,7 +84,7 @@
 type RetryEntry = (Micros, u16, Option<Micros>, Evidence, f32);
 
 #[derive(Serialize, Deserialize)]
-struct JobLine<'a> {
+struct JobRecord<'a> {
     t: Micros,
     #[serde(borrow)]
     c: Cow<'a, str>,
@@ -146,7 +146,7 @@
         }
         self.last = job.at;
         let retry = |a: &Retry| (a.at - job.at, a.status, a.took, a.evidence, a.confidence);
-        let line = JobLine {
+        let line = JobRecord {
             t: job.at,
             c: Cow::Borrowed(&job.class),
             p: Cow::Borrowed(&job.parish),
@@ -272,7 +272,7 @@
             self.end = Some(last.end);
             return Ok(None);
         }
-        let line: JobLine<'_> =
+        let line: JobRecord<'_> =
             serde_json::from_slice(&self.text).map_err(|e| bad(e.to_string()))?;
         if line.t < self.last {
             return Err(bad("jobs must stand in the order of their times".into()));
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -11,10 +11,12 @@
     Reader::new(TimeZone::UTC)
 }
 
-/// What is read of a line, in short; or why nothing is.
-fn read(format: &str, line: &str) -> String {
+/// What is read of a record, in short; or why nothing is.
+fn read(format: &str, record: &str) -> String {
     let format = LogFormat::named(format).expect("a format");
-    let read = format.read(line, &mut timestamps()).map(|raw| short(&raw));
+    let read = format
+        .read(record, &mut timestamps())
+        .map(|raw| short(&raw));
     read.unwrap_or_else(|reason| format!("{reason:?}"))
 }
 
@@ -47,17 +49,17 @@
 
 #[test]
 fn common_and_combined_formats_are_decoded() {
-    let line = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326"#;
+    let record = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326"#;
     let expected =
         "1791636936.000000 | 192.0.2.1 anna | POST /reserve-stock/kit-7 | Some(200) None | ";
-    assert_eq!(read("common", line), expected);
+    assert_eq!(read("common", record), expected);
     let more = r#"192.0.2.1 - anna [10/Oct/2026:13:55:36 +0100] "POST /reserve-stock/kit-7 HTTP/1.1" 200 2326 "-" "a \"b\" c""#;
     assert_eq!(
         read("combined", more),
         format!("{expected}user-agent=a \"b\" c")
     );
     assert_eq!(
-        read("combined", line),
+        read("combined", record),
         "Malformed",
         "the quotes are missing"
     );
@@ -70,10 +72,10 @@
 #[test]
 fn malformed_records_are_rejected_with_a_reason() {
     let of = |from: &str, to: &str| {
-        let line =
+        let record =
             r#"192.0.2.1 - - [10/Oct/2026:13:55:36 +0100] "POST /a/b HTTP/1.1" 200 2 "-" "-""#;
-        assert!(line.contains(from));
-        read("combined", &line.replace(from, to))
+        assert!(record.contains(from));
+        read("combined", &record.replace(from, to))
     };
     assert_eq!(of("13:55:36", "13:65:36"), "BadTime");
     assert_eq!(of("10/Oct/2026:13:55:36 +0100", "-"), "NoTime");
@@ -95,14 +97,14 @@
     assert!(LogFormat::named(format).is_ok());
     let format =
         r#"apache:%a [%{sec}t.%{usec_frac}t] "%m %U%q %H" %>s %b %{us}T "%{X-Customer}i" %{who}C"#;
-    let line =
+    let record =
         r#"2001:db8::7 [1791636936.250000] "POST /a/b?x=1 HTTP/2.0" 503 - 1500 "gualtar" anna"#;
     let expected = "1791636936.250000 | 2001:db8::7 - | POST /a/b?x=1 | Some(503) Some(1500) | x-customer=gualtar cookie.who=anna";
-    assert_eq!(read(format, line), expected);
+    assert_eq!(read(format, record), expected);
     let end = r#"apache:%h %{end:usec}t "%r" %s %{ms}T"#;
-    let line = r#"h 1791636936250000 "POST /a HTTP/1.1" 200 12"#;
+    let record = r#"h 1791636936250000 "POST /a HTTP/1.1" 200 12"#;
     assert_eq!(
-        read(end, line),
+        read(end, record),
         "1791636936.250000 end | h - | POST /a | Some(200) Some(12000) | "
     );
 }
@@ -113,10 +115,10 @@
         r#"nginx:$remote_addr [$time_local] "$request" $status $msec rt=$request_time ut="$upstream_response_time" "#,
         r#"${http_x_customer} "$http_user_agent" $unknown_thing"#
     );
-    let line = r#"10.0.0.1 [10/Oct/2026:13:55:36 +0100] "POST /a/\x22b HTTP/1.1" 200 1791636936.125 rt=0.050 ut="0.01, 0.02" real "x" ?"#;
+    let record = r#"10.0.0.1 [10/Oct/2026:13:55:36 +0100] "POST /a/\x22b HTTP/1.1" 200 1791636936.125 rt=0.050 ut="0.01, 0.02" real "x" ?"#;
     let expected = "1791636936.125000 end | 10.0.0.1 - | POST /a/\"b | Some(200) Some(50000) | x-customer=real user-agent=x";
     assert_eq!(
-        read(format, line),
+        read(format, record),
         expected,
         "the finer of two times counts"
     );
@@ -129,17 +131,17 @@
 
 #[test]
 fn envoy_default_and_custom_formats_are_decoded() {
-    let line = concat!(
+    let record = concat!(
         r#"[2026-10-10T12:55:36.250Z] "POST /book-delivery/7 HTTP/1.1" 0 DC downstream_remote_disconnect - "-" 128 0 412 - "#,
         r#""10.4.0.9" "office/1.0" "id-1" "jobs.internal" "127.0.0.1:8443""#
     );
     let expected = "1791636936.250000 | - - | POST /book-delivery/7 | None Some(412000) | x-forwarded-for=10.4.0.9 \
                 user-agent=office/1.0 x-request-id=id-1 :authority=jobs.internal";
-    assert_eq!(read("envoy", line), expected);
+    assert_eq!(read("envoy", record), expected);
     let own = "envoy:%START_TIME(%s.%3f)% %DOWNSTREAM_REMOTE_ADDRESS% %REQ(:METHOD)% %REQ(:PATH)% %RESPONSE_CODE% %DURATION%";
-    let line = "1791636936.250 10.0.0.1:4711 POST /a 200 7";
+    let record = "1791636936.250 10.0.0.1:4711 POST /a 200 7";
     assert_eq!(
-        read(own, line),
+        read(own, record),
         "1791636936.250000 | 10.0.0.1:4711 - | POST /a | Some(200) Some(7000) | "
     );
 }
@@ -169,13 +171,13 @@
     let fields = r#"{"time":"/ts","time-form":"millis","target":"/req/path","method":"/req/m","status":"/status",
         "took":"/ms","took-unit":"ms","peer":"/ip","headers":{"X-Customer":"/h/0"}}"#;
     let format = LogFormat::Json(Box::new(serde_json::from_str(fields).expect("fields")));
-    let read = |line: &str| match format.read(line, &mut timestamps()) {
+    let read = |record: &str| match format.read(record, &mut timestamps()) {
         Ok(raw) => short(&raw),
         Err(reason) => format!("{reason:?}"),
     };
-    let line = r#"{"ts":1791636936250,"req":{"path":"/a/b","m":"POST"},"status":"200","ms":1.5,"ip":"10.0.0.1","h":["real"]}"#;
+    let record = r#"{"ts":1791636936250,"req":{"path":"/a/b","m":"POST"},"status":"200","ms":1.5,"ip":"10.0.0.1","h":["real"]}"#;
     assert_eq!(
-        read(line),
+        read(record),
         "1791636936.250000 | 10.0.0.1 - | POST /a/b | Some(200) Some(1500) | x-customer=real"
     );
     assert_eq!(read(r#"{"req":{"path":"/a"}}"#), "NoTime");
--- a/crates/traffic/tests/importing.rs
+++ b/crates/traffic/tests/importing.rs
@@ -32,7 +32,7 @@
 }
 
 fn options(format: Option<&str>) -> Options {
-    let format = format.map(|f| Kind::Lines(LogFormat::named(f).expect("a format")));
+    let format = format.map(|f| Kind::AccessLog(LogFormat::named(f).expect("a format")));
     Options {
         format,
         mapping: Mapping::read(MAPPING).expect("a mapping"),
@@ -57,7 +57,7 @@
     Ok((imported, jobs))
 }
 
-fn log_line(second: u32, path: &str, more: &str) -> String {
+fn log_record(second: u32, path: &str, more: &str) -> String {
     format!(
         "192.0.2.7 - - [10/Oct/2026:13:{:02}:{:02} +0000] \"POST {path} HTTP/1.1\" {more}\n",
         second / 60,
@@ -78,15 +78,15 @@
     let dir = TestDir::new();
     let mut text = Vec::new();
     for bytes in [
-        log_line(1, "/reserve/kit-1", "200 5").as_bytes(),
+        log_record(1, "/reserve/kit-1", "200 5").as_bytes(),
         b"\r\n# a comment\nthis is no log line\n",
-        log_line(2, "/reserve/kit-2", "200 5").replace("POST", "GET").as_bytes(),
-        log_line(3, "/other/kit-2", "200 5").as_bytes(),
-        log_line(4, "/reserve/kit-3", "abc 5").as_bytes(),
-        log_line(5, "/reserve/\0\0\0\0", "200 5").as_bytes(),
-        log_line(6, &format!("/reserve/{}", "k".repeat(70_000)), "200 5").as_bytes(),
+        log_record(2, "/reserve/kit-2", "200 5").replace("POST", "GET").as_bytes(),
+        log_record(3, "/other/kit-2", "200 5").as_bytes(),
+        log_record(4, "/reserve/kit-3", "abc 5").as_bytes(),
+        log_record(5, "/reserve/\0\0\0\0", "200 5").as_bytes(),
+        log_record(6, &format!("/reserve/{}", "k".repeat(70_000)), "200 5").as_bytes(),
         &[&b"192.0.2.7 - S\xe3o [10/Oct/2026:13:00:07 +0000] \"POST /reserve/kit-4 HTTP/1.1\" 200 5\r\n"[..], &[]].concat(),
-        &log_line(8, "/reserve/kit-5", "200 5").as_bytes()[..60],
+        &log_record(8, "/reserve/kit-5", "200 5").as_bytes()[..60],
     ] {
         text.extend(bytes);
     }
@@ -144,17 +144,18 @@
 #[test]
 fn compressed_and_rotated_files_are_detected_by_content_and_read_in_time_order() {
     let dir = TestDir::new();
-    let log_lines = |from: u32, to: u32| {
+    let log_records = |from: u32, to: u32| {
         (from..to)
-            .map(|s| log_line(s, &format!("/reserve/kit-{s}"), "200 5"))
+            .map(|s| log_record(s, &format!("/reserve/kit-{s}"), "200 5"))
             .collect::<String>()
     };
     let mut gz = flate2::write::GzEncoder::new(Vec::new(), flate2::Compression::fast());
-    gz.write_all(log_lines(0, 60).as_bytes()).expect("written");
+    gz.write_all(log_records(0, 60).as_bytes())
+        .expect("written");
     let gz = gz.finish().expect("gzip");
-    let zst = zstd::encode_all(log_lines(60, 120).as_bytes(), 1).expect("zstd");
+    let zst = zstd::encode_all(log_records(60, 120).as_bytes(), 1).expect("zstd");
     // The newest file is rotated by copying: its first lines stand in the older one as well.
-    let newest = log_lines(110, 180);
+    let newest = log_records(110, 180);
     let paths = [
         dir.file("a.log", newest.as_bytes()),
         dir.file("b.txt", &zst),
@@ -181,7 +182,7 @@
 fn timestamps_of_one_second_are_spread_in_log_order() {
     let dir = TestDir::new();
     let text: String = (0..400)
-        .map(|n| log_line(n / 100, &format!("/reserve/kit-{n}"), "200 5"))
+        .map(|n| log_record(n / 100, &format!("/reserve/kit-{n}"), "200 5"))
         .collect();
     let path = dir.file("a.log", text.as_bytes());
     let jobs = import_jobs(std::slice::from_ref(&path), &options(None))
@@ -220,7 +221,7 @@
 #[test]
 fn clock_steps_gaps_and_reordering_are_remarked_and_the_import_continues() {
     let dir = TestDir::new();
-    let at = |s: u32| log_line(s, &format!("/reserve/kit-{s}"), "200 5");
+    let at = |s: u32| log_record(s, &format!("/reserve/kit-{s}"), "200 5");
     let text = [at(200), at(201), at(199), at(20), at(21), at(3500)].concat();
     let (imported, jobs) =
         import_jobs(&[dir.file("a.log", text.as_bytes())], &options(None)).expect("jobs");
@@ -236,7 +237,7 @@
 fn retries_are_folded_by_key_marker_and_guess() {
     let dir = TestDir::new();
     let at = |s: u32, path: &str, status: u32, us: u32, id: &str, key: &str, retry_marker: &str| {
-        log_line(
+        log_record(
             s,
             path,
             &format!("{status} 0 {us} \"{id}\" \"{key}\" \"{retry_marker}\""),
@@ -393,14 +394,14 @@
 #[test]
 fn records_of_two_files_in_one_second_are_interleaved() {
     let dir = TestDir::new();
-    let log_lines = |name: &str| {
+    let log_records = |name: &str| {
         (0..200)
-            .map(|n| log_line(5, &format!("/reserve/{name}-{n}"), "200 5"))
+            .map(|n| log_record(5, &format!("/reserve/{name}-{n}"), "200 5"))
             .collect::<String>()
     };
     let paths = [
-        dir.file("a.log", log_lines("a").as_bytes()),
-        dir.file("b.log", log_lines("b").as_bytes()),
+        dir.file("a.log", log_records("a").as_bytes()),
+        dir.file("b.log", log_records("b").as_bytes()),
     ];
     let jobs = import_jobs(&paths, &options(None)).expect("jobs").1;
     for name in ["a-", "b-"] {
@@ -421,7 +422,7 @@
     let dir = TestDir::new();
     let latin = [
         b"192.0.2.7 - S\xe3o [10/Oct/2026:13:00:07 +0000] \"GET /reserve/kit-4 HTTP/1.1\" 200 5\n",
-        log_line(8, "/reserve/kit-5", "200 5").as_bytes(),
+        log_record(8, "/reserve/kit-5", "200 5").as_bytes(),
     ]
     .concat();
     let (imported, _) =
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -107,7 +107,7 @@
         let mut file = tempfile::NamedTempFile::new().expect("a file");
         file.write_all(&bytes).expect("written");
         let mapping = Mapping::read(r#"{"version":1,"class":[{"from":{"segment":0}}],"subject":[{"from":{"segment":1}}]}"#).expect("a mapping");
-        let format = Some(indigofold_traffic::detect::Kind::Lines(LogFormat::named("combined").expect("a format")));
+        let format = Some(indigofold_traffic::detect::Kind::AccessLog(LogFormat::named("combined").expect("a format")));
         let options = Options { format, mapping, strict: false, max_bad: 1.0, seed: 1 };
         let imported = import(&[file.path().to_path_buf()], &options, std::io::sink(), &Arc::default()).expect("some lines are whole");
         prop_assert!(imported.tally.adds_up());
