--- a/crates/replay/src/import_call.rs
+++ b/crates/replay/src/import_call.rs
@@ -28,9 +28,9 @@
                 .json
                 .clone()
                 .ok_or("the mapping must say under 'json' where the fields stand")?;
-            Some(Kind::Lines(LogFormat::Json(Box::new(fields))))
+            Some(Kind::AccessLog(LogFormat::Json(Box::new(fields))))
         }
-        Some(name) => Some(Kind::Lines(LogFormat::named(name)?)),
+        Some(name) => Some(Kind::AccessLog(LogFormat::named(name)?)),
     };
     let size: u64 = args
         .files
--- a/crates/replay/tests/grounds.rs
+++ b/crates/replay/tests/grounds.rs
@@ -65,7 +65,7 @@
     let mapping = Mapping::read(&mapping(s, form).to_string()).expect("a mapping");
     let format = match form {
         Form::Har => Kind::Har,
-        _ => Kind::Lines(LogFormat::named(&form.name()).expect("a format")),
+        _ => Kind::AccessLog(LogFormat::named(&form.name()).expect("a format")),
     };
     let options = Options {
         format: Some(format),
