--- a/crates/replay/src/import_call.rs
+++ b/crates/replay/src/import_call.rs
@@ -71,7 +71,7 @@
         Ok(imported) => imported,
         Err(error) => {
             let _ = std::fs::remove_file(&part);
-            if let ImportError::Nothing(_, tally) = &error {
+            if let ImportError::NoJobs { tally, .. } = &error {
                 print_tally(tally, json)?;
             }
             return Err(error.into());
