--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -1,334 +1,327 @@
-//! Client retries become one first try: by key, by mark, and, where there is neither, by who asked for what.
+//! Client retries become one job: by key, by marker, and, where there is neither, by which client sent what.
 //!
-//! Tries come in the order in which they were made. A first try stays open until no retry can belong to it any more; jobs
-//! come out in the order of their first tries. How sure a fold is says [`Retry::confidence`](crate::Retry): by key or id, that
-//! two clients do not draw the same one. By mark and by guess several jobs may fit; how long clients wait before they come
-//! back is learned from those retries that fit one job alone, and the job whose wait is the likeliest is taken. A guess is
-//! also weighed against another job of that client about the same subject, whose rate is counted as the log goes on.
+//! Attempts come in the order in which they were made. A job stays open until no retry can belong to it any more; jobs come
+//! out in the order of their first attempts. [`Retry::confidence`] says how sure a fold is: by key or id, that two clients
+//! do not draw the same one. By marker and by guess several jobs may fit; how long clients wait before they come back is
+//! learned from those retries that fit one job alone, and the job whose wait is the likeliest is taken. A guess is also
+//! weighed against another job of that client about the same subject, whose rate is counted as the log goes on.
+
+mod open_jobs;
+mod waits;
 
 use crate::job::{Evidence, Job, Micros, Retry, done};
 use crate::order::Attempt;
 use crate::tally::{Remark, Tally};
-use rustc_hash::{FxHashMap, FxHasher};
+use open_jobs::{EndTime, KeyKind, MatchKeys, OpenJob, OpenJobs};
+use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
-use std::collections::VecDeque;
-use std::hash::{Hash, Hasher};
+use waits::WaitHistogram;
 
-/// A key or an id counts for so long after the last try's end.
+/// A retry of the same key or id begins so long after the last attempt's end, at the latest.
 const KEYED_RETRY_WINDOW: Micros = 15_000_000;
-/// A marked retry comes so long after the last try's end, at the latest.
+/// A marked retry begins so long after the last attempt's end, at the latest.
 const MARKED_RETRY_WINDOW: Micros = 5_000_000;
-/// An answer and the retry that follows it may be logged in the wrong order by so much.
+/// A job that was not served stays open for so long at least, where retries are guessed.
+const MIN_GUESS_WINDOW: Micros = 2_500_000;
+/// A response and the retry that follows it may be logged in the wrong order by so much.
 const REORDERING_TOLERANCE: Micros = 2_000;
-/// Where nobody says how long a client waits, it is taken to be this.
+/// How long a client waits where nothing says it.
 const DEFAULT_CLIENT_WAIT: Micros = 10_000_000;
-/// Open first tries at the most; beyond that the oldest are closed.
+/// Beyond so many open jobs the oldest are closed; bounds the memory.
 const MAX_OPEN_JOBS: usize = 100_000;
-/// How often a try that was not served is followed by a retry, as far as nothing else is known.
+/// Beyond so many clients and subjects their counts begin anew; bounds the memory.
+const MAX_COUNTED_SUBJECTS: usize = 4 * MAX_OPEN_JOBS;
+/// How often an attempt that was not served is followed by a retry, as far as nothing else is known.
 const RETRY_PROBABILITY: f64 = 0.7;
-/// How sure two tries with the same key belong together.
+/// The shortest wait for which the probability of another job is reckoned.
+const MIN_GUESS_WAIT: Micros = 50_000;
+/// How sure two attempts with the same key belong together.
 const KEY_CONFIDENCE: f32 = 0.999;
+/// A guess of less confidence is not made.
+const MIN_GUESS_CONFIDENCE: f32 = 0.5;
+/// The wait before a guessed retry is learned from beyond this confidence.
+const LEARNING_CONFIDENCE: f32 = 0.95;
 
 /// How retries are known.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// A retry without key or mark comes so long after the end of the try before, at the latest; 0: none is guessed.
+    /// A retry without key or marker begins so long after the end of the attempt before, at the latest; 0: none is guessed.
     pub guess_within: Micros,
-    /// Tries of one job, the first included.
+    /// Attempts of one job, the first included.
     pub max_attempts: u32,
     /// Clients keep the request id.
     pub id_kept: bool,
-    /// Clients mark their retries: what has no mark is no retry, unless its key says so.
+    /// Clients mark their retries: what has no marker is no retry, unless its key says so.
     pub marks: bool,
 }
 
-/// How long clients wait between the end of a try and the next, in bins of a quarter of an octave.
-struct Waits([f64; Waits::BINS]);
-
-impl Waits {
-    const BINS: usize = 64;
-
-    fn bin(wait: Micros) -> usize {
-        // From 1 ms on; what is less, or seems negative, falls into the first bin.
-        let quarters = (wait.max(1_000) as f64 / 1_000.0).log2() * 4.0;
-        (quarters as usize).min(Self::BINS - 1)
-    }
-
-    fn learn(&mut self, wait: Micros) {
-        self.0[Self::bin(wait)] += 1.0;
-    }
-
-    /// How likely such a wait is, for each microsecond of its bin, up to a factor.
-    fn density(&self, wait: Micros) -> f64 {
-        let bin = Self::bin(wait);
-        self.0[bin] / 2f64.powf(bin as f64 / 4.0)
-    }
+/// The job that an attempt is a retry of.
+struct Match {
+    /// Its number among the open jobs.
+    number: u64,
+    evidence: Evidence,
+    confidence: f32,
+    /// The wait before the retry is one to learn from.
+    learn: bool,
 }
 
-struct Open {
-    job: Job,
-    /// When the last try had ended, or its client had stopped waiting: no earlier than the first, no later than the
-    /// second. Logs without durations leave much room between.
-    ended: Micros,
-    end: Micros,
-    /// The end is known no better than this.
-    within: Micros,
-    served: bool,
-    closes: Micros,
-    keys: [Option<u64>; 4], // by key, id, who and what, who alone
+/// The likeliest of several jobs.
+struct Likeliest {
+    number: u64,
+    /// Its probability among them.
+    probability: f32,
+    /// There is no other.
+    alone: bool,
 }
 
-/// Folds tries.
+/// Folds retries into jobs.
 pub struct Folder {
     rules: Rules,
-    open: VecDeque<Open>,
-    first: u64, // number of the first in `open`
-    /// Open first tries by key, id, who and what, who alone; the newest last.
-    by: [FxHashMap<u64, SmallVec<[u64; 2]>>; 4],
-    /// Jobs of one client about one thing.
-    jobs_of_client: FxHashMap<u64, u32>,
-    began: Option<Micros>,
+    open: OpenJobs,
+    /// Jobs by client and subject, since `counting_since`.
+    jobs_of_subject: FxHashMap<u64, u32>,
+    counting_since: Option<Micros>,
+    /// The latest time of an attempt.
     now: Micros,
-    waits: Waits,
-}
-
-fn mixed(parts: impl Hash) -> u64 {
-    let mut hasher = FxHasher::default();
-    parts.hash(&mut hasher);
-    hasher.finish()
+    waits: WaitHistogram,
 }
 
 impl Folder {
     /// A folder by these rules.
     pub fn new(rules: Rules) -> Self {
-        let (open, by, jobs_of_client) = Default::default();
-        let waits = Waits([0.02; Waits::BINS]);
         Folder {
             rules,
-            open,
-            first: 0,
-            by,
-            jobs_of_client,
-            began: None,
+            open: OpenJobs::default(),
+            jobs_of_subject: FxHashMap::default(),
+            counting_since: None,
             now: Micros::MIN,
-            waits,
+            waits: WaitHistogram::default(),
         }
     }
 
-    /// Takes the next try and hands out the jobs that are closed by then.
-    pub fn push(&mut self, t: Attempt, tally: &mut Tally, mut out: impl FnMut(Job)) {
-        self.now = self.now.max(t.job.at);
-        self.began.get_or_insert(t.job.at);
-        let job = &t.job;
-        let keys = [
-            job.key.as_ref().map(|key| mixed((&job.class, key))),
-            (self.rules.id_kept && t.id != 0).then_some(t.id),
-            (job.client != 0 || !job.subject.is_empty() || !job.parish.is_empty())
-                .then(|| mixed((job.client, &job.class, &job.parish, &job.subject))),
-            (job.client != 0 || !job.parish.is_empty())
-                .then(|| mixed((job.client, &job.class, &job.parish, 0u8))),
-        ];
-        match self.find_first_attempt(&t, &keys) {
-            Some((n, how, confidence, learn)) => {
-                if learn {
-                    let wait = t.job.at - self.open[self.index(n)].ended;
-                    self.waits.learn(wait);
+    /// Takes the next attempt and hands out the jobs that are closed by then.
+    pub fn push(&mut self, attempt: Attempt, tally: &mut Tally, mut out: impl FnMut(Job)) {
+        self.now = self.now.max(attempt.job.at);
+        self.counting_since.get_or_insert(attempt.job.at);
+        let request_id = (self.rules.id_kept && attempt.id != 0).then_some(attempt.id);
+        let keys = MatchKeys::new(&attempt.job, request_id);
+        match self.find_job(&attempt, &keys) {
+            Some(found) => {
+                if found.learn {
+                    let end = self.open.get(found.number).end;
+                    self.waits.learn(attempt.job.at - end.earliest);
                 }
                 tally.folded += 1;
-                self.join(n, &t, how, confidence);
+                self.add_retry(&found, &attempt);
             }
             None => {
                 tally.taken += 1;
-                if t.marked {
+                if attempt.marked {
                     tally.remark_only(Remark::Orphan, 1);
                 }
-                self.begin(t, keys);
+                self.begin(attempt, keys);
             }
         }
-        self.close(false, &mut out);
+        self.close_jobs(false, &mut out);
     }
 
     /// Hands out the rest.
     pub fn finish(mut self, mut out: impl FnMut(Job)) {
-        self.close(true, &mut out);
+        self.close_jobs(true, &mut out);
     }
 
-    /// Between which times a try ended.
-    fn end(at: Micros, took: Option<Micros>, deadline: Option<Micros>) -> (Micros, Micros) {
-        match took {
-            Some(took) => (at + took, at + took),
-            None => (at, at + deadline.unwrap_or(DEFAULT_CLIENT_WAIT)),
-        }
-    }
-
-    /// Where an open first try stands.
-    fn index(&self, number: u64) -> usize {
-        (number - self.first) as usize
-    }
-
-    fn begin(&mut self, t: Attempt, keys: [Option<u64>; 4]) {
-        let number = self.first + self.open.len() as u64;
-        for (by, key) in self.by.iter_mut().zip(keys) {
-            if let Some(key) = key {
-                by.entry(key).or_default().push(number);
-            }
-        }
-        if let Some(what) = keys[2] {
-            // Bounded: what was seen long ago says little of now.
-            if self.jobs_of_client.len() > 4 * MAX_OPEN_JOBS {
-                self.jobs_of_client.clear();
-                self.began = Some(self.now);
+    /// Opens a job with its first attempt.
+    fn begin(&mut self, attempt: Attempt, keys: MatchKeys) {
+        if let Some(subject) = keys.get(KeyKind::Subject) {
+            if self.jobs_of_subject.len() > MAX_COUNTED_SUBJECTS {
+                self.jobs_of_subject.clear();
+                self.counting_since = Some(self.now);
             }
-            *self.jobs_of_client.entry(what).or_default() += 1;
+            *self.jobs_of_subject.entry(subject).or_default() += 1;
         }
-        let (ended, end) = Self::end(t.job.at, t.job.took, t.job.deadline);
-        let served = done(t.job.status);
-        let closes = end + self.stays(served, &keys);
-        self.open.push_back(Open {
-            job: t.job,
-            ended,
+        let end = end_of(&attempt.job, attempt.job.deadline);
+        let served = done(attempt.job.status);
+        let closes = end.latest + self.retry_window(served, &keys);
+        self.open.push(OpenJob {
+            job: attempt.job,
             end,
-            within: t.within,
+            within: attempt.within,
             served,
             closes,
             keys,
         });
     }
 
+    /// Adds a retry to its job.
+    fn add_retry(&mut self, found: &Match, attempt: &Attempt) {
+        let open = self.open.get(found.number);
+        let end = end_of(&attempt.job, attempt.job.deadline.or(open.job.deadline));
+        let served = done(attempt.job.status);
+        let window = self.retry_window(served, &open.keys);
+        let open = self.open.get_mut(found.number);
+        open.job.retries.push(Retry {
+            at: attempt.job.at,
+            status: attempt.job.status,
+            took: attempt.job.took,
+            evidence: found.evidence,
+            confidence: found.confidence,
+        });
+        (open.end, open.within) = (end, attempt.within);
+        (open.served, open.closes) = (served, end.latest + window);
+    }
+
     /// How long after its end a job may still get a retry.
-    fn stays(&self, served: bool, keys: &[Option<u64>; 4]) -> Micros {
-        match (keys[0].or(keys[1]).is_some(), served) {
+    fn retry_window(&self, served: bool, keys: &MatchKeys) -> Micros {
+        match (keys.has_exact(), served) {
             (true, _) => KEYED_RETRY_WINDOW,
-            // Its answer may have been logged as sent and not have come.
+            // Its response may have been logged as sent and not have come.
             (false, true) => 0,
             (false, false) if self.rules.marks => MARKED_RETRY_WINDOW,
-            (false, false) => self.rules.guess_within.max(2_500_000),
+            (false, false) => self.rules.guess_within.max(MIN_GUESS_WINDOW),
         }
     }
 
-    fn join(&mut self, number: u64, t: &Attempt, how: Evidence, confidence: f32) {
-        let n = self.index(number);
-        let (ended, end) = Self::end(
-            t.job.at,
-            t.job.took,
-            t.job.deadline.or(self.open[n].job.deadline),
-        );
-        let served = done(t.job.status);
-        let stays = self.stays(served, &self.open[n].keys);
-        let open = &mut self.open[n];
-        let (at, status, took) = (t.job.at, t.job.status, t.job.took);
-        open.job.retries.push(Retry {
-            at,
-            status,
-            took,
-            evidence: how,
-            confidence,
-        });
-        (open.ended, open.end, open.within) = (ended, end, t.within);
-        (open.served, open.closes) = (served, end + stays);
+    /// The job that an attempt is a retry of; `None`: it is a first attempt.
+    fn find_job(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
+        if let Some(found) = self.find_by_key(attempt, keys) {
+            return Some(found);
+        }
+        if attempt.marked {
+            return self.find_by_marker(attempt, keys);
+        }
+        self.guess(attempt, keys)
     }
 
-    /// The job that a try is a retry of, by what, how sure that is, and whether the wait before it is one to learn from.
-    fn find_first_attempt(
-        &self,
-        t: &Attempt,
-        keys: &[Option<u64>; 4],
-    ) -> Option<(u64, Evidence, f32, bool)> {
-        let at = t.job.at;
-        let all = |n: usize| {
-            let list = keys[n].and_then(|key| self.by[n].get(&key));
-            list.into_iter().flatten().rev().copied()
-        };
-        let open = |number: u64| &self.open[self.index(number)];
-        let more = |o: &Open| (o.job.retries.len() as u32) + 1 < self.rules.max_attempts;
-        // The same key or id: whatever became of the tries before.
-        for n in [0, 1] {
-            if let Some(number) =
-                all(n).find(|number| open(*number).closes >= at && more(open(*number)))
-            {
-                return Some((number, Evidence::Key, KEY_CONFIDENCE, false));
-            }
-        }
-        // Ended before this one began, as far as that is known, and not served.
-        let slack = |o: &Open| o.within + t.within + REORDERING_TOLERANCE;
-        let failed = |number: &u64, within: Micros| {
-            let o = open(*number);
-            let differs = o.job.key.is_some() && t.job.key.is_some(); // equal keys were found above
-            !o.served
-                && !differs
-                && more(o)
-                && o.ended <= at + slack(o)
-                && at <= o.end + within + slack(o)
-        };
-        // The likeliest of those that fit, and how sure that is among them.
-        let likeliest = |fitting: &[u64]| {
-            let density = |number: u64| self.waits.density(at - open(number).ended);
-            let all: f64 = fitting.iter().map(|n| density(*n)).sum();
-            let best = fitting
-                .iter()
-                .copied()
-                .max_by(|a, b| density(*a).total_cmp(&density(*b)))?;
-            Some((best, (density(best) / all) as f32, fitting.len() == 1))
-        };
-        if t.marked {
-            for n in [2, 3] {
-                let fitting: SmallVec<[u64; 4]> = all(n)
-                    .filter(|number| failed(number, MARKED_RETRY_WINDOW))
-                    .collect();
-                if let Some((number, confidence, alone)) = likeliest(&fitting) {
-                    return Some((number, Evidence::Marker, confidence, alone && n == 2));
-                }
+    /// By the same key or id, whatever became of the attempts before.
+    fn find_by_key(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
+        let number = [KeyKind::Idempotency, KeyKind::RequestId]
+            .into_iter()
+            .find_map(|kind| {
+                self.open.matching(keys, kind).find(|number| {
+                    let open = self.open.get(*number);
+                    open.closes >= attempt.job.at && self.may_retry(open)
+                })
+            })?;
+        Some(Match {
+            number,
+            evidence: Evidence::Key,
+            confidence: KEY_CONFIDENCE,
+            learn: false,
+        })
+    }
+
+    /// By the client's marker: of its failed jobs about the same subject, or else about any.
+    fn find_by_marker(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
+        for (kind, learn) in [(KeyKind::Subject, true), (KeyKind::Client, false)] {
+            let fitting = self.failed_jobs(attempt, keys, kind, MARKED_RETRY_WINDOW);
+            if let Some(found) = self.likeliest(attempt.job.at, &fitting) {
+                return Some(Match {
+                    number: found.number,
+                    evidence: Evidence::Marker,
+                    confidence: found.probability,
+                    learn: found.alone && learn,
+                });
             }
-            return None;
         }
+        None
+    }
+
+    /// By a failed job of the same client about the same subject.
+    fn guess(&self, attempt: &Attempt, keys: &MatchKeys) -> Option<Match> {
         let within = self.rules.guess_within;
-        if within == 0 || t.job.key.is_some() || self.rules.marks {
+        if within == 0 || attempt.job.key.is_some() || self.rules.marks {
             return None;
         }
-        let fitting: SmallVec<[u64; 4]> = all(2).filter(|number| failed(number, within)).collect();
-        let (number, among, alone) = likeliest(&fitting)?;
-        let confidence = self.likely(keys[2]?, at - open(number).ended);
-        (confidence >= 0.5).then_some((
-            number,
-            Evidence::Guess,
-            confidence * among,
-            alone && confidence > 0.95,
-        ))
+        let fitting = self.failed_jobs(attempt, keys, KeyKind::Subject, within);
+        let found = self.likeliest(attempt.job.at, &fitting)?;
+        let wait = attempt.job.at - self.open.get(found.number).end.earliest;
+        let confidence = self.retry_probability(keys.get(KeyKind::Subject)?, wait);
+        (confidence >= MIN_GUESS_CONFIDENCE).then_some(Match {
+            number: found.number,
+            evidence: Evidence::Guess,
+            confidence: confidence * found.probability,
+            learn: found.alone && confidence > LEARNING_CONFIDENCE,
+        })
+    }
+
+    /// May the job get one more attempt?
+    fn may_retry(&self, open: &OpenJob) -> bool {
+        (open.job.retries.len() as u32) + 1 < self.rules.max_attempts
     }
 
-    /// How likely a try so long after a failed one is its retry, and not another job about the same.
-    fn likely(&self, what: u64, gap: Micros) -> f32 {
-        let observed_time = (self.now - self.began.unwrap_or(self.now)).max(1) as f64;
-        let others = self
-            .jobs_of_client
-            .get(&what)
+    /// Jobs of a shared key that were not served, and ended before this attempt began, as far as that is known.
+    fn failed_jobs(
+        &self,
+        attempt: &Attempt,
+        keys: &MatchKeys,
+        kind: KeyKind,
+        within: Micros,
+    ) -> SmallVec<[u64; 4]> {
+        let at = attempt.job.at;
+        let fits = |open: &OpenJob| {
+            let tolerance = open.within + attempt.within + REORDERING_TOLERANCE;
+            // Equal keys have been found before.
+            let other_key = open.job.key.is_some() && attempt.job.key.is_some();
+            !open.served
+                && !other_key
+                && self.may_retry(open)
+                && open.end.earliest <= at + tolerance
+                && at <= open.end.latest + within + tolerance
+        };
+        self.open
+            .matching(keys, kind)
+            .filter(|number| fits(self.open.get(*number)))
+            .collect()
+    }
+
+    /// The job of which the wait before `at` is the likeliest.
+    fn likeliest(&self, at: Micros, fitting: &[u64]) -> Option<Likeliest> {
+        let density = |number: u64| self.waits.density(at - self.open.get(number).end.earliest);
+        let all: f64 = fitting.iter().map(|number| density(*number)).sum();
+        let number = fitting
+            .iter()
             .copied()
-            .unwrap_or(1)
-            .saturating_sub(1) as f64
-            + 0.1;
-        let by_chance = 1.0 - (-others / observed_time * gap.max(50_000) as f64).exp();
+            .max_by(|a, b| density(*a).total_cmp(&density(*b)))?;
+        Some(Likeliest {
+            number,
+            probability: (density(number) / all) as f32,
+            alone: fitting.len() == 1,
+        })
+    }
+
+    /// How likely an attempt so long after a failed one is its retry, and not another job about the same subject.
+    fn retry_probability(&self, subject: u64, wait: Micros) -> f32 {
+        let counted_for = (self.now - self.counting_since.unwrap_or(self.now)).max(1) as f64;
+        let jobs = self.jobs_of_subject.get(&subject).copied().unwrap_or(1);
+        let others = jobs.saturating_sub(1) as f64 + 0.1;
+        let by_chance = 1.0 - (-others / counted_for * wait.max(MIN_GUESS_WAIT) as f64).exp();
         (RETRY_PROBABILITY / (RETRY_PROBABILITY + by_chance)) as f32
     }
 
-    fn close(&mut self, all: bool, out: &mut impl FnMut(Job)) {
-        while let Some(first) = self.open.front() {
-            if !all && first.closes >= self.now && self.open.len() <= MAX_OPEN_JOBS {
+    /// Hands out the jobs that can get no retry any more, or all.
+    fn close_jobs(&mut self, all: bool, out: &mut impl FnMut(Job)) {
+        while let Some(oldest) = self.open.oldest() {
+            if !all && oldest.closes >= self.now && self.open.len() <= MAX_OPEN_JOBS {
                 break;
             }
-            let Some(open) = self.open.pop_front() else {
+            let Some(job) = self.open.pop_oldest() else {
                 break;
             };
-            for (by, key) in self.by.iter_mut().zip(open.keys) {
-                let Some(key) = key else { continue };
-                if let Some(list) = by.get_mut(&key) {
-                    list.retain(|n| *n != self.first);
-                    if list.is_empty() {
-                        by.remove(&key);
-                    }
-                }
-            }
-            self.first += 1;
-            out(open.job);
+            out(job);
         }
     }
 }
+
+/// When an attempt ended whose client waits for `deadline`.
+fn end_of(attempt: &Job, deadline: Option<Micros>) -> EndTime {
+    match attempt.took {
+        Some(took) => EndTime {
+            earliest: attempt.at + took,
+            latest: attempt.at + took,
+        },
+        None => EndTime {
+            earliest: attempt.at,
+            latest: attempt.at + deadline.unwrap_or(DEFAULT_CLIENT_WAIT),
+        },
+    }
+}
