--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod import;
 pub mod job;
 pub mod mapping;
+mod names;
 pub mod networks;
 pub mod ops;
 pub mod order;
--- a/crates/traffic/src/mapping/extractor.rs
+++ b/crates/traffic/src/mapping/extractor.rs
@@ -1,5 +1,6 @@
-//! Ways from a record to a value: where it is taken from, and how it is named.
+//! Rules that extract values from records: where a value is taken from, and how it is named.
 
+use super::error::EntryProblem;
 use super::file::{From, Rule};
 use crate::networks::Networks;
 use crate::raw::RawRecord;
@@ -22,7 +23,7 @@
     Always(String),
 }
 
-/// A way to a value.
+/// A compiled rule: how a value is extracted from a record.
 #[derive(Clone, Debug)]
 pub(super) struct Extractor {
     source: Source,
@@ -30,49 +31,53 @@
     others: bool,
 }
 
-/// A rule of the file, compiled; an error says what is wrong with it.
-pub(super) fn compile(rule: &Rule, no_networks: bool) -> Result<Extractor, String> {
-    let source = match &rule.from {
-        From::Segment(n) => Source::Segment(*n),
-        From::Path(pattern) => {
-            let regex = Regex::new(pattern)
-                .map_err(|e| format!("{pattern:?} is no regular expression: {e}"))?;
-            Source::Path(regex)
-        }
-        From::Query(name) => Source::Query(name.clone()),
-        From::Header(name) => Source::Header(name.to_ascii_lowercase()),
-        From::Pair(header, name) => Source::Pair(header.to_ascii_lowercase(), name.clone()),
-        From::Cookie(name) => Source::Cookie(name.clone()),
-        From::User => Source::User,
-        From::Network if no_networks => {
-            return Err("there are no 'networks' to name a client by".into());
-        }
-        From::Network => Source::Network,
-        From::Address => Source::Address,
-        From::Always(text) => Source::Always(text.clone()),
-    };
-    let names = rule
-        .names
-        .iter()
-        .map(|(a, b)| (a.clone(), b.clone()))
-        .collect();
-    Ok(Extractor {
-        source,
-        names,
-        others: rule.others,
-    })
+impl Extractor {
+    /// Compiles a rule of the file.
+    ///
+    /// # Errors
+    /// What is wrong with it.
+    pub(super) fn compile(rule: &Rule, no_networks: bool) -> Result<Self, EntryProblem> {
+        Ok(Extractor {
+            source: Source::compile(&rule.from, no_networks)?,
+            names: rule.names.clone().into_iter().collect(),
+            others: rule.others,
+        })
+    }
+}
+
+impl Source {
+    fn compile(from: &From, no_networks: bool) -> Result<Self, EntryProblem> {
+        Ok(match from {
+            From::Segment(n) => Source::Segment(*n),
+            From::Path(pattern) => {
+                Source::Path(Regex::new(pattern).map_err(|source| EntryProblem::Pattern {
+                    pattern: pattern.clone(),
+                    source,
+                })?)
+            }
+            From::Query(name) => Source::Query(name.clone()),
+            From::Header(name) => Source::Header(name.to_ascii_lowercase()),
+            From::Pair(header, name) => Source::Pair(header.to_ascii_lowercase(), name.clone()),
+            From::Cookie(name) => Source::Cookie(name.clone()),
+            From::User => Source::User,
+            From::Network if no_networks => return Err(EntryProblem::NoNetworks),
+            From::Network => Source::Network,
+            From::Address => Source::Address,
+            From::Always(text) => Source::Always(text.clone()),
+        })
+    }
 }
 
-/// A record, and who sent it.
+/// A record, and the client that sent it.
 pub(super) struct RecordContext<'a> {
     pub raw: &'a RawRecord<'a>,
     pub path: &'a str,
-    pub from: Option<std::net::IpAddr>,
+    pub client: Option<std::net::IpAddr>,
     pub networks: &'a Networks,
 }
 
 impl<'a> RecordContext<'a> {
-    /// The first value that one of these ways leads to.
+    /// The first value that one of these rules yields.
     pub fn first(&self, extractors: &'a [Extractor]) -> Option<Cow<'a, str>> {
         extractors.iter().find_map(|extractor| {
             let value = self.value(&extractor.source).filter(|v| !v.is_empty())?;
@@ -122,8 +127,8 @@
             }
             Source::Cookie(name) => plain(self.raw.cookie(name)?),
             Source::User => plain(self.raw.user.as_deref()?),
-            Source::Network => plain(self.networks.find(self.from?)?),
-            Source::Address => Some(Cow::Owned(self.from?.to_string())),
+            Source::Network => plain(self.networks.find(self.client?)?),
+            Source::Address => Some(Cow::Owned(self.client?.to_string())),
             Source::Always(text) => plain(text),
         }
     }
--- a/crates/traffic/src/networks.rs
+++ b/crates/traffic/src/networks.rs
@@ -18,18 +18,47 @@
     }
 }
 
-/// An address may be written with a prefix length, or alone.
-pub fn network(text: &str) -> Result<IpNet, String> {
-    let bad =
-        || format!("{text:?} is no network: 10.4.0.0/16, 2001:db8::/32 or one address is allowed");
+/// Why a network cannot be added.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum NetworkError {
+    /// The text is neither a prefix nor an address.
+    #[error("{0:?} is no network: 10.4.0.0/16, 2001:db8::/32 or one address is allowed")]
+    Invalid(String),
+    /// Bits of the host are set, so that most likely another network was meant.
+    #[error("{text:?} has bits beyond its prefix: {network} was meant?")]
+    HostBits {
+        /// The text.
+        text: String,
+        /// The network without these bits.
+        network: IpNet,
+    },
+    /// The same prefix has another name.
+    #[error("{text:?} is named both {old:?} and {new:?}")]
+    NamedTwice {
+        /// The text.
+        text: String,
+        /// The name that it has.
+        old: String,
+        /// The name that it should have as well.
+        new: String,
+    },
+}
+
+/// Parses a network: a prefix, or one address alone.
+///
+/// # Errors
+/// What is wrong with the text.
+pub fn network(text: &str) -> Result<IpNet, NetworkError> {
     match text.parse::<IpNet>() {
-        // A host part that is set was most likely meant otherwise.
-        Ok(net) if net.trunc() != net => Err(format!(
-            "{text:?} has bits beyond its prefix: {} was meant?",
-            net.trunc()
-        )),
+        Ok(net) if net.trunc() != net => Err(NetworkError::HostBits {
+            text: text.into(),
+            network: net.trunc(),
+        }),
         Ok(net) => Ok(net),
-        Err(_) => text.parse::<IpAddr>().map(IpNet::from).map_err(|_| bad()),
+        Err(_) => text
+            .parse::<IpAddr>()
+            .map(IpNet::from)
+            .map_err(|_| NetworkError::Invalid(text.into())),
     }
 }
 
@@ -38,14 +67,18 @@
     ///
     /// # Errors
     /// What is wrong with the text, or the other name.
-    pub fn add(&mut self, text: &str, name: &str) -> Result<(), String> {
+    pub fn add(&mut self, text: &str, name: &str) -> Result<(), NetworkError> {
         let name: Arc<str> = name.into();
         let old = match network(text)? {
             IpNet::V4(net) => self.v4.insert(net, name.clone()),
             IpNet::V6(net) => self.v6.insert(net, name.clone()),
         };
         match old.filter(|old| *old != name) {
-            Some(old) => Err(format!("{text:?} is named both {old:?} and {name:?}")),
+            Some(old) => Err(NetworkError::NamedTwice {
+                text: text.into(),
+                old: old.to_string(),
+                new: name.to_string(),
+            }),
             None => Ok(()),
         }
     }
@@ -76,27 +109,31 @@
 pub fn address(text: &str) -> Option<IpAddr> {
     let text = text.trim().trim_matches('"');
     if let Ok(address) = text.parse::<IpAddr>() {
-        return Some(plain(address));
+        return Some(unmap_v4(address));
     }
     if let Ok(address) = text.parse::<SocketAddr>() {
-        return Some(plain(address.ip()));
+        return Some(unmap_v4(address.ip()));
     }
     let inner = text.strip_prefix('[')?.split(']').next()?;
     inner
         .parse::<Ipv6Addr>()
         .ok()
-        .map(|v6| plain(IpAddr::V6(v6)))
+        .map(|v6| unmap_v4(IpAddr::V6(v6)))
 }
 
-fn plain(address: IpAddr) -> IpAddr {
+/// An IPv4 address that is written as an IPv6 one, as the former.
+fn unmap_v4(address: IpAddr) -> IpAddr {
     match address {
         IpAddr::V6(v6) => v6.to_ipv4_mapped().map_or(address, IpAddr::V4),
         v4 => v4,
     }
 }
 
-/// Who asked: the connected address, unless that is a trusted proxy; then the last address in `X-Forwarded-For` that is
-/// none. An error: an entry that had to be believed is no address, and the last one that was is handed back.
+/// The address of the client: the connected peer, unless that is a trusted proxy; then the last address in
+/// `X-Forwarded-For` that is none.
+///
+/// # Errors
+/// An entry that a trusted proxy wrote is no address; the last one that is.
 pub fn client(peer: IpAddr, forwarded: Option<&str>, trusted: &Networks) -> Result<IpAddr, IpAddr> {
     let mut last = peer;
     if !trusted.contains(peer) {
--- a/crates/traffic/src/recording.rs
+++ b/crates/traffic/src/recording.rs
@@ -224,7 +224,7 @@
     line: u64,
     jobs: u64,
     last: Micros,
-    names: crate::mapping::NameInterner,
+    names: crate::names::NameInterner,
     finished: bool,
 }
 
