--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -20,7 +20,7 @@
 /// # Errors
 /// Each thing that is wrong, with its place.
 pub fn read(text: &str) -> Result<Scenario, String> {
-    let scenario: Scenario = document::read("scenario", text).map_err(|wrong| wrong.join("\n"))?;
+    let scenario: Scenario = document::read("scenario", text).map_err(|e| e.to_string())?;
     let wrong = scenario.wrong();
     if wrong.is_empty() {
         Ok(scenario)
