--- a/crates/traffic/src/access_log/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -1,6 +1,7 @@
 //! JSON lines, by a map of fields.
 
 use super::template::duration;
+use crate::job::Micros;
 use crate::raw::RawRecord;
 use crate::tally::Reason;
 use crate::timestamp::{Reader, TimeFormat};
@@ -78,7 +79,7 @@
 }
 
 impl Fields {
-    /// Reads one line.
+    /// Reads one record.
     ///
     /// # Errors
     /// Why it cannot be read.
@@ -91,49 +92,27 @@
         if !value.is_object() {
             return Err(Reason::Malformed);
         }
-        let text = |pointer: &str| match value.pointer(pointer) {
-            None | Some(Value::Null | Value::Array(_) | Value::Object(_)) => None,
-            Some(Value::String(text)) => Some(text.clone()).filter(|t| !t.is_empty() && t != "-"),
-            Some(other) => Some(other.to_string()),
-        };
-        let of = |pointer: &Option<String>| pointer.as_deref().and_then(text);
-        let form = match &self.time_form {
-            TimeForm::Iso => TimeFormat::Iso,
-            TimeForm::Clf => TimeFormat::Clf,
-            TimeForm::Seconds => TimeFormat::Seconds,
-            TimeForm::Millis => TimeFormat::Millis,
-            TimeForm::Micros => TimeFormat::Micros,
-            TimeForm::Pattern(pattern) => TimeFormat::Pattern(pattern.clone()),
-        };
+        let text = |pointer: &str| text_at(&value, pointer);
+        let optional = |pointer: &Option<String>| pointer.as_deref().and_then(text);
         let time = text(&self.time).ok_or(Reason::NoTime)?;
-        let mut time = timestamps.read(&form, &time).map_err(|_| Reason::BadTime)?;
+        let mut time = timestamps
+            .read(&self.time_form.format(), &time)
+            .map_err(|_| Reason::BadTime)?;
         time.end = self.time_is_end;
-        let status = match of(&self.status).as_deref() {
-            None | Some("0") => None,
-            Some(text) => match text.parse::<u16>() {
-                Ok(status @ 100..=599) => Some(status),
-                _ => return Err(Reason::BadStatus),
-            },
-        };
-        let unit = match self.took_unit {
-            Unit::S => 1_000_000,
-            Unit::Ms => 1_000,
-            Unit::Us => 1,
-        };
         let mut raw = RawRecord {
             time: Some(time),
-            status,
+            status: status(optional(&self.status).as_deref())?,
             ..RawRecord::default()
         };
         raw.target = Some(Cow::Owned(text(&self.target).ok_or(Reason::BadRequest)?));
-        raw.method = of(&self.method).map(Cow::Owned);
-        raw.peer = of(&self.peer).map(Cow::Owned);
-        raw.user = of(&self.user).map(Cow::Owned);
-        if let Some(took) = of(&self.took) {
-            raw.took = duration(&took, unit);
+        raw.method = optional(&self.method).map(Cow::Owned);
+        raw.peer = optional(&self.peer).map(Cow::Owned);
+        raw.user = optional(&self.user).map(Cow::Owned);
+        if let Some(took) = optional(&self.took) {
+            raw.took = duration(&took, self.took_unit.micros());
             raw.odd_number |= raw.took.is_none();
         }
-        if let Some(received) = of(&self.received) {
+        if let Some(received) = optional(&self.received) {
             raw.received = received.parse().ok();
             raw.odd_number |= raw.received.is_none();
         }
@@ -146,3 +125,46 @@
         Ok(raw)
     }
 }
+
+impl TimeForm {
+    fn format(&self) -> TimeFormat {
+        match self {
+            TimeForm::Iso => TimeFormat::Iso,
+            TimeForm::Clf => TimeFormat::Clf,
+            TimeForm::Seconds => TimeFormat::Seconds,
+            TimeForm::Millis => TimeFormat::Millis,
+            TimeForm::Micros => TimeFormat::Micros,
+            TimeForm::Pattern(pattern) => TimeFormat::Pattern(pattern.clone()),
+        }
+    }
+}
+
+impl Unit {
+    /// Microseconds in one of the unit.
+    fn micros(self) -> Micros {
+        match self {
+            Unit::S => 1_000_000,
+            Unit::Ms => 1_000,
+            Unit::Us => 1,
+        }
+    }
+}
+
+/// The text, number or truth value at a JSON Pointer; `None`: there is none, or it is empty or `-`.
+fn text_at(value: &Value, pointer: &str) -> Option<String> {
+    match value.pointer(pointer) {
+        None | Some(Value::Null | Value::Array(_) | Value::Object(_)) => None,
+        Some(Value::String(text)) => Some(text.clone()).filter(|t| !t.is_empty() && t != "-"),
+        Some(other) => Some(other.to_string()),
+    }
+}
+
+fn status(text: Option<&str>) -> Result<Option<u16>, Reason> {
+    match text {
+        None | Some("0") => Ok(None),
+        Some(text) => match text.parse::<u16>() {
+            Ok(status @ 100..=599) => Ok(Some(status)),
+            _ => Err(Reason::BadStatus),
+        },
+    }
+}
--- /dev/null
+++ b/crates/traffic/src/har/splitter.rs
@@ -0,0 +1,88 @@
+//! A HAR document to its entries.
+
+use super::array_finder::ArrayFinder;
+use super::entry_scanner::EntryScanner;
+
+/// Where in the document the splitter is.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum ParserState {
+    /// Before the `[` of `log.entries`.
+    #[default]
+    Before,
+    /// Between two entries.
+    Between,
+    /// In an entry.
+    Within,
+    /// Behind the `]`.
+    After,
+}
+
+/// An element of the array `log.entries`.
+#[derive(Debug, PartialEq, Eq)]
+pub enum Element<'a> {
+    /// Its text, with long strings truncated.
+    Entry(&'a [u8]),
+    /// It is too long or nested too deep; its beginning.
+    TooLong(&'a [u8]),
+}
+
+/// The document has no array `log.entries`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the document has no array log.entries, as HAR 1.2 wants it")]
+pub struct NoEntries;
+
+/// Finds the entries in a document that comes in chunks.
+#[derive(Debug, Default)]
+pub struct Splitter {
+    state: ParserState,
+    finder: ArrayFinder,
+    scanner: EntryScanner,
+}
+
+impl Splitter {
+    /// Takes a chunk of the document and hands out the entries that end in it.
+    pub fn push(&mut self, bytes: &[u8], mut each: impl FnMut(Element<'_>)) {
+        for byte in bytes {
+            match self.state {
+                ParserState::Before if self.finder.push(*byte) => {
+                    self.state = ParserState::Between;
+                }
+                ParserState::Before => {}
+                ParserState::Between => self.push_between(*byte),
+                ParserState::Within if self.scanner.push(*byte) => {
+                    self.state = ParserState::Between;
+                    each(match self.scanner.is_too_long() {
+                        false => Element::Entry(self.scanner.text()),
+                        true => Element::TooLong(self.scanner.text()),
+                    });
+                    self.scanner.clear();
+                }
+                ParserState::Within => {}
+                ParserState::After => return,
+            }
+        }
+    }
+
+    fn push_between(&mut self, byte: u8) {
+        match byte {
+            b']' => self.state = ParserState::After,
+            b'{' => {
+                self.state = ParserState::Within;
+                self.scanner.begin();
+            }
+            _ => {}
+        }
+    }
+
+    /// The document has ended. An entry that was not complete is handed back.
+    ///
+    /// # Errors
+    /// The document has no array `log.entries`.
+    pub fn finish(&mut self) -> Result<Option<&[u8]>, NoEntries> {
+        match self.state {
+            ParserState::Before => Err(NoEntries),
+            ParserState::Within => Ok(Some(self.scanner.text())),
+            ParserState::Between | ParserState::After => Ok(None),
+        }
+    }
+}
--- a/crates/traffic/src/mapping.rs
+++ b/crates/traffic/src/mapping.rs
@@ -19,6 +19,7 @@
 use jiff::tz::TimeZone;
 use std::borrow::Cow;
 use std::net::IpAddr;
+use std::sync::Arc;
 
 /// The longest deadline, in milliseconds: a day.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
@@ -105,34 +106,28 @@
             networks: &self.networks,
         };
         let rules = &self.extractors;
-        let class = context.first(&rules.class).ok_or(Reason::NoClass)?;
-        let class = names.name(&class);
-        let parish = match context.first(&rules.parish) {
-            Some(name) => names.name(&name),
-            None if self.file.parish_required => return Err(Reason::NoParish),
-            None => names.name(""),
-        };
+        let class = names.name(&context.first(&rules.class).ok_or(Reason::NoClass)?);
+        let parish = self.parish(&context, names)?;
         let numbers = self.numbers(&context, &class, &mut remarks);
         let at = start_of(raw, time, &mut remarks);
-        let job = Job {
-            at,
-            class,
-            parish,
-            subject: text(context.first(&rules.subject)).unwrap_or_default(),
-            key: text(context.first(&rules.key)),
-            deadline: numbers.deadline,
-            bytes: raw.received.unwrap_or(0),
-            slots: numbers.slots,
-            client: client_number(context.client, raw.user.as_deref()),
-            status: raw.status.unwrap_or(0),
-            took: raw.took,
-            retries: Vec::new(),
-        };
         let marked = context
             .first(&rules.retry_marker)
             .is_some_and(|marker| !matches!(marker.trim(), "" | "0" | "false"));
         Ok(MappedRecord {
-            job,
+            job: Job {
+                at,
+                class,
+                parish,
+                subject: text(context.first(&rules.subject)).unwrap_or_default(),
+                key: text(context.first(&rules.key)),
+                deadline: numbers.deadline,
+                bytes: raw.received.unwrap_or(0),
+                slots: numbers.slots,
+                client: client_number(context.client, raw.user.as_deref()),
+                status: raw.status.unwrap_or(0),
+                took: raw.took,
+                retries: Vec::new(),
+            },
             within: time.within,
             id: context.first(&rules.id).map_or(0, |id| number(&id).max(1)),
             marked,
@@ -155,6 +150,18 @@
             && !begins_with_any(&jobs.not_paths)
     }
 
+    fn parish(
+        &self,
+        context: &RecordContext<'_>,
+        names: &mut NameInterner,
+    ) -> Result<Arc<str>, Reason> {
+        match context.first(&self.extractors.parish) {
+            Some(name) => Ok(names.name(&name)),
+            None if self.file.parish_required => Err(Reason::NoParish),
+            None => Ok(names.name("")),
+        }
+    }
+
     /// The client's address, behind trusted proxies.
     fn client_address(&self, raw: &RawRecord<'_>, remarks: &mut Vec<Remark>) -> Option<IpAddr> {
         let peer = address(raw.peer.as_deref()?)?;
