--- a/crates/traffic/src/line/mod.rs
+++ b/crates/traffic/src/access_log.rs
@@ -1,14 +1,17 @@
-//! One line of an access log to one [`Raw`] record, by a format that was compiled once.
+//! One line of an access log to one [`RawRecord`], by a format that was compiled once.
 
 pub mod apache;
 pub mod envoy;
+mod error;
 pub mod json;
 pub mod nginx;
 pub mod template;
 
-use crate::raw::Raw;
-use crate::stamp::Reader;
+pub use error::FormatError;
+
+use crate::raw::RawRecord;
 use crate::tally::Reason;
+use crate::timestamp::Reader;
 use template::Template;
 
 /// The Common Log Format.
@@ -31,20 +34,20 @@
 
 /// A format of lines.
 #[derive(Clone, Debug)]
-pub enum LineFormat {
+pub enum LogFormat {
     /// Text of fields between literals.
     Text(Template),
     /// JSON objects, one a line.
     Json(Box<json::Fields>),
 }
 
-impl LineFormat {
+impl LogFormat {
     /// The format of this name: `common`, `combined`, `nginx` or `envoy`, or a format string as its server is given it,
     /// behind `apache:`, `nginx:` or `envoy:`.
     ///
     /// # Errors
     /// What in the text is not a format, and what is allowed.
-    pub fn named(text: &str) -> Result<Self, String> {
+    pub fn named(text: &str) -> Result<Self, FormatError> {
         let template = match text.split_once(':') {
             Some(("apache", format)) => apache::compile(format)?,
             Some(("nginx", format)) => nginx::compile(format)?,
@@ -55,24 +58,25 @@
                 "nginx" => nginx::compile(NGINX)?,
                 "envoy" => envoy::compile(ENVOY)?,
                 other => {
-                    return Err(format!(
-                        "format {other:?} is not known; allowed are common, combined, nginx, envoy, json, har, \
-                         recording, and apache:FORMAT, nginx:FORMAT, envoy:FORMAT with the server's own format string"
-                    ));
+                    return Err(FormatError::UnknownFormat(other.into()));
                 }
             },
         };
-        Ok(LineFormat::Text(template))
+        Ok(LogFormat::Text(template))
     }
 
     /// Reads one line, without its end.
     ///
     /// # Errors
     /// Why it is none of this format.
-    pub fn read<'a>(&'a self, line: &'a str, stamps: &mut Reader) -> Result<Raw<'a>, Reason> {
+    pub fn read<'a>(
+        &'a self,
+        record: &'a str,
+        timestamps: &mut Reader,
+    ) -> Result<RawRecord<'a>, Reason> {
         match self {
-            LineFormat::Text(template) => template.read(line, stamps),
-            LineFormat::Json(fields) => fields.read(line, stamps),
+            LogFormat::Text(template) => template.read(record, timestamps),
+            LogFormat::Json(fields) => fields.read(record, timestamps),
         }
     }
 }
--- a/crates/traffic/src/line/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -1,9 +1,10 @@
 //! JSON lines, by a map of fields.
 
 use super::template::duration;
-use crate::raw::Raw;
-use crate::stamp::{Form, Reader};
+use crate::job::Micros;
+use crate::raw::RawRecord;
 use crate::tally::Reason;
+use crate::timestamp::{Reader, TimeFormat};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -78,58 +79,40 @@
 }
 
 impl Fields {
-    /// Reads one line.
+    /// Reads one record.
     ///
     /// # Errors
     /// Why it cannot be read.
-    pub fn read<'a>(&self, line: &'a str, stamps: &mut Reader) -> Result<Raw<'a>, Reason> {
-        let value: Value = serde_json::from_str(line).map_err(|_| Reason::Malformed)?;
+    pub fn read<'a>(
+        &self,
+        record: &'a str,
+        timestamps: &mut Reader,
+    ) -> Result<RawRecord<'a>, Reason> {
+        let value: Value = serde_json::from_str(record).map_err(|_| Reason::Malformed)?;
         if !value.is_object() {
             return Err(Reason::Malformed);
         }
-        let text = |pointer: &str| match value.pointer(pointer) {
-            None | Some(Value::Null | Value::Array(_) | Value::Object(_)) => None,
-            Some(Value::String(text)) => Some(text.clone()).filter(|t| !t.is_empty() && t != "-"),
-            Some(other) => Some(other.to_string()),
-        };
-        let of = |pointer: &Option<String>| pointer.as_deref().and_then(text);
-        let form = match &self.time_form {
-            TimeForm::Iso => Form::Iso,
-            TimeForm::Clf => Form::Clf,
-            TimeForm::Seconds => Form::Seconds,
-            TimeForm::Millis => Form::Millis,
-            TimeForm::Micros => Form::Micros,
-            TimeForm::Pattern(pattern) => Form::Pattern(pattern.clone()),
-        };
+        let text = |pointer: &str| text_at(&value, pointer);
+        let optional = |pointer: &Option<String>| pointer.as_deref().and_then(text);
         let time = text(&self.time).ok_or(Reason::NoTime)?;
-        let mut stamp = stamps.read(&form, &time).map_err(|_| Reason::BadTime)?;
-        stamp.end = self.time_is_end;
-        let status = match of(&self.status).as_deref() {
-            None | Some("0") => None,
-            Some(text) => match text.parse::<u16>() {
-                Ok(status @ 100..=599) => Some(status),
-                _ => return Err(Reason::BadStatus),
-            },
-        };
-        let unit = match self.took_unit {
-            Unit::S => 1_000_000,
-            Unit::Ms => 1_000,
-            Unit::Us => 1,
-        };
-        let mut raw = Raw {
-            stamp: Some(stamp),
-            status,
-            ..Raw::default()
+        let mut time = timestamps
+            .read(&self.time_form.format(), &time)
+            .map_err(|_| Reason::BadTime)?;
+        time.end = self.time_is_end;
+        let mut raw = RawRecord {
+            time: Some(time),
+            status: status(optional(&self.status).as_deref())?,
+            ..RawRecord::default()
         };
         raw.target = Some(Cow::Owned(text(&self.target).ok_or(Reason::BadRequest)?));
-        raw.method = of(&self.method).map(Cow::Owned);
-        raw.peer = of(&self.peer).map(Cow::Owned);
-        raw.user = of(&self.user).map(Cow::Owned);
-        if let Some(took) = of(&self.took) {
-            raw.took = duration(&took, unit);
+        raw.method = optional(&self.method).map(Cow::Owned);
+        raw.peer = optional(&self.peer).map(Cow::Owned);
+        raw.user = optional(&self.user).map(Cow::Owned);
+        if let Some(took) = optional(&self.took) {
+            raw.took = duration(&took, self.took_unit.micros());
             raw.odd_number |= raw.took.is_none();
         }
-        if let Some(received) = of(&self.received) {
+        if let Some(received) = optional(&self.received) {
             raw.received = received.parse().ok();
             raw.odd_number |= raw.received.is_none();
         }
@@ -142,3 +125,46 @@
         Ok(raw)
     }
 }
+
+impl TimeForm {
+    fn format(&self) -> TimeFormat {
+        match self {
+            TimeForm::Iso => TimeFormat::Iso,
+            TimeForm::Clf => TimeFormat::Clf,
+            TimeForm::Seconds => TimeFormat::Seconds,
+            TimeForm::Millis => TimeFormat::Millis,
+            TimeForm::Micros => TimeFormat::Micros,
+            TimeForm::Pattern(pattern) => TimeFormat::Pattern(pattern.clone()),
+        }
+    }
+}
+
+impl Unit {
+    /// Microseconds in one of the unit.
+    fn micros(self) -> Micros {
+        match self {
+            Unit::S => 1_000_000,
+            Unit::Ms => 1_000,
+            Unit::Us => 1,
+        }
+    }
+}
+
+/// The text, number or truth value at a JSON Pointer; `None`: there is none, or it is empty or `-`.
+fn text_at(value: &Value, pointer: &str) -> Option<String> {
+    match value.pointer(pointer) {
+        None | Some(Value::Null | Value::Array(_) | Value::Object(_)) => None,
+        Some(Value::String(text)) => Some(text.clone()).filter(|t| !t.is_empty() && t != "-"),
+        Some(other) => Some(other.to_string()),
+    }
+}
+
+fn status(text: Option<&str>) -> Result<Option<u16>, Reason> {
+    match text {
+        None | Some("0") => Ok(None),
+        Some(text) => match text.parse::<u16>() {
+            Ok(status @ 100..=599) => Ok(Some(status)),
+            _ => Err(Reason::BadStatus),
+        },
+    }
+}
--- a/crates/traffic/src/line/nginx.rs
+++ b/crates/traffic/src/access_log/nginx.rs
@@ -1,24 +1,23 @@
 //! nginx's `log_format` strings.
 
+use super::error::FormatError;
 use super::template::{Builder, Escapes, Field, Template};
-use crate::stamp::Form;
+use crate::timestamp::TimeFormat;
 
 /// Compiles a `log_format` string. nginx logs a request, and reads the clock for it, when the request ends.
 ///
 /// # Errors
 /// What in it is not understood.
-pub fn compile(format: &str) -> Result<Template, String> {
-    let mut parts = Builder::default();
+pub fn compile(format: &str) -> Result<Template, FormatError> {
+    let mut builder = Builder::default();
     let mut rest = format;
     while let Some(at) = rest.find('$') {
-        parts.literal(&rest[..at]);
+        builder.literal(&rest[..at]);
         let after = &rest[at + 1..];
         let name = |c: char| c.is_ascii_alphanumeric() || c == '_';
         let variable = match after.strip_prefix('{') {
             Some(inner) => {
-                let close = inner
-                    .find('}')
-                    .ok_or("a '${' in the format is never closed")?;
+                let close = inner.find('}').ok_or(FormatError::Unclosed("a '${'"))?;
                 rest = &inner[close + 1..];
                 &inner[..close]
             }
@@ -29,14 +28,12 @@
             }
         };
         if variable.is_empty() || !variable.chars().all(name) {
-            return Err(format!(
-                "'${variable}' is no variable: letters, digits and '_' are allowed"
-            ));
+            return Err(FormatError::InvalidVariable(variable.into()));
         }
-        parts.field(field(variable));
+        builder.field(field(variable));
     }
-    parts.literal(rest);
-    parts.done(Escapes::Backslash, true)
+    builder.literal(rest);
+    builder.finish(Escapes::Backslash, true)
 }
 
 /// What a variable says. Modules add variables of their own: one that is not known is passed over.
@@ -44,9 +41,9 @@
     match variable {
         "remote_addr" | "realip_remote_addr" => Field::Peer,
         "remote_user" => Field::User,
-        "time_local" => Field::Time(Form::Clf),
-        "time_iso8601" => Field::Time(Form::Iso),
-        "msec" => Field::Time(Form::Seconds),
+        "time_local" => Field::Time(TimeFormat::Clf),
+        "time_iso8601" => Field::Time(TimeFormat::Iso),
+        "msec" => Field::Time(TimeFormat::Seconds),
         "request" => Field::Request,
         "request_method" => Field::Method,
         "request_uri" | "uri" | "document_uri" => Field::Target,
