--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -1,11 +1,24 @@
-//! Settings and a small stage for module tests: no simulation, only the bookkeeping of what was said.
+//! Test harness of the decision module: typical settings, requests and membership entries, and a [`Harness`] that hands
+//! events to one [`Dispatcher`] and keeps the actions that come back. It simulates nothing: no worker runs anything.
+//!
+//! Times and durations are whole microseconds, as in [`indigofold_decisions::api`].
+
+#![warn(missing_docs)]
 
 use indigofold_decisions::api::*;
 use indigofold_decisions::dispatcher::Dispatcher;
 
+/// One millisecond in microseconds.
 pub const MS: Time = 1_000;
+/// One second in microseconds.
 pub const SEC: Time = 1_000_000;
 
+/// Seed of the dispatcher's random generator.
+const SEED: u64 = 7;
+/// The clock at the start of a [`Harness`], in microseconds.
+const START: Time = 100 * SEC;
+
+/// A class that is bound to no kind, with a latency target of 0.4 s and a deadline of 6 s.
 pub fn class(effect: Effect) -> Class {
     Class {
         kind: None,
@@ -19,7 +32,7 @@
     }
 }
 
-/// Class 0 is safe, 1 keyed by cell, 2 unsafe, 3 keyed over all workers.
+/// Settings of the first of two dispatchers. Class 0 is safe, 1 keyed by cell, 2 unsafe, 3 keyed over all workers.
 pub fn settings() -> Settings {
     let keyed = |group| Effect::Keyed {
         group,
@@ -43,33 +56,42 @@
         reports: Reports::Off,
         value_by_work: false,
         over_quota_value: 0.2,
-        limits: Limits {
-            attempts: 4,
-            open: None,
-            cancel: true,
-            duplicates: true,
-            probes: true,
-            peers: false,
-            retry_after: true,
-            max_retry_after: 2 * SEC,
-            dial_timeout: 250 * MS,
-        },
+        limits: limits(),
         charges: Charges::default(),
-        rules: Rules {
-            answer_slack: 20 * MS,
-            list_refresh_within: 10 * SEC,
-            initial_capacity: 0.3,
-            warm_after: 8 * SEC,
-            drain_grace: 500 * MS,
-            tip_multiple: 3.0,
-            tip_window: SEC,
-            resends: None,
-            let_go_in: None,
-            full_may_have_run: false,
-        },
+        rules: rules(),
+    }
+}
+
+fn limits() -> Limits {
+    Limits {
+        attempts: 4,
+        open: None,
+        cancel: true,
+        duplicates: true,
+        probes: true,
+        peers: false,
+        retry_after: true,
+        max_retry_after: 2 * SEC,
+        dial_timeout: 250 * MS,
     }
 }
 
+fn rules() -> Rules {
+    Rules {
+        answer_slack: 20 * MS,
+        list_refresh_within: 10 * SEC,
+        initial_capacity: 0.3,
+        warm_after: 8 * SEC,
+        drain_grace: 500 * MS,
+        tip_multiple: 3.0,
+        tip_window: SEC,
+        resends: None,
+        let_go_in: None,
+        full_may_have_run: false,
+    }
+}
+
+/// Membership entry of an active worker that started long ago. Even ids are in cell 0, odd ones in cell 1.
 pub fn entry(worker: WorkerId, kind: KindId) -> Entry {
     Entry {
         worker,
@@ -82,6 +104,7 @@
     }
 }
 
+/// A request for one slot whose client waits for 6 s, of no known tenant.
 pub fn request(id: RequestId, class: ClassId) -> Request {
     Request {
         id,
@@ -95,61 +118,74 @@
     }
 }
 
-/// A dispatcher, its clock, the actions of the last event and the timer that it waits for.
-pub struct Stage {
-    pub d: Dispatcher,
+/// A dispatcher with its clock, the actions of its last event and the timer that it waits for.
+pub struct Harness {
+    /// The dispatcher under test.
+    pub dispatcher: Dispatcher,
+    /// The clock.
     pub now: Time,
-    pub out: Vec<Action>,
+    /// Actions of the last event, or of the last [`Harness::advance`].
+    pub actions: Vec<Action>,
+    /// When the last timer that was asked for is due, and its name.
     pub timer: Option<(Time, u64)>,
-    next: RequestId,
+    last_request: RequestId,
 }
 
-impl Stage {
+impl Harness {
+    /// A new dispatcher with a cached membership list of these workers.
     pub fn new(settings: Settings, workers: &[Entry]) -> Self {
-        Self::started(settings, workers, 100 * SEC)
+        Self::starting_at(settings, workers, START)
     }
 
-    pub fn started(settings: Settings, workers: &[Entry], now: Time) -> Self {
-        let d = Dispatcher::new(settings, 7, now);
-        let mut stage = Stage {
-            d,
+    /// The same, started at this time.
+    pub fn starting_at(settings: Settings, workers: &[Entry], now: Time) -> Self {
+        let mut harness = Harness {
+            dispatcher: Dispatcher::new(settings, SEED, now),
             now,
-            out: Vec::new(),
+            actions: Vec::new(),
             timer: None,
-            next: 0,
+            last_request: 0,
         };
-        stage.list(Scope::Cached, workers);
-        stage
+        harness.update_membership(Scope::Cached, workers);
+        harness
+    }
+
+    /// The dispatcher of the process that takes over now: it has these settings and workers, and no state.
+    pub fn successor(&self, settings: Settings, workers: &[Entry]) -> Self {
+        Self::starting_at(settings, workers, self.now)
     }
 
-    pub fn event(&mut self, event: Event) -> &[Action] {
-        self.out.clear();
-        self.d.handle(self.now, event, &mut self.out);
-        for a in &self.out {
-            if let Action::Timer { at, name } = a {
+    /// Hands an event over; returns the actions that it causes.
+    pub fn handle(&mut self, event: Event) -> &[Action] {
+        self.actions.clear();
+        self.dispatcher.handle(self.now, event, &mut self.actions);
+        for action in &self.actions {
+            if let Action::Timer { at, name } = action {
                 self.timer = Some((*at, *name));
             }
         }
-        &self.out
+        &self.actions
     }
 
-    pub fn list(&mut self, scope: Scope, workers: &[Entry]) {
-        self.event(Event::List {
+    /// Hands over a membership list, or a part of it.
+    pub fn update_membership(&mut self, scope: Scope, workers: &[Entry]) {
+        self.handle(Event::List {
             scope,
             entries: workers.to_vec(),
         });
     }
 
-    /// Hands over a request; returns the worker it was sent to at once.
-    pub fn ask(&mut self, class: ClassId) -> (RequestId, Option<WorkerId>) {
-        self.next += 1;
-        let id = self.next;
-        self.event(Event::Request(request(id, class)));
-        (id, self.sent(id))
+    /// Submits a request under the next id; returns the worker that it is sent to immediately, if any.
+    pub fn submit(&mut self, class: ClassId) -> (RequestId, Option<WorkerId>) {
+        self.last_request += 1;
+        let id = self.last_request;
+        self.handle(Event::Request(request(id, class)));
+        (id, self.sent_to(id))
     }
 
-    pub fn sent(&self, id: RequestId) -> Option<WorkerId> {
-        self.out.iter().find_map(|a| match a {
+    /// The worker that the last actions send this request to.
+    pub fn sent_to(&self, id: RequestId) -> Option<WorkerId> {
+        self.actions.iter().find_map(|action| match action {
             Action::Send {
                 request, worker, ..
             } if *request == id => Some(*worker),
@@ -157,30 +193,35 @@
         })
     }
 
-    pub fn refused(&self, id: RequestId) -> bool {
-        self.out
+    /// Whether the last actions answer this request with a rejection.
+    pub fn is_refused(&self, id: RequestId) -> bool {
+        self.actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+            .any(|action| matches!(action, Action::Refuse { request, .. } if *request == id))
     }
 
-    pub fn failed(&self, id: RequestId) -> bool {
-        self.out
+    /// Whether the last actions answer this request with a failure.
+    pub fn is_failed(&self, id: RequestId) -> bool {
+        self.actions
             .iter()
-            .any(|a| matches!(a, Action::Fail { request } if *request == id))
+            .any(|action| matches!(action, Action::Fail { request } if *request == id))
     }
 
+    /// Reports the start of an attempt.
     pub fn start(&mut self, id: RequestId, attempt: AttemptNo) {
-        self.event(Event::Started {
+        self.handle(Event::Started {
             request: id,
             attempt,
         });
     }
 
+    /// Reports the end of an attempt without a load report.
     pub fn end(&mut self, id: RequestId, attempt: AttemptNo, status: Status) {
-        self.report(id, attempt, status, None);
+        self.end_with_load(id, attempt, status, None);
     }
 
-    pub fn report(
+    /// Reports the end of an attempt. The request is closed if the status is [`Status::Ok`].
+    pub fn end_with_load(
         &mut self,
         id: RequestId,
         attempt: AttemptNo,
@@ -188,7 +229,7 @@
         load: Option<Load>,
     ) {
         let closed = status == Status::Ok;
-        self.event(Event::Outcome {
+        self.handle(Event::Outcome {
             request: id,
             attempt,
             status,
@@ -197,27 +238,28 @@
         });
     }
 
-    /// Lets time pass and gives the timer its turns; returns all actions of that time.
-    pub fn pass(&mut self, time: Time) -> Vec<Action> {
-        let (end, mut all) = (self.now + time, Vec::new());
-        while let Some((at, name)) = self.timer.filter(|t| t.0 <= end) {
+    /// Advances the clock by this time and fires the timers that become due; returns all actions of that time.
+    pub fn advance(&mut self, time: Time) -> Vec<Action> {
+        let end = self.now + time;
+        let mut all = Vec::new();
+        while let Some((at, name)) = self.timer.filter(|(at, _)| *at <= end) {
             self.now = self.now.max(at);
             self.timer = None;
-            self.event(Event::Timer(name));
-            all.extend(self.out.iter().cloned());
+            self.handle(Event::Timer(name));
+            all.extend(self.actions.iter().cloned());
         }
         self.now = end;
-        self.out = all.clone();
+        self.actions = all.clone();
         all
     }
 
-    /// One request from arrival to answer: it starts after 1 ms and runs for `run`. Returns its worker.
+    /// Serves one request from arrival to answer: it starts after 1 ms and runs for `run`. Returns its worker.
     pub fn serve(&mut self, class: ClassId, run: impl Fn(WorkerId) -> Time) -> Option<WorkerId> {
-        let (id, worker) = self.ask(class);
+        let (id, worker) = self.submit(class);
         let worker = worker?;
-        self.pass(MS);
+        self.advance(MS);
         self.start(id, 0);
-        self.pass(run(worker));
+        self.advance(run(worker));
         self.end(id, 0, Status::Ok);
         Some(worker)
     }
--- a/crates/decisions/tests/module.rs
+++ b/crates/decisions/tests/module.rs
@@ -108,9 +108,9 @@
 
 #[test]
 fn the_fewest_in_flight_of_the_kind_wins() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
     let mut used: Vec<_> = (0..3)
-        .map(|_| s.ask(0).1.expect("a worker is free"))
+        .map(|_| s.submit(0).1.expect("a worker is free"))
         .collect();
     used.sort();
     assert_eq!(
@@ -123,7 +123,7 @@
 #[test]
 fn faster_kinds_draw_more_than_their_share() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
-    let mut s = Stage::new(settings(), &workers);
+    let mut s = Harness::new(settings(), &workers);
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     let mut fast = 0;
     for n in 0..400 {
@@ -140,7 +140,7 @@
 fn a_bound_class_keeps_to_its_kind() {
     let mut settings = settings();
     settings.classes[0].kind = Some(1);
-    let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 1)]);
+    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 1)]);
     for _ in 0..20 {
         assert_eq!(s.serve(0, |_| 50 * MS), Some(3));
     }
@@ -155,14 +155,14 @@
     };
     settings.classes[1].kind = Some(1);
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
-    let mut s = Stage::new(settings, &workers);
+    let mut s = Harness::new(settings, &workers);
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     let mut fast = 0;
     for n in 0..400 {
         for _ in 0..6 {
-            let (request, _) = s.ask(1);
+            let (request, _) = s.submit(1);
             let status = Status::Cancelled;
-            s.event(Event::Outcome {
+            s.handle(Event::Outcome {
                 request,
                 attempt: 0,
                 status,
@@ -183,15 +183,15 @@
 fn the_same_events_give_the_same_actions() {
     let run = || {
         let workers: Vec<_> = (0..6).map(|i| entry(i, i % 3)).collect();
-        let mut s = Stage::new(settings(), &workers);
+        let mut s = Harness::new(settings(), &workers);
         let mut log = Vec::new();
         for n in 0..200u64 {
-            let (id, _) = s.ask((n % 4) as u32);
-            log.extend(s.out.clone());
+            let (id, _) = s.submit((n % 4) as u32);
+            log.extend(s.actions.clone());
             if n % 3 != 0 {
                 s.start(id, 0);
             }
-            log.extend(s.pass(20 * MS));
+            log.extend(s.advance(20 * MS));
             s.end(
                 id,
                 0,
@@ -201,7 +201,7 @@
                     Status::Ok
                 },
             );
-            log.extend(s.out.clone());
+            log.extend(s.actions.clone());
         }
         log
     };
@@ -214,37 +214,37 @@
 fn a_worker_whose_reports_show_no_free_slot_is_passed_over() {
     let mut settings = settings();
     settings.reports = Reports::WithResults;
-    let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0)]);
+    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
     for (free, worker) in [(2.0, 1), (0.0, 1), (2.0, 2)] {
         let load = Some(Load {
             free_slots: Some(free),
             ..Load::default()
         });
-        s.event(Event::Probed {
+        s.handle(Event::Probed {
             worker,
             status: Status::Ok,
             load,
         });
     }
     for _ in 0..2 {
-        assert_eq!(s.ask(0).1, Some(2), "worker 1 is full of others' jobs");
+        assert_eq!(s.submit(0).1, Some(2), "worker 1 is full of others' jobs");
     }
 }
 
 /// Guards against every dispatcher taking all of a worker's slots for its own where nothing is reported.
 #[test]
 fn a_late_start_marks_a_worker_as_shared() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (first, worker) = s.ask(0);
-    s.pass(300 * MS);
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (first, worker) = s.submit(0);
+    s.advance(300 * MS);
     s.start(first, 0);
     let other = 3 - worker.expect("sent");
-    assert_eq!(s.ask(0).1, Some(other));
-    s.pass(MS);
+    assert_eq!(s.submit(0).1, Some(other));
+    s.advance(MS);
     s.start(2, 0);
     // The second worker showed a slot at once: it is believed to have another sooner than the first.
     s.end(2, 0, Status::Ok);
-    assert_eq!(s.ask(0).1, Some(other));
+    assert_eq!(s.submit(0).1, Some(other));
 }
 
 /// Guards against a report being compared with own jobs sent after it was made.
@@ -252,22 +252,22 @@
 fn an_answers_report_still_counts_the_job_that_brought_it() {
     let mut settings = settings();
     settings.reports = Reports::WithResults;
-    let mut s = Stage::new(settings, &[entry(1, 0)]);
+    let mut s = Harness::new(settings, &[entry(1, 0)]);
     let full = Load {
         free_slots: Some(2.0),
         ..Load::default()
     };
-    s.event(Event::Probed {
+    s.handle(Event::Probed {
         worker: 1,
         status: Status::Ok,
         load: Some(full),
     });
-    let (a, _) = s.ask(0);
-    s.pass(MS);
+    let (a, _) = s.submit(0);
+    s.advance(MS);
     s.start(a, 0);
-    s.pass(SEC);
+    s.advance(SEC);
     // One of two slots was taken, by the job that now ends: the worker has room for two more.
-    s.report(
+    s.end_with_load(
         a,
         0,
         Status::Ok,
@@ -276,8 +276,8 @@
             ..Load::default()
         }),
     );
-    assert_eq!(s.ask(0).1, Some(1));
-    assert_eq!(s.ask(0).1, Some(1), "nobody else holds a slot there");
+    assert_eq!(s.submit(0).1, Some(1));
+    assert_eq!(s.submit(0).1, Some(1), "nobody else holds a slot there");
 }
 
 /// Guards against jobs whose end is never told: they seem to run on, and would show slots that are not there.
@@ -285,31 +285,31 @@
 fn what_reports_say_of_slots_goes_before_jobs_that_seem_to_run() {
     let mut settings = settings();
     settings.reports = Reports::OnProbe;
-    let mut s = Stage::new(settings, &[entry(1, 0)]);
+    let mut s = Harness::new(settings, &[entry(1, 0)]);
     let load = Load {
         inflight: Some(0.0),
         free_slots: Some(2.0),
         ..Load::default()
     };
-    s.event(Event::Probed {
+    s.handle(Event::Probed {
         worker: 1,
         status: Status::Ok,
         load: Some(load),
     });
     for _ in 0..6 {
-        let (id, worker) = s.ask(0);
-        s.pass(MS);
+        let (id, worker) = s.submit(0);
+        s.advance(MS);
         if worker.is_some() {
             s.start(id, 0); // also the third and later ones: others have ended, and nobody has said so
         }
     }
-    s.list(Scope::Delta, &[entry(2, 0)]);
-    s.event(Event::Probed {
+    s.update_membership(Scope::Delta, &[entry(2, 0)]);
+    s.handle(Event::Probed {
         worker: 2,
         status: Status::Ok,
         load: Some(load),
     });
-    let sent = (0..6).filter(|_| s.ask(0).1 == Some(2)).count();
+    let sent = (0..6).filter(|_| s.submit(0).1 == Some(2)).count();
     assert!(
         (2..=3).contains(&sent),
         "two run and one waits, {sent} were sent"
@@ -323,23 +323,24 @@
     let mut settings = settings();
     settings.classes[1].value = 50.0;
     settings.classes[1].effect = Effect::Safe;
-    let mut s = Stage::new(settings, &[entry(1, 0)]);
-    let (first, sent) = s.ask(0);
+    let mut s = Harness::new(settings, &[entry(1, 0)]);
+    let (first, sent) = s.submit(0);
     assert_eq!(sent, Some(1));
-    s.pass(200 * MS);
+    s.advance(200 * MS);
     s.start(first, 0);
     // With the one known slot taken, one more may wait at the worker and the rest is held.
-    let (queued, held): (Vec<_>, Vec<_>) = (0..6).map(|_| s.ask(0)).partition(|(_, w)| w.is_some());
+    let (queued, held): (Vec<_>, Vec<_>) =
+        (0..6).map(|_| s.submit(0)).partition(|(_, w)| w.is_some());
     assert!(queued.len() <= 1 && held.len() >= 5, "{queued:?}");
-    let (worthy, at_once) = s.ask(1);
+    let (worthy, at_once) = s.submit(1);
     assert_eq!(at_once, None);
-    s.pass(50 * MS);
+    s.advance(50 * MS);
     let mut sends = Vec::new();
     for (id, _) in queued.into_iter().chain([(first, None)]) {
         s.start(id, 0);
-        sends.extend(s.out.clone());
+        sends.extend(s.actions.clone());
         s.end(id, 0, Status::Ok);
-        sends.extend(s.out.clone());
+        sends.extend(s.actions.clone());
     }
     let sent = |a: &Action| match a {
         Action::Send {
@@ -361,24 +362,24 @@
 /// Guards against a held request that fits nowhere keeping the whole queue behind it waiting.
 #[test]
 fn a_held_request_without_a_worker_does_not_block_the_queue() {
-    let mut s = Stage::new(settings(), &[entry(1, 0)]);
-    let (blocked, _) = s.ask(1);
+    let mut s = Harness::new(settings(), &[entry(1, 0)]);
+    let (blocked, _) = s.submit(1);
     s.end(blocked, 0, Status::Error);
-    s.list(Scope::Full, &[entry(2, 0)]);
-    let (a, worker) = s.ask(1);
+    s.update_membership(Scope::Full, &[entry(2, 0)]);
+    let (a, worker) = s.submit(1);
     assert_eq!(worker, Some(2));
-    s.pass(200 * MS);
+    s.advance(200 * MS);
     s.start(a, 0);
-    let (b, queued) = s.ask(1);
+    let (b, queued) = s.submit(1);
     assert_eq!(queued, Some(2));
-    let (c, at_once) = s.ask(1);
+    let (c, at_once) = s.submit(1);
     assert_eq!(at_once, None);
-    let mut sends = s.pass(50 * MS);
+    let mut sends = s.advance(50 * MS);
     for id in [b, a] {
         s.start(id, 0);
-        sends.extend(s.out.clone());
+        sends.extend(s.actions.clone());
         s.end(id, 0, Status::Ok);
-        sends.extend(s.out.clone());
+        sends.extend(s.actions.clone());
     }
     let got = |id| {
         sends
@@ -392,20 +393,20 @@
 #[test]
 fn a_request_with_no_time_to_wait_is_answered_at_once() {
     for left in [0, 1, 10 * MS, 30 * MS] {
-        let mut s = Stage::new(settings(), &[]);
-        s.event(Event::Request(Request {
+        let mut s = Harness::new(settings(), &[]);
+        s.handle(Event::Request(Request {
             left,
             ..request(9, 0)
         }));
-        assert!(s.refused(9), "{left} us left: {:?}", s.out);
+        assert!(s.is_refused(9), "{left} us left: {:?}", s.actions);
     }
     // ... also where a worker is free but the time is already up.
-    let mut s = Stage::new(settings(), &[entry(1, 0)]);
-    s.event(Event::Request(Request {
+    let mut s = Harness::new(settings(), &[entry(1, 0)]);
+    s.handle(Event::Request(Request {
         left: 0,
         ..request(9, 0)
     }));
-    assert!(s.refused(9) && s.sent(9).is_none(), "{:?}", s.out);
+    assert!(s.is_refused(9) && s.sent_to(9).is_none(), "{:?}", s.actions);
 }
 
 /// Guards against slots spent on jobs that cannot be done any more (full fleet, join): nine in ten of the attempts that
@@ -413,17 +414,17 @@
 #[test]
 fn a_job_that_would_hardly_be_done_in_its_time_takes_no_slot() {
     for class in 0..4 {
-        let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
+        let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
         for _ in 0..50 {
             s.serve(class, |_| 200 * MS);
         }
         for (id, left, fits) in [(1_001, 250 * MS, false), (1_002, 350 * MS, true)] {
-            s.event(Event::Request(Request {
+            s.handle(Event::Request(Request {
                 left,
                 ..request(id, class)
             }));
             assert_eq!(
-                (s.sent(id).is_some(), s.refused(id)),
+                (s.sent_to(id).is_some(), s.is_refused(id)),
                 (fits, !fits),
                 "class {class}, {left} us left"
             );
@@ -432,34 +433,34 @@
     // Where runs are long against what clients wait, half of that is enough: such a class is not refused altogether.
     let mut settings = settings();
     settings.classes[0].deadline = 200 * MS;
-    let mut s = Stage::new(settings, &[entry(1, 0)]);
+    let mut s = Harness::new(settings, &[entry(1, 0)]);
     for id in 1..30 {
-        s.event(Event::Request(Request {
+        s.handle(Event::Request(Request {
             left: 200 * MS,
             ..request(id, 0)
         }));
-        assert!(s.sent(id).is_some(), "{:?}", s.out);
+        assert!(s.sent_to(id).is_some(), "{:?}", s.actions);
         s.start(id, 0);
-        s.pass(190 * MS);
+        s.advance(190 * MS);
         s.end(id, 0, Status::Ok);
     }
 }
 
 #[test]
 fn held_requests_are_refused_before_their_deadline() {
-    let mut s = Stage::new(settings(), &[]);
-    let ids: Vec<_> = (0..5).map(|n| s.ask(n % 4).0).collect();
+    let mut s = Harness::new(settings(), &[]);
+    let ids: Vec<_> = (0..5).map(|n| s.submit(n % 4).0).collect();
     // Until a run is known, one takes as long as its class's aim, 0.4 s: one and a half of them are left at 5.4 s.
-    let before = s.pass(5_300 * MS);
+    let before = s.advance(5_300 * MS);
     assert!(
         !before
             .iter()
             .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
     );
-    s.pass(200 * MS);
+    s.advance(200 * MS);
     for id in ids {
         assert!(
-            s.refused(id),
+            s.is_refused(id),
             "nothing was sent, so any class may be refused"
         );
     }
@@ -470,26 +471,26 @@
 /// Guards against a worker that errs at once staying the least loaded and drawing all traffic.
 #[test]
 fn an_instantly_erring_worker_is_set_aside_and_tried_with_little() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
     let mut to_bad = 0;
     for _ in 0..200 {
-        let (id, worker) = s.ask(0);
+        let (id, worker) = s.submit(0);
         let mut worker = worker;
         let mut attempt = 0;
         while worker == Some(1) {
             to_bad += 1;
-            s.pass(2 * MS);
+            s.advance(2 * MS);
             s.end(id, attempt, Status::Error);
-            worker = s.sent(id);
+            worker = s.sent_to(id);
             attempt += 1;
         }
         assert!(
             worker.is_some(),
             "an error on one worker sends a safe request to another"
         );
-        s.pass(20 * MS);
+        s.advance(20 * MS);
         s.start(id, attempt);
-        s.pass(30 * MS);
+        s.advance(30 * MS);
         s.end(id, attempt, Status::Ok);
     }
     assert!(
@@ -503,50 +504,50 @@
 #[test]
 fn a_suspect_worker_is_tried_with_repeatable_requests_and_forgiven_in_time() {
     let erred = || {
-        let mut s = Stage::new(settings(), &[entry(1, 0)]);
+        let mut s = Harness::new(settings(), &[entry(1, 0)]);
         for _ in 0..2 {
-            let (id, _) = s.ask(2);
+            let (id, _) = s.submit(2);
             s.end(id, 0, Status::Error);
         }
-        s.pass(700 * MS);
+        s.advance(700 * MS);
         s
     };
     let mut s = erred();
-    assert_eq!(s.ask(2).1, None, "an unsafe request is no trial");
+    assert_eq!(s.submit(2).1, None, "an unsafe request is no trial");
     let mut s = erred();
-    assert_eq!(s.ask(3).1, Some(1), "a keyed one is");
-    assert_eq!(s.ask(3).1, None, "one at a time");
+    assert_eq!(s.submit(3).1, Some(1), "a keyed one is");
+    assert_eq!(s.submit(3).1, None, "one at a time");
     let mut s = erred();
-    s.pass(2 * SEC);
-    assert_eq!(s.ask(2).1, Some(1), "suspicion has faded");
+    s.advance(2 * SEC);
+    assert_eq!(s.submit(2).1, Some(1), "suspicion has faded");
 }
 
 /// Guards against an attempt that was never taken blocking its worker, and its request, until the deadline.
 #[test]
 fn an_attempt_not_taken_in_time_gives_back_its_slots_and_goes_elsewhere() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (id, worker) = s.ask(3);
-    s.pass(250 * MS);
-    s.event(Event::Unheard {
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (id, worker) = s.submit(3);
+    s.advance(250 * MS);
+    s.handle(Event::Unheard {
         request: id,
         attempt: 0,
     });
-    let other = s.sent(id);
+    let other = s.sent_to(id);
     assert!(
         other.is_some() && other != worker,
         "a keyed one goes to another worker beside"
     );
     s.end(id, 1, Status::Ok);
-    let (id, worker) = s.ask(2);
-    s.pass(250 * MS);
-    s.event(Event::Unheard {
+    let (id, worker) = s.submit(2);
+    s.advance(250 * MS);
+    s.handle(Event::Unheard {
         request: id,
         attempt: 0,
     });
-    assert_eq!(s.sent(id), None, "an unsafe one waits");
-    s.pass(SEC);
-    let (_, again) = s.ask(3);
-    let (_, beside) = s.ask(3);
+    assert_eq!(s.sent_to(id), None, "an unsafe one waits");
+    s.advance(SEC);
+    let (_, again) = s.submit(3);
+    let (_, beside) = s.submit(3);
     assert!(
         [again, beside].contains(&worker),
         "its worker is not blocked"
@@ -555,9 +556,9 @@
 
 #[test]
 fn a_draining_worker_gets_nothing_from_the_moment_it_is_told() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
     for state in [WorkerState::Draining, WorkerState::Left] {
-        s.list(
+        s.update_membership(
             Scope::Delta,
             &[Entry {
                 state,
@@ -567,9 +568,9 @@
         for _ in 0..10 {
             assert_ne!(s.serve(0, |_| 10 * MS), Some(1));
         }
-        s.list(Scope::Delta, &[entry(1, 0)]);
+        s.update_membership(Scope::Delta, &[entry(1, 0)]);
     }
-    s.list(Scope::Full, &[entry(2, 0)]);
+    s.update_membership(Scope::Full, &[entry(2, 0)]);
     for _ in 0..10 {
         assert_ne!(
             s.serve(0, |_| 10 * MS),
@@ -581,16 +582,16 @@
 
 /// When worker 3 was sent jobs, with one of the class asked for at each step; each ends at once with this status.
 fn sends_to_third(
-    s: &mut Stage,
+    s: &mut Harness,
     (class, ends): (ClassId, Status),
     step: Time,
     until: Time,
 ) -> Vec<Time> {
     let mut sends = Vec::new();
     while s.now < until {
-        let mut said = s.pass(step);
-        s.ask(class);
-        said.extend(s.out.clone());
+        let mut said = s.advance(step);
+        s.submit(class);
+        said.extend(s.actions.clone());
         for action in said {
             if let Action::Send {
                 request, worker: 3, ..
@@ -614,13 +615,13 @@
     let mut settings = settings();
     settings.dispatchers = 3;
     let rules = settings.rules.clone();
-    let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0)]);
+    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
     for _ in 0..30 {
         s.serve(0, |_| 100 * MS);
     }
     // Worker 3 has just started and is the only one left; every job it gets is turned away unseen.
     let ready_at = s.now;
-    s.list(
+    s.update_membership(
         Scope::Full,
         &[Entry {
             ready_at,
@@ -653,41 +654,45 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_one_that_never_ran_is_sent_again() {
-    let mut s = Stage::new(
+    let mut s = Harness::new(
         settings(),
         &[entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0)],
     );
     for status in [Status::Error, Status::Reset, Status::Timeout] {
-        let (id, worker) = s.ask(2);
+        let (id, worker) = s.submit(2);
         assert!(worker.is_some());
         s.end(id, 0, status);
         assert!(
-            s.failed(id) && s.sent(id).is_none(),
+            s.is_failed(id) && s.sent_to(id).is_none(),
             "{status:?}: {:?}",
-            s.out
+            s.actions
         );
     }
-    let (id, first) = s.ask(2);
+    let (id, first) = s.submit(2);
     s.end(id, 0, Status::ConnectFailed);
-    assert!(s.sent(id).is_some() && s.sent(id) != first);
+    assert!(s.sent_to(id).is_some() && s.sent_to(id) != first);
 }
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_cell_and_window() {
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
     for _ in 0..10 {
-        let mut s = Stage::new(settings(), &workers);
-        let (id, first) = s.ask(1);
+        let mut s = Harness::new(settings(), &workers);
+        let (id, first) = s.submit(1);
         s.end(id, 0, Status::Error);
-        assert_eq!(s.sent(id).map(|w| w % 2), first.map(|w| w % 2), "same cell");
+        assert_eq!(
+            s.sent_to(id).map(|w| w % 2),
+            first.map(|w| w % 2),
+            "same cell"
+        );
     }
     // Past the window nothing more is sent, and a refusal would promise too much.
-    let mut s = Stage::new(settings(), &workers);
-    let (id, _) = s.ask(1);
-    s.pass(3_100 * MS);
+    let mut s = Harness::new(settings(), &workers);
+    let (id, _) = s.submit(1);
+    s.advance(3_100 * MS);
     s.end(id, 0, Status::Error);
     assert!(
-        s.sent(id).is_none() && s.failed(id),
+        s.sent_to(id).is_none() && s.is_failed(id),
         "nothing legal can serve it, so it is told at once"
     );
 }
@@ -697,12 +702,12 @@
     let mut settings = settings();
     settings.limits.attempts = 2;
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
-    let mut s = Stage::new(settings, &workers);
-    let (id, _) = s.ask(0);
+    let mut s = Harness::new(settings, &workers);
+    let (id, _) = s.submit(0);
     s.end(id, 0, Status::Error);
-    assert!(s.sent(id).is_some());
+    assert!(s.sent_to(id).is_some());
     s.end(id, 1, Status::Error);
-    assert!(s.sent(id).is_none() && s.refused(id));
+    assert!(s.sent_to(id).is_none() && s.is_refused(id));
 }
 
 // ---- The list --------------------------------------------------------------------------------------------
@@ -711,14 +716,14 @@
 fn the_list_is_asked_for_and_asked_again_after_a_failure_with_back_off() {
     let mut settings = settings();
     settings.membership_pushed = false;
-    let mut s = Stage::new(settings, &[entry(1, 0)]);
-    assert!(s.out.contains(&Action::Watch(true)));
+    let mut s = Harness::new(settings, &[entry(1, 0)]);
+    assert!(s.actions.contains(&Action::Watch(true)));
     let mut asked = Vec::new();
     for _ in 0..4 {
-        s.list(Scope::Failed, &[]);
+        s.update_membership(Scope::Failed, &[]);
         let failed = s.now;
-        while !s.out.contains(&Action::Watch(true)) {
-            s.pass(10 * MS);
+        while !s.actions.contains(&Action::Watch(true)) {
+            s.advance(10 * MS);
             assert!(s.now < failed + 10 * SEC, "asked within rules.ask_within");
         }
         asked.push(s.now - failed);
@@ -727,38 +732,38 @@
         asked.windows(2).all(|w| w[1] >= w[0]) && asked[3] > asked[0],
         "{asked:?}"
     );
-    s.list(Scope::Full, &[entry(1, 0)]);
+    s.update_membership(Scope::Full, &[entry(1, 0)]);
     assert!(
-        !s.pass(20 * SEC).contains(&Action::Watch(true)),
+        !s.advance(20 * SEC).contains(&Action::Watch(true)),
         "a live subscription is not renewed"
     );
-    assert_eq!(s.ask(0).1, Some(1));
+    assert_eq!(s.submit(0).1, Some(1));
 }
 
 #[test]
 fn a_restart_under_the_same_id_is_a_new_cold_worker() {
-    let mut s = Stage::new(settings(), &[entry(1, 0)]);
-    let (id, _) = s.ask(2);
+    let mut s = Harness::new(settings(), &[entry(1, 0)]);
+    let (id, _) = s.submit(2);
     s.end(id, 0, Status::Reset);
-    let (id, worker) = s.ask(2);
+    let (id, worker) = s.submit(2);
     assert_eq!(worker, Some(1), "one reset may be the way's alone");
     s.end(id, 0, Status::Reset);
-    assert_eq!(s.ask(0).1, None, "set aside after the second");
-    s.pass(20 * MS);
+    assert_eq!(s.submit(0).1, None, "set aside after the second");
+    s.advance(20 * MS);
     let ready_at = s.now - 7_950 * MS;
-    s.list(
+    s.update_membership(
         Scope::Delta,
         &[Entry {
             ready_at,
             ..entry(1, 0)
         }],
     );
-    s.pass(60 * MS);
+    s.advance(60 * MS);
     assert_eq!(
-        s.sent(3),
+        s.sent_to(3),
         Some(1),
         "the new process is not blamed: {:?}",
-        s.out
+        s.actions
     );
 }
 
@@ -773,13 +778,13 @@
         fraction: 0.0,
     }];
     settings.limits.attempts = 0;
-    let mut s = Stage::new(settings, &[]);
+    let mut s = Harness::new(settings, &[]);
     let odd = |v: f64| Load {
         inflight: Some(v),
         free_slots: Some(v),
         ..Load::default()
     };
-    s.list(
+    s.update_membership(
         Scope::Delta,
         &[Entry {
             kind: u32::MAX,
@@ -790,7 +795,7 @@
     );
     for v in [f64::NAN, f64::INFINITY, -5.0, 1e300] {
         for worker in [1, 99] {
-            s.event(Event::Probed {
+            s.handle(Event::Probed {
                 worker,
                 status: Status::Ok,
                 load: Some(odd(v)),
@@ -804,35 +809,35 @@
             left: u64::MAX,
             ..request(v.to_bits(), 0)
         };
-        s.event(Event::Request(r.clone()));
-        s.event(Event::Request(r));
-        s.event(Event::Progress {
+        s.handle(Event::Request(r.clone()));
+        s.handle(Event::Request(r));
+        s.handle(Event::Progress {
             request: v.to_bits(),
             attempt: 0,
             done: v,
         });
     }
     for id in [0, 12345] {
-        s.event(Event::Started {
+        s.handle(Event::Started {
             request: id,
             attempt: 9,
         });
-        s.event(Event::Streaming {
+        s.handle(Event::Streaming {
             request: id,
             attempt: 9,
         });
         s.end(id, 3, Status::Ok);
-        s.event(Event::RequestClosed(id));
+        s.handle(Event::RequestClosed(id));
     }
-    s.event(Event::Timer(424242));
-    s.event(Event::Peer {
+    s.handle(Event::Timer(424242));
+    s.handle(Event::Peer {
         from: 9,
         in_flight: vec![(1, 255), (99, 7), (1, 3)],
     });
-    s.list(Scope::Full, &[]);
-    s.pass(SEC);
+    s.update_membership(Scope::Full, &[]);
+    s.advance(SEC);
     assert!(
-        !s.out.iter().any(|a| matches!(a, Action::Send { .. })),
+        !s.actions.iter().any(|a| matches!(a, Action::Send { .. })),
         "no attempt is allowed here"
     );
 }
@@ -851,12 +856,12 @@
                 ..settings()
             };
             settings.rules.warm_after = 60 * SEC;
-            let mut s = Stage::new(settings, &[entry(1, 0)]);
+            let mut s = Harness::new(settings, &[entry(1, 0)]);
             for _ in 0..30 {
                 s.serve(0, |_| 100 * MS);
             }
             let ready_at = s.now;
-            s.list(
+            s.update_membership(
                 Scope::Full,
                 &[Entry {
                     ready_at,
@@ -865,9 +870,9 @@
             );
             let mut sends = 0;
             for _ in 0..15 {
-                s.ask(0);
-                let mut said = s.out.clone();
-                said.extend(s.pass(2 * SEC));
+                s.submit(0);
+                let mut said = s.actions.clone();
+                said.extend(s.advance(2 * SEC));
                 sends += said
                     .iter()
                     .filter(|a| matches!(a, Action::Send { .. }))
@@ -888,22 +893,26 @@
 fn probes_tell_how_many_slots_there_are() {
     let mut settings = settings();
     settings.reports = Reports::OnProbe;
-    let mut s = Stage::new(settings, &[entry(1, 0)]);
-    s.pass(SEC);
-    s.ask(0);
-    assert!(s.out.contains(&Action::Probe { worker: 1 }), "{:?}", s.out);
+    let mut s = Harness::new(settings, &[entry(1, 0)]);
+    s.advance(SEC);
+    s.submit(0);
+    assert!(
+        s.actions.contains(&Action::Probe { worker: 1 }),
+        "{:?}",
+        s.actions
+    );
     let load = Some(Load {
         inflight: Some(0.0),
         free_slots: Some(4.0),
         ..Load::default()
     });
-    s.event(Event::Probed {
+    s.handle(Event::Probed {
         worker: 1,
         status: Status::Ok,
         load,
     });
     for _ in 0..3 {
-        assert_eq!(s.ask(0).1, Some(1));
+        assert_eq!(s.submit(0).1, Some(1));
     }
 }
 
@@ -911,7 +920,7 @@
 /// wait behind one of two slots. Budgets of cold workers are multiples of the slots.
 #[test]
 fn a_report_of_a_queue_beside_a_free_slot_tells_no_slots() {
-    let mut s = Stage::new(
+    let mut s = Harness::new(
         Settings {
             reports: Reports::OnProbe,
             ..settings()
@@ -926,7 +935,7 @@
             free_slots,
             ..Load::default()
         });
-        s.event(Event::Probed {
+        s.handle(Event::Probed {
             worker: 1,
             status: Status::Ok,
             load,
@@ -935,7 +944,7 @@
     probed(0.0, 0.0, 3.0);
     probed(40.0, 38.0, 1.0);
     probed(0.0, 0.0, 3.0);
-    let taken = (0..8).take_while(|_| s.ask(2).1.is_some()).count();
+    let taken = (0..8).take_while(|_| s.submit(2).1.is_some()).count();
     // Three run; a few more may wait at a crowded worker, one at a time.
     assert!((3..=4).contains(&taken), "{taken} jobs at three slots");
 }
@@ -946,30 +955,30 @@
     let mut settings = settings();
     settings.limits.peers = true;
     settings.charges.peer = 0.01;
-    let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0)]);
-    s.event(Event::Peer {
+    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
+    s.handle(Event::Peer {
         from: 1,
         in_flight: vec![(1, 1)],
     });
-    let (id, worker) = s.ask(0);
+    let (id, worker) = s.submit(0);
     assert_eq!(
         worker,
         Some(2),
         "the peer's job holds the one known slot of worker 1"
     );
-    assert!(s.pass(100 * MS).contains(&Action::UpdatePeers {
+    assert!(s.advance(100 * MS).contains(&Action::UpdatePeers {
         in_flight: vec![(2, 1)]
     }));
     s.start(id, 0);
-    s.event(Event::Peer {
+    s.handle(Event::Peer {
         from: 1,
         in_flight: vec![],
     });
-    assert_eq!(s.ask(0).1, Some(1));
+    assert_eq!(s.submit(0).1, Some(1));
     s.end(2, 0, Status::Ok);
     s.end(id, 0, Status::Ok);
     assert!(
-        s.pass(100 * MS)
+        s.advance(100 * MS)
             .contains(&Action::UpdatePeers { in_flight: vec![] })
     );
 }
@@ -979,14 +988,14 @@
 fn a_later_try_counts_from_the_first() {
     let mut settings = settings();
     settings.classes[0].late_value = 0.0;
-    let mut s = Stage::new(settings, &[]);
-    s.ask(0);
+    let mut s = Harness::new(settings, &[]);
+    s.submit(0);
     // It comes with two of its six seconds left: its aim is long past, and late is worth nothing.
-    s.event(Event::Request(Request {
+    s.handle(Event::Request(Request {
         left: 2 * SEC,
         ..request(50, 0)
     }));
-    assert!(s.refused(50) && !s.refused(1), "{:?}", s.out);
+    assert!(s.is_refused(50) && !s.is_refused(1), "{:?}", s.actions);
 }
 
 /// Guards against jobs queueing in workers that look free to each of many dispatchers (Lde7595, i221ca1): where
@@ -994,42 +1003,42 @@
 #[test]
 fn few_jobs_wait_at_workers_that_look_free() {
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
-    let mut s = Stage::new(
+    let mut s = Harness::new(
         Settings {
             dispatchers: 40,
             ..settings()
         },
         &workers,
     );
-    let sends = |s: &Stage| {
-        s.out
+    let sends = |s: &Harness| {
+        s.actions
             .iter()
             .filter(|a| matches!(a, Action::Send { .. }))
             .count()
     };
     // Much traffic, all of it turned away: the window shrinks to one job.
     for step in 0..300 {
-        let mut said = s.pass(20 * MS);
+        let mut said = s.advance(20 * MS);
         if step < 100 {
-            s.ask(0);
-            said.append(&mut s.out);
+            s.submit(0);
+            said.append(&mut s.actions);
         }
         while let Some(action) = said.pop() {
             if let Action::Send { request, .. } = action {
-                s.event(Event::Outcome {
+                s.handle(Event::Outcome {
                     request,
                     attempt: 0,
                     status: Status::Full,
                     closed: true,
                     load: None,
                 });
-                said.append(&mut s.out);
+                said.append(&mut s.actions);
             }
         }
     }
     let mut waiting = 0;
     for _ in 0..30 {
-        s.ask(0);
+        s.submit(0);
         waiting += sends(&s);
     }
     assert!((1..=8).contains(&waiting), "{waiting} jobs wait");
@@ -1039,11 +1048,11 @@
 /// come late or workers are full, one that is known to be free goes before those unheard of.
 #[test]
 fn a_worker_unheard_of_is_not_taken_for_empty_where_starts_come_late() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
     for _ in 0..40 {
-        let (request, worker) = s.ask(0);
+        let (request, worker) = s.submit(0);
         if worker.is_some() {
-            s.event(Event::Outcome {
+            s.handle(Event::Outcome {
                 request,
                 attempt: 0,
                 status: Status::Full,
@@ -1051,9 +1060,9 @@
                 load: None,
             });
         }
-        s.pass(SEC);
+        s.advance(SEC);
     }
-    s.pass(8 * SEC);
+    s.advance(8 * SEC);
     let known = s.serve(0, |_| 10 * MS);
     assert!(known.is_some());
     for _ in 0..8 {
@@ -1067,31 +1076,31 @@
 fn looking_at_held_requests_more_often_changes_nothing() {
     let run = |extra_looks: usize| {
         let workers: Vec<_> = (0..6).map(|i| entry(i, i % 2)).collect();
-        let mut s = Stage::new(settings(), &workers);
+        let mut s = Harness::new(settings(), &workers);
         let (mut said, mut running, mut held) = (Vec::new(), Vec::new(), 0);
         for step in 0..400 {
-            let mut now_said = s.pass(5 * MS);
+            let mut now_said = s.advance(5 * MS);
             if step % 40 < 25 {
-                held += usize::from(s.ask(0).1.is_none());
-                now_said.append(&mut s.out);
+                held += usize::from(s.submit(0).1.is_none());
+                now_said.append(&mut s.actions);
             }
             if step % 3 == 0 && !running.is_empty() {
                 let request = running.remove(0);
                 let (attempt, status, load) = (0, Status::Ok, None);
-                s.event(Event::Started { request, attempt });
-                now_said.append(&mut s.out);
-                s.event(Event::Outcome {
+                s.handle(Event::Started { request, attempt });
+                now_said.append(&mut s.actions);
+                s.handle(Event::Outcome {
                     request,
                     attempt,
                     status,
                     closed: true,
                     load,
                 });
-                now_said.append(&mut s.out);
+                now_said.append(&mut s.actions);
             }
             for _ in 0..extra_looks {
-                s.event(Event::RequestClosed(1 << 40));
-                now_said.append(&mut s.out);
+                s.handle(Event::RequestClosed(1 << 40));
+                now_said.append(&mut s.actions);
             }
             running.extend(now_said.iter().filter_map(|a| match a {
                 Action::Send { request, .. } => Some(*request),
@@ -1109,13 +1118,13 @@
 /// Guards against the window becoming no number at a late first start, after which nothing was ever queued.
 #[test]
 fn a_late_first_start_leaves_a_window() {
-    let mut s = Stage::new(settings(), &[entry(1, 0)]);
+    let mut s = Harness::new(settings(), &[entry(1, 0)]);
     s.serve(0, |_| 100 * MS);
-    let (id, _) = s.ask(0);
-    s.pass(900 * MS);
+    let (id, _) = s.submit(0);
+    s.advance(900 * MS);
     s.start(id, 0);
     assert_eq!(
-        s.ask(0).1,
+        s.submit(0).1,
         Some(1),
         "one job may wait where all slots are taken"
     );
@@ -1131,7 +1140,7 @@
             me,
             ..settings()
         };
-        let mut s = Stage::new(settings, &workers);
+        let mut s = Harness::new(settings, &workers);
         let used = (0..60).map(|_| {
             s.serve(0, |_| 100 * MS)
                 .expect("idle workers take every job")
@@ -1145,14 +1154,14 @@
         "dispatchers apart share no worker"
     );
     // With its near workers taken, it goes on to the others.
-    let mut s = Stage::new(
+    let mut s = Harness::new(
         Settings {
             dispatchers: 40,
             ..settings()
         },
         &workers,
     );
-    let used: std::collections::BTreeSet<_> = (0..30).filter_map(|_| s.ask(0).1).collect();
+    let used: std::collections::BTreeSet<_> = (0..30).filter_map(|_| s.submit(0).1).collect();
     assert!(used.len() > 8, "{used:?}");
 }
 
@@ -1165,18 +1174,18 @@
         zone: i / 2,
         ..entry(i, 0)
     });
-    let mut s = Stage::new(settings, &workers);
+    let mut s = Harness::new(settings, &workers);
     // At home a job starts after two others are through, elsewhere at once.
     let mut away = [0, 0];
     for n in 0..200 {
-        let (id, worker) = s.ask(0);
+        let (id, worker) = s.submit(0);
         let far = worker.expect("sent") >= 2;
         away[usize::from(n >= 100)] += i32::from(far);
-        s.pass(if far { MS } else { 200 * MS });
+        s.advance(if far { MS } else { 200 * MS });
         s.start(id, 0);
-        s.pass(100 * MS);
+        s.advance(100 * MS);
         s.end(id, 0, Status::Ok);
-        s.pass(3 * SEC);
+        s.advance(3 * SEC);
     }
     assert!(away[1] > 25, "{away:?}");
     // Once the own zone starts them promptly again, they come back.
@@ -1192,39 +1201,39 @@
     let mut settings = settings();
     settings.reports = Reports::OnProbe;
     settings.charges.probe = 0.0002;
-    let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-    let (id, worker) = s.ask(0);
+    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let (id, worker) = s.submit(0);
     let probed: Vec<_> = s
-        .out
+        .actions
         .iter()
         .filter(|a| matches!(a, Action::Probe { .. }))
         .cloned()
         .collect();
     assert_eq!((probed.len(), worker), (3, None));
     for (worker, free) in [(1, 0.0), (2, 2.0), (3, 1.0)] {
-        assert_eq!(s.sent(id), None);
+        assert_eq!(s.sent_to(id), None);
         let load = Some(Load {
             inflight: Some(2.0 - free),
             free_slots: Some(free),
             ..Load::default()
         });
-        s.event(Event::Probed {
+        s.handle(Event::Probed {
             worker,
             status: Status::Ok,
             load,
         });
     }
-    assert_eq!(s.sent(id), Some(2), "the emptiest of those sampled");
+    assert_eq!(s.sent_to(id), Some(2), "the emptiest of those sampled");
     // Without answers it goes out after a tenth of its aim. What is known is not asked again.
-    s.pass(3 * SEC);
-    let (id, _) = s.ask(0);
+    s.advance(3 * SEC);
+    let (id, _) = s.submit(0);
     assert!(
-        s.pass(30 * MS)
+        s.advance(30 * MS)
             .iter()
             .all(|a| !matches!(a, Action::Send { .. }))
     );
-    s.pass(30 * MS);
-    assert!(s.sent(id).is_some());
+    s.advance(30 * MS);
+    assert!(s.sent_to(id).is_some());
 }
 
 /// Guards against news of workers with long jobs being left to age as if it were of short ones (cairo-later):
@@ -1238,54 +1247,54 @@
         };
         settings.reports = Reports::OnProbe;
         settings.charges.probe = 0.0002;
-        let mut s = Stage::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+        let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
         let mut count = 0;
         for _ in 0..40 {
-            let (id, _) = s.ask(0);
-            let mut said = s.out.clone();
+            let (id, _) = s.submit(0);
+            let mut said = s.actions.clone();
             for worker in 1..4 {
                 let load = Some(Load {
                     inflight: Some(0.0),
                     free_slots: Some(2.0),
                     ..Load::default()
                 });
-                s.event(Event::Probed {
+                s.handle(Event::Probed {
                     worker,
                     status: Status::Ok,
                     load,
                 });
-                said.append(&mut s.out);
+                said.append(&mut s.actions);
             }
             count += said
                 .iter()
                 .filter(|a| matches!(a, Action::Probe { .. }))
                 .count();
-            s.pass(run);
+            s.advance(run);
             s.start(id, 0);
-            s.pass(run);
+            s.advance(run);
             s.end(id, 0, Status::Ok);
         }
         // Now only the time since the last news counts.
-        s.ask(0);
+        s.submit(0);
         let before = count;
-        s.pass(5 * SEC);
-        s.ask(0);
+        s.advance(5 * SEC);
+        s.submit(0);
         for worker in 1..4 {
             let load = Some(Load {
                 inflight: Some(0.0),
                 free_slots: Some(2.0),
                 ..Load::default()
             });
-            s.event(Event::Probed {
+            s.handle(Event::Probed {
                 worker,
                 status: Status::Ok,
                 load,
             });
         }
-        s.pass(700 * MS);
-        s.ask(0);
+        s.advance(700 * MS);
+        s.submit(0);
         let again = s
-            .out
+            .actions
             .iter()
             .filter(|a| matches!(a, Action::Probe { .. }))
             .count();
@@ -1300,7 +1309,7 @@
 /// Guards against a kind being taken for slow because it happened to get the long class.
 #[test]
 fn run_times_are_compared_within_their_class() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 1)]);
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 1)]);
     // Both kinds are equally fast. Class 0 is short, class 2 ten times as long and mostly on kind 0.
     for n in 0..200 {
         let class = if n % 2 == 0 { 0 } else { 2 };
@@ -1325,7 +1334,7 @@
     };
     let workers: Vec<_> = (0..80).map(cold).collect();
     let uses = |me: &u32| {
-        let mut s = Stage::new(
+        let mut s = Harness::new(
             Settings {
                 dispatchers: 40,
                 me: *me,
@@ -1340,8 +1349,8 @@
                 "idle warm workers come first"
             );
         }
-        s.pass(4 * SEC);
-        (0..6).any(|_| s.ask(0).1 == Some(60))
+        s.advance(4 * SEC);
+        (0..6).any(|_| s.submit(0).1 == Some(60))
     };
     // A part pays for four jobs of 10 ms in a window of 1 s, and 0.54 s are used there: 13 parts.
     assert_eq!((0..40).filter(uses).count(), 13);
@@ -1361,13 +1370,13 @@
             reports: Reports::OnProbe,
             ..settings()
         };
-        let mut s = Stage::new(settings, &[entry(1, 0)]);
+        let mut s = Harness::new(settings, &[entry(1, 0)]);
         let load = Some(Load {
             inflight: Some(0.0),
             free_slots: Some(7.0),
             ..Load::default()
         });
-        s.event(Event::Probed {
+        s.handle(Event::Probed {
             worker: 1,
             status: Status::Ok,
             load,
@@ -1376,7 +1385,7 @@
             s.serve(2, |_| run);
         }
         (s.now, ready_at) = (110 * SEC, 110 * SEC);
-        s.list(
+        s.update_membership(
             Scope::Full,
             &[Entry {
                 ready_at,
@@ -1418,20 +1427,20 @@
 fn an_unstarted_job_past_its_aim_is_withdrawn_where_late_is_worth_nothing() {
     let mut settings = settings();
     settings.classes[0].late_value = 0.0;
-    let mut s = Stage::new(settings.clone(), &[entry(1, 0)]);
-    let (id, _) = s.ask(0);
-    let all = s.pass(3 * SEC);
+    let mut s = Harness::new(settings.clone(), &[entry(1, 0)]);
+    let (id, _) = s.submit(0);
+    let all = s.advance(3 * SEC);
     assert!(
         all.contains(&Action::Cancel {
             request: id,
             attempt: 0
-        }) && s.refused(id)
+        }) && s.is_refused(id)
     );
     settings.classes[0].late_value = 0.3;
-    let mut s = Stage::new(settings, &[entry(1, 0)]);
-    s.ask(0);
+    let mut s = Harness::new(settings, &[entry(1, 0)]);
+    s.submit(0);
     assert!(
-        s.pass(3 * SEC)
+        s.advance(3 * SEC)
             .iter()
             .all(|a| matches!(a, Action::Timer { .. }))
     );
@@ -1440,16 +1449,16 @@
 /// Guards against dispatchers that hammer full workers with what these turn away.
 #[test]
 fn a_full_worker_is_left_alone_for_a_while() {
-    let mut s = Stage::new(settings(), &[entry(1, 0)]);
-    let (id, _) = s.ask(0);
-    s.pass(MS);
+    let mut s = Harness::new(settings(), &[entry(1, 0)]);
+    let (id, _) = s.submit(0);
+    s.advance(MS);
     s.end(id, 0, Status::Full);
     assert!(
-        s.pass(1900 * MS)
+        s.advance(1900 * MS)
             .iter()
             .all(|a| !matches!(a, Action::Send { .. }))
     );
-    let later = s.pass(200 * MS);
+    let later = s.advance(200 * MS);
     assert!(
         later
             .iter()
@@ -1471,14 +1480,14 @@
         window: Some(10 * SEC),
     });
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
-    let mut s = Stage::new(settings, &workers);
-    let fail_until_answered = |s: &mut Stage| {
-        let (id, _) = s.ask(0);
+    let mut s = Harness::new(settings, &workers);
+    let fail_until_answered = |s: &mut Harness| {
+        let (id, _) = s.submit(0);
         let mut tries = 0;
         loop {
             s.end(id, tries, Status::Error);
-            if s.sent(id).is_none() {
-                assert!(s.refused(id), "out of attempts it is answered at once");
+            if s.sent_to(id).is_none() {
+                assert!(s.is_refused(id), "out of attempts it is answered at once");
                 return tries;
             }
             tries += 1;
@@ -1486,10 +1495,10 @@
     };
     let again: u32 = (0..9).map(|_| fail_until_answered(&mut s)).sum();
     assert_eq!(again, 2, "nine requests earn none beyond the two free ones");
-    s.pass(5 * SEC);
+    s.advance(5 * SEC);
     assert_eq!(fail_until_answered(&mut s), 1, "the tenth earns one more");
     // The first two leave the window, and so do the requests that came with them.
-    s.pass(5 * SEC + MS);
+    s.advance(5 * SEC + MS);
     assert_eq!(fail_until_answered(&mut s), 1);
 }
 
@@ -1502,14 +1511,17 @@
         window: Some(10 * SEC),
     });
     let workers: Vec<_> = (0..8).map(|i| entry(i, 0)).collect();
-    let mut s = Stage::new(settings, &workers);
-    let (id, _) = s.ask(0);
+    let mut s = Harness::new(settings, &workers);
+    let (id, _) = s.submit(0);
     s.end(id, 0, Status::Error);
-    assert!(s.sent(id).is_some());
+    assert!(s.sent_to(id).is_some());
     s.end(id, 1, Status::Moot);
-    assert!(s.sent(id).is_some(), "the one of the budget is there again");
+    assert!(
+        s.sent_to(id).is_some(),
+        "the one of the budget is there again"
+    );
     s.end(id, 2, Status::Error);
-    assert!(s.sent(id).is_none() && s.refused(id));
+    assert!(s.sent_to(id).is_none() && s.is_refused(id));
 }
 
 /// A budget without a window is read the strict way: what it allows, it allows once.
@@ -1521,12 +1533,12 @@
         ratio: 5.0,
         window: None,
     });
-    let mut s = Stage::new(settings, &(0..8).map(|i| entry(i, 0)).collect::<Vec<_>>());
+    let mut s = Harness::new(settings, &(0..8).map(|i| entry(i, 0)).collect::<Vec<_>>());
     for expected in [true, false] {
-        let (id, _) = s.ask(0);
+        let (id, _) = s.submit(0);
         s.end(id, 0, Status::Error);
-        assert_eq!(s.sent(id).is_some(), expected);
-        s.pass(100 * SEC);
+        assert_eq!(s.sent_to(id).is_some(), expected);
+        s.advance(100 * SEC);
     }
 }
 
@@ -1537,22 +1549,22 @@
     for no_proof in [false, true] {
         let mut settings = settings();
         settings.rules.full_may_have_run = no_proof;
-        let mut s = Stage::new(settings, &workers);
-        let (unsafe_one, _) = s.ask(2);
+        let mut s = Harness::new(settings, &workers);
+        let (unsafe_one, _) = s.submit(2);
         s.end(unsafe_one, 0, Status::Full);
-        assert_eq!(s.failed(unsafe_one), no_proof);
-        assert_eq!(s.sent(unsafe_one).is_none(), no_proof);
-        let (keyed, first) = s.ask(1);
+        assert_eq!(s.is_failed(unsafe_one), no_proof);
+        assert_eq!(s.sent_to(unsafe_one).is_none(), no_proof);
+        let (keyed, first) = s.submit(1);
         s.end(keyed, 0, Status::Full);
         if no_proof {
             assert!(
-                s.sent(keyed)
+                s.sent_to(keyed)
                     .is_none_or(|w| w % 2 == first.expect("sent") % 2),
                 "same cell"
             );
             s.end(keyed, 1, Status::Full);
-            s.pass(3 * SEC);
-            assert!(!s.refused(keyed), "a refusal would promise too much");
+            s.advance(3 * SEC);
+            assert!(!s.is_refused(keyed), "a refusal would promise too much");
         }
     }
 }
@@ -1564,8 +1576,8 @@
         state: WorkerState::Draining,
         ..entry(w, 0)
     };
-    let closed = |s: &Stage, w| {
-        s.out
+    let closed = |s: &Harness, w| {
+        s.actions
             .iter()
             .filter(|a| **a == Action::Disconnect { worker: w })
             .count()
@@ -1577,18 +1589,18 @@
     ] {
         let mut settings = settings();
         settings.rules.let_go_in = Some(800 * MS);
-        let mut s = Stage::new(settings, &[entry(1, 0)]);
-        let [(a, _), (c, _)] = [s.ask(0), s.ask(0)];
+        let mut s = Harness::new(settings, &[entry(1, 0)]);
+        let [(a, _), (c, _)] = [s.submit(0), s.submit(0)];
         s.start(a, 0);
         s.start(c, 0);
-        let (b, sent) = s.ask(0);
+        let (b, sent) = s.submit(0);
         assert_eq!(sent, Some(1));
         s.end(c, 0, Status::Ok);
-        s.list(scope, &list);
+        s.update_membership(scope, &list);
         assert_eq!(closed(&s, 1), 1, "{scope:?}: at the notice");
-        s.list(scope, &list);
+        s.update_membership(scope, &list);
         let more = s
-            .pass(2 * SEC)
+            .advance(2 * SEC)
             .iter()
             .filter(|a| matches!(a, Action::Disconnect { .. }))
             .count();
@@ -1596,14 +1608,14 @@
         s.end(a, 0, Status::Ok);
         assert_eq!(closed(&s, 1), 1, "after an outcome");
         // The client leaves; the attempt that was out for it ends later.
-        s.event(Event::RequestClosed(b));
+        s.handle(Event::RequestClosed(b));
         s.end(b, 0, Status::Cancelled);
         assert_eq!(
             closed(&s, 1),
             1,
             "also of an attempt that outlived its request"
         );
-        s.event(Event::Probed {
+        s.handle(Event::Probed {
             worker: 1,
             status: Status::Ok,
             load: None,
@@ -1614,11 +1626,11 @@
     for (let_go_in, used) in [(None, true), (Some(0), false)] {
         let mut settings = settings();
         settings.rules.let_go_in = let_go_in;
-        let mut s = Stage::new(settings, &[entry(1, 0)]);
+        let mut s = Harness::new(settings, &[entry(1, 0)]);
         if used {
-            s.ask(0);
+            s.submit(0);
         }
-        s.list(Scope::Delta, &[leaving(1)]);
+        s.update_membership(Scope::Delta, &[leaving(1)]);
         assert_eq!(closed(&s, 1), 0);
     }
 }
@@ -1629,16 +1641,16 @@
     let run = |resends| {
         let mut settings = settings();
         settings.rules.resends = resends;
-        let mut s = Stage::new(
+        let mut s = Harness::new(
             settings,
             &(0..6).map(|i| entry(i, i % 3)).collect::<Vec<_>>(),
         );
         let mut log = Vec::new();
         for n in 0..300u64 {
-            let (id, _) = s.ask((n % 4) as u32);
-            log.extend(s.out.clone());
+            let (id, _) = s.submit((n % 4) as u32);
+            log.extend(s.actions.clone());
             s.start(id, 0);
-            log.extend(s.pass(20 * MS));
+            log.extend(s.advance(20 * MS));
             // No reset before the start: that tells of idle connections, and closes them for another reason.
             let ends = [
                 Status::Ok,
@@ -1648,7 +1660,7 @@
                 Status::Error,
             ];
             s.end(id, 0, ends[n as usize % 5]);
-            log.extend(s.out.clone());
+            log.extend(s.actions.clone());
         }
         log
     };
@@ -1671,18 +1683,18 @@
 #[test]
 fn what_no_send_can_serve_is_answered_at_once() {
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
-    let mut s = Stage::new(settings(), &workers);
-    let (unsafe_one, _) = s.ask(2);
+    let mut s = Harness::new(settings(), &workers);
+    let (unsafe_one, _) = s.submit(2);
     s.end(unsafe_one, 0, Status::Reset);
-    assert!(s.failed(unsafe_one));
+    assert!(s.is_failed(unsafe_one));
     // Held while its cell is set aside, a keyed request ends when its key's time is over.
-    let mut s = Stage::new(settings(), &[entry(0, 0), entry(1, 0)]);
-    let (keyed, _) = s.ask(1);
+    let mut s = Harness::new(settings(), &[entry(0, 0), entry(1, 0)]);
+    let (keyed, _) = s.submit(1);
     s.end(keyed, 0, Status::Error);
-    assert!(s.sent(keyed).is_none() && !s.failed(keyed));
-    s.pass(3_100 * MS);
+    assert!(s.sent_to(keyed).is_none() && !s.is_failed(keyed));
+    s.advance(3_100 * MS);
     assert!(
-        s.failed(keyed),
+        s.is_failed(keyed),
         "its deadline is 3 s off, its key's time is over"
     );
 }
@@ -1693,9 +1705,9 @@
         let mut settings = settings();
         settings.limits.retry_after = listen;
         settings.classes[0].late_value = 0.0;
-        let mut s = Stage::new(settings.clone(), &[]);
-        let (late, _) = s.ask(0);
-        let all = s.pass(2 * SEC);
+        let mut s = Harness::new(settings.clone(), &[]);
+        let (late, _) = s.submit(0);
+        let all = s.advance(2 * SEC);
         let advice = |out: &[Action], id| {
             let told = |a: &Action| match a {
                 Action::Refuse {
@@ -1735,24 +1747,24 @@
                 fraction: 0.5,
             },
         ];
-        let mut s = Stage::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
+        let mut s = Harness::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
         let mut served = [0, 0];
         for n in 0..600u64 {
             // Three of four requests come from the tenant with a small quota.
             let tenant = u32::from(n % 4 == 3);
-            s.event(Event::Request(Request {
+            s.handle(Event::Request(Request {
                 tenant,
                 ..request(n, 0)
             }));
             let mut attempt = 0;
-            while s.sent(n).is_some() && turned_away && n % 2 == 0 && attempt < 2 {
+            while s.sent_to(n).is_some() && turned_away && n % 2 == 0 && attempt < 2 {
                 s.end(n, attempt, Status::Full);
                 attempt += 1;
             }
-            if s.sent(n).is_some() {
+            if s.sent_to(n).is_some() {
                 s.start(n, attempt);
                 served[tenant as usize] += 1;
-                s.pass(20 * MS);
+                s.advance(20 * MS);
                 s.end(n, attempt, Status::Ok);
             }
         }
@@ -1776,21 +1788,21 @@
         fraction,
     };
     settings.tenants = vec![quota(0.5), quota(0.5)];
-    let mut s = Stage::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
+    let mut s = Harness::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
     let mut refused = [0, 0];
     for n in 0..600u64 {
         // 20 a second here, where the quotas of all dispatchers together are 50: the first sends 9 of 10.
         let tenant = u32::from(n % 10 == 9);
-        s.event(Event::Request(Request {
+        s.handle(Event::Request(Request {
             tenant,
             ..request(n, 0)
         }));
-        refused[tenant as usize] += u32::from(s.refused(n));
-        if s.sent(n).is_some() {
+        refused[tenant as usize] += u32::from(s.is_refused(n));
+        if s.sent_to(n).is_some() {
             s.end(n, 0, if n % 3 == 0 { Status::Full } else { Status::Ok });
-            s.event(Event::RequestClosed(n));
+            s.handle(Event::RequestClosed(n));
         }
-        s.pass(50 * MS);
+        s.advance(50 * MS);
     }
     assert!(refused[0] > 100 && refused[1] <= 5, "{refused:?}");
 }
@@ -1798,9 +1810,9 @@
 /// Guards against every connection that something drops unseen costing an attempt (17% on regina big-2).
 #[test]
 fn connections_idle_for_as_long_as_one_that_broke_are_closed_first_and_the_worker_is_not_blamed() {
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let closes = |s: &Stage| {
-        s.out
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let closes = |s: &Harness| {
+        s.actions
             .iter()
             .filter(|a| matches!(a, Action::Disconnect { .. }))
             .count()
@@ -1808,22 +1820,22 @@
     for _ in 0..4 {
         s.serve(0, |_| 20 * MS);
     }
-    s.pass(3 * SEC);
-    let (id, worker) = s.ask(0);
+    s.advance(3 * SEC);
+    let (id, worker) = s.submit(0);
     assert_eq!(closes(&s), 0, "nothing has broken yet");
     s.end(id, 0, Status::Reset);
-    let again = s.sent(id).expect("a safe request goes again at once");
+    let again = s.sent_to(id).expect("a safe request goes again at once");
     assert!(
         Some(again) != worker && closes(&s) == 1,
         "the other's connection is as old: {:?}",
-        s.out
+        s.actions
     );
-    s.pass(MS);
+    s.advance(MS);
     s.start(id, 1);
     s.end(id, 1, Status::Ok);
     // Used a moment ago it is trusted, and the first worker still takes requests that must not run twice.
-    s.pass(50 * MS);
-    let sent: Vec<_> = (0..2).map(|_| (s.ask(2).1, closes(&s))).collect();
+    s.advance(50 * MS);
+    let sent: Vec<_> = (0..2).map(|_| (s.submit(2).1, closes(&s))).collect();
     assert!(sent.iter().any(|x| x.0 == worker), "{sent:?}");
     assert!(sent.contains(&(Some(again), 0)), "{sent:?}");
 }
@@ -1835,38 +1847,38 @@
         let mut settings = settings();
         settings.progress = SEC;
         let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
-        let mut s = Stage::new(settings, &workers);
-        let (id, first) = s.ask(class);
+        let mut s = Harness::new(settings, &workers);
+        let (id, first) = s.submit(class);
         s.start(id, 0);
-        s.pass(1_400 * MS);
+        s.advance(1_400 * MS);
         assert!(
-            s.sent(id).is_none(),
+            s.sent_to(id).is_none(),
             "the first share done may take one and a half intervals"
         );
-        s.event(Event::Progress {
+        s.handle(Event::Progress {
             request: id,
             attempt: 0,
             done: 0.3,
         });
-        s.pass(1_100 * MS);
-        assert!(s.sent(id).is_none(), "the next is not overdue");
-        s.pass(300 * MS);
-        assert_eq!(s.sent(id).is_some(), again, "class {class}");
-        assert!(s.sent(id) != first && !s.failed(id) && !s.refused(id));
+        s.advance(1_100 * MS);
+        assert!(s.sent_to(id).is_none(), "the next is not overdue");
+        s.advance(300 * MS);
+        assert_eq!(s.sent_to(id).is_some(), again, "class {class}");
+        assert!(s.sent_to(id) != first && !s.is_failed(id) && !s.is_refused(id));
         // The first one's answer still counts, and the copy is withdrawn.
         s.end(id, 0, Status::Ok);
-        let withdrawn = s.out.contains(&Action::Cancel {
+        let withdrawn = s.actions.contains(&Action::Cancel {
             request: id,
             attempt: 1,
         });
         assert_eq!(withdrawn, again);
     }
     // Where no shares done are told, a long job is not taken for a silent one.
-    let mut s = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (id, _) = s.ask(0);
+    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (id, _) = s.submit(0);
     s.start(id, 0);
-    s.pass(5 * SEC);
-    assert!(s.sent(id).is_none());
+    s.advance(5 * SEC);
+    assert!(s.sent_to(id).is_none());
 }
 
 // ---- Other settings -------------------------------------------------------------------------------------
@@ -1881,24 +1893,24 @@
 /// it is open: it keeps the rules that it came with. The next job has the new ones.
 #[test]
 fn an_open_request_keeps_the_class_that_it_came_with() {
-    let mut stage = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (delicate, harmless) = (stage.ask(2).0, stage.ask(0).0);
-    stage.event(retuned(|s| {
+    let mut stage = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (delicate, harmless) = (stage.submit(2).0, stage.submit(0).0);
+    stage.handle(retuned(|s| {
         (s.classes[2].effect, s.classes[0].effect) = (Effect::Safe, Effect::Unsafe)
     }));
     stage.end(delicate, 0, Status::Reset);
-    assert!(stage.failed(delicate) && stage.sent(delicate).is_none());
+    assert!(stage.is_failed(delicate) && stage.sent_to(delicate).is_none());
     stage.end(harmless, 0, Status::Reset);
-    assert!(stage.sent(harmless).is_some());
+    assert!(stage.sent_to(harmless).is_some());
     for (class, again) in [(2, true), (0, false)] {
-        let mut stage = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-        stage.event(retuned(|s| {
+        let mut stage = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+        stage.handle(retuned(|s| {
             (s.classes[2].effect, s.classes[0].effect) = (Effect::Safe, Effect::Unsafe)
         }));
-        let id = stage.ask(class).0;
+        let id = stage.submit(class).0;
         stage.end(id, 0, Status::Reset);
         assert_eq!(
-            (stage.sent(id).is_some(), stage.failed(id)),
+            (stage.sent_to(id).is_some(), stage.is_failed(id)),
             (again, !again),
             "class {class}"
         );
@@ -1909,10 +1921,10 @@
 /// another's rules; and against tables that grow with each change.
 #[test]
 fn an_added_class_has_rules_of_its_own_and_an_unknown_one_stays_unknown() {
-    let mut stage = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let mut stage = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
     for n in 0..50 {
         let latency_target = 300 * MS + n;
-        stage.event(retuned(|s| {
+        stage.handle(retuned(|s| {
             s.classes[0].latency_target = latency_target;
             s.classes.push(Class {
                 effect: Effect::Safe,
@@ -1922,15 +1934,15 @@
         }));
     }
     for (class, again) in [(4, true), (2, false), (9, false)] {
-        let id = stage.ask(class).0;
+        let id = stage.submit(class).0;
         stage.end(id, 0, Status::Reset);
         assert_eq!(
-            (stage.sent(id).is_some(), stage.failed(id)),
+            (stage.sent_to(id).is_some(), stage.is_failed(id)),
             (again, !again),
             "class {class}"
         );
         stage.end(id, 1, Status::Ok);
-        stage.pass(7 * SEC);
+        stage.advance(7 * SEC);
     }
 }
 
@@ -1940,12 +1952,12 @@
     for (before, after) in [(1, 4), (4, 1)] {
         let mut first = settings();
         first.limits.attempts = before;
-        let mut stage = Stage::new(first, &[entry(1, 0), entry(2, 0)]);
-        let id = stage.ask(0).0;
-        stage.event(retuned(|s| s.limits.attempts = after));
+        let mut stage = Harness::new(first, &[entry(1, 0), entry(2, 0)]);
+        let id = stage.submit(0).0;
+        stage.handle(retuned(|s| s.limits.attempts = after));
         stage.end(id, 0, Status::Reset);
         assert!(
-            stage.sent(id).is_none() && stage.refused(id),
+            stage.sent_to(id).is_none() && stage.is_refused(id),
             "{before} to {after}"
         );
     }
@@ -1960,14 +1972,14 @@
     let mut settings = settings();
     settings.limits.open = Some(3);
     settings.classes[2].value = 50.0;
-    let mut stage = Stage::new(settings, &[]);
-    let poor = [stage.ask(0).0, stage.ask(0).0];
-    let rich = stage.ask(2).0;
-    assert!(!stage.refused(poor[0]));
+    let mut stage = Harness::new(settings, &[]);
+    let poor = [stage.submit(0).0, stage.submit(0).0];
+    let rich = stage.submit(2).0;
+    assert!(!stage.is_refused(poor[0]));
     for (n, gone) in [(0, poor[0]), (1, poor[1])] {
-        stage.ask(2);
-        assert!(stage.refused(gone) && !stage.refused(rich), "{n}");
+        stage.submit(2);
+        assert!(stage.is_refused(gone) && !stage.is_refused(rich), "{n}");
     }
-    stage.ask(2);
-    assert!(stage.refused(rich));
+    stage.submit(2);
+    assert!(stage.is_refused(rich));
 }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -72,7 +72,7 @@
 /// Knows only what was said on both sides.
 struct Checker {
     settings: Settings,
-    stage: Stage,
+    stage: Harness,
     listed: BTreeMap<WorkerId, Entry>,
     requests: BTreeMap<RequestId, Asked>,
     cold: BTreeMap<WorkerId, Vec<Time>>,
@@ -94,7 +94,7 @@
             })
             .collect();
         Checker {
-            stage: Stage::new(settings.clone(), &workers),
+            stage: Harness::new(settings.clone(), &workers),
             settings,
             listed: workers.into_iter().map(|w| (w.worker, w)).collect(),
             requests: BTreeMap::new(),
@@ -116,7 +116,7 @@
 
     fn check(&mut self) {
         let now = self.stage.now;
-        for action in self.stage.out.clone() {
+        for action in self.stage.actions.clone() {
             match action {
                 Action::Send {
                     request, worker, ..
@@ -309,7 +309,7 @@
         }
         let closed = r.over;
         self.idle.insert(r.attempts[attempt as usize].worker);
-        self.stage.event(Event::Outcome {
+        self.stage.handle(Event::Outcome {
             request: id,
             attempt,
             status,
@@ -320,7 +320,7 @@
     }
 
     /// Time passes; timers and the time-outs at the deadlines come due in order.
-    fn pass(&mut self, time: Time) {
+    fn advance(&mut self, time: Time) {
         let end = self.stage.now + time;
         loop {
             let due = |r: &Asked| r.deadline.max(1);
@@ -346,7 +346,7 @@
                 (_, Some((at, name))) => {
                     self.stage.now = self.stage.now.max(at);
                     self.stage.timer = None;
-                    self.stage.event(Event::Timer(name));
+                    self.stage.handle(Event::Timer(name));
                     self.check();
                 }
                 _ => break,
@@ -357,7 +357,7 @@
 
     fn tell(&mut self, change: Entry) {
         self.listed.insert(change.worker, change.clone());
-        self.stage.list(Scope::Delta, &[change]);
+        self.stage.update_membership(Scope::Delta, &[change]);
         self.check();
     }
 
@@ -385,12 +385,12 @@
                     estimate,
                     ..request(id, class)
                 };
-                self.stage.event(Event::Request(r));
+                self.stage.handle(Event::Request(r));
                 self.check();
             }
             Step::Start(n) => {
                 if let Some((request, attempt)) = self.pick(n) {
-                    self.stage.event(Event::Started { request, attempt });
+                    self.stage.handle(Event::Started { request, attempt });
                     self.check();
                 }
             }
@@ -399,7 +399,7 @@
                     self.end(id, attempt, status);
                 }
             }
-            Step::Pass(time) => self.pass(time),
+            Step::Pass(time) => self.advance(time),
             Step::Drain(w) => self.tell(Entry {
                 state: WorkerState::Draining,
                 ..self.listed[&w].clone()
@@ -424,26 +424,26 @@
             Step::FullList => {
                 let active = |e: &&Entry| e.state == WorkerState::Active;
                 let entries: Vec<_> = self.listed.values().filter(active).cloned().collect();
-                self.stage.list(Scope::Full, &entries);
+                self.stage.update_membership(Scope::Full, &entries);
                 self.check();
             }
             Step::Stall(time) => {
                 self.stalls.push((self.stage.now, self.stage.now + time));
                 self.stage.now += time;
-                self.pass(0);
+                self.advance(0);
             }
             Step::Crash => {
                 // Its requests are void; it starts anew with the list as it last held it.
                 let workers: Vec<_> = self.listed.values().cloned().collect();
                 let now = self.stage.now;
-                self.stage = Stage::started(self.settings.clone(), &workers, now);
+                self.stage = Harness::starting_at(self.settings.clone(), &workers, now);
                 (self.requests, self.taken, self.again) = Default::default();
                 self.idle.clear();
                 self.check();
             }
             Step::Probe(worker) => {
                 self.idle.insert(worker);
-                self.stage.event(Event::Probed {
+                self.stage.handle(Event::Probed {
                     worker,
                     status: Status::Ok,
                     load: None,
@@ -451,7 +451,7 @@
                 self.check();
             }
             Step::ListFails => {
-                self.stage.list(Scope::Failed, &[]);
+                self.stage.update_membership(Scope::Failed, &[]);
                 self.check();
             }
             Step::Gone(n) => {
@@ -465,7 +465,7 @@
                     let id = ids[n % ids.len()];
                     let r = self.requests.get_mut(&id).expect("known");
                     (r.over, r.finals) = (true, 1);
-                    self.stage.event(Event::RequestClosed(id));
+                    self.stage.handle(Event::RequestClosed(id));
                     self.check();
                 }
             }
@@ -473,7 +473,7 @@
     }
 
     fn finish(&mut self) {
-        self.pass(20 * SEC);
+        self.advance(20 * SEC);
         for (id, r) in &self.requests {
             assert_eq!(r.finals, 1, "request {id} got {} final answers", r.finals);
         }
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -8,21 +8,21 @@
 use proptest::prelude::*;
 
 /// The next process: what a dispatcher starts with, at the time of the one before.
-fn next(old: &Stage, settings: Settings, workers: &[Entry]) -> Stage {
-    Stage::started(settings, workers, old.now)
+fn next(old: &Harness, settings: Settings, workers: &[Entry]) -> Harness {
+    Harness::starting_at(settings, workers, old.now)
 }
 
 fn counts(listed: u64, avoided: u64) -> WorkerCounts {
     WorkerCounts { listed, avoided }
 }
 
-fn take(to: &mut Stage, statistics: Statistics<u32>) {
-    to.event(Event::Statistics(Box::new(statistics)));
+fn take(to: &mut Harness, statistics: Statistics<u32>) {
+    to.handle(Event::Statistics(Box::new(statistics)));
 }
 
 /// One whose fast kind (even numbers) runs three times as fast, after 300 jobs.
-fn experienced(workers: &[Entry]) -> Stage {
-    let mut old = Stage::new(settings(), workers);
+fn experienced(workers: &[Entry]) -> Harness {
+    let mut old = Harness::new(settings(), workers);
     for _ in 0..300 {
         old.serve(0, |w| if w % 2 == 0 { 100 * MS } else { 300 * MS })
             .expect("idle workers take every job");
@@ -30,7 +30,7 @@
     old
 }
 
-fn fast_of_thirty(s: &mut Stage) -> usize {
+fn fast_of_thirty(s: &mut Harness) -> usize {
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     (0..30)
         .filter(|_| s.serve(0, run).expect("idle workers take every job") % 2 == 0)
@@ -43,7 +43,7 @@
     let old = experienced(&workers);
     let mut without = next(&old, settings(), &workers);
     let mut with = next(&old, settings(), &workers);
-    take(&mut with, old.d.statistics(old.now));
+    take(&mut with, old.dispatcher.statistics(old.now));
     let (without, with) = (fast_of_thirty(&mut without), fast_of_thirty(&mut with));
     assert!(
         with >= 27 && without < with,
@@ -56,11 +56,11 @@
 fn handed_on_at_once_what_was_learned_stays_as_it_was() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
-    let statistics = old.d.statistics(old.now);
+    let statistics = old.dispatcher.statistics(old.now);
     let mut new = next(&old, settings(), &workers);
     take(&mut new, statistics.clone());
     take(&mut new, statistics.clone());
-    let again = new.d.statistics(new.now);
+    let again = new.dispatcher.statistics(new.now);
     assert_eq!(
         (&statistics.classes, &statistics.workers),
         (&again.classes, &again.workers)
@@ -83,19 +83,23 @@
 /// A failing worker is set aside; the process that takes over leaves it alone, unless it has started anew.
 #[test]
 fn suspicion_goes_along_with_the_same_start_of_a_worker_only() {
-    let mut old = Stage::new(settings(), &[entry(1, 0)]);
+    let mut old = Harness::new(settings(), &[entry(1, 0)]);
     for _ in 0..2 {
-        let (id, worker) = old.ask(2);
+        let (id, worker) = old.submit(2);
         assert_eq!(worker, Some(1));
         old.end(id, 0, Status::Error);
-        old.pass(20 * MS);
+        old.advance(20 * MS);
     }
-    assert_eq!(old.d.worker_counts(old.now), counts(1, 1), "it is avoided");
-    let statistics = old.d.statistics(old.now);
+    assert_eq!(
+        old.dispatcher.worker_counts(old.now),
+        counts(1, 1),
+        "it is avoided"
+    );
+    let statistics = old.dispatcher.statistics(old.now);
     let mut same = next(&old, settings(), &[entry(1, 0)]);
     take(&mut same, statistics.clone());
     assert_eq!(
-        (same.d.worker_counts(same.now), same.ask(0).1),
+        (same.dispatcher.worker_counts(same.now), same.submit(0).1),
         (counts(1, 1), None)
     );
     let anew = Entry {
@@ -104,7 +108,7 @@
     };
     let mut other = next(&old, settings(), &[anew]);
     take(&mut other, statistics);
-    assert_eq!(other.d.worker_counts(other.now), counts(1, 0));
+    assert_eq!(other.dispatcher.worker_counts(other.now), counts(1, 0));
 }
 
 /// Guards against a right that is taken from what was written: of the list's states, and of a cold worker's budget.
@@ -120,11 +124,11 @@
         dispatchers: 1,
         ..settings()
     };
-    let mut old = Stage::new(settings.clone(), &[entry(1, 0), entry(2, 0)]);
+    let mut old = Harness::new(settings.clone(), &[entry(1, 0), entry(2, 0)]);
     for _ in 0..100 {
         old.serve(0, |_| 100 * MS);
     }
-    let statistics = old.d.statistics(old.now);
+    let statistics = old.dispatcher.statistics(old.now);
     assert!(statistics.workers.len() == 2 && statistics.kinds[0].1.speed.weight() > 50.0);
     // The list says: one is leaving, one has just started. Nobody else is there.
     let leaving = Entry {
@@ -138,7 +142,7 @@
     let sent = |statistics: Option<Statistics<u32>>| {
         let mut new = next(&old, settings.clone(), &[leaving.clone(), cold.clone()]);
         statistics.into_iter().for_each(|l| take(&mut new, l));
-        let to: Vec<WorkerId> = (0..40).filter_map(|_| new.ask(0).1).collect();
+        let to: Vec<WorkerId> = (0..40).filter_map(|_| new.submit(0).1).collect();
         assert!(!to.contains(&1), "a leaving worker gets nothing");
         to.len()
     };
@@ -151,16 +155,16 @@
 
 #[test]
 fn slots_that_the_other_process_holds_are_taken_ones_until_the_news_is_old() {
-    let mut new = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let mut new = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
     let held = Statistics {
         at: new.now,
         in_flight: vec![(1, 3.0), (77, 2.0)],
         ..Statistics::default()
     };
     take(&mut new, held);
-    let (id, to) = new.ask(0);
+    let (id, to) = new.submit(0);
     assert_eq!(to, Some(2), "the first looks full");
-    new.event(Event::RequestClosed(id));
+    new.handle(Event::RequestClosed(id));
     new.end(id, 0, Status::Cancelled);
     let at = new.now;
     take(
@@ -170,7 +174,7 @@
             ..Statistics::default()
         },
     );
-    let sent: Vec<_> = (0..2).filter_map(|_| new.ask(0).1).collect();
+    let sent: Vec<_> = (0..2).filter_map(|_| new.submit(0).1).collect();
     assert!(sent.contains(&1), "held no longer: {sent:?}");
 }
 
@@ -190,22 +194,22 @@
         ..settings()
     };
     let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
-    let mut old = Stage::new(settings.clone(), &workers);
-    let (id, _) = old.ask(0);
+    let mut old = Harness::new(settings.clone(), &workers);
+    let (id, _) = old.submit(0);
     old.end(id, 0, Status::Error);
-    assert!(old.sent(id).is_some(), "one further attempt is free");
+    assert!(old.sent_to(id).is_some(), "one further attempt is free");
     let mut new = next(&old, settings, &workers);
-    let statistics = old.d.statistics(old.now);
+    let statistics = old.dispatcher.statistics(old.now);
     assert_eq!(statistics.retried_at.len(), 1);
     take(&mut new, statistics.clone());
     take(&mut new, statistics);
-    assert_eq!(new.d.statistics(new.now).retried_at.len(), 1);
-    let (id, _) = new.ask(0);
+    assert_eq!(new.dispatcher.statistics(new.now).retried_at.len(), 1);
+    let (id, _) = new.submit(0);
     new.end(id, 0, Status::Error);
     assert!(
-        new.refused(id) && new.sent(id).is_none(),
+        new.is_refused(id) && new.sent_to(id).is_none(),
         "it was used up: {:?}",
-        new.out
+        new.actions
     );
 }
 
@@ -216,11 +220,11 @@
 fn what_was_learned_counts_by_its_age() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
-    let statistics = old.d.statistics(old.now);
+    let statistics = old.dispatcher.statistics(old.now);
     let after = |pause: Time| {
-        let mut new = Stage::started(settings(), &workers, old.now + pause);
+        let mut new = Harness::starting_at(settings(), &workers, old.now + pause);
         take(&mut new, statistics.clone());
-        new.d.statistics(new.now)
+        new.dispatcher.statistics(new.now)
     };
     let (now, minute, day) = (after(0), after(60 * SEC), after(86_400 * SEC));
     let weight = |l: &Statistics<u32>| l.kinds[0].1.speed.weight();
@@ -233,9 +237,9 @@
     ahead.at += 3600 * SEC;
     ahead.workers[0].1.ejected_until = Time::MAX;
     ahead.workers[0].1.load_updated_at = Some(Time::MAX);
-    let mut new = Stage::started(settings(), &workers, old.now);
+    let mut new = Harness::starting_at(settings(), &workers, old.now);
     take(&mut new, ahead);
-    let known = new.d.statistics(new.now);
+    let known = new.dispatcher.statistics(new.now);
     assert!(
         known.workers[0].1.ejected_until <= new.now + 6 * SEC
             && known.workers[0].1.load_updated_at.is_none()
@@ -252,7 +256,7 @@
 #[test]
 fn the_written_form_reads_as_it_was() {
     let workers: Vec<_> = (0..200).map(|i| entry(i, i % 2)).collect();
-    let statistics = named(experienced(&workers).d.statistics(130 * SEC));
+    let statistics = named(experienced(&workers).dispatcher.statistics(130 * SEC));
     let form = statistics.write().expect("200 workers fit");
     assert_eq!(Statistics::read(&form), Ok(statistics.clone()));
     assert!(form.len() < 20_000, "{} bytes for 200 workers", form.len());
@@ -296,7 +300,7 @@
 fn what_cannot_be_read_is_refused_with_its_reason() {
     let statistics = named(
         experienced(&[entry(1, 0), entry(2, 1)])
-            .d
+            .dispatcher
             .statistics(130 * SEC),
     );
     let form = statistics.write().expect("short");
@@ -360,7 +364,7 @@
     /// Guards against a form that ends the program, or is taken although a byte of it has changed.
     #[test]
     fn no_damaged_form_is_taken(at in 0usize..400, bit in 0u8..8, cut in 0usize..400) {
-        let statistics = named(experienced(&[entry(1, 0), entry(2, 1)]).d.statistics(130 * SEC));
+        let statistics = named(experienced(&[entry(1, 0), entry(2, 1)]).dispatcher.statistics(130 * SEC));
         let form = statistics.write().expect("short");
         let mut flipped = form.clone();
         let at = at % form.len();
@@ -377,7 +381,7 @@
     ) {
         let workers = [entry(1, 0), entry(2, 1)];
         let old = experienced(&workers);
-        let mut statistics = old.d.statistics(old.now);
+        let mut statistics = old.dispatcher.statistics(old.now);
         statistics.at = at;
         statistics.kinds[0].1.slots = slots;
         let w = &mut statistics.workers[0].1;
@@ -387,28 +391,28 @@
         let mut new = next(&old, settings(), &workers);
         take(&mut new, statistics);
         for _ in 0..5 {
-            let (id, to) = new.ask(0);
+            let (id, to) = new.submit(0);
             if to.is_some() {
                 new.start(id, 0);
-                new.pass(50 * MS);
+                new.advance(50 * MS);
                 new.end(id, 0, Status::Ok);
             }
-            new.pass(2 * SEC);
+            new.advance(2 * SEC);
         }
-        prop_assert!(new.ask(0).1.is_some(), "a worker gets jobs again");
+        prop_assert!(new.submit(0).1.is_some(), "a worker gets jobs again");
     }
 }
 
 // ---- Jobs that go over --------------------------------------------------------------------------------------
 
 fn go_over(
-    old: &mut Stage,
+    old: &mut Harness,
     id: RequestId,
-    new: &mut Stage,
+    new: &mut Harness,
     as_id: RequestId,
 ) -> TransferredJob<u32> {
-    let job = old.d.release(old.now, id).expect("it is open");
-    new.event(Event::Adopted(as_id, Box::new(job.clone())));
+    let job = old.dispatcher.release(old.now, id).expect("it is open");
+    new.handle(Event::Adopted(as_id, Box::new(job.clone())));
     job
 }
 
@@ -418,16 +422,16 @@
 fn a_job_that_goes_over_keeps_its_attempts_and_their_effect() {
     let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
     // It must never run twice: lost after it went over, it fails.
-    let mut old = Stage::new(settings(), &workers);
+    let mut old = Harness::new(settings(), &workers);
     let mut new = next(&old, settings(), &workers);
-    let (id, _) = old.ask(2);
+    let (id, _) = old.submit(2);
     go_over(&mut old, id, &mut new, AS);
-    assert!(new.sent(AS).is_none(), "it is out already");
+    assert!(new.sent_to(AS).is_none(), "it is out already");
     new.start(AS, 0);
     new.end(AS, 0, Status::Reset);
-    assert!(new.failed(AS) && new.sent(AS).is_none());
+    assert!(new.is_failed(AS) && new.sent_to(AS).is_none());
     // Safe to repeat: of four attempts two were made before, so two are left.
-    let (id, _) = old.ask(0);
+    let (id, _) = old.submit(0);
     old.end(id, 0, Status::Error);
     let job = go_over(&mut old, id, &mut new, AS + 1);
     assert_eq!(
@@ -435,30 +439,30 @@
         [true, false]
     );
     new.end(AS + 1, 1, Status::Error);
-    let third = new.sent(AS + 1).expect("a third attempt");
+    let third = new.sent_to(AS + 1).expect("a third attempt");
     assert!(
         job.attempts.iter().all(|t| t.worker != third),
         "not where it has been"
     );
     // Keyed, dropped inside a cell for three seconds: another attempt only there, and not after that time.
-    let (id, first) = old.ask(1);
-    old.pass(SEC);
-    new.pass(SEC);
+    let (id, first) = old.submit(1);
+    old.advance(SEC);
+    new.advance(SEC);
     go_over(&mut old, id, &mut new, AS + 2);
-    new.pass(1900 * MS);
+    new.advance(1900 * MS);
     new.end(AS + 2, 0, Status::Reset);
-    let again = new.sent(AS + 2);
+    let again = new.sent_to(AS + 2);
     assert!(
         again.is_none_or(|w| w % 2 == first.expect("sent") % 2),
         "{first:?}, then {again:?}"
     );
-    let (id, _) = old.ask(1);
-    old.pass(SEC);
+    let (id, _) = old.submit(1);
+    old.advance(SEC);
     go_over(&mut old, id, &mut new, AS + 3);
-    new.pass(2100 * MS);
+    new.advance(2100 * MS);
     new.end(AS + 3, 0, Status::Reset);
     assert!(
-        new.failed(AS + 3) && new.sent(AS + 3).is_none(),
+        new.is_failed(AS + 3) && new.sent_to(AS + 3).is_none(),
         "its window ran from the first send"
     );
 }
@@ -467,61 +471,64 @@
 #[test]
 fn slots_go_over_with_their_jobs() {
     let workers = [entry(1, 0), entry(2, 0)];
-    let mut old = Stage::new(settings(), &workers);
+    let mut old = Harness::new(settings(), &workers);
     let mut new = next(&old, settings(), &workers);
-    let ids: Vec<_> = (0..2).map(|_| old.ask(0)).collect();
+    let ids: Vec<_> = (0..2).map(|_| old.submit(0)).collect();
     for (n, (id, worker)) in ids.iter().enumerate() {
         if n == 0 {
             old.start(*id, 0);
         }
         go_over(&mut old, *id, &mut new, AS + n as u64);
         assert!(
-            new.d
+            new.dispatcher
                 .slots_in_flight()
                 .contains(&(worker.expect("sent"), 1.0))
         );
     }
     assert_eq!(
-        (old.d.slots_in_flight().len(), new.d.slots_in_flight().len()),
+        (
+            old.dispatcher.slots_in_flight().len(),
+            new.dispatcher.slots_in_flight().len()
+        ),
         (0, 2)
     );
-    old.pass(SEC);
+    old.advance(SEC);
     new.start(AS + 1, 0);
-    new.pass(300 * MS);
+    new.advance(300 * MS);
     new.end(AS, 0, Status::Ok);
-    new.event(Event::RequestClosed(AS + 1));
+    new.handle(Event::RequestClosed(AS + 1));
     assert!(
-        new.out.contains(&Action::Cancel {
+        new.actions.contains(&Action::Cancel {
             request: AS + 1,
             attempt: 0
         }),
         "{:?}",
-        new.out
+        new.actions
     );
     new.end(AS + 1, 0, Status::Cancelled);
-    assert!(new.d.slots_in_flight().is_empty());
-    assert_eq!(old.d.release(old.now, 99), None, "no such job");
+    assert!(new.dispatcher.slots_in_flight().is_empty());
+    assert_eq!(old.dispatcher.release(old.now, 99), None, "no such job");
 }
 
 #[test]
 fn a_held_job_goes_over_and_is_sent_there() {
-    let mut old = Stage::new(settings(), &[]);
-    let (id, to) = old.ask(0);
+    let mut old = Harness::new(settings(), &[]);
+    let (id, to) = old.submit(0);
     assert_eq!(to, None);
     let mut new = next(&old, settings(), &[entry(1, 0)]);
     go_over(&mut old, id, &mut new, AS);
-    assert_eq!(new.sent(AS), Some(1));
+    assert_eq!(new.sent_to(AS), Some(1));
     assert!(
-        old.pass(10 * SEC)
+        old.advance(10 * SEC)
             .iter()
             .all(|a| matches!(a, Action::Timer { .. })),
         "nothing is owed there"
     );
     // Where nobody can take it there either, it is answered in time.
     let mut nobody = next(&old, settings(), &[]);
-    let (id, _) = old.ask(0);
+    let (id, _) = old.submit(0);
     go_over(&mut old, id, &mut nobody, AS);
-    let ends = nobody.pass(6 * SEC);
+    let ends = nobody.advance(6 * SEC);
     assert!(
         ends.iter()
             .any(|a| matches!(a, Action::Refuse { request: AS, .. })),
@@ -532,18 +539,18 @@
 /// A worker that the new process has not been told of keeps its job; nothing new goes there.
 #[test]
 fn a_job_at_a_worker_that_is_not_listed_goes_on() {
-    let mut old = Stage::new(settings(), &[entry(9, 3)]);
-    let (id, _) = old.ask(0);
+    let mut old = Harness::new(settings(), &[entry(9, 3)]);
+    let (id, _) = old.submit(0);
     let mut new = next(&old, settings(), &[]);
     go_over(&mut old, id, &mut new, AS);
-    let (held, to) = new.ask(0);
+    let (held, to) = new.submit(0);
     assert_eq!(to, None);
     new.start(AS, 0);
     new.end(AS, 0, Status::Ok);
-    assert!(new.d.slots_in_flight().is_empty());
+    assert!(new.dispatcher.slots_in_flight().is_empty());
     // Named by the list later, it is one more worker.
-    new.list(Scope::Full, &[entry(9, 3)]);
-    assert_eq!(new.sent(held), Some(9));
+    new.update_membership(Scope::Full, &[entry(9, 3)]);
+    assert_eq!(new.sent_to(held), Some(9));
 }
 
 /// A job whose next sign is overdue is found silent in the process that it went to.
@@ -554,14 +561,14 @@
         ..settings()
     };
     let workers = [entry(1, 0), entry(2, 0)];
-    let mut old = Stage::new(settings.clone(), &workers);
-    let (id, first) = old.ask(0);
-    old.pass(MS);
+    let mut old = Harness::new(settings.clone(), &workers);
+    let (id, first) = old.submit(0);
+    old.advance(MS);
     old.start(id, 0);
-    old.pass(800 * MS);
+    old.advance(800 * MS);
     let mut new = next(&old, settings, &workers);
     go_over(&mut old, id, &mut new, AS);
-    let sent = new.pass(1500 * MS);
+    let sent = new.advance(1500 * MS);
     let again = sent.iter().find_map(|a| match a {
         Action::Send {
             request: AS,
@@ -579,15 +586,15 @@
 /// A job keeps the rules that it came with; another process only knows those of now.
 #[test]
 fn a_job_whose_rules_have_changed_since_stays() {
-    let mut old = Stage::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (id, _) = old.ask(2);
+    let mut old = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (id, _) = old.submit(2);
     let mut changed = settings();
     changed.classes[2].effect = Effect::Safe;
-    old.event(Event::Settings(Box::new(changed)));
-    assert_eq!(old.d.release(old.now, id), None);
+    old.handle(Event::Settings(Box::new(changed)));
+    assert_eq!(old.dispatcher.release(old.now, id), None);
     old.end(id, 0, Status::Error);
     assert!(
-        old.failed(id) && old.sent(id).is_none(),
+        old.is_failed(id) && old.sent_to(id).is_none(),
         "it is still known, and never repeated"
     );
 }
