--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -22,8 +22,8 @@
         .collect()
 }
 
-fn stage(workers: &[Entry]) -> Stage {
-    Stage::new(
+fn stage(workers: &[Entry]) -> Harness {
+    Harness::new(
         Settings {
             dispatchers: 1,
             progress: SEC,
@@ -36,31 +36,31 @@
 const RUN: Time = 1_200 * MS;
 
 /// Lets a started job fetch for so long and run, with its share done told every second, and end.
-fn finish(s: &mut Stage, id: RequestId, fetch: Time) {
+fn finish(s: &mut Harness, id: RequestId, fetch: Time) {
     let mut at = 0;
     while at + SEC < fetch + RUN {
-        (at, _) = (at + SEC, s.pass(SEC));
+        (at, _) = (at + SEC, s.advance(SEC));
         let done = at.saturating_sub(fetch) as f64 / RUN as f64;
-        s.event(Event::Progress {
+        s.handle(Event::Progress {
             request: id,
             attempt: 0,
             done,
         });
     }
-    s.pass(fetch + RUN - at);
+    s.advance(fetch + RUN - at);
     s.end(id, 0, Status::Ok);
 }
 
 /// Serves one job; a worker that lacks what it is about fetches it first. Returns the worker.
 fn serve(
-    s: &mut Stage,
+    s: &mut Harness,
     id: RequestId,
     of: u64,
     keeps: &mut BTreeSet<(WorkerId, u64)>,
     fetch: Time,
 ) -> WorkerId {
-    s.event(about(id, of));
-    let worker = s.sent(id).expect("a worker is free");
+    s.handle(about(id, of));
+    let worker = s.sent_to(id).expect("a worker is free");
     s.start(id, 0);
     let fetch = if keeps.insert((worker, of)) { fetch } else { 0 };
     finish(s, id, fetch);
@@ -68,11 +68,11 @@
 }
 
 /// Jobs in work, so that the next ones about the same find their first worker taken.
-fn hold(s: &mut Stage, ids: std::ops::Range<RequestId>, of: u64) -> Vec<Option<WorkerId>> {
+fn hold(s: &mut Harness, ids: std::ops::Range<RequestId>, of: u64) -> Vec<Option<WorkerId>> {
     let mut sent = Vec::new();
     for id in ids {
-        s.event(about(id, of));
-        sent.push(s.sent(id));
+        s.handle(about(id, of));
+        sent.push(s.sent_to(id));
         s.start(id, 0);
     }
     sent
@@ -145,7 +145,7 @@
             progress: SEC,
             ..settings()
         };
-        let (mut s, mut keeps) = (Stage::new(settings, &list), BTreeSet::new());
+        let (mut s, mut keeps) = (Harness::new(settings, &list), BTreeSet::new());
         for id in 1..=120 {
             let (of, worker) = (id % 12, serve(&mut s, id, id % 12, &mut keeps, FETCH));
             if id > 60 {
@@ -197,7 +197,7 @@
     let (mut s, mut keeps) = (stage(&workers(1, 8)), BTreeSet::new());
     let mut used = BTreeSet::new();
     for id in 1..=60 {
-        s.event(about(10_000 + id, 3));
+        s.handle(about(10_000 + id, 3));
         s.start(10_000 + id, 0);
         let worker = serve(&mut s, id, 3, &mut keeps, 0);
         s.end(10_000 + id, 0, Status::Ok);
@@ -262,13 +262,13 @@
     };
     // Reports say that workers have one slot; it is learned what a fetch takes, and late starts leave room for one to wait.
     for id in 0..20 {
-        s.event(about(100 + id, 1));
-        s.event(about(200 + id, 1));
-        s.pass(SEC);
+        s.handle(about(100 + id, 1));
+        s.handle(about(200 + id, 1));
+        s.advance(SEC);
         s.start(100 + id, 0);
         s.start(200 + id, 0);
         finish(&mut s, 200 + id, RUN / 4);
-        s.report(100 + id, 0, Status::Ok, Some(one_slot));
+        s.end_with_load(100 + id, 0, Status::Ok, Some(one_slot));
     }
     // A subject for each worker; nobody else has jobs there.
     let ids: Vec<WorkerId> = workers(1, 3).iter().map(|e| e.worker).collect();
@@ -281,7 +281,7 @@
         of.entry(first).or_insert(n);
     }
     for worker in ids {
-        s.event(Event::Probed {
+        s.handle(Event::Probed {
             worker,
             status: Status::Ok,
             load: Some(one_slot),
@@ -291,8 +291,8 @@
     let (mut running, mut waiting, mut held) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     for id in 2_000..2_030 {
         let subject = *of.values().nth(id as usize % 3).expect("three");
-        s.event(about(id, subject));
-        match s.sent(id) {
+        s.handle(about(id, subject));
+        match s.sent_to(id) {
             Some(worker) if !running.contains_key(&worker) => {
                 s.start(id, 0);
                 running.insert(worker, id);
@@ -307,15 +307,15 @@
         .iter()
         .find(|(worker, _)| of[*worker] != newest)
         .expect("another worker");
-    s.report(*id, 0, Status::Ok, Some(one_slot));
-    let nobody = held.iter().all(|(job, _)| s.sent(*job).is_none());
+    s.end_with_load(*id, 0, Status::Ok, Some(one_slot));
+    let nobody = held.iter().all(|(job, _)| s.sent_to(*job).is_none());
     for id in waiting.get(worker).into_iter().flatten() {
-        assert!(nobody, "{:?}", s.out);
-        s.report(*id, 0, Status::Ok, Some(one_slot));
+        assert!(nobody, "{:?}", s.actions);
+        s.end_with_load(*id, 0, Status::Ok, Some(one_slot));
     }
     let went: Vec<_> = held
         .iter()
-        .filter_map(|(job, subject)| Some((s.sent(*job)?, *subject)))
+        .filter_map(|(job, subject)| Some((s.sent_to(*job)?, *subject)))
         .collect();
     assert_eq!(went, [(*worker, of[worker])]);
 }
@@ -334,17 +334,17 @@
         limits,
         ..settings()
     };
-    let mut s = Stage::new(site, &[entry(1, 0)]);
+    let mut s = Harness::new(site, &[entry(1, 0)]);
     let mut gaps = Vec::new();
     let mut since = s.now;
     for id in 1..=4 {
-        s.event(Event::Request(Request {
+        s.handle(Event::Request(Request {
             left: 60 * SEC,
             ..request(id, 0)
         }));
-        let mut out = s.out.clone();
+        let mut out = s.actions.clone();
         while !out.iter().any(|a| matches!(a, Action::Send { .. })) {
-            out = s.pass(20 * MS);
+            out = s.advance(20 * MS);
             assert!(s.now < since + 10 * SEC, "it is tried again some time");
         }
         gaps.push(s.now - since);
@@ -355,27 +355,27 @@
         });
         let at = at.expect("sent");
         s.start(at, 0);
-        let given_up = s.pass(2 * SEC);
+        let given_up = s.advance(2 * SEC);
         let cancel = given_up
             .iter()
             .any(|a| matches!(a, Action::Cancel { request, .. } if *request == at));
         assert!(cancel, "{given_up:?}");
         since = s.now;
         s.end(at, 0, Status::Cancelled);
-        s.event(Event::RequestClosed(at));
+        s.handle(Event::RequestClosed(at));
     }
     assert!(
         gaps[1] >= SEC && gaps[2] > gaps[1] && gaps[3] > gaps[2],
         "{gaps:?}"
     );
     // It gets on with a job: it is as any other again at once.
-    s.event(Event::Request(Request {
+    s.handle(Event::Request(Request {
         left: 60 * SEC,
         ..request(90, 0)
     }));
-    let mut sent = s.sent(90);
+    let mut sent = s.sent_to(90);
     while sent.is_none() {
-        let out = s.pass(20 * MS);
+        let out = s.advance(20 * MS);
         sent = out.iter().find_map(|a| match a {
             Action::Send {
                 request: 90,
@@ -386,14 +386,14 @@
         });
     }
     s.start(90, 0);
-    s.pass(SEC);
-    s.event(Event::Progress {
+    s.advance(SEC);
+    s.handle(Event::Progress {
         request: 90,
         attempt: 0,
         done: 0.5,
     });
-    s.pass(SEC / 2);
+    s.advance(SEC / 2);
     s.end(90, 0, Status::Ok);
-    s.event(Event::Request(request(91, 0)));
-    assert_eq!(s.sent(91), Some(1));
+    s.handle(Event::Request(request(91, 0)));
+    assert_eq!(s.sent_to(91), Some(1));
 }
