--- /dev/null
+++ b/crates/decisions/tests/warm_up.rs
@@ -0,0 +1,218 @@
+//! Workers that have just started: what all dispatchers together may send them.
+
+use indigofold_decisions::api::*;
+use indigofold_decisions_testing::*;
+
+/// When worker 3 was sent jobs, with one of the class asked for at each step; each ends at once with this status.
+fn sends_to_third(
+    s: &mut Harness,
+    (class, ends): (ClassId, Status),
+    step: Time,
+    until: Time,
+) -> Vec<Time> {
+    let mut sends = Vec::new();
+    while s.now < until {
+        let mut said = s.advance(step);
+        s.submit(class);
+        said.extend(s.actions.clone());
+        for action in said {
+            if let Action::Send {
+                request, worker: 3, ..
+            } = action
+            {
+                sends.push(s.now);
+                s.end(request, 0, ends);
+            }
+        }
+    }
+    sends
+}
+
+/// Share of its capacity that a worker has at least, so long after its start.
+fn least_warmth(rules: &Rules, age: Time) -> f64 {
+    rules.initial_capacity + (1.0 - rules.initial_capacity) * age as f64 / rules.warm_after as f64
+}
+
+#[test]
+fn worker_in_warm_up_gets_at_most_this_dispatchers_part_of_its_budget() {
+    let mut settings = settings();
+    settings.dispatchers = 3;
+    let rules = settings.rules.clone();
+    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
+    for _ in 0..30 {
+        s.serve(0, |_| 100 * MS);
+    }
+    // Worker 3 has just started and is the only one left; every job it gets is turned away unseen.
+    let ready_at = s.now;
+    s.update_membership(
+        Scope::Full,
+        &[Entry {
+            ready_at,
+            ..entry(3, 0)
+        }],
+    );
+    let sends = sends_to_third(
+        &mut s,
+        (0, Status::Full),
+        7 * MS,
+        ready_at + rules.warm_after,
+    );
+    assert!(sends.len() > 3, "a cold worker still gets some work");
+    for t in &sends {
+        let recent = sends
+            .iter()
+            .filter(|u| **u <= *t && **u + rules.tip_window > *t)
+            .count() as f64;
+        let warmth = least_warmth(&rules, *t - ready_at);
+        // Its slots were never seen, so it is taken to have as many as its kind has shown: one.
+        let budget = rules.tip_multiple * warmth * rules.tip_window as f64 / 3.0;
+        assert!(
+            recent * 100_000.0 <= budget,
+            "{recent} jobs in a window at warmth {warmth}"
+        );
+    }
+}
+
+/// In too many parts, none of the budget would pay for a request before the worker is warm: few dispatchers have a part,
+/// others for each worker, and together they keep within the budget.
+#[test]
+fn warm_up_budget_goes_to_few_dispatchers_and_accumulates() {
+    let mut users = [0; 2];
+    for (n, worker) in [3, 4].into_iter().enumerate() {
+        let mut total = 0;
+        for me in 0..40 {
+            let mut settings = Settings {
+                dispatchers: 40,
+                me,
+                ..settings()
+            };
+            settings.rules.warm_after = 60 * SEC;
+            let mut s = Harness::new(settings, &[entry(1, 0)]);
+            for _ in 0..30 {
+                s.serve(0, |_| 100 * MS);
+            }
+            let ready_at = s.now;
+            s.update_membership(
+                Scope::Full,
+                &[Entry {
+                    ready_at,
+                    ..entry(worker, 0)
+                }],
+            );
+            let mut sends = 0;
+            for _ in 0..15 {
+                s.submit(0);
+                let mut said = s.actions.clone();
+                said.extend(s.advance(2 * SEC));
+                sends += said
+                    .iter()
+                    .filter(|a| matches!(a, Action::Send { .. }))
+                    .count();
+            }
+            users[n] |= u64::from(sends > 0) << me;
+            total += sends;
+        }
+        // One slot, 30% of it at first and two thirds after 30 s: some 140 jobs of 100 ms, and no more than asked.
+        assert!((3..=140).contains(&total), "{total} jobs in 30 s");
+        assert!(users[n].count_ones() == 3, "{:b}", users[n]);
+    }
+    assert_ne!(users[0], users[1]);
+}
+
+/// Dispatchers that do not prefer the worker would never spend their part of its budget.
+#[test]
+fn worker_in_warm_up_is_preferred_by_dispatchers_with_a_part_of_its_budget() {
+    let now = 100 * SEC;
+    let cold = |i| Entry {
+        ready_at: if i == 60 { now } else { 0 },
+        ..entry(i, i % 2)
+    };
+    let workers: Vec<_> = (0..80).map(cold).collect();
+    let uses = |me: &u32| {
+        let mut s = Harness::new(
+            Settings {
+                dispatchers: 40,
+                me: *me,
+                ..settings()
+            },
+            &workers,
+        );
+        for _ in 0..30 {
+            assert_ne!(
+                s.serve(0, |_| 10 * MS),
+                Some(60),
+                "idle warm workers come first"
+            );
+        }
+        s.advance(4 * SEC);
+        (0..6).any(|_| s.submit(0).1 == Some(60))
+    };
+    // A part pays for four jobs of 10 ms in a window of 1 s, and 0.54 s are used there: 13 parts.
+    assert_eq!((0..40).filter(uses).count(), 13);
+}
+
+/// A whole fleet hears of a start at once: whatever each has accumulated, all dispatchers together keep within three
+/// quarters of the budget in any window, and do not leave the worker idle.
+#[test]
+fn three_hundred_dispatchers_keep_a_worker_in_warm_up_within_its_budget() {
+    let (rules, run, step) = (settings().rules, 100 * MS, 20 * MS);
+    let mut sends: Vec<Time> = Vec::new();
+    let mut ready_at = 0;
+    for me in 0..300 {
+        let settings = Settings {
+            dispatchers: 300,
+            me,
+            reports: Reports::OnProbe,
+            ..settings()
+        };
+        let mut s = Harness::new(settings, &[entry(1, 0)]);
+        let load = Some(Load {
+            inflight: Some(0.0),
+            free_slots: Some(7.0),
+            ..Load::default()
+        });
+        s.handle(Event::Probed {
+            worker: 1,
+            status: Status::Ok,
+            load,
+        });
+        for _ in 0..30 {
+            s.serve(2, |_| run);
+        }
+        (s.now, ready_at) = (110 * SEC, 110 * SEC);
+        s.update_membership(
+            Scope::Full,
+            &[Entry {
+                ready_at,
+                ..entry(3, 0)
+            }],
+        );
+        // Each gives its place back at once, so that only the budget limits.
+        sends.extend(sends_to_third(
+            &mut s,
+            (2, Status::Cancelled),
+            step,
+            ready_at + 4 * SEC,
+        ));
+    }
+    let budget = |at: Time| {
+        7.0 * rules.tip_multiple * least_warmth(&rules, at - ready_at) * rules.tip_window as f64
+    };
+    for n in 0..4 * SEC / step {
+        let at = ready_at + n * step;
+        let sent = sends
+            .iter()
+            .filter(|t| **t <= at && **t + rules.tip_window > at)
+            .count() as f64;
+        assert!(
+            sent * run as f64 <= 0.76 * budget(at),
+            "{sent} jobs in the window that ends {n} steps after"
+        );
+    }
+    let most = (0..4).map(|n| budget(ready_at + n * SEC)).sum::<f64>();
+    assert!(
+        sends.len() as f64 * run as f64 > 0.4 * most,
+        "{} jobs in 4 s",
+        sends.len()
+    );
+}
