--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -8,24 +8,25 @@
     let mut settings = settings();
     settings.classes[1].value = 50.0;
     settings.classes[1].effect = Effect::Safe;
-    let mut s = Harness::new(settings, &[entry(1, 0)]);
-    let (first, sent) = s.submit(0);
+    let mut harness = Harness::new(settings, &[entry(1, 0)]);
+    let (first, sent) = harness.submit(0);
     assert_eq!(sent, Some(1));
-    s.advance(200 * MS);
-    s.start(first, 0);
+    harness.advance(200 * MS);
+    harness.start(first, 0);
     // With the one known slot taken, one more may wait at the worker and the rest is held.
-    let (queued, held): (Vec<_>, Vec<_>) =
-        (0..6).map(|_| s.submit(0)).partition(|(_, w)| w.is_some());
-    assert!(queued.len() <= 1 && held.len() >= 5, "{queued:?}");
-    let (worthy, at_once) = s.submit(1);
+    let (queued, unsent): (Vec<_>, Vec<_>) = (0..6)
+        .map(|_| harness.submit(0))
+        .partition(|(_, w)| w.is_some());
+    assert!(queued.len() <= 1 && unsent.len() >= 5, "{queued:?}");
+    let (worthy, at_once) = harness.submit(1);
     assert_eq!(at_once, None);
-    s.advance(50 * MS);
+    harness.advance(50 * MS);
     let mut sends = Vec::new();
     for (id, _) in queued.into_iter().chain([(first, None)]) {
-        s.start(id, 0);
-        sends.extend(s.actions.clone());
-        s.end(id, 0, Status::Ok);
-        sends.extend(s.actions.clone());
+        harness.start(id, 0);
+        sends.extend(harness.actions.clone());
+        harness.end(id, 0, Status::Ok);
+        sends.extend(harness.actions.clone());
     }
     let sent = |a: &Action| match a {
         Action::Send {
@@ -47,24 +48,24 @@
 /// A queued request that no worker may get must not keep those behind it waiting.
 #[test]
 fn queued_request_without_an_eligible_worker_does_not_block_others() {
-    let mut s = Harness::new(settings(), &[entry(1, 0)]);
-    let (blocked, _) = s.submit(1);
-    s.end(blocked, 0, Status::Error);
-    s.update_membership(Scope::Full, &[entry(2, 0)]);
-    let (a, worker) = s.submit(1);
+    let mut harness = Harness::new(settings(), &[entry(1, 0)]);
+    let (blocked, _) = harness.submit(1);
+    harness.end(blocked, 0, Status::Error);
+    harness.update_membership(Scope::Full, &[entry(2, 0)]);
+    let (a, worker) = harness.submit(1);
     assert_eq!(worker, Some(2));
-    s.advance(200 * MS);
-    s.start(a, 0);
-    let (b, queued) = s.submit(1);
+    harness.advance(200 * MS);
+    harness.start(a, 0);
+    let (b, queued) = harness.submit(1);
     assert_eq!(queued, Some(2));
-    let (c, at_once) = s.submit(1);
+    let (c, at_once) = harness.submit(1);
     assert_eq!(at_once, None);
-    let mut sends = s.advance(50 * MS);
+    let mut sends = harness.advance(50 * MS);
     for id in [b, a] {
-        s.start(id, 0);
-        sends.extend(s.actions.clone());
-        s.end(id, 0, Status::Ok);
-        sends.extend(s.actions.clone());
+        harness.start(id, 0);
+        sends.extend(harness.actions.clone());
+        harness.end(id, 0, Status::Ok);
+        sends.extend(harness.actions.clone());
     }
     let got = |id| {
         sends
@@ -78,20 +79,28 @@
 #[test]
 fn request_close_to_its_deadline_is_answered_immediately() {
     for left in [0, 1, 10 * MS, 30 * MS] {
-        let mut s = Harness::new(settings(), &[]);
-        s.handle(Event::Request(Request {
+        let mut harness = Harness::new(settings(), &[]);
+        harness.handle(Event::Request(Request {
             left,
             ..request(9, 0)
         }));
-        assert!(s.is_refused(9), "{left} us left: {:?}", s.actions);
+        assert!(
+            harness.is_refused(9),
+            "{left} us left: {:?}",
+            harness.actions
+        );
     }
     // ... also where a worker is free but the time is already up.
-    let mut s = Harness::new(settings(), &[entry(1, 0)]);
-    s.handle(Event::Request(Request {
+    let mut harness = Harness::new(settings(), &[entry(1, 0)]);
+    harness.handle(Event::Request(Request {
         left: 0,
         ..request(9, 0)
     }));
-    assert!(s.is_refused(9) && s.sent_to(9).is_none(), "{:?}", s.actions);
+    assert!(
+        harness.is_refused(9) && harness.sent_to(9).is_none(),
+        "{:?}",
+        harness.actions
+    );
 }
 
 /// No slots for requests that cannot be done any more. Without this rule nine in ten of the attempts that timed out had
@@ -99,17 +108,17 @@
 #[test]
 fn request_that_would_not_finish_in_time_is_rejected() {
     for class in 0..4 {
-        let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+        let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
         for _ in 0..50 {
-            s.serve(class, |_| 200 * MS);
+            harness.serve(class, |_| 200 * MS);
         }
         for (id, left, fits) in [(1_001, 250 * MS, false), (1_002, 350 * MS, true)] {
-            s.handle(Event::Request(Request {
+            harness.handle(Event::Request(Request {
                 left,
                 ..request(id, class)
             }));
             assert_eq!(
-                (s.sent_to(id).is_some(), s.is_refused(id)),
+                (harness.sent_to(id).is_some(), harness.is_refused(id)),
                 (fits, !fits),
                 "class {class}, {left} us left"
             );
@@ -118,34 +127,34 @@
     // Where runs are long against what clients wait, half of that is enough: such a class is not refused altogether.
     let mut settings = settings();
     settings.classes[0].deadline = 200 * MS;
-    let mut s = Harness::new(settings, &[entry(1, 0)]);
+    let mut harness = Harness::new(settings, &[entry(1, 0)]);
     for id in 1..30 {
-        s.handle(Event::Request(Request {
+        harness.handle(Event::Request(Request {
             left: 200 * MS,
             ..request(id, 0)
         }));
-        assert!(s.sent_to(id).is_some(), "{:?}", s.actions);
-        s.start(id, 0);
-        s.advance(190 * MS);
-        s.end(id, 0, Status::Ok);
+        assert!(harness.sent_to(id).is_some(), "{:?}", harness.actions);
+        harness.start(id, 0);
+        harness.advance(190 * MS);
+        harness.end(id, 0, Status::Ok);
     }
 }
 
 #[test]
 fn queued_requests_are_rejected_before_their_deadline() {
-    let mut s = Harness::new(settings(), &[]);
-    let ids: Vec<_> = (0..5).map(|n| s.submit(n % 4).0).collect();
+    let mut harness = Harness::new(settings(), &[]);
+    let ids: Vec<_> = (0..5).map(|n| harness.submit(n % 4).0).collect();
     // Until a run is known, one takes as long as its class's aim, 0.4 s: one and a half of them are left at 5.4 s.
-    let before = s.advance(5_300 * MS);
+    let before = harness.advance(5_300 * MS);
     assert!(
         !before
             .iter()
             .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
     );
-    s.advance(200 * MS);
+    harness.advance(200 * MS);
     for id in ids {
         assert!(
-            s.is_refused(id),
+            harness.is_refused(id),
             "nothing was sent, so any class may be refused"
         );
     }
@@ -156,14 +165,18 @@
 fn latency_target_of_a_client_retry_counts_from_its_first_attempt() {
     let mut settings = settings();
     settings.classes[0].late_value = 0.0;
-    let mut s = Harness::new(settings, &[]);
-    s.submit(0);
+    let mut harness = Harness::new(settings, &[]);
+    harness.submit(0);
     // It comes with two of its six seconds left: its aim is long past, and late is worth nothing.
-    s.handle(Event::Request(Request {
+    harness.handle(Event::Request(Request {
         left: 2 * SEC,
         ..request(50, 0)
     }));
-    assert!(s.is_refused(50) && !s.is_refused(1), "{:?}", s.actions);
+    assert!(
+        harness.is_refused(50) && !harness.is_refused(1),
+        "{:?}",
+        harness.actions
+    );
 }
 
 /// Queued requests are scanned only while a worker may take one. That saves time and must not change decisions: a scan
@@ -172,39 +185,39 @@
 fn scanning_the_queue_after_every_event_changes_no_action() {
     let run = |extra_looks: usize| {
         let workers: Vec<_> = (0..6).map(|i| entry(i, i % 2)).collect();
-        let mut s = Harness::new(settings(), &workers);
-        let (mut said, mut running, mut held) = (Vec::new(), Vec::new(), 0);
+        let mut harness = Harness::new(settings(), &workers);
+        let (mut actions, mut running, mut unsent) = (Vec::new(), Vec::new(), 0);
         for step in 0..400 {
-            let mut now_said = s.advance(5 * MS);
+            let mut step_actions = harness.advance(5 * MS);
             if step % 40 < 25 {
-                held += usize::from(s.submit(0).1.is_none());
-                now_said.append(&mut s.actions);
+                unsent += usize::from(harness.submit(0).1.is_none());
+                step_actions.append(&mut harness.actions);
             }
             if step % 3 == 0 && !running.is_empty() {
                 let request = running.remove(0);
                 let (attempt, status, load) = (0, Status::Ok, None);
-                s.handle(Event::Started { request, attempt });
-                now_said.append(&mut s.actions);
-                s.handle(Event::Outcome {
+                harness.handle(Event::Started { request, attempt });
+                step_actions.append(&mut harness.actions);
+                harness.handle(Event::Outcome {
                     request,
                     attempt,
                     status,
                     closed: true,
                     load,
                 });
-                now_said.append(&mut s.actions);
+                step_actions.append(&mut harness.actions);
             }
             for _ in 0..extra_looks {
-                s.handle(Event::RequestClosed(1 << 40));
-                now_said.append(&mut s.actions);
+                harness.handle(Event::RequestClosed(1 << 40));
+                step_actions.append(&mut harness.actions);
             }
-            running.extend(now_said.iter().filter_map(|a| match a {
+            running.extend(step_actions.iter().filter_map(|a| match a {
                 Action::Send { request, .. } => Some(*request),
                 _ => None,
             }));
-            said.append(&mut now_said);
+            actions.append(&mut step_actions);
         }
-        (said, held)
+        (actions, unsent)
     };
     let plain = run(0);
     assert!(plain.1 > 50, "only {} requests were held", plain.1);
@@ -215,18 +228,18 @@
 #[test]
 fn request_that_no_attempt_can_serve_is_answered_immediately() {
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
-    let mut s = Harness::new(settings(), &workers);
-    let (unsafe_one, _) = s.submit(2);
-    s.end(unsafe_one, 0, Status::Reset);
-    assert!(s.is_failed(unsafe_one));
+    let mut harness = Harness::new(settings(), &workers);
+    let (unsafe_one, _) = harness.submit(2);
+    harness.end(unsafe_one, 0, Status::Reset);
+    assert!(harness.is_failed(unsafe_one));
     // Held while its cell is set aside, a keyed request ends when its key's time is over.
-    let mut s = Harness::new(settings(), &[entry(0, 0), entry(1, 0)]);
-    let (keyed, _) = s.submit(1);
-    s.end(keyed, 0, Status::Error);
-    assert!(s.sent_to(keyed).is_none() && !s.is_failed(keyed));
-    s.advance(3_100 * MS);
+    let mut harness = Harness::new(settings(), &[entry(0, 0), entry(1, 0)]);
+    let (keyed, _) = harness.submit(1);
+    harness.end(keyed, 0, Status::Error);
+    assert!(harness.sent_to(keyed).is_none() && !harness.is_failed(keyed));
+    harness.advance(3_100 * MS);
     assert!(
-        s.is_failed(keyed),
+        harness.is_failed(keyed),
         "its deadline is 3 s off, its key's time is over"
     );
 }
@@ -237,9 +250,9 @@
         let mut settings = settings();
         settings.limits.retry_after = listen;
         settings.classes[0].late_value = 0.0;
-        let mut s = Harness::new(settings.clone(), &[]);
-        let (late, _) = s.submit(0);
-        let all = s.advance(2 * SEC);
+        let mut harness = Harness::new(settings.clone(), &[]);
+        let (late, _) = harness.submit(0);
+        let all = harness.advance(2 * SEC);
         let advice = |out: &[Action], id| {
             let told = |a: &Action| match a {
                 Action::Refuse {
@@ -261,7 +274,7 @@
 /// One tenant's traffic beyond its quota must not take the slots of all others.
 #[test]
 fn traffic_beyond_quota_is_shed_while_workers_reject() {
-    let served = |turned_away: bool| {
+    let served = |rejecting: bool| {
         let mut settings = Settings {
             over_quota_value: 0.05,
             dispatchers: 1,
@@ -277,25 +290,25 @@
                 fraction: 0.5,
             },
         ];
-        let mut s = Harness::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
+        let mut harness = Harness::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
         let mut served = [0, 0];
         for n in 0..600u64 {
             // Three of four requests come from the tenant with a small quota.
             let tenant = u32::from(n % 4 == 3);
-            s.handle(Event::Request(Request {
+            harness.handle(Event::Request(Request {
                 tenant,
                 ..request(n, 0)
             }));
             let mut attempt = 0;
-            while s.sent_to(n).is_some() && turned_away && n % 2 == 0 && attempt < 2 {
-                s.end(n, attempt, Status::Full);
+            while harness.sent_to(n).is_some() && rejecting && n % 2 == 0 && attempt < 2 {
+                harness.end(n, attempt, Status::Full);
                 attempt += 1;
             }
-            if s.sent_to(n).is_some() {
-                s.start(n, attempt);
+            if harness.sent_to(n).is_some() {
+                harness.start(n, attempt);
                 served[tenant as usize] += 1;
-                s.advance(20 * MS);
-                s.end(n, attempt, Status::Ok);
+                harness.advance(20 * MS);
+                harness.end(n, attempt, Status::Ok);
             }
         }
         served
@@ -318,21 +331,21 @@
         fraction,
     };
     settings.tenants = vec![quota(0.5), quota(0.5)];
-    let mut s = Harness::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
+    let mut harness = Harness::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
     let mut refused = [0, 0];
     for n in 0..600u64 {
         // 20 a second here, where the quotas of all dispatchers together are 50: the first sends 9 of 10.
         let tenant = u32::from(n % 10 == 9);
-        s.handle(Event::Request(Request {
+        harness.handle(Event::Request(Request {
             tenant,
             ..request(n, 0)
         }));
-        refused[tenant as usize] += u32::from(s.is_refused(n));
-        if s.sent_to(n).is_some() {
-            s.end(n, 0, if n % 3 == 0 { Status::Full } else { Status::Ok });
-            s.handle(Event::RequestClosed(n));
+        refused[tenant as usize] += u32::from(harness.is_refused(n));
+        if harness.sent_to(n).is_some() {
+            harness.end(n, 0, if n % 3 == 0 { Status::Full } else { Status::Ok });
+            harness.handle(Event::RequestClosed(n));
         }
-        s.advance(50 * MS);
+        harness.advance(50 * MS);
     }
     assert!(refused[0] > 100 && refused[1] <= 5, "{refused:?}");
 }
@@ -344,14 +357,17 @@
     let mut settings = settings();
     settings.limits.open = Some(3);
     settings.classes[2].value = 50.0;
-    let mut stage = Harness::new(settings, &[]);
-    let poor = [stage.submit(0).0, stage.submit(0).0];
-    let rich = stage.submit(2).0;
-    assert!(!stage.is_refused(poor[0]));
-    for (n, gone) in [(0, poor[0]), (1, poor[1])] {
-        stage.submit(2);
-        assert!(stage.is_refused(gone) && !stage.is_refused(rich), "{n}");
+    let mut harness = Harness::new(settings, &[]);
+    let poor = [harness.submit(0).0, harness.submit(0).0];
+    let rich = harness.submit(2).0;
+    assert!(!harness.is_refused(poor[0]));
+    for (n, evicted) in [(0, poor[0]), (1, poor[1])] {
+        harness.submit(2);
+        assert!(
+            harness.is_refused(evicted) && !harness.is_refused(rich),
+            "{n}"
+        );
     }
-    stage.submit(2);
-    assert!(stage.is_refused(rich));
+    harness.submit(2);
+    assert!(harness.is_refused(rich));
 }
--- a/crates/decisions/tests/attempts.rs
+++ b/crates/decisions/tests/attempts.rs
@@ -5,45 +5,45 @@
 
 #[test]
 fn unsafe_request_is_retried_only_if_it_never_ran() {
-    let mut s = Harness::new(
+    let mut harness = Harness::new(
         settings(),
         &[entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0)],
     );
     for status in [Status::Error, Status::Reset, Status::Timeout] {
-        let (id, worker) = s.submit(2);
+        let (id, worker) = harness.submit(2);
         assert!(worker.is_some());
-        s.end(id, 0, status);
+        harness.end(id, 0, status);
         assert!(
-            s.is_failed(id) && s.sent_to(id).is_none(),
+            harness.is_failed(id) && harness.sent_to(id).is_none(),
             "{status:?}: {:?}",
-            s.actions
+            harness.actions
         );
     }
-    let (id, first) = s.submit(2);
-    s.end(id, 0, Status::ConnectFailed);
-    assert!(s.sent_to(id).is_some() && s.sent_to(id) != first);
+    let (id, first) = harness.submit(2);
+    harness.end(id, 0, Status::ConnectFailed);
+    assert!(harness.sent_to(id).is_some() && harness.sent_to(id) != first);
 }
 
 #[test]
 fn keyed_request_is_retried_only_in_its_cell_and_within_its_ttl() {
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
     for _ in 0..10 {
-        let mut s = Harness::new(settings(), &workers);
-        let (id, first) = s.submit(1);
-        s.end(id, 0, Status::Error);
+        let mut harness = Harness::new(settings(), &workers);
+        let (id, first) = harness.submit(1);
+        harness.end(id, 0, Status::Error);
         assert_eq!(
-            s.sent_to(id).map(|w| w % 2),
+            harness.sent_to(id).map(|w| w % 2),
             first.map(|w| w % 2),
             "same cell"
         );
     }
     // Past the window nothing more is sent, and a refusal would promise too much.
-    let mut s = Harness::new(settings(), &workers);
-    let (id, _) = s.submit(1);
-    s.advance(3_100 * MS);
-    s.end(id, 0, Status::Error);
+    let mut harness = Harness::new(settings(), &workers);
+    let (id, _) = harness.submit(1);
+    harness.advance(3_100 * MS);
+    harness.end(id, 0, Status::Error);
     assert!(
-        s.sent_to(id).is_none() && s.is_failed(id),
+        harness.sent_to(id).is_none() && harness.is_failed(id),
         "nothing legal can serve it, so it is told at once"
     );
 }
@@ -53,12 +53,12 @@
     let mut settings = settings();
     settings.limits.attempts = 2;
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
-    let mut s = Harness::new(settings, &workers);
-    let (id, _) = s.submit(0);
-    s.end(id, 0, Status::Error);
-    assert!(s.sent_to(id).is_some());
-    s.end(id, 1, Status::Error);
-    assert!(s.sent_to(id).is_none() && s.is_refused(id));
+    let mut harness = Harness::new(settings, &workers);
+    let (id, _) = harness.submit(0);
+    harness.end(id, 0, Status::Error);
+    assert!(harness.sent_to(id).is_some());
+    harness.end(id, 1, Status::Error);
+    assert!(harness.sent_to(id).is_none() && harness.is_refused(id));
 }
 
 /// Attempts beyond a request's first stay within their budget, whichever path sends them.
@@ -72,26 +72,33 @@
         window: Some(10 * SEC),
     });
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
-    let mut s = Harness::new(settings, &workers);
-    let fail_until_answered = |s: &mut Harness| {
-        let (id, _) = s.submit(0);
-        let mut tries = 0;
+    let mut harness = Harness::new(settings, &workers);
+    let fail_until_answered = |harness: &mut Harness| {
+        let (id, _) = harness.submit(0);
+        let mut retries = 0;
         loop {
-            s.end(id, tries, Status::Error);
-            if s.sent_to(id).is_none() {
-                assert!(s.is_refused(id), "out of attempts it is answered at once");
-                return tries;
+            harness.end(id, retries, Status::Error);
+            if harness.sent_to(id).is_none() {
+                assert!(
+                    harness.is_refused(id),
+                    "out of attempts it is answered at once"
+                );
+                return retries;
             }
-            tries += 1;
+            retries += 1;
         }
     };
-    let again: u32 = (0..9).map(|_| fail_until_answered(&mut s)).sum();
+    let again: u32 = (0..9).map(|_| fail_until_answered(&mut harness)).sum();
     assert_eq!(again, 2, "nine requests earn none beyond the two free ones");
-    s.advance(5 * SEC);
-    assert_eq!(fail_until_answered(&mut s), 1, "the tenth earns one more");
+    harness.advance(5 * SEC);
+    assert_eq!(
+        fail_until_answered(&mut harness),
+        1,
+        "the tenth earns one more"
+    );
     // The first two leave the window, and so do the requests that came with them.
-    s.advance(5 * SEC + MS);
-    assert_eq!(fail_until_answered(&mut s), 1);
+    harness.advance(5 * SEC + MS);
+    assert_eq!(fail_until_answered(&mut harness), 1);
 }
 
 #[test]
@@ -103,17 +110,17 @@
         window: Some(10 * SEC),
     });
     let workers: Vec<_> = (0..8).map(|i| entry(i, 0)).collect();
-    let mut s = Harness::new(settings, &workers);
-    let (id, _) = s.submit(0);
-    s.end(id, 0, Status::Error);
-    assert!(s.sent_to(id).is_some());
-    s.end(id, 1, Status::Moot);
+    let mut harness = Harness::new(settings, &workers);
+    let (id, _) = harness.submit(0);
+    harness.end(id, 0, Status::Error);
+    assert!(harness.sent_to(id).is_some());
+    harness.end(id, 1, Status::Moot);
     assert!(
-        s.sent_to(id).is_some(),
+        harness.sent_to(id).is_some(),
         "the one of the budget is there again"
     );
-    s.end(id, 2, Status::Error);
-    assert!(s.sent_to(id).is_none() && s.is_refused(id));
+    harness.end(id, 2, Status::Error);
+    assert!(harness.sent_to(id).is_none() && harness.is_refused(id));
 }
 
 /// A budget without a window is read strictly: what it allows, it allows once.
@@ -125,12 +132,12 @@
         ratio: 5.0,
         window: None,
     });
-    let mut s = Harness::new(settings, &(0..8).map(|i| entry(i, 0)).collect::<Vec<_>>());
+    let mut harness = Harness::new(settings, &(0..8).map(|i| entry(i, 0)).collect::<Vec<_>>());
     for expected in [true, false] {
-        let (id, _) = s.submit(0);
-        s.end(id, 0, Status::Error);
-        assert_eq!(s.sent_to(id).is_some(), expected);
-        s.advance(100 * SEC);
+        let (id, _) = harness.submit(0);
+        harness.end(id, 0, Status::Error);
+        assert_eq!(harness.sent_to(id).is_some(), expected);
+        harness.advance(100 * SEC);
     }
 }
 
@@ -141,22 +148,26 @@
     for no_proof in [false, true] {
         let mut settings = settings();
         settings.rules.full_may_have_run = no_proof;
-        let mut s = Harness::new(settings, &workers);
-        let (unsafe_one, _) = s.submit(2);
-        s.end(unsafe_one, 0, Status::Full);
-        assert_eq!(s.is_failed(unsafe_one), no_proof);
-        assert_eq!(s.sent_to(unsafe_one).is_none(), no_proof);
-        let (keyed, first) = s.submit(1);
-        s.end(keyed, 0, Status::Full);
+        let mut harness = Harness::new(settings, &workers);
+        let (unsafe_one, _) = harness.submit(2);
+        harness.end(unsafe_one, 0, Status::Full);
+        assert_eq!(harness.is_failed(unsafe_one), no_proof);
+        assert_eq!(harness.sent_to(unsafe_one).is_none(), no_proof);
+        let (keyed, first) = harness.submit(1);
+        harness.end(keyed, 0, Status::Full);
         if no_proof {
             assert!(
-                s.sent_to(keyed)
+                harness
+                    .sent_to(keyed)
                     .is_none_or(|w| w % 2 == first.expect("sent") % 2),
                 "same cell"
             );
-            s.end(keyed, 1, Status::Full);
-            s.advance(3 * SEC);
-            assert!(!s.is_refused(keyed), "a refusal would promise too much");
+            harness.end(keyed, 1, Status::Full);
+            harness.advance(3 * SEC);
+            assert!(
+                !harness.is_refused(keyed),
+                "a refusal would promise too much"
+            );
         }
     }
 }
@@ -167,16 +178,16 @@
     let run = |resends| {
         let mut settings = settings();
         settings.rules.resends = resends;
-        let mut s = Harness::new(
+        let mut harness = Harness::new(
             settings,
             &(0..6).map(|i| entry(i, i % 3)).collect::<Vec<_>>(),
         );
         let mut log = Vec::new();
         for n in 0..300u64 {
-            let (id, _) = s.submit((n % 4) as u32);
-            log.extend(s.actions.clone());
-            s.start(id, 0);
-            log.extend(s.advance(20 * MS));
+            let (id, _) = harness.submit((n % 4) as u32);
+            log.extend(harness.actions.clone());
+            harness.start(id, 0);
+            log.extend(harness.advance(20 * MS));
             // No reset before the start: that tells of idle connections, and closes them for another reason.
             let ends = [
                 Status::Ok,
@@ -185,8 +196,8 @@
                 Status::Full,
                 Status::Error,
             ];
-            s.end(id, 0, ends[n as usize % 5]);
-            log.extend(s.actions.clone());
+            harness.end(id, 0, ends[n as usize % 5]);
+            log.extend(harness.actions.clone());
         }
         log
     };
@@ -206,32 +217,37 @@
 /// A connection that a middlebox drops unnoticed would cost an attempt each time (17% of them in one measured run).
 #[test]
 fn connections_idle_as_long_as_a_broken_one_are_closed_and_the_worker_stays_healthy() {
-    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let closes = |s: &Harness| {
-        s.actions
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let closes = |harness: &Harness| {
+        harness
+            .actions
             .iter()
             .filter(|a| matches!(a, Action::Disconnect { .. }))
             .count()
     };
     for _ in 0..4 {
-        s.serve(0, |_| 20 * MS);
+        harness.serve(0, |_| 20 * MS);
     }
-    s.advance(3 * SEC);
-    let (id, worker) = s.submit(0);
-    assert_eq!(closes(&s), 0, "nothing has broken yet");
-    s.end(id, 0, Status::Reset);
-    let again = s.sent_to(id).expect("a safe request goes again at once");
+    harness.advance(3 * SEC);
+    let (id, worker) = harness.submit(0);
+    assert_eq!(closes(&harness), 0, "nothing has broken yet");
+    harness.end(id, 0, Status::Reset);
+    let again = harness
+        .sent_to(id)
+        .expect("a safe request goes again at once");
     assert!(
-        Some(again) != worker && closes(&s) == 1,
+        Some(again) != worker && closes(&harness) == 1,
         "the other's connection is as old: {:?}",
-        s.actions
+        harness.actions
     );
-    s.advance(MS);
-    s.start(id, 1);
-    s.end(id, 1, Status::Ok);
+    harness.advance(MS);
+    harness.start(id, 1);
+    harness.end(id, 1, Status::Ok);
     // Used a moment ago it is trusted, and the first worker still takes requests that must not run twice.
-    s.advance(50 * MS);
-    let sent: Vec<_> = (0..2).map(|_| (s.submit(2).1, closes(&s))).collect();
+    harness.advance(50 * MS);
+    let sent: Vec<_> = (0..2)
+        .map(|_| (harness.submit(2).1, closes(&harness)))
+        .collect();
     assert!(sent.iter().any(|x| x.0 == worker), "{sent:?}");
     assert!(sent.contains(&(Some(again), 0)), "{sent:?}");
 }
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -6,27 +6,27 @@
 /// A worker that fails at once has the fewest requests in flight, and would draw all traffic.
 #[test]
 fn immediately_failing_worker_is_ejected_and_rarely_tried() {
-    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
     let mut to_bad = 0;
     for _ in 0..200 {
-        let (id, worker) = s.submit(0);
+        let (id, worker) = harness.submit(0);
         let mut worker = worker;
         let mut attempt = 0;
         while worker == Some(1) {
             to_bad += 1;
-            s.advance(2 * MS);
-            s.end(id, attempt, Status::Error);
-            worker = s.sent_to(id);
+            harness.advance(2 * MS);
+            harness.end(id, attempt, Status::Error);
+            worker = harness.sent_to(id);
             attempt += 1;
         }
         assert!(
             worker.is_some(),
             "an error on one worker sends a safe request to another"
         );
-        s.advance(20 * MS);
-        s.start(id, attempt);
-        s.advance(30 * MS);
-        s.end(id, attempt, Status::Ok);
+        harness.advance(20 * MS);
+        harness.start(id, attempt);
+        harness.advance(30 * MS);
+        harness.end(id, attempt, Status::Ok);
     }
     assert!(
         (1..=12).contains(&to_bad),
@@ -39,37 +39,38 @@
 #[test]
 fn worker_on_probation_gets_retryable_requests_until_its_failure_rate_decays() {
     let erred = || {
-        let mut s = Harness::new(settings(), &[entry(1, 0)]);
+        let mut harness = Harness::new(settings(), &[entry(1, 0)]);
         for _ in 0..2 {
-            let (id, _) = s.submit(2);
-            s.end(id, 0, Status::Error);
+            let (id, _) = harness.submit(2);
+            harness.end(id, 0, Status::Error);
         }
-        s.advance(700 * MS);
-        s
+        harness.advance(700 * MS);
+        harness
     };
-    let mut s = erred();
-    assert_eq!(s.submit(2).1, None, "an unsafe request is no trial");
-    let mut s = erred();
-    assert_eq!(s.submit(3).1, Some(1), "a keyed one is");
-    assert_eq!(s.submit(3).1, None, "one at a time");
-    let mut s = erred();
-    s.advance(2 * SEC);
-    assert_eq!(s.submit(2).1, Some(1), "suspicion has faded");
+    let mut harness = erred();
+    assert_eq!(harness.submit(2).1, None, "an unsafe request is no trial");
+    let mut harness = erred();
+    assert_eq!(harness.submit(3).1, Some(1), "a keyed one is");
+    assert_eq!(harness.submit(3).1, None, "one at a time");
+    let mut harness = erred();
+    harness.advance(2 * SEC);
+    assert_eq!(harness.submit(2).1, Some(1), "suspicion has faded");
 }
 
 /// Dispatchers must not overload full workers with requests that these reject.
 #[test]
 fn worker_that_rejects_for_lack_of_capacity_is_ejected_briefly() {
-    let mut s = Harness::new(settings(), &[entry(1, 0)]);
-    let (id, _) = s.submit(0);
-    s.advance(MS);
-    s.end(id, 0, Status::Full);
+    let mut harness = Harness::new(settings(), &[entry(1, 0)]);
+    let (id, _) = harness.submit(0);
+    harness.advance(MS);
+    harness.end(id, 0, Status::Full);
     assert!(
-        s.advance(1900 * MS)
+        harness
+            .advance(1900 * MS)
             .iter()
             .all(|a| !matches!(a, Action::Send { .. }))
     );
-    let later = s.advance(200 * MS);
+    let later = harness.advance(200 * MS);
     assert!(
         later
             .iter()
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -6,17 +6,17 @@
 /// Where nothing is reported, a dispatcher must not assume that all slots of a worker are free for it.
 #[test]
 fn late_start_marks_a_worker_as_shared() {
-    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (first, worker) = s.submit(0);
-    s.advance(300 * MS);
-    s.start(first, 0);
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (first, worker) = harness.submit(0);
+    harness.advance(300 * MS);
+    harness.start(first, 0);
     let other = 3 - worker.expect("sent");
-    assert_eq!(s.submit(0).1, Some(other));
-    s.advance(MS);
-    s.start(2, 0);
+    assert_eq!(harness.submit(0).1, Some(other));
+    harness.advance(MS);
+    harness.start(2, 0);
     // The second worker showed a slot at once: it is believed to have another sooner than the first.
-    s.end(2, 0, Status::Ok);
-    assert_eq!(s.submit(0).1, Some(other));
+    harness.end(2, 0, Status::Ok);
+    assert_eq!(harness.submit(0).1, Some(other));
 }
 
 /// Workers look free to each of many dispatchers at once: where starts come late or workers reject, few own requests may
@@ -24,43 +24,44 @@
 #[test]
 fn wait_window_limits_requests_at_workers_that_look_free() {
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
-    let mut s = Harness::new(
+    let mut harness = Harness::new(
         Settings {
             dispatchers: 40,
             ..settings()
         },
         &workers,
     );
-    let sends = |s: &Harness| {
-        s.actions
+    let sends = |harness: &Harness| {
+        harness
+            .actions
             .iter()
             .filter(|a| matches!(a, Action::Send { .. }))
             .count()
     };
     // Much traffic, all of it turned away: the window shrinks to one job.
     for step in 0..300 {
-        let mut said = s.advance(20 * MS);
+        let mut actions = harness.advance(20 * MS);
         if step < 100 {
-            s.submit(0);
-            said.append(&mut s.actions);
+            harness.submit(0);
+            actions.append(&mut harness.actions);
         }
-        while let Some(action) = said.pop() {
+        while let Some(action) = actions.pop() {
             if let Action::Send { request, .. } = action {
-                s.handle(Event::Outcome {
+                harness.handle(Event::Outcome {
                     request,
                     attempt: 0,
                     status: Status::Full,
                     closed: true,
                     load: None,
                 });
-                said.append(&mut s.actions);
+                actions.append(&mut harness.actions);
             }
         }
     }
     let mut waiting = 0;
     for _ in 0..30 {
-        s.submit(0);
-        waiting += sends(&s);
+        harness.submit(0);
+        waiting += sends(&harness);
     }
     assert!((1..=8).contains(&waiting), "{waiting} jobs wait");
 }
@@ -68,11 +69,11 @@
 /// Where starts come late or workers reject, one that is known to be free goes before those without any load.
 #[test]
 fn worker_without_load_is_not_assumed_empty_after_late_starts() {
-    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
     for _ in 0..40 {
-        let (request, worker) = s.submit(0);
+        let (request, worker) = harness.submit(0);
         if worker.is_some() {
-            s.handle(Event::Outcome {
+            harness.handle(Event::Outcome {
                 request,
                 attempt: 0,
                 status: Status::Full,
@@ -80,26 +81,26 @@
                 load: None,
             });
         }
-        s.advance(SEC);
+        harness.advance(SEC);
     }
-    s.advance(8 * SEC);
-    let known = s.serve(0, |_| 10 * MS);
+    harness.advance(8 * SEC);
+    let known = harness.serve(0, |_| 10 * MS);
     assert!(known.is_some());
     for _ in 0..8 {
-        assert_eq!(s.serve(0, |_| 10 * MS), known);
+        assert_eq!(harness.serve(0, |_| 10 * MS), known);
     }
 }
 
 /// The wait window must stay a number at a late first start; else nothing would ever be queued at workers again.
 #[test]
 fn late_first_start_leaves_a_finite_wait_window() {
-    let mut s = Harness::new(settings(), &[entry(1, 0)]);
-    s.serve(0, |_| 100 * MS);
-    let (id, _) = s.submit(0);
-    s.advance(900 * MS);
-    s.start(id, 0);
+    let mut harness = Harness::new(settings(), &[entry(1, 0)]);
+    harness.serve(0, |_| 100 * MS);
+    let (id, _) = harness.submit(0);
+    harness.advance(900 * MS);
+    harness.start(id, 0);
     assert_eq!(
-        s.submit(0).1,
+        harness.submit(0).1,
         Some(1),
         "one job may wait where all slots are taken"
     );
--- a/crates/decisions/tests/malformed_input.rs
+++ b/crates/decisions/tests/malformed_input.rs
@@ -12,13 +12,13 @@
         fraction: 0.0,
     }];
     settings.limits.attempts = 0;
-    let mut s = Harness::new(settings, &[]);
+    let mut harness = Harness::new(settings, &[]);
     let odd = |v: f64| Load {
         inflight: Some(v),
         free_slots: Some(v),
         ..Load::default()
     };
-    s.update_membership(
+    harness.update_membership(
         Scope::Delta,
         &[Entry {
             kind: u32::MAX,
@@ -29,7 +29,7 @@
     );
     for v in [f64::NAN, f64::INFINITY, -5.0, 1e300] {
         for worker in [1, 99] {
-            s.handle(Event::Probed {
+            harness.handle(Event::Probed {
                 worker,
                 status: Status::Ok,
                 load: Some(odd(v)),
@@ -43,35 +43,38 @@
             left: u64::MAX,
             ..request(v.to_bits(), 0)
         };
-        s.handle(Event::Request(r.clone()));
-        s.handle(Event::Request(r));
-        s.handle(Event::Progress {
+        harness.handle(Event::Request(r.clone()));
+        harness.handle(Event::Request(r));
+        harness.handle(Event::Progress {
             request: v.to_bits(),
             attempt: 0,
             done: v,
         });
     }
     for id in [0, 12345] {
-        s.handle(Event::Started {
+        harness.handle(Event::Started {
             request: id,
             attempt: 9,
         });
-        s.handle(Event::Streaming {
+        harness.handle(Event::Streaming {
             request: id,
             attempt: 9,
         });
-        s.end(id, 3, Status::Ok);
-        s.handle(Event::RequestClosed(id));
+        harness.end(id, 3, Status::Ok);
+        harness.handle(Event::RequestClosed(id));
     }
-    s.handle(Event::Timer(424242));
-    s.handle(Event::Peer {
+    harness.handle(Event::Timer(424242));
+    harness.handle(Event::Peer {
         from: 9,
         in_flight: vec![(1, 255), (99, 7), (1, 3)],
     });
-    s.update_membership(Scope::Full, &[]);
-    s.advance(SEC);
+    harness.update_membership(Scope::Full, &[]);
+    harness.advance(SEC);
     assert!(
-        !s.actions.iter().any(|a| matches!(a, Action::Send { .. })),
+        !harness
+            .actions
+            .iter()
+            .any(|a| matches!(a, Action::Send { .. })),
         "no attempt is allowed here"
     );
 }
--- a/crates/decisions/tests/observations.rs
+++ b/crates/decisions/tests/observations.rs
@@ -7,20 +7,24 @@
 fn worker_that_reports_no_free_slot_is_not_chosen() {
     let mut settings = settings();
     settings.reports = Reports::WithResults;
-    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
+    let mut harness = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
     for (free, worker) in [(2.0, 1), (0.0, 1), (2.0, 2)] {
         let load = Some(Load {
             free_slots: Some(free),
             ..Load::default()
         });
-        s.handle(Event::Probed {
+        harness.handle(Event::Probed {
             worker,
             status: Status::Ok,
             load,
         });
     }
     for _ in 0..2 {
-        assert_eq!(s.submit(0).1, Some(2), "worker 1 is full of others' jobs");
+        assert_eq!(
+            harness.submit(0).1,
+            Some(2),
+            "worker 1 is full of others' jobs"
+        );
     }
 }
 
@@ -29,22 +33,22 @@
 fn load_report_of_a_result_still_counts_the_ended_request() {
     let mut settings = settings();
     settings.reports = Reports::WithResults;
-    let mut s = Harness::new(settings, &[entry(1, 0)]);
+    let mut harness = Harness::new(settings, &[entry(1, 0)]);
     let full = Load {
         free_slots: Some(2.0),
         ..Load::default()
     };
-    s.handle(Event::Probed {
+    harness.handle(Event::Probed {
         worker: 1,
         status: Status::Ok,
         load: Some(full),
     });
-    let (a, _) = s.submit(0);
-    s.advance(MS);
-    s.start(a, 0);
-    s.advance(SEC);
+    let (a, _) = harness.submit(0);
+    harness.advance(MS);
+    harness.start(a, 0);
+    harness.advance(SEC);
     // One of two slots was taken, by the job that now ends: the worker has room for two more.
-    s.end_with_load(
+    harness.end_with_load(
         a,
         0,
         Status::Ok,
@@ -53,8 +57,12 @@
             ..Load::default()
         }),
     );
-    assert_eq!(s.submit(0).1, Some(1));
-    assert_eq!(s.submit(0).1, Some(1), "nobody else holds a slot there");
+    assert_eq!(harness.submit(0).1, Some(1));
+    assert_eq!(
+        harness.submit(0).1,
+        Some(1),
+        "nobody else holds a slot there"
+    );
 }
 
 /// Requests whose end is never reported seem to run on, and would show slots that do not exist.
@@ -62,31 +70,31 @@
 fn reported_slots_override_requests_that_seem_to_run() {
     let mut settings = settings();
     settings.reports = Reports::OnProbe;
-    let mut s = Harness::new(settings, &[entry(1, 0)]);
+    let mut harness = Harness::new(settings, &[entry(1, 0)]);
     let load = Load {
         inflight: Some(0.0),
         free_slots: Some(2.0),
         ..Load::default()
     };
-    s.handle(Event::Probed {
+    harness.handle(Event::Probed {
         worker: 1,
         status: Status::Ok,
         load: Some(load),
     });
     for _ in 0..6 {
-        let (id, worker) = s.submit(0);
-        s.advance(MS);
+        let (id, worker) = harness.submit(0);
+        harness.advance(MS);
         if worker.is_some() {
-            s.start(id, 0); // also the third and later ones: others have ended, and nobody has said so
+            harness.start(id, 0); // also the third and later ones: others have ended, and nobody has said so
         }
     }
-    s.update_membership(Scope::Delta, &[entry(2, 0)]);
-    s.handle(Event::Probed {
+    harness.update_membership(Scope::Delta, &[entry(2, 0)]);
+    harness.handle(Event::Probed {
         worker: 2,
         status: Status::Ok,
         load: Some(load),
     });
-    let sent = (0..6).filter(|_| s.submit(0).1 == Some(2)).count();
+    let sent = (0..6).filter(|_| harness.submit(0).1 == Some(2)).count();
     assert!(
         (2..=3).contains(&sent),
         "two run and one waits, {sent} were sent"
@@ -98,26 +106,26 @@
 fn probe_results_give_the_number_of_slots() {
     let mut settings = settings();
     settings.reports = Reports::OnProbe;
-    let mut s = Harness::new(settings, &[entry(1, 0)]);
-    s.advance(SEC);
-    s.submit(0);
+    let mut harness = Harness::new(settings, &[entry(1, 0)]);
+    harness.advance(SEC);
+    harness.submit(0);
     assert!(
-        s.actions.contains(&Action::Probe { worker: 1 }),
+        harness.actions.contains(&Action::Probe { worker: 1 }),
         "{:?}",
-        s.actions
+        harness.actions
     );
     let load = Some(Load {
         inflight: Some(0.0),
         free_slots: Some(4.0),
         ..Load::default()
     });
-    s.handle(Event::Probed {
+    harness.handle(Event::Probed {
         worker: 1,
         status: Status::Ok,
         load,
     });
     for _ in 0..3 {
-        assert_eq!(s.submit(0).1, Some(1));
+        assert_eq!(harness.submit(0).1, Some(1));
     }
 }
 
@@ -125,7 +133,7 @@
 /// multiples of the slots.
 #[test]
 fn load_report_with_a_queue_does_not_raise_the_number_of_slots() {
-    let mut s = Harness::new(
+    let mut harness = Harness::new(
         Settings {
             reports: Reports::OnProbe,
             ..settings()
@@ -140,7 +148,7 @@
             free_slots,
             ..Load::default()
         });
-        s.handle(Event::Probed {
+        harness.handle(Event::Probed {
             worker: 1,
             status: Status::Ok,
             load,
@@ -149,7 +157,7 @@
     probed(0.0, 0.0, 3.0);
     probed(40.0, 38.0, 1.0);
     probed(0.0, 0.0, 3.0);
-    let taken = (0..8).take_while(|_| s.submit(2).1.is_some()).count();
+    let taken = (0..8).take_while(|_| harness.submit(2).1.is_some()).count();
     // Three run; a few more may wait at a crowded worker, one at a time.
     assert!((3..=4).contains(&taken), "{taken} jobs at three slots");
 }
@@ -160,30 +168,31 @@
     let mut settings = settings();
     settings.limits.peers = true;
     settings.charges.peer = 0.01;
-    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
-    s.handle(Event::Peer {
+    let mut harness = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
+    harness.handle(Event::Peer {
         from: 1,
         in_flight: vec![(1, 1)],
     });
-    let (id, worker) = s.submit(0);
+    let (id, worker) = harness.submit(0);
     assert_eq!(
         worker,
         Some(2),
         "the peer's job holds the one known slot of worker 1"
     );
-    assert!(s.advance(100 * MS).contains(&Action::UpdatePeers {
+    assert!(harness.advance(100 * MS).contains(&Action::UpdatePeers {
         in_flight: vec![(2, 1)]
     }));
-    s.start(id, 0);
-    s.handle(Event::Peer {
+    harness.start(id, 0);
+    harness.handle(Event::Peer {
         from: 1,
         in_flight: vec![],
     });
-    assert_eq!(s.submit(0).1, Some(1));
-    s.end(2, 0, Status::Ok);
-    s.end(id, 0, Status::Ok);
+    assert_eq!(harness.submit(0).1, Some(1));
+    harness.end(2, 0, Status::Ok);
+    harness.end(id, 0, Status::Ok);
     assert!(
-        s.advance(100 * MS)
+        harness
+            .advance(100 * MS)
             .contains(&Action::UpdatePeers { in_flight: vec![] })
     );
 }
@@ -194,9 +203,9 @@
     let mut settings = settings();
     settings.reports = Reports::OnProbe;
     settings.charges.probe = 0.0002;
-    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-    let (id, worker) = s.submit(0);
-    let probed: Vec<_> = s
+    let mut harness = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let (id, worker) = harness.submit(0);
+    let probed: Vec<_> = harness
         .actions
         .iter()
         .filter(|a| matches!(a, Action::Probe { .. }))
@@ -204,29 +213,34 @@
         .collect();
     assert_eq!((probed.len(), worker), (3, None));
     for (worker, free) in [(1, 0.0), (2, 2.0), (3, 1.0)] {
-        assert_eq!(s.sent_to(id), None);
+        assert_eq!(harness.sent_to(id), None);
         let load = Some(Load {
             inflight: Some(2.0 - free),
             free_slots: Some(free),
             ..Load::default()
         });
-        s.handle(Event::Probed {
+        harness.handle(Event::Probed {
             worker,
             status: Status::Ok,
             load,
         });
     }
-    assert_eq!(s.sent_to(id), Some(2), "the emptiest of those sampled");
+    assert_eq!(
+        harness.sent_to(id),
+        Some(2),
+        "the emptiest of those sampled"
+    );
     // Without answers it goes out after a tenth of its aim. What is known is not asked again.
-    s.advance(3 * SEC);
-    let (id, _) = s.submit(0);
+    harness.advance(3 * SEC);
+    let (id, _) = harness.submit(0);
     assert!(
-        s.advance(30 * MS)
+        harness
+            .advance(30 * MS)
             .iter()
             .all(|a| !matches!(a, Action::Send { .. }))
     );
-    s.advance(30 * MS);
-    assert!(s.sent_to(id).is_some());
+    harness.advance(30 * MS);
+    assert!(harness.sent_to(id).is_some());
 }
 
 /// Where a request runs long against the age of a report, the load of a worker that many share must not be left to age
@@ -240,53 +254,53 @@
         };
         settings.reports = Reports::OnProbe;
         settings.charges.probe = 0.0002;
-        let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+        let mut harness = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
         let mut count = 0;
         for _ in 0..40 {
-            let (id, _) = s.submit(0);
-            let mut said = s.actions.clone();
+            let (id, _) = harness.submit(0);
+            let mut actions = harness.actions.clone();
             for worker in 1..4 {
                 let load = Some(Load {
                     inflight: Some(0.0),
                     free_slots: Some(2.0),
                     ..Load::default()
                 });
-                s.handle(Event::Probed {
+                harness.handle(Event::Probed {
                     worker,
                     status: Status::Ok,
                     load,
                 });
-                said.append(&mut s.actions);
+                actions.append(&mut harness.actions);
             }
-            count += said
+            count += actions
                 .iter()
                 .filter(|a| matches!(a, Action::Probe { .. }))
                 .count();
-            s.advance(run);
-            s.start(id, 0);
-            s.advance(run);
-            s.end(id, 0, Status::Ok);
+            harness.advance(run);
+            harness.start(id, 0);
+            harness.advance(run);
+            harness.end(id, 0, Status::Ok);
         }
         // Now only the time since the last news counts.
-        s.submit(0);
+        harness.submit(0);
         let before = count;
-        s.advance(5 * SEC);
-        s.submit(0);
+        harness.advance(5 * SEC);
+        harness.submit(0);
         for worker in 1..4 {
             let load = Some(Load {
                 inflight: Some(0.0),
                 free_slots: Some(2.0),
                 ..Load::default()
             });
-            s.handle(Event::Probed {
+            harness.handle(Event::Probed {
                 worker,
                 status: Status::Ok,
                 load,
             });
         }
-        s.advance(700 * MS);
-        s.submit(0);
-        let again = s
+        harness.advance(700 * MS);
+        harness.submit(0);
+        let again = harness
             .actions
             .iter()
             .filter(|a| matches!(a, Action::Probe { .. }))
--- a/crates/decisions/tests/reconfigure.rs
+++ b/crates/decisions/tests/reconfigure.rs
@@ -3,7 +3,7 @@
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-fn retuned(change: impl Fn(&mut Settings)) -> Event {
+fn reconfigured(change: impl Fn(&mut Settings)) -> Event {
     let mut settings = settings();
     change(&mut settings);
     Event::Settings(Box::new(settings))
@@ -13,25 +13,26 @@
 /// becomes unsafe: it keeps the rules that it came with. The next request has the new ones.
 #[test]
 fn open_request_keeps_the_rules_of_its_class() {
-    let mut stage = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (delicate, harmless) = (stage.submit(2).0, stage.submit(0).0);
-    stage.handle(retuned(|s| {
-        (s.classes[2].effect, s.classes[0].effect) = (Effect::Safe, Effect::Unsafe)
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (unsafe_request, safe_request) = (harness.submit(2).0, harness.submit(0).0);
+    harness.handle(reconfigured(|settings| {
+        (settings.classes[2].effect, settings.classes[0].effect) = (Effect::Safe, Effect::Unsafe)
     }));
-    stage.end(delicate, 0, Status::Reset);
-    assert!(stage.is_failed(delicate) && stage.sent_to(delicate).is_none());
-    stage.end(harmless, 0, Status::Reset);
-    assert!(stage.sent_to(harmless).is_some());
-    for (class, again) in [(2, true), (0, false)] {
-        let mut stage = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
-        stage.handle(retuned(|s| {
-            (s.classes[2].effect, s.classes[0].effect) = (Effect::Safe, Effect::Unsafe)
+    harness.end(unsafe_request, 0, Status::Reset);
+    assert!(harness.is_failed(unsafe_request) && harness.sent_to(unsafe_request).is_none());
+    harness.end(safe_request, 0, Status::Reset);
+    assert!(harness.sent_to(safe_request).is_some());
+    for (class, is_retried) in [(2, true), (0, false)] {
+        let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+        harness.handle(reconfigured(|settings| {
+            (settings.classes[2].effect, settings.classes[0].effect) =
+                (Effect::Safe, Effect::Unsafe)
         }));
-        let id = stage.submit(class).0;
-        stage.end(id, 0, Status::Reset);
+        let id = harness.submit(class).0;
+        harness.end(id, 0, Status::Reset);
         assert_eq!(
-            (stage.sent_to(id).is_some(), stage.is_failed(id)),
-            (again, !again),
+            (harness.sent_to(id).is_some(), harness.is_failed(id)),
+            (is_retried, !is_retried),
             "class {class}"
         );
     }
@@ -41,28 +42,28 @@
 /// class's rules, and the tables must not grow with each change.
 #[test]
 fn added_class_has_its_own_rules_and_an_unknown_class_stays_unknown() {
-    let mut stage = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
     for n in 0..50 {
         let latency_target = 300 * MS + n;
-        stage.handle(retuned(|s| {
-            s.classes[0].latency_target = latency_target;
-            s.classes.push(Class {
+        harness.handle(reconfigured(|settings| {
+            settings.classes[0].latency_target = latency_target;
+            settings.classes.push(Class {
                 effect: Effect::Safe,
                 latency_target,
-                ..s.classes[2].clone()
+                ..settings.classes[2].clone()
             });
         }));
     }
-    for (class, again) in [(4, true), (2, false), (9, false)] {
-        let id = stage.submit(class).0;
-        stage.end(id, 0, Status::Reset);
+    for (class, is_retried) in [(4, true), (2, false), (9, false)] {
+        let id = harness.submit(class).0;
+        harness.end(id, 0, Status::Reset);
         assert_eq!(
-            (stage.sent_to(id).is_some(), stage.is_failed(id)),
-            (again, !again),
+            (harness.sent_to(id).is_some(), harness.is_failed(id)),
+            (is_retried, !is_retried),
             "class {class}"
         );
-        stage.end(id, 1, Status::Ok);
-        stage.advance(7 * SEC);
+        harness.end(id, 1, Status::Ok);
+        harness.advance(7 * SEC);
     }
 }
 
@@ -72,12 +73,12 @@
     for (before, after) in [(1, 4), (4, 1)] {
         let mut first = settings();
         first.limits.attempts = before;
-        let mut stage = Harness::new(first, &[entry(1, 0), entry(2, 0)]);
-        let id = stage.submit(0).0;
-        stage.handle(retuned(|s| s.limits.attempts = after));
-        stage.end(id, 0, Status::Reset);
+        let mut harness = Harness::new(first, &[entry(1, 0), entry(2, 0)]);
+        let id = harness.submit(0).0;
+        harness.handle(reconfigured(|settings| settings.limits.attempts = after));
+        harness.end(id, 0, Status::Reset);
         assert!(
-            stage.sent_to(id).is_none() && stage.is_refused(id),
+            harness.sent_to(id).is_none() && harness.is_refused(id),
             "{before} to {after}"
         );
     }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules as properties: random legal events, and a checker that shares no code with the module.
+//! The four rules as properties: random legal events, and a checker that shares no code with the decision module.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -7,12 +7,12 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask {
+    Submit {
         class: u32,
         left: Time,
         slots: f64,
     },
-    /// Start, or end with a status, the n-th attempt that is out.
+    /// Start, or end with a status, the n-th attempt in flight.
     Start(usize),
     End(usize, Status),
     Pass(Time),
@@ -21,9 +21,9 @@
     Restart(u32),
     Drop(u32),
     Return(u32),
-    FullList,
-    ListFails,
-    Gone(usize),
+    FullMembership,
+    MembershipFails,
+    ClientLeaves(usize),
     /// The dispatcher stands still: what comes due meanwhile is handed over late, all at once.
     Stall(Time),
     Crash,
@@ -37,7 +37,7 @@
         8 => Just(Ok), 3 => Just(Error), 1 => Just(Moot), 1 => Just(Full), 1 => Just(ConnectFailed), 1 => Just(Reset), 1 => Just(Cancelled),
     ];
     prop_oneof![
-        10 => (0u32..5, left, 0.5..2.0).prop_map(|(class, left, slots)| Step::Ask { class, left, slots }),
+        10 => (0u32..5, left, 0.5..2.0).prop_map(|(class, left, slots)| Step::Submit { class, left, slots }),
         6 => (0usize..50).prop_map(Step::Start),
         8 => ((0usize..50), status).prop_map(|(n, s)| Step::End(n, s)),
         8 => prop_oneof![1..50 * MS, 50 * MS..2 * SEC].prop_map(Step::Pass),
@@ -45,41 +45,41 @@
         1 => (0u32..6).prop_map(Step::Restart),
         1 => (0u32..6).prop_map(Step::Drop),
         2 => (0u32..6).prop_map(Step::Return),
-        1 => Just(Step::FullList),
-        1 => Just(Step::ListFails),
-        1 => (0usize..50).prop_map(Step::Gone),
+        1 => Just(Step::FullMembership),
+        1 => Just(Step::MembershipFails),
+        1 => (0usize..50).prop_map(Step::ClientLeaves),
         1 => (MS..400 * MS).prop_map(Step::Stall),
         1 => Just(Step::Crash),
         1 => (0u32..6).prop_map(Step::Probe),
     ]
 }
 
-struct AttemptNo {
+struct TrackedAttempt {
     worker: WorkerId,
     sent: Time,
     status: Option<Status>,
 }
 
-struct Asked {
+struct TrackedRequest {
     class: u32,
     deadline: Time,
-    attempts: Vec<AttemptNo>,
-    /// The client has its answer, or is gone.
-    over: bool,
-    finals: u32,
+    attempts: Vec<TrackedAttempt>,
+    /// The client has its answer, or has left.
+    closed: bool,
+    final_answers: u32,
 }
 
-/// Knows only what was said on both sides.
+/// Knows only the events and actions of both sides, and checks each action against the rules.
 struct Checker {
     settings: Settings,
     stage: Harness,
-    listed: BTreeMap<WorkerId, Entry>,
-    requests: BTreeMap<RequestId, Asked>,
-    cold: BTreeMap<WorkerId, Vec<Time>>,
+    entries_by_worker: BTreeMap<WorkerId, Entry>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    warm_up_sends: BTreeMap<WorkerId, Vec<Time>>,
     next: RequestId,
     /// Since the start of the instance: requests taken, and attempts beyond a first with how they ended.
-    taken: Vec<Time>,
-    again: Vec<(Time, RequestId, usize)>,
+    accepted_at: Vec<Time>,
+    retries: Vec<(Time, RequestId, usize)>,
     /// Workers where a connection may have gone idle since it was last closed, and which drain.
     idle: BTreeSet<WorkerId>,
     stalls: Vec<(Time, Time)>,
@@ -96,12 +96,12 @@
         Checker {
             stage: Harness::new(settings.clone(), &workers),
             settings,
-            listed: workers.into_iter().map(|w| (w.worker, w)).collect(),
+            entries_by_worker: workers.into_iter().map(|w| (w.worker, w)).collect(),
             requests: BTreeMap::new(),
-            cold: BTreeMap::new(),
+            warm_up_sends: BTreeMap::new(),
             next: 1,
-            taken: Vec::new(),
-            again: Vec::new(),
+            accepted_at: Vec::new(),
+            retries: Vec::new(),
             idle: BTreeSet::new(),
             stalls: Vec::new(),
         }
@@ -126,7 +126,7 @@
                         .requests
                         .get_mut(&request)
                         .expect("an answer names a known request");
-                    assert!(!r.over, "a second final answer");
+                    assert!(!r.closed, "a second final answer");
                     // One that stood still then can answer no sooner than it is back.
                     let due = r.deadline + self.settings.rules.answer_slack;
                     let back = self
@@ -135,7 +135,7 @@
                         .find(|s| s.0 <= due && due < s.1)
                         .map_or(0, |s| s.1);
                     assert!(now <= due.max(back), "answered too late");
-                    (r.over, r.finals) = (true, r.finals + 1);
+                    (r.closed, r.final_answers) = (true, r.final_answers + 1);
                     let r = &self.requests[&request];
                     let full_ran = self.settings.rules.full_may_have_run;
                     let ran = r.attempts.iter().any(|a| !never_ran(a.status, full_ran));
@@ -160,7 +160,7 @@
                 Action::Disconnect { worker } => {
                     assert!(
                         self.settings.rules.let_go_in.is_none()
-                            || self.listed.contains_key(&worker)
+                            || self.entries_by_worker.contains_key(&worker)
                     );
                     self.idle.remove(&worker);
                 }
@@ -176,10 +176,10 @@
             let left = self
                 .idle
                 .iter()
-                .find(|w| self.listed[w].state != WorkerState::Active);
+                .find(|w| self.entries_by_worker[w].state != WorkerState::Active);
             assert_eq!(
                 left, None,
-                "an idle connection to a worker that leaves stays open"
+                "an idle connection to a draining worker stays open"
             );
         }
     }
@@ -187,18 +187,18 @@
     fn check_send(&mut self, now: Time, request: RequestId, worker: WorkerId) {
         let rules = self.settings.rules.clone();
         let w = self
-            .listed
+            .entries_by_worker
             .get(&worker)
-            .expect("a send to a worker that the list never named");
+            .expect("a send to a worker that the membership list never named");
         assert_eq!(
             w.state,
             WorkerState::Active,
-            "a send to a worker that drains or is gone"
+            "a send to a worker that drains or has left"
         );
         let r = &self.requests[&request];
         assert!(
-            !r.over && now < r.deadline,
-            "a send for a request that is over"
+            !r.closed && now < r.deadline,
+            "a send for a request that is closed"
         );
         assert!(
             r.attempts.len() < self.settings.limits.attempts as usize,
@@ -207,15 +207,15 @@
         if !self.settings.limits.duplicates {
             assert!(
                 r.attempts.iter().all(|a| a.status.is_some()),
-                "two attempts out at once"
+                "two attempts in flight at once"
             );
         }
         if !r.attempts.is_empty()
             && let Some(budget) = rules.resends
         {
             let since = |t: &Time| budget.window.is_none_or(|w| *t + w >= now);
-            let taken = self
-                .taken
+            let accepted = self
+                .accepted_at
                 .iter()
                 .filter(|t| budget.window.is_some_and(|w| **t + w > now))
                 .count();
@@ -224,21 +224,21 @@
                     .get(id)
                     .is_some_and(|r| r.attempts[*n].status == Some(Status::Moot))
             };
-            let again = self
-                .again
+            let retries = self
+                .retries
                 .iter()
                 .filter(|a| since(&a.0) && !moot(a))
                 .count()
                 + 1;
             assert!(
-                again as f64 <= budget.free + budget.ratio * taken as f64 + 1e-9,
-                "{again} of {taken}"
+                retries as f64 <= budget.free + budget.ratio * accepted as f64 + 1e-9,
+                "{retries} of {accepted}"
             );
-            self.again.push((now, request, r.attempts.len()));
+            self.retries.push((now, request, r.attempts.len()));
         }
         let full_ran = rules.full_may_have_run;
         if let Some(first) = r.attempts.iter().find(|a| !never_ran(a.status, full_ran)) {
-            let of = &self.listed[&first.worker];
+            let of = &self.entries_by_worker[&first.worker];
             match self.effect(r.class) {
                 Effect::Safe => {}
                 Effect::Unsafe => panic!("an unsafe request sent twice"),
@@ -260,7 +260,7 @@
             let warmth = rules.initial_capacity
                 + (1.0 - rules.initial_capacity) * (now - w.ready_at) as f64
                     / rules.warm_after as f64;
-            let sends = self.cold.entry(worker).or_default();
+            let sends = self.warm_up_sends.entry(worker).or_default();
             sends.push(now);
             let recent = sends
                 .iter()
@@ -269,23 +269,23 @@
             let n = self.settings.dispatchers.max(1) as f64;
             let budget = rules.tip_multiple * warmth * 8.0 * rules.tip_window as f64 / n;
             // Runs here may turn out far shorter, and the module learns that: among few dispatchers the 8 slots
-            // leave room for it. Small parts are checked in `a_small_part_of_a_cold_budget_is_saved_up`.
+            // leave room for it. Small parts are checked in `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
             assert!(
                 n > 5.0 || recent * 300_000.0 <= budget,
-                "{recent} sends to a cold worker"
+                "{recent} sends to a worker in warm-up"
             );
         }
         let r = self.requests.get_mut(&request).expect("known");
-        r.attempts.push(AttemptNo {
+        r.attempts.push(TrackedAttempt {
             worker,
             sent: now,
             status: None,
         });
     }
 
-    /// The n-th attempt that is out, counted round.
-    fn pick(&self, n: usize) -> Option<(RequestId, u32)> {
-        let out = |(id, r): (&RequestId, &Asked)| -> Vec<(RequestId, u32)> {
+    /// The n-th attempt in flight, modulo their number.
+    fn nth_in_flight(&self, n: usize) -> Option<(RequestId, u32)> {
+        let out = |(id, r): (&RequestId, &TrackedRequest)| -> Vec<(RequestId, u32)> {
             let open = r
                 .attempts
                 .iter()
@@ -304,10 +304,10 @@
     fn end(&mut self, id: RequestId, attempt: u32, status: Status) {
         let r = self.requests.get_mut(&id).expect("known");
         r.attempts[attempt as usize].status = Some(status);
-        if status == Status::Ok && !r.over {
-            (r.over, r.finals) = (true, r.finals + 1);
+        if status == Status::Ok && !r.closed {
+            (r.closed, r.final_answers) = (true, r.final_answers + 1);
         }
-        let closed = r.over;
+        let closed = r.closed;
         self.idle.insert(r.attempts[attempt as usize].worker);
         self.stage.handle(Event::Outcome {
             request: id,
@@ -323,8 +323,8 @@
     fn advance(&mut self, time: Time) {
         let end = self.stage.now + time;
         loop {
-            let due = |r: &Asked| r.deadline.max(1);
-            let out = |r: &Asked| r.attempts.iter().any(|a| a.status.is_none());
+            let due = |r: &TrackedRequest| r.deadline.max(1);
+            let out = |r: &TrackedRequest| r.attempts.iter().any(|a| a.status.is_none());
             let next = self
                 .requests
                 .iter()
@@ -340,7 +340,7 @@
                         .attempts
                         .iter()
                         .position(|a| a.status.is_none())
-                        .expect("one is out");
+                        .expect("one is in flight");
                     self.end(id, n as u32, Status::Timeout);
                 }
                 (_, Some((at, name))) => {
@@ -355,27 +355,27 @@
         self.stage.now = end;
     }
 
-    fn tell(&mut self, change: Entry) {
-        self.listed.insert(change.worker, change.clone());
+    fn update_entry(&mut self, change: Entry) {
+        self.entries_by_worker.insert(change.worker, change.clone());
         self.stage.update_membership(Scope::Delta, &[change]);
         self.check();
     }
 
     fn run(&mut self, step: Step) {
         match step {
-            Step::Ask { class, left, slots } => {
+            Step::Submit { class, left, slots } => {
                 let id = self.next;
                 self.next += 1;
                 let (deadline, attempts) = (self.stage.now + left, Vec::new());
-                self.taken.push(self.stage.now);
+                self.accepted_at.push(self.stage.now);
                 self.requests.insert(
                     id,
-                    Asked {
+                    TrackedRequest {
                         class,
                         deadline,
                         attempts,
-                        over: false,
-                        finals: 0,
+                        closed: false,
+                        final_answers: 0,
                     },
                 );
                 let estimate = Some(300 * MS);
@@ -389,41 +389,46 @@
                 self.check();
             }
             Step::Start(n) => {
-                if let Some((request, attempt)) = self.pick(n) {
+                if let Some((request, attempt)) = self.nth_in_flight(n) {
                     self.stage.handle(Event::Started { request, attempt });
                     self.check();
                 }
             }
             Step::End(n, status) => {
-                if let Some((id, attempt)) = self.pick(n) {
+                if let Some((id, attempt)) = self.nth_in_flight(n) {
                     self.end(id, attempt, status);
                 }
             }
             Step::Pass(time) => self.advance(time),
-            Step::Drain(w) => self.tell(Entry {
+            Step::Drain(w) => self.update_entry(Entry {
                 state: WorkerState::Draining,
-                ..self.listed[&w].clone()
+                ..self.entries_by_worker[&w].clone()
             }),
-            Step::Drop(w) => self.tell(Entry {
+            Step::Drop(w) => self.update_entry(Entry {
                 state: WorkerState::Left,
-                ..self.listed[&w].clone()
+                ..self.entries_by_worker[&w].clone()
             }),
-            Step::Return(w) => self.tell(Entry {
+            Step::Return(w) => self.update_entry(Entry {
                 state: WorkerState::Active,
-                ..self.listed[&w].clone()
+                ..self.entries_by_worker[&w].clone()
             }),
             Step::Restart(w) => {
                 let ready_at = self.stage.now;
-                self.cold.remove(&w);
-                self.tell(Entry {
+                self.warm_up_sends.remove(&w);
+                self.update_entry(Entry {
                     state: WorkerState::Active,
                     ready_at,
-                    ..self.listed[&w].clone()
+                    ..self.entries_by_worker[&w].clone()
                 });
             }
-            Step::FullList => {
+            Step::FullMembership => {
                 let active = |e: &&Entry| e.state == WorkerState::Active;
-                let entries: Vec<_> = self.listed.values().filter(active).cloned().collect();
+                let entries: Vec<_> = self
+                    .entries_by_worker
+                    .values()
+                    .filter(active)
+                    .cloned()
+                    .collect();
                 self.stage.update_membership(Scope::Full, &entries);
                 self.check();
             }
@@ -434,10 +439,10 @@
             }
             Step::Crash => {
                 // Its requests are void; it starts anew with the list as it last held it.
-                let workers: Vec<_> = self.listed.values().cloned().collect();
+                let workers: Vec<_> = self.entries_by_worker.values().cloned().collect();
                 let now = self.stage.now;
                 self.stage = Harness::starting_at(self.settings.clone(), &workers, now);
-                (self.requests, self.taken, self.again) = Default::default();
+                (self.requests, self.accepted_at, self.retries) = Default::default();
                 self.idle.clear();
                 self.check();
             }
@@ -450,21 +455,21 @@
                 });
                 self.check();
             }
-            Step::ListFails => {
+            Step::MembershipFails => {
                 self.stage.update_membership(Scope::Failed, &[]);
                 self.check();
             }
-            Step::Gone(n) => {
+            Step::ClientLeaves(n) => {
                 let ids: Vec<_> = self
                     .requests
                     .iter()
-                    .filter(|(_, r)| !r.over)
+                    .filter(|(_, r)| !r.closed)
                     .map(|(id, _)| *id)
                     .collect();
                 if !ids.is_empty() {
                     let id = ids[n % ids.len()];
                     let r = self.requests.get_mut(&id).expect("known");
-                    (r.over, r.finals) = (true, 1);
+                    (r.closed, r.final_answers) = (true, 1);
                     self.stage.handle(Event::RequestClosed(id));
                     self.check();
                 }
@@ -475,7 +480,11 @@
     fn finish(&mut self) {
         self.advance(20 * SEC);
         for (id, r) in &self.requests {
-            assert_eq!(r.finals, 1, "request {id} got {} final answers", r.finals);
+            assert_eq!(
+                r.final_answers, 1,
+                "request {id} got {} final answers",
+                r.final_answers
+            );
         }
     }
 }
@@ -485,7 +494,7 @@
         || (status == Some(Status::Full) && !full_may_have_run)
 }
 
-fn further_rules() -> impl Strategy<Value = (Option<ResendBudget>, Option<Time>, bool)> {
+fn any_optional_rules() -> impl Strategy<Value = (Option<ResendBudget>, Option<Time>, bool)> {
     let window = prop_oneof![Just(None), (SEC..10 * SEC).prop_map(Some)];
     let budget = (0.0..4.0, 0.0..0.5, window);
     let budget = budget.prop_map(|(free, ratio, window)| ResendBudget {
@@ -542,9 +551,9 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn rules_hold_over_random_events(settings in any_settings(), further in further_rules(), steps in prop::collection::vec(step(), 1..200)) {
+    fn rules_hold_for_random_event_sequences(settings in any_settings(), optional_rules in any_optional_rules(), steps in prop::collection::vec(step(), 1..200)) {
         let mut settings = settings;
-        (settings.rules.resends, settings.rules.let_go_in, settings.rules.full_may_have_run) = further;
+        (settings.rules.resends, settings.rules.let_go_in, settings.rules.full_may_have_run) = optional_rules;
         let mut checker = Checker::new(settings);
         checker.check();
         for step in steps {
--- a/crates/decisions/tests/sampling.rs
+++ b/crates/decisions/tests/sampling.rs
@@ -5,9 +5,9 @@
 
 #[test]
 fn worker_with_fewest_requests_in_flight_is_chosen() {
-    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
     let mut used: Vec<_> = (0..3)
-        .map(|_| s.submit(0).1.expect("a worker is free"))
+        .map(|_| harness.submit(0).1.expect("a worker is free"))
         .collect();
     used.sort();
     assert_eq!(
@@ -20,11 +20,11 @@
 #[test]
 fn faster_kinds_are_drawn_more_than_proportionally() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
-    let mut s = Harness::new(settings(), &workers);
+    let mut harness = Harness::new(settings(), &workers);
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     let mut fast = 0;
     for n in 0..400 {
-        let worker = s.serve(0, run).expect("idle workers take every job");
+        let worker = harness.serve(0, run).expect("idle workers take every job");
         fast += usize::from(n >= 200 && worker % 2 == 0);
     }
     assert!(
@@ -37,9 +37,9 @@
 fn bound_class_is_only_sent_to_its_kind() {
     let mut settings = settings();
     settings.classes[0].kind = Some(1);
-    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 1)]);
+    let mut harness = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 1)]);
     for _ in 0..20 {
-        assert_eq!(s.serve(0, |_| 50 * MS), Some(3));
+        assert_eq!(harness.serve(0, |_| 50 * MS), Some(3));
     }
 }
 
@@ -52,14 +52,14 @@
     };
     settings.classes[1].kind = Some(1);
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
-    let mut s = Harness::new(settings, &workers);
+    let mut harness = Harness::new(settings, &workers);
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     let mut fast = 0;
     for n in 0..400 {
         for _ in 0..6 {
-            let (request, _) = s.submit(1);
+            let (request, _) = harness.submit(1);
             let status = Status::Cancelled;
-            s.handle(Event::Outcome {
+            harness.handle(Event::Outcome {
                 request,
                 attempt: 0,
                 status,
@@ -67,7 +67,7 @@
                 load: None,
             });
         }
-        let worker = s.serve(0, run).expect("idle workers take every job");
+        let worker = harness.serve(0, run).expect("idle workers take every job");
         fast += usize::from(n >= 200 && worker % 2 == 0);
     }
     assert!(
@@ -80,16 +80,16 @@
 fn same_seed_and_events_give_the_same_actions() {
     let run = || {
         let workers: Vec<_> = (0..6).map(|i| entry(i, i % 3)).collect();
-        let mut s = Harness::new(settings(), &workers);
+        let mut harness = Harness::new(settings(), &workers);
         let mut log = Vec::new();
         for n in 0..200u64 {
-            let (id, _) = s.submit((n % 4) as u32);
-            log.extend(s.actions.clone());
+            let (id, _) = harness.submit((n % 4) as u32);
+            log.extend(harness.actions.clone());
             if n % 3 != 0 {
-                s.start(id, 0);
+                harness.start(id, 0);
             }
-            log.extend(s.advance(20 * MS));
-            s.end(
+            log.extend(harness.advance(20 * MS));
+            harness.end(
                 id,
                 0,
                 if n % 7 == 0 {
@@ -98,7 +98,7 @@
                     Status::Ok
                 },
             );
-            log.extend(s.actions.clone());
+            log.extend(harness.actions.clone());
         }
         log
     };
@@ -115,9 +115,10 @@
             me,
             ..settings()
         };
-        let mut s = Harness::new(settings, &workers);
+        let mut harness = Harness::new(settings, &workers);
         let used = (0..60).map(|_| {
-            s.serve(0, |_| 100 * MS)
+            harness
+                .serve(0, |_| 100 * MS)
                 .expect("idle workers take every job")
         });
         used.collect::<std::collections::BTreeSet<_>>()
@@ -129,14 +130,14 @@
         "dispatchers apart share no worker"
     );
     // With its near workers taken, it goes on to the others.
-    let mut s = Harness::new(
+    let mut harness = Harness::new(
         Settings {
             dispatchers: 40,
             ..settings()
         },
         &workers,
     );
-    let used: std::collections::BTreeSet<_> = (0..30).filter_map(|_| s.submit(0).1).collect();
+    let used: std::collections::BTreeSet<_> = (0..30).filter_map(|_| harness.submit(0).1).collect();
     assert!(used.len() > 8, "{used:?}");
 }
 
@@ -149,23 +150,23 @@
         zone: i / 2,
         ..entry(i, 0)
     });
-    let mut s = Harness::new(settings, &workers);
+    let mut harness = Harness::new(settings, &workers);
     // At home a job starts after two others are through, elsewhere at once.
     let mut away = [0, 0];
     for n in 0..200 {
-        let (id, worker) = s.submit(0);
-        let far = worker.expect("sent") >= 2;
-        away[usize::from(n >= 100)] += i32::from(far);
-        s.advance(if far { MS } else { 200 * MS });
-        s.start(id, 0);
-        s.advance(100 * MS);
-        s.end(id, 0, Status::Ok);
-        s.advance(3 * SEC);
+        let (id, worker) = harness.submit(0);
+        let is_away = worker.expect("sent") >= 2;
+        away[usize::from(n >= 100)] += i32::from(is_away);
+        harness.advance(if is_away { MS } else { 200 * MS });
+        harness.start(id, 0);
+        harness.advance(100 * MS);
+        harness.end(id, 0, Status::Ok);
+        harness.advance(3 * SEC);
     }
     assert!(away[1] > 25, "{away:?}");
     // Once the own zone starts them promptly again, they come back.
     let home: Vec<_> = (0..300)
-        .map(|_| s.serve(0, |_| 100 * MS).expect("sent") < 2)
+        .map(|_| harness.serve(0, |_| 100 * MS).expect("sent") < 2)
         .collect();
     assert!(home[240..].iter().all(|h| *h), "{home:?}");
 }
@@ -173,14 +174,14 @@
 /// A kind must not be taken for slow because it happened to get the long class.
 #[test]
 fn kind_speeds_are_compared_within_each_class() {
-    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 1)]);
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 1)]);
     // Both kinds are equally fast. Class 0 is short, class 2 ten times as long and mostly on kind 0.
     for n in 0..200 {
         let class = if n % 2 == 0 { 0 } else { 2 };
-        s.serve(class, |_| if class == 0 { 50 * MS } else { 500 * MS });
+        harness.serve(class, |_| if class == 0 { 50 * MS } else { 500 * MS });
     }
     let on_first = (0..200)
-        .filter(|_| s.serve(0, |_| 50 * MS) == Some(1))
+        .filter(|_| harness.serve(0, |_| 50 * MS) == Some(1))
         .count();
     assert!(
         (60..=140).contains(&on_first),
--- a/crates/decisions/tests/solver.rs
+++ b/crates/decisions/tests/solver.rs
@@ -3,22 +3,32 @@
 use indigofold_decisions::dispatcher::solve;
 
 /// The objective of problem (1) for draw probabilities `p`; infinite where a kind is overloaded.
-fn objective(p: &[f64], share: &[f64], speed: &[f64], load: f64, d: f64) -> f64 {
-    let total: f64 = share.iter().sum();
-    let mean: f64 = share.iter().zip(speed).map(|(g, m)| g / total * m).sum();
+fn mean_queue_length(
+    p: &[f64],
+    capacity_fraction: &[f64],
+    speed: &[f64],
+    load: f64,
+    d: f64,
+) -> f64 {
+    let total: f64 = capacity_fraction.iter().sum();
+    let mean: f64 = capacity_fraction
+        .iter()
+        .zip(speed)
+        .map(|(g, m)| g / total * m)
+        .sum();
     let mut sum = 0.0;
     for k in 0..p.len() {
-        let rho = load * p[k] / (share[k] / total * speed[k] / mean);
+        let rho = load * p[k] / (capacity_fraction[k] / total * speed[k] / mean);
         if rho >= 1.0 {
             return f64::INFINITY;
         }
         if d == 1.0 {
-            sum += share[k] / total * rho / (1.0 - rho);
+            sum += capacity_fraction[k] / total * rho / (1.0 - rho);
             continue;
         }
         let (mut exponent, mut term) = (1.0f64, rho);
         while term > 1e-14 && exponent < 1e9 {
-            sum += share[k] / total * term;
+            sum += capacity_fraction[k] / total * term;
             exponent = exponent * d + 1.0;
             term = rho.powf(exponent);
         }
@@ -28,14 +38,14 @@
 
 #[test]
 fn optimum_matches_brute_force() {
-    for (share, speed) in [
+    for (capacity_fraction, speed) in [
         ([2.0, 3.0, 3.0], [2.0, 1.2, 0.8]),
         ([1.0, 1.0, 6.0], [1.5, 1.4, 0.4]),
     ] {
         for load in [0.15, 0.5, 0.8, 0.93] {
             for d in [1u32, 2, 3, 5] {
-                let p = solve(&share, &speed, load, d);
-                let found = objective(&p, &share, &speed, load, f64::from(d));
+                let p = solve(&capacity_fraction, &speed, load, d);
+                let found = mean_queue_length(&p, &capacity_fraction, &speed, load, f64::from(d));
                 let mut best = f64::INFINITY;
                 for i in 0..=200 {
                     for j in 0..=200 - i {
@@ -44,7 +54,13 @@
                             j as f64 / 200.0,
                             (200 - i - j) as f64 / 200.0,
                         ];
-                        best = best.min(objective(&q, &share, &speed, load, f64::from(d)));
+                        best = best.min(mean_queue_length(
+                            &q,
+                            &capacity_fraction,
+                            &speed,
+                            load,
+                            f64::from(d),
+                        ));
                     }
                 }
                 assert!(
@@ -59,18 +75,20 @@
 #[test]
 fn optimum_for_one_sampled_worker_matches_the_closed_form() {
     // d = 1 is random routing to M/M/1 queues: mu_k - lambda_k in use is proportional to sqrt(mu_k).
-    let (share, speed, load) = ([0.5, 0.5], [1.5, 0.5], 0.6);
-    let p = solve(&share, &speed, load, 1);
-    let roots: f64 = (0..2).map(|k: usize| share[k] * f64::sqrt(speed[k])).sum();
+    let (capacity_fraction, speed, load) = ([0.5, 0.5], [1.5, 0.5], 0.6);
+    let p = solve(&capacity_fraction, &speed, load, 1);
+    let roots: f64 = (0..2)
+        .map(|k: usize| capacity_fraction[k] * f64::sqrt(speed[k]))
+        .sum();
     for k in 0..2 {
-        let flow = share[k] * (speed[k] - speed[k].sqrt() * (1.0 - load) / roots);
+        let flow = capacity_fraction[k] * (speed[k] - speed[k].sqrt() * (1.0 - load) / roots);
         assert!((p[k] - flow / load).abs() < 1e-6, "{p:?}");
     }
 }
 
 #[test]
 fn zero_full_and_unknown_load_give_defined_probabilities() {
-    let near = |a: f64, b: f64| (a - b).abs() < 1e-9;
+    let is_close = |a: f64, b: f64| (a - b).abs() < 1e-9;
     // Hardly any load: only the fastest kind. Full load or none known: by capacity.
     let p = solve(&[1.0, 1.0], &[3.0, 1.0], 0.0, 2);
     assert!(p[0] > 0.999, "{p:?}");
@@ -78,9 +96,9 @@
         let p = solve(&[1.0, 1.0], &[3.0, 1.0], load, 2);
         assert!((p[0] - 0.75).abs() < 0.02, "{load}: {p:?}");
     }
-    assert!(near(solve(&[2.0], &[0.7], 0.5, 3)[0], 1.0));
+    assert!(is_close(solve(&[2.0], &[0.7], 0.5, 3)[0], 1.0));
     let p = solve(&[0.0, 2.0], &[9.0, 1.0], 0.5, 3);
-    assert!(near(p[0], 0.0) && near(p[1], 1.0));
+    assert!(is_close(p[0], 0.0) && is_close(p[1], 1.0));
     assert_eq!(solve(&[0.0, 0.0], &[1.0, 1.0], 0.5, 3), vec![0.0, 0.0]);
     assert!(solve(&[], &[], 0.5, 3).is_empty());
 }
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -1,22 +1,16 @@
-//! What one dispatcher has learned, taken in by another, and open jobs that go over: by behaviour, without the bench.
+//! Statistics of one dispatcher, merged by another one, and their written form.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions::dispatcher::WorkerCounts;
 use indigofold_decisions::statistics::{LONGEST, MAGIC, Refused, Statistics, UNLIMITED, VERSION};
-use indigofold_decisions::transferred_job::TransferredJob;
 use indigofold_decisions_testing::*;
 use proptest::prelude::*;
 
-/// The next process: what a dispatcher starts with, at the time of the one before.
-fn next(old: &Harness, settings: Settings, workers: &[Entry]) -> Harness {
-    Harness::starting_at(settings, workers, old.now)
-}
-
 fn counts(listed: u64, avoided: u64) -> WorkerCounts {
     WorkerCounts { listed, avoided }
 }
 
-fn take(to: &mut Harness, statistics: Statistics<u32>) {
+fn merge(to: &mut Harness, statistics: Statistics<u32>) {
     to.handle(Event::Statistics(Box::new(statistics)));
 }
 
@@ -30,20 +24,20 @@
     old
 }
 
-fn fast_of_thirty(s: &mut Harness) -> usize {
+fn fast_of_thirty(harness: &mut Harness) -> usize {
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     (0..30)
-        .filter(|_| s.serve(0, run).expect("idle workers take every job") % 2 == 0)
+        .filter(|_| harness.serve(0, run).expect("idle workers take every job") % 2 == 0)
         .count()
 }
 
 #[test]
-fn the_next_process_draws_kinds_as_the_one_before_from_its_first_job_on() {
+fn merged_statistics_give_the_kind_weights_of_the_former_process() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
-    let mut without = next(&old, settings(), &workers);
-    let mut with = next(&old, settings(), &workers);
-    take(&mut with, old.dispatcher.statistics(old.now));
+    let mut without = old.successor(settings(), &workers);
+    let mut with = old.successor(settings(), &workers);
+    merge(&mut with, old.dispatcher.statistics(old.now));
     let (without, with) = (fast_of_thirty(&mut without), fast_of_thirty(&mut with));
     assert!(
         with >= 27 && without < with,
@@ -51,21 +45,21 @@
     );
 }
 
-/// Guards against a statement that grows or shifts each time it is handed on.
+/// Statistics must not grow or shift each time that they are passed on.
 #[test]
-fn handed_on_at_once_what_was_learned_stays_as_it_was() {
+fn statistics_that_are_merged_and_read_at_once_stay_the_same() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
     let statistics = old.dispatcher.statistics(old.now);
-    let mut new = next(&old, settings(), &workers);
-    take(&mut new, statistics.clone());
-    take(&mut new, statistics.clone());
-    let again = new.dispatcher.statistics(new.now);
+    let mut new = old.successor(settings(), &workers);
+    merge(&mut new, statistics.clone());
+    merge(&mut new, statistics.clone());
+    let passed_on = new.dispatcher.statistics(new.now);
     assert_eq!(
         (&statistics.classes, &statistics.workers),
-        (&again.classes, &again.workers)
+        (&passed_on.classes, &passed_on.workers)
     );
-    for ((_, was), (_, is)) in statistics.kinds.iter().zip(&again.kinds) {
+    for ((_, was), (_, is)) in statistics.kinds.iter().zip(&passed_on.kinds) {
         assert_eq!(
             (was.slots, was.slots_reported, &was.speed),
             (is.slots, is.slots_reported, &is.speed)
@@ -77,12 +71,12 @@
             is.weight
         );
     }
-    assert_eq!(statistics.pace, again.pace);
+    assert_eq!(statistics.pace, passed_on.pace);
 }
 
-/// A failing worker is set aside; the process that takes over leaves it alone, unless it has started anew.
+/// A failing worker is ejected; the process that takes over ejects it too, unless it has restarted.
 #[test]
-fn suspicion_goes_along_with_the_same_start_of_a_worker_only() {
+fn ejection_is_merged_only_for_the_same_instance_of_a_worker() {
     let mut old = Harness::new(settings(), &[entry(1, 0)]);
     for _ in 0..2 {
         let (id, worker) = old.submit(2);
@@ -96,8 +90,8 @@
         "it is avoided"
     );
     let statistics = old.dispatcher.statistics(old.now);
-    let mut same = next(&old, settings(), &[entry(1, 0)]);
-    take(&mut same, statistics.clone());
+    let mut same = old.successor(settings(), &[entry(1, 0)]);
+    merge(&mut same, statistics.clone());
     assert_eq!(
         (same.dispatcher.worker_counts(same.now), same.submit(0).1),
         (counts(1, 1), None)
@@ -106,14 +100,14 @@
         ready_at: 99 * SEC,
         ..entry(1, 0)
     };
-    let mut other = next(&old, settings(), &[anew]);
-    take(&mut other, statistics);
+    let mut other = old.successor(settings(), &[anew]);
+    merge(&mut other, statistics);
     assert_eq!(other.dispatcher.worker_counts(other.now), counts(1, 0));
 }
 
-/// Guards against a right that is taken from what was written: of the list's states, and of a cold worker's budget.
+/// No permission may come from written statistics: neither the states of the membership list nor a warm-up budget.
 #[test]
-fn nothing_that_permits_is_taken() {
+fn membership_and_warm_up_budgets_are_not_merged() {
     let rules = Rules {
         initial_capacity: 0.32,
         warm_after: 8 * SEC,
@@ -131,43 +125,43 @@
     let statistics = old.dispatcher.statistics(old.now);
     assert!(statistics.workers.len() == 2 && statistics.kinds[0].1.speed.weight() > 50.0);
     // The list says: one is leaving, one has just started. Nobody else is there.
-    let leaving = Entry {
+    let draining = Entry {
         state: WorkerState::Draining,
         ..entry(1, 0)
     };
-    let cold = Entry {
+    let warming = Entry {
         ready_at: old.now,
         ..entry(2, 0)
     };
     let sent = |statistics: Option<Statistics<u32>>| {
-        let mut new = next(&old, settings.clone(), &[leaving.clone(), cold.clone()]);
-        statistics.into_iter().for_each(|l| take(&mut new, l));
+        let mut new = old.successor(settings.clone(), &[draining.clone(), warming.clone()]);
+        statistics.into_iter().for_each(|l| merge(&mut new, l));
         let to: Vec<WorkerId> = (0..40).filter_map(|_| new.submit(0).1).collect();
-        assert!(!to.contains(&1), "a leaving worker gets nothing");
+        assert!(!to.contains(&1), "a draining worker gets nothing");
         to.len()
     };
     let (with, without) = (sent(Some(statistics)), sent(None));
     assert!(
         with <= without.max(1),
-        "at once to a cold worker: {with}, without {without}"
+        "at once to a worker in warm-up: {with}, without {without}"
     );
 }
 
 #[test]
-fn slots_that_the_other_process_holds_are_taken_ones_until_the_news_is_old() {
+fn slots_in_flight_of_the_other_process_count_until_its_next_update() {
     let mut new = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let held = Statistics {
+    let elsewhere = Statistics {
         at: new.now,
         in_flight: vec![(1, 3.0), (77, 2.0)],
         ..Statistics::default()
     };
-    take(&mut new, held);
+    merge(&mut new, elsewhere);
     let (id, to) = new.submit(0);
     assert_eq!(to, Some(2), "the first looks full");
     new.handle(Event::RequestClosed(id));
     new.end(id, 0, Status::Cancelled);
     let at = new.now;
-    take(
+    merge(
         &mut new,
         Statistics {
             at,
@@ -178,9 +172,9 @@
     assert!(sent.contains(&1), "held no longer: {sent:?}");
 }
 
-/// Attempts of the process before count as its own in a budget of attempts; told twice, they count once.
+/// Retries of the former process count as own ones in the retry budget; merged twice, they count once.
 #[test]
-fn further_attempts_made_before_count_in_the_budget() {
+fn merged_retries_count_once_in_the_retry_budget() {
     let budget = ResendBudget {
         free: 1.0,
         ratio: 0.0,
@@ -198,11 +192,11 @@
     let (id, _) = old.submit(0);
     old.end(id, 0, Status::Error);
     assert!(old.sent_to(id).is_some(), "one further attempt is free");
-    let mut new = next(&old, settings, &workers);
+    let mut new = old.successor(settings, &workers);
     let statistics = old.dispatcher.statistics(old.now);
     assert_eq!(statistics.retried_at.len(), 1);
-    take(&mut new, statistics.clone());
-    take(&mut new, statistics);
+    merge(&mut new, statistics.clone());
+    merge(&mut new, statistics);
     assert_eq!(new.dispatcher.statistics(new.now).retried_at.len(), 1);
     let (id, _) = new.submit(0);
     new.end(id, 0, Status::Error);
@@ -213,17 +207,15 @@
     );
 }
 
-// ---- Age ----------------------------------------------------------------------------------------------------
-
-/// What is learned in minutes outlives a pause of one; queues and arrivals do not.
+/// What is learned in minutes outlasts a break of one; queues and arrivals do not.
 #[test]
-fn what_was_learned_counts_by_its_age() {
+fn merged_statistics_are_weighted_by_their_age() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
     let old = experienced(&workers);
     let statistics = old.dispatcher.statistics(old.now);
-    let after = |pause: Time| {
-        let mut new = Harness::starting_at(settings(), &workers, old.now + pause);
-        take(&mut new, statistics.clone());
+    let after = |delay: Time| {
+        let mut new = Harness::starting_at(settings(), &workers, old.now + delay);
+        merge(&mut new, statistics.clone());
         new.dispatcher.statistics(new.now)
     };
     let (now, minute, day) = (after(0), after(60 * SEC), after(86_400 * SEC));
@@ -238,7 +230,7 @@
     ahead.workers[0].1.ejected_until = Time::MAX;
     ahead.workers[0].1.load_updated_at = Some(Time::MAX);
     let mut new = Harness::starting_at(settings(), &workers, old.now);
-    take(&mut new, ahead);
+    merge(&mut new, ahead);
     let known = new.dispatcher.statistics(new.now);
     assert!(
         known.workers[0].1.ejected_until <= new.now + 6 * SEC
@@ -246,15 +238,13 @@
     );
 }
 
-// ---- The written form ---------------------------------------------------------------------------------------
-
 fn named(statistics: Statistics<u32>) -> Statistics<String> {
     let name = |n: &u32| Some(format!("n{n}"));
     statistics.renamed(name, name, name, |n| Some(format!("s-{n:08x}")))
 }
 
 #[test]
-fn the_written_form_reads_as_it_was() {
+fn written_statistics_are_read_back_unchanged() {
     let workers: Vec<_> = (0..200).map(|i| entry(i, i % 2)).collect();
     let statistics = named(experienced(&workers).dispatcher.statistics(130 * SEC));
     let form = statistics.write().expect("200 workers fit");
@@ -268,9 +258,9 @@
     assert_eq!(large.write(), None);
 }
 
-/// Version 1 as it was first written: it must be read for good.
+/// Version 1 as it was first written: it must be readable for good.
 #[test]
-fn version_one_is_read() {
+fn version_one_stays_readable() {
     let empty = "49464c52010009000000d4751b05cb136975ac0200000000000000";
     let form: Vec<u8> = (0..empty.len() / 2)
         .map(|n| u8::from_str_radix(&empty[2 * n..2 * n + 2], 16).expect("hex"))
@@ -297,7 +287,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_refused_with_its_reason() {
+fn unreadable_statistics_are_rejected_with_a_reason() {
     let statistics = named(
         experienced(&[entry(1, 0), entry(2, 1)])
             .dispatcher
@@ -361,23 +351,23 @@
 }
 
 proptest! {
-    /// Guards against a form that ends the program, or is taken although a byte of it has changed.
+    /// A changed byte must neither end the program nor go unnoticed.
     #[test]
-    fn no_damaged_form_is_taken(at in 0usize..400, bit in 0u8..8, cut in 0usize..400) {
+    fn damaged_statistics_are_rejected(at in 0usize..400, bit in 0u8..8, length in 0usize..400) {
         let statistics = named(experienced(&[entry(1, 0), entry(2, 1)]).dispatcher.statistics(130 * SEC));
         let form = statistics.write().expect("short");
         let mut flipped = form.clone();
         let at = at % form.len();
         flipped[at] ^= 1 << bit;
         prop_assert!(Statistics::read(&flipped).is_err());
-        prop_assert!(Statistics::read(&form[..cut % form.len()]).is_err());
+        prop_assert!(Statistics::read(&form[..length % form.len()]).is_err());
     }
 
-    /// Guards against figures that a checksum makes look right: whatever they are, the dispatcher goes on.
+    /// A checksum makes any numbers look right: whatever they are, the dispatcher goes on.
     #[test]
-    fn any_figures_that_pass_the_check_can_be_lived_with(
-        slots in prop_oneof![Just(0.0), Just(1e6), 0.0..20.0], failure in 0.0..=1.0, quick in 0.0..=3.6e9,
-        aside in any::<u64>(), at in any::<u64>(), window in prop_oneof![Just(1.0), Just(UNLIMITED), 1.0..1e3],
+    fn dispatcher_keeps_working_with_any_statistics_that_pass_the_check(
+        slots in prop_oneof![Just(0.0), Just(1e6), 0.0..20.0], failure in 0.0..=1.0, start_delay in 0.0..=3.6e9,
+        ejected_until in any::<u64>(), at in any::<u64>(), window in prop_oneof![Just(1.0), Just(UNLIMITED), 1.0..1e3],
     ) {
         let workers = [entry(1, 0), entry(2, 1)];
         let old = experienced(&workers);
@@ -385,11 +375,11 @@
         statistics.at = at;
         statistics.kinds[0].1.slots = slots;
         let w = &mut statistics.workers[0].1;
-        (w.failure_rate, w.start_delay, w.ejected_until) = (failure, quick, aside);
+        (w.failure_rate, w.start_delay, w.ejected_until) = (failure, start_delay, ejected_until);
         statistics.pace.as_mut().expect("learned").wait_window = window;
         prop_assert_eq!(statistics.check(), Ok(()));
-        let mut new = next(&old, settings(), &workers);
-        take(&mut new, statistics);
+        let mut new = old.successor(settings(), &workers);
+        merge(&mut new, statistics);
         for _ in 0..5 {
             let (id, to) = new.submit(0);
             if to.is_some() {
@@ -402,199 +392,3 @@
         prop_assert!(new.submit(0).1.is_some(), "a worker gets jobs again");
     }
 }
-
-// ---- Jobs that go over --------------------------------------------------------------------------------------
-
-fn go_over(
-    old: &mut Harness,
-    id: RequestId,
-    new: &mut Harness,
-    as_id: RequestId,
-) -> TransferredJob<u32> {
-    let job = old.dispatcher.release(old.now, id).expect("it is open");
-    new.handle(Event::Adopted(as_id, Box::new(job.clone())));
-    job
-}
-
-const AS: RequestId = 1_000_000;
-
-#[test]
-fn a_job_that_goes_over_keeps_its_attempts_and_their_effect() {
-    let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
-    // It must never run twice: lost after it went over, it fails.
-    let mut old = Harness::new(settings(), &workers);
-    let mut new = next(&old, settings(), &workers);
-    let (id, _) = old.submit(2);
-    go_over(&mut old, id, &mut new, AS);
-    assert!(new.sent_to(AS).is_none(), "it is out already");
-    new.start(AS, 0);
-    new.end(AS, 0, Status::Reset);
-    assert!(new.is_failed(AS) && new.sent_to(AS).is_none());
-    // Safe to repeat: of four attempts two were made before, so two are left.
-    let (id, _) = old.submit(0);
-    old.end(id, 0, Status::Error);
-    let job = go_over(&mut old, id, &mut new, AS + 1);
-    assert_eq!(
-        job.attempts.iter().map(|t| t.done).collect::<Vec<_>>(),
-        [true, false]
-    );
-    new.end(AS + 1, 1, Status::Error);
-    let third = new.sent_to(AS + 1).expect("a third attempt");
-    assert!(
-        job.attempts.iter().all(|t| t.worker != third),
-        "not where it has been"
-    );
-    // Keyed, dropped inside a cell for three seconds: another attempt only there, and not after that time.
-    let (id, first) = old.submit(1);
-    old.advance(SEC);
-    new.advance(SEC);
-    go_over(&mut old, id, &mut new, AS + 2);
-    new.advance(1900 * MS);
-    new.end(AS + 2, 0, Status::Reset);
-    let again = new.sent_to(AS + 2);
-    assert!(
-        again.is_none_or(|w| w % 2 == first.expect("sent") % 2),
-        "{first:?}, then {again:?}"
-    );
-    let (id, _) = old.submit(1);
-    old.advance(SEC);
-    go_over(&mut old, id, &mut new, AS + 3);
-    new.advance(2100 * MS);
-    new.end(AS + 3, 0, Status::Reset);
-    assert!(
-        new.is_failed(AS + 3) && new.sent_to(AS + 3).is_none(),
-        "its window ran from the first send"
-    );
-}
-
-/// Guards against slots that stay taken, or look free, in either process.
-#[test]
-fn slots_go_over_with_their_jobs() {
-    let workers = [entry(1, 0), entry(2, 0)];
-    let mut old = Harness::new(settings(), &workers);
-    let mut new = next(&old, settings(), &workers);
-    let ids: Vec<_> = (0..2).map(|_| old.submit(0)).collect();
-    for (n, (id, worker)) in ids.iter().enumerate() {
-        if n == 0 {
-            old.start(*id, 0);
-        }
-        go_over(&mut old, *id, &mut new, AS + n as u64);
-        assert!(
-            new.dispatcher
-                .slots_in_flight()
-                .contains(&(worker.expect("sent"), 1.0))
-        );
-    }
-    assert_eq!(
-        (
-            old.dispatcher.slots_in_flight().len(),
-            new.dispatcher.slots_in_flight().len()
-        ),
-        (0, 2)
-    );
-    old.advance(SEC);
-    new.start(AS + 1, 0);
-    new.advance(300 * MS);
-    new.end(AS, 0, Status::Ok);
-    new.handle(Event::RequestClosed(AS + 1));
-    assert!(
-        new.actions.contains(&Action::Cancel {
-            request: AS + 1,
-            attempt: 0
-        }),
-        "{:?}",
-        new.actions
-    );
-    new.end(AS + 1, 0, Status::Cancelled);
-    assert!(new.dispatcher.slots_in_flight().is_empty());
-    assert_eq!(old.dispatcher.release(old.now, 99), None, "no such job");
-}
-
-#[test]
-fn a_held_job_goes_over_and_is_sent_there() {
-    let mut old = Harness::new(settings(), &[]);
-    let (id, to) = old.submit(0);
-    assert_eq!(to, None);
-    let mut new = next(&old, settings(), &[entry(1, 0)]);
-    go_over(&mut old, id, &mut new, AS);
-    assert_eq!(new.sent_to(AS), Some(1));
-    assert!(
-        old.advance(10 * SEC)
-            .iter()
-            .all(|a| matches!(a, Action::Timer { .. })),
-        "nothing is owed there"
-    );
-    // Where nobody can take it there either, it is answered in time.
-    let mut nobody = next(&old, settings(), &[]);
-    let (id, _) = old.submit(0);
-    go_over(&mut old, id, &mut nobody, AS);
-    let ends = nobody.advance(6 * SEC);
-    assert!(
-        ends.iter()
-            .any(|a| matches!(a, Action::Refuse { request: AS, .. })),
-        "{ends:?}"
-    );
-}
-
-/// A worker that the new process has not been told of keeps its job; nothing new goes there.
-#[test]
-fn a_job_at_a_worker_that_is_not_listed_goes_on() {
-    let mut old = Harness::new(settings(), &[entry(9, 3)]);
-    let (id, _) = old.submit(0);
-    let mut new = next(&old, settings(), &[]);
-    go_over(&mut old, id, &mut new, AS);
-    let (held, to) = new.submit(0);
-    assert_eq!(to, None);
-    new.start(AS, 0);
-    new.end(AS, 0, Status::Ok);
-    assert!(new.dispatcher.slots_in_flight().is_empty());
-    // Named by the list later, it is one more worker.
-    new.update_membership(Scope::Full, &[entry(9, 3)]);
-    assert_eq!(new.sent_to(held), Some(9));
-}
-
-/// A job whose next sign is overdue is found silent in the process that it went to.
-#[test]
-fn silence_is_noticed_across_a_replacement() {
-    let settings = Settings {
-        progress: SEC,
-        ..settings()
-    };
-    let workers = [entry(1, 0), entry(2, 0)];
-    let mut old = Harness::new(settings.clone(), &workers);
-    let (id, first) = old.submit(0);
-    old.advance(MS);
-    old.start(id, 0);
-    old.advance(800 * MS);
-    let mut new = next(&old, settings, &workers);
-    go_over(&mut old, id, &mut new, AS);
-    let sent = new.advance(1500 * MS);
-    let again = sent.iter().find_map(|a| match a {
-        Action::Send {
-            request: AS,
-            worker,
-            ..
-        } => Some(*worker),
-        _ => None,
-    });
-    assert!(
-        again.is_some() && again != first,
-        "beside the silent one: {sent:?}"
-    );
-}
-
-/// A job keeps the rules that it came with; another process only knows those of now.
-#[test]
-fn a_job_whose_rules_have_changed_since_stays() {
-    let mut old = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (id, _) = old.submit(2);
-    let mut changed = settings();
-    changed.classes[2].effect = Effect::Safe;
-    old.handle(Event::Settings(Box::new(changed)));
-    assert_eq!(old.dispatcher.release(old.now, id), None);
-    old.end(id, 0, Status::Error);
-    assert!(
-        old.is_failed(id) && old.sent_to(id).is_none(),
-        "it is still known, and never repeated"
-    );
-}
--- a/crates/decisions/tests/stragglers.rs
+++ b/crates/decisions/tests/stragglers.rs
@@ -6,31 +6,31 @@
 /// An attempt that was never acknowledged must not block its worker, and its request, until the deadline.
 #[test]
 fn unacknowledged_attempt_releases_its_slots_and_is_retried_elsewhere() {
-    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (id, worker) = s.submit(3);
-    s.advance(250 * MS);
-    s.handle(Event::Unheard {
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (id, worker) = harness.submit(3);
+    harness.advance(250 * MS);
+    harness.handle(Event::Unheard {
         request: id,
         attempt: 0,
     });
-    let other = s.sent_to(id);
+    let other = harness.sent_to(id);
     assert!(
         other.is_some() && other != worker,
         "a keyed one goes to another worker beside"
     );
-    s.end(id, 1, Status::Ok);
-    let (id, worker) = s.submit(2);
-    s.advance(250 * MS);
-    s.handle(Event::Unheard {
+    harness.end(id, 1, Status::Ok);
+    let (id, worker) = harness.submit(2);
+    harness.advance(250 * MS);
+    harness.handle(Event::Unheard {
         request: id,
         attempt: 0,
     });
-    assert_eq!(s.sent_to(id), None, "an unsafe one waits");
-    s.advance(SEC);
-    let (_, again) = s.submit(3);
-    let (_, beside) = s.submit(3);
+    assert_eq!(harness.sent_to(id), None, "an unsafe one waits");
+    harness.advance(SEC);
+    let (_, is_retried) = harness.submit(3);
+    let (_, beside) = harness.submit(3);
     assert!(
-        [again, beside].contains(&worker),
+        [is_retried, beside].contains(&worker),
         "its worker is not blocked"
     );
 }
@@ -40,20 +40,21 @@
 fn unstarted_attempt_past_its_latency_target_is_cancelled_if_late_earns_nothing() {
     let mut settings = settings();
     settings.classes[0].late_value = 0.0;
-    let mut s = Harness::new(settings.clone(), &[entry(1, 0)]);
-    let (id, _) = s.submit(0);
-    let all = s.advance(3 * SEC);
+    let mut harness = Harness::new(settings.clone(), &[entry(1, 0)]);
+    let (id, _) = harness.submit(0);
+    let all = harness.advance(3 * SEC);
     assert!(
         all.contains(&Action::Cancel {
             request: id,
             attempt: 0
-        }) && s.is_refused(id)
+        }) && harness.is_refused(id)
     );
     settings.classes[0].late_value = 0.3;
-    let mut s = Harness::new(settings, &[entry(1, 0)]);
-    s.submit(0);
+    let mut harness = Harness::new(settings, &[entry(1, 0)]);
+    harness.submit(0);
     assert!(
-        s.advance(3 * SEC)
+        harness
+            .advance(3 * SEC)
             .iter()
             .all(|a| matches!(a, Action::Timer { .. }))
     );
@@ -62,40 +63,40 @@
 /// An answer that never comes must not keep its slots and its request until the client gives up.
 #[test]
 fn overdue_progress_releases_slots_and_retries_where_the_class_allows() {
-    for (class, again) in [(0, true), (2, false)] {
+    for (class, is_retried) in [(0, true), (2, false)] {
         let mut settings = settings();
         settings.progress = SEC;
         let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
-        let mut s = Harness::new(settings, &workers);
-        let (id, first) = s.submit(class);
-        s.start(id, 0);
-        s.advance(1_400 * MS);
+        let mut harness = Harness::new(settings, &workers);
+        let (id, first) = harness.submit(class);
+        harness.start(id, 0);
+        harness.advance(1_400 * MS);
         assert!(
-            s.sent_to(id).is_none(),
+            harness.sent_to(id).is_none(),
             "the first share done may take one and a half intervals"
         );
-        s.handle(Event::Progress {
+        harness.handle(Event::Progress {
             request: id,
             attempt: 0,
             done: 0.3,
         });
-        s.advance(1_100 * MS);
-        assert!(s.sent_to(id).is_none(), "the next is not overdue");
-        s.advance(300 * MS);
-        assert_eq!(s.sent_to(id).is_some(), again, "class {class}");
-        assert!(s.sent_to(id) != first && !s.is_failed(id) && !s.is_refused(id));
+        harness.advance(1_100 * MS);
+        assert!(harness.sent_to(id).is_none(), "the next is not overdue");
+        harness.advance(300 * MS);
+        assert_eq!(harness.sent_to(id).is_some(), is_retried, "class {class}");
+        assert!(harness.sent_to(id) != first && !harness.is_failed(id) && !harness.is_refused(id));
         // The first one's answer still counts, and the copy is withdrawn.
-        s.end(id, 0, Status::Ok);
-        let withdrawn = s.actions.contains(&Action::Cancel {
+        harness.end(id, 0, Status::Ok);
+        let withdrawn = harness.actions.contains(&Action::Cancel {
             request: id,
             attempt: 1,
         });
-        assert_eq!(withdrawn, again);
+        assert_eq!(withdrawn, is_retried);
     }
     // Where no shares done are told, a long job is not taken for a silent one.
-    let mut s = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    let (id, _) = s.submit(0);
-    s.start(id, 0);
-    s.advance(5 * SEC);
-    assert!(s.sent_to(id).is_none());
+    let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    let (id, _) = harness.submit(0);
+    harness.start(id, 0);
+    harness.advance(5 * SEC);
+    assert!(harness.sent_to(id).is_none());
 }
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -5,23 +5,23 @@
 
 /// When worker 3 was sent jobs, with one of the class asked for at each step; each ends at once with this status.
 fn sends_to_third(
-    s: &mut Harness,
+    harness: &mut Harness,
     (class, ends): (ClassId, Status),
     step: Time,
     until: Time,
 ) -> Vec<Time> {
     let mut sends = Vec::new();
-    while s.now < until {
-        let mut said = s.advance(step);
-        s.submit(class);
-        said.extend(s.actions.clone());
-        for action in said {
+    while harness.now < until {
+        let mut actions = harness.advance(step);
+        harness.submit(class);
+        actions.extend(harness.actions.clone());
+        for action in actions {
             if let Action::Send {
                 request, worker: 3, ..
             } = action
             {
-                sends.push(s.now);
-                s.end(request, 0, ends);
+                sends.push(harness.now);
+                harness.end(request, 0, ends);
             }
         }
     }
@@ -38,13 +38,13 @@
     let mut settings = settings();
     settings.dispatchers = 3;
     let rules = settings.rules.clone();
-    let mut s = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
+    let mut harness = Harness::new(settings, &[entry(1, 0), entry(2, 0)]);
     for _ in 0..30 {
-        s.serve(0, |_| 100 * MS);
+        harness.serve(0, |_| 100 * MS);
     }
     // Worker 3 has just started and is the only one left; every job it gets is turned away unseen.
-    let ready_at = s.now;
-    s.update_membership(
+    let ready_at = harness.now;
+    harness.update_membership(
         Scope::Full,
         &[Entry {
             ready_at,
@@ -52,7 +52,7 @@
         }],
     );
     let sends = sends_to_third(
-        &mut s,
+        &mut harness,
         (0, Status::Full),
         7 * MS,
         ready_at + rules.warm_after,
@@ -87,12 +87,12 @@
                 ..settings()
             };
             settings.rules.warm_after = 60 * SEC;
-            let mut s = Harness::new(settings, &[entry(1, 0)]);
+            let mut harness = Harness::new(settings, &[entry(1, 0)]);
             for _ in 0..30 {
-                s.serve(0, |_| 100 * MS);
+                harness.serve(0, |_| 100 * MS);
             }
-            let ready_at = s.now;
-            s.update_membership(
+            let ready_at = harness.now;
+            harness.update_membership(
                 Scope::Full,
                 &[Entry {
                     ready_at,
@@ -101,10 +101,10 @@
             );
             let mut sends = 0;
             for _ in 0..15 {
-                s.submit(0);
-                let mut said = s.actions.clone();
-                said.extend(s.advance(2 * SEC));
-                sends += said
+                harness.submit(0);
+                let mut actions = harness.actions.clone();
+                actions.extend(harness.advance(2 * SEC));
+                sends += actions
                     .iter()
                     .filter(|a| matches!(a, Action::Send { .. }))
                     .count();
@@ -123,13 +123,13 @@
 #[test]
 fn worker_in_warm_up_is_preferred_by_dispatchers_with_a_part_of_its_budget() {
     let now = 100 * SEC;
-    let cold = |i| Entry {
+    let warming = |i| Entry {
         ready_at: if i == 60 { now } else { 0 },
         ..entry(i, i % 2)
     };
-    let workers: Vec<_> = (0..80).map(cold).collect();
+    let workers: Vec<_> = (0..80).map(warming).collect();
     let uses = |me: &u32| {
-        let mut s = Harness::new(
+        let mut harness = Harness::new(
             Settings {
                 dispatchers: 40,
                 me: *me,
@@ -139,13 +139,13 @@
         );
         for _ in 0..30 {
             assert_ne!(
-                s.serve(0, |_| 10 * MS),
+                harness.serve(0, |_| 10 * MS),
                 Some(60),
                 "idle warm workers come first"
             );
         }
-        s.advance(4 * SEC);
-        (0..6).any(|_| s.submit(0).1 == Some(60))
+        harness.advance(4 * SEC);
+        (0..6).any(|_| harness.submit(0).1 == Some(60))
     };
     // A part pays for four jobs of 10 ms in a window of 1 s, and 0.54 s are used there: 13 parts.
     assert_eq!((0..40).filter(uses).count(), 13);
@@ -165,22 +165,22 @@
             reports: Reports::OnProbe,
             ..settings()
         };
-        let mut s = Harness::new(settings, &[entry(1, 0)]);
+        let mut harness = Harness::new(settings, &[entry(1, 0)]);
         let load = Some(Load {
             inflight: Some(0.0),
             free_slots: Some(7.0),
             ..Load::default()
         });
-        s.handle(Event::Probed {
+        harness.handle(Event::Probed {
             worker: 1,
             status: Status::Ok,
             load,
         });
         for _ in 0..30 {
-            s.serve(2, |_| run);
+            harness.serve(2, |_| run);
         }
-        (s.now, ready_at) = (110 * SEC, 110 * SEC);
-        s.update_membership(
+        (harness.now, ready_at) = (110 * SEC, 110 * SEC);
+        harness.update_membership(
             Scope::Full,
             &[Entry {
                 ready_at,
@@ -189,7 +189,7 @@
         );
         // Each gives its place back at once, so that only the budget limits.
         sends.extend(sends_to_third(
-            &mut s,
+            &mut harness,
             (2, Status::Cancelled),
             step,
             ready_at + 4 * SEC,
