--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -27,7 +27,7 @@
 mod tuning;
 mod warm_up;
 
-use crate::affinity::{Fetches, Steady};
+use crate::affinity::{Fetches, SmoothedWeights};
 use crate::api::{Action, Class, Event, Load, RequestId, Settings, Status, Time, WorkerId};
 use crate::arrivals::Arrivals;
 use crate::runs::Sum;
@@ -61,7 +61,7 @@
     /// p_k of problem (1).
     kind_weights: Vec<f64>,
     /// p_k averaged for longer: requests with an affinity seldom move.
-    affinity_weights: Steady,
+    affinity_weights: SmoothedWeights,
     /// Active workers by group (see `tuning::group`) and kind: no event walks the whole fleet.
     groups: Vec<Vec<usize>>,
     /// Workers with own slots in flight.
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -8,6 +8,7 @@
 use crate::affinity;
 use crate::api::{Action, AttemptNo, Effect, Group, Load, RequestId, Status, Time};
 use crate::runs::{self, fresh};
+use crate::transferred_job::Progress;
 
 /// Growth of the shortest start delay at each start that took longer.
 const START_DELAY_GROWTH: f64 = 1.01;
@@ -237,10 +238,11 @@
         let Some(attempt) = self.attempt_mut(id) else {
             return;
         };
-        attempt.last_progress = (now, done);
+        let progress = Progress { at: now, done };
+        attempt.last_progress = progress;
         let index = attempt.worker;
         if done > 0.0 {
-            attempt.first_progress = attempt.first_progress.or(Some((now, done)));
+            attempt.first_progress = attempt.first_progress.or(Some(progress));
             self.record_progress(now, index);
         }
         let open = self.open.get(&id.request);
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -58,18 +58,18 @@
     /// Groups the active workers by zone, preference and kind.
     fn group_workers(&mut self, now: Time) {
         self.groups = vec![Vec::new(); group::COUNT * self.kinds.len()];
-        for send_now in LOCALITIES {
+        for locality in LOCALITIES {
             let is_in = |index: &usize| {
                 let worker = &self.workers[*index];
-                worker.active && self.is_home(worker) == send_now.is_home
+                worker.active && self.is_home(worker) == locality.is_home
             };
             let pool: Vec<usize> = self.index.values().copied().filter(is_in).collect();
-            if send_now.is_home && self.late_start_rate == [0.0; 2] {
+            if locality.is_home && self.late_start_rate == [0.0; 2] {
                 self.assume_home_preference(pool.len());
             }
             let fraction = self.preferred_fraction(&pool);
             for kind in 0..self.kinds.len() {
-                self.group_kind(now, send_now, kind, &pool, fraction);
+                self.group_kind(now, locality, kind, &pool, fraction);
             }
         }
     }
@@ -102,7 +102,7 @@
     fn group_kind(
         &mut self,
         now: Time,
-        send_now: Locality,
+        locality: Locality,
         kind: usize,
         pool: &[usize],
         fraction: f64,
@@ -117,9 +117,9 @@
             let from_first = (position + count - first % count) % count;
             let is_preferred = warm_up_rate.is_some() || from_first < preferred_count;
             let group = if is_preferred {
-                send_now.preferred
+                locality.preferred
             } else {
-                send_now.other
+                locality.other
             };
             if warm_up_rate != Some(0.0) {
                 self.groups[group * self.kinds.len() + kind].push(index);
--- a/crates/decisions/src/dispatcher/sampling.rs
+++ b/crates/decisions/src/dispatcher/sampling.rs
@@ -129,9 +129,9 @@
         kinds: &mut Vec<usize>,
     ) -> usize {
         let solved = if affinity.is_some() {
-            &self.affinity_weights.0
+            self.affinity_weights.as_slice()
         } else {
-            &self.kind_weights
+            &self.kind_weights[..]
         };
         let weight = |kind: &usize| {
             let of_kind = &self.kinds[*kind];
@@ -221,7 +221,7 @@
         let bound_kind = self.settings.classes[open.class].kind;
         let weight = |kind: usize| match bound_kind {
             Some(bound) if bound as usize != kind => 0.0,
-            _ => self.affinity_weights.0[kind],
+            _ => self.affinity_weights.as_slice()[kind],
         };
         let kinds = 0..self.kind_weights.len();
         let kind = affinity::draw(affinity, kinds.map(|kind| (kind as u64, weight(kind))))?;
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -81,7 +81,7 @@
 
     fn kind_statistics(&self, id: usize) -> statistics::Kind {
         let kind = &self.kinds[id];
-        let weight = self.affinity_weights.0.get(id).copied().unwrap_or(0.0);
+        let weight = self.affinity_weights.get(id);
         statistics::Kind {
             slots: kind.slots,
             slots_reported: kind.slots_reported,
@@ -163,8 +163,7 @@
         if other.speed.weight() * run_weight > kind.speed.weight() {
             kind.speed = other.speed.faded(run_weight);
         }
-        self.affinity_weights.0.resize(kinds, 0.0);
-        self.affinity_weights.0[id] = other.weight;
+        self.affinity_weights.set(id, kinds, other.weight);
     }
 
     fn merge_class(&mut self, id: usize, other: statistics::Class, run_weight: f64) {
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -4,6 +4,7 @@
 use super::state::{Attempt, AttemptId};
 use super::tuning::{EJECTION_MAX, MOVE_WAIT, OVERDUE_FIRST_INTERVALS, OVERDUE_INTERVALS};
 use crate::api::{Action, AttemptNo, Effect, RequestId, Status, Time};
+use crate::transferred_job::Progress;
 
 /// Ticks after which a request that found no other worker is looked at again.
 const REVIEW_TICKS: Time = 5;
@@ -61,7 +62,7 @@
 
     /// When the next progress report of a job is overdue; where none are sent, a long job looks the same.
     pub(super) fn overdue_at(&self, attempt: &Attempt) -> Time {
-        let (reported_at, done) = attempt.last_progress;
+        let Progress { at, done } = attempt.last_progress;
         let intervals = if done > 0.0 {
             OVERDUE_INTERVALS
         } else {
@@ -72,7 +73,7 @@
         match attempt.started {
             Some(_) if reports => {
                 let slack = REPORT_SLACK_GRANULARITIES * self.settings.granularity;
-                reported_at.saturating_add(wait as Time + slack)
+                at.saturating_add(wait as Time + slack)
             }
             None if attempt.unacknowledged => 0,
             _ => Time::MAX,
@@ -129,7 +130,7 @@
         let attempt = &mut open.attempts[id.attempt as usize];
         attempt.timed_out = true;
         let index = attempt.worker;
-        let waited = now - attempt.sent.max(attempt.last_progress.0);
+        let waited = now - attempt.sent.max(attempt.last_progress.at);
         self.release_slots(now, index, id, slots);
         if self.settings.limits.moves() {
             // Withdrawn, it will not say when the worker is back: no new attempt there sooner than it took to notice.
--- a/crates/decisions/tests/serialized_form.rs
+++ b/crates/decisions/tests/serialized_form.rs
@@ -3,7 +3,7 @@
 use indigofold_decisions::affinity::Fetches;
 use indigofold_decisions::runs::{Speed, Work};
 use indigofold_decisions::statistics::{Class, Kind, Pace, Statistics, Worker};
-use indigofold_decisions::transferred_job::{Attempt, TransferredJob};
+use indigofold_decisions::transferred_job::{Attempt, Progress, TransferredJob};
 
 /// [`statistics`] as written by the release before the types were renamed.
 const STATISTICS_HEX: &str = "\
@@ -109,8 +109,14 @@
         sent: 1_700_000_000_000_000,
         connection_idle: 70_000,
         started: Some(1_700_000_000_001_000),
-        last_progress: (1_700_000_001_000_000, 0.5),
-        first_progress: Some((1_700_000_000_500_000, 0.25)),
+        last_progress: Progress {
+            at: 1_700_000_001_000_000,
+            done: 0.5,
+        },
+        first_progress: Some(Progress {
+            at: 1_700_000_000_500_000,
+            done: 0.25,
+        }),
         away_from_home: true,
         timed_out: true,
         ..Attempt::default()
