--- a/crates/indigofold/src/front/platform/moving.rs
+++ b/crates/indigofold/src/front/platform/moving.rs
@@ -224,7 +224,10 @@
             }
         };
         let moved = postcard::from_bytes::<Moved>(form).map_err(|e| e.to_string());
-        let moved = moved.and_then(|moved| moved.job.check().map(|()| moved));
+        let moved = moved.and_then(|moved| match moved.job.check() {
+            Ok(()) => Ok(moved),
+            Err(invalid) => Err(invalid.to_string()),
+        });
         let (moved, link) = match (moved, Async::new(stream)) {
             (Ok(moved), Ok(stream)) => (moved, Link::new(stream, seat)),
             (Err(why), _) => {
--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -1,9 +1,10 @@
 //! Jobs that say what they are about: where they go, what it may cost to send them elsewhere, and that nothing of
 //! it happens where workers keep nothing.
 
-use indigofold::affinity::{Steady, draw, fetch_time, rank};
+use indigofold::affinity::{SmoothedWeights, draw, fetch_time, rank};
 use indigofold::api::*;
 use indigofold::config::subject;
+use indigofold::transferred_job::Progress;
 use indigofold_decisions_testing::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -112,24 +113,28 @@
     assert_eq!(subject(odd), subject(odd));
 }
 
+fn progress(at: Time, done: f64) -> Option<Progress> {
+    Some(Progress { at, done })
+}
+
 #[test]
 fn the_first_share_done_tells_how_long_the_fetch_took() {
     // Started at 2 s, 0.5 s to fetch, then 2 s of even running: at 3 s a quarter is done.
     assert_eq!(
-        fetch_time(2 * SEC, Some((3 * SEC, 0.25)), 4_500 * MS),
+        fetch_time(2 * SEC, progress(3 * SEC, 0.25), 4_500 * MS),
         Some(500_000.0)
     );
     assert_eq!(
-        fetch_time(2 * SEC, Some((3 * SEC, 0.5)), 4 * SEC),
+        fetch_time(2 * SEC, progress(3 * SEC, 0.5), 4 * SEC),
         Some(0.0)
     );
     // Nothing told, told before the start, or at the end: it says nothing.
-    for told in [None, Some((SEC, 0.2)), Some((4 * SEC, 0.9))] {
+    for told in [None, progress(SEC, 0.2), progress(4 * SEC, 0.9)] {
         assert_eq!(fetch_time(2 * SEC, told, 4 * SEC), None);
     }
     // A share that says all is done long before the end.
     assert_eq!(
-        fetch_time(2 * SEC, Some((3 * SEC, 1.0)), 4 * SEC),
+        fetch_time(2 * SEC, progress(3 * SEC, 1.0), 4 * SEC),
         Some(0.0)
     );
 }
@@ -228,11 +233,19 @@
 /// fetched for longer (0.57 of the keys moved while the list stayed the same).
 #[test]
 fn what_subjects_draw_by_follows_the_solution_slowly() {
-    let mut steady = Steady::default();
+    let mut steady = SmoothedWeights::default();
     steady.follow(&[0.8, 0.2]);
-    assert_eq!(steady.0, [0.8, 0.2]);
-    let kind =
-        |s: &Steady, subject| draw(subject, s.0.iter().enumerate().map(|(k, p)| (k as u64, *p)));
+    assert_eq!(steady.as_slice(), [0.8, 0.2]);
+    let kind = |weights: &SmoothedWeights, subject| {
+        draw(
+            subject,
+            weights
+                .as_slice()
+                .iter()
+                .enumerate()
+                .map(|(k, p)| (k as u64, *p)),
+        )
+    };
     let before: Vec<_> = (0..1_000).map(|n| kind(&steady, n)).collect();
     for n in 0..10 {
         steady.follow(if n % 2 == 0 { &[0.4, 0.6] } else { &[1.0, 0.0] });
@@ -244,10 +257,13 @@
     for _ in 0..200 {
         steady.follow(&[0.1, 0.9]);
     }
-    assert!((steady.0[0] - 0.1).abs() < 0.001 && (steady.0.iter().sum::<f64>() - 1.0).abs() < 1e-9);
+    assert!(
+        (steady.as_slice()[0] - 0.1).abs() < 0.001
+            && (steady.as_slice().iter().sum::<f64>() - 1.0).abs() < 1e-9
+    );
     // A kind more: as it is solved.
     steady.follow(&[0.2, 0.3, 0.5]);
-    assert_eq!(steady.0, [0.2, 0.3, 0.5]);
+    assert_eq!(steady.as_slice(), [0.2, 0.3, 0.5]);
 }
 
 /// Guards against a freed slot going to the newest held job, which fetches there, while one whose like goes there waits.
