--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -32,11 +32,10 @@
 use crate::arrivals::Arrivals;
 use crate::runs::Sum;
 pub use crate::solve::solve;
+use crate::statistics::{Demand, LateStartRate};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use state::{
-    AttemptId, ClassStats, Demand, Kind, MembershipRequest, OpenRequest, QueueIndex, Worker,
-};
+use state::{AttemptId, ClassStats, Kind, MembershipRequest, OpenRequest, QueueIndex, Worker};
 pub use statistics_merge::WorkerCounts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tuning::{IDLE_GROWTH, MEMBERSHIP_BACKOFF_FIRST, SOLVE_TICKS, TICK_GRANULARITIES, TICK_MIN};
@@ -87,8 +86,8 @@
     timer: u64,
     /// Share of requests that prefer workers of the own zone.
     home_preference: f64,
-    /// Recent shares of late starts, away and at home.
-    late_start_rate: [f64; 2],
+    /// Recent fractions of late starts.
+    late_start_rate: LateStartRate,
     /// Connections idle for longer than this are not trusted.
     trusted_idle: f64,
     /// Recent value and work of the requests.
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -322,7 +322,7 @@
             quota_per_s,
             fraction,
         } = self.settings.tenants[tenant as usize];
-        let all = self.arrivals.per_s * self.settings.dispatchers as f64;
+        let all = self.arrivals.latest().per_s * self.settings.dispatchers as f64;
         unit(&mut self.rng) * arriving > (quota_per_s / all).max(CROWDING * fraction)
     }
 }
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -7,6 +7,7 @@
 };
 use crate::api::Time;
 use crate::solve::solve;
+use crate::statistics::LateStartRate;
 use std::collections::BTreeSet;
 
 /// Least capacity that arrivals are set against.
@@ -49,7 +50,7 @@
         }
         let by_kind = fraction.iter().zip(&speeds);
         let capacity: f64 = by_kind.map(|(fraction, speed)| fraction * speed).sum();
-        let arriving = self.settings.dispatchers as f64 * self.arrivals.unbound;
+        let arriving = self.settings.dispatchers as f64 * self.arrivals.latest().unbound;
         let load = arriving / capacity.max(CAPACITY_MIN);
         self.kind_weights = solve(&fraction, &speeds, load, SAMPLE_SIZE as u32);
         self.affinity_weights.follow(&self.kind_weights);
@@ -64,7 +65,7 @@
                 worker.active && self.is_home(worker) == locality.is_home
             };
             let pool: Vec<usize> = self.index.values().copied().filter(is_in).collect();
-            if locality.is_home && self.late_start_rate == [0.0; 2] {
+            if locality.is_home && self.late_start_rate == LateStartRate::default() {
                 self.assume_home_preference(pool.len());
             }
             let fraction = self.preferred_fraction(&pool);
@@ -93,7 +94,7 @@
             .map(|index| self.capacity(&self.workers[*index]));
         let capacity: f64 = capacities.sum();
         let least = SAMPLE_SIZE as f64 / pool.len().max(1) as f64;
-        let filled = self.arrivals.work / PREFERRED_LOAD / capacity.max(CAPACITY_MIN);
+        let filled = self.arrivals.latest().work / PREFERRED_LOAD / capacity.max(CAPACITY_MIN);
         filled.max(least).min(1.0)
     }
 
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -5,6 +5,7 @@
 use super::tuning::{CROSSING_LATE_STARTS, LATE_STEP, WAIT_LOAD, WINDOW_DECREASE, group};
 use crate::api::Time;
 use crate::runs::fresh;
+use crate::statistics::LateStartRate;
 
 /// Half a slot more than there is still counts as a free one: loads are averages.
 const HALF_SLOT: f64 = 0.5;
@@ -18,7 +19,9 @@
         let limit = if is_unlikely {
             self.wait_window
         } else {
-            LOOKS_FREE_WINDOWS * self.wait_window + LOOKS_FREE_MIN + WAIT_LOAD * self.arrivals.work
+            LOOKS_FREE_WINDOWS * self.wait_window
+                + LOOKS_FREE_MIN
+                + WAIT_LOAD * self.arrivals.latest().work
         };
         (self.unstarted_count as f64) < limit
     }
@@ -51,7 +54,7 @@
 
     /// Slots that others hold, by the last load update. A worker without one is not empty: late starts tell of all.
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
-        let [away, home] = self.late_start_rate;
+        let LateStartRate { away, home } = self.late_start_rate;
         let at_large = away.max(home) * self.slots(worker);
         let recency = worker.load_updated_at.map_or(0.0, |at| fresh(now, at));
         let expected = worker.others_slots * recency + at_large * (1.0 - recency);
@@ -91,9 +94,9 @@
         };
         self.wait_window = (self.wait_window + change).clamp(1.0, self.workers.len() as f64);
         let is_home = self.is_home(&self.workers[index]);
-        let fraction = &mut self.late_start_rate[usize::from(is_home)];
+        let fraction = self.late_start_rate.of_zone(is_home);
         *fraction += LATE_STEP * (f64::from(u8::from(is_late)) - *fraction);
-        let [away, home] = self.late_start_rate;
+        let LateStartRate { away, home } = self.late_start_rate;
         let gain = home - away - CROSSING_LATE_STARTS * self.settings.charges.cross_zone;
         self.home_preference = (self.home_preference - LATE_STEP * gain).clamp(0.0, 1.0);
     }
--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -11,7 +11,7 @@
         let present = std::mem::take(&mut self.settings.classes);
         let wanted = std::mem::replace(&mut settings.classes, present);
         self.arrivals
-            .tenants(settings.tenants.iter().map(|tenant| tenant.fraction));
+            .add_tenants(settings.tenants.iter().map(|tenant| tenant.fraction));
         self.settings = settings;
         for (id, class) in wanted.into_iter().enumerate() {
             self.replace_class(id, class);
--- a/crates/decisions/src/dispatcher/state.rs
+++ b/crates/decisions/src/dispatcher/state.rs
@@ -217,10 +217,3 @@
     /// Wait after the next failure.
     pub backoff: Time,
 }
-
-/// Moving sums of what was asked for.
-#[derive(Clone, Copy, Default)]
-pub(super) struct Demand {
-    pub value: f64,
-    pub work: f64,
-}
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -3,7 +3,7 @@
 //! (a budget of a worker that warms up, a place in the membership list) is neither written nor taken.
 
 use super::Dispatcher;
-use super::state::{Demand, Kind, Worker};
+use super::state::{Kind, Worker};
 use super::tuning::{EJECTION_MAX, KINDS_MAX, PROBATION_FAILURE_RATE};
 use crate::api::{Time, WorkerId, WorkerState};
 use crate::statistics::{self, Pace, Statistics, aged};
@@ -99,7 +99,7 @@
             late_start_rate: self.late_start_rate,
             wait_window: self.wait_window.min(statistics::UNLIMITED),
             trusted_idle: self.trusted_idle.min(statistics::UNLIMITED),
-            demand: (self.demand.value, self.demand.work),
+            demand: self.demand,
             rejection_rate: self.rejection_rate,
         }
     }
@@ -193,12 +193,9 @@
         self.fetches = pace.fetches.faded(run_weight);
         self.arrivals.resume(now, pace.arrivals, pace_weight);
         self.home_preference = 1.0 - (1.0 - pace.home_preference) * pace_weight;
-        self.late_start_rate = pace.late_start_rate.map(|fraction| fraction * pace_weight);
+        self.late_start_rate = pace.late_start_rate.faded(pace_weight);
         self.rejection_rate = pace.rejection_rate * pace_weight;
-        self.demand = Demand {
-            value: pace.demand.0,
-            work: pace.demand.1,
-        };
+        self.demand = pace.demand;
         self.trusted_idle = self.trusted_idle.min(pace.trusted_idle);
     }
 }
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -1,49 +1,64 @@
-//! What a module has learned, as a value that can be written, read and taken in by another one. It says nothing of what
-//! a dispatcher may do: a cold worker's budget, a worker's right to get work and a job's right to be sent are never in
-//! it. Names are numbers inside a process and texts between processes.
+//! What a dispatcher has learned, as a value that another dispatcher can merge: that of the process which takes over, or
+//! its own after a restart. It grants nothing: neither a worker's place in the membership list, nor a warm-up budget, nor
+//! a job's right to another attempt is part of it. Kinds, classes, tenants and workers are ids inside a process and names
+//! between processes. Times are microseconds of Unix time, durations and work microseconds.
 //!
-//! The written form is [`MAGIC`], the version, the length of the rest and a checksum (each with the least byte first),
-//! then the value as postcard writes it.
+//! The written form is [`MAGIC`], the version, the length of the value and a checksum (little-endian), then the value as
+//! postcard serializes it, field by field: the order and the types of the fields must stay as they are.
 
 use crate::affinity::Fetches;
+use crate::arrivals::Rates;
 use crate::ids::Time;
 use crate::runs::{Speed, Sum, Work};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
+use std::fmt;
+use std::ops::RangeInclusive;
 
 /// The first bytes of the written form.
 pub const MAGIC: &[u8; 4] = b"IFLR";
 /// The version that is written.
 pub const VERSION: u16 = 1;
-/// The longest written form that is read, in bytes: some 1,500 workers.
-pub const LONGEST: usize = 128 * 1024;
-/// Bytes before the value: the magic, the version, the length, the checksum.
-const HEAD: usize = 4 + 2 + 4 + 8;
-/// Attempts that may be named as made beyond the first of their jobs.
+/// The longest written form that is read, in bytes: room for about 1,500 workers.
+pub const LENGTH_MAX_BYTES: usize = 128 * 1024;
+/// Bytes before the value: magic, version, length, checksum.
+const HEADER_BYTES: usize = 4 + 2 + 4 + 8;
+/// Most retries that are listed: the latest ones.
 pub const RETRIED_MAX: usize = 4096;
-/// What has no limit is written as this.
+/// Stands for no limit: finite, so that a value read back can be calculated with.
 pub const UNLIMITED: f64 = 1e18;
-/// No time that is learned is longer, in microseconds: an hour.
-const TIME_MOST: f64 = 3.6e9;
 
-/// What a module has learned; `N` is what names kinds, classes, tenants and workers.
+/// No duration that is learned is longer, in microseconds: an hour.
+const DURATION_MAX: f64 = 3.6e9;
+/// Most slots, and the greatest weight of measurements or rate of arrival.
+const COUNT_MAX: f64 = 1e6;
+/// Ranges of the numbers that are read.
+const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
+const COUNT: RangeInclusive<f64> = 0.0..=COUNT_MAX;
+const DURATION: RangeInclusive<f64> = 0.0..=DURATION_MAX;
+const SPEED: RangeInclusive<f64> = 1e-4..=1e4;
+const RUN_TIME: RangeInclusive<f64> = 1e-6..=DURATION_MAX;
+const ANY_AMOUNT: RangeInclusive<f64> = 0.0..=UNLIMITED;
+const WINDOW: RangeInclusive<f64> = 1.0..=UNLIMITED;
+
+/// What a dispatcher has learned; `N` identifies kinds, classes, tenants and workers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Statistics<N> {
-    /// When it was true, in microseconds of Unix time.
+    /// When it was true.
     pub at: Time,
     /// Kinds of workers.
     pub kinds: Vec<(N, Kind)>,
     /// Classes of jobs.
     pub classes: Vec<(N, Class)>,
-    /// Tenants' shares of the arrivals, 0 to 1.
+    /// Each tenant's fraction of the arrivals, 0 to 1.
     pub tenants: Vec<(N, f64)>,
     /// Workers.
     pub workers: Vec<(N, Worker)>,
-    /// Slots held at workers by jobs of whoever wrote this.
+    /// Slots that the writer's jobs occupy at each worker.
     pub in_flight: Vec<(N, f64)>,
-    /// When attempts beyond their job's first were made, where these are counted.
+    /// When retries were made, where a budget limits them.
     pub retried_at: Vec<Time>,
-    /// What is learned of the whole.
+    /// The state of the whole fleet and its traffic.
     pub pace: Option<Pace>,
 }
 
@@ -52,110 +67,173 @@
 pub struct Kind {
     /// Slots of a worker.
     pub slots: f64,
-    /// ... and whether reports have told them.
+    /// Whether load reports gave the slots; else they are the most observed at once.
     pub slots_reported: bool,
-    /// How fast it is.
+    /// Speed of its workers, relative to the mean.
     pub speed: Speed,
-    /// Its part of the draws, of late.
+    /// The recent probability of drawing this kind.
     pub weight: f64,
 }
 
 /// What is known of a class of jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// How long its jobs run.
+    /// Run time of its jobs.
     pub run_time: Work,
-    /// The longest that a client gave a try.
+    /// The longest time that a client gave one request.
     pub longest_patience: Time,
 }
 
-/// What is known of a worker, and of which start of it.
+/// What is known of one instance of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// When its process had last started, as the list says.
+    /// When the instance started, by the membership list.
     pub started_at: Time,
     /// Shortest recent time from send to start.
     pub start_delay: f64,
-    /// Slots held there by other dispatchers.
+    /// Slots that other dispatchers' jobs occupy.
     pub others_slots: f64,
-    /// ... and when that was news.
+    /// When that was last updated.
     pub load_updated_at: Option<Time>,
-    /// Recent share of failures.
+    /// Recent fraction of failures, 0 to 1.
     pub failure_rate: f64,
-    /// It gets nothing before this.
+    /// It is ejected until this time.
     pub ejected_until: Time,
-    /// How often in a row it was found silent.
+    /// Times found unresponsive since it last made progress.
     pub timeouts_in_a_row: u32,
 }
 
-/// What is known of the fleet and its traffic together. It changes in seconds.
+/// State of the whole fleet and its traffic, which changes within seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pace {
     /// Weight and sum of run times at mean speed.
     pub run_times: Sum,
-    /// What fetches cost.
+    /// Cost of fetches.
     pub fetches: Fetches,
-    /// Work arriving a microsecond, that of it which any kind may do, and jobs a second.
-    pub arrivals: (f64, f64, f64),
-    /// Share of jobs that look at home first.
+    /// Rates of arrival.
+    pub arrivals: Rates,
+    /// Fraction of requests that prefer workers of the own zone.
     pub home_preference: f64,
-    /// Shares of late starts away and at home.
-    pub late_start_rate: [f64; 2],
-    /// Jobs that may wait in workers' queues.
+    /// Recent fractions of late starts.
+    pub late_start_rate: LateStartRate,
+    /// Own jobs that may wait in workers' queues.
     pub wait_window: f64,
-    /// Connections unused for longer are not trusted.
+    /// Connections idle for longer are not trusted.
     pub trusted_idle: f64,
-    /// Worth and work of late.
-    pub demand: (f64, f64),
-    /// Recent share of attempts turned away.
+    /// Recent value and work of the requests.
+    pub demand: Demand,
+    /// Recent fraction of attempts that workers rejected for lack of capacity.
     pub rejection_rate: f64,
 }
 
-/// Why a written form is not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// It is shorter than it says, or longer than any that is read.
+/// Fractions of starts that came late, by the zone of the worker; 0 to 1.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct LateStartRate {
+    /// In other zones.
+    pub away: f64,
+    /// In the own zone.
+    pub home: f64,
+}
+
+impl LateStartRate {
+    /// The rate of the own zone, or of all others.
+    pub fn of_zone(&mut self, is_home: bool) -> &mut f64 {
+        if is_home {
+            &mut self.home
+        } else {
+            &mut self.away
+        }
+    }
+
+    /// The same rates with this fraction of their weight.
+    pub fn faded(self, keep: f64) -> Self {
+        LateStartRate {
+            away: self.away * keep,
+            home: self.home * keep,
+        }
+    }
+}
+
+/// Moving sums over recent requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Demand {
+    /// Their value.
+    pub value: f64,
+    /// Their work, times the slots that they take.
+    pub work: f64,
+}
+
+/// Why a written form is not read.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ReadError {
+    /// Its length, in bytes, differs from the one that it states, or is more than is read.
     Length(usize),
-    /// It does not begin as one does.
-    Foreign,
-    /// A later version of the program wrote it.
-    Newer(u16),
-    /// The checksum does not fit.
-    Damaged,
-    /// It is whole, but a figure in it cannot be one: which, and what is allowed.
-    Value(String),
+    /// It does not begin with [`MAGIC`].
+    Magic,
+    /// It has this version, which cannot be read.
+    Version(u16),
+    /// The checksum does not match, or the value cannot be decoded.
+    Checksum,
+    /// It is complete, but a number in it is out of its range.
+    OutOfRange {
+        /// Which number.
+        what: &'static str,
+        /// Its value.
+        value: f64,
+        /// The least value that is allowed.
+        from: f64,
+        /// The greatest value that is allowed.
+        to: f64,
+    },
 }
 
-impl std::fmt::Display for Refused {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for ReadError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Length(n) => {
-                write!(
-                    f,
-                    "{n} bytes, from {HEAD} to {LONGEST} and as many as it says are allowed"
-                )
-            }
-            Refused::Foreign => write!(
+            ReadError::Length(length) => write!(
                 f,
-                "it does not begin with {:?}",
-                String::from_utf8_lossy(MAGIC)
+                "{length} bytes, from {HEADER_BYTES} to {LENGTH_MAX_BYTES} and as many as it says are allowed"
             ),
-            Refused::Newer(v) => write!(f, "its version is {v}, 1 to {VERSION} can be read"),
-            Refused::Damaged => write!(f, "its checksum does not fit"),
-            Refused::Value(what) => write!(f, "{what}"),
+            ReadError::Magic => {
+                let magic = String::from_utf8_lossy(MAGIC);
+                write!(f, "it does not begin with {magic:?}")
+            }
+            ReadError::Version(version) => {
+                write!(f, "its version is {version}, 1 to {VERSION} can be read")
+            }
+            ReadError::Checksum => write!(f, "its checksum does not fit"),
+            ReadError::OutOfRange {
+                what,
+                value,
+                from,
+                to,
+            } => write!(f, "{what} is {value}, {from} to {to} is allowed"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ReadError {}
+
+fn within(what: &'static str, value: f64, range: RangeInclusive<f64>) -> Result<(), ReadError> {
+    if range.contains(&value) {
+        return Ok(());
+    }
+    let (from, to) = range.into_inner();
+    Err(ReadError::OutOfRange {
+        what,
+        value,
+        from,
+        to,
+    })
+}
 
-/// Weight that is left of something learned so long ago, where it is true for about `lasts`.
+/// Weight that is left of a measurement of this age, with the time constant `lasts`.
 pub fn aged(age: Time, lasts: Time) -> f64 {
     (-(age as f64) / lasts.max(1) as f64).exp()
 }
 
 impl<N> Statistics<N> {
-    /// The same under other names; what has none there is left out.
+    /// The same with other identifiers; entries without one are left out.
     pub fn renamed<M>(
         self,
         mut kind: impl FnMut(&N) -> Option<M>,
@@ -180,109 +258,115 @@
         }
     }
 
-    /// Is every figure one that can be? An error names the first that is not.
-    pub fn check(&self) -> Result<(), Refused> {
-        let within = |what: &str, value: f64, from: f64, to: f64| match (from..=to).contains(&value)
-        {
-            true => Ok(()),
-            false => Err(Refused::Value(format!(
-                "{what} is {value}, {from} to {to} is allowed"
-            ))),
-        };
-        for (_, kind) in &self.kinds {
-            within("slots of a kind", kind.slots, 0.0, 1e6)?;
-            within("part of the draws", kind.weight, 0.0, 1.0)?;
-            within("speed of a kind", kind.speed.speed, 1e-4, 1e4)?;
-            within("weight of a kind's runs", kind.speed.weight(), 0.0, 1e6)?;
-        }
-        for (_, class) in &self.classes {
-            within(
-                "mean run of a class",
-                class.run_time.mean(None),
-                1e-6,
-                TIME_MOST,
-            )?;
-            within(
-                "weight of a class's runs",
-                class.run_time.weight(),
-                0.0,
-                1e6,
-            )?;
-        }
+    /// Checks numbers that another process has written.
+    ///
+    /// # Errors
+    /// The first number that is out of its range.
+    pub fn check(&self) -> Result<(), ReadError> {
+        self.kinds.iter().try_for_each(|(_, kind)| kind.check())?;
+        let mut classes = self.classes.iter();
+        classes.try_for_each(|(_, class)| class.check())?;
         for (_, fraction) in &self.tenants {
-            within("share of a tenant", *fraction, 0.0, 1.0)?;
-        }
-        for (_, w) in &self.workers {
-            within("time to a start", w.start_delay, 0.0, TIME_MOST)?;
-            within("slots held by others", w.others_slots, 0.0, 1e6)?;
-            within("share of failures", w.failure_rate, 0.0, 1.0)?;
+            within("share of a tenant", *fraction, FRACTION)?;
         }
+        let mut workers = self.workers.iter();
+        workers.try_for_each(|(_, worker)| worker.check())?;
         for (_, slots) in &self.in_flight {
-            within("slots held", *slots, 0.0, 1e6)?;
+            within("slots held", *slots, COUNT)?;
         }
         within(
             "number of further attempts",
             self.retried_at.len() as f64,
-            0.0,
-            RETRIED_MAX as f64,
+            0.0..=RETRIED_MAX as f64,
         )?;
-        if let Some(pace) = &self.pace {
-            within("weight of all runs", pace.run_times.0, 0.0, 1e6)?;
-            within("sum of all runs", pace.run_times.1, 0.0, 1e6 * TIME_MOST)?;
-            within("cost of a fetch", pace.fetches.cost(), 0.0, TIME_MOST)?;
-            let (work, unbound, per_s) = pace.arrivals;
-            within("work arriving", work, 0.0, 1e6)?;
-            within("work of any kind arriving", unbound, 0.0, 1e6)?;
-            within("jobs arriving", per_s, 0.0, 1e6)?;
-            within("share at home first", pace.home_preference, 0.0, 1.0)?;
-            within("late starts away", pace.late_start_rate[0], 0.0, 1.0)?;
-            within("late starts at home", pace.late_start_rate[1], 0.0, 1.0)?;
-            within("window", pace.wait_window, 1.0, UNLIMITED)?;
-            within("trusted idle time", pace.trusted_idle, 0.0, UNLIMITED)?;
-            within("worth of late", pace.demand.0, 0.0, UNLIMITED)?;
-            within("work of late", pace.demand.1, 0.0, UNLIMITED)?;
-            within("share turned away", pace.rejection_rate, 0.0, 1.0)?;
-        }
-        Ok(())
+        self.pace.as_ref().map_or(Ok(()), Pace::check)
+    }
+}
+
+impl Kind {
+    fn check(&self) -> Result<(), ReadError> {
+        within("slots of a kind", self.slots, COUNT)?;
+        within("part of the draws", self.weight, FRACTION)?;
+        within("speed of a kind", self.speed.speed, SPEED)?;
+        within("weight of a kind's runs", self.speed.weight(), COUNT)
+    }
+}
+
+impl Class {
+    fn check(&self) -> Result<(), ReadError> {
+        within("mean run of a class", self.run_time.mean(None), RUN_TIME)?;
+        within("weight of a class's runs", self.run_time.weight(), COUNT)
+    }
+}
+
+impl Worker {
+    fn check(&self) -> Result<(), ReadError> {
+        within("time to a start", self.start_delay, DURATION)?;
+        within("slots held by others", self.others_slots, COUNT)?;
+        within("share of failures", self.failure_rate, FRACTION)
+    }
+}
+
+impl Pace {
+    fn check(&self) -> Result<(), ReadError> {
+        let (weight, sum) = self.run_times;
+        within("weight of all runs", weight, COUNT)?;
+        within("sum of all runs", sum, 0.0..=COUNT_MAX * DURATION_MAX)?;
+        within("cost of a fetch", self.fetches.cost(), DURATION)?;
+        within("work arriving", self.arrivals.work, COUNT)?;
+        within("work of any kind arriving", self.arrivals.unbound, COUNT)?;
+        within("jobs arriving", self.arrivals.per_s, COUNT)?;
+        within("share at home first", self.home_preference, FRACTION)?;
+        within("late starts away", self.late_start_rate.away, FRACTION)?;
+        within("late starts at home", self.late_start_rate.home, FRACTION)?;
+        within("window", self.wait_window, WINDOW)?;
+        within("trusted idle time", self.trusted_idle, ANY_AMOUNT)?;
+        within("worth of late", self.demand.value, ANY_AMOUNT)?;
+        within("work of late", self.demand.work, ANY_AMOUNT)?;
+        within("share turned away", self.rejection_rate, FRACTION)
     }
 }
 
 impl Statistics<String> {
-    /// The written form. `None` where it would be longer than any that is read.
+    /// The written form; `None` if it would be longer than [`LENGTH_MAX_BYTES`].
     pub fn write(&self) -> Option<Vec<u8>> {
         let value = postcard::to_allocvec(self).ok()?;
-        let mut form = Vec::with_capacity(HEAD + value.len());
+        let mut form = Vec::with_capacity(HEADER_BYTES + value.len());
         form.extend(MAGIC);
         form.extend(VERSION.to_le_bytes());
         form.extend((value.len() as u32).to_le_bytes());
         form.extend(&Sha256::digest(&value)[..8]);
         form.extend(value);
-        (form.len() <= LONGEST).then_some(form)
+        (form.len() <= LENGTH_MAX_BYTES).then_some(form)
     }
 
-    /// Reads a written form; all of it is checked before anything of it is used.
-    pub fn read(form: &[u8]) -> Result<Self, Refused> {
-        if !(HEAD..=LONGEST).contains(&form.len()) {
-            return Err(Refused::Length(form.len()));
+    /// Reads a written form; all of it is checked before any of it is used.
+    ///
+    /// # Errors
+    /// What is wrong with the form: its length, magic, version or checksum, or a number out of its range.
+    pub fn read(form: &[u8]) -> Result<Self, ReadError> {
+        if !(HEADER_BYTES..=LENGTH_MAX_BYTES).contains(&form.len()) {
+            return Err(ReadError::Length(form.len()));
         }
-        let (head, value) = form.split_at(HEAD);
-        if &head[..4] != MAGIC {
-            return Err(Refused::Foreign);
+        let (header, value) = form.split_at(HEADER_BYTES);
+        if &header[..4] != MAGIC {
+            return Err(ReadError::Magic);
         }
-        let version = u16::from_le_bytes([head[4], head[5]]);
+        let version = u16::from_le_bytes([header[4], header[5]]);
         if version == 0 || version > VERSION {
-            return Err(Refused::Newer(version));
+            return Err(ReadError::Version(version));
         }
-        if u32::from_le_bytes([head[6], head[7], head[8], head[9]]) as usize != value.len() {
-            return Err(Refused::Length(form.len()));
+        let length = u32::from_le_bytes([header[6], header[7], header[8], header[9]]);
+        if length as usize != value.len() {
+            return Err(ReadError::Length(form.len()));
         }
-        if head[10..] != Sha256::digest(value)[..8] {
-            return Err(Refused::Damaged);
+        if header[10..] != Sha256::digest(value)[..8] {
+            return Err(ReadError::Checksum);
         }
         let (statistics, rest) =
-            postcard::take_from_bytes::<Self>(value).map_err(|_| Refused::Damaged)?;
+            postcard::take_from_bytes::<Self>(value).map_err(|_| ReadError::Checksum)?;
         if !rest.is_empty() {
-            return Err(Refused::Damaged);
+            return Err(ReadError::Checksum);
         }
         statistics.check()?;
         Ok(statistics)
--- a/crates/decisions/tests/arrivals.rs
+++ b/crates/decisions/tests/arrivals.rs
@@ -9,24 +9,29 @@
     for n in 1..=600 {
         arrivals.count(n * 100_000, 200_000.0, n % 2 == 0, u32::from(n % 4 == 0));
     }
-    assert!((arrivals.per_s - 10.0).abs() < 0.2, "{}", arrivals.per_s);
     assert!(
-        (arrivals.work - 2.0).abs() < 0.04 && (arrivals.unbound - 1.0).abs() < 0.04,
+        (arrivals.latest().per_s - 10.0).abs() < 0.2,
+        "{}",
+        arrivals.latest().per_s
+    );
+    assert!(
+        (arrivals.latest().work - 2.0).abs() < 0.04
+            && (arrivals.latest().unbound - 1.0).abs() < 0.04,
         "{} {}",
-        arrivals.work,
-        arrivals.unbound
+        arrivals.latest().work,
+        arrivals.latest().unbound
     );
     let fractions = [0, 1, 2].map(|tenant| arrivals.fraction(tenant));
     assert!(
         (fractions[0].unwrap() - 0.75).abs() < 0.02 && (fractions[1].unwrap() - 0.25).abs() < 0.02
     );
     assert_eq!(fractions[2], None);
-    arrivals.tenants([0.3, 0.3, 0.4].into_iter());
+    arrivals.add_tenants([0.3, 0.3, 0.4].into_iter());
     assert_eq!(
         (arrivals.fraction(0), arrivals.fraction(2)),
         (fractions[0], Some(0.4))
     );
     // Nothing for a minute: nothing is left.
     arrivals.count(120_000_000, 0.0, false, 9);
-    assert!(arrivals.work < 1e-4 && arrivals.per_s < 0.21);
+    assert!(arrivals.latest().work < 1e-4 && arrivals.latest().per_s < 0.21);
 }
--- a/crates/decisions/tests/serialized_form.rs
+++ b/crates/decisions/tests/serialized_form.rs
@@ -1,8 +1,11 @@
 //! The serialized forms that another version of the program reads: their bytes must not change.
 
 use indigofold_decisions::affinity::Fetches;
+use indigofold_decisions::arrivals::Rates;
 use indigofold_decisions::runs::{Speed, Work};
-use indigofold_decisions::statistics::{Class, Kind, Pace, Statistics, Worker};
+use indigofold_decisions::statistics::{
+    Class, Demand, Kind, LateStartRate, Pace, Statistics, Worker,
+};
 use indigofold_decisions::transferred_job::{Attempt, Progress, TransferredJob};
 
 /// [`statistics`] as written by the release before the types were renamed.
@@ -79,12 +82,22 @@
     Pace {
         run_times: (40.0, 8e6),
         fetches,
-        arrivals: (2.0, 1.5, 10.0),
+        arrivals: Rates {
+            work: 2.0,
+            unbound: 1.5,
+            per_s: 10.0,
+        },
         home_preference: 0.9,
-        late_start_rate: [0.0625, 0.5],
+        late_start_rate: LateStartRate {
+            away: 0.0625,
+            home: 0.5,
+        },
         wait_window: 12.5,
         trusted_idle: 4e6,
-        demand: (30.0, 6e6),
+        demand: Demand {
+            value: 30.0,
+            work: 6e6,
+        },
         rejection_rate: 0.03125,
     }
 }
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -2,7 +2,9 @@
 
 use indigofold_decisions::api::*;
 use indigofold_decisions::dispatcher::WorkerCounts;
-use indigofold_decisions::statistics::{LONGEST, MAGIC, Refused, Statistics, UNLIMITED, VERSION};
+use indigofold_decisions::statistics::{
+    LENGTH_MAX_BYTES, MAGIC, ReadError, Statistics, UNLIMITED, VERSION,
+};
 use indigofold_decisions_testing::*;
 use proptest::prelude::*;
 
@@ -222,7 +224,7 @@
     let weight = |l: &Statistics<u32>| l.kinds[0].1.speed.weight();
     assert!(weight(&minute) > 0.85 * weight(&now) && weight(&day) < 0.01 * weight(&now));
     assert!((minute.kinds[0].1.speed.speed - now.kinds[0].1.speed.speed).abs() < 1e-9);
-    let arrivals = |l: &Statistics<u32>| l.pace.as_ref().map_or(0.0, |p| p.arrivals.2);
+    let arrivals = |l: &Statistics<u32>| l.pace.as_ref().map_or(0.0, |p| p.arrivals.per_s);
     assert!(arrivals(&now) > 1.0 && arrivals(&minute) < 1e-4 * arrivals(&now));
     // From a clock that runs ahead: as if it were of now, and no ejection for longer than the longest.
     let mut ahead = statistics.clone();
@@ -316,11 +318,11 @@
     );
     assert!(matches!(
         Statistics::read(&form[..form.len() - 1]),
-        Err(Refused::Length(_))
+        Err(ReadError::Length(_))
     ));
     assert!(matches!(
-        Statistics::read(&vec![0; LONGEST + 1]),
-        Err(Refused::Length(_))
+        Statistics::read(&vec![0; LENGTH_MAX_BYTES + 1]),
+        Err(ReadError::Length(_))
     ));
     // Whole, with the right checksum, and still not possible.
     let refused = |change: &dyn Fn(&mut Statistics<String>)| {
