--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -79,14 +79,14 @@
 fn rules() -> Rules {
     Rules {
         answer_slack: 20 * MS,
-        list_refresh_within: 10 * SEC,
+        membership_refresh_within: 10 * SEC,
         initial_capacity: 0.3,
         warm_after: 8 * SEC,
         drain_grace: 500 * MS,
         tip_multiple: 3.0,
         tip_window: SEC,
         resends: None,
-        let_go_in: None,
+        close_idle_within: None,
         full_may_have_run: false,
     }
 }
@@ -169,7 +169,7 @@
 
     /// Hands over a membership list, or a part of it.
     pub fn update_membership(&mut self, scope: Scope, workers: &[Entry]) {
-        self.handle(Event::List {
+        self.handle(Event::Membership {
             scope,
             entries: workers.to_vec(),
         });
--- a/crates/decisions/src/affinity.rs
+++ b/crates/decisions/src/affinity.rs
@@ -1,6 +1,6 @@
 //! Jobs with an affinity, that is, jobs that need the same data: which worker they go to first (weighted rendezvous
-//! hashing), and what it costs to send them elsewhere. Workers keep the data of recent jobs; a worker that lacks a job's
-//! data fetches it while the job holds its slot. Nothing here decides; the dispatcher asks.
+//! hashing), and what it costs to send them elsewhere. Workers keep the data of recent jobs; a worker that lacks a
+//! job's data fetches it while the job holds its slot. Nothing here decides; the dispatcher asks.
 
 use crate::ids::{Time, WorkerId};
 use crate::runs::{self, Sum};
@@ -18,8 +18,8 @@
 /// Least fraction of the work after the first progress report, so that a report of all work done divides by no zero.
 const REST_MIN: f64 = 1e-9;
 
-/// A number in (0, 1) for a pair, evenly distributed and the same at every dispatcher (finalizer of splitmix64, by Steele,
-/// Lea and Flood).
+/// A number in (0, 1) for a pair, evenly distributed and the same at every dispatcher (finalizer of splitmix64, by
+/// Steele, Lea and Flood).
 pub fn hash(affinity: u64, with: u64) -> f64 {
     let mut z = affinity ^ with.wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -1,9 +1,9 @@
-//! The interface of the decision module: what it is told and what it may ask for.
+//! The interface of the decision module: its inputs ([`Event`]), its outputs ([`Action`]) and its [`Settings`].
 //!
 //! A caller owns one [`crate::dispatcher::Dispatcher`] per dispatcher and hands it every event in the order in
-//! which it happened, with a clock that never runs backwards. All names (classes, kinds, zones, tenants,
-//! workers, requests) are integer ids chosen by the caller; the module attaches no meaning to their values.
-//! Times and durations are whole microseconds.
+//! which it happened, with a clock that never runs backwards. Classes, kinds, zones, tenants, workers and requests are
+//! integer ids chosen by the caller; the module attaches no meaning to their values.
+//! Times and durations are whole microseconds unless a comment says otherwise.
 
 pub use crate::ids::*;
 use crate::statistics::Statistics;
@@ -12,13 +12,14 @@
 /// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// It may take effect any number of times.
     Safe,
-    /// Workers of one group drop a repeat within `ttl` of the first send that may have run.
+    /// It carries a key by which the workers of one group drop a repeat within `ttl` of the first attempt that may have
+    /// run.
     Keyed {
         /// Which workers drop each other's repeats.
         group: Group,
-        /// For how long they do.
+        /// For how long they do, from the first attempt that may have run.
         ttl: Time,
     },
     /// It must never run twice.
@@ -41,24 +42,24 @@
 pub struct Class {
     /// The one kind of worker that can run it, if it is bound to one.
     pub kind: Option<KindId>,
-    /// An answer within this time, plus `stretch` times the job's own work, earns the full worth.
+    /// An answer within this time, plus `stretch` times the job's own work, earns the full value.
     pub latency_target: Time,
-    /// Multiple of the job's own work (at speed 1) by which the aim is extended.
+    /// Multiple of the job's own work (at speed 1) by which the latency target is extended.
     pub stretch: f64,
-    /// How long a client waits over all its tries.
+    /// How long a client waits over all its attempts at one request.
     pub deadline: Time,
-    /// Whether repeats are harmful.
+    /// Whether it may take effect more than once.
     pub effect: Effect,
-    /// Worth of one request, or of a unit of its work where [`Settings::value_by_work`] is set.
+    /// Value of one request, or of a unit of its work where [`Settings::value_by_work`] is set.
     pub value: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Fraction of the value that an answer after the latency target still earns.
     pub late_value: f64,
     /// Priority in the workers' queues, where they order by priority.
     pub priority: i32,
 }
 
 impl Class {
-    /// What a request of a class that the settings lack is taken for: it must never run twice.
+    /// The rules of a class that the settings lack: the strictest, it must never run twice.
     pub const UNKNOWN: Class = Class {
         kind: None,
         latency_target: 1_000_000,
@@ -71,112 +72,112 @@
     };
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Requests a second over all dispatchers that count as within its share.
+    /// Requests a second, over all dispatchers, that are within its quota.
     pub quota_per_s: f64,
-    /// Its fraction of the service.
+    /// Its fraction of the service, 0 to 1.
     pub fraction: f64,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reports {
-    /// With the outcomes of attempts and with probes.
+    /// With results of attempts and of probes.
     WithResults,
-    /// With probes only.
+    /// With results of probes only.
     OnProbe,
     /// There are none.
     #[default]
     Off,
 }
 
-/// What the site allows.
+/// Limits and permissions of the deployment.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Attempts a request may have.
+    /// Attempts that a request may have.
     pub attempts: u32,
-    /// Requests that may be open at once; `None`: as many as come. Each keeps a connection of its client's, and those
-    /// are limited.
+    /// Requests that may be open at once; `None`: no limit. Each occupies a connection of its client, and these are
+    /// limited.
     pub open: Option<usize>,
-    /// `Cancel` may be used.
+    /// [`Action::Cancel`] may be used.
     pub cancel: bool,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once.
     pub duplicates: bool,
-    /// `Probe` may be used.
+    /// [`Action::Probe`] may be used.
     pub probes: bool,
-    /// `UpdatePeers` may be used.
+    /// [`Action::UpdatePeers`] may be used.
     pub peers: bool,
-    /// Clients are told when to retry.
+    /// Rejections advise clients when to retry.
     pub retry_after: bool,
-    /// Longest such advice that a client follows.
+    /// The longest such advice that clients follow.
     pub max_retry_after: Time,
     /// A connection not made within this time fails.
     pub dial_timeout: Time,
 }
 
 impl Limits {
-    /// Where no copy may go beside, giving an attempt up is the only way to move a job.
+    /// Whether a waiting request is moved by cancelling its attempt: where no second attempt may run beside the first.
     pub fn moves(&self) -> bool {
         self.cancel && !self.duplicates
     }
 }
 
-/// Prices: points of the result (as a fraction) for each unit.
+/// Prices of what a dispatcher uses: fractions of the result for each unit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Charges {
-    /// Attempts that cross zones, per first try.
+    /// Attempts that cross zones, per first attempt.
     pub cross_zone: f64,
-    /// Worker work without an answer, per work submitted.
+    /// Work of workers that led to no answer, per work submitted.
     pub waste: f64,
-    /// Probes, per first try.
+    /// Probes, per first attempt.
     pub probe: f64,
-    /// Delivered peer bytes, per 256 bytes and first try.
+    /// Bytes of peer updates delivered, per 256 bytes and first attempt.
     pub peer: f64,
-    /// Worth that ends unserved after its aim, per worth offered.
+    /// Value of requests that end unserved after their latency target, per value submitted.
     pub late_fail: f64,
-    /// List lines, per hundred and first try.
+    /// Membership entries received, per hundred and first attempt.
     pub discovery: f64,
 }
 
-/// Attempts beyond each request's first that a dispatcher may make in any window.
+/// Budget of retries, that is, of attempts beyond each request's first, that a dispatcher may make in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResendBudget {
-    /// So many whatever the traffic ...
+    /// Retries allowed whatever the traffic.
     pub free: f64,
-    /// ... and so many for each request taken in the window.
+    /// Further retries for each request accepted in the window.
     pub ratio: f64,
-    /// Length of the window. `None`: no request counts, and no further attempt is ever forgotten.
+    /// Length of the window. `None`: no request adds to the budget, and no retry ever leaves it.
     pub window: Option<Time>,
 }
 
-/// Figures of the rules that no run may break.
+/// Parameters of the rules that must never be broken.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     /// A final answer may come this long after the client's deadline.
     pub answer_slack: Time,
-    /// Without a subscription the list must be asked for at least this often.
-    pub list_refresh_within: Time,
-    /// A worker starts at this share of its capacity or above.
+    /// Without a subscription the membership list must be requested at least this often.
+    pub membership_refresh_within: Time,
+    /// A worker has at least this fraction of its capacity when it starts.
     pub initial_capacity: f64,
-    /// ... and is warm no later than this after its start.
+    /// Its warm-up takes at most this long.
     pub warm_after: Time,
-    /// Sends to a draining or gone worker must have stopped this long after the dispatcher was told.
+    /// No request may be sent to a draining or removed worker later than this after the membership event.
     pub drain_grace: Time,
-    /// A cold worker falls when sent more than this multiple of its present capacity ...
+    /// A worker in warm-up fails when it is sent more than this multiple of its present capacity.
     pub tip_multiple: f64,
-    /// ... over a window of this length.
+    /// The window over which that is counted.
     pub tip_window: Time,
-    /// Budget of attempts beyond each request's first; `None`: as many as [`Limits::attempts`] allows.
+    /// Budget of retries; `None`: as many as [`Limits::attempts`] allows.
     pub resends: Option<ResendBudget>,
-    /// Idle connections to a leaving worker must be closed within this time; `None`: they may stay.
-    pub let_go_in: Option<Time>,
+    /// Idle connections to a draining worker must be closed within this time; `None`: they may stay open.
+    pub close_idle_within: Option<Time>,
     /// [`Status::Full`] is no proof that the attempt never ran.
     pub full_may_have_run: bool,
 }
 
-/// What a dispatcher is told when it starts.
+/// What a dispatcher is configured with.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of dispatchers that send to these workers.
@@ -191,39 +192,39 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The list of workers changes unasked (else only after `Watch` or `Fetch`).
+    /// Membership events come unrequested; else only after [`Action::Watch`] or [`Action::Fetch`].
     pub membership_pushed: bool,
-    /// Workers tell when a job starts.
+    /// Workers report the start of a job.
     pub reports_start: bool,
-    /// Time between progress notes; 0 for none.
+    /// Time between progress reports; 0 for none.
     pub progress: Time,
     /// Where load reports come from.
     pub reports: Reports,
-    /// Worth is counted for each unit of work, not for each request.
+    /// Value is counted for each unit of work, not for each request.
     pub value_by_work: bool,
-    /// Worth of a request beyond its tenant's share, as a fraction of its class's worth.
+    /// Value of a request beyond its tenant's quota, as a fraction of its class's value.
     pub over_quota_value: f64,
-    /// What the site allows.
+    /// Limits and permissions.
     pub limits: Limits,
     /// Prices.
     pub charges: Charges,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
 }
 
-/// State of a worker in the list.
+/// State of a worker in the membership list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It takes work.
+    /// It takes requests.
     Active,
-    /// It finishes what it has; send it nothing new.
+    /// It finishes what it has and takes nothing new.
     Draining,
-    /// It is gone.
+    /// It has been removed.
     #[default]
     Left,
 }
 
-/// One line of the list of workers.
+/// One entry of the membership list.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
     /// The worker.
@@ -232,17 +233,17 @@
     pub zone: ZoneId,
     /// Its kind.
     pub kind: KindId,
-    /// Its cell: the workers that share knowledge of keys seen.
+    /// Its cell: the workers that drop repeats of keyed requests for each other.
     pub cell: u32,
     /// Its state.
     pub state: WorkerState,
-    /// A unitless size.
+    /// Its relative size, without a unit.
     pub power: f64,
-    /// When its process last started; 0 if long past.
+    /// When its process last started; 0 if long ago.
     pub ready_at: Time,
 }
 
-/// How much of the list a list event carries.
+/// How much of the membership list an event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// Changed entries only.
@@ -251,18 +252,18 @@
     Full,
     /// The whole list as last held, perhaps out of date.
     Cached,
-    /// A call failed or the subscription broke; no entries, the old list stays.
+    /// The request for it failed or the subscription broke: no entries, the former list stays.
     Failed,
 }
 
-/// A worker's load as it reports it. Reports are late and noisy; absent values are `None`.
+/// A worker's load by its own report. Reports are late and noisy; absent values are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests held.
+    /// Requests in flight.
     pub inflight: Option<f64>,
     /// Requests waiting.
     pub queue: Option<f64>,
-    /// Fraction of its cores in use.
+    /// Fraction of its cores in use, 0 to 1.
     pub busy: Option<f64>,
     /// Requests served a second.
     pub served: Option<f64>,
@@ -281,7 +282,7 @@
     Ok,
     /// The worker answered with an error; it may have run.
     Error,
-    /// Turned away; it never ran, unless [`Rules::full_may_have_run`] is set.
+    /// Rejected for lack of capacity; it never ran, unless [`Rules::full_may_have_run`] is set.
     Full,
     /// No answer in time; it may have run or still run.
     Timeout,
@@ -289,7 +290,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// It was never sent.
     Moot,
@@ -304,62 +305,62 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// Time until the client gives up this try.
+    /// Time until the client gives up this attempt.
     pub left: Time,
     /// Expected work as time at speed 1, where given.
     pub estimate: Option<Time>,
     /// Slots it takes while it runs.
     pub slots: f64,
-    /// Memory it takes while it runs.
+    /// Memory it takes while it runs, in units of about one slot's.
     pub memory: f64,
-    /// What it is about, where it says so: requests with equal ones need the same thing, which workers keep for a while.
+    /// Affinity, where it has one: requests with the same one need the same data, which workers keep for a while.
     pub subject: Option<u64>,
 }
 
-/// Something that happened.
+/// An input of the dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the worker list.
-    List {
-        /// How much of it.
+    /// A membership list, a change of it, or a failure to get it.
+    Membership {
+        /// How much of the list.
         scope: Scope,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// A request arrived; the dispatcher owes it one final answer.
+    /// A request arrived; the dispatcher must give it one final answer.
     Request(Request),
-    /// A streamed answer has begun; the attempt now belongs to the client.
+    /// A streamed answer has begun: the request is closed, and the attempt now belongs to the client.
     Streaming {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// An attempt's job has begun to run.
+    /// The worker has started an attempt.
     Started {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// The worker has not said that it took an attempt, though that is overdue: either it or the way to it
-    /// hangs. Not told where takers say nothing.
-    Unheard {
+    /// The worker has not acknowledged an attempt in time: it or the network is unresponsive. Never sent where workers
+    /// acknowledge nothing.
+    Unacknowledged {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// An attempt's job has this share done.
+    /// A progress report of an attempt.
     Progress {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Share done, 0 to 1.
+        /// Fraction of the work done, 0 to 1.
         done: f64,
     },
-    /// The one result of an attempt.
+    /// The result of an attempt; each attempt has exactly one.
     Outcome {
         /// The request.
         request: RequestId,
@@ -367,12 +368,12 @@
         attempt: AttemptNo,
         /// How it ended.
         status: Status,
-        /// The request is closed; nothing more is owed.
+        /// The request is closed: it needs no further answer.
         closed: bool,
-        /// The worker's load report, if one came along.
+        /// The worker's load report, if the result carried one.
         load: Option<Load>,
     },
-    /// The client is gone; the request is closed.
+    /// The client has disconnected; the request is closed.
     RequestClosed(RequestId),
     /// A timer of this dispatcher is due.
     Timer(u64),
@@ -380,29 +381,29 @@
     Probed {
         /// The worker.
         worker: WorkerId,
-        /// How it went.
+        /// How it ended.
         status: Status,
-        /// The load report, if one came along.
+        /// The load report, if the result carried one.
         load: Option<Load>,
     },
     /// Other settings from now on. Ids keep their meaning; classes and tenants may be added at the end. An open
     /// request keeps the class that it came with.
     Settings(Box<Settings>),
-    /// What another one has learned that did this one's work until now; under this one's ids.
+    /// Statistics of the dispatcher that this one replaces, under this one's ids.
     Statistics(Box<Statistics<u32>>),
-    /// A request goes on here that another one has begun, with what its attempts have done; under this one's ids. The
-    /// dispatcher owes it its one final answer, and hears of what is still out.
+    /// An open request of the dispatcher that this one replaces, under this one's ids. This dispatcher must give it its
+    /// one final answer, and receives the events of its attempts in flight.
     Adopted(RequestId, Box<TransferredJob<u32>>),
     /// A message from another dispatcher.
     Peer {
         /// The sender's number.
         from: u32,
-        /// The slots that it holds at each worker where it holds any; a hint that may be late or lost.
+        /// Slots that its requests occupy at each worker where there are any. Updates may be late or lost.
         in_flight: Vec<(WorkerId, u8)>,
     },
 }
 
-/// Something the dispatcher wants done, in the order given.
+/// An output of the dispatcher, to be carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -411,9 +412,9 @@
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Time-out; 0 means until the client gives up.
+        /// Time-out; 0: until the client gives up.
         timeout: Time,
-        /// It must not begin to go out from this time on, however long a connection is waited for.
+        /// From this time on it must not be sent any more, however long it waited for a connection.
         by: Time,
     },
     /// Stop waiting for an attempt.
@@ -423,26 +424,26 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: refused, trying again is harmless.
+    /// Final answer: rejected, a retry by the client is safe.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Advice to stay away this long; 0 for none.
+        /// Advice to retry no sooner than after this time; 0 for none.
         retry_after: Time,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: failed, it may have taken effect.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Ask for a `Timer` event at this time or soon after.
+    /// Request an [`Event::Timer`] at this time or soon after.
     Timer {
         /// When.
         at: Time,
-        /// Handed back with the event.
+        /// Returned with the event.
         name: u64,
     },
-    /// Ask a worker for its health and load.
+    /// Request a worker's health and load.
     Probe {
         /// The worker.
         worker: WorkerId,
@@ -452,14 +453,14 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// Tell all other dispatchers what this one holds.
+    /// Send all other dispatchers the slots that this one's requests occupy.
     UpdatePeers {
-        /// Slots in flight at each worker where there are any; a few dozen workers at most.
+        /// Slots occupied at each worker where there are any; a few dozen workers at most.
         in_flight: Vec<(WorkerId, u8)>,
     },
-    /// Subscribe to the worker list, or end the subscription.
+    /// Subscribe to the membership list, or end the subscription.
     Watch(bool),
-    /// Ask for the whole worker list once.
+    /// Request the whole membership list once.
     Fetch,
     /// A line for the operators' log.
     Log(String),
--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -155,7 +155,9 @@
     fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<Action>) -> bool {
         let attempt_id = |request, attempt| AttemptId { request, attempt };
         match event {
-            Event::List { scope, entries } => self.handle_membership(now, scope, entries, out),
+            Event::Membership { scope, entries } => {
+                self.handle_membership(now, scope, entries, out)
+            }
             Event::Request(request) => {
                 if !self.open.contains_key(&request.id) {
                     self.accept(now, request, out);
@@ -186,7 +188,7 @@
                 self.send_or_queue(now, request, out);
             }
             Event::RequestClosed(request) => self.close(request, out),
-            Event::Unheard { request, attempt } => {
+            Event::Unacknowledged { request, attempt } => {
                 self.handle_unacknowledged(now, attempt_id(request, attempt), out);
             }
             Event::Timer(name) if name.wrapping_add(1) == self.timer => self.handle_tick(now, out),
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -98,8 +98,8 @@
         filled.max(least).min(1.0)
     }
 
-    /// Prefers a stretch of a kind's workers, another one at each dispatcher: jobs spread thinly over a large fleet tell
-    /// of no worker. Workers that warm up are preferred wherever this dispatcher has a part of their budget.
+    /// Prefers a stretch of a kind's workers, another one at each dispatcher: jobs spread thinly over a large fleet
+    /// tell of no worker. Workers that warm up are preferred wherever this dispatcher has a part of their budget.
     fn group_kind(
         &mut self,
         now: Time,
--- a/crates/decisions/src/dispatcher/membership.rs
+++ b/crates/decisions/src/dispatcher/membership.rs
@@ -42,7 +42,7 @@
                 due: now + backoff,
                 backoff: (2 * backoff)
                     .min(MEMBERSHIP_BACKOFF_MAX)
-                    .min(self.settings.rules.list_refresh_within),
+                    .min(self.settings.rules.membership_refresh_within),
             },
             Scope::Cached => self.membership_request,
             _ => MembershipRequest {
@@ -55,7 +55,7 @@
     /// Something ended at a worker: closes idle connections there if it leaves, where the settings ask for that.
     pub(super) fn close_idle(&mut self, index: usize, out: &mut Vec<Action>) {
         let worker = &mut self.workers[index];
-        worker.has_connections = worker.active || self.settings.rules.let_go_in.is_none();
+        worker.has_connections = worker.active || self.settings.rules.close_idle_within.is_none();
         if !worker.has_connections {
             worker.idle_since.clear();
             out.push(Action::Disconnect {
@@ -91,7 +91,7 @@
     /// Keeps a subscription where the list must be requested; one event answers each request.
     pub(super) fn request_membership(&mut self, now: Time, out: &mut Vec<Action>) {
         if now >= self.membership_request.due {
-            self.membership_request.due = now + self.settings.rules.list_refresh_within;
+            self.membership_request.due = now + self.settings.rules.membership_refresh_within;
             out.push(Action::Watch(true));
         }
     }
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -1,6 +1,6 @@
 //! What a dispatcher has learned, as a value, and merging what another one has learned: the process that it replaces,
-//! or its own former process. What restricts is taken as it stands, what is measured counts by its age, and what permits
-//! (a budget of a worker that warms up, a place in the membership list) is neither written nor taken.
+//! or its own former process. What restricts is taken as it stands, what is measured counts by its age, and what
+//! permits (a budget of a worker that warms up, a place in the membership list) is neither written nor taken.
 
 use super::Dispatcher;
 use super::state::{Kind, Worker};
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -24,8 +24,8 @@
         fraction.min(1.0)
     }
 
-    /// Work that may be sent in each unit of time to a worker that warms up; `None` for any other. Its budget goes to so
-    /// few dispatchers that a part soon pays for a job: a hundredth of it would not before the worker is warm.
+    /// Work that may be sent in each unit of time to a worker that warms up; `None` for any other. Its budget goes to
+    /// so few dispatchers that a part soon pays for a job: a hundredth of it would not before the worker is warm.
     pub(super) fn warm_up_rate(&self, now: Time, worker: &Worker) -> Option<f64> {
         let fraction = self.warm_up_fraction(now, worker);
         if fraction >= 1.0 {
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -1,10 +1,10 @@
-//! What a dispatcher has learned, as a value that another dispatcher can merge: that of the process which takes over, or
-//! its own after a restart. It grants nothing: neither a worker's place in the membership list, nor a warm-up budget, nor
-//! a job's right to another attempt is part of it. Kinds, classes, tenants and workers are ids inside a process and names
-//! between processes. Times are microseconds of Unix time, durations and work microseconds.
+//! What a dispatcher has learned, as a value that another dispatcher can merge: that of the process which takes over,
+//! or its own after a restart. It grants nothing: neither a worker's place in the membership list, nor a warm-up
+//! budget, nor a job's right to another attempt is part of it. Kinds, classes, tenants and workers are ids inside a
+//! process and names between processes. Times are microseconds of Unix time, durations and work microseconds.
 //!
-//! The written form is [`MAGIC`], the version, the length of the value and a checksum (little-endian), then the value as
-//! postcard serializes it, field by field: the order and the types of the fields must stay as they are.
+//! The written form is [`MAGIC`], the version, the length of the value and a checksum (little-endian), then the value
+//! as postcard serializes it, field by field: the order and the types of the fields must stay as they are.
 
 use crate::affinity::Fetches;
 use crate::arrivals::Rates;
--- a/crates/decisions/src/transferred_job.rs
+++ b/crates/decisions/src/transferred_job.rs
@@ -124,8 +124,8 @@
 }
 
 impl<N> TransferredJob<N> {
-    /// The same job with other identifiers; `None` if `class` has none for its class. `worker` has to give one for every
-    /// worker, also for those that its process does not know.
+    /// The same job with other identifiers; `None` if `class` has none for its class. `worker` has to give one for
+    /// every worker, also for those that its process does not know.
     pub fn renamed<M>(
         self,
         class: impl FnOnce(&N) -> Option<M>,
--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -43,7 +43,7 @@
             harness.advance(10 * MS);
             assert!(
                 harness.now < failed + 10 * SEC,
-                "requested within rules.list_refresh_within"
+                "requested within rules.membership_refresh_within"
             );
         }
         waits.push(harness.now - failed);
@@ -111,7 +111,7 @@
         (Scope::Full, vec![]),
     ] {
         let mut settings = settings();
-        settings.rules.let_go_in = Some(800 * MS);
+        settings.rules.close_idle_within = Some(800 * MS);
         let mut harness = Harness::new(settings, &[entry(1, 0)]);
         let [(a, _), (c, _)] = [harness.submit(0), harness.submit(0)];
         harness.start(a, 0);
@@ -146,9 +146,9 @@
         assert_eq!(closed(&harness, 1), 1, "and after a probe");
     }
     // Where it is not asked, or the worker was never used, nothing is closed.
-    for (let_go_in, used) in [(None, true), (Some(0), false)] {
+    for (close_idle_within, used) in [(None, true), (Some(0), false)] {
         let mut settings = settings();
-        settings.rules.let_go_in = let_go_in;
+        settings.rules.close_idle_within = close_idle_within;
         let mut harness = Harness::new(settings, &[entry(1, 0)]);
         if used {
             harness.submit(0);
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -82,7 +82,7 @@
                 }
                 Action::Disconnect { worker } => {
                     assert!(
-                        self.settings.rules.let_go_in.is_none()
+                        self.settings.rules.close_idle_within.is_none()
                             || self.entries_by_worker.contains_key(&worker)
                     );
                     self.idle.remove(&worker);
@@ -135,7 +135,7 @@
     }
 
     fn check_idle_connections(&self) {
-        if self.settings.rules.let_go_in.is_none() {
+        if self.settings.rules.close_idle_within.is_none() {
             return;
         }
         // Nothing else has to come first: what can be closed is closed with the same event.
--- a/crates/decisions/tests/rules/main.rs
+++ b/crates/decisions/tests/rules/main.rs
@@ -68,7 +68,7 @@
     #[test]
     fn rules_hold_for_random_event_sequences(settings in any_settings(), optional_rules in any_optional_rules(), steps in prop::collection::vec(step(), 1..200)) {
         let mut settings = settings;
-        (settings.rules.resends, settings.rules.let_go_in, settings.rules.full_may_have_run) = optional_rules;
+        (settings.rules.resends, settings.rules.close_idle_within, settings.rules.full_may_have_run) = optional_rules;
         let mut checker = Checker::new(settings);
         checker.check();
         for step in steps {
--- a/crates/decisions/tests/stragglers.rs
+++ b/crates/decisions/tests/stragglers.rs
@@ -9,7 +9,7 @@
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
     let (id, worker) = harness.submit(3);
     harness.advance(250 * MS);
-    harness.handle(Event::Unheard {
+    harness.handle(Event::Unacknowledged {
         request: id,
         attempt: 0,
     });
@@ -21,7 +21,7 @@
     harness.end(id, 1, Status::Ok);
     let (id, worker) = harness.submit(2);
     harness.advance(250 * MS);
-    harness.handle(Event::Unheard {
+    harness.handle(Event::Unacknowledged {
         request: id,
         attempt: 0,
     });
