--- a/crates/indigofold/examples/in_process.rs
+++ b/crates/indigofold/examples/in_process.rs
@@ -43,7 +43,7 @@
         charges: Charges::default(),
         rules: Rules {
             answer_slack: 20_000,
-            list_refresh_within: 10_000_000,
+            membership_refresh_within: 10_000_000,
             initial_capacity: 0.3,
             warm_after: 8_000_000,
             drain_grace: 500_000,
@@ -110,7 +110,7 @@
         power: 1.0,
         ready_at: 0,
     };
-    host.tell(Event::List {
+    host.tell(Event::Membership {
         scope: Scope::Full,
         entries: vec![worker(1), worker(2)],
     });
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -105,14 +105,14 @@
         },
         rules: Rules {
             answer_slack: rules.time("answerSlack")?,
-            list_refresh_within: rules.time("askWithin")?,
+            membership_refresh_within: rules.time("askWithin")?,
             initial_capacity: rules.within("coldFrom", 0.0, 1.0)?,
             warm_after: rules.time("warmAfter")?,
             drain_grace: rules.time("drainGrace")?,
             tip_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
             tip_window: rules.time("overloadFor")?,
             resends: resend_budget(rules)?,
-            let_go_in: rules.optional("letGoIn")?.map(|v| v as Time),
+            close_idle_within: rules.optional("letGoIn")?.map(|v| v as Time),
             full_may_have_run: match rules.at("fullMayHaveRun").0 {
                 None => false,
                 Some(v) => v
--- a/crates/indigofold/src/core/job_table.rs
+++ b/crates/indigofold/src/core/job_table.rs
@@ -121,7 +121,7 @@
                 });
             }
             Told::Unheard(id) if self.is_out(id) => {
-                self.events.push(Event::Unheard {
+                self.events.push(Event::Unacknowledged {
                     request: id.job,
                     attempt: id.number,
                 });
@@ -161,7 +161,7 @@
                 }
                 self.settle(request, transport);
             }
-            Told::List(scope, entries) => self.events.push(Event::List { scope, entries }),
+            Told::List(scope, entries) => self.events.push(Event::Membership { scope, entries }),
             Told::Settings(settings) => self.events.push(Event::Settings(settings)),
             Told::Statistics(other) => self.events.push(Event::Statistics(other)),
             Told::Adopted(id, job, until, reply) => {
@@ -357,7 +357,7 @@
             Action::Disconnect { worker } => transport.hang_up(worker),
             Action::Watch(on) => {
                 if !transport.ask(Ask::Watch(on)) {
-                    self.events.push(Event::List {
+                    self.events.push(Event::Membership {
                         scope: Scope::Failed,
                         entries: Vec::new(),
                     });
@@ -365,7 +365,7 @@
             }
             Action::Fetch => {
                 if !transport.ask(Ask::Whole) {
-                    self.events.push(Event::List {
+                    self.events.push(Event::Membership {
                         scope: Scope::Failed,
                         entries: Vec::new(),
                     });
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -252,7 +252,7 @@
                     });
                     return Ok(None);
                 }
-                Some(Event::List {
+                Some(Event::Membership {
                     scope,
                     entries: Vec::new(),
                 })
@@ -267,7 +267,7 @@
                 if list.left > 0 {
                     return Ok(None);
                 }
-                self.list.take().map(|l| Event::List {
+                self.list.take().map(|l| Event::Membership {
                     scope: l.scope,
                     entries: l.entries,
                 })
