--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -2,10 +2,10 @@
 //!
 //! The mechanism is hybrid SQ(d) (Van Spilbeeck and Van Houdt): a request draws a listed kind k with probability
 //! p_k, solved now and then from problem (1), samples d ready workers of it and goes to the one with the fewest
-//! slots in flight. Around it stand the guards that the paper does without; `docs/design.md` has their conditions.
-//! It reads no clock, does no I/O and draws from a seeded generator.
+//! slots in flight. The further rules, which the paper does without, are in `docs/design.md`. The dispatcher reads no
+//! clock, does no I/O and draws from a seeded generator.
 //!
-//! [`Dispatcher`] holds the state. The files beside this one each hold one concern of it: `admission` (accept, hold,
+//! [`Dispatcher`] holds the state. The files beside this one each hold one concern of it: `admission` (accept, queue,
 //! answer), `attempts` (send, start, end), `sampling`, `load` and `draw` (which worker), `warm_up` (workers that have
 //! just started), `health` (ejection), `stragglers` (attempts that hang), `observations` (reports, probes, peers),
 //! `membership` (the list), `statistics_merge`, `adoption` and `reconfigure` (another process or other settings).
@@ -40,7 +40,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tuning::{IDLE_GROWTH, MEMBERSHIP_BACKOFF_FIRST, SOLVE_TICKS, TICK_GRANULARITIES, TICK_MIN};
 
-/// One dispatcher: holds what its own events have told it, and decides.
+/// One dispatcher: keeps what its own events have shown, and decides where requests go.
 #[derive(Default)]
 pub struct Dispatcher {
     settings: Settings,
@@ -53,7 +53,7 @@
     kinds: Vec<Kind>,
     classes: Vec<ClassStats>,
     open: BTreeMap<RequestId, OpenRequest>,
-    /// Held requests by [`QueueIndex`], in the order held.
+    /// Queued requests by [`QueueIndex`], in the order queued.
     queued: Vec<VecDeque<RequestId>>,
     /// When to look at a request again.
     due: BTreeSet<(Time, RequestId)>,
@@ -84,7 +84,7 @@
     last_peer_update: Vec<(WorkerId, u8)>,
     /// Name of the timer that is live.
     timer: u64,
-    /// Share of requests that prefer workers of the own zone.
+    /// Fraction of requests that prefer workers of the own zone.
     home_preference: f64,
     /// Recent fractions of late starts.
     late_start_rate: LateStartRate,
@@ -92,7 +92,7 @@
     trusted_idle: f64,
     /// Recent value and work of the requests.
     demand: Demand,
-    /// Recent share of attempts rejected for lack of capacity.
+    /// Recent fraction of attempts rejected for lack of capacity.
     rejection_rate: f64,
     membership_request: MembershipRequest,
     /// When requests were accepted, in the window of the retry budget.
@@ -105,7 +105,7 @@
     /// A dispatcher without state. All its randomness comes from `seed`.
     pub fn new(mut settings: Settings, seed: u64, now: Time) -> Self {
         let class_of = (0..settings.classes.len()).collect();
-        // Requests of a class that the settings lack are taken for the strictest kind.
+        // Requests of a class that the settings lack have the strictest rules.
         settings.classes.push(Class::UNKNOWN);
         settings.dispatchers = settings.dispatchers.max(1);
         let queues = settings.classes.len() * QueueIndex::PER_CLASS;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns whether held requests may be sent because of it.
+    /// Returns whether queued requests may be sent because of it.
     fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<Action>) -> bool {
         let attempt_id = |request, attempt| AttemptId { request, attempt };
         match event {
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Life of a request: accepted, placed or held, reviewed when due, answered once.
+//! Life of a request: accepted, placed or queued, reviewed when due, answered once.
 
 use super::state::{OpenRequest, QueueIndex};
 use super::tuning::{
@@ -11,11 +11,11 @@
 };
 use crate::runs::KEEP;
 
-/// Least work that a request counts for where value is set against work.
+/// Least work of a request, in microseconds, where value is divided by work.
 const WORK_MIN: f64 = 1e-9;
 
 impl Dispatcher {
-    /// Takes a new request: rejects it where others are worth more, else probes, places or holds it.
+    /// Accepts a new request: rejects it if it would displace more valuable ones, else probes, places or queues it.
     pub(super) fn accept(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         let open = self.open_request(now, request);
@@ -47,7 +47,8 @@
         let is_bound = self.settings.classes[class].kind.is_some();
         self.arrivals.count(now, work, is_bound, request.tenant);
         let over_quota = self.is_over_quota(request.tenant);
-        // A client's later attempt has less time left than the first ones of its class: its target runs since then.
+        // A client's later attempt has less time left than the first ones of its class: its latency target counts from
+        // its first attempt.
         let longest = &mut self.classes[class].longest_patience;
         *longest = request.left.max(*longest);
         let arrived = now.saturating_sub(*longest - request.left);
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Where the rules of the class stand now; a class that the settings lack has the strictest.
+    /// Index of the present rules of a class; a class that the settings lack has the strictest.
     fn class_index(&self, class: u32) -> usize {
         let unknown = || {
             let mut classes = self.settings.classes.iter();
@@ -80,8 +81,8 @@
         known.unwrap_or_else(unknown)
     }
 
-    /// While attempts are rejected for lack of capacity, a job displaces others (Erlang's formula): whether it is worth
-    /// less than these.
+    /// While workers reject attempts, each request displaces others: whether the expected value of those is higher than
+    /// this one's. The probability of displacing one follows from the rejection rate (Erlang's loss formula).
     fn is_displaced(&mut self, class: usize, over_quota: bool, work: f64, slots: f64) -> bool {
         let value = work * self.density(QueueIndex::new(class, over_quota, false));
         let mean = work * self.density(QueueIndex::new(class, false, false));
@@ -92,7 +93,8 @@
         unit(&mut self.rng) * displaced > value
     }
 
-    /// Held requests keep better ones from connecting: at the limit, the oldest of the least worthy queue is answered.
+    /// Queued requests occupy client connections: at the limit, the oldest request of the least valuable queue is
+    /// rejected.
     fn evict_least_valuable(&mut self, now: Time, out: &mut Vec<Action>) {
         let limit = self.settings.limits.open;
         if limit.is_none_or(|limit| self.open.len() <= limit) {
@@ -105,13 +107,13 @@
         }
     }
 
-    /// Queues with held requests, in the order of their indices.
+    /// Queues that are not empty, in the order of their indices.
     fn queues_in_use(&self) -> Vec<QueueIndex> {
         let indices = (0..self.queued.len()).filter(|index| !self.queued[*index].is_empty());
         indices.map(QueueIndex).collect()
     }
 
-    /// Goes on with a request of which nothing is in flight.
+    /// Continues with a request of which nothing is in flight: sends, queues or closes it.
     pub(super) fn send_or_queue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let is_idle =
             |open: &&OpenRequest| open.queued_in.is_none() && open.attempts.iter().all(|a| a.done);
@@ -128,7 +130,7 @@
             .is_some_and(|worker| self.send(now, id, worker, out))
     }
 
-    /// Holds a request, or ends it where it can earn nothing more or no tick may come before its deadline.
+    /// Queues a request, or answers it if it can earn nothing more or no tick is left before its deadline.
     fn enqueue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
@@ -156,14 +158,14 @@
         self.queued[queue.0].push_back(id);
     }
 
-    /// Sends held requests while a worker takes them: the most valuable for their work first, then the newest.
+    /// Sends queued requests while workers have capacity: the most valuable for their work first, then the newest.
     pub(super) fn send_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut order = self.queues_in_use();
         if order.is_empty() || !self.may_wait(false) || !self.has_free_worker(now) {
             return;
         }
         order.sort_by(|a, b| self.density(*b).total_cmp(&self.density(*a)));
-        // First what finds a slot at its home worker, then any.
+        // First the requests whose home worker has a free slot, then all.
         let rounds: &[bool] = if self.fetches.cost() > 0.0 {
             &[true, false]
         } else {
@@ -176,8 +178,8 @@
         }
     }
 
-    /// Sends requests of one queue, the newest first. One that only few workers may get does not keep those behind it
-    /// waiting.
+    /// Sends requests of one queue, the newest first. A request that only few workers may get does not block the
+    /// others.
     fn send_from_queue(
         &mut self,
         now: Time,
@@ -234,7 +236,8 @@
         class.value * over_quota * late / work
     }
 
-    /// Ends what can earn nothing more, also at a worker, moves late held ones behind, finds overdue attempts.
+    /// Reviews the requests that are due: answers those that can earn nothing more, also while they wait at a worker,
+    /// requeues late ones as late, and finds overdue attempts.
     pub(super) fn review(&mut self, now: Time, out: &mut Vec<Action>) {
         while let Some(&(at, id)) = self.due.first().filter(|due| due.0 <= now) {
             self.due.remove(&(at, id));
@@ -254,7 +257,7 @@
         }
     }
 
-    /// The one place that gives final answers: a rejection only where it is true that nothing took effect.
+    /// The only place that gives final answers: a rejection only if a repeat is harmless, else a failure.
     pub(super) fn answer(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
             return;
@@ -277,7 +280,8 @@
         self.close(id, out);
     }
 
-    /// In time yet, a request may come back at once; else when others have been served, if it has the time.
+    /// Advice when to retry: after a tick if the request is not late, else after the longest time that clients follow;
+    /// at most half of its remaining time.
     fn retry_after(&self, now: Time, open: &OpenRequest) -> Time {
         let longest = if self.settings.limits.retry_after {
             self.settings.limits.max_retry_after
@@ -294,7 +298,7 @@
             .min(open.deadline.saturating_sub(now) / 2)
     }
 
-    /// The request needs nothing more: withdraws what is in flight and forgets it once all outcomes are in.
+    /// Closes a request: cancels its attempts in flight and removes it once all their results are in.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -312,12 +316,12 @@
         }
     }
 
-    /// Whether an arrival is taken as beyond its tenant's share.
+    /// Whether an arrival counts as beyond its tenant's quota: at random, in proportion to the excess.
     fn is_over_quota(&mut self, tenant: TenantId) -> bool {
         let Some(arriving) = self.arrivals.fraction(tenant) else {
             return false;
         };
-        // Clients may crowd to this dispatcher: one with far less than its part of them is not to blame.
+        // Clients may crowd to this dispatcher: a tenant with far less than its fraction of them did not cause that.
         let Tenant {
             quota_per_s,
             fraction,
--- a/crates/decisions/src/dispatcher/adoption.rs
+++ b/crates/decisions/src/dispatcher/adoption.rs
@@ -1,4 +1,4 @@
-//! Open requests that go over to the process that takes over.
+//! Open requests that are transferred to the process that takes over: released there, adopted here.
 
 use super::Dispatcher;
 use super::state::{Attempt, AttemptId, Kind, OpenRequest, UnstartedAttempt, Worker};
@@ -6,9 +6,9 @@
 use crate::transferred_job::TransferredJob;
 
 impl Dispatcher {
-    /// Gives a request away to the process that takes over, with all attempts in flight: it is not known here any more.
-    /// `None` where there is no such request, it has its final answer, or the settings have changed the rules that it
-    /// came with: it stays.
+    /// Releases a request, with all its attempts in flight, to the process that takes over: this dispatcher forgets it.
+    /// `None` if there is no such request, it has its final answer, or the settings have changed the rules that it
+    /// came with: then it stays here.
     pub fn release(&mut self, now: Time, id: RequestId) -> Option<TransferredJob<u32>> {
         let rules = self.open.get(&id).filter(|open| !open.closed)?.class;
         let class = self.class_of.iter().position(|index| *index == rules)? as u32;
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Goes on with a request that another process has begun.
+    /// Continues a request that another process has released.
     pub(super) fn adopt(
         &mut self,
         now: Time,
@@ -82,7 +82,7 @@
         self.send_or_queue(now, id, out);
     }
 
-    /// Where a worker stands in the table. One that this process's list has not named gets nothing new.
+    /// Index of a worker in the table. A worker that the membership list lacks is added, and gets nothing new.
     fn worker_index(&mut self, now: Time, worker: u32) -> usize {
         let next = self.workers.len();
         let index = *self.index.entry(worker).or_insert(next);
@@ -98,7 +98,7 @@
         index
     }
 
-    /// Counts an attempt of another process as one of this one's.
+    /// Counts an attempt of the former process as an own one.
     fn adopt_attempt(&mut self, now: Time, id: AttemptId, attempt: &Attempt, slots: f64) {
         if attempt.done {
             return;
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -14,8 +14,8 @@
 const START_DELAY_GROWTH: f64 = 1.01;
 
 impl Dispatcher {
-    /// The one place that sends. Every rule that limits a send is checked here, whatever chose the worker. Returns
-    /// whether the request was sent.
+    /// The only place that sends. Checks every rule that limits a send, whatever chose the worker. Returns whether the
+    /// request was sent.
     pub(super) fn send(
         &mut self,
         now: Time,
@@ -56,8 +56,8 @@
         true
     }
 
-    /// Takes the connection that was used last; returns for how long the oldest idle one has not been used. Dropped
-    /// unseen, a connection would cost the attempt: where that was observed, old ones are closed first.
+    /// Takes the connection that was used last; returns for how long the oldest one has been idle. A connection that
+    /// was dropped unnoticed would fail the attempt: where that was observed, old connections are closed first.
     fn take_connection(&mut self, now: Time, index: usize, out: &mut Vec<Action>) -> Time {
         let worker = &mut self.workers[index];
         let idle = worker.idle_since.first().map_or(0, |since| now - since);
@@ -71,7 +71,7 @@
         idle
     }
 
-    /// Notes an attempt that leaves now.
+    /// Records an attempt that is sent now.
     fn record_send(&mut self, now: Time, id: RequestId, index: usize, connection_idle: Time) {
         let home = self.open.get(&id).and_then(|open| self.home_worker(open));
         let away_from_home = home.is_some_and(|home| home != index);
@@ -192,7 +192,7 @@
         let wait = now.saturating_sub(attempt.sent) as f64;
         self.rejection_rate -= LATE_STEP * self.rejection_rate;
         if self.run_times.0 > 0.0 {
-            // Long waits tell of shared queues: keep more here, where the most valuable can still go first.
+            // Long waits are a sign of shared queues: queue more requests here, where the most valuable go first.
             let capacity = self.capacity(&self.workers[index]);
             let target = LATE_START_WAIT * self.run_times.1 / self.run_times.0 / capacity;
             self.count_start(index, wait >= target);
@@ -202,7 +202,8 @@
         self.learn_from_start(now, index, wait);
     }
 
-    /// A late start tells that no slot was left for others or us, a prompt one that not all were taken.
+    /// Updates the load of others by a start: a late one shows that all slots were occupied, a prompt one that one was
+    /// free.
     fn learn_from_start(&mut self, now: Time, index: usize, wait: f64) {
         let worker = &mut self.workers[index];
         let kind = &mut self.kinds[worker.kind];
@@ -255,7 +256,7 @@
         open.attempts.get_mut(id.attempt as usize)
     }
 
-    /// An own attempt no longer waits at its worker; it gives back these slots.
+    /// An own attempt no longer waits at its worker and releases this many slots there.
     pub(super) fn release_slots(&mut self, now: Time, index: usize, id: AttemptId, slots: f64) {
         let worker = &mut self.workers[index];
         worker.running(now);
@@ -320,22 +321,22 @@
         Some(ended.worker)
     }
 
-    /// An attempt that was never made does not count against the budget of retries.
+    /// Returns an attempt that was never made to the retry budget.
     fn take_back_retry(&mut self, sent: Time) {
         if let Ok(position) = self.retried_at.binary_search(&sent) {
             self.retried_at.remove(position);
         }
     }
 
-    /// What the end says of the worker, or of the connection.
+    /// Updates the health of the worker, or the trust in idle connections, by the result of an attempt.
     fn learn_from_status(&mut self, now: Time, ended: &Attempt, status: Status) {
         let was_idle = ended.connection_idle > 0;
         if status == Status::Reset && ended.started.is_none() && was_idle {
-            // Broken before the job began, on a connection long unused: that tells of it, not of the worker.
+            // Reset before the start on an idle connection: that is a fault of the connection, not of the worker.
             let trusted = ended.connection_idle as f64 * IDLE_TRUSTED;
             self.trusted_idle = self.trusted_idle.min(trusted);
         } else if status != Status::Timeout {
-            // A time-out has been recorded when it was overdue.
+            // A time-out was recorded when the attempt was overdue.
             self.record_outcome(now, ended.worker, status);
         }
     }
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -10,7 +10,7 @@
 use crate::statistics::LateStartRate;
 use std::collections::BTreeSet;
 
-/// Least capacity that arrivals are set against.
+/// Least capacity that arrivals are divided by.
 const CAPACITY_MIN: f64 = 1e-9;
 
 /// The groups of workers of one zone, or of all others.
@@ -39,20 +39,20 @@
     pub(super) fn solve_draw(&mut self, now: Time) {
         self.group_workers(now);
         let speeds: Vec<f64> = self.kinds.iter().map(|kind| kind.speed.speed).collect();
-        let mut fraction = vec![0.0; speeds.len()];
+        let mut slots = vec![0.0; speeds.len()];
         let is_ready = |worker: &&Worker| {
             worker.active
                 && worker.ejected_until <= now
                 && worker.failure_rate <= PROBATION_FAILURE_RATE
         };
         for worker in self.workers.iter().filter(is_ready) {
-            fraction[worker.kind] += self.slots(worker) * self.warm_up_fraction(now, worker);
+            slots[worker.kind] += self.slots(worker) * self.warm_up_fraction(now, worker);
         }
-        let by_kind = fraction.iter().zip(&speeds);
-        let capacity: f64 = by_kind.map(|(fraction, speed)| fraction * speed).sum();
+        let by_kind = slots.iter().zip(&speeds);
+        let capacity: f64 = by_kind.map(|(slots, speed)| slots * speed).sum();
         let arriving = self.settings.dispatchers as f64 * self.arrivals.latest().unbound;
         let load = arriving / capacity.max(CAPACITY_MIN);
-        self.kind_weights = solve(&fraction, &speeds, load, SAMPLE_SIZE as u32);
+        self.kind_weights = solve(&slots, &speeds, load, SAMPLE_SIZE as u32);
         self.affinity_weights.follow(&self.kind_weights);
     }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Until starts have been observed, the load is taken to be high, and dispatchers as many in every zone.
+    /// Until starts have been observed, assumes a high load and as many dispatchers in every zone.
     fn assume_home_preference(&mut self, at_home: usize) {
         let zones: BTreeSet<_> = self
             .workers
@@ -87,7 +87,7 @@
         self.home_preference = preference.min(1.0);
     }
 
-    /// Share of these workers that own traffic would fill to the preferred load.
+    /// Fraction of these workers that the own traffic loads to [`PREFERRED_LOAD`].
     fn preferred_fraction(&self, pool: &[usize]) -> f64 {
         let capacities = pool
             .iter()
@@ -98,8 +98,9 @@
         filled.max(least).min(1.0)
     }
 
-    /// Prefers a stretch of a kind's workers, another one at each dispatcher: jobs spread thinly over a large fleet
-    /// tell of no worker. Workers that warm up are preferred wherever this dispatcher has a part of their budget.
+    /// Prefers a contiguous range of a kind's workers, which begins elsewhere at each dispatcher: requests that are
+    /// spread thinly over a large fleet would show the load of no worker. Workers in warm-up are preferred wherever
+    /// this dispatcher has a part of their budget.
     fn group_kind(
         &mut self,
         now: Time,
--- a/crates/decisions/src/dispatcher/health.rs
+++ b/crates/decisions/src/dispatcher/health.rs
@@ -1,4 +1,4 @@
-//! Health of workers by what comes back: failure rates, ejection, probation.
+//! Health of workers by the results of their attempts: failure rates, ejection, probation.
 
 use super::Dispatcher;
 use super::state::{OpenRequest, Worker};
@@ -9,7 +9,7 @@
 use crate::api::{Effect, Status, Time};
 
 impl Dispatcher {
-    /// Learns from the end of an attempt.
+    /// Updates the health of a worker by the result of an attempt.
     pub(super) fn record_outcome(&mut self, now: Time, index: usize, status: Status) {
         match status {
             Status::Ok => {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The worker makes progress with a job: an ejection for being unresponsive is over.
+    /// The worker makes progress: an ejection for being unresponsive ends.
     pub(super) fn record_progress(&mut self, now: Time, index: usize) {
         let worker = &mut self.workers[index];
         if std::mem::take(&mut worker.timeouts_in_a_row) > 0 {
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Whether a worker on probation may get this request: one at a time, whose failure can be made good elsewhere.
+    /// Whether a worker on probation may get this request: one at a time, and only a retryable one.
     pub(super) fn may_probe_health(&self, worker: &Worker, open: &OpenRequest) -> bool {
         worker.own_slots == 0.0 && self.settings.classes[open.class].effect != Effect::Unsafe
     }
 
-    /// Failure rates fade by themselves: where no class may be repeated, nothing else would ever end a probation.
+    /// Failure rates decay with time: where no class is retryable, nothing else would end a probation.
     pub(super) fn decay_failures(&mut self, now: Time) {
         let listed = self.workers.iter_mut();
         listed
@@ -60,7 +60,7 @@
     fn record_failure(&mut self, now: Time, step: f64, is_timeout: bool) {
         self.failure_rate += step * (1.0 - self.failure_rate);
         let ejection = (EJECTION_BASE / (1.0 - self.failure_rate).powi(2)).min(EJECTION_MAX);
-        // One failure alone may be the connection's, and would eject half the fleet; two in a row are not.
+        // A single failure may be the connection's, and would eject half the fleet; two in a row are the worker's.
         if is_timeout || self.failure_rate > PROBATION_FAILURE_RATE {
             self.ejected_until = self.ejected_until.max(now + ejection as Time);
         }
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -7,14 +7,15 @@
 use crate::runs::fresh;
 use crate::statistics::LateStartRate;
 
-/// Half a slot more than there is still counts as a free one: loads are averages.
+/// A slot counts as free if at least half of it is: loads are averages.
 const HALF_SLOT: f64 = 0.5;
-/// Attempts that may wait at workers which look free, whatever the window: a constant and a factor on the window.
+/// Attempts that may wait at workers that look free: this constant, plus a multiple of the wait window.
 const LOOKS_FREE_MIN: f64 = 2.0;
 const LOOKS_FREE_WINDOWS: f64 = 2.0;
 
 impl Dispatcher {
-    /// Whether one more own attempt may wait. A worker that looks free does so to many dispatchers at once.
+    /// Whether one more own attempt may wait. Also at workers that look free their number is limited: these look free
+    /// to many dispatchers at once.
     pub(super) fn may_wait(&self, is_unlikely: bool) -> bool {
         let limit = if is_unlikely {
             self.wait_window
@@ -26,7 +27,7 @@
         (self.unstarted_count as f64) < limit
     }
 
-    /// Whether a worker may take some held request. While there is none, no request is looked at.
+    /// Whether some worker may take a queued request. While there is none, the queues are not scanned.
     pub(super) fn has_free_worker(&self, now: Time) -> bool {
         let may_queue = self.may_wait(true);
         let is_free = |worker: &Worker| {
@@ -52,7 +53,8 @@
         in_flight / (self.slots(worker) * self.warm_up_fraction(now, worker))
     }
 
-    /// Slots that others hold, by the last load update. A worker without one is not empty: late starts tell of all.
+    /// Slots that others occupy, by the last load update. Without a recent one they are estimated by the rate of late
+    /// starts.
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
         let LateStartRate { away, home } = self.late_start_rate;
         let at_large = away.max(home) * self.slots(worker);
@@ -61,7 +63,8 @@
         expected.max(worker.peer_slots(now))
     }
 
-    /// No slot is expected to be free: all known ones (and `more`) are taken, or an own attempt waits there.
+    /// Whether no slot is expected to be free: all known ones, plus `more`, are occupied, or an own attempt waits
+    /// there.
     pub(super) fn is_crowded(&self, now: Time, worker: &Worker, more: f64) -> bool {
         let oldest = worker.unstarted.first();
         let wait = oldest.map_or(0.0, |unstarted| now.saturating_sub(unstarted.sent) as f64);
--- a/crates/decisions/src/dispatcher/membership.rs
+++ b/crates/decisions/src/dispatcher/membership.rs
@@ -1,4 +1,4 @@
-//! The membership list: which workers there are, and connections to those that leave.
+//! The membership list: which workers there are, and connections to those that drain.
 
 use super::state::{Kind, MembershipRequest, Timed, Worker};
 use super::tuning::{KINDS_MAX, MEMBERSHIP_BACKOFF_FIRST, MEMBERSHIP_BACKOFF_MAX};
@@ -6,7 +6,7 @@
 use crate::api::{Action, Entry, Scope, Time, WorkerState};
 
 impl Dispatcher {
-    /// Takes a list, a part of one, or the failure of a request for it.
+    /// Applies a membership list, a change of it, or the failure of a request for it.
     pub(super) fn handle_membership(
         &mut self,
         now: Time,
@@ -52,7 +52,8 @@
         };
     }
 
-    /// Something ended at a worker: closes idle connections there if it leaves, where the settings ask for that.
+    /// An attempt or a probe has ended at a worker: closes idle connections there if it drains, where the settings
+    /// say so.
     pub(super) fn close_idle(&mut self, index: usize, out: &mut Vec<Action>) {
         let worker = &mut self.workers[index];
         worker.has_connections = worker.active || self.settings.rules.close_idle_within.is_none();
@@ -73,7 +74,7 @@
         if index == next {
             self.workers.push(Worker::new(Entry::default()));
         }
-        // Dispatchers hear of a start together: each begins to save at a point of its own.
+        // All dispatchers learn of a start together: each begins to accumulate its budget at a random offset.
         let owed = -unit(&mut self.rng) * self.run_times.1 / self.run_times.0.max(1.0);
         let worker = &mut self.workers[index];
         if entry.ready_at > worker.listed.ready_at {
@@ -88,7 +89,7 @@
         worker.listed = entry;
     }
 
-    /// Keeps a subscription where the list must be requested; one event answers each request.
+    /// Subscribes to the membership list where it must be requested; one event answers each request.
     pub(super) fn request_membership(&mut self, now: Time, out: &mut Vec<Action>) {
         if now >= self.membership_request.due {
             self.membership_request.due = now + self.settings.rules.membership_refresh_within;
@@ -98,7 +99,7 @@
 }
 
 impl Worker {
-    /// A new process under the old id: what was learned of the old one says nothing of it.
+    /// A new process has the same id: nothing that was learned of the former one applies to it.
     fn forget_former_process(&mut self) {
         self.failure_rate = 0.0;
         self.ejected_until = 0;
--- a/crates/decisions/src/dispatcher/observations.rs
+++ b/crates/decisions/src/dispatcher/observations.rs
@@ -1,4 +1,4 @@
-//! Load of workers as observed: reports, probes and what peers say.
+//! Load of workers by their reports, by probes and by updates from peers.
 
 use super::Dispatcher;
 use super::state::PeerClaim;
@@ -12,15 +12,16 @@
 const PRICED_BYTES: f64 = 256.0;
 /// An update is sent as soon as this many times its price is saved up.
 const PEER_UPDATE_PRICE_FACTOR: f64 = 2.0;
-/// Free slots from which a report with an empty queue tells all slots of a worker.
+/// Least free slots with which a report without a queue gives all slots of a worker.
 const FREE_SLOTS_MIN: f64 = 0.7;
 /// A queue shorter than this counts as empty.
 const EMPTY_QUEUE: f64 = 0.5;
-/// Taken off the slots that a report implies, since its figures are averages.
+/// Subtracted from the slots that a report implies before rounding, since its numbers are averages.
 const SLOTS_ROUNDING: f64 = 0.3;
 
 impl Dispatcher {
-    /// Probes sampled workers without recent load: the sooner, the longer jobs run and the less own jobs tell.
+    /// Probes sampled workers without recent load. Load counts as recent for a shorter time where jobs run long and own
+    /// jobs are few among all.
     pub(super) fn probe(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let own_fraction = SAMPLE_SIZE as f64 / self.settings.dispatchers as f64;
         let jobs_per_report = REPORT_AGE * self.run_times.0.max(1.0) / self.run_times.1.max(1.0);
@@ -47,7 +48,7 @@
         open.probed = sample;
     }
 
-    /// Tells peers the slots in flight at each worker, as often as the price allows.
+    /// Reports the slots in flight at each worker to the peers, as often as the price allows.
     pub(super) fn update_peers(&mut self, out: &mut Vec<Action>) {
         let workers = self.busy.len().min(PEER_UPDATE_MAX);
         let peers = self.settings.dispatchers - 1;
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Replaces what a peer has claimed before.
+    /// Replaces the slots that a peer has claimed before.
     pub(super) fn handle_peer_update(
         &mut self,
         now: Time,
@@ -95,14 +96,15 @@
         }
     }
 
-    /// Takes a load report of a worker.
+    /// Updates the slots of a kind, and the slots of others at a worker, by its load report.
     pub(super) fn handle_load(&mut self, now: Time, index: usize, load: &Load) {
         let worker = &mut self.workers[index];
         let kind = &mut self.kinds[worker.kind];
         let nothing_waits = load.queue.is_none_or(|queue| queue < EMPTY_QUEUE);
         let free = load.free_slots.filter(|free| *free >= FREE_SLOTS_MIN);
         if let Some(free) = free.filter(|_| nothing_waits) {
-            // Where nothing waits (it may beside a free slot, for two), occupied and free ones are all the slots.
+            // Without a queue, occupied and free slots are all slots. (With a free slot there may be one: a job can
+            // wait for two slots.)
             let is_first = load.inflight.is_some() && !kind.slots_reported;
             kind.slots_reported |= is_first;
             let known = if is_first { 1.0 } else { kind.slots };
@@ -111,7 +113,7 @@
         }
         let implied = load.free_slots.map(|free| kind.slots - free);
         if let Some(occupied) = load.inflight.or(implied) {
-            // The report tells of a moment before this one: own jobs are taken as they stood around then.
+            // The report is older than this event: own jobs count as they were about then.
             worker.others_slots = (occupied - worker.running(now)).max(0.0);
             worker.load_updated_at = Some(now);
         }
--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Other settings while requests are open: these keep the rules of their class, and what was learned stays.
+//! New settings while requests are open: these keep the rules of their class, and statistics stay.
 
 use super::Dispatcher;
 use super::state::{ClassStats, QueueIndex};
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 impl Dispatcher {
-    /// Takes other settings.
+    /// Applies new settings.
     pub(super) fn reconfigure(&mut self, mut settings: Settings) {
         let present = std::mem::take(&mut self.settings.classes);
         let wanted = std::mem::replace(&mut settings.classes, present);
@@ -18,7 +18,8 @@
         }
     }
 
-    /// A class whose rules change gets an entry in the tables that no open request is of: they stay small.
+    /// Puts the changed rules of a class at an index that no open request uses. Such indices are reused, so that the
+    /// tables stay small.
     fn replace_class(&mut self, id: usize, class: Class) {
         let known = self.class_of.get(id).copied();
         if known.is_some_and(|index| self.settings.classes[index] == class) {
--- a/crates/decisions/src/dispatcher/sampling.rs
+++ b/crates/decisions/src/dispatcher/sampling.rs
@@ -1,4 +1,4 @@
-//! Which workers are sampled for a request (SQ(d)), and which of them it goes to.
+//! Which workers are sampled for a request (SQ(d)), and which of them it is sent to.
 
 use super::state::{Attempt, OpenRequest, Worker};
 use super::tuning::{
@@ -9,7 +9,7 @@
 use crate::api::{RequestId, Time};
 use rand_pcg::Pcg64Mcg;
 
-/// Weight of a unit of capacity beside p_k: kinds that the solution would not use come last, by capacity.
+/// Weight of a unit of capacity, added to p_k: kinds that the solution does not use come last, by capacity.
 const CAPACITY_WEIGHT: f64 = 1e-12;
 
 /// What a sample is drawn for.
@@ -32,7 +32,7 @@
 }
 
 impl Dispatcher {
-    /// Picks a worker for the request, or none while it is better held.
+    /// Chooses a worker for the request, or none while it should be queued.
     pub(super) fn choose(&mut self, now: Time, id: RequestId) -> Option<usize> {
         let may_go = |open: &&OpenRequest| {
             now < self.sendable_until(open)
@@ -50,7 +50,7 @@
             candidates = self.sample(now, id);
         }
         if has_affinity {
-            // These are in their own order: the first that takes the request.
+            // Candidates are in the order of their ranks for the affinity.
             return candidates.first().copied();
         }
         let load = |index: &usize| self.load(now, &self.workers[*index]);
@@ -59,7 +59,7 @@
             .min_by(|a, b| load(a).total_cmp(&load(b)))
     }
 
-    /// Draws a kind by the solved p_k and samples d of its workers, of those that best suit: free ones first.
+    /// Draws a kind by the solved p_k and samples d of its workers: those with a free slot first, by tiers.
     pub(super) fn sample(&mut self, now: Time, id: RequestId) -> Vec<usize> {
         let mut rng = self.rng.clone();
         let prefers_home = unit(&mut rng) < self.home_preference;
@@ -153,8 +153,8 @@
         kinds.swap_remove(drawn.unwrap_or(0))
     }
 
-    /// SQ(d): d workers of the pool without replacement; those that do not suit are passed over as drawn. Requests with
-    /// the same affinity draw the same ones.
+    /// SQ(d): samples d workers of the pool without replacement; ineligible ones are skipped. Requests with the same
+    /// affinity sample the same workers.
     fn sample_kind(
         &self,
         now: Time,
@@ -209,13 +209,14 @@
         groups.map(|group| self.group(*group, kind).len()).sum()
     }
 
-    /// The request's affinity, unless it is known that workers keep nothing that it needs.
+    /// The request's affinity, unless it is known that such requests fetch nothing.
     fn affinity_of(&self, open: &OpenRequest) -> Option<u64> {
         let mean_run = self.run_times.1 / self.run_times.0.max(1.0);
         open.affinity.filter(|_| !self.fetches.none(mean_run))
     }
 
-    /// The worker where requests with the same affinity go first: of the kind that their common draw by p_k gives.
+    /// The worker where requests with the same affinity go first: the best-ranked one of the kind that the affinity
+    /// draws.
     pub(super) fn home_worker(&self, open: &OpenRequest) -> Option<usize> {
         let affinity = self.affinity_of(open)?;
         let bound_kind = self.settings.classes[open.class].kind;
@@ -233,7 +234,7 @@
             .min_by(|a, b| rank(a).total_cmp(&rank(b)))
     }
 
-    /// The home worker, if it takes the request now.
+    /// The home worker, if it has a slot for the request now.
     pub(super) fn choose_home(&self, now: Time, id: RequestId) -> Option<usize> {
         let may_go = |open: &&OpenRequest| now < self.sendable_until(open) && self.may_wait(false);
         let open = self.open.get(&id).filter(may_go)?;
@@ -245,12 +246,12 @@
         takes.then_some(home)
     }
 
-    /// Jobs that a worker would do in the time that a fetch elsewhere takes.
+    /// Jobs that a worker completes in the time of one fetch elsewhere.
     fn fetch_slots(&self, worker: &Worker) -> f64 {
         self.fetches.cost() * self.capacity(worker) * self.run_times.0 / self.run_times.1.max(1.0)
     }
 
-    /// Whether this worker may get this request at all, now.
+    /// Whether this worker may get this request now, apart from its load.
     fn is_eligible(&self, now: Time, index: usize, open: &OpenRequest, work: f64) -> bool {
         let worker = &self.workers[index];
         let is_healthy = worker.failure_rate <= PROBATION_FAILURE_RATE;
--- a/crates/decisions/src/dispatcher/state.rs
+++ b/crates/decisions/src/dispatcher/state.rs
@@ -22,7 +22,7 @@
     pub slots: f64,
 }
 
-/// What a peer said that it holds at a worker.
+/// Slots that a peer reported to occupy at a worker.
 pub(super) struct PeerClaim {
     pub peer: u32,
     pub slots: f64,
@@ -41,7 +41,7 @@
 pub(super) struct Worker {
     /// Its entry in the membership list.
     pub listed: Entry,
-    /// It may get requests: listed, neither draining nor gone.
+    /// It may get requests: listed, and neither draining nor removed.
     pub active: bool,
     /// Index of its kind.
     pub kind: usize,
@@ -53,11 +53,11 @@
     pub running: Timed,
     /// Shortest recent time from send to start: what a free slot takes.
     pub start_delay: f64,
-    /// Slots held by others by the last load update.
+    /// Slots that others occupy, by the last load update.
     pub others_slots: f64,
     /// When that update came.
     pub load_updated_at: Option<Time>,
-    /// Recent share of failures.
+    /// Recent fraction of failures.
     pub failure_rate: f64,
     /// It gets nothing before this time.
     pub ejected_until: Time,
@@ -65,11 +65,11 @@
     pub timeouts_in_a_row: u32,
     /// When it was last probed.
     pub probed_at: Time,
-    /// What peers hold here.
+    /// Slots that peers occupy here.
     pub peer_claims: Vec<PeerClaim>,
     /// Work that may be sent while it warms up, saved up to this time.
     pub warm_up_budget: Timed,
-    /// Since when connections to it are idle, by what ended and was sent there.
+    /// Since when each idle connection to it is idle, estimated by what ended and was sent there; in order.
     pub idle_since: Vec<Time>,
     /// Something has ended there since its connections were last closed.
     pub has_connections: bool,
@@ -106,7 +106,7 @@
                 .sum::<f64>()
     }
 
-    /// Slots that peers hold here, by the age of what they said.
+    /// Slots that peers occupy here, weighted by the age of their updates.
     pub fn peer_slots(&self, now: Time) -> f64 {
         self.peer_claims
             .iter()
@@ -114,7 +114,7 @@
             .sum()
     }
 
-    /// Whether a start after this wait says that no slot was free.
+    /// Whether a start after this wait shows that no slot was free. Times are microseconds.
     pub fn is_late_start(&self, wait: f64, granularity: Time) -> bool {
         wait > 2.0 * self.start_delay + 4.0 * granularity as f64
     }
@@ -125,7 +125,7 @@
 pub(super) struct Kind {
     /// Most own slots observed running at once on one worker, or as reported.
     pub slots: f64,
-    /// Reports have told the slots: a job whose end is reported late seems to run on.
+    /// Load reports gave the slots. These count for more: a job whose end is reported late seems to run on.
     pub slots_reported: bool,
     /// How fast its workers are.
     pub speed: Speed,
@@ -141,7 +141,7 @@
 }
 
 impl ClassStats {
-    /// Until a run time is known, a job is taken to be as long as its class's latency target.
+    /// Until a run time is known, a job is assumed to be as long as its class's latency target.
     pub fn of(class: &Class) -> Self {
         ClassStats {
             run_time: Work::of(class.latency_target),
@@ -150,7 +150,7 @@
     }
 }
 
-/// A queue of held requests: index of the class times four, plus two beyond the tenant's share, plus one when late.
+/// A queue of requests: index of the class times four, plus two beyond the tenant's quota, plus one when late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueIndex(pub usize);
 
@@ -196,15 +196,15 @@
     pub slots: f64,
     /// Attempts that it may have at most.
     pub attempt_limit: usize,
-    /// It is beyond its tenant's share.
+    /// It is beyond its tenant's quota.
     pub over_quota: bool,
     /// It has its final answer.
     pub closed: bool,
-    /// The queue in which it is held.
+    /// The queue that it is in.
     pub queued_in: Option<QueueIndex>,
     /// Workers sampled for it that were probed first.
     pub probed: Vec<usize>,
-    /// How long it waits for the probes' answers.
+    /// Until when it waits for the results of the probes.
     pub wait_until: Time,
     /// Its attempts so far, in order.
     pub attempts: Vec<Attempt>,
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher has learned, as a value, and merging what another one has learned: the process that it replaces,
+//! The statistics of this dispatcher, as a value, and merging those of another one: the process that it replaces,
 //! or its own former process. What restricts is taken as it stands, what is measured counts by its age, and what
 //! permits (a budget of a worker that warms up, a place in the membership list) is neither written nor taken.
 
@@ -8,11 +8,11 @@
 use crate::api::{Time, WorkerId, WorkerState};
 use crate::statistics::{self, Pace, Statistics, aged};
 
-/// Run times, speeds and fetches are those of programs and machines: they are true for minutes.
+/// Run times, speeds and fetches depend on programs and machines: they stay valid for minutes.
 const RUN_TIMES_LAST: Time = 600_000_000;
 /// Arrivals, queues and late starts change within seconds, as the memory of the arrivals.
 const PACE_LASTS: Time = 5_000_000;
-/// Slots at one worker are told in a byte.
+/// Slots at one worker are reported in a byte.
 const SLOTS_REPORTED_MAX: f64 = 255.0;
 
 /// How many workers there are.
@@ -44,7 +44,7 @@
         workers.filter(|worker| worker.listed.state != WorkerState::Left)
     }
 
-    /// What it has learned until now, of workers that the list still names.
+    /// The statistics of this dispatcher as of now; of workers, those that the membership list still names.
     pub fn statistics(&self, now: Time) -> Statistics<u32> {
         let class = |(id, index): (usize, &usize)| {
             let stats = &self.classes[*index];
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Slots that its jobs hold at workers now.
+    /// Slots that its jobs occupy at each worker now.
     pub fn slots_in_flight(&self) -> Vec<(WorkerId, f64)> {
         let busy = self.busy.iter().map(|index| &self.workers[*index]);
         busy.map(|worker| (worker.listed.worker, worker.own_slots))
             .collect()
     }
 
-    /// Merges what another one has learned. Of what both know, the one that has seen more is believed.
+    /// Merges the statistics of another dispatcher. Of what both know, the one with more samples counts.
     pub(super) fn merge_statistics(&mut self, now: Time, other: Statistics<u32>) {
         let age = now.saturating_sub(other.at);
         let run_weight = aged(age, RUN_TIMES_LAST);
@@ -124,7 +124,7 @@
         }
         for (id, worker) in other.workers {
             let known = self.index.get(&id).map(|index| &mut self.workers[*index]);
-            // Another start of it is another worker.
+            // Another instance counts as another worker.
             if let Some(known) = known.filter(|known| known.listed.ready_at == worker.started_at) {
                 known.merge(now, &worker, pace_weight);
             }
@@ -151,7 +151,7 @@
         let kinds = self.kinds.len().max(id + 1);
         self.kinds.resize(kinds, Kind::default());
         let kind = &mut self.kinds[id];
-        // Without reports slots are what was observed, the most counts; a report tells them for good.
+        // Reported slots replace observed ones; of two observations the larger counts.
         match (kind.slots_reported, other.slots_reported) {
             (true, false) => {}
             (false, true) => {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The same may be told twice: what is known counts once.
+    /// Statistics may be merged twice: retries that are known already count once.
     fn merge_retries(&mut self, now: Time, retried_at: Vec<Time>) {
         if self.settings.rules.resends.is_none() {
             return;
@@ -219,7 +219,7 @@
         let ejected_until = other.ejected_until.min(now + EJECTION_MAX as Time);
         self.ejected_until = self.ejected_until.max(ejected_until);
         self.timeouts_in_a_row = self.timeouts_in_a_row.max(other.timeouts_in_a_row);
-        // A load update from the future would stay for good.
+        // A load update from the future would never be replaced.
         let updated_at = other.load_updated_at.filter(|at| *at <= now);
         if updated_at > self.load_updated_at {
             self.others_slots = other.others_slots;
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -12,8 +12,8 @@
 const REPORT_SLACK_GRANULARITIES: Time = 4;
 
 impl Dispatcher {
-    /// The worker has not acknowledged the attempt in time: it waits in no queue there. Where the class allows, another
-    /// attempt goes beside.
+    /// The worker has not acknowledged the attempt in time, so that it waits in no queue there. Where the class allows,
+    /// the request is also sent to another worker.
     pub(super) fn handle_unacknowledged(
         &mut self,
         now: Time,
@@ -28,7 +28,8 @@
         }
     }
 
-    /// A job that has waited long at a worker moves to one that looks free; one attempt is kept for failures.
+    /// Cancels an attempt that has waited long at a worker, if another one looks free; one attempt is reserved for
+    /// failures. Its result sends the request to the other worker.
     fn move_waiting(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else {
             return;
@@ -60,7 +61,7 @@
         }
     }
 
-    /// When the next progress report of a job is overdue; where none are sent, a long job looks the same.
+    /// When the next progress report of an attempt is overdue; never where workers send none.
     pub(super) fn overdue_at(&self, attempt: &Attempt) -> Time {
         let Progress { at, done } = attempt.last_progress;
         let intervals = if done > 0.0 {
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Where a report is overdue, slots count as free; where the class allows, another attempt goes beside.
+    /// An attempt whose report is overdue times out: its slots count as free. Where the class allows, the request is
+    /// moved, or also sent to another worker.
     pub(super) fn handle_overdue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
@@ -99,7 +101,7 @@
                 },
             );
             if may_retry && moves {
-                // Its end sends the next.
+                // Its result sends the next attempt.
                 out.push(Action::Cancel {
                     request: id,
                     attempt,
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Gives the slots of an overdue attempt back and records a time-out of its worker.
+    /// Releases the slots of an overdue attempt and records a time-out of its worker.
     fn time_out(&mut self, now: Time, id: AttemptId) {
         let Some(open) = self.open.get_mut(&id.request) else {
             return;
@@ -133,7 +135,7 @@
         let waited = now - attempt.sent.max(attempt.last_progress.at);
         self.release_slots(now, index, id, slots);
         if self.settings.limits.moves() {
-            // Withdrawn, it will not say when the worker is back: no new attempt there sooner than it took to notice.
+            // Cancelled, it cannot show when the worker responds again: eject it for as long as this took to notice.
             let worker = &mut self.workers[index];
             worker.timeouts_in_a_row += u32::from(now >= worker.ejected_until);
             let ejection = waited
--- a/crates/decisions/src/dispatcher/tuning.rs
+++ b/crates/decisions/src/dispatcher/tuning.rs
@@ -10,19 +10,20 @@
 pub(super) const TICK_MIN: Time = 20_000;
 /// Ticks between two solutions of problem (1).
 pub(super) const SOLVE_TICKS: u64 = 40;
-/// Mean arrivals at a dispatcher over the most that its tenant's share allows it.
+/// A tenant with less than this multiple of its fraction of the arrivals is never beyond its quota: its clients did not
+/// crowd to this dispatcher.
 pub(super) const CROWDING: f64 = 0.7;
-/// About how old the load in a report is.
+/// Typical age of the load in a report.
 pub(super) const REPORT_AGE: f64 = 3e5;
 /// Time from send to start on a free slot before any has been measured.
 pub(super) const FIRST_START_DELAY: f64 = 2e4;
-/// Worker kinds told apart; ids past it count as one.
+/// Greatest index of a kind; ids past it count as this one.
 pub(super) const KINDS_MAX: usize = 255;
-/// Part of the wait window given up at a late start.
+/// Fraction by which the wait window shrinks at a late start.
 pub(super) const WINDOW_DECREASE: f64 = 0.1;
 /// A start is late after this many times the mean time between two slots becoming free.
 pub(super) const LATE_START_WAIT: f64 = 0.5;
-/// Mean run times' worth of own jobs that may wait at workers that looked free.
+/// Own attempts that may wait at workers that look free, per unit of work arriving.
 pub(super) const WAIT_LOAD: f64 = 0.5;
 /// Part of the result that probes and peer updates may cost for each request.
 pub(super) const OVERHEAD_PER_REQUEST: f64 = 0.004;
@@ -30,7 +31,7 @@
 pub(super) const OVERHEAD_MAX: f64 = 0.02;
 /// Workers named in one update to the peers.
 pub(super) const PEER_UPDATE_MAX: usize = 51;
-/// Load this old is worth a probe, where jobs run long; sooner where they are short.
+/// Load older than this is probed again; sooner where jobs run long (see `observations`).
 pub(super) const PROBE_AGE: Time = 1_500_000;
 /// Part of the latency target for which a request waits for probes.
 pub(super) const PROBE_WAIT: f64 = 0.1;
@@ -44,13 +45,13 @@
 pub(super) const LATE_STEP: f64 = 0.1;
 /// Late starts that are as bad as one crossing of zones at its price.
 pub(super) const CROSSING_LATE_STARTS: f64 = 2.0;
-/// Held requests of one queue that may be passed over in one scan.
+/// Requests of one queue that may be skipped in one scan.
 pub(super) const SCAN_MISSES_MAX: usize = 2;
-/// The same where only the home worker of each is looked at.
+/// The same where only the home worker of each is considered.
 pub(super) const HOME_SCAN_MISSES_MAX: usize = 32;
 /// Step of the failure rate at an error or a success.
 pub(super) const FAILURE_STEP: f64 = 0.25;
-/// The same at a time-out, which tells less.
+/// The same at a time-out, which is weaker evidence.
 pub(super) const TIMEOUT_STEP: f64 = 0.1;
 /// A progress report is overdue after this many intervals.
 pub(super) const OVERDUE_INTERVALS: f64 = 1.2;
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -1,4 +1,4 @@
-//! Workers that have just started: how much of their capacity is there, and what may be sent to them. The rule that
+//! Workers in warm-up: how much of their capacity they have, and what may be sent to them. The rule that
 //! limits this is a budget of work in any window (`tip_multiple`, `tip_window` of the settings).
 
 use super::Dispatcher;
@@ -6,13 +6,13 @@
 use super::tuning::{SAMPLE_SIZE, WARM_UP_JOBS, WARM_UP_USE};
 use crate::api::Time;
 
-/// Least share of its capacity that a worker is taken to have at its start.
+/// Least fraction of its capacity that a worker is assumed to have at its start.
 const INITIAL_FRACTION_MIN: f64 = 0.01;
 /// Spreads the first dispatchers of the workers evenly: 2^64 over the golden ratio.
 const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl Dispatcher {
-    /// Share of its capacity that a worker has at least: rises evenly from the initial share.
+    /// Fraction of its capacity that a worker has at least; it rises linearly from the initial fraction.
     pub(super) fn warm_up_fraction(&self, now: Time, worker: &Worker) -> f64 {
         if worker.listed.ready_at == 0 {
             return 1.0;
@@ -37,7 +37,7 @@
         let least = budget * rules.initial_capacity * rules.tip_window as f64 / WARM_UP_JOBS;
         let jobs = (least * self.run_times.0 / self.run_times.1.max(1.0)) as u64;
         let parts = jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
-        // Ids tell nothing, so each worker has a first dispatcher of its own, the same for all who compute it.
+        // The parts of each worker begin at another dispatcher; all dispatchers compute the same one.
         let first = u64::from(worker.listed.worker).wrapping_mul(SPREAD) >> 32;
         let is_own = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
         Some(if is_own {
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -144,7 +144,8 @@
 fn queued_requests_are_rejected_before_their_deadline() {
     let mut harness = Harness::new(settings(), &[]);
     let ids: Vec<_> = (0..5).map(|n| harness.submit(n % 4).0).collect();
-    // Until a run is known, one takes as long as its class's latency target, 0.4 s: one and a half of them are left at 5.4 s.
+    // Until a run is known, one takes as long as its class's latency target, 0.4 s: one and a half of them are left
+    // at 5.4 s.
     let before = harness.advance(5_300 * MS);
     assert!(
         !before
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -19,8 +19,8 @@
     assert_eq!(harness.submit(0).1, Some(other));
 }
 
-/// Workers look free to each of many dispatchers at once: where starts come late or workers reject, few own requests may
-/// wait in their queues, however many preferred workers hold none of them.
+/// Workers look free to each of many dispatchers at once: where starts come late or workers reject, few own requests
+/// may wait in their queues, however many preferred workers hold none of them.
 #[test]
 fn wait_window_limits_requests_at_workers_that_look_free() {
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -23,8 +23,9 @@
         .any(|a| matches!(a, Action::Cancel { request, .. } if *request == id))
 }
 
-/// An attempt must not stay in one queue while other workers are free. In the run that showed this each of 48 dispatchers
-/// had a request in 1.4 s and none knew which queue was long: 42 of 59 requests waited at one worker, none at the fast ones.
+/// An attempt must not stay in one queue while other workers are free. In the run that showed this each of 48
+/// dispatchers had a request in 1.4 s and none knew which queue was long: 42 of 59 requests waited at one worker,
+/// none at the fast ones.
 #[test]
 fn long_waiting_attempt_moves_to_a_worker_that_looks_free() {
     for class in [0, 1, 3] {
@@ -99,7 +100,8 @@
     );
 }
 
-/// Forty dispatchers without updates from each other, two workers, one of which starts nothing: no request is left there.
+/// Forty dispatchers without updates from each other, two workers, one of which starts nothing: no request is left
+/// there.
 #[test]
 fn no_dispatcher_leaves_a_request_in_a_stalled_queue() {
     let mut moved = 0;
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// In too many parts, none of the budget would pay for a request before the worker is warm: few dispatchers have a part,
-/// others for each worker, and together they keep within the budget.
+/// In too many parts, none of the budget would pay for a request before the worker is warm: few dispatchers have a
+/// part, others for each worker, and together they keep within the budget.
 #[test]
 fn warm_up_budget_goes_to_few_dispatchers_and_accumulates() {
     let mut users = [0; 2];
