--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns whether queued requests may be sent because of it.
+    /// Returns whether queued requests may be sent because of it. One arm for each event, hence its length.
     fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<Action>) -> bool {
         let attempt_id = |request, attempt| AttemptId { request, attempt };
         match event {
@@ -178,10 +178,7 @@
                 closed,
                 load,
             } => {
-                let id = attempt_id(request, attempt);
-                if let Some(worker) = self.handle_outcome(now, id, status, load) {
-                    self.close_idle(worker, out);
-                }
+                self.handle_result(now, attempt_id(request, attempt), status, load, out);
                 if closed || status == Status::Ok {
                     self.close(request, out);
                 }
@@ -213,6 +210,19 @@
         true
     }
 
+    fn handle_result(
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        status: Status,
+        load: Option<Load>,
+        out: &mut Vec<Action>,
+    ) {
+        if let Some(worker) = self.handle_outcome(now, id, status, load) {
+            self.close_idle(worker, out);
+        }
+    }
+
     fn handle_tick(&mut self, now: Time, out: &mut Vec<Action>) {
         self.request_membership(now, out);
         self.update_peers(out);
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -277,18 +277,18 @@
         status: Status,
         load: Option<Load>,
     ) -> Option<usize> {
-        let full_may_have_run = self.settings.rules.full_may_have_run;
+        let never_ran = match status {
+            Status::Full => !self.settings.rules.full_may_have_run,
+            Status::ConnectFailed | Status::Moot => true,
+            _ => false,
+        };
         let open = self.open.get_mut(&id.request)?;
         let attempt = open
             .attempts
             .get_mut(id.attempt as usize)
             .filter(|attempt| !attempt.done)?;
         attempt.done = true;
-        attempt.never_ran = match status {
-            Status::Full => !full_may_have_run,
-            Status::ConnectFailed | Status::Moot => true,
-            _ => false,
-        };
+        attempt.never_ran = never_ran;
         let ended = attempt.clone();
         let (class, estimate) = (open.class, open.estimate);
         let has_affinity = open.affinity.is_some();
@@ -310,17 +310,21 @@
             .for_each(|load| self.handle_load(now, ended.worker, load));
         self.learn_from_status(now, &ended, status);
         if let (Status::Ok, Some(started)) = (status, ended.started) {
-            let run = now
-                .saturating_sub(started)
-                .saturating_sub(fetched.unwrap_or(0.0) as Time);
-            let kind = self.workers[ended.worker].kind;
-            let speed = &mut self.kinds[kind].speed;
-            let run_time = &mut self.classes[class].run_time;
-            runs::learn(speed, run_time, &mut self.run_times, estimate, run);
+            let fetch = fetched.unwrap_or(0.0) as Time;
+            let run = now.saturating_sub(started).saturating_sub(fetch);
+            self.learn_run_time(ended.worker, class, estimate, run);
         }
         Some(ended.worker)
     }
 
+    /// Updates the run times of a class and the speed of a worker's kind by one run.
+    fn learn_run_time(&mut self, index: usize, class: usize, estimate: Option<Time>, run: Time) {
+        let kind = self.workers[index].kind;
+        let speed = &mut self.kinds[kind].speed;
+        let run_time = &mut self.classes[class].run_time;
+        runs::learn(speed, run_time, &mut self.run_times, estimate, run);
+    }
+
     /// Returns an attempt that was never made to the retry budget.
     fn take_back_retry(&mut self, sent: Time) {
         if let Ok(position) = self.retried_at.binary_search(&sent) {
