--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -2,10 +2,10 @@
 //!
 //! The mechanism is hybrid SQ(d) (Van Spilbeeck and Van Houdt): a request draws a listed kind k with probability
 //! p_k, solved now and then from problem (1), samples d ready workers of it and goes to the one with the fewest
-//! slots in flight. Around it stand the guards that the paper does without; `docs/design.md` has their conditions.
-//! It reads no clock, does no I/O and draws from a seeded generator.
+//! slots in flight. The further rules, which the paper does without, are in `docs/design.md`. The dispatcher reads no
+//! clock, does no I/O and draws from a seeded generator.
 //!
-//! [`Dispatcher`] holds the state. The files beside this one each hold one concern of it: `admission` (accept, hold,
+//! [`Dispatcher`] holds the state. The files beside this one each hold one concern of it: `admission` (accept, queue,
 //! answer), `attempts` (send, start, end), `sampling`, `load` and `draw` (which worker), `warm_up` (workers that have
 //! just started), `health` (ejection), `stragglers` (attempts that hang), `observations` (reports, probes, peers),
 //! `membership` (the list), `statistics_merge`, `adoption` and `reconfigure` (another process or other settings).
@@ -27,21 +27,20 @@
 mod tuning;
 mod warm_up;
 
-use crate::affinity::{Fetches, Steady};
+use crate::affinity::{Fetches, SmoothedWeights};
 use crate::api::{Action, Class, Event, Load, RequestId, Settings, Status, Time, WorkerId};
 use crate::arrivals::Arrivals;
 use crate::runs::Sum;
 pub use crate::solve::solve;
+use crate::statistics::{Demand, LateStartRate};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use state::{
-    AttemptId, ClassStats, Demand, Kind, MembershipRequest, OpenRequest, QueueIndex, Worker,
-};
+use state::{AttemptId, ClassStats, Kind, MembershipRequest, OpenRequest, QueueIndex, Worker};
 pub use statistics_merge::WorkerCounts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tuning::{IDLE_GROWTH, MEMBERSHIP_BACKOFF_FIRST, SOLVE_TICKS, TICK_GRANULARITIES, TICK_MIN};
 
-/// One dispatcher: holds what its own events have told it, and decides.
+/// One dispatcher: keeps what its own events have shown, and decides where requests go.
 #[derive(Default)]
 pub struct Dispatcher {
     settings: Settings,
@@ -54,14 +53,14 @@
     kinds: Vec<Kind>,
     classes: Vec<ClassStats>,
     open: BTreeMap<RequestId, OpenRequest>,
-    /// Held requests by [`QueueIndex`], in the order held.
+    /// Queued requests by [`QueueIndex`], in the order queued.
     queued: Vec<VecDeque<RequestId>>,
     /// When to look at a request again.
     due: BTreeSet<(Time, RequestId)>,
     /// p_k of problem (1).
     kind_weights: Vec<f64>,
     /// p_k averaged for longer: requests with an affinity seldom move.
-    affinity_weights: Steady,
+    affinity_weights: SmoothedWeights,
     /// Active workers by group (see `tuning::group`) and kind: no event walks the whole fleet.
     groups: Vec<Vec<usize>>,
     /// Workers with own slots in flight.
@@ -85,15 +84,15 @@
     last_peer_update: Vec<(WorkerId, u8)>,
     /// Name of the timer that is live.
     timer: u64,
-    /// Share of requests that prefer workers of the own zone.
+    /// Fraction of requests that prefer workers of the own zone.
     home_preference: f64,
-    /// Recent shares of late starts, away and at home.
-    late_start_rate: [f64; 2],
+    /// Recent fractions of late starts.
+    late_start_rate: LateStartRate,
     /// Connections idle for longer than this are not trusted.
     trusted_idle: f64,
     /// Recent value and work of the requests.
     demand: Demand,
-    /// Recent share of attempts rejected for lack of capacity.
+    /// Recent fraction of attempts rejected for lack of capacity.
     rejection_rate: f64,
     membership_request: MembershipRequest,
     /// When requests were accepted, in the window of the retry budget.
@@ -106,7 +105,7 @@
     /// A dispatcher without state. All its randomness comes from `seed`.
     pub fn new(mut settings: Settings, seed: u64, now: Time) -> Self {
         let class_of = (0..settings.classes.len()).collect();
-        // Requests of a class that the settings lack are taken for the strictest kind.
+        // Requests of a class that the settings lack have the strictest rules.
         settings.classes.push(Class::UNKNOWN);
         settings.dispatchers = settings.dispatchers.max(1);
         let queues = settings.classes.len() * QueueIndex::PER_CLASS;
@@ -152,11 +151,13 @@
         }
     }
 
-    /// Returns whether held requests may be sent because of it.
+    /// Returns whether queued requests may be sent because of it. One arm for each event, hence its length.
     fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<Action>) -> bool {
         let attempt_id = |request, attempt| AttemptId { request, attempt };
         match event {
-            Event::List { scope, entries } => self.handle_membership(now, scope, entries, out),
+            Event::Membership { scope, entries } => {
+                self.handle_membership(now, scope, entries, out)
+            }
             Event::Request(request) => {
                 if !self.open.contains_key(&request.id) {
                     self.accept(now, request, out);
@@ -177,17 +178,14 @@
                 closed,
                 load,
             } => {
-                let id = attempt_id(request, attempt);
-                if let Some(worker) = self.handle_outcome(now, id, status, load) {
-                    self.close_idle(worker, out);
-                }
+                self.handle_result(now, attempt_id(request, attempt), status, load, out);
                 if closed || status == Status::Ok {
                     self.close(request, out);
                 }
                 self.send_or_queue(now, request, out);
             }
             Event::RequestClosed(request) => self.close(request, out),
-            Event::Unheard { request, attempt } => {
+            Event::Unacknowledged { request, attempt } => {
                 self.handle_unacknowledged(now, attempt_id(request, attempt), out);
             }
             Event::Timer(name) if name.wrapping_add(1) == self.timer => self.handle_tick(now, out),
@@ -212,6 +210,19 @@
         true
     }
 
+    fn handle_result(
+        &mut self,
+        now: Time,
+        id: AttemptId,
+        status: Status,
+        load: Option<Load>,
+        out: &mut Vec<Action>,
+    ) {
+        if let Some(worker) = self.handle_outcome(now, id, status, load) {
+            self.close_idle(worker, out);
+        }
+    }
+
     fn handle_tick(&mut self, now: Time, out: &mut Vec<Action>) {
         self.request_membership(now, out);
         self.update_peers(out);
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -8,13 +8,14 @@
 use crate::affinity;
 use crate::api::{Action, AttemptNo, Effect, Group, Load, RequestId, Status, Time};
 use crate::runs::{self, fresh};
+use crate::transferred_job::Progress;
 
 /// Growth of the shortest start delay at each start that took longer.
 const START_DELAY_GROWTH: f64 = 1.01;
 
 impl Dispatcher {
-    /// The one place that sends. Every rule that limits a send is checked here, whatever chose the worker. Returns
-    /// whether the request was sent.
+    /// The only place that sends. Checks every rule that limits a send, whatever chose the worker. Returns whether the
+    /// request was sent.
     pub(super) fn send(
         &mut self,
         now: Time,
@@ -55,8 +56,8 @@
         true
     }
 
-    /// Takes the connection that was used last; returns for how long the oldest idle one has not been used. Dropped
-    /// unseen, a connection would cost the attempt: where that was observed, old ones are closed first.
+    /// Takes the connection that was used last; returns for how long the oldest one has been idle. A connection that
+    /// was dropped unnoticed would fail the attempt: where that was observed, old connections are closed first.
     fn take_connection(&mut self, now: Time, index: usize, out: &mut Vec<Action>) -> Time {
         let worker = &mut self.workers[index];
         let idle = worker.idle_since.first().map_or(0, |since| now - since);
@@ -70,7 +71,7 @@
         idle
     }
 
-    /// Notes an attempt that leaves now.
+    /// Records an attempt that is sent now.
     fn record_send(&mut self, now: Time, id: RequestId, index: usize, connection_idle: Time) {
         let home = self.open.get(&id).and_then(|open| self.home_worker(open));
         let away_from_home = home.is_some_and(|home| home != index);
@@ -191,7 +192,7 @@
         let wait = now.saturating_sub(attempt.sent) as f64;
         self.rejection_rate -= LATE_STEP * self.rejection_rate;
         if self.run_times.0 > 0.0 {
-            // Long waits tell of shared queues: keep more here, where the most valuable can still go first.
+            // Long waits are a sign of shared queues: queue more requests here, where the most valuable go first.
             let capacity = self.capacity(&self.workers[index]);
             let target = LATE_START_WAIT * self.run_times.1 / self.run_times.0 / capacity;
             self.count_start(index, wait >= target);
@@ -201,7 +202,8 @@
         self.learn_from_start(now, index, wait);
     }
 
-    /// A late start tells that no slot was left for others or us, a prompt one that not all were taken.
+    /// Updates the load of others by a start: a late one shows that all slots were occupied, a prompt one that one was
+    /// free.
     fn learn_from_start(&mut self, now: Time, index: usize, wait: f64) {
         let worker = &mut self.workers[index];
         let kind = &mut self.kinds[worker.kind];
@@ -237,10 +239,11 @@
         let Some(attempt) = self.attempt_mut(id) else {
             return;
         };
-        attempt.last_progress = (now, done);
+        let progress = Progress { at: now, done };
+        attempt.last_progress = progress;
         let index = attempt.worker;
         if done > 0.0 {
-            attempt.first_progress = attempt.first_progress.or(Some((now, done)));
+            attempt.first_progress = attempt.first_progress.or(Some(progress));
             self.record_progress(now, index);
         }
         let open = self.open.get(&id.request);
@@ -253,7 +256,7 @@
         open.attempts.get_mut(id.attempt as usize)
     }
 
-    /// An own attempt no longer waits at its worker; it gives back these slots.
+    /// An own attempt no longer waits at its worker and releases this many slots there.
     pub(super) fn release_slots(&mut self, now: Time, index: usize, id: AttemptId, slots: f64) {
         let worker = &mut self.workers[index];
         worker.running(now);
@@ -274,18 +277,18 @@
         status: Status,
         load: Option<Load>,
     ) -> Option<usize> {
-        let full_may_have_run = self.settings.rules.full_may_have_run;
+        let never_ran = match status {
+            Status::Full => !self.settings.rules.full_may_have_run,
+            Status::ConnectFailed | Status::Moot => true,
+            _ => false,
+        };
         let open = self.open.get_mut(&id.request)?;
         let attempt = open
             .attempts
             .get_mut(id.attempt as usize)
             .filter(|attempt| !attempt.done)?;
         attempt.done = true;
-        attempt.never_ran = match status {
-            Status::Full => !full_may_have_run,
-            Status::ConnectFailed | Status::Moot => true,
-            _ => false,
-        };
+        attempt.never_ran = never_ran;
         let ended = attempt.clone();
         let (class, estimate) = (open.class, open.estimate);
         let has_affinity = open.affinity.is_some();
@@ -307,33 +310,37 @@
             .for_each(|load| self.handle_load(now, ended.worker, load));
         self.learn_from_status(now, &ended, status);
         if let (Status::Ok, Some(started)) = (status, ended.started) {
-            let run = now
-                .saturating_sub(started)
-                .saturating_sub(fetched.unwrap_or(0.0) as Time);
-            let kind = self.workers[ended.worker].kind;
-            let speed = &mut self.kinds[kind].speed;
-            let run_time = &mut self.classes[class].run_time;
-            runs::learn(speed, run_time, &mut self.run_times, estimate, run);
+            let fetch = fetched.unwrap_or(0.0) as Time;
+            let run = now.saturating_sub(started).saturating_sub(fetch);
+            self.learn_run_time(ended.worker, class, estimate, run);
         }
         Some(ended.worker)
     }
 
-    /// An attempt that was never made does not count against the budget of retries.
+    /// Updates the run times of a class and the speed of a worker's kind by one run.
+    fn learn_run_time(&mut self, index: usize, class: usize, estimate: Option<Time>, run: Time) {
+        let kind = self.workers[index].kind;
+        let speed = &mut self.kinds[kind].speed;
+        let run_time = &mut self.classes[class].run_time;
+        runs::learn(speed, run_time, &mut self.run_times, estimate, run);
+    }
+
+    /// Returns an attempt that was never made to the retry budget.
     fn take_back_retry(&mut self, sent: Time) {
         if let Ok(position) = self.retried_at.binary_search(&sent) {
             self.retried_at.remove(position);
         }
     }
 
-    /// What the end says of the worker, or of the connection.
+    /// Updates the health of the worker, or the trust in idle connections, by the result of an attempt.
     fn learn_from_status(&mut self, now: Time, ended: &Attempt, status: Status) {
         let was_idle = ended.connection_idle > 0;
         if status == Status::Reset && ended.started.is_none() && was_idle {
-            // Broken before the job began, on a connection long unused: that tells of it, not of the worker.
+            // Reset before the start on an idle connection: that is a fault of the connection, not of the worker.
             let trusted = ended.connection_idle as f64 * IDLE_TRUSTED;
             self.trusted_idle = self.trusted_idle.min(trusted);
         } else if status != Status::Timeout {
-            // A time-out has been recorded when it was overdue.
+            // A time-out was recorded when the attempt was overdue.
             self.record_outcome(now, ended.worker, status);
         }
     }
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -7,9 +7,10 @@
 };
 use crate::api::Time;
 use crate::solve::solve;
+use crate::statistics::LateStartRate;
 use std::collections::BTreeSet;
 
-/// Least capacity that arrivals are set against.
+/// Least capacity that arrivals are divided by.
 const CAPACITY_MIN: f64 = 1e-9;
 
 /// The groups of workers of one zone, or of all others.
@@ -38,43 +39,43 @@
     pub(super) fn solve_draw(&mut self, now: Time) {
         self.group_workers(now);
         let speeds: Vec<f64> = self.kinds.iter().map(|kind| kind.speed.speed).collect();
-        let mut fraction = vec![0.0; speeds.len()];
+        let mut slots = vec![0.0; speeds.len()];
         let is_ready = |worker: &&Worker| {
             worker.active
                 && worker.ejected_until <= now
                 && worker.failure_rate <= PROBATION_FAILURE_RATE
         };
         for worker in self.workers.iter().filter(is_ready) {
-            fraction[worker.kind] += self.slots(worker) * self.warm_up_fraction(now, worker);
+            slots[worker.kind] += self.slots(worker) * self.warm_up_fraction(now, worker);
         }
-        let by_kind = fraction.iter().zip(&speeds);
-        let capacity: f64 = by_kind.map(|(fraction, speed)| fraction * speed).sum();
-        let arriving = self.settings.dispatchers as f64 * self.arrivals.unbound;
+        let by_kind = slots.iter().zip(&speeds);
+        let capacity: f64 = by_kind.map(|(slots, speed)| slots * speed).sum();
+        let arriving = self.settings.dispatchers as f64 * self.arrivals.latest().unbound;
         let load = arriving / capacity.max(CAPACITY_MIN);
-        self.kind_weights = solve(&fraction, &speeds, load, SAMPLE_SIZE as u32);
+        self.kind_weights = solve(&slots, &speeds, load, SAMPLE_SIZE as u32);
         self.affinity_weights.follow(&self.kind_weights);
     }
 
     /// Groups the active workers by zone, preference and kind.
     fn group_workers(&mut self, now: Time) {
         self.groups = vec![Vec::new(); group::COUNT * self.kinds.len()];
-        for send_now in LOCALITIES {
+        for locality in LOCALITIES {
             let is_in = |index: &usize| {
                 let worker = &self.workers[*index];
-                worker.active && self.is_home(worker) == send_now.is_home
+                worker.active && self.is_home(worker) == locality.is_home
             };
             let pool: Vec<usize> = self.index.values().copied().filter(is_in).collect();
-            if send_now.is_home && self.late_start_rate == [0.0; 2] {
+            if locality.is_home && self.late_start_rate == LateStartRate::default() {
                 self.assume_home_preference(pool.len());
             }
             let fraction = self.preferred_fraction(&pool);
             for kind in 0..self.kinds.len() {
-                self.group_kind(now, send_now, kind, &pool, fraction);
+                self.group_kind(now, locality, kind, &pool, fraction);
             }
         }
     }
 
-    /// Until starts have been observed, the load is taken to be high, and dispatchers as many in every zone.
+    /// Until starts have been observed, assumes a high load and as many dispatchers in every zone.
     fn assume_home_preference(&mut self, at_home: usize) {
         let zones: BTreeSet<_> = self
             .workers
@@ -86,23 +87,24 @@
         self.home_preference = preference.min(1.0);
     }
 
-    /// Share of these workers that own traffic would fill to the preferred load.
+    /// Fraction of these workers that the own traffic loads to [`PREFERRED_LOAD`].
     fn preferred_fraction(&self, pool: &[usize]) -> f64 {
         let capacities = pool
             .iter()
             .map(|index| self.capacity(&self.workers[*index]));
         let capacity: f64 = capacities.sum();
         let least = SAMPLE_SIZE as f64 / pool.len().max(1) as f64;
-        let filled = self.arrivals.work / PREFERRED_LOAD / capacity.max(CAPACITY_MIN);
+        let filled = self.arrivals.latest().work / PREFERRED_LOAD / capacity.max(CAPACITY_MIN);
         filled.max(least).min(1.0)
     }
 
-    /// Prefers a stretch of a kind's workers, another one at each dispatcher: jobs spread thinly over a large fleet tell
-    /// of no worker. Workers that warm up are preferred wherever this dispatcher has a part of their budget.
+    /// Prefers a contiguous range of a kind's workers, which begins elsewhere at each dispatcher: requests that are
+    /// spread thinly over a large fleet would show the load of no worker. Workers in warm-up are preferred wherever
+    /// this dispatcher has a part of their budget.
     fn group_kind(
         &mut self,
         now: Time,
-        send_now: Locality,
+        locality: Locality,
         kind: usize,
         pool: &[usize],
         fraction: f64,
@@ -117,9 +119,9 @@
             let from_first = (position + count - first % count) % count;
             let is_preferred = warm_up_rate.is_some() || from_first < preferred_count;
             let group = if is_preferred {
-                send_now.preferred
+                locality.preferred
             } else {
-                send_now.other
+                locality.other
             };
             if warm_up_rate != Some(0.0) {
                 self.groups[group * self.kinds.len() + kind].push(index);
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -5,25 +5,29 @@
 use super::tuning::{CROSSING_LATE_STARTS, LATE_STEP, WAIT_LOAD, WINDOW_DECREASE, group};
 use crate::api::Time;
 use crate::runs::fresh;
+use crate::statistics::LateStartRate;
 
-/// Half a slot more than there is still counts as a free one: loads are averages.
+/// A slot counts as free if at least half of it is: loads are averages.
 const HALF_SLOT: f64 = 0.5;
-/// Attempts that may wait at workers which look free, whatever the window: a constant and a factor on the window.
+/// Attempts that may wait at workers that look free: this constant, plus a multiple of the wait window.
 const LOOKS_FREE_MIN: f64 = 2.0;
 const LOOKS_FREE_WINDOWS: f64 = 2.0;
 
 impl Dispatcher {
-    /// Whether one more own attempt may wait. A worker that looks free does so to many dispatchers at once.
+    /// Whether one more own attempt may wait. Also at workers that look free their number is limited: these look free
+    /// to many dispatchers at once.
     pub(super) fn may_wait(&self, is_unlikely: bool) -> bool {
         let limit = if is_unlikely {
             self.wait_window
         } else {
-            LOOKS_FREE_WINDOWS * self.wait_window + LOOKS_FREE_MIN + WAIT_LOAD * self.arrivals.work
+            LOOKS_FREE_WINDOWS * self.wait_window
+                + LOOKS_FREE_MIN
+                + WAIT_LOAD * self.arrivals.latest().work
         };
         (self.unstarted_count as f64) < limit
     }
 
-    /// Whether a worker may take some held request. While there is none, no request is looked at.
+    /// Whether some worker may take a queued request. While there is none, the queues are not scanned.
     pub(super) fn has_free_worker(&self, now: Time) -> bool {
         let may_queue = self.may_wait(true);
         let is_free = |worker: &Worker| {
@@ -49,16 +53,18 @@
         in_flight / (self.slots(worker) * self.warm_up_fraction(now, worker))
     }
 
-    /// Slots that others hold, by the last load update. A worker without one is not empty: late starts tell of all.
+    /// Slots that others occupy, by the last load update. Without a recent one they are estimated by the rate of late
+    /// starts.
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
-        let [away, home] = self.late_start_rate;
+        let LateStartRate { away, home } = self.late_start_rate;
         let at_large = away.max(home) * self.slots(worker);
         let recency = worker.load_updated_at.map_or(0.0, |at| fresh(now, at));
         let expected = worker.others_slots * recency + at_large * (1.0 - recency);
         expected.max(worker.peer_slots(now))
     }
 
-    /// No slot is expected to be free: all known ones (and `more`) are taken, or an own attempt waits there.
+    /// Whether no slot is expected to be free: all known ones, plus `more`, are occupied, or an own attempt waits
+    /// there.
     pub(super) fn is_crowded(&self, now: Time, worker: &Worker, more: f64) -> bool {
         let oldest = worker.unstarted.first();
         let wait = oldest.map_or(0.0, |unstarted| now.saturating_sub(unstarted.sent) as f64);
@@ -91,9 +97,9 @@
         };
         self.wait_window = (self.wait_window + change).clamp(1.0, self.workers.len() as f64);
         let is_home = self.is_home(&self.workers[index]);
-        let fraction = &mut self.late_start_rate[usize::from(is_home)];
+        let fraction = self.late_start_rate.of_zone(is_home);
         *fraction += LATE_STEP * (f64::from(u8::from(is_late)) - *fraction);
-        let [away, home] = self.late_start_rate;
+        let LateStartRate { away, home } = self.late_start_rate;
         let gain = home - away - CROSSING_LATE_STARTS * self.settings.charges.cross_zone;
         self.home_preference = (self.home_preference - LATE_STEP * gain).clamp(0.0, 1.0);
     }
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -4,6 +4,7 @@
 use super::state::{Attempt, AttemptId};
 use super::tuning::{EJECTION_MAX, MOVE_WAIT, OVERDUE_FIRST_INTERVALS, OVERDUE_INTERVALS};
 use crate::api::{Action, AttemptNo, Effect, RequestId, Status, Time};
+use crate::transferred_job::Progress;
 
 /// Ticks after which a request that found no other worker is looked at again.
 const REVIEW_TICKS: Time = 5;
@@ -11,8 +12,8 @@
 const REPORT_SLACK_GRANULARITIES: Time = 4;
 
 impl Dispatcher {
-    /// The worker has not acknowledged the attempt in time: it waits in no queue there. Where the class allows, another
-    /// attempt goes beside.
+    /// The worker has not acknowledged the attempt in time, so that it waits in no queue there. Where the class allows,
+    /// the request is also sent to another worker.
     pub(super) fn handle_unacknowledged(
         &mut self,
         now: Time,
@@ -27,7 +28,8 @@
         }
     }
 
-    /// A job that has waited long at a worker moves to one that looks free; one attempt is kept for failures.
+    /// Cancels an attempt that has waited long at a worker, if another one looks free; one attempt is reserved for
+    /// failures. Its result sends the request to the other worker.
     fn move_waiting(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else {
             return;
@@ -59,9 +61,9 @@
         }
     }
 
-    /// When the next progress report of a job is overdue; where none are sent, a long job looks the same.
+    /// When the next progress report of an attempt is overdue; never where workers send none.
     pub(super) fn overdue_at(&self, attempt: &Attempt) -> Time {
-        let (reported_at, done) = attempt.last_progress;
+        let Progress { at, done } = attempt.last_progress;
         let intervals = if done > 0.0 {
             OVERDUE_INTERVALS
         } else {
@@ -72,14 +74,15 @@
         match attempt.started {
             Some(_) if reports => {
                 let slack = REPORT_SLACK_GRANULARITIES * self.settings.granularity;
-                reported_at.saturating_add(wait as Time + slack)
+                at.saturating_add(wait as Time + slack)
             }
             None if attempt.unacknowledged => 0,
             _ => Time::MAX,
         }
     }
 
-    /// Where a report is overdue, slots count as free; where the class allows, another attempt goes beside.
+    /// An attempt whose report is overdue times out: its slots count as free. Where the class allows, the request is
+    /// moved, or also sent to another worker.
     pub(super) fn handle_overdue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
@@ -98,7 +101,7 @@
                 },
             );
             if may_retry && moves {
-                // Its end sends the next.
+                // Its result sends the next attempt.
                 out.push(Action::Cancel {
                     request: id,
                     attempt,
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Gives the slots of an overdue attempt back and records a time-out of its worker.
+    /// Releases the slots of an overdue attempt and records a time-out of its worker.
     fn time_out(&mut self, now: Time, id: AttemptId) {
         let Some(open) = self.open.get_mut(&id.request) else {
             return;
@@ -129,10 +132,10 @@
         let attempt = &mut open.attempts[id.attempt as usize];
         attempt.timed_out = true;
         let index = attempt.worker;
-        let waited = now - attempt.sent.max(attempt.last_progress.0);
+        let waited = now - attempt.sent.max(attempt.last_progress.at);
         self.release_slots(now, index, id, slots);
         if self.settings.limits.moves() {
-            // Withdrawn, it will not say when the worker is back: no new attempt there sooner than it took to notice.
+            // Cancelled, it cannot show when the worker responds again: eject it for as long as this took to notice.
             let worker = &mut self.workers[index];
             worker.timeouts_in_a_row += u32::from(now >= worker.ejected_until);
             let ejection = waited
