--- a/crates/indigofold/src/admin.rs
+++ b/crates/indigofold/src/admin.rs
@@ -1,7 +1,7 @@
 //! The admin endpoint: a listener of its own, one line a connection, one answer. It shares neither descriptors nor
 //! buffers with the fronts, so that what happens there does not delay an answer here.
 
-use crate::core::figures::Figures;
+use crate::core::metrics::Figures;
 use crate::dispatcher::WorkerCounts;
 use crate::front::Life;
 use crate::net::{Net, log};
--- a/crates/indigofold/src/core/mod.rs
+++ b/crates/indigofold/src/core.rs
@@ -4,8 +4,8 @@
 pub mod actor;
 pub mod clock;
 pub mod engine;
-pub mod figures;
 pub mod job_table;
+pub mod metrics;
 
 use crate::api::{Entry, Load, Request, RequestId, Scope, Status, Time, WorkerId};
 use crate::statistics::Statistics;
--- a/crates/indigofold/src/core/actor.rs
+++ b/crates/indigofold/src/core/actor.rs
@@ -2,7 +2,7 @@
 
 use super::clock::Clock;
 use super::engine::Engine;
-use super::figures::Figures;
+use super::metrics::Figures;
 use super::{Settings, Told, Transport};
 use crate::api::Time;
 use async_channel::{Receiver, Sender, bounded};
--- a/crates/indigofold/src/core/engine.rs
+++ b/crates/indigofold/src/core/engine.rs
@@ -3,8 +3,8 @@
 //! looked at ([`Engine::due`]) and lets it act ([`Engine::step`]). The sockets' core actor does so in real time, the laboratory
 //! in virtual time. The simulator keeps jobs and timers itself and owns a [`Module`] alone.
 
-use super::figures::Figures;
 use super::job_table::JobTable;
+use super::metrics::Figures;
 use super::{JobId, Recall, Released, Settings, Told, Transport};
 use crate::api::{self, Action, Event, Time};
 use crate::dispatcher::{Dispatcher, WorkerCounts};
--- a/crates/indigofold/src/core/job_table.rs
+++ b/crates/indigofold/src/core/job_table.rs
@@ -1,6 +1,6 @@
 //! The job table: jobs and their attempts. Whatever the module or a front does, a job gets one answer, in time.
 
-use super::figures::{End, Figures, add};
+use super::metrics::{End, Figures, add};
 use super::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
 use crate::api::{Action, ClassId, Event, Scope, Status, Time, WorkerId};
 use crate::transferred_job;
@@ -429,6 +429,3 @@
     figures.count(class, end);
     figures.open.set(figures.open.get() - 1);
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/indigofold/src/front/platform/mod.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -1,9 +1,9 @@
 //! The platform's protocol: HTTP/1.1 with clients, job workers and discovery.
 
 pub mod clients;
-pub mod kin;
-pub mod machines;
-pub mod moving;
+pub mod membership;
+pub mod migration;
+pub mod peer_process;
 pub mod workers;
 
 use super::Life;
@@ -11,13 +11,13 @@
 use crate::config::{self, DiscoveryList, News, Site};
 use crate::core::actor::Mailbox;
 use crate::core::clock::Clock;
-use crate::core::figures::Figures;
+use crate::core::metrics::Figures;
 use crate::core::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Told, Transport};
 use crate::net::buffer::Buffer;
 use crate::net::{Net, log};
 use async_channel::{Sender, TrySendError, WeakSender, bounded};
 use futures_lite::future::yield_now;
-use kin::Kin;
+use peer_process::Kin;
 use simd_json::prelude::{ValueAsScalar, Writable};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -79,8 +79,8 @@
     machines: RefCell<HashMap<WorkerId, Machine>>,
     names: RefCell<HashMap<String, WorkerId>>,
     kin: RefCell<Vec<Rc<Kin>>>,
-    moving: moving::Moving,
-    list: Sender<machines::Word>,
+    moving: migration::Moving,
+    list: Sender<membership::Word>,
 }
 
 impl Platform {
@@ -92,7 +92,7 @@
         figures: Rc<Figures>,
         site: Site,
         core: Mailbox,
-        list: Sender<machines::Word>,
+        list: Sender<membership::Word>,
     ) -> Rc<Self> {
         Rc::new(Platform {
             net,
@@ -108,7 +108,7 @@
             machines: RefCell::default(),
             names: RefCell::default(),
             kin: RefCell::default(),
-            moving: moving::Moving::default(),
+            moving: migration::Moving::default(),
             list,
         })
     }
@@ -136,13 +136,13 @@
         let parcel = Rc::new(parcel);
         self.traces.borrow_mut().insert(trace.to_string(), id);
         self.parcels.borrow_mut().insert(id, parcel.clone());
-        self.tell_kin(|| kin::Word::Opened(trace.to_string()));
+        self.tell_kin(|| peer_process::Word::Opened(trace.to_string()));
         Some((id, parcel))
     }
 
     /// Discovery answers elsewhere from now on.
     pub async fn move_discovery(&self, to: SocketAddr) {
-        let _ = self.list.send(machines::Word::Move(to)).await;
+        let _ = self.list.send(membership::Word::Move(to)).await;
     }
 
     /// Other settings hold from now on: for the names that are read here, and for the module, without a break between.
@@ -352,14 +352,14 @@
     }
 
     fn ask(&self, what: Ask) -> bool {
-        self.list.try_send(machines::Word::Ask(what)).is_ok()
+        self.list.try_send(membership::Word::Ask(what)).is_ok()
     }
 
     fn forget(&self, job: JobId) {
         if let Some(parcel) = self.parcels.borrow_mut().remove(&job) {
             self.traces.borrow_mut().remove(&parcel.trace);
             self.waits_no_more(&parcel.trace);
-            self.tell_kin(|| kin::Word::Closed(parcel.trace.clone()));
+            self.tell_kin(|| peer_process::Word::Closed(parcel.trace.clone()));
             self.forget_attempts(job, &parcel);
         }
     }
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -1,11 +1,11 @@
 //! One actor for each accepted connection: clients with their jobs, job workers with their news, and
 //! whoever asks whether the program is ready.
 
-use super::moving::Moved;
+use super::migration::Moved;
 use super::{Parcel, Platform};
 use crate::api::{ClassId, Effect, Request, Time};
 use crate::config::{self, News, Site};
-use crate::core::figures::End;
+use crate::core::metrics::End;
 use crate::core::{Answer, JobId, Reply, Told};
 use crate::net::buffer::Buffer;
 use crate::net::http::{self, Bad, Frame, Head, Kind, Progress};
--- a/crates/indigofold/src/front/platform/moving.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -3,7 +3,7 @@
 //! no connection, as it tells what becomes of them to whoever accepts.
 
 use super::clients::{self, Served};
-use super::kin::{Kin, Word};
+use super::peer_process::{Kin, Word};
 use super::workers::{AttemptState, Order, Stage};
 use super::{Parcel, Platform};
 use crate::api::Time;
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -2,7 +2,7 @@
 
 use super::{Parcel, Platform};
 use crate::api::{Load, Status, WorkerId};
-use crate::core::figures::add;
+use crate::core::metrics::add;
 use crate::core::{Attempt, AttemptId, Told};
 use crate::net::buffer::Buffer;
 use crate::net::http::{Head, Kind};
@@ -11,6 +11,7 @@
 use async_executor::Task;
 use async_io::Timer;
 pub use attempt::{AttemptState, Stage};
+use connections::Wires;
 use futures_lite::FutureExt;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,10 +19,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use wires::Wires;
 
 mod attempt;
-mod wires;
+mod connections;
 
 /// How long a probe may take beyond the dial.
 const PROBE: Duration = Duration::from_millis(250);
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -6,7 +6,7 @@
 use crate::config::{self, News};
 use crate::core::Recall;
 use crate::front::platform::Platform;
-use crate::front::platform::kin::{Kin, Word};
+use crate::front::platform::peer_process::{Kin, Word};
 use crate::net::{Reason, log, within};
 use async_channel::Receiver;
 use async_executor::Task;
--- a/crates/indigofold/src/core/job_table/tests.rs
+++ b/crates/indigofold/tests/job_table.rs
@@ -1,9 +1,12 @@
 //! One answer each, in time.
 
-use super::*;
-use crate::api::Request;
 use async_channel::{Receiver, bounded};
+use indigofold::api::Request;
+use indigofold::api::{Action, Status, Time, WorkerId};
+use indigofold::core::job_table::JobTable;
+use indigofold::core::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
 use std::cell::RefCell;
+use std::rc::Rc;
 
 /// A front that takes every attempt, and notes what it is asked.
 #[derive(Default)]
--- a/crates/replay/src/virt.rs
+++ b/crates/replay/src/virt.rs
@@ -12,7 +12,7 @@
 use indigofold::api::{Entry, Load, Request, Scope, Status, WorkerId, WorkerState};
 use indigofold::config::subject;
 use indigofold::core::engine::Engine;
-use indigofold::core::figures::Figures;
+use indigofold::core::metrics::Figures;
 use indigofold::core::{
     Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Settings, Told, Transport,
 };
