--- a/crates/indigofold/src/admin.rs
+++ b/crates/indigofold/src/admin.rs
@@ -1,7 +1,7 @@
 //! The admin endpoint: a listener of its own, one line a connection, one answer. It shares neither descriptors nor
 //! buffers with the fronts, so that what happens there does not delay an answer here.
 
-use crate::core::metrics::Figures;
+use crate::core::metrics::Metrics;
 use crate::dispatcher::WorkerCounts;
 use crate::front::Life;
 use crate::net::{Net, log};
@@ -40,7 +40,7 @@
     /// The program's life.
     pub life: Rc<Life>,
     /// The figures.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// Does this process take clients?
     pub serves: Box<dyn Fn() -> bool>,
     /// The classes by name.
@@ -164,22 +164,22 @@
 
     /// The figures, one a line.
     fn stats(&self) -> String {
-        let (mut text, figures) = (String::new(), &self.figures);
+        let (mut text, metrics) = (String::new(), &self.metrics);
         let mut line = |name: &str, value: u64, kind: char| {
             let _ = writeln!(text, "edge_gw.{name}:{value}|{kind}");
         };
         for (class, name) in (self.classes)().iter().enumerate() {
-            let ends = figures.of(class as u32);
+            let ends = metrics.of(class as u32);
             for (end, count) in ["ok", "shed", "errors"].iter().zip(ends) {
                 line(&format!("{end}.{name}"), count, 'c');
             }
         }
-        let WorkerCounts { listed, avoided } = figures.workers.get();
-        let (applied, rejected) = figures.files.get();
-        line("tries", figures.tries.get(), 'c');
+        let WorkerCounts { listed, avoided } = metrics.workers.get();
+        let (applied, rejected) = metrics.config_files.get();
+        line("tries", metrics.attempts_sent.get(), 'c');
         line("config_applied", applied, 'c');
         line("config_rejected", rejected, 'c');
-        line("active", figures.open.get(), 'g');
+        line("active", metrics.open.get(), 'g');
         line("pool_size", listed, 'g');
         line("pool_ejected", avoided, 'g');
         text + "eof\n"
--- a/crates/indigofold/src/core.rs
+++ b/crates/indigofold/src/core.rs
@@ -1,5 +1,5 @@
 //! The core: jobs, attempts and the one answer that each job gets. It knows no wire: no bytes, no sockets, no
-//! JSON. A front tells it what happened ([`Told`]) and carries out what it asks for ([`Transport`]).
+//! JSON. A front tells it what happened ([`CoreInput`]) and carries out what it asks for ([`Transport`]).
 
 pub mod actor;
 pub mod clock;
@@ -59,22 +59,22 @@
 
 /// What a front tells the core.
 #[derive(Debug)]
-pub enum Told {
+pub enum CoreInput {
     /// A job was taken; the client waits for it until this time.
     Job(Request, Time, Reply),
     /// The client is gone; no answer is owed any more.
-    Gone(JobId),
+    ClientLeft(JobId),
     /// An attempt's job has begun.
     Started(AttemptId),
     /// The machine has not said that it took an attempt, though that is overdue; the attempt goes on.
-    Unheard(AttemptId),
+    Unacknowledged(AttemptId),
     /// An attempt's job has come so far, 0 to 1.
     Progress(AttemptId, f64),
     /// How an attempt ended. Told again, or after it was given up, it changes nothing but this: a job that is
     /// still open is served by any attempt that was done.
     Ended(AttemptId, Status, Option<Load>),
     /// News of the discovery list.
-    List(Scope, Vec<Entry>),
+    Membership(Scope, Vec<Entry>),
     /// Other settings of the module from now on.
     Settings(Box<crate::api::Settings>),
     /// What another process of this scheduler has learned, under this one's ids.
@@ -85,7 +85,7 @@
     /// A job goes on here that another process has begun; the client waits for it until this time.
     Adopted(JobId, Box<TransferredJob<u32>>, Time, Reply),
     /// What was learned here is asked for: all of it, or only the slots held.
-    Recall(Sender<Statistics<u32>>, Recall),
+    ReadStatistics(Sender<Statistics<u32>>, StatisticsScope),
     /// What a probe brought.
     Probed(WorkerId, Status, Option<Load>),
 }
@@ -103,22 +103,22 @@
 
 /// How much is asked for of what was learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recall {
+pub enum StatisticsScope {
     /// All of it.
     All,
     /// All but the slots held: the jobs that hold them are about to go over themselves.
-    AllButHeld,
+    ExceptInFlight,
     /// Only the slots that are held at machines now.
-    Held,
+    InFlight,
 }
 
 /// What the core asks of the discovery list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum MembershipRequest {
     /// To be told of changes from now on, or no longer.
     Watch(bool),
     /// The whole list, once.
-    Whole,
+    FetchAll,
 }
 
 /// What has become of an attempt that is to be given up.
@@ -128,24 +128,24 @@
     Unsent,
     /// It is given up; nothing more need be told of it.
     Done,
-    /// Its machine is being told. [`Told::Ended`] follows, once: with [`Status::Cancelled`] when it has been. Another attempt
+    /// Its machine is being told. [`CoreInput::Ended`] follows, once: with [`Status::Cancelled`] when it has been. Another attempt
     /// of the job sent before could get there sooner, and be a copy of one that runs.
-    Asked,
+    Pending,
 }
 
 /// What a front does for the core. None of it may wait; each call that is not carried out is answered `false`
 /// and counts as one that failed before anything went out.
 pub trait Transport {
-    /// Carries an attempt to its machine. [`Told::Ended`] follows, once.
+    /// Carries an attempt to its machine. [`CoreInput::Ended`] follows, once.
     fn send(&self, attempt: Attempt) -> bool;
     /// Stops waiting for an attempt.
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp;
-    /// Asks a machine for its load. [`Told::Probed`] follows.
+    /// Asks a machine for its load. [`CoreInput::Probed`] follows.
     fn probe(&self, machine: WorkerId) -> bool;
     /// Closes the idle connections to a machine.
     fn hang_up(&self, machine: WorkerId);
-    /// Asks for the discovery list. [`Told::List`] follows.
-    fn ask(&self, what: Ask) -> bool;
+    /// Asks for the discovery list. [`CoreInput::Membership`] follows.
+    fn request_membership(&self, request: MembershipRequest) -> bool;
     /// The one answer to a job that came with [`Reply::Transport`].
     fn answer(&self, job: JobId, answer: Answer) {
         let _ = (job, answer);
@@ -153,7 +153,7 @@
     /// The job will not be named again.
     fn forget(&self, job: JobId);
     /// A line for the operators.
-    fn note(&self, text: &str);
+    fn log_event(&self, text: &str);
 }
 
 /// Settings of the core, as plain values.
@@ -164,5 +164,5 @@
     /// Random numbers start here.
     pub seed: u64,
     /// How long before the client's time is up a job is answered at the latest.
-    pub early: Time,
+    pub answer_margin: Time,
 }
--- a/crates/indigofold/src/core/engine.rs
+++ b/crates/indigofold/src/core/engine.rs
@@ -1,11 +1,11 @@
 //! The engine: the decision module behind its guard, the job table, the timers and the batches. It reads no clock, waits for
-//! nothing and does no I/O: who owns it tells it what happened and the time ([`Engine::told`]), asks when it must be
+//! nothing and does no I/O: who owns it tells it what happened and the time ([`Engine::input`]), asks when it must be
 //! looked at ([`Engine::due`]) and lets it act ([`Engine::step`]). The sockets' core actor does so in real time, the laboratory
 //! in virtual time. The simulator keeps jobs and timers itself and owns a [`Module`] alone.
 
 use super::job_table::JobTable;
-use super::metrics::Figures;
-use super::{JobId, Recall, Released, Settings, Told, Transport};
+use super::metrics::Metrics;
+use super::{CoreInput, JobId, Released, Settings, StatisticsScope, Transport};
 use crate::api::{self, Action, Event, Time};
 use crate::dispatcher::{Dispatcher, WorkerCounts};
 use crate::statistics::Statistics;
@@ -35,14 +35,14 @@
     }
 
     /// What it has learned.
-    pub fn statistics(&self, now: Time, how: Recall) -> Statistics<u32> {
-        match how {
-            Recall::All => self.0.statistics(now),
-            Recall::AllButHeld => Statistics {
+    pub fn statistics(&self, now: Time, scope: StatisticsScope) -> Statistics<u32> {
+        match scope {
+            StatisticsScope::All => self.0.statistics(now),
+            StatisticsScope::ExceptInFlight => Statistics {
                 in_flight: Vec::new(),
                 ..self.0.statistics(now)
             },
-            Recall::Held => Statistics {
+            StatisticsScope::InFlight => Statistics {
                 at: now,
                 in_flight: self.0.slots_in_flight(),
                 ..Statistics::default()
@@ -76,27 +76,27 @@
 pub struct Engine {
     module: Module,
     table: JobTable,
-    gap: Time,
-    gate: Time, // no batch before this
+    batch_interval: Time,
+    next_batch: Time, // no batch before this
     timers: BTreeSet<(Time, u64)>,
     actions: Vec<Action>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
 }
 
 impl Engine {
     /// An engine with an empty job table, at this time.
-    pub fn new(settings: Settings, now: Time, figures: Rc<Figures>) -> Self {
-        let gap = settings.module.granularity;
+    pub fn new(settings: Settings, now: Time, metrics: Rc<Metrics>) -> Self {
+        let batch_interval = settings.module.granularity;
         let module = Module::new(settings.module, settings.seed, now);
-        let table = JobTable::new(settings.early, figures.clone());
+        let table = JobTable::new(settings.answer_margin, metrics.clone());
         Engine {
             module,
             table,
-            gap,
-            gate: 0,
+            batch_interval,
+            next_batch: 0,
             timers: BTreeSet::new(),
             actions: Vec::new(),
-            figures,
+            metrics,
         }
     }
 
@@ -106,15 +106,19 @@
     }
 
     /// Takes what a front tells. It is acted on by the next step; only what needs no decision happens at once.
-    pub fn told(&mut self, now: Time, told: Told, transport: &dyn Transport) {
-        match &told {
-            Told::Settings(settings) => self.gap = settings.granularity,
+    pub fn handle_input(&mut self, now: Time, input: CoreInput, transport: &dyn Transport) {
+        match &input {
+            CoreInput::Settings(settings) => self.batch_interval = settings.granularity,
             // Whoever asked may have turned to something else: then the job is still its client's here.
-            Told::Release(job, to) if !to.is_closed() => _ = to.try_send(self.release(now, *job)),
-            Told::Recall(to, how) => _ = to.try_send(self.module.statistics(now, *how)),
+            CoreInput::Release(job, to) if !to.is_closed() => {
+                _ = to.try_send(self.release(now, *job))
+            }
+            CoreInput::ReadStatistics(to, scope) => {
+                _ = to.try_send(self.module.statistics(now, *scope))
+            }
             _ => {}
         }
-        self.table.told(now, told, transport);
+        self.table.handle_input(now, input, transport);
     }
 
     /// Gives away an open job, if the module has heard of all that has happened.
@@ -129,8 +133,8 @@
 
     /// When it must be stepped next, if nothing else is told before; perhaps in the past.
     pub fn due(&self) -> Option<Time> {
-        let timer = self.timers.first().map(|t| t.0.max(self.gate));
-        let batch = self.table.has_events().then_some(self.gate);
+        let timer = self.timers.first().map(|t| t.0.max(self.next_batch));
+        let batch = self.table.has_events().then_some(self.next_batch);
         [timer, batch, self.table.next_due()]
             .into_iter()
             .flatten()
@@ -141,8 +145,8 @@
     /// long enough ago.
     pub fn step(&mut self, now: Time, transport: &dyn Transport) {
         self.table.expire(now, transport);
-        if now >= self.gate && self.batch(now, transport) {
-            self.gate = now + self.gap;
+        if now >= self.next_batch && self.batch(now, transport) {
+            self.next_batch = now + self.batch_interval;
         }
     }
 
@@ -157,7 +161,7 @@
         for event in events.drain(..) {
             if self.module.handle(now, event, &mut self.actions).is_err() {
                 // The job table answers the jobs that the module leaves.
-                transport.note("the decision module panicked; its event was dropped");
+                transport.log_event("the decision module panicked; its event was dropped");
             }
             for action in self.actions.drain(..) {
                 if let Action::Timer { at, name } = action {
@@ -169,7 +173,7 @@
         }
         self.table.events_done(events);
         if any {
-            self.figures.workers.set(self.module.worker_counts(now));
+            self.metrics.workers.set(self.module.worker_counts(now));
         }
         any
     }
--- a/crates/indigofold/src/core/job_table.rs
+++ b/crates/indigofold/src/core/job_table.rs
@@ -1,7 +1,9 @@
 //! The job table: jobs and their attempts. Whatever the module or a front does, a job gets one answer, in time.
 
-use super::metrics::{End, Figures, add};
-use super::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
+use super::metrics::{End, Metrics, add};
+use super::{
+    Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Reply, Transport,
+};
 use crate::api::{Action, ClassId, Event, Scope, Status, Time, WorkerId};
 use crate::transferred_job;
 use rustc_hash::FxHashMap;
@@ -9,11 +11,11 @@
 use std::rc::Rc;
 
 /// After a job's last moment the module has this long to answer before the job table does.
-const GRACE: Time = 10_000;
+const GRACE_US: Time = 10_000;
 
-struct Held {
+struct AttemptRecord {
     machine: WorkerId,
-    out: bool,
+    in_flight: bool,
     given_up: bool, // its machine is being told
 }
 
@@ -21,7 +23,7 @@
     class: ClassId,
     answer: Option<Reply>, // until it is answered
     until: Time,
-    attempts: Vec<Held>,
+    attempts: Vec<AttemptRecord>,
 }
 
 /// All jobs that are open or have attempts out.
@@ -30,19 +32,19 @@
     jobs: FxHashMap<JobId, Job>,
     due: BTreeSet<(Time, JobId)>,
     events: Vec<Event>,
-    early: Time,
+    answer_margin: Time,
     /// Jobs forgotten since the module last took its events, and how many attempts they had: until it has heard that
     /// a job is closed, it may send it.
     closed: FxHashMap<JobId, u32>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
 }
 
 impl JobTable {
     /// An empty job table; jobs are answered this long before the client's time is up.
-    pub fn new(early: Time, figures: Rc<Figures>) -> Self {
+    pub fn new(answer_margin: Time, metrics: Rc<Metrics>) -> Self {
         JobTable {
-            early,
-            figures,
+            answer_margin,
+            metrics,
             ..JobTable::default()
         }
     }
@@ -54,10 +56,10 @@
 
     /// The module has dealt with the events that it took, and knows which jobs are closed. The list that held them is
     /// used again.
-    pub fn events_done(&mut self, mut held: Vec<Event>) {
+    pub fn events_done(&mut self, mut emptied: Vec<Event>) {
         self.closed.clear();
-        held.append(&mut self.events);
-        self.events = held;
+        emptied.append(&mut self.events);
+        self.events = emptied;
     }
 
     /// Are there events for the module?
@@ -76,11 +78,11 @@
     }
 
     /// Takes what a front tells.
-    pub fn told(&mut self, now: Time, told: Told, transport: &dyn Transport) {
-        match told {
-            Told::Job(mut request, until, answer) => {
+    pub fn handle_input(&mut self, now: Time, input: CoreInput, transport: &dyn Transport) {
+        match input {
+            CoreInput::Job(mut request, until, answer) => {
                 // Answered a little early: the answer has its way to go, as the request had.
-                let until = until.saturating_sub(self.early).max(now);
+                let until = until.saturating_sub(self.answer_margin).max(now);
                 request.left = until - now;
                 self.due.insert((until, request.id));
                 let (class, answer) = (request.class, Some(answer));
@@ -93,59 +95,59 @@
                         attempts: Vec::new(),
                     },
                 );
-                add(&self.figures.open, 1);
+                add(&self.metrics.open, 1);
                 self.events.push(Event::Request(request));
             }
-            Told::Gone(job) => {
+            CoreInput::ClientLeft(job) => {
                 let Some(open) = self.jobs.get_mut(&job) else {
                     return;
                 };
                 if open.answer.take().is_some() {
-                    add(&self.figures.gone, 1);
-                    self.figures.open.set(self.figures.open.get() - 1);
+                    add(&self.metrics.clients_left, 1);
+                    self.metrics.open.set(self.metrics.open.get() - 1);
                     self.events.push(Event::RequestClosed(job));
                 }
-                self.settle(job, transport);
+                self.forget_if_finished(job, transport);
             }
-            Told::Started(id) if self.is_out(id) => {
+            CoreInput::Started(id) if self.is_in_flight(id) => {
                 self.events.push(Event::Started {
                     request: id.job,
                     attempt: id.number,
                 });
             }
-            Told::Progress(id, done) if self.is_out(id) => {
+            CoreInput::Progress(id, done) if self.is_in_flight(id) => {
                 self.events.push(Event::Progress {
                     request: id.job,
                     attempt: id.number,
                     done,
                 });
             }
-            Told::Unheard(id) if self.is_out(id) => {
+            CoreInput::Unacknowledged(id) if self.is_in_flight(id) => {
                 self.events.push(Event::Unheard {
                     request: id.job,
                     attempt: id.number,
                 });
             }
-            Told::Started(_) | Told::Progress(..) | Told::Unheard(_) => {}
-            Told::Ended(id, status, load) => {
+            CoreInput::Started(_) | CoreInput::Progress(..) | CoreInput::Unacknowledged(_) => {}
+            CoreInput::Ended(id, status, load) => {
                 let Some(job) = self.jobs.get_mut(&id.job) else {
                     return;
                 };
-                let Some(held) = job.attempts.get_mut(id.number as usize) else {
+                let Some(record) = job.attempts.get_mut(id.number as usize) else {
                     return;
                 };
-                let (was_out, done) = (
-                    std::mem::replace(&mut held.out, false),
+                let (was_in_flight, done) = (
+                    std::mem::replace(&mut record.in_flight, false),
                     status == Status::Ok,
                 );
                 let answered = if done { job.answer.take() } else { None };
                 let closed = answered.is_some();
                 if let Some(answer) = answered {
-                    ended(&self.figures, job.class, End::Served);
-                    give(answer, id.job, Answer::Served, transport);
+                    count_answer(&self.metrics, job.class, End::Served);
+                    deliver(answer, id.job, Answer::Served, transport);
                 }
                 let (request, attempt) = (id.job, id.number);
-                if was_out {
+                if was_in_flight {
                     // The job may have been answered before: then its end is told with this outcome as well.
                     let closed = self.jobs.get(&request).is_some_and(|j| j.answer.is_none());
                     self.events.push(Event::Outcome {
@@ -159,19 +161,21 @@
                     // Given up or taken for lost, yet done: the answer is good, and the job needs no more.
                     self.events.push(Event::RequestClosed(request));
                 }
-                self.settle(request, transport);
+                self.forget_if_finished(request, transport);
             }
-            Told::List(scope, entries) => self.events.push(Event::List { scope, entries }),
-            Told::Settings(settings) => self.events.push(Event::Settings(settings)),
-            Told::Statistics(other) => self.events.push(Event::Statistics(other)),
-            Told::Adopted(id, job, until, reply) => {
+            CoreInput::Membership(scope, entries) => {
+                self.events.push(Event::List { scope, entries })
+            }
+            CoreInput::Settings(settings) => self.events.push(Event::Settings(settings)),
+            CoreInput::Statistics(other) => self.events.push(Event::Statistics(other)),
+            CoreInput::Adopted(id, job, until, reply) => {
                 self.due.insert((until, id));
-                let held = |t: &transferred_job::Attempt<WorkerId>| Held {
+                let record = |t: &transferred_job::Attempt<WorkerId>| AttemptRecord {
                     machine: t.worker,
-                    out: !t.done,
+                    in_flight: !t.done,
                     given_up: false,
                 };
-                let (class, attempts) = (job.class, job.attempts.iter().map(held).collect());
+                let (class, attempts) = (job.class, job.attempts.iter().map(record).collect());
                 self.jobs.insert(
                     id,
                     Job {
@@ -181,11 +185,11 @@
                         attempts,
                     },
                 );
-                add(&self.figures.open, 1);
+                add(&self.metrics.open, 1);
                 self.events.push(Event::Adopted(id, job));
             }
-            Told::Recall(..) | Told::Release(..) => {} // the engine's: the module must be asked
-            Told::Probed(worker, status, load) => self.events.push(Event::Probed {
+            CoreInput::ReadStatistics(..) | CoreInput::Release(..) => {} // the engine's: the module must be asked
+            CoreInput::Probed(worker, status, load) => self.events.push(Event::Probed {
                 worker,
                 status,
                 load,
@@ -198,8 +202,8 @@
         let reply = self.jobs.get_mut(&id)?.answer.take()?;
         let job = self.jobs.remove(&id)?;
         self.due.remove(&(job.until, id));
-        self.due.remove(&(job.until + GRACE, id));
-        self.figures.open.set(self.figures.open.get() - 1);
+        self.due.remove(&(job.until + GRACE_US, id));
+        self.metrics.open.set(self.metrics.open.get() - 1);
         Some((job.until, reply))
     }
 
@@ -218,13 +222,18 @@
             };
             if at == job.until {
                 let closed = job.answer.is_none();
-                for (n, held) in job.attempts.iter_mut().enumerate().filter(|(_, h)| h.out) {
-                    held.out = false;
+                for (n, record) in job
+                    .attempts
+                    .iter_mut()
+                    .enumerate()
+                    .filter(|(_, h)| h.in_flight)
+                {
+                    record.in_flight = false;
                     let attempt = AttemptId {
                         job: id,
                         number: n as u32,
                     };
-                    let unsent = transport.give_up(attempt, held.machine) == GivenUp::Unsent;
+                    let unsent = transport.give_up(attempt, record.machine) == GivenUp::Unsent;
                     let status = if unsent {
                         Status::Moot
                     } else {
@@ -239,14 +248,14 @@
                         load: None,
                     });
                 }
-                self.due.insert((at + GRACE, id));
+                self.due.insert((at + GRACE_US, id));
             } else if let Some(answer) = job.answer.take() {
-                transport.note("a job was left unanswered at its last moment and has failed");
-                ended(&self.figures, job.class, End::Failed);
-                give(answer, id, Answer::Failed, transport);
+                transport.log_event("a job was left unanswered at its last moment and has failed");
+                count_answer(&self.metrics, job.class, End::Failed);
+                deliver(answer, id, Answer::Failed, transport);
                 self.events.push(Event::RequestClosed(id));
             }
-            self.settle(id, transport);
+            self.forget_if_finished(id, transport);
         }
     }
 
@@ -279,19 +288,19 @@
                     number: job.attempts.len() as u32,
                 };
                 let open = job.answer.is_some();
-                let out = open
+                let in_flight = open
                     && transport.send(Attempt {
                         id,
                         machine: worker,
                         until: job.until,
                         by: by.min(job.until),
                     });
-                job.attempts.push(Held {
+                job.attempts.push(AttemptRecord {
                     machine: worker,
-                    out,
+                    in_flight,
                     given_up: false,
                 });
-                if !out {
+                if !in_flight {
                     let status = if open {
                         Status::ConnectFailed
                     } else {
@@ -312,10 +321,14 @@
                     return;
                 };
                 let closed = job.answer.is_none();
-                let Some(held) = job.attempts.get_mut(attempt as usize).filter(|h| h.out) else {
+                let Some(record) = job
+                    .attempts
+                    .get_mut(attempt as usize)
+                    .filter(|h| h.in_flight)
+                else {
                     return;
                 };
-                if std::mem::replace(&mut held.given_up, true) {
+                if std::mem::replace(&mut record.given_up, true) {
                     return;
                 }
                 let status = match transport.give_up(
@@ -323,13 +336,13 @@
                         job: request,
                         number: attempt,
                     },
-                    held.machine,
+                    record.machine,
                 ) {
                     GivenUp::Unsent => Status::Moot,
                     GivenUp::Done => Status::Cancelled,
-                    GivenUp::Asked => return,
+                    GivenUp::Pending => return,
                 };
-                held.out = false;
+                record.in_flight = false;
                 self.events.push(Event::Outcome {
                     request,
                     attempt,
@@ -337,7 +350,7 @@
                     closed,
                     load: None,
                 });
-                self.settle(request, transport);
+                self.forget_if_finished(request, transport);
             }
             Action::Refuse {
                 request,
@@ -356,7 +369,7 @@
             }
             Action::Disconnect { worker } => transport.hang_up(worker),
             Action::Watch(on) => {
-                if !transport.ask(Ask::Watch(on)) {
+                if !transport.request_membership(MembershipRequest::Watch(on)) {
                     self.events.push(Event::List {
                         scope: Scope::Failed,
                         entries: Vec::new(),
@@ -364,23 +377,23 @@
                 }
             }
             Action::Fetch => {
-                if !transport.ask(Ask::Whole) {
+                if !transport.request_membership(MembershipRequest::FetchAll) {
                     self.events.push(Event::List {
                         scope: Scope::Failed,
                         entries: Vec::new(),
                     });
                 }
             }
-            Action::Log(text) => transport.note(&text),
+            Action::Log(text) => transport.log_event(&text),
             Action::Timer { .. } | Action::UpdatePeers { .. } => {}
         }
     }
 
-    fn is_out(&self, id: AttemptId) -> bool {
+    fn is_in_flight(&self, id: AttemptId) -> bool {
         self.jobs
             .get(&id.job)
             .and_then(|j| j.attempts.get(id.number as usize))
-            .is_some_and(|h| h.out)
+            .is_some_and(|h| h.in_flight)
     }
 
     fn answer(&mut self, id: JobId, answer: Answer, transport: &dyn Transport) {
@@ -388,8 +401,8 @@
             return;
         };
         let Some(to) = job.answer.take() else { return };
-        ended(
-            &self.figures,
+        count_answer(
+            &self.metrics,
             job.class,
             if answer == Answer::Failed {
                 End::Failed
@@ -397,27 +410,28 @@
                 End::Refused
             },
         );
-        give(to, id, answer, transport);
-        self.settle(id, transport);
+        deliver(to, id, answer, transport);
+        self.forget_if_finished(id, transport);
     }
 
     /// Forgets a job that is answered and has no attempt out.
-    fn settle(&mut self, id: JobId, transport: &dyn Transport) {
-        let over = |job: &Job| job.answer.is_none() && job.attempts.iter().all(|h| !h.out);
-        if !self.jobs.get(&id).is_some_and(over) {
+    fn forget_if_finished(&mut self, id: JobId, transport: &dyn Transport) {
+        let finished =
+            |job: &Job| job.answer.is_none() && job.attempts.iter().all(|h| !h.in_flight);
+        if !self.jobs.get(&id).is_some_and(finished) {
             return;
         }
         if let Some(job) = self.jobs.remove(&id) {
             self.closed.insert(id, job.attempts.len() as u32);
             self.due.remove(&(job.until, id));
-            self.due.remove(&(job.until + GRACE, id));
+            self.due.remove(&(job.until + GRACE_US, id));
             transport.forget(id);
         }
     }
 }
 
 /// Hands out a job's one answer.
-fn give(to: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
+fn deliver(to: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
     match to {
         Reply::To(sender) => _ = sender.try_send(answer),
         Reply::Transport => transport.answer(job, answer),
@@ -425,7 +439,7 @@
 }
 
 /// Counts a job's one answer.
-fn ended(figures: &Figures, class: ClassId, end: End) {
-    figures.count(class, end);
-    figures.open.set(figures.open.get() - 1);
+fn count_answer(metrics: &Metrics, class: ClassId, end: End) {
+    metrics.count(class, end);
+    metrics.open.set(metrics.open.get() - 1);
 }
--- a/crates/indigofold/src/core/metrics.rs
+++ b/crates/indigofold/src/core/metrics.rs
@@ -17,21 +17,21 @@
 
 /// The figures of one front since the program's start.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     ends: RefCell<Vec<[u64; 3]>>,
     /// Jobs whose client left before there was an answer.
-    pub gone: Cell<u64>,
+    pub clients_left: Cell<u64>,
     /// Jobs taken and not ended.
     pub open: Cell<u64>,
     /// Attempts whose last byte went out.
-    pub tries: Cell<u64>,
+    pub attempts_sent: Cell<u64>,
     /// Workers of the membership list, and those of them that the module avoids.
     pub workers: Cell<WorkerCounts>,
     /// Configuration files taken, and turned down, at SIGHUP.
-    pub files: Cell<(u64, u64)>,
+    pub config_files: Cell<(u64, u64)>,
 }
 
-impl Figures {
+impl Metrics {
     /// A job of this class has ended.
     pub fn count(&self, class: ClassId, end: End) {
         let (mut ends, n) = (self.ends.borrow_mut(), class as usize);
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -10,7 +10,9 @@
 use crate::config::{self, Faktory as File};
 use crate::core::actor::Mailbox;
 use crate::core::clock::Clock;
-use crate::core::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
+use crate::core::{
+    Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Reply, Transport,
+};
 use crate::net::buffer::Buffer;
 use crate::net::{Net, log};
 use async_channel::{Sender, bounded};
@@ -109,7 +111,7 @@
     pub async fn open(&self) {
         let _ = self
             .core
-            .send(Told::List(Scope::Full, self.entries()))
+            .send(CoreInput::Membership(Scope::Full, self.entries()))
             .await;
     }
 
@@ -178,7 +180,7 @@
         let (answer, answered) = bounded(1);
         let _ = self
             .core
-            .send(Told::Job(request, until, Reply::To(answer)))
+            .send(CoreInput::Job(request, until, Reply::To(answer)))
             .await;
         let front = self.clone();
         self.net.start(async move {
@@ -246,7 +248,7 @@
             };
             job
         };
-        let _ = self.core.send(Told::Gone(gone)).await;
+        let _ = self.core.send(CoreInput::ClientLeft(gone)).await;
     }
 }
 
@@ -307,7 +309,7 @@
 
     fn hang_up(&self, _: WorkerId) {} // job workers connect; nothing idle is held to them
 
-    fn ask(&self, _: Ask) -> bool {
+    fn request_membership(&self, _: MembershipRequest) -> bool {
         true // the list changes unasked
     }
 
@@ -315,7 +317,7 @@
         self.parcels.borrow_mut().remove(&job);
     }
 
-    fn note(&self, text: &str) {
+    fn log_event(&self, text: &str) {
         log(format_args!("faktory desk {text}"));
     }
 }
--- a/crates/indigofold/src/front/faktory/machines.rs
+++ b/crates/indigofold/src/front/faktory/machines.rs
@@ -3,7 +3,7 @@
 
 use super::{Faktory, Parcel};
 use crate::api::{Entry, Scope, Status, Time, WorkerState};
-use crate::core::{Attempt, Told};
+use crate::core::{Attempt, CoreInput};
 use crate::net::log;
 use async_channel::{Receiver, RecvError, Sender};
 use async_io::Timer;
@@ -126,7 +126,10 @@
                 self.hand_out();
             }
             // Assigned before the module had heard that the machine drains or is gone.
-            Order::Send(attempt, _) => self.tell(Told::Ended(attempt.id, Status::Moot, None)).await,
+            Order::Send(attempt, _) => {
+                self.tell(CoreInput::Ended(attempt.id, Status::Moot, None))
+                    .await
+            }
             Order::Clear => self
                 .waiting
                 .retain(|(attempt, parcel)| self.front.wanted(attempt, parcel)),
@@ -157,7 +160,7 @@
                 self.hand_out();
             }
             Order::NoFetch(link) => self.fetches.retain(|f| f.link != link),
-            Order::Written(handed, true) => self.tell(Told::Started(handed.attempt.id)).await,
+            Order::Written(handed, true) => self.tell(CoreInput::Started(handed.attempt.id)).await,
             Order::Written(handed, false) => {
                 let of = |h: &Handed| h.attempt.id == handed.attempt.id;
                 if self.in_hand.get(&handed.parcel.jid).is_some_and(of) {
@@ -259,8 +262,11 @@
         if std::mem::replace(&mut self.entry.state, state) == state {
             return;
         }
-        self.tell(Told::List(Scope::Delta, vec![self.entry.clone()]))
-            .await;
+        self.tell(CoreInput::Membership(
+            Scope::Delta,
+            vec![self.entry.clone()],
+        ))
+        .await;
         if state != WorkerState::Active {
             // Nothing new goes to a machine that drains: what waits for it never ran.
             self.return_waiting().await;
@@ -269,7 +275,8 @@
 
     async fn return_waiting(&mut self) {
         for (attempt, _) in std::mem::take(&mut self.waiting) {
-            self.tell(Told::Ended(attempt.id, Status::Moot, None)).await;
+            self.tell(CoreInput::Ended(attempt.id, Status::Moot, None))
+                .await;
         }
     }
 
@@ -315,12 +322,12 @@
             .parcel
             .in_hand
             .set(handed.parcel.in_hand.get().saturating_sub(1));
-        self.tell(Told::Ended(handed.attempt.id, status, None))
+        self.tell(CoreInput::Ended(handed.attempt.id, status, None))
             .await;
         self.front.orphan_ended(&handed.parcel, status);
     }
 
-    async fn tell(&self, told: Told) {
+    async fn tell(&self, told: CoreInput) {
         let _ = self.front.core.send(told).await;
     }
 }
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -11,8 +11,10 @@
 use crate::config::{self, DiscoveryList, News, Site};
 use crate::core::actor::Mailbox;
 use crate::core::clock::Clock;
-use crate::core::metrics::Figures;
-use crate::core::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Told, Transport};
+use crate::core::metrics::Metrics;
+use crate::core::{
+    Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Transport,
+};
 use crate::net::buffer::Buffer;
 use crate::net::{Net, log};
 use async_channel::{Sender, TrySendError, WeakSender, bounded};
@@ -72,7 +74,7 @@
     /// The program's life.
     pub life: Rc<Life>,
     /// What is counted.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     parcels: RefCell<HashMap<JobId, Rc<Parcel>>>,
     traces: RefCell<HashMap<String, JobId>>,
     next_job: Cell<JobId>,
@@ -89,7 +91,7 @@
         net: Net,
         clock: Clock,
         life: Rc<Life>,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
         site: Site,
         core: Mailbox,
         list: Sender<membership::Word>,
@@ -101,7 +103,7 @@
             core,
             ready: Cell::new(false),
             life,
-            figures,
+            metrics,
             parcels: RefCell::default(),
             traces: RefCell::default(),
             next_job: Cell::new(1),
@@ -149,7 +151,7 @@
     /// A job read before stands before them in the core's mailbox, one read after stands behind.
     pub async fn follow(&self, new: Site) {
         let site = self.site.borrow().followed_by(new);
-        let mut told = Told::Settings(Box::new(site.settings.clone()));
+        let mut told = CoreInput::Settings(Box::new(site.settings.clone()));
         while let Err(TrySendError::Full(back)) = self.core.try_send(told) {
             told = back;
             yield_now().await;
@@ -247,7 +249,7 @@
 
     /// Takes a piece of news. What concerns no open attempt (a job answered long ago, an attempt of this
     /// scheduler's former life) has no effect.
-    fn hear(&self, news: &News) -> Option<Told> {
+    fn hear(&self, news: &News) -> Option<CoreInput> {
         let job = *self.traces.borrow().get(&news.id)?;
         let machine = *self.names.borrow().get(&news.from)?;
         let parcel = self.parcel(job)?;
@@ -262,8 +264,8 @@
         };
         let load = || news.load.as_ref().map(|l| self.site.borrow().load_value(l));
         Some(match news.state.as_str() {
-            "started" => Told::Started(attempt),
-            "running" => Told::Progress(attempt, news.share),
+            "started" => CoreInput::Started(attempt),
+            "running" => CoreInput::Progress(attempt, news.share),
             "done" => {
                 let result = match &news.result {
                     Some(value) => value
@@ -276,12 +278,12 @@
                     .result
                     .borrow_mut()
                     .get_or_insert(result.into_bytes());
-                Told::Ended(attempt, Status::Ok, load())
+                CoreInput::Ended(attempt, Status::Ok, load())
             }
-            "failed" => Told::Ended(attempt, Status::Error, load()),
-            "returned" if again => Told::Ended(attempt, Status::Error, load()),
-            "returned" => Told::Ended(attempt, Status::Full, load()),
-            "lost" => Told::Ended(attempt, Status::Reset, load()),
+            "failed" => CoreInput::Ended(attempt, Status::Error, load()),
+            "returned" if again => CoreInput::Ended(attempt, Status::Error, load()),
+            "returned" => CoreInput::Ended(attempt, Status::Full, load()),
+            "lost" => CoreInput::Ended(attempt, Status::Reset, load()),
             _ => return None,
         })
     }
@@ -339,7 +341,7 @@
         if unsent {
             GivenUp::Unsent
         } else {
-            GivenUp::Asked
+            GivenUp::Pending
         }
     }
 
@@ -351,8 +353,8 @@
         self.order(machine, Order::HangUp);
     }
 
-    fn ask(&self, what: Ask) -> bool {
-        self.list.try_send(membership::Word::Ask(what)).is_ok()
+    fn request_membership(&self, request: MembershipRequest) -> bool {
+        self.list.try_send(membership::Word::Ask(request)).is_ok()
     }
 
     fn forget(&self, job: JobId) {
@@ -364,7 +366,7 @@
         }
     }
 
-    fn note(&self, text: &str) {
+    fn log_event(&self, text: &str) {
         log(format_args!("desk {text}"));
     }
 }
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -6,7 +6,7 @@
 use crate::api::{ClassId, Effect, Request, Time};
 use crate::config::{self, News, Site};
 use crate::core::metrics::End;
-use crate::core::{Answer, JobId, Reply, Told};
+use crate::core::{Answer, CoreInput, JobId, Reply};
 use crate::net::buffer::Buffer;
 use crate::net::http::{self, Bad, Frame, Head, Kind, Progress};
 use crate::net::set::Rank;
@@ -252,7 +252,7 @@
             Wish::Bad(status, why) => answer(status, "", why.as_bytes(), keep).await,
             Wish::Job { request, .. } if link.extra() => {
                 // The last descriptors are for news, which ends jobs and so makes room.
-                front.figures.count(request.class, End::Refused);
+                front.metrics.count(request.class, End::Refused);
                 let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
                 answer(503, after, why, false)
                     .await
@@ -374,7 +374,7 @@
         // One that the settings had once is still counted.
         site.classes
             .find(name)
-            .inspect(|dropped| front.figures.count(*dropped, End::Failed));
+            .inspect(|dropped| front.metrics.count(*dropped, End::Failed));
         return Ok(Wish::Bad(404, "no such class of jobs\n"));
     };
     // What the job is about; a path without a further part does not say.
@@ -383,7 +383,7 @@
         .rsplit_once('/')
         .and_then(|(_, last)| config::subject(last));
     let job = job_of_class(front, &site, (class, subject), (head, body));
-    job.inspect_err(|_| front.figures.count(class, End::Failed))
+    job.inspect_err(|_| front.metrics.count(class, End::Failed))
 }
 
 /// The job of a class; or why it is none.
@@ -491,13 +491,13 @@
 ) -> Result<Message, Reason> {
     let (to, from) = bounded(1);
     let Some((id, parcel)) = front.take_in(trace, (text, body), to.downgrade()) else {
-        front.figures.count(request.class, End::Failed);
+        front.metrics.count(request.class, End::Failed);
         return Ok((409, String::new(), b"a job of this id is open\n".into()));
     };
     request.id = id;
     if front
         .core
-        .send(Told::Job(request, until, Reply::To(to)))
+        .send(CoreInput::Job(request, until, Reply::To(to)))
         .await
         .is_err()
     {
@@ -542,7 +542,7 @@
         }
         Err(reason) => {
             drop(from); // from now on no attempt of it begins to go out
-            let _ = front.core.send(Told::Gone(id)).await;
+            let _ = front.core.send(CoreInput::ClientLeft(id)).await;
             Err(reason)
         }
     }
--- a/crates/indigofold/src/front/platform/membership.rs
+++ b/crates/indigofold/src/front/platform/membership.rs
@@ -3,7 +3,7 @@
 use super::Platform;
 use crate::api::Scope;
 use crate::config::DiscoveryList;
-use crate::core::{Ask, Told};
+use crate::core::{CoreInput, MembershipRequest};
 use crate::net::http::{self, Kind, Progress};
 use crate::net::{Link, Reason, log, within};
 use async_channel::{Receiver, RecvError};
@@ -66,7 +66,7 @@
 /// What the actor is told.
 pub enum Word {
     /// Something is asked of the list.
-    Ask(Ask),
+    Ask(MembershipRequest),
     /// Discovery answers here from now on.
     Move(SocketAddr),
 }
@@ -77,7 +77,7 @@
 enum Next {
     Answer(Line, Result<DiscoveryList, Reason>),
     Moved(Line, Result<DiscoveryList, Reason>),
-    Told(Result<Word, RecvError>),
+    CoreInput(Result<Word, RecvError>),
 }
 
 /// A call that begins a watch, one with which a watch goes on, one after a watch has fallen silent, and one to a discovery
@@ -258,7 +258,7 @@
     /// Runs for as long as somebody may ask.
     pub async fn run(mut self, inbox: Receiver<Word>) {
         loop {
-            let told = async { Next::Told(inbox.recv().await) };
+            let told = async { Next::CoreInput(inbox.recv().await) };
             let answer = async {
                 let Some(call) = &mut self.call else {
                     return std::future::pending().await;
@@ -274,12 +274,12 @@
                 Next::Moved(line, answer)
             };
             let (line, answer) = match moved.or(told).or(answer).await {
-                Next::Told(Err(_)) => return,
-                Next::Told(Ok(Word::Move(to))) => {
+                Next::CoreInput(Err(_)) => return,
+                Next::CoreInput(Ok(Word::Move(to))) => {
                     self.move_to(to);
                     continue;
                 }
-                Next::Told(Ok(Word::Ask(asked))) => {
+                Next::CoreInput(Ok(Word::Ask(asked))) => {
                     self.ask(asked);
                     continue;
                 }
@@ -329,12 +329,12 @@
         }
     }
 
-    fn ask(&mut self, asked: Ask) {
-        if asked == Ask::Watch(false) {
+    fn ask(&mut self, asked: MembershipRequest) {
+        if asked == MembershipRequest::Watch(false) {
             (self.watching, self.call) = (false, None);
             return;
         }
-        self.watching |= asked == Ask::Watch(true);
+        self.watching |= asked == MembershipRequest::Watch(true);
         // A watch begins from the list held, and where there is none with the whole list. A new discovery's first answer
         // is the whole list as well.
         if self.moving.is_none() {
@@ -418,7 +418,11 @@
         };
         // A watch that waited in vain has nothing to tell.
         if scope != Scope::Delta || !entries.is_empty() {
-            let _ = self.front.core.send(Told::List(scope, entries)).await;
+            let _ = self
+                .front
+                .core
+                .send(CoreInput::Membership(scope, entries))
+                .await;
         }
         self.usable(scope != Scope::Failed);
         line
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -8,7 +8,7 @@
 use super::{Parcel, Platform};
 use crate::api::Time;
 use crate::config::News;
-use crate::core::{AttemptId, JobId, Reply, Told};
+use crate::core::{AttemptId, CoreInput, JobId, Reply};
 use crate::net::set::Way;
 use crate::net::{Link, log};
 use crate::transferred_job::TransferredJob;
@@ -113,7 +113,7 @@
                     .borrow_mut()
                     .insert(trace.clone(), Vec::new());
                 let (to, from) = bounded(1);
-                let _ = self.core.send(Told::Release(id, to)).await;
+                let _ = self.core.send(CoreInput::Release(id, to)).await;
                 if let Ok(Some(released)) = from.recv().await {
                     let job = self.transferred_job(released.job);
                     let (text, body) = (parcel.text.filled().to_vec(), parcel.body);
@@ -269,7 +269,7 @@
                 self.order(t.worker, Order::Taken(attempt));
             }
             self.life.last_job.set(self.clock.now());
-            let told = Told::Adopted(id, Box::new(job), moved.until, Reply::To(to));
+            let told = CoreInput::Adopted(id, Box::new(job), moved.until, Reply::To(to));
             let _ = self.core.send(told).await;
             waits = Some((id, parcel, from));
         }
--- a/crates/indigofold/src/front/platform/peer_process.rs
+++ b/crates/indigofold/src/front/platform/peer_process.rs
@@ -2,7 +2,7 @@
 
 use super::Platform;
 use crate::config::{Names, News};
-use crate::core::{Recall, Told};
+use crate::core::{CoreInput, StatisticsScope};
 use crate::net::log;
 use crate::statistics::Statistics;
 use async_channel::{Receiver, Sender, bounded};
@@ -77,7 +77,7 @@
             return;
         }
         let open = self.traces.borrow().contains_key(&news.id);
-        let told: Option<Told> = self.hear(&news);
+        let told: Option<CoreInput> = self.hear(&news);
         if let Some(told) = told {
             let _ = self.core.send(told).await;
         }
@@ -97,9 +97,9 @@
 
 impl Platform {
     /// Tells the other process what was learned here.
-    pub async fn tell_learned(&self, kin: &Kin, how: Recall) {
+    pub async fn tell_learned(&self, kin: &Kin, how: StatisticsScope) {
         let (to, from) = bounded(1);
-        let _ = self.core.send(Told::Recall(to, how)).await;
+        let _ = self.core.send(CoreInput::ReadStatistics(to, how)).await;
         let Ok(statistics) = from.recv().await else {
             return;
         };
@@ -129,7 +129,7 @@
                         "handover: takes over what was learned kinds={kinds} classes={classes} machines={machines}"
                     ));
                 }
-                let _ = self.core.send(Told::Statistics(Box::new(of))).await;
+                let _ = self.core.send(CoreInput::Statistics(Box::new(of))).await;
             }
         }
     }
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -3,7 +3,7 @@
 use super::{Parcel, Platform};
 use crate::api::{Load, Status, WorkerId};
 use crate::core::metrics::add;
-use crate::core::{Attempt, AttemptId, Told};
+use crate::core::{Attempt, AttemptId, CoreInput};
 use crate::net::buffer::Buffer;
 use crate::net::http::{Head, Kind};
 use crate::net::{Reason, within};
@@ -118,14 +118,18 @@
         let unheard = async {
             Timer::after(HEARD).await;
             if state.stage() < Stage::Taken {
-                let _ = self.front.core.send(Told::Unheard(attempt.id)).await;
+                let _ = self
+                    .front
+                    .core
+                    .send(CoreInput::Unacknowledged(attempt.id))
+                    .await;
             }
             std::future::pending().await
         };
         let sent = || {
             state.stage.set(Stage::Sent);
             state.went_out.set(true);
-            add(&self.front.figures.tries, 1);
+            add(&self.front.metrics.attempts_sent, 1);
         };
         let answer = RefCell::new(None);
         let said = |head: &Head<'_>| {
@@ -190,7 +194,7 @@
         let _ = self
             .front
             .core
-            .send(Told::Probed(self.worker, status, load))
+            .send(CoreInput::Probed(self.worker, status, load))
             .await;
     }
 
@@ -204,7 +208,7 @@
         let _ = self
             .front
             .core
-            .send(Told::Ended(attempt, Status::Cancelled, None))
+            .send(CoreInput::Ended(attempt, Status::Cancelled, None))
             .await;
     }
 
@@ -330,7 +334,7 @@
                     let _ = wires
                         .front
                         .core
-                        .send(Told::Ended(attempt.id, status, load))
+                        .send(CoreInput::Ended(attempt.id, status, load))
                         .await;
                 }
                 at.stage.set(Stage::Ended);
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -4,7 +4,7 @@
 //! A word on the link is a byte that names it, the length of what follows (four bytes, the least first), and that.
 
 use crate::config::{self, News};
-use crate::core::Recall;
+use crate::core::StatisticsScope;
 use crate::front::platform::Platform;
 use crate::front::platform::peer_process::{Kin, Word};
 use crate::net::{Reason, log, within};
@@ -313,7 +313,7 @@
         let (kin, words) = self.front.join();
         let learns = says == LEARNS;
         if learns {
-            self.front.tell_learned(&kin, Recall::All).await;
+            self.front.tell_learned(&kin, StatisticsScope::All).await;
         }
         self.link(&link, &kin, words, learns).await;
         self.front.part(&kin);
@@ -365,7 +365,9 @@
             loop {
                 Timer::after(HELD).await;
                 if learns.get() {
-                    self.front.tell_learned(kin, Recall::Held).await;
+                    self.front
+                        .tell_learned(kin, StatisticsScope::InFlight)
+                        .await;
                 }
             }
         };
@@ -400,7 +402,9 @@
                     b'S' => {
                         self.hand_on();
                         if learns.get() {
-                            self.front.tell_learned(kin, Recall::AllButHeld).await;
+                            self.front
+                                .tell_learned(kin, StatisticsScope::ExceptInFlight)
+                                .await;
                             self.front.move_to(kin);
                         }
                     }
--- a/crates/indigofold/src/main.rs
+++ b/crates/indigofold/src/main.rs
@@ -11,8 +11,8 @@
 use indigofold::config;
 use indigofold::core::actor::{self, Actor};
 use indigofold::core::clock::Clock;
-use indigofold::core::metrics::Figures;
-use indigofold::core::{Settings, Told};
+use indigofold::core::metrics::Metrics;
+use indigofold::core::{CoreInput, Settings};
 use indigofold::front::Life;
 use indigofold::front::faktory::{Faktory, serve};
 use indigofold::front::platform::membership::{Known, Machines};
@@ -31,7 +31,7 @@
 
 /// A job is answered this long before its client's time is up: the answer has its way to go, and the time
 /// runs from when the client began to send.
-const EARLY: u64 = 40_000;
+const ANSWER_MARGIN_US: u64 = 40_000;
 /// After a signal to stop, new connections come for so long at most, and clients use the connections that they have
 /// for as long as these stay open: perhaps nobody else is there to serve them.
 const COMING: Duration = Duration::from_millis(500);
@@ -301,10 +301,10 @@
                 new,
             ))
         });
-        let (applied, rejected) = front.figures.files.get();
+        let (applied, rejected) = front.metrics.config_files.get();
         match new {
             Err(why) => {
-                front.figures.files.set((applied, rejected + 1));
+                front.metrics.config_files.set((applied, rejected + 1));
                 log(format_args!("reload failed, all stays as it was: {why}"));
             }
             Ok((to, new)) => {
@@ -320,7 +320,7 @@
                     front.move_discovery(to).await;
                     log(format_args!("reload: discovery is at {to} from now on"));
                 }
-                front.figures.files.set((applied + 1, rejected));
+                front.metrics.config_files.set((applied + 1, rejected));
                 used = new;
             }
         }
@@ -346,25 +346,26 @@
     let settings = Settings {
         module: config.site.settings.clone(),
         seed: config.seed,
-        early: EARLY,
+        answer_margin: ANSWER_MARGIN_US,
     };
-    let figures = Rc::new(Figures::default());
+    let metrics = Rc::new(Metrics::default());
     let front = Platform::new(
         net.clone(),
         clock,
         life.clone(),
-        figures.clone(),
+        metrics.clone(),
         config.site,
         core.clone(),
         list,
     );
-    net.start(Actor::new(settings, front.clone(), clock, inbox, figures).run());
+    net.start(Actor::new(settings, front.clone(), clock, inbox, metrics).run());
     let known = Known {
         seq: (!config.known.hosts.is_empty()).then_some(config.known.seq),
         replaces,
     };
     let listed = front.learn(config.known);
-    core.send(Told::List(Scope::Cached, listed)).await?;
+    core.send(CoreInput::Membership(Scope::Cached, listed))
+        .await?;
     net.start(Machines::new(front.clone(), discovery, known, config.seed).run(asked));
     match config.management.as_str() {
         "" => {}
@@ -401,7 +402,7 @@
         "door listen={}",
         listener.get_ref().local_addr()?
     ));
-    let (net, life, figures) = (front.net.clone(), front.life.clone(), front.figures.clone());
+    let (net, life, metrics) = (front.net.clone(), front.life.clone(), front.metrics.clone());
     let (serving, named) = (front.clone(), front.clone());
     let serves = Box::new(move || {
         serving.ready.get() && serving.life.accepting.get() && !serving.life.drained.get()
@@ -418,7 +419,7 @@
     let admin = AdminEndpoint {
         net,
         life,
-        figures,
+        metrics,
         serves,
         classes,
         draining: RefCell::default(),
@@ -439,7 +440,7 @@
     let settings = Settings {
         module: file.site.settings.clone(),
         seed: clock.now(),
-        early: EARLY,
+        answer_margin: ANSWER_MARGIN_US,
     };
     let address = listener.get_ref().local_addr()?;
     let front = Faktory::new(net.clone(), clock, life.clone(), file, core);
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -5,7 +5,7 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use indigofold::api::{Scope, WorkerState};
-use indigofold::core::{Told, actor, clock::Clock};
+use indigofold::core::{CoreInput, actor, clock::Clock};
 use indigofold::front::{Life, faktory};
 use indigofold::{config, net::Net};
 use rstest::rstest;
@@ -369,7 +369,9 @@
         net.start(faktory::serve::listen(front, Rc::new(listener)));
         let next = || async {
             match heard.recv().await.expect("news") {
-                Told::List(scope, entries) => (scope, entries[0].state, entries[0].ready_at),
+                CoreInput::Membership(scope, entries) => {
+                    (scope, entries[0].state, entries[0].ready_at)
+                }
                 other => panic!("{other:?}"),
             }
         };
--- a/crates/indigofold/tests/handing.rs
+++ b/crates/indigofold/tests/handing.rs
@@ -4,7 +4,8 @@
 use indigofold::api::*;
 use indigofold::core::engine::Engine;
 use indigofold::core::{
-    Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Recall, Reply, Settings, Told, Transport,
+    Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Reply, Settings,
+    StatisticsScope, Transport,
 };
 use proptest::prelude::*;
 use rand_core::{Rng, SeedableRng};
@@ -145,7 +146,7 @@
         false
     }
     fn hang_up(&self, _: WorkerId) {}
-    fn ask(&self, _: Ask) -> bool {
+    fn request_membership(&self, _: MembershipRequest) -> bool {
         true
     }
     fn answer(&self, job: JobId, answer: Answer) {
@@ -159,7 +160,7 @@
             .push((now, answer));
     }
     fn forget(&self, _: JobId) {}
-    fn note(&self, _: &str) {}
+    fn log_event(&self, _: &str) {}
 }
 
 fn engine(settings: &indigofold::api::Settings, now: Time, seed: u64) -> Engine {
@@ -167,14 +168,14 @@
         Settings {
             module: settings.clone(),
             seed,
-            early: 40 * MS,
+            answer_margin: 40 * MS,
         },
         now,
         Rc::default(),
     )
 }
 
-fn list(now: Time) -> Told {
+fn list(now: Time) -> CoreInput {
     let entries = (0..WORKERS).map(|n| Entry {
         zone: n % 2,
         cell: n % 4,
@@ -182,7 +183,7 @@
         ready_at: if n % 5 == 0 { now - SEC } else { 0 },
         ..indigofold_decisions_testing::entry(n, n % 3)
     });
-    Told::List(Scope::Full, entries.collect())
+    CoreInput::Membership(Scope::Full, entries.collect())
 }
 
 /// Plays one scheduler for some seconds, replaced so many times; returns its world and how many jobs went over.
@@ -201,7 +202,7 @@
     let (begin, end, last) = (100 * SEC, 106 * SEC, 113 * SEC);
     let mut now = begin;
     let mut engine_now = engine(&settings, now, seed);
-    engine_now.told(now, list(now), &ground);
+    engine_now.handle_input(now, list(now), &ground);
     let (mut next_job, mut arrival, mut trace, mut moved) = (1u64, begin, 0u64, 0u32);
     let mut replaced = 0;
     while now < last {
@@ -221,9 +222,9 @@
             trace += 1;
             ground.world.borrow_mut().jobs.insert(trace, seen);
             ground.world.borrow_mut().of.insert(next_job, trace);
-            engine_now.told(
+            engine_now.handle_input(
                 now,
-                Told::Job(request, now + left, Reply::Transport),
+                CoreInput::Job(request, now + left, Reply::Transport),
                 &ground,
             );
             (next_job, arrival) = (next_job + 1, arrival + (1 + ground.random(60)) * MS);
@@ -237,9 +238,9 @@
         };
         for (trace, attempt) in starts {
             let job = ground.world.borrow().jobs[&trace].id;
-            engine_now.told(
+            engine_now.handle_input(
                 now,
-                Told::Started(AttemptId {
+                CoreInput::Started(AttemptId {
                     job,
                     number: attempt,
                 }),
@@ -260,9 +261,9 @@
                 job.out.retain(|w| *w != worker);
                 job.id
             };
-            engine_now.told(
+            engine_now.handle_input(
                 now,
-                Told::Ended(
+                CoreInput::Ended(
                     AttemptId {
                         job,
                         number: attempt,
@@ -280,12 +281,16 @@
         {
             replaced += 1;
             let mut new = engine(&settings, now, seed ^ replaced);
-            new.told(now, list(now), &ground);
+            new.handle_input(now, list(now), &ground);
             let (to, from) = async_channel::bounded(1);
-            engine_now.told(now, Told::Recall(to, Recall::AllButHeld), &ground);
-            new.told(
+            engine_now.handle_input(
                 now,
-                Told::Statistics(Box::new(from.try_recv().expect("at once"))),
+                CoreInput::ReadStatistics(to, StatisticsScope::ExceptInFlight),
+                &ground,
+            );
+            new.handle_input(
+                now,
+                CoreInput::Statistics(Box::new(from.try_recv().expect("at once"))),
                 &ground,
             );
             let open: Vec<(u64, JobId)> = {
@@ -305,7 +310,7 @@
                 engine_now.step(now, &ground);
                 stay.retain(|(trace, id)| {
                     let (to, from) = async_channel::bounded(1);
-                    engine_now.told(now, Told::Release(*id, to), &ground);
+                    engine_now.handle_input(now, CoreInput::Release(*id, to), &ground);
                     let Some(released) = from.try_recv().expect("at once") else {
                         return true;
                     };
@@ -316,9 +321,9 @@
                         world.of.insert(next_job, *trace);
                     }
                     let job = Box::new(released.job);
-                    new.told(
+                    new.handle_input(
                         now,
-                        Told::Adopted(next_job, job, released.until, Reply::Transport),
+                        CoreInput::Adopted(next_job, job, released.until, Reply::Transport),
                         &ground,
                     );
                     (next_job, moved) = (next_job + 1, moved + 1);
@@ -409,9 +414,9 @@
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(1)),
     };
     let mut engine = engine(&indigofold_decisions_testing::settings(), SEC, 1);
-    engine.told(
+    engine.handle_input(
         SEC,
-        Told::Job(
+        CoreInput::Job(
             indigofold_decisions_testing::request(1, 0),
             6 * SEC,
             Reply::Transport,
@@ -421,12 +426,12 @@
     engine.step(SEC, &ground);
     let ask = |engine: &mut Engine| {
         let (to, from) = async_channel::bounded(1);
-        engine.told(SEC, Told::Release(1, to), &ground);
+        engine.handle_input(SEC, CoreInput::Release(1, to), &ground);
         from.try_recv().expect("at once").is_some()
     };
     let (to, from) = async_channel::bounded(1);
     drop(from);
-    engine.told(SEC, Told::Release(1, to), &ground);
+    engine.handle_input(SEC, CoreInput::Release(1, to), &ground);
     assert_eq!(engine.jobs(), 1, "it is still here");
     assert!(ask(&mut engine));
     assert_eq!(engine.jobs(), 0);
--- a/crates/indigofold/tests/job_table.rs
+++ b/crates/indigofold/tests/job_table.rs
@@ -4,7 +4,9 @@
 use indigofold::api::Request;
 use indigofold::api::{Action, Status, Time, WorkerId};
 use indigofold::core::job_table::JobTable;
-use indigofold::core::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
+use indigofold::core::{
+    Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Reply, Transport,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -25,7 +27,7 @@
             .borrow_mut()
             .push(format!("give up {}", attempt.number));
         if attempt.number == 3 {
-            GivenUp::Asked
+            GivenUp::Pending
         } else {
             GivenUp::Done
         }
@@ -34,13 +36,13 @@
         false
     }
     fn hang_up(&self, _: WorkerId) {}
-    fn ask(&self, _: Ask) -> bool {
+    fn request_membership(&self, _: MembershipRequest) -> bool {
         false
     }
     fn forget(&self, job: JobId) {
         self.0.borrow_mut().push(format!("forget {job}"));
     }
-    fn note(&self, _: &str) {}
+    fn log_event(&self, _: &str) {}
 }
 
 fn job(table: &mut JobTable, transport: &Noted) -> Receiver<Answer> {
@@ -57,7 +59,11 @@
         memory,
         subject,
     };
-    table.told(0, Told::Job(request, 1_000_000, Reply::To(to)), transport);
+    table.handle_input(
+        0,
+        CoreInput::Job(request, 1_000_000, Reply::To(to)),
+        transport,
+    );
     from
 }
 
@@ -73,8 +79,8 @@
     );
 }
 
-fn ended(attempt: u32, status: Status) -> Told {
-    Told::Ended(
+fn ended(attempt: u32, status: Status) -> CoreInput {
+    CoreInput::Ended(
         AttemptId {
             job: 1,
             number: attempt,
@@ -112,16 +118,16 @@
     let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 5);
-    table.told(10, ended(0, Status::Reset), &transport);
+    table.handle_input(10, ended(0, Status::Reset), &transport);
     attempt(&mut table, &transport, 6);
-    table.told(20, ended(0, Status::Ok), &transport);
+    table.handle_input(20, ended(0, Status::Ok), &transport);
     assert_eq!(answer.try_recv(), Ok(Answer::Served));
     let events = format!("{:?}", table.take_events());
     assert!(
         events.ends_with("RequestClosed(1)]"),
         "the module learns that it is closed: {events}"
     );
-    table.told(30, ended(1, Status::Ok), &transport);
+    table.handle_input(30, ended(1, Status::Ok), &transport);
     table.act(Action::Fail { request: 1 }, &transport);
     assert!(answer.try_recv().is_err());
     assert_eq!(
@@ -136,7 +142,7 @@
 fn an_attempt_for_a_job_that_has_just_closed_ends_at_once() {
     let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
     let _left = job(&mut table, &transport);
-    table.told(5, Told::Gone(1), &transport);
+    table.handle_input(5, CoreInput::ClientLeft(1), &transport);
     assert_eq!(table.take_events().len(), 2);
     attempt(&mut table, &transport, 5);
     assert!(
@@ -146,7 +152,7 @@
 
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 5);
-    table.told(10, ended(0, Status::Ok), &transport);
+    table.handle_input(10, ended(0, Status::Ok), &transport);
     assert_eq!(answer.try_recv(), Ok(Answer::Served));
     table.take_events();
     attempt(&mut table, &transport, 6);
@@ -178,7 +184,7 @@
     assert_eq!(answer.try_recv(), Ok(Answer::Rejected(7)));
     attempt(&mut table, &transport, 6);
     assert!(format!("{:?}", table.take_events()).contains("Moot, closed: true"));
-    table.told(40, ended(1, Status::Error), &transport);
+    table.handle_input(40, ended(1, Status::Error), &transport);
     assert_eq!(
         transport.0.take(),
         ["attempt 0 at 9", "attempt 1 at 5", "forget 1"]
@@ -211,11 +217,11 @@
             Some("give up 3")
         );
         if done {
-            table.told(10, ended(3, Status::Ok), &transport);
+            table.handle_input(10, ended(3, Status::Ok), &transport);
             assert_eq!(answer.try_recv(), Ok(Answer::Served));
             table.take_events();
         }
-        table.told(20, ended(3, Status::Cancelled), &transport);
+        table.handle_input(20, ended(3, Status::Cancelled), &transport);
         let events = format!("{:?}", table.take_events());
         assert_eq!(
             events.contains("attempt: 3, status: Cancelled, closed: false"),
--- a/crates/replay/src/plain.rs
+++ b/crates/replay/src/plain.rs
@@ -10,7 +10,7 @@
 use crate::scenario::Micros;
 use indigofold::affinity;
 use indigofold::api::{Effect, Entry, Request, Scope, Settings, Status, WorkerId, WorkerState};
-use indigofold::core::{Answer, Attempt, AttemptId, JobId, Told, Transport};
+use indigofold::core::{Answer, Attempt, AttemptId, CoreInput, JobId, Transport};
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -128,9 +128,9 @@
     }
 
     /// Takes what it is told, and acts on it at once.
-    pub fn told(&mut self, now: Micros, told: Told, transport: &dyn Transport) {
+    pub fn told(&mut self, now: Micros, told: CoreInput, transport: &dyn Transport) {
         match told {
-            Told::Job(request, until, _) => {
+            CoreInput::Job(request, until, _) => {
                 let (id, until) = (request.id, until.saturating_sub(self.early).max(now));
                 let job = Job {
                     request,
@@ -143,10 +143,10 @@
                 self.due.insert((until, id));
                 self.place(now, id, transport);
             }
-            Told::Gone(id) => self.close(id, transport),
-            Told::Ended(attempt, status, _) => self.ended(now, attempt, status, transport),
-            Told::List(Scope::Failed, _) => {}
-            Told::List(scope, entries) => {
+            CoreInput::ClientLeft(id) => self.close(id, transport),
+            CoreInput::Ended(attempt, status, _) => self.ended(now, attempt, status, transport),
+            CoreInput::Membership(Scope::Failed, _) => {}
+            CoreInput::Membership(scope, entries) => {
                 if scope != Scope::Delta {
                     self.list.clear();
                 }
--- a/crates/replay/src/plain/tests.rs
+++ b/crates/replay/src/plain/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use indigofold::core::{Ask, GivenUp, Reply};
+use indigofold::core::{GivenUp, MembershipRequest, Reply};
 use std::cell::RefCell;
 
 #[derive(Default)]
@@ -23,14 +23,14 @@
         false
     }
     fn hang_up(&self, _: WorkerId) {}
-    fn ask(&self, _: Ask) -> bool {
+    fn request_membership(&self, _: MembershipRequest) -> bool {
         false
     }
     fn answer(&self, job: JobId, answer: Answer) {
         self.0.borrow_mut().push(format!("{job}: {answer:?}"));
     }
     fn forget(&self, _: JobId) {}
-    fn note(&self, _: &str) {}
+    fn log_event(&self, _: &str) {}
 }
 
 fn plain(policy: Policy, effect: Effect, workers: u32) -> (Plain, Noted) {
@@ -51,7 +51,7 @@
     };
     p.told(
         0,
-        Told::List(Scope::Full, (1..=workers).map(active).collect()),
+        CoreInput::Membership(Scope::Full, (1..=workers).map(active).collect()),
         &transport,
     );
     (p, transport)
@@ -70,13 +70,17 @@
         memory,
         subject,
     };
-    p.told(0, Told::Job(request, 1_000, Reply::Transport), transport);
+    p.told(
+        0,
+        CoreInput::Job(request, 1_000, Reply::Transport),
+        transport,
+    );
 }
 
 fn end(p: &mut Plain, transport: &Noted, job: JobId, attempt: u32, status: Status) {
     p.told(
         10,
-        Told::Ended(
+        CoreInput::Ended(
             AttemptId {
                 job,
                 number: attempt,
--- a/crates/replay/src/virt.rs
+++ b/crates/replay/src/virt.rs
@@ -12,9 +12,10 @@
 use indigofold::api::{Entry, Load, Request, Scope, Status, WorkerId, WorkerState};
 use indigofold::config::subject;
 use indigofold::core::engine::Engine;
-use indigofold::core::metrics::Figures;
+use indigofold::core::metrics::Metrics;
 use indigofold::core::{
-    Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Settings, Told, Transport,
+    Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Reply, Settings,
+    Transport,
 };
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
@@ -180,12 +181,12 @@
                     let settings = Settings {
                         module: site.settings,
                         seed,
-                        early: EARLY,
+                        answer_margin: EARLY,
                     };
                     Mind::Engine(Box::new(Engine::new(
                         settings,
                         from,
-                        Rc::new(Figures::default()),
+                        Rc::new(Metrics::default()),
                     )))
                 }
                 plain => Mind::Plain(Box::new(Plain::new(plain, site.settings, seed, EARLY))),
@@ -238,7 +239,7 @@
         }
         for s in 0..scenario.schedulers {
             let entries = (0..scenario.workers()).map(|w| ground.entry(w)).collect();
-            ground.tell(s, Told::List(Scope::Cached, entries));
+            ground.tell(s, CoreInput::Membership(Scope::Cached, entries));
             ground.at(from + WATCH, Ev::Watch(s));
         }
         Ok(ground)
--- a/crates/replay/src/virt/events.rs
+++ b/crates/replay/src/virt/events.rs
@@ -81,7 +81,7 @@
                     at: now,
                     until,
                 });
-                self.tell(s, Told::Job(request, until, Reply::Transport));
+                self.tell(s, CoreInput::Job(request, until, Reply::Transport));
             }
             Ev::Wake(s) => {
                 let scheduler = &mut self.schedulers[s as usize];
@@ -116,7 +116,7 @@
                             number: out.number,
                         },
                     );
-                    self.tell(s, Told::Unheard(id));
+                    self.tell(s, CoreInput::Unacknowledged(id));
                 }
             }
             Ev::GiveUp(ticket) => {
@@ -144,11 +144,11 @@
                     },
                 );
                 match news & 0xff {
-                    STARTED => self.tell(s, Told::Started(id)),
+                    STARTED => self.tell(s, CoreInput::Started(id)),
                     DONE => self.ended(ticket, Status::Ok, true),
                     RETURNED => self.ended(ticket, Status::Full, true),
                     LOST => self.ended(ticket, Status::Reset, true),
-                    _ => self.tell(s, Told::Progress(id, f64::from(news >> 8) / 1000.0)),
+                    _ => self.tell(s, CoreInput::Progress(id, f64::from(news >> 8) / 1000.0)),
                 }
             }
             Ev::Answer(job, status, after) => self.answer_comes(job, status, after, log),
@@ -161,7 +161,7 @@
                     self.time_up(n, log);
                 }
             }
-            Ev::Gone(s, job) => self.tell(s, Told::Gone(job)),
+            Ev::Gone(s, job) => self.tell(s, CoreInput::ClientLeft(job)),
             Ev::ProbeAt(s, w) => {
                 let worker = &self.workers[w as usize];
                 let dead = !worker.up() || worker.still(now);
@@ -181,7 +181,7 @@
                     ..Load::default()
                 };
                 let status = if good { Status::Ok } else { Status::Timeout };
-                self.tell(s, Told::Probed(id(w), status, good.then_some(load)));
+                self.tell(s, CoreInput::Probed(id(w), status, good.then_some(load)));
             }
             Ev::Lists(s) => {
                 let entries: Vec<Entry> = (0..self.workers.len() as u32)
@@ -190,11 +190,11 @@
                 for w in 0..self.workers.len() as u32 {
                     self.told_of(s, w);
                 }
-                self.tell(s, Told::List(Scope::Full, entries));
+                self.tell(s, CoreInput::Membership(Scope::Full, entries));
             }
             Ev::Watch(s) => {
                 if self.schedulers[s as usize].watching {
-                    self.tell(s, Told::List(Scope::Delta, Vec::new()));
+                    self.tell(s, CoreInput::Membership(Scope::Delta, Vec::new()));
                 }
                 self.at(now + WATCH, Ev::Watch(s));
             }
@@ -209,7 +209,7 @@
                     if self.schedulers[s as usize].watching {
                         self.told_of(s, w);
                         let entry = self.entry(w);
-                        self.tell(s, Told::List(Scope::Delta, vec![entry]));
+                        self.tell(s, CoreInput::Membership(Scope::Delta, vec![entry]));
                     }
                 }
             }
--- a/crates/replay/src/virt/schedulers.rs
+++ b/crates/replay/src/virt/schedulers.rs
@@ -7,7 +7,7 @@
     Send(Attempt),
     GiveUp(AttemptId),
     Probe(WorkerId),
-    Ask(Ask),
+    Ask(MembershipRequest),
     Answer(JobId, Answer),
     Note(String),
 }
@@ -29,7 +29,7 @@
         true
     }
     fn hang_up(&self, _: WorkerId) {}
-    fn ask(&self, what: Ask) -> bool {
+    fn request_membership(&self, what: MembershipRequest) -> bool {
         self.0.borrow_mut().push(Act::Ask(what));
         true
     }
@@ -37,7 +37,7 @@
         self.0.borrow_mut().push(Act::Answer(job, answer));
     }
     fn forget(&self, _: JobId) {}
-    fn note(&self, text: &str) {
+    fn log_event(&self, text: &str) {
         self.0.borrow_mut().push(Act::Note(text.to_string()));
     }
 }
@@ -49,9 +49,9 @@
 }
 
 impl Mind {
-    pub(super) fn told(&mut self, now: Micros, told: Told, transport: &Wants) {
+    pub(super) fn told(&mut self, now: Micros, told: CoreInput, transport: &Wants) {
         match self {
-            Mind::Engine(engine) => engine.told(now, told, transport),
+            Mind::Engine(engine) => engine.handle_input(now, told, transport),
             Mind::Plain(plain) => plain.told(now, told, transport),
         }
     }
@@ -90,10 +90,10 @@
     }
 
     /// Where a job would end first, for who knows all.
-    pub(super) fn best_for(&self, told: &Told) -> Option<WorkerId> {
+    pub(super) fn best_for(&self, told: &CoreInput) -> Option<WorkerId> {
         let job = match told {
-            Told::Job(request, ..) => request.id,
-            Told::Ended(attempt, ..) => attempt.job,
+            CoreInput::Job(request, ..) => request.id,
+            CoreInput::Ended(attempt, ..) => attempt.job,
             _ => return None,
         };
         let asks = self.asks(job)?;
@@ -128,7 +128,7 @@
         })
     }
 
-    pub(super) fn tell(&mut self, s: u32, told: Told) {
+    pub(super) fn tell(&mut self, s: u32, told: CoreInput) {
         let best = if self.knows_all {
             self.best_for(&told)
         } else {
@@ -162,13 +162,13 @@
                     let way = self.way(s, w);
                     self.at(self.now + way, Ev::ProbeAt(s, w));
                 }
-                Act::Ask(Ask::Watch(on)) => {
+                Act::Ask(MembershipRequest::Watch(on)) => {
                     self.schedulers[s as usize].watching = on;
                     if on {
                         self.call_discovery(s);
                     }
                 }
-                Act::Ask(Ask::Whole) => self.call_discovery(s),
+                Act::Ask(MembershipRequest::FetchAll) => self.call_discovery(s),
                 Act::Answer(job, answer) => self.answered(job, answer),
                 Act::Note(text) => {
                     let plain: String = text.chars().filter(|c| !c.is_ascii_digit()).collect();
@@ -290,6 +290,6 @@
             self.outs.remove(&ticket);
         }
         self.checker.see(Seen::Over { job: id.job });
-        self.tell(s, Told::Ended(id, status, None));
+        self.tell(s, CoreInput::Ended(id, status, None));
     }
 }
