--- a/crates/indigofold/src/admin.rs
+++ b/crates/indigofold/src/admin.rs
@@ -77,7 +77,7 @@
         let (turn_away, turned_away) = async_channel::bounded(1);
         waiting.borrow_mut().push_back(turn_away.clone());
         let (admin, waiting, open) = (admin.clone(), waiting.clone(), open.clone());
-        admin.net.clone().start(async move {
+        admin.net.clone().spawn(async move {
             let away = async {
                 let _ = turned_away.recv().await;
                 Err(AWAY)
@@ -192,11 +192,11 @@
             return;
         }
         let (set, since) = (self.net.set.clone(), Instant::now());
-        let closing = self.net.held(async move {
+        let closing = self.net.spawn_scoped(async move {
             loop {
                 match since.elapsed() {
-                    all if all > ALL => set.shed_clients(Duration::ZERO),
-                    some if some > STILL_COME => set.shed_clients(IDLE),
+                    all if all > ALL => set.evict_idle_clients(Duration::ZERO),
+                    some if some > STILL_COME => set.evict_idle_clients(IDLE),
                     _ => {}
                 }
                 Timer::after(LOOK).await;
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -102,7 +102,7 @@
             }
             front
                 .net
-                .start(Machine::new(front.clone(), entry).run(inbox));
+                .spawn(Machine::new(front.clone(), entry).run(inbox));
         }
         front
     }
@@ -183,7 +183,7 @@
             .send(CoreInput::Job(request, until, Reply::To(answer)))
             .await;
         let front = self.clone();
-        self.net.start(async move {
+        self.net.spawn(async move {
             if let Ok(answer) = answered.recv().await {
                 return front.finish(&jid, answer);
             }
--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -7,7 +7,7 @@
 use crate::core::Answer;
 use crate::net::buffer::Buffer;
 use crate::net::set::Rank;
-use crate::net::{Link, Reason, STALLED, WHOLE, within};
+use crate::net::{Link, MESSAGE_TIMEOUT, Reason, WRITE_TIMEOUT, within};
 use async_channel::{Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
@@ -77,17 +77,21 @@
         self.reply(&codec::greeting(asked)).await?;
         let (net, accepted) = (self.front.net.clone(), Instant::now());
         let first = async {
-            net.unless_shed_first(accepted, Rank::Silent, async {
+            net.first_unless_evicted(accepted, Rank::NothingSent, async {
                 self.link.readable().await.map_err(|_| Reason::Broke)
             })
             .await?;
             let mut buffer = net.buffer().await?;
             let read = net
-                .unless_shed_first(accepted, Rank::Part, line(&self.link, &mut buffer))
+                .first_unless_evicted(
+                    accepted,
+                    Rank::PartialMessage,
+                    line(&self.link, &mut buffer),
+                )
                 .await;
             Ok((read, buffer))
         };
-        let (first, mut buffer) = within(WHOLE, Reason::Slow, first).await?;
+        let (first, mut buffer) = within(MESSAGE_TIMEOUT, Reason::Slow, first).await?;
         let first = match first {
             Err(Reason::Malformed) => return self.reject("the command is too long").await,
             other => other?,
@@ -135,7 +139,7 @@
                     self.front.net.buffer().await?
                 }
             };
-            let length = within(WHOLE, Reason::Slow, line(&self.link, &mut buffer)).await;
+            let length = within(MESSAGE_TIMEOUT, Reason::Slow, line(&self.link, &mut buffer)).await;
             let length = match length {
                 Err(Reason::Malformed) => return self.reject("the command is too long").await,
                 other => other?,
@@ -179,26 +183,26 @@
     async fn idle(&self) -> Result<(), Reason> {
         let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
         let stopping = |r| {
-            if r == Reason::Shed && self.front.life.stopping.get() {
+            if r == Reason::Evicted && self.front.life.stopping.get() {
                 Reason::Stopping
             } else {
                 r
             }
         };
         let rank = if self.worker.is_some() {
-            Rank::Kept
+            Rank::Worker
         } else {
             Rank::Used
         };
         self.front
             .net
-            .unless_shed(rank, readable)
+            .unless_evicted(rank, readable)
             .await
             .map_err(stopping)
     }
 
     async fn reply(&self, text: &str) -> Result<(), Reason> {
-        self.link.send(text.as_bytes(), STALLED).await
+        self.link.send(text.as_bytes(), WRITE_TIMEOUT).await
     }
 
     async fn reject(&self, why: &str) -> Result<(), Reason> {
@@ -298,7 +302,12 @@
         let number = self.front.push(request, until, parcel, to).await;
         let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
         match answered
-            .or(async { Err(self.link.left(rest, &self.front.net.pool).await) })
+            .or(async {
+                Err(self
+                    .link
+                    .wait_until_closed(rest, &self.front.net.pool)
+                    .await)
+            })
             .await
         {
             Ok(Answer::Served) => self.reply(codec::OK).await,
@@ -360,7 +369,12 @@
             Ok(None)
         };
         let mut found = handed
-            .or(async { Err(self.link.left(rest, &self.front.net.pool).await) })
+            .or(async {
+                Err(self
+                    .link
+                    .wait_until_closed(rest, &self.front.net.pool)
+                    .await)
+            })
             .or(over)
             .await;
         // A job that came at the very moment at which the wait ended is not lost.
@@ -390,20 +404,20 @@
         let room = write!(whole, "${}\r\n", text.len())
             .and_then(|()| whole.write_all(text))
             .and_then(|()| whole.write_all(b"\r\n"));
-        let mut gone_out = 0;
+        let mut bytes_written = 0;
         let written = match room {
             // Nobody is there any more: it would go out, but to no one.
             Ok(()) if self.link.closed() => Err(Reason::PeerLeft),
             Ok(()) => {
-                let write = self.link.write(whole.filled(), &mut gone_out);
-                within(STALLED, Reason::Stalled, async {
+                let write = self.link.write(whole.filled(), &mut bytes_written);
+                within(WRITE_TIMEOUT, Reason::Stalled, async {
                     write.await.map_err(|_| Reason::Broke)
                 })
                 .await
             }
             Err(_) => Err(Reason::Malformed),
         };
-        let all = gone_out == whole.filled().len();
+        let all = bytes_written == whole.filled().len();
         let _ = orders.send(Order::Written(handed, all)).await;
         written
     }
@@ -415,7 +429,7 @@
         if let Some(end) = buffer.filled().iter().position(|b| *b == b'\n') {
             return Ok(end + 1);
         }
-        if buffer.room().is_empty() {
+        if buffer.spare().is_empty() {
             return Err(Reason::Malformed);
         }
         let empty = buffer.filled().is_empty();
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -210,7 +210,7 @@
             if dial.is_ok() && !self.machines.borrow().contains_key(&worker) {
                 let ((orders, inbox), leaves) = (bounded(MAILBOX), Rc::default());
                 let peer = Peer::new(self.clone(), worker, m.host.clone(), Rc::clone(&leaves));
-                self.net.start(peer.run(inbox));
+                self.net.spawn(peer.run(inbox));
                 self.machines
                     .borrow_mut()
                     .insert(worker, Machine { orders, leaves });
@@ -335,7 +335,7 @@
         {
             let order = Order::GiveUp(attempt, parcel);
             if let Err(TrySendError::Full(order)) = orders.try_send(order) {
-                self.net.start(async move { _ = orders.send(order).await });
+                self.net.spawn(async move { _ = orders.send(order).await });
             }
         }
         if unsent {
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -10,7 +10,7 @@
 use crate::net::buffer::Buffer;
 use crate::net::http::{self, Bad, Frame, Head, Kind, Progress};
 use crate::net::set::Rank;
-use crate::net::{Link, Reason, STALLED, WHOLE, log, within};
+use crate::net::{Link, MESSAGE_TIMEOUT, Reason, WRITE_TIMEOUT, log, within};
 use async_channel::{Receiver, bounded};
 use async_io::Async;
 use futures_lite::FutureExt;
@@ -74,7 +74,7 @@
 /// Ends a connection, or lets it go on in the process that takes over.
 pub(super) async fn leave(front: &Rc<Platform>, link: Link, served: &Served, reason: Reason) {
     let (messages, status) = (served.messages.get(), served.status.get());
-    let moved = served.moved.take().filter(|_| reason == Reason::HandedOn);
+    let moved = served.moved.take().filter(|_| reason == Reason::Migrated);
     let Some(moved) = moved else {
         if reason.after_answer() {
             front.net.linger(&link).await;
@@ -147,10 +147,10 @@
         0 => {
             let wait = front
                 .net
-                .unless_shed_first(accepted, Rank::Silent, readable);
+                .first_unless_evicted(accepted, Rank::NothingSent, readable);
             within(
-                WHOLE.saturating_sub(accepted.elapsed()),
-                Reason::Silent,
+                MESSAGE_TIMEOUT.saturating_sub(accepted.elapsed()),
+                Reason::NothingSent,
                 wait,
             )
             .await
@@ -158,22 +158,22 @@
         1 => {
             front
                 .net
-                .unless_shed_from(Rank::Once, client, readable)
+                .unless_evicted_or_drained(Rank::Once, client, readable)
                 .await
         }
         _ => {
             front
                 .net
-                .unless_shed_from(Rank::Used, client, readable)
+                .unless_evicted_or_drained(Rank::Used, client, readable)
                 .await
         }
     };
     let (stopping, drained) = (front.life.stopping.get(), front.life.sends_away());
     match waited {
         Ok(()) => Ok(true),
-        Err(Reason::Shed) if (messages > 0 || stopping) && link.pending() => Ok(false),
-        Err(Reason::Shed) if stopping => Err(Reason::Stopping),
-        Err(Reason::Shed) if drained => Err(Reason::Drained),
+        Err(Reason::Evicted) if (messages > 0 || stopping) && link.has_input() => Ok(false),
+        Err(Reason::Evicted) if stopping => Err(Reason::Stopping),
+        Err(Reason::Evicted) if drained => Err(Reason::Drained),
         Err(other) => Err(other),
     }
 }
@@ -185,7 +185,7 @@
     served: &Served,
     goes_on: Option<Option<Buffer>>,
 ) -> Reason {
-    let (mut since, mut by) = (front.clock.now(), Instant::now() + WHOLE);
+    let (mut since, mut by) = (front.clock.now(), Instant::now() + MESSAGE_TIMEOUT);
     let (accepted, mut client) = (Instant::now(), goes_on.is_some());
     let mut kept = goes_on.flatten();
     let answer = async |status: u16, more: &str, body: &[u8], keep: bool| {
@@ -210,7 +210,7 @@
             }
         };
         if messages > 0 {
-            by = Instant::now() + WHOLE;
+            by = Instant::now() + MESSAGE_TIMEOUT;
         }
         let left = by.saturating_duration_since(Instant::now());
         let frame = within(left, Reason::Slow, receive(link, &mut buffer));
@@ -218,7 +218,7 @@
             0 => {
                 front
                     .net
-                    .unless_shed_first(accepted, Rank::Part, frame)
+                    .first_unless_evicted(accepted, Rank::PartialMessage, frame)
                     .await
             }
             _ => frame.await,
@@ -256,7 +256,7 @@
                 let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
                 answer(503, after, why, false)
                     .await
-                    .and(Err(Reason::NoRoom))
+                    .and(Err(Reason::NoCapacity))
             }
             Wish::Job {
                 request,
@@ -309,18 +309,19 @@
     let mut told_to_go_on = false;
     loop {
         if !buffer.filled().is_empty() {
-            match http::look(buffer, Kind::Request) {
+            match http::parse_message(buffer, Kind::Request) {
                 Err(bad) => return Ok(Err(bad)),
-                Ok(Progress::Whole(frame)) => return Ok(Ok(frame)),
-                Ok(Progress::Part(true)) if !told_to_go_on => {
+                Ok(Progress::Complete(frame)) => return Ok(Ok(frame)),
+                Ok(Progress::Partial(true)) if !told_to_go_on => {
                     told_to_go_on = true;
-                    link.send(b"HTTP/1.1 100 Continue\r\n\r\n", STALLED).await?;
+                    link.send(b"HTTP/1.1 100 Continue\r\n\r\n", WRITE_TIMEOUT)
+                        .await?;
                 }
-                Ok(Progress::Part(_)) => {}
+                Ok(Progress::Partial(_)) => {}
             }
         }
         let empty = buffer.filled().is_empty();
-        if buffer.room().is_empty() {
+        if buffer.spare().is_empty() {
             return Ok(Err(Bad::BodyTooLarge)); // framing alone has filled it
         }
         match link.read(buffer).await {
@@ -515,10 +516,10 @@
     (keep, served): (bool, &Served),
 ) -> Result<Message, Reason> {
     let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
-    let left = async { Err(link.left(rest, &front.net.pool).await) };
+    let left = async { Err(link.wait_until_closed(rest, &front.net.pool).await) };
     let moved = async {
         front.released(id, parcel, keep, served).await;
-        Err(Reason::HandedOn)
+        Err(Reason::Migrated)
     };
     match moved.or(answered).or(left).await {
         Ok(Answer::Served) => Ok((
@@ -533,12 +534,12 @@
             Vec::new(),
         )),
         Ok(Answer::Failed) => Ok((500, String::new(), Vec::new())),
-        Err(Reason::HandedOn) => {
+        Err(Reason::Migrated) => {
             let read = rest.take();
             served
                 .rest
                 .replace(read.map_or_else(Vec::new, |buffer| buffer.filled().to_vec()));
-            Err(Reason::HandedOn)
+            Err(Reason::Migrated)
         }
         Err(reason) => {
             drop(from); // from now on no attempt of it begins to go out
@@ -570,10 +571,10 @@
         http::reason(status)
     );
     // A result that one buffer does not hold goes out after the head.
-    if head.is_ok() && body.len() <= buffer.room().len() {
+    if head.is_ok() && body.len() <= buffer.spare().len() {
         let _ = buffer.write_all(body);
-        return link.send(buffer.filled(), STALLED).await;
+        return link.send(buffer.filled(), WRITE_TIMEOUT).await;
     }
-    link.send(buffer.filled(), STALLED).await?;
-    link.send(body, STALLED).await
+    link.send(buffer.filled(), WRITE_TIMEOUT).await?;
+    link.send(body, WRITE_TIMEOUT).await
 }
--- a/crates/indigofold/src/front/platform/membership.rs
+++ b/crates/indigofold/src/front/platform/membership.rs
@@ -222,7 +222,7 @@
         );
         let down = matches!(
             reason,
-            Reason::Rejected | Reason::Refused | Reason::DialTimeout | Reason::NoRoom
+            Reason::Rejected | Reason::Refused | Reason::DialTimeout | Reason::NoCapacity
         );
         if !self.watching || (!pushed && (again || down)) {
             self.anew = false;
@@ -491,8 +491,8 @@
             link.send(buffer.filled(), DIAL).await?;
             buffer.clear();
             loop {
-                if let Progress::Whole(frame) =
-                    http::look(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?
+                if let Progress::Complete(frame) =
+                    http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?
                 {
                     return Ok(frame);
                 }
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -9,7 +9,7 @@
 use crate::api::Time;
 use crate::config::News;
 use crate::core::{AttemptId, CoreInput, JobId, Reply};
-use crate::net::set::Way;
+use crate::net::set::Direction;
 use crate::net::{Link, log};
 use crate::transferred_job::TransferredJob;
 use async_channel::{Receiver, SendError, Sender, bounded};
@@ -216,8 +216,8 @@
             match self
                 .net
                 .set
-                .seat(Way::In)
-                .or_else(|| self.net.set.seat(Way::Out))
+                .seat(Direction::Inbound)
+                .or_else(|| self.net.set.seat(Direction::Outbound))
             {
                 Some(seat) => break seat,
                 None => self.net.set.resize(1), // it was open before: it stays
@@ -274,7 +274,7 @@
             waits = Some((id, parcel, from));
         }
         let (front, keep, rest) = (self.clone(), moved.keep, moved.rest);
-        self.net.start(async move {
+        self.net.spawn(async move {
             let served = Served::default();
             served.messages.set(moved.messages);
             let reason = clients::go_on(&front, &link, &served, waits, (keep, &rest)).await;
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -281,7 +281,7 @@
                         Stage::Taken => {
                             let (wires, state) = (self.wires.clone(), out.state);
                             state.give_up();
-                            self.wires.front.net.start(async move {
+                            self.wires.front.net.spawn(async move {
                                 wires.delete(id, &parcel, false).await;
                                 state.stage.set(Stage::Ended);
                             });
@@ -304,7 +304,7 @@
                     self.wires
                         .front
                         .net
-                        .start(async move { wires.probe().await });
+                        .spawn(async move { wires.probe().await });
                 }
                 Order::HangUp => self.hang_up(),
             }
@@ -344,7 +344,7 @@
                 at.stage.set(Stage::Ended);
             }
         };
-        let task = self.wires.front.net.held(task);
+        let task = self.wires.front.net.spawn_scoped(task);
         self.out.borrow_mut().insert(
             attempt.id,
             Out {
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -126,9 +126,9 @@
         buffer: &mut Buffer,
         (sent, said): (impl Fn(), impl Fn(&Head<'_>)),
     ) -> Result<(http::Frame, Duration), Reason> {
-        let (mut gone_out, mut by, mut failed) = (0, None, false);
-        let write = link.write(buffer.filled(), &mut gone_out).await;
-        if gone_out == buffer.filled().len() {
+        let (mut bytes_written, mut by, mut failed) = (0, None, false);
+        let write = link.write(buffer.filled(), &mut bytes_written).await;
+        if bytes_written == buffer.filled().len() {
             sent();
         }
         write.map_err(|_| Reason::Broke)?;
@@ -154,8 +154,8 @@
                 }
                 head.status
             }) {
-                let Progress::Whole(mut frame) =
-                    http::look(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?
+                let Progress::Complete(mut frame) =
+                    http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?
                 else {
                     break;
                 };
@@ -174,7 +174,7 @@
                 buffer.consume(frame.total); // an interim answer
             }
             if by.is_none() {
-                http::look(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?;
+                http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?;
             }
         }
     }
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -215,12 +215,12 @@
         };
         let (kin, words) = self.front.join();
         let (whole, old) = (self.clone(), kin.clone());
-        self.front.net.start(async move {
+        self.front.net.spawn(async move {
             // The old one's first word of what was learned shows that it knows such words.
             whole.link(&link, &old, words, false).await;
             whole.front.part(&old);
             log("handover: the old process has ended");
-            whole.front.net.keep_within(whole.limits.0, whole.limits.1);
+            whole.front.net.set_limits(whole.limits.0, whole.limits.1);
         });
         while !self.front.ready.get() {
             Timer::after(LOOK).await;
@@ -259,10 +259,10 @@
             }
         };
         let whole = self.clone();
-        let answering = self.front.net.held(async move {
+        let answering = self.front.net.spawn_scoped(async move {
             loop {
                 match listener.accept().await {
-                    Ok((link, _)) => whole.front.net.start(whole.clone().replaced(link)),
+                    Ok((link, _)) => whole.front.net.spawn(whole.clone().replaced(link)),
                     Err(_) => _ = Timer::after(ANSWER).await,
                 }
             }
@@ -309,7 +309,7 @@
             return;
         }
         log("handover: a new process has the listeners");
-        net.keep_within(mine, self.limits.1 / 2);
+        net.set_limits(mine, self.limits.1 / 2);
         let (kin, words) = self.front.join();
         let learns = says == LEARNS;
         if learns {
@@ -318,7 +318,7 @@
         self.link(&link, &kin, words, learns).await;
         self.front.part(&kin);
         self.front.move_no_more();
-        net.keep_within(self.limits.0, self.limits.1);
+        net.set_limits(self.limits.0, self.limits.1);
         log("handover: the new process has ended");
         if life.handed.replace(false) && !life.stopping.get() {
             // It was to serve in place of this one, which goes on.
@@ -339,9 +339,9 @@
         self.answering.take();
         log("handover: the new process serves");
         let (set, since) = (self.front.net.set.clone(), Instant::now());
-        let closing = self.front.net.held(async move {
+        let closing = self.front.net.spawn_scoped(async move {
             loop {
-                set.shed_clients(if since.elapsed() > ALL {
+                set.evict_idle_clients(if since.elapsed() > ALL {
                     Duration::ZERO
                 } else {
                     IDLE
--- a/crates/indigofold/src/main.rs
+++ b/crates/indigofold/src/main.rs
@@ -117,25 +117,25 @@
         Some(config) => {
             let listener = listen_or_inherit(path.as_deref(), &config.listen, &mut old).await?;
             if let Some(old) = &old {
-                net.keep_within(old.descriptors, memory / 2);
+                net.set_limits(old.descriptors, memory / 2);
             }
             let used = config.clone();
             let front =
                 start_platform(&net, clock, &life, config, &listener, old.is_some()).await?;
-            net.start(reload(hangups, front.clone(), used));
+            net.spawn(reload(hangups, front.clone(), used));
             let (jobs, accept) = (front.clone(), front.clone());
             open.push(Box::new(move || jobs.open_jobs()));
             let site = front.clone();
             longest.push(Box::new(move || site.site.borrow().longest_deadline()));
             listeners.push(("platform", listener.clone()));
             accepts.push(Box::new(move |net| {
-                net.held(clients::listen(accept.clone(), listener.clone()))
+                net.spawn_scoped(clients::listen(accept.clone(), listener.clone()))
             }));
             Some(front)
         }
         None => {
             // The Faktory front's file is read at the start only.
-            net.start(hangups.for_each(|_| log("reload: there is nothing to read again")));
+            net.spawn(hangups.for_each(|_| log("reload: there is nothing to read again")));
             None
         }
     };
@@ -151,7 +151,7 @@
         open.push(Box::new(move || jobs.open_jobs()));
         listeners.push(("faktory", listener.clone()));
         accepts.push(Box::new(move |net| {
-            net.held(serve::listen(front.clone(), listener.clone()))
+            net.spawn_scoped(serve::listen(front.clone(), listener.clone()))
         }));
     }
     let network = net.clone();
@@ -172,7 +172,7 @@
                 closing,
             };
             let handover = Rc::new(handover);
-            net.start(handover.clone().serve(old));
+            net.spawn(handover.clone().serve(old));
             (Some(handover), Vec::new())
         }
         None => (None, accept()),
@@ -210,12 +210,12 @@
             ));
         }
         if life.closing.get() {
-            net.set.shed_all(jobs() > 0); // between two messages a connection may be closed
+            net.set.evict_idle(jobs() > 0); // between two messages a connection may be closed
         } else if !handed {
             continue;
         }
         // Only once no connection has a message under way: what was taken in has its answer, and it is on its way.
-        let (accepted, parting) = (net.set.accepted(), net.set.parting());
+        let (accepted, parting) = (net.set.accepted(), net.set.closing());
         if jobs() > 0 || (accepted > parting && (handed || begin.elapsed() < last + PART)) {
             closed = None;
             continue;
@@ -358,7 +358,7 @@
         core.clone(),
         list,
     );
-    net.start(Actor::new(settings, front.clone(), clock, inbox, metrics).run());
+    net.spawn(Actor::new(settings, front.clone(), clock, inbox, metrics).run());
     let known = Known {
         seq: (!config.known.hosts.is_empty()).then_some(config.known.seq),
         replaces,
@@ -366,7 +366,7 @@
     let listed = front.learn(config.known);
     core.send(CoreInput::Membership(Scope::Cached, listed))
         .await?;
-    net.start(Machines::new(front.clone(), discovery, known, config.seed).run(asked));
+    net.spawn(Machines::new(front.clone(), discovery, known, config.seed).run(asked));
     match config.management.as_str() {
         "" => {}
         address => match bind(address) {
@@ -375,7 +375,7 @@
             Err(why) if replaces => {
                 log(format_args!("door: {why}, tried again"));
                 let (front, address) = (front.clone(), address.to_string());
-                net.start(async move {
+                net.spawn(async move {
                     let listener = loop {
                         Timer::after(AGAIN).await;
                         match bind(&address) {
@@ -424,7 +424,7 @@
         classes,
         draining: RefCell::default(),
     };
-    front.net.start(admin::listen(Rc::new(admin), listener));
+    front.net.spawn(admin::listen(Rc::new(admin), listener));
     Ok(())
 }
 
@@ -444,7 +444,7 @@
     };
     let address = listener.get_ref().local_addr()?;
     let front = Faktory::new(net.clone(), clock, life.clone(), file, core);
-    net.start(Actor::new(settings, front.clone(), clock, inbox, Rc::default()).run());
+    net.spawn(Actor::new(settings, front.clone(), clock, inbox, Rc::default()).run());
     front.open().await;
     log(format_args!("start front=faktory listen={address}"));
     Ok(front)
--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -11,7 +11,7 @@
 use buffer::{Buffer, Pool};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future::yield_now};
 pub use log::log;
-use set::{Rank, Seat, Set, Way};
+use set::{Direction, Rank, Seat, Set};
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::{self, ErrorKind};
@@ -20,26 +20,26 @@
 use std::time::{Duration, Instant};
 
 /// Between two tries to accept while there is no room.
-const FULL: Duration = Duration::from_millis(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// The first message must be whole this long after the connection was accepted, and each later one this long after
 /// its first byte: who sends nothing, or a byte now and then, holds a descriptor for no longer.
-pub const WHOLE: Duration = Duration::from_millis(2_500);
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A new connection's first message may be on its way for so long: until then it is not the first to go.
-const FRESH: Duration = Duration::from_millis(150);
+const FRESH_FOR: Duration = Duration::from_millis(150);
 /// An answer must be taken within this time.
-pub const STALLED: Duration = Duration::from_secs(5);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long, and over how many bytes, a refused message is read on.
-const LINGER: Duration = Duration::from_millis(2_000);
-const LINGER_MOST: usize = 64 << 20;
+const LINGER_TIMEOUT: Duration = Duration::from_millis(2_000);
+const MAX_LINGER_BYTES: usize = 64 << 20;
 /// Between two reads of what is thrown away while an answer is due.
-const OVERRUN: Duration = Duration::from_millis(1);
+const OVERRUN_READ_INTERVAL: Duration = Duration::from_millis(1);
 /// Connections that may wait to be accepted: a burst of them must not cost others a second try to connect.
-const BACKLOG: i32 = 1024;
+const ACCEPT_BACKLOG: i32 = 1024;
 
 /// Listens at an address.
 pub fn listen(at: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = TcpListener::bind(at)?;
-    rustix::net::listen(&listener, BACKLOG)?;
+    rustix::net::listen(&listener, ACCEPT_BACKLOG)?;
     Async::new(listener)
 }
 
@@ -64,18 +64,21 @@
     }
 
     /// The process may hold so many descriptors and use so much memory from now on.
-    pub fn keep_within(&self, descriptors: usize, memory_mb: usize) {
-        self.set.keep_within(descriptors);
-        self.pool.keep_within(memory_mb);
+    pub fn set_limits(&self, descriptors: usize, memory_mb: usize) {
+        self.set.set_limit(descriptors);
+        self.pool.set_limit(memory_mb);
     }
 
     /// Starts a task that runs until it ends by itself.
-    pub fn start(&self, task: impl Future<Output = ()> + 'static) {
+    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn(task).detach();
     }
 
     /// Starts a task that ends when its handle is dropped.
-    pub fn held(&self, task: impl Future<Output = ()> + 'static) -> async_executor::Task<()> {
+    pub fn spawn_scoped(
+        &self,
+        task: impl Future<Output = ()> + 'static,
+    ) -> async_executor::Task<()> {
         self.tasks.spawn(task)
     }
 
@@ -87,7 +90,7 @@
     ) {
         loop {
             let link = self.accept(listener).await;
-            self.start(serve(link));
+            self.spawn(serve(link));
         }
     }
 
@@ -98,15 +101,17 @@
         loop {
             // No place is taken, and nobody asked to go, before somebody is there.
             let _ = listener.readable().await;
-            let seat = match self.set.seat(Way::In) {
+            let seat = match self.set.seat(Direction::Inbound) {
                 Some(seat) => Some((seat, false)),
                 None => {
-                    let room = self.set.shed();
-                    self.set.seat(Way::Extra).map(|seat| (seat, !room))
+                    let evicted = self.set.evict_one();
+                    self.set
+                        .seat(Direction::InboundExtra)
+                        .map(|seat| (seat, !evicted))
                 }
             };
             let Some((seat, extra)) = seat else {
-                Timer::after(FULL).await;
+                Timer::after(RETRY_INTERVAL).await;
                 continue;
             };
             match listener.accept().await {
@@ -121,8 +126,8 @@
                         error.kind(),
                         ErrorKind::ConnectionAborted | ErrorKind::Interrupted
                     ) {
-                        self.set.shed(); // no descriptor is left (EMFILE): make room
-                        Timer::after(FULL).await;
+                        self.set.evict_one(); // no descriptor is left (EMFILE): make room
+                        Timer::after(RETRY_INTERVAL).await;
                     }
                 }
             }
@@ -133,26 +138,26 @@
     /// whole are asked to go.
     pub async fn buffer(&self) -> Result<Buffer, Reason> {
         let wait = async {
-            while !self.pool.has_room() {
-                self.set.shed_up_to(Rank::Part);
-                Timer::after(FULL).await;
+            while !self.pool.has_capacity() {
+                self.set.evict_up_to(Rank::PartialMessage);
+                Timer::after(RETRY_INTERVAL).await;
             }
             Ok(self.pool.take())
         };
-        within(WHOLE, Reason::NoRoom, wait).await
+        within(MESSAGE_TIMEOUT, Reason::NoCapacity, wait).await
     }
 
     /// Runs something on an accepted connection that may be asked to go meanwhile.
-    pub async fn unless_shed<T>(
+    pub async fn unless_evicted<T>(
         &self,
         rank: Rank,
         work: impl Future<Output = Result<T, Reason>>,
     ) -> Result<T, Reason> {
-        self.unless_shed_from(rank, false, work).await
+        self.unless_evicted_or_drained(rank, false, work).await
     }
 
     /// The same; a client's connection is also asked to go as the program drains.
-    pub async fn unless_shed_from<T>(
+    pub async fn unless_evicted_or_drained<T>(
         &self,
         rank: Rank,
         client: bool,
@@ -162,29 +167,29 @@
         if matches!(rank, Rank::Once | Rank::Used) {
             self.set.thin_out(Instant::now());
         }
-        let shed = async {
-            offer.asked().await;
-            Err(Reason::Shed)
+        let evicted = async {
+            offer.evicted().await;
+            Err(Reason::Evicted)
         };
-        work.or(shed).await
+        work.or(evicted).await
     }
 
     /// The same for what an accepted connection does first: it is of this rank once it is no longer fresh.
-    pub async fn unless_shed_first<T>(
+    pub async fn first_unless_evicted<T>(
         &self,
         accepted: Instant,
         rank: Rank,
         work: impl Future<Output = Result<T, Reason>>,
     ) -> Result<T, Reason> {
         let mut work = std::pin::pin!(work);
-        let fresh = FRESH.saturating_sub(accepted.elapsed());
+        let fresh = FRESH_FOR.saturating_sub(accepted.elapsed());
         let first = async { work.as_mut().await.map(Some) }.or(async {
             Timer::after(fresh).await;
             Ok(None)
         });
-        match self.unless_shed(Rank::Fresh, first).await? {
+        match self.unless_evicted(Rank::Fresh, first).await? {
             Some(done) => Ok(done),
-            None => self.unless_shed(rank, work).await,
+            None => self.unless_evicted(rank, work).await,
         }
     }
 
@@ -194,7 +199,7 @@
     pub async fn linger(&self, link: &Link) {
         link.shut();
         let rest = async {
-            let mut left = LINGER_MOST;
+            let mut left = MAX_LINGER_BYTES;
             while left > 0 {
                 // A buffer is only held while there is something to read.
                 link.readable().await.map_err(|_| Reason::Broke)?;
@@ -208,14 +213,19 @@
             }
             Ok(())
         };
-        let _ = within(LINGER, Reason::Slow, self.unless_shed(Rank::Parting, rest)).await;
+        let _ = within(
+            LINGER_TIMEOUT,
+            Reason::Slow,
+            self.unless_evicted(Rank::Closing, rest),
+        )
+        .await;
     }
 
     /// Dials; no longer than the limit.
     pub async fn dial(&self, to: SocketAddr, limit: Duration) -> Result<Link, Reason> {
-        let Some(seat) = self.set.seat(Way::Out) else {
-            self.set.shed();
-            return Err(Reason::NoRoom);
+        let Some(seat) = self.set.seat(Direction::Outbound) else {
+            self.set.evict_one();
+            return Err(Reason::NoCapacity);
         };
         let dial = async {
             Async::<TcpStream>::connect(to)
@@ -257,7 +267,7 @@
     /// What came could not be understood.
     Malformed,
     /// Nothing came, from the start on.
-    Silent,
+    NothingSent,
     /// A message came too slowly.
     Slow,
     /// The other side took no bytes.
@@ -265,7 +275,7 @@
     /// It stood idle for too long.
     Idle,
     /// It was closed to make room.
-    Shed,
+    Evicted,
     /// It was closed as the program stops.
     Stopping,
     /// It was closed as operators drain the program.
@@ -281,11 +291,11 @@
     /// It did not come up in time.
     DialTimeout,
     /// There was no descriptor for it.
-    NoRoom,
+    NoCapacity,
     /// The password or the first message was wrong.
     Rejected,
     /// It goes on in the process that takes over.
-    HandedOn,
+    Migrated,
 }
 
 impl Reason {
@@ -293,7 +303,7 @@
     pub fn after_answer(self) -> bool {
         matches!(
             self,
-            Reason::Done | Reason::Malformed | Reason::Slow | Reason::NoRoom
+            Reason::Done | Reason::Malformed | Reason::Slow | Reason::NoCapacity
         )
     }
 
@@ -305,11 +315,11 @@
             Reason::Broke => "broke",
             Reason::Done => "done",
             Reason::Malformed => "malformed",
-            Reason::Silent => "silent",
+            Reason::NothingSent => "silent",
             Reason::Slow => "slow",
             Reason::Stalled => "stalled",
             Reason::Idle => "idle",
-            Reason::Shed => "shed",
+            Reason::Evicted => "shed",
             Reason::Stopping => "stopping",
             Reason::Drained => "drained",
             Reason::GivenUp => "given-up",
@@ -317,9 +327,9 @@
             Reason::Unanswered => "unanswered",
             Reason::Refused => "refused",
             Reason::DialTimeout => "dial-timeout",
-            Reason::NoRoom => "no-room",
+            Reason::NoCapacity => "no-room",
             Reason::Rejected => "rejected",
-            Reason::HandedOn => "handed-on",
+            Reason::Migrated => "handed-on",
         }
     }
 }
@@ -364,7 +374,7 @@
 
     /// Reads what has come into the buffer's room. 0: the other side has closed, or the buffer is full.
     pub async fn read(&self, buffer: &mut Buffer) -> io::Result<usize> {
-        let count = (&self.stream).read(buffer.room()).await?;
+        let count = (&self.stream).read(buffer.spare()).await?;
         buffer.grow(count);
         Ok(count)
     }
@@ -372,7 +382,7 @@
     /// Returns once the other side has left. What it sends until then is its next messages, and is kept; a
     /// buffer is only held once there is something. More than a buffer holds is thrown away, as its leaving would not be
     /// seen behind it: the connection is overrun, and ends with the answer that is due.
-    pub async fn left(&self, rest: &mut Option<Buffer>, pool: &Rc<Pool>) -> Reason {
+    pub async fn wait_until_closed(&self, rest: &mut Option<Buffer>, pool: &Rc<Pool>) -> Reason {
         // What is there now is not left to the poller's word: that comes a turn later, and by then the job of a client that
         // has left could have gone out.
         if rest.is_none() && !self.stale() && self.readable().await.is_err() {
@@ -382,9 +392,9 @@
         loop {
             if self
                 .overrun
-                .replace(self.overrun.get() || buffer.room().is_empty())
+                .replace(self.overrun.get() || buffer.spare().is_empty())
             {
-                Timer::after(OVERRUN).await;
+                Timer::after(OVERRUN_READ_INTERVAL).await;
             }
             if self.overrun.get() {
                 buffer.clear();
@@ -403,7 +413,7 @@
     }
 
     /// Is there something to read now, the end not included?
-    pub fn pending(&self) -> bool {
+    pub fn has_input(&self) -> bool {
         matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
     }
 
@@ -426,11 +436,11 @@
     }
 
     /// Writes all of it and counts what went out, also when it breaks off.
-    pub async fn write(&self, bytes: &[u8], gone_out: &mut usize) -> io::Result<()> {
-        while *gone_out < bytes.len() {
-            match (&self.stream).write(&bytes[*gone_out..]).await? {
+    pub async fn write(&self, bytes: &[u8], bytes_written: &mut usize) -> io::Result<()> {
+        while *bytes_written < bytes.len() {
+            match (&self.stream).write(&bytes[*bytes_written..]).await? {
                 0 => return Err(ErrorKind::WriteZero.into()),
-                count => *gone_out += count,
+                count => *bytes_written += count,
             }
         }
         Ok(())
@@ -438,9 +448,9 @@
 
     /// Writes all of it within a time.
     pub async fn send(&self, bytes: &[u8], limit: Duration) -> Result<(), Reason> {
-        let mut gone_out = 0;
+        let mut bytes_written = 0;
         let write = async {
-            self.write(bytes, &mut gone_out)
+            self.write(bytes, &mut bytes_written)
                 .await
                 .map_err(|_| Reason::Broke)
         };
--- a/crates/indigofold/src/net/buffer.rs
+++ b/crates/indigofold/src/net/buffer.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 
 /// The largest body that is taken.
-pub const BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The largest head (request line and headers) that is taken.
-pub const HEAD: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// The one size: a whole message fits, with room for the framing of a chunked body.
-pub const SIZE: usize = BODY + 2 * HEAD;
+pub const BUFFER_BYTES: usize = MAX_BODY_BYTES + 2 * MAX_HEAD_BYTES;
 /// Where buffers come from and go back to. One that was given back to the system would have to be cleared when it
 /// is made anew, so those that there have been at once stay; how many these can be follows from the memory limit.
 pub struct Pool {
@@ -25,13 +25,13 @@
             out: Cell::new(0),
             most: Cell::new(0),
         });
-        pool.keep_within(memory_mb);
+        pool.set_limit(memory_mb);
         pool
     }
 
     /// So much memory is the process's from now on. What is out comes back by itself.
-    pub fn keep_within(&self, memory_mb: usize) {
-        self.most.set(((memory_mb << 20) / 2 / SIZE).max(8));
+    pub fn set_limit(&self, memory_mb: usize) {
+        self.most.set(((memory_mb << 20) / 2 / BUFFER_BYTES).max(8));
         self.free.borrow_mut().truncate(self.most.get());
     }
 
@@ -42,7 +42,7 @@
             .free
             .borrow_mut()
             .pop()
-            .unwrap_or_else(|| vec![0; SIZE]);
+            .unwrap_or_else(|| vec![0; BUFFER_BYTES]);
         self.out.set(self.out.get() + 1);
         Buffer {
             bytes,
@@ -53,7 +53,7 @@
 
     /// May one more message be read? Each may need a buffer more until it is passed on; a quarter is for answers
     /// and attempts.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.out.get() < self.most.get() - self.most.get() / 4
     }
 }
@@ -77,13 +77,13 @@
     }
 
     /// Where more can be read to; empty when it is full.
-    pub fn room(&mut self) -> &mut [u8] {
+    pub fn spare(&mut self) -> &mut [u8] {
         &mut self.bytes[self.len..]
     }
 
     /// Counts bytes that were read into the room.
     pub fn grow(&mut self, count: usize) {
-        self.len = (self.len + count).min(SIZE);
+        self.len = (self.len + count).min(BUFFER_BYTES);
     }
 
     /// Drops this many bytes from the front.
@@ -101,7 +101,7 @@
 
 impl std::io::Write for Buffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let count = bytes.len().min(SIZE - self.len);
+        let count = bytes.len().min(BUFFER_BYTES - self.len);
         self.bytes[self.len..self.len + count].copy_from_slice(&bytes[..count]);
         self.len += count;
         Ok(count)
--- a/crates/indigofold/src/net/buffer/tests.rs
+++ b/crates/indigofold/src/net/buffer/tests.rs
@@ -7,16 +7,16 @@
 fn buffers_out_and_kept_stay_within_the_memory_limit() {
     let pool = Pool::new(4);
     let mut out = Vec::new();
-    while pool.has_room() {
+    while pool.has_capacity() {
         out.push(pool.take());
     }
     let read = out.len();
-    assert!(read * SIZE < 2 << 20, "{read} buffers for messages");
+    assert!(read * BUFFER_BYTES < 2 << 20, "{read} buffers for messages");
     out.extend((0..100).map(|_| pool.take()));
     drop(out);
     assert!(
-        (read..=(2 << 20) / SIZE).contains(&pool.free.borrow().len()),
+        (read..=(2 << 20) / BUFFER_BYTES).contains(&pool.free.borrow().len()),
         "what is kept"
     );
-    assert!(pool.has_room() && pool.out.get() == 0);
+    assert!(pool.has_capacity() && pool.out.get() == 0);
 }
--- a/crates/indigofold/src/net/http.rs
+++ b/crates/indigofold/src/net/http.rs
@@ -1,11 +1,11 @@
 //! HTTP/1.1 framing on httparse: where a message ends, and what its head says. No meaning.
 
-use super::buffer::{BODY, Buffer, HEAD};
+use super::buffer::{Buffer, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use httparse::{EMPTY_HEADER, Header, Status};
 use std::ops::Range;
 
 /// Headers that a message may have.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// Why a message cannot be taken, by the status that says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,10 +48,10 @@
 /// How far a message has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More bytes are needed; `true`: the sender waits to be told to go on.
-    Part(bool),
+    /// More bytes are needed; `true`: the sender expects_continue to be told to go on.
+    Partial(bool),
     /// It is all there.
-    Whole(Frame),
+    Complete(Frame),
 }
 
 /// The head of a message.
@@ -101,18 +101,18 @@
     length: Option<usize>,
     chunked: bool,
     close: bool,
-    waits: bool,
+    expects_continue: bool,
 }
 
 /// Looks whether a whole message stands at the front of the buffer. A chunked body is joined in place.
-pub fn look(buffer: &mut Buffer, kind: Kind) -> Result<Progress, Bad> {
-    let mut slots = [EMPTY_HEADER; HEADERS];
+pub fn parse_message(buffer: &mut Buffer, kind: Kind) -> Result<Progress, Bad> {
+    let mut slots = [EMPTY_HEADER; MAX_HEADERS];
     let bytes = buffer.filled();
-    let (head, old, bodiless, framing) = match kind {
+    let (head, http_1_0, bodiless, framing) = match kind {
         Kind::Request => {
             let mut request = httparse::Request::new(&mut slots);
-            match request.parse(bytes).map_err(too_many)? {
-                Status::Partial => return partial(bytes),
+            match request.parse(bytes).map_err(head_error)? {
+                Status::Partial => return incomplete_head(bytes),
                 Status::Complete(n) => (
                     n,
                     request.version == Some(0),
@@ -123,8 +123,8 @@
         }
         Kind::Answer => {
             let mut answer = httparse::Response::new(&mut slots);
-            match answer.parse(bytes).map_err(too_many)? {
-                Status::Partial => return partial(bytes),
+            match answer.parse(bytes).map_err(head_error)? {
+                Status::Partial => return incomplete_head(bytes),
                 Status::Complete(n) => {
                     let bodiless = matches!(answer.code, Some(100..=199 | 204 | 304));
                     (
@@ -137,27 +137,27 @@
             }
         }
     };
-    if head > HEAD {
+    if head > MAX_HEAD_BYTES {
         return Err(Bad::HeadTooLarge);
     }
     // A line end that one reader takes for an end and another does not could hide a message from one of them.
-    let lines = &bytes[..head];
-    if lines
+    let head_bytes = &bytes[..head];
+    if head_bytes
         .iter()
         .enumerate()
-        .any(|(n, b)| *b == b'\n' && (n == 0 || lines[n - 1] != b'\r'))
+        .any(|(n, b)| *b == b'\n' && (n == 0 || head_bytes[n - 1] != b'\r'))
     {
         return Err(Bad::Malformed);
     }
-    if old && framing.chunked {
+    if http_1_0 && framing.chunked {
         return Err(Bad::Malformed); // HTTP/1.0 has no such coding
     }
     let (keep, sized) = (
-        !framing.close && !old,
+        !framing.close && !http_1_0,
         framing.chunked || framing.length.is_some(),
     );
-    let whole = |body: Range<usize>, total| {
-        Ok(Progress::Whole(Frame {
+    let complete = |body: Range<usize>, total| {
+        Ok(Progress::Complete(Frame {
             head,
             body,
             total,
@@ -167,15 +167,15 @@
     };
     if framing.chunked && !bodiless {
         return match chunks(&bytes[head..])? {
-            None => Ok(Progress::Part(framing.waits)),
-            Some((pieces, total)) => {
+            None => Ok(Progress::Partial(framing.expects_continue)),
+            Some((body_chunks, total)) => {
                 let mut end = head;
-                for piece in pieces {
-                    let (from, to) = (head + piece.start, head + piece.end);
+                for chunk in body_chunks {
+                    let (from, to) = (head + chunk.start, head + chunk.end);
                     buffer.filled_mut().copy_within(from..to, end);
                     end += to - from;
                 }
-                whole(head..end, head + total)
+                complete(head..end, head + total)
             }
         };
     }
@@ -184,18 +184,18 @@
     } else {
         framing.length.unwrap_or(0)
     };
-    if length > BODY {
+    if length > MAX_BODY_BYTES {
         return Err(Bad::BodyTooLarge);
     }
     if bytes.len() < head + length {
-        return Ok(Progress::Part(framing.waits));
+        return Ok(Progress::Partial(framing.expects_continue));
     }
-    whole(head..head + length, head + length)
+    complete(head..head + length, head + length)
 }
 
 /// Tells what the head of an answer at the front of the buffer says, as soon as it is whole, whatever follows it.
-pub fn answer_head<T>(buffer: &Buffer, tell: impl FnOnce(&Head<'_>) -> T) -> Option<T> {
-    let mut slots = [EMPTY_HEADER; HEADERS];
+pub fn answer_head<T>(buffer: &Buffer, inspect: impl FnOnce(&Head<'_>) -> T) -> Option<T> {
+    let mut slots = [EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut slots);
     let Ok(Status::Complete(head)) = answer.parse(buffer.filled()) else {
         return None;
@@ -209,10 +209,10 @@
     };
     frame
         .read(buffer, Kind::Answer)
-        .map(|(head, _)| tell(&head))
+        .map(|(head, _)| inspect(&head))
 }
 
-fn too_many(error: httparse::Error) -> Bad {
+fn head_error(error: httparse::Error) -> Bad {
     if error == httparse::Error::TooManyHeaders {
         Bad::HeadTooLarge
     } else {
@@ -220,11 +220,11 @@
     }
 }
 
-fn partial(bytes: &[u8]) -> Result<Progress, Bad> {
-    if bytes.len() > HEAD {
+fn incomplete_head(bytes: &[u8]) -> Result<Progress, Bad> {
+    if bytes.len() > MAX_HEAD_BYTES {
         Err(Bad::HeadTooLarge)
     } else {
-        Ok(Progress::Part(false))
+        Ok(Progress::Partial(false))
     }
 }
 
@@ -255,7 +255,7 @@
                 .split(',')
                 .any(|v| v.trim().eq_ignore_ascii_case("close"));
         } else if header.name.eq_ignore_ascii_case("expect") {
-            found.waits |= value.eq_ignore_ascii_case("100-continue");
+            found.expects_continue |= value.eq_ignore_ascii_case("100-continue");
         }
     }
     if found.chunked && found.length.is_some() {
@@ -265,21 +265,21 @@
     }
 }
 
-/// The pieces of a chunked body and its length on the wire; `None` while some of it is missing.
+/// The body_chunks of a chunked body and its length on the wire; `None` while some of it is missing.
 #[allow(clippy::type_complexity)]
 fn chunks(bytes: &[u8]) -> Result<Option<(Vec<Range<usize>>, usize)>, Bad> {
-    let (mut at, mut sum, mut pieces) = (0, 0, Vec::new());
+    let (mut at, mut sum, mut body_chunks) = (0, 0, Vec::new());
     loop {
-        let (line, size) =
+        let (size_line, size) =
             match httparse::parse_chunk_size(&bytes[at..]).map_err(|_| Bad::Malformed)? {
                 Status::Partial => return Ok(None),
                 Status::Complete(found) => found,
             };
         let size = usize::try_from(size).unwrap_or(usize::MAX);
-        if size > BODY - sum {
+        if size > MAX_BODY_BYTES - sum {
             return Err(Bad::BodyTooLarge);
         }
-        at += line;
+        at += size_line;
         if size == 0 {
             break;
         }
@@ -289,7 +289,7 @@
         if &bytes[at + size..at + size + 2] != b"\r\n" {
             return Err(Bad::Malformed);
         }
-        pieces.push(at..at + size);
+        body_chunks.push(at..at + size);
         (at, sum) = (at + size + 2, sum + size);
     }
     // Trailers are read over.
@@ -299,7 +299,7 @@
         };
         at += end + 2;
         if end == 0 {
-            return Ok(Some((pieces, at)));
+            return Ok(Some((body_chunks, at)));
         }
     }
 }
@@ -307,7 +307,7 @@
 impl Frame {
     /// The head and the body of the message. `None` where a header is no text.
     pub fn read<'a>(&self, buffer: &'a Buffer, kind: Kind) -> Option<(Head<'a>, &'a [u8])> {
-        let mut slots = [EMPTY_HEADER; HEADERS];
+        let mut slots = [EMPTY_HEADER; MAX_HEADERS];
         let bytes = &buffer.filled()[..self.head];
         let (method, target, status, found): (&str, &str, u16, &[Header<'a>]) = match kind {
             Kind::Request => {
--- a/crates/indigofold/src/net/log.rs
+++ b/crates/indigofold/src/net/log.rs
@@ -9,59 +9,59 @@
 use std::time::Duration;
 
 /// Lines that may wait to be written.
-const WAITING: usize = 2_048;
+const QUEUE_CAPACITY: usize = 2_048;
 /// How long the end of the program waits for the last lines.
-const AT_THE_END: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-enum Line {
+enum Entry {
     Text(String),
     End(SyncSender<()>),
 }
 
-static LINES: OnceLock<Option<SyncSender<Line>>> = OnceLock::new();
+static QUEUE: OnceLock<Option<SyncSender<Entry>>> = OnceLock::new();
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-fn lines() -> Option<&'static SyncSender<Line>> {
+fn queue() -> Option<&'static SyncSender<Entry>> {
     let start = || {
-        let (lines, waiting) = sync_channel(WAITING);
+        let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
         std::thread::Builder::new()
             .name("log".into())
-            .spawn(move || write(&waiting))
+            .spawn(move || write_entries(&receiver))
             .ok()
-            .map(|_| lines)
+            .map(|_| sender)
     };
-    LINES.get_or_init(start).as_ref()
+    QUEUE.get_or_init(start).as_ref()
 }
 
 /// A log that cannot be written to is no reason to stop.
-fn write(waiting: &Receiver<Line>) {
+fn write_entries(receiver: &Receiver<Entry>) {
     let mut to = io::stderr();
-    while let Ok(line) = waiting.recv() {
-        match line {
-            Line::Text(text) => {
+    while let Ok(entry) = receiver.recv() {
+        match entry {
+            Entry::Text(text) => {
                 let dropped = DROPPED.swap(0, Ordering::Relaxed);
                 if dropped > 0 {
                     let _ = writeln!(to, "log: {dropped} lines were dropped, as nobody read them");
                 }
                 let _ = writeln!(to, "{text}");
             }
-            Line::End(done) => _ = done.try_send(()),
+            Entry::End(done) => _ = done.try_send(()),
         }
     }
 }
 
 /// One line to the log.
-pub fn log(line: impl Display) {
-    let taken = lines().is_some_and(|lines| lines.try_send(Line::Text(line.to_string())).is_ok());
-    if !taken {
+pub fn log(text: impl Display) {
+    let queued = queue().is_some_and(|queue| queue.try_send(Entry::Text(text.to_string())).is_ok());
+    if !queued {
         DROPPED.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// Waits for what was logged to be written, a moment at most.
 pub fn finish_log() {
-    let (done, ended) = sync_channel(1);
-    if lines().is_some_and(|lines| lines.try_send(Line::End(done)).is_ok()) {
-        let _ = ended.recv_timeout(AT_THE_END);
+    let (done, flushed) = sync_channel(1);
+    if queue().is_some_and(|queue| queue.try_send(Entry::End(done)).is_ok()) {
+        let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
     }
 }
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 /// Descriptors kept back for what is not in the set: listeners, poller, timer, signals, log, operators' calls.
-const KEPT_BACK: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Descriptors that only connections to job workers may use.
-const OUTWARD: usize = 128;
+const OUTBOUND_DESCRIPTORS: usize = 128;
 
 /// Part of the clients' share of the descriptors from which on idle connections are closed.
-const THIN: (usize, usize) = (3, 4);
+const THIN_OUT_FROM: (usize, usize) = (3, 4);
 
 /// A connection that has been idle for less is about to be used again, or not; nobody knows yet.
-const SETTLED: Duration = Duration::from_millis(100);
+const IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
 
 /// All connections of the program, within the limit on sockets.
 pub struct Set {
@@ -29,50 +29,50 @@
 
 /// A connection that may be asked to go: how, whether it is known to be a client's, and since when it stands so.
 struct Offered {
-    ask: Sender<()>,
+    evict: Sender<()>,
     client: bool,
     since: Instant,
 }
 
-/// What is lost if an accepted connection goes, the least first. Within a rank the one that has stood for longest
-/// goes first.
+/// What is lost if an accepted connection chosen, the least first. Within a rank the one that has stood for longest
+/// chosen first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
     /// It has had its last answer: only what still comes is read over.
-    Parting,
+    Closing,
     /// It has never sent anything.
-    Silent,
+    NothingSent,
     /// Its first message is not whole.
-    Part,
+    PartialMessage,
     /// It has had one answer and stands idle: perhaps nobody will use it again.
     Once,
     /// It has just been accepted: its first message may be on its way.
     Fresh,
     /// It is in use, and idle between two messages.
     Used,
-    /// A job worker's, over which it is to say what becomes of its jobs: it never goes to make room.
-    Kept,
+    /// A job worker's, over which it is to say what becomes of its jobs: it never chosen to make room.
+    Worker,
 }
 
 /// Which way a connection was made.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// Accepted.
-    In,
+    Inbound,
     /// Accepted although there is no room for more clients: it may bring news that makes room.
-    Extra,
+    InboundExtra,
     /// Dialled.
-    Out,
+    Outbound,
 }
 
 /// One connection's place in the set; given back when dropped.
-pub struct Seat(Rc<Set>, Way);
+pub struct Seat(Rc<Set>, Direction);
 
 /// A connection's offer to be closed; withdrawn when dropped.
 pub struct Offer {
     set: Rc<Set>,
     key: (Rank, u64),
-    asked: Receiver<()>,
+    evicted: Receiver<()>,
 }
 
 impl Set {
@@ -87,16 +87,16 @@
             next,
             offers: RefCell::default(),
         });
-        set.keep_within(descriptors);
+        set.set_limit(descriptors);
         set.third.set(descriptors / 3);
         set
     }
 
     /// So many descriptors are the process's from now on. What is open stays, and so does the clients' third: it is
     /// theirs over all processes of the scheduler together.
-    pub fn keep_within(&self, descriptors: usize) {
+    pub fn set_limit(&self, descriptors: usize) {
         self.limit
-            .set(descriptors.saturating_sub(KEPT_BACK).max(16));
+            .set(descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(16));
     }
 
     /// So many descriptors more, or fewer, are the process's: connections have gone from one process to another.
@@ -106,7 +106,7 @@
 
     /// Descriptors in use, with those kept back.
     pub fn descriptors(&self) -> usize {
-        self.open.get() + KEPT_BACK
+        self.open.get() + RESERVED_DESCRIPTORS
     }
 
     /// Accepted connections open now.
@@ -115,38 +115,38 @@
     }
 
     /// Is there room for one more connection of this kind?
-    pub fn has_room(&self, way: Way) -> bool {
-        let outward = OUTWARD.min(self.limit.get() / 4);
+    pub fn has_capacity(&self, way: Direction) -> bool {
+        let outward = OUTBOUND_DESCRIPTORS.min(self.limit.get() / 4);
         let kept = match way {
-            Way::In => outward,
-            Way::Extra => outward / 2,
-            Way::Out => 0,
+            Direction::Inbound => outward,
+            Direction::InboundExtra => outward / 2,
+            Direction::Outbound => 0,
         };
         self.open.get() + kept < self.limit.get()
     }
 
     /// A place for a connection, if there is one.
-    pub fn seat(self: &Rc<Self>, way: Way) -> Option<Seat> {
-        if !self.has_room(way) {
+    pub fn seat(self: &Rc<Self>, way: Direction) -> Option<Seat> {
+        if !self.has_capacity(way) {
             return None;
         }
         self.open.set(self.open.get() + 1);
-        if way != Way::Out {
+        if way != Direction::Outbound {
             self.accepted.set(self.accepted.get() + 1);
         }
         Some(Seat(self.clone(), way))
     }
 
     /// Asks the connection that is missed least to close. `false`: none has offered to.
-    pub fn shed(&self) -> bool {
-        self.shed_up_to(Rank::Used)
+    pub fn evict_one(&self) -> bool {
+        self.evict_up_to(Rank::Used)
     }
 
     /// The same, but only among those that are missed no more than this.
-    pub fn shed_up_to(&self, rank: Rank) -> bool {
+    pub fn evict_up_to(&self, rank: Rank) -> bool {
         let mut offers = self.offers.borrow_mut();
         let first = offers.first_entry().filter(|first| first.key().0 <= rank);
-        first.is_some_and(|first| first.remove().ask.try_send(()).is_ok())
+        first.is_some_and(|first| first.remove().evict.try_send(()).is_ok())
     }
 
     /// Asks one to go if accepted connections take up most of what clients may hold: no more than a third of
@@ -154,58 +154,59 @@
     /// stays; so does one that has just had its answer: where clients wait for a connection, the next job is on its
     /// way on it at that moment.
     pub fn thin_out(&self, now: Instant) {
-        if self.accepted.get() <= self.third.get() * THIN.0 / THIN.1 || self.shed_up_to(Rank::Part)
+        if self.accepted.get() <= self.third.get() * THIN_OUT_FROM.0 / THIN_OUT_FROM.1
+            || self.evict_up_to(Rank::PartialMessage)
         {
             return;
         }
         let mut offers = self.offers.borrow_mut();
-        // Within a rank the oldest stands first: where it has not settled, none has.
-        let settled = |rank| {
+        // Within a rank the oldest stands first: where it has not idle_long_enough, none has.
+        let idle_long_enough = |rank| {
             let first = offers
                 .range((rank, 0)..)
                 .next()
                 .filter(|(key, _)| key.0 == rank);
             first
-                .filter(|(_, o)| now.saturating_duration_since(o.since) >= SETTLED)
+                .filter(|(_, o)| now.saturating_duration_since(o.since) >= IDLE_BEFORE_EVICTION)
                 .map(|(key, _)| *key)
         };
-        let goes = settled(Rank::Once).or_else(|| settled(Rank::Used));
-        let _ = goes
+        let chosen = idle_long_enough(Rank::Once).or_else(|| idle_long_enough(Rank::Used));
+        let _ = chosen
             .and_then(|key| offers.remove(&key))
-            .map(|offered| offered.ask.try_send(()));
+            .map(|offered| offered.evict.try_send(()));
     }
 
     /// Asks all that stand idle to close, but for those whose first message is or may be on its way, those that part,
     /// and, while there are jobs, job workers'.
-    pub fn shed_all(&self, jobs: bool) {
+    pub fn evict_idle(&self, jobs: bool) {
         self.offers.borrow_mut().retain(|(rank, _), offered| {
-            let stays = matches!(rank, Rank::Fresh | Rank::Part | Rank::Parting)
-                || (jobs && *rank == Rank::Kept);
-            stays || offered.ask.try_send(()).is_err()
+            let stays = matches!(rank, Rank::Fresh | Rank::PartialMessage | Rank::Closing)
+                || (jobs && *rank == Rank::Worker);
+            stays || offered.evict.try_send(()).is_err()
         });
     }
 
     /// Connections that have had their last answer.
-    pub fn parting(&self) -> usize {
-        self.offers.borrow().range(..(Rank::Silent, 0)).count()
+    pub fn closing(&self) -> usize {
+        self.offers.borrow().range(..(Rank::NothingSent, 0)).count()
     }
 
     /// Asks those clients' connections to close that have stood idle for so long.
-    pub fn shed_clients(&self, idle: Duration) {
+    pub fn evict_idle_clients(&self, idle: Duration) {
         self.offers.borrow_mut().retain(|_, offered| {
-            let goes = offered.client && offered.since.elapsed() >= idle;
-            !goes || offered.ask.try_send(()).is_err()
+            let chosen = offered.client && offered.since.elapsed() >= idle;
+            !chosen || offered.evict.try_send(()).is_err()
         });
     }
 
     /// Notes that a connection may be asked to close.
     pub fn offer(self: &Rc<Self>, rank: Rank, client: bool) -> Offer {
-        let (ask, asked) = bounded(1);
+        let (evict, evicted) = bounded(1);
         let key = (rank, self.next.replace(self.next.get() + 1));
         self.offers.borrow_mut().insert(
             key,
             Offered {
-                ask,
+                evict,
                 client,
                 since: Instant::now(),
             },
@@ -213,7 +214,7 @@
         Offer {
             set: self.clone(),
             key,
-            asked,
+            evicted,
         }
     }
 
@@ -225,8 +226,8 @@
 
 impl Offer {
     /// Returns once the set asks for the connection to be closed.
-    pub async fn asked(&self) {
-        if self.asked.recv().await.is_err() {
+    pub async fn evicted(&self) {
+        if self.evicted.recv().await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -241,7 +242,7 @@
 impl Drop for Seat {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
-        if self.1 != Way::Out {
+        if self.1 != Direction::Outbound {
             self.0.accepted.set(self.0.accepted.get() - 1);
         }
     }
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -366,7 +366,7 @@
         front.open().await;
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
         let address = listener.get_ref().local_addr().expect("an address");
-        net.start(faktory::serve::listen(front, Rc::new(listener)));
+        net.spawn(faktory::serve::listen(front, Rc::new(listener)));
         let next = || async {
             match heard.recv().await.expect("news") {
                 CoreInput::Membership(scope, entries) => {
