--- a/crates/indigofold/src/admin.rs
+++ b/crates/indigofold/src/admin.rs
@@ -3,7 +3,7 @@
 
 use crate::core::metrics::Metrics;
 use crate::dispatcher::WorkerCounts;
-use crate::front::Life;
+use crate::front::Lifecycle;
 use crate::net::{Net, log};
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -16,29 +16,29 @@
 use std::time::{Duration, Instant};
 
 /// Calls at once: so many descriptors are set aside. One more, and the oldest is turned away.
-const CALLS: usize = 16;
+const MAX_CALLS: usize = 16;
 /// The longest line that is a call.
-const LINE: usize = 128;
+const MAX_CALL_BYTES: usize = 128;
 /// A call must be whole within this time, and its answer taken within as much again.
-const CALL: Duration = Duration::from_millis(700);
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// An operator's other end has this long to read its answer before the connection is closed over what it still sends.
-const AFTER: Duration = Duration::from_millis(100);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Once drained, idle clients' connections are left for so long: until then the front has not seen that the
 /// scheduler is not ready, and jobs come on them.
-const STILL_COME: Duration = Duration::from_millis(1_000);
+const KEEP_IDLE_AFTER_DRAIN: Duration = Duration::from_millis(1_000);
 /// ... then those go that have been idle for this long: a job may be on its way on the others ...
-const IDLE: Duration = Duration::from_millis(300);
+const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(300);
 /// ... and after this all that are idle.
-const ALL: Duration = Duration::from_millis(2_500);
+const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(2_500);
 /// How often that is looked at.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the admin endpoint shows and moves.
 pub struct AdminEndpoint {
     /// The network: its tasks and its connections.
     pub net: Net,
     /// The program's life.
-    pub life: Rc<Life>,
+    pub lifecycle: Rc<Lifecycle>,
     /// The figures.
     pub metrics: Rc<Metrics>,
     /// Does this process take clients?
@@ -50,7 +50,7 @@
 }
 
 /// What one hears that has to make room.
-const AWAY: &str = "too many calls";
+const TOO_MANY_CALLS: &str = "too many calls";
 
 /// Takes calls for as long as the program runs.
 pub async fn listen(admin: Rc<AdminEndpoint>, listener: Async<TcpListener>) {
@@ -59,7 +59,7 @@
     loop {
         // Nobody is turned away before somebody is there.
         let _ = listener.readable().await;
-        if open.get() >= CALLS {
+        if open.get() >= MAX_CALLS {
             let oldest = waiting.borrow_mut().pop_front();
             oldest.inspect(|oldest| _ = oldest.try_send(()));
             Timer::after(Duration::from_millis(1)).await;
@@ -74,31 +74,31 @@
             }
         };
         open.set(open.get() + 1);
-        let (turn_away, turned_away) = async_channel::bounded(1);
-        waiting.borrow_mut().push_back(turn_away.clone());
+        let (reject, rejected) = async_channel::bounded(1);
+        waiting.borrow_mut().push_back(reject.clone());
         let (admin, waiting, open) = (admin.clone(), waiting.clone(), open.clone());
         admin.net.clone().spawn(async move {
-            let away = async {
-                let _ = turned_away.recv().await;
-                Err(AWAY)
+            let rejection = async {
+                let _ = rejected.recv().await;
+                Err(TOO_MANY_CALLS)
             };
-            let (line, length) = match call(&stream).or(away).await {
-                Ok((line, length)) => (line, Ok(length)),
-                Err(why) => ([0; LINE], Err(why)),
+            let (request, length) = match call(&stream).or(rejection).await {
+                Ok((request, length)) => (request, Ok(length)),
+                Err(why) => ([0; MAX_CALL_BYTES], Err(why)),
             };
-            waiting.borrow_mut().retain(|w| !w.same_channel(&turn_away));
+            waiting.borrow_mut().retain(|w| !w.same_channel(&reject));
             let text = match length {
-                Ok(length) => admin.obey(&line[..length]),
+                Ok(length) => admin.execute(&request[..length]),
                 Err(why) => format!("fail {why}\n"),
             };
             let written = async { (&stream).write_all(text.as_bytes()).await.is_ok() };
             let stalled = async {
-                Timer::after(CALL).await;
+                Timer::after(CALL_TIMEOUT).await;
                 false
             };
             // One that is turned away makes room at once.
-            if written.or(stalled).await && length != Err(AWAY) {
-                part(&stream).await;
+            if written.or(stalled).await && length != Err(TOO_MANY_CALLS) {
+                finish_write(&stream).await;
             }
             open.set(open.get() - 1);
         });
@@ -106,51 +106,52 @@
 }
 
 /// Reads one line.
-async fn call(stream: &Async<TcpStream>) -> Result<([u8; LINE], usize), &'static str> {
+async fn call(stream: &Async<TcpStream>) -> Result<([u8; MAX_CALL_BYTES], usize), &'static str> {
     let read = async {
-        let (mut line, mut length) = ([0; LINE], 0);
+        let (mut request, mut length) = ([0; MAX_CALL_BYTES], 0);
         loop {
-            match (&mut &*stream).read(&mut line[length..]).await {
-                Ok(0) if length == LINE => return Err("a call is one short line"),
+            match (&mut &*stream).read(&mut request[length..]).await {
+                Ok(0) if length == MAX_CALL_BYTES => return Err("a call is one short line"),
                 Ok(count @ 1..) => length += count,
                 _ => return Err("the call broke off"),
             }
-            if let Some(end) = line[..length].iter().position(|b| *b == b'\n') {
-                return Ok((line, end));
+            if let Some(end) = request[..length].iter().position(|b| *b == b'\n') {
+                return Ok((request, end));
             }
         }
     };
     let late = async {
-        Timer::after(CALL).await;
+        Timer::after(CALL_TIMEOUT).await;
         Err("no whole call in time")
     };
     read.or(late).await
 }
 
 /// Says that nothing more comes, and reads over what does: a close over it could cost the other side its answer.
-async fn part(stream: &Async<TcpStream>) {
+async fn finish_write(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Write);
     let rest = async {
-        let mut bytes = [0; LINE];
-        for _ in 0..CALLS {
+        let mut bytes = [0; MAX_CALL_BYTES];
+        for _ in 0..MAX_CALLS {
             if !matches!((&mut &*stream).read(&mut bytes).await, Ok(1..)) {
                 return;
             }
         }
     };
-    rest.or(async { _ = Timer::after(AFTER).await }).await;
+    rest.or(async { _ = Timer::after(CLOSE_TIMEOUT).await })
+        .await;
 }
 
 impl AdminEndpoint {
-    fn obey(self: &Rc<Self>, line: &[u8]) -> String {
-        let called = line.trim_ascii();
+    fn execute(self: &Rc<Self>, request: &[u8]) -> String {
+        let called = request.trim_ascii();
         match called {
             b"status" if (self.serves)() => return "ok\n".into(),
             b"status" => return "fail takes no submitters\n".into(),
-            b"stats" => return self.stats(),
+            b"stats" => return self.metrics_text(),
             b"standby" => self.drain(),
             b"active" => {
-                self.life.drained.set(false);
+                self.lifecycle.drained.set(false);
                 self.draining.take();
             }
             _ => return "fail no such call\n".into(),
@@ -163,43 +164,45 @@
     }
 
     /// The figures, one a line.
-    fn stats(&self) -> String {
+    fn metrics_text(&self) -> String {
         let (mut text, metrics) = (String::new(), &self.metrics);
-        let mut line = |name: &str, value: u64, kind: char| {
+        let mut write_metric = |name: &str, value: u64, kind: char| {
             let _ = writeln!(text, "edge_gw.{name}:{value}|{kind}");
         };
         for (class, name) in (self.classes)().iter().enumerate() {
             let ends = metrics.of(class as u32);
             for (end, count) in ["ok", "shed", "errors"].iter().zip(ends) {
-                line(&format!("{end}.{name}"), count, 'c');
+                write_metric(&format!("{end}.{name}"), count, 'c');
             }
         }
         let WorkerCounts { listed, avoided } = metrics.workers.get();
         let (applied, rejected) = metrics.config_files.get();
-        line("tries", metrics.attempts_sent.get(), 'c');
-        line("config_applied", applied, 'c');
-        line("config_rejected", rejected, 'c');
-        line("active", metrics.open.get(), 'g');
-        line("pool_size", listed, 'g');
-        line("pool_ejected", avoided, 'g');
+        write_metric("tries", metrics.attempts_sent.get(), 'c');
+        write_metric("config_applied", applied, 'c');
+        write_metric("config_rejected", rejected, 'c');
+        write_metric("active", metrics.open.get(), 'g');
+        write_metric("pool_size", listed, 'g');
+        write_metric("pool_ejected", avoided, 'g');
         text + "eof\n"
     }
 
     /// No new clients: from now on not ready, and each job's answer closes its connection. A connection that
     /// stands idle is closed too, once the front has had time to see it.
     fn drain(self: &Rc<Self>) {
-        if self.life.drained.replace(true) {
+        if self.lifecycle.drained.replace(true) {
             return;
         }
         let (set, since) = (self.net.set.clone(), Instant::now());
         let closing = self.net.spawn_scoped(async move {
             loop {
                 match since.elapsed() {
-                    all if all > ALL => set.evict_idle_clients(Duration::ZERO),
-                    some if some > STILL_COME => set.evict_idle_clients(IDLE),
+                    all if all > CLOSE_ALL_IDLE_AFTER => set.evict_idle_clients(Duration::ZERO),
+                    some if some > KEEP_IDLE_AFTER_DRAIN => {
+                        set.evict_idle_clients(IDLE_BEFORE_CLOSE)
+                    }
                     _ => {}
                 }
-                Timer::after(LOOK).await;
+                Timer::after(CHECK_INTERVAL).await;
             }
         });
         self.draining.replace(Some(closing));
--- a/crates/indigofold/src/bin/indigofold-sim-adapter.rs
+++ b/crates/indigofold/src/bin/indigofold-sim-adapter.rs
@@ -24,9 +24,9 @@
         if input.read_line(&mut line)? == 0 {
             return Ok(session.finish()?);
         }
-        let reply = session.line(line.trim_end_matches('\n'));
-        for note in session.take_notes() {
-            eprintln!("indigofold-sim-adapter: {note}");
+        let reply = session.feed(line.trim_end_matches('\n'));
+        for warning in session.take_warnings() {
+            eprintln!("indigofold-sim-adapter: {warning}");
         }
         if let Some(reply) = reply? {
             output.write_all(reply.as_bytes())?;
--- a/crates/indigofold/src/config.rs
+++ b/crates/indigofold/src/config.rs
@@ -7,7 +7,7 @@
 mod settings;
 mod site;
 
-pub use discovery::{DiscoveryList, Machine, News};
+pub use discovery::{JobReport, Machine, MembershipUpdate};
 pub use faktory::{Faktory, FaktoryMachine};
 pub use platform::Platform;
 use serde::Deserialize;
--- a/crates/indigofold/src/config/discovery.rs
+++ b/crates/indigofold/src/config/discovery.rs
@@ -6,13 +6,13 @@
 
 /// The list of machines as discovery writes it.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct DiscoveryList {
+pub struct MembershipUpdate {
     /// Its version.
     #[serde(default)]
     pub seq: u64,
     /// All machines, not only what changed.
-    #[serde(default)]
-    pub whole: bool,
+    #[serde(default, rename = "whole")]
+    pub complete: bool,
     /// The machines.
     #[serde(default)]
     pub hosts: Vec<Machine>,
@@ -49,7 +49,7 @@
     1.0
 }
 
-impl DiscoveryList {
+impl MembershipUpdate {
     /// Reads a list from JSON text, which is used up.
     pub fn read(text: &mut [u8]) -> Parse<Self> {
         decode(text).map_err(|e| format!("no machine list: {e}"))
@@ -58,7 +58,7 @@
 
 /// News of a job, as job workers tell it.
 #[derive(Debug, Deserialize)]
-pub struct News {
+pub struct JobReport {
     /// The job's id, as its client named it.
     pub id: String,
     /// The machine.
@@ -77,7 +77,7 @@
     pub load: Option<OwnedValue>,
 }
 
-impl News {
+impl JobReport {
     /// Reads one piece of news from JSON text, which is used up.
     pub fn read(text: &mut [u8]) -> Parse<Self> {
         decode(text).map_err(|e| format!("no news: {e}"))
--- a/crates/indigofold/src/config/faktory.rs
+++ b/crates/indigofold/src/config/faktory.rs
@@ -55,7 +55,7 @@
     /// Memory that it may use.
     pub memory_mb: usize,
     /// A job worker that has not sent its heartbeat for this long is gone.
-    pub beat_within: Time,
+    pub heartbeat_timeout: Time,
     /// ... and one without a connection is, after this long.
     pub reconnect_within: Time,
     /// How many answers are remembered.
@@ -95,7 +95,7 @@
             iterations: raw.iterations.unwrap_or(1000).clamp(1, 100_000),
             sockets: raw.sockets.unwrap_or(1024),
             memory_mb: raw.memory_mb.unwrap_or(MEMORY_MB),
-            beat_within: raw.beat_within_ms.unwrap_or(30_000) * 1000,
+            heartbeat_timeout: raw.beat_within_ms.unwrap_or(30_000) * 1000,
             reconnect_within: raw.reconnect_within_ms.unwrap_or(1_000) * 1000,
             remember: raw.remember.unwrap_or(4096),
             machines: raw.machines,
--- a/crates/indigofold/src/config/json.rs
+++ b/crates/indigofold/src/config/json.rs
@@ -18,7 +18,7 @@
         Json(self.0.and_then(|v| v.get_idx(n)))
     }
 
-    pub(super) fn list(self) -> impl Iterator<Item = Json<'a>> {
+    pub(super) fn items(self) -> impl Iterator<Item = Json<'a>> {
         self.0
             .and_then(|v| v.as_array())
             .into_iter()
@@ -70,18 +70,18 @@
     }
 
     /// One of some words, or none where it is absent.
-    pub(super) fn word<T: Copy>(self, key: &str, words: &[(&str, T)]) -> Parse<Option<T>> {
+    pub(super) fn one_of<T: Copy>(self, key: &str, choices: &[(&str, T)]) -> Parse<Option<T>> {
         let Some(value) = self.at(key).0 else {
             return Ok(None);
         };
-        let found = words
+        let found = choices
             .iter()
-            .find(|(word, _)| value.as_str() == Some(word))
+            .find(|(choice, _)| value.as_str() == Some(choice))
             .map(|(_, meant)| *meant);
         let all = || {
-            words
+            choices
                 .iter()
-                .map(|(word, _)| format!("'{word}'"))
+                .map(|(choice, _)| format!("'{choice}'"))
                 .collect::<Vec<_>>()
                 .join(", ")
         };
--- a/crates/indigofold/src/config/platform.rs
+++ b/crates/indigofold/src/config/platform.rs
@@ -1,6 +1,6 @@
 //! The configuration of the platform's front, and what a file that replaces it must have.
 
-use super::discovery::DiscoveryList;
+use super::discovery::MembershipUpdate;
 use super::{MEMORY_MB, Parse, Site, decode, hash};
 use serde::Deserialize;
 use simd_json::OwnedValue;
@@ -21,7 +21,7 @@
     #[serde(default)]
     limits: RawLimits,
     #[serde(default)]
-    known: DiscoveryList,
+    known: MembershipUpdate,
     settings: OwnedValue,
 }
 
@@ -51,16 +51,16 @@
     /// Memory that it may use.
     pub memory_mb: usize,
     /// The discovery list as last held, perhaps old.
-    pub known: DiscoveryList,
+    pub known: MembershipUpdate,
     /// The settings.
     pub site: Site,
-    whole: OwnedValue,
+    document: OwnedValue,
 }
 
 impl Platform {
     /// Reads the configuration from JSON text; what the environment says goes before it.
     pub fn read(mut text: Vec<u8>, env: impl Fn(&str) -> Option<String>) -> Parse<Self> {
-        let whole: OwnedValue =
+        let document: OwnedValue =
             decode(&mut text.clone()).map_err(|e| format!("no configuration: {e}"))?;
         let raw: Raw = decode(&mut text).map_err(|e| format!("no configuration: {e}"))?;
         let or = |name: &str, value: String| env(name).filter(|v| !v.is_empty()).unwrap_or(value);
@@ -85,15 +85,15 @@
             memory_mb: raw.limits.memory_mb.unwrap_or(MEMORY_MB),
             known: raw.known,
             site,
-            whole,
+            document,
         })
     }
 
     /// Reads the file again in place of this one: it must have all that this one has.
-    pub fn again(&self, text: Vec<u8>) -> Parse<Self> {
+    pub fn reread(&self, text: Vec<u8>) -> Parse<Self> {
         // The environment is that of the start: what the file says newly goes before it.
         let new = Platform::read(text, |_| None)?;
-        lacks(&self.whole, &new.whole).map_or(Ok(new), |key| {
+        missing_key(&self.document, &new.document).map_or(Ok(new), |key| {
             Err(format!("'{key}' is missing or of another kind"))
         })
     }
@@ -101,7 +101,7 @@
 
 /// A key that an object has and its successor has not, or has with a value of another kind. In a list of objects each
 /// must have what all had before; how many there are is free.
-fn lacks(old: &OwnedValue, new: &OwnedValue) -> Option<String> {
+fn missing_key(old: &OwnedValue, new: &OwnedValue) -> Option<String> {
     let within = |key: &str, of: Option<String>| of.map(|inner| format!("{key}.{inner}"));
     match (old, new) {
         (OwnedValue::Object(old), OwnedValue::Object(new)) => {
@@ -110,7 +110,7 @@
                 new.get(key).map_or_else(missing, |new| match key.as_str() {
                     "known" => None, // as old as the program's start
                     _ if kind(value) != kind(new) => missing(),
-                    _ => within(key, lacks(value, new)),
+                    _ => within(key, missing_key(value, new)),
                 })
             })
         }
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -20,11 +20,11 @@
             ("zone", Group::Zone),
             ("cell", Group::Cell),
         ];
-        let effect = match c.word("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
+        let effect = match c.one_of("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
             Some(0) => Effect::Safe,
             Some(1) => {
                 let group = c
-                    .word("group", &groups)?
+                    .one_of("group", &groups)?
                     .ok_or("setting 'group' is missing")?;
                 Effect::Keyed {
                     group,
@@ -51,7 +51,7 @@
             priority: domain.at("classPriority").item(i).number().unwrap_or(0.0) as i32,
         })
     };
-    for (i, c) in env.at("profiles").list().enumerate() {
+    for (i, c) in env.at("profiles").items().enumerate() {
         let name = c.at("name").text().unwrap_or("");
         classes.push(class(i, c).map_err(|why| format!("profiles[{i}] {name:?}: {why}"))?);
     }
@@ -60,7 +60,7 @@
         ("on_probe", Reports::OnProbe),
         ("off", Reports::Off),
     ];
-    let tenants = env.at("customers").list().map(|t| Tenant {
+    let tenants = env.at("customers").items().map(|t| Tenant {
         quota_per_s: t.number_or("quotaPerS", 0.0),
         fraction: t.number_or("fraction", 0.0),
     });
@@ -72,16 +72,16 @@
         classes,
         tenants: tenants.collect(),
         membership_pushed: env
-            .word("discovery", &[("pushed", true), ("on_request", false)])?
+            .one_of("discovery", &[("pushed", true), ("on_request", false)])?
             .unwrap_or(false),
         reports_start: domain.at("tellsStart").flag(),
         progress: domain.number_or("progress", 0.0).max(0.0) as Time,
         reports: env
             .at("telemetry")
-            .word("source", &sources)?
+            .one_of("source", &sources)?
             .unwrap_or(Reports::Off),
         value_by_work: env
-            .word("worthBy", &[("request", false), ("work", true)])?
+            .one_of("worthBy", &[("request", false), ("work", true)])?
             .unwrap_or(false),
         over_quota_value: env.number_or("overShareWorth", 1.0),
         limits: Limits {
--- a/crates/indigofold/src/config/site.rs
+++ b/crates/indigofold/src/config/site.rs
@@ -81,7 +81,7 @@
                     .unwrap_or("")
                     .to_string()
             };
-            Names(env.at(key).list().map(name).collect())
+            Names(env.at(key).items().map(name).collect())
         };
         let mut zones = names("zones", None);
         let zone = zones.id(env.at("myZone").text().unwrap_or(""));
@@ -175,10 +175,10 @@
 }
 
 /// Puts an entry at its id: in place of the one there, or behind the last.
-fn put<T>(list: &mut Vec<T>, id: u32, entry: T) {
-    match list.get_mut(id as usize) {
+fn put<T>(items: &mut Vec<T>, id: u32, entry: T) {
+    match items.get_mut(id as usize) {
         Some(old) => *old = entry,
-        None => list.push(entry),
+        None => items.push(entry),
     }
 }
 
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -2,10 +2,10 @@
 //! machine. Off unless an operator's file sets it up.
 
 pub mod codec;
-pub mod machines;
+pub mod machine;
 pub mod serve;
 
-use super::Life;
+use super::Lifecycle;
 use crate::api::{Entry, Request, Scope, Status, Time, WorkerId, WorkerState};
 use crate::config::{self, Faktory as File};
 use crate::core::actor::Mailbox;
@@ -17,13 +17,13 @@
 use crate::net::{Net, log};
 use async_channel::{Sender, bounded};
 use async_io::Timer;
-use machines::{Machine, Order};
+use machine::{Machine, Order};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
 /// Orders that may wait for a machine; attempts beyond that are turned down unsent.
-const MAILBOX: usize = 512;
+const MAX_QUEUED_ORDERS: usize = 512;
 
 /// A job as it is passed on.
 pub struct Parcel {
@@ -34,15 +34,15 @@
     /// The job as it was pushed.
     pub text: Buffer,
     /// Job workers that have it in hand.
-    pub in_hand: Cell<usize>,
+    pub assigned: Cell<usize>,
     /// Attempts that were given out to a job worker.
-    pub given_out: RefCell<Vec<AttemptId>>,
+    pub assigned_attempts: RefCell<Vec<AttemptId>>,
     /// Attempts that were given up: marked at once, as word of it may be behind a fetch in a machine's mailbox.
-    pub off: RefCell<Vec<AttemptId>>,
+    pub withdrawn: RefCell<Vec<AttemptId>>,
 }
 
 /// What is known of a job id.
-enum Known {
+enum JobState {
     /// Its job is open, and these wait for its answer.
     Open(JobId, Vec<(u64, Sender<Answer>)>),
     /// All clients had left when job workers had it in hand; whoever asks again waits for them.
@@ -58,7 +58,7 @@
     /// The clock.
     pub clock: Clock,
     /// The program's life.
-    pub life: Rc<Life>,
+    pub lifecycle: Rc<Lifecycle>,
     /// The operator's file.
     pub file: File,
     /// The way to the core.
@@ -68,7 +68,7 @@
     /// Commands taken, jobs served, jobs failed.
     pub counts: [Cell<u64>; 3],
     parcels: RefCell<HashMap<JobId, Rc<Parcel>>>,
-    known: RefCell<HashMap<String, Known>>,
+    known: RefCell<HashMap<String, JobState>>,
     answered: RefCell<VecDeque<String>>, // job ids with an answer, the oldest first
     next: Cell<u64>,
     machines: RefCell<HashMap<WorkerId, Sender<Order>>>,
@@ -77,11 +77,17 @@
 
 impl Faktory {
     /// The front, with an actor for each machine of the operator's file.
-    pub fn new(net: Net, clock: Clock, life: Rc<Life>, file: File, core: Mailbox) -> Rc<Self> {
+    pub fn new(
+        net: Net,
+        clock: Clock,
+        lifecycle: Rc<Lifecycle>,
+        file: File,
+        core: Mailbox,
+    ) -> Rc<Self> {
         let front = Rc::new(Faktory {
             net,
             clock,
-            life,
+            lifecycle,
             file,
             core,
             since: clock.now(),
@@ -94,7 +100,7 @@
             wids: RefCell::default(),
         });
         for entry in front.entries() {
-            let (orders, inbox) = bounded(MAILBOX);
+            let (orders, inbox) = bounded(MAX_QUEUED_ORDERS);
             let (id, n) = (entry.worker, front.machines.borrow().len());
             front.machines.borrow_mut().insert(id, orders.clone());
             for wid in &front.file.machines[n].wids {
@@ -141,11 +147,11 @@
         self.known
             .borrow()
             .values()
-            .filter(|k| !matches!(k, Known::Answered(_)))
+            .filter(|k| !matches!(k, JobState::Answered(_)))
             .count()
     }
 
-    fn number(&self) -> u64 {
+    fn next_number(&self) -> u64 {
         self.next.replace(self.next.get() + 1)
     }
 
@@ -162,20 +168,22 @@
         parcel: Parcel,
         to: Sender<Answer>,
     ) -> u64 {
-        let number = self.number();
+        let number = self.next_number();
         let jid = parcel.jid.clone();
         if let Some(known) = self.known.borrow_mut().get_mut(&jid) {
             match known {
-                Known::Answered(answer) => _ = to.try_send(*answer),
-                Known::Open(_, waiting) | Known::Orphan(_, waiting) => waiting.push((number, to)),
+                JobState::Answered(answer) => _ = to.try_send(*answer),
+                JobState::Open(_, waiting) | JobState::Orphan(_, waiting) => {
+                    waiting.push((number, to))
+                }
             }
             return number;
         }
-        let job = self.number();
+        let job = self.next_number();
         request.id = job;
         self.known
             .borrow_mut()
-            .insert(jid.clone(), Known::Open(job, vec![(number, to)]));
+            .insert(jid.clone(), JobState::Open(job, vec![(number, to)]));
         self.parcels.borrow_mut().insert(job, Rc::new(parcel));
         let (answer, answered) = bounded(1);
         let _ = self
@@ -190,7 +198,7 @@
             // The core was told that the clients are gone. A job worker that has the job in hand may yet
             // tell how it went, for as long as the job had.
             Timer::at(front.clock.instant(until)).await;
-            if matches!(front.known.borrow().get(&jid), Some(Known::Orphan(..))) {
+            if matches!(front.known.borrow().get(&jid), Some(JobState::Orphan(..))) {
                 front.finish(&jid, Answer::Failed);
             }
         });
@@ -200,7 +208,7 @@
     /// Gives everybody who waits for a job its answer, and remembers it.
     fn finish(&self, jid: &str, answer: Answer) {
         let known = self.known.borrow_mut().remove(jid);
-        let Some(Known::Open(_, waiting) | Known::Orphan(_, waiting)) = known else {
+        let Some(JobState::Open(_, waiting) | JobState::Orphan(_, waiting)) = known else {
             return;
         };
         for (_, to) in waiting {
@@ -214,7 +222,7 @@
             Answer::Failed => count(2),
         }
         let (mut known, mut answered) = (self.known.borrow_mut(), self.answered.borrow_mut());
-        known.insert(jid.to_string(), Known::Answered(answer));
+        known.insert(jid.to_string(), JobState::Answered(answer));
         answered.push_back(jid.to_string());
         while answered.len() > self.file.remember {
             if let Some(oldest) = answered.pop_front() {
@@ -225,10 +233,10 @@
 
     /// A client has left. With the last one goes the job; but where a job worker has it in hand its id
     /// stays known, so that a client who comes back does not cause a second run.
-    async fn leave(&self, jid: &str, number: u64) {
-        let gone = {
+    async fn client_left(&self, jid: &str, number: u64) {
+        let closed = {
             let mut known = self.known.borrow_mut();
-            let Some(Known::Open(job, waiting)) = known.get_mut(jid) else {
+            let Some(JobState::Open(job, waiting)) = known.get_mut(jid) else {
                 return;
             };
             waiting.retain(|(n, _)| *n != number);
@@ -240,35 +248,35 @@
                 .parcels
                 .borrow()
                 .get(&job)
-                .filter(|p| p.in_hand.get() > 0)
+                .filter(|p| p.assigned.get() > 0)
                 .cloned();
             match parcel {
-                Some(parcel) => known.insert(jid.to_string(), Known::Orphan(parcel, Vec::new())),
+                Some(parcel) => known.insert(jid.to_string(), JobState::Orphan(parcel, Vec::new())),
                 None => known.remove(jid),
             };
             job
         };
-        let _ = self.core.send(CoreInput::ClientLeft(gone)).await;
+        let _ = self.core.send(CoreInput::ClientLeft(closed)).await;
     }
 }
 
 impl Faktory {
     /// May this attempt still be handed to a job worker?
-    fn wanted(&self, attempt: &Attempt, parcel: &Parcel) -> bool {
-        let open = |k: &Known| matches!(k, Known::Open(job, _) if *job == attempt.id.job);
-        !parcel.off.borrow().contains(&attempt.id)
+    fn is_wanted(&self, attempt: &Attempt, parcel: &Parcel) -> bool {
+        let open = |k: &JobState| matches!(k, JobState::Open(job, _) if *job == attempt.id.job);
+        !parcel.withdrawn.borrow().contains(&attempt.id)
             && self.known.borrow().get(&parcel.jid).is_some_and(open)
     }
 
     /// A job worker no longer has a job in hand that its clients have left.
     fn orphan_ended(&self, parcel: &Rc<Parcel>, status: Status) {
-        let of = |k: &Known| matches!(k, Known::Orphan(p, _) if Rc::ptr_eq(p, parcel));
+        let of = |k: &JobState| matches!(k, JobState::Orphan(p, _) if Rc::ptr_eq(p, parcel));
         if !self.known.borrow().get(&parcel.jid).is_some_and(of) {
             return;
         }
         match status {
             Status::Ok => self.finish(&parcel.jid, Answer::Served),
-            _ if parcel.in_hand.get() > 0 => {}
+            _ if parcel.assigned.get() > 0 => {}
             Status::Moot | Status::ConnectFailed => self.finish(&parcel.jid, Answer::Rejected(0)),
             _ => self.finish(&parcel.jid, Answer::Failed),
         }
@@ -292,10 +300,12 @@
 
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp {
         let parcel = self.parcels.borrow().get(&attempt.job).cloned();
-        parcel.iter().for_each(|p| p.off.borrow_mut().push(attempt));
-        self.order(machine, Order::Clear);
+        parcel
+            .iter()
+            .for_each(|p| p.withdrawn.borrow_mut().push(attempt));
+        self.order(machine, Order::DropWithdrawn);
         // What is marked and was not given out before is never given out.
-        let unsent = parcel.is_some_and(|p| !p.given_out.borrow().contains(&attempt));
+        let unsent = parcel.is_some_and(|p| !p.assigned_attempts.borrow().contains(&attempt));
         if unsent {
             GivenUp::Unsent
         } else {
--- a/crates/indigofold/src/front/faktory/codec.rs
+++ b/crates/indigofold/src/front/faktory/codec.rs
@@ -65,7 +65,7 @@
 }
 
 #[derive(Deserialize)]
-struct Beat {
+struct HeartbeatBody {
     wid: String,
     #[serde(default)]
     current_state: String,
@@ -85,7 +85,7 @@
     /// The job has failed.
     Fail(String),
     /// I am alive; `true`: I take nothing new.
-    Beat(String, bool),
+    Heartbeat(String, bool),
     /// How are you?
     Info,
     /// Good-bye.
@@ -94,8 +94,8 @@
 
 impl Command {
     /// Reads a line without its end. An error says what is wrong with it.
-    pub fn read(line: &[u8]) -> Result<Command, String> {
-        let text = std::str::from_utf8(line).map_err(|_| "a command must be UTF-8")?;
+    pub fn parse(command: &[u8]) -> Result<Command, String> {
+        let text = std::str::from_utf8(command).map_err(|_| "a command must be UTF-8")?;
         let (verb, rest) = text.split_once(' ').unwrap_or((text, ""));
         let rest = rest.trim();
         Ok(match verb {
@@ -112,10 +112,10 @@
             "ACK" => Command::Ack(json::<Jid>("ACK", rest)?.jid),
             "FAIL" => Command::Fail(json::<Jid>("FAIL", rest)?.jid),
             "BEAT" => {
-                let beat: Beat = json("BEAT", rest)?;
-                Command::Beat(
-                    beat.wid,
-                    matches!(beat.current_state.as_str(), "quiet" | "terminate"),
+                let body: HeartbeatBody = json("BEAT", rest)?;
+                Command::Heartbeat(
+                    body.wid,
+                    matches!(body.current_state.as_str(), "quiet" | "terminate"),
                 )
             }
             "INFO" => Command::Info,
@@ -135,7 +135,7 @@
     let mut bytes = text.as_bytes().to_vec();
     // The library's words may quote the line; a reply must stay one line.
     crate::config::decode(&mut bytes)
-        .map_err(|e| one_line(&format!("{verb} needs a JSON object: {e}")))
+        .map_err(|e| single_line(&format!("{verb} needs a JSON object: {e}")))
 }
 
 fn checked(job: Job) -> Result<Job, String> {
@@ -148,7 +148,7 @@
     Ok(job)
 }
 
-fn one_line(text: &str) -> String {
+fn single_line(text: &str) -> String {
     text.chars()
         .map(|c| if c.is_control() { ' ' } else { c })
         .take(200)
@@ -162,7 +162,7 @@
 
 /// An error reply.
 pub fn error(text: &str) -> String {
-    format!("-ERR {}\r\n", one_line(text))
+    format!("-ERR {}\r\n", single_line(text))
 }
 
 /// A bulk string.
@@ -191,6 +191,6 @@
 }
 
 /// Compares without telling by its time where two texts differ.
-pub fn same(a: &str, b: &str) -> bool {
+pub fn constant_time_eq(a: &str, b: &str) -> bool {
     a.len() == b.len() && a.bytes().zip(b.bytes()).fold(0, |d, (a, b)| d | (a ^ b)) == 0
 }
--- a/crates/indigofold/src/front/faktory/machines.rs
+++ b/crates/indigofold/src/front/faktory/machine.rs
@@ -16,26 +16,26 @@
     /// The module has assigned it this job.
     Send(Attempt, Rc<Parcel>),
     /// Some attempts were given up.
-    Clear,
+    DropWithdrawn,
     /// A job worker has connected: its name, which start of it this is, the connection.
-    Here(String, String, u64),
+    Connected(String, String, u64),
     /// One of its connections has ended.
-    Away(String, u64),
+    Disconnected(String, u64),
     /// Its heartbeat; `true`: it takes nothing new.
-    Beat(String, bool),
+    Heartbeat(String, bool),
     /// It wants a job of one of these queues.
-    Fetch(u64, String, Vec<String>, Sender<Handed>),
+    Fetch(u64, String, Vec<String>, Sender<Assignment>),
     /// A fetch was withdrawn.
-    NoFetch(u64),
+    CancelFetch(u64),
     /// A job has been written to it, or not: then it never ran.
-    Written(Handed, bool),
+    Written(Assignment, bool),
     /// It says how a job went.
     Ended(String, String, Status),
 }
 
 /// An attempt on its way to a job worker.
 #[derive(Clone)]
-pub struct Handed {
+pub struct Assignment {
     /// The attempt.
     pub attempt: Attempt,
     /// The job.
@@ -47,16 +47,16 @@
 struct Process {
     start: String,
     links: BTreeSet<u64>,
-    beat_by: Time,
+    heartbeat_by: Time,
     link_by: Option<Time>, // it has no connection, and is gone unless one comes before this
     quiet: bool,
-    silent: bool, // its heartbeat is overdue: it counts as gone until the next one
+    unresponsive: bool, // its heartbeat is overdue: it counts as gone until the next one
 }
 
 impl Process {
     /// May it be handed something new?
-    fn takes(&self) -> bool {
-        !self.quiet && !self.silent
+    fn takes_jobs(&self) -> bool {
+        !self.quiet && !self.unresponsive
     }
 }
 
@@ -64,7 +64,7 @@
     link: u64,
     wid: String,
     queues: Vec<String>,
-    to: Sender<Handed>,
+    to: Sender<Assignment>,
 }
 
 /// The actor.
@@ -74,7 +74,7 @@
     processes: BTreeMap<String, Process>,
     waiting: VecDeque<(Attempt, Rc<Parcel>)>,
     fetches: VecDeque<Fetch>,
-    in_hand: BTreeMap<String, Handed>, // by job id
+    assigned: BTreeMap<String, Assignment>, // by job id
 }
 
 impl Machine {
@@ -86,18 +86,18 @@
             processes: BTreeMap::new(),
             waiting: VecDeque::new(),
             fetches: VecDeque::new(),
-            in_hand: BTreeMap::new(),
+            assigned: BTreeMap::new(),
         }
     }
 
     /// Runs for as long as somebody may give orders.
     pub async fn run(mut self, inbox: Receiver<Order>) {
         loop {
-            let beat = |p: &Process| (!p.silent).then_some(p.beat_by);
+            let heartbeat_due = |p: &Process| (!p.unresponsive).then_some(p.heartbeat_by);
             let due = self
                 .processes
                 .values()
-                .flat_map(|p| [beat(p), p.link_by])
+                .flat_map(|p| [heartbeat_due(p), p.link_by])
                 .flatten()
                 .min();
             let order: Result<Option<Order>, RecvError> = match due {
@@ -111,30 +111,32 @@
                 }
             };
             match order {
-                Ok(Some(order)) => self.take(order).await,
-                Ok(None) => self.miss().await,
+                Ok(Some(order)) => self.handle_order(order).await,
+                Ok(None) => self.expire_processes().await,
                 Err(_) => return,
             }
         }
     }
 
-    async fn take(&mut self, order: Order) {
+    async fn handle_order(&mut self, order: Order) {
         let now = self.front.clock.now();
         match order {
             Order::Send(attempt, parcel) if self.entry.state == WorkerState::Active => {
                 self.waiting.push_back((attempt, parcel));
-                self.hand_out();
+                self.assign_waiting();
             }
             // Assigned before the module had heard that the machine drains or is gone.
             Order::Send(attempt, _) => {
-                self.tell(CoreInput::Ended(attempt.id, Status::Moot, None))
+                self.send_to_core(CoreInput::Ended(attempt.id, Status::Moot, None))
                     .await
             }
-            Order::Clear => self
+            Order::DropWithdrawn => self
                 .waiting
-                .retain(|(attempt, parcel)| self.front.wanted(attempt, parcel)),
-            Order::Here(wid, start, link) => self.here(now, wid, start, link).await,
-            Order::Away(wid, link) => {
+                .retain(|(attempt, parcel)| self.front.is_wanted(attempt, parcel)),
+            Order::Connected(wid, start, link) => {
+                self.worker_connected(now, wid, start, link).await
+            }
+            Order::Disconnected(wid, link) => {
                 self.fetches.retain(|f| f.link != link);
                 let Some(p) = self.processes.get_mut(&wid) else {
                     return;
@@ -143,12 +145,13 @@
                     p.link_by = Some(now + self.front.file.reconnect_within);
                 }
             }
-            Order::Beat(wid, quiet) => {
+            Order::Heartbeat(wid, quiet) => {
                 let Some(p) = self.processes.get_mut(&wid) else {
                     return;
                 };
-                (p.beat_by, p.quiet, p.silent) = (now + self.front.file.beat_within, quiet, false);
-                self.list().await;
+                (p.heartbeat_by, p.quiet, p.unresponsive) =
+                    (now + self.front.file.heartbeat_timeout, quiet, false);
+                self.publish_state().await;
             }
             Order::Fetch(link, wid, queues, to) => {
                 self.fetches.push_back(Fetch {
@@ -157,112 +160,115 @@
                     queues,
                     to,
                 });
-                self.hand_out();
+                self.assign_waiting();
+            }
+            Order::CancelFetch(link) => self.fetches.retain(|f| f.link != link),
+            Order::Written(assignment, true) => {
+                self.send_to_core(CoreInput::Started(assignment.attempt.id))
+                    .await
             }
-            Order::NoFetch(link) => self.fetches.retain(|f| f.link != link),
-            Order::Written(handed, true) => self.tell(CoreInput::Started(handed.attempt.id)).await,
-            Order::Written(handed, false) => {
-                let of = |h: &Handed| h.attempt.id == handed.attempt.id;
-                if self.in_hand.get(&handed.parcel.jid).is_some_and(of) {
-                    self.in_hand.remove(&handed.parcel.jid);
-                    self.end(handed, Status::ConnectFailed).await;
+            Order::Written(assignment, false) => {
+                let of = |h: &Assignment| h.attempt.id == assignment.attempt.id;
+                if self.assigned.get(&assignment.parcel.jid).is_some_and(of) {
+                    self.assigned.remove(&assignment.parcel.jid);
+                    self.end(assignment, Status::ConnectFailed).await;
                 }
             }
             Order::Ended(wid, jid, status) => {
                 // What is told again, too late or by another job worker has no effect.
-                let of = |h: &Handed| h.wid == wid;
-                if !self.in_hand.get(&jid).is_some_and(of) {
+                let of = |h: &Assignment| h.wid == wid;
+                if !self.assigned.get(&jid).is_some_and(of) {
                     return;
                 }
-                if let Some(handed) = self.in_hand.remove(&jid) {
-                    self.end(handed, status).await;
+                if let Some(assignment) = self.assigned.remove(&jid) {
+                    self.end(assignment, status).await;
                 }
             }
         }
     }
 
     /// A job worker has connected. The start of a new process ends what the old one had in hand.
-    async fn here(&mut self, now: Time, wid: String, start: String, link: u64) {
-        let beat_by = now + self.front.file.beat_within;
+    async fn worker_connected(&mut self, now: Time, wid: String, start: String, link: u64) {
+        let heartbeat_by = now + self.front.file.heartbeat_timeout;
         if let Some(p) = self.processes.get_mut(&wid).filter(|p| p.start == start) {
             p.links.insert(link);
-            (p.beat_by, p.link_by, p.silent) = (beat_by, None, false);
-            return self.list().await;
+            (p.heartbeat_by, p.link_by, p.unresponsive) = (heartbeat_by, None, false);
+            return self.publish_state().await;
         }
         self.processes.remove(&wid);
-        self.lose(&wid).await;
+        self.end_assignments_of(&wid).await;
         let links = BTreeSet::from([link]);
         self.processes.insert(
             wid,
             Process {
                 start,
                 links,
-                beat_by,
+                heartbeat_by,
                 link_by: None,
                 quiet: false,
-                silent: false,
+                unresponsive: false,
             },
         );
         // It is cold, and the module must hear of it even where the machine was there a moment ago.
         self.entry.ready_at = now;
         self.entry.state = WorkerState::Left;
-        self.list().await;
+        self.publish_state().await;
         // Assigned when the machine was warm: the module is to think again.
         self.return_waiting().await;
     }
 
     /// Job workers whose heartbeat or connection is overdue are gone.
-    async fn miss(&mut self) {
+    async fn expire_processes(&mut self) {
         let now = self.front.clock.now();
-        let cut_off = |p: &Process| p.link_by.is_some_and(|at| at <= now);
-        let over = |p: &Process| (p.beat_by <= now && !p.silent) || cut_off(p);
-        let gone: Vec<String> = self
+        let disconnected = |p: &Process| p.link_by.is_some_and(|at| at <= now);
+        let overdue = |p: &Process| (p.heartbeat_by <= now && !p.unresponsive) || disconnected(p);
+        let overdue_wids: Vec<String> = self
             .processes
             .iter()
-            .filter(|(_, p)| over(p))
+            .filter(|(_, p)| overdue(p))
             .map(|p| p.0.clone())
             .collect();
-        for wid in gone {
+        for wid in overdue_wids {
             log(format_args!("faktory wid={wid:?} is gone"));
             self.processes
                 .get_mut(&wid)
                 .into_iter()
-                .for_each(|p| p.silent = true);
-            self.processes.retain(|_, p| !cut_off(p));
-            self.lose(&wid).await;
+                .for_each(|p| p.unresponsive = true);
+            self.processes.retain(|_, p| !disconnected(p));
+            self.end_assignments_of(&wid).await;
         }
-        self.list().await;
+        self.publish_state().await;
     }
 
     /// A process is gone: what it had in hand may have run.
-    async fn lose(&mut self, wid: &str) {
+    async fn end_assignments_of(&mut self, wid: &str) {
         self.fetches.retain(|f| f.wid != wid);
         let lost: Vec<String> = self
-            .in_hand
+            .assigned
             .iter()
             .filter(|(_, h)| h.wid == wid)
             .map(|h| h.0.clone())
             .collect();
-        for handed in lost
+        for assignment in lost
             .iter()
-            .filter_map(|jid| self.in_hand.remove(jid))
+            .filter_map(|jid| self.assigned.remove(jid))
             .collect::<Vec<_>>()
         {
-            self.end(handed, Status::Reset).await;
+            self.end(assignment, Status::Reset).await;
         }
     }
 
     /// Works out the machine's state, and tells the core where it has changed.
-    async fn list(&mut self) {
+    async fn publish_state(&mut self) {
         let state = match &self.processes {
-            all if all.values().any(Process::takes) => WorkerState::Active,
-            all if all.values().any(|p| !p.silent) => WorkerState::Draining,
+            all if all.values().any(Process::takes_jobs) => WorkerState::Active,
+            all if all.values().any(|p| !p.unresponsive) => WorkerState::Draining,
             _ => WorkerState::Left,
         };
         if std::mem::replace(&mut self.entry.state, state) == state {
             return;
         }
-        self.tell(CoreInput::Membership(
+        self.send_to_core(CoreInput::Membership(
             Scope::Delta,
             vec![self.entry.clone()],
         ))
@@ -275,25 +281,28 @@
 
     async fn return_waiting(&mut self) {
         for (attempt, _) in std::mem::take(&mut self.waiting) {
-            self.tell(CoreInput::Ended(attempt.id, Status::Moot, None))
+            self.send_to_core(CoreInput::Ended(attempt.id, Status::Moot, None))
                 .await;
         }
     }
 
     /// Gives those who fetch what is assigned to this machine, by the order of their queues.
-    fn hand_out(&mut self) {
+    fn assign_waiting(&mut self) {
         self.waiting
-            .retain(|(attempt, parcel)| self.front.wanted(attempt, parcel));
+            .retain(|(attempt, parcel)| self.front.is_wanted(attempt, parcel));
         let mut n = 0;
         while n < self.fetches.len() {
             let fetch = &self.fetches[n];
-            let takes = self.processes.get(&fetch.wid).is_some_and(Process::takes);
+            let takes_jobs = self
+                .processes
+                .get(&fetch.wid)
+                .is_some_and(Process::takes_jobs);
             let of = |queue: &String| {
                 self.waiting
                     .iter()
                     .position(|(_, parcel)| parcel.queue == *queue)
             };
-            let Some(at) = fetch.queues.iter().filter(|_| takes).find_map(of) else {
+            let Some(at) = fetch.queues.iter().filter(|_| takes_jobs).find_map(of) else {
                 n += 1;
                 continue;
             };
@@ -302,32 +311,41 @@
             else {
                 return;
             };
-            let handed = Handed {
+            let assignment = Assignment {
                 attempt,
                 parcel,
                 wid: fetch.wid,
             };
-            if fetch.to.try_send(handed.clone()).is_err() {
-                self.waiting.insert(at, (handed.attempt, handed.parcel)); // that fetch has just been withdrawn
+            if fetch.to.try_send(assignment.clone()).is_err() {
+                self.waiting
+                    .insert(at, (assignment.attempt, assignment.parcel)); // that fetch has just been withdrawn
                 continue;
             }
-            handed.parcel.in_hand.set(handed.parcel.in_hand.get() + 1);
-            handed.parcel.given_out.borrow_mut().push(handed.attempt.id);
-            self.in_hand.insert(handed.parcel.jid.clone(), handed);
+            assignment
+                .parcel
+                .assigned
+                .set(assignment.parcel.assigned.get() + 1);
+            assignment
+                .parcel
+                .assigned_attempts
+                .borrow_mut()
+                .push(assignment.attempt.id);
+            self.assigned
+                .insert(assignment.parcel.jid.clone(), assignment);
         }
     }
 
-    async fn end(&self, handed: Handed, status: Status) {
-        handed
+    async fn end(&self, assignment: Assignment, status: Status) {
+        assignment
             .parcel
-            .in_hand
-            .set(handed.parcel.in_hand.get().saturating_sub(1));
-        self.tell(CoreInput::Ended(handed.attempt.id, status, None))
+            .assigned
+            .set(assignment.parcel.assigned.get().saturating_sub(1));
+        self.send_to_core(CoreInput::Ended(assignment.attempt.id, status, None))
             .await;
-        self.front.orphan_ended(&handed.parcel, status);
+        self.front.orphan_ended(&assignment.parcel, status);
     }
 
-    async fn tell(&self, told: CoreInput) {
-        let _ = self.front.core.send(told).await;
+    async fn send_to_core(&self, input: CoreInput) {
+        let _ = self.front.core.send(input).await;
     }
 }
--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -1,7 +1,7 @@
 //! One actor for each accepted connection of the Faktory front: clients and job workers.
 
 use super::codec::{self, Command, Job};
-use super::machines::{Handed, Order};
+use super::machine::{Assignment, Order};
 use super::{Faktory, Parcel};
 use crate::api::{Effect, Request, Status, Time};
 use crate::core::Answer;
@@ -19,9 +19,9 @@
 use std::time::{Duration, Instant};
 
 /// How long a FETCH waits for a job.
-const FETCH: Duration = Duration::from_secs(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest time that a client can say it waits, in milliseconds.
-const DEADLINE_MOST: u64 = 24 * 3600 * 1000;
+const MAX_CLIENT_WAIT_MS: u64 = 24 * 3600 * 1000;
 
 /// Accepts connections for as long as the program runs.
 pub async fn listen(front: Rc<Faktory>, listener: Rc<Async<TcpListener>>) {
@@ -45,14 +45,14 @@
 }
 
 async fn serve(front: Rc<Faktory>, link: Link) {
-    let number = front.number();
+    let number = front.next_number();
     let mut client = Client {
         front,
         link,
         number,
         worker: None,
     };
-    let reason = match client.talk().await {
+    let reason = match client.run().await {
         Ok(()) => Reason::Done,
         Err(reason) => reason,
     };
@@ -63,18 +63,21 @@
     };
     let wid = client.worker.as_ref().map_or("-", |w| &w.wid).to_string();
     if let Some(worker) = client.worker.take() {
-        let _ = worker.orders.send(Order::Away(worker.wid, number)).await;
+        let _ = worker
+            .orders
+            .send(Order::Disconnected(worker.wid, number))
+            .await;
     }
     client.link.end(side, reason, format_args!("wid={wid:?}"));
 }
 
 impl Client {
-    async fn talk(&mut self) -> Result<(), Reason> {
+    async fn run(&mut self) -> Result<(), Reason> {
         let salt = RandomState::new().build_hasher().finish();
         let salt = format!("{salt:016x}");
         let (password, times) = (self.front.file.password.clone(), self.front.file.iterations);
-        let asked = (!password.is_empty()).then_some((salt.as_str(), times));
-        self.reply(&codec::greeting(asked)).await?;
+        let challenge = (!password.is_empty()).then_some((salt.as_str(), times));
+        self.reply(&codec::greeting(challenge)).await?;
         let (net, accepted) = (self.front.net.clone(), Instant::now());
         let first = async {
             net.first_unless_evicted(accepted, Rank::NothingSent, async {
@@ -86,7 +89,7 @@
                 .first_unless_evicted(
                     accepted,
                     Rank::PartialMessage,
-                    line(&self.link, &mut buffer),
+                    read_command(&self.link, &mut buffer),
                 )
                 .await;
             Ok((read, buffer))
@@ -96,7 +99,7 @@
             Err(Reason::Malformed) => return self.reject("the command is too long").await,
             other => other?,
         };
-        let hello = match Command::read(trimmed(&buffer.filled()[..first])) {
+        let hello = match Command::parse(without_line_end(&buffer.filled()[..first])) {
             Ok(Command::Hello(hello)) => hello,
             Ok(_) => return self.reject("HELLO must come first").await,
             Err(why) => return self.reject(&why).await,
@@ -108,7 +111,7 @@
                 .await;
         }
         if !password.is_empty()
-            && !codec::same(&codec::hashed(&password, &salt, times), &hello.pwdhash)
+            && !codec::constant_time_eq(&codec::hashed(&password, &salt, times), &hello.pwdhash)
         {
             return self.reject("invalid password").await;
         }
@@ -124,7 +127,7 @@
                 orders: orders.clone(),
             });
             let _ = orders
-                .send(Order::Here(hello.wid, start, self.number))
+                .send(Order::Connected(hello.wid, start, self.number))
                 .await;
         }
         self.reply(codec::OK).await?;
@@ -139,19 +142,25 @@
                     self.front.net.buffer().await?
                 }
             };
-            let length = within(MESSAGE_TIMEOUT, Reason::Slow, line(&self.link, &mut buffer)).await;
+            let length = within(
+                MESSAGE_TIMEOUT,
+                Reason::Slow,
+                read_command(&self.link, &mut buffer),
+            )
+            .await;
             let length = match length {
                 Err(Reason::Malformed) => return self.reject("the command is too long").await,
                 other => other?,
             };
             let commands = &self.front.counts[0];
             commands.set(commands.get() + 1);
-            let command = Command::read(trimmed(&buffer.filled()[..length]));
+            let command = Command::parse(without_line_end(&buffer.filled()[..length]));
             let text = match &command {
                 Ok(Command::Push(_)) => {
                     // The job is passed on as it was pushed.
                     let mut text = self.front.net.pool.take();
-                    let _ = text.write_all(trimmed(&buffer.filled()[..length]).trim_ascii_start());
+                    let _ = text
+                        .write_all(without_line_end(&buffer.filled()[..length]).trim_ascii_start());
                     text.consume("PUSH ".len());
                     Some(text)
                 }
@@ -165,7 +174,7 @@
                 }
                 Ok(command) => {
                     kept = Some(buffer).filter(|b| !b.filled().is_empty());
-                    self.obey(command, text, since, &mut kept).await?;
+                    self.execute(command, text, since, &mut kept).await?;
                     if self.link.overrun() {
                         return self.reject("too much was sent before the answer").await;
                     }
@@ -183,7 +192,7 @@
     async fn idle(&self) -> Result<(), Reason> {
         let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
         let stopping = |r| {
-            if r == Reason::Evicted && self.front.life.stopping.get() {
+            if r == Reason::Evicted && self.front.lifecycle.stopping.get() {
                 Reason::Stopping
             } else {
                 r
@@ -211,7 +220,7 @@
         Err(Reason::Rejected)
     }
 
-    async fn obey(
+    async fn execute(
         &self,
         command: Command,
         text: Option<Buffer>,
@@ -228,8 +237,8 @@
             Command::Hello(_) | Command::End => {
                 return self.reply(&codec::error("HELLO was said")).await;
             }
-            Command::Beat(wid, quiet) => match &self.worker {
-                Some(worker) if worker.wid == wid => Order::Beat(wid, quiet),
+            Command::Heartbeat(wid, quiet) => match &self.worker {
+                Some(worker) if worker.wid == wid => Order::Heartbeat(wid, quiet),
                 _ => {
                     return self
                         .reply(&codec::error("BEAT is for the job worker that said HELLO"))
@@ -292,13 +301,13 @@
             jid: job.jid,
             queue: job.queue,
             text,
-            in_hand: Cell::new(0),
-            given_out: RefCell::default(),
-            off: RefCell::default(),
+            assigned: Cell::new(0),
+            assigned_attempts: RefCell::default(),
+            withdrawn: RefCell::default(),
         };
-        self.front.life.last_job.set(self.front.clock.now());
+        self.front.lifecycle.last_job.set(self.front.clock.now());
         // The client's time runs from when it began to send.
-        let until = self.front.life.bound(since + request.left);
+        let until = self.front.lifecycle.bound(since + request.left);
         let number = self.front.push(request, until, parcel, to).await;
         let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
         match answered
@@ -317,7 +326,7 @@
             }
             Ok(Answer::Failed) => self.reply(&codec::error("failed, it may have run")).await,
             Err(reason) => {
-                self.front.leave(&jid, number).await;
+                self.front.client_left(&jid, number).await;
                 Err(reason)
             }
         }
@@ -338,7 +347,7 @@
             .and_then(|name| site.tenants.find(name));
         let left = custom
             .and_then(|c| c.deadline)
-            .map(|ms| ms.min(DEADLINE_MOST) * 1000);
+            .map(|ms| ms.min(MAX_CLIENT_WAIT_MS) * 1000);
         Ok(Request {
             id: 0,
             class,
@@ -363,19 +372,19 @@
             .orders
             .send(Order::Fetch(self.number, worker.wid.clone(), queues, to))
             .await;
-        let handed = async { Ok(from.recv().await.ok()) };
-        let over = async {
-            Timer::after(FETCH).await;
+        let assignment = async { Ok(from.recv().await.ok()) };
+        let timeout = async {
+            Timer::after(FETCH_TIMEOUT).await;
             Ok(None)
         };
-        let mut found = handed
+        let mut found = assignment
             .or(async {
                 Err(self
                     .link
                     .wait_until_closed(rest, &self.front.net.pool)
                     .await)
             })
-            .or(over)
+            .or(timeout)
             .await;
         // A job that came at the very moment at which the wait ended is not lost.
         from.close();
@@ -383,14 +392,14 @@
             found = Ok(from.try_recv().ok());
         }
         match found {
-            Ok(Some(handed)) => self.hand_over(&worker.orders, handed).await,
+            Ok(Some(assignment)) => self.send_assignment(&worker.orders, assignment).await,
             Ok(None) => {
-                let _ = worker.orders.send(Order::NoFetch(self.number)).await;
+                let _ = worker.orders.send(Order::CancelFetch(self.number)).await;
                 self.reply(codec::NOTHING).await
             }
             Err(reason) => {
-                if let Ok(handed) = from.try_recv() {
-                    let _ = worker.orders.send(Order::Written(handed, false)).await;
+                if let Ok(assignment) = from.try_recv() {
+                    let _ = worker.orders.send(Order::Written(assignment, false)).await;
                 }
                 Err(reason)
             }
@@ -398,18 +407,22 @@
     }
 
     /// Writes a job to a job worker. Whether its last byte went out tells whether it may have run.
-    async fn hand_over(&self, orders: &Sender<Order>, handed: Handed) -> Result<(), Reason> {
-        let mut whole = self.front.net.pool.take();
-        let text = handed.parcel.text.filled();
-        let room = write!(whole, "${}\r\n", text.len())
-            .and_then(|()| whole.write_all(text))
-            .and_then(|()| whole.write_all(b"\r\n"));
+    async fn send_assignment(
+        &self,
+        orders: &Sender<Order>,
+        assignment: Assignment,
+    ) -> Result<(), Reason> {
+        let mut message = self.front.net.pool.take();
+        let text = assignment.parcel.text.filled();
+        let fits = write!(message, "${}\r\n", text.len())
+            .and_then(|()| message.write_all(text))
+            .and_then(|()| message.write_all(b"\r\n"));
         let mut bytes_written = 0;
-        let written = match room {
+        let written = match fits {
             // Nobody is there any more: it would go out, but to no one.
             Ok(()) if self.link.closed() => Err(Reason::PeerLeft),
             Ok(()) => {
-                let write = self.link.write(whole.filled(), &mut bytes_written);
+                let write = self.link.write(message.filled(), &mut bytes_written);
                 within(WRITE_TIMEOUT, Reason::Stalled, async {
                     write.await.map_err(|_| Reason::Broke)
                 })
@@ -417,14 +430,14 @@
             }
             Err(_) => Err(Reason::Malformed),
         };
-        let all = bytes_written == whole.filled().len();
-        let _ = orders.send(Order::Written(handed, all)).await;
+        let all = bytes_written == message.filled().len();
+        let _ = orders.send(Order::Written(assignment, all)).await;
         written
     }
 }
 
 /// Reads until a whole line stands at the front of the buffer, and returns its length with the line end.
-async fn line(link: &Link, buffer: &mut Buffer) -> Result<usize, Reason> {
+async fn read_command(link: &Link, buffer: &mut Buffer) -> Result<usize, Reason> {
     loop {
         if let Some(end) = buffer.filled().iter().position(|b| *b == b'\n') {
             return Ok(end + 1);
@@ -442,6 +455,6 @@
     }
 }
 
-fn trimmed(line: &[u8]) -> &[u8] {
-    line.trim_ascii_end()
+fn without_line_end(command: &[u8]) -> &[u8] {
+    command.trim_ascii_end()
 }
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -6,9 +6,9 @@
 pub mod peer_process;
 pub mod workers;
 
-use super::Life;
+use super::Lifecycle;
 use crate::api::{Entry, Status, WorkerId, WorkerState};
-use crate::config::{self, DiscoveryList, News, Site};
+use crate::config::{self, JobReport, MembershipUpdate, Site};
 use crate::core::actor::Mailbox;
 use crate::core::clock::Clock;
 use crate::core::metrics::Metrics;
@@ -19,16 +19,16 @@
 use crate::net::{Net, log};
 use async_channel::{Sender, TrySendError, WeakSender, bounded};
 use futures_lite::future::yield_now;
-use peer_process::Kin;
+use peer_process::PeerProcess;
 use simd_json::prelude::{ValueAsScalar, Writable};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use workers::{AttemptState, Order, Peer, Stage};
+use workers::{AttemptState, Order, Stage, WorkerActor};
 
 /// Orders that may wait for a machine; more are turned down unsent.
-const MAILBOX: usize = 512;
+const MAX_QUEUED_ORDERS: usize = 512;
 
 /// A job's message as it is passed on, and what came back.
 pub struct Parcel {
@@ -43,20 +43,20 @@
     /// Its attempts: where they went, and how far they have come.
     attempts: RefCell<Vec<Rc<AttemptState>>>,
     /// Where its answer goes: gone once that is given, or nobody waits for it any more.
-    owed: WeakSender<Answer>,
+    reply: WeakSender<Answer>,
 }
 
 impl Parcel {
     /// Does somebody wait for its answer yet?
-    pub fn is_owed(&self) -> bool {
-        self.owed.upgrade().is_some()
+    pub fn is_awaited(&self) -> bool {
+        self.reply.upgrade().is_some()
     }
 }
 
 /// A machine's actor, and whether the list says that the machine wants nothing new.
 struct Machine {
     orders: Sender<Order>,
-    leaves: Rc<Cell<bool>>,
+    draining: Rc<Cell<bool>>,
 }
 
 /// All that the parts of this front share.
@@ -72,7 +72,7 @@
     /// Machines can be sent to: the list is usable.
     pub ready: Cell<bool>,
     /// The program's life.
-    pub life: Rc<Life>,
+    pub lifecycle: Rc<Lifecycle>,
     /// What is counted.
     pub metrics: Rc<Metrics>,
     parcels: RefCell<HashMap<JobId, Rc<Parcel>>>,
@@ -80,9 +80,9 @@
     next_job: Cell<JobId>,
     machines: RefCell<HashMap<WorkerId, Machine>>,
     names: RefCell<HashMap<String, WorkerId>>,
-    kin: RefCell<Vec<Rc<Kin>>>,
-    moving: migration::Moving,
-    list: Sender<membership::Word>,
+    peers: RefCell<Vec<Rc<PeerProcess>>>,
+    migration: migration::Migration,
+    membership: Sender<membership::Command>,
 }
 
 impl Platform {
@@ -90,11 +90,11 @@
     pub fn new(
         net: Net,
         clock: Clock,
-        life: Rc<Life>,
+        lifecycle: Rc<Lifecycle>,
         metrics: Rc<Metrics>,
         site: Site,
         core: Mailbox,
-        list: Sender<membership::Word>,
+        membership: Sender<membership::Command>,
     ) -> Rc<Self> {
         Rc::new(Platform {
             net,
@@ -102,27 +102,27 @@
             site: RefCell::new(site),
             core,
             ready: Cell::new(false),
-            life,
+            lifecycle,
             metrics,
             parcels: RefCell::default(),
             traces: RefCell::default(),
             next_job: Cell::new(1),
             machines: RefCell::default(),
             names: RefCell::default(),
-            kin: RefCell::default(),
-            moving: migration::Moving::default(),
-            list,
+            peers: RefCell::default(),
+            migration: migration::Migration::default(),
+            membership,
         })
     }
 
     /// Takes in a job's parcel. `None` while a job of that id is open.
-    fn take_in(
+    fn register_job(
         &self,
         trace: &str,
         (text, body): (Buffer, usize),
-        owed: WeakSender<Answer>,
+        reply: WeakSender<Answer>,
     ) -> Option<(JobId, Rc<Parcel>)> {
-        if self.traces.borrow().contains_key(trace) || self.open_elsewhere(trace) {
+        if self.traces.borrow().contains_key(trace) || self.is_open_at_peer(trace) {
             return None;
         }
         let id = self.next_job.get();
@@ -133,33 +133,33 @@
             body,
             result: RefCell::default(),
             attempts: RefCell::default(),
-            owed,
+            reply,
         };
         let parcel = Rc::new(parcel);
         self.traces.borrow_mut().insert(trace.to_string(), id);
         self.parcels.borrow_mut().insert(id, parcel.clone());
-        self.tell_kin(|| peer_process::Word::Opened(trace.to_string()));
+        self.notify_peers(|| peer_process::HandoverMessage::JobOpened(trace.to_string()));
         Some((id, parcel))
     }
 
     /// Discovery answers elsewhere from now on.
     pub async fn move_discovery(&self, to: SocketAddr) {
-        let _ = self.list.send(membership::Word::Move(to)).await;
+        let _ = self.membership.send(membership::Command::MoveTo(to)).await;
     }
 
     /// Other settings hold from now on: for the names that are read here, and for the module, without a break between.
     /// A job read before stands before them in the core's mailbox, one read after stands behind.
-    pub async fn follow(&self, new: Site) {
+    pub async fn reconfigure(&self, new: Site) {
         let site = self.site.borrow().followed_by(new);
-        let mut told = CoreInput::Settings(Box::new(site.settings.clone()));
-        while let Err(TrySendError::Full(back)) = self.core.try_send(told) {
-            told = back;
+        let mut input = CoreInput::Settings(Box::new(site.settings.clone()));
+        while let Err(TrySendError::Full(returned)) = self.core.try_send(input) {
+            input = returned;
             yield_now().await;
         }
         *self.site.borrow_mut() = site;
     }
 
-    /// Jobs whose answer is owed or on its way.
+    /// Jobs whose answer is reply or on its way.
     pub fn open_jobs(&self) -> usize {
         self.parcels.borrow().len()
     }
@@ -174,7 +174,7 @@
 
     /// The number of a machine, by its name: the same in every scheduler, so that all agree on who of them
     /// sends to a cold one first.
-    fn number(&self, host: &str) -> WorkerId {
+    fn worker_id(&self, host: &str) -> WorkerId {
         if let Some(id) = self.names.borrow().get(host) {
             return *id;
         }
@@ -190,45 +190,50 @@
     }
 
     /// Takes a list from discovery: tells the machines' actors, and returns what the core is to be told. From here on
-    /// nothing more goes out to a machine that leaves, whatever was decided before.
-    pub fn learn(self: &Rc<Self>, list: DiscoveryList) -> Vec<Entry> {
-        if list.whole {
+    /// nothing more goes out to a machine that draining, whatever was decided before.
+    pub fn apply_membership(self: &Rc<Self>, update: MembershipUpdate) -> Vec<Entry> {
+        if update.complete {
             self.machines
                 .borrow()
                 .values()
-                .for_each(|m| m.leaves.set(true)); // but for those that it names
+                .for_each(|m| m.draining.set(true)); // but for those that it names
         }
         let mut entries = Vec::new();
-        for m in list.hosts {
-            let worker = self.number(&m.host);
-            let state = match m.health.as_str() {
+        for machine in update.hosts {
+            let worker = self.worker_id(&machine.host);
+            let state = match machine.health.as_str() {
                 "Ready" => WorkerState::Active,
                 "Gone" => WorkerState::Left,
                 _ => WorkerState::Draining,
             };
-            let dial = m.dial.parse();
+            let dial = machine.dial.parse();
             if dial.is_ok() && !self.machines.borrow().contains_key(&worker) {
-                let ((orders, inbox), leaves) = (bounded(MAILBOX), Rc::default());
-                let peer = Peer::new(self.clone(), worker, m.host.clone(), Rc::clone(&leaves));
-                self.net.spawn(peer.run(inbox));
+                let ((orders, inbox), draining) = (bounded(MAX_QUEUED_ORDERS), Rc::default());
+                let actor = WorkerActor::new(
+                    self.clone(),
+                    worker,
+                    machine.host.clone(),
+                    Rc::clone(&draining),
+                );
+                self.net.spawn(actor.run(inbox));
                 self.machines
                     .borrow_mut()
-                    .insert(worker, Machine { orders, leaves });
+                    .insert(worker, Machine { orders, draining });
             }
             if let Some(known) = self.machines.borrow().get(&worker) {
-                known.leaves.set(state != WorkerState::Active);
+                known.draining.set(state != WorkerState::Active);
             }
             match dial {
                 Ok(dial) if !self.order(worker, Order::Address(dial)) => {
                     log(format_args!(
                         "machine={} is too busy to be told its address",
-                        m.host
+                        machine.host
                     ));
                 }
                 Err(_) if state == WorkerState::Active => {
                     log(format_args!(
                         "machine={} has no address that can be dialled: {:?}",
-                        m.host, m.dial
+                        machine.host, machine.dial
                     ));
                 }
                 _ => {}
@@ -236,12 +241,12 @@
             let mut site = self.site.borrow_mut();
             entries.push(Entry {
                 worker,
-                zone: site.zones.id(&m.site),
-                kind: site.kinds.id(&m.class),
-                cell: m.block,
+                zone: site.zones.id(&machine.site),
+                kind: site.kinds.id(&machine.class),
+                cell: machine.block,
                 state,
-                power: m.share,
-                ready_at: m.born_ms.saturating_mul(1000),
+                power: machine.share,
+                ready_at: machine.born_ms.saturating_mul(1000),
             });
         }
         entries
@@ -249,15 +254,16 @@
 
     /// Takes a piece of news. What concerns no open attempt (a job answered long ago, an attempt of this
     /// scheduler's former life) has no effect.
-    fn hear(&self, news: &News) -> Option<CoreInput> {
+    fn interpret_report(&self, news: &JobReport) -> Option<CoreInput> {
         let job = *self.traces.borrow().get(&news.id)?;
         let machine = *self.names.borrow().get(&news.from)?;
         let parcel = self.parcel(job)?;
         let attempts = parcel.attempts.borrow();
-        let told = |attempt: &Rc<AttemptState>| attempt.machine == machine && attempt.went_out();
-        let last = attempts.iter().rposition(told)?;
+        let reported =
+            |attempt: &Rc<AttemptState>| attempt.machine == machine && attempt.went_out();
+        let last = attempts.iter().rposition(reported)?;
         // Told twice of an earlier attempt, it must not count for this one, which may run.
-        let again = attempts[..last].iter().any(told);
+        let repeated = attempts[..last].iter().any(reported);
         let attempt = AttemptId {
             job,
             number: last as u32,
@@ -281,7 +287,7 @@
                 CoreInput::Ended(attempt, Status::Ok, load())
             }
             "failed" => CoreInput::Ended(attempt, Status::Error, load()),
-            "returned" if again => CoreInput::Ended(attempt, Status::Error, load()),
+            "returned" if repeated => CoreInput::Ended(attempt, Status::Error, load()),
             "returned" => CoreInput::Ended(attempt, Status::Full, load()),
             "lost" => CoreInput::Ended(attempt, Status::Reset, load()),
             _ => return None,
@@ -354,14 +360,16 @@
     }
 
     fn request_membership(&self, request: MembershipRequest) -> bool {
-        self.list.try_send(membership::Word::Ask(request)).is_ok()
+        self.membership
+            .try_send(membership::Command::Request(request))
+            .is_ok()
     }
 
     fn forget(&self, job: JobId) {
         if let Some(parcel) = self.parcels.borrow_mut().remove(&job) {
             self.traces.borrow_mut().remove(&parcel.trace);
-            self.waits_no_more(&parcel.trace);
-            self.tell_kin(|| peer_process::Word::Closed(parcel.trace.clone()));
+            self.drop_deferred_reports(&parcel.trace);
+            self.notify_peers(|| peer_process::HandoverMessage::JobClosed(parcel.trace.clone()));
             self.forget_attempts(job, &parcel);
         }
     }
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -1,10 +1,10 @@
 //! One actor for each accepted connection: clients with their jobs, job workers with their news, and
 //! whoever asks whether the program is ready.
 
-use super::migration::Moved;
+use super::migration::MigratingJob;
 use super::{Parcel, Platform};
 use crate::api::{ClassId, Effect, Request, Time};
-use crate::config::{self, News, Site};
+use crate::config::{self, JobReport, Site};
 use crate::core::metrics::End;
 use crate::core::{Answer, CoreInput, JobId, Reply};
 use crate::net::buffer::Buffer;
@@ -22,7 +22,7 @@
 use std::time::Instant;
 
 /// Headers of a job that may stand there once.
-const ONCE: [&str; 5] = [
+const SINGLE_HEADERS: [&str; 5] = [
     "X-Trace-Id",
     "Idempotency-Key",
     "X-Expires-In-Ms",
@@ -30,7 +30,7 @@
     "X-Props",
 ];
 /// The longest time that a client can say it waits.
-const LEFT_MOST: u64 = 24 * 3600 * 1000;
+const MAX_CLIENT_WAIT_MS: u64 = 24 * 3600 * 1000;
 
 /// Accepts connections for as long as the program runs.
 pub async fn listen(front: Rc<Platform>, listener: Rc<Async<TcpListener>>) {
@@ -41,9 +41,9 @@
 }
 
 /// What a request asks for.
-enum Wish {
+enum ParsedRequest {
     Ready,
-    News(News, Vec<u8>),
+    JobReport(JobReport, Vec<u8>),
     Job {
         request: Request,
         trace: String,
@@ -55,27 +55,35 @@
 
 /// What is told of a connection when it ends, or goes on elsewhere.
 #[derive(Default)]
-pub(super) struct Served {
+pub(super) struct ConnectionState {
     /// Messages read.
     pub messages: Cell<u64>,
     status: Cell<u16>,
     /// The job that goes over to another process with the connection, and what has been read behind it.
-    pub moved: RefCell<Option<Moved>>,
+    pub migrating: RefCell<Option<MigratingJob>>,
     rest: RefCell<Vec<u8>>,
 }
 
 /// Serves one connection to its end.
 async fn serve(front: Rc<Platform>, link: Link) {
-    let served = Served::default();
-    let reason = talk(&front, &link, &served, None).await;
-    leave(&front, link, &served, reason).await;
+    let state = ConnectionState::default();
+    let reason = serve_messages(&front, &link, &state, None).await;
+    finish_connection(&front, link, &state, reason).await;
 }
 
 /// Ends a connection, or lets it go on in the process that takes over.
-pub(super) async fn leave(front: &Rc<Platform>, link: Link, served: &Served, reason: Reason) {
-    let (messages, status) = (served.messages.get(), served.status.get());
-    let moved = served.moved.take().filter(|_| reason == Reason::Migrated);
-    let Some(moved) = moved else {
+pub(super) async fn finish_connection(
+    front: &Rc<Platform>,
+    link: Link,
+    state: &ConnectionState,
+    reason: Reason,
+) {
+    let (messages, status) = (state.messages.get(), state.status.get());
+    let migrating = state
+        .migrating
+        .take()
+        .filter(|_| reason == Reason::Migrated);
+    let Some(migrating) = migrating else {
         if reason.after_answer() {
             front.net.linger(&link).await;
         }
@@ -89,18 +97,18 @@
     log(format_args!(
         "conn side=submitter peer={peer} reason={code} messages={messages} status={status}"
     ));
-    front.hand_over(moved, &served.rest.take(), link).await;
+    front.transfer(migrating, &state.rest.take(), link).await;
 }
 
 /// A job that goes on here: its number, its message, and where its answer comes.
-pub(super) type GoesOn = (JobId, Rc<Parcel>, Receiver<Answer>);
+pub(super) type ResumedJob = (JobId, Rc<Parcel>, Receiver<Answer>);
 
 /// Serves a connection whose job another process has taken; without one, the job cannot go on and has failed.
-pub(super) async fn go_on(
+pub(super) async fn resume_job(
     front: &Rc<Platform>,
     link: &Link,
-    served: &Served,
-    job: Option<GoesOn>,
+    state: &ConnectionState,
+    job: Option<ResumedJob>,
     (keep, rest): (bool, &[u8]),
 ) -> Reason {
     let mut kept = Some(front.net.pool.take()).filter(|_| !rest.is_empty());
@@ -109,22 +117,22 @@
     let message = match job {
         None => Ok((500, String::new(), b"the job's class is gone\n".to_vec())),
         Some((id, parcel, from)) => {
-            answered(front, link, &mut kept, (id, &parcel, from), (keep, served)).await
+            wait_for_answer(front, link, &mut kept, (id, &parcel, from), (keep, state)).await
         }
     };
-    let (status, more, result) = match message {
+    let (status, extra_headers, result) = match message {
         Ok(message) => message,
         Err(reason) => return reason,
     };
-    served.status.set(status);
-    let keep = keep && !front.life.sends_away() && !link.overrun();
-    match answer(front, link, status, &more, &result, keep).await {
+    state.status.set(status);
+    let keep = keep && !front.lifecycle.closes_after_answer() && !link.overrun();
+    match answer(front, link, status, &extra_headers, &result, keep).await {
         Err(reason) => reason,
         Ok(()) if keep => {
-            talk(
+            serve_messages(
                 front,
                 link,
-                served,
+                state,
                 Some(kept.filter(|b| !b.filled().is_empty())),
             )
             .await
@@ -168,7 +176,10 @@
                 .await
         }
     };
-    let (stopping, drained) = (front.life.stopping.get(), front.life.sends_away());
+    let (stopping, drained) = (
+        front.lifecycle.stopping.get(),
+        front.lifecycle.closes_after_answer(),
+    );
     match waited {
         Ok(()) => Ok(true),
         Err(Reason::Evicted) if (messages > 0 || stopping) && link.has_input() => Ok(false),
@@ -178,31 +189,31 @@
     }
 }
 
-/// Serves messages; `goes_on`: a client's connection that was served before, and what has been read of the next.
-async fn talk(
+/// Serves messages; `resumed`: a client's connection that was served before, and what has been read of the next.
+async fn serve_messages(
     front: &Rc<Platform>,
     link: &Link,
-    served: &Served,
-    goes_on: Option<Option<Buffer>>,
+    state: &ConnectionState,
+    resumed: Option<Option<Buffer>>,
 ) -> Reason {
-    let (mut since, mut by) = (front.clock.now(), Instant::now() + MESSAGE_TIMEOUT);
-    let (accepted, mut client) = (Instant::now(), goes_on.is_some());
-    let mut kept = goes_on.flatten();
-    let answer = async |status: u16, more: &str, body: &[u8], keep: bool| {
-        served.status.set(status);
-        answer(front, link, status, more, body, keep).await
+    let (mut received_at, mut by) = (front.clock.now(), Instant::now() + MESSAGE_TIMEOUT);
+    let (accepted, mut client) = (Instant::now(), resumed.is_some());
+    let mut kept = resumed.flatten();
+    let answer = async |status: u16, extra_headers: &str, body: &[u8], keep: bool| {
+        state.status.set(status);
+        answer(front, link, status, extra_headers, body, keep).await
     };
     loop {
-        let (messages, mut stays) = (served.messages.get(), true);
+        let (messages, mut keep_open) = (state.messages.get(), true);
         // A buffer is only held while there is something in it.
         let mut buffer = match kept.take() {
             Some(buffer) => buffer,
             None => {
-                stays = match first_byte(front, link, (messages, client), accepted).await {
-                    Ok(stays) => stays,
+                keep_open = match first_byte(front, link, (messages, client), accepted).await {
+                    Ok(keep_open) => keep_open,
                     Err(reason) => return reason,
                 };
-                since = front.clock.now();
+                received_at = front.clock.now();
                 match front.net.buffer().await {
                     Ok(buffer) => buffer,
                     Err(reason) => return reason,
@@ -235,22 +246,24 @@
             }
             Err(reason) => return reason,
         };
-        served.messages.set(messages + 1);
-        let wish = read(front, &buffer, &frame);
+        state.messages.set(messages + 1);
+        let request = parse(front, &buffer, &frame);
         buffer.consume(frame.total);
-        let is_job = matches!(wish, Wish::Job { .. });
+        let is_job = matches!(request, ParsedRequest::Job { .. });
         client |= is_job;
-        let mut keep = frame.keep && stays;
-        let done = match wish {
-            Wish::Ready if front.life.drained.get() => answer(503, "", b"drained\n", keep).await,
-            Wish::Ready if front.ready.get() => answer(200, "", b"ready\n", keep).await,
-            Wish::Ready => answer(503, "", b"no machine list yet\n", keep).await,
-            Wish::News(news, text) => {
-                front.news(&text, news, None).await;
+        let mut keep = frame.keep && keep_open;
+        let done = match request {
+            ParsedRequest::Ready if front.lifecycle.drained.get() => {
+                answer(503, "", b"drained\n", keep).await
+            }
+            ParsedRequest::Ready if front.ready.get() => answer(200, "", b"ready\n", keep).await,
+            ParsedRequest::Ready => answer(503, "", b"no machine list yet\n", keep).await,
+            ParsedRequest::JobReport(news, text) => {
+                front.handle_report(&text, news, None).await;
                 answer(204, "", b"", keep).await
             }
-            Wish::Bad(status, why) => answer(status, "", why.as_bytes(), keep).await,
-            Wish::Job { request, .. } if link.extra() => {
+            ParsedRequest::Bad(status, why) => answer(status, "", why.as_bytes(), keep).await,
+            ParsedRequest::Job { request, .. } if link.extra() => {
                 // The last descriptors are for news, which ends jobs and so makes room.
                 front.metrics.count(request.class, End::Refused);
                 let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
@@ -258,29 +271,29 @@
                     .await
                     .and(Err(Reason::NoCapacity))
             }
-            Wish::Job {
+            ParsedRequest::Job {
                 request,
                 trace,
                 text,
                 body,
             } => {
-                front.life.last_job.set(front.clock.now());
+                front.lifecycle.last_job.set(front.clock.now());
                 // The client's time runs from when it began to send.
-                let until = since + request.left;
+                let until = received_at + request.left;
                 // Where it can go over to another process, it need not end with this one.
-                let until = if front.moves() {
+                let until = if front.migrates() {
                     until
                 } else {
-                    front.life.bound(until)
+                    front.lifecycle.bound(until)
                 };
                 kept = Some(buffer).filter(|b| !b.filled().is_empty());
-                let (status, more, result) = match job(
+                let (status, extra_headers, result) = match submit_job(
                     front,
                     link,
                     &mut kept,
                     (request, until),
                     (&trace, text, body),
-                    (keep, served),
+                    (keep, state),
                 )
                 .await
                 {
@@ -289,8 +302,8 @@
                 };
                 buffer = kept.take().unwrap_or_else(|| front.net.pool.take());
                 // Decided once, after the wait: a connection is closed only if its answer says so.
-                keep &= !front.life.sends_away() && !link.overrun();
-                answer(status, &more, &result, keep).await
+                keep &= !front.lifecycle.closes_after_answer() && !link.overrun();
+                answer(status, &extra_headers, &result, keep).await
             }
         };
         if let Err(reason) = done {
@@ -300,20 +313,20 @@
             return Reason::Done;
         }
         kept = Some(buffer).filter(|b| !b.filled().is_empty());
-        since = front.clock.now();
+        received_at = front.clock.now();
     }
 }
 
 /// Reads until a whole request stands at the front of the buffer.
 async fn receive(link: &Link, buffer: &mut Buffer) -> Result<Result<Frame, Bad>, Reason> {
-    let mut told_to_go_on = false;
+    let mut continue_sent = false;
     loop {
         if !buffer.filled().is_empty() {
             match http::parse_message(buffer, Kind::Request) {
                 Err(bad) => return Ok(Err(bad)),
                 Ok(Progress::Complete(frame)) => return Ok(Ok(frame)),
-                Ok(Progress::Partial(true)) if !told_to_go_on => {
-                    told_to_go_on = true;
+                Ok(Progress::Partial(true)) if !continue_sent => {
+                    continue_sent = true;
                     link.send(b"HTTP/1.1 100 Continue\r\n\r\n", WRITE_TIMEOUT)
                         .await?;
                 }
@@ -334,41 +347,45 @@
 }
 
 /// What a request asks for.
-fn read(front: &Platform, buffer: &Buffer, frame: &Frame) -> Wish {
+fn parse(front: &Platform, buffer: &Buffer, frame: &Frame) -> ParsedRequest {
     let Some((head, body)) = frame.read(buffer, Kind::Request) else {
-        return Wish::Bad(400, "a header is no text\n");
+        return ParsedRequest::Bad(400, "a header is no text\n");
     };
     let path = head.target.split('?').next().unwrap_or("");
     match (head.method, path) {
-        ("GET", "/-/ready") => Wish::Ready,
+        ("GET", "/-/ready") => ParsedRequest::Ready,
         ("POST", "/_jobs/news") => {
             // The reader works on the text in place: on a copy, as more messages may stand behind this one.
             let mut copy = front.net.pool.take();
             match copy
                 .write_all(body)
                 .map_err(|e| e.to_string())
-                .and_then(|()| News::read(copy.filled_mut()))
+                .and_then(|()| JobReport::read(copy.filled_mut()))
             {
-                Ok(news) => Wish::News(news, body.to_vec()),
-                Err(_) => Wish::Bad(400, "no news\n"),
+                Ok(news) => ParsedRequest::JobReport(news, body.to_vec()),
+                Err(_) => ParsedRequest::Bad(400, "no news\n"),
             }
         }
-        (_, "/-/ready" | "/_jobs/news") => Wish::Bad(405, ""),
-        ("POST", _) if !frame.sized => Wish::Bad(411, "a job's length must be said\n"),
+        (_, "/-/ready" | "/_jobs/news") => ParsedRequest::Bad(405, ""),
+        ("POST", _) if !frame.sized => ParsedRequest::Bad(411, "a job's length must be said\n"),
         // Which of two would count is anybody's guess.
-        ("POST", _) if head.repeats(&ONCE) => Wish::Bad(400, "a header stands twice\n"),
-        ("POST", _) => job_of(front, &head, body, path).unwrap_or_else(|why| Wish::Bad(400, why)),
-        _ => Wish::Bad(405, "jobs come by POST\n"),
+        ("POST", _) if head.repeats(&SINGLE_HEADERS) => {
+            ParsedRequest::Bad(400, "a header stands twice\n")
+        }
+        ("POST", _) => {
+            parse_job(front, &head, body, path).unwrap_or_else(|why| ParsedRequest::Bad(400, why))
+        }
+        _ => ParsedRequest::Bad(405, "jobs come by POST\n"),
     }
 }
 
 /// What a job asks for; one of a known class that cannot be taken has failed.
-fn job_of(
+fn parse_job(
     front: &Platform,
     head: &Head<'_>,
     body: &[u8],
     path: &str,
-) -> Result<Wish, &'static str> {
+) -> Result<ParsedRequest, &'static str> {
     let site = front.site.borrow();
     let name = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let Some(class) = site.class(name) else {
@@ -376,24 +393,24 @@
         site.classes
             .find(name)
             .inspect(|dropped| front.metrics.count(*dropped, End::Failed));
-        return Ok(Wish::Bad(404, "no such class of jobs\n"));
+        return Ok(ParsedRequest::Bad(404, "no such class of jobs\n"));
     };
     // What the job is about; a path without a further part does not say.
     let subject = path
         .trim_start_matches('/')
         .rsplit_once('/')
         .and_then(|(_, last)| config::subject(last));
-    let job = job_of_class(front, &site, (class, subject), (head, body));
+    let job = parse_job_of_class(front, &site, (class, subject), (head, body));
     job.inspect_err(|_| front.metrics.count(class, End::Failed))
 }
 
 /// The job of a class; or why it is none.
-fn job_of_class(
+fn parse_job_of_class(
     front: &Platform,
     site: &Site,
     (class, subject): (ClassId, Option<u64>),
     (head, body): (&Head<'_>, &[u8]),
-) -> Result<Wish, &'static str> {
+) -> Result<ParsedRequest, &'static str> {
     let settings = &site.settings.classes[class as usize];
     let trace = head
         .header("X-Trace-Id")
@@ -415,10 +432,10 @@
         None => settings.deadline,
         Some(ms) => {
             let digits = Some(ms).filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
-            let whole = digits.and_then(|ms| ms.parse::<u64>().ok());
-            whole
+            let milliseconds = digits.and_then(|ms| ms.parse::<u64>().ok());
+            milliseconds
                 .ok_or("X-Expires-In-Ms must be whole milliseconds\n")?
-                .min(LEFT_MOST)
+                .min(MAX_CLIENT_WAIT_MS)
                 * 1000
         }
     };
@@ -458,15 +475,15 @@
     let written = passed
         .write_all(body)
         .and_then(|()| write!(passed, "{} {} HTTP/1.1\r\n", head.method, head.target))
-        .and_then(|()| header(&mut passed, "Host", Some("service.internal")))
-        .and_then(|()| header(&mut passed, "X-Trace-Id", Some(trace)))
-        .and_then(|()| header(&mut passed, "Idempotency-Key", key))
-        .and_then(|()| header(&mut passed, "X-Customer", head.header("X-Customer")))
-        .and_then(|()| header(&mut passed, "X-Props", head.header("X-Props")))
-        .and_then(|()| header(&mut passed, "Content-Type", head.header("Content-Type")))
+        .and_then(|()| write_header(&mut passed, "Host", Some("service.internal")))
+        .and_then(|()| write_header(&mut passed, "X-Trace-Id", Some(trace)))
+        .and_then(|()| write_header(&mut passed, "Idempotency-Key", key))
+        .and_then(|()| write_header(&mut passed, "X-Customer", head.header("X-Customer")))
+        .and_then(|()| write_header(&mut passed, "X-Props", head.header("X-Props")))
+        .and_then(|()| write_header(&mut passed, "Content-Type", head.header("Content-Type")))
         .and_then(|()| write!(passed, "Content-Length: {}\r\n", body.len()));
     written.map_err(|_| "the request is too large\n")?;
-    Ok(Wish::Job {
+    Ok(ParsedRequest::Job {
         request,
         trace: trace.to_string(),
         text: passed,
@@ -474,24 +491,24 @@
     })
 }
 
-fn header(to: &mut Buffer, name: &str, value: Option<&str>) -> std::io::Result<()> {
+fn write_header(to: &mut Buffer, name: &str, value: Option<&str>) -> std::io::Result<()> {
     value.map_or(Ok(()), |value| write!(to, "{name}: {value}\r\n"))
 }
 
 /// A status, headers to go with it, and a body.
-type Message = (u16, String, Vec<u8>);
+type AnswerParts = (u16, String, Vec<u8>);
 
 /// Hands a job to the core and waits for its answer, or for the client to leave.
-async fn job(
+async fn submit_job(
     front: &Rc<Platform>,
     link: &Link,
     rest: &mut Option<Buffer>,
     (mut request, until): (Request, Time),
     (trace, text, body): (&str, Buffer, usize),
-    so_far: (bool, &Served),
-) -> Result<Message, Reason> {
+    connection: (bool, &ConnectionState),
+) -> Result<AnswerParts, Reason> {
     let (to, from) = bounded(1);
-    let Some((id, parcel)) = front.take_in(trace, (text, body), to.downgrade()) else {
+    let Some((id, parcel)) = front.register_job(trace, (text, body), to.downgrade()) else {
         front.metrics.count(request.class, End::Failed);
         return Ok((409, String::new(), b"a job of this id is open\n".into()));
     };
@@ -504,24 +521,24 @@
     {
         return Ok((500, String::new(), Vec::new()));
     }
-    answered(front, link, rest, (id, &parcel, from), so_far).await
+    wait_for_answer(front, link, rest, (id, &parcel, from), connection).await
 }
 
 /// Waits for a job's answer, for the client to leave, or for the job to go over to another process.
-async fn answered(
+async fn wait_for_answer(
     front: &Rc<Platform>,
     link: &Link,
     rest: &mut Option<Buffer>,
     (id, parcel, from): (JobId, &Parcel, Receiver<Answer>),
-    (keep, served): (bool, &Served),
-) -> Result<Message, Reason> {
-    let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
+    (keep, state): (bool, &ConnectionState),
+) -> Result<AnswerParts, Reason> {
+    let answer = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
     let left = async { Err(link.wait_until_closed(rest, &front.net.pool).await) };
-    let moved = async {
-        front.released(id, parcel, keep, served).await;
+    let migrating = async {
+        front.wait_until_released(id, parcel, keep, state).await;
         Err(Reason::Migrated)
     };
-    match moved.or(answered).or(left).await {
+    match migrating.or(answer).or(left).await {
         Ok(Answer::Served) => Ok((
             200,
             String::new(),
@@ -536,7 +553,7 @@
         Ok(Answer::Failed) => Ok((500, String::new(), Vec::new())),
         Err(Reason::Migrated) => {
             let read = rest.take();
-            served
+            state
                 .rest
                 .replace(read.map_or_else(Vec::new, |buffer| buffer.filled().to_vec()));
             Err(Reason::Migrated)
@@ -554,7 +571,7 @@
     front: &Platform,
     link: &Link,
     status: u16,
-    more: impl Display,
+    extra_headers: impl Display,
     body: &[u8],
     keep: bool,
 ) -> Result<(), Reason> {
@@ -567,7 +584,7 @@
     };
     let head = write!(
         buffer,
-        "HTTP/1.1 {status} {}\r\n{more}{length}{close}\r\n",
+        "HTTP/1.1 {status} {}\r\n{extra_headers}{length}{close}\r\n",
         http::reason(status)
     );
     // A result that one buffer does not hold goes out after the head.
--- a/crates/indigofold/src/front/platform/membership.rs
+++ b/crates/indigofold/src/front/platform/membership.rs
@@ -2,7 +2,7 @@
 
 use super::Platform;
 use crate::api::Scope;
-use crate::config::DiscoveryList;
+use crate::config::MembershipUpdate;
 use crate::core::{CoreInput, MembershipRequest};
 use crate::net::http::{self, Kind, Progress};
 use crate::net::{Link, Reason, log, within};
@@ -22,108 +22,116 @@
 /// Discovery is one service for all schedulers and takes one call after another: with many, each calls less often, and no
 /// two wait for the same time, so that what falls silent together does not call together.
 const WAIT_MS: (u64, u64) = (3_000, 30_000);
-const WAIT_EACH_MS: u64 = 500;
+const WAIT_PER_SCHEDULER_MS: u64 = 500;
 /// With so many schedulers, calls are spread out: as they start together, fail together and hear of a change together,
 /// they would call together, and most would be turned away, again and again ...
-const MANY: u64 = 8;
+const MANY_SCHEDULERS: u64 = 8;
 /// ... over so long for each scheduler where a watch begins, which costs discovery most (20 to 60 ms) ...
-const SPREAD_EACH: Duration = Duration::from_millis(40);
+const SPREAD_PER_SCHEDULER: Duration = Duration::from_millis(40);
 /// ... but no longer than this part of the time within which the list must be asked for, the rest being for the call ...
-const SPREAD_MOST: f64 = 0.5;
+const MAX_SPREAD_FRACTION: f64 = 0.5;
 /// ... and so many times as long at most, as calls fail: discovery still works through those that it has turned away.
-const FAILED: u32 = 4;
+const MAX_FAILURE_FACTOR: u32 = 4;
 /// A watch goes on only if the next call comes within 200 ms of the answer: what changes later counts as told all the
 /// same, and is not. However many they are, the calls of a watch that goes on are put off for no longer than this.
-const GO_ON: Duration = Duration::from_millis(100);
+const CONTINUE_SPREAD: Duration = Duration::from_millis(100);
 /// Over how long the first call of a process that replaces another is spread out.
-const REPLACES: Duration = Duration::from_millis(500);
+const REPLACEMENT_SPREAD: Duration = Duration::from_millis(500);
 /// Over how long, with many schedulers, those that have found their watch silent open it anew.
-const SILENT: Duration = Duration::from_millis(300);
+const REOPEN_SPREAD: Duration = Duration::from_millis(300);
 /// Over how long, with many, the first calls to a discovery that takes over are spread out: what it has to tell counts as
 /// told four seconds after the signal.
-const MOVES: Duration = Duration::from_millis(1_500);
+const NEW_DISCOVERY_SPREAD: Duration = Duration::from_millis(1_500);
 /// How long a call for changes may take beyond its wait ...
-const BEYOND: Duration = Duration::from_millis(1_000);
+const CALL_SLACK: Duration = Duration::from_millis(1_000);
 /// ... one to a discovery that takes over ...
-const MOVED: Duration = Duration::from_millis(2_000);
+const NEW_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// ... and any other whose answer is due at once: it stands in line at discovery, which itself gives up on a call in less.
 /// Broken off sooner it would be worked through all the same, and the one made instead would stand behind it.
-const CALL: Duration = Duration::from_millis(4_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// ... and how long a dial may take.
-const DIAL: Duration = Duration::from_millis(500);
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Wait of a call that is to say what has changed up to now. Where a list is held, a watch begins with such a call: one for
 /// the whole list would cost discovery more, and the watch would only begin with the next call, which has to stand in line
 /// as well; what changes while it does counts as told, as it has come right after an answer.
-const AT_ONCE_MS: u64 = 1;
+const IMMEDIATE_WAIT_MS: u64 = 1;
 /// So long after a failed call the next one is made, at most, however many call and however often they failed: what changes
 /// counts as told six seconds after discovery could be reached again, and the rest of that is for standing in line. All that
 /// call come within this time and that of a call, so that discovery has as long for them.
-const RETRY_MOST: Duration = Duration::from_millis(4_200);
+const RETRY_WITHIN: Duration = Duration::from_millis(4_200);
 /// Between two tries at a discovery that is to take over.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the actor is told.
-pub enum Word {
+pub enum Command {
     /// Something is asked of the list.
-    Ask(MembershipRequest),
+    Request(MembershipRequest),
     /// Discovery answers here from now on.
-    Move(SocketAddr),
+    MoveTo(SocketAddr),
 }
 
 /// A call under way. It owns its line, so that what else happens meanwhile does not break it off.
-type Call = Pin<Box<dyn Future<Output = (Line, Result<DiscoveryList, Reason>)>>>;
+type Call = Pin<Box<dyn Future<Output = (DiscoveryClient, Result<MembershipUpdate, Reason>)>>>;
 
-enum Next {
-    Answer(Line, Result<DiscoveryList, Reason>),
-    Moved(Line, Result<DiscoveryList, Reason>),
-    CoreInput(Result<Word, RecvError>),
+enum Wakeup {
+    Answer(DiscoveryClient, Result<MembershipUpdate, Reason>),
+    NewDiscovery(DiscoveryClient, Result<MembershipUpdate, Reason>),
+    Command(Result<Command, RecvError>),
 }
 
 /// A call that begins a watch, one with which a watch goes on, one after a watch has fallen silent, and one to a discovery
 /// that takes over.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Step {
-    Begins,
-    GoesOn,
-    Silent,
-    Moves,
+enum CallKind {
+    StartWatch,
+    ContinueWatch,
+    Unresponsive,
+    NewDiscovery,
 }
 
 /// Over how long calls are spread out, given how many call, how often they failed and how often they must be made.
-fn spread(step: Step, schedulers: u64, failed: u32, list_refresh_within: Duration) -> Duration {
-    match step {
-        _ if schedulers < MANY => Duration::ZERO,
-        Step::GoesOn => GO_ON,
-        Step::Silent => SILENT,
-        Step::Moves => MOVES,
-        Step::Begins => {
-            let each = SPREAD_EACH.saturating_mul(u32::try_from(schedulers).unwrap_or(u32::MAX));
-            each.min(list_refresh_within.mul_f64(SPREAD_MOST))
-                .saturating_mul(failed)
+fn spread(
+    kind: CallKind,
+    schedulers: u64,
+    failure_factor: u32,
+    list_refresh_within: Duration,
+) -> Duration {
+    match kind {
+        _ if schedulers < MANY_SCHEDULERS => Duration::ZERO,
+        CallKind::ContinueWatch => CONTINUE_SPREAD,
+        CallKind::Unresponsive => REOPEN_SPREAD,
+        CallKind::NewDiscovery => NEW_DISCOVERY_SPREAD,
+        CallKind::StartWatch => {
+            let each =
+                SPREAD_PER_SCHEDULER.saturating_mul(u32::try_from(schedulers).unwrap_or(u32::MAX));
+            each.min(list_refresh_within.mul_f64(MAX_SPREAD_FRACTION))
+                .saturating_mul(failure_factor)
         }
     }
 }
 
 /// How long a call may still be put off, given how long ago the last one failed, if it did.
 fn retry_within(since_failure: Option<Duration>) -> Duration {
-    since_failure.map_or(Duration::MAX, |since| RETRY_MOST.saturating_sub(since))
+    since_failure.map_or(Duration::MAX, |since| RETRY_WITHIN.saturating_sub(since))
 }
 
 /// How long a call for changes may wait, at least and at most, given how many call.
-fn waits(schedulers: u64) -> (u64, u64) {
-    let most = (WAIT_EACH_MS.saturating_mul(schedulers)).clamp(WAIT_MS.0, WAIT_MS.1);
+fn wait_bounds(schedulers: u64) -> (u64, u64) {
+    let most = (WAIT_PER_SCHEDULER_MS.saturating_mul(schedulers)).clamp(WAIT_MS.0, WAIT_MS.1);
     (most / 2, most)
 }
 
 /// How long a call may take that waits so long, or asks for the whole list.
-fn due(wait: Option<u64>) -> Duration {
-    wait.filter(|wait| *wait != AT_ONCE_MS)
-        .map_or(CALL, |wait| BEYOND + Duration::from_millis(wait))
+fn call_timeout(wait: Option<u64>) -> Duration {
+    wait.filter(|wait| *wait != IMMEDIATE_WAIT_MS)
+        .map_or(CALL_TIMEOUT, |wait| {
+            CALL_SLACK + Duration::from_millis(wait)
+        })
 }
 
 /// The way to a discovery, and the version of its list that is held, if one is.
-struct Line {
+struct DiscoveryClient {
     front: Rc<Platform>,
     discovery: SocketAddr,
     link: Option<Link>,
@@ -134,7 +142,7 @@
 
 /// The list that a scheduler has when it starts.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct InitialMembership {
     /// Its version; `None`: it names no machine, and tells nothing.
     pub seq: Option<u64>,
     /// Another process of this scheduler serves yet: there is time to hear what has changed.
@@ -142,50 +150,59 @@
 }
 
 /// The actor.
-pub struct Machines {
+pub struct MembershipWatcher {
     front: Rc<Platform>,
     discovery: SocketAddr,
-    idle: Option<Line>,
+    idle: Option<DiscoveryClient>,
     call: Option<Call>,
-    moving: Option<(SocketAddr, Call)>,
+    next_discovery: Option<(SocketAddr, Call)>,
     watching: bool,
-    anew: bool, // a watch that broke is being opened anew
+    reopened: bool, // a watch that broke is being opened anew
     replaces: bool,
-    failed: u32,                // doubled at each failed call in a row, up to `FAILED`
+    failure_factor: u32, // doubled at each failed call in a row, up to `MAX_FAILURE_FACTOR`
     failed_at: Option<Instant>, // when, if the last call failed
     rng: Pcg64Mcg,
 }
 
-impl Machines {
+impl MembershipWatcher {
     /// An actor that asks this discovery. Where it has many to serve, a list known already is served with until it has
     /// answered: after a mass restart that takes seconds, in which those that still serve would get everything.
-    pub fn new(front: Rc<Platform>, discovery: SocketAddr, known: Known, seed: u64) -> Self {
+    pub fn new(
+        front: Rc<Platform>,
+        discovery: SocketAddr,
+        known: InitialMembership,
+        seed: u64,
+    ) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        let (idle, call, moving, replaces) = (None, None, None, known.replaces);
-        let mut new = Machines {
+        let (idle, call, next_discovery, replaces) = (None, None, None, known.replaces);
+        let mut new = MembershipWatcher {
             front,
             discovery,
             idle,
             call,
-            moving,
+            next_discovery,
             watching: false,
-            anew: false,
+            reopened: false,
             replaces,
-            failed: 1,
+            failure_factor: 1,
             failed_at: None,
             rng,
         };
-        let mut line = new.line(discovery);
-        line.seq = known.seq;
-        new.idle = Some(line);
-        if new.many() && known.seq.is_some() && !replaces && !new.front.ready.replace(true) {
+        let mut client = new.client(discovery);
+        client.seq = known.seq;
+        new.idle = Some(client);
+        if new.has_many_schedulers()
+            && known.seq.is_some()
+            && !replaces
+            && !new.front.ready.replace(true)
+        {
             log("ready: the machine list known before serves until discovery has answered");
         }
         new
     }
 
-    fn many(&self) -> bool {
-        self.schedulers() >= MANY
+    fn has_many_schedulers(&self) -> bool {
+        self.schedulers() >= MANY_SCHEDULERS
     }
 
     fn schedulers(&self) -> u64 {
@@ -200,55 +217,72 @@
 
     /// How long a call for changes may wait.
     fn wait(&mut self) -> u64 {
-        let (least, most) = waits(self.schedulers());
+        let (least, most) = wait_bounds(self.schedulers());
         least + self.rng.next_u64() % (most - least + 1)
     }
 
     /// The next call of a watch that goes on.
-    fn go_on(&mut self, line: Line) -> Call {
-        let (wait, put_off) = (self.wait(), self.put_off(Step::GoesOn));
+    fn continue_watch(&mut self, client: DiscoveryClient) -> Call {
+        let (wait, put_off) = (self.wait(), self.put_off(CallKind::ContinueWatch));
         // What is older than the list held says nothing of what has changed since.
-        let wait = (!line.older).then_some(wait);
-        Box::pin(line.call(wait, put_off, due(wait)))
+        let wait = (!client.older).then_some(wait);
+        Box::pin(client.call(wait, put_off, call_timeout(wait)))
     }
 
     /// Opens a watch anew that broke or fell silent, without asking whether and when: what it misses counts as told. Not
     /// where discovery turns calls down, and not twice in a row: then it is the module that says when. Where lists are
     /// pushed, what the agent has counts as told at any time, so that it is asked until it answers.
-    fn open_anew(&mut self, mut line: Line, reason: Reason) -> Result<Call, Line> {
-        let (pushed, again) = (
+    fn reopen_watch(
+        &mut self,
+        mut client: DiscoveryClient,
+        reason: Reason,
+    ) -> Result<Call, DiscoveryClient> {
+        let (pushed, repeated) = (
             self.front.site.borrow().pushed,
-            std::mem::replace(&mut self.anew, true),
+            std::mem::replace(&mut self.reopened, true),
         );
         let down = matches!(
             reason,
             Reason::Rejected | Reason::Refused | Reason::DialTimeout | Reason::NoCapacity
         );
-        if !self.watching || (!pushed && (again || down)) {
-            self.anew = false;
-            return Err(line);
+        if !self.watching || (!pushed && (repeated || down)) {
+            self.reopened = false;
+            return Err(client);
         }
         log(format_args!(
             "the watch is opened anew reason={}",
             reason.code()
         ));
-        line.drop_link(reason);
-        let silent = reason == Reason::Unanswered;
-        let put_off = self.put_off(if silent { Step::Silent } else { Step::Begins });
-        let put_off = if again { put_off.max(AGAIN) } else { put_off };
-        let wait = line.seq.map(|_| AT_ONCE_MS);
-        Ok(Box::pin(line.call(wait, put_off, due(wait))))
+        client.drop_link(reason);
+        let unresponsive = reason == Reason::Unanswered;
+        let put_off = self.put_off(if unresponsive {
+            CallKind::Unresponsive
+        } else {
+            CallKind::StartWatch
+        });
+        let put_off = if repeated {
+            put_off.max(RETRY_INTERVAL)
+        } else {
+            put_off
+        };
+        let wait = client.seq.map(|_| IMMEDIATE_WAIT_MS);
+        Ok(Box::pin(client.call(wait, put_off, call_timeout(wait))))
     }
 
     /// How long the next call is put off: at random, so that all come one after another.
-    fn put_off(&mut self, step: Step) -> Duration {
+    fn put_off(&mut self, kind: CallKind) -> Duration {
         let list_refresh_within =
             Duration::from_micros(self.front.site.borrow().settings.rules.list_refresh_within);
-        let spread = spread(step, self.schedulers(), self.failed, list_refresh_within);
+        let spread = spread(
+            kind,
+            self.schedulers(),
+            self.failure_factor,
+            list_refresh_within,
+        );
         let spread = spread.min(retry_within(self.failed_at.map(|at| at.elapsed())));
         // A process that is to replace another has some seconds to be ready, and few do so at once.
         let spread = spread.min(if self.replaces && !self.front.ready.get() {
-            REPLACES
+            REPLACEMENT_SPREAD
         } else {
             Duration::MAX
         });
@@ -256,71 +290,71 @@
     }
 
     /// Runs for as long as somebody may ask.
-    pub async fn run(mut self, inbox: Receiver<Word>) {
+    pub async fn run(mut self, inbox: Receiver<Command>) {
         loop {
-            let told = async { Next::CoreInput(inbox.recv().await) };
+            let command = async { Wakeup::Command(inbox.recv().await) };
             let answer = async {
                 let Some(call) = &mut self.call else {
                     return std::future::pending().await;
                 };
-                let (line, answer) = call.await;
-                Next::Answer(line, answer)
+                let (client, answer) = call.await;
+                Wakeup::Answer(client, answer)
             };
-            let moved = async {
-                let Some((_, call)) = &mut self.moving else {
+            let new_discovery = async {
+                let Some((_, call)) = &mut self.next_discovery else {
                     return std::future::pending().await;
                 };
-                let (line, answer) = call.await;
-                Next::Moved(line, answer)
+                let (client, answer) = call.await;
+                Wakeup::NewDiscovery(client, answer)
             };
-            let (line, answer) = match moved.or(told).or(answer).await {
-                Next::CoreInput(Err(_)) => return,
-                Next::CoreInput(Ok(Word::Move(to))) => {
-                    self.move_to(to);
+            let (client, answer) = match new_discovery.or(command).or(answer).await {
+                Wakeup::Command(Err(_)) => return,
+                Wakeup::Command(Ok(Command::MoveTo(to))) => {
+                    self.move_to_discovery(to);
                     continue;
                 }
-                Next::CoreInput(Ok(Word::Ask(asked))) => {
-                    self.ask(asked);
+                Wakeup::Command(Ok(Command::Request(request))) => {
+                    self.handle_request(request);
                     continue;
                 }
-                Next::Moved(line, answer) => {
+                Wakeup::NewDiscovery(client, answer) => {
                     log(format_args!(
                         "discovery moved from {} to {}",
-                        self.discovery, line.discovery
+                        self.discovery, client.discovery
                     ));
-                    (self.discovery, self.moving) = (line.discovery, None);
+                    (self.discovery, self.next_discovery) = (client.discovery, None);
                     (self.idle, self.watching) = (None, true); // the old one's watch ends here
-                    (line, answer)
+                    (client, answer)
                 }
-                Next::Answer(mut line, Err(reason)) if self.moving.is_some() => {
+                Wakeup::Answer(mut client, Err(reason)) if self.next_discovery.is_some() => {
                     // The old discovery has ended the watch. No failed call: the new one is being asked.
-                    line.drop_link(reason);
+                    client.drop_link(reason);
                     self.call = None;
-                    self.usable(false);
+                    self.set_ready(false);
                     continue;
                 }
-                Next::Answer(line, Err(reason)) => match self.open_anew(line, reason) {
+                Wakeup::Answer(client, Err(reason)) => match self.reopen_watch(client, reason) {
                     Ok(call) => {
                         self.call = Some(call);
-                        self.usable(false);
+                        self.set_ready(false);
                         continue;
                     }
-                    Err(line) => (line, Err(reason)),
+                    Err(client) => (client, Err(reason)),
                 },
-                Next::Answer(line, answer) => (line, answer),
+                Wakeup::Answer(client, answer) => (client, answer),
             };
             self.call = None;
-            let line = self.tell(line, answer).await;
+            let client = self.report_result(client, answer).await;
             if self.watching {
-                self.call = Some(self.go_on(line));
+                self.call = Some(self.continue_watch(client));
             } else {
-                self.idle = Some(line);
+                self.idle = Some(client);
             }
         }
     }
 
-    fn line(&self, discovery: SocketAddr) -> Line {
-        Line {
+    fn client(&self, discovery: SocketAddr) -> DiscoveryClient {
+        DiscoveryClient {
             front: self.front.clone(),
             discovery,
             link: None,
@@ -329,90 +363,104 @@
         }
     }
 
-    fn ask(&mut self, asked: MembershipRequest) {
-        if asked == MembershipRequest::Watch(false) {
+    fn handle_request(&mut self, request: MembershipRequest) {
+        if request == MembershipRequest::Watch(false) {
             (self.watching, self.call) = (false, None);
             return;
         }
-        self.watching |= asked == MembershipRequest::Watch(true);
+        self.watching |= request == MembershipRequest::Watch(true);
         // A watch begins from the list held, and where there is none with the whole list. A new discovery's first answer
         // is the whole list as well.
-        if self.moving.is_none() {
+        if self.next_discovery.is_none() {
             // One that is under way is not begun anew: it would stand in line once more.
             if self.call.is_some() {
                 return;
             }
-            let line = self
+            let client = self
                 .idle
                 .take()
-                .unwrap_or_else(|| self.line(self.discovery));
+                .unwrap_or_else(|| self.client(self.discovery));
             // Where discovery has many to serve, each begins with the call that waits: one call less.
-            let waits = self.many() && self.front.ready.get();
-            let on = if waits { self.wait() } else { AT_ONCE_MS };
-            let wait = (line.seq.is_some() && self.watching).then_some(on);
-            self.call = Some(Box::pin(line.call(
+            let long_wait = self.has_many_schedulers() && self.front.ready.get();
+            let on = if long_wait {
+                self.wait()
+            } else {
+                IMMEDIATE_WAIT_MS
+            };
+            let wait = (client.seq.is_some() && self.watching).then_some(on);
+            self.call = Some(Box::pin(client.call(
                 wait,
-                self.put_off(Step::Begins),
-                due(wait),
+                self.put_off(CallKind::StartWatch),
+                call_timeout(wait),
             )));
         }
     }
 
     /// Begins to ask a new discovery, until it answers: then it takes over. The watch at the old one goes on
     /// for as long as that allows, so that there is no time in which nobody would tell of a change.
-    fn move_to(&mut self, to: SocketAddr) {
-        match &self.moving {
+    fn move_to_discovery(&mut self, to: SocketAddr) {
+        match &self.next_discovery {
             Some((going, _)) if *going == to => return,
             None if self.discovery == to => return,
             _ => {}
         }
-        let mut line = self.line(to);
-        let mut put_off = self.put_off(Step::Moves);
+        let mut client = self.client(to);
+        let mut put_off = self.put_off(CallKind::NewDiscovery);
         let call = async move {
             loop {
-                let (back, answer) = line.call(None, put_off, MOVED).await;
-                line = back;
+                let (returned, answer) = client.call(None, put_off, NEW_DISCOVERY_TIMEOUT).await;
+                client = returned;
                 let Err(reason) = &answer else {
-                    return (line, answer);
+                    return (client, answer);
                 };
                 log(format_args!(
                     "discovery at {to} does not answer yet reason={}",
                     reason.code()
                 ));
-                line.drop_link(*reason);
-                put_off = put_off.max(AGAIN);
+                client.drop_link(*reason);
+                put_off = put_off.max(RETRY_INTERVAL);
             }
         };
-        self.moving = Some((to, Box::pin(call)));
+        self.next_discovery = Some((to, Box::pin(call)));
     }
 
     /// Tells the core how a call went.
-    async fn tell(&mut self, mut line: Line, answer: Result<DiscoveryList, Reason>) -> Line {
-        let older = |list: &DiscoveryList| line.seq.filter(|held| list.seq < *held && !line.older);
+    async fn report_result(
+        &mut self,
+        mut client: DiscoveryClient,
+        answer: Result<MembershipUpdate, Reason>,
+    ) -> DiscoveryClient {
+        let older = |list: &MembershipUpdate| {
+            client
+                .seq
+                .filter(|current| list.seq < *current && !client.older)
+        };
         let (scope, entries) = match answer {
-            Ok(list) if let Some(held) = older(&list) => {
+            Ok(list) if let Some(current) = older(&list) => {
                 let got = list.seq;
                 log(format_args!(
-                    "a list of version {got} is not taken, as {held} is held: the whole one is asked for"
+                    "a list of version {got} is not taken, as {current} is held: the whole one is asked for"
                 ));
-                (line.older, self.anew) = (true, false);
-                return line;
+                (client.older, self.reopened) = (true, false);
+                return client;
             }
             Ok(list) => {
-                (line.seq, line.older, self.failed, self.anew) = (Some(list.seq), false, 1, false);
+                (client.seq, client.older, self.failure_factor, self.reopened) =
+                    (Some(list.seq), false, 1, false);
                 self.failed_at = None;
-                let scope = if list.whole {
+                let scope = if list.complete {
                     Scope::Full
                 } else {
                     Scope::Delta
                 };
-                (scope, self.front.learn(list))
+                (scope, self.front.apply_membership(list))
             }
             Err(reason) => {
                 log(format_args!("list call failed reason={}", reason.code()));
                 self.failed_at = Some(Instant::now());
-                line.drop_link(reason);
-                (self.watching, self.failed) = (false, (2 * self.failed).min(FAILED));
+                client.drop_link(reason);
+                (self.watching, self.failure_factor) =
+                    (false, (2 * self.failure_factor).min(MAX_FAILURE_FACTOR));
                 (Scope::Failed, Vec::new())
             }
         };
@@ -424,25 +472,25 @@
                 .send(CoreInput::Membership(scope, entries))
                 .await;
         }
-        self.usable(scope != Scope::Failed);
-        line
+        self.set_ready(scope != Scope::Failed);
+        client
     }
 
     /// Ready once there is a list. Where discovery is down at the start, what was known before is all there is to go by.
-    fn usable(&self, answered: bool) {
+    fn set_ready(&self, answered: bool) {
         if (answered || self.front.knows_machines()) && !self.front.ready.replace(true) {
             log("ready: there is a machine list");
         }
     }
 }
 
-impl Drop for Line {
+impl Drop for DiscoveryClient {
     fn drop(&mut self) {
         self.drop_link(Reason::Done);
     }
 }
 
-impl Line {
+impl DiscoveryClient {
     fn drop_link(&mut self, reason: Reason) {
         if let Some(link) = self.link.take() {
             link.end("list", reason, "");
@@ -455,7 +503,7 @@
         wait: Option<u64>,
         put_off: Duration,
         limit: Duration,
-    ) -> (Line, Result<DiscoveryList, Reason>) {
+    ) -> (DiscoveryClient, Result<MembershipUpdate, Reason>) {
         if !put_off.is_zero() {
             Timer::after(put_off).await;
         }
@@ -467,12 +515,12 @@
         &mut self,
         wait: Option<u64>,
         limit: Duration,
-    ) -> Result<DiscoveryList, Reason> {
+    ) -> Result<MembershipUpdate, Reason> {
         if self.link.as_ref().is_some_and(Link::stale) {
             self.drop_link(Reason::PeerClosed);
         }
         if self.link.is_none() {
-            self.link = Some(self.front.net.dial(self.discovery, DIAL).await?);
+            self.link = Some(self.front.net.dial(self.discovery, DIAL_TIMEOUT).await?);
         }
         let Some(link) = &self.link else {
             return Err(Reason::Broke);
@@ -487,8 +535,8 @@
                 self.seq.unwrap_or(0)
             ),
         };
-        let talk = async {
-            link.send(buffer.filled(), DIAL).await?;
+        let exchange = async {
+            link.send(buffer.filled(), DIAL_TIMEOUT).await?;
             buffer.clear();
             loop {
                 if let Progress::Complete(frame) =
@@ -503,12 +551,12 @@
                 }
             }
         };
-        let frame = within(limit, Reason::Unanswered, talk).await?;
+        let frame = within(limit, Reason::Unanswered, exchange).await?;
         let (head, body) = frame.read(buffer, Kind::Answer).ok_or(Reason::Malformed)?;
         if head.status != 200 {
             return Err(Reason::Rejected);
         }
-        let list = DiscoveryList::read(&mut body.to_vec()).map_err(|_| Reason::Malformed)?;
+        let list = MembershipUpdate::read(&mut body.to_vec()).map_err(|_| Reason::Malformed)?;
         if !frame.keep {
             self.drop_link(Reason::Done);
         }
--- a/crates/indigofold/src/front/platform/membership/tests.rs
+++ b/crates/indigofold/src/front/platform/membership/tests.rs
@@ -7,11 +7,15 @@
 #[test]
 fn many_schedulers_spread_out_the_calls_that_begin_a_watch() {
     let within = Duration::from_secs(10);
-    assert_eq!(spread(Step::Begins, 3, 1, within), Duration::ZERO);
-    assert_eq!(spread(Step::Begins, 7, FAILED, within), Duration::ZERO);
+    assert_eq!(spread(CallKind::StartWatch, 3, 1, within), Duration::ZERO);
+    assert_eq!(
+        spread(CallKind::StartWatch, 7, MAX_FAILURE_FACTOR, within),
+        Duration::ZERO
+    );
     for many in [8, 20, 48, 100, 1000, u64::MAX] {
-        let [first, failed] = [1, FAILED].map(|failed| spread(Step::Begins, many, failed, within));
-        assert!(first >= SPREAD_EACH * 8, "{many} schedulers");
+        let [first, failed] = [1, MAX_FAILURE_FACTOR]
+            .map(|failed| spread(CallKind::StartWatch, many, failed, within));
+        assert!(first >= SPREAD_PER_SCHEDULER * 8, "{many} schedulers");
         // A call counts as made in time within `list_refresh_within`, four times that after a failed one.
         assert!(
             first <= within / 2 && failed <= 2 * within,
@@ -24,19 +28,23 @@
 /// seconds after discovery could be reached, and drained machines got new jobs until the next call.
 #[test]
 fn after_a_failed_call_the_next_one_comes_in_time_however_many_schedulers_there_are() {
-    let (within, told, line) = (
+    let (within, deadline, queueing) = (
         Duration::from_secs(10),
         Duration::from_secs(6),
         Duration::from_millis(1_500),
     );
     for many in [8, 48, 324, 1000, u64::MAX] {
-        for (failed, module_waits_ms) in
-            [(2, 500), (FAILED, 1_000), (FAILED, 2_000), (FAILED, 4_000)]
-        {
+        for (failed, module_waits_ms) in [
+            (2, 500),
+            (MAX_FAILURE_FACTOR, 1_000),
+            (MAX_FAILURE_FACTOR, 2_000),
+            (MAX_FAILURE_FACTOR, 4_000),
+        ] {
             let since = Duration::from_millis(module_waits_ms);
-            let put_off = spread(Step::Begins, many, failed, within).min(retry_within(Some(since)));
+            let put_off =
+                spread(CallKind::StartWatch, many, failed, within).min(retry_within(Some(since)));
             assert!(
-                since + put_off + line < told,
+                since + put_off + queueing < deadline,
                 "{many} schedulers, {since:?} after a failure"
             );
         }
@@ -49,10 +57,14 @@
 #[test]
 fn a_watch_goes_on_within_200_ms_however_many_schedulers_there_are() {
     for many in [1, 8, 100, 1000, u64::MAX] {
-        for failed in [1, FAILED] {
+        for failed in [1, MAX_FAILURE_FACTOR] {
             assert!(
-                spread(Step::GoesOn, many, failed, Duration::from_secs(10))
-                    < Duration::from_millis(150)
+                spread(
+                    CallKind::ContinueWatch,
+                    many,
+                    failed,
+                    Duration::from_secs(10)
+                ) < Duration::from_millis(150)
             );
         }
     }
@@ -64,14 +76,17 @@
 fn a_silent_watch_is_asked_anew_before_what_it_misses_counts_as_told() {
     let within = Duration::from_secs(10);
     for many in [1, 3, 7, 8, 48, 300, 1000, u64::MAX] {
-        let (least, most) = waits(many);
+        let (least, most) = wait_bounds(many);
         for wait in [least, most] {
             let wait = Duration::from_millis(wait);
             // It fell silent right after its call came, which is the worst for this side.
-            let told = Duration::from_secs(6).max(wait + Duration::from_secs(2));
-            let asked = wait + BEYOND + spread(Step::Silent, many, FAILED, within) + DIAL;
+            let deadline = Duration::from_secs(6).max(wait + Duration::from_secs(2));
+            let reopened_after = wait
+                + CALL_SLACK
+                + spread(CallKind::Unresponsive, many, MAX_FAILURE_FACTOR, within)
+                + DIAL_TIMEOUT;
             assert!(
-                asked + Duration::from_millis(200) <= told,
+                reopened_after + Duration::from_millis(200) <= deadline,
                 "{many} schedulers, {wait:?}"
             );
         }
@@ -84,6 +99,11 @@
         assert!(least * 2 <= most + 1, "{many} schedulers");
     }
     // A discovery that takes over has answered, or been found silent, within the four seconds that it has.
-    let moved = spread(Step::Moves, 300, FAILED, within) + DIAL + MOVED;
-    assert!(moved <= Duration::from_secs(4), "{moved:?}");
+    let answered_after = spread(CallKind::NewDiscovery, 300, MAX_FAILURE_FACTOR, within)
+        + DIAL_TIMEOUT
+        + NEW_DISCOVERY_TIMEOUT;
+    assert!(
+        answered_after <= Duration::from_secs(4),
+        "{answered_after:?}"
+    );
 }
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -2,12 +2,12 @@
 //! knows of the job. A job goes once none of its attempts is on its way to a machine: those that a machine has taken need
 //! no connection, as it tells what becomes of them to whoever accepts.
 
-use super::clients::{self, Served};
-use super::peer_process::{Kin, Word};
+use super::clients::{self, ConnectionState};
+use super::peer_process::{HandoverMessage, PeerProcess};
 use super::workers::{AttemptState, Order, Stage};
 use super::{Parcel, Platform};
 use crate::api::Time;
-use crate::config::News;
+use crate::config::JobReport;
 use crate::core::{AttemptId, CoreInput, JobId, Reply};
 use crate::net::set::Direction;
 use crate::net::{Link, log};
@@ -27,7 +27,7 @@
 
 /// A job and its client's connection, but for the descriptor.
 #[derive(Serialize, Deserialize)]
-pub struct Moved {
+pub struct MigratingJob {
     trace: String,
     text: Vec<u8>,
     body: usize,
@@ -39,65 +39,65 @@
 }
 
 /// Where open jobs go, if anywhere.
-pub struct Moving {
-    taker: RefCell<Option<Rc<Kin>>>,
+pub struct Migration {
+    target: RefCell<Option<Rc<PeerProcess>>>,
     /// Closed while there is one: all that wait hear of it.
-    called: RefCell<(Sender<()>, Receiver<()>)>,
+    started: RefCell<(Sender<()>, Receiver<()>)>,
     /// Jobs that are about to go over, by their ids: the news of them that has come meanwhile.
-    leaving: RefCell<HashMap<String, Vec<Vec<u8>>>>,
-    /// Ids of jobs that have gone over: news of them that is sent back here goes there.
-    gone: RefCell<HashSet<String>>,
+    deferred: RefCell<HashMap<String, Vec<Vec<u8>>>>,
+    /// Ids of jobs that have transferred over: news of them that is sent back here goes there.
+    transferred: RefCell<HashSet<String>>,
 }
 
-impl Default for Moving {
+impl Default for Migration {
     fn default() -> Self {
-        let (taker, leaving, gone) = Default::default();
-        Moving {
-            taker,
-            called: RefCell::new(bounded(1)),
-            leaving,
-            gone,
+        let (target, deferred, transferred) = Default::default();
+        Migration {
+            target,
+            started: RefCell::new(bounded(1)),
+            deferred,
+            transferred,
         }
     }
 }
 
 impl Platform {
     /// Open jobs go to this process from now on.
-    pub fn move_to(&self, kin: &Rc<Kin>) {
-        self.moving.taker.replace(Some(kin.clone()));
-        self.moving.called.borrow().0.close();
+    pub fn start_migration(&self, peer: &Rc<PeerProcess>) {
+        self.migration.target.replace(Some(peer.clone()));
+        self.migration.started.borrow().0.close();
     }
 
     /// Is there a process that open jobs go to?
-    pub fn moves(&self) -> bool {
-        self.moving.taker.borrow().is_some()
+    pub fn migrates(&self) -> bool {
+        self.migration.target.borrow().is_some()
     }
 
     /// That process has ended: jobs stay.
-    pub fn move_no_more(&self) {
-        if self.moving.taker.take().is_some() {
-            self.moving.called.replace(bounded(1));
-            self.moving.gone.take();
+    pub fn stop_migration(&self) {
+        if self.migration.target.take().is_some() {
+            self.migration.started.replace(bounded(1));
+            self.migration.transferred.take();
         }
     }
 
-    /// Has this job gone over?
-    pub(super) fn has_moved(&self, trace: &str) -> bool {
-        self.moving.gone.borrow().contains(trace)
+    /// Has this job transferred over?
+    pub(super) fn was_transferred(&self, trace: &str) -> bool {
+        self.migration.transferred.borrow().contains(trace)
     }
 
     /// Returns once the job has been given away here; until then it stays. `keep`: its connection is to be kept.
-    pub(super) async fn released(
+    pub(super) async fn wait_until_released(
         self: &Rc<Self>,
         id: JobId,
         parcel: &Parcel,
         keep: bool,
-        served: &Served,
+        state: &ConnectionState,
     ) {
         loop {
-            let called = self.moving.called.borrow().1.clone();
-            if self.moving.taker.borrow().is_none() {
-                let _ = called.recv().await;
+            let started = self.migration.started.borrow().1.clone();
+            if self.migration.target.borrow().is_none() {
+                let _ = started.recv().await;
             }
             if parcel
                 .attempts
@@ -108,8 +108,8 @@
             {
                 // News of it waits until it is known who is to hear of it.
                 let trace = parcel.trace.clone();
-                self.moving
-                    .leaving
+                self.migration
+                    .deferred
                     .borrow_mut()
                     .insert(trace.clone(), Vec::new());
                 let (to, from) = bounded(1);
@@ -118,8 +118,8 @@
                     let job = self.transferred_job(released.job);
                     let (text, body) = (parcel.text.filled().to_vec(), parcel.body);
                     let (rest, messages, until) =
-                        (Vec::new(), served.messages.get(), released.until);
-                    served.moved.replace(Some(Moved {
+                        (Vec::new(), state.messages.get(), released.until);
+                    state.migrating.replace(Some(MigratingJob {
                         trace,
                         text,
                         body,
@@ -131,86 +131,97 @@
                     }));
                     return;
                 }
-                self.heard(&trace).await;
+                self.replay_deferred_reports(&trace).await;
             }
             Timer::after(AGAIN).await;
         }
     }
 
     /// News that came meanwhile: takes what waited, and nothing waits any more.
-    async fn heard(self: &Rc<Self>, trace: &str) {
-        let waited = self.moving.leaving.borrow_mut().remove(trace);
-        for text in waited.into_iter().flatten() {
-            if let Ok(news) = News::read(&mut text.clone()) {
-                self.news(&text, news, None).await;
+    async fn replay_deferred_reports(self: &Rc<Self>, trace: &str) {
+        let reports = self.migration.deferred.borrow_mut().remove(trace);
+        for text in reports.into_iter().flatten() {
+            if let Ok(report) = JobReport::read(&mut text.clone()) {
+                self.handle_report(&text, report, None).await;
             }
         }
     }
 
     /// The job has ended here: nothing is kept of it.
-    pub(super) fn waits_no_more(&self, trace: &str) {
-        self.moving.leaving.borrow_mut().remove(trace);
+    pub(super) fn drop_deferred_reports(&self, trace: &str) {
+        self.migration.deferred.borrow_mut().remove(trace);
     }
 
     /// Keeps a piece of news of a job that is about to go over.
-    pub(super) fn waits(&self, trace: &str, text: &[u8]) -> bool {
-        let mut leaving = self.moving.leaving.borrow_mut();
-        leaving
+    pub(super) fn defer_report(&self, trace: &str, text: &[u8]) -> bool {
+        let mut deferred = self.migration.deferred.borrow_mut();
+        deferred
             .get_mut(trace)
-            .map(|waiting| waiting.push(text.to_vec()))
+            .map(|reports| reports.push(text.to_vec()))
             .is_some()
     }
 
     /// Sends a released job to the process that takes over. Where that has just ended, the job goes on here.
-    pub(super) async fn hand_over(self: &Rc<Self>, mut moved: Moved, rest: &[u8], link: Link) {
+    pub(super) async fn transfer(
+        self: &Rc<Self>,
+        mut migrating: MigratingJob,
+        rest: &[u8],
+        link: Link,
+    ) {
         // What follows is not understood where some of it was thrown away.
-        moved.keep &= !link.overrun();
-        moved.rest = if link.overrun() {
+        migrating.keep &= !link.overrun();
+        migrating.rest = if link.overrun() {
             Vec::new()
         } else {
             rest.to_vec()
         };
-        self.drop_job(&moved.trace);
-        let (taker, trace) = (self.moving.taker.borrow().clone(), moved.trace.clone());
-        let (stream, form) = (link.into_stream(), postcard::to_allocvec(&moved));
-        let (Some((stream, seat)), Ok(form)) = (stream, form) else {
+        self.drop_job(&migrating.trace);
+        let (target, trace) = (
+            self.migration.target.borrow().clone(),
+            migrating.trace.clone(),
+        );
+        let (stream, encoded) = (link.into_stream(), postcard::to_allocvec(&migrating));
+        let (Some((stream, seat)), Ok(encoded)) = (stream, encoded) else {
             return;
         };
         drop(seat);
         self.net.set.resize(-1);
-        let word = Word::Moved(form, stream);
-        let sent = match taker {
-            Some(kin) => kin
-                .words
-                .send(word)
+        let message = HandoverMessage::Job(encoded, stream);
+        let sent = match target {
+            Some(peer) => peer
+                .outbox
+                .send(message)
                 .await
-                .map_err(|SendError(word)| word)
-                .map(|()| kin),
-            None => Err(word),
+                .map_err(|SendError(message)| message)
+                .map(|()| peer),
+            None => Err(message),
         };
         match sent {
-            Ok(kin) => {
-                self.moving.gone.borrow_mut().insert(trace.clone());
-                self.heard(&trace).await; // it goes to that process, behind the job
-                let _ = kin.words.send(Word::Closed(trace)).await;
+            Ok(peer) => {
+                self.migration
+                    .transferred
+                    .borrow_mut()
+                    .insert(trace.clone());
+                self.replay_deferred_reports(&trace).await; // it goes to that process, behind the job
+                let _ = peer.outbox.send(HandoverMessage::JobClosed(trace)).await;
             }
-            Err(word) => {
-                self.take_back(word).await;
-                self.heard(&trace).await;
+            Err(message) => {
+                self.resume_undelivered(message).await;
+                self.replay_deferred_reports(&trace).await;
             }
         }
     }
 
     /// A word that the other process will not read any more: a job that was to go there stays here.
-    pub async fn take_back(self: &Rc<Self>, word: Word) {
-        if let Word::Moved(form, stream) = word {
+    pub async fn resume_undelivered(self: &Rc<Self>, message: HandoverMessage) {
+        if let HandoverMessage::Job(encoded, stream) = message {
             log("handover: a job stays, the new process has ended");
-            self.adopt(&form, stream).await;
+            self.adopt(&encoded, stream).await;
         }
     }
 
     /// Goes on with a job that the other process has given away. When this returns, news of it is understood.
-    pub async fn adopt(self: &Rc<Self>, form: &[u8], stream: TcpStream) {
+    pub async fn adopt(self: &Rc<Self>, encoded: &[u8], stream: TcpStream) {
         self.net.set.resize(1);
         let seat = loop {
             match self
@@ -223,10 +234,10 @@
                 None => self.net.set.resize(1), // it was open before: it stays
             }
         };
-        let moved = postcard::from_bytes::<Moved>(form).map_err(|e| e.to_string());
-        let moved = moved.and_then(|moved| moved.job.check().map(|()| moved));
-        let (moved, link) = match (moved, Async::new(stream)) {
-            (Ok(moved), Ok(stream)) => (moved, Link::new(stream, seat)),
+        let migrating = postcard::from_bytes::<MigratingJob>(encoded).map_err(|e| e.to_string());
+        let migrating = migrating.and_then(|migrating| migrating.job.check().map(|()| migrating));
+        let (migrating, link) = match (migrating, Async::new(stream)) {
+            (Ok(migrating), Ok(stream)) => (migrating, Link::new(stream, seat)),
             (Err(why), _) => {
                 return log(format_args!("handover: a job cannot be taken over: {why}"));
             }
@@ -236,25 +247,31 @@
                 ));
             }
         };
-        log(format_args!("handover: goes on with job={}", moved.trace));
+        log(format_args!(
+            "handover: goes on with job={}",
+            migrating.trace
+        ));
         // It is not open elsewhere any more.
-        self.moving.gone.borrow_mut().remove(&moved.trace);
-        self.kin
+        self.migration
+            .transferred
+            .borrow_mut()
+            .remove(&migrating.trace);
+        self.peers
             .borrow()
             .iter()
-            .for_each(|kin| _ = kin.ids.borrow_mut().remove(&moved.trace));
+            .for_each(|peer| _ = peer.ids.borrow_mut().remove(&migrating.trace));
         let mut text = self.net.pool.take();
-        let written = text.write_all(&moved.text).is_ok();
-        let known = self.numbered_job(moved.job).filter(|_| written);
+        let written = text.write_all(&migrating.text).is_ok();
+        let known = self.numbered_job(migrating.job).filter(|_| written);
         let (to, from) = bounded(1);
-        let taken = known.and_then(|job| {
+        let registered = known.and_then(|job| {
             Some((
                 job,
-                self.take_in(&moved.trace, (text, moved.body), to.downgrade())?,
+                self.register_job(&migrating.trace, (text, migrating.body), to.downgrade())?,
             ))
         });
-        let mut waits = None;
-        if let Some((job, (id, parcel))) = taken {
+        let mut resumed = None;
+        if let Some((job, (id, parcel))) = registered {
             let attempts = job
                 .attempts
                 .iter()
@@ -268,17 +285,17 @@
                 };
                 self.order(t.worker, Order::Taken(attempt));
             }
-            self.life.last_job.set(self.clock.now());
-            let told = CoreInput::Adopted(id, Box::new(job), moved.until, Reply::To(to));
-            let _ = self.core.send(told).await;
-            waits = Some((id, parcel, from));
+            self.lifecycle.last_job.set(self.clock.now());
+            let input = CoreInput::Adopted(id, Box::new(job), migrating.until, Reply::To(to));
+            let _ = self.core.send(input).await;
+            resumed = Some((id, parcel, from));
         }
-        let (front, keep, rest) = (self.clone(), moved.keep, moved.rest);
+        let (front, keep, rest) = (self.clone(), migrating.keep, migrating.rest);
         self.net.spawn(async move {
-            let served = Served::default();
-            served.messages.set(moved.messages);
-            let reason = clients::go_on(&front, &link, &served, waits, (keep, &rest)).await;
-            clients::leave(&front, link, &served, reason).await;
+            let state = ConnectionState::default();
+            state.messages.set(migrating.messages);
+            let reason = clients::resume_job(&front, &link, &state, resumed, (keep, &rest)).await;
+            clients::finish_connection(&front, link, &state, reason).await;
         });
     }
 
@@ -315,6 +332,6 @@
 
     fn numbered_job(&self, job: TransferredJob<String>) -> Option<TransferredJob<u32>> {
         let class = self.site.borrow().class(&job.class)?;
-        job.renamed(|_| Some(class), |host| self.number(host))
+        job.renamed(|_| Some(class), |host| self.worker_id(host))
     }
 }
--- a/crates/indigofold/src/front/platform/peer_process.rs
+++ b/crates/indigofold/src/front/platform/peer_process.rs
@@ -1,7 +1,7 @@
 //! The other process of this scheduler, while one replaces the other: its open ids, and what it is told.
 
 use super::Platform;
-use crate::config::{Names, News};
+use crate::config::{JobReport, Names};
 use crate::core::{CoreInput, StatisticsScope};
 use crate::net::log;
 use crate::statistics::Statistics;
@@ -12,84 +12,95 @@
 use std::rc::Rc;
 
 /// Words that may wait for the other process.
-const MAILBOX: usize = 4096;
+const OUTBOX_CAPACITY: usize = 4096;
 
 /// What one process tells the other.
-pub enum Word {
+pub enum HandoverMessage {
     /// A job of this id is open here.
-    Opened(String),
+    JobOpened(String),
     /// It no longer is.
-    Closed(String),
+    JobClosed(String),
     /// News of a job that is not open here.
-    News(Vec<u8>),
+    JobReport(Vec<u8>),
     /// This process takes clients now.
-    Serves,
+    Serving,
     /// What this process has learned, as written.
     Statistics(Vec<u8>),
     /// A job goes over, with its client's connection.
-    Moved(Vec<u8>, TcpStream),
+    Job(Vec<u8>, TcpStream),
 }
 
 /// The other process, as this one sees it.
-pub struct Kin {
+pub struct PeerProcess {
     /// Ids of the jobs that are open there.
     pub ids: RefCell<HashSet<String>>,
     /// What it is to be told.
-    pub words: Sender<Word>,
+    pub outbox: Sender<HandoverMessage>,
 }
 
 impl Platform {
     /// The other process is there. It hears of all jobs that are open here, and of what becomes of them.
-    pub fn join(&self) -> (Rc<Kin>, Receiver<Word>) {
-        let (words, told) = bounded(MAILBOX);
-        let kin = Rc::new(Kin {
+    pub fn add_peer(&self) -> (Rc<PeerProcess>, Receiver<HandoverMessage>) {
+        let (outbox, messages) = bounded(OUTBOX_CAPACITY);
+        let peer = Rc::new(PeerProcess {
             ids: RefCell::default(),
-            words,
+            outbox,
         });
-        self.kin.borrow_mut().push(kin.clone());
+        self.peers.borrow_mut().push(peer.clone());
         for id in self.traces.borrow().keys() {
-            kin.tell(Word::Opened(id.clone()));
+            peer.notify(HandoverMessage::JobOpened(id.clone()));
         }
-        (kin, told)
+        (peer, messages)
     }
 
     /// The other process is gone.
-    pub fn part(&self, kin: &Rc<Kin>) {
-        self.kin.borrow_mut().retain(|k| !Rc::ptr_eq(k, kin));
+    pub fn remove_peer(&self, peer: &Rc<PeerProcess>) {
+        self.peers.borrow_mut().retain(|k| !Rc::ptr_eq(k, peer));
     }
 
     /// Is a job of this id open in the other process? Then it is not another one here.
-    pub(super) fn open_elsewhere(&self, id: &str) -> bool {
-        self.kin
+    pub(super) fn is_open_at_peer(&self, id: &str) -> bool {
+        self.peers
             .borrow()
             .iter()
-            .any(|kin| kin.ids.borrow().contains(id))
+            .any(|peer| peer.ids.borrow().contains(id))
     }
 
-    pub(super) fn tell_kin(&self, word: impl Fn() -> Word) {
-        self.kin.borrow().iter().for_each(|kin| kin.tell(word()));
+    pub(super) fn notify_peers(&self, message: impl Fn() -> HandoverMessage) {
+        self.peers
+            .borrow()
+            .iter()
+            .for_each(|peer| peer.notify(message()));
     }
 
     /// Takes a piece of news. Job workers reach whichever process accepts: what is not open here may be open in the
     /// other one, and goes there, though never back to where it came from.
-    pub async fn news(&self, text: &[u8], news: News, from: Option<&Rc<Kin>>) {
-        if self.waits(&news.id, text) {
+    pub async fn handle_report(
+        &self,
+        text: &[u8],
+        report: JobReport,
+        from: Option<&Rc<PeerProcess>>,
+    ) {
+        if self.defer_report(&report.id, text) {
             return;
         }
-        let open = self.traces.borrow().contains_key(&news.id);
-        let told: Option<CoreInput> = self.hear(&news);
-        if let Some(told) = told {
-            let _ = self.core.send(told).await;
+        let open = self.traces.borrow().contains_key(&report.id);
+        let input = self.interpret_report(&report);
+        if let Some(input) = input {
+            let _ = self.core.send(input).await;
         }
         if !open {
-            let others: Vec<Rc<Kin>> = self.kin.borrow().clone();
+            let others: Vec<Rc<PeerProcess>> = self.peers.borrow().clone();
             // A job that has gone over was not open there yet when the other process heard of it.
-            let back = self.has_moved(&news.id);
-            for kin in others
+            let returned = self.was_transferred(&report.id);
+            for peer in others
                 .iter()
-                .filter(|kin| back || from.is_none_or(|from| !Rc::ptr_eq(from, kin)))
+                .filter(|peer| returned || from.is_none_or(|from| !Rc::ptr_eq(from, peer)))
             {
-                let _ = kin.words.send(Word::News(text.to_vec())).await;
+                let _ = peer
+                    .outbox
+                    .send(HandoverMessage::JobReport(text.to_vec()))
+                    .await;
             }
         }
     }
@@ -97,45 +108,51 @@
 
 impl Platform {
     /// Tells the other process what was learned here.
-    pub async fn tell_learned(&self, kin: &Kin, how: StatisticsScope) {
+    pub async fn send_statistics(&self, peer: &PeerProcess, scope: StatisticsScope) {
         let (to, from) = bounded(1);
-        let _ = self.core.send(CoreInput::ReadStatistics(to, how)).await;
+        let _ = self.core.send(CoreInput::ReadStatistics(to, scope)).await;
         let Ok(statistics) = from.recv().await else {
             return;
         };
-        let mut named = self.named(statistics);
-        let form = named.write().or_else(|| {
+        let mut named = self.with_names(statistics);
+        let encoded = named.write().or_else(|| {
             // Too many machines: what is known of kinds, classes and the whole is worth more.
             named.workers.clear();
             named.write()
         });
-        if let Some(form) = form {
-            let _ = kin.words.send(Word::Statistics(form)).await;
+        if let Some(encoded) = encoded {
+            let _ = peer.outbox.send(HandoverMessage::Statistics(encoded)).await;
         }
     }
 
     /// Takes in what the other process has learned; a text that cannot be read changes nothing.
-    pub async fn take_learned(&self, form: &[u8]) {
-        match Statistics::read(form) {
+    pub async fn apply_statistics(&self, encoded: &[u8]) {
+        match Statistics::read(encoded) {
             Err(why) => log(format_args!(
                 "handover: what the other process has learned is not taken: {why}"
             )),
             Ok(statistics) => {
-                let of = self.numbered(statistics);
-                if of.pace.is_some() {
-                    let (kinds, classes, machines) =
-                        (of.kinds.len(), of.classes.len(), of.workers.len());
+                let numbered = self.with_ids(statistics);
+                if numbered.pace.is_some() {
+                    let (kinds, classes, machines) = (
+                        numbered.kinds.len(),
+                        numbered.classes.len(),
+                        numbered.workers.len(),
+                    );
                     log(format_args!(
                         "handover: takes over what was learned kinds={kinds} classes={classes} machines={machines}"
                     ));
                 }
-                let _ = self.core.send(CoreInput::Statistics(Box::new(of))).await;
+                let _ = self
+                    .core
+                    .send(CoreInput::Statistics(Box::new(numbered)))
+                    .await;
             }
         }
     }
 
     /// The same under names that mean the same in every process.
-    fn named(&self, statistics: Statistics<u32>) -> Statistics<String> {
+    fn with_names(&self, statistics: Statistics<u32>) -> Statistics<String> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
         let hosts: HashMap<u32, &String> = names.iter().map(|(host, id)| (*id, host)).collect();
         let name = |names: &Names, id: &u32| names.all().nth(*id as usize).map(str::to_string);
@@ -148,7 +165,7 @@
     }
 
     /// The same under this process's numbers; what it has no name for is left out.
-    fn numbered(&self, statistics: Statistics<String>) -> Statistics<u32> {
+    fn with_ids(&self, statistics: Statistics<String>) -> Statistics<u32> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
         statistics.renamed(
             |kind| site.kinds.find(kind),
@@ -159,11 +176,11 @@
     }
 }
 
-impl Kin {
-    fn tell(&self, word: Word) {
+impl PeerProcess {
+    fn notify(&self, message: HandoverMessage) {
         // One that does not read what is open here cannot be relied on: the link ends.
-        if self.words.try_send(word).is_err() {
-            self.words.close();
+        if self.outbox.try_send(message).is_err() {
+            self.outbox.close();
         }
     }
 }
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -11,7 +11,7 @@
 use async_executor::Task;
 use async_io::Timer;
 pub use attempt::{AttemptState, Stage};
-use connections::Wires;
+use connections::WorkerConnections;
 use futures_lite::FutureExt;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,15 +24,15 @@
 mod connections;
 
 /// How long a probe may take beyond the dial.
-const PROBE: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long word that an attempt is given up may take, and between two tries.
-const DELETE: Duration = Duration::from_millis(500);
-const AGAIN: Duration = Duration::from_millis(50);
+const DELETE_TIMEOUT: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a 202 is waited for once the attempt has timed out.
-const LINGER: Duration = Duration::from_millis(500);
+const ACCEPT_LINGER: Duration = Duration::from_millis(500);
 /// A machine says within this time of an attempt that it took it. One that has not hangs, or the connection has gone
 /// silent: the module hears of it, and the attempt is waited for all the same.
-const HEARD: Duration = Duration::from_millis(250);
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What a machine's actor is told to do.
 pub enum Order {
@@ -52,13 +52,13 @@
     HangUp,
 }
 
-struct Out {
+struct OutgoingAttempt {
     state: Rc<AttemptState>,
     task: Option<Task<()>>, // dropped, it closes the connection
 }
 
 /// What a machine's answer says of an attempt.
-enum Said {
+enum WorkerReply {
     /// It has taken it.
     Taken,
     /// The attempt has ended so.
@@ -66,30 +66,33 @@
 }
 
 /// The actor.
-pub struct Peer {
-    wires: Rc<Wires>,
-    out: Rc<RefCell<HashMap<AttemptId, Out>>>,
+pub struct WorkerActor {
+    connections: Rc<WorkerConnections>,
+    out: Rc<RefCell<HashMap<AttemptId, OutgoingAttempt>>>,
 }
 
-impl Wires {
+impl WorkerConnections {
     /// The one check right before the first byte of an attempt: is it still to go, and here? A decision waits in the
     /// mailbox and for a connection, and the world goes on meanwhile.
-    fn goes_out(&self, attempt: &Attempt, parcel: &Parcel, state: &AttemptState) -> bool {
+    fn may_be_sent(&self, attempt: &Attempt, parcel: &Parcel, state: &AttemptState) -> bool {
         let now = self.front.clock.now();
-        state.stage() == Stage::Unsent && parcel.is_owed() && now < attempt.by && !self.leaves.get()
+        state.stage() == Stage::Unsent
+            && parcel.is_awaited()
+            && now < attempt.by
+            && !self.draining.get()
     }
 
     /// What the head of an answer says of an attempt.
-    fn outcome(&self, head: &Head<'_>) -> Said {
+    fn outcome(&self, head: &Head<'_>) -> WorkerReply {
         let site = self.front.site.borrow();
         let load = head
             .header("Endpoint-Load-Metrics")
             .and_then(|text| site.load(text.as_bytes()));
         let never_ran = head.header("X-Never-Ran") == Some("1");
         match head.status {
-            202 => Said::Taken,
-            503 | 504 if never_ran => Said::Ended(Status::Full, load),
-            _ => Said::Ended(Status::Error, load),
+            202 => WorkerReply::Taken,
+            503 | 504 if never_ran => WorkerReply::Ended(Status::Full, load),
+            _ => WorkerReply::Ended(Status::Error, load),
         }
     }
 
@@ -103,20 +106,20 @@
         let left = || attempt.until.saturating_sub(self.front.clock.now()) / 1000;
         let mut buffer = self.front.net.pool.take();
         let prepare = |buffer: &mut Buffer| {
-            if !self.goes_out(&attempt, parcel, state) {
+            if !self.may_be_sent(&attempt, parcel, state) {
                 return Err(Reason::Withheld);
             }
             let (body, head) = parcel.text.filled().split_at(parcel.body);
-            let whole = buffer
+            let written = buffer
                 .write_all(head)
                 .and_then(|()| write!(buffer, "X-Expires-In-Ms: {}\r\n\r\n", left()))
                 .and_then(|()| buffer.write_all(body));
             state.stage.set(Stage::Begun);
-            whole.map_err(|_| Reason::Withheld)
+            written.map_err(|_| Reason::Withheld)
         };
-        let limit = Duration::from_millis(left()) + LINGER;
+        let limit = Duration::from_millis(left()) + ACCEPT_LINGER;
         let unheard = async {
-            Timer::after(HEARD).await;
+            Timer::after(ACCEPT_TIMEOUT).await;
             if state.stage() < Stage::Taken {
                 let _ = self
                     .front
@@ -132,12 +135,12 @@
             add(&self.front.metrics.attempts_sent, 1);
         };
         let answer = RefCell::new(None);
-        let said = |head: &Head<'_>| {
-            let said = self.outcome(head);
-            if matches!(said, Said::Taken) {
+        let on_head = |head: &Head<'_>| {
+            let reply = self.outcome(head);
+            if matches!(reply, WorkerReply::Taken) {
                 state.stage.set(Stage::Taken);
             }
-            answer.replace(Some(said));
+            answer.replace(Some(reply));
         };
         let given_up = async {
             state.is_given_up().await;
@@ -145,13 +148,13 @@
         };
         // The exchange is looked at first: an answer that is there goes before giving it up.
         let exchange = self
-            .exchange((&mut buffer, false), prepare, (sent, said))
+            .exchange((&mut buffer, false), prepare, (sent, on_head))
             .or(unheard)
             .or(given_up);
         let ended = within(limit, Reason::Unanswered, exchange).await;
         match (answer.take(), ended) {
-            (Some(Said::Taken), _) => None,
-            (Some(Said::Ended(status, load)), _) => Some((status, load)),
+            (Some(WorkerReply::Taken), _) => None,
+            (Some(WorkerReply::Ended(status, load)), _) => Some((status, load)),
             (None, Err(Reason::Withheld)) => Some((Status::Moot, None)),
             // Before the machine has taken it, closing the connection gives it up.
             (None, Err(Reason::GivenUp)) if state.went_out() => Some((Status::Cancelled, None)),
@@ -177,8 +180,8 @@
             prepare,
             (|| sent.set(true), |_: &Head<'_>| ()),
         );
-        let talk = within(PROBE, Reason::Unanswered, exchange).await;
-        let (status, load) = match &talk {
+        let exchange = within(PROBE_TIMEOUT, Reason::Unanswered, exchange).await;
+        let (status, load) = match &exchange {
             Ok(frame) => {
                 let read = frame.read(&buffer, Kind::Answer);
                 let load = read
@@ -201,9 +204,9 @@
     /// Gives up an attempt that the machine has taken, and tells the core when it has heard of that. Until then another attempt
     /// of the job could get to its machine sooner. Where nobody waits for the job any more one try is enough.
     async fn delete(&self, attempt: AttemptId, parcel: &Parcel, mut fresh: bool) {
-        while !self.deleted(&parcel.trace, fresh).await && parcel.is_owed() {
+        while !self.deleted(&parcel.trace, fresh).await && parcel.is_awaited() {
             fresh = true;
-            Timer::after(AGAIN).await;
+            Timer::after(RETRY_INTERVAL).await;
         }
         let _ = self
             .front
@@ -223,33 +226,33 @@
             );
             Ok(())
         };
-        let (sent, heard) = (Cell::new(false), Cell::new(false));
-        let told = (|| sent.set(true), |_: &Head<'_>| heard.set(true));
-        let exchange = self.exchange((&mut buffer, fresh), prepare, told);
-        let ended = within(DELETE, Reason::Unanswered, exchange).await;
-        heard.get() || (fresh && sent.get() && matches!(ended, Err(Reason::Unanswered)))
+        let (sent, head_seen) = (Cell::new(false), Cell::new(false));
+        let observers = (|| sent.set(true), |_: &Head<'_>| head_seen.set(true));
+        let exchange = self.exchange((&mut buffer, fresh), prepare, observers);
+        let ended = within(DELETE_TIMEOUT, Reason::Unanswered, exchange).await;
+        head_seen.get() || (fresh && sent.get() && matches!(ended, Err(Reason::Unanswered)))
     }
 }
 
-impl Peer {
+impl WorkerActor {
     /// The actor of a machine that has no address yet.
     pub fn new(
         front: Rc<Platform>,
         worker: WorkerId,
         host: String,
-        leaves: Rc<Cell<bool>>,
+        draining: Rc<Cell<bool>>,
     ) -> Self {
         let (address, idle) = Default::default();
-        let wires = Wires {
+        let connections = WorkerConnections {
             front,
             worker,
             host,
-            leaves,
+            draining,
             address,
             idle,
         };
-        Peer {
-            wires: Rc::new(wires),
+        WorkerActor {
+            connections: Rc::new(connections),
             out: Rc::default(),
         }
     }
@@ -260,7 +263,7 @@
             match order {
                 Order::Address(address) => {
                     if self
-                        .wires
+                        .connections
                         .address
                         .replace(Some(address))
                         .is_some_and(|old| old != address)
@@ -270,8 +273,10 @@
                 }
                 Order::Send(attempt, parcel, state) => self.start(attempt, parcel, state),
                 Order::Taken(id) => {
-                    let state = AttemptState::new(self.wires.worker, Stage::Taken);
-                    self.out.borrow_mut().insert(id, Out { state, task: None });
+                    let state = AttemptState::new(self.connections.worker, Stage::Taken);
+                    self.out
+                        .borrow_mut()
+                        .insert(id, OutgoingAttempt { state, task: None });
                 }
                 Order::GiveUp(id, parcel) => {
                     let Some(out) = self.out.borrow_mut().remove(&id) else {
@@ -279,10 +284,10 @@
                     };
                     match out.state.stage() {
                         Stage::Taken => {
-                            let (wires, state) = (self.wires.clone(), out.state);
+                            let (connections, state) = (self.connections.clone(), out.state);
                             state.give_up();
-                            self.wires.front.net.spawn(async move {
-                                wires.delete(id, &parcel, false).await;
+                            self.connections.front.net.spawn(async move {
+                                connections.delete(id, &parcel, false).await;
                                 state.stage.set(Stage::Ended);
                             });
                         }
@@ -300,11 +305,11 @@
                     }
                 }
                 Order::Probe => {
-                    let wires = self.wires.clone();
-                    self.wires
+                    let connections = self.connections.clone();
+                    self.connections
                         .front
                         .net
-                        .spawn(async move { wires.probe().await });
+                        .spawn(async move { connections.probe().await });
                 }
                 Order::HangUp => self.hang_up(),
             }
@@ -312,42 +317,43 @@
     }
 
     fn hang_up(&self) {
-        for (link, _) in self.wires.idle.borrow_mut().drain(..) {
+        for (link, _) in self.connections.idle.borrow_mut().drain(..) {
             link.end(
                 "worker",
                 Reason::Done,
-                format_args!("machine={}", self.wires.host),
+                format_args!("machine={}", self.connections.host),
             );
         }
     }
 
     fn start(&self, attempt: Attempt, parcel: Rc<Parcel>, state: Rc<AttemptState>) {
-        let (wires, out, at) = (self.wires.clone(), self.out.clone(), state.clone());
+        let (connections, out, attempt_state) =
+            (self.connections.clone(), self.out.clone(), state.clone());
         let task = async move {
-            let ended = wires.carry(attempt, &parcel, &at).await;
+            let ended = connections.carry(attempt, &parcel, &attempt_state).await;
             if let Some((status, load)) = ended {
-                let gone = out.borrow_mut().remove(&attempt.id);
-                if status == Status::Cancelled && parcel.is_owed() {
+                let removed = out.borrow_mut().remove(&attempt.id);
+                if status == Status::Cancelled && parcel.is_awaited() {
                     // Its 202 may have been lost: then closing the connection says nothing, and another attempt is to follow.
-                    wires.delete(attempt.id, &parcel, true).await;
+                    connections.delete(attempt.id, &parcel, true).await;
                 } else {
-                    let _ = wires
+                    let _ = connections
                         .front
                         .core
                         .send(CoreInput::Ended(attempt.id, status, load))
                         .await;
                 }
-                at.stage.set(Stage::Ended);
-                drop(gone);
-            } else if at.given_up.get() {
-                wires.delete(attempt.id, &parcel, false).await; // it was taken in that very moment
-                at.stage.set(Stage::Ended);
+                attempt_state.stage.set(Stage::Ended);
+                drop(removed);
+            } else if attempt_state.given_up.get() {
+                connections.delete(attempt.id, &parcel, false).await; // it was taken in that very moment
+                attempt_state.stage.set(Stage::Ended);
             }
         };
-        let task = self.wires.front.net.spawn_scoped(task);
+        let task = self.connections.front.net.spawn_scoped(task);
         self.out.borrow_mut().insert(
             attempt.id,
-            Out {
+            OutgoingAttempt {
                 state,
                 task: Some(task),
             },
--- a/crates/indigofold/src/front/platform/workers/attempt.rs
+++ b/crates/indigofold/src/front/platform/workers/attempt.rs
@@ -28,20 +28,20 @@
     pub(super) stage: Cell<Stage>,
     pub(super) went_out: Cell<bool>,
     pub(super) given_up: Cell<bool>,
-    waits: RefCell<Option<Waker>>,
+    waker: RefCell<Option<Waker>>,
 }
 
 impl AttemptState {
     /// One that has come so far.
     pub fn new(machine: WorkerId, stage: Stage) -> Rc<Self> {
-        let (given_up, waits) = Default::default();
+        let (given_up, waker) = Default::default();
         let (went_out, stage) = (Cell::new(stage > Stage::Begun), Cell::new(stage));
         Rc::new(AttemptState {
             machine,
             stage,
             went_out,
             given_up,
-            waits,
+            waker,
         })
     }
 
@@ -72,7 +72,7 @@
 
     pub(super) fn give_up(&self) {
         self.given_up.set(true);
-        self.waits.take().into_iter().for_each(Waker::wake);
+        self.waker.take().into_iter().for_each(Waker::wake);
     }
 
     /// Returns once it is to be given up.
@@ -81,7 +81,7 @@
             if self.given_up.get() {
                 return Poll::Ready(());
             }
-            self.waits.replace(Some(context.waker().clone()));
+            self.waker.replace(Some(context.waker().clone()));
             Poll::Pending
         })
         .await
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -11,59 +11,59 @@
 use std::time::{Duration, Instant};
 
 /// Part of the idle time in the settings after which a connection is not used again.
-const IDLE_PART: f64 = 0.6;
+const TRUSTED_IDLE_FRACTION: f64 = 0.6;
 /// Once the head of an answer is there, what is left of it is waited for this long, to use the connection again.
-const REST: Duration = Duration::from_millis(250);
+const BODY_TIMEOUT: Duration = Duration::from_millis(250);
 /// A refusal may come twice, the second time some milliseconds later. Taken for the answer to the next attempt on that
 /// connection, whose job runs, it would have it sent again: until this long after a refusal the connection is not used, and
 /// by then what comes twice is there to be seen.
-const SETTLED: Duration = Duration::from_secs(1);
+const REJECTION_REST: Duration = Duration::from_secs(1);
 /// Idle connections kept to one machine.
-const IDLE_MOST: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 fn time_to(at: Instant) -> Duration {
     at.saturating_duration_since(Instant::now())
 }
 
 /// A machine, as its tasks see it.
-pub(super) struct Wires {
+pub(super) struct WorkerConnections {
     pub(super) front: Rc<Platform>,
     pub(super) worker: WorkerId,
     pub(super) host: String,
     /// The list says that it wants nothing new.
-    pub(super) leaves: Rc<Cell<bool>>,
+    pub(super) draining: Rc<Cell<bool>>,
     pub(super) address: Cell<Option<SocketAddr>>,
     /// Connections that stand idle, each with the time since when it may be used.
     pub(super) idle: RefCell<Vec<(Link, Instant)>>,
 }
 
 /// A connection in use. Dropped unfinished, it was given up.
-struct Hold<'a> {
-    wires: &'a Wires,
+struct ConnectionGuard<'a> {
+    connections: &'a WorkerConnections,
     link: Option<Link>,
 }
 
-impl Drop for Hold<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
         self.end(Reason::GivenUp);
     }
 }
 
-impl Hold<'_> {
+impl ConnectionGuard<'_> {
     fn end(&mut self, reason: Reason) {
         if let Some(link) = self.link.take() {
             link.end(
                 "worker",
                 reason,
-                format_args!("machine={}", self.wires.host),
+                format_args!("machine={}", self.connections.host),
             );
         }
     }
 
     /// Keeps the connection, to be used after this time.
     fn keep(&mut self, after: Duration) {
-        let mut idle = self.wires.idle.borrow_mut();
-        if idle.len() >= IDLE_MOST {
+        let mut idle = self.connections.idle.borrow_mut();
+        if idle.len() >= MAX_IDLE_CONNECTIONS {
             drop(idle);
             return self.end(Reason::Done);
         }
@@ -71,12 +71,13 @@
     }
 }
 
-impl Wires {
+impl WorkerConnections {
     /// A connection that nothing has been written to: an idle one that is sure to stand, or a new one.
-    async fn connect(&self, fresh: bool) -> Result<Hold<'_>, Reason> {
+    async fn connect(&self, fresh: bool) -> Result<ConnectionGuard<'_>, Reason> {
         let (trusted, limit) = {
             let site = self.front.site.borrow();
-            let trusted = Duration::from_micros((site.conn_idle as f64 * IDLE_PART) as u64);
+            let trusted =
+                Duration::from_micros((site.conn_idle as f64 * TRUSTED_IDLE_FRACTION) as u64);
             (
                 trusted,
                 Duration::from_micros(site.settings.limits.dial_timeout.max(1)),
@@ -88,17 +89,17 @@
             Some(idle.remove(last))
         };
         while let Some((link, since)) = (!fresh).then(settled).flatten() {
-            let mut hold = Hold {
-                wires: self,
+            let mut guard = ConnectionGuard {
+                connections: self,
                 link: Some(link),
             };
             // Written to after the machine has closed it, the attempt would end as a reset that may have run.
             if since.elapsed() > trusted {
-                hold.end(Reason::Idle);
-            } else if hold.link.as_ref().is_some_and(Link::stale) {
-                hold.end(Reason::PeerClosed);
+                guard.end(Reason::Idle);
+            } else if guard.link.as_ref().is_some_and(Link::stale) {
+                guard.end(Reason::PeerClosed);
             } else {
-                return Ok(hold);
+                return Ok(guard);
             }
         }
         let Some(address) = self.address.get() else {
@@ -112,19 +113,19 @@
                 reason.code()
             ));
         }
-        Ok(Hold {
-            wires: self,
+        Ok(ConnectionGuard {
+            connections: self,
             link: Some(link?),
         })
     }
 
     /// Sends a message and reads the answer's head and body, both left in the buffer. What the answer says is told as
     /// soon as its head is there: its body may be cut off, or never end. Returned with how long the connection then rests.
-    async fn talk(
+    async fn exchange_on(
         &self,
         link: &Link,
         buffer: &mut Buffer,
-        (sent, said): (impl Fn(), impl Fn(&Head<'_>)),
+        (sent, on_head): (impl Fn(), impl Fn(&Head<'_>)),
     ) -> Result<(http::Frame, Duration), Reason> {
         let (mut bytes_written, mut by, mut failed) = (0, None, false);
         let write = link.write(buffer.filled(), &mut bytes_written).await;
@@ -148,9 +149,9 @@
             // More than one message may have come at once.
             while let Some(status) = http::answer_head(buffer, |head| {
                 if head.status >= 200 && by.is_none() {
-                    by = Some(Instant::now() + REST);
+                    by = Some(Instant::now() + BODY_TIMEOUT);
                     failed = head.status >= 300 && head.header("X-Never-Ran").is_none();
-                    said(head);
+                    on_head(head);
                 }
                 head.status
             }) {
@@ -165,7 +166,7 @@
                     return Ok((
                         frame,
                         if status >= 300 {
-                            SETTLED
+                            REJECTION_REST
                         } else {
                             Duration::ZERO
                         },
@@ -185,28 +186,28 @@
         &self,
         (buffer, fresh): (&mut Buffer, bool),
         prepare: impl FnOnce(&mut Buffer) -> Result<(), Reason>,
-        told: (impl Fn(), impl Fn(&Head<'_>)),
+        observers: (impl Fn(), impl Fn(&Head<'_>)),
     ) -> Result<http::Frame, Reason> {
-        let mut hold = self.connect(fresh).await?;
+        let mut guard = self.connect(fresh).await?;
         if let Err(reason) = prepare(buffer) {
-            if self.leaves.get() {
-                hold.end(reason)
+            if self.draining.get() {
+                guard.end(reason)
             } else {
-                hold.keep(Duration::ZERO)
+                guard.keep(Duration::ZERO)
             }
             return Err(reason);
         }
-        let Some(link) = &hold.link else {
+        let Some(link) = &guard.link else {
             return Err(Reason::Broke);
         };
-        let talk = self.talk(link, buffer, told).await;
-        match &talk {
+        let exchange = self.exchange_on(link, buffer, observers).await;
+        match &exchange {
             Ok((frame, after)) if frame.keep && frame.total == buffer.filled().len() => {
-                hold.keep(*after)
+                guard.keep(*after)
             }
-            Ok(_) => hold.end(Reason::Done),
-            Err(reason) => hold.end(*reason),
+            Ok(_) => guard.end(Reason::Done),
+            Err(reason) => guard.end(*reason),
         }
-        talk.map(|(frame, _)| frame)
+        exchange.map(|(frame, _)| frame)
     }
 }
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -3,10 +3,10 @@
 //!
 //! A word on the link is a byte that names it, the length of what follows (four bytes, the least first), and that.
 
-use crate::config::{self, News};
+use crate::config::{self, JobReport};
 use crate::core::StatisticsScope;
 use crate::front::platform::Platform;
-use crate::front::platform::peer_process::{Kin, Word};
+use crate::front::platform::peer_process::{HandoverMessage, PeerProcess};
 use crate::net::{Reason, log, within};
 use async_channel::Receiver;
 use async_executor::Task;
@@ -28,24 +28,24 @@
 use std::time::{Duration, Instant};
 
 /// Listeners that can be passed on: the platform's and the Faktory front's.
-const LISTENERS: usize = 2;
+const MAX_LISTENERS: usize = 2;
 /// The longest word: news, with room to spare.
-const WORD: usize = 128 * 1024;
+const MAX_FRAME_BYTES: usize = 128 * 1024;
 /// The old process answers within this time, or it is taken for gone.
-const ANSWER: Duration = Duration::from_millis(1_000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Once handed on, a client's connection that has stood idle for this long is closed: a job is hardly on its way ...
-const IDLE: Duration = Duration::from_millis(1_000);
+const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(1_000);
 /// ... and from so long after on, all idle ones.
-const ALL: Duration = Duration::from_millis(2_500);
+const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(2_500);
 /// Descriptors that the old process may take beyond those it has.
-const STILL: usize = 32;
+const SPARE_DESCRIPTORS: usize = 32;
 /// What a new process says that can take in what was learned, and open jobs. A program from before that says nothing, and would take
 /// the word for an id.
-const LEARNS: &[u8] = b"learns moves";
+const CAPABILITIES: &[u8] = b"learns moves";
 /// How often the two tell each other which slots their jobs hold at machines: news of them lasts two seconds.
-const HELD: Duration = Duration::from_millis(500);
+const SLOTS_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// How often that is looked at, and whether there is a discovery list.
-const LOOK: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A listener by the name of its front.
 pub type Named = (&'static str, Rc<Async<TcpListener>>);
@@ -66,18 +66,20 @@
 }
 
 /// Asks the old process for its listeners. `None`: there is none that answers.
-pub async fn ask(path: &Path) -> Option<Inherited> {
-    let asked = async {
+pub async fn request_listeners(path: &Path) -> Option<Inherited> {
+    let request = async {
         let link = Async::<UnixStream>::connect(path)
             .await
             .map_err(|_| Reason::Refused)?;
         (&link)
-            .write_all(&word(b'H', LEARNS))
+            .write_all(&encode_frame(b'H', CAPABILITIES))
             .await
             .map_err(|_| Reason::Broke)?;
         receive(link).await.map_err(|_| Reason::Broke)
     };
-    within(ANSWER, Reason::Unanswered, asked).await.ok()
+    within(ANSWER_TIMEOUT, Reason::Unanswered, request)
+        .await
+        .ok()
 }
 
 /// Reads the first word of the old process, with the listeners that come along.
@@ -85,7 +87,7 @@
     let (mut bytes, mut fds) = ([0; 64], Vec::new());
     let count = link
         .read_with(|link| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let (into, flags) = (&mut [IoSliceMut::new(&mut bytes)], RecvFlags::CMSG_CLOEXEC);
             let count = recvmsg(link, into, &mut control, flags)?.bytes;
@@ -118,15 +120,19 @@
     })
 }
 
-fn word(name: u8, text: &[u8]) -> Vec<u8> {
-    let mut word = vec![name];
-    word.extend((text.len() as u32).to_le_bytes());
-    word.extend(text);
-    word
+fn encode_frame(name: u8, text: &[u8]) -> Vec<u8> {
+    let mut frame = vec![name];
+    frame.extend((text.len() as u32).to_le_bytes());
+    frame.extend(text);
+    frame
 }
 
 /// Sends a word with a client's connection, which comes with its first byte.
-async fn send_with(mut link: &Async<UnixStream>, word: &[u8], stream: TcpStream) -> io::Result<()> {
+async fn send_with(
+    mut link: &Async<UnixStream>,
+    frame: &[u8],
+    stream: TcpStream,
+) -> io::Result<()> {
     let fds = [stream.as_fd()];
     let sent = link.write_with(|link| {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -134,13 +140,13 @@
         control.push(SendAncillaryMessage::ScmRights(&fds));
         Ok(sendmsg(
             link,
-            &[IoSlice::new(word)],
+            &[IoSlice::new(frame)],
             &mut control,
             SendFlags::NOSIGNAL,
         )?)
     });
     let sent = sent.await?;
-    link.write_all(&word[sent..]).await
+    link.write_all(&frame[sent..]).await
 }
 
 /// Fills the buffer; connections that come along stand in the order of their words.
@@ -178,7 +184,7 @@
     let mut head = [0; 5];
     fill(link, &mut head, streams).await?;
     let length = u32::from_le_bytes([head[1], head[2], head[3], head[4]]) as usize;
-    if length > WORD {
+    if length > MAX_FRAME_BYTES {
         return Err(ErrorKind::InvalidData.into());
     }
     let mut text = vec![0; length];
@@ -213,27 +219,27 @@
             self.open();
             return self.answer();
         };
-        let (kin, words) = self.front.join();
-        let (whole, old) = (self.clone(), kin.clone());
+        let (peer, messages) = self.front.add_peer();
+        let (this, old) = (self.clone(), peer.clone());
         self.front.net.spawn(async move {
             // The old one's first word of what was learned shows that it knows such words.
-            whole.link(&link, &old, words, false).await;
-            whole.front.part(&old);
+            this.exchange_messages(&link, &old, messages, false).await;
+            this.front.remove_peer(&old);
             log("handover: the old process has ended");
-            whole.front.net.set_limits(whole.limits.0, whole.limits.1);
+            this.front.net.set_limits(this.limits.0, this.limits.1);
         });
         while !self.front.ready.get() {
-            Timer::after(LOOK).await;
+            Timer::after(CHECK_INTERVAL).await;
         }
         self.open();
         self.answer();
-        let _ = kin.words.send(Word::Serves).await;
+        let _ = peer.outbox.send(HandoverMessage::Serving).await;
         log("handover: serves in place of the old process");
     }
 
     fn open(&self) {
         self.accepting.replace((self.accept)());
-        self.front.life.accepting.set(true);
+        self.front.lifecycle.accepting.set(true);
     }
 
     /// Answers a new process from now on, in place of whoever did so before. What an ended process has left is
@@ -258,12 +264,12 @@
                 ));
             }
         };
-        let whole = self.clone();
+        let this = self.clone();
         let answering = self.front.net.spawn_scoped(async move {
             loop {
                 match listener.accept().await {
-                    Ok((link, _)) => whole.front.net.spawn(whole.clone().replaced(link)),
-                    Err(_) => _ = Timer::after(ANSWER).await,
+                    Ok((link, _)) => this.front.net.spawn(this.clone().serve_successor(link)),
+                    Err(_) => _ = Timer::after(ANSWER_TIMEOUT).await,
                 }
             }
         });
@@ -271,20 +277,22 @@
     }
 
     /// A new process has called: passes the listeners on, and stands by until it serves or ends.
-    async fn replaced(self: Rc<Self>, link: Async<UnixStream>) {
+    async fn serve_successor(self: Rc<Self>, link: Async<UnixStream>) {
         let hello = async {
             read(&link, &mut VecDeque::new())
                 .await
                 .map_err(|_| Reason::Broke)
         };
-        let hello = within(ANSWER, Reason::Unanswered, hello).await;
-        let Ok((b'H', says)) = hello else { return };
-        if self.front.life.handed.get() {
+        let hello = within(ANSWER_TIMEOUT, Reason::Unanswered, hello).await;
+        let Ok((b'H', capabilities)) = hello else {
+            return;
+        };
+        if self.front.lifecycle.superseded.get() {
             return;
         }
         // Both together stay within the limits; this one keeps what it has, and a few for what it still tries.
-        let (net, life) = (&self.front.net, &self.front.life);
-        let mine = (net.set.descriptors() + STILL).min(self.limits.0 * 3 / 4);
+        let (net, lifecycle) = (&self.front.net, &self.front.lifecycle);
+        let mine = (net.set.descriptors() + SPARE_DESCRIPTORS).min(self.limits.0 * 3 / 4);
         let names: Vec<&str> = self.listeners.iter().map(|(name, _)| *name).collect();
         let mut first = [0; 64];
         let text = format!("L{} {}", self.limits.0 - mine, names.join(" "));
@@ -295,7 +303,7 @@
             .map(|(_, listener)| listener.as_fd())
             .collect();
         let sent = link.write_with(|link| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
             control.push(SendAncillaryMessage::ScmRights(&fds));
             Ok(sendmsg(
@@ -310,17 +318,20 @@
         }
         log("handover: a new process has the listeners");
         net.set_limits(mine, self.limits.1 / 2);
-        let (kin, words) = self.front.join();
-        let learns = says == LEARNS;
-        if learns {
-            self.front.tell_learned(&kin, StatisticsScope::All).await;
+        let (peer, messages) = self.front.add_peer();
+        let accepts_statistics = capabilities == CAPABILITIES;
+        if accepts_statistics {
+            self.front
+                .send_statistics(&peer, StatisticsScope::All)
+                .await;
         }
-        self.link(&link, &kin, words, learns).await;
-        self.front.part(&kin);
-        self.front.move_no_more();
+        self.exchange_messages(&link, &peer, messages, accepts_statistics)
+            .await;
+        self.front.remove_peer(&peer);
+        self.front.stop_migration();
         net.set_limits(self.limits.0, self.limits.1);
         log("handover: the new process has ended");
-        if life.handed.replace(false) && !life.stopping.get() {
+        if lifecycle.superseded.replace(false) && !lifecycle.stopping.get() {
             // It was to serve in place of this one, which goes on.
             self.closing.take();
             self.open();
@@ -329,58 +340,58 @@
     }
 
     /// The new process serves: this one takes nobody new, and closes what it has, each connection after its answer.
-    fn hand_on(&self) {
-        let life = &self.front.life;
-        if life.handed.replace(true) {
+    fn stop_accepting(&self) {
+        let lifecycle = &self.front.lifecycle;
+        if lifecycle.superseded.replace(true) {
             return;
         }
-        life.accepting.set(false);
+        lifecycle.accepting.set(false);
         self.accepting.take();
         self.answering.take();
         log("handover: the new process serves");
         let (set, since) = (self.front.net.set.clone(), Instant::now());
         let closing = self.front.net.spawn_scoped(async move {
             loop {
-                set.evict_idle_clients(if since.elapsed() > ALL {
+                set.evict_idle_clients(if since.elapsed() > CLOSE_ALL_IDLE_AFTER {
                     Duration::ZERO
                 } else {
-                    IDLE
+                    IDLE_BEFORE_CLOSE
                 });
-                Timer::after(LOOK).await;
+                Timer::after(CHECK_INTERVAL).await;
             }
         });
         self.closing.replace(Some(closing));
     }
 
-    /// Carries words both ways until the link ends. `learns`: the other side is known to take in what was learned.
-    async fn link(
+    /// Carries words both ways until the link ends. `accepts_statistics`: the other side is known to take in what was learned.
+    async fn exchange_messages(
         &self,
         link: &Async<UnixStream>,
-        kin: &Rc<Kin>,
-        words: Receiver<Word>,
-        learns: bool,
+        peer: &Rc<PeerProcess>,
+        messages: Receiver<HandoverMessage>,
+        accepts_statistics: bool,
     ) {
-        let learns = Cell::new(learns);
-        let tell = async {
+        let accepts_statistics = Cell::new(accepts_statistics);
+        let report_slots = async {
             loop {
-                Timer::after(HELD).await;
-                if learns.get() {
+                Timer::after(SLOTS_REPORT_INTERVAL).await;
+                if accepts_statistics.get() {
                     self.front
-                        .tell_learned(kin, StatisticsScope::InFlight)
+                        .send_statistics(peer, StatisticsScope::InFlight)
                         .await;
                 }
             }
         };
-        let out = async {
-            while let Ok(told) = words.recv().await {
-                let text = match told {
-                    Word::Opened(id) => word(b'+', id.as_bytes()),
-                    Word::Closed(id) => word(b'-', id.as_bytes()),
-                    Word::News(text) => word(b'N', &text),
-                    Word::Serves => word(b'S', &[]),
-                    Word::Statistics(form) => word(b'K', &form),
-                    Word::Moved(form, stream) => {
-                        send_with(link, &word(b'M', &form), stream).await?;
+        let send = async {
+            while let Ok(message) = messages.recv().await {
+                let text = match message {
+                    HandoverMessage::JobOpened(id) => encode_frame(b'+', id.as_bytes()),
+                    HandoverMessage::JobClosed(id) => encode_frame(b'-', id.as_bytes()),
+                    HandoverMessage::JobReport(text) => encode_frame(b'N', &text),
+                    HandoverMessage::Serving => encode_frame(b'S', &[]),
+                    HandoverMessage::Statistics(encoded) => encode_frame(b'K', &encoded),
+                    HandoverMessage::Job(encoded, stream) => {
+                        send_with(link, &encode_frame(b'M', &encoded), stream).await?;
                         continue;
                     }
                 };
@@ -388,24 +399,26 @@
             }
             io::Result::Ok(())
         };
-        let in_ = async {
+        let receive = async {
             let mut streams = VecDeque::new();
             loop {
                 let (name, mut text) = read(link, &mut streams).await?;
                 match name {
                     b'N' => {
-                        let whole = text.clone();
-                        if let Ok(news) = News::read(&mut text) {
-                            self.front.news(&whole, news, Some(kin)).await;
+                        let original = text.clone();
+                        if let Ok(report) = JobReport::read(&mut text) {
+                            self.front
+                                .handle_report(&original, report, Some(peer))
+                                .await;
                         }
                     }
                     b'S' => {
-                        self.hand_on();
-                        if learns.get() {
+                        self.stop_accepting();
+                        if accepts_statistics.get() {
                             self.front
-                                .tell_learned(kin, StatisticsScope::ExceptInFlight)
+                                .send_statistics(peer, StatisticsScope::ExceptInFlight)
                                 .await;
-                            self.front.move_to(kin);
+                            self.front.start_migration(peer);
                         }
                     }
                     b'M' => {
@@ -413,12 +426,12 @@
                         self.front.adopt(&text, TcpStream::from(stream)).await;
                     }
                     b'K' => {
-                        learns.set(true);
-                        self.front.take_learned(&text).await;
+                        accepts_statistics.set(true);
+                        self.front.apply_statistics(&text).await;
                     }
                     b'+' | b'-' => {
                         let id = String::from_utf8(text).map_err(|_| ErrorKind::InvalidData)?;
-                        let mut ids = kin.ids.borrow_mut();
+                        let mut ids = peer.ids.borrow_mut();
                         let _ = if name == b'+' {
                             ids.insert(id)
                         } else {
@@ -429,10 +442,10 @@
                 }
             }
         };
-        let _ = out.or(in_).or(tell).await;
-        words.close();
-        while let Ok(word) = words.try_recv() {
-            self.front.take_back(word).await;
+        let _ = send.or(receive).or(report_slots).await;
+        messages.close();
+        while let Ok(message) = messages.try_recv() {
+            self.front.resume_undelivered(message).await;
         }
     }
 }
