--- a/crates/indigofold/src/main.rs
+++ b/crates/indigofold/src/main.rs
@@ -13,9 +13,9 @@
 use indigofold::core::clock::Clock;
 use indigofold::core::metrics::Metrics;
 use indigofold::core::{CoreInput, Settings};
-use indigofold::front::Life;
+use indigofold::front::Lifecycle;
 use indigofold::front::faktory::{Faktory, serve};
-use indigofold::front::platform::membership::{Known, Machines};
+use indigofold::front::platform::membership::{InitialMembership, MembershipWatcher};
 use indigofold::front::platform::{Platform, clients};
 use indigofold::handover::{self, Handover, Inherited};
 use indigofold::net::Net;
@@ -34,22 +34,23 @@
 const ANSWER_MARGIN_US: u64 = 40_000;
 /// After a signal to stop, new connections come for so long at most, and clients use the connections that they have
 /// for as long as these stay open: perhaps nobody else is there to serve them.
-const COMING: Duration = Duration::from_millis(500);
+const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(500);
 /// The program may be killed this long after the signal, and the longest deadline of its classes (counted as no more than
 /// the second figure) later. What came after the signal is answered this long before that ...
-const KILLED: (Duration, Duration) = (Duration::from_millis(700), Duration::from_secs(3));
-const LAST: Duration = Duration::from_millis(300);
+const KILL_GRACE: Duration = Duration::from_millis(700);
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+const ANSWER_BEFORE_KILL: Duration = Duration::from_millis(300);
 /// ... and connections are closed from this long before it on: so long a job that has just come may take yet.
-const STAY: Duration = Duration::from_millis(1_300);
+const CLOSE_BEFORE_KILL: Duration = Duration::from_millis(1_300);
 /// How long those may take to close whose clients have their last answer.
-const PART: Duration = Duration::from_millis(300);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The program stays until no job has come for this long.
-const QUIET: u64 = 400_000;
+const QUIET_FOR_US: u64 = 400_000;
 /// How long, and how often, the address is tried for where somebody listens who does not answer.
-const PATIENCE: Duration = Duration::from_secs(4);
-const AGAIN: Duration = Duration::from_millis(50);
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(4);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// What may be asked of the discovery list's actor at once.
-const ASKED: usize = 16;
+const MAX_QUEUED_REQUESTS: usize = 16;
 
 fn main() -> ExitCode {
     let tasks = Rc::new(LocalExecutor::new());
@@ -102,10 +103,10 @@
         .into_iter()
         .chain(faktory.as_ref().map(|f| f.memory_mb));
     let memory = memory.min().unwrap_or(config::MEMORY_MB);
-    let (net, clock, life) = (
+    let (net, clock, lifecycle) = (
         Net::new(tasks, sockets, memory),
         Clock::new(),
-        Rc::new(Life::default()),
+        Rc::new(Lifecycle::default()),
     );
     let mut open: Vec<Box<dyn Fn() -> usize>> = Vec::new();
     let mut longest: Vec<Box<dyn Fn() -> Time>> = Vec::new();
@@ -121,7 +122,7 @@
             }
             let used = config.clone();
             let front =
-                start_platform(&net, clock, &life, config, &listener, old.is_some()).await?;
+                start_platform(&net, clock, &lifecycle, config, &listener, old.is_some()).await?;
             net.spawn(reload(hangups, front.clone(), used));
             let (jobs, accept) = (front.clone(), front.clone());
             open.push(Box::new(move || jobs.open_jobs()));
@@ -146,7 +147,7 @@
         });
         let deadline = file.site.longest_deadline();
         longest.push(Box::new(move || deadline));
-        let front = start_faktory(&net, clock, &life, file, &listener).await?;
+        let front = start_faktory(&net, clock, &lifecycle, file, &listener).await?;
         let jobs = front.clone();
         open.push(Box::new(move || jobs.open_jobs()));
         listeners.push(("faktory", listener.clone()));
@@ -191,37 +192,42 @@
         .map(|longest| longest())
         .max()
         .unwrap_or_default();
-    let (stay, last) = moments(Duration::from_micros(longest));
-    life.stopping.set(true);
-    life.last_moment.set(Some(from + last.as_micros() as u64));
-    life.last_job.set(from);
+    let (close_after, answer_by) = moments(Duration::from_micros(longest));
+    lifecycle.stopping.set(true);
+    lifecycle
+        .answer_deadline
+        .set(Some(from + answer_by.as_micros() as u64));
+    lifecycle.last_job.set(from);
     let mut closed = None;
     loop {
         Timer::after(Duration::from_millis(20)).await;
         // Where a new process serves, this one waits only for its connections to end.
-        let handed = life.handed.get();
-        let quiet =
-            !handed && jobs() == 0 && clock.now().saturating_sub(life.last_job.get()) > QUIET;
-        if (begin.elapsed() > stay || quiet) && !life.closing.replace(true) {
+        let handed = lifecycle.superseded.get();
+        let quiet = !handed
+            && jobs() == 0
+            && clock.now().saturating_sub(lifecycle.last_job.get()) > QUIET_FOR_US;
+        if (begin.elapsed() > close_after || quiet) && !lifecycle.closing.replace(true) {
             log(format_args!(
                 "closing jobs={} connections={}",
                 jobs(),
                 net.set.open()
             ));
         }
-        if life.closing.get() {
+        if lifecycle.closing.get() {
             net.set.evict_idle(jobs() > 0); // between two messages a connection may be closed
         } else if !handed {
             continue;
         }
         // Only once no connection has a message under way: what was taken in has its answer, and it is on its way.
         let (accepted, parting) = (net.set.accepted(), net.set.closing());
-        if jobs() > 0 || (accepted > parting && (handed || begin.elapsed() < last + PART)) {
+        if jobs() > 0
+            || (accepted > parting && (handed || begin.elapsed() < answer_by + CLOSE_TIMEOUT))
+        {
             closed = None;
             continue;
         }
         let since = *closed.get_or_insert_with(Instant::now);
-        if parting == 0 || since.elapsed() > PART {
+        if parting == 0 || since.elapsed() > CLOSE_TIMEOUT {
             log("stopped: nothing is left to answer");
             return Ok(());
         }
@@ -230,10 +236,12 @@
 
 /// When connections are closed after a signal to stop, and by when what comes after it is answered.
 fn moments(longest: Duration) -> (Duration, Duration) {
-    let killed = longest.min(KILLED.1) + KILLED.0;
+    let killed = longest.min(MAX_COUNTED_DEADLINE) + KILL_GRACE;
     (
-        killed.saturating_sub(STAY).max(COMING),
-        killed.saturating_sub(LAST),
+        killed
+            .saturating_sub(CLOSE_BEFORE_KILL)
+            .max(ACCEPT_AFTER_SIGNAL),
+        killed.saturating_sub(ANSWER_BEFORE_KILL),
     )
 }
 
@@ -263,7 +271,7 @@
     let begin = Instant::now();
     loop {
         if let Some(path) = path {
-            *old = handover::ask(path).await;
+            *old = handover::request_listeners(path).await;
         }
         if let Some(listener) = old.as_mut().and_then(|old| take(old, "platform")) {
             return Ok(Rc::new(Async::new(listener)?));
@@ -276,9 +284,9 @@
             Err(e)
                 if e.kind() == ErrorKind::AddrInUse
                     && path.is_some()
-                    && begin.elapsed() < PATIENCE =>
+                    && begin.elapsed() < LISTEN_TIMEOUT =>
             {
-                Timer::after(AGAIN).await;
+                Timer::after(RETRY_INTERVAL).await;
             }
             Err(e) => return Err(format!("listen {address:?}: {e}").into()),
         }
@@ -293,7 +301,7 @@
         let path = std::env::var_os("GW_CONFIG").unwrap_or_default();
         let new = std::fs::read(path)
             .map_err(|e| e.to_string())
-            .and_then(|text| used.again(text));
+            .and_then(|text| used.reread(text));
         let new = new.and_then(|new| {
             let to = new.in_file.parse::<SocketAddr>();
             Ok((
@@ -308,7 +316,7 @@
                 log(format_args!("reload failed, all stays as it was: {why}"));
             }
             Ok((to, new)) => {
-                front.follow(new.site.clone()).await;
+                front.reconfigure(new.site.clone()).await;
                 let (classes, limits) = (&new.site.settings.classes, &new.site.settings.limits);
                 let (classes, attempts) = (classes.len(), limits.attempts);
                 log(format_args!(
@@ -331,7 +339,7 @@
 async fn start_platform(
     net: &Net,
     clock: Clock,
-    life: &Rc<Life>,
+    lifecycle: &Rc<Lifecycle>,
     config: config::Platform,
     listener: &Async<TcpListener>,
     replaces: bool,
@@ -342,7 +350,7 @@
         .map_err(|e| format!("discovery {:?}: {e}", config.discovery))?;
     let address = listener.get_ref().local_addr()?;
     let (core, inbox) = actor::mailbox();
-    let (list, asked) = async_channel::bounded(ASKED);
+    let (membership, requests) = async_channel::bounded(MAX_QUEUED_REQUESTS);
     let settings = Settings {
         module: config.site.settings.clone(),
         seed: config.seed,
@@ -352,21 +360,21 @@
     let front = Platform::new(
         net.clone(),
         clock,
-        life.clone(),
+        lifecycle.clone(),
         metrics.clone(),
         config.site,
         core.clone(),
-        list,
+        membership,
     );
     net.spawn(Actor::new(settings, front.clone(), clock, inbox, metrics).run());
-    let known = Known {
+    let known = InitialMembership {
         seq: (!config.known.hosts.is_empty()).then_some(config.known.seq),
         replaces,
     };
-    let listed = front.learn(config.known);
-    core.send(CoreInput::Membership(Scope::Cached, listed))
+    let entries = front.apply_membership(config.known);
+    core.send(CoreInput::Membership(Scope::Cached, entries))
         .await?;
-    net.spawn(Machines::new(front.clone(), discovery, known, config.seed).run(asked));
+    net.spawn(MembershipWatcher::new(front.clone(), discovery, known, config.seed).run(requests));
     match config.management.as_str() {
         "" => {}
         address => match bind(address) {
@@ -377,7 +385,7 @@
                 let (front, address) = (front.clone(), address.to_string());
                 net.spawn(async move {
                     let listener = loop {
-                        Timer::after(AGAIN).await;
+                        Timer::after(RETRY_INTERVAL).await;
                         match bind(&address) {
                             Ok(listener) => break listener,
                             Err(_) => continue,
@@ -402,10 +410,14 @@
         "door listen={}",
         listener.get_ref().local_addr()?
     ));
-    let (net, life, metrics) = (front.net.clone(), front.life.clone(), front.metrics.clone());
+    let (net, lifecycle, metrics) = (
+        front.net.clone(),
+        front.lifecycle.clone(),
+        front.metrics.clone(),
+    );
     let (serving, named) = (front.clone(), front.clone());
     let serves = Box::new(move || {
-        serving.ready.get() && serving.life.accepting.get() && !serving.life.drained.get()
+        serving.ready.get() && serving.lifecycle.accepting.get() && !serving.lifecycle.drained.get()
     });
     let classes = Box::new(move || {
         named
@@ -418,7 +430,7 @@
     });
     let admin = AdminEndpoint {
         net,
-        life,
+        lifecycle,
         metrics,
         serves,
         classes,
@@ -432,7 +444,7 @@
 async fn start_faktory(
     net: &Net,
     clock: Clock,
-    life: &Rc<Life>,
+    lifecycle: &Rc<Lifecycle>,
     file: config::Faktory,
     listener: &Async<TcpListener>,
 ) -> Result<Rc<Faktory>, Box<dyn Error>> {
@@ -443,7 +455,7 @@
         answer_margin: ANSWER_MARGIN_US,
     };
     let address = listener.get_ref().local_addr()?;
-    let front = Faktory::new(net.clone(), clock, life.clone(), file, core);
+    let front = Faktory::new(net.clone(), clock, lifecycle.clone(), file, core);
     net.spawn(Actor::new(settings, front.clone(), clock, inbox, Rc::default()).run());
     front.open().await;
     log(format_args!("start front=faktory listen={address}"));
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -1,8 +1,8 @@
 //! The text protocol of the adapter: lines to [`Event`]s, [`Action`]s to lines, names to ids. No decisions.
 //!
-//! A [`Session`] hosts any number of instances that share nothing. Feed it lines with [`Session::line`]; at
+//! A [`Session`] hosts any number of instances that share nothing. Feed it lines with [`Session::feed`]; at
 //! the end of each batch it returns the reply. Unknown messages, fields and settings are skipped, the first
-//! of each kind with a note ([`Session::take_notes`]); a known message that is malformed is a [`WireError`].
+//! of each kind with a note ([`Session::take_warnings`]); a known message that is malformed is a [`WireError`].
 
 use crate::api::*;
 use crate::config::Site;
@@ -31,7 +31,7 @@
 
 impl std::error::Error for WireError {}
 
-struct PendingList {
+struct PendingMembership {
     scope: Scope,
     left: u64,
     entries: Vec<Entry>,
@@ -45,12 +45,12 @@
     in_batch: bool,
     now: Time,
     current: Option<u32>,
-    list: Option<PendingList>,
+    list: Option<PendingMembership>,
     reply: String,
     reply_for: Option<u32>,
     actions: Vec<Action>,
-    notes: Vec<String>,
-    noted: BTreeSet<String>,
+    warnings: Vec<String>,
+    warned: BTreeSet<String>,
 }
 
 /// The known messages and their fields.
@@ -123,8 +123,8 @@
     }
 
     /// Notes on what was skipped since the last call, for standard error.
-    pub fn take_notes(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.notes)
+    pub fn take_warnings(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.warnings)
     }
 
     /// Ends the session: input that stops inside a batch is an error.
@@ -140,7 +140,7 @@
     }
 
     /// Takes one line (without its line break). Returns the reply when the line ends a batch.
-    pub fn line(&mut self, text: &str) -> Result<Option<String>, WireError> {
+    pub fn feed(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.line += 1;
         let text = text.strip_suffix('\r').unwrap_or(text);
         if text.is_empty() {
@@ -152,21 +152,21 @@
         })
     }
 
-    fn note(&mut self, about: String) {
-        if self.noted.len() < 200 && self.noted.insert(about.clone()) {
-            self.notes.push(format!("line {}: {about}", self.line));
+    fn warn(&mut self, about: String) {
+        if self.warned.len() < 200 && self.warned.insert(about.clone()) {
+            self.warnings.push(format!("line {}: {about}", self.line));
         }
     }
 
     fn message(&mut self, text: &str) -> Parse<Option<String>> {
         let name = text.split(' ').next().unwrap_or("");
         let Some((_, known)) = MESSAGES.iter().find(|(m, _)| *m == name) else {
-            self.note(format!("unknown message '{}' skipped", head(name)));
+            self.warn(format!("unknown message '{}' skipped", head(name)));
             return Ok(None);
         };
         let fields = Fields::new(text)?;
         if let Some(field) = fields.skip_unknown(known) {
-            self.note(format!("{name}: unknown field '{}' skipped", head(field)));
+            self.warn(format!("{name}: unknown field '{}' skipped", head(field)));
         }
         match name {
             "TICK" => {
@@ -224,7 +224,7 @@
             _ => {}
         }
         let Some(instance) = self.instances.get_mut(&who) else {
-            self.note(format!(
+            self.warn(format!(
                 "{name} for an instance that was not started, skipped"
             ));
             return Ok(None);
@@ -245,7 +245,7 @@
                 };
                 let left = fields.time("hosts")?;
                 if left > 0 {
-                    self.list = Some(PendingList {
+                    self.list = Some(PendingMembership {
                         scope,
                         left,
                         entries: Vec::new(),
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -10,7 +10,7 @@
 use std::fmt::Write;
 
 struct KnownRequest {
-    word: String,
+    name: String,
     attempts_out: u32,
     closed: bool,
 }
@@ -88,7 +88,7 @@
     pub(super) fn event(&mut self, f: &Fields) -> Parse<Option<Event>> {
         Ok(match f.message {
             "ACCEPT" => {
-                let word = f.need("requestId")?;
+                let name = f.need("requestId")?;
                 let request = Request {
                     id: self.next_request,
                     class: self.site.classes.id(f.need("type")?),
@@ -102,13 +102,13 @@
                     memory: f.number("mem")?.unwrap_or(0.0),
                     subject: f.text("subject").and_then(config::subject),
                 };
-                if self.ids.contains_key(word) {
+                if self.ids.contains_key(name) {
                     return Ok(None);
                 }
                 self.next_request += 1;
-                self.ids.insert(word.to_string(), request.id);
+                self.ids.insert(name.to_string(), request.id);
                 let known = KnownRequest {
-                    word: word.to_string(),
+                    name: name.to_string(),
                     attempts_out: 0,
                     closed: false,
                 };
@@ -138,7 +138,7 @@
                 let load = self.load(f)?;
                 let known = self.known(f)?;
                 if let Some(id) = known {
-                    self.settle(id, closed, 1);
+                    self.forget_if_closed(id, closed, 1);
                 }
                 known.map(|request| Event::Outcome {
                     request,
@@ -151,7 +151,7 @@
             "DROPPED" => {
                 let known = self.known(f)?;
                 if let Some(id) = known {
-                    self.settle(id, true, 0);
+                    self.forget_if_closed(id, true, 0);
                 }
                 known.map(Event::RequestClosed)
             }
@@ -180,8 +180,8 @@
                 let bytes =
                     bytes.map_err(|_| "MAIL: field 'content' must be base64".to_string())?;
                 // Five bytes for each worker: its id, low byte first, and the slots in flight there.
-                let line = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), b[4]);
-                let in_flight = bytes.chunks_exact(5).map(line).collect();
+                let entry = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), b[4]);
+                let in_flight = bytes.chunks_exact(5).map(entry).collect();
                 Some(Event::Peer {
                     from: f.small("originPeer")?,
                     in_flight,
@@ -192,21 +192,21 @@
     }
 
     /// Counts an outcome or a closing and forgets a request that can't be named again.
-    fn settle(&mut self, id: RequestId, closed: bool, outcomes: u32) {
+    fn forget_if_closed(&mut self, id: RequestId, closed: bool, results: u32) {
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        r.attempts_out = r.attempts_out.saturating_sub(outcomes);
+        r.attempts_out = r.attempts_out.saturating_sub(results);
         r.closed |= closed;
         if r.closed && r.attempts_out == 0 {
-            let word = std::mem::take(&mut r.word);
+            let name = std::mem::take(&mut r.name);
             self.requests.remove(&id);
-            self.ids.remove(&word);
+            self.ids.remove(&name);
         }
     }
 
     pub(super) fn write(&mut self, action: &Action, out: &mut String) {
-        let word = |id: &RequestId| self.requests.get(id).map_or("", |r| r.word.as_str());
+        let name = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let _ = match action {
             Action::Send {
                 request,
@@ -214,7 +214,7 @@
                 timeout: 0,
                 ..
             } => {
-                writeln!(out, "ASSIGN requestId={} worker={worker}", word(request))
+                writeln!(out, "ASSIGN requestId={} worker={worker}", name(request))
             }
             Action::Send {
                 request,
@@ -225,17 +225,17 @@
                 writeln!(
                     out,
                     "ASSIGN requestId={} worker={worker} allowFor={timeout}",
-                    word(request)
+                    name(request)
                 )
             }
             Action::Cancel { request, attempt } => {
-                writeln!(out, "UNDO_SEND requestId={} trial={attempt}", word(request))
+                writeln!(out, "UNDO_SEND requestId={} trial={attempt}", name(request))
             }
             Action::Refuse {
                 request,
                 retry_after: 0,
             } => {
-                writeln!(out, "PUSH_BACK requestId={}", word(request))
+                writeln!(out, "PUSH_BACK requestId={}", name(request))
             }
             Action::Refuse {
                 request,
@@ -244,10 +244,10 @@
                 writeln!(
                     out,
                     "PUSH_BACK requestId={} holdOff={retry_after}",
-                    word(request)
+                    name(request)
                 )
             }
-            Action::Fail { request } => writeln!(out, "SURRENDER requestId={}", word(request)),
+            Action::Fail { request } => writeln!(out, "SURRENDER requestId={}", name(request)),
             Action::Timer { at, name } => writeln!(out, "SET_TIMER when={at} name={name}"),
             Action::Probe { worker } => writeln!(out, "PING worker={worker}"),
             Action::Disconnect { worker } => writeln!(out, "DISCONNECT worker={worker}"),
@@ -277,7 +277,7 @@
                 }
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
-                self.settle(*request, true, 0)
+                self.forget_if_closed(*request, true, 0)
             }
             _ => {}
         }
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -6,7 +6,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use indigofold::api::{Scope, WorkerState};
 use indigofold::core::{CoreInput, actor, clock::Clock};
-use indigofold::front::{Life, faktory};
+use indigofold::front::{Lifecycle, faktory};
 use indigofold::{config, net::Net};
 use rstest::rstest;
 use sha2::{Digest, Sha256};
@@ -362,7 +362,13 @@
             Clock::new(),
             actor::mailbox(),
         );
-        let front = faktory::Faktory::new(net.clone(), clock, Rc::new(Life::default()), file, core);
+        let front = faktory::Faktory::new(
+            net.clone(),
+            clock,
+            Rc::new(Lifecycle::default()),
+            file,
+            core,
+        );
         front.open().await;
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
         let address = listener.get_ref().local_addr().expect("an address");
--- a/crates/indigofold/tests/handing.rs
+++ b/crates/indigofold/tests/handing.rs
@@ -30,7 +30,7 @@
     attempts: u32,
     /// Its number in the process that has it.
     id: JobId,
-    moves: u32,
+    migrates: u32,
 }
 
 /// The world of one scheduler: its jobs, and what happens to their attempts.
@@ -317,7 +317,7 @@
                     {
                         let mut world = ground.world.borrow_mut();
                         let job = world.jobs.get_mut(trace).expect("a job");
-                        (job.id, job.moves) = (next_job, job.moves + 1);
+                        (job.id, job.migrates) = (next_job, job.migrates + 1);
                         world.of.insert(next_job, *trace);
                     }
                     let job = Box::new(released.job);
@@ -352,7 +352,7 @@
             return Err(format!(
                 "job {trace}: {} answers after {} moves",
                 job.answers.len(),
-                job.moves
+                job.migrates
             ));
         };
         if at > job.until + 20 * MS {
@@ -374,7 +374,7 @@
         let (world, went) = play(seed, seed % 2 == 0, 3);
         check(&world).unwrap_or_else(|fault| panic!("scheduler {seed}: {fault}"));
         (jobs, moved) = (jobs + world.jobs.len(), moved + went);
-        twice += world.jobs.values().filter(|j| j.moves > 1).count();
+        twice += world.jobs.values().filter(|j| j.migrates > 1).count();
     }
     assert!(
         jobs > 40_000 && moved > 3_000 && twice > 100,
--- a/crates/indigofold/tests/wire.rs
+++ b/crates/indigofold/tests/wire.rs
@@ -26,7 +26,7 @@
 fn feed(session: &mut Session, lines: &[&str]) -> Result<String, String> {
     let mut replies = String::new();
     for line in lines {
-        if let Some(reply) = session.line(line).map_err(|e| e.to_string())? {
+        if let Some(reply) = session.feed(line).map_err(|e| e.to_string())? {
             replies.push_str(&reply);
         }
     }
@@ -135,7 +135,7 @@
     );
     assert_eq!(reply.matches("FOR who=").count(), 1, "{reply}");
     assert_eq!(
-        s.take_notes()
+        s.take_warnings()
             .iter()
             .filter(|n| n.contains("not started"))
             .count(),
@@ -154,9 +154,9 @@
         "EOB",
     ];
     assert!(boot(&mut s, &lines).is_ok());
-    let notes = s.take_notes();
-    assert_eq!(notes.len(), 2, "{notes:?}");
-    assert!(notes[0].contains("NEWS") && notes[1].contains("colour"));
+    let warnings = s.take_warnings();
+    assert_eq!(warnings.len(), 2, "{warnings:?}");
+    assert!(warnings[0].contains("NEWS") && warnings[1].contains("colour"));
 }
 
 #[test]
@@ -339,7 +339,7 @@
                 _ => {}
             }
             let line: String = chars.into_iter().collect();
-            match s.line(&line) {
+            match s.feed(&line) {
                 Ok(reply) => prop_assert!(!reply.unwrap_or_default().contains("FAULT"), "{line}"),
                 Err(error) => {
                     prop_assert_eq!(error.line, 7 + n as u64, "{}", line);
