--- a/crates/indigofold/examples/in_process.rs
+++ b/crates/indigofold/examples/in_process.rs
@@ -64,7 +64,7 @@
 
 impl Host {
     /// Hands over one event and carries out what comes back, in order.
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         println!("{:>8} us  event   {event:?}", self.now);
         let mut actions = Vec::new();
         self.dispatcher.handle(self.now, event, &mut actions);
@@ -87,7 +87,7 @@
         let end = self.now + time;
         while let Some((at, name)) = self.timer.filter(|t| t.0 <= end) {
             (self.now, self.timer) = (self.now.max(at), None);
-            self.tell(Event::Timer(name));
+            self.handle_event(Event::Timer(name));
         }
         self.now = end;
     }
@@ -110,7 +110,7 @@
         power: 1.0,
         ready_at: 0,
     };
-    host.tell(Event::List {
+    host.handle_event(Event::List {
         scope: Scope::Full,
         entries: vec![worker(1), worker(2)],
     });
@@ -134,20 +134,20 @@
             load: None,
         }
     };
-    host.tell(Event::Request(request(1)));
+    host.handle_event(Event::Request(request(1)));
     host.pass(2_000);
-    host.tell(Event::Started {
+    host.handle_event(Event::Started {
         request: 1,
         attempt: 0,
     });
     host.pass(60_000);
-    host.tell(outcome(1, 0, Status::Ok));
+    host.handle_event(outcome(1, 0, Status::Ok));
     // The second one fails at once; its class is safe to repeat, so it goes to the other worker.
-    host.tell(Event::Request(request(2)));
+    host.handle_event(Event::Request(request(2)));
     host.pass(1_000);
-    host.tell(outcome(2, 0, Status::Error));
+    host.handle_event(outcome(2, 0, Status::Error));
     host.pass(60_000);
-    host.tell(outcome(2, 1, Status::Ok));
+    host.handle_event(outcome(2, 1, Status::Ok));
     host.sent
 }
 
--- a/crates/indigofold/examples/stand_in_worker.rs
+++ b/crates/indigofold/examples/stand_in_worker.rs
@@ -86,20 +86,20 @@
     println!("{trace}: {}", first.trim_end());
     answer(to, "202 Accepted", "");
     spawn(move || {
-        tell(&trace, r#""state":"started""#);
+        report(&trace, r#""state":"started""#);
         sleep(Duration::from_millis(100));
-        tell(&trace, r#""state":"done","result":"one kit held\n""#);
+        report(&trace, r#""state":"done","result":"one kit held\n""#);
     });
 }
 
-fn tell(trace: &str, state: &str) {
-    let news = format!(r#"{{"id":"{trace}","from":"toy-1",{state}}}"#);
+fn report(trace: &str, state: &str) {
+    let body = format!(r#"{{"id":"{trace}","from":"toy-1",{state}}}"#);
     let head = format!(
         "POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
-        news.len()
+        body.len()
     );
     let sent = TcpStream::connect(SCHEDULER).and_then(|mut link| {
-        link.write_all((head + &news).as_bytes())?;
+        link.write_all((head + &body).as_bytes())?;
         link.read_to_end(&mut Vec::new())
     });
     if let Err(error) = sent {
--- a/crates/indigofold/src/core/engine/tests.rs
+++ b/crates/indigofold/src/core/engine/tests.rs
@@ -1,7 +1,7 @@
 use super::guarded;
 
 #[test]
-fn a_panic_in_the_module_becomes_one_line_of_text() {
+fn a_panic_in_the_module_becomes_text_without_line_breaks() {
     assert_eq!(guarded(|| ()), Ok(()));
     assert_eq!(
         guarded(|| panic!("two\nlines")),
--- a/crates/indigofold/src/front/platform/membership/tests.rs
+++ b/crates/indigofold/src/front/platform/membership/tests.rs
@@ -5,7 +5,7 @@
 /// Guards against a fleet that keeps discovery down by calling together, and against calls put off where there are few
 /// schedulers.
 #[test]
-fn many_schedulers_spread_out_the_calls_that_begin_a_watch() {
+fn many_schedulers_spread_the_calls_that_start_a_watch() {
     let within = Duration::from_secs(10);
     assert_eq!(spread(CallKind::StartWatch, 3, 1, within), Duration::ZERO);
     assert_eq!(
@@ -27,7 +27,7 @@
 /// Guards against a scheduler that hears nothing for 24 s after discovery was down: what has changed counts as told six
 /// seconds after discovery could be reached, and drained machines got new jobs until the next call.
 #[test]
-fn after_a_failed_call_the_next_one_comes_in_time_however_many_schedulers_there_are() {
+fn after_a_failed_call_the_next_is_in_time_for_any_number_of_schedulers() {
     let (within, deadline, queueing) = (
         Duration::from_secs(10),
         Duration::from_secs(6),
@@ -55,7 +55,7 @@
 
 /// Guards against a watch that ends unnoticed: at 100 schedulers its next call came up to 20 s after an answer.
 #[test]
-fn a_watch_goes_on_within_200_ms_however_many_schedulers_there_are() {
+fn a_watch_continues_within_200_ms_for_any_number_of_schedulers() {
     for many in [1, 8, 100, 1000, u64::MAX] {
         for failed in [1, MAX_FAILURE_FACTOR] {
             assert!(
@@ -73,7 +73,7 @@
 /// Guards against a watch that has gone silent and is found out too late: what it misses counts as told six seconds after
 /// that, or two after the wait of its call if that is later, and drained machines must get nothing new by then.
 #[test]
-fn a_silent_watch_is_asked_anew_before_what_it_misses_counts_as_told() {
+fn an_unresponsive_watch_is_reopened_before_missed_changes_take_effect() {
     let within = Duration::from_secs(10);
     for many in [1, 3, 7, 8, 48, 300, 1000, u64::MAX] {
         let (least, most) = wait_bounds(many);
--- a/crates/indigofold/src/net/buffer/tests.rs
+++ b/crates/indigofold/src/net/buffer/tests.rs
@@ -4,7 +4,7 @@
 
 /// Guards against a crowd of large messages that takes more memory than there is.
 #[test]
-fn buffers_out_and_kept_stay_within_the_memory_limit() {
+fn buffers_in_use_and_pooled_stay_within_the_memory_limit() {
     let pool = Pool::new(4);
     let mut out = Vec::new();
     while pool.has_capacity() {
--- a/crates/indigofold/src/net/set/tests.rs
+++ b/crates/indigofold/src/net/set/tests.rs
@@ -5,7 +5,7 @@
 /// Guards against a flood of connections that ask once and stay: they go before a newcomer whose message is on
 /// its way, and that one before any that is in use.
 #[test]
-fn the_least_missed_goes_first_and_within_a_rank_the_oldest() {
+fn the_lowest_rank_is_evicted_first_and_within_a_rank_the_oldest() {
     let set = Set::new(64);
     let ranks = [
         Rank::Used,
@@ -28,7 +28,7 @@
 
 /// Guards against clients that keep idle connections and so keep others from connecting.
 #[test]
-fn idle_connections_are_thinned_out_before_clients_hold_their_third() {
+fn idle_connections_are_evicted_before_clients_use_up_their_third() {
     let set = Set::new(120);
     let seats: Vec<Seat> = (0..30)
         .filter_map(|_| set.seat(Direction::Inbound))
@@ -60,7 +60,7 @@
 
 /// Guards against a drain that closes the connections of news and probes, or one that a job may be on its way on.
 #[test]
-fn a_drain_asks_clients_that_have_stood_idle() {
+fn a_drain_evicts_idle_clients() {
     let set = Set::new(64);
     let offers = [false, true].map(|client| set.offer(Rank::Used, client));
     set.evict_idle_clients(Duration::from_secs(60));
--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -68,7 +68,7 @@
 }
 
 /// Jobs in work, so that the next ones about the same find their first worker taken.
-fn hold(s: &mut Stage, ids: std::ops::Range<RequestId>, of: u64) -> Vec<Option<WorkerId>> {
+fn start_jobs(s: &mut Stage, ids: std::ops::Range<RequestId>, of: u64) -> Vec<Option<WorkerId>> {
     let mut sent = Vec::new();
     for id in ids {
         s.event(about(id, of));
@@ -79,28 +79,28 @@
 }
 
 #[test]
-fn over_many_subjects_a_place_is_drawn_by_its_weight_and_a_change_moves_only_its_own() {
-    let places = |w: [f64; 3]| (0..3u64).zip(w);
+fn workers_are_drawn_by_weight_and_a_changed_weight_moves_only_subjects_of_its_worker() {
+    let weighted = |w: [f64; 3]| (0..3u64).zip(w);
     let draws: Vec<usize> = (0..20_000)
-        .filter_map(|s| draw(s, places([0.5, 0.3, 0.2])))
+        .filter_map(|s| draw(s, weighted([0.5, 0.3, 0.2])))
         .collect();
-    for (place, part) in [0.5, 0.3, 0.2].into_iter().enumerate() {
-        let drawn = draws.iter().filter(|d| **d == place).count() as f64 / 20_000.0;
-        assert!((drawn - part).abs() < 0.02, "{place}: {drawn}");
+    for (drawn_worker, weight) in [0.5, 0.3, 0.2].into_iter().enumerate() {
+        let drawn = draws.iter().filter(|d| **d == drawn_worker).count() as f64 / 20_000.0;
+        assert!((drawn - weight).abs() < 0.02, "{drawn_worker}: {drawn}");
     }
-    let more = (0..20_000).filter_map(|s| draw(s, places([0.5, 0.6, 0.2])));
+    let more = (0..20_000).filter_map(|s| draw(s, weighted([0.5, 0.6, 0.2])));
     assert!(
         draws
             .iter()
             .zip(more)
             .all(|(old, new)| *old == new || new == 1)
     );
-    assert!((0..1_000).all(|s| draw(s, places([0.0, 1.0, 0.0])) == Some(1)));
+    assert!((0..1_000).all(|s| draw(s, weighted([0.0, 1.0, 0.0])) == Some(1)));
     assert_eq!(draw(7, std::iter::empty()), None);
 }
 
 #[test]
-fn a_subject_is_any_text_but_none() {
+fn any_nonempty_text_is_a_subject() {
     assert_eq!(subject(""), None);
     let long = "x".repeat(8 * 1024);
     let odd = "%00\u{7f}\u{e9}/~";
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_first_share_done_tells_how_long_the_fetch_took() {
+fn the_first_progress_report_gives_the_fetch_time() {
     // Started at 2 s, 0.5 s to fetch, then 2 s of even running: at 3 s a quarter is done.
     assert_eq!(
         fetch_time(2 * SEC, Some((3 * SEC, 0.25)), 4_500 * MS),
@@ -124,8 +124,8 @@
         Some(0.0)
     );
     // Nothing told, told before the start, or at the end: it says nothing.
-    for told in [None, Some((SEC, 0.2)), Some((4 * SEC, 0.9))] {
-        assert_eq!(fetch_time(2 * SEC, told, 4 * SEC), None);
+    for report in [None, Some((SEC, 0.2)), Some((4 * SEC, 0.9))] {
+        assert_eq!(fetch_time(2 * SEC, report, 4 * SEC), None);
     }
     // A share that says all is done long before the end.
     assert_eq!(
@@ -137,15 +137,15 @@
 /// Guards against jobs about the same being spread over all workers, each of which then fetches the same (0.24 of
 /// them on one worker on the second site, where a fetch takes half of a mean run).
 #[test]
-fn jobs_about_the_same_go_to_one_worker_and_every_dispatcher_takes_the_same() {
-    let (list, mut first) = (workers(2, 4), BTreeMap::new());
+fn jobs_of_one_subject_go_to_the_same_worker_from_every_dispatcher() {
+    let (membership, mut first) = (workers(2, 4), BTreeMap::new());
     for me in 0..2 {
         let settings = Settings {
             me,
             progress: SEC,
             ..settings()
         };
-        let (mut s, mut keeps) = (Stage::new(settings, &list), BTreeSet::new());
+        let (mut s, mut keeps) = (Stage::new(settings, &membership), BTreeSet::new());
         for id in 1..=120 {
             let (of, worker) = (id % 12, serve(&mut s, id, id % 12, &mut keeps, FETCH));
             if id > 60 {
@@ -167,9 +167,9 @@
 }
 
 #[test]
-fn a_subject_that_draws_much_spreads_over_others_and_all_of_them_are_used_in_the_end() {
+fn a_hot_subject_spreads_over_more_workers_until_all_are_used() {
     let mut s = stage(&workers(1, 6));
-    let sent = hold(&mut s, 1..13, 5);
+    let sent = start_jobs(&mut s, 1..13, 5);
     let used: BTreeSet<_> = sent.iter().flatten().collect();
     assert_eq!(used.len(), 6, "{sent:?}");
 }
@@ -181,19 +181,19 @@
         let mut s = stage(&workers(1, 4));
         for id in 0..10 {
             // The first worker has one, so the next goes elsewhere and shows what that takes.
-            hold(&mut s, 100 + id..101 + id, 1);
-            hold(&mut s, 200 + id..201 + id, 1);
+            start_jobs(&mut s, 100 + id..101 + id, 1);
+            start_jobs(&mut s, 200 + id..201 + id, 1);
             finish(&mut s, 200 + id, fetch);
             s.end(100 + id, 0, Status::Ok);
         }
-        let sent = hold(&mut s, 1_000..1_002, 1);
+        let sent = start_jobs(&mut s, 1_000..1_002, 1);
         assert_eq!(sent[0] == sent[1], waits, "a fetch of {fetch} us: {sent:?}");
     }
 }
 
 /// Where workers keep nothing, what jobs are about must not matter: one subject's jobs spread as any others.
 #[test]
-fn subjects_are_passed_over_once_fetches_are_known_to_cost_nothing() {
+fn affinity_is_ignored_once_fetches_cost_nothing() {
     let (mut s, mut keeps) = (stage(&workers(1, 8)), BTreeSet::new());
     let mut used = BTreeSet::new();
     for id in 1..=60 {
@@ -210,24 +210,26 @@
 
 /// Within a kind, the order is a subject's own: with one worker gone only what went first there moves.
 #[test]
-fn a_worker_that_leaves_moves_only_what_went_first_there() {
+fn a_departed_worker_moves_only_subjects_it_was_first_choice_for() {
     let ids: Vec<WorkerId> = (0..10).map(|n| 1_000 + 13 * n).collect();
     let first = |s: u64, without: Option<WorkerId>| {
         let there = ids.iter().copied().filter(|id| Some(*id) != without);
         there.min_by(|a, b| rank(s, *a).total_cmp(&rank(s, *b)))
     };
-    let gone = ids[4];
+    let departed = ids[4];
     let moved = (0..2_000)
-        .filter(|s| first(*s, None) != first(*s, Some(gone)))
+        .filter(|s| first(*s, None) != first(*s, Some(departed)))
+        .count();
+    let had = (0..2_000)
+        .filter(|s| first(*s, None) == Some(departed))
         .count();
-    let had = (0..2_000).filter(|s| first(*s, None) == Some(gone)).count();
     assert!(moved == had && (150..=250).contains(&had), "{moved} {had}");
 }
 
 /// Guards against first workers that move with every solution: the p_k of a busy moment last for a second, what was
 /// fetched for longer (0.57 of the keys moved while the list stayed the same).
 #[test]
-fn what_subjects_draw_by_follows_the_solution_slowly() {
+fn affinity_weights_follow_the_solution_slowly() {
     let mut steady = Steady::default();
     steady.follow(&[0.8, 0.2]);
     assert_eq!(steady.0, [0.8, 0.2]);
@@ -252,7 +254,7 @@
 
 /// Guards against a freed slot going to the newest held job, which fetches there, while one whose like goes there waits.
 #[test]
-fn a_freed_slot_goes_to_the_held_job_whose_like_goes_there() {
+fn a_freed_slot_goes_to_the_queued_job_with_affinity_to_its_worker() {
     let mut s = stage(&workers(1, 3));
     let one_slot = Load {
         inflight: Some(0.0),
@@ -288,7 +290,7 @@
         });
     }
     // Each worker has a job; of those that come then one or two wait at workers, the others are held.
-    let (mut running, mut waiting, mut held) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
+    let (mut running, mut waiting, mut queued) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     for id in 2_000..2_030 {
         let subject = *of.values().nth(id as usize % 3).expect("three");
         s.event(about(id, subject));
@@ -298,22 +300,22 @@
                 running.insert(worker, id);
             }
             Some(worker) => waiting.entry(worker).or_insert_with(Vec::new).push(id),
-            None => held.push((id, subject)),
+            None => queued.push((id, subject)),
         }
     }
-    let newest = held.last().expect("some are held").1;
+    let newest = queued.last().expect("some are held").1;
     // All that one worker has ends, the running one first.
     let (worker, id) = running
         .iter()
         .find(|(worker, _)| of[*worker] != newest)
         .expect("another worker");
     s.report(*id, 0, Status::Ok, Some(one_slot));
-    let nobody = held.iter().all(|(job, _)| s.sent(*job).is_none());
+    let nobody = queued.iter().all(|(job, _)| s.sent(*job).is_none());
     for id in waiting.get(worker).into_iter().flatten() {
         assert!(nobody, "{:?}", s.out);
         s.report(*id, 0, Status::Ok, Some(one_slot));
     }
-    let went: Vec<_> = held
+    let went: Vec<_> = queued
         .iter()
         .filter_map(|(job, subject)| Some((s.sent(*job)?, *subject)))
         .collect();
@@ -323,7 +325,7 @@
 /// Guards against a worker that hangs being tried again and again (37 jobs in 17 s on big-1 of the second site, each lost
 /// 1.6 s): where its attempts are given up, nothing that is out there can tell when it is back.
 #[test]
-fn a_worker_that_hangs_is_left_alone_for_longer_each_time_until_it_gets_on_with_a_job() {
+fn backoff_from_a_hanging_worker_grows_until_it_makes_progress() {
     let limits = Limits {
         duplicates: false,
         ..settings().limits
--- a/crates/indigofold/tests/example.rs
+++ b/crates/indigofold/tests/example.rs
@@ -4,7 +4,7 @@
 mod in_process;
 
 #[test]
-fn the_example_sends_each_request_and_tries_the_failed_one_elsewhere() {
+fn the_example_sends_each_request_and_retries_the_failed_one_on_another_worker() {
     let sent = in_process::run();
     in_process::main();
     let requests: Vec<_> = sent.iter().map(|s| s.0).collect();
--- a/crates/indigofold/tests/exchanges.rs
+++ b/crates/indigofold/tests/exchanges.rs
@@ -53,22 +53,22 @@
 
 struct Program {
     child: Child,
-    lines: Receiver<String>,
+    log_output: Receiver<String>,
     log: Vec<String>,
 }
 
 impl Program {
-    fn log_line(&mut self, text: &str) -> String {
+    fn wait_for_log(&mut self, text: &str) -> String {
         let until = Instant::now() + LIMIT;
         loop {
-            if let Some(line) = self.log.iter().find(|l| l.contains(text)) {
-                return line.clone();
+            if let Some(entry) = self.log.iter().find(|l| l.contains(text)) {
+                return entry.clone();
             }
             match self
-                .lines
+                .log_output
                 .recv_timeout(until.saturating_duration_since(Instant::now()))
             {
-                Ok(line) => self.log.push(line),
+                Ok(entry) => self.log.push(entry),
                 Err(_) => panic!("no log line with {text:?} in {:#?}", self.log),
             }
         }
@@ -88,14 +88,14 @@
     fillers: HashMap<String, TcpStream>,
     links: HashMap<String, (TcpStream, Vec<u8>)>,
     vars: HashMap<String, String>,
-    seen_by_workers: HashMap<String, Vec<u8>>,
+    received_by_workers: HashMap<String, Vec<u8>>,
 }
 
 impl Drop for Stage {
     fn drop(&mut self) {
         for program in self.old.iter_mut().chain(&mut self.program) {
             if std::thread::panicking() {
-                program.log.extend(program.lines.try_iter());
+                program.log.extend(program.log_output.try_iter());
                 eprintln!("log of the program: {:#?}", program.log);
             }
             let _ = program.child.kill();
@@ -107,16 +107,16 @@
 
 /// Does the text begin with the pattern? How much of it that takes; `None`: not yet; an error: never.
 fn matched(text: &str, pattern: &str) -> Result<Option<usize>, ()> {
-    let mut parts = pattern.split('*');
-    let Some(mut at) = begins(text, parts.next().unwrap_or(""))? else {
+    let mut literals = pattern.split('*');
+    let Some(mut at) = begins(text, literals.next().unwrap_or(""))? else {
         return Ok(None);
     };
-    for part in parts {
+    for literal in literals {
         // The first place from which on it stands there whole.
         let ends = (at..=text.len())
             .filter(|n| text.is_char_boundary(*n))
             .find_map(|n| {
-                let end = begins(&text[n..], part).ok().flatten()?;
+                let end = begins(&text[n..], literal).ok().flatten()?;
                 Some(n + end)
             });
         let Some(end) = ends else { return Ok(None) };
@@ -126,8 +126,8 @@
 }
 
 /// The same for a part without a `*`.
-fn begins(text: &str, part: &str) -> Result<Option<usize>, ()> {
-    let number = part.split_once('{').and_then(|(before, rest)| {
+fn begins(text: &str, literal: &str) -> Result<Option<usize>, ()> {
+    let number = literal.split_once('{').and_then(|(before, rest)| {
         let (range, after) = rest.split_once('}')?;
         let (least, most) = range.split_once('-')?;
         Some((
@@ -137,9 +137,9 @@
         ))
     });
     let Some((before, range, after)) = number else {
-        return match text.starts_with(part) {
-            true => Ok(Some(part.len())),
-            false if part.starts_with(text) => Ok(None),
+        return match text.starts_with(literal) {
+            true => Ok(Some(literal.len())),
+            false if literal.starts_with(text) => Ok(None),
             false => Err(()),
         };
     };
@@ -242,12 +242,12 @@
         }
         self.front = front.into();
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the program");
-        let (lines, log) = channel();
+        let (log_output, log) = channel();
         let reader = BufReader::new(child.stderr.take().expect("a log"));
         std::thread::spawn(move || {
-            for line in reader.lines().map_while(Result::ok) {
-                let last = unread && line.contains("start front=");
-                let _ = lines.send(line);
+            for entry in reader.lines().map_while(Result::ok) {
+                let last = unread && entry.contains("start front=");
+                let _ = log_output.send(entry);
                 if last {
                     loop {
                         std::thread::park(); // the reader stays open
@@ -257,7 +257,7 @@
         });
         self.program = Some(Program {
             child,
-            lines: log,
+            log_output: log,
             log: Vec::new(),
         });
         let listens = [
@@ -269,8 +269,8 @@
             name.0 == "gw" || (name.0 == "door" && front != "faktory") || front == "both"
         };
         for (name, text) in listens.iter().filter(here).copied() {
-            let line = self.log_line(text);
-            let address = line
+            let entry = self.wait_for_log(text);
+            let address = entry
                 .rsplit("listen=")
                 .next()
                 .expect("an address")
@@ -279,8 +279,8 @@
         }
     }
 
-    fn log_line(&mut self, text: &str) -> String {
-        self.program.as_mut().expect("started").log_line(text)
+    fn wait_for_log(&mut self, text: &str) -> String {
+        self.program.as_mut().expect("started").wait_for_log(text)
     }
 
     fn named(&mut self, name: &str) -> &mut Program {
@@ -317,7 +317,7 @@
                 Ok(count @ 1..) => {
                     got.extend(&bytes[..count]);
                     if name.starts_with('w') {
-                        self.seen_by_workers
+                        self.received_by_workers
                             .entry(name.into())
                             .or_default()
                             .extend(&bytes[..count]);
@@ -349,8 +349,8 @@
             .map(str::to_string)
     }
 
-    fn line(&mut self, line: &str) {
-        let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
+    fn execute(&mut self, step: &str) {
+        let (name, rest) = step.split_once(' ').unwrap_or((step, ""));
         let (verb, more) = rest.split_once(' ').unwrap_or((rest, ""));
         match (name, verb) {
             ("known", _) => self.known = rest.into(),
@@ -362,22 +362,22 @@
             ("start", front) => self.start(front, more),
             ("crowd", count) => {
                 for n in 0..count.parse().expect("a number") {
-                    self.line(&format!("c{n} dial"));
-                    self.line(&format!("c{n} > {}", more.replace("$n", &n.to_string())));
+                    self.execute(&format!("c{n} dial"));
+                    self.execute(&format!("c{n} > {}", more.replace("$n", &n.to_string())));
                 }
             }
             ("pushers", count) => {
                 for n in 0..count.parse().expect("a number") {
-                    self.line(&format!("c{n} dial faktory"));
-                    self.line(&format!("c{n} < +HI "));
-                    self.line(&format!("c{n} > {}", more.replace("$n", &n.to_string())));
-                    self.line(&format!("c{n} < +OK\\r\\n"));
+                    self.execute(&format!("c{n} dial faktory"));
+                    self.execute(&format!("c{n} < +HI "));
+                    self.execute(&format!("c{n} > {}", more.replace("$n", &n.to_string())));
+                    self.execute(&format!("c{n} < +OK\\r\\n"));
                 }
             }
             ("visits", count) => {
                 for _ in 0..count.parse().expect("a number") {
-                    self.line("visit dial");
-                    self.line(&format!("visit > {more}"));
+                    self.execute("visit dial");
+                    self.execute(&format!("visit > {more}"));
                     let (stream, got) = self.links.get_mut("visit").expect("a connection");
                     assert!(stream.read_to_end(got).expect("an answer and the end") > 0);
                 }
@@ -406,8 +406,8 @@
                 let path = self.dir.join(format!("indigofold-{hash:016x}.sock"));
                 drop(std::os::unix::net::UnixListener::bind(path).expect("a socket"));
             }
-            ("was", _) => _ = self.old.as_mut().expect("started").log_line(rest),
-            ("log", _) => _ = self.log_line(&self.filled(rest)),
+            ("was", _) => _ = self.old.as_mut().expect("started").wait_for_log(rest),
+            ("log", _) => _ = self.wait_for_log(&self.filled(rest)),
             ("runs", job) => {
                 let (id, trace) = (
                     format!("\"jid\":\"{job}\""),
@@ -415,7 +415,7 @@
                 );
                 let text = |bytes: &Vec<u8>| String::from_utf8_lossy(bytes).into_owned();
                 let count = |text: String| text.matches(&id).count() + text.matches(&trace).count();
-                let runs: usize = self.seen_by_workers.values().map(text).map(count).sum();
+                let runs: usize = self.received_by_workers.values().map(text).map(count).sum();
                 assert_eq!(runs.to_string(), more, "runs of {job}");
             }
             ("term" | "hup" | "stop" | "cont", _) => {
@@ -552,13 +552,13 @@
                     String::from_utf8_lossy(got)
                 );
             }
-            _ => panic!("no such line: {line}"),
+            _ => panic!("no such line: {step}"),
         }
     }
 }
 
 #[rstest]
-fn played(#[files("tests/exchanges/*.txt")] path: PathBuf) {
+fn recorded_exchange(#[files("tests/exchanges/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("an exchange");
     let mut stage = Stage::default();
     stage.settings = SETTINGS.into();
@@ -566,11 +566,11 @@
         "deep".into(),
         ["[".repeat(30_000), "]".repeat(30_000)].concat(),
     );
-    for line in text
+    for step in text
         .lines()
         .filter(|l| !l.is_empty() && !l.starts_with('#'))
     {
-        stage.line(line);
+        stage.execute(step);
     }
 }
 
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -21,7 +21,7 @@
 
 const SETTINGS: &str = include_str!("exchanges/settings.json");
 /// Fetches that a job worker tries at the most: each waits up to two seconds, so a scene that fails ends.
-const TRIES: usize = 60;
+const MAX_FETCHES: usize = 60;
 /// How long the plain server lets a FETCH wait. It used to answer at once, and a job worker had tried often enough before
 /// a client's thread had begun.
 const FETCH: Duration = Duration::from_secs(2);
@@ -56,10 +56,10 @@
             .stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program");
         let mut log = BufReader::new(child.stderr.take().expect("a log"));
-        let mut line = String::new();
-        log.read_line(&mut line).expect("a line");
+        let mut text = String::new();
+        log.read_line(&mut text).expect("a line");
         spawn(move || log.lines().for_each(drop));
-        let address = line
+        let address = text
             .trim()
             .rsplit("listen=")
             .next()
@@ -86,14 +86,14 @@
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("a time-out");
         let mut client = Client(BufReader::new(stream));
-        let hi = client.line();
-        let part = |key: &str| {
+        let hi = client.read_reply();
+        let field = |key: &str| {
             hi.split(key)
                 .nth(1)
                 .map(|t| t.split([',', '}', '"']).next().expect("a value"))
         };
         let mut hash = String::new();
-        if let (Some(salt), Some(times)) = (part("\"s\":\""), part("\"i\":")) {
+        if let (Some(salt), Some(times)) = (field("\"s\":\""), field("\"i\":")) {
             let mut bytes = Sha256::digest(format!("{PASSWORD}{salt}"));
             (1..times.parse().expect("a number")).for_each(|_: u32| bytes = Sha256::digest(bytes));
             hash = bytes.iter().map(|b| format!("{b:02x}")).collect();
@@ -105,10 +105,10 @@
         client
     }
 
-    fn line(&mut self) -> String {
-        let mut line = String::new();
-        self.0.read_line(&mut line).expect("a line");
-        line.trim_end().to_string()
+    fn read_reply(&mut self) -> String {
+        let mut text = String::new();
+        self.0.read_line(&mut text).expect("a line");
+        text.trim_end().to_string()
     }
 
     fn say(&mut self, command: &str) -> String {
@@ -116,7 +116,7 @@
             .get_mut()
             .write_all(format!("{command}\r\n").as_bytes())
             .expect("sent");
-        self.line()
+        self.read_reply()
     }
 
     fn push(&mut self, jid: &str, class: &str, deadline: u32) -> String {
@@ -174,8 +174,8 @@
                 let (mut to, from) = (stream.try_clone().expect("a copy"), BufReader::new(stream));
                 let mut reserved: Vec<String> = Vec::new();
                 let _ = to.write_all(b"+HI {\"v\":2}\r\n");
-                for line in from.lines().map_while(Result::ok) {
-                    let (verb, rest) = line.split_once(' ').unwrap_or((&line, ""));
+                for command in from.lines().map_while(Result::ok) {
+                    let (verb, rest) = command.split_once(' ').unwrap_or((&command, ""));
                     let reply = match verb {
                         "PUSH" => {
                             queue.0.lock().expect("a queue").push_back(rest.to_string());
@@ -215,13 +215,13 @@
 }
 
 /// A `reserve` job is fetched, the job worker's connection is lost, and it fetches again until there is nothing.
-fn fetched_again_after_a_reconnect(address: &str) -> usize {
+fn runs_after_a_reconnect(address: &str) -> usize {
     let runs = Runs::default();
     let mut worker = Client::connect(address, "w-1", 7);
     let to = address.to_string();
     let client = spawn(move || Client::connect(&to, "", 1).push("job-00001", "reserve", 5000));
     assert!(
-        (0..TRIES).any(|_| worker.fetch(&runs).is_some()),
+        (0..MAX_FETCHES).any(|_| worker.fetch(&runs).is_some()),
         "the job never came"
     );
     drop(worker);
@@ -237,24 +237,24 @@
 }
 
 #[test]
-fn a_reserve_job_fetched_again_after_a_reconnect_runs_once() {
+fn a_reserve_job_is_not_run_twice_when_its_worker_reconnects() {
     // Guards against a second booking of stock; a server that gives lost jobs out again makes two.
     let program = Program::start("again", "9000000");
-    assert_eq!(fetched_again_after_a_reconnect(&program.1), 1);
+    assert_eq!(runs_after_a_reconnect(&program.1), 1);
 }
 
 #[test]
-fn the_scene_of_the_reconnect_can_see_a_second_run() {
+fn a_plain_server_runs_the_job_twice_when_its_worker_reconnects() {
     let address = plain_server();
     assert_eq!(
-        fetched_again_after_a_reconnect(&address),
+        runs_after_a_reconnect(&address),
         2,
         "the plain server gave nothing out again"
     );
 }
 
 #[test]
-fn a_client_that_vanishes_causes_no_second_run() {
+fn a_client_disconnect_causes_no_second_run() {
     let program = Program::start("vanish", "9000000");
     let (runs, address) = (Runs::default(), &program.1);
     let mut worker = Client::connect(address, "w-1", 7);
@@ -268,10 +268,10 @@
     assert_eq!(worker.fetch(&runs).as_deref(), Some("job-00001"));
     drop(client);
     let to = address.clone();
-    let again = spawn(move || Client::connect(&to, "", 2).push("job-00001", "reserve", 5000));
+    let retried = spawn(move || Client::connect(&to, "", 2).push("job-00001", "reserve", 5000));
     assert_eq!(worker.fetch(&runs), None);
     assert_eq!(worker.ack("job-00001"), "+OK");
-    assert_eq!(again.join().expect("a reply"), "+OK");
+    assert_eq!(retried.join().expect("a reply"), "+OK");
     assert_eq!(count(&runs, "job-00001"), 1);
 }
 
@@ -287,7 +287,7 @@
         let (runs, address) = (runs.clone(), address.clone());
         spawn(move || {
             let mut worker = Client::connect(&address, wid, 7);
-            for _ in 0..TRIES {
+            for _ in 0..MAX_FETCHES {
                 if count_all(&runs) == 40 {
                     break;
                 }
@@ -322,7 +322,7 @@
 }
 
 /// How many of twenty jobs that come at once are handed to a machine that has just started.
-fn handed_at_once(name: &str, warm_after: &str, deadline: u32) -> usize {
+fn assigned_at_once(name: &str, warm_after: &str, deadline: u32) -> usize {
     let program = Program::start(name, warm_after);
     let runs = Runs::default();
     let mut worker = Client::connect(&program.1, "w-1", 7);
@@ -334,7 +334,7 @@
             })
         })
         .collect();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_FETCHES {
         if clients.iter().all(|s| s.is_finished()) || count_all(&runs) == 20 {
             break;
         }
@@ -344,20 +344,23 @@
 }
 
 #[test]
-fn a_cold_machine_is_handed_little_and_a_warm_one_all() {
+fn a_machine_in_warm_up_is_assigned_few_jobs_and_a_warm_one_all() {
     // A cold machine's budget lets two seconds of its present capacity through at most, here five jobs.
-    let cold = handed_at_once("cold", "9000000000", 400);
-    assert!(cold <= 6, "{cold} jobs were handed to a cold machine");
-    assert_eq!(handed_at_once("warm", "1", 15_000), 20);
+    let warming_up = assigned_at_once("cold", "9000000000", 400);
+    assert!(
+        warming_up <= 6,
+        "{warming_up} jobs were handed to a cold machine"
+    );
+    assert_eq!(assigned_at_once("warm", "1", 15_000), 20);
 }
 
 #[test]
-fn the_core_hears_of_starts_drains_and_losses() {
+fn the_core_is_notified_of_starts_drains_and_lost_connections() {
     let tasks = Rc::new(LocalExecutor::new());
     async_io::block_on(tasks.run(async {
         let file = config::Faktory::read(file("9000000").replace(PASSWORD, "").into_bytes())
             .expect("a file");
-        let (net, clock, (core, heard)) = (
+        let (net, clock, (core, inputs)) = (
             Net::new(tasks.clone(), 64, 64),
             Clock::new(),
             actor::mailbox(),
@@ -374,7 +377,7 @@
         let address = listener.get_ref().local_addr().expect("an address");
         net.spawn(faktory::serve::listen(front, Rc::new(listener)));
         let next = || async {
-            match heard.recv().await.expect("news") {
+            match inputs.recv().await.expect("news") {
                 CoreInput::Membership(scope, entries) => {
                     (scope, entries[0].state, entries[0].ready_at)
                 }
@@ -421,17 +424,17 @@
         );
         // Another process under the name: cold again.
         let second = connect(8).await;
-        let (_, state, again) = next().await;
-        assert!(state == WorkerState::Active && again > initial_capacity);
+        let (_, state, retried) = next().await;
+        assert!(state == WorkerState::Active && retried > initial_capacity);
         // Its connections are gone and none comes: so is the machine.
         drop((first, second));
-        assert_eq!(next().await, (Scope::Delta, WorkerState::Left, again));
+        assert_eq!(next().await, (Scope::Delta, WorkerState::Left, retried));
     }));
 }
 
 /// Guards against files for newcomers and operators that the program cannot read.
 #[test]
-fn the_files_that_come_with_the_program_can_be_read() {
+fn shipped_configuration_files_are_valid() {
     let example = include_str!("../examples/config.json").as_bytes().to_vec();
     let config = config::Platform::read(example, |_| None).expect("the example");
     assert_eq!(config.site.settings.classes.len(), 2);
--- a/crates/indigofold/tests/job_table.rs
+++ b/crates/indigofold/tests/job_table.rs
@@ -12,9 +12,9 @@
 
 /// A front that takes every attempt, and notes what it is asked.
 #[derive(Default)]
-struct Noted(RefCell<Vec<String>>);
+struct RecordingTransport(RefCell<Vec<String>>);
 
-impl Transport for Noted {
+impl Transport for RecordingTransport {
     fn send(&self, attempt: Attempt) -> bool {
         self.0.borrow_mut().push(format!(
             "attempt {} at {}",
@@ -45,7 +45,7 @@
     fn log_event(&self, _: &str) {}
 }
 
-fn job(table: &mut JobTable, transport: &Noted) -> Receiver<Answer> {
+fn job(table: &mut JobTable, transport: &RecordingTransport) -> Receiver<Answer> {
     let (to, from) = bounded(1);
     let (left, slots, memory) = (1_000_000, 1.0, 0.0);
     let (estimate, subject) = (None, None);
@@ -67,7 +67,7 @@
     from
 }
 
-fn attempt(table: &mut JobTable, transport: &Noted, worker: WorkerId) {
+fn attempt(table: &mut JobTable, transport: &RecordingTransport, worker: WorkerId) {
     table.act(
         Action::Send {
             request: 1,
@@ -92,8 +92,11 @@
 
 /// Guards against a job without an answer where the module gives none.
 #[test]
-fn a_job_that_the_module_forgets_fails_just_after_its_last_moment() {
-    let (mut table, transport) = (JobTable::new(40_000, Rc::default()), Noted::default());
+fn a_job_the_module_leaves_unanswered_fails_just_after_its_deadline() {
+    let (mut table, transport) = (
+        JobTable::new(40_000, Rc::default()),
+        RecordingTransport::default(),
+    );
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 5);
     table.expire(960_000, &transport);
@@ -114,8 +117,11 @@
 
 /// Guards against two answers, and against one lost: an attempt taken for lost that is done yet serves its job.
 #[test]
-fn a_job_is_served_once_also_by_an_attempt_taken_for_lost() {
-    let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
+fn a_job_is_served_once_even_by_an_attempt_counted_as_lost() {
+    let (mut table, transport) = (
+        JobTable::new(0, Rc::default()),
+        RecordingTransport::default(),
+    );
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 5);
     table.handle_input(10, ended(0, Status::Reset), &transport);
@@ -139,8 +145,11 @@
 /// Guards against an attempt that stays out for ever in the module's count, and blocks its machine: one made for
 /// a job whose client has left, or that was served, when the module had not heard of it yet.
 #[test]
-fn an_attempt_for_a_job_that_has_just_closed_ends_at_once() {
-    let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
+fn an_attempt_of_a_job_just_closed_ends_at_once() {
+    let (mut table, transport) = (
+        JobTable::new(0, Rc::default()),
+        RecordingTransport::default(),
+    );
     let _left = job(&mut table, &transport);
     table.handle_input(5, CoreInput::ClientLeft(1), &transport);
     assert_eq!(table.take_events().len(), 2);
@@ -168,8 +177,11 @@
 
 /// Guards against an attempt that nobody will end: one that the front did not take has failed at once.
 #[test]
-fn an_attempt_that_is_not_taken_or_comes_too_late_ends_at_once() {
-    let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
+fn an_attempt_rejected_by_the_transport_or_too_late_ends_at_once() {
+    let (mut table, transport) = (
+        JobTable::new(0, Rc::default()),
+        RecordingTransport::default(),
+    );
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 9);
     assert!(format!("{:?}", table.take_events()).contains("ConnectFailed, closed: false"));
@@ -194,9 +206,12 @@
 /// Guards against a second copy: the module sends a job anew as soon as it hears that an attempt is given up, and that is not
 /// before its machine has heard of it. What the machine says meanwhile counts.
 #[test]
-fn an_attempt_that_is_being_given_up_is_out_until_its_machine_has_heard() {
+fn an_attempt_being_cancelled_stays_in_flight_until_its_machine_acknowledges() {
     for done in [false, true] {
-        let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
+        let (mut table, transport) = (
+            JobTable::new(0, Rc::default()),
+            RecordingTransport::default(),
+        );
         let answer = job(&mut table, &transport);
         [9, 9, 9, 5]
             .into_iter()
@@ -233,7 +248,7 @@
                 .0
                 .take()
                 .iter()
-                .filter(|asked| asked.starts_with("give up"))
+                .filter(|request| request.starts_with("give up"))
                 .count(),
             1
         );
--- a/crates/indigofold/tests/handing.rs
+++ b/crates/indigofold/tests/replacement.rs
@@ -20,7 +20,7 @@
 
 /// What a job has been through, whichever process had it.
 #[derive(Default)]
-struct Seen {
+struct JobHistory {
     class: ClassId,
     until: Time,
     answers: Vec<(Time, Answer)>,
@@ -30,13 +30,13 @@
     attempts: u32,
     /// Its number in the process that has it.
     id: JobId,
-    migrates: u32,
+    migrations: u32,
 }
 
 /// The world of one scheduler: its jobs, and what happens to their attempts.
 #[derive(Default)]
 struct World {
-    jobs: BTreeMap<u64, Seen>, // by the client's id
+    jobs: BTreeMap<u64, JobHistory>, // by the client's id
     of: BTreeMap<JobId, u64>,
     happens: BTreeMap<(Time, u64), (u64, u32, Status, WorkerId)>, // an attempt's end
     starts: BTreeMap<(Time, u64), (u64, u32)>,
@@ -46,18 +46,18 @@
     duplicates: bool,
 }
 
-struct Ground {
+struct Simulation {
     world: RefCell<World>,
     rng: RefCell<Pcg64Mcg>,
 }
 
-impl Ground {
+impl Simulation {
     fn random(&self, most: u64) -> u64 {
         self.rng.borrow_mut().next_u64() % most
     }
 }
 
-impl Transport for Ground {
+impl Transport for Simulation {
     fn send(&self, attempt: Attempt) -> bool {
         let (fate, takes, wait) = (
             self.random(100),
@@ -175,7 +175,7 @@
     )
 }
 
-fn list(now: Time) -> CoreInput {
+fn membership(now: Time) -> CoreInput {
     let entries = (0..WORKERS).map(|n| Entry {
         zone: n % 2,
         cell: n % 4,
@@ -192,7 +192,7 @@
     settings.dispatchers = 300;
     settings.limits.duplicates = duplicates;
     settings.progress = 200 * MS;
-    let ground = Ground {
+    let simulation = Simulation {
         world: RefCell::new(World {
             duplicates,
             ..World::default()
@@ -202,53 +202,56 @@
     let (begin, end, last) = (100 * SEC, 106 * SEC, 113 * SEC);
     let mut now = begin;
     let mut engine_now = engine(&settings, now, seed);
-    engine_now.handle_input(now, list(now), &ground);
-    let (mut next_job, mut arrival, mut trace, mut moved) = (1u64, begin, 0u64, 0u32);
+    engine_now.handle_input(now, membership(now), &simulation);
+    let (mut next_job, mut arrival, mut trace, mut migrated) = (1u64, begin, 0u64, 0u32);
     let mut replaced = 0;
     while now < last {
-        ground.world.borrow_mut().now = now;
+        simulation.world.borrow_mut().now = now;
         while arrival <= now && arrival < end {
-            let (class, left) = (ground.random(4) as u32, (1 + ground.random(5)) * SEC);
+            let (class, left) = (
+                simulation.random(4) as u32,
+                (1 + simulation.random(5)) * SEC,
+            );
             let request = Request {
                 left,
                 ..indigofold_decisions_testing::request(next_job, class)
             };
-            let seen = Seen {
+            let history = JobHistory {
                 class,
                 until: now + left,
                 id: next_job,
-                ..Seen::default()
+                ..JobHistory::default()
             };
             trace += 1;
-            ground.world.borrow_mut().jobs.insert(trace, seen);
-            ground.world.borrow_mut().of.insert(next_job, trace);
+            simulation.world.borrow_mut().jobs.insert(trace, history);
+            simulation.world.borrow_mut().of.insert(next_job, trace);
             engine_now.handle_input(
                 now,
                 CoreInput::Job(request, now + left, Reply::Transport),
-                &ground,
+                &simulation,
             );
-            (next_job, arrival) = (next_job + 1, arrival + (1 + ground.random(60)) * MS);
+            (next_job, arrival) = (next_job + 1, arrival + (1 + simulation.random(60)) * MS);
         }
         let starts: Vec<_> = {
-            let mut world = ground.world.borrow_mut();
+            let mut world = simulation.world.borrow_mut();
             let later = world.starts.split_off(&(now + 1, 0));
             std::mem::replace(&mut world.starts, later)
                 .into_values()
                 .collect()
         };
         for (trace, attempt) in starts {
-            let job = ground.world.borrow().jobs[&trace].id;
+            let job = simulation.world.borrow().jobs[&trace].id;
             engine_now.handle_input(
                 now,
                 CoreInput::Started(AttemptId {
                     job,
                     number: attempt,
                 }),
-                &ground,
+                &simulation,
             );
         }
         let ends: Vec<_> = {
-            let mut world = ground.world.borrow_mut();
+            let mut world = simulation.world.borrow_mut();
             let later = world.happens.split_off(&(now + 1, 0));
             std::mem::replace(&mut world.happens, later)
                 .into_values()
@@ -256,7 +259,7 @@
         };
         for (trace, attempt, status, worker) in ends {
             let job = {
-                let mut world = ground.world.borrow_mut();
+                let mut world = simulation.world.borrow_mut();
                 let job = world.jobs.get_mut(&trace).expect("a job");
                 job.out.retain(|w| *w != worker);
                 job.id
@@ -271,30 +274,30 @@
                     status,
                     None,
                 ),
-                &ground,
+                &simulation,
             );
         }
-        engine_now.step(now, &ground);
+        engine_now.step(now, &simulation);
         // The next process: it takes in what was learned, and every open job that can go now; the rest go later.
         if replaced < replacements
             && now >= begin + (replaced + 1) * (end - begin) / (replacements + 1)
         {
             replaced += 1;
             let mut new = engine(&settings, now, seed ^ replaced);
-            new.handle_input(now, list(now), &ground);
+            new.handle_input(now, membership(now), &simulation);
             let (to, from) = async_channel::bounded(1);
             engine_now.handle_input(
                 now,
                 CoreInput::ReadStatistics(to, StatisticsScope::ExceptInFlight),
-                &ground,
+                &simulation,
             );
             new.handle_input(
                 now,
                 CoreInput::Statistics(Box::new(from.try_recv().expect("at once"))),
-                &ground,
+                &simulation,
             );
             let open: Vec<(u64, JobId)> = {
-                let world = ground.world.borrow();
+                let world = simulation.world.borrow();
                 world
                     .jobs
                     .iter()
@@ -306,27 +309,27 @@
             let mut stay = open;
             for _ in 0..10 {
                 now += 2 * MS;
-                ground.world.borrow_mut().now = now;
-                engine_now.step(now, &ground);
+                simulation.world.borrow_mut().now = now;
+                engine_now.step(now, &simulation);
                 stay.retain(|(trace, id)| {
                     let (to, from) = async_channel::bounded(1);
-                    engine_now.handle_input(now, CoreInput::Release(*id, to), &ground);
+                    engine_now.handle_input(now, CoreInput::Release(*id, to), &simulation);
                     let Some(released) = from.try_recv().expect("at once") else {
                         return true;
                     };
                     {
-                        let mut world = ground.world.borrow_mut();
+                        let mut world = simulation.world.borrow_mut();
                         let job = world.jobs.get_mut(trace).expect("a job");
-                        (job.id, job.migrates) = (next_job, job.migrates + 1);
+                        (job.id, job.migrations) = (next_job, job.migrations + 1);
                         world.of.insert(next_job, *trace);
                     }
                     let job = Box::new(released.job);
                     new.handle_input(
                         now,
                         CoreInput::Adopted(next_job, job, released.until, Reply::Transport),
-                        &ground,
+                        &simulation,
                     );
-                    (next_job, moved) = (next_job + 1, moved + 1);
+                    (next_job, migrated) = (next_job + 1, migrated + 1);
                     false
                 });
             }
@@ -340,7 +343,7 @@
         now += 2 * MS;
     }
     assert_eq!(engine_now.jobs(), 0, "all is answered");
-    (ground.world.into_inner(), moved)
+    (simulation.world.into_inner(), migrated)
 }
 
 fn check(world: &World) -> Result<(), String> {
@@ -352,7 +355,7 @@
             return Err(format!(
                 "job {trace}: {} answers after {} moves",
                 job.answers.len(),
-                job.migrates
+                job.migrations
             ));
         };
         if at > job.until + 20 * MS {
@@ -368,27 +371,27 @@
 /// 300 schedulers, each replaced three times in six seconds of traffic: no job without its one answer in time, none
 /// repeated against its class, none out twice, whichever process it was in.
 #[test]
-fn three_hundred_schedulers_are_replaced_and_no_job_notices() {
-    let (mut jobs, mut moved, mut twice) = (0, 0, 0);
+fn replacing_three_hundred_schedulers_loses_and_duplicates_no_job() {
+    let (mut jobs, mut migrated, mut twice) = (0, 0, 0);
     for seed in 0..300 {
         let (world, went) = play(seed, seed % 2 == 0, 3);
         check(&world).unwrap_or_else(|fault| panic!("scheduler {seed}: {fault}"));
-        (jobs, moved) = (jobs + world.jobs.len(), moved + went);
-        twice += world.jobs.values().filter(|j| j.migrates > 1).count();
+        (jobs, migrated) = (jobs + world.jobs.len(), migrated + went);
+        twice += world.jobs.values().filter(|j| j.migrations > 1).count();
     }
     assert!(
-        jobs > 40_000 && moved > 3_000 && twice > 100,
-        "{jobs} jobs, {moved} moves, {twice} more than once"
+        jobs > 40_000 && migrated > 3_000 && twice > 100,
+        "{jobs} jobs, {migrated} moves, {twice} more than once"
     );
 }
 
 /// Being replaced must not cost service: of the same jobs about as many are served as without.
 #[test]
-fn as_many_jobs_are_served_with_replacements_as_without() {
+fn replacements_do_not_reduce_the_served_share() {
     let served = |replacements: u64| {
         let of = |seed: u64| {
             let (world, _) = play(seed, true, replacements);
-            let served = |j: &&Seen| matches!(j.answers[..], [(_, Answer::Served)]);
+            let served = |j: &&JobHistory| matches!(j.answers[..], [(_, Answer::Served)]);
             (world.jobs.values().filter(served).count(), world.jobs.len())
         };
         (1000..1040)
@@ -405,8 +408,8 @@
 
 /// Guards against a job that nobody has: its client left just as it was asked for, to be given away.
 #[test]
-fn a_job_that_nobody_waits_for_any_more_is_not_given_away() {
-    let ground = Ground {
+fn a_job_whose_requester_has_gone_is_not_released() {
+    let simulation = Simulation {
         world: RefCell::new(World {
             now: SEC,
             ..World::default()
@@ -421,19 +424,19 @@
             6 * SEC,
             Reply::Transport,
         ),
-        &ground,
+        &simulation,
     );
-    engine.step(SEC, &ground);
-    let ask = |engine: &mut Engine| {
+    engine.step(SEC, &simulation);
+    let release = |engine: &mut Engine| {
         let (to, from) = async_channel::bounded(1);
-        engine.handle_input(SEC, CoreInput::Release(1, to), &ground);
+        engine.handle_input(SEC, CoreInput::Release(1, to), &simulation);
         from.try_recv().expect("at once").is_some()
     };
     let (to, from) = async_channel::bounded(1);
     drop(from);
-    engine.handle_input(SEC, CoreInput::Release(1, to), &ground);
+    engine.handle_input(SEC, CoreInput::Release(1, to), &simulation);
     assert_eq!(engine.jobs(), 1, "it is still here");
-    assert!(ask(&mut engine));
+    assert!(release(&mut engine));
     assert_eq!(engine.jobs(), 0);
 }
 
@@ -441,7 +444,7 @@
     #![proptest_config(ProptestConfig::with_cases(24))]
     /// Any number of replacements, at any distance.
     #[test]
-    fn any_replacements_keep_the_promises(seed in any::<u64>(), duplicates: bool, replacements in 1u64..60) {
+    fn any_sequence_of_replacements_keeps_the_invariants(seed in any::<u64>(), duplicates: bool, replacements in 1u64..60) {
         let (world, _) = play(seed, duplicates, replacements);
         prop_assert_eq!(check(&world), Ok(()));
     }
--- a/crates/indigofold/tests/laboratory.rs
+++ b/crates/indigofold/tests/replay_on_sockets.rs
@@ -21,22 +21,22 @@
     s.kinds.truncate(1);
     s.kinds[0].count = 6;
     s.kinds[0].cores = 4;
-    let trouble = |at_s, for_s, worker, what| Trouble {
+    let fault = |at_s, for_s, worker, what| Trouble {
         at_s,
         for_s,
         workers: vec![worker],
         what,
     };
     s.troubles = vec![
-        trouble(2.0, 3.0, 1, What::Hang),
-        trouble(4.0, 2.0, 2, What::Crash),
+        fault(2.0, 3.0, 1, What::Hang),
+        fault(4.0, 2.0, 2, What::Crash),
     ];
     s.discovery.notice_ms = 300;
     s
 }
 
 #[test]
-fn the_program_keeps_the_rules_on_the_laboratorys_sockets() {
+fn the_program_keeps_the_rules_in_a_replay_on_sockets() {
     let s = scenario();
     let program = Path::new(env!("CARGO_BIN_EXE_indigofold"));
     let load = Made::new(&s, 3).expect("load");
--- a/crates/indigofold/tests/wire.rs
+++ b/crates/indigofold/tests/wire.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_request_goes_out_comes_back_and_ids_return_unaltered() {
+fn a_request_is_assigned_and_its_ids_return_unaltered() {
     let mut s = Session::new();
     let reply = boot(
         &mut s,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn refusals_and_failures_are_written_with_their_words() {
+fn refusals_and_failures_are_encoded() {
     let mut s = Session::new();
     let lines = ["ACCEPT requestId=c:a type=pay left=0", "EOB"];
     assert!(
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn instances_are_apart_and_a_stopped_one_starts_anew() {
+fn instances_are_isolated_and_a_stopped_one_restarts_empty() {
     let mut s = Session::new();
     boot(&mut s, &["EOB"]).expect("legal");
     let again = format!("BOOT randomSeed=1 env={ENV}");
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn unknown_messages_fields_and_values_are_skipped_and_noted_once() {
+fn unknown_messages_fields_and_values_are_skipped_with_one_warning_each() {
     let mut s = Session::new();
     let lines = [
         "NEWS what=1",
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn malformed_lines_say_where_and_what() {
+fn errors_of_malformed_input_name_the_position_and_the_field() {
     for (line, what) in [
         ("ACCEPT type=read left=5", "requestId"),
         ("ACCEPT requestId=c:a type=read", "left"),
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn the_adapter_answers_and_ends_with_its_input() {
+fn the_adapter_answers_and_exits_at_end_of_input() {
     let out = adapter("TICK wall=1\nEOB\n\nTICK wall=2\nEOB\n");
     assert!(out.status.success());
     assert_eq!(String::from_utf8_lossy(&out.stdout), "OK\nOK\n");
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn the_adapter_fails_plainly_on_bad_input() {
+fn the_adapter_exits_with_an_error_on_bad_input() {
     for (input, what) in [
         ("TICK wall=1\n", "line 1: input ended inside a batch"),
         ("TICK wall=1\nEOB\nEOB\n", "line 3: EOB outside a batch"),
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn instances_in_one_process_or_two_act_alike() {
+fn instances_act_alike_in_one_process_or_two() {
     let batch = |who: &str| {
         let mut text = format!("TICK wall=1000\nINSTANCE who={who}\nBOOT randomSeed=5 env={ENV}\n");
         text.push_str("REGISTRY scope=C index=1 hosts=1\n");
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn peer_messages_are_read_as_they_are_written() {
+fn peer_messages_survive_a_round_trip() {
     let mut s = Session::new();
     let env = ENV.replace(
         r#""mayDuplicate":true"#,
@@ -324,7 +324,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), cases: 400, ..ProptestConfig::default() })]
     /// Cut, doubled and overwritten lines either mean something or end with a plain message; never a fault.
     #[test]
-    fn damaged_lines_are_understood_or_named(
+    fn damaged_input_is_accepted_or_rejected_with_its_position(
         damage in prop::collection::vec((0..LEGAL.len(), 0usize..120, 0u8..4, any::<char>()), 1..12),
     ) {
         let mut s = Session::new();
@@ -353,7 +353,7 @@
 
 /// Settings of the further rules: read when right, one plain message with the line when not.
 #[test]
-fn further_rules_are_optional_and_must_be_numbers_from_0_up() {
+fn optional_rules_must_be_nonnegative_numbers() {
     let with = |extra: &str| {
         let env = ENV.replace("\"overloadFor\"", &format!("{extra}\"overloadFor\""));
         let boot = format!("BOOT randomSeed=77 env={env}");
@@ -389,11 +389,12 @@
 }
 
 #[test]
-fn a_budget_on_the_wire_binds_and_connections_to_a_draining_worker_are_closed() {
-    let further = "\"freeResends\":0,\"letGoIn\":800000,\"fullMayHaveRun\":true,\"overloadFor\"";
+fn a_resend_budget_is_enforced_and_connections_to_a_draining_worker_are_closed() {
+    let extra_rules =
+        "\"freeResends\":0,\"letGoIn\":800000,\"fullMayHaveRun\":true,\"overloadFor\"";
     let boot = format!(
         "BOOT randomSeed=77 env={}",
-        ENV.replace("\"overloadFor\"", further)
+        ENV.replace("\"overloadFor\"", extra_rules)
     );
     let mut s = Session::new();
     let row = "ROW worker=11 dc=b machine=k0 stripe=0 powerHint=1 stageState=";
