--- a/crates/indigofold/src/core/job_table.rs
+++ b/crates/indigofold/src/core/job_table.rs
@@ -4,8 +4,8 @@
 use super::{
     Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Reply, Transport,
 };
-use crate::api::{Action, ClassId, Event, Scope, Status, Time, WorkerId};
-use crate::transferred_job;
+use crate::api::{Action, ClassId, Event, Load, Request, Scope, Status, Time, WorkerId};
+use crate::transferred_job::{self, TransferredJob};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,8 +15,10 @@
 
 struct AttemptRecord {
     machine: WorkerId,
+    /// Sent, and its end is not known yet.
     in_flight: bool,
-    given_up: bool, // its machine is being told
+    /// Cancelled; its machine is being notified.
+    given_up: bool,
 }
 
 struct Job {
@@ -77,38 +79,11 @@
         self.due.first().map(|d| d.0)
     }
 
-    /// Takes what a front tells.
+    /// Takes an input of a front and queues the module's events that follow from it.
     pub fn handle_input(&mut self, now: Time, input: CoreInput, transport: &dyn Transport) {
         match input {
-            CoreInput::Job(mut request, until, answer) => {
-                // Answered a little early: the answer has its way to go, as the request had.
-                let until = until.saturating_sub(self.answer_margin).max(now);
-                request.left = until - now;
-                self.due.insert((until, request.id));
-                let (class, answer) = (request.class, Some(answer));
-                self.jobs.insert(
-                    request.id,
-                    Job {
-                        class,
-                        answer,
-                        until,
-                        attempts: Vec::new(),
-                    },
-                );
-                add(&self.metrics.open, 1);
-                self.events.push(Event::Request(request));
-            }
-            CoreInput::ClientLeft(job) => {
-                let Some(open) = self.jobs.get_mut(&job) else {
-                    return;
-                };
-                if open.answer.take().is_some() {
-                    add(&self.metrics.clients_left, 1);
-                    self.metrics.open.set(self.metrics.open.get() - 1);
-                    self.events.push(Event::RequestClosed(job));
-                }
-                self.forget_if_finished(job, transport);
-            }
+            CoreInput::Job(request, until, reply) => self.add_job(now, request, until, reply),
+            CoreInput::ClientLeft(job) => self.client_left(job, transport),
             CoreInput::Started(id) if self.is_in_flight(id) => {
                 self.events.push(Event::Started {
                     request: id.job,
@@ -129,65 +104,13 @@
                 });
             }
             CoreInput::Started(_) | CoreInput::Progress(..) | CoreInput::Unacknowledged(_) => {}
-            CoreInput::Ended(id, status, load) => {
-                let Some(job) = self.jobs.get_mut(&id.job) else {
-                    return;
-                };
-                let Some(record) = job.attempts.get_mut(id.number as usize) else {
-                    return;
-                };
-                let (was_in_flight, done) = (
-                    std::mem::replace(&mut record.in_flight, false),
-                    status == Status::Ok,
-                );
-                let answered = if done { job.answer.take() } else { None };
-                let closed = answered.is_some();
-                if let Some(answer) = answered {
-                    count_answer(&self.metrics, job.class, End::Served);
-                    deliver(answer, id.job, Answer::Served, transport);
-                }
-                let (request, attempt) = (id.job, id.number);
-                if was_in_flight {
-                    // The job may have been answered before: then its end is told with this outcome as well.
-                    let closed = self.jobs.get(&request).is_some_and(|j| j.answer.is_none());
-                    self.events.push(Event::Outcome {
-                        request,
-                        attempt,
-                        status,
-                        closed,
-                        load,
-                    });
-                } else if closed {
-                    // Given up or taken for lost, yet done: the answer is good, and the job needs no more.
-                    self.events.push(Event::RequestClosed(request));
-                }
-                self.forget_if_finished(request, transport);
-            }
+            CoreInput::Ended(id, status, load) => self.attempt_ended(id, status, load, transport),
             CoreInput::Membership(scope, entries) => {
                 self.events.push(Event::List { scope, entries })
             }
             CoreInput::Settings(settings) => self.events.push(Event::Settings(settings)),
             CoreInput::Statistics(other) => self.events.push(Event::Statistics(other)),
-            CoreInput::Adopted(id, job, until, reply) => {
-                self.due.insert((until, id));
-                let record = |t: &transferred_job::Attempt<WorkerId>| AttemptRecord {
-                    machine: t.worker,
-                    in_flight: !t.done,
-                    given_up: false,
-                };
-                let (class, attempts) = (job.class, job.attempts.iter().map(record).collect());
-                self.jobs.insert(
-                    id,
-                    Job {
-                        class,
-                        answer: Some(reply),
-                        until,
-                        attempts,
-                    },
-                );
-                add(&self.metrics.open, 1);
-                self.events.push(Event::Adopted(id, job));
-            }
+            CoreInput::Adopted(id, job, until, reply) => self.adopt(id, job, until, reply),
             CoreInput::ReadStatistics(..) | CoreInput::Release(..) => {} // the engine's: the module must be asked
             CoreInput::Probed(worker, status, load) => self.events.push(Event::Probed {
                 worker,
@@ -197,6 +120,88 @@
         }
     }
 
+    fn add_job(&mut self, now: Time, mut request: Request, until: Time, reply: Reply) {
+        // Answered a little early: the answer has its way to go, as the request had.
+        let until = until.saturating_sub(self.answer_margin).max(now);
+        request.left = until - now;
+        self.due.insert((until, request.id));
+        let job = Job {
+            class: request.class,
+            answer: Some(reply),
+            until,
+            attempts: Vec::new(),
+        };
+        self.jobs.insert(request.id, job);
+        add(&self.metrics.open, 1);
+        self.events.push(Event::Request(request));
+    }
+
+    /// Goes on with a job that another process has begun.
+    fn adopt(&mut self, id: JobId, job: Box<TransferredJob<WorkerId>>, until: Time, reply: Reply) {
+        self.due.insert((until, id));
+        let record = |t: &transferred_job::Attempt<WorkerId>| AttemptRecord {
+            machine: t.worker,
+            in_flight: !t.done,
+            given_up: false,
+        };
+        let open = Job {
+            class: job.class,
+            answer: Some(reply),
+            until,
+            attempts: job.attempts.iter().map(record).collect(),
+        };
+        self.jobs.insert(id, open);
+        add(&self.metrics.open, 1);
+        self.events.push(Event::Adopted(id, job));
+    }
+
+    fn client_left(&mut self, id: JobId, transport: &dyn Transport) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        if job.answer.take().is_some() {
+            add(&self.metrics.clients_left, 1);
+            self.metrics.open.set(self.metrics.open.get() - 1);
+            self.events.push(Event::RequestClosed(id));
+        }
+        self.forget_if_finished(id, transport);
+    }
+
+    fn attempt_ended(
+        &mut self,
+        id: AttemptId,
+        status: Status,
+        load: Option<Load>,
+        transport: &dyn Transport,
+    ) {
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        let Some(record) = job.attempts.get_mut(id.number as usize) else {
+            return;
+        };
+        let was_in_flight = std::mem::replace(&mut record.in_flight, false);
+        let answered = if status == Status::Ok {
+            job.answer.take()
+        } else {
+            None
+        };
+        let served = answered.is_some();
+        if let Some(reply) = answered {
+            count_answer(&self.metrics, job.class, End::Served);
+            deliver(reply, id.job, Answer::Served, transport);
+        }
+        if was_in_flight {
+            // The job may have been answered before: then its end is told with this outcome as well.
+            let closed = self.jobs.get(&id.job).is_some_and(|j| j.answer.is_none());
+            self.events.push(outcome(id, status, closed, load));
+        } else if served {
+            // Given up or taken for lost, yet done: the answer is good, and the job needs no more.
+            self.events.push(Event::RequestClosed(id.job));
+        }
+        self.forget_if_finished(id.job, transport);
+    }
+
     /// Gives away an open job, if its answer is still owed: its last moment, and where its answer would have gone.
     pub fn release(&mut self, id: JobId) -> Option<(Time, Reply)> {
         let reply = self.jobs.get_mut(&id)?.answer.take()?;
@@ -212,8 +217,8 @@
         self.jobs.get(&id).is_some_and(|job| job.answer.is_some())
     }
 
-    /// Ends what is out at its last moment. What is still unanswered a little later fails, whatever the
-    /// module thinks of it.
+    /// Ends what is in flight at its deadline. What is still unanswered a little later fails, whatever the module thinks
+    /// of it.
     pub fn expire(&mut self, now: Time, transport: &dyn Transport) {
         while let Some(&(at, id)) = self.due.first().filter(|d| d.0 <= now) {
             self.due.remove(&(at, id));
@@ -221,33 +226,7 @@
                 continue;
             };
             if at == job.until {
-                let closed = job.answer.is_none();
-                for (n, record) in job
-                    .attempts
-                    .iter_mut()
-                    .enumerate()
-                    .filter(|(_, h)| h.in_flight)
-                {
-                    record.in_flight = false;
-                    let attempt = AttemptId {
-                        job: id,
-                        number: n as u32,
-                    };
-                    let unsent = transport.give_up(attempt, record.machine) == GivenUp::Unsent;
-                    let status = if unsent {
-                        Status::Moot
-                    } else {
-                        Status::Timeout
-                    };
-                    let (request, attempt) = (id, attempt.number);
-                    self.events.push(Event::Outcome {
-                        request,
-                        attempt,
-                        status,
-                        closed,
-                        load: None,
-                    });
-                }
+                give_up_attempts(id, job, &mut self.events, transport);
                 self.due.insert((at + GRACE_US, id));
             } else if let Some(answer) = job.answer.take() {
                 transport.log_event("a job was left unanswered at its last moment and has failed");
@@ -267,90 +246,13 @@
                 worker,
                 by,
                 ..
-            } => {
-                let Some(job) = self.jobs.get_mut(&request) else {
-                    // Sent before the module came to the event that closes the job. Without an outcome it would
-                    // count the attempt as waiting at its machine for ever.
-                    let attempts = self.closed.entry(request).or_default();
-                    let (status, attempt) = (Status::Moot, *attempts);
-                    *attempts += 1;
-                    let outcome = Event::Outcome {
-                        request,
-                        attempt,
-                        status,
-                        closed: true,
-                        load: None,
-                    };
-                    return self.events.push(outcome);
-                };
+            } => self.send(request, worker, by, transport),
+            Action::Cancel { request, attempt } => {
                 let id = AttemptId {
                     job: request,
-                    number: job.attempts.len() as u32,
+                    number: attempt,
                 };
-                let open = job.answer.is_some();
-                let in_flight = open
-                    && transport.send(Attempt {
-                        id,
-                        machine: worker,
-                        until: job.until,
-                        by: by.min(job.until),
-                    });
-                job.attempts.push(AttemptRecord {
-                    machine: worker,
-                    in_flight,
-                    given_up: false,
-                });
-                if !in_flight {
-                    let status = if open {
-                        Status::ConnectFailed
-                    } else {
-                        Status::Moot
-                    };
-                    let (attempt, closed) = (id.number, !open);
-                    self.events.push(Event::Outcome {
-                        request,
-                        attempt,
-                        status,
-                        closed,
-                        load: None,
-                    });
-                }
-            }
-            Action::Cancel { request, attempt } => {
-                let Some(job) = self.jobs.get_mut(&request) else {
-                    return;
-                };
-                let closed = job.answer.is_none();
-                let Some(record) = job
-                    .attempts
-                    .get_mut(attempt as usize)
-                    .filter(|h| h.in_flight)
-                else {
-                    return;
-                };
-                if std::mem::replace(&mut record.given_up, true) {
-                    return;
-                }
-                let status = match transport.give_up(
-                    AttemptId {
-                        job: request,
-                        number: attempt,
-                    },
-                    record.machine,
-                ) {
-                    GivenUp::Unsent => Status::Moot,
-                    GivenUp::Done => Status::Cancelled,
-                    GivenUp::Pending => return,
-                };
-                record.in_flight = false;
-                self.events.push(Event::Outcome {
-                    request,
-                    attempt,
-                    status,
-                    closed,
-                    load: None,
-                });
-                self.forget_if_finished(request, transport);
+                self.cancel(id, transport);
             }
             Action::Refuse {
                 request,
@@ -359,36 +261,93 @@
             Action::Fail { request } => self.answer(request, Answer::Failed, transport),
             Action::Probe { worker } => {
                 if !transport.probe(worker) {
-                    let status = Status::ConnectFailed;
                     self.events.push(Event::Probed {
                         worker,
-                        status,
+                        status: Status::ConnectFailed,
                         load: None,
                     });
                 }
             }
             Action::Disconnect { worker } => transport.hang_up(worker),
-            Action::Watch(on) => {
-                if !transport.request_membership(MembershipRequest::Watch(on)) {
-                    self.events.push(Event::List {
-                        scope: Scope::Failed,
-                        entries: Vec::new(),
-                    });
-                }
-            }
-            Action::Fetch => {
-                if !transport.request_membership(MembershipRequest::FetchAll) {
-                    self.events.push(Event::List {
-                        scope: Scope::Failed,
-                        entries: Vec::new(),
-                    });
-                }
-            }
+            Action::Watch(on) => self.request_membership(MembershipRequest::Watch(on), transport),
+            Action::Fetch => self.request_membership(MembershipRequest::FetchAll, transport),
             Action::Log(text) => transport.log_event(&text),
             Action::Timer { .. } | Action::UpdatePeers { .. } => {}
         }
     }
 
+    /// Starts an attempt. One that cannot go out has its outcome at once.
+    fn send(&mut self, job_id: JobId, machine: WorkerId, by: Time, transport: &dyn Transport) {
+        let Some(job) = self.jobs.get_mut(&job_id) else {
+            // Sent before the module came to the event that closes the job. Without an outcome it would count the attempt
+            // as waiting at its machine for ever.
+            let attempts = self.closed.entry(job_id).or_default();
+            let id = AttemptId {
+                job: job_id,
+                number: *attempts,
+            };
+            *attempts += 1;
+            return self.events.push(outcome(id, Status::Moot, true, None));
+        };
+        let id = AttemptId {
+            job: job_id,
+            number: job.attempts.len() as u32,
+        };
+        let open = job.answer.is_some();
+        let attempt = Attempt {
+            id,
+            machine,
+            until: job.until,
+            by: by.min(job.until),
+        };
+        let in_flight = open && transport.send(attempt);
+        job.attempts.push(AttemptRecord {
+            machine,
+            in_flight,
+            given_up: false,
+        });
+        if !in_flight {
+            let status = if open {
+                Status::ConnectFailed
+            } else {
+                Status::Moot
+            };
+            self.events.push(outcome(id, status, !open, None));
+        }
+    }
+
+    /// Gives up an attempt that is in flight. Where its machine must acknowledge that, its outcome comes later.
+    fn cancel(&mut self, id: AttemptId, transport: &dyn Transport) {
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        let closed = job.answer.is_none();
+        let record = job.attempts.get_mut(id.number as usize);
+        let Some(record) = record.filter(|record| record.in_flight) else {
+            return;
+        };
+        if std::mem::replace(&mut record.given_up, true) {
+            return;
+        }
+        let status = match transport.give_up(id, record.machine) {
+            GivenUp::Unsent => Status::Moot,
+            GivenUp::Done => Status::Cancelled,
+            GivenUp::Pending => return,
+        };
+        record.in_flight = false;
+        self.events.push(outcome(id, status, closed, None));
+        self.forget_if_finished(id.job, transport);
+    }
+
+    fn request_membership(&mut self, request: MembershipRequest, transport: &dyn Transport) {
+        if !transport.request_membership(request) {
+            self.events.push(Event::List {
+                scope: Scope::Failed,
+                entries: Vec::new(),
+            });
+        }
+    }
+
     fn is_in_flight(&self, id: AttemptId) -> bool {
         self.jobs
             .get(&id.job)
@@ -430,6 +389,34 @@
     }
 }
 
+/// Gives up the attempts that are in flight at their job's deadline.
+fn give_up_attempts(id: JobId, job: &mut Job, events: &mut Vec<Event>, transport: &dyn Transport) {
+    let closed = job.answer.is_none();
+    let records = job.attempts.iter_mut().zip(0..);
+    for (record, number) in records.filter(|(record, _)| record.in_flight) {
+        record.in_flight = false;
+        let attempt = AttemptId { job: id, number };
+        let unsent = transport.give_up(attempt, record.machine) == GivenUp::Unsent;
+        let status = if unsent {
+            Status::Moot
+        } else {
+            Status::Timeout
+        };
+        events.push(outcome(attempt, status, closed, None));
+    }
+}
+
+/// The module's event for an attempt that has ended. `closed`: its job has its answer.
+fn outcome(id: AttemptId, status: Status, closed: bool, load: Option<Load>) -> Event {
+    Event::Outcome {
+        request: id.job,
+        attempt: id.number,
+        status,
+        closed,
+        load,
+    }
+}
+
 /// Hands out a job's one answer.
 fn deliver(to: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
     match to {
