--- a/crates/indigofold/src/lib.rs
+++ b/crates/indigofold/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`dispatcher::Dispatcher`] is the whole decision module. It is fed [`api::Event`]s and answers with
 //! [`api::Action`]s; it does no I/O and reads no clock. [`wire`] translates a text protocol for the simulator.
 //! Round the module stand [`core`], which knows no wire, [`net`] and the fronts in [`front`];
-//! operators call at the [`admin`], and [`handover`] replaces the process.
+//! operators call at the [`admin`], [`handover`] replaces the process, and [`program`] wires the parts.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -14,6 +14,7 @@
 pub mod front;
 pub mod handover;
 pub mod net;
+pub mod program;
 pub mod wire;
 pub use indigofold_decisions::{
     affinity, api, arrivals, dispatcher, ids, runs, solve, statistics, transferred_job,
