--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -1,6 +1,6 @@
 //! One actor for each accepted connection of the Faktory front: clients and job workers.
 
-use super::codec::{self, Command, Job};
+use super::codec::{self, Command, Hello, Job};
 use super::machine::{Assignment, Order};
 use super::{Faktory, Parcel};
 use crate::api::{Effect, Request, Status, Time};
@@ -72,66 +72,89 @@
 }
 
 impl Client {
+    /// Serves the connection to its end: the handshake, then one command after another.
     async fn run(&mut self) -> Result<(), Reason> {
         let salt = RandomState::new().build_hasher().finish();
         let salt = format!("{salt:016x}");
-        let (password, times) = (self.front.file.password.clone(), self.front.file.iterations);
-        let challenge = (!password.is_empty()).then_some((salt.as_str(), times));
+        let file = &self.front.file;
+        let challenge = (!file.password.is_empty()).then_some((salt.as_str(), file.iterations));
         self.reply(&codec::greeting(challenge)).await?;
-        let (net, accepted) = (self.front.net.clone(), Instant::now());
+        let (hello, buffer) = self.read_hello().await?;
+        self.check_hello(&hello, &salt).await?;
+        self.register_worker(hello).await?;
+        self.reply(codec::OK).await?;
+        self.serve_commands(Some(buffer).filter(|b| !b.filled().is_empty()))
+            .await
+    }
+
+    /// Reads the first command, which must be HELLO, and returns it with the buffer and what stands behind it.
+    async fn read_hello(&self) -> Result<(Hello, Buffer), Reason> {
+        let (net, accepted) = (&self.front.net, Instant::now());
         let first = async {
             net.first_unless_evicted(accepted, Rank::NothingSent, async {
                 self.link.readable().await.map_err(|_| Reason::Broke)
             })
             .await?;
             let mut buffer = net.buffer().await?;
+            let read = receive_command(&self.link, &mut buffer);
             let read = net
-                .first_unless_evicted(
-                    accepted,
-                    Rank::PartialMessage,
-                    read_command(&self.link, &mut buffer),
-                )
+                .first_unless_evicted(accepted, Rank::PartialMessage, read)
                 .await;
             Ok((read, buffer))
         };
-        let (first, mut buffer) = within(MESSAGE_TIMEOUT, Reason::Slow, first).await?;
-        let first = match first {
+        let (length, mut buffer) = within(MESSAGE_TIMEOUT, Reason::Slow, first).await?;
+        let length = match length {
             Err(Reason::Malformed) => return self.reject("the command is too long").await,
             other => other?,
         };
-        let hello = match Command::parse(without_line_end(&buffer.filled()[..first])) {
+        let hello = match Command::parse(without_line_end(&buffer.filled()[..length])) {
             Ok(Command::Hello(hello)) => hello,
             Ok(_) => return self.reject("HELLO must come first").await,
             Err(why) => return self.reject(&why).await,
         };
-        buffer.consume(first);
+        buffer.consume(length);
+        Ok((hello, buffer))
+    }
+
+    /// Rejects another version of the protocol and a wrong password.
+    async fn check_hello(&self, hello: &Hello, salt: &str) -> Result<(), Reason> {
         if hello.v != 2 {
             return self
                 .reject("only version 2 of the protocol is spoken here")
                 .await;
         }
+        let (password, times) = (&self.front.file.password, self.front.file.iterations);
         if !password.is_empty()
-            && !codec::constant_time_eq(&codec::hashed(&password, &salt, times), &hello.pwdhash)
+            && !codec::constant_time_eq(&codec::hashed(password, salt, times), &hello.pwdhash)
         {
             return self.reject("invalid password").await;
         }
-        if !hello.wid.is_empty() {
-            let Some(orders) = self.front.machine_of(&hello.wid) else {
-                return self
-                    .reject("this wid is on no machine of the operator's file")
-                    .await;
-            };
-            let start = format!("{}:{}", hello.hostname, hello.pid);
-            self.worker = Some(Worker {
-                wid: hello.wid.clone(),
-                orders: orders.clone(),
-            });
-            let _ = orders
-                .send(Order::Connected(hello.wid, start, self.number))
-                .await;
+        Ok(())
+    }
+
+    /// Notifies the machine of a job worker that has connected; a client has no `wid`.
+    async fn register_worker(&mut self, hello: Hello) -> Result<(), Reason> {
+        if hello.wid.is_empty() {
+            return Ok(());
         }
-        self.reply(codec::OK).await?;
-        let mut kept = Some(buffer).filter(|b| !b.filled().is_empty());
+        let Some(orders) = self.front.machine_of(&hello.wid) else {
+            return self
+                .reject("this wid is on no machine of the operator's file")
+                .await;
+        };
+        let start = format!("{}:{}", hello.hostname, hello.pid);
+        self.worker = Some(Worker {
+            wid: hello.wid.clone(),
+            orders: orders.clone(),
+        });
+        let _ = orders
+            .send(Order::Connected(hello.wid, start, self.number))
+            .await;
+        Ok(())
+    }
+
+    /// Executes commands until END or the end of the connection; `kept`: what has been read of the next one.
+    async fn serve_commands(&self, mut kept: Option<Buffer>) -> Result<(), Reason> {
         let mut since = self.front.clock.now();
         loop {
             let mut buffer = match kept.take() {
@@ -142,36 +165,9 @@
                     self.front.net.buffer().await?
                 }
             };
-            let length = within(
-                MESSAGE_TIMEOUT,
-                Reason::Slow,
-                read_command(&self.link, &mut buffer),
-            )
-            .await;
-            let length = match length {
-                Err(Reason::Malformed) => return self.reject("the command is too long").await,
-                other => other?,
-            };
-            let commands = &self.front.counts[0];
-            commands.set(commands.get() + 1);
-            let command = Command::parse(without_line_end(&buffer.filled()[..length]));
-            let text = match &command {
-                Ok(Command::Push(_)) => {
-                    // The job is passed on as it was pushed.
-                    let mut text = self.front.net.pool.take();
-                    let _ = text
-                        .write_all(without_line_end(&buffer.filled()[..length]).trim_ascii_start());
-                    text.consume("PUSH ".len());
-                    Some(text)
-                }
-                _ => None,
-            };
-            buffer.consume(length);
+            let (command, text) = self.next_command(&mut buffer).await?;
             match command {
-                Ok(Command::End) => {
-                    self.reply(codec::OK).await?;
-                    return Ok(());
-                }
+                Ok(Command::End) => return self.reply(codec::OK).await,
                 Ok(command) => {
                     kept = Some(buffer).filter(|b| !b.filled().is_empty());
                     self.execute(command, text, since, &mut kept).await?;
@@ -188,6 +184,31 @@
         }
     }
 
+    /// Takes the next command out of the buffer, and with PUSH the text of its job.
+    async fn next_command(
+        &self,
+        buffer: &mut Buffer,
+    ) -> Result<(Result<Command, String>, Option<Buffer>), Reason> {
+        let length = receive_command(&self.link, buffer);
+        let length = match within(MESSAGE_TIMEOUT, Reason::Slow, length).await {
+            Err(Reason::Malformed) => return self.reject("the command is too long").await,
+            other => other?,
+        };
+        let commands = &self.front.counts[0];
+        commands.set(commands.get() + 1);
+        let line = without_line_end(&buffer.filled()[..length]);
+        let command = Command::parse(line);
+        let text = matches!(command, Ok(Command::Push(_))).then(|| {
+            // The job is passed on as it was pushed.
+            let mut text = self.front.net.pool.take();
+            let _ = text.write_all(line.trim_ascii_start());
+            text.consume("PUSH ".len());
+            text
+        });
+        buffer.consume(length);
+        Ok((command, text))
+    }
+
     /// Waits for the next command. A client without one may be asked to go; a job worker only as the program ends.
     async fn idle(&self) -> Result<(), Reason> {
         let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
@@ -214,7 +235,7 @@
         self.link.send(text.as_bytes(), WRITE_TIMEOUT).await
     }
 
-    async fn reject(&self, why: &str) -> Result<(), Reason> {
+    async fn reject<T>(&self, why: &str) -> Result<T, Reason> {
         self.reply(&codec::error(why)).await?;
         self.front.net.linger(&self.link).await;
         Err(Reason::Rejected)
@@ -437,7 +458,7 @@
 }
 
 /// Reads until a whole line stands at the front of the buffer, and returns its length with the line end.
-async fn read_command(link: &Link, buffer: &mut Buffer) -> Result<usize, Reason> {
+async fn receive_command(link: &Link, buffer: &mut Buffer) -> Result<usize, Reason> {
     loop {
         if let Some(end) = buffer.filled().iter().position(|b| *b == b'\n') {
             return Ok(end + 1);
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -29,6 +29,8 @@
     "X-Customer",
     "X-Props",
 ];
+/// The longest id of a job: it becomes part of a path.
+const MAX_TRACE_BYTES: usize = 128;
 /// The longest time that a client can say it waits.
 const MAX_CLIENT_WAIT_MS: u64 = 24 * 3600 * 1000;
 
@@ -44,15 +46,20 @@
 enum ParsedRequest {
     Ready,
     JobReport(JobReport, Vec<u8>),
-    Job {
-        request: Request,
-        trace: String,
-        text: Buffer,
-        body: usize,
-    },
+    Job(NewJob),
     Bad(u16, &'static str),
 }
 
+/// A job that a client has sent.
+struct NewJob {
+    request: Request,
+    /// The client's id for it.
+    trace: String,
+    /// The body, and after it the request line and the headers that pass on.
+    text: Buffer,
+    body_bytes: usize,
+}
+
 /// What is told of a connection when it ends, or goes on elsewhere.
 #[derive(Default)]
 pub(super) struct ConnectionState {
@@ -196,124 +203,157 @@
     state: &ConnectionState,
     resumed: Option<Option<Buffer>>,
 ) -> Reason {
-    let (mut received_at, mut by) = (front.clock.now(), Instant::now() + MESSAGE_TIMEOUT);
-    let (accepted, mut client) = (Instant::now(), resumed.is_some());
-    let mut kept = resumed.flatten();
-    let answer = async |status: u16, extra_headers: &str, body: &[u8], keep: bool| {
-        state.status.set(status);
-        answer(front, link, status, extra_headers, body, keep).await
-    };
-    loop {
-        let (messages, mut keep_open) = (state.messages.get(), true);
-        // A buffer is only held while there is something in it.
-        let mut buffer = match kept.take() {
-            Some(buffer) => buffer,
-            None => {
-                keep_open = match first_byte(front, link, (messages, client), accepted).await {
-                    Ok(keep_open) => keep_open,
-                    Err(reason) => return reason,
-                };
-                received_at = front.clock.now();
-                match front.net.buffer().await {
-                    Ok(buffer) => buffer,
-                    Err(reason) => return reason,
+    let connection = Connection { front, link, state };
+    match connection.serve(resumed).await {
+        Ok(()) => Reason::Done,
+        Err(reason) => reason,
+    }
+}
+
+/// A connection that is served, and the front that serves it.
+struct Connection<'a> {
+    front: &'a Rc<Platform>,
+    link: &'a Link,
+    state: &'a ConnectionState,
+}
+
+impl Connection<'_> {
+    /// Serves one message after another. Ends after an answer that closes the connection.
+    async fn serve(&self, resumed: Option<Option<Buffer>>) -> Result<(), Reason> {
+        let clock = &self.front.clock;
+        let (mut received_at, mut by) = (clock.now(), Instant::now() + MESSAGE_TIMEOUT);
+        let (accepted, mut client) = (Instant::now(), resumed.is_some());
+        let mut kept = resumed.flatten();
+        loop {
+            let (messages, mut keep_open) = (self.state.messages.get(), true);
+            // A buffer is only held while there is something in it.
+            let mut buffer = match kept.take() {
+                Some(buffer) => buffer,
+                None => {
+                    let from = (messages, client);
+                    keep_open = first_byte(self.front, self.link, from, accepted).await?;
+                    received_at = clock.now();
+                    self.front.net.buffer().await?
                 }
+            };
+            if messages > 0 {
+                by = Instant::now() + MESSAGE_TIMEOUT;
             }
-        };
-        if messages > 0 {
-            by = Instant::now() + MESSAGE_TIMEOUT;
+            let frame = self.read_message(&mut buffer, accepted, by).await?;
+            self.state.messages.set(messages + 1);
+            let request = parse(self.front, &buffer, &frame);
+            buffer.consume(frame.total);
+            client |= matches!(request, ParsedRequest::Job(_));
+            let mut keep = frame.keep && keep_open;
+            match request {
+                ParsedRequest::Job(job) if !self.link.extra() => {
+                    (buffer, keep) = self.serve_job(job, received_at, buffer, keep).await?;
+                }
+                other => self.answer_request(other, keep).await?,
+            }
+            if !keep {
+                return Ok(());
+            }
+            kept = Some(buffer).filter(|b| !b.filled().is_empty());
+            received_at = clock.now();
         }
+    }
+
+    /// Reads a whole message by a time. One that is malformed or late is answered, and ends the connection.
+    async fn read_message(
+        &self,
+        buffer: &mut Buffer,
+        accepted: Instant,
+        by: Instant,
+    ) -> Result<Frame, Reason> {
         let left = by.saturating_duration_since(Instant::now());
-        let frame = within(left, Reason::Slow, receive(link, &mut buffer));
-        let frame = match messages {
-            0 => {
-                front
-                    .net
-                    .first_unless_evicted(accepted, Rank::PartialMessage, frame)
-                    .await
-            }
-            _ => frame.await,
+        let frame = within(left, Reason::Slow, receive(self.link, buffer));
+        let frame = if self.state.messages.get() == 0 {
+            let net = &self.front.net;
+            net.first_unless_evicted(accepted, Rank::PartialMessage, frame)
+                .await
+        } else {
+            frame.await
         };
-        let frame = match frame {
-            Ok(Ok(frame)) => frame,
+        match frame {
+            Ok(Ok(frame)) => Ok(frame),
             Ok(Err(bad)) => {
-                let _ = answer(bad.status(), "", b"", false).await;
-                return Reason::Malformed;
+                let _ = self.answer(bad.status(), "", b"", false).await;
+                Err(Reason::Malformed)
             }
             Err(Reason::Slow) => {
-                let _ = answer(408, "", b"", false).await;
-                return Reason::Slow;
+                let _ = self.answer(408, "", b"", false).await;
+                Err(Reason::Slow)
             }
-            Err(reason) => return reason,
-        };
-        state.messages.set(messages + 1);
-        let request = parse(front, &buffer, &frame);
-        buffer.consume(frame.total);
-        let is_job = matches!(request, ParsedRequest::Job { .. });
-        client |= is_job;
-        let mut keep = frame.keep && keep_open;
-        let done = match request {
+            Err(reason) => Err(reason),
+        }
+    }
+
+    /// Answers what is no job, and a job for which there is no connection left.
+    async fn answer_request(&self, request: ParsedRequest, keep: bool) -> Result<(), Reason> {
+        let front = self.front;
+        match request {
             ParsedRequest::Ready if front.lifecycle.drained.get() => {
-                answer(503, "", b"drained\n", keep).await
+                self.answer(503, "", b"drained\n", keep).await
             }
-            ParsedRequest::Ready if front.ready.get() => answer(200, "", b"ready\n", keep).await,
-            ParsedRequest::Ready => answer(503, "", b"no machine list yet\n", keep).await,
-            ParsedRequest::JobReport(news, text) => {
-                front.handle_report(&text, news, None).await;
-                answer(204, "", b"", keep).await
+            ParsedRequest::Ready if front.ready.get() => {
+                self.answer(200, "", b"ready\n", keep).await
             }
-            ParsedRequest::Bad(status, why) => answer(status, "", why.as_bytes(), keep).await,
-            ParsedRequest::Job { request, .. } if link.extra() => {
-                // The last descriptors are for news, which ends jobs and so makes room.
-                front.metrics.count(request.class, End::Refused);
-                let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
-                answer(503, after, why, false)
-                    .await
-                    .and(Err(Reason::NoCapacity))
+            ParsedRequest::Ready => self.answer(503, "", b"no machine list yet\n", keep).await,
+            ParsedRequest::JobReport(report, text) => {
+                front.handle_report(&text, report, None).await;
+                self.answer(204, "", b"", keep).await
             }
-            ParsedRequest::Job {
-                request,
-                trace,
-                text,
-                body,
-            } => {
-                front.lifecycle.last_job.set(front.clock.now());
-                // The client's time runs from when it began to send.
-                let until = received_at + request.left;
-                // Where it can go over to another process, it need not end with this one.
-                let until = if front.migrates() {
-                    until
-                } else {
-                    front.lifecycle.bound(until)
-                };
-                kept = Some(buffer).filter(|b| !b.filled().is_empty());
-                let (status, extra_headers, result) = match submit_job(
-                    front,
-                    link,
-                    &mut kept,
-                    (request, until),
-                    (&trace, text, body),
-                    (keep, state),
-                )
-                .await
-                {
-                    Ok(answer) => answer,
-                    Err(reason) => return reason,
-                };
-                buffer = kept.take().unwrap_or_else(|| front.net.pool.take());
-                // Decided once, after the wait: a connection is closed only if its answer says so.
-                keep &= !front.lifecycle.closes_after_answer() && !link.overrun();
-                answer(status, &extra_headers, &result, keep).await
+            ParsedRequest::Bad(status, why) => self.answer(status, "", why.as_bytes(), keep).await,
+            ParsedRequest::Job(job) => {
+                // The last descriptors are for reports, which end jobs and so free connections.
+                front.metrics.count(job.request.class, End::Refused);
+                let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
+                self.answer(503, after, why, false).await?;
+                Err(Reason::NoCapacity)
             }
-        };
-        if let Err(reason) = done {
-            return reason;
-        }
-        if !keep {
-            return Reason::Done;
         }
-        kept = Some(buffer).filter(|b| !b.filled().is_empty());
-        received_at = front.clock.now();
+    }
+
+    /// Has a job done and answers it. Returns the buffer with what has been read behind the job, and whether the
+    /// connection stays.
+    async fn serve_job(
+        &self,
+        job: NewJob,
+        received_at: Time,
+        buffer: Buffer,
+        keep: bool,
+    ) -> Result<(Buffer, bool), Reason> {
+        let front = self.front;
+        front.lifecycle.last_job.set(front.clock.now());
+        // The client's time runs from when it began to send.
+        let until = received_at + job.request.left;
+        // Where it can go over to another process, it need not end with this one.
+        let until = if front.migrates() {
+            until
+        } else {
+            front.lifecycle.bound(until)
+        };
+        let mut rest = Some(buffer).filter(|b| !b.filled().is_empty());
+        let connection = (keep, self.state);
+        let (status, extra_headers, result) =
+            submit_job(front, self.link, &mut rest, (job, until), connection).await?;
+        let buffer = rest.take().unwrap_or_else(|| front.net.pool.take());
+        // Decided once, after the wait: a connection is closed only if its answer says so.
+        let keep = keep && !front.lifecycle.closes_after_answer() && !self.link.overrun();
+        self.answer(status, &extra_headers, &result, keep).await?;
+        Ok((buffer, keep))
+    }
+
+    async fn answer(
+        &self,
+        status: u16,
+        extra_headers: &str,
+        body: &[u8],
+        keep: bool,
+    ) -> Result<(), Reason> {
+        self.state.status.set(status);
+        answer(self.front, self.link, status, extra_headers, body, keep).await
     }
 }
 
@@ -412,33 +452,11 @@
     (head, body): (&Head<'_>, &[u8]),
 ) -> Result<ParsedRequest, &'static str> {
     let settings = &site.settings.classes[class as usize];
-    let trace = head
-        .header("X-Trace-Id")
-        .filter(|t| !t.is_empty())
-        .ok_or("X-Trace-Id is missing\n")?;
-    // It becomes part of a path when an attempt is given up.
-    if trace.len() > 128
-        || !trace
-            .bytes()
-            .all(|b| b.is_ascii_alphanumeric() || b"-_.:~".contains(&b))
-    {
-        return Err("X-Trace-Id must be one word\n");
-    }
+    let trace = parse_trace(head)?;
     let key = head.header("Idempotency-Key");
     if key.is_none() && matches!(settings.effect, Effect::Keyed { .. }) {
         return Err("Idempotency-Key is missing\n");
     }
-    let left = match head.header("X-Expires-In-Ms") {
-        None => settings.deadline,
-        Some(ms) => {
-            let digits = Some(ms).filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
-            let milliseconds = digits.and_then(|ms| ms.parse::<u64>().ok());
-            milliseconds
-                .ok_or("X-Expires-In-Ms must be whole milliseconds\n")?
-                .min(MAX_CLIENT_WAIT_MS)
-                * 1000
-        }
-    };
     let mut request = Request {
         id: 0,
         class,
@@ -446,49 +464,78 @@
             .header("X-Customer")
             .and_then(|name| site.tenants.find(name))
             .unwrap_or(u32::MAX),
-        left,
+        left: parse_time_left(head)?.unwrap_or(settings.deadline),
         estimate: None,
         slots: 1.0,
         memory: 0.0,
         subject,
     };
-    for (name, value) in head
-        .header("X-Props")
-        .unwrap_or("")
-        .split(',')
-        .filter_map(|p| p.split_once('='))
-    {
-        let value = value
-            .trim()
-            .parse::<f64>()
-            .ok()
-            .filter(|v| v.is_finite() && *v >= 0.0);
-        match (name.trim(), value) {
+    parse_properties(head, &mut request);
+    let text = forwarded_message(front, head, trace, body);
+    Ok(ParsedRequest::Job(NewJob {
+        request,
+        trace: trace.to_string(),
+        text: text.map_err(|_| "the request is too large\n")?,
+        body_bytes: body.len(),
+    }))
+}
+
+/// The client's id for a job. It becomes part of a path when an attempt is given up.
+fn parse_trace<'a>(head: &Head<'a>) -> Result<&'a str, &'static str> {
+    let trace = head
+        .header("X-Trace-Id")
+        .filter(|t| !t.is_empty())
+        .ok_or("X-Trace-Id is missing\n")?;
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.:~".contains(&b);
+    if trace.len() > MAX_TRACE_BYTES || !trace.bytes().all(allowed) {
+        return Err("X-Trace-Id must be one word\n");
+    }
+    Ok(trace)
+}
+
+/// How long the client waits, in microseconds, if it says so.
+fn parse_time_left(head: &Head<'_>) -> Result<Option<Time>, &'static str> {
+    let Some(text) = head.header("X-Expires-In-Ms") else {
+        return Ok(None);
+    };
+    let digits = Some(text).filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
+    let milliseconds = digits
+        .and_then(|ms| ms.parse::<u64>().ok())
+        .ok_or("X-Expires-In-Ms must be whole milliseconds\n")?;
+    Ok(Some(milliseconds.min(MAX_CLIENT_WAIT_MS) * 1000))
+}
+
+/// What the client says that the job needs; unknown properties and values that are no numbers are skipped.
+fn parse_properties(head: &Head<'_>, request: &mut Request) {
+    let properties = head.header("X-Props").unwrap_or("");
+    for (name, value) in properties.split(',').filter_map(|p| p.split_once('=')) {
+        let value = value.trim().parse::<f64>().ok();
+        match (name.trim(), value.filter(|v| v.is_finite() && *v >= 0.0)) {
             ("needs" | "slots", Some(v)) => request.slots = v,
             ("mem" | "memory", Some(v)) => request.memory = v,
             ("estimate" | "hint", Some(v)) => request.estimate = Some(v as Time),
             _ => {}
         }
     }
-    // What passes on unchanged; the time left is added when an attempt goes out.
-    let mut passed = front.net.pool.take();
-    let written = passed
-        .write_all(body)
-        .and_then(|()| write!(passed, "{} {} HTTP/1.1\r\n", head.method, head.target))
-        .and_then(|()| write_header(&mut passed, "Host", Some("service.internal")))
-        .and_then(|()| write_header(&mut passed, "X-Trace-Id", Some(trace)))
-        .and_then(|()| write_header(&mut passed, "Idempotency-Key", key))
-        .and_then(|()| write_header(&mut passed, "X-Customer", head.header("X-Customer")))
-        .and_then(|()| write_header(&mut passed, "X-Props", head.header("X-Props")))
-        .and_then(|()| write_header(&mut passed, "Content-Type", head.header("Content-Type")))
-        .and_then(|()| write!(passed, "Content-Length: {}\r\n", body.len()));
-    written.map_err(|_| "the request is too large\n")?;
-    Ok(ParsedRequest::Job {
-        request,
-        trace: trace.to_string(),
-        text: passed,
-        body: body.len(),
-    })
+}
+
+/// What passes on unchanged, the body first; the time left is added when an attempt goes out.
+fn forwarded_message(
+    front: &Platform,
+    head: &Head<'_>,
+    trace: &str,
+    body: &[u8],
+) -> std::io::Result<Buffer> {
+    let mut message = front.net.pool.take();
+    message.write_all(body)?;
+    write!(message, "{} {} HTTP/1.1\r\n", head.method, head.target)?;
+    write_header(&mut message, "Host", Some("service.internal"))?;
+    write_header(&mut message, "X-Trace-Id", Some(trace))?;
+    for name in ["Idempotency-Key", "X-Customer", "X-Props", "Content-Type"] {
+        write_header(&mut message, name, head.header(name))?;
+    }
+    write!(message, "Content-Length: {}\r\n", body.len())?;
+    Ok(message)
 }
 
 fn write_header(to: &mut Buffer, name: &str, value: Option<&str>) -> std::io::Result<()> {
@@ -503,22 +550,18 @@
     front: &Rc<Platform>,
     link: &Link,
     rest: &mut Option<Buffer>,
-    (mut request, until): (Request, Time),
-    (trace, text, body): (&str, Buffer, usize),
+    (job, until): (NewJob, Time),
     connection: (bool, &ConnectionState),
 ) -> Result<AnswerParts, Reason> {
+    let (mut request, message) = (job.request, (job.text, job.body_bytes));
     let (to, from) = bounded(1);
-    let Some((id, parcel)) = front.register_job(trace, (text, body), to.downgrade()) else {
+    let Some((id, parcel)) = front.register_job(&job.trace, message, to.downgrade()) else {
         front.metrics.count(request.class, End::Failed);
         return Ok((409, String::new(), b"a job of this id is open\n".into()));
     };
     request.id = id;
-    if front
-        .core
-        .send(CoreInput::Job(request, until, Reply::To(to)))
-        .await
-        .is_err()
-    {
+    let input = CoreInput::Job(request, until, Reply::To(to));
+    if front.core.send(input).await.is_err() {
         return Ok((500, String::new(), Vec::new()));
     }
     wait_for_answer(front, link, rest, (id, &parcel, from), connection).await
