--- a/crates/indigofold/src/core/job_table.rs
+++ b/crates/indigofold/src/core/job_table.rs
@@ -1,27 +1,31 @@
 //! The job table: jobs and their attempts. Whatever the module or a front does, a job gets one answer, in time.
 
-use super::figures::{End, Figures, add};
-use super::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
-use crate::api::{Action, ClassId, Event, Scope, Status, Time, WorkerId};
-use crate::transferred_job;
+use super::metrics::{End, Metrics, add};
+use super::{
+    Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Reply, Transport,
+};
+use crate::api::{Action, ClassId, Event, Load, Request, Scope, Status, Time, WorkerId};
+use crate::transferred_job::{self, TransferredJob};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 /// After a job's last moment the module has this long to answer before the job table does.
-const GRACE: Time = 10_000;
+const GRACE_US: Time = 10_000;
 
-struct Held {
+struct AttemptRecord {
     machine: WorkerId,
-    out: bool,
-    given_up: bool, // its machine is being told
+    /// Sent, and its end is not known yet.
+    in_flight: bool,
+    /// Cancelled; its machine is being notified.
+    given_up: bool,
 }
 
 struct Job {
     class: ClassId,
     answer: Option<Reply>, // until it is answered
     until: Time,
-    attempts: Vec<Held>,
+    attempts: Vec<AttemptRecord>,
 }
 
 /// All jobs that are open or have attempts out.
@@ -30,19 +34,19 @@
     jobs: FxHashMap<JobId, Job>,
     due: BTreeSet<(Time, JobId)>,
     events: Vec<Event>,
-    early: Time,
+    answer_margin: Time,
     /// Jobs forgotten since the module last took its events, and how many attempts they had: until it has heard that
     /// a job is closed, it may send it.
     closed: FxHashMap<JobId, u32>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
 }
 
 impl JobTable {
     /// An empty job table; jobs are answered this long before the client's time is up.
-    pub fn new(early: Time, figures: Rc<Figures>) -> Self {
+    pub fn new(answer_margin: Time, metrics: Rc<Metrics>) -> Self {
         JobTable {
-            early,
-            figures,
+            answer_margin,
+            metrics,
             ..JobTable::default()
         }
     }
@@ -54,10 +58,10 @@
 
     /// The module has dealt with the events that it took, and knows which jobs are closed. The list that held them is
     /// used again.
-    pub fn events_done(&mut self, mut held: Vec<Event>) {
+    pub fn events_done(&mut self, mut emptied: Vec<Event>) {
         self.closed.clear();
-        held.append(&mut self.events);
-        self.events = held;
+        emptied.append(&mut self.events);
+        self.events = emptied;
     }
 
     /// Are there events for the module?
@@ -75,117 +79,40 @@
         self.due.first().map(|d| d.0)
     }
 
-    /// Takes what a front tells.
-    pub fn told(&mut self, now: Time, told: Told, transport: &dyn Transport) {
-        match told {
-            Told::Job(mut request, until, answer) => {
-                // Answered a little early: the answer has its way to go, as the request had.
-                let until = until.saturating_sub(self.early).max(now);
-                request.left = until - now;
-                self.due.insert((until, request.id));
-                let (class, answer) = (request.class, Some(answer));
-                self.jobs.insert(
-                    request.id,
-                    Job {
-                        class,
-                        answer,
-                        until,
-                        attempts: Vec::new(),
-                    },
-                );
-                add(&self.figures.open, 1);
-                self.events.push(Event::Request(request));
-            }
-            Told::Gone(job) => {
-                let Some(open) = self.jobs.get_mut(&job) else {
-                    return;
-                };
-                if open.answer.take().is_some() {
-                    add(&self.figures.gone, 1);
-                    self.figures.open.set(self.figures.open.get() - 1);
-                    self.events.push(Event::RequestClosed(job));
-                }
-                self.settle(job, transport);
-            }
-            Told::Started(id) if self.is_out(id) => {
+    /// Takes an input of a front and queues the module's events that follow from it.
+    pub fn handle_input(&mut self, now: Time, input: CoreInput, transport: &dyn Transport) {
+        match input {
+            CoreInput::Job(request, until, reply) => self.add_job(now, request, until, reply),
+            CoreInput::ClientLeft(job) => self.client_left(job, transport),
+            CoreInput::Started(id) if self.is_in_flight(id) => {
                 self.events.push(Event::Started {
                     request: id.job,
                     attempt: id.number,
                 });
             }
-            Told::Progress(id, done) if self.is_out(id) => {
+            CoreInput::Progress(id, done) if self.is_in_flight(id) => {
                 self.events.push(Event::Progress {
                     request: id.job,
                     attempt: id.number,
                     done,
                 });
             }
-            Told::Unheard(id) if self.is_out(id) => {
+            CoreInput::Unacknowledged(id) if self.is_in_flight(id) => {
                 self.events.push(Event::Unacknowledged {
                     request: id.job,
                     attempt: id.number,
                 });
             }
-            Told::Started(_) | Told::Progress(..) | Told::Unheard(_) => {}
-            Told::Ended(id, status, load) => {
-                let Some(job) = self.jobs.get_mut(&id.job) else {
-                    return;
-                };
-                let Some(held) = job.attempts.get_mut(id.number as usize) else {
-                    return;
-                };
-                let (was_out, done) = (
-                    std::mem::replace(&mut held.out, false),
-                    status == Status::Ok,
-                );
-                let answered = if done { job.answer.take() } else { None };
-                let closed = answered.is_some();
-                if let Some(answer) = answered {
-                    ended(&self.figures, job.class, End::Served);
-                    give(answer, id.job, Answer::Served, transport);
-                }
-                let (request, attempt) = (id.job, id.number);
-                if was_out {
-                    // The job may have been answered before: then its end is told with this outcome as well.
-                    let closed = self.jobs.get(&request).is_some_and(|j| j.answer.is_none());
-                    self.events.push(Event::Outcome {
-                        request,
-                        attempt,
-                        status,
-                        closed,
-                        load,
-                    });
-                } else if closed {
-                    // Given up or taken for lost, yet done: the answer is good, and the job needs no more.
-                    self.events.push(Event::RequestClosed(request));
-                }
-                self.settle(request, transport);
-            }
-            Told::List(scope, entries) => self.events.push(Event::Membership { scope, entries }),
-            Told::Settings(settings) => self.events.push(Event::Settings(settings)),
-            Told::Statistics(other) => self.events.push(Event::Statistics(other)),
-            Told::Adopted(id, job, until, reply) => {
-                self.due.insert((until, id));
-                let held = |t: &transferred_job::Attempt<WorkerId>| Held {
-                    machine: t.worker,
-                    out: !t.done,
-                    given_up: false,
-                };
-                let (class, attempts) = (job.class, job.attempts.iter().map(held).collect());
-                self.jobs.insert(
-                    id,
-                    Job {
-                        class,
-                        answer: Some(reply),
-                        until,
-                        attempts,
-                    },
-                );
-                add(&self.figures.open, 1);
-                self.events.push(Event::Adopted(id, job));
+            CoreInput::Started(_) | CoreInput::Progress(..) | CoreInput::Unacknowledged(_) => {}
+            CoreInput::Ended(id, status, load) => self.attempt_ended(id, status, load, transport),
+            CoreInput::Membership(scope, entries) => {
+                self.events.push(Event::Membership { scope, entries })
             }
-            Told::Recall(..) | Told::Release(..) => {} // the engine's: the module must be asked
-            Told::Probed(worker, status, load) => self.events.push(Event::Probed {
+            CoreInput::Settings(settings) => self.events.push(Event::Settings(settings)),
+            CoreInput::Statistics(other) => self.events.push(Event::Statistics(other)),
+            CoreInput::Adopted(id, job, until, reply) => self.adopt(id, job, until, reply),
+            CoreInput::ReadStatistics(..) | CoreInput::Release(..) => {} // the engine's: the module must be asked
+            CoreInput::Probed(worker, status, load) => self.events.push(Event::Probed {
                 worker,
                 status,
                 load,
@@ -193,13 +120,95 @@
         }
     }
 
+    fn add_job(&mut self, now: Time, mut request: Request, until: Time, reply: Reply) {
+        // Answered a little early: the answer has its way to go, as the request had.
+        let until = until.saturating_sub(self.answer_margin).max(now);
+        request.left = until - now;
+        self.due.insert((until, request.id));
+        let job = Job {
+            class: request.class,
+            answer: Some(reply),
+            until,
+            attempts: Vec::new(),
+        };
+        self.jobs.insert(request.id, job);
+        add(&self.metrics.open, 1);
+        self.events.push(Event::Request(request));
+    }
+
+    /// Goes on with a job that another process has begun.
+    fn adopt(&mut self, id: JobId, job: Box<TransferredJob<WorkerId>>, until: Time, reply: Reply) {
+        self.due.insert((until, id));
+        let record = |t: &transferred_job::Attempt<WorkerId>| AttemptRecord {
+            machine: t.worker,
+            in_flight: !t.done,
+            given_up: false,
+        };
+        let open = Job {
+            class: job.class,
+            answer: Some(reply),
+            until,
+            attempts: job.attempts.iter().map(record).collect(),
+        };
+        self.jobs.insert(id, open);
+        add(&self.metrics.open, 1);
+        self.events.push(Event::Adopted(id, job));
+    }
+
+    fn client_left(&mut self, id: JobId, transport: &dyn Transport) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        if job.answer.take().is_some() {
+            add(&self.metrics.clients_left, 1);
+            self.metrics.open.set(self.metrics.open.get() - 1);
+            self.events.push(Event::RequestClosed(id));
+        }
+        self.forget_if_finished(id, transport);
+    }
+
+    fn attempt_ended(
+        &mut self,
+        id: AttemptId,
+        status: Status,
+        load: Option<Load>,
+        transport: &dyn Transport,
+    ) {
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        let Some(record) = job.attempts.get_mut(id.number as usize) else {
+            return;
+        };
+        let was_in_flight = std::mem::replace(&mut record.in_flight, false);
+        let answered = if status == Status::Ok {
+            job.answer.take()
+        } else {
+            None
+        };
+        let served = answered.is_some();
+        if let Some(reply) = answered {
+            count_answer(&self.metrics, job.class, End::Served);
+            deliver(reply, id.job, Answer::Served, transport);
+        }
+        if was_in_flight {
+            // The job may have been answered before: then its end is told with this outcome as well.
+            let closed = self.jobs.get(&id.job).is_some_and(|j| j.answer.is_none());
+            self.events.push(outcome(id, status, closed, load));
+        } else if served {
+            // Given up or taken for lost, yet done: the answer is good, and the job needs no more.
+            self.events.push(Event::RequestClosed(id.job));
+        }
+        self.forget_if_finished(id.job, transport);
+    }
+
     /// Gives away an open job, if its answer is still owed: its last moment, and where its answer would have gone.
     pub fn release(&mut self, id: JobId) -> Option<(Time, Reply)> {
         let reply = self.jobs.get_mut(&id)?.answer.take()?;
         let job = self.jobs.remove(&id)?;
         self.due.remove(&(job.until, id));
-        self.due.remove(&(job.until + GRACE, id));
-        self.figures.open.set(self.figures.open.get() - 1);
+        self.due.remove(&(job.until + GRACE_US, id));
+        self.metrics.open.set(self.metrics.open.get() - 1);
         Some((job.until, reply))
     }
 
@@ -208,8 +217,8 @@
         self.jobs.get(&id).is_some_and(|job| job.answer.is_some())
     }
 
-    /// Ends what is out at its last moment. What is still unanswered a little later fails, whatever the
-    /// module thinks of it.
+    /// Ends what is in flight at its deadline. What is still unanswered a little later fails, whatever the module thinks
+    /// of it.
     pub fn expire(&mut self, now: Time, transport: &dyn Transport) {
         while let Some(&(at, id)) = self.due.first().filter(|d| d.0 <= now) {
             self.due.remove(&(at, id));
@@ -217,36 +226,15 @@
                 continue;
             };
             if at == job.until {
-                let closed = job.answer.is_none();
-                for (n, held) in job.attempts.iter_mut().enumerate().filter(|(_, h)| h.out) {
-                    held.out = false;
-                    let attempt = AttemptId {
-                        job: id,
-                        number: n as u32,
-                    };
-                    let unsent = transport.give_up(attempt, held.machine) == GivenUp::Unsent;
-                    let status = if unsent {
-                        Status::Moot
-                    } else {
-                        Status::Timeout
-                    };
-                    let (request, attempt) = (id, attempt.number);
-                    self.events.push(Event::Outcome {
-                        request,
-                        attempt,
-                        status,
-                        closed,
-                        load: None,
-                    });
-                }
-                self.due.insert((at + GRACE, id));
+                give_up_attempts(id, job, &mut self.events, transport);
+                self.due.insert((at + GRACE_US, id));
             } else if let Some(answer) = job.answer.take() {
-                transport.note("a job was left unanswered at its last moment and has failed");
-                ended(&self.figures, job.class, End::Failed);
-                give(answer, id, Answer::Failed, transport);
+                transport.log_event("a job was left unanswered at its last moment and has failed");
+                count_answer(&self.metrics, job.class, End::Failed);
+                deliver(answer, id, Answer::Failed, transport);
                 self.events.push(Event::RequestClosed(id));
             }
-            self.settle(id, transport);
+            self.forget_if_finished(id, transport);
         }
     }
 
@@ -258,86 +246,13 @@
                 worker,
                 by,
                 ..
-            } => {
-                let Some(job) = self.jobs.get_mut(&request) else {
-                    // Sent before the module came to the event that closes the job. Without an outcome it would
-                    // count the attempt as waiting at its machine for ever.
-                    let attempts = self.closed.entry(request).or_default();
-                    let (status, attempt) = (Status::Moot, *attempts);
-                    *attempts += 1;
-                    let outcome = Event::Outcome {
-                        request,
-                        attempt,
-                        status,
-                        closed: true,
-                        load: None,
-                    };
-                    return self.events.push(outcome);
-                };
+            } => self.send(request, worker, by, transport),
+            Action::Cancel { request, attempt } => {
                 let id = AttemptId {
                     job: request,
-                    number: job.attempts.len() as u32,
-                };
-                let open = job.answer.is_some();
-                let out = open
-                    && transport.send(Attempt {
-                        id,
-                        machine: worker,
-                        until: job.until,
-                        by: by.min(job.until),
-                    });
-                job.attempts.push(Held {
-                    machine: worker,
-                    out,
-                    given_up: false,
-                });
-                if !out {
-                    let status = if open {
-                        Status::ConnectFailed
-                    } else {
-                        Status::Moot
-                    };
-                    let (attempt, closed) = (id.number, !open);
-                    self.events.push(Event::Outcome {
-                        request,
-                        attempt,
-                        status,
-                        closed,
-                        load: None,
-                    });
-                }
-            }
-            Action::Cancel { request, attempt } => {
-                let Some(job) = self.jobs.get_mut(&request) else {
-                    return;
-                };
-                let closed = job.answer.is_none();
-                let Some(held) = job.attempts.get_mut(attempt as usize).filter(|h| h.out) else {
-                    return;
+                    number: attempt,
                 };
-                if std::mem::replace(&mut held.given_up, true) {
-                    return;
-                }
-                let status = match transport.give_up(
-                    AttemptId {
-                        job: request,
-                        number: attempt,
-                    },
-                    held.machine,
-                ) {
-                    GivenUp::Unsent => Status::Moot,
-                    GivenUp::Done => Status::Cancelled,
-                    GivenUp::Asked => return,
-                };
-                held.out = false;
-                self.events.push(Event::Outcome {
-                    request,
-                    attempt,
-                    status,
-                    closed,
-                    load: None,
-                });
-                self.settle(request, transport);
+                self.cancel(id, transport);
             }
             Action::Refuse {
                 request,
@@ -346,41 +261,98 @@
             Action::Fail { request } => self.answer(request, Answer::Failed, transport),
             Action::Probe { worker } => {
                 if !transport.probe(worker) {
-                    let status = Status::ConnectFailed;
                     self.events.push(Event::Probed {
                         worker,
-                        status,
+                        status: Status::ConnectFailed,
                         load: None,
                     });
                 }
             }
             Action::Disconnect { worker } => transport.hang_up(worker),
-            Action::Watch(on) => {
-                if !transport.ask(Ask::Watch(on)) {
-                    self.events.push(Event::Membership {
-                        scope: Scope::Failed,
-                        entries: Vec::new(),
-                    });
-                }
-            }
-            Action::Fetch => {
-                if !transport.ask(Ask::Whole) {
-                    self.events.push(Event::Membership {
-                        scope: Scope::Failed,
-                        entries: Vec::new(),
-                    });
-                }
-            }
-            Action::Log(text) => transport.note(&text),
+            Action::Watch(on) => self.request_membership(MembershipRequest::Watch(on), transport),
+            Action::Fetch => self.request_membership(MembershipRequest::FetchAll, transport),
+            Action::Log(text) => transport.log_event(&text),
             Action::Timer { .. } | Action::UpdatePeers { .. } => {}
         }
     }
 
-    fn is_out(&self, id: AttemptId) -> bool {
+    /// Starts an attempt. One that cannot go out has its outcome at once.
+    fn send(&mut self, job_id: JobId, machine: WorkerId, by: Time, transport: &dyn Transport) {
+        let Some(job) = self.jobs.get_mut(&job_id) else {
+            // Sent before the module came to the event that closes the job. Without an outcome it would count the attempt
+            // as waiting at its machine for ever.
+            let attempts = self.closed.entry(job_id).or_default();
+            let id = AttemptId {
+                job: job_id,
+                number: *attempts,
+            };
+            *attempts += 1;
+            return self.events.push(outcome(id, Status::Moot, true, None));
+        };
+        let id = AttemptId {
+            job: job_id,
+            number: job.attempts.len() as u32,
+        };
+        let open = job.answer.is_some();
+        let attempt = Attempt {
+            id,
+            machine,
+            until: job.until,
+            by: by.min(job.until),
+        };
+        let in_flight = open && transport.send(attempt);
+        job.attempts.push(AttemptRecord {
+            machine,
+            in_flight,
+            given_up: false,
+        });
+        if !in_flight {
+            let status = if open {
+                Status::ConnectFailed
+            } else {
+                Status::Moot
+            };
+            self.events.push(outcome(id, status, !open, None));
+        }
+    }
+
+    /// Gives up an attempt that is in flight. Where its machine must acknowledge that, its outcome comes later.
+    fn cancel(&mut self, id: AttemptId, transport: &dyn Transport) {
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        let closed = job.answer.is_none();
+        let record = job.attempts.get_mut(id.number as usize);
+        let Some(record) = record.filter(|record| record.in_flight) else {
+            return;
+        };
+        if std::mem::replace(&mut record.given_up, true) {
+            return;
+        }
+        let status = match transport.give_up(id, record.machine) {
+            GivenUp::Unsent => Status::Moot,
+            GivenUp::Done => Status::Cancelled,
+            GivenUp::Pending => return,
+        };
+        record.in_flight = false;
+        self.events.push(outcome(id, status, closed, None));
+        self.forget_if_finished(id.job, transport);
+    }
+
+    fn request_membership(&mut self, request: MembershipRequest, transport: &dyn Transport) {
+        if !transport.request_membership(request) {
+            self.events.push(Event::Membership {
+                scope: Scope::Failed,
+                entries: Vec::new(),
+            });
+        }
+    }
+
+    fn is_in_flight(&self, id: AttemptId) -> bool {
         self.jobs
             .get(&id.job)
             .and_then(|j| j.attempts.get(id.number as usize))
-            .is_some_and(|h| h.out)
+            .is_some_and(|h| h.in_flight)
     }
 
     fn answer(&mut self, id: JobId, answer: Answer, transport: &dyn Transport) {
@@ -388,8 +360,8 @@
             return;
         };
         let Some(to) = job.answer.take() else { return };
-        ended(
-            &self.figures,
+        count_answer(
+            &self.metrics,
             job.class,
             if answer == Answer::Failed {
                 End::Failed
@@ -397,27 +369,56 @@
                 End::Refused
             },
         );
-        give(to, id, answer, transport);
-        self.settle(id, transport);
+        deliver(to, id, answer, transport);
+        self.forget_if_finished(id, transport);
     }
 
     /// Forgets a job that is answered and has no attempt out.
-    fn settle(&mut self, id: JobId, transport: &dyn Transport) {
-        let over = |job: &Job| job.answer.is_none() && job.attempts.iter().all(|h| !h.out);
-        if !self.jobs.get(&id).is_some_and(over) {
+    fn forget_if_finished(&mut self, id: JobId, transport: &dyn Transport) {
+        let finished =
+            |job: &Job| job.answer.is_none() && job.attempts.iter().all(|h| !h.in_flight);
+        if !self.jobs.get(&id).is_some_and(finished) {
             return;
         }
         if let Some(job) = self.jobs.remove(&id) {
             self.closed.insert(id, job.attempts.len() as u32);
             self.due.remove(&(job.until, id));
-            self.due.remove(&(job.until + GRACE, id));
+            self.due.remove(&(job.until + GRACE_US, id));
             transport.forget(id);
         }
     }
 }
 
+/// Gives up the attempts that are in flight at their job's deadline.
+fn give_up_attempts(id: JobId, job: &mut Job, events: &mut Vec<Event>, transport: &dyn Transport) {
+    let closed = job.answer.is_none();
+    let records = job.attempts.iter_mut().zip(0..);
+    for (record, number) in records.filter(|(record, _)| record.in_flight) {
+        record.in_flight = false;
+        let attempt = AttemptId { job: id, number };
+        let unsent = transport.give_up(attempt, record.machine) == GivenUp::Unsent;
+        let status = if unsent {
+            Status::Moot
+        } else {
+            Status::Timeout
+        };
+        events.push(outcome(attempt, status, closed, None));
+    }
+}
+
+/// The module's event for an attempt that has ended. `closed`: its job has its answer.
+fn outcome(id: AttemptId, status: Status, closed: bool, load: Option<Load>) -> Event {
+    Event::Outcome {
+        request: id.job,
+        attempt: id.number,
+        status,
+        closed,
+        load,
+    }
+}
+
 /// Hands out a job's one answer.
-fn give(to: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
+fn deliver(to: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
     match to {
         Reply::To(sender) => _ = sender.try_send(answer),
         Reply::Transport => transport.answer(job, answer),
@@ -425,10 +426,7 @@
 }
 
 /// Counts a job's one answer.
-fn ended(figures: &Figures, class: ClassId, end: End) {
-    figures.count(class, end);
-    figures.open.set(figures.open.get() - 1);
+fn count_answer(metrics: &Metrics, class: ClassId, end: End) {
+    metrics.count(class, end);
+    metrics.open.set(metrics.open.get() - 1);
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -1,13 +1,13 @@
 //! One actor for each accepted connection of the Faktory front: clients and job workers.
 
-use super::codec::{self, Command, Job};
-use super::machines::{Handed, Order};
+use super::codec::{self, Command, Hello, Job};
+use super::machine::{Assignment, Order};
 use super::{Faktory, Parcel};
 use crate::api::{Effect, Request, Status, Time};
 use crate::core::Answer;
 use crate::net::buffer::Buffer;
 use crate::net::set::Rank;
-use crate::net::{Link, Reason, STALLED, WHOLE, within};
+use crate::net::{Link, MESSAGE_TIMEOUT, Reason, WRITE_TIMEOUT, within};
 use async_channel::{Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
@@ -19,9 +19,9 @@
 use std::time::{Duration, Instant};
 
 /// How long a FETCH waits for a job.
-const FETCH: Duration = Duration::from_secs(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest time that a client can say it waits, in milliseconds.
-const DEADLINE_MOST: u64 = 24 * 3600 * 1000;
+const MAX_CLIENT_WAIT_MS: u64 = 24 * 3600 * 1000;
 
 /// Accepts connections for as long as the program runs.
 pub async fn listen(front: Rc<Faktory>, listener: Rc<Async<TcpListener>>) {
@@ -45,14 +45,14 @@
 }
 
 async fn serve(front: Rc<Faktory>, link: Link) {
-    let number = front.number();
+    let number = front.next_number();
     let mut client = Client {
         front,
         link,
         number,
         worker: None,
     };
-    let reason = match client.talk().await {
+    let reason = match client.run().await {
         Ok(()) => Reason::Done,
         Err(reason) => reason,
     };
@@ -63,68 +63,98 @@
     };
     let wid = client.worker.as_ref().map_or("-", |w| &w.wid).to_string();
     if let Some(worker) = client.worker.take() {
-        let _ = worker.orders.send(Order::Away(worker.wid, number)).await;
+        let _ = worker
+            .orders
+            .send(Order::Disconnected(worker.wid, number))
+            .await;
     }
     client.link.end(side, reason, format_args!("wid={wid:?}"));
 }
 
 impl Client {
-    async fn talk(&mut self) -> Result<(), Reason> {
+    /// Serves the connection to its end: the handshake, then one command after another.
+    async fn run(&mut self) -> Result<(), Reason> {
         let salt = RandomState::new().build_hasher().finish();
         let salt = format!("{salt:016x}");
-        let (password, times) = (self.front.file.password.clone(), self.front.file.iterations);
-        let asked = (!password.is_empty()).then_some((salt.as_str(), times));
-        self.reply(&codec::greeting(asked)).await?;
-        let (net, accepted) = (self.front.net.clone(), Instant::now());
+        let file = &self.front.file;
+        let challenge = (!file.password.is_empty()).then_some((salt.as_str(), file.iterations));
+        self.reply(&codec::greeting(challenge)).await?;
+        let (hello, buffer) = self.read_hello().await?;
+        self.check_hello(&hello, &salt).await?;
+        self.register_worker(hello).await?;
+        self.reply(codec::OK).await?;
+        self.serve_commands(Some(buffer).filter(|b| !b.filled().is_empty()))
+            .await
+    }
+
+    /// Reads the first command, which must be HELLO, and returns it with the buffer and what stands behind it.
+    async fn read_hello(&self) -> Result<(Hello, Buffer), Reason> {
+        let (net, accepted) = (&self.front.net, Instant::now());
         let first = async {
-            net.unless_shed_first(accepted, Rank::Silent, async {
+            net.first_unless_evicted(accepted, Rank::NothingSent, async {
                 self.link.readable().await.map_err(|_| Reason::Broke)
             })
             .await?;
             let mut buffer = net.buffer().await?;
+            let read = receive_command(&self.link, &mut buffer);
             let read = net
-                .unless_shed_first(accepted, Rank::Part, line(&self.link, &mut buffer))
+                .first_unless_evicted(accepted, Rank::PartialMessage, read)
                 .await;
             Ok((read, buffer))
         };
-        let (first, mut buffer) = within(WHOLE, Reason::Slow, first).await?;
-        let first = match first {
+        let (length, mut buffer) = within(MESSAGE_TIMEOUT, Reason::Slow, first).await?;
+        let length = match length {
             Err(Reason::Malformed) => return self.reject("the command is too long").await,
             other => other?,
         };
-        let hello = match Command::read(trimmed(&buffer.filled()[..first])) {
+        let hello = match Command::parse(without_line_end(&buffer.filled()[..length])) {
             Ok(Command::Hello(hello)) => hello,
             Ok(_) => return self.reject("HELLO must come first").await,
             Err(why) => return self.reject(&why).await,
         };
-        buffer.consume(first);
+        buffer.consume(length);
+        Ok((hello, buffer))
+    }
+
+    /// Rejects another version of the protocol and a wrong password.
+    async fn check_hello(&self, hello: &Hello, salt: &str) -> Result<(), Reason> {
         if hello.v != 2 {
             return self
                 .reject("only version 2 of the protocol is spoken here")
                 .await;
         }
+        let (password, times) = (&self.front.file.password, self.front.file.iterations);
         if !password.is_empty()
-            && !codec::same(&codec::hashed(&password, &salt, times), &hello.pwdhash)
+            && !codec::constant_time_eq(&codec::hashed(password, salt, times), &hello.pwdhash)
         {
             return self.reject("invalid password").await;
         }
-        if !hello.wid.is_empty() {
-            let Some(orders) = self.front.machine_of(&hello.wid) else {
-                return self
-                    .reject("this wid is on no machine of the operator's file")
-                    .await;
-            };
-            let start = format!("{}:{}", hello.hostname, hello.pid);
-            self.worker = Some(Worker {
-                wid: hello.wid.clone(),
-                orders: orders.clone(),
-            });
-            let _ = orders
-                .send(Order::Here(hello.wid, start, self.number))
-                .await;
+        Ok(())
+    }
+
+    /// Notifies the machine of a job worker that has connected; a client has no `wid`.
+    async fn register_worker(&mut self, hello: Hello) -> Result<(), Reason> {
+        if hello.wid.is_empty() {
+            return Ok(());
         }
-        self.reply(codec::OK).await?;
-        let mut kept = Some(buffer).filter(|b| !b.filled().is_empty());
+        let Some(orders) = self.front.machine_of(&hello.wid) else {
+            return self
+                .reject("this wid is on no machine of the operator's file")
+                .await;
+        };
+        let start = format!("{}:{}", hello.hostname, hello.pid);
+        self.worker = Some(Worker {
+            wid: hello.wid.clone(),
+            orders: orders.clone(),
+        });
+        let _ = orders
+            .send(Order::Connected(hello.wid, start, self.number))
+            .await;
+        Ok(())
+    }
+
+    /// Executes commands until END or the end of the connection; `kept`: what has been read of the next one.
+    async fn serve_commands(&self, mut kept: Option<Buffer>) -> Result<(), Reason> {
         let mut since = self.front.clock.now();
         loop {
             let mut buffer = match kept.take() {
@@ -135,33 +165,12 @@
                     self.front.net.buffer().await?
                 }
             };
-            let length = within(WHOLE, Reason::Slow, line(&self.link, &mut buffer)).await;
-            let length = match length {
-                Err(Reason::Malformed) => return self.reject("the command is too long").await,
-                other => other?,
-            };
-            let commands = &self.front.counts[0];
-            commands.set(commands.get() + 1);
-            let command = Command::read(trimmed(&buffer.filled()[..length]));
-            let text = match &command {
-                Ok(Command::Push(_)) => {
-                    // The job is passed on as it was pushed.
-                    let mut text = self.front.net.pool.take();
-                    let _ = text.write_all(trimmed(&buffer.filled()[..length]).trim_ascii_start());
-                    text.consume("PUSH ".len());
-                    Some(text)
-                }
-                _ => None,
-            };
-            buffer.consume(length);
+            let (command, text) = self.next_command(&mut buffer).await?;
             match command {
-                Ok(Command::End) => {
-                    self.reply(codec::OK).await?;
-                    return Ok(());
-                }
+                Ok(Command::End) => return self.reply(codec::OK).await,
                 Ok(command) => {
                     kept = Some(buffer).filter(|b| !b.filled().is_empty());
-                    self.obey(command, text, since, &mut kept).await?;
+                    self.execute(command, text, since, &mut kept).await?;
                     if self.link.overrun() {
                         return self.reject("too much was sent before the answer").await;
                     }
@@ -175,39 +184,64 @@
         }
     }
 
+    /// Takes the next command out of the buffer, and with PUSH the text of its job.
+    async fn next_command(
+        &self,
+        buffer: &mut Buffer,
+    ) -> Result<(Result<Command, String>, Option<Buffer>), Reason> {
+        let length = receive_command(&self.link, buffer);
+        let length = match within(MESSAGE_TIMEOUT, Reason::Slow, length).await {
+            Err(Reason::Malformed) => return self.reject("the command is too long").await,
+            other => other?,
+        };
+        let commands = &self.front.counts[0];
+        commands.set(commands.get() + 1);
+        let line = without_line_end(&buffer.filled()[..length]);
+        let command = Command::parse(line);
+        let text = matches!(command, Ok(Command::Push(_))).then(|| {
+            // The job is passed on as it was pushed.
+            let mut text = self.front.net.pool.take();
+            let _ = text.write_all(line.trim_ascii_start());
+            text.consume("PUSH ".len());
+            text
+        });
+        buffer.consume(length);
+        Ok((command, text))
+    }
+
     /// Waits for the next command. A client without one may be asked to go; a job worker only as the program ends.
     async fn idle(&self) -> Result<(), Reason> {
         let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
         let stopping = |r| {
-            if r == Reason::Shed && self.front.life.stopping.get() {
+            if r == Reason::Evicted && self.front.lifecycle.stopping.get() {
                 Reason::Stopping
             } else {
                 r
             }
         };
         let rank = if self.worker.is_some() {
-            Rank::Kept
+            Rank::Worker
         } else {
             Rank::Used
         };
         self.front
             .net
-            .unless_shed(rank, readable)
+            .unless_evicted(rank, readable)
             .await
             .map_err(stopping)
     }
 
     async fn reply(&self, text: &str) -> Result<(), Reason> {
-        self.link.send(text.as_bytes(), STALLED).await
+        self.link.send(text.as_bytes(), WRITE_TIMEOUT).await
     }
 
-    async fn reject(&self, why: &str) -> Result<(), Reason> {
+    async fn reject<T>(&self, why: &str) -> Result<T, Reason> {
         self.reply(&codec::error(why)).await?;
         self.front.net.linger(&self.link).await;
         Err(Reason::Rejected)
     }
 
-    async fn obey(
+    async fn execute(
         &self,
         command: Command,
         text: Option<Buffer>,
@@ -224,8 +258,8 @@
             Command::Hello(_) | Command::End => {
                 return self.reply(&codec::error("HELLO was said")).await;
             }
-            Command::Beat(wid, quiet) => match &self.worker {
-                Some(worker) if worker.wid == wid => Order::Beat(wid, quiet),
+            Command::Heartbeat(wid, quiet) => match &self.worker {
+                Some(worker) if worker.wid == wid => Order::Heartbeat(wid, quiet),
                 _ => {
                     return self
                         .reply(&codec::error("BEAT is for the job worker that said HELLO"))
@@ -288,17 +322,22 @@
             jid: job.jid,
             queue: job.queue,
             text,
-            in_hand: Cell::new(0),
-            given_out: RefCell::default(),
-            off: RefCell::default(),
+            assigned: Cell::new(0),
+            assigned_attempts: RefCell::default(),
+            withdrawn: RefCell::default(),
         };
-        self.front.life.last_job.set(self.front.clock.now());
+        self.front.lifecycle.last_job.set(self.front.clock.now());
         // The client's time runs from when it began to send.
-        let until = self.front.life.bound(since + request.left);
+        let until = self.front.lifecycle.bound(since + request.left);
         let number = self.front.push(request, until, parcel, to).await;
         let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
         match answered
-            .or(async { Err(self.link.left(rest, &self.front.net.pool).await) })
+            .or(async {
+                Err(self
+                    .link
+                    .wait_until_closed(rest, &self.front.net.pool)
+                    .await)
+            })
             .await
         {
             Ok(Answer::Served) => self.reply(codec::OK).await,
@@ -308,7 +347,7 @@
             }
             Ok(Answer::Failed) => self.reply(&codec::error("failed, it may have run")).await,
             Err(reason) => {
-                self.front.leave(&jid, number).await;
+                self.front.client_left(&jid, number).await;
                 Err(reason)
             }
         }
@@ -329,7 +368,7 @@
             .and_then(|name| site.tenants.find(name));
         let left = custom
             .and_then(|c| c.deadline)
-            .map(|ms| ms.min(DEADLINE_MOST) * 1000);
+            .map(|ms| ms.min(MAX_CLIENT_WAIT_MS) * 1000);
         Ok(Request {
             id: 0,
             class,
@@ -354,14 +393,19 @@
             .orders
             .send(Order::Fetch(self.number, worker.wid.clone(), queues, to))
             .await;
-        let handed = async { Ok(from.recv().await.ok()) };
-        let over = async {
-            Timer::after(FETCH).await;
+        let assignment = async { Ok(from.recv().await.ok()) };
+        let timeout = async {
+            Timer::after(FETCH_TIMEOUT).await;
             Ok(None)
         };
-        let mut found = handed
-            .or(async { Err(self.link.left(rest, &self.front.net.pool).await) })
-            .or(over)
+        let mut found = assignment
+            .or(async {
+                Err(self
+                    .link
+                    .wait_until_closed(rest, &self.front.net.pool)
+                    .await)
+            })
+            .or(timeout)
             .await;
         // A job that came at the very moment at which the wait ended is not lost.
         from.close();
@@ -369,14 +413,14 @@
             found = Ok(from.try_recv().ok());
         }
         match found {
-            Ok(Some(handed)) => self.hand_over(&worker.orders, handed).await,
+            Ok(Some(assignment)) => self.send_assignment(&worker.orders, assignment).await,
             Ok(None) => {
-                let _ = worker.orders.send(Order::NoFetch(self.number)).await;
+                let _ = worker.orders.send(Order::CancelFetch(self.number)).await;
                 self.reply(codec::NOTHING).await
             }
             Err(reason) => {
-                if let Ok(handed) = from.try_recv() {
-                    let _ = worker.orders.send(Order::Written(handed, false)).await;
+                if let Ok(assignment) = from.try_recv() {
+                    let _ = worker.orders.send(Order::Written(assignment, false)).await;
                 }
                 Err(reason)
             }
@@ -384,38 +428,42 @@
     }
 
     /// Writes a job to a job worker. Whether its last byte went out tells whether it may have run.
-    async fn hand_over(&self, orders: &Sender<Order>, handed: Handed) -> Result<(), Reason> {
-        let mut whole = self.front.net.pool.take();
-        let text = handed.parcel.text.filled();
-        let room = write!(whole, "${}\r\n", text.len())
-            .and_then(|()| whole.write_all(text))
-            .and_then(|()| whole.write_all(b"\r\n"));
-        let mut gone_out = 0;
-        let written = match room {
+    async fn send_assignment(
+        &self,
+        orders: &Sender<Order>,
+        assignment: Assignment,
+    ) -> Result<(), Reason> {
+        let mut message = self.front.net.pool.take();
+        let text = assignment.parcel.text.filled();
+        let fits = write!(message, "${}\r\n", text.len())
+            .and_then(|()| message.write_all(text))
+            .and_then(|()| message.write_all(b"\r\n"));
+        let mut bytes_written = 0;
+        let written = match fits {
             // Nobody is there any more: it would go out, but to no one.
             Ok(()) if self.link.closed() => Err(Reason::PeerLeft),
             Ok(()) => {
-                let write = self.link.write(whole.filled(), &mut gone_out);
-                within(STALLED, Reason::Stalled, async {
+                let write = self.link.write(message.filled(), &mut bytes_written);
+                within(WRITE_TIMEOUT, Reason::Stalled, async {
                     write.await.map_err(|_| Reason::Broke)
                 })
                 .await
             }
             Err(_) => Err(Reason::Malformed),
         };
-        let all = gone_out == whole.filled().len();
-        let _ = orders.send(Order::Written(handed, all)).await;
+        let all = bytes_written == message.filled().len();
+        let _ = orders.send(Order::Written(assignment, all)).await;
         written
     }
 }
 
 /// Reads until a whole line stands at the front of the buffer, and returns its length with the line end.
-async fn line(link: &Link, buffer: &mut Buffer) -> Result<usize, Reason> {
+async fn receive_command(link: &Link, buffer: &mut Buffer) -> Result<usize, Reason> {
     loop {
         if let Some(end) = buffer.filled().iter().position(|b| *b == b'\n') {
             return Ok(end + 1);
         }
-        if buffer.room().is_empty() {
+        if buffer.spare().is_empty() {
             return Err(Reason::Malformed);
         }
         let empty = buffer.filled().is_empty();
@@ -428,6 +476,6 @@
     }
 }
 
-fn trimmed(line: &[u8]) -> &[u8] {
-    line.trim_ascii_end()
+fn without_line_end(command: &[u8]) -> &[u8] {
+    command.trim_ascii_end()
 }
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -1,16 +1,16 @@
 //! One actor for each accepted connection: clients with their jobs, job workers with their news, and
 //! whoever asks whether the program is ready.
 
-use super::moving::Moved;
+use super::migration::MigratingJob;
 use super::{Parcel, Platform};
 use crate::api::{ClassId, Effect, Request, Time};
-use crate::config::{self, News, Site};
-use crate::core::figures::End;
-use crate::core::{Answer, JobId, Reply, Told};
+use crate::config::{self, JobReport, Site};
+use crate::core::metrics::End;
+use crate::core::{Answer, CoreInput, JobId, Reply};
 use crate::net::buffer::Buffer;
 use crate::net::http::{self, Bad, Frame, Head, Kind, Progress};
 use crate::net::set::Rank;
-use crate::net::{Link, Reason, STALLED, WHOLE, log, within};
+use crate::net::{Link, MESSAGE_TIMEOUT, Reason, WRITE_TIMEOUT, log, within};
 use async_channel::{Receiver, bounded};
 use async_io::Async;
 use futures_lite::FutureExt;
@@ -22,15 +22,17 @@
 use std::time::Instant;
 
 /// Headers of a job that may stand there once.
-const ONCE: [&str; 5] = [
+const SINGLE_HEADERS: [&str; 5] = [
     "X-Trace-Id",
     "Idempotency-Key",
     "X-Expires-In-Ms",
     "X-Customer",
     "X-Props",
 ];
+/// The longest id of a job: it becomes part of a path.
+const MAX_TRACE_BYTES: usize = 128;
 /// The longest time that a client can say it waits.
-const LEFT_MOST: u64 = 24 * 3600 * 1000;
+const MAX_CLIENT_WAIT_MS: u64 = 24 * 3600 * 1000;
 
 /// Accepts connections for as long as the program runs.
 pub async fn listen(front: Rc<Platform>, listener: Rc<Async<TcpListener>>) {
@@ -41,41 +43,54 @@
 }
 
 /// What a request asks for.
-enum Wish {
+enum ParsedRequest {
     Ready,
-    News(News, Vec<u8>),
-    Job {
-        request: Request,
-        trace: String,
-        text: Buffer,
-        body: usize,
-    },
+    JobReport(JobReport, Vec<u8>),
+    Job(NewJob),
     Bad(u16, &'static str),
 }
 
+/// A job that a client has sent.
+struct NewJob {
+    request: Request,
+    /// The client's id for it.
+    trace: String,
+    /// The body, and after it the request line and the headers that pass on.
+    text: Buffer,
+    body_bytes: usize,
+}
+
 /// What is told of a connection when it ends, or goes on elsewhere.
 #[derive(Default)]
-pub(super) struct Served {
+pub(super) struct ConnectionState {
     /// Messages read.
     pub messages: Cell<u64>,
     status: Cell<u16>,
     /// The job that goes over to another process with the connection, and what has been read behind it.
-    pub moved: RefCell<Option<Moved>>,
+    pub migrating: RefCell<Option<MigratingJob>>,
     rest: RefCell<Vec<u8>>,
 }
 
 /// Serves one connection to its end.
 async fn serve(front: Rc<Platform>, link: Link) {
-    let served = Served::default();
-    let reason = talk(&front, &link, &served, None).await;
-    leave(&front, link, &served, reason).await;
+    let state = ConnectionState::default();
+    let reason = serve_messages(&front, &link, &state, None).await;
+    finish_connection(&front, link, &state, reason).await;
 }
 
 /// Ends a connection, or lets it go on in the process that takes over.
-pub(super) async fn leave(front: &Rc<Platform>, link: Link, served: &Served, reason: Reason) {
-    let (messages, status) = (served.messages.get(), served.status.get());
-    let moved = served.moved.take().filter(|_| reason == Reason::HandedOn);
-    let Some(moved) = moved else {
+pub(super) async fn finish_connection(
+    front: &Rc<Platform>,
+    link: Link,
+    state: &ConnectionState,
+    reason: Reason,
+) {
+    let (messages, status) = (state.messages.get(), state.status.get());
+    let migrating = state
+        .migrating
+        .take()
+        .filter(|_| reason == Reason::Migrated);
+    let Some(migrating) = migrating else {
         if reason.after_answer() {
             front.net.linger(&link).await;
         }
@@ -89,18 +104,18 @@
     log(format_args!(
         "conn side=submitter peer={peer} reason={code} messages={messages} status={status}"
     ));
-    front.hand_over(moved, &served.rest.take(), link).await;
+    front.transfer(migrating, &state.rest.take(), link).await;
 }
 
 /// A job that goes on here: its number, its message, and where its answer comes.
-pub(super) type GoesOn = (JobId, Rc<Parcel>, Receiver<Answer>);
+pub(super) type ResumedJob = (JobId, Rc<Parcel>, Receiver<Answer>);
 
 /// Serves a connection whose job another process has taken; without one, the job cannot go on and has failed.
-pub(super) async fn go_on(
+pub(super) async fn resume_job(
     front: &Rc<Platform>,
     link: &Link,
-    served: &Served,
-    job: Option<GoesOn>,
+    state: &ConnectionState,
+    job: Option<ResumedJob>,
     (keep, rest): (bool, &[u8]),
 ) -> Reason {
     let mut kept = Some(front.net.pool.take()).filter(|_| !rest.is_empty());
@@ -109,22 +124,22 @@
     let message = match job {
         None => Ok((500, String::new(), b"the job's class is gone\n".to_vec())),
         Some((id, parcel, from)) => {
-            answered(front, link, &mut kept, (id, &parcel, from), (keep, served)).await
+            wait_for_answer(front, link, &mut kept, (id, &parcel, from), (keep, state)).await
         }
     };
-    let (status, more, result) = match message {
+    let (status, extra_headers, result) = match message {
         Ok(message) => message,
         Err(reason) => return reason,
     };
-    served.status.set(status);
-    let keep = keep && !front.life.sends_away() && !link.overrun();
-    match answer(front, link, status, &more, &result, keep).await {
+    state.status.set(status);
+    let keep = keep && !front.lifecycle.closes_after_answer() && !link.overrun();
+    match answer(front, link, status, &extra_headers, &result, keep).await {
         Err(reason) => reason,
         Ok(()) if keep => {
-            talk(
+            serve_messages(
                 front,
                 link,
-                served,
+                state,
                 Some(kept.filter(|b| !b.filled().is_empty())),
             )
             .await
@@ -147,10 +162,10 @@
         0 => {
             let wait = front
                 .net
-                .unless_shed_first(accepted, Rank::Silent, readable);
+                .first_unless_evicted(accepted, Rank::NothingSent, readable);
             within(
-                WHOLE.saturating_sub(accepted.elapsed()),
-                Reason::Silent,
+                MESSAGE_TIMEOUT.saturating_sub(accepted.elapsed()),
+                Reason::NothingSent,
                 wait,
             )
             .await
@@ -158,169 +173,208 @@
         1 => {
             front
                 .net
-                .unless_shed_from(Rank::Once, client, readable)
+                .unless_evicted_or_drained(Rank::Once, client, readable)
                 .await
         }
         _ => {
             front
                 .net
-                .unless_shed_from(Rank::Used, client, readable)
+                .unless_evicted_or_drained(Rank::Used, client, readable)
                 .await
         }
     };
-    let (stopping, drained) = (front.life.stopping.get(), front.life.sends_away());
+    let (stopping, drained) = (
+        front.lifecycle.stopping.get(),
+        front.lifecycle.closes_after_answer(),
+    );
     match waited {
         Ok(()) => Ok(true),
-        Err(Reason::Shed) if (messages > 0 || stopping) && link.pending() => Ok(false),
-        Err(Reason::Shed) if stopping => Err(Reason::Stopping),
-        Err(Reason::Shed) if drained => Err(Reason::Drained),
+        Err(Reason::Evicted) if (messages > 0 || stopping) && link.has_input() => Ok(false),
+        Err(Reason::Evicted) if stopping => Err(Reason::Stopping),
+        Err(Reason::Evicted) if drained => Err(Reason::Drained),
         Err(other) => Err(other),
     }
 }
 
-/// Serves messages; `goes_on`: a client's connection that was served before, and what has been read of the next.
-async fn talk(
+/// Serves messages; `resumed`: a client's connection that was served before, and what has been read of the next.
+async fn serve_messages(
     front: &Rc<Platform>,
     link: &Link,
-    served: &Served,
-    goes_on: Option<Option<Buffer>>,
+    state: &ConnectionState,
+    resumed: Option<Option<Buffer>>,
 ) -> Reason {
-    let (mut since, mut by) = (front.clock.now(), Instant::now() + WHOLE);
-    let (accepted, mut client) = (Instant::now(), goes_on.is_some());
-    let mut kept = goes_on.flatten();
-    let answer = async |status: u16, more: &str, body: &[u8], keep: bool| {
-        served.status.set(status);
-        answer(front, link, status, more, body, keep).await
-    };
-    loop {
-        let (messages, mut stays) = (served.messages.get(), true);
-        // A buffer is only held while there is something in it.
-        let mut buffer = match kept.take() {
-            Some(buffer) => buffer,
-            None => {
-                stays = match first_byte(front, link, (messages, client), accepted).await {
-                    Ok(stays) => stays,
-                    Err(reason) => return reason,
-                };
-                since = front.clock.now();
-                match front.net.buffer().await {
-                    Ok(buffer) => buffer,
-                    Err(reason) => return reason,
+    let connection = Connection { front, link, state };
+    match connection.serve(resumed).await {
+        Ok(()) => Reason::Done,
+        Err(reason) => reason,
+    }
+}
+
+/// A connection that is served, and the front that serves it.
+struct Connection<'a> {
+    front: &'a Rc<Platform>,
+    link: &'a Link,
+    state: &'a ConnectionState,
+}
+
+impl Connection<'_> {
+    /// Serves one message after another. Ends after an answer that closes the connection.
+    async fn serve(&self, resumed: Option<Option<Buffer>>) -> Result<(), Reason> {
+        let clock = &self.front.clock;
+        let (mut received_at, mut by) = (clock.now(), Instant::now() + MESSAGE_TIMEOUT);
+        let (accepted, mut client) = (Instant::now(), resumed.is_some());
+        let mut kept = resumed.flatten();
+        loop {
+            let (messages, mut keep_open) = (self.state.messages.get(), true);
+            // A buffer is only held while there is something in it.
+            let mut buffer = match kept.take() {
+                Some(buffer) => buffer,
+                None => {
+                    let from = (messages, client);
+                    keep_open = first_byte(self.front, self.link, from, accepted).await?;
+                    received_at = clock.now();
+                    self.front.net.buffer().await?
                 }
+            };
+            if messages > 0 {
+                by = Instant::now() + MESSAGE_TIMEOUT;
             }
-        };
-        if messages > 0 {
-            by = Instant::now() + WHOLE;
+            let frame = self.read_message(&mut buffer, accepted, by).await?;
+            self.state.messages.set(messages + 1);
+            let request = parse(self.front, &buffer, &frame);
+            buffer.consume(frame.total);
+            client |= matches!(request, ParsedRequest::Job(_));
+            let mut keep = frame.keep && keep_open;
+            match request {
+                ParsedRequest::Job(job) if !self.link.extra() => {
+                    (buffer, keep) = self.serve_job(job, received_at, buffer, keep).await?;
+                }
+                other => self.answer_request(other, keep).await?,
+            }
+            if !keep {
+                return Ok(());
+            }
+            kept = Some(buffer).filter(|b| !b.filled().is_empty());
+            received_at = clock.now();
         }
+    }
+
+    /// Reads a whole message by a time. One that is malformed or late is answered, and ends the connection.
+    async fn read_message(
+        &self,
+        buffer: &mut Buffer,
+        accepted: Instant,
+        by: Instant,
+    ) -> Result<Frame, Reason> {
         let left = by.saturating_duration_since(Instant::now());
-        let frame = within(left, Reason::Slow, receive(link, &mut buffer));
-        let frame = match messages {
-            0 => {
-                front
-                    .net
-                    .unless_shed_first(accepted, Rank::Part, frame)
-                    .await
-            }
-            _ => frame.await,
+        let frame = within(left, Reason::Slow, receive(self.link, buffer));
+        let frame = if self.state.messages.get() == 0 {
+            let net = &self.front.net;
+            net.first_unless_evicted(accepted, Rank::PartialMessage, frame)
+                .await
+        } else {
+            frame.await
         };
-        let frame = match frame {
-            Ok(Ok(frame)) => frame,
+        match frame {
+            Ok(Ok(frame)) => Ok(frame),
             Ok(Err(bad)) => {
-                let _ = answer(bad.status(), "", b"", false).await;
-                return Reason::Malformed;
+                let _ = self.answer(bad.status(), "", b"", false).await;
+                Err(Reason::Malformed)
             }
             Err(Reason::Slow) => {
-                let _ = answer(408, "", b"", false).await;
-                return Reason::Slow;
+                let _ = self.answer(408, "", b"", false).await;
+                Err(Reason::Slow)
             }
-            Err(reason) => return reason,
-        };
-        served.messages.set(messages + 1);
-        let wish = read(front, &buffer, &frame);
-        buffer.consume(frame.total);
-        let is_job = matches!(wish, Wish::Job { .. });
-        client |= is_job;
-        let mut keep = frame.keep && stays;
-        let done = match wish {
-            Wish::Ready if front.life.drained.get() => answer(503, "", b"drained\n", keep).await,
-            Wish::Ready if front.ready.get() => answer(200, "", b"ready\n", keep).await,
-            Wish::Ready => answer(503, "", b"no machine list yet\n", keep).await,
-            Wish::News(news, text) => {
-                front.news(&text, news, None).await;
-                answer(204, "", b"", keep).await
+            Err(reason) => Err(reason),
+        }
+    }
+
+    /// Answers what is no job, and a job for which there is no connection left.
+    async fn answer_request(&self, request: ParsedRequest, keep: bool) -> Result<(), Reason> {
+        let front = self.front;
+        match request {
+            ParsedRequest::Ready if front.lifecycle.drained.get() => {
+                self.answer(503, "", b"drained\n", keep).await
             }
-            Wish::Bad(status, why) => answer(status, "", why.as_bytes(), keep).await,
-            Wish::Job { request, .. } if link.extra() => {
-                // The last descriptors are for news, which ends jobs and so makes room.
-                front.figures.count(request.class, End::Refused);
-                let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
-                answer(503, after, why, false)
-                    .await
-                    .and(Err(Reason::NoRoom))
+            ParsedRequest::Ready if front.ready.get() => {
+                self.answer(200, "", b"ready\n", keep).await
             }
-            Wish::Job {
-                request,
-                trace,
-                text,
-                body,
-            } => {
-                front.life.last_job.set(front.clock.now());
-                // The client's time runs from when it began to send.
-                let until = since + request.left;
-                // Where it can go over to another process, it need not end with this one.
-                let until = if front.moves() {
-                    until
-                } else {
-                    front.life.bound(until)
-                };
-                kept = Some(buffer).filter(|b| !b.filled().is_empty());
-                let (status, more, result) = match job(
-                    front,
-                    link,
-                    &mut kept,
-                    (request, until),
-                    (&trace, text, body),
-                    (keep, served),
-                )
-                .await
-                {
-                    Ok(answer) => answer,
-                    Err(reason) => return reason,
-                };
-                buffer = kept.take().unwrap_or_else(|| front.net.pool.take());
-                // Decided once, after the wait: a connection is closed only if its answer says so.
-                keep &= !front.life.sends_away() && !link.overrun();
-                answer(status, &more, &result, keep).await
+            ParsedRequest::Ready => self.answer(503, "", b"no machine list yet\n", keep).await,
+            ParsedRequest::JobReport(report, text) => {
+                front.handle_report(&text, report, None).await;
+                self.answer(204, "", b"", keep).await
+            }
+            ParsedRequest::Bad(status, why) => self.answer(status, "", why.as_bytes(), keep).await,
+            ParsedRequest::Job(job) => {
+                // The last descriptors are for reports, which end jobs and so free connections.
+                front.metrics.count(job.request.class, End::Refused);
+                let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
+                self.answer(503, after, why, false).await?;
+                Err(Reason::NoCapacity)
             }
-        };
-        if let Err(reason) = done {
-            return reason;
-        }
-        if !keep {
-            return Reason::Done;
         }
-        kept = Some(buffer).filter(|b| !b.filled().is_empty());
-        since = front.clock.now();
+    }
+
+    /// Has a job done and answers it. Returns the buffer with what has been read behind the job, and whether the
+    /// connection stays.
+    async fn serve_job(
+        &self,
+        job: NewJob,
+        received_at: Time,
+        buffer: Buffer,
+        keep: bool,
+    ) -> Result<(Buffer, bool), Reason> {
+        let front = self.front;
+        front.lifecycle.last_job.set(front.clock.now());
+        // The client's time runs from when it began to send.
+        let until = received_at + job.request.left;
+        // Where it can go over to another process, it need not end with this one.
+        let until = if front.migrates() {
+            until
+        } else {
+            front.lifecycle.bound(until)
+        };
+        let mut rest = Some(buffer).filter(|b| !b.filled().is_empty());
+        let connection = (keep, self.state);
+        let (status, extra_headers, result) =
+            submit_job(front, self.link, &mut rest, (job, until), connection).await?;
+        let buffer = rest.take().unwrap_or_else(|| front.net.pool.take());
+        // Decided once, after the wait: a connection is closed only if its answer says so.
+        let keep = keep && !front.lifecycle.closes_after_answer() && !self.link.overrun();
+        self.answer(status, &extra_headers, &result, keep).await?;
+        Ok((buffer, keep))
+    }
+
+    async fn answer(
+        &self,
+        status: u16,
+        extra_headers: &str,
+        body: &[u8],
+        keep: bool,
+    ) -> Result<(), Reason> {
+        self.state.status.set(status);
+        answer(self.front, self.link, status, extra_headers, body, keep).await
     }
 }
 
 /// Reads until a whole request stands at the front of the buffer.
 async fn receive(link: &Link, buffer: &mut Buffer) -> Result<Result<Frame, Bad>, Reason> {
-    let mut told_to_go_on = false;
+    let mut continue_sent = false;
     loop {
         if !buffer.filled().is_empty() {
-            match http::look(buffer, Kind::Request) {
+            match http::parse_message(buffer, Kind::Request) {
                 Err(bad) => return Ok(Err(bad)),
-                Ok(Progress::Whole(frame)) => return Ok(Ok(frame)),
-                Ok(Progress::Part(true)) if !told_to_go_on => {
-                    told_to_go_on = true;
-                    link.send(b"HTTP/1.1 100 Continue\r\n\r\n", STALLED).await?;
+                Ok(Progress::Complete(frame)) => return Ok(Ok(frame)),
+                Ok(Progress::Partial(true)) if !continue_sent => {
+                    continue_sent = true;
+                    link.send(b"HTTP/1.1 100 Continue\r\n\r\n", WRITE_TIMEOUT)
+                        .await?;
                 }
-                Ok(Progress::Part(_)) => {}
+                Ok(Progress::Partial(_)) => {}
             }
         }
         let empty = buffer.filled().is_empty();
-        if buffer.room().is_empty() {
+        if buffer.spare().is_empty() {
             return Ok(Err(Bad::BodyTooLarge)); // framing alone has filled it
         }
         match link.read(buffer).await {
@@ -333,94 +387,76 @@
 }
 
 /// What a request asks for.
-fn read(front: &Platform, buffer: &Buffer, frame: &Frame) -> Wish {
+fn parse(front: &Platform, buffer: &Buffer, frame: &Frame) -> ParsedRequest {
     let Some((head, body)) = frame.read(buffer, Kind::Request) else {
-        return Wish::Bad(400, "a header is no text\n");
+        return ParsedRequest::Bad(400, "a header is no text\n");
     };
     let path = head.target.split('?').next().unwrap_or("");
     match (head.method, path) {
-        ("GET", "/-/ready") => Wish::Ready,
+        ("GET", "/-/ready") => ParsedRequest::Ready,
         ("POST", "/_jobs/news") => {
             // The reader works on the text in place: on a copy, as more messages may stand behind this one.
             let mut copy = front.net.pool.take();
             match copy
                 .write_all(body)
                 .map_err(|e| e.to_string())
-                .and_then(|()| News::read(copy.filled_mut()))
+                .and_then(|()| JobReport::read(copy.filled_mut()))
             {
-                Ok(news) => Wish::News(news, body.to_vec()),
-                Err(_) => Wish::Bad(400, "no news\n"),
+                Ok(news) => ParsedRequest::JobReport(news, body.to_vec()),
+                Err(_) => ParsedRequest::Bad(400, "no news\n"),
             }
         }
-        (_, "/-/ready" | "/_jobs/news") => Wish::Bad(405, ""),
-        ("POST", _) if !frame.sized => Wish::Bad(411, "a job's length must be said\n"),
+        (_, "/-/ready" | "/_jobs/news") => ParsedRequest::Bad(405, ""),
+        ("POST", _) if !frame.sized => ParsedRequest::Bad(411, "a job's length must be said\n"),
         // Which of two would count is anybody's guess.
-        ("POST", _) if head.repeats(&ONCE) => Wish::Bad(400, "a header stands twice\n"),
-        ("POST", _) => job_of(front, &head, body, path).unwrap_or_else(|why| Wish::Bad(400, why)),
-        _ => Wish::Bad(405, "jobs come by POST\n"),
+        ("POST", _) if head.repeats(&SINGLE_HEADERS) => {
+            ParsedRequest::Bad(400, "a header stands twice\n")
+        }
+        ("POST", _) => {
+            parse_job(front, &head, body, path).unwrap_or_else(|why| ParsedRequest::Bad(400, why))
+        }
+        _ => ParsedRequest::Bad(405, "jobs come by POST\n"),
     }
 }
 
 /// What a job asks for; one of a known class that cannot be taken has failed.
-fn job_of(
+fn parse_job(
     front: &Platform,
     head: &Head<'_>,
     body: &[u8],
     path: &str,
-) -> Result<Wish, &'static str> {
+) -> Result<ParsedRequest, &'static str> {
     let site = front.site.borrow();
     let name = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let Some(class) = site.class(name) else {
         // One that the settings had once is still counted.
         site.classes
             .find(name)
-            .inspect(|dropped| front.figures.count(*dropped, End::Failed));
-        return Ok(Wish::Bad(404, "no such class of jobs\n"));
+            .inspect(|dropped| front.metrics.count(*dropped, End::Failed));
+        return Ok(ParsedRequest::Bad(404, "no such class of jobs\n"));
     };
     // What the job is about; a path without a further part does not say.
     let subject = path
         .trim_start_matches('/')
         .rsplit_once('/')
         .and_then(|(_, last)| config::subject(last));
-    let job = job_of_class(front, &site, (class, subject), (head, body));
-    job.inspect_err(|_| front.figures.count(class, End::Failed))
+    let job = parse_job_of_class(front, &site, (class, subject), (head, body));
+    job.inspect_err(|_| front.metrics.count(class, End::Failed))
 }
 
 /// The job of a class; or why it is none.
-fn job_of_class(
+fn parse_job_of_class(
     front: &Platform,
     site: &Site,
     (class, subject): (ClassId, Option<u64>),
     (head, body): (&Head<'_>, &[u8]),
-) -> Result<Wish, &'static str> {
+) -> Result<ParsedRequest, &'static str> {
     let settings = &site.settings.classes[class as usize];
-    let trace = head
-        .header("X-Trace-Id")
-        .filter(|t| !t.is_empty())
-        .ok_or("X-Trace-Id is missing\n")?;
-    // It becomes part of a path when an attempt is given up.
-    if trace.len() > 128
-        || !trace
-            .bytes()
-            .all(|b| b.is_ascii_alphanumeric() || b"-_.:~".contains(&b))
-    {
-        return Err("X-Trace-Id must be one word\n");
-    }
+    let trace = parse_trace(head)?;
     let key = head.header("Idempotency-Key");
     if key.is_none() && matches!(settings.effect, Effect::Keyed { .. }) {
         return Err("Idempotency-Key is missing\n");
     }
-    let left = match head.header("X-Expires-In-Ms") {
-        None => settings.deadline,
-        Some(ms) => {
-            let digits = Some(ms).filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
-            let whole = digits.and_then(|ms| ms.parse::<u64>().ok());
-            whole
-                .ok_or("X-Expires-In-Ms must be whole milliseconds\n")?
-                .min(LEFT_MOST)
-                * 1000
-        }
-    };
     let mut request = Request {
         id: 0,
         class,
@@ -428,99 +464,124 @@
             .header("X-Customer")
             .and_then(|name| site.tenants.find(name))
             .unwrap_or(u32::MAX),
-        left,
+        left: parse_time_left(head)?.unwrap_or(settings.deadline),
         estimate: None,
         slots: 1.0,
         memory: 0.0,
         subject,
     };
-    for (name, value) in head
-        .header("X-Props")
-        .unwrap_or("")
-        .split(',')
-        .filter_map(|p| p.split_once('='))
-    {
-        let value = value
-            .trim()
-            .parse::<f64>()
-            .ok()
-            .filter(|v| v.is_finite() && *v >= 0.0);
-        match (name.trim(), value) {
+    parse_properties(head, &mut request);
+    let text = forwarded_message(front, head, trace, body);
+    Ok(ParsedRequest::Job(NewJob {
+        request,
+        trace: trace.to_string(),
+        text: text.map_err(|_| "the request is too large\n")?,
+        body_bytes: body.len(),
+    }))
+}
+
+/// The client's id for a job. It becomes part of a path when an attempt is given up.
+fn parse_trace<'a>(head: &Head<'a>) -> Result<&'a str, &'static str> {
+    let trace = head
+        .header("X-Trace-Id")
+        .filter(|t| !t.is_empty())
+        .ok_or("X-Trace-Id is missing\n")?;
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.:~".contains(&b);
+    if trace.len() > MAX_TRACE_BYTES || !trace.bytes().all(allowed) {
+        return Err("X-Trace-Id must be one word\n");
+    }
+    Ok(trace)
+}
+
+/// How long the client waits, in microseconds, if it says so.
+fn parse_time_left(head: &Head<'_>) -> Result<Option<Time>, &'static str> {
+    let Some(text) = head.header("X-Expires-In-Ms") else {
+        return Ok(None);
+    };
+    let digits = Some(text).filter(|ms| ms.bytes().all(|b| b.is_ascii_digit()));
+    let milliseconds = digits
+        .and_then(|ms| ms.parse::<u64>().ok())
+        .ok_or("X-Expires-In-Ms must be whole milliseconds\n")?;
+    Ok(Some(milliseconds.min(MAX_CLIENT_WAIT_MS) * 1000))
+}
+
+/// What the client says that the job needs; unknown properties and values that are no numbers are skipped.
+fn parse_properties(head: &Head<'_>, request: &mut Request) {
+    let properties = head.header("X-Props").unwrap_or("");
+    for (name, value) in properties.split(',').filter_map(|p| p.split_once('=')) {
+        let value = value.trim().parse::<f64>().ok();
+        match (name.trim(), value.filter(|v| v.is_finite() && *v >= 0.0)) {
             ("needs" | "slots", Some(v)) => request.slots = v,
             ("mem" | "memory", Some(v)) => request.memory = v,
             ("estimate" | "hint", Some(v)) => request.estimate = Some(v as Time),
             _ => {}
         }
     }
-    // What passes on unchanged; the time left is added when an attempt goes out.
-    let mut passed = front.net.pool.take();
-    let written = passed
-        .write_all(body)
-        .and_then(|()| write!(passed, "{} {} HTTP/1.1\r\n", head.method, head.target))
-        .and_then(|()| header(&mut passed, "Host", Some("service.internal")))
-        .and_then(|()| header(&mut passed, "X-Trace-Id", Some(trace)))
-        .and_then(|()| header(&mut passed, "Idempotency-Key", key))
-        .and_then(|()| header(&mut passed, "X-Customer", head.header("X-Customer")))
-        .and_then(|()| header(&mut passed, "X-Props", head.header("X-Props")))
-        .and_then(|()| header(&mut passed, "Content-Type", head.header("Content-Type")))
-        .and_then(|()| write!(passed, "Content-Length: {}\r\n", body.len()));
-    written.map_err(|_| "the request is too large\n")?;
-    Ok(Wish::Job {
-        request,
-        trace: trace.to_string(),
-        text: passed,
-        body: body.len(),
-    })
 }
 
-fn header(to: &mut Buffer, name: &str, value: Option<&str>) -> std::io::Result<()> {
+/// What passes on unchanged, the body first; the time left is added when an attempt goes out.
+fn forwarded_message(
+    front: &Platform,
+    head: &Head<'_>,
+    trace: &str,
+    body: &[u8],
+) -> std::io::Result<Buffer> {
+    let mut message = front.net.pool.take();
+    message.write_all(body)?;
+    write!(message, "{} {} HTTP/1.1\r\n", head.method, head.target)?;
+    write_header(&mut message, "Host", Some("service.internal"))?;
+    write_header(&mut message, "X-Trace-Id", Some(trace))?;
+    for name in ["Idempotency-Key", "X-Customer", "X-Props", "Content-Type"] {
+        write_header(&mut message, name, head.header(name))?;
+    }
+    write!(message, "Content-Length: {}\r\n", body.len())?;
+    Ok(message)
+}
+
+fn write_header(to: &mut Buffer, name: &str, value: Option<&str>) -> std::io::Result<()> {
     value.map_or(Ok(()), |value| write!(to, "{name}: {value}\r\n"))
 }
 
 /// A status, headers to go with it, and a body.
-type Message = (u16, String, Vec<u8>);
+type AnswerParts = (u16, String, Vec<u8>);
 
 /// Hands a job to the core and waits for its answer, or for the client to leave.
-async fn job(
+async fn submit_job(
     front: &Rc<Platform>,
     link: &Link,
     rest: &mut Option<Buffer>,
-    (mut request, until): (Request, Time),
-    (trace, text, body): (&str, Buffer, usize),
-    so_far: (bool, &Served),
-) -> Result<Message, Reason> {
+    (job, until): (NewJob, Time),
+    connection: (bool, &ConnectionState),
+) -> Result<AnswerParts, Reason> {
+    let (mut request, message) = (job.request, (job.text, job.body_bytes));
     let (to, from) = bounded(1);
-    let Some((id, parcel)) = front.take_in(trace, (text, body), to.downgrade()) else {
-        front.figures.count(request.class, End::Failed);
+    let Some((id, parcel)) = front.register_job(&job.trace, message, to.downgrade()) else {
+        front.metrics.count(request.class, End::Failed);
         return Ok((409, String::new(), b"a job of this id is open\n".into()));
     };
     request.id = id;
-    if front
-        .core
-        .send(Told::Job(request, until, Reply::To(to)))
-        .await
-        .is_err()
-    {
+    let input = CoreInput::Job(request, until, Reply::To(to));
+    if front.core.send(input).await.is_err() {
         return Ok((500, String::new(), Vec::new()));
     }
-    answered(front, link, rest, (id, &parcel, from), so_far).await
+    wait_for_answer(front, link, rest, (id, &parcel, from), connection).await
 }
 
 /// Waits for a job's answer, for the client to leave, or for the job to go over to another process.
-async fn answered(
+async fn wait_for_answer(
     front: &Rc<Platform>,
     link: &Link,
     rest: &mut Option<Buffer>,
     (id, parcel, from): (JobId, &Parcel, Receiver<Answer>),
-    (keep, served): (bool, &Served),
-) -> Result<Message, Reason> {
-    let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
-    let left = async { Err(link.left(rest, &front.net.pool).await) };
-    let moved = async {
-        front.released(id, parcel, keep, served).await;
-        Err(Reason::HandedOn)
+    (keep, state): (bool, &ConnectionState),
+) -> Result<AnswerParts, Reason> {
+    let answer = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
+    let left = async { Err(link.wait_until_closed(rest, &front.net.pool).await) };
+    let migrating = async {
+        front.wait_until_released(id, parcel, keep, state).await;
+        Err(Reason::Migrated)
     };
-    match moved.or(answered).or(left).await {
+    match migrating.or(answer).or(left).await {
         Ok(Answer::Served) => Ok((
             200,
             String::new(),
@@ -533,16 +594,16 @@
             Vec::new(),
         )),
         Ok(Answer::Failed) => Ok((500, String::new(), Vec::new())),
-        Err(Reason::HandedOn) => {
+        Err(Reason::Migrated) => {
             let read = rest.take();
-            served
+            state
                 .rest
                 .replace(read.map_or_else(Vec::new, |buffer| buffer.filled().to_vec()));
-            Err(Reason::HandedOn)
+            Err(Reason::Migrated)
         }
         Err(reason) => {
             drop(from); // from now on no attempt of it begins to go out
-            let _ = front.core.send(Told::Gone(id)).await;
+            let _ = front.core.send(CoreInput::ClientLeft(id)).await;
             Err(reason)
         }
     }
@@ -553,7 +614,7 @@
     front: &Platform,
     link: &Link,
     status: u16,
-    more: impl Display,
+    extra_headers: impl Display,
     body: &[u8],
     keep: bool,
 ) -> Result<(), Reason> {
@@ -566,14 +627,14 @@
     };
     let head = write!(
         buffer,
-        "HTTP/1.1 {status} {}\r\n{more}{length}{close}\r\n",
+        "HTTP/1.1 {status} {}\r\n{extra_headers}{length}{close}\r\n",
         http::reason(status)
     );
     // A result that one buffer does not hold goes out after the head.
-    if head.is_ok() && body.len() <= buffer.room().len() {
+    if head.is_ok() && body.len() <= buffer.spare().len() {
         let _ = buffer.write_all(body);
-        return link.send(buffer.filled(), STALLED).await;
+        return link.send(buffer.filled(), WRITE_TIMEOUT).await;
     }
-    link.send(buffer.filled(), STALLED).await?;
-    link.send(body, STALLED).await
+    link.send(buffer.filled(), WRITE_TIMEOUT).await?;
+    link.send(body, WRITE_TIMEOUT).await
 }
--- a/crates/indigofold/src/core/job_table/tests.rs
+++ b/crates/indigofold/tests/job_table.rs
@@ -1,15 +1,20 @@
 //! One answer each, in time.
 
-use super::*;
-use crate::api::Request;
 use async_channel::{Receiver, bounded};
+use indigofold::api::Request;
+use indigofold::api::{Action, Status, Time, WorkerId};
+use indigofold::core::job_table::JobTable;
+use indigofold::core::{
+    Answer, Attempt, AttemptId, CoreInput, GivenUp, JobId, MembershipRequest, Reply, Transport,
+};
 use std::cell::RefCell;
+use std::rc::Rc;
 
 /// A front that takes every attempt, and notes what it is asked.
 #[derive(Default)]
-struct Noted(RefCell<Vec<String>>);
+struct RecordingTransport(RefCell<Vec<String>>);
 
-impl Transport for Noted {
+impl Transport for RecordingTransport {
     fn send(&self, attempt: Attempt) -> bool {
         self.0.borrow_mut().push(format!(
             "attempt {} at {}",
@@ -22,7 +27,7 @@
             .borrow_mut()
             .push(format!("give up {}", attempt.number));
         if attempt.number == 3 {
-            GivenUp::Asked
+            GivenUp::Pending
         } else {
             GivenUp::Done
         }
@@ -31,16 +36,16 @@
         false
     }
     fn hang_up(&self, _: WorkerId) {}
-    fn ask(&self, _: Ask) -> bool {
+    fn request_membership(&self, _: MembershipRequest) -> bool {
         false
     }
     fn forget(&self, job: JobId) {
         self.0.borrow_mut().push(format!("forget {job}"));
     }
-    fn note(&self, _: &str) {}
+    fn log_event(&self, _: &str) {}
 }
 
-fn job(table: &mut JobTable, transport: &Noted) -> Receiver<Answer> {
+fn job(table: &mut JobTable, transport: &RecordingTransport) -> Receiver<Answer> {
     let (to, from) = bounded(1);
     let (left, slots, memory) = (1_000_000, 1.0, 0.0);
     let (estimate, subject) = (None, None);
@@ -54,11 +59,15 @@
         memory,
         subject,
     };
-    table.told(0, Told::Job(request, 1_000_000, Reply::To(to)), transport);
+    table.handle_input(
+        0,
+        CoreInput::Job(request, 1_000_000, Reply::To(to)),
+        transport,
+    );
     from
 }
 
-fn attempt(table: &mut JobTable, transport: &Noted, worker: WorkerId) {
+fn attempt(table: &mut JobTable, transport: &RecordingTransport, worker: WorkerId) {
     table.act(
         Action::Send {
             request: 1,
@@ -70,8 +79,8 @@
     );
 }
 
-fn ended(attempt: u32, status: Status) -> Told {
-    Told::Ended(
+fn ended(attempt: u32, status: Status) -> CoreInput {
+    CoreInput::Ended(
         AttemptId {
             job: 1,
             number: attempt,
@@ -83,8 +92,11 @@
 
 /// Guards against a job without an answer where the module gives none.
 #[test]
-fn a_job_that_the_module_forgets_fails_just_after_its_last_moment() {
-    let (mut table, transport) = (JobTable::new(40_000, Rc::default()), Noted::default());
+fn a_job_the_module_leaves_unanswered_fails_just_after_its_deadline() {
+    let (mut table, transport) = (
+        JobTable::new(40_000, Rc::default()),
+        RecordingTransport::default(),
+    );
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 5);
     table.expire(960_000, &transport);
@@ -105,20 +117,23 @@
 
 /// Guards against two answers, and against one lost: an attempt taken for lost that is done yet serves its job.
 #[test]
-fn a_job_is_served_once_also_by_an_attempt_taken_for_lost() {
-    let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
+fn a_job_is_served_once_even_by_an_attempt_counted_as_lost() {
+    let (mut table, transport) = (
+        JobTable::new(0, Rc::default()),
+        RecordingTransport::default(),
+    );
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 5);
-    table.told(10, ended(0, Status::Reset), &transport);
+    table.handle_input(10, ended(0, Status::Reset), &transport);
     attempt(&mut table, &transport, 6);
-    table.told(20, ended(0, Status::Ok), &transport);
+    table.handle_input(20, ended(0, Status::Ok), &transport);
     assert_eq!(answer.try_recv(), Ok(Answer::Served));
     let events = format!("{:?}", table.take_events());
     assert!(
         events.ends_with("RequestClosed(1)]"),
         "the module learns that it is closed: {events}"
     );
-    table.told(30, ended(1, Status::Ok), &transport);
+    table.handle_input(30, ended(1, Status::Ok), &transport);
     table.act(Action::Fail { request: 1 }, &transport);
     assert!(answer.try_recv().is_err());
     assert_eq!(
@@ -130,10 +145,13 @@
 /// Guards against an attempt that stays out for ever in the module's count, and blocks its machine: one made for
 /// a job whose client has left, or that was served, when the module had not heard of it yet.
 #[test]
-fn an_attempt_for_a_job_that_has_just_closed_ends_at_once() {
-    let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
+fn an_attempt_of_a_job_just_closed_ends_at_once() {
+    let (mut table, transport) = (
+        JobTable::new(0, Rc::default()),
+        RecordingTransport::default(),
+    );
     let _left = job(&mut table, &transport);
-    table.told(5, Told::Gone(1), &transport);
+    table.handle_input(5, CoreInput::ClientLeft(1), &transport);
     assert_eq!(table.take_events().len(), 2);
     attempt(&mut table, &transport, 5);
     assert!(
@@ -143,7 +161,7 @@
 
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 5);
-    table.told(10, ended(0, Status::Ok), &transport);
+    table.handle_input(10, ended(0, Status::Ok), &transport);
     assert_eq!(answer.try_recv(), Ok(Answer::Served));
     table.take_events();
     attempt(&mut table, &transport, 6);
@@ -159,8 +177,11 @@
 
 /// Guards against an attempt that nobody will end: one that the front did not take has failed at once.
 #[test]
-fn an_attempt_that_is_not_taken_or_comes_too_late_ends_at_once() {
-    let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
+fn an_attempt_rejected_by_the_transport_or_too_late_ends_at_once() {
+    let (mut table, transport) = (
+        JobTable::new(0, Rc::default()),
+        RecordingTransport::default(),
+    );
     let answer = job(&mut table, &transport);
     attempt(&mut table, &transport, 9);
     assert!(format!("{:?}", table.take_events()).contains("ConnectFailed, closed: false"));
@@ -175,7 +196,7 @@
     assert_eq!(answer.try_recv(), Ok(Answer::Rejected(7)));
     attempt(&mut table, &transport, 6);
     assert!(format!("{:?}", table.take_events()).contains("Moot, closed: true"));
-    table.told(40, ended(1, Status::Error), &transport);
+    table.handle_input(40, ended(1, Status::Error), &transport);
     assert_eq!(
         transport.0.take(),
         ["attempt 0 at 9", "attempt 1 at 5", "forget 1"]
@@ -185,9 +206,12 @@
 /// Guards against a second copy: the module sends a job anew as soon as it hears that an attempt is given up, and that is not
 /// before its machine has heard of it. What the machine says meanwhile counts.
 #[test]
-fn an_attempt_that_is_being_given_up_is_out_until_its_machine_has_heard() {
+fn an_attempt_being_cancelled_stays_in_flight_until_its_machine_acknowledges() {
     for done in [false, true] {
-        let (mut table, transport) = (JobTable::new(0, Rc::default()), Noted::default());
+        let (mut table, transport) = (
+            JobTable::new(0, Rc::default()),
+            RecordingTransport::default(),
+        );
         let answer = job(&mut table, &transport);
         [9, 9, 9, 5]
             .into_iter()
@@ -208,11 +232,11 @@
             Some("give up 3")
         );
         if done {
-            table.told(10, ended(3, Status::Ok), &transport);
+            table.handle_input(10, ended(3, Status::Ok), &transport);
             assert_eq!(answer.try_recv(), Ok(Answer::Served));
             table.take_events();
         }
-        table.told(20, ended(3, Status::Cancelled), &transport);
+        table.handle_input(20, ended(3, Status::Cancelled), &transport);
         let events = format!("{:?}", table.take_events());
         assert_eq!(
             events.contains("attempt: 3, status: Cancelled, closed: false"),
@@ -224,7 +248,7 @@
                 .0
                 .take()
                 .iter()
-                .filter(|asked| asked.starts_with("give up"))
+                .filter(|request| request.starts_with("give up"))
                 .count(),
             1
         );
--- a/crates/replay/src/foldcheck.rs
+++ b/crates/replay/src/foldcheck.rs
@@ -6,7 +6,7 @@
 use indigofold_traffic::Tally;
 use indigofold_traffic::fold::{Folder, Rules};
 use indigofold_traffic::job::{Job, Micros, number};
-use indigofold_traffic::order::{Sorter, Spread, Attempt};
+use indigofold_traffic::order::{Attempt, Sorter, Spread};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
@@ -139,7 +139,11 @@
     let mut right = 0;
     for job in &folded {
         let of = truth.get(&job.at);
-        right += job.retries.iter().filter(|a| truth.get(&a.at) == of).count() as u64;
+        right += job
+            .retries
+            .iter()
+            .filter(|a| truth.get(&a.at) == of)
+            .count() as u64;
     }
     Ok([retries, tally.folded, right])
 }
