--- a/crates/indigofold/tests/laboratory.rs
+++ b/crates/indigofold/tests/laboratory.rs
@@ -4,7 +4,7 @@
 use indigofold_replay::load::Made;
 use indigofold_replay::scenario::{self, Jump, Scenario, Trouble, What};
 use indigofold_replay::sockets;
-use indigofold_replay::virt::{Ground, Retries};
+use indigofold_replay::virtual_time::{Ground, Retries};
 use std::path::Path;
 
 fn scenario() -> Scenario {
--- a/crates/replay/src/plain.rs
+++ b/crates/replay/src/baseline.rs
@@ -6,7 +6,7 @@
 //! worker in the subject's order whose own slots are under 1.25 times the mean); *all-knowing* (the worker where the job
 //! would end first, by the true state of all: no real one can).
 
-use crate::random::{draw, unit};
+use crate::sampling::{draw, unit};
 use crate::scenario::Micros;
 use indigofold::affinity;
 use indigofold::api::{Effect, Entry, Request, Scope, Settings, Status, WorkerId, WorkerState};
--- a/crates/replay/src/cli.rs
+++ b/crates/replay/src/cli.rs
@@ -1,9 +1,9 @@
 //! What may be called, with its arguments.
 
-use crate::survey_call;
+use crate::survey_command;
 use clap::{Args, Parser, Subcommand};
 use indigofold_replay::export::Form;
-use indigofold_replay::virt::Retries;
+use indigofold_replay::virtual_time::Retries;
 use std::path::PathBuf;
 
 /// Recorded traffic, and the laboratory to play it in.
@@ -133,7 +133,7 @@
         seeds: u64,
     },
     /// Draw deployments at random, play the module and plain policies on each, and show where the module loses.
-    Survey(survey_call::Survey),
+    Survey(survey_command::Survey),
     /// Print a published schema: of the mapping file or of the scenario file.
     Schema {
         /// Which.
--- a/crates/replay/src/client.rs
+++ b/crates/replay/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients: what they do once they have an answer. One draw decides for each job and try, by its number, so that two runs
 //! of one load meet the same clients.
 
-pub use crate::random::{draw, unit};
+pub use crate::sampling::{draw, unit};
 use crate::scenario::{Clients, Effect, Micros};
 
 /// What a client was told.
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -2,7 +2,7 @@
 
 use crate::client::{draw, unit};
 use crate::service::Second;
-use crate::virt::Run;
+use crate::virtual_time::Run;
 use serde::{Deserialize, Serialize};
 
 /// Seconds that are drawn together: neighbouring ones depend on each other.
--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -1,7 +1,7 @@
 //! What the schedulers' access logs would have held of a run: the only thing that is kept of a "live" hour.
 
 use crate::scenario::{Effect, Micros, Scenario};
-use crate::virt::Logged;
+use crate::virtual_time::Logged;
 use jiff::tz::Offset;
 use jiff::{Timestamp, fmt::strtime};
 use rand_pcg::Pcg64Mcg;
--- a/crates/replay/src/load.rs
+++ b/crates/replay/src/load.rs
@@ -1,6 +1,6 @@
 //! Arrivals: made by a process, or out of a recording.
 
-use crate::random::{draw, unit};
+use crate::sampling::{draw, unit};
 use crate::scenario::{Micros, Scenario, Spread, What};
 use indigofold_traffic::recording;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -9,20 +9,20 @@
 
 mod cli;
 mod files;
-mod import_call;
-mod play_call;
-mod recordings;
-mod survey_call;
+mod import_command;
+mod play_command;
+mod recording_commands;
+mod survey_command;
 
 use clap::Parser;
 use cli::{Call, Cli, SchemaOf};
 use files::{first_time, text_of};
-use import_call::import_files;
-use indigofold_replay::{compare, foldcheck, report, scenario};
+use import_command::import_files;
+use indigofold_replay::{compare, report, retry_folding, scenario};
 use indigofold_traffic::mapping;
 use indigofold_traffic::ops::{self, Factor, Scaled};
-use play_call::{live, read_run, read_scenario, replay};
-use recordings::{change, merge, show};
+use play_command::{live, read_run, read_scenario, replay};
+use recording_commands::{change, merge, show};
 use serde_json::json;
 use std::io::Write;
 use std::process::ExitCode;
@@ -159,7 +159,7 @@
         }
         Call::FoldCheck { scenario, seeds } => {
             let scenario = read_scenario(scenario)?;
-            let rows = foldcheck::check(&scenario, *seeds)?;
+            let rows = retry_folding::check(&scenario, *seeds)?;
             if cli.json {
                 say!("{}", serde_json::to_string(&rows)?);
             } else {
@@ -183,7 +183,7 @@
                 }
             }
         }
-        Call::Survey(args) => survey_call::call(args, cli.json)?,
+        Call::Survey(args) => survey_command::call(args, cli.json)?,
         Call::Schema { of } => {
             let schema = match of {
                 SchemaOf::Mapping => mapping::schema(),
--- a/crates/replay/src/play_call.rs
+++ b/crates/replay/src/play_command.rs
@@ -6,7 +6,7 @@
 use indigofold_replay::export::{self, Log};
 use indigofold_replay::load::{Made, Recorded};
 use indigofold_replay::scenario::{self, Scenario};
-use indigofold_replay::virt::{Ground, Logged, Retries, Run};
+use indigofold_replay::virtual_time::{Ground, Logged, Retries, Run};
 use indigofold_replay::{report, sockets};
 use serde_json::json;
 use std::fs::File;
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::compare::Comparison;
 use crate::scenario::{Scenario, What};
-use crate::virt::Run;
+use crate::virtual_time::Run;
 use minijinja::Environment;
 use plotters::prelude::*;
 use serde_json::json;
--- a/crates/replay/src/foldcheck.rs
+++ b/crates/replay/src/retry_folding.rs
@@ -2,7 +2,7 @@
 
 use crate::load::Made;
 use crate::scenario::{Effect, Scenario};
-use crate::virt::{Ground, Retries};
+use crate::virtual_time::{Ground, Retries};
 use indigofold_traffic::Tally;
 use indigofold_traffic::fold::{Folder, Rules};
 use indigofold_traffic::job::{Job, Micros, number};
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -2,7 +2,7 @@
 
 mod form;
 mod settings;
-mod wrong;
+mod validation;
 
 pub use form::*;
 use indigofold_traffic::document;
@@ -56,7 +56,7 @@
     pub fn speed_of(&self, worker: u32) -> f64 {
         let [low, high] = self.kinds[self.kind_of(worker)].speed;
         low + (high - low)
-            * crate::random::unit(&mut crate::random::draw(
+            * crate::sampling::unit(&mut crate::sampling::draw(
                 self.fleet_seed,
                 worker.into(),
                 0x59eed,
--- a/crates/replay/src/sockets/mod.rs
+++ b/crates/replay/src/sockets.rs
@@ -7,15 +7,15 @@
 
 mod clients;
 mod discovery;
+mod http;
 mod program;
-mod wire;
 mod workers;
 
 use crate::check::{Checker, Seen};
 use crate::load::Arrival;
 use crate::scenario::{Micros, Scenario, What};
 use crate::service::Service;
-use crate::virt::{Retries, Run};
+use crate::virtual_time::{Retries, Run};
 use discovery::List;
 use smol::{Executor, Timer};
 use std::collections::HashMap;
--- a/crates/replay/src/sockets/clients.rs
+++ b/crates/replay/src/sockets/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: each arrival is sent at its time, whatever became of those before.
 
-use super::wire::Link;
+use super::http::Link;
 use super::workers::Known;
 use super::{Stage, locked};
 use crate::check::Seen;
@@ -8,7 +8,7 @@
 use crate::load::Arrival;
 use crate::scenario::{Effect, Micros};
 use crate::service::{Counted, End};
-use crate::virt::Retries;
+use crate::virtual_time::Retries;
 use smol::Timer;
 use smol::net::TcpStream;
 use std::io;
--- a/crates/replay/src/sockets/discovery.rs
+++ b/crates/replay/src/sockets/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the whole list, and a watch on what changes.
 
-use super::wire::Link;
+use super::http::Link;
 use super::{Stage, locked};
 use crate::check::Seen;
 use crate::scenario::Scenario;
--- a/crates/replay/src/sockets/program.rs
+++ b/crates/replay/src/sockets/program.rs
@@ -1,6 +1,6 @@
 //! The real program as a child process, under its limits.
 
-use super::wire::Link;
+use super::http::Link;
 use super::{Stage, locked};
 use serde_json::json;
 use smol::Timer;
--- a/crates/replay/src/sockets/workers.rs
+++ b/crates/replay/src/sockets/workers.rs
@@ -1,7 +1,7 @@
 //! Job workers: the model of [`crate::worker`] behind HTTP, with news by call-backs.
 
 use super::discovery::name;
-use super::wire::Link;
+use super::http::Link;
 use super::{Stage, locked};
 use crate::check::Seen;
 use crate::scenario::Micros;
--- a/crates/replay/src/survey/mod.rs
+++ b/crates/replay/src/survey.rs
@@ -7,9 +7,9 @@
 pub mod draw;
 pub mod page;
 
+use crate::baseline::Policy;
 use crate::load::Made;
-use crate::plain::Policy;
-use crate::virt::{Ground, Retries, Run};
+use crate::virtual_time::{Ground, Retries, Run};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
--- a/crates/replay/src/survey/draw.rs
+++ b/crates/replay/src/survey/draw.rs
@@ -1,7 +1,7 @@
 //! Deployments drawn at random from wide ranges. The ranges are the table in `docs/survey.md`; a change of one is a change
 //! of the survey, and [`super::VERSION`] goes up with it.
 
-use crate::random::{between, draw, unit};
+use crate::sampling::{between, draw, unit};
 use crate::scenario::{
     Class, Clients, Discovery, Effect, Jump, Kind, Limits, Load, Machines, Network, Order, Parish,
     Prices, Rules, Scenario, Spread, Things, Trouble, What,
--- a/crates/replay/src/survey/page.rs
+++ b/crates/replay/src/survey/page.rs
@@ -1,7 +1,7 @@
 //! A survey as a page and as text.
 
 use super::{Row, Summary, draw};
-use crate::plain::Policy;
+use crate::baseline::Policy;
 use minijinja::Environment;
 use plotters::prelude::*;
 use serde_json::json;
--- a/crates/replay/src/survey_call.rs
+++ b/crates/replay/src/survey_command.rs
@@ -3,7 +3,7 @@
 use super::Bad;
 use super::files::bar;
 use clap::Args;
-use indigofold_replay::plain::Policy;
+use indigofold_replay::baseline::Policy;
 use indigofold_replay::survey::{self, Plan, VERSION, page};
 use std::io::Write;
 use std::path::PathBuf;
--- a/crates/replay/src/virt.rs
+++ b/crates/replay/src/virtual_time.rs
@@ -1,13 +1,13 @@
 //! The ground in virtual time: the scheduler's own engine and module, an emulated network, the same job workers and clients
 //! as on sockets. One queue of events; the same seed gives the same result, bit for bit.
 
+use crate::baseline::{Plain, Policy};
 use crate::check::{Checker, Seen, Verdict};
 use crate::client::{Said, again, draw, unit};
 use crate::load::Arrival;
-use crate::plain::{Plain, Policy};
+use crate::object_store::{Shelf, Store};
 use crate::scenario::{Micros, Scenario, What};
 use crate::service::{Counted, End, Outcome, Service};
-use crate::store::{Shelf, Store};
 use crate::worker::{self, Offer, Ticket, Worker, id};
 use indigofold::api::{Entry, Load, Request, Scope, Status, WorkerId, WorkerState};
 use indigofold::config::subject;
@@ -28,8 +28,8 @@
 
 mod clients;
 mod events;
-mod machines;
 mod schedulers;
+mod workers;
 
 use clients::{Trip, Try};
 use events::*;
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -4,8 +4,8 @@
 //! A job runs on as many cores as it has slots. A cold job worker runs at a share of its speed that grows evenly with the
 //! work done, from `initial_capacity` to 1 at the latest after its warming time; the share is read when a job starts.
 
+use crate::object_store::Shelf;
 use crate::scenario::{Kind, Micros, Order};
-use crate::store::Shelf;
 use std::collections::VecDeque;
 
 /// A job at a job worker, by a number that its owner chose.
--- a/crates/replay/src/worker/tests.rs
+++ b/crates/replay/src/worker/tests.rs
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_fetch_holds_the_slot_and_no_share_is_done_meanwhile() {
-    let store = std::sync::Arc::new(std::sync::Mutex::new(crate::store::Store::new(9.0)));
+    let store = std::sync::Arc::new(std::sync::Mutex::new(crate::object_store::Store::new(9.0)));
     let mut w = Worker::new(&kind(), 1.0).serving(Order::InOrder, Some(Shelf::new(store, 4)));
     let about = |ticket, thing| Job {
         thing: Some((thing, 500_000)),
--- a/crates/replay/tests/survey.rs
+++ b/crates/replay/tests/survey.rs
@@ -1,11 +1,11 @@
 //! The survey: the same on any number of threads and however often it is stopped; and worlds in which plain rules come out
 //! as they must.
 
+use indigofold_replay::baseline::Policy;
 use indigofold_replay::load::Made;
-use indigofold_replay::plain::Policy;
 use indigofold_replay::scenario::{self, Order, Scenario, Things, Trouble, What};
 use indigofold_replay::survey::{self, Plan, VERSION, draw, page};
-use indigofold_replay::virt::{Ground, Retries, Run};
+use indigofold_replay::virtual_time::{Ground, Retries, Run};
 
 fn plan(policies: &[Policy]) -> Plan {
     Plan {
--- a/crates/replay/tests/grounds.rs
+++ b/crates/replay/tests/virtual_time.rs
@@ -4,8 +4,8 @@
 use indigofold_replay::export::{Form, Log, mapping};
 use indigofold_replay::load::{Made, Recorded};
 use indigofold_replay::scenario::{self, Jump, Scenario, Trouble, What};
-use indigofold_replay::virt::{Ground, Logged, Retries, Run};
-use indigofold_replay::{foldcheck, report};
+use indigofold_replay::virtual_time::{Ground, Logged, Retries, Run};
+use indigofold_replay::{report, retry_folding};
 use indigofold_traffic::detect::Kind;
 use indigofold_traffic::import::{Imported, Options, import};
 use indigofold_traffic::line::LineFormat;
@@ -202,7 +202,7 @@
 
 #[test]
 fn retries_are_folded_as_well_as_is_asked() {
-    let rows = foldcheck::check(&scenario(), 2).expect("rows");
+    let rows = retry_folding::check(&scenario(), 2).expect("rows");
     for row in &rows {
         let least = if row.by.starts_with("neither") {
             0.9
