--- a/crates/indigofold/src/core/engine.rs
+++ b/crates/indigofold/src/core/engine.rs
@@ -1,6 +1,6 @@
 //! The engine: the decision module behind its guard, the job table, the timers and the batches. It reads no clock, waits for
-//! nothing and does no I/O: who owns it tells it what happened and the time ([`Engine::input`]), asks when it must be
-//! looked at ([`Engine::due`]) and lets it act ([`Engine::step`]). The sockets' core actor does so in real time, the laboratory
+//! nothing and does no I/O: who owns it tells it what happened and the time ([`Engine::handle_input`]), asks when it must be
+//! looked at ([`Engine::due`]) and lets it act ([`Engine::step`]). The sockets' core actor does so in real time, the replay tool
 //! in virtual time. The simulator keeps jobs and timers itself and owns a [`Module`] alone.
 
 use super::job_table::JobTable;
