--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -7,53 +7,12 @@
 
 /// Reads the settings object; what a rule or a limit rests on must be there, the rest has defaults.
 pub(super) fn settings(env: Json<'_>, zone: ZoneId) -> Parse<Settings> {
-    let (rules, limits, prices, domain) = (
-        env.at("rules"),
-        env.at("policyLimits"),
-        env.at("charges"),
-        env.at("domain"),
-    );
+    let domain = env.at("domain");
     let mut classes = Vec::new();
-    let class = |i: usize, c: Json<'_>| -> Parse<Class> {
-        let groups = [
-            ("all", Group::All),
-            ("zone", Group::Zone),
-            ("cell", Group::Cell),
-        ];
-        let effect = match c.one_of("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
-            Some(0) => Effect::Safe,
-            Some(1) => {
-                let group = c
-                    .one_of("group", &groups)?
-                    .ok_or("setting 'group' is missing")?;
-                Effect::Keyed {
-                    group,
-                    ttl: c.time("keyTtl")?,
-                }
-            }
-            Some(_) => Effect::Unsafe,
-            None => return Err("setting 'effect' is missing".into()),
-        };
-        let stretch = domain
-            .at("classStretch")
-            .item(i)
-            .number()
-            .or(c.at("aimStretch").number());
-        let kind = domain.at("classKind").item(i).number();
-        Ok(Class {
-            kind: kind.filter(|k| *k >= 0.0).map(|k| k as KindId),
-            latency_target: c.time("aim")?,
-            stretch: stretch.unwrap_or(0.0),
-            deadline: c.time("deadline")?,
-            effect,
-            value: c.number_or("worth", 1.0),
-            late_value: c.number_or("lateWorth", 0.0),
-            priority: domain.at("classPriority").item(i).number().unwrap_or(0.0) as i32,
-        })
-    };
     for (i, c) in env.at("profiles").items().enumerate() {
         let name = c.at("name").text().unwrap_or("");
-        classes.push(class(i, c).map_err(|why| format!("profiles[{i}] {name:?}: {why}"))?);
+        let class = class(i, c, domain);
+        classes.push(class.map_err(|why| format!("profiles[{i}] {name:?}: {why}"))?);
     }
     let sources = [
         ("inline", Reports::WithResults),
@@ -84,41 +43,97 @@
             .one_of("worthBy", &[("request", false), ("work", true)])?
             .unwrap_or(false),
         over_quota_value: env.number_or("overShareWorth", 1.0),
-        limits: Limits {
-            attempts: limits.within("attemptsCap", 0.0, f64::INFINITY)? as u32,
-            open: None,
-            cancel: limits.at("cancel").flag(),
-            duplicates: limits.at("mayDuplicate").flag(),
-            probes: limits.at("probes").flag(),
-            peers: limits.at("peers").flag(),
-            retry_after: limits.at("retryAfter").flag(),
-            max_retry_after: limits.number_or("maxRetryAfter", 0.0).max(0.0) as Time,
-            dial_timeout: limits.number_or("dialTimeout", 0.0).max(0.0) as Time,
-        },
-        charges: Charges {
-            cross_zone: prices.number_or("crossZone", 0.0),
-            waste: prices.number_or("waste", 0.0),
-            probe: prices.number_or("probe", 0.0),
-            peer: prices.number_or("peer", 0.0),
-            late_fail: prices.number_or("lateFail", 0.0),
-            discovery: prices.number_or("discovery", 0.0),
-        },
-        rules: Rules {
-            answer_slack: rules.time("answerSlack")?,
-            list_refresh_within: rules.time("askWithin")?,
-            initial_capacity: rules.within("coldFrom", 0.0, 1.0)?,
-            warm_after: rules.time("warmAfter")?,
-            drain_grace: rules.time("drainGrace")?,
-            tip_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
-            tip_window: rules.time("overloadFor")?,
-            resends: resend_budget(rules)?,
-            let_go_in: rules.optional("letGoIn")?.map(|v| v as Time),
-            full_may_have_run: match rules.at("fullMayHaveRun").0 {
-                None => false,
-                Some(v) => v
-                    .as_bool()
-                    .ok_or("setting 'rules.fullMayHaveRun' must be true or false")?,
-            },
+        limits: limits(env.at("policyLimits"))?,
+        charges: charges(env.at("charges")),
+        rules: rules(env.at("rules"))?,
+    })
+}
+
+/// The class at this position; what the domain says of it stands in lists by the same position.
+fn class(i: usize, c: Json<'_>, domain: Json<'_>) -> Parse<Class> {
+    let stretch = domain
+        .at("classStretch")
+        .item(i)
+        .number()
+        .or(c.at("aimStretch").number());
+    let kind = domain.at("classKind").item(i).number();
+    let effect = effect(c)?;
+    Ok(Class {
+        kind: kind.filter(|k| *k >= 0.0).map(|k| k as KindId),
+        latency_target: c.time("aim")?,
+        stretch: stretch.unwrap_or(0.0),
+        deadline: c.time("deadline")?,
+        effect,
+        value: c.number_or("worth", 1.0),
+        late_value: c.number_or("lateWorth", 0.0),
+        priority: domain.at("classPriority").item(i).number().unwrap_or(0.0) as i32,
+    })
+}
+
+/// What a second run of a class's job does.
+fn effect(c: Json<'_>) -> Parse<Effect> {
+    let groups = [
+        ("all", Group::All),
+        ("zone", Group::Zone),
+        ("cell", Group::Cell),
+    ];
+    match c.one_of("effect", &[("safe", 0), ("keyed", 1), ("unsafe", 2)])? {
+        Some(0) => Ok(Effect::Safe),
+        Some(1) => {
+            let group = c
+                .one_of("group", &groups)?
+                .ok_or("setting 'group' is missing")?;
+            Ok(Effect::Keyed {
+                group,
+                ttl: c.time("keyTtl")?,
+            })
+        }
+        Some(_) => Ok(Effect::Unsafe),
+        None => Err("setting 'effect' is missing".into()),
+    }
+}
+
+fn limits(limits: Json<'_>) -> Parse<Limits> {
+    Ok(Limits {
+        attempts: limits.within("attemptsCap", 0.0, f64::INFINITY)? as u32,
+        open: None,
+        cancel: limits.at("cancel").flag(),
+        duplicates: limits.at("mayDuplicate").flag(),
+        probes: limits.at("probes").flag(),
+        peers: limits.at("peers").flag(),
+        retry_after: limits.at("retryAfter").flag(),
+        max_retry_after: limits.number_or("maxRetryAfter", 0.0).max(0.0) as Time,
+        dial_timeout: limits.number_or("dialTimeout", 0.0).max(0.0) as Time,
+    })
+}
+
+fn charges(prices: Json<'_>) -> Charges {
+    Charges {
+        cross_zone: prices.number_or("crossZone", 0.0),
+        waste: prices.number_or("waste", 0.0),
+        probe: prices.number_or("probe", 0.0),
+        peer: prices.number_or("peer", 0.0),
+        late_fail: prices.number_or("lateFail", 0.0),
+        discovery: prices.number_or("discovery", 0.0),
+    }
+}
+
+fn rules(rules: Json<'_>) -> Parse<Rules> {
+    Ok(Rules {
+        answer_slack: rules.time("answerSlack")?,
+        list_refresh_within: rules.time("askWithin")?,
+        initial_capacity: rules.within("coldFrom", 0.0, 1.0)?,
+        warm_after: rules.time("warmAfter")?,
+        drain_grace: rules.time("drainGrace")?,
+        tip_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
+        tip_window: rules.time("overloadFor")?,
+        resends: resend_budget(rules)?,
+        let_go_in: rules.optional("letGoIn")?.map(|v| v as Time),
+        full_may_have_run: match rules.at("fullMayHaveRun").0 {
+            None => false,
+            Some(v) => v
+                .as_bool()
+                .ok_or("setting 'rules.fullMayHaveRun' must be true or false")?,
         },
     })
 }
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -168,21 +168,12 @@
         if let Some(field) = fields.skip_unknown(known) {
             self.warn(format!("{name}: unknown field '{}' skipped", head(field)));
         }
-        match name {
-            "TICK" => {
-                if self.in_batch {
-                    return Err("TICK inside a batch; expected EOB first".into());
-                }
-                let now = u64::try_from(fields.need_integer("wall")?)
-                    .map_err(|_| "TICK: field 'wall' must not be negative".to_string())?;
-                self.now = self.now.max(now);
-                self.in_batch = true;
-                self.current = None;
-                self.reply_for = None;
-                return Ok(None);
-            }
-            _ if !self.in_batch => return Err(format!("{name} outside a batch; expected TICK")),
-            _ => {}
+        if name == "TICK" {
+            self.begin_batch(&fields)?;
+            return Ok(None);
+        }
+        if !self.in_batch {
+            return Err(format!("{name} outside a batch; expected TICK"));
         }
         if self.list.is_some() && name != "ROW" {
             return Err(format!("{name} where a ROW of the list was expected"));
@@ -193,33 +184,36 @@
                 self.reply.push_str("OK\n");
                 return Ok(Some(std::mem::take(&mut self.reply)));
             }
-            "INSTANCE" => {
-                self.current = Some(fields.small("who")?);
-                return Ok(None);
-            }
-            _ => {}
+            "INSTANCE" => self.current = Some(fields.small("who")?),
+            _ => self.instance_message(&fields)?,
         }
+        Ok(None)
+    }
+
+    fn begin_batch(&mut self, fields: &Fields) -> Parse<()> {
+        if self.in_batch {
+            return Err("TICK inside a batch; expected EOB first".into());
+        }
+        let now = u64::try_from(fields.need_integer("wall")?)
+            .map_err(|_| "TICK: field 'wall' must not be negative".to_string())?;
+        self.now = self.now.max(now);
+        self.in_batch = true;
+        self.current = None;
+        self.reply_for = None;
+        Ok(())
+    }
+
+    /// A message for the instance that the batch has named last.
+    fn instance_message(&mut self, fields: &Fields) -> Parse<()> {
+        let name = fields.message;
         let who = self
             .current
             .ok_or_else(|| format!("{name} before any INSTANCE line of its batch"))?;
         match name {
-            "BOOT" => {
-                let seed = fields.need("randomSeed")?;
-                let seed = seed.parse::<i128>().map_err(|_| {
-                    format!(
-                        "BOOT: field 'randomSeed' must be an integer, got '{}'",
-                        head(seed)
-                    )
-                })? as u64;
-                let env = fields.need("env")?.as_bytes().to_vec();
-                let site = Site::read(env).map_err(|e| format!("BOOT: {e}"))?;
-                let instance = Instance::new(site, seed, self.now);
-                self.instances.insert(who, instance);
-                return Ok(None);
-            }
+            "BOOT" => return self.boot(who, fields),
             "CRASH_NOW" => {
                 self.instances.remove(&who);
-                return Ok(None);
+                return Ok(());
             }
             _ => {}
         }
@@ -227,60 +221,89 @@
             self.warn(format!(
                 "{name} for an instance that was not started, skipped"
             ));
-            return Ok(None);
+            return Ok(());
         };
         let event = match name {
-            "REGISTRY" => {
-                let scope = match fields.need("scope")? {
-                    "D" => Scope::Delta,
-                    "F" => Scope::Full,
-                    "C" => Scope::Cached,
-                    "X" => Scope::Failed,
-                    other => {
-                        return Err(format!(
-                            "REGISTRY: scope must be D, F, C or X, got '{}'",
-                            head(other)
-                        ));
-                    }
-                };
-                let left = fields.time("hosts")?;
-                if left > 0 {
-                    self.list = Some(PendingMembership {
-                        scope,
-                        left,
-                        entries: Vec::new(),
-                    });
-                    return Ok(None);
-                }
-                Some(Event::List {
-                    scope,
-                    entries: Vec::new(),
-                })
-            }
+            "REGISTRY" => self.begin_list(fields)?,
             "ROW" => {
-                let entry = instance.entry(&fields)?;
-                let Some(list) = &mut self.list else {
-                    return Err("ROW outside a list".into());
-                };
-                list.entries.push(entry);
-                list.left -= 1;
-                if list.left > 0 {
-                    return Ok(None);
-                }
-                self.list.take().map(|l| Event::List {
-                    scope: l.scope,
-                    entries: l.entries,
-                })
+                let entry = instance.entry(fields)?;
+                self.add_row(entry)?
             }
-            _ => instance.event(&fields)?,
+            _ => instance.event(fields)?,
+        };
+        if let Some(event) = event {
+            self.handle_event(who, event);
+        }
+        Ok(())
+    }
+
+    fn boot(&mut self, who: u32, fields: &Fields) -> Parse<()> {
+        let seed = fields.need("randomSeed")?;
+        let seed = seed.parse::<i128>().map_err(|_| {
+            format!(
+                "BOOT: field 'randomSeed' must be an integer, got '{}'",
+                head(seed)
+            )
+        })? as u64;
+        let env = fields.need("env")?.as_bytes().to_vec();
+        let site = Site::read(env).map_err(|e| format!("BOOT: {e}"))?;
+        self.instances
+            .insert(who, Instance::new(site, seed, self.now));
+        Ok(())
+    }
+
+    /// Begins a list of workers; an empty one is an event at once.
+    fn begin_list(&mut self, fields: &Fields) -> Parse<Option<Event>> {
+        let scope = match fields.need("scope")? {
+            "D" => Scope::Delta,
+            "F" => Scope::Full,
+            "C" => Scope::Cached,
+            "X" => Scope::Failed,
+            other => {
+                return Err(format!(
+                    "REGISTRY: scope must be D, F, C or X, got '{}'",
+                    head(other)
+                ));
+            }
+        };
+        let (left, entries) = (fields.time("hosts")?, Vec::new());
+        if left > 0 {
+            self.list = Some(PendingMembership {
+                scope,
+                left,
+                entries,
+            });
+            return Ok(None);
+        }
+        Ok(Some(Event::List { scope, entries }))
+    }
+
+    /// Adds a row to the list that has begun; the last one completes it.
+    fn add_row(&mut self, entry: Entry) -> Parse<Option<Event>> {
+        let Some(list) = &mut self.list else {
+            return Err("ROW outside a list".into());
+        };
+        list.entries.push(entry);
+        list.left -= 1;
+        if list.left > 0 {
+            return Ok(None);
+        }
+        Ok(self.list.take().map(|l| Event::List {
+            scope: l.scope,
+            entries: l.entries,
+        }))
+    }
+
+    /// Has an instance's module handle an event, and writes what it asks for.
+    fn handle_event(&mut self, who: u32, event: Event) {
+        let Some(instance) = self.instances.get_mut(&who) else {
+            return;
         };
-        let Some(event) = event else { return Ok(None) };
         self.actions.clear();
-        let (now, actions) = (self.now, &mut self.actions);
-        if let Err(text) = instance.module.handle(now, event, actions) {
+        if let Err(text) = instance.module.handle(self.now, event, &mut self.actions) {
             let _ = writeln!(self.reply, "FOR who={who}\nFAULT noteText={text}");
             self.reply_for = Some(who);
-            return Ok(None);
+            return;
         }
         if !self.actions.is_empty() && self.reply_for != Some(who) {
             let _ = writeln!(self.reply, "FOR who={who}");
@@ -289,6 +312,5 @@
         for action in self.actions.drain(..) {
             instance.write(&action, &mut self.reply);
         }
-        Ok(None)
     }
 }
