--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -2,14 +2,14 @@
 //! knows of the job. A job goes once none of its attempts is on its way to a machine: those that a machine has taken need
 //! no connection, as it tells what becomes of them to whoever accepts.
 
-use super::clients::{self, ConnectionState};
+use super::clients::{self, ConnectionState, ResumedJob};
 use super::peer_process::{HandoverMessage, PeerProcess};
 use super::workers::{AttemptState, Order, Stage};
 use super::{Parcel, Platform};
 use crate::api::Time;
 use crate::config::JobReport;
 use crate::core::{AttemptId, CoreInput, JobId, Reply};
-use crate::net::set::Direction;
+use crate::net::set::{Direction, Seat};
 use crate::net::{Link, log};
 use crate::transferred_job::TransferredJob;
 use async_channel::{Receiver, SendError, Sender, bounded};
@@ -220,20 +220,9 @@
         }
     }
 
-    /// Goes on with a job that the other process has given away. When this returns, news of it is understood.
+    /// Goes on with a job that the other process has given away. When this returns, reports of it are understood.
     pub async fn adopt(self: &Rc<Self>, encoded: &[u8], stream: TcpStream) {
-        self.net.set.resize(1);
-        let seat = loop {
-            match self
-                .net
-                .set
-                .seat(Direction::Inbound)
-                .or_else(|| self.net.set.seat(Direction::Outbound))
-            {
-                Some(seat) => break seat,
-                None => self.net.set.resize(1), // it was open before: it stays
-            }
-        };
+        let seat = self.seat_inherited();
         let migrating = postcard::from_bytes::<MigratingJob>(encoded).map_err(|e| e.to_string());
         let migrating = migrating.and_then(|migrating| migrating.job.check().map(|()| migrating));
         let (migrating, link) = match (migrating, Async::new(stream)) {
@@ -247,58 +236,60 @@
                 ));
             }
         };
-        log(format_args!(
-            "handover: goes on with job={}",
-            migrating.trace
-        ));
-        // It is not open elsewhere any more.
-        self.migration
-            .transferred
-            .borrow_mut()
-            .remove(&migrating.trace);
-        self.peers
-            .borrow()
-            .iter()
-            .for_each(|peer| _ = peer.ids.borrow_mut().remove(&migrating.trace));
-        let mut text = self.net.pool.take();
-        let written = text.write_all(&migrating.text).is_ok();
-        let known = self.numbered_job(migrating.job).filter(|_| written);
-        let (to, from) = bounded(1);
-        let registered = known.and_then(|job| {
-            Some((
-                job,
-                self.register_job(&migrating.trace, (text, migrating.body), to.downgrade())?,
-            ))
-        });
-        let mut resumed = None;
-        if let Some((job, (id, parcel))) = registered {
-            let attempts = job
-                .attempts
-                .iter()
-                .map(|t| AttemptState::new(t.worker, Stage::Taken));
-            parcel.attempts.borrow_mut().extend(attempts);
-            // Given up here, a machine must hear of it: it keeps an attempt until then.
-            for (n, t) in job.attempts.iter().enumerate().filter(|(_, t)| !t.done) {
-                let attempt = AttemptId {
-                    job: id,
-                    number: n as u32,
-                };
-                self.order(t.worker, Order::Taken(attempt));
-            }
-            self.lifecycle.last_job.set(self.clock.now());
-            let input = CoreInput::Adopted(id, Box::new(job), migrating.until, Reply::To(to));
-            let _ = self.core.send(input).await;
-            resumed = Some((id, parcel, from));
-        }
-        let (front, keep, rest) = (self.clone(), migrating.keep, migrating.rest);
+        let (messages, keep, rest) = (migrating.messages, migrating.keep, migrating.rest.clone());
+        let resumed = self.resume(migrating).await;
+        let front = self.clone();
         self.net.spawn(async move {
             let state = ConnectionState::default();
-            state.messages.set(migrating.messages);
+            state.messages.set(messages);
             let reason = clients::resume_job(&front, &link, &state, resumed, (keep, &rest)).await;
             clients::finish_connection(&front, link, &state, reason).await;
         });
     }
 
+    /// A place for a connection that was open in the other process: it stays, whatever the limit.
+    fn seat_inherited(&self) -> Seat {
+        let set = &self.net.set;
+        set.resize(1);
+        loop {
+            let seat = set.seat(Direction::Inbound);
+            match seat.or_else(|| set.seat(Direction::Outbound)) {
+                Some(seat) => return seat,
+                None => set.resize(1),
+            }
+        }
+    }
+
+    /// Opens the job here, with the attempts that its machines have taken. `None` where it cannot go on: its class is
+    /// not known, or another job has its id.
+    async fn resume(self: &Rc<Self>, migrating: MigratingJob) -> Option<ResumedJob> {
+        let trace = &migrating.trace;
+        log(format_args!("handover: goes on with job={trace}"));
+        // It is not open elsewhere any more.
+        self.migration.transferred.borrow_mut().remove(trace);
+        for peer in self.peers.borrow().iter() {
+            peer.ids.borrow_mut().remove(trace);
+        }
+        let mut text = self.net.pool.take();
+        let written = text.write_all(&migrating.text).is_ok();
+        let job = self.numbered_job(migrating.job).filter(|_| written)?;
+        let (to, from) = bounded(1);
+        let (id, parcel) = self.register_job(trace, (text, migrating.body), to.downgrade())?;
+        let attempts = job
+            .attempts
+            .iter()
+            .map(|t| AttemptState::new(t.worker, Stage::Taken));
+        parcel.attempts.borrow_mut().extend(attempts);
+        // Given up here, a machine must hear of it: it keeps an attempt until then.
+        for (t, number) in job.attempts.iter().zip(0..).filter(|(t, _)| !t.done) {
+            self.order(t.worker, Order::Taken(AttemptId { job: id, number }));
+        }
+        self.lifecycle.last_job.set(self.clock.now());
+        let input = CoreInput::Adopted(id, Box::new(job), migrating.until, Reply::To(to));
+        let _ = self.core.send(input).await;
+        Some((id, parcel, from))
+    }
+
     /// Forgets a job that goes on elsewhere. Its attempts stay with their machines.
     fn drop_job(&self, trace: &str) {
         let Some(id) = self.traces.borrow_mut().remove(trace) else {
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -363,7 +363,7 @@
         self.closing.replace(Some(closing));
     }
 
-    /// Carries words both ways until the link ends. `accepts_statistics`: the other side is known to take in what was learned.
+    /// Carries messages both ways until the link ends. `accepts_statistics`: the other side is known to take them.
     async fn exchange_messages(
         &self,
         link: &Async<UnixStream>,
@@ -382,64 +382,13 @@
                 }
             }
         };
-        let send = async {
-            while let Ok(message) = messages.recv().await {
-                let text = match message {
-                    HandoverMessage::JobOpened(id) => encode_frame(b'+', id.as_bytes()),
-                    HandoverMessage::JobClosed(id) => encode_frame(b'-', id.as_bytes()),
-                    HandoverMessage::JobReport(text) => encode_frame(b'N', &text),
-                    HandoverMessage::Serving => encode_frame(b'S', &[]),
-                    HandoverMessage::Statistics(encoded) => encode_frame(b'K', &encoded),
-                    HandoverMessage::Job(encoded, stream) => {
-                        send_with(link, &encode_frame(b'M', &encoded), stream).await?;
-                        continue;
-                    }
-                };
-                (&mut &*link).write_all(&text).await?;
-            }
-            io::Result::Ok(())
-        };
+        let send = send_messages(link, &messages);
         let receive = async {
             let mut streams = VecDeque::new();
             loop {
-                let (name, mut text) = read(link, &mut streams).await?;
-                match name {
-                    b'N' => {
-                        let original = text.clone();
-                        if let Ok(report) = JobReport::read(&mut text) {
-                            self.front
-                                .handle_report(&original, report, Some(peer))
-                                .await;
-                        }
-                    }
-                    b'S' => {
-                        self.stop_accepting();
-                        if accepts_statistics.get() {
-                            self.front
-                                .send_statistics(peer, StatisticsScope::ExceptInFlight)
-                                .await;
-                            self.front.start_migration(peer);
-                        }
-                    }
-                    b'M' => {
-                        let stream = streams.pop_front().ok_or(ErrorKind::InvalidData)?;
-                        self.front.adopt(&text, TcpStream::from(stream)).await;
-                    }
-                    b'K' => {
-                        accepts_statistics.set(true);
-                        self.front.apply_statistics(&text).await;
-                    }
-                    b'+' | b'-' => {
-                        let id = String::from_utf8(text).map_err(|_| ErrorKind::InvalidData)?;
-                        let mut ids = peer.ids.borrow_mut();
-                        let _ = if name == b'+' {
-                            ids.insert(id)
-                        } else {
-                            ids.remove(&id)
-                        };
-                    }
-                    _ => {} // a later program's word
-                }
+                let frame = read(link, &mut streams).await?;
+                self.handle_frame(peer, frame, &mut streams, &accepts_statistics)
+                    .await?;
             }
         };
         let _ = send.or(receive).or(report_slots).await;
@@ -448,4 +397,73 @@
             self.front.resume_undelivered(message).await;
         }
     }
+
+    /// Handles one frame of the other process. `streams`: the connections that came along and are not taken yet.
+    async fn handle_frame(
+        &self,
+        peer: &Rc<PeerProcess>,
+        (name, mut text): (u8, Vec<u8>),
+        streams: &mut VecDeque<OwnedFd>,
+        accepts_statistics: &Cell<bool>,
+    ) -> io::Result<()> {
+        let front = &self.front;
+        match name {
+            b'N' => {
+                let original = text.clone();
+                if let Ok(report) = JobReport::read(&mut text) {
+                    front.handle_report(&original, report, Some(peer)).await;
+                }
+            }
+            b'S' => {
+                self.stop_accepting();
+                if accepts_statistics.get() {
+                    front
+                        .send_statistics(peer, StatisticsScope::ExceptInFlight)
+                        .await;
+                    front.start_migration(peer);
+                }
+            }
+            b'M' => {
+                let stream = streams.pop_front().ok_or(ErrorKind::InvalidData)?;
+                front.adopt(&text, TcpStream::from(stream)).await;
+            }
+            b'K' => {
+                accepts_statistics.set(true);
+                front.apply_statistics(&text).await;
+            }
+            b'+' | b'-' => {
+                let id = String::from_utf8(text).map_err(|_| ErrorKind::InvalidData)?;
+                let mut ids = peer.ids.borrow_mut();
+                let _ = if name == b'+' {
+                    ids.insert(id)
+                } else {
+                    ids.remove(&id)
+                };
+            }
+            _ => {} // a frame of a later program
+        }
+        Ok(())
+    }
+}
+
+/// Sends what the other process is to hear, until the link breaks or nothing more comes.
+async fn send_messages(
+    link: &Async<UnixStream>,
+    messages: &Receiver<HandoverMessage>,
+) -> io::Result<()> {
+    while let Ok(message) = messages.recv().await {
+        let frame = match message {
+            HandoverMessage::JobOpened(id) => encode_frame(b'+', id.as_bytes()),
+            HandoverMessage::JobClosed(id) => encode_frame(b'-', id.as_bytes()),
+            HandoverMessage::JobReport(text) => encode_frame(b'N', &text),
+            HandoverMessage::Serving => encode_frame(b'S', &[]),
+            HandoverMessage::Statistics(encoded) => encode_frame(b'K', &encoded),
+            HandoverMessage::Job(encoded, stream) => {
+                send_with(link, &encode_frame(b'M', &encoded), stream).await?;
+                continue;
+            }
+        };
+        (&mut &*link).write_all(&frame).await?;
+    }
+    Ok(())
 }
--- a/crates/indigofold/src/net/http.rs
+++ b/crates/indigofold/src/net/http.rs
@@ -104,82 +104,89 @@
     expects_continue: bool,
 }
 
-/// Looks whether a whole message stands at the front of the buffer. A chunked body is joined in place.
-pub fn parse_message(buffer: &mut Buffer, kind: Kind) -> Result<Progress, Bad> {
+/// The end of a head, and what it says of the framing.
+struct ParsedHead {
+    length: usize,
+    http_1_0: bool,
+    /// It is the head of an answer that never has a body.
+    bodiless: bool,
+    framing: Framing,
+}
+
+/// Parses the head at the front of the bytes; `None` while some of it is missing.
+fn parse_head(bytes: &[u8], kind: Kind) -> Result<Option<ParsedHead>, Bad> {
     let mut slots = [EMPTY_HEADER; MAX_HEADERS];
-    let bytes = buffer.filled();
-    let (head, http_1_0, bodiless, framing) = match kind {
+    let (length, version, bodiless, headers) = match kind {
         Kind::Request => {
             let mut request = httparse::Request::new(&mut slots);
-            match request.parse(bytes).map_err(head_error)? {
-                Status::Partial => return incomplete_head(bytes),
-                Status::Complete(n) => (
-                    n,
-                    request.version == Some(0),
-                    false,
-                    framing(request.headers)?,
-                ),
-            }
+            let Status::Complete(length) = request.parse(bytes).map_err(head_error)? else {
+                return Ok(None);
+            };
+            (length, request.version, false, framing(request.headers)?)
         }
         Kind::Answer => {
             let mut answer = httparse::Response::new(&mut slots);
-            match answer.parse(bytes).map_err(head_error)? {
-                Status::Partial => return incomplete_head(bytes),
-                Status::Complete(n) => {
-                    let bodiless = matches!(answer.code, Some(100..=199 | 204 | 304));
-                    (
-                        n,
-                        answer.version == Some(0),
-                        bodiless,
-                        framing(answer.headers)?,
-                    )
-                }
-            }
+            let Status::Complete(length) = answer.parse(bytes).map_err(head_error)? else {
+                return Ok(None);
+            };
+            let bodiless = matches!(answer.code, Some(100..=199 | 204 | 304));
+            (length, answer.version, bodiless, framing(answer.headers)?)
         }
     };
-    if head > MAX_HEAD_BYTES {
+    Ok(Some(ParsedHead {
+        length,
+        http_1_0: version == Some(0),
+        bodiless,
+        framing: headers,
+    }))
+}
+
+/// Rejects a head that is too large, or that two readers could understand differently.
+fn check_head(head: &ParsedHead, bytes: &[u8]) -> Result<(), Bad> {
+    if head.length > MAX_HEAD_BYTES {
         return Err(Bad::HeadTooLarge);
     }
     // A line end that one reader takes for an end and another does not could hide a message from one of them.
-    let head_bytes = &bytes[..head];
-    if head_bytes
-        .iter()
-        .enumerate()
-        .any(|(n, b)| *b == b'\n' && (n == 0 || head_bytes[n - 1] != b'\r'))
-    {
+    let bare_line_end = |(n, b): (usize, &u8)| *b == b'\n' && (n == 0 || bytes[n - 1] != b'\r');
+    if bytes[..head.length].iter().enumerate().any(bare_line_end) {
         return Err(Bad::Malformed);
     }
-    if http_1_0 && framing.chunked {
+    if head.http_1_0 && head.framing.chunked {
         return Err(Bad::Malformed); // HTTP/1.0 has no such coding
     }
-    let (keep, sized) = (
-        !framing.close && !http_1_0,
-        framing.chunked || framing.length.is_some(),
-    );
+    Ok(())
+}
+
+/// Parses the message at the front of the buffer, if all of it is there. A chunked body is joined in place.
+pub fn parse_message(buffer: &mut Buffer, kind: Kind) -> Result<Progress, Bad> {
+    let bytes = buffer.filled();
+    let Some(parsed) = parse_head(bytes, kind)? else {
+        return incomplete_head(bytes);
+    };
+    check_head(&parsed, bytes)?;
+    let (head, framing) = (parsed.length, parsed.framing);
     let complete = |body: Range<usize>, total| {
         Ok(Progress::Complete(Frame {
             head,
             body,
             total,
-            keep,
-            sized,
+            keep: !framing.close && !parsed.http_1_0,
+            sized: framing.chunked || framing.length.is_some(),
         }))
     };
-    if framing.chunked && !bodiless {
-        return match chunks(&bytes[head..])? {
-            None => Ok(Progress::Partial(framing.expects_continue)),
-            Some((body_chunks, total)) => {
-                let mut end = head;
-                for chunk in body_chunks {
-                    let (from, to) = (head + chunk.start, head + chunk.end);
-                    buffer.filled_mut().copy_within(from..to, end);
-                    end += to - from;
-                }
-                complete(head..end, head + total)
-            }
+    if framing.chunked && !parsed.bodiless {
+        let Some((body_chunks, total)) = chunks(&bytes[head..])? else {
+            return Ok(Progress::Partial(framing.expects_continue));
         };
+        let mut end = head;
+        for chunk in body_chunks {
+            let (from, to) = (head + chunk.start, head + chunk.end);
+            buffer.filled_mut().copy_within(from..to, end);
+            end += to - from;
+        }
+        return complete(head..end, head + total);
     }
-    let length = if bodiless {
+    let length = if parsed.bodiless {
         0
     } else {
         framing.length.unwrap_or(0)
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -85,69 +85,17 @@
         Ok(self.ids.get(f.need("requestId")?).copied())
     }
 
+    /// The module's event for a message; `None` where it has none, or is about a request that is not known.
     pub(super) fn event(&mut self, f: &Fields) -> Parse<Option<Event>> {
         Ok(match f.message {
-            "ACCEPT" => {
-                let name = f.need("requestId")?;
-                let request = Request {
-                    id: self.next_request,
-                    class: self.site.classes.id(f.need("type")?),
-                    tenant: match f.text("realm") {
-                        Some(name) => self.site.tenants.id(name),
-                        None => u32::MAX,
-                    },
-                    left: f.need_integer("left")?.max(0) as Time,
-                    estimate: f.integer("estimate")?.map(|v| v.max(0) as Time),
-                    slots: f.number("needs")?.unwrap_or(1.0),
-                    memory: f.number("mem")?.unwrap_or(0.0),
-                    subject: f.text("subject").and_then(config::subject),
-                };
-                if self.ids.contains_key(name) {
-                    return Ok(None);
-                }
-                self.next_request += 1;
-                self.ids.insert(name.to_string(), request.id);
-                let known = KnownRequest {
-                    name: name.to_string(),
-                    attempts_out: 0,
-                    closed: false,
-                };
-                self.requests.insert(request.id, known);
-                Some(Event::Request(request))
-            }
+            "ACCEPT" => self.accept(f)?,
             "HEAD_RECEIVED" => {
                 let attempt = f.small("trial")?;
                 self.known(f)?
                     .map(|request| Event::Streaming { request, attempt })
             }
-            "HINT_UPDATE" => {
-                let attempt = f.small("trial")?;
-                let (what, level) = (f.need_integer("what")?, f.number("level")?);
-                self.known(f)?.and_then(|request| match what {
-                    1 => Some(Event::Started { request, attempt }),
-                    2 => level.map(|done| Event::Progress {
-                        request,
-                        attempt,
-                        done,
-                    }),
-                    _ => None,
-                })
-            }
-            "RESOLVED" => {
-                let (attempt, status, closed) = (f.small("trial")?, status(f)?, f.flag("over"));
-                let load = self.load(f)?;
-                let known = self.known(f)?;
-                if let Some(id) = known {
-                    self.forget_if_closed(id, closed, 1);
-                }
-                known.map(|request| Event::Outcome {
-                    request,
-                    attempt,
-                    status,
-                    closed,
-                    load,
-                })
-            }
+            "HINT_UPDATE" => self.hint(f)?,
+            "RESOLVED" => self.resolved(f)?,
             "DROPPED" => {
                 let known = self.known(f)?;
                 if let Some(id) = known {
@@ -157,40 +105,83 @@
             }
             "DUE" => {
                 let text = f.need("name")?;
-                let bad = || {
+                let bad = |_| {
                     format!(
                         "DUE: field 'name' must be a whole number, got '{}'",
                         head(text)
                     )
                 };
-                Some(Event::Timer(text.parse::<u64>().map_err(|_| bad())?))
+                Some(Event::Timer(text.parse::<u64>().map_err(bad)?))
             }
             "ECHO" => Some(Event::Probed {
                 worker: f.small("worker")?,
                 status: status(f)?,
                 load: self.load(f)?,
             }),
-            "MAIL" => {
-                let text = f.need("content")?;
-                let bytes = if text == "-" {
-                    Ok(Vec::new())
-                } else {
-                    STANDARD.decode(text)
-                };
-                let bytes =
-                    bytes.map_err(|_| "MAIL: field 'content' must be base64".to_string())?;
-                // Five bytes for each worker: its id, low byte first, and the slots in flight there.
-                let entry = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), b[4]);
-                let in_flight = bytes.chunks_exact(5).map(entry).collect();
-                Some(Event::Peer {
-                    from: f.small("originPeer")?,
-                    in_flight,
-                })
-            }
+            "MAIL" => Some(peer_event(f)?),
             _ => None,
         })
     }
 
+    fn accept(&mut self, f: &Fields) -> Parse<Option<Event>> {
+        let name = f.need("requestId")?;
+        let request = Request {
+            id: self.next_request,
+            class: self.site.classes.id(f.need("type")?),
+            tenant: match f.text("realm") {
+                Some(name) => self.site.tenants.id(name),
+                None => u32::MAX,
+            },
+            left: f.need_integer("left")?.max(0) as Time,
+            estimate: f.integer("estimate")?.map(|v| v.max(0) as Time),
+            slots: f.number("needs")?.unwrap_or(1.0),
+            memory: f.number("mem")?.unwrap_or(0.0),
+            subject: f.text("subject").and_then(config::subject),
+        };
+        if self.ids.contains_key(name) {
+            return Ok(None);
+        }
+        self.next_request += 1;
+        self.ids.insert(name.to_string(), request.id);
+        let known = KnownRequest {
+            name: name.to_string(),
+            attempts_out: 0,
+            closed: false,
+        };
+        self.requests.insert(request.id, known);
+        Ok(Some(Event::Request(request)))
+    }
+
+    fn hint(&self, f: &Fields) -> Parse<Option<Event>> {
+        let attempt = f.small("trial")?;
+        let (what, level) = (f.need_integer("what")?, f.number("level")?);
+        Ok(self.known(f)?.and_then(|request| match what {
+            1 => Some(Event::Started { request, attempt }),
+            2 => level.map(|done| Event::Progress {
+                request,
+                attempt,
+                done,
+            }),
+            _ => None,
+        }))
+    }
+
+    fn resolved(&mut self, f: &Fields) -> Parse<Option<Event>> {
+        let (attempt, status, closed) = (f.small("trial")?, status(f)?, f.flag("over"));
+        let load = self.load(f)?;
+        let known = self.known(f)?;
+        if let Some(id) = known {
+            self.forget_if_closed(id, closed, 1);
+        }
+        Ok(known.map(|request| Event::Outcome {
+            request,
+            attempt,
+            status,
+            closed,
+            load,
+        }))
+    }
+
     /// Counts an outcome or a closing and forgets a request that can't be named again.
     fn forget_if_closed(&mut self, id: RequestId, closed: bool, results: u32) {
         let Some(r) = self.requests.get_mut(&id) else {
@@ -284,6 +275,22 @@
     }
 }
 
+/// Slots in flight as another scheduler counts them: five bytes for each worker, its id (low byte first) and the slots.
+fn peer_event(f: &Fields) -> Parse<Event> {
+    let bytes = match f.need("content")? {
+        "-" => Vec::new(),
+        text => STANDARD
+            .decode(text)
+            .map_err(|_| "MAIL: field 'content' must be base64".to_string())?,
+    };
+    let entry = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), b[4]);
+    let in_flight = bytes.chunks_exact(5).map(entry).collect();
+    Ok(Event::Peer {
+        from: f.small("originPeer")?,
+        in_flight,
+    })
+}
+
 fn status(f: &Fields) -> Parse<Status> {
     Ok(match f.need("result")? {
         "S" => Status::Ok,
