--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -118,6 +118,15 @@
     }
 }
 
+/// A load report with these slots occupied and free.
+pub fn load(occupied: f64, free: f64) -> Load {
+    Load {
+        inflight: Some(occupied),
+        free_slots: Some(free),
+        ..Load::default()
+    }
+}
+
 /// A dispatcher with its clock, the actions of its last event and the timer that it waits for.
 pub struct Harness {
     /// The dispatcher under test.
@@ -238,6 +247,15 @@
         });
     }
 
+    /// Reports the result of a probe with this load.
+    pub fn probed(&mut self, worker: WorkerId, load: Load) {
+        self.handle(Event::Probed {
+            worker,
+            status: Status::Ok,
+            load: Some(load),
+        });
+    }
+
     /// Advances the clock by this time and fires the timers that become due; returns all actions of that time.
     pub fn advance(&mut self, time: Time) -> Vec<Action> {
         let end = self.now + time;
--- a/crates/decisions/tests/adoption.rs
+++ b/crates/decisions/tests/adoption.rs
@@ -19,9 +19,8 @@
 const ADOPTED: RequestId = 1_000_000;
 
 #[test]
-fn transferred_job_keeps_its_attempts_and_their_effect() {
+fn transferred_unsafe_job_that_is_lost_fails() {
     let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
-    // It must never run twice: lost after the transfer, it fails.
     let mut old = Harness::new(settings(), &workers);
     let mut new = old.successor(settings(), &workers);
     let (id, _) = old.submit(2);
@@ -30,7 +29,14 @@
     new.start(ADOPTED, 0);
     new.end(ADOPTED, 0, Status::Reset);
     assert!(new.is_failed(ADOPTED) && new.sent_to(ADOPTED).is_none());
-    // Safe to repeat: of four attempts two were made before, so two are left.
+}
+
+#[test]
+fn transferred_safe_job_keeps_its_attempts() {
+    let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
+    let mut old = Harness::new(settings(), &workers);
+    let mut new = old.successor(settings(), &workers);
+    // Of four attempts two were made before, so two are left.
     let (id, _) = old.submit(0);
     old.end(id, 0, Status::Error);
     let job = transfer(&mut old, id, &mut new, ADOPTED + 1);
@@ -44,7 +50,14 @@
         job.attempts.iter().all(|t| t.worker != third),
         "not where it has been"
     );
-    // Keyed, dropped inside a cell for three seconds: another attempt only there, and not after that time.
+}
+
+#[test]
+fn transferred_keyed_job_keeps_its_cell_and_the_lifetime_of_its_key() {
+    let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
+    let mut old = Harness::new(settings(), &workers);
+    let mut new = old.successor(settings(), &workers);
+    // Repeats are dropped inside a cell for three seconds: another attempt only there, and not after that time.
     let (id, first) = old.submit(1);
     old.advance(SEC);
     new.advance(SEC);
--- a/crates/decisions/tests/malformed_input.rs
+++ b/crates/decisions/tests/malformed_input.rs
@@ -13,11 +13,6 @@
     }];
     settings.limits.attempts = 0;
     let mut harness = Harness::new(settings, &[]);
-    let odd = |v: f64| Load {
-        inflight: Some(v),
-        free_slots: Some(v),
-        ..Load::default()
-    };
     harness.update_membership(
         Scope::Delta,
         &[Entry {
@@ -27,41 +22,11 @@
             ..entry(1, 0)
         }],
     );
-    for v in [f64::NAN, f64::INFINITY, -5.0, 1e300] {
-        for worker in [1, 99] {
-            harness.handle(Event::Probed {
-                worker,
-                status: Status::Ok,
-                load: Some(odd(v)),
-            });
-        }
-        let r = Request {
-            class: 77,
-            tenant: 0,
-            slots: v,
-            memory: v,
-            left: u64::MAX,
-            ..request(v.to_bits(), 0)
-        };
-        harness.handle(Event::Request(r.clone()));
-        harness.handle(Event::Request(r));
-        harness.handle(Event::Progress {
-            request: v.to_bits(),
-            attempt: 0,
-            done: v,
-        });
+    for value in [f64::NAN, f64::INFINITY, -5.0, 1e300] {
+        handle_impossible_number(&mut harness, value);
     }
     for id in [0, 12345] {
-        harness.handle(Event::Started {
-            request: id,
-            attempt: 9,
-        });
-        harness.handle(Event::Streaming {
-            request: id,
-            attempt: 9,
-        });
-        harness.end(id, 3, Status::Ok);
-        harness.handle(Event::RequestClosed(id));
+        handle_unknown_request(&mut harness, id);
     }
     harness.handle(Event::Timer(424242));
     harness.handle(Event::Peer {
@@ -78,3 +43,39 @@
         "no attempt is allowed here"
     );
 }
+
+/// Loads, a request (twice) and a progress report with a number that cannot be.
+fn handle_impossible_number(harness: &mut Harness, value: f64) {
+    for worker in [1, 99] {
+        harness.probed(worker, load(value, value));
+    }
+    let request = Request {
+        class: 77,
+        tenant: 0,
+        slots: value,
+        memory: value,
+        left: u64::MAX,
+        ..request(value.to_bits(), 0)
+    };
+    harness.handle(Event::Request(request.clone()));
+    harness.handle(Event::Request(request));
+    harness.handle(Event::Progress {
+        request: value.to_bits(),
+        attempt: 0,
+        done: value,
+    });
+}
+
+/// Events of attempts that never were.
+fn handle_unknown_request(harness: &mut Harness, id: RequestId) {
+    harness.handle(Event::Started {
+        request: id,
+        attempt: 9,
+    });
+    harness.handle(Event::Streaming {
+        request: id,
+        attempt: 9,
+    });
+    harness.end(id, 3, Status::Ok);
+    harness.handle(Event::RequestClosed(id));
+}
--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -91,20 +91,21 @@
     );
 }
 
+fn draining(worker: WorkerId) -> Entry {
+    Entry {
+        state: WorkerState::Draining,
+        ..entry(worker, 0)
+    }
+}
+
+fn closed(harness: &Harness, worker: WorkerId) -> usize {
+    let is_closed = |action: &&Action| **action == Action::Disconnect { worker };
+    harness.actions.iter().filter(is_closed).count()
+}
+
 /// Found as: 'an idle connection was still open 0.81 s after this instance was told that it drains'.
 #[test]
 fn idle_connections_to_a_draining_worker_are_closed_at_notice_and_after_each_end() {
-    let draining = |w| Entry {
-        state: WorkerState::Draining,
-        ..entry(w, 0)
-    };
-    let closed = |harness: &Harness, w| {
-        harness
-            .actions
-            .iter()
-            .filter(|a| **a == Action::Disconnect { worker: w })
-            .count()
-    };
     for (scope, entries) in [
         (Scope::Delta, vec![draining(1)]),
         (Scope::Full, vec![draining(1)]),
@@ -145,7 +146,10 @@
         });
         assert_eq!(closed(&harness, 1), 1, "and after a probe");
     }
-    // Where it is not asked, or the worker was never used, nothing is closed.
+}
+
+#[test]
+fn no_connection_is_closed_without_the_rule_or_to_an_unused_worker() {
     for (close_idle_within, used) in [(None, true), (Some(0), false)] {
         let mut settings = settings();
         settings.rules.close_idle_within = close_idle_within;
--- a/crates/decisions/tests/observations.rs
+++ b/crates/decisions/tests/observations.rs
@@ -114,16 +114,7 @@
         "{:?}",
         harness.actions
     );
-    let load = Some(Load {
-        inflight: Some(0.0),
-        free_slots: Some(4.0),
-        ..Load::default()
-    });
-    harness.handle(Event::Probed {
-        worker: 1,
-        status: Status::Ok,
-        load,
-    });
+    harness.probed(1, load(0.0, 4.0));
     for _ in 0..3 {
         assert_eq!(harness.submit(0).1, Some(1));
     }
@@ -214,16 +205,7 @@
     assert_eq!((probed.len(), worker), (3, None));
     for (worker, free) in [(1, 0.0), (2, 2.0), (3, 1.0)] {
         assert_eq!(harness.sent_to(id), None);
-        let load = Some(Load {
-            inflight: Some(2.0 - free),
-            free_slots: Some(free),
-            ..Load::default()
-        });
-        harness.handle(Event::Probed {
-            worker,
-            status: Status::Ok,
-            load,
-        });
+        harness.probed(worker, load(2.0 - free, free));
     }
     assert_eq!(
         harness.sent_to(id),
@@ -247,68 +229,51 @@
 /// as if requests were short.
 #[test]
 fn long_run_times_shorten_the_probe_interval() {
-    let probes = |run: Time, dispatchers: u32| {
-        let mut settings = Settings {
-            dispatchers,
-            ..settings()
-        };
-        settings.reports = Reports::OnProbe;
-        settings.charges.probe = 0.0002;
-        let mut harness = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-        let mut count = 0;
-        for _ in 0..40 {
-            let (id, _) = harness.submit(0);
-            let mut actions = harness.actions.clone();
-            for worker in 1..4 {
-                let load = Some(Load {
-                    inflight: Some(0.0),
-                    free_slots: Some(2.0),
-                    ..Load::default()
-                });
-                harness.handle(Event::Probed {
-                    worker,
-                    status: Status::Ok,
-                    load,
-                });
-                actions.append(&mut harness.actions);
-            }
-            count += actions
-                .iter()
-                .filter(|a| matches!(a, Action::Probe { .. }))
-                .count();
-            harness.advance(run);
-            harness.start(id, 0);
-            harness.advance(run);
-            harness.end(id, 0, Status::Ok);
-        }
-        // From here only the time since the last report counts.
-        harness.submit(0);
-        let before = count;
-        harness.advance(5 * SEC);
-        harness.submit(0);
+    assert_eq!(probes_after_recent_load(50 * MS, 40), 0);
+    assert!(probes_after_recent_load(SEC, 40) > 0);
+    assert_eq!(
+        probes_after_recent_load(SEC, 2),
+        0,
+        "own requests show most of what happens"
+    );
+}
+
+fn count_probes(actions: &[Action]) -> usize {
+    let is_probe = |action: &&Action| matches!(action, Action::Probe { .. });
+    actions.iter().filter(is_probe).count()
+}
+
+/// Probes 0.7 s after the last load reports, once requests have been observed to run for `run`.
+fn probes_after_recent_load(run: Time, dispatchers: u32) -> usize {
+    let mut settings = Settings {
+        dispatchers,
+        reports: Reports::OnProbe,
+        ..settings()
+    };
+    settings.charges.probe = 0.0002;
+    let mut harness = Harness::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let mut probes = 0;
+    for _ in 0..40 {
+        let (id, _) = harness.submit(0);
+        probes += count_probes(&harness.actions);
         for worker in 1..4 {
-            let load = Some(Load {
-                inflight: Some(0.0),
-                free_slots: Some(2.0),
-                ..Load::default()
-            });
-            harness.handle(Event::Probed {
-                worker,
-                status: Status::Ok,
-                load,
-            });
+            harness.probed(worker, load(0.0, 2.0));
+            probes += count_probes(&harness.actions);
         }
-        harness.advance(700 * MS);
-        harness.submit(0);
-        let reprobes = harness
-            .actions
-            .iter()
-            .filter(|a| matches!(a, Action::Probe { .. }))
-            .count();
-        assert!(before > 0);
-        reprobes
-    };
-    assert_eq!(probes(50 * MS, 40), 0);
-    assert!(probes(SEC, 40) > 0);
-    assert_eq!(probes(SEC, 2), 0, "own requests show most of what happens");
+        harness.advance(run);
+        harness.start(id, 0);
+        harness.advance(run);
+        harness.end(id, 0, Status::Ok);
+    }
+    assert!(probes > 0);
+    // From here only the time since the last report counts.
+    harness.submit(0);
+    harness.advance(5 * SEC);
+    harness.submit(0);
+    for worker in 1..4 {
+        harness.probed(worker, load(0.0, 2.0));
+    }
+    harness.advance(700 * MS);
+    harness.submit(0);
+    count_probes(&harness.actions)
 }
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -362,27 +362,10 @@
                 }
             }
             Step::Pass(time) => self.advance(time),
-            Step::Drain(w) => self.update_entry(Entry {
-                state: WorkerState::Draining,
-                ..self.entries_by_worker[&w].clone()
-            }),
-            Step::Drop(w) => self.update_entry(Entry {
-                state: WorkerState::Left,
-                ..self.entries_by_worker[&w].clone()
-            }),
-            Step::Return(w) => self.update_entry(Entry {
-                state: WorkerState::Active,
-                ..self.entries_by_worker[&w].clone()
-            }),
-            Step::Restart(w) => {
-                let ready_at = self.harness.now;
-                self.warm_up_sends.remove(&w);
-                self.update_entry(Entry {
-                    state: WorkerState::Active,
-                    ready_at,
-                    ..self.entries_by_worker[&w].clone()
-                });
-            }
+            Step::Drain(worker) => self.set_state(worker, WorkerState::Draining),
+            Step::Drop(worker) => self.set_state(worker, WorkerState::Left),
+            Step::Return(worker) => self.set_state(worker, WorkerState::Active),
+            Step::Restart(worker) => self.restart(worker),
             Step::FullMembership => {
                 let active = |e: &&Entry| e.state == WorkerState::Active;
                 let entries: Vec<_> = self
@@ -418,6 +401,23 @@
         }
     }
 
+    fn set_state(&mut self, worker: WorkerId, state: WorkerState) {
+        self.update_entry(Entry {
+            state,
+            ..self.entries_by_worker[&worker].clone()
+        });
+    }
+
+    fn restart(&mut self, worker: WorkerId) {
+        let ready_at = self.harness.now;
+        self.warm_up_sends.remove(&worker);
+        self.update_entry(Entry {
+            state: WorkerState::Active,
+            ready_at,
+            ..self.entries_by_worker[&worker].clone()
+        });
+    }
+
     fn submit(&mut self, class: u32, left: Time, slots: f64) {
         let id = self.next;
         self.next += 1;
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -288,14 +288,14 @@
     }
 }
 
+fn known_statistics() -> Statistics<String> {
+    let known = experienced(&[entry(1, 0), entry(2, 1)]);
+    named(known.dispatcher.statistics(130 * SEC))
+}
+
 #[test]
 fn unreadable_statistics_are_rejected_with_a_reason() {
-    let statistics = named(
-        experienced(&[entry(1, 0), entry(2, 1)])
-            .dispatcher
-            .statistics(130 * SEC),
-    );
-    let form = statistics.write().expect("short");
+    let form = known_statistics().write().expect("short");
     let with = |at: usize, byte: u8| {
         let mut other = form.clone();
         other[at] = byte;
@@ -324,13 +324,18 @@
         Statistics::read(&vec![0; LENGTH_MAX_BYTES + 1]),
         Err(ReadError::Length(_))
     ));
-    // Whole, with the right checksum, and still not possible.
+}
+
+/// The form is complete and has the right checksum.
+#[test]
+fn statistics_with_an_impossible_number_are_rejected_with_a_reason() {
+    let statistics = known_statistics();
     let refused = |change: &dyn Fn(&mut Statistics<String>)| {
         let mut other = statistics.clone();
         change(&mut other);
         let form = other.write().expect("short");
         Statistics::read(&form)
-            .expect_err("no such figure")
+            .expect_err("no such number")
             .to_string()
     };
     assert_eq!(
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -159,30 +159,11 @@
 #[test]
 fn three_hundred_dispatchers_keep_a_worker_in_warm_up_within_its_budget() {
     let (rules, run, step) = (settings().rules, 100 * MS, 20 * MS);
+    let ready_at = 110 * SEC;
     let mut sends: Vec<Time> = Vec::new();
-    let mut ready_at = 0;
     for me in 0..300 {
-        let settings = Settings {
-            dispatchers: 300,
-            me,
-            reports: Reports::OnProbe,
-            ..settings()
-        };
-        let mut harness = Harness::new(settings, &[entry(1, 0)]);
-        let load = Some(Load {
-            inflight: Some(0.0),
-            free_slots: Some(7.0),
-            ..Load::default()
-        });
-        harness.handle(Event::Probed {
-            worker: 1,
-            status: Status::Ok,
-            load,
-        });
-        for _ in 0..30 {
-            harness.serve(2, |_| run);
-        }
-        (harness.now, ready_at) = (110 * SEC, 110 * SEC);
+        let mut harness = one_of_three_hundred(me, run);
+        harness.now = ready_at;
         harness.update_membership(
             Scope::Full,
             &[Entry {
@@ -191,11 +172,12 @@
             }],
         );
         // Each releases its slot at once, so that only the budget limits.
+        let until = ready_at + 4 * SEC;
         sends.extend(sends_to_third(
             &mut harness,
             (2, Status::Cancelled),
             step,
-            ready_at + 4 * SEC,
+            until,
         ));
     }
     let budget = |at: Time| {
@@ -219,3 +201,19 @@
         sends.len()
     );
 }
+
+/// A dispatcher that has observed workers with seven slots, and requests that run for `run`.
+fn one_of_three_hundred(me: u32, run: Time) -> Harness {
+    let settings = Settings {
+        dispatchers: 300,
+        me,
+        reports: Reports::OnProbe,
+        ..settings()
+    };
+    let mut harness = Harness::new(settings, &[entry(1, 0)]);
+    harness.probed(1, load(0.0, 7.0));
+    for _ in 0..30 {
+        harness.serve(2, |_| run);
+    }
+    harness
+}
