--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -6,9 +6,10 @@
 //! clock, does no I/O and draws from a seeded generator.
 //!
 //! [`Dispatcher`] holds the state. The files beside this one each hold one concern of it: `admission` (accept, queue,
-//! answer), `attempts` (send, start, end), `sampling`, `load` and `draw` (which worker), `warm_up` (workers that have
-//! just started), `health` (ejection), `stragglers` (attempts that hang), `observations` (reports, probes, peers),
-//! `membership` (the list), `statistics_merge`, `adoption` and `reconfigure` (another process or other settings).
+//! answer), `attempts` (send, start, end), `retry_budget`, `sampling`, `load` and `draw` (which worker), `warm_up`
+//! (workers that have just started), `health` (ejection), `stragglers` (attempts that hang), `observations` (reports,
+//! probes, peers), `membership` (the list), `statistics_merge`, `adoption` and `reconfigure` (another process or
+//! other settings).
 
 mod admission;
 mod adoption;
@@ -20,6 +21,7 @@
 mod membership;
 mod observations;
 mod reconfigure;
+mod retry_budget;
 mod sampling;
 mod state;
 mod statistics_merge;
@@ -35,6 +37,7 @@
 use crate::statistics::{Demand, LateStartRate};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use retry_budget::RetryHistory;
 use state::{AttemptId, ClassStats, Kind, MembershipRequest, OpenRequest, QueueIndex, Worker};
 pub use statistics_merge::WorkerCounts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -95,10 +98,8 @@
     /// Recent fraction of attempts rejected for lack of capacity.
     rejection_rate: f64,
     membership_request: MembershipRequest,
-    /// When requests were accepted, in the window of the retry budget.
-    accepted_at: VecDeque<Time>,
-    /// When attempts beyond a request's first were made, in the same window.
-    retried_at: VecDeque<Time>,
+    /// What the retry budget has been used for.
+    retries: RetryHistory,
 }
 
 impl Dispatcher {
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -21,8 +21,8 @@
         let open = self.open_request(now, request);
         let work = self.work(open.class, open.estimate);
         let (class, over_quota, slots) = (open.class, open.over_quota, open.slots);
-        self.accepted_at
-            .extend(self.settings.rules.resends.map(|_| now));
+        self.retries
+            .record_accepted(now, self.settings.rules.resends);
         self.open.insert(id, open);
         if self.is_displaced(class, over_quota, work, slots) {
             return self.answer(now, id, out);
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -93,8 +93,8 @@
             });
             self.unstarted_count += 1;
         }
-        if attempt > 0 && self.settings.rules.resends.is_some() {
-            self.retried_at.push_back(now);
+        if attempt > 0 {
+            self.retries.record_retry(now, self.settings.rules.resends);
         }
         worker.own_slots += open.slots;
         self.busy.insert(index);
@@ -147,19 +147,7 @@
 
     /// Attempts beyond a request's first that their budget has left in the window that ends now.
     pub(super) fn retries_left(&mut self, now: Time) -> f64 {
-        let Some(budget) = self.settings.rules.resends else {
-            return f64::INFINITY;
-        };
-        let from = |or: Time| {
-            budget
-                .window
-                .map_or(or, |window| now.saturating_sub(window))
-        };
-        let accepted_before = self.accepted_at.partition_point(|at| *at <= from(now));
-        self.accepted_at.drain(..accepted_before);
-        let retried_before = self.retried_at.partition_point(|at| *at < from(0));
-        self.retried_at.drain(..retried_before);
-        budget.free + budget.ratio * self.accepted_at.len() as f64 - self.retried_at.len() as f64
+        self.retries.left(now, self.settings.rules.resends)
     }
 
     /// Whether the class's effect permits a further attempt on this worker.
@@ -294,7 +282,7 @@
         let has_affinity = open.affinity.is_some();
         let slots = if ended.timed_out { 0.0 } else { open.slots };
         if status == Status::Moot && id.attempt > 0 {
-            self.take_back_retry(ended.sent);
+            self.retries.take_back(ended.sent);
         }
         let fetched = ended
             .started
@@ -325,13 +313,6 @@
         runs::learn(speed, run_time, &mut self.run_times, estimate, run);
     }
 
-    /// Returns an attempt that was never made to the retry budget.
-    fn take_back_retry(&mut self, sent: Time) {
-        if let Ok(position) = self.retried_at.binary_search(&sent) {
-            self.retried_at.remove(position);
-        }
-    }
-
     /// Updates the health of the worker, or the trust in idle connections, by the result of an attempt.
     fn learn_from_status(&mut self, now: Time, ended: &Attempt, status: Status) {
         let was_idle = ended.connection_idle > 0;
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -56,10 +56,6 @@
         };
         let kinds = 0..self.kinds.len();
         let tenants = (0..).map_while(|tenant| Some((tenant, self.arrivals.fraction(tenant)?)));
-        let retried_from = self
-            .retried_at
-            .len()
-            .saturating_sub(statistics::RETRIED_MAX);
         Statistics {
             at: now,
             kinds: kinds
@@ -74,7 +70,7 @@
                 .map(|worker| (worker.listed.worker, worker.statistics()))
                 .collect(),
             in_flight: self.slots_in_flight(),
-            retried_at: self.retried_at.iter().skip(retried_from).copied().collect(),
+            retried_at: self.retries.latest(statistics::RETRIED_MAX),
             pace: Some(self.pace(now)),
         }
     }
@@ -132,7 +128,9 @@
         let slots = |(id, slots): &(u32, f64)| (*id, slots.round().min(SLOTS_REPORTED_MAX) as u8);
         let in_flight: Vec<_> = other.in_flight.iter().map(slots).collect();
         self.handle_peer_update(other.at.min(now), self.settings.me, &in_flight);
-        self.merge_retries(now, other.retried_at);
+        if self.settings.rules.resends.is_some() {
+            self.retries.merge(now, other.retried_at);
+        }
         let has_more_samples = |pace: &Pace| pace.run_times.0 * run_weight > self.run_times.0;
         if let Some(pace) = other.pace.filter(has_more_samples) {
             self.take_pace(now, &pace, run_weight, pace_weight);
@@ -177,17 +175,6 @@
         }
     }
 
-    /// Statistics may be merged twice: retries that are known already count once.
-    fn merge_retries(&mut self, now: Time, retried_at: Vec<Time>) {
-        if self.settings.rules.resends.is_none() {
-            return;
-        }
-        let is_new = |at: &Time| *at <= now && self.retried_at.binary_search(at).is_err();
-        let new: Vec<Time> = retried_at.into_iter().filter(is_new).collect();
-        self.retried_at.extend(new);
-        self.retried_at.make_contiguous().sort_unstable();
-    }
-
     fn take_pace(&mut self, now: Time, pace: &Pace, run_weight: f64, pace_weight: f64) {
         self.run_times = (pace.run_times.0 * run_weight, pace.run_times.1 * run_weight);
         self.fetches = pace.fetches.faded(run_weight);
