--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -6,10 +6,10 @@
 //! clock, does no I/O and draws from a seeded generator.
 //!
 //! [`Dispatcher`] holds the state. The files beside this one each hold one concern of it: `admission` (accept, queue,
-//! answer), `attempts` (send, start, end), `retry_budget`, `sampling`, `load` and `draw` (which worker), `warm_up`
-//! (workers that have just started), `health` (ejection), `stragglers` (attempts that hang), `observations` (reports,
-//! probes, peers), `membership` (the list), `statistics_merge`, `adoption` and `reconfigure` (another process or
-//! other settings).
+//! answer), `attempts` (send, start, end), `retry_budget`, `sampling`, `load`, `draw` and `zone_preference` (which
+//! worker), `warm_up` (workers that have just started), `health` (ejection), `stragglers` (attempts that hang),
+//! `observations` (reports, probes, peers), `membership` (the list), `statistics_merge`, `adoption` and `reconfigure`
+//! (another process or other settings).
 
 mod admission;
 mod adoption;
@@ -28,13 +28,14 @@
 mod stragglers;
 mod tuning;
 mod warm_up;
+mod zone_preference;
 
 use crate::affinity::{Fetches, SmoothedWeights};
 use crate::api::{Action, Class, Event, Load, RequestId, Settings, Status, Time, WorkerId};
 use crate::arrivals::Arrivals;
 use crate::runs::Sum;
 pub use crate::solve::solve;
-use crate::statistics::{Demand, LateStartRate};
+use crate::statistics::Demand;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use retry_budget::RetryHistory;
@@ -42,6 +43,7 @@
 pub use statistics_merge::WorkerCounts;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tuning::{IDLE_GROWTH, MEMBERSHIP_BACKOFF_FIRST, SOLVE_TICKS, TICK_GRANULARITIES, TICK_MIN};
+use zone_preference::ZonePreference;
 
 /// One dispatcher: keeps what its own events have shown, and decides where requests go.
 #[derive(Default)]
@@ -87,10 +89,7 @@
     last_peer_update: Vec<(WorkerId, u8)>,
     /// Name of the timer that is live.
     timer: u64,
-    /// Fraction of requests that prefer workers of the own zone.
-    home_preference: f64,
-    /// Recent fractions of late starts.
-    late_start_rate: LateStartRate,
+    zone_preference: ZonePreference,
     /// Connections idle for longer than this are not trusted.
     trusted_idle: f64,
     /// Recent value and work of the requests.
@@ -118,7 +117,6 @@
             // Finite, and cut to the number of workers by the first start.
             wait_window: f64::MAX,
             arrivals: Arrivals::new(tenants, now),
-            home_preference: 1.0,
             trusted_idle: f64::MAX,
             membership_request: MembershipRequest {
                 due: if settings.membership_pushed {
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -7,7 +7,6 @@
 };
 use crate::api::Time;
 use crate::solve::solve;
-use crate::statistics::LateStartRate;
 use std::collections::BTreeSet;
 
 /// Least capacity that arrivals are divided by.
@@ -65,7 +64,7 @@
                 worker.active && self.is_home(worker) == locality.is_home
             };
             let pool: Vec<usize> = self.index.values().copied().filter(is_in).collect();
-            if locality.is_home && self.late_start_rate == LateStartRate::default() {
+            if locality.is_home && self.zone_preference.is_unobserved() {
                 self.assume_home_preference(pool.len());
             }
             let fraction = self.preferred_fraction(&pool);
@@ -84,7 +83,7 @@
             .collect();
         let of_all = (at_home * zones.len()) as f64;
         let preference = of_all / INITIAL_ZONE_LOAD / self.workers.len() as f64;
-        self.home_preference = preference.min(1.0);
+        self.zone_preference.assume(preference);
     }
 
     /// Fraction of these workers that the own traffic loads to [`PREFERRED_LOAD`].
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use super::state::Worker;
-use super::tuning::{CROSSING_LATE_STARTS, LATE_STEP, WAIT_LOAD, WINDOW_DECREASE, group};
+use super::tuning::{WAIT_LOAD, WINDOW_DECREASE, group};
 use crate::api::Time;
 use crate::runs::fresh;
 use crate::statistics::LateStartRate;
@@ -56,7 +56,7 @@
     /// Slots that others occupy, by the last load update. Without a recent one they are estimated by the rate of late
     /// starts.
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
-        let LateStartRate { away, home } = self.late_start_rate;
+        let LateStartRate { away, home } = self.zone_preference.late_starts();
         let at_large = away.max(home) * self.slots(worker);
         let recency = worker.load_updated_at.map_or(0.0, |at| fresh(now, at));
         let expected = worker.others_slots * recency + at_large * (1.0 - recency);
@@ -97,10 +97,7 @@
         };
         self.wait_window = (self.wait_window + change).clamp(1.0, self.workers.len() as f64);
         let is_home = self.is_home(&self.workers[index]);
-        let fraction = self.late_start_rate.of_zone(is_home);
-        *fraction += LATE_STEP * (f64::from(u8::from(is_late)) - *fraction);
-        let LateStartRate { away, home } = self.late_start_rate;
-        let gain = home - away - CROSSING_LATE_STARTS * self.settings.charges.cross_zone;
-        self.home_preference = (self.home_preference - LATE_STEP * gain).clamp(0.0, 1.0);
+        self.zone_preference
+            .record_start(is_home, is_late, self.settings.charges.cross_zone);
     }
 }
--- a/crates/decisions/src/dispatcher/sampling.rs
+++ b/crates/decisions/src/dispatcher/sampling.rs
@@ -62,7 +62,7 @@
     /// Draws a kind by the solved p_k and samples d of its workers: those with a free slot first, by tiers.
     pub(super) fn sample(&mut self, now: Time, id: RequestId) -> Vec<usize> {
         let mut rng = self.rng.clone();
-        let prefers_home = unit(&mut rng) < self.home_preference;
+        let prefers_home = unit(&mut rng) < self.zone_preference.home();
         let Some(open) = self.open.get(&id) else {
             return Vec::new();
         };
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -91,8 +91,8 @@
             run_times: self.run_times,
             fetches: self.fetches,
             arrivals: self.arrivals.rates(now),
-            home_preference: self.home_preference,
-            late_start_rate: self.late_start_rate,
+            home_preference: self.zone_preference.home(),
+            late_start_rate: self.zone_preference.late_starts(),
             wait_window: self.wait_window.min(statistics::UNLIMITED),
             trusted_idle: self.trusted_idle.min(statistics::UNLIMITED),
             demand: self.demand,
@@ -179,8 +179,8 @@
         self.run_times = (pace.run_times.0 * run_weight, pace.run_times.1 * run_weight);
         self.fetches = pace.fetches.faded(run_weight);
         self.arrivals.resume(now, pace.arrivals, pace_weight);
-        self.home_preference = 1.0 - (1.0 - pace.home_preference) * pace_weight;
-        self.late_start_rate = pace.late_start_rate.faded(pace_weight);
+        self.zone_preference
+            .resume(pace.home_preference, pace.late_start_rate, pace_weight);
         self.rejection_rate = pace.rejection_rate * pace_weight;
         self.demand = pace.demand;
         self.trusted_idle = self.trusted_idle.min(pace.trusted_idle);
--- /dev/null
+++ b/crates/decisions/src/dispatcher/zone_preference.rs
@@ -0,0 +1,59 @@
+//! How strongly requests prefer workers of the own zone: adapted by late starts there and elsewhere.
+
+use super::tuning::{CROSSING_LATE_STARTS, LATE_STEP};
+use crate::statistics::LateStartRate;
+
+/// The preference for the own zone, and the rates of late starts that it follows.
+pub(super) struct ZonePreference {
+    /// Fraction of requests that prefer workers of the own zone.
+    home: f64,
+    /// Recent fractions of late starts.
+    late_starts: LateStartRate,
+}
+
+impl Default for ZonePreference {
+    /// Every request prefers its own zone; no start has been observed.
+    fn default() -> Self {
+        ZonePreference {
+            home: 1.0,
+            late_starts: LateStartRate::default(),
+        }
+    }
+}
+
+impl ZonePreference {
+    /// Fraction of requests that prefer workers of the own zone.
+    pub fn home(&self) -> f64 {
+        self.home
+    }
+
+    /// Recent fractions of late starts.
+    pub fn late_starts(&self) -> LateStartRate {
+        self.late_starts
+    }
+
+    /// Whether no late start counts yet.
+    pub fn is_unobserved(&self) -> bool {
+        self.late_starts == LateStartRate::default()
+    }
+
+    /// Sets the preference until starts have been observed.
+    pub fn assume(&mut self, home: f64) {
+        self.home = home.min(1.0);
+    }
+
+    /// Adapts the preference to a prompt or a late start, where crossing zones has this price.
+    pub fn record_start(&mut self, is_home: bool, is_late: bool, crossing_price: f64) {
+        let fraction = self.late_starts.of_zone(is_home);
+        *fraction += LATE_STEP * (f64::from(u8::from(is_late)) - *fraction);
+        let LateStartRate { away, home } = self.late_starts;
+        let gain = home - away - CROSSING_LATE_STARTS * crossing_price;
+        self.home = (self.home - LATE_STEP * gain).clamp(0.0, 1.0);
+    }
+
+    /// Continues from the values of another dispatcher, at this fraction of their weight.
+    pub fn resume(&mut self, home: f64, late_starts: LateStartRate, keep: f64) {
+        self.home = 1.0 - (1.0 - home) * keep;
+        self.late_starts = late_starts.faded(keep);
+    }
+}
