--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -241,8 +241,12 @@
         mut tenant: impl FnMut(&N) -> Option<M>,
         mut worker: impl FnMut(&N) -> Option<M>,
     ) -> Statistics<M> {
-        fn map<N, M, T>(list: Vec<(N, T)>, name: &mut impl FnMut(&N) -> Option<M>) -> Vec<(M, T)> {
-            list.into_iter()
+        fn map<N, M, T>(
+            entries: Vec<(N, T)>,
+            name: &mut impl FnMut(&N) -> Option<M>,
+        ) -> Vec<(M, T)> {
+            entries
+                .into_iter()
                 .filter_map(|(n, value)| Some((name(&n)?, value)))
                 .collect()
         }
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -274,7 +274,7 @@
 
 /// One tenant's traffic beyond its quota must not take the slots of all others.
 #[test]
-fn traffic_beyond_quota_is_shed_while_workers_reject() {
+fn traffic_beyond_quota_is_rejected_first_while_workers_reject() {
     let served = |rejecting: bool| {
         let mut settings = Settings {
             over_quota_value: 0.05,
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -22,7 +22,7 @@
 /// Workers look free to each of many dispatchers at once: where starts come late or workers reject, few own requests
 /// may wait in their queues, however many preferred workers hold none of them.
 #[test]
-fn wait_window_limits_requests_at_workers_that_look_free() {
+fn wait_window_limits_requests_at_workers_that_seem_free() {
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
     let mut harness = Harness::new(
         Settings {
@@ -93,7 +93,7 @@
 
 /// The wait window must stay a number at a late first start; else nothing would ever be queued at workers again.
 #[test]
-fn late_first_start_leaves_a_finite_wait_window() {
+fn late_first_start_keeps_the_wait_window_finite() {
     let mut harness = Harness::new(settings(), &[entry(1, 0)]);
     harness.serve(0, |_| 100 * MS);
     let (id, _) = harness.submit(0);
--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn membership_is_requested_again_after_a_failure_with_backoff() {
+fn failed_membership_request_is_retried_with_backoff() {
     let mut settings = settings();
     settings.membership_pushed = false;
     let mut harness = Harness::new(settings, &[entry(1, 0)]);
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn started_attempt_is_not_moved_and_the_retry_budget_holds() {
+fn started_attempt_is_not_moved_and_the_retry_budget_is_kept() {
     let two = [entry(1, 0), entry(3, 0)];
     let mut harness = Harness::new(site(false, true), &two);
     let (id, _) = harness.submit(0);
@@ -103,7 +103,7 @@
 /// Forty dispatchers without updates from each other, two workers, one of which starts nothing: no request is left
 /// there.
 #[test]
-fn no_dispatcher_leaves_a_request_in_a_stalled_queue() {
+fn every_dispatcher_moves_its_requests_out_of_a_stalled_queue() {
     let mut moved = 0;
     for me in 0..40 {
         let mut harness = Harness::new(
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -397,7 +397,7 @@
                 self.harness.update_membership(Scope::Failed, &[]);
                 self.check();
             }
-            Step::ClientLeaves(n) => self.close_request(n),
+            Step::ClientDisconnects(n) => self.close_request(n),
         }
     }
 
--- a/crates/decisions/tests/rules/main.rs
+++ b/crates/decisions/tests/rules/main.rs
@@ -66,7 +66,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn rules_hold_for_random_event_sequences(settings in any_settings(), optional_rules in any_optional_rules(), steps in prop::collection::vec(step(), 1..200)) {
+    fn rules_are_kept_for_random_event_sequences(settings in any_settings(), optional_rules in any_optional_rules(), steps in prop::collection::vec(step(), 1..200)) {
         let mut settings = settings;
         (settings.rules.resends, settings.rules.close_idle_within, settings.rules.full_may_have_run) = optional_rules;
         let mut checker = Checker::new(settings);
--- a/crates/decisions/tests/rules/steps.rs
+++ b/crates/decisions/tests/rules/steps.rs
@@ -23,7 +23,7 @@
     Return(u32),
     FullMembership,
     MembershipFails,
-    ClientLeaves(usize),
+    ClientDisconnects(usize),
     /// The dispatcher is paused: timers due meanwhile fire late, all at the same time.
     Stall(Time),
     Crash,
@@ -48,7 +48,7 @@
         2 => (0u32..6).prop_map(Step::Return),
         1 => Just(Step::FullMembership),
         1 => Just(Step::MembershipFails),
-        1 => (0usize..50).prop_map(Step::ClientLeaves),
+        1 => (0usize..50).prop_map(Step::ClientDisconnects),
         1 => (MS..400 * MS).prop_map(Step::Stall),
         1 => Just(Step::Crash),
         1 => (0u32..6).prop_map(Step::Probe),
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn worker_in_warm_up_gets_at_most_this_dispatchers_part_of_its_budget() {
+fn worker_in_warm_up_gets_at_most_this_dispatchers_fraction_of_its_budget() {
     let mut settings = settings();
     settings.dispatchers = 3;
     let rules = settings.rules.clone();
@@ -124,7 +124,7 @@
 
 /// Dispatchers that do not prefer the worker would never spend their part of its budget.
 #[test]
-fn worker_in_warm_up_is_preferred_by_dispatchers_with_a_part_of_its_budget() {
+fn worker_in_warm_up_is_preferred_by_dispatchers_with_a_fraction_of_its_budget() {
     let now = 100 * SEC;
     let warming = |i| Entry {
         ready_at: if i == 60 { now } else { 0 },
