--- a/crates/indigofold/src/front/platform/machines.rs
+++ b/crates/indigofold/src/front/platform/machines.rs
@@ -242,8 +242,14 @@
 
     /// How long the next call is put off: at random, so that all come one after another.
     fn put_off(&mut self, step: Step) -> Duration {
-        let list_refresh_within =
-            Duration::from_micros(self.front.site.borrow().settings.rules.membership_refresh_within);
+        let list_refresh_within = Duration::from_micros(
+            self.front
+                .site
+                .borrow()
+                .settings
+                .rules
+                .membership_refresh_within,
+        );
         let spread = spread(step, self.schedulers(), self.failed, list_refresh_within);
         let spread = spread.min(retry_within(self.failed_at.map(|at| at.elapsed())));
         // A process that is to replace another has some seconds to be ready, and few do so at once.
