--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -265,11 +265,7 @@
         status: Status,
         load: Option<Load>,
     ) -> Option<usize> {
-        let never_ran = match status {
-            Status::Full => !self.settings.rules.full_may_have_run,
-            Status::ConnectFailed | Status::Moot => true,
-            _ => false,
-        };
+        let never_ran = self.never_ran(status);
         let open = self.open.get_mut(&id.request)?;
         let attempt = open
             .attempts
@@ -305,6 +301,17 @@
         Some(ended.worker)
     }
 
+    /// Whether an attempt with this result cannot have taken effect.
+    fn never_ran(&self, status: Status) -> bool {
+        match status {
+            Status::Full => !self.settings.rules.full_may_have_run,
+            Status::ConnectFailed | Status::Moot => true,
+            Status::Ok | Status::Error | Status::Timeout | Status::Reset | Status::Cancelled => {
+                false
+            }
+        }
+    }
+
     /// Updates the run times of a class and the speed of a worker's kind by one run.
     fn learn_run_time(&mut self, index: usize, class: usize, estimate: Option<Time>, run: Time) {
         let kind = self.workers[index].kind;
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -346,7 +346,7 @@
         self.check();
     }
 
-    /// Performs one step and checks the actions that follow.
+    /// Performs one step and checks the actions that follow. One arm for each step, hence its length.
     pub fn run(&mut self, step: Step) {
         match step {
             Step::Submit { class, left, slots } => self.submit(class, left, slots),
