--- a/crates/indigofold/src/core/actor.rs
+++ b/crates/indigofold/src/core/actor.rs
@@ -106,10 +106,10 @@
         let [served, rejected, failed] = self.metrics.all();
         let sums = [served, rejected, failed, self.metrics.clients_left.get()];
         let logged = std::mem::replace(&mut self.logged, sums);
-        let [served, rejected, failed, gone] = [0, 1, 2, 3].map(|n| sums[n] - logged[n]);
+        let [served, rejected, failed, clients_left] = [0, 1, 2, 3].map(|n| sums[n] - logged[n]);
         let (jobs, mean) = (self.engine.jobs(), sum / count.max(1));
         self.transport.log_event(&format!(
-            "jobs={jobs} served={served} requeued={rejected} failed={failed} gone={gone} \
+            "jobs={jobs} served={served} requeued={rejected} failed={failed} gone={clients_left} \
              timer_late_us_mean={mean} timer_late_us_most={most}"
         ));
     }
--- a/crates/indigofold/src/front/faktory/machine.rs
+++ b/crates/indigofold/src/front/faktory/machine.rs
@@ -136,23 +136,8 @@
             Order::Connected(wid, start, link) => {
                 self.worker_connected(now, wid, start, link).await
             }
-            Order::Disconnected(wid, link) => {
-                self.fetches.retain(|f| f.link != link);
-                let Some(p) = self.processes.get_mut(&wid) else {
-                    return;
-                };
-                if p.links.remove(&link) && p.links.is_empty() {
-                    p.link_by = Some(now + self.front.file.reconnect_within);
-                }
-            }
-            Order::Heartbeat(wid, quiet) => {
-                let Some(p) = self.processes.get_mut(&wid) else {
-                    return;
-                };
-                (p.heartbeat_by, p.quiet, p.unresponsive) =
-                    (now + self.front.file.heartbeat_timeout, quiet, false);
-                self.publish_state().await;
-            }
+            Order::Disconnected(wid, link) => self.worker_disconnected(now, &wid, link),
+            Order::Heartbeat(wid, quiet) => self.heartbeat(now, &wid, quiet).await,
             Order::Fetch(link, wid, queues, to) => {
                 self.fetches.push_back(Fetch {
                     link,
@@ -168,23 +153,45 @@
                     .await
             }
             Order::Written(assignment, false) => {
-                let of = |h: &Assignment| h.attempt.id == assignment.attempt.id;
-                if self.assigned.get(&assignment.parcel.jid).is_some_and(of) {
-                    self.assigned.remove(&assignment.parcel.jid);
-                    self.end(assignment, Status::ConnectFailed).await;
-                }
-            }
-            Order::Ended(wid, jid, status) => {
-                // What is told again, too late or by another job worker has no effect.
-                let of = |h: &Assignment| h.wid == wid;
-                if !self.assigned.get(&jid).is_some_and(of) {
-                    return;
-                }
-                if let Some(assignment) = self.assigned.remove(&jid) {
-                    self.end(assignment, status).await;
-                }
+                let id = assignment.attempt.id;
+                self.end_if(&assignment.parcel.jid, Status::ConnectFailed, |of| {
+                    of.attempt.id == id
+                })
+                .await;
             }
+            // What is reported twice, too late or by another job worker has no effect.
+            Order::Ended(wid, jid, status) => self.end_if(&jid, status, |of| of.wid == wid).await,
+        }
+    }
+
+    /// Ends the assignment of a job, if it is the one that is meant.
+    async fn end_if(&mut self, jid: &str, status: Status, meant: impl Fn(&Assignment) -> bool) {
+        if !self.assigned.get(jid).is_some_and(meant) {
+            return;
         }
+        if let Some(assignment) = self.assigned.remove(jid) {
+            self.end(assignment, status).await;
+        }
+    }
+
+    fn worker_disconnected(&mut self, now: Time, wid: &str, link: u64) {
+        self.fetches.retain(|f| f.link != link);
+        let Some(p) = self.processes.get_mut(wid) else {
+            return;
+        };
+        if p.links.remove(&link) && p.links.is_empty() {
+            p.link_by = Some(now + self.front.file.reconnect_within);
+        }
+    }
+
+    /// `quiet`: the job worker takes nothing new.
+    async fn heartbeat(&mut self, now: Time, wid: &str, quiet: bool) {
+        let Some(p) = self.processes.get_mut(wid) else {
+            return;
+        };
+        p.heartbeat_by = now + self.front.file.heartbeat_timeout;
+        (p.quiet, p.unresponsive) = (quiet, false);
+        self.publish_state().await;
     }
 
     /// A job worker has connected. The start of a new process ends what the old one had in hand.
--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -196,12 +196,12 @@
         };
         let commands = &self.front.counts[0];
         commands.set(commands.get() + 1);
-        let line = without_line_end(&buffer.filled()[..length]);
-        let command = Command::parse(line);
+        let message = without_line_end(&buffer.filled()[..length]);
+        let command = Command::parse(message);
         let text = matches!(command, Ok(Command::Push(_))).then(|| {
             // The job is passed on as it was pushed.
             let mut text = self.front.net.pool.take();
-            let _ = text.write_all(line.trim_ascii_start());
+            let _ = text.write_all(message.trim_ascii_start());
             text.consume("PUSH ".len());
             text
         });
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -190,7 +190,7 @@
     }
 
     /// Takes a list from discovery: tells the machines' actors, and returns what the core is to be told. From here on
-    /// nothing more goes out to a machine that draining, whatever was decided before.
+    /// nothing more goes out to a machine that is draining, whatever was decided before.
     pub fn apply_membership(self: &Rc<Self>, update: MembershipUpdate) -> Vec<Entry> {
         if update.complete {
             self.machines
@@ -208,17 +208,7 @@
             };
             let dial = machine.dial.parse();
             if dial.is_ok() && !self.machines.borrow().contains_key(&worker) {
-                let ((orders, inbox), draining) = (bounded(MAX_QUEUED_ORDERS), Rc::default());
-                let actor = WorkerActor::new(
-                    self.clone(),
-                    worker,
-                    machine.host.clone(),
-                    Rc::clone(&draining),
-                );
-                self.net.spawn(actor.run(inbox));
-                self.machines
-                    .borrow_mut()
-                    .insert(worker, Machine { orders, draining });
+                self.start_worker(worker, &machine.host);
             }
             if let Some(known) = self.machines.borrow().get(&worker) {
                 known.draining.set(state != WorkerState::Active);
@@ -252,11 +242,21 @@
         entries
     }
 
-    /// Takes a piece of news. What concerns no open attempt (a job answered long ago, an attempt of this
-    /// scheduler's former life) has no effect.
-    fn interpret_report(&self, news: &JobReport) -> Option<CoreInput> {
-        let job = *self.traces.borrow().get(&news.id)?;
-        let machine = *self.names.borrow().get(&news.from)?;
+    /// Starts the actor of a machine.
+    fn start_worker(self: &Rc<Self>, worker: WorkerId, host: &str) {
+        let ((orders, inbox), draining) = (bounded(MAX_QUEUED_ORDERS), Rc::default());
+        let actor = WorkerActor::new(self.clone(), worker, host.to_string(), Rc::clone(&draining));
+        self.net.spawn(actor.run(inbox));
+        self.machines
+            .borrow_mut()
+            .insert(worker, Machine { orders, draining });
+    }
+
+    /// The core's input that a report stands for. What concerns no open attempt (a job answered long ago, an attempt of this
+    /// scheduler's former incarnation) has no effect.
+    fn interpret_report(&self, report: &JobReport) -> Option<CoreInput> {
+        let job = *self.traces.borrow().get(&report.id)?;
+        let machine = *self.names.borrow().get(&report.from)?;
         let parcel = self.parcel(job)?;
         let attempts = parcel.attempts.borrow();
         let reported =
@@ -268,12 +268,17 @@
             job,
             number: last as u32,
         };
-        let load = || news.load.as_ref().map(|l| self.site.borrow().load_value(l));
-        Some(match news.state.as_str() {
+        let load = || {
+            report
+                .load
+                .as_ref()
+                .map(|l| self.site.borrow().load_value(l))
+        };
+        Some(match report.state.as_str() {
             "started" => CoreInput::Started(attempt),
-            "running" => CoreInput::Progress(attempt, news.share),
+            "running" => CoreInput::Progress(attempt, report.share),
             "done" => {
-                let result = match &news.result {
+                let result = match &report.result {
                     Some(value) => value
                         .as_str()
                         .map_or_else(|| value.encode(), str::to_string),
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -396,13 +396,13 @@
         ("GET", "/-/ready") => ParsedRequest::Ready,
         ("POST", "/_jobs/news") => {
             // The reader works on the text in place: on a copy, as more messages may stand behind this one.
-            let mut copy = front.net.pool.take();
-            match copy
+            let mut message = front.net.pool.take();
+            match message
                 .write_all(body)
                 .map_err(|e| e.to_string())
-                .and_then(|()| JobReport::read(copy.filled_mut()))
+                .and_then(|()| JobReport::read(message.filled_mut()))
             {
-                Ok(news) => ParsedRequest::JobReport(news, body.to_vec()),
+                Ok(report) => ParsedRequest::JobReport(report, body.to_vec()),
                 Err(_) => ParsedRequest::Bad(400, "no news\n"),
             }
         }
--- a/crates/indigofold/src/front/platform/membership.rs
+++ b/crates/indigofold/src/front/platform/membership.rs
@@ -289,25 +289,11 @@
         Duration::from_micros(self.rng.next_u64() % spread.as_micros().max(1) as u64)
     }
 
-    /// Runs for as long as somebody may ask.
+    /// Runs for as long as somebody may send commands.
     pub async fn run(mut self, inbox: Receiver<Command>) {
         loop {
-            let command = async { Wakeup::Command(inbox.recv().await) };
-            let answer = async {
-                let Some(call) = &mut self.call else {
-                    return std::future::pending().await;
-                };
-                let (client, answer) = call.await;
-                Wakeup::Answer(client, answer)
-            };
-            let new_discovery = async {
-                let Some((_, call)) = &mut self.next_discovery else {
-                    return std::future::pending().await;
-                };
-                let (client, answer) = call.await;
-                Wakeup::NewDiscovery(client, answer)
-            };
-            let (client, answer) = match new_discovery.or(command).or(answer).await {
+            let wakeup = self.next_wakeup(&inbox).await;
+            let (client, answer) = match wakeup {
                 Wakeup::Command(Err(_)) => return,
                 Wakeup::Command(Ok(Command::MoveTo(to))) => {
                     self.move_to_discovery(to);
@@ -353,6 +339,26 @@
         }
     }
 
+    /// Waits for a command or the answer to a call; a new discovery's answer goes first, then commands.
+    async fn next_wakeup(&mut self, inbox: &Receiver<Command>) -> Wakeup {
+        let command = async { Wakeup::Command(inbox.recv().await) };
+        let answer = async {
+            let Some(call) = &mut self.call else {
+                return std::future::pending().await;
+            };
+            let (client, answer) = call.await;
+            Wakeup::Answer(client, answer)
+        };
+        let new_discovery = async {
+            let Some((_, call)) = &mut self.next_discovery else {
+                return std::future::pending().await;
+            };
+            let (client, answer) = call.await;
+            Wakeup::NewDiscovery(client, answer)
+        };
+        new_discovery.or(command).or(answer).await
+    }
+
     fn client(&self, discovery: SocketAddr) -> DiscoveryClient {
         DiscoveryClient {
             front: self.front.clone(),
@@ -430,30 +436,30 @@
         mut client: DiscoveryClient,
         answer: Result<MembershipUpdate, Reason>,
     ) -> DiscoveryClient {
-        let older = |list: &MembershipUpdate| {
+        let older = |update: &MembershipUpdate| {
             client
                 .seq
-                .filter(|current| list.seq < *current && !client.older)
+                .filter(|current| update.seq < *current && !client.older)
         };
         let (scope, entries) = match answer {
-            Ok(list) if let Some(current) = older(&list) => {
-                let got = list.seq;
+            Ok(update) if let Some(current) = older(&update) => {
+                let got = update.seq;
                 log(format_args!(
                     "a list of version {got} is not taken, as {current} is held: the whole one is asked for"
                 ));
                 (client.older, self.reopened) = (true, false);
                 return client;
             }
-            Ok(list) => {
+            Ok(update) => {
                 (client.seq, client.older, self.failure_factor, self.reopened) =
-                    (Some(list.seq), false, 1, false);
+                    (Some(update.seq), false, 1, false);
                 self.failed_at = None;
-                let scope = if list.complete {
+                let scope = if update.complete {
                     Scope::Full
                 } else {
                     Scope::Delta
                 };
-                (scope, self.front.apply_membership(list))
+                (scope, self.front.apply_membership(update))
             }
             Err(reason) => {
                 log(format_args!("list call failed reason={}", reason.code()));
@@ -556,11 +562,11 @@
         if head.status != 200 {
             return Err(Reason::Rejected);
         }
-        let list = MembershipUpdate::read(&mut body.to_vec()).map_err(|_| Reason::Malformed)?;
+        let update = MembershipUpdate::read(&mut body.to_vec()).map_err(|_| Reason::Malformed)?;
         if !frame.keep {
             self.drop_link(Reason::Done);
         }
-        Ok(list)
+        Ok(update)
     }
 }
 
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 /// Between two tries to give a job away whose attempt is on its way.
-const AGAIN: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A job and its client's connection, but for the descriptor.
 #[derive(Serialize, Deserialize)]
@@ -133,7 +133,7 @@
                 }
                 self.replay_deferred_reports(&trace).await;
             }
-            Timer::after(AGAIN).await;
+            Timer::after(RETRY_INTERVAL).await;
         }
     }
 
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -279,23 +279,9 @@
                         .insert(id, OutgoingAttempt { state, task: None });
                 }
                 Order::GiveUp(id, parcel) => {
-                    let Some(out) = self.out.borrow_mut().remove(&id) else {
-                        continue;
-                    };
-                    match out.state.stage() {
-                        Stage::Taken => {
-                            let (connections, state) = (self.connections.clone(), out.state);
-                            state.give_up();
-                            self.connections.front.net.spawn(async move {
-                                connections.delete(id, &parcel, false).await;
-                                state.stage.set(Stage::Ended);
-                            });
-                        }
-                        Stage::Ended => {}
-                        _ => {
-                            out.state.give_up();
-                            out.task.into_iter().for_each(Task::detach);
-                        }
+                    let out = self.out.borrow_mut().remove(&id);
+                    if let Some(out) = out {
+                        self.give_up(id, parcel, out);
                     }
                 }
                 Order::Forget(id) => {
@@ -316,6 +302,25 @@
         }
     }
 
+    /// Gives up an attempt: the machine must be notified if it has taken it, and else the connection ends.
+    fn give_up(&self, id: AttemptId, parcel: Rc<Parcel>, out: OutgoingAttempt) {
+        match out.state.stage() {
+            Stage::Taken => {
+                let (connections, state) = (self.connections.clone(), out.state);
+                state.give_up();
+                self.connections.front.net.spawn(async move {
+                    connections.delete(id, &parcel, false).await;
+                    state.stage.set(Stage::Ended);
+                });
+            }
+            Stage::Ended => {}
+            _ => {
+                out.state.give_up();
+                out.task.into_iter().for_each(Task::detach);
+            }
+        }
+    }
+
     fn hang_up(&self) {
         for (link, _) in self.connections.idle.borrow_mut().drain(..) {
             link.end(
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -290,30 +290,11 @@
         if self.front.lifecycle.superseded.get() {
             return;
         }
-        // Both together stay within the limits; this one keeps what it has, and a few for what it still tries.
+        // Both together stay within the limits; this one keeps what it has, and a few for new connections.
         let (net, lifecycle) = (&self.front.net, &self.front.lifecycle);
         let mine = (net.set.descriptors() + SPARE_DESCRIPTORS).min(self.limits.0 * 3 / 4);
-        let names: Vec<&str> = self.listeners.iter().map(|(name, _)| *name).collect();
-        let mut first = [0; 64];
-        let text = format!("L{} {}", self.limits.0 - mine, names.join(" "));
-        first[..text.len()].copy_from_slice(text.as_bytes());
-        let fds: Vec<_> = self
-            .listeners
-            .iter()
-            .map(|(_, listener)| listener.as_fd())
-            .collect();
-        let sent = link.write_with(|link| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
-            let mut control = SendAncillaryBuffer::new(&mut space);
-            control.push(SendAncillaryMessage::ScmRights(&fds));
-            Ok(sendmsg(
-                link,
-                &[IoSlice::new(&first)],
-                &mut control,
-                SendFlags::NOSIGNAL,
-            )?)
-        });
-        if sent.await.is_err() {
+        let descriptors = self.limits.0 - mine;
+        if self.send_listeners(&link, descriptors).await.is_err() {
             return;
         }
         log("handover: a new process has the listeners");
@@ -339,6 +320,35 @@
         }
     }
 
+    /// Sends the listeners, with how many descriptors the new process may hold until this one has ended.
+    async fn send_listeners(
+        &self,
+        link: &Async<UnixStream>,
+        descriptors: usize,
+    ) -> io::Result<usize> {
+        let names: Vec<&str> = self.listeners.iter().map(|(name, _)| *name).collect();
+        let mut first = [0; 64];
+        let text = format!("L{descriptors} {}", names.join(" "));
+        first[..text.len()].copy_from_slice(text.as_bytes());
+        let fds: Vec<_> = self
+            .listeners
+            .iter()
+            .map(|(_, listener)| listener.as_fd())
+            .collect();
+        let sent = link.write_with(|link| {
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
+            let mut control = SendAncillaryBuffer::new(&mut space);
+            control.push(SendAncillaryMessage::ScmRights(&fds));
+            Ok(sendmsg(
+                link,
+                &[IoSlice::new(&first)],
+                &mut control,
+                SendFlags::NOSIGNAL,
+            )?)
+        });
+        sent.await
+    }
+
     /// The new process serves: this one takes nobody new, and closes what it has, each connection after its answer.
     fn stop_accepting(&self) {
         let lifecycle = &self.front.lifecycle;
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -115,9 +115,9 @@
     }
 
     /// Is there room for one more connection of this kind?
-    pub fn has_capacity(&self, way: Direction) -> bool {
+    pub fn has_capacity(&self, direction: Direction) -> bool {
         let outward = OUTBOUND_DESCRIPTORS.min(self.limit.get() / 4);
-        let kept = match way {
+        let kept = match direction {
             Direction::Inbound => outward,
             Direction::InboundExtra => outward / 2,
             Direction::Outbound => 0,
@@ -126,15 +126,15 @@
     }
 
     /// A place for a connection, if there is one.
-    pub fn seat(self: &Rc<Self>, way: Direction) -> Option<Seat> {
-        if !self.has_capacity(way) {
+    pub fn seat(self: &Rc<Self>, direction: Direction) -> Option<Seat> {
+        if !self.has_capacity(direction) {
             return None;
         }
         self.open.set(self.open.get() + 1);
-        if way != Direction::Outbound {
+        if direction != Direction::Outbound {
             self.accepted.set(self.accepted.get() + 1);
         }
-        Some(Seat(self.clone(), way))
+        Some(Seat(self.clone(), direction))
     }
 
     /// Asks the connection that is missed least to close. `false`: none has offered to.
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -45,7 +45,7 @@
     in_batch: bool,
     now: Time,
     current: Option<u32>,
-    list: Option<PendingMembership>,
+    pending_list: Option<PendingMembership>,
     reply: String,
     reply_for: Option<u32>,
     actions: Vec<Action>,
@@ -175,7 +175,7 @@
         if !self.in_batch {
             return Err(format!("{name} outside a batch; expected TICK"));
         }
-        if self.list.is_some() && name != "ROW" {
+        if self.pending_list.is_some() && name != "ROW" {
             return Err(format!("{name} where a ROW of the list was expected"));
         }
         match name {
@@ -224,7 +224,7 @@
             return Ok(());
         };
         let event = match name {
-            "REGISTRY" => self.begin_list(fields)?,
+            "REGISTRY" => self.begin_membership(fields)?,
             "ROW" => {
                 let entry = instance.entry(fields)?;
                 self.add_row(entry)?
@@ -253,7 +253,7 @@
     }
 
     /// Begins a list of workers; an empty one is an event at once.
-    fn begin_list(&mut self, fields: &Fields) -> Parse<Option<Event>> {
+    fn begin_membership(&mut self, fields: &Fields) -> Parse<Option<Event>> {
         let scope = match fields.need("scope")? {
             "D" => Scope::Delta,
             "F" => Scope::Full,
@@ -268,7 +268,7 @@
         };
         let (left, entries) = (fields.time("hosts")?, Vec::new());
         if left > 0 {
-            self.list = Some(PendingMembership {
+            self.pending_list = Some(PendingMembership {
                 scope,
                 left,
                 entries,
@@ -280,15 +280,15 @@
 
     /// Adds a row to the list that has begun; the last one completes it.
     fn add_row(&mut self, entry: Entry) -> Parse<Option<Event>> {
-        let Some(list) = &mut self.list else {
+        let Some(pending) = &mut self.pending_list else {
             return Err("ROW outside a list".into());
         };
-        list.entries.push(entry);
-        list.left -= 1;
-        if list.left > 0 {
+        pending.entries.push(entry);
+        pending.left -= 1;
+        if pending.left > 0 {
             return Ok(None);
         }
-        Ok(self.list.take().map(|l| Event::List {
+        Ok(self.pending_list.take().map(|l| Event::List {
             scope: l.scope,
             entries: l.entries,
         }))
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -196,6 +196,7 @@
         }
     }
 
+    /// Writes what the module asks for as lines of the protocol.
     pub(super) fn write(&mut self, action: &Action, out: &mut String) {
         let name = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let _ = match action {
@@ -243,17 +244,7 @@
             Action::Probe { worker } => writeln!(out, "PING worker={worker}"),
             Action::Disconnect { worker } => writeln!(out, "DISCONNECT worker={worker}"),
             Action::UpdatePeers { in_flight } => {
-                let bytes: Vec<u8> = in_flight
-                    .iter()
-                    .flat_map(|(id, slots)| id.to_le_bytes().into_iter().chain([*slots]))
-                    .take(255)
-                    .collect();
-                let text = if bytes.is_empty() {
-                    "-".to_string()
-                } else {
-                    STANDARD.encode(bytes)
-                };
-                writeln!(out, "SAY neighbourId=-1 content={text}")
+                writeln!(out, "SAY neighbourId=-1 content={}", peer_text(in_flight))
             }
             Action::Watch(on) => writeln!(out, "KEEP_INFORMED enable={}", u8::from(*on)),
             Action::Fetch => writeln!(out, "RESOLVE"),
@@ -261,6 +252,11 @@
                 writeln!(out, "RECORD noteText={}", text.replace(['\n', '\r'], " "))
             }
         };
+        self.count_action(action);
+    }
+
+    /// Counts attempts that are out, and forgets a request that the module has answered.
+    fn count_action(&mut self, action: &Action) {
         match action {
             Action::Send { request, .. } => {
                 if let Some(r) = self.requests.get_mut(request) {
@@ -275,6 +271,20 @@
     }
 }
 
+/// Slots in flight for other schedulers, in the form that [`peer_event`] reads; at most 255 bytes of it.
+fn peer_text(in_flight: &[(WorkerId, u8)]) -> String {
+    let bytes: Vec<u8> = in_flight
+        .iter()
+        .flat_map(|(id, slots)| id.to_le_bytes().into_iter().chain([*slots]))
+        .take(255)
+        .collect();
+    if bytes.is_empty() {
+        "-".to_string()
+    } else {
+        STANDARD.encode(bytes)
+    }
+}
+
 /// Slots in flight as another scheduler counts them: five bytes for each worker, its id (low byte first) and the slots.
 fn peer_event(f: &Fields) -> Parse<Event> {
     let bytes = match f.need("content")? {
