--- a/crates/indigofold/src/admin.rs
+++ b/crates/indigofold/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint: a listener of its own, one line a connection, one answer. It shares neither descriptors nor
+//! The admin endpoint: a listener of its own, one request a connection, one answer. It shares neither descriptors nor
 //! buffers with the fronts, so that what happens there does not delay an answer here.
 
 use crate::core::metrics::Metrics;
@@ -15,11 +15,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Calls at once: so many descriptors are set aside. One more, and the oldest is turned away.
+/// Calls at once: so many descriptors are reserved. One more, and the oldest is rejected.
 const MAX_CALLS: usize = 16;
-/// The longest line that is a call.
+/// The longest request, with its line end.
 const MAX_CALL_BYTES: usize = 128;
-/// A call must be whole within this time, and its answer taken within as much again.
+/// A request must be complete within this time, and its answer read within as much again.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// An operator's other end has this long to read its answer before the connection is closed over what it still sends.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -30,16 +30,16 @@
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(300);
 /// ... and after this all that are idle.
 const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(2_500);
-/// How often that is looked at.
+/// How often idle connections are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the admin endpoint shows and moves.
 pub struct AdminEndpoint {
     /// The network: its tasks and its connections.
     pub net: Net,
-    /// The program's life.
+    /// The program's lifecycle.
     pub lifecycle: Rc<Lifecycle>,
-    /// The figures.
+    /// The metrics that `stats` shows.
     pub metrics: Rc<Metrics>,
     /// Does this process take clients?
     pub serves: Box<dyn Fn() -> bool>,
@@ -49,7 +49,7 @@
     pub draining: RefCell<Option<Task<()>>>,
 }
 
-/// What one hears that has to make room.
+/// The answer to a call that is rejected for a newer one.
 const TOO_MANY_CALLS: &str = "too many calls";
 
 /// Takes calls for as long as the program runs.
@@ -57,7 +57,7 @@
     let waiting: Rc<RefCell<VecDeque<async_channel::Sender<()>>>> = Rc::default();
     let open = Rc::new(Cell::new(0));
     loop {
-        // Nobody is turned away before somebody is there.
+        // Nobody is rejected before a new call waits.
         let _ = listener.readable().await;
         if open.get() >= MAX_CALLS {
             let oldest = waiting.borrow_mut().pop_front();
@@ -96,7 +96,7 @@
                 Timer::after(CALL_TIMEOUT).await;
                 false
             };
-            // One that is turned away makes room at once.
+            // One that is rejected frees its descriptor at once.
             if written.or(stalled).await && length != Err(TOO_MANY_CALLS) {
                 finish_write(&stream).await;
             }
@@ -163,7 +163,7 @@
         "ok\n".into()
     }
 
-    /// The figures, one a line.
+    /// The metrics in statsd's form, one a line.
     fn metrics_text(&self) -> String {
         let (mut text, metrics) = (String::new(), &self.metrics);
         let mut write_metric = |name: &str, value: u64, kind: char| {
--- a/crates/indigofold/src/config.rs
+++ b/crates/indigofold/src/config.rs
@@ -1,4 +1,4 @@
-//! Environment, configuration and lists, decoded by simd-json, once, into the values that are used.
+//! Environment, configuration and memberships, parsed once into the values that are used.
 
 mod discovery;
 mod faktory;
@@ -13,17 +13,17 @@
 use serde::Deserialize;
 pub use site::{Names, Site};
 
-/// What was expected and not found.
+/// A parsed value, or what was expected and not found.
 pub type Parse<T> = Result<T, String>;
 
-/// Memory that the process may use where nothing is said of it.
+/// Memory that the process may use by default, in megabytes.
 pub const MEMORY_MB: usize = 192;
 
 /// Brackets that may stand within each other in a document.
 const DEPTH: usize = 64;
 
-/// Reads a JSON text, which is used up. A text nested deeper than any that is meant is turned down unread: the
-/// reader calls itself at each level, and a few thousand of them would end the program.
+/// Parses JSON text in place. A text nested too deeply is rejected first: the parser recurses at each level, and a few
+/// thousand levels would overflow the stack.
 pub fn decode<T: for<'a> Deserialize<'a>>(text: &mut [u8]) -> Parse<T> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
     for byte in text.iter() {
--- a/crates/indigofold/src/config/discovery.rs
+++ b/crates/indigofold/src/config/discovery.rs
@@ -1,10 +1,10 @@
-//! What discovery and job workers send: the list of machines, and news of jobs.
+//! JSON forms of what discovery and job workers send: the membership, and reports on jobs.
 
 use super::{Parse, decode};
 use serde::Deserialize;
 use simd_json::OwnedValue;
 
-/// The list of machines as discovery writes it.
+/// The membership as discovery writes it, complete or a change of it.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct MembershipUpdate {
     /// Its version.
@@ -18,7 +18,7 @@
     pub hosts: Vec<Machine>,
 }
 
-/// One machine of that list.
+/// One machine of the membership.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Machine {
     /// Its name, the same for every scheduler.
@@ -50,13 +50,13 @@
 }
 
 impl MembershipUpdate {
-    /// Reads a list from JSON text, which is used up.
+    /// Parses JSON text in place; the text is not usable afterwards.
     pub fn read(text: &mut [u8]) -> Parse<Self> {
         decode(text).map_err(|e| format!("no machine list: {e}"))
     }
 }
 
-/// News of a job, as job workers tell it.
+/// A report of a job worker on a job.
 #[derive(Debug, Deserialize)]
 pub struct JobReport {
     /// The job's id, as its client named it.
@@ -78,7 +78,7 @@
 }
 
 impl JobReport {
-    /// Reads one piece of news from JSON text, which is used up.
+    /// Parses JSON text in place; the text is not usable afterwards.
     pub fn read(text: &mut [u8]) -> Parse<Self> {
         decode(text).map_err(|e| format!("no news: {e}"))
     }
--- a/crates/indigofold/src/config/faktory.rs
+++ b/crates/indigofold/src/config/faktory.rs
@@ -54,7 +54,7 @@
     pub sockets: usize,
     /// Memory that it may use.
     pub memory_mb: usize,
-    /// A job worker that has not sent its heartbeat for this long is gone.
+    /// A job worker that has not sent its heartbeat for this long is unresponsive.
     pub heartbeat_timeout: Time,
     /// ... and one without a connection is, after this long.
     pub reconnect_within: Time,
@@ -76,8 +76,8 @@
             return Err(format!("wid {:?} stands on two machines", pair[0]));
         }
         let mut site = Site::from_value(&raw.settings)?;
-        // What this protocol has: job workers tell of a start by fetching the job, and of no progress; there
-        // are no load reports and no probes; the list of machines changes unasked.
+        // What this protocol has: job workers report a start by fetching the job, and no progress; there
+        // are no load reports and no probes; the membership changes unasked.
         let settings = &mut site.settings;
         (
             settings.membership_pushed,
--- a/crates/indigofold/src/config/json.rs
+++ b/crates/indigofold/src/config/json.rs
@@ -69,7 +69,7 @@
         value.encode().chars().take(40).collect()
     }
 
-    /// One of some words, or none where it is absent.
+    /// One of several texts, or `None` where the key is absent.
     pub(super) fn one_of<T: Copy>(self, key: &str, choices: &[(&str, T)]) -> Parse<Option<T>> {
         let Some(value) = self.at(key).0 else {
             return Ok(None);
--- a/crates/indigofold/src/config/platform.rs
+++ b/crates/indigofold/src/config/platform.rs
@@ -31,7 +31,7 @@
     memory_mb: Option<usize>,
 }
 
-/// What a scheduler on the platform is told when it starts.
+/// The configuration of a scheduler on the platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
     /// Its name.
@@ -40,7 +40,7 @@
     pub listen: String,
     /// Where discovery answers.
     pub discovery: String,
-    /// ... and where the file says so, whatever the environment says.
+    /// Where discovery answers by the file alone, without the environment.
     pub in_file: String,
     /// Where operators call; empty: nowhere.
     pub management: String,
@@ -50,7 +50,7 @@
     pub sockets: usize,
     /// Memory that it may use.
     pub memory_mb: usize,
-    /// The discovery list as last held, perhaps old.
+    /// The membership as last known, perhaps old.
     pub known: MembershipUpdate,
     /// The settings.
     pub site: Site,
@@ -58,7 +58,7 @@
 }
 
 impl Platform {
-    /// Reads the configuration from JSON text; what the environment says goes before it.
+    /// Reads the configuration from JSON text; variables of the environment take precedence.
     pub fn read(mut text: Vec<u8>, env: impl Fn(&str) -> Option<String>) -> Parse<Self> {
         let document: OwnedValue =
             decode(&mut text.clone()).map_err(|e| format!("no configuration: {e}"))?;
@@ -69,7 +69,7 @@
             .as_str()
             .map(|s| u64::from_str_radix(s, 16).unwrap_or_else(|_| hash(s)));
         let mut site = Site::from_value(&raw.settings)?.checked()?;
-        // Over this protocol a list always has to be asked for, be it the agent's that it is pushed to.
+        // Over this protocol the membership is always polled, also from an agent that it is pushed to.
         site.pushed = std::mem::take(&mut site.settings.membership_pushed);
         let sockets = raw.limits.sockets.unwrap_or(1024);
         // Clients hold at most a third of the descriptors: a quarter of that is kept free for the next ones.
@@ -89,9 +89,9 @@
         })
     }
 
-    /// Reads the file again in place of this one: it must have all that this one has.
+    /// Parses the file that replaces this one: it must have every key that this one has.
     pub fn reread(&self, text: Vec<u8>) -> Parse<Self> {
-        // The environment is that of the start: what the file says newly goes before it.
+        // The environment is that of the start: a changed file takes precedence over it.
         let new = Platform::read(text, |_| None)?;
         missing_key(&self.document, &new.document).map_or(Ok(new), |key| {
             Err(format!("'{key}' is missing or of another kind"))
--- a/crates/indigofold/src/config/site.rs
+++ b/crates/indigofold/src/config/site.rs
@@ -55,7 +55,7 @@
     pub tenants: Names,
     /// Classes that the settings no longer have; they keep their ids.
     pub dropped: Vec<ClassId>,
-    /// Lists are pushed: each scheduler has an agent of its own to ask, and what that has counts as told.
+    /// The membership is pushed: each scheduler has an agent of its own to ask, and must act on all that the agent has.
     pub pushed: bool,
     /// An idle connection to a machine is closed by it after this long.
     pub conn_idle: Time,
@@ -120,8 +120,8 @@
             .unwrap_or(0)
     }
 
-    /// The new settings under the ids of the old ones, which keep their names for good: open jobs, figures and what
-    /// was learned go by them. Names that are new come behind, and a class that is gone keeps its rules.
+    /// The new settings under the ids of the old ones, which keep their names: open jobs, metrics and
+    /// statistics refer to them. New names are appended, and a class that was removed keeps its rules.
     pub fn followed_by(&self, new: Site) -> Site {
         let mut site = Site {
             settings: new.settings.clone(),
@@ -155,7 +155,7 @@
         site
     }
 
-    /// Takes one named figure of a load report; an unknown one is skipped.
+    /// Takes one named value of a load report; an unknown one is skipped.
     pub fn report(&self, load: &mut Load, name: &str, value: f64) {
         let slot = match name {
             "busy_reqs" | "inflight" => &mut load.inflight,
--- a/crates/indigofold/src/core.rs
+++ b/crates/indigofold/src/core.rs
@@ -1,5 +1,5 @@
-//! The core: jobs, attempts and the one answer that each job gets. It knows no wire: no bytes, no sockets, no
-//! JSON. A front tells it what happened ([`CoreInput`]) and carries out what it asks for ([`Transport`]).
+//! The core: jobs, attempts and the one answer that each job gets. It knows no protocol: no bytes, no sockets, no
+//! JSON. A front reports what happened ([`CoreInput`]) and carries out what it asks for ([`Transport`]).
 
 pub mod actor;
 pub mod clock;
@@ -12,7 +12,7 @@
 use crate::transferred_job::TransferredJob;
 use async_channel::Sender;
 
-/// A job's number, unique over the program's life.
+/// A job's number, unique in one process.
 pub type JobId = RequestId;
 
 /// Names one attempt to have a job done by a machine.
@@ -51,42 +51,42 @@
 /// Where a job's one answer goes.
 #[derive(Debug)]
 pub enum Reply {
-    /// To whoever waits at the other end.
+    /// To the channel's receiver.
     To(Sender<Answer>),
     /// To the transport, by [`Transport::answer`].
     Transport,
 }
 
-/// What a front tells the core.
+/// An input of the core, from a front.
 #[derive(Debug)]
 pub enum CoreInput {
     /// A job was taken; the client waits for it until this time.
     Job(Request, Time, Reply),
-    /// The client is gone; no answer is owed any more.
+    /// The client has left; no answer is owed any more.
     ClientLeft(JobId),
     /// An attempt's job has begun.
     Started(AttemptId),
-    /// The machine has not said that it took an attempt, though that is overdue; the attempt goes on.
+    /// The machine has not acknowledged an attempt in time; the attempt goes on.
     Unacknowledged(AttemptId),
-    /// An attempt's job has come so far, 0 to 1.
+    /// How much of an attempt is done, 0 to 1.
     Progress(AttemptId, f64),
-    /// How an attempt ended. Told again, or after it was given up, it changes nothing but this: a job that is
-    /// still open is served by any attempt that was done.
+    /// How an attempt ended. Reported again, or after the attempt was given up, it has one effect only: an open job is
+    /// served by any attempt that was done.
     Ended(AttemptId, Status, Option<Load>),
-    /// News of the discovery list.
+    /// An update of the membership.
     Membership(Scope, Vec<Entry>),
     /// Other settings of the module from now on.
     Settings(Box<crate::api::Settings>),
-    /// What another process of this scheduler has learned, under this one's ids.
+    /// The statistics of another process of this scheduler, under this one's ids.
     Statistics(Box<Statistics<u32>>),
     /// An open job is asked for, to be given away: it is forgotten here. `None` where it cannot go now: something has
-    /// happened that the module has not heard of yet, or nothing more is owed.
+    /// happened that the module has not handled yet, or no answer is owed.
     Release(JobId, Sender<Option<Released>>),
     /// A job goes on here that another process has begun; the client waits for it until this time.
     Adopted(JobId, Box<TransferredJob<u32>>, Time, Reply),
-    /// What was learned here is asked for: all of it, or only the slots held.
+    /// Statistics are requested: all of them, or a part.
     ReadStatistics(Sender<Statistics<u32>>, StatisticsScope),
-    /// What a probe brought.
+    /// The result of a probe.
     Probed(WorkerId, Status, Option<Load>),
 }
 
@@ -101,35 +101,35 @@
     pub reply: Reply,
 }
 
-/// How much is asked for of what was learned.
+/// Which statistics are requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatisticsScope {
-    /// All of it.
+    /// All of them.
     All,
-    /// All but the slots held: the jobs that hold them are about to go over themselves.
+    /// All but the slots in flight: their jobs are about to migrate themselves.
     ExceptInFlight,
-    /// Only the slots that are held at machines now.
+    /// Only the slots in flight at machines now.
     InFlight,
 }
 
-/// What the core asks of the discovery list.
+/// What the core requests of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipRequest {
-    /// To be told of changes from now on, or no longer.
+    /// Updates from now on, or none any more.
     Watch(bool),
-    /// The whole list, once.
+    /// The complete membership, once.
     FetchAll,
 }
 
 /// What has become of an attempt that is to be given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GivenUp {
-    /// It has not gone out, and never will.
+    /// It was not sent, and never will be.
     Unsent,
-    /// It is given up; nothing more need be told of it.
+    /// It is given up; no further input follows.
     Done,
-    /// Its machine is being told. [`CoreInput::Ended`] follows, once: with [`Status::Cancelled`] when it has been. Another attempt
-    /// of the job sent before could get there sooner, and be a copy of one that runs.
+    /// Its machine is being notified. [`CoreInput::Ended`] follows, once: with [`Status::Cancelled`] when it has been. Another attempt
+    /// of the job sent before could get there sooner, and run beside it.
     Pending,
 }
 
@@ -144,7 +144,7 @@
     fn probe(&self, machine: WorkerId) -> bool;
     /// Closes the idle connections to a machine.
     fn hang_up(&self, machine: WorkerId);
-    /// Asks for the discovery list. [`CoreInput::Membership`] follows.
+    /// Requests the membership. [`CoreInput::Membership`] follows.
     fn request_membership(&self, request: MembershipRequest) -> bool;
     /// The one answer to a job that came with [`Reply::Transport`].
     fn answer(&self, job: JobId, answer: Answer) {
@@ -152,7 +152,7 @@
     }
     /// The job will not be named again.
     fn forget(&self, job: JobId);
-    /// A line for the operators.
+    /// Writes an event to the operators' log.
     fn log_event(&self, text: &str);
 }
 
--- a/crates/indigofold/src/core/actor.rs
+++ b/crates/indigofold/src/core/actor.rs
@@ -14,10 +14,10 @@
 const MAILBOX_CAPACITY: usize = 1024;
 /// Messages taken in one go, so that time is read again between.
 const MAX_BATCH: usize = 256;
-/// Between two lines on the state of the core actor.
+/// Between two log entries on the state of the core actor, in microseconds.
 const REPORT_INTERVAL_US: Time = 10_000_000;
 
-/// Where fronts tell the core what happened.
+/// Where fronts send the core's inputs.
 pub type Mailbox = Sender<CoreInput>;
 
 /// A mailbox of the right size.
--- a/crates/indigofold/src/core/clock.rs
+++ b/crates/indigofold/src/core/clock.rs
@@ -1,5 +1,5 @@
-//! The clock: Unix time in microseconds that never runs backwards, so that a machine's start, told in Unix
-//! time, can be compared with it.
+//! The clock: Unix time in microseconds that never runs backwards, so that a machine's start, reported in
+//! Unix time, can be compared with it.
 
 use crate::api::Time;
 use std::time::{Instant, SystemTime};
--- a/crates/indigofold/src/core/engine.rs
+++ b/crates/indigofold/src/core/engine.rs
@@ -1,6 +1,6 @@
 //! The engine: the decision module behind its guard, the job table, the timers and the batches. It reads no clock, waits for
-//! nothing and does no I/O: who owns it tells it what happened and the time ([`Engine::input`]), asks when it must be
-//! looked at ([`Engine::due`]) and lets it act ([`Engine::step`]). The sockets' core actor does so in real time, the laboratory
+//! nothing and does no I/O: its owner passes inputs and the time ([`Engine::handle_input`]), asks when the next step is
+//! due ([`Engine::due`]) and makes it ([`Engine::step`]). The sockets' core actor does so in real time, the replay tool
 //! in virtual time. The simulator keeps jobs and timers itself and owns a [`Module`] alone.
 
 use super::job_table::JobTable;
@@ -55,7 +55,7 @@
         self.0.release(now, id)
     }
 
-    /// Workers of the list, and how many of them it avoids.
+    /// Workers of the membership, and how many of them it avoids.
     pub fn worker_counts(&self, now: Time) -> WorkerCounts {
         self.0.worker_counts(now)
     }
@@ -105,7 +105,7 @@
         self.table.jobs()
     }
 
-    /// Takes what a front tells. It is acted on by the next step; only what needs no decision happens at once.
+    /// Takes an input of a front. The next step acts on it; only what needs no decision happens at once.
     pub fn handle_input(&mut self, now: Time, input: CoreInput, transport: &dyn Transport) {
         match &input {
             CoreInput::Settings(settings) => self.batch_interval = settings.granularity,
@@ -121,7 +121,7 @@
         self.table.handle_input(now, input, transport);
     }
 
-    /// Gives away an open job, if the module has heard of all that has happened.
+    /// Gives away an open job, if the module has handled all that has happened.
     fn release(&mut self, now: Time, id: JobId) -> Option<Released> {
         if self.table.has_events() || !self.table.owes(id) {
             return None;
@@ -131,7 +131,7 @@
         Some(Released { job, until, reply })
     }
 
-    /// When it must be stepped next, if nothing else is told before; perhaps in the past.
+    /// When it must be stepped next, if no input comes before; perhaps in the past.
     pub fn due(&self) -> Option<Time> {
         let timer = self.timers.first().map(|t| t.0.max(self.next_batch));
         let batch = self.table.has_events().then_some(self.next_batch);
--- a/crates/indigofold/src/core/job_table.rs
+++ b/crates/indigofold/src/core/job_table.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// After a job's last moment the module has this long to answer before the job table does.
+/// After a job's deadline the module has this long to answer before the job table does.
 const GRACE_US: Time = 10_000;
 
 struct AttemptRecord {
@@ -35,8 +35,8 @@
     due: BTreeSet<(Time, JobId)>,
     events: Vec<Event>,
     answer_margin: Time,
-    /// Jobs forgotten since the module last took its events, and how many attempts they had: until it has heard that
-    /// a job is closed, it may send it.
+    /// Jobs forgotten since the module last took its events, and how many attempts they had: until it has handled
+    /// that a job is closed, it may send it.
     closed: FxHashMap<JobId, u32>,
     metrics: Rc<Metrics>,
 }
@@ -56,8 +56,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// The module has dealt with the events that it took, and knows which jobs are closed. The list that held them is
-    /// used again.
+    /// The module has dealt with the events that it took, and knows which jobs are closed. Their
+    /// vector is used again.
     pub fn events_done(&mut self, mut emptied: Vec<Event>) {
         self.closed.clear();
         emptied.append(&mut self.events);
@@ -192,7 +192,7 @@
             deliver(reply, id.job, Answer::Served, transport);
         }
         if was_in_flight {
-            // The job may have been answered before: then its end is told with this outcome as well.
+            // The job may have been answered before: then the outcome reports that as well.
             let closed = self.jobs.get(&id.job).is_some_and(|j| j.answer.is_none());
             self.events.push(outcome(id, status, closed, load));
         } else if served {
@@ -202,7 +202,7 @@
         self.forget_if_finished(id.job, transport);
     }
 
-    /// Gives away an open job, if its answer is still owed: its last moment, and where its answer would have gone.
+    /// Gives away an open job, if its answer is still owed: its deadline, and where its answer would have gone.
     pub fn release(&mut self, id: JobId) -> Option<(Time, Reply)> {
         let reply = self.jobs.get_mut(&id)?.answer.take()?;
         let job = self.jobs.remove(&id)?;
--- a/crates/indigofold/src/core/metrics.rs
+++ b/crates/indigofold/src/core/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted: each thing once, where it happens, and never set back.
+//! Metrics: each event is counted once, where it happens, and no counter is reset.
 
 use crate::api::ClassId;
 use crate::dispatcher::WorkerCounts;
@@ -15,7 +15,7 @@
     Failed,
 }
 
-/// The figures of one front since the program's start.
+/// The metrics of one front since the program's start.
 #[derive(Debug, Default)]
 pub struct Metrics {
     ends: RefCell<Vec<[u64; 3]>>,
@@ -23,11 +23,11 @@
     pub clients_left: Cell<u64>,
     /// Jobs taken and not ended.
     pub open: Cell<u64>,
-    /// Attempts whose last byte went out.
+    /// Attempts whose last byte was sent.
     pub attempts_sent: Cell<u64>,
     /// Workers of the membership list, and those of them that the module avoids.
     pub workers: Cell<WorkerCounts>,
-    /// Configuration files taken, and turned down, at SIGHUP.
+    /// Configuration files applied, and rejected, at SIGHUP.
     pub config_files: Cell<(u64, u64)>,
 }
 
--- a/crates/indigofold/src/front.rs
+++ b/crates/indigofold/src/front.rs
@@ -6,7 +6,7 @@
 use crate::api::Time;
 use std::cell::Cell;
 
-/// What the fronts share of the program's life.
+/// The program's lifecycle, as the fronts share it.
 #[derive(Default)]
 pub struct Lifecycle {
     /// The program is to stop.
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -22,7 +22,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Orders that may wait for a machine; attempts beyond that are turned down unsent.
+/// Orders that may wait for a machine; attempts beyond that are rejected unsent.
 const MAX_QUEUED_ORDERS: usize = 512;
 
 /// A job as it is passed on.
@@ -37,7 +37,7 @@
     pub assigned: Cell<usize>,
     /// Attempts that were given out to a job worker.
     pub assigned_attempts: RefCell<Vec<AttemptId>>,
-    /// Attempts that were given up: marked at once, as word of it may be behind a fetch in a machine's mailbox.
+    /// Attempts that were given up: marked at once, as the order may queue behind a fetch in a machine's mailbox.
     pub withdrawn: RefCell<Vec<AttemptId>>,
 }
 
@@ -45,19 +45,19 @@
 enum JobState {
     /// Its job is open, and these wait for its answer.
     Open(JobId, Vec<(u64, Sender<Answer>)>),
-    /// All clients had left when job workers had it in hand; whoever asks again waits for them.
+    /// All clients had left while it was assigned; a client that pushes it again waits for its end.
     Orphan(Rc<Parcel>, Vec<(u64, Sender<Answer>)>),
     /// It has its answer.
     Answered(Answer),
 }
 
-/// All that the parts of this front share.
+/// State that the actors of this front share.
 pub struct Faktory {
     /// The network.
     pub net: Net,
     /// The clock.
     pub clock: Clock,
-    /// The program's life.
+    /// The program's lifecycle.
     pub lifecycle: Rc<Lifecycle>,
     /// The operator's file.
     pub file: File,
@@ -195,8 +195,8 @@
             if let Ok(answer) = answered.recv().await {
                 return front.finish(&jid, answer);
             }
-            // The core was told that the clients are gone. A job worker that has the job in hand may yet
-            // tell how it went, for as long as the job had.
+            // The core was notified that the clients have left. A job worker that has the job may yet report its end,
+            // for as long as the job had.
             Timer::at(front.clock.instant(until)).await;
             if matches!(front.known.borrow().get(&jid), Some(JobState::Orphan(..))) {
                 front.finish(&jid, Answer::Failed);
@@ -261,7 +261,7 @@
 }
 
 impl Faktory {
-    /// May this attempt still be handed to a job worker?
+    /// May this attempt still be assigned to a job worker?
     fn is_wanted(&self, attempt: &Attempt, parcel: &Parcel) -> bool {
         let open = |k: &JobState| matches!(k, JobState::Open(job, _) if *job == attempt.id.job);
         !parcel.withdrawn.borrow().contains(&attempt.id)
@@ -320,7 +320,7 @@
     fn hang_up(&self, _: WorkerId) {} // job workers connect; nothing idle is held to them
 
     fn request_membership(&self, _: MembershipRequest) -> bool {
-        true // the list changes unasked
+        true // the membership changes unasked
     }
 
     fn forget(&self, job: JobId) {
--- a/crates/indigofold/src/front/faktory/codec.rs
+++ b/crates/indigofold/src/front/faktory/codec.rs
@@ -5,7 +5,7 @@
 use simd_json::OwnedValue;
 use std::fmt::Write;
 
-/// What a client says of itself.
+/// The payload of HELLO.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Hello {
@@ -36,12 +36,12 @@
     /// When it is to be run, if not at once.
     #[serde(default)]
     pub at: Option<String>,
-    /// What the scheduler is told about it.
+    /// Hints for the scheduler.
     #[serde(default)]
     pub custom: Option<Custom>,
 }
 
-/// What a client tells the scheduler about a job.
+/// A client's hints for the scheduler about a job.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Custom {
@@ -93,7 +93,7 @@
 }
 
 impl Command {
-    /// Reads a line without its end. An error says what is wrong with it.
+    /// Parses a command without its line end. An error says what is wrong with it.
     pub fn parse(command: &[u8]) -> Result<Command, String> {
         let text = std::str::from_utf8(command).map_err(|_| "a command must be UTF-8")?;
         let (verb, rest) = text.split_once(' ').unwrap_or((text, ""));
@@ -133,7 +133,7 @@
 
 fn json<T: for<'a> Deserialize<'a>>(verb: &str, text: &str) -> Result<T, String> {
     let mut bytes = text.as_bytes().to_vec();
-    // The library's words may quote the line; a reply must stay one line.
+    // The library's error may quote the input; a reply must stay on one line.
     crate::config::decode(&mut bytes)
         .map_err(|e| single_line(&format!("{verb} needs a JSON object: {e}")))
 }
@@ -170,7 +170,7 @@
     format!("${}\r\n{text}\r\n", text.len())
 }
 
-/// The server's first words; with a password, how to hash it.
+/// The server's greeting; with a password, how to hash it.
 pub fn greeting(salt: Option<(&str, u32)>) -> String {
     match salt {
         Some((salt, times)) => format!("+HI {{\"v\":2,\"i\":{times},\"s\":\"{salt}\"}}\r\n"),
--- a/crates/indigofold/src/front/faktory/machine.rs
+++ b/crates/indigofold/src/front/faktory/machine.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// What a machine's actor is told.
+/// An order to a machine's actor.
 pub enum Order {
     /// The module has assigned it this job.
     Send(Attempt, Rc<Parcel>),
@@ -29,7 +29,7 @@
     CancelFetch(u64),
     /// A job has been written to it, or not: then it never ran.
     Written(Assignment, bool),
-    /// It says how a job went.
+    /// A job worker reports how a job ended.
     Ended(String, String, Status),
 }
 
@@ -48,13 +48,13 @@
     start: String,
     links: BTreeSet<u64>,
     heartbeat_by: Time,
-    link_by: Option<Time>, // it has no connection, and is gone unless one comes before this
+    link_by: Option<Time>, // it has no connection, and is removed unless one comes before this
     quiet: bool,
-    unresponsive: bool, // its heartbeat is overdue: it counts as gone until the next one
+    unresponsive: bool, // its heartbeat is overdue
 }
 
 impl Process {
-    /// May it be handed something new?
+    /// May it be assigned something new?
     fn takes_jobs(&self) -> bool {
         !self.quiet && !self.unresponsive
     }
@@ -125,7 +125,7 @@
                 self.waiting.push_back((attempt, parcel));
                 self.assign_waiting();
             }
-            // Assigned before the module had heard that the machine drains or is gone.
+            // Assigned before the module had handled that the machine drains or has left.
             Order::Send(attempt, _) => {
                 self.send_to_core(CoreInput::Ended(attempt.id, Status::Moot, None))
                     .await
@@ -216,7 +216,7 @@
                 unresponsive: false,
             },
         );
-        // It is cold, and the module must hear of it even where the machine was there a moment ago.
+        // It is in warm-up, and the module must be notified even where the machine was active a moment ago.
         self.entry.ready_at = now;
         self.entry.state = WorkerState::Left;
         self.publish_state().await;
@@ -224,7 +224,7 @@
         self.return_waiting().await;
     }
 
-    /// Job workers whose heartbeat or connection is overdue are gone.
+    /// Ends the assignments of job workers whose heartbeat or connection is overdue.
     async fn expire_processes(&mut self) {
         let now = self.front.clock.now();
         let disconnected = |p: &Process| p.link_by.is_some_and(|at| at <= now);
@@ -247,7 +247,7 @@
         self.publish_state().await;
     }
 
-    /// A process is gone: what it had in hand may have run.
+    /// A process has ended: what was assigned to it may have run.
     async fn end_assignments_of(&mut self, wid: &str) {
         self.fetches.retain(|f| f.wid != wid);
         let lost: Vec<String> = self
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Works out the machine's state, and tells the core where it has changed.
+    /// Computes the machine's state, and notifies the core where it has changed.
     async fn publish_state(&mut self) {
         let state = match &self.processes {
             all if all.values().any(Process::takes_jobs) => WorkerState::Active,
--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -209,7 +209,7 @@
         Ok((command, text))
     }
 
-    /// Waits for the next command. A client without one may be asked to go; a job worker only as the program ends.
+    /// Waits for the next command. A client's connection may be evicted; a job worker's only as the program ends.
     async fn idle(&self) -> Result<(), Reason> {
         let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
         let stopping = |r| {
@@ -427,7 +427,7 @@
         }
     }
 
-    /// Writes a job to a job worker. Whether its last byte went out tells whether it may have run.
+    /// Writes a job to a job worker. It may have run if its last byte was sent.
     async fn send_assignment(
         &self,
         orders: &Sender<Order>,
@@ -457,7 +457,7 @@
     }
 }
 
-/// Reads until a whole line stands at the front of the buffer, and returns its length with the line end.
+/// Reads until the buffer starts with a complete command, and returns its length with the line end.
 async fn receive_command(link: &Link, buffer: &mut Buffer) -> Result<usize, Reason> {
     loop {
         if let Some(end) = buffer.filled().iter().position(|b| *b == b'\n') {
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use workers::{AttemptState, Order, Stage, WorkerActor};
 
-/// Orders that may wait for a machine; more are turned down unsent.
+/// Orders that may wait for a machine; more are rejected unsent.
 const MAX_QUEUED_ORDERS: usize = 512;
 
 /// A job's message as it is passed on, and what came back.
@@ -42,7 +42,7 @@
     pub result: RefCell<Option<Vec<u8>>>,
     /// Its attempts: where they went, and how far they have come.
     attempts: RefCell<Vec<Rc<AttemptState>>>,
-    /// Where its answer goes: gone once that is given, or nobody waits for it any more.
+    /// Where its answer goes: closed once that is given, or nobody waits for it any more.
     reply: WeakSender<Answer>,
 }
 
@@ -53,13 +53,13 @@
     }
 }
 
-/// A machine's actor, and whether the list says that the machine wants nothing new.
+/// A machine's actor, and whether the machine drains by the membership.
 struct Machine {
     orders: Sender<Order>,
     draining: Rc<Cell<bool>>,
 }
 
-/// All that the parts of this front share.
+/// State that the actors of this front share.
 pub struct Platform {
     /// The network.
     pub net: Net,
@@ -69,9 +69,9 @@
     pub site: RefCell<Site>,
     /// The way to the core.
     pub core: Mailbox,
-    /// Machines can be sent to: the list is usable.
+    /// There is a membership, so that jobs can be sent.
     pub ready: Cell<bool>,
-    /// The program's life.
+    /// The program's lifecycle.
     pub lifecycle: Rc<Lifecycle>,
     /// What is counted.
     pub metrics: Rc<Metrics>,
@@ -86,7 +86,7 @@
 }
 
 impl Platform {
-    /// The front; the discovery list's actor reads what is asked of it from the channel's other end.
+    /// The front; the membership watcher receives its commands from the channel's other end.
     pub fn new(
         net: Net,
         clock: Clock,
@@ -189,8 +189,8 @@
         id
     }
 
-    /// Takes a list from discovery: tells the machines' actors, and returns what the core is to be told. From here on
-    /// nothing more goes out to a machine that is draining, whatever was decided before.
+    /// Applies an update from discovery: notifies the machines' actors, and returns the core's entries. From here on
+    /// nothing more is sent to a machine that is draining, whatever was decided before.
     pub fn apply_membership(self: &Rc<Self>, update: MembershipUpdate) -> Vec<Entry> {
         if update.complete {
             self.machines
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -1,5 +1,5 @@
-//! One actor for each accepted connection: clients with their jobs, job workers with their news, and
-//! whoever asks whether the program is ready.
+//! One actor for each accepted connection: clients with their jobs, job workers with their reports, and
+//! readiness checks.
 
 use super::migration::MigratingJob;
 use super::{Parcel, Platform};
@@ -60,13 +60,13 @@
     body_bytes: usize,
 }
 
-/// What is told of a connection when it ends, or goes on elsewhere.
+/// The state of a connection that its end logs, or that migrates with it.
 #[derive(Default)]
 pub(super) struct ConnectionState {
     /// Messages read.
     pub messages: Cell<u64>,
     status: Cell<u16>,
-    /// The job that goes over to another process with the connection, and what has been read behind it.
+    /// The job that migrates to another process with the connection, and what has been read behind it.
     pub migrating: RefCell<Option<MigratingJob>>,
     rest: RefCell<Vec<u8>>,
 }
@@ -149,7 +149,7 @@
 }
 
 /// Waits for something to read; `false`: it is the last message to be taken. A connection that has never sent a message
-/// has until its time is up. One that is asked to go as its next message comes is served once more: closed over it, it
+/// has until its time is up. One that is evicted as its next message comes is served once more: closed over it, it
 /// would be reset.
 async fn first_byte(
     front: &Platform,
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Reads a whole message by a time. One that is malformed or late is answered, and ends the connection.
+    /// Reads a complete message by a time. One that is malformed or late is answered, and ends the connection.
     async fn read_message(
         &self,
         buffer: &mut Buffer,
@@ -328,7 +328,7 @@
         front.lifecycle.last_job.set(front.clock.now());
         // The client's time runs from when it began to send.
         let until = received_at + job.request.left;
-        // Where it can go over to another process, it need not end with this one.
+        // Where it can migrate to another process, it need not end with this one.
         let until = if front.migrates() {
             until
         } else {
@@ -357,7 +357,7 @@
     }
 }
 
-/// Reads until a whole request stands at the front of the buffer.
+/// Reads until the buffer starts with a complete request.
 async fn receive(link: &Link, buffer: &mut Buffer) -> Result<Result<Frame, Bad>, Reason> {
     let mut continue_sent = false;
     loop {
@@ -567,7 +567,7 @@
     wait_for_answer(front, link, rest, (id, &parcel, from), connection).await
 }
 
-/// Waits for a job's answer, for the client to leave, or for the job to go over to another process.
+/// Waits for a job's answer, for the client to leave, or for the job to migrate to another process.
 async fn wait_for_answer(
     front: &Rc<Platform>,
     link: &Link,
--- a/crates/indigofold/src/front/platform/membership.rs
+++ b/crates/indigofold/src/front/platform/membership.rs
@@ -1,4 +1,4 @@
-//! The discovery list: an actor that asks discovery and watches it.
+//! The membership watcher: an actor that requests the membership from discovery and watches its changes.
 
 use super::Platform;
 use crate::api::Scope;
@@ -17,76 +17,75 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a call for changes may wait, at least and at most. Where the connection has gone silent, what discovery has to
-/// tell counts as told six seconds later, or two after that wait: this side must have noticed and have asked anew by then.
-/// Discovery is one service for all schedulers and takes one call after another: with many, each calls less often, and no
-/// two wait for the same time, so that what falls silent together does not call together.
+/// How long a call for changes may wait, at least and at most. A change missed on a broken connection must be known six
+/// seconds after it, or two after that wait: by then the call must have been repeated. Waits differ between schedulers.
 const WAIT_MS: (u64, u64) = (3_000, 30_000);
+/// Discovery serves one call after another, for all schedulers: the wait grows with their number.
 const WAIT_PER_SCHEDULER_MS: u64 = 500;
-/// With so many schedulers, calls are spread out: as they start together, fail together and hear of a change together,
-/// they would call together, and most would be turned away, again and again ...
+/// From so many schedulers on, calls are spread over time: made together, most of them would be rejected.
 const MANY_SCHEDULERS: u64 = 8;
-/// ... over so long for each scheduler where a watch begins, which costs discovery most (20 to 60 ms) ...
+/// Spread of calls that start a watch, for each scheduler; such a call costs discovery 20 to 60 ms ...
 const SPREAD_PER_SCHEDULER: Duration = Duration::from_millis(40);
-/// ... but no longer than this part of the time within which the list must be asked for, the rest being for the call ...
+/// ... but at most this fraction of the time within which the membership must be requested, the rest being for the call ...
 const MAX_SPREAD_FRACTION: f64 = 0.5;
-/// ... and so many times as long at most, as calls fail: discovery still works through those that it has turned away.
+/// ... times this at most after failed calls: discovery still works on those that it has rejected.
 const MAX_FAILURE_FACTOR: u32 = 4;
-/// A watch goes on only if the next call comes within 200 ms of the answer: what changes later counts as told all the
-/// same, and is not. However many they are, the calls of a watch that goes on are put off for no longer than this.
+/// Spread of calls that continue a watch: the next one must come within 200 ms of the answer, or changes are missed.
 const CONTINUE_SPREAD: Duration = Duration::from_millis(100);
-/// Over how long the first call of a process that replaces another is spread out.
+/// Spread of the first call of a process that replaces another.
 const REPLACEMENT_SPREAD: Duration = Duration::from_millis(500);
-/// Over how long, with many schedulers, those that have found their watch silent open it anew.
+/// Spread of calls that reopen an unresponsive watch, with many schedulers.
 const REOPEN_SPREAD: Duration = Duration::from_millis(300);
-/// Over how long, with many, the first calls to a discovery that takes over are spread out: what it has to tell counts as
-/// told four seconds after the signal.
+/// Spread of the first calls to a new discovery, with many schedulers: its changes must be known four seconds after the
+/// signal.
 const NEW_DISCOVERY_SPREAD: Duration = Duration::from_millis(1_500);
 /// How long a call for changes may take beyond its wait ...
 const CALL_SLACK: Duration = Duration::from_millis(1_000);
-/// ... one to a discovery that takes over ...
+/// ... one to a new discovery ...
 const NEW_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// ... and any other whose answer is due at once: it stands in line at discovery, which itself gives up on a call in less.
-/// Broken off sooner it would be worked through all the same, and the one made instead would stand behind it.
+/// ... and any other: it queues at discovery, which gives up sooner. A call broken off is worked on all the same, and the
+/// next one would queue behind it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// ... and how long a dial may take.
+/// How long a dial may take.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Wait of a call that is to say what has changed up to now. Where a list is held, a watch begins with such a call: one for
-/// the whole list would cost discovery more, and the watch would only begin with the next call, which has to stand in line
-/// as well; what changes while it does counts as told, as it has come right after an answer.
+/// Wait of a call for the changes up to now. With a membership known, a watch starts with such a call: the complete one
+/// would cost discovery more, and changes could be missed before the next call.
 const IMMEDIATE_WAIT_MS: u64 = 1;
-/// So long after a failed call the next one is made, at most, however many call and however often they failed: what changes
-/// counts as told six seconds after discovery could be reached again, and the rest of that is for standing in line. All that
-/// call come within this time and that of a call, so that discovery has as long for them.
+/// Within this time of a failed call the next one is made: changes must be known six seconds after discovery can be reached
+/// again, and the rest of that time is for queueing there.
 const RETRY_WITHIN: Duration = Duration::from_millis(4_200);
-/// Between two tries at a discovery that is to take over.
+/// Between two attempts to reach a new discovery.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the actor is told.
+/// A command to the actor.
 pub enum Command {
-    /// Something is asked of the list.
+    /// The core requests something of the membership.
     Request(MembershipRequest),
     /// Discovery answers here from now on.
     MoveTo(SocketAddr),
 }
 
-/// A call under way. It owns its line, so that what else happens meanwhile does not break it off.
+/// A call under way. It owns its connection, so that a command does not cancel it.
 type Call = Pin<Box<dyn Future<Output = (DiscoveryClient, Result<MembershipUpdate, Reason>)>>>;
 
+/// What the actor wakes up for.
 enum Wakeup {
     Answer(DiscoveryClient, Result<MembershipUpdate, Reason>),
     NewDiscovery(DiscoveryClient, Result<MembershipUpdate, Reason>),
     Command(Result<Command, RecvError>),
 }
 
-/// A call that begins a watch, one with which a watch goes on, one after a watch has fallen silent, and one to a discovery
-/// that takes over.
+/// Why a call is made.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallKind {
+    /// It starts a watch, or requests the complete membership.
     StartWatch,
+    /// It continues a watch.
     ContinueWatch,
+    /// It reopens a watch that has become unresponsive.
     Unresponsive,
+    /// It is the first one to a new discovery.
     NewDiscovery,
 }
 
@@ -122,7 +121,7 @@
     (most / 2, most)
 }
 
-/// How long a call may take that waits so long, or asks for the whole list.
+/// How long a call may take that waits so long, or requests the complete membership.
 fn call_timeout(wait: Option<u64>) -> Duration {
     wait.filter(|wait| *wait != IMMEDIATE_WAIT_MS)
         .map_or(CALL_TIMEOUT, |wait| {
@@ -130,22 +129,22 @@
         })
 }
 
-/// The way to a discovery, and the version of its list that is held, if one is.
+/// The connection to a discovery, and the version of its membership that is known, if any.
 struct DiscoveryClient {
     front: Rc<Platform>,
     discovery: SocketAddr,
     link: Option<Link>,
     seq: Option<u64>,
-    /// Its last answer was older than the version held: it is asked for the whole list, and that counts.
+    /// Its last answer was older than the version known: the complete membership is requested, and is applied.
     older: bool,
 }
 
-/// The list that a scheduler has when it starts.
+/// The membership that a scheduler has when it starts.
 #[derive(Clone, Copy, Debug)]
 pub struct InitialMembership {
-    /// Its version; `None`: it names no machine, and tells nothing.
+    /// Its version; `None`: it names no machine, and is not used.
     pub seq: Option<u64>,
-    /// Another process of this scheduler serves yet: there is time to hear what has changed.
+    /// Another process of this scheduler still serves: there is time to wait for changes.
     pub replaces: bool,
 }
 
@@ -165,7 +164,7 @@
 }
 
 impl MembershipWatcher {
-    /// An actor that asks this discovery. Where it has many to serve, a list known already is served with until it has
+    /// An actor that watches this discovery. With many schedulers, a membership known already is used until it has
     /// answered: after a mass restart that takes seconds, in which those that still serve would get everything.
     pub fn new(
         front: Rc<Platform>,
@@ -207,7 +206,7 @@
 
     fn schedulers(&self) -> u64 {
         let site = self.front.site.borrow();
-        // Where lists are pushed, each scheduler has an agent of its own.
+        // Where memberships are pushed, each scheduler has an agent of its own.
         if site.pushed {
             1
         } else {
@@ -224,14 +223,14 @@
     /// The next call of a watch that goes on.
     fn continue_watch(&mut self, client: DiscoveryClient) -> Call {
         let (wait, put_off) = (self.wait(), self.put_off(CallKind::ContinueWatch));
-        // What is older than the list held says nothing of what has changed since.
+        // An older answer has no changes since the version known: the complete membership is requested.
         let wait = (!client.older).then_some(wait);
         Box::pin(client.call(wait, put_off, call_timeout(wait)))
     }
 
-    /// Opens a watch anew that broke or fell silent, without asking whether and when: what it misses counts as told. Not
-    /// where discovery turns calls down, and not twice in a row: then it is the module that says when. Where lists are
-    /// pushed, what the agent has counts as told at any time, so that it is asked until it answers.
+    /// Reopens a watch that broke or became unresponsive, without a request of the module, as changes are missed
+    /// meanwhile. Not where discovery rejects calls, and not twice in a row: then the module decides when. Where memberships
+    /// are pushed, the agent is called until it answers.
     fn reopen_watch(
         &mut self,
         mut client: DiscoveryClient,
@@ -375,10 +374,10 @@
             return;
         }
         self.watching |= request == MembershipRequest::Watch(true);
-        // A watch begins from the list held, and where there is none with the whole list. A new discovery's first answer
-        // is the whole list as well.
+        // A watch starts from the version known, and without one from the complete membership, which is also a new
+        // discovery's first answer.
         if self.next_discovery.is_none() {
-            // One that is under way is not begun anew: it would stand in line once more.
+            // A call under way is not repeated: it would queue at discovery once more.
             if self.call.is_some() {
                 return;
             }
@@ -403,7 +402,7 @@
     }
 
     /// Begins to ask a new discovery, until it answers: then it takes over. The watch at the old one goes on
-    /// for as long as that allows, so that there is no time in which nobody would tell of a change.
+    /// for as long as that allows, so that no change is missed meanwhile.
     fn move_to_discovery(&mut self, to: SocketAddr) {
         match &self.next_discovery {
             Some((going, _)) if *going == to => return,
@@ -430,7 +429,7 @@
         self.next_discovery = Some((to, Box::pin(call)));
     }
 
-    /// Tells the core how a call went.
+    /// Reports the result of a call to the core.
     async fn report_result(
         &mut self,
         mut client: DiscoveryClient,
@@ -470,7 +469,7 @@
                 (Scope::Failed, Vec::new())
             }
         };
-        // A watch that waited in vain has nothing to tell.
+        // A watch without changes has nothing to report.
         if scope != Scope::Delta || !entries.is_empty() {
             let _ = self
                 .front
@@ -482,7 +481,7 @@
         client
     }
 
-    /// Ready once there is a list. Where discovery is down at the start, what was known before is all there is to go by.
+    /// Ready once there is a membership. Where discovery is down at the start, the one known before is used.
     fn set_ready(&self, answered: bool) {
         if (answered || self.front.knows_machines()) && !self.front.ready.replace(true) {
             log("ready: there is a machine list");
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -1,6 +1,6 @@
-//! Open jobs that go over to the process that takes over: the client's connection, the message and what the core
+//! Migration of open jobs to the process that takes over: the client's connection, the message and what the core
 //! knows of the job. A job goes once none of its attempts is on its way to a machine: those that a machine has taken need
-//! no connection, as it tells what becomes of them to whoever accepts.
+//! no connection, as it reports their ends to any process that accepts.
 
 use super::clients::{self, ConnectionState, ResumedJob};
 use super::peer_process::{HandoverMessage, PeerProcess};
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two tries to give a job away whose attempt is on its way.
+/// Between two attempts to release a job that has an attempt on its way.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A job and its client's connection, but for the descriptor.
@@ -38,14 +38,14 @@
     job: TransferredJob<String>,
 }
 
-/// Where open jobs go, if anywhere.
+/// State of the migration of open jobs.
 pub struct Migration {
     target: RefCell<Option<Rc<PeerProcess>>>,
-    /// Closed while there is one: all that wait hear of it.
+    /// Closed while there is one, which wakes all that wait for it.
     started: RefCell<(Sender<()>, Receiver<()>)>,
-    /// Jobs that are about to go over, by their ids: the news of them that has come meanwhile.
+    /// Jobs that are about to migrate, by their ids: reports on them that have come meanwhile.
     deferred: RefCell<HashMap<String, Vec<Vec<u8>>>>,
-    /// Ids of jobs that have transferred over: news of them that is sent back here goes there.
+    /// Ids of jobs that have migrated: reports on them that are sent back here go there.
     transferred: RefCell<HashSet<String>>,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Platform {
-    /// Open jobs go to this process from now on.
+    /// Open jobs migrate to this process from now on.
     pub fn start_migration(&self, peer: &Rc<PeerProcess>) {
         self.migration.target.replace(Some(peer.clone()));
         self.migration.started.borrow().0.close();
@@ -106,7 +106,7 @@
                 .all(|attempt| attempt.is_settled())
                 && parcel.result.borrow().is_none()
             {
-                // News of it waits until it is known who is to hear of it.
+                // Reports on it wait until it is known which process has it.
                 let trace = parcel.trace.clone();
                 self.migration
                     .deferred
@@ -137,7 +137,7 @@
         }
     }
 
-    /// News that came meanwhile: takes what waited, and nothing waits any more.
+    /// Handles the reports that came meanwhile, and defers none any more.
     async fn replay_deferred_reports(self: &Rc<Self>, trace: &str) {
         let reports = self.migration.deferred.borrow_mut().remove(trace);
         for text in reports.into_iter().flatten() {
@@ -152,7 +152,7 @@
         self.migration.deferred.borrow_mut().remove(trace);
     }
 
-    /// Keeps a piece of news of a job that is about to go over.
+    /// Keeps a report on a job that is about to migrate.
     pub(super) fn defer_report(&self, trace: &str, text: &[u8]) -> bool {
         let mut deferred = self.migration.deferred.borrow_mut();
         deferred
@@ -212,7 +212,7 @@
         }
     }
 
-    /// A word that the other process will not read any more: a job that was to go there stays here.
+    /// A message that the other process will not read any more: a job that was to migrate stays here.
     pub async fn resume_undelivered(self: &Rc<Self>, message: HandoverMessage) {
         if let HandoverMessage::Job(encoded, stream) = message {
             log("handover: a job stays, the new process has ended");
@@ -280,7 +280,7 @@
             .iter()
             .map(|t| AttemptState::new(t.worker, Stage::Taken));
         parcel.attempts.borrow_mut().extend(attempts);
-        // Given up here, a machine must hear of it: it keeps an attempt until then.
+        // Given up here, a machine must be notified: it keeps an attempt until then.
         for (t, number) in job.attempts.iter().zip(0..).filter(|(t, _)| !t.done) {
             self.order(t.worker, Order::Taken(AttemptId { job: id, number }));
         }
--- a/crates/indigofold/src/front/platform/peer_process.rs
+++ b/crates/indigofold/src/front/platform/peer_process.rs
@@ -1,4 +1,4 @@
-//! The other process of this scheduler, while one replaces the other: its open ids, and what it is told.
+//! The other process of this scheduler, while one replaces the other: its open jobs, and the messages to it.
 
 use super::Platform;
 use crate::config::{JobReport, Names};
@@ -14,7 +14,7 @@
 /// Words that may wait for the other process.
 const OUTBOX_CAPACITY: usize = 4096;
 
-/// What one process tells the other.
+/// A message from one process to the other.
 pub enum HandoverMessage {
     /// A job of this id is open here.
     JobOpened(String),
@@ -26,7 +26,7 @@
     Serving,
     /// What this process has learned, as written.
     Statistics(Vec<u8>),
-    /// A job goes over, with its client's connection.
+    /// A job migrates, with its client's connection.
     Job(Vec<u8>, TcpStream),
 }
 
@@ -34,12 +34,12 @@
 pub struct PeerProcess {
     /// Ids of the jobs that are open there.
     pub ids: RefCell<HashSet<String>>,
-    /// What it is to be told.
+    /// Messages to it.
     pub outbox: Sender<HandoverMessage>,
 }
 
 impl Platform {
-    /// The other process is there. It hears of all jobs that are open here, and of what becomes of them.
+    /// The other process has connected. It is notified of all jobs that are open here, and of their ends.
     pub fn add_peer(&self) -> (Rc<PeerProcess>, Receiver<HandoverMessage>) {
         let (outbox, messages) = bounded(OUTBOX_CAPACITY);
         let peer = Rc::new(PeerProcess {
@@ -53,7 +53,7 @@
         (peer, messages)
     }
 
-    /// The other process is gone.
+    /// The other process has ended.
     pub fn remove_peer(&self, peer: &Rc<PeerProcess>) {
         self.peers.borrow_mut().retain(|k| !Rc::ptr_eq(k, peer));
     }
@@ -73,7 +73,7 @@
             .for_each(|peer| peer.notify(message()));
     }
 
-    /// Takes a piece of news. Job workers reach whichever process accepts: what is not open here may be open in the
+    /// Handles a report. Job workers reach whichever process accepts: what is not open here may be open in the
     /// other one, and goes there, though never back to where it came from.
     pub async fn handle_report(
         &self,
@@ -91,7 +91,7 @@
         }
         if !open {
             let others: Vec<Rc<PeerProcess>> = self.peers.borrow().clone();
-            // A job that has gone over was not open there yet when the other process heard of it.
+            // A job that has migrated was not open there yet when the other process sent the report here.
             let returned = self.was_transferred(&report.id);
             for peer in others
                 .iter()
@@ -116,7 +116,7 @@
         };
         let mut named = self.with_names(statistics);
         let encoded = named.write().or_else(|| {
-            // Too many machines: what is known of kinds, classes and the whole is worth more.
+            // Too many machines: statistics of kinds, of classes and overall are worth more.
             named.workers.clear();
             named.write()
         });
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -25,16 +25,16 @@
 
 /// How long a probe may take beyond the dial.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long word that an attempt is given up may take, and between two tries.
+/// How long the request to give up an attempt may take, and the interval between two of them.
 const DELETE_TIMEOUT: Duration = Duration::from_millis(500);
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a 202 is waited for once the attempt has timed out.
 const ACCEPT_LINGER: Duration = Duration::from_millis(500);
-/// A machine says within this time of an attempt that it took it. One that has not hangs, or the connection has gone
-/// silent: the module hears of it, and the attempt is waited for all the same.
+/// A machine acknowledges an attempt within this time. One that has not hangs, or the connection is broken: the module is
+/// notified, and the attempt goes on.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a machine's actor is told to do.
+/// An order to a machine's actor.
 pub enum Order {
     /// This is its address from now on.
     Address(SocketAddr),
@@ -57,7 +57,7 @@
     task: Option<Task<()>>, // dropped, it closes the connection
 }
 
-/// What a machine's answer says of an attempt.
+/// A machine's answer to an attempt.
 enum WorkerReply {
     /// It has taken it.
     Taken,
@@ -73,7 +73,7 @@
 
 impl WorkerConnections {
     /// The one check right before the first byte of an attempt: is it still to go, and here? A decision waits in the
-    /// mailbox and for a connection, and the world goes on meanwhile.
+    /// mailbox and for a connection, and things change meanwhile.
     fn may_be_sent(&self, attempt: &Attempt, parcel: &Parcel, state: &AttemptState) -> bool {
         let now = self.front.clock.now();
         state.stage() == Stage::Unsent
@@ -82,7 +82,7 @@
             && !self.draining.get()
     }
 
-    /// What the head of an answer says of an attempt.
+    /// Interprets the head of an answer to an attempt.
     fn outcome(&self, head: &Head<'_>) -> WorkerReply {
         let site = self.front.site.borrow();
         let load = head
@@ -159,7 +159,7 @@
             // Before the machine has taken it, closing the connection gives it up.
             (None, Err(Reason::GivenUp)) if state.went_out() => Some((Status::Cancelled, None)),
             (None, Err(Reason::GivenUp)) => Some((Status::Moot, None)),
-            // Whether the last byte of the attempt has gone out tells whether it may have run.
+            // It may have run if its last byte was sent.
             (None, _) if !state.went_out() => Some((Status::ConnectFailed, None)),
             (None, _) => Some((Status::Reset, None)),
         }
@@ -201,7 +201,7 @@
             .await;
     }
 
-    /// Gives up an attempt that the machine has taken, and tells the core when it has heard of that. Until then another attempt
+    /// Gives up an attempt that the machine has taken, and notifies the core when the machine has acknowledged. Until then another attempt
     /// of the job could get to its machine sooner. Where nobody waits for the job any more one try is enough.
     async fn delete(&self, attempt: AttemptId, parcel: &Parcel, mut fresh: bool) {
         while !self.deleted(&parcel.trace, fresh).await && parcel.is_awaited() {
@@ -215,8 +215,8 @@
             .await;
     }
 
-    /// Sends word that an attempt is given up. Has it got there? One that hangs does not answer, but its machine has just
-    /// accepted the connection if that is a fresh one; an idle one may have gone silent long ago.
+    /// Sends the request to give up an attempt. Has it arrived? One that hangs does not answer, but its machine has just
+    /// accepted the connection if that is a fresh one; an idle one may have been broken for long.
     async fn deleted(&self, trace: &str, fresh: bool) -> bool {
         let mut buffer = self.front.net.pool.take();
         let prepare = |buffer: &mut Buffer| {
@@ -285,7 +285,7 @@
                     }
                 }
                 Order::Forget(id) => {
-                    // News can end a job before the 202 has come: that is still read, to keep the connection.
+                    // A report can end a job before the 202 has come: that is still read, to keep the connection.
                     if let Some(task) = self.out.borrow_mut().remove(&id).and_then(|out| out.task) {
                         task.detach();
                     }
@@ -339,7 +339,7 @@
             if let Some((status, load)) = ended {
                 let removed = out.borrow_mut().remove(&attempt.id);
                 if status == Status::Cancelled && parcel.is_awaited() {
-                    // Its 202 may have been lost: then closing the connection says nothing, and another attempt is to follow.
+                    // Its 202 may have been lost: then closing the connection gives nothing up, and another attempt is to follow.
                     connections.delete(attempt.id, &parcel, true).await;
                 } else {
                     let _ = connections
--- a/crates/indigofold/src/front/platform/workers/attempt.rs
+++ b/crates/indigofold/src/front/platform/workers/attempt.rs
@@ -9,7 +9,7 @@
 /// How far an attempt has come.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Nothing of it has gone out.
+    /// Nothing of it was sent.
     Unsent,
     /// Some of it has, but not its last byte.
     Begun,
@@ -50,7 +50,7 @@
         self.stage.get()
     }
 
-    /// Has all of it gone out, however it ended?
+    /// Was all of it sent, however it ended?
     pub fn went_out(&self) -> bool {
         self.went_out.get()
     }
@@ -61,7 +61,7 @@
         stage == Stage::Ended || (stage == Stage::Taken && !self.given_up.get())
     }
 
-    /// Withdraws it if nothing of it has gone out: then nothing ever will.
+    /// Withdraws it if nothing of it was sent: then nothing ever will be.
     pub fn withdraw(&self) -> bool {
         let unsent = self.stage.get() == Stage::Unsent;
         if unsent {
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -30,7 +30,7 @@
     pub(super) front: Rc<Platform>,
     pub(super) worker: WorkerId,
     pub(super) host: String,
-    /// The list says that it wants nothing new.
+    /// By the membership it takes nothing new.
     pub(super) draining: Rc<Cell<bool>>,
     pub(super) address: Cell<Option<SocketAddr>>,
     /// Connections that stand idle, each with the time since when it may be used.
@@ -119,8 +119,8 @@
         })
     }
 
-    /// Sends a message and reads the answer's head and body, both left in the buffer. What the answer says is told as
-    /// soon as its head is there: its body may be cut off, or never end. Returned with how long the connection then rests.
+    /// Sends a message and reads the answer's head and body, both left in the buffer. `on_head` is called as
+    /// soon as the answer's head is there: its body may be cut off, or never end. Returned with how long the connection then rests.
     async fn exchange_on(
         &self,
         link: &Link,
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -1,7 +1,7 @@
-//! Replacing the process: a new one asks the old one, over a Unix socket in `$TMPDIR`, for its listeners, and tells it
-//! once it serves. Until the old one has ended, the two are one scheduler, by what they tell each other on this link.
+//! Replacement of the process: a new one requests the old one's listeners over a Unix socket in `$TMPDIR`, and notifies it
+//! once it serves. Until the old one has ended, the two act as one scheduler by the messages on this link.
 //!
-//! A word on the link is a byte that names it, the length of what follows (four bytes, the least first), and that.
+//! A frame on the link is a byte that names it, the length of its payload (four bytes, little-endian), and the payload.
 
 use crate::config::{self, JobReport};
 use crate::core::StatisticsScope;
@@ -29,22 +29,21 @@
 
 /// Listeners that can be passed on: the platform's and the Faktory front's.
 const MAX_LISTENERS: usize = 2;
-/// The longest word: news, with room to spare.
+/// The longest frame: a report, with spare space.
 const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// The old process answers within this time, or it is taken for gone.
+/// The old process answers within this time, or it counts as ended.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Once handed on, a client's connection that has stood idle for this long is closed: a job is hardly on its way ...
+/// Once a new process serves, a client's connection idle for this long is closed: a job is hardly on its way ...
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(1_000);
-/// ... and from so long after on, all idle ones.
+/// ... and from this long after the handover on, every idle one.
 const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(2_500);
-/// Descriptors that the old process may take beyond those it has.
+/// Descriptors that the old process may open beyond those it has.
 const SPARE_DESCRIPTORS: usize = 32;
-/// What a new process says that can take in what was learned, and open jobs. A program from before that says nothing, and would take
-/// the word for an id.
+/// Payload of the first frame of a process that takes statistics and open jobs. An older program sends none.
 const CAPABILITIES: &[u8] = b"learns moves";
-/// How often the two tell each other which slots their jobs hold at machines: news of them lasts two seconds.
+/// How often the two report their slots in flight: such a report is valid for two seconds.
 const SLOTS_REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How often that is looked at, and whether there is a discovery list.
+/// How often idle connections, and whether there is a membership, are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A listener by the name of its front.
@@ -65,7 +64,7 @@
     Some(Path::new(&dir).join(format!("indigofold-{:016x}.sock", config::hash(listen))))
 }
 
-/// Asks the old process for its listeners. `None`: there is none that answers.
+/// Requests the old process's listeners. `None`: there is none that answers.
 pub async fn request_listeners(path: &Path) -> Option<Inherited> {
     let request = async {
         let link = Async::<UnixStream>::connect(path)
@@ -82,7 +81,7 @@
         .ok()
 }
 
-/// Reads the first word of the old process, with the listeners that come along.
+/// Reads the first frame of the old process, with the listeners that come along.
 async fn receive(link: Async<UnixStream>) -> io::Result<Inherited> {
     let (mut bytes, mut fds) = ([0; 64], Vec::new());
     let count = link
@@ -127,7 +126,7 @@
     frame
 }
 
-/// Sends a word with a client's connection, which comes with its first byte.
+/// Sends a frame with a client's connection, which is attached to its first byte.
 async fn send_with(
     mut link: &Async<UnixStream>,
     frame: &[u8],
@@ -149,7 +148,7 @@
     link.write_all(&frame[sent..]).await
 }
 
-/// Fills the buffer; connections that come along stand in the order of their words.
+/// Fills the buffer; attached connections are queued in the order of their frames.
 async fn fill(
     link: &Async<UnixStream>,
     buffer: &mut [u8],
@@ -208,12 +207,12 @@
     pub accepting: RefCell<Vec<Task<()>>>,
     /// What answers a new process.
     pub answering: RefCell<Option<Task<()>>>,
-    /// What closes idle connections once handed on.
+    /// What closes idle connections once a new process serves.
     pub closing: RefCell<Option<Task<()>>>,
 }
 
 impl Handover {
-    /// Begins to take clients: at once, or in place of the old process as soon as there is a discovery list.
+    /// Begins to take clients: at once, or in place of the old process as soon as there is a membership.
     pub async fn serve(self: Rc<Self>, inherited: Option<Inherited>) {
         let Some(Inherited { link, .. }) = inherited else {
             self.open();
@@ -222,7 +221,7 @@
         let (peer, messages) = self.front.add_peer();
         let (this, old) = (self.clone(), peer.clone());
         self.front.net.spawn(async move {
-            // The old one's first word of what was learned shows that it knows such words.
+            // The old one's first statistics show that it knows such messages.
             this.exchange_messages(&link, &old, messages, false).await;
             this.front.remove_peer(&old);
             log("handover: the old process has ended");
@@ -456,7 +455,7 @@
     }
 }
 
-/// Sends what the other process is to hear, until the link breaks or nothing more comes.
+/// Sends the messages to the other process until the link breaks or the channel closes.
 async fn send_messages(
     link: &Async<UnixStream>,
     messages: &Receiver<HandoverMessage>,
--- a/crates/indigofold/src/lib.rs
+++ b/crates/indigofold/src/lib.rs
@@ -1,9 +1,9 @@
 //! A scheduler that pushes jobs to job workers: hybrid SQ(d) over worker kinds.
 //!
-//! [`dispatcher::Dispatcher`] is the whole decision module. It is fed [`api::Event`]s and answers with
+//! [`dispatcher::Dispatcher`] is the decision module. It takes [`api::Event`]s and answers with
 //! [`api::Action`]s; it does no I/O and reads no clock. [`wire`] translates a text protocol for the simulator.
-//! Round the module stand [`core`], which knows no wire, [`net`] and the fronts in [`front`];
-//! operators call at the [`admin`], [`handover`] replaces the process, and [`program`] wires the parts.
+//! Around the module are [`core`], which knows no protocol, [`net`] and the fronts in [`front`];
+//! operators call at the [`admin`], [`handover`] replaces the process, and [`program`] connects the parts.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -21,7 +21,7 @@
 
 /// Between two tries to accept while there is no room.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// The first message must be whole this long after the connection was accepted, and each later one this long after
+/// The first message must be complete this long after the connection was accepted, and each later one this long after
 /// its first byte: who sends nothing, or a byte now and then, holds a descriptor for no longer.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A new connection's first message may be on its way for so long: until then it is not the first to go.
@@ -94,12 +94,12 @@
         }
     }
 
-    /// The next connection that comes. Where there is no room for it, the one that is missed least is asked to
-    /// go, and this one is taken without waiting for that: job workers' news comes on new connections, and must
-    /// not stand in line behind a flood. Where none can go a few are let in all the same, for the sake of news.
+    /// The next connection. At the limit, the one of the lowest rank is evicted, and this one is accepted without waiting
+    /// for that: job workers' reports come on new connections, and must not queue behind a flood. Where none can be
+    /// evicted, a few are accepted beyond the limit, for the sake of reports.
     async fn accept(&self, listener: &Async<TcpListener>) -> Link {
         loop {
-            // No place is taken, and nobody asked to go, before somebody is there.
+            // Nothing is reserved or evicted before a connection waits.
             let _ = listener.readable().await;
             let seat = match self.set.seat(Direction::Inbound) {
                 Some(seat) => Some((seat, false)),
@@ -135,7 +135,7 @@
     }
 
     /// A buffer for a message that begins to come. Where there is no room, connections whose first message is not
-    /// whole are asked to go.
+    /// complete are evicted.
     pub async fn buffer(&self) -> Result<Buffer, Reason> {
         let wait = async {
             while !self.pool.has_capacity() {
@@ -147,7 +147,7 @@
         within(MESSAGE_TIMEOUT, Reason::NoCapacity, wait).await
     }
 
-    /// Runs something on an accepted connection that may be asked to go meanwhile.
+    /// Runs a future on an accepted connection that may be evicted meanwhile.
     pub async fn unless_evicted<T>(
         &self,
         rank: Rank,
@@ -156,7 +156,7 @@
         self.unless_evicted_or_drained(rank, false, work).await
     }
 
-    /// The same; a client's connection is also asked to go as the program drains.
+    /// The same; a client's connection is also evicted as the program drains.
     pub async fn unless_evicted_or_drained<T>(
         &self,
         rank: Rank,
@@ -383,8 +383,8 @@
     /// buffer is only held once there is something. More than a buffer holds is thrown away, as its leaving would not be
     /// seen behind it: the connection is overrun, and ends with the answer that is due.
     pub async fn wait_until_closed(&self, rest: &mut Option<Buffer>, pool: &Rc<Pool>) -> Reason {
-        // What is there now is not left to the poller's word: that comes a turn later, and by then the job of a client that
-        // has left could have gone out.
+        // The socket itself is checked first: the poller's event comes a turn later, and by then the job of a client that
+        // has left could have been sent.
         if rest.is_none() && !self.stale() && self.readable().await.is_err() {
             return Reason::Broke;
         }
--- a/crates/indigofold/src/net/buffer.rs
+++ b/crates/indigofold/src/net/buffer.rs
@@ -7,7 +7,7 @@
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The largest head (request line and headers) that is taken.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The one size: a whole message fits, with room for the framing of a chunked body.
+/// The one size: a complete message fits, with room for the framing of a chunked body.
 pub const BUFFER_BYTES: usize = MAX_BODY_BYTES + 2 * MAX_HEAD_BYTES;
 /// Where buffers come from and go back to. One that was given back to the system would have to be cleared when it
 /// is made anew, so those that there have been at once stay; how many these can be follows from the memory limit.
--- a/crates/indigofold/src/net/http.rs
+++ b/crates/indigofold/src/net/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 framing on httparse: where a message ends, and what its head says. No meaning.
+//! HTTP/1.1 framing on httparse: where a message ends, and what its head says. What a message asks for is not known here.
 
 use super::buffer::{Buffer, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use httparse::{EMPTY_HEADER, Header, Status};
@@ -7,7 +7,7 @@
 /// Headers that a message may have.
 const MAX_HEADERS: usize = 64;
 
-/// Why a message cannot be taken, by the status that says so.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
     /// The head or the framing is malformed.
@@ -32,7 +32,7 @@
     }
 }
 
-/// A whole message at the front of a buffer.
+/// A complete message at the front of a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     head: usize,
@@ -48,7 +48,7 @@
 /// How far a message has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More bytes are needed; `true`: the sender expects_continue to be told to go on.
+    /// More bytes are needed; `true`: the sender waits for `100 Continue`.
     Partial(bool),
     /// It is all there.
     Complete(Frame),
@@ -200,7 +200,7 @@
     complete(head..head + length, head + length)
 }
 
-/// Tells what the head of an answer at the front of the buffer says, as soon as it is whole, whatever follows it.
+/// Lets the caller inspect the head of an answer at the front of the buffer as soon as it is complete.
 pub fn answer_head<T>(buffer: &Buffer, inspect: impl FnOnce(&Head<'_>) -> T) -> Option<T> {
     let mut slots = [EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut slots);
@@ -342,7 +342,7 @@
     }
 }
 
-/// The words that go with a status.
+/// The reason phrase of a status (RFC 9110, section 15).
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -1,4 +1,4 @@
-//! The set of connections: how many descriptors are in use, and which accepted ones may be asked to go.
+//! The set of connections: how many descriptors are in use, and which accepted ones may be evicted.
 
 use async_channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
@@ -27,7 +27,7 @@
     offers: RefCell<BTreeMap<(Rank, u64), Offered>>,
 }
 
-/// A connection that may be asked to go: how, whether it is known to be a client's, and since when it stands so.
+/// A connection that may be evicted: how it is notified, whether it is known to be a client's, and since when it is idle.
 struct Offered {
     evict: Sender<()>,
     client: bool,
@@ -42,7 +42,7 @@
     Closing,
     /// It has never sent anything.
     NothingSent,
-    /// Its first message is not whole.
+    /// Its first message is not complete.
     PartialMessage,
     /// It has had one answer and stands idle: perhaps nobody will use it again.
     Once,
@@ -59,7 +59,7 @@
 pub enum Direction {
     /// Accepted.
     Inbound,
-    /// Accepted although there is no room for more clients: it may bring news that makes room.
+    /// Accepted although there is no room for more clients: it may bring a report that ends a job.
     InboundExtra,
     /// Dialled.
     Outbound,
@@ -99,7 +99,7 @@
             .set(descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(16));
     }
 
-    /// So many descriptors more, or fewer, are the process's: connections have gone from one process to another.
+    /// Raises or lowers the limit: connections have moved from one process to another.
     pub fn resize(&self, by: isize) {
         self.limit.set(self.limit.get().saturating_add_signed(by));
     }
@@ -137,12 +137,12 @@
         Some(Seat(self.clone(), direction))
     }
 
-    /// Asks the connection that is missed least to close. `false`: none has offered to.
+    /// Evicts the connection of the lowest rank. `false`: none may be evicted.
     pub fn evict_one(&self) -> bool {
         self.evict_up_to(Rank::Used)
     }
 
-    /// The same, but only among those that are missed no more than this.
+    /// The same, but only among those of at most this rank.
     pub fn evict_up_to(&self, rank: Rank) -> bool {
         let mut offers = self.offers.borrow_mut();
         let first = offers.first_entry().filter(|first| first.key().0 <= rank);
--- a/crates/indigofold/src/program.rs
+++ b/crates/indigofold/src/program.rs
@@ -121,7 +121,7 @@
     })?))
 }
 
-/// What all parts of the program share.
+/// What the fronts and the stop share.
 struct Shared {
     net: Net,
     clock: Clock,
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    /// Accepts at all listeners: with a platform's front once the handover says so, without one at once.
+    /// Accepts at all listeners: with a platform's front once the handover has begun to serve, without one at once.
     fn start_accepting(
         &mut self,
         shared: &Shared,
--- a/crates/indigofold/src/program/reload.rs
+++ b/crates/indigofold/src/program/reload.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Reads the configuration again at each SIGHUP, also while the program stops. The whole file is checked first; then
+/// Reads the configuration again at each SIGHUP, also while the program stops. The complete file is checked first; then
 /// its settings and its discovery take effect, without a break in anything else. A file that cannot be used leaves all
 /// as it was.
 pub(super) async fn reload(mut hangups: Signals, front: Rc<Platform>, mut used: config::Platform) {
--- a/crates/indigofold/src/program/shutdown.rs
+++ b/crates/indigofold/src/program/shutdown.rs
@@ -9,7 +9,7 @@
 /// for as long as these stay open: perhaps nobody else is there to serve them.
 const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(500);
 /// The program may be killed this long after the signal, and the longest deadline of its classes (counted as no more than
-/// the second figure) later. What came after the signal is answered this long before that ...
+/// the second constant) later. What came after the signal is answered this long before that ...
 const KILL_GRACE: Duration = Duration::from_millis(700);
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 const ANSWER_BEFORE_KILL: Duration = Duration::from_millis(300);
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Session`] hosts any number of instances that share nothing. Feed it lines with [`Session::feed`]; at
 //! the end of each batch it returns the reply. Unknown messages, fields and settings are skipped, the first
-//! of each kind with a note ([`Session::take_warnings`]); a known message that is malformed is a [`WireError`].
+//! of each kind with a warning ([`Session::take_warnings`]); a known message that is malformed is a [`WireError`].
 
 use crate::api::*;
 use crate::config::Site;
@@ -122,7 +122,7 @@
         Self::default()
     }
 
-    /// Notes on what was skipped since the last call, for standard error.
+    /// Warnings of what was skipped since the last call, for standard error.
     pub fn take_warnings(&mut self) -> Vec<String> {
         std::mem::take(&mut self.warnings)
     }
@@ -252,7 +252,7 @@
         Ok(())
     }
 
-    /// Begins a list of workers; an empty one is an event at once.
+    /// Begins the rows of a membership; one without rows is an event at once.
     fn begin_membership(&mut self, fields: &Fields) -> Parse<Option<Event>> {
         let scope = match fields.need("scope")? {
             "D" => Scope::Delta,
@@ -278,7 +278,7 @@
         Ok(Some(Event::List { scope, entries }))
     }
 
-    /// Adds a row to the list that has begun; the last one completes it.
+    /// Adds a row; the last one completes the membership.
     fn add_row(&mut self, entry: Entry) -> Parse<Option<Event>> {
         let Some(pending) = &mut self.pending_list else {
             return Err("ROW outside a list".into());
