--- a/crates/indigofold/tests/exchanges.rs
+++ b/crates/indigofold/tests/exchanges.rs
@@ -352,6 +352,24 @@
     fn execute(&mut self, step: &str) {
         let (name, rest) = step.split_once(' ').unwrap_or((step, ""));
         let (verb, more) = rest.split_once(' ').unwrap_or((rest, ""));
+        match (name, verb) {
+            ("known" | "set" | "stale" | "config" | "edit" | "broken", _) => {
+                self.change_files((name, verb), rest)
+            }
+            ("crowd" | "pushers" | "visits" | "scatter", _) => self.open_many((name, verb), more),
+            ("start" | "replace" | "kill" | "was" | "log" | "runs" | "exit" | "pause", _)
+            | ("term" | "hup" | "stop" | "cont", _) => {
+                self.control_program((name, verb), rest, more)
+            }
+            (_, "listen" | "full" | "quiet" | "dialled" | "open" | "deaf") => {
+                self.use_listener(name, verb)
+            }
+            _ => self.use_connection((name, verb), more),
+        }
+    }
+
+    /// A step that changes the configuration or the folder of the program.
+    fn change_files(&mut self, (name, verb): (&str, &str), rest: &str) {
         match (name, verb) {
             ("known", _) => self.known = rest.into(),
             ("set", _) => {
@@ -359,7 +377,35 @@
                 assert!(self.settings.contains(old), "{old} is not in the settings");
                 self.settings = self.settings.replace(old, new);
             }
-            ("start", front) => self.start(front, more),
+            ("stale", _) => {
+                let hash = indigofold::config::hash("127.0.0.1:0");
+                self.dir = std::env::temp_dir().join(format!("stale-{}", std::process::id()));
+                std::fs::create_dir_all(&self.dir).expect("a folder");
+                let path = self.dir.join(format!("indigofold-{hash:016x}.sock"));
+                drop(std::os::unix::net::UnixListener::bind(path).expect("a socket"));
+            }
+            ("config", _) => {
+                let (path, old) = &self.file;
+                let new = old.replace(&self.vars["disc"], &self.filled(rest));
+                std::fs::write(path, if rest.is_empty() { "" } else { &new })
+                    .expect("a configuration");
+            }
+            ("edit" | "broken", _) => {
+                let (old, new) = rest.split_once(" => ").expect("OLD => NEW");
+                assert!(self.file.1.contains(old), "{old} is not in the file");
+                let text = self.file.1.replace(old, new);
+                std::fs::write(&self.file.0, &text).expect("a configuration");
+                if name == "edit" {
+                    self.file.1 = text;
+                }
+            }
+            _ => panic!("no such step: {name} {verb}"),
+        }
+    }
+
+    /// A step that opens or closes many connections.
+    fn open_many(&mut self, (name, verb): (&str, &str), more: &str) {
+        match (name, verb) {
             ("crowd", count) => {
                 for n in 0..count.parse().expect("a number") {
                     self.execute(&format!("c{n} dial"));
@@ -383,6 +429,14 @@
                 }
             }
             ("scatter", _) => self.links.retain(|name, _| !name.starts_with('c')),
+            _ => panic!("no such step: {name} {verb}"),
+        }
+    }
+
+    /// A step that starts, signals or observes the program.
+    fn control_program(&mut self, (name, verb): (&str, &str), rest: &str, more: &str) {
+        match (name, verb) {
+            ("start", front) => self.start(front, more),
             ("replace", _) => {
                 self.old = self.program.take();
                 self.spawn(&self.front.clone(), "", false);
@@ -399,13 +453,6 @@
                     self.program = old;
                 }
             }
-            ("stale", _) => {
-                let hash = indigofold::config::hash("127.0.0.1:0");
-                self.dir = std::env::temp_dir().join(format!("stale-{}", std::process::id()));
-                std::fs::create_dir_all(&self.dir).expect("a folder");
-                let path = self.dir.join(format!("indigofold-{hash:016x}.sock"));
-                drop(std::os::unix::net::UnixListener::bind(path).expect("a socket"));
-            }
             ("was", _) => _ = self.old.as_mut().expect("started").wait_for_log(rest),
             ("log", _) => _ = self.wait_for_log(&self.filled(rest)),
             ("runs", job) => {
@@ -425,26 +472,21 @@
                     .status();
                 assert!(kill.expect("kill").success());
             }
-            ("config", _) => {
-                let (path, old) = &self.file;
-                let new = old.replace(&self.vars["disc"], &self.filled(rest));
-                std::fs::write(path, if rest.is_empty() { "" } else { &new })
-                    .expect("a configuration");
-            }
-            ("edit" | "broken", _) => {
-                let (old, new) = rest.split_once(" => ").expect("OLD => NEW");
-                assert!(self.file.1.contains(old), "{old} is not in the file");
-                let text = self.file.1.replace(old, new);
-                std::fs::write(&self.file.0, &text).expect("a configuration");
-                if name == "edit" {
-                    self.file.1 = text;
-                }
-            }
             ("exit", _) => {
                 let program = self.named(rest);
                 let status = program.child.wait().expect("an end");
                 assert!(status.success(), "{status}, {:#?}", program.log);
             }
+            ("pause", ms) => {
+                std::thread::sleep(Duration::from_millis(ms.parse().expect("a number")))
+            }
+            _ => panic!("no such step: {name} {verb}"),
+        }
+    }
+
+    /// A step on a listener of a stand-in.
+    fn use_listener(&mut self, name: &str, verb: &str) {
+        match (name, verb) {
             (_, "listen") => {
                 let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
                 let address = listener.local_addr().expect("an address").to_string();
@@ -491,9 +533,14 @@
                 rustix::net::listen(listener, 128).expect("a queue");
                 self.fillers.remove(name);
             }
-            ("pause", ms) => {
-                std::thread::sleep(Duration::from_millis(ms.parse().expect("a number")))
-            }
+            (_, "deaf") => _ = self.listeners.remove(name),
+            _ => panic!("no such step: {name} {verb}"),
+        }
+    }
+
+    /// A step on one connection.
+    fn use_connection(&mut self, (name, verb): (&str, &str), more: &str) {
+        match (name, verb) {
             (_, "reset") => {
                 let (stream, _) = self.links.remove(name).expect("a connection");
                 rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO))
@@ -514,7 +561,6 @@
                     String::from_utf8_lossy(got)
                 );
             }
-            (_, "deaf") => _ = self.listeners.remove(name),
             (_, "dial") => {
                 let stream =
                     TcpStream::connect(&self.vars[if more.is_empty() { "gw" } else { more }])
@@ -552,7 +598,7 @@
                     String::from_utf8_lossy(got)
                 );
             }
-            _ => panic!("no such line: {step}"),
+            _ => panic!("no such step: {name} {verb}"),
         }
     }
 }
