--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -97,6 +97,7 @@
     }
 
     /// Carries an attempt to the machine; what ends it before it is taken is returned.
+    // Longer than most: its closures borrow the attempt's state while the exchange runs.
     async fn carry(
         &self,
         attempt: Attempt,
@@ -152,17 +153,7 @@
             .or(unheard)
             .or(given_up);
         let ended = within(limit, Reason::Unanswered, exchange).await;
-        match (answer.take(), ended) {
-            (Some(WorkerReply::Taken), _) => None,
-            (Some(WorkerReply::Ended(status, load)), _) => Some((status, load)),
-            (None, Err(Reason::Withheld)) => Some((Status::Moot, None)),
-            // Before the machine has taken it, closing the connection gives it up.
-            (None, Err(Reason::GivenUp)) if state.went_out() => Some((Status::Cancelled, None)),
-            (None, Err(Reason::GivenUp)) => Some((Status::Moot, None)),
-            // It may have run if its last byte was sent.
-            (None, _) if !state.went_out() => Some((Status::ConnectFailed, None)),
-            (None, _) => Some((Status::Reset, None)),
-        }
+        end_of_attempt(answer.take(), ended.map(drop), state.went_out())
     }
 
     async fn probe(&self) {
@@ -234,6 +225,25 @@
     }
 }
 
+/// How an attempt ended before its machine took it; `None`: the machine has taken it. `went_out`: its last byte was sent.
+fn end_of_attempt(
+    reply: Option<WorkerReply>,
+    ended: Result<(), Reason>,
+    went_out: bool,
+) -> Option<(Status, Option<Load>)> {
+    match (reply, ended) {
+        (Some(WorkerReply::Taken), _) => None,
+        (Some(WorkerReply::Ended(status, load)), _) => Some((status, load)),
+        (None, Err(Reason::Withheld)) => Some((Status::Moot, None)),
+        // Before the machine has taken it, closing the connection gives it up.
+        (None, Err(Reason::GivenUp)) if went_out => Some((Status::Cancelled, None)),
+        (None, Err(Reason::GivenUp)) => Some((Status::Moot, None)),
+        // It may have run if its last byte was sent.
+        (None, _) if !went_out => Some((Status::ConnectFailed, None)),
+        (None, _) => Some((Status::Reset, None)),
+    }
+}
+
 impl WorkerActor {
     /// The actor of a machine that has no address yet.
     pub fn new(
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -121,6 +121,7 @@
 
     /// Sends a message and reads the answer's head and body, both left in the buffer. `on_head` is called as
     /// soon as the answer's head is there: its body may be cut off, or never end. Returned with how long the connection then rests.
+    // Longer than most: its loops share the deadline and what the head has said.
     async fn exchange_on(
         &self,
         link: &Link,
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -197,6 +197,7 @@
     }
 
     /// Writes what the module asks for as lines of the protocol.
+    // Longer than most: an arm for each action.
     pub(super) fn write(&mut self, action: &Action, out: &mut String) {
         let name = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let _ = match action {
