--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -196,12 +196,12 @@
         };
         let commands = &self.front.counts[0];
         commands.set(commands.get() + 1);
-        let line = without_line_end(&buffer.filled()[..length]);
-        let command = Command::parse(line);
+        let message = without_line_end(&buffer.filled()[..length]);
+        let command = Command::parse(message);
         let text = matches!(command, Ok(Command::Push(_))).then(|| {
             // The job is passed on as it was pushed.
             let mut text = self.front.net.pool.take();
-            let _ = text.write_all(line.trim_ascii_start());
+            let _ = text.write_all(message.trim_ascii_start());
             text.consume("PUSH ".len());
             text
         });
@@ -209,7 +209,7 @@
         Ok((command, text))
     }
 
-    /// Waits for the next command. A client without one may be asked to go; a job worker only as the program ends.
+    /// Waits for the next command. A client's connection may be evicted; a job worker's only as the program ends.
     async fn idle(&self) -> Result<(), Reason> {
         let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
         let stopping = |r| {
@@ -427,7 +427,7 @@
         }
     }
 
-    /// Writes a job to a job worker. Whether its last byte went out tells whether it may have run.
+    /// Writes a job to a job worker. It may have run if its last byte was sent.
     async fn send_assignment(
         &self,
         orders: &Sender<Order>,
@@ -457,7 +457,7 @@
     }
 }
 
-/// Reads until a whole line stands at the front of the buffer, and returns its length with the line end.
+/// Reads until the buffer starts with a complete command, and returns its length with the line end.
 async fn receive_command(link: &Link, buffer: &mut Buffer) -> Result<usize, Reason> {
     loop {
         if let Some(end) = buffer.filled().iter().position(|b| *b == b'\n') {
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -25,16 +25,16 @@
 
 /// How long a probe may take beyond the dial.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long word that an attempt is given up may take, and between two tries.
+/// How long the request to give up an attempt may take, and the interval between two of them.
 const DELETE_TIMEOUT: Duration = Duration::from_millis(500);
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a 202 is waited for once the attempt has timed out.
 const ACCEPT_LINGER: Duration = Duration::from_millis(500);
-/// A machine says within this time of an attempt that it took it. One that has not hangs, or the connection has gone
-/// silent: the module hears of it, and the attempt is waited for all the same.
+/// A machine acknowledges an attempt within this time. One that has not hangs, or the connection is broken: the module is
+/// notified, and the attempt goes on.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a machine's actor is told to do.
+/// An order to a machine's actor.
 pub enum Order {
     /// This is its address from now on.
     Address(SocketAddr),
@@ -57,7 +57,7 @@
     task: Option<Task<()>>, // dropped, it closes the connection
 }
 
-/// What a machine's answer says of an attempt.
+/// A machine's answer to an attempt.
 enum WorkerReply {
     /// It has taken it.
     Taken,
@@ -73,7 +73,7 @@
 
 impl WorkerConnections {
     /// The one check right before the first byte of an attempt: is it still to go, and here? A decision waits in the
-    /// mailbox and for a connection, and the world goes on meanwhile.
+    /// mailbox and for a connection, and things change meanwhile.
     fn may_be_sent(&self, attempt: &Attempt, parcel: &Parcel, state: &AttemptState) -> bool {
         let now = self.front.clock.now();
         state.stage() == Stage::Unsent
@@ -82,7 +82,7 @@
             && !self.draining.get()
     }
 
-    /// What the head of an answer says of an attempt.
+    /// Interprets the head of an answer to an attempt.
     fn outcome(&self, head: &Head<'_>) -> WorkerReply {
         let site = self.front.site.borrow();
         let load = head
@@ -97,6 +97,7 @@
     }
 
     /// Carries an attempt to the machine; what ends it before it is taken is returned.
+    // Longer than most: its closures borrow the attempt's state while the exchange runs.
     async fn carry(
         &self,
         attempt: Attempt,
@@ -152,17 +153,7 @@
             .or(unheard)
             .or(given_up);
         let ended = within(limit, Reason::Unanswered, exchange).await;
-        match (answer.take(), ended) {
-            (Some(WorkerReply::Taken), _) => None,
-            (Some(WorkerReply::Ended(status, load)), _) => Some((status, load)),
-            (None, Err(Reason::Withheld)) => Some((Status::Moot, None)),
-            // Before the machine has taken it, closing the connection gives it up.
-            (None, Err(Reason::GivenUp)) if state.went_out() => Some((Status::Cancelled, None)),
-            (None, Err(Reason::GivenUp)) => Some((Status::Moot, None)),
-            // Whether the last byte of the attempt has gone out tells whether it may have run.
-            (None, _) if !state.went_out() => Some((Status::ConnectFailed, None)),
-            (None, _) => Some((Status::Reset, None)),
-        }
+        end_of_attempt(answer.take(), ended.map(drop), state.went_out())
     }
 
     async fn probe(&self) {
@@ -201,7 +192,7 @@
             .await;
     }
 
-    /// Gives up an attempt that the machine has taken, and tells the core when it has heard of that. Until then another attempt
+    /// Gives up an attempt that the machine has taken, and notifies the core when the machine has acknowledged. Until then another attempt
     /// of the job could get to its machine sooner. Where nobody waits for the job any more one try is enough.
     async fn delete(&self, attempt: AttemptId, parcel: &Parcel, mut fresh: bool) {
         while !self.deleted(&parcel.trace, fresh).await && parcel.is_awaited() {
@@ -215,8 +206,8 @@
             .await;
     }
 
-    /// Sends word that an attempt is given up. Has it got there? One that hangs does not answer, but its machine has just
-    /// accepted the connection if that is a fresh one; an idle one may have gone silent long ago.
+    /// Sends the request to give up an attempt. Has it arrived? One that hangs does not answer, but its machine has just
+    /// accepted the connection if that is a fresh one; an idle one may have been broken for long.
     async fn deleted(&self, trace: &str, fresh: bool) -> bool {
         let mut buffer = self.front.net.pool.take();
         let prepare = |buffer: &mut Buffer| {
@@ -234,6 +225,25 @@
     }
 }
 
+/// How an attempt ended before its machine took it; `None`: the machine has taken it. `went_out`: its last byte was sent.
+fn end_of_attempt(
+    reply: Option<WorkerReply>,
+    ended: Result<(), Reason>,
+    went_out: bool,
+) -> Option<(Status, Option<Load>)> {
+    match (reply, ended) {
+        (Some(WorkerReply::Taken), _) => None,
+        (Some(WorkerReply::Ended(status, load)), _) => Some((status, load)),
+        (None, Err(Reason::Withheld)) => Some((Status::Moot, None)),
+        // Before the machine has taken it, closing the connection gives it up.
+        (None, Err(Reason::GivenUp)) if went_out => Some((Status::Cancelled, None)),
+        (None, Err(Reason::GivenUp)) => Some((Status::Moot, None)),
+        // It may have run if its last byte was sent.
+        (None, _) if !went_out => Some((Status::ConnectFailed, None)),
+        (None, _) => Some((Status::Reset, None)),
+    }
+}
+
 impl WorkerActor {
     /// The actor of a machine that has no address yet.
     pub fn new(
@@ -279,27 +289,13 @@
                         .insert(id, OutgoingAttempt { state, task: None });
                 }
                 Order::GiveUp(id, parcel) => {
-                    let Some(out) = self.out.borrow_mut().remove(&id) else {
-                        continue;
-                    };
-                    match out.state.stage() {
-                        Stage::Taken => {
-                            let (connections, state) = (self.connections.clone(), out.state);
-                            state.give_up();
-                            self.connections.front.net.spawn(async move {
-                                connections.delete(id, &parcel, false).await;
-                                state.stage.set(Stage::Ended);
-                            });
-                        }
-                        Stage::Ended => {}
-                        _ => {
-                            out.state.give_up();
-                            out.task.into_iter().for_each(Task::detach);
-                        }
+                    let out = self.out.borrow_mut().remove(&id);
+                    if let Some(out) = out {
+                        self.give_up(id, parcel, out);
                     }
                 }
                 Order::Forget(id) => {
-                    // News can end a job before the 202 has come: that is still read, to keep the connection.
+                    // A report can end a job before the 202 has come: that is still read, to keep the connection.
                     if let Some(task) = self.out.borrow_mut().remove(&id).and_then(|out| out.task) {
                         task.detach();
                     }
@@ -316,6 +312,25 @@
         }
     }
 
+    /// Gives up an attempt: the machine must be notified if it has taken it, and else the connection ends.
+    fn give_up(&self, id: AttemptId, parcel: Rc<Parcel>, out: OutgoingAttempt) {
+        match out.state.stage() {
+            Stage::Taken => {
+                let (connections, state) = (self.connections.clone(), out.state);
+                state.give_up();
+                self.connections.front.net.spawn(async move {
+                    connections.delete(id, &parcel, false).await;
+                    state.stage.set(Stage::Ended);
+                });
+            }
+            Stage::Ended => {}
+            _ => {
+                out.state.give_up();
+                out.task.into_iter().for_each(Task::detach);
+            }
+        }
+    }
+
     fn hang_up(&self) {
         for (link, _) in self.connections.idle.borrow_mut().drain(..) {
             link.end(
@@ -334,7 +349,7 @@
             if let Some((status, load)) = ended {
                 let removed = out.borrow_mut().remove(&attempt.id);
                 if status == Status::Cancelled && parcel.is_awaited() {
-                    // Its 202 may have been lost: then closing the connection says nothing, and another attempt is to follow.
+                    // Its 202 may have been lost: then closing the connection gives nothing up, and another attempt is to follow.
                     connections.delete(attempt.id, &parcel, true).await;
                 } else {
                     let _ = connections
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Session`] hosts any number of instances that share nothing. Feed it lines with [`Session::feed`]; at
 //! the end of each batch it returns the reply. Unknown messages, fields and settings are skipped, the first
-//! of each kind with a note ([`Session::take_warnings`]); a known message that is malformed is a [`WireError`].
+//! of each kind with a warning ([`Session::take_warnings`]); a known message that is malformed is a [`WireError`].
 
 use crate::api::*;
 use crate::config::Site;
@@ -45,7 +45,7 @@
     in_batch: bool,
     now: Time,
     current: Option<u32>,
-    list: Option<PendingMembership>,
+    pending_list: Option<PendingMembership>,
     reply: String,
     reply_for: Option<u32>,
     actions: Vec<Action>,
@@ -122,7 +122,7 @@
         Self::default()
     }
 
-    /// Notes on what was skipped since the last call, for standard error.
+    /// Warnings of what was skipped since the last call, for standard error.
     pub fn take_warnings(&mut self) -> Vec<String> {
         std::mem::take(&mut self.warnings)
     }
@@ -175,7 +175,7 @@
         if !self.in_batch {
             return Err(format!("{name} outside a batch; expected TICK"));
         }
-        if self.list.is_some() && name != "ROW" {
+        if self.pending_list.is_some() && name != "ROW" {
             return Err(format!("{name} where a ROW of the list was expected"));
         }
         match name {
@@ -224,7 +224,7 @@
             return Ok(());
         };
         let event = match name {
-            "REGISTRY" => self.begin_list(fields)?,
+            "REGISTRY" => self.begin_membership(fields)?,
             "ROW" => {
                 let entry = instance.entry(fields)?;
                 self.add_row(entry)?
@@ -252,8 +252,8 @@
         Ok(())
     }
 
-    /// Begins a list of workers; an empty one is an event at once.
-    fn begin_list(&mut self, fields: &Fields) -> Parse<Option<Event>> {
+    /// Begins the rows of a membership; one without rows is an event at once.
+    fn begin_membership(&mut self, fields: &Fields) -> Parse<Option<Event>> {
         let scope = match fields.need("scope")? {
             "D" => Scope::Delta,
             "F" => Scope::Full,
@@ -268,7 +268,7 @@
         };
         let (left, entries) = (fields.time("hosts")?, Vec::new());
         if left > 0 {
-            self.list = Some(PendingMembership {
+            self.pending_list = Some(PendingMembership {
                 scope,
                 left,
                 entries,
@@ -278,17 +278,17 @@
         Ok(Some(Event::Membership { scope, entries }))
     }
 
-    /// Adds a row to the list that has begun; the last one completes it.
+    /// Adds a row; the last one completes the membership.
     fn add_row(&mut self, entry: Entry) -> Parse<Option<Event>> {
-        let Some(list) = &mut self.list else {
+        let Some(pending) = &mut self.pending_list else {
             return Err("ROW outside a list".into());
         };
-        list.entries.push(entry);
-        list.left -= 1;
-        if list.left > 0 {
+        pending.entries.push(entry);
+        pending.left -= 1;
+        if pending.left > 0 {
             return Ok(None);
         }
-        Ok(self.list.take().map(|l| Event::Membership {
+        Ok(self.pending_list.take().map(|l| Event::Membership {
             scope: l.scope,
             entries: l.entries,
         }))
