--- a/crates/indigofold/tests/laboratory.rs
+++ b/crates/indigofold/tests/laboratory.rs
@@ -2,9 +2,9 @@
 //! checked, and nearly the figure of virtual time.
 
 use indigofold_replay::load::Made;
-use indigofold_replay::scenario::{self, Jump, Scenario, Trouble, What};
+use indigofold_replay::scenario::{self, Fault, FaultKind, Jump, Scenario};
 use indigofold_replay::sockets;
-use indigofold_replay::virtual_time::{Ground, Retries};
+use indigofold_replay::virtual_time::{Retries, Simulation};
 use std::path::Path;
 
 fn scenario() -> Scenario {
@@ -21,15 +21,15 @@
     s.kinds.truncate(1);
     s.kinds[0].count = 6;
     s.kinds[0].cores = 4;
-    let trouble = |at_s, for_s, worker, what| Trouble {
+    let fault = |at_s, for_s, worker, what| Fault {
         at_s,
         for_s,
         workers: vec![worker],
         what,
     };
-    s.troubles = vec![
-        trouble(2.0, 3.0, 1, What::Hang),
-        trouble(4.0, 2.0, 2, What::Crash),
+    s.faults = vec![
+        fault(2.0, 3.0, 1, FaultKind::Hang),
+        fault(4.0, 2.0, 2, FaultKind::Crash),
     ];
     s.discovery.notice_ms = 300;
     s
@@ -41,8 +41,8 @@
     let program = Path::new(env!("CARGO_BIN_EXE_indigofold"));
     let load = Made::new(&s, 3).expect("load");
     let run = sockets::play(&s, 3, Retries::Model, program, load).expect("a run");
-    let ground = Ground::new(&s, 3, Retries::Model).expect("a ground");
-    let virt = ground
+    let simulation = Simulation::new(&s, 3, Retries::Model).expect("a ground");
+    let virt = simulation
         .play(Made::new(&s, 3).expect("load"), |_| {}, |_| {})
         .expect("a run");
     assert!(virt.verdict.kept(), "{:?}", virt.verdict.examples);
--- a/crates/replay/src/baseline.rs
+++ b/crates/replay/src/baseline.rs
@@ -1,5 +1,5 @@
-//! Plain schedulers to measure against: one rule for where a job goes, an attempt elsewhere when one fails and the class
-//! allows it, and an answer in time. They guard nothing: not cold job workers, not tenants' shares, not late jobs.
+//! Baseline schedulers to measure against: one policy for where a job goes, an attempt elsewhere when one fails and the class
+//! allows it, and an answer in time. They protect neither workers that are warming up nor tenants' quotas nor late jobs.
 //!
 //! Definitions: *random*; *round robin*; *least own* (fewest of this scheduler's slots in flight); *two choices* (the fewer
 //! of two drawn); *by key* (consistent hashing with bounded loads, Mirrokni, Thorup and Zadimoghaddam 2018: the first
@@ -16,10 +16,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Own slots that a worker may hold over the mean, where jobs go by key.
-const BOUND: f64 = 1.25;
+/// The greatest ratio of a worker's own slots to the mean, where jobs go by key.
+const LOAD_BOUND: f64 = 1.25;
 
-/// Which rule.
+/// A policy that chooses workers.
 #[derive(
     Clone,
     Copy,
@@ -76,47 +76,56 @@
         }
     }
 
-    /// Does it know what no scheduler can?
+    /// Whether it sees the true state, which no scheduler can.
     pub fn knows_all(self) -> bool {
         self == Policy::AllKnowing
     }
 }
 
+/// An attempt of a job.
+struct SentAttempt {
+    worker: WorkerId,
+    /// It has not ended.
+    open: bool,
+}
+
 struct Job {
     request: Request,
-    until: Micros,
-    tries: Vec<(WorkerId, bool)>, // where, and whether it is out
+    answer_by: Micros,
+    attempts: Vec<SentAttempt>,
     may_have_run: bool,
     first_sent: Micros,
 }
 
-/// One plain scheduler.
-pub struct Plain {
+/// A scheduler that follows one baseline policy.
+pub struct BaselineScheduler {
     policy: Policy,
     settings: Settings,
-    early: Micros,
+    /// Jobs are answered this long before their clients' deadlines.
+    answer_margin: Micros,
     rng: Pcg64Mcg,
-    list: BTreeMap<WorkerId, Entry>,
-    own: FxHashMap<WorkerId, f64>,
+    workers: BTreeMap<WorkerId, Entry>,
+    /// Slots of this scheduler's attempts in flight, by worker.
+    own_slots: FxHashMap<WorkerId, f64>,
     jobs: FxHashMap<JobId, Job>,
-    due: BTreeSet<(Micros, JobId)>,
+    deadlines: BTreeSet<(Micros, JobId)>,
     turn: usize,
-    /// Where the job that is told next would end first, for who knows all.
+    /// Where the job of the next input would end first, by the true state; for [`Policy::AllKnowing`].
     pub best: Option<WorkerId>,
 }
 
-impl Plain {
-    /// One that goes by this rule; jobs are answered so long before their clients' time is up.
-    pub fn new(policy: Policy, settings: Settings, seed: u64, early: Micros) -> Self {
-        Plain {
+impl BaselineScheduler {
+    /// A scheduler of this policy, which answers jobs `answer_margin` microseconds before their clients' deadlines.
+    pub fn new(policy: Policy, settings: Settings, seed: u64, answer_margin: Micros) -> Self {
+        BaselineScheduler {
             policy,
             settings,
-            early,
+            answer_margin,
             rng: draw(seed, 0, 0x91a1),
-            list: BTreeMap::new(),
-            own: FxHashMap::default(),
+            workers: BTreeMap::new(),
+            own_slots: FxHashMap::default(),
             jobs: FxHashMap::default(),
-            due: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             turn: 0,
             best: None,
         }
@@ -124,165 +133,180 @@
 
     /// When it must be stepped next.
     pub fn due(&self) -> Option<Micros> {
-        self.due.first().map(|d| d.0)
+        self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Takes what it is told, and acts on it at once.
-    pub fn told(&mut self, now: Micros, told: Told, transport: &dyn Transport) {
-        match told {
-            Told::Job(request, until, _) => {
-                let (id, until) = (request.id, until.saturating_sub(self.early).max(now));
-                let job = Job {
-                    request,
-                    until,
-                    tries: Vec::new(),
-                    may_have_run: false,
-                    first_sent: now,
-                };
-                self.jobs.insert(id, job);
-                self.due.insert((until, id));
-                self.place(now, id, transport);
-            }
+    /// Takes an input, and acts on it at once.
+    pub fn handle(&mut self, now: Micros, input: Told, transport: &dyn Transport) {
+        match input {
+            Told::Job(request, until, _) => self.handle_job(now, request, until, transport),
             Told::Gone(id) => self.close(id, transport),
-            Told::Ended(attempt, status, _) => self.ended(now, attempt, status, transport),
+            Told::Ended(attempt, status, _) => self.handle_end(now, attempt, status, transport),
             Told::List(Scope::Failed, _) => {}
             Told::List(scope, entries) => {
                 if scope != Scope::Delta {
-                    self.list.clear();
+                    self.workers.clear();
                 }
-                self.list.extend(entries.into_iter().map(|e| (e.worker, e)));
+                self.workers
+                    .extend(entries.into_iter().map(|entry| (entry.worker, entry)));
             }
             _ => {}
         }
     }
 
-    /// Does what is due: jobs whose time is up have failed.
+    /// Does what is due: jobs whose time has passed fail.
     pub fn step(&mut self, now: Micros, transport: &dyn Transport) {
-        while let Some((_, id)) = self.due.first().copied().filter(|d| d.0 <= now) {
+        while let Some((_, id)) = self.deadlines.first().copied().filter(|d| d.0 <= now) {
             self.answer(id, Answer::Failed, transport);
         }
     }
 
-    fn ended(
+    fn handle_job(
+        &mut self,
+        now: Micros,
+        request: Request,
+        until: Micros,
+        transport: &dyn Transport,
+    ) {
+        let id = request.id;
+        let answer_by = until.saturating_sub(self.answer_margin).max(now);
+        let job = Job {
+            request,
+            answer_by,
+            attempts: Vec::new(),
+            may_have_run: false,
+            first_sent: now,
+        };
+        self.jobs.insert(id, job);
+        self.deadlines.insert((answer_by, id));
+        self.send_or_answer(now, id, transport);
+    }
+
+    fn handle_end(
         &mut self,
         now: Micros,
-        attempt: AttemptId,
+        id: AttemptId,
         status: Status,
         transport: &dyn Transport,
     ) {
-        let Some(job) = self.jobs.get_mut(&attempt.job) else {
+        let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
-        let Some(t) = job.tries.get_mut(attempt.number as usize).filter(|t| t.1) else {
+        let attempt = job.attempts.get_mut(id.number as usize);
+        let Some(attempt) = attempt.filter(|attempt| attempt.open) else {
             return;
         };
-        t.1 = false;
-        let (worker, slots) = (t.0, job.request.slots);
+        attempt.open = false;
+        let worker = attempt.worker;
         job.may_have_run |= !matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
-        *self.own.entry(worker).or_default() -= slots;
+        *self.own_slots.entry(worker).or_default() -= job.request.slots;
         match status {
-            Status::Ok => self.answer(attempt.job, Answer::Served, transport),
-            _ => self.place(now, attempt.job, transport),
+            Status::Ok => self.answer(id.job, Answer::Served, transport),
+            _ => self.send_or_answer(now, id.job, transport),
         }
     }
 
-    /// Sends the job where the rule says, if its class and the settings allow one more attempt; else answers it.
-    fn place(&mut self, now: Micros, id: JobId, transport: &dyn Transport) {
-        let Some(job) = self.jobs.get(&id) else {
-            return;
-        };
-        let may_have_run = job.may_have_run;
+    fn effect(&self, job: &Job) -> Effect {
         let class = self.settings.classes.get(job.request.class as usize);
-        let effect = class.map_or(Effect::Unsafe, |c| c.effect);
-        let repeats = match effect {
+        class.map_or(Effect::Unsafe, |class| class.effect)
+    }
+
+    /// Whether a job may have one more attempt by its class and the settings.
+    fn may_send(&self, now: Micros, job: &Job) -> bool {
+        let may_repeat = match self.effect(job) {
             Effect::Safe => true,
             Effect::Keyed { ttl, .. } => !job.may_have_run || now < job.first_sent + ttl,
             Effect::Unsafe => !job.may_have_run,
         };
-        let left = job.tries.len() < self.settings.limits.attempts as usize && now < job.until;
-        let to = if repeats && left {
+        let limit = self.settings.limits.attempts as usize;
+        may_repeat && job.attempts.len() < limit && now < job.answer_by
+    }
+
+    /// Sends an attempt to the worker of the policy's choice; where none is allowed, answers the job.
+    fn send_or_answer(&mut self, now: Micros, id: JobId, transport: &dyn Transport) {
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
+        let may_have_effect = job.may_have_run && matches!(self.effect(job), Effect::Unsafe);
+        let worker = if self.may_send(now, job) {
             self.choose(id)
         } else {
             None
         };
-        let Some(to) = to else {
-            let harmless = !may_have_run || !matches!(effect, Effect::Unsafe);
-            return self.answer(
-                id,
-                if harmless {
-                    Answer::Rejected(0)
-                } else {
-                    Answer::Failed
-                },
-                transport,
-            );
-        };
+        match worker {
+            Some(worker) => self.send(now, id, worker, transport),
+            None if may_have_effect => self.answer(id, Answer::Failed, transport),
+            None => self.answer(id, Answer::Rejected(0), transport),
+        }
+    }
+
+    fn send(&mut self, now: Micros, id: JobId, worker: WorkerId, transport: &dyn Transport) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.tries.is_empty() {
+        if job.attempts.is_empty() {
             job.first_sent = now;
         }
-        let attempt = job.tries.len() as u32;
-        job.tries.push((to, true));
-        *self.own.entry(to).or_default() += job.request.slots;
+        let number = job.attempts.len() as u32;
+        job.attempts.push(SentAttempt { worker, open: true });
+        *self.own_slots.entry(worker).or_default() += job.request.slots;
         transport.send(Attempt {
-            id: AttemptId {
-                job: id,
-                number: attempt,
-            },
-            machine: to,
-            until: job.until,
-            by: job.until,
+            id: AttemptId { job: id, number },
+            machine: worker,
+            until: job.answer_by,
+            by: job.answer_by,
         });
     }
 
+    /// Active workers of the kind that the job's class requires, without those that it was sent to already.
+    fn candidates(&self, job: &Job) -> Vec<WorkerId> {
+        let class = self.settings.classes.get(job.request.class as usize);
+        let required_kind = class.and_then(|class| class.kind);
+        let eligible = |entry: &&Entry| {
+            let used = job.attempts.iter().any(|a| a.worker == entry.worker);
+            entry.state == WorkerState::Active
+                && !used
+                && required_kind.is_none_or(|kind| entry.kind == kind)
+        };
+        let entries = self.workers.values().filter(eligible);
+        entries.map(|entry| entry.worker).collect()
+    }
+
     fn choose(&mut self, id: JobId) -> Option<WorkerId> {
         let job = self.jobs.get(&id)?;
-        let bound = self
-            .settings
-            .classes
-            .get(job.request.class as usize)
-            .and_then(|c| c.kind);
-        let may = |e: &&Entry| {
-            let tried = job.tries.iter().any(|t| t.0 == e.worker);
-            e.state == WorkerState::Active && !tried && bound.is_none_or(|kind| e.kind == kind)
-        };
-        let free: Vec<WorkerId> = self.list.values().filter(may).map(|e| e.worker).collect();
-        if free.is_empty() {
+        let candidates = self.candidates(job);
+        if candidates.is_empty() {
             return None;
         }
-        let own = |w: &WorkerId| self.own.get(w).copied().unwrap_or(0.0);
-        let any = |rng: &mut Pcg64Mcg| free[(unit(rng) * free.len() as f64) as usize];
+        let own = |w: &WorkerId| self.own_slots.get(w).copied().unwrap_or(0.0);
+        let count = candidates.len();
+        let random_index = |rng: &mut Pcg64Mcg| (unit(rng) * count as f64) as usize;
         Some(match self.policy {
-            Policy::Module | Policy::Random => any(&mut self.rng),
+            Policy::Module | Policy::Random => candidates[random_index(&mut self.rng)],
             Policy::RoundRobin => {
                 self.turn += 1;
-                free[self.turn % free.len()]
+                candidates[self.turn % count]
             }
             Policy::LeastOwn => {
-                // The first after a random place, so that ties do not all fall to one.
-                let from = (unit(&mut self.rng) * free.len() as f64) as usize;
-                let turned = free[from..].iter().chain(&free[..from]);
-                *turned.min_by(|a, b| own(a).total_cmp(&own(b)))?
+                // From a random position on, so that ties do not all fall to one worker.
+                let start = random_index(&mut self.rng);
+                let rotated = candidates[start..].iter().chain(&candidates[..start]);
+                *rotated.min_by(|a, b| own(a).total_cmp(&own(b)))?
             }
             Policy::TwoChoices => {
-                let (a, b) = (any(&mut self.rng), any(&mut self.rng));
+                let a = candidates[random_index(&mut self.rng)];
+                let b = candidates[random_index(&mut self.rng)];
                 if own(&b) < own(&a) { b } else { a }
             }
             Policy::ByKey => {
                 let subject = job.request.subject.unwrap_or(id);
-                let most = BOUND * (free.iter().map(own).sum::<f64>() + 1.0) / free.len() as f64;
-                let rank = |w: &WorkerId| affinity::rank(subject, *w);
-                let mut order = free.clone();
-                order.sort_by(|a, b| rank(a).total_cmp(&rank(b)));
-                let fits = order.iter().find(|w| own(w) + 1.0 <= most.ceil());
-                *fits.unwrap_or(&order[0])
+                let total = candidates.iter().map(own).sum::<f64>() + 1.0;
+                bounded_load_choice(&candidates, subject, LOAD_BOUND * total / count as f64, own)
+            }
+            Policy::AllKnowing => {
+                let best = self.best.filter(|worker| candidates.contains(worker));
+                best.unwrap_or_else(|| candidates[random_index(&mut self.rng)])
             }
-            Policy::AllKnowing => self
-                .best
-                .filter(|w| free.contains(w))
-                .unwrap_or_else(|| any(&mut self.rng)),
         })
     }
 
@@ -293,27 +317,36 @@
         self.close(id, transport);
     }
 
-    /// Forgets a job; what is out is given up where that can be said.
+    /// Forgets a job; open attempts are cancelled where the settings allow it.
     fn close(&mut self, id: JobId, transport: &dyn Transport) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
-        self.due.remove(&(job.until, id));
-        for (n, (worker, _)) in job.tries.iter().enumerate().filter(|(_, t)| t.1) {
-            *self.own.entry(*worker).or_default() -= job.request.slots;
+        self.deadlines.remove(&(job.answer_by, id));
+        for (number, attempt) in job.attempts.iter().enumerate() {
+            if !attempt.open {
+                continue;
+            }
+            *self.own_slots.entry(attempt.worker).or_default() -= job.request.slots;
             if self.settings.limits.cancel {
-                transport.give_up(
-                    AttemptId {
-                        job: id,
-                        number: n as u32,
-                    },
-                    *worker,
-                );
+                let number = number as u32;
+                transport.give_up(AttemptId { job: id, number }, attempt.worker);
             }
         }
         transport.forget(id);
     }
 }
 
-#[cfg(test)]
-mod tests;
+/// The first worker in the subject's order that stays within the load limit; without one, the first.
+fn bounded_load_choice(
+    candidates: &[WorkerId],
+    subject: u64,
+    load_limit: f64,
+    load: impl Fn(&WorkerId) -> f64,
+) -> WorkerId {
+    let rank = |worker: &WorkerId| affinity::rank(subject, *worker);
+    let mut order = candidates.to_vec();
+    order.sort_by(|a, b| rank(a).total_cmp(&rank(b)));
+    let fits = order.iter().find(|w| load(w) + 1.0 <= load_limit.ceil());
+    *fits.unwrap_or(&order[0])
+}
--- a/crates/replay/src/check.rs
+++ b/crates/replay/src/check.rs
@@ -1,81 +1,91 @@
-//! The rules, checked on what happened: one set of checkers for both grounds. They know nothing of how a decision was made.
+//! The checkers of the platform's rules: one set for virtual time and sockets. They take observations of what happened, and
+//! know nothing of how a decision was made.
+
+mod warm_up;
 
 use crate::scenario::{Effect, Micros, Scenario};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::BTreeMap;
+use std::fmt;
+use warm_up::WarmUpLoad;
 
-/// Breaches that are kept as text; more are only counted.
-const KEPT: usize = 20;
+/// Breaches that are described; more are only counted.
+const MAX_EXAMPLES: usize = 20;
+/// Jobs whose state is kept. Old ones that were answered are dropped beyond it: no attempt of theirs is expected any more.
+const MAX_JOBS: usize = 400_000;
+/// Beyond [`MAX_JOBS`], old jobs are dropped whenever their number is a multiple of this.
+const DROP_INTERVAL: usize = 1024;
 
-/// A job at one scheduler: one try of a client.
+/// A job at one scheduler: one request of a client.
 pub type Job = u64;
 
 #[allow(missing_docs)] // the fields say what they are
-/// Something that was seen. Each thing is told in the order of time, as far as one rule needs it.
+/// Something that was observed. Observations come in order of time as far as one rule needs it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
-    /// A scheduler has taken a job of this class; an answer is owed until then.
-    Taken {
+pub enum Observation {
+    /// A scheduler has accepted a request of this class, and owes a response until then.
+    RequestAccepted {
         job: Job,
         class: u32,
         at: Micros,
         until: Micros,
     },
-    /// Its one answer came: served or not.
-    Answered {
+    /// The scheduler has sent the response.
+    RequestAnswered {
         job: Job,
         served: bool,
         refused: bool,
         at: Micros,
     },
-    /// Its client left: no answer is owed.
-    Gone { job: Job },
-    /// A scheduler began to send an attempt to a job worker; `work` is the job's at speed 1 times its slots.
-    Sent {
+    /// The client no longer waits: no response is owed.
+    ClientLeft { job: Job },
+    /// A scheduler began to send an attempt to a worker; `work` is the job's at speed 1 times its slots.
+    AttemptSent {
         job: Job,
         scheduler: u32,
         worker: u32,
         at: Micros,
         work: Micros,
     },
-    /// A job worker has the job and runs it, now or later.
-    Runs { job: Job, worker: u32, at: Micros },
-    /// It did not, and never will: it was turned away or handed back.
-    NeverRan { job: Job },
-    /// It has made the answer.
-    Made { job: Job },
-    /// A scheduler has heard how an attempt ended.
-    Over { job: Job },
-    /// A scheduler gives an attempt up, and its job worker will hear of it.
-    GivenUp { job: Job },
-    /// A scheduler was told that a job worker takes work, or takes none.
-    Told {
+    /// A worker has accepted an attempt and runs it, now or later.
+    AttemptAccepted { job: Job, worker: u32, at: Micros },
+    /// The worker has returned an accepted attempt, which never ran.
+    AttemptReturned { job: Job },
+    /// A worker has produced the job's result.
+    ResultProduced { job: Job },
+    /// A scheduler has learned how an attempt ended.
+    AttemptEnded { job: Job },
+    /// A scheduler has cancelled an attempt.
+    AttemptCancelled { job: Job },
+    /// A scheduler has learned that a worker takes new work, or takes none.
+    AvailabilityReported {
         scheduler: u32,
         worker: u32,
-        takes: bool,
+        available: bool,
         at: Micros,
     },
-    /// A job worker is cold: what it can do in a microsecond, from now on.
-    Cold {
+    /// A worker is warming up; `capacity` is the work that it does in a microsecond, from now on.
+    WarmingUp {
         worker: u32,
         at: Micros,
         capacity: f64,
     },
-    /// A scheduler was told of the start from which a job worker is cold.
-    Aware { scheduler: u32, worker: u32 },
-    /// It is warm.
-    Warm { worker: u32 },
+    /// A scheduler has learned of the start after which a worker is warming up.
+    RestartReported { scheduler: u32, worker: u32 },
+    /// The worker is warm, or has ended.
+    WarmedUp { worker: u32 },
 }
 
-/// A rule.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+/// A rule. Its serialised names and its text are those of results that are stored.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each job gets one final answer, in time.
+    /// Each job gets one final response, in time.
     OneAnswer,
-    /// What is served was made by a job worker for that job.
-    Made,
+    /// What is served is the result of a worker for that job.
+    #[serde(rename = "made")]
+    ResultProduced,
     /// A job that must not repeat runs once; a keyed one repeats in its window only.
     Repeats,
     /// A refusal says that nothing took effect, or that a repeat does no harm.
@@ -83,348 +93,329 @@
     /// No more attempts than allowed.
     Attempts,
     /// No two attempts of a job at once, where that is not allowed.
-    Copies,
-    /// Nothing new goes to a job worker that drains or is gone.
+    #[serde(rename = "copies")]
+    SpeculativeRuns,
+    /// Nothing new goes to a worker that drains or has ended.
     Drain,
-    /// Cold job workers are not overrun by all schedulers together.
-    Cold,
+    /// Workers that are warming up are not overloaded by all schedulers together.
+    #[serde(rename = "cold")]
+    WarmUp,
 }
 
-#[derive(Clone, Debug)]
-struct Known {
-    class: u32,
-    until: Micros,
-    answered: bool,
-    gone: bool,
-    made: bool,
-    sends: u32,
-    out: u32,
-    first_run: Option<Micros>,
-    runs: u32,
+impl fmt::Display for Rule {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Rule::OneAnswer => "OneAnswer",
+            Rule::ResultProduced => "Made",
+            Rule::Repeats => "Repeats",
+            Rule::Refusal => "Refusal",
+            Rule::Attempts => "Attempts",
+            Rule::SpeculativeRuns => "Copies",
+            Rule::Drain => "Drain",
+            Rule::WarmUp => "Cold",
+        })
+    }
 }
 
-/// What the checkers have found.
+impl fmt::Debug for Rule {
+    /// The command line prints breaches in this form.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        fmt::Display::fmt(self, f)
+    }
+}
+
+/// What the checkers have found. Its serialised names are those of results that are stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Breaches by rule.
-    pub breaches: std::collections::BTreeMap<Rule, u64>,
-    /// The first of them.
+    pub breaches: BTreeMap<Rule, u64>,
+    /// Descriptions of the first breaches.
     pub examples: Vec<String>,
-    /// The most that was sent to a cold job worker in the stated window, in multiples of what it could do.
-    pub most_on_cold: f64,
-    /// The latest that something new went to a job worker after a scheduler had been told that it takes none.
-    pub latest_after_told_ms: f64,
+    /// The most that was sent to a worker that was warming up in the stated window, in multiples of what it could do.
+    #[serde(rename = "most_on_cold")]
+    pub peak_warm_up_load: f64,
+    /// The latest that something new went to a worker after its scheduler had learned that it takes none, in milliseconds.
+    #[serde(rename = "latest_after_told_ms")]
+    pub latest_send_after_drain_ms: f64,
 }
 
 impl Verdict {
-    /// Was no rule broken?
+    /// Whether no rule was broken.
     pub fn kept(&self) -> bool {
         self.breaches.is_empty()
     }
 }
 
-struct ColdWorker {
-    capacity: f64,
-    sent: VecDeque<(Micros, f64, f64)>, // when, work, and that of it sent by schedulers that knew of the start
-    sums: (f64, f64),
-    aware: BTreeSet<u32>,
+/// A job as the checkers know it.
+#[derive(Clone, Debug)]
+struct JobState {
+    class: u32,
+    answer_due: Micros,
+    answered: bool,
+    client_left: bool,
+    result_produced: bool,
+    attempts_sent: u32,
+    /// Attempts that have neither ended nor been cancelled.
+    attempts_open: u32,
+    /// Accepted attempts that were not returned, and when the first was accepted.
+    runs: u32,
+    first_run: Option<Micros>,
+}
+
+impl JobState {
+    fn new(class: u32, answer_due: Micros) -> Self {
+        JobState {
+            class,
+            answer_due,
+            answered: false,
+            client_left: false,
+            result_produced: false,
+            attempts_sent: 0,
+            attempts_open: 0,
+            runs: 0,
+            first_run: None,
+        }
+    }
+
+    fn response_owed(&self) -> bool {
+        !self.answered && !self.client_left
+    }
 }
 
-/// The checkers.
+/// Checks observations against the rules of a scenario.
 pub struct Checker<'a> {
     scenario: &'a Scenario,
-    jobs: FxHashMap<Job, Known>,
-    told: FxHashMap<(u32, u32), Micros>, // that it takes none, since
-    cold: FxHashMap<u32, ColdWorker>,
+    jobs: FxHashMap<Job, JobState>,
+    /// Since when a scheduler has known that a worker takes no new work.
+    draining_since: FxHashMap<(u32, u32), Micros>,
+    warm_up: WarmUpLoad,
     verdict: Verdict,
 }
 
 impl<'a> Checker<'a> {
-    /// Nothing seen yet.
+    /// A checker without observations.
     pub fn new(scenario: &'a Scenario) -> Self {
-        let (jobs, told, cold, verdict) = Default::default();
         Checker {
             scenario,
-            jobs,
-            told,
-            cold,
-            verdict,
+            jobs: FxHashMap::default(),
+            draining_since: FxHashMap::default(),
+            warm_up: WarmUpLoad::new(scenario),
+            verdict: Verdict::default(),
         }
     }
 
-    fn breach(&mut self, rule: Rule, at: Micros, text: String) {
+    fn record_breach(&mut self, rule: Rule, at: Micros, text: String) {
         *self.verdict.breaches.entry(rule).or_default() += 1;
-        if self.verdict.examples.len() < KEPT {
+        if self.verdict.examples.len() < MAX_EXAMPLES {
             let second = at.saturating_sub(self.scenario.from()) as f64 / 1e6;
-            self.verdict
-                .examples
-                .push(format!("{rule:?} at {second:.3} s: {text}"));
+            let example = format!("{rule} at {second:.3} s: {text}");
+            self.verdict.examples.push(example);
         }
     }
 
-    /// Takes what was seen.
-    pub fn see(&mut self, seen: Seen) {
-        let rules = &self.scenario.rules;
-        let slack = rules.slack_ms * 1000;
-        match seen {
-            Seen::Taken {
+    /// The slack on each limit, in microseconds.
+    fn slack(&self) -> Micros {
+        self.scenario.rules.slack_ms * 1000
+    }
+
+    fn effect(&self, class: u32) -> Effect {
+        self.scenario.classes[class as usize].effect
+    }
+
+    /// Takes an observation.
+    pub fn observe(&mut self, observation: Observation) {
+        match observation {
+            Observation::RequestAccepted {
                 job, class, until, ..
-            } => {
-                let known = Known {
-                    class,
-                    until,
-                    answered: false,
-                    gone: false,
-                    made: false,
-                    sends: 0,
-                    out: 0,
-                    first_run: None,
-                    runs: 0,
-                };
-                self.jobs.insert(job, known);
-            }
-            Seen::Answered {
+            } => _ = self.jobs.insert(job, JobState::new(class, until)),
+            Observation::RequestAnswered {
                 job,
                 served,
                 refused,
                 at,
-            } => {
-                let Some(known) = self.jobs.get_mut(&job) else {
-                    return self.breach(
-                        Rule::OneAnswer,
-                        at,
-                        format!("job {job} has an answer and was never taken"),
-                    );
-                };
-                let before = std::mem::replace(&mut known.answered, true);
-                let (class, until, made, ran, gone) = (
-                    known.class,
-                    known.until,
-                    known.made,
-                    known.runs > 0,
-                    known.gone,
-                );
-                if before {
-                    self.breach(
-                        Rule::OneAnswer,
-                        at,
-                        format!("job {job} has a second answer"),
-                    );
-                }
-                if !gone && at > until + rules.answer_slack_ms * 1000 + slack {
-                    let late = (at - until) as f64 / 1e3;
-                    self.breach(
-                        Rule::OneAnswer,
-                        at,
-                        format!("job {job} was answered {late:.1} ms too late"),
-                    );
-                }
-                if served && !made {
-                    self.breach(
-                        Rule::Made,
-                        at,
-                        format!("job {job} was served with what no job worker made"),
-                    );
-                }
-                let effect = self.scenario.classes[class as usize].effect;
-                if refused && ran && effect == Effect::Unsafe {
-                    self.breach(
-                        Rule::Refusal,
-                        at,
-                        format!("job {job} was refused, and may have run"),
-                    );
-                }
-                self.forget(job);
+            } => self.check_answer(job, served, refused, at),
+            Observation::ClientLeft { job } => {
+                self.update_job(job, |state| state.client_left = true);
+                self.drop_old_jobs(job);
             }
-            Seen::Gone { job } => {
-                if let Some(known) = self.jobs.get_mut(&job) {
-                    known.gone = true;
-                }
-                self.forget(job);
-            }
-            Seen::Sent {
+            Observation::AttemptSent {
                 job,
                 scheduler,
                 worker,
                 at,
                 work,
             } => {
-                if let Some(since) = self.told.get(&(scheduler, worker)).copied() {
-                    let after = at.saturating_sub(since);
-                    let ms = after as f64 / 1e3;
-                    self.verdict.latest_after_told_ms = self.verdict.latest_after_told_ms.max(ms);
-                    if after > rules.drain_grace_ms * 1000 + slack {
-                        let text = format!(
-                            "scheduler {scheduler} sent to job worker {worker} {ms:.0} ms after it was told"
-                        );
-                        self.breach(Rule::Drain, at, text);
-                    }
-                }
-                self.sent_to_cold(scheduler, worker, at, work);
-                let Some(known) = self.jobs.get_mut(&job) else {
-                    return;
-                };
-                known.sends += 1;
-                let beside = known.out;
-                known.out += 1;
-                let (sends, class, runs, first) =
-                    (known.sends, known.class, known.runs, known.first_run);
-                if beside > 0 && !self.scenario.machines.copies {
-                    self.breach(
-                        Rule::Copies,
-                        at,
-                        format!("job {job} was sent while it was out"),
-                    );
-                }
-                if sends > rules.attempts {
-                    self.breach(
-                        Rule::Attempts,
-                        at,
-                        format!("job {job} was sent {sends} times"),
-                    );
-                }
-                match self.scenario.classes[class as usize].effect {
-                    Effect::Safe => {}
-                    Effect::Unsafe if runs > 0 => {
-                        self.breach(
-                            Rule::Repeats,
-                            at,
-                            format!("job {job} must not repeat, and was sent again"),
-                        );
-                    }
-                    Effect::Keyed(ms) if first.is_some_and(|f| at > f + ms * 1000 + slack) => {
-                        self.breach(
-                            Rule::Repeats,
-                            at,
-                            format!("job {job} was repeated outside its window"),
-                        );
-                    }
-                    _ => {}
-                }
+                self.check_drain(scheduler, worker, at);
+                self.check_warm_up(scheduler, worker, at, work);
+                self.check_attempt(job, at);
             }
-            Seen::Runs { job, at, .. } => {
-                let Some(known) = self.jobs.get_mut(&job) else {
-                    return;
-                };
-                known.runs += 1;
-                known.first_run.get_or_insert(at);
-                let (runs, class) = (known.runs, known.class);
-                if runs > 1 && self.scenario.classes[class as usize].effect == Effect::Unsafe {
-                    self.breach(
-                        Rule::Repeats,
-                        at,
-                        format!("job {job} must not repeat, and ran twice"),
-                    );
+            Observation::AttemptAccepted { job, at, .. } => self.check_run(job, at),
+            Observation::AttemptReturned { job } => self.update_job(job, |state| {
+                state.runs = state.runs.saturating_sub(1);
+                if state.runs == 0 {
+                    state.first_run = None;
                 }
+            }),
+            Observation::AttemptEnded { job } | Observation::AttemptCancelled { job } => {
+                self.update_job(job, |state| {
+                    state.attempts_open = state.attempts_open.saturating_sub(1);
+                });
             }
-            Seen::NeverRan { job } => {
-                if let Some(known) = self.jobs.get_mut(&job) {
-                    known.runs = known.runs.saturating_sub(1);
-                    if known.runs == 0 {
-                        known.first_run = None;
-                    }
-                }
-            }
-            Seen::Over { job } | Seen::GivenUp { job } => {
-                if let Some(known) = self.jobs.get_mut(&job) {
-                    known.out = known.out.saturating_sub(1);
-                }
-            }
-            Seen::Made { job } => {
-                if let Some(known) = self.jobs.get_mut(&job) {
-                    known.made = true;
-                }
+            Observation::ResultProduced { job } => {
+                self.update_job(job, |state| state.result_produced = true);
             }
-            Seen::Told {
+            Observation::AvailabilityReported {
                 scheduler,
                 worker,
-                takes,
+                available,
                 at,
-            } => {
-                match takes {
-                    true => _ = self.told.remove(&(scheduler, worker)),
-                    false => _ = self.told.entry((scheduler, worker)).or_insert(at),
-                };
-            }
-            Seen::Cold {
+            } => self.record_availability((scheduler, worker), available, at),
+            Observation::WarmingUp {
                 worker, capacity, ..
-            } => {
-                let (sent, sums, aware) = Default::default();
-                let cold = ColdWorker {
-                    capacity,
-                    sent,
-                    sums,
-                    aware,
-                };
-                self.cold.entry(worker).or_insert(cold).capacity = capacity;
+            } => self.warm_up.set_capacity(worker, capacity),
+            Observation::RestartReported { scheduler, worker } => {
+                self.warm_up.add_informed_scheduler(worker, scheduler);
             }
-            Seen::Aware { scheduler, worker } => {
-                if let Some(cold) = self.cold.get_mut(&worker) {
-                    cold.aware.insert(scheduler);
-                }
-            }
-            Seen::Warm { worker } => _ = self.cold.remove(&worker),
+            Observation::WarmedUp { worker } => self.warm_up.remove(worker),
         }
     }
 
-    /// A cold job worker falls at N + 3 roots of N + 3 jobs of mean work in the window, N being what the rule allows it
-    /// then; the rule is broken where over two thirds of that came from schedulers that had been told of the start.
-    fn sent_to_cold(&mut self, scheduler: u32, worker: u32, at: Micros, work: Micros) {
-        let rules = &self.scenario.rules;
-        let window = rules.tip_window_ms * 1000;
-        let Some(cold) = self.cold.get_mut(&worker) else {
-            return;
-        };
-        let knew = if cold.aware.contains(&scheduler) {
-            work as f64
+    fn update_job(&mut self, job: Job, update: impl FnOnce(&mut JobState)) {
+        if let Some(state) = self.jobs.get_mut(&job) {
+            update(state);
+        }
+    }
+
+    fn record_availability(&mut self, pair: (u32, u32), available: bool, at: Micros) {
+        if available {
+            self.draining_since.remove(&pair);
         } else {
-            0.0
+            self.draining_since.entry(pair).or_insert(at);
+        }
+    }
+
+    fn check_answer(&mut self, job: Job, served: bool, refused: bool, at: Micros) {
+        let Some(state) = self.jobs.get_mut(&job) else {
+            let text = format!("job {job} has an answer and was never taken");
+            return self.record_breach(Rule::OneAnswer, at, text);
         };
-        cold.sent.push_back((at, work as f64, knew));
-        cold.sums = (cold.sums.0 + work as f64, cold.sums.1 + knew);
-        while cold.sent.front().is_some_and(|(t, ..)| t + window < at) {
-            let (_, all, knew) = cold.sent.pop_front().unwrap_or_default();
-            cold.sums = (cold.sums.0 - all, cold.sums.1 - knew);
+        let answered_before = std::mem::replace(&mut state.answered, true);
+        let state = state.clone();
+        if answered_before {
+            let text = format!("job {job} has a second answer");
+            self.record_breach(Rule::OneAnswer, at, text);
         }
-        let allowed = rules.tip_multiple * cold.capacity * window as f64;
-        let mean = self.scenario.mean_total_work().max(1.0);
-        let n = allowed / mean;
-        let falls = cold.sums.0 > (n + 3.0 * n.sqrt() + 3.0) * mean
-            && 3.0 * cold.sums.1 > 2.0 * cold.sums.0;
-        let multiple = cold.sums.0 / (cold.capacity * window as f64).max(1e-9);
-        self.verdict.most_on_cold = self.verdict.most_on_cold.max(multiple);
-        if falls {
-            self.breach(
-                Rule::Cold,
-                at,
-                format!(
-                    "job worker {worker} is cold and was sent {multiple:.2} times what it can do"
-                ),
+        let allowed = self.scenario.rules.answer_slack_ms * 1000 + self.slack();
+        if !state.client_left && at > state.answer_due + allowed {
+            let late = (at - state.answer_due) as f64 / 1e3;
+            let text = format!("job {job} was answered {late:.1} ms too late");
+            self.record_breach(Rule::OneAnswer, at, text);
+        }
+        if served && !state.result_produced {
+            let text = format!("job {job} was served with what no job worker made");
+            self.record_breach(Rule::ResultProduced, at, text);
+        }
+        if refused && state.runs > 0 && self.effect(state.class) == Effect::Unsafe {
+            let text = format!("job {job} was refused, and may have run");
+            self.record_breach(Rule::Refusal, at, text);
+        }
+        self.drop_old_jobs(job);
+    }
+
+    fn check_drain(&mut self, scheduler: u32, worker: u32, at: Micros) {
+        let Some(since) = self.draining_since.get(&(scheduler, worker)).copied() else {
+            return;
+        };
+        let after = at.saturating_sub(since);
+        let ms = after as f64 / 1e3;
+        let latest = &mut self.verdict.latest_send_after_drain_ms;
+        *latest = latest.max(ms);
+        if after > self.scenario.rules.drain_grace_ms * 1000 + self.slack() {
+            let text = format!(
+                "scheduler {scheduler} sent to job worker {worker} {ms:.0} ms after it was told"
             );
+            self.record_breach(Rule::Drain, at, text);
         }
     }
 
-    /// A job that is answered is looked at no more once it cannot run again: those that may are kept.
-    fn forget(&mut self, job: Job) {
-        // A retry by the scheduler after the answer would be a breach, and is looked for: all are kept for a while.
-        const ROOM: usize = 400_000;
-        if self.jobs.len() > ROOM && self.jobs.len().is_multiple_of(1024) {
+    fn check_warm_up(&mut self, scheduler: u32, worker: u32, at: Micros, work: Micros) {
+        let Some(load) = self.warm_up.record_send(scheduler, worker, at, work) else {
+            return;
+        };
+        let peak = &mut self.verdict.peak_warm_up_load;
+        *peak = peak.max(load.multiple);
+        if load.overloaded {
+            let text = format!(
+                "job worker {worker} is cold and was sent {:.2} times what it can do",
+                load.multiple
+            );
+            self.record_breach(Rule::WarmUp, at, text);
+        }
+    }
+
+    fn check_attempt(&mut self, job: Job, at: Micros) {
+        let Some(state) = self.jobs.get_mut(&job) else {
+            return;
+        };
+        let others_open = state.attempts_open;
+        state.attempts_sent += 1;
+        state.attempts_open += 1;
+        let state = state.clone();
+        if others_open > 0 && !self.scenario.machines.speculative_runs {
+            let text = format!("job {job} was sent while it was out");
+            self.record_breach(Rule::SpeculativeRuns, at, text);
+        }
+        if state.attempts_sent > self.scenario.rules.attempts {
+            let text = format!("job {job} was sent {} times", state.attempts_sent);
+            self.record_breach(Rule::Attempts, at, text);
+        }
+        match self.effect(state.class) {
+            Effect::Unsafe if state.runs > 0 => {
+                let text = format!("job {job} must not repeat, and was sent again");
+                self.record_breach(Rule::Repeats, at, text);
+            }
+            Effect::Keyed(window_ms) => {
+                let window = window_ms * 1000 + self.slack();
+                if state.first_run.is_some_and(|first| at > first + window) {
+                    let text = format!("job {job} was repeated outside its window");
+                    self.record_breach(Rule::Repeats, at, text);
+                }
+            }
+            Effect::Safe | Effect::Unsafe => {}
+        }
+    }
+
+    fn check_run(&mut self, job: Job, at: Micros) {
+        let Some(state) = self.jobs.get_mut(&job) else {
+            return;
+        };
+        state.runs += 1;
+        state.first_run.get_or_insert(at);
+        let (runs, class) = (state.runs, state.class);
+        if runs > 1 && self.effect(class) == Effect::Unsafe {
+            let text = format!("job {job} must not repeat, and ran twice");
+            self.record_breach(Rule::Repeats, at, text);
+        }
+    }
+
+    /// Drops the state of old jobs to which nothing is owed. The others are kept: an attempt after the answer would be a
+    /// breach.
+    fn drop_old_jobs(&mut self, newest: Job) {
+        if self.jobs.len() > MAX_JOBS && self.jobs.len().is_multiple_of(DROP_INTERVAL) {
             self.jobs
-                .retain(|n, k| *n + ROOM as u64 > job || !(k.answered || k.gone));
+                .retain(|job, state| *job + MAX_JOBS as u64 > newest || state.response_owed());
         }
     }
 
-    /// All is over: what has no answer was lost.
+    /// Ends the run: jobs without an answer were lost.
     pub fn finish(mut self, now: Micros) -> Verdict {
-        let open = |(job, k): (&Job, &Known)| (!k.answered && !k.gone).then_some((*job, k.until));
-        let mut lost: Vec<(Job, Micros)> = self.jobs.iter().filter_map(open).collect();
+        let owed = self.jobs.iter().filter(|(_, state)| state.response_owed());
+        let mut lost: Vec<(Job, Micros)> =
+            owed.map(|(job, state)| (*job, state.answer_due)).collect();
         lost.sort_unstable();
-        for (job, until) in lost {
-            self.breach(
-                Rule::OneAnswer,
-                until.min(now),
-                format!("job {job} was never answered"),
-            );
+        for (job, answer_due) in lost {
+            let text = format!("job {job} was never answered");
+            self.record_breach(Rule::OneAnswer, answer_due.min(now), text);
         }
         self.verdict
     }
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -1,6 +1,6 @@
 //! What differs between two runs, and how sure that is.
 
-use crate::client::{draw, unit};
+use crate::sampling::{draw, unit};
 use crate::service::Second;
 use crate::virtual_time::Run;
 use serde::{Deserialize, Serialize};
@@ -29,7 +29,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
     /// The figures.
-    pub figures: Vec<Difference>,
+    #[serde(rename = "figures")]
+    pub metrics: Vec<Difference>,
     /// In plain words.
     pub verdict: String,
 }
@@ -46,7 +47,7 @@
         let mut sum = (0.0, 0.0);
         let mut all = vec![sum];
         all.extend(of[..n].iter().map(|s| {
-            sum = (sum.0 + s.asked, sum.1 + s.earned);
+            sum = (sum.0 + s.offered, sum.1 + s.earned);
             sum
         }));
         all
@@ -67,8 +68,9 @@
                 ];
                 sums.iter_mut().zip(parts).for_each(|(s, p)| *s += p);
             }
-            let share = |asked: f64, earned: f64| if asked > 0.0 { earned / asked } else { 1.0 };
-            share(sums[2], sums[3]) - share(sums[0], sums[1])
+            let fraction =
+                |offered: f64, earned: f64| if offered > 0.0 { earned / offered } else { 1.0 };
+            fraction(sums[2], sums[3]) - fraction(sums[0], sums[1])
         })
         .collect();
     found.sort_by(f64::total_cmp);
@@ -79,9 +81,9 @@
 /// Compares two runs.
 pub fn compare(a: &Run, b: &Run) -> Comparison {
     let (x, y) = (&a.outcome, &b.outcome);
-    let mut figures = Vec::new();
+    let mut metrics = Vec::new();
     let mut add = |name: &str, a: f64, b: f64, interval| {
-        figures.push(Difference {
+        metrics.push(Difference {
             name: name.into(),
             a,
             b,
@@ -90,12 +92,12 @@
         });
     };
     let interval = paired(&x.seconds, &y.seconds, 1);
-    add("service figure", x.figure, y.figure, None);
-    add("worth earned, whole run", x.whole, y.whole, interval);
+    add("service figure", x.service_metric, y.service_metric, None);
+    add("worth earned, whole run", x.overall, y.overall, interval);
     add(
         "worth earned, worst 10 s",
-        x.worst_stretch.0,
-        y.worst_stretch.0,
+        x.worst_window.0,
+        y.worst_window.0,
         None,
     );
     add(
@@ -118,12 +120,13 @@
             None,
         );
     }
-    let share = |ends: [u64; 4], n: usize| ends[n] as f64 / ends.iter().sum::<u64>().max(1) as f64;
+    let fraction =
+        |ends: [u64; 4], n: usize| ends[n] as f64 / ends.iter().sum::<u64>().max(1) as f64;
     for (n, name) in ["in time", "late", "refused", "failed"].iter().enumerate() {
         add(
             &format!("share of jobs {name}"),
-            share(x.ends, n),
-            share(y.ends, n),
+            fraction(x.ends, n),
+            fraction(y.ends, n),
             None,
         );
     }
@@ -162,5 +165,5 @@
         (false, false) => format!("{verdict} Both break rules."),
         (true, true) => verdict,
     };
-    Comparison { figures, verdict }
+    Comparison { metrics, verdict }
 }
--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -1,7 +1,7 @@
 //! What the schedulers' access logs would have held of a run: the only thing that is kept of a "live" hour.
 
 use crate::scenario::{Effect, Micros, Scenario};
-use crate::virtual_time::Logged;
+use crate::virtual_time::LoggedRequest;
 use jiff::tz::Offset;
 use jiff::{Timestamp, fmt::strtime};
 use rand_pcg::Pcg64Mcg;
@@ -108,7 +108,7 @@
             first: true,
             minute,
             harm,
-            rng: crate::client::draw(seed, 0, 0x4a43),
+            rng: crate::sampling::draw(seed, 0, 0x4a43),
         })
     }
 
@@ -116,16 +116,16 @@
     ///
     /// # Errors
     /// It cannot be written.
-    pub fn write(&mut self, scenario: &Scenario, t: &Logged<'_>) -> io::Result<()> {
+    pub fn write(&mut self, scenario: &Scenario, t: &LoggedRequest<'_>) -> io::Result<()> {
         let line = self.line(scenario, t);
-        let draw = crate::client::unit(&mut self.rng);
+        let draw = crate::sampling::unit(&mut self.rng);
         if draw < self.harm.0 {
             return Ok(());
         }
         let mut bytes = line.into_bytes();
         if draw < self.harm.0 + self.harm.1 {
             // Cut, overwritten, or run into itself: in equal shares.
-            let at = (crate::client::unit(&mut self.rng) * bytes.len() as f64) as usize;
+            let at = (crate::sampling::unit(&mut self.rng) * bytes.len() as f64) as usize;
             match (draw * 1e6) as u64 % 3 {
                 0 => bytes.truncate(at),
                 1 => bytes.iter_mut().skip(at).take(24).for_each(|b| *b = 0),
@@ -155,7 +155,7 @@
         self.out.flush()
     }
 
-    fn line(&mut self, scenario: &Scenario, t: &Logged<'_>) -> String {
+    fn line(&mut self, scenario: &Scenario, t: &LoggedRequest<'_>) -> String {
         let (a, class) = (t.arrival, &scenario.classes[t.arrival.class as usize]);
         let peer = address(a.parish.unwrap_or(200), a.office);
         let parish = a
@@ -168,16 +168,23 @@
             Effect::Keyed(_) => format!("k{:016x}", a.number.wrapping_mul(0x2545_f491_4f6c_dd1d)),
             _ => "-".to_string(),
         };
-        let mark = if scenario.clients.mark && t.tried > 0 {
+        let retry_mark = if scenario.clients.mark_retries && t.retry > 0 {
             "1"
         } else {
             "-"
         };
-        let trace = trace(a.number, t.tried);
+        let trace = trace(a.number, t.retry);
         let expires = (a.at + a.deadline).saturating_sub(t.from) / 1000;
         let props = format!("needs={}", a.slots);
         let took = t.to - t.from;
-        let headers = [parish, &trace, &key, mark, &expires.to_string(), &props];
+        let headers = [
+            parish,
+            &trace,
+            &key,
+            retry_mark,
+            &expires.to_string(),
+            &props,
+        ];
         let quoted = headers.map(|h| format!("\"{h}\"")).join(" ");
         let bytes = if status == 200 { 64 } else { 0 };
         match self.form {
--- a/crates/replay/src/load.rs
+++ b/crates/replay/src/load.rs
@@ -1,7 +1,7 @@
 //! Arrivals: made by a process, or out of a recording.
 
 use crate::sampling::{draw, unit};
-use crate::scenario::{Micros, Scenario, Spread, What};
+use crate::scenario::{FaultKind, Micros, Scenario, Spread};
 use indigofold_traffic::recording;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use rand_pcg::Pcg64Mcg;
@@ -151,11 +151,11 @@
             most: load.rate * (1.0 + load.swing) * jumps,
             number: 0,
             zipf: zipf.map_err(|e| format!("at /clients/zipf: {e}"))?,
-            classes: scenario.classes.iter().map(|c| c.share).collect(),
+            classes: scenario.classes.iter().map(|c| c.weight).collect(),
             parishes: scenario
                 .parishes
                 .iter()
-                .map(|p| p.share * p.usage)
+                .map(|p| p.quota * p.usage)
                 .collect(),
         })
     }
@@ -163,9 +163,9 @@
     /// The hot thing that this job is about, if any: its draws are its own, so that others stay as they are.
     fn hot(&self) -> Option<u32> {
         let mut rng = draw(self.draws.seed, self.number, 0x407);
-        self.scenario.troubles.iter().find_map(|t| match t.what {
-            What::HotThings { share, things }
-                if (t.at_s..t.at_s + t.for_s).contains(&self.at) && unit(&mut rng) < share =>
+        self.scenario.faults.iter().find_map(|t| match t.what {
+            FaultKind::HotThings { fraction, things }
+                if (t.at_s..t.at_s + t.for_s).contains(&self.at) && unit(&mut rng) < fraction =>
             {
                 Some((unit(&mut rng) * f64::from(things.max(1))) as u32)
             }
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -143,7 +143,7 @@
                 say!("{}", serde_json::to_string(&found)?);
             } else {
                 say!("{}", found.verdict);
-                for d in &found.figures {
+                for d in &found.metrics {
                     let interval = d
                         .interval
                         .map_or(String::new(), |[l, h]| format!("  ({l:+.4} to {h:+.4})"));
--- a/crates/replay/src/object_store.rs
+++ b/crates/replay/src/object_store.rs
@@ -1,36 +1,38 @@
-//! What jobs need and job workers keep: tables, a model, a customer's data. A worker keeps a few things, the one used
-//! longest ago goes first, and fetches what it lacks from one store for all, while the job holds its slots.
+//! Objects that jobs need and workers cache: tables, a model, a customer's data. A worker keeps a few of them, evicts the
+//! least recently used, and fetches what it lacks from one store for all, while the job holds its slots.
 //!
-//! The store serves so many fetches at once at full speed. A fetch that begins while more are under way takes longer in
-//! proportion; how long is settled as it begins.
+//! The store serves some fetches at once at full speed. A fetch that begins while more are in flight takes longer in
+//! proportion; how long is fixed as it begins.
 
 use crate::scenario::Micros;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The store of all job workers.
+/// The store of all workers.
 #[derive(Debug)]
-pub struct Store {
-    at_once: f64,
-    under_way: Vec<Micros>, // when each ends
+pub struct ObjectStore {
+    /// Fetches at once at full speed.
+    concurrency: f64,
+    /// When each fetch in flight ends.
+    in_flight: Vec<Micros>,
     fetches: u64,
 }
 
-impl Store {
-    /// One that serves so many fetches at once at full speed.
-    pub fn new(at_once: f64) -> Self {
-        Store {
-            at_once: at_once.max(0.01),
-            under_way: Vec::new(),
+impl ObjectStore {
+    /// A store that serves `concurrency` fetches at once at full speed.
+    pub fn new(concurrency: f64) -> Self {
+        ObjectStore {
+            concurrency: concurrency.max(0.01),
+            in_flight: Vec::new(),
             fetches: 0,
         }
     }
 
-    /// A fetch begins that takes so long by itself: how long it takes.
-    pub fn begin(&mut self, now: Micros, alone: Micros) -> Micros {
-        self.under_way.retain(|ends| *ends > now);
-        let crowd = ((self.under_way.len() + 1) as f64 / self.at_once).max(1.0);
-        let takes = (alone as f64 * crowd) as Micros;
-        self.under_way.push(now + takes);
+    /// Begins a fetch that takes `alone` microseconds by itself, and returns how long it takes now.
+    pub fn begin_fetch(&mut self, now: Micros, alone: Micros) -> Micros {
+        self.in_flight.retain(|ends| *ends > now);
+        let slowdown = ((self.in_flight.len() + 1) as f64 / self.concurrency).max(1.0);
+        let takes = (alone as f64 * slowdown) as Micros;
+        self.in_flight.push(now + takes);
         self.fetches += 1;
         takes
     }
@@ -41,54 +43,65 @@
     }
 }
 
-/// What one job worker keeps.
+/// An object in a cache.
+#[derive(Clone, Copy, Debug)]
+struct CachedObject {
+    id: u64,
+    /// When its fetch ends.
+    available_at: Micros,
+}
+
+/// The cache of one worker.
 #[derive(Debug)]
-pub struct Shelf {
-    store: Arc<Mutex<Store>>,
-    room: usize,
-    kept: Vec<(u64, Micros)>, // what, and when it is there; last used last
+pub struct ObjectCache {
+    store: Arc<Mutex<ObjectStore>>,
+    capacity: usize,
+    /// Least recently used first.
+    objects: Vec<CachedObject>,
 }
 
-impl Shelf {
-    /// An empty one with room for so many things.
-    pub fn new(store: Arc<Mutex<Store>>, room: usize) -> Self {
-        Shelf {
+impl ObjectCache {
+    /// An empty cache for `capacity` objects.
+    pub fn new(store: Arc<Mutex<ObjectStore>>, capacity: usize) -> Self {
+        ObjectCache {
             store,
-            room: room.max(1),
-            kept: Vec::new(),
+            capacity: capacity.max(1),
+            objects: Vec::new(),
         }
     }
 
-    /// Has it this thing, or is it on its way here?
-    pub fn has(&self, thing: u64) -> bool {
-        self.kept.iter().any(|(other, _)| *other == thing)
+    /// Whether an object is cached, or its fetch is in flight.
+    pub fn contains(&self, id: u64) -> bool {
+        self.objects.iter().any(|object| object.id == id)
     }
 
-    /// A job needs this: how long until it is there. `alone`: a fetch takes so long by itself.
-    pub fn need(&mut self, now: Micros, thing: u64, alone: Micros) -> Micros {
-        let there = match self.kept.iter().position(|(other, _)| *other == thing) {
-            Some(n) => self.kept.remove(n).1,
-            None => {
-                let takes = self
-                    .store
-                    .lock()
-                    .unwrap_or_else(PoisonError::into_inner)
-                    .begin(now, alone);
-                if self.kept.len() >= self.room {
-                    self.kept.remove(0);
-                }
-                now + takes
-            }
+    /// Uses an object, and returns the microseconds until it is available. A fetch takes `alone` by itself.
+    pub fn access(&mut self, now: Micros, id: u64, alone: Micros) -> Micros {
+        let position = self.objects.iter().position(|object| object.id == id);
+        let object = match position {
+            Some(position) => self.objects.remove(position),
+            None => self.fetch(now, id, alone),
         };
-        self.kept.push((thing, there));
-        there.saturating_sub(now)
+        self.objects.push(object);
+        object.available_at.saturating_sub(now)
     }
 
-    /// A new process has nothing.
+    /// Fetches an object, and evicts another where the cache is full.
+    fn fetch(&mut self, now: Micros, id: u64, alone: Micros) -> CachedObject {
+        let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
+        let takes = store.begin_fetch(now, alone);
+        drop(store);
+        if self.objects.len() >= self.capacity {
+            self.objects.remove(0);
+        }
+        CachedObject {
+            id,
+            available_at: now + takes,
+        }
+    }
+
+    /// A new process has an empty cache.
     pub fn clear(&mut self) {
-        self.kept.clear();
+        self.objects.clear();
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/replay/src/play_command.rs
+++ b/crates/replay/src/play_command.rs
@@ -6,7 +6,7 @@
 use indigofold_replay::export::{self, Log};
 use indigofold_replay::load::{Made, Recorded};
 use indigofold_replay::scenario::{self, Scenario};
-use indigofold_replay::virtual_time::{Ground, Logged, Retries, Run};
+use indigofold_replay::virtual_time::{LoggedRequest, Retries, Run, Simulation};
 use indigofold_replay::{report, sockets};
 use serde_json::json;
 use std::fs::File;
@@ -50,13 +50,13 @@
         "playing",
     );
     let mut failed = None;
-    let log = |t: Logged<'_>| {
+    let log = |t: LoggedRequest<'_>| {
         if let Some(log) = logs.get_mut(t.scheduler as usize) {
             failed = failed.take().or(log.write(&scenario, &t).err());
         }
     };
-    let ground = Ground::new(&scenario, seed, Retries::Model)?;
-    let run = ground.play(Made::new(&scenario, seed)?, log, |n| bar.set_position(n))?;
+    let simulation = Simulation::new(&scenario, seed, Retries::Model)?;
+    let run = simulation.play(Made::new(&scenario, seed)?, log, |n| bar.set_position(n))?;
     bar.finish_and_clear();
     if let Some(e) = failed {
         return Err(e.into());
@@ -92,7 +92,7 @@
     let run = if args.sockets {
         sockets::play(&scenario, seed, args.retries, &args.program, arrivals)?
     } else {
-        Ground::new(&scenario, seed, args.retries)?.play(
+        Simulation::new(&scenario, seed, args.retries)?.play(
             arrivals,
             |_| {},
             |n| bar.set_position(n),
@@ -131,25 +131,25 @@
         short.outcome.seconds.clear();
         say!("{}", json!({"run": short, "wall_seconds": seconds}));
     } else {
-        say!("service figure {:.4}", o.figure);
+        say!("service figure {:.4}", o.service_metric);
         say!(
             "whole {:.4}, worst 10 s {:.4} (from {} s), worst class {:.4} ({}), worst parish {:.4} ({})",
-            o.whole,
-            o.worst_stretch.0,
-            o.worst_stretch.1,
+            o.overall,
+            o.worst_window.0,
+            o.worst_window.1,
             o.worst_class.0,
             o.worst_class.1,
             o.worst_parish.0,
             o.worst_parish.1
         );
-        for (name, share) in &o.classes {
-            say!("class {name:20} {share:.4}");
+        for (name, fraction) in &o.classes {
+            say!("class {name:20} {fraction:.4}");
         }
         say!("first tries, retries, attempts, probes: {:?}", o.counts);
         say!("in time, late, refused, failed: {:?}", o.ends);
         say!(
             "most on a cold job worker: {:.2} times what it can do",
-            run.verdict.most_on_cold
+            run.verdict.peak_warm_up_load
         );
         if o.lateness[1] > 0.0 {
             say!(
@@ -165,7 +165,7 @@
         for text in &run.verdict.examples {
             say!("    {text}");
         }
-        for (text, count) in &run.notes {
+        for (text, count) in &run.scheduler_messages {
             tracing::debug!(count, "noted: {text}");
         }
     }
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -1,7 +1,7 @@
 //! Reports: one self-contained HTML page, with plots as SVG.
 
 use crate::compare::Comparison;
-use crate::scenario::{Scenario, What};
+use crate::scenario::{FaultKind, Scenario};
 use crate::virtual_time::Run;
 use minijinja::Environment;
 use plotters::prelude::*;
@@ -58,9 +58,9 @@
         c.iter().map(of).sum::<f64>()
     };
     let earned = series(&|c| {
-        let asked = sum(c, &|s| s.asked);
-        if asked > 0.0 {
-            sum(c, &|s| s.earned) / asked
+        let offered = sum(c, &|s| s.offered);
+        if offered > 0.0 {
+            sum(c, &|s| s.earned) / offered
         } else {
             1.0
         }
@@ -102,9 +102,9 @@
         .collect();
     let mut env = Environment::new();
     env.add_template("page.html", PAGE)?;
-    let troubles: Vec<String> = scenario.troubles.iter().map(trouble).collect();
+    let faults: Vec<String> = scenario.faults.iter().map(fault).collect();
     let data = json!({
-        "title": title, "troubles": troubles, "plots": plots, "latency": latency, "comparison": comparison,
+        "title": title, "troubles": faults, "plots": plots, "latency": latency, "comparison": comparison,
         "scenario": {"name": scenario.name, "schedulers": scenario.schedulers, "workers": scenario.workers()},
         "runs": runs.iter().map(|(name, run)| json!({
             "name": name, "outcome": summary(&run.outcome), "verdict": run.verdict, "kept": run.verdict.kept()
@@ -124,15 +124,17 @@
     }
 }
 
-fn trouble(t: &crate::scenario::Trouble) -> String {
+fn fault(t: &crate::scenario::Fault) -> String {
     let what = match &t.what {
-        What::Hang => "hang: they take jobs and say nothing".to_string(),
-        What::Pauses { ms, every_ms } => format!("stand still for {ms} ms every {every_ms} ms"),
-        What::Crash => "crash, and come back cold".into(),
-        What::Drain => "drain, and come back cold".into(),
-        What::Slow { times } => format!("run jobs {times} times as long"),
-        What::HotThings { share, things } => {
-            let percent = share * 100.0;
+        FaultKind::Hang => "hang: they take jobs and say nothing".to_string(),
+        FaultKind::Pauses { ms, every_ms } => {
+            format!("stand still for {ms} ms every {every_ms} ms")
+        }
+        FaultKind::Crash => "crash, and come back cold".into(),
+        FaultKind::Drain => "drain, and come back cold".into(),
+        FaultKind::Slow { times } => format!("run jobs {times} times as long"),
+        FaultKind::HotThings { fraction, things } => {
+            let percent = fraction * 100.0;
             return format!(
                 "from {} s on, for {} s, {things} things draw {percent:.0}% of the jobs",
                 t.at_s, t.for_s
@@ -147,8 +149,8 @@
 
 /// Where troubles and jumps lie in time.
 fn marks(scenario: &Scenario) -> Vec<Range<f64>> {
-    let troubles = scenario.troubles.iter().map(|t| t.at_s..t.at_s + t.for_s);
-    troubles
+    let faults = scenario.faults.iter().map(|t| t.at_s..t.at_s + t.for_s);
+    faults
         .chain(scenario.load.jumps.iter().map(|j| j.at_s..j.at_s + j.for_s))
         .collect()
 }
--- a/crates/replay/src/retry_folding.rs
+++ b/crates/replay/src/retry_folding.rs
@@ -2,7 +2,7 @@
 
 use crate::load::Made;
 use crate::scenario::{Effect, Scenario};
-use crate::virtual_time::{Ground, Retries};
+use crate::virtual_time::{Retries, Simulation};
 use indigofold_traffic::Tally;
 use indigofold_traffic::fold::{Folder, Rules};
 use indigofold_traffic::job::{Job, Micros, number};
@@ -52,8 +52,8 @@
             .iter()
             .map(|p| p.name.as_str().into())
             .collect();
-        let ground = Ground::new(scenario, seed, Retries::Model)?;
-        ground.play(
+        let simulation = Simulation::new(scenario, seed, Retries::Model)?;
+        simulation.play(
             Made::new(scenario, seed)?,
             |t| {
                 let a = t.arrival;
@@ -80,7 +80,7 @@
                         within: 1,
                         seq,
                         id: 0,
-                        marked: t.tried > 0,
+                        marked: t.retry > 0,
                         file: t.scheduler,
                     },
                     a.number,
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -15,7 +15,7 @@
     document::schema::<Scenario>()
 }
 
-/// Reads a scenario: against its schema first, so that all that is wrong is told at once.
+/// Reads a scenario: against its schema first, so that everything that is wrong is reported at once.
 ///
 /// # Errors
 /// Each thing that is wrong, with its place.
@@ -98,31 +98,31 @@
             .iter()
             .map(|k| f64::from(k.count * k.cores) * (k.speed[0] + k.speed[1]) / 2.0)
             .sum();
-        let shares: f64 = self.classes.iter().map(|c| c.share).sum();
+        let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         let work: f64 = self
             .classes
             .iter()
-            .map(|c| c.share / shares * c.work_ms / 1e3 * c.mean_slots())
+            .map(|c| c.weight / weights * c.work_ms / 1e3 * c.mean_slots())
             .sum();
         cores / work
     }
 
     /// Running time of a job at speed 1, on the mean over all classes.
     pub fn mean_work(&self) -> Micros {
-        let shares: f64 = self.classes.iter().map(|c| c.share).sum();
+        let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         (self
             .classes
             .iter()
-            .map(|c| c.share / shares * c.work_ms * 1e3)
+            .map(|c| c.weight / weights * c.work_ms * 1e3)
             .sum::<f64>()) as Micros
     }
 
     /// The same times its slots: what a job takes of a job worker, on the mean, in microseconds at speed 1.
     pub fn mean_total_work(&self) -> f64 {
-        let shares: f64 = self.classes.iter().map(|c| c.share).sum();
+        let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         self.classes
             .iter()
-            .map(|c| c.share / shares * c.work_ms * 1e3 * c.mean_slots())
+            .map(|c| c.weight / weights * c.work_ms * 1e3 * c.mean_slots())
             .sum()
     }
 }
--- a/crates/replay/src/scenario/form.rs
+++ b/crates/replay/src/scenario/form.rs
@@ -1,4 +1,5 @@
-//! The form of the scenario file: its parts, with what holds where a part is not named.
+//! The form of the scenario file: its parts, with their defaults. Field names of the file that differ from the code's are
+//! stated beside each; the doc comments here are the descriptions of the published schema.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -14,16 +15,16 @@
     #[serde(default)]
     pub name: String,
     /// Unix time, in seconds, at which it starts.
-    #[serde(default = "start")]
+    #[serde(default = "default_start")]
     pub start: u64,
     /// Random numbers begin here.
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// Job workers' speeds are drawn from this, whatever a run's seed: the fleet is the same in all runs.
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub fleet_seed: u64,
     /// Schedulers.
-    #[serde(default = "three")]
+    #[serde(default = "default_schedulers")]
     #[schemars(range(min = 1, max = 256))]
     pub schedulers: u32,
     /// Kitchens (zones); schedulers and job workers are dealt out to them in turn.
@@ -55,7 +56,8 @@
     pub load: Load,
     /// What goes wrong.
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
     /// The rules' figures.
     #[serde(default)]
     pub rules: Rules,
@@ -63,7 +65,7 @@
     #[serde(default)]
     pub prices: Prices,
     /// Worth of a job beyond its parish's share.
-    #[serde(default = "over")]
+    #[serde(default = "default_over_quota_value")]
     #[serde(rename = "over-share-worth")]
     pub over_quota_value: f64,
     /// What each scheduler may hold.
@@ -71,16 +73,16 @@
     pub limits: Limits,
 }
 
-fn start() -> u64 {
+fn default_start() -> u64 {
     1_795_978_800 // a Sunday, 19:00 UTC
 }
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
-fn three() -> u32 {
+fn default_schedulers() -> u32 {
     3
 }
-fn over() -> f64 {
+fn default_over_quota_value() -> f64 {
     0.2
 }
 
@@ -129,7 +131,8 @@
     /// A job that is given up stops.
     pub cancel: bool,
     /// Two attempts of one job may be out at once.
-    pub copies: bool,
+    #[serde(rename = "copies")]
+    pub speculative_runs: bool,
     /// They answer probes with their load.
     pub reports: bool,
     /// What jobs need and job workers keep; without it, nothing.
@@ -141,7 +144,7 @@
         Machines {
             order: Order::InOrder,
             cancel: false,
-            copies: true,
+            speculative_runs: true,
             reports: true,
             things: None,
         }
@@ -168,7 +171,8 @@
     /// Its name.
     pub name: String,
     /// Its share of the jobs that are made.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub weight: f64,
     /// Whether it may run more than once.
     pub effect: Effect,
     /// Its mean running time at speed 1.
@@ -178,16 +182,17 @@
     #[serde(default)]
     pub spread: Spread,
     /// The coefficient of variation (of a lognormal; an exponential's is 1).
-    #[serde(default = "half")]
+    #[serde(default = "default_cv")]
     pub cv: f64,
     /// Job workers that order by priority serve higher ones first.
     #[serde(default)]
     pub priority: i32,
     /// Shares of jobs with 1, 2, 4 ... slots.
-    #[serde(default = "single")]
+    #[serde(default = "default_slots")]
     pub slots: Vec<f64>,
     /// An answer within this time, and `stretch` times the job's own running time at speed 1, is in time.
-    pub aim_ms: u64,
+    #[serde(rename = "aim-ms")]
+    pub latency_target_ms: u64,
     /// See `aim-ms`.
     pub stretch: f64,
     /// A client waits so long over all its tries.
@@ -201,10 +206,10 @@
     pub late_value: f64,
 }
 
-fn half() -> f64 {
+fn default_cv() -> f64 {
     0.5
 }
-fn single() -> Vec<f64> {
+fn default_slots() -> Vec<f64> {
     vec![1.0]
 }
 
@@ -215,15 +220,16 @@
     /// Its name.
     pub name: String,
     /// Its share of what the fleet can do.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub quota: f64,
     /// How much of its share it asks for in made load.
-    #[serde(default = "whole")]
+    #[serde(default = "default_usage")]
     pub usage: f64,
     /// Its kitchen, whose schedulers it calls; without one, in turn.
     pub zone: Option<String>,
 }
 
-fn whole() -> f64 {
+fn default_usage() -> f64 {
     1.0
 }
 
@@ -241,24 +247,24 @@
     /// Speeds are drawn between these; 1 is the yardstick.
     pub speed: [f64; 2],
     /// Jobs that may wait for each core.
-    #[serde(default = "queue")]
+    #[serde(default = "default_queue_per_core")]
     pub queue_per_core: f64,
     /// Share of its capacity that a cold one starts with.
-    #[serde(default = "cold")]
+    #[serde(default = "default_initial_capacity")]
     #[serde(rename = "cold-from")]
     pub initial_capacity: f64,
     /// It is warm after so long.
-    #[serde(default = "warm")]
+    #[serde(default = "default_warm_up_s")]
     pub warm_s: f64,
 }
 
-fn queue() -> f64 {
+fn default_queue_per_core() -> f64 {
     14.0
 }
-fn cold() -> f64 {
+fn default_initial_capacity() -> f64 {
     0.4
 }
-fn warm() -> f64 {
+fn default_warm_up_s() -> f64 {
     6.0
 }
 
@@ -300,7 +306,8 @@
     /// ... for so long at the most.
     pub max_retry_after_ms: u64,
     /// Clients mark their retries.
-    pub mark: bool,
+    #[serde(rename = "mark")]
+    pub mark_retries: bool,
     /// Clients retry jobs that failed, too, where a repeat does no harm.
     pub after_failure: bool,
     /// Clients (addresses) of each parish.
@@ -318,7 +325,7 @@
             backoff_ms: 50.0,
             honour: 0.5,
             max_retry_after_ms: 2_000,
-            mark: true,
+            mark_retries: true,
             after_failure: true,
             offices: 12,
             subjects: 20_000,
@@ -334,7 +341,8 @@
     /// It learns of a start, a drain or an end after so long.
     pub notice_ms: u64,
     /// It learns that a machine has vanished after so long.
-    pub silent_notice_ms: u64,
+    #[serde(rename = "silent-notice-ms")]
+    pub unresponsive_notice_ms: u64,
     /// A call takes so long.
     pub call_ms: u64,
 }
@@ -343,7 +351,7 @@
     fn default() -> Self {
         Discovery {
             notice_ms: 1_500,
-            silent_notice_ms: 8_000,
+            unresponsive_notice_ms: 8_000,
             call_ms: 30,
         }
     }
@@ -383,7 +391,8 @@
 /// Something that goes wrong.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Trouble {
+#[schemars(rename = "Trouble")]
+pub struct Fault {
     /// When.
     pub at_s: f64,
     /// For how long.
@@ -392,13 +401,14 @@
     /// Which job workers, by number from 0.
     pub workers: Vec<u32>,
     /// What.
-    pub what: What,
+    pub what: FaultKind,
 }
 
 /// What goes wrong with job workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+#[schemars(rename = "What")]
+pub enum FaultKind {
     /// They take jobs and say nothing, and go on where they were once it is over.
     Hang,
     /// They stand still for a while, again and again.
@@ -423,7 +433,8 @@
     #[serde(rename_all = "kebab-case")]
     HotThings {
         /// Their share of the jobs.
-        share: f64,
+        #[serde(rename = "share")]
+        fraction: f64,
         /// How many they are.
         things: u32,
     },
--- a/crates/replay/src/scenario/settings.rs
+++ b/crates/replay/src/scenario/settings.rs
@@ -13,7 +13,7 @@
             .classes
             .iter()
             .map(|c| {
-                let mut p = json!({"name": c.name, "aim": c.aim_ms * 1000, "deadline": c.deadline_ms * 1000,
+                let mut p = json!({"name": c.name, "aim": c.latency_target_ms * 1000, "deadline": c.deadline_ms * 1000,
                     "worth": c.value, "lateWorth": c.late_value});
                 match c.effect {
                     Effect::Safe => p["effect"] = "safe".into(),
@@ -30,9 +30,9 @@
         let customers: Vec<_> = self
             .parishes
             .iter()
-            .map(|p| json!({"name": p.name, "quotaPerS": p.share * capacity, "fraction": p.share}))
+            .map(|p| json!({"name": p.name, "quotaPerS": p.quota * capacity, "fraction": p.quota}))
             .collect();
-        let cold = self
+        let initial_capacity = self
             .kinds
             .iter()
             .map(|k| k.initial_capacity)
@@ -52,10 +52,10 @@
                 "progress": 1_000_000, "tellsStart": true, "reportX0": "free slots"},
             "policyLimits": {"attemptsCap": self.rules.attempts, "cancel": true, "connIdle": 5_000_000,
                 "dialTimeout": 200_000, "maxRetryAfter": self.clients.max_retry_after_ms * 1000,
-                "mayDuplicate": self.machines.copies, "peers": false, "probes": self.machines.reports,
+                "mayDuplicate": self.machines.speculative_runs, "peers": false, "probes": self.machines.reports,
                 "retryAfter": true},
             "profiles": profiles,
-            "rules": {"answerSlack": self.rules.answer_slack_ms * 1000, "askWithin": 10_000_000, "coldFrom": cold,
+            "rules": {"answerSlack": self.rules.answer_slack_ms * 1000, "askWithin": 10_000_000, "coldFrom": initial_capacity,
                 "drainGrace": self.rules.drain_grace_ms * 1000, "overloadFor": self.rules.tip_window_ms * 1000,
                 "tipMultiple": self.rules.tip_multiple, "warmAfter": us(self.rules.warm_after_s * 1e3)},
             "telemetry": {"names": if self.machines.reports { vec!["queue", "inflight", "x0"] } else { vec![] },
--- a/crates/replay/src/scenario/validation.rs
+++ b/crates/replay/src/scenario/validation.rs
@@ -1,6 +1,6 @@
 //! What is wrong with a scenario that no schema can say.
 
-use super::{Scenario, What};
+use super::{FaultKind, Scenario};
 
 impl Scenario {
     /// What no schema can say.
@@ -49,16 +49,16 @@
         if workers == 0 {
             wrong.push("at /kinds: there is no job worker".to_string());
         }
-        for (n, t) in self.troubles.iter().enumerate() {
+        for (n, t) in self.faults.iter().enumerate() {
             match t.what {
-                What::Slow { times } if !(times > 1.0 && times <= 1e3) => {
+                FaultKind::Slow { times } if !(times > 1.0 && times <= 1e3) => {
                     wrong.push(format!(
                         "at /troubles/{n}/what/slow/times: {times} given, over 1 and up to 1000 is allowed"
                     ));
                 }
-                What::HotThings { share, .. } if !(0.0..=1.0).contains(&share) => {
+                FaultKind::HotThings { fraction, .. } if !(0.0..=1.0).contains(&fraction) => {
                     wrong.push(format!(
-                        "at /troubles/{n}/what/hot-things/share: {share} given, 0 to 1 is allowed"
+                        "at /troubles/{n}/what/hot-things/share: {fraction} given, 0 to 1 is allowed"
                     ));
                 }
                 _ => {}
--- a/crates/replay/src/service.rs
+++ b/crates/replay/src/service.rs
@@ -1,33 +1,48 @@
-//! The service figure and what stands behind it, counted as jobs end.
+//! The service metric and what it is made of, counted as jobs end.
 //!
-//! A job's worth counts in full if its answer came within its aim and `stretch` times its own running time, in part if it
-//! came later, and not at all otherwise; from the first try's intended send on, with all retries. The figure is 45% the
-//! whole run, 15% its worst 10 s, 30% its worst class, 10% its worst parish (within its share), less the prices.
+//! A job's value counts in full if its answer came within its latency target, in part if it came later, and not at all
+//! otherwise. Time counts from the intended send of the first try, over all retries; the latency target is the class's plus
+//! `stretch` times the job's own running time. The metric is 45% the whole run, 15% its worst 10 s, 30% its worst class, 10%
+//! its worst parish (within its quota), less the prices.
 
-use crate::scenario::{Micros, Scenario};
+use crate::load::Arrival;
+use crate::scenario::{Class, Micros, Scenario};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Seconds of the worst stretch.
-const STRETCH: usize = 10;
-/// Weights of whole run, worst stretch, worst class, worst parish.
+/// Seconds of the worst window.
+const WORST_WINDOW_S: usize = 10;
+/// Weights of whole run, worst window, worst class, worst parish.
 const WEIGHTS: [f64; 4] = [0.45, 0.15, 0.30, 0.10];
+/// Longest run in seconds; what comes later counts in the last one.
+const MAX_SECONDS: u64 = 100_000;
+/// The greatest latency that is told apart, in microseconds.
+const MAX_LATENCY: Micros = 3_600_000_000;
 
-/// How a job ended, as its client saw it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
-    /// Served at this time.
+/// How a job ended for its client, and when.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum JobEnd {
+    /// Served.
     Served(Micros),
-    /// Refused for the last time.
+    /// Refused, without a further retry.
     Refused(Micros),
-    /// Failed.
+    /// Failed, without a further retry.
     Failed(Micros),
-    /// The client's time was up.
-    Late(Micros),
+    /// The client's deadline has passed.
+    DeadlinePassed(Micros),
 }
 
-/// Counts of one second (of first tries that were to be sent in it).
+/// Index of a count by how jobs ended, in the order of stored results.
+#[derive(Clone, Copy)]
+enum EndKind {
+    InTime,
+    Late,
+    Refused,
+    Failed,
+}
+
+/// Counts of one second: of the first tries that were to be sent in it, where nothing else is said.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
     /// First tries.
@@ -36,49 +51,94 @@
     pub retries: u32,
     /// Jobs served in time, late, refused, failed.
     pub ends: [u32; 4],
-    /// Worth asked for.
-    pub asked: f64,
-    /// Worth earned.
+    /// Value of all jobs.
+    #[serde(rename = "asked")]
+    pub offered: f64,
+    /// Value earned.
     pub earned: f64,
-    /// Attempts sent to job workers (in this second).
+    /// Attempts sent to workers in this second.
     pub attempts: u32,
-    /// Jobs that began at each job worker (in this second).
+    /// Jobs that began at each worker in this second.
     pub begun: Vec<u32>,
-    /// Times of served jobs: their sum in milliseconds.
+    /// Sum of the times of served jobs, in milliseconds.
     pub took_ms: f64,
 }
 
-/// Worth asked for and earned.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Worth {
-    /// Asked for.
-    pub asked: f64,
-    /// Earned.
-    pub earned: f64,
+/// Value offered and earned.
+#[derive(Clone, Copy, Debug, Default)]
+struct EarnedValue {
+    offered: f64,
+    earned: f64,
 }
 
-impl Worth {
-    fn share(self) -> f64 {
-        if self.asked > 0.0 {
-            (self.earned / self.asked).clamp(0.0, 1.0)
+impl EarnedValue {
+    fn add(&mut self, offered: f64, earned: f64) {
+        self.offered += offered;
+        self.earned += earned;
+    }
+
+    fn sum(seconds: &[Second]) -> Self {
+        EarnedValue {
+            offered: seconds.iter().map(|s| s.offered).sum(),
+            earned: seconds.iter().map(|s| s.earned).sum(),
+        }
+    }
+
+    fn fraction(self) -> f64 {
+        if self.offered > 0.0 {
+            (self.earned / self.offered).clamp(0.0, 1.0)
         } else {
             1.0
         }
     }
 }
 
-/// What the counts come to.
+/// A class or a parish with its value.
+struct Named {
+    name: String,
+    value: EarnedValue,
+}
+
+impl Named {
+    fn new(name: &str) -> Self {
+        Named {
+            name: name.to_string(),
+            value: EarnedValue::default(),
+        }
+    }
+
+    /// The least fraction of those to which anything was offered.
+    fn worst(all: &[Named]) -> (f64, String) {
+        all.iter()
+            .filter(|one| one.value.offered > 0.0)
+            .map(|one| (one.value.fraction(), one.name.clone()))
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .unwrap_or((1.0, String::new()))
+    }
+
+    fn fractions(all: &[Named]) -> BTreeMap<String, f64> {
+        all.iter()
+            .filter(|one| one.value.offered > 0.0)
+            .map(|one| (one.name.clone(), one.value.fraction()))
+            .collect()
+    }
+}
+
+/// The results of a run. Its serialised names are those of results that are stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The service figure.
-    pub figure: f64,
-    /// Share of worth earned over the whole run.
-    pub whole: f64,
+    /// The service metric.
+    #[serde(rename = "figure")]
+    pub service_metric: f64,
+    /// Fraction of the value earned over the whole run.
+    #[serde(rename = "whole")]
+    pub overall: f64,
     /// ... in the worst 10 s, and at which second that began.
-    pub worst_stretch: (f64, usize),
+    #[serde(rename = "worst_stretch")]
+    pub worst_window: (f64, usize),
     /// ... of the worst class.
     pub worst_class: (f64, String),
-    /// ... of the worst parish, within its share.
+    /// ... of the worst parish, within its quota.
     pub worst_parish: (f64, String),
     /// By class.
     pub classes: BTreeMap<String, f64>,
@@ -90,285 +150,347 @@
     pub counts: [u64; 4],
     /// Jobs served in time, late, refused, failed.
     pub ends: [u64; 4],
-    /// Times from the first try's intended send to the answer, by class and parish: p50, p90, p99, p99.9 and the most, in
+    /// Times from the first try's intended send to the answer, by class and parish: p50, p90, p99, p99.9 and maximum, in
     /// milliseconds, and how many.
     pub latency: BTreeMap<String, [f64; 6]>,
     /// Second by second.
     pub seconds: Vec<Second>,
-    /// How late the generator sent, at the 99th percentile and the most, in milliseconds.
+    /// How late the generator sent: p99 and maximum, in milliseconds.
     pub lateness: [f64; 2],
 }
 
-/// Counts as jobs end.
+/// The quota of a parish: a token bucket that holds what a second brings.
+struct Quota {
+    /// Jobs a second.
+    rate: f64,
+    tokens: f64,
+    refilled_at: Micros,
+}
+
+impl Quota {
+    /// Takes a token; false where the job is over the quota.
+    fn take(&mut self, now: Micros) -> bool {
+        let passed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.tokens = (self.tokens + passed_s * self.rate).min(self.rate.max(1.0));
+        self.refilled_at = now;
+        let within = self.tokens >= 1.0;
+        if within {
+            self.tokens -= 1.0;
+        }
+        within
+    }
+}
+
+/// Work in microseconds at speed 1.
+#[derive(Default)]
+struct WorkSums {
+    offered: f64,
+    completed: f64,
+    answered: f64,
+}
+
+/// Counts of a run.
+#[derive(Default)]
+struct Counts {
+    first_tries: u64,
+    retries: u64,
+    attempts: u64,
+    probes: u64,
+    zone_crossings: u64,
+}
+
+/// A job that has ended.
+#[derive(Clone, Copy, Debug)]
+pub struct EndedJob {
+    class: u32,
+    /// `None`: the scenario does not know it.
+    parish: Option<u32>,
+    sent_at: Micros,
+    /// Running time at speed 1.
+    work: Micros,
+    slots: u32,
+    over_quota: bool,
+}
+
+impl EndedJob {
+    /// The job of an arrival; whether it is over its parish's quota is what [`Service::record_arrival`] said.
+    pub fn new(arrival: &Arrival, over_quota: bool) -> Self {
+        EndedJob {
+            class: arrival.class,
+            parish: arrival.parish,
+            sent_at: arrival.at,
+            work: arrival.work,
+            slots: arrival.slots,
+            over_quota,
+        }
+    }
+
+    fn total_work(&self) -> f64 {
+        (self.work * u64::from(self.slots)) as f64
+    }
+
+    /// In microseconds.
+    fn latency_target(&self, class: &Class) -> f64 {
+        class.latency_target_ms as f64 * 1e3 + class.stretch * self.work as f64
+    }
+}
+
+/// Counts what becomes of jobs.
 pub struct Service {
     from: Micros,
-    classes: Vec<(String, Worth)>,
-    parishes: Vec<(String, Worth)>,
-    quota: Vec<(f64, f64, Micros)>, // a second, tokens, when
+    classes: Vec<Named>,
+    parishes: Vec<Named>,
+    quotas: Vec<Quota>,
     seconds: Vec<Second>,
     workers: usize,
-    histograms: Vec<Histogram<u64>>, // classes, then parishes
-    late: Histogram<u64>,
-    counts: [u64; 4],
+    /// Of classes, then of parishes.
+    latencies: Vec<Histogram<u64>>,
+    lateness: Histogram<u64>,
+    counts: Counts,
     ends: [u64; 4],
-    crossed: u64,
-    work: [f64; 3], // asked for, run, answered
-    late_value: f64,
-    prices: [f64; 4],
-    over: f64,
-}
-
-/// A job as the figures need it.
-#[derive(Clone, Copy, Debug)]
-pub struct Counted {
-    /// Class.
-    pub class: u32,
-    /// Parish, if the scenario knows it.
-    pub parish: Option<u32>,
-    /// When it was to be sent.
-    pub at: Micros,
-    /// Its running time at speed 1, times its slots.
-    pub work: Micros,
-    /// It came beyond its parish's share.
-    pub over: bool,
+    work: WorkSums,
+    /// Value of jobs that ended unserved after their latency target.
+    late_failed_value: f64,
+    prices: crate::scenario::Prices,
+    over_quota_value: f64,
 }
 
 fn histogram() -> Histogram<u64> {
-    let made = Histogram::new_with_bounds(1, 3_600_000_000, 3);
+    let made = Histogram::new_with_bounds(1, MAX_LATENCY, 3);
     made.unwrap_or_else(|_| unreachable!("the bounds are right"))
 }
 
+fn ms(us: u64) -> f64 {
+    us as f64 / 1e3
+}
+
+/// Percentiles, maximum and count in the order of [`Outcome::latency`].
+fn latency_row(histogram: &Histogram<u64>) -> [f64; 6] {
+    let at = |quantile| ms(histogram.value_at_quantile(quantile));
+    let maximum = ms(histogram.max());
+    let count = histogram.len() as f64;
+    [at(0.5), at(0.9), at(0.99), at(0.999), maximum, count]
+}
+
 impl Service {
     /// Nothing counted yet.
     pub fn new(scenario: &Scenario) -> Self {
         let capacity = scenario.capacity();
-        let named = |names: Vec<&str>| {
-            names
-                .into_iter()
-                .map(|n| (n.to_string(), Worth::default()))
-                .collect()
+        let quota = |fraction: f64| Quota {
+            rate: fraction * capacity,
+            tokens: fraction * capacity,
+            refilled_at: 0,
         };
+        let (classes, parishes) = (&scenario.classes, &scenario.parishes);
         Service {
             from: scenario.from(),
-            classes: named(scenario.classes.iter().map(|c| c.name.as_str()).collect()),
-            parishes: named(scenario.parishes.iter().map(|p| p.name.as_str()).collect()),
-            quota: scenario
-                .parishes
-                .iter()
-                .map(|p| (p.share * capacity, p.share * capacity, 0))
-                .collect(),
+            classes: classes.iter().map(|c| Named::new(&c.name)).collect(),
+            parishes: parishes.iter().map(|p| Named::new(&p.name)).collect(),
+            quotas: parishes.iter().map(|p| quota(p.quota)).collect(),
             seconds: Vec::new(),
             workers: scenario.workers() as usize,
-            histograms: (0..scenario.classes.len() + scenario.parishes.len())
-                .map(|_| histogram())
-                .collect(),
-            late: histogram(),
-            counts: [0; 4],
+            latencies: vec![histogram(); classes.len() + parishes.len()],
+            lateness: histogram(),
+            counts: Counts::default(),
             ends: [0; 4],
-            crossed: 0,
-            work: [0.0; 3],
-            late_value: 0.0,
-            prices: [
-                scenario.prices.cross_zone,
-                scenario.prices.waste,
-                scenario.prices.probe,
-                scenario.prices.late_fail,
-            ],
-            over: scenario.over_quota_value,
+            work: WorkSums::default(),
+            late_failed_value: 0.0,
+            prices: scenario.prices.clone(),
+            over_quota_value: scenario.over_quota_value,
         }
     }
 
     fn second(&mut self, at: Micros) -> &mut Second {
-        let n = (at.saturating_sub(self.from) / 1_000_000).min(100_000) as usize;
+        let n = (at.saturating_sub(self.from) / 1_000_000).min(MAX_SECONDS) as usize;
         if self.seconds.len() <= n {
-            self.seconds.resize(
-                n + 1,
-                Second {
-                    begun: vec![0; self.workers],
-                    ..Second::default()
-                },
-            );
+            let empty = Second {
+                begun: vec![0; self.workers],
+                ..Second::default()
+            };
+            self.seconds.resize(n + 1, empty);
         }
         &mut self.seconds[n]
     }
 
-    /// A first try is to be sent. Is it beyond its parish's share? A second's worth may be saved up.
-    pub fn arrives(&mut self, at: Micros, parish: Option<u32>) -> bool {
-        self.counts[0] += 1;
+    /// A first try is to be sent; true where it is over its parish's quota.
+    pub fn record_arrival(&mut self, at: Micros, parish: Option<u32>) -> bool {
+        self.counts.first_tries += 1;
         self.second(at).first += 1;
-        let Some((rate, tokens, when)) = parish.and_then(|p| self.quota.get_mut(p as usize)) else {
-            return false;
-        };
-        let passed = at.saturating_sub(*when) as f64 / 1e6;
-        *tokens = (*tokens + passed * *rate).min(rate.max(1.0));
-        *when = at;
-        let over = *tokens < 1.0;
-        if !over {
-            *tokens -= 1.0;
-        }
-        over
+        let quota = parish.and_then(|p| self.quotas.get_mut(p as usize));
+        quota.is_some_and(|quota| !quota.take(at))
     }
 
-    /// A try was sent so much later than it was to be.
-    pub fn sent_late(&mut self, by: Micros) {
-        self.late.saturating_record(by.max(1));
+    /// A request was sent so much later than it was to be.
+    pub fn record_lateness(&mut self, by: Micros) {
+        self.lateness.saturating_record(by.max(1));
     }
 
-    /// A retry of a job that was to be sent then.
-    pub fn retried(&mut self, at: Micros) {
-        self.counts[1] += 1;
+    /// A retry of a job whose first try was to be sent then.
+    pub fn record_retry(&mut self, at: Micros) {
+        self.counts.retries += 1;
         self.second(at).retries += 1;
     }
 
-    /// An attempt went out.
-    pub fn attempt(&mut self, at: Micros, crosses: bool) {
-        self.counts[2] += 1;
-        self.crossed += u64::from(crosses);
+    /// An attempt was sent to a worker.
+    pub fn record_attempt(&mut self, at: Micros, crosses_zones: bool) {
+        self.counts.attempts += 1;
+        self.counts.zone_crossings += u64::from(crosses_zones);
         self.second(at).attempts += 1;
     }
 
-    /// A probe went out.
-    pub fn probe(&mut self) {
-        self.counts[3] += 1;
+    /// A probe was sent.
+    pub fn record_probe(&mut self) {
+        self.counts.probes += 1;
     }
 
-    /// A job began at a job worker.
-    pub fn begun(&mut self, at: Micros, worker: u32) {
+    /// A job began at a worker.
+    pub fn record_start(&mut self, at: Micros, worker: u32) {
         if let Some(count) = self.second(at).begun.get_mut(worker as usize) {
             *count += 1;
         }
     }
 
-    /// A job worker has run a job to its end.
-    pub fn ran(&mut self, work: Micros) {
-        self.work[1] += work as f64;
+    /// A worker has run a job to its end; `work` is times its slots.
+    pub fn record_completion(&mut self, work: Micros) {
+        self.work.completed += work as f64;
     }
 
     /// A job has ended.
-    pub fn ended(&mut self, scenario: &Scenario, job: Counted, end: End, own_work: Micros) {
+    pub fn record_end(&mut self, scenario: &Scenario, job: EndedJob, end: JobEnd) {
         let class = &scenario.classes[job.class as usize];
-        let value = class.value * if job.over { self.over } else { 1.0 };
-        let latency_target = class.aim_ms as f64 * 1e3 + class.stretch * own_work as f64;
-        self.work[0] += job.work as f64;
-        let (which, earned) = match end {
-            End::Served(at) => {
-                self.work[2] += job.work as f64;
-                let took = at.saturating_sub(job.at);
-                for n in [
-                    Some(job.class as usize),
-                    job.parish.map(|p| self.classes.len() + p as usize),
-                ] {
-                    if let Some(h) = n.and_then(|n| self.histograms.get_mut(n)) {
-                        h.saturating_record(took.max(1));
-                    }
-                }
-                self.second(job.at).took_ms += took as f64 / 1e3;
-                let in_time = took as f64 <= latency_target;
-                (
-                    usize::from(!in_time),
-                    value * if in_time { 1.0 } else { class.late_value },
-                )
+        let weight = if job.over_quota {
+            self.over_quota_value
+        } else {
+            1.0
+        };
+        let value = class.value * weight;
+        self.work.offered += job.total_work();
+        let (kind, earned) = match end {
+            JobEnd::Served(at) => self.record_served(class, &job, at, value),
+            JobEnd::Refused(at) => {
+                self.record_unserved(class, &job, at, value);
+                (EndKind::Refused, 0.0)
             }
-            End::Refused(at) | End::Failed(at) | End::Late(at) => {
-                if at.saturating_sub(job.at) as f64 > latency_target {
-                    self.late_value += value;
-                }
-                (if matches!(end, End::Refused(_)) { 2 } else { 3 }, 0.0)
+            JobEnd::Failed(at) | JobEnd::DeadlinePassed(at) => {
+                self.record_unserved(class, &job, at, value);
+                (EndKind::Failed, 0.0)
             }
         };
-        self.ends[which] += 1;
-        let second = self.second(job.at);
-        second.ends[which] += 1;
-        second.asked += value;
+        self.ends[kind as usize] += 1;
+        let second = self.second(job.sent_at);
+        second.ends[kind as usize] += 1;
+        second.offered += value;
         second.earned += earned;
-        let add = |w: &mut Worth| (w.asked, w.earned) = (w.asked + value, w.earned + earned);
-        add(&mut self.classes[job.class as usize].1);
-        if let Some((_, w)) = job
-            .parish
-            .filter(|_| !job.over)
-            .and_then(|p| self.parishes.get_mut(p as usize))
-        {
-            add(w);
+        self.classes[job.class as usize].value.add(value, earned);
+        let parish = job.parish.filter(|_| !job.over_quota);
+        if let Some(parish) = parish.and_then(|p| self.parishes.get_mut(p as usize)) {
+            parish.value.add(value, earned);
         }
     }
 
-    /// What it all comes to.
+    fn record_served(
+        &mut self,
+        class: &Class,
+        job: &EndedJob,
+        at: Micros,
+        value: f64,
+    ) -> (EndKind, f64) {
+        self.work.answered += job.total_work();
+        let took = at.saturating_sub(job.sent_at);
+        let of_class = Some(job.class as usize);
+        let of_parish = job.parish.map(|p| self.classes.len() + p as usize);
+        for n in [of_class, of_parish].into_iter().flatten() {
+            if let Some(histogram) = self.latencies.get_mut(n) {
+                histogram.saturating_record(took.max(1));
+            }
+        }
+        self.second(job.sent_at).took_ms += took as f64 / 1e3;
+        if took as f64 <= job.latency_target(class) {
+            (EndKind::InTime, value)
+        } else {
+            (EndKind::Late, value * class.late_value)
+        }
+    }
+
+    fn record_unserved(&mut self, class: &Class, job: &EndedJob, at: Micros, value: f64) {
+        if at.saturating_sub(job.sent_at) as f64 > job.latency_target(class) {
+            self.late_failed_value += value;
+        }
+    }
+
+    /// The results of the run.
     pub fn outcome(mut self) -> Outcome {
-        let sum = |part: &[Second]| Worth {
-            asked: part.iter().map(|s| s.asked).sum(),
-            earned: part.iter().map(|s| s.earned).sum(),
-        };
         // The last seconds hold what ends after the last arrival, and no arrivals.
-        let last = self
-            .seconds
-            .iter()
-            .rposition(|s| s.first > 0)
-            .map_or(0, |n| n + 1);
-        self.seconds.truncate(last.max(1).min(self.seconds.len()));
-        let whole = sum(&self.seconds).share();
-        let stretches = self
-            .seconds
-            .windows(STRETCH.min(self.seconds.len()).max(1))
-            .map(|w| sum(w).share());
-        let worst_stretch = stretches
-            .enumerate()
-            .map(|(n, s)| (s, n))
-            .min_by(|a, b| a.0.total_cmp(&b.0));
-        let worst_stretch = worst_stretch.unwrap_or((1.0, 0));
-        let worst = |of: &[(String, Worth)]| {
-            let asked = of
-                .iter()
-                .filter(|(_, w)| w.asked > 0.0)
-                .map(|(n, w)| (w.share(), n.clone()));
-            asked
-                .min_by(|a, b| a.0.total_cmp(&b.0))
-                .unwrap_or((1.0, String::new()))
-        };
-        let (worst_class, worst_parish) = (worst(&self.classes), worst(&self.parishes));
-        let first = self.counts[0].max(1) as f64;
-        let all: f64 = self.seconds.iter().map(|s| s.asked).sum();
-        let per = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-        let prices = [
-            self.prices[0] * self.crossed as f64 / first,
-            self.prices[1] * per((self.work[1] - self.work[2]).max(0.0), self.work[0]),
-            self.prices[2] * self.counts[3] as f64 / first,
-            self.prices[3] * per(self.late_value, all),
-        ];
-        let parts = [whole, worst_stretch.0, worst_class.0, worst_parish.0];
-        let figure =
-            parts.iter().zip(WEIGHTS).map(|(p, w)| p * w).sum::<f64>() - prices.iter().sum::<f64>();
-        let shares = |of: &[(String, Worth)]| {
-            of.iter()
-                .filter(|(_, w)| w.asked > 0.0)
-                .map(|(n, w)| (n.clone(), w.share()))
-                .collect()
-        };
-        let names = self.classes.iter().map(|c| format!("class {}", c.0));
-        let names = names.chain(self.parishes.iter().map(|p| format!("parish {}", p.0)));
-        let ms = |v: u64| v as f64 / 1e3;
-        let row = |h: &Histogram<u64>| {
-            let q = [0.5, 0.9, 0.99, 0.999].map(|q| ms(h.value_at_quantile(q)));
-            [q[0], q[1], q[2], q[3], ms(h.max()), h.len() as f64]
-        };
-        let latency = names
-            .zip(&self.histograms)
-            .filter(|(_, h)| !h.is_empty())
-            .map(|(n, h)| (n, row(h)))
-            .collect();
+        let last = self.seconds.iter().rposition(|s| s.first > 0);
+        let arrivals_end = last.map_or(0, |n| n + 1).max(1);
+        self.seconds.truncate(arrivals_end.min(self.seconds.len()));
+        let overall = EarnedValue::sum(&self.seconds).fraction();
+        let worst_window = self.worst_window();
+        let worst_class = Named::worst(&self.classes);
+        let worst_parish = Named::worst(&self.parishes);
+        let prices = self.price_points();
+        let parts = [overall, worst_window.0, worst_class.0, worst_parish.0];
+        let weighted = parts.iter().zip(WEIGHTS).map(|(p, w)| p * w).sum::<f64>();
+        let counts = &self.counts;
         Outcome {
-            figure,
-            whole,
-            worst_stretch,
+            service_metric: weighted - prices.iter().sum::<f64>(),
+            overall,
+            worst_window,
             worst_class,
             worst_parish,
-            classes: shares(&self.classes),
-            parishes: shares(&self.parishes),
+            classes: Named::fractions(&self.classes),
+            parishes: Named::fractions(&self.parishes),
             prices,
-            counts: self.counts,
+            counts: [
+                counts.first_tries,
+                counts.retries,
+                counts.attempts,
+                counts.probes,
+            ],
             ends: self.ends,
-            latency,
-            lateness: [ms(self.late.value_at_quantile(0.99)), ms(self.late.max())],
+            latency: self.latency_rows(),
+            lateness: [
+                ms(self.lateness.value_at_quantile(0.99)),
+                ms(self.lateness.max()),
+            ],
             seconds: self.seconds,
         }
     }
+
+    /// The least fraction in a window of [`WORST_WINDOW_S`], and the second at which it began.
+    fn worst_window(&self) -> (f64, usize) {
+        let size = WORST_WINDOW_S.min(self.seconds.len()).max(1);
+        self.seconds
+            .windows(size)
+            .map(|window| EarnedValue::sum(window).fraction())
+            .enumerate()
+            .map(|(start, fraction)| (fraction, start))
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .unwrap_or((1.0, 0))
+    }
+
+    /// Points taken off, in the order of [`Outcome::prices`].
+    fn price_points(&self) -> [f64; 4] {
+        let first_tries = self.counts.first_tries.max(1) as f64;
+        let offered: f64 = self.seconds.iter().map(|s| s.offered).sum();
+        let ratio = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
+        let wasted = (self.work.completed - self.work.answered).max(0.0);
+        [
+            self.prices.cross_zone * self.counts.zone_crossings as f64 / first_tries,
+            self.prices.waste * ratio(wasted, self.work.offered),
+            self.prices.probe * self.counts.probes as f64 / first_tries,
+            self.prices.late_fail * ratio(self.late_failed_value, offered),
+        ]
+    }
+
+    fn latency_rows(&self) -> BTreeMap<String, [f64; 6]> {
+        let classes = self.classes.iter().map(|c| format!("class {}", c.name));
+        let parishes = self.parishes.iter().map(|p| format!("parish {}", p.name));
+        classes
+            .chain(parishes)
+            .zip(&self.latencies)
+            .filter(|(_, histogram)| !histogram.is_empty())
+            .map(|(name, histogram)| (name, latency_row(histogram)))
+            .collect()
+    }
 }
--- a/crates/replay/src/sockets/clients.rs
+++ b/crates/replay/src/sockets/clients.rs
@@ -1,250 +1,282 @@
-//! Clients: each arrival is sent at its time, whatever became of those before.
+//! Clients on sockets: each arrival is sent at its time, whatever became of those before.
 
-use super::http::Link;
-use super::workers::Known;
-use super::{Stage, locked};
-use crate::check::Seen;
-use crate::client::{Said, again};
+use super::http::HttpConnection;
+use super::workers::SentJob;
+use super::{Environment, locked};
+use crate::check::Observation;
+use crate::client::{ClientResponse, next_retry};
 use crate::load::Arrival;
 use crate::scenario::{Effect, Micros};
-use crate::service::{Counted, End};
+use crate::service::{EndedJob, JobEnd};
 use crate::virtual_time::Retries;
 use smol::Timer;
 use smol::net::TcpStream;
+use std::fmt::Write;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// After the last arrival, what is open has this long beyond its time.
-const AFTER: Duration = Duration::from_millis(500);
+/// After the last arrival, open jobs have this long beyond their deadline.
+const FINAL_MARGIN: Duration = Duration::from_millis(500);
+/// Between two checks of whether all jobs have ended.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Idle connections to each scheduler.
-struct Pools {
+/// What all clients share.
+struct Clients {
+    environment: Arc<Environment>,
+    /// Of the schedulers.
     addresses: Vec<SocketAddr>,
-    idle: Vec<Mutex<Vec<Link>>>,
-    open: AtomicUsize,
-    next: AtomicU64,
-    turn: Mutex<Vec<u32>>,
+    /// Idle connections to each scheduler.
+    idle: Vec<Mutex<Vec<HttpConnection>>>,
+    open_jobs: AtomicUsize,
+    next_job: AtomicU64,
+    /// Requests sent so far, by zone: schedulers take turns.
+    zone_turns: Mutex<Vec<u32>>,
 }
 
-/// Sends all arrivals, and waits for what becomes of them.
+/// One request of a client at a scheduler.
+struct ClientRequest<'a> {
+    arrival: &'a Arrival,
+    job: u64,
+    /// 0 for the first try.
+    retry: u32,
+    scheduler: u32,
+    deadline_at: Micros,
+    /// The scheduler has the request, and owes a response.
+    accepted: AtomicBool,
+}
+
+/// Sends all arrivals, and waits until their jobs have ended. `shift` is added to each arrival's time.
 pub async fn send(
-    stage: &Arc<Stage>,
+    environment: &Arc<Environment>,
     arrivals: impl Iterator<Item = Result<Arrival, String>>,
     addresses: &[SocketAddr],
     shift: Micros,
 ) -> Result<(), String> {
-    let pools = Arc::new(Pools {
+    let clients = Arc::new(Clients {
+        environment: environment.clone(),
         addresses: addresses.to_vec(),
         idle: addresses.iter().map(|_| Mutex::default()).collect(),
-        open: AtomicUsize::new(0),
-        next: AtomicU64::new(1),
-        turn: Mutex::new(vec![0; stage.scenario.zones.len()]),
+        open_jobs: AtomicUsize::new(0),
+        next_job: AtomicU64::new(1),
+        zone_turns: Mutex::new(vec![0; environment.scenario.zones.len()]),
     });
     for arrival in arrivals {
         let mut arrival = arrival?;
         arrival.at += shift;
-        Timer::at(stage.instant(arrival.at)).await;
-        let over = {
-            let mut service = locked(&stage.service);
-            service.sent_late(stage.now().saturating_sub(arrival.at));
-            service.arrives(arrival.at, arrival.parish)
+        Timer::at(environment.instant(arrival.at)).await;
+        clients.clone().start_job(arrival);
+    }
+    clients.wait_for_ends().await;
+    Ok(())
+}
+
+impl Clients {
+    /// Starts the task of a job that is due now.
+    fn start_job(self: Arc<Self>, arrival: Arrival) {
+        let environment = self.environment.clone();
+        let over_quota = {
+            let mut service = locked(&environment.service);
+            service.record_lateness(environment.now().saturating_sub(arrival.at));
+            service.record_arrival(arrival.at, arrival.parish)
         };
-        pools.open.fetch_add(1, Ordering::SeqCst);
-        let (stage, pools) = (stage.clone(), pools.clone());
-        stage.clone().start(async move {
-            let end = trip(&stage, &pools, &arrival).await;
-            let work = arrival.work * u64::from(arrival.slots);
-            let job = Counted {
-                class: arrival.class,
-                parish: arrival.parish,
-                at: arrival.at,
-                work,
-                over,
-            };
-            locked(&stage.service).ended(&stage.scenario, job, end, arrival.work);
-            pools.open.fetch_sub(1, Ordering::SeqCst);
+        self.open_jobs.fetch_add(1, Ordering::SeqCst);
+        environment.clone().start(async move {
+            let end = self.run_job(&arrival).await;
+            let job = EndedJob::new(&arrival, over_quota);
+            locked(&environment.service).record_end(&environment.scenario, job, end);
+            self.open_jobs.fetch_sub(1, Ordering::SeqCst);
         });
     }
-    let longest = stage
-        .scenario
-        .classes
-        .iter()
-        .map(|c| c.deadline())
-        .max()
-        .unwrap_or(0);
-    let until = stage.now() + longest + AFTER.as_micros() as Micros;
-    while pools.open.load(Ordering::SeqCst) > 0 && stage.now() < until {
-        Timer::after(Duration::from_millis(10)).await;
+
+    async fn wait_for_ends(&self) {
+        let environment = &self.environment;
+        let deadlines = environment.scenario.classes.iter().map(|c| c.deadline());
+        let longest = deadlines.max().unwrap_or(0);
+        let until = environment.now() + longest + FINAL_MARGIN.as_micros() as Micros;
+        while self.open_jobs.load(Ordering::SeqCst) > 0 && environment.now() < until {
+            Timer::after(END_CHECK_INTERVAL).await;
+        }
     }
-    Ok(())
-}
 
-/// A job, with all its tries.
-async fn trip(stage: &Arc<Stage>, pools: &Arc<Pools>, a: &Arrival) -> End {
-    let until = a.at + a.deadline;
-    let effect = stage.scenario.classes[a.class as usize].effect;
-    let (mut tried, mut recorded) = (0, a.retries.iter());
-    loop {
-        if tried > 0 {
-            locked(&stage.service).retried(a.at);
+    /// A job over its first try and all its retries.
+    async fn run_job(&self, arrival: &Arrival) -> JobEnd {
+        let environment = &self.environment;
+        let deadline_at = arrival.at + arrival.deadline;
+        let mut recorded = arrival.retries.iter();
+        let mut retry = 0;
+        loop {
+            if retry > 0 {
+                locked(&environment.service).record_retry(arrival.at);
+            }
+            let response = match self.send_request(arrival, retry, deadline_at).await {
+                Some(ClientResponse::Served) => return JobEnd::Served(environment.now()),
+                Some(response) => response,
+                None => return JobEnd::DeadlinePassed(environment.now()),
+            };
+            let now = environment.now();
+            let next = match environment.retries {
+                Retries::Model => next_retry(
+                    &environment.scenario.clients,
+                    environment.scenario.classes[arrival.class as usize].effect,
+                    response,
+                    (environment.seed, arrival.number),
+                    retry,
+                    now,
+                    deadline_at,
+                ),
+                Retries::Recorded => recorded
+                    .next()
+                    .map(|after| arrival.at + after)
+                    .filter(|at| *at < deadline_at),
+                Retries::None => None,
+            };
+            match next {
+                Some(at) => Timer::at(environment.instant(at)).await,
+                None => return response.end_at(now),
+            };
+            retry += 1;
         }
-        let said = match one_try(stage, pools, a, tried, until).await {
-            Some(Said::Served) => return End::Served(stage.now()),
-            Some(said) => said,
-            None => return End::Late(stage.now()),
+    }
+
+    /// Sends one request; `None`: the client's deadline has passed before the response.
+    async fn send_request(
+        &self,
+        arrival: &Arrival,
+        retry: u32,
+        deadline_at: Micros,
+    ) -> Option<ClientResponse> {
+        let environment = &self.environment;
+        let job = self.next_job.fetch_add(1, Ordering::SeqCst);
+        let request = ClientRequest {
+            arrival,
+            job,
+            retry,
+            scheduler: self.next_scheduler_of(arrival),
+            deadline_at,
+            accepted: AtomicBool::new(false),
         };
-        let now = stage.now();
-        let next = match stage.retries {
-            Retries::Model => again(
-                &stage.scenario.clients,
-                effect,
-                said,
-                (stage.seed, a.number),
-                tried,
-                now,
-                until,
-            ),
-            Retries::Recorded => recorded
-                .next()
-                .map(|after| a.at + after)
-                .filter(|at| *at < until),
-            Retries::None => None,
+        let sent = SentJob {
+            work: arrival.work,
+            slots: arrival.slots,
         };
-        match next {
-            Some(at) => Timer::at(stage.instant(at)).await,
-            None if matches!(said, Said::Refused(_)) => return End::Refused(now),
-            None => return End::Failed(now),
+        locked(&environment.sent_jobs).insert(job, sent);
+        let exchange = async { Some(self.exchange(&request).await) };
+        let deadline = async {
+            Timer::at(environment.instant(deadline_at)).await;
+            None
         };
-        tried += 1;
+        match smol::future::or(exchange, deadline).await {
+            Some(Ok(response)) => {
+                environment.observe(Observation::RequestAnswered {
+                    job,
+                    served: response == ClientResponse::Served,
+                    refused: matches!(response, ClientResponse::Refused(_)),
+                    at: environment.now(),
+                });
+                Some(response)
+            }
+            // A job that the scheduler had accepted is lost: the checkers find it without an answer.
+            Some(Err(_)) => Some(ClientResponse::Failed),
+            None => {
+                if request.accepted.load(Ordering::SeqCst) {
+                    environment.observe(Observation::ClientLeft { job });
+                }
+                None
+            }
+        }
     }
-}
 
-/// One try; `None`: the client's time was up.
-async fn one_try(
-    stage: &Arc<Stage>,
-    pools: &Pools,
-    a: &Arrival,
-    tried: u32,
-    until: Micros,
-) -> Option<Said> {
-    let zone = stage.scenario.home(a.parish, a.number);
-    let scheduler = {
-        let mut turns = locked(&pools.turn);
+    /// The scheduler that the next request of a job goes to.
+    fn next_scheduler_of(&self, arrival: &Arrival) -> u32 {
+        let scenario = &self.environment.scenario;
+        let zone = scenario.home(arrival.parish, arrival.number);
+        let mut turns = locked(&self.zone_turns);
         turns[zone as usize] += 1;
-        stage.scenario.scheduler_of(zone, turns[zone as usize])
-    };
-    let job = pools.next.fetch_add(1, Ordering::SeqCst);
-    locked(&stage.known).insert(
-        job,
-        Known {
-            work: a.work,
-            slots: a.slots,
-        },
-    );
-    let taken = AtomicBool::new(false);
-    let ask = async { Some(ask(stage, pools, a, (job, tried, scheduler), until, &taken).await) };
-    let up = async {
-        Timer::at(stage.instant(until)).await;
-        None
-    };
-    let said = smol::future::or(ask, up).await;
-    match said {
-        Some(Ok(said)) => {
-            let (served, refused) = (said == Said::Served, matches!(said, Said::Refused(_)));
-            stage.see(Seen::Answered {
-                job,
-                served,
-                refused,
-                at: stage.now(),
-            });
-            Some(said)
-        }
-        // Lost, if the scheduler had taken it: that is left without an answer, and the checkers see it.
-        Some(Err(_)) => Some(Said::Failed),
-        None => {
-            if taken.load(Ordering::SeqCst) {
-                stage.see(Seen::Gone { job });
+        scenario.scheduler_of(zone, turns[zone as usize])
+    }
+
+    /// Sends a request, and reads its response.
+    async fn exchange(&self, request: &ClientRequest<'_>) -> io::Result<ClientResponse> {
+        let bytes = self.encode(request);
+        let scheduler = request.scheduler as usize;
+        let idle = locked(&self.idle[scheduler]).pop();
+        let reused = idle.is_some();
+        let mut connection = match idle {
+            Some(connection) => connection,
+            None => self.connect(scheduler).await?,
+        };
+        let mut answer = match connection.write(bytes.as_bytes()).await {
+            Ok(()) => {
+                self.mark_accepted(request);
+                connection.read(true).await
             }
-            None
+            Err(e) => Err(e),
+        };
+        if reused && answer.is_err() {
+            // A scheduler may close a connection between two requests: the client sends once more, on a new one.
+            connection = self.connect(scheduler).await?;
+            connection.write(bytes.as_bytes()).await?;
+            self.mark_accepted(request);
+            answer = connection.read(true).await;
         }
+        let answer = answer?;
+        let retry_after_s = answer
+            .header("retry-after")
+            .and_then(|v| v.parse::<f64>().ok())
+            .unwrap_or(0.0);
+        if !answer.close {
+            locked(&self.idle[scheduler]).push(connection);
+        }
+        Ok(match answer.status {
+            200 => ClientResponse::Served,
+            429 | 503 => ClientResponse::Refused((retry_after_s * 1e6) as Micros),
+            _ => ClientResponse::Failed,
+        })
     }
-}
 
-async fn ask(
-    stage: &Stage,
-    pools: &Pools,
-    a: &Arrival,
-    (job, tried, scheduler): (u64, u32, u32),
-    until: Micros,
-    taken: &AtomicBool,
-) -> io::Result<Said> {
-    let class = &stage.scenario.classes[a.class as usize];
-    let mut head = format!(
-        "POST /{}/{} HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: {job:016x}\r\nX-Expires-In-Ms: {}\r\n",
-        class.name,
-        a.subject,
-        until.saturating_sub(stage.now()) / 1000
-    );
-    let mut header = |name: &str, value: &str| {
-        head.push_str(name);
-        head.push_str(": ");
-        head.push_str(value);
-        head.push_str("\r\n");
-    };
-    if let Some(p) = a.parish {
-        header("X-Customer", &stage.scenario.parishes[p as usize].name);
+    async fn connect(&self, scheduler: usize) -> io::Result<HttpConnection> {
+        let stream = TcpStream::connect(self.addresses[scheduler]).await?;
+        Ok(HttpConnection::new(stream))
     }
-    if matches!(class.effect, Effect::Keyed(_)) {
-        header("Idempotency-Key", &format!("k{:016x}", a.number));
-    }
-    if stage.scenario.clients.mark && tried > 0 {
-        header("X-Second-Try", "1");
-    }
-    header("X-Props", &format!("needs={}", a.slots));
-    head.push_str("Content-Length: 2\r\n\r\n{}");
-    let idle = locked(&pools.idle[scheduler as usize]).pop();
-    let used = idle.is_some();
-    let mut link = match idle {
-        Some(link) => link,
-        None => Link::new(TcpStream::connect(pools.addresses[scheduler as usize]).await?),
-    };
-    let is_taken = || {
-        taken.store(true, Ordering::SeqCst);
-        stage.see(Seen::Taken {
-            job,
-            class: a.class,
-            at: stage.now(),
-            until,
+
+    fn mark_accepted(&self, request: &ClientRequest<'_>) {
+        request.accepted.store(true, Ordering::SeqCst);
+        self.environment.observe(Observation::RequestAccepted {
+            job: request.job,
+            class: request.arrival.class,
+            at: self.environment.now(),
+            until: request.deadline_at,
         });
-    };
-    let mut answer = match link.write(head.as_bytes()).await {
-        Ok(()) => {
-            is_taken();
-            link.read(true).await
-        }
-        Err(e) => Err(e),
-    };
-    if used && answer.is_err() {
-        // A scheduler may close a connection between two requests: the client sends once more, on a new one.
-        link = Link::new(TcpStream::connect(pools.addresses[scheduler as usize]).await?);
-        link.write(head.as_bytes()).await?;
-        is_taken();
-        answer = link.read(true).await;
     }
-    let answer = answer?;
-    let after = answer
-        .header("retry-after")
-        .and_then(|v| v.parse::<f64>().ok());
-    let said = match answer.status {
-        200 => Said::Served,
-        429 | 503 => Said::Refused((after.unwrap_or(0.0) * 1e6) as Micros),
-        _ => Said::Failed,
-    };
-    if !answer.close {
-        locked(&pools.idle[scheduler as usize]).push(link);
+
+    /// A request in the form of the platform's protocol.
+    fn encode(&self, request: &ClientRequest<'_>) -> String {
+        let (arrival, scenario) = (request.arrival, &self.environment.scenario);
+        let class = &scenario.classes[arrival.class as usize];
+        let mut text = format!(
+            "POST /{}/{} HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: {:016x}\r\nX-Expires-In-Ms: {}\r\n",
+            class.name,
+            arrival.subject,
+            request.job,
+            request.deadline_at.saturating_sub(self.environment.now()) / 1000
+        );
+        let mut header = |name: &str, value: &str| {
+            let _ = write!(text, "{name}: {value}\r\n");
+        };
+        if let Some(parish) = arrival.parish {
+            header("X-Customer", &scenario.parishes[parish as usize].name);
+        }
+        if matches!(class.effect, Effect::Keyed(_)) {
+            header("Idempotency-Key", &format!("k{:016x}", arrival.number));
+        }
+        if scenario.clients.mark_retries && request.retry > 0 {
+            header("X-Second-Try", "1");
+        }
+        header("X-Props", &format!("needs={}", arrival.slots));
+        text.push_str("Content-Length: 2\r\n\r\n{}");
+        text
     }
-    Ok(said)
 }
--- a/crates/replay/src/sockets/discovery.rs
+++ b/crates/replay/src/sockets/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery: the whole list, and a watch on what changes.
+//! Discovery on sockets: the whole membership, and a watch of its changes.
 
-use super::http::Link;
-use super::{Stage, locked};
-use crate::check::Seen;
+use super::http::HttpConnection;
+use super::{Environment, locked};
+use crate::check::Observation;
 use crate::scenario::Scenario;
 use serde_json::{Value, json};
 use smol::Timer;
@@ -12,94 +12,130 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often a watch is looked at.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often a watch looks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The longest wait of a watch, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
+
+/// Health of a worker, as the platform's discovery names it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Health {
+    /// It takes work.
+    Ready,
+    /// It drains.
+    Terminating,
+    /// Its process has ended.
+    Ended,
+}
+
+impl Health {
+    fn name(self) -> &'static str {
+        match self {
+            Health::Ready => "Ready",
+            Health::Terminating => "Terminating",
+            Health::Ended => "Gone",
+        }
+    }
+}
 
 struct Host {
     kind: String,
     zone: String,
-    health: &'static str,
-    born: u64,
+    health: Health,
+    /// Unix time of its process's start in milliseconds; 0: long ago.
+    started_ms: u64,
+    /// The membership's version of its last change.
     version: u64,
-    dial: Vec<SocketAddr>, // by scheduler
+    /// By scheduler.
+    addresses: Vec<SocketAddr>,
 }
 
-/// The discovery list.
-pub struct List {
+/// The membership of workers.
+pub struct Membership {
     version: u64,
     hosts: Vec<Host>,
 }
 
-/// A job worker's name.
+/// What a scheduler receives of the membership.
+pub struct MembershipUpdate {
+    /// In the form of the platform's protocol.
+    pub body: Value,
+    /// The workers in it, and whether each takes work.
+    pub availability: Vec<(u32, bool)>,
+}
+
+/// A worker's name.
 pub fn name(worker: u32) -> String {
     format!("s-{:08x}", crate::worker::id(worker))
 }
 
-impl List {
-    /// All job workers, ready since long.
+impl Membership {
+    /// All workers, ready since long before.
     pub fn new(scenario: &Scenario) -> Self {
         let host = |w: u32| Host {
             kind: scenario.kinds[scenario.kind_of(w)].name.clone(),
             zone: scenario.zones[scenario.zone_of(w) as usize].clone(),
-            health: "Ready",
-            born: 0,
+            health: Health::Ready,
+            started_ms: 0,
             version: 1,
-            dial: Vec::new(),
+            addresses: Vec::new(),
         };
-        List {
+        Membership {
             version: 1,
             hosts: (0..scenario.workers()).map(host).collect(),
         }
     }
 
-    /// Where the schedulers reach a job worker.
-    pub fn reached_at(&mut self, worker: u32, dial: Vec<SocketAddr>) {
-        self.hosts[worker as usize].dial = dial;
+    /// Sets where the schedulers reach a worker.
+    pub fn set_addresses(&mut self, worker: u32, addresses: Vec<SocketAddr>) {
+        self.hosts[worker as usize].addresses = addresses;
     }
 
     /// Discovery learns of a change.
-    pub fn change(&mut self, worker: u32, health: &'static str, born: u64) {
+    pub fn change(&mut self, worker: u32, health: Health, started_ms: u64) {
         self.version += 1;
         let host = &mut self.hosts[worker as usize];
-        (host.health, host.born, host.version) = (health, born, self.version);
+        (host.health, host.started_ms, host.version) = (health, started_ms, self.version);
     }
 
-    /// What is newer than a version (0: all), for a scheduler; and whom it tells of.
-    pub fn since(&self, version: u64, scheduler: u32) -> (Value, Vec<(u32, bool)>) {
-        let newer = self
-            .hosts
-            .iter()
-            .enumerate()
-            .filter(|(_, h)| h.version > version);
-        let newer = newer.filter(|(_, h)| version > 0 || h.health != "Gone");
-        let (mut hosts, mut told) = (Vec::new(), Vec::new());
-        for (w, h) in newer {
+    /// What has changed after a version, for a scheduler; version 0: everything.
+    pub fn since(&self, version: u64, scheduler: u32) -> MembershipUpdate {
+        let whole = version == 0;
+        let (mut hosts, mut availability) = (Vec::new(), Vec::new());
+        for (w, host) in self.hosts.iter().enumerate() {
+            if host.version <= version || (whole && host.health == Health::Ended) {
+                continue;
+            }
+            let address = host.addresses[scheduler as usize].to_string();
             hosts.push(
-                json!({"host": name(w as u32), "dial": h.dial[scheduler as usize].to_string(), "site": h.zone,
-                "class": h.kind, "block": 0, "health": h.health, "share": 1.0, "born_ms": h.born}),
+                json!({"host": name(w as u32), "dial": address, "site": host.zone, "class": host.kind, "block": 0,
+                "health": host.health.name(), "share": 1.0, "born_ms": host.started_ms}),
             );
-            told.push((w as u32, h.health == "Ready"));
+            availability.push((w as u32, host.health == Health::Ready));
+        }
+        MembershipUpdate {
+            body: json!({"seq": self.version, "whole": whole, "hosts": hosts}),
+            availability,
         }
-        (
-            json!({"seq": self.version, "whole": version == 0, "hosts": hosts}),
-            told,
-        )
     }
 }
 
 /// Listens, at an address for each scheduler.
-pub async fn open(stage: &Arc<Stage>) -> io::Result<Vec<SocketAddr>> {
+pub async fn open(environment: &Arc<Environment>) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
-    for scheduler in 0..stage.scenario.schedulers {
+    for scheduler in 0..environment.scenario.schedulers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         addresses.push(listener.local_addr()?);
-        let stage = stage.clone();
-        stage.clone().start(async move {
+        let environment = environment.clone();
+        environment.clone().start(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let stage = stage.clone();
-                stage.clone().start(async move {
-                    let mut link = Link::new(stream);
-                    while serve(&stage, scheduler, &mut link).await.is_ok() {}
+                let environment = environment.clone();
+                environment.clone().start(async move {
+                    let mut connection = HttpConnection::new(stream);
+                    while serve(&environment, scheduler, &mut connection)
+                        .await
+                        .is_ok()
+                    {}
                 });
             }
         });
@@ -107,49 +143,50 @@
     Ok(addresses)
 }
 
-async fn serve(stage: &Stage, scheduler: u32, link: &mut Link) -> io::Result<()> {
-    let message = link.read(false).await?;
-    let query = message
-        .start
-        .1
-        .split_once('?')
-        .map_or("", |(_, q)| q)
-        .to_string();
-    let number = |name: &str| {
-        let pairs = query.split('&').filter_map(|p| p.split_once('='));
-        pairs
-            .filter(|(n, _)| *n == name)
-            .find_map(|(_, v)| v.parse::<u64>().ok())
-    };
-    let (index, wait) = (
-        number("index").unwrap_or(0),
-        number("wait").unwrap_or(0).min(60_000),
-    );
-    Timer::after(Duration::from_millis(stage.scenario.discovery.call_ms)).await;
-    let until = Instant::now() + Duration::from_millis(wait);
-    while index > 0 && locked(&stage.list).version <= index && Instant::now() < until {
-        Timer::after(LOOK).await;
+/// A number in the query of a request target.
+fn query_number(target: &str, name: &str) -> Option<u64> {
+    let (_, query) = target.split_once('?')?;
+    let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    pairs
+        .filter(|(n, _)| *n == name)
+        .find_map(|(_, value)| value.parse().ok())
+}
+
+/// Serves one request.
+async fn serve(
+    environment: &Environment,
+    scheduler: u32,
+    connection: &mut HttpConnection,
+) -> io::Result<()> {
+    let message = connection.read(false).await?;
+    let target = &message.target;
+    let index = query_number(target, "index").unwrap_or(0);
+    let wait_ms = query_number(target, "wait").unwrap_or(0).min(MAX_WAIT_MS);
+    Timer::after(Duration::from_millis(
+        environment.scenario.discovery.call_ms,
+    ))
+    .await;
+    let until = Instant::now() + Duration::from_millis(wait_ms);
+    while index > 0 && locked(&environment.membership).version <= index && Instant::now() < until {
+        Timer::after(POLL_INTERVAL).await;
     }
-    let (list, told) = locked(&stage.list).since(index, scheduler);
-    let body = list.to_string();
-    link.write(
-        format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-            body.len()
-        )
-        .as_bytes(),
-    )
-    .await?;
-    let at = stage.now();
-    for (worker, takes) in told {
-        stage.see(Seen::Told {
+    let update = locked(&environment.membership).since(index, scheduler);
+    let body = update.body.to_string();
+    let response = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    connection.write(response.as_bytes()).await?;
+    let at = environment.now();
+    for (worker, available) in update.availability {
+        environment.observe(Observation::AvailabilityReported {
             scheduler,
             worker,
-            takes,
+            available,
             at,
         });
-        if takes {
-            stage.see(Seen::Aware { scheduler, worker });
+        if available {
+            environment.observe(Observation::RestartReported { scheduler, worker });
         }
     }
     Ok(())
--- a/crates/replay/src/sockets/http.rs
+++ b/crates/replay/src/sockets/http.rs
@@ -1,18 +1,20 @@
-//! HTTP/1.1 as the stand-ins need it: whole messages, with a length.
+//! HTTP/1.1 as the stand-ins need it: complete messages with a Content-Length.
 
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::TcpStream;
 use std::io::{self, ErrorKind};
 
-/// A message that came.
+/// A message that was received.
 pub struct Message {
-    /// Method and target, or the status twice.
-    pub start: (String, String),
-    /// Status of an answer; 0 for a request.
+    /// Method of a request; empty for a response.
+    pub method: String,
+    /// Target of a request; empty for a response.
+    pub target: String,
+    /// Status of a response; 0 for a request.
     pub status: u16,
     /// Headers, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The other side closes behind it.
+    /// The peer closes the connection after it.
     pub close: bool,
 }
 
@@ -26,66 +28,66 @@
     }
 }
 
-/// A connection, and what was read beyond the last message.
-pub struct Link {
+/// A connection, with a buffer of what was read beyond the last message.
+pub struct HttpConnection {
     stream: TcpStream,
-    kept: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-impl Link {
+impl HttpConnection {
     /// Takes over a stream.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Link {
+        HttpConnection {
             stream,
-            kept: Vec::new(),
+            buffer: Vec::new(),
         }
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
     /// Waits for the first byte of the next message.
-    pub async fn begun(&mut self) -> io::Result<()> {
-        if self.kept.is_empty() {
-            self.more().await?;
+    pub async fn wait_readable(&mut self) -> io::Result<()> {
+        if self.buffer.is_empty() {
+            self.fill_buffer().await?;
         }
         Ok(())
     }
 
-    async fn more(&mut self) -> io::Result<()> {
+    async fn fill_buffer(&mut self) -> io::Result<()> {
         let mut bytes = [0; 4096];
         match self.stream.read(&mut bytes).await? {
             0 => Err(ErrorKind::UnexpectedEof.into()),
             count => {
-                self.kept.extend_from_slice(&bytes[..count]);
+                self.buffer.extend_from_slice(&bytes[..count]);
                 Ok(())
             }
         }
     }
 
-    /// Reads one message; its body is read over, but for a request to somebody who wants it.
-    pub async fn read(&mut self, answer: bool) -> io::Result<Message> {
+    /// Reads one message, a response or a request, and skips its body.
+    pub async fn read(&mut self, response: bool) -> io::Result<Message> {
         loop {
-            if let Some((message, head, length)) = parsed(&self.kept, answer)? {
-                while self.kept.len() < head + length {
-                    self.more().await?;
+            if let Some((message, head, length)) = parse(&self.buffer, response)? {
+                while self.buffer.len() < head + length {
+                    self.fill_buffer().await?;
                 }
-                self.kept.drain(..head + length);
+                self.buffer.drain(..head + length);
                 return Ok(message);
             }
-            self.more().await?;
+            self.fill_buffer().await?;
         }
     }
 }
 
-/// Head of a message, how long that is, and how long its body.
-fn parsed(bytes: &[u8], answer: bool) -> io::Result<Option<(Message, usize, usize)>> {
+/// Parses the head of a message; with it, the lengths of the head and of the body. `None`: it is not complete.
+fn parse(bytes: &[u8], response: bool) -> io::Result<Option<(Message, usize, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let bad = |_| io::Error::from(ErrorKind::InvalidData);
-    let (head, start, status) = if answer {
+    let (head, (method, target), status) = if response {
         let mut read = httparse::Response::new(&mut headers);
         let httparse::Status::Complete(head) = read.parse(bytes).map_err(bad)? else {
             return Ok(None);
@@ -120,7 +122,8 @@
     let close = find("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
     Ok(Some((
         Message {
-            start,
+            method,
+            target,
             status,
             headers,
             close,
--- a/crates/replay/src/sockets/program.rs
+++ b/crates/replay/src/sockets/program.rs
@@ -1,7 +1,7 @@
 //! The real program as a child process, under its limits.
 
-use super::http::Link;
-use super::{Stage, locked};
+use super::http::HttpConnection;
+use super::{Environment, locked};
 use serde_json::json;
 use smol::Timer;
 use smol::net::TcpStream;
@@ -28,7 +28,7 @@
 
 /// Starts a scheduler.
 pub fn start(
-    stage: &Stage,
+    environment: &Environment,
     program: &Path,
     me: u32,
     discovery: &SocketAddr,
@@ -39,12 +39,12 @@
     let free = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .map_err(|e| e.to_string())?;
-    let limits = &stage.scenario.limits;
-    let known = locked(&stage.list).since(0, me).0;
+    let limits = &environment.scenario.limits;
+    let known = locked(&environment.membership).since(0, me).body;
     let config = json!({"name": format!("n{me}"), "listen": free.to_string(), "discovery": discovery.to_string(),
-        "seed": format!("{:016x}", stage.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(me)),
+        "seed": format!("{:016x}", environment.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(me)),
         "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-        "known": known, "settings": stage.scenario.settings(me)});
+        "known": known, "settings": environment.scenario.settings(me)});
     let path = dir.join("config.json");
     std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
     let log = std::fs::File::create(dir.join("log")).map_err(|e| e.to_string())?;
@@ -73,10 +73,10 @@
         let until = Instant::now() + within;
         while Instant::now() < until {
             if let Ok(stream) = TcpStream::connect(self.address).await {
-                let mut link = Link::new(stream);
-                let ask = b"GET /-/ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
-                if link.write(ask).await.is_ok()
-                    && link.read(true).await.is_ok_and(|a| a.status == 200)
+                let mut connection = HttpConnection::new(stream);
+                let request = b"GET /-/ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
+                if connection.write(request).await.is_ok()
+                    && connection.read(true).await.is_ok_and(|a| a.status == 200)
                 {
                     return Ok(());
                 }
--- a/crates/replay/src/sockets/workers.rs
+++ b/crates/replay/src/sockets/workers.rs
@@ -1,273 +1,322 @@
-//! Job workers: the model of [`crate::worker`] behind HTTP, with news by call-backs.
+//! Workers on sockets: the model of [`crate::worker`] behind HTTP, which reports updates by call-backs.
 
 use super::discovery::name;
-use super::http::Link;
-use super::{Stage, locked};
-use crate::check::Seen;
+use super::http::{HttpConnection, Message};
+use super::{Environment, locked};
+use crate::check::Observation;
 use crate::scenario::Micros;
-use crate::worker::{Event, Job, Offer, Worker};
-use async_channel::{Receiver, Sender, unbounded};
+use crate::worker::{Event, Job, Offer, RunId, Worker};
+use async_channel::{Receiver, Sender, bounded, unbounded};
 use smol::Timer;
 use smol::net::{TcpListener, TcpStream};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
 
-/// Connections on which news goes to a scheduler.
-const CALLERS: usize = 8;
-/// A job worker tries each call so often.
-const TRIES: usize = 10;
-/// Between two such tries.
-const AGAIN: Duration = Duration::from_millis(100);
-/// Between two looks at how warm a job worker is.
-const WARM: Duration = Duration::from_millis(100);
+/// Connections on which updates go to a scheduler.
+const CALLBACK_CONNECTIONS: usize = 8;
+/// Attempts of each call-back.
+const CALLBACK_ATTEMPTS: usize = 10;
+/// Between two attempts without a connection.
+const CALLBACK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Between two checks of how warm a worker is.
+const WARM_UP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Between two checks of whether a listener's process has ended.
+const LISTENER_CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Between two checks of whether a connection's process has ended.
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// The listeners of a process that has ended are closed within this time.
+const LISTENER_CLOSE_TIME: Duration = Duration::from_millis(20);
+/// Attempts to listen at the addresses of a process that has ended.
+const LISTEN_ATTEMPTS: usize = 50;
 
-/// A job that a client has sent, as the job workers need to know it.
+/// A job that a client has sent, as workers need to know it.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct SentJob {
     /// Running time at speed 1.
     pub work: Micros,
     /// Slots.
     pub slots: u32,
 }
 
-/// An attempt that a job worker holds.
+/// An attempt that a worker has accepted.
 #[derive(Clone, Copy)]
-struct Held {
+struct AcceptedAttempt {
     job: u64,
     scheduler: u32,
-    total: Micros,
+    total_work: Micros,
 }
 
-struct Machine {
+/// The process of a worker.
+struct Process {
     worker: Mutex<Worker>,
-    held: Mutex<HashMap<u64, Held>>,
+    attempts: Mutex<HashMap<RunId, AcceptedAttempt>>,
+    /// Wakes the task that steps the worker.
     wake: (Sender<()>, Receiver<()>),
-    /// Grows with each crash: connections of before are dead.
-    life: std::sync::atomic::AtomicU64,
+    /// Grows with each crash: listeners and connections of earlier ones close.
+    incarnation: AtomicU64,
     addresses: Mutex<Vec<SocketAddr>>,
 }
 
-/// All job workers.
+impl Process {
+    fn new(worker: Worker) -> Self {
+        Process {
+            worker: Mutex::new(worker),
+            attempts: Mutex::default(),
+            wake: bounded(1),
+            incarnation: AtomicU64::new(0),
+            addresses: Mutex::default(),
+        }
+    }
+
+    fn wake(&self) {
+        let _ = self.wake.0.try_send(());
+    }
+
+    async fn until_ended(&self, incarnation: u64, check_interval: Duration) {
+        while self.incarnation.load(Ordering::SeqCst) == incarnation {
+            Timer::after(check_interval).await;
+        }
+    }
+}
+
+/// All workers.
 pub struct Fleet {
-    stage: Arc<Stage>,
-    machines: Vec<Machine>,
-    next: std::sync::atomic::AtomicU64,
-    news: OnceLock<Vec<Sender<String>>>, // by scheduler
+    environment: Arc<Environment>,
+    processes: Vec<Process>,
+    next_run_id: AtomicU64,
+    /// Where updates go, by scheduler.
+    updates: OnceLock<Vec<Sender<String>>>,
 }
 
-/// Starts all job workers.
-pub async fn open(stage: &Arc<Stage>) -> io::Result<Arc<Fleet>> {
-    let machines = (0..stage.scenario.workers())
-        .map(|n| {
-            let kind = &stage.scenario.kinds[stage.scenario.kind_of(n)];
-            Machine {
-                worker: Mutex::new(
-                    Worker::new(kind, stage.scenario.speed_of(n))
-                        .serving(stage.scenario.machines.order, None),
-                ),
-                held: Mutex::default(),
-                wake: async_channel::bounded(1),
-                life: Default::default(),
-                addresses: Mutex::default(),
-            }
-        })
-        .collect();
+/// Starts all workers.
+pub async fn open(environment: &Arc<Environment>) -> io::Result<Arc<Fleet>> {
+    let scenario = &environment.scenario;
+    let process = |n| {
+        let kind = &scenario.kinds[scenario.kind_of(n)];
+        let worker = Worker::new(kind, scenario.speed_of(n));
+        Process::new(worker.serving(scenario.machines.order, None))
+    };
     let fleet = Arc::new(Fleet {
-        stage: stage.clone(),
-        machines,
-        next: 1.into(),
-        news: OnceLock::new(),
+        environment: environment.clone(),
+        processes: (0..scenario.workers()).map(process).collect(),
+        next_run_id: 1.into(),
+        updates: OnceLock::new(),
     });
-    for w in 0..stage.scenario.workers() {
-        fleet.listen(w).await?;
-        stage.start(fleet.clone().run(w));
+    for worker in 0..scenario.workers() {
+        fleet.listen(worker).await?;
+        environment.start(fleet.clone().run(worker));
     }
     Ok(fleet)
 }
 
 impl Fleet {
-    fn machine(&self, w: u32) -> &Machine {
-        &self.machines[w as usize]
+    fn process(&self, worker: u32) -> &Process {
+        &self.processes[worker as usize]
     }
 
-    /// Where news goes, once the schedulers are there.
-    pub fn call_back(&self, stage: &Arc<Stage>, schedulers: &[SocketAddr]) {
-        let mut all = Vec::new();
-        for to in schedulers.iter().copied() {
-            let (send, news) = unbounded::<String>();
-            for _ in 0..CALLERS {
-                stage.start(caller(to, news.clone()));
+    /// Starts to send updates, once the schedulers' addresses are known.
+    pub fn start_callbacks(&self, schedulers: &[SocketAddr]) {
+        let mut senders = Vec::new();
+        for scheduler in schedulers.iter().copied() {
+            let (sender, updates) = unbounded::<String>();
+            for _ in 0..CALLBACK_CONNECTIONS {
+                let callbacks = send_callbacks(scheduler, updates.clone());
+                self.environment.start(callbacks);
             }
-            all.push(send);
+            senders.push(sender);
         }
-        let _ = self.news.set(all);
+        let _ = self.updates.set(senders);
     }
 
-    /// Listens for each scheduler, at the addresses of before if it did so before.
-    async fn listen(self: &Arc<Self>, w: u32) -> io::Result<()> {
-        let machine = self.machine(w);
-        let before = locked(&machine.addresses).clone();
-        let life = machine.life.load(std::sync::atomic::Ordering::SeqCst);
+    /// Listens for each scheduler, at the addresses of an earlier process if there was one.
+    async fn listen(self: &Arc<Self>, worker: u32) -> io::Result<()> {
+        let process = self.process(worker);
+        let earlier = locked(&process.addresses).clone();
+        let incarnation = process.incarnation.load(Ordering::SeqCst);
         let mut addresses = Vec::new();
-        for scheduler in 0..self.stage.scenario.schedulers {
-            let at = before.get(scheduler as usize).copied();
-            let listener =
-                TcpListener::bind(at.unwrap_or_else(|| ([127, 0, 0, 1], 0).into())).await?;
+        for scheduler in 0..self.environment.scenario.schedulers {
+            let address = earlier.get(scheduler as usize).copied();
+            let address = address.unwrap_or_else(|| ([127, 0, 0, 1], 0).into());
+            let listener = TcpListener::bind(address).await?;
             addresses.push(listener.local_addr()?);
-            let fleet = self.clone();
-            self.stage.start(async move {
-                loop {
-                    let accept = async { listener.accept().await.ok() };
-                    let gone = async {
-                        while fleet.alive(w, life) {
-                            Timer::after(Duration::from_millis(2)).await;
-                        }
-                        None
-                    };
-                    let Some((stream, _)) = smol::future::or(accept, gone).await else {
-                        return;
-                    };
-                    fleet.stage.start(fleet.clone().connection(
-                        w,
-                        scheduler,
-                        life,
-                        Link::new(stream),
-                    ));
-                }
-            });
+            let accept = self
+                .clone()
+                .accept(worker, scheduler, incarnation, listener);
+            self.environment.start(accept);
         }
-        locked(&self.stage.list).reached_at(w, addresses.clone());
-        *locked(&machine.addresses) = addresses;
+        locked(&self.environment.membership).set_addresses(worker, addresses.clone());
+        *locked(&process.addresses) = addresses;
         Ok(())
     }
 
-    fn alive(&self, w: u32, life: u64) -> bool {
-        self.machine(w)
-            .life
-            .load(std::sync::atomic::Ordering::SeqCst)
-            == life
+    /// Accepts connections until the process ends.
+    async fn accept(
+        self: Arc<Self>,
+        worker: u32,
+        scheduler: u32,
+        incarnation: u64,
+        listener: TcpListener,
+    ) {
+        loop {
+            let accepted = async { listener.accept().await.ok() };
+            let ended = async {
+                self.process(worker)
+                    .until_ended(incarnation, LISTENER_CHECK_INTERVAL)
+                    .await;
+                None
+            };
+            let Some((stream, _)) = smol::future::or(accepted, ended).await else {
+                return;
+            };
+            let connection = HttpConnection::new(stream);
+            let serve = self
+                .clone()
+                .serve_connection(worker, scheduler, incarnation, connection);
+            self.environment.start(serve);
+        }
     }
 
-    async fn connection(self: Arc<Self>, w: u32, scheduler: u32, life: u64, mut link: Link) {
-        let serve = async { while self.serve(w, scheduler, &mut link).await.is_ok() {} };
-        let gone = async {
-            while self.alive(w, life) {
-                Timer::after(Duration::from_millis(5)).await;
-            }
+    async fn serve_connection(
+        self: Arc<Self>,
+        worker: u32,
+        scheduler: u32,
+        incarnation: u64,
+        mut connection: HttpConnection,
+    ) {
+        let serve = async {
+            while self
+                .serve_request(worker, scheduler, &mut connection)
+                .await
+                .is_ok()
+            {}
         };
-        smol::future::or(serve, gone).await;
+        let ended = self
+            .process(worker)
+            .until_ended(incarnation, CONNECTION_CHECK_INTERVAL);
+        smol::future::or(serve, ended).await;
+    }
+
+    async fn serve_request(
+        self: &Arc<Self>,
+        worker: u32,
+        scheduler: u32,
+        connection: &mut HttpConnection,
+    ) -> io::Result<()> {
+        connection.wait_readable().await?;
+        let begun = self.environment.now();
+        let message = connection.read(false).await?;
+        self.wait_for_stall(worker).await;
+        let answer = self.answer(worker, scheduler, &message, begun);
+        connection.write(answer.as_bytes()).await
     }
 
-    /// One request.
-    async fn serve(self: &Arc<Self>, w: u32, scheduler: u32, link: &mut Link) -> io::Result<()> {
-        link.begun().await?;
-        let begun = self.stage.now();
-        let message = link.read(false).await?;
-        let machine = self.machine(w);
-        // Standing still, the process reads nothing.
+    /// A process that is stalled answers nothing.
+    async fn wait_for_stall(&self, worker: u32) {
         loop {
-            let until = locked(&machine.worker).still_until();
-            if self.stage.now() >= until {
-                break;
+            let until = locked(&self.process(worker).worker).stalled_until();
+            if self.environment.now() >= until {
+                return;
             }
-            Timer::at(self.stage.instant(until)).await;
+            Timer::at(self.environment.instant(until)).await;
         }
-        let (method, path) = (message.start.0.as_str(), message.start.1.as_str());
+    }
+
+    /// The response to a request whose first byte came at `begun`.
+    fn answer(&self, worker: u32, scheduler: u32, request: &Message, begun: Micros) -> String {
         let empty = |status: &str| format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-        let answer = match (method, path) {
-            ("GET", "/-/healthy" | "/-/load") => {
-                locked(&self.stage.service).probe();
-                let r = locked(&machine.worker).report();
-                let body = format!(
-                    "{{\"queue\":{},\"inflight\":{},\"x0\":{}}}",
-                    r.queue, r.inflight, r.free
-                );
-                format!(
-                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-                    body.len()
-                )
-            }
+        match (request.method.as_str(), request.target.as_str()) {
+            ("GET", "/-/healthy" | "/-/load") => self.answer_probe(worker),
             ("DELETE", _) => empty("204 No Content"), // it stops nothing
             ("POST", _) => {
-                let trace = message.header("x-trace-id").unwrap_or("");
+                let trace = request.header("x-trace-id").unwrap_or("");
                 let job = u64::from_str_radix(trace, 16).ok();
-                match job.and_then(|job| Some((job, locked(&self.stage.known).get(&job).copied()?))) {
-                    None => empty("404 Not Found"),
-                    Some((job, known)) => match self.offer(w, scheduler, job, known, begun) {
-                        Offer::Taken => empty("202 Accepted"),
-                        Offer::Full => {
-                            "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-                                .into()
-                        }
-                    },
+                let sent_jobs = locked(&self.environment.sent_jobs);
+                let sent = job.and_then(|job| Some((job, sent_jobs.get(&job).copied()?)));
+                drop(sent_jobs);
+                let Some((job, sent)) = sent else {
+                    return empty("404 Not Found");
+                };
+                match self.offer(worker, scheduler, job, sent, begun) {
+                    Offer::Accepted => empty("202 Accepted"),
+                    Offer::Full => empty("503 Service Unavailable\r\nX-Never-Ran: 1"),
                 }
             }
             _ => empty("405 Method Not Allowed"),
-        };
-        link.write(answer.as_bytes()).await
+        }
     }
 
-    fn offer(&self, w: u32, scheduler: u32, job: u64, known: Known, begun: Micros) -> Offer {
-        let (machine, now) = (self.machine(w), self.stage.now());
-        let total = known.work * u64::from(known.slots);
-        let crosses = self.stage.scenario.zone_of(scheduler) != self.stage.scenario.zone_of(w);
-        locked(&self.stage.service).attempt(begun, crosses);
-        self.stage.see_at(
-            begun,
-            Seen::Sent {
-                job,
-                scheduler,
-                worker: w,
-                at: begun,
-                work: total,
-            },
-        );
-        let ticket = self.next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        // Known before it is offered: it may start at once.
-        locked(&machine.held).insert(
-            ticket,
-            Held {
-                job,
-                scheduler,
-                total,
-            },
-        );
-        let offer = locked(&machine.worker).offer(
-            now,
-            Job {
-                ticket,
-                work: known.work,
-                slots: known.slots,
-                ..Job::default()
-            },
+    fn answer_probe(&self, worker: u32) -> String {
+        locked(&self.environment.service).record_probe();
+        let report = locked(&self.process(worker).worker).report();
+        let body = format!(
+            "{{\"queue\":{},\"inflight\":{},\"x0\":{}}}",
+            report.queue, report.inflight, report.free
         );
+        let length = body.len();
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
+    }
+
+    fn offer(&self, worker: u32, scheduler: u32, job: u64, sent: SentJob, begun: Micros) -> Offer {
+        let (process, now) = (self.process(worker), self.environment.now());
+        let run_id = self.next_run_id.fetch_add(1, Ordering::Relaxed);
+        let offered = Job {
+            run_id,
+            work: sent.work,
+            slots: sent.slots,
+            ..Job::default()
+        };
+        let total_work = offered.total_work();
+        self.record_attempt(worker, scheduler, job, total_work, begun);
+        // Recorded before it is offered: it may start at once.
+        let attempt = AcceptedAttempt {
+            job,
+            scheduler,
+            total_work,
+        };
+        locked(&process.attempts).insert(run_id, attempt);
+        let offer = locked(&process.worker).offer(now, offered);
         match offer {
-            Offer::Taken => {
-                self.stage.see(Seen::Runs {
+            Offer::Accepted => {
+                self.environment.observe(Observation::AttemptAccepted {
                     job,
-                    worker: w,
+                    worker,
                     at: now,
                 });
-                let _ = machine.wake.0.try_send(());
+                process.wake();
             }
-            Offer::Full => _ = locked(&machine.held).remove(&ticket),
+            Offer::Full => _ = locked(&process.attempts).remove(&run_id),
         }
         offer
     }
 
-    /// Steps a job worker whenever something is due, and tells what happened.
-    async fn run(self: Arc<Self>, w: u32) {
-        let machine = self.machine(w);
-        let mut happened = Vec::new();
+    fn record_attempt(&self, worker: u32, scheduler: u32, job: u64, work: Micros, begun: Micros) {
+        let scenario = &self.environment.scenario;
+        let crosses_zones = scenario.zone_of(scheduler) != scenario.zone_of(worker);
+        locked(&self.environment.service).record_attempt(begun, crosses_zones);
+        let observation = Observation::AttemptSent {
+            job,
+            scheduler,
+            worker,
+            at: begun,
+            work,
+        };
+        self.environment.observe_at(begun, observation);
+    }
+
+    /// Steps a worker whenever something is due, and reports what happened.
+    async fn run(self: Arc<Self>, worker: u32) {
+        let process = self.process(worker);
+        let mut events = Vec::new();
         loop {
-            let due = locked(&machine.worker).due();
-            let woken = async { machine.wake.1.recv().await.is_ok() };
+            let due = locked(&process.worker).due();
+            let woken = async { process.wake.1.recv().await.is_ok() };
             let slept = async {
                 match due {
-                    Some(at) => _ = Timer::at(self.stage.instant(at)).await,
+                    Some(at) => _ = Timer::at(self.environment.instant(at)).await,
                     None => std::future::pending::<()>().await,
                 }
                 true
@@ -275,166 +324,175 @@
             if !smol::future::or(woken, slept).await {
                 return;
             }
-            let now = self.stage.now();
+            let now = self.environment.now();
             {
-                let mut worker = locked(&machine.worker);
-                worker.step(now);
-                worker.take(&mut happened);
+                let mut model = locked(&process.worker);
+                model.step(now);
+                model.take_events(&mut events);
             }
-            for event in happened.drain(..) {
-                self.tell(w, now, event);
+            for event in events.drain(..) {
+                self.report(worker, now, event);
             }
         }
     }
 
-    fn tell(&self, w: u32, now: Micros, event: Event) {
-        let machine = self.machine(w);
-        let (ticket, ends) = match event {
-            Event::Started(t) | Event::Progress(t, _) => (t, false),
-            Event::Done(t) | Event::Returned(t) | Event::Lost(t) => (t, true),
-        };
-        let held = match ends {
-            true => locked(&machine.held).remove(&ticket),
-            false => locked(&machine.held).get(&ticket).copied(),
-        };
-        let Some(Held {
-            job,
-            scheduler,
-            total,
-        }) = held
-        else {
-            return;
+    /// Counts an event, and queues its call-back to the scheduler.
+    fn report(&self, worker: u32, now: Micros, event: Event) {
+        let attempts = &self.process(worker).attempts;
+        let attempt = match event {
+            Event::Started(run_id) | Event::Progress(run_id, _) => {
+                locked(attempts).get(&run_id).copied()
+            }
+            Event::Done(run_id) | Event::Returned(run_id) | Event::Lost(run_id) => {
+                locked(attempts).remove(&run_id)
+            }
         };
-        let more = match event {
+        let Some(attempt) = attempt else { return };
+        let state = self.record_event(worker, now, event, attempt);
+        let body = format!(
+            "{{\"id\":\"{:016x}\",\"from\":\"{}\",\"state\":{state}}}",
+            attempt.job,
+            name(worker)
+        );
+        let call = format!(
+            "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        let senders = self.updates.get();
+        if let Some(sender) = senders.and_then(|all| all.get(attempt.scheduler as usize)) {
+            let _ = sender.try_send(call);
+        }
+    }
+
+    /// Counts an event, and returns the state that the call-back reports, in JSON.
+    fn record_event(
+        &self,
+        worker: u32,
+        now: Micros,
+        event: Event,
+        attempt: AcceptedAttempt,
+    ) -> String {
+        let job = attempt.job;
+        match event {
             Event::Started(_) => {
-                locked(&self.stage.service).begun(now, w);
-                "\"started\"".to_string()
+                locked(&self.environment.service).record_start(now, worker);
+                "\"started\"".into()
             }
-            Event::Progress(_, share) => {
-                format!("\"running\",\"share\":{:.3}", f64::from(share) / 1000.0)
+            Event::Progress(_, thousandths) => {
+                let fraction = f64::from(thousandths) / 1000.0;
+                format!("\"running\",\"share\":{fraction:.3}")
             }
             Event::Done(_) => {
-                locked(&self.stage.service).ran(total);
-                self.stage.see(Seen::Made { job });
+                locked(&self.environment.service).record_completion(attempt.total_work);
+                self.environment
+                    .observe(Observation::ResultProduced { job });
                 format!("\"done\",\"result\":\"made {job:016x}\"")
             }
             Event::Returned(_) => {
-                self.stage.see(Seen::NeverRan { job });
+                self.environment
+                    .observe(Observation::AttemptReturned { job });
                 "\"returned\"".into()
             }
             Event::Lost(_) => "\"lost\"".into(),
-        };
-        let body = format!(
-            "{{\"id\":\"{job:016x}\",\"from\":\"{}\",\"state\":{more}}}",
-            name(w)
-        );
-        let call = format!(
-            "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n{body}",
-            body.len()
-        );
-        if let Some(to) = self.news.get().and_then(|n| n.get(scheduler as usize)) {
-            let _ = to.try_send(call);
         }
     }
 
-    /// A job worker stands still until then.
-    pub fn stand_still(&self, w: u32, until: Micros) {
-        locked(&self.machine(w).worker).stand_still(self.stage.now(), until);
-        let _ = self.machine(w).wake.0.try_send(());
+    /// A worker is stalled until then.
+    pub fn stall(&self, worker: u32, until: Micros) {
+        locked(&self.process(worker).worker).stall(self.environment.now(), until);
+        self.process(worker).wake();
     }
 
-    /// A job worker has this share of its speed from now on.
-    pub fn set_pace(&self, w: u32, pace: f64) {
-        locked(&self.machine(w).worker).set_pace(self.stage.now(), pace);
-        let _ = self.machine(w).wake.0.try_send(());
+    /// From now on a worker has this fraction of its speed.
+    pub fn set_pace(&self, worker: u32, pace: f64) {
+        locked(&self.process(worker).worker).set_pace(self.environment.now(), pace);
+        self.process(worker).wake();
     }
 
-    /// A job worker drains.
-    pub fn drain(&self, w: u32) {
-        locked(&self.machine(w).worker).drain();
-        let _ = self.machine(w).wake.0.try_send(());
-        self.flush(w);
+    /// A worker drains.
+    pub fn drain(&self, worker: u32) {
+        locked(&self.process(worker).worker).drain();
+        self.process(worker).wake();
+        self.report_events(worker);
     }
 
-    /// A job worker's process dies; its machine's agent says what was lost.
-    pub fn crash(&self, w: u32) {
-        let machine = self.machine(w);
-        machine
-            .life
-            .fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-        locked(&machine.worker).crash();
-        self.flush(w);
+    /// A worker's process dies; the agent on its machine reports what was lost.
+    pub fn crash(&self, worker: u32) {
+        let process = self.process(worker);
+        process.incarnation.fetch_add(1, Ordering::SeqCst);
+        locked(&process.worker).crash();
+        self.report_events(worker);
     }
 
-    fn flush(&self, w: u32) {
-        let mut happened = Vec::new();
-        locked(&self.machine(w).worker).take(&mut happened);
-        let now = self.stage.now();
-        happened
-            .into_iter()
-            .for_each(|event| self.tell(w, now, event));
+    fn report_events(&self, worker: u32) {
+        let mut events = Vec::new();
+        locked(&self.process(worker).worker).take_events(&mut events);
+        let now = self.environment.now();
+        for event in events {
+            self.report(worker, now, event);
+        }
     }
 
-    /// A job worker's process starts anew, cold.
-    pub async fn start_again(self: &Arc<Self>, w: u32) {
-        if locked(&self.machine(w).worker).up() {
-            self.crash(w);
+    /// A worker's process starts again, and warms up.
+    pub async fn restart(self: &Arc<Self>, worker: u32) {
+        if locked(&self.process(worker).worker).up() {
+            self.crash(worker);
         }
-        // The old listeners see that their life is over, and close.
-        Timer::after(Duration::from_millis(20)).await;
-        locked(&self.machine(w).worker).start_again(self.stage.now());
-        for _ in 0..50 {
-            match self.listen(w).await {
+        Timer::after(LISTENER_CLOSE_TIME).await;
+        locked(&self.process(worker).worker).restart(self.environment.now());
+        for _ in 0..LISTEN_ATTEMPTS {
+            match self.listen(worker).await {
                 Ok(()) => break,
-                Err(_) => _ = Timer::after(Duration::from_millis(20)).await,
+                Err(_) => _ = Timer::after(LISTENER_CLOSE_TIME).await,
             }
         }
-        let fleet = self.clone();
-        self.stage.start(async move {
-            loop {
-                let now = fleet.stage.now();
-                let (up, warmth, capacity) = {
-                    let worker = locked(&fleet.machine(w).worker);
-                    (worker.up(), worker.warmth(now), worker.capacity(now))
-                };
-                if !up || warmth >= 1.0 {
-                    return fleet.stage.see(Seen::Warm { worker: w });
-                }
-                fleet.stage.see(Seen::Cold {
-                    worker: w,
-                    at: now,
-                    capacity,
-                });
-                Timer::after(WARM).await;
-            }
-        });
+        let warm_up = self.clone().observe_warm_up(worker);
+        self.environment.start(warm_up);
+    }
+
+    /// The checkers learn how warm a worker is, until it is warm or its process has ended.
+    async fn observe_warm_up(self: Arc<Self>, worker: u32) {
+        loop {
+            let at = self.environment.now();
+            let capacity = locked(&self.process(worker).worker).warming_capacity(at);
+            let Some(capacity) = capacity else {
+                return self.environment.observe(Observation::WarmedUp { worker });
+            };
+            self.environment.observe(Observation::WarmingUp {
+                worker,
+                at,
+                capacity,
+            });
+            Timer::after(WARM_UP_CHECK_INTERVAL).await;
+        }
     }
 }
 
-/// Carries news to a scheduler on one connection, which it opens again if need be.
-async fn caller(to: SocketAddr, news: Receiver<String>) {
-    let mut link: Option<Link> = None;
-    while let Ok(call) = news.recv().await {
-        for _ in 0..TRIES {
-            if link.is_none() {
-                link = TcpStream::connect(to).await.ok().map(Link::new);
+/// Sends call-backs to a scheduler on one connection, which is opened again where it breaks.
+async fn send_callbacks(scheduler: SocketAddr, calls: Receiver<String>) {
+    let mut connection: Option<HttpConnection> = None;
+    while let Ok(call) = calls.recv().await {
+        for _ in 0..CALLBACK_ATTEMPTS {
+            if connection.is_none() {
+                let stream = TcpStream::connect(scheduler).await;
+                connection = stream.ok().map(HttpConnection::new);
             }
-            let Some(open) = &mut link else {
-                Timer::after(AGAIN).await;
+            let Some(open) = &mut connection else {
+                Timer::after(CALLBACK_RETRY_INTERVAL).await;
                 continue;
             };
-            let done = async {
+            let exchange = async {
                 open.write(call.as_bytes()).await?;
                 open.read(true).await
             };
-            match done.await {
+            match exchange.await {
                 Ok(answer) => {
                     if answer.close {
-                        link = None;
+                        connection = None;
                     }
                     break;
                 }
-                Err(_) => link = None,
+                Err(_) => connection = None,
             }
         }
     }
--- a/crates/replay/src/survey.rs
+++ b/crates/replay/src/survey.rs
@@ -9,7 +9,7 @@
 
 use crate::baseline::Policy;
 use crate::load::Made;
-use crate::virtual_time::{Ground, Retries, Run};
+use crate::virtual_time::{Retries, Run, Simulation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -47,7 +47,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Played {
     /// Its service figure in each run.
-    pub figures: Vec<f64>,
+    #[serde(rename = "figures")]
+    pub metrics: Vec<f64>,
     /// Breaches of rules, over all runs.
     pub breaches: BTreeMap<String, u64>,
     /// Shares of jobs in time, late, refused, failed; fetches and attempts per job.
@@ -57,7 +58,7 @@
 impl Played {
     /// Its mean figure.
     pub fn mean(&self) -> f64 {
-        self.figures.iter().sum::<f64>() / self.figures.len().max(1) as f64
+        self.metrics.iter().sum::<f64>() / self.metrics.len().max(1) as f64
     }
 }
 
@@ -106,7 +107,7 @@
             .iter()
             .filter(|(p, _)| **p != Policy::Module && !p.knows_all());
         let (best, of) = plain.max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()))?;
-        let (by, interval) = paired(&module.figures, &of.figures);
+        let (by, interval) = paired(&module.metrics, &of.metrics);
         Some(Against {
             best: *best,
             by,
@@ -116,8 +117,8 @@
 }
 
 fn play(scenario: &crate::scenario::Scenario, policy: Policy, seed: u64) -> Result<Run, String> {
-    let ground = Ground::with(scenario, seed, Retries::Model, policy)?;
-    ground.play(Made::new(scenario, seed)?, |_| {}, |_| {})
+    let simulation = Simulation::with_policy(scenario, seed, Retries::Model, policy)?;
+    simulation.play(Made::new(scenario, seed)?, |_| {}, |_| {})
 }
 
 /// Plays one deployment.
@@ -137,7 +138,7 @@
                 plan.seed ^ (number << 8) ^ u64::from(n) << 56,
             )
             .map_err(|e| format!("deployment {number}, {}: {e}", policy.name()))?;
-            of.figures.push(run.outcome.figure);
+            of.metrics.push(run.outcome.service_metric);
             for (rule, count) in &run.verdict.breaches {
                 *of.breaches.entry(format!("{rule:?}")).or_default() += count;
             }
--- a/crates/replay/src/survey/draw.rs
+++ b/crates/replay/src/survey/draw.rs
@@ -3,8 +3,8 @@
 
 use crate::sampling::{between, draw, unit};
 use crate::scenario::{
-    Class, Clients, Discovery, Effect, Jump, Kind, Limits, Load, Machines, Network, Order, Parish,
-    Prices, Rules, Scenario, Spread, Things, Trouble, What,
+    Class, Clients, Discovery, Effect, Fault, FaultKind, Jump, Kind, Limits, Load, Machines,
+    Network, Order, Parish, Prices, Rules, Scenario, Spread, Things,
 };
 use rand_pcg::Pcg64Mcg;
 
@@ -17,7 +17,7 @@
     between(rng, low.ln(), high.ln()).exp()
 }
 
-fn whole(rng: &mut Pcg64Mcg, low: u32, high: u32) -> u32 {
+fn uniform_int(rng: &mut Pcg64Mcg, low: u32, high: u32) -> u32 {
     low + (unit(rng) * f64::from(high - low + 1)) as u32
 }
 
@@ -32,19 +32,19 @@
     drawn.into_iter().map(|s| s / sum).collect()
 }
 
-fn class(rng: &mut Pcg64Mcg, n: usize, share: f64) -> Class {
+fn class(rng: &mut Pcg64Mcg, n: usize, weight: f64) -> Class {
     let work_ms = log_between(rng, 20.0, 3_000.0);
-    let aim_ms = (work_ms * between(rng, 0.5, 2.5) + between(rng, 30.0, 200.0)) as u64;
+    let latency_target_ms = (work_ms * between(rng, 0.5, 2.5) + between(rng, 30.0, 200.0)) as u64;
     let stretch = between(rng, 1.0, 3.0);
-    let usual = aim_ms as f64 + stretch * work_ms;
-    let effect = match whole(rng, 0, 3) {
+    let usual = latency_target_ms as f64 + stretch * work_ms;
+    let effect = match uniform_int(rng, 0, 3) {
         0 | 1 => Effect::Safe,
         2 => Effect::Keyed(log_between(rng, 2_000.0, 20_000.0) as u64),
         _ => Effect::Unsafe,
     };
     Class {
         name: format!("class-{n}"),
-        share,
+        weight,
         effect,
         work_ms,
         spread: if chance(rng, 0.3) {
@@ -53,13 +53,13 @@
             Spread::Lognormal
         },
         cv: between(rng, 0.3, 1.6),
-        priority: whole(rng, 0, 1) as i32,
+        priority: uniform_int(rng, 0, 1) as i32,
         slots: if chance(rng, 0.25) {
             vec![0.8, 0.2]
         } else {
             vec![1.0]
         },
-        aim_ms,
+        latency_target_ms,
         stretch,
         deadline_ms: (usual * between(rng, 1.5, 6.0)).max(400.0) as u64,
         value: between(rng, 1.0, 10.0),
@@ -76,7 +76,7 @@
     Kind {
         name: format!("kind-{n}"),
         count,
-        cores: whole(rng, 2, 8),
+        cores: uniform_int(rng, 2, 8),
         speed: [speed * (1.0 - spread), speed * (1.0 + spread)],
         queue_per_core: between(rng, 4.0, 20.0),
         initial_capacity: between(rng, 0.3, 0.7),
@@ -84,9 +84,9 @@
     }
 }
 
-/// So many different job workers of all.
-fn some(rng: &mut Pcg64Mcg, all: u32, share: f64) -> Vec<u32> {
-    let wanted = ((f64::from(all) * share).round() as u32).clamp(1, all);
+/// A fraction of all workers, without repetition.
+fn pick_workers(rng: &mut Pcg64Mcg, all: u32, fraction: f64) -> Vec<u32> {
+    let wanted = ((f64::from(all) * fraction).round() as u32).clamp(1, all);
     let mut left: Vec<u32> = (0..all).collect();
     let mut taken: Vec<u32> = (0..wanted)
         .map(|_| left.swap_remove((unit(rng) * left.len() as f64) as usize))
@@ -95,18 +95,18 @@
     taken
 }
 
-fn troubles(rng: &mut Pcg64Mcg, workers: u32, seconds: f64) -> Vec<Trouble> {
-    let mut troubles = Vec::new();
-    for _ in 0..whole(rng, 0, 3) {
+fn draw_faults(rng: &mut Pcg64Mcg, workers: u32, seconds: f64) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for _ in 0..uniform_int(rng, 0, 3) {
         let (at_s, for_s) = (
             between(rng, 2.0, seconds * 0.6),
             between(rng, 3.0, seconds * 0.4),
         );
-        let (part, of) = (between(rng, 0.05, 0.25), whole(rng, 0, 5));
-        let picked = some(rng, workers, part);
+        let (part, of) = (between(rng, 0.05, 0.25), uniform_int(rng, 0, 5));
+        let picked = pick_workers(rng, workers, part);
         let what = match of {
-            0 => What::Hang,
-            1 => What::Crash,
+            0 => FaultKind::Hang,
+            1 => FaultKind::Crash,
             2 => {
                 // A release: most of them, a few at a time.
                 let step = (for_s / 6.0).max(0.5);
@@ -114,48 +114,50 @@
                     let workers: Vec<u32> = (0..workers).filter(|w| w % 6 == n).collect();
                     let at_s = at_s + f64::from(n) * step;
                     if !workers.is_empty() {
-                        troubles.push(Trouble {
+                        faults.push(Fault {
                             at_s,
                             for_s: step,
                             workers,
-                            what: What::Drain,
+                            what: FaultKind::Drain,
                         });
                     }
                 }
                 continue;
             }
-            3 => What::Slow {
+            3 => FaultKind::Slow {
                 times: between(rng, 2.0, 8.0),
             },
-            4 => What::HotThings {
-                share: between(rng, 0.06, 0.25),
-                things: whole(rng, 1, 3),
+            4 => FaultKind::HotThings {
+                fraction: between(rng, 0.06, 0.25),
+                things: uniform_int(rng, 1, 3),
             },
-            _ => What::Pauses {
+            _ => FaultKind::Pauses {
                 ms: between(rng, 30.0, 250.0),
                 every_ms: between(rng, 400.0, 3_000.0),
             },
         };
-        let workers = if matches!(what, What::HotThings { .. }) {
+        let workers = if matches!(what, FaultKind::HotThings { .. }) {
             Vec::new()
         } else {
             picked
         };
-        troubles.push(Trouble {
+        faults.push(Fault {
             at_s,
             for_s,
             workers,
             what,
         });
     }
-    troubles
+    faults
 }
 
 /// The deployment of this number.
 pub fn deployment(seed: u64, number: u64) -> Scenario {
     let rng = &mut draw(seed, number, 0x5e4e);
-    let zones = (0..whole(rng, 1, 3)).map(|n| format!("room-{n}")).collect();
-    let classes = whole(rng, 1, 4);
+    let zones = (0..uniform_int(rng, 1, 3))
+        .map(|n| format!("room-{n}"))
+        .collect();
+    let classes = uniform_int(rng, 1, 4);
     let classes = shares(rng, classes);
     let classes: Vec<Class> = classes
         .iter()
@@ -163,33 +165,34 @@
         .map(|(n, s)| class(rng, n, *s))
         .collect();
     let workers = log_between(rng, 4.0, 40.0) as u32;
-    let kinds = whole(rng, 1, workers.min(4));
+    let kinds = uniform_int(rng, 1, workers.min(4));
     let counts = shares(rng, kinds);
     let kinds: Vec<Kind> = counts
         .iter()
         .enumerate()
         .map(|(n, s)| kind(rng, n, ((f64::from(workers) * s).round() as u32).max(1)))
         .collect();
-    let parishes = whole(rng, 1, 5);
+    let parishes = uniform_int(rng, 1, 5);
     let parishes = shares(rng, parishes).into_iter().enumerate();
-    let parishes = parishes.map(|(n, share)| Parish {
+    let parishes = parishes.map(|(n, quota)| Parish {
         name: format!("office-{n}"),
-        share,
+        quota,
         usage: 1.0,
         zone: None,
     });
     let slots: u32 = kinds.iter().map(|k| k.count * k.cores).sum();
     let things = chance(rng, 0.5).then(|| Things {
-        kept: whole(rng, 2, 12),
+        kept: uniform_int(rng, 2, 12),
         fetch: between(rng, 0.1, 0.8),
         at_once: (f64::from(slots) * between(rng, 0.05, 0.3)).max(1.0),
     });
     let (cancel, reports) = (chance(rng, 0.6), chance(rng, 0.5));
-    let order = [Order::InOrder, Order::WhateverFits, Order::Priority][whole(rng, 0, 2) as usize];
+    let order =
+        [Order::InOrder, Order::WhateverFits, Order::Priority][uniform_int(rng, 0, 2) as usize];
     let machines = Machines {
         order,
         cancel,
-        copies: chance(rng, 0.5),
+        speculative_runs: chance(rng, 0.5),
         reports,
         things,
     };
@@ -209,7 +212,7 @@
             ..Network::default()
         },
         clients: Clients {
-            retries: whole(rng, 0, 3),
+            retries: uniform_int(rng, 0, 3),
             backoff_ms: between(rng, 20.0, 200.0),
             subjects: log_between(rng, 50.0, 20_000.0) as u32,
             zipf: between(rng, 0.6, 1.2),
@@ -221,9 +224,9 @@
             ..Discovery::default()
         },
         load: Load::default(),
-        troubles: Vec::new(),
+        faults: Vec::new(),
         rules: Rules {
-            attempts: whole(rng, 2, 4),
+            attempts: uniform_int(rng, 2, 4),
             ..Rules::default()
         },
         prices: Prices {
@@ -257,7 +260,7 @@
         swing_s: seconds / 2.0,
         jumps,
     };
-    scenario.troubles = troubles(rng, scenario.workers(), seconds);
+    scenario.faults = draw_faults(rng, scenario.workers(), seconds);
     scenario
 }
 
@@ -287,7 +290,7 @@
             "no load reports"
         }
         .into(),
-        if s.machines.copies {
+        if s.machines.speculative_runs {
             "copies allowed"
         } else {
             "no copies"
@@ -306,20 +309,20 @@
         }
         .into(),
     ];
-    let troubles: std::collections::BTreeSet<&str> = s
-        .troubles
+    let faults: std::collections::BTreeSet<&str> = s
+        .faults
         .iter()
         .map(|t| match t.what {
-            What::Hang => "hang",
-            What::Pauses { .. } => "pauses",
-            What::Crash => "crash",
-            What::Drain => "release",
-            What::Slow { .. } => "slow",
-            What::HotThings { .. } => "hot things",
+            FaultKind::Hang => "hang",
+            FaultKind::Pauses { .. } => "pauses",
+            FaultKind::Crash => "crash",
+            FaultKind::Drain => "release",
+            FaultKind::Slow { .. } => "slow",
+            FaultKind::HotThings { .. } => "hot things",
         })
         .collect();
-    traits.extend(troubles.iter().map(|t| t.to_string()));
-    if troubles.is_empty() {
+    traits.extend(faults.iter().map(|t| t.to_string()));
+    if faults.is_empty() {
         traits.push("no trouble".into());
     }
     if !s.load.jumps.is_empty() {
@@ -327,6 +330,3 @@
     }
     traits
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/replay/src/survey/page.rs
+++ b/crates/replay/src/survey/page.rs
@@ -84,10 +84,15 @@
             .map(|(_, a)| (a.by, a.interval))
             .collect::<Vec<_>>(),
     )?;
-    let figure = |r: &Row, of| r.played.get(&of).map(super::Played::mean);
+    let service_metric = |r: &Row, of| r.played.get(&of).map(super::Played::mean);
     let points: Vec<(f64, f64)> = rows
         .iter()
-        .filter_map(|r| Some((figure(r, Policy::AllKnowing)?, figure(r, Policy::Module)?)))
+        .filter_map(|r| {
+            Some((
+                service_metric(r, Policy::AllKnowing)?,
+                service_metric(r, Policy::Module)?,
+            ))
+        })
         .collect();
     let scatter = scatter(&points)?;
     let worst: Vec<_> = s
--- a/crates/replay/src/survey/tests.rs
+++ b/crates/replay/src/survey/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 fn row(number: u64, module: [f64; 3], random: [f64; 3], by_key: [f64; 3]) -> Row {
-    let of = |figures: [f64; 3]| Played {
-        figures: figures.to_vec(),
+    let of = |metrics: [f64; 3]| Played {
+        metrics: metrics.to_vec(),
         ..Played::default()
     };
     let played = [
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_module_is_held_against_the_best_that_knows_no_more() {
+fn the_module_is_compared_with_the_best_policy_without_the_true_state() {
     let rows = [
         row(0, [0.9, 0.8, 0.85], [0.5; 3], [0.7, 0.6, 0.65]),
         row(1, [0.5, 0.6, 0.7], [0.9, 0.2, 0.4], [0.6, 0.7, 0.8]),
