--- a/crates/replay/src/virtual_time.rs
+++ b/crates/replay/src/virtual_time.rs
@@ -1,54 +1,53 @@
-//! The ground in virtual time: the scheduler's own engine and module, an emulated network, the same job workers and clients
-//! as on sockets. One queue of events; the same seed gives the same result, bit for bit.
+//! Replays in virtual time: the scheduler's own engine and module, an emulated network, and the same workers and clients as
+//! on sockets. One queue of events; the same seed gives the same result, bit for bit.
 
-use crate::baseline::{Plain, Policy};
-use crate::check::{Checker, Seen, Verdict};
-use crate::client::{Said, again, draw, unit};
+use crate::baseline::{BaselineScheduler, Policy};
+use crate::check::{Checker, Verdict};
 use crate::load::Arrival;
-use crate::object_store::{Shelf, Store};
-use crate::scenario::{Micros, Scenario, What};
-use crate::service::{Counted, End, Outcome, Service};
-use crate::worker::{self, Offer, Ticket, Worker, id};
-use indigofold::api::{Entry, Load, Request, Scope, Status, WorkerId, WorkerState};
-use indigofold::config::subject;
+use crate::object_store::{ObjectCache, ObjectStore};
+use crate::sampling::{draw, unit};
+use crate::scenario::{Micros, Scenario};
+use crate::service::{Outcome, Service};
+use crate::worker::{self, RunId, Worker, id};
+use indigofold::api::{Scope, WorkerId};
 use indigofold::core::engine::Engine;
 use indigofold::core::figures::Figures;
-use indigofold::core::{
-    Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Settings, Told, Transport,
-};
+use indigofold::core::{AttemptId, JobId, Settings, Told};
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
-use smallvec::SmallVec;
-use std::cell::RefCell;
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
+use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::{Arc, Mutex, PoisonError};
 
 mod clients;
+mod discovery;
+mod event_queue;
 mod events;
+mod faults;
 mod schedulers;
 mod workers;
 
-use clients::{Trip, Try};
-use events::*;
-use schedulers::{Act, Mind, Scheduler, Wants};
+use clients::{ClientJob, ClientRequest};
+use discovery::DiscoveredWorker;
+use event_queue::EventQueue;
+use events::Event;
+use schedulers::{Action, DecisionCore, Scheduler};
 
-/// A job is answered this long before its client's time is up, as in the program.
-const EARLY: Micros = 40_000;
-/// A machine says within this time of an attempt that it took it, as in the program.
-const HEARD: Micros = 250_000;
-/// An idle connection is not used again after so long.
-const IDLE: Micros = 3_000_000;
-/// Between two empty answers of discovery.
-const WATCH: Micros = 4_000_000;
-/// A probe that is not answered has failed after so long.
-const PROBE: Micros = 250_000;
-/// A job worker's load report is so old at the most.
-const REPORT: Micros = 500_000;
-/// A refused connection is known of after so long at the most.
-const DIAL: Micros = 200_000;
+/// A job is answered this long before its client's deadline, as in the program; in microseconds.
+const ANSWER_MARGIN: Micros = 40_000;
+/// A worker acknowledges an attempt within this time, as in the program; in microseconds.
+const ACKNOWLEDGEMENT_TIMEOUT: Micros = 250_000;
+/// Between two empty answers of a watch of discovery, in microseconds.
+const WATCH_TIMEOUT: Micros = 4_000_000;
+/// A probe without an answer has failed after this time, in microseconds.
+const PROBE_TIMEOUT: Micros = 250_000;
+/// The greatest age of a worker's load report, in microseconds.
+const REPORT_MAX_AGE: Micros = 500_000;
+/// A refused connection is noticed within this time, in microseconds.
+const CONNECT_TIMEOUT: Micros = 200_000;
+/// Arrivals between two calls for progress.
+const PROGRESS_INTERVAL: u64 = 4096;
 
 /// What becomes of a recording's retries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
@@ -63,16 +62,16 @@
     None,
 }
 
-/// A try as the access log of its scheduler would have it.
+/// A request as the access log of its scheduler would have it.
 #[derive(Clone, Debug)]
-pub struct Logged<'a> {
+pub struct LoggedRequest<'a> {
     /// The job.
     pub arrival: &'a Arrival,
-    /// Its try, from 0.
-    pub tried: u32,
+    /// 0 for the job's first try.
+    pub retry: u32,
     /// The scheduler.
     pub scheduler: u32,
-    /// When its request had come.
+    /// When the request had arrived.
     pub from: Micros,
     /// When the scheduler had answered, or the client had left.
     pub to: Micros,
@@ -80,257 +79,262 @@
     pub status: Option<u16>,
 }
 
-/// What came of a run.
+/// The result of a run. Its serialised names are those of results that are stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The figures.
+    /// The service metrics.
     pub outcome: Outcome,
-    /// The rules.
+    /// The checkers' verdict.
     pub verdict: Verdict,
-    /// Events that the ground went through.
+    /// Events handled, or observations taken on sockets.
     pub events: u64,
-    /// Fetches from the store.
+    /// Fetches from the object store.
     #[serde(default)]
     pub fetches: u64,
-    /// Lines that schedulers noted, by text without numbers.
-    pub notes: std::collections::BTreeMap<String, u64>,
+    /// Log lines of schedulers, by text without digits.
+    #[serde(rename = "notes")]
+    pub scheduler_messages: BTreeMap<String, u64>,
 }
 
-/// An attempt on its way or at a job worker.
-struct Out {
+/// An attempt from when it is sent until its scheduler knows how it ended.
+struct RunInProgress {
     scheduler: u32,
-    job: JobId,
-    number: u32,
+    attempt: AttemptId,
     worker: u32,
-    asks: worker::Job,
-    heard: bool,
-    ended: bool,
+    work_item: worker::Job,
+    /// The scheduler has heard from the worker.
+    acknowledged: bool,
 }
 
-/// The ground.
-pub struct Ground<'a> {
+/// A replay of a scenario in virtual time.
+pub struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
+    retries: Retries,
+    /// The policy sees the true state of all workers.
+    knows_all: bool,
     now: Micros,
-    seq: u64,
-    queue: BinaryHeap<Reverse<(Micros, u64, Ev)>>,
-    rng: Pcg64Mcg,
+    queue: EventQueue,
+    handled_events: u64,
+    network_rng: Pcg64Mcg,
     schedulers: Vec<Scheduler>,
+    /// Requests sent so far, by zone: schedulers take turns.
+    zone_turns: Vec<u32>,
+    scheduler_messages: BTreeMap<String, u64>,
     workers: Vec<Worker>,
-    stepped: Vec<Option<Micros>>, // when each job worker is to be stepped
-    reports: Vec<(Micros, worker::Report)>,
-    listed: Vec<(WorkerState, Micros)>, // discovery's view
-    trips: Vec<Trip>,
-    free_trips: Vec<u32>,
-    tries: FxHashMap<JobId, Try>,
-    outs: FxHashMap<Ticket, Out>,
-    attempts: FxHashMap<AttemptId, Ticket>, // those that may be given up
-    store: Arc<Mutex<Store>>,
-    fetch: Micros,
-    knows_all: bool,
+    worker_numbers: FxHashMap<WorkerId, u32>,
+    /// When each worker is to be stepped.
+    worker_timers: Vec<Option<Micros>>,
+    /// The last load report of each worker, and when it was made.
+    load_reports: Vec<(Micros, worker::Report)>,
+    discovered: Vec<DiscoveredWorker>,
+    client_jobs: Vec<ClientJob>,
+    free_client_jobs: Vec<u32>,
+    requests: FxHashMap<JobId, ClientRequest>,
     next_job: JobId,
-    next_ticket: Ticket,
-    turn: Vec<u32>, // of each zone's schedulers
-    numbers: FxHashMap<WorkerId, u32>,
+    runs: FxHashMap<RunId, RunInProgress>,
+    /// Runs of attempts that have neither ended nor been cancelled.
+    run_ids: FxHashMap<AttemptId, RunId>,
+    next_run_id: RunId,
+    store: Arc<Mutex<ObjectStore>>,
+    /// How long a fetch takes by itself, in microseconds.
+    fetch_time: Micros,
     service: Service,
     checker: Checker<'a>,
-    retries: Retries,
-    events: u64,
-    notes: std::collections::BTreeMap<String, u64>,
-    acts: Vec<Act>,
-    happened: Vec<worker::Event>,
+    /// Used again, to save allocations.
+    action_buffer: Vec<Action>,
+    /// Used again, to save allocations.
+    update_buffer: Vec<worker::Event>,
 }
 
-impl<'a> Ground<'a> {
-    /// A ground before the first arrival.
+impl<'a> Simulation<'a> {
+    /// A simulation of the program's module, before the first arrival.
     ///
     /// # Errors
-    /// What the scheduler does not take of the scenario.
+    /// What the scheduler rejects of the scenario.
     pub fn new(scenario: &'a Scenario, seed: u64, retries: Retries) -> Result<Self, String> {
-        Self::with(scenario, seed, retries, Policy::Module)
+        Self::with_policy(scenario, seed, retries, Policy::Module)
     }
 
-    /// The same, with schedulers that go by this rule.
+    /// A simulation whose schedulers follow this policy.
     ///
     /// # Errors
-    /// What the scheduler does not take of the scenario.
-    pub fn with(
+    /// What the scheduler rejects of the scenario.
+    pub fn with_policy(
         scenario: &'a Scenario,
         seed: u64,
         retries: Retries,
         policy: Policy,
     ) -> Result<Self, String> {
-        let from = scenario.from();
-        let mut rng = draw(seed, u64::MAX - 1, 0x9047d);
+        let mut network_rng = draw(seed, u64::MAX - 1, 0x9047d);
         let things = scenario.machines.things.as_ref();
-        let store = Arc::new(Mutex::new(Store::new(things.map_or(1.0, |t| t.at_once))));
-        let fetch = things.map_or(0.0, |t| t.fetch * scenario.mean_work() as f64) as Micros;
-        let worker = |n| {
-            let shelf = things.map(|t| Shelf::new(store.clone(), t.kept as usize));
-            let worker = Worker::new(&scenario.kinds[scenario.kind_of(n)], scenario.speed_of(n));
-            worker.serving(scenario.machines.order, shelf)
-        };
-        let workers: Vec<Worker> = (0..scenario.workers()).map(worker).collect();
-        let mut schedulers = Vec::new();
-        for me in 0..scenario.schedulers {
-            let site = scenario.site(me)?;
-            let seed = (unit(&mut rng) * 1e18) as u64;
-            let mind = match policy {
-                Policy::Module => {
-                    let settings = Settings {
-                        module: site.settings,
-                        seed,
-                        early: EARLY,
-                    };
-                    Mind::Engine(Box::new(Engine::new(
-                        settings,
-                        from,
-                        Rc::new(Figures::default()),
-                    )))
-                }
-                plain => Mind::Plain(Box::new(Plain::new(plain, site.settings, seed, EARLY))),
-            };
-            let idle = vec![(0, 0); workers.len()];
-            let (wants, zone) = (Rc::new(Wants::default()), scenario.zone_of(me));
-            schedulers.push(Scheduler {
-                mind,
-                wants,
-                wake: None,
-                watching: false,
-                zone,
-                idle,
-            });
-        }
-        let mut ground = Ground {
+        let store = ObjectStore::new(things.map_or(1.0, |t| t.at_once));
+        let store = Arc::new(Mutex::new(store));
+        let workers = new_workers(scenario, &store);
+        let mut simulation = Simulation {
             scenario,
             seed,
-            now: from,
-            seq: 0,
-            queue: BinaryHeap::new(),
-            rng,
-            schedulers,
-            stepped: vec![None; workers.len()],
-            reports: vec![(0, worker::Report::default()); workers.len()],
-            listed: vec![(WorkerState::Active, 0); workers.len()],
-            workers,
-            trips: Vec::new(),
-            free_trips: Vec::new(),
-            tries: FxHashMap::default(),
-            outs: FxHashMap::default(),
-            attempts: FxHashMap::default(),
-            store,
-            fetch,
+            retries,
             knows_all: policy.knows_all(),
+            now: scenario.from(),
+            queue: EventQueue::default(),
+            handled_events: 0,
+            schedulers: new_schedulers(scenario, policy, &mut network_rng)?,
+            network_rng,
+            zone_turns: vec![0; scenario.zones.len()],
+            scheduler_messages: BTreeMap::new(),
+            worker_numbers: (0..scenario.workers()).map(|w| (id(w), w)).collect(),
+            worker_timers: vec![None; workers.len()],
+            load_reports: vec![(0, worker::Report::default()); workers.len()],
+            discovered: vec![DiscoveredWorker::ACTIVE; workers.len()],
+            workers,
+            client_jobs: Vec::new(),
+            free_client_jobs: Vec::new(),
+            requests: FxHashMap::default(),
             next_job: 1,
-            next_ticket: 1,
-            turn: vec![0; scenario.zones.len()],
-            numbers: (0..scenario.workers()).map(|w| (id(w), w)).collect(),
+            runs: FxHashMap::default(),
+            run_ids: FxHashMap::default(),
+            next_run_id: 1,
+            store,
+            fetch_time: things.map_or(0.0, |t| t.fetch * scenario.mean_work() as f64) as Micros,
             service: Service::new(scenario),
             checker: Checker::new(scenario),
-            retries,
-            events: 0,
-            notes: Default::default(),
-            acts: Vec::new(),
-            happened: Vec::new(),
+            action_buffer: Vec::new(),
+            update_buffer: Vec::new(),
         };
-        for (n, trouble) in scenario.troubles.iter().enumerate() {
-            ground.at(from + (trouble.at_s * 1e6) as Micros, Ev::Trouble(n as u32));
-        }
-        for s in 0..scenario.schedulers {
-            let entries = (0..scenario.workers()).map(|w| ground.entry(w)).collect();
-            ground.tell(s, Told::List(Scope::Cached, entries));
-            ground.at(from + WATCH, Ev::Watch(s));
-        }
-        Ok(ground)
+        simulation.schedule_initial_events();
+        Ok(simulation)
     }
 
-    fn at(&mut self, at: Micros, ev: Ev) {
-        self.seq += 1;
-        self.queue.push(Reverse((at, self.seq, ev)));
+    /// The faults of the scenario, and each scheduler's first membership and watch.
+    fn schedule_initial_events(&mut self) {
+        let from = self.now;
+        for (n, fault) in self.scenario.faults.iter().enumerate() {
+            let fault_at = from + (fault.at_s * 1e6) as Micros;
+            self.schedule(fault_at, Event::FaultBegins { fault: n as u32 });
+        }
+        for scheduler in 0..self.scenario.schedulers {
+            let entries = self.membership();
+            self.notify_scheduler(scheduler, Told::List(Scope::Cached, entries));
+            self.schedule(from + WATCH_TIMEOUT, Event::WatchTimeout { scheduler });
+        }
     }
 
-    fn entry(&self, w: u32) -> Entry {
-        let (state, ready_at) = self.listed[w as usize];
-        let (kind, zone) = (self.scenario.kind_of(w) as u32, self.scenario.zone_of(w));
-        Entry {
-            worker: id(w),
-            zone,
-            kind,
-            cell: 0,
-            state,
-            power: 1.0,
-            ready_at,
-        }
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.queue.push(at, event);
     }
 
-    /// A delay on the network.
-    fn delay(&mut self, ms: f64) -> Micros {
-        let jitter = 1.0 + self.scenario.network.jitter * (2.0 * unit(&mut self.rng) - 1.0);
-        (ms * 1e3 * jitter).max(1.0) as Micros
+    /// Draws a delay on the network about a mean in milliseconds.
+    fn network_delay(&mut self, mean_ms: f64) -> Micros {
+        let jitter = 1.0 + self.scenario.network.jitter * (2.0 * unit(&mut self.network_rng) - 1.0);
+        (mean_ms * 1e3 * jitter).max(1.0) as Micros
     }
 
-    fn way(&mut self, scheduler: u32, worker: u32) -> Micros {
-        let same = self.schedulers[scheduler as usize].zone == self.scenario.zone_of(worker);
+    /// Draws the delay of a message between a scheduler and a worker, either way.
+    fn delay_to_worker(&mut self, scheduler: u32, worker: u32) -> Micros {
         let network = &self.scenario.network;
-        let ms = if same {
+        let zone = self.schedulers[scheduler as usize].zone;
+        let mean_ms = if zone == self.scenario.zone_of(worker) {
             network.same_ms
         } else {
             network.cross_ms
         };
-        self.delay(ms)
+        self.network_delay(mean_ms)
     }
 
-    /// Plays arrivals to their end, and everything that follows from them.
+    /// Plays arrivals to their end, and everything that follows from them. `log` takes each request once it has ended,
+    /// `progress` the number of an arrival now and then.
     ///
     /// # Errors
-    /// What an arrival could not be made of.
+    /// An arrival that cannot be read or made.
     pub fn play(
         mut self,
         mut arrivals: impl Iterator<Item = Result<Arrival, String>>,
-        mut log: impl FnMut(Logged<'_>),
+        mut log: impl FnMut(LoggedRequest<'_>),
         mut progress: impl FnMut(u64),
     ) -> Result<Run, String> {
         let mut next = arrivals.next().transpose()?;
         if let Some(first) = &next {
-            self.at(first.at.max(self.now), Ev::Arrives);
+            self.schedule(first.at.max(self.now), Event::Arrival);
         }
-        while let Some(Reverse((at, _, ev))) = self.queue.pop() {
-            // Once there are no jobs left, what recurs by itself goes on for ever.
-            if next.is_none()
-                && self.tries.is_empty()
-                && self.outs.is_empty()
-                && self.all_trips_over()
-            {
+        while let Some((at, event)) = self.queue.pop() {
+            if next.is_none() && self.is_idle() {
                 break;
             }
             self.now = at;
-            self.events += 1;
-            if ev == Ev::Arrives {
-                let Some(arrival) = next.take() else { continue };
-                next = arrivals.next().transpose()?;
-                if let Some(next) = &next {
-                    self.at(next.at.max(self.now), Ev::Arrives);
-                }
-                if arrival.number.is_multiple_of(4096) {
-                    progress(arrival.number);
-                }
-                self.arrives(arrival);
-            } else {
-                self.event(ev, &mut log);
+            self.handled_events += 1;
+            if event != Event::Arrival {
+                self.handle_event(event, &mut log);
+                continue;
+            }
+            let Some(arrival) = next.take() else { continue };
+            next = arrivals.next().transpose()?;
+            if let Some(next) = &next {
+                self.schedule(next.at.max(self.now), Event::Arrival);
             }
+            if arrival.number.is_multiple_of(PROGRESS_INTERVAL) {
+                progress(arrival.number);
+            }
+            self.handle_arrival(arrival);
+        }
+        Ok(self.into_run())
+    }
+
+    /// No job is left. What recurs by itself would go on for ever.
+    fn is_idle(&self) -> bool {
+        self.requests.is_empty() && self.runs.is_empty() && self.all_client_jobs_ended()
+    }
+
+    fn into_run(self) -> Run {
+        let store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
+        Run {
+            outcome: self.service.outcome(),
+            verdict: self.checker.finish(self.now),
+            events: self.handled_events,
+            fetches: store.fetches(),
+            scheduler_messages: self.scheduler_messages,
         }
-        let fetches = self
-            .store
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .fetches();
-        let (outcome, verdict) = (self.service.outcome(), self.checker.finish(self.now));
-        Ok(Run {
-            outcome,
-            verdict,
-            events: self.events,
-            fetches,
-            notes: self.notes,
-        })
     }
 }
+
+fn new_workers(scenario: &Scenario, store: &Arc<Mutex<ObjectStore>>) -> Vec<Worker> {
+    let things = scenario.machines.things.as_ref();
+    let worker = |n| {
+        let cache = things.map(|t| ObjectCache::new(store.clone(), t.kept as usize));
+        let kind = &scenario.kinds[scenario.kind_of(n)];
+        Worker::new(kind, scenario.speed_of(n)).serving(scenario.machines.order, cache)
+    };
+    (0..scenario.workers()).map(worker).collect()
+}
+
+/// Schedulers with seeds of their own out of `rng`.
+fn new_schedulers(
+    scenario: &Scenario,
+    policy: Policy,
+    rng: &mut Pcg64Mcg,
+) -> Result<Vec<Scheduler>, String> {
+    let mut schedulers = Vec::new();
+    for number in 0..scenario.schedulers {
+        let module = scenario.site(number)?.settings;
+        let seed = (unit(rng) * 1e18) as u64;
+        let core = match policy {
+            Policy::Module => {
+                let settings = Settings {
+                    module,
+                    seed,
+                    early: ANSWER_MARGIN,
+                };
+                let metrics = Rc::new(Figures::default());
+                let engine = Engine::new(settings, scenario.from(), metrics);
+                DecisionCore::Engine(Box::new(engine))
+            }
+            baseline => {
+                let scheduler = BaselineScheduler::new(baseline, module, seed, ANSWER_MARGIN);
+                DecisionCore::Baseline(Box::new(scheduler))
+            }
+        };
+        let (zone, workers) = (scenario.zone_of(number), scenario.workers() as usize);
+        schedulers.push(Scheduler::new(core, zone, workers));
+    }
+    Ok(schedulers)
+}
--- a/crates/replay/src/virtual_time/clients.rs
+++ b/crates/replay/src/virtual_time/clients.rs
@@ -1,223 +1,261 @@
-//! Clients: each job over all its tries.
+//! Clients: each job over its first try and all its retries.
 
-use super::*;
+use super::events::Event;
+use super::{LoggedRequest, Retries, Simulation};
+use crate::check::Observation;
+use crate::client::{ClientResponse, next_retry};
+use crate::load::Arrival;
+use crate::scenario::Micros;
+use crate::service::{EndedJob, JobEnd};
+use indigofold::core::JobId;
+use smallvec::SmallVec;
 
-/// A client's job, over all its tries.
-pub(super) struct Trip {
+/// A client's job.
+pub(super) struct ClientJob {
     pub(super) arrival: Arrival,
-    pub(super) over: bool,
-    pub(super) until: Micros,
-    pub(super) open: u32, // tries without an answer, and retries that are still to be sent
-    pub(super) out: SmallVec<[JobId; 2]>, // tries at schedulers
-    pub(super) served: Option<Micros>,
-    pub(super) last: Option<Said>,
-    pub(super) live: bool,
+    pub(super) deadline_at: Micros,
+    over_quota: bool,
+    /// Requests without a response, and retries that are still to be sent.
+    pending: u32,
+    /// Requests that are at schedulers.
+    requests: SmallVec<[JobId; 2]>,
+    last_response: Option<ClientResponse>,
+    /// Its end has not been counted yet.
+    open: bool,
 }
 
-/// One try at a scheduler.
-pub(super) struct Try {
-    pub(super) trip: u32,
-    pub(super) tried: u32,
-    pub(super) scheduler: u32,
-    pub(super) came: Micros,
-    pub(super) done: bool, // answered or gone, as the scheduler knows
+/// One request of a client at a scheduler.
+pub(super) struct ClientRequest {
+    pub(super) client_job: u32,
+    /// 0 for the first try.
+    retry: u32,
+    scheduler: u32,
+    arrived_at: Micros,
+    /// The scheduler has answered it.
+    pub(super) answered: bool,
 }
 
-impl Ground<'_> {
-    pub(super) fn all_trips_over(&self) -> bool {
-        self.free_trips.len() == self.trips.len()
+impl Simulation<'_> {
+    pub(super) fn all_client_jobs_ended(&self) -> bool {
+        self.free_client_jobs.len() == self.client_jobs.len()
     }
 
-    pub(super) fn arrives(&mut self, arrival: Arrival) {
-        let over = self.service.arrives(arrival.at, arrival.parish);
-        let until = arrival.at + arrival.deadline;
+    /// A client has a new job, and sends its first try.
+    pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
+        let over_quota = self.service.record_arrival(arrival.at, arrival.parish);
+        let sent_at = arrival.at;
         let recorded = match self.retries {
             Retries::Recorded => arrival.retries.clone(),
-            _ => Vec::new(),
+            Retries::Model | Retries::None => Vec::new(),
         };
-        let at = arrival.at;
-        let trip = Trip {
+        let slot = self.store_client_job(ClientJob {
+            deadline_at: arrival.at + arrival.deadline,
             arrival,
-            over,
-            until,
-            open: 0,
-            out: SmallVec::new(),
-            served: None,
-            last: None,
-            live: true,
-        };
-        let n = match self.free_trips.pop() {
-            Some(n) => {
-                self.trips[n as usize] = trip;
-                n
+            over_quota,
+            pending: 0,
+            requests: SmallVec::new(),
+            last_response: None,
+            open: true,
+        });
+        for (n, after) in recorded.iter().enumerate() {
+            self.client_jobs[slot as usize].pending += 1; // until the retry is sent
+            let retry = n as u32 + 1;
+            let client_job = slot;
+            self.schedule(sent_at + after, Event::RetryDue { client_job, retry });
+        }
+        self.send_request(slot, 0);
+    }
+
+    /// Puts a job into a free slot.
+    fn store_client_job(&mut self, client_job: ClientJob) -> u32 {
+        match self.free_client_jobs.pop() {
+            Some(slot) => {
+                self.client_jobs[slot as usize] = client_job;
+                slot
             }
             None => {
-                self.trips.push(trip);
-                self.trips.len() as u32 - 1
+                self.client_jobs.push(client_job);
+                self.client_jobs.len() as u32 - 1
             }
-        };
-        for (k, after) in recorded.iter().enumerate() {
-            self.trips[n as usize].open += 1; // kept until it was sent
-            self.at(at + after, Ev::Try(n, k as u32 + 1));
         }
-        self.send(n, 0);
     }
 
-    /// A client sends a try.
-    pub(super) fn send(&mut self, n: u32, tried: u32) {
-        let trip = &mut self.trips[n as usize];
-        trip.open += 1;
-        if tried > 0 {
-            let at = trip.arrival.at;
-            self.service.retried(at);
+    fn send_request(&mut self, slot: u32, retry: u32) {
+        let client_job = &mut self.client_jobs[slot as usize];
+        client_job.pending += 1;
+        let deadline_at = client_job.deadline_at;
+        let (sent_at, number) = (client_job.arrival.at, client_job.arrival.number);
+        let zone = self.scenario.home(client_job.arrival.parish, number);
+        if retry > 0 {
+            self.service.record_retry(sent_at);
         }
-        let trip = &self.trips[n as usize];
-        let (until, number) = (trip.until, trip.arrival.number);
-        let zone = self.scenario.home(trip.arrival.parish, number);
-        let scheduler = self.scheduler_of(zone);
+        let scheduler = self.next_scheduler_in(zone);
         let job = self.next_job;
         self.next_job += 1;
-        let come = self.now + self.delay(self.scenario.network.client_ms);
-        self.trips[n as usize].out.push(job);
-        self.tries.insert(
+        let arrived_at = self.now + self.network_delay(self.scenario.network.client_ms);
+        self.client_jobs[slot as usize].requests.push(job);
+        self.requests.insert(
             job,
-            Try {
-                trip: n,
-                tried,
+            ClientRequest {
+                client_job: slot,
+                retry,
                 scheduler,
-                came: come,
-                done: false,
+                arrived_at,
+                answered: false,
             },
         );
-        self.at(come, Ev::Job(scheduler, job));
-        if tried == 0 {
-            self.at(until, Ev::TimeUp(n, number as u32));
+        self.schedule(arrived_at, Event::RequestAtScheduler { scheduler, job });
+        if retry == 0 {
+            let arrival = number as u32;
+            let client_job = slot;
+            let event = Event::ClientDeadline {
+                client_job,
+                arrival,
+            };
+            self.schedule(deadline_at, event);
+        }
+    }
+
+    pub(super) fn handle_retry_due(&mut self, slot: u32, retry: u32) {
+        let client_job = &mut self.client_jobs[slot as usize];
+        client_job.pending -= 1;
+        if client_job.open && self.now < client_job.deadline_at {
+            self.send_request(slot, retry);
+        } else {
+            self.end_if_idle(slot);
         }
     }
 
-    pub(super) fn answer_comes(
+    /// A response has reached its client: the job ends, or a retry follows.
+    pub(super) fn handle_response(
         &mut self,
         job: JobId,
-        status: u8,
-        after: Micros,
-        log: &mut impl FnMut(Logged<'_>),
+        response: ClientResponse,
+        log: &mut impl FnMut(LoggedRequest<'_>),
     ) {
-        let Some(t) = self.tries.remove(&job) else {
+        let Some(request) = self.requests.remove(&job) else {
             return;
         };
-        let n = t.trip;
-        let said = [Said::Served, Said::Refused(after), Said::Failed][status as usize];
-        let client = (self.scenario.network.client_ms * 1e3) as Micros;
-        let trip = &mut self.trips[n as usize];
-        trip.open -= 1;
-        trip.out.retain(|other| *other != job);
-        log(Logged {
-            arrival: &trip.arrival,
-            tried: t.tried,
-            scheduler: t.scheduler,
-            from: t.came,
-            to: self.now.saturating_sub(client).max(t.came),
-            status: Some([200, 503, 500][status as usize]),
+        let slot = request.client_job;
+        let network_us = (self.scenario.network.client_ms * 1e3) as Micros;
+        let client_job = &mut self.client_jobs[slot as usize];
+        client_job.pending -= 1;
+        client_job.requests.retain(|other| *other != job);
+        log(LoggedRequest {
+            arrival: &client_job.arrival,
+            retry: request.retry,
+            scheduler: request.scheduler,
+            from: request.arrived_at,
+            to: self.now.saturating_sub(network_us).max(request.arrived_at),
+            status: Some(response.http_status()),
         });
-        if !trip.live {
-            return self.perhaps_over(n);
+        if !client_job.open {
+            return self.end_if_idle(slot);
         }
-        trip.last = Some(said);
-        if said == Said::Served {
-            trip.served = Some(self.now);
-            return self.over(n, End::Served(self.now));
+        client_job.last_response = Some(response);
+        if response == ClientResponse::Served {
+            return self.end_client_job(slot, JobEnd::Served(self.now));
         }
-        let effect = self.scenario.classes[trip.arrival.class as usize].effect;
-        let (number, until) = (trip.arrival.number, trip.until);
+        self.retry_or_end(slot, request.retry, response);
+    }
+
+    /// Schedules the retry that follows an unsuccessful response, or ends a job that waits for nothing more.
+    fn retry_or_end(&mut self, slot: u32, retry: u32, response: ClientResponse) {
+        let client_job = &mut self.client_jobs[slot as usize];
+        let arrival = &client_job.arrival;
         let next = match self.retries {
-            Retries::Model => again(
+            Retries::Model => next_retry(
                 &self.scenario.clients,
-                effect,
-                said,
-                (self.seed, number),
-                t.tried,
+                self.scenario.classes[arrival.class as usize].effect,
+                response,
+                (self.seed, arrival.number),
+                retry,
                 self.now,
-                until,
+                client_job.deadline_at,
             ),
-            _ => None,
+            Retries::Recorded | Retries::None => None,
         };
-        match next {
-            Some(at) => {
-                trip.open += 1; // given back once it is sent
-                self.at(at, Ev::Try(n, t.tried + 1));
-            }
-            None if trip.open == 0 => {
-                let end = if matches!(said, Said::Refused(_)) {
-                    End::Refused(self.now)
-                } else {
-                    End::Failed(self.now)
-                };
-                self.over(n, end);
-            }
-            None => {}
+        if let Some(at) = next {
+            client_job.pending += 1; // until the retry is sent
+            let event = Event::RetryDue {
+                client_job: slot,
+                retry: retry + 1,
+            };
+            self.schedule(at, event);
+        } else if client_job.pending == 0 {
+            self.end_client_job(slot, response.end_at(self.now));
         }
     }
 
-    /// A client's time is up: it leaves with all its tries.
-    pub(super) fn time_up(&mut self, n: u32, log: &mut impl FnMut(Logged<'_>)) {
-        for job in std::mem::take(&mut self.trips[n as usize].out) {
-            let Some(t) = self.tries.remove(&job) else {
+    /// The deadline of a client's job has come. Slots are used again: the event may be of an earlier job.
+    pub(super) fn handle_client_deadline(
+        &mut self,
+        slot: u32,
+        arrival: u32,
+        log: &mut impl FnMut(LoggedRequest<'_>),
+    ) {
+        let client_job = &self.client_jobs[slot as usize];
+        if client_job.open
+            && client_job.arrival.number as u32 == arrival
+            && client_job.deadline_at == self.now
+        {
+            self.abandon_requests(slot, log);
+        }
+    }
+
+    /// A client leaves with all its requests.
+    fn abandon_requests(&mut self, slot: u32, log: &mut impl FnMut(LoggedRequest<'_>)) {
+        for job in std::mem::take(&mut self.client_jobs[slot as usize].requests) {
+            let Some(request) = self.requests.remove(&job) else {
                 continue;
             };
-            let trip = &mut self.trips[n as usize];
-            trip.open -= 1;
-            if !t.done {
-                self.checker.see(Seen::Gone { job });
-                let way = (self.scenario.network.client_ms * 1e3) as Micros;
-                self.at(self.now + way, Ev::Gone(t.scheduler, job));
+            self.client_jobs[slot as usize].pending -= 1;
+            if !request.answered {
+                self.checker.observe(Observation::ClientLeft { job });
+                let network_us = (self.scenario.network.client_ms * 1e3) as Micros;
+                let scheduler = request.scheduler;
+                let event = Event::ClientLeft { scheduler, job };
+                self.schedule(self.now + network_us, event);
             }
-            let (arrival, status) = (&self.trips[n as usize].arrival, None);
-            let to = self.now.max(t.came);
-            log(Logged {
-                arrival,
-                tried: t.tried,
-                scheduler: t.scheduler,
-                from: t.came,
-                to,
-                status,
+            log(LoggedRequest {
+                arrival: &self.client_jobs[slot as usize].arrival,
+                retry: request.retry,
+                scheduler: request.scheduler,
+                from: request.arrived_at,
+                to: self.now.max(request.arrived_at),
+                status: None,
             });
         }
-        self.over(n, End::Late(self.now));
+        self.end_client_job(slot, JobEnd::DeadlinePassed(self.now));
     }
 
-    pub(super) fn over(&mut self, n: u32, end: End) {
-        let trip = &mut self.trips[n as usize];
-        if !std::mem::take(&mut trip.live) {
+    /// Counts the end of a job, once.
+    fn end_client_job(&mut self, slot: u32, end: JobEnd) {
+        let client_job = &mut self.client_jobs[slot as usize];
+        if !std::mem::take(&mut client_job.open) {
             return;
         }
-        let a = &trip.arrival;
-        let work = a.work * u64::from(a.slots);
-        let job = Counted {
-            class: a.class,
-            parish: a.parish,
-            at: a.at,
-            work,
-            over: trip.over,
-        };
-        let own = a.work;
-        self.service.ended(self.scenario, job, end, own);
-        self.perhaps_over(n);
+        let job = EndedJob::new(&client_job.arrival, client_job.over_quota);
+        self.service.record_end(self.scenario, job, end);
+        self.end_if_idle(slot);
     }
 
-    /// A trip's place is free once nothing more comes of it.
-    pub(super) fn perhaps_over(&mut self, n: u32) {
-        let trip = &self.trips[n as usize];
-        if trip.open > 0 {
+    /// Frees the slot of a job of which nothing more comes.
+    fn end_if_idle(&mut self, slot: u32) {
+        let client_job = &self.client_jobs[slot as usize];
+        if client_job.pending > 0 {
             return;
         }
-        if trip.live {
-            // All recorded tries are over, and none was served.
-            let end = match trip.last {
-                Some(Said::Refused(_)) => End::Refused(self.now),
-                _ => End::Failed(self.now),
+        if client_job.open {
+            // All recorded retries have ended, and none was served.
+            let end = match client_job.last_response {
+                Some(ClientResponse::Refused(_)) => JobEnd::Refused(self.now),
+                Some(ClientResponse::Served | ClientResponse::Failed) | None => {
+                    JobEnd::Failed(self.now)
+                }
             };
-            return self.over(n, end);
+            return self.end_client_job(slot, end);
         }
-        self.free_trips.push(n);
+        self.free_client_jobs.push(slot);
     }
 }
--- a/crates/replay/src/virtual_time/events.rs
+++ b/crates/replay/src/virtual_time/events.rs
@@ -1,247 +1,113 @@
-//! What happens, and what comes of it.
+//! The events of a simulation, and which part handles each.
 
-use super::*;
+use super::{LoggedRequest, Simulation};
+use crate::client::ClientResponse;
+use crate::scenario::Micros;
+use crate::worker::{self, RunId};
+use indigofold::api::{Status, WorkerState};
+use indigofold::core::JobId;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Ev {
-    Arrives,
-    Try(u32, u32),
-    Job(u32, JobId),
-    Wake(u32),
-    Arrive(Ticket),
-    Refused(Ticket, u8),
-    Taken(Ticket),
-    Unheard(Ticket),
-    Work(u32),
-    News(Ticket, u32),
-    Answer(JobId, u8, Micros),
-    TimeUp(u32, u32),
-    Gone(u32, JobId),
-    ProbeAt(u32, u32),
-    Probed(u32, u32, bool),
-    Lists(u32),
-    Watch(u32),
-    Notice(u32, u8, Micros),
-    Trouble(u32),
-    Over(u32),
-    Pause(u32),
-    Warm(u32),
-    GiveUp(Ticket),
+/// Something that happens at a time. Schedulers, workers and faults are numbers from 0, client jobs are slots.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Event {
+    /// The next first try of the load is sent.
+    Arrival,
+    /// A client sends a retry, unless its job has ended.
+    RetryDue { client_job: u32, retry: u32 },
+    /// A request has reached its scheduler.
+    RequestAtScheduler { scheduler: u32, job: JobId },
+    /// A scheduler is due to be stepped.
+    SchedulerTimer { scheduler: u32 },
+    /// An attempt has reached its worker.
+    AttemptAtWorker(RunId),
+    /// A scheduler learns that an attempt was rejected, or had no connection.
+    AttemptRejected { run: RunId, status: Status },
+    /// A scheduler learns that a worker has accepted an attempt.
+    AttemptAccepted(RunId),
+    /// A worker should have acknowledged an attempt by now.
+    AcknowledgementTimeout(RunId),
+    /// A worker learns that an attempt was cancelled.
+    CancelAtWorker(RunId),
+    /// A worker is due to be stepped.
+    WorkerTimer { worker: u32 },
+    /// A scheduler learns what happened to a run.
+    WorkerUpdate(worker::Event),
+    /// A response has reached its client.
+    ResponseAtClient {
+        job: JobId,
+        response: ClientResponse,
+    },
+    /// A client stops waiting; `arrival` is the low part of its job's number, since slots are used again.
+    ClientDeadline { client_job: u32, arrival: u32 },
+    /// A scheduler learns that a client no longer waits.
+    ClientLeft { scheduler: u32, job: JobId },
+    /// A probe has reached its worker.
+    ProbeAtWorker { scheduler: u32, worker: u32 },
+    /// The answer of a probe is back, or its time-out is over.
+    ProbeResult {
+        scheduler: u32,
+        worker: u32,
+        answered: bool,
+    },
+    /// A scheduler receives the whole membership.
+    MembershipResponse { scheduler: u32 },
+    /// A watch of discovery returns empty.
+    WatchTimeout { scheduler: u32 },
+    /// Discovery learns of a change; `started_at` is when the process started, 0 for long ago.
+    DiscoveryChange {
+        worker: u32,
+        state: WorkerState,
+        started_at: Micros,
+    },
+    /// A fault of the scenario begins.
+    FaultBegins { fault: u32 },
+    /// A fault of the scenario ends.
+    FaultEnds { fault: u32 },
+    /// Workers with a recurring stall stop for a while.
+    StallDue { fault: u32 },
+    /// The checkers learn how warm a worker is.
+    WarmUpCheck { worker: u32 },
 }
 
-/// Kinds of news, in the low byte; a share in the rest.
-pub(super) const STARTED: u32 = 0;
-pub(super) const DONE: u32 = 1;
-pub(super) const RETURNED: u32 = 2;
-pub(super) const LOST: u32 = 3;
-pub(super) const PROGRESS: u32 = 4;
-
-impl Ground<'_> {
-    pub(super) fn event(&mut self, ev: Ev, log: &mut impl FnMut(Logged<'_>)) {
-        let now = self.now;
-        match ev {
-            Ev::Arrives => {}
-            Ev::Try(n, tried) => {
-                let trip = &mut self.trips[n as usize];
-                trip.open -= 1;
-                if trip.live && trip.served.is_none() && now < trip.until {
-                    self.send(n, tried);
-                } else {
-                    self.perhaps_over(n);
-                }
-            }
-            Ev::Job(s, job) => {
-                let Some(t) = self.tries.get(&job) else {
-                    return;
-                };
-                let trip = &self.trips[t.trip as usize];
-                let a = &trip.arrival;
-                let tenant = a.parish.unwrap_or(u32::MAX);
-                // A client counts from when it sent the try.
-                let until = trip.until;
-                let request = Request {
-                    id: job,
-                    class: a.class,
-                    tenant,
-                    left: until.saturating_sub(now),
-                    estimate: None,
-                    slots: f64::from(a.slots),
-                    memory: 0.0,
-                    // Where nothing is kept, the module is not told: it would only learn that there are no fetches.
-                    subject: self
-                        .scenario
-                        .machines
-                        .things
-                        .as_ref()
-                        .and_then(|_| subject(&a.subject)),
-                };
-                self.checker.see(Seen::Taken {
-                    job,
-                    class: a.class,
-                    at: now,
-                    until,
-                });
-                self.tell(s, Told::Job(request, until, Reply::Transport));
-            }
-            Ev::Wake(s) => {
-                let scheduler = &mut self.schedulers[s as usize];
-                if scheduler.wake != Some(now) {
-                    return; // it was woken earlier
-                }
-                scheduler.wake = None;
-                let wants = scheduler.wants.clone();
-                scheduler.mind.step(now, &wants);
-                self.carry_out(s);
-            }
-            Ev::Arrive(ticket) => self.attempt_arrives(ticket),
-            Ev::Refused(ticket, why) => {
-                let status = [Status::Full, Status::ConnectFailed, Status::Reset][why as usize];
-                self.ended(ticket, status, true);
-            }
-            Ev::Taken(ticket) => {
-                let Some(out) = self.outs.get_mut(&ticket) else {
-                    return;
-                };
-                out.heard = true;
-                let (s, w) = (out.scheduler, out.worker);
-                let idle = &mut self.schedulers[s as usize].idle[w as usize];
-                *idle = ((idle.0 + 1).min(16), now);
-            }
-            Ev::Unheard(ticket) => {
-                if let Some(out) = self.outs.get(&ticket).filter(|o| !o.heard && !o.ended) {
-                    let (s, id) = (
-                        out.scheduler,
-                        AttemptId {
-                            job: out.job,
-                            number: out.number,
-                        },
-                    );
-                    self.tell(s, Told::Unheard(id));
-                }
-            }
-            Ev::GiveUp(ticket) => {
-                if let Some(out) = self.outs.remove(&ticket) {
-                    self.workers[out.worker as usize].give_up(now, ticket);
-                    self.step_worker(out.worker);
-                }
-            }
-            Ev::Work(w) => {
-                if self.stepped[w as usize] == Some(now) {
-                    self.stepped[w as usize] = None;
-                    self.step_worker(w);
-                }
-            }
-            Ev::News(ticket, news) => {
-                let Some(out) = self.outs.get_mut(&ticket) else {
-                    return;
-                };
-                out.heard = true;
-                let (s, id) = (
-                    out.scheduler,
-                    AttemptId {
-                        job: out.job,
-                        number: out.number,
-                    },
-                );
-                match news & 0xff {
-                    STARTED => self.tell(s, Told::Started(id)),
-                    DONE => self.ended(ticket, Status::Ok, true),
-                    RETURNED => self.ended(ticket, Status::Full, true),
-                    LOST => self.ended(ticket, Status::Reset, true),
-                    _ => self.tell(s, Told::Progress(id, f64::from(news >> 8) / 1000.0)),
-                }
-            }
-            Ev::Answer(job, status, after) => self.answer_comes(job, status, after, log),
-            Ev::TimeUp(n, number) => {
-                let trip = &self.trips[n as usize];
-                if trip.live
-                    && trip.arrival.number as u32 == number
-                    && trip.arrival.at + trip.arrival.deadline == now
-                {
-                    self.time_up(n, log);
-                }
-            }
-            Ev::Gone(s, job) => self.tell(s, Told::Gone(job)),
-            Ev::ProbeAt(s, w) => {
-                let worker = &self.workers[w as usize];
-                let dead = !worker.up() || worker.still(now);
-                let back = if dead { PROBE } else { self.way(s, w) };
-                self.at(now + back, Ev::Probed(s, w, !dead));
-            }
-            Ev::Probed(s, w, good) => {
-                let report = &mut self.reports[w as usize];
-                if now > report.0 + REPORT {
-                    *report = (now, self.workers[w as usize].report());
-                }
-                let r = report.1;
-                let load = Load {
-                    inflight: Some(f64::from(r.inflight)),
-                    queue: Some(f64::from(r.queue)),
-                    free_slots: Some(f64::from(r.free)),
-                    ..Load::default()
-                };
-                let status = if good { Status::Ok } else { Status::Timeout };
-                self.tell(s, Told::Probed(id(w), status, good.then_some(load)));
-            }
-            Ev::Lists(s) => {
-                let entries: Vec<Entry> = (0..self.workers.len() as u32)
-                    .map(|w| self.entry(w))
-                    .collect();
-                for w in 0..self.workers.len() as u32 {
-                    self.told_of(s, w);
-                }
-                self.tell(s, Told::List(Scope::Full, entries));
-            }
-            Ev::Watch(s) => {
-                if self.schedulers[s as usize].watching {
-                    self.tell(s, Told::List(Scope::Delta, Vec::new()));
-                }
-                self.at(now + WATCH, Ev::Watch(s));
-            }
-            Ev::Notice(w, state, born) => {
-                let state = [
-                    WorkerState::Active,
-                    WorkerState::Draining,
-                    WorkerState::Left,
-                ][state as usize];
-                self.listed[w as usize] = (state, born);
-                for s in 0..self.scenario.schedulers {
-                    if self.schedulers[s as usize].watching {
-                        self.told_of(s, w);
-                        let entry = self.entry(w);
-                        self.tell(s, Told::List(Scope::Delta, vec![entry]));
-                    }
-                }
-            }
-            Ev::Trouble(n) => self.trouble(n),
-            Ev::Over(n) => self.trouble_over(n),
-            Ev::Pause(n) => {
-                let trouble = &self.scenario.troubles[n as usize];
-                let end = self.scenario.from() + ((trouble.at_s + trouble.for_s) * 1e6) as Micros;
-                if let What::Pauses { ms, every_ms } = trouble.what
-                    && now < end
-                {
-                    for w in &trouble.workers {
-                        self.workers[*w as usize].stand_still(now, now + (ms * 1e3) as Micros);
-                        self.wake_worker(*w);
-                    }
-                    self.at(now + (every_ms.max(1.0) * 1e3) as Micros, Ev::Pause(n));
-                }
-            }
-            Ev::Warm(w) => {
-                let worker = &self.workers[w as usize];
-                let (warmth, capacity) = (worker.warmth(now), worker.capacity(now));
-                if !worker.up() || warmth >= 1.0 {
-                    self.checker.see(Seen::Warm { worker: w });
-                } else {
-                    self.checker.see(Seen::Cold {
-                        worker: w,
-                        at: now,
-                        capacity,
-                    });
-                    self.at(now + 100_000, Ev::Warm(w));
-                }
-            }
+impl Simulation<'_> {
+    /// Handles one event other than an arrival. `log` takes each request once it has ended.
+    pub(super) fn handle_event(&mut self, event: Event, log: &mut impl FnMut(LoggedRequest<'_>)) {
+        match event {
+            // The load is read where the loop runs.
+            Event::Arrival => {}
+            Event::RetryDue { client_job, retry } => self.handle_retry_due(client_job, retry),
+            Event::RequestAtScheduler { scheduler, job } => self.handle_request(scheduler, job),
+            Event::SchedulerTimer { scheduler } => self.handle_scheduler_timer(scheduler),
+            Event::AttemptAtWorker(run) => self.handle_attempt(run),
+            Event::AttemptRejected { run, status } => self.end_attempt(run, status),
+            Event::AttemptAccepted(run) => self.handle_acceptance(run),
+            Event::AcknowledgementTimeout(run) => self.handle_acknowledgement_timeout(run),
+            Event::CancelAtWorker(run) => self.handle_cancellation(run),
+            Event::WorkerTimer { worker } => self.handle_worker_timer(worker),
+            Event::WorkerUpdate(update) => self.handle_worker_update(update),
+            Event::ResponseAtClient { job, response } => self.handle_response(job, response, log),
+            Event::ClientDeadline {
+                client_job,
+                arrival,
+            } => self.handle_client_deadline(client_job, arrival, log),
+            Event::ClientLeft { scheduler, job } => self.handle_client_left(scheduler, job),
+            Event::ProbeAtWorker { scheduler, worker } => self.handle_probe(scheduler, worker),
+            Event::ProbeResult {
+                scheduler,
+                worker,
+                answered,
+            } => self.handle_probe_result(scheduler, worker, answered),
+            Event::MembershipResponse { scheduler } => self.handle_membership_response(scheduler),
+            Event::WatchTimeout { scheduler } => self.handle_watch_timeout(scheduler),
+            Event::DiscoveryChange {
+                worker,
+                state,
+                started_at,
+            } => self.handle_discovery_change(worker, state, started_at),
+            Event::FaultBegins { fault } => self.begin_fault(fault),
+            Event::FaultEnds { fault } => self.end_fault(fault),
+            Event::StallDue { fault } => self.stall_workers(fault),
+            Event::WarmUpCheck { worker } => self.check_warm_up(worker),
         }
     }
 }
--- a/crates/replay/src/virtual_time/schedulers.rs
+++ b/crates/replay/src/virtual_time/schedulers.rs
@@ -1,295 +1,464 @@
-//! Schedulers in virtual time: what decides, what it asks for, and how that is carried out.
+//! Schedulers: the inputs that each receives, and how the actions that it decides on are carried out.
 
-use super::*;
+use super::events::Event;
+use super::{ACKNOWLEDGEMENT_TIMEOUT, RunInProgress, Simulation};
+use crate::baseline::BaselineScheduler;
+use crate::check::Observation;
+use crate::client::ClientResponse;
+use crate::scenario::Micros;
+use crate::worker::{self, RunId, id};
+use indigofold::api::{Load, Request, Status, WorkerId};
+use indigofold::config::subject;
+use indigofold::core::engine::Engine;
+use indigofold::core::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
+use std::cell::RefCell;
+use std::rc::Rc;
 
-/// What a scheduler's engine wants done.
-pub(super) enum Act {
-    Send(Attempt),
-    GiveUp(AttemptId),
+/// An idle connection is not used again after this time, in microseconds.
+const IDLE_CONNECTION_TIMEOUT: Micros = 3_000_000;
+/// Idle connections that a scheduler keeps to one worker.
+const MAX_IDLE_CONNECTIONS: u32 = 16;
+
+/// Something that a scheduler wants done.
+pub(super) enum Action {
+    SendAttempt(Attempt),
+    CancelAttempt(AttemptId),
     Probe(WorkerId),
-    Ask(Ask),
+    CallDiscovery(Ask),
     Answer(JobId, Answer),
-    Note(String),
+    Log(String),
 }
 
+/// Collects the actions of a scheduler while it handles an input.
 #[derive(Default)]
-pub(super) struct Wants(pub(super) RefCell<Vec<Act>>);
+pub(super) struct PendingActions(RefCell<Vec<Action>>);
 
-impl Transport for Wants {
+impl PendingActions {
+    fn push(&self, action: Action) {
+        self.0.borrow_mut().push(action);
+    }
+}
+
+impl Transport for PendingActions {
     fn send(&self, attempt: Attempt) -> bool {
-        self.0.borrow_mut().push(Act::Send(attempt));
+        self.push(Action::SendAttempt(attempt));
         true
     }
     fn give_up(&self, attempt: AttemptId, _: WorkerId) -> GivenUp {
-        self.0.borrow_mut().push(Act::GiveUp(attempt));
+        self.push(Action::CancelAttempt(attempt));
         GivenUp::Done
     }
-    fn probe(&self, machine: WorkerId) -> bool {
-        self.0.borrow_mut().push(Act::Probe(machine));
+    fn probe(&self, worker: WorkerId) -> bool {
+        self.push(Action::Probe(worker));
         true
     }
     fn hang_up(&self, _: WorkerId) {}
-    fn ask(&self, what: Ask) -> bool {
-        self.0.borrow_mut().push(Act::Ask(what));
+    fn ask(&self, request: Ask) -> bool {
+        self.push(Action::CallDiscovery(request));
         true
     }
     fn answer(&self, job: JobId, answer: Answer) {
-        self.0.borrow_mut().push(Act::Answer(job, answer));
+        self.push(Action::Answer(job, answer));
     }
     fn forget(&self, _: JobId) {}
     fn note(&self, text: &str) {
-        self.0.borrow_mut().push(Act::Note(text.to_string()));
+        self.push(Action::Log(text.to_string()));
     }
 }
 
-/// What decides: the program's engine, or a plain rule.
-pub(super) enum Mind {
+/// What decides: the program's engine, or a baseline policy.
+pub(super) enum DecisionCore {
     Engine(Box<Engine>),
-    Plain(Box<Plain>),
+    Baseline(Box<BaselineScheduler>),
 }
 
-impl Mind {
-    pub(super) fn told(&mut self, now: Micros, told: Told, transport: &Wants) {
+impl DecisionCore {
+    fn handle(&mut self, now: Micros, input: Told, transport: &PendingActions) {
         match self {
-            Mind::Engine(engine) => engine.told(now, told, transport),
-            Mind::Plain(plain) => plain.told(now, told, transport),
+            DecisionCore::Engine(engine) => engine.told(now, input, transport),
+            DecisionCore::Baseline(baseline) => baseline.handle(now, input, transport),
         }
     }
 
-    pub(super) fn step(&mut self, now: Micros, transport: &Wants) {
+    fn step(&mut self, now: Micros, transport: &PendingActions) {
         match self {
-            Mind::Engine(engine) => engine.step(now, transport),
-            Mind::Plain(plain) => plain.step(now, transport),
+            DecisionCore::Engine(engine) => engine.step(now, transport),
+            DecisionCore::Baseline(baseline) => baseline.step(now, transport),
         }
     }
 
-    pub(super) fn due(&self) -> Option<Micros> {
+    fn due(&self) -> Option<Micros> {
         match self {
-            Mind::Engine(engine) => engine.due(),
-            Mind::Plain(plain) => plain.due(),
+            DecisionCore::Engine(engine) => engine.due(),
+            DecisionCore::Baseline(baseline) => baseline.due(),
+        }
+    }
+}
+
+/// The idle connections of a scheduler to one worker.
+#[derive(Clone, Copy, Default)]
+struct IdleConnections {
+    count: u32,
+    last_used: Micros,
+}
+
+impl IdleConnections {
+    /// Takes a connection for an attempt; false where a new one must be made.
+    fn take(&mut self, now: Micros) -> bool {
+        if now > self.last_used + IDLE_CONNECTION_TIMEOUT {
+            self.count = 0;
         }
+        let reused = self.count > 0;
+        self.count = self.count.saturating_sub(1);
+        self.last_used = now;
+        reused
+    }
+
+    /// A connection is idle again.
+    fn put_back(&mut self, now: Micros) {
+        self.count = (self.count + 1).min(MAX_IDLE_CONNECTIONS);
+        self.last_used = now;
     }
 }
 
+/// A scheduler.
 pub(super) struct Scheduler {
-    pub(super) mind: Mind,
-    pub(super) wants: Rc<Wants>,
-    pub(super) wake: Option<Micros>,
-    pub(super) watching: bool,
     pub(super) zone: u32,
-    /// Idle connections to each job worker, and when the last was used.
-    pub(super) idle: Vec<(u32, Micros)>,
+    /// It has a watch of discovery open.
+    pub(super) watching: bool,
+    core: DecisionCore,
+    pending_actions: Rc<PendingActions>,
+    /// When its next timer event is due.
+    timer_at: Option<Micros>,
+    /// By worker.
+    idle_connections: Vec<IdleConnections>,
+}
+
+impl Scheduler {
+    pub(super) fn new(core: DecisionCore, zone: u32, workers: usize) -> Self {
+        Scheduler {
+            zone,
+            watching: false,
+            core,
+            pending_actions: Rc::default(),
+            timer_at: None,
+            idle_connections: vec![IdleConnections::default(); workers],
+        }
+    }
+
+    /// The process behind the connections has died.
+    pub(super) fn drop_connections(&mut self, worker: u32) {
+        self.idle_connections[worker as usize].count = 0;
+    }
 }
 
-impl Ground<'_> {
-    /// A zone's schedulers in turn; where it has none, all are.
-    pub(super) fn scheduler_of(&mut self, zone: u32) -> u32 {
-        let turn = &mut self.turn[zone as usize];
+impl Simulation<'_> {
+    /// The scheduler that the next request of a zone's clients goes to.
+    pub(super) fn next_scheduler_in(&mut self, zone: u32) -> u32 {
+        let turn = &mut self.zone_turns[zone as usize];
         *turn += 1;
         self.scenario.scheduler_of(zone, *turn)
     }
 
-    /// Where a job would end first, for who knows all.
-    pub(super) fn best_for(&self, told: &Told) -> Option<WorkerId> {
-        let job = match told {
+    /// Hands an input to a scheduler.
+    pub(super) fn notify_scheduler(&mut self, scheduler: u32, input: Told) {
+        let best = if self.knows_all {
+            self.best_worker_for(&input)
+        } else {
+            None
+        };
+        let target = &mut self.schedulers[scheduler as usize];
+        if let DecisionCore::Baseline(baseline) = &mut target.core {
+            baseline.best = best;
+        }
+        let transport = target.pending_actions.clone();
+        target.core.handle(self.now, input, &transport);
+        self.perform_actions(scheduler);
+    }
+
+    /// The worker at which the job of an input would end first, by the true state of all.
+    fn best_worker_for(&self, input: &Told) -> Option<WorkerId> {
+        let job = match input {
             Told::Job(request, ..) => request.id,
             Told::Ended(attempt, ..) => attempt.job,
             _ => return None,
         };
-        let asks = self.asks(job)?;
-        // What is on its way to a worker counts as well: it is there before this one.
-        let mut coming = vec![0.0; self.workers.len()];
-        for out in self.outs.values().filter(|o| !o.heard && !o.ended) {
-            coming[out.worker as usize] += (out.asks.work * u64::from(out.asks.slots)) as f64;
+        let work_item = self.work_item(job)?;
+        // What is on its way to a worker counts as well: it arrives before this one.
+        let mut in_transit = vec![0.0; self.workers.len()];
+        for run in self.runs.values().filter(|run| !run.acknowledged) {
+            in_transit[run.worker as usize] += run.work_item.total_work() as f64;
         }
         let end = |w: usize| {
             let worker = &self.workers[w];
-            Some(worker.would_end(self.now, &asks)? + coming[w] / worker.capacity(self.now))
+            let queued = in_transit[w] / worker.capacity(self.now);
+            Some(worker.would_end(self.now, &work_item)? + queued)
         };
         let ends = (0..self.workers.len()).filter_map(|w| Some((end(w)?, w)));
         ends.min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, w)| id(w as u32))
     }
 
-    /// What a job asks of a job worker.
-    pub(super) fn asks(&self, job: JobId) -> Option<worker::Job> {
-        let arrival = &self.trips[self.tries.get(&job)?.trip as usize].arrival;
+    /// A job as workers receive it, without a run id.
+    fn work_item(&self, job: JobId) -> Option<worker::Job> {
+        let client_job = self.requests.get(&job)?.client_job;
+        let arrival = &self.client_jobs[client_job as usize].arrival;
         let things = self.scenario.machines.things.as_ref();
         let thing = things
             .and_then(|_| subject(&arrival.subject))
-            .map(|s| (s, self.fetch));
-        let priority = self.scenario.classes[arrival.class as usize].priority;
+            .map(|s| (s, self.fetch_time));
         Some(worker::Job {
-            ticket: 0,
+            run_id: 0,
             work: arrival.work,
             slots: arrival.slots,
-            priority,
+            priority: self.scenario.classes[arrival.class as usize].priority,
             thing,
         })
     }
 
-    pub(super) fn tell(&mut self, s: u32, told: Told) {
-        let best = if self.knows_all {
-            self.best_for(&told)
-        } else {
-            None
+    /// A request has reached its scheduler.
+    pub(super) fn handle_request(&mut self, scheduler: u32, job: JobId) {
+        let Some(request) = self.requests.get(&job) else {
+            return;
+        };
+        let client_job = &self.client_jobs[request.client_job as usize];
+        let arrival = &client_job.arrival;
+        // A client counts from when it sent the request.
+        let until = client_job.deadline_at;
+        // Where nothing is cached, a subject would only teach the module that there are no fetches.
+        let things = self.scenario.machines.things.as_ref();
+        let request = Request {
+            id: job,
+            class: arrival.class,
+            tenant: arrival.parish.unwrap_or(u32::MAX),
+            left: until.saturating_sub(self.now),
+            estimate: None,
+            slots: f64::from(arrival.slots),
+            memory: 0.0,
+            subject: things.and_then(|_| subject(&arrival.subject)),
         };
-        if let Mind::Plain(plain) = &mut self.schedulers[s as usize].mind {
-            plain.best = best;
+        self.checker.observe(Observation::RequestAccepted {
+            job,
+            class: arrival.class,
+            at: self.now,
+            until,
+        });
+        self.notify_scheduler(scheduler, Told::Job(request, until, Reply::Transport));
+    }
+
+    pub(super) fn handle_client_left(&mut self, scheduler: u32, job: JobId) {
+        self.notify_scheduler(scheduler, Told::Gone(job));
+    }
+
+    pub(super) fn handle_scheduler_timer(&mut self, scheduler: u32) {
+        let target = &mut self.schedulers[scheduler as usize];
+        if target.timer_at != Some(self.now) {
+            return; // an earlier timer has replaced this one
         }
-        let scheduler = &mut self.schedulers[s as usize];
-        let wants = scheduler.wants.clone();
-        scheduler.mind.told(self.now, told, &wants);
-        self.carry_out(s);
-    }
-
-    /// Does what a scheduler wants, and sees to it that it is woken.
-    pub(super) fn carry_out(&mut self, s: u32) {
-        let mut acts = std::mem::take(&mut self.acts);
-        std::mem::swap(
-            &mut acts,
-            &mut self.schedulers[s as usize].wants.0.borrow_mut(),
-        );
-        for act in acts.drain(..) {
-            match act {
-                Act::Send(attempt) => self.carry(s, attempt),
-                Act::GiveUp(attempt) => self.give_up(s, attempt),
-                Act::Probe(worker) => {
-                    self.service.probe();
-                    let Some(w) = self.numbers.get(&worker).copied() else {
-                        continue;
-                    };
-                    let way = self.way(s, w);
-                    self.at(self.now + way, Ev::ProbeAt(s, w));
-                }
-                Act::Ask(Ask::Watch(on)) => {
-                    self.schedulers[s as usize].watching = on;
-                    if on {
-                        self.call_discovery(s);
-                    }
-                }
-                Act::Ask(Ask::Whole) => self.call_discovery(s),
-                Act::Answer(job, answer) => self.answered(job, answer),
-                Act::Note(text) => {
-                    let plain: String = text.chars().filter(|c| !c.is_ascii_digit()).collect();
-                    *self.notes.entry(plain).or_default() += 1;
+        target.timer_at = None;
+        let transport = target.pending_actions.clone();
+        target.core.step(self.now, &transport);
+        self.perform_actions(scheduler);
+    }
+
+    /// Carries out what a scheduler has decided, and sets its timer.
+    fn perform_actions(&mut self, scheduler: u32) {
+        let mut actions = std::mem::take(&mut self.action_buffer);
+        let pending = &self.schedulers[scheduler as usize].pending_actions;
+        std::mem::swap(&mut actions, &mut pending.0.borrow_mut());
+        for action in actions.drain(..) {
+            self.perform(scheduler, action);
+        }
+        self.action_buffer = actions;
+        let target = &mut self.schedulers[scheduler as usize];
+        let Some(due) = target.core.due().map(|due| due.max(self.now)) else {
+            return;
+        };
+        if target.timer_at.is_none_or(|timer_at| due < timer_at) {
+            target.timer_at = Some(due);
+            self.schedule(due, Event::SchedulerTimer { scheduler });
+        }
+    }
+
+    fn perform(&mut self, scheduler: u32, action: Action) {
+        match action {
+            Action::SendAttempt(attempt) => self.send_attempt(scheduler, attempt),
+            Action::CancelAttempt(attempt) => self.cancel_attempt(scheduler, attempt),
+            Action::Probe(worker) => self.send_probe(scheduler, worker),
+            Action::CallDiscovery(Ask::Watch(on)) => {
+                self.schedulers[scheduler as usize].watching = on;
+                if on {
+                    self.request_membership(scheduler);
                 }
             }
-        }
-        self.acts = acts;
-        let due = self.schedulers[s as usize].mind.due();
-        if let Some(at) = due.map(|d| d.max(self.now)) {
-            let scheduler = &mut self.schedulers[s as usize];
-            if scheduler.wake.is_none_or(|w| at < w) {
-                scheduler.wake = Some(at);
-                self.at(at, Ev::Wake(s));
+            Action::CallDiscovery(Ask::Whole) => self.request_membership(scheduler),
+            Action::Answer(job, answer) => self.send_response(job, answer),
+            Action::Log(text) => {
+                let without_numbers = text.chars().filter(|c| !c.is_ascii_digit()).collect();
+                *self.scheduler_messages.entry(without_numbers).or_default() += 1;
             }
         }
     }
 
-    /// A scheduler asks for the whole list, as a watch does when it begins.
-    pub(super) fn call_discovery(&mut self, s: u32) {
-        let call = self.scenario.discovery.call_ms as f64;
-        let at = self.now + self.delay(call.max(0.01));
-        self.at(at, Ev::Lists(s));
+    fn send_probe(&mut self, scheduler: u32, worker: WorkerId) {
+        self.service.record_probe();
+        let Some(worker) = self.worker_numbers.get(&worker).copied() else {
+            return;
+        };
+        let delay = self.delay_to_worker(scheduler, worker);
+        let event = Event::ProbeAtWorker { scheduler, worker };
+        self.schedule(self.now + delay, event);
+    }
+
+    pub(super) fn handle_probe_result(&mut self, scheduler: u32, worker: u32, answered: bool) {
+        let report = self.load_report(worker);
+        let load = Load {
+            inflight: Some(f64::from(report.inflight)),
+            queue: Some(f64::from(report.queue)),
+            free_slots: Some(f64::from(report.free)),
+            ..Load::default()
+        };
+        let status = if answered {
+            Status::Ok
+        } else {
+            Status::Timeout
+        };
+        let input = Told::Probed(id(worker), status, answered.then_some(load));
+        self.notify_scheduler(scheduler, input);
     }
 
-    pub(super) fn carry(&mut self, s: u32, attempt: Attempt) {
-        let Some(w) = self.numbers.get(&attempt.machine).copied() else {
+    fn send_attempt(&mut self, scheduler: u32, attempt: Attempt) {
+        let Some(worker) = self.worker_numbers.get(&attempt.machine).copied() else {
+            return;
+        };
+        let job = attempt.id.job;
+        let Some(work_item) = self.work_item(job) else {
             return;
         };
-        let (job, number) = (attempt.id.job, attempt.id.number);
-        let Some(asks) = self.asks(job) else { return };
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
-        self.attempts.insert(attempt.id, ticket);
-        let crosses = self.schedulers[s as usize].zone != self.scenario.zone_of(w);
-        self.service.attempt(self.now, crosses);
-        let total = asks.work * u64::from(asks.slots);
-        self.checker.see(Seen::Sent {
+        let run_id = self.next_run_id;
+        self.next_run_id += 1;
+        self.run_ids.insert(attempt.id, run_id);
+        let zone = self.schedulers[scheduler as usize].zone;
+        let crosses_zones = zone != self.scenario.zone_of(worker);
+        self.service.record_attempt(self.now, crosses_zones);
+        self.checker.observe(Observation::AttemptSent {
             job,
-            scheduler: s,
-            worker: w,
+            scheduler,
+            worker,
             at: self.now,
-            work: total,
+            work: work_item.total_work(),
         });
-        let out = Out {
-            scheduler: s,
-            job,
-            number,
-            worker: w,
-            asks: worker::Job { ticket, ..asks },
-            heard: false,
-            ended: false,
+        let run = RunInProgress {
+            scheduler,
+            attempt: attempt.id,
+            worker,
+            work_item: worker::Job {
+                run_id,
+                ..work_item
+            },
+            acknowledged: false,
         };
-        self.outs.insert(ticket, out);
-        let way = self.way(s, w);
+        self.runs.insert(run_id, run);
+        let delay = self.delay_to_worker(scheduler, worker);
+        let connections =
+            &mut self.schedulers[scheduler as usize].idle_connections[worker as usize];
         // A new connection costs a round trip before the first byte.
-        let now = self.now;
-        let idle = &mut self.schedulers[s as usize].idle[w as usize];
-        if now > idle.1 + IDLE {
-            idle.0 = 0;
+        let connecting = if connections.take(self.now) {
+            0
+        } else {
+            2 * delay
+        };
+        let connected_at = self.now + connecting;
+        self.schedule(connected_at + delay, Event::AttemptAtWorker(run_id));
+        let timeout_at = connected_at + ACKNOWLEDGEMENT_TIMEOUT;
+        self.schedule(timeout_at, Event::AcknowledgementTimeout(run_id));
+    }
+
+    /// A worker has accepted an attempt: its connection is free for the next one.
+    pub(super) fn handle_acceptance(&mut self, run: RunId) {
+        let Some(run) = self.runs.get_mut(&run) else {
+            return;
+        };
+        run.acknowledged = true;
+        let scheduler = &mut self.schedulers[run.scheduler as usize];
+        scheduler.idle_connections[run.worker as usize].put_back(self.now);
+    }
+
+    pub(super) fn handle_acknowledgement_timeout(&mut self, run: RunId) {
+        if let Some(run) = self.runs.get(&run).filter(|run| !run.acknowledged) {
+            let (scheduler, attempt) = (run.scheduler, run.attempt);
+            self.notify_scheduler(scheduler, Told::Unheard(attempt));
         }
-        let dial = if idle.0 > 0 { 0 } else { 2 * way };
-        idle.0 = idle.0.saturating_sub(1);
-        idle.1 = now;
-        self.at(now + dial + way, Ev::Arrive(ticket));
-        self.at(now + dial + HEARD, Ev::Unheard(ticket));
     }
 
-    /// A scheduler gives up an attempt. Where job workers stop what is given up, it stops once its one has heard of it.
-    pub(super) fn give_up(&mut self, s: u32, attempt: AttemptId) {
-        let Some(ticket) = self.attempts.remove(&attempt) else {
+    /// A scheduler learns what happened to a run.
+    pub(super) fn handle_worker_update(&mut self, update: worker::Event) {
+        let run_id = update.run_id();
+        let Some(run) = self.runs.get_mut(&run_id) else {
             return;
         };
-        let Some(w) = self.outs.get(&ticket).map(|out| out.worker) else {
+        run.acknowledged = true;
+        let (scheduler, attempt) = (run.scheduler, run.attempt);
+        match update {
+            worker::Event::Started(_) => {
+                self.notify_scheduler(scheduler, Told::Started(attempt));
+            }
+            worker::Event::Progress(_, thousandths) => {
+                let fraction = f64::from(thousandths) / 1000.0;
+                self.notify_scheduler(scheduler, Told::Progress(attempt, fraction));
+            }
+            worker::Event::Done(_) => self.end_attempt(run_id, Status::Ok),
+            worker::Event::Returned(_) => self.end_attempt(run_id, Status::Full),
+            worker::Event::Lost(_) => self.end_attempt(run_id, Status::Reset),
+        }
+    }
+
+    /// Cancels an attempt. Where workers stop cancelled jobs, it stops once the message is there.
+    fn cancel_attempt(&mut self, scheduler: u32, attempt: AttemptId) {
+        let Some(run_id) = self.run_ids.remove(&attempt) else {
             return;
         };
-        self.checker.see(Seen::GivenUp { job: attempt.job });
+        let Some(worker) = self.runs.get(&run_id).map(|run| run.worker) else {
+            return;
+        };
+        let job = attempt.job;
+        self.checker.observe(Observation::AttemptCancelled { job });
         if self.scenario.machines.cancel {
-            let way = self.way(s, w);
-            self.at(self.now + way, Ev::GiveUp(ticket));
+            let delay = self.delay_to_worker(scheduler, worker);
+            self.schedule(self.now + delay, Event::CancelAtWorker(run_id));
         }
     }
 
-    /// A scheduler has answered a try.
-    pub(super) fn answered(&mut self, job: JobId, answer: Answer) {
-        let Some(t) = self.tries.get_mut(&job) else {
+    /// A scheduler has answered a request.
+    fn send_response(&mut self, job: JobId, answer: Answer) {
+        let Some(request) = self.requests.get_mut(&job) else {
             return;
         };
-        t.done = true;
-        let (status, after) = match answer {
-            Answer::Served => (0, 0),
-            Answer::Rejected(after) => (1, after),
-            Answer::Failed => (2, 0),
+        request.answered = true;
+        let response = match answer {
+            Answer::Served => ClientResponse::Served,
+            Answer::Rejected(retry_after) => ClientResponse::Refused(retry_after),
+            Answer::Failed => ClientResponse::Failed,
         };
-        self.checker.see(Seen::Answered {
+        self.checker.observe(Observation::RequestAnswered {
             job,
-            served: status == 0,
-            refused: status == 1,
+            served: response == ClientResponse::Served,
+            refused: matches!(response, ClientResponse::Refused(_)),
             at: self.now,
         });
-        let back = self.delay(self.scenario.network.client_ms);
-        self.at(self.now + back, Ev::Answer(job, status, after));
+        let delay = self.network_delay(self.scenario.network.client_ms);
+        let event = Event::ResponseAtClient { job, response };
+        self.schedule(self.now + delay, event);
     }
 
-    pub(super) fn ended(&mut self, ticket: Ticket, status: Status, gone: bool) {
-        let Some(out) = self.outs.get_mut(&ticket) else {
+    /// A scheduler learns how an attempt ended.
+    pub(super) fn end_attempt(&mut self, run_id: RunId, status: Status) {
+        let Some(run) = self.runs.remove(&run_id) else {
             return;
         };
-        out.ended = true;
-        let (s, id) = (
-            out.scheduler,
-            AttemptId {
-                job: out.job,
-                number: out.number,
-            },
-        );
-        self.attempts.remove(&id);
-        if gone {
-            self.outs.remove(&ticket);
-        }
-        self.checker.see(Seen::Over { job: id.job });
-        self.tell(s, Told::Ended(id, status, None));
+        self.run_ids.remove(&run.attempt);
+        let job = run.attempt.job;
+        self.checker.observe(Observation::AttemptEnded { job });
+        self.notify_scheduler(run.scheduler, Told::Ended(run.attempt, status, None));
     }
 }
--- a/crates/replay/src/virtual_time/workers.rs
+++ b/crates/replay/src/virtual_time/workers.rs
@@ -1,158 +1,157 @@
-//! Job workers: what arrives there, what they tell, and what goes wrong with them.
+//! Workers: attempts that reach them, and what they report.
 
-use super::*;
+use super::events::Event;
+use super::{CONNECT_TIMEOUT, PROBE_TIMEOUT, REPORT_MAX_AGE, Simulation};
+use crate::check::Observation;
+use crate::scenario::Micros;
+use crate::worker::{self, Offer, RunId};
+use indigofold::api::Status;
 
-impl Ground<'_> {
-    /// What a scheduler is told of a job worker, for the checkers.
-    pub(super) fn told_of(&mut self, scheduler: u32, worker: u32) {
-        let takes = self.listed[worker as usize].0 == WorkerState::Active;
-        self.checker.see(Seen::Told {
-            scheduler,
-            worker,
-            takes,
-            at: self.now,
-        });
-        if takes && self.listed[worker as usize].1 == self.workers[worker as usize].born() {
-            self.checker.see(Seen::Aware { scheduler, worker });
-        }
-    }
+/// Between two checks of how warm a worker is, in microseconds.
+const WARM_UP_CHECK_INTERVAL: Micros = 100_000;
 
-    pub(super) fn attempt_arrives(&mut self, ticket: Ticket) {
-        let now = self.now;
-        let Some(out) = self.outs.get(&ticket) else {
+impl Simulation<'_> {
+    pub(super) fn handle_attempt(&mut self, run_id: RunId) {
+        let Some(run) = self.runs.get(&run_id) else {
             return;
         };
-        let (s, w, job, asks) = (out.scheduler, out.worker, out.job, out.asks);
-        if !self.workers[w as usize].up() {
-            let back = self.way(s, w).min(DIAL);
-            return self.at(now + back, Ev::Refused(ticket, 1));
+        let (scheduler, number) = (run.scheduler, run.worker);
+        let (job, work_item) = (run.attempt.job, run.work_item);
+        let worker = &mut self.workers[number as usize];
+        if !worker.up() {
+            let status = Status::ConnectFailed;
+            let delay = self.delay_to_worker(scheduler, number).min(CONNECT_TIMEOUT);
+            let event = Event::AttemptRejected {
+                run: run_id,
+                status,
+            };
+            return self.schedule(self.now + delay, event);
         }
-        if self.workers[w as usize].still(now) {
-            // The connection is made, and nobody reads until it is over.
-            let until = self.workers[w as usize].still_until();
-            return self.at(until, Ev::Arrive(ticket));
+        if worker.stalled(self.now) {
+            // The connection is made, and nobody reads until the stall is over.
+            let stalled_until = worker.stalled_until();
+            return self.schedule(stalled_until, Event::AttemptAtWorker(run_id));
         }
-        let offer = self.workers[w as usize].offer(now, asks);
-        let back = self.way(s, w);
+        let offer = worker.offer(self.now, work_item);
+        let delay = self.delay_to_worker(scheduler, number);
         match offer {
-            Offer::Full => self.at(now + back, Ev::Refused(ticket, 0)),
-            Offer::Taken => {
-                self.checker.see(Seen::Runs {
+            Offer::Full => {
+                let status = Status::Full;
+                let event = Event::AttemptRejected {
+                    run: run_id,
+                    status,
+                };
+                self.schedule(self.now + delay, event);
+            }
+            Offer::Accepted => {
+                self.checker.observe(Observation::AttemptAccepted {
                     job,
-                    worker: w,
-                    at: now,
+                    worker: number,
+                    at: self.now,
                 });
-                self.at(now + back, Ev::Taken(ticket));
-                self.step_worker(w);
+                self.schedule(self.now + delay, Event::AttemptAccepted(run_id));
+                self.step_worker(number);
             }
         }
     }
 
-    pub(super) fn step_worker(&mut self, w: u32) {
-        let worker = &mut self.workers[w as usize];
-        worker.step(self.now);
-        let mut happened = std::mem::take(&mut self.happened);
-        worker.take(&mut happened);
-        for event in happened.drain(..) {
-            let (ticket, news) = match event {
-                worker::Event::Started(t) => (t, STARTED),
-                worker::Event::Progress(t, share) => (t, PROGRESS | share << 8),
-                worker::Event::Done(t) => (t, DONE),
-                worker::Event::Returned(t) => (t, RETURNED),
-                worker::Event::Lost(t) => (t, LOST),
-            };
-            let Some(out) = self.outs.get(&ticket) else {
-                continue;
-            };
-            let (s, job, asks) = (out.scheduler, out.job, out.asks);
-            let total = asks.work * u64::from(asks.slots);
-            match news & 0xff {
-                STARTED => self.service.begun(self.now, w),
-                DONE => {
-                    self.service.ran(total);
-                    self.checker.see(Seen::Made { job });
-                }
-                RETURNED => self.checker.see(Seen::NeverRan { job }),
-                _ => {}
-            }
-            let way = self.way(s, w);
-            self.at(self.now + way, Ev::News(ticket, news));
+    pub(super) fn handle_cancellation(&mut self, run_id: RunId) {
+        if let Some(run) = self.runs.remove(&run_id) {
+            self.workers[run.worker as usize].cancel(self.now, run_id);
+            self.step_worker(run.worker);
         }
-        self.happened = happened;
-        self.wake_worker(w);
     }
 
-    pub(super) fn wake_worker(&mut self, w: u32) {
-        let due = self.workers[w as usize].due().map(|d| d.max(self.now));
-        if let Some(at) = due
-            && self.stepped[w as usize].is_none_or(|s| at < s)
-        {
-            self.stepped[w as usize] = Some(at);
-            self.at(at, Ev::Work(w));
+    pub(super) fn handle_worker_timer(&mut self, worker: u32) {
+        if self.worker_timers[worker as usize] == Some(self.now) {
+            self.worker_timers[worker as usize] = None;
+            self.step_worker(worker);
         }
     }
 
-    pub(super) fn trouble(&mut self, n: u32) {
-        let now = self.now;
-        let trouble = &self.scenario.troubles[n as usize];
-        let until = now + (trouble.for_s * 1e6) as Micros;
-        let notice = self.scenario.discovery.notice_ms * 1000;
-        match trouble.what {
-            What::Hang => {
-                for w in &trouble.workers {
-                    self.workers[*w as usize].stand_still(now, until);
-                    self.wake_worker(*w);
-                }
-            }
-            What::Pauses { .. } => self.at(now, Ev::Pause(n)),
-            What::Slow { times } => {
-                for w in &trouble.workers {
-                    self.workers[*w as usize].set_pace(now, 1.0 / times);
-                    self.wake_worker(*w);
-                }
-                self.at(until, Ev::Over(n));
-            }
-            What::HotThings { .. } => {} // the load's
+    /// Steps a worker, and sends what happened to the schedulers of its runs.
+    pub(super) fn step_worker(&mut self, number: u32) {
+        let worker = &mut self.workers[number as usize];
+        worker.step(self.now);
+        let mut updates = std::mem::take(&mut self.update_buffer);
+        worker.take_events(&mut updates);
+        for update in updates.drain(..) {
+            self.send_update(number, update);
+        }
+        self.update_buffer = updates;
+        self.set_worker_timer(number);
+    }
 
-            What::Crash => {
-                for w in trouble.workers.clone() {
-                    self.workers[w as usize].crash();
-                    self.step_worker(w);
-                    for s in 0..self.schedulers.len() {
-                        self.schedulers[s].idle[w as usize].0 = 0;
-                    }
-                    self.at(now + notice, Ev::Notice(w, 2, 0));
-                }
-                self.at(until, Ev::Over(n));
+    fn send_update(&mut self, worker: u32, update: worker::Event) {
+        let Some(run) = self.runs.get(&update.run_id()) else {
+            return;
+        };
+        let (scheduler, job) = (run.scheduler, run.attempt.job);
+        match update {
+            worker::Event::Started(_) => self.service.record_start(self.now, worker),
+            worker::Event::Done(_) => {
+                self.service.record_completion(run.work_item.total_work());
+                self.checker.observe(Observation::ResultProduced { job });
             }
-            What::Drain => {
-                for w in trouble.workers.clone() {
-                    self.workers[w as usize].drain();
-                    self.step_worker(w);
-                    self.at(now + notice, Ev::Notice(w, 1, 0));
-                }
-                self.at(until, Ev::Over(n));
+            worker::Event::Returned(_) => {
+                self.checker.observe(Observation::AttemptReturned { job });
             }
+            worker::Event::Progress(..) | worker::Event::Lost(_) => {}
         }
+        let delay = self.delay_to_worker(scheduler, worker);
+        self.schedule(self.now + delay, Event::WorkerUpdate(update));
     }
 
-    pub(super) fn trouble_over(&mut self, n: u32) {
-        let now = self.now;
-        let notice = self.scenario.discovery.notice_ms * 1000;
-        for w in self.scenario.troubles[n as usize].workers.clone() {
-            if matches!(self.scenario.troubles[n as usize].what, What::Slow { .. }) {
-                self.workers[w as usize].set_pace(now, 1.0);
-                self.wake_worker(w);
-                continue;
-            }
-            if self.workers[w as usize].up() {
-                // What a draining one still has is lost with its process.
-                self.workers[w as usize].crash();
-                self.step_worker(w);
-            }
-            self.workers[w as usize].start_again(now);
-            self.at(now, Ev::Warm(w));
-            self.at(now + notice, Ev::Notice(w, 0, now));
+    /// Schedules the next step of a worker, unless an earlier one is scheduled.
+    pub(super) fn set_worker_timer(&mut self, worker: u32) {
+        let Some(due) = self.workers[worker as usize].due() else {
+            return;
+        };
+        let due = due.max(self.now);
+        let timer = &mut self.worker_timers[worker as usize];
+        if timer.is_none_or(|timer_at| due < timer_at) {
+            *timer = Some(due);
+            self.schedule(due, Event::WorkerTimer { worker });
+        }
+    }
+
+    pub(super) fn handle_probe(&mut self, scheduler: u32, number: u32) {
+        let worker = &self.workers[number as usize];
+        let answered = worker.up() && !worker.stalled(self.now);
+        let delay = if answered {
+            self.delay_to_worker(scheduler, number)
+        } else {
+            PROBE_TIMEOUT
+        };
+        let event = Event::ProbeResult {
+            scheduler,
+            worker: number,
+            answered,
+        };
+        self.schedule(self.now + delay, event);
+    }
+
+    /// The load of a worker as it reports it: renewed at most every [`REPORT_MAX_AGE`].
+    pub(super) fn load_report(&mut self, worker: u32) -> worker::Report {
+        let (made_at, report) = &mut self.load_reports[worker as usize];
+        if self.now > *made_at + REPORT_MAX_AGE {
+            *made_at = self.now;
+            *report = self.workers[worker as usize].report();
         }
+        *report
+    }
+
+    /// The checkers learn how warm a worker is, until it is warm or its process has ended.
+    pub(super) fn check_warm_up(&mut self, worker: u32) {
+        let Some(capacity) = self.workers[worker as usize].warming_capacity(self.now) else {
+            return self.checker.observe(Observation::WarmedUp { worker });
+        };
+        self.checker.observe(Observation::WarmingUp {
+            worker,
+            at: self.now,
+            capacity,
+        });
+        let event = Event::WarmUpCheck { worker };
+        self.schedule(self.now + WARM_UP_CHECK_INTERVAL, event);
     }
 }
--- a/crates/replay/src/baseline/tests.rs
+++ b/crates/replay/tests/baseline.rs
@@ -1,11 +1,14 @@
-use super::*;
-use indigofold::core::{Ask, GivenUp, Reply};
+//! Baseline schedulers: where attempts go, and when jobs are answered.
+
+use indigofold::api::{Effect, Entry, Request, Scope, Settings, Status, WorkerId, WorkerState};
+use indigofold::core::{Answer, Ask, Attempt, AttemptId, GivenUp, JobId, Reply, Told, Transport};
+use indigofold_replay::baseline::{BaselineScheduler, Policy};
 use std::cell::RefCell;
 
 #[derive(Default)]
-struct Noted(RefCell<Vec<String>>);
+struct RecordedCalls(RefCell<Vec<String>>);
 
-impl Transport for Noted {
+impl Transport for RecordedCalls {
     fn send(&self, attempt: Attempt) -> bool {
         self.0.borrow_mut().push(format!(
             "{}.{} at {}",
@@ -33,7 +36,11 @@
     fn note(&self, _: &str) {}
 }
 
-fn plain(policy: Policy, effect: Effect, workers: u32) -> (Plain, Noted) {
+fn scheduler_of(
+    policy: Policy,
+    effect: Effect,
+    workers: u32,
+) -> (BaselineScheduler, RecordedCalls) {
     let mut settings = Settings {
         dispatchers: 1,
         ..Settings::default()
@@ -43,13 +50,16 @@
         ..indigofold::api::Class::UNKNOWN
     }];
     (settings.limits.attempts, settings.limits.cancel) = (3, true);
-    let (mut p, transport) = (Plain::new(policy, settings, 1, 0), Noted::default());
+    let (mut p, transport) = (
+        BaselineScheduler::new(policy, settings, 1, 0),
+        RecordedCalls::default(),
+    );
     let active = |worker| Entry {
         worker,
         state: WorkerState::Active,
         ..Entry::default()
     };
-    p.told(
+    p.handle(
         0,
         Told::List(Scope::Full, (1..=workers).map(active).collect()),
         &transport,
@@ -57,7 +67,7 @@
     (p, transport)
 }
 
-fn job(p: &mut Plain, transport: &Noted, id: JobId, subject: u64) {
+fn hand_in(p: &mut BaselineScheduler, transport: &RecordedCalls, id: JobId, subject: u64) {
     let (left, slots, memory, estimate) = (1_000, 1.0, 0.0, None);
     let subject = Some(subject);
     let request = Request {
@@ -70,11 +80,17 @@
         memory,
         subject,
     };
-    p.told(0, Told::Job(request, 1_000, Reply::Transport), transport);
+    p.handle(0, Told::Job(request, 1_000, Reply::Transport), transport);
 }
 
-fn end(p: &mut Plain, transport: &Noted, job: JobId, attempt: u32, status: Status) {
-    p.told(
+fn end(
+    p: &mut BaselineScheduler,
+    transport: &RecordedCalls,
+    job: JobId,
+    attempt: u32,
+    status: Status,
+) {
+    p.handle(
         10,
         Told::Ended(
             AttemptId {
@@ -90,20 +106,20 @@
 
 #[test]
 fn an_attempt_goes_elsewhere_only_where_the_class_allows() {
-    let (mut p, transport) = plain(Policy::RoundRobin, Effect::Unsafe, 3);
-    job(&mut p, &transport, 1, 0);
+    let (mut p, transport) = scheduler_of(Policy::RoundRobin, Effect::Unsafe, 3);
+    hand_in(&mut p, &transport, 1, 0);
     end(&mut p, &transport, 1, 0, Status::Full);
     end(&mut p, &transport, 1, 1, Status::Reset);
     assert_eq!(transport.0.take(), ["1.0 at 2", "1.1 at 1", "1: Failed"]);
-    let (mut p, transport) = plain(Policy::RoundRobin, Effect::Safe, 3);
-    job(&mut p, &transport, 1, 0);
+    let (mut p, transport) = scheduler_of(Policy::RoundRobin, Effect::Safe, 3);
+    hand_in(&mut p, &transport, 1, 0);
     (0..3).for_each(|n| end(&mut p, &transport, 1, n, Status::Reset));
     assert_eq!(
         transport.0.take().last().map(String::as_str),
         Some("1: Rejected(0)"),
         "three attempts are all"
     );
-    job(&mut p, &transport, 2, 0);
+    hand_in(&mut p, &transport, 2, 0);
     transport.0.take();
     p.step(1_000, &transport);
     assert_eq!(transport.0.take(), ["2: Failed", "give up 2.0"]);
@@ -111,13 +127,13 @@
 }
 
 #[test]
-fn each_rule_goes_by_its_own() {
+fn each_policy_chooses_by_its_own_criterion() {
     let at = |policy: Policy, subjects: [u64; 6]| {
-        let (mut p, transport) = plain(policy, Effect::Safe, 3);
+        let (mut p, transport) = scheduler_of(policy, Effect::Safe, 3);
         subjects
             .iter()
             .enumerate()
-            .for_each(|(n, s)| job(&mut p, &transport, n as u64, *s));
+            .for_each(|(n, s)| hand_in(&mut p, &transport, n as u64, *s));
         let attempts = transport.0.take();
         attempts
             .iter()
@@ -139,8 +155,8 @@
         ["1", "2", "3"].iter().all(|w| count(&keyed, w) <= 4),
         "the bound spreads a hot one: {keyed:?}"
     );
-    let (mut p, transport) = plain(Policy::AllKnowing, Effect::Safe, 3);
+    let (mut p, transport) = scheduler_of(Policy::AllKnowing, Effect::Safe, 3);
     p.best = Some(3);
-    job(&mut p, &transport, 1, 0);
+    hand_in(&mut p, &transport, 1, 0);
     assert_eq!(transport.0.take(), ["1.0 at 3"]);
 }
--- a/crates/replay/tests/cli.rs
+++ b/crates/replay/tests/cli.rs
@@ -139,7 +139,7 @@
         "{\"format\":\"indigofold-recording\",\"version\":9}\n",
     )
     .expect("a file");
-    for (args, code, said) in [
+    for (args, code, message) in [
         (vec!["replay", &path("bad.json")], 1, "zones"),
         (vec!["replay", &path("none.json")], 1, "none.json"),
         (vec!["show", &path("cut.rec")], 1, "cut off after line 1"),
@@ -166,7 +166,7 @@
         let out = call(&args);
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(code), "{args:?}: {text}");
-        assert!(text.contains(said), "{args:?}: {text}");
+        assert!(text.contains(message), "{args:?}: {text}");
     }
     assert!(
         !dir.path().join("o").exists(),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_survey_is_played_goes_on_and_says_what_is_wrong() {
+fn a_survey_is_played_resumed_and_rejects_another_plan() {
     let dir = tempfile::tempdir().expect("a folder");
     let at = |name: &str| dir.path().join(name).display().to_string();
     let (rows, page) = (at("rows.jsonl"), at("page.html"));
@@ -196,10 +196,10 @@
     let drawn = json(&["survey", "--scenario", "2"]);
     assert_eq!(drawn["name"], "survey 1, deployment 2");
     let wrong = call(&["survey", "--count", "2", "--seed", "9", "-o", &rows]);
-    let said = String::from_utf8_lossy(&wrong.stderr).into_owned();
+    let message = String::from_utf8_lossy(&wrong.stderr).into_owned();
     assert!(
-        wrong.status.code() == Some(1) && said.contains("it holds another survey (seed 1"),
-        "{said}"
+        wrong.status.code() == Some(1) && message.contains("it holds another survey (seed 1"),
+        "{message}"
     );
     assert_eq!(call(&["survey", "--count", "0"]).status.code(), Some(2));
 }
--- a/crates/replay/tests/rules.rs
+++ b/crates/replay/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Every checker catches the fault that it is for, and nothing where there is none.
 
-use indigofold_replay::check::{Checker, Rule, Seen, Verdict};
+use indigofold_replay::check::{Checker, Observation, Rule, Verdict};
 use indigofold_replay::scenario::{self, Scenario};
 
 fn scenario() -> Scenario {
@@ -10,17 +10,17 @@
 const UNSAFE: u32 = 0;
 const KEYED: u32 = 1;
 
-fn verdict(what: impl Fn(u64) -> Vec<Seen>) -> Verdict {
+fn verdict(what: impl Fn(u64) -> Vec<Observation>) -> Verdict {
     let scenario = scenario();
     let mut checker = Checker::new(&scenario);
     what(scenario.from())
         .into_iter()
-        .for_each(|seen| checker.see(seen));
+        .for_each(|observation| checker.observe(observation));
     checker.finish(scenario.from() + 60_000_000)
 }
 
-fn taken(job: u64, class: u32, at: u64) -> Seen {
-    Seen::Taken {
+fn accepted(job: u64, class: u32, at: u64) -> Observation {
+    Observation::RequestAccepted {
         job,
         class,
         at,
@@ -28,8 +28,8 @@
     }
 }
 
-fn sent(job: u64, worker: u32, at: u64) -> Seen {
-    Seen::Sent {
+fn sent(job: u64, worker: u32, at: u64) -> Observation {
+    Observation::AttemptSent {
         job,
         scheduler: 0,
         worker,
@@ -38,8 +38,8 @@
     }
 }
 
-fn answered(job: u64, served: bool, at: u64) -> Seen {
-    Seen::Answered {
+fn answered(job: u64, served: bool, at: u64) -> Observation {
+    Observation::RequestAnswered {
         job,
         served,
         refused: false,
@@ -48,22 +48,22 @@
 }
 
 /// A job that is served as it should be.
-fn served(job: u64, class: u32, t: u64) -> Vec<Seen> {
+fn served(job: u64, class: u32, t: u64) -> Vec<Observation> {
     vec![
-        taken(job, class, t),
+        accepted(job, class, t),
         sent(job, 3, t + 1_000),
-        Seen::Runs {
+        Observation::AttemptAccepted {
             job,
             worker: 3,
             at: t + 2_000,
         },
-        Seen::Made { job },
+        Observation::ResultProduced { job },
         answered(job, true, t + 200_000),
     ]
 }
 
 #[track_caller]
-fn broken(rule: Rule, what: impl Fn(u64) -> Vec<Seen>) {
+fn broken(rule: Rule, what: impl Fn(u64) -> Vec<Observation>) {
     let found = verdict(what);
     assert_eq!(
         found.breaches.keys().copied().collect::<Vec<_>>(),
@@ -74,7 +74,7 @@
 }
 
 #[track_caller]
-fn kept(what: impl Fn(u64) -> Vec<Seen>) {
+fn kept(what: impl Fn(u64) -> Vec<Observation>) {
     let found = verdict(what);
     assert!(found.kept(), "{:?}", found.examples);
 }
@@ -87,18 +87,18 @@
         [served(1, UNSAFE, t), vec![answered(1, true, t + 300_000)]].concat()
     });
     broken(Rule::OneAnswer, |t| {
-        vec![taken(1, UNSAFE, t), answered(1, false, t + 5_100_000)]
+        vec![accepted(1, UNSAFE, t), answered(1, false, t + 5_100_000)]
     });
     broken(Rule::OneAnswer, |t| vec![answered(1, false, t)]);
-    kept(|t| vec![taken(1, UNSAFE, t), answered(1, false, t + 5_060_000)]);
-    kept(|t| vec![taken(1, UNSAFE, t), Seen::Gone { job: 1 }]);
+    kept(|t| vec![accepted(1, UNSAFE, t), answered(1, false, t + 5_060_000)]);
+    kept(|t| vec![accepted(1, UNSAFE, t), Observation::ClientLeft { job: 1 }]);
 }
 
 #[test]
-fn what_is_served_was_made() {
-    broken(Rule::Made, |t| {
+fn what_is_served_was_produced_by_a_worker() {
+    broken(Rule::ResultProduced, |t| {
         vec![
-            taken(1, UNSAFE, t),
+            accepted(1, UNSAFE, t),
             sent(1, 3, t),
             answered(1, true, t + 1_000),
         ]
@@ -110,7 +110,7 @@
     let twice = |class: u32, after: u64| {
         move |t: u64| {
             let mut all = vec![
-                Seen::Taken {
+                Observation::RequestAccepted {
                     job: 1,
                     class,
                     at: t,
@@ -119,7 +119,7 @@
                 sent(1, 3, t),
             ];
             all.extend([
-                Seen::Runs {
+                Observation::AttemptAccepted {
                     job: 1,
                     worker: 3,
                     at: t + 1_000,
@@ -127,12 +127,12 @@
                 sent(1, 4, t + after),
             ]);
             all.extend([
-                Seen::Runs {
+                Observation::AttemptAccepted {
                     job: 1,
                     worker: 4,
                     at: t + after + 1_000,
                 },
-                Seen::Made { job: 1 },
+                Observation::ResultProduced { job: 1 },
             ]);
             all.push(answered(1, true, t + after + 100_000));
             all
@@ -144,7 +144,7 @@
     // One that was handed back never ran.
     kept(|t| {
         let mut all = twice(UNSAFE, 400_000)(t);
-        all.insert(3, Seen::NeverRan { job: 1 });
+        all.insert(3, Observation::AttemptReturned { job: 1 });
         all
     });
 }
@@ -152,13 +152,13 @@
 #[test]
 fn a_refusal_is_true() {
     let refused = |t: u64, class: u32, runs: bool| {
-        let mut all = vec![taken(1, class, t), sent(1, 3, t)];
-        all.extend(runs.then_some(Seen::Runs {
+        let mut all = vec![accepted(1, class, t), sent(1, 3, t)];
+        all.extend(runs.then_some(Observation::AttemptAccepted {
             job: 1,
             worker: 3,
             at: t,
         }));
-        all.push(Seen::Answered {
+        all.push(Observation::RequestAnswered {
             job: 1,
             served: false,
             refused: true,
@@ -173,37 +173,37 @@
 
 #[test]
 fn attempts_are_limited() {
-    let tries = |t: u64, count: u64| {
-        let mut all = vec![taken(1, KEYED, t)];
+    let attempts = |t: u64, count: u64| {
+        let mut all = vec![accepted(1, KEYED, t)];
         all.extend((0..count).map(|n| sent(1, n as u32, t + n)));
         all.push(answered(1, false, t + 100_000));
         all
     };
-    kept(|t| tries(t, 4));
-    broken(Rule::Attempts, |t| tries(t, 5));
+    kept(|t| attempts(t, 4));
+    broken(Rule::Attempts, |t| attempts(t, 5));
 }
 
 #[test]
 fn drained_workers_get_nothing_new() {
     let after = |ms: u64, scheduler: u32, back: bool| {
         move |t: u64| {
-            let mut all = vec![Seen::Told {
+            let mut all = vec![Observation::AvailabilityReported {
                 scheduler,
                 worker: 3,
-                takes: false,
+                available: false,
                 at: t,
             }];
-            all.extend(back.then_some(Seen::Told {
+            all.extend(back.then_some(Observation::AvailabilityReported {
                 scheduler,
                 worker: 3,
-                takes: true,
+                available: true,
                 at: t + 10_000,
             }));
             // Told again, it counts from the first time.
-            all.push(Seen::Told {
+            all.push(Observation::AvailabilityReported {
                 scheduler,
                 worker: 3,
-                takes: false,
+                available: false,
                 at: t + ms * 1_000 - 1,
             });
             all.extend(served(1, UNSAFE, t + ms * 1_000));
@@ -218,27 +218,27 @@
 }
 
 #[test]
-fn cold_workers_are_not_overrun_by_all_schedulers_together() {
+fn warming_workers_are_not_overloaded_by_all_schedulers_together() {
     // What it can do is 1 core: in 2 s three times that is 6 s of work; beyond it, what chance may add.
     let mean = scenario().mean_total_work();
     let n = 6e6 / mean;
     let most = ((n + 3.0 * n.sqrt() + 3.0) * mean / 200_000.0) as u64;
-    let burst_of = |count: u64, apart: u64, aware: u32| {
+    let burst_of = |count: u64, interval: u64, informed: u32| {
         move |t: u64| {
-            let mut all = vec![Seen::Cold {
+            let mut all = vec![Observation::WarmingUp {
                 worker: 3,
                 at: t,
                 capacity: 1.0,
             }];
-            all.extend((0..aware).map(|scheduler| Seen::Aware {
+            all.extend((0..informed).map(|scheduler| Observation::RestartReported {
                 scheduler,
                 worker: 3,
             }));
             for n in 0..count {
-                let at = t + n * apart;
-                all.extend([taken(n, KEYED, at), answered(n, false, at + 1)]);
+                let at = t + n * interval;
+                all.extend([accepted(n, KEYED, at), answered(n, false, at + 1)]);
                 let scheduler = (n % 3) as u32;
-                all.push(Seen::Sent {
+                all.push(Observation::AttemptSent {
                     job: n,
                     scheduler,
                     worker: 3,
@@ -251,35 +251,36 @@
     };
     let burst = |count, apart| burst_of(count, apart, 3);
     kept(burst(most, 1_000));
-    broken(Rule::Cold, burst(most + 1, 1_000));
+    broken(Rule::WarmUp, burst(most + 1, 1_000));
     // A third of it came from schedulers that knew of the start.
     kept(burst_of(most + 6, 1_000, 1));
     kept(burst(300, 100_000));
     let found = verdict(burst(30, 1_000));
     assert!(
-        (found.most_on_cold - 3.0).abs() < 1e-9,
+        (found.peak_warm_up_load - 3.0).abs() < 1e-9,
         "{}",
-        found.most_on_cold
+        found.peak_warm_up_load
     );
     kept(|t| {
         let mut all = burst(40, 1_000)(t);
-        all.insert(4, Seen::Warm { worker: 3 });
+        all.insert(4, Observation::WarmedUp { worker: 3 });
         all
     });
 }
 
 /// Two attempts at once, where that is not allowed; one after the other has ended or was given up is none.
 #[test]
-fn no_copies() {
+fn no_speculative_runs_where_they_are_not_allowed() {
     let mut scenario = scenario();
-    scenario.machines.copies = false;
-    let found = |what: &[Seen]| {
+    scenario.machines.speculative_runs = false;
+    let found = |what: &[Observation]| {
         let mut checker = Checker::new(&scenario);
         let t = scenario.from();
-        checker.see(taken(1, KEYED, t));
-        what.iter().for_each(|seen| checker.see(*seen));
-        checker.see(Seen::Made { job: 1 });
-        checker.see(answered(1, true, t + 900_000));
+        checker.observe(accepted(1, KEYED, t));
+        what.iter()
+            .for_each(|observation| checker.observe(*observation));
+        checker.observe(Observation::ResultProduced { job: 1 });
+        checker.observe(answered(1, true, t + 900_000));
         checker
             .finish(t + 60_000_000)
             .breaches
@@ -289,7 +290,13 @@
     };
     let t = scenario.from();
     let (first, second) = (sent(1, 2, t), sent(1, 3, t + 500_000));
-    assert_eq!(found(&[first, second]), [Rule::Copies]);
-    assert_eq!(found(&[first, Seen::Over { job: 1 }, second]), []);
-    assert_eq!(found(&[first, Seen::GivenUp { job: 1 }, second]), []);
+    assert_eq!(found(&[first, second]), [Rule::SpeculativeRuns]);
+    assert_eq!(
+        found(&[first, Observation::AttemptEnded { job: 1 }, second]),
+        []
+    );
+    assert_eq!(
+        found(&[first, Observation::AttemptCancelled { job: 1 }, second]),
+        []
+    );
 }
--- a/crates/replay/tests/survey.rs
+++ b/crates/replay/tests/survey.rs
@@ -1,11 +1,11 @@
-//! The survey: the same on any number of threads and however often it is stopped; and worlds in which plain rules come out
-//! as they must.
+//! The survey gives the same rows on any number of threads and after any stop; and baseline policies rank as they must on
+//! scenarios whose order is known.
 
 use indigofold_replay::baseline::Policy;
 use indigofold_replay::load::Made;
-use indigofold_replay::scenario::{self, Order, Scenario, Things, Trouble, What};
+use indigofold_replay::scenario::{self, Fault, FaultKind, Order, Scenario, Things};
 use indigofold_replay::survey::{self, Plan, VERSION, draw, page};
-use indigofold_replay::virtual_time::{Ground, Retries, Run};
+use indigofold_replay::virtual_time::{Retries, Run, Simulation};
 
 fn plan(policies: &[Policy]) -> Plan {
     Plan {
@@ -23,9 +23,9 @@
     let dir = tempfile::tempdir().expect("a folder");
     let path = |name: &str| dir.path().join(name);
     let plan = plan(&FEW);
-    let whole = survey::survey(&plan, 5, 1, &path("one"), |_| {}).expect("played");
+    let complete = survey::survey(&plan, 5, 1, &path("one"), |_| {}).expect("played");
     assert_eq!(
-        whole,
+        complete,
         survey::survey(&plan, 5, 4, &path("four"), |_| {}).expect("played")
     );
     // Stopped in the middle of a line: what is whole stays, and is not played again.
@@ -35,7 +35,7 @@
     let played = std::sync::atomic::AtomicU64::new(0);
     let count = |_| _ = played.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     assert_eq!(
-        whole,
+        complete,
         survey::survey(&plan, 5, 2, &path("torn"), count).expect("played")
     );
     assert_eq!(played.into_inner(), 2, "three were there");
@@ -66,22 +66,23 @@
         survey::survey(&Plan { runs: 1, ..plan }, 5, 1, &path("x"), |_| {}).expect_err("too few");
     assert_eq!(why, "1 runs given, 2 to 16 are allowed");
     // What is shown of it.
-    let summary = survey::summary(&whole, 2);
+    let summary = survey::summary(&complete, 2);
     assert_eq!((summary.count, summary.worst.len()), (5, 2));
-    let html = page::page("A survey", &whole, &summary).expect("a page");
+    let html = page::page("A survey", &complete, &summary).expect("a page");
     assert!(html.contains("<svg") && html.contains(&format!("Deployment {}", summary.worst[0])));
-    assert!(page::text(&whole, &summary).contains("5 deployments"));
+    assert!(page::text(&complete, &summary).contains("5 deployments"));
 }
 
 fn played(s: &Scenario, policy: Policy, seed: u64) -> Run {
-    let ground = Ground::with(s, seed, Retries::Model, policy).expect("a ground");
-    ground
+    let simulation =
+        Simulation::with_policy(s, seed, Retries::Model, policy).expect("a simulation");
+    simulation
         .play(Made::new(s, seed).expect("load"), |_| {}, |_| {})
         .expect("a run")
 }
 
 /// One class, equal machines, half loaded; nothing kept, no trouble.
-fn plain_world() -> Scenario {
+fn simple_scenario() -> Scenario {
     let mut s = scenario::read(include_str!("../../../examples/replay/ten-minutes.json"))
         .expect("the example");
     s.classes.truncate(1);
@@ -93,20 +94,20 @@
         rate: s.capacity() * 0.6,
         ..scenario::Load::default()
     };
-    s.troubles.clear();
+    s.faults.clear();
     s
 }
 
 #[test]
-fn who_sees_the_true_state_is_ahead_of_who_goes_at_random() {
-    let mut s = plain_world();
+fn the_all_knowing_policy_is_ahead_of_the_random_one() {
+    let mut s = simple_scenario();
     s.load.rate = s.capacity() * 0.85;
     for seed in 1..4 {
-        let figure = |policy| played(&s, policy, seed).outcome.figure;
+        let service_metric = |policy| played(&s, policy, seed).outcome.service_metric;
         let (all, two, any) = (
-            figure(Policy::AllKnowing),
-            figure(Policy::TwoChoices),
-            figure(Policy::Random),
+            service_metric(Policy::AllKnowing),
+            service_metric(Policy::TwoChoices),
+            service_metric(Policy::Random),
         );
         assert!(
             all > any + 0.02 && two > any,
@@ -117,10 +118,10 @@
 
 /// Where job workers keep what jobs need, rules that go by it fetch less, and so does the module.
 #[test]
-fn who_goes_by_what_jobs_are_about_fetches_less() {
-    let mut s = plain_world();
+fn policies_by_subject_fetch_less() {
+    let mut s = simple_scenario();
     s.classes[0].work_ms = 300.0;
-    s.classes[0].aim_ms = 600;
+    s.classes[0].latency_target_ms = 600;
     s.schedulers = 2;
     s.clients.subjects = 60;
     s.load.rate = s.capacity() * 0.5;
@@ -147,13 +148,13 @@
 }
 
 #[test]
-fn troubles_cost_what_they_must() {
-    let calm = plain_world();
+fn faults_lower_the_service_metric() {
+    let calm = simple_scenario();
     let base = played(&calm, Policy::Random, 2).outcome;
     let all = (0..calm.workers()).collect::<Vec<_>>();
-    let with = |what: What| {
+    let with = |what: FaultKind| {
         let mut s = calm.clone();
-        s.troubles = vec![Trouble {
+        s.faults = vec![Fault {
             at_s: 5.0,
             for_s: 8.0,
             workers: all.clone(),
@@ -161,23 +162,26 @@
         }];
         played(&s, Policy::Random, 2).outcome
     };
-    let slow = with(What::Slow { times: 3.0 });
+    let slow = with(FaultKind::Slow { times: 3.0 });
     assert!(
-        slow.whole < base.whole - 0.1,
+        slow.overall < base.overall - 0.1,
         "{:.3} of {:.3}",
-        slow.whole,
-        base.whole
+        slow.overall,
+        base.overall
     );
     let late = slow.seconds[18..].iter().map(|s| s.earned).sum::<f64>();
-    let asked = slow.seconds[18..].iter().map(|s| s.asked).sum::<f64>();
-    assert!(late > 0.8 * asked, "it is over: {late:.0} of {asked:.0}");
+    let offered = slow.seconds[18..].iter().map(|s| s.offered).sum::<f64>();
+    assert!(
+        late > 0.8 * offered,
+        "it is over: {late:.0} of {offered:.0}"
+    );
     // Hot things change what jobs are about, and nothing else where nothing is kept.
     let mut hot = calm.clone();
-    let what = What::HotThings {
-        share: 0.5,
+    let what = FaultKind::HotThings {
+        fraction: 0.5,
         things: 2,
     };
-    hot.troubles = vec![Trouble {
+    hot.faults = vec![Fault {
         at_s: 0.0,
         for_s: 20.0,
         workers: Vec::new(),
@@ -189,19 +193,19 @@
             .map(|a| a.expect("an arrival").subject)
             .collect()
     };
-    let share = |s: &Scenario| {
+    let hot_fraction = |s: &Scenario| {
         let about = about(s);
         about.iter().filter(|a| a.starts_with("hot-")).count() as f64 / about.len() as f64
     };
-    assert!((share(&hot) - 0.5).abs() < 0.05 && share(&calm) == 0.0);
+    assert!((hot_fraction(&hot) - 0.5).abs() < 0.05 && hot_fraction(&calm) == 0.0);
     assert_eq!(played(&hot, Policy::Random, 2).outcome, base);
 }
 
 #[test]
-fn what_is_given_up_stops_where_job_workers_stop_it() {
-    let mut s = plain_world();
+fn cancelled_jobs_stop_only_where_workers_stop_them() {
+    let mut s = simple_scenario();
     s.classes[0].deadline_ms = 300; // many are given up
-    s.classes[0].aim_ms = 100;
+    s.classes[0].latency_target_ms = 100;
     s.load.rate = s.capacity() * 1.4;
     let served = |cancel: bool| {
         let mut s = s.clone();
@@ -230,8 +234,8 @@
 }
 
 #[test]
-fn orders_and_worlds_are_read_and_bad_ones_refused() {
-    let mut s = plain_world();
+fn valid_scenarios_are_read_and_invalid_ones_rejected() {
+    let mut s = simple_scenario();
     s.machines.order = Order::WhateverFits;
     s.machines.things = Some(Things {
         kept: 3,
@@ -249,11 +253,11 @@
     };
     assert!(wrong("\"at-once\":4.0", "\"at-once\":0.0").contains("at /machines/things"));
     assert!(wrong("\"whatever-fits\"", "\"any\"").contains("/machines/order"));
-    s.troubles = vec![Trouble {
+    s.faults = vec![Fault {
         at_s: 1.0,
         for_s: 1.0,
         workers: vec![0],
-        what: What::Slow { times: 0.5 },
+        what: FaultKind::Slow { times: 0.5 },
     }];
     let why = scenario::read(&serde_json::to_string(&s).expect("JSON")).expect_err("faster");
     assert!(
@@ -269,13 +273,13 @@
         scenario::read(include_str!("../../../examples/replay/tolls.json")).expect("the example");
     s.load.seconds = 60.0;
     s.load.jumps.clear();
-    s.troubles.retain(|t| t.at_s + t.for_s < 55.0);
+    s.faults.retain(|t| t.at_s + t.for_s < 55.0);
     let (module, random) = (played(&s, Policy::Module, 1), played(&s, Policy::Random, 1));
     assert!(module.verdict.kept(), "{:?}", module.verdict.examples);
     assert!(
-        module.outcome.figure > random.outcome.figure,
+        module.outcome.service_metric > random.outcome.service_metric,
         "{} {}",
-        module.outcome.figure,
-        random.outcome.figure
+        module.outcome.service_metric,
+        random.outcome.service_metric
     );
 }
--- a/crates/replay/tests/virtual_time.rs
+++ b/crates/replay/tests/virtual_time.rs
@@ -1,10 +1,10 @@
-//! Virtual time: the same seed gives the same run; a recorded run replayed comes to the same figure.
+//! Virtual time: the same seed gives the same run; a replayed recording reaches nearly the same service metric.
 
 use indigofold_replay::compare::compare;
 use indigofold_replay::export::{Form, Log, mapping};
 use indigofold_replay::load::{Made, Recorded};
-use indigofold_replay::scenario::{self, Jump, Scenario, Trouble, What};
-use indigofold_replay::virtual_time::{Ground, Logged, Retries, Run};
+use indigofold_replay::scenario::{self, Fault, FaultKind, Jump, Scenario};
+use indigofold_replay::virtual_time::{LoggedRequest, Retries, Run, Simulation};
 use indigofold_replay::{report, retry_folding};
 use indigofold_traffic::detect::Kind;
 use indigofold_traffic::import::{Imported, Options, import};
@@ -24,23 +24,23 @@
         times: 2.2,
         edge_s: 0.5,
     }];
-    let trouble = |at_s, for_s, worker, what| Trouble {
+    let fault = |at_s, for_s, worker, what| Fault {
         at_s,
         for_s,
         workers: vec![worker],
         what,
     };
-    s.troubles = vec![
-        trouble(10.0, 12.0, 4, What::Hang),
-        trouble(30.0, 5.0, 7, What::Crash),
-        trouble(60.0, 5.0, 1, What::Drain),
+    s.faults = vec![
+        fault(10.0, 12.0, 4, FaultKind::Hang),
+        fault(30.0, 5.0, 7, FaultKind::Crash),
+        fault(60.0, 5.0, 1, FaultKind::Drain),
     ];
     s
 }
 
 fn live(s: &Scenario, seed: u64) -> Run {
-    let ground = Ground::new(s, seed, Retries::Model).expect("a ground");
-    ground
+    let simulation = Simulation::new(s, seed, Retries::Model).expect("a simulation");
+    simulation
         .play(Made::new(s, seed).expect("load"), |_| {}, |_| {})
         .expect("a run")
 }
@@ -56,9 +56,9 @@
         .iter()
         .map(|p| Log::new(form, file(p), harm, seed).expect("a log"))
         .collect();
-    let ground = Ground::new(s, seed, Retries::Model).expect("a ground");
-    let log = |t: Logged<'_>| logs[t.scheduler as usize].write(s, &t).expect("written");
-    let run = ground
+    let simulation = Simulation::new(s, seed, Retries::Model).expect("a simulation");
+    let log = |t: LoggedRequest<'_>| logs[t.scheduler as usize].write(s, &t).expect("written");
+    let run = simulation
         .play(Made::new(s, seed).expect("load"), log, |_| {})
         .expect("a run");
     logs.into_iter().for_each(|l| l.finish().expect("written"));
@@ -81,8 +81,8 @@
 
 fn replayed(s: &Scenario, bytes: &[u8], seed: u64, retries: Retries) -> Run {
     let reader = Reader::new(bytes).expect("a recording");
-    let ground = Ground::new(s, seed, retries).expect("a ground");
-    ground
+    let simulation = Simulation::new(s, seed, retries).expect("a simulation");
+    simulation
         .play(
             Recorded::new(s, reader, seed).expect("load"),
             |_| {},
@@ -98,7 +98,7 @@
     assert_eq!(a, b);
     assert_ne!(a.outcome, live(&s, 6).outcome);
     assert!(a.verdict.kept(), "{:?}", a.verdict.examples);
-    assert!(a.verdict.most_on_cold > 0.0, "the crash made one cold");
+    assert!(a.verdict.peak_warm_up_load > 0.0, "the crash made one cold");
     let ends: u64 = a.outcome.ends.iter().sum();
     assert_eq!(ends, a.outcome.counts[0], "each first try ends once");
     assert!(
@@ -108,22 +108,22 @@
     );
 }
 
-/// The figure moves when the world does: a lost half of the fleet must show.
+/// The service metric shows that half of the fleet is lost.
 #[test]
-fn half_the_fleet_lost_shows_in_the_figure() {
+fn losing_half_the_fleet_lowers_the_service_metric() {
     let (s, mut bad) = (scenario(), scenario());
-    bad.troubles.push(Trouble {
+    bad.faults.push(Fault {
         at_s: 20.0,
         for_s: 60.0,
         workers: vec![0, 2, 3, 5, 6],
-        what: What::Crash,
+        what: FaultKind::Crash,
     });
     let (a, b) = (live(&s, 5), live(&bad, 5));
     assert!(
-        b.outcome.figure < a.outcome.figure - 0.1,
+        b.outcome.service_metric < a.outcome.service_metric - 0.1,
         "{} {}",
-        a.outcome.figure,
-        b.outcome.figure
+        a.outcome.service_metric,
+        b.outcome.service_metric
     );
     let found = compare(&a, &b);
     assert!(
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_recorded_run_replayed_comes_to_the_same_figure_in_every_form() {
+fn a_replayed_recording_reaches_nearly_the_same_service_metric_in_every_log_format() {
     let s = scenario();
     for form in [
         Form::Combined,
@@ -152,8 +152,8 @@
             tally.adds_up() && tally.rejected() == 0,
             "{form:?}: {tally:?}"
         );
-        let tries = run.outcome.counts[0] + run.outcome.counts[1];
-        assert_eq!(tally.read, tries, "{form:?}");
+        let requests = run.outcome.counts[0] + run.outcome.counts[1];
+        assert_eq!(tally.read, requests, "{form:?}");
         let off = tally.taken as f64 / run.outcome.counts[0] as f64 - 1.0;
         assert!(
             off.abs() < 0.01,
@@ -161,13 +161,13 @@
             tally.taken,
             run.outcome.counts[0]
         );
-        let again = replayed(&s, &bytes, 8, Retries::Model);
-        let off = again.outcome.figure / run.outcome.figure - 1.0;
+        let replay = replayed(&s, &bytes, 8, Retries::Model);
+        let off = replay.outcome.service_metric / run.outcome.service_metric - 1.0;
         assert!(
             off.abs() < 0.05,
             "{form:?}: {} for {}",
-            again.outcome.figure,
-            run.outcome.figure
+            replay.outcome.service_metric,
+            run.outcome.service_metric
         );
     }
 }
@@ -180,7 +180,11 @@
     assert!(tally.adds_up() && tally.rejected() > 0, "{tally:?}");
     let lost = 1.0 - tally.taken as f64 / run.outcome.counts[0] as f64;
     assert!((0.005..0.03).contains(&lost), "{lost}");
-    let off = replayed(&s, &bytes, 8, Retries::Model).outcome.figure / run.outcome.figure - 1.0;
+    let off = replayed(&s, &bytes, 8, Retries::Model)
+        .outcome
+        .service_metric
+        / run.outcome.service_metric
+        - 1.0;
     assert!(off.abs() < 0.05, "{off}");
 }
 
@@ -188,20 +192,20 @@
 fn recorded_retries_are_replaced_replayed_or_left_out() {
     let s = scenario();
     let (_, imported, bytes) = recorded(&s, 4, Form::Apache, (0.0, 0.0));
-    let tries = imported.tally.folded;
-    assert!(tries > 20, "{tries}");
+    let folded = imported.tally.folded;
+    assert!(folded > 20, "{folded}");
     let count = |retries| replayed(&s, &bytes, 8, retries).outcome.counts[1];
     assert_eq!(count(Retries::None), 0);
     let sent = count(Retries::Recorded);
     assert!(
-        sent > 0 && sent <= tries,
-        "{sent} of {tries}: none is sent for a job that is served by then"
+        sent > 0 && sent <= folded,
+        "{sent} of {folded}: none is sent for a job that is served by then"
     );
     assert!(count(Retries::Model) > 0);
 }
 
 #[test]
-fn retries_are_folded_as_well_as_is_asked() {
+fn retries_are_folded_with_the_required_precision_and_recall() {
     let rows = retry_folding::check(&scenario(), 2).expect("rows");
     for row in &rows {
         let least = if row.by.starts_with("neither") {
@@ -217,7 +221,7 @@
 }
 
 #[test]
-fn a_scenario_that_cannot_be_played_is_turned_down_with_all_that_is_wrong() {
+fn an_invalid_scenario_is_rejected_with_every_error() {
     let text = include_str!("../../../examples/replay/ten-minutes.json");
     let error = |from: &str, to: &str| {
         assert!(text.contains(from), "{from}");
--- a/crates/replay/src/worker/tests.rs
+++ b/crates/replay/tests/worker.rs
@@ -1,4 +1,9 @@
-use super::*;
+//! The worker model: queue, slots, warm-up, stalls and fetches.
+
+use indigofold_replay::object_store::{ObjectCache, ObjectStore};
+use indigofold_replay::scenario::{Kind, Micros, Order};
+use indigofold_replay::worker::{Event, Job, Offer, RunId, Worker};
+use std::sync::{Arc, Mutex};
 
 fn kind() -> Kind {
     Kind {
@@ -12,9 +17,9 @@
     }
 }
 
-fn job(ticket: Ticket, work: Micros, slots: u32) -> Job {
+fn job(run_id: RunId, work: Micros, slots: u32) -> Job {
     Job {
-        ticket,
+        run_id,
         work,
         slots,
         ..Job::default()
@@ -24,16 +29,16 @@
 fn events(w: &mut Worker, now: Micros) -> Vec<Event> {
     let mut out = Vec::new();
     w.step(now);
-    w.take(&mut out);
+    w.take_events(&mut out);
     out
 }
 
 #[test]
 fn the_head_of_the_queue_waits_until_it_fits() {
     let mut w = Worker::new(&kind(), 1.0);
-    assert_eq!(w.offer(0, job(1, 100, 1)), Offer::Taken);
-    assert_eq!(w.offer(0, job(2, 100, 2)), Offer::Taken);
-    assert_eq!(w.offer(0, job(3, 100, 1)), Offer::Taken);
+    assert_eq!(w.offer(0, job(1, 100, 1)), Offer::Accepted);
+    assert_eq!(w.offer(0, job(2, 100, 2)), Offer::Accepted);
+    assert_eq!(w.offer(0, job(3, 100, 1)), Offer::Accepted);
     assert_eq!(
         events(&mut w, 0),
         [Event::Started(1)],
@@ -42,7 +47,7 @@
     assert_eq!(w.due(), Some(100));
     assert_eq!(events(&mut w, 100), [Event::Done(1), Event::Started(2)]);
     assert_eq!(events(&mut w, 200), [Event::Done(2), Event::Started(3)]);
-    (0..4).for_each(|n| assert_eq!(w.offer(200, job(10 + n, 100, 2)), Offer::Taken));
+    (0..4).for_each(|n| assert_eq!(w.offer(200, job(10 + n, 100, 2)), Offer::Accepted));
     assert_eq!(w.offer(200, job(20, 100, 1)), Offer::Full);
     w.drain();
     assert_eq!(w.offer(200, job(21, 100, 1)), Offer::Full);
@@ -53,13 +58,13 @@
 }
 
 #[test]
-fn standing_still_puts_off_what_runs_once() {
+fn overlapping_stalls_delay_runs_once() {
     let mut w = Worker::new(&kind(), 2.0);
     w.offer(0, job(1, 200, 1));
-    w.stand_still(50, 150);
-    w.stand_still(60, 140);
+    w.stall(50, 150);
+    w.stall(60, 140);
     w.offer(70, job(2, 200, 1));
-    assert!(w.still(149));
+    assert!(w.stalled(149));
     assert_eq!(
         events(&mut w, 149),
         [Event::Started(1)],
@@ -72,10 +77,10 @@
 }
 
 #[test]
-fn a_new_process_is_cold_and_warms_with_time_and_work() {
+fn a_new_process_warms_up_with_time_and_work() {
     let mut w = Worker::new(&kind(), 1.0);
     assert_eq!(w.warmth(0), 1.0);
-    w.start_again(1_000_000);
+    w.restart(1_000_000);
     assert_eq!(w.warmth(1_000_000), 0.25);
     w.offer(1_000_000, job(1, 1_000_000, 1));
     assert_eq!(
@@ -104,10 +109,10 @@
                 ..job(4, 100, 1)
             },
         );
-        let mut seen = Vec::new();
+        let mut order_of_starts = Vec::new();
         for now in [0, 100, 200, 300] {
             let began = events(&mut w, now).into_iter();
-            seen.extend(began.filter_map(|e| {
+            order_of_starts.extend(began.filter_map(|e| {
                 if let Event::Started(t) = e {
                     Some(t)
                 } else {
@@ -115,7 +120,7 @@
                 }
             }));
         }
-        seen
+        order_of_starts
     };
     assert_eq!(started(Order::InOrder), [1, 2, 3, 4]);
     assert_eq!(started(Order::WhateverFits), [1, 3, 2, 4]);
@@ -123,19 +128,19 @@
 }
 
 #[test]
-fn what_is_given_up_stops_and_makes_room() {
+fn a_cancelled_run_stops_and_frees_its_slots() {
     let mut w = Worker::new(&kind(), 1.0);
     (1..=3).for_each(|n| _ = w.offer(0, job(n, 1000, 1)));
     events(&mut w, 0);
-    w.give_up(100, 1);
+    w.cancel(100, 1);
     assert_eq!(events(&mut w, 100), [Event::Started(3)]);
-    w.give_up(200, 9);
+    w.cancel(200, 9);
     assert_eq!(events(&mut w, 1000), [Event::Done(2)]);
     assert_eq!(events(&mut w, 1100), [Event::Done(3)], "and never 1");
 }
 
 #[test]
-fn a_change_of_pace_holds_for_what_runs() {
+fn a_change_of_pace_applies_to_running_jobs() {
     let mut w = Worker::new(&kind(), 2.0);
     w.offer(0, job(1, 4_000_000, 1));
     w.set_pace(1_000_000, 0.25);
@@ -150,12 +155,12 @@
 }
 
 #[test]
-fn a_fetch_holds_the_slot_and_no_share_is_done_meanwhile() {
-    let store = std::sync::Arc::new(std::sync::Mutex::new(crate::object_store::Store::new(9.0)));
-    let mut w = Worker::new(&kind(), 1.0).serving(Order::InOrder, Some(Shelf::new(store, 4)));
-    let about = |ticket, thing| Job {
+fn a_fetch_occupies_the_slot_without_progress() {
+    let store = Arc::new(Mutex::new(ObjectStore::new(9.0)));
+    let mut w = Worker::new(&kind(), 1.0).serving(Order::InOrder, Some(ObjectCache::new(store, 4)));
+    let about = |run_id, thing| Job {
         thing: Some((thing, 500_000)),
-        ..job(ticket, 1_000_000, 1)
+        ..job(run_id, 1_000_000, 1)
     };
     let ends = |w: &Worker, of: &Job| w.would_end(0, of);
     assert_eq!(ends(&w, &about(9, 7)), Some(1_500_000.0));
