--- a/crates/replay/src/cli.rs
+++ b/crates/replay/src/cli.rs
@@ -77,25 +77,7 @@
         seed: u64,
     },
     /// Add a jump of the rate.
-    Jump {
-        #[command(flatten)]
-        files: Files,
-        /// Seconds after the first job.
-        #[arg(long)]
-        at: f64,
-        /// For so many seconds.
-        #[arg(long = "for")]
-        long: f64,
-        /// To so many times the usual.
-        #[arg(long)]
-        times: f64,
-        /// Rise and fall, in seconds each.
-        #[arg(long, default_value_t = 0.5)]
-        edge: f64,
-        /// Random numbers begin here.
-        #[arg(long, default_value_t = 1)]
-        seed: u64,
-    },
+    Jump(Jump),
     /// Put keyed hashes in place of what names people and things.
     Pseudonymise {
         #[command(flatten)]
@@ -112,18 +94,7 @@
     /// Play a recording in virtual time, or on sockets.
     Replay(Replay),
     /// Compare two results that `replay` or `live` have written with --json-out.
-    Compare {
-        /// The scenario that both were played on.
-        #[arg(long)]
-        scenario: PathBuf,
-        /// A result.
-        a: PathBuf,
-        /// Another.
-        b: PathBuf,
-        /// Write a report here.
-        #[arg(long)]
-        report: Option<PathBuf>,
-    },
+    Compare(Compare),
     /// How well retries are folded, on traffic whose truth is known.
     FoldCheck {
         /// The scenario.
@@ -156,6 +127,41 @@
     pub out: PathBuf,
 }
 
+#[derive(Args)]
+pub struct Jump {
+    #[command(flatten)]
+    pub files: Files,
+    /// Seconds after the first job.
+    #[arg(long)]
+    pub at: f64,
+    /// For so many seconds.
+    #[arg(long = "for")]
+    pub long: f64,
+    /// To so many times the usual.
+    #[arg(long)]
+    pub times: f64,
+    /// Rise and fall, in seconds each.
+    #[arg(long, default_value_t = 0.5)]
+    pub edge: f64,
+    /// Random numbers begin here.
+    #[arg(long, default_value_t = 1)]
+    pub seed: u64,
+}
+
+#[derive(Args)]
+pub struct Compare {
+    /// The scenario that both were played on.
+    #[arg(long)]
+    pub scenario: PathBuf,
+    /// A result.
+    pub a: PathBuf,
+    /// Another.
+    pub b: PathBuf,
+    /// Write a report here.
+    #[arg(long)]
+    pub report: Option<PathBuf>,
+}
+
 #[derive(Args)]
 pub struct Import {
     /// HAR files, logs, recordings; plain, gzip or zstd. Rotated files may be named in any order.
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -1,16 +1,16 @@
-//! What differs between two runs, and how sure that is.
+//! The differences between two runs, with confidence intervals.
 
 use crate::sampling::{draw, unit};
-use crate::service::Second;
+use crate::service::{Outcome, Second};
 use crate::virtual_time::Run;
 use serde::{Deserialize, Serialize};
 
-/// Seconds that are drawn together: neighbouring ones depend on each other.
+/// Seconds that are drawn together, since neighbouring ones depend on each other.
 const BLOCK: usize = 10;
 /// Draws of the bootstrap.
 const DRAWS: u64 = 2_000;
 
-/// A figure of two runs.
+/// A metric of two runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
     /// Its name.
@@ -25,17 +25,17 @@
     pub interval: Option<[f64; 2]>,
 }
 
-/// All that differs.
+/// All differences.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The figures.
+    /// The metrics.
     #[serde(rename = "figures")]
     pub metrics: Vec<Difference>,
-    /// In plain words.
+    /// The difference in words.
     pub verdict: String,
 }
 
-/// The difference of the shares of worth earned, with an interval: seconds are paired, and blocks of them drawn anew
+/// The difference of the fractions of value earned, with an interval: seconds are paired, and blocks of them drawn anew
 /// (moving block bootstrap, Kuensch 1989).
 fn paired(a: &[Second], b: &[Second], seed: u64) -> Option<[f64; 2]> {
     let n = a.len().min(b.len());
@@ -60,13 +60,13 @@
             for _ in 0..n.div_ceil(BLOCK) {
                 let at = (unit(&mut rng) * (n - BLOCK + 1) as f64) as usize;
                 let end = at + BLOCK;
-                let parts = [
+                let block = [
                     a[end].0 - a[at].0,
                     a[end].1 - a[at].1,
                     b[end].0 - b[at].0,
                     b[end].1 - b[at].1,
                 ];
-                sums.iter_mut().zip(parts).for_each(|(s, p)| *s += p);
+                sums.iter_mut().zip(block).for_each(|(s, p)| *s += p);
             }
             let fraction =
                 |offered: f64, earned: f64| if offered > 0.0 { earned / offered } else { 1.0 };
@@ -78,72 +78,76 @@
     Some([at(0.025), at(0.975)])
 }
 
-/// Compares two runs.
-pub fn compare(a: &Run, b: &Run) -> Comparison {
-    let (x, y) = (&a.outcome, &b.outcome);
-    let mut metrics = Vec::new();
-    let mut add = |name: &str, a: f64, b: f64, interval| {
-        metrics.push(Difference {
+/// Collects differences.
+struct Differences(Vec<Difference>);
+
+impl Differences {
+    fn add(&mut self, name: impl Into<String>, a: f64, b: f64) {
+        self.add_with_interval(name, a, b, None);
+    }
+
+    fn add_with_interval(
+        &mut self,
+        name: impl Into<String>,
+        a: f64,
+        b: f64,
+        interval: Option<[f64; 2]>,
+    ) {
+        self.0.push(Difference {
             name: name.into(),
             a,
             b,
             by: b - a,
             interval,
         });
-    };
-    let interval = paired(&x.seconds, &y.seconds, 1);
-    add("service figure", x.service_metric, y.service_metric, None);
-    add("worth earned, whole run", x.overall, y.overall, interval);
-    add(
-        "worth earned, worst 10 s",
-        x.worst_window.0,
-        y.worst_window.0,
-        None,
-    );
-    add(
-        "worth earned, worst class",
-        x.worst_class.0,
-        y.worst_class.0,
-        None,
-    );
-    add(
-        "worth earned, worst parish",
-        x.worst_parish.0,
-        y.worst_parish.0,
-        None,
-    );
-    for (name, a) in &x.classes {
-        add(
-            &format!("worth earned, class {name}"),
-            *a,
-            y.classes.get(name).copied().unwrap_or(0.0),
-            None,
-        );
     }
-    let fraction =
-        |ends: [u64; 4], n: usize| ends[n] as f64 / ends.iter().sum::<u64>().max(1) as f64;
-    for (n, name) in ["in time", "late", "refused", "failed"].iter().enumerate() {
-        add(
-            &format!("share of jobs {name}"),
-            fraction(x.ends, n),
-            fraction(y.ends, n),
-            None,
+
+    fn add_values(&mut self, a: &Outcome, b: &Outcome, interval: Option<[f64; 2]>) {
+        self.add("service figure", a.service_metric, b.service_metric);
+        self.add_with_interval("worth earned, whole run", a.overall, b.overall, interval);
+        let (window_a, window_b) = (a.worst_window.0, b.worst_window.0);
+        self.add("worth earned, worst 10 s", window_a, window_b);
+        self.add(
+            "worth earned, worst class",
+            a.worst_class.0,
+            b.worst_class.0,
         );
+        let (parish_a, parish_b) = (a.worst_parish.0, b.worst_parish.0);
+        self.add("worth earned, worst parish", parish_a, parish_b);
+        for (name, in_a) in &a.classes {
+            let in_b = b.classes.get(name).copied().unwrap_or(0.0);
+            self.add(format!("worth earned, class {name}"), *in_a, in_b);
+        }
     }
-    for (name, a) in &x.latency {
-        let b = y.latency.get(name).copied().unwrap_or_default();
-        add(&format!("{name}: 50th percentile, ms"), a[0], b[0], None);
-        add(&format!("{name}: 99th percentile, ms"), a[2], b[2], None);
+
+    fn add_ends(&mut self, a: &Outcome, b: &Outcome) {
+        let fraction =
+            |ends: [u64; 4], n: usize| ends[n] as f64 / ends.iter().sum::<u64>().max(1) as f64;
+        for (n, name) in ["in time", "late", "refused", "failed"].iter().enumerate() {
+            let name = format!("share of jobs {name}");
+            self.add(name, fraction(a.ends, n), fraction(b.ends, n));
+        }
     }
-    let per = |c: [u64; 4], n: usize| c[n] as f64 / c[0].max(1) as f64;
-    for (n, name) in [(1, "retries"), (2, "attempts"), (3, "probes")] {
-        add(
-            &format!("{name} per first try"),
-            per(x.counts, n),
-            per(y.counts, n),
-            None,
-        );
+
+    fn add_latencies(&mut self, a: &Outcome, b: &Outcome) {
+        for (name, in_a) in &a.latency {
+            let in_b = b.latency.get(name).copied().unwrap_or_default();
+            self.add(format!("{name}: 50th percentile, ms"), in_a[0], in_b[0]);
+            self.add(format!("{name}: 99th percentile, ms"), in_a[2], in_b[2]);
+        }
+    }
+
+    fn add_counts(&mut self, a: &Outcome, b: &Outcome) {
+        let per_first_try = |counts: [u64; 4], n: usize| counts[n] as f64 / counts[0].max(1) as f64;
+        for (n, name) in [(1, "retries"), (2, "attempts"), (3, "probes")] {
+            let name = format!("{name} per first try");
+            self.add(name, per_first_try(a.counts, n), per_first_try(b.counts, n));
+        }
     }
+}
+
+/// The difference in words.
+fn verdict(a: &Run, b: &Run, interval: Option<[f64; 2]>) -> String {
     let verdict = match interval {
         Some([low, high]) if low > 0.0 => {
             format!("B earns more of the worth: by {low:.4} to {high:.4} (95%).")
@@ -159,11 +163,24 @@
         }
         None => "The runs are too short for an interval.".into(),
     };
-    let verdict = match (a.verdict.kept(), b.verdict.kept()) {
+    match (a.verdict.kept(), b.verdict.kept()) {
         (true, false) => format!("{verdict} B breaks rules that A keeps."),
         (false, true) => format!("{verdict} A breaks rules that B keeps."),
         (false, false) => format!("{verdict} Both break rules."),
         (true, true) => verdict,
-    };
-    Comparison { metrics, verdict }
+    }
+}
+
+/// Compares two runs.
+pub fn compare(a: &Run, b: &Run) -> Comparison {
+    let interval = paired(&a.outcome.seconds, &b.outcome.seconds, 1);
+    let mut differences = Differences(Vec::new());
+    differences.add_values(&a.outcome, &b.outcome, interval);
+    differences.add_ends(&a.outcome, &b.outcome);
+    differences.add_latencies(&a.outcome, &b.outcome);
+    differences.add_counts(&a.outcome, &b.outcome);
+    Comparison {
+        metrics: differences.0,
+        verdict: verdict(a, b, interval),
+    }
 }
--- a/crates/replay/src/load.rs
+++ b/crates/replay/src/load.rs
@@ -265,6 +265,18 @@
     }
 }
 
+impl<R> Recorded<'_, R> {
+    fn class_named(&self, name: &str) -> Result<u32, String> {
+        let classes = &self.scenario.classes;
+        let position = classes.iter().position(|class| class.name == name);
+        position.map(|n| n as u32).ok_or_else(|| {
+            let names: Vec<&str> = classes.iter().map(|class| class.name.as_str()).collect();
+            let allowed = names.join(", ");
+            format!("class {name:?} of the recording is none of the scenario's: {allowed}")
+        })
+    }
+}
+
 impl<R: BufRead> Iterator for Recorded<'_, R> {
     type Item = Result<Arrival, String>;
 
@@ -273,24 +285,10 @@
             Ok(job) => job,
             Err(e) => return Some(Err(e.to_string())),
         };
-        let Some(class) = self
-            .scenario
-            .classes
-            .iter()
-            .position(|c| c.name == *job.class)
-        else {
-            let names: Vec<&str> = self
-                .scenario
-                .classes
-                .iter()
-                .map(|c| c.name.as_str())
-                .collect();
-            let (class, allowed) = (&job.class, names.join(", "));
-            return Some(Err(format!(
-                "class {class:?} of the recording is none of the scenario's: {allowed}"
-            )));
+        let class = match self.class_named(&job.class) {
+            Ok(class) => class,
+            Err(e) => return Some(Err(e)),
         };
-        let class = class as u32;
         let slots = job.slots.map(|s| (s.ceil() as u32).max(1));
         let (work, slots) = self.draws.job(self.scenario, self.number, class, slots);
         let deadline = job
--- a/crates/replay/src/play_command.rs
+++ b/crates/replay/src/play_command.rs
@@ -6,6 +6,7 @@
 use indigofold_replay::export::{self, Log};
 use indigofold_replay::load::{Made, Recorded};
 use indigofold_replay::scenario::{self, Scenario};
+use indigofold_replay::service::Outcome;
 use indigofold_replay::virtual_time::{LoggedRequest, Retries, Run, Simulation};
 use indigofold_replay::{report, sockets};
 use serde_json::json;
@@ -15,6 +16,9 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
+/// The exit code where a run broke a rule.
+const RULES_BROKEN: u8 = 3;
+
 pub fn read_scenario(path: &Path) -> Result<Scenario, Bad> {
     let text = text_of(path)?;
     Ok(scenario::read(&text).map_err(|e| format!("{}:\n{e}", path.display()))?)
@@ -125,46 +129,13 @@
     if let Some(path) = &to.report {
         std::fs::write(path, report::page(scenario, title, &[("run", run)], None)?)?;
     }
-    let o = &run.outcome;
     if json {
         let mut short = run.clone();
         short.outcome.seconds.clear();
         say!("{}", json!({"run": short, "wall_seconds": seconds}));
     } else {
-        say!("service figure {:.4}", o.service_metric);
-        say!(
-            "whole {:.4}, worst 10 s {:.4} (from {} s), worst class {:.4} ({}), worst parish {:.4} ({})",
-            o.overall,
-            o.worst_window.0,
-            o.worst_window.1,
-            o.worst_class.0,
-            o.worst_class.1,
-            o.worst_parish.0,
-            o.worst_parish.1
-        );
-        for (name, fraction) in &o.classes {
-            say!("class {name:20} {fraction:.4}");
-        }
-        say!("first tries, retries, attempts, probes: {:?}", o.counts);
-        say!("in time, late, refused, failed: {:?}", o.ends);
-        say!(
-            "most on a cold job worker: {:.2} times what it can do",
-            run.verdict.peak_warm_up_load
-        );
-        if o.lateness[1] > 0.0 {
-            say!(
-                "generator late: {:.3} ms at the 99th percentile, {:.3} ms at the most",
-                o.lateness[0],
-                o.lateness[1]
-            );
-        }
-        match run.verdict.kept() {
-            true => say!("rules kept"),
-            false => say!("RULES BROKEN: {:?}", run.verdict.breaches),
-        }
-        for text in &run.verdict.examples {
-            say!("    {text}");
-        }
+        print_outcome(&run.outcome);
+        print_verdict(run);
         for (text, count) in &run.scheduler_messages {
             tracing::debug!(count, "noted: {text}");
         }
@@ -172,6 +143,44 @@
     Ok(if run.verdict.kept() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(3)
+        ExitCode::from(RULES_BROKEN)
     })
 }
+
+fn print_outcome(o: &Outcome) {
+    say!("service figure {:.4}", o.service_metric);
+    say!(
+        "whole {:.4}, worst 10 s {:.4} (from {} s), worst class {:.4} ({}), worst parish {:.4} ({})",
+        o.overall,
+        o.worst_window.0,
+        o.worst_window.1,
+        o.worst_class.0,
+        o.worst_class.1,
+        o.worst_parish.0,
+        o.worst_parish.1
+    );
+    for (name, fraction) in &o.classes {
+        say!("class {name:20} {fraction:.4}");
+    }
+    say!("first tries, retries, attempts, probes: {:?}", o.counts);
+    say!("in time, late, refused, failed: {:?}", o.ends);
+}
+
+/// Prints what the checkers found, and how late the generator was.
+fn print_verdict(run: &Run) {
+    say!(
+        "most on a cold job worker: {:.2} times what it can do",
+        run.verdict.peak_warm_up_load
+    );
+    let [p99, maximum] = run.outcome.lateness;
+    if maximum > 0.0 {
+        say!("generator late: {p99:.3} ms at the 99th percentile, {maximum:.3} ms at the most");
+    }
+    match run.verdict.kept() {
+        true => say!("rules kept"),
+        false => say!("RULES BROKEN: {:?}", run.verdict.breaches),
+    }
+    for text in &run.verdict.examples {
+        say!("    {text}");
+    }
+}
--- a/crates/replay/src/recording_commands.rs
+++ b/crates/replay/src/recording_commands.rs
@@ -1,10 +1,10 @@
-//! Recordings shown and changed.
+//! The commands that show, change and merge recordings.
 
 use crate::Bad;
-use crate::cli::Files;
-use crate::files::{create, open};
+use crate::cli::{Files, Jump};
+use crate::files::{create, first_time, open, text_of};
 use indigofold_traffic::Job;
-use indigofold_traffic::ops::{Merged, Summary};
+use indigofold_traffic::ops::{self, Factor, Merged, Scaled, Summary};
 use indigofold_traffic::recording::{Header, Writer};
 use serde_json::json;
 use std::cell::RefCell;
@@ -12,6 +12,13 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
+/// The greatest factor of a rate.
+const MAX_FACTOR: f64 = 1_000.0;
+/// Added jobs of a jump are spread within stretches of this length, in microseconds.
+const JUMP_STRETCH_US: i64 = 100_000;
+/// In characters.
+const MIN_SECRET_LENGTH: usize = 16;
+
 pub fn show(path: &Path, json: bool) -> Result<(), Bad> {
     let mut reader = open(path)?;
     let mut summary = Summary::default();
@@ -57,7 +64,7 @@
     Ok(())
 }
 
-pub type Jobs<'a> = Box<dyn Iterator<Item = Job> + 'a>;
+type Jobs<'a> = Box<dyn Iterator<Item = Job> + 'a>;
 
 /// Jobs of a recording; the first error ends them and is kept.
 fn jobs(path: &Path, failed: &Rc<RefCell<Option<String>>>) -> Result<(Header, Jobs<'static>), Bad> {
@@ -80,19 +87,19 @@
     failed: &Rc<RefCell<Option<String>>>,
     json: bool,
 ) -> Result<(), Bad> {
-    let (out, part) = create(to)?;
+    let (out, unfinished) = create(to)?;
     let mut writer = Writer::new(out, &header)?;
     for job in jobs {
         writer.write(&job)?;
     }
     if let Some(error) = failed.take() {
         drop(writer);
-        let _ = std::fs::remove_file(&part);
+        let _ = std::fs::remove_file(&unfinished);
         return Err(error.into());
     }
     let (out, end) = writer.finish(None)?;
     drop(out);
-    std::fs::rename(&part, to)?;
+    std::fs::rename(&unfinished, to)?;
     match json {
         true => say!("{}", serde_json::to_string(&end)?),
         false => say!("{} first tries, {} retries", end.jobs, end.tries),
@@ -127,3 +134,55 @@
         json,
     )
 }
+
+/// Keeps what was sent between two times, in seconds after the first job.
+pub fn cut(files: &Files, from: f64, to: f64, json: bool) -> Result<(), Bad> {
+    let first = first_time(&files.recording)?;
+    let at = |seconds: f64| first + microseconds(seconds);
+    change(files, json, |jobs| {
+        Box::new(ops::cut(jobs, at(from), at(to)))
+    })
+}
+
+/// Scales the rate by a factor, within stretches of so many milliseconds.
+pub fn scale(files: &Files, by: f64, stretch_ms: i64, seed: u64, json: bool) -> Result<(), Bad> {
+    if !(by > 0.0 && by <= MAX_FACTOR) {
+        return Err("--by must be over 0 and up to 1000".into());
+    }
+    let stretch_us = stretch_ms.max(1) * 1000;
+    change(files, json, |jobs| {
+        Box::new(Scaled::new(jobs, Factor::Always(by), stretch_us, seed))
+    })
+}
+
+/// Adds a jump of the rate.
+pub fn jump(args: &Jump, json: bool) -> Result<(), Bad> {
+    if !(args.times > 0.0 && args.times <= MAX_FACTOR) {
+        return Err("--times must be over 0 and up to 1000".into());
+    }
+    let from = first_time(&args.files.recording)? + microseconds(args.at);
+    let factor = Factor::Jump {
+        from,
+        to: from + microseconds(args.long),
+        edge: microseconds(args.edge),
+        times: args.times,
+    };
+    change(&args.files, json, |jobs| {
+        Box::new(Scaled::new(jobs, factor, JUMP_STRETCH_US, args.seed))
+    })
+}
+
+/// Replaces what names people and things by keyed hashes.
+pub fn pseudonymise(files: &Files, secret: &Path, parishes: bool, json: bool) -> Result<(), Bad> {
+    let secret = text_of(secret)?;
+    if secret.trim().len() < MIN_SECRET_LENGTH {
+        return Err("the secret is too short: 16 characters or more are wanted".into());
+    }
+    change(files, json, |jobs| {
+        Box::new(ops::pseudonymise(jobs, secret.trim(), parishes))
+    })
+}
+
+fn microseconds(seconds: f64) -> i64 {
+    (seconds * 1e6) as i64
+}
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -1,7 +1,8 @@
 //! Reports: one self-contained HTML page, with plots as SVG.
 
 use crate::compare::Comparison;
-use crate::scenario::{FaultKind, Scenario};
+use crate::scenario::{Fault, FaultKind, Scenario};
+use crate::service::{Outcome, Second};
 use crate::virtual_time::Run;
 use minijinja::Environment;
 use plotters::prelude::*;
@@ -10,7 +11,7 @@
 
 const PAGE: &str = include_str!("report.html");
 const SIZE: (u32, u32) = (960, 260);
-/// Seconds that one point of a plot stands for, so that an hour is drawn in some hundreds.
+/// Points of a line at most: an hour is drawn in some hundreds.
 const POINTS: usize = 360;
 const COLOURS: [RGBColor; 4] = [
     RGBColor(31, 90, 150),
@@ -22,11 +23,101 @@
 type Bad = Box<dyn std::error::Error>;
 
 /// A line of a plot.
-struct Line {
+struct Series {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
+/// The seconds of the compared runs, in chunks that one point of a plot stands for.
+struct Chunks<'a> {
+    runs: &'a [(&'a str, &'a Run)],
+    /// Seconds in a chunk.
+    step: usize,
+}
+
+impl<'a> Chunks<'a> {
+    fn new(runs: &'a [(&'a str, &'a Run)]) -> Self {
+        let seconds = runs.iter().map(|(_, run)| run.outcome.seconds.len()).max();
+        let step = seconds.unwrap_or(0).div_ceil(POINTS).max(1);
+        Chunks { runs, step }
+    }
+
+    /// A value of each chunk, by run.
+    fn series(&self, value: impl Fn(&[Second]) -> f64) -> Vec<Series> {
+        let series = |(name, run): &(&str, &Run)| {
+            let chunks = run.outcome.seconds.chunks(self.step).enumerate();
+            Series {
+                name: name.to_string(),
+                points: chunks
+                    .map(|(n, chunk)| ((n * self.step) as f64, value(chunk)))
+                    .collect(),
+            }
+        };
+        self.runs.iter().map(series).collect()
+    }
+
+    /// The mean of a count in a second of each chunk, by run.
+    fn rates(&self, count: impl Fn(&Second) -> u32) -> Vec<Series> {
+        self.series(|chunk| sum(chunk, |s| f64::from(count(s))) / chunk.len() as f64)
+    }
+}
+
+fn sum(chunk: &[Second], value: impl Fn(&Second) -> f64) -> f64 {
+    chunk.iter().map(value).sum()
+}
+
+/// The fraction of the value earned in a chunk.
+fn earned_fraction(chunk: &[Second]) -> f64 {
+    let offered = sum(chunk, |s| s.offered);
+    if offered > 0.0 {
+        sum(chunk, |s| s.earned) / offered
+    } else {
+        1.0
+    }
+}
+
+/// The mean time to the answer in a chunk, in milliseconds.
+fn mean_time_ms(chunk: &[Second]) -> f64 {
+    let served = sum(chunk, |s| f64::from(s.ends[0] + s.ends[1]));
+    if served > 0.0 {
+        sum(chunk, |s| s.took_ms) / served
+    } else {
+        0.0
+    }
+}
+
+/// All plots of a report, each with its title.
+fn plots(scenario: &Scenario, runs: &[(&str, &Run)]) -> Result<Vec<(&'static str, String)>, Bad> {
+    let chunks = Chunks::new(runs);
+    let shaded = shaded_spans(scenario);
+    let earned = chunks.series(earned_fraction);
+    let first_tries = chunks.rates(|s| s.first);
+    let refused = chunks.rates(|s| s.ends[2]);
+    let retries = chunks.rates(|s| s.retries);
+    let times = chunks.series(mean_time_ms);
+    let full_range = Some(0.0..1.02);
+    let mut plots = vec![
+        (
+            "Share of the worth earned",
+            chart(&earned, full_range, &shaded)?,
+        ),
+        ("First tries a second", chart(&first_tries, None, &shaded)?),
+        (
+            "Jobs refused for good, a second",
+            chart(&refused, None, &shaded)?,
+        ),
+        ("Clients' retries a second", chart(&retries, None, &shaded)?),
+        ("Mean time to the answer, ms", chart(&times, None, &shaded)?),
+    ];
+    for (name, run) in runs {
+        plots.push((
+            "Jobs begun at each job worker",
+            heat_map(run, name, chunks.step)?,
+        ));
+    }
+    Ok(plots)
+}
+
 /// The page for one run, or for two that are compared.
 ///
 /// # Errors
@@ -37,72 +128,15 @@
     runs: &[(&str, &Run)],
     comparison: Option<&Comparison>,
 ) -> Result<String, Bad> {
-    let mut plots = Vec::new();
-    let seconds = runs
-        .iter()
-        .map(|(_, r)| r.outcome.seconds.len())
-        .max()
-        .unwrap_or(0);
-    let step = seconds.div_ceil(POINTS).max(1);
-    let series = |of: &dyn Fn(&[crate::service::Second]) -> f64| -> Vec<Line> {
-        let line = |(name, run): &(&str, &Run)| {
-            let chunks = run.outcome.seconds.chunks(step).enumerate();
-            Line {
-                name: name.to_string(),
-                points: chunks.map(|(n, c)| ((n * step) as f64, of(c))).collect(),
-            }
-        };
-        runs.iter().map(line).collect()
-    };
-    let sum = |c: &[crate::service::Second], of: &dyn Fn(&crate::service::Second) -> f64| {
-        c.iter().map(of).sum::<f64>()
-    };
-    let earned = series(&|c| {
-        let offered = sum(c, &|s| s.offered);
-        if offered > 0.0 {
-            sum(c, &|s| s.earned) / offered
-        } else {
-            1.0
-        }
-    });
-    let marks = marks(scenario);
-    plots.push((
-        "Share of the worth earned",
-        chart(&earned, Some(0.0..1.02), &marks)?,
-    ));
-    let rate = series(&|c| sum(c, &|s| f64::from(s.first)) / c.len() as f64);
-    plots.push(("First tries a second", chart(&rate, None, &marks)?));
-    let refused = series(&|c| sum(c, &|s| f64::from(s.ends[2])) / c.len() as f64);
-    plots.push((
-        "Jobs refused for good, a second",
-        chart(&refused, None, &marks)?,
-    ));
-    let retries = series(&|c| sum(c, &|s| f64::from(s.retries)) / c.len() as f64);
-    plots.push(("Clients' retries a second", chart(&retries, None, &marks)?));
-    let took = series(&|c| {
-        let served = sum(c, &|s| f64::from(s.ends[0] + s.ends[1]));
-        if served > 0.0 {
-            sum(c, &|s| s.took_ms) / served
-        } else {
-            0.0
-        }
-    });
-    plots.push(("Mean time to the answer, ms", chart(&took, None, &marks)?));
-    for (name, run) in runs {
-        plots.push(("Jobs begun at each job worker", heat(run, name, step)?));
-    }
+    let plots = plots(scenario, runs)?;
     let latency: Vec<_> = runs
         .iter()
         .flat_map(|(name, run)| {
-            run.outcome
-                .latency
-                .iter()
-                .map(move |(of, row)| (name.to_string(), of.clone(), *row))
+            let rows = run.outcome.latency.iter();
+            rows.map(move |(of, row)| (name.to_string(), of.clone(), *row))
         })
         .collect();
-    let mut env = Environment::new();
-    env.add_template("page.html", PAGE)?;
-    let faults: Vec<String> = scenario.faults.iter().map(fault).collect();
+    let faults: Vec<String> = scenario.faults.iter().map(describe_fault).collect();
     let data = json!({
         "title": title, "troubles": faults, "plots": plots, "latency": latency, "comparison": comparison,
         "scenario": {"name": scenario.name, "schedulers": scenario.schedulers, "workers": scenario.workers()},
@@ -110,6 +144,8 @@
             "name": name, "outcome": summary(&run.outcome), "verdict": run.verdict, "kept": run.verdict.kept()
         })).collect::<Vec<_>>(),
     });
+    let mut env = Environment::new();
+    env.add_template("page.html", PAGE)?;
     let text = env
         .get_template("page.html")?
         .render(minijinja::Value::from(minijinja::value::Serde(data)))?;
@@ -117,14 +153,14 @@
 }
 
 /// An outcome without its seconds, which the plots show.
-fn summary(outcome: &crate::service::Outcome) -> crate::service::Outcome {
-    crate::service::Outcome {
+fn summary(outcome: &Outcome) -> Outcome {
+    Outcome {
         seconds: Vec::new(),
         ..outcome.clone()
     }
 }
 
-fn fault(t: &crate::scenario::Fault) -> String {
+fn describe_fault(t: &Fault) -> String {
     let what = match &t.what {
         FaultKind::Hang => "hang: they take jobs and say nothing".to_string(),
         FaultKind::Pauses { ms, every_ms } => {
@@ -147,71 +183,67 @@
     )
 }
 
-/// Where troubles and jumps lie in time.
-fn marks(scenario: &Scenario) -> Vec<Range<f64>> {
-    let faults = scenario.faults.iter().map(|t| t.at_s..t.at_s + t.for_s);
+/// The times of faults and jumps of the load.
+fn shaded_spans(scenario: &Scenario) -> Vec<Range<f64>> {
+    let faults = scenario.faults.iter().map(|f| f.at_s..f.at_s + f.for_s);
+    let jumps = scenario.load.jumps.iter();
     faults
-        .chain(scenario.load.jumps.iter().map(|j| j.at_s..j.at_s + j.for_s))
+        .chain(jumps.map(|j| j.at_s..j.at_s + j.for_s))
         .collect()
 }
 
-fn chart(lines: &[Line], range: Option<Range<f64>>, marks: &[Range<f64>]) -> Result<String, Bad> {
+/// A plot of lines over time; without a range, from 0 to above the greatest value.
+fn chart(
+    lines: &[Series],
+    range: Option<Range<f64>>,
+    shaded: &[Range<f64>],
+) -> Result<String, Bad> {
     let mut svg = String::new();
-    {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE)?;
-        let end = lines
-            .iter()
-            .filter_map(|l| l.points.last())
-            .map(|p| p.0)
-            .fold(1.0, f64::max);
-        let top = lines
-            .iter()
-            .flat_map(|l| &l.points)
-            .map(|p| p.1)
-            .fold(0.0, f64::max);
-        let range = range.unwrap_or(0.0..(top * 1.1).max(1.0));
-        let mut chart = ChartBuilder::on(&area)
-            .margin(8)
-            .x_label_area_size(28)
-            .y_label_area_size(52)
-            .build_cartesian_2d(0.0..end, range.clone())?;
-        chart.draw_series(marks.iter().map(|m| {
-            let to = m.end.max(m.start + end / 400.0).min(end);
-            Rectangle::new(
-                [(m.start, range.start), (to, range.end)],
-                RGBColor(255, 225, 190).filled(),
-            )
-        }))?;
+    let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+    area.fill(&WHITE)?;
+    let last_points = lines.iter().filter_map(|l| l.points.last());
+    let end = last_points.map(|p| p.0).fold(1.0, f64::max);
+    let points = lines.iter().flat_map(|l| &l.points);
+    let top = points.map(|p| p.1).fold(0.0, f64::max);
+    let range = range.unwrap_or(0.0..(top * 1.1).max(1.0));
+    let mut chart = ChartBuilder::on(&area)
+        .margin(8)
+        .x_label_area_size(28)
+        .y_label_area_size(52)
+        .build_cartesian_2d(0.0..end, range.clone())?;
+    chart.draw_series(shaded.iter().map(|span| {
+        let to = span.end.max(span.start + end / 400.0).min(end);
+        let corners = [(span.start, range.start), (to, range.end)];
+        Rectangle::new(corners, RGBColor(255, 225, 190).filled())
+    }))?;
+    chart
+        .configure_mesh()
+        .x_desc("s")
+        .light_line_style(RGBColor(238, 238, 238))
+        .draw()?;
+    for (n, line) in lines.iter().enumerate() {
+        let colour = COLOURS[n % COLOURS.len()];
+        let points = line.points.iter().copied();
+        chart
+            .draw_series(LineSeries::new(points, colour.stroke_width(1)))?
+            .label(line.name.as_str())
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
+    }
+    if lines.len() > 1 {
         chart
-            .configure_mesh()
-            .x_desc("s")
-            .light_line_style(RGBColor(238, 238, 238))
+            .configure_series_labels()
+            .background_style(WHITE.mix(0.8))
+            .border_style(BLACK.mix(0.3))
             .draw()?;
-        for (n, line) in lines.iter().enumerate() {
-            let colour = COLOURS[n % COLOURS.len()];
-            let drawn = chart.draw_series(LineSeries::new(
-                line.points.iter().copied(),
-                colour.stroke_width(1),
-            ))?;
-            drawn
-                .label(line.name.as_str())
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
-        }
-        if lines.len() > 1 {
-            chart
-                .configure_series_labels()
-                .background_style(WHITE.mix(0.8))
-                .border_style(BLACK.mix(0.3))
-                .draw()?;
-        }
-        area.present()?;
     }
+    area.present()?;
+    drop(chart);
+    drop(area);
     Ok(svg)
 }
 
 /// Jobs begun, by job worker and time: the darker, the more.
-fn heat(run: &Run, name: &str, step: usize) -> Result<String, Bad> {
+fn heat_map(run: &Run, name: &str, step: usize) -> Result<String, Bad> {
     let mut svg = String::new();
     {
         let seconds = &run.outcome.seconds;
--- a/crates/replay/src/retry_folding.rs
+++ b/crates/replay/src/retry_folding.rs
@@ -1,16 +1,17 @@
-//! How well retries are folded: traffic is made whose truth is known, and what tells a retry is taken away step by step.
+//! How well retries are folded: traffic is made whose truth is known, and what identifies a retry is removed step by step.
 
 use crate::load::Made;
 use crate::scenario::{Effect, Scenario};
-use crate::virtual_time::{Retries, Simulation};
+use crate::virtual_time::{LoggedRequest, Retries, Simulation};
 use indigofold_traffic::Tally;
 use indigofold_traffic::fold::{Folder, Rules};
 use indigofold_traffic::job::{Job, Micros, number};
 use indigofold_traffic::order::{Sorter, Spread, Try};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
+use std::sync::Arc;
 
-/// What came of one way to know retries.
+/// The result for one kind of records.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// What the records hold.
@@ -19,127 +20,193 @@
     pub retries: u64,
     /// Records that were folded.
     pub folded: u64,
-    /// Share of folded records that were put with a try of the same job.
+    /// Fraction of folded records that were folded with a record of the same job.
     pub precision: f64,
-    /// Share of retries that were put with a try of the same job.
+    /// Fraction of retries that were folded with a record of the same job.
     pub recall: f64,
 }
 
-/// What a record holds: key, mark, and how exactly its time is known.
-const WAYS: [(&str, bool, bool, Micros); 5] = [
-    ("key and mark, 1 ms", true, true, 1_000),
-    ("mark alone, 1 ms", false, true, 1_000),
-    ("mark alone, 1 s", false, true, 1_000_000),
-    ("neither, 1 ms", false, false, 1_000),
-    ("neither, 1 s", false, false, 1_000_000),
+/// What records hold that tells retries from first tries.
+struct RecordKind {
+    name: &'static str,
+    has_key: bool,
+    has_retry_mark: bool,
+    /// How exactly its time is known.
+    resolution_us: Micros,
+}
+
+impl RecordKind {
+    const fn new(
+        name: &'static str,
+        has_key: bool,
+        has_retry_mark: bool,
+        resolution_us: Micros,
+    ) -> Self {
+        RecordKind {
+            name,
+            has_key,
+            has_retry_mark,
+            resolution_us,
+        }
+    }
+
+    /// A record as a log of this kind has it.
+    fn reduce(&self, record: &Try) -> Try {
+        let mut record = record.clone();
+        if !self.has_key {
+            record.job.key = None;
+        }
+        record.marked &= self.has_retry_mark;
+        record.job.at = record.job.at / self.resolution_us * self.resolution_us;
+        record.within = self.resolution_us;
+        record
+    }
+}
+
+const RECORD_KINDS: [RecordKind; 5] = [
+    RecordKind::new("key and mark, 1 ms", true, true, 1_000),
+    RecordKind::new("mark alone, 1 ms", false, true, 1_000),
+    RecordKind::new("mark alone, 1 s", false, true, 1_000_000),
+    RecordKind::new("neither, 1 ms", false, false, 1_000),
+    RecordKind::new("neither, 1 s", false, false, 1_000_000),
 ];
 
+/// A record, and the number of the job that it is of.
+struct LabelledRecord {
+    record: Try,
+    job: u64,
+}
+
+/// Counts of one kind of records.
+#[derive(Clone, Copy, Default)]
+struct FoldCounts {
+    retries: u64,
+    folded: u64,
+    /// Folded with a record of the same job.
+    correct: u64,
+}
+
+impl FoldCounts {
+    fn add(&mut self, other: FoldCounts) {
+        self.retries += other.retries;
+        self.folded += other.folded;
+        self.correct += other.correct;
+    }
+
+    fn row(self, kind: &RecordKind) -> Row {
+        Row {
+            by: kind.name.to_string(),
+            retries: self.retries,
+            folded: self.folded,
+            precision: self.correct as f64 / self.folded.max(1) as f64,
+            recall: self.correct as f64 / self.retries.max(1) as f64,
+        }
+    }
+}
+
 /// Checks a scenario's traffic over seeds.
 ///
 /// # Errors
 /// The scenario cannot be played.
 pub fn check(scenario: &Scenario, seeds: u64) -> Result<Vec<Row>, String> {
-    let mut sums = [[0u64; 3]; WAYS.len()]; // retries, folded, right
+    let mut counts = [FoldCounts::default(); RECORD_KINDS.len()];
     for seed in 1..=seeds {
-        let mut tries: Vec<(Try, u64)> = Vec::new();
-        let names: Vec<_> = scenario
-            .classes
-            .iter()
-            .map(|c| (c.name.as_str().into(), c.effect))
-            .collect();
-        let parishes: Vec<_> = scenario
-            .parishes
-            .iter()
-            .map(|p| p.name.as_str().into())
-            .collect();
-        let simulation = Simulation::new(scenario, seed, Retries::Model)?;
-        simulation.play(
-            Made::new(scenario, seed)?,
-            |t| {
-                let a = t.arrival;
-                let (class, effect): &(std::sync::Arc<str>, Effect) = &names[a.class as usize];
-                let parish: Option<&std::sync::Arc<str>> = a.parish.map(|p| &parishes[p as usize]);
-                let job = Job {
-                    at: t.from as Micros,
-                    class: class.clone(),
-                    parish: parish.cloned().unwrap_or_else(|| "".into()),
-                    subject: a.subject.clone(),
-                    key: matches!(effect, Effect::Keyed(_)).then(|| format!("k{}", a.number)),
-                    deadline: Some((a.at + a.deadline).saturating_sub(t.from) as Micros),
-                    bytes: 0,
-                    slots: None,
-                    client: number(&crate::export::address(a.parish.unwrap_or(200), a.office)),
-                    status: t.status.unwrap_or(0),
-                    took: Some((t.to - t.from) as Micros),
-                    tries: Vec::new(),
-                };
-                let seq = tries.len() as u64;
-                tries.push((
-                    Try {
-                        job,
-                        within: 1,
-                        seq,
-                        id: 0,
-                        marked: t.retry > 0,
-                        file: t.scheduler,
-                    },
-                    a.number,
-                ));
-            },
-            |_| {},
-        )?;
-        for (way, sum) in WAYS.iter().zip(&mut sums) {
-            let found = fold(scenario, &tries, way, seed).map_err(|e| e.to_string())?;
-            sum.iter_mut().zip(found).for_each(|(s, f)| *s += f);
+        let records = play(scenario, seed)?;
+        for (kind, counts) in RECORD_KINDS.iter().zip(&mut counts) {
+            counts.add(fold(scenario, &records, kind, seed).map_err(|e| e.to_string())?);
         }
     }
-    let row = |(way, [retries, folded, right]): (&(&str, bool, bool, Micros), [u64; 3])| Row {
-        by: way.0.to_string(),
-        retries,
-        folded,
-        precision: right as f64 / folded.max(1) as f64,
-        recall: right as f64 / retries.max(1) as f64,
+    let rows = RECORD_KINDS.iter().zip(counts);
+    Ok(rows.map(|(kind, counts)| counts.row(kind)).collect())
+}
+
+/// Plays a scenario, and records each request of its clients.
+fn play(scenario: &Scenario, seed: u64) -> Result<Vec<LabelledRecord>, String> {
+    let classes: Vec<Arc<str>> = scenario
+        .classes
+        .iter()
+        .map(|c| c.name.as_str().into())
+        .collect();
+    let parishes: Vec<Arc<str>> = scenario
+        .parishes
+        .iter()
+        .map(|p| p.name.as_str().into())
+        .collect();
+    let mut records = Vec::new();
+    let simulation = Simulation::new(scenario, seed, Retries::Model)?;
+    let log = |request: LoggedRequest<'_>| {
+        let arrival = request.arrival;
+        let class = arrival.class as usize;
+        let keyed = matches!(scenario.classes[class].effect, Effect::Keyed(_));
+        let parish = arrival.parish.map(|p| parishes[p as usize].clone());
+        let deadline_at = arrival.at + arrival.deadline;
+        let address = crate::export::address(arrival.parish.unwrap_or(200), arrival.office);
+        let job = Job {
+            at: request.from as Micros,
+            class: classes[class].clone(),
+            parish: parish.unwrap_or_else(|| "".into()),
+            subject: arrival.subject.clone(),
+            key: keyed.then(|| format!("k{}", arrival.number)),
+            deadline: Some(deadline_at.saturating_sub(request.from) as Micros),
+            bytes: 0,
+            slots: None,
+            client: number(&address),
+            status: request.status.unwrap_or(0),
+            took: Some((request.to - request.from) as Micros),
+            tries: Vec::new(),
+        };
+        let record = Try {
+            job,
+            within: 1,
+            seq: records.len() as u64,
+            id: 0,
+            marked: request.retry > 0,
+            file: request.scheduler,
+        };
+        let job = arrival.number;
+        records.push(LabelledRecord { record, job });
     };
-    Ok(WAYS.iter().zip(sums).map(row).collect())
+    simulation.play(Made::new(scenario, seed)?, log, |_| {})?;
+    Ok(records)
 }
 
+/// Folds records reduced to a kind, and compares the result with the truth.
 fn fold(
     scenario: &Scenario,
-    tries: &[(Try, u64)],
-    (_, key, mark, within): &(&str, bool, bool, Micros),
+    records: &[LabelledRecord],
+    kind: &RecordKind,
     seed: u64,
-) -> std::io::Result<[u64; 3]> {
+) -> std::io::Result<FoldCounts> {
     let mut sorter = Sorter::default();
-    for (t, _) in tries {
-        let mut t = t.clone();
-        if !key {
-            t.job.key = None;
-        }
-        t.marked &= mark;
-        t.job.at = t.job.at / within * within;
-        t.within = *within;
-        sorter.push(t)?;
+    for labelled in records {
+        sorter.push(kind.reduce(&labelled.record))?;
     }
-    // Which record a try in a folded job was is known by its time after spreading.
-    let (mut truth, mut folded): (FxHashMap<Micros, u64>, Vec<Job>) = Default::default();
     let rules = Rules {
         guess_within: (scenario.clients.max_retry_after_ms as Micros + 300) * 1000,
         tries: scenario.clients.retries + 1,
         id_kept: false,
-        marks: *mark,
+        marks: kind.has_retry_mark,
     };
+    // Which record a request in a folded job was is known by its time after spreading.
+    let mut truth: FxHashMap<Micros, u64> = FxHashMap::default();
+    let mut folded: Vec<Job> = Vec::new();
     let (mut folder, mut tally) = (Folder::new(rules), Tally::default());
-    for t in Spread::new(sorter.finish()?, seed) {
-        let t = t?;
-        truth.insert(t.job.at, tries[t.seq as usize].1);
-        folder.push(t, &mut tally, |job| folded.push(job));
+    for record in Spread::new(sorter.finish()?, seed) {
+        let record = record?;
+        truth.insert(record.job.at, records[record.seq as usize].job);
+        folder.push(record, &mut tally, |job| folded.push(job));
     }
     folder.finish(|job| folded.push(job));
-    let retries = tries.iter().filter(|(t, _)| t.marked).count() as u64;
-    let mut right = 0;
-    for job in &folded {
-        let of = truth.get(&job.at);
-        right += job.tries.iter().filter(|a| truth.get(&a.at) == of).count() as u64;
-    }
-    Ok([retries, tally.folded, right])
+    let correct = |job: &Job| {
+        let expected = truth.get(&job.at);
+        let retries = job.tries.iter();
+        retries
+            .filter(|retry| truth.get(&retry.at) == expected)
+            .count() as u64
+    };
+    Ok(FoldCounts {
+        retries: records.iter().filter(|r| r.record.marked).count() as u64,
+        folded: tally.folded,
+        correct: folded.iter().map(correct).sum(),
+    })
 }
