--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -1,4 +1,4 @@
-//! What the schedulers' access logs would have held of a run: the only thing that is kept of a "live" hour.
+//! Access logs as the schedulers would have written them in a run: the only thing that is kept of a "live" hour.
 
 use crate::scenario::{Effect, Micros, Scenario};
 use crate::virtual_time::LoggedRequest;
@@ -56,14 +56,22 @@
     }
 }
 
+/// Fractions of log lines that are lost and damaged.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LogDamage {
+    /// Lost.
+    pub lost: f64,
+    /// Cut, overwritten, or mixed with another.
+    pub damaged: f64,
+}
+
 /// Writes one scheduler's log.
 pub struct Log<W: Write> {
     form: Form,
     out: W,
     first: bool,
     minute: (i64, String),
-    /// Shares of lines that are lost, and damaged.
-    harm: (f64, f64),
+    damage: LogDamage,
     rng: Pcg64Mcg,
 }
 
@@ -95,7 +103,7 @@
     ///
     /// # Errors
     /// It cannot be written.
-    pub fn new(form: Form, mut out: W, harm: (f64, f64), seed: u64) -> io::Result<Self> {
+    pub fn new(form: Form, mut out: W, damage: LogDamage, seed: u64) -> io::Result<Self> {
         if form == Form::Har {
             out.write_all(
                 br#"{"log":{"version":"1.2","creator":{"name":"indigofold-replay","version":"0.2"},"entries":["#,
@@ -107,7 +115,7 @@
             out,
             first: true,
             minute,
-            harm,
+            damage,
             rng: crate::sampling::draw(seed, 0, 0x4a43),
         })
     }
@@ -117,21 +125,21 @@
     /// # Errors
     /// It cannot be written.
     pub fn write(&mut self, scenario: &Scenario, t: &LoggedRequest<'_>) -> io::Result<()> {
-        let line = self.line(scenario, t);
+        let text = self.render(scenario, t);
         let draw = crate::sampling::unit(&mut self.rng);
-        if draw < self.harm.0 {
+        if draw < self.damage.lost {
             return Ok(());
         }
-        let mut bytes = line.into_bytes();
-        if draw < self.harm.0 + self.harm.1 {
+        let mut bytes = text.into_bytes();
+        if draw < self.damage.lost + self.damage.damaged {
             // Cut, overwritten, or run into itself: in equal shares.
             let at = (crate::sampling::unit(&mut self.rng) * bytes.len() as f64) as usize;
             match (draw * 1e6) as u64 % 3 {
                 0 => bytes.truncate(at),
                 1 => bytes.iter_mut().skip(at).take(24).for_each(|b| *b = 0),
                 _ => {
-                    let copy = bytes[..at].to_vec();
-                    bytes.splice(at..at, copy);
+                    let beginning = bytes[..at].to_vec();
+                    bytes.splice(at..at, beginning);
                 }
             }
             bytes.retain(|b| *b != b'\n');
@@ -155,7 +163,7 @@
         self.out.flush()
     }
 
-    fn line(&mut self, scenario: &Scenario, t: &LoggedRequest<'_>) -> String {
+    fn render(&mut self, scenario: &Scenario, t: &LoggedRequest<'_>) -> String {
         let (a, class) = (t.arrival, &scenario.classes[t.arrival.class as usize]);
         let peer = address(a.parish.unwrap_or(200), a.office);
         let parish = a
--- a/crates/replay/src/files.rs
+++ b/crates/replay/src/files.rs
@@ -1,4 +1,4 @@
-//! Files that are read and written, and what is shown while that lasts.
+//! Opening and creating files, and the progress bar of long work.
 
 use crate::Bad;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A bar for long work, where somebody watches.
+/// A progress bar, hidden where standard error is no terminal.
 pub fn bar(length: u64, of: &'static str) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
@@ -41,14 +41,14 @@
         .at)
 }
 
-/// A file that appears under its name once it is whole.
+/// Creates a file under a temporary name: the caller renames it once it is complete.
 pub fn create(path: &Path) -> Result<(Box<dyn Write>, PathBuf), Bad> {
-    let part = path.with_extension(format!("part-{}", std::process::id()));
-    let file = File::create(&part).map_err(|e| format!("{}: {e}", part.display()))?;
+    let unfinished = path.with_extension(format!("part-{}", std::process::id()));
+    let file = File::create(&unfinished).map_err(|e| format!("{}: {e}", unfinished.display()))?;
     let out = BufWriter::with_capacity(1 << 18, file);
     let out: Box<dyn Write> = match path.extension().is_some_and(|e| e == "zst") {
         true => Box::new(zstd::Encoder::new(out, 1)?.auto_finish()),
         false => Box::new(out),
     };
-    Ok((out, part))
+    Ok((out, unfinished))
 }
--- a/crates/replay/src/import_command.rs
+++ b/crates/replay/src/import_command.rs
@@ -3,6 +3,7 @@
 use crate::Bad;
 use crate::cli::Import;
 use crate::files::{bar, create, text_of};
+use indicatif::ProgressBar;
 use indigofold_traffic::Tally;
 use indigofold_traffic::detect::Kind;
 use indigofold_traffic::import::{Failed, Options, import};
@@ -10,74 +11,43 @@
 use indigofold_traffic::mapping::Mapping;
 use serde_json::{Value, json};
 use std::io::Write;
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::time::Instant;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+/// Between two updates of the progress bar.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
 pub fn import_files(args: &Import, json: bool) -> Result<ExitCode, Bad> {
     let text = text_of(&args.mapping)?;
     let mapping = Mapping::read(&text).map_err(|e| format!("{}:\n{e}", args.mapping.display()))?;
-    let format = match args.format.as_deref() {
-        None => None,
-        Some("har") => Some(Kind::Har),
-        Some("recording") => Some(Kind::Recording),
-        Some("json") => {
-            let fields = mapping
-                .file
-                .json
-                .clone()
-                .ok_or("the mapping must say under 'json' where the fields stand")?;
-            Some(Kind::Lines(LineFormat::Json(Box::new(fields))))
-        }
-        Some(name) => Some(Kind::Lines(LineFormat::named(name)?)),
-    };
-    let size: u64 = args
-        .files
-        .iter()
-        .filter_map(|f| f.metadata().ok())
-        .map(|m| m.len())
-        .sum();
-    let (read, done, bar) = (
-        Arc::new(AtomicU64::new(0)),
-        Arc::new(AtomicU64::new(0)),
-        bar(size, "reading"),
-    );
-    let watch = (!bar.is_hidden()).then(|| {
-        let (read, done, bar) = (read.clone(), done.clone(), bar.clone());
-        std::thread::spawn(move || {
-            while done.load(Ordering::Relaxed) == 0 {
-                bar.set_position(read.load(Ordering::Relaxed));
-                std::thread::sleep(std::time::Duration::from_millis(100));
-            }
-        })
-    });
     let options = Options {
-        format,
+        format: log_format(args.format.as_deref(), &mapping)?,
         mapping,
         strict: args.strict,
         max_bad: args.max_bad,
         seed: args.seed,
     };
-    let (out, part) = create(&args.out)?;
+    let read = Arc::new(AtomicU64::new(0));
+    let progress = Progress::start(&args.files, read.clone());
+    let (out, unfinished) = create(&args.out)?;
     let begin = Instant::now();
     let imported = import(&args.files, &options, out, &read);
-    done.store(1, Ordering::Relaxed);
-    if let Some(watch) = watch {
-        let _ = watch.join();
-    }
-    bar.finish_and_clear();
+    progress.finish();
     let imported = match imported {
         Ok(imported) => imported,
         Err(error) => {
-            let _ = std::fs::remove_file(&part);
+            let _ = std::fs::remove_file(&unfinished);
             if let Failed::Nothing(_, tally) = &error {
                 print_tally(tally, json)?;
             }
             return Err(error.into());
         }
     };
-    std::fs::rename(&part, &args.out)?;
+    std::fs::rename(&unfinished, &args.out)?;
     let seconds = begin.elapsed().as_secs_f64();
     let bytes = read.load(Ordering::Relaxed) as f64;
     tracing::info!(seconds, mb_per_s = bytes / 1e6 / seconds, out = %args.out.display(), "imported");
@@ -85,6 +55,56 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// The format of the command line; `None`: each file's is detected.
+fn log_format(name: Option<&str>, mapping: &Mapping) -> Result<Option<Kind>, Bad> {
+    Ok(match name {
+        None => None,
+        Some("har") => Some(Kind::Har),
+        Some("recording") => Some(Kind::Recording),
+        Some("json") => {
+            let fields = mapping.file.json.clone();
+            let fields =
+                fields.ok_or("the mapping must say under 'json' where the fields stand")?;
+            Some(Kind::Lines(LineFormat::Json(Box::new(fields))))
+        }
+        Some(name) => Some(Kind::Lines(LineFormat::named(name)?)),
+    })
+}
+
+/// The progress bar of an import, and the thread that updates it.
+struct Progress {
+    bar: ProgressBar,
+    done: Arc<AtomicBool>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl Progress {
+    /// `read` is the number of bytes that were read of the files.
+    fn start(files: &[PathBuf], read: Arc<AtomicU64>) -> Self {
+        let sizes = files.iter().filter_map(|file| file.metadata().ok());
+        let bar = bar(sizes.map(|m| m.len()).sum(), "reading");
+        let done = Arc::new(AtomicBool::new(false));
+        let thread = (!bar.is_hidden()).then(|| {
+            let (done, bar) = (done.clone(), bar.clone());
+            std::thread::spawn(move || {
+                while !done.load(Ordering::Relaxed) {
+                    bar.set_position(read.load(Ordering::Relaxed));
+                    std::thread::sleep(PROGRESS_INTERVAL);
+                }
+            })
+        });
+        Progress { bar, done, thread }
+    }
+
+    fn finish(self) {
+        self.done.store(true, Ordering::Relaxed);
+        if let Some(thread) = self.thread {
+            let _ = thread.join();
+        }
+        self.bar.finish_and_clear();
+    }
+}
+
 fn print_tally(tally: &Tally, json: bool) -> Result<(), Bad> {
     if json {
         say!("{}", serde_json::to_string(tally)?);
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,8 +1,9 @@
-//! The laboratory: recorded or made load, played against emulated job workers on two grounds.
+//! Replays of recorded or generated traffic against emulated workers.
 //!
-//! [`scenario`] says who there is and what happens to them. [`virtual_time`] plays it in virtual time with the scheduler's own
-//! engine and module, [`sockets`] on loopback with the real program as child processes. Both grounds share the job
-//! workers ([`worker`], [`object_store`]), the clients ([`client`]), the checkers of the rules ([`check`]) and the figures ([`service`]).
+//! A [`scenario`] describes the deployment, the load and the faults. [`virtual_time`] plays it with the scheduler's own engine
+//! and module in virtual time, [`sockets`] on loopback with the real program as child processes. Both share the workers
+//! ([`worker`], [`object_store`]), the clients ([`client`]), the checkers of the rules ([`check`]) and the metrics ([`service`]).
+//! [`survey`] draws deployments at random and compares the module with the policies of [`baseline`] on them.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/replay/src/play_command.rs
+++ b/crates/replay/src/play_command.rs
@@ -3,7 +3,7 @@
 use crate::Bad;
 use crate::cli::{Live, Replay, Results};
 use crate::files::{bar, open, text_of};
-use indigofold_replay::export::{self, Log};
+use indigofold_replay::export::{self, Log, LogDamage};
 use indigofold_replay::load::{Made, Recorded};
 use indigofold_replay::scenario::{self, Scenario};
 use indigofold_replay::service::Outcome;
@@ -43,7 +43,10 @@
             logs.push(Log::new(
                 args.form,
                 BufWriter::new(file),
-                (args.lose, args.damage),
+                LogDamage {
+                    lost: args.lose,
+                    damaged: args.damage,
+                },
                 seed + u64::from(s),
             )?);
         }
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -91,7 +91,7 @@
     let chunks = Chunks::new(runs);
     let shaded = shaded_spans(scenario);
     let earned = chunks.series(earned_fraction);
-    let first_tries = chunks.rates(|s| s.first);
+    let arrivals = chunks.rates(|s| s.first);
     let refused = chunks.rates(|s| s.ends[2]);
     let retries = chunks.rates(|s| s.retries);
     let times = chunks.series(mean_time_ms);
@@ -101,7 +101,7 @@
             "Share of the worth earned",
             chart(&earned, full_range, &shaded)?,
         ),
-        ("First tries a second", chart(&first_tries, None, &shaded)?),
+        ("First tries a second", chart(&arrivals, None, &shaded)?),
         (
             "Jobs refused for good, a second",
             chart(&refused, None, &shaded)?,
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -20,12 +20,13 @@
 /// # Errors
 /// Each thing that is wrong, with its place.
 pub fn read(text: &str) -> Result<Scenario, String> {
-    let scenario: Scenario = document::read("scenario", text).map_err(|wrong| wrong.join("\n"))?;
-    let wrong = scenario.wrong();
-    if wrong.is_empty() {
+    let scenario: Scenario =
+        document::read("scenario", text).map_err(|errors| errors.join("\n"))?;
+    let errors = scenario.validation_errors();
+    if errors.is_empty() {
         Ok(scenario)
     } else {
-        Err(wrong.join("\n"))
+        Err(errors.join("\n"))
     }
 }
 
--- a/crates/replay/src/service.rs
+++ b/crates/replay/src/service.rs
@@ -192,7 +192,7 @@
 /// Counts of a run.
 #[derive(Default)]
 struct Counts {
-    first_tries: u64,
+    arrivals: u64,
     retries: u64,
     attempts: u64,
     probes: u64,
@@ -314,7 +314,7 @@
 
     /// A first try is to be sent; true where it is over its parish's quota.
     pub fn record_arrival(&mut self, at: Micros, parish: Option<u32>) -> bool {
-        self.counts.first_tries += 1;
+        self.counts.arrivals += 1;
         self.second(at).first += 1;
         let quota = parish.and_then(|p| self.quotas.get_mut(p as usize));
         quota.is_some_and(|quota| !quota.take(at))
@@ -442,7 +442,7 @@
             parishes: Named::fractions(&self.parishes),
             prices,
             counts: [
-                counts.first_tries,
+                counts.arrivals,
                 counts.retries,
                 counts.attempts,
                 counts.probes,
@@ -471,14 +471,14 @@
 
     /// Points taken off, in the order of [`Outcome::prices`].
     fn price_points(&self) -> [f64; 4] {
-        let first_tries = self.counts.first_tries.max(1) as f64;
+        let arrivals = self.counts.arrivals.max(1) as f64;
         let offered: f64 = self.seconds.iter().map(|s| s.offered).sum();
         let ratio = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         let wasted = (self.work.completed - self.work.answered).max(0.0);
         [
-            self.prices.cross_zone * self.counts.zone_crossings as f64 / first_tries,
+            self.prices.cross_zone * self.counts.zone_crossings as f64 / arrivals,
             self.prices.waste * ratio(wasted, self.work.offered),
-            self.prices.probe * self.counts.probes as f64 / first_tries,
+            self.prices.probe * self.counts.probes as f64 / arrivals,
             self.prices.late_fail * ratio(self.late_failed_value, offered),
         ]
     }
--- a/crates/replay/src/sockets/discovery.rs
+++ b/crates/replay/src/sockets/discovery.rs
@@ -100,10 +100,10 @@
 
     /// What has changed after a version, for a scheduler; version 0: everything.
     pub fn since(&self, version: u64, scheduler: u32) -> MembershipUpdate {
-        let whole = version == 0;
+        let complete = version == 0;
         let (mut hosts, mut availability) = (Vec::new(), Vec::new());
         for (w, host) in self.hosts.iter().enumerate() {
-            if host.version <= version || (whole && host.health == Health::Ended) {
+            if host.version <= version || (complete && host.health == Health::Ended) {
                 continue;
             }
             let address = host.addresses[scheduler as usize].to_string();
@@ -114,7 +114,7 @@
             availability.push((w as u32, host.health == Health::Ready));
         }
         MembershipUpdate {
-            body: json!({"seq": self.version, "whole": whole, "hosts": hosts}),
+            body: json!({"seq": self.version, "whole": complete, "hosts": hosts}),
             availability,
         }
     }
--- a/crates/replay/src/survey.rs
+++ b/crates/replay/src/survey.rs
@@ -17,13 +17,16 @@
 use std::path::Path;
 use std::sync::Mutex;
 use std::sync::PoisonError;
-use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
 /// Of the ranges and the form of the rows: rows of another one are of another survey.
 pub const VERSION: u32 = 1;
 /// Runs of each deployment, at least and at most.
 pub const RUNS: (u32, u32) = (2, 16);
 
+/// Threads of a survey.
+const MAX_THREADS: usize = 256;
+
 /// Student's 97.5% point for 1 to 15 degrees of freedom.
 const STUDENT: [f64; 15] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
@@ -167,7 +170,7 @@
     })
 }
 
-/// Rows that a file holds already, and the file, at its end. A last line that is not whole is written anew.
+/// Rows that a file holds already, and the file, at its end. An incomplete last line is dropped.
 fn resume(path: &Path, plan: &Plan) -> Result<(BTreeMap<u64, Row>, File), String> {
     let say = |e: std::io::Error| format!("{}: {e}", path.display());
     let mut file = OpenOptions::new()
@@ -177,7 +180,7 @@
         .truncate(false)
         .open(path)
         .map_err(say)?;
-    let (mut rows, mut whole, mut first) = (BTreeMap::new(), 0, true);
+    let (mut rows, mut complete_bytes, mut first) = (BTreeMap::new(), 0, true);
     for line in BufReader::new(&file).split(b'\n') {
         let line = line.map_err(say)?;
         if first {
@@ -199,14 +202,14 @@
             };
             rows.insert(row.number, row);
         }
-        whole += line.len() as u64 + 1;
+        complete_bytes += line.len() as u64 + 1;
     }
     if first {
         let mut line = serde_json::to_vec(plan).map_err(|e| e.to_string())?;
         line.push(b'\n');
         file.write_all(&line).map_err(say)?;
     } else {
-        file.set_len(whole).map_err(say)?;
+        file.set_len(complete_bytes).map_err(say)?;
         file.seek(SeekFrom::End(0)).map_err(say)?;
     }
     Ok((rows, file))
@@ -224,60 +227,91 @@
     path: &Path,
     progress: impl Fn(u64) + Sync,
 ) -> Result<Vec<Row>, String> {
-    if !(RUNS.0..=RUNS.1).contains(&plan.runs) {
-        return Err(format!(
-            "{} runs given, {} to {} are allowed",
-            plan.runs, RUNS.0, RUNS.1
-        ));
-    }
-    if !plan.policies.contains(&Policy::Module)
-        || plan.policies.iter().all(|p| *p == Policy::Module)
-    {
-        return Err("the module and one more policy at least are wanted".into());
-    }
+    plan.check()?;
     let (rows, file) = resume(path, plan)?;
     let done = AtomicU64::new(rows.len() as u64);
     let missing: Vec<u64> = (0..count).filter(|n| !rows.contains_key(n)).collect();
-    let (next, found) = (AtomicU64::new(0), Mutex::new((rows, file, None::<String>)));
-    let lock = || found.lock().unwrap_or_else(PoisonError::into_inner);
+    let next = AtomicUsize::new(0);
+    let results = Mutex::new(Results {
+        path,
+        file,
+        rows,
+        error: None,
+    });
+    let results_lock = || results.lock().unwrap_or_else(PoisonError::into_inner);
     std::thread::scope(|scope| {
-        for _ in 0..threads.clamp(1, 256) {
+        for _ in 0..threads.clamp(1, MAX_THREADS) {
             scope.spawn(|| {
-                while let Some(number) = missing.get(next.fetch_add(1, Ordering::Relaxed) as usize)
-                {
+                while let Some(number) = missing.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let row = row(plan, *number);
-                    let mut found = lock();
-                    let written = row.and_then(|row| {
-                        let mut line = serde_json::to_vec(&row).map_err(|e| e.to_string())?;
-                        line.push(b'\n');
-                        found
-                            .1
-                            .write_all(&line)
-                            .map_err(|e| format!("{}: {e}", path.display()))?;
-                        found.0.insert(*number, row);
-                        Ok(())
-                    });
-                    if let Err(why) = written {
-                        found.2.get_or_insert(why);
-                        next.store(u64::MAX / 2, Ordering::Relaxed);
+                    if !results_lock().add(row) {
+                        next.store(missing.len(), Ordering::Relaxed);
                         return;
                     }
-                    drop(found);
                     progress(done.fetch_add(1, Ordering::Relaxed) + 1);
                 }
             });
         }
     });
-    let (rows, _, error) = found.into_inner().unwrap_or_else(PoisonError::into_inner);
-    match error {
-        Some(why) => Err(why),
-        None => Ok(rows
+    let results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    match results.error {
+        Some(error) => Err(error),
+        None => Ok(results
+            .rows
             .into_values()
             .filter(|row| row.number < count)
             .collect()),
     }
 }
 
+impl Plan {
+    fn check(&self) -> Result<(), String> {
+        let (fewest, most) = RUNS;
+        if !(fewest..=most).contains(&self.runs) {
+            return Err(format!(
+                "{} runs given, {fewest} to {most} are allowed",
+                self.runs
+            ));
+        }
+        let only_module = self.policies.iter().all(|p| *p == Policy::Module);
+        if !self.policies.contains(&Policy::Module) || only_module {
+            return Err("the module and one more policy at least are wanted".into());
+        }
+        Ok(())
+    }
+}
+
+/// The rows so far, and the file to which each new one goes.
+struct Results<'a> {
+    path: &'a Path,
+    file: File,
+    rows: BTreeMap<u64, Row>,
+    /// The first error.
+    error: Option<String>,
+}
+
+impl Results<'_> {
+    /// Writes a row, or keeps its error; false where the survey cannot go on.
+    fn add(&mut self, row: Result<Row, String>) -> bool {
+        match row.and_then(|row| self.write(row)) {
+            Ok(()) => true,
+            Err(error) => {
+                self.error.get_or_insert(error);
+                false
+            }
+        }
+    }
+
+    fn write(&mut self, row: Row) -> Result<(), String> {
+        let mut line = serde_json::to_vec(&row).map_err(|e| e.to_string())?;
+        line.push(b'\n');
+        let written = self.file.write_all(&line);
+        written.map_err(|e| format!("{}: {e}", self.path.display()))?;
+        self.rows.insert(row.number, row);
+        Ok(())
+    }
+}
+
 /// What a survey comes to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
--- a/crates/replay/src/survey/draw.rs
+++ b/crates/replay/src/survey/draw.rs
@@ -153,49 +153,16 @@
 
 /// The deployment of this number.
 pub fn deployment(seed: u64, number: u64) -> Scenario {
+    // The order of draws is part of the survey: see [`super::VERSION`].
     let rng = &mut draw(seed, number, 0x5e4e);
     let zones = (0..uniform_int(rng, 1, 3))
         .map(|n| format!("room-{n}"))
         .collect();
-    let classes = uniform_int(rng, 1, 4);
-    let classes = shares(rng, classes);
-    let classes: Vec<Class> = classes
-        .iter()
-        .enumerate()
-        .map(|(n, s)| class(rng, n, *s))
-        .collect();
-    let workers = log_between(rng, 4.0, 40.0) as u32;
-    let kinds = uniform_int(rng, 1, workers.min(4));
-    let counts = shares(rng, kinds);
-    let kinds: Vec<Kind> = counts
-        .iter()
-        .enumerate()
-        .map(|(n, s)| kind(rng, n, ((f64::from(workers) * s).round() as u32).max(1)))
-        .collect();
-    let parishes = uniform_int(rng, 1, 5);
-    let parishes = shares(rng, parishes).into_iter().enumerate();
-    let parishes = parishes.map(|(n, quota)| Parish {
-        name: format!("office-{n}"),
-        quota,
-        usage: 1.0,
-        zone: None,
-    });
+    let classes = draw_classes(rng);
+    let kinds = draw_kinds(rng);
+    let parishes = draw_parishes(rng);
     let slots: u32 = kinds.iter().map(|k| k.count * k.cores).sum();
-    let things = chance(rng, 0.5).then(|| Things {
-        kept: uniform_int(rng, 2, 12),
-        fetch: between(rng, 0.1, 0.8),
-        at_once: (f64::from(slots) * between(rng, 0.05, 0.3)).max(1.0),
-    });
-    let (cancel, reports) = (chance(rng, 0.6), chance(rng, 0.5));
-    let order =
-        [Order::InOrder, Order::WhateverFits, Order::Priority][uniform_int(rng, 0, 2) as usize];
-    let machines = Machines {
-        order,
-        cancel,
-        speculative_runs: chance(rng, 0.5),
-        reports,
-        things,
-    };
+    let machines = draw_machines(rng, slots);
     let mut scenario = Scenario {
         version: 1,
         name: format!("survey {seed}, deployment {number}"),
@@ -205,19 +172,13 @@
         schedulers: log_between(rng, 2.0, 24.0) as u32,
         zones,
         classes,
-        parishes: parishes.collect(),
+        parishes,
         kinds,
         network: Network {
             cross_ms: between(rng, 0.5, 4.0),
             ..Network::default()
         },
-        clients: Clients {
-            retries: uniform_int(rng, 0, 3),
-            backoff_ms: between(rng, 20.0, 200.0),
-            subjects: log_between(rng, 50.0, 20_000.0) as u32,
-            zipf: between(rng, 0.6, 1.2),
-            ..Clients::default()
-        },
+        clients: draw_clients(rng),
         machines,
         discovery: Discovery {
             notice_ms: between(rng, 300.0, 4_000.0) as u64,
@@ -239,8 +200,71 @@
             ..Limits::default()
         },
     };
-    let used = between(rng, 0.35, 0.95);
-    let rate = scenario.capacity() * used;
+    scenario.load = draw_load(rng, scenario.capacity());
+    scenario.faults = draw_faults(rng, scenario.workers(), scenario.load.seconds);
+    scenario
+}
+
+fn draw_classes(rng: &mut Pcg64Mcg) -> Vec<Class> {
+    let count = uniform_int(rng, 1, 4);
+    let weights = shares(rng, count).into_iter().enumerate();
+    weights.map(|(n, weight)| class(rng, n, weight)).collect()
+}
+
+fn draw_kinds(rng: &mut Pcg64Mcg) -> Vec<Kind> {
+    let workers = log_between(rng, 4.0, 40.0) as u32;
+    let count = uniform_int(rng, 1, workers.min(4));
+    let fractions = shares(rng, count).into_iter().enumerate();
+    let of_kind = |fraction: f64| ((f64::from(workers) * fraction).round() as u32).max(1);
+    fractions
+        .map(|(n, fraction)| kind(rng, n, of_kind(fraction)))
+        .collect()
+}
+
+fn draw_parishes(rng: &mut Pcg64Mcg) -> Vec<Parish> {
+    let count = uniform_int(rng, 1, 5);
+    let quotas = shares(rng, count).into_iter().enumerate();
+    quotas
+        .map(|(n, quota)| Parish {
+            name: format!("office-{n}"),
+            quota,
+            usage: 1.0,
+            zone: None,
+        })
+        .collect()
+}
+
+/// `slots` are those of all workers.
+fn draw_machines(rng: &mut Pcg64Mcg, slots: u32) -> Machines {
+    let things = chance(rng, 0.5).then(|| Things {
+        kept: uniform_int(rng, 2, 12),
+        fetch: between(rng, 0.1, 0.8),
+        at_once: (f64::from(slots) * between(rng, 0.05, 0.3)).max(1.0),
+    });
+    let (cancel, reports) = (chance(rng, 0.6), chance(rng, 0.5));
+    let orders = [Order::InOrder, Order::WhateverFits, Order::Priority];
+    Machines {
+        order: orders[uniform_int(rng, 0, 2) as usize],
+        cancel,
+        speculative_runs: chance(rng, 0.5),
+        reports,
+        things,
+    }
+}
+
+fn draw_clients(rng: &mut Pcg64Mcg) -> Clients {
+    Clients {
+        retries: uniform_int(rng, 0, 3),
+        backoff_ms: between(rng, 20.0, 200.0),
+        subjects: log_between(rng, 50.0, 20_000.0) as u32,
+        zipf: between(rng, 0.6, 1.2),
+        ..Clients::default()
+    }
+}
+
+/// `capacity` is what the fleet can do, in first tries a second.
+fn draw_load(rng: &mut Pcg64Mcg, capacity: f64) -> Load {
+    let rate = capacity * between(rng, 0.35, 0.95);
     let seconds = (JOBS / rate).clamp(SECONDS.0, SECONDS.1);
     let jump = Jump {
         at_s: seconds * 0.5,
@@ -253,15 +277,13 @@
     } else {
         Vec::new()
     };
-    scenario.load = Load {
+    Load {
         seconds,
         rate,
         swing: between(rng, 0.0, 0.35),
         swing_s: seconds / 2.0,
         jumps,
-    };
-    scenario.faults = draw_faults(rng, scenario.workers(), seconds);
-    scenario
+    }
 }
 
 /// What a deployment is like, in a few words; the survey groups by them.
--- a/crates/replay/tests/baseline.rs
+++ b/crates/replay/tests/baseline.rs
@@ -67,7 +67,7 @@
     (p, transport)
 }
 
-fn hand_in(p: &mut BaselineScheduler, transport: &RecordedCalls, id: JobId, subject: u64) {
+fn submit_job(p: &mut BaselineScheduler, transport: &RecordedCalls, id: JobId, subject: u64) {
     let (left, slots, memory, estimate) = (1_000, 1.0, 0.0, None);
     let subject = Some(subject);
     let request = Request {
@@ -107,19 +107,19 @@
 #[test]
 fn an_attempt_goes_elsewhere_only_where_the_class_allows() {
     let (mut p, transport) = scheduler_of(Policy::RoundRobin, Effect::Unsafe, 3);
-    hand_in(&mut p, &transport, 1, 0);
+    submit_job(&mut p, &transport, 1, 0);
     end(&mut p, &transport, 1, 0, Status::Full);
     end(&mut p, &transport, 1, 1, Status::Reset);
     assert_eq!(transport.0.take(), ["1.0 at 2", "1.1 at 1", "1: Failed"]);
     let (mut p, transport) = scheduler_of(Policy::RoundRobin, Effect::Safe, 3);
-    hand_in(&mut p, &transport, 1, 0);
+    submit_job(&mut p, &transport, 1, 0);
     (0..3).for_each(|n| end(&mut p, &transport, 1, n, Status::Reset));
     assert_eq!(
         transport.0.take().last().map(String::as_str),
         Some("1: Rejected(0)"),
         "three attempts are all"
     );
-    hand_in(&mut p, &transport, 2, 0);
+    submit_job(&mut p, &transport, 2, 0);
     transport.0.take();
     p.step(1_000, &transport);
     assert_eq!(transport.0.take(), ["2: Failed", "give up 2.0"]);
@@ -133,7 +133,7 @@
         subjects
             .iter()
             .enumerate()
-            .for_each(|(n, s)| hand_in(&mut p, &transport, n as u64, *s));
+            .for_each(|(n, s)| submit_job(&mut p, &transport, n as u64, *s));
         let attempts = transport.0.take();
         attempts
             .iter()
@@ -157,6 +157,6 @@
     );
     let (mut p, transport) = scheduler_of(Policy::AllKnowing, Effect::Safe, 3);
     p.best = Some(3);
-    hand_in(&mut p, &transport, 1, 0);
+    submit_job(&mut p, &transport, 1, 0);
     assert_eq!(transport.0.take(), ["1.0 at 3"]);
 }
--- a/crates/replay/tests/client.rs
+++ b/crates/replay/tests/client.rs
@@ -9,8 +9,9 @@
         honour: 1.0,
         ..Clients::default()
     };
-    let next =
-        |effect, said, retry, until| next_retry(&clients, effect, said, (1, 1), retry, 1000, until);
+    let next = |effect, response, retry, until| {
+        next_retry(&clients, effect, response, (1, 1), retry, 1000, until)
+    };
     let keyed = Effect::Keyed(1);
     assert_eq!(next(keyed, ClientResponse::Served, 0, 9_000_000), None);
     assert_eq!(
--- a/crates/replay/tests/virtual_time.rs
+++ b/crates/replay/tests/virtual_time.rs
@@ -1,7 +1,7 @@
 //! Virtual time: the same seed gives the same run; a replayed recording reaches nearly the same service metric.
 
 use indigofold_replay::compare::compare;
-use indigofold_replay::export::{Form, Log, mapping};
+use indigofold_replay::export::{Form, Log, LogDamage, mapping};
 use indigofold_replay::load::{Made, Recorded};
 use indigofold_replay::scenario::{self, Fault, FaultKind, Jump, Scenario};
 use indigofold_replay::virtual_time::{LoggedRequest, Retries, Run, Simulation};
@@ -46,7 +46,7 @@
 }
 
 /// Plays live, keeps nothing but logs in this form, and imports them.
-fn recorded(s: &Scenario, seed: u64, form: Form, harm: (f64, f64)) -> (Run, Imported, Vec<u8>) {
+fn recorded(s: &Scenario, seed: u64, form: Form, damage: LogDamage) -> (Run, Imported, Vec<u8>) {
     let dir = tempfile::tempdir().expect("a folder");
     let paths: Vec<_> = (0..s.schedulers)
         .map(|n| dir.path().join(format!("{n}.log")))
@@ -54,7 +54,7 @@
     let file = |p| std::io::BufWriter::new(std::fs::File::create(p).expect("a file"));
     let mut logs: Vec<_> = paths
         .iter()
-        .map(|p| Log::new(form, file(p), harm, seed).expect("a log"))
+        .map(|p| Log::new(form, file(p), damage, seed).expect("a log"))
         .collect();
     let simulation = Simulation::new(s, seed, Retries::Model).expect("a simulation");
     let log = |t: LoggedRequest<'_>| logs[t.scheduler as usize].write(s, &t).expect("written");
@@ -146,7 +146,7 @@
         Form::Envoy,
         Form::Har,
     ] {
-        let (run, imported, bytes) = recorded(&s, 3, form, (0.0, 0.0));
+        let (run, imported, bytes) = recorded(&s, 3, form, LogDamage::default());
         let tally = &imported.tally;
         assert!(
             tally.adds_up() && tally.rejected() == 0,
@@ -175,7 +175,11 @@
 #[test]
 fn damaged_logs_are_counted_and_cost_little() {
     let s = scenario();
-    let (run, imported, bytes) = recorded(&s, 4, Form::Apache, (0.01, 0.01));
+    let damage = LogDamage {
+        lost: 0.01,
+        damaged: 0.01,
+    };
+    let (run, imported, bytes) = recorded(&s, 4, Form::Apache, damage);
     let tally = &imported.tally;
     assert!(tally.adds_up() && tally.rejected() > 0, "{tally:?}");
     let lost = 1.0 - tally.taken as f64 / run.outcome.counts[0] as f64;
@@ -191,7 +195,7 @@
 #[test]
 fn recorded_retries_are_replaced_replayed_or_left_out() {
     let s = scenario();
-    let (_, imported, bytes) = recorded(&s, 4, Form::Apache, (0.0, 0.0));
+    let (_, imported, bytes) = recorded(&s, 4, Form::Apache, LogDamage::default());
     let folded = imported.tally.folded;
     assert!(folded > 20, "{folded}");
     let count = |retries| replayed(&s, &bytes, 8, retries).outcome.counts[1];
