--- a/crates/replay/src/check.rs
+++ b/crates/replay/src/check.rs
@@ -222,7 +222,7 @@
         self.scenario.classes[class as usize].effect
     }
 
-    /// Takes an observation.
+    /// Takes an observation. (Longer than most functions: one arm for each kind.)
     pub fn observe(&mut self, observation: Observation) {
         match observation {
             Observation::RequestAccepted {
--- a/crates/replay/src/client.rs
+++ b/crates/replay/src/client.rs
@@ -1,6 +1,7 @@
 //! The client model: what a client does once it has a response. One draw decides for each job and retry, by number, so that
 //! two runs of one load meet the same clients.
 
+use crate::check::{Job, Observation};
 use crate::sampling::{draw, unit};
 use crate::scenario::{Clients, Effect, Micros};
 use crate::service::JobEnd;
@@ -29,6 +30,16 @@
         }
     }
 
+    /// What the checkers learn of such a response.
+    pub fn observation(self, job: Job, at: Micros) -> Observation {
+        Observation::RequestAnswered {
+            job,
+            served: self == ClientResponse::Served,
+            refused: matches!(self, ClientResponse::Refused(_)),
+            at,
+        }
+    }
+
     /// How a job ends whose last response this is.
     pub fn end_at(self, now: Micros) -> JobEnd {
         match self {
--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -98,6 +98,138 @@
     )
 }
 
+/// What the log formats hold of a request.
+struct LogEntry {
+    from: Micros,
+    to: Micros,
+    address: String,
+    target: String,
+    /// `None`: the client left.
+    status: Option<u16>,
+    /// Size of the response's body.
+    bytes: u32,
+    trace: String,
+    /// In the order of [`HEADERS`]; `-` for none.
+    headers: [String; 6],
+}
+
+/// The request headers that logs hold.
+const HEADERS: [&str; 6] = [
+    "X-Customer",
+    "X-Trace-Id",
+    "Idempotency-Key",
+    "X-Second-Try",
+    "X-Expires-In-Ms",
+    "X-Props",
+];
+/// The status that servers write where the client has left, as nginx does.
+const CLIENT_CLOSED_REQUEST: u16 = 499;
+
+impl LogEntry {
+    fn new(scenario: &Scenario, t: &LoggedRequest<'_>) -> Self {
+        let (a, class) = (t.arrival, &scenario.classes[t.arrival.class as usize]);
+        let parish = a.parish.map(|p| scenario.parishes[p as usize].name.clone());
+        let key = match class.effect {
+            Effect::Keyed(_) => Some(a.number.wrapping_mul(0x2545_f491_4f6c_dd1d)),
+            Effect::Safe | Effect::Unsafe => None,
+        };
+        let retry_mark = scenario.clients.mark_retries && t.retry > 0;
+        let trace = trace(a.number, t.retry);
+        let expires_ms = (a.at + a.deadline).saturating_sub(t.from) / 1000;
+        let none = || "-".to_string();
+        LogEntry {
+            from: t.from,
+            to: t.to,
+            address: address(a.parish.unwrap_or(200), a.office),
+            target: format!("/{}/{}", class.name, a.subject),
+            status: t.status,
+            bytes: if t.status == Some(200) { 64 } else { 0 },
+            headers: [
+                parish.unwrap_or_else(none),
+                trace.clone(),
+                key.map_or_else(none, |key| format!("k{key:016x}")),
+                if retry_mark { "1".to_string() } else { none() },
+                expires_ms.to_string(),
+                format!("needs={}", a.slots),
+            ],
+            trace,
+        }
+    }
+
+    fn took(&self) -> Micros {
+        self.to - self.from
+    }
+
+    /// Request line, status and size, as the text formats write them.
+    fn request(&self) -> String {
+        let LogEntry { target, bytes, .. } = self;
+        let status = self.status.unwrap_or(CLIENT_CLOSED_REQUEST);
+        format!("\"POST {target} HTTP/1.1\" {status} {bytes}")
+    }
+
+    fn quoted_headers(&self) -> String {
+        self.headers
+            .each_ref()
+            .map(|h| format!("\"{h}\""))
+            .join(" ")
+    }
+
+    fn combined(&self, time: &str) -> String {
+        let (peer, request) = (&self.address, self.request());
+        format!("{peer} - - [{time}] {request} \"-\" \"office/1.0\"")
+    }
+
+    fn apache(&self) -> String {
+        let (peer, from, request) = (&self.address, self.from, self.request());
+        let (took, headers) = (self.took(), self.quoted_headers());
+        format!("{peer} - - {from} {request} {took} {headers}")
+    }
+
+    fn nginx(&self, time: &str) -> String {
+        let (peer, request, headers) = (&self.address, self.request(), self.quoted_headers());
+        let (ended_s, took_s) = (self.to as f64 / 1e6, self.took() as f64 / 1e6);
+        format!("{peer} - - [{time}] {request} {ended_s:.3} {took_s:.3} {headers}")
+    }
+
+    fn envoy(&self) -> String {
+        let (time, ms) = (iso(self.from), self.took() / 1000);
+        let (status, flags) = self.status.map_or((0, "DC"), |status| (status, "-"));
+        let LogEntry {
+            address: peer,
+            target,
+            bytes,
+            trace,
+            ..
+        } = self;
+        format!(
+            "[{time}] \"POST {target} HTTP/1.1\" {status} {flags} via_upstream - \"-\" 128 {bytes} {ms} - \
+             \"{peer}\" \"office/1.0\" \"{trace}\" \"jobs.internal\" \"127.0.0.1:8443\""
+        )
+    }
+
+    fn har(&self) -> String {
+        let pairs = HEADERS.iter().zip(&self.headers);
+        let headers: Vec<_> = pairs
+            .filter(|(_, value)| *value != "-")
+            .map(|(name, value)| json!({"name": name, "value": value}))
+            .collect();
+        let (peer, target, bytes) = (&self.address, &self.target, self.bytes);
+        let ms = match self.status {
+            Some(_) => self.took() as f64 / 1e3,
+            None => -1.0,
+        };
+        json!({"startedDateTime": iso(self.from), "time": ms,
+            "request": {"method": "POST", "url": format!("http://jobs.internal{target}"),
+                "httpVersion": "HTTP/1.1", "headers": headers, "cookies": [], "queryString": [],
+                "headersSize": -1, "bodySize": 128},
+            "response": {"status": self.status.unwrap_or(0), "statusText": "", "httpVersion": "HTTP/1.1",
+                "headers": [], "cookies": [], "content": {"size": bytes, "mimeType": "text/plain"},
+                "redirectURL": "", "headersSize": -1, "bodySize": bytes},
+            "cache": {}, "timings": {"send": 0, "wait": ms, "receive": 0}, "_clientIPAddress": peer})
+        .to_string()
+    }
+}
+
 impl<W: Write> Log<W> {
     /// Begins a log. Lines are lost and damaged by chance, from a seed.
     ///
@@ -164,94 +296,13 @@
     }
 
     fn render(&mut self, scenario: &Scenario, t: &LoggedRequest<'_>) -> String {
-        let (a, class) = (t.arrival, &scenario.classes[t.arrival.class as usize]);
-        let peer = address(a.parish.unwrap_or(200), a.office);
-        let parish = a
-            .parish
-            .map_or("-", |p| scenario.parishes[p as usize].name.as_str());
-        let request = format!("/{}/{}", class.name, a.subject);
-        // The client has left: servers write 499, as nginx does.
-        let status = t.status.unwrap_or(499);
-        let key = match class.effect {
-            Effect::Keyed(_) => format!("k{:016x}", a.number.wrapping_mul(0x2545_f491_4f6c_dd1d)),
-            _ => "-".to_string(),
-        };
-        let retry_mark = if scenario.clients.mark_retries && t.retry > 0 {
-            "1"
-        } else {
-            "-"
-        };
-        let trace = trace(a.number, t.retry);
-        let expires = (a.at + a.deadline).saturating_sub(t.from) / 1000;
-        let props = format!("needs={}", a.slots);
-        let took = t.to - t.from;
-        let headers = [
-            parish,
-            &trace,
-            &key,
-            retry_mark,
-            &expires.to_string(),
-            &props,
-        ];
-        let quoted = headers.map(|h| format!("\"{h}\"")).join(" ");
-        let bytes = if status == 200 { 64 } else { 0 };
+        let entry = LogEntry::new(scenario, t);
         match self.form {
-            Form::Combined => {
-                let time = self.clf(t.from);
-                format!(
-                    "{peer} - - [{time}] \"POST {request} HTTP/1.1\" {status} {bytes} \"-\" \"office/1.0\""
-                )
-            }
-            Form::Apache => {
-                let from = t.from;
-                format!(
-                    "{peer} - - {from} \"POST {request} HTTP/1.1\" {status} {bytes} {took} {quoted}"
-                )
-            }
-            Form::Nginx => {
-                let (time, msec, took) = (self.clf(t.to), t.to as f64 / 1e6, took as f64 / 1e6);
-                format!(
-                    "{peer} - - [{time}] \"POST {request} HTTP/1.1\" {status} {bytes} {msec:.3} {took:.3} {quoted}"
-                )
-            }
-            Form::Envoy => {
-                let (time, ms) = (iso(t.from), took / 1000);
-                let (status, flags) = if t.status.is_some() {
-                    (status, "-")
-                } else {
-                    (0, "DC")
-                };
-                format!(
-                    "[{time}] \"POST {request} HTTP/1.1\" {status} {flags} via_upstream - \"-\" 128 {bytes} {ms} - \
-                     \"{peer}\" \"office/1.0\" \"{trace}\" \"jobs.internal\" \"127.0.0.1:8443\""
-                )
-            }
-            Form::Har => {
-                let names = [
-                    "X-Customer",
-                    "X-Trace-Id",
-                    "Idempotency-Key",
-                    "X-Second-Try",
-                    "X-Expires-In-Ms",
-                    "X-Props",
-                ];
-                let pairs = names.iter().zip(headers).filter(|(_, v)| *v != "-");
-                let headers: Vec<_> = pairs.map(|(n, v)| json!({"name": n, "value": v})).collect();
-                let ms = if t.status.is_some() {
-                    took as f64 / 1e3
-                } else {
-                    -1.0
-                };
-                json!({"startedDateTime": iso(t.from), "time": ms,
-                    "request": {"method": "POST", "url": format!("http://jobs.internal{request}"),
-                        "httpVersion": "HTTP/1.1", "headers": headers, "cookies": [], "queryString": [],
-                        "headersSize": -1, "bodySize": 128},
-                    "response": {"status": t.status.unwrap_or(0), "statusText": "", "httpVersion": "HTTP/1.1",
-                        "headers": [], "cookies": [], "content": {"size": bytes, "mimeType": "text/plain"},
-                        "redirectURL": "", "headersSize": -1, "bodySize": bytes},
-                    "cache": {}, "timings": {"send": 0, "wait": ms, "receive": 0}, "_clientIPAddress": peer})
-                .to_string()
-            }
+            Form::Combined => entry.combined(&self.clf(entry.from)),
+            Form::Apache => entry.apache(),
+            Form::Nginx => entry.nginx(&self.clf(entry.to)),
+            Form::Envoy => entry.envoy(),
+            Form::Har => entry.har(),
         }
     }
 
--- a/crates/replay/src/sockets/clients.rs
+++ b/crates/replay/src/sockets/clients.rs
@@ -170,12 +170,8 @@
         };
         match smol::future::or(exchange, deadline).await {
             Some(Ok(response)) => {
-                environment.observe(Observation::RequestAnswered {
-                    job,
-                    served: response == ClientResponse::Served,
-                    refused: matches!(response, ClientResponse::Refused(_)),
-                    at: environment.now(),
-                });
+                let at = environment.now();
+                environment.observe(response.observation(job, at));
                 Some(response)
             }
             // A job that the scheduler had accepted is lost: the checkers find it without an answer.
--- a/crates/replay/src/survey/draw.rs
+++ b/crates/replay/src/survey/draw.rs
@@ -7,6 +7,7 @@
     Network, Order, Parish, Prices, Rules, Scenario, Spread, Things,
 };
 use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeSet;
 
 /// First tries that a run holds at the most, about.
 const JOBS: f64 = 6_000.0;
@@ -95,51 +96,24 @@
     taken
 }
 
+/// Waves of a release.
+const RELEASE_WAVES: u32 = 6;
+
 fn draw_faults(rng: &mut Pcg64Mcg, workers: u32, seconds: f64) -> Vec<Fault> {
     let mut faults = Vec::new();
     for _ in 0..uniform_int(rng, 0, 3) {
-        let (at_s, for_s) = (
-            between(rng, 2.0, seconds * 0.6),
-            between(rng, 3.0, seconds * 0.4),
-        );
-        let (part, of) = (between(rng, 0.05, 0.25), uniform_int(rng, 0, 5));
-        let picked = pick_workers(rng, workers, part);
-        let what = match of {
-            0 => FaultKind::Hang,
-            1 => FaultKind::Crash,
-            2 => {
-                // A release: most of them, a few at a time.
-                let step = (for_s / 6.0).max(0.5);
-                for n in 0..6u32 {
-                    let workers: Vec<u32> = (0..workers).filter(|w| w % 6 == n).collect();
-                    let at_s = at_s + f64::from(n) * step;
-                    if !workers.is_empty() {
-                        faults.push(Fault {
-                            at_s,
-                            for_s: step,
-                            workers,
-                            what: FaultKind::Drain,
-                        });
-                    }
-                }
-                continue;
-            }
-            3 => FaultKind::Slow {
-                times: between(rng, 2.0, 8.0),
-            },
-            4 => FaultKind::HotThings {
-                fraction: between(rng, 0.06, 0.25),
-                things: uniform_int(rng, 1, 3),
-            },
-            _ => FaultKind::Pauses {
-                ms: between(rng, 30.0, 250.0),
-                every_ms: between(rng, 400.0, 3_000.0),
-            },
+        let at_s = between(rng, 2.0, seconds * 0.6);
+        let for_s = between(rng, 3.0, seconds * 0.4);
+        let fraction = between(rng, 0.05, 0.25);
+        let kind = uniform_int(rng, 0, 5);
+        let picked = pick_workers(rng, workers, fraction);
+        let Some(what) = draw_fault_kind(rng, kind) else {
+            faults.extend(release(workers, at_s, for_s));
+            continue;
         };
-        let workers = if matches!(what, FaultKind::HotThings { .. }) {
-            Vec::new()
-        } else {
-            picked
+        let workers = match what {
+            FaultKind::HotThings { .. } => Vec::new(),
+            _ => picked,
         };
         faults.push(Fault {
             at_s,
@@ -151,6 +125,39 @@
     faults
 }
 
+/// `None`: a release, which is several faults.
+fn draw_fault_kind(rng: &mut Pcg64Mcg, kind: u32) -> Option<FaultKind> {
+    Some(match kind {
+        0 => FaultKind::Hang,
+        1 => FaultKind::Crash,
+        2 => return None,
+        3 => FaultKind::Slow {
+            times: between(rng, 2.0, 8.0),
+        },
+        4 => FaultKind::HotThings {
+            fraction: between(rng, 0.06, 0.25),
+            things: uniform_int(rng, 1, 3),
+        },
+        _ => FaultKind::Pauses {
+            ms: between(rng, 30.0, 250.0),
+            every_ms: between(rng, 400.0, 3_000.0),
+        },
+    })
+}
+
+/// All workers drain, in waves one after the other.
+fn release(workers: u32, at_s: f64, for_s: f64) -> Vec<Fault> {
+    let wave_s = (for_s / f64::from(RELEASE_WAVES)).max(0.5);
+    let wave = |n: u32| Fault {
+        at_s: at_s + f64::from(n) * wave_s,
+        for_s: wave_s,
+        workers: (0..workers).filter(|w| w % RELEASE_WAVES == n).collect(),
+        what: FaultKind::Drain,
+    };
+    let waves = (0..RELEASE_WAVES).map(wave);
+    waves.filter(|fault| !fault.workers.is_empty()).collect()
+}
+
 /// The deployment of this number.
 pub fn deployment(seed: u64, number: u64) -> Scenario {
     // The order of draws is part of the survey: see [`super::VERSION`].
@@ -288,62 +295,15 @@
 
 /// What a deployment is like, in a few words; the survey groups by them.
 pub fn traits(s: &Scenario) -> Vec<String> {
-    let used = s.load.rate / s.capacity();
-    let band = |value: f64, bounds: &[f64], unit: &str| -> String {
-        match bounds.iter().position(|b| value < *b) {
-            Some(0) => format!("{unit} under {}", bounds[0]),
-            Some(n) => format!("{unit} {} to {}", bounds[n - 1], bounds[n]),
-            None => format!("{unit} from {} on", bounds[bounds.len() - 1]),
-        }
-    };
+    let load = s.load.rate / s.capacity();
     let mut traits = vec![
-        band(used, &[0.55, 0.75], "load"),
+        band(load, &[0.55, 0.75], "load"),
         band(f64::from(s.schedulers), &[4.0, 10.0], "schedulers"),
         band(f64::from(s.workers()), &[8.0, 20.0], "workers"),
-        if s.machines.things.is_some() {
-            "things kept"
-        } else {
-            "nothing kept"
-        }
-        .into(),
-        if s.machines.reports {
-            "load reports"
-        } else {
-            "no load reports"
-        }
-        .into(),
-        if s.machines.speculative_runs {
-            "copies allowed"
-        } else {
-            "no copies"
-        }
-        .into(),
-        if s.machines.cancel {
-            "cancel stops"
-        } else {
-            "cancel does not stop"
-        }
-        .into(),
-        match s.machines.order {
-            Order::InOrder => "served in order",
-            Order::WhateverFits => "whatever fits",
-            Order::Priority => "by priority",
-        }
-        .into(),
     ];
-    let faults: std::collections::BTreeSet<&str> = s
-        .faults
-        .iter()
-        .map(|t| match t.what {
-            FaultKind::Hang => "hang",
-            FaultKind::Pauses { .. } => "pauses",
-            FaultKind::Crash => "crash",
-            FaultKind::Drain => "release",
-            FaultKind::Slow { .. } => "slow",
-            FaultKind::HotThings { .. } => "hot things",
-        })
-        .collect();
-    traits.extend(faults.iter().map(|t| t.to_string()));
+    traits.extend(machine_traits(&s.machines).map(String::from));
+    let faults: BTreeSet<&str> = s.faults.iter().map(|f| fault_trait(&f.what)).collect();
+    traits.extend(faults.iter().map(|name| name.to_string()));
     if faults.is_empty() {
         traits.push("no trouble".into());
     }
@@ -352,3 +312,38 @@
     }
     traits
 }
+
+/// The interval between bounds in which a value lies.
+fn band(value: f64, bounds: &[f64], name: &str) -> String {
+    match bounds.iter().position(|bound| value < *bound) {
+        Some(0) => format!("{name} under {}", bounds[0]),
+        Some(n) => format!("{name} {} to {}", bounds[n - 1], bounds[n]),
+        None => format!("{name} from {} on", bounds[bounds.len() - 1]),
+    }
+}
+
+fn machine_traits(machines: &Machines) -> [&'static str; 5] {
+    let either = |condition, yes, no| if condition { yes } else { no };
+    [
+        either(machines.things.is_some(), "things kept", "nothing kept"),
+        either(machines.reports, "load reports", "no load reports"),
+        either(machines.speculative_runs, "copies allowed", "no copies"),
+        either(machines.cancel, "cancel stops", "cancel does not stop"),
+        match machines.order {
+            Order::InOrder => "served in order",
+            Order::WhateverFits => "whatever fits",
+            Order::Priority => "by priority",
+        },
+    ]
+}
+
+fn fault_trait(what: &FaultKind) -> &'static str {
+    match what {
+        FaultKind::Hang => "hang",
+        FaultKind::Pauses { .. } => "pauses",
+        FaultKind::Crash => "crash",
+        FaultKind::Drain => "release",
+        FaultKind::Slow { .. } => "slow",
+        FaultKind::HotThings { .. } => "hot things",
+    }
+}
--- a/crates/replay/src/virtual_time/schedulers.rs
+++ b/crates/replay/src/virtual_time/schedulers.rs
@@ -440,12 +440,7 @@
             Answer::Rejected(retry_after) => ClientResponse::Refused(retry_after),
             Answer::Failed => ClientResponse::Failed,
         };
-        self.checker.observe(Observation::RequestAnswered {
-            job,
-            served: response == ClientResponse::Served,
-            refused: matches!(response, ClientResponse::Refused(_)),
-            at: self.now,
-        });
+        self.checker.observe(response.observation(job, self.now));
         let delay = self.network_delay(self.scenario.network.client_ms);
         let event = Event::ResponseAtClient { job, response };
         self.schedule(self.now + delay, event);
