--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -242,7 +242,7 @@
     Ok(svg)
 }
 
-/// Jobs begun, by job worker and time: the darker, the more.
+/// Jobs begun by worker and time: the darker, the more.
 fn heat_map(run: &Run, name: &str, step: usize) -> Result<String, Bad> {
     let mut svg = String::new();
     {
--- a/crates/replay/src/survey.rs
+++ b/crates/replay/src/survey.rs
@@ -1,6 +1,7 @@
-//! A survey: deployments drawn at random, the module and plain rules played on the same draws, and where the module loses.
+//! A survey: deployments drawn at random, the module and the baseline policies played on the same draws, and where the module
+//! is behind.
 //!
-//! All policies of one deployment meet the same arrivals, running times, troubles and clients (common random numbers), so
+//! All policies of one deployment meet the same arrivals, running times, faults and clients (common random numbers), so
 //! that their differences are not the luck of a draw; what a policy does changes the network's jitter from then on. A
 //! deployment is played several times with other seeds, and the interval of a difference is Student's, over those.
 
@@ -19,7 +20,7 @@
 use std::sync::PoisonError;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Of the ranges and the form of the rows: rows of another one are of another survey.
+/// The version of the ranges and of the rows: rows of another version are of another survey.
 pub const VERSION: u32 = 1;
 /// Runs of each deployment, at least and at most.
 pub const RUNS: (u32, u32) = (2, 16);
@@ -33,12 +34,12 @@
     2.145, 2.131,
 ];
 
-/// What is surveyed.
+/// The parameters of a survey.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// [`VERSION`] of who wrote it.
+    /// The [`VERSION`] of the program that wrote it.
     pub version: u32,
-    /// Deployments are drawn from here.
+    /// The seed from which deployments are drawn.
     pub seed: u64,
     /// Runs of each.
     pub runs: u32,
@@ -46,10 +47,10 @@
     pub policies: Vec<Policy>,
 }
 
-/// A policy on a deployment.
+/// The results of a policy on a deployment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Played {
-    /// Its service figure in each run.
+    /// The service metric of each run.
     #[serde(rename = "figures")]
     pub metrics: Vec<f64>,
     /// Breaches of rules, over all runs.
@@ -59,27 +60,27 @@
 }
 
 impl Played {
-    /// Its mean figure.
+    /// The mean service metric.
     pub fn mean(&self) -> f64 {
         self.metrics.iter().sum::<f64>() / self.metrics.len().max(1) as f64
     }
 }
 
-/// A deployment.
+/// The results on a deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// Its number.
     pub number: u64,
-    /// What it is like.
+    /// Its traits, by which the survey groups deployments.
     pub traits: Vec<String>,
     /// Each policy on it.
     pub played: BTreeMap<Policy, Played>,
 }
 
-/// The module against the best plain policy that knows no more than it.
+/// The module compared with the best baseline policy that does not see the true state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Against {
-    /// Which.
+    /// That policy.
     pub best: Policy,
     /// Module less that one.
     pub by: f64,
@@ -127,7 +128,7 @@
 /// Plays one deployment.
 ///
 /// # Errors
-/// What could not be played of it.
+/// The scenario cannot be played.
 pub fn row(plan: &Plan, number: u64) -> Result<Row, String> {
     let scenario = draw::deployment(plan.seed, number);
     let mut played = BTreeMap::new();
@@ -170,7 +171,7 @@
     })
 }
 
-/// Rows that a file holds already, and the file, at its end. An incomplete last line is dropped.
+/// The rows that a file holds already, and the file, at its end. An incomplete last line is dropped.
 fn resume(path: &Path, plan: &Plan) -> Result<(BTreeMap<u64, Row>, File), String> {
     let say = |e: std::io::Error| format!("{}: {e}", path.display());
     let mut file = OpenOptions::new()
@@ -312,18 +313,18 @@
     }
 }
 
-/// What a survey comes to.
+/// The summary of a survey.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// Deployments.
     pub count: usize,
-    /// Those on which the module is ahead of every policy that knows no more; and where the interval says so.
+    /// Those on which the module is ahead of every policy that does not see the true state; and where the interval says so.
     pub ahead: [usize; 2],
     /// Those on which it is behind, and where the interval says so.
     pub behind: [usize; 2],
     /// Those on which the module broke a rule, and each policy's number.
     pub broke: BTreeMap<Policy, usize>,
-    /// Mean figures.
+    /// Mean service metrics.
     pub means: BTreeMap<Policy, f64>,
     /// By what deployments are like: how many, the mean difference, and on how many the module is behind.
     pub traits: BTreeMap<String, (usize, f64, usize)>,
@@ -331,7 +332,7 @@
     pub worst: Vec<u64>,
 }
 
-/// Sums up; `worst`: so many are named.
+/// Summarises rows; `worst` deployments are named.
 pub fn summary(rows: &[Row], worst: usize) -> Summary {
     let mut s = Summary {
         count: rows.len(),
--- a/crates/replay/src/survey/page.rs
+++ b/crates/replay/src/survey/page.rs
@@ -15,6 +15,21 @@
 /// As text: the summary, what deployments are like, and the worst.
 pub fn text(rows: &[Row], s: &Summary) -> String {
     let mut out = String::new();
+    write_policies(&mut out, s);
+    write_traits(&mut out, s);
+    let _ = writeln!(out, "\nworst:");
+    for row in worst_rows(rows, s) {
+        write_row(&mut out, row);
+    }
+    out
+}
+
+fn worst_rows<'a>(rows: &'a [Row], s: &'a Summary) -> impl Iterator<Item = &'a Row> {
+    let numbers = s.worst.iter();
+    numbers.filter_map(|n| rows.iter().find(|row| row.number == *n))
+}
+
+fn write_policies(out: &mut String, s: &Summary) {
     let percent = |n: usize| 100.0 * n as f64 / s.count.max(1) as f64;
     let _ = writeln!(
         out,
@@ -29,14 +44,12 @@
     );
     let _ = writeln!(out, "\n{:14} {:>8} {:>12}", "policy", "mean", "broke rules");
     for (policy, mean) in &s.means {
-        let _ = writeln!(
-            out,
-            "{:14} {:8.4} {:12}",
-            policy.name(),
-            mean,
-            s.broke.get(policy).unwrap_or(&0)
-        );
+        let (name, broke) = (policy.name(), s.broke.get(policy).unwrap_or(&0));
+        let _ = writeln!(out, "{name:14} {mean:8.4} {broke:12}");
     }
+}
+
+fn write_traits(out: &mut String, s: &Summary) {
     let _ = writeln!(
         out,
         "\n{:24} {:>6} {:>10} {:>8}",
@@ -45,27 +58,20 @@
     for (name, (count, by, behind)) in &s.traits {
         let _ = writeln!(out, "{name:24} {count:6} {by:+10.4} {behind:8}");
     }
-    let _ = writeln!(out, "\nworst:");
-    for row in s
-        .worst
-        .iter()
-        .filter_map(|n| rows.iter().find(|r| r.number == *n))
-    {
-        let Some(a) = row.against() else { continue };
-        let module = &row.played[&Policy::Module];
-        let _ = writeln!(
-            out,
-            "{:5} {:+.4} ({:+.4} to {:+.4}) against {}: module {:.4}; {}",
-            row.number,
-            a.by,
-            a.interval[0],
-            a.interval[1],
-            a.best.name(),
-            module.mean(),
-            row.traits.join(", ")
-        );
-    }
-    out
+}
+
+fn write_row(out: &mut String, row: &Row) {
+    let Some(against) = row.against() else { return };
+    let [low, high] = against.interval;
+    let _ = writeln!(
+        out,
+        "{:5} {:+.4} ({low:+.4} to {high:+.4}) against {}: module {:.4}; {}",
+        row.number,
+        against.by,
+        against.best.name(),
+        row.played[&Policy::Module].mean(),
+        row.traits.join(", ")
+    );
 }
 
 /// As one self-contained HTML page.
@@ -95,10 +101,7 @@
         })
         .collect();
     let scatter = scatter(&points)?;
-    let worst: Vec<_> = s
-        .worst
-        .iter()
-        .filter_map(|n| rows.iter().find(|r| r.number == *n))
+    let worst: Vec<_> = worst_rows(rows, s)
         .map(|r| {
             let played: Vec<_> = r
                 .played
