--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -133,7 +133,7 @@
             Effect::Keyed(_) => Some(a.number.wrapping_mul(0x2545_f491_4f6c_dd1d)),
             Effect::Safe | Effect::Unsafe => None,
         };
-        let retry_mark = scenario.clients.mark_retries && t.retry > 0;
+        let marked = scenario.clients.retries_marked && t.retry > 0;
         let trace = trace(a.number, t.retry);
         let expires_ms = (a.at + a.deadline).saturating_sub(t.from) / 1000;
         let none = || "-".to_string();
@@ -148,7 +148,7 @@
                 parish.unwrap_or_else(none),
                 trace.clone(),
                 key.map_or_else(none, |key| format!("k{key:016x}")),
-                if retry_mark { "1".to_string() } else { none() },
+                if marked { "1".to_string() } else { none() },
                 expires_ms.to_string(),
                 format!("needs={}", a.slots),
             ],
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -25,7 +25,7 @@
 use indigofold_traffic::mapping;
 use indigofold_traffic::ops;
 use play_command::{live, replay};
-use recording_commands::{change, cut, jump, merge, pseudonymise, scale, show};
+use recording_commands::{change, jump, keep_time_span, merge, pseudonymise, scale, show};
 use serde_json::json;
 use std::io::Write;
 use std::process::ExitCode;
@@ -54,7 +54,7 @@
     match &cli.call {
         Call::Import(args) => return import_files(args, cli.json),
         Call::Show { recording } => show(recording, cli.json)?,
-        Call::Cut { files, from, to } => cut(files, *from, *to, cli.json)?,
+        Call::Cut { files, from, to } => keep_time_span(files, *from, *to, cli.json)?,
         Call::Filter {
             files,
             class,
--- a/crates/replay/src/recording_commands.rs
+++ b/crates/replay/src/recording_commands.rs
@@ -136,7 +136,7 @@
 }
 
 /// Keeps what was sent between two times, in seconds after the first job.
-pub fn cut(files: &Files, from: f64, to: f64, json: bool) -> Result<(), Bad> {
+pub fn keep_time_span(files: &Files, from: f64, to: f64, json: bool) -> Result<(), Bad> {
     let first = first_time(&files.recording)?;
     let at = |seconds: f64| first + microseconds(seconds);
     change(files, json, |jobs| {
--- a/crates/replay/src/retry_folding.rs
+++ b/crates/replay/src/retry_folding.rs
@@ -30,7 +30,7 @@
 struct RecordKind {
     name: &'static str,
     has_key: bool,
-    has_retry_mark: bool,
+    retries_marked: bool,
     /// How exactly its time is known.
     resolution_us: Micros,
 }
@@ -39,13 +39,13 @@
     const fn new(
         name: &'static str,
         has_key: bool,
-        has_retry_mark: bool,
+        retries_marked: bool,
         resolution_us: Micros,
     ) -> Self {
         RecordKind {
             name,
             has_key,
-            has_retry_mark,
+            retries_marked,
             resolution_us,
         }
     }
@@ -56,7 +56,7 @@
         if !self.has_key {
             record.job.key = None;
         }
-        record.marked &= self.has_retry_mark;
+        record.marked &= self.retries_marked;
         record.job.at = record.job.at / self.resolution_us * self.resolution_us;
         record.within = self.resolution_us;
         record
@@ -136,27 +136,11 @@
     let simulation = Simulation::new(scenario, seed, Retries::Model)?;
     let log = |request: LoggedRequest<'_>| {
         let arrival = request.arrival;
-        let class = arrival.class as usize;
-        let keyed = matches!(scenario.classes[class].effect, Effect::Keyed(_));
+        let class = classes[arrival.class as usize].clone();
         let parish = arrival.parish.map(|p| parishes[p as usize].clone());
-        let deadline_at = arrival.at + arrival.deadline;
-        let address = crate::export::address(arrival.parish.unwrap_or(200), arrival.office);
-        let job = Job {
-            at: request.from as Micros,
-            class: classes[class].clone(),
-            parish: parish.unwrap_or_else(|| "".into()),
-            subject: arrival.subject.clone(),
-            key: keyed.then(|| format!("k{}", arrival.number)),
-            deadline: Some(deadline_at.saturating_sub(request.from) as Micros),
-            bytes: 0,
-            slots: None,
-            client: number(&address),
-            status: request.status.unwrap_or(0),
-            took: Some((request.to - request.from) as Micros),
-            tries: Vec::new(),
-        };
+        let effect = scenario.classes[arrival.class as usize].effect;
         let record = Try {
-            job,
+            job: job_of(&request, class, parish, effect),
             within: 1,
             seq: records.len() as u64,
             id: 0,
@@ -170,6 +154,32 @@
     Ok(records)
 }
 
+/// A request as the importer would read it from a log.
+fn job_of(
+    request: &LoggedRequest<'_>,
+    class: Arc<str>,
+    parish: Option<Arc<str>>,
+    effect: Effect,
+) -> Job {
+    let arrival = request.arrival;
+    let address = crate::export::address(arrival.parish.unwrap_or(200), arrival.office);
+    let left = (arrival.at + arrival.deadline).saturating_sub(request.from);
+    Job {
+        at: request.from as Micros,
+        class,
+        parish: parish.unwrap_or_else(|| "".into()),
+        subject: arrival.subject.clone(),
+        key: matches!(effect, Effect::Keyed(_)).then(|| format!("k{}", arrival.number)),
+        deadline: Some(left as Micros),
+        bytes: 0,
+        slots: None,
+        client: number(&address),
+        status: request.status.unwrap_or(0),
+        took: Some((request.to - request.from) as Micros),
+        tries: Vec::new(),
+    }
+}
+
 /// Folds records reduced to a kind, and compares the result with the truth.
 fn fold(
     scenario: &Scenario,
@@ -185,7 +195,7 @@
         guess_within: (scenario.clients.max_retry_after_ms as Micros + 300) * 1000,
         tries: scenario.clients.retries + 1,
         id_kept: false,
-        marks: kind.has_retry_mark,
+        marks: kind.retries_marked,
     };
     // Which record a request in a folded job was is known by its time after spreading.
     let mut truth: FxHashMap<Micros, u64> = FxHashMap::default();
--- a/crates/replay/src/scenario/form.rs
+++ b/crates/replay/src/scenario/form.rs
@@ -307,7 +307,7 @@
     pub max_retry_after_ms: u64,
     /// Clients mark their retries.
     #[serde(rename = "mark")]
-    pub mark_retries: bool,
+    pub retries_marked: bool,
     /// Clients retry jobs that failed, too, where a repeat does no harm.
     pub after_failure: bool,
     /// Clients (addresses) of each parish.
@@ -325,7 +325,7 @@
             backoff_ms: 50.0,
             honour: 0.5,
             max_retry_after_ms: 2_000,
-            mark_retries: true,
+            retries_marked: true,
             after_failure: true,
             offices: 12,
             subjects: 20_000,
--- a/crates/replay/src/scenario/settings.rs
+++ b/crates/replay/src/scenario/settings.rs
@@ -1,32 +1,31 @@
 //! The settings of a scheduler, as the platform would write them.
 
-use super::{Effect, Scenario};
+use super::{Class, Effect, Scenario};
 use indigofold::config::Site;
-use serde_json::json;
+use serde_json::{Value, json};
+
+/// A class in the platform's form; times are in microseconds.
+fn profile(class: &Class) -> Value {
+    let mut profile = json!({"name": class.name, "aim": class.latency_target_ms * 1000, "deadline": class.deadline(),
+        "worth": class.value, "lateWorth": class.late_value});
+    match class.effect {
+        Effect::Safe => profile["effect"] = "safe".into(),
+        Effect::Unsafe => profile["effect"] = "unsafe".into(),
+        Effect::Keyed(window_ms) => {
+            profile["effect"] = "keyed".into();
+            profile["group"] = "all".into();
+            profile["keyTtl"] = (window_ms * 1000).into();
+        }
+    }
+    profile
+}
 
 impl Scenario {
     /// The settings of a scheduler in the platform's form.
-    pub fn settings(&self, me: u32) -> serde_json::Value {
+    pub fn settings(&self, me: u32) -> Value {
         let capacity = self.capacity();
         let us = |ms: f64| (ms * 1e3) as u64;
-        let profiles: Vec<_> = self
-            .classes
-            .iter()
-            .map(|c| {
-                let mut p = json!({"name": c.name, "aim": c.latency_target_ms * 1000, "deadline": c.deadline_ms * 1000,
-                    "worth": c.value, "lateWorth": c.late_value});
-                match c.effect {
-                    Effect::Safe => p["effect"] = "safe".into(),
-                    Effect::Unsafe => p["effect"] = "unsafe".into(),
-                    Effect::Keyed(ms) => {
-                        p["effect"] = "keyed".into();
-                        p["group"] = "all".into();
-                        p["keyTtl"] = (ms * 1000).into();
-                    }
-                }
-                p
-            })
-            .collect();
+        let profiles: Vec<_> = self.classes.iter().map(profile).collect();
         let customers: Vec<_> = self
             .parishes
             .iter()
--- a/crates/replay/src/service.rs
+++ b/crates/replay/src/service.rs
@@ -209,19 +209,19 @@
     /// Running time at speed 1.
     work: Micros,
     slots: u32,
-    over_quota: bool,
+    beyond_quota: bool,
 }
 
 impl EndedJob {
     /// The job of an arrival; whether it is over its parish's quota is what [`Service::record_arrival`] said.
-    pub fn new(arrival: &Arrival, over_quota: bool) -> Self {
+    pub fn new(arrival: &Arrival, beyond_quota: bool) -> Self {
         EndedJob {
             class: arrival.class,
             parish: arrival.parish,
             sent_at: arrival.at,
             work: arrival.work,
             slots: arrival.slots,
-            over_quota,
+            beyond_quota,
         }
     }
 
@@ -358,7 +358,7 @@
     /// A job has ended.
     pub fn record_end(&mut self, scenario: &Scenario, job: EndedJob, end: JobEnd) {
         let class = &scenario.classes[job.class as usize];
-        let weight = if job.over_quota {
+        let weight = if job.beyond_quota {
             self.over_quota_value
         } else {
             1.0
@@ -382,7 +382,7 @@
         second.offered += value;
         second.earned += earned;
         self.classes[job.class as usize].value.add(value, earned);
-        let parish = job.parish.filter(|_| !job.over_quota);
+        let parish = job.parish.filter(|_| !job.beyond_quota);
         if let Some(parish) = parish.and_then(|p| self.parishes.get_mut(p as usize)) {
             parish.value.add(value, earned);
         }
--- a/crates/replay/src/sockets/clients.rs
+++ b/crates/replay/src/sockets/clients.rs
@@ -77,7 +77,7 @@
     /// Starts the task of a job that is due now.
     fn start_job(self: Arc<Self>, arrival: Arrival) {
         let environment = self.environment.clone();
-        let over_quota = {
+        let beyond_quota = {
             let mut service = locked(&environment.service);
             service.record_lateness(environment.now().saturating_sub(arrival.at));
             service.record_arrival(arrival.at, arrival.parish)
@@ -85,7 +85,7 @@
         self.open_jobs.fetch_add(1, Ordering::SeqCst);
         environment.clone().start(async move {
             let end = self.run_job(&arrival).await;
-            let job = EndedJob::new(&arrival, over_quota);
+            let job = EndedJob::new(&arrival, beyond_quota);
             locked(&environment.service).record_end(&environment.scenario, job, end);
             self.open_jobs.fetch_sub(1, Ordering::SeqCst);
         });
@@ -206,7 +206,7 @@
         };
         let mut answer = match connection.write(bytes.as_bytes()).await {
             Ok(()) => {
-                self.mark_accepted(request);
+                self.record_acceptance(request);
                 connection.read(true).await
             }
             Err(e) => Err(e),
@@ -215,7 +215,7 @@
             // A scheduler may close a connection between two requests: the client sends once more, on a new one.
             connection = self.connect(scheduler).await?;
             connection.write(bytes.as_bytes()).await?;
-            self.mark_accepted(request);
+            self.record_acceptance(request);
             answer = connection.read(true).await;
         }
         let answer = answer?;
@@ -238,7 +238,7 @@
         Ok(HttpConnection::new(stream))
     }
 
-    fn mark_accepted(&self, request: &ClientRequest<'_>) {
+    fn record_acceptance(&self, request: &ClientRequest<'_>) {
         request.accepted.store(true, Ordering::SeqCst);
         self.environment.observe(Observation::RequestAccepted {
             job: request.job,
@@ -268,7 +268,7 @@
         if matches!(class.effect, Effect::Keyed(_)) {
             header("Idempotency-Key", &format!("k{:016x}", arrival.number));
         }
-        if scenario.clients.mark_retries && request.retry > 0 {
+        if scenario.clients.retries_marked && request.retry > 0 {
             header("X-Second-Try", "1");
         }
         header("X-Props", &format!("needs={}", arrival.slots));
--- a/crates/replay/src/sockets/http.rs
+++ b/crates/replay/src/sockets/http.rs
@@ -101,15 +101,7 @@
         let text = |t: Option<&str>| t.unwrap_or("").to_string();
         (head, (text(read.method), text(read.path)), 0)
     };
-    let named = headers.iter().take_while(|h| !h.name.is_empty());
-    let headers: Vec<_> = named
-        .map(|h| {
-            (
-                h.name.to_ascii_lowercase(),
-                String::from_utf8_lossy(h.value).into_owned(),
-            )
-        })
-        .collect();
+    let headers = owned_headers(&headers);
     let find = |name: &str| {
         headers
             .iter()
@@ -132,3 +124,13 @@
         length,
     )))
 }
+
+/// Headers with their names in lower case.
+fn owned_headers(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
+    let named = headers.iter().take_while(|h| !h.name.is_empty());
+    let owned = |h: &httparse::Header<'_>| {
+        let value = String::from_utf8_lossy(h.value).into_owned();
+        (h.name.to_ascii_lowercase(), value)
+    };
+    named.map(owned).collect()
+}
--- a/crates/replay/src/virtual_time/clients.rs
+++ b/crates/replay/src/virtual_time/clients.rs
@@ -14,7 +14,7 @@
 pub(super) struct ClientJob {
     pub(super) arrival: Arrival,
     pub(super) deadline_at: Micros,
-    over_quota: bool,
+    beyond_quota: bool,
     /// Requests without a response, and retries that are still to be sent.
     pending: u32,
     /// Requests that are at schedulers.
@@ -42,7 +42,7 @@
 
     /// A client has a new job, and sends its first try.
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
-        let over_quota = self.service.record_arrival(arrival.at, arrival.parish);
+        let beyond_quota = self.service.record_arrival(arrival.at, arrival.parish);
         let sent_at = arrival.at;
         let recorded = match self.retries {
             Retries::Recorded => arrival.retries.clone(),
@@ -51,7 +51,7 @@
         let slot = self.store_client_job(ClientJob {
             deadline_at: arrival.at + arrival.deadline,
             arrival,
-            over_quota,
+            beyond_quota,
             pending: 0,
             requests: SmallVec::new(),
             last_response: None,
@@ -235,7 +235,7 @@
         if !std::mem::take(&mut client_job.open) {
             return;
         }
-        let job = EndedJob::new(&client_job.arrival, client_job.over_quota);
+        let job = EndedJob::new(&client_job.arrival, client_job.beyond_quota);
         self.service.record_end(self.scenario, job, end);
         self.end_if_idle(slot);
     }
--- a/crates/replay/src/virtual_time/schedulers.rs
+++ b/crates/replay/src/virtual_time/schedulers.rs
@@ -360,20 +360,22 @@
         };
         self.runs.insert(run_id, run);
         let delay = self.delay_to_worker(scheduler, worker);
-        let connections =
-            &mut self.schedulers[scheduler as usize].idle_connections[worker as usize];
-        // A new connection costs a round trip before the first byte.
-        let connecting = if connections.take(self.now) {
-            0
-        } else {
-            2 * delay
-        };
-        let connected_at = self.now + connecting;
+        let connected_at = self.now + self.connect_time(scheduler, worker, delay);
         self.schedule(connected_at + delay, Event::AttemptAtWorker(run_id));
         let timeout_at = connected_at + ACKNOWLEDGEMENT_TIMEOUT;
         self.schedule(timeout_at, Event::AcknowledgementTimeout(run_id));
     }
 
+    /// How long a scheduler takes to have a connection: a new one costs a round trip before the first byte.
+    fn connect_time(&mut self, scheduler: u32, worker: u32, delay: Micros) -> Micros {
+        let connections = &mut self.schedulers[scheduler as usize].idle_connections;
+        if connections[worker as usize].take(self.now) {
+            0
+        } else {
+            2 * delay
+        }
+    }
+
     /// A worker has accepted an attempt: its connection is free for the next one.
     pub(super) fn handle_acceptance(&mut self, run: RunId) {
         let Some(run) = self.runs.get_mut(&run) else {
