--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario file: schedulers, job workers, clients, load, and what goes wrong.
+//! The scenario file: schedulers, workers, clients, load and faults.
 
 mod form;
 mod settings;
@@ -36,7 +36,7 @@
         self.kinds.iter().map(|k| k.count).sum()
     }
 
-    /// The kind of a job worker: kinds are dealt out in order.
+    /// The kind of a worker: kinds are assigned in order.
     pub fn kind_of(&self, worker: u32) -> usize {
         let mut before = 0;
         for (n, kind) in self.kinds.iter().enumerate() {
@@ -48,12 +48,12 @@
         self.kinds.len() - 1
     }
 
-    /// The zone of a scheduler or job worker.
+    /// The zone of a scheduler or worker.
     pub fn zone_of(&self, number: u32) -> u32 {
         number % self.zones.len() as u32
     }
 
-    /// A job worker's speed.
+    /// A worker's speed.
     pub fn speed_of(&self, worker: u32) -> f64 {
         let [low, high] = self.kinds[self.kind_of(worker)].speed;
         low + (high - low)
@@ -118,7 +118,7 @@
             .sum::<f64>()) as Micros
     }
 
-    /// The same times its slots: what a job takes of a job worker, on the mean, in microseconds at speed 1.
+    /// The mean of running time times slots over all classes, in microseconds at speed 1.
     pub fn mean_total_work(&self) -> f64 {
         let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         self.classes
--- a/crates/replay/tests/rules.rs
+++ b/crates/replay/tests/rules.rs
@@ -199,7 +199,7 @@
                 available: true,
                 at: t + 10_000,
             }));
-            // Told again, it counts from the first time.
+            // A second report changes nothing: it counts from the first.
             all.push(Observation::AvailabilityReported {
                 scheduler,
                 worker: 3,
--- a/crates/replay/tests/survey.rs
+++ b/crates/replay/tests/survey.rs
@@ -28,7 +28,7 @@
         complete,
         survey::survey(&plan, 5, 4, &path("four"), |_| {}).expect("played")
     );
-    // Stopped in the middle of a line: what is whole stays, and is not played again.
+    // Stopped in the middle of a line: complete rows stay, and are not played a second time.
     let text = std::fs::read_to_string(path("one")).expect("rows");
     let end = text.match_indices('\n').nth(3).expect("four lines").0;
     std::fs::write(path("torn"), &text[..end + 40]).expect("written");
