--- a/crates/replay/src/play_command.rs
+++ b/crates/replay/src/play_command.rs
@@ -3,10 +3,11 @@
 use crate::Bad;
 use crate::cli::{Live, Replay, Results};
 use crate::files::{bar, open, text_of};
-use indigofold_replay::export::{self, Log};
+use indigofold_replay::export::{self, Log, LogDamage};
 use indigofold_replay::load::{Made, Recorded};
 use indigofold_replay::scenario::{self, Scenario};
-use indigofold_replay::virtual_time::{Ground, Logged, Retries, Run};
+use indigofold_replay::service::Outcome;
+use indigofold_replay::virtual_time::{LoggedRequest, Retries, Run, Simulation};
 use indigofold_replay::{report, sockets};
 use serde_json::json;
 use std::fs::File;
@@ -15,6 +16,9 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
+/// The exit code where a run broke a rule.
+const RULES_BROKEN: u8 = 3;
+
 pub fn read_scenario(path: &Path) -> Result<Scenario, Bad> {
     let text = text_of(path)?;
     Ok(scenario::read(&text).map_err(|e| format!("{}:\n{e}", path.display()))?)
@@ -39,7 +43,10 @@
             logs.push(Log::new(
                 args.form,
                 BufWriter::new(file),
-                (args.lose, args.damage),
+                LogDamage {
+                    lost: args.lose,
+                    damaged: args.damage,
+                },
                 seed + u64::from(s),
             )?);
         }
@@ -50,13 +57,13 @@
         "playing",
     );
     let mut failed = None;
-    let log = |t: Logged<'_>| {
+    let log = |t: LoggedRequest<'_>| {
         if let Some(log) = logs.get_mut(t.scheduler as usize) {
             failed = failed.take().or(log.write(&scenario, &t).err());
         }
     };
-    let ground = Ground::new(&scenario, seed, Retries::Model)?;
-    let run = ground.play(Made::new(&scenario, seed)?, log, |n| bar.set_position(n))?;
+    let simulation = Simulation::new(&scenario, seed, Retries::Model)?;
+    let run = simulation.play(Made::new(&scenario, seed)?, log, |n| bar.set_position(n))?;
     bar.finish_and_clear();
     if let Some(e) = failed {
         return Err(e.into());
@@ -92,7 +99,7 @@
     let run = if args.sockets {
         sockets::play(&scenario, seed, args.retries, &args.program, arrivals)?
     } else {
-        Ground::new(&scenario, seed, args.retries)?.play(
+        Simulation::new(&scenario, seed, args.retries)?.play(
             arrivals,
             |_| {},
             |n| bar.set_position(n),
@@ -125,53 +132,58 @@
     if let Some(path) = &to.report {
         std::fs::write(path, report::page(scenario, title, &[("run", run)], None)?)?;
     }
-    let o = &run.outcome;
     if json {
         let mut short = run.clone();
         short.outcome.seconds.clear();
         say!("{}", json!({"run": short, "wall_seconds": seconds}));
     } else {
-        say!("service figure {:.4}", o.figure);
-        say!(
-            "whole {:.4}, worst 10 s {:.4} (from {} s), worst class {:.4} ({}), worst parish {:.4} ({})",
-            o.whole,
-            o.worst_stretch.0,
-            o.worst_stretch.1,
-            o.worst_class.0,
-            o.worst_class.1,
-            o.worst_parish.0,
-            o.worst_parish.1
-        );
-        for (name, share) in &o.classes {
-            say!("class {name:20} {share:.4}");
-        }
-        say!("first tries, retries, attempts, probes: {:?}", o.counts);
-        say!("in time, late, refused, failed: {:?}", o.ends);
-        say!(
-            "most on a cold job worker: {:.2} times what it can do",
-            run.verdict.most_on_cold
-        );
-        if o.lateness[1] > 0.0 {
-            say!(
-                "generator late: {:.3} ms at the 99th percentile, {:.3} ms at the most",
-                o.lateness[0],
-                o.lateness[1]
-            );
-        }
-        match run.verdict.kept() {
-            true => say!("rules kept"),
-            false => say!("RULES BROKEN: {:?}", run.verdict.breaches),
-        }
-        for text in &run.verdict.examples {
-            say!("    {text}");
-        }
-        for (text, count) in &run.notes {
+        print_outcome(&run.outcome);
+        print_verdict(run);
+        for (text, count) in &run.scheduler_messages {
             tracing::debug!(count, "noted: {text}");
         }
     }
     Ok(if run.verdict.kept() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(3)
+        ExitCode::from(RULES_BROKEN)
     })
 }
+
+fn print_outcome(o: &Outcome) {
+    say!("service figure {:.4}", o.service_metric);
+    say!(
+        "whole {:.4}, worst 10 s {:.4} (from {} s), worst class {:.4} ({}), worst parish {:.4} ({})",
+        o.overall,
+        o.worst_window.0,
+        o.worst_window.1,
+        o.worst_class.0,
+        o.worst_class.1,
+        o.worst_parish.0,
+        o.worst_parish.1
+    );
+    for (name, fraction) in &o.classes {
+        say!("class {name:20} {fraction:.4}");
+    }
+    say!("first tries, retries, attempts, probes: {:?}", o.counts);
+    say!("in time, late, refused, failed: {:?}", o.ends);
+}
+
+/// Prints what the checkers found, and how late the generator was.
+fn print_verdict(run: &Run) {
+    say!(
+        "most on a cold job worker: {:.2} times what it can do",
+        run.verdict.peak_warm_up_load
+    );
+    let [p99, maximum] = run.outcome.lateness;
+    if maximum > 0.0 {
+        say!("generator late: {p99:.3} ms at the 99th percentile, {maximum:.3} ms at the most");
+    }
+    match run.verdict.kept() {
+        true => say!("rules kept"),
+        false => say!("RULES BROKEN: {:?}", run.verdict.breaches),
+    }
+    for text in &run.verdict.examples {
+        say!("    {text}");
+    }
+}
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario file: schedulers, job workers, clients, load, and what goes wrong.
+//! The scenario file: schedulers, workers, clients, load and faults.
 
 mod form;
 mod settings;
@@ -15,17 +15,18 @@
     document::schema::<Scenario>()
 }
 
-/// Reads a scenario: against its schema first, so that all that is wrong is told at once.
+/// Reads a scenario: against its schema first, so that everything that is wrong is reported at once.
 ///
 /// # Errors
 /// Each thing that is wrong, with its place.
 pub fn read(text: &str) -> Result<Scenario, String> {
-    let scenario: Scenario = document::read("scenario", text).map_err(|e| e.to_string())?;
-    let wrong = scenario.wrong();
-    if wrong.is_empty() {
+    let scenario: Scenario =
+        document::read("scenario", text).map_err(|errors| errors.to_string())?;
+    let errors = scenario.validation_errors();
+    if errors.is_empty() {
         Ok(scenario)
     } else {
-        Err(wrong.join("\n"))
+        Err(errors.join("\n"))
     }
 }
 
@@ -35,7 +36,7 @@
         self.kinds.iter().map(|k| k.count).sum()
     }
 
-    /// The kind of a job worker: kinds are dealt out in order.
+    /// The kind of a worker: kinds are assigned in order.
     pub fn kind_of(&self, worker: u32) -> usize {
         let mut before = 0;
         for (n, kind) in self.kinds.iter().enumerate() {
@@ -47,12 +48,12 @@
         self.kinds.len() - 1
     }
 
-    /// The zone of a scheduler or job worker.
+    /// The zone of a scheduler or worker.
     pub fn zone_of(&self, number: u32) -> u32 {
         number % self.zones.len() as u32
     }
 
-    /// A job worker's speed.
+    /// A worker's speed.
     pub fn speed_of(&self, worker: u32) -> f64 {
         let [low, high] = self.kinds[self.kind_of(worker)].speed;
         low + (high - low)
@@ -98,31 +99,31 @@
             .iter()
             .map(|k| f64::from(k.count * k.cores) * (k.speed[0] + k.speed[1]) / 2.0)
             .sum();
-        let shares: f64 = self.classes.iter().map(|c| c.share).sum();
+        let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         let work: f64 = self
             .classes
             .iter()
-            .map(|c| c.share / shares * c.work_ms / 1e3 * c.mean_slots())
+            .map(|c| c.weight / weights * c.work_ms / 1e3 * c.mean_slots())
             .sum();
         cores / work
     }
 
     /// Running time of a job at speed 1, on the mean over all classes.
     pub fn mean_work(&self) -> Micros {
-        let shares: f64 = self.classes.iter().map(|c| c.share).sum();
+        let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         (self
             .classes
             .iter()
-            .map(|c| c.share / shares * c.work_ms * 1e3)
+            .map(|c| c.weight / weights * c.work_ms * 1e3)
             .sum::<f64>()) as Micros
     }
 
-    /// The same times its slots: what a job takes of a job worker, on the mean, in microseconds at speed 1.
+    /// The mean of running time times slots over all classes, in microseconds at speed 1.
     pub fn mean_total_work(&self) -> f64 {
-        let shares: f64 = self.classes.iter().map(|c| c.share).sum();
+        let weights: f64 = self.classes.iter().map(|c| c.weight).sum();
         self.classes
             .iter()
-            .map(|c| c.share / shares * c.work_ms * 1e3 * c.mean_slots())
+            .map(|c| c.weight / weights * c.work_ms * 1e3 * c.mean_slots())
             .sum()
     }
 }
--- a/crates/replay/src/survey.rs
+++ b/crates/replay/src/survey.rs
@@ -1,6 +1,7 @@
-//! A survey: deployments drawn at random, the module and plain rules played on the same draws, and where the module loses.
+//! A survey: deployments drawn at random, the module and the baseline policies played on the same draws, and where the module
+//! is behind.
 //!
-//! All policies of one deployment meet the same arrivals, running times, troubles and clients (common random numbers), so
+//! All policies of one deployment meet the same arrivals, running times, faults and clients (common random numbers), so
 //! that their differences are not the luck of a draw; what a policy does changes the network's jitter from then on. A
 //! deployment is played several times with other seeds, and the interval of a difference is Student's, over those.
 
@@ -9,7 +10,7 @@
 
 use crate::baseline::Policy;
 use crate::load::Made;
-use crate::virtual_time::{Ground, Retries, Run};
+use crate::virtual_time::{Retries, Run, Simulation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -17,25 +18,28 @@
 use std::path::Path;
 use std::sync::Mutex;
 use std::sync::PoisonError;
-use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Of the ranges and the form of the rows: rows of another one are of another survey.
+/// The version of the ranges and of the rows: rows of another version are of another survey.
 pub const VERSION: u32 = 1;
 /// Runs of each deployment, at least and at most.
 pub const RUNS: (u32, u32) = (2, 16);
 
+/// Threads of a survey.
+const MAX_THREADS: usize = 256;
+
 /// Student's 97.5% point for 1 to 15 degrees of freedom.
 const STUDENT: [f64; 15] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
     2.145, 2.131,
 ];
 
-/// What is surveyed.
+/// The parameters of a survey.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// [`VERSION`] of who wrote it.
+    /// The [`VERSION`] of the program that wrote it.
     pub version: u32,
-    /// Deployments are drawn from here.
+    /// The seed from which deployments are drawn.
     pub seed: u64,
     /// Runs of each.
     pub runs: u32,
@@ -43,11 +47,12 @@
     pub policies: Vec<Policy>,
 }
 
-/// A policy on a deployment.
+/// The results of a policy on a deployment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Played {
-    /// Its service figure in each run.
-    pub figures: Vec<f64>,
+    /// The service metric of each run.
+    #[serde(rename = "figures")]
+    pub metrics: Vec<f64>,
     /// Breaches of rules, over all runs.
     pub breaches: BTreeMap<String, u64>,
     /// Shares of jobs in time, late, refused, failed; fetches and attempts per job.
@@ -55,27 +60,27 @@
 }
 
 impl Played {
-    /// Its mean figure.
+    /// The mean service metric.
     pub fn mean(&self) -> f64 {
-        self.figures.iter().sum::<f64>() / self.figures.len().max(1) as f64
+        self.metrics.iter().sum::<f64>() / self.metrics.len().max(1) as f64
     }
 }
 
-/// A deployment.
+/// The results on a deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// Its number.
     pub number: u64,
-    /// What it is like.
+    /// Its traits, by which the survey groups deployments.
     pub traits: Vec<String>,
     /// Each policy on it.
     pub played: BTreeMap<Policy, Played>,
 }
 
-/// The module against the best plain policy that knows no more than it.
+/// The module compared with the best baseline policy that does not see the true state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Against {
-    /// Which.
+    /// That policy.
     pub best: Policy,
     /// Module less that one.
     pub by: f64,
@@ -106,7 +111,7 @@
             .iter()
             .filter(|(p, _)| **p != Policy::Module && !p.knows_all());
         let (best, of) = plain.max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()))?;
-        let (by, interval) = paired(&module.figures, &of.figures);
+        let (by, interval) = paired(&module.metrics, &of.metrics);
         Some(Against {
             best: *best,
             by,
@@ -116,14 +121,14 @@
 }
 
 fn play(scenario: &crate::scenario::Scenario, policy: Policy, seed: u64) -> Result<Run, String> {
-    let ground = Ground::with(scenario, seed, Retries::Model, policy)?;
-    ground.play(Made::new(scenario, seed)?, |_| {}, |_| {})
+    let simulation = Simulation::with_policy(scenario, seed, Retries::Model, policy)?;
+    simulation.play(Made::new(scenario, seed)?, |_| {}, |_| {})
 }
 
 /// Plays one deployment.
 ///
 /// # Errors
-/// What could not be played of it.
+/// The scenario cannot be played.
 pub fn row(plan: &Plan, number: u64) -> Result<Row, String> {
     let scenario = draw::deployment(plan.seed, number);
     let mut played = BTreeMap::new();
@@ -137,7 +142,7 @@
                 plan.seed ^ (number << 8) ^ u64::from(n) << 56,
             )
             .map_err(|e| format!("deployment {number}, {}: {e}", policy.name()))?;
-            of.figures.push(run.outcome.figure);
+            of.metrics.push(run.outcome.service_metric);
             for (rule, count) in &run.verdict.breaches {
                 *of.breaches.entry(format!("{rule:?}")).or_default() += count;
             }
@@ -166,7 +171,7 @@
     })
 }
 
-/// Rows that a file holds already, and the file, at its end. A last line that is not whole is written anew.
+/// The rows that a file holds already, and the file, at its end. An incomplete last line is dropped.
 fn resume(path: &Path, plan: &Plan) -> Result<(BTreeMap<u64, Row>, File), String> {
     let say = |e: std::io::Error| format!("{}: {e}", path.display());
     let mut file = OpenOptions::new()
@@ -176,7 +181,7 @@
         .truncate(false)
         .open(path)
         .map_err(say)?;
-    let (mut rows, mut whole, mut first) = (BTreeMap::new(), 0, true);
+    let (mut rows, mut complete_bytes, mut first) = (BTreeMap::new(), 0, true);
     for line in BufReader::new(&file).split(b'\n') {
         let line = line.map_err(say)?;
         if first {
@@ -198,14 +203,14 @@
             };
             rows.insert(row.number, row);
         }
-        whole += line.len() as u64 + 1;
+        complete_bytes += line.len() as u64 + 1;
     }
     if first {
         let mut line = serde_json::to_vec(plan).map_err(|e| e.to_string())?;
         line.push(b'\n');
         file.write_all(&line).map_err(say)?;
     } else {
-        file.set_len(whole).map_err(say)?;
+        file.set_len(complete_bytes).map_err(say)?;
         file.seek(SeekFrom::End(0)).map_err(say)?;
     }
     Ok((rows, file))
@@ -223,72 +228,103 @@
     path: &Path,
     progress: impl Fn(u64) + Sync,
 ) -> Result<Vec<Row>, String> {
-    if !(RUNS.0..=RUNS.1).contains(&plan.runs) {
-        return Err(format!(
-            "{} runs given, {} to {} are allowed",
-            plan.runs, RUNS.0, RUNS.1
-        ));
-    }
-    if !plan.policies.contains(&Policy::Module)
-        || plan.policies.iter().all(|p| *p == Policy::Module)
-    {
-        return Err("the module and one more policy at least are wanted".into());
-    }
+    plan.check()?;
     let (rows, file) = resume(path, plan)?;
     let done = AtomicU64::new(rows.len() as u64);
     let missing: Vec<u64> = (0..count).filter(|n| !rows.contains_key(n)).collect();
-    let (next, found) = (AtomicU64::new(0), Mutex::new((rows, file, None::<String>)));
-    let lock = || found.lock().unwrap_or_else(PoisonError::into_inner);
+    let next = AtomicUsize::new(0);
+    let results = Mutex::new(Results {
+        path,
+        file,
+        rows,
+        error: None,
+    });
+    let results_lock = || results.lock().unwrap_or_else(PoisonError::into_inner);
     std::thread::scope(|scope| {
-        for _ in 0..threads.clamp(1, 256) {
+        for _ in 0..threads.clamp(1, MAX_THREADS) {
             scope.spawn(|| {
-                while let Some(number) = missing.get(next.fetch_add(1, Ordering::Relaxed) as usize)
-                {
+                while let Some(number) = missing.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let row = row(plan, *number);
-                    let mut found = lock();
-                    let written = row.and_then(|row| {
-                        let mut line = serde_json::to_vec(&row).map_err(|e| e.to_string())?;
-                        line.push(b'\n');
-                        found
-                            .1
-                            .write_all(&line)
-                            .map_err(|e| format!("{}: {e}", path.display()))?;
-                        found.0.insert(*number, row);
-                        Ok(())
-                    });
-                    if let Err(why) = written {
-                        found.2.get_or_insert(why);
-                        next.store(u64::MAX / 2, Ordering::Relaxed);
+                    if !results_lock().add(row) {
+                        next.store(missing.len(), Ordering::Relaxed);
                         return;
                     }
-                    drop(found);
                     progress(done.fetch_add(1, Ordering::Relaxed) + 1);
                 }
             });
         }
     });
-    let (rows, _, error) = found.into_inner().unwrap_or_else(PoisonError::into_inner);
-    match error {
-        Some(why) => Err(why),
-        None => Ok(rows
+    let results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    match results.error {
+        Some(error) => Err(error),
+        None => Ok(results
+            .rows
             .into_values()
             .filter(|row| row.number < count)
             .collect()),
     }
 }
 
-/// What a survey comes to.
+impl Plan {
+    fn check(&self) -> Result<(), String> {
+        let (fewest, most) = RUNS;
+        if !(fewest..=most).contains(&self.runs) {
+            return Err(format!(
+                "{} runs given, {fewest} to {most} are allowed",
+                self.runs
+            ));
+        }
+        let only_module = self.policies.iter().all(|p| *p == Policy::Module);
+        if !self.policies.contains(&Policy::Module) || only_module {
+            return Err("the module and one more policy at least are wanted".into());
+        }
+        Ok(())
+    }
+}
+
+/// The rows so far, and the file to which each new one goes.
+struct Results<'a> {
+    path: &'a Path,
+    file: File,
+    rows: BTreeMap<u64, Row>,
+    /// The first error.
+    error: Option<String>,
+}
+
+impl Results<'_> {
+    /// Writes a row, or keeps its error; false where the survey cannot go on.
+    fn add(&mut self, row: Result<Row, String>) -> bool {
+        match row.and_then(|row| self.write(row)) {
+            Ok(()) => true,
+            Err(error) => {
+                self.error.get_or_insert(error);
+                false
+            }
+        }
+    }
+
+    fn write(&mut self, row: Row) -> Result<(), String> {
+        let mut line = serde_json::to_vec(&row).map_err(|e| e.to_string())?;
+        line.push(b'\n');
+        let written = self.file.write_all(&line);
+        written.map_err(|e| format!("{}: {e}", self.path.display()))?;
+        self.rows.insert(row.number, row);
+        Ok(())
+    }
+}
+
+/// The summary of a survey.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// Deployments.
     pub count: usize,
-    /// Those on which the module is ahead of every policy that knows no more; and where the interval says so.
+    /// Those on which the module is ahead of every policy that does not see the true state; and where the interval says so.
     pub ahead: [usize; 2],
     /// Those on which it is behind, and where the interval says so.
     pub behind: [usize; 2],
     /// Those on which the module broke a rule, and each policy's number.
     pub broke: BTreeMap<Policy, usize>,
-    /// Mean figures.
+    /// Mean service metrics.
     pub means: BTreeMap<Policy, f64>,
     /// By what deployments are like: how many, the mean difference, and on how many the module is behind.
     pub traits: BTreeMap<String, (usize, f64, usize)>,
@@ -296,7 +332,7 @@
     pub worst: Vec<u64>,
 }
 
-/// Sums up; `worst`: so many are named.
+/// Summarises rows; `worst` deployments are named.
 pub fn summary(rows: &[Row], worst: usize) -> Summary {
     let mut s = Summary {
         count: rows.len(),
--- a/crates/replay/src/survey/draw.rs
+++ b/crates/replay/src/survey/draw.rs
@@ -3,10 +3,11 @@
 
 use crate::sampling::{between, draw, unit};
 use crate::scenario::{
-    Class, Clients, Discovery, Effect, Jump, Kind, Limits, Load, Machines, Network, Order, Parish,
-    Prices, Rules, Scenario, Spread, Things, Trouble, What,
+    Class, Clients, Discovery, Effect, Fault, FaultKind, Jump, Kind, Limits, Load, Machines,
+    Network, Order, Parish, Prices, Rules, Scenario, Spread, Things,
 };
 use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeSet;
 
 /// First tries that a run holds at the most, about.
 const JOBS: f64 = 6_000.0;
@@ -17,7 +18,7 @@
     between(rng, low.ln(), high.ln()).exp()
 }
 
-fn whole(rng: &mut Pcg64Mcg, low: u32, high: u32) -> u32 {
+fn uniform_int(rng: &mut Pcg64Mcg, low: u32, high: u32) -> u32 {
     low + (unit(rng) * f64::from(high - low + 1)) as u32
 }
 
@@ -32,19 +33,19 @@
     drawn.into_iter().map(|s| s / sum).collect()
 }
 
-fn class(rng: &mut Pcg64Mcg, n: usize, share: f64) -> Class {
+fn class(rng: &mut Pcg64Mcg, n: usize, weight: f64) -> Class {
     let work_ms = log_between(rng, 20.0, 3_000.0);
-    let aim_ms = (work_ms * between(rng, 0.5, 2.5) + between(rng, 30.0, 200.0)) as u64;
+    let latency_target_ms = (work_ms * between(rng, 0.5, 2.5) + between(rng, 30.0, 200.0)) as u64;
     let stretch = between(rng, 1.0, 3.0);
-    let usual = aim_ms as f64 + stretch * work_ms;
-    let effect = match whole(rng, 0, 3) {
+    let usual = latency_target_ms as f64 + stretch * work_ms;
+    let effect = match uniform_int(rng, 0, 3) {
         0 | 1 => Effect::Safe,
         2 => Effect::Keyed(log_between(rng, 2_000.0, 20_000.0) as u64),
         _ => Effect::Unsafe,
     };
     Class {
         name: format!("class-{n}"),
-        share,
+        weight,
         effect,
         work_ms,
         spread: if chance(rng, 0.3) {
@@ -53,13 +54,13 @@
             Spread::Lognormal
         },
         cv: between(rng, 0.3, 1.6),
-        priority: whole(rng, 0, 1) as i32,
+        priority: uniform_int(rng, 0, 1) as i32,
         slots: if chance(rng, 0.25) {
             vec![0.8, 0.2]
         } else {
             vec![1.0]
         },
-        aim_ms,
+        latency_target_ms,
         stretch,
         deadline_ms: (usual * between(rng, 1.5, 6.0)).max(400.0) as u64,
         value: between(rng, 1.0, 10.0),
@@ -76,7 +77,7 @@
     Kind {
         name: format!("kind-{n}"),
         count,
-        cores: whole(rng, 2, 8),
+        cores: uniform_int(rng, 2, 8),
         speed: [speed * (1.0 - spread), speed * (1.0 + spread)],
         queue_per_core: between(rng, 4.0, 20.0),
         initial_capacity: between(rng, 0.3, 0.7),
@@ -84,9 +85,9 @@
     }
 }
 
-/// So many different job workers of all.
-fn some(rng: &mut Pcg64Mcg, all: u32, share: f64) -> Vec<u32> {
-    let wanted = ((f64::from(all) * share).round() as u32).clamp(1, all);
+/// A fraction of all workers, without repetition.
+fn pick_workers(rng: &mut Pcg64Mcg, all: u32, fraction: f64) -> Vec<u32> {
+    let wanted = ((f64::from(all) * fraction).round() as u32).clamp(1, all);
     let mut left: Vec<u32> = (0..all).collect();
     let mut taken: Vec<u32> = (0..wanted)
         .map(|_| left.swap_remove((unit(rng) * left.len() as f64) as usize))
@@ -95,104 +96,80 @@
     taken
 }
 
-fn troubles(rng: &mut Pcg64Mcg, workers: u32, seconds: f64) -> Vec<Trouble> {
-    let mut troubles = Vec::new();
-    for _ in 0..whole(rng, 0, 3) {
-        let (at_s, for_s) = (
-            between(rng, 2.0, seconds * 0.6),
-            between(rng, 3.0, seconds * 0.4),
-        );
-        let (part, of) = (between(rng, 0.05, 0.25), whole(rng, 0, 5));
-        let picked = some(rng, workers, part);
-        let what = match of {
-            0 => What::Hang,
-            1 => What::Crash,
-            2 => {
-                // A release: most of them, a few at a time.
-                let step = (for_s / 6.0).max(0.5);
-                for n in 0..6u32 {
-                    let workers: Vec<u32> = (0..workers).filter(|w| w % 6 == n).collect();
-                    let at_s = at_s + f64::from(n) * step;
-                    if !workers.is_empty() {
-                        troubles.push(Trouble {
-                            at_s,
-                            for_s: step,
-                            workers,
-                            what: What::Drain,
-                        });
-                    }
-                }
-                continue;
-            }
-            3 => What::Slow {
-                times: between(rng, 2.0, 8.0),
-            },
-            4 => What::HotThings {
-                share: between(rng, 0.06, 0.25),
-                things: whole(rng, 1, 3),
-            },
-            _ => What::Pauses {
-                ms: between(rng, 30.0, 250.0),
-                every_ms: between(rng, 400.0, 3_000.0),
-            },
+/// Waves of a release.
+const RELEASE_WAVES: u32 = 6;
+
+fn draw_faults(rng: &mut Pcg64Mcg, workers: u32, seconds: f64) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for _ in 0..uniform_int(rng, 0, 3) {
+        let at_s = between(rng, 2.0, seconds * 0.6);
+        let for_s = between(rng, 3.0, seconds * 0.4);
+        let fraction = between(rng, 0.05, 0.25);
+        let kind = uniform_int(rng, 0, 5);
+        let picked = pick_workers(rng, workers, fraction);
+        let Some(what) = draw_fault_kind(rng, kind) else {
+            faults.extend(release(workers, at_s, for_s));
+            continue;
         };
-        let workers = if matches!(what, What::HotThings { .. }) {
-            Vec::new()
-        } else {
-            picked
+        let workers = match what {
+            FaultKind::HotThings { .. } => Vec::new(),
+            _ => picked,
         };
-        troubles.push(Trouble {
+        faults.push(Fault {
             at_s,
             for_s,
             workers,
             what,
         });
     }
-    troubles
+    faults
+}
+
+/// `None`: a release, which is several faults.
+fn draw_fault_kind(rng: &mut Pcg64Mcg, kind: u32) -> Option<FaultKind> {
+    Some(match kind {
+        0 => FaultKind::Hang,
+        1 => FaultKind::Crash,
+        2 => return None,
+        3 => FaultKind::Slow {
+            times: between(rng, 2.0, 8.0),
+        },
+        4 => FaultKind::HotThings {
+            fraction: between(rng, 0.06, 0.25),
+            things: uniform_int(rng, 1, 3),
+        },
+        _ => FaultKind::Pauses {
+            ms: between(rng, 30.0, 250.0),
+            every_ms: between(rng, 400.0, 3_000.0),
+        },
+    })
+}
+
+/// All workers drain, in waves one after the other.
+fn release(workers: u32, at_s: f64, for_s: f64) -> Vec<Fault> {
+    let wave_s = (for_s / f64::from(RELEASE_WAVES)).max(0.5);
+    let wave = |n: u32| Fault {
+        at_s: at_s + f64::from(n) * wave_s,
+        for_s: wave_s,
+        workers: (0..workers).filter(|w| w % RELEASE_WAVES == n).collect(),
+        what: FaultKind::Drain,
+    };
+    let waves = (0..RELEASE_WAVES).map(wave);
+    waves.filter(|fault| !fault.workers.is_empty()).collect()
 }
 
 /// The deployment of this number.
 pub fn deployment(seed: u64, number: u64) -> Scenario {
+    // The order of draws is part of the survey: see [`super::VERSION`].
     let rng = &mut draw(seed, number, 0x5e4e);
-    let zones = (0..whole(rng, 1, 3)).map(|n| format!("room-{n}")).collect();
-    let classes = whole(rng, 1, 4);
-    let classes = shares(rng, classes);
-    let classes: Vec<Class> = classes
-        .iter()
-        .enumerate()
-        .map(|(n, s)| class(rng, n, *s))
-        .collect();
-    let workers = log_between(rng, 4.0, 40.0) as u32;
-    let kinds = whole(rng, 1, workers.min(4));
-    let counts = shares(rng, kinds);
-    let kinds: Vec<Kind> = counts
-        .iter()
-        .enumerate()
-        .map(|(n, s)| kind(rng, n, ((f64::from(workers) * s).round() as u32).max(1)))
+    let zones = (0..uniform_int(rng, 1, 3))
+        .map(|n| format!("room-{n}"))
         .collect();
-    let parishes = whole(rng, 1, 5);
-    let parishes = shares(rng, parishes).into_iter().enumerate();
-    let parishes = parishes.map(|(n, share)| Parish {
-        name: format!("office-{n}"),
-        share,
-        usage: 1.0,
-        zone: None,
-    });
+    let classes = draw_classes(rng);
+    let kinds = draw_kinds(rng);
+    let parishes = draw_parishes(rng);
     let slots: u32 = kinds.iter().map(|k| k.count * k.cores).sum();
-    let things = chance(rng, 0.5).then(|| Things {
-        kept: whole(rng, 2, 12),
-        fetch: between(rng, 0.1, 0.8),
-        at_once: (f64::from(slots) * between(rng, 0.05, 0.3)).max(1.0),
-    });
-    let (cancel, reports) = (chance(rng, 0.6), chance(rng, 0.5));
-    let order = [Order::InOrder, Order::WhateverFits, Order::Priority][whole(rng, 0, 2) as usize];
-    let machines = Machines {
-        order,
-        cancel,
-        copies: chance(rng, 0.5),
-        reports,
-        things,
-    };
+    let machines = draw_machines(rng, slots);
     let mut scenario = Scenario {
         version: 1,
         name: format!("survey {seed}, deployment {number}"),
@@ -202,28 +179,22 @@
         schedulers: log_between(rng, 2.0, 24.0) as u32,
         zones,
         classes,
-        parishes: parishes.collect(),
+        parishes,
         kinds,
         network: Network {
             cross_ms: between(rng, 0.5, 4.0),
             ..Network::default()
         },
-        clients: Clients {
-            retries: whole(rng, 0, 3),
-            backoff_ms: between(rng, 20.0, 200.0),
-            subjects: log_between(rng, 50.0, 20_000.0) as u32,
-            zipf: between(rng, 0.6, 1.2),
-            ..Clients::default()
-        },
+        clients: draw_clients(rng),
         machines,
         discovery: Discovery {
             notice_ms: between(rng, 300.0, 4_000.0) as u64,
             ..Discovery::default()
         },
         load: Load::default(),
-        troubles: Vec::new(),
+        faults: Vec::new(),
         rules: Rules {
-            attempts: whole(rng, 2, 4),
+            attempts: uniform_int(rng, 2, 4),
             ..Rules::default()
         },
         prices: Prices {
@@ -236,8 +207,71 @@
             ..Limits::default()
         },
     };
-    let used = between(rng, 0.35, 0.95);
-    let rate = scenario.capacity() * used;
+    scenario.load = draw_load(rng, scenario.capacity());
+    scenario.faults = draw_faults(rng, scenario.workers(), scenario.load.seconds);
+    scenario
+}
+
+fn draw_classes(rng: &mut Pcg64Mcg) -> Vec<Class> {
+    let count = uniform_int(rng, 1, 4);
+    let weights = shares(rng, count).into_iter().enumerate();
+    weights.map(|(n, weight)| class(rng, n, weight)).collect()
+}
+
+fn draw_kinds(rng: &mut Pcg64Mcg) -> Vec<Kind> {
+    let workers = log_between(rng, 4.0, 40.0) as u32;
+    let count = uniform_int(rng, 1, workers.min(4));
+    let fractions = shares(rng, count).into_iter().enumerate();
+    let of_kind = |fraction: f64| ((f64::from(workers) * fraction).round() as u32).max(1);
+    fractions
+        .map(|(n, fraction)| kind(rng, n, of_kind(fraction)))
+        .collect()
+}
+
+fn draw_parishes(rng: &mut Pcg64Mcg) -> Vec<Parish> {
+    let count = uniform_int(rng, 1, 5);
+    let quotas = shares(rng, count).into_iter().enumerate();
+    quotas
+        .map(|(n, quota)| Parish {
+            name: format!("office-{n}"),
+            quota,
+            usage: 1.0,
+            zone: None,
+        })
+        .collect()
+}
+
+/// `slots` are those of all workers.
+fn draw_machines(rng: &mut Pcg64Mcg, slots: u32) -> Machines {
+    let things = chance(rng, 0.5).then(|| Things {
+        kept: uniform_int(rng, 2, 12),
+        fetch: between(rng, 0.1, 0.8),
+        at_once: (f64::from(slots) * between(rng, 0.05, 0.3)).max(1.0),
+    });
+    let (cancel, reports) = (chance(rng, 0.6), chance(rng, 0.5));
+    let orders = [Order::InOrder, Order::WhateverFits, Order::Priority];
+    Machines {
+        order: orders[uniform_int(rng, 0, 2) as usize],
+        cancel,
+        speculative_runs: chance(rng, 0.5),
+        reports,
+        things,
+    }
+}
+
+fn draw_clients(rng: &mut Pcg64Mcg) -> Clients {
+    Clients {
+        retries: uniform_int(rng, 0, 3),
+        backoff_ms: between(rng, 20.0, 200.0),
+        subjects: log_between(rng, 50.0, 20_000.0) as u32,
+        zipf: between(rng, 0.6, 1.2),
+        ..Clients::default()
+    }
+}
+
+/// `capacity` is what the fleet can do, in first tries a second.
+fn draw_load(rng: &mut Pcg64Mcg, capacity: f64) -> Load {
+    let rate = capacity * between(rng, 0.35, 0.95);
     let seconds = (JOBS / rate).clamp(SECONDS.0, SECONDS.1);
     let jump = Jump {
         at_s: seconds * 0.5,
@@ -250,76 +284,27 @@
     } else {
         Vec::new()
     };
-    scenario.load = Load {
+    Load {
         seconds,
         rate,
         swing: between(rng, 0.0, 0.35),
         swing_s: seconds / 2.0,
         jumps,
-    };
-    scenario.troubles = troubles(rng, scenario.workers(), seconds);
-    scenario
+    }
 }
 
 /// What a deployment is like, in a few words; the survey groups by them.
 pub fn traits(s: &Scenario) -> Vec<String> {
-    let used = s.load.rate / s.capacity();
-    let band = |value: f64, bounds: &[f64], unit: &str| -> String {
-        match bounds.iter().position(|b| value < *b) {
-            Some(0) => format!("{unit} under {}", bounds[0]),
-            Some(n) => format!("{unit} {} to {}", bounds[n - 1], bounds[n]),
-            None => format!("{unit} from {} on", bounds[bounds.len() - 1]),
-        }
-    };
+    let load = s.load.rate / s.capacity();
     let mut traits = vec![
-        band(used, &[0.55, 0.75], "load"),
+        band(load, &[0.55, 0.75], "load"),
         band(f64::from(s.schedulers), &[4.0, 10.0], "schedulers"),
         band(f64::from(s.workers()), &[8.0, 20.0], "workers"),
-        if s.machines.things.is_some() {
-            "things kept"
-        } else {
-            "nothing kept"
-        }
-        .into(),
-        if s.machines.reports {
-            "load reports"
-        } else {
-            "no load reports"
-        }
-        .into(),
-        if s.machines.copies {
-            "copies allowed"
-        } else {
-            "no copies"
-        }
-        .into(),
-        if s.machines.cancel {
-            "cancel stops"
-        } else {
-            "cancel does not stop"
-        }
-        .into(),
-        match s.machines.order {
-            Order::InOrder => "served in order",
-            Order::WhateverFits => "whatever fits",
-            Order::Priority => "by priority",
-        }
-        .into(),
     ];
-    let troubles: std::collections::BTreeSet<&str> = s
-        .troubles
-        .iter()
-        .map(|t| match t.what {
-            What::Hang => "hang",
-            What::Pauses { .. } => "pauses",
-            What::Crash => "crash",
-            What::Drain => "release",
-            What::Slow { .. } => "slow",
-            What::HotThings { .. } => "hot things",
-        })
-        .collect();
-    traits.extend(troubles.iter().map(|t| t.to_string()));
-    if troubles.is_empty() {
+    traits.extend(machine_traits(&s.machines).map(String::from));
+    let faults: BTreeSet<&str> = s.faults.iter().map(|f| fault_trait(&f.what)).collect();
+    traits.extend(faults.iter().map(|name| name.to_string()));
+    if faults.is_empty() {
         traits.push("no trouble".into());
     }
     if !s.load.jumps.is_empty() {
@@ -328,5 +313,37 @@
     traits
 }
 
-#[cfg(test)]
-mod tests;
+/// The interval between bounds in which a value lies.
+fn band(value: f64, bounds: &[f64], name: &str) -> String {
+    match bounds.iter().position(|bound| value < *bound) {
+        Some(0) => format!("{name} under {}", bounds[0]),
+        Some(n) => format!("{name} {} to {}", bounds[n - 1], bounds[n]),
+        None => format!("{name} from {} on", bounds[bounds.len() - 1]),
+    }
+}
+
+fn machine_traits(machines: &Machines) -> [&'static str; 5] {
+    let either = |condition, yes, no| if condition { yes } else { no };
+    [
+        either(machines.things.is_some(), "things kept", "nothing kept"),
+        either(machines.reports, "load reports", "no load reports"),
+        either(machines.speculative_runs, "copies allowed", "no copies"),
+        either(machines.cancel, "cancel stops", "cancel does not stop"),
+        match machines.order {
+            Order::InOrder => "served in order",
+            Order::WhateverFits => "whatever fits",
+            Order::Priority => "by priority",
+        },
+    ]
+}
+
+fn fault_trait(what: &FaultKind) -> &'static str {
+    match what {
+        FaultKind::Hang => "hang",
+        FaultKind::Pauses { .. } => "pauses",
+        FaultKind::Crash => "crash",
+        FaultKind::Drain => "release",
+        FaultKind::Slow { .. } => "slow",
+        FaultKind::HotThings { .. } => "hot things",
+    }
+}
