--- /dev/null
+++ b/crates/traffic/src/order/sorter.rs
@@ -0,0 +1,192 @@
+//! Sorting by replacement selection (Knuth, volume 3, 5.4.1): a heap of fixed size that writes runs. A log is nearly in
+//! order, so it makes one run; a HAR sorted by page makes some, which are merged.
+
+use super::run_file::{RunReader, RunWriter};
+use super::{Attempt, HeapEntry, SortKey};
+use crate::job::Micros;
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, VecDeque};
+use std::io;
+
+/// Attempts held in memory while sorting.
+const DEFAULT_CAPACITY: usize = 32_768;
+/// Runs that are merged at once; bounds the open files.
+const MAX_MERGED_RUNS: usize = 64;
+
+/// Sorts attempts by time.
+pub struct Sorter {
+    heap: BinaryHeap<Reverse<HeapEntry>>,
+    /// Attempts held in memory at the most.
+    capacity: usize,
+    /// Number of the run that is being written.
+    run: u32,
+    /// The time of the last attempt written to it.
+    last: Micros,
+    out: Option<RunWriter>,
+    runs: Vec<RunReader>,
+}
+
+impl Default for Sorter {
+    fn default() -> Self {
+        Sorter::new(DEFAULT_CAPACITY)
+    }
+}
+
+impl Sorter {
+    /// One that holds so many attempts in memory.
+    pub fn new(capacity: usize) -> Self {
+        Sorter {
+            heap: BinaryHeap::new(),
+            capacity: capacity.max(1),
+            run: 0,
+            last: Micros::MIN,
+            out: None,
+            runs: Vec::new(),
+        }
+    }
+
+    /// Takes an attempt.
+    ///
+    /// # Errors
+    /// A temporary file cannot be written.
+    pub fn push(&mut self, attempt: Attempt) -> io::Result<()> {
+        // What is older than what this run has written goes to the next one.
+        let run = self.run + u32::from(self.out.is_some() && attempt.job.at < self.last);
+        self.heap.push(Reverse(HeapEntry::new(run, attempt)));
+        if self.heap.len() > self.capacity
+            && let Some(Reverse(entry)) = self.heap.pop()
+        {
+            self.spill(&entry)?;
+        }
+        Ok(())
+    }
+
+    /// Writes an attempt to its run, which is the current one or the next.
+    fn spill(&mut self, entry: &HeapEntry) -> io::Result<()> {
+        if entry.run != self.run || self.out.is_none() {
+            self.end_run()?;
+            if self.runs.len() >= MAX_MERGED_RUNS {
+                self.merge_runs()?;
+            }
+            self.run = entry.run;
+            self.out = Some(RunWriter::new()?);
+        }
+        self.last = entry.key.at;
+        match &mut self.out {
+            Some(out) => out.write(&entry.attempt),
+            None => Ok(()),
+        }
+    }
+
+    fn end_run(&mut self) -> io::Result<()> {
+        if let Some(done) = self.out.take() {
+            self.runs.push(done.finish()?);
+        }
+        Ok(())
+    }
+
+    fn merge_runs(&mut self) -> io::Result<()> {
+        let mut merged = RunWriter::new()?;
+        for attempt in Merge::new(std::mem::take(&mut self.runs))? {
+            merged.write(&*attempt?)?;
+        }
+        self.runs.push(merged.finish()?);
+        Ok(())
+    }
+
+    /// All attempts in order.
+    ///
+    /// # Errors
+    /// A temporary file cannot be read.
+    pub fn finish(mut self) -> io::Result<Sorted> {
+        self.end_run()?;
+        let mut rest: Vec<HeapEntry> = self.heap.into_iter().map(|r| r.0).collect();
+        rest.sort_by_key(|entry| entry.key);
+        Ok(Sorted {
+            merge: Merge::new(self.runs)?,
+            peeked: None,
+            rest: rest.into_iter().map(|entry| entry.attempt).collect(),
+        })
+    }
+}
+
+/// A run that is being merged, and its next attempt.
+struct MergedRun {
+    reader: RunReader,
+    head: Option<Box<Attempt>>,
+}
+
+/// Several runs as one.
+struct Merge {
+    runs: Vec<MergedRun>,
+    /// Keys of the heads, each with the index of its run.
+    heads: BinaryHeap<Reverse<(SortKey, usize)>>,
+}
+
+impl Merge {
+    fn new(runs: Vec<RunReader>) -> io::Result<Self> {
+        let runs: Vec<MergedRun> = runs
+            .into_iter()
+            .map(|reader| MergedRun { reader, head: None })
+            .collect();
+        let mut merge = Merge {
+            runs,
+            heads: BinaryHeap::new(),
+        };
+        (0..merge.runs.len()).try_for_each(|n| merge.advance(n))?;
+        Ok(merge)
+    }
+
+    /// Reads a run's next attempt.
+    fn advance(&mut self, n: usize) -> io::Result<()> {
+        let run = &mut self.runs[n];
+        run.head = run.reader.next()?;
+        if let Some(attempt) = &run.head {
+            self.heads.push(Reverse((attempt.sort_key(), n)));
+        }
+        Ok(())
+    }
+}
+
+impl Iterator for Merge {
+    type Item = io::Result<Box<Attempt>>;
+
+    fn next(&mut self) -> Option<Self::Item> {
+        let Reverse((_, n)) = self.heads.pop()?;
+        let head = self.runs[n].head.take()?;
+        Some(self.advance(n).map(|()| head))
+    }
+}
+
+/// Attempts in order: those of the runs, and those that never left the memory.
+pub struct Sorted {
+    merge: Merge,
+    /// The next one of the runs.
+    peeked: Option<Box<Attempt>>,
+    rest: VecDeque<Box<Attempt>>,
+}
+
+impl Iterator for Sorted {
+    type Item = io::Result<Attempt>;
+
+    fn next(&mut self) -> Option<Self::Item> {
+        if self.peeked.is_none() {
+            match self.merge.next() {
+                Some(Ok(attempt)) => self.peeked = Some(attempt),
+                Some(Err(e)) => return Some(Err(e)),
+                None => {}
+            }
+        }
+        let from_runs = match (&self.peeked, self.rest.front()) {
+            (Some(a), Some(b)) => a.sort_key() <= b.sort_key(),
+            (Some(_), None) => true,
+            (None, _) => false,
+        };
+        let next = if from_runs {
+            self.peeked.take()
+        } else {
+            self.rest.pop_front()
+        };
+        next.map(|attempt| Ok(*attempt))
+    }
+}
--- /dev/null
+++ b/crates/traffic/src/order/spread.rs
@@ -0,0 +1,102 @@
+//! Attempts whose time is known only roughly, spread over what their timestamp may stand for.
+
+use super::{Attempt, HeapEntry};
+use crate::job::Micros;
+use crate::timestamp::SECOND;
+use rand_core::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use smallvec::SmallVec;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::io;
+
+/// Spreads attempts whose time is known only roughly. Those of one and the same timestamp are put at uniform draws within
+/// its width, in the order in which their file logged them (the order statistics of a Poisson process given its count).
+/// The result is in order again.
+pub struct Spread<I: Iterator> {
+    from: std::iter::Peekable<I>,
+    rng: Pcg64Mcg,
+    heap: BinaryHeap<Reverse<HeapEntry>>,
+    /// Attempts that were spread over a second or more.
+    pub spread: u64,
+}
+
+impl<I: Iterator<Item = io::Result<Attempt>>> Spread<I> {
+    /// Draws begin at the seed.
+    pub fn new(from: I, seed: u64) -> Self {
+        Spread {
+            from: from.peekable(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            heap: BinaryHeap::new(),
+            spread: 0,
+        }
+    }
+
+    /// Spreads all attempts of the next timestamp.
+    fn spread_next(&mut self, first: Attempt) {
+        let (at, within) = (first.job.at, first.within.max(1));
+        let same = |attempt: &io::Result<Attempt>| {
+            attempt
+                .as_ref()
+                .is_ok_and(|a| a.job.at == at && a.within.max(1) == within)
+        };
+        let mut group: SmallVec<[Attempt; 1]> = SmallVec::from_buf([first]);
+        while let Some(Ok(attempt)) = self.from.next_if(same) {
+            group.push(attempt);
+        }
+        if within >= SECOND {
+            self.spread += group.len() as u64;
+        }
+        // The records of one file are in order; those of two files say nothing of each other's order.
+        group.sort_by_key(|attempt| attempt.file);
+        if within > 1 {
+            for of_file in group.chunk_by_mut(|a, b| a.file == b.file) {
+                draw_times(of_file, within, &mut self.rng);
+            }
+        }
+        for attempt in group {
+            self.heap.push(Reverse(HeapEntry::new(0, attempt)));
+        }
+    }
+}
+
+/// Moves attempts of one timestamp and one file by sorted uniform draws.
+fn draw_times(attempts: &mut [Attempt], within: Micros, rng: &mut Pcg64Mcg) {
+    let draw = |_| (unit(rng) * within as f64) as Micros;
+    let mut draws: SmallVec<[Micros; 4]> = (0..attempts.len()).map(draw).collect();
+    draws.sort_unstable();
+    for (attempt, by) in attempts.iter_mut().zip(draws) {
+        attempt.job.at += by;
+    }
+}
+
+impl<I: Iterator<Item = io::Result<Attempt>>> Iterator for Spread<I> {
+    type Item = io::Result<Attempt>;
+
+    fn next(&mut self) -> Option<Self::Item> {
+        loop {
+            // What still comes is no earlier than the next timestamp.
+            let bound = match self.from.peek() {
+                Some(Ok(attempt)) => Some(attempt.job.at),
+                Some(Err(_)) => Some(Micros::MIN),
+                None => None,
+            };
+            let head = self.heap.peek().map(|Reverse(entry)| entry.key.at);
+            match (head, bound) {
+                (Some(at), Some(bound)) if at < bound => break,
+                (Some(_), None) => break,
+                (None, None) => return None,
+                _ => match self.from.next()? {
+                    Ok(first) => self.spread_next(first),
+                    Err(e) => return Some(Err(e)),
+                },
+            }
+        }
+        self.heap.pop().map(|Reverse(entry)| Ok(*entry.attempt))
+    }
+}
+
+/// A uniform draw from 0 to 1.
+pub fn unit(rng: &mut Pcg64Mcg) -> f64 {
+    (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+}
