--- a/crates/traffic/src/job.rs
+++ b/crates/traffic/src/job.rs
@@ -1,4 +1,4 @@
-//! What a recording holds: first tries, each with its retries.
+//! What a recording holds: first attempts, each with its retries.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 /// A point in time in microseconds since 1970, or a duration in microseconds.
 pub type Micros = i64;
 
-/// One first try, as a client made it, with the retries that belong to it.
+/// One first attempt, as a client made it, with the retries that belong to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// When its request was sent.
@@ -53,7 +53,7 @@
     pub confidence: f32,
 }
 
-/// By what a try was taken for a retry.
+/// By what an attempt was taken for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Evidence {
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,7 +1,7 @@
 //! Recorded traffic: HAR files and access logs become one plain type, [`Job`], and one file format to keep it in.
 //!
 //! The decoding does no I/O: [`access_log`] and [`har`] turn bytes that somebody else has read into [`raw::RawRecord`] records,
-//! [`mapping`] says what job a record is, [`order`] sorts and spreads, [`fold`] finds the retries of one first try, and
+//! [`mapping`] says what job a record is, [`order`] sorts and spreads, [`fold`] finds the retries of one first attempt, and
 //! [`ops`] works on what comes out. Files are touched in [`source`], [`order`] and [`import`] alone.
 
 #![forbid(unsafe_code)]
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -12,7 +12,7 @@
 /// What a recording holds, in figures.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// First tries.
+    /// First attempts.
     pub jobs: u64,
     /// Retries.
     pub retries: u64,
@@ -26,11 +26,11 @@
     pub parishes: BTreeMap<String, u64>,
     /// Jobs by the status of the last answer.
     pub statuses: BTreeMap<u16, u64>,
-    /// First tries in each second from the first job on.
+    /// First attempts in each second from the first job on.
     pub per_second: Vec<u32>,
     /// Variance over mean of the counts a second (index of dispersion): 1 for a Poisson process of one rate.
     pub dispersion: f64,
-    /// Mean of the recorded times of answers, in microseconds, over tries that have one.
+    /// Mean of the recorded times of answers, in microseconds, over attempts that have one.
     pub mean_took: f64,
     took: (f64, u64),
 }
@@ -77,7 +77,7 @@
     }
 }
 
-/// Keeps jobs whose first try lies in `[from, to)`.
+/// Keeps jobs whose first attempt lies in `[from, to)`.
 pub fn time_range(
     jobs: impl Iterator<Item = Job>,
     from: Micros,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Scales the rate. Thinning keeps each first try with its retries, by chance. Scaling up adds copies of each short
+/// Scales the rate. Thinning keeps each first attempt with its retries, by chance. Scaling up adds copies of each short
 /// stretch, each turned round within the stretch by a draw of its own: the copies have the burstiness of the original, and
 /// the rate keeps its course from stretch to stretch; no Poisson noise comes on top. A copy's subject and key are its own.
 pub struct Scaled<I: Iterator<Item = Job>> {
--- a/crates/traffic/src/recording.rs
+++ b/crates/traffic/src/recording.rs
@@ -1,7 +1,7 @@
 //! The file format of recordings, version 1: JSON lines, as they are or compressed by zstd.
 //!
 //! The first line is the header, `{"format":"indigofold-recording","version":1,...}`; then one line a job, in the order
-//! of the first tries; the last line is `{"end":{"jobs":N,"tries":M}}`, without which a file was cut off. Times are
+//! of the first attempts; the last line is `{"end":{"jobs":N,"tries":M}}`, without which a file was cut off. Times are
 //! microseconds. A job's entries:
 //!
 //! | entry | meaning | if missing |
@@ -62,7 +62,7 @@
 /// The last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// First tries.
+    /// First attempts.
     pub jobs: u64,
     /// Retries.
     #[serde(rename = "tries")]
--- a/crates/traffic/src/tally.rs
+++ b/crates/traffic/src/tally.rs
@@ -74,7 +74,7 @@
     BadForwarded,
     /// A deadline or a count in it could not be read, and was left out.
     BadNumber,
-    /// The client marked it as a retry, but its first try is not in the recording.
+    /// The client marked it as a retry, but its first attempt is not in the recording.
     Orphan,
     /// Its time is known to the second only; it was spread inside.
     Spread,
@@ -114,9 +114,9 @@
 pub struct Tally {
     /// Records read.
     pub read: u64,
-    /// First tries.
+    /// First attempts.
     pub taken: u64,
-    /// Retries, each folded into its first try.
+    /// Retries, each folded into its first attempt.
     pub folded: u64,
     /// Records rejected, by reason.
     pub rejected: BTreeMap<Reason, Count>,
--- a/crates/traffic/src/timestamp.rs
+++ b/crates/traffic/src/timestamp.rs
@@ -1,16 +1,17 @@
-//! Time stamps: the log formats' own, ISO 8601, counts since 1970, and any pattern of `strftime`.
+//! Timestamps: the log formats' own, ISO 8601, counts since 1970, and any pattern of `strftime`.
 
 use crate::job::Micros;
 use jiff::civil::DateTime;
 use jiff::tz::{AmbiguousOffset, TimeZone};
 use jiff::{Timestamp, fmt::strtime};
+use std::ops::Range;
 
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
-/// Times before 1990 and after 2200 are not meant.
-const PLAUSIBLE_TIMES: (Micros, Micros) = (631_152_000 * SECOND, 7_258_118_400 * SECOND);
-/// A local time that comes twice is read as the later one if the earlier lies this far before the record before.
-const BACK: Micros = 300 * SECOND;
+/// From 1990 to 2200; other times are taken for errors.
+const PLAUSIBLE_TIMES: Range<Micros> = 631_152_000 * SECOND..7_258_118_400 * SECOND;
+/// An ambiguous local time is read as the later one if the earlier lies this far before the last record.
+const MAX_STEP_BACK: Micros = 300 * SECOND;
 
 /// A time and how exactly it is known: the true one lies in `[at, at + within)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,11 +24,12 @@
     pub end: bool,
 }
 
-/// Why a stamp could not be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The text is no timestamp of this format, or no plausible time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the text is no timestamp of this format")]
 pub struct InvalidTimestamp;
 
-/// How a stamp is written.
+/// How a timestamp is written.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TimeFormat {
     /// `10/Oct/2000:13:55:36 -0700`
@@ -44,16 +46,26 @@
     Pattern(String),
 }
 
-/// Reads stamps of one file: it remembers the last minute, as most lines share it with the one before, and where local
+/// Reads the timestamps of one file: it remembers the last minute, as most lines share it with the one before, and where local
 /// times have come to.
 #[derive(Clone, Debug)]
 pub struct Reader {
     zone: TimeZone,
-    minute: Option<([u8; 17], [u8; 5], Micros)>,
+    minute: Option<CachedMinute>,
+    /// The last time read.
     last: Option<Micros>,
+    /// It was a local time that comes twice, or not at all.
     dst: bool,
 }
 
+/// The minute of a Common Log Format timestamp, as it is written, and its start.
+#[derive(Clone, Debug)]
+struct CachedMinute {
+    minute: [u8; 17],
+    offset: [u8; 5],
+    start: Micros,
+}
+
 impl Reader {
     /// Local times without an offset are of this zone.
     pub fn new(zone: TimeZone) -> Self {
@@ -65,12 +77,15 @@
         }
     }
 
-    /// Was the last stamp a local time that comes twice, or not at all?
+    /// Was the last timestamp a local time that comes twice, or not at all?
     pub fn was_dst(&mut self) -> bool {
         std::mem::take(&mut self.dst)
     }
 
-    /// Reads a stamp.
+    /// Reads a timestamp.
+    ///
+    /// # Errors
+    /// The text is no timestamp of this format.
     pub fn read(
         &mut self,
         form: &TimeFormat,
@@ -84,7 +99,7 @@
             TimeFormat::Micros => decimal(text, 1)?,
             TimeFormat::Pattern(pattern) => self.pattern(pattern, text)?,
         };
-        if at < PLAUSIBLE_TIMES.0 || at >= PLAUSIBLE_TIMES.1 {
+        if !PLAUSIBLE_TIMES.contains(&at) {
             return Err(InvalidTimestamp);
         }
         self.last = Some(at);
@@ -105,26 +120,26 @@
         if text.len() != 26 || seconds[0] != b':' || text[20] != b' ' {
             return Err(InvalidTimestamp);
         }
-        let base = match &self.minute {
-            Some((m, o, base)) if m == minute && o == offset => *base,
+        let start = match &self.minute {
+            Some(cached) if cached.minute == minute && cached.offset == offset => cached.start,
             _ => {
-                let base = clf_minute(minute, offset).ok_or(InvalidTimestamp)?;
-                let copied = (
-                    minute.try_into().map_err(|_| InvalidTimestamp)?,
-                    offset.try_into().map_err(|_| InvalidTimestamp)?,
-                );
-                self.minute = Some((copied.0, copied.1, base));
-                base
+                let start = clf_minute(minute, offset).ok_or(InvalidTimestamp)?;
+                self.minute = Some(CachedMinute {
+                    minute: minute.try_into().map_err(|_| InvalidTimestamp)?,
+                    offset: offset.try_into().map_err(|_| InvalidTimestamp)?,
+                    start,
+                });
+                start
             }
         };
-        let second = two(&seconds[1..])
+        let second = two_digits(&seconds[1..])
             .filter(|s| *s <= 60)
             .ok_or(InvalidTimestamp)?;
-        Ok(base + second.min(59) * SECOND)
+        Ok(start + second.min(59) * SECOND)
     }
 
     fn iso(&mut self, text: &str) -> Result<(Micros, Micros), InvalidTimestamp> {
-        let within = fraction(text);
+        let within = resolution(text);
         if let Ok(time) = text.parse::<Timestamp>() {
             return Ok((time.as_microsecond(), within));
         }
@@ -135,7 +150,7 @@
     fn pattern(&mut self, pattern: &str, text: &str) -> Result<(Micros, Micros), InvalidTimestamp> {
         let read = strtime::parse(pattern, text).map_err(|_| InvalidTimestamp)?;
         let within = match () {
-            () if pattern.contains('f') && pattern.contains('%') => fraction(text),
+            () if pattern.contains('f') && pattern.contains('%') => resolution(text),
             () => SECOND,
         };
         if let Ok(time) = read.to_timestamp() {
@@ -165,7 +180,7 @@
             AmbiguousOffset::Fold { before, after } => {
                 self.dst = true;
                 let first = with(before)?;
-                if self.last.is_some_and(|last| first + BACK < last) {
+                if self.last.is_some_and(|last| first + MAX_STEP_BACK < last) {
                     with(after)
                 } else {
                     Ok(first)
@@ -175,7 +190,8 @@
     }
 }
 
-fn two(text: &[u8]) -> Option<Micros> {
+/// A number of two digits.
+fn two_digits(text: &[u8]) -> Option<Micros> {
     let [a, b] = text else { return None };
     let digit = |d: &u8| d.is_ascii_digit().then(|| Micros::from(d - b'0'));
     Some(digit(a)? * 10 + digit(b)?)
@@ -187,16 +203,16 @@
         b"Jan", b"Feb", b"Mar", b"Apr", b"May", b"Jun", b"Jul", b"Aug", b"Sep", b"Oct", b"Nov",
         b"Dec",
     ];
-    let parts = [minute[2], minute[6], minute[11], minute[14]];
-    if parts != *b"//::" {
+    let separators = [minute[2], minute[6], minute[11], minute[14]];
+    if separators != *b"//::" {
         return None;
     }
     let month = MONTHS.iter().position(|m| *m == &minute[3..6])? as i8 + 1;
-    let year = two(&minute[7..9])? * 100 + two(&minute[9..11])?;
+    let year = two_digits(&minute[7..9])? * 100 + two_digits(&minute[9..11])?;
     let (day, hour, min) = (
-        two(&minute[..2])?,
-        two(&minute[12..14])?,
-        two(&minute[15..17])?,
+        two_digits(&minute[..2])?,
+        two_digits(&minute[12..14])?,
+        two_digits(&minute[15..17])?,
     );
     let at = DateTime::new(year as i16, month, day as i8, hour as i8, min as i8, 0, 0).ok()?;
     let utc = jiff::tz::Offset::UTC
@@ -208,12 +224,12 @@
         b'-' => -1,
         _ => return None,
     };
-    let (h, m) = (two(&offset[1..3])?, two(&offset[3..5])?);
+    let (h, m) = (two_digits(&offset[1..3])?, two_digits(&offset[3..5])?);
     (h < 24 && m < 60).then(|| utc - sign * (h * 60 + m) * 60 * SECOND)
 }
 
-/// How exactly a text with a fraction of a second tells the time.
-fn fraction(text: &str) -> Micros {
+/// The resolution of a text that may have a fraction of a second.
+fn resolution(text: &str) -> Micros {
     let Some(dot) = text.rfind(['.', ',']) else {
         return SECOND;
     };
