--- a/crates/traffic/src/access_log/json.rs
+++ b/crates/traffic/src/access_log/json.rs
@@ -2,7 +2,7 @@
 
 use super::template::duration;
 use crate::job::Micros;
-use crate::raw::RawRecord;
+use crate::raw::{HeaderField, RawRecord};
 use crate::tally::Reason;
 use crate::timestamp::{Reader, TimeFormat};
 use schemars::JsonSchema;
@@ -118,8 +118,10 @@
         }
         for (name, pointer) in &self.headers {
             if let Some(value) = text(pointer) {
-                raw.headers
-                    .push((Cow::Owned(name.to_ascii_lowercase()), Cow::Owned(value)));
+                raw.headers.push(HeaderField {
+                    name: Cow::Owned(name.to_ascii_lowercase()),
+                    value: Cow::Owned(value),
+                });
             }
         }
         Ok(raw)
--- a/crates/traffic/src/access_log/template.rs
+++ b/crates/traffic/src/access_log/template.rs
@@ -2,7 +2,7 @@
 
 use super::error::FormatError;
 use crate::job::Micros;
-use crate::raw::RawRecord;
+use crate::raw::{HeaderField, RawRecord};
 use crate::tally::Reason;
 use crate::timestamp::{Reader, RecordedTime, TimeFormat};
 use memchr::{memchr, memmem};
@@ -169,14 +169,18 @@
     fn finish(mut self) -> RawRecord<'a> {
         if let (Some(time), Some(fraction)) = (&mut self.raw.time, self.fraction) {
             time.at += fraction.value;
-            time.within = fraction.resolution;
+            time.resolution = fraction.resolution;
         }
         self.raw
     }
 
     /// Of two times in a record, the one of the finer resolution is kept.
     fn set_time(&mut self, time: RecordedTime) {
-        if self.raw.time.is_none_or(|old| time.within < old.within) {
+        if self
+            .raw
+            .time
+            .is_none_or(|old| time.resolution < old.resolution)
+        {
             self.raw.time = Some(time);
         }
     }
@@ -313,8 +317,10 @@
             Field::Received => builder.set_received(value),
             Field::Took(unit) => builder.set_duration(value, *unit),
             Field::Header(name) => {
-                let header = (Cow::Borrowed(name.as_str()), self.unescape(value));
-                builder.raw.headers.push(header);
+                builder.raw.headers.push(HeaderField {
+                    name: Cow::Borrowed(name.as_str()),
+                    value: self.unescape(value),
+                });
             }
         }
         Ok(())
--- a/crates/traffic/src/fold.rs
+++ b/crates/traffic/src/fold.rs
@@ -145,7 +145,7 @@
         self.open.push(OpenJob {
             job: attempt.job,
             end,
-            within: attempt.within,
+            resolution: attempt.resolution,
             served,
             closes,
             keys,
@@ -166,7 +166,7 @@
             evidence: found.evidence,
             confidence: found.confidence,
         });
-        (open.end, open.within) = (end, attempt.within);
+        (open.end, open.resolution) = (end, attempt.resolution);
         (open.served, open.closes) = (served, end.latest + window);
     }
 
@@ -259,7 +259,7 @@
     ) -> SmallVec<[u64; 4]> {
         let at = attempt.job.at;
         let fits = |open: &OpenJob| {
-            let tolerance = open.within + attempt.within + REORDERING_TOLERANCE;
+            let tolerance = open.resolution + attempt.resolution + REORDERING_TOLERANCE;
             // Equal keys have been found before.
             let other_key = open.job.key.is_some() && attempt.job.key.is_some();
             !open.served
--- a/crates/traffic/src/fold/open_jobs.rs
+++ b/crates/traffic/src/fold/open_jobs.rs
@@ -68,7 +68,7 @@
     pub job: Job,
     pub end: EndTime,
     /// How exactly the end is known.
-    pub within: Micros,
+    pub resolution: Micros,
     pub served: bool,
     /// The last time at which a retry can begin.
     pub closes: Micros,
--- a/crates/traffic/src/har/entry.rs
+++ b/crates/traffic/src/har/entry.rs
@@ -1,7 +1,7 @@
 //! One entry of a HAR document to one record.
 
 use crate::job::Micros;
-use crate::raw::RawRecord;
+use crate::raw::{HeaderField, RawRecord};
 use crate::tally::Reason;
 use crate::timestamp::{Reader, RecordedTime, TimeFormat};
 use serde::Deserialize;
@@ -102,7 +102,7 @@
 }
 
 /// Headers by their names in lower case, then cookies as `cookie.NAME`.
-fn headers(headers: Vec<Pair>, cookies: Vec<Pair>) -> Vec<(Cow<'static, str>, Cow<'static, str>)> {
+fn headers(headers: Vec<Pair>, cookies: Vec<Pair>) -> Vec<HeaderField<'static>> {
     let headers = headers
         .into_iter()
         .map(|pair| (pair.name.to_ascii_lowercase(), pair.value));
@@ -111,6 +111,9 @@
         .map(|pair| (format!("cookie.{}", pair.name), pair.value));
     headers
         .chain(cookies)
-        .map(|(name, value)| (Cow::Owned(name), Cow::Owned(value)))
+        .map(|(name, value)| HeaderField {
+            name: Cow::Owned(name),
+            value: Cow::Owned(value),
+        })
         .collect()
 }
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -179,7 +179,7 @@
 fn attempt(job: Job, marked: bool) -> Attempt {
     Attempt {
         job,
-        within: 1,
+        resolution: 1,
         seq: 0,
         id: 0,
         marked,
--- a/crates/traffic/src/import/intake.rs
+++ b/crates/traffic/src/import/intake.rs
@@ -142,7 +142,7 @@
         self.check_time(mapped.job.at, origin);
         self.push(Attempt {
             job: mapped.job,
-            within: mapped.within,
+            resolution: mapped.resolution,
             seq: 0,
             id: mapped.id,
             marked: mapped.marked,
--- a/crates/traffic/src/import/read.rs
+++ b/crates/traffic/src/import/read.rs
@@ -179,11 +179,21 @@
                 return Ok(());
             }
         }
+        self.end_har(&mut splitter, file, entry + 1)
+    }
+
+    /// The document has ended, perhaps within the entry of number `next`.
+    fn end_har(
+        &mut self,
+        splitter: &mut Splitter,
+        file: FileId<'_>,
+        next: u64,
+    ) -> Result<(), ImportError> {
         let truncated = splitter
             .finish()
             .map_err(|e| ImportError::format(file.name, e))?;
         if let Some(text) = truncated {
-            self.reject(Reason::Truncated, file.position(entry + 1), text);
+            self.reject(Reason::Truncated, file.position(next), text);
         }
         Ok(())
     }
--- a/crates/traffic/src/mapping.rs
+++ b/crates/traffic/src/mapping.rs
@@ -57,7 +57,7 @@
     /// The job, as if the record were its first attempt.
     pub job: Job,
     /// How exactly the time is known.
-    pub within: Micros,
+    pub resolution: Micros,
     /// The request's id, as a number; 0: none.
     pub id: u64,
     /// The client marked it as a retry.
@@ -128,7 +128,7 @@
                 took: raw.took,
                 retries: Vec::new(),
             },
-            within: time.within,
+            resolution: time.resolution,
             id: context.first(&rules.id).map_or(0, |id| number(&id).max(1)),
             marked,
             remarks,
--- a/crates/traffic/src/order.rs
+++ b/crates/traffic/src/order.rs
@@ -17,8 +17,8 @@
 pub struct Attempt {
     /// The job, as if this were its first attempt.
     pub job: Job,
-    /// How exactly its time is known: the true one lies in `[at, at + within)`.
-    pub within: Micros,
+    /// How exactly its time is known: the true one lies in `[at, at + resolution)`.
+    pub resolution: Micros,
     /// Its position in what was read.
     pub seq: u64,
     /// Its request id as a number; 0: none.
--- a/crates/traffic/src/order/spread.rs
+++ b/crates/traffic/src/order/spread.rs
@@ -34,24 +34,24 @@
 
     /// Spreads all attempts of the next timestamp.
     fn spread_next(&mut self, first: Attempt) {
-        let (at, within) = (first.job.at, first.within.max(1));
+        let (at, resolution) = (first.job.at, first.resolution.max(1));
         let same = |attempt: &io::Result<Attempt>| {
             attempt
                 .as_ref()
-                .is_ok_and(|a| a.job.at == at && a.within.max(1) == within)
+                .is_ok_and(|a| a.job.at == at && a.resolution.max(1) == resolution)
         };
         let mut group: SmallVec<[Attempt; 1]> = SmallVec::from_buf([first]);
         while let Some(Ok(attempt)) = self.from.next_if(same) {
             group.push(attempt);
         }
-        if within >= SECOND {
+        if resolution >= SECOND {
             self.spread += group.len() as u64;
         }
         // The records of one file are in order; those of two files say nothing of each other's order.
         group.sort_by_key(|attempt| attempt.file);
-        if within > 1 {
+        if resolution > 1 {
             for of_file in group.chunk_by_mut(|a, b| a.file == b.file) {
-                draw_times(of_file, within, &mut self.rng);
+                draw_times(of_file, resolution, &mut self.rng);
             }
         }
         for attempt in group {
@@ -61,8 +61,8 @@
 }
 
 /// Moves attempts of one timestamp and one file by sorted uniform draws.
-fn draw_times(attempts: &mut [Attempt], within: Micros, rng: &mut Pcg64Mcg) {
-    let draw = |_| (unit(rng) * within as f64) as Micros;
+fn draw_times(attempts: &mut [Attempt], resolution: Micros, rng: &mut Pcg64Mcg) {
+    let draw = |_| (unit(rng) * resolution as f64) as Micros;
     let mut draws: SmallVec<[Micros; 4]> = (0..attempts.len()).map(draw).collect();
     draws.sort_unstable();
     for (attempt, by) in attempts.iter_mut().zip(draws) {
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -1,4 +1,4 @@
-//! A record as a log or HAR tells it, before anything says what it means.
+//! A record as a log or HAR holds it, before a mapping says what it means.
 
 use crate::job::Micros;
 use crate::timestamp::RecordedTime;
@@ -26,29 +26,37 @@
     /// How long it took.
     pub took: Option<Micros>,
     /// Headers by their names in lower case, cookies as `cookie.NAME`.
-    pub headers: Vec<(Cow<'a, str>, Cow<'a, str>)>,
+    pub headers: Vec<HeaderField<'a>>,
     /// A number in it could not be read.
     pub odd_number: bool,
 }
 
+/// A header field, or a cookie as `cookie.NAME`.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct HeaderField<'a> {
+    /// Its name, in lower case.
+    pub name: Cow<'a, str>,
+    /// Its value.
+    pub value: Cow<'a, str>,
+}
+
 impl RawRecord<'_> {
     /// A header's value, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(n, _)| n == name)
-            .map(|(_, v)| v.as_ref())
+            .find(|field| field.name == name)
+            .map(|field| field.value.as_ref())
     }
 
-    /// A cookie's value.
+    /// A cookie's value: of a cookie that was recorded by itself, or else out of the header `Cookie`.
     pub fn cookie(&self, name: &str) -> Option<&str> {
-        let own = |(n, v): &'_ (Cow<'_, str>, Cow<'_, str>)| {
-            n.strip_prefix("cookie.")
-                .is_some_and(|n| n == name)
-                .then(|| v.len())
-        };
-        if let Some(i) = self.headers.iter().position(|h| own(h).is_some()) {
-            return Some(&self.headers[i].1);
+        let own = self
+            .headers
+            .iter()
+            .find(|field| field.name.strip_prefix("cookie.") == Some(name));
+        if let Some(field) = own {
+            return Some(&field.value);
         }
         let all = self.header("cookie")?;
         all.split(';')
--- a/crates/traffic/src/recording.rs
+++ b/crates/traffic/src/recording.rs
@@ -203,14 +203,35 @@
     #[error("the recording is of version {0}; versions 1 to {VERSION} can be read")]
     Version(u32),
     /// A line cannot be read.
-    #[error("line {0} of the recording: {1}")]
-    Line(u64, String),
+    #[error("line {line} of the recording: {source}")]
+    Syntax {
+        /// The line, from 1.
+        line: u64,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// A job began before the one that stands before it.
+    #[error("line {line} of the recording: jobs must stand in the order of their times")]
+    Unordered {
+        /// The line, from 1.
+        line: u64,
+    },
     /// It ends before its last line.
-    #[error("the recording was cut off after line {0}: its last line, with the counts, is missing")]
-    Truncated(u64),
+    #[error(
+        "the recording was cut off after line {line}: its last line, with the counts, is missing"
+    )]
+    Truncated {
+        /// The last line that there is, from 1.
+        line: u64,
+    },
     /// The last line counts other jobs than there are.
-    #[error("the recording's last line counts {0} jobs, but there are {1}")]
-    Counts(u64, u64),
+    #[error("the recording's last line counts {counted} jobs, but there are {found}")]
+    Counts {
+        /// Jobs by the last line.
+        counted: u64,
+        /// Jobs that were read.
+        found: u64,
+    },
 }
 
 /// Reads a recording.
@@ -260,22 +281,27 @@
     fn job(&mut self) -> Result<Option<Job>, RecordingError> {
         self.text.clear();
         if !read_line(&mut self.from, &mut self.text)? {
-            return Err(RecordingError::Truncated(self.line));
+            return Err(RecordingError::Truncated { line: self.line });
         }
         self.line += 1;
-        let bad = |e: String| RecordingError::Line(self.line, e);
+        let syntax = |source| RecordingError::Syntax {
+            line: self.line,
+            source,
+        };
         if self.text.starts_with(b"{\"end\"") {
-            let last: Last = serde_json::from_slice(&self.text).map_err(|e| bad(e.to_string()))?;
+            let last: Last = serde_json::from_slice(&self.text).map_err(syntax)?;
             if last.end.jobs != self.jobs {
-                return Err(RecordingError::Counts(last.end.jobs, self.jobs));
+                return Err(RecordingError::Counts {
+                    counted: last.end.jobs,
+                    found: self.jobs,
+                });
             }
             self.end = Some(last.end);
             return Ok(None);
         }
-        let line: JobRecord<'_> =
-            serde_json::from_slice(&self.text).map_err(|e| bad(e.to_string()))?;
+        let line: JobRecord<'_> = serde_json::from_slice(&self.text).map_err(syntax)?;
         if line.t < self.last {
-            return Err(bad("jobs must stand in the order of their times".into()));
+            return Err(RecordingError::Unordered { line: self.line });
         }
         (self.jobs, self.last) = (self.jobs + 1, line.t);
         let retry = |(dt, status, took, how, confidence): &RetryEntry| Retry {
--- a/crates/traffic/src/timestamp.rs
+++ b/crates/traffic/src/timestamp.rs
@@ -13,17 +13,27 @@
 /// An ambiguous local time is read as the later one if the earlier lies this far before the last record.
 const MAX_STEP_BACK: Micros = 300 * SECOND;
 
-/// A time and how exactly it is known: the true one lies in `[at, at + within)`.
+/// A time and how exactly it is known: the true one lies in `[at, at + resolution)`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordedTime {
     /// The time.
     pub at: Micros,
     /// The width of what it may stand for.
-    pub within: Micros,
+    pub resolution: Micros,
     /// It is that of the request's end, not of its start.
     pub end: bool,
 }
 
+impl RecordedTime {
+    fn new(at: Micros, resolution: Micros) -> Self {
+        RecordedTime {
+            at,
+            resolution,
+            end: false,
+        }
+    }
+}
+
 /// The text is no timestamp of this format, or no plausible time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the text is no timestamp of this format")]
@@ -91,23 +101,19 @@
         form: &TimeFormat,
         text: &str,
     ) -> Result<RecordedTime, InvalidTimestamp> {
-        let (at, within) = match form {
-            TimeFormat::Clf => (self.clf(text.as_bytes())?, SECOND),
+        let time = match form {
+            TimeFormat::Clf => RecordedTime::new(self.clf(text.as_bytes())?, SECOND),
             TimeFormat::Iso => self.iso(text)?,
             TimeFormat::Seconds => decimal(text, SECOND)?,
             TimeFormat::Millis => decimal(text, 1_000)?,
             TimeFormat::Micros => decimal(text, 1)?,
             TimeFormat::Pattern(pattern) => self.pattern(pattern, text)?,
         };
-        if !PLAUSIBLE_TIMES.contains(&at) {
+        if !PLAUSIBLE_TIMES.contains(&time.at) {
             return Err(InvalidTimestamp);
         }
-        self.last = Some(at);
-        Ok(RecordedTime {
-            at,
-            within,
-            end: false,
-        })
+        self.last = Some(time.at);
+        Ok(time)
     }
 
     /// `10/Oct/2000:13:55:36 -0700`, with the minute's start remembered.
@@ -138,28 +144,26 @@
         Ok(start + second.min(59) * SECOND)
     }
 
-    fn iso(&mut self, text: &str) -> Result<(Micros, Micros), InvalidTimestamp> {
-        let within = resolution(text);
+    fn iso(&mut self, text: &str) -> Result<RecordedTime, InvalidTimestamp> {
+        let resolution = resolution(text);
         if let Ok(time) = text.parse::<Timestamp>() {
-            return Ok((time.as_microsecond(), within));
+            return Ok(RecordedTime::new(time.as_microsecond(), resolution));
         }
         let local: DateTime = text.parse().map_err(|_| InvalidTimestamp)?;
-        Ok((self.local(local)?, within))
+        Ok(RecordedTime::new(self.local(local)?, resolution))
     }
 
-    fn pattern(&mut self, pattern: &str, text: &str) -> Result<(Micros, Micros), InvalidTimestamp> {
+    fn pattern(&mut self, pattern: &str, text: &str) -> Result<RecordedTime, InvalidTimestamp> {
         let read = strtime::parse(pattern, text).map_err(|_| InvalidTimestamp)?;
-        let within = match () {
-            () if pattern.contains('f') && pattern.contains('%') => resolution(text),
-            () => SECOND,
+        let resolution = match pattern.contains('f') && pattern.contains('%') {
+            true => resolution(text),
+            false => SECOND,
         };
         if let Ok(time) = read.to_timestamp() {
-            return Ok((time.as_microsecond(), within));
+            return Ok(RecordedTime::new(time.as_microsecond(), resolution));
         }
-        Ok((
-            self.local(read.to_datetime().map_err(|_| InvalidTimestamp)?)?,
-            within,
-        ))
+        let local = read.to_datetime().map_err(|_| InvalidTimestamp)?;
+        Ok(RecordedTime::new(self.local(local)?, resolution))
     }
 
     /// A local time. One that comes twice is read as the first of the two, unless the log has gone past that; one that
@@ -241,7 +245,7 @@
 }
 
 /// A decimal number of units, exactly.
-fn decimal(text: &str, unit: Micros) -> Result<(Micros, Micros), InvalidTimestamp> {
+fn decimal(text: &str, unit: Micros) -> Result<RecordedTime, InvalidTimestamp> {
     let (integer, decimals) = text.split_once('.').unwrap_or((text, ""));
     let digits = |t: &str| t.bytes().all(|b| b.is_ascii_digit());
     if integer.is_empty() || integer.len() > 18 || !digits(integer) || !digits(decimals) {
@@ -252,15 +256,15 @@
         .ok()
         .and_then(|w| w.checked_mul(unit))
         .ok_or(InvalidTimestamp)?;
-    let mut within = unit;
+    let mut resolution = unit;
     for digit in decimals.bytes() {
-        if within < 10 {
+        if resolution < 10 {
             break;
         }
-        within /= 10;
+        resolution /= 10;
         at = at
-            .checked_add(within * Micros::from(digit - b'0'))
+            .checked_add(resolution * Micros::from(digit - b'0'))
             .ok_or(InvalidTimestamp)?;
     }
-    Ok((at, within))
+    Ok(RecordedTime::new(at, resolution))
 }
--- a/crates/traffic/tests/formats.rs
+++ b/crates/traffic/tests/formats.rs
@@ -33,7 +33,7 @@
     let headers: Vec<String> = raw
         .headers
         .iter()
-        .map(|(n, v)| format!("{n}={v}"))
+        .map(|field| format!("{}={}", field.name, field.value))
         .collect();
     format!(
         "{time} | {} {} | {} {} | {:?} {:?} | {}",
--- a/crates/traffic/tests/properties.rs
+++ b/crates/traffic/tests/properties.rs
@@ -60,10 +60,10 @@
     )
 }
 
-fn attempt_of(job: Job, seq: u64, within: i64) -> Attempt {
+fn attempt_of(job: Job, seq: u64, resolution: i64) -> Attempt {
     Attempt {
         job,
-        within,
+        resolution,
         seq,
         id: 0,
         marked: false,
@@ -191,10 +191,10 @@
     fn spreading_keeps_the_order_within_the_resolution(timestamps in proptest::collection::vec((0i64..20, 0usize..3), 1..80), seed in any::<u64>()) {
         let widths = [1, 1_000, 1_000_000];
         let mut retries: Vec<Attempt> = timestamps.iter().enumerate().map(|(n, (s, w))| {
-            let (at, within) = (s * 1_000_000, widths[*w]);
+            let (at, resolution) = (s * 1_000_000, widths[*w]);
             let job = Job { at, class: "c".into(), parish: "".into(), subject: String::new(), key: None, deadline: None, bytes: at as u64,
                 slots: None, client: 0, status: 0, took: None, retries: Vec::new() };
-            attempt_of(job, n as u64, within)
+            attempt_of(job, n as u64, resolution)
         }).collect();
         retries.sort_by_key(|t| (t.job.at, t.seq));
         let spread: Vec<Attempt> = Spread::new(retries.into_iter().map(Ok), seed).map(|t| t.expect("a try")).collect();
@@ -202,7 +202,7 @@
         prop_assert!(spread.windows(2).all(|w| w[0].job.at <= w[1].job.at));
         for t in &spread {
             let by = t.job.at - t.job.bytes as i64;
-            prop_assert!((0..t.within).contains(&by));
+            prop_assert!((0..t.resolution).contains(&by));
         }
     }
 
