--- a/crates/replay/src/foldcheck.rs
+++ b/crates/replay/src/foldcheck.rs
@@ -77,7 +77,7 @@
                 tries.push((
                     Attempt {
                         job,
-                        within: 1,
+                        resolution: 1,
                         seq,
                         id: 0,
                         marked: t.tried > 0,
@@ -117,7 +117,7 @@
         }
         t.marked &= mark;
         t.job.at = t.job.at / within * within;
-        t.within = *within;
+        t.resolution = *within;
         sorter.push(t)?;
     }
     // Which record a try in a folded job was is known by its time after spreading.
