--- a/crates/traffic/src/access_log/apache.rs
+++ b/crates/traffic/src/access_log/apache.rs
@@ -62,7 +62,7 @@
     Ok(&after[escaped.len_utf8()..])
 }
 
-/// Parses `[!CODES|CODES][<|>][{ARGUMENT}]LETTER`, what stands behind a `%`.
+/// Parses `[!CODES|CODES][<|>][{ARGUMENT}]LETTER`, the text behind a `%`.
 fn parse_directive(after: &str) -> Result<Parsed<'_>, FormatError> {
     let body = after.trim_start_matches(|c: char| c == '!' || c == ',' || c.is_ascii_digit());
     let body = body.trim_start_matches(['<', '>']);
--- a/crates/traffic/src/access_log/error.rs
+++ b/crates/traffic/src/access_log/error.rs
@@ -36,7 +36,7 @@
     /// A `%` in Envoy's format begins no operator.
     #[error("'%' stands alone; a '%' itself is written '%%'")]
     LonePercent,
-    /// No text divides two fields, so that their values cannot be told apart.
+    /// No text divides two fields, so that their values cannot be separated.
     #[error("two fields stand side by side with no text between them")]
     AdjacentFields,
     /// A record of this format would have no time.
--- a/crates/traffic/src/access_log/template.rs
+++ b/crates/traffic/src/access_log/template.rs
@@ -70,7 +70,7 @@
 }
 
 impl Builder {
-    /// Adds text that stands there as it is.
+    /// Adds literal text.
     pub fn literal(&mut self, text: &str) {
         match self.segments.last_mut() {
             Some(Segment::Literal(bytes)) => bytes.extend(text.bytes()),
@@ -86,7 +86,7 @@
     /// The template.
     ///
     /// # Errors
-    /// Two fields with nothing between them, of which none can be told from the other; no time; no request.
+    /// Two fields have no text between them; there is no time; there is no request.
     pub fn finish(mut self, escapes: Escapes, end: bool) -> Result<Template, FormatError> {
         self.segments
             .retain(|p| !matches!(p, Segment::Literal(text) if text.is_empty()));
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    /// A truncated or hostile request line stands in the log as the server received it.
+    /// A truncated or hostile request line is logged as the server received it.
     fn set_request(&mut self, text: Cow<'a, str>) -> Result<(), Reason> {
         let request = match text {
             Cow::Borrowed(text) => parse_request_line(text).map(|(m, t)| (m.into(), t.into())),
@@ -376,7 +376,7 @@
     (is_token && !target.is_empty()).then_some((method, target))
 }
 
-/// A duration in units of so many microseconds. nginx lists several, one for each upstream asked: their sum counts.
+/// A duration in units of so many microseconds. nginx lists several, one for each upstream tried: their sum counts.
 pub fn duration(text: &str, unit: Micros) -> Option<Micros> {
     let one = |text: &str| {
         let value: f64 = text.trim().parse().ok()?;
--- a/crates/traffic/src/detect.rs
+++ b/crates/traffic/src/detect.rs
@@ -39,7 +39,7 @@
 /// Guesses what a file is. JSON lines have no form of their own, and are taken only where their fields are known.
 ///
 /// # Errors
-/// That it cannot be told, and what to do.
+/// The kind is not known; the text says what to do.
 pub fn detect(
     head: &[u8],
     json: Option<&crate::access_log::json::Fields>,
--- a/crates/traffic/src/document.rs
+++ b/crates/traffic/src/document.rs
@@ -24,7 +24,7 @@
     #[error("{0}")]
     Schema(String),
     /// The file does not match its schema.
-    #[error("{}", join_lines(.0))]
+    #[error("{}", join_messages(.0))]
     Violations(Vec<Violation>),
     /// The file matches its schema, and cannot be read all the same.
     #[error(transparent)]
@@ -41,9 +41,9 @@
     pub message: String,
 }
 
-fn join_lines(violations: &[Violation]) -> String {
-    let lines: Vec<String> = violations.iter().map(Violation::to_string).collect();
-    lines.join("\n")
+fn join_messages(violations: &[Violation]) -> String {
+    let messages: Vec<String> = violations.iter().map(Violation::to_string).collect();
+    messages.join("\n")
 }
 
 /// Reads a file: against its schema first, so that all that is wrong with its form is reported at once. `what` names the
--- a/crates/traffic/src/har/array_finder.rs
+++ b/crates/traffic/src/har/array_finder.rs
@@ -1,6 +1,6 @@
 //! The way to the array `log.entries` of a HAR document.
 
-/// The longest key that has to be told from others; bounds what is kept of a text.
+/// What is kept of a key: enough to distinguish `log` and `entries` from others.
 const MAX_KEY_BYTES: usize = 16;
 
 /// Finds the `[` of `log.entries`, byte by byte.
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -1,11 +1,11 @@
-//! A whole import: files are read, their records mapped, sorted, folded and written as a recording.
+//! An import: files are read, their records mapped, sorted, folded and written as a recording.
 
 mod duplicates;
 mod error;
 mod intake;
-mod line_reader;
 mod probe;
 mod read;
+mod record_reader;
 
 pub use error::{FileFormatError, ImportError};
 
--- a/crates/traffic/src/import/probe.rs
+++ b/crates/traffic/src/import/probe.rs
@@ -1,7 +1,7 @@
 //! What the beginning of a file says: its kind, and the first time in it.
 
 use super::error::ImportError;
-use super::line_reader::MAX_LINE_BYTES;
+use super::record_reader::MAX_RECORD_BYTES;
 use super::{Options, file_error, is_broken_off};
 use crate::detect::{Kind, detect};
 use crate::job::Micros;
@@ -52,7 +52,7 @@
     let error = file_error(path);
     let from = source::open(path, Arc::default()).map_err(&error)?;
     let mut head = Vec::new();
-    match from.take(MAX_LINE_BYTES as u64).read_to_end(&mut head) {
+    match from.take(MAX_RECORD_BYTES as u64).read_to_end(&mut head) {
         Err(e) if !is_broken_off(&e) => Err(error(e)),
         _ => Ok(head),
     }
--- a/crates/traffic/src/import/read.rs
+++ b/crates/traffic/src/import/read.rs
@@ -2,8 +2,8 @@
 
 use super::error::ImportError;
 use super::intake::{Intake, Origin};
-use super::line_reader::{LineRead, LineReader};
 use super::probe::ProbedFile;
+use super::record_reader::{RecordRead, RecordReader};
 use super::{file_error, is_broken_off};
 use crate::access_log::LogFormat;
 use crate::detect::Kind;
@@ -79,20 +79,22 @@
             timestamps: self.timestamps(),
             latin1: String::new(),
         };
-        let mut lines = LineReader::new(from);
+        let mut records = RecordReader::new(from);
         let mut line = 0;
-        while let Some(read) = lines.next()? {
+        while let Some(read) = records.next()? {
             line += 1;
             match read {
-                LineRead::Complete {
+                RecordRead::Complete {
                     bytes,
                     unterminated,
                 } => {
                     let bytes = bytes.strip_suffix(b"\r").unwrap_or(bytes);
                     self.read_record(&mut decoder, file.origin(line, bytes), unterminated)?;
                 }
-                LineRead::TooLong(text) => self.reject(Reason::TooLong, file.position(line), text),
-                LineRead::BrokenOff(text) => {
+                RecordRead::TooLong(text) => {
+                    self.reject(Reason::TooLong, file.position(line), text)
+                }
+                RecordRead::BrokenOff(text) => {
                     self.reject(Reason::Truncated, file.position(line), text);
                     return Ok(());
                 }
--- a/crates/traffic/src/import/line_reader.rs
+++ b/crates/traffic/src/import/record_reader.rs
@@ -1,44 +1,44 @@
-//! Lines of a file of any form, in bounded memory.
+//! Records of a file of any form, one a line, in bounded memory.
 
 use super::is_broken_off;
 use memchr::memchr;
 use std::io::{self, BufRead};
 
-/// The longest line that is a record.
-pub(super) const MAX_LINE_BYTES: usize = 64 * 1024;
+/// The longest record.
+pub(super) const MAX_RECORD_BYTES: usize = 64 * 1024;
 /// What is kept of a longer one, as an example.
-const KEPT_OF_LONG_LINE_BYTES: usize = 1024;
+const KEPT_OF_LONG_RECORD_BYTES: usize = 1024;
 
-/// What was read next, without the line's end.
-pub(super) enum LineRead<'a> {
-    /// A line.
+/// What was read next, without the end of the line.
+pub(super) enum RecordRead<'a> {
+    /// A record.
     Complete {
         bytes: &'a [u8],
-        /// The file ends behind it, without the line's end.
+        /// The file ends behind it, without the end of the line.
         unterminated: bool,
     },
-    /// A line that is too long; its beginning.
+    /// A record that is too long; its beginning.
     TooLong(&'a [u8]),
-    /// The compressed file breaks off within this line.
+    /// The compressed file breaks off within this record.
     BrokenOff(&'a [u8]),
 }
 
-/// A line that does not stand in the buffer as a whole.
+/// A record of which the buffer holds only a part.
 #[derive(Default)]
-struct PartialLine {
+struct PartialRecord {
     bytes: Vec<u8>,
     too_long: bool,
 }
 
-impl PartialLine {
+impl PartialRecord {
     fn is_empty(&self) -> bool {
         self.bytes.is_empty() && !self.too_long
     }
 
     fn extend(&mut self, chunk: &[u8]) {
-        if self.bytes.len() + chunk.len() > MAX_LINE_BYTES {
+        if self.bytes.len() + chunk.len() > MAX_RECORD_BYTES {
             self.too_long = true;
-            self.bytes.truncate(KEPT_OF_LONG_LINE_BYTES);
+            self.bytes.truncate(KEPT_OF_LONG_RECORD_BYTES);
         } else if !self.too_long {
             self.bytes.extend_from_slice(chunk);
         }
@@ -50,31 +50,31 @@
     }
 }
 
-/// Reads lines; one that stands in the buffer as a whole is not copied.
-pub(super) struct LineReader<'a> {
+/// Reads records; one that the buffer holds completely is not copied.
+pub(super) struct RecordReader<'a> {
     from: &'a mut dyn BufRead,
-    partial: PartialLine,
-    /// The partial line has been handed out.
+    partial: PartialRecord,
+    /// The partial record has been handed out.
     partial_done: bool,
-    /// Bytes of the buffer that the line handed out last takes.
+    /// Bytes of the buffer that the record handed out last takes.
     used: usize,
 }
 
-impl<'a> LineReader<'a> {
+impl<'a> RecordReader<'a> {
     pub(super) fn new(from: &'a mut dyn BufRead) -> Self {
-        LineReader {
+        RecordReader {
             from,
-            partial: PartialLine::default(),
+            partial: PartialRecord::default(),
             partial_done: false,
             used: 0,
         }
     }
 
-    /// The next line; `None`: the file has ended.
+    /// The next record; `None`: the file has ended.
     ///
     /// # Errors
     /// The file cannot be read, for another reason than its compressed data.
-    pub(super) fn next(&mut self) -> io::Result<Option<LineRead<'_>>> {
+    pub(super) fn next(&mut self) -> io::Result<Option<RecordRead<'_>>> {
         self.from.consume(std::mem::take(&mut self.used));
         if std::mem::take(&mut self.partial_done) {
             self.partial.clear();
@@ -83,7 +83,7 @@
             let buffer = match self.from.fill_buf() {
                 Ok(buffer) => buffer,
                 Err(e) if is_broken_off(&e) => {
-                    return Ok(Some(LineRead::BrokenOff(&self.partial.bytes)));
+                    return Ok(Some(RecordRead::BrokenOff(&self.partial.bytes)));
                 }
                 Err(e) => return Err(e),
             };
@@ -97,9 +97,9 @@
             if newline.is_some() && self.partial.is_empty() {
                 self.used = used;
                 let bytes = &self.from.fill_buf()?[..length];
-                return Ok(Some(match length > MAX_LINE_BYTES {
-                    true => LineRead::TooLong(bytes),
-                    false => LineRead::Complete {
+                return Ok(Some(match length > MAX_RECORD_BYTES {
+                    true => RecordRead::TooLong(bytes),
+                    false => RecordRead::Complete {
                         bytes,
                         unterminated: false,
                     },
@@ -110,8 +110,8 @@
             if newline.is_some() || ended {
                 self.partial_done = true;
                 return Ok(Some(match self.partial.too_long {
-                    true => LineRead::TooLong(&self.partial.bytes),
-                    false => LineRead::Complete {
+                    true => RecordRead::TooLong(&self.partial.bytes),
+                    false => RecordRead::Complete {
                         bytes: &self.partial.bytes,
                         unterminated: ended,
                     },
--- a/crates/traffic/src/job.rs
+++ b/crates/traffic/src/job.rs
@@ -29,7 +29,7 @@
     pub client: u64,
     /// The recorded HTTP status; 0: none (the client left, or the recording broke off).
     pub status: u16,
-    /// How long the recorded answer took.
+    /// How long the recorded response took.
     pub took: Option<Micros>,
     /// Retries by the client, in order.
     #[serde(rename = "tries")]
@@ -43,7 +43,7 @@
     pub at: Micros,
     /// The recorded status; 0: none.
     pub status: u16,
-    /// How long the recorded answer took.
+    /// How long the recorded response took.
     pub took: Option<Micros>,
     /// By what it was taken for a retry.
     #[serde(rename = "how")]
@@ -61,7 +61,7 @@
     Key,
     /// The client marked it.
     Marker,
-    /// The same client asked for the same after a refusal, a failure or a time-out.
+    /// The same client sent the same after a rejection, a failure or a time-out.
     Guess,
 }
 
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,8 +1,8 @@
 //! Recorded traffic: HAR files and access logs become one plain type, [`Job`], and one file format to keep it in.
 //!
-//! The decoding does no I/O: [`access_log`] and [`har`] turn bytes that somebody else has read into [`raw::RawRecord`] records,
+//! The decoding does no I/O: [`access_log`] and [`har`] turn bytes that the caller has read into [`raw::RawRecord`]s,
 //! [`mapping`] says what job a record is, [`order`] sorts and spreads, [`fold`] finds the retries of one first attempt, and
-//! [`ops`] works on what comes out. Files are touched in [`source`], [`order`] and [`import`] alone.
+//! [`ops`] works on what comes out. Only [`source`], [`order`] and [`import`] read or write files.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/traffic/src/mapping/error.rs
+++ b/crates/traffic/src/mapping/error.rs
@@ -10,13 +10,13 @@
     #[error(transparent)]
     Document(#[from] DocumentError),
     /// Its form is right, and these entries cannot be used.
-    #[error("{}", join_lines(.0))]
+    #[error("{}", join_messages(.0))]
     Entries(Vec<EntryError>),
 }
 
-fn join_lines(errors: &[EntryError]) -> String {
-    let lines: Vec<String> = errors.iter().map(EntryError::to_string).collect();
-    lines.join("\n")
+fn join_messages(errors: &[EntryError]) -> String {
+    let messages: Vec<String> = errors.iter().map(EntryError::to_string).collect();
+    messages.join("\n")
 }
 
 /// An entry of a mapping that cannot be used.
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -24,13 +24,13 @@
     pub classes: BTreeMap<String, u64>,
     /// Jobs by parish.
     pub parishes: BTreeMap<String, u64>,
-    /// Jobs by the status of the last answer.
+    /// Jobs by the status of the last response.
     pub statuses: BTreeMap<u16, u64>,
     /// First attempts in each second from the first job on.
     pub per_second: Vec<u32>,
     /// Variance over mean of the counts a second (index of dispersion): 1 for a Poisson process of one rate.
     pub dispersion: f64,
-    /// Mean of the recorded times of answers, in microseconds, over attempts that have one.
+    /// Mean of the recorded response times, in microseconds, over attempts that have one.
     pub mean_took: f64,
     took: (f64, u64),
 }
--- a/crates/traffic/src/raw.rs
+++ b/crates/traffic/src/raw.rs
@@ -7,15 +7,15 @@
 /// One request as it was recorded. Texts are as they stand there, escapes undone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RawRecord<'a> {
-    /// When; which end of the request it speaks of stands in it.
+    /// When it began or ended; which of them, the time says.
     pub time: Option<RecordedTime>,
-    /// Who was connected: an address, perhaps with a port.
+    /// The connected peer: an address, perhaps with a port.
     pub peer: Option<Cow<'a, str>>,
     /// The authenticated user.
     pub user: Option<Cow<'a, str>>,
     /// The method.
     pub method: Option<Cow<'a, str>>,
-    /// Path and query, or a whole URL.
+    /// Path and query, or a URL.
     pub target: Option<Cow<'a, str>>,
     /// The query, where the format tells it apart from the path.
     pub query: Option<Cow<'a, str>>,
@@ -75,7 +75,7 @@
         Some(target.split(['?', '#']).next().unwrap_or(""))
     }
 
-    /// A parameter of the query, as it stands there.
+    /// A parameter of the query, not decoded.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let query = match &self.query {
             Some(query) => query.trim_start_matches('?'),
--- a/crates/traffic/src/recording.rs
+++ b/crates/traffic/src/recording.rs
@@ -30,7 +30,7 @@
 /// The name in the header.
 pub const FORMAT: &str = "indigofold-recording";
 /// The longest line.
-const MAX_LINE_BYTES: usize = 1 << 20;
+const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// The first line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -210,7 +210,7 @@
         /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// A job began before the one that stands before it.
+    /// A job began before the one of the line before.
     #[error("line {line} of the recording: jobs must stand in the order of their times")]
     Unordered {
         /// The line, from 1.
@@ -330,10 +330,10 @@
 
 /// Reads a line without its end. `false`: there is none.
 fn read_line(from: &mut impl BufRead, text: &mut Vec<u8>) -> io::Result<bool> {
-    let count = io::Read::take(&mut *from, MAX_LINE_BYTES as u64).read_until(b'\n', text)?;
+    let count = io::Read::take(&mut *from, MAX_RECORD_BYTES as u64).read_until(b'\n', text)?;
     if text.last() == Some(&b'\n') {
         text.pop();
-    } else if count == MAX_LINE_BYTES {
+    } else if count == MAX_RECORD_BYTES {
         return Err(io::Error::other(
             "a line is longer than any that is written",
         ));
--- a/crates/traffic/src/source.rs
+++ b/crates/traffic/src/source.rs
@@ -1,4 +1,4 @@
-//! Files as they lie there: plain, gzip or zstd, told by their first bytes and not by their names.
+//! Files, plain or compressed by gzip or zstd, as their first bytes say and not their names.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Read};
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Read in one go.
-const BUFFER: usize = 128 * 1024;
+/// Read at once.
+const BUFFER_BYTES: usize = 128 * 1024;
 
 /// Counts what is read of a file, compressed as it is.
 struct Counted {
@@ -28,8 +28,8 @@
 /// # Errors
 /// It cannot be opened, or is in UTF-16, which no server writes.
 pub fn open(path: &Path, read: Arc<AtomicU64>) -> io::Result<Box<dyn BufRead>> {
-    plain(BufReader::with_capacity(
-        BUFFER,
+    decompress(BufReader::with_capacity(
+        BUFFER_BYTES,
         Counted {
             file: File::open(path)?,
             read,
@@ -37,28 +37,31 @@
     ))
 }
 
-/// What stands in a stream that may be compressed.
+/// The content of a stream that may be compressed.
 ///
 /// # Errors
 /// It cannot be read.
-pub fn plain<'a>(mut from: impl BufRead + 'a) -> io::Result<Box<dyn BufRead + 'a>> {
+pub fn decompress<'a>(mut from: impl BufRead + 'a) -> io::Result<Box<dyn BufRead + 'a>> {
     let head = from.fill_buf()?;
     let head = [0, 1, 2, 3].map(|n| head.get(n).copied().unwrap_or(0));
     Ok(match head {
-        [0x1f, 0x8b, ..] => unmarked(BufReader::with_capacity(
-            BUFFER,
+        [0x1f, 0x8b, ..] => skip_utf8_bom(BufReader::with_capacity(
+            BUFFER_BYTES,
             flate2::bufread::MultiGzDecoder::new(from),
         ))?,
         [0x28, 0xb5, 0x2f, 0xfd] => {
             let decoder = zstd::stream::read::Decoder::with_buffer(from)?;
-            unmarked(BufReader::with_capacity(BUFFER, decoder))?
+            skip_utf8_bom(BufReader::with_capacity(BUFFER_BYTES, decoder))?
         }
-        _ => unmarked(from)?,
+        _ => skip_utf8_bom(from)?,
     })
 }
 
-/// Passes over the mark that some editors put before UTF-8.
-fn unmarked<'a>(mut from: impl BufRead + 'a) -> io::Result<Box<dyn BufRead + 'a>> {
+/// Skips the byte order mark that some editors put before UTF-8.
+///
+/// # Errors
+/// The stream cannot be read, or is in UTF-16.
+fn skip_utf8_bom<'a>(mut from: impl BufRead + 'a) -> io::Result<Box<dyn BufRead + 'a>> {
     let head = from.fill_buf()?;
     if head.starts_with(&[0xff, 0xfe]) || head.starts_with(&[0xfe, 0xff]) {
         return Err(io::Error::other(
--- a/crates/traffic/src/tally.rs
+++ b/crates/traffic/src/tally.rs
@@ -66,7 +66,7 @@
     Gap,
     /// Its local time came twice that day, or not at all; the reading that goes on from the record before was taken.
     Dst,
-    /// It has no answer: the client left, or the recording broke off.
+    /// It has no response: the client left, or the recording broke off.
     NoAnswer,
     /// How long it took is not known.
     NoDuration,
@@ -80,7 +80,7 @@
     Spread,
 }
 
-/// A record as an example: where it stood, and its beginning.
+/// A record as an example: its position, and its beginning.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Example {
     /// The file.
@@ -100,7 +100,7 @@
     pub examples: Vec<Example>,
 }
 
-/// Where a record stands.
+/// The position of a record in what was read.
 #[derive(Clone, Copy, Debug)]
 pub struct Position<'a> {
     /// The file.
@@ -150,7 +150,7 @@
         self.rejected.entry(reason).or_default().add(position, text);
     }
 
-    /// A record goes on; it is taken or folded later.
+    /// A record is accepted; it is taken or folded later.
     pub fn pass(&mut self) {
         self.read += 1;
     }
@@ -160,7 +160,7 @@
         self.remarks.entry(remark).or_default().add(position, text);
     }
 
-    /// The same of so many records, whose texts are gone.
+    /// The same of so many records, whose texts are not known any more.
     pub fn remark_only(&mut self, remark: Remark, count: u64) {
         if count > 0 {
             self.remarks.entry(remark).or_default().count += count;
@@ -181,7 +181,7 @@
             .sum()
     }
 
-    /// Does every record read stand somewhere?
+    /// Is every record read counted once?
     pub fn adds_up(&self) -> bool {
         self.read == self.taken + self.folded + self.rejected()
     }
--- a/crates/traffic/tests/importing.rs
+++ b/crates/traffic/tests/importing.rs
@@ -73,9 +73,8 @@
     imported.tally.remarks.get(&remark).map_or(0, |c| c.count)
 }
 
-#[test]
-fn rejected_records_are_counted_by_reason_with_their_position() {
-    let dir = TestDir::new();
+/// A log of eleven records: two jobs, and one record for each of nine reasons to reject it.
+fn log_with_rejected_records() -> Vec<u8> {
     let mut text = Vec::new();
     for bytes in [
         log_record(1, "/reserve/kit-1", "200 5").as_bytes(),
@@ -90,9 +89,14 @@
     ] {
         text.extend(bytes);
     }
-    let path = dir.file("access.log", &text);
-    let (imported, jobs) =
-        import_jobs(std::slice::from_ref(&path), &options(Some("common"))).expect("jobs");
+    text
+}
+
+#[test]
+fn rejected_records_are_counted_by_reason_with_their_position() {
+    let dir = TestDir::new();
+    let path = dir.file("access.log", &log_with_rejected_records());
+    let (imported, jobs) = import_jobs(&[path], &options(Some("common"))).expect("jobs");
     let of = |reason| rejected(&imported, reason);
     assert_eq!((imported.tally.read, imported.tally.taken), (11, 2));
     let reasons = [
@@ -119,18 +123,30 @@
         ("reserve-stock", "real", "kit-1")
     );
     assert_eq!((jobs[0].deadline, jobs[0].status), (Some(5_000_000), 200));
+}
+
+#[test]
+fn a_strict_import_fails_at_the_first_bad_record() {
+    let dir = TestDir::new();
+    let path = dir.file("access.log", &log_with_rejected_records());
     let strict = Options {
         strict: true,
         ..options(Some("common"))
     };
     assert!(matches!(
-        import_jobs(std::slice::from_ref(&path), &strict),
+        import_jobs(&[path], &strict),
         Err(ImportError::Strict {
             line: 4,
             reason: Reason::Malformed,
             ..
         })
     ));
+}
+
+#[test]
+fn an_import_fails_when_too_many_records_are_bad() {
+    let dir = TestDir::new();
+    let path = dir.file("access.log", &log_with_rejected_records());
     let limited = Options {
         max_bad: 0.1,
         ..options(Some("common"))
@@ -237,9 +253,8 @@
     );
 }
 
-#[test]
-fn retries_are_folded_by_key_marker_and_guess() {
-    let dir = TestDir::new();
+/// Failed attempts and retries with and without key and marker, by times in seconds.
+fn log_with_retries() -> String {
     let at = |s: u32, path: &str, status: u32, us: u32, id: &str, key: &str, retry_marker: &str| {
         log_record(
             s,
@@ -247,7 +262,7 @@
             &format!("{status} 0 {us} \"{id}\" \"{key}\" \"{retry_marker}\""),
         )
     };
-    let text = [
+    [
         at(1, "/book/kit-1", 503, 1000, "a1", "k1", "-"),
         at(2, "/book/kit-1", 503, 1000, "a2", "k1", "1"),
         at(3, "/book/kit-1", 200, 1000, "a3", "k1", "-"), // the same key, though not marked
@@ -260,10 +275,16 @@
         at(32, "/reserve/kit-4", 200, 1000, "d2", "-", "-"), // it was served: another job
         at(40, "/reserve/kit-5", 503, 1000, "e1", "-", "-"),
         at(50, "/reserve/kit-5", 200, 1000, "e2", "-", "-"), // too late for a guess
-        at(60, "/reserve/kit-6", 200, 1000, "f1", "-", "1"), // its first try is lost
-    ];
+        at(60, "/reserve/kit-6", 200, 1000, "f1", "-", "1"), // its first attempt is lost
+    ]
+    .concat()
+}
+
+#[test]
+fn retries_are_folded_by_key_marker_and_guess() {
+    let dir = TestDir::new();
     let (imported, jobs) = import_jobs(
-        &[dir.file("a.log", text.concat().as_bytes())],
+        &[dir.file("a.log", log_with_retries().as_bytes())],
         &options(Some(HEADERS)),
     )
     .expect("jobs");
