--- a/crates/traffic/src/mapping.rs
+++ b/crates/traffic/src/mapping.rs
@@ -110,9 +110,6 @@
         let parish = self.parish(&context, names)?;
         let numbers = self.numbers(&context, &class, &mut remarks);
         let at = start_of(raw, time, &mut remarks);
-        let marked = context
-            .first(&rules.retry_marker)
-            .is_some_and(|marker| !matches!(marker.trim(), "" | "0" | "false"));
         Ok(MappedRecord {
             job: Job {
                 at,
@@ -130,7 +127,7 @@
             },
             resolution: time.resolution,
             id: context.first(&rules.id).map_or(0, |id| number(&id).max(1)),
-            marked,
+            marked: context.first(&rules.retry_marker).is_some_and(is_marked),
             remarks,
         })
     }
@@ -210,6 +207,11 @@
     slots: Option<f32>,
 }
 
+/// Does the value of a retry marker say that the request is a retry?
+fn is_marked(marker: Cow<'_, str>) -> bool {
+    !matches!(marker.trim(), "" | "0" | "false")
+}
+
 fn text(value: Option<Cow<'_, str>>) -> Option<String> {
     value.map(Cow::into_owned)
 }
--- /dev/null
+++ b/crates/traffic/src/recording/reader.rs
@@ -0,0 +1,115 @@
+//! Reading of recordings.
+
+use super::job_line::Line;
+use super::{End, FORMAT, Header, Last, RecordingError, VERSION};
+use crate::job::{Job, Micros};
+use crate::names::NameInterner;
+use std::io::{self, BufRead};
+
+/// The longest line; bounds the memory.
+const MAX_RECORD_BYTES: usize = 1 << 20;
+
+/// Reads a recording.
+pub struct Reader<R> {
+    from: R,
+    /// Its header.
+    pub header: Header,
+    /// Its last line, once that was read.
+    pub end: Option<End>,
+    /// The line that is being read.
+    text: Vec<u8>,
+    /// Its number, from 1.
+    line: u64,
+    /// Jobs read so far.
+    jobs: u64,
+    /// The time of the last one.
+    last: Micros,
+    names: NameInterner,
+    finished: bool,
+}
+
+impl<R: BufRead> Reader<R> {
+    /// Reads the header.
+    ///
+    /// # Errors
+    /// It is none, or of a version that is not known.
+    pub fn new(mut from: R) -> Result<Self, RecordingError> {
+        let mut text = Vec::new();
+        read_line(&mut from, &mut text)?;
+        let header: Header = serde_json::from_slice(&text).map_err(|_| RecordingError::NoHeader)?;
+        if header.format != FORMAT {
+            return Err(RecordingError::NoHeader);
+        }
+        if !(1..=VERSION).contains(&header.version) {
+            return Err(RecordingError::Version(header.version));
+        }
+        let (names, last) = (Default::default(), Micros::MIN);
+        Ok(Reader {
+            from,
+            header,
+            end: None,
+            text,
+            line: 1,
+            jobs: 0,
+            last,
+            names,
+            finished: false,
+        })
+    }
+
+    /// Reads the next line: a job, or the last line, behind which nothing is read.
+    fn read_job(&mut self) -> Result<Option<Job>, RecordingError> {
+        self.text.clear();
+        if !read_line(&mut self.from, &mut self.text)? {
+            return Err(RecordingError::Truncated { line: self.line });
+        }
+        self.line += 1;
+        let syntax = |source| RecordingError::Syntax {
+            line: self.line,
+            source,
+        };
+        if self.text.starts_with(b"{\"end\"") {
+            let last: Last = serde_json::from_slice(&self.text).map_err(syntax)?;
+            if last.end.jobs != self.jobs {
+                return Err(RecordingError::Counts {
+                    counted: last.end.jobs,
+                    found: self.jobs,
+                });
+            }
+            self.end = Some(last.end);
+            return Ok(None);
+        }
+        let record: Line<'_> = serde_json::from_slice(&self.text).map_err(syntax)?;
+        if record.at < self.last {
+            return Err(RecordingError::Unordered { line: self.line });
+        }
+        (self.jobs, self.last) = (self.jobs + 1, record.at);
+        Ok(Some(record.into_job(&mut self.names)))
+    }
+}
+
+/// Reads a line without its end. `false`: there is none.
+fn read_line(from: &mut impl BufRead, text: &mut Vec<u8>) -> io::Result<bool> {
+    let count = io::Read::take(&mut *from, MAX_RECORD_BYTES as u64).read_until(b'\n', text)?;
+    if text.last() == Some(&b'\n') {
+        text.pop();
+    } else if count == MAX_RECORD_BYTES {
+        return Err(io::Error::other(
+            "a line is longer than any that is written",
+        ));
+    }
+    Ok(count > 0)
+}
+
+impl<R: BufRead> Iterator for Reader<R> {
+    type Item = Result<Job, RecordingError>;
+
+    fn next(&mut self) -> Option<Self::Item> {
+        if self.finished {
+            return None;
+        }
+        let job = self.read_job().transpose();
+        self.finished = !matches!(job, Some(Ok(_)));
+        job
+    }
+}
--- /dev/null
+++ b/crates/traffic/src/recording/writer.rs
@@ -0,0 +1,70 @@
+//! Writing of recordings.
+
+use super::job_line::Line;
+use super::{End, Header, Last};
+use crate::job::{Job, Micros};
+use crate::tally::Tally;
+use std::io::{self, Write};
+
+/// Writes a recording.
+pub struct Writer<W: Write> {
+    out: W,
+    bytes: Vec<u8>,
+    end: End,
+    last: Micros,
+}
+
+impl<W: Write> Writer<W> {
+    /// Begins with the header.
+    ///
+    /// # Errors
+    /// It cannot be written.
+    pub fn new(mut out: W, header: &Header) -> io::Result<Self> {
+        serde_json::to_writer(&mut out, header)?;
+        out.write_all(b"\n")?;
+        Ok(Writer {
+            out,
+            bytes: Vec::new(),
+            end: End::default(),
+            last: Micros::MIN,
+        })
+    }
+
+    /// Writes a job.
+    ///
+    /// # Errors
+    /// It cannot be written, or comes out of order.
+    pub fn write(&mut self, job: &Job) -> io::Result<()> {
+        if job.at < self.last {
+            return Err(io::Error::other(
+                "jobs must be written in the order of their times",
+            ));
+        }
+        self.last = job.at;
+        self.bytes.clear();
+        serde_json::to_writer(&mut self.bytes, &Line::new(job))?;
+        self.bytes.push(b'\n');
+        (self.end.jobs, self.end.retries) = (
+            self.end.jobs + 1,
+            self.end.retries + job.retries.len() as u64,
+        );
+        self.out.write_all(&self.bytes)
+    }
+
+    /// Writes the last line.
+    ///
+    /// # Errors
+    /// It cannot be written.
+    pub fn finish(mut self, tally: Option<Tally>) -> io::Result<(W, End)> {
+        self.end.tally = tally;
+        serde_json::to_writer(
+            &mut self.out,
+            &Last {
+                end: self.end.clone(),
+            },
+        )?;
+        self.out.write_all(b"\n")?;
+        self.out.flush()?;
+        Ok((self.out, self.end))
+    }
+}
