--- a/fuzz/fuzz_targets/har.rs
+++ b/fuzz/fuzz_targets/har.rs
@@ -1,6 +1,6 @@
-//! HAR documents in pieces: no panic, bounded memory, and the same entries whatever the pieces.
+//! HAR documents in chunks: no panic, bounded memory, and the same entries whatever the chunks.
 #![no_main]
-use indigofold_traffic::har::{self, MAX_ENTRY_BYTES, Element, Splitter};
+use indigofold_traffic::har::{self, Element, MAX_ENTRY_BYTES, Splitter};
 use indigofold_traffic::timestamp::Reader;
 use libfuzzer_sys::fuzz_target;
 
--- a/fuzz/fuzz_targets/recording.rs
+++ b/fuzz/fuzz_targets/recording.rs
@@ -1,4 +1,4 @@
-//! Recordings: no panic, and none is taken for whole that is not.
+//! Recordings: no panic, and none is taken for complete that is not.
 #![no_main]
 use indigofold_traffic::recording::Reader;
 use libfuzzer_sys::fuzz_target;
