--- a/crates/replay/src/retry_folding.rs
+++ b/crates/replay/src/retry_folding.rs
@@ -58,7 +58,7 @@
         }
         record.marked &= self.retries_marked;
         record.job.at = record.job.at / self.resolution_us * self.resolution_us;
-        record.within = self.resolution_us;
+        record.resolution = self.resolution_us;
         record
     }
 }
@@ -141,7 +141,7 @@
         let effect = scenario.classes[arrival.class as usize].effect;
         let record = Attempt {
             job: job_of(&request, class, parish, effect),
-            within: 1,
+            resolution: 1,
             seq: records.len() as u64,
             id: 0,
             marked: request.retry > 0,
--- a/crates/traffic/src/import.rs
+++ b/crates/traffic/src/import.rs
@@ -1,11 +1,11 @@
-//! A whole import: files are read, their records mapped, sorted, folded and written as a recording.
+//! An import: files are read, their records mapped, sorted, folded and written as a recording.
 
 mod duplicates;
 mod error;
 mod intake;
-mod line_reader;
 mod probe;
 mod read;
+mod record_reader;
 
 pub use error::{FileFormatError, ImportError};
 
@@ -179,7 +179,7 @@
 fn attempt(job: Job, marked: bool) -> Attempt {
     Attempt {
         job,
-        within: 1,
+        resolution: 1,
         seq: 0,
         id: 0,
         marked,
--- a/crates/traffic/src/job.rs
+++ b/crates/traffic/src/job.rs
@@ -1,4 +1,4 @@
-//! What a recording holds: first tries, each with its retries.
+//! What a recording holds: first attempts, each with its retries.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 /// A point in time in microseconds since 1970, or a duration in microseconds.
 pub type Micros = i64;
 
-/// One first try, as a client made it, with the retries that belong to it.
+/// One first attempt, as a client made it, with the retries that belong to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// When its request was sent.
@@ -29,7 +29,7 @@
     pub client: u64,
     /// The recorded HTTP status; 0: none (the client left, or the recording broke off).
     pub status: u16,
-    /// How long the recorded answer took.
+    /// How long the recorded response took.
     pub took: Option<Micros>,
     /// Retries by the client, in order.
     #[serde(rename = "tries")]
@@ -43,7 +43,7 @@
     pub at: Micros,
     /// The recorded status; 0: none.
     pub status: u16,
-    /// How long the recorded answer took.
+    /// How long the recorded response took.
     pub took: Option<Micros>,
     /// By what it was taken for a retry.
     #[serde(rename = "how")]
@@ -53,7 +53,7 @@
     pub confidence: f32,
 }
 
-/// By what a try was taken for a retry.
+/// By what an attempt was taken for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Evidence {
@@ -61,7 +61,7 @@
     Key,
     /// The client marked it.
     Marker,
-    /// The same client asked for the same after a refusal, a failure or a time-out.
+    /// The same client sent the same after a rejection, a failure or a time-out.
     Guess,
 }
 
