--- a/crates/replication/src/replica/following.rs
+++ b/crates/replication/src/replica/following.rs
@@ -44,7 +44,7 @@
             }
             return;
         }
-        self.withdraw();
+        self.abandon_leadership_and_campaign();
         self.durable.promised = view.number;
         self.durable.view = Some(view.clone());
         self.durable.agreed = true;
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -159,7 +159,7 @@
             return;
         };
         if leadership.is_lost(self.now_ms) {
-            self.withdraw();
+            self.abandon_leadership_and_campaign();
             self.campaign_at_ms = self.now_ms + LEASE_MS + self.random_below(BACKOFF_SPREAD_MS);
             return;
         }
--- a/crates/replication/src/replica/step_down.rs
+++ b/crates/replication/src/replica/step_down.rs
@@ -76,7 +76,7 @@
         let number = leadership.view.number;
         let mut others = leadership.heartbeat_recipients();
         others.remove(&successor.internal);
-        self.withdraw();
+        self.abandon_leadership_and_campaign();
         for internal in others {
             self.send(internal, Message::Release { number });
         }
--- a/crates/replication/src/replica/voter.rs
+++ b/crates/replication/src/replica/voter.rs
@@ -1,4 +1,5 @@
 //! What binds a voter beside the record on its disk: the lease that it has granted, and its answer to a pre-vote.
+//! Leases are granted and given up in `following`, where heartbeats and releases of the head are handled.
 //!
 //! Nothing of this is on disk. A voter that was started again therefore counts as bound for a whole lease after its start.
 
--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -76,7 +76,7 @@
 
     /// Takes part in no view below `number` any more, and leaves its candidate time.
     fn adopt_number(&mut self, number: u64) {
-        self.withdraw();
+        self.abandon_leadership_and_campaign();
         self.durable.promised = number;
         self.transfer = None;
         self.defer_campaign();
@@ -90,7 +90,7 @@
     }
 
     /// Another member's campaign goes first: this member is neither head nor candidate any more.
-    pub(super) fn withdraw(&mut self) {
+    pub(super) fn abandon_leadership_and_campaign(&mut self) {
         self.campaign = None;
         self.end_leadership();
     }
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -93,10 +93,11 @@
         }
     }
 
-    /// A run there failed or hung; `speculation_candidate`: the job has failed on another worker too.
-    pub(crate) fn failed(&mut self, now_ms: u64, speculation_candidate: bool) {
+    /// A run there failed or hung; `is_doubtful`: the cause may be the job, which has failed on another worker too, or is
+    /// long-running.
+    pub(crate) fn failed(&mut self, now_ms: u64, is_doubtful: bool) {
         self.fade(now_ms);
-        let weight = if speculation_candidate {
+        let weight = if is_doubtful {
             DOUBTFUL_FAILURE
         } else {
             1.0
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! - Values: `latency`, `api` (inputs and outputs), `run_result`, `queue` (order of admission), `value`, `definition`.
 //! - Parts with state of their own: `clock`, `timers`, `rng`, `health`, `unexpected_runs`, `worker`, `workers` (registry
-//!   of instances and connections), `kinds` (hybrid SQ(d)), `task`, `job`, `step_traits`, `job_table`, `admission` (load),
+//!   of instances and connections), `kinds` (hybrid SQ(d)), `task`, `job`, `step_traits`, `job_table`, `admission_load`,
 //!   `due_jobs`, `demand`, `reservations`, `recent_demand`, `backlog_cache`, `services`, `rows` (stored forms), `outbox`
 //!   (changed rows and what waits for their commit).
 //! - `view`: what decisions read; `state`: all parts, which transitions change.
@@ -21,7 +21,7 @@
 
 #![forbid(unsafe_code)]
 
-mod admission;
+mod admission_load;
 mod api;
 mod backlog;
 mod backlog_cache;
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -13,7 +13,7 @@
 pub(crate) const CHECK_MS: u64 = 300;
 /// The order of a run that has not been listed for this time is sent again.
 const ORDER_RETRY_MS: u64 = 3_000;
-/// A run that no report has listed for this time, though its order was sent again, is lost.
+/// A run that no report has listed for this time, though its order was sent again, counts as not started.
 const ABSENT_MS: u64 = 20_000;
 /// A run hangs if it has made no progress for at least this time ...
 const STALL_MIN_MS: u64 = 3_000;
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,7 +1,7 @@
 //! The state of all jobs, workers and services, as parts that each change their own data. Modules above this one change
 //! it on events; decisions read it through [`ClusterView`].
 
-use crate::admission::AdmissionLoad;
+use crate::admission_load::AdmissionLoad;
 use crate::api::{AgentId, Bounds};
 use crate::clock::WallClock;
 use crate::due_jobs::DueJobs;
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -72,7 +72,7 @@
     pub sent_ms: u64,
     /// When its worker listed it first.
     pub began_ms: Option<u64>,
-    /// Where its stop was sent last and when; `Some((None, _))` if it is to be sent.
+    /// Its stop order: where and when it was sent last, if it was.
     pub stop: Option<StopOrder>,
     /// When it was placed.
     pub placed_ms: u64,
