--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -97,11 +97,7 @@
     /// long-running.
     pub(crate) fn failed(&mut self, now_ms: u64, is_doubtful: bool) {
         self.fade(now_ms);
-        let weight = if is_doubtful {
-            DOUBTFUL_FAILURE
-        } else {
-            1.0
-        };
+        let weight = if is_doubtful { DOUBTFUL_FAILURE } else { 1.0 };
         (self.bad, self.streak) = (self.bad + weight, self.streak + weight);
         let fails_often =
             self.bad >= SUSPECT_WEIGHT && self.bad >= SUSPECT_FRACTION * (self.good + self.bad);
