--- a/crates/replay/src/export.rs
+++ b/crates/replay/src/export.rs
@@ -26,7 +26,7 @@
 /// The `LogFormat` of [`Form::Apache`].
 pub const APACHE: &str = concat!(
     r#"%h %l %u %{usec}t "%r" %>s %b %D "%{X-Customer}i" "%{X-Trace-Id}i" "%{Idempotency-Key}i" "#,
-    r#""%{X-Second-Attempt}i" "%{X-Expires-In-Ms}i" "%{X-Props}i""#
+    r#""%{X-Second-Try}i" "%{X-Expires-In-Ms}i" "%{X-Props}i""#
 );
 /// The `log_format` of [`Form::Nginx`].
 pub const NGINX: &str = concat!(
@@ -118,7 +118,7 @@
     "X-Customer",
     "X-Trace-Id",
     "Idempotency-Key",
-    "X-Second-Attempt",
+    "X-Second-Try",
     "X-Expires-In-Ms",
     "X-Props",
 ];
--- a/crates/replay/src/sockets/clients.rs
+++ b/crates/replay/src/sockets/clients.rs
@@ -269,7 +269,7 @@
             header("Idempotency-Key", &format!("k{:016x}", arrival.number));
         }
         if scenario.clients.retries_marked && request.retry > 0 {
-            header("X-Second-Attempt", "1");
+            header("X-Second-Try", "1");
         }
         header("X-Props", &format!("needs={}", arrival.slots));
         text.push_str("Content-Length: 2\r\n\r\n{}");
