--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision module: its inputs ([`Event`]), its outputs ([`Action`]) and its [`Settings`].
 //!
 //! A caller owns one [`crate::dispatcher::Dispatcher`] per dispatcher and hands it every event in the order in
-//! which it happened, with a clock that never runs backwards. Classes, kinds, zones, tenants, workers and requests are
+//! which it occurred, with a clock that never runs backwards. Classes, kinds, zones, tenants, workers and requests are
 //! integer ids chosen by the caller; the module attaches no meaning to their values.
 //! Times and durations are whole microseconds unless a comment says otherwise.
 
@@ -9,57 +9,57 @@
 use crate::statistics::Statistics;
 use crate::transferred_job::TransferredJob;
 
-/// Whether a request may take effect more than once.
+/// How often a request may take effect, which decides whether it may be retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It may take effect any number of times.
+    /// The request may take effect any number of times.
     Safe,
-    /// It carries a key by which the workers of one group drop a repeat within `ttl` of the first attempt that may have
-    /// run.
+    /// The request carries an idempotency key: the workers of one group drop a repeat within `ttl` of the first attempt
+    /// that may have run.
     Keyed {
-        /// Which workers drop each other's repeats.
+        /// The workers that drop each other's repeats.
         group: Group,
-        /// For how long they do, from the first attempt that may have run.
+        /// How long repeats are dropped, counted from the send of the first attempt that may have run.
         ttl: Time,
     },
-    /// It must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
 /// The workers that drop repeats of a keyed request for each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// All workers.
+    /// All workers drop each other's repeats.
     All,
-    /// Workers of one zone.
+    /// Only workers of the same zone do.
     Zone,
-    /// Workers of one cell.
+    /// Only workers of the same cell do; see [`Entry::cell`].
     Cell,
 }
 
-/// A class of requests.
+/// Rules for a class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// The one kind of worker that can run it, if it is bound to one.
+    /// The only kind of worker that can run the class; `None`: any kind can.
     pub kind: Option<KindId>,
-    /// An answer within this time, plus `stretch` times the job's own work, earns the full value.
+    /// An answer within this time, plus `stretch` times the job's work, earns the full value.
     pub latency_target: Time,
-    /// Multiple of the job's own work (at speed 1) by which the latency target is extended.
+    /// Multiple of the job's work (at speed 1) by which the latency target is extended.
     pub stretch: f64,
-    /// How long a client waits over all its attempts at one request.
+    /// How long a client waits for one request, over all the client's own retries of it.
     pub deadline: Time,
-    /// Whether it may take effect more than once.
+    /// Whether a request of the class may take effect more than once.
     pub effect: Effect,
-    /// Value of one request, or of a unit of its work where [`Settings::value_by_work`] is set.
+    /// Value of one request, or of one unit of its work if [`Settings::value_by_work`] is set.
     pub value: f64,
     /// Fraction of the value that an answer after the latency target still earns.
     pub late_value: f64,
-    /// Priority in the workers' queues, where they order by priority.
+    /// Priority in the workers' queues, for workers that order their queues by priority.
     pub priority: i32,
 }
 
 impl Class {
-    /// The rules of a class that the settings lack: the strictest, it must never run twice.
+    /// Rules for a class that is missing from the settings. They are the strictest: a request must never run twice.
     pub const UNKNOWN: Class = Class {
         kind: None,
         latency_target: 1_000_000,
@@ -75,20 +75,20 @@
 /// A tenant and its quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Requests a second, over all dispatchers, that are within its quota.
+    /// Requests per second, over all dispatchers, that count as within the quota.
     pub quota_per_s: f64,
-    /// Its fraction of the service, 0 to 1.
+    /// Expected fraction of all arrivals that come from this tenant, 0 to 1.
     pub fraction: f64,
 }
 
-/// Where load reports come from.
+/// Which results carry load reports of workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reports {
-    /// With results of attempts and of probes.
+    /// Results of attempts and of probes.
     WithResults,
-    /// With results of probes only.
+    /// Results of probes only.
     OnProbe,
-    /// There are none.
+    /// None: workers report no load.
     #[default]
     Off,
 }
@@ -96,9 +96,9 @@
 /// Limits and permissions of the deployment.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// Attempts that a request may have.
+    /// Maximum number of attempts of a request.
     pub attempts: u32,
-    /// Requests that may be open at once; `None`: no limit. Each occupies a connection of its client, and these are
+    /// Maximum number of requests open at once; `None`: no limit. Each occupies a client connection, whose number is
     /// limited.
     pub open: Option<usize>,
     /// [`Action::Cancel`] may be used.
@@ -109,117 +109,120 @@
     pub probes: bool,
     /// [`Action::UpdatePeers`] may be used.
     pub peers: bool,
-    /// Rejections advise clients when to retry.
+    /// Rejections tell clients when to retry.
     pub retry_after: bool,
-    /// The longest such advice that clients follow.
+    /// The longest retry delay that clients respect.
     pub max_retry_after: Time,
-    /// A connection not made within this time fails.
+    /// A connection that is not established within this time fails.
     pub dial_timeout: Time,
 }
 
 impl Limits {
-    /// Whether a waiting request is moved by cancelling its attempt: where no second attempt may run beside the first.
+    /// Whether a request that waits at a worker is moved by cancelling its attempt. This is done only if no second
+    /// attempt may run beside the first.
     pub fn moves(&self) -> bool {
         self.cancel && !self.duplicates
     }
 }
 
-/// Prices of what a dispatcher uses: fractions of the result for each unit.
+/// Prices of the resources that a dispatcher uses, each as a fraction of the total result per unit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Charges {
-    /// Attempts that cross zones, per first attempt.
+    /// Price of attempts that cross zones, per first attempt.
     pub cross_zone: f64,
-    /// Work of workers that led to no answer, per work submitted.
+    /// Price of worker time that led to no answer, per unit of work submitted.
     pub waste: f64,
-    /// Probes, per first attempt.
+    /// Price of probes, per first attempt.
     pub probe: f64,
-    /// Bytes of peer updates delivered, per 256 bytes and first attempt.
+    /// Price of delivered peer updates, per 256 bytes and first attempt.
     pub peer: f64,
-    /// Value of requests that end unserved after their latency target, per value submitted.
+    /// Price of requests that end unserved after their latency target, per unit of value submitted.
     pub late_fail: f64,
-    /// Membership entries received, per hundred and first attempt.
+    /// Price of membership entries received, per hundred entries and first attempt.
     pub discovery: f64,
 }
 
-/// Budget of retries, that is, of attempts beyond each request's first, that a dispatcher may make in any window.
+/// Retry budget of a dispatcher: how many attempts beyond each request's first one it may make in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResendBudget {
-    /// Retries allowed whatever the traffic.
+    /// Retries allowed regardless of the traffic.
     pub free: f64,
     /// Further retries for each request accepted in the window.
     pub ratio: f64,
-    /// Length of the window. `None`: no request adds to the budget, and no retry ever leaves it.
+    /// Length of the window. `None`: accepted requests add nothing to the budget, and a retry counts against it for
+    /// good.
     pub window: Option<Time>,
 }
 
-/// Parameters of the rules that must never be broken.
+/// Parameters of the rules that every decision must obey.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// A final answer may come this long after the client's deadline.
+    /// How long after the client's deadline a final answer may come.
     pub answer_slack: Time,
-    /// Without a subscription the membership list must be requested at least this often.
+    /// Longest time between two requests for the membership list while there is no subscription.
     pub membership_refresh_within: Time,
-    /// A worker has at least this fraction of its capacity when it starts.
+    /// Least fraction of its capacity that a worker has when its process starts, 0 to 1.
     pub initial_capacity: f64,
-    /// Its warm-up takes at most this long.
+    /// Longest duration of a worker's warm-up, after which it has its full capacity.
     pub warm_after: Time,
-    /// No request may be sent to a draining or removed worker later than this after the membership event.
+    /// Grace period after a membership event, after which no request may be sent to a worker that it drains or removes.
     pub drain_grace: Time,
-    /// A worker in warm-up fails when it is sent more than this multiple of its present capacity.
+    /// A worker in warm-up fails when it is sent more work in [`Rules::tip_window`] than this multiple of its current
+    /// capacity.
     pub tip_multiple: f64,
-    /// The window over which that is counted.
+    /// Length of the window for [`Rules::tip_multiple`].
     pub tip_window: Time,
-    /// Budget of retries; `None`: as many as [`Limits::attempts`] allows.
+    /// Retry budget; `None`: only [`Limits::attempts`] limits retries.
     pub resends: Option<ResendBudget>,
-    /// Idle connections to a draining worker must be closed within this time; `None`: they may stay open.
+    /// Time within which idle connections to a draining worker must be closed; `None`: they may stay open.
     pub close_idle_within: Option<Time>,
-    /// [`Status::Full`] is no proof that the attempt never ran.
+    /// Whether an attempt that ended with [`Status::Full`] may have run.
     pub full_may_have_run: bool,
 }
 
-/// What a dispatcher is configured with.
+/// Configuration of a dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of dispatchers that send to these workers.
     pub dispatchers: u32,
-    /// This dispatcher's number, from 0.
+    /// Index of this dispatcher, counted from 0.
     pub me: u32,
     /// This dispatcher's zone.
     pub zone: ZoneId,
     /// Shortest time between two batches of events.
     pub granularity: Time,
-    /// The classes of requests.
+    /// Rules of the request classes, indexed by [`ClassId`].
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants, indexed by [`TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Membership events come unrequested; else only after [`Action::Watch`] or [`Action::Fetch`].
+    /// Whether membership events come without a request; otherwise only after [`Action::Watch`] or [`Action::Fetch`].
     pub membership_pushed: bool,
-    /// Workers report the start of a job.
+    /// Whether workers report the start of a job.
     pub reports_start: bool,
-    /// Time between progress reports; 0 for none.
+    /// Time between two progress reports of a job; 0: workers send none.
     pub progress: Time,
-    /// Where load reports come from.
+    /// Which results carry load reports.
     pub reports: Reports,
-    /// Value is counted for each unit of work, not for each request.
+    /// Whether [`Class::value`] is the value of a unit of work rather than of a request.
     pub value_by_work: bool,
     /// Value of a request beyond its tenant's quota, as a fraction of its class's value.
     pub over_quota_value: f64,
-    /// Limits and permissions.
+    /// Limits and permissions of the deployment.
     pub limits: Limits,
-    /// Prices.
+    /// Prices of the resources that a dispatcher uses.
     pub charges: Charges,
-    /// Parameters of the rules.
+    /// Parameters of the rules that every decision must obey.
     pub rules: Rules,
 }
 
 /// State of a worker in the membership list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It takes requests.
+    /// The worker takes requests.
     Active,
-    /// It finishes what it has and takes nothing new.
+    /// The worker finishes its open requests and takes no new ones.
     Draining,
-    /// It has been removed.
+    /// The worker has been removed.
     #[default]
     Left,
 }
@@ -227,93 +230,94 @@
 /// One entry of the membership list.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
-    /// The worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: ZoneId,
-    /// Its kind.
+    /// Kind of the worker.
     pub kind: KindId,
-    /// Its cell: the workers that drop repeats of keyed requests for each other.
+    /// Cell of the worker. Workers of one cell drop repeats of keyed requests for each other ([`Group::Cell`]).
     pub cell: u32,
-    /// Its state.
+    /// Whether the worker takes requests, drains or has left.
     pub state: WorkerState,
-    /// Its relative size, without a unit.
+    /// Relative size of the worker, without a unit.
     pub power: f64,
-    /// When its process last started; 0 if long ago.
+    /// When the worker's process last started; 0: long ago, so that it is not in warm-up.
     pub ready_at: Time,
 }
 
-/// How much of the membership list an event carries.
+/// Which part of the membership list an event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// Changed entries only.
     Delta,
     /// The whole list.
     Full,
-    /// The whole list as last held, perhaps out of date.
+    /// The whole list from a cache, which may be out of date.
     Cached,
-    /// The request for it failed or the subscription broke: no entries, the former list stays.
+    /// No entries: the request for the list failed or the subscription broke. The previous list stays in use.
     Failed,
 }
 
-/// A worker's load by its own report. Reports are late and noisy; absent values are `None`.
+/// Load that a worker reports. Reports are delayed and noisy; a value that is not reported is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests in flight.
+    /// Requests in flight at the worker.
     pub inflight: Option<f64>,
-    /// Requests waiting.
+    /// Requests that wait in the worker's queue.
     pub queue: Option<f64>,
-    /// Fraction of its cores in use, 0 to 1.
+    /// Fraction of the worker's cores in use, 0 to 1.
     pub busy: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub served: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub failed: Option<f64>,
     /// Free slots.
     pub free_slots: Option<f64>,
-    /// Free memory.
+    /// Free memory, in the unit of [`Request::memory`].
     pub free_memory: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Answered.
+    /// The worker answered.
     Ok,
-    /// The worker answered with an error; it may have run.
+    /// The worker answered with an error; the attempt may have run.
     Error,
-    /// Rejected for lack of capacity; it never ran, unless [`Rules::full_may_have_run`] is set.
+    /// The worker rejected the attempt for lack of capacity; it never ran, unless [`Rules::full_may_have_run`] is set.
     Full,
-    /// No answer in time; it may have run or still run.
+    /// No answer came in time; the attempt may have run or may still be running.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection could be made; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent to the worker, so it never ran.
     Moot,
 }
 
 /// A new request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant that the request belongs to.
     pub tenant: TenantId,
-    /// Time until the client gives up this attempt.
+    /// Time left until the client gives up.
     pub left: Time,
-    /// Expected work as time at speed 1, where given.
+    /// Expected work as run time at speed 1; `None`: the client gave no estimate.
     pub estimate: Option<Time>,
-    /// Slots it takes while it runs.
+    /// Slots that the request takes while it runs.
     pub slots: f64,
-    /// Memory it takes while it runs, in units of about one slot's.
+    /// Memory that the request takes while it runs; one unit is about the memory of one slot.
     pub memory: f64,
-    /// Affinity, where it has one: requests with the same one need the same data, which workers keep for a while.
+    /// Affinity of the request, if any: requests with the same affinity need the same data, which workers cache for a
+    /// while.
     pub subject: Option<u64>,
 }
 
@@ -322,83 +326,83 @@
 pub enum Event {
     /// A membership list, a change of it, or a failure to get it.
     Membership {
-        /// How much of the list.
+        /// Which part of the list the entries are.
         scope: Scope,
-        /// The entries.
+        /// The entries, in any order.
         entries: Vec<Entry>,
     },
-    /// A request arrived; the dispatcher must give it one final answer.
+    /// A request has arrived; the dispatcher must give it exactly one final answer.
     Request(Request),
-    /// A streamed answer has begun: the request is closed, and the attempt now belongs to the client.
+    /// A streamed answer has begun: the request is closed, and its attempt continues on behalf of the client.
     Streaming {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
     },
     /// The worker has started an attempt.
     Started {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
     },
-    /// The worker has not acknowledged an attempt in time: it or the network is unresponsive. Never sent where workers
-    /// acknowledge nothing.
+    /// The worker has not acknowledged an attempt in time: the worker or the network is unresponsive. This event never
+    /// occurs where workers send no acknowledgements.
     Unacknowledged {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
     },
-    /// A progress report of an attempt.
+    /// A worker has reported the progress of an attempt.
     Progress {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
         /// Fraction of the work done, 0 to 1.
         done: f64,
     },
-    /// The result of an attempt; each attempt has exactly one.
+    /// An attempt has ended; each attempt has exactly one outcome.
     Outcome {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
-        /// How it ended.
+        /// How the attempt ended.
         status: Status,
-        /// The request is closed: it needs no further answer.
+        /// Whether the request is closed, so that it needs no further answer.
         closed: bool,
         /// The worker's load report, if the result carried one.
         load: Option<Load>,
     },
     /// The client has disconnected; the request is closed.
     RequestClosed(RequestId),
-    /// A timer of this dispatcher is due.
+    /// A timer set by [`Action::Timer`] is due; carries the timer's name.
     Timer(u64),
-    /// The result of a probe.
+    /// A probe has ended.
     Probed {
-        /// The worker.
+        /// Id of the worker.
         worker: WorkerId,
-        /// How it ended.
+        /// How the probe ended.
         status: Status,
         /// The load report, if the result carried one.
         load: Option<Load>,
     },
-    /// Other settings from now on. Ids keep their meaning; classes and tenants may be added at the end. An open
-    /// request keeps the class that it came with.
+    /// New settings apply from now on. Ids keep their meaning; classes and tenants may be added at the end. An open
+    /// request keeps the class rules that were in force when it arrived.
     Settings(Box<Settings>),
-    /// Statistics of the dispatcher that this one replaces, under this one's ids.
+    /// Statistics of the dispatcher that this one replaces, translated to this dispatcher's ids.
     Statistics(Box<Statistics<u32>>),
-    /// An open request of the dispatcher that this one replaces, under this one's ids. This dispatcher must give it its
-    /// one final answer, and receives the events of its attempts in flight.
+    /// An open request of the dispatcher that this one replaces, translated to this dispatcher's ids. This dispatcher
+    /// must give the request its final answer, and receives the events of its attempts in flight.
     Adopted(RequestId, Box<TransferredJob<u32>>),
-    /// A message from another dispatcher.
+    /// Another dispatcher has sent an update of the slots that its requests occupy.
     Peer {
-        /// The sender's number.
+        /// Index of the sending dispatcher.
         from: u32,
-        /// Slots that its requests occupy at each worker where there are any. Updates may be late or lost.
+        /// Slots that the sender's requests occupy at each worker where they occupy any. Updates may be late or lost.
         in_flight: Vec<(WorkerId, u8)>,
     },
 }
@@ -406,62 +410,62 @@
 /// An output of the dispatcher, to be carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send a new attempt of a request to a worker.
     Send {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The worker.
+        /// Id of the worker.
         worker: WorkerId,
-        /// Time-out; 0: until the client gives up.
+        /// Time-out of the attempt; 0: it may take until the client gives up.
         timeout: Time,
-        /// From this time on it must not be sent any more, however long it waited for a connection.
+        /// Time from which on the attempt must no longer be sent, even if it has been waiting for a connection.
         by: Time,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: rejected, a retry by the client is safe.
+    /// Final answer: the request is rejected, and a retry by the client is safe.
     Refuse {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Advice to retry no sooner than after this time; 0 for none.
+        /// Time after which the client is advised to retry; 0: no advice.
         retry_after: Time,
     },
-    /// Final answer: failed, it may have taken effect.
+    /// Final answer: the request failed and may have taken effect.
     Fail {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
     /// Request an [`Event::Timer`] at this time or soon after.
     Timer {
-        /// When.
+        /// When the timer is due.
         at: Time,
-        /// Returned with the event.
+        /// Name of the timer, which the event returns.
         name: u64,
     },
-    /// Request a worker's health and load.
+    /// Ask a worker for its health and load.
     Probe {
-        /// The worker.
+        /// Id of the worker.
         worker: WorkerId,
     },
     /// Close this dispatcher's idle connections to a worker.
     Disconnect {
-        /// The worker.
+        /// Id of the worker.
         worker: WorkerId,
     },
-    /// Send all other dispatchers the slots that this one's requests occupy.
+    /// Send all other dispatchers the slots that this dispatcher's requests occupy.
     UpdatePeers {
-        /// Slots occupied at each worker where there are any; a few dozen workers at most.
+        /// Slots occupied at each worker where the requests occupy any; at most 51 workers.
         in_flight: Vec<(WorkerId, u8)>,
     },
-    /// Subscribe to the membership list, or end the subscription.
+    /// Subscribe to the membership list (`true`), or end the subscription (`false`).
     Watch(bool),
     /// Request the whole membership list once.
     Fetch,
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/crates/decisions/src/arrivals.rs
+++ b/crates/decisions/src/arrivals.rs
@@ -1,4 +1,5 @@
-//! Estimators of what arrives: work, requests and the tenants they are of. Nothing here decides; the dispatcher asks.
+//! Estimators of the arrival rates of work and requests, and of each tenant's fraction of the arrivals. The dispatcher
+//! makes the decisions.
 
 use crate::ids::{TenantId, Time};
 use serde::{Deserialize, Serialize};
@@ -7,17 +8,17 @@
 const MEMORY: f64 = 5e6;
 /// Microseconds in a second.
 const SECOND: f64 = 1e6;
-/// Weight that the tenants' fractions keep at each arrival: about the last fifty count.
+/// Decay factor of the tenants' fractions at each arrival: about the last fifty count.
 const TENANT_KEEP: f64 = 0.98;
 
-/// Recent rates of arrival.
+/// Recent arrival rates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rates {
-    /// Work arriving in a microsecond, in microseconds at speed 1.
+    /// Work that arrives per microsecond, in microseconds at speed 1.
     pub work: f64,
-    /// The part of it that any kind of worker can do.
+    /// The part of [`Rates::work`] that any kind of worker can do.
     pub unbound: f64,
-    /// Requests arriving in a second.
+    /// Requests that arrive per second.
     pub per_s: f64,
 }
 
@@ -37,12 +38,12 @@
     rates: Rates,
     /// When the rates were last updated.
     updated_at: Time,
-    /// Fraction of the arrivals of each tenant of the settings.
+    /// Each tenant's fraction of the arrivals, indexed by tenant id.
     tenants: Vec<f64>,
 }
 
 impl Arrivals {
-    /// Nothing has arrived yet; the tenants are assumed to have these fractions.
+    /// Creates the state before any arrival, with these initial fractions of the tenants.
     pub fn new(fractions: impl Iterator<Item = f64>, now: Time) -> Self {
         Arrivals {
             rates: Rates::default(),
@@ -51,13 +52,13 @@
         }
     }
 
-    /// Takes the fractions of tenants that have been added at the end; known ones keep what was counted.
+    /// Adds the tenants at the end of `fractions` that are not known yet; known tenants keep their measured fractions.
     pub fn add_tenants(&mut self, fractions: impl Iterator<Item = f64>) {
         let known = self.tenants.len();
         self.tenants.extend(fractions.skip(known));
     }
 
-    /// Counts one arrival with this much work, in microseconds at speed 1; `bound`: only one kind of worker can do it.
+    /// Records one arrival of this much work, in microseconds at speed 1. `bound`: only one kind of worker can do it.
     pub fn count(&mut self, now: Time, work: f64, bound: bool, tenant: TenantId) {
         let fade = self.fade(now);
         let Rates {
@@ -79,30 +80,30 @@
         }
     }
 
-    /// The rates as of the last arrival.
+    /// The rates at the time of the last arrival.
     pub fn latest(&self) -> Rates {
         self.rates
     }
 
-    /// The rates as of now.
+    /// The rates at the time `now`.
     pub fn rates(&self, now: Time) -> Rates {
         self.rates.scaled(self.fade(now))
     }
 
-    /// Continues from rates that another dispatcher has counted, at this fraction of them.
+    /// Replaces the rates by those that another dispatcher has measured, multiplied by `keep`.
     pub fn resume(&mut self, now: Time, rates: Rates, keep: f64) {
         self.rates = rates.scaled(keep);
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Replaces a tenant's fraction of the arrivals; tenants that the settings lack have none.
+    /// Sets a tenant's fraction of the arrivals; does nothing for a tenant that is missing from the settings.
     pub fn set_fraction(&mut self, tenant: TenantId, fraction: f64) {
         if let Some(known) = self.tenants.get_mut(tenant as usize) {
             *known = fraction;
         }
     }
 
-    /// A tenant's fraction of the arrivals; `None` for one that the settings lack.
+    /// A tenant's fraction of the arrivals; `None` for a tenant that is missing from the settings.
     pub fn fraction(&self, tenant: TenantId) -> Option<f64> {
         self.tenants.get(tenant as usize).copied()
     }
--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -1,17 +1,18 @@
-//! The decision module of one dispatcher. [`crate::api`] has its inputs ([`Event`]) and outputs ([`Action`]).
+//! The decision module of one dispatcher. [`crate::api`] defines its inputs ([`Event`]) and outputs ([`Action`]).
 //!
-//! The mechanism is hybrid SQ(d) (Van Spilbeeck and Van Houdt): a request draws a listed kind k with probability
-//! `p_k`, solved now and then from problem (1), samples d ready workers of it and goes to the one with the fewest
-//! slots in flight. The further rules, which the paper does without, are in `docs/design.md`. The dispatcher reads no
-//! clock, does no I/O and draws from a seeded generator.
+//! The placement policy is hybrid SQ(d) (Van Spilbeeck and Van Houdt): the dispatcher draws a kind k of workers with
+//! probability `p_k`, which the periodic solution of problem (1) gives, samples d ready workers of that kind and sends
+//! the request to the one with the fewest slots in flight. `docs/design.md` describes the rules that go beyond the
+//! paper. The dispatcher reads no clock, does no I/O and uses a seeded random generator.
 //!
-//! [`Dispatcher`] joins the parts. Those with private state are `fleet` (workers, kinds, slots and groups),
-//! `request_queues` and `reviews` (queued requests, and when one is looked at again), `kind_weights` (`p_k`),
-//! `wait_window`, `zone_preference`, `displacement`, `connection_trust`, `overhead` (probes and peer updates),
-//! `retry_budget` and `membership_request`. The others each hold the rules of one concern: `admission` (accept, queue,
-//! answer), `attempts` (send, start, end), `sampling`, `load` and `draw` (which worker), `warm_up` (workers that have
-//! just started), `health` (ejection), `stragglers` (attempts that hang), `observations` (reports, probes, peers),
-//! `membership` (the list), `statistics_merge`, `adoption` and `reconfigure` (another process or other settings).
+//! [`Dispatcher`] combines the submodules. Those with private state are `fleet` (workers, kinds, slots and groups),
+//! `request_queues` (queued requests), `reviews` (times at which requests are reconsidered), `kind_weights` (`p_k`),
+//! `wait_window`, `zone_preference`, `displacement`, `connection_trust`, `overhead` (budget of probes and peer
+//! updates), `retry_budget` and `membership_request`. Each of the others contains the rules of one concern: `admission`
+//! (accept, queue and answer requests), `attempts` (send, start and end), `sampling`, `load` and `draw` (choice of the
+//! worker), `warm_up` (workers that have just started), `health` (ejection), `stragglers` (unresponsive attempts),
+//! `observations` (reports, probes and peer updates), `membership` (the membership list), `statistics_merge` and
+//! `adoption` (takeover from another process), and `reconfigure` (new settings).
 
 mod admission;
 mod adoption;
@@ -63,11 +64,12 @@
 use wait_window::WaitWindow;
 use zone_preference::ZonePreference;
 
-/// One dispatcher: keeps what its own events have shown, and decides where requests go.
+/// One dispatcher: learns from its own events and decides which worker each request goes to.
 #[derive(Default)]
 pub struct Dispatcher {
     settings: Settings,
-    /// Index of each class's present rules; other entries of the tables are of classes before a change of settings.
+    /// For each class id, the index of its current rules in `settings.classes`. Other entries there are superseded
+    /// rules that open requests may still use, and [`Class::UNKNOWN`].
     class_of: Vec<usize>,
     rng: Option<Pcg64Mcg>,
     fleet: Fleet,
@@ -76,29 +78,29 @@
     queues: RequestQueues,
     reviews: Reviews,
     kind_weights: KindWeights,
-    /// How many own attempts may wait in workers' queues at once.
+    /// Number of own attempts that may wait in workers' queues at once.
     wait_window: WaitWindow,
     /// Weight and sum of run times at mean speed, over all classes.
     run_times: WeightedSum,
-    /// What jobs sent away from their home worker cost.
+    /// Cost of sending jobs to workers other than their home worker.
     fetches: Fetches,
     arrivals: Arrivals,
     overhead: Overhead,
-    /// Name of the timer that is live.
+    /// Name of the timer that was set last.
     timer: u64,
     zone_preference: ZonePreference,
     connection_trust: ConnectionTrust,
     displacement: Displacement,
     membership_request: MembershipRequest,
-    /// What the retry budget has been used for.
+    /// Accepted requests and retries in the window of the retry budget.
     retries: RetryHistory,
 }
 
 impl Dispatcher {
-    /// A dispatcher without state. All its randomness comes from `seed`.
+    /// Creates a dispatcher without learned state. All its randomness comes from `seed`.
     pub fn new(mut settings: Settings, seed: u64, now: Time) -> Self {
         let class_of = (0..settings.classes.len()).collect();
-        // Requests of a class that the settings lack have the strictest rules.
+        // Requests of a class that is missing from the settings get the strictest rules.
         settings.classes.push(Class::UNKNOWN);
         settings.dispatchers = settings.dispatchers.max(1);
         let tenants = settings.tenants.iter().map(|tenant| tenant.fraction);
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done. `now` never runs backwards.
+    /// Handles one event and appends the resulting actions to `out`. `now` never runs backwards.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if self.timer == 0 || matches!(event, Event::Timer(name) if name == self.timer) {
             self.timer += 1;
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Returns whether queued requests may be sent because of it. One arm for each event, hence its length.
+    /// Returns whether the event may allow queued requests to be sent.
     #[allow(clippy::too_many_lines, reason = "an arm for each event")]
     fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<Action>) -> bool {
         let attempt_id = |request, attempt| AttemptId { request, attempt };
@@ -237,7 +239,7 @@
     }
 }
 
-/// A number in [0, 1).
+/// Draws a number in [0, 1).
 fn unit(rng: &mut Option<Pcg64Mcg>) -> f64 {
     rng.as_mut().map_or(0.0, |rng| {
         (rng.next_u64() >> 12) as f64 / (1u64 << 52) as f64
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Life of a request: accepted, placed or queued, reviewed when due, answered once.
+//! Life cycle of a request: it is accepted, sent or queued, reviewed when due, and answered once.
 
 use super::state::{OpenRequest, QueueIndex};
 use super::tuning::{CROWDING, HOME_SCAN_MISSES_MAX, LATE_MARGIN, SCAN_MISSES_MAX};
@@ -8,11 +8,12 @@
 };
 use crate::transferred_job::TransferredJob;
 
-/// Least work of a request, in microseconds, where value is divided by work.
+/// Lower bound of the work of a request, in microseconds, when it is used as a divisor.
 const WORK_MIN: f64 = 1e-9;
 
 impl Dispatcher {
-    /// Accepts a new request: rejects it if it would displace more valuable ones, else probes, places or queues it.
+    /// Accepts a new request: answers it at once if it would displace more valuable ones, otherwise probes workers,
+    /// sends or queues it.
     pub(super) fn accept(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         let open = self.open_request(now, request);
@@ -32,7 +33,7 @@
         self.send_or_queue(now, id, out);
     }
 
-    /// Counts the arrival and works out what holds for the request.
+    /// Records the arrival and creates the state of the request: its slots, quota state, lateness time and deadline.
     fn open_request(&mut self, now: Time, request: Request) -> OpenRequest {
         let class = self.class_index(request.class);
         let estimate = request.estimate.filter(|work| *work > 0);
@@ -44,8 +45,8 @@
         let is_bound = self.settings.classes[class].kind.is_some();
         self.arrivals.count(now, work, is_bound, request.tenant);
         let over_quota = self.is_over_quota(request.tenant);
-        // A client's later attempt has less time left than the first ones of its class: its latency target counts from
-        // its first attempt.
+        // A client's own retry has less time left than the first attempts of its class. The difference tells when the
+        // client made its first attempt, from which the latency target counts.
         let longest = &mut self.classes[class].longest_patience;
         *longest = request.left.max(*longest);
         let arrived = now.saturating_sub(*longest - request.left);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Index of the present rules of a class; a class that the settings lack has the strictest.
+    /// Index of the current rules of a class; a class that is missing from the settings gets the strictest rules.
     fn class_index(&self, class: u32) -> usize {
         let unknown = || {
             let mut classes = self.settings.classes.iter();
@@ -82,8 +83,10 @@
         known.unwrap_or_else(unknown)
     }
 
-    /// While workers reject attempts, each request displaces others: whether the expected value of those is higher than
-    /// this one's. The probability of displacing one follows from the rejection rate (Erlang's loss formula).
+    /// Whether to reject a new request because the requests that it would displace have a higher expected value.
+    /// Requests displace others while workers reject attempts; the probability follows from the rejection rate
+    /// (Erlang's loss formula). The decision is randomised: the displaced value is multiplied by a random number between
+    /// 0 and 1.
     fn is_displaced(&mut self, class: usize, over_quota: bool, work: f64, slots: f64) -> bool {
         let value = work * self.density(QueueIndex::new(class, over_quota, false));
         let mean = work * self.density(QueueIndex::new(class, false, false));
@@ -92,8 +95,8 @@
         unit(&mut self.rng) * displaced > value
     }
 
-    /// Queued requests occupy client connections: at the limit, the oldest request of the least valuable queue is
-    /// rejected.
+    /// Rejects the oldest request of the least valuable queue if more requests are open than allowed, because each open
+    /// request occupies a client connection.
     fn evict_least_valuable(&mut self, now: Time, out: &mut Vec<Action>) {
         let limit = self.settings.limits.open;
         if limit.is_none_or(|limit| self.open.len() <= limit) {
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Continues with a request of which nothing is in flight: sends, queues or closes it.
+    /// Sends, queues or closes a request that is neither queued nor has an attempt in flight; otherwise does nothing.
     pub(super) fn send_or_queue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let is_idle = |open: &&OpenRequest| {
             open.queued_in.is_none() && open.job.attempts.iter().all(|a| a.done)
@@ -118,13 +121,14 @@
         }
     }
 
-    /// Sends the request if a worker takes it now.
+    /// Sends the request if a worker can take it now. Returns whether it was sent.
     pub(super) fn send_now(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
         self.choose(now, id)
             .is_some_and(|worker| self.send(now, id, worker, out))
     }
 
-    /// Queues a request, or answers it if it can earn nothing more or no tick is left before its deadline.
+    /// Queues a request, or answers it if it cannot earn value any more, no attempt is allowed, or too little time is
+    /// left before its deadline.
     fn enqueue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
@@ -152,14 +156,15 @@
         self.queues.push(queue, id);
     }
 
-    /// Sends queued requests while workers have capacity: the most valuable for their work first, then the newest.
+    /// Sends queued requests while workers have capacity: by descending value per unit of work, and the newest first
+    /// within a queue.
     pub(super) fn send_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut order = self.queues.in_use();
         if order.is_empty() || !self.may_wait(false) || !self.has_free_worker(now) {
             return;
         }
         order.sort_by(|a, b| self.density(*b).total_cmp(&self.density(*a)));
-        // First the requests whose home worker has a free slot, then all.
+        // The first round considers only requests whose home worker has a free slot, the second one all requests.
         let rounds: &[bool] = if self.fetches.cost() > 0.0 {
             &[true, false]
         } else {
@@ -172,8 +177,8 @@
         }
     }
 
-    /// Sends requests of one queue, the newest first. A request that only few workers may get does not block the
-    /// others.
+    /// Sends requests of one queue, the newest first. A request that no available worker may get is skipped, up to a
+    /// limit, so that it does not block the others.
     fn send_from_queue(
         &mut self,
         now: Time,
@@ -209,7 +214,7 @@
         }
     }
 
-    /// Value of a unit of work of the requests in a queue.
+    /// Value per unit of work of the requests in a queue.
     fn density(&self, queue: QueueIndex) -> f64 {
         let class = &self.settings.classes[queue.class()];
         let work = if self.settings.value_by_work {
@@ -230,8 +235,8 @@
         class.value * over_quota * late / work
     }
 
-    /// Reviews the requests that are due: answers those that can earn nothing more, also while they wait at a worker,
-    /// requeues late ones as late, and finds overdue attempts.
+    /// Performs the reviews that are due: answers requests that cannot earn value any more, even while they wait at a
+    /// worker, moves requests that have become late to the queue of late ones, and handles overdue attempts.
     pub(super) fn review(&mut self, now: Time, out: &mut Vec<Action>) {
         while let Some(id) = self.reviews.take_due(now) {
             let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
@@ -250,7 +255,8 @@
         }
     }
 
-    /// The only place that gives final answers: a rejection only if a repeat is harmless, else a failure.
+    /// Gives a request its final answer: a rejection if a repeat is harmless, otherwise a failure. No other function
+    /// emits [`Action::Refuse`] or [`Action::Fail`].
     pub(super) fn answer(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
             return;
@@ -273,8 +279,8 @@
         self.close(id, out);
     }
 
-    /// Advice when to retry: after a tick if the request is not late, else after the longest time that clients follow;
-    /// at most half of its remaining time.
+    /// Delay after which the client should retry: a tick if the request is not late, otherwise the longest delay that
+    /// clients respect; at most half of the request's remaining time. 0 if clients follow no such advice.
     fn retry_after(&self, now: Time, open: &OpenRequest) -> Time {
         let longest = if self.settings.limits.retry_after {
             self.settings.limits.max_retry_after
@@ -291,7 +297,7 @@
             .min(open.job.deadline.saturating_sub(now) / 2)
     }
 
-    /// Closes a request: cancels its attempts in flight and removes it once all their results are in.
+    /// Closes a request: cancels its attempts in flight, and removes it once all of them have ended.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -314,12 +320,14 @@
         }
     }
 
-    /// Whether an arrival counts as beyond its tenant's quota: at random, in proportion to the excess.
+    /// Whether an arrival counts as beyond its tenant's quota: decided at random, so that the tenant's excess over its
+    /// quota is marked on average.
     fn is_over_quota(&mut self, tenant: TenantId) -> bool {
         let Some(arriving) = self.arrivals.fraction(tenant) else {
             return false;
         };
-        // Clients may crowd to this dispatcher: a tenant with far less than its fraction of them did not cause that.
+        // More clients may use this dispatcher than others. A tenant with far less than its fraction of the arrivals
+        // here did not cause that.
         let Tenant {
             quota_per_s,
             fraction,
--- a/crates/decisions/src/dispatcher/adoption.rs
+++ b/crates/decisions/src/dispatcher/adoption.rs
@@ -1,4 +1,4 @@
-//! Open requests that are transferred to the process that takes over: released there, adopted here.
+//! Transfer of open requests to the process that takes over: the old process releases them, the new one adopts them.
 
 use super::Dispatcher;
 use super::fleet::UnstartedAttempt;
@@ -8,8 +8,8 @@
 
 impl Dispatcher {
     /// Releases a request, with all its attempts in flight, to the process that takes over: this dispatcher forgets it.
-    /// `None` if there is no such request, it has its final answer, or the settings have changed the rules that it
-    /// came with: then it stays here.
+    /// Returns `None`, and keeps the request, if it is unknown, has its final answer, or its class rules have changed
+    /// since it arrived.
     pub fn release(&mut self, now: Time, id: RequestId) -> Option<TransferredJob<u32>> {
         let rules = self.open.get(&id).filter(|open| !open.closed)?.job.class;
         let class = self.class_of.iter().position(|index| *index == rules)? as u32;
@@ -37,7 +37,7 @@
         open.job.renamed(|_| Some(class), worker)
     }
 
-    /// Continues a request that another process has released.
+    /// Continues a request that another process has released. A request of an unknown class is ignored.
     pub(super) fn adopt(
         &mut self,
         now: Time,
@@ -70,7 +70,8 @@
         self.send_or_queue(now, id, out);
     }
 
-    /// Index of a worker in the table. A worker that the membership list lacks is added, and gets nothing new.
+    /// Index of a worker in the table. A worker that is missing from the membership list is added, but gets no new
+    /// requests.
     fn worker_index(&mut self, now: Time, worker: u32) -> usize {
         let (index, is_new) = self.fleet.find_or_add(worker);
         if is_new {
@@ -80,7 +81,7 @@
         index
     }
 
-    /// Counts an attempt of the former process as an own one.
+    /// Takes over an attempt in flight of the former process: its slots and its reviews.
     fn adopt_attempt(&mut self, now: Time, id: AttemptId, attempt: &Attempt, slots: f64) {
         if attempt.done {
             return;
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Life of an attempt: sent within every limit, started, progressing, ended.
+//! Life cycle of an attempt: send (within all limits), start, progress and outcome.
 
 use super::Dispatcher;
 use super::fleet::{Timed, UnstartedAttempt, Worker};
@@ -9,12 +9,12 @@
 use crate::runs::{self, fresh};
 use crate::transferred_job::Progress;
 
-/// Growth of the shortest start delay at each start that took longer.
+/// Growth factor of the shortest start delay at each start that took longer.
 const START_DELAY_GROWTH: f64 = 1.01;
 
 impl Dispatcher {
-    /// The only place that sends. Checks every rule that limits a send, whatever chose the worker. Returns whether the
-    /// request was sent.
+    /// Sends a request to a worker; no other function emits [`Action::Send`]. Checks every rule that limits a send,
+    /// however the worker was chosen. Returns whether the request was sent.
     pub(super) fn send(
         &mut self,
         now: Time,
@@ -55,8 +55,9 @@
         true
     }
 
-    /// Takes the connection that was used last; returns for how long the oldest one has been idle. A connection that
-    /// was dropped unnoticed would fail the attempt: where that was observed, old connections are closed first.
+    /// Takes the most recently used idle connection to a worker. Returns how long the oldest idle one has been idle; 0
+    /// if there is none. A connection that was dropped unnoticed would fail the attempt: if the oldest idle time is not
+    /// trusted, the idle connections are closed first.
     fn take_connection(&mut self, now: Time, index: usize, out: &mut Vec<Action>) -> Time {
         let worker = &mut self.fleet[index];
         let idle = worker.idle_since.first().map_or(0, |since| now - since);
@@ -70,7 +71,7 @@
         idle
     }
 
-    /// Records an attempt that is sent now.
+    /// Records an attempt that is sent at `now`.
     fn record_send(&mut self, now: Time, id: RequestId, index: usize, connection_idle: Time) {
         let home = self.open.get(&id).and_then(|open| self.home_worker(open));
         let away_from_home = home.is_some_and(|home| home != index);
@@ -108,7 +109,7 @@
         });
     }
 
-    /// When to look at a request again that has just been sent.
+    /// Schedules the reviews of a request that has just been sent.
     fn schedule_reviews(&mut self, now: Time, id: RequestId) {
         let Some(open) = self.open.get(&id).filter(|_| self.settings.reports_start) else {
             return;
@@ -121,12 +122,13 @@
         }
     }
 
-    /// When an attempt that was sent at this time may be moved to another worker.
+    /// Time from which on an attempt that was sent at `sent` may be moved to another worker.
     pub(super) fn move_due(&self, sent: Time) -> Time {
         sent + (MOVE_FETCHES * self.fetches.cost()) as Time + MOVE_WAIT
     }
 
-    /// From this time on no rule allows one more attempt, or it would hardly be done by the deadline.
+    /// Time from which on another attempt is not allowed, or would probably not end by the deadline. 0 if none is
+    /// allowed at all.
     pub(super) fn sendable_until(&self, open: &OpenRequest) -> Time {
         let runs = (LATE_MARGIN * self.work(open.job.class, open.job.estimate)) as Time;
         let margin = runs.min(self.classes[open.job.class].longest_patience / 2);
@@ -145,12 +147,12 @@
         }
     }
 
-    /// Attempts beyond a request's first that their budget has left in the window that ends now.
+    /// Number of retries that the budget has left in the window that ends now; infinite without a budget.
     pub(super) fn retries_left(&mut self, now: Time) -> f64 {
         self.retries.left(now, self.settings.rules.resends)
     }
 
-    /// Whether the class's effect permits a further attempt on this worker.
+    /// Whether the class's effect allows a further attempt on this worker, given the first attempt that may have run.
     pub(super) fn effect_allows(&self, open: &OpenRequest, worker: &Worker) -> bool {
         let Some(first) = open.job.attempts.iter().find(|a| !a.never_ran) else {
             return true;
@@ -167,7 +169,7 @@
         }
     }
 
-    /// The worker has begun the job.
+    /// Handles the start of an attempt. Ignored if the attempt is unknown, has started already or has ended.
     pub(super) fn handle_start(&mut self, now: Time, id: AttemptId) {
         let Some(attempt) = self.attempt_mut(id) else {
             return;
@@ -180,7 +182,8 @@
         let wait = now.saturating_sub(attempt.sent) as f64;
         self.displacement.record_start();
         if self.run_times.weight > 0.0 {
-            // Long waits are a sign of shared queues: queue more requests here, where the most valuable go first.
+            // Long waits indicate queues shared with other dispatchers. A smaller wait window then keeps more requests
+            // in this dispatcher's queues, which send the most valuable ones first.
             let capacity = self.capacity(&self.fleet[index]);
             let target = LATE_START_WAIT * self.run_times.sum / self.run_times.weight / capacity;
             self.count_start(index, wait >= target);
@@ -190,8 +193,8 @@
         self.learn_from_start(now, index, wait);
     }
 
-    /// Updates the load of others by a start: a late one shows that all slots were occupied, a prompt one that one was
-    /// free.
+    /// Updates the estimated load of others by a start: a late start shows that all slots were occupied, a prompt one
+    /// that a slot was free.
     fn learn_from_start(&mut self, now: Time, index: usize, wait: f64) {
         let (worker, kind) = self.fleet.worker_and_kind_mut(index);
         let started_slots = worker.started_slots();
@@ -221,7 +224,8 @@
         }
     }
 
-    /// Takes a progress report (or the start, as no progress), and looks at the request again when the next is overdue.
+    /// Records a progress report (or the start, as zero progress), and schedules a review for when the next report is
+    /// overdue.
     pub(super) fn handle_progress(&mut self, now: Time, id: AttemptId, done: f64) {
         let Some(attempt) = self.attempt_mut(id) else {
             return;
@@ -245,7 +249,7 @@
         open.job.attempts.get_mut(id.attempt as usize)
     }
 
-    /// An attempt has ended. Returns its worker; `None` if nothing of the kind was in flight.
+    /// Handles the end of an attempt. Returns the index of its worker; `None` if no such attempt was in flight.
     pub(super) fn handle_outcome(
         &mut self,
         now: Time,
@@ -301,7 +305,7 @@
         }
     }
 
-    /// Updates the run times of a class and the speed of a worker's kind by one run.
+    /// Updates the run times of a class and the speed of a worker's kind with one run.
     fn learn_run_time(&mut self, index: usize, class: usize, estimate: Option<Time>, run: Time) {
         let (_, kind) = self.fleet.worker_and_kind_mut(index);
         let speed = &mut kind.speed;
@@ -313,15 +317,15 @@
     fn learn_from_status(&mut self, now: Time, ended: &Attempt, status: Status) {
         let was_idle = ended.connection_idle > 0;
         if status == Status::Reset && ended.started.is_none() && was_idle {
-            // Reset before the start on an idle connection: that is a fault of the connection, not of the worker.
+            // A reset of an idle connection before the start is a fault of the connection, not of the worker.
             self.connection_trust.record_reset(ended.connection_idle);
         } else if status != Status::Timeout {
-            // A time-out was recorded when the attempt was overdue.
+            // A time-out is recorded when an attempt is overdue (see `time_out`).
             self.record_outcome(now, ended.worker, status);
         }
     }
 
-    /// Mean work of a request of this class, in microseconds at mean speed.
+    /// Expected work of a request of this class with this estimate, in microseconds at mean speed.
     pub(super) fn work(&self, class: usize, estimate: Option<Time>) -> f64 {
         self.classes[class].run_time.mean(estimate)
     }
--- a/crates/decisions/src/dispatcher/displacement.rs
+++ b/crates/decisions/src/dispatcher/displacement.rs
@@ -1,36 +1,38 @@
-//! What a request displaces while workers reject attempts, by Erlang's loss formula.
+//! Estimates the value of the requests that a new request displaces while workers reject attempts, based on Erlang's
+//! loss formula.
 
 use super::tuning::LATE_STEP;
 use crate::runs::KEEP;
 use crate::statistics::Demand;
 
-/// Recent demand, and how often attempts are rejected.
+/// Recent demand and the recent rejection rate.
 #[derive(Default)]
 pub(super) struct Displacement {
     /// Recent value and work of the requests.
     demand: Demand,
-    /// Recent fraction of attempts rejected for lack of capacity.
+    /// Recent fraction of attempts rejected for lack of capacity, 0 to 1.
     rejection_rate: f64,
 }
 
 impl Displacement {
-    /// Counts a request of this value and this work times slots.
+    /// Records a request with this value; `work` is its work multiplied by its slots.
     pub(super) fn record_request(&mut self, value: f64, work: f64) {
         self.demand.value = self.demand.value * KEEP + value;
         self.demand.work = self.demand.work * KEEP + work;
     }
 
-    /// Expected value of the requests that one displaces: the probability follows from the rejection rate.
+    /// Expected value of the requests that a request of this work and these slots displaces. The probability of
+    /// displacing one follows from the rejection rate.
     pub(super) fn displaced_value(&self, work: f64, slots: f64) -> f64 {
         self.rejection_rate.sqrt() * self.demand.value / self.demand.work * work * slots
     }
 
-    /// A worker has begun an attempt.
+    /// Records that a worker has started an attempt.
     pub(super) fn record_start(&mut self) {
         self.rejection_rate -= LATE_STEP * self.rejection_rate;
     }
 
-    /// A worker has rejected an attempt for lack of capacity.
+    /// Records that a worker has rejected an attempt for lack of capacity.
     pub(super) fn record_rejection(&mut self) {
         self.rejection_rate += LATE_STEP * (1.0 - self.rejection_rate);
     }
@@ -45,7 +47,7 @@
         self.rejection_rate
     }
 
-    /// Continues from the values of another dispatcher, the rate at this fraction of its weight.
+    /// Continues from the values of another dispatcher, with the rejection rate multiplied by `keep`.
     pub(super) fn resume(&mut self, demand: Demand, rejection_rate: f64, keep: f64) {
         self.rejection_rate = rejection_rate * keep;
         self.demand = demand;
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -1,4 +1,4 @@
-//! The draw of kinds: preferred workers of each kind, and `p_k` of problem (1).
+//! Preparation of the draw: the groups of preferred workers of each kind, and `p_k` of problem (1).
 
 use super::Dispatcher;
 use super::fleet::Worker;
@@ -9,10 +9,10 @@
 use crate::solve::solve;
 use std::collections::BTreeSet;
 
-/// Least capacity that arrivals are divided by.
+/// Lower bound of a capacity used as a divisor.
 const CAPACITY_MIN: f64 = 1e-9;
 
-/// The groups of workers of one zone, or of all others.
+/// The groups of the workers of the own zone, or of all other zones.
 #[derive(Clone, Copy)]
 struct Locality {
     is_home: bool,
@@ -34,7 +34,7 @@
 ];
 
 impl Dispatcher {
-    /// Groups the workers anew and solves problem (1).
+    /// Regroups the workers and solves problem (1).
     pub(super) fn solve_draw(&mut self, now: Time) {
         self.group_workers(now);
         let speeds: Vec<f64> = self
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Until starts have been observed, assumes a high load and as many dispatchers in every zone.
+    /// Sets the preference for the own zone until starts have been observed, assuming a high load and the same number
+    /// of dispatchers in every zone.
     fn assume_home_preference(&mut self, at_home: usize) {
         let zones: BTreeSet<_> = self
             .fleet
@@ -92,7 +93,7 @@
         self.zone_preference.assume(preference);
     }
 
-    /// Fraction of these workers that the own traffic loads to [`PREFERRED_LOAD`].
+    /// Fraction of these workers that this dispatcher's traffic loads to [`PREFERRED_LOAD`].
     fn preferred_fraction(&self, pool: &[usize]) -> f64 {
         let capacities = pool.iter().map(|index| self.capacity(&self.fleet[*index]));
         let capacity: f64 = capacities.sum();
@@ -101,9 +102,10 @@
         filled.max(least).min(1.0)
     }
 
-    /// Prefers a contiguous range of a kind's workers, which begins elsewhere at each dispatcher: requests that are
-    /// spread thinly over a large fleet would show the load of no worker. Workers in warm-up are preferred wherever
-    /// this dispatcher has a part of their budget.
+    /// Groups the workers of a kind. A contiguous range of them is preferred, which starts at a different position for
+    /// each dispatcher: a dispatcher that spread its requests thinly over a large fleet would not learn the load of any
+    /// worker. A worker in warm-up is preferred by the dispatchers that have a part of its budget, and is in no group
+    /// of the others.
     fn group_kind(
         &mut self,
         now: Time,
--- a/crates/decisions/src/dispatcher/fleet.rs
+++ b/crates/decisions/src/dispatcher/fleet.rs
@@ -1,5 +1,6 @@
-//! The workers that a dispatcher knows, their kinds, and what is derived from them: groups, own attempts, claims of
-//! peers. Slots and attempts of a worker change here only, so that the derived values agree with them.
+//! The workers that a dispatcher knows, their kinds, and the indices derived from them: groups, busy workers, unstarted
+//! attempts and slots claimed by peers. The slots and attempts of a worker change only in this module, so that the
+//! derived values stay consistent.
 
 mod worker;
 
@@ -11,20 +12,20 @@
 use worker::PeerClaim;
 pub(super) use worker::{Kind, Timed, UnstartedAttempt, Worker};
 
-/// The workers, each under an index that it keeps.
+/// Table of workers. A worker keeps its index for good.
 #[derive(Default)]
 pub(super) struct Fleet {
     workers: Vec<Worker>,
     /// Index of each worker in `workers`.
     index: BTreeMap<WorkerId, usize>,
     kinds: Vec<Kind>,
-    /// Active workers by group (see `tuning::group`) and kind: no event walks the whole fleet.
+    /// Active workers by group (see `tuning::group`) and kind, so that no event has to scan the whole fleet.
     groups: Vec<Vec<usize>>,
-    /// Workers with own slots in flight.
+    /// Indices of the workers with own slots in flight.
     busy: BTreeSet<usize>,
-    /// Workers that each peer has claimed slots at.
+    /// For each peer, the indices of the workers where it has claimed slots.
     claimed: BTreeMap<u32, Vec<usize>>,
-    /// Own attempts whose start has not been reported.
+    /// Number of own attempts whose start has not been reported.
     unstarted_count: usize,
 }
 
@@ -43,27 +44,27 @@
 }
 
 impl Fleet {
-    /// All workers, by index.
+    /// All workers, in the order of their indices.
     pub(super) fn workers(&self) -> &[Worker] {
         &self.workers
     }
 
-    /// All workers, by index.
+    /// All workers, in the order of their indices.
     pub(super) fn workers_mut(&mut self) -> &mut [Worker] {
         &mut self.workers
     }
 
-    /// The index of a worker, if it is known.
+    /// The index of a worker; `None` if it is unknown.
     pub(super) fn index_of(&self, worker: WorkerId) -> Option<usize> {
         self.index.get(&worker).copied()
     }
 
-    /// The indices of all workers, by id.
+    /// The indices of all workers, in the order of their ids.
     pub(super) fn indices_by_id(&self) -> impl Iterator<Item = usize> {
         self.index.values().copied()
     }
 
-    /// The index of a worker, and whether it was added just now.
+    /// The index of a worker, which is added if it is unknown, and whether it was added.
     pub(super) fn find_or_add(&mut self, worker: WorkerId) -> (usize, bool) {
         let next = self.workers.len();
         let index = *self.index.entry(worker).or_insert(next);
@@ -77,17 +78,17 @@
         (index, is_new)
     }
 
-    /// All kinds, by number.
+    /// All kinds, in the order of their indices.
     pub(super) fn kinds(&self) -> &[Kind] {
         &self.kinds
     }
 
-    /// A kind, to be changed.
+    /// Mutable access to a kind.
     pub(super) fn kind_mut(&mut self, kind: usize) -> &mut Kind {
         &mut self.kinds[kind]
     }
 
-    /// Adds kinds until there are this many at least.
+    /// Adds kinds until there are at least `count`.
     pub(super) fn extend_kinds(&mut self, count: usize) {
         let count = self.kinds.len().max(count);
         self.kinds.resize(count, Kind::default());
@@ -98,14 +99,14 @@
         &self.kinds[worker.kind]
     }
 
-    /// A worker and its kind, to be changed.
+    /// Mutable access to a worker and its kind.
     pub(super) fn worker_and_kind_mut(&mut self, index: usize) -> (&mut Worker, &mut Kind) {
         let worker = &mut self.workers[index];
         let kind = &mut self.kinds[worker.kind];
         (worker, kind)
     }
 
-    /// Empties the groups, one for each group and kind.
+    /// Resets the groups to one empty list for each group and kind.
     pub(super) fn clear_groups(&mut self) {
         self.groups = vec![Vec::new(); group::COUNT * self.kinds.len()];
     }
@@ -120,46 +121,46 @@
         &self.groups[group * self.kinds.len() + kind]
     }
 
-    /// Each group's number with its workers, kind by kind.
+    /// For each group and kind, the index of the group and its workers of that kind.
     pub(super) fn groups(&self) -> impl Iterator<Item = (usize, &[usize])> {
         let groups = self.groups.iter().enumerate();
         groups.map(|(position, workers)| (position / self.kinds.len(), &workers[..]))
     }
 
-    /// The workers of a kind, group by group.
+    /// The grouped workers of a kind, group by group.
     pub(super) fn grouped_of_kind(&self, kind: usize) -> impl Iterator<Item = usize> {
         let of_kind = self.groups.iter().skip(kind).step_by(self.kinds.len());
         of_kind.flatten().copied()
     }
 
-    /// Workers with own slots in flight, by index.
+    /// Workers with own slots in flight, in the order of their indices.
     pub(super) fn busy(&self) -> impl Iterator<Item = &Worker> {
         self.busy.iter().map(|index| &self.workers[*index])
     }
 
-    /// How many workers have own slots in flight.
+    /// Number of workers with own slots in flight.
     pub(super) fn busy_count(&self) -> usize {
         self.busy.len()
     }
 
-    /// Own attempts whose start has not been reported.
+    /// Number of own attempts whose start has not been reported.
     pub(super) fn unstarted_count(&self) -> usize {
         self.unstarted_count
     }
 
-    /// Counts an own attempt with this many slots at a worker.
+    /// Adds the slots of an own attempt at a worker.
     pub(super) fn add_slots(&mut self, index: usize, slots: f64) {
         self.workers[index].own_slots += slots;
         self.busy.insert(index);
     }
 
-    /// Counts an own attempt whose start has not been reported.
+    /// Adds an own attempt whose start has not been reported.
     pub(super) fn add_unstarted(&mut self, index: usize, attempt: UnstartedAttempt) {
         self.workers[index].unstarted.push(attempt);
         self.unstarted_count += 1;
     }
 
-    /// An own attempt no longer waits at its worker and releases this many slots there.
+    /// Releases `slots` slots of an own attempt at its worker, where it no longer counts as unstarted.
     pub(super) fn release_slots(&mut self, now: Time, index: usize, id: AttemptId, slots: f64) {
         let worker = &mut self.workers[index];
         worker.running(now);
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Replaces the slots that a peer has claimed before. Workers that are not known are skipped.
+    /// Replaces all slots claimed by a peer. Unknown workers are skipped.
     pub(super) fn replace_claims(&mut self, now: Time, peer: u32, in_flight: &[(WorkerId, u8)]) {
         let claimed = self.claimed.entry(peer).or_default();
         for index in claimed.drain(..) {
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Whether all that is derived from the table of workers agrees with a fresh count.
+    /// Whether all values derived from the table of workers agree with a recount.
     pub(super) fn is_consistent(&self) -> bool {
         let workers = self.workers.iter().enumerate();
         let busy = workers
--- a/crates/decisions/src/dispatcher/fleet/worker.rs
+++ b/crates/decisions/src/dispatcher/fleet/worker.rs
@@ -1,72 +1,74 @@
-//! A worker and a kind of workers, as a dispatcher knows them.
+//! State that a dispatcher keeps for a worker and for a kind of workers.
 
 use crate::api::{Entry, Time};
 use crate::dispatcher::state::AttemptId;
 use crate::dispatcher::tuning::{FIRST_START_DELAY, REPORT_AGE};
 use crate::runs::{Speed, fresh};
 
-/// An own attempt that waits in a worker's queue, as far as is known.
+/// An own attempt whose start has not been reported, so that it may wait in a worker's queue.
 pub(in crate::dispatcher) struct UnstartedAttempt {
     pub sent: Time,
     pub id: AttemptId,
     pub slots: f64,
 }
 
-/// Slots that a peer reported to occupy at a worker.
+/// Slots that a peer has reported to occupy at a worker.
 pub(in crate::dispatcher) struct PeerClaim {
     pub peer: u32,
     pub slots: f64,
     pub at: Time,
 }
 
-/// A value at a time.
+/// A value and the time when it was valid.
 #[derive(Clone, Copy, Default)]
 pub(in crate::dispatcher) struct Timed {
     pub value: f64,
     pub at: Time,
 }
 
-/// A worker as this dispatcher knows it.
+/// State that this dispatcher keeps for a worker.
 #[derive(Default)]
 pub(in crate::dispatcher) struct Worker {
-    /// Its entry in the membership list.
+    /// The worker's latest entry in the membership list.
     pub listed: Entry,
-    /// It may get requests: listed, and neither draining nor removed.
+    /// Whether the worker may get requests: it is listed as neither draining nor removed.
     pub active: bool,
-    /// Index of its kind.
+    /// Index of the worker's kind.
     pub kind: usize,
-    /// Own slots in flight.
+    /// Slots of this dispatcher's attempts in flight.
     pub(super) own_slots: f64,
     /// Own attempts whose start has not been reported, in the order sent.
     pub(super) unstarted: Vec<UnstartedAttempt>,
-    /// Own slots running, averaged over about the age of a report.
+    /// Started own slots, averaged over about the age of a load report.
     running: Timed,
-    /// Shortest recent time from send to start: what a free slot takes.
+    /// Shortest recent time from send to start, in microseconds: the delay of a start on a free slot.
     pub start_delay: f64,
-    /// Slots that others occupy, by the last load update.
+    /// Slots that other dispatchers' jobs occupy, according to the last load update.
     pub others_slots: f64,
-    /// When that update came.
+    /// When `others_slots` was last updated; `None`: never.
     pub load_updated_at: Option<Time>,
-    /// Recent fraction of failures.
+    /// Recent fraction of attempts that failed, 0 to 1.
     pub failure_rate: f64,
-    /// It gets nothing before this time.
+    /// The worker is ejected until this time: it gets no request.
     pub ejected_until: Time,
-    /// Times found unresponsive since it was last observed to make progress.
+    /// How often the worker was found unresponsive since it last made progress.
     pub timeouts_in_a_row: u32,
-    /// When it was last probed.
+    /// When the worker was last probed; 0: never.
     pub probed_at: Time,
-    /// Slots that peers occupy here.
+    /// Slots that peers have reported to occupy at the worker.
     pub(super) peer_claims: Vec<PeerClaim>,
-    /// Work that may be sent while it warms up, saved up to this time.
+    /// Work that may be sent while the worker warms up, accumulated up to the time of the value. Negative: owed.
     pub warm_up_budget: Timed,
-    /// Since when each idle connection to it is idle, estimated by what ended and was sent there; in order.
+    /// Since when each idle connection to the worker has been idle, in ascending order, estimated from the sends and
+    /// outcomes there.
     pub idle_since: Vec<Time>,
-    /// Something has ended there since its connections were last closed.
+    /// Whether an attempt or a probe has ended at the worker since its idle connections were last closed, so that there
+    /// may be idle connections.
     pub has_connections: bool,
 }
 
 impl Worker {
-    /// A worker of which nothing but its entry is known.
+    /// Creates the state of a worker of which only the membership entry is known.
     pub(in crate::dispatcher) fn new(listed: Entry) -> Self {
         Worker {
             listed,
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Own slots running, averaged over the age of a report. To be called before their number changes.
+    /// Updates and returns the number of started own slots, averaged over the age of a load report. Must be called
+    /// before the number of started slots changes.
     pub(in crate::dispatcher) fn running(&mut self, now: Time) -> f64 {
         let fade = (-(now.saturating_sub(self.running.at) as f64) / REPORT_AGE).exp();
         let runs = self.started_slots();
@@ -86,7 +89,7 @@
         self.running.value
     }
 
-    /// Own slots in flight.
+    /// Slots of this dispatcher's attempts in flight.
     pub(in crate::dispatcher) fn own_slots(&self) -> f64 {
         self.own_slots
     }
@@ -106,7 +109,7 @@
                 .sum::<f64>()
     }
 
-    /// Slots that peers occupy here, weighted by the age of their updates.
+    /// Slots that peers occupy at the worker, weighted by the age of their updates.
     pub(in crate::dispatcher) fn peer_slots(&self, now: Time) -> f64 {
         self.peer_claims
             .iter()
@@ -114,19 +117,20 @@
             .sum()
     }
 
-    /// Whether a start after this wait shows that no slot was free. Times are microseconds.
+    /// Whether a start after this wait, in microseconds, shows that no slot was free at the send.
     pub(in crate::dispatcher) fn is_late_start(&self, wait: f64, granularity: Time) -> bool {
         wait > 2.0 * self.start_delay + 4.0 * granularity as f64
     }
 }
 
-/// A kind of workers.
+/// State that this dispatcher keeps for a kind of workers.
 #[derive(Clone, Default)]
 pub(in crate::dispatcher) struct Kind {
-    /// Most own slots observed running at once on one worker, or as reported.
+    /// Slots of one worker: as reported, otherwise the most own slots observed running at once on one worker.
     pub slots: f64,
-    /// Load reports gave the slots. These count for more: a job whose end is reported late seems to run on.
+    /// Whether load reports gave the slots. Reported slots take precedence over observed ones, because a job whose end
+    /// is reported late seems to run on.
     pub slots_reported: bool,
-    /// How fast its workers are.
+    /// Speed of the kind's workers, relative to the mean of all kinds.
     pub speed: Speed,
 }
--- a/crates/decisions/src/dispatcher/health.rs
+++ b/crates/decisions/src/dispatcher/health.rs
@@ -1,4 +1,4 @@
-//! Health of workers by the results of their attempts: failure rates, ejection, probation.
+//! Health of workers, derived from the outcomes of their attempts: failure rates, ejection and probation.
 
 use super::Dispatcher;
 use super::fleet::Worker;
@@ -10,7 +10,7 @@
 use crate::api::{Effect, Status, Time};
 
 impl Dispatcher {
-    /// Updates the health of a worker by the result of an attempt.
+    /// Updates the health of a worker with the outcome of an attempt.
     pub(super) fn record_outcome(&mut self, now: Time, index: usize, status: Status) {
         match status {
             Status::Ok => {
@@ -23,7 +23,7 @@
             }
             Status::Timeout => self.fleet[index].record_failure(now, TIMEOUT_STEP, true),
             Status::Full => {
-                // A slot frees within about a run time.
+                // A slot becomes free within about a mean run time.
                 let run =
                     (self.run_times.sum / self.run_times.weight).min(FULL_EJECTION_MAX) as Time;
                 let worker = &mut self.fleet[index];
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The worker makes progress: an ejection for being unresponsive ends.
+    /// Records that a worker makes progress: an ejection for being unresponsive ends.
     pub(super) fn record_progress(&mut self, now: Time, index: usize) {
         let worker = &mut self.fleet[index];
         if std::mem::take(&mut worker.timeouts_in_a_row) > 0 {
@@ -43,12 +43,14 @@
         }
     }
 
-    /// Whether a worker on probation may get this request: one at a time, and only a retryable one.
+    /// Whether a worker on probation may get this request: only a retryable one, and only while the worker has no
+    /// other.
     pub(super) fn may_probe_health(&self, worker: &Worker, open: &OpenRequest) -> bool {
         worker.own_slots() == 0.0 && self.settings.classes[open.job.class].effect != Effect::Unsafe
     }
 
-    /// Failure rates decay with time: where no class is retryable, nothing else would end a probation.
+    /// Decays the failure rates of workers that are not ejected. Without decay a probation would never end if no class
+    /// is retryable.
     pub(super) fn decay_failures(&mut self, now: Time) {
         let listed = self.fleet.workers_mut().iter_mut();
         listed
@@ -58,11 +60,13 @@
 }
 
 impl Worker {
-    /// An error at once leaves the worker with few jobs in flight: without an ejection it would win every draw.
+    /// Records a failure and ejects the worker if the failure rate is high or the failure was a time-out. A worker that
+    /// fails immediately has few jobs in flight, so that without an ejection every sample would prefer it.
     fn record_failure(&mut self, now: Time, step: f64, is_timeout: bool) {
         self.failure_rate += step * (1.0 - self.failure_rate);
         let ejection = (EJECTION_BASE / (1.0 - self.failure_rate).powi(2)).min(EJECTION_MAX);
-        // A single failure may be the connection's, and would eject half the fleet; two in a row are the worker's.
+        // A single failure may be due to the connection, and ejections for it could remove half of the fleet; two
+        // failures in a row are due to the worker.
         if is_timeout || self.failure_rate > PROBATION_FAILURE_RATE {
             self.ejected_until = self.ejected_until.max(now + ejection as Time);
         }
--- a/crates/decisions/src/dispatcher/kind_weights.rs
+++ b/crates/decisions/src/dispatcher/kind_weights.rs
@@ -1,39 +1,39 @@
-//! The probability of each kind to be drawn, `p_k` of problem (1).
+//! The probability that each kind is drawn: `p_k` of problem (1).
 
 use crate::affinity::SmoothedWeights;
 
-/// The latest solution, and its average over a longer time.
+/// The latest solution, and its moving average.
 #[derive(Default)]
 pub(super) struct KindWeights {
     /// `p_k` of the latest solution.
     solved: Vec<f64>,
-    /// `p_k` averaged for longer: requests with an affinity seldom move.
+    /// Moving average of `p_k`, used for requests with an affinity so that they rarely change their kind.
     smoothed: SmoothedWeights,
 }
 
 impl KindWeights {
-    /// Takes the latest solution.
+    /// Stores the latest solution and updates the average.
     pub(super) fn update(&mut self, solved: Vec<f64>) {
         self.solved = solved;
         self.smoothed.follow(&self.solved);
     }
 
-    /// The latest solution, in the order of the kinds.
+    /// The latest solution, indexed by kind.
     pub(super) fn solved(&self) -> &[f64] {
         &self.solved
     }
 
-    /// The average, in the order of the kinds.
+    /// The moving average, indexed by kind.
     pub(super) fn smoothed(&self) -> &[f64] {
         self.smoothed.as_slice()
     }
 
-    /// The average of one kind; 0 where there is none.
+    /// The moving average of one kind; 0 if it has none.
     pub(super) fn smoothed_of(&self, kind: usize) -> f64 {
         self.smoothed.get(kind)
     }
 
-    /// Replaces the average of one kind, where there are `kinds` of them.
+    /// Sets the moving average of one of `kinds` kinds.
     pub(super) fn set_smoothed(&mut self, kind: usize, kinds: usize, weight: f64) {
         self.smoothed.set(kind, kinds, weight);
     }
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -1,4 +1,4 @@
-//! How loaded workers look, and how many own requests may wait in their queues.
+//! Estimated load of workers, and the limit on own requests that wait in their queues.
 
 use super::Dispatcher;
 use super::fleet::Worker;
@@ -7,15 +7,16 @@
 use crate::runs::fresh;
 use crate::statistics::LateStartRate;
 
-/// A slot counts as free if at least half of it is: loads are averages.
+/// A slot counts as free if at least half of it is free, because loads are averages.
 const HALF_SLOT: f64 = 0.5;
-/// Attempts that may wait at workers that look free: this constant, plus a multiple of the wait window.
+/// Number of attempts that may wait at workers that appear free: this minimum, plus [`LOOKS_FREE_WINDOWS`] wait windows
+/// and a part that depends on the arriving work.
 const LOOKS_FREE_MIN: f64 = 2.0;
 const LOOKS_FREE_WINDOWS: f64 = 2.0;
 
 impl Dispatcher {
-    /// Whether one more own attempt may wait. Also at workers that look free their number is limited: these look free
-    /// to many dispatchers at once.
+    /// Whether one more own attempt may wait in a worker's queue. `is_unlikely`: a free slot is unlikely there.
+    /// Attempts at workers that appear free are limited too, because those appear free to many dispatchers at once.
     pub(super) fn may_wait(&self, is_unlikely: bool) -> bool {
         let limit = if is_unlikely {
             self.wait_window.attempts()
@@ -27,7 +28,7 @@
         (self.fleet.unstarted_count() as f64) < limit
     }
 
-    /// Whether some worker may take a queued request. While there is none, the queues are not scanned.
+    /// Whether any worker may take a queued request. If none may, the queues are not scanned.
     pub(super) fn has_free_worker(&self, now: Time) -> bool {
         let may_queue = self.may_wait(true);
         let is_free = |worker: &Worker| {
@@ -44,14 +45,15 @@
             .any(|(group, workers)| (may_queue || is_preferred(group)) && workers.iter().any(takes))
     }
 
-    /// Slots in flight as far as known, per slot that a worker has at least while it warms up.
+    /// Known slots in flight, including one more, per slot of the worker, of which a worker in warm-up has only a
+    /// fraction.
     pub(super) fn load(&self, now: Time, worker: &Worker) -> f64 {
         let in_flight = worker.own_slots() + self.slots_of_others(now, worker) + 1.0;
         in_flight / (self.slots(worker) * self.warm_up_fraction(now, worker))
     }
 
-    /// Slots that others occupy, by the last load update. Without a recent one they are estimated by the rate of late
-    /// starts.
+    /// Slots that other dispatchers' jobs occupy, according to the last load update. The older that update, the more
+    /// the estimate relies on the rate of late starts instead.
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
         let LateStartRate { away, home } = self.zone_preference.late_starts();
         let at_large = away.max(home) * self.slots(worker);
@@ -60,8 +62,8 @@
         expected.max(worker.peer_slots(now))
     }
 
-    /// Whether no slot is expected to be free: all known ones, plus `more`, are occupied, or an own attempt waits
-    /// there.
+    /// Whether no slot is expected to be free: all known slots, plus `more`, are occupied, or an own attempt has waited
+    /// at the worker for longer than a start on a free slot takes.
     pub(super) fn is_crowded(&self, now: Time, worker: &Worker, more: f64) -> bool {
         let oldest = worker.unstarted().first();
         let wait = oldest.map_or(0.0, |unstarted| now.saturating_sub(unstarted.sent) as f64);
@@ -70,17 +72,17 @@
                 > self.slots(worker) + more
     }
 
-    /// Slots of a worker, at least one.
+    /// Number of slots of a worker, at least one.
     pub(super) fn slots(&self, worker: &Worker) -> f64 {
         self.fleet.kind_of(worker).slots.max(1.0)
     }
 
-    /// Slots of a worker times its speed.
+    /// Capacity of a worker: its slots multiplied by its speed.
     pub(super) fn capacity(&self, worker: &Worker) -> f64 {
         self.slots(worker) * self.fleet.kind_of(worker).speed.speed
     }
 
-    /// Whether a worker counts as one of the own zone; all do where crossing zones costs nothing.
+    /// Whether a worker counts as one of the own zone. All workers do if crossing zones costs nothing.
     pub(super) fn is_home(&self, worker: &Worker) -> bool {
         self.settings.charges.cross_zone <= 0.0 || worker.listed.zone == self.settings.zone
     }
--- a/crates/decisions/src/dispatcher/membership.rs
+++ b/crates/decisions/src/dispatcher/membership.rs
@@ -1,4 +1,4 @@
-//! The membership list: which workers there are, and connections to those that drain.
+//! Handling of the membership list, and closing of idle connections to draining workers.
 
 use super::fleet::{Timed, Worker};
 use super::tuning::KINDS_MAX;
@@ -6,7 +6,7 @@
 use crate::api::{Action, Entry, Scope, Time, WorkerState};
 
 impl Dispatcher {
-    /// Applies a membership list, a change of it, or the failure of a request for it.
+    /// Applies a membership list, a change of it, or the failure of a request for the list.
     pub(super) fn handle_membership(
         &mut self,
         now: Time,
@@ -37,8 +37,8 @@
         self.request_membership(now, out);
     }
 
-    /// An attempt or a probe has ended at a worker: closes idle connections there if it drains, where the settings
-    /// say so.
+    /// Closes the idle connections to a worker that is not active, if the settings require it. Called after an attempt
+    /// or a probe has ended there.
     pub(super) fn close_idle(&mut self, index: usize, out: &mut Vec<Action>) {
         let worker = &mut self.fleet[index];
         worker.has_connections = worker.active || self.settings.rules.close_idle_within.is_none();
@@ -54,7 +54,7 @@
         let kind = (entry.kind as usize).min(KINDS_MAX);
         self.fleet.extend_kinds(kind + 1);
         let (index, _) = self.fleet.find_or_add(entry.worker);
-        // All dispatchers learn of a start together: each begins to accumulate its budget at a random offset.
+        // All dispatchers learn of a start at the same time. A random debt spreads the times of their first sends.
         let owed = -unit(&mut self.rng) * self.run_times.sum / self.run_times.weight.max(1.0);
         let worker = &mut self.fleet[index];
         if entry.ready_at > worker.listed.ready_at {
@@ -69,7 +69,7 @@
         worker.listed = entry;
     }
 
-    /// Subscribes to the membership list where it must be requested; one event answers each request.
+    /// Subscribes to the membership list when a request for it is due; one event answers each request.
     pub(super) fn request_membership(&mut self, now: Time, out: &mut Vec<Action>) {
         let refresh_within = self.settings.rules.membership_refresh_within;
         if self.membership_request.take_due(now, refresh_within) {
@@ -79,7 +79,8 @@
 }
 
 impl Worker {
-    /// A new process has the same id: nothing that was learned of the former one applies to it.
+    /// Forgets the health and load of the worker's former process: a new process has the same id, and nothing learned
+    /// about the former one applies to it.
     fn forget_former_process(&mut self) {
         self.failure_rate = 0.0;
         self.ejected_until = 0;
--- a/crates/decisions/src/dispatcher/membership_request.rs
+++ b/crates/decisions/src/dispatcher/membership_request.rs
@@ -1,18 +1,18 @@
-//! When the membership list is requested next.
+//! Schedule of the requests for the membership list.
 
 use super::tuning::{MEMBERSHIP_BACKOFF_FIRST, MEMBERSHIP_BACKOFF_MAX};
 use crate::api::{Scope, Time};
 
-/// The next request, and the wait after its failure.
+/// Due time of the next request, and the backoff after a failure.
 #[derive(Default)]
 pub(super) struct MembershipRequest {
     due: Time,
-    /// Wait after the next failure.
+    /// Delay of the request that follows the next failure.
     backoff: Time,
 }
 
 impl MembershipRequest {
-    /// Due at once, or never where updates come without a request.
+    /// The first request is due at `now`, or never if updates are pushed without a request.
     pub(super) fn new(now: Time, is_pushed: bool) -> Self {
         MembershipRequest {
             due: if is_pushed { Time::MAX } else { now },
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Takes the answer to a request: after a failure the next one waits, longer each time.
+    /// Handles the answer to a request. After a failure the next request is delayed with exponential backoff; after a
+    /// list other than a cached one no request is due.
     pub(super) fn handle_answer(&mut self, now: Time, scope: Scope, refresh_within: Time) {
         let backoff = self.backoff;
         match scope {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Whether a request is due; the next one is, unless an answer comes, after `refresh_within`.
+    /// Whether a request is due. If so, the next one becomes due after `refresh_within`, unless an answer comes.
     pub(super) fn take_due(&mut self, now: Time, refresh_within: Time) -> bool {
         let is_due = now >= self.due;
         if is_due {
--- a/crates/decisions/src/dispatcher/observations.rs
+++ b/crates/decisions/src/dispatcher/observations.rs
@@ -1,26 +1,26 @@
-//! Load of workers by their reports, by probes and by updates from peers.
+//! Load of workers: their load reports, probes, and updates to peers.
 
 use super::Dispatcher;
 use super::tuning::{PEER_UPDATE_MAX, PROBE_AGE, PROBE_WAIT, REPORT_AGE, SAMPLE_SIZE};
 use crate::api::{Action, Load, RequestId, Time, WorkerId};
 
-/// Bytes of a peer update: for each worker, and for the rest.
+/// Size of a peer update, in bytes: for each worker, and for the rest.
 const PEER_UPDATE_WORKER_BYTES: usize = 5;
 const PEER_UPDATE_REST_BYTES: usize = 1;
-/// Bytes that the price of a peer update is for.
+/// Number of bytes that the price of peer updates refers to.
 const PRICED_BYTES: f64 = 256.0;
-/// An update is sent as soon as this many times its price is saved up.
+/// A peer update is sent once the accumulated budget reaches this multiple of its price.
 const PEER_UPDATE_PRICE_FACTOR: f64 = 2.0;
-/// Least free slots with which a report without a queue gives all slots of a worker.
+/// Least number of free slots for which a report without a queue shows the total number of slots of a worker.
 const FREE_SLOTS_MIN: f64 = 0.7;
 /// A queue shorter than this counts as empty.
 const EMPTY_QUEUE: f64 = 0.5;
-/// Subtracted from the slots that a report implies before rounding, since its numbers are averages.
+/// Amount subtracted from the slots that a report implies before rounding, because its numbers are averages.
 const SLOTS_ROUNDING: f64 = 0.3;
 
 impl Dispatcher {
-    /// Probes sampled workers without recent load. Load counts as recent for a shorter time where jobs run long and own
-    /// jobs are few among all.
+    /// Samples workers for a request and probes those without recent load. Load stays recent for a shorter time if jobs
+    /// run long and the dispatcher's own jobs are only a small part of all jobs.
     pub(super) fn probe(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let own_fraction = SAMPLE_SIZE as f64 / self.settings.dispatchers as f64;
         let jobs_per_report =
@@ -47,7 +47,7 @@
         open.probed = sample;
     }
 
-    /// Reports the slots in flight at each worker to the peers, as often as the price allows.
+    /// Sends the slots in flight at each worker to the peers, as often as the budget allows.
     pub(super) fn update_peers(&mut self, out: &mut Vec<Action>) {
         let workers = self.fleet.busy_count().min(PEER_UPDATE_MAX);
         let peers = self.settings.dispatchers - 1;
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Updates the slots of a kind, and the slots of others at a worker, by its load report.
+    /// Updates the slots of a worker's kind, and the slots that others occupy at the worker, from its load report.
     pub(super) fn handle_load(&mut self, now: Time, index: usize, load: &Load) {
         let (worker, kind) = self.fleet.worker_and_kind_mut(index);
         let nothing_waits = load.queue.is_none_or(|queue| queue < EMPTY_QUEUE);
         let free = load.free_slots.filter(|free| *free >= FREE_SLOTS_MIN);
         if let Some(free) = free.filter(|_| nothing_waits) {
-            // Without a queue, occupied and free slots are all slots. (With a free slot there may be one: a job can
-            // wait for two slots.)
+            // If nothing waits, occupied and free slots add up to all slots. A job may wait although a slot is free,
+            // because it needs two.
             let is_first = load.inflight.is_some() && !kind.slots_reported;
             kind.slots_reported |= is_first;
             let known = if is_first { 1.0 } else { kind.slots };
@@ -85,7 +85,7 @@
         }
         let implied = load.free_slots.map(|free| kind.slots - free);
         if let Some(occupied) = load.inflight.or(implied) {
-            // The report is older than this event: own jobs count as they were about then.
+            // The report is older than this event, so the average of the own slots at about that time is subtracted.
             worker.others_slots = (occupied - worker.running(now)).max(0.0);
             worker.load_updated_at = Some(now);
         }
--- a/crates/decisions/src/dispatcher/overhead.rs
+++ b/crates/decisions/src/dispatcher/overhead.rs
@@ -3,19 +3,19 @@
 use super::tuning::{OVERHEAD_MAX, OVERHEAD_PER_REQUEST};
 use crate::api::WorkerId;
 
-/// What probes and peer updates may cost now, and those that were sent last.
+/// Budget of probes and peer updates, and the state of those in use.
 #[derive(Default)]
 pub(super) struct Overhead {
-    /// Grows by [`OVERHEAD_PER_REQUEST`], up to [`OVERHEAD_MAX`].
+    /// Budget left, as a fraction of the result. Each request adds [`OVERHEAD_PER_REQUEST`], up to [`OVERHEAD_MAX`].
     budget: f64,
-    /// Probes without an answer.
+    /// Number of probes without an answer.
     probes_in_flight: usize,
-    /// The last update to the peers.
+    /// Content of the last peer update.
     last_peer_update: Vec<(WorkerId, u8)>,
 }
 
 impl Overhead {
-    /// Adds the share of one request.
+    /// Adds the budget of one request.
     pub(super) fn record_request(&mut self) {
         self.budget = (self.budget + OVERHEAD_PER_REQUEST).min(OVERHEAD_MAX);
     }
@@ -25,23 +25,23 @@
         self.budget >= price
     }
 
-    /// Pays for a probe, whose answer is awaited from now on.
+    /// Pays for a probe that is sent now.
     pub(super) fn start_probe(&mut self, price: f64) {
         self.budget -= price;
         self.probes_in_flight += 1;
     }
 
-    /// A probe was answered, or has failed.
+    /// Records that a probe was answered or has failed.
     pub(super) fn end_probe(&mut self) {
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
     }
 
-    /// Whether the answer of a probe is awaited.
+    /// Whether any probe is unanswered.
     pub(super) fn awaits_probes(&self) -> bool {
         self.probes_in_flight > 0
     }
 
-    /// Pays for an update to the peers, unless it is the same as the last one. Returns whether it is to be sent.
+    /// Pays for a peer update unless it equals the last one. Returns whether to send it.
     pub(super) fn pay_for_update(&mut self, price: f64, in_flight: &[(WorkerId, u8)]) -> bool {
         if in_flight == self.last_peer_update {
             return false;
--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -1,4 +1,4 @@
-//! New settings while requests are open: these keep the rules of their class, and statistics stay.
+//! New settings at run time: open requests keep the rules that their class had when they arrived, and statistics stay.
 
 use super::Dispatcher;
 use super::state::ClassStats;
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Puts the changed rules of a class at an index that no open request uses. Such indices are reused, so that the
+    /// Stores changed rules of a class at an index that no open request uses. Unused indices are reused, so that the
     /// tables stay small.
     fn replace_class(&mut self, id: usize, class: Class) {
         let known = self.class_of.get(id).copied();
@@ -40,7 +40,7 @@
         self.class_of[id] = index;
     }
 
-    /// The first entry that no class and no open request uses, or one past the last.
+    /// The first index that no class and no open request uses, or the index past the end.
     fn spare_class(&self) -> usize {
         let is_used = |index: &usize| {
             self.class_of.contains(index) || self.open.values().any(|open| open.job.class == *index)
--- a/crates/decisions/src/dispatcher/request_queues.rs
+++ b/crates/decisions/src/dispatcher/request_queues.rs
@@ -1,32 +1,32 @@
-//! Queued requests, a queue for each class, quota and lateness, each in the order queued.
+//! Queues of requests: one for each combination of class, quota state and lateness, each ordered by time of queueing.
 
 use super::state::QueueIndex;
 use crate::api::RequestId;
 use std::collections::VecDeque;
 
-/// The queues, by [`QueueIndex`].
+/// The queues, indexed by [`QueueIndex`].
 #[derive(Default)]
 pub(super) struct RequestQueues(Vec<VecDeque<RequestId>>);
 
 impl RequestQueues {
-    /// Empty queues of so many classes.
+    /// Creates empty queues for this number of classes.
     pub(super) fn of_classes(classes: usize) -> Self {
         RequestQueues(vec![VecDeque::new(); classes * QueueIndex::PER_CLASS])
     }
 
-    /// Changes the number of classes. No request may be queued in those that go.
+    /// Changes the number of classes. Queues that are removed must be empty.
     pub(super) fn resize(&mut self, classes: usize) {
         self.0
             .resize(classes * QueueIndex::PER_CLASS, VecDeque::new());
     }
 
-    /// Queues that are not empty, in the order of their indices.
+    /// Indices of the non-empty queues, in ascending order.
     pub(super) fn in_use(&self) -> Vec<QueueIndex> {
         let indices = (0..self.0.len()).filter(|index| !self.0[*index].is_empty());
         indices.map(QueueIndex).collect()
     }
 
-    /// Requests in a queue.
+    /// Number of requests in a queue.
     pub(super) fn len(&self, queue: QueueIndex) -> usize {
         self.0[queue.0].len()
     }
@@ -41,7 +41,7 @@
         self.0[queue.0].push_back(id);
     }
 
-    /// Removes the oldest request of a queue.
+    /// Removes and returns the oldest request of a queue; `None` if the queue is empty.
     pub(super) fn pop_oldest(&mut self, queue: QueueIndex) -> Option<RequestId> {
         self.0[queue.0].pop_front()
     }
--- a/crates/decisions/src/dispatcher/retry_budget.rs
+++ b/crates/decisions/src/dispatcher/retry_budget.rs
@@ -1,14 +1,14 @@
-//! The budget of retries, that is, of attempts beyond each request's first: what it has been used for, in its window.
+//! Accounting for the retry budget, which limits attempts beyond each request's first one in a sliding window.
 
 use crate::api::{ResendBudget, Time};
 use std::collections::VecDeque;
 
-/// Accepted requests and retries in the window of the budget. Without a budget nothing is recorded.
+/// Accepted requests and retries in the window of the budget. Nothing is recorded without a budget.
 #[derive(Default)]
 pub(super) struct RetryHistory {
-    /// When requests were accepted, in order.
+    /// When requests were accepted, in ascending order.
     accepted_at: VecDeque<Time>,
-    /// When retries were made, in order.
+    /// When retries were made, in ascending order.
     retried_at: VecDeque<Time>,
 }
 
@@ -18,24 +18,24 @@
         self.accepted_at.extend(budget.map(|_| now));
     }
 
-    /// Records a retry, which uses up one of the budget.
+    /// Records a retry, which uses the budget.
     pub(super) fn record_retry(&mut self, now: Time, budget: Option<ResendBudget>) {
         self.retried_at.extend(budget.map(|_| now));
     }
 
-    /// Removes a retry that was recorded at this time but never made.
+    /// Removes a retry that was recorded at this time but never sent.
     pub(super) fn take_back(&mut self, sent: Time) {
         if let Ok(position) = self.retried_at.binary_search(&sent) {
             self.retried_at.remove(position);
         }
     }
 
-    /// Retries that the budget has left in the window that ends now.
+    /// Number of retries that the budget has left in the window that ends now; infinite without a budget.
     pub(super) fn left(&mut self, now: Time, budget: Option<ResendBudget>) -> f64 {
         let Some(budget) = budget else {
             return f64::INFINITY;
         };
-        // Without a window every retry counts, and no accepted request.
+        // Without a window, all retries count and no accepted request does.
         let window_start = |unlimited: Time| {
             budget
                 .window
@@ -50,13 +50,13 @@
         budget.free + budget.ratio * self.accepted_at.len() as f64 - self.retried_at.len() as f64
     }
 
-    /// Times of the latest retries, at most this many, in order.
+    /// Times of the latest retries, at most `limit`, in ascending order.
     pub(super) fn latest(&self, limit: usize) -> Vec<Time> {
         let first = self.retried_at.len().saturating_sub(limit);
         self.retried_at.iter().skip(first).copied().collect()
     }
 
-    /// Adds retries of the former process. Statistics may be merged twice: retries that are known already count once.
+    /// Adds retries of the former process. Since statistics may be merged twice, retries with a known time are skipped.
     pub(super) fn merge(&mut self, now: Time, retried_at: Vec<Time>) {
         let is_new = |at: &Time| *at <= now && self.retried_at.binary_search(at).is_err();
         let new: Vec<Time> = retried_at.into_iter().filter(is_new).collect();
--- a/crates/decisions/src/dispatcher/reviews.rs
+++ b/crates/decisions/src/dispatcher/reviews.rs
@@ -1,26 +1,26 @@
-//! When open requests are looked at again.
+//! Scheduled reviews of open requests: times at which a request is reconsidered (see `Dispatcher::review`).
 
 use crate::api::{RequestId, Time};
 use std::collections::BTreeSet;
 
-/// Requests by the time of their next reviews. A request may have several.
+/// Scheduled reviews, ordered by time. A request may have several.
 #[derive(Default)]
 pub(super) struct Reviews(BTreeSet<(Time, RequestId)>);
 
 impl Reviews {
-    /// Looks at a request again at this time.
+    /// Schedules a review of a request at this time.
     pub(super) fn schedule(&mut self, at: Time, id: RequestId) {
         self.0.insert((at, id));
     }
 
-    /// Takes out the earliest review that is due.
+    /// Removes the earliest review that is due and returns its request; `None` if none is due.
     pub(super) fn take_due(&mut self, now: Time) -> Option<RequestId> {
         let first = self.0.first().filter(|(at, _)| *at <= now).copied()?;
         self.0.remove(&first);
         Some(first.1)
     }
 
-    /// Removes the reviews of a request.
+    /// Removes all reviews of a request.
     pub(super) fn forget(&mut self, id: RequestId) {
         self.0.retain(|(_, other)| *other != id);
     }
--- a/crates/decisions/src/dispatcher/sampling.rs
+++ b/crates/decisions/src/dispatcher/sampling.rs
@@ -1,4 +1,4 @@
-//! Which workers are sampled for a request (SQ(d)), and which of them it is sent to.
+//! Choice of the worker for a request: SQ(d) samples workers, and one of them is chosen.
 
 use super::fleet::Worker;
 use super::state::{Attempt, OpenRequest};
@@ -10,30 +10,31 @@
 use crate::api::{RequestId, Time};
 use rand_pcg::Pcg64Mcg;
 
-/// Weight of a unit of capacity, added to `p_k`: kinds that the solution does not use come last, by capacity.
+/// Weight per unit of capacity that is added to `p_k`, so that kinds with `p_k` = 0 are drawn last, in proportion to
+/// their capacity.
 const CAPACITY_WEIGHT: f64 = 1e-12;
 
-/// What a sample is drawn for.
+/// A request that a sample is drawn for.
 struct Sampled<'a> {
     open: &'a OpenRequest,
     work: f64,
-    /// Index of the one kind that can run it, if it is bound to one.
+    /// Index of the only kind that can run the request; `None`: any kind can.
     bound_kind: Option<usize>,
     affinity: Option<u64>,
     home_worker: Option<usize>,
 }
 
-/// Which workers count as having capacity for the request.
+/// Criterion by which a worker has capacity for the request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Capacity {
     /// A slot is expected to be free.
     FreeSlot,
-    /// No own attempt waits there.
+    /// No own attempt waits at the worker.
     FreeQueue,
 }
 
 impl Dispatcher {
-    /// Chooses a worker for the request, or none while it should be queued.
+    /// Chooses a worker for the request; `None` if the request should be queued.
     pub(super) fn choose(&mut self, now: Time, id: RequestId) -> Option<usize> {
         let may_go = |open: &&OpenRequest| {
             now < self.sendable_until(open)
@@ -51,7 +52,7 @@
             candidates = self.sample(now, id);
         }
         if has_affinity {
-            // Candidates are in the order of their ranks for the affinity.
+            // Candidates are ordered by their ranks for the affinity.
             return candidates.first().copied();
         }
         let load = |index: &usize| self.load(now, &self.fleet[*index]);
@@ -60,7 +61,8 @@
             .min_by(|a, b| load(a).total_cmp(&load(b)))
     }
 
-    /// Draws a kind by the solved `p_k` and samples d of its workers: those with a free slot first, by tiers.
+    /// Draws a kind by `p_k` and samples d of its workers, tier by tier: first workers with a free slot, then, if no
+    /// tier has one, workers with a free queue.
     pub(super) fn sample(&mut self, now: Time, id: RequestId) -> Vec<usize> {
         let mut rng = self.rng.clone();
         let prefers_home = unit(&mut rng) < self.zone_preference.home();
@@ -94,7 +96,7 @@
         found
     }
 
-    /// Samples one kind after the other, each drawn by its weight, until one of them has a worker for the request.
+    /// Samples kinds in an order drawn by their weights, until one of them has a worker for the request.
     fn sample_tier(
         &self,
         now: Time,
@@ -121,7 +123,7 @@
         found
     }
 
-    /// Takes a kind out of `kinds`, drawn by `p_k`.
+    /// Draws a kind by `p_k` and removes it from `kinds`, which must not be empty.
     fn draw_kind(
         &self,
         rng: &mut Option<Pcg64Mcg>,
@@ -154,8 +156,8 @@
         kinds.swap_remove(drawn.unwrap_or(0))
     }
 
-    /// SQ(d): samples d workers of the pool without replacement; ineligible ones are skipped. Requests with the same
-    /// affinity sample the same workers.
+    /// Samples up to d eligible workers of the pool without replacement (SQ(d)). Requests with the same affinity take
+    /// the workers in the order of their ranks instead.
     fn sample_kind(
         &self,
         now: Time,
@@ -187,7 +189,7 @@
         found
     }
 
-    /// Workers of a tier and kind; in the order of their ranks where there is an affinity.
+    /// Workers of a tier and kind, ordered by their ranks if there is an affinity.
     fn pool(&self, tier: &Tier, kind: usize, affinity: Option<u64>) -> Vec<usize> {
         let groups = tier.groups.iter();
         let mut pool: Vec<usize> = groups
@@ -208,14 +210,14 @@
             .sum()
     }
 
-    /// The request's affinity, unless it is known that such requests fetch nothing.
+    /// The request's affinity; `None` if it has none or if measured fetches are negligible.
     fn affinity_of(&self, open: &OpenRequest) -> Option<u64> {
         let mean_run = self.run_times.sum / self.run_times.weight.max(1.0);
         open.job.affinity.filter(|_| !self.fetches.none(mean_run))
     }
 
-    /// The worker where requests with the same affinity go first: the best-ranked one of the kind that the affinity
-    /// draws.
+    /// The home worker of the request's affinity, where requests with that affinity go first: the best-ranked worker of
+    /// the kind that the affinity draws. `None` without an affinity.
     pub(super) fn home_worker(&self, open: &OpenRequest) -> Option<usize> {
         let affinity = self.affinity_of(open)?;
         let bound_kind = self.settings.classes[open.job.class].kind;
@@ -231,7 +233,7 @@
             .min_by(|a, b| rank(a).total_cmp(&rank(b)))
     }
 
-    /// The home worker, if it has a slot for the request now.
+    /// The home worker of the request's affinity, if it is eligible and has a slot for the request now.
     pub(super) fn choose_home(&self, now: Time, id: RequestId) -> Option<usize> {
         let may_go = |open: &&OpenRequest| now < self.sendable_until(open) && self.may_wait(false);
         let open = self.open.get(&id).filter(may_go)?;
@@ -243,13 +245,13 @@
         takes.then_some(home)
     }
 
-    /// Jobs that a worker completes in the time of one fetch elsewhere.
+    /// Number of jobs that a worker completes in the mean time of one fetch on another worker.
     fn fetch_slots(&self, worker: &Worker) -> f64 {
         self.fetches.cost() * self.capacity(worker) * self.run_times.weight
             / self.run_times.sum.max(1.0)
     }
 
-    /// Whether this worker may get this request now, apart from its load.
+    /// Whether this worker may get this request now, regardless of the worker's load.
     fn is_eligible(&self, now: Time, index: usize, open: &OpenRequest, work: f64) -> bool {
         let worker = &self.fleet[index];
         let is_healthy = worker.failure_rate <= PROBATION_FAILURE_RATE;
--- a/crates/decisions/src/dispatcher/state.rs
+++ b/crates/decisions/src/dispatcher/state.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher keeps of classes and open requests.
+//! State that a dispatcher keeps for classes and open requests.
 
 use crate::api::{AttemptNo, Class, RequestId, Time};
 use crate::runs::Work;
@@ -7,24 +7,24 @@
 /// One attempt of an open request; its worker is an index into the table of workers.
 pub(super) type Attempt = transferred_job::Attempt<usize>;
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptId {
     pub request: RequestId,
     pub attempt: AttemptNo,
 }
 
-/// A class of requests.
+/// Learned statistics of a class of requests.
 #[derive(Clone, Default)]
 pub(super) struct ClassStats {
-    /// How long its jobs run.
+    /// Estimator of the run time of the class's jobs.
     pub run_time: Work,
-    /// The longest time that a client gave a request.
+    /// The longest time that a client has allowed for a request of the class.
     pub longest_patience: Time,
 }
 
 impl ClassStats {
-    /// Until a run time is known, a job is assumed to be as long as its class's latency target.
+    /// The prior: until a run time is known, a job is assumed to run for its class's latency target.
     pub(super) fn of(class: &Class) -> Self {
         ClassStats {
             run_time: Work::of(class.latency_target),
@@ -33,12 +33,13 @@
     }
 }
 
-/// A queue of requests: index of the class times four, plus two beyond the tenant's quota, plus one when late.
+/// Index of a queue of requests: four times the index of the class, plus two if beyond the tenant's quota, plus one if
+/// late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueIndex(pub usize);
 
 impl QueueIndex {
-    /// Queues of each class.
+    /// Number of queues per class.
     pub(super) const PER_CLASS: usize = 4;
     const OVER_QUOTA: usize = 2;
     const LATE: usize = 1;
@@ -62,17 +63,18 @@
     }
 }
 
-/// A request that has no final answer, or whose attempts have not all ended.
+/// A request that has no final answer yet, or whose attempts have not all ended.
 #[derive(Default)]
 pub(super) struct OpenRequest {
-    /// What is known of it: index of its class's rules, its limits, and its attempts with the indices of their workers.
+    /// State of the request. Its class is the index of its rules in `settings.classes`; the workers of its attempts are
+    /// indices into the table of workers.
     pub job: TransferredJob<usize>,
-    /// It has its final answer.
+    /// Whether the request has its final answer.
     pub closed: bool,
-    /// The queue that it is in.
+    /// The queue that contains the request; `None`: not queued.
     pub queued_in: Option<QueueIndex>,
-    /// Workers sampled for it that were probed first.
+    /// Workers sampled for the request when it was accepted, some of which were probed.
     pub probed: Vec<usize>,
-    /// Until when it waits for the results of the probes.
+    /// Time until which the request waits for the results of the probes.
     pub wait_until: Time,
 }
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -1,6 +1,6 @@
-//! The statistics of this dispatcher, as a value, and merging those of another one: the process that it replaces,
-//! or its own former process. What restricts is taken as it stands, what is measured counts by its age, and what
-//! permits (a budget of a worker that warms up, a place in the membership list) is neither written nor taken.
+//! Exports the statistics of this dispatcher and merges those of another one: of the process that it replaces, or of
+//! its own process before a restart. Restrictions are taken over in full and measurements are weighted by their age.
+//! Permissions (a warm-up budget, a place in the membership list) are neither exported nor merged.
 
 use super::Dispatcher;
 use super::fleet::Worker;
@@ -8,24 +8,27 @@
 use crate::api::{Time, WorkerId, WorkerState};
 use crate::statistics::{self, Pace, Statistics, aged};
 
-/// Run times, speeds and fetches depend on programs and machines: they stay valid for minutes.
+/// Time constant by which run times, speeds and fetch costs lose weight. They depend on programs and machines, and stay
+/// valid for minutes.
 const RUN_TIMES_LAST: Time = 600_000_000;
-/// Arrivals, queues and late starts change within seconds, as the memory of the arrivals.
+/// Time constant by which arrival rates, queues and late starts lose weight. They change within seconds; the arrival
+/// rates have the same time constant.
 const PACE_LASTS: Time = 5_000_000;
-/// Slots at one worker are reported in a byte.
+/// Maximum number of slots at one worker in a peer update, which has one byte for it.
 const SLOTS_REPORTED_MAX: f64 = 255.0;
 
-/// How many workers there are.
+/// Numbers of workers by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkerCounts {
-    /// Workers that the membership list holds.
+    /// Workers in the membership list.
     pub listed: u64,
-    /// Those of them that get nothing now, or only one request at a time, after failures.
+    /// Listed active workers that are ejected or on probation after failures: they get no request, or only one at a
+    /// time.
     pub avoided: u64,
 }
 
 impl Dispatcher {
-    /// Counts the workers of the list.
+    /// Counts the workers of the membership list.
     pub fn worker_counts(&self, now: Time) -> WorkerCounts {
         let is_avoided = |worker: &Worker| {
             let is_ejected = now < worker.ejected_until;
@@ -44,7 +47,7 @@
         workers.filter(|worker| worker.listed.state != WorkerState::Left)
     }
 
-    /// The statistics of this dispatcher as of now; of workers, those that the membership list still names.
+    /// The statistics of this dispatcher at the time `now`. Workers that have left the membership list are omitted.
     pub fn statistics(&self, now: Time) -> Statistics<u32> {
         let class = |(id, index): (usize, &usize)| {
             let stats = &self.classes[*index];
@@ -100,14 +103,14 @@
         }
     }
 
-    /// Slots that its jobs occupy at each worker now.
+    /// Slots that this dispatcher's jobs occupy at each worker where they occupy any.
     pub fn slots_in_flight(&self) -> Vec<(WorkerId, f64)> {
         let busy = self.fleet.busy();
         busy.map(|worker| (worker.listed.worker, worker.own_slots()))
             .collect()
     }
 
-    /// Merges the statistics of another dispatcher. Of what both know, the one with more samples counts.
+    /// Merges the statistics of another dispatcher. For each estimate that both have, the one with more samples wins.
     pub(super) fn merge_statistics(&mut self, now: Time, other: Statistics<u32>) {
         let age = now.saturating_sub(other.at);
         let run_weight = aged(age, RUN_TIMES_LAST);
@@ -120,7 +123,7 @@
         }
         for (id, worker) in other.workers {
             let known = self.fleet.index_of(id).map(|index| &mut self.fleet[index]);
-            // Another instance counts as another worker.
+            // Statistics of an earlier instance of the worker do not apply.
             if let Some(known) = known.filter(|known| known.listed.ready_at == worker.started_at) {
                 known.merge(now, &worker, pace_weight);
             }
@@ -151,7 +154,7 @@
         self.fleet.extend_kinds(id + 1);
         let kinds = self.fleet.kinds().len();
         let kind = self.fleet.kind_mut(id);
-        // Reported slots replace observed ones; of two observations the larger counts.
+        // Reported slots replace observed ones; otherwise the larger value wins.
         match (kind.slots_reported, other.slots_reported) {
             (true, false) => {}
             (false, true) => {
@@ -208,7 +211,7 @@
         let ejected_until = other.ejected_until.min(now + EJECTION_MAX as Time);
         self.ejected_until = self.ejected_until.max(ejected_until);
         self.timeouts_in_a_row = self.timeouts_in_a_row.max(other.timeouts_in_a_row);
-        // A load update from the future would never be replaced.
+        // A load update with a time in the future would never be replaced.
         let updated_at = other.load_updated_at.filter(|at| *at <= now);
         if updated_at > self.load_updated_at {
             self.others_slots = other.others_slots;
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -1,4 +1,5 @@
-//! Attempts that wait too long or make no progress: moved, withdrawn, or joined by a second attempt.
+//! Handling of attempts that wait too long or make no progress: they are cancelled, moved to another worker, or joined
+//! by a second attempt.
 
 use super::Dispatcher;
 use super::state::{Attempt, AttemptId};
@@ -6,14 +7,14 @@
 use crate::api::{Action, AttemptNo, Effect, RequestId, Status, Time};
 use crate::transferred_job::Progress;
 
-/// Ticks after which a request that found no other worker is looked at again.
+/// Number of ticks after which a request that found no other worker is reviewed again.
 const REVIEW_TICKS: Time = 5;
-/// Clock granularities by which a progress report may be late.
+/// Tolerated lateness of a progress report, in clock granularities.
 const REPORT_SLACK_GRANULARITIES: Time = 4;
 
 impl Dispatcher {
-    /// The worker has not acknowledged the attempt in time, so that it waits in no queue there. Where the class allows,
-    /// the request is also sent to another worker.
+    /// Handles an attempt that the worker has not acknowledged in time: it is taken not to wait in a queue there. If
+    /// the class allows, the request is also sent to another worker.
     pub(super) fn handle_unacknowledged(
         &mut self,
         now: Time,
@@ -28,8 +29,8 @@
         }
     }
 
-    /// Cancels an attempt that has waited long at a worker, if another one looks free; one attempt is reserved for
-    /// failures. Its result sends the request to the other worker.
+    /// Cancels an attempt that has waited long at a worker, if another worker appears free. The outcome of the
+    /// cancelled attempt triggers the next send. The last attempt that a request may have is reserved for failures.
     fn move_waiting(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else {
             return;
@@ -68,7 +69,8 @@
         }
     }
 
-    /// When the next progress report of an attempt is overdue; never where workers send none.
+    /// When the next progress report of an attempt is overdue; `Time::MAX` if workers send none, 0 if an unstarted
+    /// attempt has not been acknowledged in time.
     pub(super) fn overdue_at(&self, attempt: &Attempt) -> Time {
         let Progress { at, done } = attempt.last_progress;
         let intervals = if done > 0.0 {
@@ -88,8 +90,8 @@
         }
     }
 
-    /// An attempt whose report is overdue times out: its slots count as free. Where the class allows, the request is
-    /// moved, or also sent to another worker.
+    /// Times out an attempt whose progress report is overdue: its slots count as free. If the class allows, the request
+    /// is moved, or also sent to another worker.
     pub(super) fn handle_overdue(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let retries = self.retries_left(now);
         let Some(open) = self.open.get(&id) else {
@@ -108,7 +110,7 @@
                 },
             );
             if may_retry && moves {
-                // Its result sends the next attempt.
+                // The outcome of the cancelled attempt triggers the next send.
                 out.push(Action::Cancel {
                     request: id,
                     attempt,
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Releases the slots of an overdue attempt and records a time-out of its worker.
+    /// Releases the slots of an overdue attempt and records a time-out for its worker.
     fn time_out(&mut self, now: Time, id: AttemptId) {
         let Some(open) = self.open.get_mut(&id.request) else {
             return;
@@ -142,7 +144,8 @@
         let waited = now - attempt.sent.max(attempt.last_progress.at);
         self.fleet.release_slots(now, index, id, slots);
         if self.settings.limits.moves() {
-            // Cancelled, it cannot show when the worker responds again: eject it for as long as this took to notice.
+            // The attempt will be cancelled and cannot show when the worker responds again: eject the worker for as
+            // long as it took to notice the time-out, multiplied by the number of time-outs in a row.
             let worker = &mut self.fleet[index];
             worker.timeouts_in_a_row += u32::from(now >= worker.ejected_until);
             let ejection = waited
--- a/crates/decisions/src/dispatcher/tuning.rs
+++ b/crates/decisions/src/dispatcher/tuning.rs
@@ -1,90 +1,91 @@
-//! Constants of the policy, with what bounds them. Times are microseconds unless a name says otherwise.
+//! Constants of the placement policy. Times are microseconds unless stated otherwise.
 
 use crate::ids::Time;
 
-/// Workers sampled within the drawn kind: the d of SQ(d).
+/// Number of workers sampled within the drawn kind: the d of SQ(d).
 pub(super) const SAMPLE_SIZE: usize = 3;
 /// Time between two ticks, in multiples of the clock's granularity.
 pub(super) const TICK_GRANULARITIES: Time = 5;
 /// Shortest time between two ticks.
 pub(super) const TICK_MIN: Time = 20_000;
-/// Ticks between two solutions of problem (1).
+/// Number of ticks between two solutions of problem (1).
 pub(super) const SOLVE_TICKS: u64 = 40;
-/// A tenant with less than this multiple of its fraction of the arrivals is never beyond its quota: its clients did not
-/// crowd to this dispatcher.
+/// A tenant is never beyond its quota while its measured fraction of the arrivals is below this multiple of its
+/// expected fraction: the overload of this dispatcher then comes from other tenants.
 pub(super) const CROWDING: f64 = 0.7;
-/// Typical age of the load in a report.
+/// Typical age of the load values in a report.
 pub(super) const REPORT_AGE: f64 = 3e5;
-/// Time from send to start on a free slot before any has been measured.
+/// Time from send to start on a free slot, assumed until one has been measured.
 pub(super) const FIRST_START_DELAY: f64 = 2e4;
-/// Greatest index of a kind; ids past it count as this one.
+/// Greatest index of a kind; greater kind ids are treated as this one.
 pub(super) const KINDS_MAX: usize = 255;
-/// Fraction by which the wait window shrinks at a late start.
+/// Fraction by which the wait window shrinks after a late start.
 pub(super) const WINDOW_DECREASE: f64 = 0.1;
-/// A start is late after this many times the mean time between two slots becoming free.
+/// A start is late if the wait exceeds this multiple of the mean time between two slots becoming free.
 pub(super) const LATE_START_WAIT: f64 = 0.5;
-/// Own attempts that may wait at workers that look free, per unit of work arriving.
+/// Number of own attempts that may wait at workers that appear free, per unit of arriving work.
 pub(super) const WAIT_LOAD: f64 = 0.5;
-/// Part of the result that probes and peer updates may cost for each request.
+/// Fraction of the result that probes and peer updates may cost per request.
 pub(super) const OVERHEAD_PER_REQUEST: f64 = 0.004;
-/// The most of it that may be saved up.
+/// Maximum that may accumulate from [`OVERHEAD_PER_REQUEST`].
 pub(super) const OVERHEAD_MAX: f64 = 0.02;
-/// Workers named in one update to the peers.
+/// Maximum number of workers in one peer update.
 pub(super) const PEER_UPDATE_MAX: usize = 51;
-/// Load older than this is probed again; sooner where jobs run long (see `observations`).
+/// Maximum age of known load before a worker is probed again; shorter where jobs run long (see `observations`).
 pub(super) const PROBE_AGE: Time = 1_500_000;
-/// Part of the latency target for which a request waits for probes.
+/// Fraction of the latency target for which a request waits for probe results.
 pub(super) const PROBE_WAIT: f64 = 0.1;
-/// Mean run times that must fit before the latency target or the deadline.
+/// Number of mean run times that must fit before the latency target or the deadline.
 pub(super) const LATE_MARGIN: f64 = 1.5;
-/// Part of the preferred workers that own traffic may fill.
+/// Fraction of the preferred workers' capacity that this dispatcher's traffic may use.
 pub(super) const PREFERRED_LOAD: f64 = 0.4;
-/// Load of the zones until starts have been observed.
+/// Load of the zones that is assumed until starts have been observed.
 pub(super) const INITIAL_ZONE_LOAD: f64 = 0.7;
 /// Step of the moving averages of late starts and rejections.
 pub(super) const LATE_STEP: f64 = 0.1;
-/// Late starts that are as bad as one crossing of zones at its price.
+/// Difference between the rates of late starts that justifies crossing zones, per unit of the price of crossing.
 pub(super) const CROSSING_LATE_STARTS: f64 = 2.0;
-/// Requests of one queue that may be skipped in one scan.
+/// Number of requests in one queue that a scan may skip before it stops.
 pub(super) const SCAN_MISSES_MAX: usize = 2;
-/// The same where only the home worker of each is considered.
+/// The same limit for scans that consider only each request's home worker.
 pub(super) const HOME_SCAN_MISSES_MAX: usize = 32;
-/// Step of the failure rate at an error or a success.
+/// Step of the failure rate after an error or a success.
 pub(super) const FAILURE_STEP: f64 = 0.25;
-/// The same at a time-out, which is weaker evidence.
+/// Step of the failure rate after a time-out, which is weaker evidence.
 pub(super) const TIMEOUT_STEP: f64 = 0.1;
-/// A progress report is overdue after this many intervals.
+/// Number of progress intervals after which the next progress report is overdue.
 pub(super) const OVERDUE_INTERVALS: f64 = 1.2;
-/// The same for the first report of an attempt.
+/// The same limit for the first report of an attempt.
 pub(super) const OVERDUE_FIRST_INTERVALS: f64 = 1.6;
-/// Failure rate above which a worker is on probation: one retryable request at a time.
+/// Failure rate above which a worker is on probation: it gets one retryable request at a time.
 pub(super) const PROBATION_FAILURE_RATE: f64 = 0.3;
-/// Factor on the failure rate at each solution once an ejection is over.
+/// Factor applied to the failure rate at each solution of problem (1) after an ejection has ended.
 pub(super) const FAILURE_DECAY: f64 = 0.7;
-/// An ejection lasts this over the square of the success rate ...
+/// An ejection lasts this time divided by the square of the success rate, up to [`EJECTION_MAX`].
 pub(super) const EJECTION_BASE: f64 = 2e5;
-/// ... and this at most.
+/// Longest ejection.
 pub(super) const EJECTION_MAX: f64 = 6e6;
-/// A worker that rejected for lack of capacity is ejected for a mean run time, at most this.
+/// Longest ejection of a worker that rejected an attempt for lack of capacity; it is ejected for a mean run time.
 pub(super) const FULL_EJECTION_MAX: f64 = 2e6;
-/// Part of the idle time of a broken connection that is trusted from then on.
+/// After a reset of an idle connection, connections idle for more than this fraction of its idle time are not trusted.
 pub(super) const IDLE_TRUSTED: f64 = 0.5;
-/// Growth of the trusted idle time at each solution.
+/// Growth factor of the trusted idle time at each solution of problem (1).
 pub(super) const IDLE_GROWTH: f64 = 1.02;
-/// A waiting job moves to a worker that looks free after this many mean fetches ...
+/// A waiting job may move to a worker that appears free after this many mean fetch times plus [`MOVE_WAIT`].
 pub(super) const MOVE_FETCHES: f64 = 2.0;
-/// ... and this wait.
+/// See [`MOVE_FETCHES`].
 pub(super) const MOVE_WAIT: Time = 100_000;
-/// Part of the budget of a worker that warms up which is used; with what is saved up, 0.75 in any window.
+/// Fraction of a worker's warm-up budget that is spent steadily. With the accumulated part, up to 0.75 of the budget is
+/// spent in any window.
 pub(super) const WARM_UP_USE: f64 = 0.6;
-/// Mean jobs that a dispatcher's part of that budget pays for in a window; one may be saved up.
+/// Number of mean jobs per window that a dispatcher's part of a warm-up budget must pay for; one may accumulate.
 pub(super) const WARM_UP_JOBS: f64 = 4.0;
-/// First wait between two requests for the membership list after a failure.
+/// Delay before the membership list is requested again after a first failure.
 pub(super) const MEMBERSHIP_BACKOFF_FIRST: Time = 500_000;
-/// Longest such wait.
+/// Longest delay before the membership list is requested again.
 pub(super) const MEMBERSHIP_BACKOFF_MAX: Time = 4_000_000;
 
-/// A group of workers: by zone, and whether this dispatcher prefers them.
+/// Groups of workers: by zone and by whether this dispatcher prefers them.
 pub(super) mod group {
     /// Preferred workers of the own zone.
     pub(crate) const HOME_PREFERRED: usize = 0;
@@ -98,11 +99,11 @@
     pub(crate) const COUNT: usize = 4;
 }
 
-/// Groups that are sampled together.
+/// Groups of workers that are sampled together.
 pub(super) struct Tier {
-    /// Which groups.
+    /// Indices of the groups.
     pub groups: &'static [usize],
-    /// They are not preferred: used only while little waits.
+    /// Whether the groups are not preferred: they are used only while few own attempts wait.
     pub is_fallback: bool,
 }
 
@@ -113,19 +114,19 @@
     }
 }
 
-/// Tiers in order for a request that prefers its own zone.
+/// Tiers, in the order tried, for a request that prefers the dispatcher's own zone.
 pub(super) const HOME_FIRST_TIERS: &[Tier] = &[
     tier(&[group::HOME_PREFERRED], false),
     tier(&[group::HOME_OTHER], true),
     tier(&[group::AWAY_PREFERRED], false),
     tier(&[group::AWAY_OTHER], true),
 ];
-/// Tiers in order for a request that prefers no zone.
+/// Tiers, in the order tried, for a request that prefers no zone.
 pub(super) const ANY_ZONE_TIERS: &[Tier] = &[
     tier(&[group::HOME_PREFERRED, group::AWAY_PREFERRED], false),
     tier(&[group::HOME_OTHER, group::AWAY_OTHER], true),
 ];
-/// The one tier for a request with an affinity.
+/// The only tier for a request with an affinity: all workers.
 pub(super) const AFFINITY_TIERS: &[Tier] = &[tier(
     &[
         group::HOME_PREFERRED,
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -1,18 +1,19 @@
-//! Workers in warm-up: how much of their capacity they have, and what may be sent to them. The rule that
-//! limits this is a budget of work in any window (`tip_multiple`, `tip_window` of the settings).
+//! Workers in warm-up: the fraction of their capacity that they have, and the work that may be sent to them. A budget
+//! of work in any window limits that work (`tip_multiple` and `tip_window` of [`Rules`](crate::api::Rules)).
 
 use super::Dispatcher;
 use super::fleet::Worker;
 use super::tuning::{SAMPLE_SIZE, WARM_UP_JOBS, WARM_UP_USE};
 use crate::api::Time;
 
-/// Least fraction of its capacity that a worker is assumed to have at its start.
+/// Lower bound of the fraction of its capacity that a worker is assumed to have at its start.
 const INITIAL_FRACTION_MIN: f64 = 0.01;
-/// Spreads the first dispatchers of the workers evenly: 2^64 over the golden ratio.
+/// Multiplier that spreads the first dispatchers of the workers evenly: 2^64 divided by the golden ratio.
 const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl Dispatcher {
-    /// Fraction of its capacity that a worker has at least; it rises linearly from the initial fraction.
+    /// Least fraction of its capacity that a worker has now. The fraction rises linearly from the initial one to 1
+    /// during the warm-up.
     pub(super) fn warm_up_fraction(&self, now: Time, worker: &Worker) -> f64 {
         if worker.listed.ready_at == 0 {
             return 1.0;
@@ -24,8 +25,9 @@
         fraction.min(1.0)
     }
 
-    /// Work that may be sent in each unit of time to a worker that warms up; `None` for any other. Its budget goes to
-    /// so few dispatchers that a part soon pays for a job: a hundredth of it would not before the worker is warm.
+    /// Work that this dispatcher may send per unit of time to a worker in warm-up; `None` if the worker is not in
+    /// warm-up. Only a few dispatchers get a part of the worker's budget, so that a part soon pays for a job: with a
+    /// hundredth of the budget, a dispatcher could not send a job before the warm-up ends.
     pub(super) fn warm_up_rate(&self, now: Time, worker: &Worker) -> Option<f64> {
         let fraction = self.warm_up_fraction(now, worker);
         if fraction >= 1.0 {
@@ -37,7 +39,8 @@
         let least = budget * rules.initial_capacity * rules.tip_window as f64 / WARM_UP_JOBS;
         let jobs = (least * self.run_times.weight / self.run_times.sum.max(1.0)) as u64;
         let parts = jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
-        // The parts of each worker begin at another dispatcher; all dispatchers compute the same one.
+        // The dispatchers with a part of the budget start at a different index for each worker. All dispatchers compute
+        // the same index.
         let first = u64::from(worker.listed.worker).wrapping_mul(SPREAD) >> 32;
         let is_own = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
         Some(if is_own {
@@ -47,7 +50,8 @@
         })
     }
 
-    /// Work that may be sent to a worker now: to one that warms up its part of the budget, saved up evenly.
+    /// Work that this dispatcher may send to a worker now: its accumulated part of the budget for a worker in warm-up,
+    /// and unlimited for any other.
     pub(super) fn warm_up_allowance(&self, now: Time, worker: &Worker, work: f64) -> f64 {
         let Some(rate) = self.warm_up_rate(now, worker) else {
             return f64::INFINITY;
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of the single-process scheduler. [`dispatcher::Dispatcher`] is fed [`api::Event`]s and answers with
-//! [`api::Action`]s; it does no I/O, reads no clock and knows no wire. What it has learned ([`statistics`]) and an
-//! open job ([`transferred_job`]) are values that another process can take over. [`affinity`] and [`arrivals`] hold
-//! estimators that the decisions ask; run times and problem (1) come from `indigofold-placement`.
+//! The decision module of the single-process scheduler. [`dispatcher::Dispatcher`] takes [`api::Event`]s and returns
+//! [`api::Action`]s; it does no I/O, reads no clock and is independent of any wire protocol. Learned [`statistics`]
+//! and an open job ([`transferred_job`]) are values that another process can take over. [`affinity`] and [`arrivals`]
+//! contain estimators that the decisions use; run-time estimators and the solver of the kind-probability problem
+//! (problem (1)) come from `indigofold-placement`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -1,10 +1,12 @@
-//! What a dispatcher has learned, as a value that another dispatcher can merge: that of the process which takes over,
-//! or its own after a restart. It grants nothing: neither a worker's place in the membership list, nor a warm-up
-//! budget, nor a job's right to another attempt is part of it. Kinds, classes, tenants and workers are ids inside a
-//! process and names between processes. Times are microseconds of Unix time, durations and work microseconds.
+//! Statistics that a dispatcher has learned, as a value that another dispatcher can merge: the dispatcher of the
+//! process that takes over, or of the same process after a restart. Statistics grant no permission: they contain
+//! neither a worker's place in the membership list, nor a warm-up budget, nor a job's right to another attempt. Kinds,
+//! classes, tenants and workers are identified by numbers inside a process and by names between processes. Times are
+//! microseconds of Unix time; durations and work are microseconds.
 //!
-//! The written form is [`MAGIC`], the version, the length of the value and a checksum (little-endian), then the value
-//! as postcard serializes it, field by field: the order and the types of the fields must stay as they are.
+//! The serialized form consists of [`MAGIC`], the version, the length of the value, a checksum (numbers in
+//! little-endian order) and the value as serialized by postcard, field by field: the order and the types of the fields
+//! must not change.
 
 use crate::affinity::Fetches;
 use crate::arrivals::Rates;
@@ -15,24 +17,24 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// The first bytes of the written form.
+/// The first bytes of the serialized form.
 pub const MAGIC: &[u8; 4] = b"IFLR";
-/// The version that is written.
+/// The version of the serialized form that [`Statistics::write`] produces.
 pub const VERSION: u16 = 1;
-/// The longest written form that is read, in bytes: room for about 1,500 workers.
+/// Maximum length of the serialized form, in bytes: room for about 1,500 workers.
 pub const LENGTH_MAX_BYTES: usize = 128 * 1024;
-/// Bytes before the value: magic, version, length, checksum.
+/// Bytes before the value: magic (4), version (2), length (4) and checksum (8).
 const HEADER_BYTES: usize = 4 + 2 + 4 + 8;
-/// Most retries that are listed: the latest ones.
+/// Maximum number of retries listed in [`Statistics::retried_at`]; the latest ones are kept.
 pub const RETRIED_MAX: usize = 4096;
-/// Stands for no limit: finite, so that a value read back can be calculated with.
+/// Represents the absence of a limit. The value is finite, so that calculations with a value read back stay finite.
 pub const UNLIMITED: f64 = 1e18;
 
-/// No duration that is learned is longer, in microseconds: an hour.
+/// Maximum learned duration, in microseconds: one hour.
 const DURATION_MAX: f64 = 3.6e9;
-/// Most slots, and the greatest weight of measurements or rate of arrival.
+/// Maximum number of slots, weight of measurements and arrival rate.
 const COUNT_MAX: f64 = 1e6;
-/// Ranges of the numbers that are read.
+/// Valid ranges of the numbers in a serialized form.
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
 const COUNT: RangeInclusive<f64> = 0.0..=COUNT_MAX;
 const DURATION: RangeInclusive<f64> = 0.0..=DURATION_MAX;
@@ -41,102 +43,102 @@
 const ANY_AMOUNT: RangeInclusive<f64> = 0.0..=UNLIMITED;
 const WINDOW: RangeInclusive<f64> = 1.0..=UNLIMITED;
 
-/// What a dispatcher has learned; `N` identifies kinds, classes, tenants and workers.
+/// Statistics that a dispatcher has learned; `N` identifies kinds, classes, tenants and workers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Statistics<N> {
-    /// When it was true.
+    /// When the statistics were taken.
     pub at: Time,
-    /// Kinds of workers.
+    /// Kinds of workers, each with its statistics.
     pub kinds: Vec<(N, Kind)>,
-    /// Classes of jobs.
+    /// Classes of jobs, each with its statistics.
     pub classes: Vec<(N, Class)>,
     /// Each tenant's fraction of the arrivals, 0 to 1.
     pub tenants: Vec<(N, f64)>,
-    /// Workers.
+    /// Workers of the membership list, each with its statistics.
     pub workers: Vec<(N, Worker)>,
-    /// Slots that the writer's jobs occupy at each worker.
+    /// Slots that the jobs of the dispatcher that took the statistics occupy at each worker.
     pub in_flight: Vec<(N, f64)>,
-    /// When retries were made, where a budget limits them.
+    /// When retries were made, in ascending order. Empty if no budget limits retries.
     pub retried_at: Vec<Time>,
-    /// The state of the whole fleet and its traffic.
+    /// Statistics of the whole fleet and its traffic; `None`: unknown.
     pub pace: Option<Pace>,
 }
 
-/// What is known of a kind of workers.
+/// Statistics of a kind of workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Kind {
-    /// Slots of a worker.
+    /// Slots of a worker of the kind.
     pub slots: f64,
-    /// Whether load reports gave the slots; else they are the most observed at once.
+    /// Whether load reports gave the slots; otherwise they are the most slots observed in use at once.
     pub slots_reported: bool,
-    /// Speed of its workers, relative to the mean.
+    /// Speed of the kind's workers, relative to the mean of all kinds.
     pub speed: Speed,
-    /// The recent probability of drawing this kind.
+    /// Recent probability of drawing this kind, 0 to 1.
     pub weight: f64,
 }
 
-/// What is known of a class of jobs.
+/// Statistics of a class of jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Run time of its jobs.
+    /// Run time of the jobs of the class.
     pub run_time: Work,
-    /// The longest time that a client gave one request.
+    /// The longest time that a client has allowed for a request of the class.
     pub longest_patience: Time,
 }
 
-/// What is known of one instance of a worker.
+/// Statistics of one instance of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// When the instance started, by the membership list.
+    /// When the instance started, according to the membership list. Statistics apply to this instance only.
     pub started_at: Time,
-    /// Shortest recent time from send to start.
+    /// Shortest recent time from send to start, in microseconds.
     pub start_delay: f64,
-    /// Slots that other dispatchers' jobs occupy.
+    /// Slots that other dispatchers' jobs occupy at the worker.
     pub others_slots: f64,
-    /// When that was last updated.
+    /// When `others_slots` was last updated; `None`: never.
     pub load_updated_at: Option<Time>,
-    /// Recent fraction of failures, 0 to 1.
+    /// Recent fraction of attempts that failed, 0 to 1.
     pub failure_rate: f64,
-    /// It is ejected until this time.
+    /// The worker is ejected until this time.
     pub ejected_until: Time,
-    /// Times found unresponsive since it last made progress.
+    /// How often the worker was found unresponsive since it last made progress.
     pub timeouts_in_a_row: u32,
 }
 
-/// State of the whole fleet and its traffic, which changes within seconds.
+/// Statistics of the whole fleet and its traffic, most of which change within seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pace {
-    /// Weight and sum of run times at mean speed.
+    /// Run times at mean speed over all classes, in microseconds.
     pub run_times: WeightedSum,
-    /// Cost of fetches.
+    /// Cost of fetching data on workers other than the home worker of an affinity.
     pub fetches: Fetches,
-    /// Rates of arrival.
+    /// Arrival rates.
     pub arrivals: Rates,
-    /// Fraction of requests that prefer workers of the own zone.
+    /// Fraction of requests that prefer workers of the dispatcher's own zone, 0 to 1.
     pub home_preference: f64,
-    /// Recent fractions of late starts.
+    /// Recent fractions of starts that came late.
     pub late_start_rate: LateStartRate,
-    /// Own jobs that may wait in workers' queues.
+    /// Number of the dispatcher's own jobs that may wait in workers' queues.
     pub wait_window: f64,
-    /// Connections idle for longer are not trusted.
+    /// Connections idle for longer than this, in microseconds, are closed before use.
     pub trusted_idle: f64,
     /// Recent value and work of the requests.
     pub demand: Demand,
-    /// Recent fraction of attempts that workers rejected for lack of capacity.
+    /// Recent fraction of attempts that workers rejected for lack of capacity, 0 to 1.
     pub rejection_rate: f64,
 }
 
-/// Fractions of starts that came late, by the zone of the worker; 0 to 1.
+/// Fraction of starts that came late, by the zone of the worker; each 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LateStartRate {
-    /// In other zones.
+    /// Fraction among workers of other zones.
     pub away: f64,
-    /// In the own zone.
+    /// Fraction among workers of the dispatcher's own zone.
     pub home: f64,
 }
 
 impl LateStartRate {
-    /// The rate of the own zone, or of all others.
+    /// The fraction for the own zone if `is_home`, otherwise that for all other zones.
     pub fn of_zone(&mut self, is_home: bool) -> &mut f64 {
         if is_home {
             &mut self.home
@@ -145,7 +147,7 @@
         }
     }
 
-    /// The same rates with this fraction of their weight.
+    /// The same fractions multiplied by `keep`.
     pub fn faded(self, keep: f64) -> Self {
         LateStartRate {
             away: self.away * keep,
@@ -154,35 +156,35 @@
     }
 }
 
-/// Moving sums over recent requests.
+/// Exponentially decaying sums over recent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Their value.
+    /// Sum of the requests' values.
     pub value: f64,
-    /// Their work, times the slots that they take.
+    /// Sum of the requests' work, each multiplied by the slots that it takes.
     pub work: f64,
 }
 
-/// Why a written form is not read.
+/// Why a serialized form is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReadError {
-    /// Its length, in bytes, differs from the one that it states, or is more than is read.
+    /// The form has this length, in bytes, which differs from the length in its header or is outside the valid range.
     Length(usize),
-    /// It does not begin with [`MAGIC`].
+    /// The form does not begin with [`MAGIC`].
     Magic,
-    /// It has this version, which cannot be read.
+    /// The form has this version, which is not supported.
     Version(u16),
     /// The checksum does not match, or the value cannot be decoded.
     Checksum,
-    /// It is complete, but a number in it is out of its range.
+    /// The form is complete, but a number in it is out of range.
     OutOfRange {
-        /// Which number.
+        /// Description of the number.
         what: &'static str,
-        /// Its value.
+        /// Value of the number.
         value: f64,
-        /// The least value that is allowed.
+        /// Least valid value.
         from: f64,
-        /// The greatest value that is allowed.
+        /// Greatest valid value.
         to: f64,
     },
 }
@@ -227,13 +229,13 @@
     })
 }
 
-/// Weight that is left of a measurement of this age, with the time constant `lasts`.
+/// Remaining weight of a measurement of this age under exponential decay with the time constant `lasts`.
 pub fn aged(age: Time, lasts: Time) -> f64 {
     (-(age as f64) / lasts.max(1) as f64).exp()
 }
 
 impl<N> Statistics<N> {
-    /// The same with other identifiers; entries without one are left out.
+    /// The same statistics with their identifiers translated; an entry whose identifier maps to `None` is left out.
     pub fn renamed<M>(
         self,
         mut kind: impl FnMut(&N) -> Option<M>,
@@ -262,10 +264,10 @@
         }
     }
 
-    /// Checks numbers that another process has written.
+    /// Checks that all numbers are in their valid ranges, for statistics that another process has written.
     ///
     /// # Errors
-    /// The first number that is out of its range.
+    /// Returns the first number that is out of range.
     pub fn check(&self) -> Result<(), ReadError> {
         self.kinds.iter().try_for_each(|(_, kind)| kind.check())?;
         let mut classes = self.classes.iter();
@@ -332,7 +334,7 @@
 }
 
 impl Statistics<String> {
-    /// The written form; `None` if it would be longer than [`LENGTH_MAX_BYTES`].
+    /// Serializes the statistics; `None` if the result would be longer than [`LENGTH_MAX_BYTES`].
     pub fn write(&self) -> Option<Vec<u8>> {
         let value = postcard::to_allocvec(self).ok()?;
         let mut form = Vec::with_capacity(HEADER_BYTES + value.len());
@@ -344,10 +346,10 @@
         (form.len() <= LENGTH_MAX_BYTES).then_some(form)
     }
 
-    /// Reads a written form; all of it is checked before any of it is used.
+    /// Reads a serialized form. The whole form is checked before any of it is used.
     ///
     /// # Errors
-    /// What is wrong with the form: its length, magic, version or checksum, or a number out of its range.
+    /// Returns an error if the length, magic, version or checksum of the form is wrong, or a number is out of range.
     pub fn read(form: &[u8]) -> Result<Self, ReadError> {
         if !(HEADER_BYTES..=LENGTH_MAX_BYTES).contains(&form.len()) {
             return Err(ReadError::Length(form.len()));
--- a/crates/decisions/src/transferred_job.rs
+++ b/crates/decisions/src/transferred_job.rs
@@ -1,82 +1,83 @@
-//! An open job that one process of this scheduler transfers to the process that takes over: what the decision module
-//! knows of it, as a value. The history of its attempts is part of it, so that every limit on attempts goes on to hold.
+//! State of an open job that one process of this scheduler transfers to the process that replaces it. The state
+//! includes the history of the job's attempts, so that every limit on attempts continues to hold.
 //!
-//! Classes and workers are ids inside a process and names between processes. Between processes the value is serialized
-//! by postcard, field by field in this order: the order and the types of the fields must stay as they are.
+//! Classes and workers are identified by numbers inside a process and by names between processes. Between processes the
+//! value is serialized by postcard, field by field in order: the order and the types of the fields must not change.
 
 use crate::ids::Time;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Most slots that a job may take.
+/// Maximum number of slots of a job.
 const SLOTS_MAX: f64 = 1e6;
 
-/// What the decision module knows of an open job; `N` identifies its class and the workers of its attempts. Times are
+/// State of an open job in the decision module; `N` identifies its class and the workers of its attempts. Times are
 /// microseconds of Unix time, durations microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransferredJob<N> {
-    /// Its class.
+    /// Class of the job.
     pub class: N,
-    /// Started after this time, it would likely end after its latency target.
+    /// If the job starts after this time, it will probably end after its latency target.
     pub late_from: Time,
-    /// When its client gives up.
+    /// When the client gives up.
     pub deadline: Time,
-    /// Expected work as time at speed 1, where the client gave one.
+    /// Expected work as run time at speed 1; `None`: the client gave no estimate.
     pub estimate: Option<Time>,
-    /// What it is about: jobs with the same affinity need the same data, which workers keep for a while.
+    /// Jobs with the same affinity need the same data, which workers cache for a while. `None`: no affinity.
     pub affinity: Option<u64>,
-    /// Slots that it takes.
+    /// Slots that the job takes.
     pub slots: f64,
-    /// Attempts that it may have at most.
+    /// Maximum number of attempts of the job.
     pub attempt_limit: usize,
-    /// It is beyond its tenant's quota.
+    /// Whether the job is beyond its tenant's quota.
     pub over_quota: bool,
-    /// Its attempts so far, in the order sent.
+    /// Attempts so far, in the order sent.
     pub attempts: Vec<Attempt<N>>,
 }
 
 /// One attempt of a job; `N` identifies its worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Attempt<N> {
-    /// Its worker.
+    /// Worker that the attempt was sent to.
     pub worker: N,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent: Time,
-    /// For how long the oldest connection to the worker had been idle when it was sent.
+    /// How long the oldest idle connection to the worker had been idle at the send; 0: there was none.
     pub connection_idle: Time,
-    /// When the worker started it. Where starts are not reported: when it was sent, if no other own job was there.
+    /// When the worker started the attempt. If workers report no starts, the time of the send, provided that no other
+    /// job of this dispatcher was there.
     pub started: Option<Time>,
-    /// The last progress report, or the start.
+    /// The last progress report, or the start with no work done.
     pub last_progress: Progress,
-    /// The first progress report with work done.
+    /// The first progress report that shows work done.
     pub first_progress: Option<Progress>,
-    /// It was not sent to the worker where jobs with its affinity go first.
+    /// Whether the attempt was sent to a worker other than the home worker of the job's affinity.
     pub away_from_home: bool,
-    /// Its progress report was overdue: its slots count as free.
+    /// Whether a progress report or the acknowledgement was overdue, so that the attempt's slots count as free.
     pub timed_out: bool,
-    /// The worker has not acknowledged it in time.
+    /// Whether the worker has failed to acknowledge the attempt in time.
     pub unacknowledged: bool,
-    /// It has ended.
+    /// Whether the attempt has ended.
     pub done: bool,
-    /// It has ended without having run.
+    /// Whether the attempt has ended without having run.
     pub never_ran: bool,
 }
 
-/// How far an attempt was at some time.
+/// Progress of an attempt at some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// When it was reported.
+    /// When the progress was reported.
     pub at: Time,
-    /// Fraction of the work that was done, 0 to 1.
+    /// Fraction of the work done, 0 to 1.
     pub done: f64,
 }
 
 /// Why a transferred job is not adopted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InvalidJob {
-    /// Its slots are negative, not a number, or more than any job takes.
+    /// The number of slots is negative, not a number, or greater than any job may take.
     Slots(f64),
-    /// The reported progress of an attempt is no fraction of its work.
+    /// The reported progress of an attempt is not a fraction between 0 and 1.
     Progress(f64),
 }
 
@@ -99,7 +100,7 @@
 impl std::error::Error for InvalidJob {}
 
 impl<N> Attempt<N> {
-    /// The same attempt with another identifier of its worker.
+    /// The same attempt with its worker's identifier translated.
     pub fn at<M>(self, rename: impl FnOnce(N) -> M) -> Attempt<M> {
         Attempt {
             worker: rename(self.worker),
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Fractions of work done that were reported of it.
+    /// Reported fractions of work done.
     fn reported_fractions(&self) -> impl Iterator<Item = f64> {
         let first = self.first_progress.map(|progress| progress.done);
         [Some(self.last_progress.done), first].into_iter().flatten()
@@ -124,8 +125,8 @@
 }
 
 impl<N> TransferredJob<N> {
-    /// The same job with other identifiers; `None` if `class` has none for its class. `worker` has to give one for
-    /// every worker, also for those that its process does not know.
+    /// The same job with its identifiers translated; `None` if `class` returns none for the job's class. `worker` must
+    /// return an identifier for every worker, including those that the receiving process does not know.
     pub fn renamed<M>(
         self,
         class: impl FnOnce(&N) -> Option<M>,
@@ -147,10 +148,10 @@
         })
     }
 
-    /// Checks what another process has sent.
+    /// Checks a job that another process has sent.
     ///
     /// # Errors
-    /// The first number that is out of its range.
+    /// Returns the first number that is out of range.
     pub fn check(&self) -> Result<(), InvalidJob> {
         if !(0.0..=SLOTS_MAX).contains(&self.slots) {
             return Err(InvalidJob::Slots(self.slots));
