--- a/crates/placement/src/runs.rs
+++ b/crates/placement/src/runs.rs
@@ -1,31 +1,31 @@
-//! Estimators of run times: how long the jobs of a class run and how fast the workers of a kind are, by weighted means of
-//! the logarithms of run times; and the weight of an update about occupied slots by its age.
+//! Estimators of run times: how long the jobs of a class run and how fast the workers of a kind are, by weighted means
+//! of the logarithms of run times; and the weight of an update about occupied slots by its age.
 
 use serde::{Deserialize, Serialize};
 
 /// Microseconds on a monotonic clock.
 pub type Time = u64;
 
-/// Factor on the weight of older run times at each new one.
+/// Decay factor of the weight of older run times at each new one.
 pub const KEEP: f64 = 0.99;
-/// Weight of the neutral prior of a kind's speed, in run times.
+/// Weight of the neutral prior (speed 1) of a kind's speed, as a number of run times.
 const PRIOR_WEIGHT: f64 = 5.0;
 
-/// Age at which an update about other dispatchers' slots has lost all its weight, in microseconds.
+/// Age, in microseconds, at which an update about other dispatchers' slots has lost all its weight.
 const UPDATE_AGE_MAX_US: Time = 2_000_000;
 
-/// Weight of an update received at `since`: 1 when it is new, falling linearly to 0.
+/// Weight of an update received at `since`: 1 when it is new, decreasing linearly to 0.
 pub fn fresh(now: Time, since: Time) -> f64 {
     (1.0 - now.saturating_sub(since) as f64 / UPDATE_AGE_MAX_US as f64).max(0.0)
 }
 
-/// Weight and sum of measured values; older ones weigh less. Stored as a pair.
+/// Exponentially weighted sum of measured values and of their weights. Serialized as a pair (weight, sum).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct WeightedSum {
-    /// Number of values, each with its weight.
+    /// Sum of the weights of the values; the latest value has weight 1.
     pub weight: f64,
-    /// Sum of the values, each with its weight.
+    /// Sum of the values, each multiplied by its weight.
     pub sum: f64,
 }
 
@@ -42,13 +42,13 @@
 }
 
 impl WeightedSum {
-    /// Adds a value; the weight of older ones is multiplied by `keep`.
+    /// Adds a value with weight 1; the weights of older values are multiplied by `keep`.
     pub fn add(&mut self, keep: f64, value: f64) {
         self.weight = self.weight * keep + 1.0;
         self.sum = self.sum * keep + value;
     }
 
-    /// The same values with their weight multiplied by `keep`.
+    /// The same values with their weights multiplied by `keep`.
     #[must_use]
     pub fn faded(self, keep: f64) -> Self {
         WeightedSum {
@@ -58,7 +58,8 @@
     }
 }
 
-/// Sums of run times at mean speed and of their estimates (1 where there are none). Stored as a pair.
+/// Weighted sums of run times at mean speed and of their estimates (1 where there is none), in microseconds. Serialized
+/// as a pair (run, estimate).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 struct EstimatedRuns {
@@ -78,12 +79,12 @@
     }
 }
 
-/// How fast the workers of a kind are.
+/// Estimator of the speed of the workers of a kind, relative to the mean of all kinds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Speed {
     /// Logarithms of run times relative to the class's mean.
     log: WeightedSum,
-    /// The speed relative to all kinds that follows from `log`.
+    /// Speed of the kind: 1 is the mean of all kinds.
     pub speed: f64,
 }
 
@@ -96,22 +97,22 @@
     }
 }
 
-/// How long the jobs of a class run.
+/// Estimator of the run time of the jobs of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Work {
-    /// Logarithms of run times at mean speed, less the logarithm of the estimate.
+    /// Logarithms of run times at mean speed, each minus the logarithm of the client's estimate.
     log: WeightedSum,
     /// Run times at mean speed and their estimates.
     work: EstimatedRuns,
 }
 
 impl Speed {
-    /// Weight of the run times observed, in run times.
+    /// Weight of the observed run times, as a number of run times.
     pub fn weight(&self) -> f64 {
         self.log.weight
     }
 
-    /// The same speed with its weight multiplied by `keep`.
+    /// The same speed with the weight of its run times multiplied by `keep`.
     #[must_use]
     pub fn faded(self, keep: f64) -> Self {
         Speed {
@@ -122,7 +123,7 @@
 }
 
 impl Work {
-    /// Weight of the run times observed, in run times.
+    /// Weight of the observed run times, as a number of run times.
     pub fn weight(&self) -> f64 {
         self.log.weight
     }
@@ -139,7 +140,7 @@
         }
     }
 
-    /// The prior for a class without observed run times: its jobs take `run` microseconds.
+    /// Creates the prior of a class without observed run times: its jobs are assumed to run for `run` microseconds.
     pub fn of(run: Time) -> Self {
         Work {
             work: EstimatedRuns {
@@ -159,8 +160,8 @@
     }
 }
 
-/// Updates the estimators with a run of a job of `class`, with the client's `estimate`, on a worker of `kind`.
-/// `all` sums up run times at mean speed.
+/// Updates the estimators with one run of a job of `class` on a worker of `kind`. `run` is its run time and `estimate`
+/// the client's estimate, if any, both in microseconds. `all` accumulates the run times at mean speed of all classes.
 pub fn learn(
     kind: &mut Speed,
     class: &mut Work,
--- a/crates/placement/tests/runs.rs
+++ b/crates/placement/tests/runs.rs
@@ -1,8 +1,8 @@
-//! The estimators of run times.
+//! Tests of the estimators of run times.
 
 use indigofold_placement::runs::{Speed, WeightedSum, Work, fresh, learn};
 
-/// Runs learned in each test.
+/// Number of runs recorded in a test.
 const RUNS: usize = 400;
 /// Run time on a worker of mean speed, in microseconds.
 const RUN_US: u64 = 10_000;
--- a/crates/placement/tests/solve.rs
+++ b/crates/placement/tests/solve.rs
@@ -1,10 +1,10 @@
-//! Properties of the solution of problem (1).
+//! Tests of properties of the solution of problem (1).
 
 use indigofold_placement::solve::solve;
 
-/// Number of workers that are sampled for each job.
+/// Number of workers sampled for each job: d.
 const SAMPLES: u32 = 2;
-/// The solution is exact to about this.
+/// Tolerated numerical error of the solution.
 const TOLERANCE: f64 = 1e-6;
 
 fn assert_close(found: &[f64], expected: &[f64]) {
