--- a/crates/decisions-testing/src/lib.rs
+++ b/crates/decisions-testing/src/lib.rs
@@ -1,5 +1,6 @@
-//! Test harness of the decision module: typical settings, requests and membership entries, and a [`Harness`] that hands
-//! events to one [`Dispatcher`] and keeps the actions that come back. It simulates nothing: no worker runs anything.
+//! Test support for the decision module: typical settings, requests and membership entries, and a [`Harness`] that
+//! passes events to one [`Dispatcher`] and records the resulting actions. No worker is simulated: each test reports
+//! starts and ends of attempts itself.
 //!
 //! Times and durations are whole microseconds, as in [`indigofold_decisions::api`].
 
@@ -18,10 +19,10 @@
 
 /// Seed of the dispatcher's random generator.
 const SEED: u64 = 7;
-/// The clock at the start of a [`Harness`], in microseconds.
+/// Time at which the clock of a [`Harness`] starts, in microseconds.
 const START: Time = 100 * SEC;
 
-/// A class that is bound to no kind, with a latency target of 0.4 s and a deadline of 6 s.
+/// A class that any kind of worker can run, with a latency target of 0.4 s and a deadline of 6 s.
 pub fn class(effect: Effect) -> Class {
     Class {
         kind: None,
@@ -35,7 +36,8 @@
     }
 }
 
-/// Settings of the first of two dispatchers. Class 0 is safe, 1 keyed by cell, 2 unsafe, 3 keyed over all workers.
+/// Settings of the first of two dispatchers. Class 0 is safe, class 1 keyed within a cell, class 2 unsafe and class 3
+/// keyed over all workers.
 pub fn settings() -> Settings {
     let keyed = |group| Effect::Keyed {
         group,
@@ -94,7 +96,7 @@
     }
 }
 
-/// Membership entry of an active worker that started long ago. Even ids are in cell 0, odd ones in cell 1.
+/// Membership entry of an active worker in zone 0 that started long ago. Even ids are in cell 0, odd ones in cell 1.
 pub fn entry(worker: WorkerId, kind: KindId) -> Entry {
     Entry {
         worker,
@@ -107,7 +109,7 @@
     }
 }
 
-/// A request for one slot whose client waits for 6 s, of no known tenant.
+/// A request for one slot, of an unknown tenant, whose client waits for 6 s.
 pub fn request(id: RequestId, class: ClassId) -> Request {
     Request {
         id,
@@ -121,7 +123,7 @@
     }
 }
 
-/// A load report with these slots occupied and free.
+/// A load report with these numbers of occupied and free slots.
 pub fn load(occupied: f64, free: f64) -> Load {
     Load {
         inflight: Some(occupied),
@@ -130,26 +132,26 @@
     }
 }
 
-/// A dispatcher with its clock, the actions of its last event and the timer that it waits for.
+/// A dispatcher with a simulated clock, the actions of its last event and its pending timer.
 pub struct Harness {
     /// The dispatcher under test.
     pub dispatcher: Dispatcher,
-    /// The clock.
+    /// Current time of the simulated clock.
     pub now: Time,
     /// Actions of the last event, or of the last [`Harness::advance`].
     pub actions: Vec<Action>,
-    /// When the last timer that was asked for is due, and its name.
+    /// Due time and name of the timer that was set last; `None` once it has fired.
     pub timer: Option<(Time, u64)>,
     last_request: RequestId,
 }
 
 impl Harness {
-    /// A new dispatcher with a cached membership list of these workers.
+    /// Creates a dispatcher and passes it a cached membership list of these workers.
     pub fn new(settings: Settings, workers: &[Entry]) -> Self {
         Self::starting_at(settings, workers, START)
     }
 
-    /// The same, started at this time.
+    /// Like [`Harness::new`], with the clock starting at `now`.
     pub fn starting_at(settings: Settings, workers: &[Entry], now: Time) -> Self {
         let mut harness = Harness {
             dispatcher: Dispatcher::new(settings, SEED, now),
@@ -162,12 +164,12 @@
         harness
     }
 
-    /// The dispatcher of the process that takes over now: it has these settings and workers, and no state.
+    /// Creates the dispatcher of a process that takes over now, with these settings and workers and no other state.
     pub fn successor(&self, settings: Settings, workers: &[Entry]) -> Self {
         Self::starting_at(settings, workers, self.now)
     }
 
-    /// Hands an event over; returns the actions that it causes.
+    /// Passes an event to the dispatcher; returns the actions that it causes.
     pub fn handle(&mut self, event: Event) -> &[Action] {
         self.actions.clear();
         self.dispatcher.handle(self.now, event, &mut self.actions);
@@ -179,7 +181,7 @@
         &self.actions
     }
 
-    /// Hands over a membership list, or a part of it.
+    /// Passes a membership list, or a part of it, to the dispatcher.
     pub fn update_membership(&mut self, scope: Scope, workers: &[Entry]) {
         self.handle(Event::Membership {
             scope,
@@ -187,7 +189,7 @@
         });
     }
 
-    /// Submits a request under the next id; returns the worker that it is sent to immediately, if any.
+    /// Submits a request with the next id; returns the id and the worker that it is sent to immediately, if any.
     pub fn submit(&mut self, class: ClassId) -> (RequestId, Option<WorkerId>) {
         self.last_request += 1;
         let id = self.last_request;
@@ -195,7 +197,7 @@
         (id, self.sent_to(id))
     }
 
-    /// The worker that the last actions send this request to.
+    /// The worker that the last actions send this request to; `None` if they do not send it.
     pub fn sent_to(&self, id: RequestId) -> Option<WorkerId> {
         self.actions.iter().find_map(|action| match action {
             Action::Send {
@@ -205,7 +207,7 @@
         })
     }
 
-    /// Whether the last actions answer this request with a rejection.
+    /// Whether the last actions reject this request.
     pub fn is_refused(&self, id: RequestId) -> bool {
         self.actions
             .iter()
@@ -232,7 +234,8 @@
         self.end_with_load(id, attempt, status, None);
     }
 
-    /// Reports the end of an attempt. The request is closed if the status is [`Status::Ok`].
+    /// Reports the end of an attempt with an optional load report. The request is closed if the status is
+    /// [`Status::Ok`].
     pub fn end_with_load(
         &mut self,
         id: RequestId,
@@ -250,7 +253,7 @@
         });
     }
 
-    /// Reports the result of a probe with this load.
+    /// Reports a successful probe with this load.
     pub fn probed(&mut self, worker: WorkerId, load: Load) {
         self.handle(Event::Probed {
             worker,
@@ -259,7 +262,7 @@
         });
     }
 
-    /// Advances the clock by this time and fires the timers that become due; returns all actions of that time.
+    /// Advances the clock by this time and fires the timers that become due; returns all resulting actions.
     pub fn advance(&mut self, time: Time) -> Vec<Action> {
         let end = self.now + time;
         let mut all = Vec::new();
@@ -274,7 +277,8 @@
         all
     }
 
-    /// Serves one request from arrival to answer: it starts after 1 ms and runs for `run`. Returns its worker.
+    /// Serves one request from arrival to answer: it starts after 1 ms and runs for the time that `run` gives for its
+    /// worker. Returns the worker; `None` if the request is not sent immediately.
     pub fn serve(&mut self, class: ClassId, run: impl Fn(WorkerId) -> Time) -> Option<WorkerId> {
         let (id, worker) = self.submit(class);
         let worker = worker?;
