--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -85,8 +85,8 @@
 
     /// Whether to reject a new request because the requests that it would displace have a higher expected value.
     /// Requests displace others while workers reject attempts; the probability follows from the rejection rate
-    /// (Erlang's loss formula). The decision is randomised: the displaced value is multiplied by a random number between
-    /// 0 and 1.
+    /// (Erlang's loss formula). The decision is randomised: the displaced value is multiplied by a random number
+    /// between 0 and 1.
     fn is_displaced(&mut self, class: usize, over_quota: bool, work: f64, slots: f64) -> bool {
         let value = work * self.density(QueueIndex::new(class, over_quota, false));
         let mean = work * self.density(QueueIndex::new(class, false, false));
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Accepting, queueing and answering requests.
+//! Tests for accepting, queueing and answering requests.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -13,7 +13,7 @@
     assert_eq!(sent, Some(1));
     harness.advance(200 * MS);
     harness.start(first, 0);
-    // With the one known slot taken, one more may wait at the worker and the rest is queued.
+    // With the only known slot occupied, one more request may wait at the worker and the rest is queued.
     let (queued, unsent): (Vec<_>, Vec<_>) = (0..6)
         .map(|_| harness.submit(0))
         .partition(|(_, w)| w.is_some());
@@ -45,7 +45,7 @@
     );
 }
 
-/// A queued request that no worker may get must not keep those behind it waiting.
+/// Guards against a queued request that no worker may get and that blocks the requests behind it.
 #[test]
 fn queued_request_without_an_eligible_worker_does_not_block_others() {
     let mut harness = Harness::new(settings(), &[entry(1, 0)]);
@@ -75,7 +75,7 @@
     assert!(got(c) && !got(blocked), "{sends:?}");
 }
 
-/// A client's last attempt must not be queued past its deadline.
+/// Guards against a request that is queued although its deadline is too close.
 #[test]
 fn request_close_to_its_deadline_is_answered_immediately() {
     for left in [0, 1, 10 * MS, 30 * MS] {
@@ -90,7 +90,7 @@
             harness.actions
         );
     }
-    // ... also where a worker is free but the time is already up.
+    // The same applies if a worker is free but no time is left.
     let mut harness = Harness::new(settings(), &[entry(1, 0)]);
     harness.handle(Event::Request(Request {
         left: 0,
@@ -103,8 +103,8 @@
     );
 }
 
-/// No slots for requests that cannot be done any more. Without this rule nine in ten of the attempts that timed out had
-/// been sent in the last half second of their request, while requests with all their time were rejected.
+/// Requests that cannot finish in time must not occupy slots. Without this rule, nine in ten of the attempts that timed
+/// out had been sent in the last half second of their request, while requests with all their time left were rejected.
 #[test]
 fn request_that_would_not_finish_in_time_is_rejected() {
     for class in 0..4 {
@@ -124,7 +124,8 @@
             );
         }
     }
-    // Where runs are long against what clients wait, half of that is enough: such a class is not refused altogether.
+    // If run times are long relative to the time that clients wait, half of that time must be enough: such a class is
+    // not rejected altogether.
     let mut settings = settings();
     settings.classes[0].deadline = 200 * MS;
     let mut harness = Harness::new(settings, &[entry(1, 0)]);
@@ -144,8 +145,8 @@
 fn queued_requests_are_rejected_before_their_deadline() {
     let mut harness = Harness::new(settings(), &[]);
     let ids: Vec<_> = (0..5).map(|n| harness.submit(n % 4).0).collect();
-    // Until a run is known, one takes as long as its class's latency target, 0.4 s: one and a half of them are left
-    // at 5.4 s.
+    // Until a run time is known, a request is assumed to run for its class's latency target, 0.4 s. One and a half run
+    // times before the deadline is at 5.4 s.
     let before = harness.advance(5_300 * MS);
     assert!(
         !before
@@ -161,14 +162,15 @@
     }
 }
 
-/// A client's later attempts must not displace first attempts that can still be in time.
+/// Guards against a client's retries that displace first attempts which can still be in time.
 #[test]
 fn latency_target_of_a_client_retry_counts_from_its_first_attempt() {
     let mut settings = settings();
     settings.classes[0].late_value = 0.0;
     let mut harness = Harness::new(settings, &[]);
     harness.submit(0);
-    // It comes with two of its six seconds left: its latency target is long past, and a late answer earns nothing.
+    // The request arrives with two of its six seconds left: its latency target has passed, and a late answer earns
+    // nothing.
     harness.handle(Event::Request(Request {
         left: 2 * SEC,
         ..request(50, 0)
@@ -180,8 +182,8 @@
     );
 }
 
-/// Queued requests are scanned only while a worker may take one. That saves time and must not change decisions: a scan
-/// after every event, also those that free nothing, leaves the actions of a seed unchanged.
+/// Queued requests are scanned only while a worker may take one. This optimisation must not change decisions: with
+/// additional events that release nothing, and so trigger more scans, the actions for a seed stay the same.
 #[test]
 fn scanning_the_queue_after_every_event_changes_no_action() {
     let run = |extra_looks: usize| {
@@ -225,7 +227,7 @@
     assert_eq!(plain, run(3));
 }
 
-/// No rule allows another attempt for these: the answer is not delayed.
+/// A request for which no rule allows another attempt must be answered without delay.
 #[test]
 fn request_that_no_attempt_can_serve_is_answered_immediately() {
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
@@ -233,7 +235,7 @@
     let (unsafe_one, _) = harness.submit(2);
     harness.end(unsafe_one, 0, Status::Reset);
     assert!(harness.is_failed(unsafe_one));
-    // Queued while its cell is ejected, a keyed request fails when the lifetime of its key is over.
+    // A keyed request that is queued while its cell is ejected fails when the lifetime of its key ends.
     let mut harness = Harness::new(settings(), &[entry(0, 0), entry(1, 0)]);
     let (keyed, _) = harness.submit(1);
     harness.end(keyed, 0, Status::Error);
@@ -272,7 +274,7 @@
     }
 }
 
-/// One tenant's traffic beyond its quota must not take the slots of all others.
+/// Guards against a tenant whose traffic beyond its quota takes the slots of all others.
 #[test]
 fn traffic_beyond_quota_is_rejected_first_while_workers_reject() {
     let served = |rejecting: bool| {
@@ -319,7 +321,8 @@
     assert!(crowded[0] < 300 && crowded[1] > 130, "{crowded:?}");
 }
 
-/// Small tenants must not be taken for beyond their quota where the clients of another crowd to one dispatcher.
+/// Guards against small tenants that count as beyond their quota because many clients of another tenant use the same
+/// dispatcher.
 #[test]
 fn tenant_below_its_fraction_of_arrivals_is_within_quota() {
     let mut settings = Settings {
@@ -335,7 +338,8 @@
     let mut harness = Harness::new(settings, &(0..60).map(|i| entry(i, 0)).collect::<Vec<_>>());
     let mut refused = [0, 0];
     for n in 0..600u64 {
-        // 20 a second here, where the quotas of all dispatchers together are 50: the first sends 9 of 10.
+        // This dispatcher alone gets 20 requests a second; the quotas over all 50 dispatchers add up to 50 a second.
+        // The first tenant sends 9 of 10 requests.
         let tenant = u32::from(n % 10 == 9);
         harness.handle(Event::Request(Request {
             tenant,
@@ -351,8 +355,8 @@
     assert!(refused[0] > 100 && refused[1] <= 5, "{refused:?}");
 }
 
-/// Queued requests must not take up all of the clients' connections, so that better ones cannot even connect: of the
-/// least valuable the one queued for longest is rejected first.
+/// Guards against queued requests that occupy all client connections, so that more valuable ones cannot connect. At the
+/// limit, the request that has been queued for longest among the least valuable is rejected.
 #[test]
 fn least_valuable_queued_request_is_rejected_at_the_limit_of_open_requests() {
     let mut settings = settings();
--- a/crates/decisions/tests/adoption.rs
+++ b/crates/decisions/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! Open jobs that are transferred from one process to the one that takes over.
+//! Tests for the transfer of open jobs to the process that takes over.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions::transferred_job::TransferredJob;
@@ -36,7 +36,7 @@
     let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
     let mut old = Harness::new(settings(), &workers);
     let mut new = old.successor(settings(), &workers);
-    // Of four attempts two were made before, so two are left.
+    // Two of the four allowed attempts were made before the transfer, so two are left.
     let (id, _) = old.submit(0);
     old.end(id, 0, Status::Error);
     let job = transfer(&mut old, id, &mut new, ADOPTED + 1);
@@ -57,7 +57,8 @@
     let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
     let mut old = Harness::new(settings(), &workers);
     let mut new = old.successor(settings(), &workers);
-    // Repeats are dropped inside a cell for three seconds: another attempt only there, and not after that time.
+    // Workers of a cell drop repeats for three seconds after the first send: a retry is allowed only in that cell and
+    // within that time.
     let (id, first) = old.submit(1);
     old.advance(SEC);
     new.advance(SEC);
@@ -80,7 +81,7 @@
     );
 }
 
-/// No slot may stay taken, or look free, in either process.
+/// Guards against slots that stay occupied in the old process, or look free in the new one, after a transfer.
 #[test]
 fn slots_are_transferred_with_their_jobs() {
     let workers = [entry(1, 0), entry(2, 0)];
@@ -137,7 +138,7 @@
             .all(|a| matches!(a, Action::Timer { .. })),
         "nothing is owed there"
     );
-    // Where nobody can take it there either, it is answered in time.
+    // If the new process has no worker either, it answers the job before its deadline.
     let mut nobody = old.successor(settings(), &[]);
     let (id, _) = old.submit(0);
     transfer(&mut old, id, &mut nobody, ADOPTED);
@@ -154,7 +155,7 @@
     );
 }
 
-/// A worker that the new process's membership list lacks keeps its job; nothing new is sent there.
+/// A worker that is missing from the new process's membership list keeps its job, but gets no new one.
 #[test]
 fn transferred_job_continues_at_a_worker_that_is_not_listed() {
     let mut old = Harness::new(settings(), &[entry(9, 3)]);
@@ -166,12 +167,13 @@
     new.start(ADOPTED, 0);
     new.end(ADOPTED, 0, Status::Ok);
     assert!(new.dispatcher.slots_in_flight().is_empty());
-    // Named by the list later, it is one more worker.
+    // Once the membership list names the worker, it gets requests like any other.
     new.update_membership(Scope::Full, &[entry(9, 3)]);
     assert_eq!(new.sent_to(queued), Some(9));
 }
 
-/// A job whose next progress report is overdue is found unresponsive by the process that adopted it.
+/// The process that has adopted a job must notice that its next progress report is overdue, and retry it on another
+/// worker.
 #[test]
 fn overdue_progress_is_noticed_after_a_transfer() {
     let settings = Settings {
@@ -201,7 +203,8 @@
     );
 }
 
-/// A job keeps the rules that it came with; another process only knows the present ones.
+/// A job keeps the class rules that were in force when it arrived. Another process knows only the current rules, so the
+/// job stays where it is.
 #[test]
 fn job_whose_class_rules_have_changed_is_not_transferred() {
     let mut old = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
--- a/crates/decisions/tests/arrivals.rs
+++ b/crates/decisions/tests/arrivals.rs
@@ -1,11 +1,12 @@
-//! Estimators of arriving work and requests.
+//! Tests of the estimators of arriving work and requests.
 
 use indigofold_decisions::arrivals::Arrivals;
 
 #[test]
 fn rates_and_tenant_fractions_follow_the_arrivals() {
     let mut arrivals = Arrivals::new([0.5, 0.5].into_iter(), 0);
-    // Ten a second for a minute, each 200 ms of work, every second one bound; all but the last of one tenant.
+    // Ten requests a second for a minute, each with 200 ms of work. Every second one is bound to a kind, and every
+    // fourth one belongs to tenant 1, the others to tenant 0.
     for n in 1..=600 {
         arrivals.count(n * 100_000, 200_000.0, n % 2 == 0, u32::from(n % 4 == 0));
     }
@@ -32,7 +33,7 @@
         (arrivals.fraction(0), arrivals.fraction(2)),
         (fractions[0], Some(0.4))
     );
-    // Nothing for a minute: nothing is left.
+    // After a minute without arrivals, the old rates have decayed to nothing.
     arrivals.count(120_000_000, 0.0, false, 9);
     assert!(arrivals.latest().work < 1e-4 && arrivals.latest().per_s < 0.21);
 }
--- a/crates/decisions/tests/attempts.rs
+++ b/crates/decisions/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Limits on attempts: effect classes, number of attempts, retry budget, connections.
+//! Tests for the limits on attempts: effect classes, number of attempts and retry budget; and for idle connections.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -37,7 +37,8 @@
             "same cell"
         );
     }
-    // Past the window nothing more is sent, and a refusal would promise too much.
+    // After the lifetime of the key no attempt is sent, and the request fails, because a rejection would claim that a
+    // retry is safe.
     let mut harness = Harness::new(settings(), &workers);
     let (id, _) = harness.submit(1);
     harness.advance(3_100 * MS);
@@ -61,7 +62,7 @@
     assert!(harness.sent_to(id).is_none() && harness.is_refused(id));
 }
 
-/// Attempts beyond a request's first stay within their budget, whichever path sends them.
+/// Attempts beyond a request's first must stay within the retry budget.
 #[test]
 fn retries_stay_within_their_budget_in_any_window() {
     let mut settings = settings();
@@ -96,12 +97,13 @@
         1,
         "the tenth request adds one"
     );
-    // The first two leave the window, and so do the requests that came with them.
+    // The first two retries and the requests accepted with them leave the window.
     harness.advance(5 * SEC + MS);
     assert_eq!(fail_until_answered(&mut harness), 1);
 }
 
-/// Requests that wait for a worker have passed the check of the budget before; it is checked again when they are sent.
+/// The retry budget must be checked again when a queued request is sent: several requests may have been queued while
+/// one retry was left.
 #[test]
 fn queued_retries_stay_within_the_budget_that_is_left_when_they_are_sent() {
     let mut settings = settings();
@@ -158,7 +160,7 @@
     assert!(harness.sent_to(id).is_none() && harness.is_refused(id));
 }
 
-/// A budget without a window is read strictly: what it allows, it allows once.
+/// A retry budget without a window is interpreted strictly: the free retries can be used once.
 #[test]
 fn retry_budget_without_a_window_is_never_renewed() {
     let mut settings = settings();
@@ -176,7 +178,8 @@
     }
 }
 
-/// Found as: 'request of class sale was sent again with no proof that the attempt before never ran'.
+/// Guards against retries after [`Status::Full`] if the rules say that such an attempt may have run. The fault was
+/// found as a request that was sent again without proof that the attempt before never ran.
 #[test]
 fn full_status_may_have_run_where_the_rules_say_so() {
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
@@ -207,7 +210,7 @@
     }
 }
 
-/// Rules that are absent limit nothing: a seed acts as under limits that are never reached.
+/// Absent rules must limit nothing: the actions for a seed are the same as with limits that are never reached.
 #[test]
 fn absent_retry_budget_equals_one_that_is_never_used_up() {
     let run = |resends| {
@@ -223,7 +226,7 @@
             log.extend(harness.actions.clone());
             harness.start(id, 0);
             log.extend(harness.advance(20 * MS));
-            // No reset before the start: that tells of idle connections, and closes them for another reason.
+            // No attempt is reset before its start, because such a reset closes idle connections.
             let ends = [
                 Status::Ok,
                 Status::Ok,
@@ -249,7 +252,8 @@
     );
 }
 
-/// A connection that a middlebox drops unnoticed would cost an attempt each time (17% of them in one measured run).
+/// Guards against attempts lost on idle connections that a middlebox has dropped unnoticed: 17% of the attempts in one
+/// measured run.
 #[test]
 fn connections_idle_as_long_as_a_broken_one_are_closed_and_the_worker_stays_healthy() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
@@ -278,7 +282,7 @@
     harness.advance(MS);
     harness.start(id, 1);
     harness.end(id, 1, Status::Ok);
-    // Used a moment ago it is trusted, and the first worker still takes requests that must not run twice.
+    // A recently used connection is trusted, and the first worker still gets requests that must not run twice.
     harness.advance(50 * MS);
     let sent: Vec<_> = (0..2)
         .map(|_| (harness.submit(2).1, closes(&harness)))
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -1,9 +1,9 @@
-//! Ejection and probation of workers that fail.
+//! Tests for the ejection and probation of failing workers.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-/// A worker that fails at once has the fewest requests in flight, and would draw all traffic.
+/// Guards against a worker that fails immediately attracting all traffic, because it has the fewest requests in flight.
 #[test]
 fn immediately_failing_worker_is_ejected_and_rarely_tried() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
@@ -34,8 +34,8 @@
     );
 }
 
-/// A worker must not be left out for good: where no class is safe, or no other answer of it is due, only time and
-/// retryable requests can end its probation.
+/// Guards against a worker that stays excluded for good. On probation it gets only retryable requests, one at a time;
+/// if there are none, the decay of its failure rate must end the probation.
 #[test]
 fn worker_on_probation_gets_retryable_requests_until_its_failure_rate_decays() {
     let erred = || {
@@ -61,7 +61,7 @@
     assert_eq!(harness.submit(2).1, Some(1), "its failure rate has decayed");
 }
 
-/// Dispatchers must not overload full workers with requests that these reject.
+/// Guards against dispatchers that keep sending requests to a full worker, which rejects them.
 #[test]
 fn worker_that_rejects_for_lack_of_capacity_is_ejected_briefly() {
     let mut harness = Harness::new(settings(), &[entry(1, 0)]);
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -1,9 +1,9 @@
-//! Load of workers by own starts, and the window of own requests that may wait at workers.
+//! Tests for the load of workers as inferred from starts, and for the window of own requests that may wait at workers.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-/// Where nothing is reported, a dispatcher must not assume that all slots of a worker are free for it.
+/// Guards against a dispatcher that, without load reports, assumes that all slots of a worker are free for it.
 #[test]
 fn late_start_marks_a_worker_as_shared() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
@@ -14,13 +14,13 @@
     assert_eq!(harness.submit(0).1, Some(other));
     harness.advance(MS);
     harness.start(2, 0);
-    // The second worker had a free slot immediately: it likely has another sooner than the first.
+    // The second worker started its request immediately, so it probably has another free slot sooner than the first.
     harness.end(2, 0, Status::Ok);
     assert_eq!(harness.submit(0).1, Some(other));
 }
 
-/// Workers look free to each of many dispatchers at once: where starts come late or workers reject, few own requests
-/// may wait in their queues, however many preferred workers hold none of them.
+/// Workers appear free to many dispatchers at once. When starts come late or workers reject attempts, only a few own
+/// requests may wait in workers' queues, however many preferred workers have none of them.
 #[test]
 fn wait_window_limits_requests_at_workers_that_seem_free() {
     let workers: Vec<_> = (0..40).map(|i| entry(i, 0)).collect();
@@ -38,7 +38,7 @@
             .filter(|a| matches!(a, Action::Send { .. }))
             .count()
     };
-    // Much traffic, all of it rejected: the window shrinks to one job.
+    // Heavy traffic that is all rejected shrinks the window to one attempt.
     for step in 0..300 {
         let mut actions = harness.advance(20 * MS);
         if step < 100 {
@@ -66,7 +66,8 @@
     assert!((1..=8).contains(&waiting), "{waiting} jobs wait");
 }
 
-/// Where starts come late or workers reject, one that is known to be free goes before those without any load.
+/// When starts come late or workers reject attempts, a worker that is known to be free is preferred over workers of
+/// unknown load.
 #[test]
 fn worker_without_load_is_not_assumed_empty_after_late_starts() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
@@ -91,7 +92,8 @@
     }
 }
 
-/// The wait window must stay a number at a late first start; else nothing would ever be queued at workers again.
+/// Guards against a wait window that is not a finite number after a late first start: no request would ever wait at a
+/// worker again.
 #[test]
 fn late_first_start_keeps_the_wait_window_finite() {
     let mut harness = Harness::new(settings(), &[entry(1, 0)]);
--- a/crates/decisions/tests/malformed_input.rs
+++ b/crates/decisions/tests/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Events that no caller should send must not stop the dispatcher.
+//! Tests that the dispatcher tolerates events that no correct caller sends.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -44,7 +44,7 @@
     );
 }
 
-/// Loads, a request (twice) and a progress report with a number that cannot be.
+/// Passes load reports, a request (twice) and a progress report with an impossible number.
 fn handle_impossible_number(harness: &mut Harness, value: f64) {
     for worker in [1, 99] {
         harness.probed(worker, load(value, value));
@@ -66,7 +66,7 @@
     });
 }
 
-/// Events of attempts that never were.
+/// Passes events of attempts that do not exist.
 fn handle_unknown_request(harness: &mut Harness, id: RequestId) {
     harness.handle(Event::Started {
         request: id,
--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The membership list, and connections to workers that drain.
+//! Tests for the membership list and for connections to draining workers.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -103,7 +103,8 @@
     harness.actions.iter().filter(is_closed).count()
 }
 
-/// Found as: 'an idle connection was still open 0.81 s after this instance was told that it drains'.
+/// Guards against idle connections that stay open after a worker has started to drain. The fault was found as an idle
+/// connection still open 0.81 s after the worker had been told to drain.
 #[test]
 fn idle_connections_to_a_draining_worker_are_closed_at_notice_and_after_each_end() {
     for (scope, entries) in [
@@ -131,7 +132,7 @@
         assert_eq!(closed(&harness, 1) + more, 0, "not repeatedly");
         harness.end(a, 0, Status::Ok);
         assert_eq!(closed(&harness, 1), 1, "after an outcome");
-        // The client leaves; its attempt that was in flight ends later.
+        // The client disconnects; the attempt in flight ends later.
         harness.handle(Event::RequestClosed(b));
         harness.end(b, 0, Status::Cancelled);
         assert_eq!(
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -1,4 +1,5 @@
-//! Attempts that wait long at a worker, where cancelling one is the only way to move its request to another worker.
+//! Tests for attempts that wait long at a worker when duplicates are not allowed, so that a request can only move to
+//! another worker after its attempt is cancelled.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -23,9 +24,9 @@
         .any(|a| matches!(a, Action::Cancel { request, .. } if *request == id))
 }
 
-/// An attempt must not stay in one queue while other workers are free. In the run that showed this each of 48
-/// dispatchers had a request in 1.4 s and none knew which queue was long: 42 of 59 requests waited at one worker,
-/// none at the fast ones.
+/// Guards against attempts that stay in one long queue while other workers are free. In the run that showed this fault,
+/// 48 dispatchers each received a request every 1.4 s and none of them knew which queue was long: 42 of 59 requests
+/// waited at one worker, and none at the fast workers.
 #[test]
 fn long_waiting_attempt_moves_to_a_worker_that_looks_free() {
     for class in [0, 1, 3] {
@@ -40,7 +41,7 @@
             is_cancelled(&harness.advance(60 * MS), id),
             "class {class}: it has waited for long"
         );
-        // A start reported meanwhile changes nothing: what counts is how the attempt ends.
+        // The outcome of the cancelled attempt triggers the next send.
         harness.end(id, 0, Status::Cancelled);
         let second = harness.sent_to(id).expect("it is sent again immediately");
         assert_ne!(first, second);
@@ -55,7 +56,8 @@
 
 #[test]
 fn attempt_is_not_moved_where_disallowed_or_without_another_worker() {
-    // An unsafe class; duplicates allowed; no cancelling; one worker only; a request with one attempt left.
+    // Each case disallows the move for one reason: an unsafe class, allowed duplicates, no cancelling, a single worker,
+    // or (below) only one attempt left.
     let two = [entry(1, 0), entry(3, 0)];
     for (what, class, duplicates, cancel, workers) in [
         ("unsafe", 2, false, true, &two[..]),
@@ -100,8 +102,8 @@
     );
 }
 
-/// Forty dispatchers without updates from each other, two workers, one of which starts nothing: no request is left
-/// there.
+/// Forty dispatchers exchange no updates, and one of two workers starts no attempts. Each dispatcher must move its
+/// requests away from that worker.
 #[test]
 fn every_dispatcher_moves_its_requests_out_of_a_stalled_queue() {
     let mut moved = 0;
--- a/crates/decisions/tests/observations.rs
+++ b/crates/decisions/tests/observations.rs
@@ -1,4 +1,4 @@
-//! Load of workers by reports, probes and updates from peers.
+//! Tests for the load of workers from load reports, probes and peer updates.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -28,7 +28,7 @@
     }
 }
 
-/// A report must not be compared with own requests sent after it was made.
+/// Guards against comparing a load report with a count of own requests that does not match the time of the report.
 #[test]
 fn load_report_of_a_result_still_counts_the_ended_request() {
     let mut settings = settings();
@@ -47,7 +47,7 @@
     harness.advance(MS);
     harness.start(a, 0);
     harness.advance(SEC);
-    // One of two slots was taken, by the job that now ends: the worker has room for two more.
+    // The report shows one of two slots occupied, by the request that now ends: the worker has room for two more.
     harness.end_with_load(
         a,
         0,
@@ -65,7 +65,8 @@
     );
 }
 
-/// Requests whose end is never reported seem to run on, and would show slots that do not exist.
+/// Guards against inferring slots that do not exist from requests whose end is never reported, so that they seem to run
+/// on.
 #[test]
 fn reported_slots_override_requests_that_seem_to_run() {
     let mut settings = settings();
@@ -85,7 +86,7 @@
         let (id, worker) = harness.submit(0);
         harness.advance(MS);
         if worker.is_some() {
-            harness.start(id, 0); // also the third and later ones: others have ended without a report
+            harness.start(id, 0); // also the third and later requests: earlier ones have ended without a report
         }
     }
     harness.update_membership(Scope::Delta, &[entry(2, 0)]);
@@ -101,7 +102,7 @@
     );
 }
 
-/// Each of many dispatchers would otherwise take workers to have no more slots than its own few requests showed.
+/// Guards against a dispatcher that assumes no more slots than its own few requests have shown.
 #[test]
 fn probe_results_give_the_number_of_slots() {
     let mut settings = settings();
@@ -120,8 +121,8 @@
     }
 }
 
-/// A queue must not be counted as slots: one slot can be free while a request waits for two. Warm-up budgets are
-/// multiples of the slots.
+/// Guards against counting queued requests as slots: a slot can be free while a request waits for two. Too many slots
+/// would also increase warm-up budgets, which are multiples of the slots.
 #[test]
 fn load_report_with_a_queue_does_not_raise_the_number_of_slots() {
     let mut harness = Harness::new(
@@ -149,11 +150,11 @@
     probed(40.0, 38.0, 1.0);
     probed(0.0, 0.0, 3.0);
     let taken = (0..8).take_while(|_| harness.submit(2).1.is_some()).count();
-    // Three run; a few more may wait at a crowded worker, one at a time.
+    // Three requests run; more may wait at the busy worker only one at a time.
     assert!((3..=4).contains(&taken), "{taken} jobs at three slots");
 }
 
-/// Dispatchers must not overfill workers with requests of other dispatchers where no report shows these.
+/// Guards against overfilling workers that are occupied by other dispatchers' requests when no load report shows those.
 #[test]
 fn peer_updates_claim_and_release_slots() {
     let mut settings = settings();
@@ -188,7 +189,7 @@
     );
 }
 
-/// Few requests over a large fleet must not be placed by load that is long out of date, or by none.
+/// Guards against placing requests by outdated or unknown load where few requests are spread over a large fleet.
 #[test]
 fn request_waits_briefly_for_probes_of_sampled_workers_without_load() {
     let mut settings = settings();
@@ -212,7 +213,8 @@
         Some(2),
         "the emptiest of those sampled"
     );
-    // Without answers it is sent after a tenth of its latency target. Workers with recent load are not probed again.
+    // Without probe results, the request is sent after a tenth of its latency target. Workers with recent load are not
+    // probed again.
     harness.advance(3 * SEC);
     let (id, _) = harness.submit(0);
     assert!(
@@ -225,8 +227,8 @@
     assert!(harness.sent_to(id).is_some());
 }
 
-/// Where a request runs long against the age of a report, the load of a worker that many share must not be left to age
-/// as if requests were short.
+/// If requests run long relative to the age of a load report, the load of a worker that many dispatchers share must be
+/// probed more often than for short requests.
 #[test]
 fn long_run_times_shorten_the_probe_interval() {
     assert_eq!(probes_after_recent_load(50 * MS, 40), 0);
@@ -243,7 +245,8 @@
     actions.iter().filter(is_probe).count()
 }
 
-/// Probes 0.7 s after the last load reports, once requests have been observed to run for `run`.
+/// Number of probes for a request that arrives 0.7 s after the last load reports, once run times of `run` have been
+/// observed.
 fn probes_after_recent_load(run: Time, dispatchers: u32) -> usize {
     let mut settings = Settings {
         dispatchers,
@@ -266,7 +269,7 @@
         harness.end(id, 0, Status::Ok);
     }
     assert!(probes > 0);
-    // From here only the time since the last report counts.
+    // From here on, the run time is known, and only the time since the last report matters.
     harness.submit(0);
     harness.advance(5 * SEC);
     harness.submit(0);
--- a/crates/decisions/tests/reconfigure.rs
+++ b/crates/decisions/tests/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Other settings while requests are open.
+//! Tests for new settings while requests are open.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -9,8 +9,8 @@
     Event::Settings(Box::new(settings))
 }
 
-/// While it is open, a request must neither run twice because its class becomes safe, nor be lost because its class
-/// becomes unsafe: it keeps the rules that it came with. The next request has the new ones.
+/// An open request must neither run twice because its class becomes safe, nor be lost because its class becomes unsafe.
+/// It keeps the rules that were in force when it arrived; later requests get the new rules.
 #[test]
 fn open_request_keeps_the_rules_of_its_class() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
@@ -38,8 +38,8 @@
     }
 }
 
-/// An added class must not be taken for the one that unknown classes count as, its requests not be judged by another
-/// class's rules, and the tables must not grow with each change.
+/// An added class must have its own rules, and must not be confused with another class or with the fallback for unknown
+/// classes. The tables must not grow with each change of settings.
 #[test]
 fn added_class_has_its_own_rules_and_an_unknown_class_stays_unknown() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
@@ -67,7 +67,7 @@
     }
 }
 
-/// No more attempts than allowed, by the settings of when a request came and by those that hold now.
+/// A request must have no more attempts than allowed by the settings at its arrival or by the current settings.
 #[test]
 fn open_request_is_limited_by_the_lower_attempt_limit_of_both_settings() {
     for (before, after) in [(1, 4), (4, 1)] {
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -1,4 +1,4 @@
-//! Performs steps on a dispatcher and checks each action against the rules, from events and actions alone.
+//! Performs steps on a dispatcher and checks each action against the rules, using only events and actions.
 
 use super::steps::Step;
 use indigofold_decisions::api::*;
@@ -15,12 +15,12 @@
     class: u32,
     deadline: Time,
     attempts: Vec<TrackedAttempt>,
-    /// The client has its answer, or has left.
+    /// Whether the client has its final answer or has disconnected.
     closed: bool,
     final_answers: u32,
 }
 
-/// Knows only the events and actions of both sides, and checks each action against the rules.
+/// Checks each action of a dispatcher against the rules. It uses only the events passed in and the actions returned.
 pub(crate) struct Checker {
     settings: Settings,
     harness: Harness,
@@ -28,16 +28,18 @@
     requests: BTreeMap<RequestId, TrackedRequest>,
     warm_up_sends: BTreeMap<WorkerId, Vec<Time>>,
     next: RequestId,
-    /// Since the start of the instance: requests taken, and attempts beyond a first with how they ended.
+    /// When requests were accepted since the dispatcher's start.
     accepted_at: Vec<Time>,
+    /// Retries since the dispatcher's start: time, request and number of the attempt.
     retries: Vec<(Time, RequestId, usize)>,
-    /// Workers where a connection may have gone idle since it was last closed, and which drain.
+    /// Workers with a connection that may have become idle since the idle connections there were last closed.
     idle: BTreeSet<WorkerId>,
+    /// Start and end of each pause of the dispatcher.
     stalls: Vec<(Time, Time)>,
 }
 
 impl Checker {
-    /// A dispatcher with six workers of three kinds in two zones.
+    /// Creates a dispatcher with six workers of three kinds in two zones.
     pub(crate) fn new(settings: Settings) -> Self {
         let workers: Vec<_> = (0..6)
             .map(|i| Entry {
@@ -97,14 +99,15 @@
         self.check_idle_connections();
     }
 
-    /// One final answer in time, and a refusal only where nothing can have taken effect.
+    /// Checks that a final answer is the only one and in time, and that a rejection is given only if a repeat is
+    /// harmless.
     fn check_answer(&mut self, now: Time, request: RequestId, is_refusal: bool) {
         let tracked = self
             .requests
             .get_mut(&request)
             .expect("an answer names a known request");
         assert!(!tracked.closed, "a second final answer");
-        // A paused dispatcher can answer no sooner than it resumes.
+        // A paused dispatcher cannot answer before it resumes.
         let due = tracked.deadline + self.settings.rules.answer_slack;
         let resumed = self
             .stalls
@@ -138,7 +141,7 @@
         if self.settings.rules.close_idle_within.is_none() {
             return;
         }
-        // Nothing else has to come first: what can be closed is closed with the same event.
+        // Idle connections to a draining worker must be closed by the event that made them idle or the worker drain.
         let draining = self
             .idle
             .iter()
@@ -248,7 +251,7 @@
         if entry.ready_at == 0 || now >= entry.ready_at + rules.warm_after {
             return;
         }
-        // Every request here is one unit of 300 ms at speed 1 and no worker ever shows more than 8 slots.
+        // Every request is estimated at 300 ms at speed 1, and no worker ever shows more than 8 slots.
         let age = (now - entry.ready_at) as f64;
         let warmth =
             rules.initial_capacity + (1.0 - rules.initial_capacity) * age / rules.warm_after as f64;
@@ -260,15 +263,16 @@
             .count() as f64;
         let dispatchers = self.settings.dispatchers.max(1) as f64;
         let budget = rules.tip_multiple * warmth * 8.0 * rules.tip_window as f64 / dispatchers;
-        // Runs here may turn out far shorter, and the module learns that: among few dispatchers the 8 slots
-        // leave room for it. Small parts are checked in `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
+        // Actual runs may be much shorter, which the module learns. With few dispatchers, the assumption of 8 slots
+        // leaves enough tolerance for that. Small parts of a budget are checked by the test
+        // `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
         assert!(
             dispatchers > 5.0 || recent * 300_000.0 <= budget,
             "{recent} sends to a worker in warm-up"
         );
     }
 
-    /// The n-th attempt in flight, modulo their number.
+    /// The n-th attempt in flight, modulo the number of attempts in flight; `None` if there is none.
     fn nth_in_flight(&self, n: usize) -> Option<(RequestId, u32)> {
         let out = |(id, r): (&RequestId, &TrackedRequest)| -> Vec<(RequestId, u32)> {
             let open = r
@@ -304,7 +308,7 @@
         self.check();
     }
 
-    /// Time passes; timers and the time-outs at the deadlines come due in order.
+    /// Advances the clock; timers and the time-outs of attempts at their deadlines occur in order.
     fn advance(&mut self, time: Time) {
         let end = self.harness.now + time;
         loop {
@@ -346,7 +350,7 @@
         self.check();
     }
 
-    /// Performs one step and checks the actions that follow. One arm for each step, hence its length.
+    /// Performs one step and checks the resulting actions.
     #[allow(
         clippy::too_many_lines,
         reason = "one scenario, in the order in which it happens"
@@ -445,7 +449,7 @@
         self.check();
     }
 
-    /// The dispatcher's requests are void; it starts again with its last membership list.
+    /// Replaces the dispatcher by a new one with the last membership list; all its requests are dropped.
     fn crash(&mut self) {
         let workers: Vec<_> = self.entries_by_worker.values().cloned().collect();
         let now = self.harness.now;
@@ -457,7 +461,7 @@
         self.check();
     }
 
-    /// The client of the n-th open request leaves.
+    /// The client of the n-th open request disconnects; does nothing if no request is open.
     fn close_request(&mut self, n: usize) {
         let open = self.requests.iter().filter(|(_, tracked)| !tracked.closed);
         let ids: Vec<_> = open.map(|(id, _)| *id).collect();
@@ -471,7 +475,7 @@
         self.check();
     }
 
-    /// Lets all deadlines pass: each request must have had exactly one final answer.
+    /// Lets all deadlines pass and checks that each request has exactly one final answer.
     pub(crate) fn finish(&mut self) {
         self.advance(20 * SEC);
         for (id, r) in &self.requests {
--- a/crates/decisions/tests/rules/main.rs
+++ b/crates/decisions/tests/rules/main.rs
@@ -1,4 +1,5 @@
-//! The four rules as properties: random legal events, and a checker that shares no code with the decision module.
+//! Property test of the rules that every decision must obey: a dispatcher handles random legal events, and a checker
+//! that shares no code with the decision module checks its actions.
 
 mod checker;
 mod steps;
@@ -36,7 +37,8 @@
         .prop_map(
             |(dispatchers, duplicates, cancel, attempts, pushed, priced)| {
                 let mut s = settings();
-                // None at all, few, or more than workers, with and without reports, messages and shares.
+                // No dispatcher, a few, or more than there are workers; with different load reports, and with and
+                // without peer updates, tenants and prices.
                 s.dispatchers = if dispatchers == 5 { 60 } else { dispatchers };
                 s.me = dispatchers;
                 s.reports = if pushed {
--- a/crates/decisions/tests/rules/steps.rs
+++ b/crates/decisions/tests/rules/steps.rs
@@ -1,10 +1,10 @@
-//! What may happen to a dispatcher, as random steps.
+//! Random steps: events that may happen to a dispatcher.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 use proptest::prelude::*;
 
-/// One thing that happens to a dispatcher.
+/// One event that happens to a dispatcher. Numbers of attempts and requests are taken modulo those present.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Submit {
@@ -12,21 +12,31 @@
         left: Time,
         slots: f64,
     },
-    /// Start, or end with a status, the n-th attempt in flight.
+    /// The n-th attempt in flight starts.
     Start(usize),
+    /// The n-th attempt in flight ends with this status.
     End(usize, Status),
+    /// Time passes.
     Pass(Time),
-    /// Change the list entry of a worker.
+    /// The membership list marks this worker as draining.
     Drain(u32),
+    /// This worker restarts and is in warm-up.
     Restart(u32),
+    /// The membership list marks this worker as removed.
     Drop(u32),
+    /// The membership list marks this worker as active.
     Return(u32),
+    /// The whole membership list arrives, with the active workers only.
     FullMembership,
+    /// A request for the membership list fails.
     MembershipFails,
+    /// The client of the n-th open request disconnects.
     ClientDisconnects(usize),
-    /// The dispatcher is paused: timers due meanwhile fire late, all at the same time.
+    /// The dispatcher is paused for this time: timers that become due meanwhile fire late, all at the same time.
     Stall(Time),
+    /// The dispatcher crashes and restarts without state.
     Crash,
+    /// A probe of this worker succeeds.
     Probe(u32),
 }
 
--- a/crates/decisions/tests/sampling.rs
+++ b/crates/decisions/tests/sampling.rs
@@ -1,4 +1,4 @@
-//! Which worker a request goes to: the draw of a kind, SQ(d) within it, preferred workers and zones.
+//! Tests for the choice of a worker: draw of a kind, SQ(d) within the kind, preferred workers and zones.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -43,7 +43,7 @@
     }
 }
 
-/// The load of a class that is bound to one kind must not drive the draw of the others off the fast kind.
+/// Guards against the load of a class that is bound to one kind shifting other classes away from the fast kind.
 #[test]
 fn load_of_a_bound_class_does_not_change_the_draw_of_others() {
     let mut settings = Settings {
@@ -105,7 +105,7 @@
     assert_eq!(run(), run());
 }
 
-/// Dispatchers that spread few requests each over a large fleet would learn of no worker.
+/// Guards against dispatchers that spread few requests over a large fleet and so learn the load of no worker.
 #[test]
 fn dispatchers_of_a_large_fleet_prefer_few_and_different_workers() {
     let workers: Vec<_> = (0..80).map(|i| entry(i, i % 2)).collect();
@@ -129,7 +129,7 @@
         first.intersection(&served(20)).next().is_none(),
         "dispatchers apart share no worker"
     );
-    // With its preferred workers taken, it uses the others.
+    // Once its preferred workers are occupied, a dispatcher uses the others.
     let mut harness = Harness::new(
         Settings {
             dispatchers: 40,
@@ -141,7 +141,7 @@
     assert!(used.len() > 8, "{used:?}");
 }
 
-/// The dispatchers of a zone with few workers must not overload these while other zones idle.
+/// Guards against dispatchers that overload the few workers of their zone while workers of other zones are idle.
 #[test]
 fn late_starts_in_the_own_zone_send_requests_to_other_zones() {
     let mut settings = settings();
@@ -151,7 +151,7 @@
         ..entry(i, 0)
     });
     let mut harness = Harness::new(settings, &workers);
-    // In the own zone a request starts after two others have ended, elsewhere immediately.
+    // Requests start 200 ms late in the own zone, and immediately in the other zone.
     let mut away = [0, 0];
     for n in 0..200 {
         let (id, worker) = harness.submit(0);
@@ -164,18 +164,18 @@
         harness.advance(3 * SEC);
     }
     assert!(away[1] > 25, "{away:?}");
-    // Once the own zone starts them promptly again, they come back.
+    // Once the own zone starts requests promptly again, they are sent there again.
     let home: Vec<_> = (0..300)
         .map(|_| harness.serve(0, |_| 100 * MS).expect("sent") < 2)
         .collect();
     assert!(home[240..].iter().all(|h| *h), "{home:?}");
 }
 
-/// A kind must not be taken for slow because it happened to get the long class.
+/// Guards against a kind that counts as slow because it got mostly requests of a class with long run times.
 #[test]
 fn kind_speeds_are_compared_within_each_class() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 1)]);
-    // Both kinds are equally fast. Class 0 is short, class 2 ten times as long and mostly on kind 0.
+    // Both kinds are equally fast. Class 0 runs for 50 ms, class 2 ten times as long and mostly on kind 0.
     for n in 0..200 {
         let class = if n % 2 == 0 { 0 } else { 2 };
         harness.serve(class, |_| if class == 0 { 50 * MS } else { 500 * MS });
--- a/crates/decisions/tests/serialized_form.rs
+++ b/crates/decisions/tests/serialized_form.rs
@@ -1,4 +1,4 @@
-//! The serialized forms that another version of the program reads: their bytes must not change.
+//! Tests that the bytes of the serialized forms do not change, because other versions of the program read them.
 
 use indigofold_decisions::affinity::Fetches;
 use indigofold_decisions::arrivals::Rates;
@@ -8,7 +8,7 @@
 };
 use indigofold_decisions::transferred_job::{Attempt, Progress, TransferredJob};
 
-/// [`statistics`] as written by the release before the types were renamed.
+/// [`statistics`] as serialized by the release before the types were renamed.
 const STATISTICS_HEX: &str = "\
 49464c52010047010000e3431fffff23420b8080f9c0c1c482030104666173740000000000001c400100000000000000\
      000000000000000000000000000000f03f000000000000e83f010473616c650000000000000000000000000000000000\
@@ -19,7 +19,7 @@
      3f000000000000b03f000000000000e03f00000000000029400000000080844e410000000000003e400000000060e356\
      41000000000000a03f";
 
-/// [`transferred_job`] as written by the same release.
+/// [`transferred_job`] as serialized by the same release.
 const TRANSFERRED_JOB_HEX: &str = "\
 0473616c6580b591c1c1c48203809be7c3c1c482030190a10f012a000000000000f83f0401020a732d30303030303030\
      318080f9c0c1c48203f0a20401e887f9c0c1c48203c084b6c1c1c48203000000000000e03f01a0c297c1c1c482030000\
--- a/crates/decisions/tests/solver.rs
+++ b/crates/decisions/tests/solver.rs
@@ -1,8 +1,9 @@
-//! Problem (1) of hybrid SQ(d) (Van Spilbeeck and Van Houdt): the probabilities by which kinds are drawn.
+//! Tests of the solver of problem (1) of hybrid SQ(d) (Van Spilbeeck and Van Houdt), which gives the probabilities by
+//! which kinds are drawn.
 
 use indigofold_decisions::dispatcher::solve;
 
-/// The objective of problem (1) for draw probabilities `p`; infinite where a kind is overloaded.
+/// The objective of problem (1) for the draw probabilities `p`; infinite if a kind is overloaded.
 fn mean_queue_length(
     p: &[f64],
     capacity_fraction: &[f64],
@@ -74,7 +75,8 @@
 
 #[test]
 fn optimum_for_one_sampled_worker_matches_the_closed_form() {
-    // d = 1 is random routing to M/M/1 queues: mu_k - lambda_k in use is proportional to sqrt(mu_k).
+    // d = 1 is random routing to M/M/1 queues. There mu_k - lambda_k is proportional to sqrt(mu_k) for the kinds in
+    // use.
     let (capacity_fraction, speed, load) = ([0.5, 0.5], [1.5, 0.5], 0.6);
     let p = solve(&capacity_fraction, &speed, load, 1);
     let roots: f64 = (0..2)
@@ -89,7 +91,7 @@
 #[test]
 fn zero_full_and_unknown_load_give_defined_probabilities() {
     let is_close = |a: f64, b: f64| (a - b).abs() < 1e-9;
-    // Hardly any load: only the fastest kind. Full load or none known: by capacity.
+    // At a very low load only the fastest kind is used. At full or unknown load, kinds are used by capacity.
     let p = solve(&[1.0, 1.0], &[3.0, 1.0], 0.0, 2);
     assert!(p[0] > 0.999, "{p:?}");
     for load in [1.0, 5.0, f64::NAN, f64::INFINITY] {
@@ -109,7 +111,7 @@
         for d in [1u32, 2, 4] {
             let p = solve(&[2.0, 3.0, 3.0], &[2.0, 1.2, 0.8], i as f64 / 50.0, d);
             assert!((p.iter().sum::<f64>() - 1.0).abs() < 1e-9);
-            // A slot of a faster kind gets at least the work of a slower one's.
+            // A slot of a faster kind gets at least as much work as a slot of a slower kind.
             assert!(
                 p[0] / 2.0 >= p[1] / 3.0 - 1e-6 && p[1] >= p[2] - 1e-6,
                 "{p:?}"
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -1,4 +1,4 @@
-//! Statistics of one dispatcher, merged by another one, and their written form.
+//! Tests for merging the statistics of another dispatcher, and for their serialized form.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions::dispatcher::WorkerCounts;
@@ -16,7 +16,7 @@
     to.handle(Event::Statistics(Box::new(statistics)));
 }
 
-/// A dispatcher after 300 requests, whose fast kind (even worker ids) runs three times as fast.
+/// A dispatcher that has served 300 requests; workers with even ids, of kind 0, are three times as fast as the others.
 fn experienced(workers: &[Entry]) -> Harness {
     let mut old = Harness::new(settings(), workers);
     for _ in 0..300 {
@@ -47,7 +47,7 @@
     );
 }
 
-/// Statistics must not grow or shift each time that they are passed on.
+/// Guards against statistics that change each time they are passed on.
 #[test]
 fn statistics_that_are_merged_and_read_at_once_stay_the_same() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
@@ -76,7 +76,7 @@
     assert_eq!(statistics.pace, passed_on.pace);
 }
 
-/// A failing worker is ejected; the process that takes over ejects it too, unless it has restarted.
+/// The process that takes over must also eject a failing worker, unless that worker has restarted meanwhile.
 #[test]
 fn ejection_is_merged_only_for_the_same_instance_of_a_worker() {
     let mut old = Harness::new(settings(), &[entry(1, 0)]);
@@ -107,7 +107,7 @@
     assert_eq!(other.dispatcher.worker_counts(other.now), counts(1, 0));
 }
 
-/// No permission may come from written statistics: neither the states of the membership list nor a warm-up budget.
+/// Statistics must grant no permission: neither a state of the membership list nor a warm-up budget.
 #[test]
 fn membership_and_warm_up_budgets_are_not_merged() {
     let rules = Rules {
@@ -126,7 +126,7 @@
     }
     let statistics = old.dispatcher.statistics(old.now);
     assert!(statistics.workers.len() == 2 && statistics.kinds[0].1.speed.weight() > 50.0);
-    // The list has one draining worker and one that has just started, and no other.
+    // The membership list has one draining worker and one that has just started.
     let draining = Entry {
         state: WorkerState::Draining,
         ..entry(1, 0)
@@ -174,7 +174,7 @@
     assert!(sent.contains(&1), "no longer in flight: {sent:?}");
 }
 
-/// Retries of the former process count as own ones in the retry budget; merged twice, they count once.
+/// Retries of the former process use the retry budget of the new one; they count once even if merged twice.
 #[test]
 fn merged_retries_count_once_in_the_retry_budget() {
     let budget = ResendBudget {
@@ -209,7 +209,7 @@
     );
 }
 
-/// What is learned in minutes outlasts a break of one; queues and arrivals do not.
+/// Run times, which are learned over minutes, stay valid after a break of one minute; arrival rates do not.
 #[test]
 fn merged_statistics_are_weighted_by_their_age() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
@@ -226,7 +226,7 @@
     assert!((minute.kinds[0].1.speed.speed - now.kinds[0].1.speed.speed).abs() < 1e-9);
     let arrivals = |l: &Statistics<u32>| l.pace.as_ref().map_or(0.0, |p| p.arrivals.per_s);
     assert!(arrivals(&now) > 1.0 && arrivals(&minute) < 1e-4 * arrivals(&now));
-    // From a clock that runs ahead: as if it were of now, and no ejection for longer than the longest.
+    // Statistics of a clock that runs ahead count as current, and no ejection lasts longer than the maximum.
     let mut ahead = statistics.clone();
     ahead.at += 3600 * SEC;
     ahead.workers[0].1.ejected_until = Time::MAX;
@@ -252,7 +252,7 @@
     let form = statistics.write().expect("200 workers fit");
     assert_eq!(Statistics::read(&form), Ok(statistics.clone()));
     assert!(form.len() < 20_000, "{} bytes for 200 workers", form.len());
-    // Too many workers for one message.
+    // Too many workers for the maximum length.
     let mut large = statistics;
     large.workers = (0..4000)
         .map(|n| (format!("s-{n:08x}"), large.workers[0].1.clone()))
@@ -260,7 +260,7 @@
     assert_eq!(large.write(), None);
 }
 
-/// Version 1 as it was first written: it must be readable for good.
+/// Version 1 as first released must stay readable.
 #[test]
 fn version_one_stays_readable() {
     let empty = "49464c52010009000000d4751b05cb136975ac0200000000000000";
@@ -326,7 +326,7 @@
     ));
 }
 
-/// The form is complete and has the right checksum.
+/// Statistics with an impossible number must be rejected although they are complete and have the right checksum.
 #[test]
 fn statistics_with_an_impossible_number_are_rejected_with_a_reason() {
     let statistics = known_statistics();
@@ -358,7 +358,7 @@
 }
 
 proptest! {
-    /// A changed byte must neither end the program nor go unnoticed.
+    /// Changed or missing bytes must be detected and must not cause a panic.
     #[test]
     fn damaged_statistics_are_rejected(at in 0usize..400, bit in 0u8..8, length in 0usize..400) {
         let statistics = named(experienced(&[entry(1, 0), entry(2, 1)]).dispatcher.statistics(130 * SEC));
@@ -370,7 +370,8 @@
         prop_assert!(Statistics::read(&form[..length % form.len()]).is_err());
     }
 
-    /// A checksum makes any numbers look right: whatever they are, the dispatcher goes on.
+    /// A valid checksum does not make the numbers plausible. Whatever valid numbers are merged, the dispatcher must
+    /// still send requests.
     #[test]
     fn dispatcher_keeps_working_with_any_statistics_that_pass_the_check(
         slots in prop_oneof![Just(0.0), Just(1e6), 0.0..20.0], failure in 0.0..=1.0, start_delay in 0.0..=3.6e9,
--- a/crates/decisions/tests/stragglers.rs
+++ b/crates/decisions/tests/stragglers.rs
@@ -1,9 +1,9 @@
-//! Attempts that wait too long or make no progress.
+//! Tests for attempts that wait too long or make no progress.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-/// An attempt that was never acknowledged must not block its worker, and its request, until the deadline.
+/// Guards against an unacknowledged attempt that blocks its worker and its request until the deadline.
 #[test]
 fn unacknowledged_attempt_releases_its_slots_and_is_retried_elsewhere() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
@@ -35,7 +35,7 @@
     );
 }
 
-/// Requests that can earn nothing any more must not keep others waiting in a worker's queue.
+/// Guards against requests that cannot earn value any more and delay others in a worker's queue.
 #[test]
 fn unstarted_attempt_past_its_latency_target_is_cancelled_if_late_earns_nothing() {
     let mut settings = settings();
@@ -60,7 +60,7 @@
     );
 }
 
-/// An answer that never comes must not keep its slots and its request until the client gives up.
+/// Guards against an attempt without an answer that occupies its slots and its request until the client gives up.
 #[test]
 fn overdue_progress_releases_slots_and_retries_where_the_class_allows() {
     for (class, is_retried) in [(0, true), (2, false)] {
@@ -85,7 +85,7 @@
         harness.advance(300 * MS);
         assert_eq!(harness.sent_to(id).is_some(), is_retried, "class {class}");
         assert!(harness.sent_to(id) != first && !harness.is_failed(id) && !harness.is_refused(id));
-        // The first attempt's answer still counts, and the second attempt is cancelled.
+        // An answer of the first attempt still counts, and the second attempt is cancelled.
         harness.end(id, 0, Status::Ok);
         let withdrawn = harness.actions.contains(&Action::Cancel {
             request: id,
@@ -93,7 +93,7 @@
         });
         assert_eq!(withdrawn, is_retried);
     }
-    // Where no progress is reported, a long run does not count as overdue.
+    // If workers report no progress, a long run does not count as overdue.
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
     let (id, _) = harness.submit(0);
     harness.start(id, 0);
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -1,9 +1,10 @@
-//! Workers that have just started: what all dispatchers together may send them.
+//! Tests for workers in warm-up: how much work all dispatchers together may send them.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-/// When worker 3 was sent requests: one of the class is submitted at each step, and each ends at once with this status.
+/// Returns the times at which requests were sent to worker 3. One request of `class` is submitted per step until
+/// `until`, and each attempt at worker 3 ends immediately with the status `ends`.
 fn sends_to_third(
     harness: &mut Harness,
     (class, ends): (ClassId, Status),
@@ -28,7 +29,7 @@
     sends
 }
 
-/// Share of its capacity that a worker has at least, so long after its start.
+/// Least fraction of its capacity that a worker has at this age.
 fn least_warmth(rules: &Rules, age: Time) -> f64 {
     rules.initial_capacity + (1.0 - rules.initial_capacity) * age as f64 / rules.warm_after as f64
 }
@@ -42,7 +43,7 @@
     for _ in 0..30 {
         harness.serve(0, |_| 100 * MS);
     }
-    // Worker 3 has just started and is the only one left; every request that it gets is rejected.
+    // Worker 3 has just started and is the only worker left; it rejects every request.
     let ready_at = harness.now;
     harness.update_membership(
         Scope::Full,
@@ -67,7 +68,7 @@
             .filter(|u| **u <= *t && **u + rules.tip_window > *t)
             .count() as f64;
         let warmth = least_warmth(&rules, *t - ready_at);
-        // Its slots were never seen, so it is taken to have as many as its kind has shown: one.
+        // The worker's slots were never observed, so it counts as having as many as observed for its kind: one.
         let budget = rules.tip_multiple * warmth * rules.tip_window as f64 / 3.0;
         assert!(
             recent * 100_000.0 <= budget,
@@ -76,8 +77,8 @@
     }
 }
 
-/// In too many parts, none of the budget would pay for a request before the worker is warm: few dispatchers have a
-/// part, others for each worker, and together they keep within the budget.
+/// If a warm-up budget were split among all dispatchers, no part would pay for a request before the warm-up ends. So
+/// only a few dispatchers get a part, different ones for each worker, and together they stay within the budget.
 #[test]
 fn warm_up_budget_goes_to_few_dispatchers_and_accumulates() {
     let mut users = [0; 2];
@@ -115,14 +116,16 @@
             users[n] |= u64::from(sends > 0) << me;
             total += sends;
         }
-        // One slot, 30% of it at first and two thirds after 30 s: some 140 jobs of 100 ms, and no more than asked.
+        // The worker has one slot, 30% of it at first and about two thirds after 30 s: room for about 140 jobs of 100
+        // ms.
         assert!((3..=140).contains(&total), "{total} jobs in 30 s");
         assert!(users[n].count_ones() == 3, "{:b}", users[n]);
     }
     assert_ne!(users[0], users[1]);
 }
 
-/// Dispatchers that do not prefer the worker would never spend their part of its budget.
+/// Guards against dispatchers that never spend their part of a worker's warm-up budget because they do not prefer the
+/// worker.
 #[test]
 fn worker_in_warm_up_is_preferred_by_dispatchers_with_a_fraction_of_its_budget() {
     let now = 100 * SEC;
@@ -150,12 +153,12 @@
         harness.advance(4 * SEC);
         (0..6).any(|_| harness.submit(0).1 == Some(60))
     };
-    // A part pays for four jobs of 10 ms in a window of 1 s, and 0.54 s are used there: 13 parts.
+    // A part pays for four jobs of 10 ms in a window of 1 s, and 0.54 s of work are used in a window: 13 parts.
     assert_eq!((0..40).filter(uses).count(), 13);
 }
 
-/// A whole fleet hears of a start at once: whatever each has accumulated, all dispatchers together keep within three
-/// quarters of the budget in any window, and do not leave the worker idle.
+/// All dispatchers learn of a start at the same time. Whatever part of the budget each has accumulated, together they
+/// must stay within three quarters of the budget in any window, without leaving the worker idle.
 #[test]
 fn three_hundred_dispatchers_keep_a_worker_in_warm_up_within_its_budget() {
     let (rules, run, step) = (settings().rules, 100 * MS, 20 * MS);
@@ -171,7 +174,7 @@
                 ..entry(3, 0)
             }],
         );
-        // Each releases its slot at once, so that only the budget limits.
+        // Each attempt releases its slot at once, so that only the budget limits the sends.
         let until = ready_at + 4 * SEC;
         sends.extend(sends_to_third(
             &mut harness,
@@ -202,7 +205,7 @@
     );
 }
 
-/// A dispatcher that has observed workers with seven slots, and requests that run for `run`.
+/// One of 300 dispatchers, which has observed workers with seven slots and requests that run for `run`.
 fn one_of_three_hundred(me: u32, run: Time) -> Harness {
     let settings = Settings {
         dispatchers: 300,
