--- a/crates/decisions/src/affinity.rs
+++ b/crates/decisions/src/affinity.rs
@@ -97,9 +97,9 @@
 }
 
 impl Fetches {
-    /// Records a job that was sent to another worker and fetched its data for `took` microseconds.
-    pub fn sent_away(&mut self, took: f64) {
-        self.away.add(FETCH_KEEP, took);
+    /// Records a job that was sent to another worker and fetched its data for `duration` microseconds.
+    pub fn record_fetch(&mut self, duration: f64) {
+        self.away.add(FETCH_KEEP, duration);
     }
 
     /// Mean fetch time of a job sent to another worker, in microseconds; 0 while none has been measured.
@@ -116,7 +116,7 @@
 
     /// Whether enough fetches have been measured to show that they are negligible for jobs with this mean run time, in
     /// microseconds.
-    pub fn none(&self, run: f64) -> bool {
+    pub fn are_negligible(&self, run: f64) -> bool {
         self.away.weight >= FREE_FETCH_SAMPLES && self.cost() < FETCH_NOISE * run
     }
 }
--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -240,7 +240,7 @@
 }
 
 /// Draws a number in [0, 1).
-fn unit(rng: &mut Option<Pcg64Mcg>) -> f64 {
+fn random_fraction(rng: &mut Option<Pcg64Mcg>) -> f64 {
     rng.as_mut().map_or(0.0, |rng| {
         (rng.next_u64() >> 12) as f64 / (1u64 << 52) as f64
     })
--- a/crates/decisions/src/dispatcher/admission.rs
+++ b/crates/decisions/src/dispatcher/admission.rs
@@ -1,8 +1,8 @@
 //! Life cycle of a request: it is accepted, sent or queued, reviewed when due, and answered once.
 
 use super::state::{OpenRequest, QueueIndex};
-use super::tuning::{CROWDING, HOME_SCAN_MISSES_MAX, LATE_MARGIN, SCAN_MISSES_MAX};
-use super::{Dispatcher, unit};
+use super::tuning::{HOME_SCAN_MISSES_MAX, LATE_MARGIN, SCAN_MISSES_MAX, WITHIN_QUOTA_FRACTION};
+use super::{Dispatcher, random_fraction};
 use crate::api::{
     Action, AttemptNo, Class, Effect, Group, Reports, Request, RequestId, Tenant, TenantId, Time,
 };
@@ -47,7 +47,7 @@
         let over_quota = self.is_over_quota(request.tenant);
         // A client's own retry has less time left than the first attempts of its class. The difference tells when the
         // client made its first attempt, from which the latency target counts.
-        let longest = &mut self.classes[class].longest_patience;
+        let longest = &mut self.classes[class].longest_client_wait;
         *longest = request.left.max(*longest);
         let arrived = now.saturating_sub(*longest - request.left);
         let rules = &self.settings.classes[class];
@@ -88,11 +88,11 @@
     /// (Erlang's loss formula). The decision is randomised: the displaced value is multiplied by a random number
     /// between 0 and 1.
     fn is_displaced(&mut self, class: usize, over_quota: bool, work: f64, slots: f64) -> bool {
-        let value = work * self.density(QueueIndex::new(class, over_quota, false));
-        let mean = work * self.density(QueueIndex::new(class, false, false));
+        let value = work * self.value_per_work(QueueIndex::new(class, over_quota, false));
+        let mean = work * self.value_per_work(QueueIndex::new(class, false, false));
         self.displacement.record_request(mean, work * slots);
         let displaced = self.displacement.displaced_value(work, slots);
-        unit(&mut self.rng) * displaced > value
+        random_fraction(&mut self.rng) * displaced > value
     }
 
     /// Rejects the oldest request of the least valuable queue if more requests are open than allowed, because each open
@@ -103,7 +103,9 @@
             return;
         }
         let queues = self.queues.in_use().into_iter();
-        if let Some(queue) = queues.min_by(|a, b| self.density(*a).total_cmp(&self.density(*b))) {
+        if let Some(queue) =
+            queues.min_by(|a, b| self.value_per_work(*a).total_cmp(&self.value_per_work(*b)))
+        {
             let id = self.queues.pop_oldest(queue).unwrap_or_default();
             self.answer(now, id, out);
         }
@@ -163,7 +165,7 @@
         if order.is_empty() || !self.may_wait(false) || !self.has_free_worker(now) {
             return;
         }
-        order.sort_by(|a, b| self.density(*b).total_cmp(&self.density(*a)));
+        order.sort_by(|a, b| self.value_per_work(*b).total_cmp(&self.value_per_work(*a)));
         // The first round considers only requests whose home worker has a free slot, the second one all requests.
         let rounds: &[bool] = if self.fetches.cost() > 0.0 {
             &[true, false]
@@ -215,7 +217,7 @@
     }
 
     /// Value per unit of work of the requests in a queue.
-    fn density(&self, queue: QueueIndex) -> f64 {
+    fn value_per_work(&self, queue: QueueIndex) -> f64 {
         let class = &self.settings.classes[queue.class()];
         let work = if self.settings.value_by_work {
             1.0
@@ -333,6 +335,7 @@
             fraction,
         } = self.settings.tenants[tenant as usize];
         let all = self.arrivals.latest().per_s * self.settings.dispatchers as f64;
-        unit(&mut self.rng) * arriving > (quota_per_s / all).max(CROWDING * fraction)
+        random_fraction(&mut self.rng) * arriving
+            > (quota_per_s / all).max(WITHIN_QUOTA_FRACTION * fraction)
     }
 }
--- a/crates/decisions/src/dispatcher/adoption.rs
+++ b/crates/decisions/src/dispatcher/adoption.rs
@@ -14,7 +14,7 @@
         let rules = self.open.get(&id).filter(|open| !open.closed)?.job.class;
         let class = self.class_of.iter().position(|index| *index == rules)? as u32;
         let open = self.open.remove(&id)?;
-        self.reviews.forget(id);
+        self.reviews.remove_all(id);
         if let Some(queue) = open.queued_in {
             self.queues.remove(queue, id);
         }
@@ -87,7 +87,7 @@
             return;
         }
         if !attempt.timed_out {
-            self.fleet[attempt.worker].running(now);
+            self.fleet[attempt.worker].update_running_slots(now);
             self.fleet.add_slots(attempt.worker, slots);
             if attempt.started.is_none() && self.settings.reports_start {
                 let unstarted = UnstartedAttempt {
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -61,7 +61,7 @@
     fn take_connection(&mut self, now: Time, index: usize, out: &mut Vec<Action>) -> Time {
         let worker = &mut self.fleet[index];
         let idle = worker.idle_since.first().map_or(0, |since| now - since);
-        if !self.connection_trust.includes(idle) {
+        if !self.connection_trust.is_trusted(idle) {
             worker.idle_since.clear();
             out.push(Action::Disconnect {
                 worker: worker.listed.worker,
@@ -131,7 +131,7 @@
     /// allowed at all.
     pub(super) fn sendable_until(&self, open: &OpenRequest) -> Time {
         let runs = (LATE_MARGIN * self.work(open.job.class, open.job.estimate)) as Time;
-        let margin = runs.min(self.classes[open.job.class].longest_patience / 2);
+        let margin = runs.min(self.classes[open.job.class].longest_client_wait / 2);
         let last = open.job.deadline.saturating_sub(margin);
         let limit = open
             .job
@@ -271,7 +271,7 @@
         let has_affinity = open.job.affinity.is_some();
         let slots = if ended.timed_out { 0.0 } else { open.job.slots };
         if status == Status::Moot && id.attempt > 0 {
-            self.retries.take_back(ended.sent);
+            self.retries.remove_retry(ended.sent);
         }
         let fetched = ended
             .started
@@ -279,7 +279,7 @@
             .and_then(|started| affinity::fetch_time(started, ended.first_progress, now));
         let was_sent_away = ended.away_from_home && status == Status::Ok;
         if let Some(took) = fetched.filter(|_| was_sent_away) {
-            self.fetches.sent_away(took);
+            self.fetches.record_fetch(took);
         }
         self.fleet.release_slots(now, ended.worker, id, slots);
         self.fleet[ended.worker].idle_since.push(now);
--- a/crates/decisions/src/dispatcher/connection_trust.rs
+++ b/crates/decisions/src/dispatcher/connection_trust.rs
@@ -15,7 +15,7 @@
 
 impl ConnectionTrust {
     /// Whether a connection that has been idle for `idle` may be used.
-    pub(super) fn includes(&self, idle: Time) -> bool {
+    pub(super) fn is_trusted(&self, idle: Time) -> bool {
         idle as f64 <= self.0
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// The longest trusted idle time, in microseconds.
-    pub(super) fn longest(&self) -> f64 {
+    pub(super) fn longest_idle(&self) -> f64 {
         self.0
     }
 
--- a/crates/decisions/src/dispatcher/fleet.rs
+++ b/crates/decisions/src/dispatcher/fleet.rs
@@ -163,7 +163,7 @@
     /// Releases `slots` slots of an own attempt at its worker, where it no longer counts as unstarted.
     pub(super) fn release_slots(&mut self, now: Time, index: usize, id: AttemptId, slots: f64) {
         let worker = &mut self.workers[index];
-        worker.running(now);
+        worker.update_running_slots(now);
         worker.own_slots = (worker.own_slots - slots).max(0.0);
         self.unstarted_count -= worker.unstarted.len();
         worker.unstarted.retain(|unstarted| unstarted.id != id);
--- a/crates/decisions/src/dispatcher/fleet/worker.rs
+++ b/crates/decisions/src/dispatcher/fleet/worker.rs
@@ -40,7 +40,7 @@
     /// Own attempts whose start has not been reported, in the order sent.
     pub(super) unstarted: Vec<UnstartedAttempt>,
     /// Started own slots, averaged over about the age of a load report.
-    running: Timed,
+    running_slots: Timed,
     /// Shortest recent time from send to start, in microseconds: the delay of a start on a free slot.
     pub start_delay: f64,
     /// Slots that other dispatchers' jobs occupy, according to the last load update.
@@ -79,14 +79,14 @@
 
     /// Updates and returns the number of started own slots, averaged over the age of a load report. Must be called
     /// before the number of started slots changes.
-    pub(in crate::dispatcher) fn running(&mut self, now: Time) -> f64 {
-        let fade = (-(now.saturating_sub(self.running.at) as f64) / REPORT_AGE).exp();
-        let runs = self.started_slots();
-        self.running = Timed {
-            value: runs + fade * (self.running.value - runs),
+    pub(in crate::dispatcher) fn update_running_slots(&mut self, now: Time) -> f64 {
+        let fade = (-(now.saturating_sub(self.running_slots.at) as f64) / REPORT_AGE).exp();
+        let started = self.started_slots();
+        self.running_slots = Timed {
+            value: started + fade * (self.running_slots.value - started),
             at: now,
         };
-        self.running.value
+        self.running_slots.value
     }
 
     /// Slots of this dispatcher's attempts in flight.
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -32,7 +32,7 @@
     pub(super) fn has_free_worker(&self, now: Time) -> bool {
         let may_queue = self.may_wait(true);
         let is_free = |worker: &Worker| {
-            !self.is_crowded(now, worker, 0.0) || (may_queue && worker.unstarted().is_empty())
+            !self.is_expected_full(now, worker, 0.0) || (may_queue && worker.unstarted().is_empty())
         };
         let takes = |index: &usize| {
             let worker = &self.fleet[*index];
@@ -56,20 +56,20 @@
     /// the estimate relies on the rate of late starts instead.
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
         let LateStartRate { away, home } = self.zone_preference.late_starts();
-        let at_large = away.max(home) * self.slots(worker);
+        let by_late_starts = away.max(home) * self.slots(worker);
         let recency = worker.load_updated_at.map_or(0.0, |at| fresh(now, at));
-        let expected = worker.others_slots * recency + at_large * (1.0 - recency);
+        let expected = worker.others_slots * recency + by_late_starts * (1.0 - recency);
         expected.max(worker.peer_slots(now))
     }
 
-    /// Whether no slot is expected to be free: all known slots, plus `more`, are occupied, or an own attempt has waited
-    /// at the worker for longer than a start on a free slot takes.
-    pub(super) fn is_crowded(&self, now: Time, worker: &Worker, more: f64) -> bool {
+    /// Whether no slot is expected to be free: all known slots, plus `extra_slots`, are occupied, or an own attempt has
+    /// waited at the worker for longer than a start on a free slot takes.
+    pub(super) fn is_expected_full(&self, now: Time, worker: &Worker, extra_slots: f64) -> bool {
         let oldest = worker.unstarted().first();
         let wait = oldest.map_or(0.0, |unstarted| now.saturating_sub(unstarted.sent) as f64);
         worker.is_late_start(wait, self.settings.granularity)
             || worker.own_slots() + self.slots_of_others(now, worker) + HALF_SLOT
-                > self.slots(worker) + more
+                > self.slots(worker) + extra_slots
     }
 
     /// Number of slots of a worker, at least one.
--- a/crates/decisions/src/dispatcher/membership.rs
+++ b/crates/decisions/src/dispatcher/membership.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{Timed, Worker};
 use super::tuning::KINDS_MAX;
-use super::{Dispatcher, unit};
+use super::{Dispatcher, random_fraction};
 use crate::api::{Action, Entry, Scope, Time, WorkerState};
 
 impl Dispatcher {
@@ -55,7 +55,8 @@
         self.fleet.extend_kinds(kind + 1);
         let (index, _) = self.fleet.find_or_add(entry.worker);
         // All dispatchers learn of a start at the same time. A random debt spreads the times of their first sends.
-        let owed = -unit(&mut self.rng) * self.run_times.sum / self.run_times.weight.max(1.0);
+        let owed =
+            -random_fraction(&mut self.rng) * self.run_times.sum / self.run_times.weight.max(1.0);
         let worker = &mut self.fleet[index];
         if entry.ready_at > worker.listed.ready_at {
             worker.warm_up_budget = Timed {
--- a/crates/decisions/src/dispatcher/observations.rs
+++ b/crates/decisions/src/dispatcher/observations.rs
@@ -86,7 +86,7 @@
         let implied = load.free_slots.map(|free| kind.slots - free);
         if let Some(occupied) = load.inflight.or(implied) {
             // The report is older than this event, so the average of the own slots at about that time is subtracted.
-            worker.others_slots = (occupied - worker.running(now)).max(0.0);
+            worker.others_slots = (occupied - worker.update_running_slots(now)).max(0.0);
             worker.load_updated_at = Some(now);
         }
     }
--- a/crates/decisions/src/dispatcher/retry_budget.rs
+++ b/crates/decisions/src/dispatcher/retry_budget.rs
@@ -24,7 +24,7 @@
     }
 
     /// Removes a retry that was recorded at this time but never sent.
-    pub(super) fn take_back(&mut self, sent: Time) {
+    pub(super) fn remove_retry(&mut self, sent: Time) {
         if let Ok(position) = self.retried_at.binary_search(&sent) {
             self.retried_at.remove(position);
         }
--- a/crates/decisions/src/dispatcher/reviews.rs
+++ b/crates/decisions/src/dispatcher/reviews.rs
@@ -21,7 +21,7 @@
     }
 
     /// Removes all reviews of a request.
-    pub(super) fn forget(&mut self, id: RequestId) {
+    pub(super) fn remove_all(&mut self, id: RequestId) {
         self.0.retain(|(_, other)| *other != id);
     }
 }
--- a/crates/decisions/src/dispatcher/sampling.rs
+++ b/crates/decisions/src/dispatcher/sampling.rs
@@ -5,7 +5,7 @@
 use super::tuning::{
     AFFINITY_TIERS, ANY_ZONE_TIERS, HOME_FIRST_TIERS, PROBATION_FAILURE_RATE, SAMPLE_SIZE, Tier,
 };
-use super::{Dispatcher, unit};
+use super::{Dispatcher, random_fraction};
 use crate::affinity;
 use crate::api::{RequestId, Time};
 use rand_pcg::Pcg64Mcg;
@@ -15,7 +15,7 @@
 const CAPACITY_WEIGHT: f64 = 1e-12;
 
 /// A request that a sample is drawn for.
-struct Sampled<'a> {
+struct PlacementRequest<'a> {
     open: &'a OpenRequest,
     work: f64,
     /// Index of the only kind that can run the request; `None`: any kind can.
@@ -36,16 +36,16 @@
 impl Dispatcher {
     /// Chooses a worker for the request; `None` if the request should be queued.
     pub(super) fn choose(&mut self, now: Time, id: RequestId) -> Option<usize> {
-        let may_go = |open: &&OpenRequest| {
+        let may_be_sent = |open: &&OpenRequest| {
             now < self.sendable_until(open)
                 && (now >= open.wait_until || !self.overhead.awaits_probes())
         };
-        let open = self.open.get(&id).filter(may_go)?;
+        let open = self.open.get(&id).filter(may_be_sent)?;
         let work = self.work(open.job.class, open.job.estimate);
         let has_affinity = self.affinity_of(open).is_some();
         let is_free = |index: &usize| {
             self.is_eligible(now, *index, open, work)
-                && !self.is_crowded(now, &self.fleet[*index], 0.0)
+                && !self.is_expected_full(now, &self.fleet[*index], 0.0)
         };
         let mut candidates: Vec<usize> = open.probed.iter().copied().filter(is_free).collect();
         if candidates.is_empty() {
@@ -65,11 +65,11 @@
     /// tier has one, workers with a free queue.
     pub(super) fn sample(&mut self, now: Time, id: RequestId) -> Vec<usize> {
         let mut rng = self.rng.clone();
-        let prefers_home = unit(&mut rng) < self.zone_preference.home();
+        let prefers_home = random_fraction(&mut rng) < self.zone_preference.home();
         let Some(open) = self.open.get(&id) else {
             return Vec::new();
         };
-        let request = Sampled {
+        let request = PlacementRequest {
             open,
             work: self.work(open.job.class, open.job.estimate),
             bound_kind: self.settings.classes[open.job.class]
@@ -101,7 +101,7 @@
         &self,
         now: Time,
         rng: &mut Option<Pcg64Mcg>,
-        request: &Sampled<'_>,
+        request: &PlacementRequest<'_>,
         tier: &Tier,
         capacity: Capacity,
     ) -> Vec<usize> {
@@ -142,7 +142,7 @@
             solved.get(*kind).copied().unwrap_or(0.0)
                 + self.tier_size(tier, *kind) as f64 * capacity
         };
-        let mut rest = unit(rng) * kinds.iter().map(weight).sum::<f64>();
+        let mut rest = random_fraction(rng) * kinds.iter().map(weight).sum::<f64>();
         let drawn = match affinity {
             Some(affinity) => affinity::draw(
                 affinity,
@@ -162,13 +162,13 @@
         &self,
         now: Time,
         rng: &mut Option<Pcg64Mcg>,
-        request: &Sampled<'_>,
+        request: &PlacementRequest<'_>,
         mut pool: Vec<usize>,
         capacity: Capacity,
     ) -> Vec<usize> {
         let mut found = Vec::new();
         while found.len() < SAMPLE_SIZE && !pool.is_empty() {
-            let drawn = (unit(rng) * pool.len() as f64) as usize;
+            let drawn = (random_fraction(rng) * pool.len() as f64) as usize;
             let index = if request.affinity.is_some() {
                 pool.remove(0)
             } else {
@@ -178,9 +178,9 @@
             let has_capacity = match capacity {
                 Capacity::FreeQueue => worker.unstarted().is_empty(),
                 Capacity::FreeSlot if request.home_worker == Some(index) => {
-                    !self.is_crowded(now, worker, self.fetch_slots(worker))
+                    !self.is_expected_full(now, worker, self.fetch_slots(worker))
                 }
-                Capacity::FreeSlot => !self.is_crowded(now, worker, 0.0),
+                Capacity::FreeSlot => !self.is_expected_full(now, worker, 0.0),
             };
             if has_capacity && self.is_eligible(now, index, request.open, request.work) {
                 found.push(index);
@@ -213,7 +213,9 @@
     /// The request's affinity; `None` if it has none or if measured fetches are negligible.
     fn affinity_of(&self, open: &OpenRequest) -> Option<u64> {
         let mean_run = self.run_times.sum / self.run_times.weight.max(1.0);
-        open.job.affinity.filter(|_| !self.fetches.none(mean_run))
+        open.job
+            .affinity
+            .filter(|_| !self.fetches.are_negligible(mean_run))
     }
 
     /// The home worker of the request's affinity, where requests with that affinity go first: the best-ranked worker of
@@ -235,13 +237,14 @@
 
     /// The home worker of the request's affinity, if it is eligible and has a slot for the request now.
     pub(super) fn choose_home(&self, now: Time, id: RequestId) -> Option<usize> {
-        let may_go = |open: &&OpenRequest| now < self.sendable_until(open) && self.may_wait(false);
-        let open = self.open.get(&id).filter(may_go)?;
+        let may_be_sent =
+            |open: &&OpenRequest| now < self.sendable_until(open) && self.may_wait(false);
+        let open = self.open.get(&id).filter(may_be_sent)?;
         let work = self.work(open.job.class, open.job.estimate);
         let home = self.home_worker(open)?;
         let worker = &self.fleet[home];
         let takes = self.is_eligible(now, home, open, work)
-            && !self.is_crowded(now, worker, self.fetch_slots(worker));
+            && !self.is_expected_full(now, worker, self.fetch_slots(worker));
         takes.then_some(home)
     }
 
--- a/crates/decisions/src/dispatcher/state.rs
+++ b/crates/decisions/src/dispatcher/state.rs
@@ -20,7 +20,7 @@
     /// Estimator of the run time of the class's jobs.
     pub run_time: Work,
     /// The longest time that a client has allowed for a request of the class.
-    pub longest_patience: Time,
+    pub longest_client_wait: Time,
 }
 
 impl ClassStats {
@@ -28,7 +28,7 @@
     pub(super) fn of(class: &Class) -> Self {
         ClassStats {
             run_time: Work::of(class.latency_target),
-            longest_patience: 0,
+            longest_client_wait: 0,
         }
     }
 }
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -6,14 +6,14 @@
 use super::fleet::Worker;
 use super::tuning::{EJECTION_MAX, KINDS_MAX, PROBATION_FAILURE_RATE};
 use crate::api::{Time, WorkerId, WorkerState};
-use crate::statistics::{self, Pace, Statistics, aged};
+use crate::statistics::{self, FleetStatistics, Statistics, weight_at_age};
 
 /// Time constant by which run times, speeds and fetch costs lose weight. They depend on programs and machines, and stay
 /// valid for minutes.
-const RUN_TIMES_LAST: Time = 600_000_000;
+const RUN_TIME_DECAY_TIME: Time = 600_000_000;
 /// Time constant by which arrival rates, queues and late starts lose weight. They change within seconds; the arrival
 /// rates have the same time constant.
-const PACE_LASTS: Time = 5_000_000;
+const FLEET_DECAY_TIME: Time = 5_000_000;
 /// Maximum number of slots at one worker in a peer update, which has one byte for it.
 const SLOTS_REPORTED_MAX: f64 = 255.0;
 
@@ -53,7 +53,7 @@
             let stats = &self.classes[*index];
             let of = statistics::Class {
                 run_time: stats.run_time.clone(),
-                longest_patience: stats.longest_patience,
+                longest_client_wait: stats.longest_client_wait,
             };
             (id as u32, of)
         };
@@ -74,7 +74,7 @@
                 .collect(),
             in_flight: self.slots_in_flight(),
             retried_at: self.retries.latest(statistics::RETRIED_MAX),
-            pace: Some(self.pace(now)),
+            pace: Some(self.fleet_statistics(now)),
         }
     }
 
@@ -89,15 +89,18 @@
         }
     }
 
-    fn pace(&self, now: Time) -> Pace {
-        Pace {
+    fn fleet_statistics(&self, now: Time) -> FleetStatistics {
+        FleetStatistics {
             run_times: self.run_times,
             fetches: self.fetches,
             arrivals: self.arrivals.rates(now),
             home_preference: self.zone_preference.home(),
             late_start_rate: self.zone_preference.late_starts(),
             wait_window: self.wait_window.attempts().min(statistics::UNLIMITED),
-            trusted_idle: self.connection_trust.longest().min(statistics::UNLIMITED),
+            trusted_idle: self
+                .connection_trust
+                .longest_idle()
+                .min(statistics::UNLIMITED),
             demand: self.displacement.demand(),
             rejection_rate: self.displacement.rejection_rate(),
         }
@@ -113,8 +116,8 @@
     /// Merges the statistics of another dispatcher. For each estimate that both have, the one with more samples wins.
     pub(super) fn merge_statistics(&mut self, now: Time, other: Statistics<u32>) {
         let age = now.saturating_sub(other.at);
-        let run_weight = aged(age, RUN_TIMES_LAST);
-        let pace_weight = aged(age, PACE_LASTS);
+        let run_weight = weight_at_age(age, RUN_TIME_DECAY_TIME);
+        let fleet_weight = weight_at_age(age, FLEET_DECAY_TIME);
         for (id, kind) in other.kinds {
             self.merge_kind(id as usize, kind, run_weight);
         }
@@ -125,7 +128,7 @@
             let known = self.fleet.index_of(id).map(|index| &mut self.fleet[index]);
             // Statistics of an earlier instance of the worker do not apply.
             if let Some(known) = known.filter(|known| known.listed.ready_at == worker.started_at) {
-                known.merge(now, &worker, pace_weight);
+                known.merge(now, &worker, fleet_weight);
             }
         }
         let slots = |(id, slots): &(u32, f64)| (*id, slots.round().min(SLOTS_REPORTED_MAX) as u8);
@@ -136,14 +139,14 @@
             self.retries.merge(now, other.retried_at);
         }
         let has_more_samples =
-            |pace: &Pace| pace.run_times.weight * run_weight > self.run_times.weight;
-        if let Some(pace) = other.pace.filter(has_more_samples) {
-            self.take_pace(now, &pace, run_weight, pace_weight);
+            |fleet: &FleetStatistics| fleet.run_times.weight * run_weight > self.run_times.weight;
+        if let Some(fleet) = other.pace.filter(has_more_samples) {
+            self.replace_fleet_statistics(now, &fleet, run_weight, fleet_weight);
             for (tenant, fraction) in &other.tenants {
                 self.arrivals.set_fraction(*tenant, *fraction);
             }
-            if age < PACE_LASTS {
-                self.wait_window.restrict(pace.wait_window);
+            if age < FLEET_DECAY_TIME {
+                self.wait_window.restrict(fleet.wait_window);
             }
         }
         self.solve_draw(now);
@@ -174,21 +177,27 @@
             return;
         };
         let class = &mut self.classes[*index];
-        class.longest_patience = class.longest_patience.max(other.longest_patience);
+        class.longest_client_wait = class.longest_client_wait.max(other.longest_client_wait);
         if other.run_time.weight() * run_weight > class.run_time.weight() {
             class.run_time = other.run_time.faded(run_weight);
         }
     }
 
-    fn take_pace(&mut self, now: Time, pace: &Pace, run_weight: f64, pace_weight: f64) {
-        self.run_times = pace.run_times.faded(run_weight);
-        self.fetches = pace.fetches.faded(run_weight);
-        self.arrivals.resume(now, pace.arrivals, pace_weight);
+    fn replace_fleet_statistics(
+        &mut self,
+        now: Time,
+        fleet: &FleetStatistics,
+        run_weight: f64,
+        fleet_weight: f64,
+    ) {
+        self.run_times = fleet.run_times.faded(run_weight);
+        self.fetches = fleet.fetches.faded(run_weight);
+        self.arrivals.resume(now, fleet.arrivals, fleet_weight);
         self.zone_preference
-            .resume(pace.home_preference, pace.late_start_rate, pace_weight);
+            .resume(fleet.home_preference, fleet.late_start_rate, fleet_weight);
         self.displacement
-            .resume(pace.demand, pace.rejection_rate, pace_weight);
-        self.connection_trust.restrict(pace.trusted_idle);
+            .resume(fleet.demand, fleet.rejection_rate, fleet_weight);
+        self.connection_trust.restrict(fleet.trusted_idle);
     }
 }
 
@@ -205,9 +214,9 @@
         }
     }
 
-    fn merge(&mut self, now: Time, other: &statistics::Worker, pace_weight: f64) {
+    fn merge(&mut self, now: Time, other: &statistics::Worker, fleet_weight: f64) {
         self.start_delay = self.start_delay.min(other.start_delay);
-        self.failure_rate = self.failure_rate.max(other.failure_rate * pace_weight);
+        self.failure_rate = self.failure_rate.max(other.failure_rate * fleet_weight);
         let ejected_until = other.ejected_until.min(now + EJECTION_MAX as Time);
         self.ejected_until = self.ejected_until.max(ejected_until);
         self.timeouts_in_a_row = self.timeouts_in_a_row.max(other.timeouts_in_a_row);
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -58,7 +58,7 @@
         }
         let sample = self.sample(now, id);
         let is_better =
-            |index: &usize| *index != from && !self.is_crowded(now, &self.fleet[*index], 0.0);
+            |index: &usize| *index != from && !self.is_expected_full(now, &self.fleet[*index], 0.0);
         if sample.iter().any(is_better) {
             out.push(Action::Cancel {
                 request: id,
@@ -120,12 +120,12 @@
         if may_retry && moves {
             self.move_waiting(now, id, out);
         }
-        let has_none_in_time =
+        let has_none_responsive =
             |attempts: &[Attempt]| attempts.iter().all(|a| a.done || a.timed_out);
         let needs_another = self
             .open
             .get(&id)
-            .is_some_and(|open| has_none_in_time(&open.job.attempts));
+            .is_some_and(|open| has_none_responsive(&open.job.attempts));
         let may_double = may_retry && self.settings.limits.duplicates;
         if needs_another && may_double && !self.send_now(now, id, out) {
             self.reviews.schedule(now + REVIEW_TICKS * self.tick(), id);
--- a/crates/decisions/src/dispatcher/tuning.rs
+++ b/crates/decisions/src/dispatcher/tuning.rs
@@ -12,7 +12,7 @@
 pub(super) const SOLVE_TICKS: u64 = 40;
 /// A tenant is never beyond its quota while its measured fraction of the arrivals is below this multiple of its
 /// expected fraction: the overload of this dispatcher then comes from other tenants.
-pub(super) const CROWDING: f64 = 0.7;
+pub(super) const WITHIN_QUOTA_FRACTION: f64 = 0.7;
 /// Typical age of the load values in a report.
 pub(super) const REPORT_AGE: f64 = 3e5;
 /// Time from send to start on a free slot, assumed until one has been measured.
--- a/crates/decisions/src/dispatcher/warm_up.rs
+++ b/crates/decisions/src/dispatcher/warm_up.rs
@@ -9,7 +9,7 @@
 /// Lower bound of the fraction of its capacity that a worker is assumed to have at its start.
 const INITIAL_FRACTION_MIN: f64 = 0.01;
 /// Multiplier that spreads the first dispatchers of the workers evenly: 2^64 divided by the golden ratio.
-const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+const GOLDEN_RATIO_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl Dispatcher {
     /// Least fraction of its capacity that a worker has now. The fraction rises linearly from the initial one to 1
@@ -41,9 +41,9 @@
         let parts = jobs.max(SAMPLE_SIZE as u64).min(dispatchers);
         // The dispatchers with a part of the budget start at a different index for each worker. All dispatchers compute
         // the same index.
-        let first = u64::from(worker.listed.worker).wrapping_mul(SPREAD) >> 32;
-        let is_own = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
-        Some(if is_own {
+        let first = u64::from(worker.listed.worker).wrapping_mul(GOLDEN_RATIO_MULTIPLIER) >> 32;
+        let has_part = first.wrapping_sub(u64::from(self.settings.me)) % dispatchers < parts;
+        Some(if has_part {
             budget * fraction / parts as f64
         } else {
             0.0
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -61,7 +61,7 @@
     /// When retries were made, in ascending order. Empty if no budget limits retries.
     pub retried_at: Vec<Time>,
     /// Statistics of the whole fleet and its traffic; `None`: unknown.
-    pub pace: Option<Pace>,
+    pub pace: Option<FleetStatistics>,
 }
 
 /// Statistics of a kind of workers.
@@ -83,7 +83,7 @@
     /// Run time of the jobs of the class.
     pub run_time: Work,
     /// The longest time that a client has allowed for a request of the class.
-    pub longest_patience: Time,
+    pub longest_client_wait: Time,
 }
 
 /// Statistics of one instance of a worker.
@@ -107,7 +107,7 @@
 
 /// Statistics of the whole fleet and its traffic, most of which change within seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct FleetStatistics {
     /// Run times at mean speed over all classes, in microseconds.
     pub run_times: WeightedSum,
     /// Cost of fetching data on workers other than the home worker of an affinity.
@@ -216,7 +216,11 @@
 
 impl std::error::Error for ReadError {}
 
-fn within(what: &'static str, value: f64, range: RangeInclusive<f64>) -> Result<(), ReadError> {
+fn check_range(
+    what: &'static str,
+    value: f64,
+    range: RangeInclusive<f64>,
+) -> Result<(), ReadError> {
     if range.contains(&value) {
         return Ok(());
     }
@@ -229,9 +233,9 @@
     })
 }
 
-/// Remaining weight of a measurement of this age under exponential decay with the time constant `lasts`.
-pub fn aged(age: Time, lasts: Time) -> f64 {
-    (-(age as f64) / lasts.max(1) as f64).exp()
+/// Remaining weight of a measurement of this age under exponential decay with this time constant.
+pub fn weight_at_age(age: Time, time_constant: Time) -> f64 {
+    (-(age as f64) / time_constant.max(1) as f64).exp()
 }
 
 impl<N> Statistics<N> {
@@ -273,63 +277,63 @@
         let mut classes = self.classes.iter();
         classes.try_for_each(|(_, class)| class.check())?;
         for (_, fraction) in &self.tenants {
-            within("share of a tenant", *fraction, FRACTION)?;
+            check_range("share of a tenant", *fraction, FRACTION)?;
         }
         let mut workers = self.workers.iter();
         workers.try_for_each(|(_, worker)| worker.check())?;
         for (_, slots) in &self.in_flight {
-            within("slots held", *slots, COUNT)?;
+            check_range("slots held", *slots, COUNT)?;
         }
-        within(
+        check_range(
             "number of further attempts",
             self.retried_at.len() as f64,
             0.0..=RETRIED_MAX as f64,
         )?;
-        self.pace.as_ref().map_or(Ok(()), Pace::check)
+        self.pace.as_ref().map_or(Ok(()), FleetStatistics::check)
     }
 }
 
 impl Kind {
     fn check(&self) -> Result<(), ReadError> {
-        within("slots of a kind", self.slots, COUNT)?;
-        within("part of the draws", self.weight, FRACTION)?;
-        within("speed of a kind", self.speed.speed, SPEED)?;
-        within("weight of a kind's runs", self.speed.weight(), COUNT)
+        check_range("slots of a kind", self.slots, COUNT)?;
+        check_range("part of the draws", self.weight, FRACTION)?;
+        check_range("speed of a kind", self.speed.speed, SPEED)?;
+        check_range("weight of a kind's runs", self.speed.weight(), COUNT)
     }
 }
 
 impl Class {
     fn check(&self) -> Result<(), ReadError> {
-        within("mean run of a class", self.run_time.mean(None), RUN_TIME)?;
-        within("weight of a class's runs", self.run_time.weight(), COUNT)
+        check_range("mean run of a class", self.run_time.mean(None), RUN_TIME)?;
+        check_range("weight of a class's runs", self.run_time.weight(), COUNT)
     }
 }
 
 impl Worker {
     fn check(&self) -> Result<(), ReadError> {
-        within("time to a start", self.start_delay, DURATION)?;
-        within("slots held by others", self.others_slots, COUNT)?;
-        within("share of failures", self.failure_rate, FRACTION)
+        check_range("time to a start", self.start_delay, DURATION)?;
+        check_range("slots held by others", self.others_slots, COUNT)?;
+        check_range("share of failures", self.failure_rate, FRACTION)
     }
 }
 
-impl Pace {
+impl FleetStatistics {
     fn check(&self) -> Result<(), ReadError> {
         let WeightedSum { weight, sum } = self.run_times;
-        within("weight of all runs", weight, COUNT)?;
-        within("sum of all runs", sum, 0.0..=COUNT_MAX * DURATION_MAX)?;
-        within("cost of a fetch", self.fetches.cost(), DURATION)?;
-        within("work arriving", self.arrivals.work, COUNT)?;
-        within("work of any kind arriving", self.arrivals.unbound, COUNT)?;
-        within("jobs arriving", self.arrivals.per_s, COUNT)?;
-        within("share at home first", self.home_preference, FRACTION)?;
-        within("late starts away", self.late_start_rate.away, FRACTION)?;
-        within("late starts at home", self.late_start_rate.home, FRACTION)?;
-        within("window", self.wait_window, WINDOW)?;
-        within("trusted idle time", self.trusted_idle, ANY_AMOUNT)?;
-        within("worth of late", self.demand.value, ANY_AMOUNT)?;
-        within("work of late", self.demand.work, ANY_AMOUNT)?;
-        within("share turned away", self.rejection_rate, FRACTION)
+        check_range("weight of all runs", weight, COUNT)?;
+        check_range("sum of all runs", sum, 0.0..=COUNT_MAX * DURATION_MAX)?;
+        check_range("cost of a fetch", self.fetches.cost(), DURATION)?;
+        check_range("work arriving", self.arrivals.work, COUNT)?;
+        check_range("work of any kind arriving", self.arrivals.unbound, COUNT)?;
+        check_range("jobs arriving", self.arrivals.per_s, COUNT)?;
+        check_range("share at home first", self.home_preference, FRACTION)?;
+        check_range("late starts away", self.late_start_rate.away, FRACTION)?;
+        check_range("late starts at home", self.late_start_rate.home, FRACTION)?;
+        check_range("window", self.wait_window, WINDOW)?;
+        check_range("trusted idle time", self.trusted_idle, ANY_AMOUNT)?;
+        check_range("worth of late", self.demand.value, ANY_AMOUNT)?;
+        check_range("work of late", self.demand.work, ANY_AMOUNT)?;
+        check_range("share turned away", self.rejection_rate, FRACTION)
     }
 }
 
--- a/crates/decisions/src/transferred_job.rs
+++ b/crates/decisions/src/transferred_job.rs
@@ -101,7 +101,7 @@
 
 impl<N> Attempt<N> {
     /// The same attempt with its worker's identifier translated.
-    pub fn at<M>(self, rename: impl FnOnce(N) -> M) -> Attempt<M> {
+    pub fn renamed<M>(self, rename: impl FnOnce(N) -> M) -> Attempt<M> {
         Attempt {
             worker: rename(self.worker),
             sent: self.sent,
@@ -143,7 +143,7 @@
             attempt_limit: self.attempt_limit,
             over_quota: self.over_quota,
             attempts: attempts
-                .map(|attempt| attempt.at(|name| worker(&name)))
+                .map(|attempt| attempt.renamed(|name| worker(&name)))
                 .collect(),
         })
     }
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -18,7 +18,7 @@
         .map(|_| harness.submit(0))
         .partition(|(_, w)| w.is_some());
     assert!(queued.len() <= 1 && unsent.len() >= 5, "{queued:?}");
-    let (worthy, at_once) = harness.submit(1);
+    let (valuable, at_once) = harness.submit(1);
     assert_eq!(at_once, None);
     harness.advance(50 * MS);
     let mut sends = Vec::new();
@@ -40,7 +40,7 @@
     let next = sends.iter().find_map(sent);
     assert_eq!(
         next,
-        Some((worthy, 1, 0)),
+        Some((valuable, 1, 0)),
         "the request of most value for its work is sent first"
     );
 }
@@ -67,12 +67,12 @@
         harness.end(id, 0, Status::Ok);
         sends.extend(harness.actions.clone());
     }
-    let got = |id| {
+    let was_sent = |id| {
         sends
             .iter()
             .any(|x| matches!(x, Action::Send { request, .. } if *request == id))
     };
-    assert!(got(c) && !got(blocked), "{sends:?}");
+    assert!(was_sent(c) && !was_sent(blocked), "{sends:?}");
 }
 
 /// Guards against a request that is queued although its deadline is too close.
@@ -186,7 +186,7 @@
 /// additional events that release nothing, and so trigger more scans, the actions for a seed stay the same.
 #[test]
 fn scanning_the_queue_after_every_event_changes_no_action() {
-    let run = |extra_looks: usize| {
+    let run = |extra_scans: usize| {
         let workers: Vec<_> = (0..6).map(|i| entry(i, i % 2)).collect();
         let mut harness = Harness::new(settings(), &workers);
         let (mut actions, mut running, mut unsent) = (Vec::new(), Vec::new(), 0);
@@ -210,7 +210,7 @@
                 });
                 step_actions.append(&mut harness.actions);
             }
-            for _ in 0..extra_looks {
+            for _ in 0..extra_scans {
                 harness.handle(Event::RequestClosed(1 << 40));
                 step_actions.append(&mut harness.actions);
             }
@@ -249,9 +249,9 @@
 
 #[test]
 fn rejection_carries_retry_after_only_where_clients_follow_it() {
-    for listen in [true, false] {
+    for is_respected in [true, false] {
         let mut settings = settings();
-        settings.limits.retry_after = listen;
+        settings.limits.retry_after = is_respected;
         settings.classes[0].late_value = 0.0;
         let mut harness = Harness::new(settings.clone(), &[]);
         let (late, _) = harness.submit(0);
@@ -268,7 +268,7 @@
         };
         let retry_after = advice(&all, late);
         assert!(
-            retry_after <= settings.limits.max_retry_after && (retry_after > 0) == listen,
+            retry_after <= settings.limits.max_retry_after && (retry_after > 0) == is_respected,
             "{retry_after}"
         );
     }
@@ -316,9 +316,9 @@
         }
         served
     };
-    let (calm, crowded) = (served(false), served(true));
-    assert_eq!(calm, [450, 150], "nothing is refused while all is well");
-    assert!(crowded[0] < 300 && crowded[1] > 130, "{crowded:?}");
+    let (normal, overload) = (served(false), served(true));
+    assert_eq!(normal, [450, 150], "nothing is refused while all is well");
+    assert!(overload[0] < 300 && overload[1] > 130, "{overload:?}");
 }
 
 /// Guards against small tenants that count as beyond their quota because many clients of another tenant use the same
@@ -363,16 +363,16 @@
     settings.limits.open = Some(3);
     settings.classes[2].value = 50.0;
     let mut harness = Harness::new(settings, &[]);
-    let poor = [harness.submit(0).0, harness.submit(0).0];
-    let rich = harness.submit(2).0;
-    assert!(!harness.is_refused(poor[0]));
-    for (n, evicted) in [(0, poor[0]), (1, poor[1])] {
+    let low_value = [harness.submit(0).0, harness.submit(0).0];
+    let high_value = harness.submit(2).0;
+    assert!(!harness.is_refused(low_value[0]));
+    for (n, evicted) in [(0, low_value[0]), (1, low_value[1])] {
         harness.submit(2);
         assert!(
-            harness.is_refused(evicted) && !harness.is_refused(rich),
+            harness.is_refused(evicted) && !harness.is_refused(high_value),
             "{n}"
         );
     }
     harness.submit(2);
-    assert!(harness.is_refused(rich));
+    assert!(harness.is_refused(high_value));
 }
--- a/crates/decisions/tests/adoption.rs
+++ b/crates/decisions/tests/adoption.rs
@@ -139,10 +139,10 @@
         "nothing is owed there"
     );
     // If the new process has no worker either, it answers the job before its deadline.
-    let mut nobody = old.successor(settings(), &[]);
+    let mut without_workers = old.successor(settings(), &[]);
     let (id, _) = old.submit(0);
-    transfer(&mut old, id, &mut nobody, ADOPTED);
-    let ends = nobody.advance(6 * SEC);
+    transfer(&mut old, id, &mut without_workers, ADOPTED);
+    let ends = without_workers.advance(6 * SEC);
     assert!(
         ends.iter().any(|a| matches!(
             a,
--- a/crates/decisions/tests/attempts.rs
+++ b/crates/decisions/tests/attempts.rs
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn moot_attempts_are_returned_to_the_retry_budget() {
+fn unsent_attempts_are_returned_to_the_retry_budget() {
     let mut settings = settings();
     settings.rules.resends = Some(ResendBudget {
         free: 1.0,
@@ -183,17 +183,17 @@
 #[test]
 fn full_status_may_have_run_where_the_rules_say_so() {
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
-    for no_proof in [false, true] {
+    for may_have_run in [false, true] {
         let mut settings = settings();
-        settings.rules.full_may_have_run = no_proof;
+        settings.rules.full_may_have_run = may_have_run;
         let mut harness = Harness::new(settings, &workers);
         let (unsafe_one, _) = harness.submit(2);
         harness.end(unsafe_one, 0, Status::Full);
-        assert_eq!(harness.is_failed(unsafe_one), no_proof);
-        assert_eq!(harness.sent_to(unsafe_one).is_none(), no_proof);
+        assert_eq!(harness.is_failed(unsafe_one), may_have_run);
+        assert_eq!(harness.sent_to(unsafe_one).is_none(), may_have_run);
         let (keyed, first) = harness.submit(1);
         harness.end(keyed, 0, Status::Full);
-        if no_proof {
+        if may_have_run {
             assert!(
                 harness
                     .sent_to(keyed)
@@ -239,12 +239,12 @@
         }
         log
     };
-    let ample = ResendBudget {
+    let never_used_up = ResendBudget {
         free: 1e9,
         ratio: 0.0,
         window: Some(10 * SEC),
     };
-    assert_eq!(run(None), run(Some(ample)));
+    assert_eq!(run(None), run(Some(never_used_up)));
     assert!(
         !run(None)
             .iter()
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -7,13 +7,13 @@
 #[test]
 fn immediately_failing_worker_is_ejected_and_rarely_tried() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-    let mut to_bad = 0;
+    let mut to_failing = 0;
     for _ in 0..200 {
         let (id, worker) = harness.submit(0);
         let mut worker = worker;
         let mut attempt = 0;
         while worker == Some(1) {
-            to_bad += 1;
+            to_failing += 1;
             harness.advance(2 * MS);
             harness.end(id, attempt, Status::Error);
             worker = harness.sent_to(id);
@@ -29,8 +29,8 @@
         harness.end(id, attempt, Status::Ok);
     }
     assert!(
-        (1..=12).contains(&to_bad),
-        "{to_bad} of 200 requests went to the erring worker"
+        (1..=12).contains(&to_failing),
+        "{to_failing} of 200 requests went to the erring worker"
     );
 }
 
@@ -38,7 +38,7 @@
 /// if there are none, the decay of its failure rate must end the probation.
 #[test]
 fn worker_on_probation_gets_retryable_requests_until_its_failure_rate_decays() {
-    let erred = || {
+    let after_two_errors = || {
         let mut harness = Harness::new(settings(), &[entry(1, 0)]);
         for _ in 0..2 {
             let (id, _) = harness.submit(2);
@@ -47,16 +47,16 @@
         harness.advance(700 * MS);
         harness
     };
-    let mut harness = erred();
+    let mut harness = after_two_errors();
     assert_eq!(
         harness.submit(2).1,
         None,
         "an unsafe request is not retryable"
     );
-    let mut harness = erred();
+    let mut harness = after_two_errors();
     assert_eq!(harness.submit(3).1, Some(1), "a keyed one is retryable");
     assert_eq!(harness.submit(3).1, None, "one at a time");
-    let mut harness = erred();
+    let mut harness = after_two_errors();
     harness.advance(2 * SEC);
     assert_eq!(harness.submit(2).1, Some(1), "its failure rate has decayed");
 }
--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -98,7 +98,7 @@
     }
 }
 
-fn closed(harness: &Harness, worker: WorkerId) -> usize {
+fn count_closed(harness: &Harness, worker: WorkerId) -> usize {
     let is_closed = |action: &&Action| **action == Action::Disconnect { worker };
     harness.actions.iter().filter(is_closed).count()
 }
@@ -122,21 +122,21 @@
         assert_eq!(sent, Some(1));
         harness.end(c, 0, Status::Ok);
         harness.update_membership(scope, &entries);
-        assert_eq!(closed(&harness, 1), 1, "{scope:?}: at the notice");
+        assert_eq!(count_closed(&harness, 1), 1, "{scope:?}: at the notice");
         harness.update_membership(scope, &entries);
         let more = harness
             .advance(2 * SEC)
             .iter()
             .filter(|a| matches!(a, Action::Disconnect { .. }))
             .count();
-        assert_eq!(closed(&harness, 1) + more, 0, "not repeatedly");
+        assert_eq!(count_closed(&harness, 1) + more, 0, "not repeatedly");
         harness.end(a, 0, Status::Ok);
-        assert_eq!(closed(&harness, 1), 1, "after an outcome");
+        assert_eq!(count_closed(&harness, 1), 1, "after an outcome");
         // The client disconnects; the attempt in flight ends later.
         harness.handle(Event::RequestClosed(b));
         harness.end(b, 0, Status::Cancelled);
         assert_eq!(
-            closed(&harness, 1),
+            count_closed(&harness, 1),
             1,
             "also of an attempt that outlived its request"
         );
@@ -145,7 +145,7 @@
             status: Status::Ok,
             load: None,
         });
-        assert_eq!(closed(&harness, 1), 1, "and after a probe");
+        assert_eq!(count_closed(&harness, 1), 1, "and after a probe");
     }
 }
 
@@ -159,6 +159,6 @@
             harness.submit(0);
         }
         harness.update_membership(Scope::Delta, &[draining(1)]);
-        assert_eq!(closed(&harness, 1), 0);
+        assert_eq!(count_closed(&harness, 1), 0);
     }
 }
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -4,7 +4,7 @@
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-fn site(duplicates: bool, cancel: bool) -> Settings {
+fn settings_with(duplicates: bool, cancel: bool) -> Settings {
     let limits = Limits {
         duplicates,
         cancel,
@@ -30,7 +30,7 @@
 #[test]
 fn long_waiting_attempt_moves_to_a_worker_that_looks_free() {
     for class in [0, 1, 3] {
-        let mut harness = Harness::new(site(false, true), &[entry(1, 0), entry(3, 0)]);
+        let mut harness = Harness::new(settings_with(false, true), &[entry(1, 0), entry(3, 0)]);
         let (id, first) = harness.submit(class);
         let first = first.expect("both are free");
         assert!(
@@ -59,18 +59,18 @@
     // Each case disallows the move for one reason: an unsafe class, allowed duplicates, no cancelling, a single worker,
     // or (below) only one attempt left.
     let two = [entry(1, 0), entry(3, 0)];
-    for (what, class, duplicates, cancel, workers) in [
+    for (case, class, duplicates, cancel, workers) in [
         ("unsafe", 2, false, true, &two[..]),
         ("duplicates", 0, true, true, &two[..]),
         ("no cancelling", 0, false, false, &two[..]),
         ("one worker", 0, false, true, &two[..1]),
     ] {
-        let mut harness = Harness::new(site(duplicates, cancel), workers);
+        let mut harness = Harness::new(settings_with(duplicates, cancel), workers);
         let (id, sent) = harness.submit(class);
-        assert!(sent.is_some(), "{what}");
-        assert!(!is_cancelled(&harness.advance(2 * SEC), id), "{what}");
+        assert!(sent.is_some(), "{case}");
+        assert!(!is_cancelled(&harness.advance(2 * SEC), id), "{case}");
     }
-    let mut attempts = site(false, true);
+    let mut attempts = settings_with(false, true);
     attempts.limits.attempts = 2;
     let mut harness = Harness::new(attempts, &two);
     let (id, _) = harness.submit(0);
@@ -83,18 +83,18 @@
 #[test]
 fn started_attempt_is_not_moved_and_the_retry_budget_is_kept() {
     let two = [entry(1, 0), entry(3, 0)];
-    let mut harness = Harness::new(site(false, true), &two);
+    let mut harness = Harness::new(settings_with(false, true), &two);
     let (id, _) = harness.submit(0);
     harness.advance(50 * MS);
     harness.start(id, 0);
     assert!(!is_cancelled(&harness.advance(SEC), id), "it has started");
-    let mut none = site(false, true);
-    none.rules.resends = Some(ResendBudget {
+    let mut no_retries = settings_with(false, true);
+    no_retries.rules.resends = Some(ResendBudget {
         free: 0.0,
         ratio: 0.0,
         window: None,
     });
-    let mut harness = Harness::new(none, &two);
+    let mut harness = Harness::new(no_retries, &two);
     let (id, _) = harness.submit(0);
     assert!(
         !is_cancelled(&harness.advance(2 * SEC), id),
@@ -111,7 +111,7 @@
         let mut harness = Harness::new(
             Settings {
                 me,
-                ..site(false, true)
+                ..settings_with(false, true)
             },
             &[entry(1, 0), entry(3, 0)],
         );
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -27,7 +27,7 @@
     entries_by_worker: BTreeMap<WorkerId, Entry>,
     requests: BTreeMap<RequestId, TrackedRequest>,
     warm_up_sends: BTreeMap<WorkerId, Vec<Time>>,
-    next: RequestId,
+    next_id: RequestId,
     /// When requests were accepted since the dispatcher's start.
     accepted_at: Vec<Time>,
     /// Retries since the dispatcher's start: time, request and number of the attempt.
@@ -53,7 +53,7 @@
             entries_by_worker: workers.into_iter().map(|w| (w.worker, w)).collect(),
             requests: BTreeMap::new(),
             warm_up_sends: BTreeMap::new(),
-            next: 1,
+            next_id: 1,
             accepted_at: Vec::new(),
             retries: Vec::new(),
             idle: BTreeSet::new(),
@@ -118,9 +118,9 @@
         tracked.closed = true;
         tracked.final_answers += 1;
         let tracked = &self.requests[&request];
-        let full_ran = self.settings.rules.full_may_have_run;
+        let full_may_have_run = self.settings.rules.full_may_have_run;
         let mut attempts = tracked.attempts.iter();
-        let ran = attempts.any(|attempt| !never_ran(attempt.status, full_ran));
+        let ran = attempts.any(|attempt| !never_ran(attempt.status, full_may_have_run));
         let effect = self.effect(tracked.class);
         let is_keyed_everywhere = matches!(
             effect,
@@ -223,9 +223,10 @@
 
     fn check_effect(&self, now: Time, request: RequestId, entry: &Entry) {
         let tracked = &self.requests[&request];
-        let full_ran = self.settings.rules.full_may_have_run;
+        let full_may_have_run = self.settings.rules.full_may_have_run;
         let mut attempts = tracked.attempts.iter();
-        let Some(first) = attempts.find(|attempt| !never_ran(attempt.status, full_ran)) else {
+        let Some(first) = attempts.find(|attempt| !never_ran(attempt.status, full_may_have_run))
+        else {
             return;
         };
         let first_entry = &self.entries_by_worker[&first.worker];
@@ -274,7 +275,7 @@
 
     /// The n-th attempt in flight, modulo the number of attempts in flight; `None` if there is none.
     fn nth_in_flight(&self, n: usize) -> Option<(RequestId, u32)> {
-        let out = |(id, r): (&RequestId, &TrackedRequest)| -> Vec<(RequestId, u32)> {
+        let in_flight = |(id, r): (&RequestId, &TrackedRequest)| -> Vec<(RequestId, u32)> {
             let open = r
                 .attempts
                 .iter()
@@ -282,7 +283,7 @@
                 .filter(|(_, a)| a.status.is_none());
             open.map(|(i, _)| (*id, i as u32)).collect()
         };
-        let all: Vec<_> = self.requests.iter().flat_map(out).collect();
+        let all: Vec<_> = self.requests.iter().flat_map(in_flight).collect();
         if all.is_empty() {
             None
         } else {
@@ -313,11 +314,11 @@
         let end = self.harness.now + time;
         loop {
             let due = |r: &TrackedRequest| r.deadline.max(1);
-            let out = |r: &TrackedRequest| r.attempts.iter().any(|a| a.status.is_none());
+            let has_in_flight = |r: &TrackedRequest| r.attempts.iter().any(|a| a.status.is_none());
             let next = self
                 .requests
                 .iter()
-                .filter(|(_, r)| out(r))
+                .filter(|(_, r)| has_in_flight(r))
                 .map(|(id, r)| (due(r), *id))
                 .min();
             let timer = self.harness.timer.filter(|t| t.0 <= end);
@@ -369,10 +370,10 @@
                     self.end(id, attempt, status);
                 }
             }
-            Step::Pass(time) => self.advance(time),
+            Step::Advance(time) => self.advance(time),
             Step::Drain(worker) => self.set_state(worker, WorkerState::Draining),
-            Step::Drop(worker) => self.set_state(worker, WorkerState::Left),
-            Step::Return(worker) => self.set_state(worker, WorkerState::Active),
+            Step::Remove(worker) => self.set_state(worker, WorkerState::Left),
+            Step::Activate(worker) => self.set_state(worker, WorkerState::Active),
             Step::Restart(worker) => self.restart(worker),
             Step::FullMembership => {
                 let active = |e: &&Entry| e.state == WorkerState::Active;
@@ -427,8 +428,8 @@
     }
 
     fn submit(&mut self, class: u32, left: Time, slots: f64) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.accepted_at.push(self.harness.now);
         self.requests.insert(
             id,
--- a/crates/decisions/tests/rules/steps.rs
+++ b/crates/decisions/tests/rules/steps.rs
@@ -17,15 +17,15 @@
     /// The n-th attempt in flight ends with this status.
     End(usize, Status),
     /// Time passes.
-    Pass(Time),
+    Advance(Time),
     /// The membership list marks this worker as draining.
     Drain(u32),
     /// This worker restarts and is in warm-up.
     Restart(u32),
     /// The membership list marks this worker as removed.
-    Drop(u32),
+    Remove(u32),
     /// The membership list marks this worker as active.
-    Return(u32),
+    Activate(u32),
     /// The whole membership list arrives, with the active workers only.
     FullMembership,
     /// A request for the membership list fails.
@@ -51,11 +51,11 @@
         10 => (0u32..5, left, 0.5..2.0).prop_map(|(class, left, slots)| Step::Submit { class, left, slots }),
         6 => (0usize..50).prop_map(Step::Start),
         8 => ((0usize..50), status).prop_map(|(n, s)| Step::End(n, s)),
-        8 => prop_oneof![1..50 * MS, 50 * MS..2 * SEC].prop_map(Step::Pass),
+        8 => prop_oneof![1..50 * MS, 50 * MS..2 * SEC].prop_map(Step::Advance),
         1 => (0u32..6).prop_map(Step::Drain),
         1 => (0u32..6).prop_map(Step::Restart),
-        1 => (0u32..6).prop_map(Step::Drop),
-        2 => (0u32..6).prop_map(Step::Return),
+        1 => (0u32..6).prop_map(Step::Remove),
+        2 => (0u32..6).prop_map(Step::Activate),
         1 => Just(Step::FullMembership),
         1 => Just(Step::MembershipFails),
         1 => (0usize..50).prop_map(Step::ClientDisconnects),
--- a/crates/decisions/tests/serialized_form.rs
+++ b/crates/decisions/tests/serialized_form.rs
@@ -4,7 +4,7 @@
 use indigofold_decisions::arrivals::Rates;
 use indigofold_decisions::runs::{Speed, Work};
 use indigofold_decisions::statistics::{
-    Class, Demand, Kind, LateStartRate, Pace, Statistics, Worker,
+    Class, Demand, FleetStatistics, Kind, LateStartRate, Statistics, Worker,
 };
 use indigofold_decisions::transferred_job::{Attempt, Progress, TransferredJob};
 
@@ -39,8 +39,8 @@
 fn statistics() -> Statistics<String> {
     let worker = "s-00000001".to_string();
     let mut fetches = Fetches::default();
-    fetches.sent_away(300_000.0);
-    fetches.sent_away(500_000.0);
+    fetches.record_fetch(300_000.0);
+    fetches.record_fetch(500_000.0);
     Statistics {
         at: 1_700_000_000_000_000,
         kinds: vec![(
@@ -56,7 +56,7 @@
             "sale".to_string(),
             Class {
                 run_time: Work::of(250_000),
-                longest_patience: 6_000_000,
+                longest_client_wait: 6_000_000,
             },
         )],
         tenants: vec![("shop".to_string(), 0.25)],
@@ -74,12 +74,12 @@
         )],
         in_flight: vec![(worker, 1.5)],
         retried_at: vec![1_699_999_998_000_000, 1_699_999_999_500_000],
-        pace: Some(pace(fetches)),
+        pace: Some(fleet_statistics(fetches)),
     }
 }
 
-fn pace(fetches: Fetches) -> Pace {
-    Pace {
+fn fleet_statistics(fetches: Fetches) -> FleetStatistics {
+    FleetStatistics {
         run_times: (40.0, 8e6).into(),
         fetches,
         arrivals: Rates {
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -17,7 +17,7 @@
 }
 
 /// A dispatcher that has served 300 requests; workers with even ids, of kind 0, are three times as fast as the others.
-fn experienced(workers: &[Entry]) -> Harness {
+fn with_history(workers: &[Entry]) -> Harness {
     let mut old = Harness::new(settings(), workers);
     for _ in 0..300 {
         old.serve(0, |w| if w % 2 == 0 { 100 * MS } else { 300 * MS })
@@ -26,7 +26,7 @@
     old
 }
 
-fn fast_of_thirty(harness: &mut Harness) -> usize {
+fn count_fast_of_thirty(harness: &mut Harness) -> usize {
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     (0..30)
         .filter(|_| harness.serve(0, run).expect("idle workers take every job") % 2 == 0)
@@ -36,11 +36,14 @@
 #[test]
 fn merged_statistics_give_the_kind_weights_of_the_former_process() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
-    let old = experienced(&workers);
+    let old = with_history(&workers);
     let mut without = old.successor(settings(), &workers);
     let mut with = old.successor(settings(), &workers);
     merge(&mut with, old.dispatcher.statistics(old.now));
-    let (without, with) = (fast_of_thirty(&mut without), fast_of_thirty(&mut with));
+    let (without, with) = (
+        count_fast_of_thirty(&mut without),
+        count_fast_of_thirty(&mut with),
+    );
     assert!(
         with >= 27 && without < with,
         "fast of 30: {with} with the statistics, {without} without"
@@ -51,7 +54,7 @@
 #[test]
 fn statistics_that_are_merged_and_read_at_once_stay_the_same() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
-    let old = experienced(&workers);
+    let old = with_history(&workers);
     let statistics = old.dispatcher.statistics(old.now);
     let mut new = old.successor(settings(), &workers);
     merge(&mut new, statistics.clone());
@@ -98,11 +101,11 @@
         (same.dispatcher.worker_counts(same.now), same.submit(0).1),
         (counts(1, 1), None)
     );
-    let anew = Entry {
+    let restarted = Entry {
         ready_at: 99 * SEC,
         ..entry(1, 0)
     };
-    let mut other = old.successor(settings(), &[anew]);
+    let mut other = old.successor(settings(), &[restarted]);
     merge(&mut other, statistics);
     assert_eq!(other.dispatcher.worker_counts(other.now), counts(1, 0));
 }
@@ -213,7 +216,7 @@
 #[test]
 fn merged_statistics_are_weighted_by_their_age() {
     let workers: Vec<_> = (0..8).map(|i| entry(i, i % 2)).collect();
-    let old = experienced(&workers);
+    let old = with_history(&workers);
     let statistics = old.dispatcher.statistics(old.now);
     let after = |delay: Time| {
         let mut new = Harness::starting_at(settings(), &workers, old.now + delay);
@@ -240,7 +243,7 @@
     );
 }
 
-fn named(statistics: Statistics<u32>) -> Statistics<String> {
+fn with_names(statistics: Statistics<u32>) -> Statistics<String> {
     let name = |n: &u32| Some(format!("n{n}"));
     statistics.renamed(name, name, name, |n| Some(format!("s-{n:08x}")))
 }
@@ -248,7 +251,7 @@
 #[test]
 fn written_statistics_are_read_back_unchanged() {
     let workers: Vec<_> = (0..200).map(|i| entry(i, i % 2)).collect();
-    let statistics = named(experienced(&workers).dispatcher.statistics(130 * SEC));
+    let statistics = with_names(with_history(&workers).dispatcher.statistics(130 * SEC));
     let form = statistics.write().expect("200 workers fit");
     assert_eq!(Statistics::read(&form), Ok(statistics.clone()));
     assert!(form.len() < 20_000, "{} bytes for 200 workers", form.len());
@@ -289,8 +292,8 @@
 }
 
 fn known_statistics() -> Statistics<String> {
-    let known = experienced(&[entry(1, 0), entry(2, 1)]);
-    named(known.dispatcher.statistics(130 * SEC))
+    let known = with_history(&[entry(1, 0), entry(2, 1)]);
+    with_names(known.dispatcher.statistics(130 * SEC))
 }
 
 #[test]
@@ -330,7 +333,7 @@
 #[test]
 fn statistics_with_an_impossible_number_are_rejected_with_a_reason() {
     let statistics = known_statistics();
-    let refused = |change: &dyn Fn(&mut Statistics<String>)| {
+    let rejection = |change: &dyn Fn(&mut Statistics<String>)| {
         let mut other = statistics.clone();
         change(&mut other);
         let form = other.write().expect("short");
@@ -339,20 +342,20 @@
             .to_string()
     };
     assert_eq!(
-        refused(&|l| l.kinds[0].1.slots = -2.0),
+        rejection(&|l| l.kinds[0].1.slots = -2.0),
         "slots of a kind is -2, 0 to 1000000 is allowed"
     );
     assert_eq!(
-        refused(&|l| l.workers[0].1.failure_rate = f64::NAN),
+        rejection(&|l| l.workers[0].1.failure_rate = f64::NAN),
         "share of failures is NaN, 0 to 1 is allowed"
     );
-    assert!(refused(&|l| l.kinds[0].1.weight = 1.5).starts_with("part of the draws is 1.5"));
+    assert!(rejection(&|l| l.kinds[0].1.weight = 1.5).starts_with("part of the draws is 1.5"));
     assert!(
-        refused(&|l| l.pace.as_mut().expect("it has a pace").wait_window = 0.0)
+        rejection(&|l| l.pace.as_mut().expect("it has a pace").wait_window = 0.0)
             .starts_with("window is 0")
     );
     assert!(
-        refused(&|l| l.pace.as_mut().expect("it has a pace").trusted_idle = 2.0 * UNLIMITED)
+        rejection(&|l| l.pace.as_mut().expect("it has a pace").trusted_idle = 2.0 * UNLIMITED)
             .contains("trusted")
     );
 }
@@ -361,7 +364,7 @@
     /// Changed or missing bytes must be detected and must not cause a panic.
     #[test]
     fn damaged_statistics_are_rejected(at in 0usize..400, bit in 0u8..8, length in 0usize..400) {
-        let statistics = named(experienced(&[entry(1, 0), entry(2, 1)]).dispatcher.statistics(130 * SEC));
+        let statistics = with_names(with_history(&[entry(1, 0), entry(2, 1)]).dispatcher.statistics(130 * SEC));
         let form = statistics.write().expect("short");
         let mut flipped = form.clone();
         let at = at % form.len();
@@ -378,7 +381,7 @@
         ejected_until in any::<u64>(), at in any::<u64>(), window in prop_oneof![Just(1.0), Just(UNLIMITED), 1.0..1e3],
     ) {
         let workers = [entry(1, 0), entry(2, 1)];
-        let old = experienced(&workers);
+        let old = with_history(&workers);
         let mut statistics = old.dispatcher.statistics(old.now);
         statistics.at = at;
         statistics.kinds[0].1.slots = slots;
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -5,7 +5,7 @@
 
 /// Returns the times at which requests were sent to worker 3. One request of `class` is submitted per step until
 /// `until`, and each attempt at worker 3 ends immediately with the status `ends`.
-fn sends_to_third(
+fn send_times_to_worker_3(
     harness: &mut Harness,
     (class, ends): (ClassId, Status),
     step: Time,
@@ -30,7 +30,7 @@
 }
 
 /// Least fraction of its capacity that a worker has at this age.
-fn least_warmth(rules: &Rules, age: Time) -> f64 {
+fn min_warm_up_fraction(rules: &Rules, age: Time) -> f64 {
     rules.initial_capacity + (1.0 - rules.initial_capacity) * age as f64 / rules.warm_after as f64
 }
 
@@ -52,7 +52,7 @@
             ..entry(3, 0)
         }],
     );
-    let sends = sends_to_third(
+    let sends = send_times_to_worker_3(
         &mut harness,
         (0, Status::Full),
         7 * MS,
@@ -67,12 +67,12 @@
             .iter()
             .filter(|u| **u <= *t && **u + rules.tip_window > *t)
             .count() as f64;
-        let warmth = least_warmth(&rules, *t - ready_at);
+        let fraction = min_warm_up_fraction(&rules, *t - ready_at);
         // The worker's slots were never observed, so it counts as having as many as observed for its kind: one.
-        let budget = rules.tip_multiple * warmth * rules.tip_window as f64 / 3.0;
+        let budget = rules.tip_multiple * fraction * rules.tip_window as f64 / 3.0;
         assert!(
             recent * 100_000.0 <= budget,
-            "{recent} jobs in a window at warmth {warmth}"
+            "{recent} jobs in a window at {fraction} of its capacity"
         );
     }
 }
@@ -81,7 +81,7 @@
 /// only a few dispatchers get a part, different ones for each worker, and together they stay within the budget.
 #[test]
 fn warm_up_budget_goes_to_few_dispatchers_and_accumulates() {
-    let mut users = [0; 2];
+    let mut senders = [0; 2];
     for (n, worker) in [3, 4].into_iter().enumerate() {
         let mut total = 0;
         for me in 0..40 {
@@ -113,15 +113,15 @@
                     .filter(|a| matches!(a, Action::Send { .. }))
                     .count();
             }
-            users[n] |= u64::from(sends > 0) << me;
+            senders[n] |= u64::from(sends > 0) << me;
             total += sends;
         }
         // The worker has one slot, 30% of it at first and about two thirds after 30 s: room for about 140 jobs of 100
         // ms.
         assert!((3..=140).contains(&total), "{total} jobs in 30 s");
-        assert!(users[n].count_ones() == 3, "{:b}", users[n]);
+        assert!(senders[n].count_ones() == 3, "{:b}", senders[n]);
     }
-    assert_ne!(users[0], users[1]);
+    assert_ne!(senders[0], senders[1]);
 }
 
 /// Guards against dispatchers that never spend their part of a worker's warm-up budget because they do not prefer the
@@ -176,7 +176,7 @@
         );
         // Each attempt releases its slot at once, so that only the budget limits the sends.
         let until = ready_at + 4 * SEC;
-        sends.extend(sends_to_third(
+        sends.extend(send_times_to_worker_3(
             &mut harness,
             (2, Status::Cancelled),
             step,
@@ -184,7 +184,9 @@
         ));
     }
     let budget = |at: Time| {
-        7.0 * rules.tip_multiple * least_warmth(&rules, at - ready_at) * rules.tip_window as f64
+        7.0 * rules.tip_multiple
+            * min_warm_up_fraction(&rules, at - ready_at)
+            * rules.tip_window as f64
     };
     for n in 0..4 * SEC / step {
         let at = ready_at + n * step;
