--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -129,7 +129,7 @@
             self.send_queued(now, out);
             debug_assert!(
                 self.fleet.is_consistent(),
-                "what is kept must agree with a fresh count"
+                "derived values of the fleet must agree with a recount"
             );
         }
     }
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -194,22 +194,28 @@
         match self {
             ReadError::Length(length) => write!(
                 f,
-                "{length} bytes, from {HEADER_BYTES} to {LENGTH_MAX_BYTES} and as many as it says are allowed"
+                "the statistics have {length} bytes: {HEADER_BYTES} to {LENGTH_MAX_BYTES} are allowed, and as many as the header states"
             ),
             ReadError::Magic => {
                 let magic = String::from_utf8_lossy(MAGIC);
-                write!(f, "it does not begin with {magic:?}")
+                write!(f, "the statistics do not begin with {magic:?}")
             }
             ReadError::Version(version) => {
-                write!(f, "its version is {version}, 1 to {VERSION} can be read")
+                write!(
+                    f,
+                    "the statistics have version {version}: 1 to {VERSION} are supported"
+                )
             }
-            ReadError::Checksum => write!(f, "its checksum does not fit"),
+            ReadError::Checksum => write!(
+                f,
+                "the checksum of the statistics does not match, or they cannot be decoded"
+            ),
             ReadError::OutOfRange {
                 what,
                 value,
                 from,
                 to,
-            } => write!(f, "{what} is {value}, {from} to {to} is allowed"),
+            } => write!(f, "{what} is {value}: {from} to {to} is allowed"),
         }
     }
 }
@@ -277,15 +283,15 @@
         let mut classes = self.classes.iter();
         classes.try_for_each(|(_, class)| class.check())?;
         for (_, fraction) in &self.tenants {
-            check_range("share of a tenant", *fraction, FRACTION)?;
+            check_range("fraction of a tenant", *fraction, FRACTION)?;
         }
         let mut workers = self.workers.iter();
         workers.try_for_each(|(_, worker)| worker.check())?;
         for (_, slots) in &self.in_flight {
-            check_range("slots held", *slots, COUNT)?;
+            check_range("slots in flight at a worker", *slots, COUNT)?;
         }
         check_range(
-            "number of further attempts",
+            "number of retries",
             self.retried_at.len() as f64,
             0.0..=RETRIED_MAX as f64,
         )?;
@@ -295,45 +301,73 @@
 
 impl Kind {
     fn check(&self) -> Result<(), ReadError> {
-        check_range("slots of a kind", self.slots, COUNT)?;
-        check_range("part of the draws", self.weight, FRACTION)?;
+        check_range("number of slots of a kind", self.slots, COUNT)?;
+        check_range("draw probability of a kind", self.weight, FRACTION)?;
         check_range("speed of a kind", self.speed.speed, SPEED)?;
-        check_range("weight of a kind's runs", self.speed.weight(), COUNT)
+        check_range(
+            "weight of the run times of a kind",
+            self.speed.weight(),
+            COUNT,
+        )
     }
 }
 
 impl Class {
     fn check(&self) -> Result<(), ReadError> {
-        check_range("mean run of a class", self.run_time.mean(None), RUN_TIME)?;
-        check_range("weight of a class's runs", self.run_time.weight(), COUNT)
+        check_range(
+            "mean run time of a class",
+            self.run_time.mean(None),
+            RUN_TIME,
+        )?;
+        check_range(
+            "weight of the run times of a class",
+            self.run_time.weight(),
+            COUNT,
+        )
     }
 }
 
 impl Worker {
     fn check(&self) -> Result<(), ReadError> {
-        check_range("time to a start", self.start_delay, DURATION)?;
-        check_range("slots held by others", self.others_slots, COUNT)?;
-        check_range("share of failures", self.failure_rate, FRACTION)
+        check_range("start delay of a worker", self.start_delay, DURATION)?;
+        check_range(
+            "slots of other dispatchers at a worker",
+            self.others_slots,
+            COUNT,
+        )?;
+        check_range("failure rate of a worker", self.failure_rate, FRACTION)
     }
 }
 
 impl FleetStatistics {
     fn check(&self) -> Result<(), ReadError> {
         let WeightedSum { weight, sum } = self.run_times;
-        check_range("weight of all runs", weight, COUNT)?;
-        check_range("sum of all runs", sum, 0.0..=COUNT_MAX * DURATION_MAX)?;
-        check_range("cost of a fetch", self.fetches.cost(), DURATION)?;
-        check_range("work arriving", self.arrivals.work, COUNT)?;
-        check_range("work of any kind arriving", self.arrivals.unbound, COUNT)?;
-        check_range("jobs arriving", self.arrivals.per_s, COUNT)?;
-        check_range("share at home first", self.home_preference, FRACTION)?;
-        check_range("late starts away", self.late_start_rate.away, FRACTION)?;
-        check_range("late starts at home", self.late_start_rate.home, FRACTION)?;
-        check_range("window", self.wait_window, WINDOW)?;
+        check_range("weight of all run times", weight, COUNT)?;
+        check_range("sum of all run times", sum, 0.0..=COUNT_MAX * DURATION_MAX)?;
+        check_range("mean fetch time", self.fetches.cost(), DURATION)?;
+        check_range("arrival rate of work", self.arrivals.work, COUNT)?;
+        check_range("arrival rate of unbound work", self.arrivals.unbound, COUNT)?;
+        check_range("arrival rate of jobs", self.arrivals.per_s, COUNT)?;
+        check_range(
+            "fraction of requests that prefer the own zone",
+            self.home_preference,
+            FRACTION,
+        )?;
+        check_range(
+            "rate of late starts in other zones",
+            self.late_start_rate.away,
+            FRACTION,
+        )?;
+        check_range(
+            "rate of late starts in the own zone",
+            self.late_start_rate.home,
+            FRACTION,
+        )?;
+        check_range("wait window", self.wait_window, WINDOW)?;
         check_range("trusted idle time", self.trusted_idle, ANY_AMOUNT)?;
-        check_range("worth of late", self.demand.value, ANY_AMOUNT)?;
-        check_range("work of late", self.demand.work, ANY_AMOUNT)?;
-        check_range("share turned away", self.rejection_rate, FRACTION)
+        check_range("recent value of requests", self.demand.value, ANY_AMOUNT)?;
+        check_range("recent work of requests", self.demand.work, ANY_AMOUNT)?;
+        check_range("rejection rate", self.rejection_rate, FRACTION)
     }
 }
 
--- a/crates/decisions/src/transferred_job.rs
+++ b/crates/decisions/src/transferred_job.rs
@@ -87,11 +87,14 @@
             InvalidJob::Slots(slots) => {
                 write!(
                     f,
-                    "slots of a job are {slots}, 0 to {SLOTS_MAX} are allowed"
+                    "the transferred job takes {slots} slots: 0 to {SLOTS_MAX} are allowed"
                 )
             }
             InvalidJob::Progress(done) => {
-                write!(f, "the share done of a job is {done}, 0 to 1 is allowed")
+                write!(
+                    f,
+                    "the progress of an attempt of the transferred job is {done}: 0 to 1 is allowed"
+                )
             }
         }
     }
--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -41,7 +41,7 @@
     assert_eq!(
         next,
         Some((valuable, 1, 0)),
-        "the request of most value for its work is sent first"
+        "the request with the highest value per unit of work is sent first"
     );
 }
 
@@ -157,7 +157,7 @@
     for id in ids {
         assert!(
             harness.is_refused(id),
-            "nothing was sent, so any class may be refused"
+            "nothing was sent, so a request of any class may be rejected"
         );
     }
 }
@@ -243,7 +243,7 @@
     harness.advance(3_100 * MS);
     assert!(
         harness.is_failed(keyed),
-        "its deadline is 3 s off, the lifetime of its key is over"
+        "the lifetime of the key is over, 3 s before the deadline"
     );
 }
 
@@ -264,7 +264,9 @@
                 } if *request == id => Some(*retry_after),
                 _ => None,
             };
-            out.iter().find_map(advised).expect("refused")
+            out.iter()
+                .find_map(advised)
+                .expect("the request is rejected")
         };
         let retry_after = advice(&all, late);
         assert!(
@@ -317,7 +319,11 @@
         served
     };
     let (normal, overload) = (served(false), served(true));
-    assert_eq!(normal, [450, 150], "nothing is refused while all is well");
+    assert_eq!(
+        normal,
+        [450, 150],
+        "no request is rejected while workers reject none"
+    );
     assert!(overload[0] < 300 && overload[1] > 130, "{overload:?}");
 }
 
--- a/crates/decisions/tests/adoption.rs
+++ b/crates/decisions/tests/adoption.rs
@@ -10,7 +10,10 @@
     new: &mut Harness,
     adopted_as: RequestId,
 ) -> TransferredJob<u32> {
-    let job = old.dispatcher.release(old.now, id).expect("it is open");
+    let job = old
+        .dispatcher
+        .release(old.now, id)
+        .expect("the request is open");
     new.handle(Event::Adopted(adopted_as, Box::new(job.clone())));
     job
 }
@@ -25,7 +28,10 @@
     let mut new = old.successor(settings(), &workers);
     let (id, _) = old.submit(2);
     transfer(&mut old, id, &mut new, ADOPTED);
-    assert!(new.sent_to(ADOPTED).is_none(), "it is out already");
+    assert!(
+        new.sent_to(ADOPTED).is_none(),
+        "its attempt is in flight already"
+    );
     new.start(ADOPTED, 0);
     new.end(ADOPTED, 0, Status::Reset);
     assert!(new.is_failed(ADOPTED) && new.sent_to(ADOPTED).is_none());
@@ -45,10 +51,10 @@
         [true, false]
     );
     new.end(ADOPTED + 1, 1, Status::Error);
-    let third = new.sent_to(ADOPTED + 1).expect("a third attempt");
+    let third = new.sent_to(ADOPTED + 1).expect("a third attempt is sent");
     assert!(
         job.attempts.iter().all(|t| t.worker != third),
-        "not where it has been"
+        "the third attempt goes to another worker"
     );
 }
 
@@ -67,7 +73,7 @@
     new.end(ADOPTED + 2, 0, Status::Reset);
     let retried = new.sent_to(ADOPTED + 2);
     assert!(
-        retried.is_none_or(|w| w % 2 == first.expect("sent") % 2),
+        retried.is_none_or(|w| w % 2 == first.expect("the request was sent") % 2),
         "{first:?}, then {retried:?}"
     );
     let (id, _) = old.submit(1);
@@ -77,7 +83,7 @@
     new.end(ADOPTED + 3, 0, Status::Reset);
     assert!(
         new.is_failed(ADOPTED + 3) && new.sent_to(ADOPTED + 3).is_none(),
-        "its window ran from the first send"
+        "the lifetime of the key counts from the first send"
     );
 }
 
@@ -96,7 +102,7 @@
         assert!(
             new.dispatcher
                 .slots_in_flight()
-                .contains(&(worker.expect("sent"), 1.0))
+                .contains(&(worker.expect("the request was sent"), 1.0))
         );
     }
     assert_eq!(
@@ -121,7 +127,11 @@
     );
     new.end(ADOPTED + 1, 0, Status::Cancelled);
     assert!(new.dispatcher.slots_in_flight().is_empty());
-    assert_eq!(old.dispatcher.release(old.now, 99), None, "no such job");
+    assert_eq!(
+        old.dispatcher.release(old.now, 99),
+        None,
+        "an unknown job cannot be released"
+    );
 }
 
 #[test]
@@ -136,7 +146,7 @@
         old.advance(10 * SEC)
             .iter()
             .all(|a| matches!(a, Action::Timer { .. })),
-        "nothing is owed there"
+        "the old process owes no answer"
     );
     // If the new process has no worker either, it answers the job before its deadline.
     let mut without_workers = old.successor(settings(), &[]);
@@ -199,7 +209,7 @@
     });
     assert!(
         retried.is_some() && retried != first,
-        "beside the unresponsive one: {sent:?}"
+        "a retry goes to the worker that responds: {sent:?}"
     );
 }
 
@@ -216,6 +226,6 @@
     old.end(id, 0, Status::Error);
     assert!(
         old.is_failed(id) && old.sent_to(id).is_none(),
-        "it is still known, and never repeated"
+        "the old process still knows the unsafe request and does not retry it"
     );
 }
--- a/crates/decisions/tests/attempts.rs
+++ b/crates/decisions/tests/attempts.rs
@@ -34,7 +34,7 @@
         assert_eq!(
             harness.sent_to(id).map(|w| w % 2),
             first.map(|w| w % 2),
-            "same cell"
+            "the retry goes to the same cell"
         );
     }
     // After the lifetime of the key no attempt is sent, and the request fails, because a rejection would claim that a
@@ -45,7 +45,7 @@
     harness.end(id, 0, Status::Error);
     assert!(
         harness.sent_to(id).is_none() && harness.is_failed(id),
-        "no allowed attempt can serve it, so it is answered immediately"
+        "no attempt is allowed, so the request is answered immediately"
     );
 }
 
@@ -82,7 +82,7 @@
             if harness.sent_to(id).is_none() {
                 assert!(
                     harness.is_refused(id),
-                    "without retries it is answered immediately"
+                    "without retries left the request is answered immediately"
                 );
                 return retries;
             }
@@ -90,12 +90,15 @@
         }
     };
     let retries: u32 = (0..9).map(|_| fail_until_answered(&mut harness)).sum();
-    assert_eq!(retries, 2, "nine requests add none to the two free ones");
+    assert_eq!(
+        retries, 2,
+        "nine requests add no retry to the two free ones"
+    );
     harness.advance(5 * SEC);
     assert_eq!(
         fail_until_answered(&mut harness),
         1,
-        "the tenth request adds one"
+        "the tenth request adds one retry"
     );
     // The first two retries and the requests accepted with them leave the window.
     harness.advance(5 * SEC + MS);
@@ -125,8 +128,14 @@
     harness.update_membership(Scope::Cached, &draining);
     for id in requests {
         harness.end(id, 0, Status::Error);
-        assert!(harness.sent_to(id).is_none(), "no worker takes it");
-        assert!(!harness.is_refused(id), "one retry is left, so it waits");
+        assert!(
+            harness.sent_to(id).is_none(),
+            "no worker can take the request"
+        );
+        assert!(
+            !harness.is_refused(id),
+            "one retry is left, so the request is queued"
+        );
     }
     harness.update_membership(Scope::Cached, &workers);
     let sent = requests.map(|id| harness.sent_to(id).is_some());
@@ -197,14 +206,14 @@
             assert!(
                 harness
                     .sent_to(keyed)
-                    .is_none_or(|w| w % 2 == first.expect("sent") % 2),
-                "same cell"
+                    .is_none_or(|w| w % 2 == first.expect("the request was sent") % 2),
+                "the retry goes to the same cell"
             );
             harness.end(keyed, 1, Status::Full);
             harness.advance(3 * SEC);
             assert!(
                 !harness.is_refused(keyed),
-                "a refusal would promise too much"
+                "the attempt may have run, so a retry is not safe"
             );
         }
     }
@@ -269,14 +278,14 @@
     }
     harness.advance(3 * SEC);
     let (id, worker) = harness.submit(0);
-    assert_eq!(closes(&harness), 0, "nothing has broken yet");
+    assert_eq!(closes(&harness), 0, "no connection has been reset yet");
     harness.end(id, 0, Status::Reset);
     let second_worker = harness
         .sent_to(id)
         .expect("a safe request is retried immediately");
     assert!(
         Some(second_worker) != worker && closes(&harness) == 1,
-        "the other's connection is as old: {:?}",
+        "the connection to the other worker is as old, so it is closed: {:?}",
         harness.actions
     );
     harness.advance(MS);
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -21,7 +21,7 @@
         }
         assert!(
             worker.is_some(),
-            "an error on one worker sends a safe request to another"
+            "after an error a safe request is retried on another worker"
         );
         harness.advance(20 * MS);
         harness.start(id, attempt);
@@ -30,7 +30,7 @@
     }
     assert!(
         (1..=12).contains(&to_failing),
-        "{to_failing} of 200 requests went to the erring worker"
+        "{to_failing} of 200 requests went to the failing worker: 1 to 12 expected"
     );
 }
 
@@ -54,11 +54,15 @@
         "an unsafe request is not retryable"
     );
     let mut harness = after_two_errors();
-    assert_eq!(harness.submit(3).1, Some(1), "a keyed one is retryable");
-    assert_eq!(harness.submit(3).1, None, "one at a time");
+    assert_eq!(harness.submit(3).1, Some(1), "a keyed request is retryable");
+    assert_eq!(
+        harness.submit(3).1,
+        None,
+        "a worker on probation gets one request at a time"
+    );
     let mut harness = after_two_errors();
     harness.advance(2 * SEC);
-    assert_eq!(harness.submit(2).1, Some(1), "its failure rate has decayed");
+    assert_eq!(harness.submit(2).1, Some(1), "the failure rate has decayed");
 }
 
 /// Guards against dispatchers that keep sending requests to a full worker, which rejects them.
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -10,7 +10,7 @@
     let (first, worker) = harness.submit(0);
     harness.advance(300 * MS);
     harness.start(first, 0);
-    let other = 3 - worker.expect("sent");
+    let other = 3 - worker.expect("the request was sent");
     assert_eq!(harness.submit(0).1, Some(other));
     harness.advance(MS);
     harness.start(2, 0);
@@ -63,7 +63,10 @@
         harness.submit(0);
         waiting += sends(&harness);
     }
-    assert!((1..=8).contains(&waiting), "{waiting} jobs wait");
+    assert!(
+        (1..=8).contains(&waiting),
+        "{waiting} requests were sent to wait at workers: 1 to 8 expected"
+    );
 }
 
 /// When starts come late or workers reject attempts, a worker that is known to be free is preferred over workers of
@@ -104,6 +107,6 @@
     assert_eq!(
         harness.submit(0).1,
         Some(1),
-        "one job may wait where all slots are taken"
+        "one request may wait at a worker without a free slot"
     );
 }
--- a/crates/decisions/tests/malformed_input.rs
+++ b/crates/decisions/tests/malformed_input.rs
@@ -40,7 +40,7 @@
             .actions
             .iter()
             .any(|a| matches!(a, Action::Send { .. })),
-        "no attempt is allowed here"
+        "the settings allow no attempt"
     );
 }
 
--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -24,7 +24,7 @@
         assert_ne!(
             harness.serve(0, |_| 10 * MS),
             Some(1),
-            "a worker that a full list lacks has left"
+            "a worker that is missing from a full list has left"
         );
     }
 }
@@ -43,7 +43,7 @@
             harness.advance(10 * MS);
             assert!(
                 harness.now < failed + 10 * SEC,
-                "requested within rules.membership_refresh_within"
+                "not requested within rules.membership_refresh_within"
             );
         }
         waits.push(harness.now - failed);
@@ -66,13 +66,13 @@
     let (id, _) = harness.submit(2);
     harness.end(id, 0, Status::Reset);
     let (id, worker) = harness.submit(2);
+    assert_eq!(worker, Some(1), "one reset may be due to the connection");
+    harness.end(id, 0, Status::Reset);
     assert_eq!(
-        worker,
-        Some(1),
-        "one reset may be the connection's fault alone"
+        harness.submit(0).1,
+        None,
+        "the worker is ejected after a second reset"
     );
-    harness.end(id, 0, Status::Reset);
-    assert_eq!(harness.submit(0).1, None, "ejected after the second");
     harness.advance(20 * MS);
     let ready_at = harness.now - 7_950 * MS;
     harness.update_membership(
@@ -86,7 +86,7 @@
     assert_eq!(
         harness.sent_to(3),
         Some(1),
-        "the new process has no failures: {:?}",
+        "the new process has no failure history: {:?}",
         harness.actions
     );
 }
@@ -129,7 +129,7 @@
             .iter()
             .filter(|a| matches!(a, Action::Disconnect { .. }))
             .count();
-        assert_eq!(count_closed(&harness, 1) + more, 0, "not repeatedly");
+        assert_eq!(count_closed(&harness, 1) + more, 0, "not closed again");
         harness.end(a, 0, Status::Ok);
         assert_eq!(count_closed(&harness, 1), 1, "after an outcome");
         // The client disconnects; the attempt in flight ends later.
@@ -138,14 +138,14 @@
         assert_eq!(
             count_closed(&harness, 1),
             1,
-            "also of an attempt that outlived its request"
+            "after the outcome of a closed request"
         );
         harness.handle(Event::Probed {
             worker: 1,
             status: Status::Ok,
             load: None,
         });
-        assert_eq!(count_closed(&harness, 1), 1, "and after a probe");
+        assert_eq!(count_closed(&harness, 1), 1, "after a probe");
     }
 }
 
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -32,24 +32,26 @@
     for class in [0, 1, 3] {
         let mut harness = Harness::new(settings_with(false, true), &[entry(1, 0), entry(3, 0)]);
         let (id, first) = harness.submit(class);
-        let first = first.expect("both are free");
+        let first = first.expect("both workers are free");
         assert!(
             !is_cancelled(&harness.advance(90 * MS), id),
-            "class {class}: not long yet"
+            "class {class}: moved after only 90 ms"
         );
         assert!(
             is_cancelled(&harness.advance(60 * MS), id),
-            "class {class}: it has waited for long"
+            "class {class}: not moved after 150 ms"
         );
         // The outcome of the cancelled attempt triggers the next send.
         harness.end(id, 0, Status::Cancelled);
-        let second = harness.sent_to(id).expect("it is sent again immediately");
+        let second = harness
+            .sent_to(id)
+            .expect("the request is sent again immediately");
         assert_ne!(first, second);
         harness.advance(MS);
         harness.start(id, 1);
         assert!(
             !is_cancelled(&harness.advance(900 * MS), id),
-            "a started attempt is not moved"
+            "class {class}: a started attempt is moved"
         );
     }
 }
@@ -76,7 +78,7 @@
     let (id, _) = harness.submit(0);
     assert!(
         !is_cancelled(&harness.advance(2 * SEC), id),
-        "the last attempt is kept for a failure"
+        "the last attempt is reserved for a failure"
     );
 }
 
@@ -87,7 +89,10 @@
     let (id, _) = harness.submit(0);
     harness.advance(50 * MS);
     harness.start(id, 0);
-    assert!(!is_cancelled(&harness.advance(SEC), id), "it has started");
+    assert!(
+        !is_cancelled(&harness.advance(SEC), id),
+        "a started attempt is not moved"
+    );
     let mut no_retries = settings_with(false, true);
     no_retries.rules.resends = Some(ResendBudget {
         free: 0.0,
@@ -98,7 +103,7 @@
     let (id, _) = harness.submit(0);
     assert!(
         !is_cancelled(&harness.advance(2 * SEC), id),
-        "no further attempt may be made"
+        "the budget allows no retry"
     );
 }
 
@@ -131,5 +136,8 @@
             harness.end(id, attempt, Status::Ok);
         }
     }
-    assert!(moved >= 10, "{moved} of 120 were moved");
+    assert!(
+        moved >= 10,
+        "{moved} of 120 requests were moved: at least 10 expected"
+    );
 }
--- a/crates/decisions/tests/observations.rs
+++ b/crates/decisions/tests/observations.rs
@@ -23,7 +23,7 @@
         assert_eq!(
             harness.submit(0).1,
             Some(2),
-            "worker 1 is full of others' jobs"
+            "worker 1 is full of other dispatchers' requests"
         );
     }
 }
@@ -61,7 +61,7 @@
     assert_eq!(
         harness.submit(0).1,
         Some(1),
-        "no other dispatcher holds a slot there"
+        "no other dispatcher occupies a slot of worker 1"
     );
 }
 
@@ -98,7 +98,7 @@
     let sent = (0..6).filter(|_| harness.submit(0).1 == Some(2)).count();
     assert!(
         (2..=3).contains(&sent),
-        "two run and one waits, {sent} were sent"
+        "{sent} requests were sent: two may run and one may wait"
     );
 }
 
@@ -151,7 +151,10 @@
     probed(0.0, 0.0, 3.0);
     let taken = (0..8).take_while(|_| harness.submit(2).1.is_some()).count();
     // Three requests run; more may wait at the busy worker only one at a time.
-    assert!((3..=4).contains(&taken), "{taken} jobs at three slots");
+    assert!(
+        (3..=4).contains(&taken),
+        "{taken} requests at three slots: 3 or 4 expected"
+    );
 }
 
 /// Guards against overfilling workers that are occupied by other dispatchers' requests when no load report shows those.
@@ -169,7 +172,7 @@
     assert_eq!(
         worker,
         Some(2),
-        "the peer's job holds the one known slot of worker 1"
+        "the peer's request occupies the only known slot of worker 1"
     );
     assert!(harness.advance(100 * MS).contains(&Action::UpdatePeers {
         in_flight: vec![(2, 1)]
@@ -211,7 +214,7 @@
     assert_eq!(
         harness.sent_to(id),
         Some(2),
-        "the emptiest of those sampled"
+        "the sampled worker with the most free slots"
     );
     // Without probe results, the request is sent after a tenth of its latency target. Workers with recent load are not
     // probed again.
@@ -236,7 +239,7 @@
     assert_eq!(
         probes_after_recent_load(SEC, 2),
         0,
-        "own requests show most of what happens"
+        "own requests show most of the load"
     );
 }
 
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -132,7 +132,7 @@
         if is_refusal && ran {
             assert!(
                 effect == Effect::Safe || is_keyed_everywhere,
-                "a refusal that may be untrue"
+                "a rejection although the request may have taken effect"
             );
         }
     }
@@ -167,7 +167,10 @@
         self.check_retry_budget(now, request);
         self.check_effect(now, request, &entry);
         self.check_warm_up(now, &entry);
-        let tracked = self.requests.get_mut(&request).expect("known");
+        let tracked = self
+            .requests
+            .get_mut(&request)
+            .expect("the request is known");
         tracked.attempts.push(TrackedAttempt {
             worker,
             sent: now,
@@ -216,7 +219,7 @@
         let retries = self.retries.iter().filter(counted).count() + 1;
         assert!(
             retries as f64 <= budget.free + budget.ratio * accepted as f64 + 1e-9,
-            "{retries} of {accepted}"
+            "{retries} retries for {accepted} accepted requests exceed the budget"
         );
         self.retries.push((now, request, number));
     }
@@ -234,14 +237,17 @@
             Effect::Safe => {}
             Effect::Unsafe => panic!("an unsafe request sent twice"),
             Effect::Keyed { group, ttl } => {
-                assert!(now < first.sent + ttl, "a repeat past the window");
+                assert!(
+                    now < first.sent + ttl,
+                    "a retry after the lifetime of the key"
+                );
                 assert!(
                     group != Group::Cell || first_entry.cell == entry.cell,
-                    "a repeat in another cell"
+                    "a retry in another cell"
                 );
                 assert!(
                     group != Group::Zone || first_entry.zone == entry.zone,
-                    "a repeat in another zone"
+                    "a retry in another zone"
                 );
             }
         }
@@ -269,7 +275,7 @@
         // `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
         assert!(
             dispatchers > 5.0 || recent * 300_000.0 <= budget,
-            "{recent} sends to a worker in warm-up"
+            "{recent} sends in a window to a worker in warm-up exceed its budget"
         );
     }
 
@@ -292,7 +298,7 @@
     }
 
     fn end(&mut self, id: RequestId, attempt: u32, status: Status) {
-        let r = self.requests.get_mut(&id).expect("known");
+        let r = self.requests.get_mut(&id).expect("the request is known");
         r.attempts[attempt as usize].status = Some(status);
         if status == Status::Ok && !r.closed {
             (r.closed, r.final_answers) = (true, r.final_answers + 1);
@@ -330,7 +336,7 @@
                         .attempts
                         .iter()
                         .position(|a| a.status.is_none())
-                        .expect("one is in flight");
+                        .expect("an attempt is in flight");
                     self.end(id, n as u32, Status::Timeout);
                 }
                 (_, Some((at, name))) => {
@@ -352,10 +358,7 @@
     }
 
     /// Performs one step and checks the resulting actions.
-    #[allow(
-        clippy::too_many_lines,
-        reason = "one scenario, in the order in which it happens"
-    )]
+    #[allow(clippy::too_many_lines, reason = "one arm for each step")]
     pub(crate) fn run(&mut self, step: Step) {
         match step {
             Step::Submit { class, left, slots } => self.submit(class, left, slots),
@@ -470,7 +473,7 @@
             return;
         }
         let id = ids[n % ids.len()];
-        let tracked = self.requests.get_mut(&id).expect("known");
+        let tracked = self.requests.get_mut(&id).expect("the request is known");
         (tracked.closed, tracked.final_answers) = (true, 1);
         self.harness.handle(Event::RequestClosed(id));
         self.check();
--- a/crates/decisions/tests/sampling.rs
+++ b/crates/decisions/tests/sampling.rs
@@ -13,7 +13,7 @@
     assert_eq!(
         used,
         [1, 2, 3],
-        "each empty worker is taken before any gets a second job"
+        "each idle worker gets a request before any gets a second one"
     );
 }
 
@@ -24,7 +24,9 @@
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     let mut fast = 0;
     for n in 0..400 {
-        let worker = harness.serve(0, run).expect("idle workers take every job");
+        let worker = harness
+            .serve(0, run)
+            .expect("an idle worker takes every request");
         fast += usize::from(n >= 200 && worker % 2 == 0);
     }
     assert!(
@@ -67,7 +69,9 @@
                 load: None,
             });
         }
-        let worker = harness.serve(0, run).expect("idle workers take every job");
+        let worker = harness
+            .serve(0, run)
+            .expect("an idle worker takes every request");
         fast += usize::from(n >= 200 && worker % 2 == 0);
     }
     assert!(
@@ -119,7 +123,7 @@
         let used = (0..60).map(|_| {
             harness
                 .serve(0, |_| 100 * MS)
-                .expect("idle workers take every job")
+                .expect("an idle worker takes every request")
         });
         used.collect::<std::collections::BTreeSet<_>>()
     };
@@ -127,7 +131,7 @@
     assert!(first.len() <= 8 && last.len() <= 8, "{first:?} {last:?}");
     assert!(
         first.intersection(&served(20)).next().is_none(),
-        "dispatchers apart share no worker"
+        "dispatchers with distant indices share no preferred worker"
     );
     // Once its preferred workers are occupied, a dispatcher uses the others.
     let mut harness = Harness::new(
@@ -155,7 +159,7 @@
     let mut away = [0, 0];
     for n in 0..200 {
         let (id, worker) = harness.submit(0);
-        let is_away = worker.expect("sent") >= 2;
+        let is_away = worker.expect("the request was sent") >= 2;
         away[usize::from(n >= 100)] += i32::from(is_away);
         harness.advance(if is_away { MS } else { 200 * MS });
         harness.start(id, 0);
@@ -166,7 +170,12 @@
     assert!(away[1] > 25, "{away:?}");
     // Once the own zone starts requests promptly again, they are sent there again.
     let home: Vec<_> = (0..300)
-        .map(|_| harness.serve(0, |_| 100 * MS).expect("sent") < 2)
+        .map(|_| {
+            harness
+                .serve(0, |_| 100 * MS)
+                .expect("the request was sent")
+                < 2
+        })
         .collect();
     assert!(home[240..].iter().all(|h| *h), "{home:?}");
 }
@@ -185,6 +194,6 @@
         .count();
     assert!(
         (60..=140).contains(&on_first),
-        "{on_first} of 200 on one of two equal kinds"
+        "{on_first} of 200 requests on one of two equally fast kinds: 60 to 140 expected"
     );
 }
--- a/crates/decisions/tests/serialized_form.rs
+++ b/crates/decisions/tests/serialized_form.rs
@@ -32,7 +32,7 @@
 fn bytes(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex"))
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits"))
         .collect()
 }
 
@@ -156,9 +156,9 @@
 
 #[test]
 fn transferred_job_has_the_bytes_of_the_former_release() {
-    let form = postcard::to_allocvec(&transferred_job()).expect("it fits in memory");
+    let form = postcard::to_allocvec(&transferred_job()).expect("a job can be serialized");
     assert_eq!(hex(&form), TRANSFERRED_JOB_HEX);
-    let read: TransferredJob<String> =
-        postcard::from_bytes(&bytes(TRANSFERRED_JOB_HEX)).expect("the former bytes");
+    let read: TransferredJob<String> = postcard::from_bytes(&bytes(TRANSFERRED_JOB_HEX))
+        .expect("the bytes of the former release can be read");
     assert_eq!(read, transferred_job());
 }
--- a/crates/decisions/tests/statistics.rs
+++ b/crates/decisions/tests/statistics.rs
@@ -21,7 +21,7 @@
     let mut old = Harness::new(settings(), workers);
     for _ in 0..300 {
         old.serve(0, |w| if w % 2 == 0 { 100 * MS } else { 300 * MS })
-            .expect("idle workers take every job");
+            .expect("an idle worker takes every request");
     }
     old
 }
@@ -29,7 +29,13 @@
 fn count_fast_of_thirty(harness: &mut Harness) -> usize {
     let run = |w: WorkerId| if w % 2 == 0 { 100 * MS } else { 300 * MS };
     (0..30)
-        .filter(|_| harness.serve(0, run).expect("idle workers take every job") % 2 == 0)
+        .filter(|_| {
+            harness
+                .serve(0, run)
+                .expect("an idle worker takes every request")
+                % 2
+                == 0
+        })
         .count()
 }
 
@@ -46,7 +52,7 @@
     );
     assert!(
         with >= 27 && without < with,
-        "fast of 30: {with} with the statistics, {without} without"
+        "requests of 30 to the fast kind: {with} with the statistics, {without} without"
     );
 }
 
@@ -71,7 +77,7 @@
         );
         assert!(
             (was.weight - is.weight).abs() < 0.02,
-            "it goes on following the solutions: {} {}",
+            "the kind weight changes only by the latest solutions: {} before, {} after",
             was.weight,
             is.weight
         );
@@ -92,7 +98,7 @@
     assert_eq!(
         old.dispatcher.worker_counts(old.now),
         counts(1, 1),
-        "it is avoided"
+        "the ejected worker counts as avoided"
     );
     let statistics = old.dispatcher.statistics(old.now);
     let mut same = old.successor(settings(), &[entry(1, 0)]);
@@ -142,13 +148,13 @@
         let mut new = old.successor(settings.clone(), &[draining.clone(), warming.clone()]);
         statistics.into_iter().for_each(|l| merge(&mut new, l));
         let to: Vec<WorkerId> = (0..40).filter_map(|_| new.submit(0).1).collect();
-        assert!(!to.contains(&1), "a draining worker gets nothing");
+        assert!(!to.contains(&1), "a draining worker gets no request");
         to.len()
     };
     let (with, without) = (sent(Some(statistics)), sent(None));
     assert!(
         with <= without.max(1),
-        "at once to a worker in warm-up: {with}, without {without}"
+        "requests sent to a worker in warm-up: {with} with statistics, {without} without"
     );
 }
 
@@ -162,7 +168,7 @@
     };
     merge(&mut new, elsewhere);
     let (id, to) = new.submit(0);
-    assert_eq!(to, Some(2), "the first looks full");
+    assert_eq!(to, Some(2), "worker 1 counts as full");
     new.handle(Event::RequestClosed(id));
     new.end(id, 0, Status::Cancelled);
     let at = new.now;
@@ -174,7 +180,10 @@
         },
     );
     let sent: Vec<_> = (0..2).filter_map(|_| new.submit(0).1).collect();
-    assert!(sent.contains(&1), "no longer in flight: {sent:?}");
+    assert!(
+        sent.contains(&1),
+        "no slots are in flight at worker 1 any more: {sent:?}"
+    );
 }
 
 /// Retries of the former process use the retry budget of the new one; they count once even if merged twice.
@@ -196,7 +205,7 @@
     let mut old = Harness::new(settings.clone(), &workers);
     let (id, _) = old.submit(0);
     old.end(id, 0, Status::Error);
-    assert!(old.sent_to(id).is_some(), "one further attempt is free");
+    assert!(old.sent_to(id).is_some(), "the budget allows one retry");
     let mut new = old.successor(settings, &workers);
     let statistics = old.dispatcher.statistics(old.now);
     assert_eq!(statistics.retried_at.len(), 1);
@@ -207,7 +216,7 @@
     new.end(id, 0, Status::Error);
     assert!(
         new.is_refused(id) && new.sent_to(id).is_none(),
-        "it was used up: {:?}",
+        "the merged retry has used up the budget: {:?}",
         new.actions
     );
 }
@@ -284,9 +293,9 @@
                 ..Statistics::default()
             }
             .write()
-            .expect("short");
+            .expect("few workers fit");
             let hex: String = now.iter().map(|b| format!("{b:02x}")).collect();
-            panic!("{why}; it is written as {hex} now");
+            panic!("version 1 is not readable: {why}; the current serialized form is {hex}");
         }
     }
 }
@@ -298,26 +307,31 @@
 
 #[test]
 fn unreadable_statistics_are_rejected_with_a_reason() {
-    let form = known_statistics().write().expect("short");
+    let form = known_statistics().write().expect("few workers fit");
     let with = |at: usize, byte: u8| {
         let mut other = form.clone();
         other[at] = byte;
-        Statistics::read(&other).expect_err("changed").to_string()
+        Statistics::read(&other)
+            .expect_err("a changed form is rejected")
+            .to_string()
     };
     assert_eq!(
         with(0, b'X'),
         format!(
-            "it does not begin with {:?}",
+            "the statistics do not begin with {:?}",
             String::from_utf8_lossy(MAGIC)
         )
     );
     assert_eq!(
         with(4, VERSION as u8 + 1),
-        format!("its version is {}, 1 to {VERSION} can be read", VERSION + 1)
+        format!(
+            "the statistics have version {}: 1 to {VERSION} are supported",
+            VERSION + 1
+        )
     );
     assert_eq!(
         with(form.len() - 1, !form[form.len() - 1]),
-        "its checksum does not fit"
+        "the checksum of the statistics does not match, or they cannot be decoded"
     );
     assert!(matches!(
         Statistics::read(&form[..form.len() - 1]),
@@ -336,27 +350,37 @@
     let rejection = |change: &dyn Fn(&mut Statistics<String>)| {
         let mut other = statistics.clone();
         change(&mut other);
-        let form = other.write().expect("short");
+        let form = other.write().expect("few workers fit");
         Statistics::read(&form)
-            .expect_err("no such number")
+            .expect_err("an impossible number is rejected")
             .to_string()
     };
     assert_eq!(
         rejection(&|l| l.kinds[0].1.slots = -2.0),
-        "slots of a kind is -2, 0 to 1000000 is allowed"
+        "number of slots of a kind is -2: 0 to 1000000 is allowed"
     );
     assert_eq!(
         rejection(&|l| l.workers[0].1.failure_rate = f64::NAN),
-        "share of failures is NaN, 0 to 1 is allowed"
+        "failure rate of a worker is NaN: 0 to 1 is allowed"
+    );
+    assert!(
+        rejection(&|l| l.kinds[0].1.weight = 1.5).starts_with("draw probability of a kind is 1.5")
     );
-    assert!(rejection(&|l| l.kinds[0].1.weight = 1.5).starts_with("part of the draws is 1.5"));
     assert!(
-        rejection(&|l| l.pace.as_mut().expect("it has a pace").wait_window = 0.0)
-            .starts_with("window is 0")
+        rejection(&|l| l
+            .pace
+            .as_mut()
+            .expect("the statistics of the fleet are present")
+            .wait_window = 0.0)
+        .starts_with("wait window is 0")
     );
     assert!(
-        rejection(&|l| l.pace.as_mut().expect("it has a pace").trusted_idle = 2.0 * UNLIMITED)
-            .contains("trusted")
+        rejection(&|l| l
+            .pace
+            .as_mut()
+            .expect("the statistics of the fleet are present")
+            .trusted_idle = 2.0 * UNLIMITED)
+        .contains("trusted idle time")
     );
 }
 
@@ -365,7 +389,7 @@
     #[test]
     fn damaged_statistics_are_rejected(at in 0usize..400, bit in 0u8..8, length in 0usize..400) {
         let statistics = with_names(with_history(&[entry(1, 0), entry(2, 1)]).dispatcher.statistics(130 * SEC));
-        let form = statistics.write().expect("short");
+        let form = statistics.write().expect("few workers fit");
         let mut flipped = form.clone();
         let at = at % form.len();
         flipped[at] ^= 1 << bit;
@@ -387,7 +411,7 @@
         statistics.kinds[0].1.slots = slots;
         let w = &mut statistics.workers[0].1;
         (w.failure_rate, w.start_delay, w.ejected_until) = (failure, start_delay, ejected_until);
-        statistics.pace.as_mut().expect("it has a pace").wait_window = window;
+        statistics.pace.as_mut().expect("the statistics of the fleet are present").wait_window = window;
         prop_assert_eq!(statistics.check(), Ok(()));
         let mut new = old.successor(settings(), &workers);
         merge(&mut new, statistics);
@@ -400,6 +424,6 @@
             }
             new.advance(2 * SEC);
         }
-        prop_assert!(new.submit(0).1.is_some(), "a worker gets jobs again");
+        prop_assert!(new.submit(0).1.is_some(), "a worker gets requests again");
     }
 }
--- a/crates/decisions/tests/stragglers.rs
+++ b/crates/decisions/tests/stragglers.rs
@@ -16,7 +16,7 @@
     let other = harness.sent_to(id);
     assert!(
         other.is_some() && other != worker,
-        "a keyed one is also sent to another worker"
+        "a keyed request is also sent to another worker"
     );
     harness.end(id, 1, Status::Ok);
     let (id, worker) = harness.submit(2);
@@ -25,13 +25,17 @@
         request: id,
         attempt: 0,
     });
-    assert_eq!(harness.sent_to(id), None, "an unsafe one is not retried");
+    assert_eq!(
+        harness.sent_to(id),
+        None,
+        "an unsafe request is not retried"
+    );
     harness.advance(SEC);
     let (_, is_retried) = harness.submit(3);
     let (_, beside) = harness.submit(3);
     assert!(
         [is_retried, beside].contains(&worker),
-        "its worker is not blocked"
+        "the worker of the unacknowledged attempt is not blocked"
     );
 }
 
@@ -81,7 +85,10 @@
             done: 0.3,
         });
         harness.advance(1_100 * MS);
-        assert!(harness.sent_to(id).is_none(), "the next is not overdue");
+        assert!(
+            harness.sent_to(id).is_none(),
+            "the next progress report is not overdue yet"
+        );
         harness.advance(300 * MS);
         assert_eq!(harness.sent_to(id).is_some(), is_retried, "class {class}");
         assert!(harness.sent_to(id) != first && !harness.is_failed(id) && !harness.is_refused(id));
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -58,10 +58,7 @@
         7 * MS,
         ready_at + rules.warm_after,
     );
-    assert!(
-        sends.len() > 3,
-        "a worker in warm-up still gets some requests"
-    );
+    assert!(sends.len() > 3, "a worker in warm-up gets some requests");
     for t in &sends {
         let recent = sends
             .iter()
@@ -72,7 +69,7 @@
         let budget = rules.tip_multiple * fraction * rules.tip_window as f64 / 3.0;
         assert!(
             recent * 100_000.0 <= budget,
-            "{recent} jobs in a window at {fraction} of its capacity"
+            "{recent} jobs in a window, at {fraction} of the worker's capacity"
         );
     }
 }
@@ -118,7 +115,10 @@
         }
         // The worker has one slot, 30% of it at first and about two thirds after 30 s: room for about 140 jobs of 100
         // ms.
-        assert!((3..=140).contains(&total), "{total} jobs in 30 s");
+        assert!(
+            (3..=140).contains(&total),
+            "{total} jobs in 30 s: 3 to 140 expected"
+        );
         assert!(senders[n].count_ones() == 3, "{:b}", senders[n]);
     }
     assert_ne!(senders[0], senders[1]);
@@ -147,7 +147,7 @@
             assert_ne!(
                 harness.serve(0, |_| 10 * MS),
                 Some(60),
-                "idle warm workers come first"
+                "idle workers that are not in warm-up are preferred"
             );
         }
         harness.advance(4 * SEC);
@@ -196,13 +196,13 @@
             .count() as f64;
         assert!(
             sent * run as f64 <= 0.76 * budget(at),
-            "{sent} jobs in the window that ends {n} steps after"
+            "{sent} jobs in the window that ends {n} steps after the start"
         );
     }
     let most = (0..4).map(|n| budget(ready_at + n * SEC)).sum::<f64>();
     assert!(
         sends.len() as f64 * run as f64 > 0.4 * most,
-        "{} jobs in 4 s",
+        "{} jobs in 4 s are too few",
         sends.len()
     );
 }
--- a/crates/placement/tests/solve.rs
+++ b/crates/placement/tests/solve.rs
@@ -10,7 +10,10 @@
 fn assert_close(found: &[f64], expected: &[f64]) {
     assert_eq!(found.len(), expected.len());
     for (found, expected) in found.iter().zip(expected) {
-        assert!((found - expected).abs() < TOLERANCE, "{found} {expected}");
+        assert!(
+            (found - expected).abs() < TOLERANCE,
+            "{found} found, {expected} expected"
+        );
     }
 }
 
