--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -1,9 +1,9 @@
 //! The interface of the decision module: its inputs ([`Event`]), its outputs ([`Action`]) and its [`Settings`].
 //!
-//! A caller owns one [`crate::dispatcher::Dispatcher`] per dispatcher and hands it every event in the order in
-//! which it occurred, with a clock that never runs backwards. Classes, kinds, zones, tenants, workers and requests are
-//! integer ids chosen by the caller; the module attaches no meaning to their values.
-//! Times and durations are whole microseconds unless a comment says otherwise.
+//! A caller owns one [`crate::dispatcher::Dispatcher`] per dispatcher and passes it every event in the order in which
+//! it occurred, with a clock that never runs backwards. Classes, kinds, zones, tenants, workers and requests are
+//! integer ids chosen by the caller; the module attaches no meaning to their values. Times and durations are whole
+//! microseconds unless a comment says otherwise.
 
 pub use crate::ids::*;
 use crate::statistics::Statistics;
@@ -31,9 +31,9 @@
 pub enum Group {
     /// All workers drop each other's repeats.
     All,
-    /// Only workers of the same zone do.
+    /// Workers of the same zone drop each other's repeats.
     Zone,
-    /// Only workers of the same cell do; see [`Entry::cell`].
+    /// Workers of the same cell drop each other's repeats; see [`Entry::cell`].
     Cell,
 }
 
@@ -46,9 +46,9 @@
     pub latency_target: Time,
     /// Multiple of the job's work (at speed 1) by which the latency target is extended.
     pub stretch: f64,
-    /// How long a client waits for one request, over all the client's own retries of it.
+    /// How long a client waits for one request in total, including the client's own retries.
     pub deadline: Time,
-    /// Whether a request of the class may take effect more than once.
+    /// How often a request of the class may take effect.
     pub effect: Effect,
     /// Value of one request, or of one unit of its work if [`Settings::value_by_work`] is set.
     pub value: f64,
@@ -101,15 +101,15 @@
     /// Maximum number of requests open at once; `None`: no limit. Each occupies a client connection, whose number is
     /// limited.
     pub open: Option<usize>,
-    /// [`Action::Cancel`] may be used.
+    /// Whether [`Action::Cancel`] may be used.
     pub cancel: bool,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub duplicates: bool,
-    /// [`Action::Probe`] may be used.
+    /// Whether [`Action::Probe`] may be used.
     pub probes: bool,
-    /// [`Action::UpdatePeers`] may be used.
+    /// Whether [`Action::UpdatePeers`] may be used.
     pub peers: bool,
-    /// Rejections tell clients when to retry.
+    /// Whether rejections tell clients when to retry.
     pub retry_after: bool,
     /// The longest retry delay that clients respect.
     pub max_retry_after: Time,
@@ -165,7 +165,7 @@
     pub initial_capacity: f64,
     /// Longest duration of a worker's warm-up, after which it has its full capacity.
     pub warm_after: Time,
-    /// Grace period after a membership event, after which no request may be sent to a worker that it drains or removes.
+    /// Time after a membership event from which on no request may be sent to a worker that the event drains or removes.
     pub drain_grace: Time,
     /// A worker in warm-up fails when it is sent more work in [`Rules::tip_window`] than this multiple of its current
     /// capacity.
--- a/crates/decisions/src/dispatcher/displacement.rs
+++ b/crates/decisions/src/dispatcher/displacement.rs
@@ -21,7 +21,7 @@
         self.demand.work = self.demand.work * KEEP + work;
     }
 
-    /// Expected value of the requests that a request of this work and these slots displaces. The probability of
+    /// Expected value of the requests that a request with this work and these slots displaces. The probability of
     /// displacing one follows from the rejection rate.
     pub(super) fn displaced_value(&self, work: f64, slots: f64) -> f64 {
         self.rejection_rate.sqrt() * self.demand.value / self.demand.work * work * slots
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -45,8 +45,8 @@
             .any(|(group, workers)| (may_queue || is_preferred(group)) && workers.iter().any(takes))
     }
 
-    /// Known slots in flight, including one more, per slot of the worker, of which a worker in warm-up has only a
-    /// fraction.
+    /// Load of a worker after one more send: the slots in flight, as far as known, divided by the worker's slots. A
+    /// worker in warm-up has only a fraction of its slots.
     pub(super) fn load(&self, now: Time, worker: &Worker) -> f64 {
         let in_flight = worker.own_slots() + self.slots_of_others(now, worker) + 1.0;
         in_flight / (self.slots(worker) * self.warm_up_fraction(now, worker))
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -13,7 +13,7 @@
 const REPORT_SLACK_GRANULARITIES: Time = 4;
 
 impl Dispatcher {
-    /// Handles an attempt that the worker has not acknowledged in time: it is taken not to wait in a queue there. If
+    /// Handles an attempt that the worker has not acknowledged in time: the attempt counts as not queued there. If
     /// the class allows, the request is also sent to another worker.
     pub(super) fn handle_unacknowledged(
         &mut self,
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -4,9 +4,9 @@
 //! classes, tenants and workers are identified by numbers inside a process and by names between processes. Times are
 //! microseconds of Unix time; durations and work are microseconds.
 //!
-//! The serialized form consists of [`MAGIC`], the version, the length of the value, a checksum (numbers in
-//! little-endian order) and the value as serialized by postcard, field by field: the order and the types of the fields
-//! must not change.
+//! The serialized form consists of [`MAGIC`], the version and the length of the value (both little-endian), a checksum
+//! (the first 8 bytes of the value's SHA-256) and the value as serialized by postcard, field by field: the order and
+//! the types of the fields must not change.
 
 use crate::affinity::Fetches;
 use crate::arrivals::Rates;
@@ -32,7 +32,7 @@
 
 /// Maximum learned duration, in microseconds: one hour.
 const DURATION_MAX: f64 = 3.6e9;
-/// Maximum number of slots, weight of measurements and arrival rate.
+/// Maximum of a number of slots, of a weight of measurements and of an arrival rate.
 const COUNT_MAX: f64 = 1e6;
 /// Valid ranges of the numbers in a serialized form.
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
@@ -60,7 +60,7 @@
     pub in_flight: Vec<(N, f64)>,
     /// When retries were made, in ascending order. Empty if no budget limits retries.
     pub retried_at: Vec<Time>,
-    /// Statistics of the whole fleet and its traffic; `None`: unknown.
+    /// Statistics of the whole fleet and its traffic; `None`: nothing is known.
     pub pace: Option<FleetStatistics>,
 }
 
