--- a/crates/decisions/src/affinity.rs
+++ b/crates/decisions/src/affinity.rs
@@ -8,16 +8,16 @@
 use serde::{Deserialize, Serialize};
 
 /// Decay factor of older fetch times at each new one: about the last fifty count.
-const FETCH_KEEP: f64 = 0.98;
+const FETCH_DECAY: f64 = 0.98;
 /// Fetches shorter than this fraction of a run time cannot be told apart from the noise of run times.
 const FETCH_NOISE: f64 = 0.01;
 /// Weight of measured fetch times needed before fetches may be considered free.
 const FREE_FETCH_SAMPLES: f64 = 10.0;
 /// Decay factor of the smoothed weights at each new solution: about the last twenty count.
-const WEIGHT_KEEP: f64 = 0.95;
+const WEIGHT_DECAY: f64 = 0.95;
 /// Lower bound of the fraction of work left after the first progress report. It avoids a division by zero when that
 /// report says that all work is done.
-const REST_MIN: f64 = 1e-9;
+const REMAINING_WORK_MIN: f64 = 1e-9;
 
 /// Hashes a pair to a number in (0, 1), uniformly distributed and the same at every dispatcher (finalizer of
 /// splitmix64, by Steele, Lea and Flood).
@@ -50,7 +50,7 @@
 /// before the report was the fetch. `None` if there was no report between start and end.
 pub fn fetch_time(started: Time, first: Option<Progress>, ended: Time) -> Option<f64> {
     let Progress { at, done } = first.filter(|first| (started..ended).contains(&first.at))?;
-    let ran = done * (ended - at) as f64 / (1.0 - done).max(REST_MIN);
+    let ran = done * (ended - at) as f64 / (1.0 - done).max(REMAINING_WORK_MIN);
     Some(((at - started) as f64 - ran).max(0.0))
 }
 
@@ -62,7 +62,7 @@
     /// Moves the weights towards the latest solution. If the number of kinds has changed, the solution replaces them.
     pub fn follow(&mut self, latest: &[f64]) {
         let keep = if self.0.len() == latest.len() {
-            WEIGHT_KEEP
+            WEIGHT_DECAY
         } else {
             0.0
         };
@@ -99,7 +99,7 @@
 impl Fetches {
     /// Records a job that was sent to another worker and fetched its data for `duration` microseconds.
     pub fn record_fetch(&mut self, duration: f64) {
-        self.away.add(FETCH_KEEP, duration);
+        self.away.add(FETCH_DECAY, duration);
     }
 
     /// Mean fetch time of a job sent to another worker, in microseconds; 0 while none has been measured.
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -118,9 +118,9 @@
 }
 
 impl Limits {
-    /// Whether a request that waits at a worker is moved by cancelling its attempt. This is done only if no second
-    /// attempt may run beside the first.
-    pub fn moves(&self) -> bool {
+    /// Whether a request that waits at a worker is moved to another one by cancelling its attempt: only if attempts can
+    /// be cancelled and no second attempt may run beside the first.
+    pub fn moves_waiting_requests(&self) -> bool {
         self.cancel && !self.duplicates
     }
 }
--- a/crates/decisions/src/arrivals.rs
+++ b/crates/decisions/src/arrivals.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Time constant of the rates, in microseconds.
-const MEMORY: f64 = 5e6;
+const RATE_TIME_CONSTANT: f64 = 5e6;
 /// Microseconds in a second.
-const SECOND: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 /// Decay factor of the tenants' fractions at each arrival: about the last fifty count.
-const TENANT_KEEP: f64 = 0.98;
+const TENANT_DECAY: f64 = 0.98;
 
 /// Recent arrival rates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -67,16 +67,21 @@
             per_s,
         } = self.rates;
         self.rates = Rates {
-            work: former * fade + work / MEMORY,
-            unbound: unbound * fade + if bound { 0.0 } else { work / MEMORY },
-            per_s: per_s * fade + SECOND / MEMORY,
+            work: former * fade + work / RATE_TIME_CONSTANT,
+            unbound: unbound * fade
+                + if bound {
+                    0.0
+                } else {
+                    work / RATE_TIME_CONSTANT
+                },
+            per_s: per_s * fade + MICROS_PER_SECOND / RATE_TIME_CONSTANT,
         };
         self.updated_at = now;
         for fraction in &mut self.tenants {
-            *fraction *= TENANT_KEEP;
+            *fraction *= TENANT_DECAY;
         }
         if let Some(fraction) = self.tenants.get_mut(tenant as usize) {
-            *fraction += 1.0 - TENANT_KEEP;
+            *fraction += 1.0 - TENANT_DECAY;
         }
     }
 
@@ -110,6 +115,6 @@
 
     /// Factor by which rates have decayed since their last update.
     fn fade(&self, now: Time) -> f64 {
-        (-(now.saturating_sub(self.updated_at) as f64) / MEMORY).exp()
+        (-(now.saturating_sub(self.updated_at) as f64) / RATE_TIME_CONSTANT).exp()
     }
 }
--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -211,7 +211,7 @@
         self.request_membership(now, out);
         self.update_peers(out);
         if self.timer % SOLVE_TICKS == 0 {
-            self.solve_draw(now);
+            self.regroup_and_solve(now);
             self.connection_trust.grow();
             self.decay_failures(now);
         }
--- a/crates/decisions/src/dispatcher/adoption.rs
+++ b/crates/decisions/src/dispatcher/adoption.rs
@@ -76,7 +76,7 @@
         let (index, is_new) = self.fleet.find_or_add(worker);
         if is_new {
             self.fleet.extend_kinds(1);
-            self.solve_draw(now);
+            self.regroup_and_solve(now);
         }
         index
     }
@@ -96,7 +96,7 @@
                     slots,
                 };
                 self.fleet.add_unstarted(attempt.worker, unstarted);
-                if self.settings.limits.moves() {
+                if self.settings.limits.moves_waiting_requests() {
                     let move_due = self.move_due(attempt.sent);
                     self.reviews.schedule(move_due, id.request);
                 }
--- a/crates/decisions/src/dispatcher/attempts.rs
+++ b/crates/decisions/src/dispatcher/attempts.rs
@@ -6,7 +6,7 @@
 use super::tuning::{LATE_MARGIN, LATE_START_WAIT, MOVE_FETCHES, MOVE_WAIT};
 use crate::affinity;
 use crate::api::{Action, AttemptNo, Effect, Group, Load, RequestId, Status, Time};
-use crate::runs::{self, fresh};
+use crate::runs::{self, freshness};
 use crate::transferred_job::Progress;
 
 /// Growth factor of the shortest start delay at each start that took longer.
@@ -114,7 +114,7 @@
         let Some(open) = self.open.get(&id).filter(|_| self.settings.reports_start) else {
             return;
         };
-        if self.settings.limits.moves() {
+        if self.settings.limits.moves_waiting_requests() {
             self.reviews.schedule(self.move_due(now), id);
         }
         if self.settings.classes[open.job.class].late_value <= 0.0 {
@@ -186,7 +186,7 @@
             // in this dispatcher's queues, which send the most valuable ones first.
             let capacity = self.capacity(&self.fleet[index]);
             let target = LATE_START_WAIT * self.run_times.sum / self.run_times.weight / capacity;
-            self.count_start(index, wait >= target);
+            self.adapt_to_start(index, wait >= target);
         }
         self.fleet.release_slots(now, index, id, 0.0);
         self.handle_progress(now, id, 0.0);
@@ -202,7 +202,7 @@
         let is_late = worker.is_late_start(wait, self.settings.granularity);
         let others = worker
             .load_updated_at
-            .map_or(0.0, |at| worker.others_slots * fresh(now, at));
+            .map_or(0.0, |at| worker.others_slots * freshness(now, at));
         worker.others_slots = if is_late {
             rest + 1.0
         } else {
--- a/crates/decisions/src/dispatcher/draw.rs
+++ b/crates/decisions/src/dispatcher/draw.rs
@@ -35,7 +35,7 @@
 
 impl Dispatcher {
     /// Regroups the workers and solves problem (1).
-    pub(super) fn solve_draw(&mut self, now: Time) {
+    pub(super) fn regroup_and_solve(&mut self, now: Time) {
         self.group_workers(now);
         let speeds: Vec<f64> = self
             .fleet
--- a/crates/decisions/src/dispatcher/fleet/worker.rs
+++ b/crates/decisions/src/dispatcher/fleet/worker.rs
@@ -3,7 +3,7 @@
 use crate::api::{Entry, Time};
 use crate::dispatcher::state::AttemptId;
 use crate::dispatcher::tuning::{FIRST_START_DELAY, REPORT_AGE};
-use crate::runs::{Speed, fresh};
+use crate::runs::{Speed, freshness};
 
 /// An own attempt whose start has not been reported, so that it may wait in a worker's queue.
 pub(in crate::dispatcher) struct UnstartedAttempt {
@@ -113,7 +113,7 @@
     pub(in crate::dispatcher) fn peer_slots(&self, now: Time) -> f64 {
         self.peer_claims
             .iter()
-            .map(|claim| claim.slots * fresh(now, claim.at))
+            .map(|claim| claim.slots * freshness(now, claim.at))
             .sum()
     }
 
--- a/crates/decisions/src/dispatcher/health.rs
+++ b/crates/decisions/src/dispatcher/health.rs
@@ -28,7 +28,7 @@
                     (self.run_times.sum / self.run_times.weight).min(FULL_EJECTION_MAX) as Time;
                 let worker = &mut self.fleet[index];
                 worker.ejected_until = worker.ejected_until.max(now + run);
-                self.count_start(index, true);
+                self.adapt_to_start(index, true);
                 self.displacement.record_rejection();
             }
             Status::Cancelled | Status::Moot => {}
--- a/crates/decisions/src/dispatcher/load.rs
+++ b/crates/decisions/src/dispatcher/load.rs
@@ -4,7 +4,7 @@
 use super::fleet::Worker;
 use super::tuning::{WAIT_LOAD, group};
 use crate::api::Time;
-use crate::runs::fresh;
+use crate::runs::freshness;
 use crate::statistics::LateStartRate;
 
 /// A slot counts as free if at least half of it is free, because loads are averages.
@@ -57,7 +57,7 @@
     fn slots_of_others(&self, now: Time, worker: &Worker) -> f64 {
         let LateStartRate { away, home } = self.zone_preference.late_starts();
         let by_late_starts = away.max(home) * self.slots(worker);
-        let recency = worker.load_updated_at.map_or(0.0, |at| fresh(now, at));
+        let recency = worker.load_updated_at.map_or(0.0, |at| freshness(now, at));
         let expected = worker.others_slots * recency + by_late_starts * (1.0 - recency);
         expected.max(worker.peer_slots(now))
     }
@@ -88,7 +88,7 @@
     }
 
     /// Adapts the wait window and the preference for the own zone to a prompt or a late start.
-    pub(super) fn count_start(&mut self, index: usize, is_late: bool) {
+    pub(super) fn adapt_to_start(&mut self, index: usize, is_late: bool) {
         self.wait_window
             .record_start(is_late, self.fleet.workers().len());
         let is_home = self.is_home(&self.fleet[index]);
--- a/crates/decisions/src/dispatcher/membership.rs
+++ b/crates/decisions/src/dispatcher/membership.rs
@@ -33,7 +33,7 @@
         for index in disconnecting {
             self.close_idle(index, out);
         }
-        self.solve_draw(now);
+        self.regroup_and_solve(now);
         self.request_membership(now, out);
     }
 
--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -28,7 +28,7 @@
             || ClassStats::of(&class),
             |index| self.classes[index].clone(),
         );
-        let index = self.spare_class();
+        let index = self.unused_class_index();
         let classes = self.classes.len().max(index + 1);
         self.classes.resize(classes, ClassStats::default());
         self.settings.classes.resize(classes, Class::UNKNOWN);
@@ -41,13 +41,13 @@
     }
 
     /// The first index that no class and no open request uses, or the index past the end.
-    fn spare_class(&self) -> usize {
+    fn unused_class_index(&self) -> usize {
         let is_used = |index: &usize| {
             self.class_of.contains(index) || self.open.values().any(|open| open.job.class == *index)
         };
-        let is_spare =
+        let is_unused =
             |index: &usize| !is_used(index) && self.settings.classes[*index] != Class::UNKNOWN;
         let count = self.classes.len();
-        (0..count).find(is_spare).unwrap_or(count)
+        (0..count).find(is_unused).unwrap_or(count)
     }
 }
--- a/crates/decisions/src/dispatcher/statistics_merge.rs
+++ b/crates/decisions/src/dispatcher/statistics_merge.rs
@@ -149,7 +149,7 @@
                 self.wait_window.restrict(fleet.wait_window);
             }
         }
-        self.solve_draw(now);
+        self.regroup_and_solve(now);
     }
 
     fn merge_kind(&mut self, id: usize, other: statistics::Kind, run_weight: f64) {
--- a/crates/decisions/src/dispatcher/stragglers.rs
+++ b/crates/decisions/src/dispatcher/stragglers.rs
@@ -98,7 +98,7 @@
             return;
         };
         let may_retry = retries >= 1.0 && now < self.sendable_until(open);
-        let moves = self.settings.limits.moves();
+        let moves = self.settings.limits.moves_waiting_requests();
         let is_overdue = |a: &Attempt| !a.done && !a.timed_out && now >= self.overdue_at(a);
         if let Some(number) = open.job.attempts.iter().position(is_overdue) {
             let attempt = number as AttemptNo;
@@ -126,8 +126,8 @@
             .open
             .get(&id)
             .is_some_and(|open| has_none_responsive(&open.job.attempts));
-        let may_double = may_retry && self.settings.limits.duplicates;
-        if needs_another && may_double && !self.send_now(now, id, out) {
+        let may_duplicate = may_retry && self.settings.limits.duplicates;
+        if needs_another && may_duplicate && !self.send_now(now, id, out) {
             self.reviews.schedule(now + REVIEW_TICKS * self.tick(), id);
         }
     }
@@ -143,7 +143,7 @@
         let index = attempt.worker;
         let waited = now - attempt.sent.max(attempt.last_progress.at);
         self.fleet.release_slots(now, index, id, slots);
-        if self.settings.limits.moves() {
+        if self.settings.limits.moves_waiting_requests() {
             // The attempt will be cancelled and cannot show when the worker responds again: eject the worker for as
             // long as it took to notice the time-out, multiplied by the number of time-outs in a row.
             let worker = &mut self.fleet[index];
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -260,7 +260,7 @@
         }
         // Every request is estimated at 300 ms at speed 1, and no worker ever shows more than 8 slots.
         let age = (now - entry.ready_at) as f64;
-        let warmth =
+        let fraction =
             rules.initial_capacity + (1.0 - rules.initial_capacity) * age / rules.warm_after as f64;
         let sends = self.warm_up_sends.entry(entry.worker).or_default();
         sends.push(now);
@@ -269,7 +269,7 @@
             .filter(|at| **at + rules.tip_window > now)
             .count() as f64;
         let dispatchers = self.settings.dispatchers.max(1) as f64;
-        let budget = rules.tip_multiple * warmth * 8.0 * rules.tip_window as f64 / dispatchers;
+        let budget = rules.tip_multiple * fraction * 8.0 * rules.tip_window as f64 / dispatchers;
         // Actual runs may be much shorter, which the module learns. With few dispatchers, the assumption of 8 slots
         // leaves enough tolerance for that. Small parts of a budget are checked by the test
         // `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
--- a/crates/placement/src/runs.rs
+++ b/crates/placement/src/runs.rs
@@ -15,7 +15,7 @@
 const UPDATE_AGE_MAX_US: Time = 2_000_000;
 
 /// Weight of an update received at `since`: 1 when it is new, decreasing linearly to 0.
-pub fn fresh(now: Time, since: Time) -> f64 {
+pub fn freshness(now: Time, since: Time) -> f64 {
     (1.0 - now.saturating_sub(since) as f64 / UPDATE_AGE_MAX_US as f64).max(0.0)
 }
 
--- a/crates/placement/tests/runs.rs
+++ b/crates/placement/tests/runs.rs
@@ -1,6 +1,6 @@
 //! Tests of the estimators of run times.
 
-use indigofold_placement::runs::{Speed, WeightedSum, Work, fresh, learn};
+use indigofold_placement::runs::{Speed, WeightedSum, Work, freshness, learn};
 
 /// Number of runs recorded in a test.
 const RUNS: usize = 400;
@@ -64,9 +64,9 @@
 
 #[test]
 fn an_update_loses_its_weight_within_two_seconds() {
-    assert_eq!(fresh(5, 5), 1.0);
-    assert_eq!(fresh(1_000_000, 0), 0.5);
-    assert_eq!(fresh(2_000_000, 0), 0.0);
-    assert_eq!(fresh(9_000_000, 0), 0.0);
-    assert_eq!(fresh(0, 9), 1.0);
+    assert_eq!(freshness(5, 5), 1.0);
+    assert_eq!(freshness(1_000_000, 0), 0.5);
+    assert_eq!(freshness(2_000_000, 0), 0.0);
+    assert_eq!(freshness(9_000_000, 0), 0.0);
+    assert_eq!(freshness(0, 9), 1.0);
 }
