--- a/crates/decisions/src/dispatcher/reconfigure.rs
+++ b/crates/decisions/src/dispatcher/reconfigure.rs
@@ -1,4 +1,4 @@
-//! New settings while requests are open: these keep the rules of their class, and statistics stay.
+//! New settings at run time: open requests keep the rules that their class had when they arrived, and statistics stay.
 
 use super::Dispatcher;
 use super::state::ClassStats;
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Puts the changed rules of a class at an index that no open request uses. Such indices are reused, so that the
+    /// Stores changed rules of a class at an index that no open request uses. Unused indices are reused, so that the
     /// tables stay small.
     fn replace_class(&mut self, id: usize, class: Class) {
         let known = self.class_of.get(id).copied();
@@ -28,7 +28,7 @@
             || ClassStats::of(&class),
             |index| self.classes[index].clone(),
         );
-        let index = self.spare_class();
+        let index = self.unused_class_index();
         let classes = self.classes.len().max(index + 1);
         self.classes.resize(classes, ClassStats::default());
         self.settings.classes.resize(classes, Class::UNKNOWN);
@@ -40,14 +40,14 @@
         self.class_of[id] = index;
     }
 
-    /// The first entry that no class and no open request uses, or one past the last.
-    fn spare_class(&self) -> usize {
+    /// The first index that no class and no open request uses, or the index past the end.
+    fn unused_class_index(&self) -> usize {
         let is_used = |index: &usize| {
             self.class_of.contains(index) || self.open.values().any(|open| open.job.class == *index)
         };
-        let is_spare =
+        let is_unused =
             |index: &usize| !is_used(index) && self.settings.classes[*index] != Class::UNKNOWN;
         let count = self.classes.len();
-        (0..count).find(is_spare).unwrap_or(count)
+        (0..count).find(is_unused).unwrap_or(count)
     }
 }
--- a/crates/decisions/tests/adoption.rs
+++ b/crates/decisions/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! Open jobs that are transferred from one process to the one that takes over.
+//! Tests for the transfer of open jobs to the process that takes over.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions::transferred_job::TransferredJob;
@@ -10,7 +10,10 @@
     new: &mut Harness,
     adopted_as: RequestId,
 ) -> TransferredJob<u32> {
-    let job = old.dispatcher.release(old.now, id).expect("it is open");
+    let job = old
+        .dispatcher
+        .release(old.now, id)
+        .expect("the request is open");
     new.handle(Event::Adopted(adopted_as, Box::new(job.clone())));
     job
 }
@@ -25,7 +28,10 @@
     let mut new = old.successor(settings(), &workers);
     let (id, _) = old.submit(2);
     transfer(&mut old, id, &mut new, ADOPTED);
-    assert!(new.sent_to(ADOPTED).is_none(), "it is out already");
+    assert!(
+        new.sent_to(ADOPTED).is_none(),
+        "its attempt is in flight already"
+    );
     new.start(ADOPTED, 0);
     new.end(ADOPTED, 0, Status::Reset);
     assert!(new.is_failed(ADOPTED) && new.sent_to(ADOPTED).is_none());
@@ -36,7 +42,7 @@
     let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
     let mut old = Harness::new(settings(), &workers);
     let mut new = old.successor(settings(), &workers);
-    // Of four attempts two were made before, so two are left.
+    // Two of the four allowed attempts were made before the transfer, so two are left.
     let (id, _) = old.submit(0);
     old.end(id, 0, Status::Error);
     let job = transfer(&mut old, id, &mut new, ADOPTED + 1);
@@ -45,10 +51,10 @@
         [true, false]
     );
     new.end(ADOPTED + 1, 1, Status::Error);
-    let third = new.sent_to(ADOPTED + 1).expect("a third attempt");
+    let third = new.sent_to(ADOPTED + 1).expect("a third attempt is sent");
     assert!(
         job.attempts.iter().all(|t| t.worker != third),
-        "not where it has been"
+        "the third attempt goes to another worker"
     );
 }
 
@@ -57,7 +63,8 @@
     let workers = [entry(1, 0), entry(2, 0), entry(3, 0)];
     let mut old = Harness::new(settings(), &workers);
     let mut new = old.successor(settings(), &workers);
-    // Repeats are dropped inside a cell for three seconds: another attempt only there, and not after that time.
+    // Workers of a cell drop repeats for three seconds after the first send: a retry is allowed only in that cell and
+    // within that time.
     let (id, first) = old.submit(1);
     old.advance(SEC);
     new.advance(SEC);
@@ -66,7 +73,7 @@
     new.end(ADOPTED + 2, 0, Status::Reset);
     let retried = new.sent_to(ADOPTED + 2);
     assert!(
-        retried.is_none_or(|w| w % 2 == first.expect("sent") % 2),
+        retried.is_none_or(|w| w % 2 == first.expect("the request was sent") % 2),
         "{first:?}, then {retried:?}"
     );
     let (id, _) = old.submit(1);
@@ -76,11 +83,11 @@
     new.end(ADOPTED + 3, 0, Status::Reset);
     assert!(
         new.is_failed(ADOPTED + 3) && new.sent_to(ADOPTED + 3).is_none(),
-        "its window ran from the first send"
+        "the lifetime of the key counts from the first send"
     );
 }
 
-/// No slot may stay taken, or look free, in either process.
+/// Guards against slots that stay occupied in the old process, or look free in the new one, after a transfer.
 #[test]
 fn slots_are_transferred_with_their_jobs() {
     let workers = [entry(1, 0), entry(2, 0)];
@@ -95,7 +102,7 @@
         assert!(
             new.dispatcher
                 .slots_in_flight()
-                .contains(&(worker.expect("sent"), 1.0))
+                .contains(&(worker.expect("the request was sent"), 1.0))
         );
     }
     assert_eq!(
@@ -120,7 +127,11 @@
     );
     new.end(ADOPTED + 1, 0, Status::Cancelled);
     assert!(new.dispatcher.slots_in_flight().is_empty());
-    assert_eq!(old.dispatcher.release(old.now, 99), None, "no such job");
+    assert_eq!(
+        old.dispatcher.release(old.now, 99),
+        None,
+        "an unknown job cannot be released"
+    );
 }
 
 #[test]
@@ -135,13 +146,13 @@
         old.advance(10 * SEC)
             .iter()
             .all(|a| matches!(a, Action::Timer { .. })),
-        "nothing is owed there"
+        "the old process owes no answer"
     );
-    // Where nobody can take it there either, it is answered in time.
-    let mut nobody = old.successor(settings(), &[]);
+    // If the new process has no worker either, it answers the job before its deadline.
+    let mut without_workers = old.successor(settings(), &[]);
     let (id, _) = old.submit(0);
-    transfer(&mut old, id, &mut nobody, ADOPTED);
-    let ends = nobody.advance(6 * SEC);
+    transfer(&mut old, id, &mut without_workers, ADOPTED);
+    let ends = without_workers.advance(6 * SEC);
     assert!(
         ends.iter().any(|a| matches!(
             a,
@@ -154,7 +165,7 @@
     );
 }
 
-/// A worker that the new process's membership list lacks keeps its job; nothing new is sent there.
+/// A worker that is missing from the new process's membership list keeps its job, but gets no new one.
 #[test]
 fn transferred_job_continues_at_a_worker_that_is_not_listed() {
     let mut old = Harness::new(settings(), &[entry(9, 3)]);
@@ -166,12 +177,13 @@
     new.start(ADOPTED, 0);
     new.end(ADOPTED, 0, Status::Ok);
     assert!(new.dispatcher.slots_in_flight().is_empty());
-    // Named by the list later, it is one more worker.
+    // Once the membership list names the worker, it gets requests like any other.
     new.update_membership(Scope::Full, &[entry(9, 3)]);
     assert_eq!(new.sent_to(queued), Some(9));
 }
 
-/// A job whose next progress report is overdue is found unresponsive by the process that adopted it.
+/// The process that has adopted a job must notice that its next progress report is overdue, and retry it on another
+/// worker.
 #[test]
 fn overdue_progress_is_noticed_after_a_transfer() {
     let settings = Settings {
@@ -197,11 +209,12 @@
     });
     assert!(
         retried.is_some() && retried != first,
-        "beside the unresponsive one: {sent:?}"
+        "a retry goes to the worker that responds: {sent:?}"
     );
 }
 
-/// A job keeps the rules that it came with; another process only knows the present ones.
+/// A job keeps the class rules that were in force when it arrived. Another process knows only the current rules, so the
+/// job stays where it is.
 #[test]
 fn job_whose_class_rules_have_changed_is_not_transferred() {
     let mut old = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
@@ -213,6 +226,6 @@
     old.end(id, 0, Status::Error);
     assert!(
         old.is_failed(id) && old.sent_to(id).is_none(),
-        "it is still known, and never repeated"
+        "the old process still knows the unsafe request and does not retry it"
     );
 }
--- a/crates/decisions/tests/attempts.rs
+++ b/crates/decisions/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Limits on attempts: effect classes, number of attempts, retry budget, connections.
+//! Tests for the limits on attempts: effect classes, number of attempts and retry budget; and for idle connections.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
@@ -34,17 +34,18 @@
         assert_eq!(
             harness.sent_to(id).map(|w| w % 2),
             first.map(|w| w % 2),
-            "same cell"
+            "the retry goes to the same cell"
         );
     }
-    // Past the window nothing more is sent, and a refusal would promise too much.
+    // After the lifetime of the key no attempt is sent, and the request fails, because a rejection would claim that a
+    // retry is safe.
     let mut harness = Harness::new(settings(), &workers);
     let (id, _) = harness.submit(1);
     harness.advance(3_100 * MS);
     harness.end(id, 0, Status::Error);
     assert!(
         harness.sent_to(id).is_none() && harness.is_failed(id),
-        "no allowed attempt can serve it, so it is answered immediately"
+        "no attempt is allowed, so the request is answered immediately"
     );
 }
 
@@ -61,7 +62,7 @@
     assert!(harness.sent_to(id).is_none() && harness.is_refused(id));
 }
 
-/// Attempts beyond a request's first stay within their budget, whichever path sends them.
+/// Attempts beyond a request's first must stay within the retry budget.
 #[test]
 fn retries_stay_within_their_budget_in_any_window() {
     let mut settings = settings();
@@ -81,7 +82,7 @@
             if harness.sent_to(id).is_none() {
                 assert!(
                     harness.is_refused(id),
-                    "without retries it is answered immediately"
+                    "without retries left the request is answered immediately"
                 );
                 return retries;
             }
@@ -89,19 +90,23 @@
         }
     };
     let retries: u32 = (0..9).map(|_| fail_until_answered(&mut harness)).sum();
-    assert_eq!(retries, 2, "nine requests add none to the two free ones");
+    assert_eq!(
+        retries, 2,
+        "nine requests add no retry to the two free ones"
+    );
     harness.advance(5 * SEC);
     assert_eq!(
         fail_until_answered(&mut harness),
         1,
-        "the tenth request adds one"
+        "the tenth request adds one retry"
     );
-    // The first two leave the window, and so do the requests that came with them.
+    // The first two retries and the requests accepted with them leave the window.
     harness.advance(5 * SEC + MS);
     assert_eq!(fail_until_answered(&mut harness), 1);
 }
 
-/// Requests that wait for a worker have passed the check of the budget before; it is checked again when they are sent.
+/// The retry budget must be checked again when a queued request is sent: several requests may have been queued while
+/// one retry was left.
 #[test]
 fn queued_retries_stay_within_the_budget_that_is_left_when_they_are_sent() {
     let mut settings = settings();
@@ -123,8 +128,14 @@
     harness.update_membership(Scope::Cached, &draining);
     for id in requests {
         harness.end(id, 0, Status::Error);
-        assert!(harness.sent_to(id).is_none(), "no worker takes it");
-        assert!(!harness.is_refused(id), "one retry is left, so it waits");
+        assert!(
+            harness.sent_to(id).is_none(),
+            "no worker can take the request"
+        );
+        assert!(
+            !harness.is_refused(id),
+            "one retry is left, so the request is queued"
+        );
     }
     harness.update_membership(Scope::Cached, &workers);
     let sent = requests.map(|id| harness.sent_to(id).is_some());
@@ -137,7 +148,7 @@
 }
 
 #[test]
-fn moot_attempts_are_returned_to_the_retry_budget() {
+fn unsent_attempts_are_returned_to_the_retry_budget() {
     let mut settings = settings();
     settings.rules.resends = Some(ResendBudget {
         free: 1.0,
@@ -158,7 +169,7 @@
     assert!(harness.sent_to(id).is_none() && harness.is_refused(id));
 }
 
-/// A budget without a window is read strictly: what it allows, it allows once.
+/// A retry budget without a window is interpreted strictly: the free retries can be used once.
 #[test]
 fn retry_budget_without_a_window_is_never_renewed() {
     let mut settings = settings();
@@ -176,38 +187,39 @@
     }
 }
 
-/// Found as: 'request of class sale was sent again with no proof that the attempt before never ran'.
+/// Guards against retries after [`Status::Full`] if the rules say that such an attempt may have run. The fault was
+/// found as a request that was sent again without proof that the attempt before never ran.
 #[test]
 fn full_status_may_have_run_where_the_rules_say_so() {
     let workers: Vec<_> = (0..6).map(|i| entry(i, 0)).collect();
-    for no_proof in [false, true] {
+    for may_have_run in [false, true] {
         let mut settings = settings();
-        settings.rules.full_may_have_run = no_proof;
+        settings.rules.full_may_have_run = may_have_run;
         let mut harness = Harness::new(settings, &workers);
         let (unsafe_one, _) = harness.submit(2);
         harness.end(unsafe_one, 0, Status::Full);
-        assert_eq!(harness.is_failed(unsafe_one), no_proof);
-        assert_eq!(harness.sent_to(unsafe_one).is_none(), no_proof);
+        assert_eq!(harness.is_failed(unsafe_one), may_have_run);
+        assert_eq!(harness.sent_to(unsafe_one).is_none(), may_have_run);
         let (keyed, first) = harness.submit(1);
         harness.end(keyed, 0, Status::Full);
-        if no_proof {
+        if may_have_run {
             assert!(
                 harness
                     .sent_to(keyed)
-                    .is_none_or(|w| w % 2 == first.expect("sent") % 2),
-                "same cell"
+                    .is_none_or(|w| w % 2 == first.expect("the request was sent") % 2),
+                "the retry goes to the same cell"
             );
             harness.end(keyed, 1, Status::Full);
             harness.advance(3 * SEC);
             assert!(
                 !harness.is_refused(keyed),
-                "a refusal would promise too much"
+                "the attempt may have run, so a retry is not safe"
             );
         }
     }
 }
 
-/// Rules that are absent limit nothing: a seed acts as under limits that are never reached.
+/// Absent rules must limit nothing: the actions for a seed are the same as with limits that are never reached.
 #[test]
 fn absent_retry_budget_equals_one_that_is_never_used_up() {
     let run = |resends| {
@@ -223,7 +235,7 @@
             log.extend(harness.actions.clone());
             harness.start(id, 0);
             log.extend(harness.advance(20 * MS));
-            // No reset before the start: that tells of idle connections, and closes them for another reason.
+            // No attempt is reset before its start, because such a reset closes idle connections.
             let ends = [
                 Status::Ok,
                 Status::Ok,
@@ -236,12 +248,12 @@
         }
         log
     };
-    let ample = ResendBudget {
+    let never_used_up = ResendBudget {
         free: 1e9,
         ratio: 0.0,
         window: Some(10 * SEC),
     };
-    assert_eq!(run(None), run(Some(ample)));
+    assert_eq!(run(None), run(Some(never_used_up)));
     assert!(
         !run(None)
             .iter()
@@ -249,7 +261,8 @@
     );
 }
 
-/// A connection that a middlebox drops unnoticed would cost an attempt each time (17% of them in one measured run).
+/// Guards against attempts lost on idle connections that a middlebox has dropped unnoticed: 17% of the attempts in one
+/// measured run.
 #[test]
 fn connections_idle_as_long_as_a_broken_one_are_closed_and_the_worker_stays_healthy() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0)]);
@@ -265,20 +278,20 @@
     }
     harness.advance(3 * SEC);
     let (id, worker) = harness.submit(0);
-    assert_eq!(closes(&harness), 0, "nothing has broken yet");
+    assert_eq!(closes(&harness), 0, "no connection has been reset yet");
     harness.end(id, 0, Status::Reset);
     let second_worker = harness
         .sent_to(id)
         .expect("a safe request is retried immediately");
     assert!(
         Some(second_worker) != worker && closes(&harness) == 1,
-        "the other's connection is as old: {:?}",
+        "the connection to the other worker is as old, so it is closed: {:?}",
         harness.actions
     );
     harness.advance(MS);
     harness.start(id, 1);
     harness.end(id, 1, Status::Ok);
-    // Used a moment ago it is trusted, and the first worker still takes requests that must not run twice.
+    // A recently used connection is trusted, and the first worker still gets requests that must not run twice.
     harness.advance(50 * MS);
     let sent: Vec<_> = (0..2)
         .map(|_| (harness.submit(2).1, closes(&harness)))
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -1,19 +1,19 @@
-//! Ejection and probation of workers that fail.
+//! Tests for the ejection and probation of failing workers.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-/// A worker that fails at once has the fewest requests in flight, and would draw all traffic.
+/// Guards against a worker that fails immediately attracting all traffic, because it has the fewest requests in flight.
 #[test]
 fn immediately_failing_worker_is_ejected_and_rarely_tried() {
     let mut harness = Harness::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-    let mut to_bad = 0;
+    let mut to_failing = 0;
     for _ in 0..200 {
         let (id, worker) = harness.submit(0);
         let mut worker = worker;
         let mut attempt = 0;
         while worker == Some(1) {
-            to_bad += 1;
+            to_failing += 1;
             harness.advance(2 * MS);
             harness.end(id, attempt, Status::Error);
             worker = harness.sent_to(id);
@@ -21,7 +21,7 @@
         }
         assert!(
             worker.is_some(),
-            "an error on one worker sends a safe request to another"
+            "after an error a safe request is retried on another worker"
         );
         harness.advance(20 * MS);
         harness.start(id, attempt);
@@ -29,16 +29,16 @@
         harness.end(id, attempt, Status::Ok);
     }
     assert!(
-        (1..=12).contains(&to_bad),
-        "{to_bad} of 200 requests went to the erring worker"
+        (1..=12).contains(&to_failing),
+        "{to_failing} of 200 requests went to the failing worker: 1 to 12 expected"
     );
 }
 
-/// A worker must not be left out for good: where no class is safe, or no other answer of it is due, only time and
-/// retryable requests can end its probation.
+/// Guards against a worker that stays excluded for good. On probation it gets only retryable requests, one at a time;
+/// if there are none, the decay of its failure rate must end the probation.
 #[test]
 fn worker_on_probation_gets_retryable_requests_until_its_failure_rate_decays() {
-    let erred = || {
+    let after_two_errors = || {
         let mut harness = Harness::new(settings(), &[entry(1, 0)]);
         for _ in 0..2 {
             let (id, _) = harness.submit(2);
@@ -47,21 +47,25 @@
         harness.advance(700 * MS);
         harness
     };
-    let mut harness = erred();
+    let mut harness = after_two_errors();
     assert_eq!(
         harness.submit(2).1,
         None,
         "an unsafe request is not retryable"
     );
-    let mut harness = erred();
-    assert_eq!(harness.submit(3).1, Some(1), "a keyed one is retryable");
-    assert_eq!(harness.submit(3).1, None, "one at a time");
-    let mut harness = erred();
+    let mut harness = after_two_errors();
+    assert_eq!(harness.submit(3).1, Some(1), "a keyed request is retryable");
+    assert_eq!(
+        harness.submit(3).1,
+        None,
+        "a worker on probation gets one request at a time"
+    );
+    let mut harness = after_two_errors();
     harness.advance(2 * SEC);
-    assert_eq!(harness.submit(2).1, Some(1), "its failure rate has decayed");
+    assert_eq!(harness.submit(2).1, Some(1), "the failure rate has decayed");
 }
 
-/// Dispatchers must not overload full workers with requests that these reject.
+/// Guards against dispatchers that keep sending requests to a full worker, which rejects them.
 #[test]
 fn worker_that_rejects_for_lack_of_capacity_is_ejected_briefly() {
     let mut harness = Harness::new(settings(), &[entry(1, 0)]);
--- a/crates/decisions/tests/moves.rs
+++ b/crates/decisions/tests/moves.rs
@@ -1,9 +1,10 @@
-//! Attempts that wait long at a worker, where cancelling one is the only way to move its request to another worker.
+//! Tests for attempts that wait long at a worker when duplicates are not allowed, so that a request can only move to
+//! another worker after its attempt is cancelled.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-fn site(duplicates: bool, cancel: bool) -> Settings {
+fn settings_with(duplicates: bool, cancel: bool) -> Settings {
     let limits = Limits {
         duplicates,
         cancel,
@@ -23,85 +24,91 @@
         .any(|a| matches!(a, Action::Cancel { request, .. } if *request == id))
 }
 
-/// An attempt must not stay in one queue while other workers are free. In the run that showed this each of 48
-/// dispatchers had a request in 1.4 s and none knew which queue was long: 42 of 59 requests waited at one worker,
-/// none at the fast ones.
+/// Guards against attempts that stay in one long queue while other workers are free. In the run that showed this fault,
+/// 48 dispatchers each received a request every 1.4 s and none of them knew which queue was long: 42 of 59 requests
+/// waited at one worker, and none at the fast workers.
 #[test]
 fn long_waiting_attempt_moves_to_a_worker_that_looks_free() {
     for class in [0, 1, 3] {
-        let mut harness = Harness::new(site(false, true), &[entry(1, 0), entry(3, 0)]);
+        let mut harness = Harness::new(settings_with(false, true), &[entry(1, 0), entry(3, 0)]);
         let (id, first) = harness.submit(class);
-        let first = first.expect("both are free");
+        let first = first.expect("both workers are free");
         assert!(
             !is_cancelled(&harness.advance(90 * MS), id),
-            "class {class}: not long yet"
+            "class {class}: moved after only 90 ms"
         );
         assert!(
             is_cancelled(&harness.advance(60 * MS), id),
-            "class {class}: it has waited for long"
+            "class {class}: not moved after 150 ms"
         );
-        // A start reported meanwhile changes nothing: what counts is how the attempt ends.
+        // The outcome of the cancelled attempt triggers the next send.
         harness.end(id, 0, Status::Cancelled);
-        let second = harness.sent_to(id).expect("it is sent again immediately");
+        let second = harness
+            .sent_to(id)
+            .expect("the request is sent again immediately");
         assert_ne!(first, second);
         harness.advance(MS);
         harness.start(id, 1);
         assert!(
             !is_cancelled(&harness.advance(900 * MS), id),
-            "a started attempt is not moved"
+            "class {class}: a started attempt is moved"
         );
     }
 }
 
 #[test]
 fn attempt_is_not_moved_where_disallowed_or_without_another_worker() {
-    // An unsafe class; duplicates allowed; no cancelling; one worker only; a request with one attempt left.
+    // Each case disallows the move for one reason: an unsafe class, allowed duplicates, no cancelling, a single worker,
+    // or (below) only one attempt left.
     let two = [entry(1, 0), entry(3, 0)];
-    for (what, class, duplicates, cancel, workers) in [
+    for (case, class, duplicates, cancel, workers) in [
         ("unsafe", 2, false, true, &two[..]),
         ("duplicates", 0, true, true, &two[..]),
         ("no cancelling", 0, false, false, &two[..]),
         ("one worker", 0, false, true, &two[..1]),
     ] {
-        let mut harness = Harness::new(site(duplicates, cancel), workers);
+        let mut harness = Harness::new(settings_with(duplicates, cancel), workers);
         let (id, sent) = harness.submit(class);
-        assert!(sent.is_some(), "{what}");
-        assert!(!is_cancelled(&harness.advance(2 * SEC), id), "{what}");
+        assert!(sent.is_some(), "{case}");
+        assert!(!is_cancelled(&harness.advance(2 * SEC), id), "{case}");
     }
-    let mut attempts = site(false, true);
+    let mut attempts = settings_with(false, true);
     attempts.limits.attempts = 2;
     let mut harness = Harness::new(attempts, &two);
     let (id, _) = harness.submit(0);
     assert!(
         !is_cancelled(&harness.advance(2 * SEC), id),
-        "the last attempt is kept for a failure"
+        "the last attempt is reserved for a failure"
     );
 }
 
 #[test]
 fn started_attempt_is_not_moved_and_the_retry_budget_is_kept() {
     let two = [entry(1, 0), entry(3, 0)];
-    let mut harness = Harness::new(site(false, true), &two);
+    let mut harness = Harness::new(settings_with(false, true), &two);
     let (id, _) = harness.submit(0);
     harness.advance(50 * MS);
     harness.start(id, 0);
-    assert!(!is_cancelled(&harness.advance(SEC), id), "it has started");
-    let mut none = site(false, true);
-    none.rules.resends = Some(ResendBudget {
+    assert!(
+        !is_cancelled(&harness.advance(SEC), id),
+        "a started attempt is not moved"
+    );
+    let mut no_retries = settings_with(false, true);
+    no_retries.rules.resends = Some(ResendBudget {
         free: 0.0,
         ratio: 0.0,
         window: None,
     });
-    let mut harness = Harness::new(none, &two);
+    let mut harness = Harness::new(no_retries, &two);
     let (id, _) = harness.submit(0);
     assert!(
         !is_cancelled(&harness.advance(2 * SEC), id),
-        "no further attempt may be made"
+        "the budget allows no retry"
     );
 }
 
-/// Forty dispatchers without updates from each other, two workers, one of which starts nothing: no request is left
-/// there.
+/// Forty dispatchers exchange no updates, and one of two workers starts no attempts. Each dispatcher must move its
+/// requests away from that worker.
 #[test]
 fn every_dispatcher_moves_its_requests_out_of_a_stalled_queue() {
     let mut moved = 0;
@@ -109,7 +116,7 @@
         let mut harness = Harness::new(
             Settings {
                 me,
-                ..site(false, true)
+                ..settings_with(false, true)
             },
             &[entry(1, 0), entry(3, 0)],
         );
@@ -129,5 +136,8 @@
             harness.end(id, attempt, Status::Ok);
         }
     }
-    assert!(moved >= 10, "{moved} of 120 were moved");
+    assert!(
+        moved >= 10,
+        "{moved} of 120 requests were moved: at least 10 expected"
+    );
 }
--- a/crates/decisions/tests/rules/checker.rs
+++ b/crates/decisions/tests/rules/checker.rs
@@ -1,4 +1,4 @@
-//! Performs steps on a dispatcher and checks each action against the rules, from events and actions alone.
+//! Performs steps on a dispatcher and checks each action against the rules, using only events and actions.
 
 use super::steps::Step;
 use indigofold_decisions::api::*;
@@ -15,29 +15,31 @@
     class: u32,
     deadline: Time,
     attempts: Vec<TrackedAttempt>,
-    /// The client has its answer, or has left.
+    /// Whether the client has its final answer or has disconnected.
     closed: bool,
     final_answers: u32,
 }
 
-/// Knows only the events and actions of both sides, and checks each action against the rules.
+/// Checks each action of a dispatcher against the rules. It uses only the events passed in and the actions returned.
 pub(crate) struct Checker {
     settings: Settings,
     harness: Harness,
     entries_by_worker: BTreeMap<WorkerId, Entry>,
     requests: BTreeMap<RequestId, TrackedRequest>,
     warm_up_sends: BTreeMap<WorkerId, Vec<Time>>,
-    next: RequestId,
-    /// Since the start of the instance: requests taken, and attempts beyond a first with how they ended.
+    next_id: RequestId,
+    /// When requests were accepted since the dispatcher's start.
     accepted_at: Vec<Time>,
+    /// Retries since the dispatcher's start: time, request and number of the attempt.
     retries: Vec<(Time, RequestId, usize)>,
-    /// Workers where a connection may have gone idle since it was last closed, and which drain.
+    /// Workers with a connection that may have become idle since the idle connections there were last closed.
     idle: BTreeSet<WorkerId>,
+    /// Start and end of each pause of the dispatcher.
     stalls: Vec<(Time, Time)>,
 }
 
 impl Checker {
-    /// A dispatcher with six workers of three kinds in two zones.
+    /// Creates a dispatcher with six workers of three kinds in two zones.
     pub(crate) fn new(settings: Settings) -> Self {
         let workers: Vec<_> = (0..6)
             .map(|i| Entry {
@@ -51,7 +53,7 @@
             entries_by_worker: workers.into_iter().map(|w| (w.worker, w)).collect(),
             requests: BTreeMap::new(),
             warm_up_sends: BTreeMap::new(),
-            next: 1,
+            next_id: 1,
             accepted_at: Vec::new(),
             retries: Vec::new(),
             idle: BTreeSet::new(),
@@ -97,14 +99,15 @@
         self.check_idle_connections();
     }
 
-    /// One final answer in time, and a refusal only where nothing can have taken effect.
+    /// Checks that a final answer is the only one and in time, and that a rejection is given only if a repeat is
+    /// harmless.
     fn check_answer(&mut self, now: Time, request: RequestId, is_refusal: bool) {
         let tracked = self
             .requests
             .get_mut(&request)
             .expect("an answer names a known request");
         assert!(!tracked.closed, "a second final answer");
-        // A paused dispatcher can answer no sooner than it resumes.
+        // A paused dispatcher cannot answer before it resumes.
         let due = tracked.deadline + self.settings.rules.answer_slack;
         let resumed = self
             .stalls
@@ -115,9 +118,9 @@
         tracked.closed = true;
         tracked.final_answers += 1;
         let tracked = &self.requests[&request];
-        let full_ran = self.settings.rules.full_may_have_run;
+        let full_may_have_run = self.settings.rules.full_may_have_run;
         let mut attempts = tracked.attempts.iter();
-        let ran = attempts.any(|attempt| !never_ran(attempt.status, full_ran));
+        let ran = attempts.any(|attempt| !never_ran(attempt.status, full_may_have_run));
         let effect = self.effect(tracked.class);
         let is_keyed_everywhere = matches!(
             effect,
@@ -129,7 +132,7 @@
         if is_refusal && ran {
             assert!(
                 effect == Effect::Safe || is_keyed_everywhere,
-                "a refusal that may be untrue"
+                "a rejection although the request may have taken effect"
             );
         }
     }
@@ -138,7 +141,7 @@
         if self.settings.rules.close_idle_within.is_none() {
             return;
         }
-        // Nothing else has to come first: what can be closed is closed with the same event.
+        // Idle connections to a draining worker must be closed by the event that made them idle or the worker drain.
         let draining = self
             .idle
             .iter()
@@ -164,7 +167,10 @@
         self.check_retry_budget(now, request);
         self.check_effect(now, request, &entry);
         self.check_warm_up(now, &entry);
-        let tracked = self.requests.get_mut(&request).expect("known");
+        let tracked = self
+            .requests
+            .get_mut(&request)
+            .expect("the request is known");
         tracked.attempts.push(TrackedAttempt {
             worker,
             sent: now,
@@ -213,16 +219,17 @@
         let retries = self.retries.iter().filter(counted).count() + 1;
         assert!(
             retries as f64 <= budget.free + budget.ratio * accepted as f64 + 1e-9,
-            "{retries} of {accepted}"
+            "{retries} retries for {accepted} accepted requests exceed the budget"
         );
         self.retries.push((now, request, number));
     }
 
     fn check_effect(&self, now: Time, request: RequestId, entry: &Entry) {
         let tracked = &self.requests[&request];
-        let full_ran = self.settings.rules.full_may_have_run;
+        let full_may_have_run = self.settings.rules.full_may_have_run;
         let mut attempts = tracked.attempts.iter();
-        let Some(first) = attempts.find(|attempt| !never_ran(attempt.status, full_ran)) else {
+        let Some(first) = attempts.find(|attempt| !never_ran(attempt.status, full_may_have_run))
+        else {
             return;
         };
         let first_entry = &self.entries_by_worker[&first.worker];
@@ -230,14 +237,17 @@
             Effect::Safe => {}
             Effect::Unsafe => panic!("an unsafe request sent twice"),
             Effect::Keyed { group, ttl } => {
-                assert!(now < first.sent + ttl, "a repeat past the window");
+                assert!(
+                    now < first.sent + ttl,
+                    "a retry after the lifetime of the key"
+                );
                 assert!(
                     group != Group::Cell || first_entry.cell == entry.cell,
-                    "a repeat in another cell"
+                    "a retry in another cell"
                 );
                 assert!(
                     group != Group::Zone || first_entry.zone == entry.zone,
-                    "a repeat in another zone"
+                    "a retry in another zone"
                 );
             }
         }
@@ -248,9 +258,9 @@
         if entry.ready_at == 0 || now >= entry.ready_at + rules.warm_after {
             return;
         }
-        // Every request here is one unit of 300 ms at speed 1 and no worker ever shows more than 8 slots.
+        // Every request is estimated at 300 ms at speed 1, and no worker ever shows more than 8 slots.
         let age = (now - entry.ready_at) as f64;
-        let warmth =
+        let fraction =
             rules.initial_capacity + (1.0 - rules.initial_capacity) * age / rules.warm_after as f64;
         let sends = self.warm_up_sends.entry(entry.worker).or_default();
         sends.push(now);
@@ -259,18 +269,19 @@
             .filter(|at| **at + rules.tip_window > now)
             .count() as f64;
         let dispatchers = self.settings.dispatchers.max(1) as f64;
-        let budget = rules.tip_multiple * warmth * 8.0 * rules.tip_window as f64 / dispatchers;
-        // Runs here may turn out far shorter, and the module learns that: among few dispatchers the 8 slots
-        // leave room for it. Small parts are checked in `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
+        let budget = rules.tip_multiple * fraction * 8.0 * rules.tip_window as f64 / dispatchers;
+        // Actual runs may be much shorter, which the module learns. With few dispatchers, the assumption of 8 slots
+        // leaves enough tolerance for that. Small parts of a budget are checked by the test
+        // `warm_up_budget_goes_to_few_dispatchers_and_accumulates`.
         assert!(
             dispatchers > 5.0 || recent * 300_000.0 <= budget,
-            "{recent} sends to a worker in warm-up"
+            "{recent} sends in a window to a worker in warm-up exceed its budget"
         );
     }
 
-    /// The n-th attempt in flight, modulo their number.
+    /// The n-th attempt in flight, modulo the number of attempts in flight; `None` if there is none.
     fn nth_in_flight(&self, n: usize) -> Option<(RequestId, u32)> {
-        let out = |(id, r): (&RequestId, &TrackedRequest)| -> Vec<(RequestId, u32)> {
+        let in_flight = |(id, r): (&RequestId, &TrackedRequest)| -> Vec<(RequestId, u32)> {
             let open = r
                 .attempts
                 .iter()
@@ -278,7 +289,7 @@
                 .filter(|(_, a)| a.status.is_none());
             open.map(|(i, _)| (*id, i as u32)).collect()
         };
-        let all: Vec<_> = self.requests.iter().flat_map(out).collect();
+        let all: Vec<_> = self.requests.iter().flat_map(in_flight).collect();
         if all.is_empty() {
             None
         } else {
@@ -287,7 +298,7 @@
     }
 
     fn end(&mut self, id: RequestId, attempt: u32, status: Status) {
-        let r = self.requests.get_mut(&id).expect("known");
+        let r = self.requests.get_mut(&id).expect("the request is known");
         r.attempts[attempt as usize].status = Some(status);
         if status == Status::Ok && !r.closed {
             (r.closed, r.final_answers) = (true, r.final_answers + 1);
@@ -304,16 +315,16 @@
         self.check();
     }
 
-    /// Time passes; timers and the time-outs at the deadlines come due in order.
+    /// Advances the clock; timers and the time-outs of attempts at their deadlines occur in order.
     fn advance(&mut self, time: Time) {
         let end = self.harness.now + time;
         loop {
             let due = |r: &TrackedRequest| r.deadline.max(1);
-            let out = |r: &TrackedRequest| r.attempts.iter().any(|a| a.status.is_none());
+            let has_in_flight = |r: &TrackedRequest| r.attempts.iter().any(|a| a.status.is_none());
             let next = self
                 .requests
                 .iter()
-                .filter(|(_, r)| out(r))
+                .filter(|(_, r)| has_in_flight(r))
                 .map(|(id, r)| (due(r), *id))
                 .min();
             let timer = self.harness.timer.filter(|t| t.0 <= end);
@@ -325,7 +336,7 @@
                         .attempts
                         .iter()
                         .position(|a| a.status.is_none())
-                        .expect("one is in flight");
+                        .expect("an attempt is in flight");
                     self.end(id, n as u32, Status::Timeout);
                 }
                 (_, Some((at, name))) => {
@@ -346,11 +357,8 @@
         self.check();
     }
 
-    /// Performs one step and checks the actions that follow. One arm for each step, hence its length.
-    #[allow(
-        clippy::too_many_lines,
-        reason = "one scenario, in the order in which it happens"
-    )]
+    /// Performs one step and checks the resulting actions.
+    #[allow(clippy::too_many_lines, reason = "one arm for each step")]
     pub(crate) fn run(&mut self, step: Step) {
         match step {
             Step::Submit { class, left, slots } => self.submit(class, left, slots),
@@ -365,10 +373,10 @@
                     self.end(id, attempt, status);
                 }
             }
-            Step::Pass(time) => self.advance(time),
+            Step::Advance(time) => self.advance(time),
             Step::Drain(worker) => self.set_state(worker, WorkerState::Draining),
-            Step::Drop(worker) => self.set_state(worker, WorkerState::Left),
-            Step::Return(worker) => self.set_state(worker, WorkerState::Active),
+            Step::Remove(worker) => self.set_state(worker, WorkerState::Left),
+            Step::Activate(worker) => self.set_state(worker, WorkerState::Active),
             Step::Restart(worker) => self.restart(worker),
             Step::FullMembership => {
                 let active = |e: &&Entry| e.state == WorkerState::Active;
@@ -423,8 +431,8 @@
     }
 
     fn submit(&mut self, class: u32, left: Time, slots: f64) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.accepted_at.push(self.harness.now);
         self.requests.insert(
             id,
@@ -445,7 +453,7 @@
         self.check();
     }
 
-    /// The dispatcher's requests are void; it starts again with its last membership list.
+    /// Replaces the dispatcher by a new one with the last membership list; all its requests are dropped.
     fn crash(&mut self) {
         let workers: Vec<_> = self.entries_by_worker.values().cloned().collect();
         let now = self.harness.now;
@@ -457,7 +465,7 @@
         self.check();
     }
 
-    /// The client of the n-th open request leaves.
+    /// The client of the n-th open request disconnects; does nothing if no request is open.
     fn close_request(&mut self, n: usize) {
         let open = self.requests.iter().filter(|(_, tracked)| !tracked.closed);
         let ids: Vec<_> = open.map(|(id, _)| *id).collect();
@@ -465,13 +473,13 @@
             return;
         }
         let id = ids[n % ids.len()];
-        let tracked = self.requests.get_mut(&id).expect("known");
+        let tracked = self.requests.get_mut(&id).expect("the request is known");
         (tracked.closed, tracked.final_answers) = (true, 1);
         self.harness.handle(Event::RequestClosed(id));
         self.check();
     }
 
-    /// Lets all deadlines pass: each request must have had exactly one final answer.
+    /// Lets all deadlines pass and checks that each request has exactly one final answer.
     pub(crate) fn finish(&mut self) {
         self.advance(20 * SEC);
         for (id, r) in &self.requests {
--- a/crates/decisions/tests/rules/steps.rs
+++ b/crates/decisions/tests/rules/steps.rs
@@ -1,10 +1,10 @@
-//! What may happen to a dispatcher, as random steps.
+//! Random steps: events that may happen to a dispatcher.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 use proptest::prelude::*;
 
-/// One thing that happens to a dispatcher.
+/// One event that happens to a dispatcher. Numbers of attempts and requests are taken modulo those present.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Submit {
@@ -12,21 +12,31 @@
         left: Time,
         slots: f64,
     },
-    /// Start, or end with a status, the n-th attempt in flight.
+    /// The n-th attempt in flight starts.
     Start(usize),
+    /// The n-th attempt in flight ends with this status.
     End(usize, Status),
-    Pass(Time),
-    /// Change the list entry of a worker.
+    /// Time passes.
+    Advance(Time),
+    /// The membership list marks this worker as draining.
     Drain(u32),
+    /// This worker restarts and is in warm-up.
     Restart(u32),
-    Drop(u32),
-    Return(u32),
+    /// The membership list marks this worker as removed.
+    Remove(u32),
+    /// The membership list marks this worker as active.
+    Activate(u32),
+    /// The whole membership list arrives, with the active workers only.
     FullMembership,
+    /// A request for the membership list fails.
     MembershipFails,
+    /// The client of the n-th open request disconnects.
     ClientDisconnects(usize),
-    /// The dispatcher is paused: timers due meanwhile fire late, all at the same time.
+    /// The dispatcher is paused for this time: timers that become due meanwhile fire late, all at the same time.
     Stall(Time),
+    /// The dispatcher crashes and restarts without state.
     Crash,
+    /// A probe of this worker succeeds.
     Probe(u32),
 }
 
@@ -41,11 +51,11 @@
         10 => (0u32..5, left, 0.5..2.0).prop_map(|(class, left, slots)| Step::Submit { class, left, slots }),
         6 => (0usize..50).prop_map(Step::Start),
         8 => ((0usize..50), status).prop_map(|(n, s)| Step::End(n, s)),
-        8 => prop_oneof![1..50 * MS, 50 * MS..2 * SEC].prop_map(Step::Pass),
+        8 => prop_oneof![1..50 * MS, 50 * MS..2 * SEC].prop_map(Step::Advance),
         1 => (0u32..6).prop_map(Step::Drain),
         1 => (0u32..6).prop_map(Step::Restart),
-        1 => (0u32..6).prop_map(Step::Drop),
-        2 => (0u32..6).prop_map(Step::Return),
+        1 => (0u32..6).prop_map(Step::Remove),
+        2 => (0u32..6).prop_map(Step::Activate),
         1 => Just(Step::FullMembership),
         1 => Just(Step::MembershipFails),
         1 => (0usize..50).prop_map(Step::ClientDisconnects),
--- a/crates/decisions/tests/serialized_form.rs
+++ b/crates/decisions/tests/serialized_form.rs
@@ -1,14 +1,14 @@
-//! The serialized forms that another version of the program reads: their bytes must not change.
+//! Tests that the bytes of the serialized forms do not change, because other versions of the program read them.
 
 use indigofold_decisions::affinity::Fetches;
 use indigofold_decisions::arrivals::Rates;
 use indigofold_decisions::runs::{Speed, Work};
 use indigofold_decisions::statistics::{
-    Class, Demand, Kind, LateStartRate, Pace, Statistics, Worker,
+    Class, Demand, FleetStatistics, Kind, LateStartRate, Statistics, Worker,
 };
 use indigofold_decisions::transferred_job::{Attempt, Progress, TransferredJob};
 
-/// [`statistics`] as written by the release before the types were renamed.
+/// [`statistics`] as serialized by the release before the types were renamed.
 const STATISTICS_HEX: &str = "\
 49464c52010047010000e3431fffff23420b8080f9c0c1c482030104666173740000000000001c400100000000000000\
      000000000000000000000000000000f03f000000000000e83f010473616c650000000000000000000000000000000000\
@@ -19,7 +19,7 @@
      3f000000000000b03f000000000000e03f00000000000029400000000080844e410000000000003e400000000060e356\
      41000000000000a03f";
 
-/// [`transferred_job`] as written by the same release.
+/// [`transferred_job`] as serialized by the same release.
 const TRANSFERRED_JOB_HEX: &str = "\
 0473616c6580b591c1c1c48203809be7c3c1c482030190a10f012a000000000000f83f0401020a732d30303030303030\
      318080f9c0c1c48203f0a20401e887f9c0c1c48203c084b6c1c1c48203000000000000e03f01a0c297c1c1c482030000\
@@ -32,15 +32,15 @@
 fn bytes(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex"))
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits"))
         .collect()
 }
 
 fn statistics() -> Statistics<String> {
     let worker = "s-00000001".to_string();
     let mut fetches = Fetches::default();
-    fetches.sent_away(300_000.0);
-    fetches.sent_away(500_000.0);
+    fetches.record_fetch(300_000.0);
+    fetches.record_fetch(500_000.0);
     Statistics {
         at: 1_700_000_000_000_000,
         kinds: vec![(
@@ -56,7 +56,7 @@
             "sale".to_string(),
             Class {
                 run_time: Work::of(250_000),
-                longest_patience: 6_000_000,
+                longest_client_wait: 6_000_000,
             },
         )],
         tenants: vec![("shop".to_string(), 0.25)],
@@ -74,12 +74,12 @@
         )],
         in_flight: vec![(worker, 1.5)],
         retried_at: vec![1_699_999_998_000_000, 1_699_999_999_500_000],
-        pace: Some(pace(fetches)),
+        pace: Some(fleet_statistics(fetches)),
     }
 }
 
-fn pace(fetches: Fetches) -> Pace {
-    Pace {
+fn fleet_statistics(fetches: Fetches) -> FleetStatistics {
+    FleetStatistics {
         run_times: (40.0, 8e6).into(),
         fetches,
         arrivals: Rates {
@@ -156,9 +156,9 @@
 
 #[test]
 fn transferred_job_has_the_bytes_of_the_former_release() {
-    let form = postcard::to_allocvec(&transferred_job()).expect("it fits in memory");
+    let form = postcard::to_allocvec(&transferred_job()).expect("a job can be serialized");
     assert_eq!(hex(&form), TRANSFERRED_JOB_HEX);
-    let read: TransferredJob<String> =
-        postcard::from_bytes(&bytes(TRANSFERRED_JOB_HEX)).expect("the former bytes");
+    let read: TransferredJob<String> = postcard::from_bytes(&bytes(TRANSFERRED_JOB_HEX))
+        .expect("the bytes of the former release can be read");
     assert_eq!(read, transferred_job());
 }
--- a/crates/decisions/tests/warm_up.rs
+++ b/crates/decisions/tests/warm_up.rs
@@ -1,10 +1,11 @@
-//! Workers that have just started: what all dispatchers together may send them.
+//! Tests for workers in warm-up: how much work all dispatchers together may send them.
 
 use indigofold_decisions::api::*;
 use indigofold_decisions_testing::*;
 
-/// When worker 3 was sent requests: one of the class is submitted at each step, and each ends at once with this status.
-fn sends_to_third(
+/// Returns the times at which requests were sent to worker 3. One request of `class` is submitted per step until
+/// `until`, and each attempt at worker 3 ends immediately with the status `ends`.
+fn send_times_to_worker_3(
     harness: &mut Harness,
     (class, ends): (ClassId, Status),
     step: Time,
@@ -28,8 +29,8 @@
     sends
 }
 
-/// Share of its capacity that a worker has at least, so long after its start.
-fn least_warmth(rules: &Rules, age: Time) -> f64 {
+/// Least fraction of its capacity that a worker has at this age.
+fn min_warm_up_fraction(rules: &Rules, age: Time) -> f64 {
     rules.initial_capacity + (1.0 - rules.initial_capacity) * age as f64 / rules.warm_after as f64
 }
 
@@ -42,7 +43,7 @@
     for _ in 0..30 {
         harness.serve(0, |_| 100 * MS);
     }
-    // Worker 3 has just started and is the only one left; every request that it gets is rejected.
+    // Worker 3 has just started and is the only worker left; it rejects every request.
     let ready_at = harness.now;
     harness.update_membership(
         Scope::Full,
@@ -51,36 +52,33 @@
             ..entry(3, 0)
         }],
     );
-    let sends = sends_to_third(
+    let sends = send_times_to_worker_3(
         &mut harness,
         (0, Status::Full),
         7 * MS,
         ready_at + rules.warm_after,
     );
-    assert!(
-        sends.len() > 3,
-        "a worker in warm-up still gets some requests"
-    );
+    assert!(sends.len() > 3, "a worker in warm-up gets some requests");
     for t in &sends {
         let recent = sends
             .iter()
             .filter(|u| **u <= *t && **u + rules.tip_window > *t)
             .count() as f64;
-        let warmth = least_warmth(&rules, *t - ready_at);
-        // Its slots were never seen, so it is taken to have as many as its kind has shown: one.
-        let budget = rules.tip_multiple * warmth * rules.tip_window as f64 / 3.0;
+        let fraction = min_warm_up_fraction(&rules, *t - ready_at);
+        // The worker's slots were never observed, so it counts as having as many as observed for its kind: one.
+        let budget = rules.tip_multiple * fraction * rules.tip_window as f64 / 3.0;
         assert!(
             recent * 100_000.0 <= budget,
-            "{recent} jobs in a window at warmth {warmth}"
+            "{recent} jobs in a window, at {fraction} of the worker's capacity"
         );
     }
 }
 
-/// In too many parts, none of the budget would pay for a request before the worker is warm: few dispatchers have a
-/// part, others for each worker, and together they keep within the budget.
+/// If a warm-up budget were split among all dispatchers, no part would pay for a request before the warm-up ends. So
+/// only a few dispatchers get a part, different ones for each worker, and together they stay within the budget.
 #[test]
 fn warm_up_budget_goes_to_few_dispatchers_and_accumulates() {
-    let mut users = [0; 2];
+    let mut senders = [0; 2];
     for (n, worker) in [3, 4].into_iter().enumerate() {
         let mut total = 0;
         for me in 0..40 {
@@ -112,17 +110,22 @@
                     .filter(|a| matches!(a, Action::Send { .. }))
                     .count();
             }
-            users[n] |= u64::from(sends > 0) << me;
+            senders[n] |= u64::from(sends > 0) << me;
             total += sends;
         }
-        // One slot, 30% of it at first and two thirds after 30 s: some 140 jobs of 100 ms, and no more than asked.
-        assert!((3..=140).contains(&total), "{total} jobs in 30 s");
-        assert!(users[n].count_ones() == 3, "{:b}", users[n]);
+        // The worker has one slot, 30% of it at first and about two thirds after 30 s: room for about 140 jobs of 100
+        // ms.
+        assert!(
+            (3..=140).contains(&total),
+            "{total} jobs in 30 s: 3 to 140 expected"
+        );
+        assert!(senders[n].count_ones() == 3, "{:b}", senders[n]);
     }
-    assert_ne!(users[0], users[1]);
+    assert_ne!(senders[0], senders[1]);
 }
 
-/// Dispatchers that do not prefer the worker would never spend their part of its budget.
+/// Guards against dispatchers that never spend their part of a worker's warm-up budget because they do not prefer the
+/// worker.
 #[test]
 fn worker_in_warm_up_is_preferred_by_dispatchers_with_a_fraction_of_its_budget() {
     let now = 100 * SEC;
@@ -144,18 +147,18 @@
             assert_ne!(
                 harness.serve(0, |_| 10 * MS),
                 Some(60),
-                "idle warm workers come first"
+                "idle workers that are not in warm-up are preferred"
             );
         }
         harness.advance(4 * SEC);
         (0..6).any(|_| harness.submit(0).1 == Some(60))
     };
-    // A part pays for four jobs of 10 ms in a window of 1 s, and 0.54 s are used there: 13 parts.
+    // A part pays for four jobs of 10 ms in a window of 1 s, and 0.54 s of work are used in a window: 13 parts.
     assert_eq!((0..40).filter(uses).count(), 13);
 }
 
-/// A whole fleet hears of a start at once: whatever each has accumulated, all dispatchers together keep within three
-/// quarters of the budget in any window, and do not leave the worker idle.
+/// All dispatchers learn of a start at the same time. Whatever part of the budget each has accumulated, together they
+/// must stay within three quarters of the budget in any window, without leaving the worker idle.
 #[test]
 fn three_hundred_dispatchers_keep_a_worker_in_warm_up_within_its_budget() {
     let (rules, run, step) = (settings().rules, 100 * MS, 20 * MS);
@@ -171,9 +174,9 @@
                 ..entry(3, 0)
             }],
         );
-        // Each releases its slot at once, so that only the budget limits.
+        // Each attempt releases its slot at once, so that only the budget limits the sends.
         let until = ready_at + 4 * SEC;
-        sends.extend(sends_to_third(
+        sends.extend(send_times_to_worker_3(
             &mut harness,
             (2, Status::Cancelled),
             step,
@@ -181,7 +184,9 @@
         ));
     }
     let budget = |at: Time| {
-        7.0 * rules.tip_multiple * least_warmth(&rules, at - ready_at) * rules.tip_window as f64
+        7.0 * rules.tip_multiple
+            * min_warm_up_fraction(&rules, at - ready_at)
+            * rules.tip_window as f64
     };
     for n in 0..4 * SEC / step {
         let at = ready_at + n * step;
@@ -191,18 +196,18 @@
             .count() as f64;
         assert!(
             sent * run as f64 <= 0.76 * budget(at),
-            "{sent} jobs in the window that ends {n} steps after"
+            "{sent} jobs in the window that ends {n} steps after the start"
         );
     }
     let most = (0..4).map(|n| budget(ready_at + n * SEC)).sum::<f64>();
     assert!(
         sends.len() as f64 * run as f64 > 0.4 * most,
-        "{} jobs in 4 s",
+        "{} jobs in 4 s are too few",
         sends.len()
     );
 }
 
-/// A dispatcher that has observed workers with seven slots, and requests that run for `run`.
+/// One of 300 dispatchers, which has observed workers with seven slots and requests that run for `run`.
 fn one_of_three_hundred(me: u32, run: Time) -> Harness {
     let settings = Settings {
         dispatchers: 300,
