--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -1,23 +1,24 @@
-//! What goes into the scheduler and what comes out of it.
+//! Inputs and outputs of the scheduler.
 
 use crate::latency::LateEnd;
 use indigofold_protocol::config::Config;
 use indigofold_protocol::internal::{AgentOrders, AgentReport, ClientCall, ClientReply};
 use std::sync::Arc;
 
-/// Whom a client's call came from and where its reply goes: chosen by the caller, unique among open connections.
+/// Connection on which a client's call arrived and to which its reply is sent. The user of the scheduler assigns it; it is
+/// unique among open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// A connection of a node agent: chosen by the caller, never used again for another connection.
+/// A connection of a node agent. The user of the scheduler assigns it and never reuses it for another connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AgentId(pub u64);
 
-/// Fencing token of all orders of one head: number of the view in which it took over.
+/// Fencing token of all orders of one head: the number of the view in which it became head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Epoch(pub u64);
 
-/// Number of a write, counted from 1 by the scheduler. Writes are to be committed in the order of their numbers.
+/// Number of a write, assigned by the scheduler from 1 upwards. Writes must be committed in the order of their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WriteId(pub u64);
 
@@ -28,22 +29,23 @@
     pub max_lease_ms: u64,
     /// Longest time that a stop takes, in milliseconds.
     pub stop_ms: u64,
-    /// How long a gang's member waits for the others, in milliseconds.
+    /// Longest time that a gang's member waits for the others, in milliseconds.
     pub gang_ms: u64,
-    /// Time within which a cancelling must take effect, in milliseconds.
+    /// Time within which a cancellation must take effect, in milliseconds.
     pub cancel_ms: u64,
-    /// How long a job's state is shown after its end, in seconds.
+    /// How long clients can query a job's state after its end, in seconds.
     pub status_s: u64,
-    /// Factor on run times remote from the data, or of a gang that needs one rack and has several.
+    /// Factor on the run time of a task that runs on another rack than its data, or whose gang needs one rack but is spread
+    /// over several.
     pub remote_slowdown: f64,
     /// Work between two checkpoints of a task, in seconds.
     pub checkpoint_interval_s: u64,
-    /// What resuming from a checkpoint costs, in milliseconds.
+    /// Overhead of resuming from a checkpoint, in milliseconds.
     pub resume_cost_ms: u64,
 }
 
 impl Bounds {
-    /// Factor on the run time of a task that is with its data (and its gang), or is not.
+    /// Factor on the run time of a task: 1 if it runs on the rack of its data and its gang, otherwise `remote_slowdown`.
     pub(crate) fn remote_factor(&self, is_local: bool) -> f64 {
         if is_local { 1.0 } else { self.remote_slowdown }
     }
@@ -67,72 +69,72 @@
 /// An input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// This configuration is in force from now on.
+    /// A new configuration takes effect.
     Config(Arc<Config>),
-    /// A client's call.
+    /// A client's call arrived.
     Call {
-        /// Where the reply goes.
+        /// Connection to which the reply is sent.
         from: CallerId,
-        /// The call.
+        /// The call as the edge has sent it.
         call: ClientCall,
     },
-    /// The caller's connection is gone: its open calls need no reply.
+    /// The caller's connection has closed: its open calls need no reply.
     CallerDisconnected(CallerId),
     /// All writes up to this one are committed.
     Committed(WriteId),
     /// A node agent has connected.
     AgentConnected {
-        /// Its connection.
+        /// The new connection.
         agent: AgentId,
-        /// Name of its machine.
+        /// Name of the machine on which the agent runs.
         node_name: String,
     },
-    /// A node agent's connection is gone.
+    /// A node agent's connection has closed.
     AgentDisconnected(AgentId),
-    /// A node agent reports.
+    /// A node agent's report arrived.
     Report {
-        /// Its connection.
+        /// Connection on which it arrived.
         agent: AgentId,
-        /// The report.
+        /// State of the agent's worker and its runs.
         report: AgentReport,
     },
-    /// The time given by [`Scheduler::next_timer_ms`](crate::Scheduler::next_timer_ms) has come.
+    /// The time returned by [`Scheduler::next_timer_ms`](crate::Scheduler::next_timer_ms) was reached.
     Timer,
 }
 
 /// One changed row of the control state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowChange {
-    /// The row's key.
+    /// Key of the row; [`Scheduler::is_row`](crate::Scheduler::is_row) accepts it.
     pub key: Vec<u8>,
-    /// Its new value; `None` deletes the row.
+    /// New value; `None` deletes the row.
     pub value: Option<Vec<u8>>,
 }
 
 /// An output of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// To be written in one piece, after all writes before it; answered by [`Event::Committed`].
+    /// Rows to write atomically, after all earlier writes; [`Event::Committed`] confirms the write.
     Write {
-        /// Its number.
+        /// Number of the write.
         write: WriteId,
-        /// The rows.
+        /// The changed rows.
         changes: Vec<RowChange>,
     },
     /// The reply to a client's call.
     Reply {
-        /// Whom to.
+        /// Connection on which the call arrived.
         to: CallerId,
-        /// The reply.
+        /// The reply to send.
         reply: ClientReply,
     },
-    /// A job ended after its latency target, or failed: for the log.
+    /// A job or repetition ended after its latency target, or failed; to be logged.
     Late(Box<LateEnd>),
     /// Orders for a node agent.
     Orders {
-        /// Its connection.
+        /// Connection of the node agent.
         agent: AgentId,
-        /// The orders.
+        /// The orders, which also answer a report if it is named in them.
         orders: AgentOrders,
     },
 }
--- a/crates/scheduler/src/client_calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -1,4 +1,5 @@
-//! Clients' calls: submit, state, cancel, count of what waits; and the configuration that routes them.
+//! Client calls (submit a job, get its state, cancel it, count the pending jobs of a route) and the configuration that
+//! routes them.
 
 use crate::api::{CallerId, WriteId};
 use crate::backlog::retry_after_ms;
@@ -14,25 +15,25 @@
 use indigofold_protocol::task::JobId;
 use std::sync::Arc;
 
-/// When a client is to come back while there is no configuration.
+/// Time after which clients should retry while there is no configuration.
 const UNCONFIGURED_RETRY_MS: u64 = 500;
 
-/// Where the reply to a client's call goes.
+/// The recipient of the reply to a client's call.
 #[derive(Clone, Copy, Debug)]
 struct ReplyTo {
     caller: CallerId,
-    /// The caller's number for the call.
+    /// Number that the caller gave to the call; the reply repeats it.
     call: u64,
 }
 
-/// What a client is told, and the write that has to be committed before.
+/// The outcome of a call, and the write that has to be committed before the client is told.
 struct Answer {
     after: WriteId,
     outcome: ClientOutcome,
 }
 
 impl Answer {
-    /// Nothing has to be committed before.
+    /// Creates an answer that does not depend on any write.
     fn at_once(outcome: ClientOutcome) -> Self {
         Answer {
             after: Outbox::NO_WRITE,
@@ -41,15 +42,15 @@
     }
 }
 
-/// Takes clients' calls by the configuration in force.
+/// Handles client calls according to the current configuration.
 #[derive(Debug, Default)]
 pub(crate) struct ClientCalls {
-    /// `None` until the first one arrives.
+    /// The current configuration; `None` until the first one arrives.
     config: Option<Arc<Config>>,
 }
 
 impl ClientCalls {
-    /// A client's call.
+    /// Handles a client's call; the reply waits in the outbox for the write that it depends on.
     pub(crate) fn handle(&self, cluster: &mut Cluster, from: CallerId, call: ClientCall) {
         let to = ReplyTo {
             caller: from,
@@ -60,7 +61,8 @@
         outbox.reply(answer.after, to.caller, to.call, answer.outcome);
     }
 
-    /// This configuration is in force from now on: jobs whose route leads elsewhere move.
+    /// Applies a new configuration: open jobs whose route has another service or other terms are moved to these. Jobs of a
+    /// route that was removed stay as they are.
     pub(crate) fn configure(&mut self, cluster: &mut Cluster, config: Arc<Config>) {
         let before = self.config.replace(config.clone());
         for service in &config.services {
@@ -89,6 +91,7 @@
         }
     }
 
+    /// Determines the answer to a call by its route, operation and job id.
     fn answer(&self, cluster: &mut Cluster, call: ClientCall) -> Answer {
         let Some(config) = &self.config else {
             return Answer::at_once(ClientOutcome::Unavailable {
@@ -118,7 +121,8 @@
     }
 }
 
-/// Accepts a job, unless it is known already, is not valid, or too much is open.
+/// Accepts a job unless it is invalid or too many jobs or tasks are open. A job that is already known is accepted again
+/// without effect, so clients may retry.
 fn submit(cluster: &mut Cluster, id: JobId, route: &Route, spec: JobSpec) -> Answer {
     if let Some(known) = cluster.jobs().get(&id) {
         return Answer {
@@ -143,7 +147,7 @@
     }
 }
 
-/// A job with the run times that are expected for its route.
+/// Creates a job with the expected run times that were learned for its route.
 fn new_job(cluster: &mut Cluster, route: &Route, spec: JobSpec) -> Job {
     let definition = Definition {
         spec,
@@ -167,7 +171,8 @@
     job
 }
 
-/// How long the service's workers will take for all that waits in its queue.
+/// Time that the service's workers will need for all waiting tasks in its queue, in milliseconds. The estimate is cached
+/// for a short time.
 fn backlog_ms(cluster: &mut Cluster, service: &str) -> u64 {
     let now_ms = cluster.clock().now_ms();
     let Some(state) = cluster.services().get(service) else {
@@ -182,6 +187,7 @@
     backlog_ms
 }
 
+/// The state of a job, which the client is told once the job's newest write is committed.
 fn state_of(cluster: &Cluster, id: JobId) -> Answer {
     let Some(job) = cluster.jobs().get(&id) else {
         return Answer::at_once(ClientOutcome::NoSuchJob);
@@ -198,6 +204,7 @@
     }
 }
 
+/// Cancels a job. A job that has already ended keeps its state, and the call succeeds.
 fn cancel(cluster: &mut Cluster, id: JobId) -> Answer {
     let Some(job) = cluster.jobs().get(&id) else {
         return Answer::at_once(ClientOutcome::NoSuchJob);
@@ -212,11 +219,12 @@
     }
 }
 
-/// Whether jobs of a route go where they went by its former entry, and on the same terms.
+/// Whether a route has the same service and terms as in the former configuration.
 fn leads_alike(before: &Route, route: &Route) -> bool {
     before.name == route.name && before.backend == route.backend && terms(before) == terms(route)
 }
 
+/// The scheduling terms of a route.
 fn terms(route: &Route) -> Terms {
     Terms {
         priority: route.priority,
--- a/crates/scheduler/src/cluster.rs
+++ b/crates/scheduler/src/cluster.rs
@@ -1,5 +1,5 @@
-//! Jobs, workers and queues together: what happens to a run concerns all of them. Each part changes its own data; here is
-//! put together what one event means for several. Decisions read through [`ClusterView`].
+//! The combined state of jobs, workers and services. A run affects all three: each of them updates its own data, and this
+//! module coordinates updates that concern several of them. Decisions read the state through [`ClusterView`].
 
 mod checkpoints;
 mod instances;
@@ -22,7 +22,7 @@
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::JobId;
 
-/// The state of all jobs, workers and services.
+/// The state of all jobs, workers and services, and the outputs that have not been sent yet.
 #[derive(Debug)]
 pub(crate) struct Cluster {
     /// Limits from the settings.
@@ -33,13 +33,13 @@
     workers: Workers,
     /// Queues, kinds and reservations by service.
     services: Services,
-    /// Changed rows, orders, and what waits for a commit.
+    /// Changed rows, orders, and outputs that wait for a commit.
     outbox: Outbox,
 }
 
 impl Cluster {
-    /// A cluster without jobs and workers. `now_ms` is a reading of the steady clock, `wall_ms` the time of day since
-    /// 1970.
+    /// Creates a cluster without jobs and workers. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in
+    /// milliseconds.
     pub(crate) fn new(bounds: Bounds, now_ms: u64, wall_ms: u64) -> Self {
         Cluster {
             bounds,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What decisions are based on.
+    /// A read-only view on which decisions are based.
     pub(crate) fn view(&self) -> ClusterView<'_> {
         ClusterView {
             now_ms: self.clock.now_ms(),
@@ -62,17 +62,17 @@
         }
     }
 
-    /// The time of the present event.
+    /// The time of the current event.
     pub(crate) fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Both clocks read when an event comes.
+    /// Advances the time to that of a new event; both clocks are read at the same moment.
     pub(crate) fn advance_clock(&mut self, now_ms: u64, wall_ms: u64) {
         self.clock.advance(now_ms, wall_ms);
     }
 
-    /// All jobs. They change through the methods of the cluster alone.
+    /// All jobs. They are changed only through methods of the cluster, which process the resulting events.
     pub(crate) fn jobs(&self) -> &Jobs {
         &self.jobs
     }
@@ -82,62 +82,62 @@
         &self.workers
     }
 
-    /// All worker instances and connections of node agents.
+    /// All worker instances and connections of node agents, for changes.
     pub(crate) fn workers_mut(&mut self) -> &mut Workers {
         &mut self.workers
     }
 
-    /// All services.
+    /// All services, with their queues and kinds of workers.
     pub(crate) fn services(&self) -> &Services {
         &self.services
     }
 
-    /// All services.
+    /// All services, for changes.
     pub(crate) fn services_mut(&mut self) -> &mut Services {
         &mut self.services
     }
 
-    /// Changed rows, orders, and what waits for a commit.
+    /// Changed rows, orders, and outputs that wait for a commit.
     pub(crate) fn outbox(&self) -> &Outbox {
         &self.outbox
     }
 
-    /// Changed rows, orders, and what waits for a commit.
+    /// Changed rows, orders, and outputs that wait for a commit, for changes.
     pub(crate) fn outbox_mut(&mut self) -> &mut Outbox {
         &mut self.outbox
     }
 
-    /// Takes the late ends since the last call.
+    /// Returns the jobs and repetitions that ended late or failed since the last call.
     pub(crate) fn take_late(&mut self) -> Vec<LateEnd> {
         self.jobs.take_late()
     }
 
-    /// Accepts a job; returns the write that has it.
+    /// Accepts a job; returns the write that contains it.
     pub(crate) fn accept_job(&mut self, id: JobId, job: Job) -> WriteId {
         self.jobs.accept(id, job, &self.clock);
         self.open_due_repeats();
         self.outbox.present_write()
     }
 
-    /// Cancels an open job.
+    /// Cancels an open job; its runs are stopped once that is committed.
     pub(crate) fn cancel_job(&mut self, id: JobId) {
         self.jobs.end(id, JobState::Cancelled, &self.clock);
         self.take_up_job_events();
     }
 
-    /// The job's tasks run at this service and on these terms from now on.
+    /// Moves the job, and its queued steps, to this service and these terms.
     pub(crate) fn reroute_job(&mut self, id: JobId, service: &str, terms: Terms) {
         self.jobs.reroute(id, service, terms, &self.clock);
         self.take_up_job_events();
     }
 
-    /// Opens all repetitions that are due.
+    /// Opens all repetitions that are due at the current time.
     pub(crate) fn open_due_repeats(&mut self) {
         self.jobs.open_due_repeats(&self.clock);
         self.take_up_job_events();
     }
 
-    /// Forgets jobs that ended long ago.
+    /// Removes ended jobs whose retention time is over.
     pub(crate) fn forget_ended_jobs(&mut self) {
         self.jobs.forget_ended(&self.clock);
         self.take_up_job_events();
@@ -149,7 +149,8 @@
         self.take_up_job_events();
     }
 
-    /// Takes over a job as a predecessor has written it. Its outstanding runs occupy capacity of their workers.
+    /// Restores a job from the rows that a previous head has written. Its outstanding runs occupy capacity of their
+    /// workers.
     pub(crate) fn restore_job(&mut self, id: JobId, rows: JobRows) {
         let now_ms = self.clock.now_ms();
         let clock = &self.clock;
@@ -170,33 +171,34 @@
         self.take_up_job_events();
     }
 
-    /// A pass over the queue of a service begins.
+    /// Begins a pass over the queue of a service.
     pub(crate) fn begin_pass(&mut self, service: &str) {
         if let Some(state) = self.services.get_mut(service) {
             state.begin_pass(&self.workers, service);
         }
     }
 
-    /// Solves problem (1) anew in all services.
+    /// Solves problem (1) of hybrid SQ(d), which gives the probabilities of the kinds of workers, for all services.
     pub(crate) fn resolve_kinds(&mut self) {
         for service in self.services.iter_mut() {
             service.kinds_mut().resolve(&self.workers);
         }
     }
 
-    /// A step was looked at and still waits.
+    /// Records that a pass over the queue considered the step, and why its tasks still wait.
     pub(crate) fn record_wait(&mut self, at: StepRef, cause: Cause) {
         self.jobs.record_wait(at, cause, self.clock.now_ms());
     }
 
-    /// Workers of the service have come, ended or changed.
+    /// Requests that the workers of a service be grouped into kinds again, as some were added, ended or changed. An empty
+    /// name, of a worker that has not reported its service, is ignored.
     pub(crate) fn regroup(&mut self, backend: &str) {
         if !backend.is_empty() {
             self.services.entry(backend).request_regroup();
         }
     }
 
-    /// Takes up what follows for queues, rows and runs from changes of jobs; more may follow from that.
+    /// Processes the events emitted by changes of jobs, and those emitted in turn, until none is left.
     fn take_up_job_events(&mut self) {
         while let Some(event) = self.jobs.poll_event() {
             self.handle_job_event(event);
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Lets something wait for the write that the present event's changes go into.
+    /// Defers an action until the write with the current event's changes is committed.
     fn defer(&mut self, what: Deferred) {
         self.outbox.defer(self.outbox.present_write(), what);
     }
--- a/crates/scheduler/src/cluster/checkpoints.rs
+++ b/crates/scheduler/src/cluster/checkpoints.rs
@@ -1,5 +1,5 @@
-//! Reported checkpoints of runs are written from time to time: if the head is lost together with a worker's machine, its
-//! successor knows them from the row alone.
+//! Periodic writes of reported checkpoints. If the head and a worker's machine fail together, the stored row is the only
+//! source from which the new head learns the checkpoints of that worker's runs.
 
 use crate::cluster::Cluster;
 use crate::jobs::Task;
@@ -7,15 +7,16 @@
 use crate::worker::WorkerId;
 use indigofold_protocol::task::{JobId, TaskName};
 
-/// Checkpoints of runs that are expected to be shorter are not written.
+/// Checkpoints of runs with a shorter expected run time than this are not written.
 const RUN_MIN_MS: f64 = 2_000.0;
-/// A job is written for its checkpoints at most once in this time.
+/// A write is made for the checkpoints of a job alone only if the job's rows were last written at least this long ago.
 const WRITE_MS: u64 = 2_000;
-/// Jobs last written this long ago join a write that is made anyway.
+/// Jobs with unwritten checkpoints whose rows were last written this long ago are included in any write that is made.
 const JOIN_MS: u64 = 1_000;
 
 impl Cluster {
-    /// Writes checkpoints that are due. Nothing waits for this write, so the jobs' last writes stay what they are.
+    /// Requests the writes of checkpoints that are due. No reply or order depends on them, so the jobs' last writes are
+    /// not updated.
     pub(crate) fn write_checkpoints(&mut self) {
         let now_ms = self.clock.now_ms();
         let overdue = self.jobs.unwritten_checkpoints(WRITE_MS, now_ms).next();
@@ -28,7 +29,7 @@
         }
     }
 
-    /// A report has brought a new checkpoint of a run.
+    /// Marks the job for a write if a reported checkpoint belongs to a long enough run of an unfinished task.
     pub(super) fn checkpoint_changed(&mut self, worker: WorkerId, task: &TaskName) {
         let Some(job) = self.jobs.get(&task.job).filter(|job| !job.has_ended()) else {
             return;
--- a/crates/scheduler/src/cluster/instances.rs
+++ b/crates/scheduler/src/cluster/instances.rs
@@ -1,4 +1,4 @@
-//! Worker instances come to be known, end, or expire, and their runs with them.
+//! Worker instances: registration, end and expiry, with the effects on their runs.
 
 use crate::cluster::Cluster;
 use crate::run_result::RunResult;
@@ -7,7 +7,8 @@
 use indigofold_protocol::task::RunId;
 
 impl Cluster {
-    /// Applies what a report says about an instance; its leases may be valid from now on.
+    /// Applies a report of an instance. The answer to it lets the node agent extend the instance's run leases, so their
+    /// expiry is counted from now.
     pub(crate) fn apply_instance_report(&mut self, id: WorkerId, report: &InstanceReport) {
         let now_ms = self.clock.now_ms();
         let Some(worker) = self.workers.get_mut(id) else {
@@ -22,7 +23,7 @@
         }
     }
 
-    /// An instance is known to be on this machine: that is written, once.
+    /// Records on which machine an instance is; a row is written if it is new or differs.
     pub(crate) fn record_instance(&mut self, id: WorkerId, node_name: &str) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Takes over the row of an instance: on this machine it was reported.
+    /// Restores an instance from its row, which names the machine on which it was reported.
     pub(crate) fn restore_instance(&mut self, instance: &str, node_name: String) {
         let now_ms = self.clock.now_ms();
         let id = self.workers.get_or_register(instance, now_ms);
@@ -44,7 +45,7 @@
         self.workers.set_node(id, node_name);
     }
 
-    /// An instance has ended: nothing of it runs.
+    /// Handles the end of an instance: its runs are lost, and the instance is removed.
     pub(crate) fn instance_ended(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -57,7 +58,8 @@
         self.regroup(&backend);
     }
 
-    /// The runs of instances are lost whose leases have expired without a report.
+    /// Expires instances that sent no report until all their leases had expired: their runs are lost. Removes instances
+    /// that expired long ago.
     pub(crate) fn give_up_expired(&mut self) {
         let now_ms = self.clock.now_ms();
         for id in self.workers.newly_expired(now_ms) {
@@ -75,7 +77,7 @@
         let backend = worker.backend().to_owned();
         for run in self.runs_of(id, worker) {
             if self.jobs.run(&run).is_none() {
-                // Stopped before its order had left, as another member of its gang was lost.
+                // Ended in this loop: the loss of another gang member stopped it before its start order was sent.
                 continue;
             }
             if let Some(worker) = self.workers.get_mut(id) {
@@ -89,7 +91,7 @@
         self.regroup(&backend);
     }
 
-    /// Outstanding runs of a worker.
+    /// All outstanding runs of a worker.
     fn runs_of(&self, id: WorkerId, worker: &Worker) -> Vec<RunId> {
         let runs = worker.runs().iter().filter_map(|task| {
             let attempt = self.view().run_at(id, task)?.attempt();
@@ -101,7 +103,7 @@
         runs.collect()
     }
 
-    /// An instance has ended: its row is deleted.
+    /// Removes an instance and deletes its row.
     fn forget_instance(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get(id)
             && worker.is_recorded()
--- a/crates/scheduler/src/cluster/learning.rs
+++ b/crates/scheduler/src/cluster/learning.rs
@@ -1,15 +1,16 @@
-//! What ended runs teach: speeds of kinds, run times of classes, health of workers.
+//! Updates of statistics when runs end: speeds of kinds, run times of classes, health of workers.
 
 use crate::cluster::Cluster;
 use crate::jobs::RunEnded;
 use crate::run_result::RunResult;
 use indigofold_protocol::worker::RunEnd;
 
-/// Time from placement to report that orders and reports take, in milliseconds.
+/// Overhead of orders and reports in the time from placement to the report of the end, in milliseconds.
 const ORDER_MS: f64 = 250.0;
 
 impl Cluster {
-    /// A run has ended. Only `done` gives a sample of speed, and only if the run did all of the work.
+    /// Updates the statistics after the end of a run. Only a run that ended `done` and did all of the work gives a sample
+    /// of the run time.
     pub(super) fn learn_from(&mut self, ended: &RunEnded) {
         match ended.result {
             RunResult::Ended(RunEnd::Done) if !ended.traits.long_running => {
@@ -20,7 +21,8 @@
         }
     }
 
-    /// Learns the speed of the kind and the run time of the class; the worker is healthier.
+    /// Records a sample of the kind's speed and the class's run time, unless the run was resumed, and a success for the
+    /// worker's health.
     fn learn_from_success(&mut self, ended: &RunEnded) {
         let RunEnded { run, traits, .. } = ended;
         let now_ms = self.clock.now_ms();
@@ -37,7 +39,8 @@
         }
     }
 
-    /// The worker is less healthy, unless the job fails elsewhere too.
+    /// Records a failure for the worker's health. The failure is doubtful, as the job may be at fault, if the job has failed
+    /// on other workers too or the task is long-running.
     fn learn_from_failure(&mut self, ended: &RunEnded) {
         let is_doubtful = ended.failed_elsewhere || ended.traits.long_running;
         if let Some(worker) = self.workers.get_mut(ended.run.worker()) {
--- a/crates/scheduler/src/cluster/queue_order.rs
+++ b/crates/scheduler/src/cluster/queue_order.rs
@@ -1,13 +1,13 @@
-//! Keeps the positions of waiting steps in the queues up to date.
+//! Updates of the queue positions of waiting steps, which change as time passes.
 
 use crate::cluster::Cluster;
 use crate::queue::QueueKey;
 
-/// Most steps of one queue that are repositioned at a time.
+/// Most steps at the head of each queue that are repositioned in one call.
 const REPOSITIONED_MAX: usize = 2_000;
 
 impl Cluster {
-    /// Repositions the steps of all queues by their present keys.
+    /// Recomputes the keys of the first steps of all queues and moves the steps accordingly.
     pub(crate) fn reorder_queues(&mut self) {
         let now_ms = self.clock.now_ms();
         for service in self.services.iter_mut() {
--- a/crates/scheduler/src/cluster/runs.rs
+++ b/crates/scheduler/src/cluster/runs.rs
@@ -1,4 +1,4 @@
-//! A run from its placement to its end, for its job, its worker and its service.
+//! The lifecycle of a run, from placement to end, across its job, worker and service.
 
 use crate::cluster::Cluster;
 use crate::jobs::{Placement, Run, StopOrder};
@@ -10,7 +10,7 @@
 use indigofold_protocol::task::{RunId, TaskName};
 
 impl Cluster {
-    /// Places a run of a waiting task, or a speculative run; its order leaves once this is committed.
+    /// Places a run of a waiting task, or a speculative run; its start order is sent once the placement is committed.
     pub(crate) fn place_run(&mut self, task: TaskName, attempt: u32, placement: Placement) {
         let now_ms = self.clock.now_ms();
         let Some(resources) = self
@@ -27,14 +27,14 @@
         self.defer(Deferred::Start(RunId { task, attempt }));
     }
 
-    /// All members of a gang that is about to start resume from its newest checkpoint; returns the number of the run
-    /// that they get.
+    /// Prepares a gang for its start: all members will resume from its newest checkpoint. Returns the attempt number that
+    /// they share.
     pub(crate) fn prepare_gang(&mut self, at: StepRef) -> Option<u32> {
         self.jobs.prepare_gang(at)
     }
 
-    /// The run's placement is committed: its order leaves, unless it is not wanted any more or its worker cannot be
-    /// reached; then it never started.
+    /// Sends the start order of a run whose placement is committed. If the run was stopped, its job has ended or its worker
+    /// cannot be reached, the run ends as not started instead.
     pub(crate) fn send_start(&mut self, run: RunId) {
         let Some(present) = self.jobs.run(&run).filter(|present| !present.is_sent()) else {
             return;
@@ -50,14 +50,14 @@
         self.order_start(run);
     }
 
-    /// Sends (again) the order of a run whose placement is committed.
+    /// Sends the start order of a run, for the first time or again. The placement must be committed.
     pub(crate) fn order_start(&mut self, run: RunId) {
         if let Some((worker, order)) = self.jobs.start_order(run) {
             self.outbox.orders_for(worker).start.push(order);
         }
     }
 
-    /// Stops a run at once, and with a gang's member all others. A run whose order has not left ends with that.
+    /// Stops a run immediately; for a member of a gang, all runs of the gang.
     pub(crate) fn stop_run(&mut self, run: RunId) {
         let at = StepRef::of(&run.task);
         let gang = self.jobs.step(at).is_some_and(|step| step.gang);
@@ -71,7 +71,8 @@
         (0..members).for_each(|index| self.stop_task(at.task(index)));
     }
 
-    /// Stops one run at once; if its order has not left, it ends with that.
+    /// Stops one run immediately, without the other members of its gang. A run whose start order has not been sent ends as
+    /// not started.
     pub(crate) fn stop_one(&mut self, order: RunId) {
         let Some(run) = self.jobs.run(&order) else {
             return;
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Sends a stop order, if the worker can be reached; otherwise its next report brings it up again.
+    /// Sends a stop order if the worker can be reached; otherwise the stop is recorded as not sent, and the order is sent
+    /// when the worker reports again.
     pub(crate) fn send_stop(&mut self, order: RunId) {
         let Some(worker) = self.jobs.run(&order).map(Run::worker) else {
             return;
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Sends the stop of a run whose job has ended, if that end is committed; otherwise the stop waits for it already.
+    /// Sends the stop order of a run whose job has ended, if that end is committed; otherwise a stop is already deferred
+    /// until the commit.
     pub(crate) fn send_stop_if_committed(&mut self, order: RunId) {
         let job = self.jobs.get(&order.task.job);
         if job.is_some_and(|job| self.outbox.is_committed(job.last_write())) {
@@ -106,13 +109,15 @@
         }
     }
 
-    /// A report of this worker lists a start as in flight; `false` if the run is not outstanding there.
+    /// Records that a report of this worker lists the run's start order as in flight; returns `false` if the run is not
+    /// outstanding there.
     pub(crate) fn record_in_flight(&mut self, worker: WorkerId, run: &RunId) -> bool {
         let now_ms = self.clock.now_ms();
         self.jobs.record_in_flight(run, worker, now_ms)
     }
 
-    /// A report of this worker lists a run as running; `false` if the run is not outstanding there.
+    /// Records that a report of this worker lists the run as running, with its progress and checkpoint; returns `false` if
+    /// the run is not outstanding there.
     pub(crate) fn record_listed(&mut self, worker: WorkerId, listed: &RunningRun) -> bool {
         let (run, now_ms) = (&listed.run, self.clock.now_ms());
         if !self.jobs.record_listed(run, worker, listed.percent, now_ms) {
@@ -124,12 +129,13 @@
         true
     }
 
-    /// The task goes to another worker than this one, if there is one.
+    /// Makes the next run of the task avoid this worker, if another one is available.
     pub(crate) fn avoid_worker(&mut self, task: &TaskName, worker: WorkerId) {
         self.jobs.avoid(task, worker);
     }
 
-    /// A run has ended; `checkpoint` is its last one, or empty.
+    /// Ends a run: frees its capacity, updates the statistics and its job; `checkpoint` is its last one, or empty. No
+    /// effect if the run is not outstanding.
     pub(crate) fn end_run(&mut self, run: RunId, result: RunResult, checkpoint: &str) {
         let ended = self.jobs.end_run(run, result, checkpoint, &self.clock);
         let Some(ended) = ended else {
@@ -143,19 +149,20 @@
         self.take_up_job_events();
     }
 
-    /// A `done` of a run that counted as lost: it counts while the task is not done.
+    /// Handles a `done` of a run that was treated as lost: it completes the task unless the task is already done.
     pub(crate) fn handle_late_done(&mut self, task: TaskName) {
         self.jobs.handle_late_done(task, &self.clock);
         self.take_up_job_events();
     }
 
-    /// Stops all runs of a task at once.
+    /// Stops all runs of a task immediately.
     pub(super) fn stop_task(&mut self, task: TaskName) {
         let attempts = self.jobs.attempts(&task).into_iter();
         attempts.for_each(|attempt| self.stop_one(RunId { task, attempt }));
     }
 
-    /// Stops a run of a job that has ended, once that end is committed.
+    /// Stops a run of an ended job once the end of the job is committed. A run whose start order has not been sent ends at
+    /// once, as not started.
     pub(super) fn stop_once_committed(&mut self, order: RunId) {
         let Some(run) = self.jobs.run(&order) else {
             return;
--- a/crates/scheduler/src/cluster/writes.rs
+++ b/crates/scheduler/src/cluster/writes.rs
@@ -1,4 +1,4 @@
-//! Collects the rows that the present event has changed, as one write.
+//! Collects all rows that the current event has changed into one write.
 
 use crate::api::{Effect, RowChange};
 use crate::cluster::Cluster;
@@ -7,7 +7,7 @@
 use crate::rows::{self, RowKey};
 
 impl Cluster {
-    /// All rows that the present event has changed, in one write; `None` if it has changed none.
+    /// Returns the write with all rows that the current event has changed; `None` if it has changed none.
     pub(crate) fn take_write(&mut self) -> Option<Effect> {
         if !self.outbox.has_changes() {
             return None;
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -1,6 +1,6 @@
-//! All open jobs, and ended ones that are still shown: how far each has come. This is the one place where the end of a
-//! run makes a step ready or ends a job. It knows no worker and no queue: what follows for them, for the stored rows and
-//! for runs that are to be stopped is told by [`JobEvent`]s, which the cluster's state takes up.
+//! The table of all open jobs, and of ended jobs whose state clients may still query, with the progress of each. Only
+//! this module makes a step ready or ends a job when a run ends. It does not access workers or queues: it emits
+//! [`JobEvent`]s for changes to queues and stored rows and for runs to stop, and the `cluster` module processes them.
 
 mod admission_load;
 mod due_jobs;
@@ -33,28 +33,28 @@
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Open jobs, and ended ones that are still shown.
+/// Open jobs, and ended jobs whose state clients may still query.
 #[derive(Debug)]
 pub(crate) struct Jobs {
     by_id: FxHashMap<JobId, Job>,
-    /// Numbers of open jobs and tasks.
+    /// Numbers of open jobs and tasks, for admission control.
     load: AdmissionLoad,
-    /// Repetitions that are to come, and ended jobs that are to be forgotten.
+    /// When the next repetition of each job is due, and when ended jobs are removed.
     due: DueJobs,
     /// Mean work of the jobs of each route.
     queue_values: QueueValues,
-    /// Jobs with checkpoints that their rows do not have yet.
+    /// Jobs with checkpoints that are not in their stored rows yet.
     unwritten_checkpoints: BTreeSet<JobId>,
-    /// Late ends since they were last taken.
+    /// Jobs and repetitions that ended late or failed since the last [`take_late`](Self::take_late).
     late: Vec<LateEnd>,
-    /// What follows for others, in the order in which it came up.
+    /// Events that the cluster has not processed yet, oldest first.
     events: VecDeque<JobEvent>,
-    /// How long the end of a job is shown.
+    /// How long the state of an ended job is kept, in milliseconds.
     shown_ms: u64,
 }
 
 impl Jobs {
-    /// No jobs yet. The state of an ended job is shown for `status_s` seconds, and a margin.
+    /// Creates an empty table. The state of an ended job is kept for `status_s` seconds and a margin.
     pub(crate) fn new(status_s: u64) -> Self {
         Jobs {
             by_id: FxHashMap::default(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A job.
+    /// A job by its id; `None` if it is unknown or was removed after its end.
     pub(crate) fn get(&self, id: &JobId) -> Option<&Job> {
         self.by_id.get(id)
     }
@@ -78,22 +78,22 @@
         self.by_id.iter()
     }
 
-    /// The description of a step.
+    /// The description of a step as the client submitted it.
     pub(crate) fn step(&self, at: StepRef) -> Option<&Step> {
         self.get(&at.job)?.step(at.step)
     }
 
-    /// How far a step has come.
+    /// The progress of a step; `None` unless its repetition is open.
     pub(crate) fn step_state(&self, at: StepRef) -> Option<&StepState> {
         self.get(&at.job)?.step_state(at)
     }
 
-    /// What of a step matters for its runs.
+    /// The properties of a step that matter for placing and evaluating its runs.
     pub(crate) fn traits(&self, at: StepRef) -> Option<StepTraits> {
         self.get(&at.job)?.traits(at.step)
     }
 
-    /// Whether no further job is accepted at present.
+    /// Whether new jobs are rejected because the limits on open jobs and tasks are reached.
     pub(crate) fn is_full(&self) -> bool {
         self.load.is_full(self.by_id.len())
     }
@@ -103,34 +103,34 @@
         self.load.has_open_jobs()
     }
 
-    /// Number of jobs of a route of which nothing has been started.
+    /// Number of open jobs of a route of which no run has been placed.
     pub(crate) fn pending(&self, route: &str) -> u64 {
         self.load.pending(route)
     }
 
-    /// When the next repetition is due, in milliseconds since 1970.
+    /// When the next repetition of any job is due, as Unix time in milliseconds.
     pub(crate) fn next_repetition_wall_ms(&self) -> Option<u64> {
         self.due.next_repetition_wall_ms()
     }
 
-    /// The next thing that follows for others from what has happened; `None` once all of it is taken up.
+    /// Removes and returns the oldest unprocessed event; `None` once all are processed.
     pub(crate) fn poll_event(&mut self) -> Option<JobEvent> {
         self.events.pop_front()
     }
 
-    /// Takes the late ends since the last call.
+    /// Returns the jobs and repetitions that ended late or failed since the last call.
     pub(crate) fn take_late(&mut self) -> Vec<LateEnd> {
         std::mem::take(&mut self.late)
     }
 
-    /// The job's progress goes into this write, which is made now.
+    /// Records that this write, which is being assembled, contains the job's progress.
     pub(crate) fn record_write(&mut self, id: JobId, write: WriteId) {
         if let Some(job) = self.by_id.get_mut(&id) {
             job.set_last_write(write);
         }
     }
 
-    /// The job's row is written now, checkpoints included.
+    /// Records that the job's rows, including its checkpoints, are being written now.
     pub(crate) fn record_row(&mut self, id: JobId, now_ms: u64) {
         self.unwritten_checkpoints.remove(&id);
         if let Some(job) = self.by_id.get_mut(&id) {
@@ -138,12 +138,12 @@
         }
     }
 
-    /// A report has brought a checkpoint that is to be written, as its run takes long.
+    /// Marks a job with a newly reported checkpoint that has to be written, since the run is expected to be long.
     pub(crate) fn add_unwritten_checkpoint(&mut self, id: JobId) {
         self.unwritten_checkpoints.insert(id);
     }
 
-    /// Jobs whose checkpoints were written last `since_ms` ago or longer, and are not written yet.
+    /// Jobs with unwritten checkpoints whose rows were last written at least `since_ms` ago.
     pub(crate) fn unwritten_checkpoints(
         &self,
         since_ms: u64,
--- a/crates/scheduler/src/jobs/admission_load.rs
+++ b/crates/scheduler/src/jobs/admission_load.rs
@@ -1,27 +1,27 @@
-//! How many jobs and tasks are open: beyond the limits further jobs are rejected.
+//! Counts of open jobs and tasks for admission control: new jobs are rejected once a limit is reached.
 
 use rustc_hash::FxHashMap;
 
-/// With so many tasks open no further job is accepted.
+/// New jobs are rejected while at least this many tasks are open.
 const OPEN_TASKS_MAX: u64 = 20_000;
-/// With so many jobs open no further job is accepted, whatever the number of their tasks.
+/// New jobs are rejected while at least this many jobs are open, however few tasks they have.
 const OPEN_JOBS_MAX: u64 = 8_000;
-/// With so many jobs in the table, ended ones included, no further job is accepted.
+/// New jobs are rejected while the table holds at least this many jobs, including ended ones.
 const JOBS_MAX: usize = 30_000;
 
-/// Numbers of open jobs and tasks.
+/// Counts of open jobs and tasks, and of pending jobs by route.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionLoad {
     /// Jobs that have not ended.
     open_jobs: u64,
     /// Tasks of open jobs that are not done.
     open_tasks: u64,
-    /// Jobs of each route of which nothing has been started.
+    /// Number of open jobs of each route of which no run has been placed.
     pending: FxHashMap<String, u64>,
 }
 
 impl AdmissionLoad {
-    /// Whether no further job is accepted while `jobs` are in the table.
+    /// Whether new jobs are rejected while the table holds `jobs` jobs.
     pub(crate) fn is_full(&self, jobs: usize) -> bool {
         self.open_tasks >= OPEN_TASKS_MAX || self.open_jobs >= OPEN_JOBS_MAX || jobs >= JOBS_MAX
     }
@@ -31,40 +31,40 @@
         self.open_jobs > 0
     }
 
-    /// Number of jobs of a route of which nothing has been started.
+    /// Number of open jobs of a route of which no run has been placed.
     pub(crate) fn pending(&self, route: &str) -> u64 {
         self.pending.get(route).copied().unwrap_or(0)
     }
 
-    /// A job is open from now on.
+    /// Counts a job that becomes open.
     pub(crate) fn job_opened(&mut self) {
         self.open_jobs += 1;
     }
 
-    /// An open job has ended; `open_tasks` of its tasks are not done.
+    /// Removes an ended job and its `open_tasks` unfinished tasks from the counts.
     pub(crate) fn job_ended(&mut self, open_tasks: u64) {
         self.open_jobs = self.open_jobs.saturating_sub(1);
         self.tasks_closed(open_tasks);
     }
 
-    /// A job of this route waits for its first start.
+    /// Counts a job of this route that waits for its first run.
     pub(crate) fn job_pending(&mut self, route: &str) {
         *self.pending.entry(route.to_owned()).or_default() += 1;
     }
 
-    /// A job of this route waits for its first start no longer.
+    /// Removes a job of this route from the pending count: its first run was placed, or it has ended.
     pub(crate) fn job_no_longer_pending(&mut self, route: &str) {
         if let Some(count) = self.pending.get_mut(route) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// So many tasks are open from now on.
+    /// Counts `count` more open tasks.
     pub(crate) fn tasks_opened(&mut self, count: u64) {
         self.open_tasks += count;
     }
 
-    /// So many open tasks are done, or their job has ended.
+    /// Removes `count` tasks that are done, or whose job has ended, from the count.
     pub(crate) fn tasks_closed(&mut self, count: u64) {
         self.open_tasks = self.open_tasks.saturating_sub(count);
     }
--- a/crates/scheduler/src/jobs/admission_load/tests.rs
+++ b/crates/scheduler/src/jobs/admission_load/tests.rs
@@ -1,4 +1,4 @@
-//! Limits on open jobs and tasks.
+//! Tests of the limits on open jobs and tasks.
 
 use super::*;
 
--- a/crates/scheduler/src/jobs/due_jobs.rs
+++ b/crates/scheduler/src/jobs/due_jobs.rs
@@ -1,51 +1,53 @@
-//! What happens to jobs at set times of day: repetitions fall due, ended jobs are forgotten.
+//! Timers of jobs by wall-clock time: when repetitions fall due and when ended jobs are removed.
 
 use indigofold_protocol::task::JobId;
 use std::collections::BTreeSet;
 
-/// A job at a time of day; ordered by time.
+/// A job and the wall-clock time of its timer; ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DueJob {
-    /// When, in milliseconds since 1970.
+    /// When the timer fires, as Unix time in milliseconds.
     pub wall_ms: u64,
-    /// The job.
+    /// The job whose timer it is.
     pub job: JobId,
 }
 
-/// Jobs by the times at which something is due.
+/// Timers of all jobs, in order of time.
 #[derive(Debug, Default)]
 pub(crate) struct DueJobs {
+    /// When the next repetition of each repeating job falls due.
     repetitions: BTreeSet<DueJob>,
+    /// When ended jobs are removed.
     expiries: BTreeSet<DueJob>,
 }
 
 impl DueJobs {
-    /// The job's next repetition is to be opened at this time.
+    /// Schedules the opening of the job's next repetition.
     pub(crate) fn add_repetition(&mut self, due: DueJob) {
         self.repetitions.insert(due);
     }
 
-    /// The job's next repetition is not to be opened any more.
+    /// Cancels the opening of the job's next repetition.
     pub(crate) fn remove_repetition(&mut self, due: DueJob) {
         self.repetitions.remove(&due);
     }
 
-    /// When the next repetition is due, in milliseconds since 1970.
+    /// When the earliest repetition is due, as Unix time in milliseconds.
     pub(crate) fn next_repetition_wall_ms(&self) -> Option<u64> {
         self.repetitions.first().map(|due| due.wall_ms)
     }
 
-    /// Takes the first repetition that is due at this time.
+    /// Removes and returns the earliest repetition if it is due by `wall_ms`.
     pub(crate) fn pop_repetition(&mut self, wall_ms: u64) -> Option<DueJob> {
         pop_due(&mut self.repetitions, wall_ms)
     }
 
-    /// The ended job is to be forgotten at this time.
+    /// Schedules the removal of an ended job.
     pub(crate) fn add_expiry(&mut self, due: DueJob) {
         self.expiries.insert(due);
     }
 
-    /// Takes the first ended job that is to be forgotten at this time.
+    /// Removes and returns the earliest expiry of an ended job if it is due by `wall_ms`.
     pub(crate) fn pop_expiry(&mut self, wall_ms: u64) -> Option<DueJob> {
         pop_due(&mut self.expiries, wall_ms)
     }
--- a/crates/scheduler/src/jobs/due_jobs/tests.rs
+++ b/crates/scheduler/src/jobs/due_jobs/tests.rs
@@ -1,4 +1,4 @@
-//! Due jobs come in order of time, and not before it.
+//! Timers of jobs are popped in order of time, and never early.
 
 use super::*;
 
--- a/crates/scheduler/src/jobs/event.rs
+++ b/crates/scheduler/src/jobs/event.rs
@@ -1,4 +1,4 @@
-//! What the lifecycle of jobs tells others.
+//! Events that the job table emits for the rest of the scheduler.
 
 use crate::jobs::run::Run;
 use crate::queue::QueueKey;
@@ -6,46 +6,46 @@
 use crate::step_traits::StepTraits;
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 
-/// What follows for others from a change of a job.
+/// An action that the cluster has to take after a change of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum JobEvent {
-    /// A job was accepted: its definition is to be written.
+    /// A job was accepted: its definition row has to be written.
     Accepted(JobId),
-    /// The progress of a job is to be written.
+    /// The progress row of a job has to be written.
     ProgressChanged(JobId),
-    /// Nothing of an ended job runs any more: of its rows only its end stays.
+    /// An ended job has no outstanding runs left: its definition row is deleted, and its progress row keeps only its end.
     Closed(JobId),
-    /// An ended job is not shown any more: its rows are to be deleted.
+    /// The retention time of an ended job is over: its remaining row has to be deleted.
     Forgotten(JobId),
-    /// Tasks of a step are to be placed.
+    /// A step with waiting tasks enters the queue.
     StepReady {
-        /// Service that runs them.
+        /// Service that runs the tasks.
         service: String,
         /// Position of the step in the queue.
         key: QueueKey,
     },
-    /// No task of a step is to be placed any more.
+    /// A step leaves the queue, as none of its tasks is waiting or its job has ended or moved to another service.
     StepLeft {
         /// Service in whose queue the step was.
         service: String,
-        /// Its position there.
+        /// Position that the step had in the queue.
         key: QueueKey,
     },
-    /// All runs of a task are to be stopped at once.
+    /// All runs of a task have to be stopped immediately.
     StopTask(TaskName),
-    /// A run of a job that has ended is to be stopped once that end is committed.
+    /// A run of an ended job has to be stopped once the end of the job is committed.
     StopOnceCommitted(RunId),
 }
 
-/// A run has ended: what its worker, its service and their statistics have to know of it.
+/// A run that has ended, with the details that its worker, its service and their statistics need.
 #[derive(Debug)]
 pub(crate) struct RunEnded {
-    /// The run as it was.
+    /// The run in its last state.
     pub run: Run,
-    /// How it came to its end.
+    /// How the run ended.
     pub result: RunResult,
-    /// What of its step matters.
+    /// Properties of the run's step.
     pub traits: StepTraits,
-    /// It failed, as others of the job have on another worker.
+    /// Whether the run failed and other runs of the job have failed on a different worker.
     pub failed_elsewhere: bool,
 }
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -1,4 +1,5 @@
-//! A job and how far it has come. Children: what its steps may still earn, and a job out of its rows.
+//! A job and its progress. Submodules: `prospects` (queue positions of its steps), `restored` (a job read from stored
+//! rows).
 
 mod prospects;
 mod restored;
@@ -17,55 +18,55 @@
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 use std::collections::BTreeMap;
 
-/// Repetitions with so many tasks in all may be open at a time, or one.
+/// Most tasks in the open repetitions of one job; one repetition may always be open, however many tasks it has.
 const OPEN_TASKS_MAX: usize = 10_000;
-/// Most workers remembered on which a job has failed.
+/// Most workers remembered as having failed tasks of one job.
 const FAILED_ON_MAX: usize = 4;
 
-/// A job.
+/// A job, from its acceptance until its state is removed after its end.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// What the client submitted, and where.
+    /// The job as it was accepted: its spec, route, and the service and terms at that time.
     definition: Definition,
-    /// Service that runs its tasks from now on.
+    /// Service that runs the job's tasks under the current configuration.
     service: String,
-    /// Terms in force.
+    /// Terms of the job's route under the current configuration.
     terms: Terms,
     /// Longest chain of estimated work from each step to the end of the job, in milliseconds.
     chain_ms: Vec<u64>,
-    /// Run time to be expected of each step's tasks, in milliseconds.
+    /// Expected run time of a task of each step, in milliseconds.
     run_ms: Vec<u64>,
-    /// What it earns if it meets its latency target, in relation to the mean of its queue.
+    /// Value of completing the job within its latency target, relative to the mean job of its route.
     value: f64,
     /// Repetitions that are due and have not ended.
     repeats: BTreeMap<u32, Repetition>,
-    /// The first repetition that is not due yet; those below that are not in `repeats` have ended.
+    /// Number of the first repetition that has not been opened; lower ones that are not in `repeats` have ended.
     next_repeat: u32,
-    /// How it ended.
+    /// How and when the job ended; `None` while it is open.
     end: Option<JobEnd>,
-    /// Something of it has been started.
+    /// Whether a run of the job has ever been placed.
     started: bool,
-    /// Number of its runs that have not ended.
+    /// Number of the job's runs that have not ended.
     outstanding: u32,
-    /// Workers on which tasks of it have failed.
+    /// Workers on which tasks of the job have failed, at most [`FAILED_ON_MAX`].
     failed_on: Vec<WorkerId>,
-    /// The newest write that has something of it.
+    /// The newest write that contains a change of the job.
     last_write: WriteId,
-    /// When its progress was written last.
+    /// When the job's rows were last written, on the steady clock.
     written_ms: u64,
 }
 
-/// A run that has not ended, and where it is.
+/// A run that has not ended, and its worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutstandingRun {
-    /// The run.
+    /// The run's id.
     pub run: RunId,
-    /// Its worker.
+    /// The worker on which it is placed.
     pub worker: WorkerId,
 }
 
 impl Job {
-    /// A job that has just been accepted.
+    /// Creates a newly accepted job, with the client's estimates as its expected run times.
     pub(crate) fn new(definition: Definition) -> Self {
         Job {
             service: definition.service.clone(),
@@ -90,27 +91,27 @@
         }
     }
 
-    /// What the client submitted, and where.
+    /// The job as it was accepted.
     pub(crate) fn definition(&self) -> &Definition {
         &self.definition
     }
 
-    /// Name of its queue's route.
+    /// Name of the route by which the job was submitted.
     pub(crate) fn route(&self) -> &str {
         &self.definition.route
     }
 
-    /// Service that runs its tasks from now on.
+    /// Service that runs the job's tasks under the current configuration.
     pub(crate) fn service(&self) -> &str {
         &self.service
     }
 
-    /// Terms in force.
+    /// Terms of the job's route under the current configuration.
     pub(crate) fn terms(&self) -> &Terms {
         &self.terms
     }
 
-    /// Descriptions of its steps.
+    /// Descriptions of the job's steps; empty once [`discard_progress`](Self::discard_progress) was called.
     pub(crate) fn steps(&self) -> &[Step] {
         &self.definition.spec.stages
     }
@@ -127,69 +128,70 @@
         self.repeats.get(&number)
     }
 
-    /// The first repetition that is not due yet.
+    /// Number of the first repetition that has not been opened.
     pub(crate) fn next_repeat(&self) -> u32 {
         self.next_repeat
     }
 
-    /// Whether its next repetition may be opened once it is due: it has one, and not too many are open.
+    /// Whether the next repetition may be opened once it is due: the job is open, has repetitions left, and few enough
+    /// are open.
     pub(crate) fn may_open_repeat(&self) -> bool {
         let (open, left) = (self.repeats.len(), self.next_repeat < self.repeat_total());
         self.end.is_none() && left && open < self.repeats_open_max()
     }
 
-    /// How it ended; `None` while it is open.
+    /// How and when the job ended; `None` while it is open.
     pub(crate) fn end(&self) -> Option<JobEnd> {
         self.end
     }
 
-    /// Whether it has ended.
+    /// Whether the job has completed, failed or been cancelled.
     pub(crate) fn has_ended(&self) -> bool {
         self.end.is_some()
     }
 
-    /// Whether something of it has been started.
+    /// Whether a run of the job has ever been placed.
     pub(crate) fn is_started(&self) -> bool {
         self.started
     }
 
-    /// Whether runs of it have not ended.
+    /// Whether any run of the job has not ended.
     pub(crate) fn has_outstanding_runs(&self) -> bool {
         self.outstanding > 0
     }
 
-    /// The newest write that has something of it.
+    /// The newest write that contains a change of the job.
     pub(crate) fn last_write(&self) -> WriteId {
         self.last_write
     }
 
-    /// When its progress was written last.
+    /// When the job's rows were last written, on the steady clock.
     pub(crate) fn written_ms(&self) -> u64 {
         self.written_ms
     }
 
-    /// A write has something of it.
+    /// Records the newest write that contains a change of the job.
     pub(crate) fn set_last_write(&mut self, write: WriteId) {
         self.last_write = write;
     }
 
-    /// Its progress is written now.
+    /// Records that the job's rows are being written now.
     pub(crate) fn set_written(&mut self, now_ms: u64) {
         self.written_ms = now_ms;
     }
 
-    /// What it earns if it meets its latency target, in relation to the mean of its queue.
+    /// Sets the value of completing the job within its latency target, relative to the mean job of its route.
     pub(crate) fn set_value(&mut self, value: f64) {
         self.value = value;
     }
 
-    /// Its tasks run at this service and on these terms from now on.
+    /// Moves the job to this service and these terms. Outstanding runs go on where they are.
     pub(crate) fn reroute(&mut self, service: &str, terms: Terms) {
         service.clone_into(&mut self.service);
         self.terms = terms;
     }
 
-    /// Opens its next repetition, which was due at this time of the steady clock; returns its number.
+    /// Opens the next repetition, which was due at `due_ms` of the steady clock; returns its number.
     pub(crate) fn open_repeat(&mut self, due_ms: i64) -> u32 {
         let number = self.next_repeat;
         self.next_repeat += 1;
@@ -197,7 +199,7 @@
         number
     }
 
-    /// Removes a repetition if it has finished; returns whether it did.
+    /// Removes a repetition if all its tasks are done and no run is outstanding; returns whether it was removed.
     pub(crate) fn remove_finished_repeat(&mut self, number: u32) -> bool {
         let finished = self
             .repeats
@@ -209,18 +211,18 @@
         finished
     }
 
-    /// It has ended.
+    /// Records how and when the job ended.
     pub(crate) fn set_end(&mut self, end: JobEnd) {
         self.end = Some(end);
     }
 
-    /// Tasks that are not done, in the repetitions that have been opened.
+    /// Number of tasks that are not done, in all open repetitions.
     pub(crate) fn open_tasks(&self) -> u64 {
         let steps = self.repeats.values().flat_map(Repetition::steps);
         steps.map(|step| step.open_tasks() as u64).sum()
     }
 
-    /// Its steps that are in the queue.
+    /// Steps of the job that are in the queue of its service; `id` is the job's id.
     pub(crate) fn queued_steps(&self, id: JobId) -> Vec<StepRef> {
         let steps = self.repeats.iter().flat_map(|(&repeat, state)| {
             let steps = state.steps().iter().zip(0u32..);
@@ -234,7 +236,7 @@
         steps.collect()
     }
 
-    /// What of one of its steps matters for its runs.
+    /// The properties of a step that matter for placing and evaluating its runs.
     pub(crate) fn traits(&self, number: u32) -> Option<StepTraits> {
         let step = self.step(number)?;
         Some(StepTraits {
@@ -247,12 +249,12 @@
         })
     }
 
-    /// How often its steps run.
+    /// Number of repetitions, at least 1.
     pub(crate) fn repeat_total(&self) -> u32 {
         self.definition.spec.repeat_count.max(1)
     }
 
-    /// How many of its repetitions may be open at a time.
+    /// Most repetitions of the job that may be open at a time.
     pub(crate) fn repeats_open_max(&self) -> usize {
         let tasks: usize = self
             .definition
@@ -264,14 +266,14 @@
         (OPEN_TASKS_MAX / tasks.max(1)).max(1)
     }
 
-    /// When repetition `repeat` is due, in milliseconds since 1970; `None` for a job without set times.
+    /// When repetition `repeat` is due, as Unix time in milliseconds; `None` for a job that runs once, when accepted.
     pub(crate) fn due_wall_ms(&self, repeat: u32) -> Option<u64> {
         let spec = &self.definition.spec;
         let after = spec.interval_ms.saturating_mul(u64::from(repeat));
         (spec.repeat_count > 0).then(|| spec.start_at_ms.saturating_add(after))
     }
 
-    /// Class of the tasks of a step.
+    /// Class under which the run times of a step's tasks are learned.
     pub(crate) fn class(&self, step: u32) -> Class {
         Class {
             route: self.definition.route.clone(),
@@ -279,12 +281,12 @@
         }
     }
 
-    /// Description of a step.
+    /// Description of a step, counted from 0.
     pub(crate) fn step(&self, step: u32) -> Option<&Step> {
         self.definition.spec.stages.get(step as usize)
     }
 
-    /// Steps of a repetition for which all steps before them are done.
+    /// Steps of a repetition whose dependencies are all done; this includes steps that are done themselves.
     pub(crate) fn ready_steps(&self, repeat: u32) -> Vec<u32> {
         let Some(state) = self.repeats.get(&repeat) else {
             return Vec::new();
@@ -296,38 +298,38 @@
             .collect()
     }
 
-    /// State of a step.
+    /// State of a step; `None` unless its repetition is open.
     pub(crate) fn step_state(&self, at: StepRef) -> Option<&StepState> {
         self.repeats.get(&at.repeat)?.step(at.step)
     }
 
-    /// State of a step.
+    /// State of a step for changes; `None` unless its repetition is open.
     pub(crate) fn step_state_mut(&mut self, at: StepRef) -> Option<&mut StepState> {
         self.repeats.get_mut(&at.repeat)?.step_mut(at.step)
     }
 
-    /// A task.
+    /// State of a task; `None` unless its repetition is open.
     pub(crate) fn task(&self, name: &TaskName) -> Option<&Task> {
         self.step_state(StepRef::of(name))?.task(name.index)
     }
 
-    /// A task.
+    /// State of a task for changes; `None` unless its repetition is open.
     pub(crate) fn task_mut(&mut self, name: &TaskName) -> Option<&mut Task> {
         self.step_state_mut(StepRef::of(name))?.task_mut(name.index)
     }
 
-    /// A run of it was placed; returns whether that is the first.
+    /// Counts a placed run of the job; returns whether it is the first one ever.
     pub(crate) fn run_placed(&mut self) -> bool {
         self.outstanding += 1;
         !std::mem::replace(&mut self.started, true)
     }
 
-    /// A run of it has ended.
+    /// Removes an ended run from the count of outstanding runs.
     pub(crate) fn run_finished(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// A run of it has failed on this worker; returns whether others have failed on another one.
+    /// Records that a run of the job failed on this worker; returns whether runs have failed on a different worker before.
     pub(crate) fn record_failed_on(&mut self, worker: WorkerId) -> bool {
         let elsewhere = self.failed_on.iter().any(|other| *other != worker);
         if self.failed_on.len() < FAILED_ON_MAX && !self.failed_on.contains(&worker) {
@@ -336,24 +338,24 @@
         elsewhere
     }
 
-    /// It has ended and nothing of it runs: only its end stays.
+    /// Drops the repetitions and the spec of an ended job without outstanding runs; only its end is kept.
     pub(crate) fn discard_progress(&mut self) {
         self.repeats.clear();
         self.definition.spec = JobSpec::default();
     }
 
-    /// All tasks of all repetitions are done.
+    /// Whether all tasks of all repetitions are done.
     pub(crate) fn is_complete(&self) -> bool {
         self.next_repeat == self.repeat_total() && self.repeats.values().all(Repetition::is_done)
     }
 
-    /// A repetition whose steps have not begun.
+    /// Creates a repetition of which no step has begun.
     pub(crate) fn fresh_repeat(&self, due_ms: i64) -> Repetition {
         let fresh = |step: &Step| StepState::fresh(step.count);
         Repetition::new(due_ms, self.steps().iter().map(fresh).collect())
     }
 
-    /// Its runs that are not over, and where they are.
+    /// All runs of the job that have not ended, with their workers; `id` is the job's id.
     pub(crate) fn outstanding_runs(&self, id: JobId) -> Vec<OutstandingRun> {
         let mut outstanding = Vec::new();
         for (&repeat, state) in &self.repeats {
--- a/crates/scheduler/src/jobs/job/prospects.rs
+++ b/crates/scheduler/src/jobs/job/prospects.rs
@@ -1,4 +1,5 @@
-//! What the steps of a job may still earn, and the work that they still need for it: their positions in the queue.
+//! Queue positions of a job's steps, from the value that the job can still earn, the work that it still needs and its
+//! latency target.
 
 use crate::jobs::job::Job;
 use crate::jobs::repetition::Repetition;
@@ -7,20 +8,21 @@
 use crate::value::{cost_class, work_of};
 use indigofold_protocol::job::Step;
 
-/// A job that ends within so many times its latency target still earns something.
+/// A job earns a fraction of its value if it ends within this multiple of its latency target, and nothing after that.
 const LATE_FACTOR: i64 = 3;
-/// Longer latency targets are limited to this.
+/// Longer latency targets count as this one (about 35 years) in queue positions.
 const LATENCY_TARGET_MAX_MS: u64 = 1 << 40;
 
-/// What a step may still earn.
+/// Whether a step can still meet the latency target of its job, and by when it has to start for that.
 struct StepProspect {
     prospect: Prospect,
-    /// When it has to start for the latency target to be met, on the steady clock.
+    /// Latest start for the latency target to be met, on the steady clock.
     latest_start_ms: i64,
 }
 
 impl Job {
-    /// Works its chains out anew with what is known of its queue's run times.
+    /// Recomputes the expected run times and the longest chains of work. `expected_ms` returns the expected run time of a
+    /// task of a step in milliseconds, given the step's number and description.
     pub(crate) fn expect(&mut self, expected_ms: impl Fn(u32, &Step) -> u64) {
         let stages = &self.definition.spec.stages;
         self.run_ms = stages
@@ -31,14 +33,14 @@
         self.chain_ms = chains(stages, expected_ms);
     }
 
-    /// The latency target on the time from its due time to its end, in milliseconds.
+    /// Target for the time from the due time of a repetition to its end, in milliseconds.
     pub(crate) fn latency_target_ms(&self) -> u64 {
         let chain = self.chain_ms.iter().max().copied().unwrap_or(0);
         (self.terms.stretch.max(0.0) * chain as f64) as u64 + self.terms.target_latency_ms
     }
 
-    /// Position of a step in the queue: by priority, then by the work that its job still needs for what it
-    /// earns, then by when it has to start for the latency target of the job to be met.
+    /// Position of a step in the queue. Hopeless steps come last; the others are ordered by priority, then by remaining
+    /// work per value earned, then by their latest start.
     pub(crate) fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
         let long_running = self.step(at.step).is_some_and(|step| step.long_running);
         let StepProspect {
@@ -66,8 +68,8 @@
         }
     }
 
-    /// A long-running step earns as long as it runs: however late it is, it keeps its value, from when it last began
-    /// to wait.
+    /// The prospect of a long-running step: it earns as long as it runs, so it keeps its value however late it starts.
+    /// Its latest start is one latency target after it last began to wait.
     fn long_running_prospect(&self, at: StepRef) -> StepProspect {
         let waiting_since_ms = self.step_state(at).map_or(0, StepState::waiting_since_ms);
         let target_ms = self.terms.target_latency_ms.min(LATENCY_TARGET_MAX_MS);
@@ -77,6 +79,7 @@
         }
     }
 
+    /// The prospect of a step whose tasks end by themselves.
     fn finite_prospect(&self, at: StepRef, now_ms: u64) -> StepProspect {
         let due_ms = self.repeats.get(&at.repeat).map_or(0, Repetition::due_ms);
         let chain = self.chain_ms.get(at.step as usize).copied().unwrap_or(0) as i64;
@@ -98,7 +101,7 @@
         }
     }
 
-    /// All its work, in core-milliseconds.
+    /// Expected work of one repetition of the job, in core-milliseconds.
     pub(crate) fn work(&self) -> f64 {
         let steps = self.definition.spec.stages.iter().zip(&self.run_ms);
         steps
@@ -106,7 +109,7 @@
             .sum()
     }
 
-    /// Work of this step that waits and of the steps behind it, in core-milliseconds.
+    /// Expected work of the step's waiting tasks and of the open tasks of all later steps, in core-milliseconds.
     pub(crate) fn work_left(&self, at: StepRef) -> f64 {
         let Some(repeat) = self.repeats.get(&at.repeat) else {
             return 0.0;
@@ -131,7 +134,8 @@
     }
 }
 
-/// Longest chain of work from each step to the end; `expected_ms` gives the run time of a step's tasks.
+/// Longest chain of work from the start of each step to the end of the job, in milliseconds. `expected_ms` returns the
+/// expected run time of a step's tasks.
 pub(super) fn chains(steps: &[Step], expected_ms: impl Fn(u32, &Step) -> u64) -> Vec<u64> {
     let own: Vec<u64> = steps
         .iter()
--- a/crates/scheduler/src/jobs/job/restored.rs
+++ b/crates/scheduler/src/jobs/job/restored.rs
@@ -1,4 +1,4 @@
-//! A job as a predecessor has written it.
+//! Restoring a job from the rows that a previous head has written.
 
 use crate::definition::{Definition, JobEnd};
 use crate::jobs::job::Job;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 impl Job {
-    /// A job as its rows have it, without its repetitions; [`restore_repeats`](Self::restore_repeats) adds them.
+    /// Creates a job from its stored rows, without its repetitions; [`restore_repeats`](Self::restore_repeats) adds them.
     pub(crate) fn restored(definition: Definition, end: Option<JobEnd>, next_repeat: u32) -> Self {
         Job {
             end,
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Adds repetitions that had not ended when the rows were written. Nothing has been started if none had ended and
-    /// no task of these has had a run.
+    /// Adds the repetitions that had not ended when the rows were written. The job counts as started if an earlier
+    /// repetition has ended or any task of these has had a run.
     pub(crate) fn restore_repeats(&mut self, repeats: BTreeMap<u32, Repetition>) {
         let has_run = |step: &StepState| step.last_attempt() > 0;
         self.started = self.next_repeat as usize > repeats.len()
@@ -35,7 +35,7 @@
         self.outstanding = tasks.flat_map(Task::runs).count() as u32;
     }
 
-    /// Adds a speculative run of a task that has the run which it needs beside it.
+    /// Adds a speculative run to a task; ignored if the task has no regular run.
     pub(crate) fn restore_speculative_run(&mut self, task: &TaskName, run: Run) {
         let restored = self
             .task_mut(task)
--- a/crates/scheduler/src/jobs/late_ends.rs
+++ b/crates/scheduler/src/jobs/late_ends.rs
@@ -1,4 +1,4 @@
-//! Follows where the time of each job goes, and notes the jobs that end late or fail.
+//! Latency accounting of jobs: records the latency breakdown of jobs and repetitions that end late or fail.
 
 use crate::clock::Clock;
 use crate::jobs::{Jobs, Repetition};
@@ -7,7 +7,8 @@
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::TaskName;
 
-/// Time that went before a repetition was opened here, which was due at `due_ms` of the steady clock.
+/// The breakdown of a repetition that is opened now but was due at `due_ms` of the steady clock: the time since then
+/// counts as spent under the previous head.
 pub(super) fn latency_before_opening(due_ms: i64, clock: &Clock) -> LatencyBreakdown {
     let mut latency = LatencyBreakdown::default();
     latency.add(Cause::Predecessor, clock.since_ms(due_ms));
@@ -15,7 +16,7 @@
 }
 
 impl Jobs {
-    /// Where the time went from the repetition's due time to the end of this task.
+    /// The latency breakdown from the repetition's due time to the end of this task.
     pub(super) fn latency_until(&self, task: &TaskName) -> LatencyBreakdown {
         let Some(step) = self.step_state(StepRef::of(task)) else {
             return LatencyBreakdown::default();
@@ -27,7 +28,7 @@
         latency
     }
 
-    /// Notes a repetition that this task has completed late.
+    /// Records the repetition as late if this task was its last and it ended after the latency target.
     pub(super) fn record_repeat_end(&mut self, task: &TaskName, clock: &Clock) {
         let job = self.get(&task.job);
         let repeat = job.and_then(|job| job.repeat(task.repeat));
@@ -36,7 +37,8 @@
         }
     }
 
-    /// A repetition has ended with this task; if that is late, or it has failed, its latency breakdown is noted.
+    /// Records a repetition that ended with this task, with its latency breakdown, if it ended after the latency target
+    /// or failed.
     pub(super) fn record_late_end(&mut self, task: &TaskName, state: JobState, clock: &Clock) {
         let Some(job) = self.get(&task.job) else {
             return;
--- a/crates/scheduler/src/jobs/lifecycle.rs
+++ b/crates/scheduler/src/jobs/lifecycle.rs
@@ -1,5 +1,5 @@
-//! Lifecycle of a job: it is accepted, repetitions fall due, steps become ready, tasks wait and are done, the job ends
-//! and is forgotten.
+//! Lifecycle of a job: acceptance, opening of due repetitions, steps becoming ready, completion of tasks, end of the job
+//! and removal of its state.
 
 use crate::clock::Clock;
 use crate::definition::{JobEnd, Terms};
@@ -11,16 +11,16 @@
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::{JobId, TaskName};
 
-/// Ended jobs are shown for so much longer than required, since clocks differ.
+/// Added to the time for which the state of an ended job has to be kept, since clocks differ.
 const KEEP_MARGIN_MS: u64 = 30_000;
 
-/// How long the end of a job is shown, if `status_s` seconds are required.
+/// How long the state of an ended job is kept, in milliseconds, if `status_s` seconds are required.
 pub(crate) fn shown_ms(status_s: u64) -> u64 {
     status_s * 1_000 + KEEP_MARGIN_MS
 }
 
 impl Jobs {
-    /// Accepts a job. Its first repetition is opened if it has no set times.
+    /// Adds an accepted job. A job without a due time is opened at once; for others, the first repetition is scheduled.
     pub(crate) fn accept(&mut self, id: JobId, job: Job, clock: &Clock) {
         self.load.job_pending(job.route());
         self.by_id.insert(id, job);
@@ -31,14 +31,14 @@
         self.await_next_repeat(id, clock);
     }
 
-    /// Takes over a job as its rows have it.
+    /// Adds a job that was restored from its rows after a change of heads.
     pub(crate) fn restore(&mut self, id: JobId, job: Job, clock: &Clock) {
         self.by_id.insert(id, job);
         let Some(job) = self.by_id.get(&id) else {
             return;
         };
         if let Some(end) = job.end() {
-            // Runs that are left are stopped as their workers report.
+            // Runs that are still outstanding are stopped when their workers report.
             if !job.has_outstanding_runs() {
                 self.await_expiry(id, end.wall_ms);
             }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Forgets jobs that ended long ago.
+    /// Removes ended jobs whose retention time is over.
     pub(crate) fn forget_ended(&mut self, clock: &Clock) {
         while let Some(due) = self.due.pop_expiry(clock.wall_ms()) {
             self.by_id.remove(&due.job);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The job's tasks run at this service and on these terms from now on.
+    /// Moves the job, and its queued steps, to this service and these terms.
     pub(crate) fn reroute(&mut self, id: JobId, service: &str, terms: Terms, clock: &Clock) {
         let queued = self.leave_queue(id);
         if let Some(job) = self.by_id.get_mut(&id) {
@@ -84,7 +84,7 @@
         queued.into_iter().for_each(|at| self.enqueue(at, clock));
     }
 
-    /// Ends a job. What still runs is stopped once that is committed.
+    /// Ends a job. Unless it has completed, its outstanding runs are stopped once the end is committed.
     pub(crate) fn end(&mut self, id: JobId, state: JobState, clock: &Clock) {
         let _ = self.leave_queue(id);
         let Some(job) = self.by_id.get_mut(&id) else {
@@ -110,7 +110,7 @@
         self.close_if_idle(id);
     }
 
-    /// A step was looked at and still waits.
+    /// Records that a pass over the queue considered the step, and why its tasks still wait.
     pub(crate) fn record_wait(&mut self, at: StepRef, cause: Cause, now_ms: u64) {
         if let Some(state) = self
             .by_id
@@ -121,13 +121,13 @@
         }
     }
 
-    /// A step has another position in the queue; returns the former one if it differs.
+    /// Sets the position of a step in the queue; returns the former one if it differs.
     pub(crate) fn reposition(&mut self, key: QueueKey) -> Option<QueueKey> {
         let state = self.by_id.get_mut(&key.at.job)?.step_state_mut(key.at)?;
         state.enter_queue(key).filter(|before| *before != key)
     }
 
-    /// Takes a step out of the queue.
+    /// Takes a step out of the queue; no effect if it is not queued.
     pub(crate) fn dequeue(&mut self, at: StepRef) {
         let Some(job) = self.by_id.get_mut(&at.job) else {
             return;
@@ -138,12 +138,12 @@
         }
     }
 
-    /// The job's progress is to be written.
+    /// Requests that the job's progress row be written.
     pub(super) fn progress_changed(&mut self, id: JobId) {
         self.events.push_back(JobEvent::ProgressChanged(id));
     }
 
-    /// Puts a step into the queue if tasks of it wait.
+    /// Puts a step into the queue if it has waiting tasks and is not queued yet.
     pub(super) fn enqueue(&mut self, at: StepRef, clock: &Clock) {
         let now_ms = clock.now_ms();
         let Some(job) = self.by_id.get_mut(&at.job) else {
@@ -164,7 +164,8 @@
         self.events.push_back(JobEvent::StepReady { service, key });
     }
 
-    /// A task is to be placed (again). A gang waits until no member runs; those that do are stopped.
+    /// Makes a task wait for placement again. A gang is requeued as a whole once no member runs; until then, members that
+    /// still run are stopped.
     pub(super) fn requeue_task(&mut self, task: TaskName, clock: &Clock) {
         let (at, now_ms) = (StepRef::of(&task), clock.now_ms());
         let Some(job) = self.by_id.get_mut(&at.job) else {
@@ -189,7 +190,7 @@
         self.events.extend(stops);
     }
 
-    /// A run of the task has ended `done`; one such end counts for a whole gang.
+    /// Completes a task of which a run has ended `done`; for a gang, one such end completes all members.
     pub(super) fn complete_task(&mut self, task: TaskName, clock: &Clock) {
         let at = StepRef::of(&task);
         let Some(job) = self.by_id.get_mut(&at.job) else {
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Removes a repetition that has ended; ends the job if it was the last.
+    /// Completes the job if all its tasks are done; otherwise removes the repetition if it has finished.
     pub(super) fn close_repeat_if_finished(&mut self, id: JobId, repeat: u32, clock: &Clock) {
         let Some(job) = self.by_id.get_mut(&id) else {
             return;
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Keeps of an ended job without outstanding runs its end alone.
+    /// Closes an ended job without outstanding runs: discards all but its end, and schedules its removal.
     pub(super) fn close_if_idle(&mut self, id: JobId) {
         let Some(job) = self.by_id.get_mut(&id) else {
             return;
@@ -241,14 +242,15 @@
         self.await_expiry(id, end.wall_ms);
     }
 
-    /// Works out the value of a job in relation to the others of its queue.
+    /// Computes the value of a job relative to the other jobs of its route.
     fn update_value(&mut self, id: JobId) {
         if let Some(job) = self.by_id.get_mut(&id) {
             job.set_value(self.queue_values.value(job.route(), job.work()));
         }
     }
 
-    /// Lets the job's next repetition be opened when it is due, unless so many are open that others have to end first.
+    /// Schedules the opening of the job's next repetition, or opens it at once if it has no due time. Does nothing while
+    /// too many repetitions are open; the end of one of them calls this again.
     fn await_next_repeat(&mut self, id: JobId, clock: &Clock) {
         let Some(job) = self.by_id.get(&id).filter(|job| job.may_open_repeat()) else {
             return;
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Opens the next repetition, which was due at this time of the steady clock.
+    /// Opens the next repetition, which was due at `due_ms` of the steady clock.
     fn open_repeat(&mut self, id: JobId, due_ms: i64, clock: &Clock) {
         let Some(job) = self.by_id.get_mut(&id) else {
             return;
@@ -273,8 +275,8 @@
         self.await_next_repeat(id, clock);
     }
 
-    /// Makes all tasks wait whose steps are ready and that neither wait, run nor are done. `latency`: where the time
-    /// went until now.
+    /// Makes the idle tasks of all ready steps of a repetition wait for placement. `latency` is the latency breakdown from
+    /// the due time of the repetition until now.
     fn make_steps_ready(
         &mut self,
         id: JobId,
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Makes the tasks of a ready step wait that neither wait, run nor are done; of a gang only if no member runs.
+    /// Makes the idle tasks of a ready step wait for placement; those of a gang only if no member runs.
     fn make_step_ready(&mut self, at: StepRef, latency: LatencyBreakdown, clock: &Clock) {
         let Some(job) = self.by_id.get_mut(&at.job) else {
             return;
@@ -311,7 +313,7 @@
         self.enqueue(at, clock);
     }
 
-    /// Takes all steps of a job out of the queue; returns which were in.
+    /// Takes all steps of a job out of the queue; returns those that were queued.
     fn leave_queue(&mut self, id: JobId) -> Vec<StepRef> {
         let Some(job) = self.by_id.get(&id) else {
             return Vec::new();
@@ -321,7 +323,7 @@
         steps
     }
 
-    /// The job, which ended at this time of day, is forgotten once its end has been shown for long enough.
+    /// Schedules the removal of a job that ended at `end_wall_ms` (Unix time) for the end of its retention time.
     fn await_expiry(&mut self, id: JobId, end_wall_ms: u64) {
         let wall_ms = end_wall_ms + self.shown_ms;
         self.due.add_expiry(DueJob { wall_ms, job: id });
--- a/crates/scheduler/src/jobs/run.rs
+++ b/crates/scheduler/src/jobs/run.rs
@@ -1,4 +1,4 @@
-//! A run that has not ended: where it is, how far its order has come, and its progress as listed.
+//! A run that has not ended: its worker, the state of its start and stop orders, and its reported progress.
 
 use crate::api::AgentId;
 use crate::kinds::Selection;
@@ -7,19 +7,19 @@
 use crate::worker::WorkerId;
 use indigofold_protocol::worker::RunEnd;
 
-/// Where and how a run is placed.
+/// The worker selected for a run, and how the run relates to it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement {
-    /// The worker.
+    /// The selected worker.
     pub worker: WorkerId,
-    /// Whether the step is bound to the worker's kind.
+    /// Whether the step may run on workers of this kind only.
     pub bound: bool,
-    /// Factor on the run time there, for data or a gang on other racks.
+    /// Factor on the run time on this worker; above 1 if the data, or other members of the gang, are on other racks.
     pub remote_factor: f64,
 }
 
 impl Placement {
-    /// A run on the selected worker.
+    /// Creates the placement of a run on the selected worker.
     pub(crate) fn new(selection: &Selection, remote_factor: f64) -> Self {
         Placement {
             worker: selection.worker,
@@ -29,39 +29,45 @@
     }
 }
 
-/// A stop that was decided.
+/// A stop order of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StopOrder {
-    /// Connection on which it was sent.
+    /// Connection on which it was last sent; `None` if the worker could not be reached.
     pub sent_to: Option<AgentId>,
-    /// When it was sent last.
+    /// When it was last sent, on the steady clock.
     pub sent_ms: u64,
 }
 
-/// A run that has not ended.
+/// A run that has not ended. All times are on the steady clock.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     attempt: u32,
     worker: WorkerId,
-    /// Its order may have left this process.
+    /// Whether its start order was sent, by this head or possibly by a previous one.
     sent: bool,
-    /// When its order left.
+    /// When its start order was sent; 0 before that.
     sent_ms: u64,
-    /// When its worker listed it first.
+    /// When a report first listed it as running.
     began_ms: Option<u64>,
+    /// Its stop order, once a stop was decided.
     stop: Option<StopOrder>,
     placed_ms: u64,
+    /// Whether it resumes from a checkpoint or was placed by a previous head.
     resumed: bool,
+    /// Whether its step may run on workers of one kind only.
     bound: bool,
     remote_factor: f64,
+    /// Reported progress in percent.
     percent: u32,
-    /// When `percent` changed last.
+    /// When `percent` last changed.
     percent_ms: u64,
+    /// When a report last listed it, as running or in flight.
     listed_ms: u64,
 }
 
 impl Run {
-    /// A run that is placed now and not ordered yet. `resumed`: it starts from a checkpoint.
+    /// Creates a run that is placed now and whose start order has not been sent. `resumed` means that it starts from a
+    /// checkpoint.
     pub(crate) fn placed(attempt: u32, placement: &Placement, resumed: bool, now_ms: u64) -> Self {
         Run {
             attempt,
@@ -80,8 +86,8 @@
         }
     }
 
-    /// A run that a predecessor has placed; its order may have been sent. It counts as resumed: when it began is not
-    /// known, so its end says nothing about how long such tasks run.
+    /// Creates a run that a previous head has placed; its start order may have been sent. It counts as resumed: when it
+    /// began is unknown, so its end gives no sample of the run time of its class.
     pub(crate) fn restored(worker: WorkerId, attempt: u32, now_ms: u64) -> Self {
         let placement = Placement {
             worker,
@@ -95,78 +101,78 @@
         }
     }
 
-    /// Number of the run among those of its task, from 1.
+    /// Attempt number among the runs of its task, from 1.
     pub(crate) fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// Where it runs.
+    /// The worker on which it is placed.
     pub(crate) fn worker(&self) -> WorkerId {
         self.worker
     }
 
-    /// Whether its order may have left this process.
+    /// Whether its start order was sent, by this head or possibly by a previous one.
     pub(crate) fn is_sent(&self) -> bool {
         self.sent
     }
 
-    /// Its stop order: where and when it was sent last, if a stop was decided.
+    /// Its stop order; `None` unless a stop was decided.
     pub(crate) fn stop(&self) -> Option<StopOrder> {
         self.stop
     }
 
-    /// When it was placed.
+    /// When it was placed; for a restored run, when it was restored.
     pub(crate) fn placed_ms(&self) -> u64 {
         self.placed_ms
     }
 
-    /// Whether it resumes from a checkpoint or was placed by a predecessor: how long it takes says nothing about its
-    /// class.
+    /// Whether it resumes from a checkpoint or was placed by a previous head. Such runs give no sample of the run time of
+    /// their class.
     pub(crate) fn is_resumed(&self) -> bool {
         self.resumed
     }
 
-    /// Whether it was bound to one kind of workers.
+    /// Whether its step may run on workers of one kind only.
     pub(crate) fn is_bound(&self) -> bool {
         self.bound
     }
 
-    /// Factor on its run time on this worker (data or gang on other racks).
+    /// Factor on its run time on this worker; above 1 if the data, or other members of the gang, are on other racks.
     pub(crate) fn remote_factor(&self) -> f64 {
         self.remote_factor
     }
 
-    /// Percentage done, as listed last.
+    /// Last reported progress, in percent.
     pub(crate) fn percent(&self) -> u32 {
         self.percent
     }
 
-    /// When the percentage changed last.
+    /// When the reported progress last changed; before any change, when the run was placed.
     pub(crate) fn percent_ms(&self) -> u64 {
         self.percent_ms
     }
 
-    /// When a report listed it last.
+    /// When a report last listed it, as running or in flight; before that, when the run was placed.
     pub(crate) fn listed_ms(&self) -> u64 {
         self.listed_ms
     }
 
-    /// Its order leaves now.
+    /// Records that its start order is sent now.
     pub(crate) fn record_sent(&mut self, now_ms: u64) {
         (self.sent, self.sent_ms) = (true, now_ms);
     }
 
-    /// Its stop was decided, or is sent again.
+    /// Records its stop order, when it is first sent or sent again.
     pub(crate) fn record_stop(&mut self, stop: StopOrder) {
         self.stop = Some(stop);
     }
 
-    /// A report lists its order as in flight.
+    /// Records that a report lists its start order as in flight.
     pub(crate) fn record_in_flight(&mut self, now_ms: u64) {
         self.listed_ms = now_ms;
     }
 
-    /// A report lists it as running.
+    /// Records that a report lists it as running, with its progress in percent.
     pub(crate) fn record_listed(&mut self, percent: u32, now_ms: u64) {
         self.listed_ms = now_ms;
         self.began_ms.get_or_insert(now_ms);
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Adds the time that it took, now that it has ended, to the breakdown of its task.
+    /// Adds the time from placement until `now_ms`, when the run ended, to the latency breakdown of its task.
     pub(crate) fn add_latency(
         &self,
         breakdown: &mut LatencyBreakdown,
@@ -188,7 +194,7 @@
             RunResult::Ended(RunEnd::Failed) => breakdown.add(Cause::Failed, spent_ms),
             RunResult::Lost => breakdown.add(Cause::Lost, spent_ms),
             RunResult::NotStarted if self.sent && self.stop.is_none() => {
-                // Its order was lost or refused on its way.
+                // The start order was lost or rejected before it reached the worker.
                 let sent_ms = self.sent_ms.max(self.placed_ms);
                 breakdown.add(Cause::Commit, sent_ms - self.placed_ms);
                 breakdown.add(Cause::Dispatch, now_ms.saturating_sub(sent_ms));
@@ -199,7 +205,7 @@
         }
     }
 
-    /// Adds the time that it took, as its work is done.
+    /// Adds the time of a run that ended `done`.
     fn add_work(&self, breakdown: &mut LatencyBreakdown, now_ms: u64) {
         let sent_ms = self.sent_ms.max(self.placed_ms);
         let began_ms = self.began_ms.unwrap_or(sent_ms).max(sent_ms);
--- a/crates/scheduler/src/jobs/run/tests.rs
+++ b/crates/scheduler/src/jobs/run/tests.rs
@@ -1,4 +1,4 @@
-//! What the time of an ended run counts as.
+//! Tests of how the time of an ended run is attributed to causes.
 
 use super::*;
 use rstest::rstest;
@@ -7,7 +7,7 @@
 const SENT_MS: u64 = PLACED_MS + 20;
 const ENDED_MS: u64 = SENT_MS + 20_000;
 
-/// A run, as far as its order has come.
+/// A run whose start order was sent if `is_sent`, and whose stop was decided if `is_stopped`.
 fn run(is_sent: bool, is_stopped: bool) -> Run {
     let placement = Placement {
         worker: WorkerId(1),
@@ -27,7 +27,7 @@
     run
 }
 
-/// Time by cause of a run that never started.
+/// The latency breakdown of a run that never started.
 fn latency_of_unstarted(run: &Run) -> LatencyBreakdown {
     let mut breakdown = LatencyBreakdown::default();
     run.add_latency(&mut breakdown, RunResult::NotStarted, ENDED_MS);
--- a/crates/scheduler/src/jobs/runs.rs
+++ b/crates/scheduler/src/jobs/runs.rs
@@ -1,5 +1,5 @@
-//! Runs of a job's tasks: placed, ordered, listed, stopped, ended. The end of a run completes its task, fails its job or
-//! puts the task back into the queue.
+//! Runs of jobs' tasks, from placement to end. The end of a run completes its task, fails its job or puts the task back
+//! into the queue.
 
 use crate::clock::Clock;
 use crate::jobs::{JobEvent, Jobs, Placement, Run, RunEnded, StopOrder, Task};
@@ -12,20 +12,21 @@
 use indigofold_protocol::worker::RunEnd;
 
 impl Jobs {
-    /// A run that has not ended.
+    /// A run by its id; `None` if it has ended or is unknown.
     pub(crate) fn run(&self, run: &RunId) -> Option<&Run> {
         let task = self.get(&run.task.job)?.task(&run.task)?;
         task.runs().find(|present| present.attempt() == run.attempt)
     }
 
-    /// Numbers of a task's runs that have not ended.
+    /// Attempt numbers of a task's runs that have not ended.
     pub(crate) fn attempts(&self, task: &TaskName) -> Vec<u32> {
         let entry = self.get(&task.job).and_then(|job| job.task(task));
         let runs = entry.into_iter().flat_map(Task::runs);
         runs.map(Run::attempt).collect()
     }
 
-    /// Places a run of a waiting task, or a speculative run; returns what it takes of its worker.
+    /// Records the placement of a run of a waiting task, or of a speculative run; returns the resources that it takes on
+    /// its worker, or `None` if the task is unknown.
     pub(crate) fn record_placement(
         &mut self,
         task: TaskName,
@@ -44,15 +45,15 @@
         Some(resources)
     }
 
-    /// All members of a gang that is about to start resume from its newest checkpoint; returns the number of the run
-    /// that they get.
+    /// Prepares a gang for its start: all members will resume from its newest checkpoint. Returns the attempt number that
+    /// they share.
     pub(crate) fn prepare_gang(&mut self, at: StepRef) -> Option<u32> {
         let state = self.by_id.get_mut(&at.job)?.step_state_mut(at)?;
         state.align_checkpoints();
         Some(state.last_attempt() + 1)
     }
 
-    /// The start order of a run and the worker that it is for; `None` if the run is not wanted any more.
+    /// The start order of a run and its worker; `None` if the run or its job has ended or its task is done.
     pub(crate) fn start_order(&self, run: RunId) -> Option<(WorkerId, StartOrder)> {
         let worker = self.run(&run)?.worker();
         let job = self.get(&run.task.job).filter(|job| !job.has_ended())?;
@@ -66,27 +67,29 @@
         Some((worker, order))
     }
 
-    /// The run's start order leaves now.
+    /// Records that the run's start order is sent now.
     pub(crate) fn record_sent(&mut self, run: &RunId, now_ms: u64) {
         if let Some(run) = self.run_mut(run) {
             run.record_sent(now_ms);
         }
     }
 
-    /// A stop of the run was decided, or is sent again.
+    /// Records the stop order of a run, when it is first sent or sent again.
     pub(crate) fn record_stop(&mut self, run: &RunId, stop: StopOrder) {
         if let Some(run) = self.run_mut(run) {
             run.record_stop(stop);
         }
     }
 
-    /// A report of this worker lists the run's start as in flight; `false` if the run is not outstanding there.
+    /// Records that a report of this worker lists the run's start order as in flight; returns `false` if the run is not
+    /// outstanding there.
     pub(crate) fn record_in_flight(&mut self, run: &RunId, worker: WorkerId, now_ms: u64) -> bool {
         let run = self.run_on_mut(run, worker);
         run.map(|run| run.record_in_flight(now_ms)).is_some()
     }
 
-    /// A report of this worker lists the run as running; `false` if the run is not outstanding there.
+    /// Records that a report of this worker lists the run as running, with its progress in percent; returns `false` if
+    /// the run is not outstanding there.
     pub(crate) fn record_listed(
         &mut self,
         run: &RunId,
@@ -98,7 +101,8 @@
         run.map(|run| run.record_listed(percent, now_ms)).is_some()
     }
 
-    /// Stores a checkpoint of a run; any member's serves for its gang, and the newest stays. Returns whether it is new.
+    /// Stores a checkpoint of a run; empty for none. The newest checkpoint of any member is kept as that of its gang.
+    /// Returns whether it differs from the task's former one.
     pub(crate) fn store_checkpoint(&mut self, task: &TaskName, checkpoint: &str) -> bool {
         if checkpoint.is_empty() {
             return false;
@@ -111,7 +115,7 @@
             .is_some_and(|state| state.store_checkpoint(task.index, gang, checkpoint))
     }
 
-    /// The task goes to another worker than this one, if there is one.
+    /// Makes the next run of the task avoid this worker, if another one is available.
     pub(crate) fn avoid(&mut self, task: &TaskName, worker: WorkerId) {
         let job = self.by_id.get_mut(&task.job);
         if let Some(entry) = job.and_then(|job| job.task_mut(task)) {
@@ -119,7 +123,8 @@
         }
     }
 
-    /// A run has ended; `None` if it was not outstanding.
+    /// Ends a run and updates its task and job; `checkpoint` is its last one, or empty. Returns `None` if the run was not
+    /// outstanding.
     pub(crate) fn end_run(
         &mut self,
         run: RunId,
@@ -150,7 +155,7 @@
         Some(ended)
     }
 
-    /// A `done` of a run that counted as lost: it counts while the task is not done.
+    /// Handles a `done` of a run that was treated as lost: it completes the task unless the task is already done.
     pub(crate) fn handle_late_done(&mut self, task: TaskName, clock: &Clock) {
         let Some(job) = self.get(&task.job).filter(|job| !job.has_ended()) else {
             return;
@@ -172,7 +177,7 @@
         self.close_repeat_if_finished(task.job, task.repeat, clock);
     }
 
-    /// What follows for the job from the end of a run.
+    /// Updates the job after the end of a run: completes, fails or requeues the task, or closes the repetition or job.
     fn follow_run_end(&mut self, task: TaskName, ended: &RunEnded, clock: &Clock) {
         let Some(job) = self.get(&task.job) else {
             return;
@@ -194,7 +199,7 @@
         }
     }
 
-    /// A run has ended `done`: its task is done, and a speculative run beside it is stopped.
+    /// Handles a run that ended `done`: completes its task and stops the other run of the task, if any.
     fn run_done(&mut self, task: TaskName, gang: bool, clock: &Clock) {
         self.complete_task(task, clock);
         if !gang {
@@ -203,7 +208,7 @@
         self.close_repeat_if_finished(task.job, task.repeat, clock);
     }
 
-    /// Counts a failure; the last one allowed fails the job.
+    /// Counts a failed run; the job fails when the task, or its gang, has failed `max_retries` times.
     fn task_failed(&mut self, task: TaskName, ended: &RunEnded, clock: &Clock) {
         let Some(job) = self.by_id.get_mut(&task.job) else {
             return;
@@ -220,7 +225,7 @@
         self.requeue_unless_running(task, clock);
     }
 
-    /// Puts a task back into the queue, unless another run of it goes on.
+    /// Puts a task back into the queue unless it has another outstanding run.
     fn requeue_unless_running(&mut self, task: TaskName, clock: &Clock) {
         let entry = self.get(&task.job).and_then(|job| job.task(&task));
         if entry.is_none_or(|entry| entry.run().is_none()) {
@@ -228,6 +233,7 @@
         }
     }
 
+    /// A run for changes; `None` if it has ended or is unknown.
     fn run_mut(&mut self, run: &RunId) -> Option<&mut Run> {
         self.by_id
             .get_mut(&run.task.job)?
@@ -235,7 +241,7 @@
             .run_mut(run.attempt)
     }
 
-    /// The task's run, if it has this number and is on this worker.
+    /// A run for changes; `None` unless it is outstanding on this worker.
     fn run_on_mut(&mut self, run: &RunId, worker: WorkerId) -> Option<&mut Run> {
         self.run_mut(run)
             .filter(|present| present.worker() == worker)
--- a/crates/scheduler/src/jobs/step.rs
+++ b/crates/scheduler/src/jobs/step.rs
@@ -1,4 +1,4 @@
-//! One step of a repetition: which of its tasks wait, run and are done.
+//! The state of one step of a repetition: which of its tasks wait, run and are done.
 
 use crate::jobs::run::{Placement, Run};
 use crate::jobs::task::Task;
@@ -7,40 +7,40 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// One step of a repetition.
+/// The state of one step of a repetition. All times are on the steady clock.
 #[derive(Debug, Default)]
 pub(crate) struct StepState {
     tasks: Vec<Task>,
-    /// Number of tasks done.
+    /// Number of tasks that are done.
     done: u32,
-    /// Tasks that are to be placed.
+    /// Tasks that wait for placement.
     waiting: BTreeSet<u32>,
-    /// Position in the queue while something waits.
+    /// Position in the queue; `None` while the step is not queued.
     queued: Option<QueueKey>,
-    /// Since when something waits.
+    /// When the step last entered the queue.
     waiting_since_ms: u64,
-    /// What it has waited for since then, as observed at each pass.
+    /// Causes of the wait since then, as recorded at each pass over the queue.
     waits: LatencyBreakdown,
-    /// When it was looked at last.
+    /// When a pass over the queue last considered the step.
     looked_at_ms: u64,
-    /// Where the time went until the step was ready.
+    /// Latency breakdown from the due time of the repetition until the step was ready.
     latency_until_ready: LatencyBreakdown,
-    /// Checkpoint of the gang as reported last.
+    /// Last reported checkpoint of any member of the gang; empty for none.
     gang_checkpoint: String,
     gang_failures: GangFailures,
 }
 
-/// Attempts of a gang that have failed.
+/// The failed attempts of a gang.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct GangFailures {
-    /// How many.
+    /// Number of failed attempts; failures of several members in one attempt count once.
     pub count: u32,
-    /// The newest of them.
+    /// Number of the newest failed attempt; 0 for none.
     pub newest_attempt: u32,
 }
 
 impl StepState {
-    /// A step of `count` tasks of which nothing has begun.
+    /// Creates a step of `count` tasks of which none has begun.
     pub(crate) fn fresh(count: u32) -> Self {
         StepState {
             tasks: vec![Task::default(); count as usize],
@@ -48,9 +48,9 @@
         }
     }
 
-    /// A step as its job's row has it.
+    /// Creates a step from the stored rows of its job.
     pub(crate) fn restored(tasks: Vec<Task>, gang_failures: GangFailures) -> Self {
-        // A gang's members all have the same text, except in rows of earlier versions; then any of them serves.
+        // All members of a gang have the same checkpoint, except in rows of earlier versions, where any of them is valid.
         let newest = tasks.iter().map(Task::checkpoint).max();
         StepState {
             done: tasks.iter().filter(|task| task.is_done()).count() as u32,
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Its tasks.
+    /// The states of all tasks, by index.
     pub(crate) fn tasks(&self) -> &[Task] {
         &self.tasks
     }
 
-    /// One of its tasks.
+    /// The task with this index, counted from 0.
     pub(crate) fn task(&self, index: u32) -> Option<&Task> {
         self.tasks.get(index as usize)
     }
 
-    /// One of its tasks.
+    /// The task with this index, counted from 0, for changes.
     pub(crate) fn task_mut(&mut self, index: u32) -> Option<&mut Task> {
         self.tasks.get_mut(index as usize)
     }
@@ -81,42 +81,42 @@
         self.tasks.len() - self.done as usize
     }
 
-    /// Tasks that are to be placed.
+    /// Indices of the tasks that wait for placement.
     pub(crate) fn waiting(&self) -> &BTreeSet<u32> {
         &self.waiting
     }
 
-    /// Position in the queue while something waits.
+    /// Position in the queue; `None` while the step is not queued.
     pub(crate) fn queued(&self) -> Option<QueueKey> {
         self.queued
     }
 
-    /// Since when something waits.
+    /// When the step last entered the queue; 0 before that.
     pub(crate) fn waiting_since_ms(&self) -> u64 {
         self.waiting_since_ms
     }
 
-    /// Where the time went until the step was ready.
+    /// Latency breakdown from the due time of the repetition until the step was ready.
     pub(crate) fn latency_until_ready(&self) -> LatencyBreakdown {
         self.latency_until_ready
     }
 
-    /// Checkpoint of the gang as reported last; empty for none.
+    /// Last reported checkpoint of any member of the gang; empty for none.
     pub(crate) fn gang_checkpoint(&self) -> &str {
         &self.gang_checkpoint
     }
 
-    /// Attempts of the gang that have failed.
+    /// The failed attempts of the gang.
     pub(crate) fn gang_failures(&self) -> GangFailures {
         self.gang_failures
     }
 
-    /// Highest number of a run of any of its tasks.
+    /// Highest attempt number of any of its tasks; 0 if none has been placed.
     pub(crate) fn last_attempt(&self) -> u32 {
         self.tasks.iter().map(Task::last_attempt).max().unwrap_or(0)
     }
 
-    /// A task is to be placed (again).
+    /// Makes a task wait for placement, if it does not wait already.
     pub(crate) fn wait(&mut self, index: u32, now_ms: u64) {
         let newly = self.waiting.insert(index);
         if let Some(task) = self.tasks.get_mut(index as usize).filter(|_| newly) {
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Its idle tasks are to be placed, as the step is ready; `latency`: where the time went until now.
+    /// Makes all idle tasks wait for placement, as the step is ready. `latency` is the latency breakdown from the due time
+    /// of the repetition until now.
     pub(crate) fn make_ready(&mut self, latency: LatencyBreakdown, now_ms: u64) {
         let idle = self.idle_tasks();
         if self.queued.is_none() && !idle.is_empty() {
@@ -133,43 +134,43 @@
         idle.into_iter().for_each(|index| self.wait(index, now_ms));
     }
 
-    /// All its tasks are to be placed.
+    /// Makes all tasks wait for placement.
     pub(crate) fn wait_all(&mut self, now_ms: u64) {
         (0..self.tasks.len() as u32).for_each(|index| self.wait(index, now_ms));
     }
 
-    /// Whether tasks wait that are not in the queue yet.
+    /// Whether the step has waiting tasks but is not in the queue yet.
     pub(crate) fn needs_queueing(&self) -> bool {
         !self.waiting.is_empty() && self.queued.is_none()
     }
 
-    /// It begins to wait; [`enter_queue`](Self::enter_queue) follows.
+    /// Starts the wait in the queue. The caller calls [`enter_queue`](Self::enter_queue) next.
     pub(crate) fn begin_wait(&mut self, now_ms: u64) {
         self.waiting_since_ms = now_ms;
         self.waits = LatencyBreakdown::default();
     }
 
-    /// It is in the queue at this position; returns the former one.
+    /// Sets the position in the queue; returns the former one.
     pub(crate) fn enter_queue(&mut self, key: QueueKey) -> Option<QueueKey> {
         self.queued.replace(key)
     }
 
-    /// It leaves the queue; returns its position there.
+    /// Clears the position in the queue and returns it; `None` if the step was not queued.
     pub(crate) fn leave_queue(&mut self) -> Option<QueueKey> {
         self.queued.take()
     }
 
-    /// All its tasks are done.
+    /// Whether all tasks are done.
     pub(crate) fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
-    /// No task has a run that has not ended.
+    /// Whether no task has an outstanding run.
     pub(crate) fn is_idle(&self) -> bool {
         self.tasks.iter().all(|task| task.run().is_none())
     }
 
-    /// Tasks whose ends count together: all of a gang, or the task alone.
+    /// Indices of the tasks that complete together: all members of a gang, or the task alone.
     pub(crate) fn members(&self, index: u32, gang: bool) -> Range<u32> {
         if gang {
             0..self.tasks.len() as u32
@@ -178,16 +179,17 @@
         }
     }
 
-    /// Tasks with a run that has not ended.
+    /// Indices of the tasks that have an outstanding run.
     pub(crate) fn running_tasks(&self) -> Vec<u32> {
         self.tasks_where(|task| task.run().is_some())
     }
 
-    /// Tasks that are not done and have no run.
+    /// Indices of the tasks that are not done and have no outstanding run, including those that wait.
     fn idle_tasks(&self) -> Vec<u32> {
         self.tasks_where(|task| !task.is_done() && task.run().is_none())
     }
 
+    /// Indices of the tasks that fulfil a condition.
     fn tasks_where(&self, condition: impl Fn(&Task) -> bool) -> Vec<u32> {
         let tasks = self.tasks.iter().enumerate();
         tasks
@@ -196,7 +198,7 @@
             .collect()
     }
 
-    /// A run of a task is placed.
+    /// Records the placement of a run of a task, and ends the task's wait.
     pub(crate) fn record_placement(
         &mut self,
         index: u32,
@@ -216,7 +218,7 @@
         task.add_run(Run::placed(attempt, placement, resumed, now_ms));
     }
 
-    /// All members of a gang resume from its newest checkpoint.
+    /// Gives all members of a gang its newest checkpoint, from which their next runs resume.
     pub(crate) fn align_checkpoints(&mut self) {
         let checkpoint = &self.gang_checkpoint;
         self.tasks.iter_mut().for_each(|task| {
@@ -224,7 +226,7 @@
         });
     }
 
-    /// These tasks are done; returns for how many that is new.
+    /// Marks these tasks as done; returns how many of them were not done before.
     pub(crate) fn complete(&mut self, members: Range<u32>) -> u32 {
         let mut newly = 0;
         for index in members {
@@ -238,7 +240,7 @@
         newly
     }
 
-    /// A run of a task has failed; returns how many attempts of the task, or of its gang, have failed.
+    /// Counts a failed run of a task; returns how many runs of the task, or attempts of its gang, have failed.
     pub(crate) fn record_failure(&mut self, index: u32, run: &Run, gang: bool) -> u32 {
         if gang && run.attempt() > self.gang_failures.newest_attempt {
             self.gang_failures = GangFailures {
@@ -255,7 +257,8 @@
         }
     }
 
-    /// A run has a checkpoint; any member's serves for its gang, and the newest stays. Returns whether it is new.
+    /// Stores a checkpoint of a task's run; for a gang, the newest of any member is kept for all. Returns whether it differs
+    /// from the task's former one.
     pub(crate) fn store_checkpoint(&mut self, index: u32, gang: bool, checkpoint: &str) -> bool {
         let task = self.task_mut(index);
         let new = task.is_some_and(|task| task.set_checkpoint(checkpoint));
@@ -265,7 +268,7 @@
         new
     }
 
-    /// The step has waited for this since it was looked at last.
+    /// Attributes the time since the last pass over the queue to this cause.
     pub(crate) fn waited_for(&mut self, cause: Cause, now_ms: u64) {
         let since_ms = self.looked_at_ms.max(self.waiting_since_ms);
         self.waits.add(cause, now_ms.saturating_sub(since_ms));
--- a/crates/scheduler/src/jobs/task.rs
+++ b/crates/scheduler/src/jobs/task.rs
@@ -1,44 +1,45 @@
-//! One task: its runs, its failures and its checkpoint.
+//! The state of one task: its runs, failures and checkpoint.
 
 use crate::jobs::run::Run;
 use crate::latency::LatencyBreakdown;
 use crate::run_result::RunResult;
 use crate::worker::WorkerId;
 
-/// One task.
+/// The state of one task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Task {
-    /// Highest number of a run so far.
+    /// Attempt number of the newest run; 0 if none has been placed.
     last_attempt: u32,
-    /// Runs that ended `failed`.
+    /// Number of runs that ended `failed`.
     failures: u32,
     done: bool,
-    /// Progress to resume from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     checkpoint: String,
-    /// Its run that has not ended.
+    /// The outstanding run.
     run: Option<Run>,
-    /// A speculative run, on another worker; only while `run` is there, and only of `speculative` steps.
+    /// An outstanding speculative run on another worker; only present together with `run`, and only in steps marked as
+    /// `speculative`.
     speculative_run: Option<Run>,
-    /// Worker on which it failed last.
+    /// Worker that the next run avoids: a run of the task failed, hung or was too slow there.
     failed_on: Option<WorkerId>,
-    /// Since when it waits to be placed.
+    /// When the task last began to wait for placement, on the steady clock.
     waits_since_ms: u64,
-    /// Where its time went since its step was ready.
+    /// Latency breakdown since the step was ready.
     latency: LatencyBreakdown,
 }
 
-/// A task as its job's row has it.
+/// A task as it is stored in the progress row of its job.
 #[derive(Debug)]
 pub(crate) struct RestoredTask {
-    /// Highest number of a run so far.
+    /// Attempt number of the newest run; 0 if none has been placed.
     pub last_attempt: u32,
-    /// Runs that ended `failed`.
+    /// Number of runs that ended `failed`.
     pub failures: u32,
-    /// Whether it is done.
+    /// Whether a run of the task, or of another member of its gang, has ended `done`.
     pub done: bool,
-    /// Progress to resume from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// Its run that has not ended.
+    /// The outstanding run.
     pub run: Option<Run>,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl Task {
-    /// A task of a step that was written as done.
+    /// Creates a task of a step that is stored as done.
     pub(crate) fn restored_done() -> Self {
         Task {
             last_attempt: 1,
@@ -65,57 +66,57 @@
         }
     }
 
-    /// Highest number of a run so far.
+    /// Attempt number of the newest run; 0 if none has been placed.
     pub(crate) fn last_attempt(&self) -> u32 {
         self.last_attempt
     }
 
-    /// Runs that ended `failed`.
+    /// Number of runs that ended `failed`.
     pub(crate) fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether it is done.
+    /// Whether a run of the task, or of another member of its gang, has ended `done`.
     pub(crate) fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Progress to resume from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub(crate) fn checkpoint(&self) -> &str {
         &self.checkpoint
     }
 
-    /// Worker on which it failed last.
+    /// Worker that the next run avoids: a run of the task failed, hung or was too slow there.
     pub(crate) fn failed_on(&self) -> Option<WorkerId> {
         self.failed_on
     }
 
-    /// Where its time went since its step was ready.
+    /// Latency breakdown since the step was ready.
     pub(crate) fn latency(&self) -> &LatencyBreakdown {
         &self.latency
     }
 
-    /// Its run that has not ended.
+    /// The outstanding run, other than the speculative one.
     pub(crate) fn run(&self) -> Option<&Run> {
         self.run.as_ref()
     }
 
-    /// Its speculative run that has not ended.
+    /// The outstanding speculative run.
     pub(crate) fn speculative_run(&self) -> Option<&Run> {
         self.speculative_run.as_ref()
     }
 
-    /// Its runs that have not ended.
+    /// All outstanding runs, at most two.
     pub(crate) fn runs(&self) -> impl Iterator<Item = &Run> {
         self.run.iter().chain(&self.speculative_run)
     }
 
-    /// Its run on this worker.
+    /// The outstanding run on this worker.
     pub(crate) fn run_at(&self, worker: WorkerId) -> Option<&Run> {
         self.runs().find(|run| run.worker() == worker)
     }
 
-    /// Its run of this number.
+    /// The outstanding run with this attempt number, for changes.
     pub(crate) fn run_mut(&mut self, attempt: u32) -> Option<&mut Run> {
         self.run
             .iter_mut()
@@ -123,7 +124,7 @@
             .find(|run| run.attempt() == attempt)
     }
 
-    /// A run of it is placed; beside another run it is a speculative one.
+    /// Adds a newly placed run; if another one is outstanding, the new run is speculative.
     pub(crate) fn add_run(&mut self, run: Run) {
         self.last_attempt = run.attempt();
         if self.run.is_none() {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// A speculative run of it was placed by a predecessor; returns whether the task has the run that it needs beside it.
+    /// Adds a speculative run that a previous head has placed. Returns `false` and drops it if the task has no regular run.
     pub(crate) fn restore_speculative_run(&mut self, run: Run) -> bool {
         if self.run.is_none() {
             return false;
@@ -142,7 +143,7 @@
         true
     }
 
-    /// Takes its run of this number out; a speculative run that is left replaces the run.
+    /// Removes and returns the run with this attempt number. A remaining speculative run becomes the regular one.
     pub(crate) fn take_run(&mut self, attempt: u32) -> Option<Run> {
         let of_this_number = |run: &mut Run| run.attempt() == attempt;
         if let Some(run) = self.speculative_run.take_if(of_this_number) {
@@ -153,40 +154,41 @@
         Some(run)
     }
 
-    /// It waits to be placed from now on.
+    /// Starts the wait for placement.
     pub(crate) fn begin_wait(&mut self, now_ms: u64) {
         self.waits_since_ms = now_ms;
     }
 
-    /// It has waited until now, for what was observed at its step.
+    /// Ends the wait for placement and adds it to the latency breakdown, divided among causes as `observed` is at the
+    /// step.
     pub(crate) fn end_wait(&mut self, observed: &LatencyBreakdown, now_ms: u64) {
         let waited_ms = now_ms.saturating_sub(self.waits_since_ms);
         self.latency.add_wait(waited_ms, observed);
     }
 
-    /// A run of it has ended: its time goes into the breakdown.
+    /// Adds the time of an ended run to the latency breakdown.
     pub(crate) fn add_run_latency(&mut self, run: &Run, result: RunResult, now_ms: u64) {
         run.add_latency(&mut self.latency, result, now_ms);
     }
 
-    /// It is done; returns whether that is new.
+    /// Marks the task as done; returns whether it was not done before.
     pub(crate) fn complete(&mut self) -> bool {
         !std::mem::replace(&mut self.done, true)
     }
 
-    /// A run of it has failed on this worker; returns how many have.
+    /// Counts a failed run on this worker; returns the number of failed runs.
     pub(crate) fn record_failure(&mut self, worker: WorkerId) -> u32 {
         self.failures += 1;
         self.failed_on = Some(worker);
         self.failures
     }
 
-    /// It goes to another worker than this one, if there is one.
+    /// Makes the next run avoid this worker, if another one is available.
     pub(crate) fn avoid(&mut self, worker: WorkerId) {
         self.failed_on = Some(worker);
     }
 
-    /// Progress to resume from; returns whether it is new.
+    /// Sets the checkpoint to resume from; returns whether it differs from the former one.
     pub(crate) fn set_checkpoint(&mut self, checkpoint: &str) -> bool {
         if self.checkpoint == checkpoint {
             return false;
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of jobs alone, without workers and queues: which events follow from what.
+//! Tests of the lifecycle of jobs without workers and queues: which events each change emits.
 
 mod builder;
 
@@ -13,7 +13,7 @@
 const DONE: RunResult = RunResult::Ended(RunEnd::Done);
 const FAILED: RunResult = RunResult::Ended(RunEnd::Failed);
 
-/// Whether an event says that this step is ready.
+/// Whether the event puts this step into the queue.
 fn says_ready(event: &JobEvent, step: u32) -> bool {
     matches!(event, JobEvent::StepReady { key, .. } if key.at == builder::at(step))
 }
--- a/crates/scheduler/src/jobs/tests/builder.rs
+++ b/crates/scheduler/src/jobs/tests/builder.rs
@@ -1,4 +1,4 @@
-//! One job, its clock, and short forms of what happens to it.
+//! Test fixture: a job table with one job and its clock, and short methods to drive it.
 
 use crate::clock::Clock;
 use crate::definition::{Definition, Terms};
@@ -9,11 +9,11 @@
 use indigofold_protocol::job::{JobSpec, JobState, Step};
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 
-/// The job of these tests.
+/// Id of the only job of these tests.
 pub(super) const JOB: JobId = JobId(7);
-/// A task that has failed so often fails its job.
+/// Number of failures of one task that fails its job.
 pub(super) const MAX_RETRIES: u32 = 3;
-/// How long an ended job is to be shown, in seconds.
+/// How long the state of an ended job has to be kept, in seconds.
 pub(super) const STATUS_S: u64 = 5;
 
 const START_MS: u64 = 1_000;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A step whose tasks work only all together.
+/// A gang of `count` tasks.
 pub(super) fn gang(count: u32) -> Step {
     Step {
         count,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Jobs and their clock.
+/// A job table and its clock.
 pub(super) struct Stage {
     pub(super) jobs: Jobs,
     clock: Clock,
@@ -55,7 +55,7 @@
 }
 
 impl Stage {
-    /// No jobs yet.
+    /// Creates an empty job table.
     pub(super) fn new() -> Self {
         Stage {
             jobs: Jobs::new(STATUS_S),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Accepts a job of these steps.
+    /// Accepts a job of these steps; returns the events.
     pub(super) fn accept(&mut self, stages: Vec<Step>) -> Vec<JobEvent> {
         let definition = Definition {
             spec: JobSpec {
@@ -83,7 +83,7 @@
         self.events()
     }
 
-    /// Time passes.
+    /// Advances both clocks.
     pub(super) fn advance(&mut self, ms: u64) {
         self.now_ms += ms;
         self.clock
@@ -94,19 +94,19 @@
         self.now_ms
     }
 
-    /// Places a run of a task on worker 1.
+    /// Places a run of a task of the first repetition on worker 1.
     pub(super) fn place_first(&mut self, step: u32, index: u32) -> RunId {
         self.place_at(step, index, 1)
     }
 
-    /// Places a run of a task on a worker.
+    /// Places a run of a task of the first repetition on a worker.
     pub(super) fn place_at(&mut self, step: u32, index: u32, worker: u32) -> RunId {
         let task = at(step).task(index);
         let entry = self.job().task(&task).expect("there is such a task");
         self.place_run(task, entry.last_attempt() + 1, worker)
     }
 
-    /// Places all members of a gang.
+    /// Places all members of a gang, member `n` on worker `n`.
     pub(super) fn place_gang(&mut self, step: u32, members: u32) -> Vec<RunId> {
         let attempt = self
             .jobs
@@ -136,37 +136,37 @@
         RunId { task, attempt }
     }
 
-    /// A run that was outstanding ends; returns what follows.
+    /// Ends a run, which must be outstanding; returns the events.
     pub(super) fn end(&mut self, run: RunId, result: RunResult) -> Vec<JobEvent> {
         let ended = self.try_end(run, result);
         assert!(ended.is_some(), "the run was outstanding");
         self.events()
     }
 
-    /// A run ends, if it was outstanding.
+    /// Ends a run; returns `None` if it is not outstanding.
     pub(super) fn try_end(&mut self, run: RunId, result: RunResult) -> Option<RunEnded> {
         self.jobs.end_run(run, result, "", &self.clock)
     }
 
-    /// A run that counted as lost has ended `done`.
+    /// Reports that a run which was treated as lost has ended `done`; returns the events.
     pub(super) fn late_done(&mut self, task: TaskName) -> Vec<JobEvent> {
         self.jobs.handle_late_done(task, &self.clock);
         self.events()
     }
 
-    /// The client cancels the job.
+    /// Cancels the job; returns the events.
     pub(super) fn cancel(&mut self) -> Vec<JobEvent> {
         self.jobs.end(JOB, JobState::Cancelled, &self.clock);
         self.events()
     }
 
-    /// Forgets jobs whose time is over.
+    /// Removes ended jobs whose retention time is over; returns the events.
     pub(super) fn forget(&mut self) -> Vec<JobEvent> {
         self.jobs.forget_ended(&self.clock);
         self.events()
     }
 
-    /// Jobs with unwritten checkpoints that were last written so long ago.
+    /// Jobs with unwritten checkpoints whose rows were last written at least `since_ms` ago.
     pub(super) fn unwritten(&self, since_ms: u64) -> Vec<JobId> {
         self.jobs
             .unwritten_checkpoints(since_ms, self.now_ms)
@@ -183,7 +183,7 @@
             .expect("there is such a step")
     }
 
-    /// How the job has ended, if it has.
+    /// Final state of the job; `None` while it is open.
     pub(super) fn end_state(&self) -> Option<JobState> {
         self.job().end().map(|end| end.state)
     }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,23 +1,23 @@
-//! The scheduler of the cluster, driven by the acting head of the core: accepts jobs, places their tasks on workers and
-//! follows their runs. A state machine without I/O: time and events go in; writes, replies and orders come out. It reads
-//! no clock and draws from a seeded generator, so that the same events give the same decisions.
+//! The scheduler of the cluster. The acting head of the core drives it: it accepts jobs, places their tasks on workers and
+//! tracks their runs. It is a state machine without I/O: its inputs are times and events, its outputs writes, replies and
+//! orders. It reads no clock and draws from a seeded random generator, so the same events give the same decisions.
 //!
-//! The modules in layers; each imports only modules above it in this list, or earlier in its own line.
+//! The modules form layers; each imports only modules that are above it in this list or earlier in the same entry.
 //!
-//! - Values: `latency`, `api` (inputs and outputs), `run_result`, `queue` (order of admission), `value`, `definition`,
+//! - Value types: `latency`, `api` (inputs and outputs), `run_result`, `queue` (order of admission), `value`, `definition`,
 //!   `step_traits`.
-//! - Parts with state of their own: `clock`, `timers`, `health`, `unexpected_runs`, `worker`, `workers` (registry
+//! - Components with their own state: `clock`, `timers`, `health`, `unexpected_runs`, `worker`, `workers` (registry
 //!   of instances and connections), `kinds` (hybrid SQ(d)), `jobs` (lifecycle of jobs, their tasks and runs), `demand`,
 //!   `reservations`, `recent_demand`, `backlog_cache`, `services` (queues), `rows` (stored forms), `outbox` (changed rows
-//!   and what waits for their commit).
-//! - `cluster_view`: what decisions read. Decisions: `estimates`, `straggler`, `headroom`, `backlog`, `outlook`.
-//! - `cluster`: the parts together; what one event means for several of them. `jobs` tells it by typed events what
-//!   follows for queues, rows and runs.
-//! - What acts on the cluster: `placement` (with gangs, reservations, speculative runs), `preemption`, `run_checks`,
+//!   and outputs that wait for their commit).
+//! - `cluster_view`: the read-only view for decisions. Decisions: `estimates`, `straggler`, `headroom`, `backlog`, `outlook`.
+//! - `cluster`: the combined state, and updates that concern several components. `jobs` emits typed events to it for changes
+//!   to queues, rows and runs.
+//! - Operations on the cluster: `placement` (with gangs, reservations, speculative runs), `preemption`, `run_checks`,
 //!   `reports`, `client_calls`, `takeover`.
-//! - `scheduler`, which routes each event and collects the effects.
+//! - `scheduler`: dispatches each event and collects the effects.
 //!
-//! Whatever rests on a write (replies, start orders, acknowledged ends) waits in the outbox until it is committed.
+//! Outputs that depend on a write (replies, start orders, acknowledged ends) wait in the outbox until it is committed.
 
 #![forbid(unsafe_code)]
 
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -1,5 +1,5 @@
-//! What leaves the scheduler: changed rows go into one write per event, and whatever rests on a write waits until it is
-//! committed.
+//! Outputs of the scheduler until they are sent. The rows changed by one event form one write; outputs that depend on a
+//! write wait until it is committed.
 
 use crate::api::{CallerId, WriteId};
 use crate::worker::WorkerId;
@@ -7,23 +7,23 @@
 use indigofold_protocol::task::{JobId, RunId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Something that waits for a write.
+/// An output or action that waits for a write to be committed.
 #[derive(Debug)]
 pub(crate) enum Deferred {
-    /// A reply to a client.
+    /// Sending a reply to a client.
     Reply(CallerId, ClientReply),
-    /// A run's start order.
+    /// Sending the start order of a run.
     Start(RunId),
-    /// A run's stop order.
+    /// Sending the stop order of a run.
     Stop(RunId),
-    /// Ends of a worker up to this number may be acknowledged.
+    /// Acknowledging the reported ends of a worker's runs up to this number.
     Acknowledge(WorkerId, u64),
 }
 
-/// Orders for one worker.
+/// Orders for one worker, sent to its node agent in one message.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerOrders {
-    /// The report that they answer.
+    /// Time at which the report that is answered was sent, on the agent's clock; `None` if no report is answered.
     pub echo_sent_ms: Option<u64>,
     /// Runs to start.
     pub start: Vec<StartOrder>,
@@ -31,66 +31,69 @@
     pub stop: Vec<RunId>,
 }
 
-/// Rows that the present event has changed.
+/// Rows that the current event has changed.
 #[derive(Debug, Default)]
 pub(crate) struct ChangedRows {
-    /// Jobs whose progress changed.
+    /// Jobs whose progress row has to be written.
     pub progress: BTreeSet<JobId>,
-    /// Jobs accepted.
+    /// Accepted jobs, whose definition row has to be written.
     pub accepted: BTreeSet<JobId>,
-    /// Jobs forgotten, with what is deleted.
+    /// Removed jobs, whose progress row has to be deleted.
     pub forgotten: BTreeSet<JobId>,
-    /// Jobs of which only the end stays stored from now on.
+    /// Closed jobs, whose definition row has to be deleted.
     pub closed: BTreeSet<JobId>,
-    /// Instances whose machine became known, or (`None`) that have ended.
+    /// Worker instances with the machine that their row names; `None` deletes the row of an ended instance.
     pub instances: BTreeMap<String, Option<String>>,
 }
 
-/// Everything that waits to leave.
+/// Changed rows and orders of the current event, and outputs that wait for a commit.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     changed: ChangedRows,
     orders: BTreeMap<WorkerId, WorkerOrders>,
+    /// Outputs by the write that they wait for.
     deferred: BTreeMap<WriteId, Vec<Deferred>>,
+    /// Number of the last write that was issued; 0 before the first.
     issued: u64,
+    /// Writes up to this number are committed.
     committed: u64,
 }
 
 impl Outbox {
-    /// Stands for a write that was committed before everything else.
+    /// Placeholder for outputs that depend on no write; it always counts as committed.
     pub(crate) const NO_WRITE: WriteId = WriteId(0);
 
-    /// The job's progress has changed.
+    /// Records that the progress row of a job has to be written.
     pub(crate) fn progress_changed(&mut self, job: JobId) {
         self.changed.progress.insert(job);
     }
 
-    /// The job was accepted: its definition is written.
+    /// Records that the definition row of an accepted job has to be written.
     pub(crate) fn job_accepted(&mut self, job: JobId) {
         self.changed.accepted.insert(job);
     }
 
-    /// Of an ended job only the end stays stored: its definition is deleted.
+    /// Records that the definition row of a closed job has to be deleted.
     pub(crate) fn job_closed(&mut self, job: JobId) {
         self.changed.closed.insert(job);
     }
 
-    /// The job is forgotten: its progress is deleted.
+    /// Records that the progress row of a removed job has to be deleted.
     pub(crate) fn job_forgotten(&mut self, job: JobId) {
         self.changed.forgotten.insert(job);
     }
 
-    /// The machine of an instance became known, or (`None`) the instance has ended.
+    /// Records that the row of a worker instance has to name this machine; `None` deletes the row of an ended instance.
     pub(crate) fn instance_changed(&mut self, instance: String, node_name: Option<String>) {
         self.changed.instances.insert(instance, node_name);
     }
 
-    /// The write that the present event's changes go into.
+    /// The write that will contain the changes of the current event.
     pub(crate) fn present_write(&self) -> WriteId {
         WriteId(self.issued + 1)
     }
 
-    /// The newest write, including the present one if something has changed.
+    /// The newest write: the current one if the current event has changed a row, otherwise the last one issued.
     pub(crate) fn newest_write(&self) -> WriteId {
         if self.has_changes() {
             self.present_write()
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Whether the present event has changed a row.
+    /// Whether the current event has changed a row.
     pub(crate) fn has_changes(&self) -> bool {
         let changed = &self.changed;
         !(changed.progress.is_empty()
@@ -108,17 +111,17 @@
             && changed.instances.is_empty())
     }
 
-    /// Whether this write is committed.
+    /// Whether this write, and thus all earlier ones, are committed.
     pub(crate) fn is_committed(&self, write: WriteId) -> bool {
         write.0 <= self.committed
     }
 
-    /// Lets something wait for a write.
+    /// Defers an output until a write is committed.
     pub(crate) fn defer(&mut self, write: WriteId, what: Deferred) {
         self.deferred.entry(write).or_default().push(what);
     }
 
-    /// A reply that waits for a write.
+    /// Defers a reply to a client's call until a write is committed.
     pub(crate) fn reply(
         &mut self,
         write: WriteId,
@@ -129,18 +132,18 @@
         self.defer(write, Deferred::Reply(to, ClientReply { call, outcome }));
     }
 
-    /// Takes the present event's changes; they get their number.
+    /// Returns the changes of the current event as a write with a new number.
     pub(crate) fn take_changes(&mut self) -> (WriteId, ChangedRows) {
         self.issued += 1;
         (WriteId(self.issued), std::mem::take(&mut self.changed))
     }
 
-    /// Writes up to this one are committed.
+    /// Marks all writes up to this one as committed.
     pub(crate) fn commit(&mut self, write: WriteId) {
         self.committed = self.committed.max(write.0);
     }
 
-    /// What need not wait any longer, in the order of its writes.
+    /// Removes and returns the outputs whose writes are committed, in the order of the writes.
     pub(crate) fn released(&mut self) -> Vec<Deferred> {
         let waiting = self.deferred.split_off(&WriteId(self.committed + 1));
         std::mem::replace(&mut self.deferred, waiting)
@@ -156,12 +159,12 @@
         }
     }
 
-    /// The present event's orders for a worker.
+    /// The orders of the current event for a worker.
     pub(crate) fn orders_for(&mut self, worker: WorkerId) -> &mut WorkerOrders {
         self.orders.entry(worker).or_default()
     }
 
-    /// Takes the present event's orders.
+    /// Returns the orders of the current event, by worker.
     pub(crate) fn take_orders(&mut self) -> BTreeMap<WorkerId, WorkerOrders> {
         std::mem::take(&mut self.orders)
     }
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -1,4 +1,5 @@
-//! Rows of the control state: `job/ID`, written once, and `progress/ID` with all tasks of a job.
+//! Stored rows of jobs in the control state: `job/ID` holds the definition and is written once; `progress/ID` holds the
+//! progress of all tasks and is rewritten as it changes.
 
 use crate::definition::{Definition, JobEnd};
 use crate::jobs::{GangFailures, Job, Repetition, RestoredTask, Run, StepState, Task};
@@ -13,36 +14,36 @@
 const JOB_PREFIX: &[u8] = b"job/";
 const PROGRESS_PREFIX: &[u8] = b"progress/";
 
-/// A row that cannot be read.
+/// Why a row of the control state cannot be restored.
 #[derive(Debug, PartialEq, Snafu)]
 pub enum RowError {
-    /// The key is not one of the scheduler's.
+    /// The key is neither that of a job's row nor that of a worker instance's row.
     #[snafu(display("row `{key}` of the control state is not one of the scheduler's"))]
     Key {
-        /// The key, as text.
+        /// The key as text; bytes that are not UTF-8 are replaced.
         key: String,
     },
-    /// The value has another form.
+    /// The value cannot be decoded.
     #[snafu(display("row `{key}` of the control state cannot be read: {source}"))]
     Value {
-        /// The key, as text.
+        /// The key as text; bytes that are not UTF-8 are replaced.
         key: String,
-        /// Why.
+        /// The error of the decoder.
         source: postcard::Error,
     },
 }
 
-/// Which row a key names.
+/// The kind and job of a row, as named by its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RowKey {
-    /// `job/ID`.
+    /// Key `job/ID`: the definition of a job.
     Job(JobId),
-    /// `progress/ID`.
+    /// Key `progress/ID`: the progress of a job.
     Progress(JobId),
 }
 
 impl RowKey {
-    /// The key as bytes.
+    /// The key as it is stored.
     pub(crate) fn bytes(self) -> Vec<u8> {
         match self {
             RowKey::Job(id) => format!("job/{id}").into_bytes(),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Reads a key.
+    /// Parses a stored key; `None` if it is not the key of a job's row.
     pub(crate) fn parse(key: &[u8]) -> Option<RowKey> {
         let id = |digits: &[u8]| std::str::from_utf8(digits).ok()?.parse().ok();
         if let Some(digits) = key.strip_prefix(JOB_PREFIX) {
@@ -62,27 +63,30 @@
     }
 }
 
-/// How far a job has come.
+/// The value of the row `progress/ID`.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Progress {
+    /// `None` while the job is open.
     end: Option<JobEnd>,
+    /// Number of the first repetition that has not been opened.
     next_repeat: u32,
-    /// Worker instances that `runs` point to.
+    /// Ids of the worker instances that the runs refer to by index.
     instances: Vec<String>,
     repeats: Vec<RepetitionRow>,
-    /// Speculative runs; they follow the rest of the row, and only if there are any.
+    /// Speculative runs. They are encoded after the rest of the row, and only if there are any, so that rows without them
+    /// have the same form as those of earlier versions.
     #[serde(skip)]
     speculative_runs: Vec<SpeculativeRunRow>,
 }
 
-/// A repetition that is due and has not ended.
+/// The stored form of a repetition that is due and has not ended.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct RepetitionRow {
     number: u32,
     steps: Vec<StepRow>,
 }
 
-/// A speculative run of a task.
+/// The stored form of a speculative run. `repeat`, `step` and `index` name its task.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct SpeculativeRunRow {
     repeat: u32,
@@ -92,13 +96,14 @@
     attempt: u32,
 }
 
+/// The stored form of a step.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum StepRow {
-    /// Nothing has been started.
+    /// No task has had a run.
     Fresh,
     /// All tasks are done and no run is outstanding.
     Done,
-    /// Anything else.
+    /// Any other state.
     Open {
         gang_failures: u32,
         gang_failed_attempt: u32,
@@ -106,30 +111,31 @@
     },
 }
 
+/// The stored form of a task.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct TaskRow {
     last_attempt: u32,
     failures: u32,
     done: bool,
     checkpoint: String,
-    /// Its outstanding run.
+    /// The outstanding run, other than a speculative one.
     run: Option<RunRow>,
 }
 
-/// An outstanding run of a task.
+/// The stored form of an outstanding run.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct RunRow {
-    /// Index into `instances`.
+    /// Index into [`Progress::instances`].
     instance: u32,
     attempt: u32,
 }
 
-/// The value of `job/ID`.
+/// Encodes the value of `job/ID`.
 pub(crate) fn definition_bytes(definition: &Definition) -> Vec<u8> {
     postcard::to_allocvec(definition).unwrap_or_default()
 }
 
-/// The value of `progress/ID`.
+/// Encodes the value of `progress/ID`.
 pub(crate) fn progress_bytes(job: &Job, workers: &Workers) -> Vec<u8> {
     let mut instances = Vec::new();
     let mut repeats = Vec::new();
@@ -184,7 +190,7 @@
     rows
 }
 
-/// Index of a worker's instance in `instances`, entered if it is new.
+/// Index of a worker's instance in `instances`, to which it is added if missing.
 fn instance_index(worker: WorkerId, workers: &Workers, instances: &mut Vec<String>) -> u32 {
     let name = workers.get(worker).map_or("", |w| w.instance());
     let known = instances.iter().position(|instance| instance == name);
@@ -194,7 +200,7 @@
     }) as u32
 }
 
-/// The row of a step; `instances` are those that its runs point to.
+/// Converts a step to its stored form. Instances that its runs refer to are added to `instances`.
 fn step_row(
     step: &StepState,
     gang: bool,
@@ -240,12 +246,12 @@
     }
 }
 
-/// Reads the value of `job/ID`.
+/// Decodes the value of `job/ID`.
 pub(crate) fn read_definition(key: &[u8], value: &[u8]) -> Result<Definition, RowError> {
     read(key, value)
 }
 
-/// Reads the value of `progress/ID`.
+/// Decodes the value of `progress/ID`.
 pub(crate) fn read_progress(key: &[u8], value: &[u8]) -> Result<Progress, RowError> {
     let (mut progress, rest): (Progress, &[u8]) =
         postcard::take_from_bytes(value).map_err(|source| unreadable(key, source))?;
@@ -266,14 +272,14 @@
     }
 }
 
-/// What the rows of a job say.
+/// The decoded rows of a job.
 pub(crate) struct JobRows {
     definition: Definition,
     progress: Progress,
 }
 
 impl JobRows {
-    /// Both rows of a job. An ended job has no definition any more; it gets an empty one.
+    /// Combines both rows of a job. A closed job has no definition row; the caller passes an empty definition.
     pub(crate) fn new(definition: Definition, progress: Progress) -> Self {
         JobRows {
             definition,
@@ -281,8 +287,8 @@
         }
     }
 
-    /// The job as it was when its rows were written. Instances that `workers` does not know are entered there.
-    /// `due_ms` gives the steady clock's reading at which a repetition was due.
+    /// Restores the job to the state in which its rows were written. Instances that are missing in `workers` are registered
+    /// there. `due_ms` returns the reading of the steady clock at which a repetition of the job was due.
     pub(crate) fn restore(
         self,
         workers: &mut Workers,
@@ -328,7 +334,7 @@
 }
 
 impl StepRow {
-    /// The state of a step of `count` tasks; `workers` are those that its runs point to.
+    /// Restores a step of `count` tasks; `workers` are the instances that its runs refer to by index.
     fn restore(self, count: u32, workers: &[WorkerId], now_ms: u64) -> StepState {
         let count = count as usize;
         let (rows, gang_failures) = match self {
@@ -357,6 +363,7 @@
 }
 
 impl TaskRow {
+    /// Restores a task; `workers` are the instances that its run refers to by index.
     fn restore(self, workers: &[WorkerId], now_ms: u64) -> Task {
         let run = self.run.and_then(|run| {
             let worker = *workers.get(run.instance as usize)?;
--- a/crates/scheduler/src/rows/tests.rs
+++ b/crates/scheduler/src/rows/tests.rs
@@ -1,20 +1,21 @@
-//! Rows as an earlier version wrote them are read, and written again byte for byte: a successor may be of another version.
+//! Tests that rows written by an earlier version are read and written back byte for byte: heads of different versions may
+//! follow each other.
 
 use super::*;
 use crate::instance_rows::{instance_key, instance_of};
 use crate::workers::Workers;
 use rstest::rstest;
 
-/// Rows that version 13256bf wrote, one a line: key, and value in hexadecimal digits.
+/// Rows written by version 13256bf, one per line: the key, and the value in hexadecimal digits.
 ///
-/// Job 7 has three repetitions of a speculative step and one with checkpoints, a label and a rack; stalled tasks have a
-/// speculative run each. Job 8 is a gang with a checkpoint. Job 9 has completed: only its end is stored.
+/// Job 7 has three repetitions of a speculative step and one with checkpoints, a label and a rack; each stalled task has a
+/// speculative run. Job 8 is a gang with a checkpoint. Job 9 has completed; only its end is stored.
 const FIXTURE: &str = include_str!("../../tests/fixtures/rows-13256bf.txt");
 
-/// Longest run lease, for the registry of workers that the rows refer to.
+/// Longest run lease, which the registry of workers requires.
 const MAX_LEASE_MS: u64 = 6_000;
 
-/// The value of a row of the fixture.
+/// The value of the row with this key in the fixture.
 fn stored(key: &str) -> Vec<u8> {
     let mut rows = FIXTURE.lines().filter_map(|line| line.split_once(' '));
     let (_, hex) = rows
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! How an event passes through the scheduler, and what leaves it.
+//! The scheduler's entry points: dispatches events and timers to the components, and collects the effects.
 
 use crate::api::{Bounds, Effect, Epoch, Event};
 use crate::client_calls::ClientCalls;
@@ -15,21 +15,23 @@
 use crate::timers::Periodic;
 use indigofold_protocol::internal::AgentOrders;
 
-/// Period of everything that depends on time alone.
+/// Period of the periodic work while any job is open.
 const TICK_MS: u64 = 100;
-/// The same while no job is open.
+/// Period of the periodic work while no job is open.
 const IDLE_TICK_MS: u64 = 500;
-/// Time between two solutions of problem (1), which gives the kinds' probabilities.
+/// Time between two solutions of problem (1) of hybrid SQ(d), which gives the probabilities of the kinds of workers.
 const RESOLVE_MS: u64 = 500;
 
-/// The scheduler. See the crate's documentation.
+/// The scheduler's state machine; the crate's documentation describes it. Its user passes events to
+/// [`handle`](Self::handle) and carries out the effects.
 pub struct Scheduler {
-    /// Fencing token of all orders: number of the view under whose head the scheduler acts.
+    /// Fencing token of all orders: number of the view whose head runs this scheduler.
     epoch: Epoch,
     cluster: Cluster,
     calls: ClientCalls,
     reports: Reports,
     placer: Placer,
+    /// When the next [`tick`](Self::tick) is due, on the steady clock.
     next_tick_ms: u64,
     resolve_timer: Periodic,
     check_timer: Periodic,
@@ -37,8 +39,8 @@
 }
 
 impl Scheduler {
-    /// A scheduler that knows no job yet. `epoch` is the number of the view under whose head it acts: the fencing
-    /// token of its orders. `now_ms` is a reading of the steady clock, `wall_ms` the time of day since 1970.
+    /// Creates a scheduler without jobs. `epoch` is the number of the view whose head runs it, and the fencing token of its
+    /// orders. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in milliseconds.
     pub fn new(bounds: Bounds, epoch: Epoch, seed: u64, now_ms: u64, wall_ms: u64) -> Self {
         Scheduler {
             epoch,
@@ -58,12 +60,12 @@
         RowKey::parse(key).is_some() || instance_of(key).is_some()
     }
 
-    /// Takes over what a predecessor has written: all rows whose keys [`is_row`](Self::is_row). To be called once,
-    /// before the first event.
+    /// Restores the state that a previous head has written. `rows` are all rows whose keys [`is_row`](Self::is_row)
+    /// accepts. Must be called once, before the first event.
     ///
     /// # Errors
     ///
-    /// Names the first row that is not one of the scheduler's or cannot be read.
+    /// [`RowError`] with the key of the first row that does not belong to the scheduler or cannot be decoded.
     pub fn load(
         &mut self,
         rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
@@ -75,17 +77,18 @@
         Ok(())
     }
 
-    /// Follows placements from now on; [`take_traces`](Self::take_traces) hands them out.
+    /// Starts recording how workers are selected; [`take_traces`](Self::take_traces) returns the records.
     pub fn trace_placements(&mut self) {
         self.placer.follow();
     }
 
-    /// Placements since the last call.
+    /// Returns the placements recorded since the last call; empty unless [`trace_placements`](Self::trace_placements) was
+    /// called.
     pub fn take_traces(&mut self) -> Vec<PlacementTrace> {
         self.placer.take_traces()
     }
 
-    /// When [`Event::Timer`] is due, on the steady clock.
+    /// When [`Event::Timer`] is due, on the steady clock; always later than the last event.
     pub fn next_timer_ms(&self) -> u64 {
         let clock = self.cluster.clock();
         let due_wall_ms = self.cluster.jobs().next_repetition_wall_ms();
@@ -101,7 +104,8 @@
             .max(clock.now_ms() + 1)
     }
 
-    /// Takes an event. `now_ms` is the steady clock, `wall_ms` the time of day since 1970.
+    /// Handles an event and appends the effects. `now_ms` is a reading of the steady clock, `wall_ms` the Unix time in
+    /// milliseconds.
     pub fn handle(&mut self, now_ms: u64, wall_ms: u64, event: Event, effects: &mut Vec<Effect>) {
         self.cluster.advance_clock(now_ms, wall_ms);
         self.dispatch(event);
@@ -118,7 +122,7 @@
         effects.extend(late.map(|end| Effect::Late(Box::new(end))));
     }
 
-    /// Passes an event to the part that it concerns.
+    /// Passes an event to the component that handles it.
     fn dispatch(&mut self, event: Event) {
         let cluster = &mut self.cluster;
         match event {
@@ -135,7 +139,8 @@
         }
     }
 
-    /// Does what depends on time alone.
+    /// Performs the periodic work: expires instances and ended jobs, checks runs, writes checkpoints, reorders queues and
+    /// preempts.
     fn tick(&mut self) {
         let cluster = &mut self.cluster;
         let now_ms = cluster.clock().now_ms();
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Carries out what need not wait for a write any longer.
+    /// Carries out deferred outputs whose writes are committed.
     fn release(&mut self, effects: &mut Vec<Effect>) {
         let cluster = &mut self.cluster;
         for deferred in cluster.outbox_mut().released() {
@@ -181,7 +186,7 @@
         }
     }
 
-    /// The orders of the present event, by worker, then the answers to node agents without one.
+    /// Emits the orders of the current event, by worker, then the answers to reports without a worker instance.
     fn send_orders(&mut self, effects: &mut Vec<Effect>) {
         let epoch = self.epoch.0;
         for (id, orders) in self.cluster.outbox_mut().take_orders() {
@@ -206,7 +211,7 @@
     }
 }
 
-/// The answer to a report without an instance: no orders, and the instance whose report is asked for.
+/// The answer to a report without a worker instance: no orders, and the instance whose report the head expects.
 fn empty_orders(epoch: u64, answer: AnswerWithoutInstance) -> Effect {
     Effect::Orders {
         agent: answer.agent,
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Take-over: the state as a predecessor has written it.
+//! Takeover: a new head restores the state from the rows that the previous head has written.
 
 use crate::cluster::Cluster;
 use crate::instance_rows::instance_of;
@@ -6,10 +6,12 @@
 use indigofold_protocol::task::JobId;
 use rustc_hash::FxHashMap;
 
-/// Nothing is placed for this time after a take-over, so that waiting tasks are spread over all workers.
+/// Nothing is placed for this time after a takeover, so that node agents can reconnect and waiting tasks are spread over
+/// all workers.
 pub(crate) const AGENTS_RECONNECT_MS: u64 = 120;
 
-/// Takes over all rows whose keys [`is_row`](crate::Scheduler::is_row); returns whether there is any job.
+/// Restores all jobs and worker instances from `rows`, whose keys must all be accepted by
+/// [`is_row`](crate::Scheduler::is_row). Returns whether there is any job.
 pub(crate) fn load(
     cluster: &mut Cluster,
     rows: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
