--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -52,7 +52,7 @@
     assert_eq!(
         stage.jobs.pending("route"),
         0,
-        "something of it has been started"
+        "the job has a run and is not pending any more"
     );
     let events = stage.end(first, DONE);
     assert!(!events.iter().any(|event| says_ready(event, 1)));
@@ -121,10 +121,14 @@
         assert_eq!(events.contains(&stop), failure == builder::MAX_RETRIES);
     }
     assert_eq!(stage.end_state(), Some(JobState::Failed));
-    assert_eq!(stage.jobs.take_late().len(), 1, "a failed job is reported");
+    assert_eq!(
+        stage.jobs.take_late().len(),
+        1,
+        "the failed job is recorded as a late end"
+    );
     assert!(
         stage.job().has_outstanding_runs(),
-        "closed only once nothing of it runs"
+        "the job is closed only once its last run has ended"
     );
     let events = stage.end(other, RunResult::NotStarted);
     assert!(events.contains(&JobEvent::Closed(JOB)));
@@ -209,7 +213,7 @@
     let elsewhere = runs.map(|run| {
         stage
             .try_end(run, FAILED)
-            .expect("it runs")
+            .expect("the run is outstanding")
             .failed_elsewhere
     });
     assert_eq!(elsewhere, [false, false, true]);
--- a/crates/scheduler/src/jobs/tests/builder.rs
+++ b/crates/scheduler/src/jobs/tests/builder.rs
@@ -102,16 +102,13 @@
     /// Places a run of a task of the first repetition on a worker.
     pub(super) fn place_at(&mut self, step: u32, index: u32, worker: u32) -> RunId {
         let task = at(step).task(index);
-        let entry = self.job().task(&task).expect("there is such a task");
+        let entry = self.job().task(&task).expect("the task exists");
         self.place_run(task, entry.last_attempt() + 1, worker)
     }
 
     /// Places all members of a gang, member `n` on worker `n`.
     pub(super) fn place_gang(&mut self, step: u32, members: u32) -> Vec<RunId> {
-        let attempt = self
-            .jobs
-            .prepare_gang(at(step))
-            .expect("there is such a step");
+        let attempt = self.jobs.prepare_gang(at(step)).expect("the step exists");
         let members = 0..members;
         members
             .map(|index| self.place_run(at(step).task(index), attempt, index))
@@ -127,7 +124,7 @@
         let taken = self
             .jobs
             .record_placement(task, attempt, &placement, self.now_ms);
-        assert!(taken.is_some(), "the run is placed");
+        assert!(taken.is_some(), "the run of task {task} cannot be placed");
         let waiting = self.step(task.step).waiting();
         if waiting.is_empty() {
             self.jobs.dequeue(StepRef::of(&task));
@@ -139,7 +136,7 @@
     /// Ends a run, which must be outstanding; returns the events.
     pub(super) fn end(&mut self, run: RunId, result: RunResult) -> Vec<JobEvent> {
         let ended = self.try_end(run, result);
-        assert!(ended.is_some(), "the run was outstanding");
+        assert!(ended.is_some(), "run {run:?} is not outstanding");
         self.events()
     }
 
@@ -174,13 +171,11 @@
     }
 
     pub(super) fn job(&self) -> &Job {
-        self.jobs.get(&JOB).expect("the job is known")
+        self.jobs.get(&JOB).expect("the job is in the table")
     }
 
     pub(super) fn step(&self, step: u32) -> &StepState {
-        self.jobs
-            .step_state(at(step))
-            .expect("there is such a step")
+        self.jobs.step_state(at(step)).expect("the step exists")
     }
 
     /// Final state of the job; `None` while it is open.
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -18,13 +18,15 @@
 #[derive(Debug, PartialEq, Snafu)]
 pub enum RowError {
     /// The key is neither that of a job's row nor that of a worker instance's row.
-    #[snafu(display("row `{key}` of the control state is not one of the scheduler's"))]
+    #[snafu(display(
+        "row `{key}` of the control state does not belong to the scheduler: expected `job/ID`, `progress/ID` or `life/INSTANCE`"
+    ))]
     Key {
         /// The key as text; bytes that are not UTF-8 are replaced.
         key: String,
     },
     /// The value cannot be decoded.
-    #[snafu(display("row `{key}` of the control state cannot be read: {source}"))]
+    #[snafu(display("value of row `{key}` of the control state cannot be decoded: {source}"))]
     Value {
         /// The key as text; bytes that are not UTF-8 are replaced.
         key: String,
--- a/crates/scheduler/src/rows/tests.rs
+++ b/crates/scheduler/src/rows/tests.rs
@@ -20,10 +20,13 @@
     let mut rows = FIXTURE.lines().filter_map(|line| line.split_once(' '));
     let (_, hex) = rows
         .find(|(stored, _)| *stored == key)
-        .expect("the row is in the fixture");
+        .expect("the fixture has a row with this key");
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("a hexadecimal number"))
+        .map(|at| {
+            u8::from_str_radix(&hex[at..at + 2], 16)
+                .expect("the value consists of hexadecimal digits")
+        })
         .collect()
 }
 
@@ -32,7 +35,7 @@
 #[case::gang("job/0000000000000008")]
 fn a_definition_row_is_read_and_written_unchanged(#[case] key: &str) {
     let row = stored(key);
-    let definition = read_definition(key.as_bytes(), &row).expect("the row is readable");
+    let definition = read_definition(key.as_bytes(), &row).expect("the row can be decoded");
     assert!(!definition.spec.stages.is_empty());
     assert_eq!(definition_bytes(&definition), row);
 }
@@ -47,10 +50,10 @@
     #[case] speculative_runs: usize,
 ) {
     let definition = definition.map_or_else(Definition::default, |key| {
-        read_definition(key.as_bytes(), &stored(key)).expect("the row is readable")
+        read_definition(key.as_bytes(), &stored(key)).expect("the row can be decoded")
     });
     let row = stored(key);
-    let progress = read_progress(key.as_bytes(), &row).expect("the row is readable");
+    let progress = read_progress(key.as_bytes(), &row).expect("the row can be decoded");
     assert_eq!(progress.speculative_runs.len(), speculative_runs);
     let mut workers = Workers::new(MAX_LEASE_MS);
     let rows = JobRows::new(definition, progress);
@@ -61,7 +64,12 @@
 #[test]
 fn keys_are_read_and_written_unchanged() {
     for key in [&b"job/0000000000000007"[..], b"progress/0000000000000007"] {
-        assert_eq!(RowKey::parse(key).expect("a key of a job").bytes(), key);
+        assert_eq!(
+            RowKey::parse(key)
+                .expect("the key is that of a job's row")
+                .bytes(),
+            key
+        );
     }
     assert_eq!(instance_of(b"life/i-n1-1"), Some("i-n1-1"));
     assert_eq!(instance_key("i-n1-1"), b"life/i-n1-1");
