--- a/crates/scheduler/src/client_calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -28,15 +28,15 @@
 
 /// The outcome of a call, and the write that has to be committed before the client is told.
 struct Answer {
-    after: WriteId,
+    after_write: WriteId,
     outcome: ClientOutcome,
 }
 
 impl Answer {
     /// Creates an answer that does not depend on any write.
-    fn at_once(outcome: ClientOutcome) -> Self {
+    fn immediate(outcome: ClientOutcome) -> Self {
         Answer {
-            after: Outbox::NO_WRITE,
+            after_write: Outbox::NO_WRITE,
             outcome,
         }
     }
@@ -58,7 +58,7 @@
         };
         let answer = self.answer(cluster, call);
         let outbox = cluster.outbox_mut();
-        outbox.reply(answer.after, to.caller, to.call, answer.outcome);
+        outbox.reply(answer.after_write, to.caller, to.call, answer.outcome);
     }
 
     /// Applies a new configuration: open jobs whose route has another service or other terms are moved to these. Jobs of a
@@ -73,7 +73,7 @@
         let changed: Vec<&Route> = config
             .routes
             .iter()
-            .filter(|route| !known.iter().any(|old| leads_alike(old, route)))
+            .filter(|route| !known.iter().any(|old| has_same_target(old, route)))
             .collect();
         if changed.is_empty() {
             return;
@@ -94,12 +94,12 @@
     /// Determines the answer to a call by its route, operation and job id.
     fn answer(&self, cluster: &mut Cluster, call: ClientCall) -> Answer {
         let Some(config) = &self.config else {
-            return Answer::at_once(ClientOutcome::Unavailable {
+            return Answer::immediate(ClientOutcome::Unavailable {
                 retry_after_ms: UNCONFIGURED_RETRY_MS,
             });
         };
         let Some(route) = config.route(&call.host, &call.path) else {
-            return Answer::at_once(ClientOutcome::UnknownRoute);
+            return Answer::immediate(ClientOutcome::UnknownRoute);
         };
         let rest = call
             .path
@@ -107,16 +107,16 @@
             .unwrap_or_default();
         match (call.operation, rest.parse::<JobId>()) {
             (ClientOperation::Submit(spec), Ok(id)) => submit(cluster, id, route, spec),
-            (ClientOperation::Submit(_), Err(error)) => Answer::at_once(ClientOutcome::Invalid {
+            (ClientOperation::Submit(_), Err(error)) => Answer::immediate(ClientOutcome::Invalid {
                 reason: error.to_string(),
             }),
             (ClientOperation::Get, Ok(id)) => state_of(cluster, id),
             (ClientOperation::Get, Err(_)) if rest.is_empty() => {
                 let pending = cluster.jobs().pending(&route.name);
-                Answer::at_once(ClientOutcome::Pending(pending))
+                Answer::immediate(ClientOutcome::Pending(pending))
             }
             (ClientOperation::Cancel, Ok(id)) => cancel(cluster, id),
-            _ => Answer::at_once(ClientOutcome::NoSuchJob),
+            _ => Answer::immediate(ClientOutcome::NoSuchJob),
         }
     }
 }
@@ -126,23 +126,23 @@
 fn submit(cluster: &mut Cluster, id: JobId, route: &Route, spec: JobSpec) -> Answer {
     if let Some(known) = cluster.jobs().get(&id) {
         return Answer {
-            after: known.last_write(),
+            after_write: known.last_write(),
             outcome: ClientOutcome::Accepted,
         };
     }
     if let Err(error) = check_job(&spec) {
-        return Answer::at_once(ClientOutcome::Invalid {
+        return Answer::immediate(ClientOutcome::Invalid {
             reason: error.to_string(),
         });
     }
     if cluster.jobs().is_full() {
-        return Answer::at_once(ClientOutcome::TooMany {
+        return Answer::immediate(ClientOutcome::TooMany {
             retry_after_ms: retry_after_ms(backlog_ms(cluster, &route.backend)),
         });
     }
     let job = new_job(cluster, route, spec);
     Answer {
-        after: cluster.accept_job(id, job),
+        after_write: cluster.accept_job(id, job),
         outcome: ClientOutcome::Accepted,
     }
 }
@@ -158,7 +158,7 @@
     };
     let mut job = Job::new(definition);
     let kinds = cluster.services_mut().entry(&route.backend).kinds();
-    job.expect(|step, description| {
+    job.update_expected_run_times(|step, description| {
         if description.long_running {
             return 0;
         }
@@ -190,7 +190,7 @@
 /// The state of a job, which the client is told once the job's newest write is committed.
 fn state_of(cluster: &Cluster, id: JobId) -> Answer {
     let Some(job) = cluster.jobs().get(&id) else {
-        return Answer::at_once(ClientOutcome::NoSuchJob);
+        return Answer::immediate(ClientOutcome::NoSuchJob);
     };
     let unended = if job.is_started() {
         JobState::Running
@@ -199,7 +199,7 @@
     };
     let state = job.end().map_or(unended, |end| end.state);
     Answer {
-        after: job.last_write(),
+        after_write: job.last_write(),
         outcome: ClientOutcome::State(state),
     }
 }
@@ -207,20 +207,20 @@
 /// Cancels a job. A job that has already ended keeps its state, and the call succeeds.
 fn cancel(cluster: &mut Cluster, id: JobId) -> Answer {
     let Some(job) = cluster.jobs().get(&id) else {
-        return Answer::at_once(ClientOutcome::NoSuchJob);
+        return Answer::immediate(ClientOutcome::NoSuchJob);
     };
     if !job.has_ended() {
         cluster.cancel_job(id);
     }
     let job = cluster.jobs().get(&id);
     Answer {
-        after: job.map_or(Outbox::NO_WRITE, Job::last_write),
+        after_write: job.map_or(Outbox::NO_WRITE, Job::last_write),
         outcome: ClientOutcome::Cancelled,
     }
 }
 
 /// Whether a route has the same service and terms as in the former configuration.
-fn leads_alike(before: &Route, route: &Route) -> bool {
+fn has_same_target(before: &Route, route: &Route) -> bool {
     before.name == route.name && before.backend == route.backend && terms(before) == terms(route)
 }
 
--- a/crates/scheduler/src/cluster.rs
+++ b/crates/scheduler/src/cluster.rs
@@ -108,45 +108,45 @@
     }
 
     /// Returns the jobs and repetitions that ended late or failed since the last call.
-    pub(crate) fn take_late(&mut self) -> Vec<LateEnd> {
-        self.jobs.take_late()
+    pub(crate) fn take_late_ends(&mut self) -> Vec<LateEnd> {
+        self.jobs.take_late_ends()
     }
 
     /// Accepts a job; returns the write that contains it.
     pub(crate) fn accept_job(&mut self, id: JobId, job: Job) -> WriteId {
         self.jobs.accept(id, job, &self.clock);
         self.open_due_repeats();
-        self.outbox.present_write()
+        self.outbox.current_write()
     }
 
     /// Cancels an open job; its runs are stopped once that is committed.
     pub(crate) fn cancel_job(&mut self, id: JobId) {
         self.jobs.end(id, JobState::Cancelled, &self.clock);
-        self.take_up_job_events();
+        self.process_job_events();
     }
 
     /// Moves the job, and its queued steps, to this service and these terms.
     pub(crate) fn reroute_job(&mut self, id: JobId, service: &str, terms: Terms) {
         self.jobs.reroute(id, service, terms, &self.clock);
-        self.take_up_job_events();
+        self.process_job_events();
     }
 
     /// Opens all repetitions that are due at the current time.
     pub(crate) fn open_due_repeats(&mut self) {
         self.jobs.open_due_repeats(&self.clock);
-        self.take_up_job_events();
+        self.process_job_events();
     }
 
     /// Removes ended jobs whose retention time is over.
-    pub(crate) fn forget_ended_jobs(&mut self) {
-        self.jobs.forget_ended(&self.clock);
-        self.take_up_job_events();
+    pub(crate) fn remove_ended_jobs(&mut self) {
+        self.jobs.remove_ended(&self.clock);
+        self.process_job_events();
     }
 
     /// Takes a step out of its service's queue.
     pub(crate) fn dequeue(&mut self, at: StepRef) {
         self.jobs.dequeue(at);
-        self.take_up_job_events();
+        self.process_job_events();
     }
 
     /// Restores a job from the rows that a previous head has written. Its outstanding runs occupy capacity of their
@@ -168,7 +168,7 @@
             }
         }
         self.jobs.restore(id, job, &self.clock);
-        self.take_up_job_events();
+        self.process_job_events();
     }
 
     /// Begins a pass over the queue of a service.
@@ -179,7 +179,7 @@
     }
 
     /// Solves problem (1) of hybrid SQ(d), which gives the probabilities of the kinds of workers, for all services.
-    pub(crate) fn resolve_kinds(&mut self) {
+    pub(crate) fn solve_kind_probabilities(&mut self) {
         for service in self.services.iter_mut() {
             service.kinds_mut().resolve(&self.workers);
         }
@@ -199,7 +199,7 @@
     }
 
     /// Processes the events emitted by changes of jobs, and those emitted in turn, until none is left.
-    fn take_up_job_events(&mut self) {
+    fn process_job_events(&mut self) {
         while let Some(event) = self.jobs.poll_event() {
             self.handle_job_event(event);
         }
@@ -209,20 +209,20 @@
         match event {
             JobEvent::Accepted(id) => self.outbox.job_accepted(id),
             JobEvent::ProgressChanged(id) => {
-                self.jobs.record_write(id, self.outbox.present_write());
+                self.jobs.record_write(id, self.outbox.current_write());
                 self.outbox.progress_changed(id);
             }
             JobEvent::Closed(id) => self.outbox.job_closed(id),
-            JobEvent::Forgotten(id) => self.outbox.job_forgotten(id),
-            JobEvent::StepReady { service, key } => self.services.entry(&service).enqueue(key),
-            JobEvent::StepLeft { service, key } => self.services.entry(&service).dequeue(&key),
+            JobEvent::Removed(id) => self.outbox.job_removed(id),
+            JobEvent::StepEnqueued { service, key } => self.services.entry(&service).enqueue(key),
+            JobEvent::StepDequeued { service, key } => self.services.entry(&service).dequeue(&key),
             JobEvent::StopTask(task) => self.stop_task(task),
             JobEvent::StopOnceCommitted(run) => self.stop_once_committed(run),
         }
     }
 
     /// Defers an action until the write with the current event's changes is committed.
-    fn defer(&mut self, what: Deferred) {
-        self.outbox.defer(self.outbox.present_write(), what);
+    fn defer(&mut self, action: Deferred) {
+        self.outbox.defer(self.outbox.current_write(), action);
     }
 }
--- a/crates/scheduler/src/cluster/checkpoints.rs
+++ b/crates/scheduler/src/cluster/checkpoints.rs
@@ -10,21 +10,27 @@
 /// Checkpoints of runs with a shorter expected run time than this are not written.
 const RUN_MIN_MS: f64 = 2_000.0;
 /// A write is made for the checkpoints of a job alone only if the job's rows were last written at least this long ago.
-const WRITE_MS: u64 = 2_000;
+const OWN_WRITE_AGE_MS: u64 = 2_000;
 /// Jobs with unwritten checkpoints whose rows were last written this long ago are included in any write that is made.
-const JOIN_MS: u64 = 1_000;
+const JOIN_WRITE_AGE_MS: u64 = 1_000;
 
 impl Cluster {
     /// Requests the writes of checkpoints that are due. No reply or order depends on them, so the jobs' last writes are
     /// not updated.
     pub(crate) fn write_checkpoints(&mut self) {
         let now_ms = self.clock.now_ms();
-        let overdue = self.jobs.unwritten_checkpoints(WRITE_MS, now_ms).next();
+        let overdue = self
+            .jobs
+            .unwritten_checkpoints(OWN_WRITE_AGE_MS, now_ms)
+            .next();
         if overdue.is_none() && !self.outbox.has_changes() {
             return;
         }
-        let joining: Vec<JobId> = self.jobs.unwritten_checkpoints(JOIN_MS, now_ms).collect();
-        for id in joining {
+        let included: Vec<JobId> = self
+            .jobs
+            .unwritten_checkpoints(JOIN_WRITE_AGE_MS, now_ms)
+            .collect();
+        for id in included {
             self.outbox.progress_changed(id);
         }
     }
--- a/crates/scheduler/src/cluster/instances.rs
+++ b/crates/scheduler/src/cluster/instances.rs
@@ -54,19 +54,19 @@
         for run in self.runs_of(id, worker) {
             self.end_run(run, RunResult::Lost, "");
         }
-        self.forget_instance(id);
+        self.remove_instance(id);
         self.regroup(&backend);
     }
 
     /// Expires instances that sent no report until all their leases had expired: their runs are lost. Removes instances
     /// that expired long ago.
-    pub(crate) fn give_up_expired(&mut self) {
+    pub(crate) fn expire_instances(&mut self) {
         let now_ms = self.clock.now_ms();
         for id in self.workers.newly_expired(now_ms) {
             self.expire_instance(id, now_ms);
         }
         for id in self.workers.long_expired(now_ms) {
-            self.forget_instance(id);
+            self.remove_instance(id);
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Removes an instance and deletes its row.
-    fn forget_instance(&mut self, id: WorkerId) {
+    fn remove_instance(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get(id)
             && worker.is_recorded()
         {
--- a/crates/scheduler/src/cluster/learning.rs
+++ b/crates/scheduler/src/cluster/learning.rs
@@ -6,7 +6,7 @@
 use indigofold_protocol::worker::RunEnd;
 
 /// Overhead of orders and reports in the time from placement to the report of the end, in milliseconds.
-const ORDER_MS: f64 = 250.0;
+const ORDER_OVERHEAD_MS: f64 = 250.0;
 
 impl Cluster {
     /// Updates the statistics after the end of a run. Only a run that ended `done` and did all of the work gives a sample
@@ -29,7 +29,7 @@
         let run_ms = now_ms.saturating_sub(run.placed_ms()) as f64 / run.remote_factor().max(1.0);
         let kinds = self.services.entry(&traits.service).kinds_mut();
         let expected_ms = kinds.expected_ms(run.worker(), &traits.class, traits.estimate_ms);
-        let pace = (!run.is_resumed()).then_some(run_ms / (expected_ms + ORDER_MS));
+        let pace = (!run.is_resumed()).then_some(run_ms / (expected_ms + ORDER_OVERHEAD_MS));
         if !run.is_resumed() {
             kinds.record_run(run.worker(), &traits.class, traits.estimate_ms, run_ms);
         }
--- a/crates/scheduler/src/cluster/runs.rs
+++ b/crates/scheduler/src/cluster/runs.rs
@@ -23,7 +23,7 @@
             worker.occupy(task, &resources, placement.bound);
             worker.health_mut().placed(now_ms);
         }
-        self.take_up_job_events();
+        self.process_job_events();
         self.defer(Deferred::Start(RunId { task, attempt }));
     }
 
@@ -36,12 +36,12 @@
     /// Sends the start order of a run whose placement is committed. If the run was stopped, its job has ended or its worker
     /// cannot be reached, the run ends as not started instead.
     pub(crate) fn send_start(&mut self, run: RunId) {
-        let Some(present) = self.jobs.run(&run).filter(|present| !present.is_sent()) else {
+        let Some(unsent) = self.jobs.run(&run).filter(|unsent| !unsent.is_sent()) else {
             return;
         };
         let job = self.jobs.get(&run.task.job);
-        let wanted = present.stop().is_none() && job.is_some_and(|job| !job.has_ended());
-        let worker = self.workers.get(present.worker());
+        let wanted = unsent.stop().is_none() && job.is_some_and(|job| !job.has_ended());
+        let worker = self.workers.get(unsent.worker());
         let reachable = worker.is_some_and(|worker| worker.order_connection().is_some());
         if !reachable || !wanted {
             return self.end_run(run, RunResult::NotStarted, "");
@@ -131,7 +131,7 @@
 
     /// Makes the next run of the task avoid this worker, if another one is available.
     pub(crate) fn avoid_worker(&mut self, task: &TaskName, worker: WorkerId) {
-        self.jobs.avoid(task, worker);
+        self.jobs.avoid_worker(task, worker);
     }
 
     /// Ends a run: frees its capacity, updates the statistics and its job; `checkpoint` is its last one, or empty. No
@@ -146,13 +146,13 @@
         }
         self.services.entry(&ended.traits.service).request_pass();
         self.learn_from(&ended);
-        self.take_up_job_events();
+        self.process_job_events();
     }
 
     /// Handles a `done` of a run that was treated as lost: it completes the task unless the task is already done.
     pub(crate) fn handle_late_done(&mut self, task: TaskName) {
         self.jobs.handle_late_done(task, &self.clock);
-        self.take_up_job_events();
+        self.process_job_events();
     }
 
     /// Stops all runs of a task immediately.
--- a/crates/scheduler/src/cluster/writes.rs
+++ b/crates/scheduler/src/cluster/writes.rs
@@ -13,8 +13,8 @@
             return None;
         }
         let (write, changed) = self.outbox.take_changes();
-        for id in changed.progress.iter().chain(&changed.forgotten) {
-            self.jobs.record_row(*id, self.clock.now_ms());
+        for id in changed.progress.iter().chain(&changed.removed) {
+            self.jobs.record_rows_written(*id, self.clock.now_ms());
         }
         let changes = self.row_changes(changed);
         Some(Effect::Write { write, changes })
@@ -27,15 +27,15 @@
             let definition = job.map(|job| rows::definition_bytes(job.definition()));
             changes.extend(definition.map(|value| set(RowKey::Job(*id), value)));
         }
-        for id in changed.progress.difference(&changed.forgotten) {
+        for id in changed.progress.difference(&changed.removed) {
             let job = self.jobs.get(id);
             let progress = job.map(|job| rows::progress_bytes(job, &self.workers));
             changes.extend(progress.map(|value| set(RowKey::Progress(*id), value)));
         }
         let closed = changed.closed.into_iter();
         changes.extend(closed.map(|id| delete(RowKey::Job(id))));
-        let forgotten = changed.forgotten.into_iter();
-        changes.extend(forgotten.map(|id| delete(RowKey::Progress(id))));
+        let removed = changed.removed.into_iter();
+        changes.extend(removed.map(|id| delete(RowKey::Progress(id))));
         for (instance, node_name) in changed.instances {
             changes.push(RowChange {
                 key: instance_key(&instance),
--- a/crates/scheduler/src/instance_rows.rs
+++ b/crates/scheduler/src/instance_rows.rs
@@ -9,6 +9,6 @@
 }
 
 /// The worker instance named by a key; `None` if it is not the key of an instance's row.
-pub(crate) fn instance_of(key: &[u8]) -> Option<&str> {
+pub(crate) fn parse_instance_key(key: &[u8]) -> Option<&str> {
     std::str::from_utf8(key).ok()?.strip_prefix(INSTANCE_PREFIX)
 }
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -45,12 +45,12 @@
     queue_values: QueueValues,
     /// Jobs with checkpoints that are not in their stored rows yet.
     unwritten_checkpoints: BTreeSet<JobId>,
-    /// Jobs and repetitions that ended late or failed since the last [`take_late`](Self::take_late).
-    late: Vec<LateEnd>,
+    /// Jobs and repetitions that ended late or failed since the last [`take_late_ends`](Self::take_late_ends).
+    late_ends: Vec<LateEnd>,
     /// Events that the cluster has not processed yet, oldest first.
     events: VecDeque<JobEvent>,
     /// How long the state of an ended job is kept, in milliseconds.
-    shown_ms: u64,
+    retention_ms: u64,
 }
 
 impl Jobs {
@@ -62,9 +62,9 @@
             due: DueJobs::default(),
             queue_values: QueueValues::default(),
             unwritten_checkpoints: BTreeSet::new(),
-            late: Vec::new(),
+            late_ends: Vec::new(),
             events: VecDeque::new(),
-            shown_ms: lifecycle::shown_ms(status_s),
+            retention_ms: lifecycle::retention_ms(status_s),
         }
     }
 
@@ -119,8 +119,8 @@
     }
 
     /// Returns the jobs and repetitions that ended late or failed since the last call.
-    pub(crate) fn take_late(&mut self) -> Vec<LateEnd> {
-        std::mem::take(&mut self.late)
+    pub(crate) fn take_late_ends(&mut self) -> Vec<LateEnd> {
+        std::mem::take(&mut self.late_ends)
     }
 
     /// Records that this write, which is being assembled, contains the job's progress.
@@ -131,7 +131,7 @@
     }
 
     /// Records that the job's rows, including its checkpoints, are being written now.
-    pub(crate) fn record_row(&mut self, id: JobId, now_ms: u64) {
+    pub(crate) fn record_rows_written(&mut self, id: JobId, now_ms: u64) {
         self.unwritten_checkpoints.remove(&id);
         if let Some(job) = self.by_id.get_mut(&id) {
             job.set_written(now_ms);
--- a/crates/scheduler/src/jobs/event.rs
+++ b/crates/scheduler/src/jobs/event.rs
@@ -16,16 +16,16 @@
     /// An ended job has no outstanding runs left: its definition row is deleted, and its progress row keeps only its end.
     Closed(JobId),
     /// The retention time of an ended job is over: its remaining row has to be deleted.
-    Forgotten(JobId),
+    Removed(JobId),
     /// A step with waiting tasks enters the queue.
-    StepReady {
+    StepEnqueued {
         /// Service that runs the tasks.
         service: String,
         /// Position of the step in the queue.
         key: QueueKey,
     },
     /// A step leaves the queue, as none of its tasks is waiting or its job has ended or moved to another service.
-    StepLeft {
+    StepDequeued {
         /// Service in whose queue the step was.
         service: String,
         /// Position that the step had in the queue.
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -19,7 +19,7 @@
 use std::collections::BTreeMap;
 
 /// Most tasks in the open repetitions of one job; one repetition may always be open, however many tasks it has.
-const OPEN_TASKS_MAX: usize = 10_000;
+const OPEN_TASKS_PER_JOB_MAX: usize = 10_000;
 /// Most workers remembered as having failed tasks of one job.
 const FAILED_ON_MAX: usize = 4;
 
@@ -71,7 +71,9 @@
         Job {
             service: definition.service.clone(),
             terms: definition.terms,
-            chain_ms: prospects::chains(&definition.spec.stages, |_, step| step.estimate_ms),
+            chain_ms: prospects::longest_chains(&definition.spec.stages, |_, step| {
+                step.estimate_ms
+            }),
             run_ms: definition
                 .spec
                 .stages
@@ -263,7 +265,7 @@
             .iter()
             .map(|step| step.count as usize)
             .sum();
-        (OPEN_TASKS_MAX / tasks.max(1)).max(1)
+        (OPEN_TASKS_PER_JOB_MAX / tasks.max(1)).max(1)
     }
 
     /// When repetition `repeat` is due, as Unix time in milliseconds; `None` for a job that runs once, when accepted.
--- a/crates/scheduler/src/jobs/job/prospects.rs
+++ b/crates/scheduler/src/jobs/job/prospects.rs
@@ -23,14 +23,14 @@
 impl Job {
     /// Recomputes the expected run times and the longest chains of work. `expected_ms` returns the expected run time of a
     /// task of a step in milliseconds, given the step's number and description.
-    pub(crate) fn expect(&mut self, expected_ms: impl Fn(u32, &Step) -> u64) {
+    pub(crate) fn update_expected_run_times(&mut self, expected_ms: impl Fn(u32, &Step) -> u64) {
         let stages = &self.definition.spec.stages;
         self.run_ms = stages
             .iter()
             .enumerate()
             .map(|(n, step)| expected_ms(n as u32, step))
             .collect();
-        self.chain_ms = chains(stages, expected_ms);
+        self.chain_ms = longest_chains(stages, expected_ms);
     }
 
     /// Target for the time from the due time of a repetition to its end, in milliseconds.
@@ -136,7 +136,7 @@
 
 /// Longest chain of work from the start of each step to the end of the job, in milliseconds. `expected_ms` returns the
 /// expected run time of a step's tasks.
-pub(super) fn chains(steps: &[Step], expected_ms: impl Fn(u32, &Step) -> u64) -> Vec<u64> {
+pub(super) fn longest_chains(steps: &[Step], expected_ms: impl Fn(u32, &Step) -> u64) -> Vec<u64> {
     let own: Vec<u64> = steps
         .iter()
         .enumerate()
--- a/crates/scheduler/src/jobs/late_ends.rs
+++ b/crates/scheduler/src/jobs/late_ends.rs
@@ -60,6 +60,6 @@
             latency_target_ms,
             breakdown: self.latency_until(task),
         };
-        self.late.push(end);
+        self.late_ends.push(end);
     }
 }
--- a/crates/scheduler/src/jobs/lifecycle.rs
+++ b/crates/scheduler/src/jobs/lifecycle.rs
@@ -12,11 +12,11 @@
 use indigofold_protocol::task::{JobId, TaskName};
 
 /// Added to the time for which the state of an ended job has to be kept, since clocks differ.
-const KEEP_MARGIN_MS: u64 = 30_000;
+const RETENTION_MARGIN_MS: u64 = 30_000;
 
 /// How long the state of an ended job is kept, in milliseconds, if `status_s` seconds are required.
-pub(crate) fn shown_ms(status_s: u64) -> u64 {
-    status_s * 1_000 + KEEP_MARGIN_MS
+pub(crate) fn retention_ms(status_s: u64) -> u64 {
+    status_s * 1_000 + RETENTION_MARGIN_MS
 }
 
 impl Jobs {
@@ -28,7 +28,7 @@
         self.load.job_opened();
         self.events.push_back(JobEvent::Accepted(id));
         self.progress_changed(id);
-        self.await_next_repeat(id, clock);
+        self.schedule_next_repeat(id, clock);
     }
 
     /// Adds a job that was restored from its rows after a change of heads.
@@ -40,7 +40,7 @@
         if let Some(end) = job.end() {
             // Runs that are still outstanding are stopped when their workers report.
             if !job.has_outstanding_runs() {
-                self.await_expiry(id, end.wall_ms);
+                self.schedule_expiry(id, end.wall_ms);
             }
             return;
         }
@@ -57,7 +57,7 @@
         for (repeat, due_ms) in repeats {
             self.make_steps_ready(id, repeat, latency_before_opening(due_ms, clock), clock);
         }
-        self.await_next_repeat(id, clock);
+        self.schedule_next_repeat(id, clock);
     }
 
     /// Opens all repetitions that are due.
@@ -68,10 +68,10 @@
     }
 
     /// Removes ended jobs whose retention time is over.
-    pub(crate) fn forget_ended(&mut self, clock: &Clock) {
+    pub(crate) fn remove_ended(&mut self, clock: &Clock) {
         while let Some(due) = self.due.pop_expiry(clock.wall_ms()) {
             self.by_id.remove(&due.job);
-            self.events.push_back(JobEvent::Forgotten(due.job));
+            self.events.push_back(JobEvent::Removed(due.job));
         }
     }
 
@@ -117,7 +117,7 @@
             .get_mut(&at.job)
             .and_then(|job| job.step_state_mut(at))
         {
-            state.waited_for(cause, now_ms);
+            state.add_wait_cause(cause, now_ms);
         }
     }
 
@@ -134,7 +134,8 @@
         };
         if let Some(key) = job.step_state_mut(at).and_then(StepState::leave_queue) {
             let service = job.service().to_owned();
-            self.events.push_back(JobEvent::StepLeft { service, key });
+            self.events
+                .push_back(JobEvent::StepDequeued { service, key });
         }
     }
 
@@ -161,7 +162,8 @@
             state.enter_queue(key);
         }
         let service = job.service().to_owned();
-        self.events.push_back(JobEvent::StepReady { service, key });
+        self.events
+            .push_back(JobEvent::StepEnqueued { service, key });
     }
 
     /// Makes a task wait for placement again. A gang is requeued as a whole once no member runs; until then, members that
@@ -176,12 +178,12 @@
             return;
         };
         if !gang {
-            state.wait(task.index, now_ms);
+            state.mark_waiting(task.index, now_ms);
             return self.enqueue(at, clock);
         }
         let running = state.running_tasks();
         if running.is_empty() {
-            state.wait_all(now_ms);
+            state.mark_all_waiting(now_ms);
             return self.enqueue(at, clock);
         }
         let stops = running
@@ -224,7 +226,7 @@
         }
         if job.remove_finished_repeat(repeat) {
             self.progress_changed(id);
-            self.await_next_repeat(id, clock);
+            self.schedule_next_repeat(id, clock);
         }
     }
 
@@ -239,7 +241,7 @@
         job.discard_progress();
         self.events.push_back(JobEvent::Closed(id));
         self.progress_changed(id);
-        self.await_expiry(id, end.wall_ms);
+        self.schedule_expiry(id, end.wall_ms);
     }
 
     /// Computes the value of a job relative to the other jobs of its route.
@@ -251,7 +253,7 @@
 
     /// Schedules the opening of the job's next repetition, or opens it at once if it has no due time. Does nothing while
     /// too many repetitions are open; the end of one of them calls this again.
-    fn await_next_repeat(&mut self, id: JobId, clock: &Clock) {
+    fn schedule_next_repeat(&mut self, id: JobId, clock: &Clock) {
         let Some(job) = self.by_id.get(&id).filter(|job| job.may_open_repeat()) else {
             return;
         };
@@ -272,7 +274,7 @@
         self.load.tasks_opened(opened);
         self.progress_changed(id);
         self.make_steps_ready(id, number, latency_before_opening(due_ms, clock), clock);
-        self.await_next_repeat(id, clock);
+        self.schedule_next_repeat(id, clock);
     }
 
     /// Makes the idle tasks of all ready steps of a repetition wait for placement. `latency` is the latency breakdown from
@@ -324,8 +326,8 @@
     }
 
     /// Schedules the removal of a job that ended at `end_wall_ms` (Unix time) for the end of its retention time.
-    fn await_expiry(&mut self, id: JobId, end_wall_ms: u64) {
-        let wall_ms = end_wall_ms + self.shown_ms;
+    fn schedule_expiry(&mut self, id: JobId, end_wall_ms: u64) {
+        let wall_ms = end_wall_ms + self.retention_ms;
         self.due.add_expiry(DueJob { wall_ms, job: id });
     }
 }
--- a/crates/scheduler/src/jobs/runs.rs
+++ b/crates/scheduler/src/jobs/runs.rs
@@ -15,7 +15,8 @@
     /// A run by its id; `None` if it has ended or is unknown.
     pub(crate) fn run(&self, run: &RunId) -> Option<&Run> {
         let task = self.get(&run.task.job)?.task(&run.task)?;
-        task.runs().find(|present| present.attempt() == run.attempt)
+        task.runs()
+            .find(|outstanding| outstanding.attempt() == run.attempt)
     }
 
     /// Attempt numbers of a task's runs that have not ended.
@@ -116,10 +117,10 @@
     }
 
     /// Makes the next run of the task avoid this worker, if another one is available.
-    pub(crate) fn avoid(&mut self, task: &TaskName, worker: WorkerId) {
+    pub(crate) fn avoid_worker(&mut self, task: &TaskName, worker: WorkerId) {
         let job = self.by_id.get_mut(&task.job);
         if let Some(entry) = job.and_then(|job| job.task_mut(task)) {
-            entry.avoid(worker);
+            entry.avoid_worker(worker);
         }
     }
 
@@ -151,7 +152,7 @@
             failed_elsewhere,
         };
         self.progress_changed(task.job);
-        self.follow_run_end(task, &ended, clock);
+        self.apply_run_end(task, &ended, clock);
         Some(ended)
     }
 
@@ -178,7 +179,7 @@
     }
 
     /// Updates the job after the end of a run: completes, fails or requeues the task, or closes the repetition or job.
-    fn follow_run_end(&mut self, task: TaskName, ended: &RunEnded, clock: &Clock) {
+    fn apply_run_end(&mut self, task: TaskName, ended: &RunEnded, clock: &Clock) {
         let Some(job) = self.get(&task.job) else {
             return;
         };
@@ -244,6 +245,6 @@
     /// A run for changes; `None` unless it is outstanding on this worker.
     fn run_on_mut(&mut self, run: &RunId, worker: WorkerId) -> Option<&mut Run> {
         self.run_mut(run)
-            .filter(|present| present.worker() == worker)
+            .filter(|outstanding| outstanding.worker() == worker)
     }
 }
--- a/crates/scheduler/src/jobs/step.rs
+++ b/crates/scheduler/src/jobs/step.rs
@@ -22,7 +22,7 @@
     /// Causes of the wait since then, as recorded at each pass over the queue.
     waits: LatencyBreakdown,
     /// When a pass over the queue last considered the step.
-    looked_at_ms: u64,
+    last_considered_ms: u64,
     /// Latency breakdown from the due time of the repetition until the step was ready.
     latency_until_ready: LatencyBreakdown,
     /// Last reported checkpoint of any member of the gang; empty for none.
@@ -117,7 +117,7 @@
     }
 
     /// Makes a task wait for placement, if it does not wait already.
-    pub(crate) fn wait(&mut self, index: u32, now_ms: u64) {
+    pub(crate) fn mark_waiting(&mut self, index: u32, now_ms: u64) {
         let newly = self.waiting.insert(index);
         if let Some(task) = self.tasks.get_mut(index as usize).filter(|_| newly) {
             task.begin_wait(now_ms);
@@ -131,12 +131,13 @@
         if self.queued.is_none() && !idle.is_empty() {
             self.latency_until_ready = latency;
         }
-        idle.into_iter().for_each(|index| self.wait(index, now_ms));
+        idle.into_iter()
+            .for_each(|index| self.mark_waiting(index, now_ms));
     }
 
     /// Makes all tasks wait for placement.
-    pub(crate) fn wait_all(&mut self, now_ms: u64) {
-        (0..self.tasks.len() as u32).for_each(|index| self.wait(index, now_ms));
+    pub(crate) fn mark_all_waiting(&mut self, now_ms: u64) {
+        (0..self.tasks.len() as u32).for_each(|index| self.mark_waiting(index, now_ms));
     }
 
     /// Whether the step has waiting tasks but is not in the queue yet.
@@ -269,9 +270,9 @@
     }
 
     /// Attributes the time since the last pass over the queue to this cause.
-    pub(crate) fn waited_for(&mut self, cause: Cause, now_ms: u64) {
-        let since_ms = self.looked_at_ms.max(self.waiting_since_ms);
+    pub(crate) fn add_wait_cause(&mut self, cause: Cause, now_ms: u64) {
+        let since_ms = self.last_considered_ms.max(self.waiting_since_ms);
         self.waits.add(cause, now_ms.saturating_sub(since_ms));
-        self.looked_at_ms = now_ms;
+        self.last_considered_ms = now_ms;
     }
 }
--- a/crates/scheduler/src/jobs/task.rs
+++ b/crates/scheduler/src/jobs/task.rs
@@ -23,7 +23,7 @@
     /// Worker that the next run avoids: a run of the task failed, hung or was too slow there.
     failed_on: Option<WorkerId>,
     /// When the task last began to wait for placement, on the steady clock.
-    waits_since_ms: u64,
+    waiting_since_ms: u64,
     /// Latency breakdown since the step was ready.
     latency: LatencyBreakdown,
 }
@@ -145,24 +145,24 @@
 
     /// Removes and returns the run with this attempt number. A remaining speculative run becomes the regular one.
     pub(crate) fn take_run(&mut self, attempt: u32) -> Option<Run> {
-        let of_this_number = |run: &mut Run| run.attempt() == attempt;
-        if let Some(run) = self.speculative_run.take_if(of_this_number) {
+        let has_attempt = |run: &mut Run| run.attempt() == attempt;
+        if let Some(run) = self.speculative_run.take_if(has_attempt) {
             return Some(run);
         }
-        let run = self.run.take_if(of_this_number)?;
+        let run = self.run.take_if(has_attempt)?;
         self.run = self.speculative_run.take();
         Some(run)
     }
 
     /// Starts the wait for placement.
     pub(crate) fn begin_wait(&mut self, now_ms: u64) {
-        self.waits_since_ms = now_ms;
+        self.waiting_since_ms = now_ms;
     }
 
     /// Ends the wait for placement and adds it to the latency breakdown, divided among causes as `observed` is at the
     /// step.
     pub(crate) fn end_wait(&mut self, observed: &LatencyBreakdown, now_ms: u64) {
-        let waited_ms = now_ms.saturating_sub(self.waits_since_ms);
+        let waited_ms = now_ms.saturating_sub(self.waiting_since_ms);
         self.latency.add_wait(waited_ms, observed);
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Makes the next run avoid this worker, if another one is available.
-    pub(crate) fn avoid(&mut self, worker: WorkerId) {
+    pub(crate) fn avoid_worker(&mut self, worker: WorkerId) {
         self.failed_on = Some(worker);
     }
 
--- a/crates/scheduler/src/jobs/tests/builder.rs
+++ b/crates/scheduler/src/jobs/tests/builder.rs
@@ -48,16 +48,16 @@
 }
 
 /// A job table and its clock.
-pub(super) struct Stage {
+pub(super) struct JobFixture {
     pub(super) jobs: Jobs,
     clock: Clock,
     now_ms: u64,
 }
 
-impl Stage {
+impl JobFixture {
     /// Creates an empty job table.
     pub(super) fn new() -> Self {
-        Stage {
+        JobFixture {
             jobs: Jobs::new(STATUS_S),
             clock: Clock::new(START_MS, START_WALL_MS),
             now_ms: START_MS,
@@ -158,8 +158,8 @@
     }
 
     /// Removes ended jobs whose retention time is over; returns the events.
-    pub(super) fn forget(&mut self) -> Vec<JobEvent> {
-        self.jobs.forget_ended(&self.clock);
+    pub(super) fn remove_ended(&mut self) -> Vec<JobEvent> {
+        self.jobs.remove_ended(&self.clock);
         self.events()
     }
 
--- a/crates/scheduler/src/outbox.rs
+++ b/crates/scheduler/src/outbox.rs
@@ -39,7 +39,7 @@
     /// Accepted jobs, whose definition row has to be written.
     pub accepted: BTreeSet<JobId>,
     /// Removed jobs, whose progress row has to be deleted.
-    pub forgotten: BTreeSet<JobId>,
+    pub removed: BTreeSet<JobId>,
     /// Closed jobs, whose definition row has to be deleted.
     pub closed: BTreeSet<JobId>,
     /// Worker instances with the machine that their row names; `None` deletes the row of an ended instance.
@@ -79,8 +79,8 @@
     }
 
     /// Records that the progress row of a removed job has to be deleted.
-    pub(crate) fn job_forgotten(&mut self, job: JobId) {
-        self.changed.forgotten.insert(job);
+    pub(crate) fn job_removed(&mut self, job: JobId) {
+        self.changed.removed.insert(job);
     }
 
     /// Records that the row of a worker instance has to name this machine; `None` deletes the row of an ended instance.
@@ -89,14 +89,14 @@
     }
 
     /// The write that will contain the changes of the current event.
-    pub(crate) fn present_write(&self) -> WriteId {
+    pub(crate) fn current_write(&self) -> WriteId {
         WriteId(self.issued + 1)
     }
 
     /// The newest write: the current one if the current event has changed a row, otherwise the last one issued.
     pub(crate) fn newest_write(&self) -> WriteId {
         if self.has_changes() {
-            self.present_write()
+            self.current_write()
         } else {
             WriteId(self.issued)
         }
@@ -106,7 +106,7 @@
     pub(crate) fn has_changes(&self) -> bool {
         let changed = &self.changed;
         !(changed.progress.is_empty()
-            && changed.forgotten.is_empty()
+            && changed.removed.is_empty()
             && changed.closed.is_empty()
             && changed.instances.is_empty())
     }
@@ -117,8 +117,8 @@
     }
 
     /// Defers an output until a write is committed.
-    pub(crate) fn defer(&mut self, write: WriteId, what: Deferred) {
-        self.deferred.entry(write).or_default().push(what);
+    pub(crate) fn defer(&mut self, write: WriteId, output: Deferred) {
+        self.deferred.entry(write).or_default().push(output);
     }
 
     /// Defers a reply to a client's call until a write is committed.
@@ -144,7 +144,7 @@
     }
 
     /// Removes and returns the outputs whose writes are committed, in the order of the writes.
-    pub(crate) fn released(&mut self) -> Vec<Deferred> {
+    pub(crate) fn take_committed(&mut self) -> Vec<Deferred> {
         let waiting = self.deferred.split_off(&WriteId(self.committed + 1));
         std::mem::replace(&mut self.deferred, waiting)
             .into_values()
@@ -153,9 +153,9 @@
     }
 
     /// Drops replies to a caller that has disconnected.
-    pub(crate) fn forget_caller(&mut self, caller: CallerId) {
+    pub(crate) fn drop_replies_to(&mut self, caller: CallerId) {
         for waiting in self.deferred.values_mut() {
-            waiting.retain(|what| !matches!(what, Deferred::Reply(to, _) if *to == caller));
+            waiting.retain(|output| !matches!(output, Deferred::Reply(to, _) if *to == caller));
         }
     }
 
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -213,8 +213,8 @@
     if idle && step.is_done() {
         return StepRow::Done;
     }
-    let untouched = |task: &Task| task.last_attempt() == 0 && !task.is_done();
-    if idle && step.tasks().iter().all(untouched) {
+    let never_placed = |task: &Task| task.last_attempt() == 0 && !task.is_done();
+    if idle && step.tasks().iter().all(never_placed) {
         return StepRow::Fresh;
     }
     let checkpoint = |task: &Task| {
@@ -250,24 +250,24 @@
 
 /// Decodes the value of `job/ID`.
 pub(crate) fn read_definition(key: &[u8], value: &[u8]) -> Result<Definition, RowError> {
-    read(key, value)
+    decode(key, value)
 }
 
 /// Decodes the value of `progress/ID`.
 pub(crate) fn read_progress(key: &[u8], value: &[u8]) -> Result<Progress, RowError> {
     let (mut progress, rest): (Progress, &[u8]) =
-        postcard::take_from_bytes(value).map_err(|source| unreadable(key, source))?;
+        postcard::take_from_bytes(value).map_err(|source| decode_error(key, source))?;
     if !rest.is_empty() {
-        progress.speculative_runs = read(key, rest)?;
+        progress.speculative_runs = decode(key, rest)?;
     }
     Ok(progress)
 }
 
-fn read<T: for<'a> Deserialize<'a>>(key: &[u8], value: &[u8]) -> Result<T, RowError> {
-    postcard::from_bytes(value).map_err(|source| unreadable(key, source))
+fn decode<T: for<'a> Deserialize<'a>>(key: &[u8], value: &[u8]) -> Result<T, RowError> {
+    postcard::from_bytes(value).map_err(|source| decode_error(key, source))
 }
 
-fn unreadable(key: &[u8], source: postcard::Error) -> RowError {
+fn decode_error(key: &[u8], source: postcard::Error) -> RowError {
     RowError::Value {
         key: String::from_utf8_lossy(key).into_owned(),
         source,
--- a/crates/scheduler/src/rows/tests.rs
+++ b/crates/scheduler/src/rows/tests.rs
@@ -2,7 +2,7 @@
 //! follow each other.
 
 use super::*;
-use crate::instance_rows::{instance_key, instance_of};
+use crate::instance_rows::{instance_key, parse_instance_key};
 use crate::workers::Workers;
 use rstest::rstest;
 
@@ -71,6 +71,6 @@
             key
         );
     }
-    assert_eq!(instance_of(b"life/i-n1-1"), Some("i-n1-1"));
+    assert_eq!(parse_instance_key(b"life/i-n1-1"), Some("i-n1-1"));
     assert_eq!(instance_key("i-n1-1"), b"life/i-n1-1");
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -3,7 +3,7 @@
 use crate::api::{Bounds, Effect, Epoch, Event};
 use crate::client_calls::ClientCalls;
 use crate::cluster::Cluster;
-use crate::instance_rows::instance_of;
+use crate::instance_rows::parse_instance_key;
 use crate::kinds::PlacementTrace;
 use crate::outbox::Deferred;
 use crate::placement::Placer;
@@ -20,7 +20,7 @@
 /// Period of the periodic work while no job is open.
 const IDLE_TICK_MS: u64 = 500;
 /// Time between two solutions of problem (1) of hybrid SQ(d), which gives the probabilities of the kinds of workers.
-const RESOLVE_MS: u64 = 500;
+const SOLVE_KINDS_MS: u64 = 500;
 
 /// The scheduler's state machine; the crate's documentation describes it. Its user passes events to
 /// [`handle`](Self::handle) and carries out the effects.
@@ -33,7 +33,7 @@
     placer: Placer,
     /// When the next [`tick`](Self::tick) is due, on the steady clock.
     next_tick_ms: u64,
-    resolve_timer: Periodic,
+    solve_timer: Periodic,
     check_timer: Periodic,
     preempt_timer: Periodic,
 }
@@ -49,7 +49,7 @@
             reports: Reports::default(),
             placer: Placer::new(seed, now_ms),
             next_tick_ms: now_ms,
-            resolve_timer: Periodic::new(RESOLVE_MS, now_ms),
+            solve_timer: Periodic::new(SOLVE_KINDS_MS, now_ms),
             check_timer: Periodic::new(CHECK_MS, now_ms),
             preempt_timer: Periodic::new(PREEMPT_MS, now_ms),
         }
@@ -57,7 +57,7 @@
 
     /// Whether a row of the control state belongs to the scheduler.
     pub fn is_row(key: &[u8]) -> bool {
-        RowKey::parse(key).is_some() || instance_of(key).is_some()
+        RowKey::parse(key).is_some() || parse_instance_key(key).is_some()
     }
 
     /// Restores the state that a previous head has written. `rows` are all rows whose keys [`is_row`](Self::is_row)
@@ -113,12 +113,12 @@
         if self.cluster.clock().now_ms() >= self.next_tick_ms {
             self.tick();
         }
-        self.release(effects);
+        self.release_deferred(effects);
         self.placer.place_waiting(&mut self.cluster);
         effects.extend(self.cluster.take_write());
-        self.release(effects);
+        self.release_deferred(effects);
         self.send_orders(effects);
-        let late = self.cluster.take_late().into_iter();
+        let late = self.cluster.take_late_ends().into_iter();
         effects.extend(late.map(|end| Effect::Late(Box::new(end))));
     }
 
@@ -128,7 +128,7 @@
         match event {
             Event::Config(config) => self.calls.configure(cluster, config),
             Event::Call { from, call } => self.calls.handle(cluster, from, call),
-            Event::CallerDisconnected(caller) => cluster.outbox_mut().forget_caller(caller),
+            Event::CallerDisconnected(caller) => cluster.outbox_mut().drop_replies_to(caller),
             Event::Committed(write) => cluster.outbox_mut().commit(write),
             Event::AgentConnected { agent, node_name } => {
                 cluster.workers_mut().connected(agent, node_name);
@@ -150,15 +150,15 @@
             IDLE_TICK_MS
         };
         self.next_tick_ms = now_ms + tick_ms;
-        cluster.give_up_expired();
-        cluster.forget_ended_jobs();
+        cluster.expire_instances();
+        cluster.remove_ended_jobs();
         if self.check_timer.take_due(now_ms) {
             check_runs(cluster);
             self.placer.speculate(cluster);
         }
         cluster.write_checkpoints();
-        if self.resolve_timer.take_due(now_ms) {
-            cluster.resolve_kinds();
+        if self.solve_timer.take_due(now_ms) {
+            cluster.solve_kind_probabilities();
         }
         cluster.reorder_queues();
         if self.preempt_timer.take_due(now_ms) {
@@ -170,9 +170,9 @@
     }
 
     /// Carries out deferred outputs whose writes are committed.
-    fn release(&mut self, effects: &mut Vec<Effect>) {
+    fn release_deferred(&mut self, effects: &mut Vec<Effect>) {
         let cluster = &mut self.cluster;
-        for deferred in cluster.outbox_mut().released() {
+        for deferred in cluster.outbox_mut().take_committed() {
             match deferred {
                 Deferred::Reply(to, reply) => effects.push(Effect::Reply { to, reply }),
                 Deferred::Start(run) => cluster.send_start(run),
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/takeover.rs
@@ -1,7 +1,7 @@
 //! Takeover: a new head restores the state from the rows that the previous head has written.
 
 use crate::cluster::Cluster;
-use crate::instance_rows::instance_of;
+use crate::instance_rows::parse_instance_key;
 use crate::rows::{JobRows, RowError, RowKey, read_definition, read_progress};
 use indigofold_protocol::task::JobId;
 use rustc_hash::FxHashMap;
@@ -19,7 +19,7 @@
     let mut definitions = FxHashMap::default();
     let mut progresses = Vec::new();
     for (key, value) in rows {
-        if let Some(instance) = instance_of(&key) {
+        if let Some(instance) = parse_instance_key(&key) {
             let node_name = String::from_utf8_lossy(&value).into_owned();
             cluster.restore_instance(instance, node_name);
             continue;
