--- a/crates/scheduler/src/cluster/runs.rs
+++ b/crates/scheduler/src/cluster/runs.rs
@@ -73,39 +73,38 @@
 
     /// Stops one run immediately, without the other members of its gang. A run whose start order has not been sent ends as
     /// not started.
-    pub(crate) fn stop_one(&mut self, order: RunId) {
-        let Some(run) = self.jobs.run(&order) else {
+    pub(crate) fn stop_one(&mut self, id: RunId) {
+        let Some(run) = self.jobs.run(&id) else {
             return;
         };
         if !run.is_sent() {
-            return self.end_run(order, RunResult::NotStarted, "");
+            return self.end_run(id, RunResult::NotStarted, "");
         }
         if run.stop().is_none() {
-            self.send_stop(order);
+            self.send_stop(id);
         }
     }
 
     /// Sends a stop order if the worker can be reached; otherwise the stop is recorded as not sent, and the order is sent
     /// when the worker reports again.
-    pub(crate) fn send_stop(&mut self, order: RunId) {
-        let Some(worker) = self.jobs.run(&order).map(Run::worker) else {
+    pub(crate) fn send_stop(&mut self, id: RunId) {
+        let Some(worker) = self.jobs.run(&id).map(Run::worker) else {
             return;
         };
         let sent_to = self.workers.get(worker).and_then(Worker::order_connection);
         let sent_ms = self.clock.now_ms();
-        self.jobs
-            .record_stop(&order, StopOrder { sent_to, sent_ms });
+        self.jobs.record_stop(&id, StopOrder { sent_to, sent_ms });
         if sent_to.is_some() {
-            self.outbox.orders_for(worker).stop.push(order);
+            self.outbox.orders_for(worker).stop.push(id);
         }
     }
 
     /// Sends the stop order of a run whose job has ended, if that end is committed; otherwise a stop is already deferred
     /// until the commit.
-    pub(crate) fn send_stop_if_committed(&mut self, order: RunId) {
-        let job = self.jobs.get(&order.task.job);
+    pub(crate) fn send_stop_if_committed(&mut self, id: RunId) {
+        let job = self.jobs.get(&id.task.job);
         if job.is_some_and(|job| self.outbox.is_committed(job.last_write())) {
-            self.send_stop(order);
+            self.send_stop(id);
         }
     }
 
@@ -163,13 +162,13 @@
 
     /// Stops a run of an ended job once the end of the job is committed. A run whose start order has not been sent ends at
     /// once, as not started.
-    pub(super) fn stop_once_committed(&mut self, order: RunId) {
-        let Some(run) = self.jobs.run(&order) else {
+    pub(super) fn stop_once_committed(&mut self, id: RunId) {
+        let Some(run) = self.jobs.run(&id) else {
             return;
         };
         if !run.is_sent() {
-            return self.end_run(order, RunResult::NotStarted, "");
+            return self.end_run(id, RunResult::NotStarted, "");
         }
-        self.defer(Deferred::Stop(order));
+        self.defer(Deferred::Stop(id));
     }
 }
