--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -134,7 +134,7 @@
     Orders {
         /// Connection of the node agent.
         agent: AgentId,
-        /// The orders, which also answer a report if it is named in them.
+        /// The orders; they also answer a report if `echo_sent_ms` is set.
         orders: AgentOrders,
     },
 }
--- a/crates/scheduler/src/cluster/checkpoints.rs
+++ b/crates/scheduler/src/cluster/checkpoints.rs
@@ -9,7 +9,7 @@
 
 /// Checkpoints of runs with a shorter expected run time than this are not written.
 const RUN_MIN_MS: f64 = 2_000.0;
-/// A write is made for the checkpoints of a job alone only if the job's rows were last written at least this long ago.
+/// Unwritten checkpoints cause a write of their own only if the job's rows were last written at least this long ago.
 const OWN_WRITE_AGE_MS: u64 = 2_000;
 /// Jobs with unwritten checkpoints whose rows were last written this long ago are included in any write that is made.
 const JOIN_WRITE_AGE_MS: u64 = 1_000;
--- a/crates/scheduler/src/jobs.rs
+++ b/crates/scheduler/src/jobs.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(crate) struct Jobs {
     by_id: FxHashMap<JobId, Job>,
-    /// Numbers of open jobs and tasks, for admission control.
+    /// Counts of open jobs and tasks, for admission control.
     load: AdmissionLoad,
     /// When the next repetition of each job is due, and when ended jobs are removed.
     due: DueJobs,
@@ -93,7 +93,7 @@
         self.get(&at.job)?.traits(at.step)
     }
 
-    /// Whether new jobs are rejected because the limits on open jobs and tasks are reached.
+    /// Whether new jobs are rejected because a limit on open tasks, open jobs or all jobs in the table is reached.
     pub(crate) fn is_full(&self) -> bool {
         self.load.is_full(self.by_id.len())
     }
--- a/crates/scheduler/src/jobs/job/prospects.rs
+++ b/crates/scheduler/src/jobs/job/prospects.rs
@@ -39,8 +39,8 @@
         (self.terms.stretch.max(0.0) * chain as f64) as u64 + self.terms.target_latency_ms
     }
 
-    /// Position of a step in the queue. Hopeless steps come last; the others are ordered by priority, then by remaining
-    /// work per value earned, then by their latest start.
+    /// Position of a step in the queue. Hopeless steps come last. Steps are ordered by priority, then by remaining work per
+    /// value earned, then by whether the latency target can still be met, then by their latest start.
     pub(crate) fn queue_key(&self, at: StepRef, now_ms: u64) -> QueueKey {
         let long_running = self.step(at.step).is_some_and(|step| step.long_running);
         let StepProspect {
--- a/crates/scheduler/src/jobs/late_ends.rs
+++ b/crates/scheduler/src/jobs/late_ends.rs
@@ -28,7 +28,7 @@
         latency
     }
 
-    /// Records the repetition as late if this task was its last and it ended after the latency target.
+    /// Records the repetition of this task as late if all its tasks are done and its latency target was missed.
     pub(super) fn record_repeat_end(&mut self, task: &TaskName, clock: &Clock) {
         let job = self.get(&task.job);
         let repeat = job.and_then(|job| job.repeat(task.repeat));
