--- a/crates/scheduler/src/client_calls.rs
+++ b/crates/scheduler/src/client_calls.rs
@@ -1,4 +1,5 @@
-//! Clients' calls: submit, state, cancel, count of what waits; and the configuration that routes them.
+//! Client calls (submit a job, get its state, cancel it, count the pending jobs of a route) and the configuration that
+//! routes them.
 
 use crate::api::{CallerId, WriteId};
 use crate::backlog::retry_after_ms;
@@ -14,42 +15,42 @@
 use indigofold_protocol::task::JobId;
 use std::sync::Arc;
 
-/// When a client is to come back while there is no configuration.
+/// Time after which clients should retry while there is no configuration.
 const UNCONFIGURED_RETRY_MS: u64 = 500;
 
-/// Where the reply to a client's call goes.
+/// The recipient of the reply to a client's call.
 #[derive(Clone, Copy, Debug)]
 struct ReplyTo {
     caller: CallerId,
-    /// The caller's number for the call.
+    /// Number that the caller gave to the call; the reply repeats it.
     call: u64,
 }
 
-/// What a client is told, and the write that has to be committed before.
+/// The outcome of a call, and the write that has to be committed before the client is told.
 struct Answer {
-    after: WriteId,
+    after_write: WriteId,
     outcome: ClientOutcome,
 }
 
 impl Answer {
-    /// Nothing has to be committed before.
-    fn at_once(outcome: ClientOutcome) -> Self {
+    /// Creates an answer that does not depend on any write.
+    fn immediate(outcome: ClientOutcome) -> Self {
         Answer {
-            after: Outbox::NO_WRITE,
+            after_write: Outbox::NO_WRITE,
             outcome,
         }
     }
 }
 
-/// Takes clients' calls by the configuration in force.
+/// Handles client calls according to the current configuration.
 #[derive(Debug, Default)]
 pub(crate) struct ClientCalls {
-    /// `None` until the first one arrives.
+    /// The current configuration; `None` until the first one arrives.
     config: Option<Arc<Config>>,
 }
 
 impl ClientCalls {
-    /// A client's call.
+    /// Handles a client's call; the reply waits in the outbox for the write that it depends on.
     pub(crate) fn handle(&self, cluster: &mut Cluster, from: CallerId, call: ClientCall) {
         let to = ReplyTo {
             caller: from,
@@ -57,10 +58,11 @@
         };
         let answer = self.answer(cluster, call);
         let outbox = cluster.outbox_mut();
-        outbox.reply(answer.after, to.caller, to.call, answer.outcome);
+        outbox.reply(answer.after_write, to.caller, to.call, answer.outcome);
     }
 
-    /// This configuration is in force from now on: jobs whose route leads elsewhere move.
+    /// Applies a new configuration: open jobs whose route has another service or other terms are moved to these. Jobs of a
+    /// route that was removed stay as they are.
     pub(crate) fn configure(&mut self, cluster: &mut Cluster, config: Arc<Config>) {
         let before = self.config.replace(config.clone());
         for service in &config.services {
@@ -71,7 +73,7 @@
         let changed: Vec<&Route> = config
             .routes
             .iter()
-            .filter(|route| !known.iter().any(|old| leads_alike(old, route)))
+            .filter(|route| !known.iter().any(|old| has_same_target(old, route)))
             .collect();
         if changed.is_empty() {
             return;
@@ -89,14 +91,15 @@
         }
     }
 
+    /// Determines the answer to a call by its route, operation and job id.
     fn answer(&self, cluster: &mut Cluster, call: ClientCall) -> Answer {
         let Some(config) = &self.config else {
-            return Answer::at_once(ClientOutcome::Unavailable {
+            return Answer::immediate(ClientOutcome::Unavailable {
                 retry_after_ms: UNCONFIGURED_RETRY_MS,
             });
         };
         let Some(route) = config.route(&call.host, &call.path) else {
-            return Answer::at_once(ClientOutcome::UnknownRoute);
+            return Answer::immediate(ClientOutcome::UnknownRoute);
         };
         let rest = call
             .path
@@ -104,46 +107,47 @@
             .unwrap_or_default();
         match (call.operation, rest.parse::<JobId>()) {
             (ClientOperation::Submit(spec), Ok(id)) => submit(cluster, id, route, spec),
-            (ClientOperation::Submit(_), Err(error)) => Answer::at_once(ClientOutcome::Invalid {
+            (ClientOperation::Submit(_), Err(error)) => Answer::immediate(ClientOutcome::Invalid {
                 reason: error.to_string(),
             }),
             (ClientOperation::Get, Ok(id)) => state_of(cluster, id),
             (ClientOperation::Get, Err(_)) if rest.is_empty() => {
                 let pending = cluster.jobs().pending(&route.name);
-                Answer::at_once(ClientOutcome::Pending(pending))
+                Answer::immediate(ClientOutcome::Pending(pending))
             }
             (ClientOperation::Cancel, Ok(id)) => cancel(cluster, id),
-            _ => Answer::at_once(ClientOutcome::NoSuchJob),
+            _ => Answer::immediate(ClientOutcome::NoSuchJob),
         }
     }
 }
 
-/// Accepts a job, unless it is known already, is not valid, or too much is open.
+/// Accepts a job unless it is invalid or too many jobs or tasks are open. A job that is already known is accepted again
+/// without effect, so clients may retry.
 fn submit(cluster: &mut Cluster, id: JobId, route: &Route, spec: JobSpec) -> Answer {
     if let Some(known) = cluster.jobs().get(&id) {
         return Answer {
-            after: known.last_write(),
+            after_write: known.last_write(),
             outcome: ClientOutcome::Accepted,
         };
     }
     if let Err(error) = check_job(&spec) {
-        return Answer::at_once(ClientOutcome::Invalid {
+        return Answer::immediate(ClientOutcome::Invalid {
             reason: error.to_string(),
         });
     }
     if cluster.jobs().is_full() {
-        return Answer::at_once(ClientOutcome::TooMany {
+        return Answer::immediate(ClientOutcome::TooMany {
             retry_after_ms: retry_after_ms(backlog_ms(cluster, &route.backend)),
         });
     }
     let job = new_job(cluster, route, spec);
     Answer {
-        after: cluster.accept_job(id, job),
+        after_write: cluster.accept_job(id, job),
         outcome: ClientOutcome::Accepted,
     }
 }
 
-/// A job with the run times that are expected for its route.
+/// Creates a job with the expected run times that were learned for its route.
 fn new_job(cluster: &mut Cluster, route: &Route, spec: JobSpec) -> Job {
     let definition = Definition {
         spec,
@@ -154,7 +158,7 @@
     };
     let mut job = Job::new(definition);
     let kinds = cluster.services_mut().entry(&route.backend).kinds();
-    job.expect(|step, description| {
+    job.update_expected_run_times(|step, description| {
         if description.long_running {
             return 0;
         }
@@ -167,7 +171,8 @@
     job
 }
 
-/// How long the service's workers will take for all that waits in its queue.
+/// Time that the service's workers will need for all waiting tasks in its queue, in milliseconds. The estimate is cached
+/// for a short time.
 fn backlog_ms(cluster: &mut Cluster, service: &str) -> u64 {
     let now_ms = cluster.clock().now_ms();
     let Some(state) = cluster.services().get(service) else {
@@ -182,9 +187,10 @@
     backlog_ms
 }
 
+/// The state of a job, which the client is told once the job's newest write is committed.
 fn state_of(cluster: &Cluster, id: JobId) -> Answer {
     let Some(job) = cluster.jobs().get(&id) else {
-        return Answer::at_once(ClientOutcome::NoSuchJob);
+        return Answer::immediate(ClientOutcome::NoSuchJob);
     };
     let unended = if job.is_started() {
         JobState::Running
@@ -193,30 +199,32 @@
     };
     let state = job.end().map_or(unended, |end| end.state);
     Answer {
-        after: job.last_write(),
+        after_write: job.last_write(),
         outcome: ClientOutcome::State(state),
     }
 }
 
+/// Cancels a job. A job that has already ended keeps its state, and the call succeeds.
 fn cancel(cluster: &mut Cluster, id: JobId) -> Answer {
     let Some(job) = cluster.jobs().get(&id) else {
-        return Answer::at_once(ClientOutcome::NoSuchJob);
+        return Answer::immediate(ClientOutcome::NoSuchJob);
     };
     if !job.has_ended() {
         cluster.cancel_job(id);
     }
     let job = cluster.jobs().get(&id);
     Answer {
-        after: job.map_or(Outbox::NO_WRITE, Job::last_write),
+        after_write: job.map_or(Outbox::NO_WRITE, Job::last_write),
         outcome: ClientOutcome::Cancelled,
     }
 }
 
-/// Whether jobs of a route go where they went by its former entry, and on the same terms.
-fn leads_alike(before: &Route, route: &Route) -> bool {
+/// Whether a route has the same service and terms as in the former configuration.
+fn has_same_target(before: &Route, route: &Route) -> bool {
     before.name == route.name && before.backend == route.backend && terms(before) == terms(route)
 }
 
+/// The scheduling terms of a route.
 fn terms(route: &Route) -> Terms {
     Terms {
         priority: route.priority,
--- a/crates/scheduler/src/rows/tests.rs
+++ b/crates/scheduler/src/rows/tests.rs
@@ -1,28 +1,32 @@
-//! Rows as an earlier version wrote them are read, and written again byte for byte: a successor may be of another version.
+//! Tests that rows written by an earlier version are read and written back byte for byte: heads of different versions may
+//! follow each other.
 
 use super::*;
-use crate::instance_rows::{instance_key, instance_of};
+use crate::instance_rows::{instance_key, parse_instance_key};
 use crate::workers::Workers;
 use rstest::rstest;
 
-/// Rows that version 13256bf wrote, one a line: key, and value in hexadecimal digits.
+/// Rows written by version 13256bf, one per line: the key, and the value in hexadecimal digits.
 ///
-/// Job 7 has three repetitions of a speculative step and one with checkpoints, a label and a rack; stalled tasks have a
-/// speculative run each. Job 8 is a gang with a checkpoint. Job 9 has completed: only its end is stored.
+/// Job 7 has three repetitions of a speculative step and one with checkpoints, a label and a rack; each stalled task has a
+/// speculative run. Job 8 is a gang with a checkpoint. Job 9 has completed; only its end is stored.
 const FIXTURE: &str = include_str!("../../tests/fixtures/rows-13256bf.txt");
 
-/// Longest run lease, for the registry of workers that the rows refer to.
+/// Longest run lease, which the registry of workers requires.
 const MAX_LEASE_MS: u64 = 6_000;
 
-/// The value of a row of the fixture.
+/// The value of the row with this key in the fixture.
 fn stored(key: &str) -> Vec<u8> {
     let mut rows = FIXTURE.lines().filter_map(|line| line.split_once(' '));
     let (_, hex) = rows
         .find(|(stored, _)| *stored == key)
-        .expect("the row is in the fixture");
+        .expect("the fixture has a row with this key");
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("a hexadecimal number"))
+        .map(|at| {
+            u8::from_str_radix(&hex[at..at + 2], 16)
+                .expect("the value consists of hexadecimal digits")
+        })
         .collect()
 }
 
@@ -31,7 +35,7 @@
 #[case::gang("job/0000000000000008")]
 fn a_definition_row_is_read_and_written_unchanged(#[case] key: &str) {
     let row = stored(key);
-    let definition = read_definition(key.as_bytes(), &row).expect("the row is readable");
+    let definition = read_definition(key.as_bytes(), &row).expect("the row can be decoded");
     assert!(!definition.spec.stages.is_empty());
     assert_eq!(definition_bytes(&definition), row);
 }
@@ -46,10 +50,10 @@
     #[case] speculative_runs: usize,
 ) {
     let definition = definition.map_or_else(Definition::default, |key| {
-        read_definition(key.as_bytes(), &stored(key)).expect("the row is readable")
+        read_definition(key.as_bytes(), &stored(key)).expect("the row can be decoded")
     });
     let row = stored(key);
-    let progress = read_progress(key.as_bytes(), &row).expect("the row is readable");
+    let progress = read_progress(key.as_bytes(), &row).expect("the row can be decoded");
     assert_eq!(progress.speculative_runs.len(), speculative_runs);
     let mut workers = Workers::new(MAX_LEASE_MS);
     let rows = JobRows::new(definition, progress);
@@ -60,8 +64,13 @@
 #[test]
 fn keys_are_read_and_written_unchanged() {
     for key in [&b"job/0000000000000007"[..], b"progress/0000000000000007"] {
-        assert_eq!(RowKey::parse(key).expect("a key of a job").bytes(), key);
+        assert_eq!(
+            RowKey::parse(key)
+                .expect("the key is that of a job's row")
+                .bytes(),
+            key
+        );
     }
-    assert_eq!(instance_of(b"life/i-n1-1"), Some("i-n1-1"));
+    assert_eq!(parse_instance_key(b"life/i-n1-1"), Some("i-n1-1"));
     assert_eq!(instance_key("i-n1-1"), b"life/i-n1-1");
 }
