--- a/crates/settings/src/role.rs
+++ b/crates/settings/src/role.rs
@@ -29,7 +29,7 @@
 /// How orders reach the workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Commands {
+pub enum OrderDelivery {
     /// In the replies to their heartbeats.
     #[default]
     Heartbeat,
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -5,7 +5,7 @@
 use crate::error::{NoVariableSnafu, NotAllowedSnafu, ParseSnafu, ReadSnafu, SettingsError};
 use crate::lenient;
 use crate::limits::{FaultTolerance, Limits};
-use crate::role::{Commands, MachineClass, Serves};
+use crate::role::{MachineClass, OrderDelivery, Serves};
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, ensure};
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
     pub contracts: Vec<String>,
     /// How orders reach the workers.
     #[serde(default)]
-    pub commands: Commands,
+    pub commands: OrderDelivery,
     /// On `side` machines: address of the worker.
     #[serde(default, deserialize_with = "lenient::address")]
     pub app: Option<SocketAddr>,
--- a/crates/settings/tests/complete_file.rs
+++ b/crates/settings/tests/complete_file.rs
@@ -1,7 +1,7 @@
 //! A settings file with every field and every bound: decoded, compared field by field, and encoded again.
 
 use indigofold_settings::{
-    BindAddresses, Bounds, Commands, FaultTolerance, Limits, MachineClass, PortRange, Serves,
+    BindAddresses, Bounds, FaultTolerance, Limits, MachineClass, OrderDelivery, PortRange, Serves,
     Settings,
 };
 use toml::{Table, Value};
@@ -119,7 +119,7 @@
         data_dir: Some("/var/lib/cluster".into()),
         heartbeat_ms: 700,
         contracts: vec![text("base"), text("drain")],
-        commands: Commands::Invocation,
+        commands: OrderDelivery::Invocation,
         app: Some(([10, 9, 0, 2], 8_300).into()),
         backend: Some(text("resize")),
         zones: [("north", "coast"), ("south", "hills")]
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Valid and invalid settings files.
 
-use indigofold_settings::{Bounds, Commands, MachineClass, Serves, Settings, SettingsError};
+use indigofold_settings::{Bounds, MachineClass, OrderDelivery, Serves, Settings, SettingsError};
 use rstest::rstest;
 use std::path::Path;
 
@@ -53,7 +53,7 @@
 "#;
 
 /// The fields that must be there.
-const SHORT: &str = r#"
+const MINIMAL: &str = r#"
 node_name = "n"
 role = "r"
 machine_class = "core"
@@ -63,9 +63,9 @@
 "#;
 
 /// The short file with `entry` in place of its field's own.
-fn short_with(entry: &str) -> String {
+fn minimal_with(entry: &str) -> String {
     let field = entry.split('=').next().expect("a field").trim();
-    let others = SHORT.lines().filter(|other| {
+    let others = MINIMAL.lines().filter(|other| {
         other
             .split('=')
             .next()
@@ -85,7 +85,7 @@
     assert!(settings.bootstrap && !settings.counts_for_quorum);
     assert_eq!(
         (settings.heartbeat_ms, settings.commands),
-        (1_200, Commands::Invocation)
+        (1_200, OrderDelivery::Invocation)
     );
     assert_eq!(settings.app, Some(([10, 1, 0, 38], 8080).into()));
     assert_eq!(settings.backend.as_deref(), Some("cabaz"));
@@ -132,10 +132,10 @@
 
 #[test]
 fn optional_fields_have_defaults() {
-    let settings = Settings::from_toml(SHORT).expect("the settings are valid");
+    let settings = Settings::from_toml(MINIMAL).expect("the settings are valid");
     assert_eq!(
         (settings.heartbeat_ms, settings.commands),
-        (1_500, Commands::Heartbeat)
+        (1_500, OrderDelivery::Heartbeat)
     );
     assert_eq!(
         (
@@ -165,10 +165,10 @@
 #[case("backend = \"\"")]
 #[case("bind_addrs = { frontend = \"\" }")]
 fn empty_strings_decode_as_none(#[case] entry: &str) {
-    let settings = Settings::from_toml(&short_with(entry)).expect("the settings are valid");
+    let settings = Settings::from_toml(&minimal_with(entry)).expect("the settings are valid");
     assert_eq!(
         settings,
-        Settings::from_toml(SHORT).expect("the settings are valid")
+        Settings::from_toml(MINIMAL).expect("the settings are valid")
     );
 }
 
@@ -191,7 +191,7 @@
 #[case::bound_negative("bounds = { stop_ms = -1 }", "a number that is not negative")]
 #[case::commands("commands = \"shout\"", "`invocation`")]
 fn an_invalid_field_is_an_error_with_what_is_allowed(#[case] entry: &str, #[case] expected: &str) {
-    let error = Settings::from_toml(&short_with(entry))
+    let error = Settings::from_toml(&minimal_with(entry))
         .expect_err("the settings are invalid")
         .to_string();
     assert!(error.contains(expected), "{error}");
@@ -201,7 +201,7 @@
 fn a_missing_field_is_named_in_the_error(
     #[values("node_name", "role", "machine_class", "ip", "zone", "port_range")] field: &str,
 ) {
-    let text: Vec<&str> = SHORT
+    let text: Vec<&str> = MINIMAL
         .lines()
         .filter(|entry| !entry.starts_with(field))
         .collect();
