--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -23,7 +23,7 @@
 /// Key of the row that holds the newest configuration, as text.
 pub const CONFIG_KEY: &str = "config";
 /// Start of the keys of the rows that remember accepted changes; the digest follows.
-pub const CHANGE_KEY_START: &str = "order/";
+pub const CHANGE_KEY_PREFIX: &str = "order/";
 
 /// HTTP method of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -175,7 +175,7 @@
         for (key, value) in rows {
             if key == CONFIG_KEY {
                 authority.active = Some(parse_config(value).context(ConfigSnafu)?.into());
-            } else if let Some(digest) = key.strip_prefix(CHANGE_KEY_START) {
+            } else if let Some(digest) = key.strip_prefix(CHANGE_KEY_PREFIX) {
                 let bytes = value
                     .try_into()
                     .ok()
@@ -256,23 +256,23 @@
 
     /// The configuration that a change makes, or the response if there is nothing to write.
     fn decide(&self, change: &ConfigChange) -> Result<ValidChange, ChangeResponse> {
-        let builds_on = parse_if_match(change.if_match.as_deref()).map_err(invalid)?;
+        let base_version = parse_if_match(change.if_match.as_deref()).map_err(invalid)?;
         // The parsed version: quotes and spaces in the header do not make another change of it.
-        let if_match = builds_on.to_string();
+        let if_match = base_version.to_string();
         let digest =
             OrderDigest::of(change.method.name(), Some(&if_match), &change.body).to_string();
         if let Some(version) = self.remembered.version_of(&digest) {
             return Err(ChangeResponse::Accepted { version });
         }
         if let Some((oldest, _)) = self.remembered.oldest_if_full()
-            && builds_on < oldest
+            && base_version < oldest
         {
             return Err(ChangeResponse::Forgotten {
                 remembered_from: oldest,
             });
         }
         let current = self.version();
-        if builds_on != current {
+        if base_version != current {
             return Err(ChangeResponse::VersionConflict { current });
         }
         let next = self.apply(change).map_err(invalid)?;
@@ -333,5 +333,5 @@
 
 /// Key of the row that remembers an accepted change.
 fn change_key(digest: &str) -> Vec<u8> {
-    format!("{CHANGE_KEY_START}{digest}").into_bytes()
+    format!("{CHANGE_KEY_PREFIX}{digest}").into_bytes()
 }
--- a/crates/control-plane/src/core_member/head_role.rs
+++ b/crates/control-plane/src/core_member/head_role.rs
@@ -14,9 +14,12 @@
 enum HeadState {
     /// Another member is the head, or none.
     Follower,
-    /// Head of `view` that reads its rows. At `retry_ms` it requests them once more; [`u64::MAX`] while a request is
+    /// Head of `view` that reads its rows. At `request_due_ms` it requests them once more; [`u64::MAX`] while a request is
     /// open.
-    Loading { view: ViewNumber, retry_ms: u64 },
+    Loading {
+        view: ViewNumber,
+        request_due_ms: u64,
+    },
     /// A head with its rows.
     Leading(Box<ActingHead>),
 }
@@ -71,7 +74,7 @@
     pub(super) fn start_loading(&mut self, view: ViewNumber, now_ms: u64) {
         self.state = HeadState::Loading {
             view,
-            retry_ms: now_ms,
+            request_due_ms: now_ms,
         };
     }
 
@@ -90,7 +93,7 @@
     /// When [`Self::poll_load`] is due, on the steady clock in milliseconds.
     pub(super) fn load_due_ms(&self) -> u64 {
         match self.state {
-            HeadState::Loading { retry_ms, .. } => retry_ms,
+            HeadState::Loading { request_due_ms, .. } => request_due_ms,
             HeadState::Follower | HeadState::Leading(_) => u64::MAX,
         }
     }
@@ -98,14 +101,18 @@
     /// The view whose rows are to be requested; `None` if there is nothing to load, or as long as writes have no result
     /// (then it is due once more after a wait).
     pub(super) fn poll_load(&mut self, now_ms: u64) -> Option<ViewNumber> {
-        let HeadState::Loading { view, retry_ms } = &mut self.state else {
+        let HeadState::Loading {
+            view,
+            request_due_ms,
+        } = &mut self.state
+        else {
             return None;
         };
         if !self.pending_writes.is_empty() {
-            *retry_ms = now_ms + LOAD_RETRY_MS;
+            *request_due_ms = now_ms + LOAD_RETRY_MS;
             return None;
         }
-        *retry_ms = u64::MAX;
+        *request_due_ms = u64::MAX;
         Some(*view)
     }
 
@@ -113,11 +120,11 @@
     pub(super) fn load_failed(&mut self, view: ViewNumber, now_ms: u64) {
         if let HeadState::Loading {
             view: loading,
-            retry_ms,
+            request_due_ms,
         } = &mut self.state
             && *loading == view
         {
-            *retry_ms = now_ms + LOAD_RETRY_MS;
+            *request_due_ms = now_ms + LOAD_RETRY_MS;
         }
     }
 
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 /// Longest wait for an event before the timers of the node are checked.
-const WAIT_LONGEST_MS: u64 = 1_000;
+const WAIT_MAX_MS: u64 = 1_000;
 /// Longest time from SIGTERM to the end of the process, in which a head hands its role over and leaves the chain.
 const STEP_DOWN_LIMIT_MS: u64 = 1_000;
 /// Wait between reads of the settings while no head is known: the seeds may have changed without a signal.
@@ -46,7 +46,7 @@
     let inbox = Inbox::default();
     // First, as opening the database takes a while: SIGTERM in that time is to end the member as usual.
     start::watch_signals(&inbox)?;
-    let (node, storage) = start::node(&settings, &inbox).await?;
+    let (member, storage) = start::core_member(&settings, &inbox).await?;
     let connections = Connections::listen(settings.internal_address(), inbox.clone()).await?;
     let http = operator_api::serve(&settings, &inbox).await?;
     log::info!(
@@ -56,13 +56,13 @@
     );
     let settings_due_ms = steady_ms() + SETTINGS_RETRY_MS;
     let driver = Driver {
-        node,
+        member,
         inbox,
         connections,
         storage,
         calls: HashMap::new(),
         next_call: OperatorCallId(0),
-        stop_ms: None,
+        stop_deadline_ms: None,
         settings_due_ms,
     };
     driver.serve(http).await
@@ -70,7 +70,7 @@
 
 /// The running member.
 struct Driver {
-    node: CoreMember,
+    member: CoreMember,
     inbox: Inbox<Event>,
     connections: Connections,
     storage: Sender<StorageRequest>,
@@ -78,7 +78,7 @@
     calls: HashMap<OperatorCallId, oneshot::Sender<OperatorResponse>>,
     next_call: OperatorCallId,
     /// When the process ends at the latest; set by SIGTERM.
-    stop_ms: Option<u64>,
+    stop_deadline_ms: Option<u64>,
     /// When the settings are read for other seeds, as long as no head is known.
     settings_due_ms: u64,
 }
@@ -88,12 +88,12 @@
         while !self.has_stopped() {
             self.wait().await;
             let clocks = clock::now();
-            self.node.handle_timeout(clocks);
+            self.member.handle_timeout(clocks);
             self.refresh_seeds(clocks);
             while let Some(event) = self.inbox.pop() {
                 self.handle_event(clocks, event);
             }
-            for output in self.node.poll_outputs(steady_ms()) {
+            for output in self.member.poll_outputs(steady_ms()) {
                 self.execute(output)?;
             }
         }
@@ -106,26 +106,24 @@
     async fn wait(&self) {
         let now = clock::now();
         let due_ms = self
-            .node
+            .member
             .next_timeout_ms(now)
-            .min(self.stop_ms.unwrap_or(u64::MAX));
-        let wait_ms = due_ms
-            .saturating_sub(now.steady_ms)
-            .clamp(1, WAIT_LONGEST_MS);
-        runtime::timeout(Duration::from_millis(wait_ms), self.inbox.filled()).await;
+            .min(self.stop_deadline_ms.unwrap_or(u64::MAX));
+        let wait_ms = due_ms.saturating_sub(now.steady_ms).clamp(1, WAIT_MAX_MS);
+        runtime::timeout(Duration::from_millis(wait_ms), self.inbox.wait_non_empty()).await;
     }
 
     /// Whether SIGTERM has come and the member is no longer needed, or its time is over.
     fn has_stopped(&self) -> bool {
-        let Some(stop_ms) = self.stop_ms else {
+        let Some(deadline_ms) = self.stop_deadline_ms else {
             return false;
         };
-        (!self.node.is_needed() && self.calls.is_empty()) || steady_ms() >= stop_ms
+        (!self.member.is_needed() && self.calls.is_empty()) || steady_ms() >= deadline_ms
     }
 
     /// Reads the seeds from the settings at intervals while no head is known.
     fn refresh_seeds(&mut self, clocks: Clocks) {
-        if self.node.knows_head() {
+        if self.member.knows_head() {
             self.settings_due_ms = clocks.steady_ms + SETTINGS_RETRY_MS;
         } else if self.settings_due_ms <= clocks.steady_ms {
             self.settings_due_ms = clocks.steady_ms + SETTINGS_RETRY_MS;
@@ -136,7 +134,7 @@
     fn reload_seeds(&mut self, clocks: Clocks) {
         match Settings::from_env() {
             Ok(settings) => self
-                .node
+                .member
                 .handle(clocks, Input::Seeds(start::seeds(&settings))),
             Err(error) => log::error!("seeds not updated error={error}"),
         }
@@ -144,18 +142,19 @@
 
     fn handle_event(&mut self, clocks: Clocks, event: Event) {
         match event {
-            Event::CoreMember(input) => self.node.handle(clocks, input),
+            Event::CoreMember(input) => self.member.handle(clocks, input),
             Event::Operator { request, reply } => {
                 let call = self.next_call;
                 self.next_call = OperatorCallId(call.0 + 1);
                 self.calls.insert(call, reply);
-                self.node.handle(clocks, Input::Operator { call, request });
+                self.member
+                    .handle(clocks, Input::Operator { call, request });
             }
             Event::Signal(Signal::Terminate) => {
                 log::info!("SIGTERM received, handing over");
-                self.stop_ms
+                self.stop_deadline_ms
                     .get_or_insert(clocks.steady_ms + STEP_DOWN_LIMIT_MS);
-                self.node.handle(clocks, Input::StepDown);
+                self.member.handle(clocks, Input::StepDown);
             }
             Event::Signal(Signal::Reload) => {
                 log::info!("SIGHUP received, reading the seeds");
--- a/crates/control-plane/src/driver/error.rs
+++ b/crates/control-plane/src/driver/error.rs
@@ -44,7 +44,7 @@
 
 impl DriverError {
     /// Whether the settings have to be changed.
-    pub fn is_about_settings(&self) -> bool {
+    pub fn is_settings_error(&self) -> bool {
         matches!(self, DriverError::Missing { .. })
     }
 }
--- a/crates/control-plane/src/driver/start.rs
+++ b/crates/control-plane/src/driver/start.rs
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// A setting is missing, or the storage thread cannot be started.
-pub(super) async fn node(
+pub(super) async fn core_member(
     settings: &Settings,
     inbox: &Inbox<Event>,
 ) -> Result<(CoreMember, Sender<StorageRequest>), DriverError> {
@@ -48,11 +48,11 @@
         }
     });
     let clocks = clock::now();
-    let mut node_settings = node_settings(settings)?;
+    let mut member_settings = member_settings(settings)?;
     // A member that has lost its record must not vote as one that has never prepared a view.
-    node_settings.bootstrap &= !opened.has_quarantined;
-    let node = CoreMember::new(node_settings, opened.durable, clocks);
-    Ok((node, requests))
+    member_settings.bootstrap &= !opened.has_quarantined;
+    let member = CoreMember::new(member_settings, opened.durable, clocks);
+    Ok((member, requests))
 }
 
 fn log_opened(opened: &Opened, bootstrap: bool) {
@@ -114,7 +114,7 @@
         .collect()
 }
 
-fn node_settings(settings: &Settings) -> Result<CoreMemberSettings, DriverError> {
+fn member_settings(settings: &Settings) -> Result<CoreMemberSettings, DriverError> {
     let random = RandomState::new();
     let address = MemberAddress {
         node_name: settings.node_name.clone(),
--- a/crates/control-plane/src/inbox.rs
+++ b/crates/control-plane/src/inbox.rs
@@ -52,7 +52,7 @@
     }
 
     /// Waits until there is an item.
-    pub async fn filled(&self) {
+    pub async fn wait_non_empty(&self) {
         poll_fn(|context| {
             let mut shared = self.shared.borrow_mut();
             if shared.items.is_empty() {
--- a/crates/control-plane/src/inspection/capacity.rs
+++ b/crates/control-plane/src/inspection/capacity.rs
@@ -125,18 +125,18 @@
             (free.mem_mb, task.mem_mb),
             (free.gpu, task.gpu),
         ];
-        let by_size = amounts
+        let by_resources = amounts
             .into_iter()
             .filter_map(|(free, each)| free.checked_div(each))
             .min();
-        let by_size = by_size.unwrap_or(u64::from(step.count));
+        let by_resources = by_resources.unwrap_or(u64::from(step.count));
         if step.anti_affinity == 0 {
-            return by_size;
+            return by_resources;
         }
         let on_worker = row
             .runs()
             .filter(|run| instances.get(run.instance as usize) == Some(&worker.instance))
             .count() as u64;
-        by_size.min(u64::from(step.anti_affinity).saturating_sub(on_worker))
+        by_resources.min(u64::from(step.anti_affinity).saturating_sub(on_worker))
     }
 }
--- a/crates/control-plane/src/inspection/job_report.rs
+++ b/crates/control-plane/src/inspection/job_report.rs
@@ -17,7 +17,7 @@
 ) -> JobInspection {
     let progress = &record.progress;
     let definition = record.definition.as_ref();
-    let service = definition.map(|definition| service_now(definition, config));
+    let service = definition.map(|definition| current_service(definition, config));
     let steps = match (definition, &service) {
         (Some(definition), Some(service)) => {
             let reporter = StepReporter {
@@ -49,7 +49,7 @@
 }
 
 /// The service that the job's route leads to now.
-fn service_now(definition: &Definition, config: Option<&Config>) -> String {
+fn current_service(definition: &Definition, config: Option<&Config>) -> String {
     let route = config.and_then(|config| {
         config
             .routes
@@ -79,18 +79,18 @@
 
 impl StepReporter<'_> {
     /// The steps of all open repetitions, [`STEPS_LISTED_MAX`] at most.
-    fn steps(&self, described: &[Step]) -> Vec<StepInspection> {
+    fn steps(&self, specs: &[Step]) -> Vec<StepInspection> {
         let repeats = self.progress.repeats.iter();
         let reports = repeats.flat_map(|repeat| {
-            let steps = described.iter().zip(&repeat.steps).enumerate();
-            steps.map(|(number, (step, row))| self.step(repeat, number as u32, step, row))
+            let steps = specs.iter().zip(&repeat.steps).enumerate();
+            steps.map(|(number, (spec, row))| self.step(repeat, number as u32, spec, row))
         });
         reports.take(STEPS_LISTED_MAX).collect()
     }
 
-    fn step(&self, repeat: &RepeatRow, number: u32, step: &Step, row: &StepRow) -> StepInspection {
-        let unfinished = unfinished_dependencies(step, &repeat.steps);
-        let tasks = row.counts(step, unfinished.is_empty());
+    fn step(&self, repeat: &RepeatRow, number: u32, spec: &Step, row: &StepRow) -> StepInspection {
+        let unfinished = unfinished_dependencies(spec, &repeat.steps);
+        let tasks = row.counts(spec, unfinished.is_empty());
         let wait = if self.progress.end.is_some() {
             None
         } else if !unfinished.is_empty() {
@@ -99,7 +99,7 @@
             None
         } else {
             let instances = &self.progress.instances;
-            Some(self.capacity.wait(self.service, step, row, instances))
+            Some(self.capacity.wait(self.service, spec, row, instances))
         };
         let speculative = self.speculative_runs(repeat.repeat, number);
         StepInspection {
@@ -108,7 +108,7 @@
             tasks,
             failures: row.tasks().iter().map(|task| task.failures).sum(),
             runs: self
-                .first_runs(row)
+                .regular_runs(row)
                 .chain(speculative)
                 .take(RUNS_LISTED_MAX)
                 .collect(),
@@ -116,7 +116,7 @@
         }
     }
 
-    fn first_runs(&self, row: &StepRow) -> impl Iterator<Item = RunInspection> {
+    fn regular_runs(&self, row: &StepRow) -> impl Iterator<Item = RunInspection> {
         let tasks = row.tasks().iter().enumerate();
         tasks.filter_map(|(index, task)| {
             let run = task.run?;
--- a/crates/control-plane/src/inspection/table_summary.rs
+++ b/crates/control-plane/src/inspection/table_summary.rs
@@ -122,35 +122,35 @@
         }
     }
 
-    fn add_runs(&mut self, described: &[Step], progress: &Progress) {
-        for (step, row) in progress
+    fn add_runs(&mut self, specs: &[Step], progress: &Progress) {
+        for (spec, row) in progress
             .repeats
             .iter()
-            .flat_map(|repeat| described.iter().zip(&repeat.steps))
+            .flat_map(|repeat| specs.iter().zip(&repeat.steps))
         {
             let instances = row
                 .runs()
                 .filter_map(|run| progress.instances.get(run.instance as usize));
-            instances.for_each(|instance| self.add_usage(instance, step));
+            instances.for_each(|instance| self.add_usage(instance, spec));
         }
         for run in &progress.speculative_runs {
-            if let Some(step) = described.get(run.step as usize) {
-                self.add_usage(&run.instance, step);
+            if let Some(spec) = specs.get(run.step as usize) {
+                self.add_usage(&run.instance, spec);
             }
         }
     }
 
-    fn add_usage(&mut self, instance: &str, step: &Step) {
+    fn add_usage(&mut self, instance: &str, spec: &Step) {
         let used = self.used.entry(instance.to_owned()).or_default();
-        *used = used.plus(&step.resources());
+        *used = used.plus(&spec.resources());
     }
 }
 
 /// The tasks of one repetition, by state.
-fn repeat_counts(described: &[Step], steps: &[StepRow]) -> TaskCounts {
+fn repeat_counts(specs: &[Step], rows: &[StepRow]) -> TaskCounts {
     let mut counts = TaskCounts::default();
-    for (step, row) in described.iter().zip(steps) {
-        counts.add(row.counts(step, unfinished_dependencies(step, steps).is_empty()));
+    for (spec, row) in specs.iter().zip(rows) {
+        counts.add(row.counts(spec, unfinished_dependencies(spec, rows).is_empty()));
     }
     counts
 }
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -40,7 +40,7 @@
 /// The response to a request that the operator's API does not have.
 pub fn parse_request(request: HttpRequest) -> Result<OperatorRequest, HttpResponse> {
     if request.path != CONFIG_PATH {
-        return Err(problem(
+        return Err(error_response(
             404,
             &format!("no such path; {CONFIG_PATH} is served here"),
         ));
@@ -49,7 +49,7 @@
         Method::GET => return Ok(OperatorRequest::Read),
         Method::PUT => ConfigMethod::Put,
         Method::PATCH => ConfigMethod::Patch,
-        _ => return Err(problem(405, "GET, PUT and PATCH are served here")),
+        _ => return Err(error_response(405, "GET, PUT and PATCH are served here")),
     };
     let if_match = request.header(header::IF_MATCH.as_str()).map(str::to_owned);
     Ok(OperatorRequest::Change(ConfigChange {
@@ -65,14 +65,16 @@
         OperatorResponse::Change(ChangeResponse::Accepted { version }) => {
             HttpResponse::json(200, format!("{{\"version\":{version}}}"))
         }
-        OperatorResponse::Change(ChangeResponse::Invalid { reason }) => problem(400, &reason),
+        OperatorResponse::Change(ChangeResponse::Invalid { reason }) => {
+            error_response(400, &reason)
+        }
         OperatorResponse::Change(ChangeResponse::VersionConflict { current }) => {
-            problem(412, &format!("version {current} is current"))
+            error_response(412, &format!("version {current} is current"))
         }
         OperatorResponse::Change(ChangeResponse::Undetermined) => {
-            problem(503, "the order may or may not be taken; send it again")
+            error_response(503, "the order may or may not be taken; send it again")
         }
-        OperatorResponse::Change(ChangeResponse::Forgotten { remembered_from }) => problem(
+        OperatorResponse::Change(ChangeResponse::Forgotten { remembered_from }) => error_response(
             503,
             &format!(
                 "the order may have been taken: only those that became version {remembered_from} or a later one are \
@@ -80,17 +82,17 @@
             ),
         ),
         OperatorResponse::Config(text) => HttpResponse::json(200, text),
-        OperatorResponse::NoConfig => problem(503, "there is no configuration yet"),
+        OperatorResponse::NoConfig => error_response(503, "there is no configuration yet"),
         OperatorResponse::RedirectToHead(control) => {
             let location = format!("http://{control}{CONFIG_PATH}");
             HttpResponse::new(307).with_header(header::LOCATION, &location)
         }
-        OperatorResponse::NoHead => problem(503, "no head is at work; try again"),
+        OperatorResponse::NoHead => error_response(503, "no head is at work; try again"),
     }
 }
 
 /// A response that says what is wrong.
-fn problem(status: u16, reason: &str) -> HttpResponse {
+fn error_response(status: u16, reason: &str) -> HttpResponse {
     let mut body = String::from("{\"error\":\"");
     for character in reason.chars() {
         match character {
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 
 /// Wait after the first failure, in milliseconds; doubles with each further one.
-const RETRY_FIRST_MS: u64 = 100;
+const RETRY_MIN_MS: u64 = 100;
 /// Longest wait between two attempts, in milliseconds.
-const RETRY_LONGEST_MS: u64 = 800;
+const RETRY_MAX_MS: u64 = 800;
 
 /// The members that this one dials.
 #[derive(Debug)]
@@ -125,8 +125,12 @@
 
     /// Schedules the next dial, with backoff and jitter.
     fn schedule_retry(&mut self, now_ms: u64, address: SocketAddr) {
-        let wait_ms = self.links.get(&address).map(|link| retry_ms(link.failures));
-        let Some(wait_ms) = wait_ms.map(|longest| longest / 2 + self.draw(longest / 2)) else {
+        let wait_ms = self
+            .links
+            .get(&address)
+            .map(|link| backoff_ms(link.failures));
+        let Some(wait_ms) = wait_ms.map(|longest| longest / 2 + self.random_up_to(longest / 2))
+        else {
             return;
         };
         if let Some(link) = self.links.get_mut(&address) {
@@ -164,17 +168,17 @@
     }
 
     /// A number from 0 to `below` (xorshift: good enough to spread attempts).
-    fn draw(&mut self, below: u64) -> u64 {
+    fn random_up_to(&mut self, max: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
-        self.random % (below + 1)
+        self.random % (max + 1)
     }
 }
 
 /// Longest wait after so many failures in a row.
-fn retry_ms(failures: u32) -> u64 {
-    RETRY_FIRST_MS
+fn backoff_ms(failures: u32) -> u64 {
+    RETRY_MIN_MS
         .saturating_mul(1 << failures.min(8))
-        .min(RETRY_LONGEST_MS)
+        .min(RETRY_MAX_MS)
 }
--- a/crates/control-plane/src/program.rs
+++ b/crates/control-plane/src/program.rs
@@ -35,7 +35,7 @@
     };
     match runtime::run(driver::run(settings)) {
         Ok(Ok(())) => ExitCode::SUCCESS,
-        Ok(Err(error)) if error.is_about_settings() => fail(EXIT_USAGE, &error),
+        Ok(Err(error)) if error.is_settings_error() => fail(EXIT_USAGE, &error),
         Ok(Err(error)) => fail(EXIT_FAILURE, &error),
         Err(error) => fail(EXIT_FAILURE, &error),
     }
--- a/crates/control-plane/tests/control_plane/builders.rs
+++ b/crates/control-plane/tests/control_plane/builders.rs
@@ -34,10 +34,10 @@
 }
 
 /// A replacement of the whole configuration.
-pub(crate) fn put(builds_on: u64, body: &str) -> ConfigChange {
+pub(crate) fn put(base_version: u64, body: &str) -> ConfigChange {
     ConfigChange {
         method: ConfigMethod::Put,
-        if_match: Some(builds_on.to_string()),
+        if_match: Some(base_version.to_string()),
         body: body.as_bytes().to_vec(),
     }
 }
--- a/crates/control-plane/tests/control_plane/config_authority.rs
+++ b/crates/control-plane/tests/control_plane/config_authority.rs
@@ -10,12 +10,12 @@
 use std::collections::BTreeMap;
 
 /// A change to the configuration of this version and this time-out.
-fn put_version(builds_on: u64, version: u64, timeout_ms: u64) -> ConfigChange {
-    put(builds_on, &config_text(version, timeout_ms))
+fn put_version(base_version: u64, version: u64, timeout_ms: u64) -> ConfigChange {
+    put(base_version, &config_text(version, timeout_ms))
 }
 
-fn patch(builds_on: u64, body: &str) -> ConfigChange {
-    let if_match = Some(builds_on.to_string());
+fn patch(base_version: u64, body: &str) -> ConfigChange {
+    let if_match = Some(base_version.to_string());
     ConfigChange {
         method: ConfigMethod::Patch,
         if_match,
@@ -28,17 +28,17 @@
 struct TestAuthority {
     authority: ConfigAuthority,
     rows: BTreeMap<String, Vec<u8>>,
-    writing: Vec<Vec<RowChange>>,
+    pending_writes: Vec<Vec<RowChange>>,
     responses: Vec<(u64, ChangeResponse)>,
-    in_force: Vec<u64>,
+    activated: Vec<u64>,
 }
 
 impl TestAuthority {
-    fn take(&mut self, effects: Vec<ConfigEffect>) {
+    fn apply_effects(&mut self, effects: Vec<ConfigEffect>) {
         for effect in effects {
             match effect {
-                ConfigEffect::Write(rows) => self.writing.push(rows),
-                ConfigEffect::Activated(config) => self.in_force.push(config.version),
+                ConfigEffect::Write(rows) => self.pending_writes.push(rows),
+                ConfigEffect::Activated(config) => self.activated.push(config.version),
                 ConfigEffect::Respond(call, response) => self.responses.push((call.0, response)),
             }
         }
@@ -48,11 +48,11 @@
         let mut effects = Vec::new();
         self.authority
             .handle_change(OperatorCallId(call), change, &mut effects);
-        self.take(effects);
+        self.apply_effects(effects);
     }
 
     fn commit(&mut self) {
-        for row in self.writing.remove(0) {
+        for row in self.pending_writes.remove(0) {
             let key = String::from_utf8(row.key).expect("a key of text");
             match row.value {
                 Some(value) => drop(self.rows.insert(key, value)),
@@ -61,14 +61,14 @@
         }
         let mut effects = Vec::new();
         self.authority.committed(&mut effects);
-        self.take(effects);
+        self.apply_effects(effects);
     }
 
     /// Sends a change, commits its write if there is one, and returns the response.
-    fn respond(&mut self, change: ConfigChange) -> ChangeResponse {
+    fn change_and_commit(&mut self, change: ConfigChange) -> ChangeResponse {
         self.responses.clear();
         self.change(0, change);
-        if !self.writing.is_empty() {
+        if !self.pending_writes.is_empty() {
             self.commit();
         }
         self.responses.remove(0).1
@@ -94,14 +94,14 @@
     let mut test = TestAuthority::default();
     test.change(1, put_version(0, 5, 1000));
     assert!(
-        test.responses.is_empty() && test.in_force.is_empty() && test.authority.text().is_none()
+        test.responses.is_empty() && test.activated.is_empty() && test.authority.text().is_none()
     );
     test.commit();
     assert_eq!(
         test.responses,
         [(1, ChangeResponse::Accepted { version: 5 })]
     );
-    assert_eq!(test.in_force, [5]);
+    assert_eq!(test.activated, [5]);
     assert_eq!(test.authority.text(), Some(config_text(5, 1000).as_bytes()));
 }
 
@@ -111,7 +111,7 @@
     test.change(1, put_version(0, 5, 1000));
     test.change(2, put_version(0, 5, 2000));
     test.change(3, put_version(0, 6, 1000));
-    assert_eq!(test.writing.len(), 1);
+    assert_eq!(test.pending_writes.len(), 1);
     test.commit();
     let conflict = ChangeResponse::VersionConflict { current: 5 };
     assert_eq!(
@@ -122,7 +122,7 @@
             (3, conflict)
         ]
     );
-    assert!(test.writing.is_empty());
+    assert!(test.pending_writes.is_empty());
 }
 
 #[test]
@@ -134,7 +134,7 @@
     test.commit();
     let accepted = ChangeResponse::Accepted { version: 5 };
     assert_eq!(test.responses, [(1, accepted.clone()), (2, accepted)]);
-    assert_eq!(test.in_force, [5]);
+    assert_eq!(test.activated, [5]);
 }
 
 #[test]
@@ -143,7 +143,7 @@
     test.change(1, put_version(0, 5, 1000));
     test.change(2, put_version(5, 8, 1000));
     test.commit();
-    assert_eq!(test.writing.len(), 1);
+    assert_eq!(test.pending_writes.len(), 1);
     test.commit();
     assert_eq!(
         test.responses,
@@ -160,21 +160,21 @@
 fn accepted_change_is_acknowledged_on_retry_after_later_changes(#[case] at_successor: bool) {
     let mut test = TestAuthority::default();
     assert_eq!(
-        test.respond(put_version(0, 5, 1000)),
+        test.change_and_commit(put_version(0, 5, 1000)),
         ChangeResponse::Accepted { version: 5 }
     );
     assert_eq!(
-        test.respond(put_version(5, 9, 1000)),
+        test.change_and_commit(put_version(5, 9, 1000)),
         ChangeResponse::Accepted { version: 9 }
     );
     let mut test = if at_successor { test.successor() } else { test };
     assert_eq!(
-        test.respond(put_version(0, 5, 1000)),
+        test.change_and_commit(put_version(0, 5, 1000)),
         ChangeResponse::Accepted { version: 5 }
     );
     assert_eq!(test.authority.version(), 9);
     assert_eq!(
-        test.respond(put_version(0, 5, 1001)),
+        test.change_and_commit(put_version(0, 5, 1001)),
         ChangeResponse::VersionConflict { current: 9 }
     );
 }
@@ -189,13 +189,13 @@
 #[case::patch_without_version(patch(5, r#"{"remove":{"routes":["r"]}}"#))]
 fn invalid_change_is_rejected_without_effect(#[case] change: ConfigChange) {
     let mut test = TestAuthority::default();
-    test.respond(put_version(0, 5, 1000));
-    let response = test.respond(change);
+    test.change_and_commit(put_version(0, 5, 1000));
+    let response = test.change_and_commit(change);
     assert!(
         matches!(&response, ChangeResponse::Invalid { reason } if !reason.is_empty()),
         "{response:?}"
     );
-    assert_eq!(test.in_force, [5]);
+    assert_eq!(test.activated, [5]);
 }
 
 #[test]
@@ -206,11 +206,11 @@
         ..put_version(0, 5, 1000)
     };
     assert_eq!(
-        test.respond(quoted),
+        test.change_and_commit(quoted),
         ChangeResponse::Accepted { version: 5 }
     );
     assert_eq!(
-        test.respond(put_version(0, 5, 1000)),
+        test.change_and_commit(put_version(0, 5, 1000)),
         ChangeResponse::Accepted { version: 5 }
     );
 }
@@ -218,12 +218,12 @@
 #[test]
 fn patch_changes_the_items_it_names() {
     let mut test = TestAuthority::default();
-    test.respond(put_version(0, 5, 1000));
+    test.change_and_commit(put_version(0, 5, 1000));
     let change = config_text(5, 2000);
     let route = &change[change.find("[{").unwrap_or(0)..=change.find("}]").unwrap_or(0) + 1];
     let body = format!(r#"{{"version":7,"upsert":{{"routes":{route}}}}}"#);
     assert_eq!(
-        test.respond(patch(5, &body)),
+        test.change_and_commit(patch(5, &body)),
         ChangeResponse::Accepted { version: 7 }
     );
     let config = test
@@ -239,7 +239,7 @@
         (7, 1, 2000)
     );
     assert_eq!(
-        test.respond(patch(5, &body)),
+        test.change_and_commit(patch(5, &body)),
         ChangeResponse::Accepted { version: 7 }
     );
 }
@@ -252,7 +252,7 @@
     test.change(3, put_version(0, 6, 1000));
     let mut effects = Vec::new();
     test.authority.aborted(&mut effects);
-    test.take(effects);
+    test.apply_effects(effects);
     assert_eq!(
         test.responses,
         [
@@ -261,7 +261,7 @@
             (3, ChangeResponse::Undetermined)
         ]
     );
-    assert!(test.in_force.is_empty());
+    assert!(test.activated.is_empty());
 }
 
 #[test]
@@ -270,7 +270,7 @@
     let last = REMEMBERED_CHANGES_MAX as u64 + 1;
     for version in 1..=last {
         assert_eq!(
-            test.respond(put_version(version - 1, version, 1000)),
+            test.change_and_commit(put_version(version - 1, version, 1000)),
             ChangeResponse::Accepted { version }
         );
     }
@@ -281,16 +281,16 @@
     );
     // Accepted long ago: it must not be rejected.
     assert_eq!(
-        test.respond(put_version(0, 1, 1000)),
+        test.change_and_commit(put_version(0, 1, 1000)),
         ChangeResponse::Forgotten { remembered_from: 2 }
     );
     // All changes of that version are remembered, and this one was not accepted.
     assert_eq!(
-        test.respond(put_version(2, 3, 2000)),
+        test.change_and_commit(put_version(2, 3, 2000)),
         ChangeResponse::VersionConflict { current: last }
     );
     assert_eq!(
-        test.respond(put_version(1, 2, 1000)),
+        test.change_and_commit(put_version(1, 2, 1000)),
         ChangeResponse::Accepted { version: 2 }
     );
 }
--- a/crates/control-plane/tests/control_plane/core_member.rs
+++ b/crates/control-plane/tests/control_plane/core_member.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn reading_without_a_configuration_is_answered_as_such() {
+fn reading_without_a_configuration_returns_no_config() {
     let mut test = TestNode::acting();
     test.operator(1, OperatorRequest::Read);
     assert_eq!(test.take_responses(), [(1, OperatorResponse::NoConfig)]);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn dials_the_seeds_and_sends_its_greeting() {
+fn dials_the_seeds_and_sends_hello_and_welcome() {
     let mut test = TestNode::start(&[1, 2]);
     test.run_until(|test| {
         test.outputs()
@@ -257,7 +257,7 @@
     test.inspect(2, Question::Job(JobId(7)));
     let answers = test.take_answers();
     let InspectionAnswer::Status(status) = &answers[0].1 else {
-        panic!("a status is expected")
+        panic!("expected a status, got {:?}", answers[0].1)
     };
     assert!(!status.acting && status.work.is_none() && status.peers.len() == 2);
     assert_eq!(answers[1], (2, InspectionAnswer::NotHead { head: None }));
--- a/crates/control-plane/tests/control_plane/inspection.rs
+++ b/crates/control-plane/tests/control_plane/inspection.rs
@@ -84,9 +84,9 @@
 #[case::label(Step { requirements: "gold".to_owned(), ..step(1, 100) }, Wait::NoWorkerFits)]
 #[case::size(step(1, 5_000), Wait::NoWorkerFits)]
 #[case::gang(Step { gang: true, ..step(3, 2_000) }, Wait::InsufficientCapacity { fitting_tasks: 2, needed: 3 })]
-fn reports_why_a_step_waits(#[case] wanted: Step, #[case] reason: Wait) {
+fn reports_why_a_step_waits(#[case] waiting_step: Step, #[case] reason: Wait) {
     let mut test = TestHead::with_worker();
-    test.submit(job(vec![wanted]));
+    test.submit(job(vec![waiting_step]));
     let report = test.inspect();
     assert_eq!(
         (report.state, &report.steps[0].wait),
--- a/crates/control-plane/tests/control_plane/peers.rs
+++ b/crates/control-plane/tests/control_plane/peers.rs
@@ -12,11 +12,11 @@
     SocketAddr::from(([10, 0, 0, last], 7380))
 }
 
-fn peers_with(lasts: &[u8]) -> Peers {
+fn peers_with(last_bytes: &[u8]) -> Peers {
     let mut peers = Peers::new(7);
     assert!(
         peers
-            .set_addresses(NOW_MS, lasts.iter().copied().map(address).collect())
+            .set_addresses(NOW_MS, last_bytes.iter().copied().map(address).collect())
             .is_empty()
     );
     peers
--- a/crates/control-plane/tests/control_plane/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -53,7 +53,7 @@
     partitioned: BTreeSet<usize>,
     responses: HashMap<OperatorCallId, OperatorResponse>,
     now_ms: u64,
-    last_number: u64,
+    last_id: u64,
 }
 
 impl SimulatedCluster {
@@ -70,7 +70,7 @@
             partitioned: BTreeSet::new(),
             responses: HashMap::new(),
             now_ms: START_MS,
-            last_number: 0,
+            last_id: 0,
         };
         (0..count).for_each(|member| cluster.restart(member));
         cluster
@@ -138,15 +138,15 @@
     /// Passes an input to a member that is frozen for a time before it sends anything; returns its outputs.
     pub(crate) fn freeze(&mut self, member: usize, input: Input, freeze_ms: u64) -> Vec<Output> {
         while self.step() {}
-        let (clocks, sends_ms) = (self.clocks(), self.now_ms + freeze_ms);
+        let (clocks, resume_ms) = (self.clocks(), self.now_ms + freeze_ms);
         let Member { node, .. } = self.members[member].as_mut().expect("the member is up");
         node.handle(clocks, input);
-        node.poll_outputs(sends_ms)
+        node.poll_outputs(resume_ms)
     }
 
     /// The operator sends a request to a member.
     pub(crate) fn call(&mut self, member: usize, request: OperatorRequest) -> OperatorCallId {
-        let call = OperatorCallId(self.number());
+        let call = OperatorCallId(self.next_id());
         self.input(member, Input::Operator { call, request });
         call
     }
@@ -237,7 +237,7 @@
         for member in 0..self.members.len() {
             if let Some(Member { node, .. }) = &mut self.members[member] {
                 node.handle_timeout(clocks);
-                self.finish(member);
+                self.apply_outputs(member);
             }
         }
     }
@@ -248,10 +248,10 @@
             return;
         };
         node.handle(clocks, input);
-        self.finish(member);
+        self.apply_outputs(member);
     }
 
-    fn finish(&mut self, member: usize) {
+    fn apply_outputs(&mut self, member: usize) {
         let now_ms = self.now_ms;
         let Some(Member { node, .. }) = &mut self.members[member] else {
             return;
@@ -301,11 +301,11 @@
         };
         let dialling_end = Endpoint {
             member: from,
-            connection: ConnectionId(self.number()),
+            connection: ConnectionId(self.next_id()),
         };
         let accepting_end = Endpoint {
             member: to,
-            connection: ConnectionId(self.number()),
+            connection: ConnectionId(self.next_id()),
         };
         self.links.insert(dialling_end, accepting_end);
         self.links.insert(accepting_end, dialling_end);
@@ -321,7 +321,7 @@
     fn settings(&mut self, member: usize) -> CoreMemberSettings {
         let node_name = format!("core-{member}");
         CoreMemberSettings {
-            hello: hello(&node_name, ProcessKind::Core, self.number()),
+            hello: hello(&node_name, ProcessKind::Core, self.next_id()),
             address: MemberAddress {
                 node_name,
                 internal: self.address(member, INTERNAL_PORT),
@@ -341,8 +341,8 @@
         clocks(self.now_ms)
     }
 
-    fn number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 }
