--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -107,7 +107,7 @@
         source: ConfigError,
     },
     /// A remembered change has no version.
-    #[snafu(display("the row `{key}` holds no version: 8 bytes are expected"))]
+    #[snafu(display("the row `{key}` holds no version: exactly 8 bytes are expected"))]
     RememberedChange {
         /// Key of the row.
         key: String,
--- a/crates/control-plane/src/core_member/connections.rs
+++ b/crates/control-plane/src/core_member/connections.rs
@@ -12,9 +12,9 @@
 /// Why a frame is rejected.
 #[derive(Debug, Snafu)]
 enum FrameError {
-    #[snafu(display("a {frame} came before a Hello"))]
+    #[snafu(display("a {frame} frame was received before a Hello"))]
     BeforeHello { frame: &'static str },
-    #[snafu(display("{node_name} is {kind:?}, which sends no {frame}"))]
+    #[snafu(display("{node_name} is of kind {kind:?}, which must not send {frame} frames"))]
     UnexpectedSender {
         frame: &'static str,
         kind: ProcessKind,
--- a/crates/control-plane/src/core_member/interface.rs
+++ b/crates/control-plane/src/core_member/interface.rs
@@ -74,7 +74,7 @@
 #[derive(Debug)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "most outputs are frames: a box for each would cost more"
+    reason = "most outputs are frames: boxing each one would cost more"
 )]
 pub enum Output {
     /// Send a frame.
--- a/crates/control-plane/src/driver/event.rs
+++ b/crates/control-plane/src/driver/event.rs
@@ -8,7 +8,7 @@
 /// An event that the tasks on sockets, storage and signals pass to the driver.
 #[expect(
     clippy::large_enum_variant,
-    reason = "most events are frames: a box for each would cost more"
+    reason = "most events are frames: boxing each one would cost more"
 )]
 pub(super) enum Event {
     /// An input for the node.
--- a/crates/control-plane/src/driver/start.rs
+++ b/crates/control-plane/src/driver/start.rs
@@ -35,7 +35,7 @@
     let directory = settings.data_dir.as_deref();
     let directory = directory.context(MissingSnafu {
         field: "data_dir",
-        needed: "a folder on its disk",
+        needed: "a folder on the disk",
     })?;
     let opened = open(directory).await;
     log_opened(&opened, settings.bootstrap);
