--- a/crates/control-plane/tests/control_plane/cluster.rs
+++ b/crates/control-plane/tests/control_plane/cluster.rs
@@ -29,7 +29,7 @@
     for other in (0..3).filter(|member| *member != head) {
         let OperatorResponse::RedirectToHead(control) = cluster.request(other, put_first_config())
         else {
-            panic!("member {other} does not name the head");
+            panic!("member {other} does not redirect to the head");
         };
         assert_eq!(control, cluster.address(head, CONTROL_PORT));
     }
--- a/crates/control-plane/tests/control_plane/command_line.rs
+++ b/crates/control-plane/tests/control_plane/command_line.rs
@@ -15,7 +15,10 @@
 #[case("--help", Command::Help)]
 #[case("-V", Command::Version)]
 fn parses_valid_arguments(#[case] text: &str, #[case] command: Command) {
-    assert_eq!(parse(arguments(text)).expect("a command"), command);
+    assert_eq!(
+        parse(arguments(text)).expect("the arguments are valid"),
+        command
+    );
 }
 
 #[rstest]
@@ -24,7 +27,7 @@
 #[case("run", "`run` is not understood")]
 fn error_names_the_invalid_argument(#[case] text: &str, #[case] expected: &str) {
     let error = parse(arguments(text))
-        .expect_err("not a command")
+        .expect_err("the arguments are invalid")
         .to_string();
     assert!(error.contains(expected), "{error}");
 }
--- a/crates/control-plane/tests/control_plane/config_authority.rs
+++ b/crates/control-plane/tests/control_plane/config_authority.rs
@@ -53,7 +53,7 @@
 
     fn commit(&mut self) {
         for row in self.pending_writes.remove(0) {
-            let key = String::from_utf8(row.key).expect("a key of text");
+            let key = String::from_utf8(row.key).expect("the key is UTF-8");
             match row.value {
                 Some(value) => drop(self.rows.insert(key, value)),
                 None => drop(self.rows.remove(&key)),
@@ -80,7 +80,8 @@
             .rows
             .iter()
             .map(|(key, value)| (key.as_str(), value.as_slice()));
-        let authority = ConfigAuthority::load(rows).expect("rows are as written");
+        let authority =
+            ConfigAuthority::load(rows).expect("rows of another authority can be loaded");
         TestAuthority {
             authority,
             rows: self.rows,
--- a/crates/control-plane/tests/control_plane/core_member.rs
+++ b/crates/control-plane/tests/control_plane/core_member.rs
@@ -32,7 +32,10 @@
     test.put_first_config(1);
     assert!(!test.undelivered().is_empty() && test.take_responses().is_empty());
     test.deliver_storage();
-    let welcome = test.welcomes().last().expect("a welcome to the edge");
+    let welcome = test
+        .welcomes()
+        .last()
+        .expect("a welcome was sent to the edge");
     assert_eq!(
         (welcome.config_version, welcome.limits.max_body_bytes),
         (CONFIG_VERSION, MAX_BODY_BYTES)
@@ -65,7 +68,10 @@
 fn follower_rejects_operators_and_edges() {
     let mut test = TestNode::start(&[1, 2, 3]);
     test.connect(EDGE, ProcessKind::Edge);
-    let welcome = test.welcomes().next().expect("a welcome to the edge");
+    let welcome = test
+        .welcomes()
+        .next()
+        .expect("a welcome was sent to the edge");
     assert!(!welcome.acting && welcome.head.is_none());
     test.put_first_config(1);
     assert_eq!(test.take_responses(), [(1, OperatorResponse::NoHead)]);
@@ -182,7 +188,7 @@
         test.take_responses()
             .iter()
             .any(|(_, response)| *response == accepted()),
-        "the member still serves"
+        "the member no longer accepts changes"
     );
 }
 
@@ -229,12 +235,12 @@
             status.stored.seq,
             status.work.as_ref().map(|work| work.config_version),
         ),
-        other => panic!("a status is expected: {other:?}"),
+        other => panic!("expected a status, got {other:?}"),
     };
     test.inspect(1, Question::Status);
     assert!(
         test.take_answers().is_empty(),
-        "the rows have to be read first"
+        "answered before the rows were read"
     );
     test.deliver_storage();
     let first = test.take_answers();
--- a/crates/control-plane/tests/control_plane/operator.rs
+++ b/crates/control-plane/tests/control_plane/operator.rs
@@ -10,7 +10,7 @@
 
 fn request(method: Method, path: &str) -> HttpRequest {
     let mut headers = HeaderMap::new();
-    headers.insert(header::IF_MATCH, "5".parse().expect("a header's value"));
+    headers.insert(header::IF_MATCH, "5".parse().expect("a valid header value"));
     let peer = SocketAddr::from(([10, 0, 0, 1], 40_000));
     HttpRequest {
         method,
@@ -28,7 +28,7 @@
 fn parses_changes(#[case] method: Method, #[case] expected: ConfigMethod) {
     let parsed = parse_request(request(method, "/config"));
     let Ok(OperatorRequest::Change(change)) = parsed else {
-        panic!("{parsed:?}")
+        panic!("expected a change, got {parsed:?}")
     };
     assert_eq!(
         (
@@ -58,7 +58,7 @@
 ) {
     assert_eq!(
         parse_request(request(method, path))
-            .expect_err("no request of the operator's API")
+            .expect_err("the API does not serve the request")
             .status,
         status
     );
--- a/crates/control-plane/tests/control_plane/peers.rs
+++ b/crates/control-plane/tests/control_plane/peers.rs
@@ -81,7 +81,7 @@
     assert!(peers.dial_succeeded(address(1), ConnectionId(4)));
     assert!(
         !peers.dial_succeeded(address(1), ConnectionId(5)),
-        "the dial that hung comes too late"
+        "a second connection to the same peer is not needed"
     );
     peers.dial_failed(NOW_MS + 400, address(1));
     peers.peer_connected(NOW_MS + 400, address(1));
--- a/crates/control-plane/tests/control_plane/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -60,7 +60,7 @@
     /// Members that start for the first time, all of them seeds.
     pub(crate) fn start(count: usize) -> SimulatedCluster {
         let directories = (0..count)
-            .map(|_| TempDir::new().expect("a directory"))
+            .map(|_| TempDir::new().expect("a temporary directory can be created"))
             .collect();
         let mut cluster = SimulatedCluster {
             directories,
@@ -93,7 +93,8 @@
 
     /// Starts a member with its database.
     pub(crate) fn restart(&mut self, member: usize) {
-        let opened = Storage::open(self.directories[member].path()).expect("a database");
+        let opened =
+            Storage::open(self.directories[member].path()).expect("the database can be opened");
         let mut settings = self.settings(member);
         settings.bootstrap &= !opened.has_quarantined;
         let node = CoreMember::new(settings, opened.durable, self.clocks());
@@ -106,12 +107,12 @@
     /// Changes a bit in the database of a member that is down, where it holds `text`.
     pub(crate) fn flip_bit(&self, member: usize, text: &str) {
         let path = self.directories[member].path().join("control.sqlite");
-        let mut bytes = std::fs::read(&path).expect("a database");
+        let mut bytes = std::fs::read(&path).expect("the database can be opened");
         let at = bytes
             .windows(text.len())
             .rposition(|window| window == text.as_bytes());
         bytes[at.expect("the database holds the text")] ^= 1;
-        std::fs::write(&path, bytes).expect("written");
+        std::fs::write(&path, bytes).expect("the database can be written");
     }
 
     /// Ends a member without notice; its connections are closed.
@@ -159,7 +160,9 @@
     pub(crate) fn request(&mut self, member: usize, request: OperatorRequest) -> OperatorResponse {
         let call = self.call(member, request);
         self.run_until(|cluster| cluster.responses.contains_key(&call));
-        self.responses.remove(&call).expect("it is answered")
+        self.responses
+            .remove(&call)
+            .expect("the request was answered")
     }
 
     /// Runs until a member responds as acting head.
@@ -185,7 +188,7 @@
             }
             self.advance_to_timer();
         }
-        panic!("no head is at work");
+        panic!("no acting head after {STEPS_MAX} wake-ups");
     }
 
     pub(crate) fn run_until(&mut self, reached: impl Fn(&SimulatedCluster) -> bool) {
@@ -196,7 +199,7 @@
             }
             self.advance_to_timer();
         }
-        panic!("not reached");
+        panic!("condition not reached after {STEPS_MAX} wake-ups");
     }
 
     /// Handles one event; false if there is none.
@@ -265,7 +268,9 @@
                 Output::Dial { address } => self.dial(member, address),
                 Output::Respond { call, response } => drop(self.responses.insert(call, response)),
                 Output::Storage(request) => self.events.push_back(Event::Storage(member, request)),
-                Output::Damaged { error } => panic!("the disk of member {member}: {error}"),
+                Output::Damaged { error } => {
+                    panic!("the database of member {member} is damaged: {error}")
+                }
             }
         }
     }
--- a/crates/control-plane/tests/control_plane/test_head.rs
+++ b/crates/control-plane/tests/control_plane/test_head.rs
@@ -42,7 +42,7 @@
             clocks,
             Vec::new(),
         )
-        .expect("no rows to read");
+        .expect("a head without rows can be loaded");
         let mut test = TestHead {
             head,
             rows: BTreeMap::new(),
@@ -105,7 +105,7 @@
 
     /// The head's worker has finished a run, and its node agent reports it.
     pub(crate) fn report_finished(&mut self, run: FinishedRun) {
-        let worker = self.worker.as_mut().expect("a worker");
+        let worker = self.worker.as_mut().expect("the head has a worker");
         worker.finished.push(run);
         self.report();
     }
@@ -149,7 +149,7 @@
             workers: profile.iter().collect(),
             used: &summary.used,
         };
-        let job = summary.job.as_ref().expect("the job is known");
+        let job = summary.job.as_ref().expect("the job exists");
         job_report(job, self.head.config().map(|config| &**config), &capacity)
     }
 
--- a/crates/control-plane/tests/control_plane/test_node.rs
+++ b/crates/control-plane/tests/control_plane/test_node.rs
@@ -42,7 +42,10 @@
 impl TestNode {
     /// A member that starts for the first time, with the seeds at these machines.
     pub(crate) fn start(seeds: &[u8]) -> TestNode {
-        TestNode::start_in(TempDir::new().expect("a directory"), seeds)
+        TestNode::start_in(
+            TempDir::new().expect("a temporary directory can be created"),
+            seeds,
+        )
     }
 
     /// A member that has become the acting head, as it is the only one.
@@ -60,7 +63,7 @@
     }
 
     fn start_in(directory: TempDir, seeds: &[u8]) -> TestNode {
-        let opened = Storage::open(directory.path()).expect("a database");
+        let opened = Storage::open(directory.path()).expect("the database can be opened");
         TestNode {
             node: CoreMember::new(settings(seeds), opened.durable, clocks(START_MS)),
             storage: opened.storage,
@@ -158,7 +161,10 @@
             }
             self.advance_to_timer();
         }
-        panic!("not reached; the last output is {:?}", self.outputs.last());
+        panic!(
+            "condition not reached after {TIMEOUTS_MAX} timers; the last output is {:?}",
+            self.outputs.last()
+        );
     }
 
     /// Handles a request of the operator.
--- a/crates/settings/tests/complete_file.rs
+++ b/crates/settings/tests/complete_file.rs
@@ -165,18 +165,18 @@
 fn a_complete_settings_file_is_encoded_unchanged() {
     let settings = Settings::from_toml(COMPLETE).expect("the settings are valid");
     assert_eq!(settings, expected_settings());
-    let encoded = Value::try_from(&settings).expect("settings have a TOML form");
-    let written: Table = COMPLETE.parse().expect("the file is TOML");
+    let encoded = Value::try_from(&settings).expect("the settings can be encoded as TOML");
+    let written: Table = COMPLETE.parse().expect("the file is valid TOML");
     assert_eq!(with_fractions(encoded), with_fractions(written.into()));
 }
 
 #[test]
 fn every_bound_has_a_field_in_the_file() {
-    let file: Table = COMPLETE.parse().expect("the file is TOML");
-    let defaults = Value::try_from(Bounds::default()).expect("bounds have a TOML form");
+    let file: Table = COMPLETE.parse().expect("the file is valid TOML");
+    let defaults = Value::try_from(Bounds::default()).expect("the bounds can be encoded as TOML");
     let names = |table: &Table| table.keys().cloned().collect::<Vec<_>>();
     let (Some(written), Some(known)) = (file["bounds"].as_table(), defaults.as_table()) else {
-        panic!("bounds are a table");
+        panic!("`bounds` is not a table in the file or in the encoded defaults");
     };
     assert_eq!(names(written), names(known));
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -64,7 +64,11 @@
 
 /// The short file with `entry` in place of its field's own.
 fn minimal_with(entry: &str) -> String {
-    let field = entry.split('=').next().expect("a field").trim();
+    let field = entry
+        .split('=')
+        .next()
+        .expect("the entry names a field")
+        .trim();
     let others = MINIMAL.lines().filter(|other| {
         other
             .split('=')
@@ -216,7 +220,8 @@
 
 #[test]
 fn a_missing_file_is_named_in_the_error() {
-    let error = Settings::from_file(Path::new("/nowhere/boot.toml")).expect_err("no file");
+    let error =
+        Settings::from_file(Path::new("/nowhere/boot.toml")).expect_err("the file does not exist");
     assert!(matches!(error, SettingsError::Read { .. }), "{error}");
     assert!(error.to_string().contains("/nowhere/boot.toml"), "{error}");
 }
