--- a/crates/settings/src/addresses.rs
+++ b/crates/settings/src/addresses.rs
@@ -1,35 +1,35 @@
-//! Addresses and ports of a process.
+//! Addresses and ports in the settings.
 
 use crate::lenient;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Addresses for what the role serves.
+/// Addresses that the process listens on; `None` for those that its role does not serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BindAddresses {
-    /// Where clients' connections arrive.
+    /// Address for clients' connections.
     #[serde(deserialize_with = "lenient::address")]
     pub frontend: Option<SocketAddr>,
-    /// Where the platform sends `GET /readiness`.
+    /// Address to which the platform sends `GET /readiness`.
     #[serde(deserialize_with = "lenient::address")]
     pub readiness: Option<SocketAddr>,
-    /// Where workers and operators send requests.
+    /// Address for requests of workers and operators.
     #[serde(deserialize_with = "lenient::address")]
     pub control_plane: Option<SocketAddr>,
 }
 
-/// A seed: a core member that the settings of every process name.
+/// Addresses of a seed: a core member that is listed in the settings, so that a process can find the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedAddress {
-    /// Where it accepts operators' requests.
+    /// Address for operators' requests.
     pub control: SocketAddr,
-    /// Where it accepts internal connections.
+    /// Address for connections within the cluster.
     pub internal: SocketAddr,
 }
 
-/// Ports from `first` to `last`. In the file an array: `[first, last]`.
+/// Ports from `first` to `last`, both included. Written in the file as an array: `[first, last]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u16, u16)", into = "(u16, u16)")]
 pub struct PortRange {
@@ -40,7 +40,7 @@
 }
 
 impl PortRange {
-    /// Whether it has at least one port, and no port 0.
+    /// Whether the range holds at least one port and does not hold port 0.
     pub(crate) fn is_valid(&self) -> bool {
         self.first > 0 && self.first <= self.last
     }
--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,16 +1,17 @@
-//! The bounds of the rules in force (`[bounds]`), each with the operators' usual value as its default.
+//! Time limits and tolerances of the contracts in force (`[bounds]`). The default of each is the operators' usual value.
 
 use crate::lenient::number;
 use serde::{Deserialize, Serialize};
 
-/// The bounds of the rules in force. `*_ms` are milliseconds, `*_s` seconds; integers and fractions are both accepted.
+/// Time limits and tolerances of the contracts in force. Fields ending in `_ms` are in milliseconds, those ending in `_s` in
+/// seconds. Integers and fractions are both accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Age of the operator's list of schedulers, in seconds.
+    /// Age that the operator's list of schedulers may have.
     #[serde(deserialize_with = "number")]
     pub seed_lag_s: f64,
-    /// How soon a freed address may be used again.
+    /// Time after which a freed address may be used again.
     #[serde(deserialize_with = "number")]
     pub reuse_after_s: f64,
     /// Time within which control calls must be answered while a majority is up.
@@ -19,25 +20,25 @@
     /// Time within which an acknowledgement is expected.
     #[serde(deserialize_with = "number")]
     pub ack_timeout_ms: f64,
-    /// A machine counts as lost for this time after it is back.
+    /// Time for which a restarted machine still counts as lost.
     #[serde(deserialize_with = "number")]
     pub catch_up_s: f64,
-    /// Least time for which a draining worker goes on.
+    /// Shortest time for which a draining worker keeps running.
     #[serde(deserialize_with = "number")]
     pub drain_ms: f64,
     /// Time between SIGTERM and SIGKILL.
     #[serde(deserialize_with = "number")]
     pub grace_s: f64,
-    /// Slack allowed when something is lost.
+    /// Additional time allowed when something is lost.
     #[serde(deserialize_with = "number")]
     pub loss_slack_ms: f64,
-    /// Time within which a configuration must be in force everywhere.
+    /// Time within which an accepted configuration must be in force everywhere.
     #[serde(deserialize_with = "number")]
     pub config_apply_ms: f64,
-    /// Slack within which an older configuration may still be seen.
+    /// Time for which an older configuration may still be seen after a newer one.
     #[serde(deserialize_with = "number")]
     pub rollback_slack_ms: f64,
-    /// By how much the times of day of two machines may differ.
+    /// Largest difference between the wall clocks of two machines.
     #[serde(deserialize_with = "number")]
     pub max_skew_ms: f64,
     /// Time within which the service must have recovered from a fault.
@@ -46,34 +47,35 @@
     /// Longest run lease.
     #[serde(deserialize_with = "number")]
     pub max_hold_ms: f64,
-    /// Longest time that a stop takes.
+    /// Longest time that stopping a run takes.
     #[serde(deserialize_with = "number")]
     pub stop_ms: f64,
-    /// For how long a member of a gang waits for the others.
+    /// Time for which a member of a gang waits for the others.
     #[serde(deserialize_with = "number")]
     pub gang_ms: f64,
-    /// Time within which a cancelled job must have stopped.
+    /// Time within which the tasks of a cancelled job must have stopped.
     #[serde(deserialize_with = "number")]
     pub cancel_ms: f64,
-    /// Time within which a job's state must be visible.
+    /// Time within which a change of a job's state must be visible.
     #[serde(deserialize_with = "number")]
     pub visible_ms: f64,
-    /// By how much a repetition may start early.
+    /// How much earlier than due a repetition may start.
     #[serde(deserialize_with = "number")]
     pub early_ms: f64,
     /// Time that remains for jobs to finish at the end.
     #[serde(deserialize_with = "number")]
     pub finish_s: f64,
-    /// For how long a job's final state stays readable.
+    /// Time for which the state of an ended job stays readable.
     #[serde(deserialize_with = "number")]
     pub status_s: f64,
-    /// Remote slowdown: factor on the run time of a task away from its data, or spread over racks.
+    /// Remote slowdown: factor on the run time of a task that does not run in the rack of its data, or of a rack-local gang that
+    /// is spread over several racks.
     #[serde(deserialize_with = "number")]
     pub far_x: f64,
-    /// Work between two checkpoints.
+    /// Run time of a task between two checkpoints.
     #[serde(deserialize_with = "number")]
     pub save_s: f64,
-    /// Time that a start from a checkpoint takes before it goes on.
+    /// Time that a task needs to resume from a checkpoint.
     #[serde(deserialize_with = "number")]
     pub restore_ms: f64,
 }
--- a/crates/settings/src/lenient.rs
+++ b/crates/settings/src/lenient.rs
@@ -1,4 +1,4 @@
-//! Fields that may be written in more than one way.
+//! Deserializers for fields that may be written in more than one form.
 
 use serde::Deserialize;
 use serde::de::{Deserializer, Error, Unexpected, Visitor};
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Reads a number: an integer, a fraction, or true or false for 1 and 0. Negative ones are not allowed.
+/// Reads a number: an integer, a fraction, or `true` or `false` for 1 or 0. Negative and infinite numbers are rejected.
 pub(crate) fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     deserializer.deserialize_any(NumberVisitor)
 }
 
-/// Visits every form that a number may have.
+/// Accepts every form in which a number may be written.
 struct NumberVisitor;
 
 impl Visitor<'_> for NumberVisitor {
@@ -42,12 +42,12 @@
     }
 }
 
-/// Reads a number as an integer; a fraction is rounded.
+/// Reads a number like [`number`], and rounds a fraction to the nearest integer.
 pub(crate) fn rounded<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     number(deserializer).map(|value| value.round() as u64)
 }
 
-/// Reads an address; an empty text is `None`.
+/// Reads an address, `IP:PORT`; an empty string is `None`.
 pub(crate) fn address<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<SocketAddr>, D::Error> {
@@ -60,14 +60,14 @@
         .map_err(|_| D::Error::invalid_value(Unexpected::Str(&text), &"an address, IP:PORT"))
 }
 
-/// Reads a path; an empty text is `None`.
+/// Reads a path; an empty string is `None`.
 pub(crate) fn path<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<PathBuf>, D::Error> {
     Ok(text(deserializer)?.map(PathBuf::from))
 }
 
-/// Reads a text; an empty one is `None`.
+/// Reads a string; an empty one is `None`.
 pub(crate) fn text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
     let text = String::deserialize(deserializer)?;
     Ok(if text.is_empty() { None } else { Some(text) })
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of a process: the TOML file that the variable `INDIGOFOLD_CONFIG` names. Unknown fields are skipped; a
-//! missing or invalid field is an error with the field, its value and what is allowed.
+//! Settings of a process, read from the TOML file that the environment variable `INDIGOFOLD_CONFIG` names. Unknown fields are
+//! ignored. A missing required field or an invalid value is an error that names the field, its value and what is allowed.
 
 #![forbid(unsafe_code)]
 
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,28 +1,28 @@
-//! What a process may use, and what the system must tolerate.
+//! Resources that a process may use, and losses that the system must tolerate.
 
 use crate::lenient;
 use serde::{Deserialize, Serialize};
 
-/// What the process may use.
+/// Resources that the process may use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Part of a core that the process may use.
+    /// Share of a core that the process may use; 1 is a whole core.
     #[serde(deserialize_with = "lenient::number")]
     pub cpu_share: f64,
-    /// Speed of that core, as a factor.
+    /// Relative speed of that core; 1 is the normal speed.
     #[serde(deserialize_with = "lenient::number")]
     pub cores: f64,
     /// Memory above which the process is killed, in megabytes.
     #[serde(deserialize_with = "lenient::rounded")]
     pub memory_mb: u64,
-    /// Most file descriptors.
+    /// Largest number of open file descriptors.
     #[serde(deserialize_with = "lenient::rounded")]
     pub max_fds: u64,
-    /// Bandwidth of the machine, in megabits per second.
+    /// Network bandwidth of the machine, in megabits per second.
     #[serde(deserialize_with = "lenient::number")]
     pub link_mbps: f64,
-    /// Size of the disk, in megabytes; 0 for none.
+    /// Size of the disk, in megabytes; 0 if there is no disk.
     #[serde(deserialize_with = "lenient::rounded")]
     pub disk_mb: u64,
 }
@@ -40,14 +40,14 @@
     }
 }
 
-/// What may be lost at once without breaking a rule.
+/// Numbers of parts that may be lost at the same time without violating a contract.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Machines that `counts_for_quorum` marks.
+    /// Number of machines, among those with `counts_for_quorum`.
     pub machines: u32,
-    /// Zones.
+    /// Number of zones.
     pub zones: u32,
-    /// Regions.
+    /// Number of regions.
     pub regions: u32,
 }
--- a/crates/settings/src/role.rs
+++ b/crates/settings/src/role.rs
@@ -1,20 +1,20 @@
-//! What a machine and a role are for.
+//! Kinds of machines, of callers that a role serves, and of order delivery.
 
 use serde::{Deserialize, Serialize};
 
-/// The class of a machine.
+/// Class of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineClass {
-    /// Reached by clients; no disk.
+    /// Accepts clients' connections; has no disk.
     Edge,
-    /// Beside a worker; no disk.
+    /// Runs beside a worker; has no disk.
     Side,
-    /// Has a disk.
+    /// Runs a core member; has a disk.
     Core,
 }
 
-/// Who may call a role from outside.
+/// Callers outside the cluster that a role serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Serves {
@@ -26,13 +26,13 @@
     Control,
 }
 
-/// How orders reach the workers.
+/// How orders are delivered to the workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderDelivery {
-    /// In the replies to their heartbeats.
+    /// In the replies to the workers' heartbeats.
     #[default]
     Heartbeat,
-    /// By requests to their own address.
+    /// In requests to the worker's own address.
     Invocation,
 }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file as types.
+//! The settings file: its fields, and how it is read and validated.
 
 use crate::addresses::{BindAddresses, PortRange, SeedAddress};
 use crate::bounds::Bounds;
@@ -12,7 +12,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// The variable that names the settings file.
+/// The environment variable that holds the path of the settings file.
 pub const CONFIG_VARIABLE: &str = "INDIGOFOLD_CONFIG";
 
 /// The settings of a process.
@@ -24,7 +24,7 @@
     pub role: String,
     /// Class of the machine.
     pub machine_class: MachineClass,
-    /// Who may send requests to the role from outside.
+    /// Callers outside the cluster that the role serves.
     #[serde(default)]
     pub serves: Vec<Serves>,
     /// Address of the machine.
@@ -34,18 +34,18 @@
     /// Region of the machine.
     #[serde(default)]
     pub region: String,
-    /// First and last port that are free for connections within the cluster.
+    /// Ports that may be used for connections within the cluster. The first is the internal port on all machines.
     pub port_range: PortRange,
-    /// `control_plane` addresses of some core members.
+    /// `control_plane` addresses of the seeds: core members through which a process finds the others.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddr>,
-    /// The whole system starts for the first time, with empty disks.
+    /// Whether the whole system starts for the first time, with empty disks.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The machine is one of those that `fault_tolerance` counts.
+    /// Whether the machine is one of those that `fault_tolerance.machines` counts.
     #[serde(default)]
     pub counts_for_quorum: bool,
-    /// Folder on the disk, on machines that have one.
+    /// Folder on the machine's disk; `None` on machines without a disk.
     #[serde(default, deserialize_with = "lenient::path")]
     pub data_dir: Option<PathBuf>,
     /// Interval between a worker's heartbeats, in milliseconds.
@@ -54,36 +54,36 @@
         deserialize_with = "lenient::rounded"
     )]
     pub heartbeat_ms: u64,
-    /// Parts of the rules that are in force.
+    /// Names of the contracts in force: the parts of the system's rules that apply.
     #[serde(default)]
     pub contracts: Vec<String>,
-    /// How orders reach the workers.
+    /// How orders are delivered to the workers.
     #[serde(default)]
     pub commands: OrderDelivery,
-    /// On `side` machines: address of the worker.
+    /// On `side` machines, the address of the worker.
     #[serde(default, deserialize_with = "lenient::address")]
     pub app: Option<SocketAddr>,
-    /// On `side` machines: the worker's service.
+    /// On `side` machines, the service that the worker belongs to.
     #[serde(default, deserialize_with = "lenient::text")]
     pub backend: Option<String>,
-    /// Region of each zone.
+    /// Region of each zone, by the name of the zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Addresses for what the role serves.
+    /// Addresses that the process listens on.
     #[serde(default)]
     pub bind_addrs: BindAddresses,
-    /// What the process may use.
+    /// Resources that the process may use.
     #[serde(default)]
     pub limits: Limits,
-    /// What may be lost at once.
+    /// Losses that the system must tolerate.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// Bounds of the rules.
+    /// Time limits and tolerances of the contracts in force.
     #[serde(default)]
     pub bounds: Bounds,
 }
 
-/// Interval between heartbeats where the file gives none, in milliseconds.
+/// Default of [`Settings::heartbeat_ms`].
 fn default_heartbeat_ms() -> u64 {
     1_500
 }
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the variable is not set, or as [`Settings::from_file`].
+    /// [`SettingsError`] if the variable is not set, or for the reasons given at [`Settings::from_file`].
     pub fn from_env() -> Result<Settings, SettingsError> {
         let path = std::env::var_os(CONFIG_VARIABLE).context(NoVariableSnafu {
             variable: CONFIG_VARIABLE,
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the file cannot be read, or as [`Settings::from_toml`].
+    /// [`SettingsError`] if the file cannot be read, or for the reasons given at [`Settings::from_toml`].
     pub fn from_file(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         Settings::from_toml(&text)
@@ -122,12 +122,13 @@
         Ok(settings)
     }
 
-    /// Where this process accepts internal connections.
+    /// Returns the address on which this process accepts connections within the cluster.
     pub fn internal_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.port_range.first)
     }
 
-    /// The seeds; the internal port is the same on all machines.
+    /// Returns the addresses of the seeds. Their internal port is taken from this machine's `port_range`, as it is the same on
+    /// all machines.
     pub fn seed_internal_addresses(&self) -> Vec<SeedAddress> {
         let internal_port = self.port_range.first;
         let seed = |control: &SocketAddr| SeedAddress {
@@ -137,12 +138,12 @@
         self.seed_nodes.iter().map(seed).collect()
     }
 
-    /// Whether the role serves these callers.
+    /// Whether the role serves this kind of caller.
     pub fn serves(&self, callers: Serves) -> bool {
         self.serves.contains(&callers)
     }
 
-    /// Checks what the types do not ensure.
+    /// Checks the constraints that the types do not express.
     fn check(&self) -> Result<(), SettingsError> {
         for (field, text) in [
             ("node_name", &self.node_name),
--- a/crates/settings/tests/complete_file.rs
+++ b/crates/settings/tests/complete_file.rs
@@ -1,4 +1,5 @@
-//! A settings file with every field and every bound: decoded, compared field by field, and encoded again.
+//! Round trip of a settings file with every field and every bound: it is decoded, compared with the expected values, and
+//! encoded again.
 
 use indigofold_settings::{
     BindAddresses, Bounds, FaultTolerance, Limits, MachineClass, OrderDelivery, PortRange, Serves,
@@ -6,7 +7,7 @@
 };
 use toml::{Table, Value};
 
-/// Every field, each with a value other than its default.
+/// A settings file with every field, each with a value other than its default.
 const COMPLETE: &str = r#"
 node_name = "core-north-2"
 role = "keeper"
@@ -69,7 +70,7 @@
 restore_ms = 53
 "#;
 
-/// The bounds of [`COMPLETE`].
+/// The bounds that [`COMPLETE`] decodes to.
 fn expected_bounds() -> Bounds {
     Bounds {
         seed_lag_s: 31.0,
@@ -98,7 +99,7 @@
     }
 }
 
-/// [`COMPLETE`] as it is decoded.
+/// The settings that [`COMPLETE`] decodes to.
 fn expected_settings() -> Settings {
     let text = |text: &str| text.to_owned();
     Settings {
@@ -147,7 +148,7 @@
     }
 }
 
-/// The value with whole numbers as fractions: the file may hold either form.
+/// Returns the value with all integers converted to floats, because a number may be written in either form.
 fn with_fractions(value: Value) -> Value {
     match value {
         Value::Integer(number) => Value::Float(number as f64),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Valid and invalid settings files.
+//! Decoding of valid settings files, and errors for invalid ones.
 
 use indigofold_settings::{Bounds, MachineClass, OrderDelivery, Serves, Settings, SettingsError};
 use rstest::rstest;
@@ -52,7 +52,7 @@
 unheard_of = "skipped"
 "#;
 
-/// The fields that must be there.
+/// A settings file with only the required fields.
 const MINIMAL: &str = r#"
 node_name = "n"
 role = "r"
@@ -62,7 +62,7 @@
 port_range = [7000, 7003]
 "#;
 
-/// The short file with `entry` in place of its field's own.
+/// Returns [`MINIMAL`] with `entry` (`FIELD = VALUE`) added, in place of the field's own line if there is one.
 fn minimal_with(entry: &str) -> String {
     let field = entry
         .split('=')
