--- a/crates/control-plane/src/command_line.rs
+++ b/crates/control-plane/src/command_line.rs
@@ -24,33 +24,33 @@
 Exit codes: 0 after SIGTERM, 1 for a failure, 2 for a bad command line or settings.
 ";
 
-/// A command.
+/// What the command line asks the program to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Print [`HELP`].
     Help,
     /// Print the version.
     Version,
-    /// Run a member.
+    /// Run a core member.
     Run {
-        /// Lowest level that is logged.
+        /// Least severe level that is logged.
         log_level: LevelFilter,
     },
 }
 
-/// A command line that is not valid.
+/// An invalid command line.
 #[derive(Debug, Snafu)]
 pub enum ArgumentError {
-    /// A value is missing or not allowed.
+    /// The value of `--log-level` is missing or is not a log level.
     #[snafu(display("--log-level: {source}; off, error, warn, info, debug and trace are allowed"))]
     LogLevel {
-        /// Why.
+        /// The parser's error.
         source: pico_args::Error,
     },
-    /// There are unknown arguments.
+    /// There are arguments that no option matches.
     #[snafu(display("`{}` is not understood; see --help", argument.to_string_lossy()))]
     Unknown {
-        /// The first of them.
+        /// The first unknown argument.
         argument: OsString,
     },
 }
--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -1,4 +1,5 @@
-//! Runs a [`CoreMember`]: connects it with sockets, storage thread, clocks and signals. One thread serves all but the disk.
+//! Runs a [`CoreMember`]: connects it to sockets, the storage thread, clocks and signals. One thread serves everything except
+//! the disk.
 
 mod clock;
 mod connections;
@@ -26,15 +27,17 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// Longest wait for an event before the timers of the node are checked.
+/// Longest wait for an event before the member's timers are checked, in milliseconds.
 const WAIT_MAX_MS: u64 = 1_000;
-/// Longest time from SIGTERM to the end of the process, in which a head hands its role over and leaves the chain.
+/// Longest time from SIGTERM to the end of the process, in milliseconds. In this time a head hands over its role and the
+/// member leaves the chain.
 const STEP_DOWN_LIMIT_MS: u64 = 1_000;
-/// Wait between reads of the settings while no head is known: the seeds may have changed without a signal.
+/// Interval between reads of the settings while no head is known, in milliseconds. The seeds may have changed without a
+/// SIGHUP.
 const SETTINGS_RETRY_MS: u64 = 2_000;
-/// Time for connections without a request once the HTTP server stops.
+/// How long idle connections stay open once the HTTP server stops.
 const IDLE_GRACE: Duration = Duration::from_millis(100);
-/// Time for open requests to be answered once the HTTP server stops.
+/// How long open requests may still be answered once the HTTP server stops.
 const DRAIN_LIMIT: Duration = Duration::from_millis(400);
 
 /// Runs the member that the settings describe, until SIGTERM.
@@ -44,7 +47,8 @@
 /// A setting is missing, a socket or the storage thread cannot be used, or the database is damaged.
 pub async fn run(settings: Settings) -> Result<(), DriverError> {
     let inbox = Inbox::default();
-    // First, as opening the database takes a while: SIGTERM in that time is to end the member as usual.
+    // Signals are caught before the database is opened: that takes a while, and SIGTERM in the meantime must still stop the
+    // member in the normal way.
     start::watch_signals(&inbox)?;
     let (member, storage) = start::core_member(&settings, &inbox).await?;
     let connections = Connections::listen(settings.internal_address(), inbox.clone()).await?;
@@ -74,12 +78,12 @@
     inbox: Inbox<Event>,
     connections: Connections,
     storage: Sender<StorageRequest>,
-    /// Open requests of the operator.
+    /// Operator requests without a response yet, with the channel for the response.
     calls: HashMap<OperatorCallId, oneshot::Sender<OperatorResponse>>,
     next_call: OperatorCallId,
-    /// When the process ends at the latest; set by SIGTERM.
+    /// When the process ends at the latest, on the steady clock; set by the first SIGTERM.
     stop_deadline_ms: Option<u64>,
-    /// When the settings are read for other seeds, as long as no head is known.
+    /// When the seeds are next read from the settings if no head is known by then, on the steady clock.
     settings_due_ms: u64,
 }
 
@@ -102,7 +106,7 @@
         Ok(())
     }
 
-    /// Waits for events, or for the next timer of the node.
+    /// Waits for an event or the member's next timer, but for at most [`WAIT_MAX_MS`].
     async fn wait(&self) {
         let now = clock::now();
         let due_ms = self
@@ -113,7 +117,8 @@
         runtime::timeout(Duration::from_millis(wait_ms), self.inbox.wait_non_empty()).await;
     }
 
-    /// Whether SIGTERM has come and the member is no longer needed, or its time is over.
+    /// Whether SIGTERM was received and either the member is no longer needed and has answered all operator requests, or the
+    /// deadline has passed.
     fn has_stopped(&self) -> bool {
         let Some(deadline_ms) = self.stop_deadline_ms else {
             return false;
@@ -121,7 +126,7 @@
         (!self.member.is_needed() && self.calls.is_empty()) || steady_ms() >= deadline_ms
     }
 
-    /// Reads the seeds from the settings at intervals while no head is known.
+    /// Reads the seeds from the settings every [`SETTINGS_RETRY_MS`] while no head is known.
     fn refresh_seeds(&mut self, clocks: Clocks) {
         if self.member.knows_head() {
             self.settings_due_ms = clocks.steady_ms + SETTINGS_RETRY_MS;
--- a/crates/control-plane/src/driver/clock.rs
+++ b/crates/control-plane/src/driver/clock.rs
@@ -1,9 +1,9 @@
-//! The clocks of the process.
+//! Reads the real clocks of the process.
 
 use crate::clocks::Clocks;
 use indigofold_net::{steady_ms, wall_ms};
 
-/// Reads both clocks.
+/// Returns the current reading of both clocks.
 pub(super) fn now() -> Clocks {
     Clocks {
         steady_ms: steady_ms(),
--- a/crates/control-plane/src/driver/connections.rs
+++ b/crates/control-plane/src/driver/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections to other processes, and the tasks that read frames from them.
+//! Open connections to other processes, and the tasks that accept, dial and read them.
 
 use super::error::{DriverError, NetSnafu};
 use super::event::Event;
@@ -15,26 +15,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for a member to accept a connection.
+/// Timeout of connecting to a member.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Wait after a failure to accept a connection, most likely for lack of descriptors.
+/// Wait before accepting again after a failure, which is most likely a lack of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
-/// The open connections; clones share them.
+/// The open connections. Clones share the same connections.
 #[derive(Clone)]
 pub(super) struct Connections {
     senders: Rc<RefCell<HashMap<ConnectionId, FrameSender>>>,
-    /// Number of the next connection.
+    /// Id of the next connection.
     next_id: Rc<Cell<u64>>,
     inbox: Inbox<Event>,
 }
 
 impl Connections {
-    /// Accepts connections on the internal port from now on.
+    /// Listens on the internal address and starts to accept connections.
     ///
     /// # Errors
     ///
-    /// The address cannot be used.
+    /// The address cannot be listened on.
     pub(super) async fn listen(
         address: SocketAddr,
         inbox: Inbox<Event>,
@@ -49,7 +49,7 @@
         Ok(connections)
     }
 
-    /// Queues a frame. On a closed connection it is dropped: the node gets [`Input::Closed`].
+    /// Queues a frame. A frame for a closed connection is dropped; the member learns of the loss from [`Input::Closed`].
     pub(super) fn send(&self, connection: ConnectionId, frame: &Frame) {
         if let Some(sender) = self.senders.borrow().get(&connection) {
             let _ = sender.send(frame);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Dials a member; the node gets the result.
+    /// Dials another member. The result is passed on as [`Input::Dialled`] or [`Input::DialFailed`].
     pub(super) fn dial(&self, address: SocketAddr) {
         let connections = self.clone();
         runtime::spawn(async move {
@@ -84,6 +84,7 @@
         });
     }
 
+    /// Accepts connections until the process ends.
     async fn accept(self, listener: FrameListener) {
         loop {
             match listener.accept().await {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Reads frames until the connection ends.
+    /// Passes on the frames of a connection until it ends, then closes it.
     async fn read(&self, connection: ConnectionId, mut reader: FrameReader) {
         loop {
             match reader.next().await {
@@ -116,6 +117,7 @@
         self.push_input(Input::Closed { connection });
     }
 
+    /// Assigns an id to a new connection and stores its sending half.
     fn add(&self, connection: Connection) -> (ConnectionId, FrameReader) {
         let id = ConnectionId(self.next_id.replace(self.next_id.get() + 1));
         self.senders.borrow_mut().insert(id, connection.sender);
--- a/crates/control-plane/src/driver/error.rs
+++ b/crates/control-plane/src/driver/error.rs
@@ -1,26 +1,26 @@
-//! Why a member cannot run.
+//! Errors that end the process or prevent its start.
 
 use crate::storage_thread::StartError;
 use indigofold_net::NetError;
 use indigofold_replication::StorageError;
 use snafu::Snafu;
 
-/// Why a member cannot run.
+/// An error that ends the process or prevents its start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum DriverError {
     /// A setting that a core member needs is missing.
     #[snafu(display("`{field}` is missing: a core member needs {needed}"))]
     Missing {
-        /// The field.
+        /// Name of the field in the settings file.
         field: &'static str,
-        /// What it must hold.
+        /// What the field must hold.
         needed: &'static str,
     },
     /// The storage thread cannot be started.
     #[snafu(display("{source}"))]
     StorageThread {
-        /// Why.
+        /// The error of the thread's start.
         source: StartError,
     },
     /// The storage thread has ended.
@@ -31,19 +31,19 @@
         "{source}; the next start quarantines it, and the rows come from other members"
     ))]
     Damaged {
-        /// What was found.
+        /// The damage that was found.
         source: StorageError,
     },
     /// A socket or signal cannot be used.
     #[snafu(display("{source}"))]
     Net {
-        /// Why.
+        /// The network or signal error.
         source: NetError,
     },
 }
 
 impl DriverError {
-    /// Whether the settings have to be changed.
+    /// Whether the error can only be fixed by changing the settings.
     pub fn is_settings_error(&self) -> bool {
         matches!(self, DriverError::Missing { .. })
     }
--- a/crates/control-plane/src/driver/operator_api.rs
+++ b/crates/control-plane/src/driver/operator_api.rs
@@ -1,4 +1,4 @@
-//! HTTP server of the operator's API.
+//! HTTP server for the operator's API.
 
 use super::error::{DriverError, MissingSnafu, NetSnafu};
 use super::event::Event;
@@ -10,11 +10,11 @@
 use snafu::{OptionExt, ResultExt};
 use std::net::SocketAddr;
 
-/// Serves the operator's API; requests go to the inbox.
+/// Starts the HTTP server. Valid requests are pushed to the inbox.
 ///
 /// # Errors
 ///
-/// The settings have no address for it, or the address cannot be used.
+/// The settings have no address for the API, or the address cannot be listened on.
 pub(super) async fn serve(
     settings: &Settings,
     inbox: &Inbox<Event>,
@@ -30,11 +30,11 @@
         .context(NetSnafu)
 }
 
-/// The address of the operator's API.
+/// Returns the address of the operator's API.
 ///
 /// # Errors
 ///
-/// The settings have none.
+/// The settings have no such address.
 pub(super) fn address(settings: &Settings) -> Result<SocketAddr, DriverError> {
     let address = settings.bind_addrs.control_plane;
     address.context(MissingSnafu {
@@ -43,7 +43,8 @@
     })
 }
 
-/// Responds to one request of the operator.
+/// Passes one request to the driver and waits for the response. If the driver drops the request, the response is
+/// [`OperatorResponse::NoHead`].
 async fn respond(inbox: Inbox<Event>, request: HttpRequest) -> HttpResponse {
     let request = match operator::parse_request(request) {
         Ok(request) => request,
--- a/crates/control-plane/src/driver/start.rs
+++ b/crates/control-plane/src/driver/start.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a member: database, node, signals.
+//! Starts the parts of a core member: the database, the state machine and the signal handler.
 
 use super::error::{DriverError, MissingSnafu, NetSnafu, StorageThreadSnafu};
 use super::event::Event;
@@ -23,7 +23,7 @@
 /// Wait between attempts to open the database.
 const OPEN_RETRY: Duration = Duration::from_millis(500);
 
-/// Opens the database and makes the node; responses of the storage thread go to the inbox.
+/// Opens the database, starts the storage thread and creates the core member. Responses of the thread go to the inbox.
 ///
 /// # Errors
 ///
@@ -49,7 +49,8 @@
     });
     let clocks = clock::now();
     let mut member_settings = member_settings(settings)?;
-    // A member that has lost its record must not vote as one that has never prepared a view.
+    // A member that has lost its record may have made promises in earlier views. It must not vote like one that has never
+    // taken part in a view.
     member_settings.bootstrap &= !opened.has_quarantined;
     let member = CoreMember::new(member_settings, opened.durable, clocks);
     Ok((member, requests))
@@ -73,7 +74,7 @@
     );
 }
 
-/// Opens the database; an error is retried, as the fault of the disk may pass.
+/// Opens the database. Errors are retried without limit, as a fault of the disk may be temporary; only the first is logged.
 async fn open(directory: &Path) -> Opened {
     let mut is_first = true;
     loop {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Passes signals to the inbox.
+/// Registers the signal handlers and pushes signals to the inbox.
 ///
 /// # Errors
 ///
@@ -105,7 +106,7 @@
     Ok(())
 }
 
-/// Internal addresses of the seeds.
+/// Returns the internal addresses of the seeds.
 pub(super) fn seeds(settings: &Settings) -> Vec<SocketAddr> {
     settings
         .seed_internal_addresses()
@@ -138,7 +139,7 @@
     })
 }
 
-/// Bounds of the scheduler, under its own names.
+/// Converts the bounds of the settings to those of the scheduler.
 fn scheduler_bounds(bounds: &indigofold_settings::Bounds) -> indigofold_scheduler::Bounds {
     indigofold_scheduler::Bounds {
         max_lease_ms: bounds.max_hold_ms as u64,
--- a/crates/control-plane/src/inbox.rs
+++ b/crates/control-plane/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Queue of events for the driver: filled by the tasks that read sockets, storage and signals.
+//! Queue of events for the driver. The tasks that read sockets, storage responses and signals push to it.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// A queue within one thread; clones share it.
+/// An unbounded queue with one reader, for use within one thread. Clones share the same queue.
 pub struct Inbox<T> {
     shared: Rc<RefCell<Shared<T>>>,
 }
 
 struct Shared<T> {
     items: VecDeque<T>,
-    /// Set while the reader waits for an item.
+    /// Wakes the reader; set while it waits for an item.
     reader: Option<Waker>,
 }
 
@@ -46,12 +46,12 @@
         }
     }
 
-    /// The oldest item.
+    /// Removes and returns the oldest item; `None` if the queue is empty.
     pub fn pop(&self) -> Option<T> {
         self.shared.borrow_mut().items.pop_front()
     }
 
-    /// Waits until there is an item.
+    /// Waits until the queue holds an item.
     pub async fn wait_non_empty(&self) {
         poll_fn(|context| {
             let mut shared = self.shared.borrow_mut();
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,8 +1,8 @@
-//! A member of the core: replicates the control state in a chain with the other members and, while it is the acting head,
-//! decides changes of the configuration and runs the schedulers.
+//! A core member: replicates the control state along a chain of members and, while it is the acting head, decides
+//! configuration changes and runs the scheduler.
 //!
-//! [`core_member::CoreMember`] is the member as a state machine; [`driver`] connects it with sockets, disk, clocks and signals,
-//! [`program`] is the program around both.
+//! [`core_member::CoreMember`] is the member as a state machine without I/O. [`driver`] connects it to sockets, disk, clocks
+//! and signals. [`program`] adds the command line, the log and the exit codes.
 
 #![forbid(unsafe_code)]
 
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `indigofold-control`: a member of the cluster's core.
+//! `indigofold-control`: the process of a core member.
 
 use std::process::ExitCode;
 
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -1,12 +1,12 @@
-//! The operator's HTTP requests and the responses to them.
+//! HTTP requests of the operator's API, and the responses to them.
 
 use crate::config_authority::{ChangeResponse, ConfigChange, ConfigMethod};
 use indigofold_net::http::{HttpRequest, HttpResponse, Method, header};
 use std::net::SocketAddr;
 
-/// The path of the operator's API.
+/// The only path that the operator's API serves.
 pub const CONFIG_PATH: &str = "/config";
-/// Largest configuration that is accepted, in bytes.
+/// Largest request body, and so the largest configuration, that is accepted, in bytes.
 pub const CONFIG_BYTES_MAX: usize = 16 << 20;
 
 /// A request of the operator.
@@ -23,13 +23,13 @@
 pub enum OperatorResponse {
     /// The response to a change.
     Change(ChangeResponse),
-    /// The newest committed configuration.
+    /// The newest committed configuration, as JSON.
     Config(Vec<u8>),
-    /// There is no configuration yet.
+    /// No configuration has been accepted yet.
     NoConfig,
-    /// Another member is the head: its control address.
+    /// Another member is the head; holds the control address of that member.
     RedirectToHead(SocketAddr),
-    /// No acting head is known.
+    /// This member knows no acting head.
     NoHead,
 }
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// The response to a request that the operator's API does not have.
+/// The request's path or method is not served; the error is the response to send.
 pub fn parse_request(request: HttpRequest) -> Result<OperatorRequest, HttpResponse> {
     if request.path != CONFIG_PATH {
         return Err(error_response(
@@ -64,7 +64,7 @@
     }))
 }
 
-/// The response in HTTP.
+/// Converts a response to HTTP.
 pub fn write_response(response: OperatorResponse) -> HttpResponse {
     match response {
         OperatorResponse::Change(ChangeResponse::Accepted { version }) => {
@@ -98,7 +98,7 @@
     }
 }
 
-/// A response that says what is wrong.
+/// Returns a response with the JSON body `{"error": reason}`. Control characters in `reason` become spaces.
 fn error_response(status: u16, reason: &str) -> HttpResponse {
     let mut body = String::from("{\"error\":\"");
     for character in reason.chars() {
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -1,38 +1,38 @@
-//! Connections to the other members: one to each, for this member's own messages. Decides which members to dial, and when.
+//! Outgoing connections to the other members: one to each, on which this member sends its messages. Decides which members to
+//! dial, and when.
 
 use crate::sessions::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Wait after the first failure, in milliseconds; doubles with each further one.
+/// Longest wait after the first failure, in milliseconds; doubles with each further failure.
 const RETRY_MIN_MS: u64 = 100;
-/// Longest wait between two attempts, in milliseconds.
+/// Upper limit of the wait between two attempts, in milliseconds.
 const RETRY_MAX_MS: u64 = 800;
 
-/// The members that this one dials.
+/// The members to keep an outgoing connection to, and the state of each connection.
 #[derive(Debug)]
 pub struct Peers {
-    /// The members to keep a connection to, by internal address.
+    /// State of the connection to each member, by the member's internal address.
     links: BTreeMap<SocketAddr, Link>,
-    /// State of the random numbers that spread the attempts; never 0.
+    /// State of the random number generator for the jitter of retries. Never 0, as xorshift would return only zeros.
     random: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
     state: LinkState,
-    /// Failures since the connection was last open.
+    /// Consecutive failures since the connection was last open.
     failures: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
-    /// To be dialled at this time, on the steady clock.
-    Waiting {
-        until_ms: u64,
-    },
-    /// A dial was returned by [`Peers::poll_dials`].
+    /// Closed; to be dialled at `until_ms` on the steady clock.
+    Waiting { until_ms: u64 },
+    /// [`Peers::poll_dials`] has returned the address; the result of the dial is not known yet.
     Dialling,
+    /// Connected.
     Open(ConnectionId),
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Peers {
-    /// No peers; `seed` starts the random numbers that spread the attempts.
+    /// Returns an empty set of peers. `seed` initializes the random numbers for the jitter of retries.
     pub fn new(seed: u64) -> Self {
         Peers {
             links: BTreeMap::new(),
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Keeps a connection to each of `addresses` from now on, and to no other; returns the connections to close.
+    /// Replaces the set of members to keep a connection to; new ones are due to be dialled at once. Returns the open
+    /// connections to members that are no longer in the set, for the caller to close.
     pub fn set_addresses(
         &mut self,
         now_ms: u64,
@@ -75,7 +76,8 @@
         surplus
     }
 
-    /// The addresses to dial now; the result of each is to be reported by [`Self::dial_succeeded`] or [`Self::dial_failed`].
+    /// Returns the addresses to dial now. The caller reports each result with [`Self::dial_succeeded`] or
+    /// [`Self::dial_failed`].
     pub fn poll_dials(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         let mut due = Vec::new();
         for (address, link) in &mut self.links {
@@ -87,7 +89,7 @@
         due
     }
 
-    /// When [`Self::poll_dials`] is due, on the steady clock in milliseconds.
+    /// Returns when [`Self::poll_dials`] is due, on the steady clock in milliseconds; [`u64::MAX`] if no dial is scheduled.
     pub fn next_due_ms(&self) -> u64 {
         let waiting = self.links.values().filter_map(|link| match link.state {
             LinkState::Waiting { until_ms } => Some(until_ms),
@@ -96,15 +98,16 @@
         waiting.min().unwrap_or(u64::MAX)
     }
 
-    /// The peer has just connected to this member, so that it is up: it is dialled at once. An open dial does not prevent
-    /// that, as it may have begun while the machine was down, and would hang.
+    /// Schedules a dial at once to a peer that has just connected to this member and is therefore up. A dial in progress does
+    /// not prevent that: it may have begun while the peer's machine was down, and would then hang until its timeout.
     pub fn peer_connected(&mut self, now_ms: u64, address: SocketAddr) {
         if let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) {
             link.state = LinkState::Waiting { until_ms: now_ms };
         }
     }
 
-    /// A dial has succeeded; false if the connection is not needed any more.
+    /// Records a successful dial. Returns false if the connection is not needed: the peer was removed, or another connection
+    /// to it is open.
     pub fn dial_succeeded(&mut self, address: SocketAddr, connection: ConnectionId) -> bool {
         let Some(link) = self.links.get_mut(&address).filter(|link| !link.is_open()) else {
             return false;
@@ -116,14 +119,14 @@
         true
     }
 
-    /// A dial has failed. A connection of another dial stays.
+    /// Records a failed dial and schedules a retry, unless another dial to the peer has succeeded in the meantime.
     pub fn dial_failed(&mut self, now_ms: u64, address: SocketAddr) {
         if self.links.get(&address).is_some_and(|link| !link.is_open()) {
             self.schedule_retry(now_ms, address);
         }
     }
 
-    /// Schedules the next dial, with backoff and jitter.
+    /// Schedules the next dial, with exponential backoff and jitter: the wait is between half of the backoff and all of it.
     fn schedule_retry(&mut self, now_ms: u64, address: SocketAddr) {
         let wait_ms = self
             .links
@@ -143,7 +146,8 @@
         }
     }
 
-    /// A connection is closed; returns its peer, if it was one of these.
+    /// Schedules a retry for the peer whose connection was closed, and returns the peer's address; `None` if the connection is
+    /// not an open one to a peer.
     pub fn connection_closed(
         &mut self,
         now_ms: u64,
@@ -159,7 +163,7 @@
         Some(address)
     }
 
-    /// The open connection to this peer.
+    /// Returns the open connection to a peer, if there is one.
     pub fn connection(&self, address: SocketAddr) -> Option<ConnectionId> {
         match self.links.get(&address)?.state {
             LinkState::Open(connection) => Some(connection),
@@ -167,7 +171,7 @@
         }
     }
 
-    /// A number from 0 to `below` (xorshift: good enough to spread attempts).
+    /// Returns a random number from 0 to `max`, inclusive. Xorshift is good enough for jitter.
     fn random_up_to(&mut self, max: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -176,7 +180,7 @@
     }
 }
 
-/// Longest wait after so many failures in a row.
+/// Returns the backoff after this many consecutive failures, before jitter.
 fn backoff_ms(failures: u32) -> u64 {
     RETRY_MIN_MS
         .saturating_mul(1 << failures.min(8))
--- a/crates/control-plane/src/program.rs
+++ b/crates/control-plane/src/program.rs
@@ -1,4 +1,5 @@
-//! The program `indigofold-control`: its command line, its log and its exit codes around the [`driver`].
+//! Entry point of `indigofold-control`: parses the command line, starts the log, runs the [`driver`] and maps errors to exit
+//! codes.
 
 use crate::command_line::{self, Command};
 use crate::driver;
@@ -13,7 +14,8 @@
 /// Exit code for a command line or settings that cannot be used.
 const EXIT_USAGE: u8 = 2;
 
-/// Runs the program with these arguments (without its name). The settings file is the one that the environment names.
+/// Runs the program with these arguments (without the program's name). The settings are read from the file that the
+/// environment variable `INDIGOFOLD_CONFIG` names.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     match command_line::parse(arguments) {
         Ok(Command::Help) => print!("{}", command_line::HELP),
@@ -27,7 +29,7 @@
     ExitCode::SUCCESS
 }
 
-/// Runs the member that the settings describe.
+/// Runs a member with the settings from the environment, and returns the exit code of the process.
 fn serve() -> ExitCode {
     let settings = match Settings::from_env() {
         Ok(settings) => settings,
--- a/crates/control-plane/src/sessions.rs
+++ b/crates/control-plane/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Connections that others have opened to this member: edges, node agents and other members.
+//! Connections opened to this member by edges, node agents and other members.
 
 use crate::inspection::WorkerProfile;
 use indigofold_protocol::internal::{Hello, InstanceReport, ProcessKind};
@@ -9,27 +9,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// A connection whose greeting has been received.
+/// State of a connection on which a `Hello` was received.
 #[derive(Debug)]
 pub struct Session {
     /// Kind of the process at the other end.
     pub kind: ProcessKind,
-    /// Name of its machine.
+    /// Name of the machine of that process.
     pub node_name: String,
-    /// Number of its calls without a reply.
+    /// Number of calls on the connection without a reply.
     open_calls: u64,
-    /// The worker in a node agent's last report.
+    /// For node agents, the worker in the last report; `None` before the first report and if the agent has no worker.
     worker: Option<WorkerProfile>,
 }
 
-/// The connections that others have opened, from their `Hello` on.
+/// Connections opened to this member whose `Hello` has been received and that are not closed.
 #[derive(Debug, Default)]
 pub struct Sessions {
     sessions: BTreeMap<ConnectionId, Session>,
 }
 
 impl Sessions {
-    /// Adds the connection with its greeting; false if it already had one.
+    /// Adds a connection whose `Hello` was received; returns false if the connection had already sent one.
     pub fn register(&mut self, connection: ConnectionId, hello: Hello) -> bool {
         let session = Session {
             kind: hello.kind,
@@ -40,26 +40,26 @@
         self.sessions.insert(connection, session).is_none()
     }
 
-    /// The session on this connection.
+    /// Returns the session on a connection; `None` if no `Hello` was received on it.
     pub fn get(&self, connection: ConnectionId) -> Option<&Session> {
         self.sessions.get(&connection)
     }
 
-    /// A call was received.
+    /// Counts a call that was received on the connection.
     pub fn call_opened(&mut self, connection: ConnectionId) {
         if let Some(session) = self.sessions.get_mut(&connection) {
             session.open_calls += 1;
         }
     }
 
-    /// A call was replied to.
+    /// Counts a reply that was sent on the connection.
     pub fn call_replied(&mut self, connection: ConnectionId) {
         if let Some(session) = self.sessions.get_mut(&connection) {
             session.open_calls = session.open_calls.saturating_sub(1);
         }
     }
 
-    /// A node agent reports its worker, or that it has none.
+    /// Stores the worker that a node agent reports; `None` if the agent has no worker.
     pub fn worker_reported(&mut self, connection: ConnectionId, report: Option<&InstanceReport>) {
         let Some(session) = self.sessions.get_mut(&connection) else {
             return;
@@ -74,26 +74,26 @@
         }
     }
 
-    /// Removes a connection that is closed.
+    /// Removes a closed connection and returns its session; `None` if no `Hello` was received on it.
     pub fn remove(&mut self, connection: ConnectionId) -> Option<Session> {
         self.sessions.remove(&connection)
     }
 
-    /// All sessions.
+    /// Iterates over all sessions, in the order in which the connections were opened.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Session)> {
         self.sessions
             .iter()
             .map(|(connection, session)| (*connection, session))
     }
 
-    /// Number of connected processes of a kind.
+    /// Returns the number of connected processes of a kind.
     pub fn count(&self, kind: ProcessKind) -> u32 {
         self.iter()
             .filter(|(_, session)| session.kind == kind)
             .count() as u32
     }
 
-    /// The connected node agents, with the names of their machines.
+    /// Returns the connected node agents with the names of their machines.
     pub fn agents(&self) -> Vec<(AgentId, String)> {
         self.iter()
             .filter(|(_, session)| session.kind == ProcessKind::Agent)
@@ -101,7 +101,7 @@
             .collect()
     }
 
-    /// The connections with calls that have no reply.
+    /// Returns the connections that have calls without a reply.
     pub fn with_open_calls(&self) -> Vec<ConnectionId> {
         self.iter()
             .filter(|(_, session)| session.open_calls > 0)
@@ -109,7 +109,7 @@
             .collect()
     }
 
-    /// The workers that connected node agents have reported.
+    /// Iterates over the workers that the connected node agents reported last.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerProfile> {
         self.iter()
             .filter_map(|(_, session)| session.worker.as_ref())
--- a/crates/control-plane/src/storage_thread.rs
+++ b/crates/control-plane/src/storage_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the database, so that a slow sync delays nothing else.
+//! The thread that owns the database. Disk access has a thread of its own so that a slow sync delays nothing else.
 
 use crate::inspection::TableSummary;
 use futures_channel::mpsc::{UnboundedReceiver, UnboundedSender, unbounded};
@@ -9,102 +9,102 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// Stack of the thread: what `SQLite` needs, and a reserve.
+/// Stack size of the thread, in bytes: what `SQLite` needs, and a reserve.
 const STACK_BYTES: usize = 512 << 10;
 
-/// A row of the table.
+/// A row of the replicated control state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRow {
-    /// Its key.
+    /// The row's key.
     pub key: Vec<u8>,
-    /// Its value.
+    /// The row's value.
     pub value: Vec<u8>,
 }
 
-/// A request to the thread. Requests are carried out in their order.
+/// A request to the thread. Requests are executed one at a time, in the order in which they were sent.
 #[derive(Clone, Debug)]
 pub enum StorageRequest {
-    /// Make changes, with one sync.
+    /// Apply changes atomically, with one sync to disk.
     Store {
-        /// Number of the request.
+        /// Number of the request, repeated in the response.
         store: u64,
-        /// The changes.
+        /// The changes to apply.
         request: Arc<StoreRequest>,
     },
-    /// Read rows that changed after a sequence number.
+    /// Read the rows that changed after a sequence number.
     Read {
-        /// Number of the request.
+        /// Number of the request, repeated in the response.
         read: u64,
-        /// The sequence number.
+        /// The sequence number; only later changes are read.
         since: u64,
-        /// Approximate number of bytes to stop at.
+        /// Approximate size of the response, in bytes, after which reading stops.
         bytes_max: usize,
     },
-    /// Read all rows, for the head of this view.
+    /// Read all rows, for the new head of a view.
     Load {
-        /// Number of the view.
+        /// Number of that view, repeated in the response.
         view: ViewNumber,
     },
     /// Compare some rows with their checksums.
     Scrub {
-        /// The rows after this key.
+        /// Key after which the rows begin; empty to begin with the first row.
         after: Vec<u8>,
-        /// How many.
+        /// Largest number of rows to compare.
         count: usize,
     },
     /// Read all rows and summarize them.
     Summarize {
-        /// Number of the request.
+        /// Number of the request, repeated in the response.
         summary: u64,
-        /// The job to keep in full.
+        /// The job to report in full; `None` for none.
         job: Option<JobId>,
     },
 }
 
-/// The result of a request.
+/// The response to a [`StorageRequest`].
 #[derive(Debug)]
 pub enum StorageResponse {
-    /// The changes are on disk, or nothing of them is.
+    /// The response to [`StorageRequest::Store`].
     Store {
         /// Number of the request.
         store: u64,
-        /// Whether it succeeded.
+        /// `Ok` if all changes are on disk; after an error none of them is.
         result: Result<(), StorageError>,
     },
-    /// The changed rows.
+    /// The response to [`StorageRequest::Read`].
     Read {
         /// Number of the request.
         read: u64,
-        /// The rows.
+        /// The changed rows.
         result: Result<RowsChunk, StorageError>,
     },
-    /// All rows.
+    /// The response to [`StorageRequest::Load`].
     Load {
         /// Number of the view.
         view: ViewNumber,
-        /// The rows.
+        /// All rows.
         result: Result<Vec<StoredRow>, StorageError>,
     },
-    /// Rows have been compared with their checksums.
+    /// The response to [`StorageRequest::Scrub`].
     Scrub {
-        /// The last key, `None` at the end of the table.
+        /// Key of the last row that was compared; `None` if the end of the table was reached.
         result: Result<Option<Vec<u8>>, StorageError>,
     },
-    /// The summary of all rows.
+    /// The response to [`StorageRequest::Summarize`].
     Summarize {
         /// Number of the request.
         summary: u64,
-        /// The summary.
+        /// The summary of all rows.
         result: Result<Box<TableSummary>, StorageError>,
     },
 }
 
 impl StorageResponse {
-    /// Passes the response on unless it shows damage to the database.
+    /// Returns the response unchanged unless its error shows that the database is damaged.
     ///
     /// # Errors
     ///
-    /// The damage that the request has found.
+    /// The request has found the database damaged.
     pub fn check_damage(self) -> Result<Self, StorageError> {
         match self {
             StorageResponse::Store {
@@ -132,11 +132,11 @@
     source: std::io::Error,
 }
 
-/// Starts the thread. It ends once the sender is dropped.
+/// Starts the thread. The thread ends once the returned sender or receiver is dropped.
 ///
 /// # Errors
 ///
-/// The system cannot start a thread.
+/// The operating system cannot start a thread.
 pub fn start(
     storage: Storage,
 ) -> Result<(Sender<StorageRequest>, UnboundedReceiver<StorageResponse>), StartError> {
@@ -151,7 +151,7 @@
     Ok((requests, responses))
 }
 
-/// Carries out requests until one of the channels is closed.
+/// Executes requests until one of the channels is closed.
 fn serve(
     mut storage: Storage,
     requests: Receiver<StorageRequest>,
@@ -167,7 +167,7 @@
     }
 }
 
-/// Carries out one request.
+/// Executes one request.
 pub fn execute(storage: &mut Storage, request: StorageRequest) -> StorageResponse {
     match request {
         StorageRequest::Store { store, request } => StorageResponse::Store {
