--- a/crates/control-plane/src/acting_head.rs
+++ b/crates/control-plane/src/acting_head.rs
@@ -1,4 +1,4 @@
-//! The head: configuration authority and scheduler, with the writes whose results they wait for.
+//! The head: runs the configuration authority and the scheduler, and tracks the writes that they wait for.
 
 use crate::clocks::Clocks;
 use crate::config_authority::{
@@ -14,95 +14,96 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// An action that the caller has to take for the head, in this order.
+/// An action that the caller has to take for the head. Actions are to be taken in the order in which they are returned.
 #[derive(Debug)]
 pub enum HeadOutput {
-    /// Write these rows; the commit is to be reported by [`ActingHead::committed`].
+    /// Write these rows atomically; the caller reports the commit with [`ActingHead::committed`].
     Submit {
         /// Id of the write.
         write_id: SubmissionId,
-        /// The rows.
+        /// The rows to set or delete.
         changes: Vec<RowChange>,
     },
-    /// Reply to an edge.
+    /// Reply to a call of an edge.
     Reply {
-        /// Its connection.
+        /// Connection of the edge.
         to: ConnectionId,
         /// The reply.
         reply: ClientReply,
     },
     /// Send orders to a node agent.
     Orders {
-        /// Its connection.
+        /// Connection of the node agent.
         to: ConnectionId,
         /// The orders.
         orders: AgentOrders,
     },
-    /// Respond to the operator.
+    /// Respond to an operator request.
     Respond {
-        /// Number of the request.
+        /// Id of the request.
         call: OperatorCallId,
         /// The response.
         response: ChangeResponse,
     },
-    /// A job ended after its latency target, or failed: for the log.
+    /// Log that a job ended after its latency target, or failed.
     Late(Box<LateEnd>),
-    /// A configuration is in force from now on.
+    /// Log that a new configuration is in force.
     ConfigActivated {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
     },
 }
 
-/// Stored rows that a head cannot use.
+/// The head cannot be loaded from the stored rows.
 #[derive(Debug, Snafu)]
 pub enum HeadError {
-    /// Rows of the configuration authority.
+    /// A row of the configuration authority is not usable.
     #[snafu(display("{source}"))]
     Config {
-        /// The row, and what is wrong.
+        /// Names the row and what is wrong with it.
         source: LoadError,
     },
-    /// Rows of the scheduler.
+    /// A row of the scheduler is not usable.
     #[snafu(display("{source}"))]
     Scheduler {
-        /// The row, and what is wrong.
+        /// Names the row and what is wrong with it.
         source: RowError,
     },
 }
 
-/// The part that waits for a write.
+/// The component that waits for the result of a write.
 #[derive(Clone, Copy, Debug)]
 enum Writer {
     Scheduler(WriteId),
     Config,
 }
 
-/// State of the writes of a head that ends.
+/// Writes of a head that has ended.
 #[derive(Debug)]
 pub struct UncommittedWrites {
-    /// Id of the first write of a later head.
+    /// Id for the first write of the next head of this process.
     pub next_write_id: SubmissionId,
-    /// Writes without a result.
+    /// Ids of the writes that have no result yet.
     pub write_ids: Vec<SubmissionId>,
 }
 
-/// State of the head, once its rows are loaded.
+/// The head of a view, with its rows loaded. Whether its lease holds is not checked here.
 pub struct ActingHead {
     scheduler: Scheduler,
     authority: ConfigAuthority,
-    /// Writes without a result, by id.
+    /// For each write without a result yet, the component that waits for it.
     writers: HashMap<SubmissionId, Writer>,
-    /// Id of the next write; also counted on by later heads of this process.
+    /// Id of the next write. Ids are unique across all heads of this process: the next head continues from here.
     next_write_id: SubmissionId,
 }
 
 impl ActingHead {
-    /// The head of a view, from all stored rows. The number of the view is the epoch of its orders. The ids of its writes count from `first_write_id`.
+    /// Creates the head of `view` from all stored rows. The number of the view is the epoch that fences the head's orders. Write
+    /// ids are assigned from `first_write_id` upwards.
     ///
     /// # Errors
     ///
-    /// A row has another form than this program writes.
+    /// A row is not in the format that this program writes.
     pub fn load(
         bounds: Bounds,
         view: ViewNumber,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Passes a change of the configuration to the authority.
+    /// Passes a configuration change to the authority.
     pub fn handle_change(
         &mut self,
         clocks: Clocks,
@@ -175,7 +176,7 @@
         self.apply_config_effects(clocks, effects, outputs);
     }
 
-    /// A write is on the disks of the whole chain.
+    /// Reports to the waiting component that a write is on the disks of the whole chain.
     pub fn committed(
         &mut self,
         clocks: Clocks,
@@ -195,17 +196,17 @@
         }
     }
 
-    /// Whether this is one of its writes without a result.
+    /// Whether `write_id` is a write of this head that has no result yet.
     pub fn waits_for(&self, write_id: SubmissionId) -> bool {
         self.writers.contains_key(&write_id)
     }
 
-    /// Number of writes that are not committed yet.
+    /// Returns the number of writes that are not committed yet.
     pub fn open_writes(&self) -> u64 {
         self.writers.len() as u64
     }
 
-    /// Ends the head: changes without a decision are answered as undetermined.
+    /// Ends the head. Configuration changes without a response are answered as undetermined.
     pub fn end(mut self, outputs: &mut Vec<HeadOutput>) -> UncommittedWrites {
         let mut effects = Vec::new();
         self.authority.aborted(&mut effects);
@@ -220,17 +221,17 @@
         }
     }
 
-    /// When [`Event::Timer`] is due, on the steady clock in milliseconds.
+    /// Returns when the scheduler's [`Event::Timer`] is due, on the steady clock in milliseconds.
     pub fn next_timer_ms(&self) -> u64 {
         self.scheduler.next_timer_ms()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` before the first.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.authority.config()
     }
 
-    /// The configuration in force, as text.
+    /// Returns the configuration in force as JSON; `None` before the first.
     pub fn config_text(&self) -> Option<&[u8]> {
         self.authority.text()
     }
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Numbers a write and records who waits for it.
+    /// Assigns an id to a write and records the component that waits for it.
     fn submit(&mut self, writer: Writer, changes: Vec<RowChange>) -> HeadOutput {
         let write_id = self.next_write_id;
         self.next_write_id = SubmissionId(write_id.0 + 1);
--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -1,9 +1,11 @@
 //! Configuration authority of the head: decides which changes (`PUT /config`, `PATCH /config`) are accepted.
 //!
-//! Changes are decided one at a time, in the order in which they came in: while one is being written, the others are
-//! queued. So a change is never compared with a version that may still be lost, and a repeated request is decided only
-//! after the write of the first. An accepted change is remembered by its digest and acknowledged once more whatever the
-//! version is by then. A change that may have been accepted and forgotten is never rejected: its result is reported as
+//! Changes are decided one at a time, in the order of their arrival: while one is being written, the others are queued. This
+//! way a change is never compared with a version whose write may still be lost, and a repeated request is decided only after
+//! the write of the original.
+//!
+//! Accepted changes are remembered by digest, so that a repeated request is acknowledged again, even if the version has
+//! changed since. A change that may have been accepted and then forgotten is never rejected: its result is reported as
 //! undetermined.
 
 mod remembered;
@@ -20,22 +22,23 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Key of the row that holds the newest configuration, as text.
+/// Key of the row that holds the newest configuration, as JSON.
 pub const CONFIG_KEY: &str = "config";
-/// Start of the keys of the rows that remember accepted changes; the digest follows.
+/// Prefix of the keys of the rows that remember accepted changes; the digest of the change follows. The value is the version
+/// that the change made: 8 bytes, big-endian.
 pub const CHANGE_KEY_PREFIX: &str = "order/";
 
-/// HTTP method of a change.
+/// HTTP method of a configuration change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigMethod {
     /// Replaces the whole configuration.
     Put,
-    /// Changes the items that it names.
+    /// Changes only the items that the body names.
     Patch,
 }
 
 impl ConfigMethod {
-    /// Name of the method in HTTP.
+    /// Returns the method's name in HTTP.
     pub fn name(self) -> &'static str {
         match self {
             ConfigMethod::Put => "PUT",
@@ -44,77 +47,77 @@
     }
 }
 
-/// The operator's request to change the configuration, as it came in.
+/// The operator's request to change the configuration, not validated yet.
 #[derive(Clone, Debug)]
 pub struct ConfigChange {
-    /// Its method.
+    /// HTTP method of the request.
     pub method: ConfigMethod,
     /// Value of the `If-Match` header, if there is one.
     pub if_match: Option<String>,
-    /// The body.
+    /// Body of the request.
     pub body: Vec<u8>,
 }
 
-/// Identifies a request of the operator until it is answered; chosen by the caller.
+/// Identifies an operator request until it is answered; chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct OperatorCallId(pub u64);
 
-/// Response to a change.
+/// Response to a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeResponse {
     /// 200: the change is accepted, and the configuration of this version is committed.
     Accepted {
-        /// The version.
+        /// Version of the accepted configuration.
         version: u64,
     },
     /// 400: the request is not valid.
     Invalid {
-        /// What is wrong, where, and what is allowed.
+        /// What is wrong, where, and which values are allowed.
         reason: String,
     },
-    /// 412: the change builds on a version that is not current.
+    /// 412: the version in the `If-Match` header is not the current one.
     VersionConflict {
         /// The current version.
         current: u64,
     },
-    /// 503: it is not known whether the change is accepted.
+    /// 503: it is not known whether the change was accepted, because the head's role was lost.
     Undetermined,
-    /// 503: changes of a version this old are no longer remembered, so that this one may have been accepted.
+    /// 503: the change may have been accepted, because changes to a version this old are no longer remembered.
     Forgotten {
-        /// Changes that made this version or a later one are remembered.
+        /// The oldest version whose change is remembered.
         remembered_from: u64,
     },
 }
 
-/// What the caller has to do, in this order.
+/// An action that the caller has to take. Actions are to be taken in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigEffect {
-    /// Write these rows atomically, then report [`ConfigAuthority::committed`] or [`ConfigAuthority::aborted`].
+    /// Write these rows atomically, then call [`ConfigAuthority::committed`] or [`ConfigAuthority::aborted`].
     Write(Vec<RowChange>),
     /// This configuration is in force from now on.
     Activated(Arc<Config>),
-    /// Answer this request.
+    /// Send this response to the request.
     Respond(OperatorCallId, ChangeResponse),
 }
 
-/// A row on disk that has another form than this program writes.
+/// A row on disk is not in the format that this program writes.
 #[derive(Debug, Snafu)]
 pub enum LoadError {
-    /// The configuration on disk is not valid.
+    /// The stored configuration is not valid.
     #[snafu(display("the row `{CONFIG_KEY}` holds no valid configuration: {source}"))]
     Config {
-        /// Why.
+        /// What is wrong with the configuration.
         source: ConfigError,
     },
-    /// A remembered change has no version.
+    /// The row of a remembered change does not hold a version.
     #[snafu(display("the row `{key}` holds no version: exactly 8 bytes are expected"))]
     RememberedChange {
-        /// Key of the row.
+        /// Key of that row.
         key: String,
     },
 }
 
-/// A configuration: its text, and the form that the scheduler uses.
+/// A configuration with its JSON text, and in the form that is shared with the scheduler.
 struct ActiveConfig {
     checked: CheckedConfig,
     config: Arc<Config>,
@@ -129,13 +132,13 @@
     }
 }
 
-/// A change that has not been decided.
+/// A change that has not been decided yet.
 struct QueuedChange {
     call: OperatorCallId,
     change: ConfigChange,
 }
 
-/// A valid change, and the configuration that it makes.
+/// Digest of a valid change, and the configuration that the change makes.
 struct ValidChange {
     digest: String,
     next: ActiveConfig,
@@ -145,29 +148,29 @@
 struct PendingChange {
     call: OperatorCallId,
     change: ValidChange,
-    /// Version of the remembered change that the same write removes.
+    /// Version of the remembered change whose row the same write deletes; `None` if the limit is not reached.
     forgotten: Option<u64>,
 }
 
-/// Decides changes of the configuration; see the module.
+/// Decides configuration changes; see the module documentation.
 #[derive(Default)]
 pub struct ConfigAuthority {
     /// The newest committed configuration.
     active: Option<ActiveConfig>,
-    /// Accepted changes; a change is added at its commit.
+    /// Accepted changes. A change is added once its write is committed.
     remembered: RememberedChanges,
-    /// Set by the request of a write, cleared by its result.
+    /// The change whose write was requested and has no result yet.
     pending: Option<PendingChange>,
-    /// Changes to decide once no write is pending.
+    /// Changes to decide once no write is pending, oldest first.
     queue: VecDeque<QueuedChange>,
 }
 
 impl ConfigAuthority {
-    /// The authority of a new head, from the rows on disk. Rows of others are skipped.
+    /// Returns the authority of a new head, loaded from the stored rows. Rows of other components are skipped.
     ///
     /// # Errors
     ///
-    /// A row has another form than this program writes.
+    /// A row is not in the format that this program writes.
     pub fn load<'a>(
         rows: impl IntoIterator<Item = (&'a str, &'a [u8])>,
     ) -> Result<Self, LoadError> {
@@ -187,19 +190,19 @@
         Ok(authority)
     }
 
-    /// The newest committed configuration.
+    /// Returns the newest committed configuration; `None` before the first.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.active.as_ref().map(|active| &active.config)
     }
 
-    /// The newest committed configuration as text.
+    /// Returns the newest committed configuration as JSON; `None` before the first.
     pub fn text(&self) -> Option<&[u8]> {
         self.active
             .as_ref()
             .map(|active| active.checked.json().as_bytes())
     }
 
-    /// Version of the newest committed configuration; 0 before the first.
+    /// Returns the version of the newest committed configuration; 0 before the first.
     pub fn version(&self) -> u64 {
         self.config().map_or(0, |config| config.version)
     }
@@ -215,7 +218,7 @@
         self.decide_queued(effects);
     }
 
-    /// The requested write is on the disks of the whole chain.
+    /// Puts the pending change into force: its write is on the disks of the whole chain.
     pub fn committed(&mut self, effects: &mut Vec<ConfigEffect>) {
         let Some(pending) = self.pending.take() else {
             return;
@@ -233,7 +236,8 @@
         self.decide_queued(effects);
     }
 
-    /// It is unknown whether the requested write holds: this member is no longer the head.
+    /// Responds [`ChangeResponse::Undetermined`] to the pending change and all queued ones: this member is no longer the head,
+    /// so the result of the requested write is unknown.
     pub fn aborted(&mut self, effects: &mut Vec<ConfigEffect>) {
         let pending = self.pending.take().map(|pending| pending.call);
         let queued = self.queue.drain(..).map(|queued| queued.call);
@@ -241,7 +245,7 @@
         effects.extend(calls.map(|call| ConfigEffect::Respond(call, ChangeResponse::Undetermined)));
     }
 
-    /// Decides queued changes, up to the first that has to be written.
+    /// Decides queued changes up to and including the first that has to be written.
     fn decide_queued(&mut self, effects: &mut Vec<ConfigEffect>) {
         while self.pending.is_none() {
             let Some(QueuedChange { call, change }) = self.queue.pop_front() else {
@@ -254,10 +258,10 @@
         }
     }
 
-    /// The configuration that a change makes, or the response if there is nothing to write.
+    /// Returns the valid change to write, or as an error the response to a change that is not to be written.
     fn decide(&self, change: &ConfigChange) -> Result<ValidChange, ChangeResponse> {
         let base_version = parse_if_match(change.if_match.as_deref()).map_err(invalid)?;
-        // The parsed version: quotes and spaces in the header do not make another change of it.
+        // The digest is taken of the parsed version, so that quotes and spaces in the header do not change it.
         let if_match = base_version.to_string();
         let digest =
             OrderDigest::of(change.method.name(), Some(&if_match), &change.body).to_string();
@@ -283,7 +287,7 @@
         })
     }
 
-    /// The configuration that a change makes of the active one.
+    /// Applies a change to the active configuration. Without one, the body of a `PATCH` must be a complete configuration.
     fn apply(&self, change: &ConfigChange) -> Result<CheckedConfig, ConfigError> {
         match (change.method, &self.active) {
             (ConfigMethod::Patch, Some(active)) => apply_patch(&active.checked, &change.body),
@@ -291,7 +295,8 @@
         }
     }
 
-    /// Requests the write of a configuration and of the change that made it.
+    /// Requests the write of a new configuration and of the change that made it. If the limit of remembered changes is reached,
+    /// the same write deletes the oldest.
     fn write(
         &mut self,
         call: OperatorCallId,
@@ -324,14 +329,14 @@
     }
 }
 
-/// The response to a change that is not valid.
+/// Returns the response to a change that is not valid.
 fn invalid(error: ConfigError) -> ChangeResponse {
     ChangeResponse::Invalid {
         reason: error.to_string(),
     }
 }
 
-/// Key of the row that remembers an accepted change.
+/// Returns the key of the row that remembers an accepted change.
 fn change_key(digest: &str) -> Vec<u8> {
     format!("{CHANGE_KEY_PREFIX}{digest}").into_bytes()
 }
--- a/crates/control-plane/src/config_authority/remembered.rs
+++ b/crates/control-plane/src/config_authority/remembered.rs
@@ -1,18 +1,18 @@
-//! Accepted changes of the configuration, remembered by digest so that a repeated request is acknowledged once more.
+//! Accepted configuration changes, remembered by digest so that a repeated request is acknowledged again.
 
 use std::collections::BTreeMap;
 
-/// Number of accepted changes that are remembered, the newest ones.
+/// Largest number of accepted changes that are remembered; older ones are forgotten first.
 pub const REMEMBERED_CHANGES_MAX: usize = 2_000;
 
-/// Digests of accepted changes, by the configuration version that each one made.
+/// Digests of accepted changes, by the configuration version that each change made.
 #[derive(Debug, Default)]
 pub(super) struct RememberedChanges {
     digests: BTreeMap<u64, String>,
 }
 
 impl RememberedChanges {
-    /// Adds a change that made `version`.
+    /// Remembers the change that made `version`.
     pub(super) fn insert(&mut self, version: u64, digest: String) {
         self.digests.insert(version, digest);
     }
@@ -22,7 +22,7 @@
         self.digests.remove(&version);
     }
 
-    /// The version that a change with this digest made.
+    /// Returns the version that the change with this digest made; `None` if no such change is remembered.
     pub(super) fn version_of(&self, digest: &str) -> Option<u64> {
         self.digests
             .iter()
@@ -30,8 +30,8 @@
             .map(|(version, _)| *version)
     }
 
-    /// The oldest remembered version and its digest, once the number of changes has reached its limit: older ones may
-    /// have been forgotten, and this one is the next to go.
+    /// Returns the oldest remembered version and its digest if the number of changes has reached the limit; `None` otherwise.
+    /// At the limit, older changes may have been forgotten, and the returned one is forgotten next.
     pub(super) fn oldest_if_full(&self) -> Option<(u64, &str)> {
         self.digests
             .first_key_value()
--- a/crates/control-plane/src/core_member.rs
+++ b/crates/control-plane/src/core_member.rs
@@ -1,9 +1,9 @@
-//! A member of the core as one state machine without I/O. [`CoreMember::handle`] takes inputs with a reading of the clocks;
-//! [`CoreMember::poll_outputs`], called once per wake-up, returns the frames to send, the requests to the storage thread and the
-//! responses to the operator.
+//! A core member as a state machine without I/O. [`CoreMember::handle`] takes an input with a reading of the clocks.
+//! [`CoreMember::poll_outputs`] is called once per wake-up and returns the frames to send, the requests to the storage thread
+//! and the responses to the operator.
 //!
-//! Each part of the state is a type with a module of its own (role as head, sessions, peers, announcement, inspections,
-//! scrub); the `impl CoreMember` blocks in the other modules pass inputs and outputs between the parts.
+//! Each part of the state (head role, sessions, peers, announcement, inspections, scrub) is a type in a module of its own. The
+//! `impl CoreMember` blocks in the other modules pass inputs and outputs between the parts.
 
 mod announcement;
 mod connections;
@@ -35,7 +35,7 @@
 use replica_inputs::ReplicaInputs;
 use scrub::Scrub;
 
-/// A member of the core.
+/// A core member; see the module documentation.
 pub struct CoreMember {
     settings: CoreMemberSettings,
     replica: Replica,
@@ -44,16 +44,16 @@
     sessions: Sessions,
     peers: Peers,
     announcement: Announcement,
-    /// The last write to the disk has failed.
+    /// Whether the last write to the disk failed.
     storage_failing: bool,
     scrub: Scrub,
     inspections: Inspections,
-    /// Actions since the last [`Self::poll_outputs`].
+    /// Actions collected since the last [`Self::poll_outputs`].
     outputs: Vec<Output>,
 }
 
 impl CoreMember {
-    /// A member that starts from the record on its disk; `None` if the disk holds none.
+    /// Creates a member from the record on its disk; `durable` is `None` if the disk holds no record.
     pub fn new(settings: CoreMemberSettings, durable: Option<Durable>, clocks: Clocks) -> Self {
         let replica_settings = indigofold_replication::Settings {
             address: settings.address.clone(),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Handles an input.
+    /// Handles an input. The resulting actions are returned by the next [`Self::poll_outputs`].
     pub fn handle(&mut self, clocks: Clocks, input: Input) {
         match input {
             Input::Dialled {
@@ -116,7 +116,7 @@
             .extend(dials.into_iter().map(|address| Output::Dial { address }));
     }
 
-    /// When [`Self::handle_timeout`] is to be called next, on the steady clock in milliseconds, if no input comes before.
+    /// Returns when [`Self::handle_timeout`] is due, on the steady clock in milliseconds. Any input may change the result.
     pub fn next_timeout_ms(&self, clocks: Clocks) -> u64 {
         let timers = [
             self.replica.next_timer_ms(),
@@ -129,8 +129,8 @@
             .fold(self.head_role.load_due_ms(), u64::min)
     }
 
-    /// The actions for all inputs since the last call. `now_ms` is a reading of the steady clock taken just before: if the
-    /// lease has expired in the meantime, what only an acting head may send is withheld.
+    /// Returns the actions for all inputs since the last call. `now_ms` must be a fresh reading of the steady clock: if the
+    /// lease has expired since the inputs were handled, outputs that only an acting head may send are withheld.
     pub fn poll_outputs(&mut self, now_ms: u64) -> Vec<Output> {
         self.refresh_announcement(now_ms);
         let outputs = std::mem::take(&mut self.outputs);
@@ -143,12 +143,12 @@
             .collect()
     }
 
-    /// Whether it is the head of a view, with or without its rows.
+    /// Whether this member is the head of a view, even if its rows are not loaded yet or its lease has expired.
     pub fn is_head(&self) -> bool {
         self.head_role.is_head()
     }
 
-    /// Whether writes need this member: it is the head, or in the chain of the view that it has accepted.
+    /// Whether writes need this member: it is the head, or it is in the chain of the view that it accepted last.
     pub fn is_needed(&self) -> bool {
         let own = self.replica.member();
         let in_chain = self
@@ -158,17 +158,17 @@
         self.is_head() || in_chain
     }
 
-    /// Whether it knows an acting head.
+    /// Whether this member knows a head that is at work.
     pub fn knows_head(&self) -> bool {
         self.announcement.welcome().head.is_some()
     }
 
-    /// Whether it is the head, has loaded its rows, and its lease holds.
+    /// Whether this member is the acting head: it is the head, has loaded its rows, and its lease has not expired.
     fn is_acting(&self, now_ms: u64) -> bool {
         self.head_role.leading().is_some() && self.replica.may_act(now_ms)
     }
 
-    /// When the scheduler's timer is due; never while this member may not act.
+    /// Returns when the scheduler's timer is due, on the steady clock; [`u64::MAX`] while this member is not the acting head.
     fn scheduler_timer_ms(&self, clocks: Clocks) -> u64 {
         match self.head_role.leading() {
             Some(head) if self.replica.may_act(clocks.steady_ms) => head.next_timer_ms(),
--- a/crates/control-plane/src/core_member/announcement.rs
+++ b/crates/control-plane/src/core_member/announcement.rs
@@ -1,22 +1,23 @@
-//! The [`Welcome`] that this member sends to all connections whenever it changes.
+//! The [`Welcome`] that this member sends on every connection, at its start and whenever the content changes.
 
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{MemberAddress, Welcome};
 use std::collections::BTreeSet;
 
-/// Longest age of the members and the head in the announcement, in milliseconds, when anything happens at all.
+/// Interval in milliseconds at which the members and the head in the announcement are refreshed. A refresh also needs an event
+/// or a timer that wakes the member.
 const REFRESH_MS: u64 = 100;
 
-/// The current welcome, and when it is to be rebuilt.
+/// The welcome that was sent last, and when it is to be rebuilt.
 #[derive(Debug)]
 pub(super) struct Announcement {
     welcome: Welcome,
-    /// On the steady clock.
+    /// When the next refresh is due, on the steady clock; 0 for at once.
     refresh_due_ms: u64,
 }
 
 impl Announcement {
-    /// The announcement of a member that knows only its own address; due at once.
+    /// Returns the announcement of a member that knows only its own address. A refresh is due at once.
     pub(super) fn new(own: &MemberAddress) -> Self {
         Announcement {
             welcome: Welcome {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// The welcome that was sent last.
+    /// Returns the welcome that was sent last.
     pub(super) fn welcome(&self) -> &Welcome {
         &self.welcome
     }
@@ -41,8 +42,8 @@
         self.refresh_due_ms = 0;
     }
 
-    /// Whether a refresh is due, by time or as one of these has changed; if so, the next one is due after
-    /// [`REFRESH_MS`].
+    /// Whether a refresh is due, because of the time or because one of the arguments differs from the last welcome. If so, the
+    /// next refresh by time is due after [`REFRESH_MS`].
     pub(super) fn poll_refresh(
         &mut self,
         now_ms: u64,
@@ -60,7 +61,7 @@
         true
     }
 
-    /// Takes a new welcome and logs the changes; false if there is none.
+    /// Replaces the welcome and logs the differences; returns false if the two are equal.
     pub(super) fn replace(&mut self, welcome: Welcome) -> bool {
         if welcome == self.welcome {
             return false;
@@ -71,7 +72,7 @@
     }
 }
 
-/// Logs one line for each change that an operator may want to know of.
+/// Logs one line for each difference that is of interest to an operator.
 fn log_changes(old: &Welcome, new: &Welcome) {
     if new.view != old.view {
         log::info!("view changed view={} previous={}", new.view, old.view);
--- a/crates/control-plane/src/core_member/connections.rs
+++ b/crates/control-plane/src/core_member/connections.rs
@@ -1,4 +1,4 @@
-//! Frames that are received, and connections that open and close.
+//! Handles connections that open and close, and dispatches the frames received on them.
 
 use super::{CoreMember, Input, Output};
 use crate::clocks::Clocks;
@@ -9,7 +9,7 @@
 use snafu::{OptionExt, Snafu, ensure};
 use std::net::SocketAddr;
 
-/// Why a frame is rejected.
+/// Reason to reject a frame.
 #[derive(Debug, Snafu)]
 enum FrameError {
     #[snafu(display("a {frame} frame was received before a Hello"))]
@@ -28,7 +28,7 @@
         self.outputs.push(Output::Send { connection, frame });
     }
 
-    /// This member has connected to another one: it sends its greeting and its announcement.
+    /// Sends this member's hello and announcement on a connection that it has opened to another member.
     pub(super) fn handle_dialled(&mut self, address: SocketAddr, connection: ConnectionId) {
         if !self.peers.dial_succeeded(address, connection) {
             self.outputs.push(Output::Close { connection });
@@ -38,7 +38,7 @@
         self.send_welcome(connection);
     }
 
-    /// A connection is closed, by either side.
+    /// Removes a connection that either side has closed, and informs the scheduler.
     pub(super) fn handle_closed(&mut self, clocks: Clocks, connection: ConnectionId) {
         if let Some(address) = self.peers.connection_closed(clocks.steady_ms, connection) {
             log::debug!("connection closed peer={address}");
@@ -57,7 +57,7 @@
         self.scheduler_event(clocks, event);
     }
 
-    /// A frame was received.
+    /// Handles a received frame. A frame that its sender may not send closes the connection.
     pub(super) fn handle_frame(&mut self, clocks: Clocks, connection: ConnectionId, frame: Frame) {
         if let Err(error) = self.check_sender(connection, &frame) {
             log::warn!("frame rejected, connection closed error={error}");
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Checks that the process at the other end of the connection may send such a frame.
+    /// Checks that the process at the other end of the connection may send this kind of frame.
     fn check_sender(&self, connection: ConnectionId, frame: &Frame) -> Result<(), FrameError> {
         let (name, sender) = match frame {
             Frame::Replication(_) => ("Replication", Some(ProcessKind::Core)),
@@ -101,7 +101,8 @@
         Ok(())
     }
 
-    /// Another member's message. After one that cannot be decoded the stream is not trusted any more.
+    /// Handles a replication message of another member. A message that cannot be decoded closes the connection, as the rest of
+    /// the stream can no longer be trusted.
     fn handle_replication(&mut self, clocks: Clocks, connection: ConnectionId, bytes: &[u8]) {
         match message::decode(bytes) {
             Ok(envelope) => self.replica_input(clocks, ReplicaInput::Message(envelope)),
@@ -120,7 +121,8 @@
         self.handle(clocks, Input::Closed { connection });
     }
 
-    /// The greeting of a process that has connected to this member. A second one on a connection is a fault of the sender.
+    /// Handles the hello of a process that has connected to this member. A second hello on a connection is a protocol error and
+    /// closes the connection.
     fn handle_hello(&mut self, clocks: Clocks, connection: ConnectionId, hello: Hello) {
         let (kind, node_name) = (hello.kind, hello.node_name.clone());
         if !self.sessions.register(connection, hello) {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// The member of this name has connected to this one, so that it can be reached.
+    /// Dials the member with this name at once if no connection to it is open: it has just connected, and so can be reached.
     fn peer_connected(&mut self, now_ms: u64, node_name: &str) {
         let members = self.replica.members();
         if let Some(member) = members.iter().find(|member| member.node_name == node_name) {
--- a/crates/control-plane/src/core_member/head_outputs.rs
+++ b/crates/control-plane/src/core_member/head_outputs.rs
@@ -1,4 +1,4 @@
-//! Events for the scheduler, and the outputs of the head.
+//! Passes events to the scheduler and carries out the outputs of the head.
 
 use super::{CoreMember, Output};
 use crate::acting_head::HeadOutput;
@@ -10,7 +10,7 @@
 use indigofold_scheduler::Event;
 
 impl CoreMember {
-    /// Passes an event to the scheduler, if this member leads.
+    /// Passes an event to the scheduler; without effect unless this member is the head and has loaded its rows.
     pub(super) fn scheduler_event(&mut self, clocks: Clocks, event: Event) {
         let Some(head) = self.head_role.leading_mut() else {
             return;
@@ -20,7 +20,7 @@
         self.apply_head_outputs(clocks, outputs);
     }
 
-    /// Carries out outputs of the head, in their order.
+    /// Carries out outputs of the head, in order.
     pub(super) fn apply_head_outputs(&mut self, clocks: Clocks, outputs: Vec<HeadOutput>) {
         for output in outputs {
             match output {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Logs a change of the configuration that was rejected or whose result is unknown.
+/// Logs a configuration change that was rejected or whose result is undetermined.
 fn log_unless_accepted(response: &ChangeResponse) {
     match response {
         ChangeResponse::Accepted { .. } => {}
--- a/crates/control-plane/src/core_member/head_role.rs
+++ b/crates/control-plane/src/core_member/head_role.rs
@@ -1,5 +1,5 @@
-//! The member's role towards the schedulers: follower, head that loads its rows, or leading head; and the writes that an
-//! earlier time as head has left without a result.
+//! The member's role: follower, head that is loading its rows, or leading head. Also tracks the writes that earlier terms as
+//! head left without a result.
 
 use crate::acting_head::{ActingHead, HeadError, HeadOutput};
 use crate::clocks::Clocks;
@@ -8,28 +8,29 @@
 use indigofold_scheduler::Bounds;
 use std::collections::BTreeSet;
 
-/// Wait before a head requests its rows once more, in milliseconds.
+/// Wait before a head requests its rows again, in milliseconds.
 const LOAD_RETRY_MS: u64 = 200;
 
 enum HeadState {
-    /// Another member is the head, or none.
+    /// Another member is the head, or there is no head.
     Follower,
-    /// Head of `view` that reads its rows. At `request_due_ms` it requests them once more; [`u64::MAX`] while a request is
-    /// open.
+    /// Head of `view` without its rows. They are to be requested at `request_due_ms` on the steady clock; [`u64::MAX`] while a
+    /// request is open.
     Loading {
         view: ViewNumber,
         request_due_ms: u64,
     },
-    /// A head with its rows.
+    /// Head with its rows loaded.
     Leading(Box<ActingHead>),
 }
 
-/// The role, and the numbering of writes across roles.
+/// The current role, and the writes of all terms as head.
 pub(super) struct HeadRole {
     state: HeadState,
-    /// Number of the first write of the next [`ActingHead`].
+    /// Id for the first write of the next [`ActingHead`].
     next_write_id: SubmissionId,
-    /// Writes of former [`ActingHead`]s of this process without a result yet. Rows are loaded only once there is none.
+    /// Writes of former [`ActingHead`]s of this process that have no result yet. Rows are loaded only once this set is empty, so
+    /// that they hold the results of all of them.
     pending_writes: BTreeSet<SubmissionId>,
 }
 
@@ -44,17 +45,17 @@
 }
 
 impl HeadRole {
-    /// Whether this member is the head, with or without its rows.
+    /// Whether this member is the head, whether or not its rows are loaded.
     pub(super) fn is_head(&self) -> bool {
         !matches!(self.state, HeadState::Follower)
     }
 
-    /// Whether this member loads the rows of `view`.
+    /// Whether this member is the head of `view` and its rows are not loaded yet.
     pub(super) fn is_loading(&self, view: ViewNumber) -> bool {
         matches!(self.state, HeadState::Loading { view: loading, .. } if loading == view)
     }
 
-    /// The head, once it has its rows.
+    /// Returns the head if this member is the head and its rows are loaded.
     pub(super) fn leading(&self) -> Option<&ActingHead> {
         match &self.state {
             HeadState::Leading(head) => Some(head),
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Like [`Self::leading`].
+    /// Like [`Self::leading`], but mutable.
     pub(super) fn leading_mut(&mut self) -> Option<&mut ActingHead> {
         match &mut self.state {
             HeadState::Leading(head) => Some(head),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Becomes the head of `view`; its rows may be requested at once.
+    /// Becomes the head of `view`. The rows are to be requested at once.
     pub(super) fn start_loading(&mut self, view: ViewNumber, now_ms: u64) {
         self.state = HeadState::Loading {
             view,
@@ -78,19 +79,19 @@
         };
     }
 
-    /// Becomes the head of `view`; its rows may be requested after a wait.
+    /// Becomes the head of `view`. The rows are to be requested after [`LOAD_RETRY_MS`].
     pub(super) fn start_loading_later(&mut self, view: ViewNumber, now_ms: u64) {
         self.start_loading(view, now_ms + LOAD_RETRY_MS);
     }
 
-    /// The view has changed to `view` with the same head.
+    /// Changes the view whose rows are being loaded: this member is the head of the new view too.
     pub(super) fn renew(&mut self, view: ViewNumber) {
         if let HeadState::Loading { view: loading, .. } = &mut self.state {
             *loading = view;
         }
     }
 
-    /// When [`Self::poll_load`] is due, on the steady clock in milliseconds.
+    /// Returns when [`Self::poll_load`] is due, on the steady clock in milliseconds; [`u64::MAX`] if nothing is to be requested.
     pub(super) fn load_due_ms(&self) -> u64 {
         match self.state {
             HeadState::Loading { request_due_ms, .. } => request_due_ms,
@@ -98,8 +99,8 @@
         }
     }
 
-    /// The view whose rows are to be requested; `None` if there is nothing to load, or as long as writes have no result
-    /// (then it is due once more after a wait).
+    /// Returns the view whose rows the caller has to request now. `None` if there is nothing to load, or if writes of former
+    /// heads have no result yet; in that case the call is due again after [`LOAD_RETRY_MS`].
     pub(super) fn poll_load(&mut self, now_ms: u64) -> Option<ViewNumber> {
         let HeadState::Loading {
             view,
@@ -116,7 +117,7 @@
         Some(*view)
     }
 
-    /// The rows of `view` could not be loaded: they are requested once more after a wait.
+    /// Schedules another request after [`LOAD_RETRY_MS`], as the rows of `view` could not be loaded.
     pub(super) fn load_failed(&mut self, view: ViewNumber, now_ms: u64) {
         if let HeadState::Loading {
             view: loading,
@@ -128,11 +129,11 @@
         }
     }
 
-    /// Leads `view` from its rows.
+    /// Becomes the leading head of `view` with these rows, and starts its scheduler.
     ///
     /// # Errors
     ///
-    /// The rows are not usable; the role stays as it was.
+    /// The rows are not usable; the role is unchanged.
     pub(super) fn lead(
         &mut self,
         bounds: Bounds,
@@ -147,7 +148,7 @@
         Ok(())
     }
 
-    /// Becomes a follower; true if it was leading. The writes of the head are pending from now on.
+    /// Becomes a follower; returns whether this member was the leading head. The head's writes without a result become pending.
     pub(super) fn resign(&mut self, outputs: &mut Vec<HeadOutput>) -> bool {
         let former = std::mem::replace(&mut self.state, HeadState::Follower);
         let HeadState::Leading(head) = former else {
@@ -159,7 +160,7 @@
         true
     }
 
-    /// The result of a write is known.
+    /// Removes a write from the pending ones, as its result is known.
     pub(super) fn write_resolved(&mut self, write_id: SubmissionId) {
         self.pending_writes.remove(&write_id);
     }
