--- a/crates/control-plane/src/config_authority.rs
+++ b/crates/control-plane/src/config_authority.rs
@@ -82,7 +82,8 @@
     },
     /// 503: it is not known whether the change was accepted, because the head's role was lost.
     Undetermined,
-    /// 503: the change may have been accepted, because changes to a version this old are no longer remembered.
+    /// 503: the change may have been accepted, because the changes to a version this old are not all remembered
+    /// any more.
     Forgotten {
         /// The oldest version whose change is remembered.
         remembered_from: u64,
--- a/crates/control-plane/src/core_member/announcement.rs
+++ b/crates/control-plane/src/core_member/announcement.rs
@@ -1,4 +1,5 @@
-//! The [`Welcome`] that this member sends on every connection, at its start and whenever the content changes.
+//! The [`Welcome`] that this member sends at the start of every connection, and again on all connections to it whenever the
+//! content changes.
 
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{MemberAddress, Welcome};
--- a/crates/control-plane/src/core_member/head_transitions.rs
+++ b/crates/control-plane/src/core_member/head_transitions.rs
@@ -1,4 +1,4 @@
-//! Transitions of the head's role.
+//! Transitions into and out of the role of head.
 
 use super::{CoreMember, Output};
 use crate::acting_head::ActingHead;
@@ -8,14 +8,14 @@
 use indigofold_scheduler::Event;
 use std::fmt;
 
-/// Why a head has ended.
+/// Reason why this member is no longer the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeadLossReason {
-    /// Another view holds, or the leadership was handed over.
+    /// Another view has taken effect, or the role was handed over.
     Superseded,
-    /// A write was not confirmed: the head starts anew from its rows.
+    /// A write of the head will not be confirmed. The member stays the head and reloads its rows.
     WriteLost,
-    /// The head's role was lost and gained at once: the head starts anew from its rows.
+    /// The role was gained again while this member was still the head. The member reloads its rows.
     Regained,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl CoreMember {
-    /// This member has become the head of `view`.
+    /// Handles that this member has become the head of `view`.
     pub(super) fn head_gained(&mut self, clocks: Clocks, view: ViewNumber) {
         if self.is_head() {
             self.head_lost(clocks, HeadLossReason::Regained);
@@ -40,14 +40,15 @@
         self.request_rows(clocks);
     }
 
-    /// The view has changed to `view`, and this member is still its head.
+    /// Handles a change to `view` in which this member is still the head.
     pub(super) fn head_renewed(&mut self, clocks: Clocks, view: ViewNumber) {
         log::info!("still head after a view change view={view}");
         self.head_role.renew(view);
         self.request_rows(clocks);
     }
 
-    /// This member is no longer the head.
+    /// Ends the current term as head. Open configuration changes are answered as undetermined, and connections with open calls
+    /// are closed.
     pub(super) fn head_lost(&mut self, clocks: Clocks, reason: HeadLossReason) {
         log::info!("no longer head reason={reason}");
         let mut outputs = Vec::new();
@@ -55,13 +56,14 @@
             return;
         }
         self.apply_head_outputs(clocks, outputs);
-        // Calls without a reply may have been written: the closed connection informs their edges.
+        // Calls without a reply may or may not have been written. Closing the connections tells the edges that the results are
+        // unknown.
         for connection in self.sessions.with_open_calls() {
             self.close_connection(clocks, connection);
         }
     }
 
-    /// Requests all rows if this member is a head without them and none of its earlier writes is pending.
+    /// Requests all rows if this member is a head without rows and none of its earlier writes is pending.
     pub(super) fn request_rows(&mut self, clocks: Clocks) {
         if let Some(view) = self.head_role.poll_load(clocks.steady_ms) {
             self.outputs
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The rows for the head of `view` are read: this member acts from now on, while its lease holds.
+    /// Starts the head of `view` with the rows that were read. From now on this member is the acting head while its lease holds.
     pub(super) fn rows_loaded(&mut self, clocks: Clocks, view: ViewNumber, rows: Vec<StoredRow>) {
         if !self.head_role.is_loading(view) {
             return;
@@ -90,7 +92,7 @@
         }
     }
 
-    /// A write is on the disks of the whole chain.
+    /// Handles the commit of a write: it is on the disks of the whole chain.
     pub(super) fn write_committed(&mut self, clocks: Clocks, write_id: SubmissionId) {
         self.head_role.write_resolved(write_id);
         let Some(head) = self.head_role.leading_mut() else {
@@ -101,8 +103,8 @@
         self.apply_head_outputs(clocks, outputs);
     }
 
-    /// A write will not be confirmed. If it is one of the current head, the head's decisions since may differ from the
-    /// stored rows: it loads them anew, once all its other writes have a result.
+    /// Handles a write that will not be confirmed. If the current head submitted it, the head's state may differ from the stored
+    /// rows. They are therefore reloaded, once all other writes of the head have a result.
     pub(super) fn write_lost(&mut self, clocks: Clocks, write_id: SubmissionId) {
         let is_own = |head: &ActingHead| head.waits_for(write_id);
         if self.head_role.leading().is_some_and(is_own) {
--- a/crates/control-plane/src/core_member/inspect.rs
+++ b/crates/control-plane/src/core_member/inspect.rs
@@ -1,5 +1,5 @@
-//! Answers to the command line tool's questions. The acting head has its rows read once for each question; no question
-//! changes any state.
+//! Answers questions of the command line tool. The acting head reads all rows once for each question. Questions change no state
+//! of the cluster.
 
 use super::inspections::OpenQuestion;
 use super::{CoreMember, Output};
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 
 impl CoreMember {
-    /// A question of the tool. The acting head has its rows read first.
+    /// Handles a question of the tool. The acting head requests a summary of its rows first; other members answer at once.
     pub(super) fn handle_inspection(
         &mut self,
         clocks: Clocks,
@@ -41,7 +41,7 @@
             .push(Output::Storage(StorageRequest::Summarize { summary, job }));
     }
 
-    /// The rows for a question are read.
+    /// Answers the question for which a summary of the rows was requested.
     pub(super) fn handle_summary(
         &mut self,
         clocks: Clocks,
@@ -70,7 +70,7 @@
         );
     }
 
-    /// The answer of the acting head.
+    /// Returns the answer of the acting head.
     fn answer(
         &self,
         clocks: Clocks,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The answer of a member that is not the acting head.
+    /// Returns the answer of a member that is not the acting head.
     fn answer_without_rows(&self, clocks: Clocks, question: Question) -> InspectionAnswer {
         match question {
             Question::Status => {
--- a/crates/control-plane/src/core_member/inspections.rs
+++ b/crates/control-plane/src/core_member/inspections.rs
@@ -1,22 +1,22 @@
-//! Questions of the command line tool that wait for the storage thread.
+//! Questions of the command line tool that wait for a summary of the rows.
 
 use crate::sessions::ConnectionId;
 use indigofold_protocol::inspection::InspectionCall;
 use std::collections::BTreeMap;
 
-/// Number of questions that may wait for the storage thread at a time.
+/// Largest number of questions that may wait at a time. Each one makes the storage thread read all rows.
 const OPEN_QUESTIONS_MAX: usize = 4;
 
-/// A question whose rows are being read.
+/// A question that waits for a summary of the rows.
 #[derive(Debug)]
 pub(super) struct OpenQuestion {
-    /// Where the answer goes.
+    /// Connection on which the answer is sent.
     pub(super) connection: ConnectionId,
-    /// The question.
+    /// The question with its number.
     pub(super) call: InspectionCall,
 }
 
-/// The open questions, by the numbers of their table summaries.
+/// The open questions, by the number of the requested summary.
 #[derive(Debug, Default)]
 pub(super) struct Inspections {
     open: BTreeMap<u64, OpenQuestion>,
@@ -24,12 +24,12 @@
 }
 
 impl Inspections {
-    /// Whether no more questions can be opened.
+    /// Whether the limit of open questions is reached.
     pub(super) fn is_full(&self) -> bool {
         self.open.len() >= OPEN_QUESTIONS_MAX
     }
 
-    /// Opens a question; returns the number of its table summary.
+    /// Adds a question and returns the number of the summary to request for it.
     pub(super) fn open(&mut self, question: OpenQuestion) -> u64 {
         let summary = self.next_summary;
         self.next_summary += 1;
@@ -37,7 +37,7 @@
         summary
     }
 
-    /// Closes the question of a table summary.
+    /// Removes and returns the question that waits for this summary.
     pub(super) fn close(&mut self, summary: u64) -> Option<OpenQuestion> {
         self.open.remove(&summary)
     }
--- a/crates/control-plane/src/core_member/interface.rs
+++ b/crates/control-plane/src/core_member/interface.rs
@@ -9,55 +9,55 @@
 use indigofold_scheduler::Bounds;
 use std::net::SocketAddr;
 
-/// Settings of a member, fixed at its start but for the seeds.
+/// Settings of a member. Only the seeds may change while it runs.
 #[derive(Clone, Debug)]
 pub struct CoreMemberSettings {
-    /// The greeting on connections that it opens.
+    /// Hello that the member sends on connections that it opens.
     pub hello: Hello,
-    /// Its own addresses.
+    /// Name and addresses of the member itself.
     pub address: MemberAddress,
     /// Internal addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// The whole cluster starts for the first time.
+    /// Whether the whole cluster starts for the first time, with empty disks.
     pub bootstrap: bool,
-    /// Number of machines that may fail at once.
+    /// Number of machines whose simultaneous loss must be tolerated.
     pub tolerated_losses: usize,
     /// Bounds of the scheduler.
     pub bounds: Bounds,
-    /// Seed of the random numbers.
+    /// Seed of the member's random number generators.
     pub random_seed: u64,
 }
 
 /// An event that a member handles.
 #[derive(Debug)]
 pub enum Input {
-    /// Dialling a member has succeeded.
+    /// A dial requested by [`Output::Dial`] has succeeded.
     Dialled {
-        /// Its internal address.
+        /// Internal address of the dialled member.
         address: SocketAddr,
-        /// The connection.
+        /// The new connection.
         connection: ConnectionId,
     },
-    /// Dialling a member has failed.
+    /// A dial requested by [`Output::Dial`] has failed.
     DialFailed {
-        /// Its internal address.
+        /// Internal address of the dialled member.
         address: SocketAddr,
     },
     /// A frame was received.
     Frame {
-        /// The connection.
+        /// Connection on which it was received.
         connection: ConnectionId,
         /// The frame.
         frame: Frame,
     },
-    /// A connection is closed.
+    /// A connection was closed.
     Closed {
-        /// The connection.
+        /// The closed connection.
         connection: ConnectionId,
     },
     /// A request of the operator.
     Operator {
-        /// Number of the request.
+        /// Id of the request, to be used in the response.
         call: OperatorCallId,
         /// The request.
         request: OperatorRequest,
@@ -66,11 +66,11 @@
     Storage(StorageResponse),
     /// The seeds have changed to these internal addresses.
     Seeds(Vec<SocketAddr>),
-    /// The process is about to stop.
+    /// The process is about to stop: the member hands over its role and leaves the chain.
     StepDown,
 }
 
-/// An action that a member's driver has to take, in this order.
+/// An action that a member's driver has to take. Actions are to be taken in the order in which they are returned.
 #[derive(Debug)]
 #[expect(
     clippy::large_enum_variant,
@@ -79,34 +79,34 @@
 pub enum Output {
     /// Send a frame.
     Send {
-        /// The connection.
+        /// Connection on which to send.
         connection: ConnectionId,
         /// The frame.
         frame: Frame,
     },
-    /// Close a connection; [`Input::Closed`] need not follow.
+    /// Close a connection. The driver may, but need not, report it with [`Input::Closed`].
     Close {
-        /// The connection.
+        /// The connection to close.
         connection: ConnectionId,
     },
-    /// Connect to a member.
+    /// Connect to a member. The driver reports the result with [`Input::Dialled`] or [`Input::DialFailed`].
     Dial {
-        /// Its internal address.
+        /// Internal address of the member.
         address: SocketAddr,
     },
-    /// Respond to the operator.
+    /// Respond to a request of the operator.
     Respond {
-        /// Number of the request.
+        /// Id of the request.
         call: OperatorCallId,
         /// The response.
         response: OperatorResponse,
     },
     /// Pass a request to the storage thread.
     Storage(StorageRequest),
-    /// End the process, as the database is damaged. At its next start the process quarantines the database and is a
-    /// member without stored state.
+    /// End the process, as the database is damaged. At its next start the process quarantines the database, and the member
+    /// starts without stored state.
     Damaged {
-        /// What was found.
+        /// The damage that was found.
         error: StorageError,
     },
 }
--- a/crates/control-plane/src/core_member/lease_filter.rs
+++ b/crates/control-plane/src/core_member/lease_filter.rs
@@ -1,15 +1,15 @@
-//! Removal of outputs that only an acting head may send, once the lease has expired.
+//! Replaces outputs that only an acting head may send, for use once the lease has expired.
 
 use super::interface::Output;
 use crate::config_authority::ChangeResponse;
 use crate::operator::OperatorResponse;
 use indigofold_protocol::internal::{ClientOutcome, ClientReply, Frame};
 
-/// When a client that found no acting head is to retry, in milliseconds.
+/// Time after which a client retries if there was no acting head to serve it, in milliseconds.
 pub(super) const RETRY_AFTER_MS: u64 = 200;
 
-/// The output that may be sent without a lease in place of `output`: what is true whoever the head is. The connection of a
-/// node agent whose orders are withheld is closed, so that the next head sends all of them.
+/// Returns the output to use in place of `output` without a lease. Outputs that are valid whichever member is the head stay
+/// unchanged. The connection of a node agent whose orders are withheld is closed, so that the next head sends all of them.
 pub(super) fn without_lease(output: Output) -> Output {
     match output {
         Output::Send {
@@ -35,7 +35,7 @@
     }
 }
 
-/// A committed effect stays true; the result of a look-up may be out of date.
+/// Committed effects stay valid. Results of lookups may be out of date and are replaced by a request to retry.
 fn outcome_without_lease(outcome: ClientOutcome) -> ClientOutcome {
     match outcome {
         ClientOutcome::Accepted | ClientOutcome::Cancelled | ClientOutcome::Invalid { .. } => {
--- a/crates/control-plane/src/core_member/membership.rs
+++ b/crates/control-plane/src/core_member/membership.rs
@@ -1,4 +1,4 @@
-//! The other members: connections to them, and the announcement of this member and the members that it knows.
+//! Keeps the connections to the other members, and announces this member and those that it knows.
 
 use super::{CoreMember, Output};
 use crate::clocks::Clocks;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 impl CoreMember {
-    /// Another member's welcome: the replica is informed of the members in it.
+    /// Passes the members in another member's welcome to the replica.
     pub(super) fn handle_welcome(&mut self, clocks: Clocks, welcome: Welcome) {
         let own = self.settings.address.internal;
         let others = welcome.members.into_iter();
@@ -18,7 +18,7 @@
         self.announcement.invalidate();
     }
 
-    /// Rebuilds the announcement if that is due, and sends it to all connections if it has changed.
+    /// Rebuilds the announcement if that is due. If it has changed, sends it on all connections to this member.
     pub(super) fn refresh_announcement(&mut self, now_ms: u64) {
         let acting = self.is_acting(now_ms);
         let config_version = self.config_version();
@@ -42,7 +42,7 @@
         self.outputs.extend(sends);
     }
 
-    /// Keeps connections to the members that the replica knows and to the seeds.
+    /// Updates the set of members to keep a connection to: those that the replica knows, and the seeds.
     fn update_peers(&mut self, now_ms: u64) {
         let known = self
             .replica
@@ -69,7 +69,7 @@
         }
     }
 
-    /// This member and those that it knows, in the order of their internal addresses.
+    /// Returns this member and those that it knows, in the order of their internal addresses.
     fn all_members(&self) -> Vec<MemberAddress> {
         let own = &self.settings.address;
         let mut members = self.replica.members();
@@ -80,7 +80,7 @@
         members
     }
 
-    /// Version of the configuration in force at this head; 0 without one.
+    /// Returns the version of the configuration in force; 0 if there is none or this member is not the leading head.
     pub(super) fn config_version(&self) -> u64 {
         let head = self.head_role.leading();
         head.and_then(|head| head.config())
--- a/crates/control-plane/src/core_member/replication.rs
+++ b/crates/control-plane/src/core_member/replication.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the replica.
+//! Passes inputs to the replica and carries out its outputs.
 
 use super::head_transitions::HeadLossReason;
 use super::{CoreMember, Output};
@@ -8,7 +8,8 @@
 use indigofold_replication::{Input as ReplicaInput, Output as ReplicaOutput, message};
 
 impl CoreMember {
-    /// Passes an input to the replica and carries out its outputs. Inputs that arise from them are queued.
+    /// Passes an input to the replica and carries out the resulting outputs. Inputs that these outputs cause are queued and
+    /// handled afterwards, by the outermost call.
     pub(super) fn replica_input(&mut self, clocks: Clocks, input: ReplicaInput) {
         if !self.replica_inputs.push(input) {
             return;
--- a/crates/control-plane/src/core_member/requests.rs
+++ b/crates/control-plane/src/core_member/requests.rs
@@ -1,4 +1,4 @@
-//! Calls of edges, reports of node agents and requests of the operator.
+//! Handles calls of edges, reports of node agents and requests of the operator.
 
 use super::lease_filter::RETRY_AFTER_MS;
 use super::{CoreMember, Output};
@@ -10,7 +10,7 @@
 use indigofold_scheduler::{AgentId, CallerId, Event};
 
 impl CoreMember {
-    /// A client's call, sent by an edge.
+    /// Handles a client's call that an edge has forwarded. A member that is not the acting head replies that it is unavailable.
     pub(super) fn handle_call(
         &mut self,
         clocks: Clocks,
@@ -32,7 +32,8 @@
         self.scheduler_event(clocks, Event::Call { from, call });
     }
 
-    /// A node agent's report. Without a lease it is not answered, so that the node agent looks for the acting head.
+    /// Handles a node agent's report. A member that is not the acting head ignores it, so that the agent searches for the acting
+    /// head.
     pub(super) fn handle_report(
         &mut self,
         clocks: Clocks,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A request of the operator; a member that does not act names the head.
+    /// Handles a request of the operator. A member that is not the acting head redirects to it.
     pub(super) fn handle_operator(
         &mut self,
         clocks: Clocks,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The response of a member that is not the acting head.
+    /// Returns the response of a member that is not the acting head: a redirect to the head, if it knows one.
     fn redirect(&self, now_ms: u64) -> OperatorResponse {
         let own = self.settings.address.internal;
         let head = self
--- a/crates/control-plane/src/core_member/storage.rs
+++ b/crates/control-plane/src/core_member/storage.rs
@@ -1,4 +1,4 @@
-//! Responses of the storage thread.
+//! Handles responses of the storage thread.
 
 use super::{CoreMember, Output};
 use crate::clocks::Clocks;
@@ -6,7 +6,7 @@
 use indigofold_replication::{Input as ReplicaInput, RowsChunk, StorageError};
 
 impl CoreMember {
-    /// Handles a response of the storage thread.
+    /// Handles a response of the storage thread. If it shows damage to the database, the process has to end.
     pub(super) fn handle_storage(&mut self, clocks: Clocks, response: StorageResponse) {
         let response = match response.check_damage() {
             Ok(response) => response,
--- a/crates/control-plane/src/inspection.rs
+++ b/crates/control-plane/src/inspection.rs
@@ -1,5 +1,5 @@
-//! What a member reports to the command line tool: facts from the stored rows ([`table_summary`]) and about the workers
-//! that node agents report ([`capacity`]). Nothing here changes any state.
+//! Reports for the command line tool, made from the stored rows ([`table_summary`]) and from the workers that node agents
+//! report ([`capacity`]). Nothing here changes the state of the cluster.
 
 pub mod capacity;
 pub mod job_report;
--- a/crates/control-plane/src/inspection/capacity.rs
+++ b/crates/control-plane/src/inspection/capacity.rs
@@ -1,4 +1,4 @@
-//! Free capacity at the workers that node agents report, and why the tasks of a step wait.
+//! Free capacity of the workers that node agents report, and the reason why tasks of a step wait.
 
 use super::rows::StepRow;
 use indigofold_protocol::inspection::{ServiceStatus, Wait};
@@ -8,23 +8,23 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// The facts about a worker in its node agent's reports that seldom change.
+/// The parts of a node agent's report about its worker that seldom change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerProfile {
-    /// Id of its instance.
+    /// Id of the worker's instance.
     pub instance: String,
-    /// Its service.
+    /// Service that the worker belongs to.
     pub backend: String,
-    /// Whether it takes new work.
+    /// Whether the worker takes new work or drains.
     pub state: WorkerState,
-    /// Its capacity, used or free.
+    /// Total capacity of the worker, whether used or free.
     pub capacity: Resources,
-    /// Its labels.
+    /// Labels that steps can require.
     pub labels: Vec<String>,
 }
 
 impl WorkerProfile {
-    /// Whether a report has the same facts.
+    /// Whether a report has the same values as this profile.
     pub fn matches_report(&self, report: &InstanceReport) -> bool {
         self.instance == report.id
             && self.state == report.state
@@ -37,7 +37,7 @@
         self.backend == service && self.state == WorkerState::Ready
     }
 
-    /// Whether a task of the step would fit if nothing else ran here.
+    /// Whether a task of the step would fit if nothing else ran on this worker.
     fn fits(&self, step: &Step) -> bool {
         let has_label = step.requirements.is_empty() || self.labels.contains(&step.requirements);
         has_label && self.capacity.can_fit(&step.resources())
@@ -56,16 +56,16 @@
     }
 }
 
-/// The workers and the resources that runs use there.
+/// The workers, and the resources in use on them.
 pub struct ClusterCapacity<'a> {
-    /// The workers whose node agents are connected.
+    /// Workers whose node agents are connected.
     pub workers: Vec<&'a WorkerProfile>,
     /// Resources that outstanding runs use, by instance.
     pub used: &'a FxHashMap<String, Resources>,
 }
 
 impl ClusterCapacity<'_> {
-    /// Numbers of workers by service.
+    /// Returns the number of ready and of draining workers of each service, in the order of the services' names.
     pub fn services(&self) -> Vec<ServiceStatus> {
         let mut services: BTreeMap<&str, ServiceStatus> = BTreeMap::new();
         for worker in &self.workers {
@@ -79,8 +79,8 @@
         services.into_values().collect()
     }
 
-    /// Why tasks of a step without unfinished dependencies wait, as far as the capacity shows it. `instances` are those
-    /// that the step's runs refer to.
+    /// Returns why tasks of a step wait, as far as the capacity tells. The step must have no unfinished dependencies.
+    /// `instances` is the list that the runs in `row` index.
     pub fn wait(&self, service: &str, step: &Step, row: &StepRow, instances: &[String]) -> Wait {
         let ready = self
             .workers
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Number of further tasks of the step that fit on a worker.
+    /// Returns how many more tasks of the step fit on a worker: limited by the free resources and, if it is set, by the limit of
+    /// tasks per worker (`anti_affinity`).
     fn free_slots(
         &self,
         worker: &WorkerProfile,
--- a/crates/control-plane/src/inspection/job_report.rs
+++ b/crates/control-plane/src/inspection/job_report.rs
@@ -1,4 +1,4 @@
-//! State of one job, and why its steps wait.
+//! Report on one job: its state, its steps, and why they wait.
 
 use super::capacity::ClusterCapacity;
 use super::rows::{Definition, Progress, RepeatRow, StepRow, unfinished_dependencies};
@@ -9,7 +9,8 @@
 };
 use indigofold_protocol::job::Step;
 
-/// Reports the state of a job under this configuration.
+/// Returns the report on a job under the given configuration. Without the definition, which is not kept for ended jobs, the
+/// report holds only the id and the state.
 pub fn job_report(
     record: &JobRecord,
     config: Option<&Config>,
@@ -48,7 +49,7 @@
     }
 }
 
-/// The service that the job's route leads to now.
+/// Returns the service that the job's route leads to now, or the one at acceptance if the route no longer exists.
 fn current_service(definition: &Definition, config: Option<&Config>) -> String {
     let route = config.and_then(|config| {
         config
@@ -61,7 +62,7 @@
         .clone()
 }
 
-/// When the next repetition of a job with set times is due, in milliseconds since 1970.
+/// Returns when the next repetition of a job with set start times is due, in milliseconds since 1970; `None` if there is none.
 fn next_due_wall_ms(definition: &Definition, progress: &Progress) -> Option<u64> {
     let spec = &definition.spec;
     let next = progress.next_repeat;
@@ -78,7 +79,7 @@
 }
 
 impl StepReporter<'_> {
-    /// The steps of all open repetitions, [`STEPS_LISTED_MAX`] at most.
+    /// Reports the steps of all open repetitions, [`STEPS_LISTED_MAX`] at most. `specs` are the steps of the job's definition.
     fn steps(&self, specs: &[Step]) -> Vec<StepInspection> {
         let repeats = self.progress.repeats.iter();
         let reports = repeats.flat_map(|repeat| {
@@ -88,6 +89,7 @@
         reports.take(STEPS_LISTED_MAX).collect()
     }
 
+    /// Reports one step of a repetition.
     fn step(&self, repeat: &RepeatRow, number: u32, spec: &Step, row: &StepRow) -> StepInspection {
         let unfinished = unfinished_dependencies(spec, &repeat.steps);
         let tasks = row.counts(spec, unfinished.is_empty());
@@ -116,6 +118,7 @@
         }
     }
 
+    /// Returns the outstanding runs of a step's tasks, without speculative ones.
     fn regular_runs(&self, row: &StepRow) -> impl Iterator<Item = RunInspection> {
         let tasks = row.tasks().iter().enumerate();
         tasks.filter_map(|(index, task)| {
@@ -129,6 +132,7 @@
         })
     }
 
+    /// Returns the outstanding speculative runs of a step's tasks.
     fn speculative_runs(&self, repeat: u32, step: u32) -> impl Iterator<Item = RunInspection> {
         let runs = self.progress.speculative_runs.iter();
         runs.filter(move |run| run.repeat == repeat && run.step == step)
--- a/crates/control-plane/src/inspection/rows.rs
+++ b/crates/control-plane/src/inspection/rows.rs
@@ -1,22 +1,23 @@
-//! The scheduler's rows (`job/ID`, `progress/ID`) in postcard, as far as a reader of the table needs them. The scheduler's
-//! own types are private to it; a test reads rows of a real scheduler by these.
+//! Decodes the scheduler's rows (`job/ID`, `progress/ID`, encoded with postcard), as far as inspection needs them. The
+//! scheduler's own types are private to it, so these types repeat the stored format; a test decodes rows of a real scheduler
+//! with them.
 
 use indigofold_protocol::inspection::TaskCounts;
 use indigofold_protocol::job::{JobSpec, JobState, Step};
 use indigofold_protocol::task::JobId;
 use serde::Deserialize;
 
-/// Which of the scheduler's rows a key names.
+/// Key of a row of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowName {
-    /// `job/ID`.
+    /// `job/ID`: the definition of a job.
     Job(JobId),
-    /// `progress/ID`.
+    /// `progress/ID`: the progress of a job.
     Progress(JobId),
 }
 
 impl RowName {
-    /// Reads a key; `None` for rows that are not the scheduler's.
+    /// Parses a key; `None` if the row is not one of the scheduler's.
     pub fn parse(key: &[u8]) -> Option<RowName> {
         let (kind, id) = str::from_utf8(key).ok()?.split_once('/')?;
         let id = id.parse().ok()?;
@@ -28,46 +29,46 @@
     }
 }
 
-/// A job as it was accepted.
+/// A job as it was accepted; value of `job/ID`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Definition {
     /// The job as the client submitted it.
     pub spec: JobSpec,
-    /// Name of its route.
+    /// Name of the job's route.
     pub route: String,
     /// Service to which the route led when the job was accepted.
     pub service: String,
     /// Terms of the route when the job was accepted.
     pub terms: Terms,
-    /// When it was accepted, in milliseconds since 1970.
+    /// When the job was accepted, in milliseconds since 1970.
     pub accepted_wall_ms: u64,
 }
 
 /// The terms that a route gives its jobs.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Terms {
-    /// 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Number of failures of one task that fails its job.
+    /// Number of failures of one task at which the whole job fails.
     pub max_retries: u32,
-    /// Latency target: multiple of the longest chain of work.
+    /// Factor in the latency target: multiplies the longest chain of dependent work.
     pub stretch: f64,
-    /// Latency target: the part that does not depend on the work, in milliseconds.
+    /// Constant part of the latency target, in milliseconds.
     pub target_latency_ms: u64,
 }
 
-/// Progress of a job.
+/// Progress of a job; value of `progress/ID`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Progress {
-    /// Its end.
+    /// How and when the job ended; `None` while it is open.
     pub end: Option<End>,
-    /// The first repetition that is not due yet.
+    /// Number of the first repetition that is not due yet.
     pub next_repeat: u32,
     /// Ids of the instances that runs refer to.
     pub instances: Vec<String>,
-    /// Repetitions that are due and not finished.
+    /// Repetitions that are due and have not ended.
     pub repeats: Vec<RepeatRow>,
-    /// Speculative runs; they follow the rest of the row if there are any.
+    /// Outstanding speculative runs. They are appended to the rest of the row, and only if there are any.
     #[serde(skip)]
     pub speculative_runs: Vec<SpeculativeRunRow>,
 }
@@ -75,20 +76,20 @@
 /// A repetition of a job.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RepeatRow {
-    /// Its number, from 0.
+    /// Number of the repetition, from 0.
     pub repeat: u32,
-    /// Its steps, in the order of the job.
+    /// Steps of the repetition, in the order of the job's definition.
     pub steps: Vec<StepRow>,
 }
 
 /// A speculative run of a task.
 #[derive(Clone, Debug, Deserialize)]
 pub struct SpeculativeRunRow {
-    /// Repetition.
+    /// Number of the repetition, from 0.
     pub repeat: u32,
-    /// Step.
+    /// Number of the step within the job, from 0.
     pub step: u32,
-    /// Task within the step.
+    /// Number of the task within the step, from 0.
     pub index: u32,
     /// Id of the instance that runs it.
     pub instance: String,
@@ -101,58 +102,58 @@
 pub struct End {
     /// `Completed`, `Failed` or `Cancelled`.
     pub state: JobState,
-    /// When, in milliseconds since 1970.
+    /// When the job ended, in milliseconds since 1970.
     pub wall_ms: u64,
 }
 
 /// A step of a repetition.
 #[derive(Clone, Debug, Deserialize)]
 pub enum StepRow {
-    /// Nothing has been started.
+    /// No task has been started.
     Fresh,
     /// All tasks are done and no run is outstanding.
     Done,
-    /// Anything else.
+    /// Any other state.
     Open {
-        /// Failed attempts of a gang.
+        /// For a gang, the number of failed attempts.
         gang_failures: u32,
-        /// Number of the newest failed attempt of a gang.
+        /// For a gang, the number of the newest failed attempt.
         gang_failed_attempt: u32,
-        /// The tasks.
+        /// State of each task.
         tasks: Vec<TaskRow>,
     },
 }
 
-/// A task.
+/// State of a task.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TaskRow {
     /// Attempt number of the newest run.
     pub last_attempt: u32,
-    /// Runs that ended `failed`.
+    /// Number of runs that ended `failed`.
     pub failures: u32,
-    /// It is done.
+    /// Whether the task is done.
     pub done: bool,
-    /// Checkpoint to resume from.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// Outstanding run.
+    /// The outstanding run, without speculative ones; `None` if there is none.
     pub run: Option<RunRow>,
 }
 
-/// An outstanding run.
+/// An outstanding run of a task.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct RunRow {
     /// Index into [`Progress::instances`].
     pub instance: u32,
-    /// Attempt number.
+    /// Attempt number of the run.
     pub attempt: u32,
 }
 
-/// Reads the value of `job/ID`; `None` if it has another form.
+/// Decodes the value of `job/ID`; `None` if it is not in the expected format.
 pub fn read_definition(value: &[u8]) -> Option<Definition> {
     postcard::from_bytes(value).ok()
 }
 
-/// Reads the value of `progress/ID`; `None` if it has another form.
+/// Decodes the value of `progress/ID`; `None` if it is not in the expected format.
 pub fn read_progress(value: &[u8]) -> Option<Progress> {
     let (mut progress, rest): (Progress, &[u8]) = postcard::take_from_bytes(value).ok()?;
     if !rest.is_empty() {
@@ -162,7 +163,7 @@
 }
 
 impl StepRow {
-    /// Its tasks; none if all have the same state.
+    /// Returns the state of each task; empty if the row stores one state for all of them.
     pub fn tasks(&self) -> &[TaskRow] {
         match self {
             StepRow::Open { tasks, .. } => tasks,
@@ -170,12 +171,12 @@
         }
     }
 
-    /// The outstanding runs of its tasks, without speculative ones.
+    /// Returns the outstanding runs of the step's tasks, without speculative ones.
     pub fn runs(&self) -> impl Iterator<Item = RunRow> {
         self.tasks().iter().filter_map(|task| task.run)
     }
 
-    /// Whether all its tasks are done.
+    /// Whether all tasks of the step are done.
     pub fn is_done(&self) -> bool {
         match self {
             StepRow::Fresh => false,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Whether any of its tasks has been started.
+    /// Whether any task of the step has been started.
     pub fn has_started(&self) -> bool {
         match self {
             StepRow::Fresh => false,
@@ -193,7 +194,8 @@
         }
     }
 
-    /// Its tasks by state; those without a run are waiting if the step `is_open`, and blocked otherwise.
+    /// Counts the step's tasks by state. Tasks that are neither running nor done are waiting if `is_open`, that is if the
+    /// step has no unfinished dependencies, and blocked otherwise.
     pub fn counts(&self, step: &Step, is_open: bool) -> TaskCounts {
         let all = u64::from(step.count);
         let (running, done) = match self {
@@ -232,7 +234,7 @@
                 .any(|repeat| repeat.steps.iter().any(StepRow::has_started))
     }
 
-    /// The job's state as clients see it.
+    /// Returns the job's state as clients see it.
     pub fn state(&self) -> JobState {
         let unended = if self.has_started() {
             JobState::Running
@@ -243,7 +245,7 @@
     }
 }
 
-/// The steps that `step` depends on and that are not done.
+/// Returns the numbers of the steps that `step` depends on and that are not done.
 pub fn unfinished_dependencies(step: &Step, steps: &[StepRow]) -> Vec<u32> {
     let unfinished = |on: &u32| steps.get(*on as usize).is_none_or(|row| !row.is_done());
     step.depends_on.iter().copied().filter(unfinished).collect()
--- a/crates/control-plane/src/inspection/table_summary.rs
+++ b/crates/control-plane/src/inspection/table_summary.rs
@@ -1,5 +1,5 @@
-//! Summary of all rows in one pass: jobs and tasks by queue, resources in use by instance, and one job in full if it is
-//! requested. Runs on the storage thread.
+//! Summarizes all rows in one pass: jobs and tasks by queue, resources in use by instance and, if one is requested, a job in
+//! full. Runs on the storage thread.
 
 use super::rows::{self, Definition, Progress, RowName, StepRow, unfinished_dependencies};
 use indigofold_protocol::inspection::{EndedJobs, QueueStatus, TaskCounts};
@@ -8,45 +8,47 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// Summary of the rows.
+/// Summary of the scheduler's rows.
 #[derive(Debug, Default)]
 pub struct TableSummary {
-    /// The open jobs of each queue, by the route's name.
+    /// Numbers of the open jobs and their tasks in each queue, by the name of the route.
     pub queues: BTreeMap<String, QueueStatus>,
-    /// Ended jobs that are still shown.
+    /// Numbers of ended jobs whose rows are still kept.
     pub ended: EndedJobs,
-    /// Resources that outstanding runs use, by instance.
+    /// Resources that outstanding runs use, by the id of the instance.
     pub used: FxHashMap<String, Resources>,
-    /// The requested job, if there is such a job.
+    /// The requested job; `None` if none was requested or it does not exist.
     pub job: Option<JobRecord>,
-    /// Rows of the scheduler that cannot be read.
+    /// Number of rows of the scheduler that cannot be decoded or are inconsistent.
     pub unreadable: u64,
+    /// The job to keep in full.
     requested: Option<JobId>,
-    /// Jobs whose progress row is to come: it follows in the order of keys.
+    /// Jobs whose definition has been added and whose progress has not: in the order of keys it comes later.
     outlines: FxHashMap<JobId, Outline>,
 }
 
 /// A job in full.
 #[derive(Debug)]
 pub struct JobRecord {
-    /// Its id.
+    /// Id of the job.
     pub id: JobId,
-    /// The job as it was accepted; not kept for ended jobs.
+    /// The job as it was accepted; `None` for ended jobs, whose definition is not kept.
     pub definition: Option<Definition>,
-    /// Its progress.
+    /// Progress of the job.
     pub progress: Progress,
 }
 
-/// The part of a job's definition that its progress is read with.
+/// The part of a job's definition that is needed to interpret its progress.
 #[derive(Debug)]
 struct Outline {
     route: String,
     steps: Vec<Step>,
+    /// The whole definition, for the requested job only.
     definition: Option<Definition>,
 }
 
 impl TableSummary {
-    /// A survey that also keeps the job `wanted`.
+    /// Returns an empty summary that also keeps the job `requested` in full.
     pub fn new(requested: Option<JobId>) -> Self {
         TableSummary {
             requested,
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Adds a row. Rows must come in the order of their keys.
+    /// Adds a row; rows of other components are skipped. Rows must be added in the order of their keys.
     pub fn add_row(&mut self, key: &[u8], value: &[u8]) {
         let read = match RowName::parse(key) {
             Some(RowName::Job(id)) => {
@@ -122,6 +124,7 @@
         }
     }
 
+    /// Adds the resources that the job's outstanding runs use.
     fn add_runs(&mut self, specs: &[Step], progress: &Progress) {
         for (spec, row) in progress
             .repeats
@@ -146,7 +149,7 @@
     }
 }
 
-/// The tasks of one repetition, by state.
+/// Counts the tasks of one repetition by state.
 fn repeat_counts(specs: &[Step], rows: &[StepRow]) -> TaskCounts {
     let mut counts = TaskCounts::default();
     for (spec, row) in specs.iter().zip(rows) {
