--- a/crates/control-plane/tests/control_plane/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -110,12 +110,12 @@
     /// Flips a bit in the database of a member that is down, at the last place where it holds `text`.
     pub(crate) fn flip_bit(&self, member: usize, text: &str) {
         let path = self.directories[member].path().join("control.sqlite");
-        let mut bytes = std::fs::read(&path).expect("the database can be opened");
+        let mut bytes = std::fs::read(&path).expect("the database file can be read");
         let at = bytes
             .windows(text.len())
             .rposition(|window| window == text.as_bytes());
         bytes[at.expect("the database holds the text")] ^= 1;
-        std::fs::write(&path, bytes).expect("the database can be written");
+        std::fs::write(&path, bytes).expect("the database file can be written");
     }
 
     /// Kills a member; its connections are closed.
