--- a/crates/control-plane/src/core_member.rs
+++ b/crates/control-plane/src/core_member.rs
@@ -158,7 +158,7 @@
         self.is_head() || in_chain
     }
 
-    /// Whether this member knows a head that is at work.
+    /// Whether this member knows an acting head.
     pub fn knows_head(&self) -> bool {
         self.announcement.welcome().head.is_some()
     }
