--- a/crates/control-plane/src/driver.rs
+++ b/crates/control-plane/src/driver.rs
@@ -1,4 +1,5 @@
-//! Runs a [`CoreMember`]: connects it with sockets, storage thread, clocks and signals. One thread serves all but the disk.
+//! Runs a [`CoreMember`]: connects it to sockets, the storage thread, clocks and signals. One thread serves everything except
+//! the disk.
 
 mod clock;
 mod connections;
@@ -26,15 +27,17 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// Longest wait for an event before the timers of the node are checked.
-const WAIT_LONGEST_MS: u64 = 1_000;
-/// Longest time from SIGTERM to the end of the process, in which a head hands its role over and leaves the chain.
+/// Longest wait for an event before the member's timers are checked, in milliseconds.
+const WAIT_MAX_MS: u64 = 1_000;
+/// Longest time from SIGTERM to the end of the process, in milliseconds. In this time a head hands over its role and the
+/// member leaves the chain.
 const STEP_DOWN_LIMIT_MS: u64 = 1_000;
-/// Wait between reads of the settings while no head is known: the seeds may have changed without a signal.
+/// Interval between reads of the settings while no head is known, in milliseconds. The seeds may have changed without a
+/// SIGHUP.
 const SETTINGS_RETRY_MS: u64 = 2_000;
-/// Time for connections without a request once the HTTP server stops.
+/// How long idle connections stay open once the HTTP server stops.
 const IDLE_GRACE: Duration = Duration::from_millis(100);
-/// Time for open requests to be answered once the HTTP server stops.
+/// How long open requests may still be answered once the HTTP server stops.
 const DRAIN_LIMIT: Duration = Duration::from_millis(400);
 
 /// Runs the member that the settings describe, until SIGTERM.
@@ -44,9 +47,10 @@
 /// A setting is missing, a socket or the storage thread cannot be used, or the database is damaged.
 pub async fn run(settings: Settings) -> Result<(), DriverError> {
     let inbox = Inbox::default();
-    // First, as opening the database takes a while: SIGTERM in that time is to end the member as usual.
+    // Signals are caught before the database is opened: that takes a while, and SIGTERM in the meantime must still stop the
+    // member in the normal way.
     start::watch_signals(&inbox)?;
-    let (node, storage) = start::node(&settings, &inbox).await?;
+    let (member, storage) = start::core_member(&settings, &inbox).await?;
     let connections = Connections::listen(settings.internal_address(), inbox.clone()).await?;
     let http = operator_api::serve(&settings, &inbox).await?;
     log::info!(
@@ -56,13 +60,13 @@
     );
     let settings_due_ms = steady_ms() + SETTINGS_RETRY_MS;
     let driver = Driver {
-        node,
+        member,
         inbox,
         connections,
         storage,
         calls: HashMap::new(),
         next_call: OperatorCallId(0),
-        stop_ms: None,
+        stop_deadline_ms: None,
         settings_due_ms,
     };
     driver.serve(http).await
@@ -70,16 +74,16 @@
 
 /// The running member.
 struct Driver {
-    node: CoreMember,
+    member: CoreMember,
     inbox: Inbox<Event>,
     connections: Connections,
     storage: Sender<StorageRequest>,
-    /// Open requests of the operator.
+    /// Operator requests without a response yet, with the channel for the response.
     calls: HashMap<OperatorCallId, oneshot::Sender<OperatorResponse>>,
     next_call: OperatorCallId,
-    /// When the process ends at the latest; set by SIGTERM.
-    stop_ms: Option<u64>,
-    /// When the settings are read for other seeds, as long as no head is known.
+    /// When the process ends at the latest, on the steady clock; set by the first SIGTERM.
+    stop_deadline_ms: Option<u64>,
+    /// When the seeds are next read from the settings if no head is known by then, on the steady clock.
     settings_due_ms: u64,
 }
 
@@ -88,12 +92,12 @@
         while !self.has_stopped() {
             self.wait().await;
             let clocks = clock::now();
-            self.node.handle_timeout(clocks);
+            self.member.handle_timeout(clocks);
             self.refresh_seeds(clocks);
             while let Some(event) = self.inbox.pop() {
                 self.handle_event(clocks, event);
             }
-            for output in self.node.poll_outputs(steady_ms()) {
+            for output in self.member.poll_outputs(steady_ms()) {
                 self.execute(output)?;
             }
         }
@@ -102,30 +106,29 @@
         Ok(())
     }
 
-    /// Waits for events, or for the next timer of the node.
+    /// Waits for an event or the member's next timer, but for at most [`WAIT_MAX_MS`].
     async fn wait(&self) {
         let now = clock::now();
         let due_ms = self
-            .node
+            .member
             .next_timeout_ms(now)
-            .min(self.stop_ms.unwrap_or(u64::MAX));
-        let wait_ms = due_ms
-            .saturating_sub(now.steady_ms)
-            .clamp(1, WAIT_LONGEST_MS);
-        runtime::timeout(Duration::from_millis(wait_ms), self.inbox.filled()).await;
+            .min(self.stop_deadline_ms.unwrap_or(u64::MAX));
+        let wait_ms = due_ms.saturating_sub(now.steady_ms).clamp(1, WAIT_MAX_MS);
+        runtime::timeout(Duration::from_millis(wait_ms), self.inbox.wait_non_empty()).await;
     }
 
-    /// Whether SIGTERM has come and the member is no longer needed, or its time is over.
+    /// Whether SIGTERM was received and either the member is no longer needed and has answered all operator requests, or the
+    /// deadline has passed.
     fn has_stopped(&self) -> bool {
-        let Some(stop_ms) = self.stop_ms else {
+        let Some(deadline_ms) = self.stop_deadline_ms else {
             return false;
         };
-        (!self.node.is_needed() && self.calls.is_empty()) || steady_ms() >= stop_ms
+        (!self.member.is_needed() && self.calls.is_empty()) || steady_ms() >= deadline_ms
     }
 
-    /// Reads the seeds from the settings at intervals while no head is known.
+    /// Reads the seeds from the settings every [`SETTINGS_RETRY_MS`] while no head is known.
     fn refresh_seeds(&mut self, clocks: Clocks) {
-        if self.node.knows_head() {
+        if self.member.knows_head() {
             self.settings_due_ms = clocks.steady_ms + SETTINGS_RETRY_MS;
         } else if self.settings_due_ms <= clocks.steady_ms {
             self.settings_due_ms = clocks.steady_ms + SETTINGS_RETRY_MS;
@@ -136,7 +139,7 @@
     fn reload_seeds(&mut self, clocks: Clocks) {
         match Settings::from_env() {
             Ok(settings) => self
-                .node
+                .member
                 .handle(clocks, Input::Seeds(start::seeds(&settings))),
             Err(error) => log::error!("seeds not updated error={error}"),
         }
@@ -144,18 +147,19 @@
 
     fn handle_event(&mut self, clocks: Clocks, event: Event) {
         match event {
-            Event::CoreMember(input) => self.node.handle(clocks, input),
+            Event::CoreMember(input) => self.member.handle(clocks, input),
             Event::Operator { request, reply } => {
                 let call = self.next_call;
                 self.next_call = OperatorCallId(call.0 + 1);
                 self.calls.insert(call, reply);
-                self.node.handle(clocks, Input::Operator { call, request });
+                self.member
+                    .handle(clocks, Input::Operator { call, request });
             }
             Event::Signal(Signal::Terminate) => {
                 log::info!("SIGTERM received, handing over");
-                self.stop_ms
+                self.stop_deadline_ms
                     .get_or_insert(clocks.steady_ms + STEP_DOWN_LIMIT_MS);
-                self.node.handle(clocks, Input::StepDown);
+                self.member.handle(clocks, Input::StepDown);
             }
             Event::Signal(Signal::Reload) => {
                 log::info!("SIGHUP received, reading the seeds");
--- a/crates/control-plane/src/inspection/job_report.rs
+++ b/crates/control-plane/src/inspection/job_report.rs
@@ -1,4 +1,4 @@
-//! State of one job, and why its steps wait.
+//! Report on one job: its state, its steps, and why they wait.
 
 use super::capacity::ClusterCapacity;
 use super::rows::{Definition, Progress, RepeatRow, StepRow, unfinished_dependencies};
@@ -9,7 +9,8 @@
 };
 use indigofold_protocol::job::Step;
 
-/// Reports the state of a job under this configuration.
+/// Returns the report on a job under the given configuration. Without the definition, which is not kept for ended jobs, the
+/// report holds only the id and the state.
 pub fn job_report(
     record: &JobRecord,
     config: Option<&Config>,
@@ -17,7 +18,7 @@
 ) -> JobInspection {
     let progress = &record.progress;
     let definition = record.definition.as_ref();
-    let service = definition.map(|definition| service_now(definition, config));
+    let service = definition.map(|definition| current_service(definition, config));
     let steps = match (definition, &service) {
         (Some(definition), Some(service)) => {
             let reporter = StepReporter {
@@ -48,8 +49,8 @@
     }
 }
 
-/// The service that the job's route leads to now.
-fn service_now(definition: &Definition, config: Option<&Config>) -> String {
+/// Returns the service that the job's route leads to now, or the one at acceptance if the route no longer exists.
+fn current_service(definition: &Definition, config: Option<&Config>) -> String {
     let route = config.and_then(|config| {
         config
             .routes
@@ -61,7 +62,7 @@
         .clone()
 }
 
-/// When the next repetition of a job with set times is due, in milliseconds since 1970.
+/// Returns when the next repetition of a job with set start times is due, in milliseconds since 1970; `None` if there is none.
 fn next_due_wall_ms(definition: &Definition, progress: &Progress) -> Option<u64> {
     let spec = &definition.spec;
     let next = progress.next_repeat;
@@ -78,19 +79,20 @@
 }
 
 impl StepReporter<'_> {
-    /// The steps of all open repetitions, [`STEPS_LISTED_MAX`] at most.
-    fn steps(&self, described: &[Step]) -> Vec<StepInspection> {
+    /// Reports the steps of all open repetitions, [`STEPS_LISTED_MAX`] at most. `specs` are the steps of the job's definition.
+    fn steps(&self, specs: &[Step]) -> Vec<StepInspection> {
         let repeats = self.progress.repeats.iter();
         let reports = repeats.flat_map(|repeat| {
-            let steps = described.iter().zip(&repeat.steps).enumerate();
-            steps.map(|(number, (step, row))| self.step(repeat, number as u32, step, row))
+            let steps = specs.iter().zip(&repeat.steps).enumerate();
+            steps.map(|(number, (spec, row))| self.step(repeat, number as u32, spec, row))
         });
         reports.take(STEPS_LISTED_MAX).collect()
     }
 
-    fn step(&self, repeat: &RepeatRow, number: u32, step: &Step, row: &StepRow) -> StepInspection {
-        let unfinished = unfinished_dependencies(step, &repeat.steps);
-        let tasks = row.counts(step, unfinished.is_empty());
+    /// Reports one step of a repetition.
+    fn step(&self, repeat: &RepeatRow, number: u32, spec: &Step, row: &StepRow) -> StepInspection {
+        let unfinished = unfinished_dependencies(spec, &repeat.steps);
+        let tasks = row.counts(spec, unfinished.is_empty());
         let wait = if self.progress.end.is_some() {
             None
         } else if !unfinished.is_empty() {
@@ -99,7 +101,7 @@
             None
         } else {
             let instances = &self.progress.instances;
-            Some(self.capacity.wait(self.service, step, row, instances))
+            Some(self.capacity.wait(self.service, spec, row, instances))
         };
         let speculative = self.speculative_runs(repeat.repeat, number);
         StepInspection {
@@ -108,7 +110,7 @@
             tasks,
             failures: row.tasks().iter().map(|task| task.failures).sum(),
             runs: self
-                .first_runs(row)
+                .regular_runs(row)
                 .chain(speculative)
                 .take(RUNS_LISTED_MAX)
                 .collect(),
@@ -116,7 +118,8 @@
         }
     }
 
-    fn first_runs(&self, row: &StepRow) -> impl Iterator<Item = RunInspection> {
+    /// Returns the outstanding runs of a step's tasks, without speculative ones.
+    fn regular_runs(&self, row: &StepRow) -> impl Iterator<Item = RunInspection> {
         let tasks = row.tasks().iter().enumerate();
         tasks.filter_map(|(index, task)| {
             let run = task.run?;
@@ -129,6 +132,7 @@
         })
     }
 
+    /// Returns the outstanding speculative runs of a step's tasks.
     fn speculative_runs(&self, repeat: u32, step: u32) -> impl Iterator<Item = RunInspection> {
         let runs = self.progress.speculative_runs.iter();
         runs.filter(move |run| run.repeat == repeat && run.step == step)
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -1,12 +1,12 @@
-//! The operator's HTTP requests and the responses to them.
+//! HTTP requests of the operator's API, and the responses to them.
 
 use crate::config_authority::{ChangeResponse, ConfigChange, ConfigMethod};
 use indigofold_net::http::{HttpRequest, HttpResponse, Method, header};
 use std::net::SocketAddr;
 
-/// The path of the operator's API.
+/// The only path that the operator's API serves.
 pub const CONFIG_PATH: &str = "/config";
-/// Largest configuration that is accepted, in bytes.
+/// Largest request body, and so the largest configuration, that is accepted, in bytes.
 pub const CONFIG_BYTES_MAX: usize = 16 << 20;
 
 /// A request of the operator.
@@ -23,13 +23,13 @@
 pub enum OperatorResponse {
     /// The response to a change.
     Change(ChangeResponse),
-    /// The newest committed configuration.
+    /// The newest committed configuration, as JSON.
     Config(Vec<u8>),
-    /// There is no configuration yet.
+    /// No configuration has been accepted yet.
     NoConfig,
-    /// Another member is the head: its control address.
+    /// Another member is the head; holds the control address of that member.
     RedirectToHead(SocketAddr),
-    /// No acting head is known.
+    /// This member knows no acting head.
     NoHead,
 }
 
@@ -37,19 +37,24 @@
 ///
 /// # Errors
 ///
-/// The response to a request that the operator's API does not have.
+/// The request's path or method is not served; the error is the response to send.
 pub fn parse_request(request: HttpRequest) -> Result<OperatorRequest, HttpResponse> {
     if request.path != CONFIG_PATH {
-        return Err(problem(
+        return Err(error_response(
             404,
-            &format!("no such path; {CONFIG_PATH} is served here"),
+            &format!("the path does not exist; only {CONFIG_PATH} is served"),
         ));
     }
     let method = match request.method {
         Method::GET => return Ok(OperatorRequest::Read),
         Method::PUT => ConfigMethod::Put,
         Method::PATCH => ConfigMethod::Patch,
-        _ => return Err(problem(405, "GET, PUT and PATCH are served here")),
+        _ => {
+            return Err(error_response(
+                405,
+                "the method is not allowed; GET, PUT and PATCH are",
+            ));
+        }
     };
     let if_match = request.header(header::IF_MATCH.as_str()).map(str::to_owned);
     Ok(OperatorRequest::Change(ConfigChange {
@@ -59,38 +64,42 @@
     }))
 }
 
-/// The response in HTTP.
+/// Converts a response to HTTP.
 pub fn write_response(response: OperatorResponse) -> HttpResponse {
     match response {
         OperatorResponse::Change(ChangeResponse::Accepted { version }) => {
             HttpResponse::json(200, format!("{{\"version\":{version}}}"))
         }
-        OperatorResponse::Change(ChangeResponse::Invalid { reason }) => problem(400, &reason),
-        OperatorResponse::Change(ChangeResponse::VersionConflict { current }) => {
-            problem(412, &format!("version {current} is current"))
-        }
-        OperatorResponse::Change(ChangeResponse::Undetermined) => {
-            problem(503, "the order may or may not be taken; send it again")
+        OperatorResponse::Change(ChangeResponse::Invalid { reason }) => {
+            error_response(400, &reason)
         }
-        OperatorResponse::Change(ChangeResponse::Forgotten { remembered_from }) => problem(
+        OperatorResponse::Change(ChangeResponse::VersionConflict { current }) => error_response(
+            412,
+            &format!("If-Match does not match the current version, {current}"),
+        ),
+        OperatorResponse::Change(ChangeResponse::Undetermined) => error_response(
+            503,
+            "the change may or may not have been accepted; send it again",
+        ),
+        OperatorResponse::Change(ChangeResponse::Forgotten { remembered_from }) => error_response(
             503,
             &format!(
-                "the order may have been taken: only those that became version {remembered_from} or a later one are \
+                "the change may have been accepted: only changes that made version {remembered_from} or a later one are \
                  remembered; read the configuration"
             ),
         ),
         OperatorResponse::Config(text) => HttpResponse::json(200, text),
-        OperatorResponse::NoConfig => problem(503, "there is no configuration yet"),
+        OperatorResponse::NoConfig => error_response(503, "there is no configuration yet"),
         OperatorResponse::RedirectToHead(control) => {
             let location = format!("http://{control}{CONFIG_PATH}");
             HttpResponse::new(307).with_header(header::LOCATION, &location)
         }
-        OperatorResponse::NoHead => problem(503, "no head is at work; try again"),
+        OperatorResponse::NoHead => error_response(503, "no acting head is known; try again"),
     }
 }
 
-/// A response that says what is wrong.
-fn problem(status: u16, reason: &str) -> HttpResponse {
+/// Returns a response with the JSON body `{"error": reason}`. Control characters in `reason` become spaces.
+fn error_response(status: u16, reason: &str) -> HttpResponse {
     let mut body = String::from("{\"error\":\"");
     for character in reason.chars() {
         match character {
--- a/crates/control-plane/tests/control_plane/core_member.rs
+++ b/crates/control-plane/tests/control_plane/core_member.rs
@@ -1,4 +1,4 @@
-//! One member: how it becomes the head, which processes it serves, and what it stores.
+//! Tests of one member: how it becomes the head, which processes it serves, and what it stores.
 
 use crate::builders::{CONFIG_VERSION, EDGE, MAX_BODY_BYTES, accepted, config_read};
 use crate::test_node::{TestNode, address};
@@ -14,7 +14,7 @@
 use indigofold_replication::StorageError;
 use rstest::rstest;
 
-/// The frames that the member has sent on a connection.
+/// Returns the frames that the member has sent on a connection.
 fn sent_to(test: &TestNode, connection: ConnectionId) -> Vec<&Frame> {
     let frames = test.outputs().iter().filter_map(|output| match output {
         Output::Send {
@@ -32,7 +32,10 @@
     test.put_first_config(1);
     assert!(!test.undelivered().is_empty() && test.take_responses().is_empty());
     test.deliver_storage();
-    let welcome = test.welcomes().last().expect("a welcome to the edge");
+    let welcome = test
+        .welcomes()
+        .last()
+        .expect("a welcome was sent to the edge");
     assert_eq!(
         (welcome.config_version, welcome.limits.max_body_bytes),
         (CONFIG_VERSION, MAX_BODY_BYTES)
@@ -55,7 +58,7 @@
 }
 
 #[test]
-fn reading_without_a_configuration_is_answered_as_such() {
+fn reading_without_a_configuration_returns_no_config() {
     let mut test = TestNode::acting();
     test.operator(1, OperatorRequest::Read);
     assert_eq!(test.take_responses(), [(1, OperatorResponse::NoConfig)]);
@@ -65,7 +68,10 @@
 fn follower_rejects_operators_and_edges() {
     let mut test = TestNode::start(&[1, 2, 3]);
     test.connect(EDGE, ProcessKind::Edge);
-    let welcome = test.welcomes().next().expect("a welcome to the edge");
+    let welcome = test
+        .welcomes()
+        .next()
+        .expect("a welcome was sent to the edge");
     assert!(!welcome.acting && welcome.head.is_none());
     test.put_first_config(1);
     assert_eq!(test.take_responses(), [(1, OperatorResponse::NoHead)]);
@@ -77,7 +83,7 @@
 }
 
 #[test]
-fn dials_the_seeds_and_sends_its_greeting() {
+fn dials_the_seeds_and_sends_hello_and_welcome() {
     let mut test = TestNode::start(&[1, 2]);
     test.run_until(|test| {
         test.outputs()
@@ -104,7 +110,7 @@
 fn head_accepts_no_change_after_step_down() {
     let mut test = TestNode::acting();
     test.input(Input::StepDown);
-    // Without another member to hand over to, it may stay the head.
+    // Without another member to hand over to, the member may stay the head.
     for _ in 0..100 {
         test.deliver_storage();
         if !test.is_head() {
@@ -151,8 +157,7 @@
     assert!(is_reported, "{:?}", test.outputs().last());
 }
 
-/// Frames that their sender may not send, and those that cannot be decoded: the connection is closed without further
-/// effect.
+/// A frame that its sender may not send, or that cannot be decoded, closes the connection and has no other effect.
 #[rstest]
 #[case::call_before_hello(None, call_frame())]
 #[case::call_from_a_node_agent(Some(ProcessKind::Agent), call_frame())]
@@ -182,7 +187,7 @@
         test.take_responses()
             .iter()
             .any(|(_, response)| *response == accepted()),
-        "the member still serves"
+        "the member no longer accepts changes"
     );
 }
 
@@ -229,12 +234,12 @@
             status.stored.seq,
             status.work.as_ref().map(|work| work.config_version),
         ),
-        other => panic!("a status is expected: {other:?}"),
+        other => panic!("expected a status, got {other:?}"),
     };
     test.inspect(1, Question::Status);
     assert!(
         test.take_answers().is_empty(),
-        "the rows have to be read first"
+        "answered before the rows were read"
     );
     test.deliver_storage();
     let first = test.take_answers();
@@ -257,7 +262,7 @@
     test.inspect(2, Question::Job(JobId(7)));
     let answers = test.take_answers();
     let InspectionAnswer::Status(status) = &answers[0].1 else {
-        panic!("a status is expected")
+        panic!("expected a status, got {:?}", answers[0].1)
     };
     assert!(!status.acting && status.work.is_none() && status.peers.len() == 2);
     assert_eq!(answers[1], (2, InspectionAnswer::NotHead { head: None }));
--- a/crates/control-plane/tests/control_plane/peers.rs
+++ b/crates/control-plane/tests/control_plane/peers.rs
@@ -1,4 +1,4 @@
-//! Whom a member dials, and when it tries again.
+//! Tests of which members are dialled, and when failed dials are retried.
 
 use indigofold_control_plane::peers::Peers;
 use indigofold_control_plane::sessions::ConnectionId;
@@ -12,11 +12,11 @@
     SocketAddr::from(([10, 0, 0, last], 7380))
 }
 
-fn peers_with(lasts: &[u8]) -> Peers {
+fn peers_with(last_bytes: &[u8]) -> Peers {
     let mut peers = Peers::new(7);
     assert!(
         peers
-            .set_addresses(NOW_MS, lasts.iter().copied().map(address).collect())
+            .set_addresses(NOW_MS, last_bytes.iter().copied().map(address).collect())
             .is_empty()
     );
     peers
@@ -68,8 +68,8 @@
     assert!(peers.next_due_ms() <= NOW_MS + 100);
 }
 
-/// A dial to a machine without power hangs for the whole time that it is given; the peer's own connection shows that it
-/// is back.
+/// A dial to a machine that is down hangs until its timeout. A connection from the peer shows that the machine is up again, so
+/// the peer is dialled without waiting for the timeout.
 #[test]
 fn connecting_peer_is_dialled_at_once() {
     let mut peers = peers_with(&[1, 2]);
@@ -81,7 +81,7 @@
     assert!(peers.dial_succeeded(address(1), ConnectionId(4)));
     assert!(
         !peers.dial_succeeded(address(1), ConnectionId(5)),
-        "the dial that hung comes too late"
+        "a second connection to the same peer is not needed"
     );
     peers.dial_failed(NOW_MS + 400, address(1));
     peers.peer_connected(NOW_MS + 400, address(1));
--- a/crates/control-plane/tests/control_plane/simulated_cluster.rs
+++ b/crates/control-plane/tests/control_plane/simulated_cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of members with real databases, on simulated connections and a simulated clock.
+//! A cluster of members with real databases, simulated connections and a simulated clock.
 
 use crate::builders::{START_MS, clocks, hello};
 use indigofold_control_plane::clocks::Clocks;
@@ -16,14 +16,14 @@
 
 pub(crate) const CONTROL_PORT: u16 = 8080;
 const INTERNAL_PORT: u16 = 7380;
-/// More wake-ups than any test needs.
+/// Limit of wake-ups after which a test fails; more than any test needs.
 const STEPS_MAX: usize = 20_000;
 
 /// One end of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct Endpoint {
     member: usize,
-    /// Its number at that member.
+    /// Id of the connection at that member.
     connection: ConnectionId,
 }
 
@@ -33,7 +33,7 @@
     storage: Storage,
 }
 
-/// An event that is yet to be handled.
+/// An event that has not been handled yet.
 enum Event {
     /// An input for a member.
     Input(usize, Input),
@@ -43,24 +43,27 @@
     Storage(usize, StorageRequest),
 }
 
-/// Members by number, from 0; `None` for those that are down.
+/// The cluster. Members are numbered from 0.
 pub(crate) struct SimulatedCluster {
     directories: Vec<TempDir>,
+    /// Members by number; `None` for those that are down.
     members: Vec<Option<Member>>,
-    /// The other end of each endpoint.
+    /// The other end of each open connection, by endpoint.
     links: HashMap<Endpoint, Endpoint>,
     events: VecDeque<Event>,
+    /// Members that no frame reaches or leaves.
     partitioned: BTreeSet<usize>,
     responses: HashMap<OperatorCallId, OperatorResponse>,
     now_ms: u64,
-    last_number: u64,
+    /// The last id that was assigned; all kinds of ids share one sequence.
+    last_id: u64,
 }
 
 impl SimulatedCluster {
-    /// Members that start for the first time, all of them seeds.
+    /// Starts a cluster whose members start for the first time; all of them are seeds.
     pub(crate) fn start(count: usize) -> SimulatedCluster {
         let directories = (0..count)
-            .map(|_| TempDir::new().expect("a directory"))
+            .map(|_| TempDir::new().expect("a temporary directory can be created"))
             .collect();
         let mut cluster = SimulatedCluster {
             directories,
@@ -70,7 +73,7 @@
             partitioned: BTreeSet::new(),
             responses: HashMap::new(),
             now_ms: START_MS,
-            last_number: 0,
+            last_id: 0,
         };
         (0..count).for_each(|member| cluster.restart(member));
         cluster
@@ -93,7 +96,8 @@
 
     /// Starts a member with its database.
     pub(crate) fn restart(&mut self, member: usize) {
-        let opened = Storage::open(self.directories[member].path()).expect("a database");
+        let opened =
+            Storage::open(self.directories[member].path()).expect("the database can be opened");
         let mut settings = self.settings(member);
         settings.bootstrap &= !opened.has_quarantined;
         let node = CoreMember::new(settings, opened.durable, self.clocks());
@@ -103,18 +107,18 @@
         });
     }
 
-    /// Changes a bit in the database of a member that is down, where it holds `text`.
+    /// Flips a bit in the database of a member that is down, at the last place where it holds `text`.
     pub(crate) fn flip_bit(&self, member: usize, text: &str) {
         let path = self.directories[member].path().join("control.sqlite");
-        let mut bytes = std::fs::read(&path).expect("a database");
+        let mut bytes = std::fs::read(&path).expect("the database file can be read");
         let at = bytes
             .windows(text.len())
             .rposition(|window| window == text.as_bytes());
         bytes[at.expect("the database holds the text")] ^= 1;
-        std::fs::write(&path, bytes).expect("written");
+        std::fs::write(&path, bytes).expect("the database file can be written");
     }
 
-    /// Ends a member without notice; its connections are closed.
+    /// Kills a member; its connections are closed.
     pub(crate) fn kill(&mut self, member: usize) {
         self.members[member] = None;
         let endpoints = self.links.keys().copied();
@@ -126,7 +130,7 @@
             .for_each(|endpoint| self.close(endpoint));
     }
 
-    /// Drops all frames to and from the member from now on; its connections stay open.
+    /// Drops all frames to and from a member from now on. Its connections stay open.
     pub(crate) fn partition(&mut self, member: usize) {
         self.partitioned.insert(member);
     }
@@ -135,18 +139,18 @@
         self.events.push_back(Event::Input(member, input));
     }
 
-    /// Passes an input to a member that is frozen for a time before it sends anything; returns its outputs.
+    /// Passes an input to a member, freezes the member for `freeze_ms` before it sends anything, and returns its outputs.
     pub(crate) fn freeze(&mut self, member: usize, input: Input, freeze_ms: u64) -> Vec<Output> {
         while self.step() {}
-        let (clocks, sends_ms) = (self.clocks(), self.now_ms + freeze_ms);
+        let (clocks, resume_ms) = (self.clocks(), self.now_ms + freeze_ms);
         let Member { node, .. } = self.members[member].as_mut().expect("the member is up");
         node.handle(clocks, input);
-        node.poll_outputs(sends_ms)
+        node.poll_outputs(resume_ms)
     }
 
-    /// The operator sends a request to a member.
+    /// Sends an operator request to a member; returns the id under which [`Self::response`] finds the response.
     pub(crate) fn call(&mut self, member: usize, request: OperatorRequest) -> OperatorCallId {
-        let call = OperatorCallId(self.number());
+        let call = OperatorCallId(self.next_id());
         self.input(member, Input::Operator { call, request });
         call
     }
@@ -155,19 +159,21 @@
         self.responses.get(&call)
     }
 
-    /// The operator sends a request to a member and waits for the response.
+    /// Sends an operator request to a member and runs the cluster until the response.
     pub(crate) fn request(&mut self, member: usize, request: OperatorRequest) -> OperatorResponse {
         let call = self.call(member, request);
         self.run_until(|cluster| cluster.responses.contains_key(&call));
-        self.responses.remove(&call).expect("it is answered")
+        self.responses
+            .remove(&call)
+            .expect("the request was answered")
     }
 
-    /// Runs until a member responds as acting head.
+    /// Runs until a member responds as the acting head; returns its number.
     pub(crate) fn run_to_head(&mut self) -> usize {
         self.run_to_head_other_than(usize::MAX)
     }
 
-    /// Runs until a member other than this one responds as acting head.
+    /// Runs until a member other than `excluded` responds as the acting head; returns its number.
     pub(crate) fn run_to_head_other_than(&mut self, excluded: usize) -> usize {
         for _ in 0..STEPS_MAX {
             let up =
@@ -185,9 +191,10 @@
             }
             self.advance_to_timer();
         }
-        panic!("no head is at work");
+        panic!("no acting head after {STEPS_MAX} wake-ups");
     }
 
+    /// Runs from timer to timer until `reached` returns true.
     pub(crate) fn run_until(&mut self, reached: impl Fn(&SimulatedCluster) -> bool) {
         for _ in 0..STEPS_MAX {
             while self.step() {}
@@ -196,10 +203,10 @@
             }
             self.advance_to_timer();
         }
-        panic!("not reached");
+        panic!("condition not reached after {STEPS_MAX} wake-ups");
     }
 
-    /// Handles one event; false if there is none.
+    /// Handles the oldest event; returns false if there is none.
     fn step(&mut self) -> bool {
         let Some(event) = self.events.pop_front() else {
             return false;
@@ -237,7 +244,7 @@
         for member in 0..self.members.len() {
             if let Some(Member { node, .. }) = &mut self.members[member] {
                 node.handle_timeout(clocks);
-                self.finish(member);
+                self.apply_outputs(member);
             }
         }
     }
@@ -248,10 +255,11 @@
             return;
         };
         node.handle(clocks, input);
-        self.finish(member);
+        self.apply_outputs(member);
     }
 
-    fn finish(&mut self, member: usize) {
+    /// Carries out the outputs of a member.
+    fn apply_outputs(&mut self, member: usize) {
         let now_ms = self.now_ms;
         let Some(Member { node, .. }) = &mut self.members[member] else {
             return;
@@ -265,7 +273,9 @@
                 Output::Dial { address } => self.dial(member, address),
                 Output::Respond { call, response } => drop(self.responses.insert(call, response)),
                 Output::Storage(request) => self.events.push_back(Event::Storage(member, request)),
-                Output::Damaged { error } => panic!("the disk of member {member}: {error}"),
+                Output::Damaged { error } => {
+                    panic!("the database of member {member} is damaged: {error}")
+                }
             }
         }
     }
@@ -301,11 +311,11 @@
         };
         let dialling_end = Endpoint {
             member: from,
-            connection: ConnectionId(self.number()),
+            connection: ConnectionId(self.next_id()),
         };
         let accepting_end = Endpoint {
             member: to,
-            connection: ConnectionId(self.number()),
+            connection: ConnectionId(self.next_id()),
         };
         self.links.insert(dialling_end, accepting_end);
         self.links.insert(accepting_end, dialling_end);
@@ -321,7 +331,7 @@
     fn settings(&mut self, member: usize) -> CoreMemberSettings {
         let node_name = format!("core-{member}");
         CoreMemberSettings {
-            hello: hello(&node_name, ProcessKind::Core, self.number()),
+            hello: hello(&node_name, ProcessKind::Core, self.next_id()),
             address: MemberAddress {
                 node_name,
                 internal: self.address(member, INTERNAL_PORT),
@@ -341,8 +351,8 @@
         clocks(self.now_ms)
     }
 
-    fn number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 }
--- a/crates/settings/tests/complete_file.rs
+++ b/crates/settings/tests/complete_file.rs
@@ -1,12 +1,13 @@
-//! A settings file with every field and every bound: decoded, compared field by field, and encoded again.
+//! Round trip of a settings file with every field and every bound: it is decoded, compared with the expected values, and
+//! encoded again.
 
 use indigofold_settings::{
-    BindAddresses, Bounds, Commands, FaultTolerance, Limits, MachineClass, PortRange, Serves,
+    BindAddresses, Bounds, FaultTolerance, Limits, MachineClass, OrderDelivery, PortRange, Serves,
     Settings,
 };
 use toml::{Table, Value};
 
-/// Every field, each with a value other than its default.
+/// A settings file with every field, each with a value other than its default.
 const COMPLETE: &str = r#"
 node_name = "core-north-2"
 role = "keeper"
@@ -69,7 +70,7 @@
 restore_ms = 53
 "#;
 
-/// The bounds of [`COMPLETE`].
+/// The bounds that [`COMPLETE`] decodes to.
 fn expected_bounds() -> Bounds {
     Bounds {
         seed_lag_s: 31.0,
@@ -98,7 +99,7 @@
     }
 }
 
-/// [`COMPLETE`] as it is decoded.
+/// The settings that [`COMPLETE`] decodes to.
 fn expected_settings() -> Settings {
     let text = |text: &str| text.to_owned();
     Settings {
@@ -119,7 +120,7 @@
         data_dir: Some("/var/lib/cluster".into()),
         heartbeat_ms: 700,
         contracts: vec![text("base"), text("drain")],
-        commands: Commands::Invocation,
+        commands: OrderDelivery::Invocation,
         app: Some(([10, 9, 0, 2], 8_300).into()),
         backend: Some(text("resize")),
         zones: [("north", "coast"), ("south", "hills")]
@@ -147,7 +148,7 @@
     }
 }
 
-/// The value with whole numbers as fractions: the file may hold either form.
+/// Returns the value with all integers converted to floats, because a number may be written in either form.
 fn with_fractions(value: Value) -> Value {
     match value {
         Value::Integer(number) => Value::Float(number as f64),
@@ -165,18 +166,18 @@
 fn a_complete_settings_file_is_encoded_unchanged() {
     let settings = Settings::from_toml(COMPLETE).expect("the settings are valid");
     assert_eq!(settings, expected_settings());
-    let encoded = Value::try_from(&settings).expect("settings have a TOML form");
-    let written: Table = COMPLETE.parse().expect("the file is TOML");
+    let encoded = Value::try_from(&settings).expect("the settings can be encoded as TOML");
+    let written: Table = COMPLETE.parse().expect("the file is valid TOML");
     assert_eq!(with_fractions(encoded), with_fractions(written.into()));
 }
 
 #[test]
 fn every_bound_has_a_field_in_the_file() {
-    let file: Table = COMPLETE.parse().expect("the file is TOML");
-    let defaults = Value::try_from(Bounds::default()).expect("bounds have a TOML form");
+    let file: Table = COMPLETE.parse().expect("the file is valid TOML");
+    let defaults = Value::try_from(Bounds::default()).expect("the bounds can be encoded as TOML");
     let names = |table: &Table| table.keys().cloned().collect::<Vec<_>>();
     let (Some(written), Some(known)) = (file["bounds"].as_table(), defaults.as_table()) else {
-        panic!("bounds are a table");
+        panic!("`bounds` is not a table in the file or in the encoded defaults");
     };
     assert_eq!(names(written), names(known));
 }
