--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -1,4 +1,4 @@
-//! What a member keeps on disk beside the rows, and how both are changed.
+//! The record that a member stores next to the rows, and requests to change both.
 
 use crate::timing::ADDRESSES_MAX;
 use crate::types::{Batch, Member, Row, View, ViewNumber, ViewStart, Viewstamp};
@@ -7,49 +7,50 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A member's own record. It is encoded with postcard: the order of fields is the stored format.
+/// The record of a member. It is encoded with postcard: the order of fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Durable {
-    /// The member itself.
+    /// The member that the record belongs to.
     pub member: Member,
-    /// It takes part in no view below this number.
+    /// Highest number that the member has promised: it takes part in no view with a lower number.
     pub promised: ViewNumber,
-    /// The view accepted last.
+    /// View that the member accepted last, if any.
     pub view: Option<View>,
-    /// That view is known to be agreed: accepted by majorities of its electorates.
+    /// Whether that view is known to be agreed: accepted by a majority of its voters and of `previous_voters`.
     pub agreed: bool,
-    /// The state of its rows.
+    /// State of the member's rows.
     pub viewstamp: Viewstamp,
-    /// The views that led to this state, oldest first; early ones may be missing.
+    /// Views that led to this state, oldest first; at most [`HISTORY_MAX`](crate::timing::HISTORY_MAX) of them.
     pub history: Vec<ViewStart>,
-    /// Rows deleted at or before this sequence number have no tombstone any more.
+    /// Tombstones of rows deleted at or before this sequence number have been dropped.
     pub trimmed: u64,
-    /// Members' addresses as far as they are known.
+    /// Known addresses of members, at most [`ADDRESSES_MAX`].
     pub addresses: Vec<MemberAddress>,
 }
 
 impl Durable {
-    /// Number of the view accepted last; [`ViewNumber::NONE`](crate::types::ViewNumber::NONE) before the first.
+    /// Returns the number of the view accepted last, or [`ViewNumber::NONE`](crate::types::ViewNumber::NONE) if there
+    /// is none.
     pub fn view_number(&self) -> ViewNumber {
         self.view
             .as_ref()
             .map_or(ViewNumber::NONE, |view| view.number)
     }
 
-    /// Internal addresses of the voters of the view accepted last.
+    /// Returns the internal addresses of the voters of the view accepted last.
     pub(crate) fn voter_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let voters = self.view.iter().flat_map(|view| &view.voters);
         voters.map(|voter| voter.internal)
     }
 
-    /// The addresses of a member, if they are known.
+    /// Returns the addresses of a member, if they are known.
     pub(crate) fn address_of(&self, member: Member) -> Option<&MemberAddress> {
         let mut addresses = self.addresses.iter();
         addresses.find(|address| address.internal == member.internal)
     }
 
-    /// Takes a member's addresses; `false` if they were known. At most [`ADDRESSES_MAX`] are kept: the oldest one that is
-    /// neither a voter's nor this member's own (`own`) is removed.
+    /// Adds or updates a member's addresses; returns false if nothing changed. At most [`ADDRESSES_MAX`] entries are
+    /// kept: beyond that, the oldest one that belongs neither to a voter nor to this member (`own`) is removed.
     pub(crate) fn learn_address(&mut self, address: MemberAddress, own: SocketAddr) -> bool {
         let mut addresses = self.addresses.iter_mut();
         if let Some(known) = addresses.find(|known| known.internal == address.internal) {
@@ -73,24 +74,24 @@
     }
 }
 
-/// One change of the rows.
+/// A change to the stored rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreOperation {
-    /// Drop all rows.
+    /// Drops all rows.
     Clear,
-    /// Apply a write.
+    /// Applies a write.
     Write(Arc<Batch>),
-    /// Write rows as another member has them.
+    /// Writes rows with the sequence numbers that they have at another member.
     Put(Vec<Row>),
-    /// Drop the tombstones of rows deleted at or before this sequence number.
+    /// Drops the tombstones of rows deleted at or before this sequence number.
     Trim(u64),
 }
 
 /// Changes to make in one transaction, with one sync.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreRequest {
-    /// The record after it.
+    /// The record as it is after the changes.
     pub durable: Durable,
-    /// Changes of the rows, in order.
+    /// Changes to the rows, in order.
     pub operations: Vec<StoreOperation>,
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -8,66 +8,66 @@
 use snafu::Snafu;
 use std::sync::Arc;
 
-/// A message with its sender.
+/// A message and its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
     pub from: Member,
-    /// Its content.
+    /// The message.
     pub message: Message,
 }
 
 /// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender has no head, and looks for one.
+    /// The sender knows no head and looks for one.
     Announce {
         /// The sender's addresses.
         address: MemberAddress,
     },
-    /// Answer to [`Message::Announce`] of a member that is not the head.
+    /// Answer to [`Message::Announce`] from a member that is not the head.
     Addresses {
-        /// Addresses of the members that the sender knows.
+        /// All member addresses that the sender knows.
         addresses: Vec<MemberAddress>,
     },
     /// Asks for a pre-vote.
     PreVote(PreVote),
     /// Answer to [`Message::PreVote`].
     PreVoteReply(PreVoteReply),
-    /// Asks for the promise to take part in no view below this number (Paxos, first phase).
+    /// Asks the receiver to promise not to take part in any view below `number` (Paxos, phase 1).
     Prepare {
-        /// Number of the view to come.
+        /// Number of the view that the sender wants to propose.
         number: ViewNumber,
         /// Number of the view on the sender's disk, if the sender is its head; 0 otherwise.
         headed_view: ViewNumber,
     },
     /// Answer to [`Message::Prepare`].
     PrepareOk(PrepareOk),
-    /// The number of a [`Message::Prepare`], [`Message::Accept`] or [`Message::Heartbeat`] is too low, or the sender
-    /// is bound to another head.
+    /// Rejects a [`Message::Prepare`], [`Message::Accept`] or [`Message::Heartbeat`]: its number is too low, or the
+    /// sender is bound to another head by a lease.
     PrepareReject {
-        /// The number that is rejected.
+        /// Number in the rejected message.
         number: ViewNumber,
         /// Highest number that the sender has promised.
         promised: ViewNumber,
     },
     /// Asks to accept a view (Paxos, second phase).
     Accept {
-        /// The view.
+        /// The proposed view.
         view: View,
     },
     /// Answer to [`Message::Accept`], sent once the view is on disk.
     Accepted {
-        /// The view's number.
+        /// Number of the accepted view.
         number: ViewNumber,
     },
-    /// The head leads.
+    /// Announces the head's view and asks for a lease.
     Heartbeat(Heartbeat),
     /// Answer to [`Message::Heartbeat`].
     Grant(Grant),
-    /// The head gives its lease back.
+    /// The head gives up its lease.
     Release {
-        /// Number of its view.
+        /// Number of the head's view.
         number: ViewNumber,
     },
     /// Asks the receiver to campaign at once (`TimeoutNow` in the Raft thesis, section 3.10).
@@ -75,16 +75,16 @@
         /// Number of the view that ends.
         number: ViewNumber,
     },
-    /// Writes on their way down the chain.
+    /// Writes to store, sent down the chain or resent by the head.
     Write(Write),
     /// The sender has this state on disk.
     Stored {
-        /// The state.
+        /// State on the sender's disk.
         viewstamp: Viewstamp,
     },
-    /// Writes are missing between the sender's state and one that it has received.
+    /// The sender has received a write but lacks earlier ones.
     WriteGap {
-        /// The sender's state.
+        /// State of the sender's rows, without the missing writes.
         viewstamp: Viewstamp,
     },
     /// Requests rows.
@@ -93,10 +93,11 @@
     Rows(Rows),
 }
 
-/// Asks whether the receiver would vote for the sender (Raft thesis, section 9.6). It binds nobody.
+/// Asks whether the receiver would vote for the sender (Raft thesis, section 9.6). The answer promises nothing, and
+/// nothing is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreVote {
-    /// Id of this request; the answer carries it.
+    /// ID of this request; the answer carries it.
     pub request_id: u64,
     /// State of the sender's rows.
     pub viewstamp: Viewstamp,
@@ -107,112 +108,112 @@
 /// Answer to [`PreVote`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreVoteReply {
-    /// Id of the request.
+    /// ID of the answered request.
     pub request_id: u64,
     /// Whether the sender would vote for the candidate now.
     pub granted: bool,
-    /// Highest number that it has promised.
+    /// Highest number that the sender has promised.
     pub promised: ViewNumber,
-    /// The view it accepted last.
+    /// View that the sender accepted last, if any.
     pub view: Option<View>,
-    /// That view is known to be agreed.
+    /// Whether the sender knows that this view is agreed.
     pub agreed: bool,
 }
 
 /// Answer to [`Message::Prepare`], sent once the promise is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrepareOk {
-    /// The number promised.
+    /// Number that the sender has promised.
     pub number: ViewNumber,
-    /// The view accepted last.
+    /// View that the sender accepted last, if any.
     pub view: Option<View>,
-    /// That view is known to be agreed.
+    /// Whether the sender knows that this view is agreed.
     pub agreed: bool,
     /// State of the sender's rows.
     pub viewstamp: Viewstamp,
-    /// The sender is about to stop.
+    /// Whether the sender is about to stop.
     pub draining: bool,
 }
 
-/// The head leads: its view is agreed.
+/// Sent by the head of an agreed view at regular intervals; each answer grants it a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The view.
+    /// The head's view.
     pub view: View,
-    /// The head's steady clock; the answer carries it.
+    /// Time of the head's monotonic clock, in milliseconds; the answer carries it.
     pub sent_ms: u64,
-    /// Last write.
+    /// Sequence number of the head's last write.
     pub seq: u64,
     /// The head's addresses.
     pub address: MemberAddress,
 }
 
-/// Answer to [`Heartbeat`]: a lease.
+/// Answer to [`Heartbeat`]: grants the head a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The view's number.
+    /// Number of the head's view.
     pub number: ViewNumber,
-    /// The heartbeat's `sent_ms`.
+    /// `sent_ms` of the answered heartbeat.
     pub sent_ms: u64,
-    /// State that the sender has on disk.
+    /// State on the sender's disk.
     pub viewstamp: Viewstamp,
-    /// Age of the sender's oldest store that is not done, in milliseconds.
+    /// Age of the sender's oldest unfinished store, in milliseconds; 0 if there is none.
     pub store_age_ms: u64,
-    /// The sender is about to stop.
+    /// Whether the sender is about to stop.
     pub draining: bool,
     /// The sender's addresses.
     pub address: MemberAddress,
 }
 
-/// Writes on their way down the chain.
+/// Writes to store, sent down the chain or resent by the head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// The view's number.
+    /// Number of the head's view.
     pub number: ViewNumber,
     /// The writes, in order.
     pub batches: Vec<Arc<Batch>>,
-    /// The receiver has to relay them to the next member of the chain.
+    /// Whether the receiver relays the writes to its successor in the chain.
     pub relay: bool,
 }
 
 /// Requests the rows that the sender lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fetch {
-    /// Id of the transfer; the answers carry it.
+    /// ID of the transfer; the answers carry it.
     pub request_id: u64,
-    /// State that the sender has.
+    /// State of the sender's rows.
     pub viewstamp: Viewstamp,
-    /// Continue after this sequence number, in a transfer that has begun.
+    /// Sequence number after which the transfer continues; `None` in the first request of a transfer.
     pub after: Option<u64>,
 }
 
 /// Answer to [`Fetch`]: a chunk of rows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rows {
-    /// Id of the transfer.
+    /// ID of the transfer.
     pub request_id: u64,
-    /// These are rows after this sequence number.
+    /// Sequence number after which the rows follow.
     pub after: u64,
-    /// The receiver has to drop all rows it has first.
+    /// Whether the receiver must first drop all rows that it has.
     pub clear: bool,
     /// The rows.
     pub rows: Vec<Row>,
-    /// Further chunks follow.
+    /// Whether more chunks follow.
     pub more: bool,
-    /// State that the rows lead to, once no more follow.
+    /// State that the receiver reaches with the last chunk.
     pub viewstamp: Viewstamp,
-    /// The views that led to it.
+    /// Views that led to this state, oldest first.
     pub history: Vec<ViewStart>,
 }
 
-/// Bytes that are not a message.
+/// The received bytes are not a valid message.
 #[derive(Debug, Snafu)]
 #[snafu(display("a message of the replication protocol cannot be decoded: {source}"))]
 pub struct DecodeError {
     source: postcard::Error,
 }
 
-/// Encodes an envelope. None of its types can fail to be encoded.
+/// Encodes an envelope. Its types cannot fail to be encoded.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
     postcard::to_allocvec(envelope).unwrap_or_default()
 }
@@ -221,7 +222,7 @@
 ///
 /// # Errors
 ///
-/// The bytes are not what [`encode`] makes.
+/// The bytes are not an envelope as encoded by [`encode`].
 pub fn decode(bytes: &[u8]) -> Result<Envelope, DecodeError> {
     postcard::from_bytes(bytes).map_err(|source| DecodeError { source })
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,18 +1,19 @@
-//! One member's side of the protocol.
+//! The replication protocol as run by one member.
 //!
-//! [`Replica`] takes inputs, hands each to the part of the protocol that it belongs to, and collects the outputs. Each part
-//! keeps its own state and timers, and tells by its result what follows for others:
+//! [`Replica`] takes inputs, passes each to the part of the protocol that handles it, and collects the outputs. Each
+//! part keeps its own state and timers, and returns what other parts have to do as a consequence:
 //!
 //! | part | its state |
 //! | --- | --- |
-//! | `Follower` | leases and pre-votes granted, announcements |
-//! | `Candidate` | the campaign, when the next one begins |
-//! | `Head` | the leadership with its peers and writes, when the view is changed |
-//! | `Transfers` | the transfer to this member, requests of others, tombstones |
-//! | `chain` | none: a member's part in the chain is in the record |
-//! | `Context` | the record ([`Durable`]) and its stores, clock, random numbers, outputs |
+//! | `Follower` | leases and pre-votes granted, time of the next announcement |
+//! | `Candidate` | the campaign, time of the next one |
+//! | `Head` | the leadership with its peers and writes, time of the next view change |
+//! | `Transfers` | the transfer to this member, requests of other members, samples for the trimming of tombstones |
+//! | `chain` | none: everything that a chain member needs is in the record |
+//! | `Context` | the record ([`Durable`]), queued stores, clock, random numbers, outputs |
 //!
-//! `roles` has what concerns several parts: a member begins to follow, promises, campaigns, leads, hands over.
+//! `roles` handles transitions that involve several parts: a member starts to follow, promises, campaigns, leads, or
+//! transfers its leadership.
 
 mod candidate;
 mod chain;
@@ -38,7 +39,7 @@
 use store_queue::AfterStore;
 use transfers::Transfers;
 
-/// A member: takes [`Input`]s and returns [`Output`]s.
+/// The state machine of one member: takes [`Input`]s and returns [`Output`]s.
 #[derive(Debug)]
 pub struct Replica {
     context: Context,
@@ -49,7 +50,7 @@
 }
 
 impl Replica {
-    /// A member that starts with what its disk has kept, if anything.
+    /// Creates a member that starts with the record on its disk; `None` if the disk is empty.
     pub fn new(settings: Settings, durable: Option<Durable>, now_ms: u64) -> Replica {
         let lease_wait_ms = if durable.is_some() { LEASE_MS } else { 0 };
         let vote_from_ms = now_ms + lease_wait_ms;
@@ -69,7 +70,8 @@
         replica
     }
 
-    /// Takes an input at `now_ms` of the steady clock.
+    /// Handles an input at the time `now_ms` of the monotonic clock and returns the outputs for the driver to carry
+    /// out.
     pub fn handle(&mut self, now_ms: u64, input: Input) -> Vec<Output> {
         let context = &mut self.context;
         context.advance(now_ms);
@@ -93,7 +95,7 @@
         self.context.take_outputs()
     }
 
-    /// When [`Input::Timer`] is due.
+    /// Returns when [`Input::Timer`] is due; `u64::MAX` if never.
     pub fn next_timer_ms(&self) -> u64 {
         let is_campaigning = self.candidate.is_campaigning();
         let due = [
@@ -107,33 +109,35 @@
         due.into_iter().flatten().min().unwrap_or(u64::MAX)
     }
 
-    /// Number of the view that this member follows; [`ViewNumber::NONE`](crate::types::ViewNumber::NONE) before the first.
+    /// Returns the number of the view accepted last; [`ViewNumber::NONE`](crate::types::ViewNumber::NONE) before the
+    /// first.
     pub fn view(&self) -> ViewNumber {
         self.context.record.view_number()
     }
 
-    /// This member's name among the voters.
+    /// Returns the identity of this member: its internal address and its disk ID.
     pub fn member(&self) -> Member {
         self.context.own()
     }
 
-    /// The view accepted last, and whether it is known to be agreed.
+    /// Returns the view accepted last, and whether it is known to be agreed.
     pub fn accepted_view(&self) -> Option<(&View, bool)> {
         let record = &self.context.record;
         record.view.as_ref().map(|view| (view, record.agreed))
     }
 
-    /// The state of the rows on disk.
+    /// Returns the state of the rows on disk.
     pub fn stored_viewstamp(&self) -> Viewstamp {
         self.context.stores.stored_viewstamp()
     }
 
-    /// This member is the head, and no other can be at this moment.
+    /// Returns true if this member is the head and holds a lease, so that no other member can be the head at this
+    /// moment.
     pub fn may_act(&self, now_ms: u64) -> bool {
         self.head.may_act(now_ms)
     }
 
-    /// Until when [`Replica::may_act`] is true if nothing else happens; 0 if it is false.
+    /// Returns until when [`Replica::may_act`] stays true without further input; a past time or 0 if it is false.
     pub fn acting_until_ms(&self) -> u64 {
         self.head.acting_until_ms()
     }
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Takes answers to what this member has sent, writes, and state transfers.
+    /// Handles answers to this member's messages, writes, and messages of state transfers.
     fn handle_answer(&mut self, from: Member, message: Message) {
         let is_campaigning = self.candidate.is_campaigning();
         let context = &mut self.context;
@@ -225,7 +229,7 @@
         }
     }
 
-    /// Reports to the head what is on disk, or counts it at the head itself.
+    /// Reports the state on disk to the head; on the head itself, counts it towards commits.
     fn report_stored(&mut self) {
         let is_campaigning = self.candidate.is_campaigning();
         if self.head.is_leading() {
--- a/crates/replication/src/replica/candidate.rs
+++ b/crates/replication/src/replica/candidate.rs
@@ -1,5 +1,6 @@
-//! How a voter becomes the head of the next view, in the phases of Paxos: a pre-vote (Raft thesis, section 9.6), promises,
-//! the transfer of the newest state among those that have promised, and acceptance. Child: what a campaign has collected.
+//! How a voter becomes the head of the next view: a pre-vote (Raft thesis, section 9.6), the promises of Paxos, the
+//! transfer of the newest state among the members that have promised, and the acceptance of Paxos. The submodule
+//! `campaign` keeps the answers; `proposal` computes the proposed view.
 
 mod campaign;
 mod proposal;
@@ -18,32 +19,32 @@
 use proposal::next_view;
 use std::collections::BTreeSet;
 
-/// What follows from a campaign for the other parts of a member.
+/// Next step of a campaign that the other parts of the member carry out.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum CampaignStep {
-    /// It waits for answers.
+    /// The campaign waits for answers, or none is under way.
     Wait,
-    /// A majority would vote for this member: promises for this number are to be asked for, on top of this view.
+    /// A majority would vote for this member: it asks for promises for `number`, on top of the view `known`.
     Prepare { number: ViewNumber, known: View },
-    /// The newest state has to be fetched from another member.
+    /// The newest state has to be fetched from another member first.
     Fetch {
         number: ViewNumber,
         newest: NewestState,
     },
-    /// No majority comes together: it is to be given up.
+    /// No majority is possible, or no view can be proposed: the campaign has failed.
     Fail,
 }
 
-/// A member as a candidate: its campaign, and when it begins the next one.
+/// A member's state as a candidate: its campaign, and when it begins the next one.
 #[derive(Debug)]
 pub(super) struct Candidate {
     campaign: Option<Campaign>,
-    /// When to campaign, unless a heartbeat comes before.
+    /// When to start the next campaign; heartbeats postpone it.
     campaign_at_ms: u64,
 }
 
 impl Candidate {
-    /// A member that campaigns at `campaign_at_ms`, unless a heartbeat comes before.
+    /// Creates the state of a member that campaigns at `campaign_at_ms` unless a heartbeat arrives before.
     pub(super) fn new(campaign_at_ms: u64) -> Candidate {
         Candidate {
             campaign: None,
@@ -51,38 +52,40 @@
         }
     }
 
-    /// Whether a campaign is under way.
+    /// Returns true if a campaign is under way.
     pub(super) fn is_campaigning(&self) -> bool {
         self.campaign.is_some()
     }
 
-    /// The number that the campaign under way has prepared.
+    /// Returns the view number of the campaign under way; `None` if there is none.
     pub(super) fn number(&self) -> Option<ViewNumber> {
         self.campaign.as_ref().map(Campaign::number)
     }
 
-    /// When the campaign under way goes on without those that have not answered; `None` if there is none.
+    /// Returns when the campaign under way fails or goes on without the members that have not answered; `None` if there
+    /// is none.
     pub(super) fn due_ms(&self) -> Option<u64> {
         self.campaign.as_ref().map(Campaign::due_ms)
     }
 
-    /// When the next campaign is to begin.
+    /// Returns when the next campaign is due.
     pub(super) fn campaign_at_ms(&self) -> u64 {
         self.campaign_at_ms
     }
 
-    /// Whether the campaign under way has had no majority for too long.
+    /// Returns true if the present phase of the campaign has timed out.
     pub(super) fn is_timed_out(&self, now_ms: u64) -> bool {
         let campaign = self.campaign.as_ref();
         campaign.is_some_and(|campaign| campaign.is_timed_out(now_ms))
     }
 
-    /// Gives the campaign up for another candidate or head.
+    /// Gives up the campaign, for example in favour of another candidate or head.
     pub(super) fn abandon(&mut self) {
         self.campaign = None;
     }
 
-    /// A campaign has failed; the next one begins after a random time, or soon if this member resumes as head.
+    /// Ends a failed campaign; the next one begins after a random time, or after [`RESUME_CAMPAIGN_MS`] if this member
+    /// resumes as head.
     pub(super) fn fail(&mut self, context: &mut Context, is_resuming: bool) {
         self.campaign = None;
         self.campaign_at_ms = if is_resuming {
@@ -92,17 +95,18 @@
         };
     }
 
-    /// The next campaign begins no sooner than a random time after `from_ms`.
+    /// Schedules the next campaign at a random time, up to [`BACKOFF_SPREAD_MS`] after `from_ms`.
     pub(super) fn postpone_beyond(&mut self, context: &mut Context, from_ms: u64) {
         self.campaign_at_ms = from_ms + context.random_below(BACKOFF_SPREAD_MS);
     }
 
-    /// The next campaign begins at this time.
+    /// Schedules the next campaign at `campaign_at_ms`.
     pub(super) fn postpone_until(&mut self, campaign_at_ms: u64) {
         self.campaign_at_ms = campaign_at_ms;
     }
 
-    /// This member is bound to a head until `until_ms`, and campaigns only if it does not hear from it again.
+    /// Gives up the campaign for a head to which this member is bound until `until_ms`. The member campaigns after that
+    /// time unless another heartbeat arrives.
     pub(super) fn yield_to_head(&mut self, context: &mut Context, until_ms: u64, in_chain: bool) {
         self.campaign = None;
         let extra_ms = if in_chain {
@@ -113,13 +117,13 @@
         self.postpone_beyond(context, until_ms + extra_ms);
     }
 
-    /// Another candidate has been granted a pre-vote and gets time for its campaign.
+    /// Gives up the campaign for a candidate that has been granted a pre-vote, and leaves it time for its own.
     pub(super) fn yield_to_pre_vote(&mut self, context: &mut Context) {
         self.campaign = None;
         self.yield_for(context, PRE_VOTE_GRANTED_MS);
     }
 
-    /// Another candidate has been promised a number and gets time for its campaign.
+    /// Postpones the next campaign for a candidate that has received a promise, to leave it time for its own.
     pub(super) fn yield_to_prepare(&mut self, context: &mut Context) {
         self.yield_for(context, PREPARED_DEFER_MS);
     }
@@ -129,7 +133,8 @@
         self.campaign_at_ms = self.campaign_at_ms.max(until_ms);
     }
 
-    /// Whether this member's own campaign goes before one of `candidate`, whose rows have this state.
+    /// Returns true if this member's own campaign has priority over one of `candidate`, whose rows are at `viewstamp`:
+    /// the own one is past its pre-vote, or its state is newer (ties are broken by member).
     pub(super) fn goes_before(
         &self,
         context: &Context,
@@ -142,7 +147,8 @@
             .is_some_and(|own| !own.is_pre_vote() || own_state > (viewstamp, context.own()))
     }
 
-    /// Asks whether a majority would vote for this member; nothing is promised yet.
+    /// Starts a campaign with a pre-vote, which asks whether a majority would vote for this member; nothing is promised
+    /// yet.
     pub(super) fn start_pre_vote(
         &mut self,
         context: &mut Context,
@@ -168,7 +174,7 @@
         self.decide_pre_vote(context.own())
     }
 
-    /// A voter has answered the pre-vote.
+    /// Handles a voter's answer to the pre-vote.
     pub(super) fn handle_pre_vote_reply(
         &mut self,
         context: &mut Context,
@@ -196,7 +202,8 @@
         step
     }
 
-    /// Asks for promises for `number` on top of the view `known`; `plan` is what a head wants to change.
+    /// Asks the voters of `known` for promises for `number`; `plan` is the change that a head wants to make to its
+    /// view.
     pub(super) fn prepare(
         &mut self,
         context: &mut Context,
@@ -214,7 +221,7 @@
         self.send_requests(context);
     }
 
-    /// A voter has promised.
+    /// Handles a voter's promise.
     pub(super) fn handle_prepare_ok(
         &mut self,
         context: &mut Context,
@@ -229,7 +236,8 @@
         self.decide_prepare(context)
     }
 
-    /// Proposes a view once the newest state is decided, or says from whom that state is to be fetched first.
+    /// Proposes a view once the newest state is decided, or returns the member from which that state is to be fetched
+    /// first.
     pub(super) fn decide_prepare(&mut self, context: &mut Context) -> CampaignStep {
         let (own, now_ms) = (context.own(), context.now_ms());
         let Some(campaign) = &mut self.campaign else {
@@ -247,7 +255,7 @@
         CampaignStep::Fetch { number, newest }
     }
 
-    /// The state that was fetched for the view `number` is on disk.
+    /// Proposes the view `number`, for which the fetched state is on disk now.
     pub(super) fn handle_fetched(
         &mut self,
         context: &mut Context,
@@ -261,7 +269,7 @@
         }
     }
 
-    /// A voter has accepted the view `number`; returns the view once it is agreed.
+    /// Handles a voter's acceptance of the view `number`; returns the view once it is agreed.
     pub(super) fn handle_accepted(
         &mut self,
         from: Member,
@@ -276,7 +284,7 @@
         Some(view)
     }
 
-    /// A voter has promised a higher number, or is bound to another head.
+    /// Handles the rejection by a voter that has promised a higher number or is bound to another head.
     pub(super) fn handle_reject(
         &mut self,
         from: Member,
@@ -295,7 +303,7 @@
         }
     }
 
-    /// Sends this phase's request to all voters that have not had it yet.
+    /// Sends the request of the present phase to all voters to which it has not been sent yet.
     fn send_requests(&mut self, context: &mut Context) {
         let (viewstamp, headed_view) = (context.record.viewstamp, context.headed_view());
         let campaign = self.campaign.as_mut();
@@ -308,7 +316,7 @@
         }
     }
 
-    /// Promises are to be asked for once a majority would vote for this member.
+    /// Returns [`CampaignStep::Prepare`] once a majority would vote for this member.
     fn decide_pre_vote(&self, own: Member) -> CampaignStep {
         let Some(campaign) = self.campaign.as_ref().filter(|c| c.has_majority()) else {
             return CampaignStep::Wait;
@@ -321,7 +329,7 @@
         }
     }
 
-    /// Proposes the view on top of the state `base`, which this member has on disk.
+    /// Proposes a view on top of the state `base`, which this member has on disk.
     fn propose(&mut self, context: &mut Context, base: Viewstamp) -> CampaignStep {
         let own = context.own();
         let campaign = self.campaign.as_mut();
--- a/crates/replication/src/replica/candidate/campaign.rs
+++ b/crates/replication/src/replica/candidate/campaign.rs
@@ -1,33 +1,33 @@
-//! What a candidate has collected: votes, promises with the states of those that gave them, acceptances.
+//! Answers that a candidate has collected: pre-votes, promises with the states of their senders, and acceptances.
 
 use crate::message::{Message, PreVote, PreVoteReply, PrepareOk};
 use crate::timing::{MORE_PREPARE_OKS_MS, REJECTED_WAIT_MS};
 use crate::types::{Member, View, ViewNumber, Viewstamp, majority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a candidate waits for.
+/// Phase of a campaign, by what the candidate waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Whether a majority would vote for it.
+    /// Answers to the pre-vote from a majority.
     PreVote { request_id: u64 },
-    /// A majority's promises.
+    /// Promises from a majority.
     Prepare,
-    /// The newest state among those that have promised.
+    /// The transfer of the newest state among the members that have promised.
     Fetch,
-    /// The acceptance of its view.
+    /// Acceptances of the proposed view.
     Propose { view: View },
 }
 
-/// What a voter has promised with.
+/// What a voter reports with its promise.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Promised {
-    /// State of its rows.
+    /// State of the voter's rows.
     pub viewstamp: Viewstamp,
-    /// It is about to stop.
+    /// Whether the voter is about to stop.
     pub draining: bool,
 }
 
-/// A change that a head wants to make to its view.
+/// Voters and chain that a head wants for its next view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::replica) struct Plan {
     pub voters: Vec<Member>,
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::replica) struct NewestState {
     pub viewstamp: Viewstamp,
-    /// A member that has it: the candidate itself before others.
+    /// A member that has this state: the candidate itself if it does.
     pub source: Member,
 }
 
@@ -46,29 +46,30 @@
 #[derive(Debug)]
 pub(super) struct Campaign {
     phase: Phase,
-    /// Number of the next view; 0 before the phase [`Phase::Prepare`].
+    /// Number of the next view; [`ViewNumber::NONE`] during the pre-vote.
     number: ViewNumber,
-    /// Highest view that the candidate knows to have been accepted; rises with the answers.
+    /// View with the highest number that the candidate knows to have been accepted by any voter; updated from the
+    /// answers.
     known: View,
-    /// Highest number that anybody has promised, as far as the candidate knows.
+    /// Highest number that the candidate knows to have been promised by any member.
     promised: ViewNumber,
-    /// Voters that this phase's request was sent to, and the candidate.
+    /// The candidate, and the voters to which the request of this phase has been sent.
     requested: BTreeSet<Member>,
-    /// Members that have agreed in this phase.
+    /// Members that have granted the request of this phase.
     agreed: BTreeSet<Member>,
-    /// Members that have rejected this phase's request.
+    /// Members that have rejected the request of this phase.
     rejected: BTreeSet<Member>,
     promises: BTreeMap<Member, Promised>,
-    /// When there was a majority of promises.
+    /// When a majority of promises was reached; `None` before.
     majority_ms: Option<u64>,
-    /// When this phase fails.
+    /// When the present phase times out.
     deadline_ms: u64,
-    /// The change to make; `None` for a candidate that is not the head.
+    /// Change to the view; `None` for a candidate that is not the head.
     plan: Option<Plan>,
 }
 
 impl Campaign {
-    /// A campaign that begins with a pre-vote.
+    /// Creates a campaign that begins with a pre-vote.
     pub(super) fn pre_vote(
         own: Member,
         known: View,
@@ -90,7 +91,8 @@
         }
     }
 
-    /// A campaign that asks for promises for `number`; `plan` is what a head wants to change.
+    /// Creates a campaign that asks for promises for `number`; `plan` is the change that a head wants to make to its
+    /// view.
     pub(super) fn prepare(
         own: Member,
         known: View,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The present phase fails at `deadline_ms`.
+    /// Sets when the present phase times out.
     pub(super) fn set_deadline(&mut self, deadline_ms: u64) {
         self.deadline_ms = deadline_ms;
     }
@@ -131,7 +133,7 @@
         matches!(self.phase, Phase::PreVote { .. })
     }
 
-    /// The newest state has to be fetched for the view `number`.
+    /// Returns true if the campaign for the view `number` waits for the newest state.
     pub(super) fn is_fetching(&self, number: ViewNumber) -> bool {
         self.number == number && self.phase == Phase::Fetch
     }
@@ -140,14 +142,15 @@
         now_ms >= self.deadline_ms
     }
 
-    /// When the campaign fails, or goes on without the promises that are missing.
+    /// Returns when the campaign fails, or goes on without the missing promises.
     pub(super) fn due_ms(&self) -> u64 {
         let majority_ms = self.majority_ms.filter(|_| self.phase == Phase::Prepare);
         let more_due_ms = majority_ms.map_or(u64::MAX, |at| at + MORE_PREPARE_OKS_MS);
         self.deadline_ms.min(more_due_ms)
     }
 
-    /// This phase's request, and the voters that have not had it yet. They count as requested from now on.
+    /// Returns the request of this phase and the voters to which it has not been sent yet, and marks them as requested;
+    /// `None` in a phase that sends no requests here.
     pub(super) fn next_requests(
         &mut self,
         viewstamp: Viewstamp,
@@ -171,12 +174,12 @@
         Some((message, new))
     }
 
-    /// Counts a vote in this phase.
+    /// Counts a member that grants the request of this phase.
     pub(super) fn count(&mut self, from: Member) {
         self.agreed.insert(from);
     }
 
-    /// Takes the answer to a pre-vote; `false` if it belongs to another one.
+    /// Records an answer to the pre-vote; returns false if it belongs to another one.
     pub(super) fn receive_pre_vote_reply(&mut self, from: Member, reply: PreVoteReply) -> bool {
         let request_id = reply.request_id;
         if self.phase != (Phase::PreVote { request_id }) {
@@ -194,12 +197,12 @@
         true
     }
 
-    /// The number to prepare after the pre-vote: above each that the candidate knows of.
+    /// Returns the number to prepare after the pre-vote: above all that the candidate knows of.
     pub(super) fn next_number(&self) -> ViewNumber {
         self.promised.max(self.known.number).next()
     }
 
-    /// Takes a promise; `false` if it is for another number, or comes too late.
+    /// Records a promise; returns false if it is for another number or arrives after the prepare phase.
     pub(super) fn receive_prepare_ok(&mut self, from: Member, prepare_ok: PrepareOk) -> bool {
         if self.number != prepare_ok.number || self.phase != Phase::Prepare {
             return false;
@@ -216,8 +219,8 @@
         true
     }
 
-    /// The newest state, once a majority has promised, the candidate with it, and all others have answered or have had
-    /// [`MORE_PREPARE_OKS_MS`] to do so.
+    /// Returns the newest state once a majority that includes the candidate has promised, and all others have answered
+    /// or have had [`MORE_PREPARE_OKS_MS`] to do so.
     pub(super) fn decided_state(&mut self, own: Member, now_ms: u64) -> Option<NewestState> {
         let is_promised = self.agreed.contains(&own) && self.has_majority();
         if self.phase != Phase::Prepare || !is_promised {
@@ -244,20 +247,20 @@
         Some(NewestState { viewstamp, source })
     }
 
-    /// The newest state is to be fetched from another member.
+    /// Enters the phase in which the newest state is fetched from another member.
     pub(super) fn fetch(&mut self) {
         self.phase = Phase::Fetch;
     }
 
-    /// The view is proposed; acceptances are counted from now on.
+    /// Enters the phase in which acceptances of the proposed `view` are counted.
     pub(super) fn propose(&mut self, view: View) {
         self.phase = Phase::Propose { view };
         self.agreed.clear();
         self.rejected.clear();
     }
 
-    /// Takes an acceptance of the view `number`. Returns the view once it is agreed: accepted by majorities of its voters
-    /// and of those before them, and on the candidate's own disk.
+    /// Records an acceptance of the view `number`. Returns the view once it is agreed: accepted by majorities of its
+    /// voters and of the previous voters, and on the candidate's own disk.
     pub(super) fn receive_accepted(
         &mut self,
         from: Member,
@@ -277,7 +280,7 @@
         is_agreed.then(|| view.clone())
     }
 
-    /// Takes the rejection of the number that the candidate has asked for; `false` if it was for another one.
+    /// Records the rejection of the candidate's number; returns false if it is for another number.
     pub(super) fn receive_reject(
         &mut self,
         from: Member,
@@ -296,14 +299,14 @@
         true
     }
 
-    /// Each electorate has a majority among those that have agreed.
+    /// Returns true if a majority of each electorate has granted the request of this phase.
     pub(super) fn has_majority(&self) -> bool {
         self.electorates()
             .into_iter()
             .all(|electorate| is_majority(electorate, &self.agreed))
     }
 
-    /// So many have rejected that no majority can come together.
+    /// Returns true if so many voters have rejected the request that a majority is impossible.
     pub(super) fn is_hopeless(&self) -> bool {
         self.electorates().into_iter().any(|electorate| {
             let rejected = electorate.iter().filter(|m| self.rejected.contains(m));
@@ -311,13 +314,14 @@
         })
     }
 
-    /// Voters whose majorities are needed: those of the known view and, unless it is known to be established, of the one
-    /// before. Until then what was committed before may be on disks of the former voters only.
+    /// Returns the electorates of which a majority each is needed: the voters of the known view and, unless that view
+    /// is known to be established, the previous voters. Until then committed writes may be only on disks of the
+    /// previous voters.
     fn electorates(&self) -> [&[Member]; 2] {
         [&self.known.voters, &self.known.previous_voters]
     }
 
-    /// Takes a view that another voter has accepted.
+    /// Updates the known view from one that another voter has accepted.
     fn learn(&mut self, view: View) {
         let is_newer = view.number > self.known.number;
         if is_newer || (view.number == self.known.number && view.is_established()) {
@@ -326,7 +330,7 @@
     }
 }
 
-/// A majority of the electorate is in `members`.
+/// Returns true if `members` contains a majority of the electorate.
 fn is_majority(electorate: &[Member], members: &BTreeSet<Member>) -> bool {
     electorate.iter().filter(|m| members.contains(m)).count() >= majority(electorate.len())
 }
--- a/crates/replication/src/replica/candidate/proposal.rs
+++ b/crates/replication/src/replica/candidate/proposal.rs
@@ -1,11 +1,12 @@
-//! The view that a candidate proposes once it has the newest state.
+//! Computes the view that a candidate proposes once it has the newest state.
 
 use super::campaign::{Campaign, Plan, Promised};
 use crate::replica::io::Settings;
 use crate::types::{Member, View, Viewstamp};
 use std::cmp::Reverse;
 
-/// The view that the candidate `own` proposes on top of the state `base`; `None` where no chain comes together.
+/// Returns the view that the candidate `own` proposes on top of the state `base`; `None` if no chain of the minimum
+/// length with `own` at its head is possible.
 pub(super) fn next_view(
     campaign: &Campaign,
     own: Member,
@@ -32,7 +33,7 @@
     })
 }
 
-/// The chain that a head has planned, without voters that have not promised.
+/// Returns the chain that a head has planned, without the voters that have not promised.
 fn planned_chain(plan: &Plan, campaign: &Campaign) -> Vec<Member> {
     let may_join = |member: &Member| {
         campaign.promises().contains_key(member) || !campaign.known().voters.contains(member)
@@ -40,7 +41,8 @@
     plan.chain.iter().copied().filter(may_join).collect()
 }
 
-/// The candidate, then the voters that have promised: those that are up to date, and others where these are too few.
+/// Returns a chain of the candidate followed by voters that have promised: those that are up to date and not draining,
+/// and others only as far as the chain would be too short without them.
 fn elected_chain(
     own: Member,
     voters: &[Member],
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,8 +1,9 @@
-//! A member's part in the chain: it stores writes in order, relays them to its successor and reports to the head.
+//! A chain member that is not the head: it stores writes in order, relays them to its successor and reports to the
+//! head.
 //!
-//! As in chain replication (van Renesse and Schneider 2004) writes enter at the head and are committed once the whole chain
-//! has them on disk. Unlike there, each member reports to the head, which answers the clients. All state of this part is in
-//! the record.
+//! As in chain replication (van Renesse and Schneider 2004) writes enter at the head and are committed once the whole
+//! chain has them on disk. Unlike there, each member reports to the head, which answers the clients. This module keeps
+//! no state besides the record.
 
 use super::context::Context;
 use crate::durable::StoreOperation;
@@ -10,7 +11,7 @@
 use crate::types::{Batch, ViewNumber};
 use std::sync::Arc;
 
-/// A write has come down the chain to a member that does not lead.
+/// Stores and relays writes that have arrived at a member that does not lead.
 pub(super) fn handle_write(context: &mut Context, write: Write) {
     let Write {
         number,
@@ -41,7 +42,8 @@
     }
 }
 
-/// Reports to the head what is on this member's disk, if it is in the chain of an agreed view and has its first state.
+/// Reports the state on this member's disk to the head, if this member is in the chain of an agreed view and has taken
+/// over its first state.
 pub(super) fn report_stored(context: &mut Context) {
     let viewstamp = context.stores.stored_viewstamp();
     let record = &context.record;
@@ -53,7 +55,8 @@
     }
 }
 
-/// This member is in the chain of the view, has its first state, and has promised no later one.
+/// Returns true if this member is in the chain of the view, has taken over its first state, and has promised no later
+/// view.
 fn takes_writes(context: &Context, number: ViewNumber) -> bool {
     let record = &context.record;
     let Some(view) = &record.view else {
--- a/crates/replication/src/replica/context.rs
+++ b/crates/replication/src/replica/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a member use: its settings, its record and stores, its clock, random numbers and outputs.
+//! State shared by all parts of a member: its settings, its record and stores, its clock, random numbers and outputs.
 
 use super::io::{Output, Settings};
 use super::store_queue::{AfterStore, StoreQueue};
@@ -11,17 +11,17 @@
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
 
-/// What all parts of a member use. The record is shared by them, because it is stored as a whole.
+/// State shared by all parts of a member. The record is part of it because it is stored as a whole.
 #[derive(Debug)]
 pub(super) struct Context {
     settings: Settings,
-    /// The record with all that is being stored or will be.
+    /// The record with all changes, including those that are not on disk yet.
     pub(super) record: Durable,
     pub(super) stores: StoreQueue,
-    /// Since when the member is about to stop.
+    /// When the member was told to stop; `None` if it was not.
     draining_since_ms: Option<u64>,
-    /// Id of the last pre-vote or transfer; random at the start, so that answers to an earlier incarnation are told
-    /// apart.
+    /// ID of the last pre-vote or transfer. It is random at the start, so that answers to requests of an earlier
+    /// incarnation are recognised and ignored.
     last_request_id: u64,
     random: Pcg64Mcg,
     now_ms: u64,
@@ -29,7 +29,7 @@
 }
 
 impl Context {
-    /// The context of a member that starts with what its disk has kept, if anything.
+    /// Creates the context of a member that starts with the record on its disk; `None` if the disk is empty.
     pub(super) fn new(settings: Settings, record: Option<Durable>, now_ms: u64) -> Context {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
         let stores = StoreQueue::new(record.as_ref());
@@ -46,7 +46,7 @@
         }
     }
 
-    /// An input comes at `now_ms` of the steady clock; the time does not go back.
+    /// Sets the time to `now_ms` of the monotonic clock; an earlier time is ignored.
     pub(super) fn advance(&mut self, now_ms: u64) {
         self.now_ms = self.now_ms.max(now_ms);
     }
@@ -59,45 +59,45 @@
         &self.settings
     }
 
-    /// This member's name among the voters.
+    /// Returns the identity of this member: its internal address and its disk ID.
     pub(super) fn own(&self) -> Member {
         self.record.member
     }
 
-    /// Whether the member is about to stop.
+    /// Returns true if the member is about to stop.
     pub(super) fn is_draining(&self) -> bool {
         self.draining_since_ms.is_some()
     }
 
-    /// Since when the member is about to stop.
+    /// Returns when the member was told to stop; `None` if it was not.
     pub(super) fn draining_since_ms(&self) -> Option<u64> {
         self.draining_since_ms
     }
 
-    /// The member is about to stop; `false` if it was already.
+    /// Marks the member as about to stop; returns false if it was already.
     pub(super) fn begin_draining(&mut self) -> bool {
         let is_new = self.draining_since_ms.is_none();
         self.draining_since_ms.get_or_insert(self.now_ms);
         is_new
     }
 
-    /// A number below `bound`, drawn at random.
+    /// Returns a random number below `bound`; 0 if `bound` is 0.
     pub(super) fn random_below(&mut self, bound: u64) -> u64 {
         self.random.next_u64() % bound.max(1)
     }
 
-    /// The id of a new request.
+    /// Returns the ID of a new request.
     pub(super) fn next_request_id(&mut self) -> u64 {
         self.last_request_id += 1;
         self.last_request_id
     }
 
-    /// Something that the driver has to do.
+    /// Adds an output for the driver to carry out.
     pub(super) fn output(&mut self, output: Output) {
         self.outputs.push(output);
     }
 
-    /// What the driver has to do since the last call.
+    /// Returns and removes the outputs added since the last call.
     pub(super) fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Sends a message once what the record says now is on disk.
+    /// Sends a message once the present record is on disk.
     pub(super) fn send_once_stored(&mut self, to: Member, message: Message) {
         self.stores.request_store_then(AfterStore::Send {
             to: to.internal,
@@ -127,13 +127,13 @@
         });
     }
 
-    /// Says that this member has promised a higher number, or is bound to another head.
+    /// Rejects `number`: this member has promised a higher number, or is bound to another head.
     pub(super) fn reject(&mut self, from: Member, number: ViewNumber) {
         let promised = self.record.promised;
         self.send(from.internal, Message::PrepareReject { number, promised });
     }
 
-    /// Takes an address; it is stored with the record, so that it survives a restart.
+    /// Adds or updates a member's addresses. They are stored with the record, so that they survive a restart.
     pub(super) fn learn_address(&mut self, address: MemberAddress) {
         let own = self.settings.address.internal;
         let is_changed = self.record.learn_address(address, own);
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Number of the view accepted last, if this member heads it; 0 otherwise.
+    /// Returns the number of the view accepted last if this member heads it; 0 otherwise.
     pub(super) fn headed_view(&self) -> ViewNumber {
         let head = self.record.view.as_ref().and_then(View::head);
         if head == Some(self.own()) {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Takes over a view's first state, which this member's rows are in already.
+    /// Enters a view whose first state this member's rows already have.
     pub(super) fn enter_view(&mut self, view: &View) {
         let start = ViewStart {
             view: view.number,
@@ -171,7 +171,7 @@
     }
 }
 
-/// The record of a member whose disk is empty.
+/// Returns the record of a member whose disk is empty.
 fn first_record(settings: &Settings, random: &mut Pcg64Mcg) -> Durable {
     let internal = settings.address.internal;
     let is_seed = settings.bootstrap && settings.seeds.contains(&internal);
--- a/crates/replication/src/replica/discovery.rs
+++ b/crates/replication/src/replica/discovery.rs
@@ -1,4 +1,4 @@
-//! How members find each other: whom a member knows, and its announcements while it has no head.
+//! How members find each other: the addresses that a member knows, and its announcements while it knows no head.
 
 use super::Replica;
 use crate::message::Message;
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 
 impl Replica {
-    /// The members of the view, and those that want to join, as far as their addresses are known.
+    /// Returns the known addresses of this member, of the voters and, on the head, of all members that it knows,
+    /// including those that want to join.
     pub fn members(&self) -> Vec<MemberAddress> {
         let record = &self.context.record;
         let own = self.context.settings().address.internal;
@@ -22,7 +23,8 @@
             .collect()
     }
 
-    /// Internal addresses of all to connect to: seeds, members, and those whose addresses are known; without this member.
+    /// Returns the internal addresses to connect to: seeds, voters, and all other known addresses, without this
+    /// member's own.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let (record, settings) = (&self.context.record, self.context.settings());
         let mut peers: BTreeSet<SocketAddr> = settings.seeds.iter().copied().collect();
@@ -32,7 +34,8 @@
         peers.into_iter().collect()
     }
 
-    /// The head, as far as this member knows: itself while it may act, or the holder of the lease that it has granted.
+    /// Returns the addresses of the head if this member knows it: itself while it may act, or else the holder of a
+    /// running lease that it has granted.
     pub fn head(&self, now_ms: u64) -> Option<MemberAddress> {
         if self.may_act(now_ms) {
             return Some(self.context.settings().address.clone());
--- a/crates/replication/src/replica/follower.rs
+++ b/crates/replication/src/replica/follower.rs
@@ -1,8 +1,9 @@
-//! How a member follows a head: the leases that it grants with its answers to heartbeats, which candidate it is bound
-//! against, its pre-votes, and its announcements while it hears of no head. Child: what binds it.
+//! How a member follows a head: the leases that it grants with its answers to heartbeats, the candidates that it must
+//! reject because of a lease, its answers to pre-votes, and its announcements while it knows no head. The submodule
+//! `voter` keeps the lease and the pre-vote granted last.
 //!
-//! A head acts while a majority has granted it a lease (Gray and Cheriton 1989), and counts each one from when it sent the
-//! heartbeat, so that clocks need not agree; they only have to run at nearly the same rate.
+//! A head acts while a majority has granted it a lease (Gray and Cheriton 1989), and counts each lease from when it
+//! sent the heartbeat. Clocks therefore need not be synchronized; they only have to run at nearly the same rate.
 
 mod voter;
 
@@ -14,16 +15,17 @@
 use std::net::SocketAddr;
 use voter::{Lease, Voter};
 
-/// A member as a voter that follows a head, or looks for one.
+/// A member's state as a voter that follows a head or looks for one.
 #[derive(Debug)]
 pub(super) struct Follower {
     voter: Voter,
-    /// When to announce itself, unless a heartbeat comes before.
+    /// When the next announcement is due; heartbeats postpone it.
     announce_at_ms: u64,
 }
 
 impl Follower {
-    /// A voter that may have granted a lease which ends by `vote_from_ms`; it announces itself at once.
+    /// Creates a voter that may have granted a lease before its start, which ends by `vote_from_ms`. It announces
+    /// itself at once.
     pub(super) fn new(vote_from_ms: u64, now_ms: u64) -> Follower {
         Follower {
             voter: Voter::new(vote_from_ms),
@@ -31,28 +33,28 @@
         }
     }
 
-    /// Whom this member is bound to.
+    /// Returns the lease and the pre-vote that bind this member.
     pub(super) fn voter(&self) -> &Voter {
         &self.voter
     }
 
-    /// The lease granted is not in force any more: this member leads itself, or its head has released it.
+    /// Forgets the lease granted last, because this member leads itself or its head asks it to campaign.
     pub(super) fn clear_lease(&mut self) {
         self.voter.clear_lease();
     }
 
-    /// The head of this view gives its lease back; `false` if another head's is in force.
+    /// Handles a head's release of its lease; returns false if the lease granted last is for another head or view.
     pub(super) fn handle_release(&mut self, head: Member, number: ViewNumber) -> bool {
         self.voter.release_lease(head, number)
     }
 
-    /// Whether the lease granted last, if any, is this head's.
+    /// Returns true if no lease has been granted or the one granted last is for `head`.
     pub(super) fn is_bound_to_none_but(&self, head: Member) -> bool {
         self.voter.lease().is_none_or(|lease| lease.head == head)
     }
 
-    /// Grants a lease to the head of a view that this member follows, and answers the heartbeat sent at `sent_ms` of the
-    /// head's clock. Returns until when it is bound.
+    /// Grants a lease to the head of a view that this member follows, and answers the heartbeat sent at `sent_ms` of
+    /// the head's clock. Returns until when this member is bound by the lease.
     pub(super) fn grant_lease(
         &mut self,
         context: &mut Context,
@@ -76,7 +78,7 @@
         until_ms
     }
 
-    /// Answers the last heartbeat once its view is on disk: after a restart only the view on disk says to which head a
+    /// Answers the last heartbeat if its view is on disk: after a restart only the view on disk shows to which head a
     /// lease may have been granted.
     pub(super) fn send_grant(&self, context: &mut Context) {
         let stored_view = context.stores.stored_view();
@@ -98,8 +100,8 @@
         context.send(lease.head.internal, message);
     }
 
-    /// Whether this member, as a voter, is bound to a head other than `candidate`, which heads the view `headed_view` on
-    /// its disk (0: none).
+    /// Returns true if a lease binds this member to a head other than `candidate`, or may do so after a restart.
+    /// `headed_view` is the number of the view on the candidate's disk if the candidate heads it, and 0 otherwise.
     pub(super) fn is_bound_against(
         &self,
         context: &Context,
@@ -112,12 +114,13 @@
         self.voter.is_leased_against(candidate, now_ms) || may_be_leased
     }
 
-    /// Whether another candidate has been granted a pre-vote just now.
+    /// Returns true if another candidate has been granted a pre-vote within
+    /// [`PRE_VOTE_GRANTED_MS`](crate::timing::PRE_VOTE_GRANTED_MS).
     pub(super) fn has_pre_voted_against(&self, candidate: Member, now_ms: u64) -> bool {
         self.voter.has_pre_voted_against(candidate, now_ms)
     }
 
-    /// Answers a pre-vote.
+    /// Answers a pre-vote and remembers it if it is granted.
     pub(super) fn answer_pre_vote(
         &mut self,
         context: &mut Context,
@@ -138,12 +141,12 @@
         context.send(from.internal, reply);
     }
 
-    /// When the next announcement is due, for a member that does not lead.
+    /// Returns when the next announcement is due, for a member that does not lead.
     pub(super) fn announcement_due_ms(&self) -> u64 {
         self.announce_at_ms
     }
 
-    /// Announces this member to `peers` when that is due.
+    /// Announces this member to `peers` and schedules the next announcement.
     pub(super) fn run_announcement(&mut self, context: &mut Context, peers: Vec<SocketAddr>) {
         self.announce_at_ms = context.now_ms() + ANNOUNCE_INTERVAL_MS;
         for peer in peers {
@@ -153,9 +156,10 @@
     }
 }
 
-/// Whether a lease that this member granted before its start can only have been `candidate`'s, which campaigns again. Leases
-/// are granted once their view is on disk, so that none can have been granted in a later view than that one; heads of
-/// earlier views lost theirs when a majority promised for it. `headed_view` is what the candidate says of its own disk.
+/// Returns true if a lease that this member granted before its start can only have been granted to `candidate`, which
+/// campaigns again. A lease is granted once its view is on disk, so none can belong to a view later than the one on
+/// disk; heads of earlier views lost their leases when a majority promised the number of that view. `headed_view` is
+/// the number of the view on the candidate's disk if the candidate heads it, and 0 otherwise.
 fn granted_to_none_but(context: &Context, candidate: Member, headed_view: ViewNumber) -> bool {
     let view = context.record.view.as_ref();
     view.is_some_and(|view| view.number == headed_view && view.head() == Some(candidate))
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -1,5 +1,5 @@
-//! A member as the head: its leadership with heartbeats and lease, and why it ends. Children: writes, what the chain has
-//! stored, and when the view is changed.
+//! A member as the head: its leadership with heartbeats and lease, and how it ends. The submodules handle writes,
+//! commits, and changes of the view.
 
 mod commit;
 mod leadership;
@@ -21,18 +21,18 @@
 use reconfiguration::Reconfiguration;
 use std::net::SocketAddr;
 
-/// To whom a leadership is transferred, and who is told that the lease is given back.
+/// Recipients of the messages that transfer a leadership.
 #[derive(Debug)]
 pub(super) struct Handover {
     /// Number of the view that the head gives up.
     pub number: ViewNumber,
     /// Internal address of the member that is to campaign.
     pub successor: SocketAddr,
-    /// Internal addresses of the others.
+    /// Internal addresses of the other members, which release the head's lease.
     pub others: Vec<SocketAddr>,
 }
 
-/// A member as the head, while it leads.
+/// A member's state as the head; `leadership` is `None` while it does not lead.
 #[derive(Debug, Default)]
 pub(super) struct Head {
     leadership: Option<Leadership>,
@@ -40,30 +40,31 @@
 }
 
 impl Head {
-    /// Whether this member leads a view, whatever its lease.
+    /// Returns true if this member leads a view, with or without a lease.
     pub(super) fn is_leading(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// This member is the head, and no other can be at this moment.
+    /// Returns true if this member is the head and holds a lease, so that no other member can be the head at this
+    /// moment.
     pub(super) fn may_act(&self, now_ms: u64) -> bool {
         now_ms < self.acting_until_ms()
     }
 
-    /// Until when [`Head::may_act`] is true if nothing else happens; 0 if it is false.
+    /// Returns until when [`Head::may_act`] stays true without further input; a past time or 0 if it is false.
     pub(super) fn acting_until_ms(&self) -> u64 {
         let leadership = self.leadership.as_ref();
         let gained = leadership.filter(|leadership| leadership.is_gained());
         gained.map_or(0, Leadership::lease_until_ms)
     }
 
-    /// Internal addresses of all members that the head knows.
+    /// Returns the internal addresses of all members that the head knows; none if this member does not lead.
     pub(super) fn peer_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let peers = self.leadership.iter().flat_map(Leadership::peers);
         peers.map(|(member, _)| member.internal)
     }
 
-    /// Leads an agreed view.
+    /// Starts to lead an agreed view, or continues with it after an earlier one.
     pub(super) fn lead(&mut self, context: &mut Context, view: View) {
         let now_ms = context.now_ms();
         context.record.agreed = true;
@@ -80,7 +81,8 @@
         self.send_heartbeats(context);
     }
 
-    /// This member leads no more. Whether writes that were sent down the chain are kept is unknown.
+    /// Ends the leadership, if any: writes that were sent down the chain are reported as aborted, the others as
+    /// rejected.
     pub(super) fn end(&mut self, context: &mut Context) {
         let Some(leadership) = self.leadership.take() else {
             return;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// A member has answered a heartbeat.
+    /// Handles an answer to a heartbeat.
     pub(super) fn handle_grant(
         &mut self,
         context: &mut Context,
@@ -125,7 +127,7 @@
         self.count_stored(context, is_campaigning);
     }
 
-    /// A member without a head has announced itself.
+    /// Handles the announcement of a member that knows no head.
     pub(super) fn handle_newcomer(
         &mut self,
         context: &mut Context,
@@ -141,8 +143,8 @@
         }
     }
 
-    /// A member has rejected a heartbeat of the view `number` because it has promised a higher number. A head without a
-    /// lease gives way to it.
+    /// Handles the rejection of a heartbeat of the view `number` by a member that has promised a higher number. A head
+    /// without a lease then ends its leadership; one with a lease uses a higher number for its next view.
     pub(super) fn handle_reject(
         &mut self,
         context: &mut Context,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// When the head has something to do next; `None` if this member does not lead.
+    /// Returns when the head's next timer is due; `None` if this member does not lead.
     pub(super) fn due_ms(&self, context: &Context, is_campaigning: bool) -> Option<u64> {
         let leadership = self.leadership.as_ref()?;
         let heartbeat_ms = if is_campaigning {
@@ -186,13 +188,13 @@
         ahead.chain([heartbeat_ms]).min()
     }
 
-    /// Whether the head has had no lease in its view for too long.
+    /// Returns true if the head has had no lease in its view for more than [`LEASE_MS`].
     pub(super) fn is_lost(&self, now_ms: u64) -> bool {
         let leadership = self.leadership.as_ref();
         leadership.is_some_and(|leadership| leadership.is_lost(now_ms))
     }
 
-    /// Sends heartbeats, and again what members lack, when that is due.
+    /// Sends heartbeats and resends the writes that members lack, when heartbeats are due.
     pub(super) fn run_heartbeats(&mut self, context: &mut Context) {
         let now_ms = context.now_ms();
         let Some(leadership) = &mut self.leadership else {
@@ -206,8 +208,8 @@
         self.resend_lacking(context);
     }
 
-    /// To whom the leadership is to be transferred now: the member drains and its writes are committed, or have had time
-    /// for it; or its own disk hangs. `None` also if nobody else could lead at once.
+    /// Returns the transfer of the leadership if it is due: this member drains, and its writes are committed or have
+    /// had [`DRAIN_WAIT_MS`] for it, or its own disk hangs. Also returns `None` if no other member could lead at once.
     pub(super) fn due_handover(&self, context: &Context) -> Option<Handover> {
         let leadership = self.leadership.as_ref()?;
         let now_ms = context.now_ms();
@@ -253,7 +255,7 @@
     }
 }
 
-/// The member of the chain with the newest state, among those that could lead at once.
+/// Returns the chain member with the newest state among those that could lead at once.
 fn successor(leadership: &Leadership, own: Member, now_ms: u64) -> Option<Member> {
     let oldest_seq = leadership.writes().oldest().map_or(0, |o| o.batch.seq);
     let is_fit = |peer: &Peer| {
--- a/crates/replication/src/replica/head/commit.rs
+++ b/crates/replication/src/replica/head/commit.rs
@@ -1,4 +1,4 @@
-//! What the whole chain has on disk: the head commits its writes, and establishes a new view.
+//! The head commits the writes that the whole chain has on disk, and establishes a new view.
 
 use super::Head;
 use super::leadership::HeadReport;
@@ -7,7 +7,7 @@
 use crate::types::{Member, Viewstamp};
 
 impl Head {
-    /// A member reports the state on its disk.
+    /// Handles a member's report of the state on its disk.
     pub(in crate::replica) fn handle_stored(
         &mut self,
         context: &mut Context,
@@ -19,7 +19,7 @@
         let Some(peer) = leadership.and_then(|leadership| leadership.peer_mut(from)) else {
             return;
         };
-        // A state that this head has never sent out.
+        // Ignores a report of a state that this head has never sent.
         if viewstamp > context.record.viewstamp {
             return;
         }
@@ -27,7 +27,7 @@
         self.count_stored(context, is_campaigning);
     }
 
-    /// The state on the head's own disk has changed.
+    /// Counts a new state on the head's own disk.
     pub(in crate::replica) fn handle_own_stored(
         &mut self,
         context: &mut Context,
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Commits what the whole chain has on disk.
+    /// Commits the writes that the whole chain has on disk, and establishes the view when the chain first has its first
+    /// state.
     pub(super) fn count_stored(&mut self, context: &mut Context, is_campaigning: bool) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -57,7 +58,8 @@
         self.report_view(context);
     }
 
-    /// The whole chain has the view's first state: its voters decide alone from now on. The next heartbeats say so.
+    /// Establishes the view, since the whole chain has its first state: from now on its voters decide alone. The next
+    /// heartbeats announce this.
     fn establish_view(&mut self, context: &mut Context, is_campaigning: bool) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Notifies the driver of a view whose chain is synchronized; of the first one once the head has a lease.
+    /// Notifies the driver of a view whose chain is synchronized; in the first view of a leadership only once the head
+    /// has a lease.
     fn report_view(&mut self, context: &mut Context) {
         let now_ms = context.now_ms();
         let leadership = self.leadership.as_mut();
--- a/crates/replication/src/replica/head/leadership.rs
+++ b/crates/replication/src/replica/head/leadership.rs
@@ -1,4 +1,4 @@
-//! What a head knows of its view, its peers and the writes under way.
+//! A head's knowledge of its view, its peers and the writes under way.
 
 use super::peer::Peer;
 use super::write_queue::{Outstanding, WriteQueue};
@@ -7,29 +7,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What the driver has to be notified of.
+/// A notification to the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeadReport {
     /// This member is the head from this view on.
     Gained { view: ViewNumber },
-    /// It is still the head, in a later view.
+    /// This member is still the head, in a later view.
     Renewed { view: ViewNumber },
 }
 
-/// What a head knows while it leads, over one or more views that follow each other.
+/// State of a head while it leads, over one or more consecutive views.
 #[derive(Debug)]
 pub(super) struct Leadership {
-    /// The head.
+    /// This member, which is the head.
     own: Member,
-    /// Number of its first view.
+    /// Number of the first view of this leadership.
     first_view: ViewNumber,
-    /// The view that it leads now.
+    /// The view that the head leads now.
     view: View,
     view_since_ms: u64,
     since_ms: u64,
-    /// The whole chain has taken over the view's first state.
+    /// Whether the whole chain has taken over the view's first state.
     is_synchronized: bool,
-    /// Number of the view that was reported to the driver last; `None` until this member has been reported as the head.
+    /// Number of the view reported to the driver last; `None` until this member has been reported as the head.
     reported_view: Option<ViewNumber>,
     peers: BTreeMap<Member, Peer>,
     writes: WriteQueue,
@@ -40,7 +40,7 @@
 }
 
 impl Leadership {
-    /// A head that knows its view's voters, and has heard of none of them.
+    /// Creates the state of a new head, with the voters of its view as peers of which nothing is known.
     pub(super) fn new(
         own: Member,
         view: View,
@@ -64,7 +64,7 @@
         leadership
     }
 
-    /// Goes on with the next view, under the same head.
+    /// Continues with the next view, under the same head.
     pub(super) fn renew(&mut self, view: View, now_ms: u64) {
         self.view = view;
         self.view_since_ms = now_ms;
@@ -84,12 +84,12 @@
         }
     }
 
-    /// The view that it leads now.
+    /// Returns the view that the head leads now.
     pub(super) fn view(&self) -> &View {
         &self.view
     }
 
-    /// The view's own voters decide alone from now on; `false` if they did before.
+    /// Marks the view as established: its own voters decide alone. Returns false if it was established already.
     pub(super) fn establish(&mut self) -> bool {
         let is_new = !self.view.is_established();
         if is_new {
@@ -98,57 +98,58 @@
         is_new
     }
 
-    /// All members that it knows, but itself.
+    /// Returns all members that the head knows, without itself.
     pub(super) fn peers(&self) -> &BTreeMap<Member, Peer> {
         &self.peers
     }
 
-    /// A member that it knows.
+    /// Returns a member that the head knows; `None` for an unknown one and for the head itself.
     pub(super) fn peer(&self, member: Member) -> Option<&Peer> {
         self.peers.get(&member)
     }
 
-    /// A member that it knows.
+    /// Returns a member that the head knows; `None` for an unknown one and for the head itself.
     pub(super) fn peer_mut(&mut self, member: Member) -> Option<&mut Peer> {
         self.peers.get_mut(&member)
     }
 
-    /// Its writes that are not committed.
+    /// Returns the writes that are not committed.
     pub(super) fn writes(&self) -> &WriteQueue {
         &self.writes
     }
 
-    /// Its writes that are not committed.
+    /// Returns the writes that are not committed.
     pub(super) fn writes_mut(&mut self) -> &mut WriteQueue {
         &mut self.writes
     }
 
-    /// Its writes that are not committed, as it ends.
+    /// Ends the leadership and returns its writes that are not committed.
     pub(super) fn into_writes(self) -> WriteQueue {
         self.writes
     }
 
-    /// Whether it has led the view of this number.
+    /// Returns true if the view with this number belongs to this leadership.
     pub(super) fn has_led(&self, number: ViewNumber) -> bool {
         (self.first_view..=self.view.number).contains(&number)
     }
 
-    /// The driver has been notified that this member is the head.
+    /// Returns true if the driver has been notified that this member is the head.
     pub(super) fn is_gained(&self) -> bool {
         self.reported_view.is_some()
     }
 
-    /// The whole chain has taken over the view's first state.
+    /// Returns true if the whole chain has taken over the view's first state.
     pub(super) fn is_synchronized(&self) -> bool {
         self.is_synchronized
     }
 
-    /// The whole chain has taken over the view's first state now; `false` if it had before.
+    /// Records that the whole chain has taken over the view's first state; returns false if this was known already.
     pub(super) fn synchronize(&mut self) -> bool {
         !std::mem::replace(&mut self.is_synchronized, true)
     }
 
-    /// What to notify the driver of, once: the first view when the head has a lease, later ones at once.
+    /// Returns each notification to the driver once: of the first view when the head has a lease, of later views at
+    /// once.
     pub(super) fn next_report(&mut self, now_ms: u64) -> Option<HeadReport> {
         let view = self.view.number;
         let report = match self.reported_view {
@@ -161,38 +162,38 @@
         Some(report)
     }
 
-    /// When the next heartbeats are due.
+    /// Returns when the next heartbeats are due.
     pub(super) fn heartbeat_ms(&self) -> u64 {
         self.heartbeat_ms
     }
 
-    /// Heartbeats are sent now.
+    /// Schedules the next heartbeats, one interval from now.
     pub(super) fn schedule_heartbeat(&mut self, now_ms: u64) {
         self.heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
     }
 
-    /// How long the head has led its present view.
+    /// Returns for how long the head has led its present view.
     pub(super) fn view_age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.view_since_ms)
     }
 
-    /// How long the head has led.
+    /// Returns for how long the head has led, over all its views.
     pub(super) fn age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.since_ms)
     }
 
-    /// For more than [`LEASE_MS`] the head has had no lease in its view.
+    /// Returns true if the head has had no lease in its view for more than [`LEASE_MS`].
     pub(super) fn is_lost(&self, now_ms: u64) -> bool {
         let until_ms = self.lease_until_ms().max(self.view_since_ms);
         now_ms > until_ms.saturating_add(LEASE_MS)
     }
 
-    /// The state on the head's own disk has changed.
+    /// Sets the state on the head's own disk.
     pub(super) fn set_own_viewstamp(&mut self, viewstamp: Viewstamp) {
         self.own_viewstamp = viewstamp;
     }
 
-    /// Forgets newcomers that have been unresponsive for a while.
+    /// Forgets newcomers that have been unresponsive for [`FORGET_NEWCOMER_MS`].
     pub(super) fn forget_newcomers(&mut self, now_ms: u64) {
         let voters = &self.view.voters;
         let is_kept = |member: &Member, peer: &mut Peer| {
@@ -201,14 +202,15 @@
         self.peers.retain(is_kept);
     }
 
-    /// The peer, which is added if it is not known yet.
+    /// Returns the peer `member`, which is added if it is not known yet.
     pub(super) fn peer_or_new(&mut self, member: Member, now_ms: u64) -> &mut Peer {
         self.peers
             .entry(member)
             .or_insert_with(|| Peer::new(now_ms))
     }
 
-    /// Until when a majority of the voters votes for no other head.
+    /// Returns until when a majority of the voters, the head included, votes for no other head: 0 if too few have
+    /// granted a lease, `u64::MAX` for a single voter.
     pub(super) fn lease_until_ms(&self) -> u64 {
         let others = self.view.voters.iter().filter(|&&voter| voter != self.own);
         let mut granted: Vec<u64> = others
@@ -224,7 +226,7 @@
         }
     }
 
-    /// The state that `member` has on disk.
+    /// Returns the state on the disk of `member`, as far as it has been reported.
     pub(super) fn viewstamp_of(&self, member: Member) -> Viewstamp {
         if member == self.own {
             return self.own_viewstamp;
@@ -234,7 +236,8 @@
             .map_or(Viewstamp::default(), |peer| peer.report().viewstamp)
     }
 
-    /// Last write that the whole chain has on disk; `None` before all of it has taken over the view.
+    /// Returns the sequence number of the last write that the whole chain has on disk; `None` until every chain member
+    /// has taken over the view's first state.
     pub(super) fn stored_by_all(&self) -> Option<u64> {
         let chain = self.view.chain.iter();
         let viewstamps = chain.map(|&member| self.viewstamp_of(member));
@@ -244,13 +247,13 @@
         seqs?.into_iter().min()
     }
 
-    /// Oldest write that `member` has not stored.
+    /// Returns the oldest batch that `member` has not stored.
     pub(super) fn oldest_lacking(&self, member: Member) -> Option<&Outstanding> {
         let viewstamp = self.viewstamp_of(member);
         self.writes.oldest_lacking(viewstamp, self.view.number)
     }
 
-    /// Where heartbeats go to: voters and newcomers, without the head's own address.
+    /// Returns the addresses to which heartbeats are sent: voters and newcomers, without the head's own address.
     pub(super) fn heartbeat_recipients(&self) -> BTreeSet<SocketAddr> {
         let members = self.view.voters.iter().chain(self.peers.keys());
         members
--- a/crates/replication/src/replica/head/peer.rs
+++ b/crates/replication/src/replica/head/peer.rs
@@ -1,40 +1,41 @@
-//! A member as the head knows it.
+//! The head's knowledge of another member.
 
 use crate::timing::{REJOIN_AFTER_MAX_MS, REJOIN_AFTER_MS, RESEND_MS};
 use crate::types::Viewstamp;
 
-/// What a member reports of itself with its answer to a heartbeat.
+/// State that a member reports with its answer to a heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerReport {
-    /// State on its disk.
+    /// State on the member's disk.
     pub viewstamp: Viewstamp,
-    /// Age of its oldest store that is not done.
+    /// Age of the member's oldest unfinished store, in milliseconds; 0 if there is none.
     pub store_age_ms: u64,
-    /// It is about to stop.
+    /// Whether the member is about to stop.
     pub draining: bool,
 }
 
-/// A member as the head knows it.
+/// The head's knowledge of another member.
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// `sent_ms` of the newest heartbeat that it has answered.
+    /// `sent_ms` of the newest heartbeat that the member has answered; `None` before the first answer.
     granted_ms: Option<u64>,
     last_received_ms: u64,
     report: PeerReport,
-    /// It is not taken into the chain before this time.
+    /// Time before which the member is not taken into the chain.
     rejoin_ms: u64,
-    /// How long the next exclusion lasts.
+    /// Length of the member's next exclusion from the chain.
     penalty_ms: u64,
-    /// It has promised a number above the view's.
+    /// Whether the member has promised a number above that of the view.
     has_promised_later: bool,
-    /// The head sends writes to it itself, because its predecessor's do not reach it.
+    /// Whether the head itself sends new writes to the member, because those relayed by its predecessor do not reach
+    /// it.
     is_direct: bool,
-    /// When writes were sent to it again last.
+    /// When writes were last resent to the member.
     resent_ms: u64,
 }
 
 impl Peer {
-    /// A member of which nothing is known but that it is there.
+    /// Creates the entry of a member that the head has just learned of; it counts as heard of now.
     pub(super) fn new(now_ms: u64) -> Peer {
         Peer {
             granted_ms: None,
@@ -52,24 +53,24 @@
         }
     }
 
-    /// Keeps the member out of the chain for a time that grows from one exclusion to the next.
+    /// Keeps the member out of the chain for a time that doubles with each exclusion, up to [`REJOIN_AFTER_MAX_MS`].
     pub(super) fn exclude(&mut self, now_ms: u64) {
         self.rejoin_ms = now_ms + self.penalty_ms;
         self.penalty_ms = (2 * self.penalty_ms).min(REJOIN_AFTER_MAX_MS);
     }
 
-    /// Time since the last message from it.
+    /// Returns the time since the last message from the member.
     pub(super) fn since_received_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.last_received_ms)
     }
 
-    /// Takes a state that it has on disk. Messages may overtake each other: an older state changes nothing.
+    /// Records a state on the member's disk. Messages may overtake each other, so an older state changes nothing.
     pub(super) fn has_stored(&mut self, viewstamp: Viewstamp, now_ms: u64) {
         self.last_received_ms = now_ms;
         self.report.viewstamp = self.report.viewstamp.max(viewstamp);
     }
 
-    /// Takes the answer to the heartbeat sent at `sent_ms`.
+    /// Records the member's answer to the heartbeat sent at `sent_ms`.
     pub(super) fn has_granted(&mut self, sent_ms: u64, report: PeerReport, now_ms: u64) {
         self.granted_ms = self.granted_ms.max(Some(sent_ms));
         self.last_received_ms = now_ms;
@@ -78,19 +79,20 @@
             ..report
         };
     }
-    /// The head leads another view: what was known of the one before does not count.
+    /// Resets what applies only to the previous view, when the head leads a new one.
     pub(super) fn enter_view(&mut self) {
         self.has_promised_later = false;
         self.is_direct = false;
     }
 
-    /// It has rejected a heartbeat, because it has promised a higher number.
+    /// Records that the member has rejected a heartbeat because it has promised a higher number.
     pub(super) fn has_rejected(&mut self, now_ms: u64) {
         self.has_promised_later = true;
         self.last_received_ms = now_ms;
     }
 
-    /// Writes are sent to it again by the head itself from now on; `false` if that was done just now.
+    /// Marks the member as one to which the head itself sends writes, including missed ones; returns false if writes
+    /// were resent within the last half of [`RESEND_MS`].
     pub(super) fn begin_resend(&mut self, now_ms: u64) -> bool {
         if now_ms < self.resent_ms + RESEND_MS / 2 {
             return false;
@@ -100,27 +102,27 @@
         true
     }
 
-    /// `sent_ms` of the newest heartbeat that it has answered.
+    /// Returns `sent_ms` of the newest heartbeat that the member has answered.
     pub(super) fn granted_ms(&self) -> Option<u64> {
         self.granted_ms
     }
 
-    /// What it has reported of itself last.
+    /// Returns the member's last report, with the newest state that it has reported.
     pub(super) fn report(&self) -> &PeerReport {
         &self.report
     }
 
-    /// Its time of exclusion from the chain is over.
+    /// Returns true if the member's exclusion from the chain is over.
     pub(super) fn may_rejoin(&self, now_ms: u64) -> bool {
         now_ms >= self.rejoin_ms
     }
 
-    /// It has promised a number above the view's.
+    /// Returns true if the member has promised a number above that of the view.
     pub(super) fn has_promised_later(&self) -> bool {
         self.has_promised_later
     }
 
-    /// The head sends writes to it itself.
+    /// Returns true if the head itself sends new writes to the member.
     pub(super) fn is_direct(&self) -> bool {
         self.is_direct
     }
--- a/crates/replication/src/replica/head/planner.rs
+++ b/crates/replication/src/replica/head/planner.rs
@@ -1,9 +1,9 @@
-//! What a head's view should become: members that are slow, unresponsive or draining leave the chain, others join it;
+//! Plans the next view of a head: members that are slow, unresponsive or draining leave the chain, others join it;
 //! voters are added, removed and replaced one at a time.
 //!
-//! One change of the voters at a time, on top of an established view, keeps majorities of the view before and the view
-//! after overlapping. An even number of voters bears no more losses than the odd number below it, so that the planner aims
-//! at odd numbers.
+//! Voters change one at a time and only on top of an established view, so that majorities of the old and the new view
+//! overlap. An even number of voters tolerates no more losses than the odd number below it, so the planner aims at odd
+//! numbers.
 
 use super::leadership::Leadership;
 use super::peer::Peer;
@@ -15,14 +15,14 @@
 };
 use crate::types::{Member, ViewNumber};
 
-/// One change of the voters.
+/// A single change to the voters.
 enum VoterChange {
     Add(Member),
     Remove(Member),
     Replace { old: Member, new: Member },
 }
 
-/// A head's view of its cluster at one moment.
+/// Snapshot of the head's knowledge of its cluster, from which it plans the next view.
 #[derive(Debug)]
 pub(super) struct Planner<'a> {
     pub settings: &'a Settings,
@@ -37,7 +37,7 @@
 }
 
 impl Planner<'_> {
-    /// What the view should become; `None` where it is good as it is.
+    /// Returns voters and chain of the next view; `None` if the present view needs no change.
     pub(super) fn plan(&self) -> Option<Plan> {
         let view = self.leadership.view();
         let voters = self.planned_voters();
@@ -67,7 +67,7 @@
         voters
     }
 
-    /// The next step towards an odd number of voters, all of them responsive. With an even number a partition into two
+    /// Returns the next step towards an odd number of responsive voters. With an even number a partition into two
     /// halves would leave neither half a majority.
     fn voter_change(&self) -> Option<VoterChange> {
         if !self.leadership.is_synchronized() {
@@ -80,7 +80,7 @@
             .or_else(|| self.surplus_voter().map(VoterChange::Remove))
     }
 
-    /// A newcomer takes the place of the voter that had its address, and has lost its disk.
+    /// Replaces a voter that has lost its disk by the newcomer at the same address.
     fn wiped_replacement(&self, newcomers: &[Member]) -> Option<VoterChange> {
         let voters = &self.leadership.view().voters;
         newcomers.iter().find_map(|&new| {
@@ -103,7 +103,7 @@
         Some(VoterChange::Add(new))
     }
 
-    /// Members that are no voters, and could be.
+    /// Returns the members that do not vote but could.
     fn ready_newcomers(&self) -> Vec<Member> {
         let is_ready = |peer: &Peer| self.is_fit(peer) && peer.may_rejoin(self.now_ms);
         let peers = self.leadership.peers().iter();
@@ -114,7 +114,7 @@
             .collect()
     }
 
-    /// Voters of which nothing has been received for `for_ms`, the longest first.
+    /// Returns the voters from which nothing has been received for `for_ms`, those silent longest first.
     fn unresponsive_voters(&self, for_ms: u64) -> Vec<Member> {
         let since_received_ms = |voter: Member| {
             self.peer(voter)
@@ -129,8 +129,9 @@
         unresponsive
     }
 
-    /// A voter beyond those wanted: an unresponsive one (later if an even number would be left for it alone), and of an
-    /// even number one that is not in the chain, or the last of the chain.
+    /// Returns a voter to remove while there are more than required. With an even number: an unresponsive one, or one
+    /// outside the chain, or the last of the chain. With an odd number: one of several unresponsive voters, or a single
+    /// one after [`REMOVE_LONE_AFTER_MS`].
     fn surplus_voter(&self) -> Option<Member> {
         let view = self.leadership.view();
         if view.voters.len() <= self.settings.voters_min() {
@@ -147,7 +148,8 @@
         several.or(lone.first()).copied()
     }
 
-    /// How many voters there should be among so many members.
+    /// Returns how many of `members` members should vote: an odd number, at least the minimum of the settings and at
+    /// most [`VOTERS_MAX`].
     fn voters_aimed_at(&self, members: usize) -> usize {
         let odd = if members.is_multiple_of(2) {
             members.saturating_sub(1)
@@ -157,7 +159,8 @@
         odd.max(self.settings.voters_min()).min(VOTERS_MAX)
     }
 
-    /// Whether a member outside the chain has the head's rows, stays, and could go on as a part of the chain.
+    /// Returns true if a member outside the chain could join it: it has nearly all of the head's rows, is responsive
+    /// with a fast disk, and does not drain.
     fn is_fit(&self, peer: &Peer) -> bool {
         let viewstamp = peer.report().viewstamp;
         viewstamp.view == self.leadership.view().number
@@ -167,14 +170,14 @@
             && !peer.report().draining
     }
 
-    /// The present chain without those that delay it, and with those that have caught up.
+    /// Returns the present chain without the members that delay it, and with those that have caught up.
     fn planned_chain(&self, voters: &[Member]) -> Vec<Member> {
         let chain = self.leadership.view().chain.iter().copied();
         let (delaying, mut planned): (Vec<Member>, Vec<Member>) = chain
             .filter(|member| voters.contains(member))
             .partition(|&member| self.slows_chain(member));
         planned.extend(self.joining(voters, !delaying.is_empty()));
-        // A chain that would be too short keeps some of those that delay it.
+        // A chain that would be too short keeps some of the members that delay it.
         let lacking = self
             .settings
             .chain_min(voters.len())
@@ -183,8 +186,9 @@
         planned
     }
 
-    /// Voters outside the chain that are taken into it. While the chain has not taken over the view's first state, only
-    /// to replace one that delays it (`is_needed`): such a chain may never come together otherwise.
+    /// Returns the voters outside the chain that join it. Until the chain has taken over the view's first state, they
+    /// join only to replace a member that delays it (`is_needed`); without a replacement such a chain might never be
+    /// complete.
     fn joining(&self, voters: &[Member], is_needed: bool) -> Vec<Member> {
         let is_synchronizing = !self.leadership.is_synchronized();
         if is_synchronizing && !is_needed {
@@ -192,7 +196,7 @@
         }
         let may_rejoin = |peer: &Peer| is_synchronizing || peer.may_rejoin(self.now_ms);
         let joins = |peer: &Peer| self.is_fit(peer) && may_rejoin(peer);
-        // One that is left out now has been in the chain: it joins again later, when its time of exclusion is over.
+        // A member that is removed from the chain now is not among these; it rejoins after its exclusion.
         let outside = voters
             .iter()
             .copied()
@@ -202,7 +206,7 @@
             .collect()
     }
 
-    /// A member of the chain that is unresponsive, draining, or slower than the others.
+    /// Returns true if a member of the chain is unresponsive, draining, or slower than the others.
     fn slows_chain(&self, member: Member) -> bool {
         if member == self.own {
             return false;
@@ -218,7 +222,8 @@
             || self.is_slow(member)
     }
 
-    /// A member that has not stored a write for a while, which enough others for a chain have stored.
+    /// Returns true if a member has not stored a write for [`SLOW_MEMBER_MS`] that enough other members for a chain
+    /// have stored.
     fn is_slow(&self, member: Member) -> bool {
         let leadership = self.leadership;
         let Some(oldest) = leadership.oldest_lacking(member) else {
--- a/crates/replication/src/replica/head/reconfiguration.rs
+++ b/crates/replication/src/replica/head/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! When a head changes its view, and under which number. [`Planner`] decides what the view becomes.
+//! Schedules a head's changes of its view and chooses their numbers. [`Planner`] decides on voters and chain.
 
 use super::Head;
 use super::planner::Planner;
@@ -7,38 +7,39 @@
 use crate::timing::RECONFIGURE_MS;
 use crate::types::ViewNumber;
 
-/// When the view may be changed next, and above which number.
+/// Earliest time and lower bound of the number of the next view change.
 #[derive(Debug, Default)]
 pub(super) struct Reconfiguration {
-    /// Set when a leadership begins, and pushed back by each attempt.
+    /// Earliest time of the next view change; set when a leadership begins and postponed by each attempt.
     due_ms: u64,
-    /// The next number that this member prepares as a head is above this: what others are known to have promised.
+    /// Highest number that other members are known to have promised; this member prepares its next view above it.
     number_floor: ViewNumber,
 }
 
 impl Reconfiguration {
-    /// A leadership begins.
+    /// Allows a view change from the start of a leadership, at `now_ms`.
     pub(super) fn begin(&mut self, now_ms: u64) {
         self.due_ms = now_ms;
     }
 
-    /// A member has promised this number.
+    /// Raises the lower bound to a number that another member has promised.
     pub(super) fn raise_number(&mut self, promised: ViewNumber) {
         self.number_floor = self.number_floor.max(promised);
     }
 }
 
-/// A change of the view that is to be made now.
+/// A change of the view that is due.
 #[derive(Debug)]
 pub(in crate::replica) struct ViewChange {
     /// Number of the new view.
     pub number: ViewNumber,
-    /// What it is to become.
+    /// Voters and chain of the new view.
     pub plan: Plan,
 }
 
 impl Head {
-    /// The change that the view needs, if it may be changed now. Those whom it drops from the chain stay out for a while.
+    /// Returns the change that the view needs, if it may be changed now. Members that it drops from the chain are
+    /// excluded for a while.
     pub(in crate::replica) fn due_view_change(&mut self, context: &Context) -> Option<ViewChange> {
         let now_ms = context.now_ms();
         let leadership = self.leadership.as_mut()?;
@@ -66,7 +67,7 @@
         Some(ViewChange { number, plan })
     }
 
-    /// The view is not changed again before [`RECONFIGURE_MS`] have passed.
+    /// Prevents view changes for [`RECONFIGURE_MS`] from now.
     pub(in crate::replica) fn delay_view_change(&mut self, now_ms: u64) {
         if self.leadership.is_some() {
             self.reconfiguration.due_ms = now_ms + RECONFIGURE_MS;
--- a/crates/replication/src/replica/head/write_queue.rs
+++ b/crates/replication/src/replica/head/write_queue.rs
@@ -1,18 +1,18 @@
-//! The writes of a head: those that wait for the next batch, and the batches on their way down the chain.
+//! The writes of a head: those that wait for the next batch, and the batches that are not committed yet.
 
 use crate::timing::PENDING_BYTES_MAX;
 use crate::types::{Batch, RowChange, SubmissionId, ViewNumber, Viewstamp};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Row changes that wait for the next batch.
+/// A submitted write that waits for the next batch.
 #[derive(Debug)]
 struct Pending {
     write_id: SubmissionId,
     changes: Vec<RowChange>,
 }
 
-/// A batch that not all members of the chain have stored.
+/// A batch that is not committed: not all members of the chain have stored it.
 #[derive(Debug)]
 pub(super) struct Outstanding {
     pub batch: Arc<Batch>,
@@ -21,12 +21,12 @@
     pub sent_ms: u64,
 }
 
-/// Writes that were submitted and not committed when the leadership ended.
+/// Writes that were submitted but not committed when the leadership ended.
 #[derive(Debug)]
 pub(super) struct Unfinished {
-    /// Sent down the chain: they may or may not be kept.
+    /// Writes sent down the chain; they may or may not be kept.
     pub unknown: Vec<SubmissionId>,
-    /// Never sent.
+    /// Writes that were never sent.
     pub unsent: Vec<SubmissionId>,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl WriteQueue {
-    /// Takes a write into the next batch; `false` where too much waits already.
+    /// Adds a write to the next batch; returns false if more than [`PENDING_BYTES_MAX`] would wait.
     pub(super) fn submit(&mut self, write_id: SubmissionId, changes: Vec<RowChange>) -> bool {
         let bytes: usize = changes.iter().map(bytes_of).sum();
         if self.pending_bytes + bytes > PENDING_BYTES_MAX {
@@ -50,17 +50,17 @@
         true
     }
 
-    /// Something waits for the next batch.
+    /// Returns true if a write waits for the next batch.
     pub(super) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// All that was submitted is committed.
+    /// Returns true if all submitted writes are committed.
     pub(super) fn is_empty(&self) -> bool {
         self.pending.is_empty() && self.outstanding.is_empty()
     }
 
-    /// Makes a batch of all that waits.
+    /// Makes a batch of all waiting writes and returns it.
     pub(super) fn next_batch(&mut self, seq: u64, now_ms: u64) -> Arc<Batch> {
         self.pending_bytes = 0;
         let (write_ids, changes): (Vec<SubmissionId>, Vec<Vec<RowChange>>) = self
@@ -78,12 +78,12 @@
         batch
     }
 
-    /// The oldest batch that is not committed.
+    /// Returns the oldest batch that is not committed.
     pub(super) fn oldest(&self) -> Option<&Outstanding> {
         self.outstanding.front()
     }
 
-    /// The oldest batch that a member at `viewstamp` has not stored, in the view `number`.
+    /// Returns the oldest batch of the view `number` that a member with the state `viewstamp` has not stored.
     pub(super) fn oldest_lacking(
         &self,
         viewstamp: Viewstamp,
@@ -94,7 +94,7 @@
             .find(|o| viewstamp.view != number || o.batch.seq > viewstamp.seq)
     }
 
-    /// Batches after the sequence number `after`.
+    /// Returns the uncommitted batches with sequence numbers above `after`.
     pub(super) fn batches_after(&self, after: u64) -> Vec<Arc<Batch>> {
         let later = self.outstanding.iter().filter(|o| o.batch.seq > after);
         later.map(|o| Arc::clone(&o.batch)).collect()
@@ -110,7 +110,7 @@
         committed.flat_map(|o| o.write_ids).collect()
     }
 
-    /// What is left at the end of the leadership.
+    /// Returns the writes that are not committed at the end of the leadership.
     pub(super) fn into_unfinished(self) -> Unfinished {
         let outstanding = self.outstanding.into_iter();
         Unfinished {
--- a/crates/replication/src/replica/head/writes.rs
+++ b/crates/replication/src/replica/head/writes.rs
@@ -1,4 +1,4 @@
-//! Writes at the head: batches are sent down the chain, and again to members that lack them.
+//! Writes at the head: it sends batches down the chain and resends them to members that lack them.
 
 use super::Head;
 use super::peer::Peer;
@@ -11,7 +11,8 @@
 use std::sync::Arc;
 
 impl Head {
-    /// The driver submits a write; it is rejected unless this member leads and takes writes.
+    /// Queues a write submitted by the driver. It is rejected if this member is not reported as the head yet, is
+    /// draining, has a failing disk, or has too many writes waiting.
     pub(in crate::replica) fn handle_submit(
         &mut self,
         context: &mut Context,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Writes all that waits as one batch, unless a store is under way.
+    /// Sends and stores all waiting writes as one batch, unless a store is under way or the chain is not synchronized.
     pub(in crate::replica) fn make_batch(&mut self, context: &mut Context) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -47,7 +48,7 @@
         self.send_batch(context, &batch);
     }
 
-    /// A member lacks writes after this state.
+    /// Handles the report of a member that lacks writes after `viewstamp`.
     pub(in crate::replica) fn handle_write_gap(
         &mut self,
         context: &mut Context,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Sends writes again to members that have not stored them for a while.
+    /// Resends writes to members that have not stored them for [`RESEND_MS`].
     pub(super) fn resend_lacking(&mut self, context: &mut Context) {
         let (own, now_ms) = (context.own(), context.now_ms());
         let leadership = self.leadership.as_ref();
--- a/crates/replication/src/replica/io.rs
+++ b/crates/replication/src/replica/io.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out.
+//! Settings, inputs and outputs of a replica.
 
 use crate::durable::StoreRequest;
 use crate::message::Envelope;
@@ -7,128 +7,131 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A member's settings.
+/// Settings of a member.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its own addresses.
+    /// Addresses of the member.
     pub address: MemberAddress,
     /// Internal addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// The whole cluster starts for the first time.
+    /// Whether the cluster starts for the first time: a seed with an empty disk then starts in the first view as a
+    /// voter.
     pub bootstrap: bool,
-    /// How many machines may be lost at once (`fault_tolerance.machines`).
+    /// Number of machines that may be lost at once (`fault_tolerance.machines`).
     pub tolerated_losses: usize,
-    /// Seed of the random numbers; another one at each start.
+    /// Seed of the random numbers; must differ from start to start.
     pub random_seed: u64,
 }
 
 impl Settings {
-    /// Least number of voters.
+    /// Returns the minimum number of voters.
     pub(super) fn voters_min(&self) -> usize {
         self.seeds.len().max(2 * self.tolerated_losses + 1)
     }
 
-    /// Least length of the chain with so many voters: a majority, so that each later view's promises come from a member
-    /// that has all committed writes; and long enough for the losses that are tolerated.
+    /// Returns the minimum length of the chain for `voters` voters. It is at least a majority, so that the promises for
+    /// each later view include one from a member with all committed writes. It is also long enough for the tolerated
+    /// losses.
     pub(super) fn chain_min(&self, voters: usize) -> usize {
         majority(voters).max(voters.min(self.tolerated_losses + 1))
     }
 }
 
-/// What happens to a member.
+/// An event that the driver passes to a replica.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message has come.
+    /// A message has arrived.
     Message(Envelope),
-    /// The store of this number is on disk.
+    /// The store with this number is on disk.
     Stored {
-        /// Its number.
+        /// Number of the store.
         store: u64,
     },
-    /// The store of this number has failed, and nothing of it is on disk. It is retried later.
+    /// The store with this number has failed, and none of its changes is on disk. It is retried after
+    /// [`STORE_RETRY_MS`](crate::timing::STORE_RETRY_MS).
     StoreFailed {
-        /// Its number.
+        /// Number of the store.
         store: u64,
     },
-    /// Rows have been read.
+    /// The rows requested by [`Output::ReadRows`] have been read.
     RowsRead {
-        /// Number of the reading.
+        /// Number of the read request.
         read: u64,
-        /// The rows.
+        /// The rows read.
         chunk: RowsChunk,
     },
-    /// Rows cannot be read.
+    /// The rows requested by [`Output::ReadRows`] cannot be read.
     ReadFailed {
-        /// Number of the reading.
+        /// Number of the read request.
         read: u64,
     },
-    /// Write these rows, all together.
+    /// A request to write these row changes atomically.
     Submit {
-        /// Chosen by the driver; the output that ends the write carries it.
+        /// ID chosen by the driver; the output that reports the outcome of the write carries it.
         write_id: SubmissionId,
-        /// The rows.
+        /// The row changes.
         changes: Vec<RowChange>,
     },
-    /// The address of a member is known (from its `Welcome`, or from another process).
+    /// The addresses of a member have become known (from its `Welcome`, or from another process).
     MemberDiscovered {
-        /// Its addresses.
+        /// Addresses of the member.
         address: MemberAddress,
     },
-    /// The process is about to stop: transfer the leadership, leave the chain.
+    /// The process is about to stop: the member transfers its leadership and leaves the chain.
     StepDown,
-    /// The time of [`Replica::next_timer_ms`](crate::Replica::next_timer_ms) has come.
+    /// The time returned by [`Replica::next_timer_ms`](crate::Replica::next_timer_ms) has been reached.
     Timer,
 }
 
-/// What a member's driver has to do.
+/// An action that the driver has to carry out, or a notification to it.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send this to the member at this internal address.
+    /// Send this message to the member at this internal address.
     Send {
         /// The receiver's internal address.
         to: SocketAddr,
         /// The message.
         envelope: Box<Envelope>,
     },
-    /// Make these changes on disk. At most one store is under way at a time.
+    /// Write these changes to disk. At most one store is under way at a time.
     Store {
         /// Number of the store.
         store: u64,
         /// The changes.
         request: Arc<StoreRequest>,
     },
-    /// Read rows that changed after `since`.
+    /// Read the rows that changed after `since`.
     ReadRows {
-        /// Number of the reading.
+        /// Number of the read request.
         read: u64,
-        /// The sequence number.
+        /// Sequence number after which rows are read.
         since: u64,
-        /// How many bytes of rows to read, roughly.
+        /// Approximate number of bytes of rows to read.
         bytes_max: usize,
     },
-    /// The write is on the disks of the whole chain.
+    /// The write is committed: it is on the disks of the whole chain.
     Committed {
-        /// The write's id.
+        /// ID of the write.
         write_id: SubmissionId,
     },
-    /// This member is no longer the head, and whether the write is kept is unknown.
+    /// This member is no longer the head; the write may or may not be kept.
     Aborted {
-        /// The write's id.
+        /// ID of the write.
         write_id: SubmissionId,
     },
     /// The write has not been made and never will be.
     Rejected {
-        /// The write's id.
+        /// ID of the write.
         write_id: SubmissionId,
     },
-    /// This member is the head of an agreed view; all rows are on its disk.
+    /// This member has become the head of an agreed view and holds a lease; the whole chain has the rows on disk.
     HeadGained {
-        /// The view's number.
+        /// Number of the view.
         view: ViewNumber,
     },
-    /// This member is still the head, under a new number; its rows are as they were.
+    /// This member is still the head, in a view with a new number; its rows are unchanged.
     HeadRenewed {
-        /// The view's number.
+        /// Number of the view.
         view: ViewNumber,
     },
     /// This member is no longer the head.
--- a/crates/replication/src/replica/roles.rs
+++ b/crates/replication/src/replica/roles.rs
@@ -1,5 +1,5 @@
-//! Changes between the roles of a member, each of which concerns several of its parts: it follows a head, promises,
-//! campaigns, leads, changes its view, and hands its leadership over.
+//! Role changes of a member that involve several of its parts: it follows a head, promises, campaigns, leads, changes
+//! its view, and transfers its leadership.
 
 use super::Replica;
 use super::candidate::{CampaignStep, Plan};
@@ -31,7 +31,7 @@
         self.transfers.catch_up(context, &view, seq);
     }
 
-    /// Takes over an agreed view that another member leads.
+    /// Adopts an agreed view that another member leads.
     fn follow(&mut self, view: &View) {
         let record = &self.context.record;
         let known = record.view.as_ref().filter(|v| v.number == view.number);
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Whether this member is bound to a head other than `candidate`, as a voter or as that head itself. `headed_view`:
-    /// the view that the candidate heads on its disk (0: none).
+    /// Returns true if this member is bound to a head other than `candidate`, by a lease that it has granted or because
+    /// it is that head itself. `headed_view` is the number of the view on the candidate's disk if the candidate heads
+    /// it, and 0 otherwise.
     fn is_bound_against(&self, candidate: Member, headed_view: ViewNumber) -> bool {
         let context = &self.context;
         let is_acting = candidate != context.own() && self.head.may_act(context.now_ms());
@@ -117,7 +118,8 @@
         self.context.send_once_stored(from, accepted);
     }
 
-    /// Takes part in no view below `number` any more, and leaves its candidate time.
+    /// Promises `number`: this member takes part in no lower view any more. Postpones its own campaign to leave the
+    /// candidate time.
     fn adopt_number(&mut self, number: ViewNumber) {
         self.abandon_leadership_and_campaign();
         self.context.record.promised = number;
@@ -125,7 +127,7 @@
         self.candidate.yield_to_prepare(&mut self.context);
     }
 
-    /// This member's promise for `number`, with what it has accepted and the state of its rows.
+    /// Returns this member's promise for `number`, with the view that it has accepted and the state of its rows.
     fn prepare_ok(&self, number: ViewNumber, draining: bool) -> PrepareOk {
         let record = &self.context.record;
         PrepareOk {
@@ -139,8 +141,8 @@
 
     // Campaigning.
 
-    /// This member has been started again as the head of the view on its disk. It campaigns at once: no lease but its own,
-    /// which ended with its process, can run in that view.
+    /// Returns true if this member has restarted, within the last lease time, as the head of the view on its disk. It
+    /// campaigns at once: only its own lease could still run in that view, and that lease ended with its process.
     pub(super) fn is_resuming(&self) -> bool {
         let voter = self.follower.voter();
         self.context.headed_view() > ViewNumber::NONE
@@ -148,7 +150,7 @@
             && voter.may_have_unknown_lease(self.context.now_ms())
     }
 
-    /// This member votes, and is not about to stop.
+    /// Returns true if this member is a voter and is not about to stop.
     fn may_campaign(&self) -> bool {
         let record = &self.context.record;
         let Some(view) = &record.view else {
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Takes up what follows from a campaign for the other parts.
+    /// Carries out the next step of the campaign, as far as it involves other parts.
     pub(super) fn handle_campaign_step(&mut self, step: CampaignStep) {
         match step {
             CampaignStep::Wait => {}
@@ -227,7 +229,7 @@
             .prepare(&mut self.context, number, known, plan);
     }
 
-    /// Gives the campaign up; the next one begins after a random time.
+    /// Ends the campaign without success; the next one begins after a random time.
     fn fail_campaign(&mut self) {
         self.transfers.abandon_for_candidate();
         let is_resuming = self.is_resuming();
@@ -235,7 +237,7 @@
         self.head.delay_view_change(self.context.now_ms());
     }
 
-    /// This member's own promise is on its disk.
+    /// Counts this member's own promise, which is on its disk now.
     pub(super) fn handle_own_prepare_ok(&mut self, number: ViewNumber) {
         let prepare_ok = self.prepare_ok(number, false);
         self.handle_prepare_ok(self.context.own(), prepare_ok);
@@ -289,7 +291,8 @@
             let from_ms = now_ms + LEASE_MS;
             return self.candidate.postpone_beyond(&mut self.context, from_ms);
         }
-        // Before heartbeats: one sent after the leadership was transferred would bind its receiver to this head again.
+        // This precedes the heartbeats: one sent after the leadership was transferred would bind its receiver to this
+        // head again.
         if let Some(handover) = self.head.due_handover(&self.context) {
             return self.transfer_leadership(handover);
         }
@@ -299,7 +302,7 @@
         }
     }
 
-    /// Starts a new view under this head where the present one should change.
+    /// Starts the change to a new view under this head if the present one should change.
     fn reconfigure(&mut self) {
         let context = &self.context;
         if context.is_draining() || context.stores.is_failing() {
@@ -311,7 +314,7 @@
         }
     }
 
-    /// Gives the lease back and asks the member with the newest state to campaign (Raft thesis, section 3.10).
+    /// Gives up the lease and asks the member with the newest state to campaign (Raft thesis, section 3.10).
     fn transfer_leadership(&mut self, handover: Handover) {
         let number = handover.number;
         self.abandon_leadership_and_campaign();
@@ -331,7 +334,7 @@
         }
     }
 
-    /// Another member's campaign goes first: this member is neither head nor candidate any more.
+    /// Ends this member's campaign and leadership, if any.
     fn abandon_leadership_and_campaign(&mut self) {
         self.candidate.abandon();
         self.head.end(&mut self.context);
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -1,5 +1,5 @@
-//! The stores of a member, one after the other: what is requested while one is under way goes into the next, all
-//! together (group commit).
+//! The stores of a member, one at a time: all changes requested while a store is under way are combined in the next one
+//! (group commit).
 
 use crate::durable::{Durable, StoreOperation, StoreRequest};
 use crate::message::Message;
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What may be done once a store is on disk.
+/// An action that must wait until a store is on disk.
 #[derive(Debug)]
 pub(super) enum AfterStore {
-    /// Send a message that depends on it.
+    /// Send a message that depends on the store.
     Send {
         to: SocketAddr,
         message: Box<Message>,
@@ -22,16 +22,16 @@
     OwnAccepted { number: ViewNumber },
     /// Propose a view on top of the state that a candidate has fetched.
     TransferStored { number: ViewNumber },
-    /// Grant the lease to the head of the view that is on disk now.
+    /// Answer the last heartbeat, whose view is on disk now.
     Grant,
 }
 
-/// A store that is on disk.
+/// Result of a store that is on disk.
 #[derive(Debug)]
 pub(super) struct Finished {
-    /// The state of the rows has changed with it.
+    /// Whether the store has changed the state of the rows.
     pub has_new_rows: bool,
-    /// What may be done now.
+    /// Actions that waited for the store.
     pub after: Vec<AfterStore>,
 }
 
@@ -44,10 +44,10 @@
     retry_ms: Option<u64>,
 }
 
-/// The stores of a member.
+/// The store under way, and the changes collected for the next one.
 #[derive(Debug)]
 pub(super) struct StoreQueue {
-    /// The state of the rows on disk.
+    /// State of the rows on disk.
     stored_viewstamp: Viewstamp,
     /// Number of the view accepted last, as it is on disk; 0 before the first.
     stored_view: ViewNumber,
@@ -59,7 +59,7 @@
 }
 
 impl StoreQueue {
-    /// The queue of a member that has this record on its disk, if any.
+    /// Creates the queue of a member that has this record on its disk; `None` if the disk is empty.
     pub(super) fn new(durable: Option<&Durable>) -> StoreQueue {
         StoreQueue {
             stored_viewstamp: durable.map_or(Viewstamp::default(), |d| d.viewstamp),
@@ -72,57 +72,58 @@
         }
     }
 
-    /// The state of the rows on disk.
+    /// Returns the state of the rows on disk.
     pub(super) fn stored_viewstamp(&self) -> Viewstamp {
         self.stored_viewstamp
     }
 
-    /// Number of the view accepted last, as it is on disk; 0 before the first.
+    /// Returns the number of the view accepted last, as it is on disk; 0 before the first.
     pub(super) fn stored_view(&self) -> ViewNumber {
         self.stored_view
     }
 
-    /// The record has changed and has to be stored.
+    /// Requests a store of the changed record.
     pub(super) fn request_store(&mut self) {
         self.is_requested = true;
     }
 
-    /// As [`StoreQueue::request_store`], and `after` follows.
+    /// Requests a store of the record, followed by `after` once it is on disk.
     pub(super) fn request_store_then(&mut self, after: AfterStore) {
         self.is_requested = true;
         self.after.push(after);
     }
 
-    /// Rows change with the next store.
+    /// Adds a change to the rows to the next store.
     pub(super) fn add(&mut self, operation: StoreOperation) {
         self.operations.push(operation);
     }
 
-    /// Nothing is under way.
+    /// Returns true if no store is under way.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight.is_none()
     }
 
-    /// The store under way has failed and is to be retried.
+    /// Returns true if the store under way has failed and waits for its retry.
     pub(super) fn is_failing(&self) -> bool {
         self.in_flight
             .as_ref()
             .is_some_and(|f| f.retry_ms.is_some())
     }
 
-    /// For how long the store under way has not been done.
+    /// Returns for how long the store under way has been unfinished, including retries; 0 if there is none.
     pub(super) fn age_ms(&self, now_ms: u64) -> u64 {
         self.in_flight
             .as_ref()
             .map_or(0, |f| now_ms.saturating_sub(f.since_ms))
     }
 
-    /// When a failed store is due again.
+    /// Returns when a failed store is retried; `None` if none has failed.
     pub(super) fn retry_ms(&self) -> Option<u64> {
         self.in_flight.as_ref().and_then(|f| f.retry_ms)
     }
 
-    /// The next store to start, if one is wanted and none is under way.
+    /// Starts the next store and returns its number and request, if one is requested and none is under way, or if a
+    /// failed one is due again.
     pub(super) fn start(
         &mut self,
         now_ms: u64,
@@ -160,7 +161,7 @@
         Some((failed.store, Arc::clone(&failed.request)))
     }
 
-    /// A store is on disk.
+    /// Handles the completion of a store; returns `None` if it is not the one under way.
     pub(super) fn finish(&mut self, store: u64) -> Option<Finished> {
         let done = self.in_flight.take_if(|f| f.store == store)?;
         let durable = &done.request.durable;
@@ -173,7 +174,7 @@
         })
     }
 
-    /// A store has failed.
+    /// Handles the failure of a store and schedules its retry.
     pub(super) fn fail(&mut self, now_ms: u64, store: u64) {
         if let Some(failed) = self.in_flight.as_mut().filter(|f| f.store == store) {
             failed.retry_ms = Some(now_ms + STORE_RETRY_MS);
--- a/crates/replication/src/replica/transfers.rs
+++ b/crates/replication/src/replica/transfers.rs
@@ -1,5 +1,5 @@
-//! State transfer: how a member gets the rows that it lacks, from the head or, as a candidate, from another voter; and how
-//! it serves others (Viewstamped Replication's state transfer). It also drops tombstones that nobody needs any more.
+//! State transfer, as in Viewstamped Replication: a member fetches the rows that it lacks from the head or, as a
+//! candidate, from another voter, and serves rows to other members. This module also drops old tombstones.
 
 mod rows_server;
 mod state_transfer;
@@ -16,7 +16,7 @@
 use state_transfer::{Progress, Purpose, StateTransfer};
 use trim_schedule::TrimSchedule;
 
-/// The transfer to this member, if one is under way, and those to others.
+/// The transfer to this member, if one is under way, the requests of other members, and the schedule for trimming.
 #[derive(Debug)]
 pub(super) struct Transfers {
     transfer: Option<StateTransfer>,
@@ -24,17 +24,17 @@
     trim_schedule: TrimSchedule,
 }
 
-/// How a transfer ended that a candidate had asked for.
+/// Outcome of a chunk of rows for a campaign.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransferOutcome {
-    /// It goes on, its rows are being stored, or it was no candidate's.
+    /// The transfer continues, its rows are being stored, or it was not for a candidate.
     Pending,
-    /// It led to another state than the candidate needs.
+    /// The transfer led to a state other than the one that the candidate needs.
     Useless,
 }
 
 impl Transfers {
-    /// No transfer is under way.
+    /// Creates the state without a transfer under way.
     pub(super) fn new(now_ms: u64) -> Transfers {
         Transfers {
             transfer: None,
@@ -43,18 +43,19 @@
         }
     }
 
-    /// Gives the transfer to this member up: another view goes first.
+    /// Gives up the transfer to this member, which is no longer needed for its view.
     pub(super) fn abandon(&mut self) {
         self.transfer = None;
     }
 
-    /// Gives the transfer up if a candidate has asked for it: its campaign has failed.
+    /// Gives up the transfer if it is for a campaign, because the campaign has failed.
     pub(super) fn abandon_for_candidate(&mut self) {
         self.transfer
             .take_if(|transfer| transfer.is_for_candidate());
     }
 
-    /// Brings the rows up to the head's where writes down the chain do not do it.
+    /// Starts a transfer from the head if this member lacks rows that it does not receive through the chain, or enters
+    /// the view if it has the first state already.
     pub(super) fn catch_up(&mut self, context: &mut Context, view: &View, head_seq: u64) {
         let Some(head) = view.head() else { return };
         let viewstamp = context.record.viewstamp;
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Fetches the newest state, on top of which this member wants to propose the view `number`.
+    /// Fetches the newest state, on top of which this member proposes the view `number`.
     pub(super) fn fetch_for_candidate(
         &mut self,
         context: &mut Context,
@@ -81,12 +82,12 @@
         self.start(context, source, Purpose::Candidate { number, newest });
     }
 
-    /// When the request of the transfer under way is repeated.
+    /// Returns when the request of the transfer under way is repeated; `None` if there is none.
     pub(super) fn due_ms(&self) -> Option<u64> {
         self.transfer.as_ref().map(StateTransfer::due_ms)
     }
 
-    /// Repeats a request without an answer, or gives the transfer up.
+    /// Repeats an unanswered request when that is due, or gives up a transfer that has timed out.
     pub(super) fn run(&mut self, context: &mut Context) {
         let now_ms = context.now_ms();
         let Some(transfer) = &self.transfer else {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Another member asks for rows that it lacks.
+    /// Handles another member's request for rows that it lacks.
     pub(super) fn handle_fetch(&mut self, context: &mut Context, from: Member, fetch: &Fetch) {
         let viewstamp = fetch.viewstamp;
         let (after, clear) = match fetch.after {
@@ -121,12 +122,12 @@
         });
     }
 
-    /// Rows that another member has asked for have been read.
+    /// Sends rows that have been read for another member.
     pub(super) fn handle_rows_read(&mut self, context: &mut Context, read: u64, chunk: RowsChunk) {
         let Some(request) = self.rows_server.finish(read) else {
             return;
         };
-        // The rows have been replaced since the request came: its answer would mix two states.
+        // The rows have been replaced since the request arrived: an answer would mix two states.
         if chunk.viewstamp.view != request.view {
             return;
         }
@@ -142,12 +143,12 @@
         context.send(request.to.internal, message);
     }
 
-    /// Rows that another member has asked for cannot be read; it asks again.
+    /// Drops a request whose rows cannot be read; the other member repeats it.
     pub(super) fn handle_read_failed(&mut self, read: u64) {
         self.rows_server.finish(read);
     }
 
-    /// A chunk of rows has come; `campaign` is the number that this member's campaign has prepared.
+    /// Handles a chunk of rows; `campaign` is the view number of this member's campaign, if any.
     pub(super) fn handle_rows(
         &mut self,
         context: &mut Context,
@@ -168,12 +169,12 @@
         }
     }
 
-    /// When tombstones are looked at next.
+    /// Returns when the trim schedule is due next.
     pub(super) fn trim_due_ms(&self) -> u64 {
         self.trim_schedule.due_ms()
     }
 
-    /// Drops tombstones of rows deleted long ago, together with the next store.
+    /// Drops tombstones older than [`TRIM_AFTER_MS`](crate::timing::TRIM_AFTER_MS), together with the next store.
     pub(super) fn run_trim_schedule(&mut self, context: &mut Context) {
         let stored_seq = context.stores.stored_viewstamp().seq;
         let Some(seq) = self.trim_schedule.run(context.now_ms(), stored_seq) else {
@@ -238,7 +239,8 @@
     }
 }
 
-/// The state that a transfer led to is the one that it was started for, and is not older than this member's own.
+/// Returns true if a transfer led to the state that it was started for and that state is not older than this member's
+/// own.
 fn may_adopt(
     context: &Context,
     purpose: Purpose,
@@ -255,8 +257,8 @@
     is_expected && viewstamp >= record.viewstamp
 }
 
-/// Whether the state `viewstamp` is a prefix of the state of `durable`, so that a member that has it lacks only later
-/// rows.
+/// Returns true if the state `viewstamp` is a prefix of the state of `durable`, and the tombstones of all later
+/// deletions are still there. A member with that state needs only the rows that changed after it.
 fn is_earlier_state_of(viewstamp: Viewstamp, durable: &Durable) -> bool {
     if viewstamp.seq < durable.trimmed || viewstamp.view == ViewNumber::NONE {
         return false;
--- a/crates/replication/src/replica/transfers/rows_server.rs
+++ b/crates/replication/src/replica/transfers/rows_server.rs
@@ -1,24 +1,24 @@
-//! Requests of other members for rows, while the driver reads these from the disk.
+//! Requests of other members for rows that the driver is reading from disk.
 
 use crate::types::{Member, ViewNumber};
 use std::collections::BTreeMap;
 
-/// A request that waits for its rows.
+/// A request whose rows are being read.
 #[derive(Debug)]
 pub(super) struct RowsRequest {
-    /// Who has asked.
+    /// The requesting member.
     pub to: Member,
-    /// The request's id; the answer carries it.
+    /// ID of the request; the answer carries it.
     pub request_id: u64,
-    /// Rows after this sequence number are read.
+    /// Sequence number after which rows are read.
     pub after: u64,
-    /// The receiver has to drop its rows first.
+    /// Whether the receiver must first drop all rows that it has.
     pub clear: bool,
-    /// Number of the view that the rows were in when the request came.
+    /// View number of this member's rows when the request arrived.
     pub view: ViewNumber,
 }
 
-/// The requests under way, at most one of each member.
+/// The requests under way by the number of their read, at most one for each member.
 #[derive(Debug, Default)]
 pub(super) struct RowsServer {
     requests: BTreeMap<u64, RowsRequest>,
@@ -26,7 +26,7 @@
 }
 
 impl RowsServer {
-    /// Takes a request, in place of an earlier one of the same member. Returns the number of the reading.
+    /// Adds a request, which replaces an earlier one of the same member. Returns the number of the read.
     pub(super) fn start(&mut self, request: RowsRequest) -> u64 {
         self.last_read += 1;
         self.requests.retain(|_, other| other.to != request.to);
@@ -34,7 +34,7 @@
         self.last_read
     }
 
-    /// The request that the reading `read` was for, unless a later one has replaced it.
+    /// Removes and returns the request that the read `read` was for, unless a later one has replaced it.
     pub(super) fn finish(&mut self, read: u64) -> Option<RowsRequest> {
         self.requests.remove(&read)
     }
--- a/crates/replication/src/replica/transfers/state_transfer.rs
+++ b/crates/replication/src/replica/transfers/state_transfer.rs
@@ -1,33 +1,33 @@
 //! A transfer of rows to this member, chunk by chunk.
 //!
-//! The rows are kept in memory until all of them have come, because a part of them is no state that the table ever had.
-//! They are stored in one transaction.
+//! The rows are kept in memory until all chunks have arrived and are then stored in one transaction: a part of them
+//! would be a state that the table never had.
 
 use crate::durable::StoreOperation;
 use crate::message::{Fetch, Message, Rows};
 use crate::timing::{FETCH_RETRY_MS, TRANSFER_TIMEOUT_MS};
 use crate::types::{Member, Row, ViewNumber, Viewstamp};
 
-/// What the rows are for.
+/// Purpose of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// To follow the head of this view.
+    /// Follow the head of the view `number`.
     Follow { number: ViewNumber },
-    /// To propose a view on top of the newest state.
+    /// Propose the view `number` on top of the state `newest`.
     Candidate {
         number: ViewNumber,
         newest: Viewstamp,
     },
 }
 
-/// What a chunk has led to.
+/// Result of receiving a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// It belongs to another transfer, or has come before.
+    /// The chunk belongs to another transfer, or has been received before.
     Ignored,
     /// The next chunk has to be requested.
     MoreNeeded,
-    /// All rows are there.
+    /// All rows have been received.
     Complete,
 }
 
@@ -37,10 +37,10 @@
     source: Member,
     request_id: u64,
     purpose: Purpose,
-    /// The first chunk said that rows have to be dropped.
+    /// Whether all present rows are dropped first, as stated by the first chunk.
     clear: bool,
     rows: Vec<Row>,
-    /// Where the next chunk goes on; `None` until the first has come.
+    /// Sequence number after which the next chunk continues; `None` until the first chunk has arrived.
     next_after: Option<u64>,
     requested_ms: u64,
     last_received_ms: u64,
@@ -77,17 +77,17 @@
         matches!(self.purpose, Purpose::Candidate { .. })
     }
 
-    /// When the present request is repeated.
+    /// Returns when the present request is repeated.
     pub(super) fn due_ms(&self) -> u64 {
         self.requested_ms + FETCH_RETRY_MS
     }
 
-    /// The source has not answered for so long that the transfer is given up.
+    /// Returns true if the source has not answered for [`TRANSFER_TIMEOUT_MS`].
     pub(super) fn is_timed_out(&self, now_ms: u64) -> bool {
         now_ms >= self.last_received_ms + TRANSFER_TIMEOUT_MS
     }
 
-    /// The request for the next chunk; `viewstamp` is the state of this member's rows.
+    /// Returns the request for the next chunk; `viewstamp` is the state of this member's rows.
     pub(super) fn next_request(&mut self, now_ms: u64, viewstamp: Viewstamp) -> Message {
         self.requested_ms = now_ms;
         Message::Fetch(Fetch {
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Takes the rows of a chunk.
+    /// Moves the rows out of a chunk, if it is the expected one.
     pub(super) fn receive(&mut self, now_ms: u64, from: Member, chunk: &mut Rows) -> Progress {
         let is_answer = self.source == from && self.request_id == chunk.request_id;
         let is_next = self.next_after.is_none_or(|after| after == chunk.after);
@@ -117,12 +117,12 @@
         Progress::MoreNeeded
     }
 
-    /// All rows of this member are replaced, tombstones of deleted ones included.
+    /// Returns true if the transfer replaces all rows of this member, including tombstones.
     pub(super) fn replaces_all(&self) -> bool {
         self.clear
     }
 
-    /// How the rows are stored.
+    /// Returns the changes that store the received rows.
     pub(super) fn into_operations(self) -> Vec<StoreOperation> {
         let clear = self.clear.then_some(StoreOperation::Clear);
         clear
--- a/crates/replication/src/replica/transfers/trim_schedule.rs
+++ b/crates/replication/src/replica/transfers/trim_schedule.rs
@@ -1,19 +1,20 @@
-//! When tombstones of deleted rows may be dropped.
+//! Decides when tombstones of deleted rows may be dropped.
 //!
-//! A deleted row leaves a tombstone, so that a member that was away learns of the deletion from a transfer of later rows.
-//! The schedule samples how far the table has come; a tombstone may go once it is [`TRIM_AFTER_MS`] old.
+//! A deleted row leaves a tombstone, so that a member that was away learns of the deletion from a transfer of later
+//! rows. The schedule samples the sequence number on disk at intervals; a tombstone may be dropped once it is
+//! [`TRIM_AFTER_MS`] old.
 
 use crate::timing::{TRIM_AFTER_MS, TRIM_INTERVAL_MS};
 use std::collections::VecDeque;
 
-/// How far the table had come at an earlier time.
+/// The sequence number on disk at an earlier time.
 #[derive(Debug)]
 struct Sample {
     at_ms: u64,
     seq: u64,
 }
 
-/// Samples of the table's sequence number, oldest first.
+/// Samples of the sequence number on disk, oldest first.
 #[derive(Debug)]
 pub(super) struct TrimSchedule {
     samples: VecDeque<Sample>,
@@ -21,7 +22,7 @@
 }
 
 impl TrimSchedule {
-    /// The first sample is due one interval after the start.
+    /// Creates a schedule whose first sample is due one interval after `now_ms`.
     pub(super) fn new(now_ms: u64) -> TrimSchedule {
         TrimSchedule {
             samples: VecDeque::new(),
@@ -29,14 +30,13 @@
         }
     }
 
-    /// When [`TrimSchedule::run`] is due.
+    /// Returns when [`TrimSchedule::run`] is due.
     pub(super) fn due_ms(&self) -> u64 {
         self.due_ms
     }
 
-    /// Takes a sample when it is due; `seq` is the last write on disk. Returns the sequence number up to which tombstones
-    /// may
-    /// be dropped now.
+    /// Takes a sample when it is due; `seq` is the sequence number of the last write on disk. Returns the sequence
+    /// number up to which tombstones may be dropped now, if any.
     pub(super) fn run(&mut self, now_ms: u64, seq: u64) -> Option<u64> {
         if now_ms < self.due_ms {
             return None;
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -1,6 +1,6 @@
 //! One member's rows and record in a `SQLite` database.
 //!
-//! Each row and the record have a checksum of their own, because `SQLite` has none for pages of the database.
+//! Each row and the record have their own checksum, because `SQLite` has none for the pages of a database.
 
 mod checksum;
 mod error;
@@ -19,29 +19,29 @@
 use snafu::ResultExt;
 use std::path::{Path, PathBuf};
 
-/// An open database.
+/// Result of opening a database.
 #[derive(Debug)]
 pub struct Opened {
     /// The database.
     pub storage: Storage,
-    /// The record in it; `None` for an empty one.
+    /// The member's record; `None` if the database is empty.
     pub durable: Option<Durable>,
-    /// A database that could not be used and was quarantined by this opening.
+    /// The unusable database that this opening has quarantined, if any.
     pub quarantined: Option<Quarantined>,
-    /// This or an earlier opening has quarantined a database: what the member had promised is forgotten.
+    /// Whether this or an earlier opening has quarantined a database, so that the member's earlier promises are lost.
     pub has_quarantined: bool,
 }
 
-/// A database that cannot be used.
+/// A database that cannot be used and has been moved aside.
 #[derive(Debug)]
 pub struct Quarantined {
-    /// Where its file is now.
+    /// Present path of the database file.
     pub path: PathBuf,
-    /// Why it cannot be used, for the log.
+    /// Reason why the database cannot be used, for the log.
     pub reason: String,
 }
 
-/// A member's database.
+/// The open database of a member.
 #[derive(Debug)]
 pub struct Storage {
     connection: Connection,
@@ -51,8 +51,8 @@
 }
 
 impl Storage {
-    /// Opens the database in the folder `dir`, or makes an empty one. A database that is damaged or of a newer format is
-    /// quarantined, and the member starts empty.
+    /// Opens the database in the folder `dir`, or creates an empty one. A database that is damaged or has a newer
+    /// format is quarantined, and the member starts with an empty one.
     ///
     /// # Errors
     ///
@@ -93,11 +93,11 @@
         })
     }
 
-    /// Makes the changes in one transaction, with one sync.
+    /// Writes the changes and the record in one transaction, with one sync.
     ///
     /// # Errors
     ///
-    /// The record cannot be encoded or `SQLite` fails; nothing of the request is on disk then.
+    /// The record cannot be encoded or `SQLite` fails; in both cases none of the changes is on disk.
     pub fn apply(&mut self, request: &StoreRequest) -> Result<(), StorageError> {
         let record =
             postcard::to_allocvec(&request.durable).map_err(|source| StorageError::Record {
@@ -113,11 +113,11 @@
         Ok(())
     }
 
-    /// Rows that changed after `since`, about `bytes_max` bytes of them, with the state that they belong to.
+    /// Returns rows that changed after `since`, about `bytes_max` bytes of them, with the state of the table.
     ///
     /// # Errors
     ///
-    /// `SQLite` fails, or a row does not agree with its checksum.
+    /// `SQLite` fails, or the checksum of a row does not match.
     pub fn rows_since(&self, since: u64, bytes_max: usize) -> Result<RowsChunk, StorageError> {
         let (rows, more) = rows::since(&self.connection, &self.path, since, bytes_max)?;
         Ok(RowsChunk {
@@ -128,21 +128,21 @@
         })
     }
 
-    /// Calls `visitor` with key and value of each row that is not deleted, in the order of keys.
+    /// Calls `visitor` with the key and value of each row that is not deleted, ordered by key.
     ///
     /// # Errors
     ///
-    /// `SQLite` fails, or a row does not agree with its checksum; rows before it have been visited.
+    /// `SQLite` fails, or the checksum of a row does not match; the rows before it have been visited.
     pub fn all_rows(&self, visitor: impl FnMut(&[u8], &[u8])) -> Result<(), StorageError> {
         rows::visit(&self.connection, &self.path, visitor)
     }
 
-    /// Compares `count` rows after the key `after` with their checksums; returns the last key, `None` at the end of the
-    /// table.
+    /// Verifies the checksums and index entries of `count` rows after the key `after`. Returns the key of the last one,
+    /// or `None` if the end of the table was reached.
     ///
     /// # Errors
     ///
-    /// `SQLite` fails, a row does not agree with its checksum, or the index does not lead to it.
+    /// `SQLite` fails, the checksum of a row does not match, or a row is missing from the index.
     pub fn scrub(&self, after: &[u8], count: usize) -> Result<Option<Vec<u8>>, StorageError> {
         rows::check(&self.connection, &self.path, after, count)
     }
--- a/crates/replication/src/storage/error.rs
+++ b/crates/replication/src/storage/error.rs
@@ -1,79 +1,79 @@
-//! Why a database cannot be used.
+//! Errors of the database.
 
 use rusqlite::ErrorCode;
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// Why a database cannot be used.
+/// Reason why a database cannot be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum StorageError {
-    /// `SQLite` has failed.
+    /// `SQLite` reported an error.
     #[snafu(display("the database {} cannot be used: {source}", path.display()))]
     Database {
-        /// Its file.
+        /// Path of the database file.
         path: PathBuf,
-        /// Why.
+        /// Error of `SQLite`.
         source: rusqlite::Error,
     },
-    /// Its pages contradict each other.
+    /// `SQLite`'s integrity check has found an inconsistency.
     #[snafu(display("the database {} is damaged: {finding}", path.display()))]
     Damaged {
-        /// Its file.
+        /// Path of the database file.
         path: PathBuf,
-        /// What `SQLite`'s check has found.
+        /// First finding of the integrity check.
         finding: String,
     },
-    /// A row is not as it was written.
+    /// The checksum of a row does not match, or the row is missing from the index.
     #[snafu(display("the database {} is damaged: the row `{key}` does not agree with its checksum", path.display()))]
     DamagedRow {
-        /// Its file.
+        /// Path of the database file.
         path: PathBuf,
         /// Key of the row.
         key: String,
     },
-    /// The member's record is not as it was written.
+    /// The checksum of the member's record does not match.
     #[snafu(display("the database {} is damaged: the member's record does not agree with its checksum", path.display()))]
     DamagedRecord {
-        /// Its file.
+        /// Path of the database file.
         path: PathBuf,
     },
-    /// Writes in the middle of the log are not as they were written.
+    /// The write-ahead log is damaged before its end, so that synced writes cannot be read.
     #[snafu(display("the database {} is damaged: writes in its log do not agree with their checksums", path.display()))]
     DamagedLog {
-        /// Its file.
+        /// Path of the database file.
         path: PathBuf,
     },
-    /// A later release of this program has written it.
+    /// The database has been written by a later release of this program.
     #[snafu(display("the database {} has form {found}; this program knows forms up to {known}", path.display()))]
     NewerFormat {
-        /// Its file.
+        /// Path of the database file.
         path: PathBuf,
-        /// Its format.
+        /// Format version of the database.
         found: u32,
-        /// The newest format that is known.
+        /// Newest format version that this program supports.
         known: u32,
     },
-    /// The member's record cannot be read or written.
+    /// The member's record cannot be encoded or decoded.
     #[snafu(display("the record in the database {} cannot be coded: {source}", path.display()))]
     Record {
-        /// Its file.
+        /// Path of the database file.
         path: PathBuf,
-        /// Why.
+        /// Error of the encoding.
         source: postcard::Error,
     },
-    /// The folder or a file in it cannot be used.
+    /// The folder or a file in it cannot be read, written or renamed.
     #[snafu(display("{} cannot be used: {source}", path.display()))]
     Files {
-        /// Which.
+        /// Path of the folder or file.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
 impl StorageError {
-    /// The database itself cannot be used, so that a retry does not help.
+    /// Returns true if the database itself is unusable, so that a retry when it is opened does not help.
     pub(super) fn is_damage(&self) -> bool {
         match self {
             StorageError::Database { source, .. } => is_damage_code(source),
@@ -87,8 +87,8 @@
         }
     }
 
-    /// The database is proved to be damaged while it is in use. Errors of input and output are no proof: the disk may
-    /// recover.
+    /// Returns true if the error proves that a database in use is damaged. I/O errors are no proof, because the disk
+    /// may recover.
     pub fn shows_damage(&self) -> bool {
         match self {
             StorageError::DamagedRow { .. } => true,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Error codes of `SQLite` that are about the database itself.
+/// Error codes of `SQLite` that mean damage of the database file.
 const DAMAGE_CODES: [ErrorCode; 2] = [ErrorCode::DatabaseCorrupt, ErrorCode::NotADatabase];
 
 fn is_damage_code(error: &rusqlite::Error) -> bool {
--- a/crates/replication/src/storage/files.rs
+++ b/crates/replication/src/storage/files.rs
@@ -1,30 +1,30 @@
-//! The files of a member's database: where they are, and how a database that cannot be used is quarantined.
+//! Paths of the files of a member's database, and the quarantine of an unusable database.
 
 use super::error::{FilesSnafu, StorageError};
 use snafu::ResultExt;
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
 
-/// The database's file.
+/// Name of the database file.
 const FILE_NAME: &str = "control.sqlite";
-/// What `SQLite` adds to the database's name for its other files.
+/// Suffixes that `SQLite` appends to the name of the database for its other files.
 const SIDE_FILES: [&str; 3] = [LOG_SUFFIX, "-shm", "-journal"];
-/// What it adds for the write-ahead log.
+/// Suffix of the write-ahead log.
 const LOG_SUFFIX: &str = "-wal";
-/// Quarantined databases are numbered up to here; the last one is replaced.
+/// Highest number of a quarantined database; when it is taken, that database is replaced.
 const QUARANTINED_MAX: u32 = 8;
 
-/// Where the database of the folder `dir` is.
+/// Returns the path of the database in the folder `dir`.
 pub(super) fn database_path(dir: &Path) -> PathBuf {
     dir.join(FILE_NAME)
 }
 
-/// Where the write-ahead log of the database `path` is.
+/// Returns the path of the write-ahead log of the database `path`.
 pub(super) fn log_path(path: &Path) -> PathBuf {
     with_suffix(path, LOG_SUFFIX)
 }
 
-/// Renames the database's files so that a new one can be made; returns where the database is now.
+/// Renames the files of the database so that a new one can be created; returns the new path of the database.
 pub(super) fn quarantine(dir: &Path, path: &Path) -> Result<PathBuf, StorageError> {
     let mut number = 1;
     while number < QUARANTINED_MAX && quarantine_path(path, number).exists() {
@@ -43,7 +43,7 @@
     Ok(target)
 }
 
-/// A database of this folder has been quarantined before.
+/// Returns true if a quarantined database exists next to the database `path`.
 pub(super) fn has_quarantined(path: &Path) -> bool {
     (1..=QUARANTINED_MAX).any(|number| quarantine_path(path, number).exists())
 }
@@ -58,7 +58,7 @@
     PathBuf::from(name)
 }
 
-/// Syncs the folder, so that new names in it survive a loss of power.
+/// Syncs the folder, so that new file names in it survive a power loss.
 pub(super) fn sync_folder(dir: &Path) -> Result<(), StorageError> {
     File::open(dir)
         .and_then(|folder| folder.sync_all())
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -1,7 +1,8 @@
 //! A check of `SQLite`'s write-ahead log before the database is opened.
 //!
-//! `SQLite` reads the log up to the first frame that does not agree with its checksum, as after a loss of power. A bit that
-//! has changed in the middle would drop all later writes undetected, promises among them.
+//! `SQLite` reads the log up to the first frame whose checksum does not match, as it must after a power loss. A bit
+//! that has changed in the middle of the log would therefore drop all later writes, including promises, without an
+//! error.
 
 use std::fs;
 use std::io;
@@ -9,24 +10,24 @@
 
 const HEADER_BYTES: usize = 32;
 const FRAME_HEADER_BYTES: usize = 24;
-/// Offsets in the header of the log.
+/// Offset of the page size in the header of the log.
 const PAGE_SIZE_AT: usize = 8;
 const SALTS_AT: usize = 16;
 const CHECKSUM_AT: usize = 24;
-/// Offsets in the header of a frame.
+/// Offset of the database size in pages in the header of a frame; the size is 0 unless the frame commits a transaction.
 const DATABASE_PAGES_AT: usize = 4;
 const FRAME_SALTS_AT: usize = 8;
 const FRAME_CHECKSUM_AT: usize = 16;
 const SALTS_BYTES: usize = 8;
-/// Bytes of a frame's header that its checksum covers.
+/// Number of bytes of a frame's header that its checksum covers.
 const FRAME_CHECKED_BYTES: usize = 8;
-/// Page sizes that `SQLite` knows.
+/// Page sizes that `SQLite` supports.
 const PAGE_SIZES: std::ops::RangeInclusive<usize> = 512..=65_536;
-/// Each write is synced before the next one begins, so that a loss of power leaves frames of one write behind a broken
-/// one. So many commits behind it prove that the log has changed since.
+/// Number of commits behind a broken frame that prove damage. Each write is synced before the next one begins, so a
+/// power loss leaves at most the frames of one write behind a broken frame.
 const COMMITS_THAT_PROVE: usize = 2;
 
-/// Whether writes that were synced cannot be read any more.
+/// Returns true if synced writes in the log at `path` cannot be read any more.
 pub(super) fn has_lost_writes(path: &Path) -> io::Result<bool> {
     match fs::read(path) {
         Ok(log) => Ok(Log::of(&log).is_some_and(Log::has_lost_writes)),
@@ -35,7 +36,7 @@
     }
 }
 
-/// The log's frames behind its header.
+/// The header of the log and the frames that follow it.
 struct Log<'a> {
     header: &'a [u8],
     frames: std::slice::ChunksExact<'a, u8>,
@@ -43,7 +44,8 @@
 }
 
 impl<'a> Log<'a> {
-    /// `None` where there is no whole header: then nothing was written behind it.
+    /// Parses the log; returns `None` if the header is incomplete, in which case no frame has been written, or if its
+    /// page size is invalid.
     fn of(bytes: &'a [u8]) -> Option<Log<'a>> {
         let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
         let page_size = big_endian_u32(header, PAGE_SIZE_AT)? as usize;
@@ -64,7 +66,8 @@
         let (mut is_broken, mut commits) = (false, 0);
         let has_salts = |frame: &&[u8]| frame[FRAME_SALTS_AT..].starts_with(salts);
         for frame in self.frames.filter(has_salts) {
-            // A checksum goes on from that of the frame before, so that a frame can be checked behind a broken one.
+            // Each checksum continues from the one stored in the frame before, so frames behind a broken one can still
+            // be verified.
             let checksum = before
                 .add(&frame[..FRAME_CHECKED_BYTES], self.is_big_endian)
                 .add(&frame[FRAME_HEADER_BYTES..], self.is_big_endian);
@@ -89,7 +92,7 @@
 }
 
 impl Checksum {
-    /// The checksum that is stored at `at`.
+    /// Reads the checksum stored at the offset `at`.
     fn read(bytes: &[u8], at: usize) -> Option<Checksum> {
         Some(Checksum {
             first: big_endian_u32(bytes, at)?,
@@ -97,7 +100,7 @@
         })
     }
 
-    /// Goes on over these bytes.
+    /// Continues the checksum over `bytes`.
     fn add(mut self, bytes: &[u8], is_big_endian: bool) -> Checksum {
         let number = |bytes: [u8; 4]| match is_big_endian {
             true => u32::from_be_bytes(bytes),
@@ -119,7 +122,7 @@
     }
 }
 
-/// The big-endian number at `at`.
+/// Reads the big-endian number at the offset `at`; `None` beyond the end.
 fn big_endian_u32(bytes: &[u8], at: usize) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(at..)?.first_chunk().copied()?))
 }
--- a/crates/replication/src/storage/rows.rs
+++ b/crates/replication/src/storage/rows.rs
@@ -1,4 +1,4 @@
-//! The table of rows: reading, with each row compared with its checksum, and writing.
+//! Reads and writes the table of rows; each row that is read is verified against its checksum.
 
 use super::checksum;
 use super::error::{DamagedRowSnafu, DatabaseSnafu, StorageError};
@@ -7,7 +7,7 @@
 use snafu::{ResultExt, ensure};
 use std::path::Path;
 
-/// A row that has been read, with the checksum beside it.
+/// A row as read from the table, with the stored checksum.
 struct StoredRow<'a> {
     key: &'a [u8],
     value: Option<&'a [u8]>,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> StoredRow<'a> {
-    /// Columns: key, value, seq, crc.
+    /// Reads a row with the columns key, value, seq, crc.
     fn read(row: &'a rusqlite::Row<'_>) -> rusqlite::Result<StoredRow<'a>> {
         Ok(StoredRow {
             key: row.get_ref(0)?.as_blob()?,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Calls `visitor` with key and value of each row that is not deleted, in the order of keys.
+/// Calls `visitor` with the key and value of each row that is not deleted, ordered by key.
 pub(super) fn visit(
     connection: &Connection,
     path: &Path,
@@ -56,7 +56,8 @@
     Ok(())
 }
 
-/// Rows that changed after `since`, about `bytes_max` bytes of them and whole writes only; whether more follow.
+/// Returns rows that changed after `since`, about `bytes_max` bytes of them and whole writes only, and whether more
+/// follow.
 pub(super) fn since(
     connection: &Connection,
     path: &Path,
@@ -86,7 +87,8 @@
     Ok((rows, false))
 }
 
-/// Compares `count` rows after the key `after`, and the index with them; returns the last key, `None` at the end.
+/// Verifies the checksums and index entries of `count` rows after the key `after`; returns the key of the last one, or
+/// `None` if the end of the table was reached.
 pub(super) fn check(
     connection: &Connection,
     path: &Path,
@@ -115,7 +117,7 @@
     Ok(last.filter(|_| checked == count))
 }
 
-/// Whether a transfer, which reads by sequence number, would find the row.
+/// Returns true if the index by sequence number, which transfers use, contains the row.
 fn is_indexed(connection: &Connection, row: &StoredRow<'_>) -> rusqlite::Result<bool> {
     let query =
         "SELECT EXISTS (SELECT 1 FROM rows INDEXED BY rows_by_seq WHERE seq = ?1 AND key = ?2)";
@@ -124,7 +126,7 @@
         .query_row(params![row.seq as i64, row.key], |found| found.get(0))
 }
 
-/// Compares all rows with their checksums; the index is left to `SQLite`'s own check.
+/// Verifies the checksums of all rows; `SQLite`'s integrity check covers the index.
 pub(super) fn check_all(connection: &Connection, path: &Path) -> Result<(), StorageError> {
     let context = DatabaseSnafu { path };
     let query = "SELECT key, value, seq, crc FROM rows";
@@ -166,7 +168,7 @@
     Ok(())
 }
 
-/// Gives each row its checksum, in a database that had none.
+/// Computes and stores the checksum of each row, in a database that had none.
 pub(super) fn write_checksums(connection: &Connection) -> rusqlite::Result<()> {
     let mut statement = connection.prepare("SELECT key, value, seq FROM rows")?;
     let read = |row: &rusqlite::Row<'_>| {
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -1,4 +1,4 @@
-//! The database's tables and record, and how a database is opened.
+//! Tables and record of the database, and how a database is opened.
 
 use super::error::{
     DamagedLogSnafu, DamagedRecordSnafu, DamagedSnafu, DatabaseSnafu, FilesSnafu, NewerFormatSnafu,
@@ -12,12 +12,12 @@
 use std::fs;
 use std::path::Path;
 
-/// Version of the tables' format; `SQLite`'s `user_version`. 0 is a database without tables.
+/// Version of the format of the tables, stored as `SQLite`'s `user_version`. Version 0 is a database without tables.
 const FORMAT: u32 = 2;
-/// The format without checksums.
+/// Version of the format without checksums.
 const FORMAT_WITHOUT_CHECKSUMS: u32 = 1;
 
-/// Each commit is synced, and one process alone has the database open.
+/// Settings of the connection: each commit is synced, and only one process has the database open.
 const SETTINGS: &str = "
     PRAGMA locking_mode = EXCLUSIVE;
     PRAGMA journal_mode = WAL;
@@ -45,7 +45,7 @@
     pub durable: Option<Durable>,
 }
 
-/// Opens the database and reads its record; makes the tables where there are none.
+/// Opens and verifies the database and reads its record; creates the tables if there are none.
 pub(super) fn load(dir: &Path, path: &Path) -> Result<Loaded, StorageError> {
     fs::create_dir_all(dir).context(FilesSnafu { path: dir })?;
     let lost = log::has_lost_writes(&log_path(path)).context(FilesSnafu { path })?;
--- a/crates/replication/src/timing.rs
+++ b/crates/replication/src/timing.rs
@@ -1,103 +1,104 @@
-//! Times and sizes of the replication protocol.
+//! Timeouts, intervals and size limits of the replication protocol.
 
 // Leases and heartbeats.
 
-/// How long a voter that has answered a heartbeat votes for nobody but its sender.
+/// Length of a lease: for this long after it has answered a heartbeat, a voter votes only for the head that sent it.
 pub const LEASE_MS: u64 = 600;
-/// Part of [`LEASE_MS`], in percent, for which the head counts on an answer, from when it sent the heartbeat. The rest
-/// covers clocks that run at different rates.
+/// Percentage of [`LEASE_MS`] for which the head relies on a lease, counted from when it sent the heartbeat. The rest
+/// allows for clocks that run at different rates.
 pub const LEASE_USED_PERCENT: u64 = 90;
 /// Time between two heartbeats of the head.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 120;
 
 // Membership of the chain and of the voters.
 
-/// A member of the chain that has not stored a write for so long while others have is excluded. A sync takes 10 ms.
+/// A member of the chain is excluded if it has not stored a write for this long while enough others have. A sync takes
+/// 10 ms.
 pub const SLOW_MEMBER_MS: u64 = 150;
-/// A head whose own store takes so long transfers its leadership, if another member's disk is fast.
+/// A head whose own store takes this long transfers its leadership if another member's disk is fast.
 pub const SLOW_HEAD_MS: u64 = 200;
-/// A member of the chain that has not answered heartbeats for so long is excluded.
+/// A member of the chain that has sent nothing to the head for this long is excluded.
 pub const UNRESPONSIVE_MEMBER_MS: u64 = 800;
-/// A member of the chain that has not taken over the view's first state for so long is excluded.
+/// A member of the chain that has not taken over the view's first state after this time is excluded.
 pub const SYNCHRONIZE_MS: u64 = 1_500;
-/// A voter that has been unresponsive for so long may be replaced by a newcomer.
+/// A voter that has been unresponsive for this long may be replaced by a newcomer.
 pub const REPLACE_AFTER_MS: u64 = 1_000;
-/// A voter that has been unresponsive for so long is removed while there are more voters than needed.
+/// A voter that has been unresponsive for this long is removed if there are more voters than required.
 pub const REMOVE_AFTER_MS: u64 = 2_000;
-/// The same for the only unresponsive one of an odd number of voters, because its removal leaves an even number.
+/// Same as [`REMOVE_AFTER_MS`], for the only unresponsive voter of an odd number: its removal leaves an even number.
 pub const REMOVE_LONE_AFTER_MS: u64 = 8_000;
-/// A newcomer that has been unresponsive for so long is forgotten.
+/// The head forgets a newcomer that has been unresponsive for this long.
 pub const FORGET_NEWCOMER_MS: u64 = 10_000;
-/// Most voters.
+/// Maximum number of voters that the head aims at.
 pub const VOTERS_MAX: usize = 9;
-/// A member excluded from the chain stays out for so long at first.
+/// A member that is excluded from the chain stays out for this long the first time.
 pub const REJOIN_AFTER_MS: u64 = 1_500;
-/// A member excluded again and again stays out for at most so long.
+/// A member that is excluded repeatedly stays out for at most this long.
 pub const REJOIN_AFTER_MAX_MS: u64 = 8_000;
-/// A member whose store has taken this long is not taken into the chain.
+/// A member whose current store has taken this long is not taken into the chain.
 pub const REJOIN_STORE_AGE_MS: u64 = 100;
-/// A member that lacks at most so many writes may be taken into the chain.
+/// Maximum number of writes that a member may lack when it is taken into the chain.
 pub const REJOIN_LAG_WRITES: u64 = 100;
-/// Time between two attempts of the head to change the view.
+/// Minimum time between two attempts of the head to change the view.
 pub const RECONFIGURE_MS: u64 = 300;
-/// Writes that a member has not stored for so long are sent to it again, by the head itself.
+/// The head itself resends writes that a member has not stored for this long.
 pub const RESEND_MS: u64 = 150;
-/// A head leads at least this long before it transfers its leadership because of its disk.
+/// Minimum time for which a head leads before it transfers its leadership because of its disk.
 pub const LEADERSHIP_MIN_MS: u64 = 3_000;
-/// A draining head waits at most so long for its writes before it transfers its leadership.
+/// Maximum time for which a draining head waits for its writes before it transfers its leadership.
 pub const DRAIN_WAIT_MS: u64 = 400;
 
 // Elections.
 
-/// How long a candidate waits for answers to its pre-vote.
+/// How long a candidate waits for answers to its pre-vote requests.
 pub const PRE_VOTE_MS: u64 = 250;
-/// The same for a head that has been started again, whose voters may have been started again as well.
+/// Same as [`PRE_VOTE_MS`], for a restarted head, whose voters may have been restarted as well.
 pub const RESUME_PRE_VOTE_MS: u64 = 80;
-/// Time between two campaigns of such a head, until others may campaign.
+/// Time between two campaigns of a restarted head, until other members may campaign.
 pub const RESUME_CAMPAIGN_MS: u64 = 20;
-/// How long a candidate waits in each later phase.
+/// How long a candidate waits in each phase after the pre-vote.
 pub const PHASE_MS: u64 = 1_000;
-/// How long a candidate waits for the others once a voter has promised a higher number.
+/// How long a candidate still waits for other answers once a voter has promised a higher number.
 pub const REJECTED_WAIT_MS: u64 = 150;
-/// How long a candidate that has a majority of promises waits for the others'.
+/// How long a candidate with a majority of promises waits for the remaining ones.
 pub const MORE_PREPARE_OKS_MS: u64 = 60;
 /// How long a voter that has granted a pre-vote grants none to other candidates.
 pub const PRE_VOTE_GRANTED_MS: u64 = 100;
-/// How long a voter that has promised does not campaign, to leave the candidate time.
+/// How long a voter that has promised does not campaign itself, to leave the candidate time.
 pub const PREPARED_DEFER_MS: u64 = 700;
-/// Least time before a failed candidate campaigns again.
+/// Minimum time before a failed candidate campaigns again.
 pub const BACKOFF_MS: u64 = 50;
-/// Random part of the time before a campaign.
+/// Maximum random part of the time before a campaign.
 pub const BACKOFF_SPREAD_MS: u64 = 150;
-/// A voter that is not in the chain waits longer by this.
+/// Additional time before the campaign of a voter that is not in the chain.
 pub const BACKOFF_OUTSIDE_CHAIN_MS: u64 = 150;
-/// A head that has transferred its leadership does not campaign for so long.
+/// How long a head that has transferred its leadership does not campaign.
 pub const RESIGNED_DEFER_MS: u64 = 3_000;
 
 // Discovery, state transfer and storage.
 
-/// Time between two announcements of a member that hears of no head.
+/// Time between two announcements of a member that knows no head.
 pub const ANNOUNCE_INTERVAL_MS: u64 = 500;
-/// A member that has had no heartbeat for so long announces itself.
+/// A member that has received no heartbeat for this long announces itself.
 pub const UNRESPONSIVE_HEAD_MS: u64 = 600;
-/// Bytes of rows in one chunk of a transfer, roughly.
+/// Approximate size of one chunk of a state transfer, in bytes.
 pub const TRANSFER_BYTES: usize = 128 << 10;
-/// A request of a transfer is repeated after this.
+/// Time after which an unanswered request of a state transfer is repeated.
 pub const FETCH_RETRY_MS: u64 = 250;
-/// A transfer without an answer for so long is given up.
+/// A state transfer that has received nothing for this long is given up.
 pub const TRANSFER_TIMEOUT_MS: u64 = 1_000;
-/// A store that has failed is retried after this.
+/// Time after which a failed store is retried.
 pub const STORE_RETRY_MS: u64 = 300;
 
-// Sizes of what is kept.
+// Limits of retained data.
 
-/// Time between two samples of the table's sequence number.
+/// Time between two samples of the sequence number on disk, from which the age of tombstones is derived.
 pub const TRIM_INTERVAL_MS: u64 = 30_000;
-/// Tombstones of deleted rows are kept for so long at least.
+/// Minimum age of the tombstone of a deleted row when it is dropped.
 pub const TRIM_AFTER_MS: u64 = 120_000;
-/// Views that a member remembers.
+/// Maximum number of earlier views in a member's record.
 pub const HISTORY_MAX: usize = 64;
-/// Addresses that a member remembers.
+/// Maximum number of member addresses in a member's record.
 pub const ADDRESSES_MAX: usize = 32;
-/// Bytes of submitted changes that may wait for the next batch.
+/// Maximum size of the submitted changes that wait for the next batch, in bytes.
 pub const PENDING_BYTES_MAX: usize = 4 << 20;
--- a/crates/replication/src/types.rs
+++ b/crates/replication/src/types.rs
@@ -1,23 +1,23 @@
-//! Members, views, and the rows that they keep.
+//! Members, views, viewstamps and rows.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// One disk at one address. A machine that has lost its disk comes back as another member, because promises on the lost
-/// disk can no longer be kept.
+/// A member of the cluster: one disk at one address. A machine that has lost its disk rejoins as a new member, because
+/// it can no longer keep the promises stored on the lost disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it takes internal connections.
+    /// Address on which the member accepts internal connections.
     pub internal: SocketAddr,
-    /// Drawn when its database was made; [`SEED_DISK`] for the voters of the first view.
+    /// Random ID of the disk, drawn when its database was created; [`SEED_DISK`] for the voters of the first view.
     pub disk: u64,
 }
 
-/// The disk of a seed that takes part in the cluster's very first start.
+/// Disk ID of a seed that takes part in the bootstrap of the cluster.
 pub const SEED_DISK: u64 = 0;
 
-/// Number of a view; rises from view to view. It is the epoch that fences the orders of the view's head.
+/// Number of a view; it increases from view to view and is the epoch that fences the orders of the view's head.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -25,10 +25,10 @@
 pub struct ViewNumber(pub u64);
 
 impl ViewNumber {
-    /// Stands for no view: below the number of the first one.
+    /// No view; lower than [`FIRST_VIEW`].
     pub const NONE: ViewNumber = ViewNumber(0);
 
-    /// The number above this one.
+    /// Returns the next higher number.
     #[must_use]
     pub fn next(self) -> ViewNumber {
         ViewNumber(self.0 + 1)
@@ -41,12 +41,12 @@
     }
 }
 
-/// A write as its driver knows it: chosen by the driver, carried by the output that ends the write.
+/// ID of a submitted write. The driver chooses it; the output that reports the outcome of the write carries it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SubmissionId(pub u64);
 
-/// A state of the table: all writes up to `seq`, as the view of this number ordered them (Oki and Liskov, Viewstamped
-/// Replication). States are compared by view first.
+/// Identifies a state of the table: all writes up to `seq`, in the order of the view `view` (Oki and Liskov,
+/// Viewstamped Replication). Viewstamps are compared by view first, then by `seq`.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -57,33 +57,33 @@
     pub seq: u64,
 }
 
-/// The state that a view took over.
+/// The point at which a view began: the state that it took over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewStart {
     /// Number of the view.
     pub view: ViewNumber,
-    /// Sequence number of the last write before it.
+    /// Sequence number of the last write before the view.
     pub seq: u64,
 }
 
-/// Voters and chain under one number, as in Viewstamped Replication.
+/// A numbered configuration of voters and chain, as in Viewstamped Replication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Its number; rises from view to view.
+    /// Number of the view; it increases from view to view.
     pub number: ViewNumber,
     /// Members whose majorities agree on views and grant leases.
     pub voters: Vec<Member>,
-    /// Voters of the last established view before it: a majority of them has to promise and accept too, until the whole
-    /// chain has taken this view's first state over. From then on these are `voters`.
+    /// Voters of the last established view before this one. A majority of them must promise and accept as well until
+    /// the whole chain has taken over this view's first state. From then on this field equals `voters`.
     pub previous_voters: Vec<Member>,
     /// Members that store each write, the head first; at least a majority of the voters.
     pub chain: Vec<Member>,
-    /// The state that it takes over.
+    /// State that the view takes over: its first state.
     pub base: Viewstamp,
 }
 
 impl View {
-    /// The first view: the seeds vote, nobody is head.
+    /// Returns the first view: the seeds are its voters, and it has no head.
     pub fn first(seeds: &[SocketAddr]) -> View {
         let mut voters: Vec<Member> = seeds
             .iter()
@@ -106,24 +106,24 @@
         }
     }
 
-    /// The whole chain has taken over its first state (or the voters are those of the view before): its own voters
-    /// decide alone.
+    /// Returns true if the view's own voters decide alone: the whole chain has taken over the first state, or the
+    /// voters are those of the view before.
     pub fn is_established(&self) -> bool {
         self.voters == self.previous_voters
     }
 
-    /// The view once the whole chain has taken over its first state.
+    /// Returns the view in its established form, after the whole chain has taken over its first state.
     pub fn established(mut self) -> View {
         self.previous_voters.clone_from(&self.voters);
         self
     }
 
-    /// Its head.
+    /// Returns the head, which is the first member of the chain; `None` in the first view, whose chain is empty.
     pub fn head(&self) -> Option<Member> {
         self.chain.first().copied()
     }
 
-    /// The member that `member` relays writes to.
+    /// Returns the member that `member` relays writes to; `None` for the last member and for one outside the chain.
     pub fn successor(&self, member: Member) -> Option<Member> {
         let position = self.chain.iter().position(|&m| m == member)?;
         self.chain.get(position + 1).copied()
@@ -133,49 +133,49 @@
 /// Number of the first view.
 pub const FIRST_VIEW: ViewNumber = ViewNumber(1);
 
-/// How many of `count` voters are a majority.
+/// Returns how many of `count` voters form a majority.
 pub fn majority(count: usize) -> usize {
     count / 2 + 1
 }
 
-/// One row to set, or to delete.
+/// A row to set or to delete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowChange {
-    /// Its key.
+    /// Key of the row.
     pub key: Vec<u8>,
-    /// Its new value; `None` deletes it.
+    /// New value; `None` deletes the row.
     pub value: Option<Vec<u8>>,
 }
 
-/// Row changes that are written all together or not at all.
+/// Row changes that are written atomically.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Its sequence number.
+    /// Sequence number of the batch, one above that of the batch before it.
     pub seq: u64,
-    /// What changes, in order.
+    /// Changes, in the order in which they are applied.
     pub changes: Vec<RowChange>,
 }
 
 /// A row as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: Vec<u8>,
-    /// Its value; `None` for one that has been deleted.
+    /// Value; `None` marks the tombstone of a deleted row.
     pub value: Option<Vec<u8>>,
-    /// The write that set it last.
+    /// Sequence number of the write that changed the row last.
     pub seq: u64,
 }
 
-/// Rows that changed after some write, in the order of their sequence numbers.
+/// A chunk of the rows that changed after a given write, ordered by sequence number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RowsChunk {
     /// The rows; all rows of a sequence number are in the same chunk.
     pub rows: Vec<Row>,
-    /// More rows follow, after the sequence number of the last of these.
+    /// Whether more rows follow after the sequence number of the last row in this chunk.
     pub more: bool,
-    /// The state that was read.
+    /// State of the table from which the rows were read.
     pub viewstamp: Viewstamp,
-    /// The views that led to it.
+    /// Views that led to that state, oldest first.
     pub history: Vec<ViewStart>,
 }
