--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -1,5 +1,5 @@
-//! Power loss between any two syncs of the database: of what was written since the last sync, each sector is there, missing
-//! or torn. And bits that change on disk, in every kind of page.
+//! Simulates power loss between any two syncs of the database, where each sector written since the last sync is
+//! present, missing or torn, and bits that change on disk, in every kind of page.
 
 mod stored;
 
@@ -15,20 +15,21 @@
 use tempfile::TempDir;
 
 const LOG: &str = "control.sqlite-wal";
-/// A disk writes sectors of this size as a whole or not at all; a torn one has a part of it.
+/// Sector size of the simulated disk. A sector is written as a whole or not at all; a torn one contains only a part of
+/// the new data.
 const SECTOR: usize = 512;
-/// Bytes of the log's header, which `SQLite` syncs before it writes frames behind it.
+/// Size of the header of the log, which `SQLite` syncs before it writes frames after it.
 const LOG_HEADER: usize = 32;
 const KEYS: u64 = 24;
 const VALUE_BYTES: usize = 9_000;
-/// Enough writes for several checkpoints, at which the log is copied into the database and restarted.
+/// Number of writes: enough for several checkpoints, at which the log is copied into the database and restarted.
 const WRITES: u64 = 700;
-/// Power losses simulated within each write.
+/// Number of power losses simulated within each write.
 const LOSSES_A_WRITE: usize = 2;
 
 type Table = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// Both files as they are on disk after a sync.
+/// Contents of both files on disk after a sync.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Image {
     database: Vec<u8>,
@@ -52,7 +53,7 @@
     }
 }
 
-/// The write of this number: three rows, some of them deleted at times.
+/// Returns write number `seq`, which sets three rows or deletes some of them.
 fn write(seq: u64) -> StoreRequest {
     let change = |offset: u64| {
         let key = format!("row-{}", (seq * 5 + offset) % KEYS).into_bytes();
@@ -65,7 +66,7 @@
     write_of(seq, (0..3).map(change).collect())
 }
 
-/// A write of these rows, with the record that goes with it.
+/// Returns write number `seq` with these changes and the matching record.
 fn write_of(seq: u64, changes: Vec<RowChange>) -> StoreRequest {
     StoreRequest {
         durable: record(seq),
@@ -73,7 +74,7 @@
     }
 }
 
-/// As [`write`], with values short enough for all rows to fit into a few pages.
+/// Like [`write`], with values short enough for all rows to fit into a few pages.
 fn small_write(seq: u64) -> StoreRequest {
     let mut request = write(seq);
     if let StoreOperation::Write(batch) = &request.operations[0] {
@@ -93,7 +94,7 @@
     Storage::open(dir).expect("opened").storage
 }
 
-/// A folder whose database has these writes, and is closed.
+/// Creates a folder with a closed database that contains these writes.
 fn folder_with(requests: impl Iterator<Item = StoreRequest>) -> TempDir {
     let dir = TempDir::new().expect("a folder");
     let mut storage = open(dir.path());
@@ -113,7 +114,7 @@
     table
 }
 
-/// The rows as a transfer to another member reads them.
+/// Returns the rows as a transfer to another member reads them.
 fn transfer(storage: &Storage) -> Table {
     let rows = storage
         .rows_since(0, usize::MAX)
@@ -124,7 +125,8 @@
         .collect()
 }
 
-/// `before` with a random part of what differs in `after`, sector by sector, from byte `from` to byte `until`.
+/// Returns `before` with a random part of the differing sectors taken from `after`, between the bytes `from` and
+/// `until`.
 fn torn(random: &mut Pcg64Mcg, before: &[u8], after: &[u8], from: usize, until: usize) -> Vec<u8> {
     let chance = random.next_u64() % 101;
     let mut bytes = before.to_vec();
@@ -150,8 +152,8 @@
     bytes
 }
 
-/// What may be on disk when power is lost on the way from one synced state to the next. `SQLite` syncs a new header of the
-/// log, then the frames; then it copies the log into the database.
+/// Returns possible contents of the disk when power is lost between two synced states. `SQLite` first syncs a new
+/// header of the log, then the frames; later it copies the log into the database.
 fn lost_power(random: &mut Pcg64Mcg, before: &Image, after: &Image) -> Image {
     let new_header = before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
     let copied = before.database != after.database;
@@ -183,7 +185,7 @@
     }
 }
 
-/// All that was synced before is there; the write under way is there completely or not at all.
+/// Checks that all writes synced before are present, and that the write under way is present completely or not at all.
 fn check_image(image: &Image, seq: u64, before: &Table, after: &Table) {
     let dir = TempDir::new().expect("a folder");
     image.write(dir.path());
@@ -218,7 +220,7 @@
         let (after, rows_after) = (Image::of(dir.path()), table(&storage));
         let copied = before.database != after.database;
         checkpoints += u64::from(copied);
-        // Writes that copy or restart the log are few: more power losses are simulated in them.
+        // Few writes copy or restart the log, so more power losses are simulated in these.
         let is_special = copied || before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
         let losses = if is_special {
             20 * LOSSES_A_WRITE
@@ -245,7 +247,7 @@
     );
 }
 
-/// Power is lost while the database is created: the member is as empty as before.
+/// Power is lost while the database is created: the member starts empty.
 #[test]
 fn after_power_loss_during_creation_the_database_is_empty() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
@@ -264,7 +266,7 @@
     }
 }
 
-/// A bit that has changed on disk is detected when the database is opened, or changes nothing that is read.
+/// A bit that has changed on disk is detected when the database is opened, or does not affect the data that is read.
 #[rstest]
 fn a_flipped_bit_is_detected_or_has_no_effect(#[values(0, 1, 2, 3)] shard: usize) {
     let dir = folder_with((1..=60).map(small_write));
@@ -305,8 +307,8 @@
     assert!(found * 5 > tried, "{found} of {tried}");
 }
 
-/// A bit that has changed in the log, before its last two writes: `SQLite` would read the log up to there, and all later
-/// writes would be gone. In the last two it cannot be told from a loss of power.
+/// A bit changes in the log before its last two writes. `SQLite` alone would read the log only up to that bit and lose
+/// all later writes. In the last two writes such a bit cannot be distinguished from a power loss.
 #[rstest]
 fn a_flipped_bit_in_the_log_loses_no_write_undetected(#[values(0, 1, 2, 3)] shard: usize) {
     let dir = TempDir::new().expect("a folder");
@@ -332,7 +334,7 @@
     assert!(found > 100, "{found} bits were found");
 }
 
-/// An entry of the index that does not lead to its row any more: a transfer would leave the row out.
+/// A damaged index entry no longer leads to its row: a transfer would omit the row.
 #[test]
 fn scrub_detects_a_row_that_is_missing_from_the_index() {
     let long_key = |seq: u64| {
@@ -349,7 +351,7 @@
         .filter(|&at| bytes[at..].starts_with(text))
         .collect();
     assert!(found.len() >= 2, "the row and its entry in the index");
-    // In the index the key follows the sequence number, whose last byte stands just before it.
+    // In the index the key follows the sequence number, so the byte before the key is the last one of that number.
     let entry = found
         .into_iter()
         .find(|&at| bytes[at - 2..at] == 3_000_u16.to_be_bytes());
@@ -365,7 +367,7 @@
     assert!(error.shows_damage(), "{error}");
 }
 
-/// The same while the database is in use: no reading hands out a changed row, and the scrub finds it.
+/// A row changes on disk while the database is in use: no read returns it, and the scrub detects it.
 #[test]
 fn a_row_changed_on_disk_is_not_read_and_scrub_detects_it() {
     let long_value = |seq: u64| {
--- a/crates/replication/tests/model/chain.rs
+++ b/crates/replication/tests/model/chain.rs
@@ -1,4 +1,4 @@
-//! Rules of the model: members follow a view that is led, store its writes, and the head commits them.
+//! Rules of the model for the chain: members follow a view and store its writes, and the head commits them.
 
 use super::elections::withdraw;
 use super::rules::{Action, Fault, Protocol};
@@ -126,7 +126,7 @@
         }
     }
 
-    /// What the whole chain has stored is committed.
+    /// Commits the writes that the whole chain has stored.
     pub(crate) fn commit(&self, state: &mut State, head: Id) {
         let member = &mut state.members[usize::from(head)];
         let Some(stored) = stored_by_all(member) else {
@@ -161,7 +161,7 @@
     stored?.into_iter().min()
 }
 
-/// The head of the view notes what a member has on disk.
+/// Reports a member's rows on disk to the head of the view.
 fn report_stored(state: &mut State, from: Id, number: u8) {
     let rows = &state.members[usize::from(from)].rows;
     let (view, len) = (rows.view, rows.log.len());
@@ -178,7 +178,7 @@
     }
 }
 
-/// The view's own voters decide alone from now on, and its head says so.
+/// Establishes the view: its own voters decide alone from now on, and its head announces this.
 pub(crate) fn establish(state: &mut State, head: Id) {
     let member = &mut state.members[usize::from(head)];
     let Some(leadership) = &mut member.leadership else {
--- a/crates/replication/tests/model/elections.rs
+++ b/crates/replication/tests/model/elections.rs
@@ -1,4 +1,4 @@
-//! Rules of the model: campaigns, from the promise to the view that is led.
+//! Rules of the model for campaigns, from the promises to the leadership.
 
 use super::chain::establish;
 use super::rules::{Action, Fault, Protocol};
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Each view that a candidate with enough promises may propose.
+    /// Adds each view that a candidate with enough promises may propose.
     fn proposals(
         &self,
         state: &State,
@@ -71,7 +71,8 @@
         }
     }
 
-    /// The voters as they are, and for the head of an established view those with one change.
+    /// Returns the possible voters of the next view: the present ones and, for the head of an established view, those
+    /// with one change.
     fn next_voters(&self, state: &State, candidate: Id, known: &View) -> Vec<Members> {
         let member = &state.members[usize::from(candidate)];
         let leads = member.leadership.as_ref().is_some_and(|leadership| {
@@ -251,7 +252,7 @@
         .map(|campaign| campaign.number)
 }
 
-/// The member is neither head nor candidate any more.
+/// Ends the member's campaign and leadership.
 pub(crate) fn withdraw(member: &mut super::state::Member) {
     member.campaign = None;
     member.leadership = None;
--- a/crates/replication/tests/model/failures.rs
+++ b/crates/replication/tests/model/failures.rs
@@ -1,4 +1,4 @@
-//! Rules of the model: members lose what is not on disk, or their disks.
+//! Rules of the model for failures: members lose their unsynced data or their disks.
 
 use super::elections::withdraw;
 use super::rules::{Fault, Protocol};
--- a/crates/replication/tests/model/main.rs
+++ b/crates/replication/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! A model of views, promises, chain, replacement and lost disks, explored by a model checker.
+//! A model of views, promises, the chain, replaced members and lost disks, explored by a model checker.
 //!
 //! `MODEL_STATES=N cargo test -p indigofold-replication --profile tools --test model -- --nocapture` explores N states of
 //! each case instead of the few that fit into every run.
@@ -14,9 +14,9 @@
 use stateright::{Checker, Model};
 use std::time::Instant;
 
-/// States of each case that every run of the tests explores.
+/// Number of states explored for each case by default.
 const STATES: usize = 300_000;
-/// Most states that are explored until an injected fault is detected.
+/// Maximum number of states explored to detect an injected fault.
 const FAULT_STATES: usize = 30_000_000;
 const THREADS: usize = 4;
 
@@ -27,8 +27,8 @@
         .unwrap_or(STATES)
 }
 
-/// `crashes` and `disks_lost` bound how often members lose what is not on disk, and their disks; members that only do
-/// nothing for any time are part of every case.
+/// Returns a model of this size. `crashes` and `disks_lost` limit how often a member loses its unsynced data and its
+/// disk. Every case includes members that pause for any time.
 fn protocol(voters: u8, last_view: u8, crashes: u8, disks_lost: u8) -> Protocol {
     let fault = Fault::None;
     Protocol {
@@ -43,7 +43,7 @@
     }
 }
 
-/// The same, where nothing is written but what has been committed at the start.
+/// Like [`protocol`], without writes other than the one committed at the start.
 fn without_writes(voters: u8, last_view: u8, crashes: u8, disks_lost: u8) -> Protocol {
     Protocol {
         writes: 1,
@@ -51,8 +51,8 @@
     }
 }
 
-/// Explores breadth first and prints how far it came. Returns the length of the shortest path to a violated invariant, if
-/// there is one.
+/// Explores the model breadth first and prints statistics. Returns the length of the shortest path to a violated
+/// invariant, if one is found.
 fn steps_to_violation(name: &str, model: Protocol, states: usize) -> Option<usize> {
     let started = Instant::now();
     let checker = model
@@ -118,7 +118,7 @@
     assert!(steps.is_some(), "{fault:?} was not detected");
 }
 
-/// The invariants detect faults: each of these violates one.
+/// Checks that the invariants detect faults: each of these faults violates one.
 #[rstest]
 #[case::established_when_accepted(Fault::EstablishedWhenAccepted, without_writes(3, 4, 0, 0))]
 #[case::prepare_not_synced(Fault::PrepareNotSynced, protocol(3, 3, 1, 0))]
@@ -127,7 +127,7 @@
     assert_detected(fault, model);
 }
 
-/// The same for faults that need more steps: `cargo test ... --test model -- --ignored`.
+/// Like [`an_injected_fault_is_detected`], for faults that need more steps: `cargo test ... --test model -- --ignored`.
 #[rstest]
 #[case::short_chain(Fault::ShortChain, without_writes(3, 4, 0, 0))]
 #[case::writes_after_prepare(Fault::WritesAfterPrepare, protocol(3, 4, 0, 0))]
--- a/crates/replication/tests/model/rules.rs
+++ b/crates/replication/tests/model/rules.rs
@@ -1,48 +1,48 @@
-//! The protocol of views and chain as the program has it (`src/replica`), without time: any voter may campaign at any
-//! moment, and the head changes its view whenever it may. What timers and leases rule out is allowed here.
+//! The protocol of views and chain as implemented in `src/replica`, without time: any voter may campaign at any moment,
+//! and the head changes its view whenever it may. The model also allows what timers and leases rule out in the program.
 //!
-//! A request and its answer are one step (a promise and its count by the candidate, a store and its count by the head): a
-//! member that has promised changes nothing until it receives a later number, so that its answer is the same whenever it
-//! arrives; an answer that is lost is a sender that crashes before its next step. What a head has sent stays in [`Led`],
-//! and arrives at any later moment or never.
+//! A request and its answer are one step (a promise and its count by the candidate, a store and its count by the head).
+//! A member that has promised changes nothing until it receives a later number, so its answer is the same whenever it
+//! arrives; a lost answer is equivalent to a sender that crashes before its next step. Everything that a head has sent
+//! stays in [`Led`] and arrives at any later moment or never.
 
 use super::state::{Id, Leadership, Led, Log, Member, Members, Power, Rows, State, View};
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
 
-/// A fault that is injected to see that the invariants detect it.
+/// A fault of the protocol, injected to check that the invariants detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
-    /// The new voters decide alone as soon as a majority of both has accepted the view.
+    /// The new voters decide alone as soon as majorities of the new and the previous voters have accepted the view.
     EstablishedWhenAccepted,
     /// The chain may be shorter than a majority of the voters.
     ShortChain,
-    /// A member takes writes of a view although it has promised a later one.
+    /// A member stores writes of a view although it has promised a later one.
     WritesAfterPrepare,
-    /// A promise is forgotten with the process.
+    /// A promise is lost when the process crashes.
     PrepareNotSynced,
     /// A write counts as stored at the head before it is on its disk.
     CountsUnsynced,
-    /// A candidate leads with its own rows, whatever the others have promised with.
+    /// A candidate leads with its own rows, even if a member that has promised has newer ones.
     OwnRows,
     /// A majority of the new voters is enough to accept a view.
     NewVotersOnly,
-    /// A machine without its disk goes on voting under its old name.
+    /// A machine that has lost its disk continues to vote as the same member.
     ForgetfulVoter,
     /// A member accepts a view although it has promised a later one.
     AcceptsAfterPrepare,
 }
 
-/// The model and its bounds.
+/// The model and its limits.
 #[derive(Clone, Debug)]
 pub(crate) struct Protocol {
     pub voters: u8,
     pub newcomers: u8,
     pub last_view: u8,
-    /// A write is committed from the start, which only the chain has.
+    /// Whether a write is committed at the start, which only the chain members have.
     pub is_written: bool,
-    /// Most writes in all.
+    /// Maximum number of writes, including the one at the start.
     pub writes: usize,
     pub crashes: u8,
     pub disks_lost: u8,
@@ -71,18 +71,18 @@
     Lead {
         candidate: Id,
     },
-    /// A member receives a heartbeat of a view that was led.
+    /// A member receives a heartbeat of a view that has been led.
     Follow {
         member: Id,
         number: u8,
         established: bool,
     },
-    /// A member gets all rows that the head of the view has on its disk.
+    /// A member receives all rows that the head of the view has on its disk.
     Fetch {
         member: Id,
         number: u8,
     },
-    /// A member of the chain gets the next write.
+    /// A member of the chain receives and stores the next write.
     Store {
         member: Id,
         number: u8,
@@ -93,7 +93,7 @@
     Sync {
         head: Id,
     },
-    /// The head counts what the whole chain has stored.
+    /// The head commits the writes that the whole chain has stored.
     Commit {
         head: Id,
     },
@@ -121,8 +121,8 @@
         }
     }
 
-    /// View 2 is established: member 0 leads it, with as short a chain as there may be; newcomers follow it, but lack a
-    /// write.
+    /// Returns the initial state: view 2 is established, and member 0 leads it with the shortest allowed chain.
+    /// Newcomers follow the view but lack the initial write.
     fn first_state(&self) -> State {
         let voters = Members::of(&(0..self.voters).collect::<Vec<Id>>());
         let chain = Members::of(&(0..self.voters / 2 + 1).collect::<Vec<Id>>());
@@ -158,7 +158,8 @@
         }
     }
 
-    /// A member that follows `view`; the chain has the writes of `log`, voters outside it have not entered the view.
+    /// Returns a member that follows `view`. Chain members have the writes of `log`; voters outside the chain have not
+    /// entered the view.
     fn first_member(&self, id: Id, view: &View, log: &Log) -> Member {
         let in_chain = view.chain.has(id);
         let has_entered = in_chain || id >= self.voters;
@@ -177,8 +178,8 @@
     }
 }
 
-/// Whether a head whose lease may hold has all that was committed, and there is only one. A lease needs a majority of the
-/// voters that follow the view and have promised no later one.
+/// Returns true if at most one head may hold a lease, and that head has all committed writes. A head may hold a lease
+/// if a majority of its voters follows its view and has promised no later one.
 fn acting_heads_have_commits(state: &State) -> bool {
     let follows = |id: Id, number: u8| {
         let member = &state.members[usize::from(id)];
@@ -291,9 +292,9 @@
     }
 }
 
-/// Name of a property that must hold in every state.
+/// Name of the property that no view is led twice and committed writes do not change; it must hold in every state.
 pub(crate) const INVARIANT: &str = "a view is led once, and what is committed does not change";
-/// Name of a property that must hold in every state.
+/// Name of the property about heads that may hold a lease; it must hold in every state.
 pub(crate) const ACTING: &str = "one head acts, and has all that was committed";
-/// Name of the property that must hold in some state: the model does something.
+/// Name of the property that must hold in some state; it shows that the model makes progress.
 pub(crate) const PROGRESS: &str = "a write is committed after a change of view";
--- a/crates/replication/tests/model/state.rs
+++ b/crates/replication/tests/model/state.rs
@@ -1,11 +1,11 @@
-//! The state of the model: members with their disks, the views that were led, and what was committed.
+//! The state of the model: members with their disks, the views that have been led, and the committed writes.
 
 use std::collections::BTreeMap;
 
-/// A member: one disk at one address. A machine that has lost its disk comes back as another member.
+/// A member: one disk at one address. A machine that has lost its disk rejoins as a new member.
 pub(crate) type Id = u8;
 
-/// A set of members, one bit each.
+/// A set of members, with one bit for each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Members(pub u8);
 
@@ -34,23 +34,24 @@
         (0..8).filter(move |&id| self.has(id))
     }
 
-    /// All subsets.
+    /// Returns all subsets.
     pub(crate) fn subsets(self) -> impl Iterator<Item = Members> {
         (0..=self.0)
             .filter(move |bits| bits & !self.0 == 0)
             .map(Members)
     }
 
-    /// A majority of these is in `others`.
+    /// Returns true if `others` contains a majority of this set.
     pub(crate) fn majority_in(self, others: Members) -> bool {
         2 * Members(self.0 & others.0).count() > self.count()
     }
 }
 
-/// The writes on a disk: of each the number of the view whose head made it. Position and view name a write.
+/// The writes on a disk, each represented by the number of the view whose head made it. Position and view identify a
+/// write.
 pub(crate) type Log = Vec<u8>;
 
-/// State of a member's rows: the view it has entered, and the writes it has.
+/// State of a member's rows: the view that it has entered, and its writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Rows {
     pub view: u8,
@@ -58,7 +59,7 @@
 }
 
 impl Rows {
-    /// As viewstamps are compared in the program: the view first, then the number of writes.
+    /// Returns the view and the number of writes, which are compared in this order like viewstamps in the program.
     pub(crate) fn viewstamp(&self) -> (u8, usize) {
         (self.view, self.log.len())
     }
@@ -80,14 +81,14 @@
     }
 }
 
-/// A view that was led. What its head has sent may arrive late, several times, or never.
+/// A view that has been led. Messages of its head may arrive late, several times, or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Led {
-    /// As it was accepted.
+    /// The view as it was accepted.
     pub view: View,
-    /// Its head has announced that it is established.
+    /// Whether its head has announced that the view is established.
     pub is_established: bool,
-    /// Each write that its head has sent down the chain, after those that it had taken over.
+    /// The writes that the view took over, followed by those that its head has sent down the chain.
     pub log: Log,
 }
 
@@ -95,7 +96,7 @@
 pub(crate) enum Power {
     On,
     Off,
-    /// Its disk is lost, or the machine was removed.
+    /// The member's disk is lost, or its machine has been removed.
     Lost,
 }
 
@@ -109,7 +110,7 @@
     pub accepted: Members,
 }
 
-/// What a head knows while it leads.
+/// State of a head while it leads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Leadership {
     pub view: View,
@@ -123,7 +124,8 @@
     pub promised: u8,
     pub view: Option<View>,
     pub rows: Rows,
-    /// The last write is not synced yet (at the head, which sends it down the chain before).
+    /// Whether the last write is not synced yet; only at the head, which sends a write down the chain before it syncs
+    /// it.
     pub unsynced: bool,
     pub campaign: Option<Campaign>,
     pub leadership: Option<Leadership>,
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,4 +1,4 @@
-//! One member with messages handed in one by one: what it may answer, store and count, and when.
+//! Tests of a single member that receives messages one by one: which answers, stores and counts are allowed, and when.
 
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::message::{Grant, Heartbeat, PreVote, PreVoteReply, PrepareOk, Write};
@@ -11,13 +11,13 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Reading of the steady clock when the member under test starts.
+/// Time of the monotonic clock when the member under test starts.
 const START_MS: u64 = 10_000;
-/// Number of the view at work.
+/// Number of the view on the disk of the member under test.
 const VIEW: u64 = 5;
-/// Writes that the member under test has.
+/// Sequence number of the last write of the member under test.
 const SEQ: u64 = 40;
-/// Long after every lease and every wait of the start.
+/// Time long after every lease and every waiting period that follows the start.
 const AFTER_START_WAITS_MS: u64 = START_MS + 10 * LEASE_MS;
 
 fn address(index: u8) -> MemberAddress {
@@ -40,7 +40,7 @@
     indexes.iter().copied().map(member).collect()
 }
 
-/// Member 0 leads it; members 0 and 1 are its chain.
+/// Returns a view that member 0 leads, with members 0 and 1 as its chain.
 fn view(number: u64, voters: &[u8], previous: &[u8]) -> View {
     View {
         number: ViewNumber(number),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A member that has been started again, with its outputs.
+/// A restarted member with the outputs that it has returned.
 struct Harness {
     replica: Replica,
     own: u8,
@@ -65,7 +65,7 @@
 }
 
 impl Harness {
-    /// Member `own`, with this view and the state of view [`VIEW`] on its disk.
+    /// Starts member `own` with this view and the state of view [`VIEW`] on its disk.
     fn restarted(own: u8, view: View) -> Harness {
         let viewstamp = Viewstamp {
             view: ViewNumber(VIEW),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The same, long after its start.
+    /// Like [`Harness::restarted`], at a time long after the start.
     fn after_start_waits(own: u8, view: View) -> Harness {
         let mut harness = Harness::restarted(own, view);
         harness.now_ms = AFTER_START_WAITS_MS;
@@ -126,7 +126,7 @@
         }));
     }
 
-    /// The disk has done all that it was requested.
+    /// Completes all requested stores.
     fn store_all(&mut self) {
         while !self.stores.is_empty() {
             let store = self.stores.remove(0);
@@ -140,7 +140,7 @@
             .any(|(address, message)| *address == member(to).internal && is_wanted(message))
     }
 
-    /// Lets time pass until the member asks for pre-votes; the id of its request.
+    /// Advances the time until the member asks for pre-votes; returns the ID of its request.
     fn run_until_pre_vote(&mut self) -> u64 {
         for _ in 0..200 {
             self.now_ms = self.replica.next_timer_ms().max(self.now_ms);
@@ -160,7 +160,7 @@
         panic!("member {} does not campaign", self.own);
     }
 
-    /// Member `from` asks for a promise.
+    /// Passes in a prepare request of member `from`.
     fn prepare(&mut self, from: u8, number: u64, headed_view: u64) {
         let prepare = Message::Prepare {
             number: ViewNumber(number),
@@ -169,7 +169,7 @@
         self.message(from, prepare);
     }
 
-    /// Member `from` reports a state that it has on disk.
+    /// Passes in a report of member `from` about the state on its disk.
     fn has_stored(&mut self, from: u8, view: u64, seq: u64) {
         let view = ViewNumber(view);
         let viewstamp = Viewstamp { view, seq };
@@ -301,7 +301,7 @@
     assert!(harness.has_sent(2, is_prepare_ok), "the lease is over");
 }
 
-/// A voter that was started again may have granted a lease to the head of the view on its disk, and to no other.
+/// Before its restart a voter can only have granted a lease to the head of the view on its disk.
 #[rstest]
 #[case::the_head_of_the_view_on_both_disks(0, VIEW, true)]
 #[case::a_head_of_an_older_view(0, VIEW - 1, false)]
@@ -337,7 +337,8 @@
     assert!(harness.has_sent(0, is_grant));
 }
 
-/// The view's chain may not have its first state: what was committed before may be on disks of former voters only.
+/// The chain of such a view may not have its first state yet, so committed writes may be only on disks of previous
+/// voters.
 #[test]
 fn a_view_that_is_not_established_needs_majorities_of_both_electorates() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
@@ -364,7 +365,7 @@
     assert!(harness.has_sent(3, is_prepare));
 }
 
-/// What one voter knows, it passes on with its answer to a pre-vote.
+/// A voter reports the view that it has accepted with its answer to a pre-vote.
 #[test]
 fn a_candidate_learns_from_any_voter_that_a_view_is_established() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
@@ -374,7 +375,7 @@
     assert!(harness.has_sent(3, is_prepare));
 }
 
-/// Member 0, elected head by the answers of member 1.
+/// Returns member 0, elected head by the answers of member 1.
 fn head() -> Harness {
     let mut harness = Harness::restarted(0, same_voters());
     let request_id = harness.run_until_pre_vote();
--- a/crates/replication/tests/simulation/checks.rs
+++ b/crates/replication/tests/simulation/checks.rs
@@ -1,14 +1,14 @@
-//! What has to be true of a simulated cluster.
+//! Checks of a simulated cluster.
 
 use super::cluster::Cluster;
 use super::node::{Node, index_of};
 use std::collections::BTreeSet;
 
-/// Writes that were submitted before are on all disks after so long, also on those of members that do not vote.
+/// Time after which submitted writes are on all disks, including those of members that do not vote.
 const PROPAGATION_MS: u64 = 400;
 
 impl Cluster {
-    /// At most one head acts at any time.
+    /// Checks that at most one member acts as the head.
     pub(crate) fn check_one_head(&self) {
         let acting: Vec<usize> = self
             .nodes
@@ -23,7 +23,7 @@
         );
     }
 
-    /// All that was committed is on the disk of `node`.
+    /// Checks that all committed rows are on the disk of `node`.
     pub(crate) fn check_committed_rows(&self, node: usize) {
         let disk = &self.nodes[node].disk;
         for (write_id, row) in &self.committed {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The cluster has converged: one head acts; an odd number of the machines vote (at least three), all of these are in the
-    /// chain; all machines have the same rows once the writes under way are on all disks.
+    /// Checks that the cluster has converged: one head acts; an odd number of machines (at least three) vote, and all
+    /// of these are in the chain; all machines have the same rows once the writes under way are on all disks.
     pub(crate) fn check_converged(&mut self, running: &[usize]) {
         self.run(self.now_ms + PROPAGATION_MS, 2 * PROPAGATION_MS);
         let head = self.acting().expect("a head acts");
@@ -46,7 +46,8 @@
         self.check_committed_rows(head);
     }
 
-    /// All running machines vote, but for one of an even number, and all voters are in the chain.
+    /// Checks that all running machines vote (all but one if their number is even), and that all running voters are in
+    /// the chain.
     fn check_members(&self, head: usize, running: &[usize]) {
         let replica = self.nodes[head].replica.as_ref().expect("the head runs");
         let (view, _) = replica.accepted_view().expect("the head has a view");
@@ -85,7 +86,7 @@
         );
     }
 
-    /// All machines have the rows of the head.
+    /// Checks that all running machines have the rows of the head.
     fn check_same_rows(&self, head: usize, running: &[usize]) {
         let table = self.nodes[head].disk.table();
         for &node in running {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// What each machine knows, for a failed check.
+    /// Describes the state of each machine, for the message of a failed check.
     pub(crate) fn describe(&self) -> String {
         let of = |node: &Node| {
             let now_ms = node.local_ms(self.now_ms);
--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster under simulated time: its machines, its network, and the writes that it is given.
+//! A cluster under simulated time: its machines, its network, and the submitted writes.
 
 use super::events::{Event, EventQueue};
 use super::node::{DiskTask, InFlight, Node, Presence, index_of};
@@ -10,29 +10,29 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rows in one chunk of a transfer: few, so that transfers have many chunks.
+/// Number of rows in one chunk of a transfer; small, so that transfers have many chunks.
 const TRANSFER_ROWS: usize = 40;
-/// Time that a reading takes.
+/// Time that a read of rows takes.
 const READ_MS: u64 = 1;
 
-/// How many machines a settings file names.
+/// Number of seeds in the settings of a machine.
 const SEEDS: usize = 3;
 
-/// A directed link that loses everything.
+/// A directed link between two machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: usize,
     to: usize,
 }
 
-/// A row that a write has set.
+/// A row set by a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct WrittenRow {
     pub key: Vec<u8>,
     pub value: Vec<u8>,
 }
 
-/// A member has become the head.
+/// Records that a member has become the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HeadGained {
     pub at_ms: u64,
@@ -40,14 +40,14 @@
     pub view: ViewNumber,
 }
 
-/// The cluster.
+/// A simulated cluster.
 pub(crate) struct Cluster {
     pub now_ms: u64,
     pub nodes: Vec<Node>,
     pub seeds: Vec<usize>,
     blocked_links: BTreeSet<Link>,
     pub loss_percent: u64,
-    /// Part of the messages that arrive twice.
+    /// Percentage of the messages that are delivered twice.
     pub repeat_percent: u64,
     pub delay_spread_ms: u64,
     pub random: Pcg64Mcg,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Machines that have been installed and not been removed.
+    /// Returns the machines that have been installed and not removed.
     pub(crate) fn present(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|&node| self.is_present(node))
@@ -108,14 +108,14 @@
         self.nodes[node].presence == Presence::Present
     }
 
-    /// The machines from `first` on are not installed yet.
+    /// Marks the machines from `first` on as not installed yet.
     pub(crate) fn keep_spare(&mut self, first: usize) {
         self.nodes[first..]
             .iter_mut()
             .for_each(|node| node.presence = Presence::Spare);
     }
 
-    /// Takes a machine that has not been installed yet.
+    /// Reserves a machine that has not been installed yet; `None` if none is left.
     pub(crate) fn next_spare(&mut self) -> Option<usize> {
         let spare = self
             .nodes
@@ -125,7 +125,7 @@
         Some(spare)
     }
 
-    /// A new machine starts for the first time, beside those that are present.
+    /// Starts a new machine for the first time, in addition to those that are present.
     pub(crate) fn install(&mut self, node: usize) {
         self.log_event(&format!("install {node}"));
         self.nodes[node].presence = Presence::Present;
@@ -133,7 +133,7 @@
         self.start(node, false);
     }
 
-    /// A machine is removed for good, with its disk.
+    /// Removes a machine with its disk permanently.
     pub(crate) fn remove(&mut self, node: usize) {
         self.log_event(&format!("remove {node}"));
         self.wipe(node);
@@ -141,7 +141,7 @@
         self.name_seeds();
     }
 
-    /// Machines that start from now on have three present machines as their seeds.
+    /// Makes the first [`SEEDS`] present machines the seeds of all machines that start from now on.
     fn name_seeds(&mut self) {
         self.seeds = self.present().into_iter().take(SEEDS).collect();
     }
@@ -181,14 +181,14 @@
         self.nodes[node].frozen_until_ms = self.now_ms + for_ms;
     }
 
-    /// The two machines are partitioned from each other.
+    /// Partitions two machines from each other.
     pub(crate) fn block_both(&mut self, a: usize, b: usize) {
         self.log_event(&format!("cut {a} {b}"));
         self.block_link(a, b);
         self.block_link(b, a);
     }
 
-    /// What `from` sends to `to` is lost from now on.
+    /// Drops all messages sent from `from` to `to` from now on.
     pub(crate) fn block_link(&mut self, from: usize, to: usize) {
         self.blocked_links.insert(Link { from, to });
     }
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Runs until `until_ms`; each `submit_interval_ms` a write is submitted to the acting head.
+    /// Runs the simulation until `until_ms` and submits a write to the acting head every `submit_interval_ms`.
     pub(crate) fn run(&mut self, until_ms: u64, submit_interval_ms: u64) {
         let mut next_submit_ms = self.now_ms + submit_interval_ms;
         while self.now_ms < until_ms {
@@ -230,7 +230,7 @@
         self.nodes.iter().position(|node| node.may_act(self.now_ms))
     }
 
-    /// Machines of the acting head's chain, head first.
+    /// Returns the machines of the acting head's chain, head first.
     pub(crate) fn chain(&self) -> Vec<usize> {
         let head = self.acting().expect("a head acts");
         let replica = self.nodes[head].replica.as_ref().expect("the head runs");
@@ -431,7 +431,7 @@
         }
     }
 
-    /// Voters and chain of the view that a machine follows.
+    /// Describes voters and chain of the view that a machine follows.
     fn describe_view(&self, index: usize) -> String {
         let replica = self.nodes[index].replica.as_ref();
         let view = replica.and_then(|replica| replica.accepted_view());
--- a/crates/replication/tests/simulation/disk.rs
+++ b/crates/replication/tests/simulation/disk.rs
@@ -1,16 +1,16 @@
-//! A member's disk: what has been synced.
+//! The synced contents of a member's disk.
 
 use indigofold_replication::{Durable, Row, RowsChunk, StoreOperation, StoreRequest};
 use std::collections::BTreeMap;
 
-/// A row as it is on disk; without a value it is a tombstone.
+/// A row on disk; without a value it is a tombstone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct StoredRow {
     pub value: Option<Vec<u8>>,
     pub seq: u64,
 }
 
-/// Rows and record as they are on disk.
+/// Rows and record on disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
     pub durable: Option<Durable>,
@@ -18,7 +18,7 @@
 }
 
 impl Disk {
-    /// Makes the changes of one store.
+    /// Applies the changes of one store.
     pub(crate) fn apply(&mut self, request: &StoreRequest) {
         for operation in &request.operations {
             match operation {
@@ -50,7 +50,7 @@
         self.rows.insert(key.to_vec(), row);
     }
 
-    /// Rows after `since`, a few at a time.
+    /// Returns about `rows_max` rows that changed after `since`, in whole writes.
     pub(crate) fn rows_since(&self, since: u64, rows_max: usize) -> RowsChunk {
         let mut all: Vec<Row> = self
             .rows
@@ -78,12 +78,12 @@
         }
     }
 
-    /// The value of a key.
+    /// Returns the value of a key; `None` if there is no row or it is deleted.
     pub(crate) fn value(&self, key: &[u8]) -> Option<&[u8]> {
         self.rows.get(key).and_then(|row| row.value.as_deref())
     }
 
-    /// All rows that are not deleted.
+    /// Returns all rows that are not deleted.
     pub(crate) fn table(&self) -> BTreeMap<&[u8], &[u8]> {
         let live = self
             .rows
--- a/crates/replication/tests/simulation/events.rs
+++ b/crates/replication/tests/simulation/events.rs
@@ -1,4 +1,4 @@
-//! What will happen, in the order of time; events of the same time in the order in which they were scheduled.
+//! Scheduled events ordered by time; events of the same time run in the order in which they were scheduled.
 
 use super::node::InFlight;
 use std::cmp::Reverse;
@@ -11,7 +11,7 @@
     Wake { node: usize, incarnation: u64 },
 }
 
-/// When an event is due; the id breaks ties.
+/// Time at which an event is due; the ID, which increases from event to event, breaks ties.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at_ms: u64,
@@ -33,12 +33,12 @@
         self.events.insert(id, event);
     }
 
-    /// When the next event is due.
+    /// Returns when the next event is due; `None` if none is scheduled.
     pub(crate) fn next_ms(&self) -> Option<u64> {
         self.due.peek().map(|Reverse(due)| due.at_ms)
     }
 
-    /// Removes the next event that is due at `now_ms`.
+    /// Removes and returns the next event if it is due at `now_ms`.
     pub(crate) fn pop_due(&mut self, now_ms: u64) -> Option<Event> {
         let id = self.due.peek().filter(|due| due.0.at_ms <= now_ms)?.0.id;
         self.due.pop();
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -1,14 +1,14 @@
-//! Random faults, and the recoveries from them.
+//! Injects random faults and recovers from them.
 
 use super::cluster::Cluster;
 
-/// A machine's disk may be lost only after so long without faults, and no other fault may begin for so long after it
-/// (when faults overlap, that is so for lost disks only).
+/// Time without faults that is required before a disk may be lost, and after it before another fault may begin. When
+/// faults overlap, it only applies between lost disks.
 const CATCH_UP_MS: u64 = 4_500;
-/// One in so many delays between overlapping faults lasts until the cluster has converged.
+/// One in this many delays between overlapping faults lasts until the cluster has had time to converge.
 const CATCH_UP_ONE_IN: u64 = 12;
 
-/// The end of a fault.
+/// An action that ends a fault.
 #[derive(Debug)]
 enum Recovery {
     Start(usize),
@@ -16,15 +16,15 @@
     Join(usize, usize),
     NormalDisk(usize),
     NormalNetwork,
-    /// A machine is started for the first time, in the place of another.
+    /// Starts a new machine that replaces another one.
     Install(usize),
-    /// A machine is taken away for good, with its disk.
+    /// Removes a machine with its disk permanently.
     Remove(usize),
 }
 
-/// Numbers from which the kind of a fault is drawn (see [`Kind::of`]).
+/// Random numbers below this one select the kind of a fault (see [`Kind::of`]).
 const KINDS: u64 = 14;
-/// The same for faults that overlap.
+/// Same as [`KINDS`], for faults that overlap.
 const KINDS_OVERLAPPING: u64 = 18;
 
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
 }
 
 impl Kind {
-    /// The kind of a drawn number; those with several numbers are more frequent.
+    /// Returns the kind selected by a random number; kinds with several numbers are more frequent.
     fn of(number: u64) -> Kind {
         match number {
             0 | 1 => Kind::Kill,
@@ -63,7 +63,7 @@
     }
 }
 
-/// A recovery, and when it is due.
+/// A recovery and the time at which it is due.
 #[derive(Debug)]
 struct Due {
     at_ms: u64,
@@ -75,14 +75,15 @@
 pub(crate) struct Faults {
     recoveries: Vec<Due>,
     faultless_from_ms: u64,
-    /// A disk may be lost or a machine replaced while other faults last.
+    /// Whether disks may be lost and machines replaced while other faults last.
     overlapping: bool,
-    /// A disk has been lost (or a machine replaced), and the cluster has had no time since to catch up.
+    /// Whether a disk has been lost or a machine replaced, and the cluster has had no time since then to catch up.
     disk_lost: bool,
 }
 
 impl Faults {
-    /// Faults that overlap as far as the operators' pages allow: no more disks are lost than tolerated.
+    /// Creates a generator of overlapping faults, within the limits documented for operators: no more disks are lost
+    /// than tolerated.
     pub(crate) fn overlapping() -> Faults {
         Faults {
             overlapping: true,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Injects faults until `until_ms`; then all of them end.
+    /// Injects faults until `until_ms`, then waits for the cluster to catch up and ends all faults.
     pub(crate) fn run(&mut self, cluster: &mut Cluster, until_ms: u64, submit_interval_ms: u64) {
         while cluster.now_ms < until_ms {
             let next_delay_ms = self.next_delay_ms(cluster);
@@ -207,7 +208,7 @@
         self.separate(cluster, &sides, for_ms);
     }
 
-    /// A partition into two halves, as even as they can be.
+    /// Partitions the machines into two halves that are as equal as possible.
     fn partition_into_halves(&mut self, cluster: &mut Cluster, for_ms: u64) {
         let first = cluster.below(2) == 0;
         let mut sides = vec![first; cluster.nodes.len()];
@@ -254,7 +255,8 @@
         }
     }
 
-    /// One disk is lost after a time without faults; at times all other machines lose power at the same moment.
+    /// Loses one disk, if there has been enough time without faults; sometimes all other machines lose power at the
+    /// same moment.
     fn lose_disk(&mut self, cluster: &mut Cluster, node: usize) {
         if self.overlapping {
             self.lose_disk_while_overlapping(cluster, node);
@@ -281,7 +283,7 @@
         }
     }
 
-    /// A disk is lost while other faults last, unless the cluster may not have caught up with a loss before.
+    /// Loses a disk while other faults last, unless the cluster may not have caught up since an earlier loss.
     fn lose_disk_while_overlapping(&mut self, cluster: &mut Cluster, node: usize) {
         if self.disk_lost {
             return;
@@ -295,7 +297,8 @@
         }
     }
 
-    /// A machine is replaced by one at another address: the new one first or the old one first, planned or not.
+    /// Replaces a machine by one at another address. Either the new machine starts first or the old one stops first,
+    /// with or without a planned stop.
     fn replace(&mut self, cluster: &mut Cluster, node: usize) {
         if self.disk_lost {
             return;
--- a/crates/replication/tests/simulation/main.rs
+++ b/crates/replication/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Clusters of replicas under simulated time: faults of many kinds, and what has to be true all along.
+//! Tests of clusters of replicas under simulated time, with many kinds of faults and checks that must hold throughout.
 
 mod checks;
 mod cluster;
@@ -14,7 +14,7 @@
 use rstest::rstest;
 
 const SUBMIT_INTERVAL_MS: u64 = 20;
-/// Machines that may replace others.
+/// Number of machines that may replace others.
 const SPARES: usize = 8;
 
 fn started(seed: u64, machines: usize) -> Cluster {
@@ -47,7 +47,7 @@
     }
 }
 
-/// All faults have ended: writes are committed again soon, and the cluster converges.
+/// Checks, after all faults have ended, that writes are soon committed again and that the cluster converges.
 fn check_recovery(cluster: &mut Cluster, seed: u64) {
     let ended_ms = cluster.now_ms;
     cluster.run(ended_ms + 3_500, SUBMIT_INTERVAL_MS);
@@ -86,7 +86,7 @@
     check_recovery(&mut cluster, seed);
 }
 
-/// Faults of all kinds at the same time, disks lost and machines replaced in the middle of them.
+/// Faults of all kinds overlap, and disks are lost and machines replaced in the middle of other faults.
 #[rstest]
 fn no_committed_write_is_lost_when_faults_overlap(#[values(0, 1, 2, 3)] shard: u64) {
     let (first, count) = seeds();
@@ -95,14 +95,14 @@
         .for_each(check_overlapping);
 }
 
-/// Seeds that have found a fault of the program. All of these: a machine of the shortest possible chain was lost with its disk before
+/// Seeds that have revealed a bug. In each of them a machine of a chain of minimum length was lost with its disk before
 /// it had taken over the view's first state; the head kept its lease and never wrote again.
 #[rstest]
 fn regression_seeds_of_overlapping_faults(#[values(136, 254, 308, 379, 797, 947)] seed: u64) {
     check_overlapping(seed);
 }
 
-/// The seeds to run: `SIMULATION_SEEDS=FIRST,COUNT` runs others than the usual.
+/// Returns the first seed and the number of seeds; `SIMULATION_SEEDS=FIRST,COUNT` overrides the default.
 fn seeds() -> (u64, u64) {
     let chosen = std::env::var("SIMULATION_SEEDS").unwrap_or_default();
     let parsed = chosen
--- a/crates/replication/tests/simulation/node.rs
+++ b/crates/replication/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One machine of the simulated cluster: its clock, its disk, its process.
+//! A machine of the simulated cluster: its clock, its disk and its process.
 
 use super::disk::Disk;
 use indigofold_protocol::internal::MemberAddress;
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// What the storage thread has to do.
+/// A task of the storage thread.
 #[derive(Clone, Debug)]
 pub(crate) enum DiskTask {
     Store {
@@ -32,14 +32,14 @@
     Removed,
 }
 
-/// A machine.
+/// A machine of the simulated cluster.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub index: usize,
     pub presence: Presence,
     pub replica: Option<Replica>,
     pub disk: Disk,
-    /// Rises with each start of the process; events of earlier incarnations are dropped.
+    /// Increases with each start and stop of the process; events of earlier incarnations are dropped.
     pub incarnation: u64,
     pub frozen_until_ms: u64,
     pub disk_ms: u64,
@@ -50,7 +50,7 @@
     clock_rate_permille: u64,
 }
 
-/// Address of the machine `index`.
+/// Returns the addresses of the machine `index`.
 pub(crate) fn address(index: usize) -> MemberAddress {
     let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 0, index as u8 + 1));
     MemberAddress {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The machine at an internal address.
+/// Returns the index of the machine at an internal address.
 pub(crate) fn index_of(internal: SocketAddr) -> usize {
     match internal.ip() {
         IpAddr::V4(ip) => usize::from(ip.octets()[3]) - 1,
@@ -86,12 +86,12 @@
         }
     }
 
-    /// The node's steady clock at a true time.
+    /// Returns the time of the node's monotonic clock at a true time.
     pub(crate) fn local_ms(&self, true_ms: u64) -> u64 {
         self.clock_offset_ms + true_ms * self.clock_rate_permille / 1000
     }
 
-    /// First true time at which the node's clock shows `local_ms` or more.
+    /// Returns the first true time at which the node's clock shows `local_ms` or more.
     pub(crate) fn true_ms(&self, local_ms: u64) -> u64 {
         let since = local_ms.saturating_sub(self.clock_offset_ms);
         (since.saturating_mul(1000)).div_ceil(self.clock_rate_permille)
@@ -118,7 +118,7 @@
         self.replica = Some(Replica::new(settings, self.disk.durable.clone(), now_ms));
     }
 
-    /// The process ends. `store_survives`: the store under way still reached the disk.
+    /// Ends the process. If `store_survives` is set, the store under way still reaches the disk.
     pub(crate) fn stop(&mut self, store_survives: bool) {
         if let (true, true, Some(DiskTask::Store { request, .. })) =
             (self.busy, store_survives, self.tasks.front())
@@ -142,7 +142,7 @@
     }
 }
 
-/// A message that has been sent and not delivered.
+/// A message that has been sent but not delivered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlight {
     pub to: usize,
--- a/crates/replication/tests/simulation/outages.rs
+++ b/crates/replication/tests/simulation/outages.rs
@@ -1,5 +1,5 @@
-//! Times without a committed write after the loss of members: the results in `docs/system/control.md`, and their bounds.
-//! `cargo test -p indigofold-replication outages -- --nocapture` prints them.
+//! Measures and bounds the time without a committed write after the loss of members. `cargo test -p
+//! indigofold-replication outages -- --nocapture` prints the results, which are listed in `docs/system/control.md`.
 
 use super::SUBMIT_INTERVAL_MS;
 use super::cluster::Cluster;
@@ -7,12 +7,12 @@
 use rstest::rstest;
 
 const SEEDS: u64 = 20;
-/// How long the lost members are away.
+/// Time after which the lost members restart.
 const AWAY_MS: u64 = 700;
-/// How long writes are followed from the loss on.
+/// Time for which writes are observed after the lost members have restarted.
 const WATCHED_MS: u64 = 4_000;
 
-/// Who is lost.
+/// Members that are lost, by their position in the chain.
 #[derive(Clone, Copy, Debug)]
 enum Lost {
     Head,
@@ -23,7 +23,7 @@
 }
 
 impl Lost {
-    /// The machines, by their positions in the chain of the acting head.
+    /// Returns the machines at these positions in the chain of the acting head.
     fn machines(self, cluster: &Cluster) -> Vec<usize> {
         let chain = cluster.chain();
         match self {
@@ -36,7 +36,7 @@
     }
 }
 
-/// The lost members are killed and come back; the longest time between two committed writes.
+/// Kills and restarts the lost members and returns the longest time between two committed writes.
 fn gap_ms(seed: u64, machines: usize, lost: Lost) -> u64 {
     let mut cluster = started(seed, machines);
     let mut away = lost.machines(&cluster);
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -1,4 +1,4 @@
-//! One fault at a time, and how soon writes are committed again.
+//! Tests of single faults and of the time until writes are committed again.
 
 use super::cluster::Cluster;
 use super::{SUBMIT_INTERVAL_MS, started};
@@ -7,7 +7,7 @@
 
 const SEEDS: u64 = 30;
 
-/// Longest time without a committed write while the cluster runs for `for_ms`.
+/// Runs the cluster for `for_ms` and returns the longest time without a committed write.
 fn longest_gap_ms(cluster: &mut Cluster, for_ms: u64) -> u64 {
     let until_ms = cluster.now_ms + for_ms;
     let mut longest_ms = 0;
@@ -23,7 +23,7 @@
     longest_ms.max(until_ms - last_ms)
 }
 
-/// While the cluster runs for `for_ms`, no time without a committed write is longer than `bound_ms`.
+/// Runs the cluster for `for_ms` and checks that no time without a committed write is longer than `bound_ms`.
 #[track_caller]
 fn assert_gap(cluster: &mut Cluster, seed: u64, for_ms: u64, bound_ms: u64) {
     let gap_ms = longest_gap_ms(cluster, for_ms);
@@ -38,7 +38,7 @@
     cluster.acting().expect("a head acts")
 }
 
-/// A member that is not the head.
+/// Returns a member that is not the head.
 fn follower(cluster: &Cluster) -> usize {
     (head(cluster) + 1) % cluster.nodes.len()
 }
@@ -60,7 +60,8 @@
     }
 }
 
-/// The head campaigns as soon as it is back, and restarted voters need not wait for a lease of its own.
+/// The head campaigns as soon as it has restarted, and restarted voters need not wait for a lease granted to that same
+/// head.
 #[rstest]
 fn the_same_head_resumes_at_once_after_all_were_killed(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
@@ -83,8 +84,8 @@
     }
 }
 
-/// A head that was superseded while it was down campaigns beside restarted voters: only those whose disks still have its
-/// view vote for it, and that is no majority.
+/// A head that was superseded while it was down campaigns among restarted voters. Only voters whose disks still have
+/// its view vote for it, and they are no majority.
 #[rstest]
 fn a_superseded_head_is_not_elected(#[values(3, 5)] machines: usize) {
     for seed in 0..SEEDS {
@@ -167,7 +168,7 @@
     }
 }
 
-/// A disk that is slow, not hanging: every write would wait for it while it is in the chain.
+/// A disk is slow but does not hang: every write waits for it while its member is in the chain.
 #[rstest]
 #[case::of_the_head(0)]
 #[case::of_the_next_in_the_chain(1)]
@@ -315,8 +316,8 @@
     }
 }
 
-/// Machines are replaced one after the other, by ones at other addresses. Then all lose power, and come back with the
-/// first machines as their seeds.
+/// Machines are replaced one after the other by machines at other addresses. Then all lose power and restart with the
+/// original machines as their seeds.
 #[test]
 fn machines_are_replaced_until_no_seed_is_left() {
     for seed in 0..SEEDS {
@@ -344,7 +345,8 @@
     }
 }
 
-/// The cluster checks at each step that no two heads act.
+/// Restarted voters must not elect a second head while the lease that they granted runs; the cluster checks at each
+/// step that no two heads act.
 #[test]
 fn restarted_voters_respect_leases_granted_before() {
     for seed in 0..SEEDS {
@@ -361,7 +363,7 @@
     }
 }
 
-/// Runs until the head has had a new view agreed.
+/// Runs the cluster until the head leads an agreed view later than `former`, for at most 3 s.
 fn run_until_next_view(cluster: &mut Cluster, head: usize, former: ViewNumber) {
     let agreed = |cluster: &Cluster| {
         let view = cluster.nodes[head]
@@ -376,8 +378,8 @@
     }
 }
 
-/// A view is agreed by two of three while the third is partitioned; then the second loses its disk before it has taken
-/// over the view, and the third is back. The head has a majority, and goes on with the third.
+/// Two of three members agree on a view while the third is partitioned. Then the second loses its disk before it has
+/// taken over the view, and the third is reachable again. The head has a majority and continues with the third.
 #[test]
 fn a_chain_that_loses_a_member_during_installation_replaces_it() {
     for seed in 0..SEEDS {
--- a/crates/replication/tests/storage.rs
+++ b/crates/replication/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The storage of a member: what it keeps, and what it does with a database that it cannot use.
+//! Tests of the storage of a member: which data it keeps, and how it handles a database that it cannot use.
 
 mod stored;
 
@@ -152,7 +152,7 @@
     assert_eq!(table(&storage).into_keys().collect::<Vec<_>>(), ["other"]);
 }
 
-/// Copies the database as a loss of power leaves it when the newest `lost` bytes of its log never came to the disk.
+/// Copies the database as a power loss leaves it when the newest `lost` bytes of its log never reached the disk.
 fn after_power_loss(from: &Path, lost: usize) -> TempDir {
     let dir = TempDir::new().expect("a folder");
     for name in [DATABASE.to_owned(), format!("{DATABASE}-wal")] {
@@ -248,7 +248,8 @@
     assert!(error.to_string().contains("cannot be used"), "{error}");
 }
 
-/// The tables of the form before checksums, with what `filled` writes.
+/// Creates a database of the format without checksums, with the rows that [`filled`] writes, of which `row-5` is
+/// deleted.
 fn write_without_checksums(dir: &Path) {
     let connection = rusqlite::Connection::open(dir.join(DATABASE)).expect("opened");
     connection
--- a/crates/replication/tests/stored/mod.rs
+++ b/crates/replication/tests/stored/mod.rs
@@ -1,12 +1,12 @@
-//! What the tests of the storage keep in their databases.
+//! Data that the storage tests keep in their databases.
 
 use indigofold_replication::{Durable, Member, View, ViewNumber, ViewStart, Viewstamp};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The database's file.
+/// Name of the database file.
 pub(crate) const DATABASE: &str = "control.sqlite";
 
-/// The record of a member that has the writes up to `seq`.
+/// Returns the record of a member that has the writes up to `seq`.
 pub(crate) fn record(seq: u64) -> Durable {
     let internal = SocketAddr::from((Ipv4Addr::LOCALHOST, 7380));
     Durable {
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -1,7 +1,7 @@
-//! The forms of stored data and of messages, against what an earlier release has written: a member must be able to open
-//! the database of the release before it, and members of two releases run side by side during an update.
+//! Compares the formats of stored data and of messages with those of an earlier release: a member must be able to open
+//! the database of the previous release, and members of two releases run side by side during an update.
 //!
-//! `fixtures/control.sqlite` was written by the code of commit 13256bf, and so was each of the encoded messages.
+//! `fixtures/control.sqlite` and each of the encoded messages were written by the code of commit 13256bf.
 
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::message::{
@@ -17,11 +17,11 @@
 use std::sync::Arc;
 use tempfile::TempDir;
 
-/// Name of the database's file.
+/// Name of the database file.
 const DATABASE: &str = "control.sqlite";
 /// Sequence number of the last write in the fixture.
 const LAST_SEQ: u64 = 42;
-/// Rows deleted at or before this write have been trimmed in the fixture.
+/// Tombstones of rows deleted at or before this write have been dropped in the fixture.
 const TRIMMED_SEQ: u64 = 22;
 
 fn address(index: u8) -> MemberAddress {
@@ -76,7 +76,7 @@
     ]
 }
 
-/// The record in the fixture.
+/// Returns the record in the fixture.
 fn record() -> Durable {
     Durable {
         member: member(2),
@@ -98,8 +98,8 @@
     }
 }
 
-/// Each row in the fixture, in the order of the writes: keys of the configuration and of the scheduler, deleted rows,
-/// values that are empty, long or no text.
+/// Returns all rows in the fixture in the order of the writes: keys of the configuration and of the scheduler, deleted
+/// rows, and values that are empty, long or binary.
 fn rows() -> Vec<Row> {
     let long = vec![0xa5; 700];
     vec![
@@ -143,7 +143,7 @@
     })
 }
 
-/// One message of each kind, in the order of the variants.
+/// Returns one message of each kind, in the order of the variants.
 #[expect(clippy::too_many_lines, reason = "one literal for each kind")]
 fn messages() -> Vec<Message> {
     vec![
@@ -243,7 +243,7 @@
     })
 }
 
-/// The envelopes of [`messages`] as that release encoded them.
+/// The envelopes of [`messages`], as encoded by the earlier release.
 const ENCODED: [&str; 18] = [
     // Announce
     "000a000001d439f7cdd7a6bcd6e8480006636f72652d31000a000001d4390100000000000000000000000000\
@@ -310,7 +310,7 @@
     }
 }
 
-/// A folder with a copy of the fixture.
+/// Creates a folder with a copy of the fixture.
 fn folder_with_fixture() -> TempDir {
     let dir = TempDir::new().expect("a folder");
     let fixture = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/control.sqlite");
@@ -318,7 +318,8 @@
     dir
 }
 
-/// Everything in the database: the record, each row with its tombstones, and the table that a head loads.
+/// Checks the whole content of the database: the record, each row including tombstones, and the table that a head
+/// loads.
 fn assert_content(dir: &TempDir) {
     let opened = Storage::open(dir.path()).expect("opened");
     assert!(opened.quarantined.is_none(), "{:?}", opened.quarantined);
@@ -344,7 +345,7 @@
 fn a_database_of_the_earlier_release_has_all_of_its_content() {
     let dir = folder_with_fixture();
     assert_content(&dir);
-    // Opened a second time, with what the first opening may have changed.
+    // The database is opened a second time, because the first opening may have changed it.
     assert_content(&dir);
 }
 
