--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -30,7 +30,7 @@
 
 use crate::durable::Durable;
 use crate::message::{Envelope, Message};
-use crate::timing::{LEASE_MS, RESUME_CAMPAIGN_MS};
+use crate::timing::{LEASE_MS, RESUME_CAMPAIGN_INTERVAL_MS};
 use crate::types::{Member, View, ViewNumber, Viewstamp};
 use candidate::Candidate;
 use context::Context;
@@ -58,7 +58,7 @@
         let mut replica = Replica {
             context: Context::new(settings, durable, now_ms),
             follower: Follower::new(vote_from_ms, now_ms),
-            candidate: Candidate::new(now_ms + RESUME_CAMPAIGN_MS),
+            candidate: Candidate::new(now_ms + RESUME_CAMPAIGN_INTERVAL_MS),
             head: Head::default(),
             transfers: Transfers::new(now_ms),
         };
@@ -117,7 +117,7 @@
 
     /// Returns the identity of this member: its internal address and its disk ID.
     pub fn member(&self) -> Member {
-        self.context.own()
+        self.context.own_member()
     }
 
     /// Returns the view accepted last, and whether it is known to be agreed.
@@ -152,7 +152,7 @@
 
     fn handle_message(&mut self, envelope: Envelope) {
         let Envelope { from, message } = envelope;
-        if from == self.context.own() {
+        if from == self.context.own_member() {
             return;
         }
         match message {
@@ -215,7 +215,7 @@
                 AfterStore::Send { to, message } => self.context.send(to, *message),
                 AfterStore::OwnPrepareOk { number } => self.handle_own_prepare_ok(number),
                 AfterStore::OwnAccepted { number } => {
-                    self.handle_accepted(self.context.own(), number);
+                    self.handle_accepted(self.context.own_member(), number);
                 }
                 AfterStore::TransferStored { number } => {
                     let step = self.candidate.handle_fetched(&mut self.context, number);
--- a/crates/replication/src/replica/candidate.rs
+++ b/crates/replication/src/replica/candidate.rs
@@ -11,8 +11,9 @@
 use super::store_queue::AfterStore;
 use crate::message::{Message, PreVoteReply, PrepareOk};
 use crate::timing::{
-    BACKOFF_MS, BACKOFF_OUTSIDE_CHAIN_MS, BACKOFF_SPREAD_MS, PHASE_MS, PRE_VOTE_GRANTED_MS,
-    PRE_VOTE_MS, PREPARED_DEFER_MS, RESUME_CAMPAIGN_MS, RESUME_PRE_VOTE_MS,
+    BACKOFF_MS, BACKOFF_OUTSIDE_CHAIN_MS, BACKOFF_SPREAD_MS, PHASE_TIMEOUT_MS, PRE_VOTE_HOLD_MS,
+    PRE_VOTE_TIMEOUT_MS, PREPARED_DEFER_MS, RESUME_CAMPAIGN_INTERVAL_MS,
+    RESUME_PRE_VOTE_TIMEOUT_MS,
 };
 use crate::types::{Member, View, ViewNumber, Viewstamp};
 use campaign::Campaign;
@@ -84,12 +85,12 @@
         self.campaign = None;
     }
 
-    /// Ends a failed campaign; the next one begins after a random time, or after [`RESUME_CAMPAIGN_MS`] if this member
-    /// resumes as head.
+    /// Ends a failed campaign; the next one begins after a random time, or after [`RESUME_CAMPAIGN_INTERVAL_MS`] if
+    /// this member resumes as the head.
     pub(super) fn fail(&mut self, context: &mut Context, is_resuming: bool) {
         self.campaign = None;
         self.campaign_at_ms = if is_resuming {
-            context.now_ms() + RESUME_CAMPAIGN_MS
+            context.now_ms() + RESUME_CAMPAIGN_INTERVAL_MS
         } else {
             context.now_ms() + BACKOFF_MS + context.random_below(BACKOFF_SPREAD_MS)
         };
@@ -120,7 +121,7 @@
     /// Gives up the campaign for a candidate that has been granted a pre-vote, and leaves it time for its own.
     pub(super) fn yield_to_pre_vote(&mut self, context: &mut Context) {
         self.campaign = None;
-        self.yield_for(context, PRE_VOTE_GRANTED_MS);
+        self.yield_for(context, PRE_VOTE_HOLD_MS);
     }
 
     /// Postpones the next campaign for a candidate that has received a promise, to leave it time for its own.
@@ -135,16 +136,16 @@
 
     /// Returns true if this member's own campaign has priority over one of `candidate`, whose rows are at `viewstamp`:
     /// the own one is past its pre-vote, or its state is newer (ties are broken by member).
-    pub(super) fn goes_before(
+    pub(super) fn has_priority_over(
         &self,
         context: &Context,
         candidate: Member,
         viewstamp: Viewstamp,
     ) -> bool {
         let own_state = (context.record.viewstamp, candidate);
-        self.campaign
-            .as_ref()
-            .is_some_and(|own| !own.is_pre_vote() || own_state > (viewstamp, context.own()))
+        self.campaign.as_ref().is_some_and(|campaign| {
+            !campaign.is_pre_vote() || own_state > (viewstamp, context.own_member())
+        })
     }
 
     /// Starts a campaign with a pre-vote, which asks whether a majority would vote for this member; nothing is promised
@@ -159,19 +160,19 @@
             return CampaignStep::Wait;
         };
         let wait_ms = if is_resuming {
-            RESUME_PRE_VOTE_MS
+            RESUME_PRE_VOTE_TIMEOUT_MS
         } else {
-            PRE_VOTE_MS
+            PRE_VOTE_TIMEOUT_MS
         };
-        let own = context.own();
+        let own = context.own_member();
         let mut campaign = Campaign::pre_vote(own, known, context.record.promised, request_id);
         campaign.set_deadline(context.now_ms() + wait_ms);
         self.campaign = Some(campaign);
         self.send_requests(context);
         if let Some(campaign) = &mut self.campaign {
-            campaign.count(own);
+            campaign.count_vote(own);
         }
-        self.decide_pre_vote(context.own())
+        self.decide_pre_vote(context.own_member())
     }
 
     /// Handles a voter's answer to the pre-vote.
@@ -188,11 +189,11 @@
         if !campaign.receive_pre_vote_reply(from, reply) {
             return CampaignStep::Wait;
         }
-        if !is_granted && campaign.is_hopeless() {
+        if !is_granted && campaign.cannot_win() {
             return CampaignStep::Fail;
         }
         let step = if is_granted {
-            self.decide_pre_vote(context.own())
+            self.decide_pre_vote(context.own_member())
         } else {
             CampaignStep::Wait
         };
@@ -212,8 +213,8 @@
         plan: Option<Plan>,
     ) {
         let promised = context.record.promised;
-        let mut campaign = Campaign::prepare(context.own(), known, promised, number, plan);
-        campaign.set_deadline(context.now_ms() + PHASE_MS);
+        let mut campaign = Campaign::prepare(context.own_member(), known, promised, number, plan);
+        campaign.set_deadline(context.now_ms() + PHASE_TIMEOUT_MS);
         self.campaign = Some(campaign);
         context.record.promised = number;
         let own_promise = AfterStore::OwnPrepareOk { number };
@@ -239,7 +240,7 @@
     /// Proposes a view once the newest state is decided, or returns the member from which that state is to be fetched
     /// first.
     pub(super) fn decide_prepare(&mut self, context: &mut Context) -> CampaignStep {
-        let (own, now_ms) = (context.own(), context.now_ms());
+        let (own, now_ms) = (context.own_member(), context.now_ms());
         let Some(campaign) = &mut self.campaign else {
             return CampaignStep::Wait;
         };
@@ -249,8 +250,8 @@
         if newest.source == own {
             return self.propose(context, newest.viewstamp);
         }
-        campaign.fetch();
-        campaign.set_deadline(now_ms + PHASE_MS);
+        campaign.enter_fetch_phase();
+        campaign.set_deadline(now_ms + PHASE_TIMEOUT_MS);
         let number = campaign.number();
         CampaignStep::Fetch { number, newest }
     }
@@ -296,7 +297,7 @@
             return CampaignStep::Wait;
         };
         let is_own = campaign.receive_reject(from, number, promised, now_ms);
-        if is_own && campaign.is_hopeless() {
+        if is_own && campaign.cannot_win() {
             CampaignStep::Fail
         } else {
             CampaignStep::Wait
@@ -331,12 +332,12 @@
 
     /// Proposes a view on top of the state `base`, which this member has on disk.
     fn propose(&mut self, context: &mut Context, base: Viewstamp) -> CampaignStep {
-        let own = context.own();
+        let own = context.own_member();
         let campaign = self.campaign.as_mut();
         let proposed = campaign.and_then(|campaign| {
             let view = next_view(campaign, own, base, context.settings())?;
-            campaign.propose(view.clone());
-            campaign.set_deadline(context.now_ms() + PHASE_MS);
+            campaign.enter_propose_phase(view.clone());
+            campaign.set_deadline(context.now_ms() + PHASE_TIMEOUT_MS);
             Some(view)
         });
         let Some(view) = proposed else {
--- a/crates/replication/src/replica/candidate/campaign.rs
+++ b/crates/replication/src/replica/candidate/campaign.rs
@@ -1,7 +1,7 @@
 //! Answers that a candidate has collected: pre-votes, promises with the states of their senders, and acceptances.
 
 use crate::message::{Message, PreVote, PreVoteReply, PrepareOk};
-use crate::timing::{MORE_PREPARE_OKS_MS, REJECTED_WAIT_MS};
+use crate::timing::{PREPARE_GRACE_MS, REJECTED_GRACE_MS};
 use crate::types::{Member, View, ViewNumber, Viewstamp, majority};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -145,7 +145,7 @@
     /// Returns when the campaign fails, or goes on without the missing promises.
     pub(super) fn due_ms(&self) -> u64 {
         let majority_ms = self.majority_ms.filter(|_| self.phase == Phase::Prepare);
-        let more_due_ms = majority_ms.map_or(u64::MAX, |at| at + MORE_PREPARE_OKS_MS);
+        let more_due_ms = majority_ms.map_or(u64::MAX, |at| at + PREPARE_GRACE_MS);
         self.deadline_ms.min(more_due_ms)
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Counts a member that grants the request of this phase.
-    pub(super) fn count(&mut self, from: Member) {
+    pub(super) fn count_vote(&mut self, from: Member) {
         self.agreed.insert(from);
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Returns the newest state once a majority that includes the candidate has promised, and all others have answered
-    /// or have had [`MORE_PREPARE_OKS_MS`] to do so.
+    /// or have had [`PREPARE_GRACE_MS`] to do so.
     pub(super) fn decided_state(&mut self, own: Member, now_ms: u64) -> Option<NewestState> {
         let is_promised = self.agreed.contains(&own) && self.has_majority();
         if self.phase != Phase::Prepare || !is_promised {
@@ -228,7 +228,7 @@
         }
         let majority_ms = *self.majority_ms.get_or_insert(now_ms);
         let answered = self.agreed.len() + self.rejected.len();
-        if answered < self.requested.len() && now_ms < majority_ms + MORE_PREPARE_OKS_MS {
+        if answered < self.requested.len() && now_ms < majority_ms + PREPARE_GRACE_MS {
             return None;
         }
         self.newest(own)
@@ -248,12 +248,12 @@
     }
 
     /// Enters the phase in which the newest state is fetched from another member.
-    pub(super) fn fetch(&mut self) {
+    pub(super) fn enter_fetch_phase(&mut self) {
         self.phase = Phase::Fetch;
     }
 
     /// Enters the phase in which acceptances of the proposed `view` are counted.
-    pub(super) fn propose(&mut self, view: View) {
+    pub(super) fn enter_propose_phase(&mut self, view: View) {
         self.phase = Phase::Propose { view };
         self.agreed.clear();
         self.rejected.clear();
@@ -294,7 +294,7 @@
         self.promised = self.promised.max(promised);
         self.rejected.insert(from);
         if promised >= number {
-            self.deadline_ms = self.deadline_ms.min(now_ms + REJECTED_WAIT_MS);
+            self.deadline_ms = self.deadline_ms.min(now_ms + REJECTED_GRACE_MS);
         }
         true
     }
@@ -307,7 +307,7 @@
     }
 
     /// Returns true if so many voters have rejected the request that a majority is impossible.
-    pub(super) fn is_hopeless(&self) -> bool {
+    pub(super) fn cannot_win(&self) -> bool {
         self.electorates().into_iter().any(|electorate| {
             let rejected = electorate.iter().filter(|m| self.rejected.contains(m));
             electorate.len() - rejected.count() < majority(electorate.len())
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -70,7 +70,7 @@
 
 fn relay_batches(context: &mut Context, number: ViewNumber, batches: Vec<Arc<Batch>>) {
     let view = context.record.view.as_ref();
-    let successor = view.and_then(|view| view.successor(context.own()));
+    let successor = view.and_then(|view| view.successor(context.own_member()));
     if let Some(successor) = successor {
         let message = Message::Write(Write {
             number,
--- a/crates/replication/src/replica/context.rs
+++ b/crates/replication/src/replica/context.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the identity of this member: its internal address and its disk ID.
-    pub(super) fn own(&self) -> Member {
+    pub(super) fn own_member(&self) -> Member {
         self.record.member
     }
 
@@ -105,7 +105,7 @@
     /// Sends a message to the member at an internal address.
     pub(super) fn send(&mut self, to: SocketAddr, message: Message) {
         let envelope = Box::new(Envelope {
-            from: self.own(),
+            from: self.own_member(),
             message,
         });
         self.outputs.push(Output::Send { to, envelope });
@@ -145,7 +145,7 @@
     /// Returns the number of the view accepted last if this member heads it; 0 otherwise.
     pub(super) fn headed_view(&self) -> ViewNumber {
         let head = self.record.view.as_ref().and_then(View::head);
-        if head == Some(self.own()) {
+        if head == Some(self.own_member()) {
             self.record.view_number()
         } else {
             ViewNumber::NONE
--- a/crates/replication/src/replica/follower.rs
+++ b/crates/replication/src/replica/follower.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns true if no lease has been granted or the one granted last is for `head`.
-    pub(super) fn is_bound_to_none_but(&self, head: Member) -> bool {
+    pub(super) fn is_unbound_or_bound_to(&self, head: Member) -> bool {
         self.voter.lease().is_none_or(|lease| lease.head == head)
     }
 
@@ -102,7 +102,7 @@
 
     /// Returns true if a lease binds this member to a head other than `candidate`, or may do so after a restart.
     /// `headed_view` is the number of the view on the candidate's disk if the candidate heads it, and 0 otherwise.
-    pub(super) fn is_bound_against(
+    pub(super) fn is_bound_to_other_than(
         &self,
         context: &Context,
         candidate: Member,
@@ -110,14 +110,14 @@
     ) -> bool {
         let now_ms = context.now_ms();
         let may_be_leased = self.voter.may_have_unknown_lease(now_ms)
-            && !granted_to_none_but(context, candidate, headed_view);
-        self.voter.is_leased_against(candidate, now_ms) || may_be_leased
+            && !can_only_have_granted_to(context, candidate, headed_view);
+        self.voter.has_leased_to_other_than(candidate, now_ms) || may_be_leased
     }
 
     /// Returns true if another candidate has been granted a pre-vote within
-    /// [`PRE_VOTE_GRANTED_MS`](crate::timing::PRE_VOTE_GRANTED_MS).
-    pub(super) fn has_pre_voted_against(&self, candidate: Member, now_ms: u64) -> bool {
-        self.voter.has_pre_voted_against(candidate, now_ms)
+    /// [`PRE_VOTE_HOLD_MS`](crate::timing::PRE_VOTE_HOLD_MS).
+    pub(super) fn has_pre_voted_for_other_than(&self, candidate: Member, now_ms: u64) -> bool {
+        self.voter.has_pre_voted_for_other_than(candidate, now_ms)
     }
 
     /// Answers a pre-vote and remembers it if it is granted.
@@ -160,7 +160,7 @@
 /// campaigns again. A lease is granted once its view is on disk, so none can belong to a view later than the one on
 /// disk; heads of earlier views lost their leases when a majority promised the number of that view. `headed_view` is
 /// the number of the view on the candidate's disk if the candidate heads it, and 0 otherwise.
-fn granted_to_none_but(context: &Context, candidate: Member, headed_view: ViewNumber) -> bool {
+fn can_only_have_granted_to(context: &Context, candidate: Member, headed_view: ViewNumber) -> bool {
     let view = context.record.view.as_ref();
     view.is_some_and(|view| view.number == headed_view && view.head() == Some(candidate))
 }
--- a/crates/replication/src/replica/follower/voter.rs
+++ b/crates/replication/src/replica/follower/voter.rs
@@ -3,7 +3,7 @@
 //!
 //! None of this is on disk. A restarted voter therefore counts as bound for one lease time after its start.
 
-use crate::timing::PRE_VOTE_GRANTED_MS;
+use crate::timing::PRE_VOTE_HOLD_MS;
 use crate::types::{Member, ViewNumber};
 
 /// A promise to vote for no candidate other than `head` until `until_ms`.
@@ -68,7 +68,11 @@
     }
 
     /// Returns true if a lease granted to a member other than `candidate` is running.
-    pub(in crate::replica) fn is_leased_against(&self, candidate: Member, now_ms: u64) -> bool {
+    pub(in crate::replica) fn has_leased_to_other_than(
+        &self,
+        candidate: Member,
+        now_ms: u64,
+    ) -> bool {
         self.lease
             .is_some_and(|lease| lease.head != candidate && now_ms < lease.until_ms)
     }
@@ -84,16 +88,20 @@
         granted.max(self.vote_from_ms).max(now_ms)
     }
 
-    /// Records a granted pre-vote; for [`PRE_VOTE_GRANTED_MS`] no other candidate gets one.
+    /// Records a granted pre-vote; for [`PRE_VOTE_HOLD_MS`] no other candidate gets one.
     pub(in crate::replica) fn grant_pre_vote(&mut self, candidate: Member, now_ms: u64) {
         self.pre_vote = Some(PreVoteGranted {
             candidate,
-            until_ms: now_ms + PRE_VOTE_GRANTED_MS,
+            until_ms: now_ms + PRE_VOTE_HOLD_MS,
         });
     }
 
-    /// Returns true if another candidate has been granted a pre-vote within [`PRE_VOTE_GRANTED_MS`].
-    pub(in crate::replica) fn has_pre_voted_against(&self, candidate: Member, now_ms: u64) -> bool {
+    /// Returns true if another candidate has been granted a pre-vote within [`PRE_VOTE_HOLD_MS`].
+    pub(in crate::replica) fn has_pre_voted_for_other_than(
+        &self,
+        candidate: Member,
+        now_ms: u64,
+    ) -> bool {
         self.pre_vote
             .as_ref()
             .is_some_and(|granted| granted.candidate != candidate && now_ms < granted.until_ms)
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -23,7 +23,7 @@
 
 /// Recipients of the messages that transfer a leadership.
 #[derive(Debug)]
-pub(super) struct Handover {
+pub(super) struct LeadershipTransfer {
     /// Number of the view that the head gives up.
     pub number: ViewNumber,
     /// Internal address of the member that is to campaign.
@@ -73,7 +73,7 @@
             Some(leadership) => leadership.renew(view, now_ms),
             None => {
                 let stored = context.stores.stored_viewstamp();
-                let leadership = Leadership::new(context.own(), view, now_ms, stored);
+                let leadership = Leadership::new(context.own_member(), view, now_ms, stored);
                 self.leadership = Some(leadership);
                 self.reconfiguration.begin(now_ms);
             }
@@ -83,7 +83,7 @@
 
     /// Ends the leadership, if any: writes that were sent down the chain are reported as aborted, the others as
     /// rejected.
-    pub(super) fn end(&mut self, context: &mut Context) {
+    pub(super) fn end_leadership(&mut self, context: &mut Context) {
         let Some(leadership) = self.leadership.take() else {
             return;
         };
@@ -123,7 +123,7 @@
             return;
         }
         let peer = leadership.peer_or_new(from, now_ms);
-        peer.has_granted(sent_ms, report, now_ms);
+        peer.record_grant(sent_ms, report, now_ms);
         self.count_stored(context, is_campaigning);
     }
 
@@ -162,12 +162,12 @@
             return;
         }
         if let Some(peer) = leadership.peer_mut(from) {
-            peer.has_rejected(now_ms);
+            peer.record_reject(now_ms);
         }
         if has_lease {
             self.reconfiguration.raise_number(promised);
         } else if leadership.view_age_ms(now_ms) > LEASE_MS {
-            self.end(context);
+            self.end_leadership(context);
         }
     }
 
@@ -205,12 +205,12 @@
         }
         leadership.forget_newcomers(now_ms);
         self.send_heartbeats(context);
-        self.resend_lacking(context);
+        self.resend_missing(context);
     }
 
     /// Returns the transfer of the leadership if it is due: this member drains, and its writes are committed or have
     /// had [`DRAIN_WAIT_MS`] for it, or its own disk hangs. Also returns `None` if no other member could lead at once.
-    pub(super) fn due_handover(&self, context: &Context) -> Option<Handover> {
+    pub(super) fn due_leadership_transfer(&self, context: &Context) -> Option<LeadershipTransfer> {
         let leadership = self.leadership.as_ref()?;
         let now_ms = context.now_ms();
         let has_drained = context.draining_since_ms().is_some_and(|since_ms| {
@@ -221,10 +221,10 @@
         if !has_drained && !is_slow {
             return None;
         }
-        let successor = successor(leadership, context.own(), now_ms)?.internal;
+        let successor = successor(leadership, context.own_member(), now_ms)?.internal;
         let mut others = leadership.heartbeat_recipients();
         others.remove(&successor);
-        Some(Handover {
+        Some(LeadershipTransfer {
             number: leadership.view().number,
             successor,
             others: others.into_iter().collect(),
--- a/crates/replication/src/replica/head/commit.rs
+++ b/crates/replication/src/replica/head/commit.rs
@@ -23,7 +23,7 @@
         if viewstamp > context.record.viewstamp {
             return;
         }
-        peer.has_stored(viewstamp, context.now_ms());
+        peer.record_stored(viewstamp, context.now_ms());
         self.count_stored(context, is_campaigning);
     }
 
--- a/crates/replication/src/replica/head/leadership.rs
+++ b/crates/replication/src/replica/head/leadership.rs
@@ -248,9 +248,9 @@
     }
 
     /// Returns the oldest batch that `member` has not stored.
-    pub(super) fn oldest_lacking(&self, member: Member) -> Option<&Outstanding> {
+    pub(super) fn oldest_missing(&self, member: Member) -> Option<&Outstanding> {
         let viewstamp = self.viewstamp_of(member);
-        self.writes.oldest_lacking(viewstamp, self.view.number)
+        self.writes.oldest_missing(viewstamp, self.view.number)
     }
 
     /// Returns the addresses to which heartbeats are sent: voters and newcomers, without the head's own address.
--- a/crates/replication/src/replica/head/peer.rs
+++ b/crates/replication/src/replica/head/peer.rs
@@ -1,6 +1,6 @@
 //! The head's knowledge of another member.
 
-use crate::timing::{REJOIN_AFTER_MAX_MS, REJOIN_AFTER_MS, RESEND_MS};
+use crate::timing::{REJOIN_AFTER_MAX_MS, REJOIN_AFTER_MS, RESEND_AFTER_MS};
 use crate::types::Viewstamp;
 
 /// State that a member reports with its answer to a heartbeat.
@@ -24,7 +24,7 @@
     /// Time before which the member is not taken into the chain.
     rejoin_ms: u64,
     /// Length of the member's next exclusion from the chain.
-    penalty_ms: u64,
+    next_exclusion_ms: u64,
     /// Whether the member has promised a number above that of the view.
     has_promised_later: bool,
     /// Whether the head itself sends new writes to the member, because those relayed by its predecessor do not reach
@@ -46,7 +46,7 @@
                 draining: false,
             },
             rejoin_ms: 0,
-            penalty_ms: REJOIN_AFTER_MS,
+            next_exclusion_ms: REJOIN_AFTER_MS,
             has_promised_later: false,
             is_direct: false,
             resent_ms: 0,
@@ -55,8 +55,8 @@
 
     /// Keeps the member out of the chain for a time that doubles with each exclusion, up to [`REJOIN_AFTER_MAX_MS`].
     pub(super) fn exclude(&mut self, now_ms: u64) {
-        self.rejoin_ms = now_ms + self.penalty_ms;
-        self.penalty_ms = (2 * self.penalty_ms).min(REJOIN_AFTER_MAX_MS);
+        self.rejoin_ms = now_ms + self.next_exclusion_ms;
+        self.next_exclusion_ms = (2 * self.next_exclusion_ms).min(REJOIN_AFTER_MAX_MS);
     }
 
     /// Returns the time since the last message from the member.
@@ -65,13 +65,13 @@
     }
 
     /// Records a state on the member's disk. Messages may overtake each other, so an older state changes nothing.
-    pub(super) fn has_stored(&mut self, viewstamp: Viewstamp, now_ms: u64) {
+    pub(super) fn record_stored(&mut self, viewstamp: Viewstamp, now_ms: u64) {
         self.last_received_ms = now_ms;
         self.report.viewstamp = self.report.viewstamp.max(viewstamp);
     }
 
     /// Records the member's answer to the heartbeat sent at `sent_ms`.
-    pub(super) fn has_granted(&mut self, sent_ms: u64, report: PeerReport, now_ms: u64) {
+    pub(super) fn record_grant(&mut self, sent_ms: u64, report: PeerReport, now_ms: u64) {
         self.granted_ms = self.granted_ms.max(Some(sent_ms));
         self.last_received_ms = now_ms;
         self.report = PeerReport {
@@ -86,15 +86,15 @@
     }
 
     /// Records that the member has rejected a heartbeat because it has promised a higher number.
-    pub(super) fn has_rejected(&mut self, now_ms: u64) {
+    pub(super) fn record_reject(&mut self, now_ms: u64) {
         self.has_promised_later = true;
         self.last_received_ms = now_ms;
     }
 
     /// Marks the member as one to which the head itself sends writes, including missed ones; returns false if writes
-    /// were resent within the last half of [`RESEND_MS`].
+    /// were resent within the last half of [`RESEND_AFTER_MS`].
     pub(super) fn begin_resend(&mut self, now_ms: u64) -> bool {
-        if now_ms < self.resent_ms + RESEND_MS / 2 {
+        if now_ms < self.resent_ms + RESEND_AFTER_MS / 2 {
             return false;
         }
         self.resent_ms = now_ms;
--- a/crates/replication/src/replica/head/planner.rs
+++ b/crates/replication/src/replica/head/planner.rs
@@ -11,7 +11,7 @@
 use crate::replica::io::Settings;
 use crate::timing::{
     REJOIN_LAG_WRITES, REJOIN_STORE_AGE_MS, REMOVE_AFTER_MS, REMOVE_LONE_AFTER_MS,
-    REPLACE_AFTER_MS, SLOW_MEMBER_MS, SYNCHRONIZE_MS, UNRESPONSIVE_MEMBER_MS, VOTERS_MAX,
+    REPLACE_AFTER_MS, SLOW_MEMBER_MS, SYNCHRONIZE_TIMEOUT_MS, UNRESPONSIVE_MEMBER_MS, VOTERS_MAX,
 };
 use crate::types::{Member, ViewNumber};
 
@@ -98,7 +98,7 @@
 
     fn addition(&self, newcomers: &[Member]) -> Option<VoterChange> {
         let voters = self.leadership.view().voters.len();
-        let is_wanted = voters < self.voters_aimed_at(voters + newcomers.len());
+        let is_wanted = voters < self.target_voter_count(voters + newcomers.len());
         let new = *newcomers.first().filter(|_| is_wanted)?;
         Some(VoterChange::Add(new))
     }
@@ -150,7 +150,7 @@
 
     /// Returns how many of `members` members should vote: an odd number, at least the minimum of the settings and at
     /// most [`VOTERS_MAX`].
-    fn voters_aimed_at(&self, members: usize) -> usize {
+    fn target_voter_count(&self, members: usize) -> usize {
         let odd = if members.is_multiple_of(2) {
             members.saturating_sub(1)
         } else {
@@ -215,7 +215,7 @@
             return false;
         };
         let lacks_first_state = peer.report().viewstamp.view != self.leadership.view().number
-            && self.leadership.view_age_ms(self.now_ms) >= SYNCHRONIZE_MS;
+            && self.leadership.view_age_ms(self.now_ms) >= SYNCHRONIZE_TIMEOUT_MS;
         peer.report().draining
             || peer.since_received_ms(self.now_ms) >= UNRESPONSIVE_MEMBER_MS
             || lacks_first_state
@@ -226,7 +226,7 @@
     /// have stored.
     fn is_slow(&self, member: Member) -> bool {
         let leadership = self.leadership;
-        let Some(oldest) = leadership.oldest_lacking(member) else {
+        let Some(oldest) = leadership.oldest_missing(member) else {
             return false;
         };
         let has_stored = |&&other: &&Member| leadership.viewstamp_of(other).seq >= oldest.batch.seq;
--- a/crates/replication/src/replica/head/reconfiguration.rs
+++ b/crates/replication/src/replica/head/reconfiguration.rs
@@ -4,7 +4,7 @@
 use super::planner::Planner;
 use crate::replica::candidate::Plan;
 use crate::replica::context::Context;
-use crate::timing::RECONFIGURE_MS;
+use crate::timing::RECONFIGURE_INTERVAL_MS;
 use crate::types::ViewNumber;
 
 /// Earliest time and lower bound of the number of the next view change.
@@ -49,7 +49,7 @@
         let planner = Planner {
             settings: context.settings(),
             leadership,
-            own: context.own(),
+            own: context.own_member(),
             promised: context.record.promised,
             head_seq: context.record.viewstamp.seq,
             now_ms,
@@ -67,10 +67,10 @@
         Some(ViewChange { number, plan })
     }
 
-    /// Prevents view changes for [`RECONFIGURE_MS`] from now.
+    /// Prevents view changes for [`RECONFIGURE_INTERVAL_MS`] from now.
     pub(in crate::replica) fn delay_view_change(&mut self, now_ms: u64) {
         if self.leadership.is_some() {
-            self.reconfiguration.due_ms = now_ms + RECONFIGURE_MS;
+            self.reconfiguration.due_ms = now_ms + RECONFIGURE_INTERVAL_MS;
         }
     }
 }
--- a/crates/replication/src/replica/head/write_queue.rs
+++ b/crates/replication/src/replica/head/write_queue.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns the oldest batch of the view `number` that a member with the state `viewstamp` has not stored.
-    pub(super) fn oldest_lacking(
+    pub(super) fn oldest_missing(
         &self,
         viewstamp: Viewstamp,
         number: ViewNumber,
--- a/crates/replication/src/replica/head/writes.rs
+++ b/crates/replication/src/replica/head/writes.rs
@@ -6,7 +6,7 @@
 use crate::message::{Message, Write};
 use crate::replica::context::Context;
 use crate::replica::io::Output;
-use crate::timing::RESEND_MS;
+use crate::timing::RESEND_AFTER_MS;
 use crate::types::{Batch, Member, RowChange, SubmissionId, Viewstamp};
 use std::sync::Arc;
 
@@ -64,16 +64,16 @@
         }
     }
 
-    /// Resends writes to members that have not stored them for [`RESEND_MS`].
-    pub(super) fn resend_lacking(&mut self, context: &mut Context) {
-        let (own, now_ms) = (context.own(), context.now_ms());
+    /// Resends writes to members that have not stored them for [`RESEND_AFTER_MS`].
+    pub(super) fn resend_missing(&mut self, context: &mut Context) {
+        let (own, now_ms) = (context.own_member(), context.now_ms());
         let leadership = self.leadership.as_ref();
         let Some(leadership) = leadership.filter(|leads| leads.is_synchronized()) else {
             return;
         };
         let is_late = |member: Member| {
-            let oldest = leadership.oldest_lacking(member);
-            oldest.is_some_and(|oldest| now_ms >= oldest.sent_ms + RESEND_MS)
+            let oldest = leadership.oldest_missing(member);
+            oldest.is_some_and(|oldest| now_ms >= oldest.sent_ms + RESEND_AFTER_MS)
         };
         let chain = leadership.view().chain.iter().copied();
         let late: Vec<(Member, u64)> = chain
@@ -90,7 +90,7 @@
             return;
         };
         let view = leadership.view();
-        let successor = view.successor(context.own());
+        let successor = view.successor(context.own_member());
         let is_direct = |member: Member| leadership.peer(member).is_some_and(Peer::is_direct);
         let others = view.chain.iter().copied().skip(1);
         let direct = others.filter(|&member| Some(member) != successor && is_direct(member));
--- a/crates/replication/src/replica/roles.rs
+++ b/crates/replication/src/replica/roles.rs
@@ -3,7 +3,7 @@
 
 use super::Replica;
 use super::candidate::{CampaignStep, Plan};
-use super::head::Handover;
+use super::head::LeadershipTransfer;
 use super::transfers::TransferOutcome;
 use crate::message::{Heartbeat, Message, PreVote, PrepareOk, Rows};
 use crate::timing::{BACKOFF_MS, BACKOFF_SPREAD_MS, LEASE_MS, RESIGNED_DEFER_MS};
@@ -26,7 +26,7 @@
         self.follow(&view);
         let context = &mut self.context;
         let until_ms = self.follower.grant_lease(context, from, &view, sent_ms);
-        let in_chain = view.chain.contains(&context.own());
+        let in_chain = view.chain.contains(&context.own_member());
         self.candidate.yield_to_head(context, until_ms, in_chain);
         self.transfers.catch_up(context, &view, seq);
     }
@@ -62,11 +62,11 @@
     /// Returns true if this member is bound to a head other than `candidate`, by a lease that it has granted or because
     /// it is that head itself. `headed_view` is the number of the view on the candidate's disk if the candidate heads
     /// it, and 0 otherwise.
-    fn is_bound_against(&self, candidate: Member, headed_view: ViewNumber) -> bool {
+    fn is_bound_to_other_than(&self, candidate: Member, headed_view: ViewNumber) -> bool {
         let context = &self.context;
-        let is_acting = candidate != context.own() && self.head.may_act(context.now_ms());
+        let is_acting = candidate != context.own_member() && self.head.may_act(context.now_ms());
         let follower = &self.follower;
-        is_acting || follower.is_bound_against(context, candidate, headed_view)
+        is_acting || follower.is_bound_to_other_than(context, candidate, headed_view)
     }
 
     // Voting.
@@ -74,12 +74,12 @@
     pub(super) fn handle_pre_vote(&mut self, from: Member, pre_vote: &PreVote) {
         let context = &mut self.context;
         let now_ms = context.now_ms();
-        let has_other = self.follower.has_pre_voted_against(from, now_ms);
-        let own_goes_first = self
+        let has_other = self.follower.has_pre_voted_for_other_than(from, now_ms);
+        let has_own_priority = self
             .candidate
-            .goes_before(context, from, pre_vote.viewstamp);
-        let prefers = !has_other && !own_goes_first;
-        let granted = prefers && !self.is_bound_against(from, pre_vote.headed_view);
+            .has_priority_over(context, from, pre_vote.viewstamp);
+        let prefers = !has_other && !has_own_priority;
+        let granted = prefers && !self.is_bound_to_other_than(from, pre_vote.headed_view);
         if granted {
             self.candidate.yield_to_pre_vote(&mut self.context);
         }
@@ -95,7 +95,7 @@
         headed_view: ViewNumber,
     ) {
         let is_superseded = number <= self.context.record.promised;
-        if is_superseded || self.is_bound_against(from, headed_view) {
+        if is_superseded || self.is_bound_to_other_than(from, headed_view) {
             return self.context.reject(from, number);
         }
         self.adopt_number(number);
@@ -184,8 +184,8 @@
     }
 
     fn start_campaign(&mut self) {
-        let own = self.context.own();
-        if self.is_bound_against(own, self.context.headed_view()) {
+        let own = self.context.own_member();
+        if self.is_bound_to_other_than(own, self.context.headed_view()) {
             let now_ms = self.context.now_ms();
             let from_ms = self.follower.voter().bound_until_ms(now_ms) + BACKOFF_MS;
             return self.candidate.postpone_beyond(&mut self.context, from_ms);
@@ -201,7 +201,7 @@
         if self.context.record.view_number() != number || is_busy {
             return;
         }
-        if self.follower.is_bound_to_none_but(from) {
+        if self.follower.is_unbound_or_bound_to(from) {
             self.follower.clear_lease();
             self.start_campaign();
         }
@@ -213,7 +213,7 @@
             CampaignStep::Wait => {}
             CampaignStep::Prepare { number, known } => self.prepare(number, known, None),
             CampaignStep::Fetch { number, newest } => {
-                self.head.end(&mut self.context);
+                self.head.end_leadership(&mut self.context);
                 let context = &mut self.context;
                 let (source, newest) = (newest.source, newest.viewstamp);
                 self.transfers
@@ -240,7 +240,7 @@
     /// Counts this member's own promise, which is on its disk now.
     pub(super) fn handle_own_prepare_ok(&mut self, number: ViewNumber) {
         let prepare_ok = self.prepare_ok(number, false);
-        self.handle_prepare_ok(self.context.own(), prepare_ok);
+        self.handle_prepare_ok(self.context.own_member(), prepare_ok);
     }
 
     pub(super) fn handle_prepare_ok(&mut self, from: Member, prepare_ok: PrepareOk) {
@@ -266,7 +266,7 @@
         let campaign = self.candidate.number();
         let context = &mut self.context;
         let outcome = self.transfers.handle_rows(context, from, rows, campaign);
-        if outcome == TransferOutcome::Useless {
+        if outcome == TransferOutcome::WrongState {
             self.fail_campaign();
         }
     }
@@ -274,7 +274,7 @@
     // Leading.
 
     pub(super) fn handle_accepted(&mut self, from: Member, number: ViewNumber) {
-        let own = self.context.own();
+        let own = self.context.own_member();
         if let Some(view) = self.candidate.handle_accepted(from, number, own) {
             self.follower.clear_lease();
             self.head.lead(&mut self.context, view);
@@ -293,8 +293,8 @@
         }
         // This precedes the heartbeats: one sent after the leadership was transferred would bind its receiver to this
         // head again.
-        if let Some(handover) = self.head.due_handover(&self.context) {
-            return self.transfer_leadership(handover);
+        if let Some(transfer) = self.head.due_leadership_transfer(&self.context) {
+            return self.transfer_leadership(transfer);
         }
         if !self.candidate.is_campaigning() {
             self.head.run_heartbeats(&mut self.context);
@@ -315,14 +315,14 @@
     }
 
     /// Gives up the lease and asks the member with the newest state to campaign (Raft thesis, section 3.10).
-    fn transfer_leadership(&mut self, handover: Handover) {
-        let number = handover.number;
+    fn transfer_leadership(&mut self, transfer: LeadershipTransfer) {
+        let number = transfer.number;
         self.abandon_leadership_and_campaign();
         let context = &mut self.context;
-        for internal in handover.others {
+        for internal in transfer.others {
             context.send(internal, Message::Release { number });
         }
-        context.send(handover.successor, Message::CampaignNow { number });
+        context.send(transfer.successor, Message::CampaignNow { number });
         let campaign_at_ms = context.now_ms() + RESIGNED_DEFER_MS;
         self.candidate.postpone_until(campaign_at_ms);
     }
@@ -337,6 +337,6 @@
     /// Ends this member's campaign and leadership, if any.
     fn abandon_leadership_and_campaign(&mut self) {
         self.candidate.abandon();
-        self.head.end(&mut self.context);
+        self.head.end_leadership(&mut self.context);
     }
 }
--- a/crates/replication/src/replica/transfers.rs
+++ b/crates/replication/src/replica/transfers.rs
@@ -30,7 +30,7 @@
     /// The transfer continues, its rows are being stored, or it was not for a candidate.
     Pending,
     /// The transfer led to a state other than the one that the candidate needs.
-    Useless,
+    WrongState,
 }
 
 impl Transfers {
@@ -59,7 +59,7 @@
     pub(super) fn catch_up(&mut self, context: &mut Context, view: &View, head_seq: u64) {
         let Some(head) = view.head() else { return };
         let viewstamp = context.record.viewstamp;
-        let in_chain = view.chain.contains(&context.own());
+        let in_chain = view.chain.contains(&context.own_member());
         if viewstamp.view == view.number && (in_chain || viewstamp.seq >= head_seq) {
             return;
         }
@@ -215,7 +215,7 @@
         let purpose = transfer.purpose();
         if !may_adopt(context, purpose, viewstamp, campaign) {
             return if transfer.is_for_candidate() {
-                TransferOutcome::Useless
+                TransferOutcome::WrongState
             } else {
                 TransferOutcome::Pending
             };
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -11,13 +11,13 @@
 const HEADER_BYTES: usize = 32;
 const FRAME_HEADER_BYTES: usize = 24;
 /// Offset of the page size in the header of the log.
-const PAGE_SIZE_AT: usize = 8;
-const SALTS_AT: usize = 16;
-const CHECKSUM_AT: usize = 24;
+const PAGE_SIZE_OFFSET: usize = 8;
+const SALTS_OFFSET: usize = 16;
+const CHECKSUM_OFFSET: usize = 24;
 /// Offset of the database size in pages in the header of a frame; the size is 0 unless the frame commits a transaction.
-const DATABASE_PAGES_AT: usize = 4;
-const FRAME_SALTS_AT: usize = 8;
-const FRAME_CHECKSUM_AT: usize = 16;
+const DATABASE_PAGES_OFFSET: usize = 4;
+const FRAME_SALTS_OFFSET: usize = 8;
+const FRAME_CHECKSUM_OFFSET: usize = 16;
 const SALTS_BYTES: usize = 8;
 /// Number of bytes of a frame's header that its checksum covers.
 const FRAME_CHECKED_BYTES: usize = 8;
@@ -25,7 +25,7 @@
 const PAGE_SIZES: std::ops::RangeInclusive<usize> = 512..=65_536;
 /// Number of commits behind a broken frame that prove damage. Each write is synced before the next one begins, so a
 /// power loss leaves at most the frames of one write behind a broken frame.
-const COMMITS_THAT_PROVE: usize = 2;
+const COMMITS_PROVING_DAMAGE: usize = 2;
 
 /// Returns true if synced writes in the log at `path` cannot be read any more.
 pub(super) fn has_lost_writes(path: &Path) -> io::Result<bool> {
@@ -48,7 +48,7 @@
     /// page size is invalid.
     fn of(bytes: &'a [u8]) -> Option<Log<'a>> {
         let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
-        let page_size = big_endian_u32(header, PAGE_SIZE_AT)? as usize;
+        let page_size = big_endian_u32(header, PAGE_SIZE_OFFSET)? as usize;
         let is_page_size = PAGE_SIZES.contains(&page_size) && page_size.is_power_of_two();
         let frames = rest.chunks_exact(FRAME_HEADER_BYTES + page_size);
         is_page_size.then(|| Log {
@@ -59,28 +59,28 @@
     }
 
     fn has_lost_writes(self) -> bool {
-        let salts = &self.header[SALTS_AT..SALTS_AT + SALTS_BYTES];
-        let Some(mut before) = Checksum::read(self.header, CHECKSUM_AT) else {
+        let salts = &self.header[SALTS_OFFSET..SALTS_OFFSET + SALTS_BYTES];
+        let Some(mut before) = Checksum::read(self.header, CHECKSUM_OFFSET) else {
             return false;
         };
         let (mut is_broken, mut commits) = (false, 0);
-        let has_salts = |frame: &&[u8]| frame[FRAME_SALTS_AT..].starts_with(salts);
+        let has_salts = |frame: &&[u8]| frame[FRAME_SALTS_OFFSET..].starts_with(salts);
         for frame in self.frames.filter(has_salts) {
             // Each checksum continues from the one stored in the frame before, so frames behind a broken one can still
             // be verified.
             let checksum = before
                 .add(&frame[..FRAME_CHECKED_BYTES], self.is_big_endian)
                 .add(&frame[FRAME_HEADER_BYTES..], self.is_big_endian);
-            let Some(written) = Checksum::read(frame, FRAME_CHECKSUM_AT) else {
+            let Some(written) = Checksum::read(frame, FRAME_CHECKSUM_OFFSET) else {
                 return false;
             };
             let is_valid = checksum == written;
-            let is_commit = big_endian_u32(frame, DATABASE_PAGES_AT) != Some(0);
+            let is_commit = big_endian_u32(frame, DATABASE_PAGES_OFFSET) != Some(0);
             commits += usize::from(is_broken && is_valid && is_commit);
             is_broken |= !is_valid;
             before = written;
         }
-        commits >= COMMITS_THAT_PROVE
+        commits >= COMMITS_PROVING_DAMAGE
     }
 }
 
--- a/crates/replication/src/timing.rs
+++ b/crates/replication/src/timing.rs
@@ -20,7 +20,7 @@
 /// A member of the chain that has sent nothing to the head for this long is excluded.
 pub const UNRESPONSIVE_MEMBER_MS: u64 = 800;
 /// A member of the chain that has not taken over the view's first state after this time is excluded.
-pub const SYNCHRONIZE_MS: u64 = 1_500;
+pub const SYNCHRONIZE_TIMEOUT_MS: u64 = 1_500;
 /// A voter that has been unresponsive for this long may be replaced by a newcomer.
 pub const REPLACE_AFTER_MS: u64 = 1_000;
 /// A voter that has been unresponsive for this long is removed if there are more voters than required.
@@ -40,9 +40,9 @@
 /// Maximum number of writes that a member may lack when it is taken into the chain.
 pub const REJOIN_LAG_WRITES: u64 = 100;
 /// Minimum time between two attempts of the head to change the view.
-pub const RECONFIGURE_MS: u64 = 300;
+pub const RECONFIGURE_INTERVAL_MS: u64 = 300;
 /// The head itself resends writes that a member has not stored for this long.
-pub const RESEND_MS: u64 = 150;
+pub const RESEND_AFTER_MS: u64 = 150;
 /// Minimum time for which a head leads before it transfers its leadership because of its disk.
 pub const LEADERSHIP_MIN_MS: u64 = 3_000;
 /// Maximum time for which a draining head waits for its writes before it transfers its leadership.
@@ -51,19 +51,19 @@
 // Elections.
 
 /// How long a candidate waits for answers to its pre-vote requests.
-pub const PRE_VOTE_MS: u64 = 250;
-/// Same as [`PRE_VOTE_MS`], for a restarted head, whose voters may have been restarted as well.
-pub const RESUME_PRE_VOTE_MS: u64 = 80;
+pub const PRE_VOTE_TIMEOUT_MS: u64 = 250;
+/// Same as [`PRE_VOTE_TIMEOUT_MS`], for a restarted head, whose voters may have been restarted as well.
+pub const RESUME_PRE_VOTE_TIMEOUT_MS: u64 = 80;
 /// Time between two campaigns of a restarted head, until other members may campaign.
-pub const RESUME_CAMPAIGN_MS: u64 = 20;
+pub const RESUME_CAMPAIGN_INTERVAL_MS: u64 = 20;
 /// How long a candidate waits in each phase after the pre-vote.
-pub const PHASE_MS: u64 = 1_000;
+pub const PHASE_TIMEOUT_MS: u64 = 1_000;
 /// How long a candidate still waits for other answers once a voter has promised a higher number.
-pub const REJECTED_WAIT_MS: u64 = 150;
+pub const REJECTED_GRACE_MS: u64 = 150;
 /// How long a candidate with a majority of promises waits for the remaining ones.
-pub const MORE_PREPARE_OKS_MS: u64 = 60;
+pub const PREPARE_GRACE_MS: u64 = 60;
 /// How long a voter that has granted a pre-vote grants none to other candidates.
-pub const PRE_VOTE_GRANTED_MS: u64 = 100;
+pub const PRE_VOTE_HOLD_MS: u64 = 100;
 /// How long a voter that has promised does not campaign itself, to leave the candidate time.
 pub const PREPARED_DEFER_MS: u64 = 700;
 /// Minimum time before a failed candidate campaigns again.
