--- a/crates/replication/tests/model/chain.rs
+++ b/crates/replication/tests/model/chain.rs
@@ -2,7 +2,7 @@
 
 use super::elections::withdraw;
 use super::rules::{Action, Fault, Protocol};
-use super::state::{Id, Member, Power, State};
+use super::state::{Id, Member, RunState, State};
 
 impl Protocol {
     pub(crate) fn follower_actions(&self, state: &State, id: Id, actions: &mut Vec<Action>) {
@@ -32,13 +32,14 @@
         let follows = member.promised == number && member.leadership.is_none() && view.head != id;
         let entered = member.rows.view == number;
         let head = &state.members[usize::from(view.head)];
-        let source = head.power == Power::On && head.rows.view == number;
-        if follows && source && (!entered || !view.chain.has(id)) {
+        let has_source = head.run_state == RunState::Running && head.rows.view == number;
+        if follows && has_source && (!entered || !view.chain.has(id)) {
             actions.push(Action::Fetch { member: id, number });
         }
-        let takes = member.leadership.is_none() && view.head != id && entered && view.chain.has(id);
-        let obeys = member.promised == number || self.fault == Fault::WritesAfterPrepare;
-        if takes && obeys && member.rows.log.len() < led.log.len() {
+        let receives_writes =
+            member.leadership.is_none() && view.head != id && entered && view.chain.has(id);
+        let may_store = member.promised == number || self.fault == Fault::WritesAfterPrepare;
+        if receives_writes && may_store && member.rows.log.len() < led.log.len() {
             actions.push(Action::Store { member: id, number });
         }
     }
@@ -51,14 +52,14 @@
         let Some(leadership) = &member.leadership else {
             return;
         };
-        let open = leadership.is_synchronized
+        let may_write = leadership.is_synchronized
             && member.promised == leadership.view.number
             && member.campaign.is_none();
-        if open && member.rows.log.len() < self.writes && !member.unsynced {
+        if may_write && member.rows.log.len() < self.writes && !member.unsynced {
             actions.push(Action::Write { head: id });
         }
-        let counts = stored_by_all(member);
-        if counts
+        let stored = stored_by_all(member);
+        if stored
             .is_some_and(|stored| !leadership.is_synchronized || stored > state.committed.len())
         {
             actions.push(Action::Commit { head: id });
@@ -139,7 +140,7 @@
         let committed = member.rows.log[..stored.min(member.rows.log.len())].to_vec();
         let common = committed.len().min(state.committed.len());
         if committed[..common] != state.committed[..common] {
-            state.broken = Some("two heads have committed different writes");
+            state.violation = Some("two heads have committed different writes");
         }
         if committed.len() > state.committed.len() {
             state.committed = committed;
--- a/crates/replication/tests/model/elections.rs
+++ b/crates/replication/tests/model/elections.rs
@@ -2,7 +2,7 @@
 
 use super::chain::establish;
 use super::rules::{Action, Fault, Protocol};
-use super::state::{Campaign, Id, Leadership, Led, Members, Power, State, View};
+use super::state::{Campaign, Id, Leadership, LedView, Members, RunState, State, View};
 use std::collections::BTreeMap;
 
 impl Protocol {
@@ -22,7 +22,8 @@
             return;
         };
         let others = (0..self.members()).filter(|&id| id != candidate);
-        let responsive = others.filter(|&id| state.members[usize::from(id)].power == Power::On);
+        let responsive =
+            others.filter(|&id| state.members[usize::from(id)].run_state == RunState::Running);
         match &campaign.proposed {
             None => {
                 let electorate = Members(campaign.known.voters.0 | campaign.known.previous.0);
@@ -229,7 +230,7 @@
             .led
             .insert(
                 number,
-                Led {
+                LedView {
                     view,
                     is_established,
                     log,
@@ -237,7 +238,7 @@
             )
             .is_some()
         {
-            state.broken = Some("a view was led twice");
+            state.violation = Some("a view was led twice");
         }
         if self.fault == Fault::EstablishedWhenAccepted {
             establish(state, candidate);
--- a/crates/replication/tests/model/main.rs
+++ b/crates/replication/tests/model/main.rs
@@ -20,7 +20,7 @@
 const FAULT_STATES: usize = 30_000_000;
 const THREADS: usize = 4;
 
-fn bound() -> usize {
+fn max_states() -> usize {
     std::env::var("MODEL_STATES")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -35,7 +35,7 @@
         voters,
         newcomers: 1,
         last_view,
-        is_written: true,
+        has_initial_write: true,
         writes: 2,
         crashes,
         disks_lost,
@@ -106,7 +106,7 @@
 #[case::five_voters(without_writes(5, 4, 0, 0))]
 fn invariants_are_never_violated(#[case] model: Protocol) {
     let name = format!("{model:?}");
-    assert_eq!(steps_to_violation(&name, model, bound()), None);
+    assert_eq!(steps_to_violation(&name, model, max_states()), None);
 }
 
 fn assert_detected(fault: Fault, model: Protocol) {
@@ -133,7 +133,7 @@
 #[case::writes_after_prepare(Fault::WritesAfterPrepare, protocol(3, 4, 0, 0))]
 #[case::counts_unsynced(Fault::CountsUnsynced, protocol(3, 3, 1, 1))]
 #[case::own_rows(Fault::OwnRows, without_writes(3, 4, 0, 0))]
-#[case::forgetful_voter(Fault::ForgetfulVoter, protocol(3, 4, 0, 1))]
+#[case::votes_after_disk_loss(Fault::VotesAfterDiskLoss, protocol(3, 4, 0, 1))]
 #[case::accepts_after_prepare(Fault::AcceptsAfterPrepare, protocol(3, 4, 0, 0))]
 #[ignore = "takes minutes"]
 fn a_deeper_injected_fault_is_detected(#[case] fault: Fault, #[case] model: Protocol) {
--- a/crates/replication/tests/model/rules.rs
+++ b/crates/replication/tests/model/rules.rs
@@ -4,9 +4,9 @@
 //! A request and its answer are one step (a promise and its count by the candidate, a store and its count by the head).
 //! A member that has promised changes nothing until it receives a later number, so its answer is the same whenever it
 //! arrives; a lost answer is equivalent to a sender that crashes before its next step. Everything that a head has sent
-//! stays in [`Led`] and arrives at any later moment or never.
+//! stays in [`LedView`] and arrives at any later moment or never.
 
-use super::state::{Id, Leadership, Led, Log, Member, Members, Power, Rows, State, View};
+use super::state::{Id, Leadership, LedView, Log, Member, Members, Rows, RunState, State, View};
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     /// A majority of the new voters is enough to accept a view.
     NewVotersOnly,
     /// A machine that has lost its disk continues to vote as the same member.
-    ForgetfulVoter,
+    VotesAfterDiskLoss,
     /// A member accepts a view although it has promised a later one.
     AcceptsAfterPrepare,
 }
@@ -41,7 +41,7 @@
     pub newcomers: u8,
     pub last_view: u8,
     /// Whether a write is committed at the start, which only the chain members have.
-    pub is_written: bool,
+    pub has_initial_write: bool,
     /// Maximum number of writes, including the one at the start.
     pub writes: usize,
     pub crashes: u8,
@@ -123,7 +123,7 @@
 
     /// Returns the initial state: view 2 is established, and member 0 leads it with the shortest allowed chain.
     /// Newcomers follow the view but lack the initial write.
-    fn first_state(&self) -> State {
+    fn initial_state(&self) -> State {
         let voters = Members::of(&(0..self.voters).collect::<Vec<Id>>());
         let chain = Members::of(&(0..self.voters / 2 + 1).collect::<Vec<Id>>());
         let view = View {
@@ -134,16 +134,20 @@
             chain,
             base: (1, 0),
         };
-        let log: Log = if self.is_written { vec![2] } else { Log::new() };
+        let log: Log = if self.has_initial_write {
+            vec![2]
+        } else {
+            Log::new()
+        };
         let mut members: Vec<Member> = (0..self.members())
-            .map(|id| self.first_member(id, &view, &log))
+            .map(|id| self.initial_member(id, &view, &log))
             .collect();
         members[0].leadership = Some(Leadership {
             view: view.clone(),
             stored: chain.iter().map(|id| (id, log.len())).collect(),
             is_synchronized: true,
         });
-        let led = Led {
+        let led = LedView {
             view,
             is_established: true,
             log: log.clone(),
@@ -154,17 +158,17 @@
             committed: log,
             crashes: 0,
             disks_lost: 0,
-            broken: None,
+            violation: None,
         }
     }
 
     /// Returns a member that follows `view`. Chain members have the writes of `log`; voters outside the chain have not
     /// entered the view.
-    fn first_member(&self, id: Id, view: &View, log: &Log) -> Member {
+    fn initial_member(&self, id: Id, view: &View, log: &Log) -> Member {
         let in_chain = view.chain.has(id);
         let has_entered = in_chain || id >= self.voters;
         Member {
-            power: Power::On,
+            run_state: RunState::Running,
             promised: 2,
             view: Some(view.clone()),
             rows: Rows {
@@ -213,18 +217,18 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.first_state()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.broken.is_some() {
+        if state.violation.is_some() {
             return;
         }
         for id in 0..self.members() {
-            match state.members[usize::from(id)].power {
-                Power::Lost => continue,
-                Power::Off => actions.push(Action::Start { member: id }),
-                Power::On => {
+            match state.members[usize::from(id)].run_state {
+                RunState::Lost => continue,
+                RunState::Stopped => actions.push(Action::Start { member: id }),
+                RunState::Running => {
                     self.candidate_actions(state, id, actions);
                     self.follower_actions(state, id, actions);
                     self.head_actions(state, id, actions);
@@ -275,7 +279,9 @@
                 self.crash(&mut state.members[usize::from(member)]);
                 state.crashes += 1;
             }
-            Action::Start { member } => state.members[usize::from(member)].power = Power::On,
+            Action::Start { member } => {
+                state.members[usize::from(member)].run_state = RunState::Running;
+            }
             Action::LoseDisk { member } => self.lose_disk(&mut state, member),
         }
         (state != *last).then_some(state)
@@ -283,7 +289,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(INVARIANT, |_, state: &State| state.broken.is_none()),
+            Property::always(INVARIANT, |_, state: &State| state.violation.is_none()),
             Property::always(ACTING, |_, state: &State| acting_heads_have_commits(state)),
             Property::sometimes(PROGRESS, |_, state: &State| {
                 state.committed.iter().any(|&view| view > 2)
--- a/crates/replication/tests/model/state.rs
+++ b/crates/replication/tests/model/state.rs
@@ -83,7 +83,7 @@
 
 /// A view that has been led. Messages of its head may arrive late, several times, or never.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Led {
+pub(crate) struct LedView {
     /// The view as it was accepted.
     pub view: View,
     /// Whether its head has announced that the view is established.
@@ -93,9 +93,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum Power {
-    On,
-    Off,
+pub(crate) enum RunState {
+    Running,
+    Stopped,
     /// The member's disk is lost, or its machine has been removed.
     Lost,
 }
@@ -120,7 +120,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Member {
-    pub power: Power,
+    pub run_state: RunState,
     pub promised: u8,
     pub view: Option<View>,
     pub rows: Rows,
@@ -134,9 +134,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct State {
     pub members: Vec<Member>,
-    pub led: BTreeMap<u8, Led>,
+    pub led: BTreeMap<u8, LedView>,
     pub committed: Log,
     pub crashes: u8,
     pub disks_lost: u8,
-    pub broken: Option<&'static str>,
+    pub violation: Option<&'static str>,
 }
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -170,7 +170,7 @@
     }
 
     /// Passes in a report of member `from` about the state on its disk.
-    fn has_stored(&mut self, from: u8, view: u64, seq: u64) {
+    fn report_stored(&mut self, from: u8, view: u64, seq: u64) {
         let view = ViewNumber(view);
         let viewstamp = Viewstamp { view, seq };
         self.message(from, Message::Stored { viewstamp });
@@ -420,7 +420,7 @@
     })
 }
 
-fn installed() -> Viewstamp {
+fn first_state() -> Viewstamp {
     Viewstamp {
         view: ViewNumber(VIEW + 1),
         seq: SEQ,
@@ -432,15 +432,15 @@
     let mut harness = head();
     let sent_ms = harness.now_ms;
     assert!(!harness.replica.may_act(sent_ms));
-    harness.message(1, grant(VIEW + 1, sent_ms, installed()));
+    harness.message(1, grant(VIEW + 1, sent_ms, first_state()));
     let until_ms = sent_ms + LEASE_MS * LEASE_USED_PERCENT / 100;
     assert!(harness.replica.may_act(until_ms - 1) && !harness.replica.may_act(until_ms));
 }
 
 #[rstest]
-#[case::of_a_view_before_its_time(VIEW, 0, installed())]
-#[case::of_a_view_never_given_out(VIEW + 2, 0, installed())]
-#[case::for_a_heartbeat_not_sent_yet(VIEW + 1, 100_000, installed())]
+#[case::of_a_view_before_the_leadership(VIEW, 0, first_state())]
+#[case::of_a_view_not_led_yet(VIEW + 2, 0, first_state())]
+#[case::for_a_heartbeat_not_sent_yet(VIEW + 1, 100_000, first_state())]
 #[case::without_the_first_state(VIEW + 1, 0, Viewstamp { view: ViewNumber(VIEW), seq: SEQ })]
 fn a_grant_without_a_matching_heartbeat_gives_no_lease(
     #[case] number: u64,
@@ -456,7 +456,7 @@
 #[test]
 fn a_write_is_committed_once_the_chain_has_stored_it_and_impossible_reports_are_ignored() {
     let mut harness = head();
-    harness.message(1, grant(VIEW + 1, harness.now_ms, installed()));
+    harness.message(1, grant(VIEW + 1, harness.now_ms, first_state()));
     let changes = vec![RowChange {
         key: b"row".to_vec(),
         value: Some(b"value".to_vec()),
@@ -476,10 +476,10 @@
             )
         })
     };
-    harness.has_stored(1, VIEW + 1, SEQ + 2);
-    harness.has_stored(1, VIEW + 9, SEQ + 1);
-    harness.has_stored(3, VIEW + 1, SEQ + 1);
+    harness.report_stored(1, VIEW + 1, SEQ + 2);
+    harness.report_stored(1, VIEW + 9, SEQ + 1);
+    harness.report_stored(3, VIEW + 1, SEQ + 1);
     assert!(!is_committed(&harness));
-    harness.has_stored(1, VIEW + 1, SEQ + 1);
+    harness.report_stored(1, VIEW + 1, SEQ + 1);
     assert!(is_committed(&harness));
 }
--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -48,12 +48,12 @@
     blocked_links: BTreeSet<Link>,
     pub loss_percent: u64,
     /// Percentage of the messages that are delivered twice.
-    pub repeat_percent: u64,
+    pub duplicate_percent: u64,
     pub delay_spread_ms: u64,
     pub random: Pcg64Mcg,
     pub committed: BTreeMap<u64, WrittenRow>,
     pub last_commit_ms: u64,
-    pub gained: Vec<HeadGained>,
+    pub heads_gained: Vec<HeadGained>,
     pub trace: bool,
     submitted: BTreeMap<u64, WrittenRow>,
     pub aborted: u64,
@@ -81,12 +81,12 @@
             seeds: (0..seeds).collect(),
             blocked_links: BTreeSet::new(),
             loss_percent: 0,
-            repeat_percent: 0,
+            duplicate_percent: 0,
             delay_spread_ms: 3,
             random,
             committed: BTreeMap::new(),
             last_commit_ms: 0,
-            gained: Vec::new(),
+            heads_gained: Vec::new(),
             trace: false,
             submitted: BTreeMap::new(),
             aborted: 0,
@@ -109,7 +109,7 @@
     }
 
     /// Marks the machines from `first` on as not installed yet.
-    pub(crate) fn keep_spare(&mut self, first: usize) {
+    pub(crate) fn reserve_spares(&mut self, first: usize) {
         self.nodes[first..]
             .iter_mut()
             .for_each(|node| node.presence = Presence::Spare);
@@ -129,7 +129,7 @@
     pub(crate) fn install(&mut self, node: usize) {
         self.log_event(&format!("install {node}"));
         self.nodes[node].presence = Presence::Present;
-        self.name_seeds();
+        self.update_seeds();
         self.start(node, false);
     }
 
@@ -138,15 +138,15 @@
         self.log_event(&format!("remove {node}"));
         self.wipe(node);
         self.nodes[node].presence = Presence::Removed;
-        self.name_seeds();
+        self.update_seeds();
     }
 
     /// Makes the first [`SEEDS`] present machines the seeds of all machines that start from now on.
-    fn name_seeds(&mut self) {
+    fn update_seeds(&mut self) {
         self.seeds = self.present().into_iter().take(SEEDS).collect();
     }
 
-    pub(crate) fn below(&mut self, bound: u64) -> u64 {
+    pub(crate) fn random_below(&mut self, bound: u64) -> u64 {
         self.random.next_u64() % bound.max(1)
     }
 
@@ -165,7 +165,7 @@
     }
 
     pub(crate) fn stop(&mut self, node: usize) {
-        let survives = self.below(2) == 0;
+        let survives = self.random_below(2) == 0;
         self.log_event(&format!("stop {node}"));
         self.nodes[node].stop(survives);
     }
@@ -216,7 +216,7 @@
             self.now_ms = step;
             self.check_one_head();
             if step == next_submit_ms {
-                self.submit_anywhere();
+                self.submit_write();
                 next_submit_ms += submit_interval_ms;
             }
             while let Some(event) = self.events.pop_due(self.now_ms) {
@@ -241,7 +241,7 @@
             .collect()
     }
 
-    fn submit_anywhere(&mut self) {
+    fn submit_write(&mut self) {
         let Some(node) = self.acting() else { return };
         let write_id = self.next_write_id;
         self.next_write_id += 1;
@@ -280,9 +280,9 @@
             Event::Deliver(in_flight) => in_flight.to,
             Event::DiskDone { node, .. } | Event::Wake { node, .. } => *node,
         };
-        let thaw_ms = self.nodes[node].frozen_until_ms;
-        if self.now_ms < thaw_ms {
-            self.events.schedule(thaw_ms, event);
+        let frozen_until_ms = self.nodes[node].frozen_until_ms;
+        if self.now_ms < frozen_until_ms {
+            self.events.schedule(frozen_until_ms, event);
             return;
         }
         match event {
@@ -313,7 +313,7 @@
             return;
         };
         let input = match task {
-            DiskTask::Store { store, .. } if node.disk_refuses => Input::StoreFailed { store },
+            DiskTask::Store { store, .. } if node.disk_fails_stores => Input::StoreFailed { store },
             DiskTask::Store { store, request } => {
                 node.disk.apply(&request);
                 Input::Stored { store }
@@ -416,7 +416,7 @@
             Output::Rejected { .. } => self.rejected += 1,
             Output::HeadGained { view } => {
                 self.log_event(&format!("head gained by {index}, view {view}"));
-                self.gained.push(HeadGained {
+                self.heads_gained.push(HeadGained {
                     at_ms: self.now_ms,
                     node: index,
                     view,
@@ -448,17 +448,18 @@
     fn send(&mut self, from: usize, to: usize, envelope: Envelope) {
         if to >= self.nodes.len()
             || self.blocked_links.contains(&Link { from, to })
-            || self.below(100) < self.loss_percent
+            || self.random_below(100) < self.loss_percent
         {
             return;
         }
-        let count = if self.repeat_percent > 0 && self.below(100) < self.repeat_percent {
+        let count = if self.duplicate_percent > 0 && self.random_below(100) < self.duplicate_percent
+        {
             2
         } else {
             1
         };
         for _ in 0..count {
-            let delay_ms = 1 + self.below(self.delay_spread_ms);
+            let delay_ms = 1 + self.random_below(self.delay_spread_ms);
             let in_flight = InFlight {
                 to,
                 envelope: envelope.clone(),
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -13,7 +13,7 @@
 enum Recovery {
     Start(usize),
     Stop(usize),
-    Join(usize, usize),
+    UnblockLink(usize, usize),
     NormalDisk(usize),
     NormalNetwork,
     /// Starts a new machine that replaces another one.
@@ -22,13 +22,13 @@
     Remove(usize),
 }
 
-/// Random numbers below this one select the kind of a fault (see [`Kind::of`]).
-const KINDS: u64 = 14;
-/// Same as [`KINDS`], for faults that overlap.
-const KINDS_OVERLAPPING: u64 = 18;
+/// Random numbers below this one select the kind of a fault (see [`FaultKind::of`]).
+const FAULT_KINDS: u64 = 14;
+/// Same as [`FAULT_KINDS`], for faults that overlap.
+const OVERLAPPING_FAULT_KINDS: u64 = 18;
 
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum FaultKind {
     Kill,
     KillAll,
     Freeze,
@@ -36,29 +36,29 @@
     BlockLink,
     Partition,
     SlowDisk,
-    PoorNetwork,
+    DegradedNetwork,
     PlannedStop,
     LoseDisk,
     Replace,
     PartitionIntoHalves,
 }
 
-impl Kind {
+impl FaultKind {
     /// Returns the kind selected by a random number; kinds with several numbers are more frequent.
-    fn of(number: u64) -> Kind {
+    fn of(number: u64) -> FaultKind {
         match number {
-            0 | 1 => Kind::Kill,
-            2 => Kind::KillAll,
-            3 | 4 => Kind::Freeze,
-            5 => Kind::BlockDirection,
-            6 => Kind::BlockLink,
-            7 => Kind::Partition,
-            8 | 9 => Kind::SlowDisk,
-            10 => Kind::PoorNetwork,
-            11 => Kind::PlannedStop,
-            14 | 15 => Kind::Replace,
-            16 => Kind::PartitionIntoHalves,
-            _ => Kind::LoseDisk,
+            0 | 1 => FaultKind::Kill,
+            2 => FaultKind::KillAll,
+            3 | 4 => FaultKind::Freeze,
+            5 => FaultKind::BlockDirection,
+            6 => FaultKind::BlockLink,
+            7 => FaultKind::Partition,
+            8 | 9 => FaultKind::SlowDisk,
+            10 => FaultKind::DegradedNetwork,
+            11 => FaultKind::PlannedStop,
+            14 | 15 => FaultKind::Replace,
+            16 => FaultKind::PartitionIntoHalves,
+            _ => FaultKind::LoseDisk,
         }
     }
 }
@@ -109,10 +109,10 @@
 
     fn next_delay_ms(&self, cluster: &mut Cluster) -> u64 {
         if !self.overlapping {
-            return 100 + cluster.below(1_500);
+            return 100 + cluster.random_below(1_500);
         }
-        if cluster.below(CATCH_UP_ONE_IN) > 0 {
-            return 5 + cluster.below(1_200);
+        if cluster.random_below(CATCH_UP_ONE_IN) > 0 {
+            return 5 + cluster.random_below(1_200);
         }
         (self.faultless_from_ms + CATCH_UP_MS).saturating_sub(cluster.now_ms) + 10
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    fn later(&mut self, cluster: &Cluster, after_ms: u64, recovery: Recovery) {
+    fn schedule_recovery(&mut self, cluster: &Cluster, after_ms: u64, recovery: Recovery) {
         let at_ms = cluster.now_ms + after_ms;
         self.faultless_from_ms = self.faultless_from_ms.max(at_ms);
         self.recoveries.push(Due { at_ms, recovery });
@@ -155,70 +155,70 @@
     fn inject(&mut self, cluster: &mut Cluster) {
         let present = cluster.present();
         let count = present.len() as u64;
-        let first = cluster.below(count) as usize;
-        let second = (first + 1 + cluster.below(count - 1) as usize) % count as usize;
+        let first = cluster.random_below(count) as usize;
+        let second = (first + 1 + cluster.random_below(count - 1) as usize) % count as usize;
         let (node, other) = (present[first], present[second]);
-        let for_ms = 200 + cluster.below(4_000);
+        let for_ms = 200 + cluster.random_below(4_000);
         let kinds = if self.overlapping {
-            KINDS_OVERLAPPING
+            OVERLAPPING_FAULT_KINDS
         } else {
-            KINDS
+            FAULT_KINDS
         };
-        match Kind::of(cluster.below(kinds)) {
-            Kind::Kill => self.kill(cluster, node, 100 + for_ms / 3),
-            Kind::KillAll => present.into_iter().for_each(|node| {
-                let for_ms = 300 + cluster.below(2_000);
+        match FaultKind::of(cluster.random_below(kinds)) {
+            FaultKind::Kill => self.kill(cluster, node, 100 + for_ms / 3),
+            FaultKind::KillAll => present.into_iter().for_each(|node| {
+                let for_ms = 300 + cluster.random_below(2_000);
                 self.kill(cluster, node, for_ms);
             }),
-            Kind::Freeze => {
+            FaultKind::Freeze => {
                 cluster.freeze(node, for_ms);
                 self.faultless_from_ms = self.faultless_from_ms.max(cluster.now_ms + for_ms);
             }
-            Kind::BlockDirection => self.block_link(cluster, node, other, for_ms),
-            Kind::BlockLink => {
+            FaultKind::BlockDirection => self.block_link(cluster, node, other, for_ms),
+            FaultKind::BlockLink => {
                 self.block_link(cluster, node, other, for_ms);
                 self.block_link(cluster, other, node, for_ms);
             }
-            Kind::Partition => self.partition(cluster, for_ms),
-            Kind::SlowDisk => self.slow_disk(cluster, node, for_ms),
-            Kind::PoorNetwork => self.poor_network(cluster, for_ms),
-            Kind::PlannedStop => self.planned_stop(cluster, node, for_ms),
-            Kind::LoseDisk => self.lose_disk(cluster, node),
-            Kind::Replace => self.replace(cluster, node),
-            Kind::PartitionIntoHalves => self.partition_into_halves(cluster, for_ms),
+            FaultKind::Partition => self.partition(cluster, for_ms),
+            FaultKind::SlowDisk => self.slow_disk(cluster, node, for_ms),
+            FaultKind::DegradedNetwork => self.degrade_network(cluster, for_ms),
+            FaultKind::PlannedStop => self.planned_stop(cluster, node, for_ms),
+            FaultKind::LoseDisk => self.lose_disk(cluster, node),
+            FaultKind::Replace => self.replace(cluster, node),
+            FaultKind::PartitionIntoHalves => self.partition_into_halves(cluster, for_ms),
         }
     }
 
     fn kill(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
         if cluster.nodes[node].replica.is_some() {
             cluster.stop(node);
-            self.later(cluster, for_ms, Recovery::Start(node));
+            self.schedule_recovery(cluster, for_ms, Recovery::Start(node));
         }
     }
 
     fn block_link(&mut self, cluster: &mut Cluster, from: usize, to: usize, for_ms: u64) {
         cluster.log_event(&format!("cut {from} -> {to} for {for_ms}"));
         cluster.block_link(from, to);
-        self.later(cluster, for_ms, Recovery::Join(from, to));
+        self.schedule_recovery(cluster, for_ms, Recovery::UnblockLink(from, to));
     }
 
     fn partition(&mut self, cluster: &mut Cluster, for_ms: u64) {
         let count = cluster.nodes.len();
-        let sides: Vec<bool> = (0..count).map(|_| cluster.below(2) == 0).collect();
-        self.separate(cluster, &sides, for_ms);
+        let sides: Vec<bool> = (0..count).map(|_| cluster.random_below(2) == 0).collect();
+        self.partition_by_side(cluster, &sides, for_ms);
     }
 
     /// Partitions the machines into two halves that are as equal as possible.
     fn partition_into_halves(&mut self, cluster: &mut Cluster, for_ms: u64) {
-        let first = cluster.below(2) == 0;
+        let first = cluster.random_below(2) == 0;
         let mut sides = vec![first; cluster.nodes.len()];
         for (position, node) in cluster.present().into_iter().enumerate() {
             sides[node] = (position % 2 == 0) == first;
         }
-        self.separate(cluster, &sides, for_ms);
+        self.partition_by_side(cluster, &sides, for_ms);
     }
 
-    fn separate(&mut self, cluster: &mut Cluster, sides: &[bool], for_ms: u64) {
+    fn partition_by_side(&mut self, cluster: &mut Cluster, sides: &[bool], for_ms: u64) {
         let present = cluster.present();
         for &from in &present {
             for &to in present.iter().filter(|&&to| sides[from] != sides[to]) {
@@ -228,30 +228,30 @@
     }
 
     fn slow_disk(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
-        let fault = cluster.below(4) as usize;
+        let fault = cluster.random_below(4) as usize;
         cluster.log_event(&format!("disk fault {fault} at {node} for {for_ms}"));
         cluster.nodes[node].disk_ms = [100, 400, 1_500, 9][fault];
-        cluster.nodes[node].disk_refuses = fault == 3;
-        self.later(cluster, for_ms, Recovery::NormalDisk(node));
+        cluster.nodes[node].disk_fails_stores = fault == 3;
+        self.schedule_recovery(cluster, for_ms, Recovery::NormalDisk(node));
     }
 
-    fn poor_network(&mut self, cluster: &mut Cluster, for_ms: u64) {
+    fn degrade_network(&mut self, cluster: &mut Cluster, for_ms: u64) {
         cluster.log_event(&format!("poor network for {for_ms}"));
-        cluster.loss_percent = cluster.below(40);
-        cluster.repeat_percent = if self.overlapping {
-            cluster.below(30)
+        cluster.loss_percent = cluster.random_below(40);
+        cluster.duplicate_percent = if self.overlapping {
+            cluster.random_below(30)
         } else {
             0
         };
-        cluster.delay_spread_ms = 1 + cluster.below(300);
-        self.later(cluster, for_ms, Recovery::NormalNetwork);
+        cluster.delay_spread_ms = 1 + cluster.random_below(300);
+        self.schedule_recovery(cluster, for_ms, Recovery::NormalNetwork);
     }
 
     fn planned_stop(&mut self, cluster: &mut Cluster, node: usize, for_ms: u64) {
         if cluster.nodes[node].replica.is_some() {
             cluster.step_down(node);
-            self.later(cluster, 800, Recovery::Stop(node));
-            self.later(cluster, 900 + for_ms, Recovery::Start(node));
+            self.schedule_recovery(cluster, 800, Recovery::Stop(node));
+            self.schedule_recovery(cluster, 900 + for_ms, Recovery::Start(node));
         }
     }
 
@@ -267,9 +267,9 @@
             return;
         }
         cluster.wipe(node);
-        let back_ms = 100 + cluster.below(1_500);
-        self.later(cluster, back_ms, Recovery::Start(node));
-        if cluster.below(2) == 0 {
+        let back_ms = 100 + cluster.random_below(1_500);
+        self.schedule_recovery(cluster, back_ms, Recovery::Start(node));
+        if cluster.random_below(2) == 0 {
             self.kill_others(cluster, node);
         }
         let until_ms = self.faultless_from_ms + CATCH_UP_MS;
@@ -278,7 +278,7 @@
 
     fn kill_others(&mut self, cluster: &mut Cluster, node: usize) {
         for other in cluster.present().into_iter().filter(|&other| other != node) {
-            let back_ms = 300 + cluster.below(1_500);
+            let back_ms = 300 + cluster.random_below(1_500);
             self.kill(cluster, other, back_ms);
         }
     }
@@ -290,9 +290,9 @@
         }
         self.disk_lost = true;
         cluster.wipe(node);
-        let back_ms = 100 + cluster.below(4_000);
-        self.later(cluster, back_ms, Recovery::Start(node));
-        if cluster.below(3) == 0 {
+        let back_ms = 100 + cluster.random_below(4_000);
+        self.schedule_recovery(cluster, back_ms, Recovery::Start(node));
+        if cluster.random_below(3) == 0 {
             self.kill_others(cluster, node);
         }
     }
@@ -307,8 +307,8 @@
             return;
         };
         self.disk_lost = true;
-        let (new_first, planned) = (cluster.below(2) == 0, cluster.below(2) == 0);
-        let gap_ms = cluster.below(3_000);
+        let (new_first, planned) = (cluster.random_below(2) == 0, cluster.random_below(2) == 0);
+        let gap_ms = cluster.random_below(3_000);
         cluster.log_event(&format!(
             "replace {node} by {new}, new first {new_first}, planned {planned}, gap {gap_ms}"
         ));
@@ -317,9 +317,9 @@
             cluster.step_down(node);
         }
         let stop_ms = if planned { leave_ms + 800 } else { leave_ms };
-        self.later(cluster, stop_ms, Recovery::Remove(node));
+        self.schedule_recovery(cluster, stop_ms, Recovery::Remove(node));
         let install_ms = if new_first { 0 } else { stop_ms + gap_ms };
-        self.later(cluster, install_ms, Recovery::Install(new));
+        self.schedule_recovery(cluster, install_ms, Recovery::Install(new));
     }
 }
 
@@ -335,16 +335,16 @@
         Recovery::Install(node) => cluster.install(node),
         Recovery::Remove(node) => cluster.remove(node),
         Recovery::Stop(node) => cluster.stop(node),
-        Recovery::Join(from, to) => {
+        Recovery::UnblockLink(from, to) => {
             cluster.unblock_link(from, to);
         }
         Recovery::NormalDisk(node) => {
             cluster.nodes[node].disk_ms = 9;
-            cluster.nodes[node].disk_refuses = false;
+            cluster.nodes[node].disk_fails_stores = false;
         }
         Recovery::NormalNetwork => {
             cluster.loss_percent = 0;
-            cluster.repeat_percent = 0;
+            cluster.duplicate_percent = 0;
             cluster.delay_spread_ms = 3;
         }
     }
--- a/crates/replication/tests/simulation/main.rs
+++ b/crates/replication/tests/simulation/main.rs
@@ -17,7 +17,7 @@
 /// Number of machines that may replace others.
 const SPARES: usize = 8;
 
-fn started(seed: u64, machines: usize) -> Cluster {
+fn started_cluster(seed: u64, machines: usize) -> Cluster {
     let mut cluster = Cluster::new(seed, machines, machines.min(3));
     cluster.trace = std::env::var_os("SIMULATION_TRACE").is_some();
     cluster.start_all();
@@ -31,11 +31,11 @@
 #[case(5)]
 fn a_cluster_bootstraps_with_all_machines(#[case] machines: usize) {
     for seed in 0..20 {
-        let mut cluster = started(seed, machines);
+        let mut cluster = started_cluster(seed, machines);
         assert!(
-            cluster.gained[0].at_ms < 1_500,
+            cluster.heads_gained[0].at_ms < 1_500,
             "the first head came at {} ms",
-            cluster.gained[0].at_ms
+            cluster.heads_gained[0].at_ms
         );
         cluster.check_converged(&(0..machines).collect::<Vec<_>>());
         assert!(
@@ -43,7 +43,7 @@
             "{} writes",
             cluster.committed.len()
         );
-        assert_eq!(cluster.gained.len(), 1, "{:?}", cluster.gained);
+        assert_eq!(cluster.heads_gained.len(), 1, "{:?}", cluster.heads_gained);
     }
 }
 
@@ -66,7 +66,7 @@
     let (first, count) = seeds();
     for seed in (first..first + count).filter(|seed| seed % 4 == shard) {
         println!("seed {seed}");
-        let mut cluster = started(seed, 3 + (seed / 4 % 3) as usize);
+        let mut cluster = started_cluster(seed, 3 + (seed / 4 % 3) as usize);
         let until_ms = cluster.now_ms + 40_000;
         Faults::default().run(&mut cluster, until_ms, SUBMIT_INTERVAL_MS);
         check_recovery(&mut cluster, seed);
@@ -77,7 +77,7 @@
     println!("seed {seed}");
     let machines = 3 + (seed / 4 % 3) as usize;
     let mut cluster = Cluster::new(seed, machines + SPARES, 3);
-    cluster.keep_spare(machines);
+    cluster.reserve_spares(machines);
     cluster.trace = std::env::var_os("SIMULATION_TRACE").is_some();
     cluster.start_all();
     cluster.run(6_000, SUBMIT_INTERVAL_MS);
--- a/crates/replication/tests/simulation/outages.rs
+++ b/crates/replication/tests/simulation/outages.rs
@@ -3,7 +3,7 @@
 
 use super::SUBMIT_INTERVAL_MS;
 use super::cluster::Cluster;
-use super::started;
+use super::started_cluster;
 use rstest::rstest;
 
 const SEEDS: u64 = 20;
@@ -38,7 +38,7 @@
 
 /// Kills and restarts the lost members and returns the longest time between two committed writes.
 fn gap_ms(seed: u64, machines: usize, lost: Lost) -> u64 {
-    let mut cluster = started(seed, machines);
+    let mut cluster = started_cluster(seed, machines);
     let mut away = lost.machines(&cluster);
     away.iter().for_each(|&machine| cluster.stop(machine));
     let back_ms = cluster.now_ms + AWAY_MS;
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -1,7 +1,7 @@
 //! Tests of single faults and of the time until writes are committed again.
 
 use super::cluster::Cluster;
-use super::{SUBMIT_INTERVAL_MS, started};
+use super::{SUBMIT_INTERVAL_MS, started_cluster};
 use indigofold_replication::{Replica, ViewNumber};
 use rstest::rstest;
 
@@ -25,7 +25,7 @@
 
 /// Runs the cluster for `for_ms` and checks that no time without a committed write is longer than `bound_ms`.
 #[track_caller]
-fn assert_gap(cluster: &mut Cluster, seed: u64, for_ms: u64, bound_ms: u64) {
+fn assert_write_gap(cluster: &mut Cluster, seed: u64, for_ms: u64, bound_ms: u64) {
     let gap_ms = longest_gap_ms(cluster, for_ms);
     assert!(
         gap_ms <= bound_ms,
@@ -50,10 +50,10 @@
 #[rstest]
 fn another_member_leads_soon_after_the_head_dies(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, machines);
+        let mut cluster = started_cluster(seed, machines);
         let head = head(&cluster);
         cluster.stop(head);
-        assert_gap(&mut cluster, seed, 3_000, 2_000);
+        assert_write_gap(&mut cluster, seed, 3_000, 2_000);
         cluster.start(head, false);
         cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -65,7 +65,7 @@
 #[rstest]
 fn the_same_head_resumes_at_once_after_all_were_killed(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, machines);
+        let mut cluster = started_cluster(seed, machines);
         let former = head(&cluster);
         all(&cluster)
             .into_iter()
@@ -74,9 +74,9 @@
         all(&cluster)
             .into_iter()
             .for_each(|node| cluster.start(node, false));
-        assert_gap(&mut cluster, seed, 3_000, 250);
+        assert_write_gap(&mut cluster, seed, 3_000, 250);
         assert_eq!(
-            cluster.gained.last().map(|gained| gained.node),
+            cluster.heads_gained.last().map(|gained| gained.node),
             Some(former),
             "seed {seed}"
         );
@@ -89,7 +89,7 @@
 #[rstest]
 fn a_superseded_head_is_not_elected(#[values(3, 5)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, machines);
+        let mut cluster = started_cluster(seed, machines);
         let former = head(&cluster);
         cluster.stop(former);
         cluster.run(cluster.now_ms + 2_500, SUBMIT_INTERVAL_MS);
@@ -102,7 +102,7 @@
             .into_iter()
             .filter(|node| *node != present)
             .for_each(|node| cluster.start(node, false));
-        assert_gap(&mut cluster, seed, 3_000, 1_500);
+        assert_write_gap(&mut cluster, seed, 3_000, 1_500);
         cluster.check_converged(&all(&cluster));
     }
 }
@@ -110,34 +110,34 @@
 #[rstest]
 fn a_planned_stop_of_the_head_interrupts_writes_briefly(#[values(3, 4)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, machines);
+        let mut cluster = started_cluster(seed, machines);
         let head = head(&cluster);
         cluster.step_down(head);
-        assert_gap(&mut cluster, seed, 800, 400);
+        assert_write_gap(&mut cluster, seed, 800, 400);
         cluster.stop(head);
-        assert_gap(&mut cluster, seed, 3_000, 200);
+        assert_write_gap(&mut cluster, seed, 3_000, 200);
     }
 }
 
 #[test]
 fn a_planned_stop_of_a_follower_interrupts_writes_briefly() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let member = follower(&cluster);
         cluster.step_down(member);
-        assert_gap(&mut cluster, seed, 600, 200);
+        assert_write_gap(&mut cluster, seed, 600, 200);
         cluster.stop(member);
-        assert_gap(&mut cluster, seed, 3_000, 100);
+        assert_write_gap(&mut cluster, seed, 3_000, 100);
     }
 }
 
 #[test]
 fn a_dead_member_is_excluded_from_the_chain() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let member = follower(&cluster);
         cluster.stop(member);
-        assert_gap(&mut cluster, seed, 4_000, 1_500);
+        assert_write_gap(&mut cluster, seed, 4_000, 1_500);
         cluster.start(member, false);
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -147,10 +147,10 @@
 #[test]
 fn a_member_with_a_hanging_disk_is_excluded_and_rejoins() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let member = follower(&cluster);
         cluster.nodes[member].disk_ms = 4_000;
-        assert_gap(&mut cluster, seed, 4_000, 1_200);
+        assert_write_gap(&mut cluster, seed, 4_000, 1_200);
         cluster.nodes[member].disk_ms = 9;
         cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -160,10 +160,10 @@
 #[test]
 fn a_head_with_a_hanging_disk_transfers_its_leadership() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
         cluster.nodes[head].disk_ms = 5_000;
-        assert_gap(&mut cluster, seed, 4_000, 1_500);
+        assert_write_gap(&mut cluster, seed, 4_000, 1_500);
         assert_ne!(cluster.acting(), Some(head), "seed {seed}");
     }
 }
@@ -174,11 +174,11 @@
 #[case::of_the_next_in_the_chain(1)]
 fn a_slow_disk_slows_writes_only_briefly(#[case] offset: usize) {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let slow = (head(&cluster) + offset) % cluster.nodes.len();
         cluster.nodes[slow].disk_ms = 250;
-        assert_gap(&mut cluster, seed, 1_200, 800);
-        assert_gap(&mut cluster, seed, 700, 200);
+        assert_write_gap(&mut cluster, seed, 1_200, 800);
+        assert_write_gap(&mut cluster, seed, 700, 200);
         cluster.nodes[slow].disk_ms = 9;
         cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -188,12 +188,12 @@
 #[test]
 fn writes_are_rejected_while_disks_are_full_and_accepted_afterwards() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
         cluster
             .nodes
             .iter_mut()
-            .for_each(|node| node.disk_refuses = true);
+            .for_each(|node| node.disk_fails_stores = true);
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
         assert!(
             cluster.rejected > 100,
@@ -208,8 +208,8 @@
         cluster
             .nodes
             .iter_mut()
-            .for_each(|node| node.disk_refuses = false);
-        assert_gap(&mut cluster, seed, 2_000, 700);
+            .for_each(|node| node.disk_fails_stores = false);
+        assert_write_gap(&mut cluster, seed, 2_000, 700);
         cluster.check_committed_rows(head);
     }
 }
@@ -217,11 +217,11 @@
 #[test]
 fn a_frozen_head_is_superseded_and_does_not_act_after_it() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
         cluster.freeze(head, 4_000);
-        assert_gap(&mut cluster, seed, 3_500, 2_200);
-        assert_gap(&mut cluster, seed, 4_000, 300);
+        assert_write_gap(&mut cluster, seed, 3_500, 2_200);
+        assert_write_gap(&mut cluster, seed, 4_000, 300);
         cluster.check_converged(&all(&cluster));
     }
 }
@@ -230,7 +230,7 @@
 fn a_partition_between_two_members_does_not_stop_writes() {
     for seed in 0..SEEDS {
         for with_head in [false, true] {
-            let mut cluster = started(seed, 3);
+            let mut cluster = started_cluster(seed, 3);
             let head = head(&cluster);
             let (a, b) = if with_head {
                 (head, (head + 1) % 3)
@@ -253,24 +253,24 @@
 #[test]
 fn a_head_that_receives_nothing_is_superseded() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
         for other in (0..3).filter(|&other| other != head) {
             cluster.block_link(other, head);
         }
-        assert_gap(&mut cluster, seed, 7_000, 4_500);
+        assert_write_gap(&mut cluster, seed, 7_000, 4_500);
     }
 }
 
 #[test]
 fn a_partitioned_head_is_superseded() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
         for other in (0..3).filter(|&other| other != head) {
             cluster.block_both(other, head);
         }
-        assert_gap(&mut cluster, seed, 4_000, 2_200);
+        assert_write_gap(&mut cluster, seed, 4_000, 2_200);
         cluster.unblock_all();
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
@@ -280,14 +280,14 @@
 #[rstest]
 fn the_cluster_recovers_after_all_members_lose_power(#[values(3, 4, 5)] machines: usize) {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, machines);
+        let mut cluster = started_cluster(seed, machines);
         let members = all(&cluster);
         members.iter().for_each(|&member| cluster.stop(member));
         cluster.run(cluster.now_ms + 500, SUBMIT_INTERVAL_MS);
         members
             .iter()
             .for_each(|&member| cluster.start(member, false));
-        assert_gap(&mut cluster, seed, 3_000, 2_300);
+        assert_write_gap(&mut cluster, seed, 3_000, 2_300);
         cluster.run(cluster.now_ms + 4_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&members);
     }
@@ -298,7 +298,7 @@
     #[values(3, 4, 5)] machines: usize,
 ) {
     for seed in 0..2 * SEEDS {
-        let mut cluster = started(seed, machines);
+        let mut cluster = started_cluster(seed, machines);
         let wiped = seed as usize % machines;
         cluster.wipe(wiped);
         let others: Vec<usize> = all(&cluster)
@@ -310,7 +310,7 @@
         all(&cluster)
             .into_iter()
             .for_each(|member| cluster.start(member, false));
-        assert_gap(&mut cluster, seed, 3_500, 2_500);
+        assert_write_gap(&mut cluster, seed, 3_500, 2_500);
         cluster.run(cluster.now_ms + 6_000, SUBMIT_INTERVAL_MS);
         cluster.check_converged(&all(&cluster));
     }
@@ -350,7 +350,7 @@
 #[test]
 fn restarted_voters_respect_leases_granted_before() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
         let others: Vec<usize> = (0..3).filter(|&other| other != head).collect();
         others
@@ -358,7 +358,7 @@
             .for_each(|&other| cluster.block_both(other, head));
         others.iter().for_each(|&other| cluster.stop(other));
         others.iter().for_each(|&other| cluster.start(other, false));
-        assert_gap(&mut cluster, seed, 3_000, 2_200);
+        assert_write_gap(&mut cluster, seed, 3_000, 2_200);
         assert_ne!(cluster.acting(), Some(head), "seed {seed}");
     }
 }
@@ -381,9 +381,9 @@
 /// Two of three members agree on a view while the third is partitioned. Then the second loses its disk before it has
 /// taken over the view, and the third is reachable again. The head has a majority and continues with the third.
 #[test]
-fn a_chain_that_loses_a_member_during_installation_replaces_it() {
+fn a_chain_that_loses_a_member_before_it_is_synchronized_replaces_it() {
     for seed in 0..SEEDS {
-        let mut cluster = started(seed, 3);
+        let mut cluster = started_cluster(seed, 3);
         let head = head(&cluster);
         let (lost, third) = ((head + 1) % 3, (head + 2) % 3);
         let former = cluster.nodes[head]
