--- a/crates/replication/src/replica/context.rs
+++ b/crates/replication/src/replica/context.rs
@@ -21,7 +21,7 @@
     /// When the member was told to stop; `None` if it was not.
     draining_since_ms: Option<u64>,
     /// ID of the last pre-vote or transfer. It is random at the start, so that answers to requests of an earlier
-    /// incarnation are recognised and ignored.
+    /// incarnation are recognized and ignored.
     last_request_id: u64,
     random: Pcg64Mcg,
     now_ms: u64,
