--- a/crates/replication/src/storage/error.rs
+++ b/crates/replication/src/storage/error.rs
@@ -25,7 +25,7 @@
         finding: String,
     },
     /// The checksum of a row does not match, or the row is missing from the index.
-    #[snafu(display("the database {} is damaged: the row `{key}` does not agree with its checksum", path.display()))]
+    #[snafu(display("the database {} is damaged: the checksum or the index entry of the row `{key}` does not match", path.display()))]
     DamagedRow {
         /// Path of the database file.
         path: PathBuf,
@@ -33,19 +33,19 @@
         key: String,
     },
     /// The checksum of the member's record does not match.
-    #[snafu(display("the database {} is damaged: the member's record does not agree with its checksum", path.display()))]
+    #[snafu(display("the database {} is damaged: the checksum of the member's record does not match", path.display()))]
     DamagedRecord {
         /// Path of the database file.
         path: PathBuf,
     },
     /// The write-ahead log is damaged before its end, so that synced writes cannot be read.
-    #[snafu(display("the database {} is damaged: writes in its log do not agree with their checksums", path.display()))]
+    #[snafu(display("the database {} is damaged: checksums of synced writes in its log do not match", path.display()))]
     DamagedLog {
         /// Path of the database file.
         path: PathBuf,
     },
     /// The database has been written by a later release of this program.
-    #[snafu(display("the database {} has form {found}; this program knows forms up to {known}", path.display()))]
+    #[snafu(display("the database {} has format version {found}; this program supports versions up to {known}", path.display()))]
     NewerFormat {
         /// Path of the database file.
         path: PathBuf,
@@ -55,7 +55,7 @@
         known: u32,
     },
     /// The member's record cannot be encoded or decoded.
-    #[snafu(display("the record in the database {} cannot be coded: {source}", path.display()))]
+    #[snafu(display("the record in the database {} cannot be encoded or decoded: {source}", path.display()))]
     Record {
         /// Path of the database file.
         path: PathBuf,
--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -46,9 +46,9 @@
     }
 
     fn write(&self, dir: &Path) {
-        fs::write(dir.join(DATABASE), &self.database).expect("written");
+        fs::write(dir.join(DATABASE), &self.database).expect("the file can be written");
         if !self.log.is_empty() {
-            fs::write(dir.join(LOG), &self.log).expect("written");
+            fs::write(dir.join(LOG), &self.log).expect("the file can be written");
         }
     }
 }
@@ -91,15 +91,17 @@
 }
 
 fn open(dir: &Path) -> Storage {
-    Storage::open(dir).expect("opened").storage
+    Storage::open(dir)
+        .expect("the database can be opened")
+        .storage
 }
 
 /// Creates a folder with a closed database that contains these writes.
 fn folder_with(requests: impl Iterator<Item = StoreRequest>) -> TempDir {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let mut storage = open(dir.path());
     for request in requests {
-        storage.apply(&request).expect("stored");
+        storage.apply(&request).expect("the write can be stored");
     }
     dir
 }
@@ -187,7 +189,7 @@
 
 /// Checks that all writes synced before are present, and that the write under way is present completely or not at all.
 fn check_image(image: &Image, seq: u64, before: &Table, after: &Table) {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     image.write(dir.path());
     let opened = Storage::open(dir.path()).expect("the database can be opened");
     assert!(
@@ -195,11 +197,17 @@
         "write {seq}: {:?}",
         opened.quarantined
     );
-    let found = opened.durable.expect("the record is there").viewstamp.seq;
+    let found = opened
+        .durable
+        .expect("the database contains the record")
+        .viewstamp
+        .seq;
     let expected = match found {
         found if found == seq => after,
         found if found + 1 == seq => before,
-        _ => panic!("after a loss of power within write {seq} the state of write {found} is there"),
+        _ => panic!(
+            "after a power loss within write {seq} the database has the state of write {found}"
+        ),
     };
     assert!(
         table(&opened.storage) == *expected,
@@ -210,13 +218,13 @@
 #[rstest]
 fn power_loss_at_any_point_loses_no_synced_write(#[values(0, 1, 2, 3)] shard: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(shard);
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let mut storage = open(dir.path());
-    storage.apply(&write(1)).expect("stored");
+    storage.apply(&write(1)).expect("the write can be stored");
     let (mut before, mut rows_before) = (Image::of(dir.path()), table(&storage));
     let (mut points, mut checkpoints) = (0, 0);
     for seq in 2..=WRITES {
-        storage.apply(&write(seq)).expect("stored");
+        storage.apply(&write(seq)).expect("the write can be stored");
         let (after, rows_after) = (Image::of(dir.path()), table(&storage));
         let copied = before.database != after.database;
         checkpoints += u64::from(copied);
@@ -240,10 +248,10 @@
         }
         (before, rows_before) = (after, rows_after);
     }
-    println!("{points} losses of power, {checkpoints} copies of the log into the database");
+    println!("{points} power losses, {checkpoints} checkpoints");
     assert!(
         points >= 350 && checkpoints >= 2,
-        "{points} points, {checkpoints} copies"
+        "{points} power losses, expected at least 350; {checkpoints} checkpoints, expected at least 2"
     );
 }
 
@@ -251,16 +259,16 @@
 #[test]
 fn after_power_loss_during_creation_the_database_is_empty() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let storage = open(dir.path());
     let made = Image::of(dir.path());
     drop(storage);
     for _ in 0..200 {
         let database = torn(&mut random, &[], &made.database, 0, made.database.len());
         let log = torn(&mut random, &[], &made.log, 0, made.log.len());
-        let dir = TempDir::new().expect("a folder");
+        let dir = TempDir::new().expect("a temporary folder can be created");
         Image { database, log }.write(dir.path());
-        let opened = Storage::open(dir.path()).expect("a member with half a database starts empty");
+        let opened = Storage::open(dir.path()).expect("a partly created database can be opened");
         assert_eq!(opened.durable, None);
         assert!(table(&opened.storage).is_empty());
     }
@@ -271,18 +279,19 @@
 fn a_flipped_bit_is_detected_or_has_no_effect(#[values(0, 1, 2, 3)] shard: usize) {
     let dir = folder_with((1..=60).map(small_write));
     let rows = table(&open(dir.path()));
-    let bytes = fs::read(dir.path().join(DATABASE)).expect("read");
+    let bytes = fs::read(dir.path().join(DATABASE)).expect("the file can be read");
     let (mut found, mut tried) = (0, 0);
     for at in (shard..bytes.len()).step_by(4 * 13) {
         let mut damaged = bytes.clone();
         damaged[at] ^= 1 << (at % 8);
-        let dir = TempDir::new().expect("a folder");
+        let dir = TempDir::new().expect("a temporary folder can be created");
         Image {
             database: damaged,
             log: Vec::new(),
         }
         .write(dir.path());
-        let opened = Storage::open(dir.path()).expect("a damaged database is no failure");
+        let opened =
+            Storage::open(dir.path()).expect("a damaged database is quarantined without an error");
         tried += 1;
         if opened.quarantined.is_some() {
             found += 1;
@@ -303,35 +312,42 @@
             );
         }
     }
-    println!("{tried} bits, {found} found");
-    assert!(found * 5 > tried, "{found} of {tried}");
+    println!("{found} of {tried} flipped bits detected");
+    assert!(
+        found * 5 > tried,
+        "{found} of {tried} flipped bits detected, expected more than a fifth"
+    );
 }
 
 /// A bit changes in the log before its last two writes. `SQLite` alone would read the log only up to that bit and lose
 /// all later writes. In the last two writes such a bit cannot be distinguished from a power loss.
 #[rstest]
 fn a_flipped_bit_in_the_log_loses_no_write_undetected(#[values(0, 1, 2, 3)] shard: usize) {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let mut storage = open(dir.path());
-    (1..=6).for_each(|seq| storage.apply(&write(seq)).expect("stored"));
+    (1..=6).for_each(|seq| storage.apply(&write(seq)).expect("the write can be stored"));
     let until = Image::of(dir.path()).log.len();
-    (7..=8).for_each(|seq| storage.apply(&write(seq)).expect("stored"));
+    (7..=8).for_each(|seq| storage.apply(&write(seq)).expect("the write can be stored"));
     let intact = Image::of(dir.path());
     let mut found = 0;
     for at in (LOG_HEADER + shard..until).step_by(4 * 97) {
         let mut image = intact.clone();
         image.log[at] ^= 1 << (at % 8);
-        let dir = TempDir::new().expect("a folder");
+        let dir = TempDir::new().expect("a temporary folder can be created");
         image.write(dir.path());
-        let opened = Storage::open(dir.path()).expect("a damaged log is no failure");
+        let opened = Storage::open(dir.path())
+            .expect("a database with a damaged log is quarantined without an error");
         found += usize::from(opened.quarantined.is_some());
         let seq = opened.durable.map(|durable| durable.viewstamp.seq);
         assert!(
             opened.quarantined.is_some() || seq == Some(8),
-            "byte {at}: the state of write {seq:?} is left"
+            "byte {at}: without quarantine the database has the state of write {seq:?}, expected 8"
         );
     }
-    assert!(found > 100, "{found} bits were found");
+    assert!(
+        found > 100,
+        "{found} flipped bits detected, expected more than 100"
+    );
 }
 
 /// A damaged index entry no longer leads to its row: a transfer would omit the row.
@@ -345,25 +361,29 @@
     let dir = folder_with((1..=6_000).map(long_key));
     let storage = open(dir.path());
     let path = dir.path().join(DATABASE);
-    let mut bytes = fs::read(&path).expect("read");
+    let mut bytes = fs::read(&path).expect("the file can be read");
     let text = b"row-  3000-";
     let found: Vec<usize> = (0..bytes.len() - text.len())
         .filter(|&at| bytes[at..].starts_with(text))
         .collect();
-    assert!(found.len() >= 2, "the row and its entry in the index");
+    assert!(
+        found.len() >= 2,
+        "{} places with the key, expected the row and its index entry",
+        found.len()
+    );
     // In the index the key follows the sequence number, so the byte before the key is the last one of that number.
     let entry = found
         .into_iter()
         .find(|&at| bytes[at - 2..at] == 3_000_u16.to_be_bytes());
-    bytes[entry.expect("the entry") - 1] ^= 1;
-    fs::write(&path, bytes).expect("written");
+    bytes[entry.expect("the index contains an entry for the row") - 1] ^= 1;
+    fs::write(&path, bytes).expect("the file can be written");
     let mut after = Some(Vec::new());
     let mut result = Ok(None);
     while let (Some(key), Ok(_)) = (&after, &result) {
         result = storage.scrub(key, 500);
         after = result.as_ref().ok().and_then(Clone::clone);
     }
-    let error = result.expect_err("the index has changed");
+    let error = result.expect_err("scrub detects the changed index entry");
     assert!(error.shows_damage(), "{error}");
 }
 
@@ -378,16 +398,16 @@
     let dir = folder_with((1..=400).map(long_value));
     let storage = open(dir.path());
     let path = dir.path().join(DATABASE);
-    let mut bytes = fs::read(&path).expect("read");
+    let mut bytes = fs::read(&path).expect("the file can be read");
     let text = b"value     17 ";
     let at = bytes
         .windows(text.len())
         .position(|window| window == text)
-        .expect("it is in the file");
+        .expect("the file contains the value");
     bytes[at] ^= 4;
-    fs::write(&path, bytes).expect("written");
+    fs::write(&path, bytes).expect("the file can be written");
     let assert_damaged = |result: Result<(), indigofold_replication::StorageError>| {
-        let error = result.expect_err("the row has changed");
+        let error = result.expect_err("the changed row is detected");
         assert!(
             error.shows_damage() && error.to_string().contains("row-    17"),
             "{error}"
@@ -398,6 +418,6 @@
     assert_damaged(storage.scrub(b"", 100).map(drop));
     let rest = storage
         .scrub(b"row-    17", 100)
-        .expect("the rows after it are as they were");
+        .expect("the rows after the changed one are undamaged");
     assert_eq!(rest, Some(b"row-   117".to_vec()));
 }
--- a/crates/replication/tests/model/main.rs
+++ b/crates/replication/tests/model/main.rs
@@ -72,7 +72,7 @@
         .for_each(|action| println!("    {action:?}"));
     let steps = path.map(|path| path.len());
     println!(
-        "{name}: {} states, {} of them different, depth {}, {:.1} s{}{}{}",
+        "{name}: {} states, {} of them unique, depth {}, {:.1} s{}{}{}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth(),
@@ -83,12 +83,12 @@
             ""
         },
         if checker.discovery(PROGRESS).is_some() {
-            ", writes after a change of view"
+            ", write committed after a change of view"
         } else {
             ""
         },
         steps.map_or(String::new(), |steps| format!(
-            ", broken after {steps} steps"
+            ", invariant violated after {steps} steps"
         )),
     );
     steps
@@ -115,7 +115,10 @@
         Protocol { fault, ..model },
         FAULT_STATES,
     );
-    assert!(steps.is_some(), "{fault:?} was not detected");
+    assert!(
+        steps.is_some(),
+        "the injected fault {fault:?} was not detected"
+    );
 }
 
 /// Checks that the invariants detect faults: each of these faults violates one.
--- a/crates/replication/tests/model/rules.rs
+++ b/crates/replication/tests/model/rules.rs
@@ -299,8 +299,8 @@
 }
 
 /// Name of the property that no view is led twice and committed writes do not change; it must hold in every state.
-pub(crate) const INVARIANT: &str = "a view is led once, and what is committed does not change";
+pub(crate) const INVARIANT: &str = "no view is led twice, and committed writes do not change";
 /// Name of the property about heads that may hold a lease; it must hold in every state.
-pub(crate) const ACTING: &str = "one head acts, and has all that was committed";
+pub(crate) const ACTING: &str = "at most one head may act, and it has all committed writes";
 /// Name of the property that must hold in some state; it shows that the model makes progress.
 pub(crate) const PROGRESS: &str = "a write is committed after a change of view";
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -157,7 +157,7 @@
                 return request_id;
             }
         }
-        panic!("member {} does not campaign", self.own);
+        panic!("member {} has not campaigned after 200 timers", self.own);
     }
 
     /// Passes in a prepare request of member `from`.
@@ -223,7 +223,7 @@
     harness.prepare(2, VIEW + 1, 0);
     assert!(
         !harness.has_sent(2, is_prepare_ok),
-        "it would be forgotten with the process"
+        "the promise was sent before it was on disk"
     );
     assert_eq!(harness.stores.len(), 1);
     harness.store_all();
@@ -259,7 +259,7 @@
     assert_eq!(
         harness.replica.stored_viewstamp().seq,
         SEQ + 1,
-        "before the promise it stores them"
+        "a write before the promise was not stored"
     );
     harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
@@ -298,7 +298,10 @@
     harness.now_ms += 1;
     harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
-    assert!(harness.has_sent(2, is_prepare_ok), "the lease is over");
+    assert!(
+        harness.has_sent(2, is_prepare_ok),
+        "no promise was given after the end of the lease"
+    );
 }
 
 /// Before its restart a voter can only have granted a lease to the head of the view on its disk.
@@ -331,7 +334,7 @@
     harness.message(0, heartbeat(&next, 1));
     assert!(
         !harness.has_sent(0, is_grant),
-        "after a restart nobody would know of it"
+        "the lease was granted before its view was on disk"
     );
     harness.store_all();
     assert!(harness.has_sent(0, is_grant));
@@ -347,7 +350,7 @@
     harness.grant_pre_vote(3, request_id, &unestablished);
     assert!(
         !harness.has_sent(3, is_prepare),
-        "2 and 3 are a majority of the new voters only"
+        "promises were requested with a majority of the new voters only (2 and 3)"
     );
     harness.grant_pre_vote(1, request_id, &unestablished);
     assert!(harness.has_sent(3, is_prepare) && harness.has_sent(1, is_prepare));
--- a/crates/replication/tests/simulation/checks.rs
+++ b/crates/replication/tests/simulation/checks.rs
@@ -18,7 +18,7 @@
             .collect();
         assert!(
             acting.len() <= 1,
-            "at {} ms these act as heads: {acting:?}",
+            "at {} ms several members act as the head: {acting:?}",
             self.now_ms
         );
     }
@@ -30,7 +30,7 @@
             assert_eq!(
                 disk.value(&row.key),
                 Some(row.value.as_slice()),
-                "at {} ms the write {write_id} is lost at {node}",
+                "at {} ms machine {node} lacks the committed write {write_id}",
                 self.now_ms
             );
         }
@@ -40,7 +40,7 @@
     /// of these are in the chain; all machines have the same rows once the writes under way are on all disks.
     pub(crate) fn check_converged(&mut self, running: &[usize]) {
         self.run(self.now_ms + PROPAGATION_MS, 2 * PROPAGATION_MS);
-        let head = self.acting().expect("a head acts");
+        let head = self.acting().expect("a member acts as the head");
         self.check_members(head, running);
         self.check_same_rows(head, running);
         self.check_committed_rows(head);
@@ -49,8 +49,13 @@
     /// Checks that all running machines vote (all but one if their number is even), and that all running voters are in
     /// the chain.
     fn check_members(&self, head: usize, running: &[usize]) {
-        let replica = self.nodes[head].replica.as_ref().expect("the head runs");
-        let (view, _) = replica.accepted_view().expect("the head has a view");
+        let replica = self.nodes[head]
+            .replica
+            .as_ref()
+            .expect("the head is running");
+        let (view, _) = replica
+            .accepted_view()
+            .expect("the head has accepted a view");
         let chain: BTreeSet<usize> = view.chain.iter().map(|m| index_of(m.internal)).collect();
         let voters: BTreeSet<usize> = view.voters.iter().map(|m| index_of(m.internal)).collect();
         let expected = running.len() - usize::from(running.len().is_multiple_of(2));
@@ -100,7 +105,7 @@
                 .collect();
             assert!(
                 keys.is_empty(),
-                "rows {keys:?} of {node} differ from those of the head {head}"
+                "rows {keys:?} of machine {node} differ from those of the head {head}"
             );
         }
     }
--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -183,7 +183,7 @@
 
     /// Partitions two machines from each other.
     pub(crate) fn block_both(&mut self, a: usize, b: usize) {
-        self.log_event(&format!("cut {a} {b}"));
+        self.log_event(&format!("block {a} <-> {b}"));
         self.block_link(a, b);
         self.block_link(b, a);
     }
@@ -232,9 +232,14 @@
 
     /// Returns the machines of the acting head's chain, head first.
     pub(crate) fn chain(&self) -> Vec<usize> {
-        let head = self.acting().expect("a head acts");
-        let replica = self.nodes[head].replica.as_ref().expect("the head runs");
-        let (view, _) = replica.accepted_view().expect("the head has a view");
+        let head = self.acting().expect("a member acts as the head");
+        let replica = self.nodes[head]
+            .replica
+            .as_ref()
+            .expect("the head is running");
+        let (view, _) = replica
+            .accepted_view()
+            .expect("the head has accepted a view");
         view.chain
             .iter()
             .map(|member| index_of(member.internal))
--- a/crates/replication/tests/simulation/faults.rs
+++ b/crates/replication/tests/simulation/faults.rs
@@ -197,7 +197,7 @@
     }
 
     fn block_link(&mut self, cluster: &mut Cluster, from: usize, to: usize, for_ms: u64) {
-        cluster.log_event(&format!("cut {from} -> {to} for {for_ms}"));
+        cluster.log_event(&format!("block {from} -> {to} for {for_ms}"));
         cluster.block_link(from, to);
         self.schedule_recovery(cluster, for_ms, Recovery::UnblockLink(from, to));
     }
@@ -236,7 +236,7 @@
     }
 
     fn degrade_network(&mut self, cluster: &mut Cluster, for_ms: u64) {
-        cluster.log_event(&format!("poor network for {for_ms}"));
+        cluster.log_event(&format!("degraded network for {for_ms}"));
         cluster.loss_percent = cluster.random_below(40);
         cluster.duplicate_percent = if self.overlapping {
             cluster.random_below(30)
--- a/crates/replication/tests/simulation/main.rs
+++ b/crates/replication/tests/simulation/main.rs
@@ -34,13 +34,13 @@
         let mut cluster = started_cluster(seed, machines);
         assert!(
             cluster.heads_gained[0].at_ms < 1_500,
-            "the first head came at {} ms",
+            "the first head was gained at {} ms, expected before 1500 ms",
             cluster.heads_gained[0].at_ms
         );
         cluster.check_converged(&(0..machines).collect::<Vec<_>>());
         assert!(
             cluster.committed.len() > 100,
-            "{} writes",
+            "{} committed writes, expected more than 100",
             cluster.committed.len()
         );
         assert_eq!(cluster.heads_gained.len(), 1, "{:?}", cluster.heads_gained);
@@ -53,7 +53,7 @@
     cluster.run(ended_ms + 3_500, SUBMIT_INTERVAL_MS);
     assert!(
         cluster.last_commit_ms > ended_ms,
-        "seed {seed}: nothing is written 3.5 s after all faults\n{}",
+        "seed {seed}: no write is committed within 3.5 s after the end of all faults\n{}",
         cluster.describe()
     );
     cluster.run(ended_ms + 14_000, SUBMIT_INTERVAL_MS);
--- a/crates/replication/tests/simulation/outages.rs
+++ b/crates/replication/tests/simulation/outages.rs
@@ -83,5 +83,8 @@
     println!(
         "{machines} members, {lost:?} lost for {AWAY_MS} ms: median {median_ms} ms, worst {worst_ms} ms"
     );
-    assert!(worst_ms <= bound_ms, "{gaps:?}");
+    assert!(
+        worst_ms <= bound_ms,
+        "longest time without a write {worst_ms} ms, expected at most {bound_ms} ms: {gaps:?}"
+    );
 }
--- a/crates/replication/tests/simulation/scenarios.rs
+++ b/crates/replication/tests/simulation/scenarios.rs
@@ -29,13 +29,13 @@
     let gap_ms = longest_gap_ms(cluster, for_ms);
     assert!(
         gap_ms <= bound_ms,
-        "seed {seed}: no write for {gap_ms} ms\n{}",
+        "seed {seed}: no committed write for {gap_ms} ms\n{}",
         cluster.describe()
     );
 }
 
 fn head(cluster: &Cluster) -> usize {
-    cluster.acting().expect("a head acts")
+    cluster.acting().expect("a member acts as the head")
 }
 
 /// Returns a member that is not the head.
@@ -197,13 +197,13 @@
         cluster.run(cluster.now_ms + 5_000, SUBMIT_INTERVAL_MS);
         assert!(
             cluster.rejected > 100,
-            "{} writes were refused",
+            "{} writes were rejected, expected more than 100",
             cluster.rejected
         );
         assert_eq!(
             cluster.acting(),
             Some(head),
-            "the head goes on with what it has"
+            "the head stopped acting while no disk could store"
         );
         cluster
             .nodes
@@ -241,7 +241,7 @@
             let gap_ms = longest_gap_ms(&mut cluster, 8_000);
             assert!(
                 gap_ms <= 2_200,
-                "seed {seed}, with head {with_head}: no write for {gap_ms} ms"
+                "seed {seed}, with head {with_head}: no committed write for {gap_ms} ms"
             );
             cluster.unblock_all();
             cluster.run(cluster.now_ms + 12_000, SUBMIT_INTERVAL_MS);
@@ -401,7 +401,7 @@
         let gap_ms = longest_gap_ms(&mut cluster, 10_000);
         assert!(
             gap_ms <= 3_000,
-            "seed {seed}: no write for {gap_ms} ms\n{}",
+            "seed {seed}: no committed write for {gap_ms} ms\n{}",
             cluster.describe()
         );
     }
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -312,20 +312,23 @@
 
 /// Creates a folder with a copy of the fixture.
 fn folder_with_fixture() -> TempDir {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let fixture = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/control.sqlite");
-    fs::copy(fixture, dir.path().join(DATABASE)).expect("copied");
+    fs::copy(fixture, dir.path().join(DATABASE)).expect("the fixture can be copied");
     dir
 }
 
 /// Checks the whole content of the database: the record, each row including tombstones, and the table that a head
 /// loads.
 fn assert_content(dir: &TempDir) {
-    let opened = Storage::open(dir.path()).expect("opened");
+    let opened = Storage::open(dir.path()).expect("the database can be opened");
     assert!(opened.quarantined.is_none(), "{:?}", opened.quarantined);
     assert!(!opened.has_quarantined);
     assert_eq!(opened.durable, Some(record()));
-    let chunk = opened.storage.rows_since(0, usize::MAX).expect("read");
+    let chunk = opened
+        .storage
+        .rows_since(0, usize::MAX)
+        .expect("the rows can be read");
     assert_eq!(chunk.rows, rows());
     assert!(!chunk.more);
     assert_eq!((chunk.viewstamp, chunk.history), (viewstamp(), history()));
@@ -333,12 +336,21 @@
     let insert = |key: &[u8], value: &[u8]| {
         table.insert(key.to_vec(), value.to_vec());
     };
-    opened.storage.all_rows(insert).expect("read");
+    opened
+        .storage
+        .all_rows(insert)
+        .expect("the rows can be read");
     let live = rows()
         .into_iter()
         .filter_map(|row| Some((row.key, row.value?)));
     assert_eq!(table, live.collect());
-    assert_eq!(opened.storage.scrub(b"", 100).expect("undamaged"), None);
+    assert_eq!(
+        opened
+            .storage
+            .scrub(b"", 100)
+            .expect("the rows are undamaged"),
+        None
+    );
 }
 
 #[test]
@@ -353,18 +365,23 @@
 fn an_unchanged_record_is_stored_as_the_same_bytes() {
     let dir = folder_with_fixture();
     let stored_record = || -> Vec<u8> {
-        let connection = rusqlite::Connection::open(dir.path().join(DATABASE)).expect("opened");
+        let connection = rusqlite::Connection::open(dir.path().join(DATABASE))
+            .expect("the database can be opened");
         let query = "SELECT value FROM meta WHERE name = 'record'";
         let read = |row: &rusqlite::Row<'_>| row.get(0);
-        connection.query_row(query, [], read).expect("the record")
+        connection
+            .query_row(query, [], read)
+            .expect("the database contains a record")
     };
     let before = stored_record();
-    let mut storage = Storage::open(dir.path()).expect("opened").storage;
+    let mut storage = Storage::open(dir.path())
+        .expect("the database can be opened")
+        .storage;
     let request = StoreRequest {
         durable: record(),
         operations: Vec::new(),
     };
-    storage.apply(&request).expect("stored");
+    storage.apply(&request).expect("the request can be stored");
     drop(storage);
     assert_eq!(stored_record(), before);
 }
