--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -95,7 +95,7 @@
         self.context.take_outputs()
     }
 
-    /// Returns when [`Input::Timer`] is due; `u64::MAX` if never.
+    /// Returns when [`Input::Timer`] is due, on the clock of [`Replica::handle`].
     pub fn next_timer_ms(&self) -> u64 {
         let is_campaigning = self.candidate.is_campaigning();
         let due = [
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -28,7 +28,7 @@
     pub number: ViewNumber,
     /// Internal address of the member that is to campaign.
     pub successor: SocketAddr,
-    /// Internal addresses of the other members, which release the head's lease.
+    /// Internal addresses of the other members, to which the head sends [`Message::Release`].
     pub others: Vec<SocketAddr>,
 }
 
@@ -144,7 +144,8 @@
     }
 
     /// Handles the rejection of a heartbeat of the view `number` by a member that has promised a higher number. A head
-    /// without a lease then ends its leadership; one with a lease uses a higher number for its next view.
+    /// with a lease prepares its next view above that number; one without a lease ends its leadership if its view is
+    /// older than [`LEASE_MS`].
     pub(super) fn handle_reject(
         &mut self,
         context: &mut Context,
--- a/crates/replication/src/replica/transfers.rs
+++ b/crates/replication/src/replica/transfers.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Gives up the transfer to this member, which is no longer needed for its view.
+    /// Gives up the transfer to this member, because this member follows, promises or prepares another view.
     pub(super) fn abandon(&mut self) {
         self.transfer = None;
     }
--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -15,8 +15,8 @@
 use tempfile::TempDir;
 
 const LOG: &str = "control.sqlite-wal";
-/// Sector size of the simulated disk. A sector is written as a whole or not at all; a torn one contains only a part of
-/// the new data.
+/// Sector size of the simulated disk. A sector is written as a whole or not at all, except a torn one, of which only
+/// the first part is written.
 const SECTOR: usize = 512;
 /// Size of the header of the log, which `SQLite` syncs before it writes frames after it.
 const LOG_HEADER: usize = 32;
--- a/crates/replication/tests/model/rules.rs
+++ b/crates/replication/tests/model/rules.rs
@@ -300,7 +300,8 @@
 
 /// Name of the property that no view is led twice and committed writes do not change; it must hold in every state.
 pub(crate) const INVARIANT: &str = "no view is led twice, and committed writes do not change";
-/// Name of the property about heads that may hold a lease; it must hold in every state.
+/// Name of the property that at most one head may hold a lease and has all committed writes; it must hold in every
+/// state.
 pub(crate) const ACTING: &str = "at most one head may act, and it has all committed writes";
 /// Name of the property that must hold in some state; it shows that the model makes progress.
 pub(crate) const PROGRESS: &str = "a write is committed after a change of view";
--- a/crates/replication/tests/simulation/node.rs
+++ b/crates/replication/tests/simulation/node.rs
@@ -28,7 +28,7 @@
     /// About to be installed.
     Installing,
     Present,
-    /// Removed for good.
+    /// Removed permanently.
     Removed,
 }
 
