--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -247,7 +247,7 @@
         }
         let (now_ms, record) = (context.now_ms(), &context.record);
         if let Some((store, request)) = context.stores.start(now_ms, record) {
-            context.output(Output::Store { store, request });
+            context.add_output(Output::Store { store, request });
         }
     }
 }
--- a/crates/replication/src/replica/candidate.rs
+++ b/crates/replication/src/replica/candidate.rs
@@ -59,8 +59,8 @@
     }
 
     /// Returns the view number of the campaign under way; `None` if there is none.
-    pub(super) fn number(&self) -> Option<ViewNumber> {
-        self.campaign.as_ref().map(Campaign::number)
+    pub(super) fn view_number(&self) -> Option<ViewNumber> {
+        self.campaign.as_ref().map(Campaign::view_number)
     }
 
     /// Returns when the campaign under way fails or goes on without the members that have not answered; `None` if there
@@ -252,7 +252,7 @@
         }
         campaign.enter_fetch_phase();
         campaign.set_deadline(now_ms + PHASE_TIMEOUT_MS);
-        let number = campaign.number();
+        let number = campaign.view_number();
         CampaignStep::Fetch { number, newest }
     }
 
--- a/crates/replication/src/replica/candidate/campaign.rs
+++ b/crates/replication/src/replica/candidate/campaign.rs
@@ -113,7 +113,7 @@
         self.deadline_ms = deadline_ms;
     }
 
-    pub(super) fn number(&self) -> ViewNumber {
+    pub(super) fn view_number(&self) -> ViewNumber {
         self.number
     }
 
--- a/crates/replication/src/replica/candidate/proposal.rs
+++ b/crates/replication/src/replica/candidate/proposal.rs
@@ -25,7 +25,7 @@
     };
     let leads = chain.first() == Some(&own) && voters.contains(&own);
     (chain.len() >= chain_min && leads).then(|| View {
-        number: campaign.number(),
+        number: campaign.view_number(),
         voters: voters.clone(),
         previous_voters: known.previous_voters.clone(),
         chain,
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -34,7 +34,7 @@
     context.record.viewstamp.seq = last.seq;
     for batch in &new {
         let write = StoreOperation::Write(Arc::clone(batch));
-        context.stores.add(write);
+        context.stores.add_operation(write);
     }
     context.stores.request_store();
     if relay {
--- a/crates/replication/src/replica/context.rs
+++ b/crates/replication/src/replica/context.rs
@@ -93,7 +93,7 @@
     }
 
     /// Adds an output for the driver to carry out.
-    pub(super) fn output(&mut self, output: Output) {
+    pub(super) fn add_output(&mut self, output: Output) {
         self.outputs.push(output);
     }
 
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -90,13 +90,13 @@
         let is_gained = leadership.is_gained();
         let unfinished = leadership.into_writes().into_unfinished();
         for write_id in unfinished.unknown {
-            context.output(Output::Aborted { write_id });
+            context.add_output(Output::Aborted { write_id });
         }
         for write_id in unfinished.unsent {
-            context.output(Output::Rejected { write_id });
+            context.add_output(Output::Rejected { write_id });
         }
         if is_gained {
-            context.output(Output::HeadLost);
+            context.add_output(Output::HeadLost);
         }
     }
 
--- a/crates/replication/src/replica/head/commit.rs
+++ b/crates/replication/src/replica/head/commit.rs
@@ -50,7 +50,7 @@
         };
         let is_new = leadership.synchronize();
         for write_id in leadership.writes_mut().commit(stored) {
-            context.output(Output::Committed { write_id });
+            context.add_output(Output::Committed { write_id });
         }
         if is_new {
             self.establish_view(context, is_campaigning);
@@ -85,7 +85,7 @@
         let leadership = self.leadership.as_mut();
         let report = leadership.and_then(|leadership| leadership.next_report(now_ms));
         if let Some(report) = report {
-            context.output(match report {
+            context.add_output(match report {
                 HeadReport::Gained { view } => Output::HeadGained { view },
                 HeadReport::Renewed { view } => Output::HeadRenewed { view },
             });
--- a/crates/replication/src/replica/head/peer.rs
+++ b/crates/replication/src/replica/head/peer.rs
@@ -29,7 +29,7 @@
     has_promised_later: bool,
     /// Whether the head itself sends new writes to the member, because those relayed by its predecessor do not reach
     /// it.
-    is_direct: bool,
+    needs_direct_writes: bool,
     /// When writes were last resent to the member.
     resent_ms: u64,
 }
@@ -48,7 +48,7 @@
             rejoin_ms: 0,
             next_exclusion_ms: REJOIN_AFTER_MS,
             has_promised_later: false,
-            is_direct: false,
+            needs_direct_writes: false,
             resent_ms: 0,
         }
     }
@@ -82,7 +82,7 @@
     /// Resets what applies only to the previous view, when the head leads a new one.
     pub(super) fn enter_view(&mut self) {
         self.has_promised_later = false;
-        self.is_direct = false;
+        self.needs_direct_writes = false;
     }
 
     /// Records that the member has rejected a heartbeat because it has promised a higher number.
@@ -98,7 +98,7 @@
             return false;
         }
         self.resent_ms = now_ms;
-        self.is_direct = true;
+        self.needs_direct_writes = true;
         true
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Returns true if the head itself sends new writes to the member.
-    pub(super) fn is_direct(&self) -> bool {
-        self.is_direct
+    pub(super) fn needs_direct_writes(&self) -> bool {
+        self.needs_direct_writes
     }
 }
--- a/crates/replication/src/replica/head/planner.rs
+++ b/crates/replication/src/replica/head/planner.rs
@@ -74,14 +74,14 @@
             return None;
         }
         let newcomers = self.ready_newcomers();
-        self.wiped_replacement(&newcomers)
+        self.lost_disk_replacement(&newcomers)
             .or_else(|| self.unresponsive_replacement(&newcomers))
             .or_else(|| self.addition(&newcomers))
             .or_else(|| self.surplus_voter().map(VoterChange::Remove))
     }
 
     /// Replaces a voter that has lost its disk by the newcomer at the same address.
-    fn wiped_replacement(&self, newcomers: &[Member]) -> Option<VoterChange> {
+    fn lost_disk_replacement(&self, newcomers: &[Member]) -> Option<VoterChange> {
         let voters = &self.leadership.view().voters;
         newcomers.iter().find_map(|&new| {
             let has_address = |voter: &&Member| voter.internal == new.internal;
@@ -175,8 +175,8 @@
         let chain = self.leadership.view().chain.iter().copied();
         let (delaying, mut planned): (Vec<Member>, Vec<Member>) = chain
             .filter(|member| voters.contains(member))
-            .partition(|&member| self.slows_chain(member));
-        planned.extend(self.joining(voters, !delaying.is_empty()));
+            .partition(|&member| self.delays_chain(member));
+        planned.extend(self.joining_voters(voters, !delaying.is_empty()));
         // A chain that would be too short keeps some of the members that delay it.
         let lacking = self
             .settings
@@ -189,7 +189,7 @@
     /// Returns the voters outside the chain that join it. Until the chain has taken over the view's first state, they
     /// join only to replace a member that delays it (`is_needed`); without a replacement such a chain might never be
     /// complete.
-    fn joining(&self, voters: &[Member], is_needed: bool) -> Vec<Member> {
+    fn joining_voters(&self, voters: &[Member], is_needed: bool) -> Vec<Member> {
         let is_synchronizing = !self.leadership.is_synchronized();
         if is_synchronizing && !is_needed {
             return Vec::new();
@@ -207,7 +207,7 @@
     }
 
     /// Returns true if a member of the chain is unresponsive, draining, or slower than the others.
-    fn slows_chain(&self, member: Member) -> bool {
+    fn delays_chain(&self, member: Member) -> bool {
         if member == self.own {
             return false;
         }
--- a/crates/replication/src/replica/head/writes.rs
+++ b/crates/replication/src/replica/head/writes.rs
@@ -25,7 +25,7 @@
             .filter(|leadership| leadership.is_gained() && accepts)
             .is_some_and(|leadership| leadership.writes_mut().submit(write_id, changes));
         if !is_taken {
-            context.output(Output::Rejected { write_id });
+            context.add_output(Output::Rejected { write_id });
         }
     }
 
@@ -43,7 +43,7 @@
         let seq = context.record.viewstamp.seq;
         let batch = leadership.writes_mut().next_batch(seq, context.now_ms());
         let write = StoreOperation::Write(Arc::clone(&batch));
-        context.stores.add(write);
+        context.stores.add_operation(write);
         context.stores.request_store();
         self.send_batch(context, &batch);
     }
@@ -91,9 +91,14 @@
         };
         let view = leadership.view();
         let successor = view.successor(context.own_member());
-        let is_direct = |member: Member| leadership.peer(member).is_some_and(Peer::is_direct);
+        let needs_direct_writes = |member: Member| {
+            leadership
+                .peer(member)
+                .is_some_and(Peer::needs_direct_writes)
+        };
         let others = view.chain.iter().copied().skip(1);
-        let direct = others.filter(|&member| Some(member) != successor && is_direct(member));
+        let direct =
+            others.filter(|&member| Some(member) != successor && needs_direct_writes(member));
         for member in successor.into_iter().chain(direct) {
             let message = Message::Write(Write {
                 number: view.number,
--- a/crates/replication/src/replica/roles.rs
+++ b/crates/replication/src/replica/roles.rs
@@ -263,7 +263,7 @@
     }
 
     pub(super) fn handle_rows(&mut self, from: Member, rows: Rows) {
-        let campaign = self.candidate.number();
+        let campaign = self.candidate.view_number();
         let context = &mut self.context;
         let outcome = self.transfers.handle_rows(context, from, rows, campaign);
         if outcome == TransferOutcome::WrongState {
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -94,7 +94,7 @@
     }
 
     /// Adds a change to the rows to the next store.
-    pub(super) fn add(&mut self, operation: StoreOperation) {
+    pub(super) fn add_operation(&mut self, operation: StoreOperation) {
         self.operations.push(operation);
     }
 
--- a/crates/replication/src/replica/transfers.rs
+++ b/crates/replication/src/replica/transfers.rs
@@ -115,7 +115,7 @@
             clear,
             view: context.record.viewstamp.view,
         });
-        context.output(Output::ReadRows {
+        context.add_output(Output::ReadRows {
             read,
             since: after,
             bytes_max: TRANSFER_BYTES,
@@ -182,7 +182,7 @@
         };
         if seq > context.record.trimmed {
             context.record.trimmed = seq;
-            context.stores.add(StoreOperation::Trim(seq));
+            context.stores.add_operation(StoreOperation::Trim(seq));
         }
     }
 
@@ -224,7 +224,7 @@
             context.record.trimmed = viewstamp.seq;
         }
         for operation in transfer.into_operations() {
-            context.stores.add(operation);
+            context.stores.add_operation(operation);
         }
         context.record.viewstamp = viewstamp;
         context.record.history = history;
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -30,7 +30,7 @@
 /// Returns true if synced writes in the log at `path` cannot be read any more.
 pub(super) fn has_lost_writes(path: &Path) -> io::Result<bool> {
     match fs::read(path) {
-        Ok(log) => Ok(Log::of(&log).is_some_and(Log::has_lost_writes)),
+        Ok(log) => Ok(Log::parse(&log).is_some_and(Log::has_lost_writes)),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(false),
         Err(error) => Err(error),
     }
@@ -46,7 +46,7 @@
 impl<'a> Log<'a> {
     /// Parses the log; returns `None` if the header is incomplete, in which case no frame has been written, or if its
     /// page size is invalid.
-    fn of(bytes: &'a [u8]) -> Option<Log<'a>> {
+    fn parse(bytes: &'a [u8]) -> Option<Log<'a>> {
         let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
         let page_size = big_endian_u32(header, PAGE_SIZE_OFFSET)? as usize;
         let is_page_size = PAGE_SIZES.contains(&page_size) && page_size.is_power_of_two();
