--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -1,5 +1,5 @@
-//! A member as the head: its leadership with heartbeats and lease, and why it ends. Children: writes, what the chain has
-//! stored, and when the view is changed.
+//! A member as the head: its leadership with heartbeats and lease, and how it ends. The submodules handle writes,
+//! commits, and changes of the view.
 
 mod commit;
 mod leadership;
@@ -21,18 +21,18 @@
 use reconfiguration::Reconfiguration;
 use std::net::SocketAddr;
 
-/// To whom a leadership is transferred, and who is told that the lease is given back.
+/// Recipients of the messages that transfer a leadership.
 #[derive(Debug)]
-pub(super) struct Handover {
+pub(super) struct LeadershipTransfer {
     /// Number of the view that the head gives up.
     pub number: ViewNumber,
     /// Internal address of the member that is to campaign.
     pub successor: SocketAddr,
-    /// Internal addresses of the others.
+    /// Internal addresses of the other members, to which the head sends [`Message::Release`].
     pub others: Vec<SocketAddr>,
 }
 
-/// A member as the head, while it leads.
+/// A member's state as the head; `leadership` is `None` while it does not lead.
 #[derive(Debug, Default)]
 pub(super) struct Head {
     leadership: Option<Leadership>,
@@ -40,30 +40,31 @@
 }
 
 impl Head {
-    /// Whether this member leads a view, whatever its lease.
+    /// Returns true if this member leads a view, with or without a lease.
     pub(super) fn is_leading(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// This member is the head, and no other can be at this moment.
+    /// Returns true if this member is the head and holds a lease, so that no other member can be the head at this
+    /// moment.
     pub(super) fn may_act(&self, now_ms: u64) -> bool {
         now_ms < self.acting_until_ms()
     }
 
-    /// Until when [`Head::may_act`] is true if nothing else happens; 0 if it is false.
+    /// Returns until when [`Head::may_act`] stays true without further input; a past time or 0 if it is false.
     pub(super) fn acting_until_ms(&self) -> u64 {
         let leadership = self.leadership.as_ref();
         let gained = leadership.filter(|leadership| leadership.is_gained());
         gained.map_or(0, Leadership::lease_until_ms)
     }
 
-    /// Internal addresses of all members that the head knows.
+    /// Returns the internal addresses of all members that the head knows; none if this member does not lead.
     pub(super) fn peer_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         let peers = self.leadership.iter().flat_map(Leadership::peers);
         peers.map(|(member, _)| member.internal)
     }
 
-    /// Leads an agreed view.
+    /// Starts to lead an agreed view, or continues with it after an earlier one.
     pub(super) fn lead(&mut self, context: &mut Context, view: View) {
         let now_ms = context.now_ms();
         context.record.agreed = true;
@@ -72,7 +73,7 @@
             Some(leadership) => leadership.renew(view, now_ms),
             None => {
                 let stored = context.stores.stored_viewstamp();
-                let leadership = Leadership::new(context.own(), view, now_ms, stored);
+                let leadership = Leadership::new(context.own_member(), view, now_ms, stored);
                 self.leadership = Some(leadership);
                 self.reconfiguration.begin(now_ms);
             }
@@ -80,25 +81,26 @@
         self.send_heartbeats(context);
     }
 
-    /// This member leads no more. Whether writes that were sent down the chain are kept is unknown.
-    pub(super) fn end(&mut self, context: &mut Context) {
+    /// Ends the leadership, if any: writes that were sent down the chain are reported as aborted, the others as
+    /// rejected.
+    pub(super) fn end_leadership(&mut self, context: &mut Context) {
         let Some(leadership) = self.leadership.take() else {
             return;
         };
         let is_gained = leadership.is_gained();
         let unfinished = leadership.into_writes().into_unfinished();
         for write_id in unfinished.unknown {
-            context.output(Output::Aborted { write_id });
+            context.add_output(Output::Aborted { write_id });
         }
         for write_id in unfinished.unsent {
-            context.output(Output::Rejected { write_id });
+            context.add_output(Output::Rejected { write_id });
         }
         if is_gained {
-            context.output(Output::HeadLost);
+            context.add_output(Output::HeadLost);
         }
     }
 
-    /// A member has answered a heartbeat.
+    /// Handles an answer to a heartbeat.
     pub(super) fn handle_grant(
         &mut self,
         context: &mut Context,
@@ -121,11 +123,11 @@
             return;
         }
         let peer = leadership.peer_or_new(from, now_ms);
-        peer.has_granted(sent_ms, report, now_ms);
+        peer.record_grant(sent_ms, report, now_ms);
         self.count_stored(context, is_campaigning);
     }
 
-    /// A member without a head has announced itself.
+    /// Handles the announcement of a member that knows no head.
     pub(super) fn handle_newcomer(
         &mut self,
         context: &mut Context,
@@ -141,8 +143,9 @@
         }
     }
 
-    /// A member has rejected a heartbeat of the view `number` because it has promised a higher number. A head without a
-    /// lease gives way to it.
+    /// Handles the rejection of a heartbeat of the view `number` by a member that has promised a higher number. A head
+    /// with a lease prepares its next view above that number; one without a lease ends its leadership if its view is
+    /// older than [`LEASE_MS`].
     pub(super) fn handle_reject(
         &mut self,
         context: &mut Context,
@@ -160,16 +163,16 @@
             return;
         }
         if let Some(peer) = leadership.peer_mut(from) {
-            peer.has_rejected(now_ms);
+            peer.record_reject(now_ms);
         }
         if has_lease {
             self.reconfiguration.raise_number(promised);
         } else if leadership.view_age_ms(now_ms) > LEASE_MS {
-            self.end(context);
+            self.end_leadership(context);
         }
     }
 
-    /// When the head has something to do next; `None` if this member does not lead.
+    /// Returns when the head's next timer is due; `None` if this member does not lead.
     pub(super) fn due_ms(&self, context: &Context, is_campaigning: bool) -> Option<u64> {
         let leadership = self.leadership.as_ref()?;
         let heartbeat_ms = if is_campaigning {
@@ -186,13 +189,13 @@
         ahead.chain([heartbeat_ms]).min()
     }
 
-    /// Whether the head has had no lease in its view for too long.
+    /// Returns true if the head has had no lease in its view for more than [`LEASE_MS`].
     pub(super) fn is_lost(&self, now_ms: u64) -> bool {
         let leadership = self.leadership.as_ref();
         leadership.is_some_and(|leadership| leadership.is_lost(now_ms))
     }
 
-    /// Sends heartbeats, and again what members lack, when that is due.
+    /// Sends heartbeats and resends the writes that members lack, when heartbeats are due.
     pub(super) fn run_heartbeats(&mut self, context: &mut Context) {
         let now_ms = context.now_ms();
         let Some(leadership) = &mut self.leadership else {
@@ -203,12 +206,12 @@
         }
         leadership.forget_newcomers(now_ms);
         self.send_heartbeats(context);
-        self.resend_lacking(context);
+        self.resend_missing(context);
     }
 
-    /// To whom the leadership is to be transferred now: the member drains and its writes are committed, or have had time
-    /// for it; or its own disk hangs. `None` also if nobody else could lead at once.
-    pub(super) fn due_handover(&self, context: &Context) -> Option<Handover> {
+    /// Returns the transfer of the leadership if it is due: this member drains, and its writes are committed or have
+    /// had [`DRAIN_WAIT_MS`] for it, or its own disk hangs. Also returns `None` if no other member could lead at once.
+    pub(super) fn due_leadership_transfer(&self, context: &Context) -> Option<LeadershipTransfer> {
         let leadership = self.leadership.as_ref()?;
         let now_ms = context.now_ms();
         let has_drained = context.draining_since_ms().is_some_and(|since_ms| {
@@ -219,10 +222,10 @@
         if !has_drained && !is_slow {
             return None;
         }
-        let successor = successor(leadership, context.own(), now_ms)?.internal;
+        let successor = successor(leadership, context.own_member(), now_ms)?.internal;
         let mut others = leadership.heartbeat_recipients();
         others.remove(&successor);
-        Some(Handover {
+        Some(LeadershipTransfer {
             number: leadership.view().number,
             successor,
             others: others.into_iter().collect(),
@@ -253,7 +256,7 @@
     }
 }
 
-/// The member of the chain with the newest state, among those that could lead at once.
+/// Returns the chain member with the newest state among those that could lead at once.
 fn successor(leadership: &Leadership, own: Member, now_ms: u64) -> Option<Member> {
     let oldest_seq = leadership.writes().oldest().map_or(0, |o| o.batch.seq);
     let is_fit = |peer: &Peer| {
--- a/crates/replication/src/replica/head/planner.rs
+++ b/crates/replication/src/replica/head/planner.rs
@@ -1,9 +1,9 @@
-//! What a head's view should become: members that are slow, unresponsive or draining leave the chain, others join it;
+//! Plans the next view of a head: members that are slow, unresponsive or draining leave the chain, others join it;
 //! voters are added, removed and replaced one at a time.
 //!
-//! One change of the voters at a time, on top of an established view, keeps majorities of the view before and the view
-//! after overlapping. An even number of voters bears no more losses than the odd number below it, so that the planner aims
-//! at odd numbers.
+//! Voters change one at a time and only on top of an established view, so that majorities of the old and the new view
+//! overlap. An even number of voters tolerates no more losses than the odd number below it, so the planner aims at odd
+//! numbers.
 
 use super::leadership::Leadership;
 use super::peer::Peer;
@@ -11,18 +11,18 @@
 use crate::replica::io::Settings;
 use crate::timing::{
     REJOIN_LAG_WRITES, REJOIN_STORE_AGE_MS, REMOVE_AFTER_MS, REMOVE_LONE_AFTER_MS,
-    REPLACE_AFTER_MS, SLOW_MEMBER_MS, SYNCHRONIZE_MS, UNRESPONSIVE_MEMBER_MS, VOTERS_MAX,
+    REPLACE_AFTER_MS, SLOW_MEMBER_MS, SYNCHRONIZE_TIMEOUT_MS, UNRESPONSIVE_MEMBER_MS, VOTERS_MAX,
 };
 use crate::types::{Member, ViewNumber};
 
-/// One change of the voters.
+/// A single change to the voters.
 enum VoterChange {
     Add(Member),
     Remove(Member),
     Replace { old: Member, new: Member },
 }
 
-/// A head's view of its cluster at one moment.
+/// Snapshot of the head's knowledge of its cluster, from which it plans the next view.
 #[derive(Debug)]
 pub(super) struct Planner<'a> {
     pub settings: &'a Settings,
@@ -37,7 +37,7 @@
 }
 
 impl Planner<'_> {
-    /// What the view should become; `None` where it is good as it is.
+    /// Returns voters and chain of the next view; `None` if the present view needs no change.
     pub(super) fn plan(&self) -> Option<Plan> {
         let view = self.leadership.view();
         let voters = self.planned_voters();
@@ -67,21 +67,21 @@
         voters
     }
 
-    /// The next step towards an odd number of voters, all of them responsive. With an even number a partition into two
+    /// Returns the next step towards an odd number of responsive voters. With an even number a partition into two
     /// halves would leave neither half a majority.
     fn voter_change(&self) -> Option<VoterChange> {
         if !self.leadership.is_synchronized() {
             return None;
         }
         let newcomers = self.ready_newcomers();
-        self.wiped_replacement(&newcomers)
+        self.lost_disk_replacement(&newcomers)
             .or_else(|| self.unresponsive_replacement(&newcomers))
             .or_else(|| self.addition(&newcomers))
             .or_else(|| self.surplus_voter().map(VoterChange::Remove))
     }
 
-    /// A newcomer takes the place of the voter that had its address, and has lost its disk.
-    fn wiped_replacement(&self, newcomers: &[Member]) -> Option<VoterChange> {
+    /// Replaces a voter that has lost its disk by the newcomer at the same address.
+    fn lost_disk_replacement(&self, newcomers: &[Member]) -> Option<VoterChange> {
         let voters = &self.leadership.view().voters;
         newcomers.iter().find_map(|&new| {
             let has_address = |voter: &&Member| voter.internal == new.internal;
@@ -98,12 +98,12 @@
 
     fn addition(&self, newcomers: &[Member]) -> Option<VoterChange> {
         let voters = self.leadership.view().voters.len();
-        let is_wanted = voters < self.voters_aimed_at(voters + newcomers.len());
+        let is_wanted = voters < self.target_voter_count(voters + newcomers.len());
         let new = *newcomers.first().filter(|_| is_wanted)?;
         Some(VoterChange::Add(new))
     }
 
-    /// Members that are no voters, and could be.
+    /// Returns the members that do not vote but could.
     fn ready_newcomers(&self) -> Vec<Member> {
         let is_ready = |peer: &Peer| self.is_fit(peer) && peer.may_rejoin(self.now_ms);
         let peers = self.leadership.peers().iter();
@@ -114,7 +114,7 @@
             .collect()
     }
 
-    /// Voters of which nothing has been received for `for_ms`, the longest first.
+    /// Returns the voters from which nothing has been received for `for_ms`, those silent longest first.
     fn unresponsive_voters(&self, for_ms: u64) -> Vec<Member> {
         let since_received_ms = |voter: Member| {
             self.peer(voter)
@@ -129,8 +129,9 @@
         unresponsive
     }
 
-    /// A voter beyond those wanted: an unresponsive one (later if an even number would be left for it alone), and of an
-    /// even number one that is not in the chain, or the last of the chain.
+    /// Returns a voter to remove while there are more than required. With an even number: an unresponsive one, or one
+    /// outside the chain, or the last of the chain. With an odd number: one of several unresponsive voters, or a single
+    /// one after [`REMOVE_LONE_AFTER_MS`].
     fn surplus_voter(&self) -> Option<Member> {
         let view = self.leadership.view();
         if view.voters.len() <= self.settings.voters_min() {
@@ -147,8 +148,9 @@
         several.or(lone.first()).copied()
     }
 
-    /// How many voters there should be among so many members.
-    fn voters_aimed_at(&self, members: usize) -> usize {
+    /// Returns how many of `members` members should vote: an odd number, at least the minimum of the settings and at
+    /// most [`VOTERS_MAX`].
+    fn target_voter_count(&self, members: usize) -> usize {
         let odd = if members.is_multiple_of(2) {
             members.saturating_sub(1)
         } else {
@@ -157,7 +159,8 @@
         odd.max(self.settings.voters_min()).min(VOTERS_MAX)
     }
 
-    /// Whether a member outside the chain has the head's rows, stays, and could go on as a part of the chain.
+    /// Returns true if a member outside the chain could join it: it has nearly all of the head's rows, is responsive
+    /// with a fast disk, and does not drain.
     fn is_fit(&self, peer: &Peer) -> bool {
         let viewstamp = peer.report().viewstamp;
         viewstamp.view == self.leadership.view().number
@@ -167,14 +170,14 @@
             && !peer.report().draining
     }
 
-    /// The present chain without those that delay it, and with those that have caught up.
+    /// Returns the present chain without the members that delay it, and with those that have caught up.
     fn planned_chain(&self, voters: &[Member]) -> Vec<Member> {
         let chain = self.leadership.view().chain.iter().copied();
         let (delaying, mut planned): (Vec<Member>, Vec<Member>) = chain
             .filter(|member| voters.contains(member))
-            .partition(|&member| self.slows_chain(member));
-        planned.extend(self.joining(voters, !delaying.is_empty()));
-        // A chain that would be too short keeps some of those that delay it.
+            .partition(|&member| self.delays_chain(member));
+        planned.extend(self.joining_voters(voters, !delaying.is_empty()));
+        // A chain that would be too short keeps some of the members that delay it.
         let lacking = self
             .settings
             .chain_min(voters.len())
@@ -183,16 +186,17 @@
         planned
     }
 
-    /// Voters outside the chain that are taken into it. While the chain has not taken over the view's first state, only
-    /// to replace one that delays it (`is_needed`): such a chain may never come together otherwise.
-    fn joining(&self, voters: &[Member], is_needed: bool) -> Vec<Member> {
+    /// Returns the voters outside the chain that join it. Until the chain has taken over the view's first state, they
+    /// join only to replace a member that delays it (`is_needed`); without a replacement such a chain might never be
+    /// complete.
+    fn joining_voters(&self, voters: &[Member], is_needed: bool) -> Vec<Member> {
         let is_synchronizing = !self.leadership.is_synchronized();
         if is_synchronizing && !is_needed {
             return Vec::new();
         }
         let may_rejoin = |peer: &Peer| is_synchronizing || peer.may_rejoin(self.now_ms);
         let joins = |peer: &Peer| self.is_fit(peer) && may_rejoin(peer);
-        // One that is left out now has been in the chain: it joins again later, when its time of exclusion is over.
+        // A member that is removed from the chain now is not among these; it rejoins after its exclusion.
         let outside = voters
             .iter()
             .copied()
@@ -202,8 +206,8 @@
             .collect()
     }
 
-    /// A member of the chain that is unresponsive, draining, or slower than the others.
-    fn slows_chain(&self, member: Member) -> bool {
+    /// Returns true if a member of the chain is unresponsive, draining, or slower than the others.
+    fn delays_chain(&self, member: Member) -> bool {
         if member == self.own {
             return false;
         }
@@ -211,17 +215,18 @@
             return false;
         };
         let lacks_first_state = peer.report().viewstamp.view != self.leadership.view().number
-            && self.leadership.view_age_ms(self.now_ms) >= SYNCHRONIZE_MS;
+            && self.leadership.view_age_ms(self.now_ms) >= SYNCHRONIZE_TIMEOUT_MS;
         peer.report().draining
             || peer.since_received_ms(self.now_ms) >= UNRESPONSIVE_MEMBER_MS
             || lacks_first_state
             || self.is_slow(member)
     }
 
-    /// A member that has not stored a write for a while, which enough others for a chain have stored.
+    /// Returns true if a member has not stored a write for [`SLOW_MEMBER_MS`] that enough other members for a chain
+    /// have stored.
     fn is_slow(&self, member: Member) -> bool {
         let leadership = self.leadership;
-        let Some(oldest) = leadership.oldest_lacking(member) else {
+        let Some(oldest) = leadership.oldest_missing(member) else {
             return false;
         };
         let has_stored = |&&other: &&Member| leadership.viewstamp_of(other).seq >= oldest.batch.seq;
--- a/crates/replication/src/replica/head/writes.rs
+++ b/crates/replication/src/replica/head/writes.rs
@@ -1,4 +1,4 @@
-//! Writes at the head: batches are sent down the chain, and again to members that lack them.
+//! Writes at the head: it sends batches down the chain and resends them to members that lack them.
 
 use super::Head;
 use super::peer::Peer;
@@ -6,12 +6,13 @@
 use crate::message::{Message, Write};
 use crate::replica::context::Context;
 use crate::replica::io::Output;
-use crate::timing::RESEND_MS;
+use crate::timing::RESEND_AFTER_MS;
 use crate::types::{Batch, Member, RowChange, SubmissionId, Viewstamp};
 use std::sync::Arc;
 
 impl Head {
-    /// The driver submits a write; it is rejected unless this member leads and takes writes.
+    /// Queues a write submitted by the driver. It is rejected if this member is not reported as the head yet, is
+    /// draining, has a failing disk, or has too many writes waiting.
     pub(in crate::replica) fn handle_submit(
         &mut self,
         context: &mut Context,
@@ -24,11 +25,11 @@
             .filter(|leadership| leadership.is_gained() && accepts)
             .is_some_and(|leadership| leadership.writes_mut().submit(write_id, changes));
         if !is_taken {
-            context.output(Output::Rejected { write_id });
+            context.add_output(Output::Rejected { write_id });
         }
     }
 
-    /// Writes all that waits as one batch, unless a store is under way.
+    /// Sends and stores all waiting writes as one batch, unless a store is under way or the chain is not synchronized.
     pub(in crate::replica) fn make_batch(&mut self, context: &mut Context) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -42,12 +43,12 @@
         let seq = context.record.viewstamp.seq;
         let batch = leadership.writes_mut().next_batch(seq, context.now_ms());
         let write = StoreOperation::Write(Arc::clone(&batch));
-        context.stores.add(write);
+        context.stores.add_operation(write);
         context.stores.request_store();
         self.send_batch(context, &batch);
     }
 
-    /// A member lacks writes after this state.
+    /// Handles the report of a member that lacks writes after `viewstamp`.
     pub(in crate::replica) fn handle_write_gap(
         &mut self,
         context: &mut Context,
@@ -63,16 +64,16 @@
         }
     }
 
-    /// Sends writes again to members that have not stored them for a while.
-    pub(super) fn resend_lacking(&mut self, context: &mut Context) {
-        let (own, now_ms) = (context.own(), context.now_ms());
+    /// Resends writes to members that have not stored them for [`RESEND_AFTER_MS`].
+    pub(super) fn resend_missing(&mut self, context: &mut Context) {
+        let (own, now_ms) = (context.own_member(), context.now_ms());
         let leadership = self.leadership.as_ref();
         let Some(leadership) = leadership.filter(|leads| leads.is_synchronized()) else {
             return;
         };
         let is_late = |member: Member| {
-            let oldest = leadership.oldest_lacking(member);
-            oldest.is_some_and(|oldest| now_ms >= oldest.sent_ms + RESEND_MS)
+            let oldest = leadership.oldest_missing(member);
+            oldest.is_some_and(|oldest| now_ms >= oldest.sent_ms + RESEND_AFTER_MS)
         };
         let chain = leadership.view().chain.iter().copied();
         let late: Vec<(Member, u64)> = chain
@@ -89,10 +90,15 @@
             return;
         };
         let view = leadership.view();
-        let successor = view.successor(context.own());
-        let is_direct = |member: Member| leadership.peer(member).is_some_and(Peer::is_direct);
+        let successor = view.successor(context.own_member());
+        let needs_direct_writes = |member: Member| {
+            leadership
+                .peer(member)
+                .is_some_and(Peer::needs_direct_writes)
+        };
         let others = view.chain.iter().copied().skip(1);
-        let direct = others.filter(|&member| Some(member) != successor && is_direct(member));
+        let direct =
+            others.filter(|&member| Some(member) != successor && needs_direct_writes(member));
         for member in successor.into_iter().chain(direct) {
             let message = Message::Write(Write {
                 number: view.number,
--- a/crates/replication/src/replica/roles.rs
+++ b/crates/replication/src/replica/roles.rs
@@ -1,9 +1,9 @@
-//! Changes between the roles of a member, each of which concerns several of its parts: it follows a head, promises,
-//! campaigns, leads, changes its view, and hands its leadership over.
+//! Role changes of a member that involve several of its parts: it follows a head, promises, campaigns, leads, changes
+//! its view, and transfers its leadership.
 
 use super::Replica;
 use super::candidate::{CampaignStep, Plan};
-use super::head::Handover;
+use super::head::LeadershipTransfer;
 use super::transfers::TransferOutcome;
 use crate::message::{Heartbeat, Message, PreVote, PrepareOk, Rows};
 use crate::timing::{BACKOFF_MS, BACKOFF_SPREAD_MS, LEASE_MS, RESIGNED_DEFER_MS};
@@ -26,12 +26,12 @@
         self.follow(&view);
         let context = &mut self.context;
         let until_ms = self.follower.grant_lease(context, from, &view, sent_ms);
-        let in_chain = view.chain.contains(&context.own());
+        let in_chain = view.chain.contains(&context.own_member());
         self.candidate.yield_to_head(context, until_ms, in_chain);
         self.transfers.catch_up(context, &view, seq);
     }
 
-    /// Takes over an agreed view that another member leads.
+    /// Adopts an agreed view that another member leads.
     fn follow(&mut self, view: &View) {
         let record = &self.context.record;
         let known = record.view.as_ref().filter(|v| v.number == view.number);
@@ -59,13 +59,14 @@
         }
     }
 
-    /// Whether this member is bound to a head other than `candidate`, as a voter or as that head itself. `headed_view`:
-    /// the view that the candidate heads on its disk (0: none).
-    fn is_bound_against(&self, candidate: Member, headed_view: ViewNumber) -> bool {
+    /// Returns true if this member is bound to a head other than `candidate`, by a lease that it has granted or because
+    /// it is that head itself. `headed_view` is the number of the view on the candidate's disk if the candidate heads
+    /// it, and 0 otherwise.
+    fn is_bound_to_other_than(&self, candidate: Member, headed_view: ViewNumber) -> bool {
         let context = &self.context;
-        let is_acting = candidate != context.own() && self.head.may_act(context.now_ms());
+        let is_acting = candidate != context.own_member() && self.head.may_act(context.now_ms());
         let follower = &self.follower;
-        is_acting || follower.is_bound_against(context, candidate, headed_view)
+        is_acting || follower.is_bound_to_other_than(context, candidate, headed_view)
     }
 
     // Voting.
@@ -73,12 +74,12 @@
     pub(super) fn handle_pre_vote(&mut self, from: Member, pre_vote: &PreVote) {
         let context = &mut self.context;
         let now_ms = context.now_ms();
-        let has_other = self.follower.has_pre_voted_against(from, now_ms);
-        let own_goes_first = self
+        let has_other = self.follower.has_pre_voted_for_other_than(from, now_ms);
+        let has_own_priority = self
             .candidate
-            .goes_before(context, from, pre_vote.viewstamp);
-        let prefers = !has_other && !own_goes_first;
-        let granted = prefers && !self.is_bound_against(from, pre_vote.headed_view);
+            .has_priority_over(context, from, pre_vote.viewstamp);
+        let prefers = !has_other && !has_own_priority;
+        let granted = prefers && !self.is_bound_to_other_than(from, pre_vote.headed_view);
         if granted {
             self.candidate.yield_to_pre_vote(&mut self.context);
         }
@@ -94,7 +95,7 @@
         headed_view: ViewNumber,
     ) {
         let is_superseded = number <= self.context.record.promised;
-        if is_superseded || self.is_bound_against(from, headed_view) {
+        if is_superseded || self.is_bound_to_other_than(from, headed_view) {
             return self.context.reject(from, number);
         }
         self.adopt_number(number);
@@ -117,7 +118,8 @@
         self.context.send_once_stored(from, accepted);
     }
 
-    /// Takes part in no view below `number` any more, and leaves its candidate time.
+    /// Promises `number`: this member takes part in no lower view any more. Postpones its own campaign to leave the
+    /// candidate time.
     fn adopt_number(&mut self, number: ViewNumber) {
         self.abandon_leadership_and_campaign();
         self.context.record.promised = number;
@@ -125,7 +127,7 @@
         self.candidate.yield_to_prepare(&mut self.context);
     }
 
-    /// This member's promise for `number`, with what it has accepted and the state of its rows.
+    /// Returns this member's promise for `number`, with the view that it has accepted and the state of its rows.
     fn prepare_ok(&self, number: ViewNumber, draining: bool) -> PrepareOk {
         let record = &self.context.record;
         PrepareOk {
@@ -139,8 +141,8 @@
 
     // Campaigning.
 
-    /// This member has been started again as the head of the view on its disk. It campaigns at once: no lease but its own,
-    /// which ended with its process, can run in that view.
+    /// Returns true if this member has restarted, within the last lease time, as the head of the view on its disk. It
+    /// campaigns at once: only its own lease could still run in that view, and that lease ended with its process.
     pub(super) fn is_resuming(&self) -> bool {
         let voter = self.follower.voter();
         self.context.headed_view() > ViewNumber::NONE
@@ -148,7 +150,7 @@
             && voter.may_have_unknown_lease(self.context.now_ms())
     }
 
-    /// This member votes, and is not about to stop.
+    /// Returns true if this member is a voter and is not about to stop.
     fn may_campaign(&self) -> bool {
         let record = &self.context.record;
         let Some(view) = &record.view else {
@@ -182,8 +184,8 @@
     }
 
     fn start_campaign(&mut self) {
-        let own = self.context.own();
-        if self.is_bound_against(own, self.context.headed_view()) {
+        let own = self.context.own_member();
+        if self.is_bound_to_other_than(own, self.context.headed_view()) {
             let now_ms = self.context.now_ms();
             let from_ms = self.follower.voter().bound_until_ms(now_ms) + BACKOFF_MS;
             return self.candidate.postpone_beyond(&mut self.context, from_ms);
@@ -199,19 +201,19 @@
         if self.context.record.view_number() != number || is_busy {
             return;
         }
-        if self.follower.is_bound_to_none_but(from) {
+        if self.follower.is_unbound_or_bound_to(from) {
             self.follower.clear_lease();
             self.start_campaign();
         }
     }
 
-    /// Takes up what follows from a campaign for the other parts.
+    /// Carries out the next step of the campaign, as far as it involves other parts.
     pub(super) fn handle_campaign_step(&mut self, step: CampaignStep) {
         match step {
             CampaignStep::Wait => {}
             CampaignStep::Prepare { number, known } => self.prepare(number, known, None),
             CampaignStep::Fetch { number, newest } => {
-                self.head.end(&mut self.context);
+                self.head.end_leadership(&mut self.context);
                 let context = &mut self.context;
                 let (source, newest) = (newest.source, newest.viewstamp);
                 self.transfers
@@ -227,7 +229,7 @@
             .prepare(&mut self.context, number, known, plan);
     }
 
-    /// Gives the campaign up; the next one begins after a random time.
+    /// Ends the campaign without success; the next one begins after a random time.
     fn fail_campaign(&mut self) {
         self.transfers.abandon_for_candidate();
         let is_resuming = self.is_resuming();
@@ -235,10 +237,10 @@
         self.head.delay_view_change(self.context.now_ms());
     }
 
-    /// This member's own promise is on its disk.
+    /// Counts this member's own promise, which is on its disk now.
     pub(super) fn handle_own_prepare_ok(&mut self, number: ViewNumber) {
         let prepare_ok = self.prepare_ok(number, false);
-        self.handle_prepare_ok(self.context.own(), prepare_ok);
+        self.handle_prepare_ok(self.context.own_member(), prepare_ok);
     }
 
     pub(super) fn handle_prepare_ok(&mut self, from: Member, prepare_ok: PrepareOk) {
@@ -261,10 +263,10 @@
     }
 
     pub(super) fn handle_rows(&mut self, from: Member, rows: Rows) {
-        let campaign = self.candidate.number();
+        let campaign = self.candidate.view_number();
         let context = &mut self.context;
         let outcome = self.transfers.handle_rows(context, from, rows, campaign);
-        if outcome == TransferOutcome::Useless {
+        if outcome == TransferOutcome::WrongState {
             self.fail_campaign();
         }
     }
@@ -272,7 +274,7 @@
     // Leading.
 
     pub(super) fn handle_accepted(&mut self, from: Member, number: ViewNumber) {
-        let own = self.context.own();
+        let own = self.context.own_member();
         if let Some(view) = self.candidate.handle_accepted(from, number, own) {
             self.follower.clear_lease();
             self.head.lead(&mut self.context, view);
@@ -289,9 +291,10 @@
             let from_ms = now_ms + LEASE_MS;
             return self.candidate.postpone_beyond(&mut self.context, from_ms);
         }
-        // Before heartbeats: one sent after the leadership was transferred would bind its receiver to this head again.
-        if let Some(handover) = self.head.due_handover(&self.context) {
-            return self.transfer_leadership(handover);
+        // This precedes the heartbeats: one sent after the leadership was transferred would bind its receiver to this
+        // head again.
+        if let Some(transfer) = self.head.due_leadership_transfer(&self.context) {
+            return self.transfer_leadership(transfer);
         }
         if !self.candidate.is_campaigning() {
             self.head.run_heartbeats(&mut self.context);
@@ -299,7 +302,7 @@
         }
     }
 
-    /// Starts a new view under this head where the present one should change.
+    /// Starts the change to a new view under this head if the present one should change.
     fn reconfigure(&mut self) {
         let context = &self.context;
         if context.is_draining() || context.stores.is_failing() {
@@ -311,15 +314,15 @@
         }
     }
 
-    /// Gives the lease back and asks the member with the newest state to campaign (Raft thesis, section 3.10).
-    fn transfer_leadership(&mut self, handover: Handover) {
-        let number = handover.number;
+    /// Gives up the lease and asks the member with the newest state to campaign (Raft thesis, section 3.10).
+    fn transfer_leadership(&mut self, transfer: LeadershipTransfer) {
+        let number = transfer.number;
         self.abandon_leadership_and_campaign();
         let context = &mut self.context;
-        for internal in handover.others {
+        for internal in transfer.others {
             context.send(internal, Message::Release { number });
         }
-        context.send(handover.successor, Message::CampaignNow { number });
+        context.send(transfer.successor, Message::CampaignNow { number });
         let campaign_at_ms = context.now_ms() + RESIGNED_DEFER_MS;
         self.candidate.postpone_until(campaign_at_ms);
     }
@@ -331,9 +334,9 @@
         }
     }
 
-    /// Another member's campaign goes first: this member is neither head nor candidate any more.
+    /// Ends this member's campaign and leadership, if any.
     fn abandon_leadership_and_campaign(&mut self) {
         self.candidate.abandon();
-        self.head.end(&mut self.context);
+        self.head.end_leadership(&mut self.context);
     }
 }
--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -1,5 +1,5 @@
-//! Power loss between any two syncs of the database: of what was written since the last sync, each sector is there, missing
-//! or torn. And bits that change on disk, in every kind of page.
+//! Simulates power loss between any two syncs of the database, where each sector written since the last sync is
+//! present, missing or torn, and bits that change on disk, in every kind of page.
 
 mod stored;
 
@@ -15,20 +15,21 @@
 use tempfile::TempDir;
 
 const LOG: &str = "control.sqlite-wal";
-/// A disk writes sectors of this size as a whole or not at all; a torn one has a part of it.
+/// Sector size of the simulated disk. A sector is written as a whole or not at all, except a torn one, of which only
+/// the first part is written.
 const SECTOR: usize = 512;
-/// Bytes of the log's header, which `SQLite` syncs before it writes frames behind it.
+/// Size of the header of the log, which `SQLite` syncs before it writes frames after it.
 const LOG_HEADER: usize = 32;
 const KEYS: u64 = 24;
 const VALUE_BYTES: usize = 9_000;
-/// Enough writes for several checkpoints, at which the log is copied into the database and restarted.
+/// Number of writes: enough for several checkpoints, at which the log is copied into the database and restarted.
 const WRITES: u64 = 700;
-/// Power losses simulated within each write.
+/// Number of power losses simulated within each write.
 const LOSSES_A_WRITE: usize = 2;
 
 type Table = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// Both files as they are on disk after a sync.
+/// Contents of both files on disk after a sync.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Image {
     database: Vec<u8>,
@@ -45,14 +46,14 @@
     }
 
     fn write(&self, dir: &Path) {
-        fs::write(dir.join(DATABASE), &self.database).expect("written");
+        fs::write(dir.join(DATABASE), &self.database).expect("the file can be written");
         if !self.log.is_empty() {
-            fs::write(dir.join(LOG), &self.log).expect("written");
+            fs::write(dir.join(LOG), &self.log).expect("the file can be written");
         }
     }
 }
 
-/// The write of this number: three rows, some of them deleted at times.
+/// Returns write number `seq`, which sets three rows or deletes some of them.
 fn write(seq: u64) -> StoreRequest {
     let change = |offset: u64| {
         let key = format!("row-{}", (seq * 5 + offset) % KEYS).into_bytes();
@@ -65,7 +66,7 @@
     write_of(seq, (0..3).map(change).collect())
 }
 
-/// A write of these rows, with the record that goes with it.
+/// Returns write number `seq` with these changes and the matching record.
 fn write_of(seq: u64, changes: Vec<RowChange>) -> StoreRequest {
     StoreRequest {
         durable: record(seq),
@@ -73,7 +74,7 @@
     }
 }
 
-/// As [`write`], with values short enough for all rows to fit into a few pages.
+/// Like [`write`], with values short enough for all rows to fit into a few pages.
 fn small_write(seq: u64) -> StoreRequest {
     let mut request = write(seq);
     if let StoreOperation::Write(batch) = &request.operations[0] {
@@ -90,15 +91,17 @@
 }
 
 fn open(dir: &Path) -> Storage {
-    Storage::open(dir).expect("opened").storage
+    Storage::open(dir)
+        .expect("the database can be opened")
+        .storage
 }
 
-/// A folder whose database has these writes, and is closed.
+/// Creates a folder with a closed database that contains these writes.
 fn folder_with(requests: impl Iterator<Item = StoreRequest>) -> TempDir {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let mut storage = open(dir.path());
     for request in requests {
-        storage.apply(&request).expect("stored");
+        storage.apply(&request).expect("the write can be stored");
     }
     dir
 }
@@ -113,7 +116,7 @@
     table
 }
 
-/// The rows as a transfer to another member reads them.
+/// Returns the rows as a transfer to another member reads them.
 fn transfer(storage: &Storage) -> Table {
     let rows = storage
         .rows_since(0, usize::MAX)
@@ -124,7 +127,8 @@
         .collect()
 }
 
-/// `before` with a random part of what differs in `after`, sector by sector, from byte `from` to byte `until`.
+/// Returns `before` with a random part of the differing sectors taken from `after`, between the bytes `from` and
+/// `until`.
 fn torn(random: &mut Pcg64Mcg, before: &[u8], after: &[u8], from: usize, until: usize) -> Vec<u8> {
     let chance = random.next_u64() % 101;
     let mut bytes = before.to_vec();
@@ -150,8 +154,8 @@
     bytes
 }
 
-/// What may be on disk when power is lost on the way from one synced state to the next. `SQLite` syncs a new header of the
-/// log, then the frames; then it copies the log into the database.
+/// Returns possible contents of the disk when power is lost between two synced states. `SQLite` first syncs a new
+/// header of the log, then the frames; later it copies the log into the database.
 fn lost_power(random: &mut Pcg64Mcg, before: &Image, after: &Image) -> Image {
     let new_header = before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
     let copied = before.database != after.database;
@@ -183,9 +187,9 @@
     }
 }
 
-/// All that was synced before is there; the write under way is there completely or not at all.
+/// Checks that all writes synced before are present, and that the write under way is present completely or not at all.
 fn check_image(image: &Image, seq: u64, before: &Table, after: &Table) {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     image.write(dir.path());
     let opened = Storage::open(dir.path()).expect("the database can be opened");
     assert!(
@@ -193,11 +197,17 @@
         "write {seq}: {:?}",
         opened.quarantined
     );
-    let found = opened.durable.expect("the record is there").viewstamp.seq;
+    let found = opened
+        .durable
+        .expect("the database contains the record")
+        .viewstamp
+        .seq;
     let expected = match found {
         found if found == seq => after,
         found if found + 1 == seq => before,
-        _ => panic!("after a loss of power within write {seq} the state of write {found} is there"),
+        _ => panic!(
+            "after a power loss within write {seq} the database has the state of write {found}"
+        ),
     };
     assert!(
         table(&opened.storage) == *expected,
@@ -208,17 +218,17 @@
 #[rstest]
 fn power_loss_at_any_point_loses_no_synced_write(#[values(0, 1, 2, 3)] shard: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(shard);
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let mut storage = open(dir.path());
-    storage.apply(&write(1)).expect("stored");
+    storage.apply(&write(1)).expect("the write can be stored");
     let (mut before, mut rows_before) = (Image::of(dir.path()), table(&storage));
     let (mut points, mut checkpoints) = (0, 0);
     for seq in 2..=WRITES {
-        storage.apply(&write(seq)).expect("stored");
+        storage.apply(&write(seq)).expect("the write can be stored");
         let (after, rows_after) = (Image::of(dir.path()), table(&storage));
         let copied = before.database != after.database;
         checkpoints += u64::from(copied);
-        // Writes that copy or restart the log are few: more power losses are simulated in them.
+        // Few writes copy or restart the log, so more power losses are simulated in these.
         let is_special = copied || before.log.get(..LOG_HEADER) != after.log.get(..LOG_HEADER);
         let losses = if is_special {
             20 * LOSSES_A_WRITE
@@ -238,49 +248,50 @@
         }
         (before, rows_before) = (after, rows_after);
     }
-    println!("{points} losses of power, {checkpoints} copies of the log into the database");
+    println!("{points} power losses, {checkpoints} checkpoints");
     assert!(
         points >= 350 && checkpoints >= 2,
-        "{points} points, {checkpoints} copies"
+        "{points} power losses, expected at least 350; {checkpoints} checkpoints, expected at least 2"
     );
 }
 
-/// Power is lost while the database is created: the member is as empty as before.
+/// Power is lost while the database is created: the member starts empty.
 #[test]
 fn after_power_loss_during_creation_the_database_is_empty() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let storage = open(dir.path());
     let made = Image::of(dir.path());
     drop(storage);
     for _ in 0..200 {
         let database = torn(&mut random, &[], &made.database, 0, made.database.len());
         let log = torn(&mut random, &[], &made.log, 0, made.log.len());
-        let dir = TempDir::new().expect("a folder");
+        let dir = TempDir::new().expect("a temporary folder can be created");
         Image { database, log }.write(dir.path());
-        let opened = Storage::open(dir.path()).expect("a member with half a database starts empty");
+        let opened = Storage::open(dir.path()).expect("a partly created database can be opened");
         assert_eq!(opened.durable, None);
         assert!(table(&opened.storage).is_empty());
     }
 }
 
-/// A bit that has changed on disk is detected when the database is opened, or changes nothing that is read.
+/// A bit that has changed on disk is detected when the database is opened, or does not affect the data that is read.
 #[rstest]
 fn a_flipped_bit_is_detected_or_has_no_effect(#[values(0, 1, 2, 3)] shard: usize) {
     let dir = folder_with((1..=60).map(small_write));
     let rows = table(&open(dir.path()));
-    let bytes = fs::read(dir.path().join(DATABASE)).expect("read");
+    let bytes = fs::read(dir.path().join(DATABASE)).expect("the file can be read");
     let (mut found, mut tried) = (0, 0);
     for at in (shard..bytes.len()).step_by(4 * 13) {
         let mut damaged = bytes.clone();
         damaged[at] ^= 1 << (at % 8);
-        let dir = TempDir::new().expect("a folder");
+        let dir = TempDir::new().expect("a temporary folder can be created");
         Image {
             database: damaged,
             log: Vec::new(),
         }
         .write(dir.path());
-        let opened = Storage::open(dir.path()).expect("a damaged database is no failure");
+        let opened =
+            Storage::open(dir.path()).expect("a damaged database is quarantined without an error");
         tried += 1;
         if opened.quarantined.is_some() {
             found += 1;
@@ -301,38 +312,45 @@
             );
         }
     }
-    println!("{tried} bits, {found} found");
-    assert!(found * 5 > tried, "{found} of {tried}");
+    println!("{found} of {tried} flipped bits detected");
+    assert!(
+        found * 5 > tried,
+        "{found} of {tried} flipped bits detected, expected more than a fifth"
+    );
 }
 
-/// A bit that has changed in the log, before its last two writes: `SQLite` would read the log up to there, and all later
-/// writes would be gone. In the last two it cannot be told from a loss of power.
+/// A bit changes in the log before its last two writes. `SQLite` alone would read the log only up to that bit and lose
+/// all later writes. In the last two writes such a bit cannot be distinguished from a power loss.
 #[rstest]
 fn a_flipped_bit_in_the_log_loses_no_write_undetected(#[values(0, 1, 2, 3)] shard: usize) {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let mut storage = open(dir.path());
-    (1..=6).for_each(|seq| storage.apply(&write(seq)).expect("stored"));
+    (1..=6).for_each(|seq| storage.apply(&write(seq)).expect("the write can be stored"));
     let until = Image::of(dir.path()).log.len();
-    (7..=8).for_each(|seq| storage.apply(&write(seq)).expect("stored"));
+    (7..=8).for_each(|seq| storage.apply(&write(seq)).expect("the write can be stored"));
     let intact = Image::of(dir.path());
     let mut found = 0;
     for at in (LOG_HEADER + shard..until).step_by(4 * 97) {
         let mut image = intact.clone();
         image.log[at] ^= 1 << (at % 8);
-        let dir = TempDir::new().expect("a folder");
+        let dir = TempDir::new().expect("a temporary folder can be created");
         image.write(dir.path());
-        let opened = Storage::open(dir.path()).expect("a damaged log is no failure");
+        let opened = Storage::open(dir.path())
+            .expect("a database with a damaged log is quarantined without an error");
         found += usize::from(opened.quarantined.is_some());
         let seq = opened.durable.map(|durable| durable.viewstamp.seq);
         assert!(
             opened.quarantined.is_some() || seq == Some(8),
-            "byte {at}: the state of write {seq:?} is left"
+            "byte {at}: without quarantine the database has the state of write {seq:?}, expected 8"
         );
     }
-    assert!(found > 100, "{found} bits were found");
+    assert!(
+        found > 100,
+        "{found} flipped bits detected, expected more than 100"
+    );
 }
 
-/// An entry of the index that does not lead to its row any more: a transfer would leave the row out.
+/// A damaged index entry no longer leads to its row: a transfer would omit the row.
 #[test]
 fn scrub_detects_a_row_that_is_missing_from_the_index() {
     let long_key = |seq: u64| {
@@ -343,29 +361,33 @@
     let dir = folder_with((1..=6_000).map(long_key));
     let storage = open(dir.path());
     let path = dir.path().join(DATABASE);
-    let mut bytes = fs::read(&path).expect("read");
+    let mut bytes = fs::read(&path).expect("the file can be read");
     let text = b"row-  3000-";
     let found: Vec<usize> = (0..bytes.len() - text.len())
         .filter(|&at| bytes[at..].starts_with(text))
         .collect();
-    assert!(found.len() >= 2, "the row and its entry in the index");
-    // In the index the key follows the sequence number, whose last byte stands just before it.
+    assert!(
+        found.len() >= 2,
+        "{} places with the key, expected the row and its index entry",
+        found.len()
+    );
+    // In the index the key follows the sequence number, so the byte before the key is the last one of that number.
     let entry = found
         .into_iter()
         .find(|&at| bytes[at - 2..at] == 3_000_u16.to_be_bytes());
-    bytes[entry.expect("the entry") - 1] ^= 1;
-    fs::write(&path, bytes).expect("written");
+    bytes[entry.expect("the index contains an entry for the row") - 1] ^= 1;
+    fs::write(&path, bytes).expect("the file can be written");
     let mut after = Some(Vec::new());
     let mut result = Ok(None);
     while let (Some(key), Ok(_)) = (&after, &result) {
         result = storage.scrub(key, 500);
         after = result.as_ref().ok().and_then(Clone::clone);
     }
-    let error = result.expect_err("the index has changed");
+    let error = result.expect_err("scrub detects the changed index entry");
     assert!(error.shows_damage(), "{error}");
 }
 
-/// The same while the database is in use: no reading hands out a changed row, and the scrub finds it.
+/// A row changes on disk while the database is in use: no read returns it, and the scrub detects it.
 #[test]
 fn a_row_changed_on_disk_is_not_read_and_scrub_detects_it() {
     let long_value = |seq: u64| {
@@ -376,16 +398,16 @@
     let dir = folder_with((1..=400).map(long_value));
     let storage = open(dir.path());
     let path = dir.path().join(DATABASE);
-    let mut bytes = fs::read(&path).expect("read");
+    let mut bytes = fs::read(&path).expect("the file can be read");
     let text = b"value     17 ";
     let at = bytes
         .windows(text.len())
         .position(|window| window == text)
-        .expect("it is in the file");
+        .expect("the file contains the value");
     bytes[at] ^= 4;
-    fs::write(&path, bytes).expect("written");
+    fs::write(&path, bytes).expect("the file can be written");
     let assert_damaged = |result: Result<(), indigofold_replication::StorageError>| {
-        let error = result.expect_err("the row has changed");
+        let error = result.expect_err("the changed row is detected");
         assert!(
             error.shows_damage() && error.to_string().contains("row-    17"),
             "{error}"
@@ -396,6 +418,6 @@
     assert_damaged(storage.scrub(b"", 100).map(drop));
     let rest = storage
         .scrub(b"row-    17", 100)
-        .expect("the rows after it are as they were");
+        .expect("the rows after the changed one are undamaged");
     assert_eq!(rest, Some(b"row-   117".to_vec()));
 }
--- a/crates/replication/tests/model/elections.rs
+++ b/crates/replication/tests/model/elections.rs
@@ -1,8 +1,8 @@
-//! Rules of the model: campaigns, from the promise to the view that is led.
+//! Rules of the model for campaigns, from the promises to the leadership.
 
 use super::chain::establish;
 use super::rules::{Action, Fault, Protocol};
-use super::state::{Campaign, Id, Leadership, Led, Members, Power, State, View};
+use super::state::{Campaign, Id, Leadership, LedView, Members, RunState, State, View};
 use std::collections::BTreeMap;
 
 impl Protocol {
@@ -22,7 +22,8 @@
             return;
         };
         let others = (0..self.members()).filter(|&id| id != candidate);
-        let responsive = others.filter(|&id| state.members[usize::from(id)].power == Power::On);
+        let responsive =
+            others.filter(|&id| state.members[usize::from(id)].run_state == RunState::Running);
         match &campaign.proposed {
             None => {
                 let electorate = Members(campaign.known.voters.0 | campaign.known.previous.0);
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Each view that a candidate with enough promises may propose.
+    /// Adds each view that a candidate with enough promises may propose.
     fn proposals(
         &self,
         state: &State,
@@ -71,7 +72,8 @@
         }
     }
 
-    /// The voters as they are, and for the head of an established view those with one change.
+    /// Returns the possible voters of the next view: the present ones and, for the head of an established view, those
+    /// with one change.
     fn next_voters(&self, state: &State, candidate: Id, known: &View) -> Vec<Members> {
         let member = &state.members[usize::from(candidate)];
         let leads = member.leadership.as_ref().is_some_and(|leadership| {
@@ -228,7 +230,7 @@
             .led
             .insert(
                 number,
-                Led {
+                LedView {
                     view,
                     is_established,
                     log,
@@ -236,7 +238,7 @@
             )
             .is_some()
         {
-            state.broken = Some("a view was led twice");
+            state.violation = Some("a view was led twice");
         }
         if self.fault == Fault::EstablishedWhenAccepted {
             establish(state, candidate);
@@ -251,7 +253,7 @@
         .map(|campaign| campaign.number)
 }
 
-/// The member is neither head nor candidate any more.
+/// Ends the member's campaign and leadership.
 pub(crate) fn withdraw(member: &mut super::state::Member) {
     member.campaign = None;
     member.leadership = None;
--- a/crates/replication/tests/model/main.rs
+++ b/crates/replication/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! A model of views, promises, chain, replacement and lost disks, explored by a model checker.
+//! A model of views, promises, the chain, replaced members and lost disks, explored by a model checker.
 //!
 //! `MODEL_STATES=N cargo test -p indigofold-replication --profile tools --test model -- --nocapture` explores N states of
 //! each case instead of the few that fit into every run.
@@ -14,28 +14,28 @@
 use stateright::{Checker, Model};
 use std::time::Instant;
 
-/// States of each case that every run of the tests explores.
+/// Number of states explored for each case by default.
 const STATES: usize = 300_000;
-/// Most states that are explored until an injected fault is detected.
+/// Maximum number of states explored to detect an injected fault.
 const FAULT_STATES: usize = 30_000_000;
 const THREADS: usize = 4;
 
-fn bound() -> usize {
+fn max_states() -> usize {
     std::env::var("MODEL_STATES")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(STATES)
 }
 
-/// `crashes` and `disks_lost` bound how often members lose what is not on disk, and their disks; members that only do
-/// nothing for any time are part of every case.
+/// Returns a model of this size. `crashes` and `disks_lost` limit how often a member loses its unsynced data and its
+/// disk. Every case includes members that pause for any time.
 fn protocol(voters: u8, last_view: u8, crashes: u8, disks_lost: u8) -> Protocol {
     let fault = Fault::None;
     Protocol {
         voters,
         newcomers: 1,
         last_view,
-        is_written: true,
+        has_initial_write: true,
         writes: 2,
         crashes,
         disks_lost,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The same, where nothing is written but what has been committed at the start.
+/// Like [`protocol`], without writes other than the one committed at the start.
 fn without_writes(voters: u8, last_view: u8, crashes: u8, disks_lost: u8) -> Protocol {
     Protocol {
         writes: 1,
@@ -51,8 +51,8 @@
     }
 }
 
-/// Explores breadth first and prints how far it came. Returns the length of the shortest path to a violated invariant, if
-/// there is one.
+/// Explores the model breadth first and prints statistics. Returns the length of the shortest path to a violated
+/// invariant, if one is found.
 fn steps_to_violation(name: &str, model: Protocol, states: usize) -> Option<usize> {
     let started = Instant::now();
     let checker = model
@@ -72,7 +72,7 @@
         .for_each(|action| println!("    {action:?}"));
     let steps = path.map(|path| path.len());
     println!(
-        "{name}: {} states, {} of them different, depth {}, {:.1} s{}{}{}",
+        "{name}: {} states, {} of them unique, depth {}, {:.1} s{}{}{}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth(),
@@ -83,12 +83,12 @@
             ""
         },
         if checker.discovery(PROGRESS).is_some() {
-            ", writes after a change of view"
+            ", write committed after a change of view"
         } else {
             ""
         },
         steps.map_or(String::new(), |steps| format!(
-            ", broken after {steps} steps"
+            ", invariant violated after {steps} steps"
         )),
     );
     steps
@@ -106,7 +106,7 @@
 #[case::five_voters(without_writes(5, 4, 0, 0))]
 fn invariants_are_never_violated(#[case] model: Protocol) {
     let name = format!("{model:?}");
-    assert_eq!(steps_to_violation(&name, model, bound()), None);
+    assert_eq!(steps_to_violation(&name, model, max_states()), None);
 }
 
 fn assert_detected(fault: Fault, model: Protocol) {
@@ -115,10 +115,13 @@
         Protocol { fault, ..model },
         FAULT_STATES,
     );
-    assert!(steps.is_some(), "{fault:?} was not detected");
+    assert!(
+        steps.is_some(),
+        "the injected fault {fault:?} was not detected"
+    );
 }
 
-/// The invariants detect faults: each of these violates one.
+/// Checks that the invariants detect faults: each of these faults violates one.
 #[rstest]
 #[case::established_when_accepted(Fault::EstablishedWhenAccepted, without_writes(3, 4, 0, 0))]
 #[case::prepare_not_synced(Fault::PrepareNotSynced, protocol(3, 3, 1, 0))]
@@ -127,13 +130,13 @@
     assert_detected(fault, model);
 }
 
-/// The same for faults that need more steps: `cargo test ... --test model -- --ignored`.
+/// Like [`an_injected_fault_is_detected`], for faults that need more steps: `cargo test ... --test model -- --ignored`.
 #[rstest]
 #[case::short_chain(Fault::ShortChain, without_writes(3, 4, 0, 0))]
 #[case::writes_after_prepare(Fault::WritesAfterPrepare, protocol(3, 4, 0, 0))]
 #[case::counts_unsynced(Fault::CountsUnsynced, protocol(3, 3, 1, 1))]
 #[case::own_rows(Fault::OwnRows, without_writes(3, 4, 0, 0))]
-#[case::forgetful_voter(Fault::ForgetfulVoter, protocol(3, 4, 0, 1))]
+#[case::votes_after_disk_loss(Fault::VotesAfterDiskLoss, protocol(3, 4, 0, 1))]
 #[case::accepts_after_prepare(Fault::AcceptsAfterPrepare, protocol(3, 4, 0, 0))]
 #[ignore = "takes minutes"]
 fn a_deeper_injected_fault_is_detected(#[case] fault: Fault, #[case] model: Protocol) {
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,4 +1,4 @@
-//! One member with messages handed in one by one: what it may answer, store and count, and when.
+//! Tests of a single member that receives messages one by one: which answers, stores and counts are allowed, and when.
 
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::message::{Grant, Heartbeat, PreVote, PreVoteReply, PrepareOk, Write};
@@ -11,13 +11,13 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Reading of the steady clock when the member under test starts.
+/// Time of the monotonic clock when the member under test starts.
 const START_MS: u64 = 10_000;
-/// Number of the view at work.
+/// Number of the view on the disk of the member under test.
 const VIEW: u64 = 5;
-/// Writes that the member under test has.
+/// Sequence number of the last write of the member under test.
 const SEQ: u64 = 40;
-/// Long after every lease and every wait of the start.
+/// Time long after every lease and every waiting period that follows the start.
 const AFTER_START_WAITS_MS: u64 = START_MS + 10 * LEASE_MS;
 
 fn address(index: u8) -> MemberAddress {
@@ -40,7 +40,7 @@
     indexes.iter().copied().map(member).collect()
 }
 
-/// Member 0 leads it; members 0 and 1 are its chain.
+/// Returns a view that member 0 leads, with members 0 and 1 as its chain.
 fn view(number: u64, voters: &[u8], previous: &[u8]) -> View {
     View {
         number: ViewNumber(number),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A member that has been started again, with its outputs.
+/// A restarted member with the outputs that it has returned.
 struct Harness {
     replica: Replica,
     own: u8,
@@ -65,7 +65,7 @@
 }
 
 impl Harness {
-    /// Member `own`, with this view and the state of view [`VIEW`] on its disk.
+    /// Starts member `own` with this view and the state of view [`VIEW`] on its disk.
     fn restarted(own: u8, view: View) -> Harness {
         let viewstamp = Viewstamp {
             view: ViewNumber(VIEW),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The same, long after its start.
+    /// Like [`Harness::restarted`], at a time long after the start.
     fn after_start_waits(own: u8, view: View) -> Harness {
         let mut harness = Harness::restarted(own, view);
         harness.now_ms = AFTER_START_WAITS_MS;
@@ -126,7 +126,7 @@
         }));
     }
 
-    /// The disk has done all that it was requested.
+    /// Completes all requested stores.
     fn store_all(&mut self) {
         while !self.stores.is_empty() {
             let store = self.stores.remove(0);
@@ -140,7 +140,7 @@
             .any(|(address, message)| *address == member(to).internal && is_wanted(message))
     }
 
-    /// Lets time pass until the member asks for pre-votes; the id of its request.
+    /// Advances the time until the member asks for pre-votes; returns the ID of its request.
     fn run_until_pre_vote(&mut self) -> u64 {
         for _ in 0..200 {
             self.now_ms = self.replica.next_timer_ms().max(self.now_ms);
@@ -157,10 +157,10 @@
                 return request_id;
             }
         }
-        panic!("member {} does not campaign", self.own);
+        panic!("member {} has not campaigned after 200 timers", self.own);
     }
 
-    /// Member `from` asks for a promise.
+    /// Passes in a prepare request of member `from`.
     fn prepare(&mut self, from: u8, number: u64, headed_view: u64) {
         let prepare = Message::Prepare {
             number: ViewNumber(number),
@@ -169,8 +169,8 @@
         self.message(from, prepare);
     }
 
-    /// Member `from` reports a state that it has on disk.
-    fn has_stored(&mut self, from: u8, view: u64, seq: u64) {
+    /// Passes in a report of member `from` about the state on its disk.
+    fn report_stored(&mut self, from: u8, view: u64, seq: u64) {
         let view = ViewNumber(view);
         let viewstamp = Viewstamp { view, seq };
         self.message(from, Message::Stored { viewstamp });
@@ -223,7 +223,7 @@
     harness.prepare(2, VIEW + 1, 0);
     assert!(
         !harness.has_sent(2, is_prepare_ok),
-        "it would be forgotten with the process"
+        "the promise was sent before it was on disk"
     );
     assert_eq!(harness.stores.len(), 1);
     harness.store_all();
@@ -259,7 +259,7 @@
     assert_eq!(
         harness.replica.stored_viewstamp().seq,
         SEQ + 1,
-        "before the promise it stores them"
+        "a write before the promise was not stored"
     );
     harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
@@ -298,10 +298,13 @@
     harness.now_ms += 1;
     harness.prepare(2, VIEW + 1, 0);
     harness.store_all();
-    assert!(harness.has_sent(2, is_prepare_ok), "the lease is over");
+    assert!(
+        harness.has_sent(2, is_prepare_ok),
+        "no promise was given after the end of the lease"
+    );
 }
 
-/// A voter that was started again may have granted a lease to the head of the view on its disk, and to no other.
+/// Before its restart a voter can only have granted a lease to the head of the view on its disk.
 #[rstest]
 #[case::the_head_of_the_view_on_both_disks(0, VIEW, true)]
 #[case::a_head_of_an_older_view(0, VIEW - 1, false)]
@@ -331,13 +334,14 @@
     harness.message(0, heartbeat(&next, 1));
     assert!(
         !harness.has_sent(0, is_grant),
-        "after a restart nobody would know of it"
+        "the lease was granted before its view was on disk"
     );
     harness.store_all();
     assert!(harness.has_sent(0, is_grant));
 }
 
-/// The view's chain may not have its first state: what was committed before may be on disks of former voters only.
+/// The chain of such a view may not have its first state yet, so committed writes may be only on disks of previous
+/// voters.
 #[test]
 fn a_view_that_is_not_established_needs_majorities_of_both_electorates() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
@@ -346,7 +350,7 @@
     harness.grant_pre_vote(3, request_id, &unestablished);
     assert!(
         !harness.has_sent(3, is_prepare),
-        "2 and 3 are a majority of the new voters only"
+        "promises were requested with a majority of the new voters only (2 and 3)"
     );
     harness.grant_pre_vote(1, request_id, &unestablished);
     assert!(harness.has_sent(3, is_prepare) && harness.has_sent(1, is_prepare));
@@ -364,7 +368,7 @@
     assert!(harness.has_sent(3, is_prepare));
 }
 
-/// What one voter knows, it passes on with its answer to a pre-vote.
+/// A voter reports the view that it has accepted with its answer to a pre-vote.
 #[test]
 fn a_candidate_learns_from_any_voter_that_a_view_is_established() {
     let unestablished = view(VIEW + 1, &[0, 2, 3], &[0, 1, 2]);
@@ -374,7 +378,7 @@
     assert!(harness.has_sent(3, is_prepare));
 }
 
-/// Member 0, elected head by the answers of member 1.
+/// Returns member 0, elected head by the answers of member 1.
 fn head() -> Harness {
     let mut harness = Harness::restarted(0, same_voters());
     let request_id = harness.run_until_pre_vote();
@@ -419,7 +423,7 @@
     })
 }
 
-fn installed() -> Viewstamp {
+fn first_state() -> Viewstamp {
     Viewstamp {
         view: ViewNumber(VIEW + 1),
         seq: SEQ,
@@ -431,15 +435,15 @@
     let mut harness = head();
     let sent_ms = harness.now_ms;
     assert!(!harness.replica.may_act(sent_ms));
-    harness.message(1, grant(VIEW + 1, sent_ms, installed()));
+    harness.message(1, grant(VIEW + 1, sent_ms, first_state()));
     let until_ms = sent_ms + LEASE_MS * LEASE_USED_PERCENT / 100;
     assert!(harness.replica.may_act(until_ms - 1) && !harness.replica.may_act(until_ms));
 }
 
 #[rstest]
-#[case::of_a_view_before_its_time(VIEW, 0, installed())]
-#[case::of_a_view_never_given_out(VIEW + 2, 0, installed())]
-#[case::for_a_heartbeat_not_sent_yet(VIEW + 1, 100_000, installed())]
+#[case::of_a_view_before_the_leadership(VIEW, 0, first_state())]
+#[case::of_a_view_not_led_yet(VIEW + 2, 0, first_state())]
+#[case::for_a_heartbeat_not_sent_yet(VIEW + 1, 100_000, first_state())]
 #[case::without_the_first_state(VIEW + 1, 0, Viewstamp { view: ViewNumber(VIEW), seq: SEQ })]
 fn a_grant_without_a_matching_heartbeat_gives_no_lease(
     #[case] number: u64,
@@ -455,7 +459,7 @@
 #[test]
 fn a_write_is_committed_once_the_chain_has_stored_it_and_impossible_reports_are_ignored() {
     let mut harness = head();
-    harness.message(1, grant(VIEW + 1, harness.now_ms, installed()));
+    harness.message(1, grant(VIEW + 1, harness.now_ms, first_state()));
     let changes = vec![RowChange {
         key: b"row".to_vec(),
         value: Some(b"value".to_vec()),
@@ -475,10 +479,10 @@
             )
         })
     };
-    harness.has_stored(1, VIEW + 1, SEQ + 2);
-    harness.has_stored(1, VIEW + 9, SEQ + 1);
-    harness.has_stored(3, VIEW + 1, SEQ + 1);
+    harness.report_stored(1, VIEW + 1, SEQ + 2);
+    harness.report_stored(1, VIEW + 9, SEQ + 1);
+    harness.report_stored(3, VIEW + 1, SEQ + 1);
     assert!(!is_committed(&harness));
-    harness.has_stored(1, VIEW + 1, SEQ + 1);
+    harness.report_stored(1, VIEW + 1, SEQ + 1);
     assert!(is_committed(&harness));
 }
--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster under simulated time: its machines, its network, and the writes that it is given.
+//! A cluster under simulated time: its machines, its network, and the submitted writes.
 
 use super::events::{Event, EventQueue};
 use super::node::{DiskTask, InFlight, Node, Presence, index_of};
@@ -10,29 +10,29 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rows in one chunk of a transfer: few, so that transfers have many chunks.
+/// Number of rows in one chunk of a transfer; small, so that transfers have many chunks.
 const TRANSFER_ROWS: usize = 40;
-/// Time that a reading takes.
+/// Time that a read of rows takes.
 const READ_MS: u64 = 1;
 
-/// How many machines a settings file names.
+/// Number of seeds in the settings of a machine.
 const SEEDS: usize = 3;
 
-/// A directed link that loses everything.
+/// A directed link between two machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: usize,
     to: usize,
 }
 
-/// A row that a write has set.
+/// A row set by a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct WrittenRow {
     pub key: Vec<u8>,
     pub value: Vec<u8>,
 }
 
-/// A member has become the head.
+/// Records that a member has become the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HeadGained {
     pub at_ms: u64,
@@ -40,20 +40,20 @@
     pub view: ViewNumber,
 }
 
-/// The cluster.
+/// A simulated cluster.
 pub(crate) struct Cluster {
     pub now_ms: u64,
     pub nodes: Vec<Node>,
     pub seeds: Vec<usize>,
     blocked_links: BTreeSet<Link>,
     pub loss_percent: u64,
-    /// Part of the messages that arrive twice.
-    pub repeat_percent: u64,
+    /// Percentage of the messages that are delivered twice.
+    pub duplicate_percent: u64,
     pub delay_spread_ms: u64,
     pub random: Pcg64Mcg,
     pub committed: BTreeMap<u64, WrittenRow>,
     pub last_commit_ms: u64,
-    pub gained: Vec<HeadGained>,
+    pub heads_gained: Vec<HeadGained>,
     pub trace: bool,
     submitted: BTreeMap<u64, WrittenRow>,
     pub aborted: u64,
@@ -81,12 +81,12 @@
             seeds: (0..seeds).collect(),
             blocked_links: BTreeSet::new(),
             loss_percent: 0,
-            repeat_percent: 0,
+            duplicate_percent: 0,
             delay_spread_ms: 3,
             random,
             committed: BTreeMap::new(),
             last_commit_ms: 0,
-            gained: Vec::new(),
+            heads_gained: Vec::new(),
             trace: false,
             submitted: BTreeMap::new(),
             aborted: 0,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Machines that have been installed and not been removed.
+    /// Returns the machines that have been installed and not removed.
     pub(crate) fn present(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|&node| self.is_present(node))
@@ -108,14 +108,14 @@
         self.nodes[node].presence == Presence::Present
     }
 
-    /// The machines from `first` on are not installed yet.
-    pub(crate) fn keep_spare(&mut self, first: usize) {
+    /// Marks the machines from `first` on as not installed yet.
+    pub(crate) fn reserve_spares(&mut self, first: usize) {
         self.nodes[first..]
             .iter_mut()
             .for_each(|node| node.presence = Presence::Spare);
     }
 
-    /// Takes a machine that has not been installed yet.
+    /// Reserves a machine that has not been installed yet; `None` if none is left.
     pub(crate) fn next_spare(&mut self) -> Option<usize> {
         let spare = self
             .nodes
@@ -125,28 +125,28 @@
         Some(spare)
     }
 
-    /// A new machine starts for the first time, beside those that are present.
+    /// Starts a new machine for the first time, in addition to those that are present.
     pub(crate) fn install(&mut self, node: usize) {
         self.log_event(&format!("install {node}"));
         self.nodes[node].presence = Presence::Present;
-        self.name_seeds();
+        self.update_seeds();
         self.start(node, false);
     }
 
-    /// A machine is removed for good, with its disk.
+    /// Removes a machine with its disk permanently.
     pub(crate) fn remove(&mut self, node: usize) {
         self.log_event(&format!("remove {node}"));
         self.wipe(node);
         self.nodes[node].presence = Presence::Removed;
-        self.name_seeds();
+        self.update_seeds();
     }
 
-    /// Machines that start from now on have three present machines as their seeds.
-    fn name_seeds(&mut self) {
+    /// Makes the first [`SEEDS`] present machines the seeds of all machines that start from now on.
+    fn update_seeds(&mut self) {
         self.seeds = self.present().into_iter().take(SEEDS).collect();
     }
 
-    pub(crate) fn below(&mut self, bound: u64) -> u64 {
+    pub(crate) fn random_below(&mut self, bound: u64) -> u64 {
         self.random.next_u64() % bound.max(1)
     }
 
@@ -165,7 +165,7 @@
     }
 
     pub(crate) fn stop(&mut self, node: usize) {
-        let survives = self.below(2) == 0;
+        let survives = self.random_below(2) == 0;
         self.log_event(&format!("stop {node}"));
         self.nodes[node].stop(survives);
     }
@@ -181,14 +181,14 @@
         self.nodes[node].frozen_until_ms = self.now_ms + for_ms;
     }
 
-    /// The two machines are partitioned from each other.
+    /// Partitions two machines from each other.
     pub(crate) fn block_both(&mut self, a: usize, b: usize) {
-        self.log_event(&format!("cut {a} {b}"));
+        self.log_event(&format!("block {a} <-> {b}"));
         self.block_link(a, b);
         self.block_link(b, a);
     }
 
-    /// What `from` sends to `to` is lost from now on.
+    /// Drops all messages sent from `from` to `to` from now on.
     pub(crate) fn block_link(&mut self, from: usize, to: usize) {
         self.blocked_links.insert(Link { from, to });
     }
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Runs until `until_ms`; each `submit_interval_ms` a write is submitted to the acting head.
+    /// Runs the simulation until `until_ms` and submits a write to the acting head every `submit_interval_ms`.
     pub(crate) fn run(&mut self, until_ms: u64, submit_interval_ms: u64) {
         let mut next_submit_ms = self.now_ms + submit_interval_ms;
         while self.now_ms < until_ms {
@@ -216,7 +216,7 @@
             self.now_ms = step;
             self.check_one_head();
             if step == next_submit_ms {
-                self.submit_anywhere();
+                self.submit_write();
                 next_submit_ms += submit_interval_ms;
             }
             while let Some(event) = self.events.pop_due(self.now_ms) {
@@ -230,18 +230,23 @@
         self.nodes.iter().position(|node| node.may_act(self.now_ms))
     }
 
-    /// Machines of the acting head's chain, head first.
+    /// Returns the machines of the acting head's chain, head first.
     pub(crate) fn chain(&self) -> Vec<usize> {
-        let head = self.acting().expect("a head acts");
-        let replica = self.nodes[head].replica.as_ref().expect("the head runs");
-        let (view, _) = replica.accepted_view().expect("the head has a view");
+        let head = self.acting().expect("a member acts as the head");
+        let replica = self.nodes[head]
+            .replica
+            .as_ref()
+            .expect("the head is running");
+        let (view, _) = replica
+            .accepted_view()
+            .expect("the head has accepted a view");
         view.chain
             .iter()
             .map(|member| index_of(member.internal))
             .collect()
     }
 
-    fn submit_anywhere(&mut self) {
+    fn submit_write(&mut self) {
         let Some(node) = self.acting() else { return };
         let write_id = self.next_write_id;
         self.next_write_id += 1;
@@ -280,9 +285,9 @@
             Event::Deliver(in_flight) => in_flight.to,
             Event::DiskDone { node, .. } | Event::Wake { node, .. } => *node,
         };
-        let thaw_ms = self.nodes[node].frozen_until_ms;
-        if self.now_ms < thaw_ms {
-            self.events.schedule(thaw_ms, event);
+        let frozen_until_ms = self.nodes[node].frozen_until_ms;
+        if self.now_ms < frozen_until_ms {
+            self.events.schedule(frozen_until_ms, event);
             return;
         }
         match event {
@@ -313,7 +318,7 @@
             return;
         };
         let input = match task {
-            DiskTask::Store { store, .. } if node.disk_refuses => Input::StoreFailed { store },
+            DiskTask::Store { store, .. } if node.disk_fails_stores => Input::StoreFailed { store },
             DiskTask::Store { store, request } => {
                 node.disk.apply(&request);
                 Input::Stored { store }
@@ -416,7 +421,7 @@
             Output::Rejected { .. } => self.rejected += 1,
             Output::HeadGained { view } => {
                 self.log_event(&format!("head gained by {index}, view {view}"));
-                self.gained.push(HeadGained {
+                self.heads_gained.push(HeadGained {
                     at_ms: self.now_ms,
                     node: index,
                     view,
@@ -431,7 +436,7 @@
         }
     }
 
-    /// Voters and chain of the view that a machine follows.
+    /// Describes voters and chain of the view that a machine follows.
     fn describe_view(&self, index: usize) -> String {
         let replica = self.nodes[index].replica.as_ref();
         let view = replica.and_then(|replica| replica.accepted_view());
@@ -448,17 +453,18 @@
     fn send(&mut self, from: usize, to: usize, envelope: Envelope) {
         if to >= self.nodes.len()
             || self.blocked_links.contains(&Link { from, to })
-            || self.below(100) < self.loss_percent
+            || self.random_below(100) < self.loss_percent
         {
             return;
         }
-        let count = if self.repeat_percent > 0 && self.below(100) < self.repeat_percent {
+        let count = if self.duplicate_percent > 0 && self.random_below(100) < self.duplicate_percent
+        {
             2
         } else {
             1
         };
         for _ in 0..count {
-            let delay_ms = 1 + self.below(self.delay_spread_ms);
+            let delay_ms = 1 + self.random_below(self.delay_spread_ms);
             let in_flight = InFlight {
                 to,
                 envelope: envelope.clone(),
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -1,7 +1,7 @@
-//! The forms of stored data and of messages, against what an earlier release has written: a member must be able to open
-//! the database of the release before it, and members of two releases run side by side during an update.
+//! Compares the formats of stored data and of messages with those of an earlier release: a member must be able to open
+//! the database of the previous release, and members of two releases run side by side during an update.
 //!
-//! `fixtures/control.sqlite` was written by the code of commit 13256bf, and so was each of the encoded messages.
+//! `fixtures/control.sqlite` and each of the encoded messages were written by the code of commit 13256bf.
 
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::message::{
@@ -17,11 +17,11 @@
 use std::sync::Arc;
 use tempfile::TempDir;
 
-/// Name of the database's file.
+/// Name of the database file.
 const DATABASE: &str = "control.sqlite";
 /// Sequence number of the last write in the fixture.
 const LAST_SEQ: u64 = 42;
-/// Rows deleted at or before this write have been trimmed in the fixture.
+/// Tombstones of rows deleted at or before this write have been dropped in the fixture.
 const TRIMMED_SEQ: u64 = 22;
 
 fn address(index: u8) -> MemberAddress {
@@ -76,7 +76,7 @@
     ]
 }
 
-/// The record in the fixture.
+/// Returns the record in the fixture.
 fn record() -> Durable {
     Durable {
         member: member(2),
@@ -98,8 +98,8 @@
     }
 }
 
-/// Each row in the fixture, in the order of the writes: keys of the configuration and of the scheduler, deleted rows,
-/// values that are empty, long or no text.
+/// Returns all rows in the fixture in the order of the writes: keys of the configuration and of the scheduler, deleted
+/// rows, and values that are empty, long or binary.
 fn rows() -> Vec<Row> {
     let long = vec![0xa5; 700];
     vec![
@@ -143,7 +143,7 @@
     })
 }
 
-/// One message of each kind, in the order of the variants.
+/// Returns one message of each kind, in the order of the variants.
 #[expect(clippy::too_many_lines, reason = "one literal for each kind")]
 fn messages() -> Vec<Message> {
     vec![
@@ -243,7 +243,7 @@
     })
 }
 
-/// The envelopes of [`messages`] as that release encoded them.
+/// The envelopes of [`messages`], as encoded by the earlier release.
 const ENCODED: [&str; 18] = [
     // Announce
     "000a000001d439f7cdd7a6bcd6e8480006636f72652d31000a000001d4390100000000000000000000000000\
@@ -310,21 +310,25 @@
     }
 }
 
-/// A folder with a copy of the fixture.
+/// Creates a folder with a copy of the fixture.
 fn folder_with_fixture() -> TempDir {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("a temporary folder can be created");
     let fixture = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/control.sqlite");
-    fs::copy(fixture, dir.path().join(DATABASE)).expect("copied");
+    fs::copy(fixture, dir.path().join(DATABASE)).expect("the fixture can be copied");
     dir
 }
 
-/// Everything in the database: the record, each row with its tombstones, and the table that a head loads.
+/// Checks the whole content of the database: the record, each row including tombstones, and the table that a head
+/// loads.
 fn assert_content(dir: &TempDir) {
-    let opened = Storage::open(dir.path()).expect("opened");
+    let opened = Storage::open(dir.path()).expect("the database can be opened");
     assert!(opened.quarantined.is_none(), "{:?}", opened.quarantined);
     assert!(!opened.has_quarantined);
     assert_eq!(opened.durable, Some(record()));
-    let chunk = opened.storage.rows_since(0, usize::MAX).expect("read");
+    let chunk = opened
+        .storage
+        .rows_since(0, usize::MAX)
+        .expect("the rows can be read");
     assert_eq!(chunk.rows, rows());
     assert!(!chunk.more);
     assert_eq!((chunk.viewstamp, chunk.history), (viewstamp(), history()));
@@ -332,19 +336,28 @@
     let insert = |key: &[u8], value: &[u8]| {
         table.insert(key.to_vec(), value.to_vec());
     };
-    opened.storage.all_rows(insert).expect("read");
+    opened
+        .storage
+        .all_rows(insert)
+        .expect("the rows can be read");
     let live = rows()
         .into_iter()
         .filter_map(|row| Some((row.key, row.value?)));
     assert_eq!(table, live.collect());
-    assert_eq!(opened.storage.scrub(b"", 100).expect("undamaged"), None);
+    assert_eq!(
+        opened
+            .storage
+            .scrub(b"", 100)
+            .expect("the rows are undamaged"),
+        None
+    );
 }
 
 #[test]
 fn a_database_of_the_earlier_release_has_all_of_its_content() {
     let dir = folder_with_fixture();
     assert_content(&dir);
-    // Opened a second time, with what the first opening may have changed.
+    // The database is opened a second time, because the first opening may have changed it.
     assert_content(&dir);
 }
 
@@ -352,18 +365,23 @@
 fn an_unchanged_record_is_stored_as_the_same_bytes() {
     let dir = folder_with_fixture();
     let stored_record = || -> Vec<u8> {
-        let connection = rusqlite::Connection::open(dir.path().join(DATABASE)).expect("opened");
+        let connection = rusqlite::Connection::open(dir.path().join(DATABASE))
+            .expect("the database can be opened");
         let query = "SELECT value FROM meta WHERE name = 'record'";
         let read = |row: &rusqlite::Row<'_>| row.get(0);
-        connection.query_row(query, [], read).expect("the record")
+        connection
+            .query_row(query, [], read)
+            .expect("the database contains a record")
     };
     let before = stored_record();
-    let mut storage = Storage::open(dir.path()).expect("opened").storage;
+    let mut storage = Storage::open(dir.path())
+        .expect("the database can be opened")
+        .storage;
     let request = StoreRequest {
         durable: record(),
         operations: Vec::new(),
     };
-    storage.apply(&request).expect("stored");
+    storage.apply(&request).expect("the request can be stored");
     drop(storage);
     assert_eq!(stored_record(), before);
 }
