--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -1,23 +1,23 @@
-//! How much work waits for a service, and when a client whose job was rejected should retry.
+//! Backlog of a service, and the time after which a client whose job was rejected should retry.
 
 use crate::cluster_view::ClusterView;
 use crate::services::ServiceState;
 use indigofold_protocol::job::{Resources, Step};
 
-/// A rejected client should retry once the backlog divided by this is done.
+/// A rejected client should retry after the time to work off the backlog divided by this.
 const RETRY_DIVISOR: u64 = 10;
-/// Shortest time until the retry.
+/// Minimum time until the retry.
 const RETRY_MIN_MS: u64 = 500;
-/// Longest time until the retry.
+/// Maximum time until the retry.
 const RETRY_MAX_MS: u64 = 15_000;
 
-/// When a client whose job was rejected should retry, in milliseconds from now.
+/// Time after which a client whose job was rejected should retry, in milliseconds.
 pub(crate) fn retry_after_ms(backlog_ms: u64) -> u64 {
     (backlog_ms / RETRY_DIVISOR).clamp(RETRY_MIN_MS, RETRY_MAX_MS)
 }
 
 impl ClusterView<'_> {
-    /// How long the service's workers will take for all that waits in its queue.
+    /// Estimated time for the service's responsive workers to run all tasks that wait in its queue, in milliseconds.
     pub(crate) fn backlog_ms(&self, service: &ServiceState) -> u64 {
         let capacity = self
             .workers_of(service)
@@ -39,7 +39,7 @@
     }
 }
 
-/// Fraction of the service that one task takes, by the resource of which it takes most.
+/// Dominant share of the service's capacity that one task takes. A resource of which there is none counts as one unit.
 fn fraction_of_service(step: &Step, capacity: &Resources) -> f64 {
     let fraction = |taken: u64, all: u64| {
         if taken > 0 {
--- a/crates/scheduler/src/backlog_cache/tests.rs
+++ b/crates/scheduler/src/backlog_cache/tests.rs
@@ -1,4 +1,4 @@
-//! Age of the estimate.
+//! Test of the age limit of estimates.
 
 use super::*;
 
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -1,11 +1,11 @@
-//! Time of day derived from the steady clock, so that a step of the system's time does not move what is due.
+//! Time of day derived from the steady clock, so that a step of the system time does not move due times.
 
-/// A difference between the clocks up to this is drift, and followed at once.
+/// A change of the offset between the clocks up to this counts as drift and is adopted at once.
 const DRIFT_MS: i64 = 100;
-/// A larger one is adopted once it has been stable for this time.
+/// A larger change of the offset is adopted once the new offset has been stable for this time.
 const STABLE_MS: u64 = 15_000;
 
-/// The time of the present event, on both clocks.
+/// Time of the present event on the steady clock and as the time of day.
 #[derive(Debug)]
 pub(crate) struct Clock {
     /// Latest reading of the steady clock.
@@ -14,7 +14,8 @@
 }
 
 impl Clock {
-    /// Both clocks read at the same moment: the steady one, and the time of day since 1970.
+    /// Creates a clock from two readings taken at the same moment: `now_ms` of the steady clock, and `wall_ms`, the
+    /// time of day in milliseconds since 1970.
     pub(crate) fn new(now_ms: u64, wall_ms: u64) -> Self {
         Clock {
             now_ms,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Both clocks read when an event comes. The time does not go back.
+    /// Advances to the readings of both clocks at a new event. The steady time never goes back.
     pub(crate) fn advance(&mut self, now_ms: u64, wall_ms: u64) {
         self.now_ms = self.now_ms.max(now_ms);
         self.wall.observe(now_ms, wall_ms);
@@ -38,25 +39,27 @@
         self.wall.wall_ms(self.now_ms)
     }
 
-    /// Reading of the steady clock at this time of day; below zero for times before it began.
+    /// Converts a time of day to a reading of the steady clock; negative for times before that clock's zero.
     pub(crate) fn steady_ms(&self, wall_ms: u64) -> i64 {
         self.wall.steady_ms(wall_ms)
     }
 
-    /// Time since this reading of the steady clock; 0 if it is to come.
+    /// Time since this reading of the steady clock, in milliseconds; 0 if it is in the future.
     pub(crate) fn since_ms(&self, steady_ms: i64) -> u64 {
         (self.now_ms as i64).saturating_sub(steady_ms).max(0) as u64
     }
 }
 
-/// Maps the steady clock to the time of day.
+/// Maps readings of the steady clock to the time of day.
 #[derive(Debug)]
 struct WallClock {
+    /// Time of day minus the steady clock's reading.
     offset_ms: i64,
+    /// Differing offset that is adopted once it has been stable.
     candidate: Option<OffsetCandidate>,
 }
 
-/// Another offset, and since when it has been observed.
+/// A differing offset, and since when it has been observed, on the steady clock.
 #[derive(Clone, Copy, Debug)]
 struct OffsetCandidate {
     offset_ms: i64,
@@ -64,7 +67,7 @@
 }
 
 impl WallClock {
-    /// Both clocks read at the same moment.
+    /// Creates the mapping from readings of both clocks taken at the same moment.
     fn new(now_ms: u64, wall_ms: u64) -> Self {
         WallClock {
             offset_ms: wall_ms as i64 - now_ms as i64,
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Observes both clocks, read at the same moment.
+    /// Updates the offset from readings of both clocks taken at the same moment.
     fn observe(&mut self, now_ms: u64, wall_ms: u64) {
         let offset_ms = wall_ms as i64 - now_ms as i64;
         if (offset_ms - self.offset_ms).abs() <= DRIFT_MS {
@@ -92,12 +95,12 @@
         }
     }
 
-    /// Time of day at this reading of the steady clock.
+    /// Converts a reading of the steady clock to the time of day.
     fn wall_ms(&self, now_ms: u64) -> u64 {
         (now_ms as i64).saturating_add(self.offset_ms).max(0) as u64
     }
 
-    /// Reading of the steady clock at this time of day; below zero for times before it began.
+    /// Converts a time of day to a reading of the steady clock; negative for times before that clock's zero.
     fn steady_ms(&self, wall_ms: u64) -> i64 {
         (wall_ms.min(i64::MAX as u64) as i64).saturating_sub(self.offset_ms)
     }
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,4 +1,4 @@
-//! What a step requires of workers, and which of them it may use by now.
+//! Placement requirements of a step, and the relaxation of soft requirements with the time that the step has waited.
 
 use crate::health::HealthStatus;
 use crate::jobs::{Job, Task};
@@ -8,63 +8,65 @@
 use indigofold_protocol::job::Resources;
 use rustc_hash::FxHashMap;
 
-/// A step that has waited for this time may use any worker that its rules allow.
+/// A step that has waited for this time may also use suspected workers, and while the service has spare capacity it is
+/// not held back by blocked steps ahead of it.
 pub(crate) const ANY_WORKER_MS: u64 = 1_500;
-/// A task may go back to the worker where it failed after this time.
+/// A step that has waited for this time may use the worker where the task failed last.
 const FAILED_THERE_MS: u64 = 600;
-/// Longest time that a step waits for the rack of its data.
+/// Maximum time that a step waits for a worker on the rack of its data.
 const RACK_WAIT_MAX_MS: u64 = 1_000;
 
-/// What a step requires of workers.
+/// Placement requirements of a step's tasks at a point in time.
 pub(crate) struct StepDemand {
     /// The step.
     pub at: StepRef,
-    /// What each task takes.
+    /// Resources that each task takes.
     pub resources: Resources,
-    /// Label that workers must have; empty for none.
+    /// Label that workers must have; empty for any worker.
     pub label: String,
-    /// Label of the rack that has the data; empty for none.
+    /// Label of the rack that has the data; empty if the tasks run equally fast on all racks.
     pub affinity: String,
-    /// Most tasks of the step on one worker; 0 for no limit.
+    /// Maximum number of the step's tasks on one worker; 0 for no limit.
     pub anti_affinity: u32,
-    /// Tasks of the step on each worker.
+    /// Number of the step's outstanding runs on each worker; filled only if `anti_affinity` is set.
     pub on_worker: FxHashMap<WorkerId, u32>,
-    /// Class of its tasks.
+    /// Class of the tasks, whose run times are learned together.
     pub class: Class,
     /// The client's estimate of a task's run time, in milliseconds; 0 for none.
     pub estimate_ms: u64,
-    /// For how long the step has waited, in milliseconds.
+    /// Time that the step has waited for placement, in milliseconds.
     pub waited_ms: u64,
-    /// Tasks run until they are cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub long_running: bool,
-    /// Priority of its job; 0 goes first.
+    /// Priority of the job; 0 goes first.
     pub priority: u32,
-    /// Whether the tasks may run on a rack that does not have their data.
+    /// Whether the tasks may run on a rack other than that of their data.
     pub locality: Locality,
-    /// Idle workers are left to steps that need most of one, as long as others have capacity.
+    /// Whether idle workers are left to steps with large tasks, as long as other workers have capacity.
     pub avoids_idle_workers: bool,
 }
 
-/// Which workers an attempt to place a task considers.
+/// Which workers an attempt to place a task considers; [`Preferred`](Self::Preferred) is tried first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// Healthy workers, local ones if the step has data.
+    /// Warm workers that are healthy or on probation, local to the step's data, and not the one where the task failed
+    /// last.
     Preferred,
-    /// Any worker that the time waited so far allows.
+    /// All workers that the step's waiting time so far allows.
     Allowed,
 }
 
-/// Where tasks may run in relation to their data.
+/// On which racks tasks may be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Locality {
-    /// Only on the rack that has the data, gangs in one rack.
+    /// Only on the rack that has the data; rack-local gangs only within one rack.
     LocalOnly,
-    /// On any rack, once they have waited.
+    /// On any rack, once the step has waited long enough.
     Anywhere,
 }
 
 impl StepDemand {
-    /// What this step of the job requires; `None` if there is no such step.
+    /// Returns the requirements of a step of the job, for placement on any rack; `None` if there is no such step.
     pub(crate) fn of(job: &Job, at: StepRef, now_ms: u64) -> Option<StepDemand> {
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
         let mut on_worker = FxHashMap::default();
@@ -90,7 +92,8 @@
         })
     }
 
-    /// Whether label, `anti_affinity` and free capacity (beside `extra` more tasks of this step) allow this worker.
+    /// Whether the hard requirements (label, `anti_affinity`, free capacity) allow one more task on this worker, after
+    /// `extra` tasks of the step that are planned there.
     pub(crate) fn permits(&self, id: WorkerId, worker: &Worker, extra: u32) -> bool {
         let there = self.on_worker.get(&id).copied().unwrap_or(0) + extra;
         let spread = self.anti_affinity == 0 || there < self.anti_affinity;
@@ -99,17 +102,18 @@
             && worker.has_capacity(&times(&self.resources, u64::from(extra) + 1))
     }
 
-    /// Whether this worker has the label that the step asks for.
+    /// Whether the worker has the label that the step requires; `true` if it requires none.
     pub(crate) fn is_label_met(&self, worker: &Worker) -> bool {
         self.label.is_empty() || worker.labels().contains(&self.label)
     }
 
-    /// Whether this worker is on the rack of the data, or the step has none.
+    /// Whether the worker is on the rack of the step's data; `true` if the step names no rack.
     pub(crate) fn is_local(&self, worker: &Worker) -> bool {
         self.affinity.is_empty() || worker.rack() == Some(&self.affinity)
     }
 
-    /// Whether a worker is to be considered in this scope.
+    /// Whether the soft requirements (health, locality, warm-up, former failure) allow this worker in this scope.
+    /// `failed_there`: the task failed last on this worker.
     pub(crate) fn considers(
         &self,
         scope: Scope,
@@ -144,7 +148,7 @@
     }
 }
 
-/// These resources `count` times.
+/// Resources of `count` tasks that take `resources` each.
 pub(crate) fn times(resources: &Resources, count: u64) -> Resources {
     Resources {
         cpu: resources.cpu * count,
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -1,4 +1,4 @@
-//! Expected total and remaining run times.
+//! Estimates of the total and remaining run times of outstanding runs.
 
 use crate::cluster_view::ClusterView;
 use crate::jobs::Run;
@@ -7,11 +7,12 @@
 use crate::worker::WorkerId;
 use indigofold_protocol::task::TaskName;
 
-/// From this percentage on, a run's progress predicts its end.
+/// Minimum progress, in percent, from which a run's total time is projected.
 const CONCLUSIVE_PERCENT: u32 = 10;
 
 impl ClusterView<'_> {
-    /// Expected time until a run ends, in milliseconds.
+    /// Expected time until a run ends, in milliseconds; 0 if there is no such run. For a run that is being stopped it
+    /// is the rest of the time limit for stops.
     pub(crate) fn remaining_ms(&self, id: WorkerId, task: &TaskName) -> u64 {
         let Some(run) = self.run_at(id, task) else {
             return 0;
@@ -30,7 +31,8 @@
         (left_ms as u64).saturating_sub(unreported_ms)
     }
 
-    /// Expected total run time of the task on this worker, in milliseconds.
+    /// Expected total run time of the task on this worker, in milliseconds, including the slowdown of a remote run; 0
+    /// if the task's step is unknown.
     pub(crate) fn expected_run_ms(&self, id: WorkerId, task: &TaskName) -> f64 {
         let at = StepRef::of(task);
         let Some(traits) = self.jobs.traits(at) else {
@@ -44,7 +46,9 @@
     }
 }
 
-/// Total run time projected from the progress, in milliseconds; `None` while that is not conclusive.
+/// Total run time projected from the progress so far, in milliseconds. `None` while the progress is below
+/// [`CONCLUSIVE_PERCENT`], and for runs that resumed from a checkpoint or were placed by a predecessor, as their
+/// progress says nothing about their time since placement.
 pub(crate) fn projected_total_ms(run: &Run) -> Option<u64> {
     let conclusive = (CONCLUSIVE_PERCENT..100).contains(&run.percent()) && !run.is_resumed();
     let elapsed_ms = run.percent_ms().saturating_sub(run.placed_ms());
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -1,20 +1,21 @@
-//! Headroom: while small urgent tasks keep coming, work of lower priority that has time leaves a fraction of the
-//! service's processors free, so that urgent tasks start without waiting for stops.
+//! Headroom: while small urgent tasks keep coming, steps of lower priority that need not start soon leave a fraction of
+//! the service's CPU capacity free, so that urgent tasks start without waiting for preempted runs to stop.
 
 use crate::cluster_view::ClusterView;
 use crate::queue::QueueKey;
 use crate::services::ServiceState;
 use crate::worker::Worker;
 
-/// Fraction of the service's processors that is left free.
+/// Fraction of the service's CPU capacity that is left free.
 const HEADROOM_FRACTION: f64 = 0.10;
-/// A task is small if it takes at most the largest worker's processors divided by this.
+/// A task is small if it takes at most the CPU capacity of the service's largest worker divided by this.
 const SMALL_DIVISOR: u64 = 16;
-/// Work that need not start sooner than this leaves headroom.
+/// A step whose latest start is further ahead than this leaves headroom.
 const TIME_LEFT_MS: i64 = 1_500;
 
 impl ClusterView<'_> {
-    /// Priority of the first step in the queue, if its tasks are small and urgent ones need headroom.
+    /// Priority of the first step in the queue that is not hopeless; `None` if its tasks are not small, form a gang or
+    /// are long-running.
     pub(crate) fn small_task_priority(
         &self,
         service: &ServiceState,
@@ -28,7 +29,8 @@
         small.then_some(first.priority)
     }
 
-    /// Whether the step has to leave headroom: it is less urgent than recent small tasks, and has time.
+    /// Whether the step has to leave headroom: recent small tasks have a higher priority, and the step is hopeless or
+    /// need not start soon.
     pub(crate) fn must_leave_headroom(&self, service: &ServiceState, key: QueueKey) -> bool {
         let Some(urgent_priority) = service.recent().urgent_priority(self.now_ms) else {
             return false;
@@ -37,7 +39,8 @@
             && (key.hopeless || key.latest_start_ms > self.now_ms as i64 + TIME_LEFT_MS)
     }
 
-    /// Processors, in thousandths of a core, that are free beyond the headroom.
+    /// CPU capacity that is free beyond the headroom, in thousandths of a core; negative if the headroom is partly
+    /// used.
     pub(crate) fn free_beyond_headroom(&self, service: &ServiceState) -> f64 {
         let beyond = |worker: &Worker| {
             worker.free().cpu as f64 - HEADROOM_FRACTION * worker.capacity().cpu as f64
@@ -48,7 +51,7 @@
             .sum()
     }
 
-    /// Processors of the service's largest worker, in thousandths of a core.
+    /// CPU capacity of the service's largest worker, in thousandths of a core; 0 if there is no worker.
     fn largest_capacity(&self, service: &ServiceState) -> u64 {
         let capacities = self.workers_of(service).map(|worker| worker.capacity().cpu);
         capacities.max().unwrap_or(0)
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,60 +1,61 @@
-//! A worker's health by the results of its runs: one that fails, hangs or is slow is suspected, and later used on
-//! probation until a run succeeds.
+//! Health of a worker, judged by the results of its runs. A worker whose runs fail, hang or are slow is suspected and
+//! gets no new runs; after a backoff it is on probation until a run succeeds.
 
-/// Older results lose half of their weight in this time.
+/// Half-life of the weight of results.
 const HALF_LIFE_MS: f64 = 8_000.0;
-/// Weight of failures from which on a worker may be suspected.
+/// Minimum weight of failures for suspecting a worker by its fraction of failures.
 const SUSPECT_WEIGHT: f64 = 2.5;
-/// Fraction of failures among its results from which on a worker is suspected.
+/// Minimum fraction of failures among all results for suspecting a worker.
 const SUSPECT_FRACTION: f64 = 0.4;
-/// So many failures in a row make a worker suspected whatever it did before.
+/// A worker is suspected after failures of this total weight in a row, regardless of earlier successes.
 const SUSPECT_STREAK: f64 = 3.0;
-/// Weight of a failure of a job that has failed elsewhere too: rather the job's own fault.
+/// Weight of a failure whose cause is probably the job rather than the worker.
 const DOUBTFUL_FAILURE: f64 = 0.15;
-/// Time from suspicion to probation; it doubles each time the run on probation fails.
+/// Time from suspicion to the first probation; it doubles each time the run on probation fails.
 const FIRST_PROBATION_MS: u64 = 4_000;
-/// Longest time from suspicion to probation.
+/// Maximum time from suspicion to probation.
 const PROBATION_BACKOFF_MAX_MS: u64 = 30_000;
-/// Weight of the former pace in the exponential mean.
+/// Weight of the former mean in the exponential moving average of the slowdown.
 const PACE_KEEP: f64 = 0.7;
-/// A worker whose runs take so many times as long as expected is suspected.
+/// A worker whose mean slowdown exceeds this factor is suspected.
 const SLOW_PACE: f64 = 2.5;
 
-/// Results of one worker's runs.
+/// Decaying statistics of the results of one worker's runs.
 #[derive(Debug)]
 pub(crate) struct WorkerHealth {
-    /// Weight of successes; older ones fade.
+    /// Weight of successes, decaying with [`HALF_LIFE_MS`].
     good: f64,
-    /// Weight of failures; older ones fade.
+    /// Weight of failures, decaying with [`HALF_LIFE_MS`].
     bad: f64,
     /// Weight of failures since the last success.
     streak: f64,
-    /// Logarithm of run times against what was expected.
+    /// Exponential moving average of the logarithm of the slowdown (run time divided by expected run time).
     pace: f64,
-    /// When the weights were faded last, on the steady clock.
+    /// When the decay was last applied to the weights, on the steady clock.
     updated_ms: u64,
+    /// `None` while the worker is healthy.
     suspected: Option<Suspicion>,
 }
 
-/// What is known of a suspected worker.
+/// State of a worker that is suspected or on probation.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
-    /// When probation begins.
+    /// When the probation begins.
     probation_ms: u64,
-    /// Time from suspicion to probation.
+    /// Time from the latest suspicion to probation.
     backoff_ms: u64,
-    /// The run on probation was placed, and has not ended yet.
+    /// Whether a run was placed on probation whose result is still open.
     probing: bool,
 }
 
-/// Whether new runs are placed on a worker.
+/// Whether new runs may be placed on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthStatus {
-    /// Like any other.
+    /// New runs may be placed without restriction.
     Healthy,
-    /// One run at a time, to see whether it has recovered.
+    /// One run may be placed, to test whether the worker has recovered.
     OnProbation,
-    /// Only if nothing else is left.
+    /// Used only for tasks that have waited too long for other workers.
     Suspected,
 }
 
@@ -72,7 +73,8 @@
 }
 
 impl WorkerHealth {
-    /// A run there ended `done` after `pace` times the time expected.
+    /// Records a run that ended `done`. `slowdown` is its run time divided by the expected one; `None` if the run is no
+    /// sample of the worker's speed. The success ends a suspicion unless the worker is too slow.
     pub(crate) fn succeeded(&mut self, now_ms: u64, pace: Option<f64>) {
         self.fade(now_ms);
         self.good += 1.0;
@@ -93,8 +95,8 @@
         }
     }
 
-    /// A run there failed or hung; `is_doubtful`: the cause may be the job, which has failed on another worker too, or is
-    /// long-running.
+    /// Records a run that failed or hung. `is_doubtful`: the cause is probably the job, which has failed on another
+    /// worker too, or is long-running.
     pub(crate) fn failed(&mut self, now_ms: u64, is_doubtful: bool) {
         self.fade(now_ms);
         let weight = if is_doubtful { DOUBTFUL_FAILURE } else { 1.0 };
@@ -106,14 +108,15 @@
         }
     }
 
-    /// A run there was so much slower than expected that it was moved.
+    /// Records a run that was so much slower than expected that it was stopped to be moved: the worker is suspected at
+    /// once.
     pub(crate) fn too_slow(&mut self, now_ms: u64) {
         self.fade(now_ms);
         self.pace = self.pace.max(SLOW_PACE.ln());
         self.suspect(now_ms);
     }
 
-    /// Whether new runs are placed there now.
+    /// Whether new runs may be placed on the worker now.
     pub(crate) fn status(&self, now_ms: u64) -> HealthStatus {
         match self.suspected {
             None => HealthStatus::Healthy,
@@ -122,8 +125,8 @@
         }
     }
 
-    /// A run was placed there: on probation, the one that decides. If its end is never reported, another probation
-    /// follows.
+    /// Records a placed run. On probation its result decides about the worker; until then the worker is suspected
+    /// again. If no result comes within the backoff, a new probation begins.
     pub(crate) fn placed(&mut self, now_ms: u64) {
         if self.status(now_ms) == HealthStatus::OnProbation
             && let Some(suspicion) = &mut self.suspected
@@ -132,6 +135,7 @@
         }
     }
 
+    /// Begins or prolongs the suspicion. The backoff doubles if the worker was on probation.
     fn suspect(&mut self, now_ms: u64) {
         let backoff_ms = match self.suspected {
             None => FIRST_PROBATION_MS,
@@ -151,6 +155,7 @@
         });
     }
 
+    /// Applies the decay since the last update to the weights of successes and failures.
     fn fade(&mut self, now_ms: u64) {
         let keep = 0.5f64.powf(now_ms.saturating_sub(self.updated_ms) as f64 / HALF_LIFE_MS);
         (self.good, self.bad, self.updated_ms) = (self.good * keep, self.bad * keep, now_ms);
--- a/crates/scheduler/src/health/tests.rs
+++ b/crates/scheduler/src/health/tests.rs
@@ -1,4 +1,4 @@
-//! Suspicion, probation and recovery of a worker.
+//! Tests of suspicion, probation and recovery of a worker.
 
 use super::*;
 
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -1,5 +1,6 @@
-//! Hybrid SQ(d): the workers of a service by kind, the probabilities `p_k` of the kinds by problem (1), and the selection of a
-//! worker.
+//! Hybrid SQ(d): groups the workers of a service into kinds, computes the probability `p_k` of each kind (the solution
+//! of problem (1), see [`solve`]), and selects workers for tasks. Also estimates run times by class of tasks and kind
+//! of workers.
 
 use crate::worker::{Worker, WorkerId, is_rack};
 use crate::workers::Workers;
@@ -11,106 +12,118 @@
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 
-/// Workers sampled for a task.
+/// Number `d` of workers sampled for a task.
 pub(crate) const SAMPLES: usize = 3;
-/// Weight of the former load in the exponential mean.
+/// Weight of the former mean in the exponential moving average of the load.
 const LOAD_KEEP: f64 = 0.7;
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const MICROS: u64 = 1_000;
-/// A run of an unknown class without an estimate is assumed to take this time, in milliseconds.
+/// Expected run time of a class without observed runs and without a client's estimate, in milliseconds.
 const UNKNOWN_RUN_MS: f64 = 1_000.0;
 
-/// Workers with like labels (racks apart) and capacity.
+/// Workers with the same labels (except rack labels) and the same capacity.
 #[derive(Debug)]
 struct Kind {
     labels: Vec<String>,
     capacity: Resources,
+    /// Speed relative to the other kinds, learned from run times.
     speed: Speed,
     workers: Vec<WorkerId>,
+    /// Probability `p_k` of drawing this kind for a task.
     probability: f64,
 }
 
 /// A class of tasks whose run times are learned together: one step of the jobs of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Class {
-    /// Name of the route.
+    /// Name of the route of the jobs' queue.
     pub route: String,
-    /// Number of the step.
+    /// Number of the step within the job.
     pub step: u32,
 }
 
-/// How long the tasks of a class run. Clients' estimates are rough: they are used only where they have predicted better
-/// than the class's mean.
+/// Run times of the tasks of a class. Clients' estimates are rough, so they are used only where they have predicted at
+/// least as well as the mean of the class.
 #[derive(Debug, Default)]
 struct ClassWork {
+    /// Run times relative to the clients' estimates.
     by_estimate: Work,
+    /// Run times without regard to estimates.
     by_mean: Work,
-    /// Squared errors (of logarithms) that each of the two has made.
+    /// Squared errors of the logarithms of the predictions by `by_estimate`.
     errors_by_estimate: WeightedSum,
+    /// Squared errors of the logarithms of the predictions by `by_mean`.
     errors_by_mean: WeightedSum,
 }
 
-/// The kinds of one service.
+/// The kinds of workers of one service and the run times learned there.
 #[derive(Debug, Default)]
 pub(crate) struct Kinds {
     kinds: Vec<Kind>,
+    /// Index into `kinds` of each worker's kind.
     kind_of: FxHashMap<WorkerId, usize>,
     classes: FxHashMap<Class, ClassWork>,
+    /// Run times at mean speed, over all classes.
     all: WeightedSum,
+    /// Exponential moving average of the load, between 0 and 1.
     load: f64,
 }
 
-/// Why the winner won.
+/// Rule by which a worker was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Fewest runs among the workers sampled of the drawn kind.
+    /// Fewest runs among the sampled workers of the drawn kind.
     FewestOfDrawn,
-    /// Fewest runs among the workers sampled of the only kind that the step may use.
+    /// Fewest runs among the sampled workers of the only kind that has the step's label.
     FewestOfBound,
-    /// The drawn kind had no capacity; fewest among the workers sampled of the next kind by `p_k`.
+    /// The kinds tried before had no suitable worker; fewest runs among the sampled workers of the next kind in
+    /// descending order of `p_k`.
     FewestOfNext,
 }
 
-/// A worker of a sample.
+/// A worker that was sampled for a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SampledWorker {
     /// Id of the worker instance.
     pub instance: String,
-    /// Number of its runs.
+    /// Number of outstanding runs on the instance.
     pub runs: usize,
 }
 
-/// How a worker was selected.
+/// Trace of the selection of a worker for a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementTrace {
-    /// The task.
+    /// The task that was placed.
     pub task: TaskName,
-    /// Number of the drawn kind; `None` for a step bound to a kind.
+    /// Index of the drawn kind in `probabilities`; `None` for a step that is bound to one kind by its label.
     pub drawn: Option<usize>,
-    /// `p_k` of all kinds.
+    /// Probability `p_k` of each kind.
     pub probabilities: Vec<f64>,
-    /// Workers sampled that have capacity.
+    /// Workers sampled, all of them suitable; of the kind that the winner belongs to.
     pub sampled: Vec<SampledWorker>,
-    /// The selected worker.
+    /// Id of the selected worker instance.
     pub winner: String,
-    /// Why.
+    /// Rule by which the winner was selected.
     pub reason: Reason,
 }
 
-/// A selected worker.
+/// A worker selected for a task, and how it was selected.
 #[derive(Debug)]
 pub(crate) struct Selection {
-    /// The worker.
+    /// The selected worker.
     pub worker: WorkerId,
-    /// Whether the step was bound to a kind.
+    /// Whether the step is bound to one kind by its label.
     pub bound: bool,
+    /// Index of the drawn kind; `None` if the step is bound to one kind.
     drawn: Option<usize>,
+    /// Sampled workers, including the selected one.
     sampled: Vec<WorkerId>,
     reason: Reason,
 }
 
 impl Kinds {
-    /// Sorts the service's workers into kinds anew; known speeds stay.
+    /// Assigns all workers of the service to kinds again and updates the probabilities. Kinds once seen stay, with the
+    /// speeds learned.
     pub(crate) fn regroup(&mut self, workers: &Workers, backend: &str) {
         self.kinds.iter_mut().for_each(|kind| kind.workers.clear());
         self.kind_of.clear();
@@ -125,6 +138,7 @@
         self.solve(workers);
     }
 
+    /// Index of the worker's kind, which is added if it is new.
     fn kind_for(&mut self, worker: &Worker) -> usize {
         let labels: Vec<String> = worker
             .labels()
@@ -146,13 +160,14 @@
         })
     }
 
-    /// Solves problem (1) for the present load.
+    /// Updates the mean load and the probabilities of the kinds.
     pub(crate) fn resolve(&mut self, workers: &Workers) {
         let load = self.measured_load(workers);
         self.load = LOAD_KEEP * self.load + (1.0 - LOAD_KEEP) * load;
         self.solve(workers);
     }
 
+    /// Updates the probabilities of the kinds for the mean load. Only connected workers count.
     fn solve(&mut self, workers: &Workers) {
         let ready = |kind: &Kind| {
             let takes = |id: &&WorkerId| workers.get(**id).is_some_and(|w| w.agent().is_some());
@@ -168,7 +183,8 @@
             .for_each(|(kind, p)| kind.probability = p);
     }
 
-    /// Fraction of the capacity, without what bound runs take, that unbound runs take.
+    /// Fraction of the service's capacity that unbound runs take, by dominant share per worker. Capacity taken by runs
+    /// bound to a kind is left out; 0 if the service has no workers.
     pub(crate) fn measured_load(&self, workers: &Workers) -> f64 {
         let (mut used, mut all) = (0.0, 0.0);
         for worker in self.kind_of.keys().filter_map(|id| workers.get(*id)) {
@@ -183,7 +199,7 @@
         if all > 0.0 { used / all } else { 0.0 }
     }
 
-    /// Mean speed of the kinds that have a speed estimate.
+    /// Mean speed of the kinds with observed runs; 1 if there are none.
     fn mean_speed(&self) -> f64 {
         let known = self.kinds.iter().filter(|kind| kind.speed.weight() > 0.0);
         let (sum, count) = known.fold((0.0, 0.0), |(sum, count), kind| {
@@ -192,7 +208,9 @@
         if count > 0.0 { sum / count } else { 1.0 }
     }
 
-    /// A run of this class took `run_ms` on this worker.
+    /// Updates the run times of the class and the speed of the worker's kind with a run that took `run_ms`.
+    /// `estimate_ms` is the client's estimate, 0 for none. The speed is learned from the class mean alone, not from the
+    /// estimate.
     pub(crate) fn record_run(
         &mut self,
         worker: WorkerId,
@@ -221,7 +239,7 @@
         }
     }
 
-    /// Run time to be expected on this worker, in milliseconds.
+    /// Expected run time on this worker, in milliseconds. `estimate_ms` is the client's estimate, 0 for none.
     pub(crate) fn expected_ms(&self, worker: WorkerId, class: &Class, estimate_ms: u64) -> f64 {
         let speed = self
             .kind_of
@@ -230,7 +248,8 @@
         self.expected_at_mean_speed_ms(class, estimate_ms) / speed.max(0.01)
     }
 
-    /// Run time to be expected on a worker of mean speed, in milliseconds.
+    /// Expected run time on a worker of mean speed, in milliseconds. `estimate_ms` is the client's estimate, 0 for
+    /// none; it is taken as given while no run of the class was observed.
     pub(crate) fn expected_at_mean_speed_ms(&self, class: &Class, estimate_ms: u64) -> f64 {
         let estimate = (estimate_ms > 0).then_some(estimate_ms * MICROS);
         let class_mean = self.classes.get(class).and_then(|work| work.mean(estimate));
@@ -242,15 +261,17 @@
         class_mean.map_or(given_ms, |micros| micros / MICROS as f64)
     }
 
-    /// Workers of the service.
+    /// Iterates over the workers of the service, by kind.
     pub(crate) fn workers(&self) -> impl Iterator<Item = WorkerId> {
         self.kinds
             .iter()
             .flat_map(|kind| kind.workers.iter().copied())
     }
 
-    /// Draws a kind by `p_k` (or takes the one that `label` binds to) and samples workers that `fits`; the one with the
-    /// fewest runs wins. Without any the other kinds follow by `p_k`.
+    /// Selects a worker for a task: draws a kind with probability `p_k` (or takes the one that `label` binds to),
+    /// samples up to [`SAMPLES`] of its workers that satisfy `fits`, and selects the one with the fewest outstanding
+    /// runs. If no worker of the kind fits, the other kinds are tried in descending order of `p_k`. `None` if no worker
+    /// fits.
     pub(crate) fn select(
         &self,
         rng: &mut Pcg64Mcg,
@@ -291,7 +312,7 @@
         None
     }
 
-    /// Kinds in the order in which they are sampled: the drawn one first, the others by falling probability.
+    /// Order in which the kinds are sampled: the drawn one first, the others in descending order of probability.
     fn by_probability(&self, mut kinds: Vec<usize>, drawn: Option<usize>) -> Vec<usize> {
         kinds.sort_by(|a, b| {
             self.kinds[*b]
@@ -304,7 +325,7 @@
         kinds
     }
 
-    /// Kinds with this label; all of them if no kind has it (it may name a rack).
+    /// Kinds with this label; all kinds if none has it, as the label may name a rack.
     fn allowed(&self, label: &str) -> Vec<usize> {
         let named = |kind: &usize| self.kinds[*kind].labels.iter().any(|l| l == label);
         let with_label: Vec<usize> = (0..self.kinds.len()).filter(named).collect();
@@ -315,6 +336,7 @@
         }
     }
 
+    /// Draws one of the allowed kinds with probability proportional to `p_k`; `None` if `allowed` is empty.
     fn draw(&self, rng: &mut Pcg64Mcg, allowed: &[usize]) -> Option<usize> {
         let total: f64 = allowed
             .iter()
@@ -330,7 +352,7 @@
         allowed.last().copied()
     }
 
-    /// The selection as it is shown to whoever follows placements.
+    /// Builds the trace of a selection, with the runs that the workers have now.
     pub(crate) fn trace(
         &self,
         task: TaskName,
@@ -362,7 +384,8 @@
 }
 
 impl ClassWork {
-    /// Records the errors of both predictions of this run time.
+    /// Records the errors of both predictions for a run. `estimate` and `run` (the run time at mean speed) are in
+    /// microseconds.
     fn judge(&mut self, estimate: Option<u64>, run: f64) {
         let error = |predicted: f64| (predicted.max(1.0) / run.max(1.0)).ln().powi(2);
         if self.by_mean.weight() > 0.0 {
@@ -375,7 +398,8 @@
         }
     }
 
-    /// Run time at mean speed, in microseconds, once something is known.
+    /// Expected run time at mean speed, in microseconds; `None` while no run was observed for the prediction that
+    /// applies.
     fn mean(&self, estimate: Option<u64>) -> Option<f64> {
         let known = self.by_mean.weight() > 0.0;
         let mean = |errors: WeightedSum| {
@@ -396,6 +420,7 @@
 }
 
 impl Kind {
+    /// Speed of the kind; `mean` if no run was observed on it.
     fn speed_or(&self, mean: f64) -> f64 {
         if self.speed.weight() > 0.0 {
             self.speed.speed
@@ -405,7 +430,7 @@
     }
 }
 
-/// Up to [`SAMPLES`] different workers that fit, drawn at random.
+/// Draws up to [`SAMPLES`] different workers that satisfy `fits`, uniformly at random.
 fn sample(
     rng: &mut Pcg64Mcg,
     from: &[WorkerId],
@@ -423,7 +448,8 @@
     sampled
 }
 
-/// The largest fraction that is used of any resource (dominant share, Ghodsi and others, NSDI 2011).
+/// Dominant share: the largest fraction of any resource's capacity that is used (Ghodsi et al., NSDI 2011). Resources
+/// of which there is no capacity are left out.
 pub(crate) fn dominant_share(used: &Resources, capacity: &Resources) -> f64 {
     let fraction = |used: u64, all: u64| {
         if all > 0 {
--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -1,39 +1,40 @@
-//! Where the time of a job went that ended after its latency target, or failed: along the chain of tasks that decided
-//! its end, each of which was the last of its step to be done.
+//! Latency breakdown of jobs that end after their latency target or fail: the time by cause, along the chain of tasks
+//! that determined the end. Each task of the chain was the last of its step to be done.
 
 use indigofold_protocol::job::JobState;
 use indigofold_protocol::task::JobId;
 use std::fmt::{self, Display, Formatter};
 
-/// What time of a job was spent on.
+/// Cause to which a part of a job's latency is attributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// Due, but under another head.
+    /// Time between the due time and the opening of the repetition by this scheduler: mainly time under a predecessor,
+    /// whose causes are not known.
     Predecessor,
-    /// Waiting behind other steps of the queue.
+    /// Waiting while steps ahead in the queue wait for capacity too.
     Queue,
-    /// First in the queue, waiting for free capacity on any worker.
+    /// Waiting for free capacity on any worker, with no step ahead that blocks this one.
     Capacity,
-    /// Waiting for free capacity on the rack of the data, in one rack, or for a complete gang.
+    /// Waiting for free capacity on the rack of the data or in one rack, or for all members of a gang to fit at once.
     Locality,
-    /// Placed, waiting for the write.
+    /// Placed, waiting for the placement to be committed.
     Commit,
-    /// Ordered, not yet listed by the worker.
+    /// Start order sent, not yet listed by the worker.
     Dispatch,
-    /// At work, done in the end.
+    /// Run time of runs that were done in the end, without the part due to `Remote`.
     Run,
-    /// The fraction of such work that is due to running remote from the data or in several racks.
+    /// Part of such run time that is due to running remote from the data, or as a gang in several racks.
     Remote,
-    /// Work that failed.
+    /// Runs that failed.
     Failed,
-    /// Work that was stopped, or never started.
+    /// Runs that were stopped or never started.
     Stopped,
-    /// Work that was lost with its worker.
+    /// Runs that were lost with their worker.
     Lost,
 }
 
 impl Cause {
-    /// All causes, in the order in which a job meets them.
+    /// All causes, in the order in which a job usually meets them.
     pub const ALL: [Cause; 11] = [
         Cause::Predecessor,
         Cause::Queue,
@@ -48,7 +49,7 @@
         Cause::Lost,
     ];
 
-    /// Name in log lines.
+    /// Key of the cause in log lines.
     fn name(self) -> &'static str {
         match self {
             Cause::Predecessor => "predecessor_ms",
@@ -66,26 +67,26 @@
     }
 }
 
-/// Milliseconds by cause.
+/// Milliseconds spent per cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LatencyBreakdown([u32; Cause::ALL.len()]);
 
 /// A job, or one of its repetitions, that ended after its latency target or failed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LateEnd {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Repetition.
+    /// Number of the repetition, from 0.
     pub repeat: u32,
-    /// Name of its queue's route.
+    /// Name of the route of the job's queue.
     pub route: String,
     /// `Completed` or `Failed`.
     pub state: JobState,
-    /// Time from when it was due to its end, in milliseconds.
+    /// Time from its due time to its end, in milliseconds.
     pub took_ms: u64,
     /// Its latency target, in milliseconds.
     pub latency_target_ms: u64,
-    /// Where the time went.
+    /// Time per cause; adds up to `took_ms` except for rounding.
     pub breakdown: LatencyBreakdown,
 }
 
@@ -95,6 +96,7 @@
         u64::from(self.0[cause as usize])
     }
 
+    /// Sum over all causes, in milliseconds.
     fn total_ms(&self) -> u64 {
         self.0.iter().copied().map(u64::from).sum()
     }
@@ -105,14 +107,15 @@
         *sum = sum.saturating_add(u32::try_from(ms).unwrap_or(u32::MAX));
     }
 
-    /// Adds another breakdown.
+    /// Adds another breakdown, cause by cause.
     pub(crate) fn add_all(&mut self, other: &LatencyBreakdown) {
         for cause in Cause::ALL {
             self.add(cause, other.of(cause));
         }
     }
 
-    /// Adds a wait of `ms`, divided among causes as `observed` is; without any, it counts as waiting in the queue.
+    /// Adds a wait of `ms`, divided among the causes in proportion to `observed`. If nothing was observed, it counts as
+    /// waiting in the queue.
     pub(crate) fn add_wait(&mut self, ms: u64, observed: &LatencyBreakdown) {
         let total_ms = observed.total_ms();
         if total_ms == 0 {
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -1,4 +1,4 @@
-//! When and where capacity is expected to be free, if what runs ends as expected.
+//! Forecast of when and where capacity becomes free, assuming that all runs end at their expected times.
 
 use crate::cluster_view::ClusterView;
 use crate::demand::{StepDemand, times};
@@ -8,37 +8,39 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// While less than this fraction of the service is in use, nobody waits long for a reserved worker.
+/// The service has spare capacity while its load is below this fraction. No step then waits long for workers reserved
+/// for others.
 const IDLE_LOAD: f64 = 0.55;
-/// A worker that is reserved already counts as free by so much earlier, so that reservations do not move.
+/// A worker that is reserved already is treated as free by this much earlier, so that reservations do not move between
+/// workers with nearly equal forecasts.
 const STAY_MS: u64 = 400;
 
-/// Capacity for the tasks of a step, and when all of them are expected to be free.
+/// Forecast of the capacity for the tasks of a step that start together.
 #[derive(Clone, Debug)]
 pub(crate) struct Outlook {
-    /// When.
+    /// When the capacity for all tasks is expected to be free, on the steady clock.
     pub free_ms: u64,
-    /// Number of tasks on each worker.
+    /// Number of tasks for which each worker provides capacity.
     pub tasks: FxHashMap<WorkerId, u32>,
 }
 
-/// Capacity for one task; ordered by time.
+/// Expected capacity for one task on a worker; ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Slot {
-    /// When it is expected to be free.
+    /// When the capacity is expected to be free, on the steady clock.
     free_ms: u64,
     worker: WorkerId,
 }
 
-/// The expected end of a run.
+/// Expected end of a run and the resources that it frees.
 struct ExpectedEnd {
     at_ms: u64,
     freed: Resources,
 }
 
 impl ClusterView<'_> {
-    /// Whether only about half of the service is in use, or less, by the resource used most or by its cores: then no
-    /// step may wait long where there is capacity for it.
+    /// Whether the service has spare capacity: its load is below [`SPARE_LOAD_MAX`], either by its CPU capacity or by
+    /// the dominant share of unbound runs. No step may wait long then if there is capacity for it.
     pub(crate) fn has_spare_capacity(&self, service: &ServiceState) -> bool {
         let (used, all) = self.workers_of(service).fold((0, 0), |(used, all), w| {
             (used + w.used().cpu, all + w.capacity().cpu)
@@ -47,8 +49,9 @@
             || service.kinds().measured_load(self.workers) < IDLE_LOAD
     }
 
-    /// Where and when `members` tasks will find capacity, if what runs ends as expected; in one rack if the step needs
-    /// that and it does not take too long.
+    /// Forecasts when and where `members` tasks of the step can start together; `None` if the service does not get
+    /// enough capacity even after all runs have ended. For a rack-local step it is within one rack, unless spreading
+    /// over racks allows a start so much earlier that it makes up for the slower runs.
     pub(crate) fn outlook(
         &self,
         service: &ServiceState,
@@ -76,6 +79,8 @@
         )
     }
 
+    /// The same forecast for the workers of one rack, or of all racks if `rack` is `None`. Workers that are not
+    /// responsive, or reserved for another step of the same or a higher priority, are left out.
     fn outlook_in(
         &self,
         service: &ServiceState,
@@ -116,7 +121,8 @@
         Some(Outlook { free_ms, tasks })
     }
 
-    /// When the worker is expected to have capacity for one, two, ... tasks (at most `members`) of the step.
+    /// Times at which the worker is expected to have capacity for one, two, ... up to `members` tasks of the step, in
+    /// ascending order. Ends early at the first number that the worker can never hold.
     fn free_times(
         &self,
         id: WorkerId,
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,5 +1,5 @@
-//! Placement of admitted tasks: the steps in the queue's order, each task by hybrid SQ(d) among the workers that may
-//! take it. Children: gangs, reservations and speculative runs.
+//! Placement of waiting tasks: steps are visited in queue order, and each task is placed by hybrid SQ(d) on one of the
+//! workers that may run it. The submodules place gangs, reserve workers and start speculative runs.
 
 mod gang;
 mod reserve;
@@ -21,43 +21,47 @@
 use rand_pcg::Pcg64Mcg;
 use reserve::{RESERVATIONS_MAX, reserve};
 
-/// Most steps that one pass over the queue considers.
+/// Maximum number of steps that one pass over a queue visits.
 const PASS_STEPS: usize = 400;
-/// A task is large if it takes more than this fraction of a worker.
+/// A task is large if its dominant share of a worker exceeds this fraction.
 const LARGE_FRACTION: f64 = 0.5;
 
-/// What one pass over a queue has found so far.
+/// State of one pass over a service's queue.
 #[derive(Debug)]
 struct Pass {
-    /// Much of the service is idle.
+    /// Whether the service's load is low, see [`ClusterView::has_spare_capacity`].
     has_spare_capacity: bool,
-    /// The most of each resource that any one worker has free.
+    /// Per resource, the largest amount that is free on any single worker.
     largest_free: Resources,
-    /// Sizes of tasks that found no worker, though they ask for nothing but capacity.
+    /// Task sizes for which an earlier step of this pass found no worker. Only steps without other constraints are
+    /// included.
     blocked: Vec<Resources>,
-    /// Steps with reservations.
+    /// Steps that hold reservations after this pass, at most [`RESERVATIONS_MAX`].
     reserved: Vec<StepRef>,
 }
 
-/// What a task takes.
+/// What a task of a step requires of a worker.
 struct TaskShape {
     resources: Resources,
-    /// The step asks for more than capacity: certain workers, or several at once.
+    /// Whether anything but capacity limits the choice of workers: a label, a rack, `anti_affinity`, a gang, a
+    /// long-running step, or a worker that a task failed on.
     constrained: bool,
 }
 
-/// Decides where tasks go. Its draws come from one generator, so that the same events give the same placements.
+/// Selects the workers for tasks. All random draws come from one seeded generator, so that the same sequence of events
+/// results in the same placements.
 #[derive(Debug)]
 pub(crate) struct Placer {
     rng: Pcg64Mcg,
-    /// Nothing is placed before this time: after a take-over the node agents reconnect one by one.
+    /// No task is placed before this time. After a take-over the node agents reconnect one by one, and tasks placed at
+    /// once would pile up on the workers that are back first.
     start_ms: u64,
-    /// Placements since they were last taken; `None` while nobody follows them.
+    /// Placements since the last call of [`take_traces`](Self::take_traces); `None` while tracing is off.
     traces: Option<Vec<PlacementTrace>>,
 }
 
 impl Placer {
-    /// Places from `start_ms` of the steady clock on.
+    /// Creates a placer with this seed that places tasks from `start_ms` of the steady clock on.
     pub(crate) fn new(seed: u64, start_ms: u64) -> Self {
         Placer {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -66,23 +70,23 @@
         }
     }
 
-    /// Places nothing before this time of the steady clock.
+    /// Postpones all placements to this time of the steady clock.
     pub(crate) fn wait_until(&mut self, start_ms: u64) {
         self.start_ms = start_ms;
     }
 
-    /// Follows placements from now on.
+    /// Starts recording a trace of each placement.
     pub(crate) fn follow(&mut self) {
         self.traces = Some(Vec::new());
     }
 
-    /// Placements since the last call.
+    /// Returns the traces recorded since the last call, oldest first.
     pub(crate) fn take_traces(&mut self) -> Vec<PlacementTrace> {
         let traces = self.traces.as_mut();
         traces.map(std::mem::take).unwrap_or_default()
     }
 
-    /// Places what can be placed, in all services where something has changed.
+    /// Runs a pass over the queue of each service for which one is due.
     pub(crate) fn place_waiting(&mut self, cluster: &mut Cluster) {
         let now_ms = cluster.clock().now_ms();
         if now_ms < self.start_ms {
@@ -97,9 +101,9 @@
             cluster.services_mut().entry(&name).end_pass(now_ms);
         }
     }
-    /// Visits the steps in the order of the queue, places what fits and reserves workers for steps that need much capacity.
-    /// Among steps of one priority, capacity goes first to tasks that are local there: a remote task occupies it for
-    /// several times as long.
+    /// Visits the steps in queue order, places the tasks that fit and reserves workers for steps that need much
+    /// capacity. Steps of one priority are visited twice: first only for workers local to their data, then for any
+    /// worker, because a remote task occupies capacity for longer than a local one.
     fn pass(&mut self, cluster: &mut Cluster, service: &str) {
         let Some(state) = cluster.services().get(service) else {
             return;
@@ -131,7 +135,9 @@
         service.reservations_mut().retain(&pass.reserved);
     }
 
-    /// Places the tasks of a step that fit, and reserves workers for the others if they need much.
+    /// Places the tasks of a step that fit, and reserves workers for the rest if they need much capacity. A step is
+    /// skipped if an earlier step with tasks of at most its size found no worker, so that it cannot overtake that step.
+    /// The exception is a step that has waited for [`ANY_WORKER_MS`] while the service has spare capacity.
     fn visit_step(
         &mut self,
         cluster: &mut Cluster,
@@ -169,7 +175,8 @@
         }
     }
 
-    /// Places as many waiting tasks of a step as there is capacity for.
+    /// Places as many waiting tasks of a step as there is capacity for, beyond the headroom if the step has to leave it
+    /// free.
     fn place_step(
         &mut self,
         cluster: &mut Cluster,
@@ -207,7 +214,7 @@
         }
     }
 
-    /// Places one task; returns whether a worker was found.
+    /// Places one task, on a preferred worker if there is one; returns whether a worker was found.
     fn place_task(
         &mut self,
         cluster: &mut Cluster,
@@ -244,7 +251,8 @@
         true
     }
 
-    /// Selects a worker that may take a task of the step now.
+    /// Selects a worker that can start a task of the step now; `None` if there is none in this scope. `failed_on` is
+    /// the worker where the task failed last.
     fn select_worker(
         &mut self,
         cluster: &Cluster,
@@ -269,7 +277,7 @@
         kinds.select(&mut self.rng, view.workers, &demand.label, fits)
     }
 
-    /// Records how a worker was selected, for whoever follows placements.
+    /// Records how a worker was selected, if tracing is on.
     fn trace(&mut self, cluster: &Cluster, service: &str, task: TaskName, selection: &Selection) {
         if let (Some(traces), Some(state)) = (&mut self.traces, cluster.services().get(service)) {
             traces.push(state.kinds().trace(task, selection, cluster.workers()));
@@ -277,7 +285,8 @@
     }
 }
 
-/// Records the priority of the first step if its tasks are small: less urgent work has to leave headroom for them.
+/// Records the priority of the first step if its tasks are small, so that less urgent steps leave headroom for such
+/// tasks.
 fn observe_urgent(cluster: &mut Cluster, service: &str, keys: &[QueueKey]) {
     let now_ms = cluster.clock().now_ms();
     let state = cluster.services().get(service);
@@ -288,8 +297,8 @@
     }
 }
 
-/// Whether tasks of this size leave idle workers alone: steps that need most of a worker come to this service, and
-/// this is none of them.
+/// Whether tasks of this size should avoid idle workers: this is so if they are not large themselves and the service
+/// has recently received large tasks, which need an idle worker. Records the size if it is large.
 fn avoids_idle_workers(cluster: &mut Cluster, service: &str, resources: &Resources) -> bool {
     let now_ms = cluster.clock().now_ms();
     let Some(state) = cluster.services().get(service) else {
@@ -304,7 +313,8 @@
 }
 
 impl ClusterView<'_> {
-    /// What a step waits for that was looked at: others before it, capacity, or capacity in the right place.
+    /// The reason why a step still waits after it was visited: `blocked_by_earlier` if steps ahead of it wait for
+    /// capacity too, `cannot_fit` if no single worker has enough free capacity.
     fn wait_cause(&self, at: StepRef, blocked_by_earlier: bool, beyond: bool) -> Cause {
         let gang = self.jobs.step(at).is_some_and(|step| step.gang);
         if blocked_by_earlier {
@@ -316,13 +326,14 @@
         }
     }
 
-    /// Whether the step's tasks run faster on some workers than on others: with their data, or in one rack.
+    /// Whether the step's tasks run faster in some racks than in others: on the rack of their data, or all in one rack.
     fn has_locality(&self, at: StepRef) -> bool {
         let step = self.jobs.step(at);
         step.is_some_and(|step| !step.affinity.is_empty() || step.rack_local)
     }
 
-    /// Whether a task of this size takes more than half of any worker of the service that can run it.
+    /// Whether a task of this size takes more than [`LARGE_FRACTION`] of every worker of the service that could run it
+    /// when idle; `false` if there is no such worker.
     fn needs_most_of_worker(&self, service: &ServiceState, resources: &Resources) -> bool {
         let capacities = self.workers_of(service).map(Worker::capacity);
         let fractions = capacities
@@ -333,7 +344,7 @@
             .is_some_and(|least| least > LARGE_FRACTION)
     }
 
-    /// What a task of the step takes, and whether the step asks for more than capacity.
+    /// What a task of the step requires of a worker; `None` if there is no such step.
     fn task_shape(&self, at: StepRef) -> Option<TaskShape> {
         let job = self.jobs.get(&at.job)?;
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
@@ -350,19 +361,20 @@
         })
     }
 
-    /// Whether a step has waited long enough to use workers which those before it may not.
+    /// Whether the step has waited for [`ANY_WORKER_MS`], so that it may use workers which newer steps ahead of it may
+    /// not.
     fn waits_long(&self, at: StepRef) -> bool {
         let state = self.jobs.step_state(at);
         state.is_some_and(|state| self.now_ms >= state.waiting_since_ms() + ANY_WORKER_MS)
     }
 
-    /// Whether any task of the step is to be placed.
+    /// Whether any task of the step waits for placement.
     fn waits(&self, at: StepRef) -> bool {
         let state = self.jobs.step_state(at);
         state.is_some_and(|state| !state.waiting().is_empty())
     }
 
-    /// The most of each resource that any one worker has free.
+    /// Per resource, the largest amount that is free on any single worker.
     fn largest_free(&self, service: &str) -> Resources {
         let Some(state) = self.services.get(service) else {
             return Resources::default();
@@ -380,7 +392,8 @@
     }
 }
 
-/// Whether a task may use a worker that is reserved for another step: it fits beside, or ends before.
+/// Whether a task may use a reserved worker: the reservation yields to it, both fit on the worker, or the task is
+/// expected to end before the reserved capacity is needed.
 fn usable_despite_reservation(
     reservation: &Reservation,
     demand: &StepDemand,
--- a/crates/scheduler/src/placement/gang.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -1,4 +1,4 @@
-//! Placement of gangs: all members at once, with one run number and the same checkpoint, or none.
+//! Placement of gangs: either all members are placed at once, with the same attempt number and checkpoint, or none is.
 
 use crate::cluster::Cluster;
 use crate::demand::{Locality, Scope, StepDemand};
@@ -11,11 +11,13 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// Longest time that a gang which needs one rack waits for one.
+/// Maximum time that a rack-local gang waits for capacity within one rack.
 const ONE_RACK_WAIT_MAX_MS: u64 = 1_500;
 
 impl Placer {
-    /// Places a gang if all members fit.
+    /// Places a gang if all its members wait and fit. A rack-local gang is placed within one rack; it is spread over
+    /// several racks only after it has waited as long as that is expected to slow it down, at most
+    /// [`ONE_RACK_WAIT_MAX_MS`].
     pub(super) fn place_gang(
         &mut self,
         cluster: &mut Cluster,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// A plan within one rack: the first with capacity, in random order.
+    /// Plans the gang within one rack: tries the racks in random order and returns the first plan found.
     fn plan_in_rack(
         &mut self,
         cluster: &Cluster,
@@ -86,7 +88,7 @@
         None
     }
 
-    /// A worker for each member, or `None`.
+    /// Selects a worker for each member, within `rack` if one is given; `None` if not all members fit.
     fn plan(
         &mut self,
         cluster: &Cluster,
@@ -126,7 +128,7 @@
         Some(plan)
     }
 
-    /// Starts all members with one attempt number and the same checkpoint.
+    /// Places all members with the same attempt number and checkpoint, and releases the gang's reservations.
     fn start_gang(
         &mut self,
         cluster: &mut Cluster,
@@ -151,7 +153,8 @@
     }
 }
 
-/// Factor on the run time of a gang on these workers.
+/// Factor on the run time of a gang on these workers: above 1 if a member is remote from its data, or if a rack-local
+/// gang spans several racks.
 fn remote_factor(
     cluster: &Cluster,
     rack_local: bool,
--- a/crates/scheduler/src/placement/reserve.rs
+++ b/crates/scheduler/src/placement/reserve.rs
@@ -1,5 +1,6 @@
-//! Which workers to reserve: a step whose tasks need much capacity at once reserves workers, so that small tasks do not
-//! starve it. Tasks that fit beside, or end before the capacity is needed, still use them (EASY backfilling).
+//! Selection of workers to reserve. A step whose tasks need much capacity at once reserves workers, so that small tasks
+//! do not starve it. Tasks that fit beside the reservation, or are expected to end before the reserved capacity is
+//! needed, still use these workers (EASY backfilling).
 
 use crate::cluster::Cluster;
 use crate::cluster_view::ClusterView;
@@ -10,38 +11,40 @@
 use crate::services::ServiceState;
 use crate::worker::WorkerId;
 
-/// Most steps of one service that have reservations at a time.
+/// Maximum number of steps of one service that hold reservations at a time.
 pub(super) const RESERVATIONS_MAX: usize = 2;
-/// Tasks that take at least this fraction of a worker need reservations; smaller ones find capacity without.
+/// Tasks whose dominant share of a worker is at least this fraction need reservations; smaller ones find capacity
+/// without.
 const LARGE_FRACTION: f64 = 0.25;
-/// How long they wait then.
+/// While the service has spare capacity, a step that has waited for this time may use reserved workers.
 const IDLE_PATIENCE_MS: u64 = 2_400;
 
-/// What a step needs that needs much at once.
+/// Demand of a step that needs much capacity at once.
 struct LargeDemand {
-    /// What one task asks for.
+    /// Requirements of one task.
     demand: StepDemand,
-    /// Tasks that have to start together.
+    /// Number of tasks that have to start together: all members of a gang, else 1.
     members: u32,
 }
 
-/// A worker that is to be reserved.
+/// A worker to reserve, with its reservation.
 struct PlannedReservation {
     worker: WorkerId,
     reservation: Reservation,
 }
 
-/// Which workers to reserve for a step.
+/// Result of planning the reservations of a step.
 enum ReservationPlan {
-    /// Its tasks find capacity without reservations.
+    /// The tasks are small enough to find capacity without reservations.
     NotNeeded,
-    /// No workers will have capacity for it.
+    /// No set of workers is expected to have the capacity.
     NoWorkers,
-    /// These workers, at least one.
+    /// Workers to reserve, at least one.
     Workers(Vec<PlannedReservation>),
 }
 
-/// Reserves workers for a step that does not fit now; returns whether it has reservations.
+/// Reserves workers for a step that does not fit now, replacing its former reservations unless they are current.
+/// Returns whether the step has reservations.
 pub(super) fn reserve(cluster: &mut Cluster, service: &str, key: QueueKey) -> bool {
     let now_ms = cluster.clock().now_ms();
     let Some(state) = cluster.services().get(service) else {
@@ -65,7 +68,7 @@
 }
 
 impl ClusterView<'_> {
-    /// The workers to reserve for a step.
+    /// Selects the workers to reserve for a step: those that are expected to have capacity for its tasks first.
     fn plan_reservations(&self, service: &ServiceState, key: QueueKey) -> ReservationPlan {
         let Some(LargeDemand { demand, members }) = self.large_demand(service, key.at) else {
             return ReservationPlan::NotNeeded;
@@ -91,7 +94,8 @@
         ReservationPlan::Workers(outlook.tasks.into_iter().map(planned).collect())
     }
 
-    /// What a step needs, and for how many tasks at once, if it needs much.
+    /// Demand of the step, and the number of tasks that start together; `None` if the step is no gang and its tasks are
+    /// small, or if no worker of the service is large enough for them.
     fn large_demand(&self, service: &ServiceState, at: StepRef) -> Option<LargeDemand> {
         let job = self.jobs.get(&at.job)?;
         let (step, state) = (job.step(at.step)?, job.step_state(at)?);
--- a/crates/scheduler/src/placement/speculation.rs
+++ b/crates/scheduler/src/placement/speculation.rs
@@ -1,6 +1,6 @@
-//! Speculative runs: a second run of a `speculative` task while the first one's worker is unresponsive or suspected, or
-//! the run takes far longer than expected, and the latency target is at stake. Whichever run ends first counts, the
-//! other is stopped.
+//! Speculative runs: a second run of a `speculative` task is started on another worker if the latency target is at risk
+//! and either the first run's worker is unresponsive or the run takes far longer than expected (the tolerance is
+//! smaller on a suspected worker). The run that is done first counts, the other one is stopped.
 
 use crate::cluster::Cluster;
 use crate::cluster_view::ClusterView;
@@ -15,18 +15,18 @@
 
 /// A worker without a report or heartbeat for this time is unresponsive.
 const UNRESPONSIVE_MS: u64 = 600;
-/// A speculative run is started once the step would be late if it began so much later.
+/// The latency target is at risk once the step's latest start is at most this far ahead.
 const DEADLINE_MARGIN_MS: i64 = 600;
-/// A run is overdue after so many times the time expected ...
+/// A run is overdue if it has taken more than this multiple of its expected run time plus [`OVERDUE_MIN_MS`].
 const OVERDUE_FACTOR: f64 = 2.0;
-/// ... or so many times on a suspected worker ...
+/// The same multiple for a run on a worker that is suspected or on probation.
 const OVERDUE_FACTOR_SUSPECTED: f64 = 1.2;
-/// ... and so much more, in milliseconds.
+/// Constant part of the limit for overdue runs, in milliseconds.
 const OVERDUE_MIN_MS: f64 = 300.0;
-/// Progress that is older than this does not predict the end of a run.
+/// A run whose progress has not changed for this time counts as stalled.
 const PERCENT_FRESH_MS: u64 = 1_500;
 
-/// A run that is to get a speculative run beside it.
+/// A run whose task should get a speculative run.
 #[derive(Clone, Copy, Debug)]
 struct SpeculationCandidate {
     key: QueueKey,
@@ -35,7 +35,8 @@
 }
 
 impl Placer {
-    /// Starts speculative runs for those that may not end in time, where capacity is free that no other step waits for.
+    /// Starts speculative runs for runs that put a latency target at risk, where there is free capacity that no step of
+    /// at least the same priority waits for.
     pub(crate) fn speculate(&mut self, cluster: &mut Cluster) {
         let mut candidates: Vec<SpeculationCandidate> = Vec::new();
         for (id, worker) in cluster.workers().iter() {
@@ -51,7 +52,7 @@
             .for_each(|run| self.place_speculative_run(cluster, run));
     }
 
-    /// Starts a speculative run beside this one, unless another step waits for the capacity.
+    /// Starts a speculative run of the candidate's task if a suitable worker is free.
     fn place_speculative_run(&mut self, cluster: &mut Cluster, run: SpeculationCandidate) {
         let Some(job) = cluster.jobs().get(&run.task.job) else {
             return;
@@ -73,7 +74,8 @@
         cluster.place_run(run.task, attempt, placement);
     }
 
-    /// A worker for a speculative run: another one than that of the first run, local and healthy.
+    /// Selects the worker of a speculative run: not that of the first run, local to the data, and healthy or on
+    /// probation. `None` if there is no such worker, or if a step of the same or a higher priority waits in the queue.
     fn select_other_worker(
         &mut self,
         cluster: &Cluster,
@@ -106,7 +108,7 @@
 }
 
 impl ClusterView<'_> {
-    /// The task's run on this worker, if it is to get a speculative run beside it.
+    /// The task's run on this worker as a candidate, if it should get a speculative run.
     fn speculation_candidate(
         &self,
         id: WorkerId,
@@ -134,8 +136,8 @@
         })
     }
 
-    /// The run takes far longer than expected, and not for its own length: it stands still, or its worker is slow and
-    /// another one would be done first even if it began anew.
+    /// Whether the run takes far longer than expected for a reason other than the task's own length: its progress has
+    /// stalled, or its worker is slow and a new run elsewhere is expected to be done first.
     fn overdue(&self, id: WorkerId, worker: &Worker, task: &TaskName, run: &Run) -> bool {
         let suspected = worker.health().status(self.now_ms) != HealthStatus::Healthy;
         let factor = if suspected {
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -1,5 +1,6 @@
-//! Preemption: runs of a lower priority are stopped for a step that would otherwise miss its latency target. Victims are
-//! those whose stop loses least work; nothing is stopped if more than a limit would be lost.
+//! Preemption: runs of a lower priority are stopped for a step that would otherwise miss its latency target. The
+//! victims are the runs whose stop loses the least work, and at most [`LOSS_MAX_CORE_S`] is lost for one step at a
+//! time.
 
 use crate::cluster::Cluster;
 use crate::cluster_view::ClusterView;
@@ -13,16 +14,16 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// Time between two looks for steps that are late.
+/// Period of the checks for steps that need preemption, in milliseconds.
 pub(crate) const PREEMPT_MS: u64 = 200;
-/// Steps at the head of a queue that may preempt.
+/// Number of steps at the head of each queue that may preempt.
 const STEPS_CONSIDERED: usize = 12;
-/// A step preempts once it would miss its latency target if it waited so much longer than it has to.
+/// A step preempts if its capacity is expected to become free less than this time before its latest start.
 const SLACK_MS: i64 = 300;
-/// Most core-seconds that may be lost for one step at a time.
+/// Maximum work that may be lost for one step in one check, in core-seconds (a GPU counts as several cores).
 const LOSS_MAX_CORE_S: f64 = 20.0;
 
-/// What the restart of a long-running task costs, in seconds.
+/// Work that counts as lost when a long-running task is stopped, in seconds: the cost of its restart.
 const RESTART_S: f64 = 1.0;
 
 /// A run that may be stopped.
@@ -30,20 +31,20 @@
 struct Victim {
     run: RunId,
     resources: Resources,
-    /// Core-seconds that its stop loses.
+    /// Work lost by its stop, in core-seconds; for a gang's member that of all members, as they stop together.
     loss: f64,
 }
 
-/// Capacity for one task more on a worker.
+/// Capacity for one more task on a worker, and what it costs.
 #[derive(Debug, Default)]
 struct Offer {
-    /// Core-seconds lost.
+    /// Work lost, in core-seconds.
     loss: f64,
-    /// Runs to stop; none if capacity is free or being freed.
+    /// Runs to stop; empty if the capacity is free or is already being freed.
     victims: Vec<Victim>,
 }
 
-/// The offers of one worker, the cheapest first.
+/// Offers of one worker. Each is for one task more than those before it, so they can be taken only in this order.
 #[derive(Debug)]
 struct WorkerOffers {
     worker: WorkerId,
@@ -51,7 +52,7 @@
 }
 
 impl WorkerOffers {
-    /// Core-seconds that the next offer loses; infinite if there is none.
+    /// Work lost by the next offer, in core-seconds; infinite if there is none.
     fn next_loss(&self) -> f64 {
         self.offers
             .front()
@@ -59,20 +60,21 @@
     }
 }
 
-/// Tasks of a step that need capacity.
+/// Numbers of a step's tasks that need capacity.
 #[derive(Clone, Copy, Debug)]
 struct WantedTasks {
-    /// How many have to start together.
+    /// Tasks that have to start together: all of a gang, else 1. Less capacity is of no use.
     together: u32,
-    /// How many wait.
+    /// Tasks that wait for placement.
     waiting: u32,
 }
 
-/// Capacity on workers that goes to steps further ahead.
+/// Capacity per worker that is intended for steps further ahead in the queue.
 type Claimed = FxHashMap<WorkerId, Resources>;
 
-/// Looks for steps that are late for want of capacity, and stops runs for them. Capacity that is free or being freed
-/// goes to the steps in their order: what those before have claimed is not there for the next.
+/// Stops runs for steps that would miss their latency targets for lack of capacity. Capacity that is free or being
+/// freed is claimed by the steps in queue order and is not available to the steps behind, so that several steps do not
+/// count on the same capacity.
 pub(crate) fn preempt(cluster: &mut Cluster) {
     let has_queue = |service: &ServiceState| !service.queue().is_empty();
     for name in cluster.services().names_where(has_queue) {
@@ -95,7 +97,8 @@
 }
 
 impl ClusterView<'_> {
-    /// Runs to stop for a step that would otherwise be late.
+    /// Runs to stop for a step that would otherwise miss its latency target; empty if it is expected to start in time,
+    /// or if no worker of the service can ever have capacity for it.
     fn victims_for(&self, service: &str, key: QueueKey, claimed: &mut Claimed) -> Vec<Victim> {
         let found = self.services.get(service).zip(self.jobs.get(&key.at.job));
         let Some((service, job)) = found else {
@@ -120,8 +123,9 @@
         self.victims(service, key, &demand, wanted, claimed)
     }
 
-    /// The cheapest runs whose stops free capacity for the waiting tasks, at least for as many as start together; none
-    /// if that loses too much, or if capacity is being freed already.
+    /// The runs to stop so that as many waiting tasks as possible get capacity within the limit on lost work, cheapest
+    /// first. Empty if the tasks that have to start together do not get capacity within the limit, or if enough is
+    /// being freed already. Adds the capacity used to `claimed`.
     fn victims(
         &self,
         service: &ServiceState,
@@ -167,7 +171,8 @@
         victims
     }
 
-    /// What freeing capacity for one, two, ... tasks on a worker costs: the loss of each further one, and its victims.
+    /// Offers of a worker for up to `count` tasks: the nth offer is for the nth task there. `claimed` is capacity of
+    /// the worker that goes to other steps.
     fn offers(
         &self,
         id: WorkerId,
@@ -213,7 +218,7 @@
         offers
     }
 
-    /// Runs on the worker that may be stopped, those first whose stop loses least.
+    /// Runs on the worker that may be stopped, in ascending order of work lost per capacity freed.
     fn candidates(
         &self,
         id: WorkerId,
@@ -230,7 +235,7 @@
         candidates
     }
 
-    /// Resources of runs there that are being stopped already.
+    /// Resources of the worker's runs that are already being stopped.
     fn stopping_resources(&self, id: WorkerId) -> Resources {
         let Some(worker) = self.workers.get(id) else {
             return Resources::default();
@@ -247,7 +252,8 @@
         })
     }
 
-    /// The task's run as a victim for a step with this key: of a lower priority, and not being stopped.
+    /// The task's run as a victim for a step with this key; `None` unless its priority is lower and it is not being
+    /// stopped yet.
     fn victim(&self, id: WorkerId, task: TaskName, key: QueueKey) -> Option<Victim> {
         let job = self.jobs.get(&task.job).filter(|job| !job.has_ended())?;
         let (step, entry) = (job.step(task.step)?, job.task(&task)?);
@@ -275,7 +281,7 @@
     }
 }
 
-/// Loss in relation to the wanted capacity that a victim frees.
+/// Work lost by stopping the victim, divided by the share of the demanded CPU and GPU capacity that this frees.
 fn loss_per_capacity(victim: &Victim, demand: &StepDemand) -> f64 {
     let fraction = |freed: u64, wanted: u64| {
         if wanted > 0 {
--- a/crates/scheduler/src/recent_demand.rs
+++ b/crates/scheduler/src/recent_demand.rs
@@ -1,28 +1,30 @@
-//! What kinds of tasks a service has been asked to run within a recent time.
+//! Which tasks waited for a service recently: small urgent ones, for which headroom is left, and large ones, for which
+//! idle workers are left.
 
-/// Urgent tasks count as recent for this time.
+/// Small urgent tasks count as recent for this time after they last waited.
 const URGENT_RECENT_MS: u64 = 10_000;
-/// Tasks that need most of a worker count as recent for this time.
+/// Large tasks count as recent for this time after they last waited.
 const LARGE_TASK_RECENT_MS: u64 = 30_000;
 
-/// Small tasks of a high priority.
+/// Priority of small tasks, and when they last waited at the head of the queue.
 #[derive(Clone, Copy, Debug)]
 struct UrgentTasks {
     priority: u32,
     observed_ms: u64,
 }
 
-/// Recent demand on one service.
+/// Recent demand for capacity of one service.
 #[derive(Debug, Default)]
 pub(crate) struct RecentDemand {
-    /// Highest priority of which small tasks came recently.
+    /// Small tasks of the highest recent priority.
     urgent: Option<UrgentTasks>,
-    /// When a step came last whose tasks need most of a worker each.
+    /// When a large task waited last; `None` if none ever did.
     large_task_ms: Option<u64>,
 }
 
 impl RecentDemand {
-    /// Small tasks of this priority wait.
+    /// Records that small tasks of this priority wait. It is ignored while small tasks of a higher priority (a lower
+    /// number) are recent.
     pub(crate) fn observe_urgent(&mut self, priority: u32, now_ms: u64) {
         if self
             .urgent_priority(now_ms)
@@ -35,19 +37,19 @@
         }
     }
 
-    /// Highest priority of which small tasks came recently.
+    /// Highest priority (lowest number) of recent small tasks; `None` if there are none.
     pub(crate) fn urgent_priority(&self, now_ms: u64) -> Option<u32> {
         self.urgent
             .filter(|urgent| now_ms < urgent.observed_ms + URGENT_RECENT_MS)
             .map(|urgent| urgent.priority)
     }
 
-    /// A task that needs most of a worker waits.
+    /// Records that a large task waits: one that needs more than half of any worker.
     pub(crate) fn observe_large_task(&mut self, now_ms: u64) {
         self.large_task_ms = Some(now_ms);
     }
 
-    /// Whether a task that needs most of a worker came recently.
+    /// Whether a large task waited recently.
     pub(crate) fn has_large_tasks(&self, now_ms: u64) -> bool {
         self.large_task_ms
             .is_some_and(|observed_ms| now_ms < observed_ms + LARGE_TASK_RECENT_MS)
--- a/crates/scheduler/src/recent_demand/tests.rs
+++ b/crates/scheduler/src/recent_demand/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as recent.
+//! Tests of the times for which tasks count as recent.
 
 use super::*;
 
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -1,4 +1,5 @@
-//! Reports of node agents: the worker instance, its runs, ends, and starts that did not happen.
+//! Processing of node agents' reports: the worker instance, its outstanding runs, the ends of runs, and starts that
+//! were never passed on to the worker.
 
 use crate::api::AgentId;
 use crate::cluster::Cluster;
@@ -11,31 +12,32 @@
 use indigofold_protocol::worker::RunEnd;
 use rustc_hash::FxHashSet;
 
-/// A worker that rejected a start gets no other for this time.
+/// A worker that rejected a start gets no new starts for this time.
 const REJECTED_START_BACKOFF_MS: u64 = 200;
-/// A stop is sent again if the run is still listed after this time.
+/// A stop order is sent again if the run has not ended after this time.
 const STOP_RETRY_MS: u64 = 1_000;
 
-/// The answer to a node agent that has no worker at present.
+/// Answer to a report of a node agent that has no worker instance at present.
 #[derive(Debug)]
 pub(crate) struct AnswerWithoutInstance {
     /// Connection of the node agent.
     pub agent: AgentId,
-    /// Instance whose report is asked for; empty if none is known on that machine.
+    /// Id of the instance that the scheduler knows on that machine and whose report it expects; empty for none.
     pub instance: String,
-    /// When the report that is answered was sent, on the agent's clock.
+    /// When the answered report was sent, on the agent's clock.
     pub sent_ms: u64,
 }
 
-/// Takes reports of node agents in, and keeps the answers that are no orders for a worker.
+/// Processes the reports of node agents, and keeps the answers to agents that have no worker instance.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
-    /// Answers to node agents without a worker, of the present event.
+    /// Answers of the present event to node agents without a worker instance.
     answers: Vec<AnswerWithoutInstance>,
 }
 
 impl Reports {
-    /// A node agent reports; it is answered with the orders for its worker.
+    /// Processes a report. It is answered with the orders for the worker instance, or with an
+    /// [`AnswerWithoutInstance`]. A report on a connection that is not open any more is ignored.
     pub(crate) fn handle(&mut self, cluster: &mut Cluster, agent: AgentId, report: AgentReport) {
         let Some(connection) = cluster.workers().connection(agent) else {
             return;
@@ -67,13 +69,15 @@
         cluster.outbox_mut().orders_for(id).echo_sent_ms = Some(report.sent_ms);
     }
 
-    /// Takes the present event's answers to node agents without a worker.
+    /// Takes the answers of the present event to node agents without a worker instance.
     pub(crate) fn take_answers(&mut self) -> Vec<AnswerWithoutInstance> {
         std::mem::take(&mut self.answers)
     }
 }
 
-/// The node agent has no worker at present: the instance known there, whose report is asked for; empty for none.
+/// Handles a report without a worker instance: detaches the connection, and returns the id of the instance known on
+/// that machine, empty for none. The answer extends the agent's authority to grant run leases, so all instances known
+/// there are marked as answered.
 fn expected_instance(cluster: &mut Cluster, agent: AgentId, node_name: &str) -> String {
     let now_ms = cluster.clock().now_ms();
     let workers = cluster.workers_mut();
@@ -88,7 +92,8 @@
     expected_instance
 }
 
-/// Enters the instance that the node agent reports; any other one known on its machine has ended.
+/// Registers the instance that the node agent reports and applies the report to it. Any other instance known on the
+/// same machine has ended.
 fn reconcile_instance(
     cluster: &mut Cluster,
     agent: AgentId,
@@ -106,7 +111,8 @@
     id
 }
 
-/// Starts that the node agent never passed on have ended.
+/// Ends the runs whose starts the node agent never passed on to the worker. If such a run is still wanted, its worker
+/// gets no new starts for a while.
 fn handle_not_started(cluster: &mut Cluster, node_name: &str, not_started: &[RunId]) {
     let now_ms = cluster.clock().now_ms();
     for run in not_started {
@@ -127,7 +133,8 @@
     }
 }
 
-/// Updates the runs that the worker lists, and notes those that must not be there.
+/// Updates the outstanding runs that the report lists, and records the listed runs that are not outstanding on the
+/// worker as unexpected.
 fn handle_running(cluster: &mut Cluster, id: WorkerId, instance: &InstanceReport) {
     let mut in_flight = Vec::new();
     for run in &instance.in_flight {
@@ -146,6 +153,7 @@
     }
 }
 
+/// Handles the ends that were not handled yet. They are acknowledged once the write with their changes is committed.
 fn handle_ends(cluster: &mut Cluster, id: WorkerId, finished: &[FinishedRun]) {
     let Some(handled) = cluster.workers().get(id).map(Worker::handled_end) else {
         return;
@@ -166,6 +174,8 @@
     cluster.outbox_mut().defer(write, acknowledge);
 }
 
+/// Ends the run. If it is not outstanding on this worker any more, only a `done` counts, see
+/// [`Cluster::handle_late_done`].
 fn handle_end(cluster: &mut Cluster, id: WorkerId, end: &FinishedRun) {
     let now_ms = cluster.clock().now_ms();
     let run = cluster.jobs().run(&end.run);
@@ -183,8 +193,8 @@
     cluster.end_run(end.run, RunResult::Ended(end.end), &end.checkpoint);
 }
 
-/// After the first full report on a connection, orders that may have been lost are sent again; stops whenever they
-/// take too long.
+/// Sends orders again that may have been lost: starts after the first full report on a connection, stops also if they
+/// take too long. Does nothing for a report that does not list the running tasks.
 fn resend_orders(cluster: &mut Cluster, agent: AgentId, id: WorkerId, instance: &InstanceReport) {
     let Some(running) = &instance.running else {
         return;
@@ -213,12 +223,13 @@
     }
 }
 
-/// Whether a stop has to be sent again: it went over another connection, or takes too long.
+/// Whether a stop has to be sent again: it was sent over another connection or not at all, or it takes too long.
 fn is_stop_due(stop: StopOrder, agent: AgentId, now_ms: u64) -> bool {
     stop.sent_to != Some(agent) || now_ms >= stop.sent_ms + STOP_RETRY_MS
 }
 
-/// The first full report on a connection has come: the order for this run is sent again if it may have been lost.
+/// Sends the order for an outstanding run again after the first full report on a connection. A run whose job has ended,
+/// or whose task is done, is stopped; otherwise its start is sent again if the report does not list the run.
 fn resend_after_reconnect(cluster: &mut Cluster, order: RunId, is_present: bool) {
     let task = order.task;
     let Some(job) = cluster.jobs().get(&task.job) else {
@@ -235,7 +246,8 @@
     }
 }
 
-/// Runs that must not be there are stopped; until they have ended the worker gets no starts.
+/// Orders stops of the worker's unexpected runs. The worker gets no new starts until they have ended. `sent_ms` is the
+/// report's time on the agent's clock.
 fn stop_unexpected_runs(cluster: &mut Cluster, id: WorkerId, sent_ms: u64, reports_running: bool) {
     let Some(worker) = cluster.workers_mut().get_mut(id) else {
         return;
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -1,4 +1,4 @@
-//! Workers of one service that are reserved for steps whose tasks need much capacity at once.
+//! Reservations of one service's workers for steps whose tasks need much capacity at once.
 
 use crate::demand::StepDemand;
 use crate::queue::StepRef;
@@ -6,26 +6,27 @@
 use indigofold_protocol::job::Resources;
 use rustc_hash::FxHashMap;
 
-/// Reservations are worked out anew so often.
+/// Reservations are planned again after this time.
 const UPDATE_MS: u64 = 200;
 
-/// A worker reserved for a step.
+/// Reservation of a worker for a step.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
-    /// The step.
+    /// The step that holds the reservation.
     pub step: StepRef,
-    /// Its priority.
+    /// Priority of the step; 0 goes first.
     pub priority: u32,
-    /// Capacity that it is to have there.
+    /// Capacity of the worker that is reserved.
     pub resources: Resources,
-    /// When this capacity is expected to be free.
+    /// When the capacity for the step is expected to be free, on the steady clock.
     pub free_ms: u64,
-    /// Others that have waited for so long use the worker all the same.
+    /// Other steps that have waited for this time may use the worker despite the reservation; `u64::MAX` for never.
     pub patience_ms: u64,
 }
 
 impl Reservation {
-    /// Whether a step may use the worker although it is reserved for another one.
+    /// Whether a step may use the worker despite the reservation: it holds the reservation itself, has a higher
+    /// priority, or has waited long enough.
     pub(crate) fn yields_to(&self, demand: &StepDemand) -> bool {
         self.step == demand.at
             || demand.priority < self.priority
@@ -33,20 +34,21 @@
     }
 }
 
-/// The reserved workers of a service.
+/// All reservations of one service, at most one per worker.
 #[derive(Debug, Default)]
 pub(crate) struct Reservations {
     by_worker: FxHashMap<WorkerId, Reservation>,
+    /// Reservations are current until this time.
     next_update_ms: u64,
 }
 
 impl Reservations {
-    /// The reservation of a worker.
+    /// Returns the reservation of a worker, if it is reserved.
     pub(crate) fn get(&self, worker: WorkerId) -> Option<&Reservation> {
         self.by_worker.get(&worker)
     }
 
-    /// Whether the step has reservations that need not be worked out anew yet.
+    /// Whether the step has reservations that need not be planned again yet.
     pub(crate) fn are_current(&self, step: StepRef, now_ms: u64) -> bool {
         let reserved = self
             .by_worker
@@ -55,7 +57,7 @@
         reserved && now_ms < self.next_update_ms
     }
 
-    /// Replaces the reservations of a step.
+    /// Replaces the reservations of a step. A worker reserved for another step passes to this one.
     pub(crate) fn replace(
         &mut self,
         step: StepRef,
@@ -67,13 +69,13 @@
         self.by_worker.extend(reservations);
     }
 
-    /// Gives up the reservations of a step.
+    /// Removes the reservations of a step.
     pub(crate) fn release(&mut self, step: StepRef) {
         self.by_worker
             .retain(|_, reservation| reservation.step != step);
     }
 
-    /// Gives up the reservations of all steps but these.
+    /// Removes the reservations of all steps except these.
     pub(crate) fn retain(&mut self, steps: &[StepRef]) {
         self.by_worker
             .retain(|_, reservation| steps.contains(&reservation.step));
--- a/crates/scheduler/src/reservations/tests.rs
+++ b/crates/scheduler/src/reservations/tests.rs
@@ -1,4 +1,4 @@
-//! Reservations by step.
+//! Tests of replacing, retaining and aging reservations.
 
 use super::*;
 use indigofold_protocol::task::JobId;
--- a/crates/scheduler/src/run_checks.rs
+++ b/crates/scheduler/src/run_checks.rs
@@ -1,4 +1,5 @@
-//! Regular checks of all runs: lost orders, runs that cannot end before their worker has drained, runs that hang.
+//! Periodic checks of all outstanding runs for lost orders, runs that cannot end before their worker has drained,
+//! hanging runs and stragglers.
 
 use crate::cluster::Cluster;
 use crate::cluster_view::ClusterView;
@@ -10,22 +11,22 @@
 use indigofold_protocol::task::{RunId, TaskName};
 use indigofold_protocol::worker::WorkerState;
 
-/// Time between two checks of all runs.
+/// Period of the checks, in milliseconds.
 pub(crate) const CHECK_MS: u64 = 300;
-/// The order of a run that has not been listed for this time is sent again.
+/// The start order of a run that no report has listed for this time is sent again, and then at this interval.
 const ORDER_RETRY_MS: u64 = 3_000;
-/// A run that no report has listed for this time, though its order was sent again, counts as not started.
+/// A run that no report has listed for this time, despite repeated orders, counts as not started.
 const ABSENT_MS: u64 = 20_000;
-/// A run hangs if it has made no progress for at least this time ...
+/// A run hangs if it has made no progress for at least this time and for [`STALL_FRACTION`] of its expected run time.
 const STALL_MIN_MS: u64 = 3_000;
-/// ... and for this fraction of its expected run time.
+/// Fraction of the expected run time without progress after which a run counts as hanging.
 const STALL_FRACTION: f64 = 0.5;
-/// A heartbeat that is older than this says nothing about runs.
+/// Maximum age of a heartbeat for its progress values to be used.
 const HEARTBEAT_FRESH_MS: u64 = 1_000;
-/// Left free at the end of a worker's drain.
+/// Runs have to end this long before the end of their worker's drain.
 const DRAIN_MARGIN_MS: u64 = 300;
 
-/// Checks all runs of workers that can be sent orders.
+/// Checks all runs on workers to which orders can be sent.
 pub(crate) fn check_runs(cluster: &mut Cluster) {
     let workers = cluster.workers().iter();
     let reachable = workers.filter(|(_, worker)| worker.order_connection().is_some());
@@ -40,7 +41,8 @@
     }
 }
 
-/// Resends a lost order, and stops a run that cannot end there or would end sooner elsewhere.
+/// Checks one run: sends a lost start order again, and stops the run if it cannot end on this worker or would end
+/// sooner elsewhere. `slowdown` is that of the worker, if it has become slow.
 fn check_run(cluster: &mut Cluster, id: WorkerId, task: TaskName, slowdown: Option<f64>) {
     let now_ms = cluster.clock().now_ms();
     let Some(run) = cluster.view().run_at(id, &task).filter(|run| run.is_sent()) else {
@@ -72,7 +74,8 @@
     }
 }
 
-/// Stops a run that hangs or straggles; the task goes to another worker.
+/// Stops a run that hangs or straggles, so that its task is placed on another worker, and updates the health of this
+/// one.
 fn move_run(
     cluster: &mut Cluster,
     id: WorkerId,
@@ -87,7 +90,8 @@
 }
 
 impl ClusterView<'_> {
-    /// The worker ends its drain before the run can end.
+    /// Whether the run's worker is draining and ends before the run is expected to end. A long-running task always
+    /// outlasts a drain.
     fn outlasts_drain(&self, id: WorkerId, task: &TaskName) -> bool {
         let Some(worker) = self
             .workers
@@ -105,7 +109,8 @@
         traits.long_running || self.remaining_ms(id, task) + DRAIN_MARGIN_MS > left_ms
     }
 
-    /// The run has made no progress for much longer than expected.
+    /// Whether the run hangs: reports list it, but its progress has not changed for too long. Long-running tasks never
+    /// count as hanging.
     fn hangs(&self, id: WorkerId, task: &TaskName) -> bool {
         let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
             return false;
--- a/crates/scheduler/src/run_result.rs
+++ b/crates/scheduler/src/run_result.rs
@@ -1,14 +1,14 @@
-//! How a run came to its end.
+//! Result of an ended run from the scheduler's point of view.
 
 use indigofold_protocol::worker::RunEnd;
 
-/// How a run came to its end.
+/// How an outstanding run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunResult {
-    /// Its worker has listed its end.
+    /// The worker has reported the end.
     Ended(RunEnd),
-    /// It never reached the worker.
+    /// The run was not started: its order never left, was not passed on to the worker, or was lost.
     NotStarted,
-    /// The worker's instance has ended, or its leases have expired.
+    /// The worker instance has ended, or its leases have expired.
     Lost,
 }
--- a/crates/scheduler/src/services.rs
+++ b/crates/scheduler/src/services.rs
@@ -1,4 +1,5 @@
-//! The services: each one's queue, kinds of workers, reservations, and when its queue is looked at next.
+//! State of each service: its queue, its kinds of workers, its reservations, and when the next pass over its queue is
+//! due.
 
 use crate::backlog_cache::BacklogCache;
 use crate::kinds::Kinds;
@@ -8,35 +9,36 @@
 use crate::workers::Workers;
 use std::collections::BTreeMap;
 
-/// While something waits, passes over a queue are so far apart.
+/// Minimum time between two passes over a queue that is not empty.
 const BACKLOG_PASS_MS: u64 = 10;
 
-/// The state of one service.
+/// State of one service.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceState {
     kinds: Kinds,
     /// Workers reserved for steps that need much capacity at once.
     reservations: Reservations,
+    /// Which tasks waited recently.
     recent: RecentDemand,
-    /// How long all that waits will take.
+    /// Estimated time to work off the queue, cached.
     backlog: BacklogCache,
     /// Steps with tasks to place.
     queue: Queue,
-    /// Something has changed that may let a task be placed.
+    /// Whether something has changed since the last pass that may allow a task to be placed.
     dirty: bool,
-    /// A worker has come, ended or changed.
+    /// Whether a worker was added, removed or changed since the last pass, so that the kinds have to be regrouped.
     regroup: bool,
-    /// The next pass over the queue is not before this time.
+    /// The next pass over the queue does not begin before this time.
     next_pass_ms: u64,
 }
 
 impl ServiceState {
-    /// Its workers by kind.
+    /// The service's workers by kind.
     pub(crate) fn kinds(&self) -> &Kinds {
         &self.kinds
     }
 
-    /// Its workers by kind.
+    /// Mutable access to the workers by kind.
     pub(crate) fn kinds_mut(&mut self) -> &mut Kinds {
         &mut self.kinds
     }
@@ -46,80 +48,80 @@
         &self.reservations
     }
 
-    /// Workers reserved for steps that need much capacity at once.
+    /// Mutable access to the reservations.
     pub(crate) fn reservations_mut(&mut self) -> &mut Reservations {
         &mut self.reservations
     }
 
-    /// What came recently.
+    /// Which tasks waited recently.
     pub(crate) fn recent(&self) -> &RecentDemand {
         &self.recent
     }
 
-    /// What came recently.
+    /// Mutable access to the record of recent demand.
     pub(crate) fn recent_mut(&mut self) -> &mut RecentDemand {
         &mut self.recent
     }
 
-    /// The last estimate of how long all that waits will take.
+    /// The cached estimate of the time to work off the queue.
     pub(crate) fn backlog(&self) -> &BacklogCache {
         &self.backlog
     }
 
-    /// Keeps an estimate of how long all that waits will take.
+    /// Caches an estimate of the time to work off the queue, in milliseconds.
     pub(crate) fn set_backlog(&mut self, backlog_ms: u64, now_ms: u64) {
         self.backlog.set(backlog_ms, now_ms);
     }
 
-    /// Steps with tasks to place, in order of admission.
+    /// Steps with tasks to place, in the order in which they get capacity.
     pub(crate) fn queue(&self) -> &Queue {
         &self.queue
     }
 
-    /// Puts a step into the queue.
+    /// Adds a step to the queue and requests a pass.
     pub(crate) fn enqueue(&mut self, key: QueueKey) {
         self.queue.insert(key);
         self.dirty = true;
     }
 
-    /// Takes a step out of the queue, and gives up its reservations.
+    /// Removes a step from the queue and releases its reservations.
     pub(crate) fn dequeue(&mut self, key: &QueueKey) {
         self.queue.remove(key);
         self.reservations.release(key.at);
     }
 
-    /// A step's position in the queue changes.
+    /// Changes the position of a step in the queue from `before` to `key`.
     pub(crate) fn reposition(&mut self, before: &QueueKey, key: QueueKey) {
         self.queue.remove(before);
         self.queue.insert(key);
     }
 
-    /// Something has changed that may let a task be placed.
+    /// Requests a pass, because something has changed that may allow a task to be placed.
     pub(crate) fn request_pass(&mut self) {
         self.dirty = true;
     }
 
-    /// Requests a pass if anything waits.
+    /// Requests a pass if the queue is not empty.
     pub(crate) fn request_pass_if_queued(&mut self) {
         self.dirty |= !self.queue.is_empty();
     }
 
-    /// A worker has come, ended or changed.
+    /// Requests a pass that first regroups the workers, because a worker was added, removed or changed.
     pub(crate) fn request_regroup(&mut self) {
         (self.regroup, self.dirty) = (true, true);
     }
 
-    /// When the next pass is due; `None` while nothing has changed.
+    /// When the next pass is due, on the steady clock; `None` if none was requested.
     pub(crate) fn next_pass_ms(&self) -> Option<u64> {
         (self.dirty || self.regroup).then_some(self.next_pass_ms)
     }
 
-    /// Whether a pass over its queue is due.
+    /// Whether a pass over the queue is due.
     pub(crate) fn is_due(&self, now_ms: u64) -> bool {
         self.next_pass_ms().is_some_and(|pass_ms| now_ms >= pass_ms)
     }
 
-    /// A pass over the queue of this service, called `name`, begins.
+    /// Begins a pass over the queue: regroups the workers if that was requested. `name` is the service's name.
     pub(crate) fn begin_pass(&mut self, workers: &Workers, name: &str) {
         self.dirty = false;
         if std::mem::take(&mut self.regroup) {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// A pass over the queue has ended.
+    /// Ends a pass over the queue and sets the earliest time of the next one.
     pub(crate) fn end_pass(&mut self, now_ms: u64) {
         self.next_pass_ms = if self.queue.is_empty() {
             now_ms
@@ -144,17 +146,17 @@
 }
 
 impl Services {
-    /// A service, if it is known.
+    /// Returns the service, if it is known.
     pub(crate) fn get(&self, name: &str) -> Option<&ServiceState> {
         self.by_name.get(name)
     }
 
-    /// A service, if it is known.
+    /// Returns the service for changes, if it is known.
     pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut ServiceState> {
         self.by_name.get_mut(name)
     }
 
-    /// A service, entered if it is new.
+    /// Returns the service; adds it if it is new.
     pub(crate) fn entry(&mut self, name: &str) -> &mut ServiceState {
         if !self.by_name.contains_key(name) {
             self.by_name
@@ -163,19 +165,19 @@
         self.by_name.entry(name.to_owned()).or_default()
     }
 
-    /// All services, by name.
+    /// Iterates over all services in the order of their names.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &ServiceState)> {
         self.by_name
             .iter()
             .map(|(name, service)| (name.as_str(), service))
     }
 
-    /// All services, by name.
+    /// Iterates over all services for changes, in the order of their names.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut ServiceState> {
         self.by_name.values_mut()
     }
 
-    /// Names of the services that fulfil a condition.
+    /// Names of the services that satisfy a condition, in ascending order.
     pub(crate) fn names_where(&self, condition: impl Fn(&ServiceState) -> bool) -> Vec<String> {
         self.iter()
             .filter(|(_, service)| condition(service))
--- a/crates/scheduler/src/step_traits.rs
+++ b/crates/scheduler/src/step_traits.rs
@@ -1,20 +1,20 @@
-//! What of a step matters for its runs.
+//! Properties of a step that are needed to handle its runs.
 
 use crate::kinds::Class;
 use indigofold_protocol::job::Resources;
 
-/// What of a step matters for its runs.
+/// Properties of a step that are needed to handle its runs.
 #[derive(Clone, Debug)]
 pub(crate) struct StepTraits {
-    /// What each task takes.
+    /// Resources that each task takes.
     pub resources: Resources,
-    /// All tasks run at the same time or not at all.
+    /// Whether the tasks form a gang: all run at the same time or none does.
     pub gang: bool,
-    /// Tasks run until they are cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub long_running: bool,
     /// The client's estimate of a task's run time, in milliseconds; 0 for none.
     pub estimate_ms: u64,
-    /// Class whose run times are learned together.
+    /// Class of the tasks, whose run times are learned together.
     pub class: Class,
     /// Service that runs the tasks.
     pub service: String,
--- a/crates/scheduler/src/straggler.rs
+++ b/crates/scheduler/src/straggler.rs
@@ -1,5 +1,6 @@
-//! Stragglers: workers that have become slow, by the progress of their runs, and the runs that end sooner if they begin
-//! anew elsewhere. One run alone is not conclusive: jobs differ far more than workers.
+//! Detection of stragglers: workers that have become slow, judged by the progress of their runs, and runs there that
+//! would end sooner if they were restarted elsewhere. A single slow run is not conclusive, because run times differ far
+//! more between jobs than between workers.
 
 use crate::cluster_view::ClusterView;
 use crate::estimates::projected_total_ms;
@@ -7,25 +8,27 @@
 use indigofold_protocol::task::{JobId, TaskName};
 use std::collections::BTreeMap;
 
-/// Runs of so many jobs have to be conclusive before a worker counts as slow.
+/// Minimum number of jobs with a conclusive run on a worker before the worker counts as slow.
 const JOBS_MIN: usize = 3;
-/// A worker counts as slow if its runs take so many times as long as expected (the median over jobs).
+/// A worker counts as slow if the ratio of projected to expected run times, as the median over jobs, is at least this.
 const SLOWDOWN: f64 = 2.5;
-/// A run is moved if its remaining time is so many times its total time on a healthy worker ...
+/// A run is moved if its remaining time exceeds this multiple of its total time on a healthy worker plus
+/// [`STRAGGLER_MIN_MS`].
 const STRAGGLER_FACTOR: f64 = 1.3;
-/// ... and so much more, in milliseconds.
+/// Constant part of the limit for moving a run, in milliseconds.
 const STRAGGLER_MIN_MS: f64 = 800.0;
 
-/// Total run times of one run, in milliseconds.
+/// Projected and expected total time of one run, in milliseconds.
 struct ProjectedRun {
-    /// Projected from its progress.
+    /// Total time projected from the run's progress.
     total_ms: f64,
-    /// Expected for its class and worker.
+    /// Total time expected for the run's class and worker.
     expected_ms: f64,
 }
 
 impl ClusterView<'_> {
-    /// How many times as long as expected the runs on this worker take, if it has become slow.
+    /// Ratio of projected to expected run times on this worker, as the median over jobs (per job the smallest ratio);
+    /// `None` unless the worker has become slow.
     pub(crate) fn slowdown(&self, id: WorkerId) -> Option<f64> {
         let worker = self.workers.get(id)?;
         let mut by_job: BTreeMap<JobId, f64> = BTreeMap::new();
@@ -44,7 +47,8 @@
         (ratios.len() >= JOBS_MIN && median >= SLOWDOWN).then_some(median)
     }
 
-    /// On a worker that has become slow: a new run elsewhere is expected to end first.
+    /// Whether a run on a slow worker should be moved, because a new run elsewhere is expected to end first. `slowdown`
+    /// is that of the worker. Gang members are never moved.
     pub(crate) fn is_straggling(&self, id: WorkerId, task: &TaskName, slowdown: f64) -> bool {
         let Some(step) = self.jobs.get(&task.job).and_then(|job| job.step(task.step)) else {
             return false;
@@ -57,7 +61,8 @@
                 > STRAGGLER_FACTOR * projected.total_ms / slowdown + STRAGGLER_MIN_MS
     }
 
-    /// Projected and expected total run time; `None` while the progress is not conclusive.
+    /// Projected and expected total time of a run; `None` for long-running tasks and while the progress is not
+    /// conclusive.
     fn projected(&self, id: WorkerId, task: &TaskName) -> Option<ProjectedRun> {
         let job = self.jobs.get(&task.job)?;
         let run = self
--- a/crates/scheduler/src/timers.rs
+++ b/crates/scheduler/src/timers.rs
@@ -1,14 +1,15 @@
-//! Work that is repeated at a fixed period.
+//! Timer for work that is repeated periodically.
 
-/// A period of the steady clock, and when it ends next.
+/// Periodic timer on the steady clock.
 #[derive(Debug)]
 pub(crate) struct Periodic {
     period_ms: u64,
+    /// When the timer is due next.
     next_ms: u64,
 }
 
 impl Periodic {
-    /// Due at once, and then every `period_ms`.
+    /// Creates a timer that is due at once, and then `period_ms` after each time it was taken.
     pub(crate) fn new(period_ms: u64, now_ms: u64) -> Self {
         Periodic {
             period_ms,
@@ -16,7 +17,7 @@
         }
     }
 
-    /// Whether the period has ended; if so, the next one begins now.
+    /// Returns whether the timer is due; if so, restarts the period now.
     pub(crate) fn take_due(&mut self, now_ms: u64) -> bool {
         if now_ms < self.next_ms {
             return false;
--- a/crates/scheduler/src/timers/tests.rs
+++ b/crates/scheduler/src/timers/tests.rs
@@ -1,4 +1,4 @@
-//! Periods.
+//! Tests of the periodic timer.
 
 use super::*;
 
--- a/crates/scheduler/src/unexpected_runs.rs
+++ b/crates/scheduler/src/unexpected_runs.rs
@@ -1,27 +1,30 @@
-//! Runs of a worker instance that must not be there, and are to be stopped before it gets new starts.
+//! Unexpected runs of a worker instance: runs that it has or may have though they are not outstanding there. They have
+//! to be stopped before the instance gets new starts, because they take capacity that the scheduler does not count.
 
 use indigofold_protocol::task::RunId;
 
-/// Runs that a worker has, or may have, though they are not outstanding there.
+/// Runs that a worker instance has, or may have, though they are not outstanding there.
 #[derive(Debug, Default)]
 pub(crate) struct UnexpectedRuns {
-    /// Listed as running.
+    /// Runs that the latest report with a list of running tasks contains.
     running: Vec<RunId>,
-    /// Starts in flight between the node agent and the worker.
+    /// Starts that the node agent has sent to the worker and that no heartbeat has listed yet, as of the latest report.
     in_flight: Vec<RunId>,
-    /// Runs that counted as lost when the leases of the instance expired.
+    /// Runs that were given up as lost when the leases of the instance expired.
     lost: Vec<RunId>,
-    /// When the node agent sent the report that was answered with the stops of lost runs, on the agent's clock.
+    /// When the node agent sent the report whose answer ordered the stops of the lost runs, on the agent's clock;
+    /// `None` while no such answer was sent.
     lost_stopped_ms: Option<u64>,
 }
 
 impl UnexpectedRuns {
-    /// Whether there are none.
+    /// Whether there are no unexpected runs.
     pub(crate) fn is_empty(&self) -> bool {
         self.running.is_empty() && self.in_flight.is_empty() && self.lost.is_empty()
     }
 
-    /// A report lists these.
+    /// Replaces the runs listed by reports. `running` is `None` if the report does not list running tasks: then the
+    /// former list stays.
     pub(crate) fn set(&mut self, in_flight: Vec<RunId>, running: Option<Vec<RunId>>) {
         self.in_flight = in_flight;
         if let Some(running) = running {
@@ -29,18 +32,19 @@
         }
     }
 
-    /// Another connection reports the instance: what the former one listed is not valid any more.
+    /// Drops the runs listed by reports, because another connection reports the instance from now on. Lost runs stay.
     pub(crate) fn forget_listed(&mut self) {
         (self.running, self.in_flight) = (Vec::new(), Vec::new());
     }
 
-    /// A run counts as lost.
+    /// Adds a run that was given up as lost.
     pub(crate) fn add_lost(&mut self, run: RunId) {
         self.lost.push(run);
     }
 
-    /// Runs to stop in the answer to a report that was sent at this time. Lost runs are stopped until a later report
-    /// shows that the answer has arrived.
+    /// Runs to stop with the answer to a report that was sent at `sent_ms` of the agent's clock. Lost runs are included
+    /// until a report sent later than the first answered one arrives, and are forgotten then. Listed running tasks are
+    /// included only if the report lists running tasks.
     pub(crate) fn stops(&mut self, sent_ms: u64, reports_running: bool) -> Vec<RunId> {
         let mut stops = self.in_flight.clone();
         if reports_running {
--- a/crates/scheduler/src/unexpected_runs/tests.rs
+++ b/crates/scheduler/src/unexpected_runs/tests.rs
@@ -1,4 +1,4 @@
-//! Which runs are stopped, and for how long.
+//! Tests of which unexpected runs are stopped, and for how long.
 
 use super::*;
 use indigofold_protocol::task::{JobId, TaskName};
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -1,29 +1,30 @@
-//! The value of jobs in relation to the work that they still need: under overload, the order by which most is earned.
+//! Value of jobs relative to the work that they still need. Under overload, steps with the least work per value go
+//! first, so that the jobs that end in time have the highest total value.
 
 use crate::queue::Prospect;
 use indigofold_placement::runs::{KEEP, WeightedSum};
 use indigofold_protocol::job::{Resources, Step};
 use rustc_hash::FxHashMap;
 
-/// A GPU counts as so many cores.
+/// Number of cores that a GPU counts as.
 const CORES_OF_GPU: f64 = 8.0;
-/// Value of a job that does not depend on its work (the rules' page, "Worth").
+/// Part of a job's value that does not depend on its work (section "Worth" of the rules).
 const VALUE_BASE: f64 = 0.3;
-/// Value of a job by its work in relation to the mean of its queue.
+/// Part of a job's value that is proportional to its work relative to the mean of its route.
 const VALUE_BY_WORK: f64 = 0.7;
-/// Highest value of a job in relation to the mean of its queue.
+/// Upper limit of a job's value; a job with the mean work of its route has the value 1.
 const VALUE_MAX: f64 = 4.0;
-/// Fraction of its value that a job earns after its latency target.
+/// Fraction of its value that a job retains after its latency target.
 const LATE_VALUE_FRACTION: f64 = 0.5;
-/// Steps of one class differ in cost by less than a factor of two to the power of one by this number.
+/// Number of cost classes per doubling of the work per value.
 const CLASSES_OF_A_DOUBLING: f64 = 1.0;
 
-/// Work of a queue's jobs, old ones fading: weight, weighted sum.
+/// Mean work of a route's jobs; the weight of older jobs decays.
 #[derive(Debug, Default)]
 struct MeanWork(WeightedSum);
 
 impl MeanWork {
-    /// Adds a job's work to the mean; returns the job's value in relation to the others of its queue.
+    /// Adds a job's work to the mean; returns the job's value.
     fn value(&mut self, work: f64) -> f64 {
         self.0.add(KEEP, work);
         let mean = self.0.sum / self.0.weight;
@@ -32,8 +33,9 @@
     }
 }
 
-/// Class of the cost of what a job earns: `work` that it still needs for its `value`. Steps of one class go by their
-/// deadlines; without any work left there is nothing to weigh.
+/// Cost class of a step: the logarithm of the `work` that its job still needs per value that it can still reach, so
+/// that steps of one class differ in cost by less than a factor of two and are ordered by their deadlines. `i16::MIN`,
+/// which goes first, if there is no work left or no value.
 pub(crate) fn cost_class(work: f64, value: f64, prospect: Prospect) -> i16 {
     let earned = match prospect {
         Prospect::InTime => value,
@@ -45,24 +47,24 @@
     ((work / earned).log2() * CLASSES_OF_A_DOUBLING).floor() as i16
 }
 
-/// Cores that these resources count for.
+/// Number of cores that these resources count as; memory is not counted.
 pub(crate) fn cores(resources: &Resources) -> f64 {
     resources.cpu as f64 / 1_000.0 + resources.gpu as f64 * CORES_OF_GPU
 }
 
-/// Work of so many tasks of a step that run for `run_ms` each, in core-milliseconds.
+/// Work of `tasks` tasks of a step that run for `run_ms` each, in core-milliseconds.
 pub(crate) fn work_of(step: &Step, tasks: usize, run_ms: u64) -> f64 {
     tasks as f64 * cores(&step.resources()) * run_ms as f64
 }
 
-/// Mean work of the jobs of each route.
+/// Mean work of the jobs per route, to which the value of each job is relative.
 #[derive(Debug, Default)]
 pub(crate) struct QueueValues {
     by_route: FxHashMap<String, MeanWork>,
 }
 
 impl QueueValues {
-    /// Adds the work of a job, in core-milliseconds, to the mean of its route; returns its value in relation to that.
+    /// Adds the work of a job, in core-milliseconds, to the mean of its route; returns the job's value.
     pub(crate) fn value(&mut self, route: &str, work: f64) -> f64 {
         self.by_route
             .entry(route.to_owned())
--- a/crates/scheduler/src/value/tests.rs
+++ b/crates/scheduler/src/value/tests.rs
@@ -1,4 +1,4 @@
-//! Values of jobs and classes of cost.
+//! Tests of the values of jobs and of cost classes.
 
 use super::*;
 
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -1,4 +1,5 @@
-//! One worker instance, as its node agent reports it: capacity, state, runs.
+//! State of one worker instance: what its node agent reports (capacity, labels, drain), its outstanding runs, its
+//! leases and its health.
 
 use crate::api::AgentId;
 use crate::health::WorkerHealth;
@@ -9,12 +10,12 @@
 use indigofold_protocol::worker::WorkerState;
 use std::collections::BTreeSet;
 
-/// A worker whose node agent has not reported for this time gets no new starts.
+/// A worker whose node agent has not reported for this time counts as unresponsive and gets no new starts.
 const REPORT_FRESH_MS: u64 = 1_000;
-/// A worker without a heartbeat for this time gets no new starts.
+/// A worker without a heartbeat for this time counts as unresponsive and gets no new starts.
 const UNRESPONSIVE_MS: u64 = 1_500;
 
-/// Number of a worker instance; never used again for another one.
+/// Number of a worker instance within this scheduler; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct WorkerId(pub u32);
 
@@ -22,44 +23,51 @@
 #[derive(Debug)]
 pub(crate) struct Worker {
     instance: String,
-    /// Machine that it and its node agent run on; unknown until it reports.
+    /// Machine that the instance and its node agent run on; `None` until that is known from a report or a stored row.
     node_name: Option<String>,
-    /// Machine that its row names, if it has one.
+    /// Machine that the instance's stored row names; `None` if it has no row.
     recorded_node: Option<String>,
+    /// Connection over which the instance is reported; `None` while there is none.
     agent: Option<AgentId>,
+    /// Service that the instance belongs to; empty until its first report.
     backend: String,
     state: WorkerState,
+    /// When the instance ends, on the steady clock; `None` unless it is draining.
     drain_end_ms: Option<u64>,
     capacity: Resources,
     labels: Vec<String>,
-    /// What outstanding runs take.
+    /// Resources taken by outstanding runs.
     used: Resources,
-    /// What of this is used by runs that were bound to a kind.
+    /// Share of `used` that is taken by runs whose label binds them to one kind of workers.
     used_bound: Resources,
+    /// Tasks with an outstanding run on this instance.
     runs: BTreeSet<TaskName>,
-    /// A full report was received on the present connection.
+    /// Whether a report that lists all running tasks was received on the present connection.
     full_report_received: bool,
-    /// When its node agent reported last.
+    /// Time of the node agent's latest report; before that, when the instance was entered.
     last_report_ms: u64,
+    /// Age of the latest heartbeat at the time of the latest report.
     since_heartbeat_ms: u64,
-    /// When a report of its node agent was answered last; before that, when this scheduler took over.
+    /// When a report of the node agent was answered last; before that, when the instance was entered. The leases of the
+    /// instance are valid for a limited time from then.
     answered_ms: u64,
-    /// When its leases expired without a report; `None` while they may be valid.
+    /// When the leases expired without a report; `None` while they may be valid.
     expired_ms: Option<u64>,
+    /// Runs that the instance has or may have though they are not outstanding there.
     unexpected: UnexpectedRuns,
-    /// Number of the newest end that was handled.
+    /// Highest number of a finished run that was handled; 0 for none.
     handled_end: u64,
-    /// Number of the newest end that is committed.
+    /// Highest number of a finished run whose end is committed; 0 for none.
     committed_end: u64,
-    /// No new starts before this time.
+    /// The instance gets no new starts before this time.
     backoff_until_ms: u64,
-    /// It warms up until then.
+    /// End of the warm-up, during which runs are slow.
     warm_up_until_ms: u64,
     health: WorkerHealth,
 }
 
 impl Worker {
-    /// An instance that has not been reported yet; `now_ms` is the steady clock.
+    /// Creates an instance that has not been reported yet. `now_ms` is the time of the steady clock, as in all methods.
     pub(crate) fn new(instance: String, now_ms: u64) -> Self {
         Worker {
             instance,
@@ -88,77 +96,77 @@
         }
     }
 
-    /// Its id among workers.
+    /// Id of the instance, as its node agent reports it.
     pub(crate) fn instance(&self) -> &str {
         &self.instance
     }
 
-    /// Connection over which it is reported.
+    /// Connection over which the instance is reported; `None` while there is none.
     pub(crate) fn agent(&self) -> Option<AgentId> {
         self.agent
     }
 
-    /// Service it belongs to; empty until it reports.
+    /// Service that the instance belongs to; empty until its first report.
     pub(crate) fn backend(&self) -> &str {
         &self.backend
     }
 
-    /// Whether it takes new work.
+    /// Whether the instance takes new work or is draining, as reported last.
     pub(crate) fn state(&self) -> WorkerState {
         self.state
     }
 
-    /// When its drain ends, while it is draining.
+    /// When the instance ends, on the steady clock; `None` unless it is draining.
     pub(crate) fn drain_end_ms(&self) -> Option<u64> {
         self.drain_end_ms
     }
 
-    /// What it has.
+    /// Total resources of the instance.
     pub(crate) fn capacity(&self) -> Resources {
         self.capacity
     }
 
-    /// Its labels.
+    /// Labels of the instance: kind and rack.
     pub(crate) fn labels(&self) -> &[String] {
         &self.labels
     }
 
-    /// What outstanding runs take.
+    /// Resources taken by outstanding runs.
     pub(crate) fn used(&self) -> Resources {
         self.used
     }
 
-    /// Tasks with an outstanding run here.
+    /// Tasks with an outstanding run on this instance.
     pub(crate) fn runs(&self) -> &BTreeSet<TaskName> {
         &self.runs
     }
 
-    /// Time since its last heartbeat when its node agent reported last, in milliseconds.
+    /// Age of the latest heartbeat at the time of the latest report, in milliseconds.
     pub(crate) fn since_heartbeat_ms(&self) -> u64 {
         self.since_heartbeat_ms
     }
 
-    /// Its health by the results of its runs.
+    /// Health of the instance, judged by the results of its runs.
     pub(crate) fn health(&self) -> &WorkerHealth {
         &self.health
     }
 
-    /// Its health by the results of its runs.
+    /// Mutable access to the health.
     pub(crate) fn health_mut(&mut self) -> &mut WorkerHealth {
         &mut self.health
     }
 
-    /// Runs that must not be there.
+    /// Runs that the instance has or may have though they are not outstanding there.
     pub(crate) fn unexpected_mut(&mut self) -> &mut UnexpectedRuns {
         &mut self.unexpected
     }
 
-    /// Its node agent has sent a full report; returns whether that is the first on this connection.
+    /// Records that a report listed all running tasks; returns whether it is the first such report on this connection.
     pub(crate) fn record_full_report(&mut self) -> bool {
         !std::mem::replace(&mut self.full_report_received, true)
     }
 
-    /// Applies what a report says about the instance; returns whether its kind or readiness changed.
+    /// Applies the instance's attributes from a report. Returns whether its service, capacity, labels or state changed.
     pub(crate) fn apply_report(&mut self, now_ms: u64, report: &InstanceReport) -> bool {
         let changed = self.backend != report.backend
             || self.capacity != report.capacity
@@ -175,7 +183,7 @@
         changed
     }
 
-    /// The instance is on this machine; returns whether that is new.
+    /// Sets the machine that the instance is on; returns whether it changed.
     pub(crate) fn set_node(&mut self, node_name: &str) -> bool {
         let changed = self.node_name.as_deref() != Some(node_name);
         if changed {
@@ -184,12 +192,12 @@
         changed
     }
 
-    /// Machine that it and its node agent run on; unknown until it reports.
+    /// Machine that the instance and its node agent run on; `None` until that is known from a report or a stored row.
     pub(crate) fn node_name(&self) -> Option<&str> {
         self.node_name.as_deref()
     }
 
-    /// Its row names this machine; returns whether that is new.
+    /// Sets the machine that the instance's stored row names; returns whether it changed.
     pub(crate) fn set_recorded_node(&mut self, node_name: &str) -> bool {
         let changed = self.recorded_node.as_deref() != Some(node_name);
         if changed {
@@ -198,12 +206,13 @@
         changed
     }
 
-    /// Whether it has a row.
+    /// Whether the instance has a stored row.
     pub(crate) fn is_recorded(&self) -> bool {
         self.recorded_node.is_some()
     }
 
-    /// It is reported over this connection.
+    /// Sets the connection over which the instance is reported. If it is another one than before, a full report is
+    /// awaited anew, and what the former connection listed as unexpected is dropped.
     pub(crate) fn attach(&mut self, agent: AgentId) {
         if self.agent != Some(agent) {
             (self.agent, self.full_report_received) = (Some(agent), false);
@@ -211,84 +220,85 @@
         }
     }
 
-    /// It is not reported over any connection.
+    /// Records that no connection reports the instance.
     pub(crate) fn detach(&mut self) {
         (self.agent, self.full_report_received) = (None, false);
     }
 
-    /// A report of its node agent is answered: its leases may be valid from now on.
+    /// Records that a report of the node agent is answered: the answer extends its authority to grant run leases.
     pub(crate) fn answered(&mut self, now_ms: u64) {
         self.answered_ms = now_ms;
     }
 
-    /// When a report of its node agent was answered last; before that, when this scheduler took over.
+    /// When a report of the node agent was answered last; before that, when the instance was entered.
     pub(crate) fn answered_ms(&self) -> u64 {
         self.answered_ms
     }
 
-    /// Its leases have expired without a report.
+    /// Records that the leases have expired without a report.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         self.expired_ms = Some(now_ms);
     }
 
-    /// It is reported again; returns whether its leases had expired.
+    /// Records that the instance is reported again; returns whether its leases had expired.
     pub(crate) fn revive(&mut self) -> bool {
         self.expired_ms.take().is_some()
     }
 
-    /// When its leases expired; `None` while they may be valid.
+    /// When the leases expired without a report; `None` while they may be valid.
     pub(crate) fn expired_ms(&self) -> Option<u64> {
         self.expired_ms
     }
 
-    /// Ends up to this number have been handled.
+    /// Records that the ends of runs up to this number have been handled.
     pub(crate) fn handle_ends_until(&mut self, number: u64) {
         self.handled_end = number;
     }
 
-    /// Number of the newest end that was handled.
+    /// Highest number of a finished run that was handled; 0 for none.
     pub(crate) fn handled_end(&self) -> u64 {
         self.handled_end
     }
 
-    /// Ends up to this number are committed.
+    /// Records that the ends of runs up to this number are committed.
     pub(crate) fn commit_ends_until(&mut self, number: u64) {
         self.committed_end = self.committed_end.max(number);
     }
 
-    /// Number of the newest end that is committed, if any.
+    /// Highest number of a finished run whose end is committed and may be acknowledged; `None` for none.
     pub(crate) fn acknowledged_end(&self) -> Option<u64> {
         (self.committed_end > 0).then_some(self.committed_end)
     }
 
-    /// It gets no new starts before this time.
+    /// Blocks new starts on the instance until this time.
     pub(crate) fn back_off_until(&mut self, until_ms: u64) {
         self.backoff_until_ms = until_ms;
     }
 
-    /// Whether it has warmed up by this time.
+    /// Whether the warm-up has ended by this time.
     pub(crate) fn is_warm(&self, now_ms: u64) -> bool {
         self.warm_up_until_ms <= now_ms
     }
 
-    /// Whether it or its node agent has not been heard from for longer than this.
+    /// Whether no connection reports the instance, or its latest report or heartbeat is older than `limit_ms`.
     pub(crate) fn is_unresponsive_for(&self, limit_ms: u64, now_ms: u64) -> bool {
         self.agent.is_none()
             || now_ms.saturating_sub(self.last_report_ms) > limit_ms
             || self.since_heartbeat_ms > limit_ms
     }
 
-    /// What runs take that were bound to a kind.
+    /// Resources taken by runs whose label binds them to one kind of workers.
     pub(crate) fn used_bound(&self) -> Resources {
         self.used_bound
     }
 
-    /// Connection over which orders can be sent: one on which a full report was received.
+    /// Connection over which orders can be sent; `None` until a full report was received on it.
     pub(crate) fn order_connection(&self) -> Option<AgentId> {
         self.agent.filter(|_| self.full_report_received)
     }
 
-    /// Whether it may be sent new runs now.
+    /// Whether new runs may be started on the instance now: it is responsive and fully reported, its leases have not
+    /// expired, and neither unexpected runs nor a backoff block it.
     pub(crate) fn accepts_starts(&self, now_ms: u64) -> bool {
         self.is_responsive(now_ms)
             && self.full_report_received
@@ -297,7 +307,8 @@
             && now_ms >= self.backoff_until_ms
     }
 
-    /// Whether it is connected, ready and heard from recently; a backoff does not matter.
+    /// Whether the instance is connected, ready (not draining), and reported with a heartbeat recently. Backoff and
+    /// unexpected runs are ignored.
     pub(crate) fn is_responsive(&self, now_ms: u64) -> bool {
         self.agent.is_some()
             && self.state == WorkerState::Ready
@@ -305,17 +316,18 @@
             && self.since_heartbeat_ms < UNRESPONSIVE_MS
     }
 
-    /// Free capacity.
+    /// Resources not taken by outstanding runs.
     pub(crate) fn free(&self) -> Resources {
         self.capacity.minus(&self.used)
     }
 
-    /// Whether these resources fit beside what runs.
+    /// Whether these resources fit beside the outstanding runs.
     pub(crate) fn has_capacity(&self, resources: &Resources) -> bool {
         self.capacity.can_fit(&self.used.plus(resources))
     }
 
-    /// Takes capacity for a run.
+    /// Adds a run of the task and the resources that it takes. `bound`: its step's label binds it to one kind of
+    /// workers.
     pub(crate) fn occupy(&mut self, task: TaskName, resources: &Resources, bound: bool) {
         self.runs.insert(task);
         self.used = self.used.plus(resources);
@@ -324,7 +336,7 @@
         }
     }
 
-    /// Frees the capacity of a run.
+    /// Removes the run of the task and frees its resources. `bound` as in [`occupy`](Self::occupy).
     pub(crate) fn release(&mut self, task: &TaskName, resources: &Resources, bound: bool) {
         if self.runs.remove(task) {
             self.used = self.used.minus(resources);
@@ -334,7 +346,7 @@
         }
     }
 
-    /// Rack, if a label names one.
+    /// The first label that names a rack; `None` if there is none.
     pub(crate) fn rack(&self) -> Option<&str> {
         self.labels
             .iter()
@@ -343,7 +355,7 @@
     }
 }
 
-/// Whether a label names a rack: `r`, digits, `-`, digits.
+/// Whether a label names a rack: `r`, digits, `-`, digits, for example `r1-2`.
 pub(crate) fn is_rack(label: &str) -> bool {
     let digits = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
     let parts = label
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -1,4 +1,4 @@
-//! The registry of worker instances, their machines, and the connections of their node agents.
+//! Registry of all worker instances, the machines that they run on, and the connections of the node agents.
 
 use crate::api::AgentId;
 use crate::worker::{Worker, WorkerId};
@@ -6,36 +6,41 @@
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Clocks may run at different rates, up to this percentage.
+/// Lease times are extended to this percentage, because the clocks of machines may run at different rates.
 const CLOCK_PERCENT: u64 = 105;
-/// Added to the time after which all leases have expired.
+/// Added to the time after which all leases count as expired.
 const EXPIRY_MARGIN_MS: u64 = 300;
-/// An expired instance that never came back is forgotten after this time.
+/// An instance that is not reported again after its leases expired is forgotten after this time.
 const EXPIRED_FORGET_MS: u64 = 600_000;
 
-/// A connection of a node agent.
+/// An open connection of a node agent.
 #[derive(Clone, Debug)]
 pub(crate) struct Connection {
-    /// Name of its machine.
+    /// Name of the machine that the node agent runs on.
     pub node_name: String,
-    /// The instance reported last.
+    /// Instance that the connection reports; `None` while it reports none.
     pub worker: Option<WorkerId>,
 }
 
-/// All instances and connections.
+/// All known instances and open connections.
 #[derive(Debug)]
 pub(crate) struct Workers {
     instances: BTreeMap<WorkerId, Worker>,
+    /// Instances by id.
     by_instance: FxHashMap<String, WorkerId>,
+    /// Instances by the name of their machine.
     by_node: FxHashMap<String, BTreeSet<WorkerId>>,
     connections: FxHashMap<AgentId, Connection>,
+    /// Newest connection of each machine, by the machine's name.
     connection_of_node: FxHashMap<String, AgentId>,
+    /// Number of the next instance.
     next: u32,
+    /// All leases of an instance have expired this time after a report of its node agent was answered last.
     lease_expiry_ms: u64,
 }
 
 impl Workers {
-    /// No instances yet. `max_lease_ms` is the longest run lease that workers grant.
+    /// Creates a registry without instances. `max_lease_ms` limits the run leases that node agents grant.
     pub(crate) fn new(max_lease_ms: u64) -> Self {
         let longest_ms = LEASE_AUTHORITY_MS + RUN_LEASE_MS.min(max_lease_ms);
         Workers {
@@ -49,22 +54,22 @@
         }
     }
 
-    /// An instance.
+    /// Returns the instance with this number, if it is known.
     pub(crate) fn get(&self, worker: WorkerId) -> Option<&Worker> {
         self.instances.get(&worker)
     }
 
-    /// An instance.
+    /// Returns the instance with this number for changes, if it is known.
     pub(crate) fn get_mut(&mut self, worker: WorkerId) -> Option<&mut Worker> {
         self.instances.get_mut(&worker)
     }
 
-    /// All instances, by number.
+    /// Iterates over all instances in ascending order of their numbers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (WorkerId, &Worker)> {
         self.instances.iter().map(|(id, worker)| (*id, worker))
     }
 
-    /// The instance of this id, entered if it is new.
+    /// Returns the number of the instance with this id; adds the instance if it is new.
     pub(crate) fn get_or_register(&mut self, instance: &str, now_ms: u64) -> WorkerId {
         if let Some(&known) = self.by_instance.get(instance) {
             return known;
@@ -77,12 +82,12 @@
         id
     }
 
-    /// The instance of this id, if it is known.
+    /// Returns the number of the instance with this id, if it is known.
     pub(crate) fn find(&self, instance: &str) -> Option<WorkerId> {
         self.by_instance.get(instance).copied()
     }
 
-    /// Forgets an instance; its runs must have been ended before.
+    /// Removes an instance. The caller must have ended its runs before.
     pub(crate) fn forget(&mut self, id: WorkerId) {
         let Some(worker) = self.instances.remove(&id) else {
             return;
@@ -103,7 +108,7 @@
         }
     }
 
-    /// Other instances known on the machine of this one.
+    /// Instances known on this machine, except `id`.
     pub(crate) fn others_at(&self, node_name: &str, id: WorkerId) -> Vec<WorkerId> {
         self.at(node_name)
             .into_iter()
@@ -121,7 +126,7 @@
             .collect()
     }
 
-    /// A node agent has connected; it replaces an older connection of the same machine.
+    /// Adds the connection of a node agent; it replaces an older connection of the same machine.
     pub(crate) fn connected(&mut self, agent: AgentId, node_name: String) {
         if let Some(older) = self.connection_of_node.insert(node_name.clone(), agent) {
             self.disconnected(older);
@@ -135,7 +140,7 @@
         );
     }
 
-    /// A connection has closed.
+    /// Removes a connection that has closed.
     pub(crate) fn disconnected(&mut self, agent: AgentId) {
         let Some(connection) = self.connections.remove(&agent) else {
             return;
@@ -150,12 +155,12 @@
         }
     }
 
-    /// A connection that is in use.
+    /// Returns an open connection; `None` if it has closed or was replaced.
     pub(crate) fn connection(&self, agent: AgentId) -> Option<&Connection> {
         self.connections.get(&agent)
     }
 
-    /// A connection reports an instance.
+    /// Records that the connection reports this instance. An instance that it reported before is detached.
     pub(crate) fn attach(&mut self, agent: AgentId, id: WorkerId) {
         let Some(connection) = self.connections.get_mut(&agent) else {
             return;
@@ -175,7 +180,7 @@
         self.set_node(id, node_name);
     }
 
-    /// The instance is on this machine.
+    /// Records that the instance is on this machine.
     pub(crate) fn set_node(&mut self, id: WorkerId, node_name: String) {
         let Some(worker) = self.instances.get_mut(&id) else {
             return;
@@ -185,7 +190,7 @@
         }
     }
 
-    /// The connection reports no instance at present.
+    /// Records that the connection reports no instance at present.
     pub(crate) fn detach(&mut self, agent: AgentId) {
         let worker = self
             .connections
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Instances whose leases have all expired by now.
+    /// Instances whose leases have all expired by now and that are not marked as expired yet.
     pub(crate) fn newly_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let has_expired = |w: &Worker| {
             w.expired_ms().is_none() && now_ms >= w.answered_ms() + self.lease_expiry_ms
@@ -209,7 +214,7 @@
             .collect()
     }
 
-    /// Instances that expired long ago.
+    /// Expired instances that can be forgotten.
     pub(crate) fn long_expired(&self, now_ms: u64) -> Vec<WorkerId> {
         let old = |w: &Worker| {
             w.expired_ms()
