--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -12,14 +12,14 @@
 /// not held back by blocked steps ahead of it.
 pub(crate) const ANY_WORKER_MS: u64 = 1_500;
 /// A step that has waited for this time may use the worker where the task failed last.
-const FAILED_THERE_MS: u64 = 600;
+const FAILED_WORKER_WAIT_MS: u64 = 600;
 /// Maximum time that a step waits for a worker on the rack of its data.
 const RACK_WAIT_MAX_MS: u64 = 1_000;
 
 /// Placement requirements of a step's tasks at a point in time.
 pub(crate) struct StepDemand {
     /// The step.
-    pub at: StepRef,
+    pub step_ref: StepRef,
     /// Resources that each task takes.
     pub resources: Resources,
     /// Label that workers must have; empty for any worker.
@@ -67,8 +67,8 @@
 
 impl StepDemand {
     /// Returns the requirements of a step of the job, for placement on any rack; `None` if there is no such step.
-    pub(crate) fn of(job: &Job, at: StepRef, now_ms: u64) -> Option<StepDemand> {
-        let (step, state) = (job.step(at.step)?, job.step_state(at)?);
+    pub(crate) fn for_step(job: &Job, step_ref: StepRef, now_ms: u64) -> Option<StepDemand> {
+        let (step, state) = (job.step(step_ref.step)?, job.step_state(step_ref)?);
         let mut on_worker = FxHashMap::default();
         if step.anti_affinity > 0 {
             for run in state.tasks().iter().flat_map(Task::runs) {
@@ -76,13 +76,13 @@
             }
         }
         Some(StepDemand {
-            at,
+            step_ref,
             resources: step.resources(),
             label: step.requirements.clone(),
             affinity: step.affinity.clone(),
             anti_affinity: step.anti_affinity,
             on_worker,
-            class: job.class(at.step),
+            class: job.class(step_ref.step),
             estimate_ms: step.estimate_ms,
             waited_ms: now_ms.saturating_sub(state.waiting_since_ms()),
             long_running: step.long_running,
@@ -99,7 +99,7 @@
         let spread = self.anti_affinity == 0 || there < self.anti_affinity;
         self.is_label_met(worker)
             && spread
-            && worker.has_capacity(&times(&self.resources, u64::from(extra) + 1))
+            && worker.has_capacity(&multiply(&self.resources, u64::from(extra) + 1))
     }
 
     /// Whether the worker has the label that the step requires; `true` if it requires none.
@@ -123,10 +123,10 @@
         now_ms: u64,
     ) -> bool {
         let status = worker.health().status(now_ms);
-        let any = self.waited_ms >= ANY_WORKER_MS;
+        let may_use_suspected = self.waited_ms >= ANY_WORKER_MS;
         let usable = match status {
             HealthStatus::Healthy | HealthStatus::OnProbation => true,
-            HealthStatus::Suspected => any,
+            HealthStatus::Suspected => may_use_suspected,
         };
         match scope {
             Scope::Preferred => {
@@ -142,14 +142,14 @@
                 let waited = self.locality == Locality::Anywhere
                     && self.waited_ms >= rack_ms.min(RACK_WAIT_MAX_MS);
                 let placed_well = waited || self.is_local(worker);
-                usable && placed_well && (!failed_there || self.waited_ms >= FAILED_THERE_MS)
+                usable && placed_well && (!failed_there || self.waited_ms >= FAILED_WORKER_WAIT_MS)
             }
         }
     }
 }
 
 /// Resources of `count` tasks that take `resources` each.
-pub(crate) fn times(resources: &Resources, count: u64) -> Resources {
+pub(crate) fn multiply(resources: &Resources, count: u64) -> Resources {
     Resources {
         cpu: resources.cpu * count,
         mem_mb: resources.mem_mb * count,
--- a/crates/scheduler/src/estimates.rs
+++ b/crates/scheduler/src/estimates.rs
@@ -34,8 +34,8 @@
     /// Expected total run time of the task on this worker, in milliseconds, including the slowdown of a remote run; 0
     /// if the task's step is unknown.
     pub(crate) fn expected_run_ms(&self, id: WorkerId, task: &TaskName) -> f64 {
-        let at = StepRef::of(task);
-        let Some(traits) = self.jobs.traits(at) else {
+        let step_ref = StepRef::of(task);
+        let Some(traits) = self.jobs.traits(step_ref) else {
             return 0.0;
         };
         let remote_factor = self.run_at(id, task).map_or(1.0, Run::remote_factor);
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -16,21 +16,21 @@
 /// Maximum time from suspicion to probation.
 const PROBATION_BACKOFF_MAX_MS: u64 = 30_000;
 /// Weight of the former mean in the exponential moving average of the slowdown.
-const PACE_KEEP: f64 = 0.7;
+const SLOWDOWN_KEEP: f64 = 0.7;
 /// A worker whose mean slowdown exceeds this factor is suspected.
-const SLOW_PACE: f64 = 2.5;
+const SLOWDOWN_MAX: f64 = 2.5;
 
 /// Decaying statistics of the results of one worker's runs.
 #[derive(Debug)]
 pub(crate) struct WorkerHealth {
     /// Weight of successes, decaying with [`HALF_LIFE_MS`].
-    good: f64,
+    successes: f64,
     /// Weight of failures, decaying with [`HALF_LIFE_MS`].
-    bad: f64,
+    failures: f64,
     /// Weight of failures since the last success.
     streak: f64,
     /// Exponential moving average of the logarithm of the slowdown (run time divided by expected run time).
-    pace: f64,
+    log_slowdown: f64,
     /// When the decay was last applied to the weights, on the steady clock.
     updated_ms: u64,
     /// `None` while the worker is healthy.
@@ -62,10 +62,10 @@
 impl Default for WorkerHealth {
     fn default() -> Self {
         WorkerHealth {
-            good: 0.0,
-            bad: 0.0,
+            successes: 0.0,
+            failures: 0.0,
             streak: 0.0,
-            pace: 0.0,
+            log_slowdown: 0.0,
             updated_ms: 0,
             suspected: None,
         }
@@ -75,34 +75,34 @@
 impl WorkerHealth {
     /// Records a run that ended `done`. `slowdown` is its run time divided by the expected one; `None` if the run is no
     /// sample of the worker's speed. The success ends a suspicion unless the worker is too slow.
-    pub(crate) fn succeeded(&mut self, now_ms: u64, pace: Option<f64>) {
-        self.fade(now_ms);
-        self.good += 1.0;
+    pub(crate) fn succeeded(&mut self, now_ms: u64, slowdown: Option<f64>) {
+        self.decay(now_ms);
+        self.successes += 1.0;
         self.streak = 0.0;
-        if let Some(pace) = pace {
-            let sample = pace.clamp(0.1, 20.0).ln();
+        if let Some(slowdown) = slowdown {
+            let sample = slowdown.clamp(0.1, 20.0).ln();
             let keep = if self.suspected.is_some() {
                 0.0
             } else {
-                PACE_KEEP
+                SLOWDOWN_KEEP
             };
-            self.pace = self.pace * keep + sample * (1.0 - keep);
+            self.log_slowdown = self.log_slowdown * keep + sample * (1.0 - keep);
         }
-        if self.pace > SLOW_PACE.ln() {
+        if self.log_slowdown > SLOWDOWN_MAX.ln() {
             self.suspect(now_ms);
         } else if self.suspected.take().is_some() {
-            self.bad = 0.0;
+            self.failures = 0.0;
         }
     }
 
     /// Records a run that failed or hung. `is_doubtful`: the cause is probably the job, which has failed on another
     /// worker too, or is long-running.
     pub(crate) fn failed(&mut self, now_ms: u64, is_doubtful: bool) {
-        self.fade(now_ms);
+        self.decay(now_ms);
         let weight = if is_doubtful { DOUBTFUL_FAILURE } else { 1.0 };
-        (self.bad, self.streak) = (self.bad + weight, self.streak + weight);
-        let fails_often =
-            self.bad >= SUSPECT_WEIGHT && self.bad >= SUSPECT_FRACTION * (self.good + self.bad);
+        (self.failures, self.streak) = (self.failures + weight, self.streak + weight);
+        let fails_often = self.failures >= SUSPECT_WEIGHT
+            && self.failures >= SUSPECT_FRACTION * (self.successes + self.failures);
         if self.suspected.is_some() || fails_often || self.streak >= SUSPECT_STREAK {
             self.suspect(now_ms);
         }
@@ -111,8 +111,8 @@
     /// Records a run that was so much slower than expected that it was stopped to be moved: the worker is suspected at
     /// once.
     pub(crate) fn too_slow(&mut self, now_ms: u64) {
-        self.fade(now_ms);
-        self.pace = self.pace.max(SLOW_PACE.ln());
+        self.decay(now_ms);
+        self.log_slowdown = self.log_slowdown.max(SLOWDOWN_MAX.ln());
         self.suspect(now_ms);
     }
 
@@ -156,9 +156,10 @@
     }
 
     /// Applies the decay since the last update to the weights of successes and failures.
-    fn fade(&mut self, now_ms: u64) {
+    fn decay(&mut self, now_ms: u64) {
         let keep = 0.5f64.powf(now_ms.saturating_sub(self.updated_ms) as f64 / HALF_LIFE_MS);
-        (self.good, self.bad, self.updated_ms) = (self.good * keep, self.bad * keep, now_ms);
+        (self.successes, self.failures, self.updated_ms) =
+            (self.successes * keep, self.failures * keep, now_ms);
     }
 }
 
--- a/crates/scheduler/src/health/tests.rs
+++ b/crates/scheduler/src/health/tests.rs
@@ -51,6 +51,6 @@
 #[test]
 fn a_worker_that_is_far_slower_than_expected_is_suspected() {
     let mut health = WorkerHealth::default();
-    (0..10).for_each(|_| health.succeeded(1_000, Some(2.0 * SLOW_PACE)));
+    (0..10).for_each(|_| health.succeeded(1_000, Some(2.0 * SLOWDOWN_MAX)));
     assert_eq!(health.status(1_000), HealthStatus::Suspected);
 }
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -19,7 +19,7 @@
 /// Microseconds per millisecond.
 const MICROS: u64 = 1_000;
 /// Expected run time of a class without observed runs and without a client's estimate, in milliseconds.
-const UNKNOWN_RUN_MS: f64 = 1_000.0;
+const DEFAULT_RUN_MS: f64 = 1_000.0;
 
 /// Workers with the same labels (except rack labels) and the same capacity.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
     kind_of: FxHashMap<WorkerId, usize>,
     classes: FxHashMap<Class, ClassWork>,
     /// Run times at mean speed, over all classes.
-    all: WeightedSum,
+    all_runs: WeightedSum,
     /// Exponential moving average of the load, between 0 and 1.
     load: f64,
 }
@@ -131,7 +131,7 @@
             .iter()
             .filter(|(_, w)| w.backend() == backend && w.expired_ms().is_none())
         {
-            let kind = self.kind_for(worker);
+            let kind = self.kind_index(worker);
             self.kinds[kind].workers.push(id);
             self.kind_of.insert(id, kind);
         }
@@ -139,15 +139,15 @@
     }
 
     /// Index of the worker's kind, which is added if it is new.
-    fn kind_for(&mut self, worker: &Worker) -> usize {
+    fn kind_index(&mut self, worker: &Worker) -> usize {
         let labels: Vec<String> = worker
             .labels()
             .iter()
             .filter(|label| !is_rack(label))
             .cloned()
             .collect();
-        let like = |kind: &Kind| kind.labels == labels && kind.capacity == worker.capacity();
-        self.kinds.iter().position(like).unwrap_or_else(|| {
+        let matches = |kind: &Kind| kind.labels == labels && kind.capacity == worker.capacity();
+        self.kinds.iter().position(matches).unwrap_or_else(|| {
             let (capacity, speed) = (worker.capacity(), Speed::default());
             self.kinds.push(Kind {
                 labels,
@@ -170,8 +170,9 @@
     /// Updates the probabilities of the kinds for the mean load. Only connected workers count.
     fn solve(&mut self, workers: &Workers) {
         let ready = |kind: &Kind| {
-            let takes = |id: &&WorkerId| workers.get(**id).is_some_and(|w| w.agent().is_some());
-            kind.workers.iter().filter(takes).count() as f64
+            let is_connected =
+                |id: &&WorkerId| workers.get(**id).is_some_and(|w| w.agent().is_some());
+            kind.workers.iter().filter(is_connected).count() as f64
         };
         let ready_workers: Vec<f64> = self.kinds.iter().map(ready).collect();
         let mean = self.mean_speed();
@@ -225,9 +226,9 @@
         let run = (run_ms * MICROS as f64) as u64;
         let speed = &mut self.kinds[kind].speed;
         let work = self.classes.entry(class.clone()).or_default();
-        work.judge(estimate, run as f64 * speed.speed);
-        let (mut same_speed, mut same_sum) = (speed.clone(), self.all);
-        learn(speed, &mut work.by_mean, &mut self.all, None, run);
+        work.record_errors(estimate, run as f64 * speed.speed);
+        let (mut same_speed, mut same_sum) = (speed.clone(), self.all_runs);
+        learn(speed, &mut work.by_mean, &mut self.all_runs, None, run);
         if estimate.is_some() {
             learn(
                 &mut same_speed,
@@ -253,12 +254,12 @@
     pub(crate) fn expected_at_mean_speed_ms(&self, class: &Class, estimate_ms: u64) -> f64 {
         let estimate = (estimate_ms > 0).then_some(estimate_ms * MICROS);
         let class_mean = self.classes.get(class).and_then(|work| work.mean(estimate));
-        let given_ms = if estimate_ms > 0 {
+        let default_ms = if estimate_ms > 0 {
             estimate_ms as f64
         } else {
-            UNKNOWN_RUN_MS
+            DEFAULT_RUN_MS
         };
-        class_mean.map_or(given_ms, |micros| micros / MICROS as f64)
+        class_mean.map_or(default_ms, |micros| micros / MICROS as f64)
     }
 
     /// Iterates over the workers of the service, by kind.
@@ -284,17 +285,17 @@
         let drawn = if bound {
             None
         } else {
-            self.draw(rng, &allowed)
+            self.draw_kind(rng, &allowed)
         };
-        let order = self.by_probability(allowed, drawn);
+        let order = self.sampling_order(allowed, drawn);
         for (rank, kind) in order.iter().enumerate() {
             let sampled = sample(rng, &self.kinds[*kind].workers, workers, &fits);
-            let in_flight = |id: &WorkerId| {
+            let run_count = |id: &WorkerId| {
                 workers
                     .get(*id)
                     .map_or(usize::MAX, |worker| worker.runs().len())
             };
-            if let Some(&worker) = sampled.iter().min_by_key(|id| in_flight(id)) {
+            if let Some(&worker) = sampled.iter().min_by_key(|id| run_count(id)) {
                 let reason = match rank {
                     0 if bound => Reason::FewestOfBound,
                     0 => Reason::FewestOfDrawn,
@@ -313,22 +314,23 @@
     }
 
     /// Order in which the kinds are sampled: the drawn one first, the others in descending order of probability.
-    fn by_probability(&self, mut kinds: Vec<usize>, drawn: Option<usize>) -> Vec<usize> {
+    fn sampling_order(&self, mut kinds: Vec<usize>, drawn: Option<usize>) -> Vec<usize> {
         kinds.sort_by(|a, b| {
             self.kinds[*b]
                 .probability
                 .total_cmp(&self.kinds[*a].probability)
         });
-        if let Some(at) = drawn.and_then(|drawn| kinds.iter().position(|kind| *kind == drawn)) {
-            kinds[..=at].rotate_right(1);
+        if let Some(position) = drawn.and_then(|drawn| kinds.iter().position(|kind| *kind == drawn))
+        {
+            kinds[..=position].rotate_right(1);
         }
         kinds
     }
 
     /// Kinds with this label; all kinds if none has it, as the label may name a rack.
     fn allowed(&self, label: &str) -> Vec<usize> {
-        let named = |kind: &usize| self.kinds[*kind].labels.iter().any(|l| l == label);
-        let with_label: Vec<usize> = (0..self.kinds.len()).filter(named).collect();
+        let has_label = |kind: &usize| self.kinds[*kind].labels.iter().any(|l| l == label);
+        let with_label: Vec<usize> = (0..self.kinds.len()).filter(has_label).collect();
         if with_label.is_empty() {
             (0..self.kinds.len()).collect()
         } else {
@@ -337,15 +339,15 @@
     }
 
     /// Draws one of the allowed kinds with probability proportional to `p_k`; `None` if `allowed` is empty.
-    fn draw(&self, rng: &mut Pcg64Mcg, allowed: &[usize]) -> Option<usize> {
+    fn draw_kind(&self, rng: &mut Pcg64Mcg, allowed: &[usize]) -> Option<usize> {
         let total: f64 = allowed
             .iter()
             .map(|kind| self.kinds[*kind].probability)
             .sum();
-        let mut at = rng.random::<f64>() * total;
+        let mut remaining = rng.random::<f64>() * total;
         for &kind in allowed {
-            at -= self.kinds[kind].probability;
-            if at < 0.0 {
+            remaining -= self.kinds[kind].probability;
+            if remaining < 0.0 {
                 return Some(kind);
             }
         }
@@ -364,7 +366,7 @@
                 .get(id)
                 .map_or_else(String::new, |worker| worker.instance().to_owned())
         };
-        let in_flight = |id: WorkerId| workers.get(id).map_or(0, |worker| worker.runs().len());
+        let run_count = |id: WorkerId| workers.get(id).map_or(0, |worker| worker.runs().len());
         PlacementTrace {
             task,
             drawn: selection.drawn,
@@ -374,7 +376,7 @@
                 .iter()
                 .map(|id| SampledWorker {
                     instance: name(*id),
-                    runs: in_flight(*id),
+                    runs: run_count(*id),
                 })
                 .collect(),
             winner: name(selection.worker),
@@ -386,7 +388,7 @@
 impl ClassWork {
     /// Records the errors of both predictions for a run. `estimate` and `run` (the run time at mean speed) are in
     /// microseconds.
-    fn judge(&mut self, estimate: Option<u64>, run: f64) {
+    fn record_errors(&mut self, estimate: Option<u64>, run: f64) {
         let error = |predicted: f64| (predicted.max(1.0) / run.max(1.0)).ln().powi(2);
         if self.by_mean.weight() > 0.0 {
             let error = error(self.by_mean.mean(None));
--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -1,7 +1,7 @@
 //! Forecast of when and where capacity becomes free, assuming that all runs end at their expected times.
 
 use crate::cluster_view::ClusterView;
-use crate::demand::{StepDemand, times};
+use crate::demand::{StepDemand, multiply};
 use crate::services::ServiceState;
 use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
@@ -10,10 +10,10 @@
 
 /// The service has spare capacity while its load is below this fraction. No step then waits long for workers reserved
 /// for others.
-const IDLE_LOAD: f64 = 0.55;
+const SPARE_LOAD_MAX: f64 = 0.55;
 /// A worker that is reserved already is treated as free by this much earlier, so that reservations do not move between
 /// workers with nearly equal forecasts.
-const STAY_MS: u64 = 400;
+const RESERVED_ADVANTAGE_MS: u64 = 400;
 
 /// Forecast of the capacity for the tasks of a step that start together.
 #[derive(Clone, Debug)]
@@ -45,8 +45,8 @@
         let (used, all) = self.workers_of(service).fold((0, 0), |(used, all), w| {
             (used + w.used().cpu, all + w.capacity().cpu)
         });
-        (used as f64) < IDLE_LOAD * all as f64
-            || service.kinds().measured_load(self.workers) < IDLE_LOAD
+        (used as f64) < SPARE_LOAD_MAX * all as f64
+            || service.kinds().measured_load(self.workers) < SPARE_LOAD_MAX
     }
 
     /// Forecasts when and where `members` tasks of the step can start together; `None` if the service does not get
@@ -61,8 +61,8 @@
         let anywhere = self.outlook_in(service, demand, members, None)?;
         let rack_local = self
             .jobs
-            .get(&demand.at.job)
-            .and_then(|job| job.step(demand.at.step))
+            .get(&demand.step_ref.job)
+            .and_then(|job| job.step(demand.step_ref.step))
             .is_some_and(|s| s.rack_local);
         if !rack_local {
             return Some(anywhere);
@@ -95,16 +95,20 @@
             };
             let reservation = service.reservations().get(id);
             let other = reservation.is_some_and(|reservation| {
-                reservation.step != demand.at && reservation.priority <= demand.priority
+                reservation.step != demand.step_ref && reservation.priority <= demand.priority
             });
             let elsewhere = rack.is_some_and(|rack| worker.rack() != Some(rack));
             if other || elsewhere || !worker.is_responsive(self.now_ms) {
                 continue;
             }
-            let stay_ms = if reservation.is_some() { STAY_MS } else { 0 };
+            let advantage_ms = if reservation.is_some() {
+                RESERVED_ADVANTAGE_MS
+            } else {
+                0
+            };
             let times = self.free_times(id, worker, demand, members);
             slots.extend(times.into_iter().map(|free_ms| Slot {
-                free_ms: free_ms.saturating_sub(stay_ms),
+                free_ms: free_ms.saturating_sub(advantage_ms),
                 worker: id,
             }));
         }
@@ -145,13 +149,13 @@
         let mut ends = ends.into_iter();
         let (mut used, mut at_ms) = (worker.used(), self.now_ms);
         let mut free = Vec::new();
-        let most = if demand.anti_affinity > 0 {
+        let max_tasks = if demand.anti_affinity > 0 {
             members.min(demand.anti_affinity)
         } else {
             members
         };
-        for count in 1..=u64::from(most) {
-            let wanted = times(&demand.resources, count);
+        for count in 1..=u64::from(max_tasks) {
+            let wanted = multiply(&demand.resources, count);
             while !worker.capacity().can_fit(&used.plus(&wanted)) {
                 let Some(end) = ends.next() else {
                     return free;
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -119,15 +119,15 @@
             reserved: Vec::new(),
         };
         observe_urgent(cluster, service, &keys);
-        for same in keys.chunk_by(|a, b| (a.hopeless, a.priority) == (b.hopeless, b.priority)) {
-            same.iter().for_each(|key| {
+        for group in keys.chunk_by(|a, b| (a.hopeless, a.priority) == (b.hopeless, b.priority)) {
+            group.iter().for_each(|key| {
                 self.visit_step(cluster, service, *key, Locality::LocalOnly, &mut pass);
             });
-            let left = same
+            let remaining = group
                 .iter()
                 .filter(|key| cluster.view().has_locality(key.at) && cluster.view().waits(key.at));
-            let left: Vec<QueueKey> = left.copied().collect();
-            left.into_iter().for_each(|key| {
+            let remaining: Vec<QueueKey> = remaining.copied().collect();
+            remaining.into_iter().for_each(|key| {
                 self.visit_step(cluster, service, key, Locality::Anywhere, &mut pass);
             });
         }
@@ -151,10 +151,13 @@
         };
         let resources = shape.resources;
         let honors_blocked = !(pass.has_spare_capacity && cluster.view().waits_long(key.at));
-        let blocked_by_earlier =
-            honors_blocked && pass.blocked.iter().any(|less| resources.can_fit(less));
-        let beyond = blocked_by_earlier || !pass.largest_free.can_fit(&resources);
-        if !beyond {
+        let blocked_by_earlier = honors_blocked
+            && pass
+                .blocked
+                .iter()
+                .any(|blocked| resources.can_fit(blocked));
+        let cannot_fit = blocked_by_earlier || !pass.largest_free.can_fit(&resources);
+        if !cannot_fit {
             self.place_step(cluster, service, key, locality);
         }
         if !cluster.view().waits(key.at) {
@@ -162,9 +165,9 @@
         }
         let cause = cluster
             .view()
-            .wait_cause(key.at, blocked_by_earlier, beyond);
+            .wait_cause(key.at, blocked_by_earlier, cannot_fit);
         cluster.record_wait(key.at, cause);
-        if !beyond {
+        if !cannot_fit {
             pass.largest_free = cluster.view().largest_free(service);
             if !shape.constrained {
                 pass.blocked.push(resources);
@@ -184,18 +187,18 @@
         key: QueueKey,
         locality: Locality,
     ) {
-        let at = key.at;
-        let Some(job) = cluster.jobs().get(&at.job) else {
+        let step_ref = key.at;
+        let Some(job) = cluster.jobs().get(&step_ref.job) else {
             return;
         };
-        let (Some(step), Some(state)) = (job.step(at.step), job.step_state(at)) else {
+        let (Some(step), Some(state)) = (job.step(step_ref.step), job.step_state(step_ref)) else {
             return;
         };
         if step.gang {
-            return self.place_gang(cluster, service, at, locality);
+            return self.place_gang(cluster, service, step_ref, locality);
         }
         let waiting: Vec<u32> = state.waiting().iter().copied().collect();
-        let Some(mut demand) = StepDemand::of(job, at, cluster.clock().now_ms()) else {
+        let Some(mut demand) = StepDemand::for_step(job, step_ref, cluster.clock().now_ms()) else {
             return;
         };
         demand.avoids_idle_workers = avoids_idle_workers(cluster, service, &demand.resources);
@@ -222,7 +225,7 @@
         demand: &mut StepDemand,
         index: u32,
     ) -> bool {
-        let task = demand.at.task(index);
+        let task = demand.step_ref.task(index);
         let Some(entry) = cluster
             .jobs()
             .get(&task.job)
@@ -315,11 +318,11 @@
 impl ClusterView<'_> {
     /// The reason why a step still waits after it was visited: `blocked_by_earlier` if steps ahead of it wait for
     /// capacity too, `cannot_fit` if no single worker has enough free capacity.
-    fn wait_cause(&self, at: StepRef, blocked_by_earlier: bool, beyond: bool) -> Cause {
-        let gang = self.jobs.step(at).is_some_and(|step| step.gang);
+    fn wait_cause(&self, step_ref: StepRef, blocked_by_earlier: bool, cannot_fit: bool) -> Cause {
+        let gang = self.jobs.step(step_ref).is_some_and(|step| step.gang);
         if blocked_by_earlier {
             Cause::Queue
-        } else if !beyond && (gang || self.has_locality(at)) {
+        } else if !cannot_fit && (gang || self.has_locality(step_ref)) {
             Cause::Locality
         } else {
             Cause::Capacity
@@ -327,8 +330,8 @@
     }
 
     /// Whether the step's tasks run faster in some racks than in others: on the rack of their data, or all in one rack.
-    fn has_locality(&self, at: StepRef) -> bool {
-        let step = self.jobs.step(at);
+    fn has_locality(&self, step_ref: StepRef) -> bool {
+        let step = self.jobs.step(step_ref);
         step.is_some_and(|step| !step.affinity.is_empty() || step.rack_local)
     }
 
@@ -345,9 +348,9 @@
     }
 
     /// What a task of the step requires of a worker; `None` if there is no such step.
-    fn task_shape(&self, at: StepRef) -> Option<TaskShape> {
-        let job = self.jobs.get(&at.job)?;
-        let (step, state) = (job.step(at.step)?, job.step_state(at)?);
+    fn task_shape(&self, step_ref: StepRef) -> Option<TaskShape> {
+        let job = self.jobs.get(&step_ref.job)?;
+        let (step, state) = (job.step(step_ref.step)?, job.step_state(step_ref)?);
         let retried = state.tasks().iter().any(|task| task.failed_on().is_some());
         let constrained = step.gang
             || retried
@@ -363,14 +366,14 @@
 
     /// Whether the step has waited for [`ANY_WORKER_MS`], so that it may use workers which newer steps ahead of it may
     /// not.
-    fn waits_long(&self, at: StepRef) -> bool {
-        let state = self.jobs.step_state(at);
+    fn waits_long(&self, step_ref: StepRef) -> bool {
+        let state = self.jobs.step_state(step_ref);
         state.is_some_and(|state| self.now_ms >= state.waiting_since_ms() + ANY_WORKER_MS)
     }
 
     /// Whether any task of the step waits for placement.
-    fn waits(&self, at: StepRef) -> bool {
-        let state = self.jobs.step_state(at);
+    fn waits(&self, step_ref: StepRef) -> bool {
+        let state = self.jobs.step_state(step_ref);
         state.is_some_and(|state| !state.waiting().is_empty())
     }
 
--- a/crates/scheduler/src/placement/gang.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -22,20 +22,20 @@
         &mut self,
         cluster: &mut Cluster,
         service: &str,
-        at: StepRef,
+        step_ref: StepRef,
         locality: Locality,
     ) {
-        let Some(job) = cluster.jobs().get(&at.job) else {
+        let Some(job) = cluster.jobs().get(&step_ref.job) else {
             return;
         };
-        let (Some(step), Some(state)) = (job.step(at.step), job.step_state(at)) else {
+        let (Some(step), Some(state)) = (job.step(step_ref.step), job.step_state(step_ref)) else {
             return;
         };
         if state.waiting().len() != state.tasks().len() {
             return;
         }
         let (rack_local, members) = (step.rack_local, state.tasks().len());
-        let Some(mut demand) = StepDemand::of(job, at, cluster.clock().now_ms()) else {
+        let Some(mut demand) = StepDemand::for_step(job, step_ref, cluster.clock().now_ms()) else {
             return;
         };
         demand.avoids_idle_workers = avoids_idle_workers(cluster, service, &demand.resources);
@@ -61,7 +61,7 @@
                 in_rack.or_else(spread)
             });
         if let Some(plan) = plan {
-            self.start_gang(cluster, service, at, rack_local, &demand, plan);
+            self.start_gang(cluster, service, step_ref, rack_local, &demand, plan);
         }
     }
 
@@ -133,22 +133,22 @@
         &mut self,
         cluster: &mut Cluster,
         service: &str,
-        at: StepRef,
+        step_ref: StepRef,
         rack_local: bool,
         demand: &StepDemand,
         plan: Vec<Selection>,
     ) {
         let remote_factor = remote_factor(cluster, rack_local, demand, &plan);
-        let Some(attempt) = cluster.prepare_gang(at) else {
+        let Some(attempt) = cluster.prepare_gang(step_ref) else {
             return;
         };
         for (index, selection) in (0u32..).zip(&plan) {
-            let task = at.task(index);
+            let task = step_ref.task(index);
             self.trace(cluster, service, task, selection);
             cluster.place_run(task, attempt, Placement::new(selection, remote_factor));
         }
         if let Some(state) = cluster.services_mut().get_mut(service) {
-            state.reservations_mut().release(at);
+            state.reservations_mut().release(step_ref);
         }
     }
 }
--- a/crates/scheduler/src/placement/reserve.rs
+++ b/crates/scheduler/src/placement/reserve.rs
@@ -4,7 +4,7 @@
 
 use crate::cluster::Cluster;
 use crate::cluster_view::ClusterView;
-use crate::demand::{StepDemand, times};
+use crate::demand::{StepDemand, multiply};
 use crate::kinds::dominant_share;
 use crate::queue::{QueueKey, StepRef};
 use crate::reservations::Reservation;
@@ -86,7 +86,7 @@
             reservation: Reservation {
                 step: key.at,
                 priority: key.priority,
-                resources: times(&demand.resources, u64::from(count)),
+                resources: multiply(&demand.resources, u64::from(count)),
                 free_ms: outlook.free_ms,
                 patience_ms,
             },
@@ -96,10 +96,10 @@
 
     /// Demand of the step, and the number of tasks that start together; `None` if the step is no gang and its tasks are
     /// small, or if no worker of the service is large enough for them.
-    fn large_demand(&self, service: &ServiceState, at: StepRef) -> Option<LargeDemand> {
-        let job = self.jobs.get(&at.job)?;
-        let (step, state) = (job.step(at.step)?, job.step_state(at)?);
-        let demand = StepDemand::of(job, at, self.now_ms)?;
+    fn large_demand(&self, service: &ServiceState, step_ref: StepRef) -> Option<LargeDemand> {
+        let job = self.jobs.get(&step_ref.job)?;
+        let (step, state) = (job.step(step_ref.step)?, job.step_state(step_ref)?);
+        let demand = StepDemand::for_step(job, step_ref, self.now_ms)?;
         let workers = self.workers_of(service);
         let fitting = workers.filter(|worker| worker.capacity().can_fit(&demand.resources));
         let fractions = fitting.map(|worker| dominant_share(&demand.resources, &worker.capacity()));
--- a/crates/scheduler/src/placement/speculation.rs
+++ b/crates/scheduler/src/placement/speculation.rs
@@ -24,7 +24,7 @@
 /// Constant part of the limit for overdue runs, in milliseconds.
 const OVERDUE_MIN_MS: f64 = 300.0;
 /// A run whose progress has not changed for this time counts as stalled.
-const PERCENT_FRESH_MS: u64 = 1_500;
+const PROGRESS_STALLED_MS: u64 = 1_500;
 
 /// A run whose task should get a speculative run.
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +58,7 @@
             return;
         };
         let (Some(demand), Some(entry)) = (
-            StepDemand::of(job, run.key.at, cluster.clock().now_ms()),
+            StepDemand::for_step(job, run.key.at, cluster.clock().now_ms()),
             job.task(&run.task),
         ) else {
             return;
@@ -123,12 +123,12 @@
             .filter(|entry| !entry.is_done() && entry.speculative_run().is_none())?;
         let run = entry.run_at(id).filter(|run| run.is_sent())?;
         let key = job.queue_key(StepRef::of(&task), self.now_ms);
-        let at_stake = key.prospect != Prospect::Hopeless
+        let is_at_risk = key.prospect != Prospect::Hopeless
             && self.now_ms as i64 + DEADLINE_MARGIN_MS >= key.latest_start_ms;
         let unresponsive = worker.is_unresponsive_for(UNRESPONSIVE_MS, self.now_ms);
         let stopping = run.stop().is_some();
         let is_candidate =
-            at_stake && (unresponsive || !stopping && self.overdue(id, worker, &task, run));
+            is_at_risk && (unresponsive || !stopping && self.is_overdue(id, worker, &task, run));
         is_candidate.then_some(SpeculationCandidate {
             key,
             task,
@@ -138,7 +138,7 @@
 
     /// Whether the run takes far longer than expected for a reason other than the task's own length: its progress has
     /// stalled, or its worker is slow and a new run elsewhere is expected to be done first.
-    fn overdue(&self, id: WorkerId, worker: &Worker, task: &TaskName, run: &Run) -> bool {
+    fn is_overdue(&self, id: WorkerId, worker: &Worker, task: &TaskName, run: &Run) -> bool {
         let suspected = worker.health().status(self.now_ms) != HealthStatus::Healthy;
         let factor = if suspected {
             OVERDUE_FACTOR_SUSPECTED
@@ -152,9 +152,9 @@
         };
         let expected_ms = self.expected_run_ms(id, task);
         let elapsed_ms = self.now_ms.saturating_sub(run.placed_ms()) as f64;
-        let stands = self.now_ms.saturating_sub(run.percent_ms()) > PERCENT_FRESH_MS;
+        let is_stalled = self.now_ms.saturating_sub(run.percent_ms()) > PROGRESS_STALLED_MS;
         elapsed_ms > factor * expected_ms + OVERDUE_MIN_MS + resume_cost_ms
-            && (stands
+            && (is_stalled
                 || self.slowdown(id).is_some() && self.remaining_ms(id, task) as f64 > expected_ms)
     }
 }
--- a/crates/scheduler/src/preemption.rs
+++ b/crates/scheduler/src/preemption.rs
@@ -107,7 +107,7 @@
         let (Some(step), Some(state)) = (job.step(key.at.step), job.step_state(key.at)) else {
             return Vec::new();
         };
-        let Some(demand) = StepDemand::of(job, key.at, self.now_ms) else {
+        let Some(demand) = StepDemand::for_step(job, key.at, self.now_ms) else {
             return Vec::new();
         };
         let waiting = state.waiting().len() as u32;
@@ -197,12 +197,12 @@
             .plus(claimed);
         let mut candidates = self.candidates(id, worker, key, demand).into_iter();
         let mut offers = Vec::new();
-        let most = if demand.anti_affinity > 0 {
+        let max_tasks = if demand.anti_affinity > 0 {
             count.min(demand.anti_affinity)
         } else {
             count
         };
-        'tasks: for _ in 0..most {
+        'tasks: for _ in 0..max_tasks {
             let mut offer = Offer::default();
             while !worker.capacity().can_fit(&used.plus(&demand.resources)) {
                 let Some(victim) = candidates.next() else {
--- a/crates/scheduler/src/reports.rs
+++ b/crates/scheduler/src/reports.rs
@@ -83,7 +83,7 @@
     let workers = cluster.workers_mut();
     workers.detach(agent);
     let mut expected_instance = String::new();
-    for id in workers.at(node_name) {
+    for id in workers.instances_on(node_name) {
         if let Some(worker) = workers.get_mut(id) {
             worker.answered(now_ms);
             worker.instance().clone_into(&mut expected_instance);
@@ -104,7 +104,7 @@
     let id = cluster.workers_mut().get_or_register(&report.id, now_ms);
     cluster.workers_mut().attach(agent, id);
     cluster.record_instance(id, node_name);
-    for other in cluster.workers().others_at(node_name, id) {
+    for other in cluster.workers().other_instances_on(node_name, id) {
         cluster.instance_ended(other);
     }
     cluster.apply_instance_report(id, report);
@@ -119,14 +119,14 @@
         let Some(present) = cluster.jobs().run(run) else {
             continue;
         };
-        let (id, wanted) = (present.worker(), present.stop().is_none());
+        let (id, is_wanted) = (present.worker(), present.stop().is_none());
         let Some(worker) = cluster.workers_mut().get_mut(id) else {
             continue;
         };
         if worker.node_name() != Some(node_name) {
             continue;
         }
-        if wanted {
+        if is_wanted {
             worker.back_off_until(now_ms + REJECTED_START_BACKOFF_MS);
         }
         cluster.end_run(*run, RunResult::NotStarted, "");
@@ -202,7 +202,7 @@
     let Some(worker) = cluster.workers_mut().get_mut(id) else {
         return;
     };
-    let first = worker.record_full_report();
+    let is_first = worker.record_full_report();
     let tasks = worker.runs().clone();
     let listed = running.iter().map(|listed| listed.run);
     let present: FxHashSet<RunId> = listed.chain(instance.in_flight.iter().copied()).collect();
@@ -217,7 +217,7 @@
         };
         match run.stop() {
             Some(stop) if is_stop_due(stop, agent, now_ms) => cluster.send_stop(order),
-            None if first => resend_after_reconnect(cluster, order, present.contains(&order)),
+            None if is_first => resend_after_reconnect(cluster, order, present.contains(&order)),
             _ => {}
         }
     }
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -28,7 +28,7 @@
     /// Whether a step may use the worker despite the reservation: it holds the reservation itself, has a higher
     /// priority, or has waited long enough.
     pub(crate) fn yields_to(&self, demand: &StepDemand) -> bool {
-        self.step == demand.at
+        self.step == demand.step_ref
             || demand.priority < self.priority
             || demand.waited_ms >= self.patience_ms
     }
--- a/crates/scheduler/src/value.rs
+++ b/crates/scheduler/src/value.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 /// Number of cores that a GPU counts as.
-const CORES_OF_GPU: f64 = 8.0;
+const CORES_PER_GPU: f64 = 8.0;
 /// Part of a job's value that does not depend on its work (section "Worth" of the rules).
 const VALUE_BASE: f64 = 0.3;
 /// Part of a job's value that is proportional to its work relative to the mean of its route.
@@ -17,7 +17,7 @@
 /// Fraction of its value that a job retains after its latency target.
 const LATE_VALUE_FRACTION: f64 = 0.5;
 /// Number of cost classes per doubling of the work per value.
-const CLASSES_OF_A_DOUBLING: f64 = 1.0;
+const CLASSES_PER_DOUBLING: f64 = 1.0;
 
 /// Mean work of a route's jobs; the weight of older jobs decays.
 #[derive(Debug, Default)]
@@ -37,19 +37,19 @@
 /// that steps of one class differ in cost by less than a factor of two and are ordered by their deadlines. `i16::MIN`,
 /// which goes first, if there is no work left or no value.
 pub(crate) fn cost_class(work: f64, value: f64, prospect: Prospect) -> i16 {
-    let earned = match prospect {
+    let reachable_value = match prospect {
         Prospect::InTime => value,
         Prospect::Late | Prospect::Hopeless => value * LATE_VALUE_FRACTION,
     };
-    if work <= 0.0 || earned <= 0.0 {
+    if work <= 0.0 || reachable_value <= 0.0 {
         return i16::MIN;
     }
-    ((work / earned).log2() * CLASSES_OF_A_DOUBLING).floor() as i16
+    ((work / reachable_value).log2() * CLASSES_PER_DOUBLING).floor() as i16
 }
 
 /// Number of cores that these resources count as; memory is not counted.
 pub(crate) fn cores(resources: &Resources) -> f64 {
-    resources.cpu as f64 / 1_000.0 + resources.gpu as f64 * CORES_OF_GPU
+    resources.cpu as f64 / 1_000.0 + resources.gpu as f64 * CORES_PER_GPU
 }
 
 /// Work of `tasks` tasks of a step that run for `run_ms` each, in core-milliseconds.
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -109,15 +109,15 @@
     }
 
     /// Instances known on this machine, except `id`.
-    pub(crate) fn others_at(&self, node_name: &str, id: WorkerId) -> Vec<WorkerId> {
-        self.at(node_name)
+    pub(crate) fn other_instances_on(&self, node_name: &str, id: WorkerId) -> Vec<WorkerId> {
+        self.instances_on(node_name)
             .into_iter()
             .filter(|other| *other != id)
             .collect()
     }
 
     /// Instances known on this machine.
-    pub(crate) fn at(&self, node_name: &str) -> Vec<WorkerId> {
+    pub(crate) fn instances_on(&self, node_name: &str) -> Vec<WorkerId> {
         self.by_node
             .get(node_name)
             .into_iter()
