--- a/crates/scheduler/tests/cluster/idle_jobs.rs
+++ b/crates/scheduler/tests/cluster/idle_jobs.rs
@@ -47,9 +47,9 @@
         }
         let due = (0..job.spec.repeat_count.max(1)).filter(|repeat| self.is_due(job, *repeat));
         due.into_iter().any(|repeat| {
-            let advance_node = |step: &usize| self.has_turn(id, job, repeat, *step);
+            let is_ready = |step: &usize| self.is_step_ready(id, job, repeat, *step);
             (0..job.spec.stages.len())
-                .filter(advance_node)
+                .filter(is_ready)
                 .any(|step| self.has_capacity(job, &job.spec.stages[step]))
         })
     }
@@ -78,7 +78,7 @@
     }
 
     /// Whether the step is not done but all steps that it depends on are.
-    fn has_turn(&self, id: JobId, job: &ClientJob, repeat: u32, step: usize) -> bool {
+    fn is_step_ready(&self, id: JobId, job: &ClientJob, repeat: u32, step: usize) -> bool {
         let depends_on = &job.spec.stages[step].depends_on;
         let before = depends_on
             .iter()
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -225,14 +225,14 @@
     }
 
     pub(crate) fn disconnect(&mut self, node: usize) {
-        let ended_instances: Vec<AgentId> = self
+        let closed: Vec<AgentId> = self
             .connections
             .iter()
             .filter(|(_, at)| **at == node)
             .map(|(id, _)| *id)
             .collect();
         self.nodes[node].connected = false;
-        for agent in ended_instances {
+        for agent in closed {
             self.connections.remove(&agent);
             self.handle(Event::AgentDisconnected(agent));
         }
--- a/crates/scheduler/tests/invariants.rs
+++ b/crates/scheduler/tests/invariants.rs
@@ -129,7 +129,7 @@
 }
 
 /// Submits 60 random jobs and injects random faults of this kind in between, then checks how the jobs end.
-fn play(kind: Fault, seed: u64) {
+fn run_scenario(kind: Fault, seed: u64) {
     let mut cluster = Cluster::new(seed);
     cluster.fault_free = matches!(kind, Fault::Quiet | Fault::Cancels);
     cluster.checks_idle = matches!(
@@ -175,11 +175,11 @@
     }
     for id in ids {
         let job = &cluster.jobs[id];
-        let due = job.accepted_ms.is_some() && job.cancelled_ms.is_none();
+        let must_complete = job.accepted_ms.is_some() && job.cancelled_ms.is_none();
         let completed =
             job.state == Some(JobState::Completed) || job.state == Some(JobState::Cancelled);
         assert!(
-            !due || completed,
+            !must_complete || completed,
             "{id} ({:?}) is {:?} at the end",
             job.spec,
             job.state
@@ -205,5 +205,5 @@
     )]
     kind: Fault,
 ) {
-    (1..=12).for_each(|seed| play(kind, seed));
+    (1..=12).for_each(|seed| run_scenario(kind, seed));
 }
--- a/crates/scheduler/tests/long_running.rs
+++ b/crates/scheduler/tests/long_running.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_lost_long_running_task_restarts_before_later_work() {
     let mut cluster = Cluster::started(5);
-    let watcher = cluster.submit(
+    let long_running = cluster.submit(
         "vision",
         1,
         spec(vec![Step {
@@ -38,7 +38,7 @@
     cluster.nodes[at].crash(now_ms, back_ms);
     cluster.run_for(9_000);
     assert!(
-        run_count(&cluster, watcher) > 0,
+        run_count(&cluster, long_running) > 0,
         "the watcher waits behind work that ends"
     );
 }
--- a/crates/scheduler/tests/priorities.rs
+++ b/crates/scheduler/tests/priorities.rs
@@ -138,12 +138,12 @@
 #[test]
 fn a_recovered_worker_is_used_beside_a_long_running_task() {
     let mut cluster = Cluster::started(9);
-    let watcher = Step {
+    let long_running_step = Step {
         long_running: true,
         anti_affinity: 1,
         ..step(4, 100, 500)
     };
-    cluster.submit("bulk", 1, spec(vec![watcher]));
+    cluster.submit("bulk", 1, spec(vec![long_running_step]));
     cluster.run_for(300);
     cluster.nodes[0].fails = true;
     for number in 0..30 {
--- a/crates/scheduler/tests/validation.rs
+++ b/crates/scheduler/tests/validation.rs
@@ -23,9 +23,9 @@
     };
     assert!(reason.contains(named), "{reason}");
     cluster.run_for(1_000);
-    let is_instance_row = cluster.rows.keys().all(|key| key.starts_with(b"life/"));
+    let has_only_instance_rows = cluster.rows.keys().all(|key| key.starts_with(b"life/"));
     assert!(
-        cluster.history.is_empty() && is_instance_row,
+        cluster.history.is_empty() && has_only_instance_rows,
         "nothing is kept of the job"
     );
 }
