--- a/crates/scheduler/src/unexpected_runs/tests.rs
+++ b/crates/scheduler/src/unexpected_runs/tests.rs
@@ -22,7 +22,7 @@
     unexpected.set(Vec::new(), None);
     assert!(
         !unexpected.is_empty(),
-        "the running ones are not listed anew"
+        "the report does not list running tasks, so the former list must stay"
     );
     unexpected.set(Vec::new(), Some(Vec::new()));
     assert!(unexpected.is_empty());
--- a/crates/scheduler/tests/cluster/clients.rs
+++ b/crates/scheduler/tests/cluster/clients.rs
@@ -77,7 +77,7 @@
                 }
                 assert!(
                     !matches!(job.state, Some(JobState::Completed)) || state == JobState::Completed,
-                    "{id} was completed and is {state:?}"
+                    "job {id} was reported as Completed before and is now {state:?}"
                 );
                 job.state = Some(state);
                 if state == JobState::Completed {
@@ -88,7 +88,7 @@
                 let open = job.accepted_ms.is_some()
                     && job.ended_ms.is_none()
                     && job.cancelled_ms.is_none();
-                assert!(!open, "LOST: {id} is unknown");
+                assert!(!open, "accepted job {id} is unknown to the scheduler");
             }
             _ => {}
         }
--- a/crates/scheduler/tests/cluster/idle_jobs.rs
+++ b/crates/scheduler/tests/cluster/idle_jobs.rs
@@ -24,7 +24,7 @@
             let since_ms = *self.idle_since.entry(id).or_insert(self.now_ms);
             assert!(
                 self.now_ms - since_ms < IDLE_MAX_MS,
-                "LOST: {id} sits idle since {since_ms}"
+                "job {id} has been idle since {since_ms} ms although there is capacity for it"
             );
         }
     }
--- a/crates/scheduler/tests/cluster/invariants.rs
+++ b/crates/scheduler/tests/cluster/invariants.rs
@@ -15,7 +15,7 @@
                 let done = self.tasks_done(id, repeat, number, step);
                 assert!(
                     is_complete(step, done),
-                    "MIXED: {id} is completed, step {number} has {done} of {}",
+                    "job {id} is reported as Completed, but step {number} has {done} of {} tasks done",
                     step.count
                 );
             }
@@ -40,7 +40,7 @@
         if let Some(cancelled_ms) = job.cancelled_ms {
             assert!(
                 self.now_ms < cancelled_ms + 300,
-                "UNASKED: {task} after its job was cancelled"
+                "{task} is started after its job was cancelled at {cancelled_ms} ms"
             );
         }
     }
@@ -51,10 +51,16 @@
         let job = self
             .jobs
             .get(&task.job)
-            .unwrap_or_else(|| panic!("UNASKED: {task}"));
+            .unwrap_or_else(|| panic!("{task} is started, but its job was never submitted"));
         let step = &job.spec.stages[task.step as usize];
-        assert_eq!(order.spec, job.spec.spec, "UNASKED: another text");
-        assert!(!job.rejected, "REFUSED: {task}");
+        assert_eq!(
+            order.spec, job.spec.spec,
+            "the start order of {task} does not have its job's text"
+        );
+        assert!(
+            !job.rejected,
+            "{task} is started although its job was rejected"
+        );
         self.check_not_cancelled(task, job);
         let speculative = step.speculative;
         self.check_single_run(run, speculative);
@@ -65,7 +71,7 @@
         let failed = history.map_or(0, |h| h.failed_acknowledged.len());
         assert!(
             step.long_running || step.gang || failed < 3,
-            "BUDGET: {task}"
+            "{task} is started again after {failed} failed attempts"
         );
         let work_ms = self.work_of(task, step).run_ms;
         let gang = step.gang;
@@ -83,7 +89,7 @@
         let (used, capacity) = (self.nodes[node].used(), self.nodes[node].capacity);
         assert!(
             capacity.can_fit(&used),
-            "LIMIT: {} has {used:?}",
+            "the runs on {} take {used:?}, more than its capacity {capacity:?}",
             self.nodes[node].name
         );
     }
@@ -97,7 +103,7 @@
                 .starts_with(&order.run.task.job.to_string());
         assert!(
             own,
-            "UNASKED: {} resumes from `{}`",
+            "{} resumes from `{}`, which is no checkpoint of its job",
             order.run.task, order.checkpoint
         );
         let texts = self
@@ -106,7 +112,7 @@
             .map(|(node, run)| &self.nodes[node].running[&run].order.checkpoint);
         assert!(
             !gang || texts.into_iter().all(|text| *text == order.checkpoint),
-            "UNASKED: a gang with two texts"
+            "the members of a gang resume from different checkpoints"
         );
     }
 
@@ -122,7 +128,7 @@
                 acknowledged_ms.is_some_and(|acknowledged| self.now_ms >= acknowledged + 1_000);
             return assert!(
                 !late,
-                "TWICE: a speculative run of {} starts long after it was done",
+                "a speculative run of {} is started 1 s or more after a `done` of it was acknowledged",
                 run.task
             );
         }
@@ -130,7 +136,7 @@
             let other = node.running.keys().find(|other| other.task == run.task);
             assert!(
                 other.is_none(),
-                "TWICE: {} runs on {} ({other:?})",
+                "{} is started while {} still has a run of it ({other:?})",
                 run.task,
                 node.name
             );
@@ -139,7 +145,11 @@
             .history
             .get(&run.task)
             .is_some_and(|history| history.done_acknowledged);
-        assert!(!acknowledged, "TWICE: {} was done", run.task);
+        assert!(
+            !acknowledged,
+            "{} is started after a `done` of it was acknowledged",
+            run.task
+        );
     }
 
     /// Checks that all steps that the task depends on are done, and that its repetition is due.
@@ -149,12 +159,15 @@
             let done = self.tasks_done(task.job, task.repeat, before as usize, step);
             assert!(
                 is_complete(step, done),
-                "ORDER: {task} before step {before}"
+                "{task} is started before step {before} is complete"
             );
         }
         if job.spec.repeat_count > 0 {
             let due_ms = job.spec.start_at_ms + u64::from(task.repeat) * job.spec.interval_ms;
-            assert!(self.wall_ms() >= due_ms, "ORDER: {task} is early");
+            assert!(
+                self.wall_ms() >= due_ms,
+                "{task} is started before its repetition is due"
+            );
         }
     }
 
@@ -170,11 +183,11 @@
         assert_eq!(
             Some(&at.backend),
             route.map(|r| &r.backend),
-            "ROUTE: {task}"
+            "{task} is started on a worker of another service"
         );
         assert!(
             step.requirements.is_empty() || at.labels.contains(&step.requirements),
-            "ROUTE: label"
+            "{task} is started on a worker without the required label"
         );
         let same =
             |other: &&RunId| (other.task.repeat, other.task.step) == (task.repeat, task.step);
@@ -186,12 +199,12 @@
             .count() as u32;
         assert!(
             step.anti_affinity == 0 || here < step.anti_affinity,
-            "ROUTE: anti_affinity of {task}"
+            "{task} is started on a worker that has {here} tasks of its step already, as many as anti_affinity allows"
         );
         if let Some(reported_ms) = at.drain_reported_ms {
             assert!(
                 self.now_ms < reported_ms + 500,
-                "DRAIN: {task} on {}",
+                "{task} is started on {}, which reported its drain at {reported_ms} ms",
                 at.name
             );
         }
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -221,7 +221,7 @@
     pub(crate) fn busy_node(&self) -> usize {
         let mut nodes = self.nodes.iter();
         let node = nodes.position(|node| !node.running.is_empty());
-        node.expect("it runs somewhere")
+        node.expect("a node has a run")
     }
 
     pub(crate) fn disconnect(&mut self, node: usize) {
@@ -253,7 +253,7 @@
         self.scheduler = Scheduler::new(bounds(), Epoch(self.epoch), self.epoch, now_ms, wall_ms);
         self.scheduler
             .load(self.rows.clone())
-            .expect("rows are readable");
+            .expect("the stored rows are readable");
         self.handle(Event::Config(self.config.clone()));
         for node in 0..self.nodes.len() {
             if self.nodes[node].connected {
@@ -337,7 +337,7 @@
         let at = &mut self.nodes[node];
         assert!(
             acknowledged < at.next_end,
-            "an end was acknowledged that was never listed"
+            "end {acknowledged} was acknowledged but never reported"
         );
         let before = at.acknowledged;
         at.acknowledged = before.max(acknowledged);
--- a/crates/scheduler/tests/cluster/node.rs
+++ b/crates/scheduler/tests/cluster/node.rs
@@ -225,7 +225,7 @@
                 delivered.push(order);
             } else {
                 panic!(
-                    "LIMIT: {run:?} does not fit on {} beside {used:?}",
+                    "{run:?} does not fit on {} beside runs that take {used:?}",
                     self.name
                 );
             }
--- a/crates/scheduler/tests/cluster/running.rs
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -115,7 +115,11 @@
                 }
             }
         } else if self.now_ms >= at.arrived_ms + GANG_MS {
-            assert!(!self.fault_free, "GANG: {} ended alone", run.task);
+            assert!(
+                !self.fault_free,
+                "{} waited for the other gang members in vain, without any fault",
+                run.task
+            );
             self.nodes[node].end(run, RunEnd::Alone, String::new());
         }
     }
--- a/crates/scheduler/tests/headroom.rs
+++ b/crates/scheduler/tests/headroom.rs
@@ -25,7 +25,11 @@
         used(&cluster)
     );
     cluster.run_for(11_000);
-    assert_eq!(used(&cluster), all, "nothing urgent came for long");
+    assert_eq!(
+        used(&cluster),
+        all,
+        "the headroom must be used once no urgent task has come for 10 s"
+    );
 }
 
 /// Without small urgent tasks all capacity is used at once.
--- a/crates/scheduler/tests/invariants.rs
+++ b/crates/scheduler/tests/invariants.rs
@@ -180,14 +180,14 @@
             job.state == Some(JobState::Completed) || job.state == Some(JobState::Cancelled);
         assert!(
             !must_complete || completed,
-            "{id} ({:?}) is {:?} at the end",
+            "job {id} ({:?}) has the state {:?} after all faults ended",
             job.spec,
             job.state
         );
     }
     assert!(
         cluster.nodes.iter().all(|node| node.running.is_empty()),
-        "something still runs"
+        "a run is left after all jobs have ended"
     );
 }
 
--- a/crates/scheduler/tests/job_lifecycle.rs
+++ b/crates/scheduler/tests/job_lifecycle.rs
@@ -12,7 +12,7 @@
     let id = cluster.submit("quick", 1, spec(vec![step(6, 240, 700)]));
     assert!(
         cluster.jobs[&id].accepted_ms.is_none(),
-        "accepted before it is written"
+        "the job must not be accepted before its write is committed"
     );
     cluster.run_for(50);
     assert!(cluster.jobs[&id].accepted_ms.is_some());
--- a/crates/scheduler/tests/latency.rs
+++ b/crates/scheduler/tests/latency.rs
@@ -18,7 +18,7 @@
     let sum: u64 = Cause::ALL.map(|cause| end.breakdown.of(cause)).iter().sum();
     assert!(
         end.took_ms.abs_diff(sum) <= 12,
-        "{end}: the parts make {sum} ms"
+        "{end}: the breakdown adds up to {sum} ms"
     );
 }
 
@@ -78,7 +78,7 @@
         .late
         .iter()
         .find(|end| end.job == job)
-        .expect("it is late");
+        .expect("the job was reported as a late end");
     assert_breakdown_complete(late);
     assert!(late.breakdown.of(Cause::Locality) > 100, "{late}");
     assert_eq!(late.breakdown.of(Cause::Queue), 0, "{late}");
@@ -111,7 +111,7 @@
         .late
         .iter()
         .find(|end| end.job == job)
-        .expect("it is late");
+        .expect("the job was reported as a late end");
     assert!(
         (800..1_300).contains(&late.breakdown.of(Cause::Predecessor)),
         "{late}"
--- a/crates/scheduler/tests/long_running.rs
+++ b/crates/scheduler/tests/long_running.rs
@@ -29,7 +29,7 @@
         .nodes
         .iter()
         .position(|node| node.used().cpu == 15_000)
-        .expect("the watcher runs");
+        .expect("the long-running task runs on some node");
     for number in 0..30 {
         cluster.submit("vision", 100 + number, spec(vec![step(6, 15_000, 3_000)]));
     }
@@ -39,7 +39,7 @@
     cluster.run_for(9_000);
     assert!(
         run_count(&cluster, long_running) > 0,
-        "the watcher waits behind work that ends"
+        "the long-running task still waits behind later work"
     );
 }
 
--- a/crates/scheduler/tests/overload.rs
+++ b/crates/scheduler/tests/overload.rs
@@ -27,7 +27,7 @@
         cluster.submit("bulk", 1 + number, spec(vec![step(2_000, 500, task_ms)]));
     }
     cluster.run_for(100);
-    retry_after_ms(&cluster).expect("the last one is refused")
+    retry_after_ms(&cluster).expect("the last job is rejected")
 }
 
 /// 20,000 tasks of half a core wait for 64 cores, which run 128 tasks at a time. Working off a tenth of them takes 15.6
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -31,7 +31,11 @@
         assert_eq!(trace.reason, Reason::FewestOfDrawn);
     }
     let kinds: std::collections::BTreeSet<_> = traces.iter().map(|trace| trace.drawn).collect();
-    assert_eq!(kinds.len(), 2, "both kinds are drawn");
+    assert_eq!(
+        kinds.len(),
+        2,
+        "each of the two kinds must be drawn at least once"
+    );
 }
 
 #[test]
--- a/crates/scheduler/tests/priorities.rs
+++ b/crates/scheduler/tests/priorities.rs
@@ -130,7 +130,7 @@
         .iter()
         .filter(|id| cluster.jobs[id].state == Some(JobState::Completed))
         .count();
-    assert!(done >= 38, "{done} of 40 are done");
+    assert!(done >= 38, "only {done} of 40 urgent jobs are completed");
 }
 
 /// Guards against a recovered worker that is never used again: a worker with a long-running task is never idle, but it
@@ -154,7 +154,7 @@
     let long_running = cluster.nodes[0].running.len();
     assert_eq!(
         long_running, 1,
-        "what lasts runs on, and nothing else is placed there"
+        "only the long-running task may run on the failing worker"
     );
     let mut used = false;
     for number in 0..100 {
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -44,7 +44,7 @@
             .nodes
             .iter()
             .any(|node| node.connected && !node.running.is_empty()),
-        "started elsewhere"
+        "the task must be started on another worker"
     );
     cluster.connect(node);
     cluster.run_for(400);
@@ -77,7 +77,7 @@
     assert_eq!(cluster.state_of(id), Some(JobState::Completed));
     assert!(
         cluster.rows.keys().all(|key| !key.starts_with(b"job/")),
-        "the definition is not needed any more"
+        "the definition of an ended job must be deleted"
     );
     cluster.run_for(40_000);
     cluster.replies.clear();
@@ -88,11 +88,11 @@
     assert_eq!(
         cluster.rows.keys().filter(is_instance_row).count(),
         cluster.nodes.len(),
-        "one row for each worker's life"
+        "there must be one row per worker instance"
     );
     assert!(
         cluster.rows.keys().all(|key| is_instance_row(&key)),
-        "nothing is kept of the job"
+        "all rows of the forgotten job must be deleted"
     );
 }
 
@@ -121,7 +121,7 @@
     assert_eq!(
         instance_count,
         cluster.nodes.len(),
-        "rows of lost lives are deleted"
+        "the rows of ended instances must be deleted"
     );
 }
 
@@ -131,7 +131,10 @@
         let mut runs = cluster.nodes[**at].running.keys();
         runs.any(|run| run.task.index == task)
     };
-    let node = nodes.iter().find(has_run).expect("it runs");
+    let node = nodes
+        .iter()
+        .find(has_run)
+        .expect("the task runs on one of the nodes");
     cluster.nodes[*node].instance()
 }
 
@@ -166,12 +169,12 @@
         let instance = named
             .iter()
             .position(|known| *known == numbered(task))
-            .expect("it is named") as u8;
+            .expect("the row names the instance") as u8;
         expected.extend([1, 0, 0, 0, 1, instance, 1]);
     }
     assert_eq!(
         row, expected,
-        "the form of rows has changed: rows of the older one must still be read"
+        "the format of rows has changed: rows in the former format must still be readable"
     );
     cluster.fail_over();
     cluster.run_for(2_000);
--- a/crates/scheduler/tests/speculation.rs
+++ b/crates/scheduler/tests/speculation.rs
@@ -27,7 +27,7 @@
     cluster.disconnect(first);
     cluster.run_for(3_500);
     assert!(completed(&mut cluster, id));
-    let task = *cluster.history.keys().next().expect("it ran");
+    let task = *cluster.history.keys().next().expect("the task has run");
     assert_eq!(cluster.history[&task].starts, 2);
     cluster.connect(first);
     cluster.run_for(2_000);
@@ -45,7 +45,7 @@
     cluster.run_for(1_000);
     assert!(
         cluster.busy_nodes().is_empty(),
-        "the run that lost is stopped"
+        "the run that was not needed any more must be stopped"
     );
 }
 
--- a/crates/scheduler/tests/validation.rs
+++ b/crates/scheduler/tests/validation.rs
@@ -26,6 +26,6 @@
     let has_only_instance_rows = cluster.rows.keys().all(|key| key.starts_with(b"life/"));
     assert!(
         cluster.history.is_empty() && has_only_instance_rows,
-        "nothing is kept of the job"
+        "a row or a run of the rejected job was found"
     );
 }
