--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -53,8 +53,8 @@
 #[derive(Debug)]
 pub(crate) struct Placer {
     rng: Pcg64Mcg,
-    /// No task is placed before this time. After a take-over the node agents reconnect one by one, and tasks placed at
-    /// once would pile up on the workers that are back first.
+    /// No task is placed before this time of the steady clock. After a take-over the node agents reconnect one by one,
+    /// and tasks placed at once would pile up on the workers that are back first.
     start_ms: u64,
     /// Placements since the last call of [`take_traces`](Self::take_traces); `None` while tracing is off.
     traces: Option<Vec<PlacementTrace>>,
@@ -300,8 +300,9 @@
     }
 }
 
-/// Whether tasks of this size should avoid idle workers: this is so if they are not large themselves and the service
-/// has recently received large tasks, which need an idle worker. Records the size if it is large.
+/// Whether tasks of this size should avoid workers without runs: this is so if they are not large themselves and large
+/// tasks, which need most of a worker, have waited for the service recently. If the size is large, records that such
+/// tasks wait.
 fn avoids_idle_workers(cluster: &mut Cluster, service: &str, resources: &Resources) -> bool {
     let now_ms = cluster.clock().now_ms();
     let Some(state) = cluster.services().get(service) else {
@@ -316,8 +317,8 @@
 }
 
 impl ClusterView<'_> {
-    /// The reason why a step still waits after it was visited: `blocked_by_earlier` if steps ahead of it wait for
-    /// capacity too, `cannot_fit` if no single worker has enough free capacity.
+    /// The cause of a step's wait after it was visited: the queue if it is `blocked_by_earlier` steps, capacity if it
+    /// `cannot_fit` on any worker, and locality if it would fit but needs a certain rack or has to start as a gang.
     fn wait_cause(&self, step_ref: StepRef, blocked_by_earlier: bool, cannot_fit: bool) -> Cause {
         let gang = self.jobs.step(step_ref).is_some_and(|step| step.gang);
         if blocked_by_earlier {
--- a/crates/scheduler/src/placement/reserve.rs
+++ b/crates/scheduler/src/placement/reserve.rs
@@ -13,8 +13,8 @@
 
 /// Maximum number of steps of one service that hold reservations at a time.
 pub(super) const RESERVATIONS_MAX: usize = 2;
-/// Tasks whose dominant share of a worker is at least this fraction need reservations; smaller ones find capacity
-/// without.
+/// Tasks need reservations if their dominant share is at least this fraction even of the worker on which it is
+/// smallest; smaller tasks find capacity without.
 const LARGE_FRACTION: f64 = 0.25;
 /// While the service has spare capacity, a step that has waited for this time may use reserved workers.
 const IDLE_PATIENCE_MS: u64 = 2_400;
