--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -97,14 +97,14 @@
             .names_where(|service| service.is_due(now_ms))
         {
             cluster.begin_pass(&name);
-            self.pass(cluster, &name);
+            self.run_pass(cluster, &name);
             cluster.services_mut().entry(&name).end_pass(now_ms);
         }
     }
     /// Visits the steps in queue order, places the tasks that fit and reserves workers for steps that need much
     /// capacity. Steps of one priority are visited twice: first only for workers local to their data, then for any
     /// worker, because a remote task occupies capacity for longer than a local one.
-    fn pass(&mut self, cluster: &mut Cluster, service: &str) {
+    fn run_pass(&mut self, cluster: &mut Cluster, service: &str) {
         let Some(state) = cluster.services().get(service) else {
             return;
         };
@@ -123,9 +123,9 @@
             group.iter().for_each(|key| {
                 self.visit_step(cluster, service, *key, Locality::LocalOnly, &mut pass);
             });
-            let remaining = group
-                .iter()
-                .filter(|key| cluster.view().has_locality(key.at) && cluster.view().waits(key.at));
+            let remaining = group.iter().filter(|key| {
+                cluster.view().has_locality(key.at) && cluster.view().has_waiting_tasks(key.at)
+            });
             let remaining: Vec<QueueKey> = remaining.copied().collect();
             remaining.into_iter().for_each(|key| {
                 self.visit_step(cluster, service, key, Locality::Anywhere, &mut pass);
@@ -150,7 +150,7 @@
             return;
         };
         let resources = shape.resources;
-        let honors_blocked = !(pass.has_spare_capacity && cluster.view().waits_long(key.at));
+        let honors_blocked = !(pass.has_spare_capacity && cluster.view().has_waited_long(key.at));
         let blocked_by_earlier = honors_blocked
             && pass
                 .blocked
@@ -160,7 +160,7 @@
         if !cannot_fit {
             self.place_step(cluster, service, key, locality);
         }
-        if !cluster.view().waits(key.at) {
+        if !cluster.view().has_waiting_tasks(key.at) {
             return cluster.dequeue(key.at);
         }
         let cause = cluster
@@ -367,13 +367,13 @@
 
     /// Whether the step has waited for [`ANY_WORKER_MS`], so that it may use workers which newer steps ahead of it may
     /// not.
-    fn waits_long(&self, step_ref: StepRef) -> bool {
+    fn has_waited_long(&self, step_ref: StepRef) -> bool {
         let state = self.jobs.step_state(step_ref);
         state.is_some_and(|state| self.now_ms >= state.waiting_since_ms() + ANY_WORKER_MS)
     }
 
     /// Whether any task of the step waits for placement.
-    fn waits(&self, step_ref: StepRef) -> bool {
+    fn has_waiting_tasks(&self, step_ref: StepRef) -> bool {
         let state = self.jobs.step_state(step_ref);
         state.is_some_and(|state| !state.waiting().is_empty())
     }
