--- a/crates/scheduler/tests/cluster/invariants.rs
+++ b/crates/scheduler/tests/cluster/invariants.rs
@@ -77,14 +77,14 @@
         let gang = step.gang;
         self.history.entry(task).or_default().starts += 1;
         let began_ms = (!gang).then_some(self.now_ms);
-        let at = ActiveRun {
+        let active = ActiveRun {
             order,
             arrived_ms: self.now_ms,
             began_ms,
             stop_ms: None,
             work_ms,
         };
-        self.nodes[node].running.insert(run, at);
+        self.nodes[node].running.insert(run, active);
         self.nodes[node].report_now = true;
         let (used, capacity) = (self.nodes[node].used(), self.nodes[node].capacity);
         assert!(
@@ -174,24 +174,24 @@
     /// Checks that the worker belongs to the job's service, has the label, does not exceed `anti_affinity`, and is not
     /// draining.
     fn check_worker(&self, node: usize, task: TaskName, step: &Step) {
-        let at = &self.nodes[node];
+        let worker = &self.nodes[node];
         let route = self
             .config
             .routes
             .iter()
             .find(|r| r.name == self.jobs[&task.job].route);
         assert_eq!(
-            Some(&at.backend),
+            Some(&worker.backend),
             route.map(|r| &r.backend),
             "{task} is started on a worker of another service"
         );
         assert!(
-            step.requirements.is_empty() || at.labels.contains(&step.requirements),
+            step.requirements.is_empty() || worker.labels.contains(&step.requirements),
             "{task} is started on a worker without the required label"
         );
         let same =
             |other: &&RunId| (other.task.repeat, other.task.step) == (task.repeat, task.step);
-        let here = at
+        let here = worker
             .running
             .keys()
             .filter(|other| other.task.job == task.job)
@@ -201,11 +201,11 @@
             step.anti_affinity == 0 || here < step.anti_affinity,
             "{task} is started on a worker that has {here} tasks of its step already, as many as anti_affinity allows"
         );
-        if let Some(reported_ms) = at.drain_reported_ms {
+        if let Some(reported_ms) = worker.drain_reported_ms {
             assert!(
                 self.now_ms < reported_ms + 500,
                 "{task} is started on {}, which reported its drain at {reported_ms} ms",
-                at.name
+                worker.name
             );
         }
     }
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -211,9 +211,9 @@
         let agent = AgentId(self.next_connection);
         self.next_connection += 1;
         self.connections.insert(agent, node);
-        let at = &mut self.nodes[node];
-        (at.connected, at.running_reported, at.report_now) = (true, false, true);
-        let node_name = at.name.clone();
+        let state = &mut self.nodes[node];
+        (state.connected, state.running_reported, state.report_now) = (true, false, true);
+        let node_name = state.name.clone();
         self.handle(Event::AgentConnected { agent, node_name });
     }
 
@@ -228,7 +228,7 @@
         let closed: Vec<AgentId> = self
             .connections
             .iter()
-            .filter(|(_, at)| **at == node)
+            .filter(|(_, index)| **index == node)
             .map(|(id, _)| *id)
             .collect();
         self.nodes[node].connected = false;
@@ -334,14 +334,14 @@
     }
 
     fn record_acknowledged_ends(&mut self, node: usize, acknowledged: u64) {
-        let at = &mut self.nodes[node];
+        let state = &mut self.nodes[node];
         assert!(
-            acknowledged < at.next_end,
+            acknowledged < state.next_end,
             "end {acknowledged} was acknowledged but never reported"
         );
-        let before = at.acknowledged;
-        at.acknowledged = before.max(acknowledged);
-        for end in at
+        let before = state.acknowledged;
+        state.acknowledged = before.max(acknowledged);
+        for end in state
             .ends
             .iter()
             .filter(|end| end.number > before && end.number <= acknowledged)
@@ -358,7 +358,7 @@
                 _ => {}
             }
         }
-        at.ends.retain(|end| end.number > acknowledged);
+        state.ends.retain(|end| end.number > acknowledged);
     }
 
     fn advance_node(&mut self, node: usize) {
@@ -375,7 +375,7 @@
             let agent = self
                 .connections
                 .iter()
-                .find(|(_, at)| **at == node)
+                .find(|(_, index)| **index == node)
                 .map(|(id, _)| *id);
             let Some(agent) = agent else { return };
             self.send(Message::Report(agent, report));
--- a/crates/scheduler/tests/cluster/node.rs
+++ b/crates/scheduler/tests/cluster/node.rs
@@ -145,9 +145,11 @@
 
     /// Resources taken by all runs.
     pub(crate) fn used(&self) -> Resources {
-        self.running.values().fold(Resources::default(), |sum, at| {
-            sum.plus(&at.order.resources)
-        })
+        self.running
+            .values()
+            .fold(Resources::default(), |sum, active| {
+                sum.plus(&active.order.resources)
+            })
     }
 
     pub(crate) fn end(&mut self, run: RunId, end: RunEnd, checkpoint: String) {
@@ -190,8 +192,8 @@
     }
 
     fn stop(&mut self, now_ms: u64, run: RunId) {
-        if let Some(at) = self.running.get_mut(&run) {
-            at.stop_ms.get_or_insert(now_ms + self.stop_ms);
+        if let Some(active) = self.running.get_mut(&run) {
+            active.stop_ms.get_or_insert(now_ms + self.stop_ms);
         } else if self.undelivered.remove(&run).is_some() || !self.closed_runs.contains(&run) {
             self.closed_runs.insert(run);
             self.not_started.push(run);
@@ -263,14 +265,14 @@
         } else {
             WorkerState::Ready
         };
-        let listed = |(run, at): (&RunId, &ActiveRun)| RunningRun {
+        let listed = |(run, active): (&RunId, &ActiveRun)| RunningRun {
             run: *run,
-            checkpoint: at.checkpoint(now_ms),
+            checkpoint: active.checkpoint(now_ms),
             percent: if self.hangs {
                 3
             } else {
-                at.began_ms.map_or(0, |began| {
-                    ((now_ms - began) * 100 / at.work_ms.max(1)).min(99) as u32
+                active.began_ms.map_or(0, |began| {
+                    ((now_ms - began) * 100 / active.work_ms.max(1)).min(99) as u32
                 })
             },
         };
--- a/crates/scheduler/tests/cluster/running.rs
+++ b/crates/scheduler/tests/cluster/running.rs
@@ -42,14 +42,14 @@
         let runs: Vec<(RunId, ActiveRun)> = self.nodes[node]
             .running
             .iter()
-            .map(|(run, at)| (*run, at.clone()))
+            .map(|(run, active)| (*run, active.clone()))
             .collect();
-        for (run, at) in runs {
-            self.advance_run(node, run, &at);
+        for (run, active) in runs {
+            self.advance_run(node, run, &active);
         }
     }
 
-    fn advance_run(&mut self, node: usize, run: RunId, at: &ActiveRun) {
+    fn advance_run(&mut self, node: usize, run: RunId, active: &ActiveRun) {
         let now_ms = self.now_ms;
         let Some(step) = self.jobs[&run.task.job]
             .spec
@@ -59,13 +59,13 @@
         else {
             return;
         };
-        if at.stop_ms.is_some_and(|stop| now_ms >= stop) {
-            let ran_ms = at.began_ms.map_or(0, |began| now_ms - began);
-            self.stopped_core_ms += ran_ms as f64 * at.order.resources.cpu as f64 / 1_000.0;
-            return self.nodes[node].end(run, RunEnd::Stopped, at.checkpoint(now_ms));
+        if active.stop_ms.is_some_and(|stop| now_ms >= stop) {
+            let ran_ms = active.began_ms.map_or(0, |began| now_ms - began);
+            self.stopped_core_ms += ran_ms as f64 * active.order.resources.cpu as f64 / 1_000.0;
+            return self.nodes[node].end(run, RunEnd::Stopped, active.checkpoint(now_ms));
         }
-        let Some(began_ms) = at.began_ms else {
-            return self.wait_for_gang(node, run, at, step.count);
+        let Some(began_ms) = active.began_ms else {
+            return self.wait_for_gang(node, run, active, step.count);
         };
         let TaskWork { run_ms, failures } = self.work_of(run.task, &step);
         if step.long_running || self.nodes[node].hangs || now_ms < began_ms + run_ms {
@@ -93,8 +93,8 @@
                 && (other.task.job, other.task.repeat, other.task.step)
                     == (run.task.job, run.task.repeat, run.task.step)
         };
-        let on = |(node, at): (usize, &Node)| {
-            let here: Vec<(usize, RunId)> = at
+        let on = |(node, state): (usize, &Node)| {
+            let here: Vec<(usize, RunId)> = state
                 .running
                 .keys()
                 .filter(|r| same(r))
@@ -106,15 +106,15 @@
     }
 
     /// Begins the work of a gang once all its members are present; ends a member that has waited too long alone.
-    fn wait_for_gang(&mut self, node: usize, run: RunId, at: &ActiveRun, count: u32) {
+    fn wait_for_gang(&mut self, node: usize, run: RunId, active: &ActiveRun, count: u32) {
         let members = self.gang_members(run);
         if members.len() as u32 == count {
             for (node, run) in members {
-                if let Some(at) = self.nodes[node].running.get_mut(&run) {
-                    at.began_ms = Some(self.now_ms);
+                if let Some(active) = self.nodes[node].running.get_mut(&run) {
+                    active.began_ms = Some(self.now_ms);
                 }
             }
-        } else if self.now_ms >= at.arrived_ms + GANG_MS {
+        } else if self.now_ms >= active.arrived_ms + GANG_MS {
             assert!(
                 !self.fault_free,
                 "{} waited for the other gang members in vain, without any fault",
--- a/crates/scheduler/tests/long_running.rs
+++ b/crates/scheduler/tests/long_running.rs
@@ -25,7 +25,7 @@
         }]),
     );
     cluster.run_for(30_000);
-    let at = cluster
+    let node = cluster
         .nodes
         .iter()
         .position(|node| node.used().cpu == 15_000)
@@ -35,7 +35,7 @@
     }
     cluster.run_for(500);
     let (now_ms, back_ms) = (cluster.now_ms, 500);
-    cluster.nodes[at].crash(now_ms, back_ms);
+    cluster.nodes[node].crash(now_ms, back_ms);
     cluster.run_for(9_000);
     assert!(
         run_count(&cluster, long_running) > 0,
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -127,8 +127,8 @@
 
 /// Id of the instance on which the task runs; `nodes` must include its node.
 fn instance_of_task(cluster: &Cluster, nodes: &[usize], task: u32) -> String {
-    let has_run = |at: &&usize| {
-        let mut runs = cluster.nodes[**at].running.keys();
+    let has_run = |node: &&usize| {
+        let mut runs = cluster.nodes[**node].running.keys();
         runs.any(|run| run.task.index == task)
     };
     let node = nodes
