--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,5 +1,6 @@
 //! Health of a worker, judged by the results of its runs. A worker whose runs fail, hang or are slow is suspected and
-//! gets no new runs; after a backoff it is on probation until a run succeeds.
+//! gets runs only of tasks that have waited too long for other workers; after a backoff it is on probation until a run
+//! succeeds.
 
 /// Half-life of the weight of results.
 const HALF_LIFE_MS: f64 = 8_000.0;
@@ -44,7 +45,7 @@
     probation_ms: u64,
     /// Time from the latest suspicion to probation.
     backoff_ms: u64,
-    /// Whether a run was placed on probation whose result is still open.
+    /// Whether a run was placed on probation whose result is not known yet.
     probing: bool,
 }
 
--- a/crates/scheduler/src/kinds.rs
+++ b/crates/scheduler/src/kinds.rs
@@ -99,7 +99,7 @@
     pub drawn: Option<usize>,
     /// Probability `p_k` of each kind.
     pub probabilities: Vec<f64>,
-    /// Workers sampled, all of them suitable; of the kind that the winner belongs to.
+    /// Workers sampled of the winner's kind, including the winner; all of them are suitable.
     pub sampled: Vec<SampledWorker>,
     /// Id of the selected worker instance.
     pub winner: String,
--- a/crates/scheduler/src/latency.rs
+++ b/crates/scheduler/src/latency.rs
@@ -25,11 +25,11 @@
     Run,
     /// Part of such run time that is due to running remote from the data, or as a gang in several racks.
     Remote,
-    /// Runs that failed.
+    /// Time of runs that failed.
     Failed,
-    /// Runs that were stopped or never started.
+    /// Time of runs that were stopped or never started.
     Stopped,
-    /// Runs that were lost with their worker.
+    /// Time of runs that were lost with their worker.
     Lost,
 }
 
--- a/crates/scheduler/src/unexpected_runs.rs
+++ b/crates/scheduler/src/unexpected_runs.rs
@@ -42,9 +42,9 @@
         self.lost.push(run);
     }
 
-    /// Runs to stop with the answer to a report that was sent at `sent_ms` of the agent's clock. Lost runs are included
-    /// until a report sent later than the first answered one arrives, and are forgotten then. Listed running tasks are
-    /// included only if the report lists running tasks.
+    /// Runs to stop with the answer to a report that was sent at `sent_ms` of the agent's clock. Runs listed as running
+    /// are included only if the report lists running tasks (`reports_running`). Lost runs are included until a report
+    /// that was sent later shows that the answer has arrived; then they are forgotten.
     pub(crate) fn stops(&mut self, sent_ms: u64, reports_running: bool) -> Vec<RunId> {
         let mut stops = self.in_flight.clone();
         if reports_running {
--- a/crates/scheduler/src/worker.rs
+++ b/crates/scheduler/src/worker.rs
@@ -212,7 +212,7 @@
     }
 
     /// Sets the connection over which the instance is reported. If it is another one than before, a full report is
-    /// awaited anew, and what the former connection listed as unexpected is dropped.
+    /// required again, and the unexpected runs listed over the former connection are dropped.
     pub(crate) fn attach(&mut self, agent: AgentId) {
         if self.agent != Some(agent) {
             (self.agent, self.full_report_received) = (Some(agent), false);
--- a/crates/scheduler/src/workers.rs
+++ b/crates/scheduler/src/workers.rs
@@ -6,7 +6,8 @@
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lease times are extended to this percentage, because the clocks of machines may run at different rates.
+/// Leases count as expired only after this percentage of their time, because the clocks of machines may run at
+/// different rates.
 const CLOCK_PERCENT: u64 = 105;
 /// Added to the time after which all leases count as expired.
 const EXPIRY_MARGIN_MS: u64 = 300;
@@ -35,7 +36,8 @@
     connection_of_node: FxHashMap<String, AgentId>,
     /// Number of the next instance.
     next: u32,
-    /// All leases of an instance have expired this time after a report of its node agent was answered last.
+    /// Time after the latest answer to a node agent's report when all leases of its instance have expired, in
+    /// milliseconds.
     lease_expiry_ms: u64,
 }
 
