--- a/crates/scheduler/src/outlook.rs
+++ b/crates/scheduler/src/outlook.rs
@@ -1,54 +1,57 @@
-//! When and where capacity is expected to be free, if what runs ends as expected.
+//! Forecast of when and where capacity becomes free, assuming that all runs end at their expected times.
 
 use crate::cluster_view::ClusterView;
-use crate::demand::{StepDemand, times};
+use crate::demand::{StepDemand, multiply};
 use crate::services::ServiceState;
 use crate::worker::{Worker, WorkerId};
 use indigofold_protocol::job::Resources;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// While less than this fraction of the service is in use, nobody waits long for a reserved worker.
-const IDLE_LOAD: f64 = 0.55;
-/// A worker that is reserved already counts as free by so much earlier, so that reservations do not move.
-const STAY_MS: u64 = 400;
+/// The service has spare capacity while its load is below this fraction. No step then waits long for workers reserved
+/// for others.
+const SPARE_LOAD_MAX: f64 = 0.55;
+/// A worker that is reserved already is treated as free by this much earlier, so that reservations do not move between
+/// workers with nearly equal forecasts.
+const RESERVED_ADVANTAGE_MS: u64 = 400;
 
-/// Capacity for the tasks of a step, and when all of them are expected to be free.
+/// Forecast of the capacity for the tasks of a step that start together.
 #[derive(Clone, Debug)]
 pub(crate) struct Outlook {
-    /// When.
+    /// When the capacity for all tasks is expected to be free, on the steady clock.
     pub free_ms: u64,
-    /// Number of tasks on each worker.
+    /// Number of tasks for which each worker provides capacity.
     pub tasks: FxHashMap<WorkerId, u32>,
 }
 
-/// Capacity for one task; ordered by time.
+/// Expected capacity for one task on a worker; ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Slot {
-    /// When it is expected to be free.
+    /// When the capacity is expected to be free, on the steady clock.
     free_ms: u64,
     worker: WorkerId,
 }
 
-/// The expected end of a run.
+/// Expected end of a run and the resources that it frees.
 struct ExpectedEnd {
     at_ms: u64,
     freed: Resources,
 }
 
 impl ClusterView<'_> {
-    /// Whether only about half of the service is in use, or less, by the resource used most or by its cores: then no
-    /// step may wait long where there is capacity for it.
+    /// Whether the service has spare capacity: its load is below [`SPARE_LOAD_MAX`], either by its CPU capacity or by
+    /// the dominant share of unbound runs. No step may wait long then if there is capacity for it.
     pub(crate) fn has_spare_capacity(&self, service: &ServiceState) -> bool {
         let (used, all) = self.workers_of(service).fold((0, 0), |(used, all), w| {
             (used + w.used().cpu, all + w.capacity().cpu)
         });
-        (used as f64) < IDLE_LOAD * all as f64
-            || service.kinds().measured_load(self.workers) < IDLE_LOAD
+        (used as f64) < SPARE_LOAD_MAX * all as f64
+            || service.kinds().measured_load(self.workers) < SPARE_LOAD_MAX
     }
 
-    /// Where and when `members` tasks will find capacity, if what runs ends as expected; in one rack if the step needs
-    /// that and it does not take too long.
+    /// Forecasts when and where `members` tasks of the step can start together; `None` if the service does not get
+    /// enough capacity even after all runs have ended. For a rack-local step it is within one rack, unless spreading
+    /// over racks allows a start so much earlier that it makes up for the slower runs.
     pub(crate) fn outlook(
         &self,
         service: &ServiceState,
@@ -58,8 +61,8 @@
         let anywhere = self.outlook_in(service, demand, members, None)?;
         let rack_local = self
             .jobs
-            .get(&demand.at.job)
-            .and_then(|job| job.step(demand.at.step))
+            .get(&demand.step_ref.job)
+            .and_then(|job| job.step(demand.step_ref.step))
             .is_some_and(|s| s.rack_local);
         if !rack_local {
             return Some(anywhere);
@@ -76,6 +79,8 @@
         )
     }
 
+    /// The same forecast for the workers of one rack, or of all racks if `rack` is `None`. Workers that are not
+    /// responsive, or reserved for another step of the same or a higher priority, are left out.
     fn outlook_in(
         &self,
         service: &ServiceState,
@@ -90,16 +95,20 @@
             };
             let reservation = service.reservations().get(id);
             let other = reservation.is_some_and(|reservation| {
-                reservation.step != demand.at && reservation.priority <= demand.priority
+                reservation.step != demand.step_ref && reservation.priority <= demand.priority
             });
             let elsewhere = rack.is_some_and(|rack| worker.rack() != Some(rack));
             if other || elsewhere || !worker.is_responsive(self.now_ms) {
                 continue;
             }
-            let stay_ms = if reservation.is_some() { STAY_MS } else { 0 };
+            let advantage_ms = if reservation.is_some() {
+                RESERVED_ADVANTAGE_MS
+            } else {
+                0
+            };
             let times = self.free_times(id, worker, demand, members);
             slots.extend(times.into_iter().map(|free_ms| Slot {
-                free_ms: free_ms.saturating_sub(stay_ms),
+                free_ms: free_ms.saturating_sub(advantage_ms),
                 worker: id,
             }));
         }
@@ -116,7 +125,8 @@
         Some(Outlook { free_ms, tasks })
     }
 
-    /// When the worker is expected to have capacity for one, two, ... tasks (at most `members`) of the step.
+    /// Times at which the worker is expected to have capacity for one, two, ... up to `members` tasks of the step, in
+    /// ascending order. Ends early at the first number that the worker can never hold.
     fn free_times(
         &self,
         id: WorkerId,
@@ -139,13 +149,13 @@
         let mut ends = ends.into_iter();
         let (mut used, mut at_ms) = (worker.used(), self.now_ms);
         let mut free = Vec::new();
-        let most = if demand.anti_affinity > 0 {
+        let max_tasks = if demand.anti_affinity > 0 {
             members.min(demand.anti_affinity)
         } else {
             members
         };
-        for count in 1..=u64::from(most) {
-            let wanted = times(&demand.resources, count);
+        for count in 1..=u64::from(max_tasks) {
+            let wanted = multiply(&demand.resources, count);
             while !worker.capacity().can_fit(&used.plus(&wanted)) {
                 let Some(end) = ends.next() else {
                     return free;
--- a/crates/scheduler/src/placement/gang.rs
+++ b/crates/scheduler/src/placement/gang.rs
@@ -1,4 +1,4 @@
-//! Placement of gangs: all members at once, with one run number and the same checkpoint, or none.
+//! Placement of gangs: either all members are placed at once, with the same attempt number and checkpoint, or none is.
 
 use crate::cluster::Cluster;
 use crate::demand::{Locality, Scope, StepDemand};
@@ -11,29 +11,31 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// Longest time that a gang which needs one rack waits for one.
+/// Maximum time that a rack-local gang waits for capacity within one rack.
 const ONE_RACK_WAIT_MAX_MS: u64 = 1_500;
 
 impl Placer {
-    /// Places a gang if all members fit.
+    /// Places a gang if all its members wait and fit. A rack-local gang is placed within one rack; it is spread over
+    /// several racks only after it has waited as long as that is expected to slow it down, at most
+    /// [`ONE_RACK_WAIT_MAX_MS`].
     pub(super) fn place_gang(
         &mut self,
         cluster: &mut Cluster,
         service: &str,
-        at: StepRef,
+        step_ref: StepRef,
         locality: Locality,
     ) {
-        let Some(job) = cluster.jobs().get(&at.job) else {
+        let Some(job) = cluster.jobs().get(&step_ref.job) else {
             return;
         };
-        let (Some(step), Some(state)) = (job.step(at.step), job.step_state(at)) else {
+        let (Some(step), Some(state)) = (job.step(step_ref.step), job.step_state(step_ref)) else {
             return;
         };
         if state.waiting().len() != state.tasks().len() {
             return;
         }
         let (rack_local, members) = (step.rack_local, state.tasks().len());
-        let Some(mut demand) = StepDemand::of(job, at, cluster.clock().now_ms()) else {
+        let Some(mut demand) = StepDemand::for_step(job, step_ref, cluster.clock().now_ms()) else {
             return;
         };
         demand.avoids_idle_workers = avoids_idle_workers(cluster, service, &demand.resources);
@@ -59,11 +61,11 @@
                 in_rack.or_else(spread)
             });
         if let Some(plan) = plan {
-            self.start_gang(cluster, service, at, rack_local, &demand, plan);
+            self.start_gang(cluster, service, step_ref, rack_local, &demand, plan);
         }
     }
 
-    /// A plan within one rack: the first with capacity, in random order.
+    /// Plans the gang within one rack: tries the racks in random order and returns the first plan found.
     fn plan_in_rack(
         &mut self,
         cluster: &Cluster,
@@ -86,7 +88,7 @@
         None
     }
 
-    /// A worker for each member, or `None`.
+    /// Selects a worker for each member, within `rack` if one is given; `None` if not all members fit.
     fn plan(
         &mut self,
         cluster: &Cluster,
@@ -126,32 +128,33 @@
         Some(plan)
     }
 
-    /// Starts all members with one attempt number and the same checkpoint.
+    /// Places all members with the same attempt number and checkpoint, and releases the gang's reservations.
     fn start_gang(
         &mut self,
         cluster: &mut Cluster,
         service: &str,
-        at: StepRef,
+        step_ref: StepRef,
         rack_local: bool,
         demand: &StepDemand,
         plan: Vec<Selection>,
     ) {
         let remote_factor = remote_factor(cluster, rack_local, demand, &plan);
-        let Some(attempt) = cluster.prepare_gang(at) else {
+        let Some(attempt) = cluster.prepare_gang(step_ref) else {
             return;
         };
         for (index, selection) in (0u32..).zip(&plan) {
-            let task = at.task(index);
+            let task = step_ref.task(index);
             self.trace(cluster, service, task, selection);
             cluster.place_run(task, attempt, Placement::new(selection, remote_factor));
         }
         if let Some(state) = cluster.services_mut().get_mut(service) {
-            state.reservations_mut().release(at);
+            state.reservations_mut().release(step_ref);
         }
     }
 }
 
-/// Factor on the run time of a gang on these workers.
+/// Factor on the run time of a gang on these workers: above 1 if a member is remote from its data, or if a rack-local
+/// gang spans several racks.
 fn remote_factor(
     cluster: &Cluster,
     rack_local: bool,
--- a/crates/scheduler/tests/cluster/clients.rs
+++ b/crates/scheduler/tests/cluster/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the simulated cluster: their calls, and what the replies must say.
+//! Clients of the simulated cluster: their calls, and checks of the replies.
 
 use super::{Cluster, REPLY_MS};
 use indigofold_protocol::internal::{ClientCall, ClientOperation, ClientOutcome, ClientReply};
@@ -44,7 +44,7 @@
         self.call(id, format!("/{route}/{id}"), ClientOperation::Cancel);
     }
 
-    /// The job's state as a client is shown it.
+    /// Asks for the job's state and returns the latest one that a client has received.
     pub(crate) fn state_of(&mut self, id: JobId) -> Option<JobState> {
         self.get(id);
         self.run_for(REPLY_MS);
@@ -77,7 +77,7 @@
                 }
                 assert!(
                     !matches!(job.state, Some(JobState::Completed)) || state == JobState::Completed,
-                    "{id} was completed and is {state:?}"
+                    "job {id} was reported as Completed before and is now {state:?}"
                 );
                 job.state = Some(state);
                 if state == JobState::Completed {
@@ -88,7 +88,7 @@
                 let open = job.accepted_ms.is_some()
                     && job.ended_ms.is_none()
                     && job.cancelled_ms.is_none();
-                assert!(!open, "LOST: {id} is unknown");
+                assert!(!open, "accepted job {id} is unknown to the scheduler");
             }
             _ => {}
         }
--- a/crates/scheduler/tests/cluster/invariants.rs
+++ b/crates/scheduler/tests/cluster/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants, checked at every start of a run and whenever a job is shown as completed.
+//! Invariants, checked at every start of a run and whenever a client receives the state `Completed`.
 
 use super::node::ActiveRun;
 use super::{ClientJob, Cluster};
@@ -7,6 +7,7 @@
 use indigofold_protocol::task::{JobId, RunId, TaskName};
 
 impl Cluster {
+    /// Checks that all tasks of a completed job are done.
     pub(super) fn check_completed(&self, id: JobId) {
         let job = &self.jobs[&id];
         for repeat in 0..job.spec.repeat_count.max(1) {
@@ -14,14 +15,14 @@
                 let done = self.tasks_done(id, repeat, number, step);
                 assert!(
                     is_complete(step, done),
-                    "MIXED: {id} is completed, step {number} has {done} of {}",
+                    "job {id} is reported as Completed, but step {number} has {done} of {} tasks done",
                     step.count
                 );
             }
         }
     }
 
-    /// Tasks of a step that a node has done.
+    /// Number of a step's tasks of which a run has ended `done`.
     pub(super) fn tasks_done(&self, job: JobId, repeat: u32, number: usize, step: &Step) -> u32 {
         let is_done = |index: &u32| {
             let task = TaskName {
@@ -39,21 +40,27 @@
         if let Some(cancelled_ms) = job.cancelled_ms {
             assert!(
                 self.now_ms < cancelled_ms + 300,
-                "UNASKED: {task} after its job was cancelled"
+                "{task} is started after its job was cancelled at {cancelled_ms} ms"
             );
         }
     }
 
-    /// A run arrives at a worker.
+    /// Starts a run on a worker, after checking the invariants for its start order.
     pub(super) fn start(&mut self, node: usize, order: StartOrder) {
         let (run, task) = (order.run, order.run.task);
         let job = self
             .jobs
             .get(&task.job)
-            .unwrap_or_else(|| panic!("UNASKED: {task}"));
+            .unwrap_or_else(|| panic!("{task} is started, but its job was never submitted"));
         let step = &job.spec.stages[task.step as usize];
-        assert_eq!(order.spec, job.spec.spec, "UNASKED: another text");
-        assert!(!job.rejected, "REFUSED: {task}");
+        assert_eq!(
+            order.spec, job.spec.spec,
+            "the start order of {task} does not have its job's text"
+        );
+        assert!(
+            !job.rejected,
+            "{task} is started although its job was rejected"
+        );
         self.check_not_cancelled(task, job);
         let speculative = step.speculative;
         self.check_single_run(run, speculative);
@@ -64,30 +71,31 @@
         let failed = history.map_or(0, |h| h.failed_acknowledged.len());
         assert!(
             step.long_running || step.gang || failed < 3,
-            "BUDGET: {task}"
+            "{task} is started again after {failed} failed attempts"
         );
         let work_ms = self.work_of(task, step).run_ms;
         let gang = step.gang;
         self.history.entry(task).or_default().starts += 1;
         let began_ms = (!gang).then_some(self.now_ms);
-        let at = ActiveRun {
+        let active = ActiveRun {
             order,
             arrived_ms: self.now_ms,
             began_ms,
             stop_ms: None,
             work_ms,
         };
-        self.nodes[node].running.insert(run, at);
+        self.nodes[node].running.insert(run, active);
         self.nodes[node].report_now = true;
         let (used, capacity) = (self.nodes[node].used(), self.nodes[node].capacity);
         assert!(
             capacity.can_fit(&used),
-            "LIMIT: {} has {used:?}",
+            "the runs on {} take {used:?}, more than its capacity {capacity:?}",
             self.nodes[node].name
         );
     }
 
-    /// The checkpoint that a run resumes from must be the task's (the gang's), and the same for all members.
+    /// Checks that the checkpoint of a start order is one of the same job, and that it is the same for all members of a
+    /// gang.
     fn check_checkpoint(&self, order: &StartOrder, gang: bool) {
         let own = order.checkpoint.is_empty()
             || order
@@ -95,7 +103,7 @@
                 .starts_with(&order.run.task.job.to_string());
         assert!(
             own,
-            "UNASKED: {} resumes from `{}`",
+            "{} resumes from `{}`, which is no checkpoint of its job",
             order.run.task, order.checkpoint
         );
         let texts = self
@@ -104,11 +112,12 @@
             .map(|(node, run)| &self.nodes[node].running[&run].order.checkpoint);
         assert!(
             !gang || texts.into_iter().all(|text| *text == order.checkpoint),
-            "UNASKED: a gang with two texts"
+            "the members of a gang resume from different checkpoints"
         );
     }
 
-    /// Speculative runs may run at the same time, and for a second after the end of one was acknowledged.
+    /// Checks that a task has one run at a time and none after its `done` was acknowledged. For a speculative task
+    /// several runs are allowed, and starts up to a second after the acknowledgement.
     fn check_single_run(&self, run: RunId, speculative: bool) {
         if speculative {
             let acknowledged_ms = self
@@ -119,7 +128,7 @@
                 acknowledged_ms.is_some_and(|acknowledged| self.now_ms >= acknowledged + 1_000);
             return assert!(
                 !late,
-                "TWICE: a speculative run of {} starts long after it was done",
+                "a speculative run of {} is started 1 s or more after a `done` of it was acknowledged",
                 run.task
             );
         }
@@ -127,7 +136,7 @@
             let other = node.running.keys().find(|other| other.task == run.task);
             assert!(
                 other.is_none(),
-                "TWICE: {} runs on {} ({other:?})",
+                "{} is started while {} still has a run of it ({other:?})",
                 run.task,
                 node.name
             );
@@ -136,43 +145,53 @@
             .history
             .get(&run.task)
             .is_some_and(|history| history.done_acknowledged);
-        assert!(!acknowledged, "TWICE: {} was done", run.task);
+        assert!(
+            !acknowledged,
+            "{} is started after a `done` of it was acknowledged",
+            run.task
+        );
     }
 
+    /// Checks that all steps that the task depends on are done, and that its repetition is due.
     fn check_dependencies(&self, task: TaskName, job: &ClientJob) {
         for &before in &job.spec.stages[task.step as usize].depends_on {
             let step = &job.spec.stages[before as usize];
             let done = self.tasks_done(task.job, task.repeat, before as usize, step);
             assert!(
                 is_complete(step, done),
-                "ORDER: {task} before step {before}"
+                "{task} is started before step {before} is complete"
             );
         }
         if job.spec.repeat_count > 0 {
             let due_ms = job.spec.start_at_ms + u64::from(task.repeat) * job.spec.interval_ms;
-            assert!(self.wall_ms() >= due_ms, "ORDER: {task} is early");
+            assert!(
+                self.wall_ms() >= due_ms,
+                "{task} is started before its repetition is due"
+            );
         }
     }
 
+    /// Checks that the worker belongs to the job's service, has the label, does not exceed `anti_affinity`, and is not
+    /// draining.
     fn check_worker(&self, node: usize, task: TaskName, step: &Step) {
-        let at = &self.nodes[node];
+        let worker = &self.nodes[node];
         let route = self
             .config
             .routes
             .iter()
             .find(|r| r.name == self.jobs[&task.job].route);
         assert_eq!(
-            Some(&at.backend),
+            Some(&worker.backend),
             route.map(|r| &r.backend),
-            "ROUTE: {task}"
+            "{task} is started on a worker of another service"
         );
         assert!(
-            step.requirements.is_empty() || at.labels.contains(&step.requirements),
-            "ROUTE: label"
+            step.requirements.is_empty() || worker.labels.contains(&step.requirements),
+            "{task} is started on a worker without the required label"
         );
         let same =
             |other: &&RunId| (other.task.repeat, other.task.step) == (task.repeat, task.step);
-        let here = at
+        let here = worker
             .running
             .keys()
             .filter(|other| other.task.job == task.job)
@@ -180,19 +199,19 @@
             .count() as u32;
         assert!(
             step.anti_affinity == 0 || here < step.anti_affinity,
-            "ROUTE: anti_affinity of {task}"
+            "{task} is started on a worker that has {here} tasks of its step already, as many as anti_affinity allows"
         );
-        if let Some(reported_ms) = at.drain_reported_ms {
+        if let Some(reported_ms) = worker.drain_reported_ms {
             assert!(
                 self.now_ms < reported_ms + 500,
-                "DRAIN: {task} on {}",
-                at.name
+                "{task} is started on {}, which reported its drain at {reported_ms} ms",
+                worker.name
             );
         }
     }
 }
 
-/// Whether a step is complete with so many of its tasks done: one done member counts for a whole gang.
+/// Whether a step is complete if `done` of its tasks are done: one done member completes a whole gang.
 pub(super) fn is_complete(step: &Step, done: u32) -> bool {
     if step.gang {
         done > 0
--- a/crates/scheduler/tests/long_running.rs
+++ b/crates/scheduler/tests/long_running.rs
@@ -1,4 +1,4 @@
-//! Long-running tasks, and tasks that take long.
+//! Long-running tasks, and finite tasks that take long.
 
 mod cluster;
 
@@ -11,11 +11,12 @@
     running.filter(|run| run.task.job == job).count()
 }
 
-/// A long-running task earns as long as it runs: once lost, it goes before work of its priority that came later.
+/// A long-running task keeps its value as long as it runs. If it is lost, it must be restarted before later work of the
+/// same priority.
 #[test]
 fn a_lost_long_running_task_restarts_before_later_work() {
     let mut cluster = Cluster::started(5);
-    let watcher = cluster.submit(
+    let long_running = cluster.submit(
         "vision",
         1,
         spec(vec![Step {
@@ -24,25 +25,26 @@
         }]),
     );
     cluster.run_for(30_000);
-    let at = cluster
+    let node = cluster
         .nodes
         .iter()
         .position(|node| node.used().cpu == 15_000)
-        .expect("the watcher runs");
+        .expect("the long-running task runs on some node");
     for number in 0..30 {
         cluster.submit("vision", 100 + number, spec(vec![step(6, 15_000, 3_000)]));
     }
     cluster.run_for(500);
     let (now_ms, back_ms) = (cluster.now_ms, 500);
-    cluster.nodes[at].crash(now_ms, back_ms);
+    cluster.nodes[node].crash(now_ms, back_ms);
     cluster.run_for(9_000);
     assert!(
-        run_count(&cluster, watcher) > 0,
-        "the watcher waits behind work that ends"
+        run_count(&cluster, long_running) > 0,
+        "the long-running task still waits behind later work"
     );
 }
 
-/// Jobs of one class differ far more than workers: a long task alone is no reason to begin anew elsewhere.
+/// Run times differ far more between jobs of one class than between workers, so a single long task must not be
+/// restarted elsewhere.
 #[test]
 fn a_long_task_is_not_taken_for_a_straggler() {
     let mut cluster = Cluster::started(6);
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -1,4 +1,5 @@
-//! The draw: kinds by `p_k`, three workers sampled, the fewest runs win; bound steps skip the draw.
+//! Hybrid SQ(d): a kind is drawn by `p_k`, up to three of its workers are sampled, and the one with the fewest runs is
+//! selected; a step bound to a kind by its label skips the draw.
 
 mod cluster;
 
@@ -30,7 +31,11 @@
         assert_eq!(trace.reason, Reason::FewestOfDrawn);
     }
     let kinds: std::collections::BTreeSet<_> = traces.iter().map(|trace| trace.drawn).collect();
-    assert_eq!(kinds.len(), 2, "both kinds are drawn");
+    assert_eq!(
+        kinds.len(),
+        2,
+        "each of the two kinds must be drawn at least once"
+    );
 }
 
 #[test]
--- a/crates/scheduler/tests/speculation.rs
+++ b/crates/scheduler/tests/speculation.rs
@@ -1,4 +1,4 @@
-//! Speculative runs: started when the first run is in doubt; whichever ends first counts.
+//! Speculative runs: started if the first run puts the latency target at risk; the run that is done first counts.
 
 mod cluster;
 
@@ -27,7 +27,7 @@
     cluster.disconnect(first);
     cluster.run_for(3_500);
     assert!(completed(&mut cluster, id));
-    let task = *cluster.history.keys().next().expect("it ran");
+    let task = *cluster.history.keys().next().expect("the task has run");
     assert_eq!(cluster.history[&task].starts, 2);
     cluster.connect(first);
     cluster.run_for(2_000);
@@ -45,7 +45,7 @@
     cluster.run_for(1_000);
     assert!(
         cluster.busy_nodes().is_empty(),
-        "the run that lost is stopped"
+        "the run that was not needed any more must be stopped"
     );
 }
 
@@ -60,7 +60,7 @@
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
 
-/// There is no hurry as long as the latency target can be met.
+/// No speculative run is started as long as the latency target is not at risk, even if the worker is unresponsive.
 #[test]
 fn no_speculative_run_while_the_latency_target_can_be_met() {
     let mut cluster = Cluster::started(1);
@@ -74,7 +74,8 @@
     assert!(cluster.history.values().all(|history| history.starts == 1));
 }
 
-/// The row has both runs: whenever a head fails, its successor knows them and stops the one that loses.
+/// Both runs are stored in the job's row. Whenever the head fails, its successor knows both and stops the one that is
+/// not needed any more.
 #[test]
 fn a_successor_knows_both_runs() {
     for delay_ms in (0..3_000).step_by(100) {
--- a/crates/scheduler/tests/validation.rs
+++ b/crates/scheduler/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Jobs that cannot be done are rejected with a reason.
+//! Invalid jobs are rejected with a reason that names the invalid field.
 
 mod cluster;
 
@@ -23,9 +23,9 @@
     };
     assert!(reason.contains(named), "{reason}");
     cluster.run_for(1_000);
-    let is_instance_row = cluster.rows.keys().all(|key| key.starts_with(b"life/"));
+    let has_only_instance_rows = cluster.rows.keys().all(|key| key.starts_with(b"life/"));
     assert!(
-        cluster.history.is_empty() && is_instance_row,
-        "nothing is kept of the job"
+        cluster.history.is_empty() && has_only_instance_rows,
+        "a row or a run of the rejected job was found"
     );
 }
