--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -1,5 +1,6 @@
-//! The node agent of one worker: answers its heartbeats, sends the head's orders on to it, and reports to the head what it
-//! lists. A state machine without I/O: inputs are `handle_*`, outputs `poll_*`; `now_ms` is the machine's monotonic clock.
+//! The node agent of one worker: answers the worker's heartbeats, forwards the head's orders to it, and reports its
+//! state and runs to the head. A state machine without I/O: inputs are `handle_*`, outputs are `poll_*`; `now_ms` is a
+//! reading of the machine's monotonic clock in milliseconds.
 
 mod closed_runs;
 mod former_instances;
@@ -32,49 +33,51 @@
 use wire_runs::{start_entries, stop_entries};
 use worker_instance::WorkerInstance;
 
-/// Most starts not carried out that are reported on a new connection.
+/// Maximum number of starts not carried out that are remembered and reported on each new connection.
 pub const NOT_STARTED_MAX: usize = 512;
-/// Longest time for which the reply to a heartbeat waits for expected orders: a message to the head, a write there, and
-/// the message back. A busy worker sends its next heartbeat late, as each end of a run delays it.
+/// Maximum time that the reply to a heartbeat waits for expected orders, which take a message to the head, a disk write
+/// there and a message back. Replying without them would delay them until the next heartbeat, which a busy worker sends
+/// late because each end of a run delays it.
 pub const ORDERS_WAIT_MS: u64 = 100;
 
-/// A heartbeat that was taken over and awaits its reply.
+/// A heartbeat that was accepted and awaits its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeartbeatReceipt {
-    /// Its number.
+    /// Sequence number of the heartbeat.
     pub seq_no: u64,
-    /// Runs have ended, so that orders for the free capacity may follow: the reply should wait for them.
+    /// Whether the reply should wait for orders: runs have ended, so the head may soon order starts for the capacity
+    /// that became free.
     pub expects_orders: bool,
 }
 
 /// The result of a heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// It is the newest one: the reply carries orders.
+    /// The heartbeat is the newest one; the reply carries orders.
     Answered(HeartbeatReply),
-    /// A newer one was read before, or its instance has ended: it is acknowledged without orders.
+    /// A newer heartbeat was read before, or the instance has ended; the heartbeat is acknowledged without orders.
     Superseded,
 }
 
 /// Events for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgentEvent {
-    /// An instance of the worker has sent its first heartbeat.
+    /// An instance of the worker sent its first heartbeat.
     Registered {
         /// Id of the instance.
         instance: String,
     },
-    /// An instance has sent `DELETE`.
+    /// An instance sent `DELETE`.
     Deregistered {
         /// Id of the instance.
         instance: String,
     },
-    /// An instance has sent no heartbeat until all its leases had expired.
+    /// All leases of an instance expired without a heartbeat.
     Unresponsive {
         /// Id of the instance.
         instance: String,
     },
-    /// An unresponsive instance sends heartbeats once more.
+    /// An unresponsive instance sent a heartbeat again.
     Returned {
         /// Id of the instance.
         instance: String,
@@ -86,8 +89,9 @@
 pub struct Agent {
     started_ms: u64,
     authority: LeaseAuthority,
-    /// Highest epoch of the orders taken; 0 before the first.
+    /// Highest epoch of the orders received; 0 before the first orders.
     epoch: u64,
+    /// The current instance; `None` before the first heartbeat and after an instance has ended.
     instance: Option<WorkerInstance>,
     former: FormerInstances,
     /// Starts that will never be carried out.
@@ -99,7 +103,8 @@
 }
 
 impl Agent {
-    /// An agent without worker and head. `max_lease_ms`: the longest lease that workers accept.
+    /// Creates an agent to which neither a worker nor a head has connected. `max_lease_ms` is the longest lease that
+    /// workers accept.
     pub fn new(now_ms: u64, max_lease_ms: u64) -> Self {
         Agent {
             started_ms: now_ms,
@@ -115,8 +120,8 @@
         }
     }
 
-    /// `PUT /instances/ID` has come in; [`Agent::poll_heartbeat_reply`] follows. `None` if the heartbeat is superseded or
-    /// its instance has ended.
+    /// Handles the heartbeat in a `PUT /instances/ID`; the caller then calls [`Agent::poll_heartbeat_reply`]. Returns
+    /// `None` if the heartbeat is superseded or its instance has ended.
     pub fn handle_heartbeat(
         &mut self,
         now_ms: u64,
@@ -139,7 +144,8 @@
         })
     }
 
-    /// The reply to the heartbeat `seq_no`, which was taken over; one that a newer heartbeat supersedes gets no orders.
+    /// Returns the reply to the accepted heartbeat `seq_no`. A heartbeat that a newer one has superseded gets no
+    /// orders.
     pub fn poll_heartbeat_reply(&mut self, now_ms: u64, id: &str, seq_no: u64) -> HeartbeatOutcome {
         self.check_authority(now_ms);
         let newest = self
@@ -171,8 +177,9 @@
         HeartbeatOutcome::Answered(reply)
     }
 
-    /// `DELETE /instances/ID`. A worker that was draining ends now. One that was not goes on running for a while: its
-    /// runs have not ended before the worker has listed their ends, or its leases have expired.
+    /// Handles `DELETE /instances/ID`. An instance that is draining or idle ends at once. Any other instance still has
+    /// runs: it ends after the worker has listed the end of each run and the head has acknowledged these ends, or when
+    /// its leases expire.
     pub fn handle_deregistration(&mut self, id: &str) {
         let present = self.instance.as_mut();
         let Some(instance) =
@@ -193,7 +200,8 @@
         self.report_not_started(withdrawn);
     }
 
-    /// The head has sent orders. Those of a lower epoch than the highest one, or for another instance, are dropped.
+    /// Handles orders of the head. Orders with an epoch below the highest one received are dropped; of orders for an
+    /// instance other than the current one, only the epoch and the echo are used.
     pub fn handle_orders(&mut self, now_ms: u64, orders: AgentOrders) {
         if orders.epoch < self.epoch {
             return;
@@ -226,7 +234,7 @@
         self.report_not_started(not_started);
     }
 
-    /// An acting head is connected: it has to be sent everything.
+    /// Handles a new connection to an acting head: the next report carries the complete state.
     pub fn handle_connected(&mut self) {
         self.schedule.handle_connected();
         self.reported_runs.reset();
@@ -234,19 +242,19 @@
         self.not_started.handle_connected();
     }
 
-    /// The connection to the head is lost.
+    /// Handles the loss of the connection to the head; no reports are due until the next connection.
     pub fn handle_disconnected(&mut self) {
         self.schedule.handle_disconnected();
     }
 
-    /// Expires what is due, and returns the report that is due now.
+    /// Expires unresponsive instances, then returns the report if one is due.
     pub fn poll_report(&mut self, now_ms: u64) -> Option<AgentReport> {
         self.expire_unresponsive(now_ms);
         let is_due = self.report_due_ms().is_some_and(|due_ms| due_ms <= now_ms);
         is_due.then(|| self.report(now_ms))
     }
 
-    /// When [`Agent::poll_report`] is to be called next, at the latest.
+    /// The latest time at which to call [`Agent::poll_report`] next; `None` if nothing is due.
     pub fn next_timeout_ms(&self) -> Option<u64> {
         let instance = self.instance.as_ref();
         let timeouts = [
@@ -257,12 +265,12 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// The events since the last call, oldest first.
+    /// Returns the events since the last call, oldest first.
     pub fn poll_events(&mut self) -> Vec<AgentEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether this heartbeat is to be read; registers a new or returning instance first.
+    /// Returns whether this heartbeat is to be read. Registers a new or returning instance first.
     fn admit(&mut self, now_ms: u64, id: &str, heartbeat: &Heartbeat) -> bool {
         if self.former.is_closed(id) {
             return false;
@@ -294,7 +302,7 @@
         true
     }
 
-    /// An acting head has acknowledged the report sent at `echo_ms`.
+    /// Records that an acting head acknowledged the report sent at `echo_ms`.
     fn handle_echo(&mut self, echo_ms: u64) {
         if self.authority.handle_echo(echo_ms)
             && let Some(instance) = &mut self.instance
@@ -303,7 +311,7 @@
         }
     }
 
-    /// Ends a deregistered instance that has nothing left to run or to report.
+    /// Ends a deregistered instance that has no runs left and whose ends the head has all acknowledged.
     fn end_if_finished(&mut self) {
         let present = self.instance.as_ref();
         if present.is_some_and(WorkerInstance::is_finished) {
@@ -323,8 +331,8 @@
         runs.into_iter().for_each(|run| self.not_started.push(run));
     }
 
-    /// Without authority nothing is started: what the worker has not listed yet is withdrawn, since a head that received
-    /// no report from this agent may have started it elsewhere.
+    /// Withdraws all starts that the worker has not listed yet if the lease authority has expired: a head that received
+    /// no reports from this agent may have started these runs elsewhere.
     fn check_authority(&mut self, now_ms: u64) {
         if !self.authority.has_expired(now_ms) {
             return;
@@ -335,7 +343,7 @@
         }
     }
 
-    /// Reports an instance as ended once all its leases have expired.
+    /// Marks the current instance, and one known only from the head's orders, as ended once all leases have expired.
     fn expire_unresponsive(&mut self, now_ms: u64) {
         let changed = self.former.expire_unknown(now_ms);
         self.schedule.expedite_if(changed);
--- a/crates/data-plane/src/agent/former_instances.rs
+++ b/crates/data-plane/src/agent/former_instances.rs
@@ -1,27 +1,28 @@
-//! Instances of the worker that have ended, and how long the head may have to wait until it can rely on it.
+//! Former instances of the worker: which of them have ended, and when their runs can no longer be running.
 
 use super::lease_authority::expires_by_ms;
 use super::unreported::Unreported;
 use indigofold_protocol::internal::RUN_LEASE_MS;
 
-/// Most former instances that are remembered and reported on a new connection.
+/// Maximum number of former instances that are remembered and reported on each new connection.
 pub const ENDED_INSTANCES_MAX: usize = 16;
 
 /// The former instances of the worker on this machine.
 #[derive(Debug)]
 pub(super) struct FormerInstances {
-    /// When the leases that a previous agent process may have granted have expired.
+    /// Time at which the leases that a previous agent process may have granted have expired.
     unknown_expires_ms: u64,
-    /// Replaced or deregistered; heartbeats of these that arrive late are not read.
+    /// Instances that were replaced or deregistered; late heartbeats from them are not read.
     closed: Vec<String>,
-    /// Nothing of these runs; changes when one of them returns.
+    /// Instances without running runs, to be reported as ended. One that returns is removed.
     ended: Unreported<String>,
-    /// An instance that the head has named and that has sent this process no heartbeat.
+    /// The instance that the head last addressed although it has sent no heartbeat to this process.
     unknown: Option<String>,
 }
 
 impl FormerInstances {
-    /// None is known. A previous agent process may have granted a lease until `started_ms`.
+    /// Creates the state without any known instance. A previous agent process may have granted a lease until
+    /// `started_ms`.
     pub(super) fn new(started_ms: u64) -> Self {
         FormerInstances {
             unknown_expires_ms: expires_by_ms(started_ms, RUN_LEASE_MS),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Whether this instance was replaced or has deregistered.
+    /// Whether this instance was replaced or deregistered.
     pub(super) fn is_closed(&self, id: &str) -> bool {
         self.closed.iter().any(|closed| closed == id)
     }
@@ -41,7 +42,7 @@
         self.ended.contains(id)
     }
 
-    /// An instance was replaced or has deregistered, and nothing of it runs.
+    /// Records that an instance was replaced or deregistered and that none of its runs is running.
     pub(super) fn close(&mut self, id: String) {
         self.unknown.take_if(|unknown| *unknown == id);
         self.closed.push(id.clone());
@@ -51,19 +52,19 @@
         self.ended.push(id);
     }
 
-    /// All leases of an instance have expired; it may still return.
+    /// Records that all leases of an instance have expired; the instance may still return.
     pub(super) fn expire(&mut self, id: String) {
         self.ended.push(id);
     }
 
-    /// An instance has sent a heartbeat, for the first time or after it had expired.
+    /// Handles an instance that sent its first heartbeat, or its first one after its leases expired.
     pub(super) fn handle_present(&mut self, id: &String) {
         self.ended.remove(id);
         self.unknown.take_if(|unknown| unknown == id);
     }
 
-    /// The head has named an instance that has sent no heartbeat. `has_present`: another one has, so that this one has
-    /// ended. Returns whether there is something to report.
+    /// Handles orders of the head for an instance other than the current one. `has_present`: there is a current
+    /// instance, so the other one has ended. Returns whether there is something to report.
     pub(super) fn handle_unknown(&mut self, id: String, has_present: bool) -> bool {
         if id.is_empty() || self.is_closed(&id) || self.is_ended(&id) {
             return false;
@@ -76,7 +77,7 @@
         has_present
     }
 
-    /// Ends the unknown instance once its leases have expired. Returns whether there is something to report.
+    /// Marks the unknown instance as ended once its leases have expired. Returns whether there is something to report.
     pub(super) fn expire_unknown(&mut self, now_ms: u64) -> bool {
         if now_ms < self.unknown_expires_ms {
             return false;
@@ -88,17 +89,17 @@
         true
     }
 
-    /// When [`FormerInstances::expire_unknown`] is to be called next.
+    /// Time at which to call [`FormerInstances::expire_unknown`] next; `None` without an unknown instance.
     pub(super) fn next_timeout_ms(&self) -> Option<u64> {
         self.unknown.as_ref().map(|_| self.unknown_expires_ms)
     }
 
-    /// The instances to report on this connection.
+    /// The list of ended instances to report.
     pub(super) fn reports(&mut self) -> &mut Unreported<String> {
         &mut self.ended
     }
 
-    /// Whether an ended instance has not been reported on this connection.
+    /// Whether an ended instance has not been reported on the current connection.
     pub(super) fn is_report_pending(&self) -> bool {
         self.ended.is_pending()
     }
--- a/crates/data-plane/src/agent/heartbeat_interval.rs
+++ b/crates/data-plane/src/agent/heartbeat_interval.rs
@@ -1,25 +1,25 @@
-//! How soon the worker is to send its next heartbeat.
+//! The heartbeat interval that the agent asks the worker for.
 
-/// Interval of heartbeats while something is ordered or runs.
+/// Heartbeat interval while runs are ordered or running.
 pub const BUSY_HEARTBEAT_MS: u64 = 20;
-/// Interval of heartbeats while nothing is ordered or runs.
+/// Heartbeat interval while no run is ordered or running.
 pub const IDLE_HEARTBEAT_MS: u64 = 50;
-/// A worker counts as busy for this long after an order or its registration.
+/// Time after an order or a registration for which the worker counts as busy.
 pub const RECENT_ORDER_MS: u64 = 3_000;
 
-/// The interval of heartbeats that replies ask for.
+/// Chooses the heartbeat interval that replies ask for.
 #[derive(Debug, Default)]
 pub(super) struct HeartbeatInterval {
     last_activity_ms: Option<u64>,
 }
 
 impl HeartbeatInterval {
-    /// The worker has registered, or an order for it has come in.
+    /// Records that the worker registered or that the head sent an order for it.
     pub(super) fn handle_activity(&mut self, now_ms: u64) {
         self.last_activity_ms = Some(now_ms);
     }
 
-    /// When the worker is to send its next heartbeat, in milliseconds from now. `idle`: nothing is ordered or runs.
+    /// Time until the worker is to send its next heartbeat. `idle`: no run is ordered or running.
     pub(super) fn next_ms(&self, now_ms: u64, idle: bool) -> u64 {
         let is_recent = self
             .last_activity_ms
--- a/crates/data-plane/src/agent/report_schedule.rs
+++ b/crates/data-plane/src/agent/report_schedule.rs
@@ -1,22 +1,22 @@
-//! When the next report to the head is due.
+//! The schedule of the reports to the head.
 
-/// Least time between two reports to the head, so that changes are coalesced.
+/// Minimum time between two reports to the head; changes within it are coalesced into one report.
 pub const REPORT_SPACING_MS: u64 = 5;
-/// Longest time between two reports to the head.
+/// Maximum time between two reports to the head.
 pub const REPORT_INTERVAL_MS: u64 = 300;
 
-/// Times of the reports to the head.
+/// Decides when the next report to the head is due.
 #[derive(Debug)]
 pub(super) struct ReportSchedule {
     started_ms: u64,
     connected: bool,
-    /// Something has changed since the last report.
+    /// Whether a change since the last report makes the next one due early.
     urgent: bool,
     last_report_ms: Option<u64>,
 }
 
 impl ReportSchedule {
-    /// No head is connected. `started_ms`: start of the process.
+    /// Creates the schedule of an agent that is not connected to a head. `started_ms`: start of the process.
     pub(super) fn new(started_ms: u64) -> Self {
         ReportSchedule {
             started_ms,
@@ -26,13 +26,13 @@
         }
     }
 
-    /// An acting head is connected; it is sent a report at once.
+    /// Handles a new connection to an acting head; a report is due as soon as [`REPORT_SPACING_MS`] permits.
     pub(super) fn handle_connected(&mut self) {
         self.connected = true;
         self.urgent = true;
     }
 
-    /// The connection to the head is lost; no report is due until there is another.
+    /// Handles the loss of the connection to the head; no report is due until the next connection.
     pub(super) fn handle_disconnected(&mut self) {
         self.connected = false;
     }
@@ -42,12 +42,13 @@
         self.connected
     }
 
-    /// The next report is due at once if `changed`.
+    /// Makes the next report due as soon as [`REPORT_SPACING_MS`] permits if `changed`.
     pub(super) fn expedite_if(&mut self, changed: bool) {
         self.urgent |= changed;
     }
 
-    /// When the next report is due. `pending`: there are updates that this connection has not carried.
+    /// Time at which the next report is due; `None` without a connection. `pending`: there are updates that this
+    /// connection has not carried yet.
     pub(super) fn due_ms(&self, pending: bool) -> Option<u64> {
         if !self.connected {
             return None;
@@ -63,7 +64,7 @@
         Some(last_report_ms + interval_ms)
     }
 
-    /// A report is being sent.
+    /// Records that a report is being sent.
     pub(super) fn handle_report_sent(&mut self, now_ms: u64) {
         self.urgent = false;
         self.last_report_ms = Some(now_ms);
--- a/crates/data-plane/src/agent/reported_runs.rs
+++ b/crates/data-plane/src/agent/reported_runs.rs
@@ -1,8 +1,8 @@
-//! Which list of running runs the head has received on this connection.
+//! Tracks which list of running runs the head has received on the current connection.
 
 use super::worker_instance::WorkerInstance;
 
-/// The progress of runs, where nothing else about them has changed, is reported this often.
+/// Interval at which the progress of runs is reported while nothing else about them changes.
 pub const PERCENT_INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug)]
@@ -12,19 +12,19 @@
     sent_ms: u64,
 }
 
-/// The newest list of runs sent on this connection.
+/// The newest list of runs sent on the current connection.
 #[derive(Debug, Default)]
 pub(super) struct ReportedRuns {
     newest: Option<ReportedRevision>,
 }
 
 impl ReportedRuns {
-    /// The next report has to carry the list: the connection or the instance is new.
+    /// Makes the next report carry the list, because the connection or the instance is new.
     pub(super) fn reset(&mut self) {
         self.newest = None;
     }
 
-    /// Whether the report sent now has to carry the instance's list of runs; if so it counts as sent.
+    /// Returns whether the report being sent must carry the instance's list of runs, and if so records it as sent.
     pub(super) fn needs_runs(&mut self, now_ms: u64, instance: &WorkerInstance) -> bool {
         if self.is_current(now_ms, instance) {
             return false;
--- a/crates/data-plane/src/agent/run_table.rs
+++ b/crates/data-plane/src/agent/run_table.rs
@@ -1,4 +1,4 @@
-//! The runs of one instance of the worker: ordered, sent, running, closed.
+//! The runs of one instance of the worker: ordered, sent, running or closed.
 
 mod entry;
 
@@ -19,11 +19,11 @@
     pub start: Vec<StartOrder>,
     /// Runs to stop.
     pub stop: Vec<RunId>,
-    /// Starts that are returned to the head.
+    /// Starts that will not be sent and are reported to the head as not started.
     pub not_started: Vec<RunId>,
 }
 
-/// All runs of one instance that are ordered, sent or running.
+/// The open runs of one instance (ordered, sent or running) and its closed ones.
 #[derive(Debug, Default)]
 pub(super) struct RunTable {
     entries: BTreeMap<RunId, RunEntry>,
@@ -31,8 +31,8 @@
 }
 
 impl RunTable {
-    /// Takes a start order. A run that is known already is not started a second time; one that was returned to the head
-    /// is returned once more.
+    /// Handles a start order. A known run is not started a second time. Returns the run if it was reported to the head
+    /// as not started before, so that it is reported again.
     pub(super) fn handle_start(&mut self, order: StartOrder) -> Option<RunId> {
         match self.closed.get(&order.run) {
             Some(CloseReason::NotStarted) => return Some(order.run),
@@ -48,7 +48,8 @@
         None
     }
 
-    /// Refuses a start order that must not be carried out; returns the run unless the table knows it.
+    /// Rejects a start order that must not be carried out. Returns the run, which is then closed as not started, unless
+    /// it is open or has ended.
     pub(super) fn refuse_start(&mut self, run: RunId) -> Option<RunId> {
         let known =
             self.entries.contains_key(&run) || self.closed.get(&run) == Some(CloseReason::Ended);
@@ -58,7 +59,8 @@
         })
     }
 
-    /// Takes a stop order. Returns the run if it was never sent, so that there is nothing to stop.
+    /// Handles a stop order. Returns the run if it was never started, so that there is nothing to stop. A stop of an
+    /// unknown run is sent to the worker.
     pub(super) fn handle_stop(&mut self, run: RunId) -> Option<RunId> {
         match self.closed.get(&run) {
             Some(CloseReason::NotStarted) => return Some(run),
@@ -76,7 +78,8 @@
         Some(run)
     }
 
-    /// Withdraws all starts that the worker has not listed; returns those that were never sent.
+    /// Withdraws all starts that the worker has not listed, and returns those that were never sent. Those that were
+    /// sent are stopped.
     pub(super) fn withdraw_unlisted(&mut self) -> Vec<RunId> {
         let unlisted = self.entries.iter().filter(|(_, entry)| !entry.is_running());
         let runs: Vec<RunId> = unlisted.map(|(run, _)| *run).collect();
@@ -85,7 +88,7 @@
             .collect()
     }
 
-    /// Reads the lists of heartbeat `seq_no`; returns the starts that are now known never to begin.
+    /// Handles the lists of heartbeat `seq_no`. Returns the starts now known never to have been carried out.
     pub(super) fn handle_heartbeat(
         &mut self,
         seq_no: u64,
@@ -115,7 +118,7 @@
         not_started
     }
 
-    /// The orders that the reply carries.
+    /// Returns the orders for the reply being built.
     pub(super) fn poll_orders(&mut self, context: ReplyContext) -> OutgoingOrders {
         let mut orders = OutgoingOrders::default();
         let mut used = self.occupied();
@@ -136,7 +139,7 @@
         orders
     }
 
-    /// Runs sent to the worker that no heartbeat has listed yet.
+    /// The runs that were sent to the worker and that no heartbeat has listed yet.
     pub(super) fn in_flight(&self) -> Vec<RunId> {
         let sent = self
             .entries
@@ -145,12 +148,12 @@
         sent.map(|(run, _)| *run).collect()
     }
 
-    /// Whether nothing is ordered, sent or running.
+    /// Whether no run is ordered, sent or running.
     pub(super) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Capacity taken by runs that are running, are being stopped, or may be about to start.
+    /// Capacity taken by runs that are running or being stopped, or that may be starting.
     fn occupied(&self) -> Resources {
         let present = self
             .entries
--- a/crates/data-plane/src/agent/run_table/entry.rs
+++ b/crates/data-plane/src/agent/run_table/entry.rs
@@ -1,47 +1,48 @@
-//! One run of the table: how far it has come, and which orders about it go into the next reply.
+//! One entry of the run table: the stage of a run and the orders about it for the next reply.
 
 use indigofold_protocol::internal::StartOrder;
 use indigofold_protocol::job::Resources;
 
-/// A start that does not fit the worker's free capacity for this long is returned to the head.
+/// Time after which a start that does not fit the worker's free capacity is returned to the head as not started.
 pub const INCOMPATIBLE_MS: u64 = 500;
-/// A start that was sent this often without being listed is stopped instead.
+/// Number of times that a start is sent; if the worker still does not list the run, it is stopped instead.
 pub const SEND_ATTEMPTS_MAX: u32 = 10;
-/// Most starts in one reply, so that it stays below 4 MiB.
+/// Maximum number of starts in one reply, so that the reply stays below 4 MiB.
 pub const STARTS_PER_REPLY_MAX: usize = 200;
 
-/// The reply being built, and what the worker can take.
+/// The reply being built, and the worker's capacity and state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplyContext {
-    /// The present reading of the monotonic clock.
+    /// Current reading of the monotonic clock.
     pub now_ms: u64,
-    /// Number of the heartbeat that is answered.
+    /// Sequence number of the heartbeat that the reply answers.
     pub seq_no: u64,
-    /// Capacity of the worker.
+    /// Total capacity of the worker.
     pub capacity: Resources,
-    /// The worker takes new work.
+    /// Whether the worker accepts new runs; `false` while it drains.
     pub ready: bool,
-    /// The reply grants a lease; without one nothing is started.
+    /// Whether the reply grants a lease; without one nothing is started.
     pub leased: bool,
 }
 
-/// How far a run has come.
+/// The stage of an open run.
 #[derive(Debug)]
 enum Stage {
-    /// Ordered; to be put into a reply.
+    /// The start is to be put into a reply, for the first time or again.
     Waiting {
         order: StartOrder,
+        /// Since when the run has not fit the worker's free capacity; `None` if it has not been found too large.
         incompatible_since_ms: Option<u64>,
         send_attempts: u32,
     },
-    /// Put into the reply to heartbeat `seq_no`; no later heartbeat has been read yet. Without an `order` only its stop
-    /// is known.
+    /// The start was put into the reply to heartbeat `seq_no`, and no heartbeat has listed the run. `order` is `None`
+    /// if the start must not be sent again: only a stop was ordered, or the start was withdrawn.
     Sent {
         order: Option<StartOrder>,
         seq_no: u64,
         send_attempts: u32,
     },
-    /// Listed as running by the newest heartbeat.
+    /// The newest heartbeat lists the run as running.
     Running,
 }
 
@@ -52,44 +53,44 @@
     None,
     /// A stop is to be put into the next reply.
     Due,
-    /// The stop was put into the reply to this heartbeat first; it is repeated in each reply.
+    /// The stop was first put into the reply to this heartbeat; each later reply repeats it.
     Sent { seq_no: u64 },
 }
 
-/// What becomes of a run that a heartbeat does not list.
+/// The state of an entry after a heartbeat was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UnlistedRun {
-    /// It stays in the table.
+    /// The entry stays in the table.
     Kept,
-    /// It was sent, stopped, and has never started.
+    /// The start was sent and then stopped, and the run never started.
     NeverStarted,
-    /// It ran, and has ended.
+    /// The run was listed as running before and has ended.
     Ended,
 }
 
-/// What becomes of a waiting start at a reply.
+/// The decision about a start for the reply being built.
 #[derive(Debug)]
 pub(super) enum StartDecision {
-    /// It goes into the reply.
+    /// The start goes into the reply.
     Send(StartOrder),
-    /// It waits for a later reply.
+    /// The start waits for a later reply, or there is none to send.
     Defer,
-    /// It was never sent, and is returned to the head.
+    /// The start was never sent and is returned to the head as not started.
     Withdraw,
 }
 
-/// A run that is ordered, sent or running.
+/// An open run: ordered, sent or running.
 #[derive(Debug)]
 pub(super) struct RunEntry {
     stage: Stage,
     resources: Resources,
     stop: StopOrder,
-    /// Listed by the heartbeat that is being read.
+    /// Whether the heartbeat being read lists the run.
     listed: bool,
 }
 
 impl RunEntry {
-    /// A start that has been ordered.
+    /// Creates the entry of a start that was ordered.
     pub(super) fn waiting(order: StartOrder) -> Self {
         let resources = order.resources;
         let stage = Stage::Waiting {
@@ -100,7 +101,7 @@
         RunEntry::new(stage, resources, StopOrder::None)
     }
 
-    /// A run of which only a stop order is known.
+    /// Creates the entry of a run of which only a stop order is known.
     pub(super) fn stop_only() -> Self {
         let stage = Stage::Sent {
             order: None,
@@ -110,7 +111,7 @@
         RunEntry::new(stage, Resources::default(), StopOrder::Due)
     }
 
-    /// A run that is known from the worker's list only.
+    /// Creates the entry of a run that is known only from the worker's list.
     pub(super) fn running() -> Self {
         RunEntry::new(Stage::Running, Resources::default(), StopOrder::None)
     }
@@ -124,27 +125,28 @@
         }
     }
 
-    /// What the run takes of the worker's capacity, as the newest start order says.
+    /// Resources of the run according to the newest start order; zero before a start order.
     pub(super) fn resources(&self) -> &Resources {
         &self.resources
     }
 
-    /// A start order for the same run has come in.
+    /// Replaces the resources by those of a repeated start order.
     pub(super) fn set_resources(&mut self, resources: Resources) {
         self.resources = resources;
     }
 
-    /// Whether the newest heartbeat lists it.
+    /// Whether the newest heartbeat lists the run as running.
     pub(super) fn is_running(&self) -> bool {
         matches!(self.stage, Stage::Running)
     }
 
-    /// Whether it may be at the worker now: it runs, or its start was sent and is not known to be lost.
+    /// Whether the run may occupy capacity at the worker: it is running, or its start was sent and is not known to be
+    /// lost.
     pub(super) fn occupies_capacity(&self) -> bool {
         !matches!(self.stage, Stage::Waiting { .. })
     }
 
-    /// Whether it was sent at least once and no heartbeat has listed it.
+    /// Whether the start was sent at least once and no heartbeat has listed the run.
     pub(super) fn is_in_flight(&self) -> bool {
         matches!(
             self.stage,
@@ -156,13 +158,13 @@
         )
     }
 
-    /// The heartbeat that is being read lists it as running.
+    /// Records that the heartbeat being read lists the run as running.
     pub(super) fn handle_listed(&mut self) {
         self.stage = Stage::Running;
         self.listed = true;
     }
 
-    /// Ends the reading of heartbeat `seq_no`.
+    /// Updates the entry after all lists of heartbeat `seq_no` were read.
     pub(super) fn handle_heartbeat_end(&mut self, seq_no: u64) -> UnlistedRun {
         if std::mem::take(&mut self.listed) {
             return UnlistedRun::Kept;
@@ -180,7 +182,8 @@
         }
     }
 
-    /// A later heartbeat does not list the start: it is sent once more, or stopped after too many attempts.
+    /// Schedules the start to be sent again, or stopped after [`SEND_ATTEMPTS_MAX`] attempts, because a heartbeat after
+    /// the reply does not list the run.
     fn retry_start(&mut self) {
         let Stage::Sent {
             order,
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Orders a stop; `true` if the start was never sent, so that the entry can be removed.
+    /// Withdraws the start or orders a stop. Returns `true` if the start was never sent, so that the entry can be
+    /// removed.
     pub(super) fn withdraw(&mut self) -> bool {
         if let Stage::Waiting { send_attempts, .. } = self.stage {
             if send_attempts == 0 {
@@ -221,8 +225,8 @@
         false
     }
 
-    /// Decides whether the start goes into the reply. `used`: capacity taken by other runs; `started`: starts in the
-    /// reply so far.
+    /// Decides whether the start goes into the reply. `used`: capacity taken by other runs; `started`: number of starts
+    /// in the reply so far.
     pub(super) fn poll_start(
         &mut self,
         context: &ReplyContext,
@@ -262,7 +266,7 @@
         }
     }
 
-    /// Whether the reply to heartbeat `seq_no` carries a stop of this run.
+    /// Returns whether the reply to heartbeat `seq_no` carries a stop of this run, and records a due stop as sent.
     pub(super) fn poll_stop(&mut self, seq_no: u64) -> bool {
         if self.stop == StopOrder::Due {
             self.stop = StopOrder::Sent { seq_no };
--- a/crates/data-plane/src/agent/unreported.rs
+++ b/crates/data-plane/src/agent/unreported.rs
@@ -1,15 +1,15 @@
-//! Updates that the head must receive once on each connection.
+//! A bounded list of updates that the head must receive once on each connection.
 
 use std::collections::VecDeque;
 
 #[derive(Debug)]
 struct Item<T> {
     value: T,
-    /// It was sent on the present connection.
+    /// Whether a report on the current connection has carried the value.
     reported: bool,
 }
 
-/// Items that each connection carries once; the oldest are forgotten first.
+/// Items that are reported once on each connection. Beyond the capacity the oldest items are dropped.
 #[derive(Debug)]
 pub(super) struct Unreported<T> {
     items: VecDeque<Item<T>>,
@@ -17,7 +17,7 @@
 }
 
 impl<T: Clone + PartialEq> Unreported<T> {
-    /// Keeps up to `capacity` items.
+    /// Creates an empty list that keeps up to `capacity` items.
     pub(super) fn new(capacity: usize) -> Self {
         Unreported {
             items: VecDeque::new(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds an item, to be reported even if it was reported before.
+    /// Adds an item at the end, or moves it there; it is reported again even if it was reported before.
     pub(super) fn push(&mut self, value: T) {
         self.remove(&value);
         self.items.push_back(Item {
@@ -37,27 +37,27 @@
         }
     }
 
-    /// Removes an item.
+    /// Removes an item if present; it is not reported any more.
     pub(super) fn remove(&mut self, value: &T) {
         self.items.retain(|item| item.value != *value);
     }
 
-    /// Whether this item is kept, reported or not.
+    /// Whether the list contains this item, reported or not.
     pub(super) fn contains(&self, value: &T) -> bool {
         self.items.iter().any(|item| item.value == *value)
     }
 
-    /// Whether an item has not been reported on this connection.
+    /// Whether any item has not been reported on the current connection.
     pub(super) fn is_pending(&self) -> bool {
         self.items.iter().any(|item| !item.reported)
     }
 
-    /// A new connection has carried nothing yet.
+    /// Handles a new connection: all items are to be reported again.
     pub(super) fn handle_connected(&mut self) {
         self.items.iter_mut().for_each(|item| item.reported = false);
     }
 
-    /// The items not yet reported on this connection, oldest first; they count as reported from now on.
+    /// Returns the items not yet reported on the current connection, oldest first, and marks them as reported.
     pub(super) fn take_pending(&mut self) -> Vec<T> {
         let pending = self.items.iter_mut().filter(|item| !item.reported);
         pending
--- a/crates/data-plane/src/agent/wire_runs.rs
+++ b/crates/data-plane/src/agent/wire_runs.rs
@@ -1,10 +1,11 @@
-//! The lists of the worker protocol as runs, and orders as lists.
+//! Conversion between the lists of the worker protocol and the run types of the internal protocol.
 
 use indigofold_protocol::internal::{FinishedRun, RunningRun, StartOrder};
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::{Finished, Running, Start, Stop};
 
-/// The runs that a heartbeat lists as running. A name that is not a task's is skipped: this system never ordered it.
+/// Converts the runs that a heartbeat lists as running. Entries whose name is not a valid task name are skipped, since
+/// the head never orders such a run.
 pub(super) fn running_runs(listed: Vec<Running>) -> Vec<RunningRun> {
     let runs = listed.into_iter().filter_map(
         |Running {
@@ -23,7 +24,8 @@
     runs.collect()
 }
 
-/// The ends that a heartbeat lists above the number `acknowledged`, in the order of their numbers.
+/// Converts the ends that a heartbeat lists, sorted by number. Ends numbered up to `acknowledged` and entries without a
+/// valid task name are skipped.
 pub(super) fn finished_runs(listed: Vec<Finished>, acknowledged: u64) -> Vec<FinishedRun> {
     let mut ends: Vec<FinishedRun> = listed
         .into_iter()
@@ -49,7 +51,7 @@
     ends
 }
 
-/// Start orders as the reply lists them.
+/// Converts start orders to the entries of a heartbeat reply.
 pub(super) fn start_entries(orders: Vec<StartOrder>) -> Vec<Start> {
     let entries = orders.into_iter().map(|order| Start {
         task: order.run.task.to_string(),
@@ -60,7 +62,7 @@
     entries.collect()
 }
 
-/// Stop orders as the reply lists them.
+/// Converts stop orders to the entries of a heartbeat reply.
 pub(super) fn stop_entries(runs: &[RunId]) -> Vec<Stop> {
     runs.iter()
         .map(|run| Stop {
--- a/crates/data-plane/src/agent/worker_instance.rs
+++ b/crates/data-plane/src/agent/worker_instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the worker: from its first heartbeat until it deregisters, is replaced or its leases expire.
+//! One instance of the worker, from its first heartbeat until it has deregistered and finished or is replaced.
 
 use super::lease_authority::expires_by_ms;
 use super::run_table::{OutgoingOrders, ReplyContext, RunTable};
@@ -9,25 +9,25 @@
 use indigofold_protocol::task::RunId;
 use indigofold_protocol::worker::{Heartbeat, WorkerState};
 
-/// Whether the head knows this instance, so that its orders may be carried out.
+/// Whether the head knows this instance; without confirmation no leases are granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Confirmation {
-    /// No report has carried it.
+    /// No report has carried the instance.
     Unreported,
-    /// Reports sent at `since_ms` or later carry it; none of them has been acknowledged.
+    /// Reports sent at `since_ms` or later carry the instance; none of them has been acknowledged.
     Reported { since_ms: u64 },
-    /// An acting head has acknowledged a report that carries it.
+    /// An acting head has acknowledged a report that carries the instance.
     Confirmed,
 }
 
-/// What a heartbeat has changed.
+/// The changes that a heartbeat brought.
 #[derive(Debug, Default)]
 pub(super) struct HeartbeatChanges {
-    /// State, lists, capacity, labels or runs in flight differ: the head has to be informed at once.
+    /// State, lists of runs, capacity, labels or runs in flight differ; the head has to be informed at once.
     pub urgent: bool,
-    /// Runs have ended.
+    /// The heartbeat lists ends that the previous one did not.
     pub ended: bool,
-    /// Starts that are now known never to begin.
+    /// Starts now known never to have been carried out.
     pub not_started: Vec<RunId>,
 }
 
@@ -36,29 +36,30 @@
 pub(super) struct WorkerInstance {
     id: String,
     confirmation: Confirmation,
-    /// It was reported as ended, and has come back.
+    /// The instance was reported as ended and has sent heartbeats again since.
     returned: bool,
-    /// It was unresponsive until all its leases had expired.
+    /// All leases have expired without a heartbeat; cleared when the instance returns.
     expired: bool,
-    /// It has deregistered without having drained first, and goes on running for a while.
+    /// The instance deregistered while it had runs and was not draining; these runs may go on for a while.
     deregistered: bool,
     runs: RunTable,
-    /// Ends up to this number are on the head's disk.
+    /// The head has ends up to this number on disk; `None` before its first acknowledgement.
     acknowledged_end: Option<u64>,
-    /// Rises when the set of running runs or one of their checkpoints changes.
+    /// Incremented when the list of running runs or one of their checkpoints changes.
     runs_revision: u64,
+    /// The newest heartbeat, without its lists of runs.
     newest: Heartbeat,
     newest_seq_no: Option<u64>,
     last_heartbeat_ms: u64,
-    /// All leases granted have expired at this time.
+    /// Time at which all leases granted so far have expired.
     leased_until_ms: u64,
     running: Vec<RunningRun>,
     finished: Vec<FinishedRun>,
 }
 
 impl WorkerInstance {
-    /// An instance whose first heartbeat is about to be read. A previous agent process may have granted a lease until
-    /// `started_ms`. `returned`: it was reported as ended before.
+    /// Creates an instance whose first heartbeat is about to be read. A previous agent process may have granted it a
+    /// lease until `started_ms`. `returned`: the instance was reported as ended before.
     pub(super) fn new(id: String, started_ms: u64, returned: bool) -> Self {
         WorkerInstance {
             id,
@@ -78,37 +79,37 @@
         }
     }
 
-    /// Its id in `PUT /instances/ID`.
+    /// The id in `PUT /instances/ID`.
     pub(super) fn id(&self) -> &str {
         &self.id
     }
 
-    /// Whether an acting head has acknowledged a report that carries it.
+    /// Whether an acting head has acknowledged a report that carries the instance.
     pub(super) fn is_confirmed(&self) -> bool {
         self.confirmation == Confirmation::Confirmed
     }
 
-    /// Whether all its leases have expired without a heartbeat.
+    /// Whether all leases have expired without a heartbeat.
     pub(super) fn is_expired(&self) -> bool {
         self.expired
     }
 
-    /// Whether it has deregistered without having drained first.
+    /// Whether the instance deregistered while it had runs and was not draining.
     pub(super) fn is_deregistered(&self) -> bool {
         self.deregistered
     }
 
-    /// Whether it has announced its end.
+    /// Whether the worker's newest heartbeat has the state `draining`.
     pub(super) fn is_draining(&self) -> bool {
         self.newest.state == WorkerState::Draining
     }
 
-    /// Whether nothing is ordered or runs.
+    /// Whether no run is ordered, sent or running.
     pub(super) fn is_idle(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// It has deregistered, nothing runs or is ordered, and the head has acknowledged all ends.
+    /// Whether the instance has deregistered, no run is open, and the head has acknowledged all ends.
     pub(super) fn is_finished(&self) -> bool {
         self.deregistered && self.runs.is_empty() && self.finished.is_empty()
     }
@@ -118,12 +119,12 @@
         self.newest_seq_no.is_some_and(|newest| seq_no <= newest)
     }
 
-    /// Whether this is the number of the newest heartbeat.
+    /// Whether the newest heartbeat read has this number.
     pub(super) fn is_newest(&self, seq_no: u64) -> bool {
         self.newest_seq_no == Some(seq_no)
     }
 
-    /// The number up to which the head has acknowledged ends.
+    /// The number up to which the head has acknowledged ends; `None` before its first acknowledgement.
     pub(super) fn acknowledged_end(&self) -> Option<u64> {
         self.acknowledged_end
     }
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The orders that the reply to the newest heartbeat carries; `lease_ms` is the lease that it grants.
+    /// Returns the orders for the reply to the newest heartbeat. `lease_ms`: the lease that the reply grants, if any.
     pub(super) fn poll_orders(&mut self, now_ms: u64, lease_ms: Option<u64>) -> OutgoingOrders {
         if let Some(lease_ms) = lease_ms {
             self.leased_until_ms = self.leased_until_ms.max(expires_by_ms(now_ms, lease_ms));
@@ -192,8 +193,9 @@
         })
     }
 
-    /// Takes a start order; returns the run if it will never be sent to the worker. After a return nothing is started
-    /// before the head has confirmed the instance: it may have ordered the start before it learned of the return.
+    /// Handles a start order. Returns the run if it will never be sent to the worker. After a return nothing is started
+    /// before the head has confirmed the instance, since the head may have ordered the start before it learned of the
+    /// return.
     pub(super) fn handle_start(&mut self, order: StartOrder) -> Option<RunId> {
         if self.expired || (self.returned && !self.is_confirmed()) {
             self.runs.refuse_start(order.run)
@@ -202,68 +204,69 @@
         }
     }
 
-    /// Takes a stop order; returns the run if it was never sent to the worker.
+    /// Handles a stop order. Returns the run if it was never started.
     pub(super) fn handle_stop(&mut self, run: RunId) -> Option<RunId> {
         self.runs.handle_stop(run)
     }
 
-    /// Withdraws all starts that the worker has not listed; returns those that were never sent to it.
+    /// Withdraws all starts that the worker has not listed, and returns those that were never sent to it.
     pub(super) fn withdraw_unlisted(&mut self) -> Vec<RunId> {
         self.runs.withdraw_unlisted()
     }
 
-    /// The head has the ends up to this number on disk.
+    /// Records that the head has the ends up to this number on disk.
     pub(super) fn handle_acknowledged_end(&mut self, number: u64) {
         self.acknowledged_end = self.acknowledged_end.max(Some(number));
         self.finished.retain(|end| end.number > number);
     }
 
-    /// It has deregistered: from now on it is reported as draining, without time left.
+    /// Marks the instance as deregistered; from now on it is reported as draining with no time left.
     pub(super) fn deregister(&mut self) {
         self.deregistered = true;
         drain_at_once(&mut self.newest);
     }
 
-    /// Whether all its leases have just expired.
+    /// Whether all leases have expired and [`WorkerInstance::expire`] has not been called yet.
     pub(super) fn is_expiry_due(&self, now_ms: u64) -> bool {
         self.next_timeout_ms()
             .is_some_and(|expiry_ms| expiry_ms <= now_ms)
     }
 
-    /// When all its leases expire unless it sends a heartbeat; `None` if they have expired.
+    /// Time at which all leases expire unless a heartbeat arrives; `None` after [`WorkerInstance::expire`].
     pub(super) fn next_timeout_ms(&self) -> Option<u64> {
         let expiry_ms = expires_by_ms(self.last_heartbeat_ms, RUN_LEASE_MS);
         (!self.expired).then(|| self.leased_until_ms.max(expiry_ms))
     }
 
-    /// All its leases have expired; returns the starts that were never sent to it.
+    /// Marks all leases as expired and withdraws unlisted starts. Returns the starts that were never sent to the
+    /// worker.
     pub(super) fn expire(&mut self) -> Vec<RunId> {
         self.expired = true;
         self.runs.withdraw_unlisted()
     }
 
-    /// It sends heartbeats after its leases had expired.
+    /// Handles the first heartbeat after all leases expired; the head has to confirm the instance again.
     pub(super) fn handle_return(&mut self) {
         self.expired = false;
         self.returned = true;
         self.confirmation = Confirmation::Unreported;
     }
 
-    /// A report that carries it is being sent.
+    /// Records that a report with this instance is being sent.
     pub(super) fn handle_report_sent(&mut self, now_ms: u64) {
         if self.confirmation == Confirmation::Unreported {
             self.confirmation = Confirmation::Reported { since_ms: now_ms };
         }
     }
 
-    /// An acting head has acknowledged the report sent at `echo_ms`.
+    /// Records that an acting head acknowledged the report sent at `echo_ms`.
     pub(super) fn handle_echo(&mut self, echo_ms: u64) {
         if matches!(self.confirmation, Confirmation::Reported { since_ms } if since_ms <= echo_ms) {
             self.confirmation = Confirmation::Confirmed;
         }
     }
 
-    /// Its report for the head; `include_runs`: with the list of running runs.
+    /// Returns the part about this instance in a report to the head. `include_runs`: with the list of running runs.
     pub(super) fn report(&self, now_ms: u64, include_runs: bool) -> InstanceReport {
         let since_heartbeat_ms = now_ms.saturating_sub(self.last_heartbeat_ms);
         InstanceReport {
@@ -294,7 +297,7 @@
     heartbeat.remaining_ms = Some(0);
 }
 
-/// Whether both lists name the same runs with the same checkpoints.
+/// Whether both lists contain the same runs with the same checkpoints in the same order.
 fn same_runs(before: &[RunningRun], after: &[RunningRun]) -> bool {
     before.len() == after.len()
         && before
--- a/crates/data-plane/src/core_link.rs
+++ b/crates/data-plane/src/core_link.rs
@@ -1,5 +1,6 @@
 //! The link to the core: finds the acting head, stays connected to it, and searches for its successor when it no longer
-//! responds. A state machine without I/O: inputs are `handle_*`, outputs `poll_*`; `now_ms` is the machine's monotonic clock.
+//! responds. A state machine without I/O: inputs are `handle_*`, outputs are `poll_*`; `now_ms` is a reading of the
+//! machine's monotonic clock in milliseconds.
 
 mod action;
 mod attachment;
@@ -23,13 +24,13 @@
 /// The acting head that the link is connected to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// Its address for other processes.
+    /// Address for internal connections.
     pub address: SocketAddr,
-    /// The view that it leads.
+    /// The view that the head leads.
     pub view: u64,
 }
 
-/// Connections to the core.
+/// The connections to core members, of which one is attached to the acting head if it is known.
 #[derive(Debug)]
 pub struct CoreLink {
     candidates: Candidates,
@@ -41,7 +42,8 @@
 }
 
 impl CoreLink {
-    /// Only the seeds are known. `random_seed` spreads processes over the members.
+    /// Creates a link that knows only the seeds. `random_seed` varies by process, so that processes spread over the
+    /// members.
     pub fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
         CoreLink {
             candidates: Candidates::new(seeds, random_seed),
@@ -53,24 +55,25 @@
         }
     }
 
-    /// Probes a head that has sent nothing for [`IDLE_PROBE_MS`], and detaches from it if it does not respond within
-    /// [`HEAD_TIMEOUT_MS`]. Processes that send nothing while idle need this to notice a frozen or unreachable head.
+    /// Makes the link probe a head that has sent nothing for [`IDLE_PROBE_MS`], and detach from a head that does not
+    /// respond within [`HEAD_TIMEOUT_MS`]. Processes that send nothing while idle need this to notice a frozen or
+    /// unreachable head.
     pub fn with_idle_probing(mut self) -> Self {
         self.idle_probing = true;
         self
     }
 
-    /// Takes over the seeds of reloaded settings.
+    /// Replaces the seeds by those of reloaded settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.candidates.set_seeds(seeds);
     }
 
-    /// The connection to the acting head.
+    /// The connection to the acting head; `None` while no acting head is known.
     pub fn attached(&self) -> Option<LinkId> {
         self.attachment.as_ref().map(Attachment::link)
     }
 
-    /// The acting head.
+    /// The acting head; `None` while none is known.
     pub fn head(&self) -> Option<Head> {
         self.attachment.as_ref().map(|attachment| Head {
             address: attachment.address(),
@@ -78,19 +81,20 @@
         })
     }
 
-    /// Version of the configuration at the acting head; 0 without one.
+    /// Version of the configuration at the acting head; 0 without a head or a configuration.
     pub fn config_version(&self) -> u64 {
         self.attachment
             .as_ref()
             .map_or(0, Attachment::config_version)
     }
 
-    /// The limits on clients' calls that the acting head has named.
+    /// The limits on clients' calls in the acting head's latest welcome; `None` without a head.
     pub fn limits(&self) -> Option<&IngressLimits> {
         self.attachment.as_ref().map(Attachment::limits)
     }
 
-    /// Up to when the head was responsive: since when it has owed a reply, or now if it owes none.
+    /// The latest time at which the head was responsive: the time since which it has owed a reply, or `now_ms` if it
+    /// owes none or no head is known.
     pub fn head_responsive_ms(&self, now_ms: u64) -> u64 {
         self.attachment
             .as_ref()
@@ -103,12 +107,12 @@
         self.attached() == Some(link) || self.search.contains(link)
     }
 
-    /// A connection is open, and the greeting was sent.
+    /// Handles an opened connection on which the greeting was sent.
     pub fn handle_connected(&mut self, now_ms: u64, link: LinkId) {
         self.search.handle_connected(now_ms, link);
     }
 
-    /// A connection could not be opened, or has ended.
+    /// Handles a connection that could not be opened or has ended.
     pub fn handle_disconnected(&mut self, now_ms: u64, link: LinkId) {
         if let Some(lost) = self.attachment.take_if(|head| head.link() == link) {
             self.candidates.back_off(lost.address(), now_ms);
@@ -120,14 +124,14 @@
         self.handle_timeout(now_ms);
     }
 
-    /// A member has sent its welcome: which view, head and members it knows.
+    /// Handles a welcome, in which a member names the view, head and members that it knows.
     pub fn handle_welcome(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
         let named = welcome.members.iter().chain(&welcome.head);
         let addresses: Vec<SocketAddr> = named.map(|member| member.internal).collect();
         self.candidates.set_members(&addresses);
         if let Some(address) = self.hint.handle_welcome(welcome) {
             self.candidates.clear_backoff(address);
-            // A dial that began while the machine was down would hang.
+            // A connection attempt that began while the head's machine was down would hang until its timeout.
             let hanging = self.search.remove_dialling(address);
             self.close_all(hanging);
         }
@@ -139,7 +143,7 @@
         self.handle_timeout(now_ms);
     }
 
-    /// A frame has come in over this connection.
+    /// Handles any frame received on this connection.
     pub fn handle_frame(&mut self, now_ms: u64, link: LinkId) {
         let attachment = self.attachment.as_mut();
         if let Some(attachment) = attachment.filter(|head| head.link() == link) {
@@ -147,14 +151,15 @@
         }
     }
 
-    /// A request was sent to the head that it has to reply to, or a reply is still missing after a frame of it.
+    /// Records that the head owes a reply: a request was sent to it, or a reply is still missing after it sent a frame.
     pub fn handle_request_sent(&mut self, now_ms: u64) {
         if let Some(attachment) = &mut self.attachment {
             attachment.handle_request_sent(now_ms);
         }
     }
 
-    /// Does what is due at this time.
+    /// Performs what is due: closes expired connections, probes or detaches the head, and dials members while
+    /// searching.
     pub fn handle_timeout(&mut self, now_ms: u64) {
         self.close_expired(now_ms);
         if self.idle_probing {
@@ -176,7 +181,7 @@
         }
     }
 
-    /// When [`CoreLink::handle_timeout`] is to be called next, at the latest.
+    /// The latest time at which to call [`CoreLink::handle_timeout`] next; `None` if nothing is due.
     pub fn next_timeout_ms(&self, now_ms: u64) -> Option<u64> {
         let attachment = self.attachment.as_ref();
         let head_ms = attachment.and_then(|head| head.next_timeout_ms(now_ms, self.idle_probing));
@@ -194,20 +199,20 @@
             .min()
     }
 
-    /// The actions since the last call, in order.
+    /// Returns the actions since the last call, in the order in which to carry them out.
     pub fn poll_actions(&mut self) -> Vec<LinkAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// No head is known, or the one that is known is suspected.
+    /// Whether no head is known or the known head is suspected.
     fn is_searching(&self, now_ms: u64) -> bool {
         self.attachment
             .as_ref()
             .is_none_or(|attachment| attachment.is_suspected(now_ms))
     }
 
-    /// Detaches from a head that has timed out. Its address is dialled anew, as a new connection opens sooner than the
-    /// old one recovers once a network partition has healed.
+    /// Detaches from a head that has timed out and closes the connection. The address is dialled again after its
+    /// backoff, since a new connection opens sooner than the old one recovers once a network partition has healed.
     fn detach_unresponsive(&mut self, now_ms: u64) {
         let Some(lost) = self.attachment.take_if(|head| head.is_timed_out(now_ms)) else {
             return;
@@ -218,7 +223,7 @@
         self.actions.push(LinkAction::Close(lost.link()));
     }
 
-    /// Probes a head that has been idle, once until it sends a frame.
+    /// Probes a head that has been idle; it is not probed again until it has sent a frame.
     fn probe_idle(&mut self, now_ms: u64) {
         if let Some(attachment) = &mut self.attachment
             && attachment.poll_probe(now_ms)
@@ -227,7 +232,8 @@
         }
     }
 
-    /// The attached member has sent another welcome.
+    /// Handles another welcome from the attached member. A member that is no longer the acting head is detached, and
+    /// its connection stays open, as its next welcome may name the new head.
     fn handle_head_welcome(&mut self, now_ms: u64, welcome: &Welcome) {
         if welcome.acting {
             if let Some(attachment) = &mut self.attachment {
@@ -239,7 +245,8 @@
         }
     }
 
-    /// A member that the search is connected to has sent a welcome.
+    /// Handles a welcome on a connection of the search; attaches to its member if that is the acting head of a view
+    /// newer than the attached head's.
     fn handle_search_welcome(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
         let known_view = self.attachment.as_ref().map(Attachment::view);
         let is_newer_head = welcome.acting && known_view.is_none_or(|view| view < welcome.view);
@@ -273,7 +280,7 @@
         self.actions.extend(closes);
     }
 
-    /// Dials the head that a member has named, beside the connections that are open already.
+    /// Dials the head that a member has named, in addition to the connections of the search.
     fn dial_named_head(&mut self, now_ms: u64) {
         let Some(address) = self.hint.address() else {
             return;
--- a/crates/data-plane/src/core_link/action.rs
+++ b/crates/data-plane/src/core_link/action.rs
@@ -1,27 +1,27 @@
-//! What the process has to do for the link.
+//! Actions that the link requests from the process.
 
 use std::net::SocketAddr;
 
-/// A connection, numbered by this process.
+/// Number of a connection to a core member, unique within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LinkId(pub u64);
 
-/// What the process has to do, in order.
+/// An action that the process carries out, or an event that it handles, in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkAction {
     /// Open a connection and greet the member.
     Dial {
-        /// Number of the connection.
+        /// Number of the new connection.
         link: LinkId,
-        /// Where to.
+        /// Address of the member.
         address: SocketAddr,
     },
     /// Send a liveness probe to the acting head over this connection.
     ProbeHead(LinkId),
     /// Close a connection.
     Close(LinkId),
-    /// This connection leads to an acting head.
+    /// This connection is now the one to the acting head.
     Attached(LinkId),
-    /// No acting head is known any more.
+    /// The connection to the acting head is given up. `Attached` follows at once if a new head replaces it.
     Detached,
 }
--- a/crates/data-plane/src/core_link/attachment.rs
+++ b/crates/data-plane/src/core_link/attachment.rs
@@ -1,11 +1,12 @@
-//! The connection to the acting head, and whether the head still responds.
+//! The connection to the acting head, and the detection of a head that no longer responds.
 
 use super::action::LinkId;
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::Welcome;
 use std::net::SocketAddr;
 
-/// A head that owes a reply and sends nothing for this long is suspected: other members are dialled.
+/// A head that owes a reply and sends nothing for this long is suspected: other members are dialled, and the head stays
+/// attached.
 pub const SUSPICION_TIMEOUT_MS: u64 = 700;
 /// With idle probing, a head that has sent nothing for this long is probed.
 pub const IDLE_PROBE_MS: u64 = 300;
@@ -20,15 +21,15 @@
     view: u64,
     config_version: u64,
     limits: IngressLimits,
-    /// A reply is owed since this time, and no frame has come in since.
+    /// Time since which the head has owed a reply without sending any frame; `None` if it owes none.
     owed_since_ms: Option<u64>,
     last_frame_ms: u64,
-    /// A probe was sent after the last frame.
+    /// Whether a probe was sent after the last frame.
     probed: bool,
 }
 
 impl Attachment {
-    /// The member at `address` has said in its welcome that it is the acting head.
+    /// Creates the attachment to the member at `address`, whose welcome says that it is the acting head.
     pub(super) fn new(now_ms: u64, link: LinkId, address: SocketAddr, welcome: &Welcome) -> Self {
         Attachment {
             link,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The connection.
+    /// Number of the connection.
     pub(super) fn link(&self) -> LinkId {
         self.link
     }
@@ -52,7 +53,7 @@
         self.address
     }
 
-    /// View that the head leads.
+    /// The view that the head leads.
     pub(super) fn view(&self) -> u64 {
         self.view
     }
@@ -62,31 +63,31 @@
         self.config_version
     }
 
-    /// Limits on clients' calls.
+    /// Limits on clients' calls in the head's latest welcome.
     pub(super) fn limits(&self) -> &IngressLimits {
         &self.limits
     }
 
-    /// Since when the head has owed a reply, without a frame after it.
+    /// Time since which the head has owed a reply without sending any frame; `None` if it owes none.
     pub(super) fn owed_since_ms(&self) -> Option<u64> {
         self.owed_since_ms
     }
 
-    /// The acting head has sent another welcome.
+    /// Handles another welcome of the acting head.
     pub(super) fn handle_welcome(&mut self, welcome: &Welcome) {
         self.view = welcome.view;
         self.config_version = welcome.config_version;
         self.limits = welcome.limits.clone();
     }
 
-    /// The head has sent a frame.
+    /// Records a frame from the head. Any frame counts as a reply, since it shows that the head responds.
     pub(super) fn handle_frame(&mut self, now_ms: u64) {
         self.owed_since_ms = None;
         self.last_frame_ms = now_ms;
         self.probed = false;
     }
 
-    /// The head owes a reply, since now unless it has owed one for longer.
+    /// Records that the head owes a reply, from now on unless it has already owed one for longer.
     pub(super) fn handle_request_sent(&mut self, now_ms: u64) {
         self.owed_since_ms.get_or_insert(now_ms);
     }
@@ -101,7 +102,7 @@
         self.timed_out_at_ms().is_some_and(|at_ms| at_ms <= now_ms)
     }
 
-    /// Whether a probe is due; if so it counts as sent.
+    /// Returns whether a probe is due, and if so records it as sent.
     pub(super) fn poll_probe(&mut self, now_ms: u64) -> bool {
         let is_due = self.probe_at_ms().is_some_and(|at_ms| at_ms <= now_ms);
         if is_due {
@@ -111,8 +112,8 @@
         is_due
     }
 
-    /// When the head is to be suspected or, with `idle_probing`, probed or detached, whichever comes first. A suspicion
-    /// that is due already needs no timer.
+    /// Time at which the head is to be suspected or, with `idle_probing`, probed or detached, whichever comes first. A
+    /// suspicion that is already due needs no timer.
     pub(super) fn next_timeout_ms(&self, now_ms: u64, idle_probing: bool) -> Option<u64> {
         let suspected_at_ms = self.suspected_at_ms().filter(|at_ms| *at_ms > now_ms);
         let probe_at_ms = self.probe_at_ms().filter(|_| idle_probing);
--- a/crates/data-plane/src/core_link/candidates.rs
+++ b/crates/data-plane/src/core_link/candidates.rs
@@ -1,18 +1,19 @@
-//! Which address to dial next: known members and seeds in rotation, each no sooner than its backoff allows.
+//! The addresses to dial: known members and seeds in rotation, each no earlier than its backoff allows.
 
 use fastrand::Rng;
 use std::net::SocketAddr;
 
-/// Least backoff of an address after a failure.
+/// Minimum backoff of an address after a failure.
 pub const BACKOFF_MIN_MS: u64 = 50;
-/// Longest backoff of an address after a failure.
+/// Maximum backoff of an address after a failure.
 pub const BACKOFF_MAX_MS: u64 = 200;
 
 #[derive(Debug)]
 struct Candidate {
     address: SocketAddr,
-    /// Named by the settings.
+    /// Whether the settings list the address.
     seed: bool,
+    /// End of the backoff; 0 without one.
     not_before_ms: u64,
 }
 
@@ -20,12 +21,14 @@
 #[derive(Debug)]
 pub(super) struct Candidates {
     known: Vec<Candidate>,
+    /// Index in `known` at which the next search for an available address begins.
     next: usize,
     random: Rng,
 }
 
 impl Candidates {
-    /// Only the seeds are known. `random_seed` spreads processes over the members.
+    /// Starts with the seeds, at a random position in the rotation. `random_seed` varies by process, so that processes
+    /// spread over the members.
     pub(super) fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
         let mut candidates = Candidates {
             known: Vec::new(),
@@ -37,7 +40,8 @@
         candidates
     }
 
-    /// Replaces the seeds by those of reloaded settings; members named meanwhile stay.
+    /// Replaces the seeds by those of reloaded settings. Former seeds stay until [`Candidates::set_members`] removes
+    /// those that are not members.
     pub(super) fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.known
             .iter_mut()
@@ -45,7 +49,7 @@
         seeds.iter().for_each(|seed| self.add(*seed, true));
     }
 
-    /// Replaces the members by those that a core member has named; seeds stay. An empty list changes nothing.
+    /// Replaces the members by those in a welcome; seeds stay. An empty list changes nothing.
     pub(super) fn set_members(&mut self, members: &[SocketAddr]) {
         if members.is_empty() {
             return;
@@ -55,7 +59,7 @@
         members.iter().for_each(|member| self.add(*member, false));
     }
 
-    /// The next address that may be dialled now and is not among `addresses_in_use`.
+    /// Picks the next address in the rotation that may be dialled now and is not among `addresses_in_use`.
     pub(super) fn pick(
         &mut self,
         now_ms: u64,
@@ -72,13 +76,13 @@
         None
     }
 
-    /// Whether this address may be dialled now.
+    /// Whether the backoff of this address is over; `true` for an unknown address.
     pub(super) fn may_dial(&self, address: SocketAddr, now_ms: u64) -> bool {
         let known = self.known.iter().find(|known| known.address == address);
         known.is_none_or(|known| known.not_before_ms <= now_ms)
     }
 
-    /// A connection to this address has failed or was given up.
+    /// Starts a random backoff of this address after a connection to it failed or was given up.
     pub(super) fn back_off(&mut self, address: SocketAddr, now_ms: u64) {
         let backoff_ms = self.random.u64(BACKOFF_MIN_MS..=BACKOFF_MAX_MS);
         if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
@@ -86,14 +90,14 @@
         }
     }
 
-    /// This address may be dialled at once regardless of failures: a member has named it as the head's.
+    /// Ends the backoff of this address, because a member has named it as the address of a new view's head.
     pub(super) fn clear_backoff(&mut self, address: SocketAddr) {
         if let Some(known) = self.known.iter_mut().find(|known| known.address == address) {
             known.not_before_ms = 0;
         }
     }
 
-    /// When the next address that is not among `addresses_in_use` may be dialled.
+    /// Earliest time at which an address that is not among `addresses_in_use` may be dialled; `None` if there is none.
     pub(super) fn next_attempt_ms(&self, addresses_in_use: &[SocketAddr]) -> Option<u64> {
         let unused = self
             .known
--- a/crates/data-plane/src/core_link/head_hint.rs
+++ b/crates/data-plane/src/core_link/head_hint.rs
@@ -1,4 +1,4 @@
-//! The head that a member has named, to be dialled before others.
+//! The head that members name in their welcomes, dialled before other candidates.
 
 use indigofold_protocol::internal::Welcome;
 use std::net::SocketAddr;
@@ -9,20 +9,20 @@
     address: SocketAddr,
 }
 
-/// The head of the highest view that a member has named.
+/// The head of the highest view named in a welcome.
 #[derive(Debug, Default)]
 pub(super) struct HeadHint {
     named: Option<NamedHead>,
 }
 
 impl HeadHint {
-    /// Address of the named head.
+    /// Address of the named head; `None` if no member has named one.
     pub(super) fn address(&self) -> Option<SocketAddr> {
         self.named.map(|named| named.address)
     }
 
-    /// Takes over the head that a welcome names, unless its view is lower. Returns its address if another member has
-    /// named it as the head of a new view, so that it should be dialled at once.
+    /// Stores the head named in a welcome, unless its view is below the known one. Returns the head's address if the
+    /// view is new and the welcome comes from another member; the head should then be dialled at once.
     pub(super) fn handle_welcome(&mut self, welcome: &Welcome) -> Option<SocketAddr> {
         let address = welcome.head.as_ref()?.internal;
         let known_view = self.named.map(|named| named.view);
--- a/crates/data-plane/src/core_link/search.rs
+++ b/crates/data-plane/src/core_link/search.rs
@@ -1,23 +1,25 @@
-//! The connections that are open to find the acting head.
+//! The search for the acting head: connections to members that are not known to be the acting head.
 
 use super::action::LinkId;
 use std::net::SocketAddr;
 
-/// A connection is given up that does not open within this time.
+/// A connection that does not open within this time is given up.
 pub const CONNECT_TIMEOUT_MS: u64 = 400;
-/// A connection is given up on which the member sends no welcome within this time.
+/// A connection on which the member sends no welcome within this time after it opened is given up.
 pub const GREETING_TIMEOUT_MS: u64 = 700;
-/// A connection to a member that is not the head is kept open for this long after each welcome.
+/// Time for which a connection to a member that is not the head stays open after each welcome.
 pub const LISTEN_MS: u64 = 600;
-/// Most connections that search for the head at the same time; the dial of a named head may exceed it.
+/// Maximum number of connections of the search at the same time. The connection to a head that a member has named may
+/// exceed it.
 pub const SEARCH_CONNECTIONS_MAX: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
+    /// The connection is being opened.
     Dialling,
-    /// Open; the member's welcome is awaited.
+    /// The connection is open and the greeting was sent; the member's welcome is awaited.
     Greeting,
-    /// The member is not the head; a later welcome of it may name the head.
+    /// The member is not the head; a later welcome may name the head.
     Listening,
 }
 
@@ -26,16 +28,16 @@
     link: LinkId,
     address: SocketAddr,
     stage: Stage,
-    /// It is given up at this time.
+    /// Time at which the connection is given up unless it reaches the next stage or a welcome arrives.
     until_ms: u64,
 }
 
-/// A connection that the search has given up or passed on.
+/// A connection that no longer belongs to the search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RemovedConnection {
-    /// The connection.
+    /// Number of the connection.
     pub link: LinkId,
-    /// Where it leads.
+    /// Address of the member.
     pub address: SocketAddr,
 }
 
@@ -48,7 +50,7 @@
     }
 }
 
-/// The connections that search for the head.
+/// The connections of the search for the acting head.
 #[derive(Debug, Default)]
 pub(super) struct Search {
     connections: Vec<SearchConnection>,
@@ -63,17 +65,17 @@
             .any(|connection| connection.link == link)
     }
 
-    /// Whether no further member is to be dialled.
+    /// Whether [`SEARCH_CONNECTIONS_MAX`] is reached, so that no further candidate is to be dialled.
     pub(super) fn is_full(&self) -> bool {
         self.connections.len() >= SEARCH_CONNECTIONS_MAX
     }
 
-    /// The addresses that the connections lead to.
+    /// The addresses of the connected or dialled members.
     pub(super) fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.connections.iter().map(|connection| connection.address)
     }
 
-    /// Adds a connection that is about to be opened; returns its number.
+    /// Adds a connection that is about to be opened, and returns its number.
     pub(super) fn dial(&mut self, now_ms: u64, address: SocketAddr) -> LinkId {
         self.last_link += 1;
         let link = LinkId(self.last_link);
@@ -96,17 +98,18 @@
         });
     }
 
-    /// A connection is open, and the greeting was sent.
+    /// Handles an opened connection on which the greeting was sent.
     pub(super) fn handle_connected(&mut self, now_ms: u64, link: LinkId) {
         self.advance(link, Stage::Greeting, now_ms + GREETING_TIMEOUT_MS);
     }
 
-    /// The member of a connection has sent a welcome without being a better head than the present one.
+    /// Handles a welcome of a member that is not the acting head of a newer view; its connection stays open for another
+    /// [`LISTEN_MS`].
     pub(super) fn handle_welcome(&mut self, now_ms: u64, link: LinkId) {
         self.advance(link, Stage::Listening, now_ms + LISTEN_MS);
     }
 
-    /// Removes a connection.
+    /// Removes a connection; `None` if it does not belong to the search.
     pub(super) fn remove(&mut self, link: LinkId) -> Option<RemovedConnection> {
         let index = self
             .connections
@@ -115,7 +118,7 @@
         Some(self.connections.swap_remove(index).into())
     }
 
-    /// Removes the connections whose time is over.
+    /// Removes the connections that are to be given up by now.
     pub(super) fn remove_expired(&mut self, now_ms: u64) -> Vec<RemovedConnection> {
         self.remove_if(|connection| connection.until_ms <= now_ms)
     }
@@ -132,7 +135,7 @@
         self.remove_if(|_| true)
     }
 
-    /// When the next connection is to be given up.
+    /// Time at which the next connection is to be given up; `None` without connections.
     pub(super) fn next_timeout_ms(&self) -> Option<u64> {
         self.connections
             .iter()
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -1,5 +1,5 @@
-//! The edge: takes clients' requests, sends them as calls to the acting head and returns its replies. State machines
-//! without I/O.
+//! The edge: parses clients' requests, forwards them as calls to the acting head and maps its replies to responses.
+//! State machines without I/O; `now_ms` is a reading of the machine's monotonic clock in milliseconds.
 
 mod answer;
 mod calls;
--- a/crates/data-plane/src/edge/answer.rs
+++ b/crates/data-plane/src/edge/answer.rs
@@ -3,10 +3,10 @@
 use indigofold_protocol::internal::ClientOutcome;
 use indigofold_protocol::job::JobState;
 
-/// Wait before a retry, in milliseconds, where the head has not named one.
+/// `Retry-After` of answers for which the head has not named a delay.
 pub const RETRY_MS: u64 = 1_000;
 
-/// Body of a response.
+/// Body of a response, always JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
     /// `{}`.
@@ -24,14 +24,14 @@
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// `Retry-After`, in whole seconds.
+    /// `Retry-After` header, in whole seconds; `None` to send no header.
     pub retry_after_s: Option<u64>,
-    /// The body.
+    /// JSON body of the response.
     pub body: Body,
 }
 
 impl Answer {
-    /// The call was carried out.
+    /// The call was carried out (200).
     pub fn success(body: Body) -> Answer {
         Answer {
             status: 200,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// No acting head is known; the call was not sent, or it only reads.
+    /// No acting head is known, and the call was not sent or only reads (503).
     pub fn no_head() -> Answer {
         Answer::retry_later(503, RETRY_MS, "no scheduler is at work")
     }
 
-    /// The call was sent and no reply has come: it may have been carried out.
+    /// The call was sent and its result is unknown: it may have been carried out (504).
     pub fn no_reply() -> Answer {
         Answer::error(
             504,
--- a/crates/data-plane/src/edge/calls.rs
+++ b/crates/data-plane/src/edge/calls.rs
@@ -1,4 +1,4 @@
-//! Clients' calls under way: sent to the acting head, resent to its successor, answered or timed out.
+//! Clients' calls in progress: sent to the acting head, resent to its successor, answered or timed out.
 
 use super::answer::{Answer, RETRY_MS};
 use super::request::ParsedRequest;
@@ -8,14 +8,15 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Number of a call on this edge.
+/// Number of a call, unique within this edge process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientCallId(pub u64);
 
-/// The number of liveness probes; no client's call has it.
+/// Call number of all liveness probes; clients' calls start at 1.
 const PROBE_CALL: ClientCallId = ClientCallId(0);
 
-/// A call that no client waits for: it has no route, so the head replies at once without doing anything.
+/// Returns a call that tests whether the head responds. Its host and path are empty, so the head finds no route and
+/// replies at once without changing anything; no client waits for the reply.
 pub fn liveness_probe() -> Frame {
     let (host, path) = (String::new(), String::new());
     Frame::Call(ClientCall {
@@ -26,14 +27,14 @@
     })
 }
 
-/// Limits on the calls under way.
+/// Limits on the calls in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
-    /// A call times out this long before its client does.
+    /// A call times out this long before its client does, but by no more than half of the client's timeout.
     pub answer_margin_ms: u64,
-    /// A call whose head is lost waits at most this long for a successor.
+    /// Maximum time that a call waits for a new head after its head was lost.
     pub orphan_ms: u64,
-    /// Most calls under way; others are rejected.
+    /// Maximum number of calls in progress; further calls are rejected.
     pub calls_max: usize,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// What the process has to do.
+/// An action that the process carries out for a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEffect {
     /// Send this frame to the acting head.
@@ -56,23 +57,23 @@
     Answer(ClientCallId, Answer),
 }
 
-/// A client's call that has come in.
+/// A client's call that was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewCall {
-    /// Host that the client has named.
+    /// Host that the client named in the request.
     pub host: String,
     /// Path of the request.
     pub path: String,
-    /// The rest of the request.
+    /// Operation and timeout.
     pub request: ParsedRequest,
 }
 
-/// A call that was taken over.
+/// A call that was numbered and either sent or rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BegunCall {
-    /// Its number.
+    /// Number of the call.
     pub id: ClientCallId,
-    /// What to do for it first.
+    /// The first action: sends the call, or answers it if it was rejected.
     pub effect: CallEffect,
 }
 
@@ -80,14 +81,15 @@
 struct PendingCall {
     frame: Rc<Frame>,
     reads_only: bool,
-    /// Sent more than once: an earlier head may have carried it out.
+    /// Whether the call was sent more than once, so that an earlier head may have carried it out.
     resent: bool,
+    /// Time at which the call times out, shortly before its client does.
     deadline_ms: u64,
-    /// Its head was lost; it times out at this time.
+    /// Time at which the call times out because its head was lost; `None` while a head is connected.
     orphaned_until_ms: Option<u64>,
 }
 
-/// All calls under way.
+/// All calls in progress.
 #[derive(Debug)]
 pub struct Calls {
     limits: CallLimits,
@@ -97,7 +99,7 @@
 }
 
 impl Calls {
-    /// No call is under way, and no head is connected.
+    /// Creates the state without calls and without a connected head.
     pub fn new(limits: CallLimits) -> Self {
         Calls {
             limits,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// A client's call has come in.
+    /// Numbers a client's call, and returns the frame to send or, if the call is rejected, its answer.
     pub fn begin(&mut self, now_ms: u64, call: NewCall) -> BegunCall {
         self.last_call = ClientCallId(self.last_call.0 + 1);
         let id = self.last_call;
@@ -150,19 +152,19 @@
         frame
     }
 
-    /// The head has replied. A reply to a call that has ended is ignored.
+    /// Handles a reply of the head. A reply to a call that has ended is ignored.
     pub fn handle_reply(&mut self, reply: ClientReply) -> Option<CallEffect> {
         let id = ClientCallId(reply.call);
         let call = self.calls.remove(&id)?;
         Some(CallEffect::Answer(id, call.answer(reply.outcome)))
     }
 
-    /// The client has disconnected.
+    /// Removes a call whose client has disconnected.
     pub fn abandon(&mut self, id: ClientCallId) {
         self.calls.remove(&id);
     }
 
-    /// An acting head is connected: all calls under way are resent to it.
+    /// Handles a new connection to an acting head; all calls in progress are resent to it.
     pub fn handle_attached(&mut self) -> Vec<CallEffect> {
         self.has_head = true;
         let waiting = self.calls.values_mut();
@@ -175,7 +177,7 @@
             .collect()
     }
 
-    /// The acting head is lost.
+    /// Handles the loss of the acting head; calls wait for a new head for a limited time.
     pub fn handle_detached(&mut self, now_ms: u64) {
         self.has_head = false;
         let until_ms = now_ms + self.limits.orphan_ms;
@@ -184,7 +186,7 @@
         });
     }
 
-    /// Times out calls.
+    /// Removes the calls that have timed out, and returns their answers.
     pub fn handle_timeout(&mut self, now_ms: u64) -> Vec<CallEffect> {
         let expired = self
             .calls
@@ -194,12 +196,12 @@
             .collect()
     }
 
-    /// When [`Calls::handle_timeout`] is to be called next, at the latest.
+    /// The latest time at which to call [`Calls::handle_timeout`] next; `None` without calls.
     pub fn next_timeout_ms(&self) -> Option<u64> {
         self.calls.values().map(PendingCall::timeout_ms).min()
     }
 
-    /// Whether no call is under way.
+    /// Whether no call is in progress.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
@@ -211,8 +213,8 @@
             .map_or(self.deadline_ms, |until_ms| until_ms.min(self.deadline_ms))
     }
 
-    /// The client's answer. A call that was rejected when it was resent may have been carried out the first time, so the
-    /// client must not take it for rejected.
+    /// Maps the head's outcome to the client's answer. The first attempt of a resent call may have been carried out, so
+    /// a rejection of the resent call is answered as an unknown result, unless the call only reads.
     fn answer(&self, outcome: ClientOutcome) -> Answer {
         let is_rejected = matches!(
             outcome,
--- a/crates/data-plane/src/edge/readiness.rs
+++ b/crates/data-plane/src/edge/readiness.rs
@@ -1,31 +1,32 @@
-//! Whether the platform may route clients to this edge.
+//! Readiness: whether the platform may route clients to this edge.
 
-/// Losing the head for a shorter time does not make the edge unready, as all edges would be withdrawn at once.
+/// The edge stays ready for this long after it lost the head. Otherwise a short loss, which all edges notice at the
+/// same time, would make the platform withdraw all of them at once.
 pub const BRIEF_LOSS_MS: u64 = 2_500;
 
-/// The state that readiness depends on.
+/// The inputs of readiness: when the head was last responsive, and whether the process is stopping.
 #[derive(Debug, Default)]
 pub struct Readiness {
-    /// Newest time at which a responsive head with a configuration was known.
+    /// Latest time at which a head with a configuration was responsive; `None` if there was none.
     served_ms: Option<u64>,
     stopping: bool,
 }
 
 impl Readiness {
-    /// Takes over what is known of the head: the version of its configuration (0 without a head or a configuration), and
-    /// up to when it was responsive.
+    /// Updates the state of the head. `responsive_ms`: the latest time at which the head was responsive;
+    /// `config_version`: the version of its configuration, 0 without a head or a configuration.
     pub fn handle_head_status(&mut self, responsive_ms: u64, config_version: u64) {
         if config_version > 0 {
             self.served_ms = Some(responsive_ms);
         }
     }
 
-    /// The process is about to end.
+    /// Makes the edge unready for good, because the process is about to end.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Whether the platform may send new connections here.
+    /// Whether the platform may route new clients to this edge.
     pub fn is_ready(&self, now_ms: u64) -> bool {
         !self.stopping
             && self
--- a/crates/data-plane/src/edge/request.rs
+++ b/crates/data-plane/src/edge/request.rs
@@ -5,11 +5,11 @@
 use indigofold_protocol::job::JobSpec;
 use indigofold_protocol::job_check::parse_job;
 
-/// Header with the client's time-out, in milliseconds.
+/// Header with the client's timeout, in milliseconds.
 pub const DEADLINE_HEADER: &str = "indigofold-deadline-ms";
-/// Time-out of a client that does not send the header.
+/// Timeout of a client that does not send the header or sends an invalid value.
 pub const DEADLINE_DEFAULT_MS: u64 = 3_000;
-/// Longest time-out that is accepted; longer ones are shortened to it.
+/// Maximum client timeout; longer ones are reduced to it.
 const DEADLINE_MAX_MS: u64 = 60_000;
 
 /// Methods that clients may use.
@@ -21,24 +21,24 @@
     Get,
     /// Cancel a job.
     Delete,
-    /// Any other one, which is rejected.
+    /// Any other method; such a request is rejected.
     Other,
 }
 
 /// A parsed request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedRequest {
-    /// The operation.
+    /// The operation that the client requests.
     pub operation: ClientOperation,
-    /// For how long the client waits, in milliseconds.
+    /// Time for which the client waits for a response.
     pub client_timeout_ms: u64,
 }
 
-/// Parses a request.
+/// Parses a client's request. `deadline`: value of the header [`DEADLINE_HEADER`], if present.
 ///
 /// # Errors
 ///
-/// The response for a request that cannot be carried out: 400 for an invalid job, 405 for another method.
+/// The answer to an invalid request: status 400 for an invalid job, 405 for a method other than POST, GET and DELETE.
 pub fn parse_request(
     method: Method,
     deadline: Option<&str>,
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,6 +1,6 @@
-//! The data plane: the edge, which takes clients' requests, and the node agent, which runs beside a worker. State
-//! machines without I/O ([`agent`], [`core_link`], [`edge`]) and the processes around them ([`serve`],
-//! [`program`]).
+//! The data plane: the edge, which forwards clients' requests to the acting head, and the node agent, which connects a
+//! worker to it. [`agent`], [`core_link`] and [`edge`] are state machines without I/O; [`serve`] and [`program`] run
+//! them as processes.
 
 pub mod agent;
 pub mod core_link;
--- a/crates/data-plane/src/main.rs
+++ b/crates/data-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `indigofold-data`: the edge or the node agent, as the settings say.
+//! `indigofold-data`: runs as the edge or the node agent, depending on the settings.
 
 use std::process::ExitCode;
 
--- a/crates/data-plane/src/program.rs
+++ b/crates/data-plane/src/program.rs
@@ -1,4 +1,4 @@
-//! The program `indigofold-data`: its command line, its log and its exit codes around the roles of [`serve`](crate::serve).
+//! The program `indigofold-data`: command line, logging and exit codes; [`serve`](crate::serve) runs the role itself.
 
 use crate::serve::serve;
 use indigofold_net::{logging, runtime};
@@ -24,14 +24,15 @@
   INDIGOFOLD_CONFIG  path of the settings file; `serves` names the role
 ";
 
-/// The command that the arguments name.
+/// The command that the arguments request.
 enum Command {
     Help,
     Version,
     Serve(LevelFilter),
 }
 
-/// Runs the program with these arguments (without its name). The settings file is the one that the environment names.
+/// Runs the program with the given arguments, which exclude the program name. The environment variable
+/// `INDIGOFOLD_CONFIG` names the settings file.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     match command(arguments) {
         Ok(Command::Help) => print(HELP),
--- a/crates/data-plane/src/serve.rs
+++ b/crates/data-plane/src/serve.rs
@@ -1,4 +1,4 @@
-//! The processes around the state machines: sockets, timers, signals.
+//! The processes that run the state machines: sockets, timers and signals.
 
 mod agent_role;
 mod agent_server;
@@ -18,7 +18,8 @@
 ///
 /// # Errors
 ///
-/// The settings name no role of this program or lack an address, or a socket or the signals cannot be set up.
+/// The settings name neither the edge nor the node agent or lack an address, or a socket or the signals cannot be set
+/// up.
 pub async fn serve(settings: Settings) -> Result<(), ServeError> {
     if settings.serves(Serves::Edge) {
         edge_server::serve(settings).await
--- a/crates/data-plane/src/serve/agent_role.rs
+++ b/crates/data-plane/src/serve/agent_role.rs
@@ -1,4 +1,4 @@
-//! The node agent as a role: its state machine on the link to the core.
+//! The [`Role`] of the node agent: connects its state machine to the link to the core.
 
 use super::role::{HeadStatus, Role};
 use crate::agent::{Agent, AgentEvent};
@@ -6,15 +6,16 @@
 use indigofold_protocol::internal::Frame;
 use std::rc::Rc;
 
-/// The node agent and the reply that waits for orders.
+/// The node agent and the heartbeat reply that waits for orders.
 pub(super) struct AgentRole {
     agent: Agent,
-    /// Ends the wait of a reply for orders; a newer heartbeat replaces it, which ends the wait of the older one.
+    /// Wakes the reply that waits for orders; `None` if none waits. A newer heartbeat replaces the sender, which also
+    /// wakes the older reply.
     waiting_reply: Option<oneshot::Sender<()>>,
 }
 
 impl AgentRole {
-    /// No reply waits.
+    /// Creates the role; no reply waits for orders.
     pub(super) fn new(agent: Agent) -> Self {
         AgentRole {
             agent,
@@ -22,12 +23,12 @@
         }
     }
 
-    /// The state machine.
+    /// The state machine of the node agent.
     pub(super) fn agent(&mut self) -> &mut Agent {
         &mut self.agent
     }
 
-    /// A reply waits for orders; the receiver ends when they have come in or another reply waits.
+    /// Registers a reply that waits for orders. The receiver completes when orders arrive or another reply waits.
     pub(super) fn wait_for_orders(&mut self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         self.waiting_reply = Some(sender);
@@ -71,13 +72,13 @@
             let has_work = orders.has_work();
             self.agent.handle_orders(now_ms, orders);
             if let Some(reply) = self.waiting_reply.take_if(|_| has_work) {
-                // The reply may have stopped waiting.
+                // The send fails if the reply has stopped waiting.
                 let _ = reply.send(());
             }
         }
     }
 
-    /// None: reports are frequent enough.
+    /// Returns `None`: the agent's reports are frequent enough to notice an unresponsive head.
     fn liveness_probe(&self) -> Option<Frame> {
         None
     }
--- a/crates/data-plane/src/serve/agent_server.rs
+++ b/crates/data-plane/src/serve/agent_server.rs
@@ -1,4 +1,4 @@
-//! The node agent as a process: takes the worker's HTTP requests.
+//! The process of the node agent: serves the worker's HTTP requests.
 
 use super::agent_role::AgentRole;
 use super::error::{NoAddressSnafu, ServeError};
@@ -17,13 +17,14 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Path of heartbeats, before the id of the instance.
+/// Path prefix of the worker's requests; the id of the instance follows.
 const INSTANCES_PATH: &str = "/instances/";
-/// Largest body of a heartbeat.
+/// Maximum size of a heartbeat's body.
 const HEARTBEAT_BYTES_MAX: usize = 4 << 20;
-/// A worker's connection is closed after this time without a request.
+/// Time without a request after which a worker's connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// After SIGTERM requests under way are finished within this time.
+/// Time after SIGTERM within which requests in progress must finish; the remaining connections are then closed
+/// abruptly.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(200);
 
 /// Serves the worker on this machine until the platform stops the process.
@@ -90,7 +91,7 @@
     HttpResponse::json(200, serde_json::to_vec(&reply).unwrap_or_default())
 }
 
-/// The reply to a heartbeat that was taken over; it waits for expected orders.
+/// Returns the reply to an accepted heartbeat, after waiting for orders if they are expected.
 async fn reply(
     node: &RoleProcess<AgentRole>,
     id: &str,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Returns once orders have come in, a newer heartbeat waits, or [`ORDERS_WAIT_MS`] are over.
+/// Waits until orders arrive, a newer heartbeat waits, or [`ORDERS_WAIT_MS`] have passed.
 async fn wait_for_orders(node: &RoleProcess<AgentRole>) {
     let receiver = node.with_role(AgentRole::wait_for_orders);
     let sleep = pin!(runtime::sleep(Duration::from_millis(ORDERS_WAIT_MS)));
--- a/crates/data-plane/src/serve/edge_role.rs
+++ b/crates/data-plane/src/serve/edge_role.rs
@@ -1,4 +1,4 @@
-//! The edge as a role: its calls on the link to the core.
+//! The [`Role`] of the edge: sends its calls over the link to the core and passes answers to the waiting clients.
 
 use super::role::{HeadStatus, Role};
 use crate::edge::{
@@ -13,30 +13,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A call under way, and where its answer comes in.
+/// A call in progress and the channel for its answer.
 pub(super) struct AwaitedAnswer {
-    /// The call.
+    /// Number of the call.
     pub call: ClientCallId,
-    /// Receives the answer; ends without one if the call was abandoned.
+    /// Receives the answer; fails if the call was abandoned.
     pub receiver: oneshot::Receiver<Answer>,
 }
 
-/// The calls under way, the clients that wait for them, and what the head has set.
+/// The calls in progress, the clients that wait for them, and the state received from the head.
 pub(super) struct EdgeRole {
     calls: Calls,
     readiness: Readiness,
-    /// The clients that wait for an answer.
+    /// The channels of the clients that wait for an answer.
     waiters: HashMap<ClientCallId, oneshot::Sender<Answer>>,
-    /// Frames to send with the next poll.
+    /// Frames that the next poll returns.
     outbox: Vec<Rc<Frame>>,
-    /// The server of clients, once it runs.
+    /// The HTTP server for clients; `None` until it runs.
     frontend: Option<HttpServer>,
-    /// The limits that the server was given.
+    /// The limits last set on the server; `None` before the first ones from a head.
     limits: Option<IngressLimits>,
 }
 
 impl EdgeRole {
-    /// No call is under way.
+    /// Creates the role without calls.
     pub(super) fn new() -> Self {
         EdgeRole {
             calls: Calls::new(CallLimits::default()),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Takes over a client's call; the answer comes over the channel.
+    /// Begins a client's call; the answer is sent through the returned channel.
     pub(super) fn begin(&mut self, call: NewCall) -> AwaitedAnswer {
         let BegunCall { id, effect } = self.calls.begin(steady_ms(), call);
         let (sender, receiver) = oneshot::channel();
@@ -57,18 +57,18 @@
         AwaitedAnswer { call: id, receiver }
     }
 
-    /// The call has ended: it was answered, or its client has disconnected.
+    /// Abandons a call whose client has disconnected.
     pub(super) fn end(&mut self, call: ClientCallId) {
         self.calls.abandon(call);
         self.waiters.remove(&call);
     }
 
-    /// The server whose options follow the limits that the head names.
+    /// Sets the HTTP server whose options follow the limits that the head sends.
     pub(super) fn set_frontend(&mut self, frontend: HttpServer) {
         self.frontend = Some(frontend);
     }
 
-    /// The process is about to end: it is not ready any more.
+    /// Makes the edge unready, because the process is about to end.
     pub(super) fn stop(&mut self) {
         self.readiness.stop();
     }
@@ -83,7 +83,7 @@
             CallEffect::Send(frame) => self.outbox.push(frame),
             CallEffect::Answer(call, answer) => {
                 if let Some(waiter) = self.waiters.remove(&call) {
-                    // The client may have disconnected.
+                    // The send fails if the client has disconnected.
                     let _ = waiter.send(answer);
                 }
             }
@@ -141,7 +141,7 @@
     }
 }
 
-/// The options of a server of clients under these limits.
+/// The options of the HTTP server for clients under these limits.
 pub(super) fn http_options(limits: &IngressLimits) -> HttpOptions {
     HttpOptions {
         max_header_bytes: limits.max_header_bytes as usize,
--- a/crates/data-plane/src/serve/edge_server.rs
+++ b/crates/data-plane/src/serve/edge_server.rs
@@ -1,4 +1,4 @@
-//! The edge as a process: takes clients' HTTP requests and the platform's questions whether it is ready.
+//! The process of the edge: serves clients' HTTP requests and the platform's readiness checks.
 
 use super::edge_role::{AwaitedAnswer, EdgeRole, http_options};
 use super::error::{NoAddressSnafu, ServeError};
@@ -16,11 +16,11 @@
 use snafu::OptionExt;
 use std::time::Duration;
 
-/// After SIGTERM calls are served as before for this long, until the platform routes no new clients here.
+/// Time after SIGTERM for which new calls are still served, until the platform routes no new clients here.
 const DRAINING_MS: u64 = 2_500;
-/// The process ends this long before the platform would kill it.
+/// The process ends this long before the platform kills it.
 const GRACE_MARGIN_MS: u64 = 700;
-/// After [`DRAINING_MS`] a connection without a request is closed after this time.
+/// Time after draining for which connections without a request stay open.
 const IDLE_GRACE_MS: u64 = 300;
 
 /// Serves clients until the platform stops the process.
@@ -60,7 +60,8 @@
     Ok(())
 }
 
-/// Serves as before until the platform routes no new clients here, then finishes the calls under way.
+/// Drains the edge: serves new calls until the platform routes no new clients here, then finishes the calls in
+/// progress.
 async fn drain(settings: &Settings, node: &RoleProcess<EdgeRole>, frontend: &HttpServer) {
     log::info!("SIGTERM received, not ready any more, draining calls");
     node.with_role(EdgeRole::stop);
@@ -75,7 +76,7 @@
     log::info!("stopped open_connections={}", frontend.open_connections());
 }
 
-/// Abandons a call when it is dropped before the answer: its client has disconnected.
+/// Abandons a call if dropped before the call is answered, which happens when the client disconnects.
 struct CallGuard {
     node: RoleProcess<EdgeRole>,
     call: ClientCallId,
--- a/crates/data-plane/src/serve/error.rs
+++ b/crates/data-plane/src/serve/error.rs
@@ -7,12 +7,12 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ServeError {
-    /// The settings name no role that this program plays.
+    /// The settings select neither the edge nor the node agent.
     #[snafu(display(
         "`serves` of role `{role}` names neither `edge` nor `side`: one of them is expected"
     ))]
     NoRole {
-        /// The role.
+        /// Name of the role in the settings.
         role: String,
     },
     /// An address that the role needs is missing from the settings.
@@ -20,21 +20,21 @@
         "`bind_addrs.{field}` is missing: role `{role}` needs an address there, IP:PORT"
     ))]
     NoAddress {
-        /// The missing field.
+        /// The missing field of `bind_addrs`.
         field: &'static str,
-        /// The role.
+        /// Name of the role in the settings.
         role: String,
     },
-    /// A socket, the signals or the runtime have failed.
+    /// A socket, the signal handling or the runtime failed.
     #[snafu(context(false), display("{source}"))]
     Net {
-        /// Why.
+        /// The underlying error.
         source: NetError,
     },
 }
 
 impl ServeError {
-    /// Whether the settings are at fault.
+    /// Whether the error is due to the settings rather than the system.
     pub fn is_about_settings(&self) -> bool {
         matches!(
             self,
--- a/crates/data-plane/src/serve/lifecycle.rs
+++ b/crates/data-plane/src/serve/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Signals: termination and reload of the settings.
+//! Signal handling: termination and reload of the settings.
 
 use super::role::Role;
 use super::role_process::RoleProcess;
@@ -7,11 +7,11 @@
 use indigofold_settings::Settings;
 use std::time::Duration;
 
-/// The settings are reloaded at this interval while no head is connected.
+/// Interval at which the settings are reloaded while no head is connected.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Waits for SIGTERM. Reloads the settings at SIGHUP, and at intervals while no head is connected, as the file may change
-/// without a signal.
+/// Waits for SIGTERM. Meanwhile reloads the settings at SIGHUP and, as the file may change without a signal, at
+/// intervals while no head is connected.
 pub(super) async fn until_terminated<R: Role>(signals: &mut Signals, node: &RoleProcess<R>) {
     loop {
         match runtime::timeout(RELOAD_INTERVAL, signals.next()).await {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Takes over the seeds of the settings file. Settings that cannot be used change nothing.
+/// Replaces the seeds by those of the settings file. Settings that cannot be read are logged and change nothing.
 fn reload_settings<R: Role>(node: &RoleProcess<R>) {
     match Settings::from_env() {
         Ok(settings) => {
--- a/crates/data-plane/src/serve/role_process.rs
+++ b/crates/data-plane/src/serve/role_process.rs
@@ -1,4 +1,4 @@
-//! A process of the data plane: a role, its link to the core, and the timer of both.
+//! A process of the data plane: runs a role, its link to the core, and the timer that drives both.
 
 use super::role::{HeadStatus, Role};
 use super::timer::Timer;
@@ -16,11 +16,13 @@
 struct State<R> {
     role: R,
     link: CoreLink,
+    /// The greeting sent on each new connection.
     hello: Hello,
+    /// The sending halves of the open connections.
     senders: HashMap<LinkId, FrameSender>,
 }
 
-/// A role and its link to the core; clones share them.
+/// A role and its link to the core; clones share the same state.
 pub(super) struct RoleProcess<R> {
     state: Rc<RefCell<State<R>>>,
     timer: Rc<Timer>,
@@ -36,7 +38,7 @@
 }
 
 impl<R: Role> RoleProcess<R> {
-    /// A process that is not connected yet.
+    /// Creates a process that is not connected yet.
     pub(super) fn new(settings: &Settings, kind: ProcessKind, role: R) -> Self {
         let incarnation = fastrand::u64(..);
         let (node_name, zone) = (settings.node_name.clone(), settings.zone.clone());
@@ -64,13 +66,13 @@
         }
     }
 
-    /// Starts the search for the head.
+    /// Starts the timer task, which begins the search for the head.
     pub(super) fn start(&self) {
         let node = self.clone();
         runtime::spawn(async move { node.timer.run(|| node.pump()).await });
     }
 
-    /// Takes over the seeds of reloaded settings.
+    /// Replaces the seeds by those of reloaded settings.
     pub(super) fn set_seeds(&self, settings: &Settings) {
         self.state.borrow_mut().link.set_seeds(&seeds(settings));
         self.advance();
@@ -81,20 +83,20 @@
         self.state.borrow().link.attached().is_some()
     }
 
-    /// Gives the role an input and sends the frames that it returns.
+    /// Calls `act` with the role, then sends the frames that are due.
     pub(super) fn with_role<T>(&self, act: impl FnOnce(&mut R) -> T) -> T {
         let result = act(&mut self.updated_state().role);
         self.advance();
         result
     }
 
-    /// Does all that is due and sets the timer.
+    /// Performs everything that is due and sets the timer.
     fn advance(&self) {
         let next_ms = self.pump();
         self.timer.set(next_ms);
     }
 
-    /// The state, after the role has taken over what the link knows of the head.
+    /// Borrows the state after passing the current state of the head to the role.
     fn updated_state(&self) -> RefMut<'_, State<R>> {
         let mut state = self.state.borrow_mut();
         let State { role, link, .. } = &mut *state;
@@ -102,7 +104,7 @@
         state
     }
 
-    /// Does all that is due; returns when something is due next.
+    /// Performs everything that is due, and returns the time at which something is due next.
     fn pump(&self) -> Option<u64> {
         let now_ms = steady_ms();
         let mut state = self.updated_state();
@@ -139,7 +141,7 @@
         });
     }
 
-    /// Opens a connection, greets the member, and takes what it sends until the connection ends.
+    /// Opens a connection, greets the member, and handles its frames until the connection ends.
     async fn run_connection(&self, link: LinkId, address: SocketAddr) -> Result<(), NetError> {
         let connection =
             framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
@@ -153,7 +155,7 @@
         Ok(())
     }
 
-    /// Greets the member; `false` if the connection is no longer in use.
+    /// Sends the greeting on a new connection. Returns `false` if the connection is closed or no longer in use.
     fn greet(&self, link: LinkId, sender: FrameSender) -> bool {
         let mut state = self.state.borrow_mut();
         if !state.link.is_in_use(link) || sender.send(&Frame::Hello(state.hello.clone())).is_err() {
@@ -197,7 +199,7 @@
         self.role.handle_detached(now_ms);
     }
 
-    /// Sends frames to the acting head. If the connection is closed, its reader notices.
+    /// Sends frames to the acting head; they are dropped without one. A closed connection is handled by its reader.
     fn send(&mut self, now_ms: u64, frames: &[Rc<Frame>]) {
         if frames.is_empty() {
             return;
@@ -217,7 +219,7 @@
         self.link.handle_request_sent(now_ms);
     }
 
-    /// Sends a liveness probe to the head. If the connection is closed, its reader notices.
+    /// Sends a liveness probe to the head. A closed connection is handled by its reader.
     fn probe_head(&self, link: LinkId) {
         if let (Some(sender), Some(frame)) = (self.senders.get(&link), self.role.liveness_probe()) {
             let _ = sender.send(&frame);
--- a/crates/data-plane/src/serve/timer.rs
+++ b/crates/data-plane/src/serve/timer.rs
@@ -1,4 +1,4 @@
-//! One timer for all that a process waits for; it is restarted only when something is due earlier than before.
+//! The single timer of a process; its sleep is restarted only when something is due earlier than before.
 
 use futures_channel::oneshot;
 use futures_util::future::{Either, select};
@@ -7,19 +7,20 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// The timer sleeps at most this long.
+/// Maximum duration of one sleep of the timer.
 const LONGEST_SLEEP_MS: u64 = 60_000;
 
-/// A timer that many parties may set.
+/// A timer that calls a function when something is due; any part of the process may set it to an earlier time.
 #[derive(Default)]
 pub(super) struct Timer {
+    /// Time at which something is due next; `u64::MAX` for never.
     due_ms: Cell<u64>,
-    /// Ends the sleep that is under way.
+    /// Interrupts the current sleep.
     restart: RefCell<Option<oneshot::Sender<()>>>,
 }
 
 impl Timer {
-    /// Something is due at `due_ms`; `None` for never. A later time than the one set before is ignored.
+    /// Sets the timer to `due_ms`, where `None` means never. A time later than the one set before is ignored.
     pub(super) fn set(&self, due_ms: Option<u64>) {
         let due_ms = due_ms.unwrap_or(u64::MAX);
         if due_ms >= self.due_ms.get() {
@@ -27,12 +28,13 @@
         }
         self.due_ms.set(due_ms);
         if let Some(restart) = self.restart.borrow_mut().take() {
-            // The sleep may have ended by itself.
+            // The send fails if the sleep has already ended.
             let _ = restart.send(());
         }
     }
 
-    /// Calls `on_due` whenever something is due; it returns when the next thing is.
+    /// Calls `on_due` at once and then whenever something is due; `on_due` returns the next time at which something is
+    /// due.
     pub(super) async fn run(&self, on_due: impl Fn() -> Option<u64>) {
         loop {
             self.due_ms.set(on_due().unwrap_or(u64::MAX));
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Sleeps until something is due or is due earlier than before.
+    /// Sleeps until the due time, for at most [`LONGEST_SLEEP_MS`], or until the timer is set to an earlier time.
     async fn sleep(&self) {
         let (sender, receiver) = oneshot::channel();
         *self.restart.borrow_mut() = Some(sender);
