--- a/crates/data-plane/tests/agent_leases.rs
+++ b/crates/data-plane/tests/agent_leases.rs
@@ -1,5 +1,5 @@
 //! Run leases: the node agent grants them only with authority, and reports an instance as ended only when none of its
-//! runs can be at work.
+//! runs can still be running.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use indigofold_protocol::internal::{AgentOrders, LEASE_AUTHORITY_MS, RUN_LEASE_MS};
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
-/// Long enough for every run lease to expire.
+/// Time after which every run lease has expired.
 const ALL_LEASES_EXPIRED_MS: u64 = RUN_LEASE_MS + 1_500;
 
 #[test]
@@ -142,7 +142,8 @@
     );
 }
 
-/// A worker that sends `DELETE` without having drained goes on running: its runs must not start elsewhere meanwhile.
+/// A worker that sends `DELETE` without having drained may keep its runs running, so they must not be started elsewhere
+/// before their ends are listed.
 #[test]
 fn an_instance_deregistered_without_draining_ends_after_its_runs() {
     let mut harness = AgentHarness::confirmed();
--- a/crates/data-plane/tests/agent_orders.rs
+++ b/crates/data-plane/tests/agent_orders.rs
@@ -1,4 +1,5 @@
-//! Orders: the node agent sends each to the worker once, within its capacity, and only while it has authority.
+//! Orders of the head: the node agent sends starts within the worker's capacity and never starts a run twice, repeats
+//! stops, and reports starts that were not carried out.
 
 mod common;
 
--- a/crates/data-plane/tests/agent_replies.rs
+++ b/crates/data-plane/tests/agent_replies.rs
@@ -1,4 +1,4 @@
-//! Replies to heartbeats wait for expected orders and carry those received meanwhile.
+//! Replies to heartbeats: they wait for expected orders and carry those received while waiting.
 
 mod common;
 
@@ -52,7 +52,7 @@
     assert!(!receive(&mut harness).expects_orders);
 }
 
-/// The capacity of an ended run is used by the reply to the heartbeat that lists its end.
+/// The reply to the heartbeat that lists an end can already start a run on the capacity that became free.
 #[test]
 fn orders_received_while_a_heartbeat_waits_are_in_its_reply() {
     let mut harness = at_work();
@@ -64,7 +64,7 @@
     assert_eq!(AgentHarness::started(&reply), vec![run(2).task.to_string()]);
 }
 
-/// The worker has stopped waiting and sent another heartbeat: only the reply to that one carries orders.
+/// If the worker sends another heartbeat before it receives the reply, only the reply to the newer one carries orders.
 #[test]
 fn a_superseded_heartbeat_receives_no_orders() {
     let mut harness = at_work();
--- a/crates/data-plane/tests/agent_reports.rs
+++ b/crates/data-plane/tests/agent_reports.rs
@@ -1,4 +1,4 @@
-//! Reports: changes at once, progress at intervals, everything on a new connection.
+//! Reports to the head: changes at once, otherwise at intervals, and the complete state on a new connection.
 
 mod common;
 
@@ -131,7 +131,8 @@
     );
 }
 
-/// The head names an instance before the worker has registered, and again before it learns that another one has.
+/// The head sends orders for an instance that has not registered, and sends more after another instance has registered
+/// but before it learns of that.
 #[test]
 fn an_unknown_instance_that_was_replaced_is_reported_as_ended_once() {
     const UNKNOWN: &str = "i-0";
--- a/crates/data-plane/tests/common/agent_harness.rs
+++ b/crates/data-plane/tests/common/agent_harness.rs
@@ -1,4 +1,4 @@
-//! A node agent with a simulated worker and head, for tests.
+//! A node agent with a simulated worker and a simulated head.
 
 use indigofold_data_plane::agent::{Agent, HeartbeatOutcome};
 use indigofold_protocol::internal::{AgentOrders, AgentReport, StartOrder};
@@ -8,14 +8,19 @@
     Finished, Heartbeat, HeartbeatReply, RunEnd, Running, WorkerState,
 };
 
+/// Instance id of the simulated worker.
 pub(crate) const WORKER: &str = "i-1";
+/// Longest lease that the worker accepts; above the default lease.
 pub(crate) const MAX_LEASE_MS: u64 = 6_000;
+/// Clock reading at the start of the agent.
 pub(crate) const START_MS: u64 = 1_000_000;
 
+/// The first attempt of the task with this index.
 pub(crate) fn run(index: u32) -> RunId {
     attempt(index, 1)
 }
 
+/// The given attempt of the task with this index.
 pub(crate) fn attempt(index: u32, attempt: u32) -> RunId {
     RunId {
         task: TaskName {
@@ -28,6 +33,7 @@
     }
 }
 
+/// A start order for a run that needs `cpu` of the worker's 1000.
 pub(crate) fn start(run: RunId, cpu: u64) -> StartOrder {
     let resources = Resources {
         cpu,
@@ -46,16 +52,22 @@
 pub(crate) struct AgentHarness {
     pub agent: Agent,
     pub now_ms: u64,
+    /// Sequence number of the worker's last heartbeat.
     pub seq_no: u64,
+    /// Epoch of the head's orders.
     pub epoch: u64,
+    /// State in the worker's heartbeats.
     pub state: WorkerState,
+    /// Number of the last ended run.
     pub ends: u64,
+    /// Runs that heartbeats list as running.
     pub running: Vec<RunId>,
+    /// Ends that heartbeats list, with their numbers.
     pub finished: Vec<(u64, RunId, RunEnd)>,
 }
 
 impl AgentHarness {
-    /// Neither a worker nor a head has connected.
+    /// A harness to whose agent neither a worker nor a head has connected.
     pub(crate) fn unconnected() -> AgentHarness {
         AgentHarness {
             agent: Agent::new(START_MS, MAX_LEASE_MS),
@@ -69,7 +81,7 @@
         }
     }
 
-    /// The worker has registered, and the head has acknowledged a report with its instance.
+    /// A harness whose worker has registered and whose head has acknowledged a report with its instance.
     pub(crate) fn confirmed() -> AgentHarness {
         let mut harness = AgentHarness::unconnected();
         harness.agent.handle_connected();
@@ -83,6 +95,7 @@
         self
     }
 
+    /// Builds a heartbeat from the worker's current state.
     pub(crate) fn heartbeat(&self) -> Heartbeat {
         let running = |run: &RunId| Running {
             task: run.task.to_string(),
@@ -113,7 +126,7 @@
         }
     }
 
-    /// The worker's next heartbeat, 100 ms later.
+    /// Sends the worker's next heartbeat 100 ms later, and returns the reply.
     pub(crate) fn send_heartbeat(&mut self) -> HeartbeatReply {
         self.send_heartbeat_of(WORKER)
     }
@@ -127,7 +140,7 @@
         }
     }
 
-    /// Delivers a heartbeat; it is answered at once.
+    /// Delivers a heartbeat and polls its reply at once.
     pub(crate) fn deliver(&mut self, id: &str, heartbeat: Heartbeat) -> HeartbeatOutcome {
         match self.agent.handle_heartbeat(self.now_ms, id, heartbeat) {
             Some(receipt) => self
@@ -137,7 +150,7 @@
         }
     }
 
-    /// The worker carries out the orders of a reply.
+    /// Makes the worker start and stop the runs that the reply orders.
     pub(crate) fn carry_out(&mut self, reply: &HeartbeatReply) {
         let started = reply.start.iter().map(|s| RunId {
             task: s.task.parse().expect("a name"),
@@ -153,6 +166,7 @@
         }
     }
 
+    /// Ends a running run; later heartbeats list the end.
     pub(crate) fn end(&mut self, run: RunId, end: RunEnd) {
         if self.running.contains(&run) {
             self.running.retain(|other| *other != run);
@@ -161,7 +175,7 @@
         }
     }
 
-    /// The report that is due, 20 ms later.
+    /// Polls for a report 20 ms later; `None` if none is due.
     pub(crate) fn report(&mut self) -> Option<AgentReport> {
         self.advance(20);
         self.agent.poll_report(self.now_ms)
@@ -177,6 +191,7 @@
         report
     }
 
+    /// Acknowledges the report sent at `sent_ms`.
     pub(crate) fn echo(&mut self, sent_ms: u64) {
         let orders = AgentOrders {
             echo_sent_ms: Some(sent_ms),
@@ -204,7 +219,7 @@
         self.deliver_orders(orders);
     }
 
-    /// The head orders starts, and the worker lists them as running.
+    /// Delivers start orders to the worker, which then lists the runs as running.
     pub(crate) fn start_and_confirm(&mut self, starts: &[StartOrder]) {
         self.order_start(starts);
         let reply = self.send_heartbeat();
@@ -224,7 +239,7 @@
         self.agent.handle_orders(self.now_ms, orders);
     }
 
-    /// Names of the tasks that a reply starts.
+    /// Names of the tasks that the reply starts.
     pub(crate) fn started(reply: &HeartbeatReply) -> Vec<String> {
         reply.start.iter().map(|s| s.task.clone()).collect()
     }
--- a/crates/data-plane/tests/common/mod.rs
+++ b/crates/data-plane/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several test files use; no file uses all of it.
+//! Harnesses shared by several test files.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
--- a/crates/data-plane/tests/common/program.rs
+++ b/crates/data-plane/tests/common/program.rs
@@ -1,4 +1,4 @@
-//! The program as a child process, its clients, and the head, which the test acts as.
+//! The program as a child process, HTTP clients, and a simulated head.
 
 use indigofold_protocol::codec;
 use indigofold_protocol::config::IngressLimits;
@@ -11,22 +11,24 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// Upper limit for each blocking read.
+/// Timeout of each blocking read.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A loopback address that was free a moment ago.
+/// Returns a loopback address with a port that was free at the time of the call.
 pub(crate) fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address")
 }
 
-/// A child process with the program; killed when dropped.
+/// The program as a child process, which is killed when dropped.
 pub(crate) struct Program {
     child: Child,
     settings: tempfile::NamedTempFile,
 }
 
 impl Program {
+    /// Starts the program and waits until it serves. `serves`: `edge` or `side`; `addresses`: the lines of
+    /// `bind_addrs`.
     pub(crate) fn start(serves: &str, head: SocketAddr, addresses: &str) -> Program {
         let text = format!(
             "node_name = \"n-1\"\nrole = \"r\"\nmachine_class = \"{serves}\"\nserves = [\"{serves}\"]\n\
@@ -58,12 +60,12 @@
         rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("a signal");
     }
 
-    /// Waits for the end of the program, which must be a success.
+    /// Waits for the program to exit, and asserts that it succeeded.
     pub(crate) fn assert_success(&mut self) {
         assert!(self.child.wait().expect("an end").success());
     }
 
-    /// Waits until the log contains an entry with this text.
+    /// Reads the log until an entry contains this text.
     pub(crate) fn wait_for_log(&mut self, text: &str) {
         let mut log = BufReader::new(self.child.stderr.as_mut().expect("a pipe"));
         let mut entry = String::new();
@@ -85,10 +87,10 @@
     }
 }
 
-/// An edge that runs as a child process.
+/// An edge that runs as a child process, and the addresses of its sockets.
 pub(crate) struct EdgeProgram {
     pub program: Program,
-    /// Where the edge finds the head.
+    /// Listener of the simulated head.
     pub listener: TcpListener,
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
@@ -113,7 +115,7 @@
     }
 }
 
-/// The head's side of a connection.
+/// The simulated head's side of a connection.
 pub(crate) struct Head {
     stream: TcpStream,
     bytes: Vec<u8>,
@@ -148,7 +150,7 @@
         head
     }
 
-    /// The next call of a client; liveness probes are answered in between.
+    /// Returns the next call of a client, after answering the liveness probes before it.
     pub(crate) fn next_call(&mut self) -> ClientCall {
         loop {
             match self.next() {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The next report that satisfies the condition; others are skipped.
+    /// Returns the next report that satisfies the condition, skipping other reports.
     pub(crate) fn next_report_with(
         &mut self,
         condition: impl Fn(&AgentReport) -> bool,
@@ -199,7 +201,7 @@
     }
 }
 
-/// Sends a request on a connection of its own.
+/// Sends a request on a new connection. `head`: the request line.
 pub(crate) fn request(address: SocketAddr, head: &str, body: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,4 +1,4 @@
-//! The link to the core: finds the acting head, stays connected to it, and finds its successor.
+//! The link to the core: finding the acting head, staying connected to it, and finding its successor.
 
 use indigofold_data_plane::core_link::{
     BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GREETING_TIMEOUT_MS, HEAD_TIMEOUT_MS, Head,
@@ -68,12 +68,12 @@
     position.expect("the action was polled")
 }
 
-/// A link that is attached to the head of view 5.
+/// Returns a link attached to the head of view 5, its connection and the head's address.
 fn attached() -> (CoreLink, LinkId, SocketAddr) {
     attach(link())
 }
 
-/// The same for a link that probes an idle head.
+/// Like [`attached`], for a link that probes an idle head.
 fn attached_probing() -> (CoreLink, LinkId, SocketAddr) {
     attach(link().with_idle_probing())
 }
@@ -150,7 +150,8 @@
     assert!(!dialled(&mut link).is_empty());
 }
 
-/// Processes that restart together fail to connect to each other at first; the head must then be found without delay.
+/// Processes that restart together at first fail to connect to each other. Once a member names the head, its backoff
+/// must not delay the connection.
 #[test]
 fn the_head_of_a_new_view_is_dialled_regardless_of_its_backoff() {
     let mut link = link();
@@ -176,7 +177,8 @@
     );
 }
 
-/// A dial that began while the machine had no power hangs; the head's new view shows that the machine is up.
+/// A connection attempt that began while the head's machine had no power hangs. When a member names the head of a new
+/// view, the machine is up, so the attempt is replaced.
 #[test]
 fn a_hanging_dial_is_restarted_once_the_head_is_named() {
     let mut link = link();
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,4 +1,4 @@
-//! The edge: parsing of requests, calls to the head and its successors, outcomes as HTTP responses.
+//! The edge: parsing of requests, calls to the head and its successors, HTTP answers, and readiness.
 
 use indigofold_data_plane::edge::{
     Answer, BRIEF_LOSS_MS, BegunCall, Body, CallEffect, CallLimits, Calls, ClientCallId, Method,
--- a/crates/data-plane/tests/processes.rs
+++ b/crates/data-plane/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The program itself over loopback sockets; the test acts as the head.
+//! The program as a process on loopback sockets, with a simulated head.
 
 mod common;
 
@@ -66,7 +66,7 @@
     call(agent, "PUT /instances/i-1 HTTP/1.1", &body)
 }
 
-/// Orders a start, and acknowledges the report sent at `echo_sent_ms`.
+/// Returns a frame that orders a start and acknowledges the report sent at `echo_sent_ms`.
 fn start_orders(echo_sent_ms: u64) -> Frame {
     let start = StartOrder {
         spec: "t".to_owned(),
