--- a/crates/data-plane/src/serve/edge_server.rs
+++ b/crates/data-plane/src/serve/edge_server.rs
@@ -118,7 +118,7 @@
     response(&answer.unwrap_or_else(|_| Answer::no_reply()))
 }
 
-#[expect(clippy::unused_async, reason = "a handler is asynchronous")]
+#[expect(clippy::unused_async, reason = "HTTP handlers are asynchronous")]
 async fn answer_readiness(node: RoleProcess<EdgeRole>, _request: HttpRequest) -> HttpResponse {
     let ready = node.with_role(|role| role.is_ready(steady_ms()));
     HttpResponse::new(if ready { 200 } else { 503 })
--- a/crates/data-plane/tests/agent_leases.rs
+++ b/crates/data-plane/tests/agent_leases.rs
@@ -122,7 +122,7 @@
     );
     let report = harness.report_now();
     assert_eq!(report.ended_instances, [WORKER]);
-    assert_eq!(report.instance.expect("registered").id, "i-2");
+    assert_eq!(report.instance.expect("the instance is reported").id, "i-2");
     let heartbeat = harness.heartbeat();
     assert_eq!(
         harness.deliver(WORKER, heartbeat),
@@ -150,8 +150,11 @@
     harness.start_and_confirm(&[start(run(1), 100), start(run(2), 100)]);
     harness.agent.handle_deregistration(WORKER);
     let report = harness.report_and_echo();
-    let instance = report.instance.expect("it still has runs");
-    assert!(report.ended_instances.is_empty(), "its runs may be at work");
+    let instance = report.instance.expect("an instance with runs is reported");
+    assert!(
+        report.ended_instances.is_empty(),
+        "its runs may still be running"
+    );
     assert_eq!(
         (instance.state, instance.remaining_ms),
         (WorkerState::Draining, Some(0))
@@ -166,7 +169,7 @@
     assert_eq!(
         report
             .instance
-            .expect("its ends are not acknowledged")
+            .expect("an instance with unacknowledged ends is reported")
             .finished
             .len(),
         2
@@ -186,7 +189,10 @@
     let heartbeat_ms = harness.now_ms;
     harness.agent.handle_deregistration(WORKER);
     harness.now_ms = expires_by_ms(heartbeat_ms, RUN_LEASE_MS) - 1;
-    let report = harness.agent.poll_report(harness.now_ms).expect("due");
+    let report = harness
+        .agent
+        .poll_report(harness.now_ms)
+        .expect("a report is due");
     assert!(report.ended_instances.is_empty() && report.instance.is_some());
     harness.advance(1);
     harness.agent.poll_report(harness.now_ms);
@@ -199,7 +205,10 @@
     harness.send_heartbeat();
     let heartbeat_ms = harness.now_ms;
     harness.now_ms = expires_by_ms(heartbeat_ms, RUN_LEASE_MS) - 1;
-    let report = harness.agent.poll_report(harness.now_ms).expect("due");
+    let report = harness
+        .agent
+        .poll_report(harness.now_ms)
+        .expect("a report is due");
     assert!(report.ended_instances.is_empty() && report.instance.is_some());
     harness.advance(1);
     harness.agent.poll_report(harness.now_ms);
@@ -219,7 +228,10 @@
     assert!(due_ms <= harness.now_ms);
     harness.report_now();
     harness.now_ms = START_MS + RUN_LEASE_MS;
-    let report = harness.agent.poll_report(harness.now_ms).expect("due");
+    let report = harness
+        .agent
+        .poll_report(harness.now_ms)
+        .expect("a report is due");
     assert!(report.ended_instances.is_empty() && report.instance.is_some());
 }
 
@@ -253,7 +265,12 @@
     let report = harness.report_now();
     assert!(report.ended_instances.is_empty());
     assert_eq!(
-        report.instance.expect("back").running.expect("all")[0].run,
+        report
+            .instance
+            .expect("the returned instance is reported")
+            .running
+            .expect("the runs are listed")[0]
+            .run,
         run(1)
     );
     assert_eq!(report.not_started, [run(4), run(5)]);
--- a/crates/data-plane/tests/agent_orders.rs
+++ b/crates/data-plane/tests/agent_orders.rs
@@ -15,13 +15,22 @@
     let reply = harness.send_heartbeat();
     assert_eq!(AgentHarness::started(&reply), [run(1).task.to_string()]);
     assert_eq!(reply.fencing_token, Some(3));
-    let instance = harness.report_now().instance.expect("registered");
+    let instance = harness
+        .report_now()
+        .instance
+        .expect("the instance is reported");
     assert_eq!(instance.in_flight, [run(1)]);
     harness.carry_out(&reply);
     assert!(harness.send_heartbeat().start.is_empty());
-    let instance = harness.report_now().instance.expect("registered");
+    let instance = harness
+        .report_now()
+        .instance
+        .expect("the instance is reported");
     assert!(instance.in_flight.is_empty());
-    assert_eq!(instance.running.expect("changed")[0].run, run(1));
+    assert_eq!(
+        instance.running.expect("changed runs are listed")[0].run,
+        run(1)
+    );
 }
 
 #[test]
@@ -84,7 +93,7 @@
     assert_eq!(
         harness.report_now().not_started,
         [run(2)],
-        "reported once more, as the head has repeated its order"
+        "reported again because the head repeated its order"
     );
 }
 
@@ -148,7 +157,7 @@
     let report = harness.report_now();
     assert_eq!(report.not_started, [run(1)]);
     assert_eq!(
-        report.instance.expect("registered").state,
+        report.instance.expect("the instance is reported").state,
         WorkerState::Draining
     );
 }
@@ -245,7 +254,12 @@
     harness.end(run(1), RunEnd::Done);
     assert_eq!(harness.send_heartbeat().acknowledged_end, None);
     assert_eq!(
-        harness.report_now().instance.expect("registered").finished[0].number,
+        harness
+            .report_now()
+            .instance
+            .expect("the instance is reported")
+            .finished[0]
+            .number,
         1
     );
     harness.deliver_orders(AgentOrders {
@@ -258,7 +272,7 @@
         harness
             .report_now()
             .instance
-            .expect("registered")
+            .expect("the instance is reported")
             .finished
             .is_empty()
     );
--- a/crates/data-plane/tests/agent_replies.rs
+++ b/crates/data-plane/tests/agent_replies.rs
@@ -31,7 +31,9 @@
         .poll_heartbeat_reply(harness.now_ms, WORKER, receipt.seq_no)
     {
         HeartbeatOutcome::Answered(reply) => reply,
-        HeartbeatOutcome::Superseded => panic!("the heartbeat is the newest"),
+        HeartbeatOutcome::Superseded => {
+            panic!("expected a reply, but the heartbeat was superseded")
+        }
     }
 }
 
--- a/crates/data-plane/tests/agent_reports.rs
+++ b/crates/data-plane/tests/agent_reports.rs
@@ -85,13 +85,17 @@
         harness
             .report_now()
             .instance
-            .expect("registered")
+            .expect("the instance is reported")
             .running
             .is_some()
     );
     harness.advance(REPORT_INTERVAL_MS);
     assert_eq!(
-        harness.report_now().instance.expect("registered").running,
+        harness
+            .report_now()
+            .instance
+            .expect("the instance is reported")
+            .running,
         None
     );
     harness.agent.handle_disconnected();
@@ -100,9 +104,9 @@
         harness
             .report_now()
             .instance
-            .expect("registered")
+            .expect("the instance is reported")
             .running
-            .expect("all")
+            .expect("the runs are listed")
             .len(),
         1
     );
--- a/crates/data-plane/tests/common/agent_harness.rs
+++ b/crates/data-plane/tests/common/agent_harness.rs
@@ -136,7 +136,9 @@
         self.seq_no += 1;
         match self.deliver(id, self.heartbeat()) {
             HeartbeatOutcome::Answered(reply) => reply,
-            HeartbeatOutcome::Superseded => panic!("the heartbeat is the newest"),
+            HeartbeatOutcome::Superseded => {
+                panic!("expected a reply, but the heartbeat was superseded")
+            }
         }
     }
 
@@ -153,13 +155,13 @@
     /// Makes the worker start and stop the runs that the reply orders.
     pub(crate) fn carry_out(&mut self, reply: &HeartbeatReply) {
         let started = reply.start.iter().map(|s| RunId {
-            task: s.task.parse().expect("a name"),
+            task: s.task.parse().expect("a valid task name"),
             attempt: s.attempt,
         });
         self.running.extend(started);
         for stop in &reply.stop {
             let run = RunId {
-                task: stop.task.parse().expect("a name"),
+                task: stop.task.parse().expect("a valid task name"),
                 attempt: stop.attempt,
             };
             self.end(run, RunEnd::Stopped);
--- a/crates/data-plane/tests/common/program.rs
+++ b/crates/data-plane/tests/common/program.rs
@@ -16,8 +16,8 @@
 
 /// Returns a loopback address with a port that was free at the time of the call.
 pub(crate) fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    listener.local_addr().expect("the listener has an address")
 }
 
 /// The program as a child process, which is killed when dropped.
@@ -36,11 +36,11 @@
              [bind_addrs]\n{addresses}\n[bounds]\ngrace_s = 2\nmax_hold_ms = 6000\n",
             port = head.port()
         );
-        let settings = tempfile::NamedTempFile::new().expect("a file");
-        fs::write(settings.path(), text).expect("written");
+        let settings = tempfile::NamedTempFile::new().expect("a temporary file is created");
+        fs::write(settings.path(), text).expect("the settings are written");
         let child = Program::command(settings.path().as_os_str())
             .spawn()
-            .expect("the program");
+            .expect("the program starts");
         let mut program = Program { child, settings };
         program.wait_for_log("serving");
         program
@@ -57,23 +57,23 @@
 
     pub(crate) fn terminate(&self) {
         let pid = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("a signal");
+        rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("SIGTERM is sent");
     }
 
     /// Waits for the program to exit, and asserts that it succeeded.
     pub(crate) fn assert_success(&mut self) {
-        assert!(self.child.wait().expect("an end").success());
+        assert!(self.child.wait().expect("the program exits").success());
     }
 
     /// Reads the log until an entry contains this text.
     pub(crate) fn wait_for_log(&mut self, text: &str) {
-        let mut log = BufReader::new(self.child.stderr.as_mut().expect("a pipe"));
+        let mut log = BufReader::new(self.child.stderr.as_mut().expect("stderr is piped"));
         let mut entry = String::new();
         while !entry.contains(text) {
             entry.clear();
             assert!(
-                log.read_line(&mut entry).expect("a line") > 0,
-                "the program has ended without `{text}`"
+                log.read_line(&mut entry).expect("the log is readable") > 0,
+                "the program exited without logging `{text}`"
             );
         }
     }
@@ -98,10 +98,10 @@
 
 impl EdgeProgram {
     pub(crate) fn start() -> EdgeProgram {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
         let (frontend, readiness) = (free_address(), free_address());
         let addresses = format!("frontend = \"{frontend}\"\nreadiness = \"{readiness}\"");
-        let head = listener.local_addr().expect("an address");
+        let head = listener.local_addr().expect("the listener has an address");
         EdgeProgram {
             program: Program::start("edge", head, &addresses),
             listener,
@@ -124,16 +124,16 @@
 impl Head {
     /// Accepts the program's connection and sends the welcome of an acting head.
     pub(crate) fn accept(listener: &TcpListener) -> Head {
-        let (stream, _) = listener.accept().expect("a connection");
+        let (stream, _) = listener.accept().expect("a connection is accepted");
         stream
             .set_read_timeout(Some(READ_TIMEOUT))
-            .expect("an option");
+            .expect("the read timeout is set");
         let mut head = Head {
             stream,
             bytes: Vec::new(),
         };
         assert!(matches!(head.next(), Frame::Hello(hello) if hello.node_name == "n-1"));
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the listener has an address");
         let member = MemberAddress {
             node_name: "core-1".to_owned(),
             internal: address,
@@ -162,19 +162,24 @@
                     }));
                 }
                 Frame::Call(call) => return call,
-                other => panic!("a call is expected, not {other:?}"),
+                other => panic!("expected a call, got {other:?}"),
             }
         }
     }
 
     pub(crate) fn next(&mut self) -> Frame {
         loop {
-            if let Some((frame, length)) = codec::decode(&self.bytes).expect("frames") {
+            if let Some((frame, length)) =
+                codec::decode(&self.bytes).expect("received bytes are valid frames")
+            {
                 self.bytes.drain(..length);
                 return frame;
             }
             let mut buffer = [0; 4_096];
-            let count = self.stream.read(&mut buffer).expect("bytes");
+            let count = self
+                .stream
+                .read(&mut buffer)
+                .expect("the connection is readable");
             assert!(count > 0, "the program has closed the connection");
             self.bytes.extend_from_slice(&buffer[..count]);
         }
@@ -189,7 +194,7 @@
             match self.next() {
                 Frame::Report(report) if condition(&report) => return report,
                 Frame::Report(_) => {}
-                other => panic!("a report is expected, not {other:?}"),
+                other => panic!("expected a report, got {other:?}"),
             }
         }
     }
@@ -197,31 +202,35 @@
     pub(crate) fn send(&mut self, frame: &Frame) {
         self.stream
             .write_all(&codec::encode(frame))
-            .expect("written");
+            .expect("the frame is sent");
     }
 }
 
 /// Sends a request on a new connection. `head`: the request line.
 pub(crate) fn request(address: SocketAddr, head: &str, body: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("a connection");
+    let mut stream = TcpStream::connect(address).expect("the address accepts connections");
     stream
         .set_read_timeout(Some(READ_TIMEOUT))
-        .expect("an option");
+        .expect("the read timeout is set");
     let text = format!(
         "{head}\r\nHost: h\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    stream.write_all(text.as_bytes()).expect("written");
+    stream
+        .write_all(text.as_bytes())
+        .expect("the request is sent");
     stream
 }
 
 pub(crate) fn response(mut stream: TcpStream) -> (u16, String) {
     let mut text = String::new();
-    stream.read_to_string(&mut text).expect("an answer");
+    stream
+        .read_to_string(&mut text)
+        .expect("the response is readable");
     let status = text
         .get(9..12)
         .and_then(|digits| digits.parse().ok())
-        .expect("a status");
+        .expect("the response has a status");
     let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     (status, body.to_owned())
 }
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -18,7 +18,7 @@
 fn host(address: SocketAddr) -> u8 {
     match address.ip() {
         IpAddr::V4(ip) => ip.octets()[3],
-        IpAddr::V6(ip) => panic!("an IPv4 address is expected, not {ip}"),
+        IpAddr::V6(ip) => panic!("expected an IPv4 address, got {ip}"),
     }
 }
 
@@ -65,7 +65,7 @@
 
 fn position(actions: &[LinkAction], action: &LinkAction) -> usize {
     let position = actions.iter().position(|other| other == action);
-    position.expect("the action was polled")
+    position.expect("the link requested the action")
 }
 
 /// Returns a link attached to the head of view 5, its connection and the head's address.
@@ -144,7 +144,7 @@
     link.handle_disconnected(NOW_MS, next[0].link);
     link.handle_disconnected(NOW_MS, dials[1].link);
     assert!(dialled(&mut link).is_empty());
-    let wake_ms = link.next_timeout_ms(NOW_MS).expect("a later try");
+    let wake_ms = link.next_timeout_ms(NOW_MS).expect("another dial is due");
     assert!(wake_ms > NOW_MS && wake_ms <= NOW_MS + BACKOFF_MAX_MS);
     link.handle_timeout(wake_ms);
     assert!(!dialled(&mut link).is_empty());
@@ -389,7 +389,7 @@
     }
     let mut now_ms = NOW_MS;
     let dials = loop {
-        now_ms = link.next_timeout_ms(now_ms).expect("something is due");
+        now_ms = link.next_timeout_ms(now_ms).expect("a timeout is due");
         link.handle_timeout(now_ms);
         let dials = dialled(&mut link);
         if !dials.is_empty() {
@@ -424,7 +424,7 @@
         now_ms = link
             .next_timeout_ms(now_ms)
             .filter(|due_ms| *due_ms > now_ms)
-            .expect("a later time");
+            .expect("something is due later");
         link.handle_timeout(now_ms);
     }
     assert_eq!(now_ms, NOW_MS + HEAD_TIMEOUT_MS);
@@ -433,14 +433,14 @@
     let mut dials = Vec::new();
     while !dials.iter().any(|dial: &Dial| dial.address == head) {
         assert!(now_ms < NOW_MS + 2 * HEAD_TIMEOUT_MS);
-        now_ms = link.next_timeout_ms(now_ms).expect("a later try");
+        now_ms = link.next_timeout_ms(now_ms).expect("another dial is due");
         link.handle_timeout(now_ms);
         dials = dialled(&mut link);
     }
     let reconnected = dials
         .iter()
         .find(|dial| dial.address == head)
-        .expect("a new connection")
+        .expect("the head was dialled again")
         .link;
     link.handle_connected(now_ms, reconnected);
     link.handle_welcome(now_ms, reconnected, &welcome(5, Some(1), true));
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -41,7 +41,7 @@
 fn answer_of(effect: CallEffect) -> Answer {
     match effect {
         CallEffect::Answer(_, answer) => answer,
-        CallEffect::Send(frame) => panic!("an answer is expected, not {frame:?}"),
+        CallEffect::Send(frame) => panic!("expected an answer, got {frame:?}"),
     }
 }
 
@@ -99,7 +99,7 @@
 #[case(Some("0"), 3_000)]
 #[case(Some("soon"), 3_000)]
 fn the_deadline_is_read(#[case] header: Option<&str>, #[case] client_timeout_ms: u64) {
-    let read = parse_request(Method::Get, header, b"").expect("a call");
+    let read = parse_request(Method::Get, header, b"").expect("the request is valid");
     assert_eq!(
         (read.operation, read.client_timeout_ms),
         (ClientOperation::Get, client_timeout_ms)
@@ -109,21 +109,21 @@
 #[test]
 fn a_valid_job_is_parsed_and_an_invalid_one_rejected() {
     let body = br#"{"spec":"text","stages":[{"count":4,"cpu":500,"mem_mb":256}]}"#;
-    let read = parse_request(Method::Post, None, body).expect("a job");
+    let read = parse_request(Method::Post, None, body).expect("the job is valid");
     assert!(matches!(read.operation, ClientOperation::Submit(job) if job.stages[0].count == 4));
     assert_eq!(
         parse_request(Method::Post, None, b"{")
-            .expect_err("no job")
+            .expect_err("an invalid job is rejected")
             .status,
         400
     );
     assert_eq!(
         parse_request(Method::Other, None, b"")
-            .expect_err("no method")
+            .expect_err("another method is rejected")
             .status,
         405
     );
-    let read = parse_request(Method::Delete, None, b"").expect("a call");
+    let read = parse_request(Method::Delete, None, b"").expect("the request is valid");
     assert_eq!(read.operation, ClientOperation::Cancel);
 }
 
@@ -176,7 +176,7 @@
     assert!(calls.handle_timeout(end_ms - 1).is_empty());
     let effects = calls.handle_timeout(end_ms);
     assert_eq!(
-        answer_of(effects.into_iter().next().expect("an answer")).status,
+        answer_of(effects.into_iter().next().expect("the call is answered")).status,
         status
     );
     assert!(calls.is_empty());
@@ -194,7 +194,7 @@
     );
     let effects = calls.handle_timeout(NOW_MS + 50 + LIMITS.orphan_ms);
     assert_eq!(
-        answer_of(effects.into_iter().next().expect("an answer")).status,
+        answer_of(effects.into_iter().next().expect("the call is answered")).status,
         504
     );
 }
@@ -277,7 +277,7 @@
 fn a_liveness_probe_answers_no_client() {
     let mut calls = calls();
     let Frame::Call(probe) = liveness_probe() else {
-        panic!("a call is expected")
+        panic!("the liveness probe must be a call")
     };
     let id = begin(&mut calls, submit()).id;
     assert_ne!(probe.call, id.0);
--- a/crates/data-plane/tests/processes.rs
+++ b/crates/data-plane/tests/processes.rs
@@ -84,10 +84,10 @@
 
 #[test]
 fn a_node_agent_forwards_a_start_to_its_worker() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
     let agent = free_address();
     let addresses = format!("control_plane = \"{agent}\"");
-    let head_address = listener.local_addr().expect("an address");
+    let head_address = listener.local_addr().expect("the listener has an address");
     let mut program = Program::start("side", head_address, &addresses);
     let mut head = Head::accept(&listener);
     program.wait_for_log("connected to the head");
@@ -111,11 +111,11 @@
 }
 
 fn run_with(settings: &str) -> Output {
-    let file = tempfile::NamedTempFile::new().expect("a file");
-    fs::write(file.path(), settings).expect("written");
+    let file = tempfile::NamedTempFile::new().expect("a temporary file is created");
+    fs::write(file.path(), settings).expect("the settings are written");
     Program::command(file.path().as_os_str())
         .output()
-        .expect("the program")
+        .expect("the program runs")
 }
 
 #[test]
@@ -137,7 +137,7 @@
         let output = Program::command("".as_ref())
             .arg(argument)
             .output()
-            .expect("the program");
+            .expect("the program runs");
         assert!(output.status.success());
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
