--- a/crates/data-plane/src/core_link.rs
+++ b/crates/data-plane/src/core_link.rs
@@ -8,7 +8,7 @@
 mod head_hint;
 mod search;
 
-pub use action::{LinkAction, LinkId};
+pub use action::{ConnectionId, LinkAction};
 pub use attachment::{HEAD_TIMEOUT_MS, IDLE_PROBE_MS, SUSPICION_TIMEOUT_MS};
 pub use candidates::{BACKOFF_MAX_MS, BACKOFF_MIN_MS};
 pub use search::{CONNECT_TIMEOUT_MS, GREETING_TIMEOUT_MS, LISTEN_MS, SEARCH_CONNECTIONS_MAX};
@@ -69,8 +69,8 @@
     }
 
     /// The connection to the acting head; `None` while no acting head is known.
-    pub fn attached(&self) -> Option<LinkId> {
-        self.attachment.as_ref().map(Attachment::link)
+    pub fn attached(&self) -> Option<ConnectionId> {
+        self.attachment.as_ref().map(Attachment::connection)
     }
 
     /// The acting head; `None` while none is known.
@@ -103,29 +103,32 @@
     }
 
     /// Whether this connection is still in use.
-    pub fn is_in_use(&self, link: LinkId) -> bool {
-        self.attached() == Some(link) || self.search.contains(link)
+    pub fn is_in_use(&self, connection: ConnectionId) -> bool {
+        self.attached() == Some(connection) || self.search.contains(connection)
     }
 
     /// Handles an opened connection on which the greeting was sent.
-    pub fn handle_connected(&mut self, now_ms: u64, link: LinkId) {
-        self.search.handle_connected(now_ms, link);
+    pub fn handle_connected(&mut self, now_ms: u64, connection: ConnectionId) {
+        self.search.handle_connected(now_ms, connection);
     }
 
     /// Handles a connection that could not be opened or has ended.
-    pub fn handle_disconnected(&mut self, now_ms: u64, link: LinkId) {
-        if let Some(lost) = self.attachment.take_if(|head| head.link() == link) {
+    pub fn handle_disconnected(&mut self, now_ms: u64, connection: ConnectionId) {
+        if let Some(lost) = self
+            .attachment
+            .take_if(|head| head.connection() == connection)
+        {
             self.candidates.back_off(lost.address(), now_ms);
             self.actions.push(LinkAction::Detached);
         }
-        if let Some(failed) = self.search.remove(link) {
+        if let Some(failed) = self.search.remove(connection) {
             self.candidates.back_off(failed.address, now_ms);
         }
         self.handle_timeout(now_ms);
     }
 
     /// Handles a welcome, in which a member names the view, head and members that it knows.
-    pub fn handle_welcome(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
+    pub fn handle_welcome(&mut self, now_ms: u64, connection: ConnectionId, welcome: &Welcome) {
         let named = welcome.members.iter().chain(&welcome.head);
         let addresses: Vec<SocketAddr> = named.map(|member| member.internal).collect();
         self.candidates.set_members(&addresses);
@@ -135,18 +138,18 @@
             let hanging = self.search.remove_dialling(address);
             self.close_all(hanging);
         }
-        if self.attached() == Some(link) {
+        if self.attached() == Some(connection) {
             self.handle_head_welcome(now_ms, welcome);
-        } else if self.search.contains(link) {
-            self.handle_search_welcome(now_ms, link, welcome);
+        } else if self.search.contains(connection) {
+            self.handle_search_welcome(now_ms, connection, welcome);
         }
         self.handle_timeout(now_ms);
     }
 
     /// Handles any frame received on this connection.
-    pub fn handle_frame(&mut self, now_ms: u64, link: LinkId) {
+    pub fn handle_frame(&mut self, now_ms: u64, connection: ConnectionId) {
         let attachment = self.attachment.as_mut();
-        if let Some(attachment) = attachment.filter(|head| head.link() == link) {
+        if let Some(attachment) = attachment.filter(|head| head.connection() == connection) {
             attachment.handle_frame(now_ms);
         }
     }
@@ -220,7 +223,7 @@
         self.hint.forget(lost.address());
         self.candidates.back_off(lost.address(), now_ms);
         self.actions.push(LinkAction::Detached);
-        self.actions.push(LinkAction::Close(lost.link()));
+        self.actions.push(LinkAction::Close(lost.connection()));
     }
 
     /// Probes a head that has been idle; it is not probed again until it has sent a frame.
@@ -228,7 +231,8 @@
         if let Some(attachment) = &mut self.attachment
             && attachment.poll_probe(now_ms)
         {
-            self.actions.push(LinkAction::ProbeHead(attachment.link()));
+            self.actions
+                .push(LinkAction::ProbeHead(attachment.connection()));
         }
     }
 
@@ -240,43 +244,44 @@
                 attachment.handle_welcome(welcome);
             }
         } else if let Some(former) = self.attachment.take() {
-            self.search.listen(now_ms, former.link(), former.address());
+            self.search
+                .listen(now_ms, former.connection(), former.address());
             self.actions.push(LinkAction::Detached);
         }
     }
 
     /// Handles a welcome on a connection of the search; attaches to its member if that is the acting head of a view
     /// newer than the attached head's.
-    fn handle_search_welcome(&mut self, now_ms: u64, link: LinkId, welcome: &Welcome) {
+    fn handle_search_welcome(&mut self, now_ms: u64, connection: ConnectionId, welcome: &Welcome) {
         let known_view = self.attachment.as_ref().map(Attachment::view);
         let is_newer_head = welcome.acting && known_view.is_none_or(|view| view < welcome.view);
         if !is_newer_head {
-            self.search.handle_welcome(now_ms, link);
-        } else if let Some(found) = self.search.remove(link) {
+            self.search.handle_welcome(now_ms, connection);
+        } else if let Some(found) = self.search.remove(connection) {
             self.attach(now_ms, found, welcome);
         }
     }
 
     fn attach(&mut self, now_ms: u64, found: RemovedConnection, welcome: &Welcome) {
-        let attachment = Attachment::new(now_ms, found.link, found.address, welcome);
+        let attachment = Attachment::new(now_ms, found.id, found.address, welcome);
         if let Some(former) = self.attachment.replace(attachment) {
             self.actions.push(LinkAction::Detached);
-            self.actions.push(LinkAction::Close(former.link()));
+            self.actions.push(LinkAction::Close(former.connection()));
         }
-        self.actions.push(LinkAction::Attached(found.link));
+        self.actions.push(LinkAction::Attached(found.id));
     }
 
     fn close_expired(&mut self, now_ms: u64) {
         for expired in self.search.remove_expired(now_ms) {
             self.candidates.back_off(expired.address, now_ms);
-            self.actions.push(LinkAction::Close(expired.link));
+            self.actions.push(LinkAction::Close(expired.id));
         }
     }
 
     fn close_all(&mut self, removed: Vec<RemovedConnection>) {
         let closes = removed
             .into_iter()
-            .map(|removed| LinkAction::Close(removed.link));
+            .map(|removed| LinkAction::Close(removed.id));
         self.actions.extend(closes);
     }
 
@@ -292,8 +297,11 @@
     }
 
     fn dial(&mut self, now_ms: u64, address: SocketAddr) {
-        let link = self.search.dial(now_ms, address);
-        self.actions.push(LinkAction::Dial { link, address });
+        let connection = self.search.dial(now_ms, address);
+        self.actions.push(LinkAction::Dial {
+            connection,
+            address,
+        });
     }
 
     fn addresses_in_use(&self) -> Vec<SocketAddr> {
--- a/crates/data-plane/src/core_link/attachment.rs
+++ b/crates/data-plane/src/core_link/attachment.rs
@@ -1,6 +1,6 @@
 //! The connection to the acting head, and the detection of a head that no longer responds.
 
-use super::action::LinkId;
+use super::action::ConnectionId;
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::Welcome;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 /// The connection to the acting head.
 #[derive(Debug)]
 pub(super) struct Attachment {
-    link: LinkId,
+    connection: ConnectionId,
     address: SocketAddr,
     view: u64,
     config_version: u64,
@@ -30,9 +30,14 @@
 
 impl Attachment {
     /// Creates the attachment to the member at `address`, whose welcome says that it is the acting head.
-    pub(super) fn new(now_ms: u64, link: LinkId, address: SocketAddr, welcome: &Welcome) -> Self {
+    pub(super) fn new(
+        now_ms: u64,
+        connection: ConnectionId,
+        address: SocketAddr,
+        welcome: &Welcome,
+    ) -> Self {
         Attachment {
-            link,
+            connection,
             address,
             view: welcome.view,
             config_version: welcome.config_version,
@@ -44,8 +49,8 @@
     }
 
     /// Number of the connection.
-    pub(super) fn link(&self) -> LinkId {
-        self.link
+    pub(super) fn connection(&self) -> ConnectionId {
+        self.connection
     }
 
     /// Address of the head.
--- a/crates/data-plane/src/core_link/search.rs
+++ b/crates/data-plane/src/core_link/search.rs
@@ -1,6 +1,6 @@
 //! The search for the acting head: connections to members that are not known to be the acting head.
 
-use super::action::LinkId;
+use super::action::ConnectionId;
 use std::net::SocketAddr;
 
 /// A connection that does not open within this time is given up.
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct SearchConnection {
-    link: LinkId,
+    id: ConnectionId,
     address: SocketAddr,
     stage: Stage,
     /// Time at which the connection is given up unless it reaches the next stage or a welcome arrives.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RemovedConnection {
     /// Number of the connection.
-    pub link: LinkId,
+    pub id: ConnectionId,
     /// Address of the member.
     pub address: SocketAddr,
 }
@@ -44,7 +44,7 @@
 impl From<SearchConnection> for RemovedConnection {
     fn from(connection: SearchConnection) -> Self {
         RemovedConnection {
-            link: connection.link,
+            id: connection.id,
             address: connection.address,
         }
     }
@@ -54,15 +54,15 @@
 #[derive(Debug, Default)]
 pub(super) struct Search {
     connections: Vec<SearchConnection>,
-    last_link: u64,
+    last_id: u64,
 }
 
 impl Search {
     /// Whether this connection belongs to the search.
-    pub(super) fn contains(&self, link: LinkId) -> bool {
+    pub(super) fn contains(&self, id: ConnectionId) -> bool {
         self.connections
             .iter()
-            .any(|connection| connection.link == link)
+            .any(|connection| connection.id == id)
     }
 
     /// Whether [`SEARCH_CONNECTIONS_MAX`] is reached, so that no further candidate is to be dialled.
@@ -76,22 +76,22 @@
     }
 
     /// Adds a connection that is about to be opened, and returns its number.
-    pub(super) fn dial(&mut self, now_ms: u64, address: SocketAddr) -> LinkId {
-        self.last_link += 1;
-        let link = LinkId(self.last_link);
+    pub(super) fn dial(&mut self, now_ms: u64, address: SocketAddr) -> ConnectionId {
+        self.last_id += 1;
+        let id = ConnectionId(self.last_id);
         self.connections.push(SearchConnection {
-            link,
+            id,
             address,
             stage: Stage::Dialling,
             until_ms: now_ms + CONNECT_TIMEOUT_MS,
         });
-        link
+        id
     }
 
     /// Adds an open connection to a member that is no longer the acting head.
-    pub(super) fn listen(&mut self, now_ms: u64, link: LinkId, address: SocketAddr) {
+    pub(super) fn listen(&mut self, now_ms: u64, id: ConnectionId, address: SocketAddr) {
         self.connections.push(SearchConnection {
-            link,
+            id,
             address,
             stage: Stage::Listening,
             until_ms: now_ms + LISTEN_MS,
@@ -99,22 +99,22 @@
     }
 
     /// Handles an opened connection on which the greeting was sent.
-    pub(super) fn handle_connected(&mut self, now_ms: u64, link: LinkId) {
-        self.advance(link, Stage::Greeting, now_ms + GREETING_TIMEOUT_MS);
+    pub(super) fn handle_connected(&mut self, now_ms: u64, id: ConnectionId) {
+        self.advance(id, Stage::Greeting, now_ms + GREETING_TIMEOUT_MS);
     }
 
     /// Handles a welcome of a member that is not the acting head of a newer view; its connection stays open for another
     /// [`LISTEN_MS`].
-    pub(super) fn handle_welcome(&mut self, now_ms: u64, link: LinkId) {
-        self.advance(link, Stage::Listening, now_ms + LISTEN_MS);
+    pub(super) fn handle_welcome(&mut self, now_ms: u64, id: ConnectionId) {
+        self.advance(id, Stage::Listening, now_ms + LISTEN_MS);
     }
 
     /// Removes a connection; `None` if it does not belong to the search.
-    pub(super) fn remove(&mut self, link: LinkId) -> Option<RemovedConnection> {
+    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<RemovedConnection> {
         let index = self
             .connections
             .iter()
-            .position(|connection| connection.link == link)?;
+            .position(|connection| connection.id == id)?;
         Some(self.connections.swap_remove(index).into())
     }
 
@@ -143,9 +143,9 @@
             .min()
     }
 
-    fn advance(&mut self, link: LinkId, stage: Stage, until_ms: u64) {
+    fn advance(&mut self, id: ConnectionId, stage: Stage, until_ms: u64) {
         let mut connections = self.connections.iter_mut();
-        if let Some(connection) = connections.find(|connection| connection.link == link) {
+        if let Some(connection) = connections.find(|connection| connection.id == id) {
             connection.stage = stage;
             connection.until_ms = until_ms;
         }
--- a/crates/data-plane/src/serve/role_process.rs
+++ b/crates/data-plane/src/serve/role_process.rs
@@ -2,7 +2,7 @@
 
 use super::role::{HeadStatus, Role};
 use super::timer::Timer;
-use crate::core_link::{CONNECT_TIMEOUT_MS, CoreLink, Head, LinkAction, LinkId};
+use crate::core_link::{CONNECT_TIMEOUT_MS, ConnectionId, CoreLink, Head, LinkAction};
 use indigofold_net::framed::{self, FrameSender};
 use indigofold_net::{NetError, runtime, steady_ms};
 use indigofold_protocol::internal::{Frame, Hello, ProcessKind};
@@ -19,7 +19,7 @@
     /// The greeting sent on each new connection.
     hello: Hello,
     /// The sending halves of the open connections.
-    senders: HashMap<LinkId, FrameSender>,
+    senders: HashMap<ConnectionId, FrameSender>,
 }
 
 /// A role and its link to the core; clones share the same state.
@@ -111,9 +111,12 @@
         state.link.handle_timeout(now_ms);
         for action in state.link.poll_actions() {
             match action {
-                LinkAction::Dial { link, address } => self.dial(link, address),
-                LinkAction::ProbeHead(link) => state.probe_head(link),
-                LinkAction::Close(link) => state.close(link),
+                LinkAction::Dial {
+                    connection,
+                    address,
+                } => self.dial(connection, address),
+                LinkAction::ProbeHead(connection) => state.probe_head(connection),
+                LinkAction::Close(connection) => state.close(connection),
                 LinkAction::Attached(_) => state.handle_attached(now_ms),
                 LinkAction::Detached => state.handle_detached(now_ms),
             }
@@ -127,52 +130,59 @@
             .min()
     }
 
-    fn dial(&self, link: LinkId, address: SocketAddr) {
+    fn dial(&self, connection: ConnectionId, address: SocketAddr) {
         let node = self.clone();
         runtime::spawn(async move {
-            if let Err(error) = node.run_connection(link, address).await {
+            if let Err(error) = node.run_connection(connection, address).await {
                 log::debug!("connection to a core member failed: {error} address={address}");
             }
             let mut state = node.updated_state();
-            state.senders.remove(&link);
-            state.link.handle_disconnected(steady_ms(), link);
+            state.senders.remove(&connection);
+            state.link.handle_disconnected(steady_ms(), connection);
             drop(state);
             node.advance();
         });
     }
 
     /// Opens a connection, greets the member, and handles its frames until the connection ends.
-    async fn run_connection(&self, link: LinkId, address: SocketAddr) -> Result<(), NetError> {
-        let connection =
-            framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
-        if !self.greet(link, connection.sender) {
+    async fn run_connection(
+        &self,
+        connection: ConnectionId,
+        address: SocketAddr,
+    ) -> Result<(), NetError> {
+        let opened = framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
+        if !self.greet(connection, opened.sender) {
             return Ok(());
         }
-        let mut reader = connection.reader;
+        let mut reader = opened.reader;
         while let Some(frame) = reader.next().await? {
-            self.handle_frame(link, frame);
+            self.handle_frame(connection, frame);
         }
         Ok(())
     }
 
     /// Sends the greeting on a new connection. Returns `false` if the connection is closed or no longer in use.
-    fn greet(&self, link: LinkId, sender: FrameSender) -> bool {
+    fn greet(&self, connection: ConnectionId, sender: FrameSender) -> bool {
         let mut state = self.state.borrow_mut();
-        if !state.link.is_in_use(link) || sender.send(&Frame::Hello(state.hello.clone())).is_err() {
+        if !state.link.is_in_use(connection)
+            || sender.send(&Frame::Hello(state.hello.clone())).is_err()
+        {
             return false;
         }
-        state.senders.insert(link, sender);
-        state.link.handle_connected(steady_ms(), link);
+        state.senders.insert(connection, sender);
+        state.link.handle_connected(steady_ms(), connection);
         true
     }
 
-    fn handle_frame(&self, link: LinkId, frame: Frame) {
+    fn handle_frame(&self, connection: ConnectionId, frame: Frame) {
         let now_ms = steady_ms();
         let mut state = self.updated_state();
-        state.link.handle_frame(now_ms, link);
+        state.link.handle_frame(now_ms, connection);
         match frame {
-            Frame::Welcome(welcome) => state.link.handle_welcome(now_ms, link, &welcome),
-            frame if state.link.attached() == Some(link) => state.role.handle_frame(now_ms, frame),
+            Frame::Welcome(welcome) => state.link.handle_welcome(now_ms, connection, &welcome),
+            frame if state.link.attached() == Some(connection) => {
+                state.role.handle_frame(now_ms, frame);
+            }
             _ => {}
         }
         if state.role.awaits_reply() {
@@ -207,7 +217,7 @@
         let Some(sender) = self
             .link
             .attached()
-            .and_then(|link| self.senders.get(&link))
+            .and_then(|connection| self.senders.get(&connection))
         else {
             return;
         };
@@ -220,14 +230,16 @@
     }
 
     /// Sends a liveness probe to the head. A closed connection is handled by its reader.
-    fn probe_head(&self, link: LinkId) {
-        if let (Some(sender), Some(frame)) = (self.senders.get(&link), self.role.liveness_probe()) {
+    fn probe_head(&self, connection: ConnectionId) {
+        if let (Some(sender), Some(frame)) =
+            (self.senders.get(&connection), self.role.liveness_probe())
+        {
             let _ = sender.send(&frame);
         }
     }
 
-    fn close(&mut self, link: LinkId) {
-        if let Some(sender) = self.senders.remove(&link) {
+    fn close(&mut self, connection: ConnectionId) {
+        if let Some(sender) = self.senders.remove(&connection) {
             sender.close();
         }
     }
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,8 +1,9 @@
 //! The link to the core: finding the acting head, staying connected to it, and finding its successor.
 
 use indigofold_data_plane::core_link::{
-    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GREETING_TIMEOUT_MS, HEAD_TIMEOUT_MS, Head,
-    IDLE_PROBE_MS, LISTEN_MS, LinkAction, LinkId, SEARCH_CONNECTIONS_MAX, SUSPICION_TIMEOUT_MS,
+    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, ConnectionId, CoreLink, GREETING_TIMEOUT_MS,
+    HEAD_TIMEOUT_MS, Head, IDLE_PROBE_MS, LISTEN_MS, LinkAction, SEARCH_CONNECTIONS_MAX,
+    SUSPICION_TIMEOUT_MS,
 };
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{MemberAddress, Welcome};
@@ -48,7 +49,7 @@
 /// A connection that the link has asked the process to open.
 #[derive(Clone, Copy, Debug)]
 struct Dial {
-    link: LinkId,
+    connection: ConnectionId,
     address: SocketAddr,
 }
 
@@ -57,7 +58,13 @@
         .poll_actions()
         .into_iter()
         .filter_map(|action| match action {
-            LinkAction::Dial { link, address } => Some(Dial { link, address }),
+            LinkAction::Dial {
+                connection,
+                address,
+            } => Some(Dial {
+                connection,
+                address,
+            }),
             _ => None,
         });
     dials.collect()
@@ -69,18 +76,21 @@
 }
 
 /// Returns a link attached to the head of view 5, its connection and the head's address.
-fn attached() -> (CoreLink, LinkId, SocketAddr) {
+fn attached() -> (CoreLink, ConnectionId, SocketAddr) {
     attach(link())
 }
 
 /// Like [`attached`], for a link that probes an idle head.
-fn attached_probing() -> (CoreLink, LinkId, SocketAddr) {
+fn attached_probing() -> (CoreLink, ConnectionId, SocketAddr) {
     attach(link().with_idle_probing())
 }
 
-fn attach(mut link: CoreLink) -> (CoreLink, LinkId, SocketAddr) {
+fn attach(mut link: CoreLink) -> (CoreLink, ConnectionId, SocketAddr) {
     link.handle_timeout(NOW_MS);
-    let Dial { link: id, address } = dialled(&mut link)[0];
+    let Dial {
+        connection: id,
+        address,
+    } = dialled(&mut link)[0];
     link.handle_connected(NOW_MS, id);
     let head_host = host(address);
     link.handle_welcome(NOW_MS, id, &welcome(5, Some(head_host), true));
@@ -94,13 +104,13 @@
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
-    link.handle_connected(NOW_MS, dials[0].link);
-    link.handle_welcome(NOW_MS, dials[0].link, &welcome(5, Some(1), true));
+    link.handle_connected(NOW_MS, dials[0].connection);
+    link.handle_welcome(NOW_MS, dials[0].connection, &welcome(5, Some(1), true));
     assert_eq!(
         link.poll_actions(),
         [
-            LinkAction::Attached(dials[0].link),
-            LinkAction::Close(dials[1].link)
+            LinkAction::Attached(dials[0].connection),
+            LinkAction::Close(dials[1].connection)
         ]
     );
     assert_eq!(
@@ -114,15 +124,15 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.handle_connected(NOW_MS, first.link);
-    link.handle_welcome(NOW_MS, first.link, &welcome(5, Some(4), false));
+    link.handle_connected(NOW_MS, first.connection);
+    link.handle_welcome(NOW_MS, first.connection, &welcome(5, Some(4), false));
     let dials = dialled(&mut link);
     assert_eq!(
         dials.iter().map(|dial| dial.address).collect::<Vec<_>>(),
         [address(4)]
     );
-    link.handle_connected(NOW_MS, dials[0].link);
-    link.handle_welcome(NOW_MS, dials[0].link, &welcome(5, Some(4), true));
+    link.handle_connected(NOW_MS, dials[0].connection);
+    link.handle_welcome(NOW_MS, dials[0].connection, &welcome(5, Some(4), true));
     assert_eq!(
         link.head(),
         Some(Head {
@@ -137,12 +147,12 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.handle_disconnected(NOW_MS, dials[0].link);
+    link.handle_disconnected(NOW_MS, dials[0].connection);
     let next = dialled(&mut link);
     assert_eq!(next.len(), 1);
     assert!(dials.iter().all(|dial| dial.address != next[0].address));
-    link.handle_disconnected(NOW_MS, next[0].link);
-    link.handle_disconnected(NOW_MS, dials[1].link);
+    link.handle_disconnected(NOW_MS, next[0].connection);
+    link.handle_disconnected(NOW_MS, dials[1].connection);
     assert!(dialled(&mut link).is_empty());
     let wake_ms = link.next_timeout_ms(NOW_MS).expect("another dial is due");
     assert!(wake_ms > NOW_MS && wake_ms <= NOW_MS + BACKOFF_MAX_MS);
@@ -158,17 +168,17 @@
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     let Dial {
-        link: failed,
+        connection: failed,
         address: failed_address,
     } = dials[0];
     link.handle_disconnected(NOW_MS, failed);
     let others = dialled(&mut link);
     assert!(others.iter().all(|dial| dial.address != failed_address));
     let head_host = host(failed_address);
-    link.handle_connected(NOW_MS, dials[1].link);
+    link.handle_connected(NOW_MS, dials[1].connection);
     link.handle_welcome(
         NOW_MS + 1,
-        dials[1].link,
+        dials[1].connection,
         &welcome(6, Some(head_host), false),
     );
     assert_eq!(
@@ -185,14 +195,14 @@
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     let Dial {
-        link: hanging,
+        connection: hanging,
         address,
     } = dials[0];
     let head_host = host(address);
-    link.handle_connected(NOW_MS, dials[1].link);
+    link.handle_connected(NOW_MS, dials[1].connection);
     link.handle_welcome(
         NOW_MS + 1,
-        dials[1].link,
+        dials[1].connection,
         &welcome(6, Some(head_host), false),
     );
     let actions = link.poll_actions();
@@ -209,17 +219,17 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.handle_connected(NOW_MS + 10, dials[0].link);
+    link.handle_connected(NOW_MS + 10, dials[0].connection);
     link.handle_timeout(NOW_MS + CONNECT_TIMEOUT_MS);
     assert!(
         link.poll_actions()
-            .contains(&LinkAction::Close(dials[1].link))
+            .contains(&LinkAction::Close(dials[1].connection))
     );
-    assert!(link.is_in_use(dials[0].link) && !link.is_in_use(dials[1].link));
+    assert!(link.is_in_use(dials[0].connection) && !link.is_in_use(dials[1].connection));
     link.handle_timeout(NOW_MS + 10 + GREETING_TIMEOUT_MS);
     assert!(
         link.poll_actions()
-            .contains(&LinkAction::Close(dials[0].link))
+            .contains(&LinkAction::Close(dials[0].connection))
     );
 }
 
@@ -228,16 +238,16 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.handle_connected(NOW_MS, first.link);
-    link.handle_welcome(NOW_MS, first.link, &welcome(5, None, false));
+    link.handle_connected(NOW_MS, first.connection);
+    link.handle_welcome(NOW_MS, first.connection, &welcome(5, None, false));
     link.handle_timeout(NOW_MS + LISTEN_MS - 1);
-    assert!(link.is_in_use(first.link));
+    assert!(link.is_in_use(first.connection));
     link.handle_welcome(
         NOW_MS + LISTEN_MS - 1,
-        first.link,
+        first.connection,
         &welcome(6, Some(1), true),
     );
-    assert_eq!(link.attached(), Some(first.link));
+    assert_eq!(link.attached(), Some(first.connection));
 }
 
 #[test]
@@ -302,15 +312,15 @@
     let now_ms = NOW_MS + SUSPICION_TIMEOUT_MS;
     link.handle_timeout(now_ms);
     let dials = dialled(&mut link);
-    link.handle_connected(now_ms, dials[0].link);
-    link.handle_welcome(now_ms, dials[0].link, &welcome(5, Some(4), true));
+    link.handle_connected(now_ms, dials[0].connection);
+    link.handle_welcome(now_ms, dials[0].connection, &welcome(5, Some(4), true));
     assert_eq!(link.attached(), Some(id));
-    link.handle_welcome(now_ms, dials[0].link, &welcome(6, Some(4), true));
-    assert_eq!(link.attached(), Some(dials[0].link));
+    link.handle_welcome(now_ms, dials[0].connection, &welcome(6, Some(4), true));
+    assert_eq!(link.attached(), Some(dials[0].connection));
     let actions = link.poll_actions();
     assert!(
         position(&actions, &LinkAction::Detached)
-            < position(&actions, &LinkAction::Attached(dials[0].link))
+            < position(&actions, &LinkAction::Attached(dials[0].connection))
     );
     assert!(actions.contains(&LinkAction::Close(id)));
 }
@@ -399,8 +409,8 @@
     assert_eq!(now_ms, NOW_MS + noticed_ms);
     assert!(dials.len() == SEARCH_CONNECTIONS_MAX && dials.iter().all(|dial| dial.address != head));
     assert_eq!(link.attached(), Some(id));
-    link.handle_connected(now_ms, dials[0].link);
-    link.handle_welcome(now_ms, dials[0].link, &welcome(6, Some(4), true));
+    link.handle_connected(now_ms, dials[0].connection);
+    link.handle_welcome(now_ms, dials[0].connection, &welcome(6, Some(4), true));
     assert_eq!(
         link.head(),
         Some(Head {
@@ -441,7 +451,7 @@
         .iter()
         .find(|dial| dial.address == head)
         .expect("the head was dialled again")
-        .link;
+        .connection;
     link.handle_connected(now_ms, reconnected);
     link.handle_welcome(now_ms, reconnected, &welcome(5, Some(1), true));
     assert_eq!(link.attached(), Some(reconnected));
