--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -3,13 +3,13 @@
 //! reading of the machine's monotonic clock in milliseconds.
 
 mod closed_runs;
+mod connection_updates;
 mod former_instances;
 mod heartbeat_interval;
 mod lease_authority;
 mod report_schedule;
 mod reported_runs;
 mod run_table;
-mod unreported;
 mod wire_runs;
 mod worker_instance;
 
@@ -18,9 +18,10 @@
 pub use heartbeat_interval::{BUSY_HEARTBEAT_MS, IDLE_HEARTBEAT_MS, RECENT_ORDER_MS};
 pub use lease_authority::expires_by_ms;
 pub use report_schedule::{REPORT_INTERVAL_MS, REPORT_SPACING_MS};
-pub use reported_runs::PERCENT_INTERVAL_MS;
-pub use run_table::{INCOMPATIBLE_MS, SEND_ATTEMPTS_MAX, STARTS_PER_REPLY_MAX};
+pub use reported_runs::PROGRESS_INTERVAL_MS;
+pub use run_table::{CAPACITY_WAIT_MS, SEND_ATTEMPTS_MAX, STARTS_PER_REPLY_MAX};
 
+use connection_updates::ConnectionUpdates;
 use former_instances::FormerInstances;
 use heartbeat_interval::HeartbeatInterval;
 use indigofold_protocol::internal::{AgentOrders, AgentReport};
@@ -29,7 +30,6 @@
 use lease_authority::LeaseAuthority;
 use report_schedule::ReportSchedule;
 use reported_runs::ReportedRuns;
-use unreported::Unreported;
 use wire_runs::{start_entries, stop_entries};
 use worker_instance::WorkerInstance;
 
@@ -95,7 +95,7 @@
     instance: Option<WorkerInstance>,
     former: FormerInstances,
     /// Starts that will never be carried out.
-    not_started: Unreported<RunId>,
+    not_started: ConnectionUpdates<RunId>,
     heartbeat_interval: HeartbeatInterval,
     schedule: ReportSchedule,
     reported_runs: ReportedRuns,
@@ -112,7 +112,7 @@
             epoch: 0,
             instance: None,
             former: FormerInstances::new(now_ms),
-            not_started: Unreported::new(NOT_STARTED_MAX),
+            not_started: ConnectionUpdates::new(NOT_STARTED_MAX),
             heartbeat_interval: HeartbeatInterval::default(),
             schedule: ReportSchedule::new(now_ms),
             reported_runs: ReportedRuns::default(),
@@ -131,7 +131,7 @@
         if !self.admit(now_ms, id, &heartbeat) {
             return None;
         }
-        self.check_authority(now_ms);
+        self.enforce_authority(now_ms);
         let instance = self.instance.as_mut()?;
         let seq_no = heartbeat.seq_no;
         let changes = instance.handle_heartbeat(now_ms, heartbeat);
@@ -147,7 +147,7 @@
     /// Returns the reply to the accepted heartbeat `seq_no`. A heartbeat that a newer one has superseded gets no
     /// orders.
     pub fn poll_heartbeat_reply(&mut self, now_ms: u64, id: &str, seq_no: u64) -> HeartbeatOutcome {
-        self.check_authority(now_ms);
+        self.enforce_authority(now_ms);
         let newest = self
             .instance
             .as_mut()
@@ -181,9 +181,9 @@
     /// runs: it ends after the worker has listed the end of each run and the head has acknowledged these ends, or when
     /// its leases expire.
     pub fn handle_deregistration(&mut self, id: &str) {
-        let present = self.instance.as_mut();
+        let current = self.instance.as_mut();
         let Some(instance) =
-            present.filter(|instance| instance.id() == id && !instance.is_deregistered())
+            current.filter(|instance| instance.id() == id && !instance.is_deregistered())
         else {
             return;
         };
@@ -207,14 +207,14 @@
             return;
         }
         self.epoch = orders.epoch;
-        self.check_authority(now_ms);
+        self.enforce_authority(now_ms);
         if let Some(echo_ms) = orders.echo_sent_ms {
             self.handle_echo(echo_ms);
         }
-        let present = self.instance.as_mut();
-        let Some(instance) = present.filter(|instance| instance.id() == orders.instance) else {
-            let has_present = self.instance.is_some();
-            let changed = self.former.handle_unknown(orders.instance, has_present);
+        let current = self.instance.as_mut();
+        let Some(instance) = current.filter(|instance| instance.id() == orders.instance) else {
+            let has_current = self.instance.is_some();
+            let changed = self.former.handle_unknown(orders.instance, has_current);
             self.schedule.expedite_if(changed);
             return;
         };
@@ -238,7 +238,7 @@
     pub fn handle_connected(&mut self) {
         self.schedule.handle_connected();
         self.reported_runs.reset();
-        self.former.reports().handle_connected();
+        self.former.ended_updates().handle_connected();
         self.not_started.handle_connected();
     }
 
@@ -275,8 +275,8 @@
         if self.former.is_closed(id) {
             return false;
         }
-        let present = self.instance.as_ref();
-        if present.is_some_and(|instance| instance.id() != id) {
+        let current = self.instance.as_ref();
+        if current.is_some_and(|instance| instance.id() != id) {
             self.end_instance();
         }
         let id = id.to_owned();
@@ -295,7 +295,7 @@
                 self.events.push(AgentEvent::Registered { instance });
             }
         }
-        self.former.handle_present(&id);
+        self.former.handle_registered(&id);
         self.schedule.expedite_if(true);
         self.reported_runs.reset();
         self.heartbeat_interval.handle_activity(now_ms);
@@ -313,8 +313,8 @@
 
     /// Ends a deregistered instance that has no runs left and whose ends the head has all acknowledged.
     fn end_if_finished(&mut self) {
-        let present = self.instance.as_ref();
-        if present.is_some_and(WorkerInstance::is_finished) {
+        let current = self.instance.as_ref();
+        if current.is_some_and(WorkerInstance::is_finished) {
             self.end_instance();
         }
     }
@@ -333,7 +333,7 @@
 
     /// Withdraws all starts that the worker has not listed yet if the lease authority has expired: a head that received
     /// no reports from this agent may have started these runs elsewhere.
-    fn check_authority(&mut self, now_ms: u64) {
+    fn enforce_authority(&mut self, now_ms: u64) {
         if !self.authority.has_expired(now_ms) {
             return;
         }
@@ -347,8 +347,8 @@
     fn expire_unresponsive(&mut self, now_ms: u64) {
         let changed = self.former.expire_unknown(now_ms);
         self.schedule.expedite_if(changed);
-        let present = self.instance.as_mut();
-        let Some(instance) = present.filter(|instance| instance.is_expiry_due(now_ms)) else {
+        let current = self.instance.as_mut();
+        let Some(instance) = current.filter(|instance| instance.is_expiry_due(now_ms)) else {
             return;
         };
         let id = instance.id().to_owned();
@@ -367,8 +367,8 @@
     fn report(&mut self, now_ms: u64) -> AgentReport {
         self.schedule.handle_report_sent(now_ms);
         self.authority.handle_report_sent(now_ms);
-        let present = self.instance.as_mut();
-        let instance = present
+        let current = self.instance.as_mut();
+        let instance = current
             .filter(|instance| !instance.is_expired())
             .map(|instance| {
                 instance.handle_report_sent(now_ms);
@@ -378,7 +378,7 @@
         AgentReport {
             sent_ms: now_ms,
             instance,
-            ended_instances: self.former.reports().take_pending(),
+            ended_instances: self.former.ended_updates().take_pending(),
             not_started: self.not_started.take_pending(),
         }
     }
--- a/crates/data-plane/src/agent/unreported.rs
+++ b/crates/data-plane/src/agent/connection_updates.rs
@@ -11,15 +11,15 @@
 
 /// Items that are reported once on each connection. Beyond the capacity the oldest items are dropped.
 #[derive(Debug)]
-pub(super) struct Unreported<T> {
+pub(super) struct ConnectionUpdates<T> {
     items: VecDeque<Item<T>>,
     capacity: usize,
 }
 
-impl<T: Clone + PartialEq> Unreported<T> {
+impl<T: Clone + PartialEq> ConnectionUpdates<T> {
     /// Creates an empty list that keeps up to `capacity` items.
     pub(super) fn new(capacity: usize) -> Self {
-        Unreported {
+        ConnectionUpdates {
             items: VecDeque::new(),
             capacity,
         }
--- a/crates/data-plane/src/agent/former_instances.rs
+++ b/crates/data-plane/src/agent/former_instances.rs
@@ -1,7 +1,7 @@
 //! Former instances of the worker: which of them have ended, and when their runs can no longer be running.
 
+use super::connection_updates::ConnectionUpdates;
 use super::lease_authority::expires_by_ms;
-use super::unreported::Unreported;
 use indigofold_protocol::internal::RUN_LEASE_MS;
 
 /// Maximum number of former instances that are remembered and reported on each new connection.
@@ -15,7 +15,7 @@
     /// Instances that were replaced or deregistered; late heartbeats from them are not read.
     closed: Vec<String>,
     /// Instances without running runs, to be reported as ended. One that returns is removed.
-    ended: Unreported<String>,
+    ended: ConnectionUpdates<String>,
     /// The instance that the head last addressed although it has sent no heartbeat to this process.
     unknown: Option<String>,
 }
@@ -27,7 +27,7 @@
         FormerInstances {
             unknown_expires_ms: expires_by_ms(started_ms, RUN_LEASE_MS),
             closed: Vec::new(),
-            ended: Unreported::new(ENDED_INSTANCES_MAX),
+            ended: ConnectionUpdates::new(ENDED_INSTANCES_MAX),
             unknown: None,
         }
     }
@@ -58,23 +58,23 @@
     }
 
     /// Handles an instance that sent its first heartbeat, or its first one after its leases expired.
-    pub(super) fn handle_present(&mut self, id: &String) {
+    pub(super) fn handle_registered(&mut self, id: &String) {
         self.ended.remove(id);
         self.unknown.take_if(|unknown| unknown == id);
     }
 
-    /// Handles orders of the head for an instance other than the current one. `has_present`: there is a current
+    /// Handles orders of the head for an instance other than the current one. `has_current`: there is a current
     /// instance, so the other one has ended. Returns whether there is something to report.
-    pub(super) fn handle_unknown(&mut self, id: String, has_present: bool) -> bool {
+    pub(super) fn handle_unknown(&mut self, id: String, has_current: bool) -> bool {
         if id.is_empty() || self.is_closed(&id) || self.is_ended(&id) {
             return false;
         }
-        if has_present {
+        if has_current {
             self.close(id);
         } else {
             self.unknown = Some(id);
         }
-        has_present
+        has_current
     }
 
     /// Marks the unknown instance as ended once its leases have expired. Returns whether there is something to report.
@@ -95,7 +95,7 @@
     }
 
     /// The list of ended instances to report.
-    pub(super) fn reports(&mut self) -> &mut Unreported<String> {
+    pub(super) fn ended_updates(&mut self) -> &mut ConnectionUpdates<String> {
         &mut self.ended
     }
 
--- a/crates/data-plane/src/agent/lease_authority.rs
+++ b/crates/data-plane/src/agent/lease_authority.rs
@@ -5,7 +5,7 @@
 
 /// Longest duration of a lease by this machine's clock, in percent of the granted duration: the worker's clock may run
 /// 2% slow (1 / 0.98 is about 102.04%, rounded up).
-const CLOCK_DRIFT_PERCENT: u64 = 103;
+const LEASE_DURATION_MAX_PERCENT: u64 = 103;
 /// Maximum time that a worker takes to kill the runs whose lease has expired.
 const EXPIRY_MARGIN_MS: u64 = 200;
 
@@ -66,5 +66,5 @@
 /// Time by this machine's clock at which a lease of `lease_ms` granted at `now_ms` has certainly expired. Workers count
 /// a lease from the time at which they sent the heartbeat, so the delay of the reply does not extend it.
 pub fn expires_by_ms(now_ms: u64, lease_ms: u64) -> u64 {
-    now_ms + lease_ms * CLOCK_DRIFT_PERCENT / 100 + EXPIRY_MARGIN_MS
+    now_ms + lease_ms * LEASE_DURATION_MAX_PERCENT / 100 + EXPIRY_MARGIN_MS
 }
--- a/crates/data-plane/src/agent/reported_runs.rs
+++ b/crates/data-plane/src/agent/reported_runs.rs
@@ -3,7 +3,7 @@
 use super::worker_instance::WorkerInstance;
 
 /// Interval at which the progress of runs is reported while nothing else about them changes.
-pub const PERCENT_INTERVAL_MS: u64 = 1_000;
+pub const PROGRESS_INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug)]
 struct ReportedRevision {
@@ -41,7 +41,7 @@
         let Some(newest) = &self.newest else {
             return false;
         };
-        let is_recent = now_ms < newest.sent_ms + PERCENT_INTERVAL_MS || instance.is_idle();
+        let is_recent = now_ms < newest.sent_ms + PROGRESS_INTERVAL_MS || instance.is_idle();
         newest.instance == instance.id() && newest.revision == instance.runs_revision() && is_recent
     }
 }
--- a/crates/data-plane/src/agent/run_table.rs
+++ b/crates/data-plane/src/agent/run_table.rs
@@ -3,10 +3,10 @@
 mod entry;
 
 pub(super) use entry::ReplyContext;
-pub use entry::{INCOMPATIBLE_MS, SEND_ATTEMPTS_MAX, STARTS_PER_REPLY_MAX};
+pub use entry::{CAPACITY_WAIT_MS, SEND_ATTEMPTS_MAX, STARTS_PER_REPLY_MAX};
 
 use super::closed_runs::{CloseReason, ClosedRuns};
-use entry::{RunEntry, StartDecision, UnlistedRun};
+use entry::{EntryOutcome, RunEntry, StartDecision};
 use indigofold_protocol::internal::{FinishedRun, RunningRun, StartOrder};
 use indigofold_protocol::job::Resources;
 use indigofold_protocol::task::RunId;
@@ -107,10 +107,10 @@
         let mut not_started = Vec::new();
         let mut ended = Vec::new();
         for (run, entry) in &mut self.entries {
-            match entry.handle_heartbeat_end(seq_no) {
-                UnlistedRun::Kept => {}
-                UnlistedRun::NeverStarted => not_started.push(*run),
-                UnlistedRun::Ended => ended.push(*run),
+            match entry.finish_heartbeat(seq_no) {
+                EntryOutcome::Kept => {}
+                EntryOutcome::NeverStarted => not_started.push(*run),
+                EntryOutcome::Ended => ended.push(*run),
             }
         }
         self.close_all(&ended, CloseReason::Ended);
@@ -155,11 +155,11 @@
 
     /// Capacity taken by runs that are running or being stopped, or that may be starting.
     fn occupied(&self) -> Resources {
-        let present = self
+        let occupying = self
             .entries
             .values()
             .filter(|entry| entry.occupies_capacity());
-        present.fold(Resources::default(), |sum, entry| {
+        occupying.fold(Resources::default(), |sum, entry| {
             sum.plus(entry.resources())
         })
     }
--- a/crates/data-plane/src/agent/run_table/entry.rs
+++ b/crates/data-plane/src/agent/run_table/entry.rs
@@ -4,7 +4,7 @@
 use indigofold_protocol::job::Resources;
 
 /// Time after which a start that does not fit the worker's free capacity is returned to the head as not started.
-pub const INCOMPATIBLE_MS: u64 = 500;
+pub const CAPACITY_WAIT_MS: u64 = 500;
 /// Number of times that a start is sent; if the worker still does not list the run, it is stopped instead.
 pub const SEND_ATTEMPTS_MAX: u32 = 10;
 /// Maximum number of starts in one reply, so that the reply stays below 4 MiB.
@@ -32,7 +32,7 @@
     Waiting {
         order: StartOrder,
         /// Since when the run has not fit the worker's free capacity; `None` if it has not been found too large.
-        incompatible_since_ms: Option<u64>,
+        over_capacity_since_ms: Option<u64>,
         send_attempts: u32,
     },
     /// The start was put into the reply to heartbeat `seq_no`, and no heartbeat has listed the run. `order` is `None`
@@ -59,7 +59,7 @@
 
 /// The state of an entry after a heartbeat was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum UnlistedRun {
+pub(super) enum EntryOutcome {
     /// The entry stays in the table.
     Kept,
     /// The start was sent and then stopped, and the run never started.
@@ -95,7 +95,7 @@
         let resources = order.resources;
         let stage = Stage::Waiting {
             order,
-            incompatible_since_ms: None,
+            over_capacity_since_ms: None,
             send_attempts: 0,
         };
         RunEntry::new(stage, resources, StopOrder::None)
@@ -165,20 +165,20 @@
     }
 
     /// Updates the entry after all lists of heartbeat `seq_no` were read.
-    pub(super) fn handle_heartbeat_end(&mut self, seq_no: u64) -> UnlistedRun {
+    pub(super) fn finish_heartbeat(&mut self, seq_no: u64) -> EntryOutcome {
         if std::mem::take(&mut self.listed) {
-            return UnlistedRun::Kept;
+            return EntryOutcome::Kept;
         }
         match (&self.stage, self.stop) {
-            (Stage::Running, _) => UnlistedRun::Ended,
+            (Stage::Running, _) => EntryOutcome::Ended,
             (Stage::Sent { .. }, StopOrder::Sent { seq_no: sent }) if sent < seq_no => {
-                UnlistedRun::NeverStarted
+                EntryOutcome::NeverStarted
             }
             (Stage::Sent { seq_no: sent, .. }, StopOrder::None) if *sent < seq_no => {
                 self.retry_start();
-                UnlistedRun::Kept
+                EntryOutcome::Kept
             }
-            (Stage::Waiting { .. } | Stage::Sent { .. }, _) => UnlistedRun::Kept,
+            (Stage::Waiting { .. } | Stage::Sent { .. }, _) => EntryOutcome::Kept,
         }
     }
 
@@ -198,7 +198,7 @@
             Some(order) if send_attempts < SEND_ATTEMPTS_MAX => {
                 self.stage = Stage::Waiting {
                     order,
-                    incompatible_since_ms: None,
+                    over_capacity_since_ms: None,
                     send_attempts,
                 };
             }
@@ -235,7 +235,7 @@
     ) -> StartDecision {
         let Stage::Waiting {
             order,
-            incompatible_since_ms,
+            over_capacity_since_ms,
             send_attempts,
         } = &mut self.stage
         else {
@@ -254,8 +254,8 @@
             return StartDecision::Send(order);
         }
         if context.ready {
-            let since_ms = *incompatible_since_ms.get_or_insert(context.now_ms);
-            if context.now_ms < since_ms.saturating_add(INCOMPATIBLE_MS) {
+            let since_ms = *over_capacity_since_ms.get_or_insert(context.now_ms);
+            if context.now_ms < since_ms.saturating_add(CAPACITY_WAIT_MS) {
                 return StartDecision::Defer;
             }
         }
--- a/crates/data-plane/src/core_link/candidates.rs
+++ b/crates/data-plane/src/core_link/candidates.rs
@@ -12,7 +12,7 @@
 struct Candidate {
     address: SocketAddr,
     /// Whether the settings list the address.
-    seed: bool,
+    is_seed: bool,
     /// End of the backoff; 0 without one.
     not_before_ms: u64,
 }
@@ -22,7 +22,7 @@
 pub(super) struct Candidates {
     known: Vec<Candidate>,
     /// Index in `known` at which the next search for an available address begins.
-    next: usize,
+    next_index: usize,
     random: Rng,
 }
 
@@ -32,11 +32,11 @@
     pub(super) fn new(seeds: &[SocketAddr], random_seed: u64) -> Self {
         let mut candidates = Candidates {
             known: Vec::new(),
-            next: 0,
+            next_index: 0,
             random: Rng::with_seed(random_seed),
         };
         candidates.set_seeds(seeds);
-        candidates.next = candidates.random.usize(..candidates.known.len().max(1));
+        candidates.next_index = candidates.random.usize(..candidates.known.len().max(1));
         candidates
     }
 
@@ -45,7 +45,7 @@
     pub(super) fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.known
             .iter_mut()
-            .for_each(|known| known.seed = seeds.contains(&known.address));
+            .for_each(|known| known.is_seed = seeds.contains(&known.address));
         seeds.iter().for_each(|seed| self.add(*seed, true));
     }
 
@@ -55,7 +55,7 @@
             return;
         }
         self.known
-            .retain(|known| known.seed || members.contains(&known.address));
+            .retain(|known| known.is_seed || members.contains(&known.address));
         members.iter().for_each(|member| self.add(*member, false));
     }
 
@@ -67,9 +67,9 @@
     ) -> Option<SocketAddr> {
         let count = self.known.len();
         for offset in 0..count {
-            let index = (self.next + offset) % count;
+            let index = (self.next_index + offset) % count;
             if self.is_available(index, now_ms, addresses_in_use) {
-                self.next = index + 1;
+                self.next_index = index + 1;
                 return Some(self.known[index].address);
             }
         }
@@ -111,11 +111,11 @@
         candidate.not_before_ms <= now_ms && !addresses_in_use.contains(&candidate.address)
     }
 
-    fn add(&mut self, address: SocketAddr, seed: bool) {
+    fn add(&mut self, address: SocketAddr, is_seed: bool) {
         if !self.known.iter().any(|known| known.address == address) {
             self.known.push(Candidate {
                 address,
-                seed,
+                is_seed,
                 not_before_ms: 0,
             });
         }
--- a/crates/data-plane/src/core_link/search.rs
+++ b/crates/data-plane/src/core_link/search.rs
@@ -100,13 +100,13 @@
 
     /// Handles an opened connection on which the greeting was sent.
     pub(super) fn handle_connected(&mut self, now_ms: u64, id: ConnectionId) {
-        self.advance(id, Stage::Greeting, now_ms + GREETING_TIMEOUT_MS);
+        self.set_stage(id, Stage::Greeting, now_ms + GREETING_TIMEOUT_MS);
     }
 
     /// Handles a welcome of a member that is not the acting head of a newer view; its connection stays open for another
     /// [`LISTEN_MS`].
     pub(super) fn handle_welcome(&mut self, now_ms: u64, id: ConnectionId) {
-        self.advance(id, Stage::Listening, now_ms + LISTEN_MS);
+        self.set_stage(id, Stage::Listening, now_ms + LISTEN_MS);
     }
 
     /// Removes a connection; `None` if it does not belong to the search.
@@ -143,7 +143,7 @@
             .min()
     }
 
-    fn advance(&mut self, id: ConnectionId, stage: Stage, until_ms: u64) {
+    fn set_stage(&mut self, id: ConnectionId, stage: Stage, until_ms: u64) {
         let mut connections = self.connections.iter_mut();
         if let Some(connection) = connections.find(|connection| connection.id == id) {
             connection.stage = stage;
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -6,7 +6,7 @@
 mod readiness;
 mod request;
 
-pub use answer::{Answer, Body, RETRY_MS};
+pub use answer::{Answer, Body, RETRY_DEFAULT_MS};
 pub use calls::{BegunCall, CallEffect, CallLimits, Calls, ClientCallId, NewCall, liveness_probe};
-pub use readiness::{BRIEF_LOSS_MS, Readiness};
+pub use readiness::{HEAD_LOSS_GRACE_MS, Readiness};
 pub use request::{DEADLINE_DEFAULT_MS, DEADLINE_HEADER, Method, ParsedRequest, parse_request};
--- a/crates/data-plane/src/edge/answer.rs
+++ b/crates/data-plane/src/edge/answer.rs
@@ -4,7 +4,7 @@
 use indigofold_protocol::job::JobState;
 
 /// `Retry-After` of answers for which the head has not named a delay.
-pub const RETRY_MS: u64 = 1_000;
+pub const RETRY_DEFAULT_MS: u64 = 1_000;
 
 /// Body of a response, always JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 
     /// No acting head is known, and the call was not sent or only reads (503).
     pub fn no_head() -> Answer {
-        Answer::retry_later(503, RETRY_MS, "no scheduler is at work")
+        Answer::retry_later(503, RETRY_DEFAULT_MS, "no scheduler is at work")
     }
 
     /// The call was sent and its result is unknown: it may have been carried out (504).
--- a/crates/data-plane/src/edge/calls.rs
+++ b/crates/data-plane/src/edge/calls.rs
@@ -1,6 +1,6 @@
 //! Clients' calls in progress: sent to the acting head, resent to its successor, answered or timed out.
 
-use super::answer::{Answer, RETRY_MS};
+use super::answer::{Answer, RETRY_DEFAULT_MS};
 use super::request::ParsedRequest;
 use indigofold_protocol::internal::{
     ClientCall, ClientOperation, ClientOutcome, ClientReply, Frame,
@@ -33,7 +33,7 @@
     /// A call times out this long before its client does, but by no more than half of the client's timeout.
     pub answer_margin_ms: u64,
     /// Maximum time that a call waits for a new head after its head was lost.
-    pub orphan_ms: u64,
+    pub orphan_timeout_ms: u64,
     /// Maximum number of calls in progress; further calls are rejected.
     pub calls_max: usize,
 }
@@ -42,7 +42,7 @@
     fn default() -> Self {
         CallLimits {
             answer_margin_ms: 100,
-            orphan_ms: 1_200,
+            orphan_timeout_ms: 1_200,
             calls_max: 2_000,
         }
     }
@@ -125,7 +125,7 @@
             return Some(Answer::no_head());
         }
         (self.calls.len() >= self.limits.calls_max)
-            .then(|| Answer::retry_later(503, RETRY_MS, "too many calls are under way"))
+            .then(|| Answer::retry_later(503, RETRY_DEFAULT_MS, "too many calls are under way"))
     }
 
     fn insert(&mut self, now_ms: u64, id: ClientCallId, call: NewCall) -> Rc<Frame> {
@@ -180,7 +180,7 @@
     /// Handles the loss of the acting head; calls wait for a new head for a limited time.
     pub fn handle_detached(&mut self, now_ms: u64) {
         self.has_head = false;
-        let until_ms = now_ms + self.limits.orphan_ms;
+        let until_ms = now_ms + self.limits.orphan_timeout_ms;
         self.calls.values_mut().for_each(|call| {
             call.orphaned_until_ms.get_or_insert(until_ms);
         });
--- a/crates/data-plane/src/edge/readiness.rs
+++ b/crates/data-plane/src/edge/readiness.rs
@@ -2,13 +2,13 @@
 
 /// The edge stays ready for this long after it lost the head. Otherwise a short loss, which all edges notice at the
 /// same time, would make the platform withdraw all of them at once.
-pub const BRIEF_LOSS_MS: u64 = 2_500;
+pub const HEAD_LOSS_GRACE_MS: u64 = 2_500;
 
 /// The inputs of readiness: when the head was last responsive, and whether the process is stopping.
 #[derive(Debug, Default)]
 pub struct Readiness {
     /// Latest time at which a head with a configuration was responsive; `None` if there was none.
-    served_ms: Option<u64>,
+    last_responsive_ms: Option<u64>,
     stopping: bool,
 }
 
@@ -17,7 +17,7 @@
     /// `config_version`: the version of its configuration, 0 without a head or a configuration.
     pub fn handle_head_status(&mut self, responsive_ms: u64, config_version: u64) {
         if config_version > 0 {
-            self.served_ms = Some(responsive_ms);
+            self.last_responsive_ms = Some(responsive_ms);
         }
     }
 
@@ -30,7 +30,7 @@
     pub fn is_ready(&self, now_ms: u64) -> bool {
         !self.stopping
             && self
-                .served_ms
-                .is_some_and(|served_ms| now_ms < served_ms + BRIEF_LOSS_MS)
+                .last_responsive_ms
+                .is_some_and(|last_ms| now_ms < last_ms + HEAD_LOSS_GRACE_MS)
     }
 }
--- a/crates/data-plane/src/program.rs
+++ b/crates/data-plane/src/program.rs
@@ -34,7 +34,7 @@
 /// Runs the program with the given arguments, which exclude the program name. The environment variable
 /// `INDIGOFOLD_CONFIG` names the settings file.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
-    match command(arguments) {
+    match parse_command(arguments) {
         Ok(Command::Help) => print(HELP),
         Ok(Command::Version) => print(concat!("indigofold-data ", env!("CARGO_PKG_VERSION"), "\n")),
         Ok(Command::Serve(level)) => start(level),
@@ -42,7 +42,7 @@
     }
 }
 
-fn command(arguments: Vec<OsString>) -> Result<Command, pico_args::Error> {
+fn parse_command(arguments: Vec<OsString>) -> Result<Command, pico_args::Error> {
     let mut arguments = pico_args::Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
         return Ok(Command::Help);
--- a/crates/data-plane/src/serve/agent_server.rs
+++ b/crates/data-plane/src/serve/agent_server.rs
@@ -85,14 +85,14 @@
     };
     let receipt = node.with_role(|role| role.agent().handle_heartbeat(steady_ms(), id, heartbeat));
     let reply = match receipt {
-        Some(receipt) => reply(node, id, receipt).await,
+        Some(receipt) => heartbeat_reply(node, id, receipt).await,
         None => HeartbeatReply::default(),
     };
     HttpResponse::json(200, serde_json::to_vec(&reply).unwrap_or_default())
 }
 
 /// Returns the reply to an accepted heartbeat, after waiting for orders if they are expected.
-async fn reply(
+async fn heartbeat_reply(
     node: &RoleProcess<AgentRole>,
     id: &str,
     receipt: HeartbeatReceipt,
--- a/crates/data-plane/src/serve/edge_role.rs
+++ b/crates/data-plane/src/serve/edge_role.rs
@@ -58,7 +58,7 @@
     }
 
     /// Abandons a call whose client has disconnected.
-    pub(super) fn end(&mut self, call: ClientCallId) {
+    pub(super) fn abandon(&mut self, call: ClientCallId) {
         self.calls.abandon(call);
         self.waiters.remove(&call);
     }
--- a/crates/data-plane/src/serve/edge_server.rs
+++ b/crates/data-plane/src/serve/edge_server.rs
@@ -86,7 +86,7 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if !self.answered {
-            self.node.with_role(|role| role.end(self.call));
+            self.node.with_role(|role| role.abandon(self.call));
         }
     }
 }
--- a/crates/data-plane/src/serve/role_process.rs
+++ b/crates/data-plane/src/serve/role_process.rs
@@ -69,13 +69,13 @@
     /// Starts the timer task, which begins the search for the head.
     pub(super) fn start(&self) {
         let node = self.clone();
-        runtime::spawn(async move { node.timer.run(|| node.pump()).await });
+        runtime::spawn(async move { node.timer.run(|| node.process_due()).await });
     }
 
     /// Replaces the seeds by those of reloaded settings.
     pub(super) fn set_seeds(&self, settings: &Settings) {
         self.state.borrow_mut().link.set_seeds(&seeds(settings));
-        self.advance();
+        self.process_due_and_set_timer();
     }
 
     /// Whether an acting head is connected.
@@ -86,14 +86,14 @@
     /// Calls `act` with the role, then sends the frames that are due.
     pub(super) fn with_role<T>(&self, act: impl FnOnce(&mut R) -> T) -> T {
         let result = act(&mut self.updated_state().role);
-        self.advance();
+        self.process_due_and_set_timer();
         result
     }
 
     /// Performs everything that is due and sets the timer.
-    fn advance(&self) {
-        let next_ms = self.pump();
-        self.timer.set(next_ms);
+    fn process_due_and_set_timer(&self) {
+        let next_ms = self.process_due();
+        self.timer.set_if_earlier(next_ms);
     }
 
     /// Borrows the state after passing the current state of the head to the role.
@@ -105,7 +105,7 @@
     }
 
     /// Performs everything that is due, and returns the time at which something is due next.
-    fn pump(&self) -> Option<u64> {
+    fn process_due(&self) -> Option<u64> {
         let now_ms = steady_ms();
         let mut state = self.updated_state();
         state.link.handle_timeout(now_ms);
@@ -140,7 +140,7 @@
             state.senders.remove(&connection);
             state.link.handle_disconnected(steady_ms(), connection);
             drop(state);
-            node.advance();
+            node.process_due_and_set_timer();
         });
     }
 
@@ -189,7 +189,7 @@
             state.link.handle_request_sent(now_ms);
         }
         drop(state);
-        self.advance();
+        self.process_due_and_set_timer();
     }
 }
 
--- a/crates/data-plane/src/serve/timer.rs
+++ b/crates/data-plane/src/serve/timer.rs
@@ -21,7 +21,7 @@
 
 impl Timer {
     /// Sets the timer to `due_ms`, where `None` means never. A time later than the one set before is ignored.
-    pub(super) fn set(&self, due_ms: Option<u64>) {
+    pub(super) fn set_if_earlier(&self, due_ms: Option<u64>) {
         let due_ms = due_ms.unwrap_or(u64::MAX);
         if due_ms >= self.due_ms.get() {
             return;
--- a/crates/data-plane/tests/agent_orders.rs
+++ b/crates/data-plane/tests/agent_orders.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::agent_harness::{AgentHarness, WORKER, attempt, run, start};
-use indigofold_data_plane::agent::{HeartbeatOutcome, INCOMPATIBLE_MS, SEND_ATTEMPTS_MAX};
+use indigofold_data_plane::agent::{CAPACITY_WAIT_MS, HeartbeatOutcome, SEND_ATTEMPTS_MAX};
 use indigofold_protocol::internal::AgentOrders;
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn starts_stay_within_capacity_and_incompatible_ones_are_reported_as_not_started() {
+fn starts_stay_within_capacity_and_those_that_do_not_fit_are_reported_as_not_started() {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 600), start(run(2), 600)]);
     let reply = harness.send_heartbeat();
     assert_eq!(AgentHarness::started(&reply), [run(1).task.to_string()]);
     harness.carry_out(&reply);
     assert!(harness.send_heartbeat().start.is_empty());
-    harness.advance(INCOMPATIBLE_MS);
+    harness.advance(CAPACITY_WAIT_MS);
     assert!(harness.send_heartbeat().start.is_empty());
     assert_eq!(harness.report_now().not_started, [run(2)]);
     harness.end(run(1), RunEnd::Done);
--- a/crates/data-plane/tests/agent_replies.rs
+++ b/crates/data-plane/tests/agent_replies.rs
@@ -7,7 +7,7 @@
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd};
 
 /// A harness whose worker lists one run.
-fn at_work() -> AgentHarness {
+fn with_one_run() -> AgentHarness {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 1_000)]);
     let reply = harness.send_heartbeat();
@@ -39,7 +39,7 @@
 
 #[test]
 fn orders_are_expected_once_after_each_end() {
-    let mut harness = at_work();
+    let mut harness = with_one_run();
     assert!(!receive(&mut harness).expects_orders);
     harness.end(run(1), RunEnd::Done);
     assert!(receive(&mut harness).expects_orders);
@@ -48,7 +48,7 @@
 
 #[test]
 fn without_a_head_no_orders_are_expected() {
-    let mut harness = at_work();
+    let mut harness = with_one_run();
     harness.end(run(1), RunEnd::Done);
     harness.agent.handle_disconnected();
     assert!(!receive(&mut harness).expects_orders);
@@ -57,7 +57,7 @@
 /// The reply to the heartbeat that lists an end can already start a run on the capacity that became free.
 #[test]
 fn orders_received_while_a_heartbeat_waits_are_in_its_reply() {
-    let mut harness = at_work();
+    let mut harness = with_one_run();
     harness.end(run(1), RunEnd::Done);
     let receipt = receive(&mut harness);
     harness.report_and_echo();
@@ -69,15 +69,15 @@
 /// If the worker sends another heartbeat before it receives the reply, only the reply to the newer one carries orders.
 #[test]
 fn a_superseded_heartbeat_receives_no_orders() {
-    let mut harness = at_work();
+    let mut harness = with_one_run();
     harness.end(run(1), RunEnd::Done);
-    let overtaken = receive(&mut harness);
+    let superseded = receive(&mut harness);
     let newest = receive(&mut harness);
     harness.order_start(&[start(run(2), 1_000)]);
     assert_eq!(
         harness
             .agent
-            .poll_heartbeat_reply(harness.now_ms, WORKER, overtaken.seq_no),
+            .poll_heartbeat_reply(harness.now_ms, WORKER, superseded.seq_no),
         HeartbeatOutcome::Superseded
     );
     assert_eq!(
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_member_that_is_not_the_head_leads_to_the_head() {
+fn a_head_named_by_another_member_is_dialled() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
@@ -391,7 +391,7 @@
 #[case::request_later(Some(100), 100 + SUSPICION_TIMEOUT_MS)]
 fn an_unresponsive_head_is_suspected_within_a_second(
     #[case] requested_ms: Option<u64>,
-    #[case] noticed_ms: u64,
+    #[case] suspected_ms: u64,
 ) {
     let (mut link, id, head) = attached_probing();
     if let Some(requested_ms) = requested_ms {
@@ -406,7 +406,7 @@
             break dials;
         }
     };
-    assert_eq!(now_ms, NOW_MS + noticed_ms);
+    assert_eq!(now_ms, NOW_MS + suspected_ms);
     assert!(dials.len() == SEARCH_CONNECTIONS_MAX && dials.iter().all(|dial| dial.address != head));
     assert_eq!(link.attached(), Some(id));
     link.handle_connected(now_ms, dials[0].connection);
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,8 +1,8 @@
 //! The edge: parsing of requests, calls to the head and its successors, HTTP answers, and readiness.
 
 use indigofold_data_plane::edge::{
-    Answer, BRIEF_LOSS_MS, BegunCall, Body, CallEffect, CallLimits, Calls, ClientCallId, Method,
-    NewCall, ParsedRequest, Readiness, liveness_probe, parse_request,
+    Answer, BegunCall, Body, CallEffect, CallLimits, Calls, ClientCallId, HEAD_LOSS_GRACE_MS,
+    Method, NewCall, ParsedRequest, Readiness, liveness_probe, parse_request,
 };
 use indigofold_protocol::internal::{ClientOperation, ClientOutcome, ClientReply, Frame};
 use indigofold_protocol::job::{JobSpec, JobState};
@@ -12,7 +12,7 @@
 const CLIENT_TIMEOUT_MS: u64 = 3_000;
 const LIMITS: CallLimits = CallLimits {
     answer_margin_ms: 100,
-    orphan_ms: 1_200,
+    orphan_timeout_ms: 1_200,
     calls_max: 3,
 };
 
@@ -80,7 +80,7 @@
 #[case(ClientOutcome::Invalid { reason: "a \"b\"".to_owned() }, 400, None, r#"{"error":"a \"b\""}"#)]
 #[case(ClientOutcome::TooMany { retry_after_ms: 2_100 }, 429, Some(3), r#"{"error":"too many jobs wait"}"#)]
 #[case(ClientOutcome::Unavailable { retry_after_ms: 0 }, 503, Some(1), r#"{"error":"the scheduler takes no calls yet"}"#)]
-fn outcomes_are_answers(
+fn outcomes_map_to_http_answers(
     #[case] outcome: ClientOutcome,
     #[case] status: u16,
     #[case] retry: Option<u64>,
@@ -98,10 +98,13 @@
 #[case(Some("1500"), 1_500)]
 #[case(Some("0"), 3_000)]
 #[case(Some("soon"), 3_000)]
-fn the_deadline_is_read(#[case] header: Option<&str>, #[case] client_timeout_ms: u64) {
-    let read = parse_request(Method::Get, header, b"").expect("the request is valid");
+fn the_deadline_header_sets_the_client_timeout(
+    #[case] header: Option<&str>,
+    #[case] client_timeout_ms: u64,
+) {
+    let parsed = parse_request(Method::Get, header, b"").expect("the request is valid");
     assert_eq!(
-        (read.operation, read.client_timeout_ms),
+        (parsed.operation, parsed.client_timeout_ms),
         (ClientOperation::Get, client_timeout_ms)
     );
 }
@@ -109,8 +112,8 @@
 #[test]
 fn a_valid_job_is_parsed_and_an_invalid_one_rejected() {
     let body = br#"{"spec":"text","stages":[{"count":4,"cpu":500,"mem_mb":256}]}"#;
-    let read = parse_request(Method::Post, None, body).expect("the job is valid");
-    assert!(matches!(read.operation, ClientOperation::Submit(job) if job.stages[0].count == 4));
+    let parsed = parse_request(Method::Post, None, body).expect("the job is valid");
+    assert!(matches!(parsed.operation, ClientOperation::Submit(job) if job.stages[0].count == 4));
     assert_eq!(
         parse_request(Method::Post, None, b"{")
             .expect_err("an invalid job is rejected")
@@ -123,8 +126,8 @@
             .status,
         405
     );
-    let read = parse_request(Method::Delete, None, b"").expect("the request is valid");
-    assert_eq!(read.operation, ClientOperation::Cancel);
+    let parsed = parse_request(Method::Delete, None, b"").expect("the request is valid");
+    assert_eq!(parsed.operation, ClientOperation::Cancel);
 }
 
 #[test]
@@ -190,9 +193,9 @@
     calls.handle_detached(NOW_MS + 500);
     assert_eq!(
         calls.next_timeout_ms(),
-        Some(NOW_MS + 50 + LIMITS.orphan_ms)
+        Some(NOW_MS + 50 + LIMITS.orphan_timeout_ms)
     );
-    let effects = calls.handle_timeout(NOW_MS + 50 + LIMITS.orphan_ms);
+    let effects = calls.handle_timeout(NOW_MS + 50 + LIMITS.orphan_timeout_ms);
     assert_eq!(
         answer_of(effects.into_iter().next().expect("the call is answered")).status,
         504
@@ -252,29 +255,29 @@
     assert!(!readiness.is_ready(NOW_MS));
     readiness.handle_head_status(NOW_MS, 5);
     readiness.handle_head_status(NOW_MS + 10, 0);
-    assert!(readiness.is_ready(NOW_MS + BRIEF_LOSS_MS - 1));
-    assert!(!readiness.is_ready(NOW_MS + BRIEF_LOSS_MS));
-    readiness.handle_head_status(NOW_MS + BRIEF_LOSS_MS, 5);
+    assert!(readiness.is_ready(NOW_MS + HEAD_LOSS_GRACE_MS - 1));
+    assert!(!readiness.is_ready(NOW_MS + HEAD_LOSS_GRACE_MS));
+    readiness.handle_head_status(NOW_MS + HEAD_LOSS_GRACE_MS, 5);
     readiness.stop();
-    assert!(!readiness.is_ready(NOW_MS + BRIEF_LOSS_MS));
+    assert!(!readiness.is_ready(NOW_MS + HEAD_LOSS_GRACE_MS));
 }
 
 #[test]
 fn a_long_unresponsive_head_makes_the_edge_unready() {
     let mut readiness = Readiness::default();
     let owed_ms = NOW_MS + 300;
-    for now_ms in [NOW_MS, owed_ms, owed_ms + BRIEF_LOSS_MS - 1] {
+    for now_ms in [NOW_MS, owed_ms, owed_ms + HEAD_LOSS_GRACE_MS - 1] {
         readiness.handle_head_status(owed_ms.min(now_ms), 5);
         assert!(readiness.is_ready(now_ms));
     }
     readiness.handle_head_status(owed_ms, 5);
-    assert!(!readiness.is_ready(owed_ms + BRIEF_LOSS_MS));
-    readiness.handle_head_status(owed_ms + BRIEF_LOSS_MS + 9, 5);
-    assert!(readiness.is_ready(owed_ms + BRIEF_LOSS_MS + 9));
+    assert!(!readiness.is_ready(owed_ms + HEAD_LOSS_GRACE_MS));
+    readiness.handle_head_status(owed_ms + HEAD_LOSS_GRACE_MS + 9, 5);
+    assert!(readiness.is_ready(owed_ms + HEAD_LOSS_GRACE_MS + 9));
 }
 
 #[test]
-fn a_liveness_probe_answers_no_client() {
+fn the_reply_to_a_liveness_probe_answers_no_call() {
     let mut calls = calls();
     let Frame::Call(probe) = liveness_probe() else {
         panic!("the liveness probe must be a call")
