--- a/crates/data-plane/src/agent.rs
+++ b/crates/data-plane/src/agent.rs
@@ -45,8 +45,8 @@
 pub struct HeartbeatReceipt {
     /// Sequence number of the heartbeat.
     pub seq_no: u64,
-    /// Whether the reply should wait for orders: runs have ended, so the head may soon order starts for the capacity
-    /// that became free.
+    /// Whether the reply should wait for orders: runs have ended, and the connected head, which knows the instance, may
+    /// soon order starts for the capacity that became free.
     pub expects_orders: bool,
 }
 
@@ -91,7 +91,8 @@
     authority: LeaseAuthority,
     /// Highest epoch of the orders received; 0 before the first orders.
     epoch: u64,
-    /// The current instance; `None` before the first heartbeat and after an instance has ended.
+    /// The current instance; `None` before the first heartbeat and once a deregistered instance has ended. An instance
+    /// whose leases have expired stays here, as it may return.
     instance: Option<WorkerInstance>,
     former: FormerInstances,
     /// Starts that will never be carried out.
--- a/crates/data-plane/src/agent/worker_instance.rs
+++ b/crates/data-plane/src/agent/worker_instance.rs
@@ -99,7 +99,7 @@
         self.deregistered
     }
 
-    /// Whether the worker's newest heartbeat has the state `draining`.
+    /// Whether the newest heartbeat has the state `draining`, or the instance has deregistered.
     pub(super) fn is_draining(&self) -> bool {
         self.newest.state == WorkerState::Draining
     }
@@ -129,17 +129,17 @@
         self.acknowledged_end
     }
 
-    /// Rises when the set of running runs or one of their checkpoints changes.
+    /// Revision of the list of running runs; incremented when the list or one of the checkpoints in it changes.
     pub(super) fn runs_revision(&self) -> u64 {
         self.runs_revision
     }
 
-    /// Runs sent to the worker that no heartbeat has listed yet.
+    /// The runs that were sent to the worker and that no heartbeat has listed yet.
     pub(super) fn in_flight(&self) -> Vec<RunId> {
         self.runs.in_flight()
     }
 
-    /// Takes a heartbeat over.
+    /// Handles a heartbeat that is newer than those before, and returns its changes.
     pub(super) fn handle_heartbeat(
         &mut self,
         now_ms: u64,
--- a/crates/data-plane/src/core_link/head_hint.rs
+++ b/crates/data-plane/src/core_link/head_hint.rs
@@ -22,7 +22,7 @@
     }
 
     /// Stores the head named in a welcome, unless its view is below the known one. Returns the head's address if the
-    /// view is new and the welcome comes from another member; the head should then be dialled at once.
+    /// view is new and the welcome does not come from the acting head itself; the head should then be dialled at once.
     pub(super) fn handle_welcome(&mut self, welcome: &Welcome) -> Option<SocketAddr> {
         let address = welcome.head.as_ref()?.internal;
         let known_view = self.named.map(|named| named.view);
--- a/crates/data-plane/src/edge/answer.rs
+++ b/crates/data-plane/src/edge/answer.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// No acting head is known, and the call was not sent or only reads (503).
+    /// The call was not sent because no acting head is known, or it only reads and got no reply (503).
     pub fn no_head() -> Answer {
         Answer::retry_later(503, RETRY_DEFAULT_MS, "no scheduler is at work")
     }
--- a/crates/data-plane/src/serve/lifecycle.rs
+++ b/crates/data-plane/src/serve/lifecycle.rs
@@ -23,7 +23,8 @@
     }
 }
 
-/// Replaces the seeds by those of the settings file. Settings that cannot be read are logged and change nothing.
+/// Replaces the seeds by those of the settings file. Unreadable or invalid settings are logged as an error and change
+/// nothing.
 fn reload_settings<R: Role>(node: &RoleProcess<R>) {
     match Settings::from_env() {
         Ok(settings) => {
