--- a/crates/data-plane/src/program.rs
+++ b/crates/data-plane/src/program.rs
@@ -1,4 +1,4 @@
-//! The program `indigofold-data`: its command line, its log and its exit codes around the roles of [`serve`](crate::serve).
+//! The program `indigofold-data`: command line, logging and exit codes; [`serve`](crate::serve) runs the role itself.
 
 use crate::serve::serve;
 use indigofold_net::{logging, runtime};
@@ -24,16 +24,17 @@
   INDIGOFOLD_CONFIG  path of the settings file; `serves` names the role
 ";
 
-/// The command that the arguments name.
+/// The command that the arguments request.
 enum Command {
     Help,
     Version,
     Serve(LevelFilter),
 }
 
-/// Runs the program with these arguments (without its name). The settings file is the one that the environment names.
+/// Runs the program with the given arguments, which exclude the program name. The environment variable
+/// `INDIGOFOLD_CONFIG` names the settings file.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
-    match command(arguments) {
+    match parse_command(arguments) {
         Ok(Command::Help) => print(HELP),
         Ok(Command::Version) => print(concat!("indigofold-data ", env!("CARGO_PKG_VERSION"), "\n")),
         Ok(Command::Serve(level)) => start(level),
@@ -41,7 +42,7 @@
     }
 }
 
-fn command(arguments: Vec<OsString>) -> Result<Command, pico_args::Error> {
+fn parse_command(arguments: Vec<OsString>) -> Result<Command, pico_args::Error> {
     let mut arguments = pico_args::Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
         return Ok(Command::Help);
--- a/crates/data-plane/src/serve/role_process.rs
+++ b/crates/data-plane/src/serve/role_process.rs
@@ -1,8 +1,8 @@
-//! A process of the data plane: a role, its link to the core, and the timer of both.
+//! A process of the data plane: runs a role, its link to the core, and the timer that drives both.
 
 use super::role::{HeadStatus, Role};
 use super::timer::Timer;
-use crate::core_link::{CONNECT_TIMEOUT_MS, CoreLink, Head, LinkAction, LinkId};
+use crate::core_link::{CONNECT_TIMEOUT_MS, ConnectionId, CoreLink, Head, LinkAction};
 use indigofold_net::framed::{self, FrameSender};
 use indigofold_net::{NetError, runtime, steady_ms};
 use indigofold_protocol::internal::{Frame, Hello, ProcessKind};
@@ -16,11 +16,13 @@
 struct State<R> {
     role: R,
     link: CoreLink,
+    /// The greeting sent on each new connection.
     hello: Hello,
-    senders: HashMap<LinkId, FrameSender>,
+    /// The sending halves of the open connections.
+    senders: HashMap<ConnectionId, FrameSender>,
 }
 
-/// A role and its link to the core; clones share them.
+/// A role and its link to the core; clones share the same state.
 pub(super) struct RoleProcess<R> {
     state: Rc<RefCell<State<R>>>,
     timer: Rc<Timer>,
@@ -36,7 +38,7 @@
 }
 
 impl<R: Role> RoleProcess<R> {
-    /// A process that is not connected yet.
+    /// Creates a process that is not connected yet.
     pub(super) fn new(settings: &Settings, kind: ProcessKind, role: R) -> Self {
         let incarnation = fastrand::u64(..);
         let (node_name, zone) = (settings.node_name.clone(), settings.zone.clone());
@@ -64,16 +66,16 @@
         }
     }
 
-    /// Starts the search for the head.
+    /// Starts the timer task, which begins the search for the head.
     pub(super) fn start(&self) {
         let node = self.clone();
-        runtime::spawn(async move { node.timer.run(|| node.pump()).await });
+        runtime::spawn(async move { node.timer.run(|| node.process_due()).await });
     }
 
-    /// Takes over the seeds of reloaded settings.
+    /// Replaces the seeds by those of reloaded settings.
     pub(super) fn set_seeds(&self, settings: &Settings) {
         self.state.borrow_mut().link.set_seeds(&seeds(settings));
-        self.advance();
+        self.process_due_and_set_timer();
     }
 
     /// Whether an acting head is connected.
@@ -81,20 +83,20 @@
         self.state.borrow().link.attached().is_some()
     }
 
-    /// Gives the role an input and sends the frames that it returns.
+    /// Calls `act` with the role, then sends the frames that are due.
     pub(super) fn with_role<T>(&self, act: impl FnOnce(&mut R) -> T) -> T {
         let result = act(&mut self.updated_state().role);
-        self.advance();
+        self.process_due_and_set_timer();
         result
     }
 
-    /// Does all that is due and sets the timer.
-    fn advance(&self) {
-        let next_ms = self.pump();
-        self.timer.set(next_ms);
+    /// Performs everything that is due and sets the timer.
+    fn process_due_and_set_timer(&self) {
+        let next_ms = self.process_due();
+        self.timer.set_if_earlier(next_ms);
     }
 
-    /// The state, after the role has taken over what the link knows of the head.
+    /// Borrows the state after passing the current state of the head to the role.
     fn updated_state(&self) -> RefMut<'_, State<R>> {
         let mut state = self.state.borrow_mut();
         let State { role, link, .. } = &mut *state;
@@ -102,16 +104,19 @@
         state
     }
 
-    /// Does all that is due; returns when something is due next.
-    fn pump(&self) -> Option<u64> {
+    /// Performs everything that is due, and returns the time at which something is due next.
+    fn process_due(&self) -> Option<u64> {
         let now_ms = steady_ms();
         let mut state = self.updated_state();
         state.link.handle_timeout(now_ms);
         for action in state.link.poll_actions() {
             match action {
-                LinkAction::Dial { link, address } => self.dial(link, address),
-                LinkAction::ProbeHead(link) => state.probe_head(link),
-                LinkAction::Close(link) => state.close(link),
+                LinkAction::Dial {
+                    connection,
+                    address,
+                } => self.dial(connection, address),
+                LinkAction::ProbeHead(connection) => state.probe_head(connection),
+                LinkAction::Close(connection) => state.close(connection),
                 LinkAction::Attached(_) => state.handle_attached(now_ms),
                 LinkAction::Detached => state.handle_detached(now_ms),
             }
@@ -125,59 +130,66 @@
             .min()
     }
 
-    fn dial(&self, link: LinkId, address: SocketAddr) {
+    fn dial(&self, connection: ConnectionId, address: SocketAddr) {
         let node = self.clone();
         runtime::spawn(async move {
-            if let Err(error) = node.run_connection(link, address).await {
+            if let Err(error) = node.run_connection(connection, address).await {
                 log::debug!("connection to a core member failed: {error} address={address}");
             }
             let mut state = node.updated_state();
-            state.senders.remove(&link);
-            state.link.handle_disconnected(steady_ms(), link);
+            state.senders.remove(&connection);
+            state.link.handle_disconnected(steady_ms(), connection);
             drop(state);
-            node.advance();
+            node.process_due_and_set_timer();
         });
     }
 
-    /// Opens a connection, greets the member, and takes what it sends until the connection ends.
-    async fn run_connection(&self, link: LinkId, address: SocketAddr) -> Result<(), NetError> {
-        let connection =
-            framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
-        if !self.greet(link, connection.sender) {
+    /// Opens a connection, greets the member, and handles its frames until the connection ends.
+    async fn run_connection(
+        &self,
+        connection: ConnectionId,
+        address: SocketAddr,
+    ) -> Result<(), NetError> {
+        let opened = framed::connect(address, Duration::from_millis(CONNECT_TIMEOUT_MS)).await?;
+        if !self.greet(connection, opened.sender) {
             return Ok(());
         }
-        let mut reader = connection.reader;
+        let mut reader = opened.reader;
         while let Some(frame) = reader.next().await? {
-            self.handle_frame(link, frame);
+            self.handle_frame(connection, frame);
         }
         Ok(())
     }
 
-    /// Greets the member; `false` if the connection is no longer in use.
-    fn greet(&self, link: LinkId, sender: FrameSender) -> bool {
+    /// Sends the greeting on a new connection. Returns `false` if the connection is closed or no longer in use.
+    fn greet(&self, connection: ConnectionId, sender: FrameSender) -> bool {
         let mut state = self.state.borrow_mut();
-        if !state.link.is_in_use(link) || sender.send(&Frame::Hello(state.hello.clone())).is_err() {
+        if !state.link.is_in_use(connection)
+            || sender.send(&Frame::Hello(state.hello.clone())).is_err()
+        {
             return false;
         }
-        state.senders.insert(link, sender);
-        state.link.handle_connected(steady_ms(), link);
+        state.senders.insert(connection, sender);
+        state.link.handle_connected(steady_ms(), connection);
         true
     }
 
-    fn handle_frame(&self, link: LinkId, frame: Frame) {
+    fn handle_frame(&self, connection: ConnectionId, frame: Frame) {
         let now_ms = steady_ms();
         let mut state = self.updated_state();
-        state.link.handle_frame(now_ms, link);
+        state.link.handle_frame(now_ms, connection);
         match frame {
-            Frame::Welcome(welcome) => state.link.handle_welcome(now_ms, link, &welcome),
-            frame if state.link.attached() == Some(link) => state.role.handle_frame(now_ms, frame),
+            Frame::Welcome(welcome) => state.link.handle_welcome(now_ms, connection, &welcome),
+            frame if state.link.attached() == Some(connection) => {
+                state.role.handle_frame(now_ms, frame);
+            }
             _ => {}
         }
         if state.role.awaits_reply() {
             state.link.handle_request_sent(now_ms);
         }
         drop(state);
-        self.advance();
+        self.process_due_and_set_timer();
     }
 }
 
@@ -197,7 +209,7 @@
         self.role.handle_detached(now_ms);
     }
 
-    /// Sends frames to the acting head. If the connection is closed, its reader notices.
+    /// Sends frames to the acting head; they are dropped without one. A closed connection is handled by its reader.
     fn send(&mut self, now_ms: u64, frames: &[Rc<Frame>]) {
         if frames.is_empty() {
             return;
@@ -205,7 +217,7 @@
         let Some(sender) = self
             .link
             .attached()
-            .and_then(|link| self.senders.get(&link))
+            .and_then(|connection| self.senders.get(&connection))
         else {
             return;
         };
@@ -217,15 +229,17 @@
         self.link.handle_request_sent(now_ms);
     }
 
-    /// Sends a liveness probe to the head. If the connection is closed, its reader notices.
-    fn probe_head(&self, link: LinkId) {
-        if let (Some(sender), Some(frame)) = (self.senders.get(&link), self.role.liveness_probe()) {
+    /// Sends a liveness probe to the head. A closed connection is handled by its reader.
+    fn probe_head(&self, connection: ConnectionId) {
+        if let (Some(sender), Some(frame)) =
+            (self.senders.get(&connection), self.role.liveness_probe())
+        {
             let _ = sender.send(&frame);
         }
     }
 
-    fn close(&mut self, link: LinkId) {
-        if let Some(sender) = self.senders.remove(&link) {
+    fn close(&mut self, connection: ConnectionId) {
+        if let Some(sender) = self.senders.remove(&connection) {
             sender.close();
         }
     }
--- a/crates/data-plane/tests/agent_leases.rs
+++ b/crates/data-plane/tests/agent_leases.rs
@@ -1,5 +1,5 @@
 //! Run leases: the node agent grants them only with authority, and reports an instance as ended only when none of its
-//! runs can be at work.
+//! runs can still be running.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use indigofold_protocol::internal::{AgentOrders, LEASE_AUTHORITY_MS, RUN_LEASE_MS};
 use indigofold_protocol::worker::{RunEnd, WorkerState};
 
-/// Long enough for every run lease to expire.
+/// Time after which every run lease has expired.
 const ALL_LEASES_EXPIRED_MS: u64 = RUN_LEASE_MS + 1_500;
 
 #[test]
@@ -122,7 +122,7 @@
     );
     let report = harness.report_now();
     assert_eq!(report.ended_instances, [WORKER]);
-    assert_eq!(report.instance.expect("registered").id, "i-2");
+    assert_eq!(report.instance.expect("the instance is reported").id, "i-2");
     let heartbeat = harness.heartbeat();
     assert_eq!(
         harness.deliver(WORKER, heartbeat),
@@ -142,15 +142,19 @@
     );
 }
 
-/// A worker that sends `DELETE` without having drained goes on running: its runs must not start elsewhere meanwhile.
+/// A worker that sends `DELETE` without having drained may keep its runs running, so they must not be started elsewhere
+/// before their ends are listed.
 #[test]
 fn an_instance_deregistered_without_draining_ends_after_its_runs() {
     let mut harness = AgentHarness::confirmed();
     harness.start_and_confirm(&[start(run(1), 100), start(run(2), 100)]);
     harness.agent.handle_deregistration(WORKER);
     let report = harness.report_and_echo();
-    let instance = report.instance.expect("it still has runs");
-    assert!(report.ended_instances.is_empty(), "its runs may be at work");
+    let instance = report.instance.expect("an instance with runs is reported");
+    assert!(
+        report.ended_instances.is_empty(),
+        "its runs may still be running"
+    );
     assert_eq!(
         (instance.state, instance.remaining_ms),
         (WorkerState::Draining, Some(0))
@@ -165,7 +169,7 @@
     assert_eq!(
         report
             .instance
-            .expect("its ends are not acknowledged")
+            .expect("an instance with unacknowledged ends is reported")
             .finished
             .len(),
         2
@@ -185,7 +189,10 @@
     let heartbeat_ms = harness.now_ms;
     harness.agent.handle_deregistration(WORKER);
     harness.now_ms = expires_by_ms(heartbeat_ms, RUN_LEASE_MS) - 1;
-    let report = harness.agent.poll_report(harness.now_ms).expect("due");
+    let report = harness
+        .agent
+        .poll_report(harness.now_ms)
+        .expect("a report is due");
     assert!(report.ended_instances.is_empty() && report.instance.is_some());
     harness.advance(1);
     harness.agent.poll_report(harness.now_ms);
@@ -198,7 +205,10 @@
     harness.send_heartbeat();
     let heartbeat_ms = harness.now_ms;
     harness.now_ms = expires_by_ms(heartbeat_ms, RUN_LEASE_MS) - 1;
-    let report = harness.agent.poll_report(harness.now_ms).expect("due");
+    let report = harness
+        .agent
+        .poll_report(harness.now_ms)
+        .expect("a report is due");
     assert!(report.ended_instances.is_empty() && report.instance.is_some());
     harness.advance(1);
     harness.agent.poll_report(harness.now_ms);
@@ -218,7 +228,10 @@
     assert!(due_ms <= harness.now_ms);
     harness.report_now();
     harness.now_ms = START_MS + RUN_LEASE_MS;
-    let report = harness.agent.poll_report(harness.now_ms).expect("due");
+    let report = harness
+        .agent
+        .poll_report(harness.now_ms)
+        .expect("a report is due");
     assert!(report.ended_instances.is_empty() && report.instance.is_some());
 }
 
@@ -252,7 +265,12 @@
     let report = harness.report_now();
     assert!(report.ended_instances.is_empty());
     assert_eq!(
-        report.instance.expect("back").running.expect("all")[0].run,
+        report
+            .instance
+            .expect("the returned instance is reported")
+            .running
+            .expect("the runs are listed")[0]
+            .run,
         run(1)
     );
     assert_eq!(report.not_started, [run(4), run(5)]);
--- a/crates/data-plane/tests/agent_replies.rs
+++ b/crates/data-plane/tests/agent_replies.rs
@@ -1,4 +1,4 @@
-//! Replies to heartbeats wait for expected orders and carry those received meanwhile.
+//! Replies to heartbeats: they wait for expected orders and carry those received while waiting.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd};
 
 /// A harness whose worker lists one run.
-fn at_work() -> AgentHarness {
+fn with_one_run() -> AgentHarness {
     let mut harness = AgentHarness::confirmed();
     harness.order_start(&[start(run(1), 1_000)]);
     let reply = harness.send_heartbeat();
@@ -31,13 +31,15 @@
         .poll_heartbeat_reply(harness.now_ms, WORKER, receipt.seq_no)
     {
         HeartbeatOutcome::Answered(reply) => reply,
-        HeartbeatOutcome::Superseded => panic!("the heartbeat is the newest"),
+        HeartbeatOutcome::Superseded => {
+            panic!("expected a reply, but the heartbeat was superseded")
+        }
     }
 }
 
 #[test]
 fn orders_are_expected_once_after_each_end() {
-    let mut harness = at_work();
+    let mut harness = with_one_run();
     assert!(!receive(&mut harness).expects_orders);
     harness.end(run(1), RunEnd::Done);
     assert!(receive(&mut harness).expects_orders);
@@ -46,16 +48,16 @@
 
 #[test]
 fn without_a_head_no_orders_are_expected() {
-    let mut harness = at_work();
+    let mut harness = with_one_run();
     harness.end(run(1), RunEnd::Done);
     harness.agent.handle_disconnected();
     assert!(!receive(&mut harness).expects_orders);
 }
 
-/// The capacity of an ended run is used by the reply to the heartbeat that lists its end.
+/// The reply to the heartbeat that lists an end can already start a run on the capacity that became free.
 #[test]
 fn orders_received_while_a_heartbeat_waits_are_in_its_reply() {
-    let mut harness = at_work();
+    let mut harness = with_one_run();
     harness.end(run(1), RunEnd::Done);
     let receipt = receive(&mut harness);
     harness.report_and_echo();
@@ -64,18 +66,18 @@
     assert_eq!(AgentHarness::started(&reply), vec![run(2).task.to_string()]);
 }
 
-/// The worker has stopped waiting and sent another heartbeat: only the reply to that one carries orders.
+/// If the worker sends another heartbeat before it receives the reply, only the reply to the newer one carries orders.
 #[test]
 fn a_superseded_heartbeat_receives_no_orders() {
-    let mut harness = at_work();
+    let mut harness = with_one_run();
     harness.end(run(1), RunEnd::Done);
-    let overtaken = receive(&mut harness);
+    let superseded = receive(&mut harness);
     let newest = receive(&mut harness);
     harness.order_start(&[start(run(2), 1_000)]);
     assert_eq!(
         harness
             .agent
-            .poll_heartbeat_reply(harness.now_ms, WORKER, overtaken.seq_no),
+            .poll_heartbeat_reply(harness.now_ms, WORKER, superseded.seq_no),
         HeartbeatOutcome::Superseded
     );
     assert_eq!(
--- a/crates/data-plane/tests/core_link.rs
+++ b/crates/data-plane/tests/core_link.rs
@@ -1,8 +1,9 @@
-//! The link to the core: finds the acting head, stays connected to it, and finds its successor.
+//! The link to the core: finding the acting head, staying connected to it, and finding its successor.
 
 use indigofold_data_plane::core_link::{
-    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, CoreLink, GREETING_TIMEOUT_MS, HEAD_TIMEOUT_MS, Head,
-    IDLE_PROBE_MS, LISTEN_MS, LinkAction, LinkId, SEARCH_CONNECTIONS_MAX, SUSPICION_TIMEOUT_MS,
+    BACKOFF_MAX_MS, CONNECT_TIMEOUT_MS, ConnectionId, CoreLink, GREETING_TIMEOUT_MS,
+    HEAD_TIMEOUT_MS, Head, IDLE_PROBE_MS, LISTEN_MS, LinkAction, SEARCH_CONNECTIONS_MAX,
+    SUSPICION_TIMEOUT_MS,
 };
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::internal::{MemberAddress, Welcome};
@@ -18,7 +19,7 @@
 fn host(address: SocketAddr) -> u8 {
     match address.ip() {
         IpAddr::V4(ip) => ip.octets()[3],
-        IpAddr::V6(ip) => panic!("an IPv4 address is expected, not {ip}"),
+        IpAddr::V6(ip) => panic!("expected an IPv4 address, got {ip}"),
     }
 }
 
@@ -48,7 +49,7 @@
 /// A connection that the link has asked the process to open.
 #[derive(Clone, Copy, Debug)]
 struct Dial {
-    link: LinkId,
+    connection: ConnectionId,
     address: SocketAddr,
 }
 
@@ -57,7 +58,13 @@
         .poll_actions()
         .into_iter()
         .filter_map(|action| match action {
-            LinkAction::Dial { link, address } => Some(Dial { link, address }),
+            LinkAction::Dial {
+                connection,
+                address,
+            } => Some(Dial {
+                connection,
+                address,
+            }),
             _ => None,
         });
     dials.collect()
@@ -65,22 +72,25 @@
 
 fn position(actions: &[LinkAction], action: &LinkAction) -> usize {
     let position = actions.iter().position(|other| other == action);
-    position.expect("the action was polled")
+    position.expect("the link requested the action")
 }
 
-/// A link that is attached to the head of view 5.
-fn attached() -> (CoreLink, LinkId, SocketAddr) {
+/// Returns a link attached to the head of view 5, its connection and the head's address.
+fn attached() -> (CoreLink, ConnectionId, SocketAddr) {
     attach(link())
 }
 
-/// The same for a link that probes an idle head.
-fn attached_probing() -> (CoreLink, LinkId, SocketAddr) {
+/// Like [`attached`], for a link that probes an idle head.
+fn attached_probing() -> (CoreLink, ConnectionId, SocketAddr) {
     attach(link().with_idle_probing())
 }
 
-fn attach(mut link: CoreLink) -> (CoreLink, LinkId, SocketAddr) {
+fn attach(mut link: CoreLink) -> (CoreLink, ConnectionId, SocketAddr) {
     link.handle_timeout(NOW_MS);
-    let Dial { link: id, address } = dialled(&mut link)[0];
+    let Dial {
+        connection: id,
+        address,
+    } = dialled(&mut link)[0];
     link.handle_connected(NOW_MS, id);
     let head_host = host(address);
     link.handle_welcome(NOW_MS, id, &welcome(5, Some(head_host), true));
@@ -94,13 +104,13 @@
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     assert_eq!(dials.len(), SEARCH_CONNECTIONS_MAX);
-    link.handle_connected(NOW_MS, dials[0].link);
-    link.handle_welcome(NOW_MS, dials[0].link, &welcome(5, Some(1), true));
+    link.handle_connected(NOW_MS, dials[0].connection);
+    link.handle_welcome(NOW_MS, dials[0].connection, &welcome(5, Some(1), true));
     assert_eq!(
         link.poll_actions(),
         [
-            LinkAction::Attached(dials[0].link),
-            LinkAction::Close(dials[1].link)
+            LinkAction::Attached(dials[0].connection),
+            LinkAction::Close(dials[1].connection)
         ]
     );
     assert_eq!(
@@ -110,19 +120,19 @@
 }
 
 #[test]
-fn a_member_that_is_not_the_head_leads_to_the_head() {
+fn a_head_named_by_another_member_is_dialled() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.handle_connected(NOW_MS, first.link);
-    link.handle_welcome(NOW_MS, first.link, &welcome(5, Some(4), false));
+    link.handle_connected(NOW_MS, first.connection);
+    link.handle_welcome(NOW_MS, first.connection, &welcome(5, Some(4), false));
     let dials = dialled(&mut link);
     assert_eq!(
         dials.iter().map(|dial| dial.address).collect::<Vec<_>>(),
         [address(4)]
     );
-    link.handle_connected(NOW_MS, dials[0].link);
-    link.handle_welcome(NOW_MS, dials[0].link, &welcome(5, Some(4), true));
+    link.handle_connected(NOW_MS, dials[0].connection);
+    link.handle_welcome(NOW_MS, dials[0].connection, &welcome(5, Some(4), true));
     assert_eq!(
         link.head(),
         Some(Head {
@@ -137,37 +147,38 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.handle_disconnected(NOW_MS, dials[0].link);
+    link.handle_disconnected(NOW_MS, dials[0].connection);
     let next = dialled(&mut link);
     assert_eq!(next.len(), 1);
     assert!(dials.iter().all(|dial| dial.address != next[0].address));
-    link.handle_disconnected(NOW_MS, next[0].link);
-    link.handle_disconnected(NOW_MS, dials[1].link);
+    link.handle_disconnected(NOW_MS, next[0].connection);
+    link.handle_disconnected(NOW_MS, dials[1].connection);
     assert!(dialled(&mut link).is_empty());
-    let wake_ms = link.next_timeout_ms(NOW_MS).expect("a later try");
+    let wake_ms = link.next_timeout_ms(NOW_MS).expect("another dial is due");
     assert!(wake_ms > NOW_MS && wake_ms <= NOW_MS + BACKOFF_MAX_MS);
     link.handle_timeout(wake_ms);
     assert!(!dialled(&mut link).is_empty());
 }
 
-/// Processes that restart together fail to connect to each other at first; the head must then be found without delay.
+/// Processes that restart together at first fail to connect to each other. Once a member names the head, its backoff
+/// must not delay the connection.
 #[test]
 fn the_head_of_a_new_view_is_dialled_regardless_of_its_backoff() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     let Dial {
-        link: failed,
+        connection: failed,
         address: failed_address,
     } = dials[0];
     link.handle_disconnected(NOW_MS, failed);
     let others = dialled(&mut link);
     assert!(others.iter().all(|dial| dial.address != failed_address));
     let head_host = host(failed_address);
-    link.handle_connected(NOW_MS, dials[1].link);
+    link.handle_connected(NOW_MS, dials[1].connection);
     link.handle_welcome(
         NOW_MS + 1,
-        dials[1].link,
+        dials[1].connection,
         &welcome(6, Some(head_host), false),
     );
     assert_eq!(
@@ -176,21 +187,22 @@
     );
 }
 
-/// A dial that began while the machine had no power hangs; the head's new view shows that the machine is up.
+/// A connection attempt that began while the head's machine had no power hangs. When a member names the head of a new
+/// view, the machine is up, so the attempt is replaced.
 #[test]
 fn a_hanging_dial_is_restarted_once_the_head_is_named() {
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
     let Dial {
-        link: hanging,
+        connection: hanging,
         address,
     } = dials[0];
     let head_host = host(address);
-    link.handle_connected(NOW_MS, dials[1].link);
+    link.handle_connected(NOW_MS, dials[1].connection);
     link.handle_welcome(
         NOW_MS + 1,
-        dials[1].link,
+        dials[1].connection,
         &welcome(6, Some(head_host), false),
     );
     let actions = link.poll_actions();
@@ -207,17 +219,17 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let dials = dialled(&mut link);
-    link.handle_connected(NOW_MS + 10, dials[0].link);
+    link.handle_connected(NOW_MS + 10, dials[0].connection);
     link.handle_timeout(NOW_MS + CONNECT_TIMEOUT_MS);
     assert!(
         link.poll_actions()
-            .contains(&LinkAction::Close(dials[1].link))
+            .contains(&LinkAction::Close(dials[1].connection))
     );
-    assert!(link.is_in_use(dials[0].link) && !link.is_in_use(dials[1].link));
+    assert!(link.is_in_use(dials[0].connection) && !link.is_in_use(dials[1].connection));
     link.handle_timeout(NOW_MS + 10 + GREETING_TIMEOUT_MS);
     assert!(
         link.poll_actions()
-            .contains(&LinkAction::Close(dials[0].link))
+            .contains(&LinkAction::Close(dials[0].connection))
     );
 }
 
@@ -226,16 +238,16 @@
     let mut link = link();
     link.handle_timeout(NOW_MS);
     let first = dialled(&mut link)[0];
-    link.handle_connected(NOW_MS, first.link);
-    link.handle_welcome(NOW_MS, first.link, &welcome(5, None, false));
+    link.handle_connected(NOW_MS, first.connection);
+    link.handle_welcome(NOW_MS, first.connection, &welcome(5, None, false));
     link.handle_timeout(NOW_MS + LISTEN_MS - 1);
-    assert!(link.is_in_use(first.link));
+    assert!(link.is_in_use(first.connection));
     link.handle_welcome(
         NOW_MS + LISTEN_MS - 1,
-        first.link,
+        first.connection,
         &welcome(6, Some(1), true),
     );
-    assert_eq!(link.attached(), Some(first.link));
+    assert_eq!(link.attached(), Some(first.connection));
 }
 
 #[test]
@@ -300,15 +312,15 @@
     let now_ms = NOW_MS + SUSPICION_TIMEOUT_MS;
     link.handle_timeout(now_ms);
     let dials = dialled(&mut link);
-    link.handle_connected(now_ms, dials[0].link);
-    link.handle_welcome(now_ms, dials[0].link, &welcome(5, Some(4), true));
+    link.handle_connected(now_ms, dials[0].connection);
+    link.handle_welcome(now_ms, dials[0].connection, &welcome(5, Some(4), true));
     assert_eq!(link.attached(), Some(id));
-    link.handle_welcome(now_ms, dials[0].link, &welcome(6, Some(4), true));
-    assert_eq!(link.attached(), Some(dials[0].link));
+    link.handle_welcome(now_ms, dials[0].connection, &welcome(6, Some(4), true));
+    assert_eq!(link.attached(), Some(dials[0].connection));
     let actions = link.poll_actions();
     assert!(
         position(&actions, &LinkAction::Detached)
-            < position(&actions, &LinkAction::Attached(dials[0].link))
+            < position(&actions, &LinkAction::Attached(dials[0].connection))
     );
     assert!(actions.contains(&LinkAction::Close(id)));
 }
@@ -379,7 +391,7 @@
 #[case::request_later(Some(100), 100 + SUSPICION_TIMEOUT_MS)]
 fn an_unresponsive_head_is_suspected_within_a_second(
     #[case] requested_ms: Option<u64>,
-    #[case] noticed_ms: u64,
+    #[case] suspected_ms: u64,
 ) {
     let (mut link, id, head) = attached_probing();
     if let Some(requested_ms) = requested_ms {
@@ -387,18 +399,18 @@
     }
     let mut now_ms = NOW_MS;
     let dials = loop {
-        now_ms = link.next_timeout_ms(now_ms).expect("something is due");
+        now_ms = link.next_timeout_ms(now_ms).expect("a timeout is due");
         link.handle_timeout(now_ms);
         let dials = dialled(&mut link);
         if !dials.is_empty() {
             break dials;
         }
     };
-    assert_eq!(now_ms, NOW_MS + noticed_ms);
+    assert_eq!(now_ms, NOW_MS + suspected_ms);
     assert!(dials.len() == SEARCH_CONNECTIONS_MAX && dials.iter().all(|dial| dial.address != head));
     assert_eq!(link.attached(), Some(id));
-    link.handle_connected(now_ms, dials[0].link);
-    link.handle_welcome(now_ms, dials[0].link, &welcome(6, Some(4), true));
+    link.handle_connected(now_ms, dials[0].connection);
+    link.handle_welcome(now_ms, dials[0].connection, &welcome(6, Some(4), true));
     assert_eq!(
         link.head(),
         Some(Head {
@@ -422,7 +434,7 @@
         now_ms = link
             .next_timeout_ms(now_ms)
             .filter(|due_ms| *due_ms > now_ms)
-            .expect("a later time");
+            .expect("something is due later");
         link.handle_timeout(now_ms);
     }
     assert_eq!(now_ms, NOW_MS + HEAD_TIMEOUT_MS);
@@ -431,15 +443,15 @@
     let mut dials = Vec::new();
     while !dials.iter().any(|dial: &Dial| dial.address == head) {
         assert!(now_ms < NOW_MS + 2 * HEAD_TIMEOUT_MS);
-        now_ms = link.next_timeout_ms(now_ms).expect("a later try");
+        now_ms = link.next_timeout_ms(now_ms).expect("another dial is due");
         link.handle_timeout(now_ms);
         dials = dialled(&mut link);
     }
     let reconnected = dials
         .iter()
         .find(|dial| dial.address == head)
-        .expect("a new connection")
-        .link;
+        .expect("the head was dialled again")
+        .connection;
     link.handle_connected(now_ms, reconnected);
     link.handle_welcome(now_ms, reconnected, &welcome(5, Some(1), true));
     assert_eq!(link.attached(), Some(reconnected));
