--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,5 +1,5 @@
-//! Frames as bytes: a length of four bytes (big endian), then the message in Cap'n Proto's stream encoding. The schema is
-//! `schema/internal.capnp`.
+//! Encoding of frames: a length prefix of four bytes (big endian), then the message in Cap'n Proto's stream encoding.
+//! The schema is `schema/internal.capnp`.
 
 mod agent;
 mod client;
@@ -12,39 +12,39 @@
 use capnp::serialize;
 use snafu::Snafu;
 
-/// Longest message that is accepted, in bytes.
+/// Longest message that is accepted, in bytes, without its length prefix.
 pub const FRAME_BYTES_MAX: usize = 64 << 20;
-/// Bytes of the length before each message.
+/// Size of the length prefix of each message, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Words that are reserved for a message without long fields; a larger one allocates more as it grows.
+/// Words allocated for a message without long fields; a larger message allocates more while it is written.
 const TYPICAL_WORDS: u32 = 96;
-/// Bytes of a word of the encoding.
+/// Bytes of one word of the Cap'n Proto encoding.
 const WORD_BYTES: usize = 8;
-/// How often each word of a message may be visited while it is read, on average: a small message whose pointers all
-/// lead to the same word cannot become a large one.
+/// Upper limit on reads per word of a message, on average. It protects against amplification: a small message whose
+/// pointers all lead to the same words cannot expand into a large one.
 const VISITS_MAX: usize = 4;
-/// Words that may be visited in any message.
+/// Words that may be read in any message, however short.
 const VISITED_WORDS_MIN: usize = 1_024;
 
-/// Bytes that are not a message.
+/// Bytes that are not a valid frame.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
-    /// The length before the message is above [`FRAME_BYTES_MAX`].
+    /// The length prefix is above [`FRAME_BYTES_MAX`].
     #[snafu(display("a frame of {length} bytes is over the limit of {FRAME_BYTES_MAX}"))]
     TooLong {
-        /// The length.
+        /// Value of the length prefix, in bytes.
         length: usize,
     },
-    /// The message cannot be read.
+    /// The message is not valid Cap'n Proto, violates the schema, or exceeds the read limit.
     #[snafu(display("a frame cannot be decoded: {source}"))]
     Malformed {
-        /// Why.
+        /// The decoder's error.
         source: capnp::Error,
     },
 }
 
-/// A message with its length before it.
+/// Encodes a frame, with its length prefix.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let allocator = HeapAllocator::new().first_segment_words(words_expected(frame));
     let mut message = Builder::new(allocator);
@@ -52,16 +52,17 @@
     let length = serialize::compute_serialized_size_in_words(&message) * WORD_BYTES;
     let mut bytes = Vec::with_capacity(LENGTH_BYTES + length);
     bytes.extend_from_slice(&(length as u32).to_be_bytes());
-    // Writing into memory does not fail.
+    // Writing to a `Vec` does not fail.
     let _ = serialize::write_message(&mut bytes, &message);
     bytes
 }
 
-/// The first complete message in `bytes` and how many bytes it takes; `None` while it is incomplete.
+/// Decodes the first frame in `bytes` and returns it with the number of bytes it takes, length prefix included;
+/// `None` while the frame is incomplete.
 ///
 /// # Errors
 ///
-/// [`CodecError`] if the bytes can never become a message.
+/// [`CodecError`] if the frame is invalid, whatever bytes follow.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, CodecError> {
     let Some(head) = bytes.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -77,7 +78,8 @@
     Ok(Some((frame, LENGTH_BYTES + length)))
 }
 
-/// How many bytes are missing until `bytes` begin with a complete message; 0 if they do, or if they never will.
+/// Number of bytes that are missing until `bytes` begin with a complete frame; 0 if the frame is complete or its length
+/// is above the limit. Without a complete length prefix, only the rest of the prefix is counted.
 pub fn missing_bytes(bytes: &[u8]) -> usize {
     match bytes.first_chunk::<LENGTH_BYTES>() {
         Some(head) => match u32::from_be_bytes(*head) as usize {
@@ -88,8 +90,8 @@
     }
 }
 
-/// Words that the message is expected to take: few enough that short messages stay cheap, so many that long ones are
-/// not copied as they grow.
+/// Words to allocate up front: few for short messages, and enough for a replication payload to be written without a
+/// second allocation.
 fn words_expected(frame: &Frame) -> u32 {
     match frame {
         Frame::Replication(payload) => TYPICAL_WORDS + (payload.len() / WORD_BYTES) as u32,
@@ -97,7 +99,7 @@
     }
 }
 
-/// Reads a message.
+/// Decodes a message without its length prefix.
 fn decode_body(mut body: &[u8]) -> capnp::Result<Frame> {
     let visited_words_max = body.len() / WORD_BYTES * VISITS_MAX + VISITED_WORDS_MIN;
     let mut options = ReaderOptions::new();
@@ -106,7 +108,7 @@
     read_frame(message.get_root()?)
 }
 
-/// Writes a message.
+/// Writes a [`Frame`].
 fn write_frame(mut to: frame::Builder, frame: &Frame) {
     match frame {
         Frame::Hello(hello) => member::write_hello(to.init_hello(), hello),
@@ -121,7 +123,7 @@
     }
 }
 
-/// Reads a message.
+/// Reads a [`Frame`].
 fn read_frame(from: frame::Reader) -> capnp::Result<Frame> {
     Ok(match from.which()? {
         frame::Hello(hello) => Frame::Hello(member::read_hello(hello?)?),
--- a/crates/protocol/src/codec/agent.rs
+++ b/crates/protocol/src/codec/agent.rs
@@ -1,4 +1,4 @@
-//! Encoding of node agents' reports and of the head's orders.
+//! Encoding of the node agents' reports and of the head's orders to them.
 
 use super::common::{
     read_resources, read_run, read_runs, read_text, read_texts, write_resources, write_run,
--- a/crates/protocol/src/codec/client.rs
+++ b/crates/protocol/src/codec/client.rs
@@ -1,4 +1,4 @@
-//! Encoding of clients' calls and of the replies.
+//! Encoding of client calls and of their replies.
 
 use super::common::read_text;
 use crate::internal::{ClientCall, ClientOperation, ClientOutcome, ClientReply};
--- a/crates/protocol/src/codec/common.rs
+++ b/crates/protocol/src/codec/common.rs
@@ -1,4 +1,4 @@
-//! Encoding of what several messages have in common.
+//! Encoding of values that occur in several messages.
 
 use crate::internal_capnp::{resources, run_id, socket_address};
 use crate::job::Resources;
@@ -8,24 +8,24 @@
 use serde::de::DeserializeOwned;
 use std::net::{IpAddr, SocketAddr};
 
-/// An owned text.
+/// Reads a text.
 pub(super) fn read_text(from: capnp::Result<text::Reader>) -> capnp::Result<String> {
     Ok(from?.to_str()?.to_owned())
 }
 
-/// Owned texts.
+/// Reads a list of texts.
 pub(super) fn read_texts(from: text_list::Reader) -> capnp::Result<Vec<String>> {
     from.iter().map(read_text).collect()
 }
 
-/// Writes texts into a list of the same length.
+/// Writes texts to a list of the same length.
 pub(super) fn write_texts(mut to: text_list::Builder, texts: &[String]) {
     for (index, text) in (0..).zip(texts) {
         to.set(index, text.as_str());
     }
 }
 
-/// Writes an address.
+/// Writes a socket address; the IP address takes 4 bytes (IPv4) or 16 (IPv6).
 pub(super) fn write_address(mut to: socket_address::Builder, address: SocketAddr) {
     match address.ip() {
         IpAddr::V4(ip) => to.set_ip(&ip.octets()),
@@ -34,7 +34,7 @@
     to.set_port(address.port());
 }
 
-/// Reads an address.
+/// Reads a socket address.
 pub(super) fn read_address(from: socket_address::Reader) -> capnp::Result<SocketAddr> {
     let bytes = from.get_ip()?;
     let ip = if let Ok(octets) = <[u8; 4]>::try_from(bytes) {
@@ -50,14 +50,14 @@
     Ok(SocketAddr::new(ip, from.get_port()))
 }
 
-/// Writes what a worker has, or a task takes.
+/// Writes [`Resources`].
 pub(super) fn write_resources(mut to: resources::Builder, resources: &Resources) {
     to.set_cpu(resources.cpu);
     to.set_mem_mb(resources.mem_mb);
     to.set_gpu(resources.gpu);
 }
 
-/// Reads what a worker has, or a task takes.
+/// Reads [`Resources`].
 pub(super) fn read_resources(from: resources::Reader) -> Resources {
     Resources {
         cpu: from.get_cpu(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Writes a run's id.
+/// Writes a [`RunId`].
 pub(super) fn write_run(mut to: run_id::Builder, run: &RunId) {
     to.set_job(run.task.job.0);
     to.set_repeat(run.task.repeat);
@@ -75,7 +75,7 @@
     to.set_attempt(run.attempt);
 }
 
-/// Reads a run's id.
+/// Reads a [`RunId`].
 pub(super) fn read_run(from: run_id::Reader) -> RunId {
     let job = JobId(from.get_job());
     let task = TaskName {
@@ -90,25 +90,25 @@
     }
 }
 
-/// Writes runs' ids into a list of the same length.
+/// Writes run ids to a list of the same length.
 pub(super) fn write_runs(mut to: struct_list::Builder<run_id::Owned>, runs: &[RunId]) {
     for (index, run) in (0..).zip(runs) {
         write_run(to.reborrow().get(index), run);
     }
 }
 
-/// Reads runs' ids.
+/// Reads a list of run ids.
 pub(super) fn read_runs(from: struct_list::Reader<run_id::Owned>) -> Vec<RunId> {
     from.iter().map(read_run).collect()
 }
 
-/// A value as JSON.
+/// Encodes a value as JSON.
 pub(super) fn to_json(value: &impl Serialize) -> String {
-    // The types that are sent as JSON have no maps and no numbers that JSON cannot represent.
+    // The types that are sent as JSON contain no maps and no numbers that JSON cannot represent, so encoding succeeds.
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// A value from JSON.
+/// Decodes a value from JSON.
 pub(super) fn from_json<T: DeserializeOwned>(text: text::Reader) -> capnp::Result<T> {
     serde_json::from_slice(text.as_bytes()).map_err(|error| capnp::Error::failed(error.to_string()))
 }
--- a/crates/protocol/src/codec/member.rs
+++ b/crates/protocol/src/codec/member.rs
@@ -1,4 +1,4 @@
-//! Encoding of the messages with which a connection begins.
+//! Encoding of the handshake messages, with which each connection begins.
 
 use super::common::{read_address, read_text, write_address};
 use crate::config::IngressLimits;
--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -2,57 +2,58 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A route: a queue of jobs.
+/// A route: it maps requests by host and path prefix to a queue of jobs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Route {
-    /// Its name, unique in the configuration.
+    /// Name of the route, unique in the configuration.
     pub name: String,
-    /// The `Host` header that it matches.
+    /// The `Host` header that the route matches, in lower case and without a port.
     pub host: String,
-    /// It matches the paths that begin with this; of several routes the one with the longest prefix is used.
+    /// Prefix of the paths that the route matches; if several routes match, the one with the longest prefix is used.
     pub path_prefix: String,
     /// `idempotent` or `non_idempotent`.
     pub route_type: String,
-    /// Time-out of a request, in milliseconds; above 0.
+    /// Timeout of a request, in milliseconds; above 0.
     pub timeout_ms: u64,
-    /// Part of a job's latency target that does not depend on its work, in milliseconds.
+    /// Constant part of a job's latency target, in milliseconds; `stretch` adds a part that depends on the job's work.
     pub target_latency_ms: u64,
-    /// 0 is the most urgent and may preempt others.
+    /// Priority of the route's jobs. 0 is the most urgent and may preempt others.
     pub priority: u32,
-    /// The service whose workers run its tasks.
+    /// Name of the service whose workers run the tasks.
     pub backend: String,
-    /// A task that has failed so often fails its job.
+    /// Number of failures of one task after which its job fails; 0 counts as 1.
     pub max_retries: u32,
-    /// Part of a job's latency target: multiple of its longest chain of work.
+    /// Factor for the variable part of a job's latency target: it is multiplied by the run time of the longest chain of
+    /// dependent steps.
     pub stretch: f64,
 }
 
-/// A service: the workers of one `backend`.
+/// A service: all workers that register with the same `backend`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Service {
-    /// Its name, unique in the configuration.
+    /// Name of the service, unique in the configuration; routes and workers refer to it as `backend`.
     pub name: String,
     /// Path of the health check.
     pub health_path: String,
-    /// Most connections to one worker.
+    /// Maximum number of connections to one worker.
     pub max_connections: u32,
-    /// Its workers reject a start that does not fit.
+    /// Whether the workers reject the start of a task that does not fit into their free capacity.
     pub guards: bool,
 }
 
-/// Limits on requests at the edges.
+/// Limits on client requests, enforced by the edges.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct IngressLimits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: u64,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Time for a request's head to come in, in milliseconds.
+    /// Time within which a request's head must be received, in milliseconds.
     pub header_timeout_ms: u64,
-    /// An idle connection is closed after this time, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -67,22 +68,22 @@
     }
 }
 
-/// A complete configuration, valid and in the form the scheduler uses.
+/// A complete, valid configuration in the form that the scheduler uses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Config {
-    /// Its version.
+    /// Version of the configuration; rises with each change.
     pub version: u64,
-    /// Its routes.
+    /// All routes, in the order in which the operator wrote them.
     pub routes: Vec<Route>,
-    /// Its services.
+    /// All services, in the order in which the operator wrote them.
     pub services: Vec<Service>,
-    /// Its limits.
+    /// Limits on client requests; the defaults where the operator set none.
     pub limits: IngressLimits,
 }
 
 impl Config {
-    /// The route for a request: the longest prefix of `path` among the routes of `host`.
+    /// Returns the route for a request: of the routes of `host`, the one with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let here = self
             .routes
@@ -91,7 +92,7 @@
         here.max_by_key(|r| r.path_prefix.len())
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|s| s.name == name)
     }
--- a/crates/protocol/src/config_check.rs
+++ b/crates/protocol/src/config_check.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of complete configurations (`PUT /config`).
+//! Parsing and validation of complete configurations (`PUT /config`).
 
 use crate::config::Config;
 use crate::config_document;
@@ -11,7 +11,7 @@
 
 pub use crate::config_error::ConfigError;
 
-/// A valid configuration: in the form the scheduler uses, and as the operator wrote it.
+/// A valid configuration, both in the form that the scheduler uses and as the operator wrote it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CheckedConfig {
     config: Config,
@@ -19,22 +19,23 @@
 }
 
 impl CheckedConfig {
-    /// The form the scheduler uses.
+    /// Returns the configuration in the form that the scheduler uses.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// The form the scheduler uses, without the text.
+    /// Converts to the form that the scheduler uses and drops the operator's text.
     pub fn into_config(self) -> Config {
         self.config
     }
 
-    /// The complete configuration as JSON, with all fields that were sent, known or not. [`parse_config`] reads it again.
+    /// Returns the complete configuration as JSON, with all fields that were sent, known or not. [`parse_config`]
+    /// accepts this text again.
     pub fn json(&self) -> &str {
         &self.json
     }
 
-    /// Its version.
+    /// Returns the version of the configuration; always above 0.
     pub fn version(&self) -> u64 {
         self.config.version
     }
@@ -43,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError::VersionNotHigher`] if it is not.
+    /// [`ConfigError::VersionNotHigher`] if the version is `current` or below.
     pub fn ensure_newer_than(&self, current: u64) -> Result<(), ConfigError> {
         ensure!(
             self.version() > current,
@@ -56,15 +57,15 @@
     }
 }
 
-/// Reads and checks a complete configuration. Whether its version is above the current one is checked separately
-/// ([`CheckedConfig::ensure_newer_than`]).
+/// Parses and validates a complete configuration. [`CheckedConfig::ensure_newer_than`] compares its version with the
+/// current one.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] with what is wrong, where, and what is expected.
+/// [`ConfigError`] with the field, the problem and the expected value.
 pub fn parse_config(bytes: &[u8]) -> Result<CheckedConfig, ConfigError> {
     let json = std::str::from_utf8(bytes).context(NotUtf8Snafu)?;
-    // The parser would read an array as an object, field by field.
+    // The parser would accept an array in place of an object and assign its items to the fields by position.
     ensure!(
         json.trim_start().starts_with('{'),
         UnreadableSnafu {
@@ -79,18 +80,18 @@
     })
 }
 
-/// The version that an `If-Match` header names; quotes around it are allowed.
+/// Parses the version in an `If-Match` header; quotes around it are allowed.
 ///
 /// # Errors
 ///
-/// [`ConfigError::NoVersion`] if there is no header or no number in it.
+/// [`ConfigError::NoVersion`] if the header is missing or is not a whole number.
 pub fn parse_if_match(header: Option<&str>) -> Result<u64, ConfigError> {
     let text = header.unwrap_or_default();
     let version = text.trim().trim_matches('"').parse().ok();
     version.context(NoVersionSnafu { text })
 }
 
-/// Checks the rules that span several fields.
+/// Checks the rules that involve several fields.
 fn check(config: &Config) -> Result<(), ConfigError> {
     check_names("routes", config.routes.iter().map(|route| &route.name))?;
     check_names(
@@ -101,7 +102,7 @@
     check_prefixes(config)
 }
 
-/// Each name occurs once in its list.
+/// Checks that each name occurs once in its list.
 fn check_names<'a>(
     field: &str,
     names: impl Iterator<Item = &'a String>,
@@ -113,7 +114,7 @@
     Ok(())
 }
 
-/// Each route leads to a service of the configuration.
+/// Checks that the `backend` of each route is a service of the configuration.
 fn check_backends(config: &Config) -> Result<(), ConfigError> {
     let known: HashSet<&str> = config
         .services
@@ -133,7 +134,7 @@
     Ok(())
 }
 
-/// No two routes share host and prefix.
+/// Checks that no two routes have the same host and path prefix.
 fn check_prefixes(config: &Config) -> Result<(), ConfigError> {
     let mut routes: Vec<_> = config.routes.iter().collect();
     routes.sort_unstable_by_key(|route| (&route.host, &route.path_prefix));
--- a/crates/protocol/src/config_document.rs
+++ b/crates/protocol/src/config_document.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration as it is written: its fields, which of them are required, and which values each allows.
-//! Read and checked with `schematic`; rules that span several fields are in the module `config_check`.
+//! Schema of the operator's configuration: its fields, which of them are required, and the allowed values of each.
+//! `schematic` parses and validates the text; the rules that involve several fields are in the module `config_check`.
 
 use crate::config::{Config, IngressLimits, Route, Service};
 use crate::config_error::ConfigError;
@@ -11,10 +11,10 @@
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Name that the library gives the text; nothing is read from a file.
+/// Name of the text in the library's error messages; no file of this name is read.
 const SOURCE_NAME: &str = "configuration.json";
 
-/// A route as it is written.
+/// A route as the operator writes it.
 #[derive(Document)]
 #[config(allow_unknown_fields)]
 struct RouteDocument {
@@ -33,7 +33,7 @@
     stretch: f64,
 }
 
-/// A service as it is written.
+/// A service as the operator writes it.
 #[derive(Document)]
 #[config(allow_unknown_fields)]
 struct ServiceDocument {
@@ -44,7 +44,7 @@
     guards: bool,
 }
 
-/// Limits as they are written.
+/// Limits as the operator writes them; missing fields get the defaults of [`IngressLimits`].
 #[derive(Document)]
 #[config(allow_unknown_fields)]
 struct LimitsDocument {
@@ -54,7 +54,7 @@
     idle_timeout_ms: Option<u64>,
 }
 
-/// A complete configuration as it is written.
+/// A complete configuration as the operator writes it.
 #[derive(Document)]
 #[config(allow_unknown_fields)]
 struct ConfigDocument {
@@ -68,7 +68,7 @@
     limits: Option<LimitsDocument>,
 }
 
-/// A text must not be empty.
+/// Validates that a text is not empty.
 fn not_empty<Data, Context>(text: &str, _: &Data, _: &Context, _: bool) -> ValidateResult {
     if text.is_empty() {
         Err(ValidateError::new("is empty: a name is expected"))
@@ -77,7 +77,7 @@
     }
 }
 
-/// A number must be above 0.
+/// Validates that a number is above 0.
 fn above_zero<Data, Context>(number: &u64, _: &Data, _: &Context, _: bool) -> ValidateResult {
     if *number == 0 {
         Err(ValidateError::new(
@@ -88,7 +88,7 @@
     }
 }
 
-/// Strict JSON. (The library's own format also accepts comments.)
+/// Strict JSON. The library's own JSON format also accepts comments.
 struct StrictJson;
 
 impl<T: DeserializeOwned> SourceFormat<T> for StrictJson {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Reads a complete configuration and checks each field.
+/// Parses a complete configuration and validates each field.
 pub(crate) fn read(text: &str) -> Result<Config, ConfigError> {
     let mut loader = ConfigLoader::<ConfigDocument>::new();
     loader.add_format(StrictJson);
@@ -112,7 +112,7 @@
     Ok(loaded.config.into())
 }
 
-/// The library's error as ours: the first field that is wrong.
+/// Converts the library's error; of several invalid fields, only the first is reported.
 fn explain(error: DocumentError) -> ConfigError {
     match error {
         DocumentError::Validator { error, .. } if !error.errors.is_empty() => {
@@ -153,7 +153,7 @@
     fn from(document: RouteDocument) -> Route {
         Route {
             name: document.name.unwrap_or_default(),
-            // Names of hosts are compared without regard to case.
+            // Host names are case-insensitive.
             host: document.host.to_ascii_lowercase(),
             path_prefix: document.path_prefix,
             route_type: document.route_type,
--- a/crates/protocol/src/config_error.rs
+++ b/crates/protocol/src/config_error.rs
@@ -1,44 +1,44 @@
-//! Why a configuration, or a change of one, is rejected.
+//! Errors for which a configuration, or a change to one, is rejected.
 
 use crate::json::JsonError;
 use snafu::Snafu;
 
-/// A configuration, or a change of one, that is rejected.
+/// The reason why a configuration, or a change to one, is rejected.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigError {
-    /// It is not UTF-8.
+    /// The text is not UTF-8.
     #[snafu(display("the configuration is no UTF-8: {source}"))]
     NotUtf8 {
-        /// The first byte that is not.
+        /// The decoder's error, with the position of the first invalid byte.
         source: std::str::Utf8Error,
     },
-    /// A change is not JSON (truncated, for example), or a field has the wrong type.
+    /// A change is not valid JSON (truncated, for example), or a field has the wrong type.
     #[snafu(display("the configuration cannot be read: {source}"))]
     Json {
-        /// What, where, and what is expected.
+        /// The parser's error, with the field and the expected type.
         source: JsonError,
     },
-    /// The configuration is not JSON, or a field has the wrong type.
+    /// The configuration is not valid JSON, or a field has the wrong type.
     #[snafu(display("the configuration cannot be read: {problem}"))]
     Unreadable {
-        /// What, where, and what is expected.
+        /// The parser's message, with the field and the expected type.
         problem: String,
     },
     /// A field is missing or has a value that is not allowed.
     #[snafu(display("`{path}`: {problem}"))]
     Field {
-        /// The field, as `routes[3].timeout_ms`.
+        /// Path of the field, such as `routes[3].timeout_ms`.
         path: String,
-        /// What is wrong, and what is expected.
+        /// The value found and the value expected.
         problem: String,
     },
     /// Two items of one list have the same name.
     #[snafu(display("`{field}` has `{name}` twice: each name is allowed once"))]
     DuplicateName {
-        /// The field that holds the list.
+        /// Field of the configuration that contains the list.
         field: String,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
     /// A route leads to a service that is not in the configuration.
@@ -46,9 +46,9 @@
         "route `{route}` names the unknown service `{service}`: one of `services` is expected"
     ))]
     UnknownService {
-        /// The route's name.
+        /// Name of the route.
         route: String,
-        /// The service that it names.
+        /// The unknown service that its `backend` names.
         service: String,
     },
     /// Two routes match the same requests.
@@ -56,13 +56,13 @@
         "routes `{first}` and `{second}` share host `{host}` and prefix `{path_prefix}`: one route is allowed there"
     ))]
     DuplicatePrefix {
-        /// One route's name.
+        /// Name of one of the two routes.
         first: String,
-        /// The other one's.
+        /// Name of the other route.
         second: String,
-        /// Their host.
+        /// Host of both routes.
         host: String,
-        /// Their prefix.
+        /// Path prefix of both routes.
         path_prefix: String,
     },
     /// The version is not above the current one.
@@ -73,10 +73,10 @@
         /// The version in force.
         current: u64,
     },
-    /// The `If-Match` header is no version.
+    /// The `If-Match` header is missing or is not a version.
     #[snafu(display("`If-Match` is `{text}`: a version (a whole number) is expected"))]
     NoVersion {
-        /// The header, empty if there is none.
+        /// Value of the header; empty if there is none.
         text: String,
     },
 }
--- a/crates/protocol/src/config_patch.rs
+++ b/crates/protocol/src/config_patch.rs
@@ -1,7 +1,7 @@
-//! Changes of named items of a configuration (`PATCH /config`).
+//! Partial changes of a configuration by item name (`PATCH /config`).
 //!
-//! The change is made in the operator's own text: items that it does not name, and fields that are not known here, are
-//! kept byte for byte.
+//! A patch is applied to the operator's own text: items that the patch does not name, and fields that this version
+//! does not know, are kept byte for byte.
 
 use crate::config_check::{CheckedConfig, parse_config};
 use crate::config_error::{ConfigError, JsonSnafu};
@@ -14,10 +14,10 @@
 /// The field of a configuration that holds its version.
 const VERSION: &str = "version";
 
-/// A configuration by its fields; the items of lists are not parsed.
+/// The top-level fields of a configuration by name; their values are not parsed.
 type Fields<'a> = BTreeMap<String, &'a RawValue>;
 
-/// A change as it is written.
+/// A patch as the operator writes it.
 #[derive(Deserialize)]
 struct Patch<'a> {
     #[serde(borrow)]
@@ -28,13 +28,13 @@
     remove: BTreeMap<String, Vec<String>>,
 }
 
-/// The field that identifies an item.
+/// The part of an item that identifies it; all other fields are ignored.
 #[derive(Deserialize)]
 struct Named {
     name: String,
 }
 
-/// A list of named items, in the order in which they were written.
+/// A list of named items in the order of the text. A removed item leaves `None` at its position.
 #[derive(Default)]
 struct Items<'a> {
     items: Vec<Option<&'a RawValue>>,
@@ -42,21 +42,21 @@
 }
 
 impl<'a> Items<'a> {
-    /// Reads a list.
+    /// Parses a JSON array of items.
     fn read(array: &'a RawValue) -> Result<Items<'a>, ConfigError> {
         let mut items = Items::default();
         items.upsert(array)?;
         Ok(items)
     }
 
-    /// Removes the items of these names; names that are not there are skipped.
+    /// Removes the items with these names; unknown names are ignored.
     fn remove(&mut self, names: &[String]) {
         for position in names.iter().filter_map(|name| self.positions.remove(name)) {
             self.items[position] = None;
         }
     }
 
-    /// Adds the items of `array`; each replaces the one of the same name.
+    /// Adds the items of `array`; an item replaces the existing one with the same name at its position.
     fn upsert(&mut self, array: &'a RawValue) -> Result<(), ConfigError> {
         let mut distinct = HashSet::new();
         for item in read_raw::<Vec<&RawValue>>(array)? {
@@ -78,22 +78,22 @@
         Ok(())
     }
 
-    /// The list as JSON.
+    /// Encodes the list as a JSON array.
     fn write(&self) -> Result<Box<RawValue>, ConfigError> {
         let remaining: Vec<&RawValue> = self.items.iter().copied().flatten().collect();
         write_raw(&remaining)
     }
 }
 
-/// The configuration that `patch` makes of `current`, checked. Whether its version is above the current one is checked
-/// separately ([`CheckedConfig::ensure_newer_than`]).
+/// Applies `patch` to `current` and validates the result. [`CheckedConfig::ensure_newer_than`] compares the new version
+/// with the current one.
 ///
-/// `remove` goes first, and to remove what is not there changes nothing. Each field of `upsert` that is a list is merged
-/// by name; any other one (`limits`) is replaced as a whole.
+/// `remove` is applied before `upsert`; removing an unknown item has no effect. Each field of `upsert` that is a list
+/// is merged by item name; any other field (such as `limits`) is replaced as a whole.
 ///
 /// # Errors
 ///
-/// [`ConfigError`] if the patch cannot be read, or the configuration that it makes is invalid.
+/// [`ConfigError`] if the patch cannot be parsed or the resulting configuration is invalid.
 pub fn apply_patch(current: &CheckedConfig, patch: &[u8]) -> Result<CheckedConfig, ConfigError> {
     let patch: Patch = read(patch)?;
     let mut fields: Fields = read(current.json().as_bytes())?;
@@ -108,7 +108,7 @@
     parse_config(write_raw(&fields)?.get().as_bytes())
 }
 
-/// The lists of items that `patch` changes, as they are afterwards.
+/// Returns the lists that `patch` changes, by field name, with `remove` and `upsert` applied.
 fn merged_items(
     fields: &Fields,
     patch: &Patch,
@@ -135,17 +135,17 @@
     Ok(merged)
 }
 
-/// Reads JSON.
+/// Parses JSON.
 fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, ConfigError> {
     json::read(bytes).context(JsonSnafu)
 }
 
-/// Reads a raw JSON value.
+/// Parses a raw JSON value.
 fn read_raw<'a, T: Deserialize<'a>>(value: &'a RawValue) -> Result<T, ConfigError> {
     read(value.get().as_bytes())
 }
 
-/// Writes JSON.
+/// Encodes a value as raw JSON.
 fn write_raw(value: &impl Serialize) -> Result<Box<RawValue>, ConfigError> {
     serde_json::value::to_raw_value(value).map_err(|error| ConfigError::Unreadable {
         problem: error.to_string(),
--- a/crates/protocol/src/heartbeat_check.rs
+++ b/crates/protocol/src/heartbeat_check.rs
@@ -1,4 +1,4 @@
-//! Reading of workers' heartbeats.
+//! Parsing and validation of workers' heartbeats.
 
 use crate::json;
 use crate::worker::Heartbeat;
@@ -6,25 +6,25 @@
 
 pub use crate::json::JsonError;
 
-/// A heartbeat that cannot be used.
+/// The reason why a heartbeat is rejected.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum HeartbeatError {
-    /// It is not JSON, or a field has the wrong type.
+    /// The text is not valid JSON, or a field has the wrong type.
     #[snafu(display("the heartbeat cannot be read: {source}"))]
     Unreadable {
-        /// What, where, and what is allowed.
+        /// The parser's error, with the field and the expected type.
         source: JsonError,
     },
-    /// It does not name the worker's service.
+    /// `backend`, the name of the worker's service, is missing or empty.
     #[snafu(display("`backend` is empty: the name of a service is expected"))]
     NoBackend,
 }
 
-/// Reads a heartbeat. Unknown fields are skipped, missing ones are 0, false or empty.
+/// Parses and validates a heartbeat. Unknown fields are ignored; missing fields are 0, false or empty.
 ///
 /// # Errors
 ///
-/// [`HeartbeatError`] if it cannot be read or names no service.
+/// [`HeartbeatError`] if the text cannot be parsed or names no service.
 pub fn parse_heartbeat(bytes: &[u8]) -> Result<Heartbeat, HeartbeatError> {
     let heartbeat: Heartbeat = json::read(bytes).context(UnreadableSnafu)?;
     ensure!(!heartbeat.backend.is_empty(), NoBackendSnafu);
--- a/crates/protocol/src/inspection.rs
+++ b/crates/protocol/src/inspection.rs
@@ -1,7 +1,7 @@
-//! Questions of the command line tool to a member of the core, and the answers. Nothing here changes any state.
+//! Read-only queries of the command line tool to a core member, and their answers.
 //!
-//! A question needs no `Hello` before it. Every member answers for itself; only the acting
-//! head knows the work.
+//! A query needs no `Hello` before it. Every member reports its own status; only the acting head can report on jobs,
+//! queues and services.
 
 mod job;
 mod status;
@@ -20,48 +20,48 @@
 };
 pub use task_counts::TaskCounts;
 
-/// A question. The answer carries the same `call`.
+/// A query with its call number. The reply carries the same `call`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InspectionCall {
-    /// Chosen by the tool.
+    /// Number chosen by the tool, for matching the reply.
     pub call: u64,
-    /// The question.
+    /// The query.
     pub question: Question,
 }
 
-/// The question.
+/// A query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
-    /// The status of the member and, if it is the acting head, of the work.
+    /// Status of the member; the acting head adds the status of queues and services.
     Status,
-    /// The status of a job and why it waits. Answered by the acting head.
+    /// Status of a job, and why its steps wait. Only the acting head can answer.
     Job(JobId),
 }
 
 /// The answer to an [`InspectionCall`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InspectionReply {
-    /// The question's number.
+    /// Number of the [`InspectionCall`] that is answered.
     pub call: u64,
     /// The answer.
     pub answer: InspectionAnswer,
 }
 
-/// A member's answer.
+/// The answer to a [`Question`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum InspectionAnswer {
     /// The member's status.
     Status(Box<MemberStatus>),
-    /// The job's status; `None`: no such job is known.
+    /// The job's status; `None` if the job is unknown.
     Job(Option<Box<JobInspection>>),
-    /// This member is not the acting head.
+    /// This member is not the acting head, and the query needs it.
     NotHead {
-        /// The head, where it knows one that is at work.
+        /// The acting head, if this member knows it.
         head: Option<MemberAddress>,
     },
-    /// The member cannot answer now.
+    /// The member cannot answer at present.
     Unavailable {
-        /// Why.
+        /// The reason, as text for the user.
         reason: String,
     },
 }
--- a/crates/protocol/src/inspection/job.rs
+++ b/crates/protocol/src/inspection/job.rs
@@ -1,89 +1,90 @@
-//! Status of a job, and why its steps wait.
+//! Status of a job, and the reasons why its steps wait.
 
 use super::task_counts::TaskCounts;
 use crate::job::JobState;
 use serde::{Deserialize, Serialize};
 
-/// Most runs of one step that are listed.
+/// Maximum number of runs listed for one step.
 pub const RUNS_LISTED_MAX: usize = 100;
-/// Most steps of a job, over all its repetitions, that are listed.
+/// Maximum number of steps listed for a job, over all its repetitions.
 pub const STEPS_LISTED_MAX: usize = 200;
 
 /// Status of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobInspection {
-    /// Its id.
+    /// Id of the job: 16 hexadecimal digits.
     pub id: String,
-    /// Its queue; not stored for ended jobs.
+    /// Name of the job's queue (its route); `None` for ended jobs, for which it is not stored.
     pub queue: Option<String>,
-    /// The service whose workers run its tasks; not stored for ended jobs.
+    /// Name of the service whose workers run the tasks; `None` for ended jobs, for which it is not stored.
     pub service: Option<String>,
-    /// Its state as clients are shown it.
+    /// State of the job as reported to clients.
     pub state: JobState,
-    /// When it was accepted, in milliseconds since 1970; not stored for ended jobs.
+    /// Acceptance time of the job, in milliseconds since 1970; `None` for ended jobs, for which it is not stored.
     pub accepted_wall_ms: Option<u64>,
-    /// Number of its repetitions; not stored for ended jobs.
+    /// Number of repetitions; `None` for ended jobs, for which it is not stored.
     pub repeats: Option<u32>,
-    /// When the next repetition is due, in milliseconds since 1970.
+    /// Due time of the next repetition, in milliseconds since 1970; `None` if there is no further one.
     pub next_due_wall_ms: Option<u64>,
-    /// The steps of the repetitions that are due and not complete.
+    /// Steps of the repetitions that are due and not complete, [`STEPS_LISTED_MAX`] at most.
     pub steps: Vec<StepInspection>,
-    /// There are more steps than listed.
+    /// Whether there are more steps than `steps` lists.
     pub more_steps: bool,
 }
 
-/// Status of a step of a repetition.
+/// Status of one step in one repetition.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepInspection {
-    /// Repetition, from 0.
+    /// Number of the repetition, from 0.
     pub repeat: u32,
-    /// Step, from 0.
+    /// Number of the step, from 0.
     pub step: u32,
-    /// Its tasks.
+    /// Tasks of the step by state.
     pub tasks: TaskCounts,
-    /// Runs that ended `failed`.
+    /// Number of runs that ended as `failed`.
     pub failures: u32,
-    /// Where its tasks run, [`RUNS_LISTED_MAX`] at most.
+    /// Outstanding runs of the step's tasks, [`RUNS_LISTED_MAX`] at most.
     pub runs: Vec<RunInspection>,
-    /// Why tasks of it wait, if any do.
+    /// Reason why tasks of the step wait; `None` if none wait.
     pub wait: Option<Wait>,
 }
 
 /// An outstanding run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunInspection {
-    /// Task within the step, from 0.
+    /// Index of the task within the step, from 0.
     pub index: u32,
-    /// The run's number.
+    /// Attempt number of the run.
     pub attempt: u32,
-    /// The worker's instance.
+    /// Id of the worker instance that runs it.
     pub instance: String,
 }
 
-/// Why tasks of a step wait.
+/// Reason why tasks of a step wait.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Wait {
-    /// These earlier steps are not done.
+    /// The step depends on these earlier steps, which are not done.
     Dependency(Vec<u32>),
-    /// No worker of the service is connected and takes new work.
+    /// The service has no connected worker that accepts new work.
     NoWorkers,
-    /// No worker of the service has the label and the capacity that a task needs.
+    /// No worker of the service has both the label and the total capacity that a task needs.
     NoWorkerFits,
-    /// Too few tasks fit beside what runs.
+    /// Too few tasks fit into the capacity that running tasks leave free.
     #[serde(rename = "no_room")]
     InsufficientCapacity {
-        /// Tasks that fit now.
+        /// Number of tasks that fit now.
         #[serde(rename = "places")]
         fitting_tasks: u64,
-        /// Tasks needed at once: all members of a gang, else 1.
+        /// Number of tasks that must fit at once: all members of a gang, else 1.
         needed: u64,
     },
-    /// There is capacity, yet the scheduler does not use it now: it is reserved for another step, its workers are
-    /// suspected, in backoff or without a full report since a change of the head, or the step waits for its rack.
+    /// Capacity is free, but the scheduler does not use it now: it is reserved for another step, its workers are
+    /// suspected of failure, in backoff or have sent no full report since the head changed, or the step waits for
+    /// capacity in its rack.
     #[serde(rename = "held_back")]
     Deferred {
-        /// Tasks that would fit.
+        /// Number of tasks that would fit into the free capacity.
         #[serde(rename = "places")]
         fitting_tasks: u64,
     },
--- a/crates/protocol/src/inspection/status.rs
+++ b/crates/protocol/src/inspection/status.rs
@@ -1,44 +1,44 @@
-//! Status of a member and of the work.
+//! Status of a member, and of queues and services.
 
 use super::task_counts::TaskCounts;
 use crate::member::MemberAddress;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Status of a member.
+/// Status of a core member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Version of its program.
+    /// Version of the program that the member runs.
     pub version: String,
-    /// Its addresses.
+    /// Addresses of the member.
     pub address: MemberAddress,
-    /// The view that it accepted last.
+    /// The view that the member accepted last; `None` before the first.
     pub view: Option<ViewStatus>,
-    /// The head that is at work, where it knows one.
+    /// The acting head; `None` if the member knows none.
     pub head: Option<MemberAddress>,
-    /// It is the head, and may act.
+    /// Whether the member is the head and may act, that is, its lease holds.
     pub acting: bool,
-    /// State of the rows on its disk.
+    /// Position of the member's database in the replicated writes.
     pub stored: StoredState,
-    /// Its last write to the disk has failed.
+    /// Whether the member's last write to its disk failed.
     pub storage_failing: bool,
-    /// The other members and seeds, and whether its connection to each is open.
+    /// The other members and seed nodes, with the state of the connection to each.
     pub peers: Vec<PeerStatus>,
-    /// Node agents connected to it.
+    /// Number of node agents connected to the member.
     #[serde(rename = "companions")]
     pub agents: u32,
-    /// Edges connected to it.
+    /// Number of edges connected to the member.
     pub edges: u32,
-    /// The work; only the acting head reports it.
+    /// Queues and services; `None` unless the member is the acting head.
     pub work: Option<WorkStatus>,
 }
 
 /// A view of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewStatus {
-    /// Its number: the fencing token of the head's orders.
+    /// Number of the view; also the fencing token of the head's orders.
     pub number: u64,
-    /// A majority is known to have accepted it.
+    /// Whether a majority of the voters is known to have accepted the view.
     pub agreed: bool,
     /// Internal addresses of the voters.
     pub voters: Vec<SocketAddr>,
@@ -46,7 +46,7 @@
     pub chain: Vec<SocketAddr>,
 }
 
-/// State of a member's rows.
+/// Position of a member's database: the last write that it contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredState {
     /// Number of the view that ordered the last write.
@@ -55,65 +55,65 @@
     pub seq: u64,
 }
 
-/// Another member as the one asked sees it.
+/// Another member, as the member that answers sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Its internal address.
+    /// Address at which the peer accepts internal connections.
     pub internal: SocketAddr,
-    /// Name of its machine, once it is known.
+    /// Name of the peer's machine; `None` until it is known.
     pub node_name: Option<String>,
-    /// The connection to it is open.
+    /// Whether the connection to the peer is open.
     pub connected: bool,
 }
 
-/// The work of the cluster.
+/// Jobs, queues and services of the cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkStatus {
     /// Version of the configuration in force; 0 before the first.
     pub config_version: u64,
-    /// Writes that are not committed yet.
+    /// Number of writes that are not committed yet.
     pub open_writes: u64,
-    /// The workers of each service.
+    /// Connected workers of each service.
     pub services: Vec<ServiceStatus>,
-    /// The open jobs of each queue.
+    /// Open jobs of each queue.
     pub queues: Vec<QueueStatus>,
-    /// Ended jobs that are still shown.
+    /// Ended jobs whose results are still stored.
     pub ended: EndedJobs,
-    /// Rows that this version of the program cannot read.
+    /// Number of stored rows that this version of the program cannot decode.
     pub unreadable_rows: u64,
 }
 
-/// The workers of a service that are connected through their node agents.
+/// Workers of a service that are connected through their node agents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Workers that take new work.
+    /// Number of workers that accept new work.
     pub ready: u32,
-    /// Workers that are draining.
+    /// Number of workers that are draining.
     pub draining: u32,
 }
 
-/// The open jobs of a queue.
+/// Open jobs of a queue.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueStatus {
-    /// Name of the route.
+    /// Name of the route that feeds the queue.
     pub queue: String,
-    /// Jobs of which nothing has been started.
+    /// Number of jobs of which no run has been started.
     pub queued: u64,
-    /// Jobs of which something has been started.
+    /// Number of jobs of which at least one run has been started.
     pub running: u64,
-    /// Their tasks.
+    /// Tasks of these jobs by state.
     pub tasks: TaskCounts,
 }
 
-/// Ended jobs that are still shown.
+/// Ended jobs whose results are still stored, by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJobs {
-    /// All tasks done.
+    /// Number of jobs whose tasks are all done.
     pub completed: u64,
-    /// Failed too often.
+    /// Number of jobs that failed because a task reached the failure limit.
     pub failed: u64,
-    /// Cancelled by their clients.
+    /// Number of jobs that their clients cancelled.
     pub cancelled: u64,
 }
--- a/crates/protocol/src/inspection/task_counts.rs
+++ b/crates/protocol/src/inspection/task_counts.rs
@@ -1,22 +1,22 @@
-//! Tasks by state.
+//! Number of tasks by state.
 
 use serde::{Deserialize, Serialize};
 
-/// Tasks by state. Only repetitions that are due count.
+/// Number of tasks by state, over the repetitions that are due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCounts {
-    /// Their earlier steps are done and nothing of them runs.
+    /// Tasks that could start: the steps they depend on are done and they have no outstanding run.
     pub waiting: u64,
-    /// Earlier steps are not done.
+    /// Tasks that depend on steps that are not done.
     pub blocked: u64,
-    /// A run is outstanding.
+    /// Tasks with an outstanding run.
     pub running: u64,
-    /// Done.
+    /// Tasks that are done.
     pub done: u64,
 }
 
 impl TaskCounts {
-    /// Adds others.
+    /// Adds the counts of `other`, state by state.
     pub fn add(&mut self, other: TaskCounts) {
         self.waiting += other.waiting;
         self.blocked += other.blocked;
--- a/crates/protocol/src/internal/client.rs
+++ b/crates/protocol/src/internal/client.rs
@@ -1,68 +1,68 @@
-//! Clients' calls, passed on by the edges, and the head's replies.
+//! Client calls, which the edges forward to the head, and the head's replies.
 
 use crate::job::{JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 
-/// An edge's call for a client. The reply carries the same `call`.
+/// A client's call, forwarded by an edge. The reply carries the same `call`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientCall {
-    /// Chosen by the edge; unique on its connection.
+    /// Call number chosen by the edge; unique on its connection.
     pub call: u64,
     /// The `Host` header, without a port.
     pub host: String,
-    /// The path.
+    /// Path of the request: the route's prefix, then the job id unless the number of pending jobs is requested.
     pub path: String,
-    /// What the client requests.
+    /// The requested operation.
     pub operation: ClientOperation,
 }
 
-/// What a client requests.
+/// Operation that a client requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClientOperation {
-    /// POST PREFIX + ID.
+    /// `POST PREFIX + ID`: submits a job.
     Submit(JobSpec),
-    /// GET PREFIX + ID: the job's state; GET PREFIX: how many jobs wait.
+    /// `GET PREFIX + ID`: returns the job's state. `GET PREFIX`: returns the number of pending jobs of the route.
     Get,
-    /// DELETE PREFIX + ID.
+    /// `DELETE PREFIX + ID`: cancels the job.
     Cancel,
 }
 
 /// The head's reply to a [`ClientCall`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientReply {
-    /// The call's number.
+    /// Number of the [`ClientCall`] that is answered.
     pub call: u64,
-    /// Its result.
+    /// Result of the call.
     pub outcome: ClientOutcome,
 }
 
-/// The result of a client's call.
+/// Result of a client's call. The HTTP status that the edge returns is in parentheses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClientOutcome {
     /// The job is stored (200).
     Accepted,
-    /// The job is not accepted and never runs because of this call (429).
+    /// Too many jobs or tasks are open: the job is not accepted, and this call never causes it to run (429).
     TooMany {
-        /// When to retry.
+        /// Time until the client should retry.
         retry_after_ms: u64,
     },
-    /// The call was not carried out: this member is not the acting head, or has no configuration (503).
+    /// The call was not executed: this member is not the acting head, or has no configuration (503).
     Unavailable {
-        /// When to retry.
+        /// Time until the client should retry.
         retry_after_ms: u64,
     },
-    /// No route leads there (404).
+    /// No route matches the host and path (404).
     UnknownRoute,
-    /// The job cannot be read or never be done (400).
+    /// The job or its id is invalid (400).
     Invalid {
-        /// What, where, and what is allowed.
+        /// The invalid field, the value found and the values allowed.
         reason: String,
     },
-    /// The job's state (200).
+    /// State of the job (200).
     State(JobState),
-    /// No such job (410).
+    /// The job is unknown (410).
     NoSuchJob,
-    /// How many jobs wait (200).
+    /// Number of jobs of the route of which no run has been started (200).
     Pending(u64),
     /// The job is cancelled (200).
     Cancelled,
--- a/crates/protocol/src/internal/hello.rs
+++ b/crates/protocol/src/internal/hello.rs
@@ -1,45 +1,45 @@
-//! The first messages of a connection.
+//! Handshake messages, the first on each connection.
 
 use crate::config::IngressLimits;
 use crate::member::MemberAddress;
 use serde::{Deserialize, Serialize};
 
-/// The kind of process that connects.
+/// Kind of the connecting process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessKind {
-    /// Takes clients' requests.
+    /// Edge: receives clients' requests and forwards them to the head.
     Edge,
-    /// Node agent: runs beside a worker.
+    /// Node agent: runs on a worker's machine and connects the worker to the head.
     Agent,
-    /// Core member: holds a replica of the control state.
+    /// Core member: stores a replica of the control state.
     Core,
 }
 
-/// First frame of the process that connects.
+/// First frame of the connecting process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Name of its machine.
+    /// Name of the process's machine.
     pub node_name: String,
-    /// What it is.
+    /// Kind of the process.
     pub kind: ProcessKind,
-    /// Its zone.
+    /// Availability zone of the process.
     pub zone: String,
-    /// Drawn anew at each start of the process.
+    /// Random number, drawn anew at each start of the process.
     pub incarnation: u64,
 }
 
-/// A member's answer to [`Hello`], and sent again whenever it changes.
+/// A member's answer to [`Hello`]. It is sent again whenever its contents change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Welcome {
-    /// Number of the view that the member follows.
+    /// Number of the member's current view.
     pub view: u64,
-    /// The view's head, where the member knows one that is at work.
+    /// The acting head; `None` if the member knows none.
     pub head: Option<MemberAddress>,
-    /// All members that it knows.
+    /// All members that the sender knows.
     pub members: Vec<MemberAddress>,
-    /// This member is the head, and may act (its lease holds).
+    /// Whether the sender is the head and may act, that is, its lease is valid.
     pub acting: bool,
-    /// Version of the configuration in force; 0 before the first. Known to the acting head only.
+    /// Version of the active configuration; 0 before the first. Only the acting head knows it.
     pub config_version: u64,
     /// Limits that the configuration sets on clients' requests.
     pub limits: IngressLimits,
--- a/crates/protocol/src/internal/orders.rs
+++ b/crates/protocol/src/internal/orders.rs
@@ -1,48 +1,51 @@
-//! The head's orders to node agents, and the leases under which these act.
+//! The head's orders to node agents, and the durations of the leases involved.
 
 use crate::job::Resources;
 use crate::task::RunId;
 use serde::{Deserialize, Serialize};
 
-/// The head's orders to a node agent; also the answer to each of its reports.
+/// The head's orders to a node agent; also sent as the answer to each of the agent's reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentOrders {
-    /// The head's view: the fencing token. Orders of a lower one than the highest received are dropped.
+    /// Number of the head's view, used as the fencing token: the agent drops orders with a lower token than the highest
+    /// it has received.
     pub epoch: u64,
-    /// `sent_ms` of the newest report received: the agent may extend run leases for [`LEASE_AUTHORITY_MS`] from then on.
-    /// `None`: this message gives no authority to extend.
+    /// `sent_ms` of the newest report received. The agent may extend run leases for [`LEASE_AUTHORITY_MS`] from that
+    /// time on. If `None`, this message does not authorise the agent to extend leases.
     pub echo_sent_ms: Option<u64>,
-    /// The worker's instance that this is for; orders for another one are dropped.
+    /// Id of the worker instance that the orders are for; the agent drops orders for any other instance.
     pub instance: String,
-    /// Runs to start. Sent again after a reconnection; the agent does not start a known run twice.
+    /// Runs to start. They are sent again after a reconnection; the agent does not start a known run twice.
     pub start: Vec<StartOrder>,
     /// Runs to stop.
     pub stop: Vec<RunId>,
-    /// Ends up to this number are on disk and may be acknowledged to the worker.
+    /// Ended runs up to this number are durably stored and may be acknowledged to the worker; `None` if there are none.
     pub acknowledged_end: Option<u64>,
 }
 
 impl AgentOrders {
-    /// Whether something is to be started or stopped.
+    /// Returns true if there are runs to start or to stop.
     pub fn has_work(&self) -> bool {
         !self.start.is_empty() || !self.stop.is_empty()
     }
 }
 
-/// For how long after sending a report that the head has answered a node agent may go on extending run leases.
+/// Time for which a node agent may extend run leases, in milliseconds, counted from the sending of the newest report
+/// that the head has answered.
 pub const LEASE_AUTHORITY_MS: u64 = 8_000;
 
-/// The run lease that a node agent grants at each heartbeat; never above the bound `max_hold_ms`.
+/// Duration of the run lease that a node agent grants at each heartbeat, in milliseconds; the setting `max_hold_ms`
+/// limits it.
 pub const RUN_LEASE_MS: u64 = 4_500;
 
 /// A run to start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
-    /// The run.
+    /// Id of the run.
     pub run: RunId,
-    /// What it needs; the agent sends it on only where it fits.
+    /// Resources that the run needs; the agent passes the order to the worker only if they are free.
     pub resources: Resources,
-    /// The job's text.
+    /// `spec` of the job.
     pub spec: String,
     /// The checkpoint to resume from; empty for none.
     pub checkpoint: String,
--- a/crates/protocol/src/internal/report.rs
+++ b/crates/protocol/src/internal/report.rs
@@ -1,59 +1,59 @@
-//! Node agents' reports.
+//! Node agents' reports to the head.
 
 use crate::job::Resources;
 use crate::task::RunId;
 use crate::worker::{RunEnd, WorkerState};
 use serde::{Deserialize, Serialize};
 
-/// A node agent's report to the head, sent at changes and at least every few hundred milliseconds.
+/// A node agent's report to the head, sent after changes and at least every few hundred milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentReport {
-    /// The agent's steady clock when it sent this.
+    /// Reading of the agent's monotonic clock when it sent the report.
     pub sent_ms: u64,
-    /// The worker's present instance, if one has registered here.
+    /// The current worker instance; `None` if none has registered with this agent.
     pub instance: Option<InstanceReport>,
-    /// Earlier instances (or this one, once it has ended or all its run leases have expired): nothing of theirs runs or
-    /// ever will.
+    /// Ids of instances that run nothing and never will again: earlier instances, and the current one once it has ended
+    /// or all its run leases have expired.
     pub ended_instances: Vec<String>,
-    /// Starts that were never sent to the worker and never will be.
+    /// Runs whose start was not passed to the worker and never will be.
     pub not_started: Vec<RunId>,
 }
 
-/// An instance of a worker, as its node agent knows it.
+/// State of a worker instance, as known to its node agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceReport {
-    /// Its id.
+    /// Id of the instance, as in `PUT /instances/ID`.
     pub id: String,
-    /// The service it belongs to.
+    /// Name of the service that the worker belongs to.
     pub backend: String,
-    /// Its zone.
+    /// Availability zone of the worker.
     pub zone: String,
-    /// Whether it takes new work.
+    /// Whether the worker accepts new work.
     pub state: WorkerState,
-    /// Least time until it ends, while it drains.
+    /// Minimum time until the worker ends, while it drains; `None` otherwise.
     pub remaining_ms: Option<u64>,
-    /// How long it will still be slow after its start.
+    /// Remaining time of the warm-up, in which the worker is slow after its start; 0 once it is over.
     pub warmup_remaining_ms: u64,
-    /// Its resources.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Its labels.
+    /// Labels of the worker, such as its kind and its rack.
     pub labels: Vec<String>,
-    /// Time since its last heartbeat.
+    /// Time since the worker's last heartbeat.
     pub since_heartbeat_ms: u64,
-    /// What runs there, by its last heartbeat; `None`: as in the last report on this connection.
+    /// Runs that the last heartbeat lists as running; `None` if they are as in the previous report on this connection.
     pub running: Option<Vec<RunningRun>>,
-    /// Ends that the head has not acknowledged yet, in the order of their numbers.
+    /// Ended runs that the head has not acknowledged yet, in the order of their numbers.
     pub finished: Vec<FinishedRun>,
-    /// Starts sent to the worker whose run no heartbeat has listed yet.
+    /// Runs whose start was sent to the worker and that no heartbeat has listed yet.
     pub in_flight: Vec<RunId>,
 }
 
-/// A run at work.
+/// A run that the worker is executing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunningRun {
-    /// The run.
+    /// Id of the run.
     pub run: RunId,
-    /// Its last checkpoint; empty for none.
+    /// The last checkpoint of the run; empty for none.
     pub checkpoint: String,
     /// Progress, in percent.
     pub percent: u32,
@@ -62,12 +62,12 @@
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinishedRun {
-    /// The worker's number of this end; rises within one instance.
+    /// Sequence number that the worker gave this entry; rises within one instance.
     pub number: u64,
-    /// The run.
+    /// Id of the run.
     pub run: RunId,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
-    /// Its last checkpoint; empty for none.
+    /// The last checkpoint of the run; empty for none.
     pub checkpoint: String,
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -1,29 +1,29 @@
-//! Jobs as clients submit them, and the states that clients are shown.
+//! Jobs as clients submit them, and the job states that are reported to clients.
 
 use serde::{Deserialize, Serialize};
 
-/// Longest `spec` of a job, in bytes.
+/// Maximum length of a job's `spec`, in bytes.
 pub const SPEC_BYTES_MAX: usize = 4_000;
 
-/// What a worker has, or a task takes.
+/// Amounts of resources: the capacity of a worker or the demand of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu: u64,
-    /// Megabytes of memory.
+    /// Memory, in megabytes.
     pub mem_mb: u64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpu: u64,
 }
 
 impl Resources {
-    /// Whether `other` fits into this.
+    /// Returns true if `other` fits into this amount in every dimension.
     pub fn can_fit(&self, other: &Resources) -> bool {
         other.cpu <= self.cpu && other.mem_mb <= self.mem_mb && other.gpu <= self.gpu
     }
 
-    /// This and `other` together.
+    /// Returns the sum of both amounts.
     #[must_use]
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// What is left of this without `other`; never below zero.
+    /// Returns the difference of both amounts; each dimension saturates at zero.
     #[must_use]
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
@@ -44,42 +44,42 @@
     }
 }
 
-/// One step of a job: `count` like tasks.
+/// One step of a job: `count` identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
     /// Number of tasks, at least 1.
     pub count: u32,
-    /// Thousandths of a core that each task takes.
+    /// CPU that each task needs, in thousandths of a core.
     pub cpu: u64,
-    /// Megabytes of memory that each task takes.
+    /// Memory that each task needs, in megabytes.
     pub mem_mb: u64,
-    /// GPUs that each task takes.
+    /// Number of GPUs that each task needs.
     pub gpu: u64,
-    /// Client's rough guess of a task's run time, in milliseconds; 0 if it gave none.
+    /// The client's rough estimate of the run time of one task, in milliseconds; 0 if none is given.
     pub estimate_ms: u64,
-    /// Earlier steps whose tasks must all be done first.
+    /// Indexes of earlier steps whose tasks must all be done before this step starts.
     pub depends_on: Vec<u32>,
-    /// Its tasks make checkpoints.
+    /// Whether the tasks write checkpoints from which a later run can resume.
     pub checkpoints: bool,
-    /// Its tasks work only all together.
+    /// Whether the tasks form a gang: they must all run at the same time.
     pub gang: bool,
-    /// Spread over more than one rack, its tasks run `remote_slowdown` times as long.
+    /// Whether the tasks slow down when spread over several racks: they then run `remote_slowdown` times as long.
     pub rack_local: bool,
-    /// Label that the worker must have; empty for none.
+    /// Label that a worker must have to run the tasks; empty for none.
     pub requirements: String,
-    /// Rack that has the data; empty for none.
+    /// Rack that holds the input data; empty for none.
     pub affinity: String,
-    /// Most tasks of the step (of one repetition) on one worker; 0 for no bound.
+    /// Maximum number of the step's tasks (of one repetition) on one worker; 0 for no limit.
     pub anti_affinity: u32,
-    /// Several runs of a task may run at the same time.
+    /// Whether a task may have several runs at the same time.
     pub speculative: bool,
-    /// Its tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub long_running: bool,
 }
 
 impl Step {
-    /// What one task takes.
+    /// Resources that one task needs.
     pub fn resources(&self) -> Resources {
         Resources {
             cpu: self.cpu,
@@ -93,30 +93,30 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct JobSpec {
-    /// Text passed to each task, [`SPEC_BYTES_MAX`] bytes at most.
+    /// Text that is passed unchanged to each task, [`SPEC_BYTES_MAX`] bytes at most.
     pub spec: String,
-    /// The steps.
+    /// Steps of the job; each may depend on earlier ones only.
     pub stages: Vec<Step>,
-    /// Number of repetitions; 0 for a single run of the steps, without a due time.
+    /// Number of repetitions; 0 to execute the steps once, without a due time.
     pub repeat_count: u32,
-    /// When repetition 0 is due, in milliseconds since 1970.
+    /// Due time of repetition 0, in milliseconds since 1970.
     pub start_at_ms: u64,
-    /// Time between two repetitions, in milliseconds.
+    /// Time between the due times of two repetitions, in milliseconds.
     pub interval_ms: u64,
 }
 
-/// A job's state as clients are shown it.
+/// State of a job as reported to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// Nothing of it runs yet.
+    /// No run of the job has been started.
     Queued,
-    /// Something of it has been started.
+    /// At least one run of the job has been started.
     Running,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Completed,
-    /// A task, or a gang, has failed as often as its queue allows.
+    /// A task, or a gang, has failed as often as the route's `max_retries` allows.
     Failed,
-    /// Its client has cancelled it.
+    /// The client cancelled the job.
     Cancelled,
 }
--- a/crates/protocol/src/job_check.rs
+++ b/crates/protocol/src/job_check.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of jobs.
+//! Parsing and validation of jobs.
 
 use crate::job::{JobSpec, SPEC_BYTES_MAX, Step};
 use crate::json;
@@ -6,94 +6,96 @@
 
 pub use crate::json::JsonError;
 
-/// Most steps of a job.
+/// Maximum number of steps of a job.
 pub const STEPS_MAX: usize = 1_000;
-/// Most tasks of one repetition of a job.
+/// Maximum number of tasks in one repetition of a job.
 pub const TASKS_MAX: u64 = 50_000;
-/// Most repetitions of a job.
+/// Maximum number of repetitions of a job.
 pub const REPEATS_MAX: u32 = 1_000_000;
-/// Largest amount of anything that one task may need; sums over all tasks stay within 64 bits.
+/// Maximum of each resource, and of the estimate in milliseconds, that one task may need. Sums over all tasks of a job
+/// stay within 64 bits.
 pub const AMOUNT_MAX: u64 = 1 << 40;
 
-/// A job that is rejected.
+/// The reason why a job is rejected.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum JobError {
-    /// It is not JSON, or a field has the wrong type.
+    /// The text is not valid JSON, or a field has the wrong type.
     #[snafu(display("the job cannot be read: {source}"))]
     Unreadable {
-        /// What, where, and what is allowed.
+        /// The parser's error, with the field and the expected type.
         source: JsonError,
     },
-    /// Its text is too long.
+    /// `spec` is longer than [`SPEC_BYTES_MAX`].
     #[snafu(display("`spec` has {bytes} bytes: {SPEC_BYTES_MAX} are allowed"))]
     LongSpec {
-        /// Bytes of the text.
+        /// Length of `spec`, in bytes.
         bytes: usize,
     },
-    /// It has no steps, or too many.
+    /// The job has no steps, or more than [`STEPS_MAX`].
     #[snafu(display("`stages` has {steps} steps: 1 to {STEPS_MAX} are allowed"))]
     StepCount {
-        /// Number of steps.
+        /// Number of steps found.
         steps: usize,
     },
     /// A step has no tasks.
     #[snafu(display("`stages[{step}].count` is 0: at least 1 is allowed"))]
     NoTasks {
-        /// The step, from 0.
+        /// Index of the step, from 0.
         step: usize,
     },
-    /// Too many tasks altogether.
+    /// The steps have more than [`TASKS_MAX`] tasks in total.
     #[snafu(display("the steps have {tasks} tasks: {TASKS_MAX} are allowed"))]
     TaskCount {
-        /// Number of tasks.
+        /// Total number of tasks found.
         tasks: u64,
     },
-    /// A step waits for itself or for a later one.
+    /// A step depends on itself or on a later step.
     #[snafu(display(
         "`stages[{step}].depends_on` names step {on}: only steps before {step} are allowed"
     ))]
     Order {
-        /// The step, from 0.
+        /// Index of the step, from 0.
         step: usize,
-        /// The step that it names.
+        /// Index of the step that it depends on.
         on: u32,
     },
-    /// A task needs more than [`AMOUNT_MAX`] of something.
+    /// A resource or the estimate of a step is above [`AMOUNT_MAX`].
     #[snafu(display("`stages[{step}].{field}` is {amount}: at most {AMOUNT_MAX} is allowed"))]
     Amount {
-        /// The step, from 0.
+        /// Index of the step, from 0.
         step: usize,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         amount: u64,
     },
-    /// Too many repetitions, or the last one falls due beyond the end of the calendar.
+    /// There are more than [`REPEATS_MAX`] repetitions, or the due time of the last one exceeds 64 bits.
     #[snafu(display(
         "`repeat_count` is {repeats}: at most {REPEATS_MAX} are allowed, all due within 64 bits"
     ))]
     Repeats {
-        /// Number of repetitions.
+        /// Number of repetitions found.
         repeats: u32,
     },
 }
 
-/// Reads and checks a job. Unknown fields are skipped, missing ones are 0, false or empty.
+/// Parses and validates a job. Unknown fields are ignored; missing fields are 0, false or empty.
 ///
 /// # Errors
 ///
-/// [`JobError`] if it cannot be read, or as [`check_job`].
+/// [`JobError`] if the text cannot be parsed or [`check_job`] rejects the job.
 pub fn parse_job(bytes: &[u8]) -> Result<JobSpec, JobError> {
     let job: JobSpec = json::read(bytes).context(UnreadableSnafu)?;
     check_job(&job)?;
     Ok(job)
 }
 
-/// Checks what the types do not ensure. Edges check jobs as they read them, the scheduler as it accepts them.
+/// Checks the rules that the types do not enforce. Edges check a job when they parse it, the scheduler when it accepts
+/// it.
 ///
 /// # Errors
 ///
-/// [`JobError`] with the field and what is allowed.
+/// [`JobError`] with the field and its allowed values.
 pub fn check_job(job: &JobSpec) -> Result<(), JobError> {
     ensure!(
         job.spec.len() <= SPEC_BYTES_MAX,
@@ -136,7 +138,7 @@
     Ok(())
 }
 
-/// Checks the times at which repetitions fall due.
+/// Checks the number of repetitions and the due time of the last one.
 fn check_repeats(job: &JobSpec) -> Result<(), JobError> {
     let repeats = job.repeat_count;
     let last = u64::from(repeats.saturating_sub(1));
--- a/crates/protocol/src/json.rs
+++ b/crates/protocol/src/json.rs
@@ -1,24 +1,24 @@
-//! Reading JSON with errors that give the path of the field.
+//! JSON parsing with errors that name the path of the faulty field.
 
 use serde::Deserialize;
 use snafu::Snafu;
 
-/// JSON that does not have the form expected: what is wrong, where, and what is allowed.
+/// A text that is not valid JSON or does not have the expected form.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("`{path}`: {problem}"))]
 pub struct JsonError {
-    /// The field, as `stages[2].cpu`; `.` for the whole text.
+    /// Path of the faulty field, such as `stages[2].cpu`; `.` for the whole text.
     pub path: String,
-    /// What is wrong with it, what is expected, and the line and column.
+    /// The value found, the type expected, and the line and column.
     pub problem: String,
 }
 
-/// Reads a value. The path of the faulty field is determined only after an error.
+/// Parses a value. Only after an error is the text parsed again, to find the path of the faulty field.
 pub(crate) fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, JsonError> {
     serde_json::from_slice(bytes).or_else(|_| read_with_path(bytes))
 }
 
-/// Reads a value and keeps track of the path.
+/// Parses a value while tracking the path of the current field.
 fn read_with_path<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, JsonError> {
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
     let value = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| JsonError {
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,6 @@
-//! Messages of the cluster: what clients, workers and operators send (`job`, `worker`, `config`), and what the
-//! cluster's own processes send each other (`internal`). Types only: no sockets, no clocks.
+//! Messages of the cluster: those of clients, workers and operators (`job`, `worker`, `config`), and those between the
+//! cluster's own processes (`internal`, `inspection`), with their encoding and validation. The crate opens no sockets
+//! and reads no clocks.
 
 #![forbid(unsafe_code)]
 
--- a/crates/protocol/src/member.rs
+++ b/crates/protocol/src/member.rs
@@ -3,13 +3,13 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A core member as others reach it.
+/// Name and addresses of a core member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberAddress {
-    /// Name of its machine.
+    /// Name of the member's machine.
     pub node_name: String,
-    /// Where it accepts internal connections.
+    /// Address at which the member accepts internal connections.
     pub internal: SocketAddr,
-    /// Where it accepts operators' requests (`control_plane`).
+    /// Address at which the member accepts operators' requests (setting `bind_addrs.control_plane`).
     pub control: SocketAddr,
 }
--- a/crates/protocol/src/order_digest.rs
+++ b/crates/protocol/src/order_digest.rs
@@ -1,17 +1,18 @@
-//! Recognition of requests that the operator sends again.
+//! Digests of operators' requests, by which a repeated request is recognised.
 
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Bytes of a digest: enough that collisions are out of the question.
+/// Bytes of a digest: 128 bits make an accidental collision negligible.
 const DIGEST_BYTES: usize = 16;
 
-/// Digest of an operator's request. The same request has the same digest, on all machines and in all versions.
+/// Digest of an operator's request. Equal requests have equal digests on all machines and in all versions of the
+/// program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderDigest(pub [u8; DIGEST_BYTES]);
 
 impl OrderDigest {
-    /// The digest of a request with this method, `If-Match` header and body.
+    /// Computes the digest of a request from its method, `If-Match` header and body.
     pub fn of(method: &str, if_match: Option<&str>, body: &[u8]) -> OrderDigest {
         let mut hasher = Sha256::new();
         add(&mut hasher, method.as_bytes());
@@ -23,7 +24,7 @@
     }
 }
 
-/// Adds a field after its length, so that the boundary between two fields is unambiguous.
+/// Hashes a field's length and then the field, so that the boundary between two fields is unambiguous.
 fn add(hasher: &mut Sha256, field: &[u8]) {
     hasher.update((field.len() as u64).to_be_bytes());
     hasher.update(field);
--- a/crates/protocol/src/task.rs
+++ b/crates/protocol/src/task.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, tasks and runs.
+//! Identifiers of jobs, tasks and runs.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -8,23 +8,23 @@
 /// Number of hexadecimal digits in a job's id.
 const JOB_ID_DIGITS: usize = 16;
 
-/// A job's id, chosen by its client: 16 hexadecimal digits.
+/// Id of a job, chosen by its client; written as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
 /// A text that is not a job id or a task name.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum NameError {
-    /// A job id must be 16 hexadecimal digits.
+    /// The text is not a job id: 16 hexadecimal digits.
     #[snafu(display("`{text}` is not a job id: 16 hexadecimal digits are expected"))]
     Job {
-        /// The text.
+        /// The text found.
         text: String,
     },
-    /// A task name must be ID.K.STEP.INDEX.
+    /// The text is not a task name: `ID.K.STEP.INDEX`, where K is the repetition.
     #[snafu(display("`{text}` is not a task name: ID.K.STEP.INDEX is expected"))]
     Task {
-        /// The text.
+        /// The text found.
         text: String,
     },
 }
@@ -47,16 +47,16 @@
     }
 }
 
-/// One task of a job: the task `index` of step `step` of repetition `repeat`.
+/// Name of a task of a job: task `index` of step `step` in repetition `repeat`. Written as `ID.K.STEP.INDEX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskName {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Repetition, from 0; 0 for jobs that do not repeat.
+    /// Number of the repetition, from 0; 0 for jobs that do not repeat.
     pub repeat: u32,
-    /// Step, from 0.
+    /// Index of the step, from 0.
     pub step: u32,
-    /// Task within the step, from 0.
+    /// Index of the task within the step, from 0.
     pub index: u32,
 }
 
@@ -93,11 +93,11 @@
     }
 }
 
-/// One start of a task. Numbers of one task's runs rise from 1; a gang's members share them.
+/// Id of a run: one attempt to execute a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RunId {
-    /// The task.
+    /// Name of the task.
     pub task: TaskName,
-    /// The run's number (`attempt` on the wire).
+    /// Attempt number; the runs of a task are numbered upwards from 1, and the members of a gang share their numbers.
     pub attempt: u32,
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats (`PUT /instances/ID`) and the replies.
+//! Workers' heartbeats (`PUT /instances/ID`) and their replies.
 
 mod arrays;
 mod entries;
@@ -10,65 +10,65 @@
 pub use entries::{Finished, Running, Start, Stop};
 pub use run_end::RunEnd;
 
-/// Whether a worker takes new work.
+/// Whether a worker accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkerState {
-    /// It takes new work.
+    /// The worker accepts new work.
     #[default]
     Ready,
-    /// It takes no new work and is about to end.
+    /// The worker accepts no new work and is about to end.
     Draining,
 }
 
-/// A worker's heartbeat.
+/// A worker's heartbeat: its full state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Heartbeat {
-    /// The service it belongs to.
+    /// Name of the service that the worker belongs to.
     pub backend: String,
-    /// Its own address.
+    /// The worker's own address.
     pub address: String,
-    /// Its zone.
+    /// Availability zone of the worker.
     pub zone: String,
-    /// Version of its software.
+    /// Version of the worker's software.
     pub version: String,
-    /// Slots it has.
+    /// Number of slots that the worker has.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the worker accepts new work.
     pub state: WorkerState,
-    /// Rest of its warm-up, in milliseconds.
+    /// Remaining time of the warm-up after the worker's start, in milliseconds; 0 once it is over.
     #[serde(rename = "cold_remaining_ms")]
     pub warmup_remaining_ms: u64,
-    /// Its resources.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Its labels: kind, rack.
+    /// Labels of the worker, such as its kind and its rack.
     pub labels: Vec<String>,
-    /// Least time until it ends, in milliseconds, while it drains.
+    /// Minimum time until the worker ends, in milliseconds, while it drains; `None` otherwise.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub remaining_ms: Option<u64>,
-    /// Its own clock, in milliseconds.
+    /// The worker's own clock, in milliseconds.
     pub now_ms: u64,
-    /// Rises with each heartbeat.
+    /// Sequence number of the heartbeat; rises with each one.
     pub seq_no: u64,
-    /// Runs at work.
+    /// Runs that the worker is executing.
     pub running: Vec<Running>,
-    /// Ends not yet acknowledged, 500 at most.
+    /// Ended runs that are not acknowledged yet, 500 at most.
     pub finished: Vec<Finished>,
 }
 
-/// The reply to a heartbeat.
+/// The reply to a heartbeat, with the orders for the worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HeartbeatReply {
-    /// The run lease, in milliseconds from when the heartbeat was sent; without it nothing is started and no lease is
-    /// extended.
+    /// Duration of the run lease, in milliseconds from the time at which the heartbeat was sent. If `None`, the worker
+    /// starts no run and extends no lease.
     #[serde(rename = "hold_ms", skip_serializing_if = "Option::is_none")]
     pub lease_ms: Option<u64>,
-    /// Ends up to this number are on disk.
+    /// Ended runs up to this number are durably stored, and the worker no longer lists them.
     #[serde(rename = "last_seen", skip_serializing_if = "Option::is_none")]
     pub acknowledged_end: Option<u64>,
-    /// The worker follows no orders under a lower token than the highest one received.
+    /// Fencing token of the orders. The worker ignores orders with a lower token than the highest it has received.
     #[serde(rename = "fence_token", skip_serializing_if = "Option::is_none")]
     pub fencing_token: Option<u64>,
     /// Runs to start.
@@ -77,7 +77,7 @@
     /// Runs to stop.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<Stop>,
-    /// When to send the next heartbeat, in milliseconds.
+    /// Time until the worker is to send its next heartbeat, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_delay_ms: Option<u64>,
 }
--- a/crates/protocol/src/worker/arrays.rs
+++ b/crates/protocol/src/worker/arrays.rs
@@ -1,5 +1,5 @@
-//! The JSON arrays of a heartbeat's lists and of its reply's. They fix the order of the fields; the meaning of each field
-//! is documented at the struct that is made of it.
+//! JSON arrays that encode the list entries of a heartbeat and of its reply. They define the order of the fields; the
+//! fields are documented at the structs in `entries`.
 
 use super::run_end::RunEnd;
 use serde::Deserialize;
--- a/crates/protocol/src/worker/entries.rs
+++ b/crates/protocol/src/worker/entries.rs
@@ -1,20 +1,20 @@
-//! Entries of a heartbeat's lists and of its reply's. Each has named fields here and is an array in JSON.
+//! List entries of a heartbeat and of its reply. Each is a struct with named fields here and an array in JSON.
 
 use super::arrays;
 use super::run_end::RunEnd;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// A run at work. In JSON an array: `[task, run, saved, percent]`.
+/// A run that the worker is executing. In JSON an array: `[task, run, saved, percent]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "arrays::Running")]
 pub struct Running {
     /// The task's name, `ID.K.STEP.INDEX`.
     pub task: String,
-    /// Number of the run, from 1.
+    /// Attempt number of the run, from 1.
     pub attempt: u32,
-    /// The newest checkpoint; empty for none.
+    /// The last checkpoint; empty for none.
     pub checkpoint: String,
-    /// Part of the work that is done, in percent.
+    /// Progress, in percent.
     pub percent: u32,
 }
 
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "arrays::Finished")]
 pub struct Finished {
-    /// Number of this end; rises from 1 within one instance.
+    /// Sequence number of this entry; rises from 1 within one worker instance.
     pub number: u64,
     /// The task's name, `ID.K.STEP.INDEX`.
     pub task: String,
-    /// Number of the run, from 1.
+    /// Attempt number of the run, from 1.
     pub attempt: u32,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
     /// The last checkpoint; empty for none.
     pub checkpoint: String,
@@ -59,9 +59,9 @@
 pub struct Start {
     /// The task's name, `ID.K.STEP.INDEX`.
     pub task: String,
-    /// Number of the run, from 1.
+    /// Attempt number of the run, from 1.
     pub attempt: u32,
-    /// The job's text.
+    /// `spec` of the job.
     pub spec: String,
     /// The checkpoint to resume from; empty for none.
     pub checkpoint: String,
@@ -73,7 +73,7 @@
 pub struct Stop {
     /// The task's name, `ID.K.STEP.INDEX`.
     pub task: String,
-    /// Number of the run, from 1.
+    /// Attempt number of the run, from 1.
     pub attempt: u32,
 }
 
--- a/crates/protocol/src/worker/run_end.rs
+++ b/crates/protocol/src/worker/run_end.rs
@@ -1,4 +1,4 @@
-//! Ends of runs.
+//! The ways in which a run can end.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,19 +6,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunEnd {
-    /// It has completed its work.
+    /// The run completed its work.
     Done,
-    /// It failed, through its own fault or the worker's.
+    /// The run failed, through its own fault or the worker's.
     Failed,
-    /// The head ordered a stop.
+    /// The run was stopped by an order of the head.
     Stopped,
-    /// Its run lease expired.
+    /// The run lease expired.
     #[serde(rename = "lapsed")]
     Expired,
-    /// Another member of its gang ended.
+    /// Another member of the run's gang ended.
     Broken,
-    /// The other members of its gang did not start in time.
+    /// The other members of the run's gang did not start in time.
     Alone,
-    /// It was never started.
+    /// The worker rejected the start; the run never began.
     Refused,
 }
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames as bytes and back.
+//! Tests of encoding and decoding frames.
 
 mod frames;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// A short frame.
+/// Returns a short frame.
 fn call() -> Frame {
     let operation = ClientOperation::Get;
     Frame::Call(ClientCall {
--- a/crates/protocol/tests/config.rs
+++ b/crates/protocol/tests/config.rs
@@ -1,4 +1,4 @@
-//! Reading, checking and changing the operator's configuration.
+//! Tests of parsing, validating and patching the operator's configuration.
 
 use indigofold_protocol::config_check::{CheckedConfig, ConfigError, parse_config, parse_if_match};
 use indigofold_protocol::config_patch::apply_patch;
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// A valid configuration, with fields that nothing here knows.
+/// Returns a valid configuration that contains unknown fields.
 fn document() -> Value {
     json!({
         "version": 7,
@@ -28,17 +28,17 @@
     })
 }
 
-/// The valid configuration, checked.
+/// Parses the configuration of [`document`].
 fn checked() -> CheckedConfig {
     parse_config(document().to_string().as_bytes()).expect("the configuration is valid")
 }
 
-/// The checked configuration's text as JSON.
+/// Returns the JSON text of a configuration as a value.
 fn written(config: &CheckedConfig) -> Value {
     serde_json::from_str(config.json()).expect("the text is JSON")
 }
 
-/// The valid configuration after `change`, checked.
+/// Parses the configuration of [`document`] after `change`.
 fn parse_changed(change: impl FnOnce(&mut Value)) -> Result<CheckedConfig, ConfigError> {
     let mut changed = document();
     change(&mut changed);
--- a/crates/protocol/tests/frames/mod.rs
+++ b/crates/protocol/tests/frames/mod.rs
@@ -1,4 +1,4 @@
-//! Any frame, for tests of properties.
+//! Generators of arbitrary frames for property tests.
 
 use indigofold_protocol::config::IngressLimits;
 use indigofold_protocol::inspection::{
@@ -16,10 +16,10 @@
 use proptest::prelude::*;
 use std::net::{IpAddr, SocketAddr};
 
-/// Most items of a list.
+/// Upper bound of the length of generated lists, exclusive.
 const ITEMS: usize = 4;
 
-/// Any frame.
+/// Generates an arbitrary frame.
 pub(crate) fn any_frame() -> impl Strategy<Value = Frame> {
     prop_oneof![
         hello().prop_map(Frame::Hello),
--- a/crates/protocol/tests/heartbeat.rs
+++ b/crates/protocol/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Reading of workers' heartbeats.
+//! Tests of parsing workers' heartbeats.
 
 use indigofold_protocol::heartbeat_check::parse_heartbeat;
 use indigofold_protocol::worker::{Finished, RunEnd, Running, WorkerState};
--- a/crates/protocol/tests/inspection.rs
+++ b/crates/protocol/tests/inspection.rs
@@ -1,4 +1,4 @@
-//! JSON of the answers that the command line tool shows.
+//! Tests of the JSON form of the answers that the command line tool prints.
 
 use indigofold_protocol::inspection::Wait;
 use rstest::rstest;
--- a/crates/protocol/tests/job.rs
+++ b/crates/protocol/tests/job.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of jobs.
+//! Tests of parsing and validating jobs.
 
 use indigofold_protocol::job_check::{JobError, TASKS_MAX, parse_job};
 use rstest::rstest;
--- a/crates/protocol/tests/wire_examples.rs
+++ b/crates/protocol/tests/wire_examples.rs
@@ -1,4 +1,4 @@
-//! Examples of what workers, clients and operators send: decoded, compared field by field, and encoded again.
+//! Example messages of workers, clients and operators: each is decoded, compared field by field and encoded again.
 
 use indigofold_protocol::config::{Config, IngressLimits, Route, Service};
 use indigofold_protocol::config_check::parse_config;
@@ -13,12 +13,12 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// The encoding of `value` as JSON.
+/// Encodes `value` as JSON.
 fn encoded(value: &impl Serialize) -> Value {
     serde_json::to_value(value).expect("the message has a JSON form")
 }
 
-/// Heartbeat of a draining worker with runs in both lists.
+/// Returns the heartbeat of a draining worker, with entries in `running` and in `finished`.
 fn draining_heartbeat() -> Value {
     json!({
         "backend": "resize", "address": "10.9.0.7:8085", "zone": "north-b", "version": "v3", "slots": 4,
@@ -179,7 +179,7 @@
     assert!(error.to_string().contains(expected), "{error}");
 }
 
-/// A job with every field of a step set.
+/// Returns a job with every field present.
 fn job_with_stages() -> Value {
     json!({
         "spec": "render",
@@ -265,7 +265,7 @@
     assert_eq!(encoded(&state), json!(name));
 }
 
-/// A configuration with every field.
+/// Returns a configuration with every field present.
 fn configuration() -> Value {
     json!({
         "version": 11,
@@ -286,7 +286,7 @@
     })
 }
 
-/// The route `r-thumbs` of [`configuration`].
+/// Returns the route `r-thumbs` of [`configuration`].
 fn thumbs() -> Route {
     Route {
         name: "r-thumbs".to_owned(),
@@ -302,7 +302,7 @@
     }
 }
 
-/// [`configuration`] in the form that the scheduler uses.
+/// Returns [`configuration`] in the form that the scheduler uses.
 fn expected_config() -> Config {
     let video = Route {
         name: "r-video".to_owned(),
