--- a/crates/net/src/error.rs
+++ b/crates/net/src/error.rs
@@ -1,4 +1,4 @@
-//! What can fail on a socket.
+//! Errors of sockets, connections, signals and the runtime.
 
 use indigofold_protocol::codec::CodecError;
 use snafu::Snafu;
@@ -6,65 +6,65 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A failure of a socket, of the runtime or of what came in over a connection.
+/// A failure of a socket, a connection, a signal handler or the runtime, or invalid data from a peer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum NetError {
     /// The runtime (poller and timers) cannot be set up.
     #[snafu(display("the asynchronous runtime cannot be started: {source}"))]
     Runtime {
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// An address cannot be listened on.
+    /// A listener cannot be opened on an address.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// A listener can accept no more connections.
+    /// A listener cannot accept a connection.
     #[snafu(display("cannot accept connections on {address}: {source}"))]
     Accept {
         /// The listener's address.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// A peer cannot be reached.
+    /// A connection to a peer cannot be established.
     #[snafu(display("cannot connect to {address}: {source}"))]
     Connect {
         /// The peer's address.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// A peer has not answered in time.
+    /// A peer does not accept a connection in time.
     #[snafu(display("{address} has not accepted a connection within {} ms", timeout.as_millis()))]
     ConnectTimeout {
         /// The peer's address.
         address: SocketAddr,
-        /// The time it had.
+        /// Time limit of the attempt.
         timeout: Duration,
     },
-    /// An open connection has failed.
+    /// An open connection fails.
     #[snafu(display("the connection to {peer} has failed: {source}"))]
     Connection {
         /// The peer's address.
         peer: SocketAddr,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// What a peer has sent cannot be read.
+    /// A peer sends bytes that are not a valid frame.
     #[snafu(display("{peer} has sent what is no frame: {source}"))]
     Frame {
         /// The peer's address.
         peer: SocketAddr,
-        /// Why.
+        /// The decoder's error.
         source: CodecError,
     },
-    /// A peer has closed the connection within a frame.
+    /// A peer closes the connection within a frame.
     #[snafu(display("{peer} has closed the connection within a frame"))]
     Truncated {
         /// The peer's address.
@@ -73,9 +73,9 @@
     /// A signal handler cannot be installed.
     #[snafu(display("signal {signal} cannot be caught: {source}"))]
     Signal {
-        /// The signal's number.
+        /// Number of the signal.
         signal: i32,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
 }
--- a/crates/net/src/framed.rs
+++ b/crates/net/src/framed.rs
@@ -1,4 +1,4 @@
-//! Connections between the cluster's own processes: frames in both directions over one TCP connection.
+//! Connections between the cluster's own processes: frames in both directions over one TCP connection each.
 
 mod link;
 mod reader;
@@ -14,20 +14,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An open connection. It closes when the reader is dropped, when all senders are dropped and the queue is written,
-/// when [`FrameSender::close`] is called, and when either direction fails.
+/// An open connection. It closes when the reader is dropped, when all senders are dropped and the send queue is
+/// written, when [`FrameSender::close`] is called, or when either direction fails.
 #[derive(Debug)]
 pub struct Connection {
     /// Address of the peer's socket.
     pub peer: SocketAddr,
-    /// What the peer sends.
+    /// Receives frames from the peer.
     pub reader: FrameReader,
-    /// What is sent to the peer.
+    /// Sends frames to the peer.
     pub sender: FrameSender,
 }
 
 impl Connection {
-    /// The two halves of an open socket.
+    /// Splits an open socket into the two halves.
     fn new(stream: TcpStream, peer: SocketAddr) -> Connection {
         let sender = FrameSender::start(stream.clone(), peer);
         let reader = FrameReader::new(stream, peer, sender.link());
@@ -39,24 +39,24 @@
     }
 }
 
-/// Connects to a peer's internal port.
+/// Connects to a peer at its internal address.
 ///
 /// # Errors
 ///
-/// [`NetError`] if the peer cannot be reached within `timeout`.
+/// [`NetError`] if the connection is not established within `timeout`.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Connection, NetError> {
     let stream = socket::connect(address, timeout).await?;
     Ok(Connection::new(stream, address))
 }
 
-/// Accepts connections on the internal port.
+/// Accepts connections on an internal address.
 #[derive(Debug)]
 pub struct FrameListener {
     listener: TcpListener,
     address: SocketAddr,
 }
 
-/// Listens on the internal port.
+/// Listens on an internal address; port 0 selects a free port.
 ///
 /// # Errors
 ///
@@ -68,17 +68,17 @@
 }
 
 impl FrameListener {
-    /// The address listened on.
+    /// The address that the listener is bound to, with its actual port.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The next connection. An error (no descriptor is free, the peer has closed) is temporary; wait
-    /// briefly, then go on.
+    /// Accepts the next connection. Errors are temporary (no file descriptor is free, or the peer has closed the
+    /// connection): the caller should wait briefly and call again.
     ///
     /// # Errors
     ///
-    /// [`NetError::Accept`].
+    /// [`NetError::Accept`] if the system cannot accept a connection or set its options.
     pub async fn accept(&self) -> Result<Connection, NetError> {
         let address = self.address;
         let (stream, peer) = self
--- a/crates/net/src/framed/link.rs
+++ b/crates/net/src/framed/link.rs
@@ -1,4 +1,4 @@
-//! What the two halves of a connection and its writing task share.
+//! State shared by the two halves of a connection and the task that writes its queue.
 
 use crate::socket::shut_down;
 use crate::waker_slot::WakerSlot;
@@ -11,15 +11,15 @@
 /// Capacity above which an emptied buffer is released.
 pub(super) const RETAINED_BUFFER_BYTES_MAX: usize = 64 << 10;
 
-/// One open connection: its socket, the queue of bytes to be written, and whether it has ended.
+/// Shared state of one connection: its socket, its send queue, and whether it is closed.
 pub(super) struct Link {
     stream: TcpStream,
     peer: SocketAddr,
-    /// Encoded frames that wait.
+    /// Encoded frames that wait to be written.
     queue: RefCell<Vec<u8>>,
-    /// Bytes handed to the socket and not accepted by it yet.
+    /// Size of the batch that is being written to the socket; 0 if none is.
     writing: Cell<usize>,
-    /// Senders alive.
+    /// Number of senders that have not been dropped.
     senders: Cell<usize>,
     closed: Cell<bool>,
     /// The task that writes the queue.
@@ -29,7 +29,7 @@
 }
 
 impl Link {
-    /// An open connection with one sender.
+    /// Creates the state of an open connection with one sender.
     pub(super) fn new(stream: TcpStream, peer: SocketAddr) -> Link {
         Link {
             stream,
@@ -53,7 +53,7 @@
         self.peer
     }
 
-    /// Ends the connection for both halves.
+    /// Closes the connection for both halves and discards the queue.
     pub(super) fn close(&self) {
         if !self.closed.replace(true) {
             *self.queue.borrow_mut() = Vec::new();
@@ -63,22 +63,22 @@
         }
     }
 
-    /// Whether the connection has ended.
+    /// Whether the connection is closed.
     pub(super) fn is_closed(&self) -> bool {
         self.closed.get()
     }
 
-    /// Wakes the reader's task with `waker` when the connection ends.
+    /// Registers `waker` of the reading task, to be woken when the connection closes.
     pub(super) fn wake_reader(&self, waker: &Waker) {
         self.reader.register(waker);
     }
 
-    /// A sender has been cloned.
+    /// Counts a cloned sender.
     pub(super) fn add_sender(&self) {
         self.senders.set(self.senders.get() + 1);
     }
 
-    /// A sender has been dropped. After the last one the connection ends once the queue is written.
+    /// Counts a dropped sender. After the last one is dropped, the connection ends once the queue is written.
     pub(super) fn remove_sender(&self) {
         let remaining = self.senders.get() - 1;
         self.senders.set(remaining);
@@ -99,17 +99,18 @@
         self.writer.wake();
     }
 
-    /// Bytes that wait to be written, or are being written.
+    /// Number of bytes that wait to be written or are being written.
     pub(super) fn queued_bytes(&self) -> usize {
         self.queue.borrow().len() + self.writing.get()
     }
 
-    /// Sets how many bytes the socket is accepting at present.
+    /// Sets the size of the batch that is being written.
     pub(super) fn set_writing(&self, bytes: usize) {
         self.writing.set(bytes);
     }
 
-    /// Takes what is queued and leaves `spare` in its place; `None` once no more will come.
+    /// Waits for queued bytes and returns them, leaving the empty buffer `spare` as the queue. Returns `None` once the
+    /// connection is closed, or all senders are dropped and the queue is empty.
     pub(super) async fn next_batch(&self, spare: Vec<u8>) -> Option<Vec<u8>> {
         let mut spare = Some(spare);
         poll_fn(|context| {
--- a/crates/net/src/framed/reader.rs
+++ b/crates/net/src/framed/reader.rs
@@ -42,13 +42,14 @@
         }
     }
 
-    /// The next frame; `None` once the connection is closed, by the peer or by this side. Frames that had come in completely
-    /// before are still returned. After an error the connection is closed. Must be awaited to its end: a call that is
-    /// dropped while it waits may lose what comes in.
+    /// Receives the next frame; `None` once the connection is closed, by the peer or by this side. Frames that were
+    /// received completely before are still returned. After an error the connection is closed.
+    ///
+    /// Not cancel-safe: a call that is dropped while it waits may lose received bytes.
     ///
     /// # Errors
     ///
-    /// [`NetError`] if the connection fails, ends within a frame, or carries what is not a frame.
+    /// [`NetError`] if the connection fails, ends within a frame, or carries bytes that are not a valid frame.
     pub async fn next(&mut self) -> Result<Option<Frame>, NetError> {
         let frame = self.receive().await;
         if !matches!(frame, Ok(Some(_))) {
@@ -57,7 +58,7 @@
         frame
     }
 
-    /// The next frame, from the buffer or the socket.
+    /// Returns the next frame from the buffer, or reads from the socket until it is complete.
     async fn receive(&mut self) -> Result<Option<Frame>, NetError> {
         let peer = self.peer;
         loop {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Drops the bytes decoded and reserves space for what is still missing of the frame that has begun.
+    /// Discards the decoded bytes and reserves space for the missing rest of the current frame.
     fn reserve_space(&mut self) {
         self.buffer.drain(..self.start);
         self.start = 0;
@@ -90,7 +91,7 @@
         self.buffer.reserve(missing.max(READ_BYTES));
     }
 
-    /// Reads what has come in, behind what is in the buffer; 0 once the connection is closed.
+    /// Appends bytes from the socket to the buffer and returns their number; 0 once the connection is closed.
     async fn fill(&mut self) -> io::Result<usize> {
         let filled = self.buffer.len();
         let unfilled = std::mem::take(&mut self.buffer).slice(filled..);
--- a/crates/net/src/framed/sender.rs
+++ b/crates/net/src/framed/sender.rs
@@ -1,4 +1,4 @@
-//! The sending half of a connection: a queue of encoded frames and the task that writes it.
+//! The sending half of a connection: a queue of encoded frames, and the task that writes them to the socket.
 
 use super::link::{Link, RETAINED_BUFFER_BYTES_MAX};
 use crate::runtime;
@@ -13,15 +13,16 @@
 use std::net::{Shutdown, SocketAddr};
 use std::rc::Rc;
 
-/// Most bytes that may wait to be written on one connection; beyond it the connection is closed.
+/// Maximum number of bytes that may wait to be written on one connection. A frame that would exceed it closes the
+/// connection.
 pub const QUEUE_BYTES_MAX: usize = 80 << 20;
 
-/// A frame was not queued: the connection is closed.
+/// The error of [`FrameSender::send`]: the frame was not queued because the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the connection is closed"))]
 pub struct Closed;
 
-/// Sends frames; clones share the connection.
+/// Sends frames. Clones share the connection.
 pub struct FrameSender {
     link: Rc<Link>,
 }
@@ -50,24 +51,24 @@
 }
 
 impl FrameSender {
-    /// Starts the task that writes to `stream`.
+    /// Creates a sender for `stream` and starts the task that writes its queue.
     pub(super) fn start(stream: TcpStream, peer: SocketAddr) -> FrameSender {
         let link = Rc::new(Link::new(stream, peer));
         runtime::spawn(write_queue(link.clone()));
         FrameSender { link }
     }
 
-    /// What the halves share.
+    /// Returns the state that both halves share.
     pub(super) fn link(&self) -> Rc<Link> {
         self.link.clone()
     }
 
-    /// Queues a frame. What is queued before the calling task waits leaves in one write. A queue that would grow
-    /// beyond [`QUEUE_BYTES_MAX`] closes the connection: the peer does not read.
+    /// Queues a frame. All frames that a task queues before it next yields are written together. If the queue would
+    /// grow beyond [`QUEUE_BYTES_MAX`], the peer is assumed not to read and the connection is closed.
     ///
     /// # Errors
     ///
-    /// [`Closed`] if the connection is closed, also by this call.
+    /// [`Closed`] if the connection is closed, possibly by this call.
     pub fn send(&self, frame: &Frame) -> Result<(), Closed> {
         ensure!(!self.link.is_closed(), ClosedSnafu);
         let bytes = codec::encode(frame);
@@ -85,7 +86,7 @@
         Ok(())
     }
 
-    /// Closes the connection; what is still queued is lost.
+    /// Closes the connection; frames that are still queued are lost.
     pub fn close(&self) {
         self.link.close();
     }
@@ -95,13 +96,13 @@
         self.link.is_closed()
     }
 
-    /// Bytes that wait to be written.
+    /// Number of bytes that wait to be written or are being written.
     pub fn queued_bytes(&self) -> usize {
         self.link.queued_bytes()
     }
 }
 
-/// Writes what is queued until the connection ends or all senders are dropped.
+/// Writes the queue to the socket until the connection closes, or all senders are dropped and the queue is empty.
 async fn write_queue(link: Rc<Link>) {
     let mut spare = Vec::new();
     while let Some(bytes) = link.next_batch(spare).await {
@@ -119,6 +120,7 @@
             bytes
         };
     }
-    // The peer reads to the end of what was written; its own end of the connection ends the reader here.
+    // Only the write direction is shut down, so that the peer receives all written bytes. The local reader ends when
+    // the peer closes its direction.
     shut_down(link.stream(), Shutdown::Write);
 }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 server for requests with small bodies.
+//! HTTP/1.1 server for requests with small bodies, each received completely before it is handled.
 //!
-//! [`serve`] starts it; `connection` serves one connection with the HTTP library, `receive` reads a request within the
-//! limits, and `state` is what the tasks of one server share.
+//! [`serve`] starts a server. `connection` serves one connection with the HTTP library, `receive` reads a request and
+//! enforces the size limits, `progress` tracks a connection for the time limits, and `state` is shared by the tasks of
+//! one server.
 
 mod connection;
 mod message;
--- a/crates/net/src/http/connection.rs
+++ b/crates/net/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the server, from its acceptance to its end.
+//! Serving of one connection, from its acceptance to its end.
 
 use super::message::{HttpRequest, HttpResponse};
 use super::progress::{Ending, Phase, Progress};
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// Smallest limit on a head that the HTTP library accepts.
+/// Smallest buffer size that the HTTP library accepts.
 const HEADER_BYTES_MIN: usize = 8_192;
 
 /// Serves requests on `stream` until either side closes it.
@@ -39,7 +39,7 @@
     });
     let service = service_fn(|request| answer(request, peer, &progress, &server, &*handler));
     let mut builder = http1::Builder::new();
-    // The time of day may be wrong here; a response needs none.
+    // The time of day may be wrong on this machine, and the `Date` header is optional.
     builder
         .auto_date_header(false)
         .max_buf_size(server.options().max_header_bytes.max(HEADER_BYTES_MIN));
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads one request, has it handled and returns the response.
+/// Receives one request, passes it to the handler and returns the response.
 async fn answer<H, F>(
     request: Request<Incoming>,
     peer: SocketAddr,
--- a/crates/net/src/http/message.rs
+++ b/crates/net/src/http/message.rs
@@ -1,4 +1,4 @@
-//! Requests and responses, complete with their bodies.
+//! Requests and responses with their complete bodies.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -6,43 +6,43 @@
 use hyper::{Method, Response, StatusCode};
 use std::net::SocketAddr;
 
-/// A request that has been received completely.
+/// A request that was received completely.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Its path, without the query.
+    /// Path of the request, without the query.
     pub path: String,
-    /// Its `Host` header in lower case without a port; empty if it has none.
+    /// Host that the request names, in lower case and without a port; empty if it names none.
     pub host: String,
-    /// Its headers.
+    /// Headers of the request.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the request; empty if it has none.
     pub body: Vec<u8>,
-    /// Who sent it.
+    /// Address of the sender's socket.
     pub peer: SocketAddr,
 }
 
 impl HttpRequest {
-    /// The value of a header, if it is there and is text.
+    /// Returns the value of a header; `None` if the header is missing or is not visible ASCII text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
-/// A response.
+/// A response to an [`HttpRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Its status code.
+    /// Status code; a value that is not a valid code is sent as 500.
     pub status: u16,
-    /// Its headers; `content-length` is added.
+    /// Headers of the response, without `content-length`, which the server adds.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// Its body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
 impl HttpResponse {
-    /// A response without a body.
+    /// Creates a response without a body.
     pub fn new(status: u16) -> HttpResponse {
         HttpResponse {
             status,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: impl Into<Vec<u8>>) -> HttpResponse {
         let content_type = (
             header::CONTENT_TYPE,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The response with one more header; a value that cannot stand in a header is left out.
+    /// Adds a header; one whose value is not valid in a header is left out.
     #[must_use]
     pub fn with_header(mut self, name: HeaderName, value: &str) -> HttpResponse {
         self.headers
@@ -71,7 +71,7 @@
         self
     }
 
-    /// The response in the form of the HTTP library; `close` ends the connection after it.
+    /// Converts to the HTTP library's type; with `close`, the connection ends after the response.
     pub(super) fn into_hyper(self, close: bool) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(Bytes::from(self.body)));
         *response.status_mut() =
--- a/crates/net/src/http/options.rs
+++ b/crates/net/src/http/options.rs
@@ -1,18 +1,19 @@
-//! Limits of the server.
+//! Size and time limits of the server.
 
 use std::time::Duration;
 
-/// Limits on what comes in; may be changed while the server runs
+/// Limits on requests and connections; may be changed while the server runs
 /// ([`HttpServer::set_options`](super::HttpServer::set_options)).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpOptions {
-    /// Most bytes of a request's head; above it the response is 431.
+    /// Maximum size of a request's head, in bytes; a larger one is answered with 431.
     pub max_header_bytes: usize,
-    /// Most bytes of a request's body; above it the response is 413.
+    /// Maximum size of a request's body, in bytes; a larger one is answered with 413.
     pub max_body_bytes: usize,
-    /// Time for a request's head, and after it for its body, to come in. Kept to within half of itself.
+    /// Time within which a request's head must be received, and then again its body. Checked periodically, so that a
+    /// connection may exceed it by up to half of its value.
     pub header_timeout: Duration,
-    /// A connection without a request is closed after this time.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
 }
 
--- a/crates/net/src/http/progress.rs
+++ b/crates/net/src/http/progress.rs
@@ -1,4 +1,4 @@
-//! How far a connection is, and whether it is to end.
+//! State of a connection for the time limits and the shutdown.
 
 use super::options::HttpOptions;
 use crate::clock::steady_ms;
@@ -7,40 +7,40 @@
 use std::task::Waker;
 use std::time::Duration;
 
-/// What a connection is about.
+/// Phase of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No byte of a request has come in.
+    /// No byte of a request has been received.
     Idle,
-    /// A request is coming in.
+    /// A request is being received.
     Receiving,
-    /// The handler works on a request.
+    /// The handler is processing a request.
     Answering,
 }
 
-/// How a connection is to end.
+/// Whether a connection is to end, and how.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// It goes on.
+    /// The connection stays open.
     Open,
-    /// After the request in progress; at once if there is none.
+    /// The connection ends after the request in progress, or at once if there is none.
     Graceful,
-    /// At once.
+    /// The connection ends at once.
     Abrupt,
 }
 
-/// How far a connection is; shared by its task, its socket and the server.
+/// Phase and requested ending of a connection; shared by its task, its socket and the server.
 pub(super) struct Progress {
     phase: Cell<Phase>,
-    /// When the phase began, on the steady clock.
+    /// Start of the phase, on the monotonic clock.
     since_ms: Cell<u64>,
     ending: Cell<Ending>,
-    /// The connection's task.
+    /// Waker of the connection's task.
     task: WakerSlot,
 }
 
 impl Progress {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(super) fn new() -> Progress {
         Progress {
             phase: Cell::new(Phase::Idle),
@@ -50,20 +50,20 @@
         }
     }
 
-    /// Bytes have come in.
+    /// Records that bytes were received.
     pub(super) fn received(&self) {
         if self.phase.get() == Phase::Idle {
             self.enter(Phase::Receiving);
         }
     }
 
-    /// Enters a phase.
+    /// Enters a phase and restarts its time limit.
     pub(super) fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.since_ms.set(steady_ms());
     }
 
-    /// Closes the connection if the peer has exceeded a time limit.
+    /// Closes the connection if it exceeds the time limit of its phase.
     pub(super) fn enforce(&self, options: &HttpOptions, now_ms: u64) {
         let waited = Duration::from_millis(now_ms.saturating_sub(self.since_ms.get()));
         let late = match self.phase.get() {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// How the connection is to end.
+    /// Returns whether the connection is to end, and how.
     pub(super) fn ending(&self) -> Ending {
         self.ending.get()
     }
@@ -91,13 +91,13 @@
         self.end(Ending::Abrupt);
     }
 
-    /// Has the connection's task end it.
+    /// Requests an ending and wakes the connection's task to carry it out.
     fn end(&self, ending: Ending) {
         self.ending.set(ending);
         self.task.wake();
     }
 
-    /// Wakes the connection's task with `waker` when it is to end.
+    /// Registers `waker` of the connection's task, to be woken when an ending is requested.
     pub(super) fn register(&self, waker: &Waker) {
         self.task.register(waker);
     }
--- a/crates/net/src/http/receive.rs
+++ b/crates/net/src/http/receive.rs
@@ -1,4 +1,4 @@
-//! Reading of requests within the limits.
+//! Receiving of requests within the size limits.
 
 use super::message::{HttpRequest, HttpResponse};
 use super::options::HttpOptions;
@@ -9,26 +9,26 @@
 use hyper::{Request, Uri};
 use std::net::SocketAddr;
 
-/// Bytes of a body over the limit that are read and discarded, so that its sender gets to read the response: closing a
+/// Bytes of an oversized request that are read and discarded, so that its sender can read the response: closing a
 /// connection with unread bytes resets it.
 const DISCARDED_BYTES_MAX: usize = 8 << 20;
-/// Bytes of a request line beside its method and path: two spaces, the version, the end of the line.
+/// Bytes of a request line in addition to its method and path: two spaces, the version and the line end.
 const REQUEST_OVERHEAD_BYTES: usize = " ".len() + " HTTP/1.1\r\n".len();
-/// Bytes of a header beside its name and value: the separator and the end of the line.
+/// Bytes of a header in addition to its name and value: the separator and the line end.
 const HEADER_OVERHEAD_BYTES: usize = ": \r\n".len();
 
-/// Why a request does not reach the handler.
+/// The reason why a request is rejected before it reaches the handler.
 pub(super) enum Rejection {
-    /// Its head is over the limit (431).
+    /// The head exceeds the limit (431).
     HeadTooLarge,
-    /// Its body is over the limit (413).
+    /// The body exceeds the limit (413).
     BodyTooLarge,
-    /// Its body has broken off, or its coding is wrong (400).
+    /// The body is truncated, or its transfer coding is invalid (400).
     Malformed,
 }
 
 impl Rejection {
-    /// The response.
+    /// Returns the response to the rejected request.
     pub(super) fn response(self) -> HttpResponse {
         match self {
             Rejection::HeadTooLarge => HttpResponse::new(431),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads a request to its end.
+/// Receives a request completely.
 pub(super) async fn receive(
     request: Request<Incoming>,
     peer: SocketAddr,
@@ -65,8 +65,8 @@
     })
 }
 
-/// Bytes of a request's head, nearly as received. The HTTP library alone accepts whatever it has read
-/// in one go, up to about twice its limit.
+/// Computes the size of a request's head, nearly as received. The HTTP library's own limit is not exact: it accepts a
+/// head that it has read in one piece, up to about twice the limit.
 fn head_bytes(head: &Parts) -> usize {
     let path = head
         .uri
@@ -79,7 +79,7 @@
     start_line + head.headers.iter().map(header).sum::<usize>()
 }
 
-/// The bytes of a body, `max_bytes` at most. A body that is announced as longer is not requested.
+/// Reads a body of at most `max_bytes`. For a larger announced body, `100 Continue` is not sent.
 async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
@@ -116,7 +116,7 @@
     }
 }
 
-/// The host that a request names, in lower case and without a port.
+/// Returns the host that a request names, in lower case and without a port; empty if it names none.
 fn host(uri: &Uri, headers: &HeaderMap) -> String {
     let header = || {
         headers
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: its listener, its connections, its shutdown.
+//! The server: accepting connections, enforcing time limits, and shutdown.
 
 use super::connection::serve_connection;
 use super::message::{HttpRequest, HttpResponse};
@@ -18,10 +18,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time until the next attempt after a connection could not be accepted, because no descriptor is free for example.
+/// Time until the next attempt after accepting a connection failed, for example because no file descriptor was free.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
-/// A running server; cheap to clone. It goes on when all handles are dropped.
+/// Handle of a running server; cheap to clone. The server keeps running when all handles are dropped.
 #[derive(Clone)]
 pub struct HttpServer {
     state: Rc<ServerState>,
@@ -29,8 +29,8 @@
     accepting: Rc<RefCell<Option<Task<()>>>>,
 }
 
-/// Serves HTTP/1.1 on `address`: each request is read completely and answered with what `handler` returns. A handler's
-/// future is dropped if its client closes the connection.
+/// Serves HTTP/1.1 on `address`: each request is received completely and answered with the response that `handler`
+/// returns. A handler's future is dropped if its client closes the connection.
 ///
 /// # Errors
 ///
@@ -64,12 +64,12 @@
 }
 
 impl HttpServer {
-    /// The address listened on.
+    /// The address that the server is bound to, with its actual port.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets the limits of requests that come in from now on.
+    /// Sets the limits for requests that are received from now on.
     pub fn set_options(&self, options: HttpOptions) {
         self.state.set_options(options);
     }
@@ -79,9 +79,9 @@
         self.state.open_connections()
     }
 
-    /// Ends the service. From now on each response closes its connection (`Connection: close`); connections without a
-    /// request stay open for `idle_grace`, so that a request already on its way is still served. New connections are
-    /// accepted for that time too. Returns once all connections are closed; after `limit` the rest is closed abruptly.
+    /// Shuts the server down. From now on each response closes its connection (`Connection: close`). For `idle_grace`,
+    /// idle connections stay open and new ones are accepted, so that requests already on their way are still served.
+    /// Returns once all connections are closed; connections that are still open after `limit` are closed abruptly.
     pub async fn shutdown(&self, idle_grace: Duration, limit: Duration) {
         self.state.begin_shutdown();
         sleep(idle_grace.min(limit)).await;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Accepts connections for as long as the server runs.
+/// Accepts connections until the server shuts down.
 async fn accept<H, F>(listener: TcpListener, state: Rc<ServerState>, handler: Rc<H>)
 where
     H: Fn(HttpRequest) -> F + 'static,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Starts the task of a new connection.
+/// Starts the task that serves a new connection.
 fn open<H, F>(stream: TcpStream, peer: SocketAddr, state: &Rc<ServerState>, handler: &Rc<H>)
 where
     H: Fn(HttpRequest) -> F + 'static,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Enforces the time limits for as long as a connection is open. One timer serves all of them.
+/// Enforces the time limits while any connection is open, with one timer for all connections.
 async fn watch(state: Rc<ServerState>) {
     while state.open_connections() > 0 {
         let options = state.options();
--- a/crates/net/src/http/state.rs
+++ b/crates/net/src/http/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one server share.
+//! State shared by the tasks of one server.
 
 use super::options::HttpOptions;
 use super::progress::Progress;
@@ -8,20 +8,20 @@
 use std::rc::{Rc, Weak};
 use std::task::Poll;
 
-/// What the server's tasks share.
+/// State shared by the tasks of one server.
 pub(super) struct ServerState {
     options: Cell<HttpOptions>,
     shutting_down: Cell<bool>,
     connections: RefCell<Vec<Weak<Progress>>>,
     open: Cell<usize>,
-    /// The task that enforces time limits is at work.
+    /// Whether the task that enforces the time limits runs.
     watched: Cell<bool>,
-    /// The task that waits until no connection is open.
+    /// Waker of the task that waits until no connection is open.
     drained: WakerSlot,
 }
 
 impl ServerState {
-    /// The state of a server that has not accepted a connection yet.
+    /// Creates the state of a server without connections.
     pub(super) fn new(options: HttpOptions) -> ServerState {
         ServerState {
             options: Cell::new(options),
@@ -33,22 +33,22 @@
         }
     }
 
-    /// The limits in force.
+    /// Returns the current limits.
     pub(super) fn options(&self) -> HttpOptions {
         self.options.get()
     }
 
-    /// Sets the limits of requests that come in from now on.
+    /// Sets the limits for requests that are received from now on.
     pub(super) fn set_options(&self, options: HttpOptions) {
         self.options.set(options);
     }
 
-    /// Each response is to close its connection.
+    /// Whether each response is to close its connection.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.shutting_down.get()
     }
 
-    /// From now on each response closes its connection.
+    /// Makes each further response close its connection.
     pub(super) fn begin_shutdown(&self) {
         self.shutting_down.set(true);
     }
@@ -58,13 +58,13 @@
         self.open.get()
     }
 
-    /// A connection has been accepted.
+    /// Adds an accepted connection.
     pub(super) fn opened(&self, progress: &Rc<Progress>) {
         self.connections.borrow_mut().push(Rc::downgrade(progress));
         self.open.set(self.open.get() + 1);
     }
 
-    /// A connection has ended.
+    /// Counts a connection that has ended. After the last one, wakes the task that waits for it.
     pub(super) fn closed(&self) {
         self.open.set(self.open.get() - 1);
         if self.open.get() == 0 {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Calls `act` for each open connection and forgets those that are closed.
+    /// Calls `act` for each open connection and removes the closed ones from the list.
     pub(super) fn for_each_connection(&self, act: impl Fn(&Progress)) {
         self.connections.borrow_mut().retain(|connection| {
             let connection = connection.upgrade();
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Sets whether the task that enforces time limits is at work; returns the previous value.
+    /// Sets whether the task that enforces the time limits runs; returns the previous value.
     pub(super) fn set_watched(&self, watched: bool) -> bool {
         self.watched.replace(watched)
     }
--- a/crates/net/src/http/stream.rs
+++ b/crates/net/src/http/stream.rs
@@ -1,4 +1,4 @@
-//! The socket in the form that the HTTP library's adapter expects.
+//! Adapter from a socket to the stream type that the HTTP library expects.
 
 use super::progress::Progress;
 use crate::socket::shut_down;
@@ -11,7 +11,7 @@
 use std::net::Shutdown;
 use std::rc::Rc;
 
-/// A connection's socket that records when bytes come in.
+/// A connection's socket that records when bytes are received.
 pub(super) struct ServerStream {
     pub(super) stream: TcpStream,
     pub(super) progress: Rc<Progress>,
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// Ends the sending direction by a direct system call: the runtime would hand it to a thread.
+    /// Shuts down the sending direction by a direct system call, which the runtime would pass to another thread.
     async fn shutdown(&mut self) -> io::Result<()> {
         shut_down(&self.stream, Shutdown::Write);
         Ok(())
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,8 @@
-//! Sockets, clocks, signals and logs of the cluster's processes.
+//! Networking, clocks, signal handling and logging for the cluster's processes.
 //!
-//! Everything runs on one thread ([`runtime::run`]); nothing here is `Send`. The processes speak two protocols: HTTP/1.1
-//! with clients, workers and operators ([`http`]) and length-prefixed frames with each other ([`framed`]).
+//! Everything runs on one thread ([`runtime::run`]), so the types here are not `Send`. The processes speak two
+//! protocols: HTTP/1.1 with clients, workers and operators ([`http`]), and length-prefixed frames with each other
+//! ([`framed`]).
 
 pub mod clock;
 pub mod error;
--- a/crates/net/src/logging.rs
+++ b/crates/net/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: plain lines on standard error through the `log` macros.
+//! Logging through the `log` macros, as plain lines on standard error.
 
 use crate::clock::wall_ms;
 use log::LevelFilter;
@@ -8,10 +8,11 @@
 use logforth::{Diagnostic, Error, Layout};
 use std::io::Write;
 
-/// Bytes reserved for a formatted record.
+/// Initial capacity for a formatted record, in bytes.
 const RECORD_BYTES: usize = 128;
 
-/// Sends what is logged at `level` and above to standard error, one plain line each. Call once; later calls do nothing.
+/// Writes each record of `level` or a more severe level to standard error, as one plain line. Only the first call has
+/// an effect.
 pub fn start(level: LevelFilter) {
     let logger = logforth::core::builder()
         .dispatch(|to| to.append(Stderr::default().with_layout(PlainLayout)))
@@ -21,7 +22,7 @@
     }
 }
 
-/// One line for each record: time in milliseconds since 1970, level, module, message.
+/// Formats a record as one line: time in milliseconds since 1970, level, module and message.
 #[derive(Debug)]
 struct PlainLayout;
 
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The single-threaded runtime: starting it, tasks, timers.
+//! The single-threaded runtime: its event loop, tasks and timers.
 
 use crate::error::{NetError, RuntimeSnafu};
 use compio::runtime::{ResumeUnwind, Runtime};
@@ -8,16 +8,17 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Most passes over the ready tasks before sockets are polled again. A pass runs the tasks that were ready at its start.
+/// Maximum number of passes over the ready tasks before sockets are polled again. A pass runs the tasks that were ready
+/// at its start.
 const PASSES_MAX: usize = 16;
 
-/// A task that ends when its handle is dropped; await it for its result.
+/// Handle of a task, which can be awaited for the result. Dropping the handle cancels the task.
 pub type Task<T> = compio::runtime::JoinHandle<T>;
 
-/// Runs `main` and the tasks that it spawns, until `main` ends.
+/// Runs `main` and the tasks that it spawns until `main` ends.
 ///
-/// The runtime's own loop asks the system for events once without waiting whenever a task has woken another one, and
-/// again to wait. This one runs what is ready first and then waits, which halves the system calls of a request.
+/// The library's own event loop polls the system twice whenever a task has woken another one: once without waiting, and
+/// once to wait. This loop first runs all ready tasks and then waits, which halves the system calls of a request.
 ///
 /// # Errors
 ///
@@ -34,8 +35,8 @@
         let mut main = pin!(runtime.spawn(main));
         loop {
             let busy = run_ready(&runtime);
-            // Clears the flag that a wake-up came. One from another thread may have come since the tasks ran, so they
-            // are run once more; one that comes from here on ends the wait below.
+            // Clears the wake-up flag. If it was set, another thread may have woken a task since the tasks ran, so they
+            // run once more. A wake-up from here on ends the wait below.
             let busy = if runtime.flush() {
                 run_ready(&runtime)
             } else {
@@ -51,23 +52,23 @@
             }
         }
     });
-    // The only handle is here, so that the task has not been cancelled.
+    // This function owns the only handle, so the task cannot have been cancelled.
     Ok(output
         .resume_unwind()
         .expect("the main task is not cancelled"))
 }
 
-/// Runs the tasks that are ready. True if some still are, after [`PASSES_MAX`].
+/// Runs the ready tasks. Returns true if some are still ready after [`PASSES_MAX`] passes.
 fn run_ready(runtime: &Runtime) -> bool {
     (0..PASSES_MAX).all(|_| runtime.run())
 }
 
-/// Starts a task that nobody waits for.
+/// Starts a detached task, which runs until it ends.
 pub fn spawn<F: Future<Output = ()> + 'static>(task: F) {
     compio::runtime::spawn(task).detach();
 }
 
-/// Starts a task that ends with its handle.
+/// Starts a task that is cancelled when its handle is dropped.
 pub fn spawn_scoped<F: Future + 'static>(task: F) -> Task<F::Output> {
     compio::runtime::spawn(task)
 }
@@ -77,7 +78,7 @@
     compio::time::sleep(duration).await;
 }
 
-/// The result of `task`, or `None` if it takes longer than `duration`.
+/// Waits for the result of `task`; `None` if the task takes longer than `duration` and is dropped.
 pub async fn timeout<F: Future>(duration: Duration, task: F) -> Option<F::Output> {
     compio::time::timeout(duration, task).await.ok()
 }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the platform: SIGTERM and SIGHUP. The handlers write a byte each into a pipe that a task reads.
+//! Handling of SIGTERM and SIGHUP. Each handler writes the signal's number as one byte to a pipe that a task reads.
 
 use crate::error::{NetError, RuntimeSnafu, SignalSnafu};
 use compio::runtime::fd::PollFd;
@@ -8,22 +8,22 @@
 use std::os::fd::OwnedFd;
 use std::sync::Arc;
 
-/// Number of SIGHUP.
+/// Number of the signal SIGHUP.
 const SIGHUP: i32 = 1;
-/// Number of SIGTERM.
+/// Number of the signal SIGTERM.
 const SIGTERM: i32 = 15;
 
-/// A signal that the platform sends to a process.
+/// A signal that the process handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: the process is to end.
+    /// SIGTERM: the process should shut down.
     Terminate,
-    /// SIGHUP: the settings file has changed.
+    /// SIGHUP: the process should reload its settings file.
     Reload,
 }
 
 impl Signal {
-    /// Its number.
+    /// Returns the number of the signal.
     fn number(self) -> i32 {
         match self {
             Signal::Terminate => SIGTERM,
@@ -32,18 +32,18 @@
     }
 }
 
-/// The signals that come in.
+/// Receives the signals of the process.
 #[derive(Debug)]
 pub struct Signals {
     pipe: PollFd<OwnedFd>,
 }
 
 impl Signals {
-    /// Catches the signals from now on. The handlers stay when the value is dropped.
+    /// Installs the signal handlers. They stay installed when the value is dropped.
     ///
     /// # Errors
     ///
-    /// [`NetError::Runtime`] if the pipe cannot be made, [`NetError::Signal`] if a handler cannot be installed.
+    /// [`NetError::Runtime`] if the pipe cannot be created, [`NetError::Signal`] if a handler cannot be installed.
     pub fn register() -> Result<Signals, NetError> {
         let flags = PipeFlags::CLOEXEC | PipeFlags::NONBLOCK;
         let (reader, writer) = pipe_with(flags)
@@ -64,7 +64,8 @@
             match rustix::io::read(&*self.pipe, &mut byte) {
                 Ok(1) if i32::from(byte[0]) == SIGTERM => return Signal::Terminate,
                 Ok(1) => return Signal::Reload,
-                // Both ends live as long as this value, so that nothing else but an empty pipe can be the cause.
+                // Both ends of the pipe are open as long as this value exists, so the read can only fail because
+                // the pipe is empty.
                 _ => {
                     if let Err(error) = self.pipe.read_ready().await {
                         log::warn!("reading the signal pipe failed error={error}");
@@ -76,7 +77,7 @@
     }
 }
 
-/// Writes a byte into the pipe whenever `signal` comes.
+/// Installs a handler that writes one byte to the pipe for each `signal`.
 #[allow(
     unsafe_code,
     reason = "signal handlers are registered by an unsafe call"
@@ -85,7 +86,7 @@
     let number = signal.number();
     let writer = writer.clone();
     let handler = move || {
-        // A full pipe has enough signals in it already.
+        // A failed write to a full pipe is harmless: unread signals are in the pipe already.
         let _ = rustix::io::write(&*writer, &[number as u8]);
     };
     // SAFETY: the handler calls write(2) only, which may be called in a signal handler.
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,6 +1,7 @@
-//! TCP sockets with the options that every connection of the cluster gets.
+//! TCP sockets with the options common to all connections.
 //!
-//! Sockets are made and bound by direct system calls: the runtime would pass these, which never block, to a thread.
+//! Sockets are created and bound by direct system calls. These never block, and the runtime would pass them to another
+//! thread.
 
 use crate::error::{ConnectSnafu, ConnectTimeoutSnafu, ListenSnafu, NetError};
 use crate::runtime::{sleep, timeout};
@@ -11,20 +12,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes sent to a peer that does not acknowledge them for this time end the connection.
+/// Time after which a connection ends if the peer does not acknowledge sent bytes (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(2_500);
-/// An idle connection is probed after this time, and as often again.
+/// Idle time before the first keepalive probe, and time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Number of probes without an answer that end the connection.
+/// Number of unanswered keepalive probes after which the connection ends.
 const PROBES: u32 = 2;
-/// New connections that the system keeps until they are accepted.
+/// Maximum number of connections that the system queues until they are accepted.
 const BACKLOG: i32 = 1_024;
-/// Attempts to listen on an address that is still in use, by a predecessor that is about to end.
+/// Number of attempts to listen on an address that is in use, for example by a previous process that is shutting down.
 const LISTEN_ATTEMPTS: u32 = 20;
 /// Time between two such attempts.
 const LISTEN_RETRY: Duration = Duration::from_millis(100);
 
-/// Listens on `address`; an address in use is tried again for two seconds.
+/// Listens on `address`. If the address is in use, retries for about two seconds.
 pub(crate) async fn listen(address: SocketAddr) -> Result<TcpListener, NetError> {
     for _ in 1..LISTEN_ATTEMPTS {
         match bind(address) {
@@ -36,7 +37,7 @@
     bind(address).context(ListenSnafu { address })
 }
 
-/// A listening socket. `SO_REUSEADDR` lets a restarted process bind at once.
+/// Opens a listening socket. `SO_REUSEADDR` lets a restarted process bind at once.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -49,7 +50,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Connects to `address`. A machine without power does not answer: the attempt ends after `limit`.
+/// Connects to `address`. The attempt fails after `limit`, since a machine that is down does not answer at all.
 pub(crate) async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, NetError> {
     let attempt = async {
         let socket = Socket::new(
@@ -72,7 +73,7 @@
     }
 }
 
-/// Sets the options of an open connection: no delay of small writes, and an early end if the peer is out of reach.
+/// Sets the options of an open connection: small writes are not delayed, and an unreachable peer is detected early.
 pub(crate) fn set_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
@@ -84,8 +85,8 @@
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Ends the given directions of a connection, whichever tasks still use it.
+/// Shuts down the given directions of a connection, even if other tasks still use it.
 pub(crate) fn shut_down(stream: &TcpStream, direction: std::net::Shutdown) {
-    // Fails only on a connection that has ended already.
+    // This fails only if the connection has already ended.
     let _ = SockRef::from(stream).shutdown(direction);
 }
--- a/crates/net/src/waker_slot.rs
+++ b/crates/net/src/waker_slot.rs
@@ -1,14 +1,14 @@
-//! A place for the waker of one waiting task.
+//! Storage for the waker of one waiting task.
 
 use std::cell::RefCell;
 use std::task::Waker;
 
-/// Keeps the waker of the one task that waits for something.
+/// Stores the waker of the one task that waits for an event.
 #[derive(Debug, Default)]
 pub(crate) struct WakerSlot(RefCell<Option<Waker>>);
 
 impl WakerSlot {
-    /// Has `waker` woken at the next [`WakerSlot::wake`], in place of the one registered before.
+    /// Registers `waker` for the next [`WakerSlot::wake`]; it replaces the one registered before.
     pub(crate) fn register(&self, waker: &Waker) {
         let mut registered = self.0.borrow_mut();
         if !registered
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Wakes the task that waits, if one does.
+    /// Wakes the waiting task, if there is one, and clears the slot.
     pub(crate) fn wake(&self) {
         if let Some(waker) = self.0.borrow_mut().take() {
             waker.wake();
--- a/crates/net/tests/framed.rs
+++ b/crates/net/tests/framed.rs
@@ -1,4 +1,4 @@
-//! Frames over loopback sockets.
+//! Tests of framed connections over loopback sockets.
 
 use indigofold_net::framed::{self, Connection, FrameListener};
 use indigofold_net::{NetError, runtime};
@@ -9,22 +9,22 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Time for a connection on loopback; never reached unless something is broken.
+/// Time limit for a connection on loopback, reached only if the test fails.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// A free port of the loopback address.
+/// Returns the loopback address with port 0, which selects a free port.
 fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A frame of `bytes` bytes whose first one is `tag`.
+/// Returns a frame with a payload of `bytes` bytes, the first of which is `tag`.
 fn frame(tag: u8, bytes: usize) -> Frame {
     let mut payload = vec![0; bytes.max(1)];
     payload[0] = tag;
     Frame::Replication(payload)
 }
 
-/// Both ends of a connection.
+/// Opens a connection and returns both ends and the listener.
 async fn pair() -> (Connection, Connection, FrameListener) {
     let listener = framed::listen(loopback())
         .await
@@ -165,7 +165,8 @@
         }
         let expected: usize = sent.iter().map(|frame| codec::encode(frame).len()).sum();
         assert_eq!(accepted.sender.queued_bytes(), expected);
-        // Blocks this thread forever unless the other tasks run first: the queue is written when this one waits.
+        // The blocking read hangs forever unless the writing task has run before it: the queue is written when the main
+        // task yields.
         let read = runtime::spawn_scoped(async move {
             let mut bytes = vec![0; expected + LENGTH_BYTES];
             (peer.read(&mut bytes).expect("open"), peer)
--- a/crates/net/tests/framed_warning.rs
+++ b/crates/net/tests/framed_warning.rs
@@ -1,4 +1,4 @@
-//! What the log says of a peer that does not read. A binary of its own, as a process has one logger.
+//! Test of the warning about a peer that does not read. It is a separate binary because a process has only one logger.
 
 use indigofold_net::framed::{self, QUEUE_BYTES_MAX};
 use indigofold_net::runtime;
@@ -8,12 +8,12 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Time for a connection on loopback; never reached unless something is broken.
+/// Time limit for a connection on loopback, reached only if the test fails.
 const PATIENCE: Duration = Duration::from_secs(10);
-/// Bytes of a frame's payload; several of them fill the queue.
+/// Size of a frame's payload, in bytes; several such frames fill the queue.
 const PAYLOAD_BYTES: usize = 30 << 20;
 
-/// Keeps warnings.
+/// A logger that records warnings.
 struct Warnings(Mutex<Vec<String>>);
 
 static WARNINGS: Warnings = Warnings(Mutex::new(Vec::new()));
@@ -33,7 +33,7 @@
     fn flush(&self) {}
 }
 
-/// The number that follows `name=` in a log line.
+/// Returns the number that follows `name=` in a log line.
 fn value(line: &str, name: &str) -> usize {
     let fields = line.split(' ').filter_map(|field| field.split_once('='));
     let mut values = fields.filter(|(key, _)| *key == name);
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server over loopback sockets.
+//! Tests of the HTTP server over loopback sockets.
 
 use indigofold_net::http::{HttpOptions, HttpRequest, HttpResponse, HttpServer, serve};
 use indigofold_net::runtime;
@@ -8,15 +8,15 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time for answers; never reached unless something is broken.
+/// Time limit for responses, reached only if the test fails.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// A free port of the loopback address.
+/// Returns the loopback address with port 0, which selects a free port.
 fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Returns the request.
+/// Handler that returns the request's method, host, path and body.
 async fn echo(request: HttpRequest) -> HttpResponse {
     let body = String::from_utf8_lossy(&request.body).into_owned();
     HttpResponse::json(
@@ -28,7 +28,7 @@
     )
 }
 
-/// Runs a client on a thread of its own beside a server that echoes; the client's result.
+/// Runs a client on a separate thread against a server that echoes, and returns the client's result.
 fn with_server<T: Send + 'static>(
     options: HttpOptions,
     client: impl FnOnce(SocketAddr) -> T + Send + 'static,
@@ -40,7 +40,8 @@
     )
 }
 
-/// As [`with_server`], with a task beside it that gets the server. The client also gets a handle that starts the task.
+/// Like [`with_server`], with an additional task that receives the server's handle. The client starts this task through
+/// the channel that it receives.
 fn with_running_server<T, F>(
     options: HttpOptions,
     client: impl FnOnce(SocketAddr, futures_channel::oneshot::Sender<()>) -> T + Send + 'static,
@@ -73,7 +74,7 @@
     .expect("the runtime starts")
 }
 
-/// An open connection to the server.
+/// Opens a connection to the server.
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("the server listens");
     stream
@@ -82,7 +83,7 @@
     stream
 }
 
-/// Reads one answer: its head, and the body that its content-length announces.
+/// Reads one response: its head in lower case, and the body of the length that the head announces.
 fn read_response(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
     let mut byte = [0];
@@ -101,7 +102,7 @@
     head + &String::from_utf8(body).expect("the body is text")
 }
 
-/// Sends `request` on a connection of its own; all that comes back until the server closes the connection.
+/// Sends `request` on a new connection and returns all bytes received until the server closes it.
 fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = connect(address);
     stream
@@ -180,7 +181,8 @@
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
 }
 
-/// A head of 1,000 bytes, whatever the HTTP library reads at once.
+/// The head has 1,000 bytes. The HTTP library's own limit is at least 8,192 bytes, so the server must enforce the exact
+/// limit itself.
 #[rstest]
 #[case::at_the_limit(1_000, "200")]
 #[case::above_the_limit(999, "431")]
@@ -225,7 +227,7 @@
             first.write_all(request).expect("open");
             assert!(!read_response(&mut first).contains("connection: close"));
             end.send(()).expect("the server runs");
-            // The shutdown has begun once a response closes its connection.
+            // The shutdown has begun once a response announces the end of its connection.
             while !{
                 let mut other = connect(address);
                 other.write_all(request).expect("open");
--- a/crates/net/tests/runtime.rs
+++ b/crates/net/tests/runtime.rs
@@ -1,4 +1,4 @@
-//! The runtime's loop: no wake-up is lost.
+//! Tests of the runtime's event loop: wake-ups are not lost, and timers are not delayed.
 
 use futures_channel::mpsc;
 use futures_util::StreamExt;
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Never reached unless a wake-up is lost.
+/// Time limit that is reached only if a wake-up is lost.
 const PATIENCE: Duration = Duration::from_secs(60);
 
 #[test]
@@ -44,7 +44,7 @@
         .expect("the runtime starts");
 }
 
-/// Passes on what comes in, and counts it.
+/// Forwards each received message and counts it.
 async fn pass_on(
     mut from: mpsc::UnboundedReceiver<()>,
     to: mpsc::UnboundedSender<()>,
--- a/crates/net/tests/signals.rs
+++ b/crates/net/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that the process sends itself.
+//! Test of signal handling, with signals that the process sends to itself.
 
 use indigofold_net::runtime;
 use indigofold_net::signals::{Signal, Signals};
