--- a/crates/net/src/framed/link.rs
+++ b/crates/net/src/framed/link.rs
@@ -18,14 +18,14 @@
     /// Encoded frames that wait to be written.
     queue: RefCell<Vec<u8>>,
     /// Size of the batch that is being written to the socket; 0 if none is.
-    writing: Cell<usize>,
+    writing_bytes: Cell<usize>,
     /// Number of senders that have not been dropped.
-    senders: Cell<usize>,
+    sender_count: Cell<usize>,
     closed: Cell<bool>,
     /// The task that writes the queue.
-    writer: WakerSlot,
+    writer_waker: WakerSlot,
     /// The task that reads frames.
-    reader: WakerSlot,
+    reader_waker: WakerSlot,
 }
 
 impl Link {
@@ -35,11 +35,11 @@
             stream,
             peer,
             queue: RefCell::default(),
-            writing: Cell::new(0),
-            senders: Cell::new(1),
+            writing_bytes: Cell::new(0),
+            sender_count: Cell::new(1),
             closed: Cell::new(false),
-            writer: WakerSlot::default(),
-            reader: WakerSlot::default(),
+            writer_waker: WakerSlot::default(),
+            reader_waker: WakerSlot::default(),
         }
     }
 
@@ -58,8 +58,8 @@
         if !self.closed.replace(true) {
             *self.queue.borrow_mut() = Vec::new();
             shut_down(&self.stream, Shutdown::Both);
-            self.writer.wake();
-            self.reader.wake();
+            self.writer_waker.wake();
+            self.reader_waker.wake();
         }
     }
 
@@ -69,21 +69,21 @@
     }
 
     /// Registers `waker` of the reading task, to be woken when the connection closes.
-    pub(super) fn wake_reader(&self, waker: &Waker) {
-        self.reader.register(waker);
+    pub(super) fn register_reader(&self, waker: &Waker) {
+        self.reader_waker.register(waker);
     }
 
     /// Counts a cloned sender.
     pub(super) fn add_sender(&self) {
-        self.senders.set(self.senders.get() + 1);
+        self.sender_count.set(self.sender_count.get() + 1);
     }
 
     /// Counts a dropped sender. After the last one is dropped, the connection ends once the queue is written.
     pub(super) fn remove_sender(&self) {
-        let remaining = self.senders.get() - 1;
-        self.senders.set(remaining);
+        let remaining = self.sender_count.get() - 1;
+        self.sender_count.set(remaining);
         if remaining == 0 {
-            self.writer.wake();
+            self.writer_waker.wake();
         }
     }
 
@@ -96,17 +96,17 @@
             queue.extend_from_slice(&bytes);
         }
         drop(queue);
-        self.writer.wake();
+        self.writer_waker.wake();
     }
 
     /// Number of bytes that wait to be written or are being written.
     pub(super) fn queued_bytes(&self) -> usize {
-        self.queue.borrow().len() + self.writing.get()
+        self.queue.borrow().len() + self.writing_bytes.get()
     }
 
     /// Sets the size of the batch that is being written.
-    pub(super) fn set_writing(&self, bytes: usize) {
-        self.writing.set(bytes);
+    pub(super) fn set_writing_bytes(&self, bytes: usize) {
+        self.writing_bytes.set(bytes);
     }
 
     /// Waits for queued bytes and returns them, leaving the empty buffer `spare` as the queue. Returns `None` once the
@@ -122,10 +122,10 @@
                 let spare = spare.take().unwrap_or_default();
                 return Poll::Ready(Some(std::mem::replace(&mut *queue, spare)));
             }
-            if self.senders.get() == 0 {
+            if self.sender_count.get() == 0 {
                 return Poll::Ready(None);
             }
-            self.writer.register(context.waker());
+            self.writer_waker.register(context.waker());
             Poll::Pending
         })
         .await
--- a/crates/net/src/framed/reader.rs
+++ b/crates/net/src/framed/reader.rs
@@ -25,9 +25,9 @@
     stream: TcpStream,
     peer: SocketAddr,
     link: Rc<Link>,
-    /// Bytes received; those before `start` have been decoded.
+    /// Bytes received; those before `decoded` have been decoded.
     buffer: Vec<u8>,
-    start: usize,
+    decoded: usize,
 }
 
 impl FrameReader {
@@ -38,7 +38,7 @@
             peer,
             link,
             buffer: Vec::new(),
-            start: 0,
+            decoded: 0,
         }
     }
 
@@ -63,9 +63,9 @@
         let peer = self.peer;
         loop {
             if let Some((frame, length)) =
-                codec::decode(&self.buffer[self.start..]).context(FrameSnafu { peer })?
+                codec::decode(&self.buffer[self.decoded..]).context(FrameSnafu { peer })?
             {
-                self.start += length;
+                self.decoded += length;
                 return Ok(Some(frame));
             }
             self.reserve_space();
@@ -82,8 +82,8 @@
 
     /// Discards the decoded bytes and reserves space for the missing rest of the current frame.
     fn reserve_space(&mut self) {
-        self.buffer.drain(..self.start);
-        self.start = 0;
+        self.buffer.drain(..self.decoded);
+        self.decoded = 0;
         if self.buffer.is_empty() && self.buffer.capacity() > RETAINED_BUFFER_BYTES_MAX {
             self.buffer = Vec::new();
         }
@@ -102,7 +102,7 @@
             if link.is_closed() {
                 return Poll::Ready(None);
             }
-            link.wake_reader(context.waker());
+            link.register_reader(context.waker());
             read.as_mut().poll(context).map(Some)
         });
         match outcome.await {
--- a/crates/net/src/framed/sender.rs
+++ b/crates/net/src/framed/sender.rs
@@ -106,9 +106,9 @@
 async fn write_queue(link: Rc<Link>) {
     let mut spare = Vec::new();
     while let Some(bytes) = link.next_batch(spare).await {
-        link.set_writing(bytes.len());
+        link.set_writing_bytes(bytes.len());
         let BufResult(written, mut bytes) = link.stream().write_all(bytes).await;
-        link.set_writing(0);
+        link.set_writing_bytes(0);
         if let Err(error) = written {
             log::debug!("write failed peer={} error={error}", link.peer());
             return link.close();
--- a/crates/net/src/http/progress.rs
+++ b/crates/net/src/http/progress.rs
@@ -33,10 +33,10 @@
 pub(super) struct Progress {
     phase: Cell<Phase>,
     /// Start of the phase, on the monotonic clock.
-    since_ms: Cell<u64>,
+    phase_started_ms: Cell<u64>,
     ending: Cell<Ending>,
     /// Waker of the connection's task.
-    task: WakerSlot,
+    waker: WakerSlot,
 }
 
 impl Progress {
@@ -44,14 +44,14 @@
     pub(super) fn new() -> Progress {
         Progress {
             phase: Cell::new(Phase::Idle),
-            since_ms: Cell::new(steady_ms()),
+            phase_started_ms: Cell::new(steady_ms()),
             ending: Cell::new(Ending::Open),
-            task: WakerSlot::default(),
+            waker: WakerSlot::default(),
         }
     }
 
     /// Records that bytes were received.
-    pub(super) fn received(&self) {
+    pub(super) fn record_received(&self) {
         if self.phase.get() == Phase::Idle {
             self.enter(Phase::Receiving);
         }
@@ -60,19 +60,19 @@
     /// Enters a phase and restarts its time limit.
     pub(super) fn enter(&self, phase: Phase) {
         self.phase.set(phase);
-        self.since_ms.set(steady_ms());
+        self.phase_started_ms.set(steady_ms());
     }
 
     /// Closes the connection if it exceeds the time limit of its phase.
-    pub(super) fn enforce(&self, options: &HttpOptions, now_ms: u64) {
-        let waited = Duration::from_millis(now_ms.saturating_sub(self.since_ms.get()));
-        let late = match self.phase.get() {
-            Phase::Idle => waited > options.idle_timeout,
-            Phase::Receiving => waited > options.header_timeout,
+    pub(super) fn enforce_time_limit(&self, options: &HttpOptions, now_ms: u64) {
+        let elapsed = Duration::from_millis(now_ms.saturating_sub(self.phase_started_ms.get()));
+        let exceeded = match self.phase.get() {
+            Phase::Idle => elapsed > options.idle_timeout,
+            Phase::Receiving => elapsed > options.header_timeout,
             Phase::Answering => false,
         };
-        if late {
-            self.end(Ending::Abrupt);
+        if exceeded {
+            self.request_end(Ending::Abrupt);
         }
     }
 
@@ -83,22 +83,22 @@
 
     /// Closes the connection after the request in progress; at once if there is none.
     pub(super) fn end_gracefully(&self) {
-        self.end(Ending::Graceful);
+        self.request_end(Ending::Graceful);
     }
 
     /// Closes the connection at once.
     pub(super) fn end_abruptly(&self) {
-        self.end(Ending::Abrupt);
+        self.request_end(Ending::Abrupt);
     }
 
     /// Requests an ending and wakes the connection's task to carry it out.
-    fn end(&self, ending: Ending) {
+    fn request_end(&self, ending: Ending) {
         self.ending.set(ending);
-        self.task.wake();
+        self.waker.wake();
     }
 
     /// Registers `waker` of the connection's task, to be woken when an ending is requested.
     pub(super) fn register(&self, waker: &Waker) {
-        self.task.register(waker);
+        self.waker.register(waker);
     }
 }
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -19,14 +19,14 @@
 use std::time::Duration;
 
 /// Time until the next attempt after accepting a connection failed, for example because no file descriptor was free.
-const ACCEPT_RETRY: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Handle of a running server; cheap to clone. The server keeps running when all handles are dropped.
 #[derive(Clone)]
 pub struct HttpServer {
     state: Rc<ServerState>,
     address: SocketAddr,
-    accepting: Rc<RefCell<Option<Task<()>>>>,
+    accept_task: Rc<RefCell<Option<Task<()>>>>,
 }
 
 /// Serves HTTP/1.1 on `address`: each request is received completely and answered with the response that `handler`
@@ -47,11 +47,15 @@
     let listener = socket::listen(address).await?;
     let address = listener.local_addr().context(ListenSnafu { address })?;
     let state = Rc::new(ServerState::new(options));
-    let accepting = runtime::spawn_scoped(accept(listener, state.clone(), Rc::new(handler)));
+    let accept_task = runtime::spawn_scoped(accept_connections(
+        listener,
+        state.clone(),
+        Rc::new(handler),
+    ));
     Ok(HttpServer {
         state,
         address,
-        accepting: Rc::new(RefCell::new(Some(accepting))),
+        accept_task: Rc::new(RefCell::new(Some(accept_task))),
     })
 }
 
@@ -85,38 +89,45 @@
     pub async fn shutdown(&self, idle_grace: Duration, limit: Duration) {
         self.state.begin_shutdown();
         sleep(idle_grace.min(limit)).await;
-        self.accepting.borrow_mut().take();
+        self.accept_task.borrow_mut().take();
         self.state.for_each_connection(Progress::end_gracefully);
-        if timeout(limit.saturating_sub(idle_grace), self.state.until_drained())
-            .await
-            .is_none()
+        if timeout(
+            limit.saturating_sub(idle_grace),
+            self.state.wait_until_drained(),
+        )
+        .await
+        .is_none()
         {
             self.state.for_each_connection(Progress::end_abruptly);
-            self.state.until_drained().await;
+            self.state.wait_until_drained().await;
         }
     }
 }
 
 /// Accepts connections until the server shuts down.
-async fn accept<H, F>(listener: TcpListener, state: Rc<ServerState>, handler: Rc<H>)
+async fn accept_connections<H, F>(listener: TcpListener, state: Rc<ServerState>, handler: Rc<H>)
 where
     H: Fn(HttpRequest) -> F + 'static,
     F: Future<Output = HttpResponse> + 'static,
 {
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) => open(stream, peer, &state, &handler),
+            Ok((stream, peer)) => start_connection(stream, peer, &state, &handler),
             Err(error) => {
                 log::warn!("accepting a connection failed error={error}");
-                sleep(ACCEPT_RETRY).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Starts the task that serves a new connection.
-fn open<H, F>(stream: TcpStream, peer: SocketAddr, state: &Rc<ServerState>, handler: &Rc<H>)
-where
+fn start_connection<H, F>(
+    stream: TcpStream,
+    peer: SocketAddr,
+    state: &Rc<ServerState>,
+    handler: &Rc<H>,
+) where
     H: Fn(HttpRequest) -> F + 'static,
     F: Future<Output = HttpResponse> + 'static,
 {
@@ -125,24 +136,24 @@
         return;
     }
     let progress = Rc::new(Progress::new());
-    state.opened(&progress);
-    let (serving, handler) = (state.clone(), handler.clone());
+    state.add_connection(&progress);
+    let (server, handler) = (state.clone(), handler.clone());
     runtime::spawn(async move {
-        serve_connection(stream, peer, progress, serving.clone(), handler).await;
-        serving.closed();
+        serve_connection(stream, peer, progress, server.clone(), handler).await;
+        server.remove_connection();
     });
-    if !state.set_watched(true) {
-        runtime::spawn(watch(state.clone()));
+    if !state.set_limits_enforced(true) {
+        runtime::spawn(enforce_time_limits(state.clone()));
     }
 }
 
 /// Enforces the time limits while any connection is open, with one timer for all connections.
-async fn watch(state: Rc<ServerState>) {
+async fn enforce_time_limits(state: Rc<ServerState>) {
     while state.open_connections() > 0 {
         let options = state.options();
         sleep(options.header_timeout.min(options.idle_timeout) / 2).await;
         let (options, now_ms) = (state.options(), steady_ms());
-        state.for_each_connection(|progress| progress.enforce(&options, now_ms));
+        state.for_each_connection(|progress| progress.enforce_time_limit(&options, now_ms));
     }
-    state.set_watched(false);
+    state.set_limits_enforced(false);
 }
--- a/crates/net/src/http/state.rs
+++ b/crates/net/src/http/state.rs
@@ -13,11 +13,11 @@
     options: Cell<HttpOptions>,
     shutting_down: Cell<bool>,
     connections: RefCell<Vec<Weak<Progress>>>,
-    open: Cell<usize>,
+    open_connections: Cell<usize>,
     /// Whether the task that enforces the time limits runs.
-    watched: Cell<bool>,
+    limits_enforced: Cell<bool>,
     /// Waker of the task that waits until no connection is open.
-    drained: WakerSlot,
+    drain_waker: WakerSlot,
 }
 
 impl ServerState {
@@ -27,9 +27,9 @@
             options: Cell::new(options),
             shutting_down: Cell::new(false),
             connections: RefCell::default(),
-            open: Cell::new(0),
-            watched: Cell::new(false),
-            drained: WakerSlot::default(),
+            open_connections: Cell::new(0),
+            limits_enforced: Cell::new(false),
+            drain_waker: WakerSlot::default(),
         }
     }
 
@@ -55,43 +55,43 @@
 
     /// Number of open connections.
     pub(super) fn open_connections(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
     /// Adds an accepted connection.
-    pub(super) fn opened(&self, progress: &Rc<Progress>) {
+    pub(super) fn add_connection(&self, progress: &Rc<Progress>) {
         self.connections.borrow_mut().push(Rc::downgrade(progress));
-        self.open.set(self.open.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
     }
 
     /// Counts a connection that has ended. After the last one, wakes the task that waits for it.
-    pub(super) fn closed(&self) {
-        self.open.set(self.open.get() - 1);
-        if self.open.get() == 0 {
-            self.drained.wake();
+    pub(super) fn remove_connection(&self) {
+        self.open_connections.set(self.open_connections.get() - 1);
+        if self.open_connections.get() == 0 {
+            self.drain_waker.wake();
         }
     }
 
-    /// Calls `act` for each open connection and removes the closed ones from the list.
-    pub(super) fn for_each_connection(&self, act: impl Fn(&Progress)) {
+    /// Calls `action` for each open connection and removes the closed ones from the list.
+    pub(super) fn for_each_connection(&self, action: impl Fn(&Progress)) {
         self.connections.borrow_mut().retain(|connection| {
             let connection = connection.upgrade();
-            connection.inspect(|progress| act(progress)).is_some()
+            connection.inspect(|progress| action(progress)).is_some()
         });
     }
 
     /// Sets whether the task that enforces the time limits runs; returns the previous value.
-    pub(super) fn set_watched(&self, watched: bool) -> bool {
-        self.watched.replace(watched)
+    pub(super) fn set_limits_enforced(&self, limits_enforced: bool) -> bool {
+        self.limits_enforced.replace(limits_enforced)
     }
 
     /// Waits until no connection is open.
-    pub(super) async fn until_drained(&self) {
+    pub(super) async fn wait_until_drained(&self) {
         poll_fn(|context| {
-            if self.open.get() == 0 {
+            if self.open_connections.get() == 0 {
                 return Poll::Ready(());
             }
-            self.drained.register(context.waker());
+            self.drain_waker.register(context.waker());
             Poll::Pending
         })
         .await;
--- a/crates/net/src/http/stream.rs
+++ b/crates/net/src/http/stream.rs
@@ -49,7 +49,7 @@
 impl AsyncRead for ReadHalf {
     async fn read<B: IoBufMut>(&mut self, buffer: B) -> BufResult<usize, B> {
         let result = self.stream.read(buffer).await;
-        self.progress.received();
+        self.progress.record_received();
         result
     }
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -13,24 +13,24 @@
 use std::time::Duration;
 
 /// Time after which a connection ends if the peer does not acknowledge sent bytes (`TCP_USER_TIMEOUT`).
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(2_500);
+const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Idle time before the first keepalive probe, and time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of unanswered keepalive probes after which the connection ends.
-const PROBES: u32 = 2;
+const PROBES_MAX: u32 = 2;
 /// Maximum number of connections that the system queues until they are accepted.
 const BACKLOG: i32 = 1_024;
 /// Number of attempts to listen on an address that is in use, for example by a previous process that is shutting down.
 const LISTEN_ATTEMPTS: u32 = 20;
-/// Time between two such attempts.
-const LISTEN_RETRY: Duration = Duration::from_millis(100);
+/// Time between two attempts to listen.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Listens on `address`. If the address is in use, retries for about two seconds.
 pub(crate) async fn listen(address: SocketAddr) -> Result<TcpListener, NetError> {
     for _ in 1..LISTEN_ATTEMPTS {
         match bind(address) {
             Ok(listener) => return Ok(listener),
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse => sleep(LISTEN_RETRY).await,
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse => sleep(RETRY_DELAY).await,
             Err(error) => return Err(error).context(ListenSnafu { address }),
         }
     }
@@ -77,12 +77,12 @@
 pub(crate) fn set_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))?;
-    let probes = TcpKeepalive::new()
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
+    let keepalive = TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
         .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
-    socket.set_tcp_keepalive(&probes)
+        .with_retries(PROBES_MAX);
+    socket.set_tcp_keepalive(&keepalive)
 }
 
 /// Shuts down the given directions of a connection, even if other tasks still use it.
--- a/crates/net/tests/framed.rs
+++ b/crates/net/tests/framed.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Time limit for a connection on loopback, reached only if the test fails.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Returns the loopback address with port 0, which selects a free port.
 fn loopback() -> SocketAddr {
@@ -29,7 +29,7 @@
     let listener = framed::listen(loopback())
         .await
         .expect("a listener opens on loopback");
-    let dialled = framed::connect(listener.local_address(), PATIENCE)
+    let dialled = framed::connect(listener.local_address(), TIMEOUT)
         .await
         .expect("the listener accepts the connection");
     let accepted = listener
@@ -160,8 +160,8 @@
 }
 
 #[rstest]
-#[case::nonsense(&[0xff; 64], "sent an invalid frame")]
-#[case::broken_off(&[0, 0, 0, 9, 1], "closed the connection within a frame")]
+#[case::length_above_the_limit(&[0xff; 64], "sent an invalid frame")]
+#[case::truncated(&[0, 0, 0, 9, 1], "closed the connection within a frame")]
 fn invalid_bytes_are_an_error(#[case] bytes: &'static [u8], #[case] expected: &'static str) {
     runtime::run(async move {
         let listener = framed::listen(loopback())
@@ -222,7 +222,7 @@
             .await
             .expect("a listener opens on loopback")
             .local_address();
-        let error = framed::connect(address, PATIENCE)
+        let error = framed::connect(address, TIMEOUT)
             .await
             .expect_err("the listener is closed");
         assert!(
--- a/crates/net/tests/framed_warning.rs
+++ b/crates/net/tests/framed_warning.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Time limit for a connection on loopback, reached only if the test fails.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 /// Size of a frame's payload, in bytes; several such frames fill the queue.
 const PAYLOAD_BYTES: usize = 30 << 20;
 
@@ -42,28 +42,28 @@
 }
 
 #[test]
-fn the_warning_says_how_much_waits_for_a_peer_that_does_not_read() {
+fn the_warning_gives_the_queued_bytes_of_a_peer_that_does_not_read() {
     log::set_logger(&WARNINGS).expect("no other logger is set");
     log::set_max_level(LevelFilter::Warn);
-    let waiting = runtime::run(async {
+    let queued_bytes = runtime::run(async {
         let listener = framed::listen(SocketAddr::from(([127, 0, 0, 1], 0))).await;
         let listener = listener.expect("a listener opens on loopback");
-        let dialled = framed::connect(listener.local_address(), PATIENCE).await;
+        let dialled = framed::connect(listener.local_address(), TIMEOUT).await;
         let connection = dialled.expect("the listener accepts the connection");
         let sender = &connection.sender;
         let frame = Frame::Replication(vec![0; PAYLOAD_BYTES]);
-        let mut waiting = 0;
+        let mut queued_bytes = 0;
         while sender.send(&frame).is_ok() {
-            waiting = sender.queued_bytes();
+            queued_bytes = sender.queued_bytes();
         }
-        waiting
+        queued_bytes
     });
-    let waiting = waiting.expect("the runtime starts");
+    let queued_bytes = queued_bytes.expect("the runtime starts");
     let warnings = WARNINGS.0.lock().expect("the lock is not poisoned");
     let [line] = &warnings[..] else {
         panic!("one warning is expected, not {warnings:?}");
     };
-    assert_eq!(value(line, "queued_bytes"), waiting);
+    assert_eq!(value(line, "queued_bytes"), queued_bytes);
     assert!(value(line, "frame_bytes") > PAYLOAD_BYTES);
-    assert!(waiting + value(line, "frame_bytes") > QUEUE_BYTES_MAX);
+    assert!(queued_bytes + value(line, "frame_bytes") > QUEUE_BYTES_MAX);
 }
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Time limit for responses, reached only if the test fails.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Returns the loopback address with port 0, which selects a free port.
 fn loopback() -> SocketAddr {
@@ -45,7 +45,7 @@
 fn with_running_server<T, F>(
     options: HttpOptions,
     client: impl FnOnce(SocketAddr, futures_channel::oneshot::Sender<()>) -> T + Send + 'static,
-    beside: impl FnOnce(HttpServer) -> F + 'static,
+    server_task: impl FnOnce(HttpServer) -> F + 'static,
 ) -> T
 where
     T: Send + 'static,
@@ -65,7 +65,7 @@
         });
         runtime::spawn(async move {
             if started.await.is_ok() {
-                beside(server).await;
+                server_task(server).await;
             }
         });
         let _ = finished.await;
@@ -78,22 +78,22 @@
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("the server listens");
     stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TIMEOUT))
         .expect("a read timeout can be set");
     stream
 }
 
 /// Reads one response: its head in lower case, and the body of the length that the head announces.
 fn read_response(stream: &mut TcpStream) -> String {
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut byte = [0];
-    while !answer.ends_with(b"\r\n\r\n") {
+    while !response.ends_with(b"\r\n\r\n") {
         stream
             .read_exact(&mut byte)
             .expect("a response is received");
-        answer.push(byte[0]);
+        response.push(byte[0]);
     }
-    let head = String::from_utf8(answer)
+    let head = String::from_utf8(response)
         .expect("the head is text")
         .to_ascii_lowercase();
     let length = head
@@ -116,11 +116,11 @@
     stream
         .write_all(request.as_bytes())
         .expect("the connection is open");
-    let mut answer = String::new();
+    let mut response = String::new();
     stream
-        .read_to_string(&mut answer)
+        .read_to_string(&mut response)
         .expect("the server closes the connection");
-    answer
+    response
 }
 
 #[test]
@@ -134,16 +134,16 @@
             stream
                 .write_all(request.as_bytes())
                 .expect("the connection is open");
-            let answer = read_response(&mut stream);
+            let response = read_response(&mut stream);
             let path = path.trim_end_matches("?x=1");
-            assert!(answer.starts_with("http/1.1 200"), "{answer}");
+            assert!(response.starts_with("http/1.1 200"), "{response}");
             assert!(
-                answer.ends_with(&format!("POST ficu.example {path} hi")),
-                "{answer}"
+                response.ends_with(&format!("POST ficu.example {path} hi")),
+                "{response}"
             );
             assert!(
-                answer.contains("content-type: application/json"),
-                "{answer}"
+                response.contains("content-type: application/json"),
+                "{response}"
             );
         }
     });
@@ -172,10 +172,10 @@
         max_body_bytes: 8,
         ..HttpOptions::default()
     };
-    let answer = with_server(options, move |address| exchange(address, request));
+    let response = with_server(options, move |address| exchange(address, request));
     assert!(
-        answer.starts_with(&format!("HTTP/1.1 {status}")),
-        "{answer}"
+        response.starts_with(&format!("HTTP/1.1 {status}")),
+        "{response}"
     );
 }
 
@@ -185,10 +185,10 @@
         "GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
         "x".repeat(20_000)
     );
-    let answer = with_server(HttpOptions::default(), move |address| {
+    let response = with_server(HttpOptions::default(), move |address| {
         exchange(address, &request)
     });
-    assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 431"), "{response}");
 }
 
 /// The head has 1,000 bytes. The HTTP library's own limit is at least 8,192 bytes, so the server must enforce the exact
@@ -204,10 +204,10 @@
         max_header_bytes,
         ..HttpOptions::default()
     };
-    let answer = with_server(options, move |address| exchange(address, &request));
+    let response = with_server(options, move |address| exchange(address, &request));
     assert!(
-        answer.starts_with(&format!("HTTP/1.1 {status}")),
-        "{answer}"
+        response.starts_with(&format!("HTTP/1.1 {status}")),
+        "{response}"
     );
 }
 
@@ -216,27 +216,27 @@
 #[case::within_the_head("GET / HTTP/1.1\r\nHo")]
 #[case::within_the_body("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n123")]
 fn a_connection_beyond_a_time_limit_is_closed(#[case] request: &'static str) {
-    let soon = Duration::from_millis(50);
+    let time_limit = Duration::from_millis(50);
     let options = HttpOptions {
-        header_timeout: soon,
-        idle_timeout: soon,
+        header_timeout: time_limit,
+        idle_timeout: time_limit,
         ..HttpOptions::default()
     };
-    let answer = with_server(options, move |address| exchange(address, request));
-    assert_eq!(answer, "");
+    let response = with_server(options, move |address| exchange(address, request));
+    assert_eq!(response, "");
 }
 
 #[test]
 fn a_request_sent_during_the_shutdown_is_served() {
-    let grace = Duration::from_secs(1);
+    let idle_grace = Duration::from_secs(1);
     let request = b"GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
     with_running_server(
         HttpOptions::default(),
-        move |address, end| {
+        move |address, begin_shutdown| {
             let (mut first, mut second) = (connect(address), connect(address));
             first.write_all(request).expect("the connection is open");
             assert!(!read_response(&mut first).contains("connection: close"));
-            end.send(()).expect("the server runs");
+            begin_shutdown.send(()).expect("the server runs");
             // The shutdown has begun once a response announces the end of its connection.
             while !{
                 let mut other = connect(address);
@@ -261,7 +261,7 @@
             );
         },
         move |server| async move {
-            server.shutdown(grace, PATIENCE).await;
+            server.shutdown(idle_grace, TIMEOUT).await;
             assert_eq!(server.open_connections(), 0);
         },
     );
--- a/crates/net/tests/runtime.rs
+++ b/crates/net/tests/runtime.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Time limit that is reached only if a wake-up is lost.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIME_LIMIT: Duration = Duration::from_secs(60);
 
 #[test]
 fn wake_ups_from_another_thread_are_not_lost() {
@@ -30,7 +30,7 @@
             to_thread
                 .unbounded_send(number)
                 .expect("the receiver is open");
-            number = runtime::timeout(PATIENCE, from_thread.next())
+            number = runtime::timeout(TIME_LIMIT, from_thread.next())
                 .await
                 .expect("the reply is received in time")
                 .expect("the channel is open");
@@ -45,34 +45,34 @@
 }
 
 /// Forwards each received message and counts it.
-async fn pass_on(
+async fn forward(
     mut from: mpsc::UnboundedReceiver<()>,
     to: mpsc::UnboundedSender<()>,
-    passes: Rc<Cell<u64>>,
+    forwarded: Rc<Cell<u64>>,
 ) {
     while from.next().await.is_some() {
-        passes.set(passes.get() + 1);
+        forwarded.set(forwarded.get() + 1);
         to.unbounded_send(()).expect("the channel is open");
     }
 }
 
 #[test]
 fn tasks_that_wake_each_other_do_not_delay_timers() {
-    let passes = runtime::run(async {
-        let passes = Rc::new(Cell::new(0_u64));
+    let forwarded = runtime::run(async {
+        let forwarded = Rc::new(Cell::new(0_u64));
         let (to_first, from_second) = mpsc::unbounded::<()>();
         let (to_second, from_first) = mpsc::unbounded::<()>();
         to_first.unbounded_send(()).expect("the channel is open");
-        runtime::spawn(pass_on(from_second, to_second, passes.clone()));
-        runtime::spawn(pass_on(from_first, to_first, passes.clone()));
+        runtime::spawn(forward(from_second, to_second, forwarded.clone()));
+        runtime::spawn(forward(from_first, to_first, forwarded.clone()));
         runtime::sleep(Duration::from_millis(1)).await;
-        passes.get()
+        forwarded.get()
     });
-    assert!(passes.expect("the runtime starts") > 0);
+    assert!(forwarded.expect("the runtime starts") > 0);
 }
 
 #[test]
-fn dropping_its_handle_ends_a_task() {
+fn dropping_the_handle_cancels_a_task() {
     runtime::run(async {
         let (sender, mut receiver) = mpsc::unbounded::<()>();
         let task = runtime::spawn_scoped(async move {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-#[should_panic(expected = "what the main task says")]
+#[should_panic(expected = "panic of the main task")]
 fn a_panic_of_the_main_task_is_propagated() {
-    let _ = runtime::run(async { panic!("what the main task says") });
+    let _ = runtime::run(async { panic!("panic of the main task") });
 }
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -18,14 +18,14 @@
 pub const LENGTH_BYTES: usize = 4;
 
 /// Words allocated for a message without long fields; a larger message allocates more while it is written.
-const TYPICAL_WORDS: u32 = 96;
+const INITIAL_WORDS: u32 = 96;
 /// Bytes of one word of the Cap'n Proto encoding.
 const WORD_BYTES: usize = 8;
 /// Upper limit on reads per word of a message, on average. It protects against amplification: a small message whose
 /// pointers all lead to the same words cannot expand into a large one.
-const VISITS_MAX: usize = 4;
+const READS_PER_WORD_MAX: usize = 4;
 /// Words that may be read in any message, however short.
-const VISITED_WORDS_MIN: usize = 1_024;
+const READ_LIMIT_WORDS_MIN: usize = 1_024;
 
 /// Bytes that are not a valid frame.
 #[derive(Debug, Snafu)]
@@ -46,7 +46,7 @@
 
 /// Encodes a frame, with its length prefix.
 pub fn encode(frame: &Frame) -> Vec<u8> {
-    let allocator = HeapAllocator::new().first_segment_words(words_expected(frame));
+    let allocator = HeapAllocator::new().first_segment_words(initial_words(frame));
     let mut message = Builder::new(allocator);
     write_frame(message.init_root(), frame);
     let length = serialize::compute_serialized_size_in_words(&message) * WORD_BYTES;
@@ -64,10 +64,10 @@
 ///
 /// [`CodecError`] if the frame is invalid, whatever bytes follow.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Frame, usize)>, CodecError> {
-    let Some(head) = bytes.first_chunk::<LENGTH_BYTES>() else {
+    let Some(prefix) = bytes.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
-    let length = u32::from_be_bytes(*head) as usize;
+    let length = u32::from_be_bytes(*prefix) as usize;
     if length > FRAME_BYTES_MAX {
         return Err(CodecError::TooLong { length });
     }
@@ -82,7 +82,7 @@
 /// is above the limit. Without a complete length prefix, only the rest of the prefix is counted.
 pub fn missing_bytes(bytes: &[u8]) -> usize {
     match bytes.first_chunk::<LENGTH_BYTES>() {
-        Some(head) => match u32::from_be_bytes(*head) as usize {
+        Some(prefix) => match u32::from_be_bytes(*prefix) as usize {
             length if length > FRAME_BYTES_MAX => 0,
             length => (LENGTH_BYTES + length).saturating_sub(bytes.len()),
         },
@@ -92,18 +92,18 @@
 
 /// Words to allocate up front: few for short messages, and enough for a replication payload to be written without a
 /// second allocation.
-fn words_expected(frame: &Frame) -> u32 {
+fn initial_words(frame: &Frame) -> u32 {
     match frame {
-        Frame::Replication(payload) => TYPICAL_WORDS + (payload.len() / WORD_BYTES) as u32,
-        _ => TYPICAL_WORDS,
+        Frame::Replication(payload) => INITIAL_WORDS + (payload.len() / WORD_BYTES) as u32,
+        _ => INITIAL_WORDS,
     }
 }
 
 /// Decodes a message without its length prefix.
 fn decode_body(mut body: &[u8]) -> capnp::Result<Frame> {
-    let visited_words_max = body.len() / WORD_BYTES * VISITS_MAX + VISITED_WORDS_MIN;
+    let read_limit_words = body.len() / WORD_BYTES * READS_PER_WORD_MAX + READ_LIMIT_WORDS_MIN;
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(visited_words_max));
+    options.traversal_limit_in_words(Some(read_limit_words));
     let message = serialize::read_message_from_flat_slice_no_alloc(&mut body, options)?;
     read_frame(message.get_root()?)
 }
--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -85,11 +85,11 @@
 impl Config {
     /// Returns the route for a request: of the routes of `host`, the one with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let here = self
+        let matching = self
             .routes
             .iter()
             .filter(|r| r.host == host && path.starts_with(&r.path_prefix));
-        here.max_by_key(|r| r.path_prefix.len())
+        matching.max_by_key(|r| r.path_prefix.len())
     }
 
     /// Returns the service with this name.
--- a/crates/protocol/src/config_check.rs
+++ b/crates/protocol/src/config_check.rs
@@ -93,17 +93,17 @@
 
 /// Checks the rules that involve several fields.
 fn check(config: &Config) -> Result<(), ConfigError> {
-    check_names("routes", config.routes.iter().map(|route| &route.name))?;
-    check_names(
+    check_unique_names("routes", config.routes.iter().map(|route| &route.name))?;
+    check_unique_names(
         "services",
         config.services.iter().map(|service| &service.name),
     )?;
     check_backends(config)?;
-    check_prefixes(config)
+    check_unique_prefixes(config)
 }
 
 /// Checks that each name occurs once in its list.
-fn check_names<'a>(
+fn check_unique_names<'a>(
     field: &str,
     names: impl Iterator<Item = &'a String>,
 ) -> Result<(), ConfigError> {
@@ -135,7 +135,7 @@
 }
 
 /// Checks that no two routes have the same host and path prefix.
-fn check_prefixes(config: &Config) -> Result<(), ConfigError> {
+fn check_unique_prefixes(config: &Config) -> Result<(), ConfigError> {
     let mut routes: Vec<_> = config.routes.iter().collect();
     routes.sort_unstable_by_key(|route| (&route.host, &route.path_prefix));
     for pair in routes.windows(2) {
--- a/crates/protocol/src/config_document.rs
+++ b/crates/protocol/src/config_document.rs
@@ -108,12 +108,12 @@
     let loaded = loader
         .code(text, SOURCE_NAME)
         .and_then(|loader| loader.load())
-        .map_err(explain)?;
+        .map_err(convert_error)?;
     Ok(loaded.config.into())
 }
 
 /// Converts the library's error; of several invalid fields, only the first is reported.
-fn explain(error: DocumentError) -> ConfigError {
+fn convert_error(error: DocumentError) -> ConfigError {
     match error {
         DocumentError::Validator { error, .. } if !error.errors.is_empty() => {
             let first = &error.errors[0];
--- a/crates/protocol/src/config_patch.rs
+++ b/crates/protocol/src/config_patch.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// The field of a configuration that holds its version.
-const VERSION: &str = "version";
+const VERSION_FIELD: &str = "version";
 
 /// The top-level fields of a configuration by name; their values are not parsed.
 type Fields<'a> = BTreeMap<String, &'a RawValue>;
@@ -30,21 +30,21 @@
 
 /// The part of an item that identifies it; all other fields are ignored.
 #[derive(Deserialize)]
-struct Named {
+struct ItemName {
     name: String,
 }
 
 /// A list of named items in the order of the text. A removed item leaves `None` at its position.
 #[derive(Default)]
-struct Items<'a> {
+struct ItemList<'a> {
     items: Vec<Option<&'a RawValue>>,
     positions: HashMap<String, usize>,
 }
 
-impl<'a> Items<'a> {
+impl<'a> ItemList<'a> {
     /// Parses a JSON array of items.
-    fn read(array: &'a RawValue) -> Result<Items<'a>, ConfigError> {
-        let mut items = Items::default();
+    fn read(array: &'a RawValue) -> Result<ItemList<'a>, ConfigError> {
+        let mut items = ItemList::default();
         items.upsert(array)?;
         Ok(items)
     }
@@ -60,7 +60,7 @@
     fn upsert(&mut self, array: &'a RawValue) -> Result<(), ConfigError> {
         let mut distinct = HashSet::new();
         for item in read_raw::<Vec<&RawValue>>(array)? {
-            let Named { name } = read_raw(item)?;
+            let ItemName { name } = read_raw(item)?;
             if !distinct.insert(name.clone()) {
                 return Err(ConfigError::DuplicateName {
                     field: "upsert".to_owned(),
@@ -97,19 +97,19 @@
 pub fn apply_patch(current: &CheckedConfig, patch: &[u8]) -> Result<CheckedConfig, ConfigError> {
     let patch: Patch = read(patch)?;
     let mut fields: Fields = read(current.json().as_bytes())?;
-    let merged = merged_items(&fields, &patch)?;
+    let merged = merge_lists(&fields, &patch)?;
     fields.extend(patch.upsert);
     fields.extend(
         merged
             .iter()
             .map(|(field, items)| (field.clone(), &**items)),
     );
-    fields.insert(VERSION.to_owned(), patch.version);
+    fields.insert(VERSION_FIELD.to_owned(), patch.version);
     parse_config(write_raw(&fields)?.get().as_bytes())
 }
 
 /// Returns the lists that `patch` changes, by field name, with `remove` and `upsert` applied.
-fn merged_items(
+fn merge_lists(
     fields: &Fields,
     patch: &Patch,
 ) -> Result<BTreeMap<String, Box<RawValue>>, ConfigError> {
@@ -123,7 +123,7 @@
     for field in changed {
         let mut items = fields
             .get(field)
-            .map(|array| Items::read(array))
+            .map(|array| ItemList::read(array))
             .transpose()?
             .unwrap_or_default();
         items.remove(patch.remove.get(field).map_or(&[], Vec::as_slice));
--- a/crates/protocol/src/job_check.rs
+++ b/crates/protocol/src/job_check.rs
@@ -53,13 +53,13 @@
     },
     /// A step depends on itself or on a later step.
     #[snafu(display(
-        "`stages[{step}].depends_on` names step {on}: only steps before step {step} are allowed"
+        "`stages[{step}].depends_on` names step {dependency}: only steps before step {step} are allowed"
     ))]
-    Order {
+    Dependency {
         /// Index of the step, from 0.
         step: usize,
         /// Index of the step that it depends on.
-        on: u32,
+        dependency: u32,
     },
     /// A resource or the estimate of a step is above [`AMOUNT_MAX`].
     #[snafu(display("`stages[{step}].{field}` is {amount}: at most {AMOUNT_MAX} is allowed"))]
@@ -118,8 +118,11 @@
 /// Checks one step.
 fn check_step(step: usize, stage: &Step) -> Result<(), JobError> {
     ensure!(stage.count > 0, NoTasksSnafu { step });
-    for on in stage.depends_on.iter().copied() {
-        ensure!((on as usize) < step, OrderSnafu { step, on });
+    for dependency in stage.depends_on.iter().copied() {
+        ensure!(
+            (dependency as usize) < step,
+            DependencySnafu { step, dependency }
+        );
     }
     let amounts = [
         ("cpu", stage.cpu),
--- a/crates/protocol/src/order_digest.rs
+++ b/crates/protocol/src/order_digest.rs
@@ -15,9 +15,9 @@
     /// Computes the digest of a request from its method, `If-Match` header and body.
     pub fn of(method: &str, if_match: Option<&str>, body: &[u8]) -> OrderDigest {
         let mut hasher = Sha256::new();
-        add(&mut hasher, method.as_bytes());
-        add(&mut hasher, if_match.unwrap_or_default().trim().as_bytes());
-        add(&mut hasher, body);
+        add_field(&mut hasher, method.as_bytes());
+        add_field(&mut hasher, if_match.unwrap_or_default().trim().as_bytes());
+        add_field(&mut hasher, body);
         let mut digest = [0; DIGEST_BYTES];
         digest.copy_from_slice(&hasher.finalize()[..DIGEST_BYTES]);
         OrderDigest(digest)
@@ -25,7 +25,7 @@
 }
 
 /// Hashes a field's length and then the field, so that the boundary between two fields is unambiguous.
-fn add(hasher: &mut Sha256, field: &[u8]) {
+fn add_field(hasher: &mut Sha256, field: &[u8]) {
     hasher.update((field.len() as u64).to_be_bytes());
     hasher.update(field);
 }
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -103,7 +103,7 @@
 
 #[rstest]
 #[case::one_too_many(FRAME_BYTES_MAX as u32 + 1)]
-#[case::all(u32::MAX)]
+#[case::largest(u32::MAX)]
 fn a_length_above_the_limit_is_rejected_immediately(#[case] length: u32) {
     let head = length.to_be_bytes();
     assert!(matches!(decode(&head), Err(CodecError::TooLong { .. })));
--- a/crates/protocol/tests/config.rs
+++ b/crates/protocol/tests/config.rs
@@ -29,12 +29,12 @@
 }
 
 /// Parses the configuration of [`document`].
-fn checked() -> CheckedConfig {
+fn parsed() -> CheckedConfig {
     parse_config(document().to_string().as_bytes()).expect("the configuration is valid")
 }
 
 /// Returns the JSON text of a configuration as a value.
-fn written(config: &CheckedConfig) -> Value {
+fn json_value(config: &CheckedConfig) -> Value {
     serde_json::from_str(config.json()).expect("the text is JSON")
 }
 
@@ -47,8 +47,8 @@
 
 #[test]
 fn a_valid_configuration_is_read() {
-    let checked = checked();
-    let config = checked.config();
+    let parsed = parsed();
+    let config = parsed.config();
     assert_eq!(
         (config.version, config.routes.len(), config.services.len()),
         (7, 2, 2)
@@ -116,16 +116,16 @@
 }
 
 #[rstest]
-#[case::nothing("", "cannot be read")]
-#[case::no_object("[]", "cannot be read")]
-#[case::more_behind(r#"{"version":1,"routes":[],"services":[]} x"#, "cannot be read")]
+#[case::empty("", "cannot be read")]
+#[case::array("[]", "cannot be read")]
+#[case::trailing_text(r#"{"version":1,"routes":[],"services":[]} x"#, "cannot be read")]
 #[case::a_comment(r#"{"version":1,"routes":[],"services":[]/*x*/}"#, "cannot be read")]
 #[case::no_version(r#"{"routes":[],"services":[]}"#, "`version`")]
 #[case::version_zero(r#"{"version":0,"routes":[],"services":[]}"#, "`version`")]
 #[case::version_negative(r#"{"version":-1,"routes":[],"services":[]}"#, "`version`")]
 #[case::no_routes(r#"{"version":1,"services":[]}"#, "`routes`")]
 #[case::no_services(r#"{"version":1,"routes":[]}"#, "`services`")]
-fn what_is_no_configuration_is_rejected(#[case] text: &str, #[case] expected: &str) {
+fn a_text_that_is_not_a_configuration_is_rejected(#[case] text: &str, #[case] expected: &str) {
     let error = parse_config(text.as_bytes())
         .expect_err("an invalid configuration")
         .to_string();
@@ -147,7 +147,7 @@
 #[case::timeout_negative("timeout_ms", json!(-5), "routes[1].timeout_ms")]
 #[case::name_empty("name", json!(""), "`routes[1].name`: is empty")]
 #[case::name_missing("name", json!(null), "`routes[1].name`")]
-#[case::name_twice("name", json!("r-a"), "`routes` has `r-a` twice")]
+#[case::name_duplicate("name", json!("r-a"), "`routes` has `r-a` twice")]
 #[case::service_unknown("backend", json!("nobody"), "route `r-b` names the unknown service `nobody`")]
 #[case::service_missing("backend", json!(null), "`routes[1].backend`")]
 #[case::duplicate_prefix("path_prefix", json!("/a/"), "share host `ficu95.example` and prefix `/a/`")]
@@ -173,12 +173,12 @@
 #[case(6, true)]
 #[case(7, false)]
 #[case(8, false)]
-fn versions_must_increase(#[case] current: u64, #[case] rises: bool) {
-    assert_eq!(checked().ensure_newer_than(current).is_ok(), rises);
+fn versions_must_increase(#[case] current: u64, #[case] accepted: bool) {
+    assert_eq!(parsed().ensure_newer_than(current).is_ok(), accepted);
 }
 
 #[test]
-fn a_patch_changes_what_it_names_and_nothing_else() {
+fn a_patch_changes_only_the_items_it_names() {
     let patch = json!({
         "version": 9,
         "upsert": {
@@ -193,7 +193,7 @@
         "remove": {"services": ["wuno", "never-there"]}
     });
     let patched =
-        apply_patch(&checked(), patch.to_string().as_bytes()).expect("the configuration is valid");
+        apply_patch(&parsed(), patch.to_string().as_bytes()).expect("the configuration is valid");
     let mut expected = document();
     expected["version"] = json!(9);
     expected["routes"] = json!([
@@ -203,7 +203,7 @@
     ]);
     expected["services"] = json!([document()["services"][0], {"name": "neu"}]);
     expected["limits"] = json!({"max_body_bytes": 5});
-    assert_eq!(written(&patched), expected);
+    assert_eq!(json_value(&patched), expected);
     assert_eq!(patched.config().limits.max_body_bytes, 5);
     assert_eq!(patched.version(), 9);
 }
@@ -216,8 +216,11 @@
         "remove": {"routes": ["r-b"]}
     });
     let patched =
-        apply_patch(&checked(), patch.to_string().as_bytes()).expect("the configuration is valid");
-    assert_eq!(written(&patched)["routes"][1], patch["upsert"]["routes"][0]);
+        apply_patch(&parsed(), patch.to_string().as_bytes()).expect("the configuration is valid");
+    assert_eq!(
+        json_value(&patched)["routes"][1],
+        patch["upsert"]["routes"][0]
+    );
 }
 
 #[test]
@@ -246,17 +249,17 @@
     "`routes[1].timeout_ms`"
 )]
 #[case::no_name(r#"{"version":9,"upsert":{"routes":[{"timeout_ms":1}]}}"#, "name")]
-#[case::twice(
+#[case::duplicate_name(
     r#"{"version":9,"upsert":{"services":[{"name":"n"},{"name":"n"}]}}"#,
     "twice"
 )]
-#[case::names_wrong(r#"{"version":9,"remove":{"routes":[1]}}"#, "remove.routes[0]")]
+#[case::remove_wrong_type(r#"{"version":9,"remove":{"routes":[1]}}"#, "remove.routes[0]")]
 #[case::duplicate_prefix(
     r#"{"version":9,"upsert":{"routes":[{"name":"n","host":"FICU95.example","path_prefix":"/a/","timeout_ms":1,"backend":"wuno"}]}}"#,
     "share host"
 )]
 fn an_invalid_patch_is_rejected(#[case] patch: &str, #[case] expected: &str) {
-    let error = apply_patch(&checked(), patch.as_bytes())
+    let error = apply_patch(&parsed(), patch.as_bytes())
         .expect_err("an invalid patch")
         .to_string();
     assert!(error.contains(expected), "{error}");
--- a/crates/protocol/tests/frames/mod.rs
+++ b/crates/protocol/tests/frames/mod.rs
@@ -17,7 +17,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 /// Upper bound of the length of generated lists, exclusive.
-const ITEMS: usize = 4;
+const LENGTH_BOUND: usize = 4;
 
 /// Generates an arbitrary frame.
 pub(crate) fn any_frame() -> impl Strategy<Value = Frame> {
@@ -88,7 +88,7 @@
     (
         any::<u64>(),
         option::of(member()),
-        vec(member(), 0..ITEMS),
+        vec(member(), 0..LENGTH_BOUND),
         any::<bool>(),
         any::<u64>(),
         limits(),
@@ -109,7 +109,7 @@
     let numbers = (
         any::<[u32; 2]>(),
         any::<[u64; 4]>(),
-        vec(any::<u32>(), 0..ITEMS),
+        vec(any::<u32>(), 0..LENGTH_BOUND),
     );
     (numbers, text(), text(), any::<[bool; 5]>()).prop_map(
         |(numbers, requirements, affinity, flags)| {
@@ -138,7 +138,7 @@
 fn job() -> impl Strategy<Value = JobSpec> {
     (
         text(),
-        vec(step(), 0..ITEMS),
+        vec(step(), 0..LENGTH_BOUND),
         any::<u32>(),
         any::<[u64; 2]>(),
     )
@@ -212,8 +212,8 @@
     (
         any::<u64>(),
         option::of(instance()),
-        vec(text(), 0..ITEMS),
-        vec(run(), 0..ITEMS),
+        vec(text(), 0..LENGTH_BOUND),
+        vec(run(), 0..LENGTH_BOUND),
     )
         .prop_map(
             |(sent_ms, instance, ended_instances, not_started)| AgentReport {
@@ -232,12 +232,12 @@
         checkpoint,
         percent,
     });
-    let names = (text(), text(), text(), vec(text(), 0..ITEMS));
+    let names = (text(), text(), text(), vec(text(), 0..LENGTH_BOUND));
     let times = (option::of(any::<u64>()), any::<[u64; 2]>());
     let runs = (
-        option::of(vec(running, 0..ITEMS)),
-        vec(finished(), 0..ITEMS),
-        vec(run(), 0..ITEMS),
+        option::of(vec(running, 0..LENGTH_BOUND)),
+        vec(finished(), 0..LENGTH_BOUND),
+        vec(run(), 0..LENGTH_BOUND),
     );
     (names, state, times, resources(), runs).prop_map(|(names, state, times, capacity, runs)| {
         let (id, backend, zone, labels) = names;
@@ -293,8 +293,13 @@
         option::of(any::<u64>()),
         option::of(any::<u64>()),
     );
-    (numbers, text(), vec(start, 0..ITEMS), vec(run(), 0..ITEMS)).prop_map(
-        |(numbers, instance, start, stop)| {
+    (
+        numbers,
+        text(),
+        vec(start, 0..LENGTH_BOUND),
+        vec(run(), 0..LENGTH_BOUND),
+    )
+        .prop_map(|(numbers, instance, start, stop)| {
             let (epoch, echo_sent_ms, acknowledged_end) = numbers;
             AgentOrders {
                 epoch,
@@ -304,8 +309,7 @@
                 stop,
                 acknowledged_end,
             }
-        },
-    )
+        })
 }
 
 fn question() -> impl Strategy<Value = Question> {
--- a/crates/protocol/tests/heartbeat.rs
+++ b/crates/protocol/tests/heartbeat.rs
@@ -41,14 +41,14 @@
 }
 
 #[rstest]
-#[case::nothing("", "cannot be read")]
+#[case::empty("", "cannot be read")]
 #[case::no_service(r#"{"slots":8}"#, "`backend` is empty")]
 #[case::unknown_state(r#"{"backend":"a","state":"asleep"}"#, "`state`")]
 #[case::unknown_end(
     r#"{"backend":"a","finished":[[1,"x",1,"gone",""]]}"#,
     "`finished[0][3]`"
 )]
-#[case::short_row(r#"{"backend":"a","running":[["x",1]]}"#, "`running[0]`")]
+#[case::short_entry(r#"{"backend":"a","running":[["x",1]]}"#, "`running[0]`")]
 fn an_invalid_heartbeat_is_rejected(#[case] text: &str, #[case] expected: &str) {
     let error = parse_heartbeat(text.as_bytes())
         .expect_err("an invalid heartbeat")
--- a/crates/protocol/tests/inspection.rs
+++ b/crates/protocol/tests/inspection.rs
@@ -13,7 +13,7 @@
     json!({"no_room": {"places": 2, "needed": 3}})
 )]
 #[case(Wait::Deferred { fitting_tasks: 4 }, json!({"held_back": {"places": 4}}))]
-fn reasons_to_wait_are_encoded_unchanged(#[case] wait: Wait, #[case] expected: Value) {
+fn wait_reasons_are_encoded_unchanged(#[case] wait: Wait, #[case] expected: Value) {
     let encoded = serde_json::to_value(&wait).expect("a reason has a JSON form");
     assert_eq!(encoded, expected);
     let decoded: Wait = serde_json::from_value(expected).expect("a valid reason");
--- a/crates/protocol/tests/job.rs
+++ b/crates/protocol/tests/job.rs
@@ -45,28 +45,28 @@
 }
 
 #[rstest]
-#[case::nothing("", "cannot be read")]
+#[case::empty("", "cannot be read")]
 #[case::truncated(r#"{"stages":[{"count":1}"#, "cannot be read")]
 #[case::no_steps("{}", "`stages` has 0 steps")]
 #[case::empty_steps(r#"{"stages":[]}"#, "`stages` has 0 steps")]
 #[case::no_tasks(r#"{"stages":[{"count":1},{"cpu":1}]}"#, "`stages[1].count` is 0")]
 #[case::too_many_tasks(r#"{"stages":[{"count":99999},{"count":2}]}"#, "100001 tasks")]
-#[case::waits_for_itself(r#"{"stages":[{"count":1,"depends_on":[0]}]}"#, "names step 0")]
-#[case::waits_for_later(
+#[case::depends_on_itself(r#"{"stages":[{"count":1,"depends_on":[0]}]}"#, "names step 0")]
+#[case::depends_on_later(
     r#"{"stages":[{"count":1},{"count":1,"depends_on":[0,5]}]}"#,
     "names step 5"
 )]
-#[case::wrong_kind(r#"{"stages":[{"count":1},{"count":"many"}]}"#, "`stages[1].count`")]
+#[case::wrong_type(r#"{"stages":[{"count":1},{"count":"many"}]}"#, "`stages[1].count`")]
 #[case::negative(r#"{"stages":[{"count":1,"cpu":-3}]}"#, "`stages[0].cpu`")]
-#[case::absurd(
+#[case::amount_too_large(
     r#"{"stages":[{"count":1,"mem_mb":9000000000000000}]}"#,
     "`stages[0].mem_mb` is"
 )]
-#[case::repeats(
+#[case::too_many_repetitions(
     r#"{"stages":[{"count":1}],"repeat_count":1000001}"#,
     "`repeat_count` is 1000001"
 )]
-#[case::due_never(
+#[case::due_time_too_large(
     r#"{"stages":[{"count":1}],"repeat_count":3,"interval_ms":10000000000000000000}"#,
     "`repeat_count` is 3"
 )]
