--- a/crates/net/src/http/connection.rs
+++ b/crates/net/src/http/connection.rs
@@ -19,8 +19,8 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// Smallest buffer size that the HTTP library accepts.
-const HEADER_BYTES_MIN: usize = 8_192;
+/// Smallest buffer size that the HTTP library accepts, in bytes. The exact limit on a head is enforced by `receive`.
+const BUFFER_BYTES_MIN: usize = 8_192;
 
 /// Serves requests on `stream` until either side closes it.
 pub(super) async fn serve_connection<H, F>(
@@ -42,7 +42,7 @@
     // The time of day may be wrong on this machine, and the `Date` header is optional.
     builder
         .auto_date_header(false)
-        .max_buf_size(server.options().max_header_bytes.max(HEADER_BYTES_MIN));
+        .max_buf_size(server.options().max_header_bytes.max(BUFFER_BYTES_MIN));
     let mut connection = pin!(builder.serve_connection(io, service));
     let mut ending = Ending::Open;
     let outcome = poll_fn(|context| {
