--- a/crates/net/src/framed/link.rs
+++ b/crates/net/src/framed/link.rs
@@ -22,9 +22,9 @@
     /// Number of senders that have not been dropped.
     sender_count: Cell<usize>,
     closed: Cell<bool>,
-    /// The task that writes the queue.
+    /// Waker of the task that writes the queue.
     writer_waker: WakerSlot,
-    /// The task that reads frames.
+    /// Waker of the task that reads frames.
     reader_waker: WakerSlot,
 }
 
@@ -43,12 +43,12 @@
         }
     }
 
-    /// The socket.
+    /// Returns the socket.
     pub(super) fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Address of the peer's socket.
+    /// Returns the address of the peer's socket.
     pub(super) fn peer(&self) -> SocketAddr {
         self.peer
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Queues an encoded frame.
+    /// Queues an encoded frame and wakes the writing task.
     pub(super) fn enqueue(&self, bytes: Vec<u8>) {
         let mut queue = self.queue.borrow_mut();
         if queue.capacity() == 0 {
--- a/crates/net/src/framed/reader.rs
+++ b/crates/net/src/framed/reader.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// Bytes reserved for each read.
+/// Minimum free space in the buffer before each read, in bytes.
 const READ_BYTES: usize = 8 << 10;
 
 /// Receives frames. Dropping it closes the connection.
@@ -25,13 +25,13 @@
     stream: TcpStream,
     peer: SocketAddr,
     link: Rc<Link>,
-    /// Bytes received; those before `decoded` have been decoded.
+    /// Received bytes, of which the first `decoded` are decoded.
     buffer: Vec<u8>,
     decoded: usize,
 }
 
 impl FrameReader {
-    /// Reads frames from `stream`.
+    /// Creates a reader for `stream`.
     pub(super) fn new(stream: TcpStream, peer: SocketAddr, link: Rc<Link>) -> FrameReader {
         FrameReader {
             stream,
--- a/crates/protocol/src/inspection.rs
+++ b/crates/protocol/src/inspection.rs
@@ -1,4 +1,4 @@
-//! Read-only queries of the command line tool to a core member, and their answers.
+//! Read-only queries ("questions") of the command line tool to a core member, and their answers.
 //!
 //! A query needs no `Hello` before it. Every member reports its own status; only the acting head can report on jobs,
 //! queues and services.
@@ -25,7 +25,7 @@
 pub struct InspectionCall {
     /// Number chosen by the tool, for matching the reply.
     pub call: u64,
-    /// The query.
+    /// The query to answer.
     pub question: Question,
 }
 
--- a/crates/protocol/src/internal/hello.rs
+++ b/crates/protocol/src/internal/hello.rs
@@ -41,6 +41,6 @@
     pub acting: bool,
     /// Version of the active configuration; 0 before the first. Only the acting head knows it.
     pub config_version: u64,
-    /// Limits that the configuration sets on clients' requests.
+    /// Limits of the active configuration on client requests; the defaults if the sender knows none.
     pub limits: IngressLimits,
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -65,10 +65,11 @@
     /// starts no run and extends no lease.
     #[serde(rename = "hold_ms", skip_serializing_if = "Option::is_none")]
     pub lease_ms: Option<u64>,
-    /// Ended runs up to this number are durably stored, and the worker no longer lists them.
+    /// Ended runs up to this number are durably stored, and the worker stops listing them; `None` if there are none.
     #[serde(rename = "last_seen", skip_serializing_if = "Option::is_none")]
     pub acknowledged_end: Option<u64>,
-    /// Fencing token of the orders. The worker ignores orders with a lower token than the highest it has received.
+    /// Fencing token of the orders: the worker ignores orders with a lower token than the highest it has received.
+    /// `None` before the agent has received orders from a head.
     #[serde(rename = "fence_token", skip_serializing_if = "Option::is_none")]
     pub fencing_token: Option<u64>,
     /// Runs to start.
@@ -77,7 +78,7 @@
     /// Runs to stop.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<Stop>,
-    /// Time until the worker is to send its next heartbeat, in milliseconds.
+    /// Time until the worker should send its next heartbeat, in milliseconds; `None` leaves it to the worker.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_delay_ms: Option<u64>,
 }
