--- a/crates/indigofold/src/front.rs
+++ b/crates/indigofold/src/front.rs
@@ -1,4 +1,5 @@
-//! The fronts: each speaks one protocol with clients and job workers, on the same core and rules.
+//! The protocol front ends. Each one serves clients and job workers over its own protocol; all use the same core and
+//! scheduling rules.
 
 pub mod faktory;
 pub mod platform;
@@ -6,32 +7,32 @@
 use crate::api::Time;
 use std::cell::Cell;
 
-/// The program's lifecycle, as the fronts share it.
+/// Lifecycle state of the process, shared by the front ends.
 #[derive(Default)]
 pub struct Lifecycle {
-    /// The program is to stop.
+    /// A shutdown has been requested.
     pub stopping: Cell<bool>,
-    /// ... and closes connections, each after its answer.
+    /// The shutdown has reached the phase in which each connection is closed after its current answer.
     pub closing: Cell<bool>,
-    /// By when a job that still comes must be answered.
+    /// Latest time at which a job may be answered during a shutdown; `None` while there is no such limit.
     pub answer_deadline: Cell<Option<Time>>,
-    /// Operators have asked for no new clients: not ready, and connections are closed, each after its answer.
+    /// An operator has drained the process: it reports not ready and closes each connection after its current answer.
     pub drained: Cell<bool>,
-    /// This process accepts clients.
+    /// This process accepts client connections.
     pub accepting: Cell<bool>,
-    /// A new process serves in place of this one.
+    /// A new process has taken over serving from this one.
     pub superseded: Cell<bool>,
-    /// When a job last came.
+    /// Time at which the last job arrived.
     pub last_job: Cell<Time>,
 }
 
 impl Lifecycle {
-    /// Are clients to go elsewhere, each after its answer?
+    /// Whether connections are closed after their current answer, so that clients connect to another process.
     pub fn closes_after_answer(&self) -> bool {
         self.closing.get() || self.drained.get() || self.superseded.get()
     }
 
-    /// The time until which a job that comes now may take.
+    /// Returns the job deadline `until`, or `answer_deadline` if that is earlier.
     pub fn bound(&self, until: Time) -> Time {
         self.answer_deadline
             .get()
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -1,5 +1,5 @@
-//! The Faktory work protocol: clients push jobs, job workers fetch what the module assigned to their
-//! machine. Off unless an operator's file sets it up.
+//! The Faktory front end: clients push jobs, and job workers fetch the jobs that the decision module assigned to their
+//! machine. Disabled unless an operator's file configures it.
 
 pub mod codec;
 pub mod machine;
@@ -22,36 +22,37 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Orders that may wait for a machine; attempts beyond that are rejected unsent.
+/// Capacity of a machine's order queue. An attempt that finds it full is rejected unsent.
 const MAX_QUEUED_ORDERS: usize = 512;
 
-/// A job as it is passed on.
+/// An open job, as passed on to job workers.
 pub struct Parcel {
-    /// Its id.
+    /// The job id chosen by the client.
     pub jid: String,
-    /// Its queue.
+    /// The queue that the job was pushed to.
     pub queue: String,
-    /// The job as it was pushed.
+    /// The job's JSON text as pushed.
     pub text: Buffer,
-    /// Job workers that have it in hand.
+    /// Number of job workers that the job is currently assigned to.
     pub assigned: Cell<usize>,
-    /// Attempts that were given out to a job worker.
+    /// Attempts that were handed to a job worker.
     pub assigned_attempts: RefCell<Vec<AttemptId>>,
-    /// Attempts that were given up: marked at once, as the order may queue behind a fetch in a machine's mailbox.
+    /// Attempts that were given up. They are marked here at once, as the order to drop them may queue behind a fetch in a
+    /// machine's mailbox.
     pub withdrawn: RefCell<Vec<AttemptId>>,
 }
 
-/// What is known of a job id.
+/// The state of a job id.
 enum JobState {
-    /// Its job is open, and these wait for its answer.
+    /// The job is open; the clients, each with its number, wait for the answer.
     Open(JobId, Vec<(u64, Sender<Answer>)>),
-    /// All clients had left while it was assigned; a client that pushes it again waits for its end.
+    /// All clients left while the job was assigned. A client that pushes the job again waits for its end.
     Orphan(Rc<Parcel>, Vec<(u64, Sender<Answer>)>),
-    /// It has its answer.
+    /// The job has been answered.
     Answered(Answer),
 }
 
-/// State that the actors of this front share.
+/// State shared by the actors of this front end.
 pub struct Faktory {
     /// The network.
     net: Net,
@@ -59,24 +60,24 @@
     clock: Clock,
     /// The program's lifecycle.
     lifecycle: Rc<Lifecycle>,
-    /// The operator's file.
+    /// The operator's configuration file.
     file: File,
-    /// The way to the core.
+    /// Mailbox of the core.
     core: Mailbox,
-    /// When the front was set up.
+    /// When the front end was created, for the uptime in INFO.
     since: Time,
-    /// Commands taken, jobs served, jobs failed.
+    /// Numbers of commands received, jobs served, and jobs failed.
     counts: [Cell<u64>; 3],
     parcels: RefCell<HashMap<JobId, Rc<Parcel>>>,
     known: RefCell<HashMap<String, JobState>>,
-    answered: RefCell<VecDeque<String>>, // job ids with an answer, the oldest first
+    answered: RefCell<VecDeque<String>>, // ids of answered jobs, oldest first
     next: Cell<u64>,
     machines: RefCell<HashMap<WorkerId, Sender<Order>>>,
     wids: RefCell<HashMap<String, Sender<Order>>>,
 }
 
 impl Faktory {
-    /// The front, with an actor for each machine of the operator's file.
+    /// Creates the front end, with an actor for each machine of the operator's file.
     pub fn new(
         net: Net,
         clock: Clock,
@@ -113,7 +114,7 @@
         front
     }
 
-    /// Tells the core the machines of the operator's file: nobody is there yet.
+    /// Reports the machines of the operator's file to the core; none of them is available yet.
     pub async fn open(&self) {
         let _ = self
             .core
@@ -121,7 +122,7 @@
             .await;
     }
 
-    /// The machines of the operator's file, in its order.
+    /// The membership entries of the machines in the operator's file, in the order of the file.
     fn entries(&self) -> Vec<Entry> {
         let (mut site, mut entries) = (self.file.site.clone(), Vec::<Entry>::new());
         for m in &self.file.machines {
@@ -142,7 +143,7 @@
         entries
     }
 
-    /// Jobs whose answer is owed, or that a job worker has in hand.
+    /// Number of jobs that aren't answered yet, including those whose clients have left while a job worker runs them.
     pub fn open_jobs(&self) -> usize {
         self.known
             .borrow()
@@ -159,8 +160,8 @@
         self.wids.borrow().get(wid).cloned()
     }
 
-    /// Takes a pushed job. Its answer, or that of the job that has this id already, goes to the sender; the
-    /// number returned stands for this client.
+    /// Submits a pushed job. Its answer, or that of the job that already has this id, is sent to `to`. The returned number
+    /// identifies this client.
     async fn push(
         self: &Rc<Self>,
         mut request: Request,
@@ -195,8 +196,8 @@
             if let Ok(answer) = answered.recv().await {
                 return front.finish(&jid, answer);
             }
-            // The core was notified that the clients have left. A job worker that has the job may yet report its end,
-            // for as long as the job had.
+            // The core was notified that the clients have left. A job worker that runs the job may still report its end until
+            // the job's deadline.
             Timer::at(front.clock.instant(until)).await;
             if matches!(front.known.borrow().get(&jid), Some(JobState::Orphan(..))) {
                 front.finish(&jid, Answer::Failed);
@@ -205,7 +206,7 @@
         number
     }
 
-    /// Gives everybody who waits for a job its answer, and remembers it.
+    /// Sends a job's answer to all clients that wait for it, and remembers it for repeated pushes.
     fn finish(&self, jid: &str, answer: Answer) {
         let known = self.known.borrow_mut().remove(jid);
         let Some(JobState::Open(_, waiting) | JobState::Orphan(_, waiting)) = known else {
@@ -216,7 +217,7 @@
         }
         let count = |n: usize| self.counts[n].set(self.counts[n].get() + 1);
         match answer {
-            // What was refused may come again and is then a new try.
+            // A rejected job may be pushed again and is then a new job.
             Answer::Rejected(_) => return,
             Answer::Served => count(1),
             Answer::Failed => count(2),
@@ -231,8 +232,8 @@
         }
     }
 
-    /// A client has left. With the last one goes the job; but where a job worker has it in hand its id
-    /// stays known, so that a client who comes back does not cause a second run.
+    /// Handles a client that has left. When the last one leaves, the job is withdrawn. If a job worker has the job, its id
+    /// stays known, so that a client that pushes it again doesn't cause a second run.
     async fn client_left(&self, jid: &str, number: u64) {
         let closed = {
             let mut known = self.known.borrow_mut();
@@ -261,14 +262,14 @@
 }
 
 impl Faktory {
-    /// May this attempt still be assigned to a job worker?
+    /// Whether this attempt may still be assigned to a job worker.
     fn is_wanted(&self, attempt: &Attempt, parcel: &Parcel) -> bool {
         let open = |k: &JobState| matches!(k, JobState::Open(job, _) if *job == attempt.id.job);
         !parcel.withdrawn.borrow().contains(&attempt.id)
             && self.known.borrow().get(&parcel.jid).is_some_and(open)
     }
 
-    /// A job worker no longer has a job in hand that its clients have left.
+    /// Handles the end of an attempt of a job whose clients have left.
     fn orphan_ended(&self, parcel: &Rc<Parcel>, status: Status) {
         let of = |k: &JobState| matches!(k, JobState::Orphan(p, _) if Rc::ptr_eq(p, parcel));
         if !self.known.borrow().get(&parcel.jid).is_some_and(of) {
@@ -304,7 +305,7 @@
             .iter()
             .for_each(|p| p.withdrawn.borrow_mut().push(attempt));
         self.order(machine, Order::DropWithdrawn);
-        // What is marked and was not given out before is never given out.
+        // An attempt that is marked before it is handed out is never handed out.
         let unsent = parcel.is_some_and(|p| !p.assigned_attempts.borrow().contains(&attempt));
         if unsent {
             GivenUp::Unsent
@@ -314,13 +315,13 @@
     }
 
     fn probe(&self, _: WorkerId) -> bool {
-        false // the protocol has none, and the settings say so
+        false // the protocol has no probes, and the settings declare so
     }
 
-    fn hang_up(&self, _: WorkerId) {} // job workers connect; nothing idle is held to them
+    fn hang_up(&self, _: WorkerId) {} // job workers open the connections, so none are kept idle here
 
     fn request_membership(&self, _: MembershipRequest) -> bool {
-        true // the membership changes unasked
+        true // membership changes are reported without a request
     }
 
     fn forget(&self, job: JobId) {
--- a/crates/indigofold/src/front/faktory/codec.rs
+++ b/crates/indigofold/src/front/faktory/codec.rs
@@ -1,4 +1,4 @@
-//! The Faktory work protocol, version 2: commands are lines, replies are RESP. No sockets.
+//! Parsing and encoding of the Faktory work protocol, version 2: commands are lines, replies are RESP. Does no I/O.
 
 use serde::Deserialize;
 use sha2::{Digest, Sha256};
@@ -9,31 +9,31 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Hello {
-    /// The protocol's version.
+    /// Protocol version; only 2 is supported.
     pub v: u32,
-    /// A job worker's name; clients that hand in jobs have none.
+    /// Name of a job worker; empty for a client that pushes jobs.
     pub wid: String,
-    /// Its host and process: another one under the same name is a new start.
+    /// Host of the job worker. A different host or process id under the same `wid` means that the job worker was restarted.
     pub hostname: String,
-    /// See `hostname`.
+    /// Process id of the job worker; see `hostname`.
     pub pid: u64,
-    /// The hashed password.
+    /// The password hashed with the salt of the greeting, in hexadecimal; see [`hashed`].
     pub pwdhash: String,
 }
 
-/// A job, as far as it is read; it is passed on as it came.
+/// The fields of a pushed job that are interpreted. The job's text is passed on unchanged.
 #[derive(Debug, Deserialize)]
 pub struct Job {
-    /// Its id.
+    /// Job id, 8 to 128 bytes.
     pub jid: String,
-    /// Its class.
+    /// Name of the job's class in the settings.
     pub jobtype: String,
-    /// Its arguments: read only to see that they are there.
+    /// Arguments; parsed only to check that they are present.
     pub args: Vec<OwnedValue>,
-    /// Its queue.
+    /// Queue of the job; `default` if absent.
     #[serde(default = "default_queue")]
     pub queue: String,
-    /// When it is to be run, if not at once.
+    /// Scheduled start; jobs that set it are rejected, as all jobs run at once.
     #[serde(default)]
     pub at: Option<String>,
     /// Hints for the scheduler.
@@ -45,13 +45,13 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Custom {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: Option<String>,
-    /// The key by which job workers drop repeats.
+    /// Idempotency key, by which job workers detect repeated runs.
     pub key: Option<String>,
     /// How long the client waits, in milliseconds.
     pub deadline: Option<u64>,
-    /// Slots that the job takes.
+    /// Slots that the job occupies; 1 if absent.
     pub slots: Option<f64>,
 }
 
@@ -71,33 +71,33 @@
     current_state: String,
 }
 
-/// A command.
+/// A command of a client or job worker.
 #[derive(Debug)]
 pub enum Command {
-    /// The first one on a connection.
+    /// HELLO: the first command on a connection.
     Hello(Hello),
-    /// Run a job.
+    /// PUSH: run a job.
     Push(Box<Job>),
-    /// Give me a job of one of these queues.
+    /// FETCH: request a job of one of these queues, in order of preference.
     Fetch(Vec<String>),
-    /// The job is done.
+    /// ACK: the job with this id has succeeded.
     Ack(String),
-    /// The job has failed.
+    /// FAIL: the job with this id has failed.
     Fail(String),
-    /// I am alive; `true`: I take nothing new.
+    /// BEAT: the heartbeat of the job worker with this `wid`; `true` if it accepts no new jobs.
     Heartbeat(String, bool),
-    /// How are you?
+    /// INFO: request statistics of the server.
     Info,
-    /// Good-bye.
+    /// END: close the connection.
     End,
 }
 
 impl Command {
-    /// Parses a command without its line end. An error says what is wrong with it.
+    /// Parses a command without its line end.
     ///
     /// # Errors
     ///
-    /// What is wrong with the command.
+    /// Describes what is wrong with the command, as text for the error reply.
     pub fn parse(command: &[u8]) -> Result<Command, String> {
         let text = std::str::from_utf8(command).map_err(|_| "a command must be UTF-8")?;
         let (verb, rest) = text.split_once(' ').unwrap_or((text, ""));
@@ -137,7 +137,7 @@
 
 fn json<T: for<'a> Deserialize<'a>>(verb: &str, text: &str) -> Result<T, String> {
     let mut bytes = text.as_bytes().to_vec();
-    // The library's error may quote the input; a reply must stay on one line.
+    // The parser's error may quote the input, and a reply must stay on one line.
     crate::config::decode(&mut bytes)
         .map_err(|e| single_line(&format!("{verb} needs a JSON object: {e}")))
 }
@@ -159,22 +159,22 @@
         .collect()
 }
 
-/// `+OK`.
+/// Reply to a command that succeeded.
 pub const OK: &str = "+OK\r\n";
-/// No job.
+/// Reply to FETCH when there is no job: a null bulk string.
 pub const NOTHING: &str = "$-1\r\n";
 
-/// An error reply.
+/// Encodes an error reply; `text` is put on one line and cut to 200 characters.
 pub fn error(text: &str) -> String {
     format!("-ERR {}\r\n", single_line(text))
 }
 
-/// A bulk string.
+/// Encodes a bulk string.
 pub fn bulk(text: &str) -> String {
     format!("${}\r\n{text}\r\n", text.len())
 }
 
-/// The server's greeting; with a password, how to hash it.
+/// Encodes the server's greeting. `salt` gives the salt and the number of hash iterations if a password is required.
 pub fn greeting(salt: Option<(&str, u32)>) -> String {
     match salt {
         Some((salt, times)) => format!("+HI {{\"v\":2,\"i\":{times},\"s\":\"{salt}\"}}\r\n"),
@@ -182,7 +182,7 @@
     }
 }
 
-/// The password as a client must send it: hashed with the salt, and so many times in all.
+/// Returns the password hash that a client must send: SHA-256 of password and salt, applied `times` times in total.
 pub fn hashed(password: &str, salt: &str, times: u32) -> String {
     let mut hash = Sha256::digest(format!("{password}{salt}"));
     for _ in 1..times {
@@ -194,7 +194,7 @@
     })
 }
 
-/// Compares without telling by its time where two texts differ.
+/// Compares two texts in a time that doesn't depend on where they differ.
 pub fn constant_time_eq(a: &str, b: &str) -> bool {
     a.len() == b.len() && a.bytes().zip(b.bytes()).fold(0, |d, (a, b)| d | (a ^ b)) == 0
 }
--- a/crates/indigofold/src/front/faktory/machine.rs
+++ b/crates/indigofold/src/front/faktory/machine.rs
@@ -1,5 +1,5 @@
-//! One actor for each machine of the operator's file: whether it is there, what is assigned to it, and what
-//! its job workers have in hand.
+//! One actor for each machine of the operator's file: its state, the attempts assigned to it, and the jobs that its job
+//! workers hold.
 
 use super::{Faktory, Parcel};
 use crate::api::{Entry, Scope, Status, Time, WorkerState};
@@ -13,48 +13,48 @@
 
 /// An order to a machine's actor.
 pub enum Order {
-    /// The module has assigned it this job.
+    /// The decision module has assigned this attempt to the machine.
     Send(Attempt, Rc<Parcel>),
-    /// Some attempts were given up.
+    /// Drop waiting attempts that were given up.
     DropWithdrawn,
-    /// A job worker has connected: its name, which start of it this is, the connection.
+    /// A job worker has connected: its `wid`, the host and process id that identify its process, the connection's number.
     Connected(String, String, u64),
-    /// One of its connections has ended.
+    /// A connection of the job worker with this `wid` has ended.
     Disconnected(String, u64),
-    /// Its heartbeat; `true`: it takes nothing new.
+    /// A heartbeat of the job worker with this `wid`; `true` if it accepts no new jobs.
     Heartbeat(String, bool),
-    /// It wants a job of one of these queues.
+    /// A job worker requests a job: the connection, its `wid`, its queues in order of preference, and the reply channel.
     Fetch(u64, String, Vec<String>, Sender<Assignment>),
-    /// A fetch was withdrawn.
+    /// The fetch on this connection was withdrawn.
     CancelFetch(u64),
-    /// A job has been written to it, or not: then it never ran.
+    /// Whether a job was completely written to the job worker; if not, it never ran.
     Written(Assignment, bool),
-    /// A job worker reports how a job ended.
+    /// A job worker reports how a job ended: its `wid`, the job id, the status.
     Ended(String, String, Status),
 }
 
-/// An attempt on its way to a job worker.
+/// An attempt that is assigned to a job worker.
 #[derive(Clone)]
 pub struct Assignment {
-    /// The attempt.
+    /// The attempt, as sent by the decision module.
     pub attempt: Attempt,
-    /// The job.
+    /// The attempt's job.
     pub parcel: Rc<Parcel>,
     wid: String,
 }
 
-/// A job worker's process.
+/// The process of a job worker.
 struct Process {
     start: String,
     links: BTreeSet<u64>,
     heartbeat_by: Time,
-    link_by: Option<Time>, // it has no connection, and is removed unless one comes before this
+    link_by: Option<Time>, // set while there is no connection: the process is removed unless one is made by then
     quiet: bool,
-    unresponsive: bool, // its heartbeat is overdue
+    unresponsive: bool, // the heartbeat is overdue
 }
 
 impl Process {
-    /// May it be assigned something new?
+    /// Whether new jobs may be assigned to the process.
     fn takes_jobs(&self) -> bool {
         !self.quiet && !self.unresponsive
     }
@@ -67,7 +67,7 @@
     to: Sender<Assignment>,
 }
 
-/// The actor.
+/// Actor that assigns jobs to the job workers of one machine.
 pub struct Machine {
     front: Rc<Faktory>,
     entry: Entry,
@@ -78,7 +78,7 @@
 }
 
 impl Machine {
-    /// The actor of a machine that is not there yet.
+    /// Creates the actor of a machine that has no connected job worker yet.
     pub fn new(front: Rc<Faktory>, entry: Entry) -> Self {
         Machine {
             front,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Runs for as long as somebody may give orders.
+    /// Handles orders and expired heartbeats until the order channel is closed.
     pub async fn run(mut self, inbox: Receiver<Order>) {
         loop {
             let heartbeat_due = |p: &Process| (!p.unresponsive).then_some(p.heartbeat_by);
@@ -125,7 +125,7 @@
                 self.waiting.push_back((attempt, parcel));
                 self.assign_waiting();
             }
-            // Assigned before the module had handled that the machine drains or has left.
+            // The module assigned this before it handled that the machine drains or has left.
             Order::Send(attempt, _) => {
                 self.send_to_core(CoreInput::Ended(attempt.id, Status::Moot, None))
                     .await;
@@ -159,12 +159,12 @@
                 })
                 .await;
             }
-            // What is reported twice, too late or by another job worker has no effect.
+            // A report that is repeated, too late or from another job worker has no effect.
             Order::Ended(wid, jid, status) => self.end_if(&jid, status, |of| of.wid == wid).await,
         }
     }
 
-    /// Ends the assignment of a job, if it is the one that is meant.
+    /// Ends the assignment of a job if `meant` holds for it.
     async fn end_if(&mut self, jid: &str, status: Status, meant: impl Fn(&Assignment) -> bool) {
         if !self.assigned.get(jid).is_some_and(meant) {
             return;
@@ -184,7 +184,7 @@
         }
     }
 
-    /// `quiet`: the job worker takes nothing new.
+    /// Handles a heartbeat. `quiet` says that the job worker accepts no new jobs.
     async fn heartbeat(&mut self, now: Time, wid: &str, quiet: bool) {
         let Some(p) = self.processes.get_mut(wid) else {
             return;
@@ -194,7 +194,7 @@
         self.publish_state().await;
     }
 
-    /// A job worker has connected. The start of a new process ends what the old one had in hand.
+    /// Handles a new connection of a job worker. A new process under the same `wid` ends the old one's assignments.
     async fn worker_connected(&mut self, now: Time, wid: String, start: String, link: u64) {
         let heartbeat_by = now + self.front.file.heartbeat_timeout;
         if let Some(p) = self.processes.get_mut(&wid).filter(|p| p.start == start) {
@@ -216,15 +216,15 @@
                 unresponsive: false,
             },
         );
-        // It is in warm-up, and the module must be notified even where the machine was active a moment ago.
+        // The machine is in warm-up, and the module must be notified even if the machine was active until now.
         self.entry.ready_at = now;
         self.entry.state = WorkerState::Left;
         self.publish_state().await;
-        // Assigned when the machine was warm: the module is to think again.
+        // The waiting attempts were assigned to a warm machine, so the module must reassign them.
         self.return_waiting().await;
     }
 
-    /// Ends the assignments of job workers whose heartbeat or connection is overdue.
+    /// Ends the assignments of job workers whose heartbeat or reconnection is overdue.
     async fn expire_processes(&mut self) {
         let now = self.front.clock.now();
         let disconnected = |p: &Process| p.link_by.is_some_and(|at| at <= now);
@@ -247,7 +247,7 @@
         self.publish_state().await;
     }
 
-    /// A process has ended: what was assigned to it may have run.
+    /// Ends the assignments of a process that has ended, as resets, since the jobs may have run.
     async fn end_assignments_of(&mut self, wid: &str) {
         self.fetches.retain(|f| f.wid != wid);
         let lost: Vec<String> = self
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Computes the machine's state, and notifies the core where it has changed.
+    /// Computes the machine's state, and notifies the core if it has changed.
     async fn publish_state(&mut self) {
         let state = match &self.processes {
             all if all.values().any(Process::takes_jobs) => WorkerState::Active,
@@ -281,7 +281,7 @@
         ))
         .await;
         if state != WorkerState::Active {
-            // Nothing new goes to a machine that drains: what waits for it never ran.
+            // A draining machine gets nothing new; attempts that wait for it never ran.
             self.return_waiting().await;
         }
     }
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Gives those who fetch what is assigned to this machine, by the order of their queues.
+    /// Hands waiting attempts to the job workers that fetch, in the order of each fetch's queues.
     fn assign_waiting(&mut self) {
         self.waiting
             .retain(|(attempt, parcel)| self.front.is_wanted(attempt, parcel));
@@ -325,7 +325,7 @@
             };
             if fetch.to.try_send(assignment.clone()).is_err() {
                 self.waiting
-                    .insert(at, (assignment.attempt, assignment.parcel)); // that fetch has just been withdrawn
+                    .insert(at, (assignment.attempt, assignment.parcel)); // the fetch has just been withdrawn
                 continue;
             }
             assignment
--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -1,4 +1,4 @@
-//! One actor for each accepted connection of the Faktory front: clients and job workers.
+//! One actor for each accepted connection of the Faktory front end: clients and job workers.
 
 use super::codec::{self, Command, Hello, Job};
 use super::machine::{Assignment, Order};
@@ -18,12 +18,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a FETCH waits for a job.
+/// How long a FETCH waits for a job before it is answered with none.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest time that a client can say it waits, in milliseconds.
+/// Upper limit of the waiting time that a client can set, in milliseconds.
 const MAX_CLIENT_WAIT_MS: u64 = 24 * 3600 * 1000;
 
-/// Accepts connections for as long as the program runs.
+/// Accepts connections while the program runs.
 pub async fn listen(front: Rc<Faktory>, listener: Rc<Async<TcpListener>>) {
     front
         .net
@@ -72,7 +72,7 @@
 }
 
 impl Client {
-    /// Serves the connection to its end: the handshake, then one command after another.
+    /// Serves the connection until it ends: the handshake, then one command after another.
     async fn run(&mut self) -> Result<(), Reason> {
         let salt = RandomState::new().build_hasher().finish();
         let salt = format!("{salt:016x}");
@@ -87,7 +87,7 @@
             .await
     }
 
-    /// Reads the first command, which must be HELLO, and returns it with the buffer and what stands behind it.
+    /// Reads the first command, which must be HELLO, and returns it with the buffer, which may hold further commands.
     async fn read_hello(&self) -> Result<(Hello, Buffer), Reason> {
         let (net, accepted) = (&self.front.net, Instant::now());
         let first = async {
@@ -116,7 +116,7 @@
         Ok((hello, buffer))
     }
 
-    /// Rejects another version of the protocol and a wrong password.
+    /// Rejects a connection with an unsupported protocol version or a wrong password.
     async fn check_hello(&self, hello: &Hello, salt: &str) -> Result<(), Reason> {
         if hello.v != 2 {
             return self
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Notifies the machine of a job worker that has connected; a client has no `wid`.
+    /// Notifies the machine's actor that a job worker has connected; does nothing for a client, whose `wid` is empty.
     async fn register_worker(&mut self, hello: Hello) -> Result<(), Reason> {
         if hello.wid.is_empty() {
             return Ok(());
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// Executes commands until END or the end of the connection; `kept`: what has been read of the next one.
+    /// Executes commands until END or the end of the connection. `kept` holds bytes already read of the next command.
     async fn serve_commands(&self, mut kept: Option<Buffer>) -> Result<(), Reason> {
         let mut since = self.front.clock.now();
         loop {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Takes the next command out of the buffer, and with PUSH the text of its job.
+    /// Reads the next command and removes it from the buffer. For PUSH, also returns the text of the job.
     async fn next_command(
         &self,
         buffer: &mut Buffer,
@@ -199,7 +199,7 @@
         let message = without_line_end(&buffer.filled()[..length]);
         let command = Command::parse(message);
         let text = matches!(command, Ok(Command::Push(_))).then(|| {
-            // The job is passed on as it was pushed.
+            // The job's text is passed on unchanged.
             let mut text = self.front.net.pool.take();
             let _ = text.write_all(message.trim_ascii_start());
             text.consume("PUSH ".len());
@@ -209,7 +209,7 @@
         Ok((command, text))
     }
 
-    /// Waits for the next command. A client's connection may be evicted; a job worker's only as the program ends.
+    /// Waits for the next command. A client's connection may be evicted, a job worker's only when the program ends.
     async fn idle(&self) -> Result<(), Reason> {
         let readable = async { self.link.readable().await.map_err(|_| Reason::Broke) };
         let stopping = |r| {
@@ -304,7 +304,7 @@
         )
     }
 
-    /// Hands a job in and answers once its final answer is known.
+    /// Submits a job and replies once its final answer is known.
     async fn push(
         &self,
         job: Job,
@@ -327,7 +327,7 @@
             withdrawn: RefCell::default(),
         };
         self.front.lifecycle.last_job.set(self.front.clock.now());
-        // The client's time runs from when it began to send.
+        // The client's waiting time starts when its command begins to arrive.
         let until = self.front.lifecycle.bound(since + request.left);
         let number = self.front.push(request, until, parcel, to).await;
         let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
@@ -381,7 +381,7 @@
         })
     }
 
-    /// Waits for a job that the module has assigned to this job worker's machine, and hands it over.
+    /// Waits for a job that the decision module has assigned to this job worker's machine, and sends it.
     async fn fetch(&self, queues: Vec<String>, rest: &mut Option<Buffer>) -> Result<(), Reason> {
         let Some(worker) = &self.worker else {
             return self
@@ -407,7 +407,7 @@
             })
             .or(timeout)
             .await;
-        // A job that came at the very moment at which the wait ended is not lost.
+        // A job that was assigned just as the wait timed out must not be lost.
         from.close();
         if let Ok(None) = found {
             found = Ok(from.try_recv().ok());
@@ -427,7 +427,7 @@
         }
     }
 
-    /// Writes a job to a job worker. It may have run if its last byte was sent.
+    /// Writes a job to a job worker. The job may have run if its last byte was sent.
     async fn send_assignment(
         &self,
         orders: &Sender<Order>,
@@ -440,7 +440,7 @@
             .and_then(|()| message.write_all(b"\r\n"));
         let mut bytes_written = 0;
         let written = match fits {
-            // Nobody is there any more: it would go out, but to no one.
+            // The peer has closed the connection: a write would succeed but never be read.
             Ok(()) if self.link.closed() => Err(Reason::PeerLeft),
             Ok(()) => {
                 let write = self.link.write(message.filled(), &mut bytes_written);
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: HTTP/1.1 with clients, job workers and discovery.
+//! The platform front end: HTTP/1.1 with clients, job workers and discovery.
 
 pub mod clients;
 pub mod connection_state;
@@ -28,53 +28,54 @@
 use std::rc::Rc;
 use workers::{AttemptState, Order, Stage, WorkerActor};
 
-/// Orders that may wait for a machine; more are rejected unsent.
+/// Capacity of a machine's order queue. An attempt that finds it full is rejected unsent.
 const MAX_QUEUED_ORDERS: usize = 512;
 
-/// A job's message as it is passed on, and what came back.
+/// An open job: its message as forwarded to job workers, its result and its attempts.
 pub struct Parcel {
-    /// The client's id for it.
+    /// The job id chosen by the client (`X-Trace-Id`).
     pub trace: String,
-    /// The body, and after it the request line and headers but for the time left: what is sent of it.
+    /// The forwarded message: first the body, then the request line and the headers. The header with the remaining time
+    /// is added when an attempt is sent.
     pub text: Buffer,
-    /// The body's length.
+    /// Length of the body in bytes.
     pub body: usize,
-    /// What a job worker made for it.
+    /// The first result reported by a job worker; `None` before that.
     pub result: RefCell<Option<Vec<u8>>>,
-    /// Its attempts: where they went, and how far they have come.
+    /// The state of each attempt, indexed by attempt number.
     attempts: RefCell<Vec<Rc<AttemptState>>>,
-    /// Where its answer goes: closed once that is given, or nobody waits for it any more.
+    /// Channel for the answer; closed once the answer has been given or the client has left.
     reply: WeakSender<Answer>,
 }
 
 impl Parcel {
-    /// Does somebody wait for its answer yet?
+    /// Whether a client still waits for the answer.
     pub fn is_awaited(&self) -> bool {
         self.reply.upgrade().is_some()
     }
 }
 
-/// A machine's actor, and whether the machine drains by the membership.
+/// The mailbox of a machine's actor, and whether the membership lists the machine as draining or gone.
 struct Machine {
     orders: Sender<Order>,
     draining: Rc<Cell<bool>>,
 }
 
-/// State that the actors of this front share.
+/// State shared by the actors of this front end.
 pub struct Platform {
     /// The network.
     net: Net,
     /// The clock.
     clock: Clock,
-    /// The site and its names.
+    /// The site: settings, and the ids of zones, kinds, classes and tenants.
     site: RefCell<Site>,
-    /// The way to the core.
+    /// Mailbox of the core.
     core: Mailbox,
-    /// There is a membership, so that jobs can be sent.
+    /// A membership is known, so jobs can be sent.
     ready: Cell<bool>,
     /// The program's lifecycle.
     lifecycle: Rc<Lifecycle>,
-    /// What is counted.
+    /// Counters of the process.
     metrics: Rc<Metrics>,
     parcels: RefCell<HashMap<JobId, Rc<Parcel>>>,
     traces: RefCell<HashMap<String, JobId>>,
@@ -87,7 +88,7 @@
 }
 
 impl Platform {
-    /// The front; the membership watcher receives its commands from the channel's other end.
+    /// Creates the front end. The membership watcher receives its commands from the other end of `membership`.
     pub fn new(
         net: Net,
         clock: Clock,
@@ -116,7 +117,7 @@
         })
     }
 
-    /// Takes in a job's parcel. `None` while a job of that id is open.
+    /// Registers a new job. Returns `None` if a job with the same id is open in this process or in a peer process.
     fn register_job(
         &self,
         trace: &str,
@@ -143,13 +144,13 @@
         Some((id, parcel))
     }
 
-    /// Discovery answers elsewhere from now on.
+    /// Switches to the discovery service at this address.
     pub async fn move_discovery(&self, to: SocketAddr) {
         let _ = self.membership.send(membership::Command::MoveTo(to)).await;
     }
 
-    /// Other settings hold from now on: for the names that are read here, and for the module, without a break between.
-    /// A job read before stands before them in the core's mailbox, one read after stands behind.
+    /// Applies new settings to this front end and to the decision module at the same point in the core's mailbox: jobs
+    /// parsed with the old settings precede the change in the mailbox, jobs parsed with the new ones follow it.
     pub async fn reconfigure(&self, new: Site) {
         let site = self.site.borrow().followed_by(new);
         let mut input = CoreInput::Settings(Box::new(site.settings.clone()));
@@ -160,38 +161,38 @@
         *self.site.borrow_mut() = site;
     }
 
-    /// The network.
+    /// The network that this front end serves on.
     pub fn net(&self) -> &Net {
         &self.net
     }
 
-    /// The program's lifecycle.
+    /// Lifecycle state shared with the other front end.
     pub fn lifecycle(&self) -> &Rc<Lifecycle> {
         &self.lifecycle
     }
 
-    /// What is counted.
+    /// Counters of the process.
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
-    /// Whether there is a membership, so that jobs can be sent.
+    /// Whether a membership is known, so that jobs can be sent.
     pub fn has_membership(&self) -> bool {
         self.ready.get()
     }
 
-    /// The longest deadline of the site's classes.
+    /// The longest default deadline of the site's classes, in microseconds.
     pub fn longest_deadline(&self) -> Time {
         self.site.borrow().longest_deadline()
     }
 
-    /// The names of the site's classes, by id.
+    /// The names of the site's classes, indexed by class id.
     pub fn class_names(&self) -> Vec<String> {
         let site = self.site.borrow();
         site.classes.all().map(str::to_string).collect()
     }
 
-    /// Jobs whose answer is reply or on its way.
+    /// Number of jobs that are open in this process.
     pub fn open_jobs(&self) -> usize {
         self.parcels.borrow().len()
     }
@@ -204,8 +205,8 @@
         self.parcels.borrow().get(&job).cloned()
     }
 
-    /// The number of a machine, by its name: the same in every scheduler, so that all agree on who of them
-    /// sends to a cold one first.
+    /// Returns the id of a machine, derived from its name. All schedulers derive the same id, so they agree on which of
+    /// them is the first to send to a cold machine.
     fn worker_id(&self, host: &str) -> WorkerId {
         if let Some(id) = self.names.borrow().get(host) {
             return *id;
@@ -221,14 +222,14 @@
         id
     }
 
-    /// Applies an update from discovery: notifies the machines' actors, and returns the core's entries. From here on
-    /// nothing more is sent to a machine that is draining, whatever was decided before.
+    /// Applies an update from discovery: notifies the machines' actors and returns the entries for the core. After this
+    /// call nothing new is sent to a draining machine, even if an attempt was already assigned to it.
     pub fn apply_membership(self: &Rc<Self>, update: MembershipUpdate) -> Vec<Entry> {
         if update.complete {
             self.machines
                 .borrow()
                 .values()
-                .for_each(|m| m.draining.set(true)); // but for those that it names
+                .for_each(|m| m.draining.set(true)); // reset below for machines in the update
         }
         let mut entries = Vec::new();
         for machine in update.hosts {
@@ -253,7 +254,7 @@
         entries
     }
 
-    /// Tells a machine's actor its address, and whether it drains; starts the actor of a new machine.
+    /// Passes a machine's address and draining state to its actor; starts the actor of a new machine.
     fn apply_machine(
         self: &Rc<Self>,
         worker: WorkerId,
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Starts the actor of a machine.
+    /// Starts the actor of a machine and stores its mailbox.
     fn start_worker(self: &Rc<Self>, worker: WorkerId, host: &str) {
         let ((orders, inbox), draining) = (bounded(MAX_QUEUED_ORDERS), Rc::default());
         let actor = WorkerActor::new(self.clone(), worker, host.to_string(), Rc::clone(&draining));
@@ -294,8 +295,8 @@
             .insert(worker, Machine { orders, draining });
     }
 
-    /// The core's input that a report stands for. What concerns no open attempt (a job answered long ago, an attempt of this
-    /// scheduler's former incarnation) has no effect.
+    /// Converts a report into an input for the core. Returns `None` for a report on no open attempt, such as a job that was
+    /// answered long ago or an attempt of a former incarnation of this scheduler.
     fn interpret_report(&self, report: &JobReport) -> Option<CoreInput> {
         let job = *self.traces.borrow().get(&report.id)?;
         let machine = *self.names.borrow().get(&report.from)?;
@@ -304,7 +305,8 @@
         let reported =
             |attempt: &Rc<AttemptState>| attempt.machine == machine && attempt.went_out();
         let last = attempts.iter().rposition(reported)?;
-        // Told twice of an earlier attempt, it must not count for this one, which may run.
+        // With an earlier attempt on the same machine, the report may be a duplicate about that one, and the last attempt
+        // may be running. "returned" then doesn't count as proof that the attempt never ran.
         let repeated = attempts[..last].iter().any(reported);
         let attempt = AttemptId {
             job,
@@ -326,7 +328,7 @@
                         .map_or_else(|| value.encode(), str::to_string),
                     None => String::new(),
                 };
-                // The first result stays: the answer may be on its way.
+                // The first result is kept, as the answer may already be in transit.
                 parcel
                     .result
                     .borrow_mut()
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -1,5 +1,5 @@
 //! One actor for each accepted connection: clients with their jobs, job workers with their reports, and
-//! readiness checks. Children: reading a message; what it asks for.
+//! readiness checks. The submodules read and parse messages.
 
 mod parsing;
 mod reading;
@@ -24,7 +24,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Accepts connections for as long as the program runs.
+/// Accepts connections while the program runs.
 pub async fn listen(front: Rc<Platform>, listener: Rc<Async<TcpListener>>) {
     front
         .net
@@ -32,14 +32,14 @@
         .await;
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 async fn serve(front: Rc<Platform>, link: Link) {
     let state = ConnectionState::default();
     let reason = serve_messages(&front, &link, &state, None).await;
     finish_connection(&front, link, &state, reason).await;
 }
 
-/// Ends a connection, or lets it go on in the process that takes over.
+/// Closes a connection, or transfers it with its job to the process that takes over.
 pub(super) async fn finish_connection(
     front: &Rc<Platform>,
     link: Link,
@@ -68,10 +68,11 @@
     front.transfer(migrating, &state.rest.take(), link).await;
 }
 
-/// A job that goes on here: its number, its message, and where its answer comes.
+/// A job taken over from another process: its id, its record, and the channel on which its answer arrives.
 pub(super) type ResumedJob = (JobId, Rc<Parcel>, Receiver<Answer>);
 
-/// Serves a connection whose job another process has taken; without one, the job cannot go on and has failed.
+/// Serves a connection whose job was transferred from another process. If `job` is `None`, the job could not be resumed and
+/// is answered as failed. `rest` holds bytes already read beyond the job's message.
 pub(super) async fn resume_job(
     front: &Rc<Platform>,
     link: &Link,
@@ -109,7 +110,8 @@
     }
 }
 
-/// Serves messages; `resumed`: a client's connection that was served before, and what has been read of the next.
+/// Serves messages until the connection ends. `resumed` is `Some` for a client's connection that has been served before,
+/// with the bytes already read of its next message, if any.
 async fn serve_messages(
     front: &Rc<Platform>,
     link: &Link,
@@ -123,7 +125,7 @@
     }
 }
 
-/// A connection that is served, and the front that serves it.
+/// A connection being served, and the front end that serves it.
 struct Connection<'a> {
     front: &'a Rc<Platform>,
     link: &'a Link,
@@ -139,7 +141,7 @@
         let mut kept = resumed.flatten();
         loop {
             let (messages, mut keep_open) = (self.state.messages.get(), true);
-            // A buffer is only held while there is something in it.
+            // A connection holds a buffer only while the buffer contains data.
             let mut buffer = match kept.take() {
                 Some(buffer) => buffer,
                 None => {
@@ -172,7 +174,8 @@
         }
     }
 
-    /// Reads a complete message by a time. One that is malformed or late is answered, and ends the connection.
+    /// Reads a complete message by a deadline. A malformed or late message is answered with an error status, and the
+    /// connection ends.
     async fn read_message(
         &self,
         buffer: &mut Buffer,
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Answers what is no job, and a job for which there is no connection left.
+    /// Answers every request but an accepted job; a job on a connection beyond the limit for clients is rejected.
     async fn answer_request(&self, request: ParsedRequest, keep: bool) -> Result<(), Reason> {
         let front = self.front;
         match request {
@@ -219,7 +222,7 @@
             }
             ParsedRequest::Bad(status, why) => self.answer(status, "", why.as_bytes(), keep).await,
             ParsedRequest::Job(job) => {
-                // The last descriptors are for reports, which end jobs and so free connections.
+                // The last descriptors are reserved for reports, which end jobs and so free connections.
                 front.metrics.count(job.request.class, End::Refused);
                 let (after, why) = ("Retry-After: 0.5\r\n", b"no room for more connections\n");
                 self.answer(503, after, why, false).await?;
@@ -228,8 +231,8 @@
         }
     }
 
-    /// Has a job done and answers it. Returns the buffer with what has been read behind the job, and whether the
-    /// connection stays.
+    /// Submits a job and answers it. Returns the buffer with the bytes read beyond the job's message, and whether the
+    /// connection stays open.
     async fn serve_job(
         &self,
         job: NewJob,
@@ -239,9 +242,9 @@
     ) -> Result<(Buffer, bool), Reason> {
         let front = self.front;
         front.lifecycle.last_job.set(front.clock.now());
-        // The client's time runs from when it began to send.
+        // The client's waiting time starts when its request begins to arrive.
         let until = received_at + job.request.left;
-        // Where it can migrate to another process, it need not end with this one.
+        // A job that can migrate to another process is not limited by the shutdown of this one.
         let until = if front.migrates() {
             until
         } else {
@@ -270,10 +273,10 @@
     }
 }
 
-/// A status, headers to go with it, and a body.
+/// Status, extra headers (each with its line end) and body of an answer.
 type AnswerParts = (u16, String, Vec<u8>);
 
-/// Hands a job to the core and waits for its answer, or for the client to leave.
+/// Submits a job to the core and waits for its answer, for the client to leave, or for the job to migrate.
 async fn submit_job(
     front: &Rc<Platform>,
     link: &Link,
@@ -330,14 +333,14 @@
             Err(Reason::Migrated)
         }
         Err(reason) => {
-            drop(from); // from now on no attempt of it begins to go out
+            drop(from); // the job is no longer awaited, so no attempt of it starts to be sent
             let _ = front.core.send(CoreInput::ClientLeft(id)).await;
             Err(reason)
         }
     }
 }
 
-/// Writes one answer.
+/// Sends one answer on the connection.
 async fn answer(
     front: &Platform,
     link: &Link,
@@ -358,7 +361,7 @@
         "HTTP/1.1 {status} {}\r\n{extra_headers}{length}{close}\r\n",
         http::reason(status)
     );
-    // A result that one buffer does not hold goes out after the head.
+    // A body that doesn't fit into the buffer is sent separately after the head.
     if head.is_ok() && body.len() <= buffer.spare().len() {
         let _ = buffer.write_all(body);
         return link.send(buffer.filled(), WRITE_TIMEOUT).await;
--- a/crates/indigofold/src/front/platform/clients/parsing.rs
+++ b/crates/indigofold/src/front/platform/clients/parsing.rs
@@ -1,4 +1,4 @@
-//! What a request on an accepted connection asks for: a job, a report on one, or whether the process is ready.
+//! Parsing of requests on accepted connections: jobs, reports on jobs, and readiness checks.
 
 use crate::api::{ClassId, Effect, Request, Time};
 use crate::config::{self, JobReport, Site};
@@ -8,7 +8,7 @@
 use indigofold_core::metrics::End;
 use std::io::Write;
 
-/// Headers of a job that may stand there once.
+/// Headers that a job's request may carry at most once.
 const SINGLE_HEADERS: [&str; 5] = [
     "X-Trace-Id",
     "Idempotency-Key",
@@ -16,34 +16,34 @@
     "X-Customer",
     "X-Props",
 ];
-/// The longest id of a job: it becomes part of a path.
+/// Longest job id in bytes; the id becomes part of a request path.
 const MAX_TRACE_BYTES: usize = 128;
-/// The longest time that a client can say it waits.
+/// Upper limit of the waiting time that a client can set.
 const MAX_CLIENT_WAIT_MS: u64 = 24 * 3600 * 1000;
 
-/// What a request asks for.
+/// A parsed request.
 pub(super) enum ParsedRequest {
-    /// Whether this process is ready.
+    /// A readiness check.
     Ready,
-    /// To take a report on a job; with its text.
+    /// A report on a job, and its original text.
     JobReport(JobReport, Vec<u8>),
-    /// To have a job done.
+    /// A new job.
     Job(NewJob),
-    /// Nothing that is understood: the status to answer with, and why.
+    /// An invalid request: the status of the answer, and the reason in its body.
     Bad(u16, &'static str),
 }
 
 /// A job that a client has sent.
 pub(super) struct NewJob {
     pub(super) request: Request,
-    /// The client's id for it.
+    /// The job id chosen by the client (`X-Trace-Id`).
     pub(super) trace: String,
-    /// The body, and after it the request line and the headers that pass on.
+    /// The message to forward: first the body, then the request line and the forwarded headers.
     pub(super) text: Buffer,
     pub(super) body_bytes: usize,
 }
 
-/// What a request asks for.
+/// Parses a complete request.
 pub(super) fn parse(front: &Platform, buffer: &Buffer, frame: &Frame) -> ParsedRequest {
     let Some((head, body)) = frame.read(buffer, Kind::Request) else {
         return ParsedRequest::Bad(400, "a header is no text\n");
@@ -52,7 +52,7 @@
     match (head.method, path) {
         ("GET", "/-/ready") => ParsedRequest::Ready,
         ("POST", "/_jobs/news") => {
-            // The reader works on the text in place: on a copy, as more messages may stand behind this one.
+            // The JSON parser modifies its input. It gets a copy, as the buffer may hold further messages.
             let mut message = front.net.pool.take();
             let copied = message.write_all(body).is_ok();
             let report = copied.then(|| JobReport::read(message.filled_mut()));
@@ -63,7 +63,7 @@
         }
         (_, "/-/ready" | "/_jobs/news") => ParsedRequest::Bad(405, ""),
         ("POST", _) if !frame.sized => ParsedRequest::Bad(411, "a job's length must be said\n"),
-        // Which of two would count is anybody's guess.
+        // With a repeated header it would be ambiguous which value applies.
         ("POST", _) if head.repeats(&SINGLE_HEADERS) => {
             ParsedRequest::Bad(400, "a header stands twice\n")
         }
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a job asks for; one of a known class that cannot be taken has failed.
+/// Parses a job. An invalid job of a known class is counted as failed.
 fn parse_job(
     front: &Platform,
     head: &Head<'_>,
@@ -84,13 +84,13 @@
     let site = front.site.borrow();
     let name = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let Some(class) = site.class(name) else {
-        // One that the settings had once is still counted.
+        // A class that was removed from the settings is still counted.
         site.classes
             .find(name)
             .inspect(|dropped| front.metrics.count(*dropped, End::Failed));
         return Ok(ParsedRequest::Bad(404, "no such class of jobs\n"));
     };
-    // What the job is about; a path without a further part does not say.
+    // The subject is the last part of the path; a path with only one part has none.
     let subject = path
         .trim_start_matches('/')
         .rsplit_once('/')
@@ -99,7 +99,7 @@
     job.inspect_err(|_| front.metrics.count(class, End::Failed))
 }
 
-/// The job of a class; or why it is none.
+/// Parses a job of a known class. The error is the reason for the client.
 fn parse_job_of_class(
     front: &Platform,
     site: &Site,
@@ -135,7 +135,7 @@
     }))
 }
 
-/// The client's id for a job. It becomes part of a path when an attempt is given up.
+/// Parses the client's job id. The id becomes part of the request path when an attempt is cancelled.
 fn parse_trace<'a>(head: &Head<'a>) -> Result<&'a str, &'static str> {
     let trace = head
         .header("X-Trace-Id")
@@ -148,7 +148,7 @@
     Ok(trace)
 }
 
-/// How long the client waits, in microseconds, if it says so.
+/// Parses how long the client waits, in microseconds; `None` if the header is absent.
 fn parse_time_left(head: &Head<'_>) -> Result<Option<Time>, &'static str> {
     let Some(text) = head.header("X-Expires-In-Ms") else {
         return Ok(None);
@@ -160,7 +160,7 @@
     Ok(Some(milliseconds.min(MAX_CLIENT_WAIT_MS) * 1000))
 }
 
-/// What the client says that the job needs; unknown properties and values that are no numbers are skipped.
+/// Parses the job's resource needs. Unknown properties are skipped, as are values that are not finite numbers of at least 0.
 fn parse_properties(head: &Head<'_>, request: &mut Request) {
     let properties = head.header("X-Props").unwrap_or("");
     for (name, value) in properties.split(',').filter_map(|p| p.split_once('=')) {
@@ -174,7 +174,8 @@
     }
 }
 
-/// What passes on unchanged, the body first; the time left is added when an attempt goes out.
+/// Builds the part of the message that all attempts share, the body first. The remaining time is added when an attempt is
+/// sent.
 fn forwarded_message(
     front: &Platform,
     head: &Head<'_>,
--- a/crates/indigofold/src/front/platform/clients/reading.rs
+++ b/crates/indigofold/src/front/platform/clients/reading.rs
@@ -1,4 +1,4 @@
-//! Reading a message on an accepted connection: waiting for its first byte, then for all of it.
+//! Reading a message on an accepted connection: waiting for its first byte, then reading it completely.
 
 use crate::front::platform::Platform;
 use crate::net::buffer::Buffer;
@@ -7,9 +7,9 @@
 use crate::net::{Link, MESSAGE_TIMEOUT, Reason, WRITE_TIMEOUT, within};
 use std::time::Instant;
 
-/// Waits for something to read; `false`: it is the last message to be taken. A connection that has never sent a message
-/// has until its time is up. One that is evicted as its next message comes is served once more: closed over it, it
-/// would be reset.
+/// Waits until the connection is readable. Returns `false` if the next message is the last one to be served. A connection
+/// that has never sent a message must do so within `MESSAGE_TIMEOUT`. A connection that is evicted while its next message
+/// arrives is served once more, since closing it with unread input would reset it.
 pub(super) async fn first_byte(
     front: &Platform,
     link: &Link,
@@ -76,7 +76,7 @@
         }
         let empty = buffer.filled().is_empty();
         if buffer.spare().is_empty() {
-            return Ok(Err(Bad::BodyTooLarge)); // framing alone has filled it
+            return Ok(Err(Bad::BodyTooLarge)); // the chunk framing alone has filled the buffer
         }
         match link.read(buffer).await {
             Ok(0) if empty => return Err(Reason::PeerClosed),
--- a/crates/indigofold/src/front/platform/connection_state.rs
+++ b/crates/indigofold/src/front/platform/connection_state.rs
@@ -5,20 +5,20 @@
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 
-/// The state of a connection that its end logs, or that migrates with it.
+/// Per-connection state that is logged when the connection ends or that migrates with it.
 #[derive(Default)]
 pub(super) struct ConnectionState {
-    /// Messages read.
+    /// Number of messages read.
     pub messages: Cell<u64>,
-    /// Status of the last answer.
+    /// HTTP status of the last answer; 0 before the first one.
     pub status: Cell<u16>,
-    /// The job that migrates to another process with the connection.
+    /// The job that migrates to another process with the connection; `None` unless a migration has begun.
     pub migrating: RefCell<Option<MigratingJob>>,
-    /// What has been read behind that job.
+    /// Bytes already read beyond the migrating job's message.
     pub rest: RefCell<Vec<u8>>,
 }
 
-/// A job and its client's connection, but for the descriptor.
+/// An open job and the state of its client's connection, without the descriptor, as sent to the process that takes over.
 #[derive(Serialize, Deserialize)]
 pub struct MigratingJob {
     pub(super) trace: String,
--- a/crates/indigofold/src/front/platform/membership.rs
+++ b/crates/indigofold/src/front/platform/membership.rs
@@ -1,5 +1,5 @@
-//! The membership watcher: an actor that requests the membership from discovery and watches its changes. Children: one
-//! connection to discovery; when calls are made.
+//! The membership watcher: an actor that requests the membership from discovery and watches its changes. The submodules
+//! contain the discovery client and the timing of calls.
 
 mod discovery_client;
 mod schedule;
@@ -23,34 +23,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A command to the actor.
+/// A command to the membership watcher.
 pub enum Command {
-    /// The core requests something of the membership.
+    /// The core requests the membership, or starts or ends the watch.
     Request(MembershipRequest),
-    /// Discovery answers here from now on.
+    /// Discovery has moved to this address.
     MoveTo(SocketAddr),
 }
 
-/// A call under way. It owns its connection, so that a command does not cancel it.
+/// A call in progress. The future owns the connection, so a command doesn't cancel the call.
 type Call = Pin<Box<dyn Future<Output = (DiscoveryClient, Result<MembershipUpdate, Reason>)>>>;
 
-/// What the actor wakes up for.
+/// An event that the watcher handles.
 enum Wakeup {
     Answer(DiscoveryClient, Result<MembershipUpdate, Reason>),
     NewDiscovery(DiscoveryClient, Result<MembershipUpdate, Reason>),
     Command(Result<Command, RecvError>),
 }
 
-/// The membership that a scheduler has when it starts.
+/// The membership known to a scheduler when it starts.
 #[derive(Clone, Copy, Debug)]
 pub struct InitialMembership {
-    /// Its version; `None`: it names no machine, and is not used.
+    /// Version of the membership; `None` if it contains no machine, in which case it isn't used.
     pub seq: Option<u64>,
-    /// Another process of this scheduler still serves: there is time to wait for changes.
+    /// Another process of this scheduler still serves, so there is time to wait for changes.
     pub replaces: bool,
 }
 
-/// The actor.
+/// Actor that keeps the membership up to date.
 pub struct MembershipWatcher {
     front: Rc<Platform>,
     discovery: SocketAddr,
@@ -58,16 +58,17 @@
     call: Option<Call>,
     next_discovery: Option<(SocketAddr, Call)>,
     watching: bool,
-    reopened: bool, // a watch that broke is being opened anew
+    reopened: bool, // a broken watch is being reopened
     replaces: bool,
-    failure_factor: u32, // doubled at each failed call in a row, up to `MAX_FAILURE_FACTOR`
-    failed_at: Option<Instant>, // when, if the last call failed
+    failure_factor: u32, // doubled by each consecutive failed call, up to `MAX_FAILURE_FACTOR`
+    failed_at: Option<Instant>, // time of the last call if it failed
     rng: Pcg64Mcg,
 }
 
 impl MembershipWatcher {
-    /// An actor that watches this discovery. With many schedulers, a membership known already is used until it has
-    /// answered: after a mass restart that takes seconds, in which those that still serve would get everything.
+    /// Creates a watcher of this discovery. With many schedulers, a membership that is already known is used until
+    /// discovery has answered: after a mass restart that takes seconds, during which the few ready schedulers would get the
+    /// whole load.
     pub fn new(
         front: Rc<Platform>,
         discovery: SocketAddr,
@@ -108,7 +109,7 @@
 
     fn schedulers(&self) -> u64 {
         let site = self.front.site.borrow();
-        // Where memberships are pushed, each scheduler has an agent of its own.
+        // If the membership is pushed, each scheduler has its own agent, which serves no other.
         if site.pushed {
             1
         } else {
@@ -116,23 +117,24 @@
         }
     }
 
-    /// How long a call for changes may wait.
+    /// Draws the long-poll wait of a call for changes, in milliseconds.
     fn wait(&mut self) -> u64 {
         let (least, most) = wait_bounds(self.schedulers());
         least + self.rng.next_u64() % (most - least + 1)
     }
 
-    /// The next call of a watch that goes on.
+    /// Makes the next call of the watch.
     fn continue_watch(&mut self, client: DiscoveryClient) -> Call {
         let (wait, put_off) = (self.wait(), self.put_off(CallKind::ContinueWatch));
-        // An older answer has no changes since the version known: the complete membership is requested.
+        // An answer older than the known version can't be applied as changes, so the complete membership is requested.
         let wait = (!client.older).then_some(wait);
         Box::pin(client.call(wait, put_off, call_timeout(wait)))
     }
 
-    /// Reopens a watch that broke or became unresponsive, without a request of the module, as changes are missed
-    /// meanwhile. Not where discovery rejects calls, and not twice in a row: then the module decides when. Where memberships
-    /// are pushed, the agent is called until it answers.
+    /// Reopens a watch that broke or became unresponsive without waiting for a request of the decision module, as changes
+    /// are missed meanwhile. Returns the client as an error if discovery rejects calls or the watch has already been
+    /// reopened once in a row; the module then decides when to call. If the membership is pushed, the agent is called until
+    /// it answers.
     fn reopen_watch(
         &mut self,
         mut client: DiscoveryClient,
@@ -170,7 +172,7 @@
         Ok(Box::pin(client.call(wait, put_off, call_timeout(wait))))
     }
 
-    /// How long the next call is put off: at random, so that all come one after another.
+    /// Draws the random delay of the next call, so that the schedulers don't call all at once.
     fn put_off(&mut self, kind: CallKind) -> Duration {
         let membership_refresh_within = Duration::from_micros(
             self.front
@@ -187,7 +189,7 @@
             membership_refresh_within,
         );
         let spread = spread.min(retry_within(self.failed_at.map(|at| at.elapsed())));
-        // A process that is to replace another has some seconds to be ready, and few do so at once.
+        // A process that replaces another must be ready within seconds, and few do so at the same time.
         let spread = spread.min(if self.replaces && !self.front.ready.get() {
             REPLACEMENT_SPREAD
         } else {
@@ -196,8 +198,8 @@
         Duration::from_micros(self.rng.next_u64() % spread.as_micros().max(1) as u64)
     }
 
-    /// Runs for as long as somebody may send commands.
-    #[allow(clippy::too_many_lines, reason = "one loop over what it waits for")]
+    /// Runs until the command channel is closed.
+    #[allow(clippy::too_many_lines, reason = "one loop over all events")]
     pub async fn run(mut self, inbox: Receiver<Command>) {
         loop {
             let wakeup = self.next_wakeup(&inbox).await;
@@ -217,11 +219,11 @@
                         self.discovery, client.discovery
                     ));
                     (self.discovery, self.next_discovery) = (client.discovery, None);
-                    (self.idle, self.watching) = (None, true); // the old one's watch ends here
+                    (self.idle, self.watching) = (None, true); // this ends the watch at the old discovery
                     (client, answer)
                 }
                 Wakeup::Answer(mut client, Err(reason)) if self.next_discovery.is_some() => {
-                    // The old discovery has ended the watch. No failed call: the new one is being asked.
+                    // The old discovery has ended the watch. This isn't a failed call, as the new one is being called.
                     client.drop_link(reason);
                     self.call = None;
                     self.set_ready(false);
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Waits for a command or the answer to a call; a new discovery's answer goes first, then commands.
+    /// Waits for the next event. The answer of a new discovery has priority over commands, and commands over answers.
     async fn next_wakeup(&mut self, inbox: &Receiver<Command>) -> Wakeup {
         let command = async { Wakeup::Command(inbox.recv().await) };
         let answer = async {
@@ -277,10 +279,10 @@
             return;
         }
         self.watching |= request == MembershipRequest::Watch(true);
-        // A watch starts from the version known, and without one from the complete membership, which is also a new
-        // discovery's first answer.
+        // A watch starts from the known version, or from the complete membership if there is none. A new discovery's first
+        // answer is the complete membership, so there is no call to make while one is being contacted.
         if self.next_discovery.is_none() {
-            // A call under way is not repeated: it would queue at discovery once more.
+            // A call in progress isn't repeated, as the second one would queue at discovery too.
             if self.call.is_some() {
                 return;
             }
@@ -288,7 +290,7 @@
                 .idle
                 .take()
                 .unwrap_or_else(|| self.client(self.discovery));
-            // Where discovery has many to serve, each begins with the call that waits: one call less.
+            // With many schedulers, the watch starts with the long poll, which saves discovery one call each.
             let long_wait = self.has_many_schedulers() && self.front.ready.get();
             let on = if long_wait {
                 self.wait()
@@ -304,8 +306,8 @@
         }
     }
 
-    /// Begins to ask a new discovery, until it answers: then it takes over. The watch at the old one goes on
-    /// for as long as that allows, so that no change is missed meanwhile.
+    /// Calls a new discovery until it answers and then replaces the old one. The watch at the old one goes on until it
+    /// fails, so that no change is missed meanwhile.
     fn move_to_discovery(&mut self, to: SocketAddr) {
         match &self.next_discovery {
             Some((going, _)) if *going == to => return,
@@ -332,7 +334,7 @@
         self.next_discovery = Some((to, Box::pin(call)));
     }
 
-    /// Reports the result of a call to the core.
+    /// Applies the result of a call and reports it to the core. Returns the client for the next call.
     async fn report_result(
         &mut self,
         mut client: DiscoveryClient,
@@ -372,7 +374,7 @@
                 (Scope::Failed, Vec::new())
             }
         };
-        // A watch without changes has nothing to report.
+        // An answer without changes isn't reported.
         if scope != Scope::Delta || !entries.is_empty() {
             let _ = self
                 .front
@@ -384,7 +386,8 @@
         client
     }
 
-    /// Ready once there is a membership. Where discovery is down at the start, the one known before is used.
+    /// Marks the front end ready once a membership is known. If discovery is down at the start, the membership known before
+    /// is used.
     fn set_ready(&self, answered: bool) {
         if (answered || self.front.knows_machines()) && !self.front.ready.replace(true) {
             log("ready: there is a machine list");
--- a/crates/indigofold/src/front/platform/membership/discovery_client.rs
+++ b/crates/indigofold/src/front/platform/membership/discovery_client.rs
@@ -1,4 +1,4 @@
-//! One connection to a discovery: its calls for the membership.
+//! A client connection to discovery, and its calls for the membership.
 
 use super::schedule::DIAL_TIMEOUT;
 use crate::config::MembershipUpdate;
@@ -11,13 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The connection to a discovery, and the version of its membership that is known, if any.
+/// A connection to discovery, and the version of its membership that is known, if any.
 pub(super) struct DiscoveryClient {
     front: Rc<Platform>,
     pub(super) discovery: SocketAddr,
     link: Option<Link>,
     pub(super) seq: Option<u64>,
-    /// Its last answer was older than the version known: the complete membership is requested, and is applied.
+    /// The last answer was older than the known version. The next call requests the complete membership, which is applied
+    /// whatever its version.
     pub(super) older: bool,
 }
 
@@ -46,8 +47,8 @@
         }
     }
 
-    /// One call, made after `put_off`; it may take `limit`. `wait`: how long it waits for changes, in milliseconds; without
-    /// one the complete membership is requested.
+    /// Makes one call after the delay `put_off`, with the timeout `limit`. `wait` is the long-poll wait for changes in
+    /// milliseconds; `None` requests the complete membership.
     pub(super) async fn call(
         mut self,
         wait: Option<u64>,
--- a/crates/indigofold/src/front/platform/membership/schedule.rs
+++ b/crates/indigofold/src/front/platform/membership/schedule.rs
@@ -1,63 +1,66 @@
-//! When discovery is called: how long calls are put off, may wait, and may take.
+//! Timing of calls to discovery: random delays before calls, long-poll waits, and timeouts.
 
 use std::time::Duration;
 
-/// How long a call for changes may wait, at least and at most. A change missed on a broken connection must be known six
-/// seconds after it, or two after that wait: by then the call must have been repeated. Waits differ between schedulers.
+/// Minimum and maximum of the upper limit on the long-poll wait, in milliseconds; `wait_bounds` returns the range for a
+/// given number of schedulers. A change missed on a broken connection must be known six seconds after it, or two seconds
+/// after the end of the wait if that is later, so the call must have been repeated by then. Each scheduler draws its own wait.
 const WAIT_MS: (u64, u64) = (3_000, 30_000);
-/// Discovery serves one call after another, for all schedulers: the wait grows with their number.
+/// Discovery serves the calls of all schedulers one after another, so the wait grows with their number.
 const WAIT_PER_SCHEDULER_MS: u64 = 500;
-/// From so many schedulers on, calls are spread over time: made together, most of them would be rejected.
+/// From this number of schedulers on, calls get a random delay: if all were made at once, most would be rejected.
 pub(super) const MANY_SCHEDULERS: u64 = 8;
-/// Spread of calls that start a watch, for each scheduler; such a call costs discovery 20 to 60 ms ...
+/// Maximum delay of a call that starts a watch, per scheduler. Such a call costs discovery 20 to 60 ms.
 const SPREAD_PER_SCHEDULER: Duration = Duration::from_millis(40);
-/// ... but at most this fraction of the time within which the membership must be requested, the rest being for the call ...
+/// The delay of a call that starts a watch is at most this fraction of the time within which the membership must be
+/// requested; the rest of that time is for the call itself.
 const MAX_SPREAD_FRACTION: f64 = 0.5;
-/// ... times this at most after failed calls: discovery still works on those that it has rejected.
+/// Largest factor on that delay after failed calls: discovery still works on calls that it has rejected.
 pub(super) const MAX_FAILURE_FACTOR: u32 = 4;
-/// Spread of calls that continue a watch: the next one must come within 200 ms of the answer, or changes are missed.
+/// Maximum delay of a call that continues a watch: it must come within 200 ms of the last answer, or changes are missed.
 const CONTINUE_SPREAD: Duration = Duration::from_millis(100);
-/// Spread of the first call of a process that replaces another.
+/// Maximum delay of the first call of a process that replaces another.
 pub(super) const REPLACEMENT_SPREAD: Duration = Duration::from_millis(500);
-/// Spread of calls that reopen an unresponsive watch, with many schedulers.
+/// Maximum delay of a call that reopens an unresponsive watch, with many schedulers.
 const REOPEN_SPREAD: Duration = Duration::from_millis(300);
-/// Spread of the first calls to a new discovery, with many schedulers: its changes must be known four seconds after the
-/// signal.
+/// Maximum delay of the first call to a new discovery, with many schedulers. Its changes must be known four seconds after
+/// the reload signal.
 const NEW_DISCOVERY_SPREAD: Duration = Duration::from_millis(1_500);
-/// How long a call for changes may take beyond its wait ...
+/// How long a call for changes may take beyond its wait.
 const CALL_SLACK: Duration = Duration::from_millis(1_000);
-/// ... one to a new discovery ...
+/// How long a call to a new discovery may take.
 pub(super) const NEW_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// ... and any other: it queues at discovery, which gives up sooner. A call broken off is worked on all the same, and the
-/// next one would queue behind it.
+/// How long any other call may take. Discovery queues such calls and gives up on them before this timeout. It goes on
+/// working on a call that the client has abandoned, and a repeated call would queue behind it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Wait of a call for the changes up to now. With a membership known, a watch starts with such a call: the complete one
-/// would cost discovery more, and changes could be missed before the next call.
+/// Wait, in milliseconds, of a call that requests only the changes up to now. If a membership is known, a watch starts with
+/// such a call: the complete membership would cost discovery more, and changes could be missed before the next call.
 pub(super) const IMMEDIATE_WAIT_MS: u64 = 1;
-/// Within this time of a failed call the next one is made: changes must be known six seconds after discovery can be reached
-/// again, and the rest of that time is for queueing there.
+/// The call after a failed one is made within this time of the failure. Changes must be known six seconds after discovery
+/// can be reached again; the rest of that time is for queueing at discovery.
 const RETRY_WITHIN: Duration = Duration::from_millis(4_200);
-/// Between two attempts to reach a new discovery.
+/// Minimum delay between two attempts to reach a new discovery.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a dial may take.
+/// Timeout of a dial to discovery, and of sending a request to it.
 pub(super) const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a call is made.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallKind {
-    /// It starts a watch, or requests the complete membership.
+    /// Starts a watch or requests the complete membership.
     StartWatch,
-    /// It continues a watch.
+    /// Continues a watch.
     ContinueWatch,
-    /// It reopens a watch that has become unresponsive.
+    /// Reopens a watch that has become unresponsive.
     Unresponsive,
-    /// It is the first one to a new discovery.
+    /// First call to a new discovery.
     NewDiscovery,
 }
 
-/// Over how long calls are spread out, given how many call, how often they failed and how often they must be made.
+/// Returns the maximum random delay of a call. `failure_factor` grows with consecutive failed calls;
+/// `membership_refresh_within` is the time within which the membership must be requested.
 pub(super) fn spread(
     kind: CallKind,
     schedulers: u64,
@@ -78,18 +81,18 @@
     }
 }
 
-/// How long a call may still be put off, given how long ago the last one failed, if it did.
+/// Returns how long a call may still be delayed, given the time since the last call failed; `None` if it didn't fail.
 pub(super) fn retry_within(since_failure: Option<Duration>) -> Duration {
     since_failure.map_or(Duration::MAX, |since| RETRY_WITHIN.saturating_sub(since))
 }
 
-/// How long a call for changes may wait, at least and at most, given how many call.
+/// Returns the minimum and maximum long-poll wait of a call for changes, in milliseconds.
 pub(super) fn wait_bounds(schedulers: u64) -> (u64, u64) {
     let most = (WAIT_PER_SCHEDULER_MS.saturating_mul(schedulers)).clamp(WAIT_MS.0, WAIT_MS.1);
     (most / 2, most)
 }
 
-/// How long a call may take that waits so long, or requests the complete membership.
+/// Returns the timeout of a call with this long-poll wait in milliseconds; `None` requests the complete membership.
 pub(super) fn call_timeout(wait: Option<u64>) -> Duration {
     wait.filter(|wait| *wait != IMMEDIATE_WAIT_MS)
         .map_or(CALL_TIMEOUT, |wait| {
--- a/crates/indigofold/src/front/platform/membership/schedule/tests.rs
+++ b/crates/indigofold/src/front/platform/membership/schedule/tests.rs
@@ -1,8 +1,8 @@
-//! What the calls for the list are put off by, and how long they wait.
+//! Delays and waits of the calls to discovery.
 
 use super::*;
 
-/// Guards against a fleet that keeps discovery down by calling together, and against calls put off where there are few
+/// Guards against a fleet that overloads discovery by calling all at once, and against delayed calls when there are few
 /// schedulers.
 #[test]
 fn many_schedulers_spread_the_calls_that_start_a_watch() {
@@ -16,7 +16,7 @@
         let [first, failed] = [1, MAX_FAILURE_FACTOR]
             .map(|failed| spread(CallKind::StartWatch, many, failed, within));
         assert!(first >= SPREAD_PER_SCHEDULER * 8, "{many} schedulers");
-        // A call counts as made in time within `list_refresh_within`, four times that after a failed one.
+        // A call is in time within `membership_refresh_within`, after a failed call within four times that.
         assert!(
             first <= within / 2 && failed <= 2 * within,
             "{many} schedulers"
@@ -24,8 +24,8 @@
     }
 }
 
-/// Guards against a scheduler that hears nothing for 24 s after discovery was down: what has changed counts as told six
-/// seconds after discovery could be reached, and drained machines got new jobs until the next call.
+/// Guards against a scheduler that makes no call for up to 24 s after an outage of discovery. Changes take effect six
+/// seconds after discovery can be reached again, and drained machines got new jobs until the next call.
 #[test]
 fn after_a_failed_call_the_next_is_in_time_for_any_number_of_schedulers() {
     let (within, deadline, queueing) = (
@@ -53,7 +53,7 @@
     assert_eq!(retry_within(Some(Duration::from_secs(60))), Duration::ZERO);
 }
 
-/// Guards against a watch that ends unnoticed: at 100 schedulers its next call came up to 20 s after an answer.
+/// Guards against gaps in a watch: with 100 schedulers its next call came up to 20 s after an answer.
 #[test]
 fn a_watch_continues_within_200_ms_for_any_number_of_schedulers() {
     for many in [1, 8, 100, 1000, u64::MAX] {
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards against a watch that has gone silent and is found out too late: what it misses counts as told six seconds after
-/// that, or two after the wait of its call if that is later, and drained machines must get nothing new by then.
+/// Guards against detecting an unresponsive watch too late. A change that it misses takes effect six seconds later, or two
+/// seconds after the call's wait if that is later; from then on drained machines must get nothing new.
 #[test]
 fn an_unresponsive_watch_is_reopened_before_missed_changes_take_effect() {
     let within = Duration::from_secs(10);
@@ -79,7 +79,7 @@
         let (least, most) = wait_bounds(many);
         for wait in [least, most] {
             let wait = Duration::from_millis(wait);
-            // It fell silent right after its call came, which is the worst for this side.
+            // The worst case is a watch that becomes unresponsive right after its call arrives.
             let deadline = Duration::from_secs(6).max(wait + Duration::from_secs(2));
             let reopened_after = wait
                 + CALL_SLACK
@@ -90,15 +90,15 @@
                 "{many} schedulers, {wait:?}"
             );
         }
-        // No call of a thousand waits for less than half of what keeps discovery at peace.
+        // With a thousand schedulers the waits lie in the longest range, which bounds the load on discovery.
         assert!(
             many < 1000 || (least, most) == (15_000, 30_000),
             "{many} schedulers"
         );
-        // Those that fell silent together, having called together, find out one after another.
+        // Waits span a factor of two, so schedulers whose watches failed together detect that at different times.
         assert!(least * 2 <= most + 1, "{many} schedulers");
     }
-    // A discovery that takes over has answered, or been found silent, within the four seconds that it has.
+    // A call to a new discovery is answered or timed out within the four seconds allowed.
     let answered_after = spread(CallKind::NewDiscovery, 300, MAX_FAILURE_FACTOR, within)
         + DIAL_TIMEOUT
         + NEW_DISCOVERY_TIMEOUT;
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -1,6 +1,6 @@
-//! Migration of open jobs to the process that takes over: the client's connection, the message and what the core
-//! knows of the job. A job goes once none of its attempts is on its way to a machine: those that a machine has taken need
-//! no connection, as it reports their ends to any process that accepts.
+//! Migration of open jobs to the process that takes over: the client's connection, the message and the core's state of
+//! the job. A job migrates once none of its attempts is being sent to a machine. An attempt that a machine has accepted
+//! needs no connection, as the machine reports its end to any process that accepts connections.
 
 use super::clients::{self, ResumedJob};
 use super::connection_state::{ConnectionState, MigratingJob};
@@ -21,17 +21,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two attempts to release a job that has an attempt on its way.
+/// Delay before the next try to release a job that couldn't be released, for example while an attempt is being sent.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// State of the migration of open jobs.
 pub struct Migration {
     target: RefCell<Option<Rc<PeerProcess>>>,
-    /// Closed while there is one, which wakes all that wait for it.
+    /// Closed while there is a target, which wakes all tasks that wait for the migration to start.
     started: RefCell<(Sender<()>, Receiver<()>)>,
-    /// Jobs that are about to migrate, by their ids: reports on them that have come meanwhile.
+    /// Reports that arrived on jobs that are about to migrate, by job id.
     deferred: RefCell<HashMap<String, Vec<Vec<u8>>>>,
-    /// Ids of jobs that have migrated: reports on them that are sent back here go there.
+    /// Ids of jobs that have migrated. Reports on them that the target sends back here are sent to it again.
     transferred: RefCell<HashSet<String>>,
 }
 
@@ -48,18 +48,18 @@
 }
 
 impl Platform {
-    /// Open jobs migrate to this process from now on.
+    /// Starts migrating open jobs to this process.
     pub fn start_migration(&self, peer: &Rc<PeerProcess>) {
         self.migration.target.replace(Some(peer.clone()));
         self.migration.started.borrow().0.close();
     }
 
-    /// Is there a process that open jobs go to?
+    /// Whether open jobs migrate to another process.
     pub fn migrates(&self) -> bool {
         self.migration.target.borrow().is_some()
     }
 
-    /// That process has ended: jobs stay.
+    /// Stops the migration because the target process has ended; jobs stay in this process.
     pub fn stop_migration(&self) {
         if self.migration.target.take().is_some() {
             self.migration.started.replace(bounded(1));
@@ -67,12 +67,13 @@
         }
     }
 
-    /// Has this job transferred over?
+    /// Whether a job with this id was transferred to the target.
     pub(super) fn was_transferred(&self, trace: &str) -> bool {
         self.migration.transferred.borrow().contains(trace)
     }
 
-    /// Returns once the job has been given away here; until then it stays. `keep`: its connection is to be kept.
+    /// Waits until the job can be released, then stores it in `state` for the migration. `keep` says whether the connection
+    /// stays open after the answer.
     pub(super) async fn wait_until_released(
         self: &Rc<Self>,
         id: JobId,
@@ -92,7 +93,7 @@
                 .all(|attempt| attempt.is_settled())
                 && parcel.result.borrow().is_none()
             {
-                // Reports on it wait until it is known which process has it.
+                // Reports on the job are deferred until it is known which process owns it.
                 let trace = parcel.trace.clone();
                 self.migration
                     .deferred
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Handles the reports that came meanwhile, and defers none any more.
+    /// Stops deferring reports on a job, and handles those deferred so far.
     async fn replay_deferred_reports(self: &Rc<Self>, trace: &str) {
         let reports = self.migration.deferred.borrow_mut().remove(trace);
         for text in reports.into_iter().flatten() {
@@ -133,12 +134,12 @@
         }
     }
 
-    /// The job has ended here: nothing is kept of it.
+    /// Discards the deferred reports on a job that has ended in this process.
     pub(super) fn drop_deferred_reports(&self, trace: &str) {
         self.migration.deferred.borrow_mut().remove(trace);
     }
 
-    /// Keeps a report on a job that is about to migrate.
+    /// Defers a report on a job that is about to migrate. Returns `false` if the job isn't about to migrate.
     pub(super) fn defer_report(&self, trace: &str, text: &[u8]) -> bool {
         let mut deferred = self.migration.deferred.borrow_mut();
         deferred
@@ -147,14 +148,14 @@
             .is_some()
     }
 
-    /// Sends a released job to the process that takes over. Where that has just ended, the job goes on here.
+    /// Sends a released job to the process that takes over. If that process has just ended, the job resumes here.
     pub(super) async fn transfer(
         self: &Rc<Self>,
         mut migrating: MigratingJob,
         rest: &[u8],
         link: Link,
     ) {
-        // What follows is not understood where some of it was thrown away.
+        // Part of the following input was discarded, so the rest can't be parsed and the connection must close.
         migrating.keep &= !link.overrun();
         migrating.rest = if link.overrun() {
             Vec::new()
@@ -188,7 +189,7 @@
                     .transferred
                     .borrow_mut()
                     .insert(trace.clone());
-                self.replay_deferred_reports(&trace).await; // it goes to that process, behind the job
+                self.replay_deferred_reports(&trace).await; // reports follow the job to the peer
                 let _ = peer.outbox.send(HandoverMessage::JobClosed(trace)).await;
             }
             Err(message) => {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// A message that the other process will not read any more: a job that was to migrate stays here.
+    /// Handles a message that the other process has not read: a job in it resumes here, other messages are dropped.
     pub async fn resume_undelivered(self: &Rc<Self>, message: HandoverMessage) {
         if let HandoverMessage::Job(encoded, stream) = message {
             log("handover: a job stays, the new process has ended");
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Goes on with a job that the other process has given away. When this returns, reports of it are understood.
+    /// Resumes a job that the other process has released. Once this returns, reports on the job are recognized.
     pub async fn adopt(self: &Rc<Self>, encoded: &[u8], stream: TcpStream) {
         let seat = self.seat_inherited();
         let migrating = postcard::from_bytes::<MigratingJob>(encoded).map_err(|e| e.to_string());
@@ -236,7 +237,7 @@
         });
     }
 
-    /// A place for a connection that was open in the other process: it stays, whatever the limit.
+    /// Reserves a place for a connection taken over from the other process, raising the limit if necessary.
     fn seat_inherited(&self) -> Seat {
         let set = &self.net.set;
         set.resize(1);
@@ -249,12 +250,12 @@
         }
     }
 
-    /// Opens the job here, with the attempts that its machines have taken. `None` where it cannot go on: its class is
-    /// not known, or another job has its id.
+    /// Registers a transferred job with the attempts that machines have accepted. Returns `None` if the job can't be resumed
+    /// because its class is unknown, its message doesn't fit into a buffer, or another open job has its id.
     async fn resume(self: &Rc<Self>, migrating: MigratingJob) -> Option<ResumedJob> {
         let trace = &migrating.trace;
         log(format_args!("handover: goes on with job={trace}"));
-        // It is not open elsewhere any more.
+        // The job is no longer open in any peer process.
         self.migration.transferred.borrow_mut().remove(trace);
         for peer in self.peers.borrow().iter() {
             peer.ids.borrow_mut().remove(trace);
@@ -269,7 +270,7 @@
             .iter()
             .map(|t| AttemptState::new(t.worker, Stage::Taken));
         parcel.attempts.borrow_mut().extend(attempts);
-        // Given up here, a machine must be notified: it keeps an attempt until then.
+        // The machines' actors must know these attempts, to be able to cancel them at the machines.
         for (t, number) in job.attempts.iter().zip(0..).filter(|(t, _)| !t.done) {
             self.order(t.worker, Order::Taken(AttemptId { job: id, number }));
         }
@@ -279,7 +280,7 @@
         Some((id, parcel, from))
     }
 
-    /// Forgets a job that goes on elsewhere. Its attempts stay with their machines.
+    /// Removes a job that has migrated. Its attempts continue on their machines.
     fn drop_job(&self, trace: &str) {
         let Some(id) = self.traces.borrow_mut().remove(trace) else {
             return;
--- a/crates/indigofold/src/front/platform/peer_process.rs
+++ b/crates/indigofold/src/front/platform/peer_process.rs
@@ -1,4 +1,4 @@
-//! The other process of this scheduler, while one replaces the other: its open jobs, and the messages to it.
+//! The peer process during a replacement, when two processes of the scheduler run: its open jobs, and the messages to it.
 
 use super::Platform;
 use crate::config::{JobReport, Names};
@@ -11,35 +11,36 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Words that may wait for the other process.
+/// Capacity of the queue of messages to the peer process.
 const OUTBOX_CAPACITY: usize = 4096;
 
-/// A message from one process to the other.
+/// A message to the peer process.
 pub enum HandoverMessage {
-    /// A job of this id is open here.
+    /// A job with this id is open in the sending process.
     JobOpened(String),
-    /// It no longer is.
+    /// The job with this id is no longer open in the sending process.
     JobClosed(String),
-    /// News of a job that is not open here.
+    /// The text of a report on a job that isn't open in the sending process.
     JobReport(Vec<u8>),
-    /// This process takes clients now.
+    /// The sending process now accepts clients.
     Serving,
-    /// What this process has learned, as written.
+    /// The encoded statistics of the sending process.
     Statistics(Vec<u8>),
-    /// A job migrates, with its client's connection.
+    /// An encoded job that migrates, with its client's connection.
     Job(Vec<u8>, TcpStream),
 }
 
-/// The other process, as this one sees it.
+/// The peer process as seen by this one.
 pub struct PeerProcess {
-    /// Ids of the jobs that are open there.
+    /// Ids of the jobs that are open in the peer process.
     pub ids: RefCell<HashSet<String>>,
-    /// Messages to it.
+    /// Queue of messages to the peer process; closed when a notification finds it full.
     pub outbox: Sender<HandoverMessage>,
 }
 
 impl Platform {
-    /// The other process has connected. It is notified of all jobs that are open here, and of their ends.
+    /// Registers a peer process that has connected. It is notified of all jobs that are open here and, later, of jobs that
+    /// open or end.
     pub fn add_peer(&self) -> (Rc<PeerProcess>, Receiver<HandoverMessage>) {
         let (outbox, messages) = bounded(OUTBOX_CAPACITY);
         let peer = Rc::new(PeerProcess {
@@ -53,12 +54,12 @@
         (peer, messages)
     }
 
-    /// The other process has ended.
+    /// Removes a peer process that has ended.
     pub fn remove_peer(&self, peer: &Rc<PeerProcess>) {
         self.peers.borrow_mut().retain(|k| !Rc::ptr_eq(k, peer));
     }
 
-    /// Is a job of this id open in the other process? Then it is not another one here.
+    /// Whether a job with this id is open in a peer process; no second job with that id may be opened here.
     pub(super) fn is_open_at_peer(&self, id: &str) -> bool {
         self.peers
             .borrow()
@@ -73,8 +74,8 @@
             .for_each(|peer| peer.notify(message()));
     }
 
-    /// Handles a report. Job workers reach whichever process accepts: what is not open here may be open in the
-    /// other one, and goes there, though never back to where it came from.
+    /// Handles a report on a job. Job workers connect to whichever process accepts, so a report on a job that isn't open here
+    /// is forwarded to the peer processes, except to the one it came from.
     pub async fn handle_report(
         &self,
         text: &[u8],
@@ -91,7 +92,7 @@
         }
         if !open {
             let others: Vec<Rc<PeerProcess>> = self.peers.borrow().clone();
-            // A job that has migrated was not open there yet when the other process sent the report here.
+            // If the job was transferred, the peer sent the report here before it had received the job.
             let returned = self.was_transferred(&report.id);
             for peer in others
                 .iter()
@@ -107,7 +108,7 @@
 }
 
 impl Platform {
-    /// Tells the other process what was learned here.
+    /// Sends the learned statistics to the peer process.
     pub async fn send_statistics(&self, peer: &PeerProcess, scope: StatisticsScope) {
         let (to, from) = bounded(1);
         let _ = self.core.send(CoreInput::ReadStatistics(to, scope)).await;
@@ -116,7 +117,7 @@
         };
         let mut named = self.with_names(statistics);
         let encoded = named.write().or_else(|| {
-            // Too many machines: statistics of kinds, of classes and overall are worth more.
+            // With too many machines to encode, statistics of kinds, of classes and overall are worth more.
             named.workers.clear();
             named.write()
         });
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Takes in what the other process has learned; a text that cannot be read changes nothing.
+    /// Merges the statistics of the peer process; statistics that can't be decoded change nothing.
     pub async fn apply_statistics(&self, encoded: &[u8]) {
         match Statistics::read(encoded) {
             Err(why) => log(format_args!(
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The same under names that mean the same in every process.
+    /// Replaces ids, which differ between processes, by names.
     fn with_names(&self, statistics: Statistics<u32>) -> Statistics<String> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
         let hosts: HashMap<u32, &String> = names.iter().map(|(host, id)| (*id, host)).collect();
@@ -164,7 +165,7 @@
         )
     }
 
-    /// The same under this process's numbers; what it has no name for is left out.
+    /// Replaces names by the ids of this process; entries with unknown names are left out.
     fn with_ids(&self, statistics: Statistics<String>) -> Statistics<u32> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
         statistics.renamed(
@@ -178,7 +179,7 @@
 
 impl PeerProcess {
     fn notify(&self, message: HandoverMessage) {
-        // One that does not read what is open here cannot be relied on: the link ends.
+        // A peer that misses a notification has a wrong view of the open jobs, so the connection to it is ended.
         if self.outbox.try_send(message).is_err() {
             self.outbox.close();
         }
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -1,4 +1,4 @@
-//! One actor for each machine: attempts, probes, and the connections to it.
+//! One actor for each machine: its attempts, probes and connections.
 
 use super::{Parcel, Platform};
 use crate::api::{Load, Status, WorkerId};
@@ -23,30 +23,31 @@
 mod attempt;
 mod connections;
 
-/// How long a probe may take beyond the dial.
+/// Timeout of a probe, including the dial.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long the request to give up an attempt may take, and the interval between two of them.
+/// Timeout of a request to cancel an attempt.
 const DELETE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay between two requests to cancel the same attempt.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a 202 is waited for once the attempt has timed out.
+/// How long to wait for a 202 after the attempt's deadline.
 const ACCEPT_LINGER: Duration = Duration::from_millis(500);
-/// A machine acknowledges an attempt within this time. One that has not hangs, or the connection is broken: the module is
-/// notified, and the attempt goes on.
+/// A machine acknowledges an attempt within this time. If it doesn't, it hangs or the connection is broken; the decision
+/// module is notified, and the attempt goes on.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// An order to a machine's actor.
 pub enum Order {
-    /// This is its address from now on.
+    /// The machine's address has changed to this one.
     Address(SocketAddr),
-    /// Carry an attempt to it.
+    /// Send an attempt to the machine.
     Send(Attempt, Rc<Parcel>, Rc<AttemptState>),
-    /// An attempt of this id is there that another process has carried: the machine has taken it.
+    /// The machine has accepted an attempt with this id that another process sent to it.
     Taken(AttemptId),
-    /// Give up an attempt of this job.
+    /// Cancel this attempt.
     GiveUp(AttemptId, Rc<Parcel>),
-    /// An attempt will not be named again.
+    /// The attempt's job is closed; no further order will name the attempt.
     Forget(AttemptId),
-    /// Ask for its load.
+    /// Request the machine's load.
     Probe,
     /// Close idle connections.
     HangUp,
@@ -54,26 +55,26 @@
 
 struct OutgoingAttempt {
     state: Rc<AttemptState>,
-    task: Option<Task<()>>, // dropped, it closes the connection
+    task: Option<Task<()>>, // dropping it closes the connection; `None` if another process sent the attempt
 }
 
 /// A machine's answer to an attempt.
 enum WorkerReply {
-    /// It has taken it.
+    /// The machine has accepted the attempt.
     Taken,
-    /// The attempt has ended so.
+    /// The attempt has ended with this status and, if reported, this load.
     Ended(Status, Option<Load>),
 }
 
-/// The actor.
+/// Actor that sends attempts to one machine and cancels them.
 pub struct WorkerActor {
     connections: Rc<WorkerConnections>,
     out: Rc<RefCell<HashMap<AttemptId, OutgoingAttempt>>>,
 }
 
 impl WorkerConnections {
-    /// The one check right before the first byte of an attempt: is it still to go, and here? A decision waits in the
-    /// mailbox and for a connection, and things change meanwhile.
+    /// Whether an attempt may still be sent to this machine, checked right before its first byte. The assignment has waited in
+    /// the mailbox and for a connection, and may have become obsolete meanwhile.
     fn may_be_sent(&self, attempt: &Attempt, parcel: &Parcel, state: &AttemptState) -> bool {
         let now = self.front.clock.now();
         state.stage() == Stage::Unsent
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Carries an attempt to the machine; what ends it before it is taken is returned.
+    /// Sends an attempt to the machine. Returns how it ended, or `None` if the machine has accepted it.
     #[allow(
         clippy::too_many_lines,
         reason = "its closures borrow the attempt's state while the exchange runs"
@@ -150,7 +151,7 @@
             state.is_given_up().await;
             Err(Reason::GivenUp)
         };
-        // The exchange is looked at first: an answer that is there goes before giving it up.
+        // The exchange is polled first, so an answer that has already arrived takes precedence over a cancellation.
         let exchange = self
             .exchange((&mut buffer, false), prepare, (sent, on_head))
             .or(unheard)
@@ -195,8 +196,9 @@
             .await;
     }
 
-    /// Gives up an attempt that the machine has taken, and notifies the core when the machine has acknowledged. Until then another attempt
-    /// of the job could get to its machine sooner. Where nobody waits for the job any more one try is enough.
+    /// Cancels an attempt that the machine has accepted, and notifies the core once the machine has received the
+    /// cancellation; before that, another attempt of the job could reach its machine first. If nobody waits for the job any
+    /// more, one try is enough. `fresh` requires a new connection for the first try.
     async fn delete(&self, attempt: AttemptId, parcel: &Parcel, mut fresh: bool) {
         while !self.deleted(&parcel.trace, fresh).await && parcel.is_awaited() {
             fresh = true;
@@ -209,8 +211,8 @@
             .await;
     }
 
-    /// Sends the request to give up an attempt. Has it arrived? One that hangs does not answer, but its machine has just
-    /// accepted the connection if that is a fresh one; an idle one may have been broken for long.
+    /// Sends the request to cancel an attempt and returns whether it has arrived. A hanging job worker doesn't answer, but on
+    /// a fresh connection its machine has at least accepted the connection; an idle connection may have been broken for long.
     async fn deleted(&self, trace: &str, fresh: bool) -> bool {
         let mut buffer = self.front.net.pool.take();
         let prepare = |buffer: &mut Buffer| {
@@ -228,7 +230,8 @@
     }
 }
 
-/// How an attempt ended before its machine took it; `None`: the machine has taken it. `went_out`: its last byte was sent.
+/// Returns how an attempt ended before its machine accepted it, or `None` if the machine has accepted it. `went_out` says
+/// whether its last byte was sent.
 #[allow(
     clippy::match_same_arms,
     reason = "the arms are in the order in which they are decided"
@@ -242,17 +245,17 @@
         (Some(WorkerReply::Taken), _) => None,
         (Some(WorkerReply::Ended(status, load)), _) => Some((status, load)),
         (None, Err(Reason::Withheld)) => Some((Status::Moot, None)),
-        // Before the machine has taken it, closing the connection gives it up.
+        // Before the machine has accepted the attempt, closing the connection cancels it.
         (None, Err(Reason::GivenUp)) if went_out => Some((Status::Cancelled, None)),
         (None, Err(Reason::GivenUp)) => Some((Status::Moot, None)),
-        // It may have run if its last byte was sent.
+        // An attempt whose last byte was sent may have run.
         (None, _) if !went_out => Some((Status::ConnectFailed, None)),
         (None, _) => Some((Status::Reset, None)),
     }
 }
 
 impl WorkerActor {
-    /// The actor of a machine that has no address yet.
+    /// Creates the actor of a machine whose address isn't known yet.
     pub fn new(
         front: Rc<Platform>,
         worker: WorkerId,
@@ -274,7 +277,7 @@
         }
     }
 
-    /// Runs for as long as somebody may give orders.
+    /// Handles orders until their channel is closed.
     pub async fn run(self, inbox: Receiver<Order>) {
         while let Ok(order) = inbox.recv().await {
             match order {
@@ -302,7 +305,7 @@
                     }
                 }
                 Order::Forget(id) => {
-                    // A report can end a job before the 202 has come: that is still read, to keep the connection.
+                    // A report can end a job before its 202 arrives. The 202 is still read, so that the connection can be reused.
                     if let Some(task) = self.out.borrow_mut().remove(&id).and_then(|out| out.task) {
                         task.detach();
                     }
@@ -319,7 +322,7 @@
         }
     }
 
-    /// Gives up an attempt: the machine must be notified if it has taken it, and else the connection ends.
+    /// Cancels an attempt: with a request to the machine if it has accepted the attempt, else by closing the connection.
     fn give_up(&self, id: AttemptId, parcel: Rc<Parcel>, out: OutgoingAttempt) {
         match out.state.stage() {
             Stage::Taken => {
@@ -356,7 +359,8 @@
             if let Some((status, load)) = ended {
                 let removed = out.borrow_mut().remove(&attempt.id);
                 if status == Status::Cancelled && parcel.is_awaited() {
-                    // Its 202 may have been lost: then closing the connection gives nothing up, and another attempt is to follow.
+                    // The 202 may have been lost, in which case closing the connection doesn't cancel the attempt. As the job is
+                    // still awaited, another attempt may follow, so this one is cancelled by a request.
                     connections.delete(attempt.id, &parcel, true).await;
                 } else {
                     let _ = connections
@@ -368,7 +372,7 @@
                 attempt_state.stage.set(Stage::Ended);
                 drop(removed);
             } else if attempt_state.given_up.get() {
-                connections.delete(attempt.id, &parcel, false).await; // it was taken in that very moment
+                connections.delete(attempt.id, &parcel, false).await; // accepted just as it was given up
                 attempt_state.stage.set(Stage::Ended);
             }
         };
--- a/crates/indigofold/src/front/platform/workers/attempt.rs
+++ b/crates/indigofold/src/front/platform/workers/attempt.rs
@@ -1,4 +1,4 @@
-//! How far an attempt has come, as its job, its machine's actor and the connection see it.
+//! The state of an attempt, shared by its job, the machine's actor and the connection.
 
 use crate::ids::WorkerId;
 use std::cell::{Cell, RefCell};
@@ -6,24 +6,24 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// How far an attempt has come.
+/// The stage of an attempt; stages are ordered.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Nothing of it was sent.
+    /// No byte was sent.
     Unsent,
-    /// Some of it has, but not its last byte.
+    /// Sending has begun, but the last byte wasn't sent.
     Begun,
-    /// All of it has.
+    /// The last byte was sent.
     Sent,
-    /// The machine has taken it.
+    /// The machine has accepted the attempt.
     Taken,
-    /// It has ended before that, or was given up.
+    /// The attempt was withdrawn, ended before the machine accepted it, or its cancellation is complete.
     Ended,
 }
 
-/// An attempt as its job, its machine's actor and the connection see it.
+/// The state of an attempt, shared by its job, the machine's actor and the connection.
 pub struct AttemptState {
-    /// Where it goes.
+    /// The machine that the attempt is assigned to.
     pub machine: WorkerId,
     pub(super) stage: Cell<Stage>,
     pub(super) went_out: Cell<bool>,
@@ -32,7 +32,7 @@
 }
 
 impl AttemptState {
-    /// One that has come so far.
+    /// Creates the state of an attempt in this stage.
     pub fn new(machine: WorkerId, stage: Stage) -> Rc<Self> {
         let (given_up, waker) = Default::default();
         let (went_out, stage) = (Cell::new(stage > Stage::Begun), Cell::new(stage));
@@ -45,23 +45,23 @@
         })
     }
 
-    /// How far it has come.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage.get()
     }
 
-    /// Was all of it sent, however it ended?
+    /// Whether the last byte was sent, however the attempt ended.
     pub fn went_out(&self) -> bool {
         self.went_out.get()
     }
 
-    /// Has it ended, or been taken by its machine and not been given up since?
+    /// Whether the attempt has ended, or was accepted by its machine and not given up since.
     pub fn is_settled(&self) -> bool {
         let stage = self.stage.get();
         stage == Stage::Ended || (stage == Stage::Taken && !self.given_up.get())
     }
 
-    /// Withdraws it if nothing of it was sent: then nothing ever will be.
+    /// Withdraws the attempt if no byte was sent, so that none ever will be. Returns whether that was the case.
     pub fn withdraw(&self) -> bool {
         let unsent = self.stage.get() == Stage::Unsent;
         if unsent {
@@ -75,7 +75,7 @@
         self.waker.take().into_iter().for_each(Waker::wake);
     }
 
-    /// Returns once it is to be given up.
+    /// Waits until the attempt is given up.
     pub(super) async fn is_given_up(&self) {
         poll_fn(|context| {
             if self.given_up.get() {
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -1,4 +1,4 @@
-//! The connections to one machine: which is used, how an exchange goes on it, and whether it is kept.
+//! The connections to one machine: choosing one, request-response exchanges, and connection reuse.
 
 use super::super::Platform;
 use crate::ids::WorkerId;
@@ -10,34 +10,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Part of the idle time in the settings after which a connection is not used again.
+/// Fraction of the idle time in the settings after which an idle connection isn't reused.
 const TRUSTED_IDLE_FRACTION: f64 = 0.6;
-/// Once the head of an answer is there, what is left of it is waited for this long, to use the connection again.
+/// How long to wait for the rest of an answer once its head has arrived. The rest is only needed to reuse the connection.
 const BODY_TIMEOUT: Duration = Duration::from_millis(250);
-/// A refusal may come twice, the second time some milliseconds later. Taken for the answer to the next attempt on that
-/// connection, whose job runs, it would have it sent again: until this long after a refusal the connection is not used, and
-/// by then what comes twice is there to be seen.
+/// How long a connection rests after a rejection. A rejection may arrive twice, the second copy some milliseconds later. If
+/// the copy were taken for the answer to the next attempt on that connection, that attempt's job would be sent again while it
+/// runs. After the rest, a second copy has arrived and is detected as unexpected input.
 const REJECTION_REST: Duration = Duration::from_secs(1);
-/// Idle connections kept to one machine.
+/// Maximum number of idle connections kept to one machine.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
 fn time_to(at: Instant) -> Duration {
     at.saturating_duration_since(Instant::now())
 }
 
-/// A machine, as its tasks see it.
+/// A machine and its connections, shared by the tasks that talk to it.
 pub(super) struct WorkerConnections {
     pub(super) front: Rc<Platform>,
     pub(super) worker: WorkerId,
     pub(super) host: String,
-    /// By the membership it takes nothing new.
+    /// The membership lists the machine as draining or gone, so it gets no new attempts.
     pub(super) draining: Rc<Cell<bool>>,
     pub(super) address: Cell<Option<SocketAddr>>,
-    /// Connections that stand idle, each with the time since when it may be used.
+    /// Idle connections, each with the time from which on it may be reused.
     pub(super) idle: RefCell<Vec<(Link, Instant)>>,
 }
 
-/// A connection in use. Dropped unfinished, it was given up.
+/// A connection in use. Dropping the guard during an exchange ends the connection as given up.
 struct ConnectionGuard<'a> {
     connections: &'a WorkerConnections,
     link: Option<Link>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Keeps the connection, to be used after this time.
+    /// Returns the connection to the idle ones; it may be reused once this time has passed.
     fn keep(&mut self, after: Duration) {
         let mut idle = self.connections.idle.borrow_mut();
         if idle.len() >= MAX_IDLE_CONNECTIONS {
@@ -72,7 +72,7 @@
 }
 
 impl WorkerConnections {
-    /// A connection that nothing has been written to: an idle one that is sure to stand, or a new one.
+    /// Returns an idle connection that is very likely still open, or else a new one. `fresh` requires a new one.
     async fn connect(&self, fresh: bool) -> Result<ConnectionGuard<'_>, Reason> {
         let (trusted, limit) = {
             let site = self.front.site.borrow();
@@ -93,7 +93,7 @@
                 connections: self,
                 link: Some(link),
             };
-            // Written to after the machine has closed it, the attempt would end as a reset that may have run.
+            // An attempt written to a connection that the machine has closed would end as a reset, and so count as possibly run.
             if since.elapsed() > trusted {
                 guard.end(Reason::Idle);
             } else if guard.link.as_ref().is_some_and(Link::stale) {
@@ -119,11 +119,12 @@
         })
     }
 
-    /// Sends a message and reads the answer's head and body, both left in the buffer. `on_head` is called as
-    /// soon as the answer's head is there: its body may be cut off, or never end. Returned with how long the connection then rests.
+    /// Sends a message and reads the answer, whose head and body are left in the buffer. `sent` is called once the last byte is
+    /// written. `on_head` is called as soon as the head of the final answer has arrived, as its body may be cut off or never
+    /// end. Returns the answer's frame, and how long the connection must rest before it is reused.
     #[allow(
         clippy::too_many_lines,
-        reason = "its loops share the deadline and what the head has said"
+        reason = "its loops share the deadline and the fields read from the head"
     )]
     async fn exchange_on(
         &self,
@@ -150,7 +151,7 @@
                 None => read.await?,
                 Some(by) => within(time_to(by), Reason::Unanswered, read).await?,
             }
-            // More than one message may have come at once.
+            // One read may return several messages.
             while let Some(status) = http::answer_head(buffer, |head| {
                 if head.status >= 200 && by.is_none() {
                     by = Some(Instant::now() + BODY_TIMEOUT);
@@ -165,7 +166,8 @@
                     break;
                 };
                 if status >= 200 {
-                    // Doubled, it would come some milliseconds later and be taken for the answer to the next request.
+                    // A second copy of an error could be taken for the answer to the next request, so the connection
+                    // isn't reused.
                     frame.keep &= !failed;
                     return Ok((
                         frame,
@@ -184,8 +186,8 @@
         }
     }
 
-    /// One exchange. The connection is kept where both sides keep it. What is to be sent is put into the buffer right
-    /// before its first byte goes out: however long the connection was waited for, `prepare` sees how things stand then.
+    /// Makes one exchange, and keeps the connection if both sides allow it. `prepare` fills the buffer right before the first
+    /// byte is sent, so it sees the current state however long the connection took to open; if it fails, nothing is sent.
     pub(super) async fn exchange(
         &self,
         (buffer, fresh): (&mut Buffer, bool),
