--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -271,13 +271,13 @@
         match dial {
             Ok(dial) if !self.order(worker, Order::Address(dial)) => {
                 log(format_args!(
-                    "machine={} is too busy to be told its address",
+                    "machine={} address update dropped: its order queue is full",
                     machine.host
                 ));
             }
             Err(_) if state == WorkerState::Active => {
                 log(format_args!(
-                    "machine={} has no address that can be dialled: {:?}",
+                    "machine={} has an invalid address, expected IP:PORT: {:?}",
                     machine.host, machine.dial
                 ));
             }
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -308,7 +308,7 @@
                 .map_or(String::new(), |n| n.0.clone())
         };
         job.renamed(class, host)
-            .unwrap_or_else(|| unreachable!("every class is named"))
+            .unwrap_or_else(|| unreachable!("every class id maps to a name"))
     }
 
     fn numbered_job(&self, job: TransferredJob<String>) -> Option<TransferredJob<u32>> {
