--- a/crates/indigofold/src/front.rs
+++ b/crates/indigofold/src/front.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the job deadline `until`, or `answer_deadline` if that is earlier.
-    pub fn bound(&self, until: Time) -> Time {
+    pub fn cap_deadline(&self, until: Time) -> Time {
         self.answer_deadline
             .get()
             .map_or(until, |last| until.min(last))
--- a/crates/indigofold/src/front/faktory.rs
+++ b/crates/indigofold/src/front/faktory.rs
@@ -26,7 +26,7 @@
 const MAX_QUEUED_ORDERS: usize = 512;
 
 /// An open job, as passed on to job workers.
-pub struct Parcel {
+pub struct JobRecord {
     /// The job id chosen by the client.
     pub jid: String,
     /// The queue that the job was pushed to.
@@ -47,7 +47,7 @@
     /// The job is open; the clients, each with its number, wait for the answer.
     Open(JobId, Vec<(u64, Sender<Answer>)>),
     /// All clients left while the job was assigned. A client that pushes the job again waits for its end.
-    Orphan(Rc<Parcel>, Vec<(u64, Sender<Answer>)>),
+    Orphan(Rc<JobRecord>, Vec<(u64, Sender<Answer>)>),
     /// The job has been answered.
     Answered(Answer),
 }
@@ -68,7 +68,7 @@
     since: Time,
     /// Numbers of commands received, jobs served, and jobs failed.
     counts: [Cell<u64>; 3],
-    parcels: RefCell<HashMap<JobId, Rc<Parcel>>>,
+    records: RefCell<HashMap<JobId, Rc<JobRecord>>>,
     known: RefCell<HashMap<String, JobState>>,
     answered: RefCell<VecDeque<String>>, // ids of answered jobs, oldest first
     next: Cell<u64>,
@@ -93,7 +93,7 @@
             core,
             since: clock.now(),
             counts: Default::default(),
-            parcels: RefCell::default(),
+            records: RefCell::default(),
             known: RefCell::default(),
             answered: RefCell::default(),
             next: Cell::new(1),
@@ -166,11 +166,11 @@
         self: &Rc<Self>,
         mut request: Request,
         until: Time,
-        parcel: Parcel,
+        record: JobRecord,
         to: Sender<Answer>,
     ) -> u64 {
         let number = self.next_number();
-        let jid = parcel.jid.clone();
+        let jid = record.jid.clone();
         if let Some(known) = self.known.borrow_mut().get_mut(&jid) {
             match known {
                 JobState::Answered(answer) => _ = to.try_send(*answer),
@@ -185,7 +185,7 @@
         self.known
             .borrow_mut()
             .insert(jid.clone(), JobState::Open(job, vec![(number, to)]));
-        self.parcels.borrow_mut().insert(job, Rc::new(parcel));
+        self.records.borrow_mut().insert(job, Rc::new(record));
         let (answer, answered) = bounded(1);
         let _ = self
             .core
@@ -245,14 +245,14 @@
                 return;
             }
             let job = *job;
-            let parcel = self
-                .parcels
+            let record = self
+                .records
                 .borrow()
                 .get(&job)
                 .filter(|p| p.assigned.get() > 0)
                 .cloned();
-            match parcel {
-                Some(parcel) => known.insert(jid.to_string(), JobState::Orphan(parcel, Vec::new())),
+            match record {
+                Some(record) => known.insert(jid.to_string(), JobState::Orphan(record, Vec::new())),
                 None => known.remove(jid),
             };
             job
@@ -263,23 +263,23 @@
 
 impl Faktory {
     /// Whether this attempt may still be assigned to a job worker.
-    fn is_wanted(&self, attempt: &Attempt, parcel: &Parcel) -> bool {
+    fn is_wanted(&self, attempt: &Attempt, record: &JobRecord) -> bool {
         let open = |k: &JobState| matches!(k, JobState::Open(job, _) if *job == attempt.id.job);
-        !parcel.withdrawn.borrow().contains(&attempt.id)
-            && self.known.borrow().get(&parcel.jid).is_some_and(open)
+        !record.withdrawn.borrow().contains(&attempt.id)
+            && self.known.borrow().get(&record.jid).is_some_and(open)
     }
 
     /// Handles the end of an attempt of a job whose clients have left.
-    fn orphan_ended(&self, parcel: &Rc<Parcel>, status: Status) {
-        let of = |k: &JobState| matches!(k, JobState::Orphan(p, _) if Rc::ptr_eq(p, parcel));
-        if !self.known.borrow().get(&parcel.jid).is_some_and(of) {
+    fn orphan_ended(&self, record: &Rc<JobRecord>, status: Status) {
+        let is_orphan = |k: &JobState| matches!(k, JobState::Orphan(p, _) if Rc::ptr_eq(p, record));
+        if !self.known.borrow().get(&record.jid).is_some_and(is_orphan) {
             return;
         }
         match status {
-            Status::Ok => self.finish(&parcel.jid, Answer::Served),
-            _ if parcel.assigned.get() > 0 => {}
-            Status::Moot | Status::ConnectFailed => self.finish(&parcel.jid, Answer::Rejected(0)),
-            _ => self.finish(&parcel.jid, Answer::Failed),
+            Status::Ok => self.finish(&record.jid, Answer::Served),
+            _ if record.assigned.get() > 0 => {}
+            Status::Moot | Status::ConnectFailed => self.finish(&record.jid, Answer::Rejected(0)),
+            _ => self.finish(&record.jid, Answer::Failed),
         }
     }
 
@@ -293,20 +293,20 @@
 
 impl Transport for Faktory {
     fn send(&self, attempt: Attempt) -> bool {
-        let Some(parcel) = self.parcels.borrow().get(&attempt.id.job).cloned() else {
+        let Some(record) = self.records.borrow().get(&attempt.id.job).cloned() else {
             return false;
         };
-        self.order(attempt.machine, Order::Send(attempt, parcel))
+        self.order(attempt.machine, Order::Send(attempt, record))
     }
 
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp {
-        let parcel = self.parcels.borrow().get(&attempt.job).cloned();
-        parcel
+        let record = self.records.borrow().get(&attempt.job).cloned();
+        record
             .iter()
             .for_each(|p| p.withdrawn.borrow_mut().push(attempt));
         self.order(machine, Order::DropWithdrawn);
         // An attempt that is marked before it is handed out is never handed out.
-        let unsent = parcel.is_some_and(|p| !p.assigned_attempts.borrow().contains(&attempt));
+        let unsent = record.is_some_and(|p| !p.assigned_attempts.borrow().contains(&attempt));
         if unsent {
             GivenUp::Unsent
         } else {
@@ -325,7 +325,7 @@
     }
 
     fn forget(&self, job: JobId) {
-        self.parcels.borrow_mut().remove(&job);
+        self.records.borrow_mut().remove(&job);
     }
 
     fn log_event(&self, text: &str) {
--- a/crates/indigofold/src/front/faktory/machine.rs
+++ b/crates/indigofold/src/front/faktory/machine.rs
@@ -1,7 +1,7 @@
 //! One actor for each machine of the operator's file: its state, the attempts assigned to it, and the jobs that its job
 //! workers hold.
 
-use super::{Faktory, Parcel};
+use super::{Faktory, JobRecord};
 use crate::api::{Entry, Scope, Status, Time, WorkerState};
 use crate::net::log;
 use async_channel::{Receiver, RecvError, Sender};
@@ -14,7 +14,7 @@
 /// An order to a machine's actor.
 pub enum Order {
     /// The decision module has assigned this attempt to the machine.
-    Send(Attempt, Rc<Parcel>),
+    Send(Attempt, Rc<JobRecord>),
     /// Drop waiting attempts that were given up.
     DropWithdrawn,
     /// A job worker has connected: its `wid`, the host and process id that identify its process, the connection's number.
@@ -39,16 +39,16 @@
     /// The attempt, as sent by the decision module.
     pub attempt: Attempt,
     /// The attempt's job.
-    pub parcel: Rc<Parcel>,
+    pub record: Rc<JobRecord>,
     wid: String,
 }
 
 /// The process of a job worker.
 struct Process {
-    start: String,
+    identity: String, // HOST:PID, differs after a restart of the job worker
     links: BTreeSet<u64>,
     heartbeat_by: Time,
-    link_by: Option<Time>, // set while there is no connection: the process is removed unless one is made by then
+    reconnect_by: Option<Time>, // set while no connection is open: end of the wait for a new one
     quiet: bool,
     unresponsive: bool, // the heartbeat is overdue
 }
@@ -72,7 +72,7 @@
     front: Rc<Faktory>,
     entry: Entry,
     processes: BTreeMap<String, Process>,
-    waiting: VecDeque<(Attempt, Rc<Parcel>)>,
+    waiting: VecDeque<(Attempt, Rc<JobRecord>)>,
     fetches: VecDeque<Fetch>,
     assigned: BTreeMap<String, Assignment>, // by job id
 }
@@ -97,7 +97,7 @@
             let due = self
                 .processes
                 .values()
-                .flat_map(|p| [heartbeat_due(p), p.link_by])
+                .flat_map(|p| [heartbeat_due(p), p.reconnect_by])
                 .flatten()
                 .min();
             let order: Result<Option<Order>, RecvError> = match due {
@@ -121,8 +121,8 @@
     async fn handle_order(&mut self, order: Order) {
         let now = self.front.clock.now();
         match order {
-            Order::Send(attempt, parcel) if self.entry.state == WorkerState::Active => {
-                self.waiting.push_back((attempt, parcel));
+            Order::Send(attempt, record) if self.entry.state == WorkerState::Active => {
+                self.waiting.push_back((attempt, record));
                 self.assign_waiting();
             }
             // The module assigned this before it handled that the machine drains or has left.
@@ -132,9 +132,9 @@
             }
             Order::DropWithdrawn => self
                 .waiting
-                .retain(|(attempt, parcel)| self.front.is_wanted(attempt, parcel)),
-            Order::Connected(wid, start, link) => {
-                self.worker_connected(now, wid, start, link).await;
+                .retain(|(attempt, record)| self.front.is_wanted(attempt, record)),
+            Order::Connected(wid, identity, link) => {
+                self.worker_connected(now, wid, identity, link).await;
             }
             Order::Disconnected(wid, link) => self.worker_disconnected(now, &wid, link),
             Order::Heartbeat(wid, quiet) => self.heartbeat(now, &wid, quiet).await,
@@ -154,13 +154,13 @@
             }
             Order::Written(assignment, false) => {
                 let id = assignment.attempt.id;
-                self.end_if(&assignment.parcel.jid, Status::ConnectFailed, |of| {
-                    of.attempt.id == id
+                self.end_if(&assignment.record.jid, Status::ConnectFailed, |a| {
+                    a.attempt.id == id
                 })
                 .await;
             }
             // A report that is repeated, too late or from another job worker has no effect.
-            Order::Ended(wid, jid, status) => self.end_if(&jid, status, |of| of.wid == wid).await,
+            Order::Ended(wid, jid, status) => self.end_if(&jid, status, |a| a.wid == wid).await,
         }
     }
 
@@ -180,7 +180,7 @@
             return;
         };
         if p.links.remove(&link) && p.links.is_empty() {
-            p.link_by = Some(now + self.front.file.reconnect_within);
+            p.reconnect_by = Some(now + self.front.file.reconnect_within);
         }
     }
 
@@ -195,11 +195,15 @@
     }
 
     /// Handles a new connection of a job worker. A new process under the same `wid` ends the old one's assignments.
-    async fn worker_connected(&mut self, now: Time, wid: String, start: String, link: u64) {
+    async fn worker_connected(&mut self, now: Time, wid: String, identity: String, link: u64) {
         let heartbeat_by = now + self.front.file.heartbeat_timeout;
-        if let Some(p) = self.processes.get_mut(&wid).filter(|p| p.start == start) {
+        if let Some(p) = self
+            .processes
+            .get_mut(&wid)
+            .filter(|p| p.identity == identity)
+        {
             p.links.insert(link);
-            (p.heartbeat_by, p.link_by, p.unresponsive) = (heartbeat_by, None, false);
+            (p.heartbeat_by, p.reconnect_by, p.unresponsive) = (heartbeat_by, None, false);
             return self.publish_state().await;
         }
         self.processes.remove(&wid);
@@ -208,10 +212,10 @@
         self.processes.insert(
             wid,
             Process {
-                start,
+                identity,
                 links,
                 heartbeat_by,
-                link_by: None,
+                reconnect_by: None,
                 quiet: false,
                 unresponsive: false,
             },
@@ -227,7 +231,7 @@
     /// Ends the assignments of job workers whose heartbeat or reconnection is overdue.
     async fn expire_processes(&mut self) {
         let now = self.front.clock.now();
-        let disconnected = |p: &Process| p.link_by.is_some_and(|at| at <= now);
+        let disconnected = |p: &Process| p.reconnect_by.is_some_and(|at| at <= now);
         let overdue = |p: &Process| (p.heartbeat_by <= now && !p.unresponsive) || disconnected(p);
         let overdue_wids: Vec<String> = self
             .processes
@@ -296,7 +300,7 @@
     /// Hands waiting attempts to the job workers that fetch, in the order of each fetch's queues.
     fn assign_waiting(&mut self) {
         self.waiting
-            .retain(|(attempt, parcel)| self.front.is_wanted(attempt, parcel));
+            .retain(|(attempt, record)| self.front.is_wanted(attempt, record));
         let mut n = 0;
         while n < self.fetches.len() {
             let fetch = &self.fetches[n];
@@ -304,52 +308,52 @@
                 .processes
                 .get(&fetch.wid)
                 .is_some_and(Process::takes_jobs);
-            let of = |queue: &String| {
+            let index = |queue: &String| {
                 self.waiting
                     .iter()
-                    .position(|(_, parcel)| parcel.queue == *queue)
+                    .position(|(_, record)| record.queue == *queue)
             };
-            let Some(at) = fetch.queues.iter().filter(|_| takes_jobs).find_map(of) else {
+            let Some(at) = fetch.queues.iter().filter(|_| takes_jobs).find_map(index) else {
                 n += 1;
                 continue;
             };
-            let (Some(fetch), Some((attempt, parcel))) =
+            let (Some(fetch), Some((attempt, record))) =
                 (self.fetches.remove(n), self.waiting.remove(at))
             else {
                 return;
             };
             let assignment = Assignment {
                 attempt,
-                parcel,
+                record,
                 wid: fetch.wid,
             };
             if fetch.to.try_send(assignment.clone()).is_err() {
                 self.waiting
-                    .insert(at, (assignment.attempt, assignment.parcel)); // the fetch has just been withdrawn
+                    .insert(at, (assignment.attempt, assignment.record)); // the fetch has just been withdrawn
                 continue;
             }
             assignment
-                .parcel
+                .record
                 .assigned
-                .set(assignment.parcel.assigned.get() + 1);
+                .set(assignment.record.assigned.get() + 1);
             assignment
-                .parcel
+                .record
                 .assigned_attempts
                 .borrow_mut()
                 .push(assignment.attempt.id);
             self.assigned
-                .insert(assignment.parcel.jid.clone(), assignment);
+                .insert(assignment.record.jid.clone(), assignment);
         }
     }
 
     async fn end(&self, assignment: Assignment, status: Status) {
         assignment
-            .parcel
+            .record
             .assigned
-            .set(assignment.parcel.assigned.get().saturating_sub(1));
+            .set(assignment.record.assigned.get().saturating_sub(1));
         self.send_to_core(CoreInput::Ended(assignment.attempt.id, status, None))
             .await;
-        self.front.orphan_ended(&assignment.parcel, status);
+        self.front.orphan_ended(&assignment.record, status);
     }
 
     async fn send_to_core(&self, input: CoreInput) {
--- a/crates/indigofold/src/front/faktory/serve.rs
+++ b/crates/indigofold/src/front/faktory/serve.rs
@@ -2,7 +2,7 @@
 
 use super::codec::{self, Command, Hello, Job};
 use super::machine::{Assignment, Order};
-use super::{Faktory, Parcel};
+use super::{Faktory, JobRecord};
 use crate::api::{Effect, Request, Status, Time};
 use crate::net::buffer::Buffer;
 use crate::net::set::Rank;
@@ -37,7 +37,7 @@
     orders: Sender<Order>,
 }
 
-struct Client {
+struct Connection {
     front: Rc<Faktory>,
     link: Link,
     number: u64,
@@ -46,32 +46,38 @@
 
 async fn serve(front: Rc<Faktory>, link: Link) {
     let number = front.next_number();
-    let mut client = Client {
+    let mut connection = Connection {
         front,
         link,
         number,
         worker: None,
     };
-    let reason = match client.run().await {
+    let reason = match connection.run().await {
         Ok(()) => Reason::Done,
         Err(reason) => reason,
     };
-    let side = if client.worker.is_some() {
+    let side = if connection.worker.is_some() {
         "faktory-worker"
     } else {
         "faktory-submitter"
     };
-    let wid = client.worker.as_ref().map_or("-", |w| &w.wid).to_string();
-    if let Some(worker) = client.worker.take() {
+    let wid = connection
+        .worker
+        .as_ref()
+        .map_or("-", |w| &w.wid)
+        .to_string();
+    if let Some(worker) = connection.worker.take() {
         let _ = worker
             .orders
             .send(Order::Disconnected(worker.wid, number))
             .await;
     }
-    client.link.end(side, reason, format_args!("wid={wid:?}"));
+    connection
+        .link
+        .end(side, reason, format_args!("wid={wid:?}"));
 }
 
-impl Client {
+impl Connection {
     /// Serves the connection until it ends: the handshake, then one command after another.
     async fn run(&mut self) -> Result<(), Reason> {
         let salt = RandomState::new().build_hasher().finish();
@@ -142,13 +148,13 @@
                 .reject("this wid is on no machine of the operator's file")
                 .await;
         };
-        let start = format!("{}:{}", hello.hostname, hello.pid);
+        let identity = format!("{}:{}", hello.hostname, hello.pid);
         self.worker = Some(Worker {
             wid: hello.wid.clone(),
             orders: orders.clone(),
         });
         let _ = orders
-            .send(Order::Connected(hello.wid, start, self.number))
+            .send(Order::Connected(hello.wid, identity, self.number))
             .await;
         Ok(())
     }
@@ -318,7 +324,7 @@
         };
         let (to, from) = bounded(1);
         let jid = job.jid.clone();
-        let parcel = Parcel {
+        let record = JobRecord {
             jid: job.jid,
             queue: job.queue,
             text,
@@ -328,8 +334,8 @@
         };
         self.front.lifecycle.last_job.set(self.front.clock.now());
         // The client's waiting time starts when its command begins to arrive.
-        let until = self.front.lifecycle.bound(since + request.left);
-        let number = self.front.push(request, until, parcel, to).await;
+        let until = self.front.lifecycle.cap_deadline(since + request.left);
+        let number = self.front.push(request, until, record, to).await;
         let answered = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
         match answered
             .or(async {
@@ -434,7 +440,7 @@
         assignment: Assignment,
     ) -> Result<(), Reason> {
         let mut message = self.front.net.pool.take();
-        let text = assignment.parcel.text.filled();
+        let text = assignment.record.text.filled();
         let fits = write!(message, "${}\r\n", text.len())
             .and_then(|()| message.write_all(text))
             .and_then(|()| message.write_all(b"\r\n"));
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -32,7 +32,7 @@
 const MAX_QUEUED_ORDERS: usize = 512;
 
 /// An open job: its message as forwarded to job workers, its result and its attempts.
-pub struct Parcel {
+pub struct JobRecord {
     /// The job id chosen by the client (`X-Trace-Id`).
     pub trace: String,
     /// The forwarded message: first the body, then the request line and the headers. The header with the remaining time
@@ -48,7 +48,7 @@
     reply: WeakSender<Answer>,
 }
 
-impl Parcel {
+impl JobRecord {
     /// Whether a client still waits for the answer.
     pub fn is_awaited(&self) -> bool {
         self.reply.upgrade().is_some()
@@ -77,7 +77,7 @@
     lifecycle: Rc<Lifecycle>,
     /// Counters of the process.
     metrics: Rc<Metrics>,
-    parcels: RefCell<HashMap<JobId, Rc<Parcel>>>,
+    records: RefCell<HashMap<JobId, Rc<JobRecord>>>,
     traces: RefCell<HashMap<String, JobId>>,
     next_job: Cell<JobId>,
     machines: RefCell<HashMap<WorkerId, Machine>>,
@@ -106,7 +106,7 @@
             ready: Cell::new(false),
             lifecycle,
             metrics,
-            parcels: RefCell::default(),
+            records: RefCell::default(),
             traces: RefCell::default(),
             next_job: Cell::new(1),
             machines: RefCell::default(),
@@ -123,13 +123,13 @@
         trace: &str,
         (text, body): (Buffer, usize),
         reply: WeakSender<Answer>,
-    ) -> Option<(JobId, Rc<Parcel>)> {
+    ) -> Option<(JobId, Rc<JobRecord>)> {
         if self.traces.borrow().contains_key(trace) || self.is_open_at_peer(trace) {
             return None;
         }
         let id = self.next_job.get();
         self.next_job.set(id + 1);
-        let parcel = Parcel {
+        let record = JobRecord {
             trace: trace.to_string(),
             text,
             body,
@@ -137,11 +137,11 @@
             attempts: RefCell::default(),
             reply,
         };
-        let parcel = Rc::new(parcel);
+        let record = Rc::new(record);
         self.traces.borrow_mut().insert(trace.to_string(), id);
-        self.parcels.borrow_mut().insert(id, parcel.clone());
+        self.records.borrow_mut().insert(id, record.clone());
         self.notify_peers(|| peer_process::HandoverMessage::JobOpened(trace.to_string()));
-        Some((id, parcel))
+        Some((id, record))
     }
 
     /// Switches to the discovery service at this address.
@@ -194,15 +194,15 @@
 
     /// Number of jobs that are open in this process.
     pub fn open_jobs(&self) -> usize {
-        self.parcels.borrow().len()
+        self.records.borrow().len()
     }
 
     fn knows_machines(&self) -> bool {
         !self.machines.borrow().is_empty()
     }
 
-    fn parcel(&self, job: JobId) -> Option<Rc<Parcel>> {
-        self.parcels.borrow().get(&job).cloned()
+    fn record(&self, job: JobId) -> Option<Rc<JobRecord>> {
+        self.records.borrow().get(&job).cloned()
     }
 
     /// Returns the id of a machine, derived from its name. All schedulers derive the same id, so they agree on which of
@@ -300,10 +300,10 @@
     fn interpret_report(&self, report: &JobReport) -> Option<CoreInput> {
         let job = *self.traces.borrow().get(&report.id)?;
         let machine = *self.names.borrow().get(&report.from)?;
-        let parcel = self.parcel(job)?;
-        let attempts = parcel.attempts.borrow();
+        let record = self.record(job)?;
+        let attempts = record.attempts.borrow();
         let reported =
-            |attempt: &Rc<AttemptState>| attempt.machine == machine && attempt.went_out();
+            |attempt: &Rc<AttemptState>| attempt.machine == machine && attempt.fully_sent();
         let last = attempts.iter().rposition(reported)?;
         // With an earlier attempt on the same machine, the report may be a duplicate about that one, and the last attempt
         // may be running. "returned" then doesn't count as proof that the attempt never ran.
@@ -329,7 +329,7 @@
                     None => String::new(),
                 };
                 // The first result is kept, as the answer may already be in transit.
-                parcel
+                record
                     .result
                     .borrow_mut()
                     .get_or_insert(result.into_bytes());
@@ -343,8 +343,8 @@
         })
     }
 
-    fn forget_attempts(&self, job: JobId, parcel: &Parcel) {
-        for (n, attempt) in parcel.attempts.borrow().iter().enumerate() {
+    fn forget_attempts(&self, job: JobId, record: &JobRecord) {
+        for (n, attempt) in record.attempts.borrow().iter().enumerate() {
             self.order(
                 attempt.machine,
                 Order::Forget(AttemptId {
@@ -365,19 +365,19 @@
 
 impl Transport for Platform {
     fn send(&self, attempt: Attempt) -> bool {
-        let Some(parcel) = self.parcel(attempt.id.job) else {
+        let Some(record) = self.record(attempt.id.job) else {
             return false;
         };
         let state = AttemptState::new(attempt.machine, Stage::Unsent);
-        parcel.attempts.borrow_mut().push(state.clone());
-        self.order(attempt.machine, Order::Send(attempt, parcel, state))
+        record.attempts.borrow_mut().push(state.clone());
+        self.order(attempt.machine, Order::Send(attempt, record, state))
     }
 
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp {
-        let Some(parcel) = self.parcel(attempt.job) else {
+        let Some(record) = self.record(attempt.job) else {
             return GivenUp::Done;
         };
-        let unsent = parcel
+        let unsent = record
             .attempts
             .borrow()
             .get(attempt.number as usize)
@@ -388,7 +388,7 @@
             .get(&machine)
             .map(|m| m.orders.clone())
         {
-            let order = Order::GiveUp(attempt, parcel);
+            let order = Order::GiveUp(attempt, record);
             if let Err(TrySendError::Full(order)) = orders.try_send(order) {
                 self.net.spawn(async move { _ = orders.send(order).await });
             }
@@ -415,11 +415,11 @@
     }
 
     fn forget(&self, job: JobId) {
-        if let Some(parcel) = self.parcels.borrow_mut().remove(&job) {
-            self.traces.borrow_mut().remove(&parcel.trace);
-            self.drop_deferred_reports(&parcel.trace);
-            self.notify_peers(|| peer_process::HandoverMessage::JobClosed(parcel.trace.clone()));
-            self.forget_attempts(job, &parcel);
+        if let Some(record) = self.records.borrow_mut().remove(&job) {
+            self.traces.borrow_mut().remove(&record.trace);
+            self.drop_deferred_reports(&record.trace);
+            self.notify_peers(|| peer_process::HandoverMessage::JobClosed(record.trace.clone()));
+            self.forget_attempts(job, &record);
         }
     }
 
--- a/crates/indigofold/src/front/platform/clients.rs
+++ b/crates/indigofold/src/front/platform/clients.rs
@@ -5,7 +5,7 @@
 mod reading;
 
 use super::connection_state::ConnectionState;
-use super::{Parcel, Platform};
+use super::{JobRecord, Platform};
 use crate::api::Time;
 use crate::net::buffer::Buffer;
 use crate::net::http::{self, Frame};
@@ -69,7 +69,7 @@
 }
 
 /// A job taken over from another process: its id, its record, and the channel on which its answer arrives.
-pub(super) type ResumedJob = (JobId, Rc<Parcel>, Receiver<Answer>);
+pub(super) type ResumedJob = (JobId, Rc<JobRecord>, Receiver<Answer>);
 
 /// Serves a connection whose job was transferred from another process. If `job` is `None`, the job could not be resumed and
 /// is answered as failed. `rest` holds bytes already read beyond the job's message.
@@ -85,8 +85,8 @@
         .for_each(|buffer| _ = buffer.write_all(rest));
     let message = match job {
         None => Ok((500, String::new(), b"the job's class is gone\n".to_vec())),
-        Some((id, parcel, from)) => {
-            wait_for_answer(front, link, &mut kept, (id, &parcel, from), (keep, state)).await
+        Some((id, record, from)) => {
+            wait_for_answer(front, link, &mut kept, (id, &record, from), (keep, state)).await
         }
     };
     let (status, extra_headers, result) = match message {
@@ -136,7 +136,7 @@
     /// Serves one message after another. Ends after an answer that closes the connection.
     async fn serve(&self, resumed: Option<Option<Buffer>>) -> Result<(), Reason> {
         let clock = &self.front.clock;
-        let (mut received_at, mut by) = (clock.now(), Instant::now() + MESSAGE_TIMEOUT);
+        let (mut received_at, mut read_by) = (clock.now(), Instant::now() + MESSAGE_TIMEOUT);
         let (accepted, mut client) = (Instant::now(), resumed.is_some());
         let mut kept = resumed.flatten();
         loop {
@@ -152,9 +152,9 @@
                 }
             };
             if messages > 0 {
-                by = Instant::now() + MESSAGE_TIMEOUT;
+                read_by = Instant::now() + MESSAGE_TIMEOUT;
             }
-            let frame = self.read_message(&mut buffer, accepted, by).await?;
+            let frame = self.read_message(&mut buffer, accepted, read_by).await?;
             self.state.messages.set(messages + 1);
             let request = parse(self.front, &buffer, &frame);
             buffer.consume(frame.total);
@@ -180,9 +180,9 @@
         &self,
         buffer: &mut Buffer,
         accepted: Instant,
-        by: Instant,
+        read_by: Instant,
     ) -> Result<Frame, Reason> {
-        let left = by.saturating_duration_since(Instant::now());
+        let left = read_by.saturating_duration_since(Instant::now());
         let frame = within(left, Reason::Slow, receive(self.link, buffer));
         let frame = if self.state.messages.get() == 0 {
             let net = &self.front.net;
@@ -248,7 +248,7 @@
         let until = if front.migrates() {
             until
         } else {
-            front.lifecycle.bound(until)
+            front.lifecycle.cap_deadline(until)
         };
         let mut rest = Some(buffer).filter(|b| !b.filled().is_empty());
         let connection = (keep, self.state);
@@ -286,7 +286,7 @@
 ) -> Result<AnswerParts, Reason> {
     let (mut request, message) = (job.request, (job.text, job.body_bytes));
     let (to, from) = bounded(1);
-    let Some((id, parcel)) = front.register_job(&job.trace, message, to.downgrade()) else {
+    let Some((id, record)) = front.register_job(&job.trace, message, to.downgrade()) else {
         front.metrics.count(request.class, End::Failed);
         return Ok((409, String::new(), b"a job of this id is open\n".into()));
     };
@@ -295,7 +295,7 @@
     if front.core.send(input).await.is_err() {
         return Ok((500, String::new(), Vec::new()));
     }
-    wait_for_answer(front, link, rest, (id, &parcel, from), connection).await
+    wait_for_answer(front, link, rest, (id, &record, from), connection).await
 }
 
 /// Waits for a job's answer, for the client to leave, or for the job to migrate to another process.
@@ -303,20 +303,20 @@
     front: &Rc<Platform>,
     link: &Link,
     rest: &mut Option<Buffer>,
-    (id, parcel, from): (JobId, &Parcel, Receiver<Answer>),
+    (id, record, from): (JobId, &JobRecord, Receiver<Answer>),
     (keep, state): (bool, &ConnectionState),
 ) -> Result<AnswerParts, Reason> {
     let answer = async { Ok(from.recv().await.unwrap_or(Answer::Failed)) };
     let left = async { Err(link.wait_until_closed(rest, &front.net.pool).await) };
     let migrating = async {
-        front.wait_until_released(id, parcel, keep, state).await;
+        front.wait_until_released(id, record, keep, state).await;
         Err(Reason::Migrated)
     };
     match migrating.or(answer).or(left).await {
         Ok(Answer::Served) => Ok((
             200,
             String::new(),
-            parcel.result.borrow_mut().take().unwrap_or_default(),
+            record.result.borrow_mut().take().unwrap_or_default(),
         )),
         Ok(Answer::Rejected(0)) => Ok((503, String::new(), Vec::new())),
         Ok(Answer::Rejected(after)) => Ok((
--- a/crates/indigofold/src/front/platform/membership.rs
+++ b/crates/indigofold/src/front/platform/membership.rs
@@ -16,7 +16,7 @@
 use rand_pcg::Pcg64Mcg;
 use schedule::{
     CallKind, IMMEDIATE_WAIT_MS, MANY_SCHEDULERS, MAX_FAILURE_FACTOR, NEW_DISCOVERY_TIMEOUT,
-    REPLACEMENT_SPREAD, RETRY_INTERVAL, call_timeout, retry_within, spread, wait_bounds,
+    REPLACEMENT_SPREAD, RETRY_INTERVAL, call_timeout, max_retry_delay, spread, wait_bounds,
 };
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -118,17 +118,17 @@
     }
 
     /// Draws the long-poll wait of a call for changes, in milliseconds.
-    fn wait(&mut self) -> u64 {
+    fn draw_wait(&mut self) -> u64 {
         let (least, most) = wait_bounds(self.schedulers());
         least + self.rng.next_u64() % (most - least + 1)
     }
 
     /// Makes the next call of the watch.
     fn continue_watch(&mut self, client: DiscoveryClient) -> Call {
-        let (wait, put_off) = (self.wait(), self.put_off(CallKind::ContinueWatch));
+        let (wait, delay) = (self.draw_wait(), self.draw_delay(CallKind::ContinueWatch));
         // An answer older than the known version can't be applied as changes, so the complete membership is requested.
         let wait = (!client.older).then_some(wait);
-        Box::pin(client.call(wait, put_off, call_timeout(wait)))
+        Box::pin(client.call(wait, delay, call_timeout(wait)))
     }
 
     /// Reopens a watch that broke or became unresponsive without waiting for a request of the decision module, as changes
@@ -158,22 +158,22 @@
         ));
         client.drop_link(reason);
         let unresponsive = reason == Reason::Unanswered;
-        let put_off = self.put_off(if unresponsive {
+        let delay = self.draw_delay(if unresponsive {
             CallKind::Unresponsive
         } else {
             CallKind::StartWatch
         });
-        let put_off = if repeated {
-            put_off.max(RETRY_INTERVAL)
+        let delay = if repeated {
+            delay.max(RETRY_INTERVAL)
         } else {
-            put_off
+            delay
         };
         let wait = client.seq.map(|_| IMMEDIATE_WAIT_MS);
-        Ok(Box::pin(client.call(wait, put_off, call_timeout(wait))))
+        Ok(Box::pin(client.call(wait, delay, call_timeout(wait))))
     }
 
     /// Draws the random delay of the next call, so that the schedulers don't call all at once.
-    fn put_off(&mut self, kind: CallKind) -> Duration {
+    fn draw_delay(&mut self, kind: CallKind) -> Duration {
         let membership_refresh_within = Duration::from_micros(
             self.front
                 .site
@@ -188,7 +188,7 @@
             self.failure_factor,
             membership_refresh_within,
         );
-        let spread = spread.min(retry_within(self.failed_at.map(|at| at.elapsed())));
+        let spread = spread.min(max_retry_delay(self.failed_at.map(|at| at.elapsed())));
         // A process that replaces another must be ready within seconds, and few do so at the same time.
         let spread = spread.min(if self.replaces && !self.front.ready.get() {
             REPLACEMENT_SPREAD
@@ -292,15 +292,15 @@
                 .unwrap_or_else(|| self.client(self.discovery));
             // With many schedulers, the watch starts with the long poll, which saves discovery one call each.
             let long_wait = self.has_many_schedulers() && self.front.ready.get();
-            let on = if long_wait {
-                self.wait()
+            let wait_ms = if long_wait {
+                self.draw_wait()
             } else {
                 IMMEDIATE_WAIT_MS
             };
-            let wait = (client.seq.is_some() && self.watching).then_some(on);
+            let wait = (client.seq.is_some() && self.watching).then_some(wait_ms);
             self.call = Some(Box::pin(client.call(
                 wait,
-                self.put_off(CallKind::StartWatch),
+                self.draw_delay(CallKind::StartWatch),
                 call_timeout(wait),
             )));
         }
@@ -315,10 +315,10 @@
             _ => {}
         }
         let mut client = self.client(to);
-        let mut put_off = self.put_off(CallKind::NewDiscovery);
+        let mut delay = self.draw_delay(CallKind::NewDiscovery);
         let call = async move {
             loop {
-                let (returned, answer) = client.call(None, put_off, NEW_DISCOVERY_TIMEOUT).await;
+                let (returned, answer) = client.call(None, delay, NEW_DISCOVERY_TIMEOUT).await;
                 client = returned;
                 let Err(reason) = &answer else {
                     return (client, answer);
@@ -328,7 +328,7 @@
                     reason.code()
                 ));
                 client.drop_link(*reason);
-                put_off = put_off.max(RETRY_INTERVAL);
+                delay = delay.max(RETRY_INTERVAL);
             }
         };
         self.next_discovery = Some((to, Box::pin(call)));
--- a/crates/indigofold/src/front/platform/membership/discovery_client.rs
+++ b/crates/indigofold/src/front/platform/membership/discovery_client.rs
@@ -47,16 +47,16 @@
         }
     }
 
-    /// Makes one call after the delay `put_off`, with the timeout `limit`. `wait` is the long-poll wait for changes in
+    /// Makes one call after the delay `delay`, with the timeout `limit`. `wait` is the long-poll wait for changes in
     /// milliseconds; `None` requests the complete membership.
     pub(super) async fn call(
         mut self,
         wait: Option<u64>,
-        put_off: Duration,
+        delay: Duration,
         limit: Duration,
     ) -> (DiscoveryClient, Result<MembershipUpdate, Reason>) {
-        if !put_off.is_zero() {
-            Timer::after(put_off).await;
+        if !delay.is_zero() {
+            Timer::after(delay).await;
         }
         let answer = self.exchange(wait, limit).await;
         (self, answer)
--- a/crates/indigofold/src/front/platform/membership/schedule.rs
+++ b/crates/indigofold/src/front/platform/membership/schedule.rs
@@ -82,7 +82,7 @@
 }
 
 /// Returns how long a call may still be delayed, given the time since the last call failed; `None` if it didn't fail.
-pub(super) fn retry_within(since_failure: Option<Duration>) -> Duration {
+pub(super) fn max_retry_delay(since_failure: Option<Duration>) -> Duration {
     since_failure.map_or(Duration::MAX, |since| RETRY_WITHIN.saturating_sub(since))
 }
 
--- a/crates/indigofold/src/front/platform/membership/schedule/tests.rs
+++ b/crates/indigofold/src/front/platform/membership/schedule/tests.rs
@@ -41,16 +41,19 @@
             (MAX_FAILURE_FACTOR, 4_000),
         ] {
             let since = Duration::from_millis(module_waits_ms);
-            let put_off =
-                spread(CallKind::StartWatch, many, failed, within).min(retry_within(Some(since)));
+            let delay = spread(CallKind::StartWatch, many, failed, within)
+                .min(max_retry_delay(Some(since)));
             assert!(
-                since + put_off + queueing < deadline,
+                since + delay + queueing < deadline,
                 "{many} schedulers, {since:?} after a failure"
             );
         }
     }
-    assert_eq!(retry_within(None), Duration::MAX);
-    assert_eq!(retry_within(Some(Duration::from_secs(60))), Duration::ZERO);
+    assert_eq!(max_retry_delay(None), Duration::MAX);
+    assert_eq!(
+        max_retry_delay(Some(Duration::from_secs(60))),
+        Duration::ZERO
+    );
 }
 
 /// Guards against gaps in a watch: with 100 schedulers its next call came up to 20 s after an answer.
--- a/crates/indigofold/src/front/platform/migration.rs
+++ b/crates/indigofold/src/front/platform/migration.rs
@@ -6,7 +6,7 @@
 use super::connection_state::{ConnectionState, MigratingJob};
 use super::peer_process::{HandoverMessage, PeerProcess};
 use super::workers::{AttemptState, Order, Stage};
-use super::{Parcel, Platform};
+use super::{JobRecord, Platform};
 use crate::config::JobReport;
 use crate::net::set::{Direction, Seat};
 use crate::net::{Link, log};
@@ -77,7 +77,7 @@
     pub(super) async fn wait_until_released(
         self: &Rc<Self>,
         id: JobId,
-        parcel: &Parcel,
+        record: &JobRecord,
         keep: bool,
         state: &ConnectionState,
     ) {
@@ -86,15 +86,15 @@
             if self.migration.target.borrow().is_none() {
                 let _ = started.recv().await;
             }
-            if parcel
+            if record
                 .attempts
                 .borrow()
                 .iter()
                 .all(|attempt| attempt.is_settled())
-                && parcel.result.borrow().is_none()
+                && record.result.borrow().is_none()
             {
                 // Reports on the job are deferred until it is known which process owns it.
-                let trace = parcel.trace.clone();
+                let trace = record.trace.clone();
                 self.migration
                     .deferred
                     .borrow_mut()
@@ -102,8 +102,8 @@
                 let (to, from) = bounded(1);
                 let _ = self.core.send(CoreInput::Release(id, to)).await;
                 if let Ok(Some(released)) = from.recv().await {
-                    let job = self.transferred_job(released.job);
-                    let (text, body) = (parcel.text.filled().to_vec(), parcel.body);
+                    let job = self.job_with_names(released.job);
+                    let (text, body) = (record.text.filled().to_vec(), record.body);
                     let (rest, messages, until) =
                         (Vec::new(), state.messages.get(), released.until);
                     state.migrating.replace(Some(MigratingJob {
@@ -262,22 +262,22 @@
         }
         let mut text = self.net.pool.take();
         let written = text.write_all(&migrating.text).is_ok();
-        let job = self.numbered_job(migrating.job).filter(|_| written)?;
+        let job = self.job_with_ids(migrating.job).filter(|_| written)?;
         let (to, from) = bounded(1);
-        let (id, parcel) = self.register_job(trace, (text, migrating.body), to.downgrade())?;
+        let (id, record) = self.register_job(trace, (text, migrating.body), to.downgrade())?;
         let attempts = job
             .attempts
             .iter()
-            .map(|t| AttemptState::new(t.worker, Stage::Taken));
-        parcel.attempts.borrow_mut().extend(attempts);
+            .map(|t| AttemptState::new(t.worker, Stage::Accepted));
+        record.attempts.borrow_mut().extend(attempts);
         // The machines' actors must know these attempts, to be able to cancel them at the machines.
         for (t, number) in job.attempts.iter().zip(0..).filter(|(t, _)| !t.done) {
-            self.order(t.worker, Order::Taken(AttemptId { job: id, number }));
+            self.order(t.worker, Order::Accepted(AttemptId { job: id, number }));
         }
         self.lifecycle.last_job.set(self.clock.now());
         let input = CoreInput::Adopted(id, Box::new(job), migrating.until, Reply::To(to));
         let _ = self.core.send(input).await;
-        Some((id, parcel, from))
+        Some((id, record, from))
     }
 
     /// Removes a job that has migrated. Its attempts continue on their machines.
@@ -285,12 +285,12 @@
         let Some(id) = self.traces.borrow_mut().remove(trace) else {
             return;
         };
-        if let Some(parcel) = self.parcels.borrow_mut().remove(&id) {
-            self.forget_attempts(id, &parcel);
+        if let Some(record) = self.records.borrow_mut().remove(&id) {
+            self.forget_attempts(id, &record);
         }
     }
 
-    fn transferred_job(&self, job: TransferredJob<u32>) -> TransferredJob<String> {
+    fn job_with_names(&self, job: TransferredJob<u32>) -> TransferredJob<String> {
         let (site, names) = (self.site.borrow(), self.names.borrow());
         let class = |id: &u32| {
             Some(
@@ -311,7 +311,7 @@
             .unwrap_or_else(|| unreachable!("every class id maps to a name"))
     }
 
-    fn numbered_job(&self, job: TransferredJob<String>) -> Option<TransferredJob<u32>> {
+    fn job_with_ids(&self, job: TransferredJob<String>) -> Option<TransferredJob<u32>> {
         let class = self.site.borrow().class(&job.class)?;
         job.renamed(|_| Some(class), |host| self.worker_id(host))
     }
--- a/crates/indigofold/src/front/platform/workers.rs
+++ b/crates/indigofold/src/front/platform/workers.rs
@@ -1,6 +1,6 @@
 //! One actor for each machine: its attempts, probes and connections.
 
-use super::{Parcel, Platform};
+use super::{JobRecord, Platform};
 use crate::api::{Load, Status, WorkerId};
 use crate::net::buffer::Buffer;
 use crate::net::http::{Head, Kind};
@@ -40,11 +40,11 @@
     /// The machine's address has changed to this one.
     Address(SocketAddr),
     /// Send an attempt to the machine.
-    Send(Attempt, Rc<Parcel>, Rc<AttemptState>),
+    Send(Attempt, Rc<JobRecord>, Rc<AttemptState>),
     /// The machine has accepted an attempt with this id that another process sent to it.
-    Taken(AttemptId),
+    Accepted(AttemptId),
     /// Cancel this attempt.
-    GiveUp(AttemptId, Rc<Parcel>),
+    GiveUp(AttemptId, Rc<JobRecord>),
     /// The attempt's job is closed; no further order will name the attempt.
     Forget(AttemptId),
     /// Request the machine's load.
@@ -61,7 +61,7 @@
 /// A machine's answer to an attempt.
 enum WorkerReply {
     /// The machine has accepted the attempt.
-    Taken,
+    Accepted,
     /// The attempt has ended with this status and, if reported, this load.
     Ended(Status, Option<Load>),
 }
@@ -75,23 +75,23 @@
 impl WorkerConnections {
     /// Whether an attempt may still be sent to this machine, checked right before its first byte. The assignment has waited in
     /// the mailbox and for a connection, and may have become obsolete meanwhile.
-    fn may_be_sent(&self, attempt: &Attempt, parcel: &Parcel, state: &AttemptState) -> bool {
+    fn may_be_sent(&self, attempt: &Attempt, record: &JobRecord, state: &AttemptState) -> bool {
         let now = self.front.clock.now();
         state.stage() == Stage::Unsent
-            && parcel.is_awaited()
+            && record.is_awaited()
             && now < attempt.by
             && !self.draining.get()
     }
 
     /// Interprets the head of an answer to an attempt.
-    fn outcome(&self, head: &Head<'_>) -> WorkerReply {
+    fn interpret_head(&self, head: &Head<'_>) -> WorkerReply {
         let site = self.front.site.borrow();
         let load = head
             .header("Endpoint-Load-Metrics")
             .and_then(|text| site.load(text.as_bytes()));
         let never_ran = head.header("X-Never-Ran") == Some("1");
         match head.status {
-            202 => WorkerReply::Taken,
+            202 => WorkerReply::Accepted,
             503 | 504 if never_ran => WorkerReply::Ended(Status::Full, load),
             _ => WorkerReply::Ended(Status::Error, load),
         }
@@ -102,19 +102,19 @@
         clippy::too_many_lines,
         reason = "its closures borrow the attempt's state while the exchange runs"
     )]
-    async fn carry(
+    async fn send_attempt(
         &self,
         attempt: Attempt,
-        parcel: &Parcel,
+        record: &JobRecord,
         state: &AttemptState,
     ) -> Option<(Status, Option<Load>)> {
         let left = || attempt.until.saturating_sub(self.front.clock.now()) / 1000;
         let mut buffer = self.front.net.pool.take();
         let prepare = |buffer: &mut Buffer| {
-            if !self.may_be_sent(&attempt, parcel, state) {
+            if !self.may_be_sent(&attempt, record, state) {
                 return Err(Reason::Withheld);
             }
-            let (body, head) = parcel.text.filled().split_at(parcel.body);
+            let (body, head) = record.text.filled().split_at(record.body);
             let written = buffer
                 .write_all(head)
                 .and_then(|()| write!(buffer, "X-Expires-In-Ms: {}\r\n\r\n", left()))
@@ -123,9 +123,9 @@
             written.map_err(|_| Reason::Withheld)
         };
         let limit = Duration::from_millis(left()) + ACCEPT_LINGER;
-        let unheard = async {
+        let report_unacknowledged = async {
             Timer::after(ACCEPT_TIMEOUT).await;
-            if state.stage() < Stage::Taken {
+            if state.stage() < Stage::Accepted {
                 let _ = self
                     .front
                     .core
@@ -136,14 +136,14 @@
         };
         let sent = || {
             state.stage.set(Stage::Sent);
-            state.went_out.set(true);
+            state.fully_sent.set(true);
             add(&self.front.metrics.attempts_sent, 1);
         };
         let answer = RefCell::new(None);
         let on_head = |head: &Head<'_>| {
-            let reply = self.outcome(head);
-            if matches!(reply, WorkerReply::Taken) {
-                state.stage.set(Stage::Taken);
+            let reply = self.interpret_head(head);
+            if matches!(reply, WorkerReply::Accepted) {
+                state.stage.set(Stage::Accepted);
             }
             answer.replace(Some(reply));
         };
@@ -154,10 +154,10 @@
         // The exchange is polled first, so an answer that has already arrived takes precedence over a cancellation.
         let exchange = self
             .exchange((&mut buffer, false), prepare, (sent, on_head))
-            .or(unheard)
+            .or(report_unacknowledged)
             .or(given_up);
         let ended = within(limit, Reason::Unanswered, exchange).await;
-        end_of_attempt(answer.take(), ended.map(drop), state.went_out())
+        attempt_result(answer.take(), ended.map(drop), state.fully_sent())
     }
 
     async fn probe(&self) {
@@ -199,8 +199,8 @@
     /// Cancels an attempt that the machine has accepted, and notifies the core once the machine has received the
     /// cancellation; before that, another attempt of the job could reach its machine first. If nobody waits for the job any
     /// more, one try is enough. `fresh` requires a new connection for the first try.
-    async fn delete(&self, attempt: AttemptId, parcel: &Parcel, mut fresh: bool) {
-        while !self.deleted(&parcel.trace, fresh).await && parcel.is_awaited() {
+    async fn delete(&self, attempt: AttemptId, record: &JobRecord, mut fresh: bool) {
+        while !self.deleted(&record.trace, fresh).await && record.is_awaited() {
             fresh = true;
             Timer::after(RETRY_INTERVAL).await;
         }
@@ -230,26 +230,26 @@
     }
 }
 
-/// Returns how an attempt ended before its machine accepted it, or `None` if the machine has accepted it. `went_out` says
+/// Returns how an attempt ended before its machine accepted it, or `None` if the machine has accepted it. `fully_sent` says
 /// whether its last byte was sent.
 #[allow(
     clippy::match_same_arms,
     reason = "the arms are in the order in which they are decided"
 )]
-fn end_of_attempt(
+fn attempt_result(
     reply: Option<WorkerReply>,
     ended: Result<(), Reason>,
-    went_out: bool,
+    fully_sent: bool,
 ) -> Option<(Status, Option<Load>)> {
     match (reply, ended) {
-        (Some(WorkerReply::Taken), _) => None,
+        (Some(WorkerReply::Accepted), _) => None,
         (Some(WorkerReply::Ended(status, load)), _) => Some((status, load)),
         (None, Err(Reason::Withheld)) => Some((Status::Moot, None)),
         // Before the machine has accepted the attempt, closing the connection cancels it.
-        (None, Err(Reason::GivenUp)) if went_out => Some((Status::Cancelled, None)),
+        (None, Err(Reason::GivenUp)) if fully_sent => Some((Status::Cancelled, None)),
         (None, Err(Reason::GivenUp)) => Some((Status::Moot, None)),
         // An attempt whose last byte was sent may have run.
-        (None, _) if !went_out => Some((Status::ConnectFailed, None)),
+        (None, _) if !fully_sent => Some((Status::ConnectFailed, None)),
         (None, _) => Some((Status::Reset, None)),
     }
 }
@@ -291,17 +291,17 @@
                         self.hang_up();
                     }
                 }
-                Order::Send(attempt, parcel, state) => self.start(attempt, parcel, state),
-                Order::Taken(id) => {
-                    let state = AttemptState::new(self.connections.worker, Stage::Taken);
+                Order::Send(attempt, record, state) => self.start(attempt, record, state),
+                Order::Accepted(id) => {
+                    let state = AttemptState::new(self.connections.worker, Stage::Accepted);
                     self.out
                         .borrow_mut()
                         .insert(id, OutgoingAttempt { state, task: None });
                 }
-                Order::GiveUp(id, parcel) => {
+                Order::GiveUp(id, record) => {
                     let out = self.out.borrow_mut().remove(&id);
                     if let Some(out) = out {
-                        self.give_up(id, parcel, out);
+                        self.give_up(id, record, out);
                     }
                 }
                 Order::Forget(id) => {
@@ -323,13 +323,13 @@
     }
 
     /// Cancels an attempt: with a request to the machine if it has accepted the attempt, else by closing the connection.
-    fn give_up(&self, id: AttemptId, parcel: Rc<Parcel>, out: OutgoingAttempt) {
+    fn give_up(&self, id: AttemptId, record: Rc<JobRecord>, out: OutgoingAttempt) {
         match out.state.stage() {
-            Stage::Taken => {
+            Stage::Accepted => {
                 let (connections, state) = (self.connections.clone(), out.state);
                 state.give_up();
                 self.connections.front.net.spawn(async move {
-                    connections.delete(id, &parcel, false).await;
+                    connections.delete(id, &record, false).await;
                     state.stage.set(Stage::Ended);
                 });
             }
@@ -351,17 +351,19 @@
         }
     }
 
-    fn start(&self, attempt: Attempt, parcel: Rc<Parcel>, state: Rc<AttemptState>) {
+    fn start(&self, attempt: Attempt, record: Rc<JobRecord>, state: Rc<AttemptState>) {
         let (connections, out, attempt_state) =
             (self.connections.clone(), self.out.clone(), state.clone());
         let task = async move {
-            let ended = connections.carry(attempt, &parcel, &attempt_state).await;
+            let ended = connections
+                .send_attempt(attempt, &record, &attempt_state)
+                .await;
             if let Some((status, load)) = ended {
                 let removed = out.borrow_mut().remove(&attempt.id);
-                if status == Status::Cancelled && parcel.is_awaited() {
+                if status == Status::Cancelled && record.is_awaited() {
                     // The 202 may have been lost, in which case closing the connection doesn't cancel the attempt. As the job is
                     // still awaited, another attempt may follow, so this one is cancelled by a request.
-                    connections.delete(attempt.id, &parcel, true).await;
+                    connections.delete(attempt.id, &record, true).await;
                 } else {
                     let _ = connections
                         .front
@@ -372,7 +374,7 @@
                 attempt_state.stage.set(Stage::Ended);
                 drop(removed);
             } else if attempt_state.given_up.get() {
-                connections.delete(attempt.id, &parcel, false).await; // accepted just as it was given up
+                connections.delete(attempt.id, &record, false).await; // accepted just as it was given up
                 attempt_state.stage.set(Stage::Ended);
             }
         };
--- a/crates/indigofold/src/front/platform/workers/attempt.rs
+++ b/crates/indigofold/src/front/platform/workers/attempt.rs
@@ -16,7 +16,7 @@
     /// The last byte was sent.
     Sent,
     /// The machine has accepted the attempt.
-    Taken,
+    Accepted,
     /// The attempt was withdrawn, ended before the machine accepted it, or its cancellation is complete.
     Ended,
 }
@@ -26,7 +26,7 @@
     /// The machine that the attempt is assigned to.
     pub machine: WorkerId,
     pub(super) stage: Cell<Stage>,
-    pub(super) went_out: Cell<bool>,
+    pub(super) fully_sent: Cell<bool>,
     pub(super) given_up: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
@@ -35,11 +35,11 @@
     /// Creates the state of an attempt in this stage.
     pub fn new(machine: WorkerId, stage: Stage) -> Rc<Self> {
         let (given_up, waker) = Default::default();
-        let (went_out, stage) = (Cell::new(stage > Stage::Begun), Cell::new(stage));
+        let (fully_sent, stage) = (Cell::new(stage > Stage::Begun), Cell::new(stage));
         Rc::new(AttemptState {
             machine,
             stage,
-            went_out,
+            fully_sent,
             given_up,
             waker,
         })
@@ -51,14 +51,14 @@
     }
 
     /// Whether the last byte was sent, however the attempt ended.
-    pub fn went_out(&self) -> bool {
-        self.went_out.get()
+    pub fn fully_sent(&self) -> bool {
+        self.fully_sent.get()
     }
 
     /// Whether the attempt has ended, or was accepted by its machine and not given up since.
     pub fn is_settled(&self) -> bool {
         let stage = self.stage.get();
-        stage == Stage::Ended || (stage == Stage::Taken && !self.given_up.get())
+        stage == Stage::Ended || (stage == Stage::Accepted && !self.given_up.get())
     }
 
     /// Withdraws the attempt if no byte was sent, so that none ever will be. Returns whether that was the case.
--- a/crates/indigofold/src/front/platform/workers/connections.rs
+++ b/crates/indigofold/src/front/platform/workers/connections.rs
@@ -132,7 +132,7 @@
         buffer: &mut Buffer,
         (sent, on_head): (impl Fn(), impl Fn(&Head<'_>)),
     ) -> Result<(http::Frame, Duration), Reason> {
-        let (mut bytes_written, mut by, mut failed) = (0, None, false);
+        let (mut bytes_written, mut deadline, mut failed) = (0, None, false);
         let write = link.write(buffer.filled(), &mut bytes_written).await;
         if bytes_written == buffer.filled().len() {
             sent();
@@ -147,14 +147,14 @@
                     Err(_) => Err(Reason::Broke),
                 }
             };
-            match by {
+            match deadline {
                 None => read.await?,
-                Some(by) => within(time_to(by), Reason::Unanswered, read).await?,
+                Some(deadline) => within(time_to(deadline), Reason::Unanswered, read).await?,
             }
             // One read may return several messages.
             while let Some(status) = http::answer_head(buffer, |head| {
-                if head.status >= 200 && by.is_none() {
-                    by = Some(Instant::now() + BODY_TIMEOUT);
+                if head.status >= 200 && deadline.is_none() {
+                    deadline = Some(Instant::now() + BODY_TIMEOUT);
                     failed = head.status >= 300 && head.header("X-Never-Ran").is_none();
                     on_head(head);
                 }
@@ -180,7 +180,7 @@
                 }
                 buffer.consume(frame.total); // an interim answer
             }
-            if by.is_none() {
+            if deadline.is_none() {
                 http::parse_message(buffer, Kind::Answer).map_err(|_| Reason::Malformed)?;
             }
         }
