--- a/crates/indigofold/examples/in_process.rs
+++ b/crates/indigofold/examples/in_process.rs
@@ -1,5 +1,5 @@
-//! One dispatcher and two workers in one process: a request is taken, sent, started and answered, then a
-//! second one meets an error and is tried again elsewhere. Run with `cargo run --example in_process`.
+//! One dispatcher and two workers in one process: a request is accepted, sent, started and answered; a second one fails and
+//! is retried on the other worker. Run with `cargo run --example in_process`.
 
 use indigofold::api::{
     Action, Charges, Class, Effect, Entry, Event, Limits, Reports, Request, RequestId, Rules,
@@ -7,7 +7,7 @@
 };
 use indigofold::dispatcher::Dispatcher;
 
-/// A site with one safe class, a pushed worker list and workers that tell when a job starts.
+/// Settings of a site with one safe class, a pushed membership, and workers that report when a job starts.
 #[allow(
     clippy::too_many_lines,
     reason = "an example that is read from top to bottom"
@@ -61,7 +61,7 @@
     }
 }
 
-/// The caller's side: the clock, the one live timer and the jobs that are out.
+/// The dispatcher's host: the clock, the one active timer, and the attempts sent so far.
 struct Host {
     dispatcher: Dispatcher,
     now: Time,
@@ -70,7 +70,7 @@
 }
 
 impl Host {
-    /// Hands over one event and carries out what comes back, in order.
+    /// Passes one event to the dispatcher and executes the resulting actions in order.
     fn handle_event(&mut self, event: Event) {
         println!("{:>8} us  event   {event:?}", self.now);
         let mut actions = Vec::new();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Lets time pass; a timer that comes due is handed back.
+    /// Advances the clock by a duration; passes each expired timer to the dispatcher.
     fn pass(&mut self, time: Time) {
         let end = self.now + time;
         while let Some((at, name)) = self.timer.filter(|t| t.0 <= end) {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Runs the example and returns which worker each attempt went to.
+/// Runs the example and returns the request and worker of each attempt, in the order in which they were sent.
 #[allow(
     clippy::too_many_lines,
     reason = "an example that is read from top to bottom"
@@ -153,7 +153,7 @@
     });
     host.pass(60_000);
     host.handle_event(outcome(1, 0, Status::Ok));
-    // The second one fails at once; its class is safe to repeat, so it goes to the other worker.
+    // The second request fails at once. Its class is safe to repeat, so it is retried on the other worker.
     host.handle_event(Event::Request(request(2)));
     host.pass(1_000);
     host.handle_event(outcome(2, 0, Status::Error));
@@ -162,7 +162,7 @@
     host.sent
 }
 
-/// Prints events and actions.
+/// Runs the example, which prints all events and actions.
 pub(crate) fn main() {
     run();
 }
--- a/crates/indigofold/examples/stand_in_worker.rs
+++ b/crates/indigofold/examples/stand_in_worker.rs
@@ -1,10 +1,11 @@
-//! A toy to try the program with: discovery with one machine, and that machine's job worker, in one process.
+//! A minimal peer to try the program with: a discovery service that lists one machine, and that machine's job worker, in one
+//! process.
 //!
 //!     cargo run --example stand_in_worker                                      (in one terminal)
 //!     GW_CONFIG=examples/config.json cargo run                     (in another)
 //!     curl -i -d '' -H 'X-Trace-Id: a-1' http://127.0.0.1:8443/reserve/kit-7
 //!
-//! The job worker takes each job, tells of its start, works for a tenth of a second and is done.
+//! The job worker accepts each job, reports its start, waits for a tenth of a second and reports its result.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -15,7 +16,7 @@
 const DISCOVERY: &str = "127.0.0.1:8500";
 const WORKER: &str = "127.0.0.1:9001";
 
-/// One request: its first line and the header that names the job, read to its end.
+/// Reads one request including its body. Returns the request line and the job id; `None` at the end of the connection.
 fn request(from: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let (mut first, mut trace, mut length) = (String::new(), String::new(), 0);
     from.read_line(&mut first).ok().filter(|n| *n > 0)?;
@@ -45,7 +46,7 @@
     );
 }
 
-/// Serves every connection in a thread of its own.
+/// Serves each connection in a thread of its own.
 fn serve(address: &str, each: fn(String, String, &mut TcpStream)) {
     let listener = TcpListener::bind(address).unwrap_or_else(|e| panic!("{address}: {e}"));
     for stream in listener.incoming().flatten() {
@@ -61,7 +62,7 @@
     }
 }
 
-/// The list never changes: a call for changes waits and brings none.
+/// Answers a call for the machine list. The list never changes, so a call for changes waits and returns none.
 fn discovery(first: String, _: String, to: &mut TcpStream) {
     if let Some(wait) = first
         .split("wait=")
@@ -103,7 +104,7 @@
         link.read_to_end(&mut Vec::new())
     });
     if let Err(error) = sent {
-        println!("{trace}: the scheduler could not be told: {error}");
+        println!("{trace}: the report to {SCHEDULER} failed: {error}");
     }
 }
 
--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -1,5 +1,5 @@
-//! Jobs that say what they are about: where they go, what it may cost to send them elsewhere, and that nothing of
-//! it happens where workers keep nothing.
+//! Subject affinity: jobs of one subject prefer the same worker, which has already fetched the subject's data; when a job
+//! goes to another worker instead; and that affinity has no effect if workers cache nothing.
 
 use indigofold::affinity::{SmoothedWeights, draw, fetch_time, rank};
 use indigofold::api::*;
@@ -36,7 +36,7 @@
 
 const RUN: Time = 1_200 * MS;
 
-/// Lets a started job fetch for so long and run, with its share done told every second, and end.
+/// Lets a started job fetch for the given time and run, with a progress report every second, and end.
 fn finish(s: &mut Harness, id: RequestId, fetch: Time) {
     let mut at = 0;
     while at + SEC < fetch + RUN {
@@ -52,7 +52,7 @@
     s.end(id, 0, Status::Ok);
 }
 
-/// Serves one job; a worker that lacks what it is about fetches it first. Returns the worker.
+/// Serves one job; a worker that hasn't cached the job's subject fetches it first. Returns the worker.
 fn serve(
     s: &mut Harness,
     id: RequestId,
@@ -68,7 +68,8 @@
     worker
 }
 
-/// Jobs in work, so that the next ones about the same find their first worker taken.
+/// Starts jobs of one subject and leaves them running, so that the subject's first worker is busy. Returns the worker of
+/// each job, or `None` for a job that is queued.
 fn start_jobs(s: &mut Harness, ids: std::ops::Range<RequestId>, of: u64) -> Vec<Option<WorkerId>> {
     let mut sent = Vec::new();
     for id in ids {
@@ -119,7 +120,7 @@
 
 #[test]
 fn the_first_progress_report_gives_the_fetch_time() {
-    // Started at 2 s, 0.5 s to fetch, then 2 s of even running: at 3 s a quarter is done.
+    // Started at 2 s, fetches for 0.5 s, then runs evenly for 2 s: at 3 s a quarter is done.
     assert_eq!(
         fetch_time(2 * SEC, progress(3 * SEC, 0.25), 4_500 * MS),
         Some(500_000.0)
@@ -128,19 +129,19 @@
         fetch_time(2 * SEC, progress(3 * SEC, 0.5), 4 * SEC),
         Some(0.0)
     );
-    // Nothing told, told before the start, or at the end: it says nothing.
+    // No report, a report before the start, and a report at the end give no fetch time.
     for report in [None, progress(SEC, 0.2), progress(4 * SEC, 0.9)] {
         assert_eq!(fetch_time(2 * SEC, report, 4 * SEC), None);
     }
-    // A share that says all is done long before the end.
+    // A report of completion long before the end.
     assert_eq!(
         fetch_time(2 * SEC, progress(3 * SEC, 1.0), 4 * SEC),
         Some(0.0)
     );
 }
 
-/// Guards against jobs about the same being spread over all workers, each of which then fetches the same (0.24 of
-/// them on one worker on the second site, where a fetch takes half of a mean run).
+/// Guards against spreading the jobs of one subject over all workers, each of which then fetches the same data. On the
+/// second site, where a fetch takes half of a mean run, only 0.24 of a subject's jobs went to the same worker.
 #[test]
 fn jobs_of_one_subject_go_to_the_same_worker_from_every_dispatcher() {
     let (membership, mut first) = (workers(2, 4), BTreeMap::new());
@@ -179,13 +180,14 @@
     assert_eq!(used.len(), 6, "{sent:?}");
 }
 
-/// Guards against a fetch elsewhere where the wait would be shorter: fetches then fill the slots, and the store.
+/// Guards against a fetch on another worker when waiting for the first one would be shorter: fetches then fill the slots
+/// and the store.
 #[test]
 fn a_job_waits_for_its_first_worker_where_that_is_shorter_than_a_fetch() {
     for (fetch, waits) in [(2 * RUN, true), (RUN / 8, false)] {
         let mut s = stage(&workers(1, 4));
         for id in 0..10 {
-            // The first worker has one, so the next goes elsewhere and shows what that takes.
+            // The first worker is busy with one job, so the next goes to another worker, which shows the fetch time.
             start_jobs(&mut s, 100 + id..101 + id, 1);
             start_jobs(&mut s, 200 + id..201 + id, 1);
             finish(&mut s, 200 + id, fetch);
@@ -196,7 +198,7 @@
     }
 }
 
-/// Where workers keep nothing, what jobs are about must not matter: one subject's jobs spread as any others.
+/// If workers cache nothing, subjects must not matter: jobs of one subject spread like any others.
 #[test]
 fn affinity_is_ignored_once_fetches_cost_nothing() {
     let (mut s, mut keeps) = (stage(&workers(1, 8)), BTreeSet::new());
@@ -213,7 +215,7 @@
     assert!(used.len() >= 5, "{used:?}");
 }
 
-/// Within a kind, the order is a subject's own: with one worker gone only what went first there moves.
+/// Within a kind, each subject ranks the workers on its own: if a worker leaves, only subjects that ranked it first move.
 #[test]
 fn a_departed_worker_moves_only_subjects_it_was_first_choice_for() {
     let ids: Vec<WorkerId> = (0..10).map(|n| 1_000 + 13 * n).collect();
@@ -231,8 +233,8 @@
     assert!(moved == had && (150..=250).contains(&had), "{moved} {had}");
 }
 
-/// Guards against first workers that move with every solution: the `p_k` of a busy moment last for a second, what was
-/// fetched for longer (0.57 of the keys moved while the list stayed the same).
+/// Guards against first workers that change with every solution of the kind weights: weights of a busy moment last for a
+/// second, fetched data lasts longer. 0.57 of the subject keys moved while the membership stayed the same.
 #[test]
 fn affinity_weights_follow_the_solution_slowly() {
     let mut steady = SmoothedWeights::default();
@@ -259,12 +261,13 @@
         (steady.as_slice()[0] - 0.1).abs() < 0.001
             && (steady.as_slice().iter().sum::<f64>() - 1.0).abs() < 1e-9
     );
-    // A kind more: as it is solved.
+    // A change in the number of kinds takes over the solution unsmoothed.
     steady.follow(&[0.2, 0.3, 0.5]);
     assert_eq!(steady.as_slice(), [0.2, 0.3, 0.5]);
 }
 
-/// Guards against a freed slot going to the newest held job, which fetches there, while one whose like goes there waits.
+/// Guards against giving a freed slot to the newest queued job, which must fetch its data there, while a job with affinity
+/// to that worker waits.
 #[test]
 #[allow(
     clippy::too_many_lines,
@@ -278,7 +281,8 @@
         free_slots: Some(1.0),
         ..Load::default()
     };
-    // Reports say that workers have one slot; it is learned what a fetch takes, and late starts leave room for one to wait.
+    // Reports say that workers have one slot. The dispatcher learns the fetch time, and as jobs start late, it lets one job
+    // wait at a worker.
     for id in 0..20 {
         s.handle(about(100 + id, 1));
         s.handle(about(200 + id, 1));
@@ -288,7 +292,7 @@
         finish(&mut s, 200 + id, RUN / 4);
         s.end_with_load(100 + id, 0, Status::Ok, Some(one_slot));
     }
-    // A subject for each worker; nobody else has jobs there.
+    // One subject for each worker, ranked first by that subject.
     let ids: Vec<WorkerId> = workers(1, 3).iter().map(|e| e.worker).collect();
     let mut of = BTreeMap::new();
     for n in 0..30 {
@@ -305,7 +309,7 @@
             load: Some(one_slot),
         });
     }
-    // Each worker has a job; of those that come then one or two wait at workers, the others are held.
+    // Each worker runs one job. Of the following jobs one or two wait at workers, the others are queued.
     let (mut running, mut waiting, mut queued) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     for id in 2_000..2_030 {
         let subject = *of.values().nth(id as usize % 3).expect("three");
@@ -320,7 +324,7 @@
         }
     }
     let newest = queued.last().expect("some are held").1;
-    // All that one worker has ends, the running one first.
+    // All jobs of one worker end, the running one first.
     let (worker, id) = running
         .iter()
         .find(|(worker, _)| of[*worker] != newest)
@@ -338,8 +342,8 @@
     assert_eq!(went, [(*worker, of[worker])]);
 }
 
-/// Guards against a worker that hangs being tried again and again (37 jobs in 17 s on big-1 of the second site, each lost
-/// 1.6 s): where its attempts are given up, nothing that is out there can tell when it is back.
+/// Guards against retrying a hanging worker again and again: on worker big-1 of the second site 37 jobs in 17 s lost 1.6 s
+/// each. When all its attempts have been given up, no attempt is left that could show that it has recovered.
 #[test]
 #[allow(
     clippy::too_many_lines,
@@ -367,10 +371,10 @@
         let mut out = s.actions.clone();
         while !out.iter().any(|a| matches!(a, Action::Send { .. })) {
             out = s.advance(20 * MS);
-            assert!(s.now < since + 10 * SEC, "it is tried again some time");
+            assert!(s.now < since + 10 * SEC, "the worker was not tried again within 10 s");
         }
         gaps.push(s.now - since);
-        // It says that the job started, and then nothing.
+        // The worker reports that the job started, and then nothing more.
         let at = out.iter().find_map(|a| match a {
             Action::Send { request, .. } => Some(*request),
             _ => None,
@@ -390,7 +394,7 @@
         gaps[1] >= SEC && gaps[2] > gaps[1] && gaps[3] > gaps[2],
         "{gaps:?}"
     );
-    // It gets on with a job: it is as any other again at once.
+    // Progress of a job ends the backoff at once.
     s.handle(Event::Request(Request {
         left: 60 * SEC,
         ..request(90, 0)
--- a/crates/indigofold/tests/example.rs
+++ b/crates/indigofold/tests/example.rs
@@ -1,4 +1,4 @@
-//! The example of the README is compiled and run here.
+//! Compiles and runs the `in_process` example, which the README shows.
 
 #[path = "../examples/in_process.rs"]
 mod in_process;
@@ -11,6 +11,6 @@
     assert_eq!(requests, [1, 2, 2]);
     assert_ne!(
         sent[1].1, sent[2].1,
-        "a failed attempt goes to another worker"
+        "the retry of a failed attempt must go to another worker"
     );
 }
--- a/crates/indigofold/tests/exchanges.rs
+++ b/crates/indigofold/tests/exchanges.rs
@@ -1,45 +1,47 @@
-//! Recorded byte exchanges, played against the program. Each file of `tests/exchanges` is one; a line is
+//! Recorded byte exchanges, played against the program. Each file in `tests/exchanges` is one exchange. Its lines are steps:
 //!
-//!     NAME listen                  a stand-in listens; `$NAME` is its address from then on
-//!     known HOSTS                  the discovery list in the configuration (JSON lines of discovery's form)
-//!     set OLD => NEW               changes a text in settings.json
-//!     start platform|faktory|both [sockets=N] [ulimit=N] [unread=1] [tmpdir=no]   starts the program on that; `$gw` is
-//!                                  its address; with `unread` nobody reads its log after the line that says so, and
-//!                                  with `tmpdir=no` it has no $TMPDIR
-//!     replace                     starts the program once more beside the one that runs, which is `old` from then on
-//!     stale                        leaves a socket file in the program's $TMPDIR where nobody answers
-//!     NAME dial [door|faktory]     connects to the program, to its admin endpoint, or to its Faktory front beside
-//!     NAME full                    a listener takes no connection more until it is `open`: one that dials it hears nothing
-//!     NAME quiet                   nobody waits to be accepted by the listener
-//!     NAME dialled                 waits until somebody dials the listener and hears nothing
-//!     NAME open                    connections to the listener come up from now on, late
-//!     NAME accept LISTENER         takes a connection that the program has made
-//!     crowd N BYTES                connects N times as c0, c1 ... and sends; `$n` is the number
-//!     pushers N BYTES              the same to the Faktory front, each after its greeting, up to its first +OK
-//!     visits N BYTES               connects N times, one after another, each until the program has closed it
-//!     scatter                      closes all of these
-//!     NAME > BYTES                 sends; `\r` and `\n` are escapes, `$L` is the length of what follows the head,
-//!                                  `$deep` are 30,000 pairs of brackets in each other
-//!     NAME < PATTERN               waits for bytes that match from the first one on; `*` stands for any, `{3-40}` for a
+//!     NAME listen                  opens a listener of a simulated peer; `$NAME` is its address from then on
+//!     known HOSTS                  sets the machine list in the configuration (hosts in discovery's JSON form)
+//!     set OLD => NEW               replaces a text in the settings
+//!     start platform|faktory|both [sockets=N] [ulimit=N] [unread=1] [tmpdir=no]   starts the program with these front
+//!                                  ends; `$gw` is its address; with `unread` its log isn't read after the line of the
+//!                                  start, and with `tmpdir=no` it has no $TMPDIR
+//!     replace                      starts a second process of the program; the running one is `old` from then on
+//!     stale                        leaves a socket file in the program's $TMPDIR on which no process listens
+//!     NAME dial [door|faktory]     connects to the program's front end, to its admin endpoint, or, if both front ends run,
+//!                                  to the Faktory one
+//!     NAME full                    fills the listener's queue: connections to it hang until it is `open`
+//!     NAME quiet                   checks that no connection waits to be accepted by the listener
+//!     NAME dialled                 waits until a connection to the full listener hangs
+//!     NAME open                    ends `full`: hanging connections are established at their next retransmission
+//!     NAME deaf                    closes the listener
+//!     NAME accept LISTENER         accepts a connection made by the program
+//!     crowd N BYTES                opens N connections c0, c1 ... and sends the bytes on each; `$n` is the number
+//!     pushers N BYTES              the same to the Faktory front end: reads the greeting, sends, reads the first +OK
+//!     visits N BYTES               opens N connections one after another, each until the program has closed it
+//!     scatter                      closes all connections whose names begin with c
+//!     NAME > BYTES                 sends; `\r` and `\n` are escapes, `$L` is the length of the body after the head,
+//!                                  `$deep` is 30,000 nested pairs of brackets
+//!     NAME < PATTERN               waits for bytes that match from the first one on; `*` matches any bytes, `{3-40}` a
 //!                                  whole number from 3 to 40
-//!     NAME close / NAME eof        closes / waits for the other side to close
-//!     NAME leave                   closes, and waits until the program's end of the connection has been told so
-//!     NAME unread                  waits until bytes have come, and leaves them unread
-//!     NAME end                     waits for the other side to close without a reset
+//!     NAME close / NAME eof        closes the connection / waits for the program to close it, with or without a reset
+//!     NAME leave                   closes, and waits until the program's side has acknowledged the close
+//!     NAME unread                  waits until bytes have arrived, and leaves them unread
+//!     NAME end                     waits for the program to close without a reset
 //!     NAME reset                   closes with a reset
-//!     NAME fill COUNT              sends so many bytes of nothing that can be understood
-//!     pause MS                     lets at least so much time pass
-//!     log TEXT                     waits until the log has a line with the text
-//!     config ADDRESS               names another discovery in the configuration file; without one, empties it
-//!     edit OLD => NEW              changes a text in the configuration file
-//!     broken OLD => NEW            the same, but the next such line starts from the file as it was before
-//!     hup / term / exit [old]      sends SIGHUP / SIGTERM / waits for the program to end well
-//!     stop / cont                  stops the program where it is / lets it go on
-//!     kill [old]                   kills the program, and goes on with the old one; or kills that one
-//!     was TEXT                     waits until the old program's log has a line with the text
-//!     runs JOB N                   job workers (names that begin with w) were handed the job N times in all
+//!     NAME fill COUNT              sends this number of bytes that are no valid message
+//!     pause MS                     waits for at least this time
+//!     log TEXT                     waits until the log has a line that contains the text
+//!     config ADDRESS               changes discovery's address in the configuration file; without one, empties the file
+//!     edit OLD => NEW              replaces a text in the configuration file
+//!     broken OLD => NEW            the same, but the next `edit` or `broken` starts from the file before this change
+//!     hup / term / exit [old]      sends SIGHUP / SIGTERM / waits for the program to exit with success
+//!     stop / cont                  sends SIGSTOP / SIGCONT
+//!     kill [old]                   kills the program and continues with the old process; or kills the old process
+//!     was TEXT                     waits until the log of the old process has a line that contains the text
+//!     runs JOB N                   checks that job workers (names that begin with w) received the job N times in total
 //!
-//! Everything waits for an event, and nothing for a time; what does not come fails after `LIMIT`.
+//! Steps wait for events, except for `pause`; an event that doesn't occur within `LIMIT` fails the test.
 
 use rstest::rstest;
 use std::collections::HashMap;
@@ -107,14 +109,15 @@
     }
 }
 
-/// Does the text begin with the pattern? How much of it that takes; `None`: not yet; an error: never.
+/// Matches the start of `text` against a pattern. Returns the length of the match, `None` if more bytes may complete it, or
+/// an error if no further bytes can.
 fn matched(text: &str, pattern: &str) -> Result<Option<usize>, ()> {
     let mut literals = pattern.split('*');
     let Some(mut at) = begins(text, literals.next().unwrap_or(""))? else {
         return Ok(None);
     };
     for literal in literals {
-        // The first place from which on it stands there whole.
+        // `*` ends at the first position where the next literal matches completely.
         let ends = (at..=text.len())
             .filter(|n| text.is_char_boundary(*n))
             .find_map(|n| {
@@ -127,7 +130,7 @@
     Ok(Some(at))
 }
 
-/// The same for a part without a `*`.
+/// Matches a part of a pattern without `*`; returns the same as `matched`.
 fn begins(text: &str, literal: &str) -> Result<Option<usize>, ()> {
     let number = literal.split_once('{').and_then(|(before, rest)| {
         let (range, after) = rest.split_once('}')?;
@@ -150,7 +153,7 @@
     };
     let digits = text[at..].bytes().take_while(u8::is_ascii_digit).count();
     if at + digits == text.len() {
-        return Ok(None); // more of them may come
+        return Ok(None); // more digits may follow
     }
     if !text[at..at + digits]
         .parse()
@@ -169,7 +172,7 @@
             text = text.replace(&format!("${name}"), value);
         }
         let body = text.find("\r\n\r\n").map_or(0, |end| text.len() - end - 4);
-        // The line that names the length is shorter by then, but the body stays the same.
+        // Replacing `$L` changes the length of the head, but not that of the body.
         text.replace("$L", &body.to_string())
     }
 
@@ -186,9 +189,9 @@
             std::thread::current().id()
         );
         let path = dir.join(name.replace(['(', ')'], ""));
-        // A limit lower than the one in the configuration, as another program's share would make it.
+        // A descriptor limit below the one in the configuration, as on a machine shared with other programs.
         let limit = given("ulimit").map_or(String::new(), |n| format!("ulimit -n {n}; "));
-        // The path of a socket is short.
+        // The path of a Unix socket is limited in length, so the folder is directly below the temporary one.
         if self.dir.as_os_str().is_empty() {
             self.dir = std::env::temp_dir().join(name.replace(['(', ')'], "").replace("json", "d"));
         }
@@ -256,7 +259,7 @@
                 let _ = log_output.send(entry);
                 if last {
                     loop {
-                        std::thread::park(); // the reader stays open
+                        std::thread::park(); // keeps the pipe open without reading it
                     }
                 }
             }
@@ -316,7 +319,7 @@
                     break;
                 }
                 Ok(None) => {}
-                Err(()) => panic!("{name}: wanted {pattern:?}, got {text:?}"),
+                Err(()) => panic!("{name}: expected {pattern:?}, received {text:?}"),
             }
             let mut bytes = [0; 4096];
             match stream.read(&mut bytes) {
@@ -329,7 +332,7 @@
                             .extend(&bytes[..count]);
                     }
                 }
-                other => panic!("{name}: wanted {pattern:?}, got {text:?}, then {other:?}"),
+                other => panic!("{name}: expected {pattern:?}, received {text:?}, then {other:?}"),
             }
         }
         if let Some(salt) = pattern
@@ -342,7 +345,7 @@
         }
     }
 
-    /// The salt of a greeting: the pattern `+HI ` leaves it to be read here, up to the end of its line.
+    /// Reads the rest of a greeting, after the pattern `+HI ` has matched, and returns its salt; `None` if there is none.
     fn salt(&mut self, name: &str) -> Option<String> {
         let (_, got) = self.links.get_mut(name)?;
         let text = String::from_utf8_lossy(got).into_owned();
@@ -377,7 +380,7 @@
         }
     }
 
-    /// A step that changes the configuration or the folder of the program.
+    /// Executes a step that changes the configuration or the program's temporary folder.
     fn change_files(&mut self, (name, verb): (&str, &str), rest: &str) {
         match (name, verb) {
             ("known", _) => self.known = rest.into(),
@@ -412,7 +415,7 @@
         }
     }
 
-    /// A step that opens or closes many connections.
+    /// Executes a step that opens or closes many connections.
     fn open_many(&mut self, (name, verb): (&str, &str), more: &str) {
         match (name, verb) {
             ("crowd", count) => {
@@ -442,7 +445,7 @@
         }
     }
 
-    /// A step that starts, signals or observes the program.
+    /// Executes a step that starts, signals or observes the program.
     #[allow(
         clippy::too_many_lines,
         reason = "one scenario, in the order in which it happens"
@@ -497,7 +500,7 @@
         }
     }
 
-    /// A step on a listener of a stand-in.
+    /// Executes a step on a listener of a simulated peer.
     #[allow(
         clippy::too_many_lines,
         reason = "one scenario, in the order in which it happens"
@@ -512,8 +515,8 @@
             }
             (_, "full") => {
                 let listener = &self.listeners[name];
-                // A queue of none holds one connection all the same; what comes then hears nothing, and dials again
-                // after one second, three, and seven.
+                // A queue of length 0 still holds one connection. Further connections get no reply, and the kernel retries
+                // them after one second, three, and seven.
                 rustix::net::listen(listener, 0).expect("a short queue");
                 let filler = TcpStream::connect(listener.local_addr().expect("an address"));
                 self.fillers
@@ -527,7 +530,7 @@
                 assert_eq!(
                     came.err(),
                     Some(std::io::ErrorKind::WouldBlock),
-                    "somebody has dialled {name}"
+                    "a connection to {name} waits, none is expected"
                 );
             }
             (_, "dialled") => {
@@ -540,7 +543,7 @@
                     .expect("a table")
                     .contains(&to)
                 {
-                    assert!(Instant::now() < until, "nobody dials {name}");
+                    assert!(Instant::now() < until, "no connection to {name} hangs after {LIMIT:?}");
                     std::thread::sleep(Duration::from_millis(5));
                 }
             }
@@ -555,7 +558,7 @@
         }
     }
 
-    /// A step on one connection.
+    /// Executes a step on one connection.
     #[allow(
         clippy::too_many_lines,
         reason = "one scenario, in the order in which it happens"
@@ -569,14 +572,14 @@
             }
             (_, "leave") => {
                 let (stream, _) = self.links.remove(name).expect("a connection");
-                // With this, closing waits until the close has been acknowledged.
+                // With SO_LINGER, closing the socket waits until the peer has acknowledged the close.
                 rustix::net::sockopt::set_socket_linger(&stream, Some(LIMIT)).expect("a close");
             }
             (_, "unread") => {
                 let (stream, got) = self.links.get_mut(name).expect("a connection");
                 assert!(
                     got.is_empty(),
-                    "nothing has been read beyond what was expected"
+                    "{name}: bytes beyond the expected ones have been read"
                 );
                 let count = stream.peek(&mut [0]).expect("bytes to be read");
                 assert_eq!(count, 1, "{name} was closed");
@@ -608,7 +611,7 @@
                 std::thread::spawn(move || to.send(listener.accept()));
                 let accepted = from
                     .recv_timeout(LIMIT)
-                    .unwrap_or_else(|_| panic!("nobody dialled {more}"));
+                    .unwrap_or_else(|_| panic!("no connection to {more} within {LIMIT:?}"));
                 let stream = accepted.expect("a connection").0;
                 self.take(name, stream);
             }
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -1,5 +1,5 @@
-//! The Faktory front with stand-ins: clients, job workers and a plain Faktory server, which shows that the
-//! scenes see what they look for. Runs are counted by the job workers.
+//! The Faktory front end with test clients and test job workers, which count the runs of each job. A plain Faktory server
+//! serves as control: tests against it show that the scenarios detect a second run.
 
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -20,10 +20,10 @@
 use std::time::Duration;
 
 const SETTINGS: &str = include_str!("exchanges/settings.json");
-/// Fetches that a job worker tries at the most: each waits up to two seconds, so a scene that fails ends.
+/// Maximum number of fetches of a job worker. Each waits up to two seconds, so a scenario that fails still ends.
 const MAX_FETCHES: usize = 60;
-/// How long the plain server lets a FETCH wait. It used to answer at once, and a job worker had tried often enough before
-/// a client's thread had begun.
+/// How long a FETCH waits at the plain server. When the server answered at once, a job worker used up its fetches before the
+/// client's thread had started.
 const FETCH: Duration = Duration::from_secs(2);
 const PASSWORD: &str = "sesame";
 
@@ -38,7 +38,7 @@
     )
 }
 
-/// The program on the operator's file; killed at the end of its test.
+/// The program, started with an operator's file, and its address; killed when dropped.
 struct Program(Child, String);
 
 impl Program {
@@ -76,7 +76,7 @@
     }
 }
 
-/// A stand-in: a client, or with a `wid` a job worker.
+/// A test client, or a test job worker if it connects with a `wid`.
 struct Client(BufReader<TcpStream>);
 
 impl Client {
@@ -161,8 +161,8 @@
     runs.lock().expect("runs").len()
 }
 
-/// A plain Faktory server, from the protocol's specification: one queue, PUSH is answered when the job is taken
-/// in, FETCH waits a while for a job, and what a lost connection had fetched is given out again.
+/// Starts a plain Faktory server as the protocol's specification describes it: one queue; PUSH is answered when the job is
+/// queued; FETCH waits for a job for a limited time; jobs fetched by a lost connection are queued again. Returns its address.
 #[allow(
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
@@ -218,7 +218,8 @@
     address
 }
 
-/// A `reserve` job is fetched, the job worker's connection is lost, and it fetches again until there is nothing.
+/// Returns how often a `reserve` job runs if its job worker loses the connection after the fetch, reconnects, and fetches
+/// until it gets no job.
 fn runs_after_a_reconnect(address: &str) -> usize {
     let runs = Runs::default();
     let mut worker = Client::connect(address, "w-1", 7);
@@ -226,12 +227,12 @@
     let client = spawn(move || Client::connect(&to, "", 1).push("job-00001", "reserve", 5000));
     assert!(
         (0..MAX_FETCHES).any(|_| worker.fetch(&runs).is_some()),
-        "the job never came"
+        "no fetch returned the job"
     );
     drop(worker);
     let mut worker = Client::connect(address, "w-1", 7);
     while count(&runs, "job-00001") < 2 && worker.fetch(&runs).is_some() {}
-    // The plain server gives the job out a moment after the connection is lost; it is asked once more.
+    // The plain server queues the job again shortly after the connection is lost, so one more fetch is made.
     if count(&runs, "job-00001") < 2 {
         worker.fetch(&runs);
     }
@@ -242,7 +243,7 @@
 
 #[test]
 fn a_reserve_job_is_not_run_twice_when_its_worker_reconnects() {
-    // Guards against a second booking of stock; a server that gives lost jobs out again makes two.
+    // Guards against booking stock twice, which a server that queues lost jobs again would do.
     let program = Program::start("again", "9000000");
     assert_eq!(runs_after_a_reconnect(&program.1), 1);
 }
@@ -253,7 +254,7 @@
     assert_eq!(
         runs_after_a_reconnect(&address),
         2,
-        "the plain server gave nothing out again"
+        "the plain server did not hand out the job a second time"
     );
 }
 
@@ -279,7 +280,7 @@
     assert_eq!(count(&runs, "job-00001"), 1);
 }
 
-/// Jobs of both classes from four clients over two job workers: all served, each run once.
+/// Jobs of both classes from four clients run on two job workers: all are served, and each runs once.
 #[rstest]
 #[case::program(true)]
 #[case::plain_server(false)]
@@ -325,7 +326,7 @@
     );
 }
 
-/// How many of twenty jobs that come at once are handed to a machine that has just started.
+/// Returns how many of twenty jobs, pushed at once, are handed to a machine that has just started.
 fn assigned_at_once(name: &str, warm_after: &str, deadline: u32) -> usize {
     let program = Program::start(name, warm_after);
     let runs = Runs::default();
@@ -349,7 +350,7 @@
 
 #[test]
 fn a_machine_in_warm_up_is_assigned_few_jobs_and_a_warm_one_all() {
-    // A cold machine's budget lets two seconds of its present capacity through at most, here five jobs.
+    // The budget of a cold machine admits at most two seconds of its present capacity, here five jobs.
     let warming_up = assigned_at_once("cold", "9000000000", 400);
     assert!(
         warming_up <= 6,
@@ -409,11 +410,11 @@
             }
             link
         };
-        // A start: there, and cold from now on.
+        // The first start makes the machine active; its warm-up starts now.
         let mut first = connect(7).await;
         let (scope, state, initial_capacity) = next().await;
         assert!(scope == Scope::Delta && state == WorkerState::Active && initial_capacity >= begun);
-        // A drain, and its end: not cold again.
+        // A drain and its end don't restart the warm-up.
         first
             .write_all(b"BEAT {\"wid\":\"w-1\",\"current_state\":\"quiet\"}\r\n")
             .await
@@ -430,17 +431,17 @@
             next().await,
             (Scope::Delta, WorkerState::Active, initial_capacity)
         );
-        // Another process under the name: cold again.
+        // Another process under the same wid restarts the warm-up.
         let second = connect(8).await;
         let (_, state, retried) = next().await;
         assert!(state == WorkerState::Active && retried > initial_capacity);
-        // Its connections are gone and none comes: so is the machine.
+        // All connections are closed and none is made again, so the machine leaves.
         drop((first, second));
         assert_eq!(next().await, (Scope::Delta, WorkerState::Left, retried));
     }));
 }
 
-/// Guards against files for newcomers and operators that the program cannot read.
+/// Guards against example and deployment files that the program can't read.
 #[test]
 fn shipped_configuration_files_are_valid() {
     let example = include_str!("../examples/config.json").as_bytes().to_vec();
--- a/crates/indigofold/tests/replay_on_sockets.rs
+++ b/crates/indigofold/tests/replay_on_sockets.rs
@@ -1,5 +1,5 @@
-//! The laboratory's ground on sockets plays the program itself: a jump, a hang and a crash in twelve seconds, with all rules
-//! checked, and nearly the figure of virtual time.
+//! Runs a replay scenario against the program over real sockets: a load jump, a hang and a crash within twelve seconds. All
+//! rules are checked, and the load is the same as in virtual time.
 
 use indigofold_replay::load::Made;
 use indigofold_replay::scenario::{self, Fault, FaultKind, Jump, Scenario};
@@ -17,7 +17,7 @@
         times: 2.0,
         edge_s: 0.2,
     }];
-    // Few and slow job workers, so that little load fills them, on a busy machine too.
+    // Few job workers with few cores, so that a low rate fills them, which a busy test machine can still generate.
     s.kinds.truncate(1);
     s.kinds[0].count = 6;
     s.kinds[0].cores = 4;
@@ -49,11 +49,11 @@
     assert!(run.verdict.kept(), "{:?}", run.verdict.examples);
     assert_eq!(
         run.outcome.counts[0], virt.outcome.counts[0],
-        "the same load on both grounds"
+        "the load on sockets and in virtual time must be the same"
     );
     let ends: u64 = run.outcome.ends.iter().sum();
-    assert_eq!(ends, run.outcome.counts[0], "each first try ends once");
-    // Speed is no matter of a test: most jobs are served, in time or not.
+    assert_eq!(ends, run.outcome.counts[0], "each first try must end once");
+    // The test doesn't depend on speed: most jobs are served, in time or late.
     assert!(
         run.outcome.ends[0] + run.outcome.ends[1] > ends * 8 / 10,
         "{:?}",
--- a/crates/indigofold/tests/wire.rs
+++ b/crates/indigofold/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The text protocol: round trips, bad input, and the built adapter as a process.
+//! The simulator's text protocol: round trips, invalid input, and the adapter program run as a process.
 
 use indigofold::wire::Session;
 use proptest::prelude::*;
@@ -227,7 +227,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    // It may end before it has read everything; that is what some of these tests ask for.
+    // Some tests expect the adapter to exit before it has read all of its input, so a failed write is ignored.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
@@ -308,7 +308,7 @@
     );
 }
 
-/// Legal lines of every message, to be damaged below.
+/// A valid line of each message, to be damaged by the property test.
 const LEGAL: [&str; 12] = [
     "ACCEPT requestId=c:zq7 type=read realm=t0 left=6000000 needs=1 mem=0.5",
     "HINT_UPDATE requestId=c:zq7 trial=0 worker=11 what=1 level=0",
@@ -326,7 +326,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), cases: 400, ..ProptestConfig::default() })]
-    /// Cut, doubled and overwritten lines either mean something or end with a plain message; never a fault.
+    /// Cut, doubled and overwritten lines are either accepted or rejected with a one-line error; they never cause a fault.
     #[test]
     fn damaged_input_is_accepted_or_rejected_with_its_position(
         damage in prop::collection::vec((0..LEGAL.len(), 0usize..120, 0u8..4, any::<char>()), 1..12),
@@ -356,7 +356,7 @@
     }
 }
 
-/// Settings of the further rules: read when right, one plain message with the line when not.
+/// Optional rules are accepted if valid; otherwise the error is one line that names the input line and the key.
 #[test]
 fn optional_rules_must_be_nonnegative_numbers() {
     let with = |extra: &str| {
