--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -61,7 +61,9 @@
     fetch: Time,
 ) -> WorkerId {
     s.handle(about(id, of));
-    let worker = s.sent_to(id).expect("a worker is free");
+    let worker = s
+        .sent_to(id)
+        .expect("the job must be sent, as a worker is free");
     s.start(id, 0);
     let fetch = if keeps.insert((worker, of)) { fetch } else { 0 };
     finish(s, id, fetch);
@@ -299,7 +301,7 @@
         let first = *ids
             .iter()
             .min_by(|a, b| rank(n, **a).total_cmp(&rank(n, **b)))
-            .expect("three");
+            .expect("there must be three workers");
         of.entry(first).or_insert(n);
     }
     for worker in ids {
@@ -312,7 +314,10 @@
     // Each worker runs one job. Of the following jobs one or two wait at workers, the others are queued.
     let (mut running, mut waiting, mut queued) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     for id in 2_000..2_030 {
-        let subject = *of.values().nth(id as usize % 3).expect("three");
+        let subject = *of
+            .values()
+            .nth(id as usize % 3)
+            .expect("there must be three subjects");
         s.handle(about(id, subject));
         match s.sent_to(id) {
             Some(worker) if !running.contains_key(&worker) => {
@@ -323,12 +328,12 @@
             None => queued.push((id, subject)),
         }
     }
-    let newest = queued.last().expect("some are held").1;
+    let newest = queued.last().expect("some jobs must be queued").1;
     // All jobs of one worker end, the running one first.
     let (worker, id) = running
         .iter()
         .find(|(worker, _)| of[*worker] != newest)
-        .expect("another worker");
+        .expect("another worker must run a job");
     s.end_with_load(*id, 0, Status::Ok, Some(one_slot));
     let nobody = queued.iter().all(|(job, _)| s.sent_to(*job).is_none());
     for id in waiting.get(worker).into_iter().flatten() {
@@ -371,7 +376,10 @@
         let mut out = s.actions.clone();
         while !out.iter().any(|a| matches!(a, Action::Send { .. })) {
             out = s.advance(20 * MS);
-            assert!(s.now < since + 10 * SEC, "the worker was not tried again within 10 s");
+            assert!(
+                s.now < since + 10 * SEC,
+                "the worker was not tried again within 10 s"
+            );
         }
         gaps.push(s.now - since);
         // The worker reports that the job started, and then nothing more.
@@ -379,7 +387,7 @@
             Action::Send { request, .. } => Some(*request),
             _ => None,
         });
-        let at = at.expect("sent");
+        let at = at.expect("a job must be sent");
         s.start(at, 0);
         let given_up = s.advance(2 * SEC);
         let cancel = given_up
--- a/crates/indigofold/tests/exchanges.rs
+++ b/crates/indigofold/tests/exchanges.rs
@@ -195,7 +195,7 @@
         if self.dir.as_os_str().is_empty() {
             self.dir = std::env::temp_dir().join(name.replace(['(', ')'], "").replace("json", "d"));
         }
-        std::fs::create_dir_all(&self.dir).expect("a folder");
+        std::fs::create_dir_all(&self.dir).expect("cannot create the program's folder");
         let (settings, known) = (&self.settings, self.filled(&self.known));
         let faktory = format!(
             r#"{{"listen":"127.0.0.1:0","password":"sesame","iterations":3,"settings":{settings},
@@ -212,9 +212,10 @@
             )
         };
         if front == "both" {
-            std::fs::write(path.with_extension("faktory"), faktory).expect("a file");
+            std::fs::write(path.with_extension("faktory"), faktory)
+                .expect("Faktory file not written");
         }
-        std::fs::write(&path, &text).expect("a configuration");
+        std::fs::write(&path, &text).expect("cannot write the configuration file");
         self.file = (path, text);
         let unset = if given("tmpdir") == Some("no") {
             "unset TMPDIR; "
@@ -250,9 +251,17 @@
             command.env("INDIGOFOLD_FAKTORY", self.file.0.with_extension("faktory"));
         }
         self.front = front.into();
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program");
+        let mut child = command
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("cannot start the program");
         let (log_output, log) = channel();
-        let reader = BufReader::new(child.stderr.take().expect("a log"));
+        let reader = BufReader::new(
+            child
+                .stderr
+                .take()
+                .expect("the program's stderr must be piped"),
+        );
         std::thread::spawn(move || {
             for entry in reader.lines().map_while(Result::ok) {
                 let last = unread && entry.contains("start front=");
@@ -282,14 +291,17 @@
             let address = entry
                 .rsplit("listen=")
                 .next()
-                .expect("an address")
+                .expect("the log line must end with listen=ADDRESS")
                 .to_string();
             self.vars.insert(name.into(), address);
         }
     }
 
     fn wait_for_log(&mut self, text: &str) -> String {
-        self.program.as_mut().expect("started").wait_for_log(text)
+        self.program
+            .as_mut()
+            .expect("process not started")
+            .wait_for_log(text)
     }
 
     fn named(&mut self, name: &str) -> &mut Program {
@@ -299,18 +311,23 @@
             &mut self.program
         }
         .as_mut()
-        .expect("started")
+        .expect("process not started")
     }
 
     fn take(&mut self, name: &str, stream: TcpStream) {
-        stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
-        stream.set_nodelay(true).expect("no delay");
+        stream
+            .set_read_timeout(Some(LIMIT))
+            .expect("cannot set the read timeout");
+        stream.set_nodelay(true).expect("cannot set TCP_NODELAY");
         self.links.insert(name.into(), (stream, Vec::new()));
     }
 
     fn expect(&mut self, name: &str, pattern: &str) {
         let pattern = self.filled(pattern);
-        let (stream, got) = self.links.get_mut(name).expect("a connection");
+        let (stream, got) = self
+            .links
+            .get_mut(name)
+            .expect("no open connection has this name");
         loop {
             let text = String::from_utf8_lossy(got).into_owned();
             match matched(&text, &pattern) {
@@ -385,28 +402,35 @@
         match (name, verb) {
             ("known", _) => self.known = rest.into(),
             ("set", _) => {
-                let (old, new) = rest.split_once(" => ").expect("OLD => NEW");
+                let (old, new) = rest
+                    .split_once(" => ")
+                    .expect("the step must have the form OLD => NEW");
                 assert!(self.settings.contains(old), "{old} is not in the settings");
                 self.settings = self.settings.replace(old, new);
             }
             ("stale", _) => {
                 let hash = indigofold::config::hash("127.0.0.1:0");
                 self.dir = std::env::temp_dir().join(format!("stale-{}", std::process::id()));
-                std::fs::create_dir_all(&self.dir).expect("a folder");
+                std::fs::create_dir_all(&self.dir).expect("cannot create the program's folder");
                 let path = self.dir.join(format!("indigofold-{hash:016x}.sock"));
-                drop(std::os::unix::net::UnixListener::bind(path).expect("a socket"));
+                drop(
+                    std::os::unix::net::UnixListener::bind(path)
+                        .expect("cannot bind the stale socket"),
+                );
             }
             ("config", _) => {
                 let (path, old) = &self.file;
                 let new = old.replace(&self.vars["disc"], &self.filled(rest));
                 std::fs::write(path, if rest.is_empty() { "" } else { &new })
-                    .expect("a configuration");
+                    .expect("cannot write the configuration file");
             }
             ("edit" | "broken", _) => {
-                let (old, new) = rest.split_once(" => ").expect("OLD => NEW");
+                let (old, new) = rest
+                    .split_once(" => ")
+                    .expect("the step must have the form OLD => NEW");
                 assert!(self.file.1.contains(old), "{old} is not in the file");
                 let text = self.file.1.replace(old, new);
-                std::fs::write(&self.file.0, &text).expect("a configuration");
+                std::fs::write(&self.file.0, &text).expect("cannot write the configuration file");
                 if name == "edit" {
                     self.file.1 = text;
                 }
@@ -419,13 +443,13 @@
     fn open_many(&mut self, (name, verb): (&str, &str), more: &str) {
         match (name, verb) {
             ("crowd", count) => {
-                for n in 0..count.parse().expect("a number") {
+                for n in 0..count.parse().expect("the step needs a number") {
                     self.execute(&format!("c{n} dial"));
                     self.execute(&format!("c{n} > {}", more.replace("$n", &n.to_string())));
                 }
             }
             ("pushers", count) => {
-                for n in 0..count.parse().expect("a number") {
+                for n in 0..count.parse().expect("the step needs a number") {
                     self.execute(&format!("c{n} dial faktory"));
                     self.execute(&format!("c{n} < +HI "));
                     self.execute(&format!("c{n} > {}", more.replace("$n", &n.to_string())));
@@ -433,11 +457,19 @@
                 }
             }
             ("visits", count) => {
-                for _ in 0..count.parse().expect("a number") {
+                for _ in 0..count.parse().expect("the step needs a number") {
                     self.execute("visit dial");
                     self.execute(&format!("visit > {more}"));
-                    let (stream, got) = self.links.get_mut("visit").expect("a connection");
-                    assert!(stream.read_to_end(got).expect("an answer and the end") > 0);
+                    let (stream, got) = self
+                        .links
+                        .get_mut("visit")
+                        .expect("no open connection has this name");
+                    assert!(
+                        stream
+                            .read_to_end(got)
+                            .expect("cannot read an answer up to the end")
+                            > 0
+                    );
                 }
             }
             ("scatter", _) => self.links.retain(|name, _| !name.starts_with('c')),
@@ -463,13 +495,19 @@
                     .child
                     .kill()
                     .and_then(|()| program.child.wait())
-                    .expect("an end");
+                    .expect("cannot wait for the program's end");
                 let old = self.old.take();
                 if rest != "old" {
                     self.program = old;
                 }
             }
-            ("was", _) => _ = self.old.as_mut().expect("started").wait_for_log(rest),
+            ("was", _) => {
+                _ = self
+                    .old
+                    .as_mut()
+                    .expect("process not started")
+                    .wait_for_log(rest);
+            }
             ("log", _) => _ = self.wait_for_log(&self.filled(rest)),
             ("runs", job) => {
                 let (id, trace) = (
@@ -486,15 +524,20 @@
                 let kill = Command::new("kill")
                     .args([format!("-{signal}"), id.to_string()])
                     .status();
-                assert!(kill.expect("kill").success());
+                assert!(kill.expect("cannot run kill").success());
             }
             ("exit", _) => {
                 let program = self.named(rest);
-                let status = program.child.wait().expect("an end");
+                let status = program
+                    .child
+                    .wait()
+                    .expect("cannot wait for the program's end");
                 assert!(status.success(), "{status}, {:#?}", program.log);
             }
             ("pause", ms) => {
-                std::thread::sleep(Duration::from_millis(ms.parse().expect("a number")));
+                std::thread::sleep(Duration::from_millis(
+                    ms.parse().expect("the step needs a number"),
+                ));
             }
             _ => panic!("no such step: {name} {verb}"),
         }
@@ -508,8 +551,12 @@
     fn use_listener(&mut self, name: &str, verb: &str) {
         match (name, verb) {
             (_, "listen") => {
-                let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-                let address = listener.local_addr().expect("an address").to_string();
+                let listener =
+                    TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
+                let address = listener
+                    .local_addr()
+                    .expect("the listener must have an address")
+                    .to_string();
                 self.vars.insert(name.into(), address);
                 self.listeners.insert(name.into(), listener);
             }
@@ -517,16 +564,26 @@
                 let listener = &self.listeners[name];
                 // A queue of length 0 still holds one connection. Further connections get no reply, and the kernel retries
                 // them after one second, three, and seven.
-                rustix::net::listen(listener, 0).expect("a short queue");
-                let filler = TcpStream::connect(listener.local_addr().expect("an address"));
-                self.fillers
-                    .insert(name.into(), filler.expect("a place in the queue"));
+                rustix::net::listen(listener, 0).expect("cannot shorten the queue");
+                let filler = TcpStream::connect(
+                    listener
+                        .local_addr()
+                        .expect("the listener must have an address"),
+                );
+                self.fillers.insert(
+                    name.into(),
+                    filler.expect("cannot connect to fill the queue"),
+                );
             }
             (_, "quiet") => {
                 let listener = &self.listeners[name];
-                listener.set_nonblocking(true).expect("a listener");
+                listener
+                    .set_nonblocking(true)
+                    .expect("cannot set the listener's blocking mode");
                 let came = listener.accept().map_err(|e| e.kind());
-                listener.set_nonblocking(false).expect("a listener");
+                listener
+                    .set_nonblocking(false)
+                    .expect("cannot set the listener's blocking mode");
                 assert_eq!(
                     came.err(),
                     Some(std::io::ErrorKind::WouldBlock),
@@ -536,21 +593,28 @@
             (_, "dialled") => {
                 let port = self.listeners[name]
                     .local_addr()
-                    .expect("an address")
+                    .expect("the listener must have an address")
                     .port();
                 let (to, until) = (format!(":{port:04X} 02 "), Instant::now() + LIMIT);
                 while !std::fs::read_to_string("/proc/net/tcp")
-                    .expect("a table")
+                    .expect("cannot read /proc/net/tcp")
                     .contains(&to)
                 {
-                    assert!(Instant::now() < until, "no connection to {name} hangs after {LIMIT:?}");
+                    assert!(
+                        Instant::now() < until,
+                        "no connection to {name} hangs after {LIMIT:?}"
+                    );
                     std::thread::sleep(Duration::from_millis(5));
                 }
             }
             (_, "open") => {
                 let listener = &self.listeners[name];
-                drop(listener.accept().expect("the one that filled the queue"));
-                rustix::net::listen(listener, 128).expect("a queue");
+                drop(
+                    listener
+                        .accept()
+                        .expect("cannot accept the connection that filled the queue"),
+                );
+                rustix::net::listen(listener, 128).expect("cannot restore the queue length");
                 self.fillers.remove(name);
             }
             (_, "deaf") => _ = self.listeners.remove(name),
@@ -566,33 +630,53 @@
     fn use_connection(&mut self, (name, verb): (&str, &str), more: &str) {
         match (name, verb) {
             (_, "reset") => {
-                let (stream, _) = self.links.remove(name).expect("a connection");
+                let (stream, _) = self
+                    .links
+                    .remove(name)
+                    .expect("no open connection has this name");
                 rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO))
-                    .expect("a reset");
+                    .expect("cannot set SO_LINGER");
             }
             (_, "leave") => {
-                let (stream, _) = self.links.remove(name).expect("a connection");
+                let (stream, _) = self
+                    .links
+                    .remove(name)
+                    .expect("no open connection has this name");
                 // With SO_LINGER, closing the socket waits until the peer has acknowledged the close.
-                rustix::net::sockopt::set_socket_linger(&stream, Some(LIMIT)).expect("a close");
+                rustix::net::sockopt::set_socket_linger(&stream, Some(LIMIT))
+                    .expect("cannot set SO_LINGER");
             }
             (_, "unread") => {
-                let (stream, got) = self.links.get_mut(name).expect("a connection");
+                let (stream, got) = self
+                    .links
+                    .get_mut(name)
+                    .expect("no open connection has this name");
                 assert!(
                     got.is_empty(),
                     "{name}: bytes beyond the expected ones have been read"
                 );
-                let count = stream.peek(&mut [0]).expect("bytes to be read");
+                let count = stream
+                    .peek(&mut [0])
+                    .expect("no bytes to be read have arrived");
                 assert_eq!(count, 1, "{name} was closed");
             }
             (_, "fill") => {
-                let (stream, _) = self.links.get_mut(name).expect("a connection");
+                let (stream, _) = self
+                    .links
+                    .get_mut(name)
+                    .expect("no open connection has this name");
                 stream
-                    .write_all(&vec![b'x'; more.parse().expect("a number")])
-                    .expect("sent");
+                    .write_all(&vec![b'x'; more.parse().expect("the step needs a number")])
+                    .expect("cannot send");
             }
             (_, "end") => {
-                let (stream, got) = self.links.get_mut(name).expect("a connection");
-                stream.read_to_end(got).expect("an end without a reset");
+                let (stream, got) = self
+                    .links
+                    .get_mut(name)
+                    .expect("no open connection has this name");
+                stream
+                    .read_to_end(got)
+                    .expect("the program must close without a reset");
                 assert!(
                     got.is_empty(),
                     "{name}: {:?} before the end",
@@ -602,28 +686,36 @@
             (_, "dial") => {
                 let stream =
                     TcpStream::connect(&self.vars[if more.is_empty() { "gw" } else { more }])
-                        .expect("the program listens");
+                        .expect("cannot connect to the program");
                 self.take(name, stream);
             }
             (_, "accept") => {
-                let listener = self.listeners[more].try_clone().expect("a copy");
+                let listener = self.listeners[more]
+                    .try_clone()
+                    .expect("cannot clone the listener");
                 let (to, from) = channel();
                 std::thread::spawn(move || to.send(listener.accept()));
                 let accepted = from
                     .recv_timeout(LIMIT)
                     .unwrap_or_else(|_| panic!("no connection to {more} within {LIMIT:?}"));
-                let stream = accepted.expect("a connection").0;
+                let stream = accepted.expect("cannot accept a connection").0;
                 self.take(name, stream);
             }
             (_, ">") => {
                 let text = self.filled(more);
-                let (stream, _) = self.links.get_mut(name).expect("a connection");
-                stream.write_all(text.as_bytes()).expect("sent");
+                let (stream, _) = self
+                    .links
+                    .get_mut(name)
+                    .expect("no open connection has this name");
+                stream.write_all(text.as_bytes()).expect("cannot send");
             }
             (_, "<") => self.expect(name, more),
             (_, "close") => _ = self.links.remove(name),
             (_, "eof") => {
-                let (stream, got) = self.links.get_mut(name).expect("a connection");
+                let (stream, got) = self
+                    .links
+                    .get_mut(name)
+                    .expect("no open connection has this name");
                 let end = stream.read_to_end(got);
                 let reset = |e: std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
                 assert!(
@@ -643,7 +735,7 @@
 
 #[rstest]
 fn recorded_exchange(#[files("tests/exchanges/*.txt")] path: PathBuf) {
-    let text = std::fs::read_to_string(&path).expect("an exchange");
+    let text = std::fs::read_to_string(&path).expect("cannot read the exchange file");
     let mut stage = Stage::default();
     stage.settings = SETTINGS.into();
     stage.vars.insert(
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -48,22 +48,27 @@
             env!("CARGO_TARGET_TMPDIR"),
             std::process::id()
         );
-        std::fs::write(&path, file(warm_after)).expect("a file");
+        std::fs::write(&path, file(warm_after)).expect("cannot write the operator's file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_indigofold"));
         command
             .env("INDIGOFOLD_FAKTORY", path)
             .env_remove("GW_CONFIG")
             .stderr(Stdio::piped());
-        let mut child = command.spawn().expect("the program");
-        let mut log = BufReader::new(child.stderr.take().expect("a log"));
+        let mut child = command.spawn().expect("cannot start the program");
+        let mut log = BufReader::new(
+            child
+                .stderr
+                .take()
+                .expect("the program's stderr must be piped"),
+        );
         let mut text = String::new();
-        log.read_line(&mut text).expect("a line");
+        log.read_line(&mut text).expect("cannot read a line");
         spawn(move || log.lines().for_each(drop));
         let address = text
             .trim()
             .rsplit("listen=")
             .next()
-            .expect("an address")
+            .expect("the first log line must end with the address")
             .to_string();
         Program(child, address)
     }
@@ -81,21 +86,26 @@
 
 impl Client {
     fn connect(address: &str, wid: &str, pid: u32) -> Self {
-        let stream = TcpStream::connect(address).expect("a server");
+        let stream = TcpStream::connect(address).expect("cannot connect to the server");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
-            .expect("a time-out");
+            .expect("cannot set the read timeout");
         let mut client = Client(BufReader::new(stream));
         let hi = client.read_reply();
         let field = |key: &str| {
-            hi.split(key)
-                .nth(1)
-                .map(|t| t.split([',', '}', '"']).next().expect("a value"))
+            hi.split(key).nth(1).map(|t| {
+                t.split([',', '}', '"'])
+                    .next()
+                    .expect("the greeting's field must have a value")
+            })
         };
         let mut hash = String::new();
         if let (Some(salt), Some(times)) = (field("\"s\":\""), field("\"i\":")) {
             let mut bytes = Sha256::digest(format!("{PASSWORD}{salt}"));
-            (1..times.parse().expect("a number")).for_each(|_: u32| bytes = Sha256::digest(bytes));
+            (1..times
+                .parse()
+                .expect("the greeting must give a number of iterations"))
+                .for_each(|_: u32| bytes = Sha256::digest(bytes));
             hash = bytes.iter().map(|b| format!("{b:02x}")).collect();
         }
         let hello = format!(
@@ -107,7 +117,7 @@
 
     fn read_reply(&mut self) -> String {
         let mut text = String::new();
-        self.0.read_line(&mut text).expect("a line");
+        self.0.read_line(&mut text).expect("cannot read a line");
         text.trim_end().to_string()
     }
 
@@ -115,7 +125,7 @@
         self.0
             .get_mut()
             .write_all(format!("{command}\r\n").as_bytes())
-            .expect("sent");
+            .expect("cannot send");
         self.read_reply()
     }
 
@@ -132,17 +142,21 @@
             .say("FETCH default")
             .strip_prefix('$')?
             .parse()
-            .expect("a length");
+            .expect("the reply must start with the job's length");
         let mut text = vec![0; usize::try_from(length).ok()? + 2];
-        self.0.read_exact(&mut text).expect("a job");
-        let text = String::from_utf8(text).expect("text");
+        self.0.read_exact(&mut text).expect("cannot read the job");
+        let text = String::from_utf8(text).expect("the job must be UTF-8");
         let jid = text
             .split("\"jid\":\"")
             .nth(1)?
             .split('"')
             .next()?
             .to_string();
-        *runs.lock().expect("runs").entry(jid.clone()).or_default() += 1;
+        *runs
+            .lock()
+            .expect("the lock on the runs is poisoned")
+            .entry(jid.clone())
+            .or_default() += 1;
         Some(jid)
     }
 
@@ -154,11 +168,15 @@
 type Runs = Arc<Mutex<HashMap<String, usize>>>;
 
 fn count(runs: &Runs, jid: &str) -> usize {
-    runs.lock().expect("runs").get(jid).copied().unwrap_or(0)
+    runs.lock()
+        .expect("the lock on the runs is poisoned")
+        .get(jid)
+        .copied()
+        .unwrap_or(0)
 }
 
 fn count_all(runs: &Runs) -> usize {
-    runs.lock().expect("runs").len()
+    runs.lock().expect("the lock on the runs is poisoned").len()
 }
 
 /// Starts a plain Faktory server as the protocol's specification describes it: one queue; PUSH is answered when the job is
@@ -168,30 +186,44 @@
     reason = "one scenario, in the order in which it happens"
 )]
 fn plain_server() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
+    let address = listener
+        .local_addr()
+        .expect("the listener must have an address")
+        .to_string();
     let queue = Arc::new((Mutex::new(VecDeque::<String>::new()), Condvar::new()));
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let queue = queue.clone();
             spawn(move || {
-                let (mut to, from) = (stream.try_clone().expect("a copy"), BufReader::new(stream));
+                let (mut to, from) = (
+                    stream.try_clone().expect("cannot clone the stream"),
+                    BufReader::new(stream),
+                );
                 let mut reserved: Vec<String> = Vec::new();
                 let _ = to.write_all(b"+HI {\"v\":2}\r\n");
                 for command in from.lines().map_while(Result::ok) {
                     let (verb, rest) = command.split_once(' ').unwrap_or((&command, ""));
                     let reply = match verb {
                         "PUSH" => {
-                            queue.0.lock().expect("a queue").push_back(rest.to_string());
+                            queue
+                                .0
+                                .lock()
+                                .expect("the lock on the queue is poisoned")
+                                .push_back(rest.to_string());
                             queue.1.notify_one();
                             "+OK\r\n".to_string()
                         }
                         "FETCH" => {
-                            let jobs = queue.0.lock().expect("a queue");
+                            let jobs = queue.0.lock().expect("the lock on the queue is poisoned");
                             let wait = queue
                                 .1
                                 .wait_timeout_while(jobs, FETCH, |jobs| jobs.is_empty());
-                            match wait.expect("a queue").0.pop_front() {
+                            match wait
+                                .expect("the lock on the queue is poisoned")
+                                .0
+                                .pop_front()
+                            {
                                 Some(job) => {
                                     reserved.push(job.clone());
                                     format!("${}\r\n{job}\r\n", job.len())
@@ -210,7 +242,11 @@
                         break;
                     }
                 }
-                queue.0.lock().expect("a queue").extend(reserved);
+                queue
+                    .0
+                    .lock()
+                    .expect("the lock on the queue is poisoned")
+                    .extend(reserved);
                 queue.1.notify_all();
             });
         }
@@ -237,7 +273,7 @@
         worker.fetch(&runs);
     }
     assert_eq!(worker.ack("job-00001"), "+OK");
-    assert_eq!(client.join().expect("a reply"), "+OK");
+    assert_eq!(client.join().expect("the client's thread panicked"), "+OK");
     count(&runs, "job-00001")
 }
 
@@ -269,14 +305,14 @@
         .0
         .get_mut()
         .write_all(&[push, &b"\r\n"[..]].concat())
-        .expect("sent");
+        .expect("cannot send");
     assert_eq!(worker.fetch(&runs).as_deref(), Some("job-00001"));
     drop(client);
     let to = address.clone();
     let retried = spawn(move || Client::connect(&to, "", 2).push("job-00001", "reserve", 5000));
     assert_eq!(worker.fetch(&runs), None);
     assert_eq!(worker.ack("job-00001"), "+OK");
-    assert_eq!(retried.join().expect("a reply"), "+OK");
+    assert_eq!(retried.join().expect("the client's thread panicked"), "+OK");
     assert_eq!(count(&runs, "job-00001"), 1);
 }
 
@@ -318,8 +354,8 @@
     clients
         .into_iter()
         .chain(workers)
-        .for_each(|t| t.join().expect("no failure"));
-    let runs = runs.lock().expect("runs");
+        .for_each(|t| t.join().expect("a client or job worker panicked"));
+    let runs = runs.lock().expect("the lock on the runs is poisoned");
     assert!(
         runs.len() == 40 && runs.values().all(|n| *n == 1),
         "{runs:?}"
@@ -368,7 +404,7 @@
     let tasks = Rc::new(LocalExecutor::new());
     async_io::block_on(tasks.run(async {
         let file = config::Faktory::read(file("9000000").replace(PASSWORD, "").into_bytes())
-            .expect("a file");
+            .expect("the operator's file must be valid");
         let (net, clock, (core, inputs)) = (
             Net::new(tasks.clone(), 64, 64),
             Clock::new(),
@@ -382,11 +418,15 @@
             core,
         );
         front.open().await;
-        let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
-        let address = listener.get_ref().local_addr().expect("an address");
+        let listener =
+            Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("cannot bind a loopback port");
+        let address = listener
+            .get_ref()
+            .local_addr()
+            .expect("the listener must have an address");
         net.spawn(faktory::serve::listen(front, Rc::new(listener)));
         let next = || async {
-            match inputs.recv().await.expect("news") {
+            match inputs.recv().await.expect("the core's mailbox is closed") {
                 CoreInput::Membership(scope, entries) => {
                     (scope, entries[0].state, entries[0].ready_at)
                 }
@@ -398,14 +438,16 @@
         let connect = |pid: u32| async move {
             let mut link = Async::<TcpStream>::connect(address)
                 .await
-                .expect("the front");
+                .expect("cannot connect to the front end");
             let hello =
                 format!("HELLO {{\"v\":2,\"hostname\":\"h\",\"wid\":\"w-1\",\"pid\":{pid}}}\r\n");
-            link.write_all(hello.as_bytes()).await.expect("sent");
+            link.write_all(hello.as_bytes()).await.expect("cannot send");
             let mut got = Vec::new();
             while !got.ends_with(b"+OK\r\n") {
                 let mut byte = [0];
-                link.read_exact(&mut byte).await.expect("a reply");
+                link.read_exact(&mut byte)
+                    .await
+                    .expect("cannot read the reply");
                 got.push(byte[0]);
             }
             link
@@ -418,7 +460,7 @@
         first
             .write_all(b"BEAT {\"wid\":\"w-1\",\"current_state\":\"quiet\"}\r\n")
             .await
-            .expect("sent");
+            .expect("cannot send");
         assert_eq!(
             next().await,
             (Scope::Delta, WorkerState::Draining, initial_capacity)
@@ -426,7 +468,7 @@
         first
             .write_all(b"BEAT {\"wid\":\"w-1\"}\r\n")
             .await
-            .expect("sent");
+            .expect("cannot send");
         assert_eq!(
             next().await,
             (Scope::Delta, WorkerState::Active, initial_capacity)
@@ -445,12 +487,18 @@
 #[test]
 fn shipped_configuration_files_are_valid() {
     let example = include_str!("../examples/config.json").as_bytes().to_vec();
-    let config = config::Platform::read(example, |_| None).expect("the example");
+    let config =
+        config::Platform::read(example, |_| None).expect("the example configuration must be valid");
     assert_eq!(config.site.settings.classes.len(), 2);
     let file = config::Faktory::read(
         include_str!("../../../deploy/faktory.json")
             .as_bytes()
             .to_vec(),
     );
-    assert_eq!(file.expect("the operator's file").machines.len(), 2);
+    assert_eq!(
+        file.expect("deploy/faktory.json must be valid")
+            .machines
+            .len(),
+        2
+    );
 }
--- a/crates/indigofold/tests/replay_on_sockets.rs
+++ b/crates/indigofold/tests/replay_on_sockets.rs
@@ -9,7 +9,7 @@
 
 fn scenario() -> Scenario {
     let mut s = scenario::read(include_str!("../../../examples/replay/ten-minutes.json"))
-        .expect("the example");
+        .expect("the example scenario must be valid");
     (s.load.seconds, s.load.rate) = (12.0, 60.0);
     s.load.jumps = vec![Jump {
         at_s: 5.0,
@@ -39,12 +39,17 @@
 fn the_program_keeps_the_rules_on_the_laboratorys_sockets() {
     let s = scenario();
     let program = Path::new(env!("CARGO_BIN_EXE_indigofold"));
-    let load = Made::new(&s, 3).expect("load");
-    let run = sockets::play(&s, 3, Retries::Model, program, load).expect("a run");
-    let simulation = Simulation::new(&s, 3, Retries::Model).expect("a ground");
+    let load = Made::new(&s, 3).expect("cannot generate the load");
+    let run =
+        sockets::play(&s, 3, Retries::Model, program, load).expect("the run on sockets failed");
+    let simulation = Simulation::new(&s, 3, Retries::Model).expect("cannot create the simulation");
     let virt = simulation
-        .play(Made::new(&s, 3).expect("load"), |_| {}, |_| {})
-        .expect("a run");
+        .play(
+            Made::new(&s, 3).expect("cannot generate the load"),
+            |_| {},
+            |_| {},
+        )
+        .expect("the run in virtual time failed");
     assert!(virt.verdict.kept(), "{:?}", virt.verdict.examples);
     assert!(run.verdict.kept(), "{:?}", run.verdict.examples);
     assert_eq!(
--- a/crates/indigofold/tests/wire.rs
+++ b/crates/indigofold/tests/wire.rs
@@ -53,7 +53,7 @@
             "EOB",
         ],
     );
-    let reply = reply.expect("legal");
+    let reply = reply.expect("the input must be accepted");
     assert!(reply.starts_with("FOR who=3\nSET_TIMER when="), "{reply}");
     assert!(
         reply.contains("KEEP_INFORMED enable=1\n") && reply.ends_with("OK\n"),
@@ -62,8 +62,11 @@
     let line = reply
         .lines()
         .find(|l| l.starts_with("ASSIGN requestId=c:zq7 worker="))
-        .expect("sent");
-    let worker = line.rsplit('=').next().expect("a worker");
+        .expect("the request must be assigned");
+    let worker = line
+        .rsplit('=')
+        .next()
+        .expect("the line must end with a worker");
     assert!(worker == "11" || worker == "4000000000");
     let start = format!("HINT_UPDATE requestId=c:zq7 trial=0 worker={worker} what=1");
     let end = format!(
@@ -86,7 +89,7 @@
     let lines = ["ACCEPT requestId=c:a type=pay left=0", "EOB"];
     assert!(
         boot(&mut s, &lines)
-            .expect("legal")
+            .expect("the input must be accepted")
             .contains("PUSH_BACK requestId=c:a\n")
     );
     let lines = [
@@ -95,17 +98,17 @@
         "ACCEPT requestId=c:b type=pay left=5000000",
         "EOB",
     ];
-    let reply = feed(&mut s, &lines).expect("legal");
+    let reply = feed(&mut s, &lines).expect("the input must be accepted");
     let worker = reply
         .lines()
         .find_map(|l| l.strip_prefix("ASSIGN requestId=c:b worker="))
-        .expect("sent");
+        .expect("the request must be assigned");
     let end =
         format!("RESOLVED requestId=c:b trial=0 worker={worker} result=E timeTaken=9 feedback=-");
     let lines = ["TICK wall=3000", "INSTANCE who=3", &end, "EOB"];
     assert!(
         feed(&mut s, &lines)
-            .expect("legal")
+            .expect("the input must be accepted")
             .contains("SURRENDER requestId=c:b\n")
     );
 }
@@ -113,7 +116,7 @@
 #[test]
 fn instances_are_isolated_and_a_stopped_one_restarts_empty() {
     let mut s = Session::new();
-    boot(&mut s, &["EOB"]).expect("legal");
+    boot(&mut s, &["EOB"]).expect("the input must be accepted");
     let again = format!("BOOT randomSeed=1 env={ENV}");
     let lines = [
         "TICK wall=2000",
@@ -127,7 +130,7 @@
         "DUE name=1",
         "EOB",
     ];
-    let reply = feed(&mut s, &lines).expect("legal");
+    let reply = feed(&mut s, &lines).expect("the input must be accepted");
     assert_eq!(
         reply.matches("PUSH_BACK requestId=c:a").count(),
         1,
@@ -206,7 +209,7 @@
     }
     let mut s = Session::new();
     let error = boot(&mut s, &["REGISTRY scope=F index=2 hosts=2", "DUE name=1"])
-        .expect_err("rows missing");
+        .expect_err("missing rows must be rejected");
     assert!(
         error.starts_with("line 8: ") && error.contains("ROW"),
         "{error}"
@@ -215,7 +218,8 @@
         let error = feed(&mut Session::new(), &[line]).expect_err(line);
         assert!(error.contains("outside a batch"), "{error}");
     }
-    let error = feed(&mut Session::new(), &["TICK wall=1", "DUE name=1"]).expect_err("no instance");
+    let error = feed(&mut Session::new(), &["TICK wall=1", "DUE name=1"])
+        .expect_err("DUE before any INSTANCE must be rejected");
     assert!(error.contains("before any INSTANCE"), "{error}");
 }
 
@@ -225,12 +229,14 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
+        .expect("cannot start the adapter");
+    let mut stdin = child.stdin.take().expect("stdin must be piped");
     // Some tests expect the adapter to exit before it has read all of its input, so a failed write is ignored.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    child.wait_with_output().expect("the adapter ends")
+    child
+        .wait_with_output()
+        .expect("cannot wait for the adapter")
 }
 
 #[test]
@@ -271,9 +277,10 @@
         }
         text
     };
-    let alone = String::from_utf8(adapter(&(batch("1") + "EOB\n")).stdout).expect("text");
+    let alone = String::from_utf8(adapter(&(batch("1") + "EOB\n")).stdout)
+        .expect("the output must be UTF-8");
     let both = batch("1") + &batch("2").replacen("TICK wall=1000\n", "", 1) + "EOB\n";
-    let both = String::from_utf8(adapter(&both).stdout).expect("text");
+    let both = String::from_utf8(adapter(&both).stdout).expect("the output must be UTF-8");
     let second = alone.replace("FOR who=1", "FOR who=2");
     assert_eq!(both, alone.replace("OK\n", "") + &second);
 }
@@ -301,7 +308,7 @@
         "MAIL originPeer=1 content=AChr7gE=",
         "EOB",
     ];
-    let reply = feed(&mut s, &lines).expect("legal");
+    let reply = feed(&mut s, &lines).expect("the input must be accepted");
     assert!(
         reply.contains("SAY neighbourId=-1 content=AChr7gE=\n"),
         "{reply}"
@@ -414,7 +421,7 @@
     ];
     assert!(
         feed(&mut s, &lines)
-            .expect("legal")
+            .expect("the input must be accepted")
             .contains("ASSIGN requestId=c:a worker=11\n")
     );
     let end = "RESOLVED requestId=c:a trial=0 worker=11 result=F timeTaken=9";
@@ -427,7 +434,7 @@
         &mut s,
         &[&lines[..], &[&format!("{row}leaving"), end, "EOB"]].concat(),
     )
-    .expect("legal");
+    .expect("the input must be accepted");
     assert_eq!(
         reply.matches("DISCONNECT worker=11\n").count(),
         1,
