--- a/crates/indigofold/examples/in_process.rs
+++ b/crates/indigofold/examples/in_process.rs
@@ -90,7 +90,7 @@
     }
 
     /// Advances the clock by a duration; passes each expired timer to the dispatcher.
-    fn pass(&mut self, time: Time) {
+    fn advance(&mut self, time: Time) {
         let end = self.now + time;
         while let Some((at, name)) = self.timer.filter(|t| t.0 <= end) {
             (self.now, self.timer) = (self.now.max(at), None);
@@ -146,18 +146,18 @@
         }
     };
     host.handle_event(Event::Request(request(1)));
-    host.pass(2_000);
+    host.advance(2_000);
     host.handle_event(Event::Started {
         request: 1,
         attempt: 0,
     });
-    host.pass(60_000);
+    host.advance(60_000);
     host.handle_event(outcome(1, 0, Status::Ok));
     // The second request fails at once. Its class is safe to repeat, so it is retried on the other worker.
     host.handle_event(Event::Request(request(2)));
-    host.pass(1_000);
+    host.advance(1_000);
     host.handle_event(outcome(2, 0, Status::Error));
-    host.pass(60_000);
+    host.advance(60_000);
     host.handle_event(outcome(2, 1, Status::Ok));
     host.sent
 }
--- a/crates/indigofold/examples/stand_in_worker.rs
+++ b/crates/indigofold/examples/stand_in_worker.rs
@@ -17,9 +17,9 @@
 const WORKER: &str = "127.0.0.1:9001";
 
 /// Reads one request including its body. Returns the request line and the job id; `None` at the end of the connection.
-fn request(from: &mut BufReader<TcpStream>) -> Option<(String, String)> {
-    let (mut first, mut trace, mut length) = (String::new(), String::new(), 0);
-    from.read_line(&mut first).ok().filter(|n| *n > 0)?;
+fn read_request(from: &mut BufReader<TcpStream>) -> Option<(String, String)> {
+    let (mut request_line, mut trace, mut length) = (String::new(), String::new(), 0);
+    from.read_line(&mut request_line).ok().filter(|n| *n > 0)?;
     loop {
         let mut line = String::new();
         from.read_line(&mut line).ok()?;
@@ -35,7 +35,7 @@
         }
     }
     from.read_exact(&mut vec![0; length]).ok()?;
-    Some((first, trace))
+    Some((request_line, trace))
 }
 
 fn answer(to: &mut TcpStream, status: &str, body: &str) {
@@ -47,7 +47,7 @@
 }
 
 /// Serves each connection in a thread of its own.
-fn serve(address: &str, each: fn(String, String, &mut TcpStream)) {
+fn serve(address: &str, handler: fn(String, String, &mut TcpStream)) {
     let listener = TcpListener::bind(address).unwrap_or_else(|e| panic!("{address}: {e}"));
     for stream in listener.incoming().flatten() {
         spawn(move || {
@@ -55,16 +55,16 @@
                 return;
             };
             let mut from = BufReader::new(stream);
-            while let Some((first, trace)) = request(&mut from) {
-                each(first, trace, &mut to);
+            while let Some((request_line, trace)) = read_request(&mut from) {
+                handler(request_line, trace, &mut to);
             }
         });
     }
 }
 
 /// Answers a call for the machine list. The list never changes, so a call for changes waits and returns none.
-fn discovery(first: String, _: String, to: &mut TcpStream) {
-    if let Some(wait) = first
+fn discovery(request_line: String, _: String, to: &mut TcpStream) {
+    if let Some(wait) = request_line
         .split("wait=")
         .nth(1)
         .and_then(|w| w.split(' ').next()?.parse().ok())
@@ -80,11 +80,11 @@
     );
 }
 
-fn worker(first: String, trace: String, to: &mut TcpStream) {
-    if !first.starts_with("POST ") {
+fn worker(request_line: String, trace: String, to: &mut TcpStream) {
+    if !request_line.starts_with("POST ") {
         return answer(to, "404 Not Found", "");
     }
-    println!("{trace}: {}", first.trim_end());
+    println!("{trace}: {}", request_line.trim_end());
     answer(to, "202 Accepted", "");
     spawn(move || {
         report(&trace, r#""state":"started""#);
--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -10,7 +10,7 @@
 
 const FETCH: Time = 400 * MS;
 
-fn about(id: RequestId, subject: u64) -> Event {
+fn request_about(id: RequestId, subject: u64) -> Event {
     Event::Request(Request {
         subject: Some(subject),
         ..request(id, 0)
@@ -23,7 +23,7 @@
         .collect()
 }
 
-fn stage(workers: &[Entry]) -> Harness {
+fn harness(workers: &[Entry]) -> Harness {
     Harness::new(
         Settings {
             dispatchers: 1,
@@ -56,26 +56,34 @@
 fn serve(
     s: &mut Harness,
     id: RequestId,
-    of: u64,
-    keeps: &mut BTreeSet<(WorkerId, u64)>,
+    subject: u64,
+    cached: &mut BTreeSet<(WorkerId, u64)>,
     fetch: Time,
 ) -> WorkerId {
-    s.handle(about(id, of));
+    s.handle(request_about(id, subject));
     let worker = s
         .sent_to(id)
         .expect("the job must be sent, as a worker is free");
     s.start(id, 0);
-    let fetch = if keeps.insert((worker, of)) { fetch } else { 0 };
+    let fetch = if cached.insert((worker, subject)) {
+        fetch
+    } else {
+        0
+    };
     finish(s, id, fetch);
     worker
 }
 
 /// Starts jobs of one subject and leaves them running, so that the subject's first worker is busy. Returns the worker of
 /// each job, or `None` for a job that is queued.
-fn start_jobs(s: &mut Harness, ids: std::ops::Range<RequestId>, of: u64) -> Vec<Option<WorkerId>> {
+fn start_jobs(
+    s: &mut Harness,
+    ids: std::ops::Range<RequestId>,
+    subject: u64,
+) -> Vec<Option<WorkerId>> {
     let mut sent = Vec::new();
     for id in ids {
-        s.handle(about(id, of));
+        s.handle(request_about(id, subject));
         sent.push(s.sent_to(id));
         s.start(id, 0);
     }
@@ -153,17 +161,20 @@
             progress: SEC,
             ..settings()
         };
-        let (mut s, mut keeps) = (Harness::new(settings, &membership), BTreeSet::new());
+        let (mut s, mut cached) = (Harness::new(settings, &membership), BTreeSet::new());
         for id in 1..=120 {
-            let (of, worker) = (id % 12, serve(&mut s, id, id % 12, &mut keeps, FETCH));
+            let (subject, worker) = (id % 12, serve(&mut s, id, id % 12, &mut cached, FETCH));
             if id > 60 {
-                first.entry(of).or_insert_with(BTreeSet::new).insert(worker);
+                first
+                    .entry(subject)
+                    .or_insert_with(BTreeSet::new)
+                    .insert(worker);
             }
         }
         assert!(
-            keeps.len() <= 30,
+            cached.len() <= 30,
             "dispatcher {me}: {} fetches",
-            keeps.len()
+            cached.len()
         );
     }
     let shared = first.values().filter(|w| w.len() == 1).count();
@@ -176,7 +187,7 @@
 
 #[test]
 fn a_hot_subject_spreads_over_more_workers_until_all_are_used() {
-    let mut s = stage(&workers(1, 6));
+    let mut s = harness(&workers(1, 6));
     let sent = start_jobs(&mut s, 1..13, 5);
     let used: BTreeSet<_> = sent.iter().flatten().collect();
     assert_eq!(used.len(), 6, "{sent:?}");
@@ -187,7 +198,7 @@
 #[test]
 fn a_job_waits_for_its_first_worker_where_that_is_shorter_than_a_fetch() {
     for (fetch, waits) in [(2 * RUN, true), (RUN / 8, false)] {
-        let mut s = stage(&workers(1, 4));
+        let mut s = harness(&workers(1, 4));
         for id in 0..10 {
             // The first worker is busy with one job, so the next goes to another worker, which shows the fetch time.
             start_jobs(&mut s, 100 + id..101 + id, 1);
@@ -203,12 +214,12 @@
 /// If workers cache nothing, subjects must not matter: jobs of one subject spread like any others.
 #[test]
 fn affinity_is_ignored_once_fetches_cost_nothing() {
-    let (mut s, mut keeps) = (stage(&workers(1, 8)), BTreeSet::new());
+    let (mut s, mut cached) = (harness(&workers(1, 8)), BTreeSet::new());
     let mut used = BTreeSet::new();
     for id in 1..=60 {
-        s.handle(about(10_000 + id, 3));
+        s.handle(request_about(10_000 + id, 3));
         s.start(10_000 + id, 0);
-        let worker = serve(&mut s, id, 3, &mut keeps, 0);
+        let worker = serve(&mut s, id, 3, &mut cached, 0);
         s.end(10_000 + id, 0, Status::Ok);
         if id > 40 {
             used.insert(worker);
@@ -276,7 +287,7 @@
     reason = "one scenario, in the order in which it happens"
 )]
 fn a_freed_slot_goes_to_the_queued_job_with_affinity_to_its_worker() {
-    let mut s = stage(&workers(1, 3));
+    let mut s = harness(&workers(1, 3));
     let one_slot = Load {
         inflight: Some(0.0),
         queue: Some(0.0),
@@ -286,8 +297,8 @@
     // Reports say that workers have one slot. The dispatcher learns the fetch time, and as jobs start late, it lets one job
     // wait at a worker.
     for id in 0..20 {
-        s.handle(about(100 + id, 1));
-        s.handle(about(200 + id, 1));
+        s.handle(request_about(100 + id, 1));
+        s.handle(request_about(200 + id, 1));
         s.advance(SEC);
         s.start(100 + id, 0);
         s.start(200 + id, 0);
@@ -296,13 +307,13 @@
     }
     // One subject for each worker, ranked first by that subject.
     let ids: Vec<WorkerId> = workers(1, 3).iter().map(|e| e.worker).collect();
-    let mut of = BTreeMap::new();
+    let mut subject_of = BTreeMap::new();
     for n in 0..30 {
         let first = *ids
             .iter()
             .min_by(|a, b| rank(n, **a).total_cmp(&rank(n, **b)))
             .expect("there must be three workers");
-        of.entry(first).or_insert(n);
+        subject_of.entry(first).or_insert(n);
     }
     for worker in ids {
         s.handle(Event::Probed {
@@ -314,11 +325,11 @@
     // Each worker runs one job. Of the following jobs one or two wait at workers, the others are queued.
     let (mut running, mut waiting, mut queued) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     for id in 2_000..2_030 {
-        let subject = *of
+        let subject = *subject_of
             .values()
             .nth(id as usize % 3)
             .expect("there must be three subjects");
-        s.handle(about(id, subject));
+        s.handle(request_about(id, subject));
         match s.sent_to(id) {
             Some(worker) if !running.contains_key(&worker) => {
                 s.start(id, 0);
@@ -332,7 +343,7 @@
     // All jobs of one worker end, the running one first.
     let (worker, id) = running
         .iter()
-        .find(|(worker, _)| of[*worker] != newest)
+        .find(|(worker, _)| subject_of[*worker] != newest)
         .expect("another worker must run a job");
     s.end_with_load(*id, 0, Status::Ok, Some(one_slot));
     let nobody = queued.iter().all(|(job, _)| s.sent_to(*job).is_none());
@@ -344,7 +355,7 @@
         .iter()
         .filter_map(|(job, subject)| Some((s.sent_to(*job)?, *subject)))
         .collect();
-    assert_eq!(went, [(*worker, of[worker])]);
+    assert_eq!(went, [(*worker, subject_of[worker])]);
 }
 
 /// Guards against retrying a hanging worker again and again: on worker big-1 of the second site 37 jobs in 17 s lost 1.6 s
--- a/crates/indigofold/tests/exchanges.rs
+++ b/crates/indigofold/tests/exchanges.rs
@@ -80,7 +80,7 @@
 }
 
 #[derive(Default)]
-struct Stage {
+struct Harness {
     program: Option<Program>,
     old: Option<Program>,
     dir: PathBuf,
@@ -95,7 +95,7 @@
     received_by_workers: HashMap<String, Vec<u8>>,
 }
 
-impl Drop for Stage {
+impl Drop for Harness {
     fn drop(&mut self) {
         for program in self.old.iter_mut().chain(&mut self.program) {
             if std::thread::panicking() {
@@ -111,9 +111,9 @@
 
 /// Matches the start of `text` against a pattern. Returns the length of the match, `None` if more bytes may complete it, or
 /// an error if no further bytes can.
-fn matched(text: &str, pattern: &str) -> Result<Option<usize>, ()> {
+fn match_prefix(text: &str, pattern: &str) -> Result<Option<usize>, ()> {
     let mut literals = pattern.split('*');
-    let Some(mut at) = begins(text, literals.next().unwrap_or(""))? else {
+    let Some(mut at) = match_literal(text, literals.next().unwrap_or(""))? else {
         return Ok(None);
     };
     for literal in literals {
@@ -121,7 +121,7 @@
         let ends = (at..=text.len())
             .filter(|n| text.is_char_boundary(*n))
             .find_map(|n| {
-                let end = begins(&text[n..], literal).ok().flatten()?;
+                let end = match_literal(&text[n..], literal).ok().flatten()?;
                 Some(n + end)
             });
         let Some(end) = ends else { return Ok(None) };
@@ -130,8 +130,8 @@
     Ok(Some(at))
 }
 
-/// Matches a part of a pattern without `*`; returns the same as `matched`.
-fn begins(text: &str, literal: &str) -> Result<Option<usize>, ()> {
+/// Matches a part of a pattern without `*`; returns the same as `match_prefix`.
+fn match_literal(text: &str, literal: &str) -> Result<Option<usize>, ()> {
     let number = literal.split_once('{').and_then(|(before, rest)| {
         let (range, after) = rest.split_once('}')?;
         let (least, most) = range.split_once('-')?;
@@ -148,7 +148,7 @@
             false => Err(()),
         };
     };
-    let Some(at) = begins(text, before)? else {
+    let Some(at) = match_literal(text, before)? else {
         return Ok(None);
     };
     let digits = text[at..].bytes().take_while(u8::is_ascii_digit).count();
@@ -162,11 +162,11 @@
         return Err(());
     }
     let end = at + digits;
-    Ok(begins(&text[end..], after)?.map(|more| end + more))
+    Ok(match_literal(&text[end..], after)?.map(|length| end + length))
 }
 
-impl Stage {
-    fn filled(&self, text: &str) -> String {
+impl Harness {
+    fn expand(&self, text: &str) -> String {
         let mut text = text.replace("\\r", "\r").replace("\\n", "\n");
         for (name, value) in &self.vars {
             text = text.replace(&format!("${name}"), value);
@@ -176,12 +176,12 @@
         text.replace("$L", &body.to_string())
     }
 
-    fn start(&mut self, front: &str, more: &str) {
-        let given = |name: &str| {
-            more.split(' ')
+    fn start(&mut self, front: &str, args: &str) {
+        let opt = |name: &str| {
+            args.split(' ')
                 .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
         };
-        let sockets = given("sockets").unwrap_or("256");
+        let sockets = opt("sockets").unwrap_or("256");
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let name = format!(
             "{}-{:?}.json",
@@ -190,13 +190,13 @@
         );
         let path = dir.join(name.replace(['(', ')'], ""));
         // A descriptor limit below the one in the configuration, as on a machine shared with other programs.
-        let limit = given("ulimit").map_or(String::new(), |n| format!("ulimit -n {n}; "));
+        let limit = opt("ulimit").map_or(String::new(), |n| format!("ulimit -n {n}; "));
         // The path of a Unix socket is limited in length, so the folder is directly below the temporary one.
         if self.dir.as_os_str().is_empty() {
             self.dir = std::env::temp_dir().join(name.replace(['(', ')'], "").replace("json", "d"));
         }
         std::fs::create_dir_all(&self.dir).expect("cannot create the program's folder");
-        let (settings, known) = (&self.settings, self.filled(&self.known));
+        let (settings, known) = (&self.settings, self.expand(&self.known));
         let faktory = format!(
             r#"{{"listen":"127.0.0.1:0","password":"sesame","iterations":3,"settings":{settings},
             "reconnect_within_ms":100,"machines":[
@@ -217,12 +217,12 @@
         }
         std::fs::write(&path, &text).expect("cannot write the configuration file");
         self.file = (path, text);
-        let unset = if given("tmpdir") == Some("no") {
+        let unset = if opt("tmpdir") == Some("no") {
             "unset TMPDIR; "
         } else {
             ""
         };
-        self.spawn(front, &format!("{unset}{limit}"), given("unread").is_some());
+        self.spawn(front, &format!("{unset}{limit}"), opt("unread").is_some());
     }
 
     #[allow(
@@ -278,15 +278,15 @@
             log_output: log,
             log: Vec::new(),
         });
-        let listens = [
+        let log_markers = [
             ("gw", "start front="),
             ("door", "door listen="),
             ("faktory", "start front=faktory"),
         ];
-        let here = |name: &&(&str, &str)| {
+        let is_expected = |name: &&(&str, &str)| {
             name.0 == "gw" || (name.0 == "door" && front != "faktory") || front == "both"
         };
-        for (name, text) in listens.iter().filter(here).copied() {
+        for (name, text) in log_markers.iter().filter(is_expected).copied() {
             let entry = self.wait_for_log(text);
             let address = entry
                 .rsplit("listen=")
@@ -304,7 +304,7 @@
             .wait_for_log(text)
     }
 
-    fn named(&mut self, name: &str) -> &mut Program {
+    fn process(&mut self, name: &str) -> &mut Program {
         if name == "old" {
             &mut self.old
         } else {
@@ -314,7 +314,7 @@
         .expect("process not started")
     }
 
-    fn take(&mut self, name: &str, stream: TcpStream) {
+    fn add_connection(&mut self, name: &str, stream: TcpStream) {
         stream
             .set_read_timeout(Some(LIMIT))
             .expect("cannot set the read timeout");
@@ -323,16 +323,16 @@
     }
 
     fn expect(&mut self, name: &str, pattern: &str) {
-        let pattern = self.filled(pattern);
-        let (stream, got) = self
+        let pattern = self.expand(pattern);
+        let (stream, received) = self
             .links
             .get_mut(name)
             .expect("no open connection has this name");
         loop {
-            let text = String::from_utf8_lossy(got).into_owned();
-            match matched(&text, &pattern) {
+            let text = String::from_utf8_lossy(received).into_owned();
+            match match_prefix(&text, &pattern) {
                 Ok(Some(count)) => {
-                    got.drain(..count);
+                    received.drain(..count);
                     break;
                 }
                 Ok(None) => {}
@@ -341,7 +341,7 @@
             let mut bytes = [0; 4096];
             match stream.read(&mut bytes) {
                 Ok(count @ 1..) => {
-                    got.extend(&bytes[..count]);
+                    received.extend(&bytes[..count]);
                     if name.starts_with('w') {
                         self.received_by_workers
                             .entry(name.into())
@@ -364,10 +364,10 @@
 
     /// Reads the rest of a greeting, after the pattern `+HI ` has matched, and returns its salt; `None` if there is none.
     fn salt(&mut self, name: &str) -> Option<String> {
-        let (_, got) = self.links.get_mut(name)?;
-        let text = String::from_utf8_lossy(got).into_owned();
+        let (_, received) = self.links.get_mut(name)?;
+        let text = String::from_utf8_lossy(received).into_owned();
         let end = text.find("\r\n")? + 2;
-        got.drain(..end);
+        received.drain(..end);
         text.split("\"s\":\"")
             .nth(1)?
             .split('"')
@@ -377,23 +377,23 @@
 
     fn execute(&mut self, step: &str) {
         let (name, rest) = step.split_once(' ').unwrap_or((step, ""));
-        let (verb, more) = rest.split_once(' ').unwrap_or((rest, ""));
+        let (verb, args) = rest.split_once(' ').unwrap_or((rest, ""));
         match (name, verb) {
             ("known" | "set" | "stale" | "config" | "edit" | "broken", _) => {
                 self.change_files((name, verb), rest);
             }
-            ("crowd" | "pushers" | "visits" | "scatter", _) => self.open_many((name, verb), more),
+            ("crowd" | "pushers" | "visits" | "scatter", _) => self.open_many((name, verb), args),
             (
                 "start" | "replace" | "kill" | "was" | "log" | "runs" | "exit" | "pause" | "term"
                 | "hup" | "stop" | "cont",
                 _,
             ) => {
-                self.control_program((name, verb), rest, more);
+                self.control_program((name, verb), rest, args);
             }
             (_, "listen" | "full" | "quiet" | "dialled" | "open" | "deaf") => {
                 self.use_listener(name, verb);
             }
-            _ => self.use_connection((name, verb), more),
+            _ => self.use_connection((name, verb), args),
         }
     }
 
@@ -420,7 +420,7 @@
             }
             ("config", _) => {
                 let (path, old) = &self.file;
-                let new = old.replace(&self.vars["disc"], &self.filled(rest));
+                let new = old.replace(&self.vars["disc"], &self.expand(rest));
                 std::fs::write(path, if rest.is_empty() { "" } else { &new })
                     .expect("cannot write the configuration file");
             }
@@ -440,33 +440,33 @@
     }
 
     /// Executes a step that opens or closes many connections.
-    fn open_many(&mut self, (name, verb): (&str, &str), more: &str) {
+    fn open_many(&mut self, (name, verb): (&str, &str), args: &str) {
         match (name, verb) {
             ("crowd", count) => {
                 for n in 0..count.parse().expect("the step needs a number") {
                     self.execute(&format!("c{n} dial"));
-                    self.execute(&format!("c{n} > {}", more.replace("$n", &n.to_string())));
+                    self.execute(&format!("c{n} > {}", args.replace("$n", &n.to_string())));
                 }
             }
             ("pushers", count) => {
                 for n in 0..count.parse().expect("the step needs a number") {
                     self.execute(&format!("c{n} dial faktory"));
                     self.execute(&format!("c{n} < +HI "));
-                    self.execute(&format!("c{n} > {}", more.replace("$n", &n.to_string())));
+                    self.execute(&format!("c{n} > {}", args.replace("$n", &n.to_string())));
                     self.execute(&format!("c{n} < +OK\\r\\n"));
                 }
             }
             ("visits", count) => {
                 for _ in 0..count.parse().expect("the step needs a number") {
                     self.execute("visit dial");
-                    self.execute(&format!("visit > {more}"));
-                    let (stream, got) = self
+                    self.execute(&format!("visit > {args}"));
+                    let (stream, received) = self
                         .links
                         .get_mut("visit")
                         .expect("no open connection has this name");
                     assert!(
                         stream
-                            .read_to_end(got)
+                            .read_to_end(received)
                             .expect("cannot read an answer up to the end")
                             > 0
                     );
@@ -482,15 +482,15 @@
         clippy::too_many_lines,
         reason = "one scenario, in the order in which it happens"
     )]
-    fn control_program(&mut self, (name, verb): (&str, &str), rest: &str, more: &str) {
+    fn control_program(&mut self, (name, verb): (&str, &str), rest: &str, args: &str) {
         match (name, verb) {
-            ("start", front) => self.start(front, more),
+            ("start", front) => self.start(front, args),
             ("replace", _) => {
                 self.old = self.program.take();
                 self.spawn(&self.front.clone(), "", false);
             }
             ("kill", _) => {
-                let program = self.named(rest);
+                let program = self.process(rest);
                 program
                     .child
                     .kill()
@@ -508,7 +508,7 @@
                     .expect("process not started")
                     .wait_for_log(rest);
             }
-            ("log", _) => _ = self.wait_for_log(&self.filled(rest)),
+            ("log", _) => _ = self.wait_for_log(&self.expand(rest)),
             ("runs", job) => {
                 let (id, trace) = (
                     format!("\"jid\":\"{job}\""),
@@ -517,17 +517,17 @@
                 let text = |bytes: &Vec<u8>| String::from_utf8_lossy(bytes).into_owned();
                 let count = |text: String| text.matches(&id).count() + text.matches(&trace).count();
                 let runs: usize = self.received_by_workers.values().map(text).map(count).sum();
-                assert_eq!(runs.to_string(), more, "runs of {job}");
+                assert_eq!(runs.to_string(), args, "runs of {job}");
             }
             ("term" | "hup" | "stop" | "cont", _) => {
-                let (id, signal) = (self.named(rest).child.id(), name.to_uppercase());
+                let (id, signal) = (self.process(rest).child.id(), name.to_uppercase());
                 let kill = Command::new("kill")
                     .args([format!("-{signal}"), id.to_string()])
                     .status();
                 assert!(kill.expect("cannot run kill").success());
             }
             ("exit", _) => {
-                let program = self.named(rest);
+                let program = self.process(rest);
                 let status = program
                     .child
                     .wait()
@@ -563,7 +563,7 @@
             (_, "full") => {
                 let listener = &self.listeners[name];
                 // A queue of length 0 still holds one connection. Further connections get no reply, and the kernel retries
-                // them after one second, three, and seven.
+                // them one, three and seven seconds after the first try.
                 rustix::net::listen(listener, 0).expect("cannot shorten the queue");
                 let filler = TcpStream::connect(
                     listener
@@ -627,7 +627,7 @@
         clippy::too_many_lines,
         reason = "one scenario, in the order in which it happens"
     )]
-    fn use_connection(&mut self, (name, verb): (&str, &str), more: &str) {
+    fn use_connection(&mut self, (name, verb): (&str, &str), args: &str) {
         match (name, verb) {
             (_, "reset") => {
                 let (stream, _) = self
@@ -647,12 +647,12 @@
                     .expect("cannot set SO_LINGER");
             }
             (_, "unread") => {
-                let (stream, got) = self
+                let (stream, received) = self
                     .links
                     .get_mut(name)
                     .expect("no open connection has this name");
                 assert!(
-                    got.is_empty(),
+                    received.is_empty(),
                     "{name}: bytes beyond the expected ones have been read"
                 );
                 let count = stream
@@ -666,66 +666,66 @@
                     .get_mut(name)
                     .expect("no open connection has this name");
                 stream
-                    .write_all(&vec![b'x'; more.parse().expect("the step needs a number")])
+                    .write_all(&vec![b'x'; args.parse().expect("the step needs a number")])
                     .expect("cannot send");
             }
             (_, "end") => {
-                let (stream, got) = self
+                let (stream, received) = self
                     .links
                     .get_mut(name)
                     .expect("no open connection has this name");
                 stream
-                    .read_to_end(got)
+                    .read_to_end(received)
                     .expect("the program must close without a reset");
                 assert!(
-                    got.is_empty(),
+                    received.is_empty(),
                     "{name}: {:?} before the end",
-                    String::from_utf8_lossy(got)
+                    String::from_utf8_lossy(received)
                 );
             }
             (_, "dial") => {
                 let stream =
-                    TcpStream::connect(&self.vars[if more.is_empty() { "gw" } else { more }])
+                    TcpStream::connect(&self.vars[if args.is_empty() { "gw" } else { args }])
                         .expect("cannot connect to the program");
-                self.take(name, stream);
+                self.add_connection(name, stream);
             }
             (_, "accept") => {
-                let listener = self.listeners[more]
+                let listener = self.listeners[args]
                     .try_clone()
                     .expect("cannot clone the listener");
                 let (to, from) = channel();
                 std::thread::spawn(move || to.send(listener.accept()));
                 let accepted = from
                     .recv_timeout(LIMIT)
-                    .unwrap_or_else(|_| panic!("no connection to {more} within {LIMIT:?}"));
+                    .unwrap_or_else(|_| panic!("no connection to {args} within {LIMIT:?}"));
                 let stream = accepted.expect("cannot accept a connection").0;
-                self.take(name, stream);
+                self.add_connection(name, stream);
             }
             (_, ">") => {
-                let text = self.filled(more);
+                let text = self.expand(args);
                 let (stream, _) = self
                     .links
                     .get_mut(name)
                     .expect("no open connection has this name");
                 stream.write_all(text.as_bytes()).expect("cannot send");
             }
-            (_, "<") => self.expect(name, more),
+            (_, "<") => self.expect(name, args),
             (_, "close") => _ = self.links.remove(name),
             (_, "eof") => {
-                let (stream, got) = self
+                let (stream, received) = self
                     .links
                     .get_mut(name)
                     .expect("no open connection has this name");
-                let end = stream.read_to_end(got);
+                let end = stream.read_to_end(received);
                 let reset = |e: std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
                 assert!(
                     end.is_ok() || end.is_err_and(reset),
                     "{name} was not closed"
                 );
                 assert!(
-                    got.is_empty(),
+                    received.is_empty(),
                     "{name}: {:?} before the end",
-                    String::from_utf8_lossy(got)
+                    String::from_utf8_lossy(received)
                 );
             }
             _ => panic!("no such step: {name} {verb}"),
@@ -736,9 +736,9 @@
 #[rstest]
 fn recorded_exchange(#[files("tests/exchanges/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("cannot read the exchange file");
-    let mut stage = Stage::default();
-    stage.settings = SETTINGS.into();
-    stage.vars.insert(
+    let mut harness = Harness::default();
+    harness.settings = SETTINGS.into();
+    harness.vars.insert(
         "deep".into(),
         ["[".repeat(30_000), "]".repeat(30_000)].concat(),
     );
@@ -746,20 +746,23 @@
         .lines()
         .filter(|l| !l.is_empty() && !l.starts_with('#'))
     {
-        stage.execute(step);
+        harness.execute(step);
     }
 }
 
 #[test]
 fn patterns_match_from_the_first_byte_on() {
     assert_eq!(
-        matched("HTTP/1.1 200 OK\r\n\r\nab", "HTTP/1.1 200 *\r\n\r\na"),
+        match_prefix("HTTP/1.1 200 OK\r\n\r\nab", "HTTP/1.1 200 *\r\n\r\na"),
         Ok(Some(20))
     );
-    assert_eq!(matched("HTTP/1.1 200 OK", "HTTP/1.1 200 *\r\n"), Ok(None));
-    assert_eq!(matched("HT", "HTTP"), Ok(None));
-    assert_eq!(matched("HTTP/1.1 500", "HTTP/1.1 200"), Err(()));
-    let matches = |text| matched(text, "w={3-40} *;");
+    assert_eq!(
+        match_prefix("HTTP/1.1 200 OK", "HTTP/1.1 200 *\r\n"),
+        Ok(None)
+    );
+    assert_eq!(match_prefix("HT", "HTTP"), Ok(None));
+    assert_eq!(match_prefix("HTTP/1.1 500", "HTTP/1.1 200"), Err(()));
+    let matches = |text| match_prefix(text, "w={3-40} *;");
     assert_eq!(matches("w=40 a;b"), Ok(Some(7)));
     assert_eq!(
         (matches("w=4"), matches("w=41 a;"), matches("w= a;")),
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -24,10 +24,10 @@
 const MAX_FETCHES: usize = 60;
 /// How long a FETCH waits at the plain server. When the server answered at once, a job worker used up its fetches before the
 /// client's thread had started.
-const FETCH: Duration = Duration::from_secs(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 const PASSWORD: &str = "sesame";
 
-fn file(warm_after: &str) -> String {
+fn operators_file(warm_after: &str) -> String {
     let settings = SETTINGS.replace(
         "\"warmAfter\": 9000000",
         &format!("\"warmAfter\": {warm_after}"),
@@ -48,7 +48,8 @@
             env!("CARGO_TARGET_TMPDIR"),
             std::process::id()
         );
-        std::fs::write(&path, file(warm_after)).expect("cannot write the operator's file");
+        std::fs::write(&path, operators_file(warm_after))
+            .expect("cannot write the operator's file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_indigofold"));
         command
             .env("INDIGOFOLD_FAKTORY", path)
@@ -111,7 +112,7 @@
         let hello = format!(
             r#"HELLO {{"v":2,"wid":"{wid}","hostname":"h","pid":{pid},"pwdhash":"{hash}"}}"#
         );
-        assert_eq!(client.say(&hello), "+OK");
+        assert_eq!(client.send_command(&hello), "+OK");
         client
     }
 
@@ -121,7 +122,7 @@
         text.trim_end().to_string()
     }
 
-    fn say(&mut self, command: &str) -> String {
+    fn send_command(&mut self, command: &str) -> String {
         self.0
             .get_mut()
             .write_all(format!("{command}\r\n").as_bytes())
@@ -131,7 +132,7 @@
 
     fn push(&mut self, jid: &str, class: &str, deadline: u32) -> String {
         let custom = format!(r#"{{"key":"{jid}","deadline":{deadline}}}"#);
-        self.say(&format!(
+        self.send_command(&format!(
             r#"PUSH {{"jid":"{jid}","jobtype":"{class}","args":[],"custom":{custom}}}"#
         ))
     }
@@ -139,7 +140,7 @@
     /// Fetches a job, and counts it as a run.
     fn fetch(&mut self, runs: &Runs) -> Option<String> {
         let length: i64 = self
-            .say("FETCH default")
+            .send_command("FETCH default")
             .strip_prefix('$')?
             .parse()
             .expect("the reply must start with the job's length");
@@ -161,7 +162,7 @@
     }
 
     fn ack(&mut self, jid: &str) -> String {
-        self.say(&format!(r#"ACK {{"jid":"{jid}"}}"#))
+        self.send_command(&format!(r#"ACK {{"jid":"{jid}"}}"#))
     }
 }
 
@@ -218,7 +219,7 @@
                             let jobs = queue.0.lock().expect("the lock on the queue is poisoned");
                             let wait = queue
                                 .1
-                                .wait_timeout_while(jobs, FETCH, |jobs| jobs.is_empty());
+                                .wait_timeout_while(jobs, FETCH_TIMEOUT, |jobs| jobs.is_empty());
                             match wait
                                 .expect("the lock on the queue is poisoned")
                                 .0
@@ -403,8 +404,9 @@
 fn the_core_is_notified_of_starts_drains_and_lost_connections() {
     let tasks = Rc::new(LocalExecutor::new());
     async_io::block_on(tasks.run(async {
-        let file = config::Faktory::read(file("9000000").replace(PASSWORD, "").into_bytes())
-            .expect("the operator's file must be valid");
+        let file =
+            config::Faktory::read(operators_file("9000000").replace(PASSWORD, "").into_bytes())
+                .expect("the operator's file must be valid");
         let (net, clock, (core, inputs)) = (
             Net::new(tasks.clone(), 64, 64),
             Clock::new(),
@@ -454,8 +456,8 @@
         };
         // The first start makes the machine active; its warm-up starts now.
         let mut first = connect(7).await;
-        let (scope, state, initial_capacity) = next().await;
-        assert!(scope == Scope::Delta && state == WorkerState::Active && initial_capacity >= begun);
+        let (scope, state, first_start) = next().await;
+        assert!(scope == Scope::Delta && state == WorkerState::Active && first_start >= begun);
         // A drain and its end don't restart the warm-up.
         first
             .write_all(b"BEAT {\"wid\":\"w-1\",\"current_state\":\"quiet\"}\r\n")
@@ -463,7 +465,7 @@
             .expect("cannot send");
         assert_eq!(
             next().await,
-            (Scope::Delta, WorkerState::Draining, initial_capacity)
+            (Scope::Delta, WorkerState::Draining, first_start)
         );
         first
             .write_all(b"BEAT {\"wid\":\"w-1\"}\r\n")
@@ -471,15 +473,18 @@
             .expect("cannot send");
         assert_eq!(
             next().await,
-            (Scope::Delta, WorkerState::Active, initial_capacity)
+            (Scope::Delta, WorkerState::Active, first_start)
         );
         // Another process under the same wid restarts the warm-up.
         let second = connect(8).await;
-        let (_, state, retried) = next().await;
-        assert!(state == WorkerState::Active && retried > initial_capacity);
+        let (_, state, second_start) = next().await;
+        assert!(state == WorkerState::Active && second_start > first_start);
         // All connections are closed and none is made again, so the machine leaves.
         drop((first, second));
-        assert_eq!(next().await, (Scope::Delta, WorkerState::Left, retried));
+        assert_eq!(
+            next().await,
+            (Scope::Delta, WorkerState::Left, second_start)
+        );
     }));
 }
 
--- a/crates/indigofold/tests/replay_on_sockets.rs
+++ b/crates/indigofold/tests/replay_on_sockets.rs
@@ -36,32 +36,43 @@
 }
 
 #[test]
-fn the_program_keeps_the_rules_on_the_laboratorys_sockets() {
+fn the_program_keeps_all_rules_on_sockets() {
     let s = scenario();
     let program = Path::new(env!("CARGO_BIN_EXE_indigofold"));
     let load = Made::new(&s, 3).expect("cannot generate the load");
-    let run =
+    let on_sockets =
         sockets::play(&s, 3, Retries::Model, program, load).expect("the run on sockets failed");
     let simulation = Simulation::new(&s, 3, Retries::Model).expect("cannot create the simulation");
-    let virt = simulation
+    let in_virtual_time = simulation
         .play(
             Made::new(&s, 3).expect("cannot generate the load"),
             |_| {},
             |_| {},
         )
         .expect("the run in virtual time failed");
-    assert!(virt.verdict.kept(), "{:?}", virt.verdict.examples);
-    assert!(run.verdict.kept(), "{:?}", run.verdict.examples);
+    assert!(
+        in_virtual_time.verdict.kept(),
+        "{:?}",
+        in_virtual_time.verdict.examples
+    );
+    assert!(
+        on_sockets.verdict.kept(),
+        "{:?}",
+        on_sockets.verdict.examples
+    );
     assert_eq!(
-        run.outcome.counts[0], virt.outcome.counts[0],
+        on_sockets.outcome.counts[0], in_virtual_time.outcome.counts[0],
         "the load on sockets and in virtual time must be the same"
     );
-    let ends: u64 = run.outcome.ends.iter().sum();
-    assert_eq!(ends, run.outcome.counts[0], "each first try must end once");
+    let ends: u64 = on_sockets.outcome.ends.iter().sum();
+    assert_eq!(
+        ends, on_sockets.outcome.counts[0],
+        "each first try must end once"
+    );
     // The test doesn't depend on speed: most jobs are served, in time or late.
     assert!(
-        run.outcome.ends[0] + run.outcome.ends[1] > ends * 8 / 10,
+        on_sockets.outcome.ends[0] + on_sockets.outcome.ends[1] > ends * 8 / 10,
         "{:?}",
-        run.outcome.ends
+        on_sockets.outcome.ends
     );
 }
