--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -65,7 +65,7 @@
 pub struct Platform {
     /// The network.
     net: Net,
-    /// The clock.
+    /// Monotonic clock of the process.
     clock: Clock,
     /// The site: settings, and the ids of zones, kinds, classes and tenants.
     site: RefCell<Site>,
@@ -166,7 +166,7 @@
         &self.net
     }
 
-    /// Lifecycle state shared with the other front end.
+    /// Lifecycle state of the process.
     pub fn lifecycle(&self) -> &Rc<Lifecycle> {
         &self.lifecycle
     }
--- a/crates/indigofold/src/front/platform/membership/discovery_client.rs
+++ b/crates/indigofold/src/front/platform/membership/discovery_client.rs
@@ -64,7 +64,7 @@
 
     #[allow(
         clippy::too_many_lines,
-        reason = "its closures share the connection and what has come on it"
+        reason = "its closures share the connection and the bytes received on it"
     )]
     async fn exchange(
         &mut self,
--- a/crates/indigofold/src/front/platform/peer_process.rs
+++ b/crates/indigofold/src/front/platform/peer_process.rs
@@ -1,4 +1,4 @@
-//! The peer process during a replacement, when two processes of the scheduler run: its open jobs, and the messages to it.
+//! The peer process during a replacement, while two processes of the scheduler run: its open jobs, and the messages to it.
 
 use super::Platform;
 use crate::config::{JobReport, Names};
--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -102,7 +102,10 @@
         .collect();
     for (drawn_worker, weight) in [0.5, 0.3, 0.2].into_iter().enumerate() {
         let drawn = draws.iter().filter(|d| **d == drawn_worker).count() as f64 / 20_000.0;
-        assert!((drawn - weight).abs() < 0.02, "{drawn_worker}: {drawn}");
+        assert!(
+            (drawn - weight).abs() < 0.02,
+            "worker {drawn_worker}: drawn share {drawn}, weight {weight}"
+        );
     }
     let more = (0..20_000).filter_map(|s| draw(s, weighted([0.5, 0.6, 0.2])));
     assert!(
@@ -243,7 +246,10 @@
     let had = (0..2_000)
         .filter(|s| first(*s, None) == Some(departed))
         .count();
-    assert!(moved == had && (150..=250).contains(&had), "{moved} {had}");
+    assert!(
+        moved == had && (150..=250).contains(&had),
+        "{moved} moved, {had} ranked the departed worker first"
+    );
 }
 
 /// Guards against first workers that change with every solution of the kind weights: weights of a busy moment last for a
--- a/crates/indigofold/tests/exchanges.rs
+++ b/crates/indigofold/tests/exchanges.rs
@@ -227,7 +227,7 @@
 
     #[allow(
         clippy::too_many_lines,
-        reason = "one scenario, in the order in which it happens"
+        reason = "one sequence: start the program, then read its addresses from the log"
     )]
     fn spawn(&mut self, front: &str, before: &str, unread: bool) {
         let mut command = Command::new("/bin/sh");
@@ -435,7 +435,7 @@
                     self.file.1 = text;
                 }
             }
-            _ => panic!("no such step: {name} {verb}"),
+            _ => panic!("unknown step: {name} {verb}"),
         }
     }
 
@@ -473,15 +473,12 @@
                 }
             }
             ("scatter", _) => self.links.retain(|name, _| !name.starts_with('c')),
-            _ => panic!("no such step: {name} {verb}"),
+            _ => panic!("unknown step: {name} {verb}"),
         }
     }
 
     /// Executes a step that starts, signals or observes the program.
-    #[allow(
-        clippy::too_many_lines,
-        reason = "one scenario, in the order in which it happens"
-    )]
+    #[allow(clippy::too_many_lines, reason = "one arm for each step")]
     fn control_program(&mut self, (name, verb): (&str, &str), rest: &str, args: &str) {
         match (name, verb) {
             ("start", front) => self.start(front, args),
@@ -539,15 +536,12 @@
                     ms.parse().expect("the step needs a number"),
                 ));
             }
-            _ => panic!("no such step: {name} {verb}"),
+            _ => panic!("unknown step: {name} {verb}"),
         }
     }
 
     /// Executes a step on a listener of a simulated peer.
-    #[allow(
-        clippy::too_many_lines,
-        reason = "one scenario, in the order in which it happens"
-    )]
+    #[allow(clippy::too_many_lines, reason = "one arm for each step")]
     fn use_listener(&mut self, name: &str, verb: &str) {
         match (name, verb) {
             (_, "listen") => {
@@ -618,15 +612,12 @@
                 self.fillers.remove(name);
             }
             (_, "deaf") => _ = self.listeners.remove(name),
-            _ => panic!("no such step: {name} {verb}"),
+            _ => panic!("unknown step: {name} {verb}"),
         }
     }
 
     /// Executes a step on one connection.
-    #[allow(
-        clippy::too_many_lines,
-        reason = "one scenario, in the order in which it happens"
-    )]
+    #[allow(clippy::too_many_lines, reason = "one arm for each step")]
     fn use_connection(&mut self, (name, verb): (&str, &str), args: &str) {
         match (name, verb) {
             (_, "reset") => {
@@ -679,7 +670,7 @@
                     .expect("the program must close without a reset");
                 assert!(
                     received.is_empty(),
-                    "{name}: {:?} before the end",
+                    "{name}: unexpected bytes {:?} before the end of the connection",
                     String::from_utf8_lossy(received)
                 );
             }
@@ -720,15 +711,15 @@
                 let reset = |e: std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
                 assert!(
                     end.is_ok() || end.is_err_and(reset),
-                    "{name} was not closed"
+                    "{name}: expected the end of the connection or a reset"
                 );
                 assert!(
                     received.is_empty(),
-                    "{name}: {:?} before the end",
+                    "{name}: unexpected bytes {:?} before the end of the connection",
                     String::from_utf8_lossy(received)
                 );
             }
-            _ => panic!("no such step: {name} {verb}"),
+            _ => panic!("unknown step: {name} {verb}"),
         }
     }
 }
