--- a/crates/indigofold/src/front/faktory/machine.rs
+++ b/crates/indigofold/src/front/faktory/machine.rs
@@ -45,12 +45,12 @@
 
 /// The process of a job worker.
 struct Process {
-    identity: String, // HOST:PID, differs after a restart of the job worker
-    links: BTreeSet<u64>,
-    heartbeat_by: Time,
+    identity: String,           // HOST:PID, differs after a restart of the job worker
+    links: BTreeSet<u64>,       // numbers of its open connections
+    heartbeat_by: Time,         // when the next heartbeat is overdue
     reconnect_by: Option<Time>, // set while no connection is open: end of the wait for a new one
-    quiet: bool,
-    unresponsive: bool, // the heartbeat is overdue
+    quiet: bool,                // accepts no new jobs
+    unresponsive: bool,         // the heartbeat is overdue
 }
 
 impl Process {
--- a/crates/indigofold/src/front/platform/membership.rs
+++ b/crates/indigofold/src/front/platform/membership.rs
@@ -54,9 +54,9 @@
 pub struct MembershipWatcher {
     front: Rc<Platform>,
     discovery: SocketAddr,
-    idle: Option<DiscoveryClient>,
+    idle: Option<DiscoveryClient>, // the client while no call is in progress
     call: Option<Call>,
-    next_discovery: Option<(SocketAddr, Call)>,
+    next_discovery: Option<(SocketAddr, Call)>, // a new discovery that hasn't answered yet
     watching: bool,
     reopened: bool, // a broken watch is being reopened
     replaces: bool,
@@ -132,9 +132,9 @@
     }
 
     /// Reopens a watch that broke or became unresponsive without waiting for a request of the decision module, as changes
-    /// are missed meanwhile. Returns the client as an error if discovery rejects calls or the watch has already been
-    /// reopened once in a row; the module then decides when to call. If the membership is pushed, the agent is called until
-    /// it answers.
+    /// are missed meanwhile. Returns the client as an error if discovery rejects calls, or if the failed call was itself an
+    /// attempt to reopen the watch; the module then decides when to call. If the membership is pushed, the agent is called
+    /// until it answers.
     fn reopen_watch(
         &mut self,
         mut client: DiscoveryClient,
