--- a/crates/indigofold/examples/stand_in_worker.rs
+++ b/crates/indigofold/examples/stand_in_worker.rs
@@ -1,10 +1,11 @@
-//! A toy to try the program with: discovery with one machine, and that machine's job worker, in one process.
+//! A minimal peer to try the program with: a discovery service that lists one machine, and that machine's job worker, in one
+//! process.
 //!
 //!     cargo run --example stand_in_worker                                      (in one terminal)
 //!     GW_CONFIG=examples/config.json cargo run                     (in another)
 //!     curl -i -d '' -H 'X-Trace-Id: a-1' http://127.0.0.1:8443/reserve/kit-7
 //!
-//! The job worker takes each job, tells of its start, works for a tenth of a second and is done.
+//! The job worker accepts each job, reports its start, waits for a tenth of a second and reports its result.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -15,10 +16,10 @@
 const DISCOVERY: &str = "127.0.0.1:8500";
 const WORKER: &str = "127.0.0.1:9001";
 
-/// One request: its first line and the header that names the job, read to its end.
-fn request(from: &mut BufReader<TcpStream>) -> Option<(String, String)> {
-    let (mut first, mut trace, mut length) = (String::new(), String::new(), 0);
-    from.read_line(&mut first).ok().filter(|n| *n > 0)?;
+/// Reads one request including its body. Returns the request line and the job id; `None` at the end of the connection.
+fn read_request(from: &mut BufReader<TcpStream>) -> Option<(String, String)> {
+    let (mut request_line, mut trace, mut length) = (String::new(), String::new(), 0);
+    from.read_line(&mut request_line).ok().filter(|n| *n > 0)?;
     loop {
         let mut line = String::new();
         from.read_line(&mut line).ok()?;
@@ -34,7 +35,7 @@
         }
     }
     from.read_exact(&mut vec![0; length]).ok()?;
-    Some((first, trace))
+    Some((request_line, trace))
 }
 
 fn answer(to: &mut TcpStream, status: &str, body: &str) {
@@ -45,8 +46,8 @@
     );
 }
 
-/// Serves every connection in a thread of its own.
-fn serve(address: &str, each: fn(String, String, &mut TcpStream)) {
+/// Serves each connection in a thread of its own.
+fn serve(address: &str, handler: fn(String, String, &mut TcpStream)) {
     let listener = TcpListener::bind(address).unwrap_or_else(|e| panic!("{address}: {e}"));
     for stream in listener.incoming().flatten() {
         spawn(move || {
@@ -54,16 +55,16 @@
                 return;
             };
             let mut from = BufReader::new(stream);
-            while let Some((first, trace)) = request(&mut from) {
-                each(first, trace, &mut to);
+            while let Some((request_line, trace)) = read_request(&mut from) {
+                handler(request_line, trace, &mut to);
             }
         });
     }
 }
 
-/// The list never changes: a call for changes waits and brings none.
-fn discovery(first: String, _: String, to: &mut TcpStream) {
-    if let Some(wait) = first
+/// Answers a call for the machine list. The list never changes, so a call for changes waits and returns none.
+fn discovery(request_line: String, _: String, to: &mut TcpStream) {
+    if let Some(wait) = request_line
         .split("wait=")
         .nth(1)
         .and_then(|w| w.split(' ').next()?.parse().ok())
@@ -79,11 +80,11 @@
     );
 }
 
-fn worker(first: String, trace: String, to: &mut TcpStream) {
-    if !first.starts_with("POST ") {
+fn worker(request_line: String, trace: String, to: &mut TcpStream) {
+    if !request_line.starts_with("POST ") {
         return answer(to, "404 Not Found", "");
     }
-    println!("{trace}: {}", first.trim_end());
+    println!("{trace}: {}", request_line.trim_end());
     answer(to, "202 Accepted", "");
     spawn(move || {
         report(&trace, r#""state":"started""#);
@@ -103,7 +104,7 @@
         link.read_to_end(&mut Vec::new())
     });
     if let Err(error) = sent {
-        println!("{trace}: the scheduler could not be told: {error}");
+        println!("{trace}: the report to {SCHEDULER} failed: {error}");
     }
 }
 
--- a/crates/indigofold/src/front/faktory/machine.rs
+++ b/crates/indigofold/src/front/faktory/machine.rs
@@ -1,7 +1,7 @@
-//! One actor for each machine of the operator's file: whether it is there, what is assigned to it, and what
-//! its job workers have in hand.
+//! One actor for each machine of the operator's file: its state, the attempts assigned to it, and the jobs that its job
+//! workers hold.
 
-use super::{Faktory, Parcel};
+use super::{Faktory, JobRecord};
 use crate::api::{Entry, Scope, Status, Time, WorkerState};
 use crate::net::log;
 use async_channel::{Receiver, RecvError, Sender};
@@ -13,48 +13,48 @@
 
 /// An order to a machine's actor.
 pub enum Order {
-    /// The module has assigned it this job.
-    Send(Attempt, Rc<Parcel>),
-    /// Some attempts were given up.
+    /// The decision module has assigned this attempt to the machine.
+    Send(Attempt, Rc<JobRecord>),
+    /// Drop waiting attempts that were given up.
     DropWithdrawn,
-    /// A job worker has connected: its name, which start of it this is, the connection.
+    /// A job worker has connected: its `wid`, the host and process id that identify its process, the connection's number.
     Connected(String, String, u64),
-    /// One of its connections has ended.
+    /// A connection of the job worker with this `wid` has ended.
     Disconnected(String, u64),
-    /// Its heartbeat; `true`: it takes nothing new.
+    /// A heartbeat of the job worker with this `wid`; `true` if it accepts no new jobs.
     Heartbeat(String, bool),
-    /// It wants a job of one of these queues.
+    /// A job worker requests a job: the connection, its `wid`, its queues in order of preference, and the reply channel.
     Fetch(u64, String, Vec<String>, Sender<Assignment>),
-    /// A fetch was withdrawn.
+    /// The fetch on this connection was withdrawn.
     CancelFetch(u64),
-    /// A job has been written to it, or not: then it never ran.
+    /// Whether a job was completely written to the job worker; if not, it never ran.
     Written(Assignment, bool),
-    /// A job worker reports how a job ended.
+    /// A job worker reports how a job ended: its `wid`, the job id, the status.
     Ended(String, String, Status),
 }
 
-/// An attempt on its way to a job worker.
+/// An attempt that is assigned to a job worker.
 #[derive(Clone)]
 pub struct Assignment {
-    /// The attempt.
+    /// The attempt, as sent by the decision module.
     pub attempt: Attempt,
-    /// The job.
-    pub parcel: Rc<Parcel>,
+    /// The attempt's job.
+    pub record: Rc<JobRecord>,
     wid: String,
 }
 
-/// A job worker's process.
+/// The process of a job worker.
 struct Process {
-    start: String,
-    links: BTreeSet<u64>,
-    heartbeat_by: Time,
-    link_by: Option<Time>, // it has no connection, and is removed unless one comes before this
-    quiet: bool,
-    unresponsive: bool, // its heartbeat is overdue
+    identity: String,           // HOST:PID, differs after a restart of the job worker
+    links: BTreeSet<u64>,       // numbers of its open connections
+    heartbeat_by: Time,         // when the next heartbeat is overdue
+    reconnect_by: Option<Time>, // set while no connection is open: end of the wait for a new one
+    quiet: bool,                // accepts no new jobs
+    unresponsive: bool,         // the heartbeat is overdue
 }
 
 impl Process {
-    /// May it be assigned something new?
+    /// Whether new jobs may be assigned to the process.
     fn takes_jobs(&self) -> bool {
         !self.quiet && !self.unresponsive
     }
@@ -67,18 +67,18 @@
     to: Sender<Assignment>,
 }
 
-/// The actor.
+/// Actor that assigns jobs to the job workers of one machine.
 pub struct Machine {
     front: Rc<Faktory>,
     entry: Entry,
     processes: BTreeMap<String, Process>,
-    waiting: VecDeque<(Attempt, Rc<Parcel>)>,
+    waiting: VecDeque<(Attempt, Rc<JobRecord>)>,
     fetches: VecDeque<Fetch>,
     assigned: BTreeMap<String, Assignment>, // by job id
 }
 
 impl Machine {
-    /// The actor of a machine that is not there yet.
+    /// Creates the actor of a machine that has no connected job worker yet.
     pub fn new(front: Rc<Faktory>, entry: Entry) -> Self {
         Machine {
             front,
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Runs for as long as somebody may give orders.
+    /// Handles orders and expired heartbeats until the order channel is closed.
     pub async fn run(mut self, inbox: Receiver<Order>) {
         loop {
             let heartbeat_due = |p: &Process| (!p.unresponsive).then_some(p.heartbeat_by);
             let due = self
                 .processes
                 .values()
-                .flat_map(|p| [heartbeat_due(p), p.link_by])
+                .flat_map(|p| [heartbeat_due(p), p.reconnect_by])
                 .flatten()
                 .min();
             let order: Result<Option<Order>, RecvError> = match due {
@@ -121,20 +121,20 @@
     async fn handle_order(&mut self, order: Order) {
         let now = self.front.clock.now();
         match order {
-            Order::Send(attempt, parcel) if self.entry.state == WorkerState::Active => {
-                self.waiting.push_back((attempt, parcel));
+            Order::Send(attempt, record) if self.entry.state == WorkerState::Active => {
+                self.waiting.push_back((attempt, record));
                 self.assign_waiting();
             }
-            // Assigned before the module had handled that the machine drains or has left.
+            // The module assigned this before it handled that the machine drains or has left.
             Order::Send(attempt, _) => {
                 self.send_to_core(CoreInput::Ended(attempt.id, Status::Moot, None))
                     .await;
             }
             Order::DropWithdrawn => self
                 .waiting
-                .retain(|(attempt, parcel)| self.front.is_wanted(attempt, parcel)),
-            Order::Connected(wid, start, link) => {
-                self.worker_connected(now, wid, start, link).await;
+                .retain(|(attempt, record)| self.front.is_wanted(attempt, record)),
+            Order::Connected(wid, identity, link) => {
+                self.worker_connected(now, wid, identity, link).await;
             }
             Order::Disconnected(wid, link) => self.worker_disconnected(now, &wid, link),
             Order::Heartbeat(wid, quiet) => self.heartbeat(now, &wid, quiet).await,
@@ -154,17 +154,17 @@
             }
             Order::Written(assignment, false) => {
                 let id = assignment.attempt.id;
-                self.end_if(&assignment.parcel.jid, Status::ConnectFailed, |of| {
-                    of.attempt.id == id
+                self.end_if(&assignment.record.jid, Status::ConnectFailed, |a| {
+                    a.attempt.id == id
                 })
                 .await;
             }
-            // What is reported twice, too late or by another job worker has no effect.
-            Order::Ended(wid, jid, status) => self.end_if(&jid, status, |of| of.wid == wid).await,
+            // A report that is repeated, too late or from another job worker has no effect.
+            Order::Ended(wid, jid, status) => self.end_if(&jid, status, |a| a.wid == wid).await,
         }
     }
 
-    /// Ends the assignment of a job, if it is the one that is meant.
+    /// Ends the assignment of a job if `meant` holds for it.
     async fn end_if(&mut self, jid: &str, status: Status, meant: impl Fn(&Assignment) -> bool) {
         if !self.assigned.get(jid).is_some_and(meant) {
             return;
@@ -180,11 +180,11 @@
             return;
         };
         if p.links.remove(&link) && p.links.is_empty() {
-            p.link_by = Some(now + self.front.file.reconnect_within);
+            p.reconnect_by = Some(now + self.front.file.reconnect_within);
         }
     }
 
-    /// `quiet`: the job worker takes nothing new.
+    /// Handles a heartbeat. `quiet` says that the job worker accepts no new jobs.
     async fn heartbeat(&mut self, now: Time, wid: &str, quiet: bool) {
         let Some(p) = self.processes.get_mut(wid) else {
             return;
@@ -194,12 +194,16 @@
         self.publish_state().await;
     }
 
-    /// A job worker has connected. The start of a new process ends what the old one had in hand.
-    async fn worker_connected(&mut self, now: Time, wid: String, start: String, link: u64) {
+    /// Handles a new connection of a job worker. A new process under the same `wid` ends the old one's assignments.
+    async fn worker_connected(&mut self, now: Time, wid: String, identity: String, link: u64) {
         let heartbeat_by = now + self.front.file.heartbeat_timeout;
-        if let Some(p) = self.processes.get_mut(&wid).filter(|p| p.start == start) {
+        if let Some(p) = self
+            .processes
+            .get_mut(&wid)
+            .filter(|p| p.identity == identity)
+        {
             p.links.insert(link);
-            (p.heartbeat_by, p.link_by, p.unresponsive) = (heartbeat_by, None, false);
+            (p.heartbeat_by, p.reconnect_by, p.unresponsive) = (heartbeat_by, None, false);
             return self.publish_state().await;
         }
         self.processes.remove(&wid);
@@ -208,26 +212,26 @@
         self.processes.insert(
             wid,
             Process {
-                start,
+                identity,
                 links,
                 heartbeat_by,
-                link_by: None,
+                reconnect_by: None,
                 quiet: false,
                 unresponsive: false,
             },
         );
-        // It is in warm-up, and the module must be notified even where the machine was active a moment ago.
+        // The machine is in warm-up, and the module must be notified even if the machine was active until now.
         self.entry.ready_at = now;
         self.entry.state = WorkerState::Left;
         self.publish_state().await;
-        // Assigned when the machine was warm: the module is to think again.
+        // The waiting attempts were assigned to a warm machine, so the module must reassign them.
         self.return_waiting().await;
     }
 
-    /// Ends the assignments of job workers whose heartbeat or connection is overdue.
+    /// Ends the assignments of job workers whose heartbeat or reconnection is overdue.
     async fn expire_processes(&mut self) {
         let now = self.front.clock.now();
-        let disconnected = |p: &Process| p.link_by.is_some_and(|at| at <= now);
+        let disconnected = |p: &Process| p.reconnect_by.is_some_and(|at| at <= now);
         let overdue = |p: &Process| (p.heartbeat_by <= now && !p.unresponsive) || disconnected(p);
         let overdue_wids: Vec<String> = self
             .processes
@@ -247,7 +251,7 @@
         self.publish_state().await;
     }
 
-    /// A process has ended: what was assigned to it may have run.
+    /// Ends the assignments of a process that has ended, as resets, since the jobs may have run.
     async fn end_assignments_of(&mut self, wid: &str) {
         self.fetches.retain(|f| f.wid != wid);
         let lost: Vec<String> = self
@@ -265,7 +269,7 @@
         }
     }
 
-    /// Computes the machine's state, and notifies the core where it has changed.
+    /// Computes the machine's state, and notifies the core if it has changed.
     async fn publish_state(&mut self) {
         let state = match &self.processes {
             all if all.values().any(Process::takes_jobs) => WorkerState::Active,
@@ -281,7 +285,7 @@
         ))
         .await;
         if state != WorkerState::Active {
-            // Nothing new goes to a machine that drains: what waits for it never ran.
+            // A draining machine gets nothing new; attempts that wait for it never ran.
             self.return_waiting().await;
         }
     }
@@ -293,10 +297,10 @@
         }
     }
 
-    /// Gives those who fetch what is assigned to this machine, by the order of their queues.
+    /// Hands waiting attempts to the job workers that fetch, in the order of each fetch's queues.
     fn assign_waiting(&mut self) {
         self.waiting
-            .retain(|(attempt, parcel)| self.front.is_wanted(attempt, parcel));
+            .retain(|(attempt, record)| self.front.is_wanted(attempt, record));
         let mut n = 0;
         while n < self.fetches.len() {
             let fetch = &self.fetches[n];
@@ -304,52 +308,52 @@
                 .processes
                 .get(&fetch.wid)
                 .is_some_and(Process::takes_jobs);
-            let of = |queue: &String| {
+            let index = |queue: &String| {
                 self.waiting
                     .iter()
-                    .position(|(_, parcel)| parcel.queue == *queue)
+                    .position(|(_, record)| record.queue == *queue)
             };
-            let Some(at) = fetch.queues.iter().filter(|_| takes_jobs).find_map(of) else {
+            let Some(at) = fetch.queues.iter().filter(|_| takes_jobs).find_map(index) else {
                 n += 1;
                 continue;
             };
-            let (Some(fetch), Some((attempt, parcel))) =
+            let (Some(fetch), Some((attempt, record))) =
                 (self.fetches.remove(n), self.waiting.remove(at))
             else {
                 return;
             };
             let assignment = Assignment {
                 attempt,
-                parcel,
+                record,
                 wid: fetch.wid,
             };
             if fetch.to.try_send(assignment.clone()).is_err() {
                 self.waiting
-                    .insert(at, (assignment.attempt, assignment.parcel)); // that fetch has just been withdrawn
+                    .insert(at, (assignment.attempt, assignment.record)); // the fetch has just been withdrawn
                 continue;
             }
             assignment
-                .parcel
+                .record
                 .assigned
-                .set(assignment.parcel.assigned.get() + 1);
+                .set(assignment.record.assigned.get() + 1);
             assignment
-                .parcel
+                .record
                 .assigned_attempts
                 .borrow_mut()
                 .push(assignment.attempt.id);
             self.assigned
-                .insert(assignment.parcel.jid.clone(), assignment);
+                .insert(assignment.record.jid.clone(), assignment);
         }
     }
 
     async fn end(&self, assignment: Assignment, status: Status) {
         assignment
-            .parcel
+            .record
             .assigned
-            .set(assignment.parcel.assigned.get().saturating_sub(1));
+            .set(assignment.record.assigned.get().saturating_sub(1));
         self.send_to_core(CoreInput::Ended(assignment.attempt.id, status, None))
             .await;
-        self.front.orphan_ended(&assignment.parcel, status);
+        self.front.orphan_ended(&assignment.record, status);
     }
 
     async fn send_to_core(&self, input: CoreInput) {
--- a/crates/indigofold/src/front/platform.rs
+++ b/crates/indigofold/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: HTTP/1.1 with clients, job workers and discovery.
+//! The platform front end: HTTP/1.1 with clients, job workers and discovery.
 
 pub mod clients;
 pub mod connection_state;
@@ -28,55 +28,56 @@
 use std::rc::Rc;
 use workers::{AttemptState, Order, Stage, WorkerActor};
 
-/// Orders that may wait for a machine; more are rejected unsent.
+/// Capacity of a machine's order queue. An attempt that finds it full is rejected unsent.
 const MAX_QUEUED_ORDERS: usize = 512;
 
-/// A job's message as it is passed on, and what came back.
-pub struct Parcel {
-    /// The client's id for it.
+/// An open job: its message as forwarded to job workers, its result and its attempts.
+pub struct JobRecord {
+    /// The job id chosen by the client (`X-Trace-Id`).
     pub trace: String,
-    /// The body, and after it the request line and headers but for the time left: what is sent of it.
+    /// The forwarded message: first the body, then the request line and the headers. The header with the remaining time
+    /// is added when an attempt is sent.
     pub text: Buffer,
-    /// The body's length.
+    /// Length of the body in bytes.
     pub body: usize,
-    /// What a job worker made for it.
+    /// The first result reported by a job worker; `None` before that.
     pub result: RefCell<Option<Vec<u8>>>,
-    /// Its attempts: where they went, and how far they have come.
+    /// The state of each attempt, indexed by attempt number.
     attempts: RefCell<Vec<Rc<AttemptState>>>,
-    /// Where its answer goes: closed once that is given, or nobody waits for it any more.
+    /// Channel for the answer; closed once the answer has been given or the client has left.
     reply: WeakSender<Answer>,
 }
 
-impl Parcel {
-    /// Does somebody wait for its answer yet?
+impl JobRecord {
+    /// Whether a client still waits for the answer.
     pub fn is_awaited(&self) -> bool {
         self.reply.upgrade().is_some()
     }
 }
 
-/// A machine's actor, and whether the machine drains by the membership.
+/// The mailbox of a machine's actor, and whether the membership lists the machine as draining or gone.
 struct Machine {
     orders: Sender<Order>,
     draining: Rc<Cell<bool>>,
 }
 
-/// State that the actors of this front share.
+/// State shared by the actors of this front end.
 pub struct Platform {
     /// The network.
     net: Net,
-    /// The clock.
+    /// Monotonic clock of the process.
     clock: Clock,
-    /// The site and its names.
+    /// The site: settings, and the ids of zones, kinds, classes and tenants.
     site: RefCell<Site>,
-    /// The way to the core.
+    /// Mailbox of the core.
     core: Mailbox,
-    /// There is a membership, so that jobs can be sent.
+    /// A membership is known, so jobs can be sent.
     ready: Cell<bool>,
     /// The program's lifecycle.
     lifecycle: Rc<Lifecycle>,
-    /// What is counted.
+    /// Counters of the process.
     metrics: Rc<Metrics>,
-    parcels: RefCell<HashMap<JobId, Rc<Parcel>>>,
+    records: RefCell<HashMap<JobId, Rc<JobRecord>>>,
     traces: RefCell<HashMap<String, JobId>>,
     next_job: Cell<JobId>,
     machines: RefCell<HashMap<WorkerId, Machine>>,
@@ -87,7 +88,7 @@
 }
 
 impl Platform {
-    /// The front; the membership watcher receives its commands from the channel's other end.
+    /// Creates the front end. The membership watcher receives its commands from the other end of `membership`.
     pub fn new(
         net: Net,
         clock: Clock,
@@ -105,7 +106,7 @@
             ready: Cell::new(false),
             lifecycle,
             metrics,
-            parcels: RefCell::default(),
+            records: RefCell::default(),
             traces: RefCell::default(),
             next_job: Cell::new(1),
             machines: RefCell::default(),
@@ -116,19 +117,19 @@
         })
     }
 
-    /// Takes in a job's parcel. `None` while a job of that id is open.
+    /// Registers a new job. Returns `None` if a job with the same id is open in this process or in a peer process.
     fn register_job(
         &self,
         trace: &str,
         (text, body): (Buffer, usize),
         reply: WeakSender<Answer>,
-    ) -> Option<(JobId, Rc<Parcel>)> {
+    ) -> Option<(JobId, Rc<JobRecord>)> {
         if self.traces.borrow().contains_key(trace) || self.is_open_at_peer(trace) {
             return None;
         }
         let id = self.next_job.get();
         self.next_job.set(id + 1);
-        let parcel = Parcel {
+        let record = JobRecord {
             trace: trace.to_string(),
             text,
             body,
@@ -136,20 +137,20 @@
             attempts: RefCell::default(),
             reply,
         };
-        let parcel = Rc::new(parcel);
+        let record = Rc::new(record);
         self.traces.borrow_mut().insert(trace.to_string(), id);
-        self.parcels.borrow_mut().insert(id, parcel.clone());
+        self.records.borrow_mut().insert(id, record.clone());
         self.notify_peers(|| peer_process::HandoverMessage::JobOpened(trace.to_string()));
-        Some((id, parcel))
+        Some((id, record))
     }
 
-    /// Discovery answers elsewhere from now on.
+    /// Switches to the discovery service at this address.
     pub async fn move_discovery(&self, to: SocketAddr) {
         let _ = self.membership.send(membership::Command::MoveTo(to)).await;
     }
 
-    /// Other settings hold from now on: for the names that are read here, and for the module, without a break between.
-    /// A job read before stands before them in the core's mailbox, one read after stands behind.
+    /// Applies new settings to this front end and to the decision module at the same point in the core's mailbox: jobs
+    /// parsed with the old settings precede the change in the mailbox, jobs parsed with the new ones follow it.
     pub async fn reconfigure(&self, new: Site) {
         let site = self.site.borrow().followed_by(new);
         let mut input = CoreInput::Settings(Box::new(site.settings.clone()));
@@ -160,52 +161,52 @@
         *self.site.borrow_mut() = site;
     }
 
-    /// The network.
+    /// The network that this front end serves on.
     pub fn net(&self) -> &Net {
         &self.net
     }
 
-    /// The program's lifecycle.
+    /// Lifecycle state of the process.
     pub fn lifecycle(&self) -> &Rc<Lifecycle> {
         &self.lifecycle
     }
 
-    /// What is counted.
+    /// Counters of the process.
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
-    /// Whether there is a membership, so that jobs can be sent.
+    /// Whether a membership is known, so that jobs can be sent.
     pub fn has_membership(&self) -> bool {
         self.ready.get()
     }
 
-    /// The longest deadline of the site's classes.
+    /// The longest default deadline of the site's classes, in microseconds.
     pub fn longest_deadline(&self) -> Time {
         self.site.borrow().longest_deadline()
     }
 
-    /// The names of the site's classes, by id.
+    /// The names of the site's classes, indexed by class id.
     pub fn class_names(&self) -> Vec<String> {
         let site = self.site.borrow();
         site.classes.all().map(str::to_string).collect()
     }
 
-    /// Jobs whose answer is reply or on its way.
+    /// Number of jobs that are open in this process.
     pub fn open_jobs(&self) -> usize {
-        self.parcels.borrow().len()
+        self.records.borrow().len()
     }
 
     fn knows_machines(&self) -> bool {
         !self.machines.borrow().is_empty()
     }
 
-    fn parcel(&self, job: JobId) -> Option<Rc<Parcel>> {
-        self.parcels.borrow().get(&job).cloned()
+    fn record(&self, job: JobId) -> Option<Rc<JobRecord>> {
+        self.records.borrow().get(&job).cloned()
     }
 
-    /// The number of a machine, by its name: the same in every scheduler, so that all agree on who of them
-    /// sends to a cold one first.
+    /// Returns the id of a machine, derived from its name. All schedulers derive the same id, so they agree on which of
+    /// them is the first to send to a cold machine.
     fn worker_id(&self, host: &str) -> WorkerId {
         if let Some(id) = self.names.borrow().get(host) {
             return *id;
@@ -221,14 +222,14 @@
         id
     }
 
-    /// Applies an update from discovery: notifies the machines' actors, and returns the core's entries. From here on
-    /// nothing more is sent to a machine that is draining, whatever was decided before.
+    /// Applies an update from discovery: notifies the machines' actors and returns the entries for the core. After this
+    /// call nothing new is sent to a draining machine, even if an attempt was already assigned to it.
     pub fn apply_membership(self: &Rc<Self>, update: MembershipUpdate) -> Vec<Entry> {
         if update.complete {
             self.machines
                 .borrow()
                 .values()
-                .for_each(|m| m.draining.set(true)); // but for those that it names
+                .for_each(|m| m.draining.set(true)); // reset below for machines in the update
         }
         let mut entries = Vec::new();
         for machine in update.hosts {
@@ -253,7 +254,7 @@
         entries
     }
 
-    /// Tells a machine's actor its address, and whether it drains; starts the actor of a new machine.
+    /// Passes a machine's address and draining state to its actor; starts the actor of a new machine.
     fn apply_machine(
         self: &Rc<Self>,
         worker: WorkerId,
@@ -270,13 +271,13 @@
         match dial {
             Ok(dial) if !self.order(worker, Order::Address(dial)) => {
                 log(format_args!(
-                    "machine={} is too busy to be told its address",
+                    "machine={} address update dropped: its order queue is full",
                     machine.host
                 ));
             }
             Err(_) if state == WorkerState::Active => {
                 log(format_args!(
-                    "machine={} has no address that can be dialled: {:?}",
+                    "machine={} has an invalid address, expected IP:PORT: {:?}",
                     machine.host, machine.dial
                 ));
             }
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Starts the actor of a machine.
+    /// Starts the actor of a machine and stores its mailbox.
     fn start_worker(self: &Rc<Self>, worker: WorkerId, host: &str) {
         let ((orders, inbox), draining) = (bounded(MAX_QUEUED_ORDERS), Rc::default());
         let actor = WorkerActor::new(self.clone(), worker, host.to_string(), Rc::clone(&draining));
@@ -294,17 +295,18 @@
             .insert(worker, Machine { orders, draining });
     }
 
-    /// The core's input that a report stands for. What concerns no open attempt (a job answered long ago, an attempt of this
-    /// scheduler's former incarnation) has no effect.
+    /// Converts a report into an input for the core. Returns `None` for a report on no open attempt, such as a job that was
+    /// answered long ago or an attempt of a former incarnation of this scheduler.
     fn interpret_report(&self, report: &JobReport) -> Option<CoreInput> {
         let job = *self.traces.borrow().get(&report.id)?;
         let machine = *self.names.borrow().get(&report.from)?;
-        let parcel = self.parcel(job)?;
-        let attempts = parcel.attempts.borrow();
+        let record = self.record(job)?;
+        let attempts = record.attempts.borrow();
         let reported =
-            |attempt: &Rc<AttemptState>| attempt.machine == machine && attempt.went_out();
+            |attempt: &Rc<AttemptState>| attempt.machine == machine && attempt.fully_sent();
         let last = attempts.iter().rposition(reported)?;
-        // Told twice of an earlier attempt, it must not count for this one, which may run.
+        // With an earlier attempt on the same machine, the report may be a duplicate about that one, and the last attempt
+        // may be running. "returned" then doesn't count as proof that the attempt never ran.
         let repeated = attempts[..last].iter().any(reported);
         let attempt = AttemptId {
             job,
@@ -326,8 +328,8 @@
                         .map_or_else(|| value.encode(), str::to_string),
                     None => String::new(),
                 };
-                // The first result stays: the answer may be on its way.
-                parcel
+                // The first result is kept, as the answer may already be in transit.
+                record
                     .result
                     .borrow_mut()
                     .get_or_insert(result.into_bytes());
@@ -341,8 +343,8 @@
         })
     }
 
-    fn forget_attempts(&self, job: JobId, parcel: &Parcel) {
-        for (n, attempt) in parcel.attempts.borrow().iter().enumerate() {
+    fn forget_attempts(&self, job: JobId, record: &JobRecord) {
+        for (n, attempt) in record.attempts.borrow().iter().enumerate() {
             self.order(
                 attempt.machine,
                 Order::Forget(AttemptId {
@@ -363,19 +365,19 @@
 
 impl Transport for Platform {
     fn send(&self, attempt: Attempt) -> bool {
-        let Some(parcel) = self.parcel(attempt.id.job) else {
+        let Some(record) = self.record(attempt.id.job) else {
             return false;
         };
         let state = AttemptState::new(attempt.machine, Stage::Unsent);
-        parcel.attempts.borrow_mut().push(state.clone());
-        self.order(attempt.machine, Order::Send(attempt, parcel, state))
+        record.attempts.borrow_mut().push(state.clone());
+        self.order(attempt.machine, Order::Send(attempt, record, state))
     }
 
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp {
-        let Some(parcel) = self.parcel(attempt.job) else {
+        let Some(record) = self.record(attempt.job) else {
             return GivenUp::Done;
         };
-        let unsent = parcel
+        let unsent = record
             .attempts
             .borrow()
             .get(attempt.number as usize)
@@ -386,7 +388,7 @@
             .get(&machine)
             .map(|m| m.orders.clone())
         {
-            let order = Order::GiveUp(attempt, parcel);
+            let order = Order::GiveUp(attempt, record);
             if let Err(TrySendError::Full(order)) = orders.try_send(order) {
                 self.net.spawn(async move { _ = orders.send(order).await });
             }
@@ -413,11 +415,11 @@
     }
 
     fn forget(&self, job: JobId) {
-        if let Some(parcel) = self.parcels.borrow_mut().remove(&job) {
-            self.traces.borrow_mut().remove(&parcel.trace);
-            self.drop_deferred_reports(&parcel.trace);
-            self.notify_peers(|| peer_process::HandoverMessage::JobClosed(parcel.trace.clone()));
-            self.forget_attempts(job, &parcel);
+        if let Some(record) = self.records.borrow_mut().remove(&job) {
+            self.traces.borrow_mut().remove(&record.trace);
+            self.drop_deferred_reports(&record.trace);
+            self.notify_peers(|| peer_process::HandoverMessage::JobClosed(record.trace.clone()));
+            self.forget_attempts(job, &record);
         }
     }
 
--- a/crates/indigofold/src/front/platform/membership/discovery_client.rs
+++ b/crates/indigofold/src/front/platform/membership/discovery_client.rs
@@ -1,4 +1,4 @@
-//! One connection to a discovery: its calls for the membership.
+//! A client connection to discovery, and its calls for the membership.
 
 use super::schedule::DIAL_TIMEOUT;
 use crate::config::MembershipUpdate;
@@ -11,13 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The connection to a discovery, and the version of its membership that is known, if any.
+/// A connection to discovery, and the version of its membership that is known, if any.
 pub(super) struct DiscoveryClient {
     front: Rc<Platform>,
     pub(super) discovery: SocketAddr,
     link: Option<Link>,
     pub(super) seq: Option<u64>,
-    /// Its last answer was older than the version known: the complete membership is requested, and is applied.
+    /// The last answer was older than the known version. The next call requests the complete membership, which is applied
+    /// whatever its version.
     pub(super) older: bool,
 }
 
@@ -46,16 +47,16 @@
         }
     }
 
-    /// One call, made after `put_off`; it may take `limit`. `wait`: how long it waits for changes, in milliseconds; without
-    /// one the complete membership is requested.
+    /// Makes one call after the delay `delay`, with the timeout `limit`. `wait` is the long-poll wait for changes in
+    /// milliseconds; `None` requests the complete membership.
     pub(super) async fn call(
         mut self,
         wait: Option<u64>,
-        put_off: Duration,
+        delay: Duration,
         limit: Duration,
     ) -> (DiscoveryClient, Result<MembershipUpdate, Reason>) {
-        if !put_off.is_zero() {
-            Timer::after(put_off).await;
+        if !delay.is_zero() {
+            Timer::after(delay).await;
         }
         let answer = self.exchange(wait, limit).await;
         (self, answer)
@@ -63,7 +64,7 @@
 
     #[allow(
         clippy::too_many_lines,
-        reason = "its closures share the connection and what has come on it"
+        reason = "its closures share the connection and the bytes received on it"
     )]
     async fn exchange(
         &mut self,
--- a/crates/indigofold/tests/affinity.rs
+++ b/crates/indigofold/tests/affinity.rs
@@ -1,5 +1,5 @@
-//! Jobs that say what they are about: where they go, what it may cost to send them elsewhere, and that nothing of
-//! it happens where workers keep nothing.
+//! Subject affinity: jobs of one subject prefer the same worker, which has already fetched the subject's data; when a job
+//! goes to another worker instead; and that affinity has no effect if workers cache nothing.
 
 use indigofold::affinity::{SmoothedWeights, draw, fetch_time, rank};
 use indigofold::api::*;
@@ -10,7 +10,7 @@
 
 const FETCH: Time = 400 * MS;
 
-fn about(id: RequestId, subject: u64) -> Event {
+fn request_about(id: RequestId, subject: u64) -> Event {
     Event::Request(Request {
         subject: Some(subject),
         ..request(id, 0)
@@ -23,7 +23,7 @@
         .collect()
 }
 
-fn stage(workers: &[Entry]) -> Harness {
+fn harness(workers: &[Entry]) -> Harness {
     Harness::new(
         Settings {
             dispatchers: 1,
@@ -36,7 +36,7 @@
 
 const RUN: Time = 1_200 * MS;
 
-/// Lets a started job fetch for so long and run, with its share done told every second, and end.
+/// Lets a started job fetch for the given time and run, with a progress report every second, and end.
 fn finish(s: &mut Harness, id: RequestId, fetch: Time) {
     let mut at = 0;
     while at + SEC < fetch + RUN {
@@ -52,27 +52,38 @@
     s.end(id, 0, Status::Ok);
 }
 
-/// Serves one job; a worker that lacks what it is about fetches it first. Returns the worker.
+/// Serves one job; a worker that hasn't cached the job's subject fetches it first. Returns the worker.
 fn serve(
     s: &mut Harness,
     id: RequestId,
-    of: u64,
-    keeps: &mut BTreeSet<(WorkerId, u64)>,
+    subject: u64,
+    cached: &mut BTreeSet<(WorkerId, u64)>,
     fetch: Time,
 ) -> WorkerId {
-    s.handle(about(id, of));
-    let worker = s.sent_to(id).expect("a worker is free");
+    s.handle(request_about(id, subject));
+    let worker = s
+        .sent_to(id)
+        .expect("the job must be sent, as a worker is free");
     s.start(id, 0);
-    let fetch = if keeps.insert((worker, of)) { fetch } else { 0 };
+    let fetch = if cached.insert((worker, subject)) {
+        fetch
+    } else {
+        0
+    };
     finish(s, id, fetch);
     worker
 }
 
-/// Jobs in work, so that the next ones about the same find their first worker taken.
-fn start_jobs(s: &mut Harness, ids: std::ops::Range<RequestId>, of: u64) -> Vec<Option<WorkerId>> {
+/// Starts jobs of one subject and leaves them running, so that the subject's first worker is busy. Returns the worker of
+/// each job, or `None` for a job that is queued.
+fn start_jobs(
+    s: &mut Harness,
+    ids: std::ops::Range<RequestId>,
+    subject: u64,
+) -> Vec<Option<WorkerId>> {
     let mut sent = Vec::new();
     for id in ids {
-        s.handle(about(id, of));
+        s.handle(request_about(id, subject));
         sent.push(s.sent_to(id));
         s.start(id, 0);
     }
@@ -91,7 +102,10 @@
         .collect();
     for (drawn_worker, weight) in [0.5, 0.3, 0.2].into_iter().enumerate() {
         let drawn = draws.iter().filter(|d| **d == drawn_worker).count() as f64 / 20_000.0;
-        assert!((drawn - weight).abs() < 0.02, "{drawn_worker}: {drawn}");
+        assert!(
+            (drawn - weight).abs() < 0.02,
+            "worker {drawn_worker}: drawn share {drawn}, weight {weight}"
+        );
     }
     let more = (0..20_000).filter_map(|s| draw(s, weighted([0.5, 0.6, 0.2])));
     assert!(
@@ -119,7 +133,7 @@
 
 #[test]
 fn the_first_progress_report_gives_the_fetch_time() {
-    // Started at 2 s, 0.5 s to fetch, then 2 s of even running: at 3 s a quarter is done.
+    // Started at 2 s, fetches for 0.5 s, then runs evenly for 2 s: at 3 s a quarter is done.
     assert_eq!(
         fetch_time(2 * SEC, progress(3 * SEC, 0.25), 4_500 * MS),
         Some(500_000.0)
@@ -128,19 +142,19 @@
         fetch_time(2 * SEC, progress(3 * SEC, 0.5), 4 * SEC),
         Some(0.0)
     );
-    // Nothing told, told before the start, or at the end: it says nothing.
+    // No report, a report before the start, and a report at the end give no fetch time.
     for report in [None, progress(SEC, 0.2), progress(4 * SEC, 0.9)] {
         assert_eq!(fetch_time(2 * SEC, report, 4 * SEC), None);
     }
-    // A share that says all is done long before the end.
+    // A report of completion long before the end.
     assert_eq!(
         fetch_time(2 * SEC, progress(3 * SEC, 1.0), 4 * SEC),
         Some(0.0)
     );
 }
 
-/// Guards against jobs about the same being spread over all workers, each of which then fetches the same (0.24 of
-/// them on one worker on the second site, where a fetch takes half of a mean run).
+/// Guards against spreading the jobs of one subject over all workers, each of which then fetches the same data. On the
+/// second site, where a fetch takes half of a mean run, only 0.24 of a subject's jobs went to the same worker.
 #[test]
 fn jobs_of_one_subject_go_to_the_same_worker_from_every_dispatcher() {
     let (membership, mut first) = (workers(2, 4), BTreeMap::new());
@@ -150,17 +164,20 @@
             progress: SEC,
             ..settings()
         };
-        let (mut s, mut keeps) = (Harness::new(settings, &membership), BTreeSet::new());
+        let (mut s, mut cached) = (Harness::new(settings, &membership), BTreeSet::new());
         for id in 1..=120 {
-            let (of, worker) = (id % 12, serve(&mut s, id, id % 12, &mut keeps, FETCH));
+            let (subject, worker) = (id % 12, serve(&mut s, id, id % 12, &mut cached, FETCH));
             if id > 60 {
-                first.entry(of).or_insert_with(BTreeSet::new).insert(worker);
+                first
+                    .entry(subject)
+                    .or_insert_with(BTreeSet::new)
+                    .insert(worker);
             }
         }
         assert!(
-            keeps.len() <= 30,
+            cached.len() <= 30,
             "dispatcher {me}: {} fetches",
-            keeps.len()
+            cached.len()
         );
     }
     let shared = first.values().filter(|w| w.len() == 1).count();
@@ -173,19 +190,20 @@
 
 #[test]
 fn a_hot_subject_spreads_over_more_workers_until_all_are_used() {
-    let mut s = stage(&workers(1, 6));
+    let mut s = harness(&workers(1, 6));
     let sent = start_jobs(&mut s, 1..13, 5);
     let used: BTreeSet<_> = sent.iter().flatten().collect();
     assert_eq!(used.len(), 6, "{sent:?}");
 }
 
-/// Guards against a fetch elsewhere where the wait would be shorter: fetches then fill the slots, and the store.
+/// Guards against a fetch on another worker when waiting for the first one would be shorter: fetches then fill the slots
+/// and the store.
 #[test]
 fn a_job_waits_for_its_first_worker_where_that_is_shorter_than_a_fetch() {
     for (fetch, waits) in [(2 * RUN, true), (RUN / 8, false)] {
-        let mut s = stage(&workers(1, 4));
+        let mut s = harness(&workers(1, 4));
         for id in 0..10 {
-            // The first worker has one, so the next goes elsewhere and shows what that takes.
+            // The first worker is busy with one job, so the next goes to another worker, which shows the fetch time.
             start_jobs(&mut s, 100 + id..101 + id, 1);
             start_jobs(&mut s, 200 + id..201 + id, 1);
             finish(&mut s, 200 + id, fetch);
@@ -196,15 +214,15 @@
     }
 }
 
-/// Where workers keep nothing, what jobs are about must not matter: one subject's jobs spread as any others.
+/// If workers cache nothing, subjects must not matter: jobs of one subject spread like any others.
 #[test]
 fn affinity_is_ignored_once_fetches_cost_nothing() {
-    let (mut s, mut keeps) = (stage(&workers(1, 8)), BTreeSet::new());
+    let (mut s, mut cached) = (harness(&workers(1, 8)), BTreeSet::new());
     let mut used = BTreeSet::new();
     for id in 1..=60 {
-        s.handle(about(10_000 + id, 3));
+        s.handle(request_about(10_000 + id, 3));
         s.start(10_000 + id, 0);
-        let worker = serve(&mut s, id, 3, &mut keeps, 0);
+        let worker = serve(&mut s, id, 3, &mut cached, 0);
         s.end(10_000 + id, 0, Status::Ok);
         if id > 40 {
             used.insert(worker);
@@ -213,7 +231,7 @@
     assert!(used.len() >= 5, "{used:?}");
 }
 
-/// Within a kind, the order is a subject's own: with one worker gone only what went first there moves.
+/// Within a kind, each subject ranks the workers on its own: if a worker leaves, only subjects that ranked it first move.
 #[test]
 fn a_departed_worker_moves_only_subjects_it_was_first_choice_for() {
     let ids: Vec<WorkerId> = (0..10).map(|n| 1_000 + 13 * n).collect();
@@ -228,11 +246,14 @@
     let had = (0..2_000)
         .filter(|s| first(*s, None) == Some(departed))
         .count();
-    assert!(moved == had && (150..=250).contains(&had), "{moved} {had}");
+    assert!(
+        moved == had && (150..=250).contains(&had),
+        "{moved} moved, {had} ranked the departed worker first"
+    );
 }
 
-/// Guards against first workers that move with every solution: the `p_k` of a busy moment last for a second, what was
-/// fetched for longer (0.57 of the keys moved while the list stayed the same).
+/// Guards against first workers that change with every solution of the kind weights: weights of a busy moment last for a
+/// second, fetched data lasts longer. 0.57 of the subject keys moved while the membership stayed the same.
 #[test]
 fn affinity_weights_follow_the_solution_slowly() {
     let mut steady = SmoothedWeights::default();
@@ -259,44 +280,46 @@
         (steady.as_slice()[0] - 0.1).abs() < 0.001
             && (steady.as_slice().iter().sum::<f64>() - 1.0).abs() < 1e-9
     );
-    // A kind more: as it is solved.
+    // A change in the number of kinds takes over the solution unsmoothed.
     steady.follow(&[0.2, 0.3, 0.5]);
     assert_eq!(steady.as_slice(), [0.2, 0.3, 0.5]);
 }
 
-/// Guards against a freed slot going to the newest held job, which fetches there, while one whose like goes there waits.
+/// Guards against giving a freed slot to the newest queued job, which must fetch its data there, while a job with affinity
+/// to that worker waits.
 #[test]
 #[allow(
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
 fn a_freed_slot_goes_to_the_queued_job_with_affinity_to_its_worker() {
-    let mut s = stage(&workers(1, 3));
+    let mut s = harness(&workers(1, 3));
     let one_slot = Load {
         inflight: Some(0.0),
         queue: Some(0.0),
         free_slots: Some(1.0),
         ..Load::default()
     };
-    // Reports say that workers have one slot; it is learned what a fetch takes, and late starts leave room for one to wait.
+    // Reports say that workers have one slot. The dispatcher learns the fetch time, and as jobs start late, it lets one job
+    // wait at a worker.
     for id in 0..20 {
-        s.handle(about(100 + id, 1));
-        s.handle(about(200 + id, 1));
+        s.handle(request_about(100 + id, 1));
+        s.handle(request_about(200 + id, 1));
         s.advance(SEC);
         s.start(100 + id, 0);
         s.start(200 + id, 0);
         finish(&mut s, 200 + id, RUN / 4);
         s.end_with_load(100 + id, 0, Status::Ok, Some(one_slot));
     }
-    // A subject for each worker; nobody else has jobs there.
+    // One subject for each worker, ranked first by that subject.
     let ids: Vec<WorkerId> = workers(1, 3).iter().map(|e| e.worker).collect();
-    let mut of = BTreeMap::new();
+    let mut subject_of = BTreeMap::new();
     for n in 0..30 {
         let first = *ids
             .iter()
             .min_by(|a, b| rank(n, **a).total_cmp(&rank(n, **b)))
-            .expect("three");
-        of.entry(first).or_insert(n);
+            .expect("there must be three workers");
+        subject_of.entry(first).or_insert(n);
     }
     for worker in ids {
         s.handle(Event::Probed {
@@ -305,11 +328,14 @@
             load: Some(one_slot),
         });
     }
-    // Each worker has a job; of those that come then one or two wait at workers, the others are held.
+    // Each worker runs one job. Of the following jobs one or two wait at workers, the others are queued.
     let (mut running, mut waiting, mut queued) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     for id in 2_000..2_030 {
-        let subject = *of.values().nth(id as usize % 3).expect("three");
-        s.handle(about(id, subject));
+        let subject = *subject_of
+            .values()
+            .nth(id as usize % 3)
+            .expect("there must be three subjects");
+        s.handle(request_about(id, subject));
         match s.sent_to(id) {
             Some(worker) if !running.contains_key(&worker) => {
                 s.start(id, 0);
@@ -319,12 +345,12 @@
             None => queued.push((id, subject)),
         }
     }
-    let newest = queued.last().expect("some are held").1;
-    // All that one worker has ends, the running one first.
+    let newest = queued.last().expect("some jobs must be queued").1;
+    // All jobs of one worker end, the running one first.
     let (worker, id) = running
         .iter()
-        .find(|(worker, _)| of[*worker] != newest)
-        .expect("another worker");
+        .find(|(worker, _)| subject_of[*worker] != newest)
+        .expect("another worker must run a job");
     s.end_with_load(*id, 0, Status::Ok, Some(one_slot));
     let nobody = queued.iter().all(|(job, _)| s.sent_to(*job).is_none());
     for id in waiting.get(worker).into_iter().flatten() {
@@ -335,11 +361,11 @@
         .iter()
         .filter_map(|(job, subject)| Some((s.sent_to(*job)?, *subject)))
         .collect();
-    assert_eq!(went, [(*worker, of[worker])]);
+    assert_eq!(went, [(*worker, subject_of[worker])]);
 }
 
-/// Guards against a worker that hangs being tried again and again (37 jobs in 17 s on big-1 of the second site, each lost
-/// 1.6 s): where its attempts are given up, nothing that is out there can tell when it is back.
+/// Guards against retrying a hanging worker again and again: on worker big-1 of the second site 37 jobs in 17 s lost 1.6 s
+/// each. When all its attempts have been given up, no attempt is left that could show that it has recovered.
 #[test]
 #[allow(
     clippy::too_many_lines,
@@ -367,15 +393,18 @@
         let mut out = s.actions.clone();
         while !out.iter().any(|a| matches!(a, Action::Send { .. })) {
             out = s.advance(20 * MS);
-            assert!(s.now < since + 10 * SEC, "it is tried again some time");
+            assert!(
+                s.now < since + 10 * SEC,
+                "the worker was not tried again within 10 s"
+            );
         }
         gaps.push(s.now - since);
-        // It says that the job started, and then nothing.
+        // The worker reports that the job started, and then nothing more.
         let at = out.iter().find_map(|a| match a {
             Action::Send { request, .. } => Some(*request),
             _ => None,
         });
-        let at = at.expect("sent");
+        let at = at.expect("a job must be sent");
         s.start(at, 0);
         let given_up = s.advance(2 * SEC);
         let cancel = given_up
@@ -390,7 +419,7 @@
         gaps[1] >= SEC && gaps[2] > gaps[1] && gaps[3] > gaps[2],
         "{gaps:?}"
     );
-    // It gets on with a job: it is as any other again at once.
+    // Progress of a job ends the backoff at once.
     s.handle(Event::Request(Request {
         left: 60 * SEC,
         ..request(90, 0)
--- a/crates/indigofold/tests/faktory.rs
+++ b/crates/indigofold/tests/faktory.rs
@@ -1,5 +1,5 @@
-//! The Faktory front with stand-ins: clients, job workers and a plain Faktory server, which shows that the
-//! scenes see what they look for. Runs are counted by the job workers.
+//! The Faktory front end with test clients and test job workers, which count the runs of each job. A plain Faktory server
+//! serves as control: tests against it show that the scenarios detect a second run.
 
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -20,14 +20,14 @@
 use std::time::Duration;
 
 const SETTINGS: &str = include_str!("exchanges/settings.json");
-/// Fetches that a job worker tries at the most: each waits up to two seconds, so a scene that fails ends.
+/// Maximum number of fetches of a job worker. Each waits up to two seconds, so a scenario that fails still ends.
 const MAX_FETCHES: usize = 60;
-/// How long the plain server lets a FETCH wait. It used to answer at once, and a job worker had tried often enough before
-/// a client's thread had begun.
-const FETCH: Duration = Duration::from_secs(2);
+/// How long a FETCH waits at the plain server. When the server answered at once, a job worker used up its fetches before the
+/// client's thread had started.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 const PASSWORD: &str = "sesame";
 
-fn file(warm_after: &str) -> String {
+fn operators_file(warm_after: &str) -> String {
     let settings = SETTINGS.replace(
         "\"warmAfter\": 9000000",
         &format!("\"warmAfter\": {warm_after}"),
@@ -38,7 +38,7 @@
     )
 }
 
-/// The program on the operator's file; killed at the end of its test.
+/// The program, started with an operator's file, and its address; killed when dropped.
 struct Program(Child, String);
 
 impl Program {
@@ -48,22 +48,28 @@
             env!("CARGO_TARGET_TMPDIR"),
             std::process::id()
         );
-        std::fs::write(&path, file(warm_after)).expect("a file");
+        std::fs::write(&path, operators_file(warm_after))
+            .expect("cannot write the operator's file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_indigofold"));
         command
             .env("INDIGOFOLD_FAKTORY", path)
             .env_remove("GW_CONFIG")
             .stderr(Stdio::piped());
-        let mut child = command.spawn().expect("the program");
-        let mut log = BufReader::new(child.stderr.take().expect("a log"));
+        let mut child = command.spawn().expect("cannot start the program");
+        let mut log = BufReader::new(
+            child
+                .stderr
+                .take()
+                .expect("the program's stderr must be piped"),
+        );
         let mut text = String::new();
-        log.read_line(&mut text).expect("a line");
+        log.read_line(&mut text).expect("cannot read a line");
         spawn(move || log.lines().for_each(drop));
         let address = text
             .trim()
             .rsplit("listen=")
             .next()
-            .expect("an address")
+            .expect("the first log line must end with the address")
             .to_string();
         Program(child, address)
     }
@@ -76,52 +82,57 @@
     }
 }
 
-/// A stand-in: a client, or with a `wid` a job worker.
+/// A test client, or a test job worker if it connects with a `wid`.
 struct Client(BufReader<TcpStream>);
 
 impl Client {
     fn connect(address: &str, wid: &str, pid: u32) -> Self {
-        let stream = TcpStream::connect(address).expect("a server");
+        let stream = TcpStream::connect(address).expect("cannot connect to the server");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
-            .expect("a time-out");
+            .expect("cannot set the read timeout");
         let mut client = Client(BufReader::new(stream));
         let hi = client.read_reply();
         let field = |key: &str| {
-            hi.split(key)
-                .nth(1)
-                .map(|t| t.split([',', '}', '"']).next().expect("a value"))
+            hi.split(key).nth(1).map(|t| {
+                t.split([',', '}', '"'])
+                    .next()
+                    .expect("the greeting's field must have a value")
+            })
         };
         let mut hash = String::new();
         if let (Some(salt), Some(times)) = (field("\"s\":\""), field("\"i\":")) {
             let mut bytes = Sha256::digest(format!("{PASSWORD}{salt}"));
-            (1..times.parse().expect("a number")).for_each(|_: u32| bytes = Sha256::digest(bytes));
+            (1..times
+                .parse()
+                .expect("the greeting must give a number of iterations"))
+                .for_each(|_: u32| bytes = Sha256::digest(bytes));
             hash = bytes.iter().map(|b| format!("{b:02x}")).collect();
         }
         let hello = format!(
             r#"HELLO {{"v":2,"wid":"{wid}","hostname":"h","pid":{pid},"pwdhash":"{hash}"}}"#
         );
-        assert_eq!(client.say(&hello), "+OK");
+        assert_eq!(client.send_command(&hello), "+OK");
         client
     }
 
     fn read_reply(&mut self) -> String {
         let mut text = String::new();
-        self.0.read_line(&mut text).expect("a line");
+        self.0.read_line(&mut text).expect("cannot read a line");
         text.trim_end().to_string()
     }
 
-    fn say(&mut self, command: &str) -> String {
+    fn send_command(&mut self, command: &str) -> String {
         self.0
             .get_mut()
             .write_all(format!("{command}\r\n").as_bytes())
-            .expect("sent");
+            .expect("cannot send");
         self.read_reply()
     }
 
     fn push(&mut self, jid: &str, class: &str, deadline: u32) -> String {
         let custom = format!(r#"{{"key":"{jid}","deadline":{deadline}}}"#);
-        self.say(&format!(
+        self.send_command(&format!(
             r#"PUSH {{"jid":"{jid}","jobtype":"{class}","args":[],"custom":{custom}}}"#
         ))
     }
@@ -129,69 +140,91 @@
     /// Fetches a job, and counts it as a run.
     fn fetch(&mut self, runs: &Runs) -> Option<String> {
         let length: i64 = self
-            .say("FETCH default")
+            .send_command("FETCH default")
             .strip_prefix('$')?
             .parse()
-            .expect("a length");
+            .expect("the reply must start with the job's length");
         let mut text = vec![0; usize::try_from(length).ok()? + 2];
-        self.0.read_exact(&mut text).expect("a job");
-        let text = String::from_utf8(text).expect("text");
+        self.0.read_exact(&mut text).expect("cannot read the job");
+        let text = String::from_utf8(text).expect("the job must be UTF-8");
         let jid = text
             .split("\"jid\":\"")
             .nth(1)?
             .split('"')
             .next()?
             .to_string();
-        *runs.lock().expect("runs").entry(jid.clone()).or_default() += 1;
+        *runs
+            .lock()
+            .expect("the lock on the runs is poisoned")
+            .entry(jid.clone())
+            .or_default() += 1;
         Some(jid)
     }
 
     fn ack(&mut self, jid: &str) -> String {
-        self.say(&format!(r#"ACK {{"jid":"{jid}"}}"#))
+        self.send_command(&format!(r#"ACK {{"jid":"{jid}"}}"#))
     }
 }
 
 type Runs = Arc<Mutex<HashMap<String, usize>>>;
 
 fn count(runs: &Runs, jid: &str) -> usize {
-    runs.lock().expect("runs").get(jid).copied().unwrap_or(0)
+    runs.lock()
+        .expect("the lock on the runs is poisoned")
+        .get(jid)
+        .copied()
+        .unwrap_or(0)
 }
 
 fn count_all(runs: &Runs) -> usize {
-    runs.lock().expect("runs").len()
+    runs.lock().expect("the lock on the runs is poisoned").len()
 }
 
-/// A plain Faktory server, from the protocol's specification: one queue, PUSH is answered when the job is taken
-/// in, FETCH waits a while for a job, and what a lost connection had fetched is given out again.
+/// Starts a plain Faktory server as the protocol's specification describes it: one queue; PUSH is answered when the job is
+/// queued; FETCH waits for a job for a limited time; jobs fetched by a lost connection are queued again. Returns its address.
 #[allow(
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
 fn plain_server() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a loopback port");
+    let address = listener
+        .local_addr()
+        .expect("the listener must have an address")
+        .to_string();
     let queue = Arc::new((Mutex::new(VecDeque::<String>::new()), Condvar::new()));
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let queue = queue.clone();
             spawn(move || {
-                let (mut to, from) = (stream.try_clone().expect("a copy"), BufReader::new(stream));
+                let (mut to, from) = (
+                    stream.try_clone().expect("cannot clone the stream"),
+                    BufReader::new(stream),
+                );
                 let mut reserved: Vec<String> = Vec::new();
                 let _ = to.write_all(b"+HI {\"v\":2}\r\n");
                 for command in from.lines().map_while(Result::ok) {
                     let (verb, rest) = command.split_once(' ').unwrap_or((&command, ""));
                     let reply = match verb {
                         "PUSH" => {
-                            queue.0.lock().expect("a queue").push_back(rest.to_string());
+                            queue
+                                .0
+                                .lock()
+                                .expect("the lock on the queue is poisoned")
+                                .push_back(rest.to_string());
                             queue.1.notify_one();
                             "+OK\r\n".to_string()
                         }
                         "FETCH" => {
-                            let jobs = queue.0.lock().expect("a queue");
+                            let jobs = queue.0.lock().expect("the lock on the queue is poisoned");
                             let wait = queue
                                 .1
-                                .wait_timeout_while(jobs, FETCH, |jobs| jobs.is_empty());
-                            match wait.expect("a queue").0.pop_front() {
+                                .wait_timeout_while(jobs, FETCH_TIMEOUT, |jobs| jobs.is_empty());
+                            match wait
+                                .expect("the lock on the queue is poisoned")
+                                .0
+                                .pop_front()
+                            {
                                 Some(job) => {
                                     reserved.push(job.clone());
                                     format!("${}\r\n{job}\r\n", job.len())
@@ -210,7 +243,11 @@
                         break;
                     }
                 }
-                queue.0.lock().expect("a queue").extend(reserved);
+                queue
+                    .0
+                    .lock()
+                    .expect("the lock on the queue is poisoned")
+                    .extend(reserved);
                 queue.1.notify_all();
             });
         }
@@ -218,7 +255,8 @@
     address
 }
 
-/// A `reserve` job is fetched, the job worker's connection is lost, and it fetches again until there is nothing.
+/// Returns how often a `reserve` job runs if its job worker loses the connection after the fetch, reconnects, and fetches
+/// until it gets no job.
 fn runs_after_a_reconnect(address: &str) -> usize {
     let runs = Runs::default();
     let mut worker = Client::connect(address, "w-1", 7);
@@ -226,23 +264,23 @@
     let client = spawn(move || Client::connect(&to, "", 1).push("job-00001", "reserve", 5000));
     assert!(
         (0..MAX_FETCHES).any(|_| worker.fetch(&runs).is_some()),
-        "the job never came"
+        "no fetch returned the job"
     );
     drop(worker);
     let mut worker = Client::connect(address, "w-1", 7);
     while count(&runs, "job-00001") < 2 && worker.fetch(&runs).is_some() {}
-    // The plain server gives the job out a moment after the connection is lost; it is asked once more.
+    // The plain server queues the job again shortly after the connection is lost, so one more fetch is made.
     if count(&runs, "job-00001") < 2 {
         worker.fetch(&runs);
     }
     assert_eq!(worker.ack("job-00001"), "+OK");
-    assert_eq!(client.join().expect("a reply"), "+OK");
+    assert_eq!(client.join().expect("the client's thread panicked"), "+OK");
     count(&runs, "job-00001")
 }
 
 #[test]
 fn a_reserve_job_is_not_run_twice_when_its_worker_reconnects() {
-    // Guards against a second booking of stock; a server that gives lost jobs out again makes two.
+    // Guards against booking stock twice, which a server that queues lost jobs again would do.
     let program = Program::start("again", "9000000");
     assert_eq!(runs_after_a_reconnect(&program.1), 1);
 }
@@ -253,7 +291,7 @@
     assert_eq!(
         runs_after_a_reconnect(&address),
         2,
-        "the plain server gave nothing out again"
+        "the plain server did not hand out the job a second time"
     );
 }
 
@@ -268,18 +306,18 @@
         .0
         .get_mut()
         .write_all(&[push, &b"\r\n"[..]].concat())
-        .expect("sent");
+        .expect("cannot send");
     assert_eq!(worker.fetch(&runs).as_deref(), Some("job-00001"));
     drop(client);
     let to = address.clone();
     let retried = spawn(move || Client::connect(&to, "", 2).push("job-00001", "reserve", 5000));
     assert_eq!(worker.fetch(&runs), None);
     assert_eq!(worker.ack("job-00001"), "+OK");
-    assert_eq!(retried.join().expect("a reply"), "+OK");
+    assert_eq!(retried.join().expect("the client's thread panicked"), "+OK");
     assert_eq!(count(&runs, "job-00001"), 1);
 }
 
-/// Jobs of both classes from four clients over two job workers: all served, each run once.
+/// Jobs of both classes from four clients run on two job workers: all are served, and each runs once.
 #[rstest]
 #[case::program(true)]
 #[case::plain_server(false)]
@@ -317,15 +355,15 @@
     clients
         .into_iter()
         .chain(workers)
-        .for_each(|t| t.join().expect("no failure"));
-    let runs = runs.lock().expect("runs");
+        .for_each(|t| t.join().expect("a client or job worker panicked"));
+    let runs = runs.lock().expect("the lock on the runs is poisoned");
     assert!(
         runs.len() == 40 && runs.values().all(|n| *n == 1),
         "{runs:?}"
     );
 }
 
-/// How many of twenty jobs that come at once are handed to a machine that has just started.
+/// Returns how many of twenty jobs, pushed at once, are handed to a machine that has just started.
 fn assigned_at_once(name: &str, warm_after: &str, deadline: u32) -> usize {
     let program = Program::start(name, warm_after);
     let runs = Runs::default();
@@ -349,7 +387,7 @@
 
 #[test]
 fn a_machine_in_warm_up_is_assigned_few_jobs_and_a_warm_one_all() {
-    // A cold machine's budget lets two seconds of its present capacity through at most, here five jobs.
+    // The budget of a cold machine admits at most two seconds of its present capacity, here five jobs.
     let warming_up = assigned_at_once("cold", "9000000000", 400);
     assert!(
         warming_up <= 6,
@@ -366,8 +404,9 @@
 fn the_core_is_notified_of_starts_drains_and_lost_connections() {
     let tasks = Rc::new(LocalExecutor::new());
     async_io::block_on(tasks.run(async {
-        let file = config::Faktory::read(file("9000000").replace(PASSWORD, "").into_bytes())
-            .expect("a file");
+        let file =
+            config::Faktory::read(operators_file("9000000").replace(PASSWORD, "").into_bytes())
+                .expect("the operator's file must be valid");
         let (net, clock, (core, inputs)) = (
             Net::new(tasks.clone(), 64, 64),
             Clock::new(),
@@ -381,11 +420,15 @@
             core,
         );
         front.open().await;
-        let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
-        let address = listener.get_ref().local_addr().expect("an address");
+        let listener =
+            Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("cannot bind a loopback port");
+        let address = listener
+            .get_ref()
+            .local_addr()
+            .expect("the listener must have an address");
         net.spawn(faktory::serve::listen(front, Rc::new(listener)));
         let next = || async {
-            match inputs.recv().await.expect("news") {
+            match inputs.recv().await.expect("the core's mailbox is closed") {
                 CoreInput::Membership(scope, entries) => {
                     (scope, entries[0].state, entries[0].ready_at)
                 }
@@ -397,59 +440,70 @@
         let connect = |pid: u32| async move {
             let mut link = Async::<TcpStream>::connect(address)
                 .await
-                .expect("the front");
+                .expect("cannot connect to the front end");
             let hello =
                 format!("HELLO {{\"v\":2,\"hostname\":\"h\",\"wid\":\"w-1\",\"pid\":{pid}}}\r\n");
-            link.write_all(hello.as_bytes()).await.expect("sent");
+            link.write_all(hello.as_bytes()).await.expect("cannot send");
             let mut got = Vec::new();
             while !got.ends_with(b"+OK\r\n") {
                 let mut byte = [0];
-                link.read_exact(&mut byte).await.expect("a reply");
+                link.read_exact(&mut byte)
+                    .await
+                    .expect("cannot read the reply");
                 got.push(byte[0]);
             }
             link
         };
-        // A start: there, and cold from now on.
+        // The first start makes the machine active; its warm-up starts now.
         let mut first = connect(7).await;
-        let (scope, state, initial_capacity) = next().await;
-        assert!(scope == Scope::Delta && state == WorkerState::Active && initial_capacity >= begun);
-        // A drain, and its end: not cold again.
+        let (scope, state, first_start) = next().await;
+        assert!(scope == Scope::Delta && state == WorkerState::Active && first_start >= begun);
+        // A drain and its end don't restart the warm-up.
         first
             .write_all(b"BEAT {\"wid\":\"w-1\",\"current_state\":\"quiet\"}\r\n")
             .await
-            .expect("sent");
+            .expect("cannot send");
         assert_eq!(
             next().await,
-            (Scope::Delta, WorkerState::Draining, initial_capacity)
+            (Scope::Delta, WorkerState::Draining, first_start)
         );
         first
             .write_all(b"BEAT {\"wid\":\"w-1\"}\r\n")
             .await
-            .expect("sent");
+            .expect("cannot send");
         assert_eq!(
             next().await,
-            (Scope::Delta, WorkerState::Active, initial_capacity)
+            (Scope::Delta, WorkerState::Active, first_start)
         );
-        // Another process under the name: cold again.
+        // Another process under the same wid restarts the warm-up.
         let second = connect(8).await;
-        let (_, state, retried) = next().await;
-        assert!(state == WorkerState::Active && retried > initial_capacity);
-        // Its connections are gone and none comes: so is the machine.
+        let (_, state, second_start) = next().await;
+        assert!(state == WorkerState::Active && second_start > first_start);
+        // All connections are closed and none is made again, so the machine leaves.
         drop((first, second));
-        assert_eq!(next().await, (Scope::Delta, WorkerState::Left, retried));
+        assert_eq!(
+            next().await,
+            (Scope::Delta, WorkerState::Left, second_start)
+        );
     }));
 }
 
-/// Guards against files for newcomers and operators that the program cannot read.
+/// Guards against example and deployment files that the program can't read.
 #[test]
 fn shipped_configuration_files_are_valid() {
     let example = include_str!("../examples/config.json").as_bytes().to_vec();
-    let config = config::Platform::read(example, |_| None).expect("the example");
+    let config =
+        config::Platform::read(example, |_| None).expect("the example configuration must be valid");
     assert_eq!(config.site.settings.classes.len(), 2);
     let file = config::Faktory::read(
         include_str!("../../../deploy/faktory.json")
             .as_bytes()
             .to_vec(),
     );
-    assert_eq!(file.expect("the operator's file").machines.len(), 2);
+    assert_eq!(
+        file.expect("deploy/faktory.json must be valid")
+            .machines
+            .len(),
+        2
+    );
 }
--- a/crates/indigofold/tests/replay_on_sockets.rs
+++ b/crates/indigofold/tests/replay_on_sockets.rs
@@ -1,5 +1,5 @@
-//! The laboratory's ground on sockets plays the program itself: a jump, a hang and a crash in twelve seconds, with all rules
-//! checked, and nearly the figure of virtual time.
+//! Runs a replay scenario against the program over real sockets: a load jump, a hang and a crash within twelve seconds. All
+//! rules are checked, and the load is the same as in virtual time.
 
 use indigofold_replay::load::Made;
 use indigofold_replay::scenario::{self, Fault, FaultKind, Jump, Scenario};
@@ -9,7 +9,7 @@
 
 fn scenario() -> Scenario {
     let mut s = scenario::read(include_str!("../../../examples/replay/ten-minutes.json"))
-        .expect("the example");
+        .expect("the example scenario must be valid");
     (s.load.seconds, s.load.rate) = (12.0, 60.0);
     s.load.jumps = vec![Jump {
         at_s: 5.0,
@@ -17,7 +17,7 @@
         times: 2.0,
         edge_s: 0.2,
     }];
-    // Few and slow job workers, so that little load fills them, on a busy machine too.
+    // Few job workers with few cores, so that a low rate fills them, which a busy test machine can still generate.
     s.kinds.truncate(1);
     s.kinds[0].count = 6;
     s.kinds[0].cores = 4;
@@ -36,27 +36,43 @@
 }
 
 #[test]
-fn the_program_keeps_the_rules_on_the_laboratorys_sockets() {
+fn the_program_keeps_all_rules_on_sockets() {
     let s = scenario();
     let program = Path::new(env!("CARGO_BIN_EXE_indigofold"));
-    let load = Made::new(&s, 3).expect("load");
-    let run = sockets::play(&s, 3, Retries::Model, program, load).expect("a run");
-    let simulation = Simulation::new(&s, 3, Retries::Model).expect("a ground");
-    let virt = simulation
-        .play(Made::new(&s, 3).expect("load"), |_| {}, |_| {})
-        .expect("a run");
-    assert!(virt.verdict.kept(), "{:?}", virt.verdict.examples);
-    assert!(run.verdict.kept(), "{:?}", run.verdict.examples);
+    let load = Made::new(&s, 3).expect("cannot generate the load");
+    let on_sockets =
+        sockets::play(&s, 3, Retries::Model, program, load).expect("the run on sockets failed");
+    let simulation = Simulation::new(&s, 3, Retries::Model).expect("cannot create the simulation");
+    let in_virtual_time = simulation
+        .play(
+            Made::new(&s, 3).expect("cannot generate the load"),
+            |_| {},
+            |_| {},
+        )
+        .expect("the run in virtual time failed");
+    assert!(
+        in_virtual_time.verdict.kept(),
+        "{:?}",
+        in_virtual_time.verdict.examples
+    );
+    assert!(
+        on_sockets.verdict.kept(),
+        "{:?}",
+        on_sockets.verdict.examples
+    );
+    assert_eq!(
+        on_sockets.outcome.counts[0], in_virtual_time.outcome.counts[0],
+        "the load on sockets and in virtual time must be the same"
+    );
+    let ends: u64 = on_sockets.outcome.ends.iter().sum();
     assert_eq!(
-        run.outcome.counts[0], virt.outcome.counts[0],
-        "the same load on both grounds"
+        ends, on_sockets.outcome.counts[0],
+        "each first try must end once"
     );
-    let ends: u64 = run.outcome.ends.iter().sum();
-    assert_eq!(ends, run.outcome.counts[0], "each first try ends once");
-    // Speed is no matter of a test: most jobs are served, in time or not.
+    // The test doesn't depend on speed: most jobs are served, in time or late.
     assert!(
-        run.outcome.ends[0] + run.outcome.ends[1] > ends * 8 / 10,
+        on_sockets.outcome.ends[0] + on_sockets.outcome.ends[1] > ends * 8 / 10,
         "{:?}",
-        run.outcome.ends
+        on_sockets.outcome.ends
     );
 }
