--- a/crates/core/src/actor.rs
+++ b/crates/core/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that drives the engine in real time: its mailbox and its clock.
+//! The actor that drives the engine in real time: it reads inputs from a mailbox and takes the time from a clock.
 
 use super::clock::Clock;
 use super::engine::Engine;
@@ -10,33 +10,34 @@
 use indigofold_decisions::api::Time;
 use std::rc::Rc;
 
-/// Messages that may wait for the module; fronts wait beyond that.
+/// Capacity of the mailbox, in messages; when it is full, a front that sends waits.
 const MAILBOX_CAPACITY: usize = 1024;
-/// Messages taken in one go, so that time is read again between.
+/// Messages handled per turn after the first one; after that the clock is read again.
 const MAX_BATCH: usize = 256;
-/// Between two log entries on the state of the core actor, in microseconds.
+/// Interval between two log entries on the actor's state, in microseconds.
 const REPORT_INTERVAL_US: Time = 10_000_000;
 
-/// Where fronts send the core's inputs.
+/// The sending side of the core's mailbox; fronts send inputs to it.
 pub type Mailbox = Sender<CoreInput>;
 
-/// A mailbox of the right size.
+/// Creates a mailbox with a capacity of 1024 messages and returns both of its sides.
 pub fn mailbox() -> (Mailbox, Receiver<CoreInput>) {
     bounded(MAILBOX_CAPACITY)
 }
 
-/// The engine and what drives it.
+/// The engine with its mailbox, clock and transport.
 pub struct Actor<F> {
     engine: Engine,
     transport: Rc<F>,
     clock: Clock,
     inbox: Receiver<CoreInput>,
     metrics: Rc<Metrics>,
+    /// The counters at the last state report: served, rejected, failed, clients left.
     logged: [u64; 4],
 }
 
 impl<F: Transport> Actor<F> {
-    /// An actor with an empty job table, and the mailbox to it.
+    /// Creates an actor with an empty job table that reads its inputs from `inbox`.
     pub fn new(
         settings: Settings,
         transport: Rc<F>,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Runs until all fronts have dropped the mailbox.
+    /// Handles inputs and due steps until all fronts have dropped their side of the mailbox.
     pub async fn run(mut self) {
         let (mut report_state, mut lateness) =
             (self.clock.now() + REPORT_INTERVAL_US, (0, 0, 0u64));
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,10 +1,10 @@
-//! The clock: Unix time in microseconds that never runs backwards, so that a machine's start, reported in
-//! Unix time, can be compared with it.
+//! A monotonic clock in Unix time, microseconds. A machine reports its start in Unix time, which can be compared with
+//! this clock.
 
 use indigofold_decisions::api::Time;
 use std::time::{Instant, SystemTime};
 
-/// Reads the system's clock once and counts on from there.
+/// Reads the system clock once, when created, and advances with the monotonic clock from there.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     from: Instant,
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// A clock that shows Unix time now.
+    /// Creates a clock set to the present Unix time.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         Clock {
@@ -21,12 +21,12 @@
         }
     }
 
-    /// The time.
+    /// The present Unix time in microseconds.
     pub fn now(&self) -> Time {
         self.unix + self.from.elapsed().as_micros() as Time
     }
 
-    /// The moment at which this clock shows a time.
+    /// Returns the `Instant` at which this clock reads `at`; a time before the clock's start gives the start.
     pub fn instant(&self, at: Time) -> Instant {
         self.from + std::time::Duration::from_micros(at.saturating_sub(self.unix).min(1 << 50))
     }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,7 +1,7 @@
-//! The engine: the decision module behind its guard, the job table, the timers and the batches. It reads no clock, waits for
-//! nothing and does no I/O: its owner passes inputs and the time ([`Engine::handle_input`]), asks when the next step is
-//! due ([`Engine::due`]) and makes it ([`Engine::step`]). The sockets' core actor does so in real time, the replay tool
-//! in virtual time. The simulator keeps jobs and timers itself and owns a [`Module`] alone.
+//! The engine: the decision module with its panic guard, the job table, the timers and the batches of events. It reads
+//! no clock, never blocks and does no I/O: its owner passes inputs and the time ([`Engine::handle_input`]), asks when the
+//! next step is due ([`Engine::due`]) and runs it ([`Engine::step`]). The core actor does so in real time, the replay tool
+//! in virtual time. The simulator keeps jobs and timers itself and uses only a [`Module`].
 
 use super::job_table::JobTable;
 use super::metrics::Metrics;
@@ -14,20 +14,20 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-/// The decision module behind a guard: one that panics must not take down what other jobs wait for.
+/// The decision module with a panic guard: a panic in it must not end the process in which other jobs wait for answers.
 pub struct Module(Dispatcher);
 
 impl Module {
-    /// A module without state; all its randomness comes from the seed.
+    /// Creates a module without learned state; the seed determines all its random numbers.
     pub fn new(settings: api::Settings, seed: u64, now: Time) -> Self {
         Module(Dispatcher::new(settings, seed, now))
     }
 
-    /// Hands it one event and appends what it asks for. An error is the text of a panic, on one line.
+    /// Passes one event to the module and appends the actions that it returns.
     ///
     /// # Errors
     ///
-    /// The text of a panic, on one line.
+    /// The message of a panic in the module, with line breaks replaced by spaces.
     pub fn handle(
         &mut self,
         now: Time,
@@ -38,7 +38,7 @@
         guarded(|| dispatcher.handle(now, event, actions))
     }
 
-    /// What it has learned.
+    /// The statistics that the module has learned, limited to `scope`.
     pub fn statistics(&self, now: Time, scope: StatisticsScope) -> Statistics<u32> {
         match scope {
             StatisticsScope::All => self.0.statistics(now),
@@ -54,18 +54,18 @@
         }
     }
 
-    /// Gives away a request.
+    /// Removes an open request from the module and returns its state for another process; `None` if it cannot be released.
     pub fn release(&mut self, now: Time, id: JobId) -> Option<TransferredJob<u32>> {
         self.0.release(now, id)
     }
 
-    /// Workers of the membership, and how many of them it avoids.
+    /// The number of workers in the membership, and how many of them the module avoids.
     pub fn worker_counts(&self, now: Time) -> WorkerCounts {
         self.0.worker_counts(now)
     }
 }
 
-/// Runs it; a panic becomes one line of text.
+/// Runs `decide`; a panic becomes an error with the panic message on one line.
 fn guarded(decide: impl FnOnce()) -> Result<(), String> {
     catch_unwind(AssertUnwindSafe(decide)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
@@ -76,19 +76,19 @@
     })
 }
 
-/// The module and the job table, stepped by their owner.
+/// The module, the job table and the timers; the owner runs them step by step.
 pub struct Engine {
     module: Module,
     table: JobTable,
     batch_interval: Time,
-    next_batch: Time, // no batch before this
+    next_batch: Time, // no batch starts before this time
     timers: BTreeSet<(Time, u64)>,
     actions: Vec<Action>,
     metrics: Rc<Metrics>,
 }
 
 impl Engine {
-    /// An engine with an empty job table, at this time.
+    /// Creates an engine with an empty job table; `now` is the present time.
     pub fn new(settings: Settings, now: Time, metrics: Rc<Metrics>) -> Self {
         let batch_interval = settings.module.granularity;
         let module = Module::new(settings.module, settings.seed, now);
@@ -104,16 +104,16 @@
         }
     }
 
-    /// Jobs in the job table.
+    /// The number of jobs in the job table.
     pub fn jobs(&self) -> usize {
         self.table.jobs()
     }
 
-    /// Takes an input of a front. The next step acts on it; only what needs no decision happens at once.
+    /// Accepts an input from a front. Inputs that need no decision take effect at once, all others in the next step.
     pub fn handle_input(&mut self, now: Time, input: CoreInput, transport: &dyn Transport) {
         match &input {
             CoreInput::Settings(settings) => self.batch_interval = settings.granularity,
-            // Whoever asked may have turned to something else: then the job is still its client's here.
+            // The requester may have dropped its receiver meanwhile: then the job is not released and stays here.
             CoreInput::Release(job, to) if !to.is_closed() => {
                 _ = to.try_send(self.release(now, *job));
             }
@@ -125,7 +125,8 @@
         self.table.handle_input(now, input, transport);
     }
 
-    /// Gives away an open job, if the module has handled all that has happened.
+    /// Removes an open job for transfer to another process; `None` while the module has unhandled events, or if no answer
+    /// is owed.
     fn release(&mut self, now: Time, id: JobId) -> Option<Released> {
         if self.table.has_events() || !self.table.owes(id) {
             return None;
@@ -135,7 +136,8 @@
         Some(Released { job, until, reply })
     }
 
-    /// When it must be stepped next, if no input comes before; perhaps in the past.
+    /// The time at which [`Engine::step`] must run next if no input arrives before; it may be in the past. `None` if
+    /// nothing is scheduled.
     pub fn due(&self) -> Option<Time> {
         let timer = self.timers.first().map(|t| t.0.max(self.next_batch));
         let batch = self.table.has_events().then_some(self.next_batch);
@@ -145,8 +147,8 @@
             .min()
     }
 
-    /// Does what is due: ends jobs at their last moment, and hands the module what has happened if its last batch was
-    /// long enough ago.
+    /// Runs what is due: expires jobs at their deadlines and, if the batch interval has passed since the last batch, passes
+    /// the queued events to the module.
     pub fn step(&mut self, now: Time, transport: &dyn Transport) {
         self.table.expire(now, transport);
         if now >= self.next_batch && self.batch(now, transport) {
@@ -154,7 +156,8 @@
         }
     }
 
-    /// Hands the module what has happened, in order, and carries out what it asks for.
+    /// Passes queued events and due timers to the module in order and executes its actions. Returns true if there were any
+    /// events.
     fn batch(&mut self, now: Time, transport: &dyn Transport) -> bool {
         let mut events = self.table.take_events();
         while let Some((_, name)) = self.timers.first().filter(|t| t.0 <= now).copied() {
@@ -164,7 +167,7 @@
         let any = !events.is_empty();
         for event in events.drain(..) {
             if self.module.handle(now, event, &mut self.actions).is_err() {
-                // The job table answers the jobs that the module leaves.
+                // The job table answers, at the deadline, the jobs that the module leaves unanswered.
                 transport.log_event("the decision module panicked; its event was dropped");
             }
             for action in self.actions.drain(..) {
--- a/crates/core/src/job_table.rs
+++ b/crates/core/src/job_table.rs
@@ -1,4 +1,5 @@
-//! The job table: jobs and their attempts. Whatever the module or a front does, a job gets one answer, in time.
+//! The job table: jobs and their attempts. It ensures that each job gets exactly one answer, in time, whatever the module
+//! or a front does.
 
 use super::metrics::{End, Metrics, add};
 use super::{
@@ -12,39 +13,39 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// After a job's deadline the module has this long to answer before the job table does.
+/// Time after a job's deadline within which the module may still answer it; then the job table fails the job.
 const GRACE_US: Time = 10_000;
 
 struct AttemptRecord {
     machine: WorkerId,
-    /// Sent, and its end is not known yet.
+    /// The attempt was sent and its outcome is not known yet.
     in_flight: bool,
-    /// Cancelled; its machine is being notified.
+    /// The attempt was cancelled and its machine is being notified.
     given_up: bool,
 }
 
 struct Job {
     class: ClassId,
-    answer: Option<Reply>, // until it is answered
+    answer: Option<Reply>, // `None` once the job is answered or its client has left
     until: Time,
     attempts: Vec<AttemptRecord>,
 }
 
-/// All jobs that are open or have attempts out.
+/// All jobs that are unanswered or have attempts in flight.
 #[derive(Default)]
 pub struct JobTable {
     jobs: FxHashMap<JobId, Job>,
     due: BTreeSet<(Time, JobId)>,
     events: Vec<Event>,
     answer_margin: Time,
-    /// Jobs forgotten since the module last took its events, and how many attempts they had: until it has handled
-    /// that a job is closed, it may send it.
+    /// Jobs removed since the module last handled its events, with their numbers of attempts. Until the module has
+    /// handled the event that closes such a job, it may still send attempts of it.
     closed: FxHashMap<JobId, u32>,
     metrics: Rc<Metrics>,
 }
 
 impl JobTable {
-    /// An empty job table; jobs are answered this long before the client's time is up.
+    /// Creates an empty job table; a job's deadline is `answer_margin` before the time until which its client waits.
     pub fn new(answer_margin: Time, metrics: Rc<Metrics>) -> Self {
         JobTable {
             answer_margin,
@@ -53,35 +54,35 @@
         }
     }
 
-    /// Events for the module, in the order in which they happened.
+    /// Takes the queued events for the module, in the order in which they happened.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// The module has dealt with the events that it took, and knows which jobs are closed. Their
-    /// vector is used again.
+    /// Called once the module has handled the events that it took, and so knows which jobs are closed. The emptied
+    /// vector is reused for the next events.
     pub fn events_done(&mut self, mut emptied: Vec<Event>) {
         self.closed.clear();
         emptied.append(&mut self.events);
         self.events = emptied;
     }
 
-    /// Are there events for the module?
+    /// Returns true if events for the module are queued.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// Jobs in the job table.
+    /// The number of jobs in the table.
     pub fn jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// When the job table must next be looked at.
+    /// The next time at which [`JobTable::expire`] has something to do.
     pub fn next_due(&self) -> Option<Time> {
         self.due.first().map(|d| d.0)
     }
 
-    /// Takes an input of a front and queues the module's events that follow from it.
+    /// Applies an input from a front and queues the events for the module that result from it.
     pub fn handle_input(&mut self, now: Time, input: CoreInput, transport: &dyn Transport) {
         match input {
             CoreInput::Job(request, until, reply) => self.add_job(now, request, until, reply),
@@ -112,7 +113,7 @@
             CoreInput::Settings(settings) => self.events.push(Event::Settings(settings)),
             CoreInput::Statistics(other) => self.events.push(Event::Statistics(other)),
             CoreInput::Adopted(id, job, until, reply) => self.adopt(id, job, until, reply),
-            // Of an attempt that is not in flight any more, or the engine's own: the module must be asked.
+            // Reports on attempts that are not in flight any more, and requests that the engine handles itself.
             CoreInput::Started(_)
             | CoreInput::Progress(..)
             | CoreInput::Unacknowledged(_)
@@ -127,7 +128,7 @@
     }
 
     fn add_job(&mut self, now: Time, mut request: Request, until: Time, reply: Reply) {
-        // Answered a little early: the answer has its way to go, as the request had.
+        // The job is answered a little early, as its answer takes time to reach the client.
         let until = until.saturating_sub(self.answer_margin).max(now);
         request.left = until - now;
         self.due.insert((until, request.id));
@@ -142,7 +143,7 @@
         self.events.push(Event::Request(request));
     }
 
-    /// Goes on with a job that another process has begun.
+    /// Adds a job that another process has started and released.
     fn adopt(&mut self, id: JobId, job: Box<TransferredJob<WorkerId>>, until: Time, reply: Reply) {
         self.due.insert((until, id));
         let record = |t: &transferred_job::Attempt<WorkerId>| AttemptRecord {
@@ -198,17 +199,17 @@
             deliver(reply, id.job, Answer::Served, transport);
         }
         if was_in_flight {
-            // The job may have been answered before: then the outcome reports that as well.
+            // The outcome also reports whether the job is answered, by this attempt or before.
             let closed = self.jobs.get(&id.job).is_some_and(|j| j.answer.is_none());
             self.events.push(outcome(id, status, closed, load));
         } else if served {
-            // Given up or taken for lost, yet done: the answer is good, and the job needs no more.
+            // The attempt was given up or counted as lost but succeeded: its answer counts and the job is closed.
             self.events.push(Event::RequestClosed(id.job));
         }
         self.forget_if_finished(id.job, transport);
     }
 
-    /// Gives away an open job, if its answer is still owed: its deadline, and where its answer would have gone.
+    /// Removes a job whose answer is still owed and returns its deadline and reply channel.
     pub fn release(&mut self, id: JobId) -> Option<(Time, Reply)> {
         let reply = self.jobs.get_mut(&id)?.answer.take()?;
         let job = self.jobs.remove(&id)?;
@@ -218,13 +219,13 @@
         Some((job.until, reply))
     }
 
-    /// Is this job's answer owed yet?
+    /// Returns true if the job is in the table and its answer is still owed.
     pub fn owes(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some_and(|job| job.answer.is_some())
     }
 
-    /// Ends what is in flight at its deadline. What is still unanswered a little later fails, whatever the module thinks
-    /// of it.
+    /// Gives up the attempts of each job that has reached its deadline. A job that is still unanswered 10 ms later fails,
+    /// whatever the module has decided.
     pub fn expire(&mut self, now: Time, transport: &dyn Transport) {
         while let Some(&(at, id)) = self.due.first().filter(|d| d.0 <= now) {
             self.due.remove(&(at, id));
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Carries out what the module asks for. Timers are the caller's.
+    /// Executes an action of the module, except for timers, which the caller keeps.
     pub fn act(&mut self, action: Action, transport: &dyn Transport) {
         match action {
             Action::Send {
@@ -282,11 +283,11 @@
         }
     }
 
-    /// Starts an attempt. One that cannot go out has its outcome at once.
+    /// Starts an attempt. If it cannot be sent, its outcome is queued at once.
     fn send(&mut self, job_id: JobId, machine: WorkerId, by: Time, transport: &dyn Transport) {
         let Some(job) = self.jobs.get_mut(&job_id) else {
-            // Sent before the module came to the event that closes the job. Without an outcome it would count the attempt
-            // as waiting at its machine for ever.
+            // The module has not yet handled the event that closes this job. Without an outcome it would count this attempt
+            // as in flight at its machine forever.
             let attempts = self.closed.entry(job_id).or_default();
             let id = AttemptId {
                 job: job_id,
@@ -322,7 +323,7 @@
         }
     }
 
-    /// Gives up an attempt that is in flight. Where its machine must acknowledge that, its outcome comes later.
+    /// Cancels an attempt that is in flight. If its machine must acknowledge the cancellation, the outcome comes later.
     fn cancel(&mut self, id: AttemptId, transport: &dyn Transport) {
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
@@ -379,7 +380,7 @@
         self.forget_if_finished(id, transport);
     }
 
-    /// Forgets a job that is answered and has no attempt out.
+    /// Removes a job that needs no answer any more and has no attempt in flight.
     fn forget_if_finished(&mut self, id: JobId, transport: &dyn Transport) {
         let finished =
             |job: &Job| job.answer.is_none() && job.attempts.iter().all(|h| !h.in_flight);
@@ -395,7 +396,7 @@
     }
 }
 
-/// Gives up the attempts that are in flight at their job's deadline.
+/// Gives up all attempts of a job that are in flight at its deadline.
 fn give_up_attempts(id: JobId, job: &mut Job, events: &mut Vec<Event>, transport: &dyn Transport) {
     let closed = job.answer.is_none();
     let records = job.attempts.iter_mut().zip(0..);
@@ -412,7 +413,7 @@
     }
 }
 
-/// The module's event for an attempt that has ended. `closed`: its job has its answer.
+/// Builds the event for an attempt that has ended. `closed`: the job needs no answer any more.
 fn outcome(id: AttemptId, status: Status, closed: bool, load: Option<Load>) -> Event {
     Event::Outcome {
         request: id.job,
@@ -423,7 +424,7 @@
     }
 }
 
-/// Hands out a job's one answer.
+/// Delivers a job's answer to its reply channel or to the transport.
 fn deliver(to: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
     match to {
         Reply::To(sender) => _ = sender.try_send(answer),
@@ -431,7 +432,7 @@
     }
 }
 
-/// Counts a job's one answer.
+/// Counts a job's answer and takes the job off the number of open jobs.
 fn count_answer(metrics: &Metrics, class: ClassId, end: End) {
     metrics.count(class, end);
     metrics.open.set(metrics.open.get() - 1);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The core of the single-process scheduler: jobs, attempts and the one answer that each job gets. It knows no protocol:
-//! no bytes, no sockets, no JSON. A front reports what happened ([`CoreInput`]) and carries out what it asks for
-//! ([`Transport`]). [`engine`] drives the decision module, [`job_table`] keeps the open jobs, [`actor`] feeds the engine
-//! from a queue.
+//! The core of the single-process scheduler: jobs, their attempts and the one answer that each job gets. It is independent
+//! of protocols: no sockets, no encodings, no JSON. A front, the part that speaks a protocol with clients and machines,
+//! reports what happened ([`CoreInput`]) and implements the operations that the core needs ([`Transport`]). [`engine`]
+//! drives the decision module, [`job_table`] keeps the open jobs, [`actor`] feeds the engine from a queue.
 
 #![forbid(unsafe_code)]
 
@@ -16,157 +16,158 @@
 use indigofold_decisions::statistics::Statistics;
 use indigofold_decisions::transferred_job::TransferredJob;
 
-/// A job's number, unique in one process.
+/// The id of a job, unique within one process.
 pub type JobId = RequestId;
 
-/// Names one attempt to have a job done by a machine.
+/// The id of one attempt to run a job on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
     /// The job.
     pub job: JobId,
-    /// 0, 1, 2 ... in the order of the attempts of this job.
+    /// The position among the attempts of this job, counted from 0.
     pub number: u32,
 }
 
-/// An attempt to be carried to a machine.
+/// An attempt that the transport sends to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The attempt.
+    /// Its job and its position among that job's attempts.
     pub id: AttemptId,
-    /// The machine.
+    /// The machine that runs it.
     pub machine: WorkerId,
-    /// When the scheduler stops waiting for it.
+    /// The job's deadline: the scheduler waits for the attempt until this time.
     pub until: Time,
-    /// It must not begin to go out from this time on.
+    /// Sending must start before this time, or not at all.
     pub by: Time,
 }
 
 /// The one final answer to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Done; the front has what the job worker made.
+    /// The job is done; the front has the result of the job worker.
     Served,
-    /// A rejection: trying again is harmless, best after this long (0: no advice).
+    /// The job is rejected and has had no effect: the client may retry, best after this many microseconds (0: no advice).
     Rejected(Time),
-    /// Failed; nothing is promised of its effect.
+    /// The job has failed; it may or may not have had an effect.
     Failed,
 }
 
-/// Where a job's one answer goes.
+/// The destination of a job's answer.
 #[derive(Debug)]
 pub enum Reply {
-    /// To the channel's receiver.
+    /// The receiver of this channel.
     To(Sender<Answer>),
-    /// To the transport, by [`Transport::answer`].
+    /// The transport, through [`Transport::answer`].
     Transport,
 }
 
-/// An input of the core, from a front.
+/// An input that a front sends to the core.
 #[derive(Debug)]
 pub enum CoreInput {
-    /// A job was taken; the client waits for it until this time.
+    /// A job was accepted; its client waits for the answer until this time.
     Job(Request, Time, Reply),
-    /// The client has left; no answer is owed any more.
+    /// The client of a job has disconnected; no answer is owed any more.
     ClientLeft(JobId),
-    /// An attempt's job has begun.
+    /// The machine has started to run an attempt.
     Started(AttemptId),
-    /// The machine has not acknowledged an attempt in time; the attempt goes on.
+    /// The machine has not acknowledged an attempt in time; the attempt stays in flight.
     Unacknowledged(AttemptId),
-    /// How much of an attempt is done, 0 to 1.
+    /// The progress of an attempt, from 0 to 1.
     Progress(AttemptId, f64),
-    /// How an attempt ended. Reported again, or after the attempt was given up, it has one effect only: an open job is
-    /// served by any attempt that was done.
+    /// An attempt ended with this status. A repeated report, or one for an attempt that was given up, has one effect only:
+    /// a success answers the job if it is still open.
     Ended(AttemptId, Status, Option<Load>),
-    /// An update of the membership.
+    /// A change of the membership, or all of it, as the scope says.
     Membership(Scope, Vec<Entry>),
-    /// Other settings of the module from now on.
+    /// The settings of the module from now on.
     Settings(Box<indigofold_decisions::api::Settings>),
-    /// The statistics of another process of this scheduler, under this one's ids.
+    /// The statistics of another process of this scheduler, translated to the ids of this one.
     Statistics(Box<Statistics<u32>>),
-    /// An open job is asked for, to be given away: it is forgotten here. `None` where it cannot go now: something has
-    /// happened that the module has not handled yet, or no answer is owed.
+    /// Requests an open job for transfer to another process; it is removed here. The reply is `None` if the job cannot be
+    /// released now: the module has unhandled events, or no answer is owed.
     Release(JobId, Sender<Option<Released>>),
-    /// A job goes on here that another process has begun; the client waits for it until this time.
+    /// A job that another process has started continues here; this is its deadline.
     Adopted(JobId, Box<TransferredJob<u32>>, Time, Reply),
-    /// Statistics are requested: all of them, or a part.
+    /// Requests the statistics in this scope.
     ReadStatistics(Sender<Statistics<u32>>, StatisticsScope),
-    /// The result of a probe.
+    /// A probe of this worker ended with this status and, if the worker sent one, a load report.
     Probed(WorkerId, Status, Option<Load>),
 }
 
-/// An open job that is given away.
+/// An open job that is transferred to another process.
 #[derive(Debug)]
 pub struct Released {
-    /// What the module knows of it.
+    /// The state that the module keeps of the job.
     pub job: TransferredJob<u32>,
-    /// Until when it must be answered.
+    /// The job's deadline.
     pub until: Time,
-    /// Where its answer would have gone.
+    /// The destination of its answer in this process.
     pub reply: Reply,
 }
 
-/// Which statistics are requested.
+/// The part of the statistics that is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatisticsScope {
-    /// All of them.
+    /// The complete statistics.
     All,
-    /// All but the slots in flight: their jobs are about to migrate themselves.
+    /// Everything but the slots in flight: their jobs are about to migrate.
     ExceptInFlight,
-    /// Only the slots in flight at machines now.
+    /// Only the slots in flight at machines at present.
     InFlight,
 }
 
-/// What the core requests of the membership.
+/// A request of the core for the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipRequest {
-    /// Updates from now on, or none any more.
+    /// Starts (`true`) or stops (`false`) the updates of the membership.
     Watch(bool),
     /// The complete membership, once.
     FetchAll,
 }
 
-/// What has become of an attempt that is to be given up.
+/// The result of a call that gives up an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GivenUp {
-    /// It was not sent, and never will be.
+    /// The attempt was not sent and never will be.
     Unsent,
-    /// It is given up; no further input follows.
+    /// The attempt is given up; no further input follows for it.
     Done,
-    /// Its machine is being notified. [`CoreInput::Ended`] follows, once: with [`Status::Cancelled`] when it has been. Another attempt
-    /// of the job sent before could get there sooner, and run beside it.
+    /// The machine is being notified. [`CoreInput::Ended`] follows once, with [`Status::Cancelled`] when the machine has
+    /// acknowledged the cancellation. A new attempt of the job that is sent before that could arrive sooner and run at the
+    /// same time as this one.
     Pending,
 }
 
-/// What a front does for the core. None of it may wait; each call that is not carried out is answered `false`
-/// and counts as one that failed before anything went out.
+/// The operations that a front implements for the core. No method may block. `false` means that the request was not sent
+/// at all; the core counts it as failed.
 pub trait Transport {
-    /// Carries an attempt to its machine. [`CoreInput::Ended`] follows, once.
+    /// Sends an attempt to its machine. [`CoreInput::Ended`] follows once.
     fn send(&self, attempt: Attempt) -> bool;
     /// Stops waiting for an attempt.
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp;
-    /// Asks a machine for its load. [`CoreInput::Probed`] follows.
+    /// Probes a machine for its load. [`CoreInput::Probed`] follows.
     fn probe(&self, machine: WorkerId) -> bool;
     /// Closes the idle connections to a machine.
     fn hang_up(&self, machine: WorkerId);
     /// Requests the membership. [`CoreInput::Membership`] follows.
     fn request_membership(&self, request: MembershipRequest) -> bool;
-    /// The one answer to a job that came with [`Reply::Transport`].
+    /// Delivers the answer to a job that came with [`Reply::Transport`].
     fn answer(&self, job: JobId, answer: Answer) {
         let _ = (job, answer);
     }
-    /// The job will not be named again.
+    /// Drops the front's state of a job; the core does not refer to the job again.
     fn forget(&self, job: JobId);
     /// Writes an event to the operators' log.
     fn log_event(&self, text: &str);
 }
 
-/// Settings of the core, as plain values.
+/// Settings of the core.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Those of the decision module.
+    /// Settings of the decision module.
     pub module: indigofold_decisions::api::Settings,
-    /// Random numbers start here.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// How long before the client's time is up a job is answered at the latest.
+    /// A job's deadline is this long before the time until which its client waits, in microseconds.
     pub answer_margin: Time,
 }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: each event is counted once, where it happens, and no counter is reset.
+//! Metrics: each event is counted once, where it happens, and counters are never reset.
 
 use indigofold_decisions::api::ClassId;
 use indigofold_decisions::dispatcher::WorkerCounts;
@@ -7,32 +7,33 @@
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Done.
+    /// The job was done.
     Served,
-    /// Refused: trying again is harmless.
+    /// The job was rejected without effect; the client may retry.
     Refused,
-    /// Failed.
+    /// The job failed; it may have had an effect.
     Failed,
 }
 
 /// The metrics of one front since the program's start.
 #[derive(Debug, Default)]
 pub struct Metrics {
+    /// Counts of jobs by class and by [`End`].
     ends: RefCell<Vec<[u64; 3]>>,
     /// Jobs whose client left before there was an answer.
     pub clients_left: Cell<u64>,
-    /// Jobs taken and not ended.
+    /// Jobs that are neither answered nor released and whose client has not left.
     pub open: Cell<u64>,
-    /// Attempts whose last byte was sent.
+    /// Attempts that were sent completely.
     pub attempts_sent: Cell<u64>,
-    /// Workers of the membership list, and those of them that the module avoids.
+    /// The number of workers in the membership, and how many of them the module avoids.
     pub workers: Cell<WorkerCounts>,
-    /// Configuration files applied, and rejected, at SIGHUP.
+    /// The numbers of configuration files applied and rejected at SIGHUP.
     pub config_files: Cell<(u64, u64)>,
 }
 
 impl Metrics {
-    /// A job of this class has ended.
+    /// Counts a job of this class that has ended.
     pub fn count(&self, class: ClassId, end: End) {
         let (mut ends, n) = (self.ends.borrow_mut(), class as usize);
         if ends.len() <= n {
@@ -41,7 +42,7 @@
         ends[n][end as usize] += 1;
     }
 
-    /// The jobs of this class by their end: served, refused, failed.
+    /// The numbers of jobs of this class by their end: served, refused, failed.
     pub fn of(&self, class: ClassId) -> [u64; 3] {
         self.ends
             .borrow()
@@ -50,7 +51,7 @@
             .unwrap_or_default()
     }
 
-    /// The jobs of all classes by their end.
+    /// The numbers of jobs of all classes by their end: served, refused, failed.
     pub fn all(&self) -> [u64; 3] {
         self.ends
             .borrow()
@@ -59,7 +60,7 @@
     }
 }
 
-/// Adds to a counter.
+/// Adds `count` to a counter.
 pub fn add(counter: &Cell<u64>, count: u64) {
     counter.set(counter.get() + count);
 }
--- a/crates/core/tests/job_table.rs
+++ b/crates/core/tests/job_table.rs
@@ -1,4 +1,4 @@
-//! One answer each, in time.
+//! Tests of the job table: each job gets exactly one answer, in time.
 
 use async_channel::{Receiver, bounded};
 use indigofold_core::job_table::JobTable;
@@ -10,7 +10,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A front that takes every attempt, and notes what it is asked.
+/// A transport that accepts attempts and records the calls it receives.
 #[derive(Default)]
 struct RecordingTransport(RefCell<Vec<String>>);
 
@@ -90,7 +90,7 @@
     )
 }
 
-/// Guards against a job without an answer where the module gives none.
+/// Guards against a job that is never answered because the module does not answer it.
 #[test]
 fn a_job_the_module_leaves_unanswered_fails_just_after_its_deadline() {
     let (mut table, transport) = (
@@ -115,7 +115,8 @@
     assert!(table.jobs() == 0 && table.next_due().is_none());
 }
 
-/// Guards against two answers, and against one lost: an attempt taken for lost that is done yet serves its job.
+/// Guards against two answers to a job, and against a lost one: an attempt that was counted as lost but then succeeds
+/// still answers its job.
 #[test]
 fn a_job_is_served_once_even_by_an_attempt_counted_as_lost() {
     let (mut table, transport) = (
@@ -142,8 +143,8 @@
     );
 }
 
-/// Guards against an attempt that stays out for ever in the module's count, and blocks its machine: one made for
-/// a job whose client has left, or that was served, when the module had not heard of it yet.
+/// Guards against an attempt that the module counts as in flight forever, which blocks its machine. This happens when the
+/// module sends an attempt of a job before it has handled the event that the client has left or the job was served.
 #[test]
 fn an_attempt_of_a_job_just_closed_ends_at_once() {
     let (mut table, transport) = (
@@ -175,7 +176,7 @@
     );
 }
 
-/// Guards against an attempt that nobody will end: one that the front did not take has failed at once.
+/// Guards against an attempt that never ends: one that the transport does not accept must fail at once.
 #[test]
 fn an_attempt_rejected_by_the_transport_or_too_late_ends_at_once() {
     let (mut table, transport) = (
@@ -203,8 +204,8 @@
     );
 }
 
-/// Guards against a second copy: the module sends a job anew as soon as it hears that an attempt is given up, and that is not
-/// before its machine has heard of it. What the machine says meanwhile counts.
+/// Guards against a duplicate run: the module may send a new attempt as soon as the old one is reported as cancelled, so
+/// that report must wait until the machine has acknowledged the cancellation. A result that arrives meanwhile counts.
 #[test]
 #[allow(
     clippy::too_many_lines,
--- a/crates/core/tests/replacement.rs
+++ b/crates/core/tests/replacement.rs
@@ -1,5 +1,5 @@
-//! Replacements of many schedulers in virtual time: each has an engine that is replaced, again and again, while its jobs
-//! are open, with workers that fail, lose jobs and fall silent. What must hold always is checked over all of them.
+//! Simulated replacements of schedulers in virtual time: each scheduler's engine is replaced several times while jobs are
+//! open, and workers fail, lose jobs or stop responding. The invariants are checked over all schedulers.
 
 use indigofold_core::engine::Engine;
 use indigofold_core::{
@@ -18,22 +18,22 @@
 const SEC: Time = 1_000_000;
 const WORKERS: u32 = 12;
 
-/// What a job has been through, whichever process had it.
+/// The history of a job over all processes that had it.
 #[derive(Default)]
 struct JobHistory {
     class: ClassId,
     until: Time,
     answers: Vec<(Time, Answer)>,
-    /// Attempts out now, by worker; and those that may have run.
+    /// The workers of the attempts in flight, one entry per attempt.
     out: Vec<WorkerId>,
     may_have_run: u32,
     attempts: u32,
-    /// Its number in the process that has it.
+    /// The job's id in the process that has it at present.
     id: JobId,
     migrations: u32,
 }
 
-/// The world of one scheduler: its jobs, and what happens to their attempts.
+/// The simulated environment of one scheduler: its jobs and the scheduled outcomes of their attempts.
 #[derive(Default)]
 struct World {
     jobs: BTreeMap<u64, JobHistory>, // by the client's id
@@ -97,7 +97,7 @@
         job.attempts += 1;
         if fate >= 97 {
             world.faults.extend(faults);
-            return false; // nobody takes the order
+            return false; // the worker does not accept the attempt
         }
         job.out.push(attempt.machine);
         job.may_have_run += 1;
@@ -108,7 +108,7 @@
             80..85 => (end, Some(Status::Error)),
             85..90 => (end, Some(Status::Reset)),
             90..93 => (now + wait * MS, Some(Status::ConnectFailed)),
-            _ => (now, None), // silent
+            _ => (now, None), // the worker never responds
         };
         if matches!(status, Some(Status::Full | Status::ConnectFailed)) {
             job.may_have_run -= 1;
@@ -183,14 +183,15 @@
     let entries = (0..WORKERS).map(|n| Entry {
         zone: n % 2,
         cell: n % 4,
-        // Some have just started, whenever one asks.
+        // Some workers have always just started.
         ready_at: if n % 5 == 0 { now - SEC } else { 0 },
         ..indigofold_decisions_testing::entry(n, n % 3)
     });
     CoreInput::Membership(Scope::Full, entries.collect())
 }
 
-/// Plays one scheduler for some seconds, replaced so many times; returns its world and how many jobs went over.
+/// Simulates one scheduler for some seconds with this many replacements; returns its world and the number of jobs that
+/// migrated.
 #[allow(
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
@@ -286,7 +287,7 @@
             );
         }
         engine_now.step(now, &simulation);
-        // The next process: it takes in what was learned, and every open job that can go now; the rest go later.
+        // Starts the next process: it receives the statistics and every open job that can be released now, the rest later.
         if replaced < replacements
             && now >= begin + (replaced + 1) * (end - begin) / (replacements + 1)
         {
@@ -313,7 +314,7 @@
                     .map(|j| (*j.0, j.1.id))
                     .collect()
             };
-            // Those go that the module has heard all of; the rest a moment later, as the front tries again.
+            // Jobs migrate now if the module has no unhandled events; the others are retried later, as the front does.
             let mut stay = open;
             for _ in 0..10 {
                 now += 2 * MS;
@@ -376,8 +377,8 @@
     Ok(())
 }
 
-/// 300 schedulers, each replaced three times in six seconds of traffic: no job without its one answer in time, none
-/// repeated against its class, none out twice, whichever process it was in.
+/// Replaces each of 300 schedulers three times in six seconds of traffic. Guards against jobs that are lost, answered
+/// late or twice, rerun although their class forbids it, or in flight twice across processes.
 #[test]
 fn replacing_three_hundred_schedulers_loses_and_duplicates_no_job() {
     let (mut jobs, mut migrated, mut twice) = (0, 0, 0);
@@ -393,7 +394,7 @@
     );
 }
 
-/// Being replaced must not cost service: of the same jobs about as many are served as without.
+/// Guards against replacements that reduce the share of served jobs, compared with the same jobs without replacement.
 #[test]
 fn replacements_do_not_reduce_the_served_share() {
     let served = |replacements: u64| {
@@ -414,7 +415,7 @@
     );
 }
 
-/// Guards against a job that nobody has: its client left just as it was asked for, to be given away.
+/// Guards against a lost job: the requester of a release drops its receiver before the release is handled.
 #[test]
 fn a_job_whose_requester_has_gone_is_not_released() {
     let simulation = Simulation {
@@ -450,7 +451,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
-    /// Any number of replacements, at any distance.
+    /// Any number of replacements, at any interval.
     #[test]
     fn any_sequence_of_replacements_keeps_the_invariants(seed in any::<u64>(), duplicates: bool, replacements in 1u64..60) {
         let (world, _) = play(seed, duplicates, replacements);
