--- a/crates/indigofold/src/admin.rs
+++ b/crates/indigofold/src/admin.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint: a listener of its own, one request a connection, one answer. It shares neither descriptors nor
-//! buffers with the fronts, so that what happens there does not delay an answer here.
+//! The admin endpoint: a separate listener with one request and one answer per connection. It shares neither descriptors
+//! nor buffers with the fronts, so that load on the fronts does not delay its answers.
 
 use crate::dispatcher::WorkerCounts;
 use crate::front::Lifecycle;
@@ -15,49 +15,50 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Calls at once: so many descriptors are reserved. One more, and the oldest is rejected.
+/// Maximum number of concurrent calls, for which descriptors are reserved. A further call makes the oldest one that is
+/// still being read fail.
 const MAX_CALLS: usize = 16;
-/// The longest request, with its line end.
+/// Maximum length of a request, including the line end.
 const MAX_CALL_BYTES: usize = 128;
-/// A request must be complete within this time, and its answer read within as much again.
+/// A request must be complete within this time, and its answer must be written within the same time again.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// An operator's other end has this long to read its answer before the connection is closed over what it still sends.
+/// After the answer, the connection is closed when the caller has closed its side or this time has passed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Once drained, idle clients' connections are left for so long: until then the front has not seen that the
-/// scheduler is not ready, and jobs come on them.
+/// While the process is drained, idle connections of clients stay open for this long: until then the load balancer may not
+/// have seen that the scheduler is not ready, and still sends jobs on them.
 const KEEP_IDLE_AFTER_DRAIN: Duration = Duration::from_millis(1_000);
-/// ... then those go that have been idle for this long: a job may be on its way on the others ...
+/// After that, connections that have been idle for this long are closed: on others a job may be on its way.
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(300);
-/// ... and after this all that are idle.
+/// From this long after the start of the drain, all idle connections of clients are closed.
 const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(2_500);
-/// How often idle connections are checked.
+/// Interval between two checks for idle connections.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the admin endpoint shows and moves.
+/// The state that the admin endpoint reports and changes.
 pub struct AdminEndpoint {
-    /// The network: its tasks and its connections.
+    /// Runs the endpoint's tasks and holds the set of connections that a drain closes.
     pub net: Net,
-    /// The program's lifecycle.
+    /// The program's lifecycle, in which `standby` and `active` set and clear the drained state.
     pub lifecycle: Rc<Lifecycle>,
     /// The metrics that `stats` shows.
     pub metrics: Rc<Metrics>,
-    /// Does this process take clients?
+    /// Returns true if this process accepts clients' jobs; `status` reports it.
     pub serves: Box<dyn Fn() -> bool>,
-    /// The classes by name.
+    /// Returns the names of the classes, in the order of their ids.
     pub classes: Box<dyn Fn() -> Vec<String>>,
-    /// What closes connections while the program is drained.
+    /// The task that closes idle connections while the program is drained.
     pub draining: RefCell<Option<Task<()>>>,
 }
 
-/// The answer to a call that is rejected for a newer one.
+/// The error sent for a call that is rejected in favour of a newer one.
 const TOO_MANY_CALLS: &str = "too many calls";
 
-/// Takes calls for as long as the program runs.
+/// Accepts calls for as long as the program runs.
 pub async fn listen(admin: Rc<AdminEndpoint>, listener: Async<TcpListener>) {
     let waiting: Rc<RefCell<VecDeque<async_channel::Sender<()>>>> = Rc::default();
     let open = Rc::new(Cell::new(0));
     loop {
-        // Nobody is rejected before a new call waits.
+        // No call is rejected before a new one is waiting.
         let _ = listener.readable().await;
         if open.get() >= MAX_CALLS {
             let oldest = waiting.borrow_mut().pop_front();
@@ -86,7 +87,7 @@
     }
 }
 
-/// A call, or why there is none; one that is rejected for a newer call is not read further.
+/// Reads a request; fails with the text of the answer. Reading stops when the call is rejected in favour of a newer one.
 async fn read_call(
     stream: &Async<TcpStream>,
     rejected: async_channel::Receiver<()>,
@@ -98,7 +99,7 @@
     call(stream).or(rejection).await
 }
 
-/// Answers a call; one that was rejected frees its descriptor at once.
+/// Answers a call. A call that was rejected frees its descriptor at once after the answer.
 async fn answer_call(
     admin: &Rc<AdminEndpoint>,
     mut stream: &Async<TcpStream>,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Reads one line.
+/// Reads one line within [`CALL_TIMEOUT`]; returns the buffer and the length of the line.
 async fn call(stream: &Async<TcpStream>) -> Result<([u8; MAX_CALL_BYTES], usize), &'static str> {
     let read = async {
         let (mut request, mut length) = ([0; MAX_CALL_BYTES], 0);
@@ -140,7 +141,8 @@
     read.or(late).await
 }
 
-/// Says that nothing more comes, and reads over what does: a close over it could cost the other side its answer.
+/// Shuts down the write side and discards further input: closing a socket with unread input resets the connection, and the
+/// caller could lose its answer.
 async fn finish_write(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Write);
     let rest = async {
@@ -176,7 +178,7 @@
         "ok\n".into()
     }
 
-    /// The metrics in statsd's form, one a line.
+    /// Returns the metrics in statsd format, one per line, followed by a line `eof`.
     fn metrics_text(&self) -> String {
         let (mut text, metrics) = (String::new(), &self.metrics);
         let mut write_metric = |name: &str, value: u64, kind: char| {
@@ -199,8 +201,8 @@
         text + "eof\n"
     }
 
-    /// No new clients: from now on not ready, and each job's answer closes its connection. A connection that
-    /// stands idle is closed too, once the front has had time to see it.
+    /// Drains the process: from now on it is not ready, and each job's answer closes its connection. Idle connections are
+    /// closed too, once the load balancer has had time to see that the process is not ready.
     fn drain(self: &Rc<Self>) {
         if self.lifecycle.drained.replace(true) {
             return;
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -1,7 +1,7 @@
-//! Replacement of the process: a new one requests the old one's listeners over a Unix socket in `$TMPDIR`, and notifies it
-//! once it serves. Until the old one has ended, the two act as one scheduler by the messages on this link.
+//! Replacement of the process: a new process requests the old one's listeners over a Unix socket in `$TMPDIR`, and notifies
+//! it once it serves. Until the old process has ended, the two exchange messages on this link and act as one scheduler.
 //!
-//! A frame on the link is a byte that names it, the length of its payload (four bytes, little-endian), and the payload.
+//! A frame on the link is a byte for its type, the length of its payload (four bytes, little-endian), and the payload.
 
 use crate::config::{self, JobReport};
 use crate::front::platform::Platform;
@@ -27,44 +27,45 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Listeners that can be passed on: the platform's and the Faktory front's.
+/// Maximum number of listeners passed on: the platform's and the Faktory front's.
 const MAX_LISTENERS: usize = 2;
-/// The longest frame: a report, with spare space.
+/// Maximum payload of a frame; the longest is a job report, for which this leaves spare space.
 const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// The old process answers within this time, or it counts as ended.
+/// How long one process waits for the other's first frame. An old process that does not answer in time counts as ended.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Once a new process serves, a client's connection idle for this long is closed: a job is hardly on its way ...
+/// Once a new process serves, a client's connection that is idle for this long is closed: a job is unlikely to be on its
+/// way on it.
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(1_000);
-/// ... and from this long after the handover on, every idle one.
+/// From this long after the new process has begun to serve, every idle connection of a client is closed.
 const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(2_500);
-/// Descriptors that the old process may open beyond those it has.
+/// Number of descriptors that the old process may open beyond those it holds.
 const SPARE_DESCRIPTORS: usize = 32;
-/// Payload of the first frame of a process that takes statistics and open jobs. An older program sends none.
+/// Payload of the first frame of a process that accepts statistics and open jobs. Older versions send an empty payload.
 const CAPABILITIES: &[u8] = b"learns moves";
-/// How often the two report their slots in flight: such a report is valid for two seconds.
+/// Interval between two reports of slots in flight to the other process, where a report is valid for two seconds.
 const SLOTS_REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How often idle connections, and whether there is a membership, are checked.
+/// Interval between two checks for idle connections or for a membership.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A listener by the name of its front.
+/// A listener with the name of its front.
 pub type Named = (&'static str, Rc<Async<TcpListener>>);
 
-/// What the old process has passed on.
+/// The link to the old process, and the resources that it passed on.
 pub struct Inherited {
     link: Async<UnixStream>,
     /// Its listeners, by the names of their fronts.
     pub listeners: Vec<(String, TcpListener)>,
-    /// The descriptors that the new process may hold until the old one has ended.
+    /// Number of descriptors that the new process may hold until the old one has ended.
     pub descriptors: usize,
 }
 
-/// Where the process that listens at an address can be asked. Without a `$TMPDIR` of its own it cannot be.
+/// The path of the handover socket of the process that listens on the address `listen`; `None` if `$TMPDIR` is not set.
 pub fn path(listen: &str) -> Option<PathBuf> {
     let dir = std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty())?;
     Some(Path::new(&dir).join(format!("indigofold-{:016x}.sock", config::hash(listen))))
 }
 
-/// Requests the old process's listeners. `None`: there is none that answers.
+/// Requests the old process's listeners. `None` if no process answers in time.
 pub async fn request_listeners(path: &Path) -> Option<Inherited> {
     let request = async {
         let link = Async::<UnixStream>::connect(path)
@@ -81,7 +82,7 @@
         .ok()
 }
 
-/// Reads the first frame of the old process, with the listeners that come along.
+/// Reads the first frame of the old process, and the listeners attached to it.
 async fn receive(link: Async<UnixStream>) -> io::Result<Inherited> {
     let (mut bytes, mut fds) = ([0; 64], Vec::new());
     let count = link
@@ -99,7 +100,8 @@
         })
         .await?;
     let bad = || io::Error::from(ErrorKind::InvalidData);
-    // `L`, how many descriptors, and the names of the fronts: as long as the buffer, so that no more is read.
+    // The frame is `L`, the number of descriptors and the names of the fronts, padded to the buffer's length so that the
+    // read takes no bytes of the next frame.
     if count != bytes.len() || bytes[0] != b'L' {
         return Err(bad());
     }
@@ -126,7 +128,7 @@
     frame
 }
 
-/// Sends a frame with a client's connection, which is attached to its first byte.
+/// Sends a frame with a client's connection, whose descriptor is attached to the first byte.
 async fn send_with(
     mut link: &Async<UnixStream>,
     frame: &[u8],
@@ -148,7 +150,7 @@
     link.write_all(&frame[sent..]).await
 }
 
-/// Fills the buffer; attached connections are queued in the order of their frames.
+/// Reads until the buffer is full; attached connections are appended to `streams` in the order of their frames.
 async fn fill(
     link: &Async<UnixStream>,
     buffer: &mut [u8],
@@ -191,28 +193,28 @@
     Ok((head[0], text))
 }
 
-/// This process's part in a replacement.
+/// The state of this process in a replacement: first as the new process, later as the old one.
 pub struct Handover {
     /// The platform's front.
     pub front: Rc<Platform>,
-    /// Where it can be asked, if anywhere.
+    /// The path of the handover socket; `None` if this process cannot be replaced.
     pub path: Option<PathBuf>,
-    /// Descriptors, and megabytes, that the process may hold when it is alone.
+    /// File descriptors, and memory in MiB, that the process may use when it runs alone.
     pub limits: (usize, usize),
-    /// All fronts' listeners.
+    /// The listeners of all fronts.
     pub listeners: Vec<Named>,
-    /// Starts to accept at all of them; dropped, the tasks stop.
+    /// Starts accepting on all listeners; the returned tasks stop when they are dropped.
     pub accept: Box<dyn Fn() -> Vec<Task<()>>>,
-    /// What accepts.
+    /// The tasks that accept connections; empty while this process does not accept.
     pub accepting: RefCell<Vec<Task<()>>>,
-    /// What answers a new process.
+    /// The task that answers a new process on the handover socket.
     pub answering: RefCell<Option<Task<()>>>,
-    /// What closes idle connections once a new process serves.
+    /// The task that closes idle connections once a new process serves.
     pub closing: RefCell<Option<Task<()>>>,
 }
 
 impl Handover {
-    /// Begins to take clients: at once, or in place of the old process as soon as there is a membership.
+    /// Starts to accept clients: at once, or, when replacing an old process, as soon as there is a membership.
     pub async fn serve(self: Rc<Self>, inherited: Option<Inherited>) {
         let Some(Inherited { link, .. }) = inherited else {
             self.open();
@@ -221,7 +223,7 @@
         let (peer, messages) = self.front.add_peer();
         let (this, old) = (self.clone(), peer.clone());
         self.front.net().spawn(async move {
-            // The old one's first statistics show that it knows such messages.
+            // Statistics are sent only after the old process has sent some, which shows that it supports them.
             this.exchange_messages(&link, &old, messages, false).await;
             this.front.remove_peer(&old);
             log("handover: the old process has ended");
@@ -241,8 +243,8 @@
         self.front.lifecycle().accepting.set(true);
     }
 
-    /// Answers a new process from now on, in place of whoever did so before. What an ended process has left is
-    /// replaced: nobody answers there.
+    /// Starts answering new processes on the handover socket. The socket file of an earlier process is replaced: that
+    /// process has been superseded or has ended.
     fn answer(self: &Rc<Self>) {
         let Some(path) = &self.path else { return };
         let mut new = path.clone().into_os_string();
@@ -275,7 +277,8 @@
         self.answering.replace(Some(answering));
     }
 
-    /// A new process has called: passes the listeners on, and stands by until it serves or ends.
+    /// Handles the link of a new process: passes the listeners on, then exchanges messages until the link ends. If the new
+    /// process ends while this one is not shutting down, this one serves again.
     async fn serve_successor(self: Rc<Self>, link: Async<UnixStream>) {
         let hello = async {
             read(&link, &mut VecDeque::new())
@@ -289,7 +292,7 @@
         if self.front.lifecycle().superseded.get() {
             return;
         }
-        // Both together stay within the limits; this one keeps what it has, and a few for new connections.
+        // Both processes together stay within the limits; this one keeps its descriptors and a few for new connections.
         let (net, lifecycle) = (self.front.net(), self.front.lifecycle());
         let mine = (net.set.descriptors() + SPARE_DESCRIPTORS).min(self.limits.0 * 3 / 4);
         let descriptors = self.limits.0 - mine;
@@ -312,14 +315,14 @@
         net.set_limits(self.limits.0, self.limits.1);
         log("handover: the new process has ended");
         if lifecycle.superseded.replace(false) && !lifecycle.stopping.get() {
-            // It was to serve in place of this one, which goes on.
+            // The new process has ended after it had begun to serve: this process takes over again.
             self.closing.take();
             self.open();
             self.answer();
         }
     }
 
-    /// Sends the listeners, with how many descriptors the new process may hold until this one has ended.
+    /// Sends the listeners, and the number of descriptors that the new process may hold until this one has ended.
     async fn send_listeners(
         &self,
         link: &Async<UnixStream>,
@@ -348,7 +351,7 @@
         sent.await
     }
 
-    /// The new process serves: this one takes nobody new, and closes what it has, each connection after its answer.
+    /// Called when the new process serves: stops accepting connections, and closes the open ones when they are idle.
     fn stop_accepting(&self) {
         let lifecycle = self.front.lifecycle();
         if lifecycle.superseded.replace(true) {
@@ -372,7 +375,8 @@
         self.closing.replace(Some(closing));
     }
 
-    /// Carries messages both ways until the link ends. `accepts_statistics`: the other side is known to take them.
+    /// Exchanges messages in both directions until the link ends. `accepts_statistics`: the other process is known to
+    /// support statistics; it also becomes true when the other process sends some.
     async fn exchange_messages(
         &self,
         link: &Async<UnixStream>,
@@ -407,7 +411,7 @@
         }
     }
 
-    /// Handles one frame of the other process. `streams`: the connections that came along and are not taken yet.
+    /// Handles one frame of the other process. `streams`: received connections whose frames are not handled yet.
     async fn handle_frame(
         &self,
         peer: &Rc<PeerProcess>,
@@ -449,7 +453,7 @@
                     ids.remove(&id)
                 };
             }
-            _ => {} // a frame of a later program
+            _ => {} // unknown frame types of newer versions are ignored
         }
         Ok(())
     }
--- a/crates/indigofold/src/lib.rs
+++ b/crates/indigofold/src/lib.rs
@@ -1,9 +1,10 @@
 //! A scheduler that pushes jobs to job workers: hybrid SQ(d) over worker kinds.
 //!
-//! [`dispatcher::Dispatcher`] is the decision module. It takes [`api::Event`]s and answers with
-//! [`api::Action`]s; it does no I/O and reads no clock. [`wire`] translates a text protocol for the simulator.
-//! Around the module are [`indigofold_core`], which knows no protocol, [`net`] and the fronts in [`front`];
-//! operators call at the [`admin`], [`handover`] replaces the process, and [`program`] connects the parts.
+//! [`dispatcher::Dispatcher`] is the decision module. It takes [`api::Event`]s and returns
+//! [`api::Action`]s; it does no I/O and reads no clock. [`wire`] translates the simulator's text protocol.
+//! Around the module are [`indigofold_core`], which is independent of protocols, [`net`], and the fronts in [`front`],
+//! which speak the protocols of clients and job workers. [`admin`] is the endpoint for operators, [`handover`] replaces a
+//! running process by a new one, and [`program`] connects the parts.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/indigofold/src/main.rs
+++ b/crates/indigofold/src/main.rs
@@ -1,4 +1,5 @@
-//! The scheduler's program: runs [`indigofold::program`] on the one thread and reports how it ended.
+//! The scheduler's executable: runs [`indigofold::program`] on a single thread and reports an error through the log and
+//! the exit code.
 
 #![forbid(unsafe_code)]
 
--- a/crates/indigofold/src/program.rs
+++ b/crates/indigofold/src/program.rs
@@ -1,4 +1,4 @@
-//! The program: reads the configuration, starts the fronts on their listeners, and stops after a signal.
+//! The program: reads the configuration, starts the fronts on their listeners, and shuts down after a signal.
 
 mod listeners;
 mod platform;
@@ -26,17 +26,17 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// A job is answered this long before its client's time is up: the answer has its way to go, and the time
-/// runs from when the client began to send.
+/// A job's deadline is this long before the time until which its client waits: the answer takes time to reach the client,
+/// whose wait begins when it starts to send. Microseconds.
 const ANSWER_MARGIN_US: u64 = 40_000;
 
-/// Runs the program until a signal has stopped it. An error is one of the configuration or of a listener.
+/// Runs the program until SIGTERM or SIGINT has stopped it.
 ///
 /// # Errors
 ///
-/// One of the configuration or of a listener.
+/// The configuration cannot be used, or a listener or the signal handler cannot be set up.
 pub async fn run(tasks: Rc<LocalExecutor<'static>>) -> Result<(), Box<dyn Error>> {
-    // Before anything else: without a handler, each of these ends the program.
+    // Handlers are installed first: without one, each of these signals ends the program.
     let (mut signals, hangups) = (
         Signals::new([Signal::Term, Signal::Int])?,
         Signals::new([Signal::Hup])?,
@@ -55,7 +55,7 @@
                 .await?,
         ),
         None => {
-            // The Faktory front's file is read at the start only.
+            // The Faktory front's file is read only at startup.
             shared
                 .net
                 .spawn(hangups.for_each(|_| log("reload: there is nothing to read again")));
@@ -65,19 +65,20 @@
     if let Some(file) = configuration.faktory {
         fronts.add_faktory(&shared, file, &mut old).await?;
     }
-    // What accepts ends with its owner, which lives as long as this function.
+    // The tasks that accept connections stop when this value is dropped, at the end of the function.
     let _accepting = fronts.start_accepting(&shared, platform, path, old);
     signals.next().await;
     shutdown::run(&shared, &fronts).await;
     Ok(())
 }
 
-/// The operator's files that the environment names, and the tighter of their limits.
+/// The configuration files that the environment variables name, and the lower of their limits.
 struct Configuration {
     platform: Option<config::Platform>,
     faktory: Option<config::Faktory>,
-    /// Descriptors that the process may hold.
+    /// Number of file descriptors that the process may hold.
     sockets: usize,
+    /// Memory that the process may use, in MiB.
     memory_mb: usize,
 }
 
@@ -115,7 +116,7 @@
     }
 }
 
-/// The file that a variable of the environment names, if it names one.
+/// Reads the file that an environment variable names; `None` if the variable is not set.
 fn read_file(variable: &str) -> Result<Option<Vec<u8>>, Box<dyn Error>> {
     let Some(path) = std::env::var_os(variable) else {
         return Ok(None);
@@ -125,12 +126,12 @@
     })?))
 }
 
-/// What the fronts and the stop share.
+/// State that the fronts and the shutdown share.
 struct Shared {
     net: Net,
     clock: Clock,
     lifecycle: Rc<Lifecycle>,
-    /// Descriptors, and megabytes, that the process may hold when it is alone.
+    /// File descriptors, and memory in MiB, that the process may use when no other process of the scheduler runs.
     limits: (usize, usize),
 }
 
@@ -146,12 +147,12 @@
     }
 }
 
-/// What starts to accept at a front's listener.
+/// Starts the task that accepts connections on a front's listener.
 type Accept = Box<dyn Fn(&Net) -> Task<()>>;
-/// What accepts: a handover that can pass the listeners on, or the tasks alone.
+/// The owner of the accepting tasks: a handover, which can pass the listeners on, or the tasks themselves.
 type Accepting = (Option<Rc<Handover>>, Vec<Task<()>>);
 
-/// The fronts that were started: their listeners, and what the stop asks them.
+/// The fronts that were started: their listeners, and the queries that the shutdown needs.
 #[derive(Default)]
 struct Fronts {
     listeners: Vec<Named>,
@@ -161,18 +162,18 @@
 }
 
 impl Fronts {
-    /// Jobs whose answer is owed or on its way, over all fronts.
+    /// The number of jobs over all fronts whose answer is owed or not yet written.
     fn open_jobs(&self) -> usize {
         self.open_jobs.iter().map(|jobs| jobs()).sum()
     }
 
-    /// The longest deadline of a class, over all fronts; microseconds.
+    /// The longest deadline of a class over all fronts, in microseconds.
     fn longest_deadline(&self) -> Time {
         let deadlines = self.longest_deadlines.iter().map(|longest| longest());
         deadlines.max().unwrap_or_default()
     }
 
-    /// Starts the platform's front, with the listener of the process that serves now, if there is one.
+    /// Starts the platform's front, with the listener of the process that serves at present if there is one.
     async fn add_platform(
         &mut self,
         shared: &Shared,
@@ -200,7 +201,7 @@
         Ok(front)
     }
 
-    /// Starts the Faktory front.
+    /// Starts the Faktory front, with the old process's listener if it was passed on.
     async fn add_faktory(
         &mut self,
         shared: &Shared,
@@ -224,7 +225,7 @@
         Ok(())
     }
 
-    /// Accepts at all listeners: with a platform's front once the handover has begun to serve, without one at once.
+    /// Starts accepting on all listeners: at once without a platform front, with one when the handover begins to serve.
     fn start_accepting(
         &mut self,
         shared: &Shared,
--- a/crates/indigofold/src/program/listeners.rs
+++ b/crates/indigofold/src/program/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners of the fronts: opened here, or inherited from the process that serves now.
+//! Listeners of the fronts: newly opened, or inherited from the process that serves at present.
 
 use crate::handover::{self, Inherited};
 use async_io::{Async, Timer};
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long an address is tried for at which another process listens without answering.
+/// How long to retry an address on which another process listens that does not answer handover requests.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(4);
-/// Between two attempts to listen at an address in use.
+/// Interval between two attempts to listen on an address in use.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Listens at an address of a configuration.
+/// Listens on an address from the configuration.
 pub(super) fn bind(address: &str) -> Result<Async<TcpListener>, Box<dyn Error>> {
     let parsed: SocketAddr = address
         .parse()
@@ -22,14 +22,15 @@
     Ok(crate::net::listen(parsed).map_err(|e| format!("listen {address:?}: {e}"))?)
 }
 
-/// Takes one of the old process's listeners.
+/// Takes the listener of the front called `name` from those of the old process, if it is among them.
 pub(super) fn take_listener(old: &mut Inherited, name: &str) -> Option<TcpListener> {
     let at = old.listeners.iter().position(|(of, _)| of == name)?;
     Some(old.listeners.swap_remove(at).1)
 }
 
-/// The listener of the process that serves now, if there is one and it answers; else one of our own. Where somebody
-/// listens who does not answer (it is about to end, or about to be asked), that is tried again for a while.
+/// Returns the listener of the process that serves at present if that process answers, or else opens a new one. If another
+/// process holds the address but does not answer (it is ending, or not yet ready for requests), both are retried for up to
+/// [`LISTEN_TIMEOUT`].
 pub(super) async fn listen_or_inherit(
     path: Option<&Path>,
     address: &str,
--- a/crates/indigofold/src/program/platform.rs
+++ b/crates/indigofold/src/program/platform.rs
@@ -1,4 +1,4 @@
-//! Start of the platform's front: its core, the membership watcher and the admin endpoint.
+//! Startup of the platform's front: its core, the membership watcher and the admin endpoint.
 
 use super::listeners::{RETRY_INTERVAL, bind};
 use super::{ANSWER_MARGIN_US, Shared};
@@ -17,10 +17,10 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Requests for the membership that may wait at once.
+/// Capacity of the queue of membership requests.
 const MAX_QUEUED_REQUESTS: usize = 16;
 
-/// Starts the platform's front. `replaces`: another process of this scheduler still serves.
+/// Starts the platform's front. `replaces`: this process replaces another process of this scheduler, which still serves.
 pub(super) async fn start(
     shared: &Shared,
     config: config::Platform,
@@ -67,8 +67,8 @@
     Ok(front)
 }
 
-/// Opens the admin endpoint, if there is to be one. Where the old process still has its address, it opens once that one
-/// has ended.
+/// Opens the admin endpoint, if its address is not empty. If the old process still holds the address, binding is retried
+/// until that process has ended.
 fn start_admin(front: &Rc<Platform>, address: &str, replaces: bool) -> Result<(), Box<dyn Error>> {
     if address.is_empty() {
         return Ok(());
@@ -93,7 +93,7 @@
     Ok(())
 }
 
-/// Opens the admin endpoint, which shows this front.
+/// Starts to serve the admin endpoint for this front on a listener.
 fn open_admin(front: &Rc<Platform>, listener: Async<TcpListener>) -> Result<(), Box<dyn Error>> {
     log(format_args!(
         "door listen={}",
--- a/crates/indigofold/src/program/reload.rs
+++ b/crates/indigofold/src/program/reload.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration read again at SIGHUP.
+//! Reload of the platform's configuration at SIGHUP.
 
 use crate::config;
 use crate::front::platform::Platform;
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Reads the configuration again at each SIGHUP, also while the program stops. The complete file is checked first; then
-/// its settings and its discovery take effect, without a break in anything else. A file that cannot be used leaves all
-/// as it was.
+/// Reloads the configuration at each SIGHUP, also while the program shuts down. The complete file is validated first; then
+/// its settings and its discovery address take effect without interrupting jobs or connections. An invalid file changes
+/// nothing.
 pub(super) async fn reload(mut hangups: Signals, front: Rc<Platform>, mut used: config::Platform) {
     while hangups.next().await.is_some() {
         let (applied, rejected) = front.metrics().config_files.get();
@@ -28,7 +28,7 @@
     }
 }
 
-/// The file as it is now, and the address of discovery in it.
+/// Reads and validates the file as it is now, and returns it with the discovery address in it.
 fn reread(used: &config::Platform) -> Result<(SocketAddr, config::Platform), String> {
     let path = std::env::var_os("GW_CONFIG").unwrap_or_default();
     let text = std::fs::read(path).map_err(|e| e.to_string())?;
--- a/crates/indigofold/src/program/shutdown.rs
+++ b/crates/indigofold/src/program/shutdown.rs
@@ -1,28 +1,30 @@
-//! The stop after SIGTERM or SIGINT: when connections are closed, and when the program may end.
+//! The shutdown after SIGTERM or SIGINT: when connections are closed, and when the program may end.
 
 use super::{Fronts, Shared};
 use crate::net::log;
 use async_io::Timer;
 use std::time::{Duration, Instant};
 
-/// After a signal to stop, new connections come for so long at most, and clients use the connections that they have
-/// for as long as these stay open: perhaps nobody else is there to serve them.
+/// Minimum time between the signal and the closing of connections. New connections may arrive for up to this long, and
+/// clients keep using their open ones, as there may be no other process to serve them.
 const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(500);
-/// The program may be killed this long after the signal, and the longest deadline of its classes (counted as no more than
-/// the second constant) later. What came after the signal is answered this long before that ...
+/// The process must expect to be killed this long, plus the longest deadline of its classes, after the signal.
 const KILL_GRACE: Duration = Duration::from_millis(700);
+/// Upper limit on the deadline that counts towards the time of the kill.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Jobs that arrive after the signal are answered at least this long before the expected kill.
 const ANSWER_BEFORE_KILL: Duration = Duration::from_millis(300);
-/// ... and connections are closed from this long before it on: so long a job that has just come may take yet.
+/// Connections are closed from this long before the expected kill on, which leaves a job that has just arrived the time
+/// between this and [`ANSWER_BEFORE_KILL`] to be answered.
 const CLOSE_BEFORE_KILL: Duration = Duration::from_millis(1_300);
-/// How long those may take to close whose clients have their last answer.
+/// How long connections may take to close once their clients have the last answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The program stays until no job has come for this long.
+/// Connections are closed earlier if no job is open and none has arrived for this long, in microseconds.
 const QUIET_FOR_US: u64 = 400_000;
-/// How often the stop looks at what is open.
+/// Interval between two checks of the open jobs and connections.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Answers what is open, closes connections, and returns once nothing is left to answer.
+/// Answers the open jobs, closes the connections, and returns once nothing is left to answer or the time is up.
 pub(super) async fn run(shared: &Shared, fronts: &Fronts) {
     let Shared {
         net,
@@ -41,7 +43,7 @@
     let mut idle_since = None;
     loop {
         Timer::after(CHECK_INTERVAL).await;
-        // Where a new process serves, this one waits only for its connections to end.
+        // If a new process serves, this one only waits for its connections to end.
         let superseded = lifecycle.superseded.get();
         let since_job = || clock.now().saturating_sub(lifecycle.last_job.get());
         let quiet = !superseded && fronts.open_jobs() == 0 && since_job() > QUIET_FOR_US;
@@ -49,11 +51,11 @@
             log_state("closing", shared, fronts);
         }
         if lifecycle.closing.get() {
-            net.set.evict_idle(fronts.open_jobs() > 0); // between two messages a connection may be closed
+            net.set.evict_idle(fronts.open_jobs() > 0); // a connection may be closed between two messages
         } else if !superseded {
             continue;
         }
-        // Only once no connection has a message under way: what was taken in has its answer, and it is on its way.
+        // The program may end once no connection has a message in progress: every accepted job is then answered.
         let (accepted, closing) = (net.set.accepted(), net.set.closing());
         let may_wait = superseded || begin.elapsed() < answer_by + CLOSE_TIMEOUT;
         if fronts.open_jobs() > 0 || (accepted > closing && may_wait) {
@@ -75,7 +77,7 @@
     ));
 }
 
-/// When connections are closed after a signal to stop, and by when what comes after it is answered.
+/// Computes, relative to the signal, when connections are closed and by when jobs that arrive later are answered.
 fn moments(longest: Duration) -> (Duration, Duration) {
     let killed = longest.min(MAX_COUNTED_DEADLINE) + KILL_GRACE;
     (
