--- a/crates/indigofold/src/bin/indigofold-sim-adapter.rs
+++ b/crates/indigofold/src/bin/indigofold-sim-adapter.rs
@@ -1,4 +1,5 @@
-//! Standard input to standard output: one dispatcher for each instance named on the wire.
+//! The simulator's adapter: reads the text protocol from standard input, runs one dispatcher for each instance named in it,
+//! and writes the replies to standard output.
 
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
--- a/crates/indigofold/src/config.rs
+++ b/crates/indigofold/src/config.rs
@@ -1,4 +1,4 @@
-//! Environment, configuration and memberships, parsed once into the values that are used.
+//! The configuration files, environment variables and memberships, parsed into typed values.
 
 mod discovery;
 mod error;
@@ -17,21 +17,21 @@
 pub use site::{Names, Site};
 use snafu::ResultExt;
 
-/// A parsed value, or what was expected and not found.
+/// A parsed value, or the reason why the document cannot be used.
 pub type Parse<T> = Result<T, ConfigError>;
 
-/// Memory that the process may use by default, in megabytes.
+/// Memory that the process may use by default, in MiB.
 pub const MEMORY_MB: usize = 192;
 
-/// Brackets that may stand within each other in a document.
+/// Maximum nesting depth of objects and arrays in a document.
 const DEPTH: usize = 64;
 
-/// Parses JSON text in place. A text nested too deeply is rejected first: the parser recurses at each level, and a few
-/// thousand levels would overflow the stack.
+/// Parses JSON text in place. Text that is nested too deeply is rejected first: the parser recurses at each level, and a
+/// few thousand levels would overflow the stack.
 ///
 /// # Errors
 ///
-/// Where the text is nested too deeply, is no JSON, or has not the form of `T`.
+/// The text is nested too deeply, is not JSON, or does not have the form of `T`.
 pub fn decode<T: for<'a> Deserialize<'a>>(text: &mut [u8]) -> Parse<T> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
     for byte in text.iter() {
@@ -50,7 +50,7 @@
     simd_json::serde::from_slice(text).context(JsonSnafu)
 }
 
-/// As [`decode`]; an error begins with the name of the document.
+/// Like [`decode`], but the error message begins with `document`.
 fn decode_document<T: for<'a> Deserialize<'a>>(
     text: &mut [u8],
     document: &'static str,
@@ -60,19 +60,19 @@
         .context(DocumentSnafu { document })
 }
 
-/// The number that stands for what a job says it is about, whatever its length and bytes; nothing: `None`. Two that
-/// share a number share an order of workers, no more.
+/// Hashes the subject that a job names, a text of any length; `None` if it is empty. Two subjects with the same hash only
+/// share their preferred order of workers.
 pub fn subject(text: &str) -> Option<u64> {
     (!text.is_empty()).then(|| hash(text))
 }
 
-/// A machine's number made of its name, the same in every scheduler unless it is taken there.
+/// Derives a machine's id from its name. The id is the same in every scheduler unless another machine there has it.
 pub fn number(name: &str) -> u32 {
     let h = hash(name);
     (h ^ (h >> 32)) as u32
 }
 
-/// This number, or the first behind it that is not taken.
+/// Returns `number`, or the next higher one that is not taken, with wrap-around.
 pub fn untaken(mut number: u32, taken: impl Fn(u32) -> bool) -> u32 {
     while taken(number) {
         number = number.wrapping_add(1);
@@ -80,7 +80,7 @@
     number
 }
 
-/// A number for a name that is the same in every scheduler (FNV-1a).
+/// Hashes a name with FNV-1a, so that the result is the same in every scheduler.
 pub fn hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/indigofold/src/config/discovery.rs
+++ b/crates/indigofold/src/config/discovery.rs
@@ -1,19 +1,19 @@
-//! JSON forms of what discovery and job workers send: the membership, and reports on jobs.
+//! The JSON documents of discovery and job workers: memberships and reports on jobs.
 
 use super::{Parse, decode_document};
 use serde::Deserialize;
 use simd_json::OwnedValue;
 
-/// The membership as discovery writes it, complete or a change of it.
+/// A membership document of discovery: all machines, or those that changed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct MembershipUpdate {
-    /// Its version.
+    /// The version of the membership that this document leads to.
     #[serde(default)]
     pub seq: u64,
-    /// All machines, not only what changed.
+    /// True if `hosts` is the complete membership, false if it holds only the changed machines.
     #[serde(default, rename = "whole")]
     pub complete: bool,
-    /// The machines.
+    /// All machines, or the changed ones.
     #[serde(default)]
     pub hosts: Vec<Machine>,
 }
@@ -21,26 +21,26 @@
 /// One machine of the membership.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Machine {
-    /// Its name, the same for every scheduler.
+    /// The machine's name, the same for every scheduler.
     pub host: String,
-    /// Where this scheduler reaches it.
+    /// The address at which this scheduler connects to it.
     #[serde(default)]
     pub dial: String,
-    /// Its zone.
+    /// The zone that it is in.
     #[serde(default)]
     pub site: String,
-    /// Its kind.
+    /// The kind of machine, which decides what classes of jobs it can run.
     #[serde(default)]
     pub class: String,
-    /// Its cell.
+    /// The cell: the machines in it drop repeats of keyed jobs for each other.
     #[serde(default)]
     pub block: u32,
-    /// `Ready`, `Terminating` or `Gone`.
+    /// The state of the machine: `Ready`, `Terminating` or `Gone`.
     pub health: String,
-    /// Its size.
+    /// The size relative to other machines, 1 by default.
     #[serde(default = "one")]
     pub share: f64,
-    /// Its last start in Unix time, milliseconds; 0: long ago.
+    /// The time of its last start in Unix milliseconds; 0 if that was long ago.
     #[serde(default)]
     pub born_ms: u64,
 }
@@ -54,29 +54,29 @@
     ///
     /// # Errors
     ///
-    /// The text is no JSON, or not of this form.
+    /// The text is not JSON, or does not have the form of a membership.
     pub fn read(text: &mut [u8]) -> Parse<Self> {
         decode_document(text, "no machine list")
     }
 }
 
-/// A report of a job worker on a job.
+/// A report of a job worker on the state of a job.
 #[derive(Debug, Deserialize)]
 pub struct JobReport {
-    /// The job's id, as its client named it.
+    /// The job's id, as its client gave it.
     pub id: String,
-    /// The machine.
+    /// The name of the machine that reports.
     #[serde(default)]
     pub from: String,
-    /// What has become of it.
+    /// The state of the job, for example `running` or `done`.
     pub state: String,
-    /// With `running`: the share done.
+    /// With state `running`: the fraction that is done, 0 to 1.
     #[serde(default)]
     pub share: f64,
-    /// With `done`: what was made.
+    /// With state `done`: the result of the job.
     #[serde(default)]
     pub result: Option<OwnedValue>,
-    /// A load report.
+    /// A load report of the machine, if it sends one.
     #[serde(default)]
     pub load: Option<OwnedValue>,
 }
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// The text is no JSON, or not of this form.
+    /// The text is not JSON, or does not have the form of a report.
     pub fn read(text: &mut [u8]) -> Parse<Self> {
         decode_document(text, "no news")
     }
--- a/crates/indigofold/src/config/error.rs
+++ b/crates/indigofold/src/config/error.rs
@@ -1,116 +1,116 @@
-//! What is wrong with a configuration or another document.
+//! Errors of configuration files and other documents.
 
 use snafu::Snafu;
 
-/// A document that cannot be used: what is wrong, where, and what is allowed.
+/// The reason why a document cannot be used: the entry at fault, the value found and the values allowed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ConfigError {
-    /// Brackets stand within each other more often than any document needs.
+    /// Objects and arrays are nested more deeply than any valid document.
     #[snafu(display("brackets too deep within each other"))]
     TooDeep,
-    /// The text is no JSON, or not of the form that is expected.
+    /// The text is not JSON, or does not have the expected form.
     #[snafu(display("{source}"))]
     Json {
-        /// Where and why.
+        /// The parser's error, with the position in the text.
         source: simd_json::Error,
     },
-    /// A whole document cannot be read.
+    /// A document cannot be parsed.
     #[snafu(display("{document}: {source}"))]
     Document {
-        /// Which, as the message begins.
+        /// The beginning of the message, which names the document.
         document: &'static str,
-        /// Why.
+        /// The cause.
         source: Box<ConfigError>,
     },
     /// A class of the settings cannot be used.
     #[snafu(display("profiles[{index}] {name:?}: {source}"))]
     Class {
-        /// Its position.
+        /// The position in `profiles`, from 0.
         index: usize,
-        /// Its name.
+        /// The class's name; empty if it has none.
         name: String,
-        /// Why.
+        /// The setting at fault.
         source: Box<ConfigError>,
     },
-    /// A number is missing, or is none.
+    /// A setting that must be a number is missing or not a number.
     #[snafu(display("settings lack a number '{key}'"))]
     NoNumber {
-        /// Its key.
+        /// The key of the setting.
         key: String,
     },
     /// A number is not within its bounds.
     #[snafu(display("setting '{key}' must be a number from {least} {}, got {found}", up_to(*most)))]
     OutOfRange {
-        /// Its key.
+        /// The key of the setting.
         key: String,
-        /// The least allowed.
+        /// The smallest allowed value.
         least: f64,
-        /// The most allowed; infinite for no bound.
+        /// The largest allowed value; infinite if there is no upper bound.
         most: f64,
-        /// The number there.
+        /// The number found.
         found: f64,
     },
-    /// A number of the rules is none, or negative.
+    /// A value in `rules` is not a number, or is negative.
     #[snafu(display("setting 'rules.{key}' must be a number from 0 up, got '{found}'"))]
     NegativeRule {
-        /// Its key.
+        /// The key within `rules`.
         key: String,
-        /// The value there, cut off.
+        /// The value found, cut to 40 characters.
         found: String,
     },
-    /// A text is none of those allowed.
+    /// A text setting has a value that is not allowed.
     #[snafu(display("setting '{key}' must be one of {}, got {found}", choices.join(", ")))]
     UnknownChoice {
-        /// Its key.
+        /// The key of the setting.
         key: String,
-        /// Those allowed, in quotes.
+        /// The allowed values, in quotes.
         choices: Vec<String>,
-        /// The value there, cut off.
+        /// The value found, cut to 40 characters.
         found: String,
     },
-    /// A setting is missing.
+    /// A required setting is missing.
     #[snafu(display("setting '{key}' is missing"))]
     Missing {
-        /// Its key.
+        /// The key of the setting.
         key: &'static str,
     },
     /// A setting is neither true nor false.
     #[snafu(display("setting '{key}' must be true or false"))]
     NoFlag {
-        /// Its key.
+        /// The key of the setting.
         key: &'static str,
     },
-    /// There are no classes.
+    /// The settings define no classes.
     #[snafu(display("there are no classes ('profiles')"))]
     NoClasses,
-    /// No attempt is allowed.
+    /// The limit on attempts is 0.
     #[snafu(display("'attemptsCap' must be over 0"))]
     NoAttempts,
-    /// A class has no time.
+    /// The deadline of a class is 0.
     #[snafu(display("the deadline of class {class:?} must be over 0"))]
     NoDeadline {
-        /// Its name.
+        /// The name of the class.
         class: String,
     },
-    /// Two classes have one name, or one has none.
+    /// Two classes have the same name, or one has none.
     #[snafu(display("each class must have a name of its own"))]
     ClassName,
-    /// A job worker's id stands on two machines.
+    /// A job worker's id is listed more than once.
     #[snafu(display("wid {wid:?} stands on two machines"))]
     DuplicateWorker {
-        /// The id.
+        /// The job worker's id.
         wid: String,
     },
-    /// A file that replaces another lacks a key of it.
+    /// A reloaded file lacks a key that the present configuration has, or has a value of another type there.
     #[snafu(display("'{key}' is missing or of another kind"))]
     ChangedKey {
-        /// The key, with those around it.
+        /// The key, with the keys of the enclosing objects before it.
         key: String,
     },
 }
 
-/// The upper bound of a range, as messages name it.
+/// Formats the upper bound of a range for an error message.
 fn up_to(most: f64) -> String {
     if most.is_finite() {
         format!("to {most}")
--- a/crates/indigofold/src/config/faktory.rs
+++ b/crates/indigofold/src/config/faktory.rs
@@ -1,4 +1,4 @@
-//! The operator's file for the Faktory front.
+//! The configuration file of the Faktory front.
 
 use super::error::DuplicateWorkerSnafu;
 use super::{MEMORY_MB, Parse, Site, decode_document};
@@ -10,18 +10,18 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaktoryMachine {
-    /// Its name.
+    /// The machine's name.
     pub machine: String,
-    /// The job workers on it, by the `wid` that they connect with.
+    /// The ids (`wid`) with which the job workers on it connect.
     pub wids: Vec<String>,
-    /// Its zone.
+    /// The zone that it is in.
     pub zone: String,
-    /// Its kind.
+    /// The kind of machine, which decides what classes of jobs it can run.
     pub kind: String,
-    /// Its cell.
+    /// The cell: the machines in it drop repeats of keyed jobs for each other.
     #[serde(default)]
     pub cell: u32,
-    /// Its size.
+    /// The size relative to other machines, 1 by default.
     #[serde(default = "super::discovery::one")]
     pub share: f64,
 }
@@ -42,37 +42,37 @@
     settings: OwnedValue,
 }
 
-/// The operator's file for the Faktory front.
+/// The configuration of the Faktory front, with defaults filled in.
 #[derive(Clone, Debug)]
 pub struct Faktory {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: String,
-    /// The password that clients must know; empty: none.
+    /// The password that clients must prove to know; empty if none is required.
     pub password: String,
-    /// How many times the password is hashed.
+    /// The number of hash iterations in the password challenge.
     pub iterations: u32,
-    /// Descriptors that the process may hold.
+    /// The number of file descriptors that the process may hold.
     pub sockets: usize,
-    /// Memory that it may use.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// A job worker that has not sent its heartbeat for this long is unresponsive.
+    /// A job worker that has not sent a heartbeat for this long is unresponsive; microseconds.
     pub heartbeat_timeout: Time,
-    /// ... and one without a connection is, after this long.
+    /// A job worker that has had no connection for this long is unresponsive; microseconds.
     pub reconnect_within: Time,
-    /// How many answers are remembered.
+    /// The number of answered jobs that are remembered.
     pub remember: usize,
-    /// The machines.
+    /// The machines and their job workers.
     pub machines: Vec<FaktoryMachine>,
-    /// The settings.
+    /// The settings of the decision module and the names in them.
     pub site: Site,
 }
 
 impl Faktory {
-    /// Reads the operator's file from JSON text.
+    /// Parses the configuration file.
     ///
     /// # Errors
     ///
-    /// Names the first entry that is missing or not allowed, and what is allowed.
+    /// An entry is missing or not allowed; the error names the first one and the allowed values.
     pub fn read(mut text: Vec<u8>) -> Parse<Self> {
         let raw: RawFaktory = decode_document(&mut text, "no Faktory front")?;
         let mut wids: Vec<&String> = raw.machines.iter().flat_map(|m| &m.wids).collect();
@@ -81,8 +81,8 @@
             return DuplicateWorkerSnafu { wid: pair[0] }.fail();
         }
         let mut site = Site::from_value(&raw.settings)?;
-        // What this protocol has: job workers report a start by fetching the job, and no progress; there
-        // are no load reports and no probes; the membership changes unasked.
+        // Fixed by the protocol: a job worker reports a start by fetching the job, and never reports progress; there are no
+        // load reports, probes or peer updates; membership changes are pushed.
         let settings = &mut site.settings;
         (
             settings.membership_pushed,
--- a/crates/indigofold/src/config/json.rs
+++ b/crates/indigofold/src/config/json.rs
@@ -1,4 +1,4 @@
-//! Values of a JSON document, taken out one by one with errors that name them.
+//! Access to the values of a JSON document, with errors that name the key.
 
 use super::Parse;
 use super::error::{NegativeRuleSnafu, NoNumberSnafu, OutOfRangeSnafu, UnknownChoiceSnafu};
@@ -7,7 +7,7 @@
 use simd_json::prelude::*;
 use snafu::{OptionExt, ensure};
 
-/// A value in a JSON document that may not be there.
+/// A value in a JSON document; `None` if it is absent.
 #[derive(Clone, Copy)]
 pub(super) struct Json<'a>(pub(super) Option<&'a OwnedValue>);
 
@@ -52,7 +52,7 @@
         self.within(key, 0.0, f64::INFINITY).map(|v| v as Time)
     }
 
-    /// A number that must be there and within bounds.
+    /// A required number between `least` and `most`, both included.
     pub(super) fn within(self, key: &str, least: f64, most: f64) -> Parse<f64> {
         let found = self.need(key)?;
         ensure!(
@@ -67,12 +67,12 @@
         Ok(found)
     }
 
-    /// A value as an error names it.
+    /// Formats a value for an error message, cut to 40 characters.
     fn shown(value: &OwnedValue) -> String {
         value.encode().chars().take(40).collect()
     }
 
-    /// One of several texts, or `None` where the key is absent.
+    /// The value that `choices` gives for the text at `key`; `None` if the key is absent, an error for any other text.
     pub(super) fn one_of<T: Copy>(self, key: &str, choices: &[(&str, T)]) -> Parse<Option<T>> {
         let Some(value) = self.at(key).0 else {
             return Ok(None);
@@ -94,7 +94,7 @@
         self.at(key).number().unwrap_or(or)
     }
 
-    /// A number of the rules that may be absent; present, it must be a number that is not negative.
+    /// An optional number in the rules; if present, it must be a number of at least 0.
     pub(super) fn optional(self, key: &str) -> Parse<Option<f64>> {
         let Some(value) = self.at(key).0 else {
             return Ok(None);
--- a/crates/indigofold/src/config/platform.rs
+++ b/crates/indigofold/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The configuration of the platform's front, and what a file that replaces it must have.
+//! The configuration of the platform's front, and the check of a reloaded file against the present one.
 
 use super::discovery::MembershipUpdate;
 use super::error::{
@@ -37,35 +37,35 @@
 /// The configuration of a scheduler on the platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
-    /// Its name.
+    /// The scheduler's name, which the log shows at startup.
     pub name: String,
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: String,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: String,
-    /// Where discovery answers by the file alone, without the environment.
+    /// The address of discovery in the file, whatever the environment variable `GW_DISCOVERY` says.
     pub in_file: String,
-    /// Where operators call; empty: nowhere.
+    /// The address of the admin endpoint; empty if there is none.
     pub management: String,
-    /// For random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The number of file descriptors that the process may hold.
     pub sockets: usize,
-    /// Memory that it may use.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// The membership as last known, perhaps old.
+    /// The membership known when the file was written, perhaps outdated.
     pub known: MembershipUpdate,
-    /// The settings.
+    /// The settings of the decision module and the names in them.
     pub site: Site,
     document: OwnedValue,
 }
 
 impl Platform {
-    /// Reads the configuration from JSON text; variables of the environment take precedence.
+    /// Parses the configuration file; non-empty environment variables take precedence over its entries.
     ///
     /// # Errors
     ///
-    /// Names the first entry that is missing or not allowed, and what is allowed.
+    /// An entry is missing or not allowed; the error names the first one and the allowed values.
     pub fn read(mut text: Vec<u8>, env: impl Fn(&str) -> Option<String>) -> Parse<Self> {
         let document: OwnedValue = decode_document(&mut text.clone(), "no configuration")?;
         let raw: Raw = decode_document(&mut text, "no configuration")?;
@@ -75,10 +75,10 @@
             .as_str()
             .map(|s| u64::from_str_radix(s, 16).unwrap_or_else(|_| hash(s)));
         let mut site = Site::from_value(&raw.settings)?.checked()?;
-        // Over this protocol the membership is always polled, also from an agent that it is pushed to.
+        // In this protocol the membership is always requested by calls, also from an agent that receives it by push.
         site.pushed = std::mem::take(&mut site.settings.membership_pushed);
         let sockets = raw.limits.sockets.unwrap_or(1024);
-        // Clients hold at most a third of the descriptors: a quarter of that is kept free for the next ones.
+        // Clients hold at most a third of the descriptors, and a quarter of that third is kept free for new connections.
         site.settings.limits.open = Some(sockets / 4);
         Ok(Platform {
             name: or("GW_NAME", raw.name),
@@ -95,13 +95,13 @@
         })
     }
 
-    /// Parses the file that replaces this one: it must have every key that this one has.
+    /// Parses the file that replaces this configuration; it must have every key that this one has.
     ///
     /// # Errors
     ///
-    /// As [`Platform::read`], or an entry is missing that the present configuration has.
+    /// As for [`Platform::read`], and if a key of the present configuration is missing or its value has another type.
     pub fn reread(&self, text: Vec<u8>) -> Parse<Self> {
-        // The environment is that of the start: a changed file takes precedence over it.
+        // The environment dates from the start of the process, so a changed file takes precedence over it.
         let new = Platform::read(text, |_| None)?;
         match missing_key(&self.document, &new.document) {
             None => Ok(new),
@@ -110,8 +110,8 @@
     }
 }
 
-/// A key that an object has and its successor has not, or has with a value of another kind. In a list of objects each
-/// must have what all had before; how many there are is free.
+/// Returns a key of `old` that `new` lacks, or whose value has another type in `new`. In a list of objects each new object
+/// must have the keys that all old ones had; the length of the list may differ.
 fn missing_key(old: &OwnedValue, new: &OwnedValue) -> Option<String> {
     let within = |key: &str, of: Option<String>| of.map(|inner| format!("{key}.{inner}"));
     match (old, new) {
@@ -119,7 +119,7 @@
             old.iter().find_map(|(key, value)| {
                 let missing = || Some(key.clone());
                 new.get(key).map_or_else(missing, |new| match key.as_str() {
-                    "known" => None, // as old as the program's start
+                    "known" => None, // used only at startup
                     _ if kind(value) != kind(new) => missing(),
                     _ => within(key, missing_key(value, new)),
                 })
@@ -141,7 +141,7 @@
     }
 }
 
-/// What kind of value it is. Null is none, and may be taken for any.
+/// The type of a value, as a number to compare. Null, numbers and all other scalars count as one type.
 fn kind(value: &OwnedValue) -> u8 {
     match value {
         OwnedValue::Object(_) => 0,
@@ -153,7 +153,7 @@
 }
 
 impl Site {
-    /// What a scheduler in service needs beyond what the module needs to start.
+    /// Checks what a scheduler in service needs: classes with distinct names and a deadline, and at least one attempt.
     fn checked(self) -> Parse<Self> {
         let settings = &self.settings;
         let timeless = settings.classes.iter().position(|c| c.deadline == 0);
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -10,7 +10,7 @@
 use simd_json::prelude::*;
 use snafu::{OptionExt, ResultExt};
 
-/// Reads the settings object; what a rule or a limit rests on must be there, the rest has defaults.
+/// Reads the settings object. Numbers that rules and limits depend on are required; the rest has defaults.
 pub(super) fn settings(env: Json<'_>, zone: ZoneId) -> Parse<Settings> {
     let domain = env.at("domain");
     let mut classes = Vec::new();
@@ -58,7 +58,7 @@
     })
 }
 
-/// The class at this position; what the domain says of it stands in lists by the same position.
+/// Reads the class at position `i`; the lists in `domain` have its other values at the same position.
 fn class(i: usize, c: Json<'_>, domain: Json<'_>) -> Parse<Class> {
     let stretch = domain
         .at("classStretch")
@@ -79,7 +79,7 @@
     })
 }
 
-/// What a second run of a class's job does.
+/// Reads the effect of a second run of a job of this class.
 fn effect(c: Json<'_>) -> Parse<Effect> {
     let groups = [
         ("all", Group::All),
@@ -147,7 +147,7 @@
     })
 }
 
-/// The budget of attempts. What is missing of one that is stated in part is read the strict way.
+/// Reads the retry budget; `None` if no part of it is set. If only a part is set, a missing number counts as 0.
 fn resend_budget(rules: Json<'_>) -> Parse<Option<ResendBudget>> {
     let (free, ratio) = (
         rules.optional("freeResends")?,
--- a/crates/indigofold/src/config/site.rs
+++ b/crates/indigofold/src/config/site.rs
@@ -1,4 +1,4 @@
-//! A site: the settings of the module, and the names that go with the numbers in them.
+//! A site: the settings of the decision module, and the names of the zones, kinds, classes and tenants in them.
 
 use super::json::Json;
 use super::settings::settings;
@@ -7,12 +7,12 @@
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
-/// Names in order of their ids; unknown names get new ids.
+/// A table of names in the order of their ids, which count from 0.
 #[derive(Clone, Debug, Default)]
 pub struct Names(Vec<String>);
 
 impl Names {
-    /// The id of a name, a new one if need be.
+    /// Returns the id of a name; an unknown name is added with a new id.
     pub fn id(&mut self, name: &str) -> u32 {
         if let Some(i) = self.find(name) {
             return i;
@@ -21,18 +21,18 @@
         (self.0.len() - 1) as u32
     }
 
-    /// All names, in order of their ids.
+    /// All names in the order of their ids.
     pub fn all(&self) -> impl Iterator<Item = &str> {
         self.0.iter().map(String::as_str)
     }
 
-    /// The id of a name that is known.
+    /// The id of a name; `None` if it is unknown.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.0.iter().position(|n| n == name).map(|i| i as u32)
     }
 }
 
-/// What the two site-defined report values hold.
+/// The meaning of the site-defined values `x0` and `x1` in load reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ReportField {
     FreeSlots,
@@ -40,34 +40,35 @@
     Other,
 }
 
-/// A site's settings and the names that go with the numbers in them.
+/// A site's settings, and the names of the ids in them.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Settings of the decision module.
+    /// Settings of the decision module, with ids in place of names.
     pub settings: Settings,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Names,
-    /// Kinds of machines.
+    /// Names of the kinds of machines.
     pub kinds: Names,
-    /// Classes, as in [`Settings::classes`].
+    /// Names of the classes, in the order of [`Settings::classes`].
     pub classes: Names,
-    /// Tenants, as in [`Settings::tenants`].
+    /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Names,
-    /// Classes that the settings no longer have; they keep their ids.
+    /// Classes that a reload removed from the settings; they keep their ids.
     pub dropped: Vec<ClassId>,
-    /// The membership is pushed: each scheduler has an agent of its own to ask, and must act on all that the agent has.
+    /// True if the settings say that the membership is pushed: each scheduler then calls an agent of its own, and must apply
+    /// all that the agent has received.
     pub pushed: bool,
-    /// An idle connection to a machine is closed by it after this long.
+    /// A machine closes its idle connections after this long, in microseconds.
     pub conn_idle: Time,
     fields: [ReportField; 2],
 }
 
 impl Site {
-    /// Reads the settings object from JSON text, which is used up.
+    /// Parses the settings object from JSON text.
     ///
     /// # Errors
     ///
-    /// As [`Site::from_value`], or the text is no JSON.
+    /// As for [`Site::from_value`], and if the text is not JSON.
     pub fn read(mut text: Vec<u8>) -> Parse<Self> {
         let value: OwnedValue = decode_document(&mut text, "the settings must be a JSON object")?;
         Site::from_value(&value)
@@ -77,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first setting that is missing or not allowed, and what is allowed.
+    /// A setting is missing or not allowed; the error names the first one and the allowed values.
     pub fn from_value(value: &OwnedValue) -> Parse<Self> {
         let env = Json(Some(value));
         let names = |key: &str, inner: Option<&str>| -> Names {
@@ -110,14 +111,14 @@
         })
     }
 
-    /// The class of this name, if the settings have it now.
+    /// The class of this name; `None` if the present settings do not have it.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes
             .find(name)
             .filter(|class| !self.dropped.contains(class))
     }
 
-    /// The longest deadline of a class that the settings have now.
+    /// The longest deadline of the classes in the present settings, in microseconds.
     pub fn longest_deadline(&self) -> Time {
         let classes = self.settings.classes.iter().zip(0..);
         classes
@@ -127,8 +128,8 @@
             .unwrap_or(0)
     }
 
-    /// The new settings under the ids of the old ones, which keep their names: open jobs, metrics and
-    /// statistics refer to them. New names are appended, and a class that was removed keeps its rules.
+    /// Returns the new settings translated to the ids of this site. Known names keep their ids, to which open jobs, metrics
+    /// and statistics refer; new names are appended, and a class that was removed keeps its rules.
     pub fn followed_by(&self, new: Site) -> Site {
         let mut site = Site {
             settings: new.settings.clone(),
@@ -162,7 +163,7 @@
         site
     }
 
-    /// Takes one named value of a load report; an unknown one is skipped.
+    /// Stores one named value of a load report in `load`; an unknown name is ignored.
     pub fn report(&self, load: &mut Load, name: &str, value: f64) {
         let slot = match name {
             "busy_reqs" | "inflight" => &mut load.inflight,
@@ -181,7 +182,7 @@
     }
 }
 
-/// Puts an entry at its id: in place of the one there, or behind the last.
+/// Stores an entry under its id: replaces the present entry, or appends a new one.
 fn put<T>(items: &mut Vec<T>, id: u32, entry: T) {
     match items.get_mut(id as usize) {
         Some(old) => *old = entry,
@@ -190,7 +191,7 @@
 }
 
 impl Site {
-    /// A load report in JSON, or in text of the form `TEXT name=value, name=value`.
+    /// Parses a load report in JSON or in the form `TEXT name=value, name=value`; `None` if it is neither.
     pub fn load(&self, text: &[u8]) -> Option<Load> {
         let text = std::str::from_utf8(text).ok()?.trim();
         let mut load = Load::default();
@@ -206,7 +207,7 @@
         Some(self.load_value(value.get("load").unwrap_or(&value)))
     }
 
-    /// A load report as a JSON object.
+    /// Reads a load report from a JSON object; values that are not numbers are ignored.
     pub fn load_value(&self, value: &OwnedValue) -> Load {
         let mut load = Load::default();
         for (name, value) in value.as_object().into_iter().flatten() {
