--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -1,5 +1,5 @@
-//! What every front needs of the network: buffers, the set of connections, framing, the line that each
-//! connection leaves when it ends.
+//! The network layer that all fronts share: buffers, the set of connections, message framing, and the log line written at
+//! the end of a connection.
 
 pub mod buffer;
 pub mod http;
@@ -19,24 +19,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Between two tries to accept while there is no room.
+/// Interval between two attempts to accept a connection or take a buffer while the limit is reached.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// The first message must be complete this long after the connection was accepted, and each later one this long after
-/// its first byte: who sends nothing, or a byte now and then, holds a descriptor for no longer.
+/// its first byte. This limits how long a peer that sends nothing, or very slowly, holds a descriptor.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A new connection's first message may be on its way for so long: until then it is not the first to go.
+/// A new connection's first message may take this long to arrive; until then the connection has [`Rank::Fresh`].
 const FRESH_FOR: Duration = Duration::from_millis(150);
-/// An answer must be taken within this time.
+/// An answer must be written completely within this time.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long, and over how many bytes, a refused message is read on.
+/// How long input is still read and discarded after the last answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Maximum number of bytes read and discarded after the last answer.
 const MAX_LINGER_BYTES: usize = 64 << 20;
-/// Between two reads of what is thrown away while an answer is due.
+/// Interval between two reads of input that is discarded while an answer is due.
 const OVERRUN_READ_INTERVAL: Duration = Duration::from_millis(1);
-/// Connections that may wait to be accepted: a burst of them must not cost others a second try to connect.
+/// Length of the queue of connections to be accepted: with a shorter one, a burst would make other peers retry to connect.
 const ACCEPT_BACKLOG: i32 = 1024;
 
-/// Listens at an address.
+/// Opens a listener on an address.
 ///
 /// # Errors
 ///
@@ -47,18 +48,18 @@
     Async::new(listener)
 }
 
-/// Tasks, buffers and connections of the one thread.
+/// The task executor, buffer pool and connections of the program's single thread.
 #[derive(Clone)]
 pub struct Net {
     tasks: Rc<LocalExecutor<'static>>,
-    /// Where buffers come from.
+    /// The pool of message buffers.
     pub pool: Rc<Pool>,
-    /// All connections.
+    /// The set of all connections, with their limits.
     pub set: Rc<Set>,
 }
 
 impl Net {
-    /// For a process that may hold so many descriptors and use so much memory.
+    /// Creates the network layer of a process that may hold this many descriptors and use this much memory.
     pub fn new(tasks: Rc<LocalExecutor<'static>>, descriptors: usize, memory_mb: usize) -> Self {
         Net {
             tasks,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The process may hold so many descriptors and use so much memory from now on.
+    /// Changes the numbers of descriptors and megabytes (MiB) that the process may use from now on.
     pub fn set_limits(&self, descriptors: usize, memory_mb: usize) {
         self.set.set_limit(descriptors);
         self.pool.set_limit(memory_mb);
@@ -98,12 +99,12 @@
         }
     }
 
-    /// The next connection. At the limit, the one of the lowest rank is evicted, and this one is accepted without waiting
-    /// for that: job workers' reports come on new connections, and must not queue behind a flood. Where none can be
-    /// evicted, a few are accepted beyond the limit, for the sake of reports.
+    /// Accepts the next connection. At the limit, the connection of the lowest rank is evicted, and the new one is accepted
+    /// without waiting for the close: job workers' reports arrive on new connections and must not queue behind a flood. If
+    /// none can be evicted, a few connections are accepted beyond the limit so that reports still arrive.
     async fn accept(&self, listener: &Async<TcpListener>) -> Link {
         loop {
-            // Nothing is reserved or evicted before a connection waits.
+            // Nothing is reserved or evicted before a connection is waiting.
             let _ = listener.readable().await;
             let seat = match self.set.seat(Direction::Inbound) {
                 Some(seat) => Some((seat, false)),
@@ -130,7 +131,7 @@
                         error.kind(),
                         ErrorKind::ConnectionAborted | ErrorKind::Interrupted
                     ) {
-                        self.set.evict_one(); // no descriptor is left (EMFILE): make room
+                        self.set.evict_one(); // for example EMFILE: free a descriptor
                         Timer::after(RETRY_INTERVAL).await;
                     }
                 }
@@ -138,12 +139,12 @@
         }
     }
 
-    /// A buffer for a message that begins to come. Where there is no room, connections whose first message is not
+    /// Takes a buffer for a message that begins to arrive. If the pool is exhausted, connections whose first message is not
     /// complete are evicted.
     ///
     /// # Errors
     ///
-    /// [`Reason::NoCapacity`] if there is no room in time.
+    /// [`Reason::NoCapacity`] if no buffer is free within [`MESSAGE_TIMEOUT`].
     pub async fn buffer(&self) -> Result<Buffer, Reason> {
         let wait = async {
             while !self.pool.has_capacity() {
@@ -159,7 +160,7 @@
     ///
     /// # Errors
     ///
-    /// The reason of `work`, or that the connection was evicted.
+    /// The error of `work`, or [`Reason::Evicted`].
     pub async fn unless_evicted<T>(
         &self,
         rank: Rank,
@@ -168,11 +169,12 @@
         self.unless_evicted_or_drained(rank, false, work).await
     }
 
-    /// The same; a client's connection is also evicted as the program drains.
+    /// Like [`Net::unless_evicted`], but with `client` set the connection is also evicted when the program drains or is
+    /// replaced.
     ///
     /// # Errors
     ///
-    /// The reason of `work`, or that the connection was evicted.
+    /// The error of `work`, or [`Reason::Evicted`].
     pub async fn unless_evicted_or_drained<T>(
         &self,
         rank: Rank,
@@ -190,11 +192,12 @@
         work.or(evicted).await
     }
 
-    /// The same for what an accepted connection does first: it is of this rank once it is no longer fresh.
+    /// Like [`Net::unless_evicted`], for the first work on a connection: until `FRESH_FOR` after `accepted` it has
+    /// [`Rank::Fresh`], then `rank`.
     ///
     /// # Errors
     ///
-    /// The reason of `work`, or that the connection was evicted.
+    /// The error of `work`, or [`Reason::Evicted`].
     pub async fn first_unless_evicted<T>(
         &self,
         accepted: Instant,
@@ -213,15 +216,15 @@
         }
     }
 
-    /// Ends a connection on which the last answer has been written: says that no more is written, and reads on over what
-    /// still comes. A close with bytes unread would reset the answer away. A few bytes a turn, and no more than a body that
-    /// is far too large; it goes first where room is needed.
+    /// Lingers on a connection after its last answer: shuts down the write side, then reads and discards further input. Closing
+    /// with unread input would reset the connection, and the peer could lose the answer. The time and the number of bytes are
+    /// limited, and the connection is the first to be evicted.
     pub async fn linger(&self, link: &Link) {
         link.shut();
         let rest = async {
             let mut left = MAX_LINGER_BYTES;
             while left > 0 {
-                // A buffer is only held while there is something to read.
+                // A buffer is held only while there is something to read.
                 link.readable().await.map_err(|_| Reason::Broke)?;
                 let mut buffer = self.pool.take();
                 match link.read(&mut buffer).await {
@@ -241,11 +244,11 @@
         .await;
     }
 
-    /// Dials; no longer than the limit.
+    /// Connects to an address within the limit.
     ///
     /// # Errors
     ///
-    /// Why there is no connection: no descriptor, refused, or not in time.
+    /// [`Reason::NoCapacity`] if no descriptor is free, [`Reason::Refused`] or [`Reason::DialTimeout`].
     pub async fn dial(&self, to: SocketAddr, limit: Duration) -> Result<Link, Reason> {
         let Some(seat) = self.set.seat(Direction::Outbound) else {
             self.set.evict_one();
@@ -268,11 +271,11 @@
     Err(reason)
 }
 
-/// Runs something for no longer than the limit.
+/// Runs `work` for no longer than the limit.
 ///
 /// # Errors
 ///
-/// The reason of the work, or `late` if the limit is over first.
+/// The error of `work`, or `reason` if the limit passes first.
 pub async fn within<T>(
     limit: Duration,
     reason: Reason,
@@ -288,46 +291,46 @@
     PeerClosed,
     /// The other side closed it within a message or while an answer was due.
     PeerLeft,
-    /// It broke.
+    /// An I/O error occurred on it.
     Broke,
-    /// This side closed it after a message, as one side had announced.
+    /// This side closed it after a message, as one of the sides had requested.
     Done,
-    /// What came could not be understood.
+    /// The input was malformed.
     Malformed,
-    /// Nothing came, from the start on.
+    /// The other side never sent anything.
     NothingSent,
-    /// A message came too slowly.
+    /// A message was not complete in time.
     Slow,
-    /// The other side took no bytes.
+    /// The other side did not read what was written to it in time.
     Stalled,
-    /// It stood idle for too long.
+    /// It was idle for too long.
     Idle,
-    /// It was closed to make room.
+    /// It was closed to free its descriptor for another connection.
     Evicted,
-    /// It was closed as the program stops.
+    /// It was closed because the program shuts down.
     Stopping,
-    /// It was closed as operators drain the program.
+    /// It was closed because an operator drained the program.
     Drained,
     /// The attempt on it was given up.
     GivenUp,
-    /// What was to go out on it was not to go any more.
+    /// The message to be sent on it was not to be sent any more.
     Withheld,
-    /// No answer in time.
+    /// No answer arrived in time.
     Unanswered,
-    /// It was refused.
+    /// The connection could not be established, for example because it was refused.
     Refused,
-    /// It did not come up in time.
+    /// The connection was not established in time.
     DialTimeout,
-    /// There was no descriptor for it.
+    /// No descriptor or buffer was free for it.
     NoCapacity,
     /// The password or the first message was wrong.
     Rejected,
-    /// It goes on in the process that takes over.
+    /// It continues in the process that replaces this one.
     Migrated,
 }
 
 impl Reason {
-    /// Was an answer the last that this side had to say?
+    /// Returns true if this side closes the connection after a final answer, and therefore lingers on it.
     pub fn after_answer(self) -> bool {
         matches!(
             self,
@@ -335,7 +338,7 @@
         )
     }
 
-    /// The code in the log.
+    /// The code of the reason in the log.
     pub fn code(self) -> &'static str {
         match self {
             Reason::PeerClosed => "peer-closed",
@@ -362,7 +365,7 @@
     }
 }
 
-/// A connection and its place in the set.
+/// A connection, which counts in the set of connections until it is dropped.
 pub struct Link {
     stream: Async<TcpStream>,
     extra: bool,
@@ -371,7 +374,7 @@
 }
 
 impl Link {
-    /// Takes over a stream.
+    /// Wraps a stream and disables Nagle's algorithm on it.
     pub fn new(stream: Async<TcpStream>, seat: Seat) -> Self {
         let _ = stream.get_ref().set_nodelay(true);
         Link {
@@ -382,17 +385,17 @@
         }
     }
 
-    /// Marks a connection that was let in beyond the room for clients.
+    /// Marks a connection that was accepted beyond the limit for clients.
     pub fn as_extra(self, extra: bool) -> Self {
         Link { extra, ..self }
     }
 
-    /// Was it let in beyond the room for clients?
+    /// Returns true if the connection was accepted beyond the limit for clients.
     pub fn extra(&self) -> bool {
         self.extra
     }
 
-    /// The other side's address.
+    /// The other side's address; `-` if it is not available.
     pub fn peer(&self) -> String {
         self.stream
             .get_ref()
@@ -400,23 +403,23 @@
             .map_or_else(|_| "-".into(), |a| a.to_string())
     }
 
-    /// Reads what has come into the buffer's room. 0: the other side has closed, or the buffer is full.
+    /// Reads input into the spare part of the buffer. 0: the other side has closed, or the buffer is full.
     ///
     /// # Errors
     ///
-    /// That of the socket.
+    /// The socket's error.
     pub async fn read(&self, buffer: &mut Buffer) -> io::Result<usize> {
         let count = (&self.stream).read(buffer.spare()).await?;
         buffer.grow(count);
         Ok(count)
     }
 
-    /// Returns once the other side has left. What it sends until then is its next messages, and is kept; a
-    /// buffer is only held once there is something. More than a buffer holds is thrown away, as its leaving would not be
-    /// seen behind it: the connection is overrun, and ends with the answer that is due.
+    /// Returns once the other side has closed the connection. Input until then belongs to its next messages and is kept in
+    /// `rest`, which is allocated when the first byte arrives. Once the buffer is full, all input is discarded, as the close
+    /// could not be noticed otherwise: the connection is overrun and ends after the answer that is due.
     pub async fn wait_until_closed(&self, rest: &mut Option<Buffer>, pool: &Rc<Pool>) -> Reason {
-        // The socket itself is checked first: the poller's event comes a turn later, and by then the job of a client that
-        // has left could have been sent.
+        // The socket is checked directly first: the poller's event comes one turn later, and by then the job of a client that
+        // has disconnected could already be sent to a machine.
         if rest.is_none() && !self.stale() && self.readable().await.is_err() {
             return Reason::Broke;
         }
@@ -439,31 +442,31 @@
         }
     }
 
-    /// Has the other side sent more than is kept while an answer is due? Then nothing after that answer can be understood.
+    /// Returns true if input was discarded while an answer was due. The input after that answer cannot be parsed then.
     pub fn overrun(&self) -> bool {
         self.overrun.get()
     }
 
-    /// Is there something to read now, the end not included?
+    /// Returns true if there are bytes to read now; the end of the stream does not count.
     pub fn has_input(&self) -> bool {
         matches!(self.stream.get_ref().peek(&mut [0]), Ok(1..))
     }
 
-    /// Returns once there is something to read, the end included.
+    /// Returns once there are bytes to read or the stream has ended.
     ///
     /// # Errors
     ///
-    /// That of the socket.
+    /// The socket's error.
     pub async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
 
-    /// Has the other side closed an idle connection, or sent what it should not?
+    /// Returns true if an idle connection is unusable: the other side has closed it or sent unexpected bytes.
     pub fn stale(&self) -> bool {
         !matches!(self.stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Has the other side closed it, with nothing left to read?
+    /// Returns true if the other side has closed the connection and nothing is left to read.
     pub fn closed(&self) -> bool {
         match self.stream.get_ref().peek(&mut [0]) {
             Ok(count) => count == 0,
@@ -471,11 +474,11 @@
         }
     }
 
-    /// Writes all of it and counts what went out, also when it breaks off.
+    /// Writes all bytes and counts them in `bytes_written`, also when writing fails or is cancelled.
     ///
     /// # Errors
     ///
-    /// That of the socket; `bytes_written` says how far it came.
+    /// The socket's error; `bytes_written` tells how much was written before.
     pub async fn write(&self, bytes: &[u8], bytes_written: &mut usize) -> io::Result<()> {
         while *bytes_written < bytes.len() {
             match (&self.stream).write(&bytes[*bytes_written..]).await? {
@@ -486,11 +489,11 @@
         Ok(())
     }
 
-    /// Writes all of it within a time.
+    /// Writes all bytes within the limit.
     ///
     /// # Errors
     ///
-    /// Why not all of it was written in time.
+    /// [`Reason::Broke`] on an I/O error, [`Reason::Stalled`] if the limit passes first.
     pub async fn send(&self, bytes: &[u8], limit: Duration) -> Result<(), Reason> {
         let mut bytes_written = 0;
         let write = async {
@@ -501,17 +504,18 @@
         within(limit, Reason::Stalled, write).await
     }
 
-    /// Says that no more will be written.
+    /// Shuts down the write side.
     pub fn shut(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
-    /// The stream, to be passed on: the connection stays, and its place in the set is given back with the second.
+    /// Returns the stream, so that it can be passed to another process, and its place in the set, which is released when the
+    /// second value is dropped.
     pub fn into_stream(self) -> Option<(TcpStream, Seat)> {
         Some((self.stream.into_inner().ok()?, self._seat))
     }
 
-    /// Leaves the line of a connection that has ended.
+    /// Writes the log line of a connection that has ended and closes it.
     pub fn end(self, side: &str, reason: Reason, about: impl Display) {
         log(format_args!(
             "conn side={side} peer={} reason={} {about}",
--- a/crates/indigofold/src/net/buffer.rs
+++ b/crates/indigofold/src/net/buffer.rs
@@ -1,16 +1,17 @@
-//! Buffers of one size, used again from a pool.
+//! Buffers of a fixed size, reused through a pool.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The largest body that is taken.
+/// Maximum size of a message body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The largest head (request line and headers) that is taken.
+/// Maximum size of a message head (request or status line and headers).
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The one size: a complete message fits, with room for the framing of a chunked body.
+/// Size of a buffer: a complete message fits, including the framing of a chunked body.
 pub const BUFFER_BYTES: usize = MAX_BODY_BYTES + 2 * MAX_HEAD_BYTES;
-/// Where buffers come from and go back to. One that was given back to the system would have to be cleared when it
-/// is made anew, so those that there have been at once stay; how many these can be follows from the memory limit.
+
+/// A pool of buffers. Freed buffers are kept, because a newly allocated one must be zeroed. The memory limit bounds how many
+/// are in use and kept together.
 pub struct Pool {
     free: RefCell<Vec<Vec<u8>>>,
     out: Cell<usize>,
@@ -18,7 +19,7 @@
 }
 
 impl Pool {
-    /// An empty pool for a process that may use so much memory.
+    /// Creates an empty pool for a process that may use this much memory, in MiB; half of it is for buffers.
     pub fn new(memory_mb: usize) -> Rc<Self> {
         let pool = Rc::new(Pool {
             free: RefCell::default(),
@@ -29,15 +30,16 @@
         pool
     }
 
-    /// So much memory is the process's from now on. What is out comes back by itself.
+    /// Changes the memory that the process may use, in MiB. Free buffers beyond the limit are dropped at once, buffers in use
+    /// when they are returned.
     pub fn set_limit(&self, memory_mb: usize) {
         self.most.set(((memory_mb << 20) / 2 / BUFFER_BYTES).max(8));
         self.free.borrow_mut().truncate(self.most.get());
     }
 
-    /// An empty buffer.
+    /// Takes a free buffer, or allocates one; this succeeds also beyond the limit.
     pub fn take(self: &Rc<Self>) -> Buffer {
-        // Zeroed pages are only touched as they fill: a mostly empty buffer costs little memory.
+        // Zeroed pages use no memory until they are written: a mostly empty buffer costs little.
         let bytes = self
             .free
             .borrow_mut()
@@ -51,14 +53,14 @@
         }
     }
 
-    /// May one more message be read? Each may need a buffer more until it is passed on; a quarter is for answers
-    /// and attempts.
+    /// Returns true if a buffer is free for reading one more message. A quarter of the buffers is reserved for answers and
+    /// attempts, as a message may need a second buffer until it is passed on.
     pub fn has_capacity(&self) -> bool {
         self.out.get() < self.most.get() - self.most.get() / 4
     }
 }
 
-/// A buffer out of the pool; it goes back when dropped.
+/// A buffer from the pool, returned to it when dropped.
 pub struct Buffer {
     bytes: Vec<u8>,
     len: usize,
@@ -66,34 +68,34 @@
 }
 
 impl Buffer {
-    /// What it holds.
+    /// The bytes that were read or written into the buffer.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[..self.len]
     }
 
-    /// What it holds, to be changed in place.
+    /// The filled bytes, for changes in place.
     pub fn filled_mut(&mut self) -> &mut [u8] {
         &mut self.bytes[..self.len]
     }
 
-    /// Where more can be read to; empty when it is full.
+    /// The unused part, into which more can be read; empty when the buffer is full.
     pub fn spare(&mut self) -> &mut [u8] {
         &mut self.bytes[self.len..]
     }
 
-    /// Counts bytes that were read into the room.
+    /// Adds `count` bytes that were read into [`Buffer::spare`] to the filled part.
     pub fn grow(&mut self, count: usize) {
         self.len = (self.len + count).min(BUFFER_BYTES);
     }
 
-    /// Drops this many bytes from the front.
+    /// Removes this many bytes from the front and moves the rest there.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.bytes.copy_within(count..self.len, 0);
         self.len -= count;
     }
 
-    /// Empties it.
+    /// Discards the filled bytes.
     pub fn clear(&mut self) {
         self.len = 0;
     }
--- a/crates/indigofold/src/net/buffer/tests.rs
+++ b/crates/indigofold/src/net/buffer/tests.rs
@@ -1,8 +1,8 @@
-//! What is out and what is kept.
+//! Tests of the buffer pool's limits.
 
 use super::*;
 
-/// Guards against a crowd of large messages that takes more memory than there is.
+/// Guards against many large messages at once that use more memory than the limit.
 #[test]
 fn buffers_in_use_and_pooled_stay_within_the_memory_limit() {
     let pool = Pool::new(4);
--- a/crates/indigofold/src/net/http.rs
+++ b/crates/indigofold/src/net/http.rs
@@ -1,27 +1,28 @@
-//! HTTP/1.1 framing on httparse: where a message ends, and what its head says. What a message asks for is not known here.
+//! HTTP/1.1 framing on top of httparse: finds the end of a message and parses its head. The meaning of a message is up to
+//! the fronts.
 
 use super::buffer::{Buffer, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use httparse::{EMPTY_HEADER, Header, Status};
 use std::ops::Range;
 
-/// Headers that a message may have.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 64;
 
-/// Why a message is rejected.
+/// The reason why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
     /// The head or the framing is malformed.
     Malformed,
-    /// The body is larger than a body may be.
+    /// The body is larger than [`MAX_BODY_BYTES`].
     BodyTooLarge,
-    /// The head is larger than a head may be.
+    /// The head is larger than [`MAX_HEAD_BYTES`] or has too many headers.
     HeadTooLarge,
-    /// A transfer coding that is not known.
+    /// The transfer coding is not supported.
     Coding,
 }
 
 impl Bad {
-    /// The status to answer with.
+    /// The HTTP status with which to answer the message.
     pub fn status(self) -> u16 {
         match self {
             Bad::Malformed => 400,
@@ -37,36 +38,36 @@
 pub struct Frame {
     head: usize,
     body: Range<usize>,
-    /// Bytes to drop from the buffer once the message is dealt with.
+    /// Number of bytes to remove from the buffer once the message is handled.
     pub total: usize,
-    /// The sender keeps the connection open.
+    /// True if the sender keeps the connection open after this message.
     pub keep: bool,
-    /// The head says how long the body is.
+    /// True if the head says where the body ends, by a length or the chunked coding.
     pub sized: bool,
 }
 
-/// How far a message has come.
+/// The state of a message that is being received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More bytes are needed; `true`: the sender waits for `100 Continue`.
+    /// More bytes are needed. `true`: the sender waits for `100 Continue`.
     Partial(bool),
-    /// It is all there.
+    /// All bytes of the message are in the buffer.
     Complete(Frame),
 }
 
-/// The head of a message.
+/// The parsed head of a message.
 pub struct Head<'a> {
-    /// The method; empty in an answer.
+    /// The request's method; empty for an answer.
     pub method: &'a str,
-    /// The request's target; empty in an answer.
+    /// The request's target; empty for an answer.
     pub target: &'a str,
-    /// An answer's status; 0 in a request.
+    /// The answer's status; 0 for a request.
     pub status: u16,
     headers: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Head<'a> {
-    /// The value of a header, by its name in any case.
+    /// The value of the first header with this name; the case of the name is ignored.
     pub fn header(&self, name: &str) -> Option<&'a str> {
         self.headers
             .iter()
@@ -74,7 +75,7 @@
             .map(|(_, v)| *v)
     }
 
-    /// Does one of these headers stand there more than once?
+    /// Returns true if one of these headers occurs more than once.
     pub fn repeats(&self, names: &[&str]) -> bool {
         let count = |name: &&str| {
             self.headers
@@ -86,16 +87,16 @@
     }
 }
 
-/// What is to be read.
+/// The kind of message to parse.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A request.
+    /// A message from a client to a server.
     Request,
-    /// An answer.
+    /// A message from a server to a client.
     Answer,
 }
 
-/// What the head says of the framing.
+/// The framing information in the headers of a message.
 #[derive(Default)]
 struct Framing {
     length: Option<usize>,
@@ -104,16 +105,16 @@
     expects_continue: bool,
 }
 
-/// The end of a head, and what it says of the framing.
+/// The length of a head and the framing information in it.
 struct ParsedHead {
     length: usize,
     http_1_0: bool,
-    /// It is the head of an answer that never has a body.
+    /// True for an answer that never has a body (status 1xx, 204 or 304).
     bodiless: bool,
     framing: Framing,
 }
 
-/// Parses the head at the front of the bytes; `None` while some of it is missing.
+/// Parses the head at the start of the bytes; `None` while it is incomplete.
 fn parse_head(bytes: &[u8], kind: Kind) -> Result<Option<ParsedHead>, Bad> {
     let mut slots = [EMPTY_HEADER; MAX_HEADERS];
     let (length, version, bodiless, headers) = match kind {
@@ -141,27 +142,27 @@
     }))
 }
 
-/// Rejects a head that is too large, or that two readers could understand differently.
+/// Rejects a head that is too large, or that two parsers could interpret differently.
 fn check_head(head: &ParsedHead, bytes: &[u8]) -> Result<(), Bad> {
     if head.length > MAX_HEAD_BYTES {
         return Err(Bad::HeadTooLarge);
     }
-    // A line end that one reader takes for an end and another does not could hide a message from one of them.
+    // A bare LF ends a line for some parsers only, so it could hide a message from others (request smuggling).
     let bare_line_end = |(n, b): (usize, &u8)| *b == b'\n' && (n == 0 || bytes[n - 1] != b'\r');
     if bytes[..head.length].iter().enumerate().any(bare_line_end) {
         return Err(Bad::Malformed);
     }
     if head.http_1_0 && head.framing.chunked {
-        return Err(Bad::Malformed); // HTTP/1.0 has no such coding
+        return Err(Bad::Malformed); // HTTP/1.0 has no chunked coding
     }
     Ok(())
 }
 
-/// Parses the message at the front of the buffer, if all of it is there. A chunked body is joined in place.
+/// Parses the message at the start of the buffer, if it is complete. The chunks of a chunked body are joined in place.
 ///
 /// # Errors
 ///
-/// What is wrong with the message, or that it is too large.
+/// The message is malformed, too large or uses an unsupported coding.
 pub fn parse_message(buffer: &mut Buffer, kind: Kind) -> Result<Progress, Bad> {
     let bytes = buffer.filled();
     let Some(parsed) = parse_head(bytes, kind)? else {
@@ -204,7 +205,7 @@
     complete(head..head + length, head + length)
 }
 
-/// Lets the caller inspect the head of an answer at the front of the buffer as soon as it is complete.
+/// Calls `inspect` with the head of the answer at the start of the buffer; `None` while the head is incomplete.
 pub fn answer_head<T>(buffer: &Buffer, inspect: impl FnOnce(&Head<'_>) -> T) -> Option<T> {
     let mut slots = [EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut slots);
@@ -250,7 +251,7 @@
             let length = digits
                 .then(|| value.parse::<usize>().unwrap_or(usize::MAX))
                 .ok_or(Bad::Malformed)?;
-            // Two lengths could make two readers see two messages.
+            // With two lengths, two parsers could see different messages.
             if found.length.replace(length).is_some() {
                 return Err(Bad::Malformed);
             }
@@ -276,7 +277,7 @@
     }
 }
 
-/// The `body_chunks` of a chunked body and its length on the wire; `None` while some of it is missing.
+/// Returns the positions of the chunks' data in a chunked body, and its length with framing; `None` while it is incomplete.
 #[allow(
     clippy::type_complexity,
     reason = "used by one caller, which takes both apart at once"
@@ -306,7 +307,7 @@
         body_chunks.push(at..at + size);
         (at, sum) = (at + size + 2, sum + size);
     }
-    // Trailers are read over.
+    // Trailers are skipped.
     loop {
         let Some(end) = bytes[at..].windows(2).position(|w| w == b"\r\n") else {
             return Ok(None);
@@ -319,7 +320,7 @@
 }
 
 impl Frame {
-    /// The head and the body of the message. `None` where a header is no text.
+    /// Returns the head and the body of the message; `None` if a header is not UTF-8.
     pub fn read<'a>(&self, buffer: &'a Buffer, kind: Kind) -> Option<(Head<'a>, &'a [u8])> {
         let mut slots = [EMPTY_HEADER; MAX_HEADERS];
         let bytes = &buffer.filled()[..self.head];
@@ -349,7 +350,7 @@
     }
 }
 
-/// The reason phrase of a status (RFC 9110, section 15).
+/// The reason phrase of an HTTP status (RFC 9110, section 15).
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/indigofold/src/net/log.rs
+++ b/crates/indigofold/src/net/log.rs
@@ -1,5 +1,5 @@
-//! The log: one line per event on standard error, written by a thread of its own. Where nobody reads, lines are
-//! dropped and counted; the thread that serves jobs never waits for a reader.
+//! The log: one line per event on standard error, written by a separate thread. If standard error is not read, lines are
+//! dropped and counted; the thread that serves jobs never waits for the log's reader.
 
 use std::fmt::Display;
 use std::io::{self, Write};
@@ -8,9 +8,9 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Duration;
 
-/// Lines that may wait to be written.
+/// Maximum number of lines that wait to be written.
 const QUEUE_CAPACITY: usize = 2_048;
-/// How long the end of the program waits for the last lines.
+/// How long the program waits at its end for the last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Entry {
@@ -33,7 +33,7 @@
     QUEUE.get_or_init(start).as_ref()
 }
 
-/// A log that cannot be written to is no reason to stop.
+/// Writes the queued lines. Write errors are ignored, as a failing log must not stop the program.
 fn write_entries(receiver: &Receiver<Entry>) {
     let mut to = io::stderr();
     while let Ok(entry) = receiver.recv() {
@@ -50,7 +50,7 @@
     }
 }
 
-/// One line to the log.
+/// Queues one line for the log; never blocks.
 pub fn log(text: impl Display) {
     let queued = queue().is_some_and(|queue| queue.try_send(Entry::Text(text.to_string())).is_ok());
     if !queued {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Waits for what was logged to be written, a moment at most.
+/// Waits until the queued lines are written, at most 200 ms.
 pub fn finish_log() {
     let (done, flushed) = sync_channel(1);
     if queue().is_some_and(|queue| queue.try_send(Entry::End(done)).is_ok()) {
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -1,4 +1,4 @@
-//! The set of connections: how many descriptors are in use, and which accepted ones may be evicted.
+//! The set of connections: counts the descriptors in use, and selects the accepted connections to evict.
 
 use async_channel::{Receiver, Sender, bounded};
 use std::cell::{Cell, RefCell};
@@ -6,20 +6,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Descriptors kept back for what is not in the set: listeners, poller, timer, signals, log, operators' calls.
+/// Descriptors reserved for everything outside the set: listeners, poller, timer, signals, log, admin calls.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Descriptors that only connections to job workers may use.
+/// Descriptors that only dialled connections may use, at most; accepted connections with reports may use half of them.
 const OUTBOUND_DESCRIPTORS: usize = 128;
 
-/// Part of the clients' share of the descriptors from which on idle connections are closed.
+/// Fraction of the clients' third of the descriptors above which idle connections are closed.
 const THIN_OUT_FROM: (usize, usize) = (3, 4);
 
-/// A connection that has been idle for less is about to be used again, or not; nobody knows yet.
+/// Minimum idle time before an idle connection is closed early: the client may be about to send its next message.
 const IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
 
-/// All connections of the program, within the limit on sockets.
+/// All connections of the program, within the limit on descriptors.
 pub struct Set {
     limit: Cell<usize>,
+    /// A third of the descriptors of the scheduler: the part that clients may hold.
     third: Cell<usize>,
     open: Cell<usize>,
     accepted: Cell<usize>,
@@ -27,48 +28,49 @@
     offers: RefCell<BTreeMap<(Rank, u64), Offered>>,
 }
 
-/// A connection that may be evicted: how it is notified, whether it is known to be a client's, and since when it is idle.
+/// A connection that may be evicted: the channel to notify it, whether it is known to be a client's, and since when it has
+/// had its rank.
 struct Offered {
     evict: Sender<()>,
     client: bool,
     since: Instant,
 }
 
-/// What is lost if an accepted connection chosen, the least first. Within a rank the one that has stood for longest
-/// chosen first.
+/// The eviction order of accepted connections: the lowest rank, whose loss costs least, is evicted first. Within a rank,
+/// the connection that has had it for longest is evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// It has had its last answer: only what still comes is read over.
+    /// The last answer was sent, and further input is discarded.
     Closing,
-    /// It has never sent anything.
+    /// No byte was received yet.
     NothingSent,
-    /// Its first message is not complete.
+    /// The first message is not complete.
     PartialMessage,
-    /// It has had one answer and stands idle: perhaps nobody will use it again.
+    /// The connection is idle after its first answer, and may never be used again.
     Once,
-    /// It has just been accepted: its first message may be on its way.
+    /// The connection was just accepted, and its first message may be on its way.
     Fresh,
-    /// It is in use, and idle between two messages.
+    /// The connection has been used repeatedly, and is idle between two messages.
     Used,
-    /// A job worker's, over which it is to say what becomes of its jobs: it never chosen to make room.
+    /// A job worker's connection, on which it reports the ends of its jobs; never evicted to free a descriptor.
     Worker,
 }
 
-/// Which way a connection was made.
+/// The direction in which a connection was established.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// Accepted.
+    /// The connection was accepted.
     Inbound,
-    /// Accepted although there is no room for more clients: it may bring a report that ends a job.
+    /// The connection was accepted beyond the limit for clients: it may carry a report that ends a job.
     InboundExtra,
-    /// Dialled.
+    /// The connection was dialled by this process.
     Outbound,
 }
 
-/// One connection's place in the set; given back when dropped.
+/// A connection's place in the set, released when dropped.
 pub struct Seat(Rc<Set>, Direction);
 
-/// A connection's offer to be closed; withdrawn when dropped.
+/// A connection's registration for eviction, withdrawn when dropped.
 pub struct Offer {
     set: Rc<Set>,
     key: (Rank, u64),
@@ -76,7 +78,7 @@
 }
 
 impl Set {
-    /// A set for a process that may hold so many descriptors.
+    /// Creates an empty set for a process that may hold this many descriptors.
     pub fn new(descriptors: usize) -> Rc<Self> {
         let (limit, third, open, accepted, next) = Default::default();
         let set = Rc::new(Set {
@@ -92,29 +94,29 @@
         set
     }
 
-    /// So many descriptors are the process's from now on. What is open stays, and so does the clients' third: it is
-    /// theirs over all processes of the scheduler together.
+    /// Changes the number of descriptors that the process may hold. Open connections stay open, and the clients' third does
+    /// not change, as it applies to all processes of the scheduler together.
     pub fn set_limit(&self, descriptors: usize) {
         self.limit
             .set(descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(16));
     }
 
-    /// Raises or lowers the limit: connections have moved from one process to another.
+    /// Raises or lowers the limit by this many descriptors, when connections have moved between processes.
     pub fn resize(&self, by: isize) {
         self.limit.set(self.limit.get().saturating_add_signed(by));
     }
 
-    /// Descriptors in use, with those kept back.
+    /// The number of descriptors in use, including the reserved ones.
     pub fn descriptors(&self) -> usize {
         self.open.get() + RESERVED_DESCRIPTORS
     }
 
-    /// Accepted connections open now.
+    /// The number of accepted connections that are open.
     pub fn accepted(&self) -> usize {
         self.accepted.get()
     }
 
-    /// Is there room for one more connection of this kind?
+    /// Returns true if the limit allows one more connection in this direction.
     pub fn has_capacity(&self, direction: Direction) -> bool {
         let outward = OUTBOUND_DESCRIPTORS.min(self.limit.get() / 4);
         let kept = match direction {
@@ -125,7 +127,7 @@
         self.open.get() + kept < self.limit.get()
     }
 
-    /// A place for a connection, if there is one.
+    /// Reserves a place for a connection; `None` if the limit is reached.
     pub fn seat(self: &Rc<Self>, direction: Direction) -> Option<Seat> {
         if !self.has_capacity(direction) {
             return None;
@@ -137,22 +139,21 @@
         Some(Seat(self.clone(), direction))
     }
 
-    /// Evicts the connection of the lowest rank. `false`: none may be evicted.
+    /// Evicts the connection of the lowest rank, up to [`Rank::Used`]. Returns false if there is none.
     pub fn evict_one(&self) -> bool {
         self.evict_up_to(Rank::Used)
     }
 
-    /// The same, but only among those of at most this rank.
+    /// Evicts the connection of the lowest rank, up to `rank`. Returns false if there is none.
     pub fn evict_up_to(&self, rank: Rank) -> bool {
         let mut offers = self.offers.borrow_mut();
         let first = offers.first_entry().filter(|first| first.key().0 <= rank);
         first.is_some_and(|first| first.remove().evict.try_send(()).is_ok())
     }
 
-    /// Asks one to go if accepted connections take up most of what clients may hold: no more than a third of
-    /// the descriptors is theirs, and one that stands idle keeps somebody else from connecting at all. One just accepted
-    /// stays; so does one that has just had its answer: where clients wait for a connection, the next job is on its
-    /// way on it at that moment.
+    /// Evicts one connection if accepted connections use more than three quarters of the descriptors that clients may hold,
+    /// as an idle one could keep another client from connecting. A connection that was just accepted stays, and so does one
+    /// that has just received its answer: where clients queue for connections, the next job is already on its way on it.
     pub fn thin_out(&self, now: Instant) {
         if self.accepted.get() <= self.third.get() * THIN_OUT_FROM.0 / THIN_OUT_FROM.1
             || self.evict_up_to(Rank::PartialMessage)
@@ -160,7 +161,7 @@
             return;
         }
         let mut offers = self.offers.borrow_mut();
-        // Within a rank the oldest stands first: where it has not idle_long_enough, none has.
+        // The first of a rank is the oldest: if it has not been idle for long enough, none of that rank has.
         let idle_long_enough = |rank| {
             let first = offers
                 .range((rank, 0)..)
@@ -176,8 +177,8 @@
             .map(|offered| offered.evict.try_send(()));
     }
 
-    /// Asks all that stand idle to close, but for those whose first message is or may be on its way, those that part,
-    /// and, while there are jobs, job workers'.
+    /// Evicts all idle connections except those whose first message is or may be on its way, those that are already closing,
+    /// and, if `jobs` is set because jobs are open, those of job workers.
     pub fn evict_idle(&self, jobs: bool) {
         self.offers.borrow_mut().retain(|(rank, _), offered| {
             let stays = matches!(rank, Rank::Fresh | Rank::PartialMessage | Rank::Closing)
@@ -186,12 +187,12 @@
         });
     }
 
-    /// Connections that have had their last answer.
+    /// The number of connections that have received their last answer and are closing.
     pub fn closing(&self) -> usize {
         self.offers.borrow().range(..(Rank::NothingSent, 0)).count()
     }
 
-    /// Asks those clients' connections to close that have stood idle for so long.
+    /// Evicts the connections of clients that have been idle for at least this long.
     pub fn evict_idle_clients(&self, idle: Duration) {
         self.offers.borrow_mut().retain(|_, offered| {
             let chosen = offered.client && offered.since.elapsed() >= idle;
@@ -199,7 +200,7 @@
         });
     }
 
-    /// Notes that a connection may be asked to close.
+    /// Registers a connection that may be evicted, until the returned value is dropped.
     pub fn offer(self: &Rc<Self>, rank: Rank, client: bool) -> Offer {
         let (evict, evicted) = bounded(1);
         let key = (rank, self.next.replace(self.next.get() + 1));
@@ -218,14 +219,14 @@
         }
     }
 
-    /// Connections open now.
+    /// The number of open connections, accepted and dialled.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 }
 
 impl Offer {
-    /// Returns once the set asks for the connection to be closed.
+    /// Returns once the connection is evicted; its owner must then close it.
     pub async fn evicted(&self) {
         if self.evicted.recv().await.is_err() {
             std::future::pending::<()>().await;
--- a/crates/indigofold/src/net/set/tests.rs
+++ b/crates/indigofold/src/net/set/tests.rs
@@ -1,9 +1,9 @@
-//! Who goes first, and who stays.
+//! Tests of the eviction order.
 
 use super::*;
 
-/// Guards against a flood of connections that ask once and stay: they go before a newcomer whose message is on
-/// its way, and that one before any that is in use.
+/// Guards against a flood of connections that send one request and stay open: they are evicted before a new connection whose
+/// message is on its way, and that one before any connection in use.
 #[test]
 fn the_lowest_rank_is_evicted_first_and_within_a_rank_the_oldest() {
     let set = Set::new(64);
@@ -26,7 +26,7 @@
     assert!(!set.evict_up_to(Rank::PartialMessage));
 }
 
-/// Guards against clients that keep idle connections and so keep others from connecting.
+/// Guards against clients whose idle connections keep other clients from connecting.
 #[test]
 fn idle_connections_are_evicted_before_clients_use_up_their_third() {
     let set = Set::new(120);
@@ -47,7 +47,7 @@
         "30 of 40 are no reason"
     );
     let more = set.seat(Direction::Inbound);
-    // Guards against a job that meets a close as it comes right behind the answer to the one before.
+    // Guards against a job that is lost because the connection is closed right after the answer to the previous job.
     set.thin_out(Instant::now());
     assert_eq!(evicted(), [0; 4], "they have only just become idle");
     set.thin_out(later);
@@ -58,7 +58,7 @@
     assert_eq!(evicted(), [0, 1, 0, 1]);
 }
 
-/// Guards against a drain that closes the connections of news and probes, or one that a job may be on its way on.
+/// Guards against a drain that closes connections for reports and probes, or one on which a job may be on its way.
 #[test]
 fn a_drain_evicts_idle_clients() {
     let set = Set::new(64);
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -1,7 +1,8 @@
-//! The text protocol of the adapter: lines to [`Event`]s, [`Action`]s to lines, names to ids. No decisions.
+//! The text protocol of the simulator's adapter: translates lines to [`Event`]s, [`Action`]s to lines and names to ids. It
+//! makes no decisions.
 //!
-//! A [`Session`] hosts any number of instances that share nothing. Feed it lines with [`Session::feed`]; at
-//! the end of each batch it returns the reply. Unknown messages, fields and settings are skipped, the first
+//! A [`Session`] hosts any number of independent instances. Pass it lines with [`Session::feed`]; at the end
+//! of each batch it returns the reply. Unknown messages, fields and settings are skipped, the first
 //! of each kind with a warning ([`Session::take_warnings`]); a known message that is malformed is a [`WireError`].
 
 use crate::api::{Action, Entry, Event, Scope, Time};
@@ -21,6 +22,7 @@
 mod fields;
 mod instance;
 
+/// A membership whose rows are still being read.
 struct PendingMembership {
     scope: Scope,
     left: u64,
@@ -43,7 +45,7 @@
     warned: BTreeSet<String>,
 }
 
-/// The known messages and their fields.
+/// The known messages, each with its known fields.
 const MESSAGES: &[(&str, &[&str])] = &[
     ("TICK", &["wall"]),
     ("EOB", &[]),
@@ -107,21 +109,21 @@
 ];
 
 impl Session {
-    /// A session without instances.
+    /// Creates a session without instances.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Warnings of what was skipped since the last call, for standard error.
+    /// Takes the warnings since the last call, about input that was skipped.
     pub fn take_warnings(&mut self) -> Vec<String> {
         std::mem::take(&mut self.warnings)
     }
 
-    /// Ends the session: input that stops inside a batch is an error.
+    /// Checks at the end of the input that no batch is incomplete.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the input stops inside a batch.
+    /// The input ended inside a batch.
     pub fn finish(&self) -> Result<(), WireError> {
         let end = if self.in_batch {
             EndInBatchSnafu.fail()
@@ -131,11 +133,11 @@
         end.context(WireSnafu { line: self.line })
     }
 
-    /// Takes one line (without its line break). Returns the reply when the line ends a batch.
+    /// Handles one line, without its line feed. Returns the reply if the line ends a batch.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the line is none of the wire, or none that may come here.
+    /// The line is malformed, or its message is not allowed at this point.
     pub fn feed(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.line += 1;
         let text = text.strip_suffix('\r').unwrap_or(text);
@@ -198,7 +200,7 @@
         Ok(())
     }
 
-    /// A message for the instance that the batch has named last.
+    /// Handles a message for the instance that the batch named last.
     fn instance_message(&mut self, fields: &Fields) -> Parse<()> {
         let name = fields.message;
         let who = self.current.context(NoInstanceSnafu { message: name })?;
@@ -242,7 +244,7 @@
         Ok(())
     }
 
-    /// Begins the rows of a membership; one without rows is an event at once.
+    /// Begins a membership; if it has no rows, returns its event at once.
     fn begin_membership(&mut self, fields: &Fields) -> Parse<Option<Event>> {
         let scope = match fields.need("scope")? {
             "D" => Scope::Delta,
@@ -265,7 +267,7 @@
         Ok(Some(Event::Membership { scope, entries }))
     }
 
-    /// Adds a row; the last one completes the membership.
+    /// Adds a row; the last row completes the membership and returns its event.
     fn add_row(&mut self, entry: Entry) -> Parse<Option<Event>> {
         let pending = self.pending_list.as_mut().context(RowOutsideListSnafu)?;
         pending.entries.push(entry);
@@ -279,7 +281,7 @@
         }))
     }
 
-    /// Has an instance's module handle an event, and writes what it asks for.
+    /// Passes an event to an instance's module and appends its actions to the reply.
     fn handle_event(&mut self, who: u32, event: Event) {
         let Some(instance) = self.instances.get_mut(&who) else {
             return;
--- a/crates/indigofold/src/wire/error.rs
+++ b/crates/indigofold/src/wire/error.rs
@@ -1,92 +1,92 @@
-//! What is wrong with a line of the text protocol.
+//! Errors in lines of the text protocol.
 
 use super::fields::head;
 use crate::config::ConfigError;
 use snafu::Snafu;
 
-/// A line that could not be understood.
+/// The error of a line that cannot be handled.
 #[derive(Debug, Snafu)]
 #[snafu(display("line {line}: {source}"), visibility(pub(super)))]
 pub struct WireError {
     /// Number of the line, from 1.
     pub line: u64,
-    /// What is wrong with it.
+    /// The error in the line.
     pub source: LineError,
 }
 
-/// What is wrong with one line: its message, what was expected, and what is allowed.
+/// An error in one line, with the message and the field at fault and the allowed values.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum LineError {
     /// The input ended between `TICK` and `EOB`.
     #[snafu(display("input ended inside a batch; expected EOB"))]
     EndInBatch,
-    /// A batch begins before the last one has ended.
+    /// A `TICK` before the `EOB` of the previous batch.
     #[snafu(display("TICK inside a batch; expected EOB first"))]
     TickInBatch,
-    /// A message stands outside a batch.
+    /// A message outside a batch.
     #[snafu(display("{message} outside a batch; expected TICK"))]
     OutsideBatch {
-        /// The message.
+        /// The name of the message.
         message: String,
     },
-    /// A message stands among the rows of a membership.
+    /// Another message than `ROW` before all rows of a membership were read.
     #[snafu(display("{message} where a ROW of the list was expected"))]
     RowExpected {
-        /// The message.
+        /// The name of the message.
         message: String,
     },
-    /// A row stands outside a membership.
+    /// A `ROW` without a membership that expects rows.
     #[snafu(display("ROW outside a list"))]
     RowOutsideList,
-    /// The batch has not named an instance yet.
+    /// A message for an instance before the batch named one.
     #[snafu(display("{message} before any INSTANCE line of its batch"))]
     NoInstance {
-        /// The message.
+        /// The name of the message.
         message: String,
     },
-    /// What should be a field is none.
+    /// A part of the line that is not of the form `name=value`.
     #[snafu(display("{message}: expected name=value, got '{}'", head(got)))]
     NoPair {
-        /// The message.
+        /// The name of the message.
         message: String,
         /// The rest of the line.
         got: String,
     },
-    /// A field that the message needs is not there.
+    /// A required field is missing.
     #[snafu(display("{message}: missing field '{field}'"))]
     MissingField {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: String,
     },
-    /// A field's value is none of those allowed.
+    /// A field's value is not allowed.
     #[snafu(display("{message}: field '{field}' must be {allowed}, got '{}'", head(got)))]
     InvalidField {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: String,
-        /// What is allowed.
+        /// The allowed values.
         allowed: &'static str,
-        /// What the line has.
+        /// The value in the line.
         got: String,
     },
     /// A number is too small or too large.
     #[snafu(display("{message}: field '{field}' must lie in {allowed}"))]
     OutOfRange {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: String,
-        /// What is allowed.
+        /// The allowed values.
         allowed: &'static str,
     },
     /// The settings of an instance cannot be used.
     #[snafu(display("BOOT: {source}"))]
     Settings {
-        /// What is wrong with them.
+        /// The error in the settings.
         source: ConfigError,
     },
 }
--- a/crates/indigofold/src/wire/fields.rs
+++ b/crates/indigofold/src/wire/fields.rs
@@ -1,11 +1,11 @@
-//! One line of the protocol, taken apart into its message and its fields.
+//! A line of the protocol, split into its message name and its fields.
 
 use super::error::{InvalidFieldSnafu, LineError, MissingFieldSnafu, NoPairSnafu, OutOfRangeSnafu};
 use crate::ids::Time;
 use smallvec::SmallVec;
 use snafu::{OptionExt, ensure};
 
-/// The fields of one line.
+/// The message name and the fields of one line.
 pub(super) struct Fields<'a> {
     pub(super) message: &'a str,
     pairs: SmallVec<[(&'a str, &'a str); 12]>,
@@ -31,7 +31,7 @@
                 NoPairSnafu { message, got: rest }
             );
             let (name, after) = (&rest[..end], &rest[end + 1..]);
-            // A text or object value runs to the end of the line.
+            // The values of `env` and `noteText` extend to the end of the line.
             let runs_on = name == "env" || name == "noteText";
             let stop = if runs_on {
                 None
@@ -56,7 +56,7 @@
         })
     }
 
-    /// The error of a field whose value is none of those allowed.
+    /// Builds the error for a field whose value is not allowed.
     pub(super) fn invalid(&self, field: &str, allowed: &'static str, got: &str) -> LineError {
         InvalidFieldSnafu {
             message: self.message,
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: lines to events, actions to lines, and the names of its requests.
+//! One instance: translates lines to events and actions to lines, and maps request names to ids.
 
 use super::fields::{Fields, Parse};
 use crate::api::{
@@ -11,13 +11,14 @@
 use rustc_hash::FxHashMap;
 use std::fmt::Write;
 
+/// A request that the simulator or the module may still refer to.
 struct KnownRequest {
     name: String,
     attempts_out: u32,
     closed: bool,
 }
 
-/// One scheduler that the adapter hosts: its module, and the names of what it handles.
+/// One scheduler that the adapter hosts: its decision module, its settings and its known requests.
 pub(super) struct Instance {
     pub(super) module: Module,
     site: Site,
@@ -78,7 +79,7 @@
         Ok(self.ids.get(f.need("requestId")?).copied())
     }
 
-    /// The module's event for a message; `None` where it has none, or is about a request that is not known.
+    /// Translates a message to an event; `None` if it has no event or refers to an unknown request.
     pub(super) fn event(&mut self, f: &Fields) -> Parse<Option<Event>> {
         Ok(match f.message {
             "ACCEPT" => self.accept(f)?,
@@ -172,7 +173,8 @@
         }))
     }
 
-    /// Counts an outcome or a closing and forgets a request that can't be named again.
+    /// Takes `results` attempts off the request, notes whether it is closed, and removes it once it is closed and has no
+    /// attempts out, as no later message can name it.
     fn forget_if_closed(&mut self, id: RequestId, closed: bool, results: u32) {
         let Some(r) = self.requests.get_mut(&id) else {
             return;
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Writes what the module asks for as lines of the protocol.
+    /// Appends an action of the module to the reply as a line of the protocol.
     #[allow(clippy::too_many_lines, reason = "an arm for each action")]
     pub(super) fn write(&mut self, action: &Action, out: &mut String) {
         let name = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
@@ -246,7 +248,7 @@
         self.count_action(action);
     }
 
-    /// Counts attempts that are out, and forgets a request that the module has answered.
+    /// Counts a sent attempt, or closes a request that the module has answered.
     fn count_action(&mut self, action: &Action) {
         match action {
             Action::Send { request, .. } => {
@@ -262,7 +264,7 @@
     }
 }
 
-/// Slots in flight for other schedulers, in the form that [`peer_event`] reads; at most 255 bytes of it.
+/// Encodes slots in flight for other schedulers in the form that [`peer_event`] reads, cut to 255 bytes before base64.
 fn peer_text(in_flight: &[(WorkerId, u8)]) -> String {
     let bytes: Vec<u8> = in_flight
         .iter()
@@ -276,7 +278,7 @@
     }
 }
 
-/// Slots in flight as another scheduler counts them: five bytes for each worker, its id (low byte first) and the slots.
+/// Decodes the slots in flight of another scheduler: five bytes per worker, its id (little-endian) and the slots.
 fn peer_event(f: &Fields) -> Parse<Event> {
     let bytes = match f.need("content")? {
         "-" => Vec::new(),
