--- a/crates/core/tests/job_table.rs
+++ b/crates/core/tests/job_table.rs
@@ -105,7 +105,10 @@
         events.contains("status: Timeout, closed: false"),
         "{events}"
     );
-    assert!(answer.try_recv().is_err(), "the module is asked first");
+    assert!(
+        answer.try_recv().is_err(),
+        "the module may answer first, no answer is expected yet"
+    );
     table.expire(970_000, &transport);
     assert_eq!(answer.try_recv(), Ok(Answer::Failed));
     assert_eq!(
@@ -231,7 +234,10 @@
                 &transport,
             );
         }
-        assert!(!table.has_events(), "its machine is being told");
+        assert!(
+            !table.has_events(),
+            "the cancellation is not acknowledged yet, so no outcome is expected"
+        );
         assert_eq!(
             transport.0.borrow().last().map(String::as_str),
             Some("give up 3")
--- a/crates/core/tests/replacement.rs
+++ b/crates/core/tests/replacement.rs
@@ -74,23 +74,31 @@
         world.next += 1;
         let next = world.next;
         let mut faults = Vec::new();
-        let job = world.jobs.get_mut(&trace).expect("a job");
+        let job = world
+            .jobs
+            .get_mut(&trace)
+            .expect("the simulation has no such job");
         if !job.out.is_empty() && !two {
-            faults.push(format!("job {trace}: two attempts at once"));
+            faults.push(format!(
+                "job {trace}: a second attempt is sent while one is in flight"
+            ));
         }
         if job.out.contains(&attempt.machine) {
-            faults.push(format!("job {trace}: twice at worker {}", attempt.machine));
+            faults.push(format!(
+                "job {trace}: two attempts at the same worker {}",
+                attempt.machine
+            ));
         }
         if attempt.id.number != job.attempts {
             faults.push(format!(
-                "job {trace}: attempt {} after {}",
+                "job {trace}: attempt number {} after {} attempts",
                 attempt.id.number, job.attempts
             ));
         }
         if job.attempts >= 4 || (job.class == 2 && job.may_have_run > 0) || !job.answers.is_empty()
         {
             faults.push(format!(
-                "job {trace}, class {}: attempt {} must not be",
+                "job {trace}, class {}: attempt {} is not allowed",
                 job.class, job.attempts
             ));
         }
@@ -134,7 +142,7 @@
         world
             .jobs
             .get_mut(&trace)
-            .expect("a job")
+            .expect("the simulation has no such job")
             .out
             .retain(|w| *w != machine);
         world
@@ -159,7 +167,7 @@
         world
             .jobs
             .get_mut(&trace)
-            .expect("a job")
+            .expect("the simulation has no such job")
             .answers
             .push((now, answer));
     }
@@ -269,7 +277,10 @@
         for (trace, attempt, status, worker) in ends {
             let job = {
                 let mut world = simulation.world.borrow_mut();
-                let job = world.jobs.get_mut(&trace).expect("a job");
+                let job = world
+                    .jobs
+                    .get_mut(&trace)
+                    .expect("the simulation has no such job");
                 job.out.retain(|w| *w != worker);
                 job.id
             };
@@ -302,7 +313,9 @@
             );
             new.handle_input(
                 now,
-                CoreInput::Statistics(Box::new(from.try_recv().expect("at once"))),
+                CoreInput::Statistics(Box::new(
+                    from.try_recv().expect("the engine must reply at once"),
+                )),
                 &simulation,
             );
             let open: Vec<(u64, JobId)> = {
@@ -323,12 +336,16 @@
                 stay.retain(|(trace, id)| {
                     let (to, from) = async_channel::bounded(1);
                     engine_now.handle_input(now, CoreInput::Release(*id, to), &simulation);
-                    let Some(released) = from.try_recv().expect("at once") else {
+                    let Some(released) = from.try_recv().expect("the engine must reply at once")
+                    else {
                         return true;
                     };
                     {
                         let mut world = simulation.world.borrow_mut();
-                        let job = world.jobs.get_mut(trace).expect("a job");
+                        let job = world
+                            .jobs
+                            .get_mut(trace)
+                            .expect("the simulation has no such job");
                         (job.id, job.migrations) = (next_job, job.migrations + 1);
                         world.of.insert(next_job, *trace);
                     }
@@ -351,7 +368,7 @@
         }
         now += 2 * MS;
     }
-    assert_eq!(engine_now.jobs(), 0, "all is answered");
+    assert_eq!(engine_now.jobs(), 0, "jobs are left unanswered at the end");
     (simulation.world.into_inner(), migrated)
 }
 
@@ -362,7 +379,7 @@
     for (trace, job) in &world.jobs {
         let [(at, answer)] = job.answers[..] else {
             return Err(format!(
-                "job {trace}: {} answers after {} moves",
+                "job {trace}: {} answers after {} migrations",
                 job.answers.len(),
                 job.migrations
             ));
@@ -371,7 +388,9 @@
             return Err(format!("job {trace}: answered {} us late", at - job.until));
         }
         if matches!(answer, Answer::Rejected(_)) && job.class == 2 && job.may_have_run > 0 {
-            return Err(format!("job {trace}: refused, though it may have run"));
+            return Err(format!(
+                "job {trace}: rejected although an attempt may have run"
+            ));
         }
     }
     Ok(())
@@ -439,12 +458,18 @@
     let release = |engine: &mut Engine| {
         let (to, from) = async_channel::bounded(1);
         engine.handle_input(SEC, CoreInput::Release(1, to), &simulation);
-        from.try_recv().expect("at once").is_some()
+        from.try_recv()
+            .expect("the engine must reply at once")
+            .is_some()
     };
     let (to, from) = async_channel::bounded(1);
     drop(from);
     engine.handle_input(SEC, CoreInput::Release(1, to), &simulation);
-    assert_eq!(engine.jobs(), 1, "it is still here");
+    assert_eq!(
+        engine.jobs(),
+        1,
+        "the job must stay in the engine that was asked to release it"
+    );
     assert!(release(&mut engine));
     assert_eq!(engine.jobs(), 0);
 }
--- a/crates/indigofold/src/config/discovery.rs
+++ b/crates/indigofold/src/config/discovery.rs
@@ -56,7 +56,7 @@
     ///
     /// The text is not JSON, or does not have the form of a membership.
     pub fn read(text: &mut [u8]) -> Parse<Self> {
-        decode_document(text, "no machine list")
+        decode_document(text, "the membership cannot be parsed")
     }
 }
 
@@ -88,6 +88,6 @@
     ///
     /// The text is not JSON, or does not have the form of a report.
     pub fn read(text: &mut [u8]) -> Parse<Self> {
-        decode_document(text, "no news")
+        decode_document(text, "the job report cannot be parsed")
     }
 }
--- a/crates/indigofold/src/config/error.rs
+++ b/crates/indigofold/src/config/error.rs
@@ -97,7 +97,7 @@
     #[snafu(display("each class must have a name of its own"))]
     ClassName,
     /// A job worker's id is listed more than once.
-    #[snafu(display("wid {wid:?} stands on two machines"))]
+    #[snafu(display("wid {wid:?} is listed more than once in 'machines'"))]
     DuplicateWorker {
         /// The job worker's id.
         wid: String,
--- a/crates/indigofold/src/config/faktory.rs
+++ b/crates/indigofold/src/config/faktory.rs
@@ -74,7 +74,8 @@
     ///
     /// An entry is missing or not allowed; the error names the first one and the allowed values.
     pub fn read(mut text: Vec<u8>) -> Parse<Self> {
-        let raw: RawFaktory = decode_document(&mut text, "no Faktory front")?;
+        let raw: RawFaktory =
+            decode_document(&mut text, "the Faktory configuration cannot be parsed")?;
         let mut wids: Vec<&String> = raw.machines.iter().flat_map(|m| &m.wids).collect();
         wids.sort();
         if let Some(pair) = wids.windows(2).find(|w| w[0] == w[1]) {
--- a/crates/indigofold/src/net/buffer/tests.rs
+++ b/crates/indigofold/src/net/buffer/tests.rs
@@ -11,12 +11,15 @@
         out.push(pool.take());
     }
     let read = out.len();
-    assert!(read * BUFFER_BYTES < 2 << 20, "{read} buffers for messages");
+    assert!(
+        read * BUFFER_BYTES < 2 << 20,
+        "{read} buffers may be used for messages, more than the limit"
+    );
     out.extend((0..100).map(|_| pool.take()));
     drop(out);
     assert!(
         (read..=(2 << 20) / BUFFER_BYTES).contains(&pool.free.borrow().len()),
-        "what is kept"
+        "buffers kept in the pool"
     );
     assert!(pool.has_capacity() && pool.out.get() == 0);
 }
--- a/crates/indigofold/src/net/set/tests.rs
+++ b/crates/indigofold/src/net/set/tests.rs
@@ -19,7 +19,11 @@
     let mut evicted_order: Vec<usize> = Vec::new();
     while set.evict_one() {
         let evicted = |n: &usize| !evicted_order.contains(n) && offers[*n].evicted.len() == 1;
-        evicted_order.push((0..offers.len()).find(evicted).expect("one was asked"));
+        evicted_order.push(
+            (0..offers.len())
+                .find(evicted)
+                .expect("evict_one returned true, so one connection must be notified"),
+        );
     }
     assert_eq!(evicted_order, [5, 3, 2, 4, 1, 0]);
     let _used = set.offer(Rank::Used, false);
@@ -44,12 +48,16 @@
     assert_eq!(
         (seats.len(), evicted()),
         (30, [0; 4]),
-        "30 of 40 are no reason"
+        "30 of 40 connections must not cause an eviction"
     );
     let more = set.seat(Direction::Inbound);
     // Guards against a job that is lost because the connection is closed right after the answer to the previous job.
     set.thin_out(Instant::now());
-    assert_eq!(evicted(), [0; 4], "they have only just become idle");
+    assert_eq!(
+        evicted(),
+        [0; 4],
+        "connections that have just become idle must stay"
+    );
     set.thin_out(later);
     set.thin_out(later);
     assert_eq!(evicted(), [0, 1, 0, 1]);
--- a/crates/indigofold/src/program.rs
+++ b/crates/indigofold/src/program.rs
@@ -56,9 +56,9 @@
         ),
         None => {
             // The Faktory front's file is read only at startup.
-            shared
-                .net
-                .spawn(hangups.for_each(|_| log("reload: there is nothing to read again")));
+            shared.net.spawn(hangups.for_each(|_| {
+                log("reload: ignored, the Faktory configuration is read only at startup");
+            }));
             None
         }
     };
--- a/crates/indigofold/src/program/platform.rs
+++ b/crates/indigofold/src/program/platform.rs
@@ -76,7 +76,7 @@
     match bind(address) {
         Ok(listener) => open_admin(front, listener)?,
         Err(why) if replaces => {
-            log(format_args!("door: {why}, tried again"));
+            log(format_args!("door: {why}, retrying"));
             let (front, address) = (front.clone(), address.to_string());
             front.net().clone().spawn(async move {
                 let listener = loop {
