--- a/crates/core/src/actor.rs
+++ b/crates/core/src/actor.rs
@@ -33,7 +33,7 @@
     inbox: Receiver<CoreInput>,
     metrics: Rc<Metrics>,
     /// The counters at the last state report: served, rejected, failed, clients left.
-    logged: [u64; 4],
+    reported: [u64; 4],
 }
 
 impl<F: Transport> Actor<F> {
@@ -52,14 +52,13 @@
             clock,
             inbox,
             metrics,
-            logged: [0; 4],
+            reported: [0; 4],
         }
     }
 
     /// Handles inputs and due steps until all fronts have dropped their side of the mailbox.
     pub async fn run(mut self) {
-        let (mut report_state, mut lateness) =
-            (self.clock.now() + REPORT_INTERVAL_US, (0, 0, 0u64));
+        let (mut next_report, mut lateness) = (self.clock.now() + REPORT_INTERVAL_US, (0, 0, 0u64));
         loop {
             let input = match self.engine.due() {
                 Some(at) if at <= self.clock.now() => None,
@@ -96,22 +95,22 @@
                 self.engine.handle_input(now, input, &*self.transport);
             }
             self.engine.step(now, &*self.transport);
-            if now >= report_state {
+            if now >= next_report {
                 self.report_state(lateness);
-                (report_state, lateness) = (now + REPORT_INTERVAL_US, (0, 0, 0));
+                (next_report, lateness) = (now + REPORT_INTERVAL_US, (0, 0, 0));
             }
         }
     }
 
-    fn report_state(&mut self, (most, sum, count): (Time, Time, u64)) {
-        let [served, rejected, failed] = self.metrics.all();
+    fn report_state(&mut self, (max, sum, count): (Time, Time, u64)) {
+        let [served, rejected, failed] = self.metrics.total_ends();
         let sums = [served, rejected, failed, self.metrics.clients_left.get()];
-        let logged = std::mem::replace(&mut self.logged, sums);
-        let [served, rejected, failed, clients_left] = [0, 1, 2, 3].map(|n| sums[n] - logged[n]);
+        let reported = std::mem::replace(&mut self.reported, sums);
+        let [served, rejected, failed, clients_left] = [0, 1, 2, 3].map(|n| sums[n] - reported[n]);
         let (jobs, mean) = (self.engine.jobs(), sum / count.max(1));
         self.transport.log_event(&format!(
             "jobs={jobs} served={served} requeued={rejected} failed={failed} gone={clients_left} \
-             timer_late_us_mean={mean} timer_late_us_most={most}"
+             timer_late_us_mean={mean} timer_late_us_most={max}"
         ));
     }
 }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -128,7 +128,7 @@
     /// Removes an open job for transfer to another process; `None` while the module has unhandled events, or if no answer
     /// is owed.
     fn release(&mut self, now: Time, id: JobId) -> Option<Released> {
-        if self.table.has_events() || !self.table.owes(id) {
+        if self.table.has_events() || !self.table.owes_answer(id) {
             return None;
         }
         let job = self.module.release(now, id)?;
--- a/crates/core/src/job_table.rs
+++ b/crates/core/src/job_table.rs
@@ -26,7 +26,7 @@
 
 struct Job {
     class: ClassId,
-    answer: Option<Reply>, // `None` once the job is answered or its client has left
+    reply: Option<Reply>, // `None` once the job is answered or its client has left
     until: Time,
     attempts: Vec<AttemptRecord>,
 }
@@ -40,7 +40,7 @@
     answer_margin: Time,
     /// Jobs removed since the module last handled its events, with their numbers of attempts. Until the module has
     /// handled the event that closes such a job, it may still send attempts of it.
-    closed: FxHashMap<JobId, u32>,
+    closed_attempts: FxHashMap<JobId, u32>,
     metrics: Rc<Metrics>,
 }
 
@@ -62,7 +62,7 @@
     /// Called once the module has handled the events that it took, and so knows which jobs are closed. The emptied
     /// vector is reused for the next events.
     pub fn events_done(&mut self, mut emptied: Vec<Event>) {
-        self.closed.clear();
+        self.closed_attempts.clear();
         emptied.append(&mut self.events);
         self.events = emptied;
     }
@@ -134,7 +134,7 @@
         self.due.insert((until, request.id));
         let job = Job {
             class: request.class,
-            answer: Some(reply),
+            reply: Some(reply),
             until,
             attempts: Vec::new(),
         };
@@ -153,7 +153,7 @@
         };
         let open = Job {
             class: job.class,
-            answer: Some(reply),
+            reply: Some(reply),
             until,
             attempts: job.attempts.iter().map(record).collect(),
         };
@@ -166,7 +166,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.answer.take().is_some() {
+        if job.reply.take().is_some() {
             add(&self.metrics.clients_left, 1);
             self.metrics.open.set(self.metrics.open.get() - 1);
             self.events.push(Event::RequestClosed(id));
@@ -189,7 +189,7 @@
         };
         let was_in_flight = std::mem::replace(&mut record.in_flight, false);
         let answered = if status == Status::Ok {
-            job.answer.take()
+            job.reply.take()
         } else {
             None
         };
@@ -200,7 +200,7 @@
         }
         if was_in_flight {
             // The outcome also reports whether the job is answered, by this attempt or before.
-            let closed = self.jobs.get(&id.job).is_some_and(|j| j.answer.is_none());
+            let closed = self.jobs.get(&id.job).is_some_and(|j| j.reply.is_none());
             self.events.push(outcome(id, status, closed, load));
         } else if served {
             // The attempt was given up or counted as lost but succeeded: its answer counts and the job is closed.
@@ -211,7 +211,7 @@
 
     /// Removes a job whose answer is still owed and returns its deadline and reply channel.
     pub fn release(&mut self, id: JobId) -> Option<(Time, Reply)> {
-        let reply = self.jobs.get_mut(&id)?.answer.take()?;
+        let reply = self.jobs.get_mut(&id)?.reply.take()?;
         let job = self.jobs.remove(&id)?;
         self.due.remove(&(job.until, id));
         self.due.remove(&(job.until + GRACE_US, id));
@@ -220,8 +220,8 @@
     }
 
     /// Returns true if the job is in the table and its answer is still owed.
-    pub fn owes(&self, id: JobId) -> bool {
-        self.jobs.get(&id).is_some_and(|job| job.answer.is_some())
+    pub fn owes_answer(&self, id: JobId) -> bool {
+        self.jobs.get(&id).is_some_and(|job| job.reply.is_some())
     }
 
     /// Gives up the attempts of each job that has reached its deadline. A job that is still unanswered 10 ms later fails,
@@ -235,10 +235,10 @@
             if at == job.until {
                 give_up_attempts(id, job, &mut self.events, transport);
                 self.due.insert((at + GRACE_US, id));
-            } else if let Some(answer) = job.answer.take() {
+            } else if let Some(reply) = job.reply.take() {
                 transport.log_event("a job was left unanswered at its last moment and has failed");
                 count_answer(&self.metrics, job.class, End::Failed);
-                deliver(answer, id, Answer::Failed, transport);
+                deliver(reply, id, Answer::Failed, transport);
                 self.events.push(Event::RequestClosed(id));
             }
             self.forget_if_finished(id, transport);
@@ -288,7 +288,7 @@
         let Some(job) = self.jobs.get_mut(&job_id) else {
             // The module has not yet handled the event that closes this job. Without an outcome it would count this attempt
             // as in flight at its machine forever.
-            let attempts = self.closed.entry(job_id).or_default();
+            let attempts = self.closed_attempts.entry(job_id).or_default();
             let id = AttemptId {
                 job: job_id,
                 number: *attempts,
@@ -300,7 +300,7 @@
             job: job_id,
             number: job.attempts.len() as u32,
         };
-        let open = job.answer.is_some();
+        let open = job.reply.is_some();
         let attempt = Attempt {
             id,
             machine,
@@ -328,7 +328,7 @@
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
-        let closed = job.answer.is_none();
+        let closed = job.reply.is_none();
         let record = job.attempts.get_mut(id.number as usize);
         let Some(record) = record.filter(|record| record.in_flight) else {
             return;
@@ -366,7 +366,9 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let Some(to) = job.answer.take() else { return };
+        let Some(reply) = job.reply.take() else {
+            return;
+        };
         count_answer(
             &self.metrics,
             job.class,
@@ -376,19 +378,18 @@
                 End::Refused
             },
         );
-        deliver(to, id, answer, transport);
+        deliver(reply, id, answer, transport);
         self.forget_if_finished(id, transport);
     }
 
     /// Removes a job that needs no answer any more and has no attempt in flight.
     fn forget_if_finished(&mut self, id: JobId, transport: &dyn Transport) {
-        let finished =
-            |job: &Job| job.answer.is_none() && job.attempts.iter().all(|h| !h.in_flight);
+        let finished = |job: &Job| job.reply.is_none() && job.attempts.iter().all(|h| !h.in_flight);
         if !self.jobs.get(&id).is_some_and(finished) {
             return;
         }
         if let Some(job) = self.jobs.remove(&id) {
-            self.closed.insert(id, job.attempts.len() as u32);
+            self.closed_attempts.insert(id, job.attempts.len() as u32);
             self.due.remove(&(job.until, id));
             self.due.remove(&(job.until + GRACE_US, id));
             transport.forget(id);
@@ -398,7 +399,7 @@
 
 /// Gives up all attempts of a job that are in flight at its deadline.
 fn give_up_attempts(id: JobId, job: &mut Job, events: &mut Vec<Event>, transport: &dyn Transport) {
-    let closed = job.answer.is_none();
+    let closed = job.reply.is_none();
     let records = job.attempts.iter_mut().zip(0..);
     for (record, number) in records.filter(|(record, _)| record.in_flight) {
         record.in_flight = false;
@@ -425,8 +426,8 @@
 }
 
 /// Delivers a job's answer to its reply channel or to the transport.
-fn deliver(to: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
-    match to {
+fn deliver(reply: Reply, job: JobId, answer: Answer, transport: &dyn Transport) {
+    match reply {
         Reply::To(sender) => _ = sender.try_send(answer),
         Reply::Transport => transport.answer(job, answer),
     }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -43,7 +43,7 @@
     }
 
     /// The numbers of jobs of this class by their end: served, refused, failed.
-    pub fn of(&self, class: ClassId) -> [u64; 3] {
+    pub fn ends_of_class(&self, class: ClassId) -> [u64; 3] {
         self.ends
             .borrow()
             .get(class as usize)
@@ -52,7 +52,7 @@
     }
 
     /// The numbers of jobs of all classes by their end: served, refused, failed.
-    pub fn all(&self) -> [u64; 3] {
+    pub fn total_ends(&self) -> [u64; 3] {
         self.ends
             .borrow()
             .iter()
--- a/crates/core/tests/replacement.rs
+++ b/crates/core/tests/replacement.rs
@@ -25,7 +25,7 @@
     until: Time,
     answers: Vec<(Time, Answer)>,
     /// The workers of the attempts in flight, one entry per attempt.
-    out: Vec<WorkerId>,
+    in_flight: Vec<WorkerId>,
     may_have_run: u32,
     attempts: u32,
     /// The job's id in the process that has it at present.
@@ -37,8 +37,8 @@
 #[derive(Default)]
 struct World {
     jobs: BTreeMap<u64, JobHistory>, // by the client's id
-    of: BTreeMap<JobId, u64>,
-    happens: BTreeMap<(Time, u64), (u64, u32, Status, WorkerId)>, // an attempt's end
+    trace_by_id: BTreeMap<JobId, u64>,
+    attempt_ends: BTreeMap<(Time, u64), (u64, u32, Status, WorkerId)>, // by time and sequence number
     starts: BTreeMap<(Time, u64), (u64, u32)>,
     now: Time,
     next: u64,
@@ -69,8 +69,8 @@
             1 + self.random(150),
         );
         let mut world = self.world.borrow_mut();
-        let (now, two) = (world.now, world.duplicates);
-        let trace = world.of[&attempt.id.job];
+        let (now, duplicates) = (world.now, world.duplicates);
+        let trace = world.trace_by_id[&attempt.id.job];
         world.next += 1;
         let next = world.next;
         let mut faults = Vec::new();
@@ -78,12 +78,12 @@
             .jobs
             .get_mut(&trace)
             .expect("the simulation has no such job");
-        if !job.out.is_empty() && !two {
+        if !job.in_flight.is_empty() && !duplicates {
             faults.push(format!(
                 "job {trace}: a second attempt is sent while one is in flight"
             ));
         }
-        if job.out.contains(&attempt.machine) {
+        if job.in_flight.contains(&attempt.machine) {
             faults.push(format!(
                 "job {trace}: two attempts at the same worker {}",
                 attempt.machine
@@ -107,7 +107,7 @@
             world.faults.extend(faults);
             return false; // the worker does not accept the attempt
         }
-        job.out.push(attempt.machine);
+        job.in_flight.push(attempt.machine);
         job.may_have_run += 1;
         let end = now + (wait + takes) * MS;
         let (at, status) = match fate {
@@ -129,7 +129,7 @@
         }
         if let Some(status) = status {
             world
-                .happens
+                .attempt_ends
                 .insert((at, next), (trace, number, status, attempt.machine));
         }
         world.faults.extend(faults);
@@ -138,15 +138,15 @@
 
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp {
         let mut world = self.world.borrow_mut();
-        let trace = world.of[&attempt.job];
+        let trace = world.trace_by_id[&attempt.job];
         world
             .jobs
             .get_mut(&trace)
             .expect("the simulation has no such job")
-            .out
+            .in_flight
             .retain(|w| *w != machine);
         world
-            .happens
+            .attempt_ends
             .retain(|_, (t, number, _, _)| (*t, *number) != (trace, attempt.number));
         world
             .starts
@@ -163,7 +163,7 @@
     }
     fn answer(&self, job: JobId, answer: Answer) {
         let mut world = self.world.borrow_mut();
-        let (now, trace) = (world.now, world.of[&job]);
+        let (now, trace) = (world.now, world.trace_by_id[&job]);
         world
             .jobs
             .get_mut(&trace)
@@ -241,7 +241,11 @@
             };
             trace += 1;
             simulation.world.borrow_mut().jobs.insert(trace, history);
-            simulation.world.borrow_mut().of.insert(next_job, trace);
+            simulation
+                .world
+                .borrow_mut()
+                .trace_by_id
+                .insert(next_job, trace);
             engine_now.handle_input(
                 now,
                 CoreInput::Job(request, now + left, Reply::Transport),
@@ -269,8 +273,8 @@
         }
         let ends: Vec<_> = {
             let mut world = simulation.world.borrow_mut();
-            let later = world.happens.split_off(&(now + 1, 0));
-            std::mem::replace(&mut world.happens, later)
+            let later = world.attempt_ends.split_off(&(now + 1, 0));
+            std::mem::replace(&mut world.attempt_ends, later)
                 .into_values()
                 .collect()
         };
@@ -281,7 +285,7 @@
                     .jobs
                     .get_mut(&trace)
                     .expect("the simulation has no such job");
-                job.out.retain(|w| *w != worker);
+                job.in_flight.retain(|w| *w != worker);
                 job.id
             };
             engine_now.handle_input(
@@ -347,7 +351,7 @@
                             .get_mut(trace)
                             .expect("the simulation has no such job");
                         (job.id, job.migrations) = (next_job, job.migrations + 1);
-                        world.of.insert(next_job, *trace);
+                        world.trace_by_id.insert(next_job, *trace);
                     }
                     let job = Box::new(released.job);
                     new.handle_input(
--- a/crates/indigofold/src/admin.rs
+++ b/crates/indigofold/src/admin.rs
@@ -96,7 +96,7 @@
         let _ = rejected.recv().await;
         Err(TOO_MANY_CALLS)
     };
-    call(stream).or(rejection).await
+    read_line(stream).or(rejection).await
 }
 
 /// Answers a call. A call that was rejected frees its descriptor at once after the answer.
@@ -120,7 +120,9 @@
 }
 
 /// Reads one line within [`CALL_TIMEOUT`]; returns the buffer and the length of the line.
-async fn call(stream: &Async<TcpStream>) -> Result<([u8; MAX_CALL_BYTES], usize), &'static str> {
+async fn read_line(
+    stream: &Async<TcpStream>,
+) -> Result<([u8; MAX_CALL_BYTES], usize), &'static str> {
     let read = async {
         let (mut request, mut length) = ([0; MAX_CALL_BYTES], 0);
         loop {
@@ -185,7 +187,7 @@
             let _ = writeln!(text, "edge_gw.{name}:{value}|{kind}");
         };
         for (class, name) in (self.classes)().iter().enumerate() {
-            let ends = metrics.of(class as u32);
+            let ends = metrics.ends_of_class(class as u32);
             for (end, count) in ["ok", "shed", "errors"].iter().zip(ends) {
                 write_metric(&format!("{end}.{name}"), count, 'c');
             }
--- a/crates/indigofold/src/config.rs
+++ b/crates/indigofold/src/config.rs
@@ -24,7 +24,7 @@
 pub const MEMORY_MB: usize = 192;
 
 /// Maximum nesting depth of objects and arrays in a document.
-const DEPTH: usize = 64;
+const MAX_DEPTH: usize = 64;
 
 /// Parses JSON text in place. Text that is nested too deeply is rejected first: the parser recurses at each level, and a
 /// few thousand levels would overflow the stack.
@@ -43,7 +43,7 @@
             b']' | b'}' if !quoted => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEPTH {
+        if depth > MAX_DEPTH {
             return TooDeepSnafu.fail();
         }
     }
--- a/crates/indigofold/src/config/error.rs
+++ b/crates/indigofold/src/config/error.rs
@@ -35,7 +35,7 @@
     },
     /// A setting that must be a number is missing or not a number.
     #[snafu(display("settings lack a number '{key}'"))]
-    NoNumber {
+    NotANumber {
         /// The key of the setting.
         key: String,
     },
@@ -77,7 +77,7 @@
     },
     /// A setting is neither true nor false.
     #[snafu(display("setting '{key}' must be true or false"))]
-    NoFlag {
+    NotABoolean {
         /// The key of the setting.
         key: &'static str,
     },
--- a/crates/indigofold/src/config/json.rs
+++ b/crates/indigofold/src/config/json.rs
@@ -1,7 +1,7 @@
 //! Access to the values of a JSON document, with errors that name the key.
 
 use super::Parse;
-use super::error::{NegativeRuleSnafu, NoNumberSnafu, OutOfRangeSnafu, UnknownChoiceSnafu};
+use super::error::{NegativeRuleSnafu, NotANumberSnafu, OutOfRangeSnafu, UnknownChoiceSnafu};
 use crate::ids::Time;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
@@ -44,8 +44,8 @@
             .unwrap_or(self.number() == Some(1.0))
     }
 
-    pub(super) fn need(self, key: &str) -> Parse<f64> {
-        self.at(key).number().context(NoNumberSnafu { key })
+    pub(super) fn required_number(self, key: &str) -> Parse<f64> {
+        self.at(key).number().context(NotANumberSnafu { key })
     }
 
     pub(super) fn time(self, key: &str) -> Parse<Time> {
@@ -54,7 +54,7 @@
 
     /// A required number between `least` and `most`, both included.
     pub(super) fn within(self, key: &str, least: f64, most: f64) -> Parse<f64> {
-        let found = self.need(key)?;
+        let found = self.required_number(key)?;
         ensure!(
             (least..=most).contains(&found),
             OutOfRangeSnafu {
@@ -95,7 +95,7 @@
     }
 
     /// An optional number in the rules; if present, it must be a number of at least 0.
-    pub(super) fn optional(self, key: &str) -> Parse<Option<f64>> {
+    pub(super) fn optional_number(self, key: &str) -> Parse<Option<f64>> {
         let Some(value) = self.at(key).0 else {
             return Ok(None);
         };
--- a/crates/indigofold/src/config/platform.rs
+++ b/crates/indigofold/src/config/platform.rs
@@ -10,7 +10,7 @@
 use simd_json::prelude::*;
 
 #[derive(Deserialize)]
-struct Raw {
+struct RawPlatform {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -44,7 +44,7 @@
     /// The address of discovery.
     pub discovery: String,
     /// The address of discovery in the file, whatever the environment variable `GW_DISCOVERY` says.
-    pub in_file: String,
+    pub discovery_in_file: String,
     /// The address of the admin endpoint; empty if there is none.
     pub management: String,
     /// The seed of the random numbers.
@@ -68,7 +68,7 @@
     /// An entry is missing or not allowed; the error names the first one and the allowed values.
     pub fn read(mut text: Vec<u8>, env: impl Fn(&str) -> Option<String>) -> Parse<Self> {
         let document: OwnedValue = decode_document(&mut text.clone(), "no configuration")?;
-        let raw: Raw = decode_document(&mut text, "no configuration")?;
+        let raw: RawPlatform = decode_document(&mut text, "no configuration")?;
         let or = |name: &str, value: String| env(name).filter(|v| !v.is_empty()).unwrap_or(value);
         let seed = raw
             .seed
@@ -83,7 +83,7 @@
         Ok(Platform {
             name: or("GW_NAME", raw.name),
             listen: or("GW_LISTEN", raw.listen),
-            in_file: raw.discovery.clone(),
+            discovery_in_file: raw.discovery.clone(),
             discovery: or("GW_DISCOVERY", raw.discovery),
             management: or("GW_MANAGEMENT", raw.management),
             seed: seed.or(raw.seed.as_u64()).unwrap_or(1),
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of the decision module, read from the settings object.
 
 use super::Parse;
-use super::error::{ClassSnafu, MissingSnafu, NoFlagSnafu};
+use super::error::{ClassSnafu, MissingSnafu, NotABooleanSnafu};
 use super::json::Json;
 use crate::api::{
     Charges, Class, Effect, Group, KindId, Limits, Reports, ResendBudget, Rules, Settings, Tenant,
@@ -137,10 +137,10 @@
         tip_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
         tip_window: rules.time("overloadFor")?,
         resends: resend_budget(rules)?,
-        close_idle_within: rules.optional("letGoIn")?.map(|v| v as Time),
+        close_idle_within: rules.optional_number("letGoIn")?.map(|v| v as Time),
         full_may_have_run: match rules.at("fullMayHaveRun").0 {
             None => false,
-            Some(v) => v.as_bool().context(NoFlagSnafu {
+            Some(v) => v.as_bool().context(NotABooleanSnafu {
                 key: "rules.fullMayHaveRun",
             })?,
         },
@@ -150,10 +150,10 @@
 /// Reads the retry budget; `None` if no part of it is set. If only a part is set, a missing number counts as 0.
 fn resend_budget(rules: Json<'_>) -> Parse<Option<ResendBudget>> {
     let (free, ratio) = (
-        rules.optional("freeResends")?,
-        rules.optional("resendRatio")?,
+        rules.optional_number("freeResends")?,
+        rules.optional_number("resendRatio")?,
     );
-    let window = rules.optional("countedOver")?.map(|v| v as Time);
+    let window = rules.optional_number("countedOver")?.map(|v| v as Time);
     let stated = free.is_some() || ratio.is_some() || window.is_some();
     let budget = ResendBudget {
         free: free.unwrap_or(0.0),
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -48,7 +48,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A listener with the name of its front.
-pub type Named = (&'static str, Rc<Async<TcpListener>>);
+pub type NamedListener = (&'static str, Rc<Async<TcpListener>>);
 
 /// The link to the old process, and the resources that it passed on.
 pub struct Inherited {
@@ -60,7 +60,7 @@
 }
 
 /// The path of the handover socket of the process that listens on the address `listen`; `None` if `$TMPDIR` is not set.
-pub fn path(listen: &str) -> Option<PathBuf> {
+pub fn socket_path(listen: &str) -> Option<PathBuf> {
     let dir = std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty())?;
     Some(Path::new(&dir).join(format!("indigofold-{:016x}.sock", config::hash(listen))))
 }
@@ -75,7 +75,7 @@
             .write_all(&encode_frame(b'H', CAPABILITIES))
             .await
             .map_err(|_| Reason::Broke)?;
-        receive(link).await.map_err(|_| Reason::Broke)
+        receive_listeners(link).await.map_err(|_| Reason::Broke)
     };
     within(ANSWER_TIMEOUT, Reason::Unanswered, request)
         .await
@@ -83,7 +83,7 @@
 }
 
 /// Reads the first frame of the old process, and the listeners attached to it.
-async fn receive(link: Async<UnixStream>) -> io::Result<Inherited> {
+async fn receive_listeners(link: Async<UnixStream>) -> io::Result<Inherited> {
     let (mut bytes, mut fds) = ([0; 64], Vec::new());
     let count = link
         .read_with(|link| {
@@ -129,7 +129,7 @@
 }
 
 /// Sends a frame with a client's connection, whose descriptor is attached to the first byte.
-async fn send_with(
+async fn send_with_stream(
     mut link: &Async<UnixStream>,
     frame: &[u8],
     stream: TcpStream,
@@ -178,7 +178,7 @@
     Ok(())
 }
 
-async fn read(
+async fn read_frame(
     link: &Async<UnixStream>,
     streams: &mut VecDeque<OwnedFd>,
 ) -> io::Result<(u8, Vec<u8>)> {
@@ -202,7 +202,7 @@
     /// File descriptors, and memory in MiB, that the process may use when it runs alone.
     pub limits: (usize, usize),
     /// The listeners of all fronts.
-    pub listeners: Vec<Named>,
+    pub listeners: Vec<NamedListener>,
     /// Starts accepting on all listeners; the returned tasks stop when they are dropped.
     pub accept: Box<dyn Fn() -> Vec<Task<()>>>,
     /// The tasks that accept connections; empty while this process does not accept.
@@ -281,7 +281,7 @@
     /// process ends while this one is not shutting down, this one serves again.
     async fn serve_successor(self: Rc<Self>, link: Async<UnixStream>) {
         let hello = async {
-            read(&link, &mut VecDeque::new())
+            read_frame(&link, &mut VecDeque::new())
                 .await
                 .map_err(|_| Reason::Broke)
         };
@@ -399,7 +399,7 @@
         let receive = async {
             let mut streams = VecDeque::new();
             loop {
-                let frame = read(link, &mut streams).await?;
+                let frame = read_frame(link, &mut streams).await?;
                 self.handle_frame(peer, frame, &mut streams, &accepts_statistics)
                     .await?;
             }
@@ -472,7 +472,7 @@
             HandoverMessage::Serving => encode_frame(b'S', &[]),
             HandoverMessage::Statistics(encoded) => encode_frame(b'K', &encoded),
             HandoverMessage::Job(encoded, stream) => {
-                send_with(link, &encode_frame(b'M', &encoded), stream).await?;
+                send_with_stream(link, &encode_frame(b'M', &encoded), stream).await?;
                 continue;
             }
         };
--- a/crates/indigofold/src/net.rs
+++ b/crates/indigofold/src/net.rs
@@ -121,7 +121,7 @@
             };
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    self.set.thin_out(Instant::now());
+                    self.set.evict_if_crowded(Instant::now());
                     return Link::new(stream, seat).as_extra(extra);
                 }
                 Err(error) => {
@@ -181,12 +181,12 @@
         client: bool,
         work: impl Future<Output = Result<T, Reason>>,
     ) -> Result<T, Reason> {
-        let offer = self.set.offer(rank, client);
+        let registration = self.set.register_evictable(rank, client);
         if matches!(rank, Rank::Once | Rank::Used) {
-            self.set.thin_out(Instant::now());
+            self.set.evict_if_crowded(Instant::now());
         }
         let evicted = async {
-            offer.evicted().await;
+            registration.evicted().await;
             Err(Reason::Evicted)
         };
         work.or(evicted).await
@@ -220,7 +220,7 @@
     /// with unread input would reset the connection, and the peer could lose the answer. The time and the number of bytes are
     /// limited, and the connection is the first to be evicted.
     pub async fn linger(&self, link: &Link) {
-        link.shut();
+        link.shutdown_write();
         let rest = async {
             let mut left = MAX_LINGER_BYTES;
             while left > 0 {
@@ -505,7 +505,7 @@
     }
 
     /// Shuts down the write side.
-    pub fn shut(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
--- a/crates/indigofold/src/net/buffer.rs
+++ b/crates/indigofold/src/net/buffer.rs
@@ -14,8 +14,8 @@
 /// are in use and kept together.
 pub struct Pool {
     free: RefCell<Vec<Vec<u8>>>,
-    out: Cell<usize>,
-    most: Cell<usize>,
+    in_use: Cell<usize>,
+    max_buffers: Cell<usize>,
 }
 
 impl Pool {
@@ -23,8 +23,8 @@
     pub fn new(memory_mb: usize) -> Rc<Self> {
         let pool = Rc::new(Pool {
             free: RefCell::default(),
-            out: Cell::new(0),
-            most: Cell::new(0),
+            in_use: Cell::new(0),
+            max_buffers: Cell::new(0),
         });
         pool.set_limit(memory_mb);
         pool
@@ -33,8 +33,9 @@
     /// Changes the memory that the process may use, in MiB. Free buffers beyond the limit are dropped at once, buffers in use
     /// when they are returned.
     pub fn set_limit(&self, memory_mb: usize) {
-        self.most.set(((memory_mb << 20) / 2 / BUFFER_BYTES).max(8));
-        self.free.borrow_mut().truncate(self.most.get());
+        self.max_buffers
+            .set(((memory_mb << 20) / 2 / BUFFER_BYTES).max(8));
+        self.free.borrow_mut().truncate(self.max_buffers.get());
     }
 
     /// Takes a free buffer, or allocates one; this succeeds also beyond the limit.
@@ -45,7 +46,7 @@
             .borrow_mut()
             .pop()
             .unwrap_or_else(|| vec![0; BUFFER_BYTES]);
-        self.out.set(self.out.get() + 1);
+        self.in_use.set(self.in_use.get() + 1);
         Buffer {
             bytes,
             len: 0,
@@ -56,7 +57,7 @@
     /// Returns true if a buffer is free for reading one more message. A quarter of the buffers is reserved for answers and
     /// attempts, as a message may need a second buffer until it is passed on.
     pub fn has_capacity(&self) -> bool {
-        self.out.get() < self.most.get() - self.most.get() / 4
+        self.in_use.get() < self.max_buffers.get() - self.max_buffers.get() / 4
     }
 }
 
@@ -116,9 +117,9 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.pool.out.set(self.pool.out.get() - 1);
+        self.pool.in_use.set(self.pool.in_use.get() - 1);
         let mut free = self.pool.free.borrow_mut();
-        if self.pool.out.get() + free.len() < self.pool.most.get() {
+        if self.pool.in_use.get() + free.len() < self.pool.max_buffers.get() {
             free.push(std::mem::take(&mut self.bytes));
         }
     }
--- a/crates/indigofold/src/net/buffer/tests.rs
+++ b/crates/indigofold/src/net/buffer/tests.rs
@@ -21,5 +21,5 @@
         (read..=(2 << 20) / BUFFER_BYTES).contains(&pool.free.borrow().len()),
         "buffers kept in the pool"
     );
-    assert!(pool.has_capacity() && pool.out.get() == 0);
+    assert!(pool.has_capacity() && pool.in_use.get() == 0);
 }
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -12,7 +12,7 @@
 const OUTBOUND_DESCRIPTORS: usize = 128;
 
 /// Fraction of the clients' third of the descriptors above which idle connections are closed.
-const THIN_OUT_FROM: (usize, usize) = (3, 4);
+const CROWDED_ABOVE: (usize, usize) = (3, 4);
 
 /// Minimum idle time before an idle connection is closed early: the client may be about to send its next message.
 const IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
@@ -21,16 +21,16 @@
 pub struct Set {
     limit: Cell<usize>,
     /// A third of the descriptors of the scheduler: the part that clients may hold.
-    third: Cell<usize>,
+    client_limit: Cell<usize>,
     open: Cell<usize>,
     accepted: Cell<usize>,
     next: Cell<u64>,
-    offers: RefCell<BTreeMap<(Rank, u64), Offered>>,
+    evictable: RefCell<BTreeMap<(Rank, u64), EvictionEntry>>,
 }
 
 /// A connection that may be evicted: the channel to notify it, whether it is known to be a client's, and since when it has
 /// had its rank.
-struct Offered {
+struct EvictionEntry {
     evict: Sender<()>,
     client: bool,
     since: Instant,
@@ -71,7 +71,7 @@
 pub struct Seat(Rc<Set>, Direction);
 
 /// A connection's registration for eviction, withdrawn when dropped.
-pub struct Offer {
+pub struct EvictionHandle {
     set: Rc<Set>,
     key: (Rank, u64),
     evicted: Receiver<()>,
@@ -80,17 +80,17 @@
 impl Set {
     /// Creates an empty set for a process that may hold this many descriptors.
     pub fn new(descriptors: usize) -> Rc<Self> {
-        let (limit, third, open, accepted, next) = Default::default();
+        let (limit, client_limit, open, accepted, next) = Default::default();
         let set = Rc::new(Set {
             limit,
-            third,
+            client_limit,
             open,
             accepted,
             next,
-            offers: RefCell::default(),
+            evictable: RefCell::default(),
         });
         set.set_limit(descriptors);
-        set.third.set(descriptors / 3);
+        set.client_limit.set(descriptors / 3);
         set
     }
 
@@ -146,24 +146,26 @@
 
     /// Evicts the connection of the lowest rank, up to `rank`. Returns false if there is none.
     pub fn evict_up_to(&self, rank: Rank) -> bool {
-        let mut offers = self.offers.borrow_mut();
-        let first = offers.first_entry().filter(|first| first.key().0 <= rank);
+        let mut evictable = self.evictable.borrow_mut();
+        let first = evictable
+            .first_entry()
+            .filter(|first| first.key().0 <= rank);
         first.is_some_and(|first| first.remove().evict.try_send(()).is_ok())
     }
 
     /// Evicts one connection if accepted connections use more than three quarters of the descriptors that clients may hold,
     /// as an idle one could keep another client from connecting. A connection that was just accepted stays, and so does one
     /// that has just received its answer: where clients queue for connections, the next job is already on its way on it.
-    pub fn thin_out(&self, now: Instant) {
-        if self.accepted.get() <= self.third.get() * THIN_OUT_FROM.0 / THIN_OUT_FROM.1
+    pub fn evict_if_crowded(&self, now: Instant) {
+        if self.accepted.get() <= self.client_limit.get() * CROWDED_ABOVE.0 / CROWDED_ABOVE.1
             || self.evict_up_to(Rank::PartialMessage)
         {
             return;
         }
-        let mut offers = self.offers.borrow_mut();
+        let mut evictable = self.evictable.borrow_mut();
         // The first of a rank is the oldest: if it has not been idle for long enough, none of that rank has.
         let idle_long_enough = |rank| {
-            let first = offers
+            let first = evictable
                 .range((rank, 0)..)
                 .next()
                 .filter(|(key, _)| key.0 == rank);
@@ -173,46 +175,49 @@
         };
         let chosen = idle_long_enough(Rank::Once).or_else(|| idle_long_enough(Rank::Used));
         let _ = chosen
-            .and_then(|key| offers.remove(&key))
-            .map(|offered| offered.evict.try_send(()));
+            .and_then(|key| evictable.remove(&key))
+            .map(|entry| entry.evict.try_send(()));
     }
 
     /// Evicts all idle connections except those whose first message is or may be on its way, those that are already closing,
     /// and, if `jobs` is set because jobs are open, those of job workers.
     pub fn evict_idle(&self, jobs: bool) {
-        self.offers.borrow_mut().retain(|(rank, _), offered| {
+        self.evictable.borrow_mut().retain(|(rank, _), entry| {
             let stays = matches!(rank, Rank::Fresh | Rank::PartialMessage | Rank::Closing)
                 || (jobs && *rank == Rank::Worker);
-            stays || offered.evict.try_send(()).is_err()
+            stays || entry.evict.try_send(()).is_err()
         });
     }
 
     /// The number of connections that have received their last answer and are closing.
     pub fn closing(&self) -> usize {
-        self.offers.borrow().range(..(Rank::NothingSent, 0)).count()
+        self.evictable
+            .borrow()
+            .range(..(Rank::NothingSent, 0))
+            .count()
     }
 
     /// Evicts the connections of clients that have been idle for at least this long.
     pub fn evict_idle_clients(&self, idle: Duration) {
-        self.offers.borrow_mut().retain(|_, offered| {
-            let chosen = offered.client && offered.since.elapsed() >= idle;
-            !chosen || offered.evict.try_send(()).is_err()
+        self.evictable.borrow_mut().retain(|_, entry| {
+            let chosen = entry.client && entry.since.elapsed() >= idle;
+            !chosen || entry.evict.try_send(()).is_err()
         });
     }
 
     /// Registers a connection that may be evicted, until the returned value is dropped.
-    pub fn offer(self: &Rc<Self>, rank: Rank, client: bool) -> Offer {
+    pub fn register_evictable(self: &Rc<Self>, rank: Rank, client: bool) -> EvictionHandle {
         let (evict, evicted) = bounded(1);
         let key = (rank, self.next.replace(self.next.get() + 1));
-        self.offers.borrow_mut().insert(
+        self.evictable.borrow_mut().insert(
             key,
-            Offered {
+            EvictionEntry {
                 evict,
                 client,
                 since: Instant::now(),
             },
         );
-        Offer {
+        EvictionHandle {
             set: self.clone(),
             key,
             evicted,
@@ -225,7 +230,7 @@
     }
 }
 
-impl Offer {
+impl EvictionHandle {
     /// Returns once the connection is evicted; its owner must then close it.
     pub async fn evicted(&self) {
         if self.evicted.recv().await.is_err() {
@@ -234,9 +239,9 @@
     }
 }
 
-impl Drop for Offer {
+impl Drop for EvictionHandle {
     fn drop(&mut self) {
-        self.set.offers.borrow_mut().remove(&self.key);
+        self.set.evictable.borrow_mut().remove(&self.key);
     }
 }
 
--- a/crates/indigofold/src/net/set/tests.rs
+++ b/crates/indigofold/src/net/set/tests.rs
@@ -15,7 +15,7 @@
         Rank::Once,
         Rank::NothingSent,
     ];
-    let offers = ranks.map(|rank| set.offer(rank, false));
+    let offers = ranks.map(|rank| set.register_evictable(rank, false));
     let mut evicted_order: Vec<usize> = Vec::new();
     while set.evict_one() {
         let evicted = |n: &usize| !evicted_order.contains(n) && offers[*n].evicted.len() == 1;
@@ -26,13 +26,13 @@
         );
     }
     assert_eq!(evicted_order, [5, 3, 2, 4, 1, 0]);
-    let _used = set.offer(Rank::Used, false);
+    let _used = set.register_evictable(Rank::Used, false);
     assert!(!set.evict_up_to(Rank::PartialMessage));
 }
 
 /// Guards against clients whose idle connections keep other clients from connecting.
 #[test]
-fn idle_connections_are_evicted_before_clients_use_up_their_third() {
+fn idle_connections_are_evicted_before_clients_reach_their_limit() {
     let set = Set::new(120);
     let seats: Vec<Seat> = (0..30)
         .filter_map(|_| set.seat(Direction::Inbound))
@@ -40,11 +40,11 @@
     let _dialled: Vec<Seat> = (0..30)
         .filter_map(|_| set.seat(Direction::Outbound))
         .collect();
-    let offers =
-        [Rank::Fresh, Rank::Used, Rank::Used, Rank::Once].map(|rank| set.offer(rank, false));
+    let offers = [Rank::Fresh, Rank::Used, Rank::Used, Rank::Once]
+        .map(|rank| set.register_evictable(rank, false));
     let evicted = || offers.each_ref().map(|o| o.evicted.len());
     let later = Instant::now() + IDLE_BEFORE_EVICTION;
-    set.thin_out(later);
+    set.evict_if_crowded(later);
     assert_eq!(
         (seats.len(), evicted()),
         (30, [0; 4]),
@@ -52,17 +52,17 @@
     );
     let more = set.seat(Direction::Inbound);
     // Guards against a job that is lost because the connection is closed right after the answer to the previous job.
-    set.thin_out(Instant::now());
+    set.evict_if_crowded(Instant::now());
     assert_eq!(
         evicted(),
         [0; 4],
         "connections that have just become idle must stay"
     );
-    set.thin_out(later);
-    set.thin_out(later);
+    set.evict_if_crowded(later);
+    set.evict_if_crowded(later);
     assert_eq!(evicted(), [0, 1, 0, 1]);
     drop(more);
-    set.thin_out(later);
+    set.evict_if_crowded(later);
     assert_eq!(evicted(), [0, 1, 0, 1]);
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn a_drain_evicts_idle_clients() {
     let set = Set::new(64);
-    let offers = [false, true].map(|client| set.offer(Rank::Used, client));
+    let offers = [false, true].map(|client| set.register_evictable(Rank::Used, client));
     set.evict_idle_clients(Duration::from_secs(60));
     assert_eq!(offers.each_ref().map(|o| o.evicted.len()), [0, 0]);
     set.evict_idle_clients(Duration::ZERO);
--- a/crates/indigofold/src/program.rs
+++ b/crates/indigofold/src/program.rs
@@ -10,7 +10,7 @@
 use crate::front::Lifecycle;
 use crate::front::faktory::{Faktory, serve};
 use crate::front::platform::{Platform, clients};
-use crate::handover::{self, Handover, Inherited, Named};
+use crate::handover::{self, Handover, Inherited, NamedListener};
 use crate::net::{Net, log};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
@@ -46,7 +46,7 @@
     let path = configuration
         .platform
         .as_ref()
-        .and_then(|config| handover::path(&config.listen));
+        .and_then(|config| handover::socket_path(&config.listen));
     let (mut old, mut fronts) = (None, Fronts::default());
     let platform = match configuration.platform {
         Some(config) => Some(
@@ -155,7 +155,7 @@
 /// The fronts that were started: their listeners, and the queries that the shutdown needs.
 #[derive(Default)]
 struct Fronts {
-    listeners: Vec<Named>,
+    listeners: Vec<NamedListener>,
     accepts: Vec<Accept>,
     open_jobs: Vec<Box<dyn Fn() -> usize>>,
     longest_deadlines: Vec<Box<dyn Fn() -> Time>>,
--- a/crates/indigofold/src/program/listeners.rs
+++ b/crates/indigofold/src/program/listeners.rs
@@ -36,7 +36,7 @@
     address: &str,
     old: &mut Option<Inherited>,
 ) -> Result<Rc<Async<TcpListener>>, Box<dyn Error>> {
-    let begin = Instant::now();
+    let started = Instant::now();
     loop {
         if let Some(path) = path {
             *old = handover::request_listeners(path).await;
@@ -52,7 +52,7 @@
             Err(e)
                 if e.kind() == ErrorKind::AddrInUse
                     && path.is_some()
-                    && begin.elapsed() < LISTEN_TIMEOUT =>
+                    && started.elapsed() < LISTEN_TIMEOUT =>
             {
                 Timer::after(RETRY_INTERVAL).await;
             }
--- a/crates/indigofold/src/program/reload.rs
+++ b/crates/indigofold/src/program/reload.rs
@@ -33,8 +33,8 @@
     let path = std::env::var_os("GW_CONFIG").unwrap_or_default();
     let text = std::fs::read(path).map_err(|e| e.to_string())?;
     let new = used.reread(text).map_err(|e| e.to_string())?;
-    let discovery = new.in_file.parse::<SocketAddr>();
-    let discovery = discovery.map_err(|e| format!("discovery {:?}: {e}", new.in_file))?;
+    let discovery = new.discovery_in_file.parse::<SocketAddr>();
+    let discovery = discovery.map_err(|e| format!("discovery {:?}: {e}", new.discovery_in_file))?;
     Ok((discovery, new))
 }
 
@@ -51,7 +51,7 @@
         settings.classes.len(),
         settings.limits.attempts
     ));
-    if new.in_file == used.in_file {
+    if new.discovery_in_file == used.discovery_in_file {
         log("reload: discovery is where it was");
     } else {
         front.move_discovery(discovery).await;
--- a/crates/indigofold/src/program/shutdown.rs
+++ b/crates/indigofold/src/program/shutdown.rs
@@ -33,8 +33,9 @@
         ..
     } = shared;
     log_state("stop", shared, fronts);
-    let (from, begin) = (clock.now(), Instant::now());
-    let (close_after, answer_by) = moments(Duration::from_micros(fronts.longest_deadline()));
+    let (from, signalled) = (clock.now(), Instant::now());
+    let (close_after, answer_by) =
+        close_and_answer_times(Duration::from_micros(fronts.longest_deadline()));
     lifecycle.stopping.set(true);
     lifecycle
         .answer_deadline
@@ -47,7 +48,7 @@
         let superseded = lifecycle.superseded.get();
         let since_job = || clock.now().saturating_sub(lifecycle.last_job.get());
         let quiet = !superseded && fronts.open_jobs() == 0 && since_job() > QUIET_FOR_US;
-        if (begin.elapsed() > close_after || quiet) && !lifecycle.closing.replace(true) {
+        if (signalled.elapsed() > close_after || quiet) && !lifecycle.closing.replace(true) {
             log_state("closing", shared, fronts);
         }
         if lifecycle.closing.get() {
@@ -57,7 +58,7 @@
         }
         // The program may end once no connection has a message in progress: every accepted job is then answered.
         let (accepted, closing) = (net.set.accepted(), net.set.closing());
-        let may_wait = superseded || begin.elapsed() < answer_by + CLOSE_TIMEOUT;
+        let may_wait = superseded || signalled.elapsed() < answer_by + CLOSE_TIMEOUT;
         if fronts.open_jobs() > 0 || (accepted > closing && may_wait) {
             idle_since = None;
             continue;
@@ -78,7 +79,7 @@
 }
 
 /// Computes, relative to the signal, when connections are closed and by when jobs that arrive later are answered.
-fn moments(longest: Duration) -> (Duration, Duration) {
+fn close_and_answer_times(longest: Duration) -> (Duration, Duration) {
     let killed = longest.min(MAX_COUNTED_DEADLINE) + KILL_GRACE;
     (
         killed
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -12,7 +12,7 @@
     RowOutsideListSnafu, SettingsSnafu, TickInBatchSnafu, WireSnafu,
 };
 pub use error::{LineError, WireError};
-use fields::{Fields, Parse, head};
+use fields::{Fields, Parse, excerpt};
 use instance::Instance;
 use snafu::{OptionExt, ResultExt, ensure};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,8 +36,8 @@
     line: u64,
     in_batch: bool,
     now: Time,
-    current: Option<u32>,
-    pending_list: Option<PendingMembership>,
+    current_instance: Option<u32>,
+    pending_membership: Option<PendingMembership>,
     reply: String,
     reply_for: Option<u32>,
     actions: Vec<Action>,
@@ -157,12 +157,15 @@
     fn message(&mut self, text: &str) -> Parse<Option<String>> {
         let name = text.split(' ').next().unwrap_or("");
         let Some((_, known)) = MESSAGES.iter().find(|(m, _)| *m == name) else {
-            self.warn(format!("unknown message '{}' skipped", head(name)));
+            self.warn(format!("unknown message '{}' skipped", excerpt(name)));
             return Ok(None);
         };
         let fields = Fields::new(text)?;
         if let Some(field) = fields.skip_unknown(known) {
-            self.warn(format!("{name}: unknown field '{}' skipped", head(field)));
+            self.warn(format!(
+                "{name}: unknown field '{}' skipped",
+                excerpt(field)
+            ));
         }
         if name == "TICK" {
             self.begin_batch(&fields)?;
@@ -170,7 +173,7 @@
         }
         ensure!(self.in_batch, OutsideBatchSnafu { message: name });
         ensure!(
-            self.pending_list.is_none() || name == "ROW",
+            self.pending_membership.is_none() || name == "ROW",
             RowExpectedSnafu { message: name }
         );
         match name {
@@ -179,7 +182,7 @@
                 self.reply.push_str("OK\n");
                 return Ok(Some(std::mem::take(&mut self.reply)));
             }
-            "INSTANCE" => self.current = Some(fields.small("who")?),
+            "INSTANCE" => self.current_instance = Some(fields.required_u32("who")?),
             _ => self.instance_message(&fields)?,
         }
         Ok(None)
@@ -187,7 +190,7 @@
 
     fn begin_batch(&mut self, fields: &Fields) -> Parse<()> {
         ensure!(!self.in_batch, TickInBatchSnafu);
-        let now = u64::try_from(fields.need_integer("wall")?).ok();
+        let now = u64::try_from(fields.required_integer("wall")?).ok();
         let now = now.context(OutOfRangeSnafu {
             message: fields.message,
             field: "wall",
@@ -195,7 +198,7 @@
         })?;
         self.now = self.now.max(now);
         self.in_batch = true;
-        self.current = None;
+        self.current_instance = None;
         self.reply_for = None;
         Ok(())
     }
@@ -203,7 +206,9 @@
     /// Handles a message for the instance that the batch named last.
     fn instance_message(&mut self, fields: &Fields) -> Parse<()> {
         let name = fields.message;
-        let who = self.current.context(NoInstanceSnafu { message: name })?;
+        let who = self
+            .current_instance
+            .context(NoInstanceSnafu { message: name })?;
         match name {
             "BOOT" => return self.boot(who, fields),
             "CRASH_NOW" => {
@@ -233,11 +238,11 @@
     }
 
     fn boot(&mut self, who: u32, fields: &Fields) -> Parse<()> {
-        let seed = fields.need("randomSeed")?;
+        let seed = fields.required("randomSeed")?;
         let seed =
             seed.parse::<i128>()
                 .map_err(|_| fields.invalid("randomSeed", "an integer", seed))? as u64;
-        let env = fields.need("env")?.as_bytes().to_vec();
+        let env = fields.required("env")?.as_bytes().to_vec();
         let site = Site::read(env).context(SettingsSnafu)?;
         self.instances
             .insert(who, Instance::new(site, seed, self.now));
@@ -246,7 +251,7 @@
 
     /// Begins a membership; if it has no rows, returns its event at once.
     fn begin_membership(&mut self, fields: &Fields) -> Parse<Option<Event>> {
-        let scope = match fields.need("scope")? {
+        let scope = match fields.required("scope")? {
             "D" => Scope::Delta,
             "F" => Scope::Full,
             "C" => Scope::Cached,
@@ -257,7 +262,7 @@
         };
         let (left, entries) = (fields.time("hosts")?, Vec::new());
         if left > 0 {
-            self.pending_list = Some(PendingMembership {
+            self.pending_membership = Some(PendingMembership {
                 scope,
                 left,
                 entries,
@@ -269,13 +274,16 @@
 
     /// Adds a row; the last row completes the membership and returns its event.
     fn add_row(&mut self, entry: Entry) -> Parse<Option<Event>> {
-        let pending = self.pending_list.as_mut().context(RowOutsideListSnafu)?;
+        let pending = self
+            .pending_membership
+            .as_mut()
+            .context(RowOutsideListSnafu)?;
         pending.entries.push(entry);
         pending.left -= 1;
         if pending.left > 0 {
             return Ok(None);
         }
-        Ok(self.pending_list.take().map(|l| Event::Membership {
+        Ok(self.pending_membership.take().map(|l| Event::Membership {
             scope: l.scope,
             entries: l.entries,
         }))
@@ -297,7 +305,7 @@
             self.reply_for = Some(who);
         }
         for action in self.actions.drain(..) {
-            instance.write(&action, &mut self.reply);
+            instance.write_action(&action, &mut self.reply);
         }
     }
 }
--- a/crates/indigofold/src/wire/error.rs
+++ b/crates/indigofold/src/wire/error.rs
@@ -1,6 +1,6 @@
 //! Errors in lines of the text protocol.
 
-use super::fields::head;
+use super::fields::excerpt;
 use crate::config::ConfigError;
 use snafu::Snafu;
 
@@ -46,7 +46,7 @@
         message: String,
     },
     /// A part of the line that is not of the form `name=value`.
-    #[snafu(display("{message}: expected name=value, got '{}'", head(got)))]
+    #[snafu(display("{message}: expected name=value, got '{}'", excerpt(got)))]
     NoPair {
         /// The name of the message.
         message: String,
@@ -62,7 +62,7 @@
         field: String,
     },
     /// A field's value is not allowed.
-    #[snafu(display("{message}: field '{field}' must be {allowed}, got '{}'", head(got)))]
+    #[snafu(display("{message}: field '{field}' must be {allowed}, got '{}'", excerpt(got)))]
     InvalidField {
         /// The name of the message.
         message: String,
--- a/crates/indigofold/src/wire/fields.rs
+++ b/crates/indigofold/src/wire/fields.rs
@@ -49,7 +49,7 @@
         self.pairs.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
     }
 
-    pub(super) fn need(&self, name: &str) -> Parse<&'a str> {
+    pub(super) fn required(&self, name: &str) -> Parse<&'a str> {
         self.text(name).context(MissingFieldSnafu {
             message: self.message,
             field: name,
@@ -87,13 +87,13 @@
         }
     }
 
-    pub(super) fn need_integer(&self, name: &str) -> Parse<i64> {
-        self.need(name)?;
+    pub(super) fn required_integer(&self, name: &str) -> Parse<i64> {
+        self.required(name)?;
         Ok(self.integer(name)?.unwrap_or(0))
     }
 
-    pub(super) fn small(&self, name: &str) -> Parse<u32> {
-        let value = u32::try_from(self.need_integer(name)?).ok();
+    pub(super) fn required_u32(&self, name: &str) -> Parse<u32> {
+        let value = u32::try_from(self.required_integer(name)?).ok();
         value.context(OutOfRangeSnafu {
             message: self.message,
             field: name,
@@ -117,6 +117,6 @@
     }
 }
 
-pub(super) fn head(text: &str) -> String {
+pub(super) fn excerpt(text: &str) -> String {
     text.chars().take(40).collect()
 }
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -40,11 +40,11 @@
 
     pub(super) fn entry(&mut self, f: &Fields) -> Parse<Entry> {
         Ok(Entry {
-            worker: f.small("worker")?,
+            worker: f.required_u32("worker")?,
             zone: self.site.zones.id(f.text("dc").unwrap_or("")),
             kind: self.site.kinds.id(f.text("machine").unwrap_or("")),
             cell: f.time("stripe")? as u32,
-            state: match f.need("stageState")? {
+            state: match f.required("stageState")? {
                 "active" => WorkerState::Active,
                 "leaving" => WorkerState::Draining,
                 "left" => WorkerState::Left,
@@ -75,8 +75,8 @@
         Ok(Some(load))
     }
 
-    fn known(&self, f: &Fields) -> Parse<Option<RequestId>> {
-        Ok(self.ids.get(f.need("requestId")?).copied())
+    fn request_id(&self, f: &Fields) -> Parse<Option<RequestId>> {
+        Ok(self.ids.get(f.required("requestId")?).copied())
     }
 
     /// Translates a message to an event; `None` if it has no event or refers to an unknown request.
@@ -84,28 +84,28 @@
         Ok(match f.message {
             "ACCEPT" => self.accept(f)?,
             "HEAD_RECEIVED" => {
-                let attempt = f.small("trial")?;
-                self.known(f)?
+                let attempt = f.required_u32("trial")?;
+                self.request_id(f)?
                     .map(|request| Event::Streaming { request, attempt })
             }
             "HINT_UPDATE" => self.hint(f)?,
             "RESOLVED" => self.resolved(f)?,
             "DROPPED" => {
-                let known = self.known(f)?;
+                let known = self.request_id(f)?;
                 if let Some(id) = known {
                     self.forget_if_closed(id, true, 0);
                 }
                 known.map(Event::RequestClosed)
             }
             "DUE" => {
-                let text = f.need("name")?;
+                let text = f.required("name")?;
                 let timer = text.parse::<u64>();
                 Some(Event::Timer(
                     timer.map_err(|_| f.invalid("name", "a whole number", text))?,
                 ))
             }
             "ECHO" => Some(Event::Probed {
-                worker: f.small("worker")?,
+                worker: f.required_u32("worker")?,
                 status: status(f)?,
                 load: self.load(f)?,
             }),
@@ -115,15 +115,15 @@
     }
 
     fn accept(&mut self, f: &Fields) -> Parse<Option<Event>> {
-        let name = f.need("requestId")?;
+        let name = f.required("requestId")?;
         let request = Request {
             id: self.next_request,
-            class: self.site.classes.id(f.need("type")?),
+            class: self.site.classes.id(f.required("type")?),
             tenant: match f.text("realm") {
                 Some(name) => self.site.tenants.id(name),
                 None => u32::MAX,
             },
-            left: f.need_integer("left")?.max(0) as Time,
+            left: f.required_integer("left")?.max(0) as Time,
             estimate: f.integer("estimate")?.map(|v| v.max(0) as Time),
             slots: f.number("needs")?.unwrap_or(1.0),
             memory: f.number("mem")?.unwrap_or(0.0),
@@ -144,9 +144,9 @@
     }
 
     fn hint(&self, f: &Fields) -> Parse<Option<Event>> {
-        let attempt = f.small("trial")?;
-        let (what, level) = (f.need_integer("what")?, f.number("level")?);
-        Ok(self.known(f)?.and_then(|request| match what {
+        let attempt = f.required_u32("trial")?;
+        let (what, level) = (f.required_integer("what")?, f.number("level")?);
+        Ok(self.request_id(f)?.and_then(|request| match what {
             1 => Some(Event::Started { request, attempt }),
             2 => level.map(|done| Event::Progress {
                 request,
@@ -158,9 +158,9 @@
     }
 
     fn resolved(&mut self, f: &Fields) -> Parse<Option<Event>> {
-        let (attempt, status, closed) = (f.small("trial")?, status(f)?, f.flag("over"));
+        let (attempt, status, closed) = (f.required_u32("trial")?, status(f)?, f.flag("over"));
         let load = self.load(f)?;
-        let known = self.known(f)?;
+        let known = self.request_id(f)?;
         if let Some(id) = known {
             self.forget_if_closed(id, closed, 1);
         }
@@ -190,7 +190,7 @@
 
     /// Appends an action of the module to the reply as a line of the protocol.
     #[allow(clippy::too_many_lines, reason = "an arm for each action")]
-    pub(super) fn write(&mut self, action: &Action, out: &mut String) {
+    pub(super) fn write_action(&mut self, action: &Action, out: &mut String) {
         let name = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let _ = match action {
             Action::Send {
@@ -280,7 +280,7 @@
 
 /// Decodes the slots in flight of another scheduler: five bytes per worker, its id (little-endian) and the slots.
 fn peer_event(f: &Fields) -> Parse<Event> {
-    let bytes = match f.need("content")? {
+    let bytes = match f.required("content")? {
         "-" => Vec::new(),
         text => STANDARD
             .decode(text)
@@ -289,13 +289,13 @@
     let entry = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), b[4]);
     let in_flight = bytes.chunks_exact(5).map(entry).collect();
     Ok(Event::Peer {
-        from: f.small("originPeer")?,
+        from: f.required_u32("originPeer")?,
         in_flight,
     })
 }
 
 fn status(f: &Fields) -> Parse<Status> {
-    Ok(match f.need("result")? {
+    Ok(match f.required("result")? {
         "S" => Status::Ok,
         "E" => Status::Error,
         "F" => Status::Full,
