--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -22,7 +22,7 @@
 /// The id of one attempt to run a job on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The job.
+    /// The job that the attempt belongs to.
     pub job: JobId,
     /// The position among the attempts of this job, counted from 0.
     pub number: u32,
@@ -143,7 +143,7 @@
 pub trait Transport {
     /// Sends an attempt to its machine. [`CoreInput::Ended`] follows once.
     fn send(&self, attempt: Attempt) -> bool;
-    /// Stops waiting for an attempt.
+    /// Gives up an attempt. The result says whether further input follows for it.
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp;
     /// Probes a machine for its load. [`CoreInput::Probed`] follows.
     fn probe(&self, machine: WorkerId) -> bool;
--- a/crates/indigofold/src/config/discovery.rs
+++ b/crates/indigofold/src/config/discovery.rs
@@ -29,7 +29,7 @@
     /// The zone that it is in.
     #[serde(default)]
     pub site: String,
-    /// The kind of machine, which decides what classes of jobs it can run.
+    /// The kind of machine; a class of jobs can be bound to one kind.
     #[serde(default)]
     pub class: String,
     /// The cell: the machines in it drop repeats of keyed jobs for each other.
--- a/crates/indigofold/src/config/faktory.rs
+++ b/crates/indigofold/src/config/faktory.rs
@@ -16,7 +16,7 @@
     pub wids: Vec<String>,
     /// The zone that it is in.
     pub zone: String,
-    /// The kind of machine, which decides what classes of jobs it can run.
+    /// The kind of machine; a class of jobs can be bound to one kind.
     pub kind: String,
     /// The cell: the machines in it drop repeats of keyed jobs for each other.
     #[serde(default)]
--- a/crates/indigofold/src/handover.rs
+++ b/crates/indigofold/src/handover.rs
@@ -278,7 +278,7 @@
     }
 
     /// Handles the link of a new process: passes the listeners on, then exchanges messages until the link ends. If the new
-    /// process ends while this one is not shutting down, this one serves again.
+    /// process ends after it has begun to serve, and this one is not shutting down, this one serves again.
     async fn serve_successor(self: Rc<Self>, link: Async<UnixStream>) {
         let hello = async {
             read_frame(&link, &mut VecDeque::new())
--- a/crates/indigofold/src/net/set.rs
+++ b/crates/indigofold/src/net/set.rs
@@ -8,7 +8,8 @@
 
 /// Descriptors reserved for everything outside the set: listeners, poller, timer, signals, log, admin calls.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Descriptors that only dialled connections may use, at most; accepted connections with reports may use half of them.
+/// Maximum number of descriptors kept for dialled connections. Accepted connections that may carry reports can use half of
+/// them.
 const OUTBOUND_DESCRIPTORS: usize = 128;
 
 /// Fraction of the clients' third of the descriptors above which idle connections are closed.
