--- a/crates/core/tests/replacement.rs
+++ b/crates/core/tests/replacement.rs
@@ -42,7 +42,7 @@
     starts: BTreeMap<(Time, u64), (u64, u32)>,
     now: Time,
     next: u64,
-    faults: Vec<String>,
+    violations: Vec<String>,
     duplicates: bool,
 }
 
@@ -73,38 +73,38 @@
         let trace = world.trace_by_id[&attempt.id.job];
         world.next += 1;
         let next = world.next;
-        let mut faults = Vec::new();
+        let mut violations = Vec::new();
         let job = world
             .jobs
             .get_mut(&trace)
             .expect("the simulation has no such job");
         if !job.in_flight.is_empty() && !duplicates {
-            faults.push(format!(
+            violations.push(format!(
                 "job {trace}: a second attempt is sent while one is in flight"
             ));
         }
         if job.in_flight.contains(&attempt.machine) {
-            faults.push(format!(
+            violations.push(format!(
                 "job {trace}: two attempts at the same worker {}",
                 attempt.machine
             ));
         }
         if attempt.id.number != job.attempts {
-            faults.push(format!(
+            violations.push(format!(
                 "job {trace}: attempt number {} after {} attempts",
                 attempt.id.number, job.attempts
             ));
         }
         if job.attempts >= 4 || (job.class == 2 && job.may_have_run > 0) || !job.answers.is_empty()
         {
-            faults.push(format!(
+            violations.push(format!(
                 "job {trace}, class {}: attempt {} is not allowed",
                 job.class, job.attempts
             ));
         }
         job.attempts += 1;
         if fate >= 97 {
-            world.faults.extend(faults);
+            world.violations.extend(violations);
             return false; // the worker does not accept the attempt
         }
         job.in_flight.push(attempt.machine);
@@ -132,7 +132,7 @@
                 .attempt_ends
                 .insert((at, next), (trace, number, status, attempt.machine));
         }
-        world.faults.extend(faults);
+        world.violations.extend(violations);
         true
     }
 
@@ -204,7 +204,7 @@
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
-fn play(seed: u64, duplicates: bool, replacements: u64) -> (World, u32) {
+fn simulate(seed: u64, duplicates: bool, replacements: u64) -> (World, u32) {
     let mut settings = indigofold_decisions_testing::settings();
     settings.dispatchers = 300;
     settings.limits.duplicates = duplicates;
@@ -218,8 +218,8 @@
     };
     let (begin, end, last) = (100 * SEC, 106 * SEC, 113 * SEC);
     let mut now = begin;
-    let mut engine_now = engine(&settings, now, seed);
-    engine_now.handle_input(now, membership(now), &simulation);
+    let mut current_engine = engine(&settings, now, seed);
+    current_engine.handle_input(now, membership(now), &simulation);
     let (mut next_job, mut arrival, mut trace, mut migrated) = (1u64, begin, 0u64, 0u32);
     let mut replaced = 0;
     while now < last {
@@ -246,7 +246,7 @@
                 .borrow_mut()
                 .trace_by_id
                 .insert(next_job, trace);
-            engine_now.handle_input(
+            current_engine.handle_input(
                 now,
                 CoreInput::Job(request, now + left, Reply::Transport),
                 &simulation,
@@ -262,7 +262,7 @@
         };
         for (trace, attempt) in starts {
             let job = simulation.world.borrow().jobs[&trace].id;
-            engine_now.handle_input(
+            current_engine.handle_input(
                 now,
                 CoreInput::Started(AttemptId {
                     job,
@@ -288,7 +288,7 @@
                 job.in_flight.retain(|w| *w != worker);
                 job.id
             };
-            engine_now.handle_input(
+            current_engine.handle_input(
                 now,
                 CoreInput::Ended(
                     AttemptId {
@@ -301,7 +301,7 @@
                 &simulation,
             );
         }
-        engine_now.step(now, &simulation);
+        current_engine.step(now, &simulation);
         // Starts the next process: it receives the statistics and every open job that can be released now, the rest later.
         if replaced < replacements
             && now >= begin + (replaced + 1) * (end - begin) / (replacements + 1)
@@ -310,7 +310,7 @@
             let mut new = engine(&settings, now, seed ^ replaced);
             new.handle_input(now, membership(now), &simulation);
             let (to, from) = async_channel::bounded(1);
-            engine_now.handle_input(
+            current_engine.handle_input(
                 now,
                 CoreInput::ReadStatistics(to, StatisticsScope::ExceptInFlight),
                 &simulation,
@@ -332,14 +332,14 @@
                     .collect()
             };
             // Jobs migrate now if the module has no unhandled events; the others are retried later, as the front does.
-            let mut stay = open;
+            let mut unreleased = open;
             for _ in 0..10 {
                 now += 2 * MS;
                 simulation.world.borrow_mut().now = now;
-                engine_now.step(now, &simulation);
-                stay.retain(|(trace, id)| {
+                current_engine.step(now, &simulation);
+                unreleased.retain(|(trace, id)| {
                     let (to, from) = async_channel::bounded(1);
-                    engine_now.handle_input(now, CoreInput::Release(*id, to), &simulation);
+                    current_engine.handle_input(now, CoreInput::Release(*id, to), &simulation);
                     let Some(released) = from.try_recv().expect("the engine must reply at once")
                     else {
                         return true;
@@ -364,21 +364,25 @@
                 });
             }
             assert_eq!(
-                engine_now.jobs(),
+                current_engine.jobs(),
                 0,
                 "the old process has nothing left to answer"
             );
-            engine_now = new;
+            current_engine = new;
         }
         now += 2 * MS;
     }
-    assert_eq!(engine_now.jobs(), 0, "jobs are left unanswered at the end");
+    assert_eq!(
+        current_engine.jobs(),
+        0,
+        "jobs are left unanswered at the end"
+    );
     (simulation.world.into_inner(), migrated)
 }
 
 fn check(world: &World) -> Result<(), String> {
-    if let Some(fault) = world.faults.first() {
-        return Err(fault.clone());
+    if let Some(violation) = world.violations.first() {
+        return Err(violation.clone());
     }
     for (trace, job) in &world.jobs {
         let [(at, answer)] = job.answers[..] else {
@@ -406,8 +410,8 @@
 fn replacing_three_hundred_schedulers_loses_and_duplicates_no_job() {
     let (mut jobs, mut migrated, mut twice) = (0, 0, 0);
     for seed in 0..300 {
-        let (world, went) = play(seed, seed % 2 == 0, 3);
-        check(&world).unwrap_or_else(|fault| panic!("scheduler {seed}: {fault}"));
+        let (world, went) = simulate(seed, seed % 2 == 0, 3);
+        check(&world).unwrap_or_else(|violation| panic!("scheduler {seed}: {violation}"));
         (jobs, migrated) = (jobs + world.jobs.len(), migrated + went);
         twice += world.jobs.values().filter(|j| j.migrations > 1).count();
     }
@@ -422,7 +426,7 @@
 fn replacements_do_not_reduce_the_served_share() {
     let served = |replacements: u64| {
         let of = |seed: u64| {
-            let (world, _) = play(seed, true, replacements);
+            let (world, _) = simulate(seed, true, replacements);
             let served = |j: &&JobHistory| matches!(j.answers[..], [(_, Answer::Served)]);
             (world.jobs.values().filter(served).count(), world.jobs.len())
         };
@@ -472,7 +476,7 @@
     assert_eq!(
         engine.jobs(),
         1,
-        "the job must stay in the engine that was asked to release it"
+        "the job must unreleased in the engine that was asked to release it"
     );
     assert!(release(&mut engine));
     assert_eq!(engine.jobs(), 0);
@@ -483,7 +487,7 @@
     /// Any number of replacements, at any interval.
     #[test]
     fn any_sequence_of_replacements_keeps_the_invariants(seed in any::<u64>(), duplicates: bool, replacements in 1u64..60) {
-        let (world, _) = play(seed, duplicates, replacements);
+        let (world, _) = simulate(seed, duplicates, replacements);
         prop_assert_eq!(check(&world), Ok(()));
     }
 }
