--- a/crates/core/tests/replacement.rs
+++ b/crates/core/tests/replacement.rs
@@ -1,5 +1,5 @@
-//! Replacements of many schedulers in virtual time: each has an engine that is replaced, again and again, while its jobs
-//! are open, with workers that fail, lose jobs and fall silent. What must hold always is checked over all of them.
+//! Simulated replacements of schedulers in virtual time: each scheduler's engine is replaced several times while jobs are
+//! open, and workers fail, lose jobs or stop responding. The invariants are checked over all schedulers.
 
 use indigofold_core::engine::Engine;
 use indigofold_core::{
@@ -18,31 +18,31 @@
 const SEC: Time = 1_000_000;
 const WORKERS: u32 = 12;
 
-/// What a job has been through, whichever process had it.
+/// The history of a job over all processes that had it.
 #[derive(Default)]
 struct JobHistory {
     class: ClassId,
     until: Time,
     answers: Vec<(Time, Answer)>,
-    /// Attempts out now, by worker; and those that may have run.
-    out: Vec<WorkerId>,
+    /// The workers of the attempts in flight, one entry per attempt.
+    in_flight: Vec<WorkerId>,
     may_have_run: u32,
     attempts: u32,
-    /// Its number in the process that has it.
+    /// The job's id in the process that has it at present.
     id: JobId,
     migrations: u32,
 }
 
-/// The world of one scheduler: its jobs, and what happens to their attempts.
+/// The simulated environment of one scheduler: its jobs and the scheduled outcomes of their attempts.
 #[derive(Default)]
 struct World {
     jobs: BTreeMap<u64, JobHistory>, // by the client's id
-    of: BTreeMap<JobId, u64>,
-    happens: BTreeMap<(Time, u64), (u64, u32, Status, WorkerId)>, // an attempt's end
+    trace_by_id: BTreeMap<JobId, u64>,
+    attempt_ends: BTreeMap<(Time, u64), (u64, u32, Status, WorkerId)>, // by time and sequence number
     starts: BTreeMap<(Time, u64), (u64, u32)>,
     now: Time,
     next: u64,
-    faults: Vec<String>,
+    violations: Vec<String>,
     duplicates: bool,
 }
 
@@ -69,37 +69,45 @@
             1 + self.random(150),
         );
         let mut world = self.world.borrow_mut();
-        let (now, two) = (world.now, world.duplicates);
-        let trace = world.of[&attempt.id.job];
+        let (now, duplicates) = (world.now, world.duplicates);
+        let trace = world.trace_by_id[&attempt.id.job];
         world.next += 1;
         let next = world.next;
-        let mut faults = Vec::new();
-        let job = world.jobs.get_mut(&trace).expect("a job");
-        if !job.out.is_empty() && !two {
-            faults.push(format!("job {trace}: two attempts at once"));
+        let mut violations = Vec::new();
+        let job = world
+            .jobs
+            .get_mut(&trace)
+            .expect("the simulation has no such job");
+        if !job.in_flight.is_empty() && !duplicates {
+            violations.push(format!(
+                "job {trace}: a second attempt is sent while one is in flight"
+            ));
         }
-        if job.out.contains(&attempt.machine) {
-            faults.push(format!("job {trace}: twice at worker {}", attempt.machine));
+        if job.in_flight.contains(&attempt.machine) {
+            violations.push(format!(
+                "job {trace}: two attempts at the same worker {}",
+                attempt.machine
+            ));
         }
         if attempt.id.number != job.attempts {
-            faults.push(format!(
-                "job {trace}: attempt {} after {}",
+            violations.push(format!(
+                "job {trace}: attempt number {} after {} attempts",
                 attempt.id.number, job.attempts
             ));
         }
         if job.attempts >= 4 || (job.class == 2 && job.may_have_run > 0) || !job.answers.is_empty()
         {
-            faults.push(format!(
-                "job {trace}, class {}: attempt {} must not be",
+            violations.push(format!(
+                "job {trace}, class {}: attempt {} is not allowed",
                 job.class, job.attempts
             ));
         }
         job.attempts += 1;
         if fate >= 97 {
-            world.faults.extend(faults);
-            return false; // nobody takes the order
+            world.violations.extend(violations);
+            return false; // the worker does not accept the attempt
         }
-        job.out.push(attempt.machine);
+        job.in_flight.push(attempt.machine);
         job.may_have_run += 1;
         let end = now + (wait + takes) * MS;
         let (at, status) = match fate {
@@ -108,7 +116,7 @@
             80..85 => (end, Some(Status::Error)),
             85..90 => (end, Some(Status::Reset)),
             90..93 => (now + wait * MS, Some(Status::ConnectFailed)),
-            _ => (now, None), // silent
+            _ => (now, None), // the worker never responds
         };
         if matches!(status, Some(Status::Full | Status::ConnectFailed)) {
             job.may_have_run -= 1;
@@ -121,24 +129,24 @@
         }
         if let Some(status) = status {
             world
-                .happens
+                .attempt_ends
                 .insert((at, next), (trace, number, status, attempt.machine));
         }
-        world.faults.extend(faults);
+        world.violations.extend(violations);
         true
     }
 
     fn give_up(&self, attempt: AttemptId, machine: WorkerId) -> GivenUp {
         let mut world = self.world.borrow_mut();
-        let trace = world.of[&attempt.job];
+        let trace = world.trace_by_id[&attempt.job];
         world
             .jobs
             .get_mut(&trace)
-            .expect("a job")
-            .out
+            .expect("the simulation has no such job")
+            .in_flight
             .retain(|w| *w != machine);
         world
-            .happens
+            .attempt_ends
             .retain(|_, (t, number, _, _)| (*t, *number) != (trace, attempt.number));
         world
             .starts
@@ -155,11 +163,11 @@
     }
     fn answer(&self, job: JobId, answer: Answer) {
         let mut world = self.world.borrow_mut();
-        let (now, trace) = (world.now, world.of[&job]);
+        let (now, trace) = (world.now, world.trace_by_id[&job]);
         world
             .jobs
             .get_mut(&trace)
-            .expect("a job")
+            .expect("the simulation has no such job")
             .answers
             .push((now, answer));
     }
@@ -183,19 +191,20 @@
     let entries = (0..WORKERS).map(|n| Entry {
         zone: n % 2,
         cell: n % 4,
-        // Some have just started, whenever one asks.
+        // Some workers have always just started.
         ready_at: if n % 5 == 0 { now - SEC } else { 0 },
         ..indigofold_decisions_testing::entry(n, n % 3)
     });
     CoreInput::Membership(Scope::Full, entries.collect())
 }
 
-/// Plays one scheduler for some seconds, replaced so many times; returns its world and how many jobs went over.
+/// Simulates one scheduler for some seconds with this many replacements; returns its world and the number of jobs that
+/// migrated.
 #[allow(
     clippy::too_many_lines,
     reason = "one scenario, in the order in which it happens"
 )]
-fn play(seed: u64, duplicates: bool, replacements: u64) -> (World, u32) {
+fn simulate(seed: u64, duplicates: bool, replacements: u64) -> (World, u32) {
     let mut settings = indigofold_decisions_testing::settings();
     settings.dispatchers = 300;
     settings.limits.duplicates = duplicates;
@@ -209,8 +218,8 @@
     };
     let (begin, end, last) = (100 * SEC, 106 * SEC, 113 * SEC);
     let mut now = begin;
-    let mut engine_now = engine(&settings, now, seed);
-    engine_now.handle_input(now, membership(now), &simulation);
+    let mut current_engine = engine(&settings, now, seed);
+    current_engine.handle_input(now, membership(now), &simulation);
     let (mut next_job, mut arrival, mut trace, mut migrated) = (1u64, begin, 0u64, 0u32);
     let mut replaced = 0;
     while now < last {
@@ -232,8 +241,12 @@
             };
             trace += 1;
             simulation.world.borrow_mut().jobs.insert(trace, history);
-            simulation.world.borrow_mut().of.insert(next_job, trace);
-            engine_now.handle_input(
+            simulation
+                .world
+                .borrow_mut()
+                .trace_by_id
+                .insert(next_job, trace);
+            current_engine.handle_input(
                 now,
                 CoreInput::Job(request, now + left, Reply::Transport),
                 &simulation,
@@ -249,7 +262,7 @@
         };
         for (trace, attempt) in starts {
             let job = simulation.world.borrow().jobs[&trace].id;
-            engine_now.handle_input(
+            current_engine.handle_input(
                 now,
                 CoreInput::Started(AttemptId {
                     job,
@@ -260,19 +273,22 @@
         }
         let ends: Vec<_> = {
             let mut world = simulation.world.borrow_mut();
-            let later = world.happens.split_off(&(now + 1, 0));
-            std::mem::replace(&mut world.happens, later)
+            let later = world.attempt_ends.split_off(&(now + 1, 0));
+            std::mem::replace(&mut world.attempt_ends, later)
                 .into_values()
                 .collect()
         };
         for (trace, attempt, status, worker) in ends {
             let job = {
                 let mut world = simulation.world.borrow_mut();
-                let job = world.jobs.get_mut(&trace).expect("a job");
-                job.out.retain(|w| *w != worker);
+                let job = world
+                    .jobs
+                    .get_mut(&trace)
+                    .expect("the simulation has no such job");
+                job.in_flight.retain(|w| *w != worker);
                 job.id
             };
-            engine_now.handle_input(
+            current_engine.handle_input(
                 now,
                 CoreInput::Ended(
                     AttemptId {
@@ -285,8 +301,8 @@
                 &simulation,
             );
         }
-        engine_now.step(now, &simulation);
-        // The next process: it takes in what was learned, and every open job that can go now; the rest go later.
+        current_engine.step(now, &simulation);
+        // Starts the next process: it receives the statistics and every open job that can be released now, the rest later.
         if replaced < replacements
             && now >= begin + (replaced + 1) * (end - begin) / (replacements + 1)
         {
@@ -294,14 +310,16 @@
             let mut new = engine(&settings, now, seed ^ replaced);
             new.handle_input(now, membership(now), &simulation);
             let (to, from) = async_channel::bounded(1);
-            engine_now.handle_input(
+            current_engine.handle_input(
                 now,
                 CoreInput::ReadStatistics(to, StatisticsScope::ExceptInFlight),
                 &simulation,
             );
             new.handle_input(
                 now,
-                CoreInput::Statistics(Box::new(from.try_recv().expect("at once"))),
+                CoreInput::Statistics(Box::new(
+                    from.try_recv().expect("the engine must reply at once"),
+                )),
                 &simulation,
             );
             let open: Vec<(u64, JobId)> = {
@@ -313,23 +331,27 @@
                     .map(|j| (*j.0, j.1.id))
                     .collect()
             };
-            // Those go that the module has heard all of; the rest a moment later, as the front tries again.
-            let mut stay = open;
+            // Jobs migrate now if the module has no unhandled events; the others are retried later, as the front does.
+            let mut unreleased = open;
             for _ in 0..10 {
                 now += 2 * MS;
                 simulation.world.borrow_mut().now = now;
-                engine_now.step(now, &simulation);
-                stay.retain(|(trace, id)| {
+                current_engine.step(now, &simulation);
+                unreleased.retain(|(trace, id)| {
                     let (to, from) = async_channel::bounded(1);
-                    engine_now.handle_input(now, CoreInput::Release(*id, to), &simulation);
-                    let Some(released) = from.try_recv().expect("at once") else {
+                    current_engine.handle_input(now, CoreInput::Release(*id, to), &simulation);
+                    let Some(released) = from.try_recv().expect("the engine must reply at once")
+                    else {
                         return true;
                     };
                     {
                         let mut world = simulation.world.borrow_mut();
-                        let job = world.jobs.get_mut(trace).expect("a job");
+                        let job = world
+                            .jobs
+                            .get_mut(trace)
+                            .expect("the simulation has no such job");
                         (job.id, job.migrations) = (next_job, job.migrations + 1);
-                        world.of.insert(next_job, *trace);
+                        world.trace_by_id.insert(next_job, *trace);
                     }
                     let job = Box::new(released.job);
                     new.handle_input(
@@ -342,26 +364,30 @@
                 });
             }
             assert_eq!(
-                engine_now.jobs(),
+                current_engine.jobs(),
                 0,
                 "the old process has nothing left to answer"
             );
-            engine_now = new;
+            current_engine = new;
         }
         now += 2 * MS;
     }
-    assert_eq!(engine_now.jobs(), 0, "all is answered");
+    assert_eq!(
+        current_engine.jobs(),
+        0,
+        "jobs are left unanswered at the end"
+    );
     (simulation.world.into_inner(), migrated)
 }
 
 fn check(world: &World) -> Result<(), String> {
-    if let Some(fault) = world.faults.first() {
-        return Err(fault.clone());
+    if let Some(violation) = world.violations.first() {
+        return Err(violation.clone());
     }
     for (trace, job) in &world.jobs {
         let [(at, answer)] = job.answers[..] else {
             return Err(format!(
-                "job {trace}: {} answers after {} moves",
+                "job {trace}: {} answers after {} migrations",
                 job.answers.len(),
                 job.migrations
             ));
@@ -370,20 +396,22 @@
             return Err(format!("job {trace}: answered {} us late", at - job.until));
         }
         if matches!(answer, Answer::Rejected(_)) && job.class == 2 && job.may_have_run > 0 {
-            return Err(format!("job {trace}: refused, though it may have run"));
+            return Err(format!(
+                "job {trace}: rejected although an attempt may have run"
+            ));
         }
     }
     Ok(())
 }
 
-/// 300 schedulers, each replaced three times in six seconds of traffic: no job without its one answer in time, none
-/// repeated against its class, none out twice, whichever process it was in.
+/// Replaces each of 300 schedulers three times in six seconds of traffic. Guards against jobs that are lost, answered
+/// late or twice, rerun although their class forbids it, or in flight twice across processes.
 #[test]
 fn replacing_three_hundred_schedulers_loses_and_duplicates_no_job() {
     let (mut jobs, mut migrated, mut twice) = (0, 0, 0);
     for seed in 0..300 {
-        let (world, went) = play(seed, seed % 2 == 0, 3);
-        check(&world).unwrap_or_else(|fault| panic!("scheduler {seed}: {fault}"));
+        let (world, went) = simulate(seed, seed % 2 == 0, 3);
+        check(&world).unwrap_or_else(|violation| panic!("scheduler {seed}: {violation}"));
         (jobs, migrated) = (jobs + world.jobs.len(), migrated + went);
         twice += world.jobs.values().filter(|j| j.migrations > 1).count();
     }
@@ -393,12 +421,12 @@
     );
 }
 
-/// Being replaced must not cost service: of the same jobs about as many are served as without.
+/// Guards against replacements that reduce the share of served jobs, compared with the same jobs without replacement.
 #[test]
 fn replacements_do_not_reduce_the_served_share() {
     let served = |replacements: u64| {
         let of = |seed: u64| {
-            let (world, _) = play(seed, true, replacements);
+            let (world, _) = simulate(seed, true, replacements);
             let served = |j: &&JobHistory| matches!(j.answers[..], [(_, Answer::Served)]);
             (world.jobs.values().filter(served).count(), world.jobs.len())
         };
@@ -414,7 +442,7 @@
     );
 }
 
-/// Guards against a job that nobody has: its client left just as it was asked for, to be given away.
+/// Guards against a lost job: the requester of a release drops its receiver before the release is handled.
 #[test]
 fn a_job_whose_requester_has_gone_is_not_released() {
     let simulation = Simulation {
@@ -438,22 +466,28 @@
     let release = |engine: &mut Engine| {
         let (to, from) = async_channel::bounded(1);
         engine.handle_input(SEC, CoreInput::Release(1, to), &simulation);
-        from.try_recv().expect("at once").is_some()
+        from.try_recv()
+            .expect("the engine must reply at once")
+            .is_some()
     };
     let (to, from) = async_channel::bounded(1);
     drop(from);
     engine.handle_input(SEC, CoreInput::Release(1, to), &simulation);
-    assert_eq!(engine.jobs(), 1, "it is still here");
+    assert_eq!(
+        engine.jobs(),
+        1,
+        "the job must unreleased in the engine that was asked to release it"
+    );
     assert!(release(&mut engine));
     assert_eq!(engine.jobs(), 0);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
-    /// Any number of replacements, at any distance.
+    /// Any number of replacements, at any interval.
     #[test]
     fn any_sequence_of_replacements_keeps_the_invariants(seed in any::<u64>(), duplicates: bool, replacements in 1u64..60) {
-        let (world, _) = play(seed, duplicates, replacements);
+        let (world, _) = simulate(seed, duplicates, replacements);
         prop_assert_eq!(check(&world), Ok(()));
     }
 }
--- a/crates/indigofold/src/config/settings.rs
+++ b/crates/indigofold/src/config/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of the decision module, read from the settings object.
 
 use super::Parse;
-use super::error::{ClassSnafu, MissingSnafu, NoFlagSnafu};
+use super::error::{ClassSnafu, MissingSnafu, NotABooleanSnafu};
 use super::json::Json;
 use crate::api::{
     Charges, Class, Effect, Group, KindId, Limits, Reports, ResendBudget, Rules, Settings, Tenant,
@@ -10,7 +10,7 @@
 use simd_json::prelude::*;
 use snafu::{OptionExt, ResultExt};
 
-/// Reads the settings object; what a rule or a limit rests on must be there, the rest has defaults.
+/// Reads the settings object. Numbers that rules and limits depend on are required; the rest has defaults.
 pub(super) fn settings(env: Json<'_>, zone: ZoneId) -> Parse<Settings> {
     let domain = env.at("domain");
     let mut classes = Vec::new();
@@ -58,7 +58,7 @@
     })
 }
 
-/// The class at this position; what the domain says of it stands in lists by the same position.
+/// Reads the class at position `i`; the lists in `domain` have its other values at the same position.
 fn class(i: usize, c: Json<'_>, domain: Json<'_>) -> Parse<Class> {
     let stretch = domain
         .at("classStretch")
@@ -79,7 +79,7 @@
     })
 }
 
-/// What a second run of a class's job does.
+/// Reads the effect of a second run of a job of this class.
 fn effect(c: Json<'_>) -> Parse<Effect> {
     let groups = [
         ("all", Group::All),
@@ -137,23 +137,23 @@
         tip_multiple: rules.within("tipMultiple", 0.0, f64::INFINITY)?,
         tip_window: rules.time("overloadFor")?,
         resends: resend_budget(rules)?,
-        close_idle_within: rules.optional("letGoIn")?.map(|v| v as Time),
+        close_idle_within: rules.optional_number("letGoIn")?.map(|v| v as Time),
         full_may_have_run: match rules.at("fullMayHaveRun").0 {
             None => false,
-            Some(v) => v.as_bool().context(NoFlagSnafu {
+            Some(v) => v.as_bool().context(NotABooleanSnafu {
                 key: "rules.fullMayHaveRun",
             })?,
         },
     })
 }
 
-/// The budget of attempts. What is missing of one that is stated in part is read the strict way.
+/// Reads the retry budget; `None` if no part of it is set. If only a part is set, a missing number counts as 0.
 fn resend_budget(rules: Json<'_>) -> Parse<Option<ResendBudget>> {
     let (free, ratio) = (
-        rules.optional("freeResends")?,
-        rules.optional("resendRatio")?,
+        rules.optional_number("freeResends")?,
+        rules.optional_number("resendRatio")?,
     );
-    let window = rules.optional("countedOver")?.map(|v| v as Time);
+    let window = rules.optional_number("countedOver")?.map(|v| v as Time);
     let stated = free.is_some() || ratio.is_some() || window.is_some();
     let budget = ResendBudget {
         free: free.unwrap_or(0.0),
--- a/crates/indigofold/src/wire.rs
+++ b/crates/indigofold/src/wire.rs
@@ -1,7 +1,8 @@
-//! The text protocol of the adapter: lines to [`Event`]s, [`Action`]s to lines, names to ids. No decisions.
+//! The text protocol of the simulator's adapter: translates lines to [`Event`]s, [`Action`]s to lines and names to ids. It
+//! makes no decisions.
 //!
-//! A [`Session`] hosts any number of instances that share nothing. Feed it lines with [`Session::feed`]; at
-//! the end of each batch it returns the reply. Unknown messages, fields and settings are skipped, the first
+//! A [`Session`] hosts any number of independent instances. Pass it lines with [`Session::feed`]; at the end
+//! of each batch it returns the reply. Unknown messages, fields and settings are skipped, the first
 //! of each kind with a warning ([`Session::take_warnings`]); a known message that is malformed is a [`WireError`].
 
 use crate::api::{Action, Entry, Event, Scope, Time};
@@ -11,7 +12,7 @@
     RowOutsideListSnafu, SettingsSnafu, TickInBatchSnafu, WireSnafu,
 };
 pub use error::{LineError, WireError};
-use fields::{Fields, Parse, head};
+use fields::{Fields, Parse, excerpt};
 use instance::Instance;
 use snafu::{OptionExt, ResultExt, ensure};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,6 +22,7 @@
 mod fields;
 mod instance;
 
+/// A membership whose rows are still being read.
 struct PendingMembership {
     scope: Scope,
     left: u64,
@@ -34,8 +36,8 @@
     line: u64,
     in_batch: bool,
     now: Time,
-    current: Option<u32>,
-    pending_list: Option<PendingMembership>,
+    current_instance: Option<u32>,
+    pending_membership: Option<PendingMembership>,
     reply: String,
     reply_for: Option<u32>,
     actions: Vec<Action>,
@@ -43,7 +45,7 @@
     warned: BTreeSet<String>,
 }
 
-/// The known messages and their fields.
+/// The known messages, each with its known fields.
 const MESSAGES: &[(&str, &[&str])] = &[
     ("TICK", &["wall"]),
     ("EOB", &[]),
@@ -107,21 +109,21 @@
 ];
 
 impl Session {
-    /// A session without instances.
+    /// Creates a session without instances.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Warnings of what was skipped since the last call, for standard error.
+    /// Takes the warnings since the last call, about input that was skipped.
     pub fn take_warnings(&mut self) -> Vec<String> {
         std::mem::take(&mut self.warnings)
     }
 
-    /// Ends the session: input that stops inside a batch is an error.
+    /// Checks at the end of the input that no batch is incomplete.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the input stops inside a batch.
+    /// The input ended inside a batch.
     pub fn finish(&self) -> Result<(), WireError> {
         let end = if self.in_batch {
             EndInBatchSnafu.fail()
@@ -131,11 +133,11 @@
         end.context(WireSnafu { line: self.line })
     }
 
-    /// Takes one line (without its line break). Returns the reply when the line ends a batch.
+    /// Handles one line, without its line feed. Returns the reply if the line ends a batch.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the line is none of the wire, or none that may come here.
+    /// The line is malformed, or its message is not allowed at this point.
     pub fn feed(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.line += 1;
         let text = text.strip_suffix('\r').unwrap_or(text);
@@ -155,12 +157,15 @@
     fn message(&mut self, text: &str) -> Parse<Option<String>> {
         let name = text.split(' ').next().unwrap_or("");
         let Some((_, known)) = MESSAGES.iter().find(|(m, _)| *m == name) else {
-            self.warn(format!("unknown message '{}' skipped", head(name)));
+            self.warn(format!("unknown message '{}' skipped", excerpt(name)));
             return Ok(None);
         };
         let fields = Fields::new(text)?;
         if let Some(field) = fields.skip_unknown(known) {
-            self.warn(format!("{name}: unknown field '{}' skipped", head(field)));
+            self.warn(format!(
+                "{name}: unknown field '{}' skipped",
+                excerpt(field)
+            ));
         }
         if name == "TICK" {
             self.begin_batch(&fields)?;
@@ -168,7 +173,7 @@
         }
         ensure!(self.in_batch, OutsideBatchSnafu { message: name });
         ensure!(
-            self.pending_list.is_none() || name == "ROW",
+            self.pending_membership.is_none() || name == "ROW",
             RowExpectedSnafu { message: name }
         );
         match name {
@@ -177,7 +182,7 @@
                 self.reply.push_str("OK\n");
                 return Ok(Some(std::mem::take(&mut self.reply)));
             }
-            "INSTANCE" => self.current = Some(fields.small("who")?),
+            "INSTANCE" => self.current_instance = Some(fields.required_u32("who")?),
             _ => self.instance_message(&fields)?,
         }
         Ok(None)
@@ -185,7 +190,7 @@
 
     fn begin_batch(&mut self, fields: &Fields) -> Parse<()> {
         ensure!(!self.in_batch, TickInBatchSnafu);
-        let now = u64::try_from(fields.need_integer("wall")?).ok();
+        let now = u64::try_from(fields.required_integer("wall")?).ok();
         let now = now.context(OutOfRangeSnafu {
             message: fields.message,
             field: "wall",
@@ -193,15 +198,17 @@
         })?;
         self.now = self.now.max(now);
         self.in_batch = true;
-        self.current = None;
+        self.current_instance = None;
         self.reply_for = None;
         Ok(())
     }
 
-    /// A message for the instance that the batch has named last.
+    /// Handles a message for the instance that the batch named last.
     fn instance_message(&mut self, fields: &Fields) -> Parse<()> {
         let name = fields.message;
-        let who = self.current.context(NoInstanceSnafu { message: name })?;
+        let who = self
+            .current_instance
+            .context(NoInstanceSnafu { message: name })?;
         match name {
             "BOOT" => return self.boot(who, fields),
             "CRASH_NOW" => {
@@ -231,20 +238,20 @@
     }
 
     fn boot(&mut self, who: u32, fields: &Fields) -> Parse<()> {
-        let seed = fields.need("randomSeed")?;
+        let seed = fields.required("randomSeed")?;
         let seed =
             seed.parse::<i128>()
                 .map_err(|_| fields.invalid("randomSeed", "an integer", seed))? as u64;
-        let env = fields.need("env")?.as_bytes().to_vec();
+        let env = fields.required("env")?.as_bytes().to_vec();
         let site = Site::read(env).context(SettingsSnafu)?;
         self.instances
             .insert(who, Instance::new(site, seed, self.now));
         Ok(())
     }
 
-    /// Begins the rows of a membership; one without rows is an event at once.
+    /// Begins a membership; if it has no rows, returns its event at once.
     fn begin_membership(&mut self, fields: &Fields) -> Parse<Option<Event>> {
-        let scope = match fields.need("scope")? {
+        let scope = match fields.required("scope")? {
             "D" => Scope::Delta,
             "F" => Scope::Full,
             "C" => Scope::Cached,
@@ -255,7 +262,7 @@
         };
         let (left, entries) = (fields.time("hosts")?, Vec::new());
         if left > 0 {
-            self.pending_list = Some(PendingMembership {
+            self.pending_membership = Some(PendingMembership {
                 scope,
                 left,
                 entries,
@@ -265,21 +272,24 @@
         Ok(Some(Event::Membership { scope, entries }))
     }
 
-    /// Adds a row; the last one completes the membership.
+    /// Adds a row; the last row completes the membership and returns its event.
     fn add_row(&mut self, entry: Entry) -> Parse<Option<Event>> {
-        let pending = self.pending_list.as_mut().context(RowOutsideListSnafu)?;
+        let pending = self
+            .pending_membership
+            .as_mut()
+            .context(RowOutsideListSnafu)?;
         pending.entries.push(entry);
         pending.left -= 1;
         if pending.left > 0 {
             return Ok(None);
         }
-        Ok(self.pending_list.take().map(|l| Event::Membership {
+        Ok(self.pending_membership.take().map(|l| Event::Membership {
             scope: l.scope,
             entries: l.entries,
         }))
     }
 
-    /// Has an instance's module handle an event, and writes what it asks for.
+    /// Passes an event to an instance's module and appends its actions to the reply.
     fn handle_event(&mut self, who: u32, event: Event) {
         let Some(instance) = self.instances.get_mut(&who) else {
             return;
@@ -295,7 +305,7 @@
             self.reply_for = Some(who);
         }
         for action in self.actions.drain(..) {
-            instance.write(&action, &mut self.reply);
+            instance.write_action(&action, &mut self.reply);
         }
     }
 }
--- a/crates/indigofold/src/wire/fields.rs
+++ b/crates/indigofold/src/wire/fields.rs
@@ -1,11 +1,11 @@
-//! One line of the protocol, taken apart into its message and its fields.
+//! A line of the protocol, split into its message name and its fields.
 
 use super::error::{InvalidFieldSnafu, LineError, MissingFieldSnafu, NoPairSnafu, OutOfRangeSnafu};
 use crate::ids::Time;
 use smallvec::SmallVec;
 use snafu::{OptionExt, ensure};
 
-/// The fields of one line.
+/// The message name and the fields of one line.
 pub(super) struct Fields<'a> {
     pub(super) message: &'a str,
     pairs: SmallVec<[(&'a str, &'a str); 12]>,
@@ -31,7 +31,7 @@
                 NoPairSnafu { message, got: rest }
             );
             let (name, after) = (&rest[..end], &rest[end + 1..]);
-            // A text or object value runs to the end of the line.
+            // The values of `env` and `noteText` extend to the end of the line.
             let runs_on = name == "env" || name == "noteText";
             let stop = if runs_on {
                 None
@@ -49,14 +49,14 @@
         self.pairs.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
     }
 
-    pub(super) fn need(&self, name: &str) -> Parse<&'a str> {
+    pub(super) fn required(&self, name: &str) -> Parse<&'a str> {
         self.text(name).context(MissingFieldSnafu {
             message: self.message,
             field: name,
         })
     }
 
-    /// The error of a field whose value is none of those allowed.
+    /// Builds the error for a field whose value is not allowed.
     pub(super) fn invalid(&self, field: &str, allowed: &'static str, got: &str) -> LineError {
         InvalidFieldSnafu {
             message: self.message,
@@ -87,13 +87,13 @@
         }
     }
 
-    pub(super) fn need_integer(&self, name: &str) -> Parse<i64> {
-        self.need(name)?;
+    pub(super) fn required_integer(&self, name: &str) -> Parse<i64> {
+        self.required(name)?;
         Ok(self.integer(name)?.unwrap_or(0))
     }
 
-    pub(super) fn small(&self, name: &str) -> Parse<u32> {
-        let value = u32::try_from(self.need_integer(name)?).ok();
+    pub(super) fn required_u32(&self, name: &str) -> Parse<u32> {
+        let value = u32::try_from(self.required_integer(name)?).ok();
         value.context(OutOfRangeSnafu {
             message: self.message,
             field: name,
@@ -117,6 +117,6 @@
     }
 }
 
-pub(super) fn head(text: &str) -> String {
+pub(super) fn excerpt(text: &str) -> String {
     text.chars().take(40).collect()
 }
--- a/crates/indigofold/src/wire/instance.rs
+++ b/crates/indigofold/src/wire/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: lines to events, actions to lines, and the names of its requests.
+//! One instance: translates lines to events and actions to lines, and maps request names to ids.
 
 use super::fields::{Fields, Parse};
 use crate::api::{
@@ -11,13 +11,14 @@
 use rustc_hash::FxHashMap;
 use std::fmt::Write;
 
+/// A request that the simulator or the module may still refer to.
 struct KnownRequest {
     name: String,
     attempts_out: u32,
     closed: bool,
 }
 
-/// One scheduler that the adapter hosts: its module, and the names of what it handles.
+/// One scheduler that the adapter hosts: its decision module, its settings and its known requests.
 pub(super) struct Instance {
     pub(super) module: Module,
     site: Site,
@@ -39,11 +40,11 @@
 
     pub(super) fn entry(&mut self, f: &Fields) -> Parse<Entry> {
         Ok(Entry {
-            worker: f.small("worker")?,
+            worker: f.required_u32("worker")?,
             zone: self.site.zones.id(f.text("dc").unwrap_or("")),
             kind: self.site.kinds.id(f.text("machine").unwrap_or("")),
             cell: f.time("stripe")? as u32,
-            state: match f.need("stageState")? {
+            state: match f.required("stageState")? {
                 "active" => WorkerState::Active,
                 "leaving" => WorkerState::Draining,
                 "left" => WorkerState::Left,
@@ -74,37 +75,37 @@
         Ok(Some(load))
     }
 
-    fn known(&self, f: &Fields) -> Parse<Option<RequestId>> {
-        Ok(self.ids.get(f.need("requestId")?).copied())
+    fn request_id(&self, f: &Fields) -> Parse<Option<RequestId>> {
+        Ok(self.ids.get(f.required("requestId")?).copied())
     }
 
-    /// The module's event for a message; `None` where it has none, or is about a request that is not known.
+    /// Translates a message to an event; `None` if it has no event or refers to an unknown request.
     pub(super) fn event(&mut self, f: &Fields) -> Parse<Option<Event>> {
         Ok(match f.message {
             "ACCEPT" => self.accept(f)?,
             "HEAD_RECEIVED" => {
-                let attempt = f.small("trial")?;
-                self.known(f)?
+                let attempt = f.required_u32("trial")?;
+                self.request_id(f)?
                     .map(|request| Event::Streaming { request, attempt })
             }
             "HINT_UPDATE" => self.hint(f)?,
             "RESOLVED" => self.resolved(f)?,
             "DROPPED" => {
-                let known = self.known(f)?;
+                let known = self.request_id(f)?;
                 if let Some(id) = known {
                     self.forget_if_closed(id, true, 0);
                 }
                 known.map(Event::RequestClosed)
             }
             "DUE" => {
-                let text = f.need("name")?;
+                let text = f.required("name")?;
                 let timer = text.parse::<u64>();
                 Some(Event::Timer(
                     timer.map_err(|_| f.invalid("name", "a whole number", text))?,
                 ))
             }
             "ECHO" => Some(Event::Probed {
-                worker: f.small("worker")?,
+                worker: f.required_u32("worker")?,
                 status: status(f)?,
                 load: self.load(f)?,
             }),
@@ -114,15 +115,15 @@
     }
 
     fn accept(&mut self, f: &Fields) -> Parse<Option<Event>> {
-        let name = f.need("requestId")?;
+        let name = f.required("requestId")?;
         let request = Request {
             id: self.next_request,
-            class: self.site.classes.id(f.need("type")?),
+            class: self.site.classes.id(f.required("type")?),
             tenant: match f.text("realm") {
                 Some(name) => self.site.tenants.id(name),
                 None => u32::MAX,
             },
-            left: f.need_integer("left")?.max(0) as Time,
+            left: f.required_integer("left")?.max(0) as Time,
             estimate: f.integer("estimate")?.map(|v| v.max(0) as Time),
             slots: f.number("needs")?.unwrap_or(1.0),
             memory: f.number("mem")?.unwrap_or(0.0),
@@ -143,9 +144,9 @@
     }
 
     fn hint(&self, f: &Fields) -> Parse<Option<Event>> {
-        let attempt = f.small("trial")?;
-        let (what, level) = (f.need_integer("what")?, f.number("level")?);
-        Ok(self.known(f)?.and_then(|request| match what {
+        let attempt = f.required_u32("trial")?;
+        let (what, level) = (f.required_integer("what")?, f.number("level")?);
+        Ok(self.request_id(f)?.and_then(|request| match what {
             1 => Some(Event::Started { request, attempt }),
             2 => level.map(|done| Event::Progress {
                 request,
@@ -157,9 +158,9 @@
     }
 
     fn resolved(&mut self, f: &Fields) -> Parse<Option<Event>> {
-        let (attempt, status, closed) = (f.small("trial")?, status(f)?, f.flag("over"));
+        let (attempt, status, closed) = (f.required_u32("trial")?, status(f)?, f.flag("over"));
         let load = self.load(f)?;
-        let known = self.known(f)?;
+        let known = self.request_id(f)?;
         if let Some(id) = known {
             self.forget_if_closed(id, closed, 1);
         }
@@ -172,7 +173,8 @@
         }))
     }
 
-    /// Counts an outcome or a closing and forgets a request that can't be named again.
+    /// Takes `results` attempts off the request, notes whether it is closed, and removes it once it is closed and has no
+    /// attempts out, as no later message can name it.
     fn forget_if_closed(&mut self, id: RequestId, closed: bool, results: u32) {
         let Some(r) = self.requests.get_mut(&id) else {
             return;
@@ -186,9 +188,9 @@
         }
     }
 
-    /// Writes what the module asks for as lines of the protocol.
+    /// Appends an action of the module to the reply as a line of the protocol.
     #[allow(clippy::too_many_lines, reason = "an arm for each action")]
-    pub(super) fn write(&mut self, action: &Action, out: &mut String) {
+    pub(super) fn write_action(&mut self, action: &Action, out: &mut String) {
         let name = |id: &RequestId| self.requests.get(id).map_or("", |r| r.name.as_str());
         let _ = match action {
             Action::Send {
@@ -246,7 +248,7 @@
         self.count_action(action);
     }
 
-    /// Counts attempts that are out, and forgets a request that the module has answered.
+    /// Counts a sent attempt, or closes a request that the module has answered.
     fn count_action(&mut self, action: &Action) {
         match action {
             Action::Send { request, .. } => {
@@ -262,7 +264,7 @@
     }
 }
 
-/// Slots in flight for other schedulers, in the form that [`peer_event`] reads; at most 255 bytes of it.
+/// Encodes slots in flight for other schedulers in the form that [`peer_event`] reads, cut to 255 bytes before base64.
 fn peer_text(in_flight: &[(WorkerId, u8)]) -> String {
     let bytes: Vec<u8> = in_flight
         .iter()
@@ -276,9 +278,9 @@
     }
 }
 
-/// Slots in flight as another scheduler counts them: five bytes for each worker, its id (low byte first) and the slots.
+/// Decodes the slots in flight of another scheduler: five bytes per worker, its id (little-endian) and the slots.
 fn peer_event(f: &Fields) -> Parse<Event> {
-    let bytes = match f.need("content")? {
+    let bytes = match f.required("content")? {
         "-" => Vec::new(),
         text => STANDARD
             .decode(text)
@@ -287,13 +289,13 @@
     let entry = |b: &[u8]| (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), b[4]);
     let in_flight = bytes.chunks_exact(5).map(entry).collect();
     Ok(Event::Peer {
-        from: f.small("originPeer")?,
+        from: f.required_u32("originPeer")?,
         in_flight,
     })
 }
 
 fn status(f: &Fields) -> Parse<Status> {
-    Ok(match f.need("result")? {
+    Ok(match f.required("result")? {
         "S" => Status::Ok,
         "E" => Status::Error,
         "F" => Status::Full,
