--- a/crates/ctl/src/check_config.rs
+++ b/crates/ctl/src/check_config.rs
@@ -1,4 +1,4 @@
-//! `check-config`: checks an operator's configuration, or a patch of one, by the rules that the head applies.
+//! `check-config`: checks an operator's configuration, or a patch of one, with the same code as the head.
 
 use crate::files::{self, FileError};
 use crate::report::Report;
@@ -12,32 +12,32 @@
 /// Why a configuration cannot be checked.
 #[derive(Debug, Snafu)]
 pub enum CheckConfigError {
-    /// A file cannot be read.
+    /// The checked file or the current configuration cannot be read.
     #[snafu(transparent)]
     File {
-        /// Which, and why.
+        /// Names the file and gives the reason.
         source: FileError,
     },
-    /// The file is a patch, and the configuration that it changes is not given.
+    /// The file is a patch, and the configuration to apply it to is not given.
     #[snafu(display(
         "{}: this is a patch: --current FILE has to name what it changes",
         path.display()
     ))]
     PatchWithoutCurrent {
-        /// The patch.
+        /// Path of the patch.
         path: PathBuf,
     },
-    /// The current configuration is not valid.
+    /// The file given with `--current` is not a valid configuration.
     #[snafu(display("{}: {source}", path.display()))]
     Current {
-        /// Its file.
+        /// Path of the current configuration.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The rule that the current configuration breaks.
         source: ConfigError,
     },
 }
 
-/// The two kinds of file that are checked.
+/// Kind of a checked file.
 #[derive(Clone, Copy, Debug)]
 enum Kind {
     /// The body of a `PUT /config`.
@@ -55,12 +55,13 @@
     }
 }
 
-/// Checks the file; `current` is the configuration that it would follow.
+/// Checks the configuration or patch in the file `path`. `current` is the file of the configuration in force: the
+/// checked one must have a higher version, and a patch is applied to it.
 ///
 /// # Errors
 ///
-/// [`CheckConfigError`] if a file cannot be read or `current` is not a configuration. What is wrong with the checked file
-/// is in the report.
+/// [`CheckConfigError`] if a file cannot be read, `current` is not a valid configuration, or a patch is given without
+/// `current`. Problems of the checked file are findings of the report.
 pub fn run(path: &Path, current: Option<&Path>) -> Result<Report, CheckConfigError> {
     let bytes = files::read(path)?;
     let current = current.map(read_current).transpose()?;
@@ -78,7 +79,8 @@
     parse_config(&bytes).context(CurrentSnafu { path })
 }
 
-/// Whether this is the body of a `PATCH`.
+/// Whether these bytes are the body of a `PATCH /config`: an object with `upsert` or `remove` and without `routes`. Bytes
+/// that are not JSON count as a configuration, and are reported as an invalid one.
 fn is_patch(bytes: &[u8]) -> bool {
     let value: Value = serde_json::from_slice(bytes).unwrap_or_default();
     let has = |name: &str| value.get(name).is_some();
--- a/crates/ctl/src/check_deploy.rs
+++ b/crates/ctl/src/check_deploy.rs
@@ -1,4 +1,5 @@
-//! `check-deploy`: checks the deploy file (`deploy/system.toml`) by the rules of the operators' page.
+//! `check-deploy`: checks the deploy file (`deploy/system.toml`), which says how the programs are built and on which
+//! machines each role runs, by the rules that the operators' documentation gives.
 
 use crate::files::{self, FileError};
 use crate::report::Report;
@@ -6,22 +7,22 @@
 use std::path::Path;
 use toml::{Table, Value};
 
-/// Keys of the file.
+/// Allowed keys at the top level of the file.
 const TOP_KEYS: [&str; 3] = ["build", "packages", "roles"];
-/// Keys of a role.
+/// Allowed keys in the table of a role.
 const ROLE_KEYS: [&str; 6] = ["run", "on", "share", "count", "apart", "serves"];
-/// Classes of machines.
+/// Machine classes, the values of `on`.
 const CLASSES: [&str; 3] = ["edge", "side", "core"];
-/// Callers that a role may serve.
+/// Kinds of callers that a role may serve, the values of `serves`.
 const CALLERS: [&str; 3] = ["edge", "side", "control"];
-/// Roles that a machine runs at most.
+/// Maximum number of roles on a machine.
 const ROLES_MAX: usize = 2;
 
-/// Checks the file.
+/// Checks a deploy file.
 ///
 /// # Errors
 ///
-/// [`FileError`] if the file cannot be read. What is wrong with it is in the report.
+/// [`FileError`] if the file cannot be read. Problems of its content are findings of the report.
 pub fn run(path: &Path) -> Result<Report, FileError> {
     let text = files::read_text(path)?;
     let (roles, findings) = match text.parse::<Table>() {
@@ -46,7 +47,7 @@
     }
 }
 
-/// All that is wrong with a deploy file.
+/// All problems of a parsed deploy file, one sentence each.
 pub fn findings(document: &Table) -> Vec<String> {
     let mut findings = unknown_keys("", document, &TOP_KEYS);
     findings.extend(text_finding("build", document.get("build")));
@@ -91,7 +92,7 @@
     findings
 }
 
-/// `share`, `count` and `apart`: how many machines of its class the role runs on.
+/// Problems of `share`, `count` and `apart`, which say how many machines of its class the role runs on.
 fn extent_findings(key: &str, class: Option<&str>, role: &Table) -> Vec<String> {
     let mut findings = Vec::new();
     if let Some(value) = role.get("share")
@@ -125,7 +126,7 @@
     fraction.is_some_and(|fraction| fraction > 0.0 && fraction <= 1.0)
 }
 
-/// One of `share` and `count` at most, and on core machines one at least.
+/// A role may have `share` or `count` but not both; a role on core machines must have one of them.
 fn share_or_count_finding(key: &str, class: Option<&str>, role: &Table) -> Option<String> {
     let (has_share, has_count) = (role.contains_key("share"), role.contains_key("count"));
     match (has_share, has_count) {
@@ -139,7 +140,8 @@
     }
 }
 
-/// What the roles of one class must not do together, and what nobody does.
+/// Problems of several roles together: too many roles on one machine class, two roles of a class that serve the same
+/// callers, and callers that no role serves.
 fn class_findings(document: &Table) -> Vec<String> {
     let mut findings = Vec::new();
     for class in CLASSES {
@@ -198,7 +200,7 @@
     (!sound).then(|| format!("`{key}` is {}: a text is expected", shown(value)))
 }
 
-/// A list of texts, which may be missing.
+/// Checks an optional list of texts; `allowed` are its permitted items, `None` permits any text.
 fn array_finding(key: &str, value: Option<&Value>, allowed: Option<&[&str]>) -> Option<String> {
     let value = value?;
     let text = |item: &Value| {
--- a/crates/ctl/src/check_settings.rs
+++ b/crates/ctl/src/check_settings.rs
@@ -1,4 +1,5 @@
-//! `check-settings`: a settings file (`boot.toml`) as the daemons read it, and what its role needs beyond that.
+//! `check-settings`: parses a settings file (`boot.toml`) as the daemons do, and checks that it has the optional fields
+//! that its role needs.
 
 use crate::files::{self, FileError};
 use crate::report::Report;
@@ -6,11 +7,11 @@
 use serde_json::json;
 use std::path::Path;
 
-/// Checks the file.
+/// Checks a settings file.
 ///
 /// # Errors
 ///
-/// [`FileError`] if the file cannot be read. What is wrong with it is in the report.
+/// [`FileError`] if the file cannot be read. Problems of its content are findings of the report.
 pub fn run(path: &Path) -> Result<Report, FileError> {
     let text = files::read_text(path)?;
     Ok(match Settings::from_toml(&text) {
@@ -44,7 +45,7 @@
     }
 }
 
-/// A field that the daemons of a role need.
+/// An optional field that is required if the role serves certain callers.
 struct Requirement {
     serves: Serves,
     field: &'static str,
@@ -76,7 +77,7 @@
     ]
 }
 
-/// What the daemons would lack at their start, or later.
+/// Problems of parsed settings: fields that a daemon with these settings would need at its start or later.
 pub fn role_findings(settings: &Settings) -> Vec<String> {
     let mut findings: Vec<String> = requirements(settings)
         .into_iter()
--- a/crates/ctl/src/command_line.rs
+++ b/crates/ctl/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `indigofold-ctl`.
+//! Parsing of the command line of `indigofold-ctl`.
 
 use crate::help;
 use crate::quickstart::{Options, Programs};
@@ -10,18 +10,18 @@
 use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
 
-/// What the command line calls for.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Print a text.
+    /// Print a help text, that of the program or of a verb.
     Help(&'static str),
-    /// Print the version.
+    /// Print the program's name and version.
     Version,
     /// Run a verb.
     Run {
-        /// The verb.
+        /// The verb and its arguments.
         verb: Verb,
-        /// Print one line of JSON.
+        /// Print the report as one line of JSON instead of text.
         json: bool,
     },
 }
@@ -29,101 +29,101 @@
 /// A verb with its arguments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verb {
-    /// `status`.
+    /// `status`: the state of the core members and of the work.
     Status {
-        /// Internal addresses of members.
+        /// Internal addresses of core members, as given with `--at`.
         at: Vec<SocketAddr>,
     },
-    /// `job`.
+    /// `job`: the state of one job.
     Job {
-        /// The job.
+        /// The id of the job.
         id: JobId,
-        /// Internal addresses of members.
+        /// Internal addresses of core members, as given with `--at`.
         at: Vec<SocketAddr>,
     },
-    /// `check-config`.
+    /// `check-config`: checks a configuration or a patch of one.
     CheckConfig {
-        /// What is checked.
+        /// The configuration or patch to check.
         file: PathBuf,
-        /// The configuration that it follows.
+        /// The configuration in force, which the checked one would replace; required for a patch.
         current: Option<PathBuf>,
     },
-    /// `check-settings`.
+    /// `check-settings`: checks the settings of a process.
     CheckSettings {
-        /// What is checked.
+        /// The settings file (`boot.toml`) to check.
         file: PathBuf,
     },
-    /// `check-deploy`.
+    /// `check-deploy`: checks a deploy file.
     CheckDeploy {
-        /// What is checked.
+        /// The deploy file (`system.toml`) to check.
         file: PathBuf,
     },
-    /// `compare-copies`.
+    /// `compare-copies`: compares the replicas on members' disks.
     CompareReplicas {
-        /// Data folders.
+        /// Data folders (`data_dir`) of core members, at least two.
         folders: Vec<PathBuf>,
     },
-    /// `quickstart`.
+    /// `quickstart`: runs a small cluster on this machine.
     Quickstart(Options),
 }
 
-/// A command line that cannot be understood.
+/// Why a command line is rejected.
 #[derive(Debug, Snafu)]
 pub enum CommandLineError {
-    /// No verb is given.
+    /// The command line has no verb.
     #[snafu(display("a verb is missing; see --help"))]
     NoVerb,
-    /// The verb is not known.
+    /// The first argument that is not an option is no known verb.
     #[snafu(display("`{verb}` is no verb; see --help"))]
     UnknownVerb {
-        /// The verb.
+        /// The verb as given.
         verb: String,
     },
-    /// An option or argument is missing or cannot be read.
+    /// An option is missing or has no usable value.
     #[snafu(display("{source}; see --help"))]
     Argument {
-        /// Which, and why.
+        /// Names the option and gives the reason.
         source: pico_args::Error,
     },
-    /// An argument is missing.
+    /// A positional argument is missing.
     #[snafu(display("{what} is missing; see --help"))]
     Missing {
-        /// Which.
+        /// Name of the argument as in the usage text, e.g. `FILE`.
         what: &'static str,
     },
-    /// The argument is no job id.
+    /// The argument of `job` is no job id.
     #[snafu(display("{source}"))]
     Id {
-        /// Why.
+        /// Names the text and the expected form.
         source: NameError,
     },
-    /// An argument of `--at` is no address.
+    /// One of the addresses given with `--at` is not of the form IP:PORT.
     #[snafu(display("--at: `{text}` is no address, IP:PORT is expected: {source}"))]
     Address {
-        /// The text.
+        /// The text that was given for the address.
         text: String,
-        /// Why.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// A number of members that makes no cluster.
+    /// `quickstart` runs 1 or 3 members, and another number is given.
     #[snafu(display("--members is {members}: 1 or 3 is allowed"))]
     Members {
-        /// The number.
+        /// The number as given with `--members`.
         members: usize,
     },
-    /// There are arguments that the verb does not take.
+    /// Arguments are left over that the verb does not take.
     #[snafu(display("`{}` is not understood; see --help", argument.to_string_lossy()))]
     Surplus {
-        /// The first of them.
+        /// The first such argument.
         argument: OsString,
     },
 }
 
-/// Reads the arguments (without the program's name).
+/// Parses the arguments, without the program's name.
 ///
 /// # Errors
 ///
-/// [`CommandLineError`] names the first argument that is missing, unknown or not of its form.
+/// [`CommandLineError`] for the first argument that is missing, unknown or malformed.
 pub fn parse(arguments: Vec<OsString>) -> Result<Command, CommandLineError> {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-V", "--version"]) {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a verb cannot do its work, and which exit code that gives.
+//! Errors of the verbs, and the exit code for each.
 
 use crate::check_config::CheckConfigError;
 use crate::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_UNREACHABLE};
@@ -8,43 +8,43 @@
 use crate::replicas::ReplicaError;
 use snafu::Snafu;
 
-/// Why a verb cannot do its work.
+/// An error because of which a verb has no report.
 #[derive(Debug, Snafu)]
 pub enum ToolError {
-    /// A file cannot be read.
+    /// A file that is to be checked cannot be read.
     #[snafu(transparent)]
     File {
-        /// Which, and why.
+        /// Names the file and gives the reason.
         source: FileError,
     },
     /// A configuration cannot be checked.
     #[snafu(transparent)]
     CheckConfig {
-        /// Why.
+        /// Names the file and gives the reason.
         source: CheckConfigError,
     },
-    /// No member answers.
+    /// A query to the core members has no result.
     #[snafu(transparent)]
     Query {
-        /// Why.
+        /// The reason, for each member where they differ.
         source: QueryError,
     },
     /// A replica cannot be opened.
     #[snafu(transparent)]
     Replicas {
-        /// Which, and why.
+        /// Names the folder and gives the reason.
         source: ReplicaError,
     },
-    /// The small cluster cannot be run.
+    /// The cluster of `quickstart` cannot be started, or its job does not complete.
     #[snafu(transparent)]
     Quickstart {
-        /// Why.
+        /// The step that failed and the reason.
         source: QuickstartError,
     },
 }
 
 impl ToolError {
-    /// The exit code for it.
+    /// The exit code with which the program ends after this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             ToolError::File { .. } | ToolError::CheckConfig { .. } => EXIT_INPUT,
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -1,4 +1,4 @@
-//! Reading of the files that are checked.
+//! Reads the files that the verbs check.
 
 use snafu::{ResultExt, Snafu};
 use std::io;
@@ -8,13 +8,13 @@
 #[derive(Debug, Snafu)]
 #[snafu(display("{} cannot be read: {source}", path.display()))]
 pub struct FileError {
-    /// The file.
+    /// Path of the file.
     path: PathBuf,
-    /// Why it cannot be read.
+    /// The I/O error; also for a text that is not UTF-8.
     source: io::Error,
 }
 
-/// All bytes of a file.
+/// Reads a whole file.
 ///
 /// # Errors
 ///
@@ -23,7 +23,7 @@
     std::fs::read(path).context(FileSnafu { path })
 }
 
-/// A file's text.
+/// Reads a whole file as text.
 ///
 /// # Errors
 ///
--- a/crates/ctl/src/help.rs
+++ b/crates/ctl/src/help.rs
@@ -1,6 +1,6 @@
-//! Texts of `--help`.
+//! Help texts, printed for `--help`.
 
-/// For the program.
+/// Help for the program as a whole.
 pub const GENERAL: &str = "\
 indigofold-ctl: inspects a running cluster, checks its files, compares its disks
 
@@ -24,7 +24,7 @@
 input, 3 no member could be reached.
 ";
 
-/// For `status`.
+/// Help for `status`.
 pub const STATUS: &str = "\
 Shows the state of the core members and of the work. Queries the members given
 and those that they know; changes nothing.
@@ -37,7 +37,7 @@
 the chain, a voter without a connection to another, a disk that refuses writes.
 ";
 
-/// For `job`.
+/// Help for `job`.
 pub const JOB: &str = "\
 Shows the state of a job, where its tasks run, and why its steps wait. Changes
 nothing.
@@ -48,7 +48,7 @@
   --at  internal address of core members; the head is found through them
 ";
 
-/// For `check-config`.
+/// Help for `check-config`.
 pub const CHECK_CONFIG: &str = "\
 Checks an operator's configuration, or a patch of one, as the head does.
 
@@ -59,7 +59,7 @@
              patch is applied to it, so a patch needs it
 ";
 
-/// For `check-settings`.
+/// Help for `check-settings`.
 pub const CHECK_SETTINGS: &str = "\
 Checks a settings file (boot.toml) as the daemons read it. Unknown fields are
 allowed, as the daemons skip them.
@@ -67,14 +67,14 @@
 Usage: indigofold-ctl [--json] check-settings FILE
 ";
 
-/// For `check-deploy`.
+/// Help for `check-deploy`.
 pub const CHECK_DEPLOY: &str = "\
 Checks the deploy file: build, packages, roles, who serves whom, unknown keys.
 
 Usage: indigofold-ctl [--json] check-deploy FILE
 ";
 
-/// For `compare-copies`.
+/// Help for `compare-copies`.
 pub const COMPARE_REPLICAS: &str = "\
 Prints which rows differ between the disks of core members. The members must be
 stopped. The folders are only read: their databases are opened as clones in a
@@ -89,7 +89,7 @@
 or a damaged database.
 ";
 
-/// For `quickstart`.
+/// Help for `quickstart`.
 pub const QUICKSTART: &str = "\
 Runs a small cluster on loopback addresses of this machine: core members, an
 edge, two node agents with stand-in workers. Takes a configuration, runs a job
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -11,34 +11,36 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most redirections to another head that are followed, while the leadership moves.
+/// Maximum number of redirections to another head that a lookup follows. Members may name different heads while the
+/// leadership changes.
 pub const REDIRECTIONS_MAX: usize = 3;
 
-/// The outcome of the responses to a query for a job.
+/// Result of one round of queries for a job.
 enum Lookup {
     /// The acting head has answered; `None` if there is no such job.
     Answered(Option<JobInspection>),
-    /// Members name these as the head, by internal address, in order and without duplicates.
+    /// No member has answered as the acting head, but some name it: internal addresses, sorted, without duplicates.
     Redirected(Vec<SocketAddr>),
-    /// No member answers or knows the head.
+    /// No member is the head or names it; the reason for each member.
     Failed(Vec<MemberError>),
 }
 
-/// Queries the acting head, which is found through the members at these internal addresses.
+/// Looks a job up and reports on it. `addresses` are internal addresses of core members, which name the acting head.
 ///
 /// # Errors
 ///
-/// [`QueryError`], as of [`find_job`], or if the runtime cannot be started.
+/// The errors of [`find_job`], and [`QueryError::Runtime`] if the runtime cannot be started.
 pub fn run(id: JobId, addresses: Vec<SocketAddr>) -> Result<Report, QueryError> {
     query::run(find_job(id, addresses)).map(|job| report(id, job))
 }
 
-/// The job as the acting head knows it; `None` if there is no such job.
+/// Queries the members, and then the heads that they name, until the acting head answers. Returns the job as the head
+/// knows it, or `None` if the head knows no such job.
 ///
 /// # Errors
 ///
-/// [`QueryError::NoAnswer`] if no member answers or knows the head, [`QueryError::Redirected`] if members name other
-/// heads for longer than [`REDIRECTIONS_MAX`] redirections.
+/// [`QueryError::NoAnswer`] if no member answers or knows the head; [`QueryError::Redirected`] if members still name
+/// another head after [`REDIRECTIONS_MAX`] redirections.
 pub async fn find_job(
     id: JobId,
     addresses: Vec<SocketAddr>,
@@ -88,7 +90,7 @@
     }
 }
 
-/// The report on a job; `None` if the head does not know it.
+/// The report on a job. `None` means that the head does not know the job, which is a finding.
 pub fn report(id: JobId, job: Option<JobInspection>) -> Report {
     match job {
         None => Report {
@@ -147,7 +149,7 @@
     text
 }
 
-/// Why a step waits, in words.
+/// Describes why a step waits.
 pub fn wait_text(wait: &Wait) -> String {
     match wait {
         Wait::Dependency(steps) => format!("for steps {steps:?}"),
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,7 +1,7 @@
 //! `indigofold-ctl`: inspects a running cluster, checks the operators' files with the daemons' own code, compares the
 //! disks of core members, and starts a small cluster on this machine.
 //!
-//! Each verb gives a [`Report`](report::Report): its text, its JSON, and what was found wrong.
+//! Each verb returns a [`Report`](report::Report): a text, a JSON value and the problems that were found.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `indigofold-ctl`: the operators' tool.
+//! The `indigofold-ctl` program: parses the command line, runs the verb and prints its report.
 
 use indigofold_ctl::command_line::{self, Command, Verb};
 use indigofold_ctl::error::ToolError;
@@ -33,7 +33,8 @@
     ExitCode::from(code)
 }
 
-/// Runs as a daemon of `quickstart`, which starts this program so where the daemons' own programs are not beside it.
+/// Runs this program as one of the cluster's daemons. `quickstart` starts it this way if the daemons' own programs are
+/// not in its folder.
 fn daemon(name: &OsStr, arguments: Vec<OsString>) -> ExitCode {
     if name == quickstart::CONTROL {
         indigofold_control_plane::program::run(arguments)
@@ -72,7 +73,8 @@
     })
 }
 
-/// Prints a text; a failure to (a closed pipe) turns success into `EXIT_FOUND`.
+/// Prints `text` and returns `code`. If standard output cannot be written, e.g. because the pipe is closed, the exit
+/// code is at least `EXIT_FOUND`.
 fn print(text: &str, code: u8) -> u8 {
     let mut out = std::io::stdout().lock();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
--- a/crates/ctl/src/query.rs
+++ b/crates/ctl/src/query.rs
@@ -1,4 +1,4 @@
-//! Inspection queries to core members, over their internal port.
+//! Sends inspection queries to core members, on their internal port.
 
 use indigofold_net::{NetError, framed, runtime};
 use indigofold_protocol::inspection::{InspectionAnswer, InspectionCall, Question};
@@ -7,53 +7,53 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a member has to accept a connection.
+/// Time within which a member must accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long it has to answer.
+/// Time within which a member must answer, after the connection is open.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Why one member has not answered a query.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum MemberError {
-    /// It cannot be reached, or its connection has failed.
+    /// The member cannot be reached, or the connection has failed.
     #[snafu(display("{source}"))]
     Connection {
-        /// Why.
+        /// The network error, which names the address.
         source: NetError,
     },
-    /// It has closed the connection.
+    /// The member closed the connection before it answered. Other daemons, and members of another version, may do so.
     #[snafu(display(
         "{address} has closed the connection without an answer: is it a core member's internal address, of this version?"
     ))]
     Closed {
-        /// Its address.
+        /// The member's internal address.
         address: SocketAddr,
     },
-    /// It has not answered in time.
+    /// The member did not answer within [`ANSWER_TIMEOUT`].
     #[snafu(display("{address} has not answered within {} ms", ANSWER_TIMEOUT.as_millis()))]
     Timeout {
-        /// Its address.
+        /// The member's internal address.
         address: SocketAddr,
     },
-    /// Only the head can answer, and this member knows none.
+    /// The question is for the acting head, and this member is not the head and knows none.
     #[snafu(display("{address} knows no head"))]
     NoHead {
-        /// Its address.
+        /// The member's internal address.
         address: SocketAddr,
     },
-    /// It cannot answer now.
+    /// The member answered that it cannot serve the query now.
     #[snafu(display("{address}: {reason}"))]
     Unavailable {
-        /// Its address.
+        /// The member's internal address.
         address: SocketAddr,
-        /// The reason that it gives.
+        /// The reason as the member gives it.
         reason: String,
     },
-    /// Its answer is to another question.
+    /// The kind of the answer does not match the question.
     #[snafu(display("{address} gives the answer to another question"))]
     UnexpectedAnswer {
-        /// Its address.
+        /// The member's internal address.
         address: SocketAddr,
     },
 }
@@ -62,25 +62,25 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum QueryError {
-    /// The runtime cannot be started.
+    /// The asynchronous runtime cannot be started.
     #[snafu(display("{source}"))]
     Runtime {
-        /// Why.
+        /// The error of the runtime.
         source: NetError,
     },
-    /// Each member asked names another one as the head.
+    /// The members still name another head after the maximum number of redirections.
     #[snafu(display(
         "each member names another one as the head, the last {}: the leadership moves, try again",
         joined(heads)
     ))]
     Redirected {
-        /// Internal addresses of the heads named last.
+        /// Internal addresses of the heads named in the last round.
         heads: Vec<SocketAddr>,
     },
-    /// No member answers.
+    /// No member gave a usable answer.
     #[snafu(display("no member answers: {}", joined(failures)))]
     NoAnswer {
-        /// Why, for each.
+        /// The reason for each member.
         failures: Vec<MemberError>,
     },
 }
@@ -90,16 +90,16 @@
     parts.join("; ")
 }
 
-/// What has come of a query to one member.
+/// Result of the query to one member.
 #[derive(Debug)]
 pub struct MemberResponse {
     /// The member's internal address.
     pub address: SocketAddr,
-    /// Its answer, or why there is none.
+    /// The member's answer, or the reason why there is none.
     pub result: Result<InspectionAnswer, MemberError>,
 }
 
-/// Queries several members at the same time; the responses are in the order of the addresses.
+/// Queries several members concurrently. The responses are in the order of the addresses.
 pub async fn query_all(addresses: &[SocketAddr], question: Question) -> Vec<MemberResponse> {
     let tasks: Vec<_> = addresses
         .iter()
@@ -107,14 +107,14 @@
         .collect();
     let mut responses = Vec::new();
     for (&address, task) in addresses.iter().zip(tasks) {
-        // A task ends early only by a panic, which counts as a time-out here.
+        // A task that panicked has no result; its member is reported as timed out.
         let result = task.await.unwrap_or(TimeoutSnafu { address }.fail());
         responses.push(MemberResponse { address, result });
     }
     responses
 }
 
-/// Queries one member.
+/// Queries one member over a new connection.
 async fn query(address: SocketAddr, question: Question) -> Result<InspectionAnswer, MemberError> {
     let connection = framed::connect(address, CONNECT_TIMEOUT)
         .await
@@ -139,7 +139,7 @@
         .context(TimeoutSnafu { address })?
 }
 
-/// The error for responses of which none can be used.
+/// The error for a round of queries in which every response is an error.
 pub fn no_answer(responses: Vec<MemberResponse>) -> QueryError {
     let failures = responses
         .into_iter()
@@ -149,11 +149,11 @@
     }
 }
 
-/// Runs queries to their end, in a runtime of their own.
+/// Runs queries to completion on a new asynchronous runtime.
 ///
 /// # Errors
 ///
-/// That of the queries, or [`QueryError::Runtime`] if the runtime cannot be started.
+/// The error of the queries, or [`QueryError::Runtime`] if the runtime cannot be started.
 pub fn run<T: 'static>(
     queries: impl Future<Output = Result<T, QueryError>> + 'static,
 ) -> Result<T, QueryError> {
--- a/crates/ctl/src/quickstart.rs
+++ b/crates/ctl/src/quickstart.rs
@@ -1,4 +1,4 @@
-//! `quickstart`: a complete small cluster on loopback addresses of this machine, with stand-in workers and a first job.
+//! `quickstart`: runs a small cluster on loopback addresses of this machine, with stand-in workers, and a first job.
 
 mod children;
 mod error;
@@ -27,22 +27,23 @@
 use std::sync::atomic::AtomicBool;
 use workers::Workers;
 
-/// The options of the small cluster.
+/// Options of `quickstart`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Number of core members.
+    /// Number of core members, 1 or 3.
     pub members: usize,
-    /// End after the first job.
+    /// End after the first job instead of serving until a signal arrives.
     pub once: bool,
-    /// The daemons.
+    /// Programs of the daemons.
     pub programs: Programs,
 }
 
-/// Runs the cluster and prints to `out` what happens. The daemons end before this returns.
+/// Runs the cluster and prints each step to `out`. All daemons have ended when this returns.
 ///
 /// # Errors
 ///
-/// [`QuickstartError`] if a program is missing, a process cannot be started or ends early, or the job does not end well.
+/// [`QuickstartError`] if a program is missing, a process cannot be started or ends early, or the first job does not
+/// complete. SIGINT and SIGTERM end the cluster without an error.
 pub fn run(options: &Options, out: &mut impl Write) -> Result<Report, QuickstartError> {
     options.programs.check()?;
     let interrupted = catch_signals()?;
@@ -67,7 +68,7 @@
     })
 }
 
-/// Set by Ctrl-C and SIGTERM from now on.
+/// Installs handlers for SIGINT (Ctrl-C) and SIGTERM; the returned flag becomes true when one of them arrives.
 fn catch_signals() -> Result<Arc<AtomicBool>, QuickstartError> {
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
--- a/crates/ctl/src/quickstart/children.rs
+++ b/crates/ctl/src/quickstart/children.rs
@@ -1,4 +1,4 @@
-//! The daemons as child processes. They are ended by their process ids, and never outlive [`Children`].
+//! Runs the daemons as child processes. They are signalled by process id and have ended once [`Children`] is dropped.
 
 use super::error::{FilesSnafu, QuickstartError, StartSnafu};
 use super::layout::{Layout, Machine};
@@ -13,11 +13,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between SIGTERM and SIGKILL.
+/// Time that the daemons have to end after SIGTERM, before they get SIGKILL.
 const TERMINATION_GRACE: Duration = Duration::from_secs(4);
-/// Time between two checks whether a child has ended.
+/// Interval of the checks whether a daemon has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How much of its log is shown if a process ends by itself, in lines.
+/// Number of log lines in the error for a daemon that ended unexpectedly.
 const LOG_TAIL_LENGTH: usize = 8;
 
 /// A running daemon.
@@ -28,7 +28,7 @@
 }
 
 impl Daemon {
-    /// Writes its settings file and starts it; both that file and its log are in `folder`.
+    /// Writes the settings file of a machine and starts its daemon. The settings file and the log are in `folder`.
     fn start(
         programs: &Programs,
         machine: &Machine,
@@ -47,7 +47,8 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(output);
-        // Ctrl-C on the terminal is for this program alone: it ends the daemons in good order.
+        // A process group of its own keeps Ctrl-C in the terminal from signalling the daemon directly; this program
+        // handles the signal and then terminates the daemons.
         command.process_group(0);
         let child = command.spawn().context(StartSnafu { path: program })?;
         Ok(Daemon {
@@ -81,7 +82,7 @@
         Ok(children)
     }
 
-    /// Fails if a daemon has ended by itself.
+    /// Fails if a daemon has ended although it was not told to.
     pub(super) fn check(&mut self) -> Result<(), QuickstartError> {
         for daemon in &mut self.daemons {
             if let Ok(Some(status)) = daemon.child.try_wait() {
@@ -95,10 +96,10 @@
         Ok(())
     }
 
-    /// Ends them: SIGTERM, and SIGKILL for those that take too long.
+    /// Ends all daemons: SIGTERM, and SIGKILL for those still running after [`TERMINATION_GRACE`].
     pub(super) fn end(&mut self) {
         for daemon in &self.daemons {
-            // Fails only for one that has ended.
+            // An error means that the daemon has ended already.
             let _ = kill_process(Pid::from_child(&daemon.child), Signal::TERM);
         }
         let deadline = Instant::now() + TERMINATION_GRACE;
@@ -106,7 +107,7 @@
             while matches!(daemon.child.try_wait(), Ok(None)) && Instant::now() < deadline {
                 thread::sleep(POLL_INTERVAL);
             }
-            // Both fail only for one that has ended and was waited for.
+            // An error means that the daemon has ended and its exit status was read.
             let _ = daemon.child.kill();
             let _ = daemon.child.wait();
         }
--- a/crates/ctl/src/quickstart/error.rs
+++ b/crates/ctl/src/quickstart/error.rs
@@ -1,113 +1,113 @@
-//! Why the small cluster cannot be run.
+//! Errors of `quickstart`.
 
 use snafu::Snafu;
 use std::io;
 use std::path::PathBuf;
 
-/// Why the small cluster cannot be run.
+/// Why the cluster cannot be run, or its first job has not completed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum QuickstartError {
-    /// A daemon's program is not there.
+    /// The program file of a daemon does not exist.
     #[snafu(display(
         "{} is missing: build it (cargo build -p indigofold-control-plane -p indigofold-data-plane) or name its folder with --programs",
         path.display()
     ))]
     NoProgram {
-        /// Where it is expected.
+        /// Path at which the program is expected.
         path: PathBuf,
     },
-    /// A file of the cluster cannot be written.
+    /// A file or folder of the cluster cannot be created or written.
     #[snafu(display("{} cannot be written: {source}", path.display()))]
     Files {
-        /// Which.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
     /// A daemon cannot be started.
     #[snafu(display("{} cannot be started: {source}", path.display()))]
     Start {
-        /// Its program.
+        /// Path of the daemon's program.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A daemon has ended by itself.
+    /// A daemon has ended although it was not told to.
     #[snafu(display("{name} has ended by itself ({status}); it wrote last:\n{log}"))]
     Ended {
-        /// Its name.
+        /// Name of the daemon's machine.
         name: String,
-        /// How.
+        /// Exit status of the process.
         status: String,
-        /// The end of its log.
+        /// The last lines of the daemon's log.
         log: String,
     },
     /// A step of the scenario did not succeed in time.
     #[snafu(display("{step} did not happen within {seconds} s; the last answer: {source}"))]
     Late {
-        /// The step.
+        /// Description of the step.
         step: &'static str,
-        /// The time that it had.
+        /// The time limit, in seconds.
         seconds: u64,
-        /// Why the last attempt failed.
+        /// The error of the last attempt.
         source: AttemptError,
     },
-    /// The first job did not end well.
+    /// The first job ended in a state other than completed.
     #[snafu(display("the job is {state}: completed is expected"))]
     JobEnd {
-        /// Its state.
+        /// The job's final state.
         state: String,
     },
-    /// A signal has ended it.
+    /// SIGINT or SIGTERM arrived during a step.
     #[snafu(display("interrupted by a signal"))]
     Interrupted,
-    /// Signals cannot be caught.
+    /// The signal handlers cannot be installed.
     #[snafu(display("signals cannot be caught: {source}"))]
     Signals {
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// Nothing can be printed.
+    /// Standard output cannot be written.
     #[snafu(display("standard output cannot be written: {source}"))]
     Output {
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
 }
 
 impl QuickstartError {
-    /// Whether the command line or the build is at fault.
+    /// Whether the input is at fault: the daemons' programs are not built, or not in the given folder.
     pub fn is_input(&self) -> bool {
         matches!(self, QuickstartError::NoProgram { .. })
     }
 }
 
-/// Why one attempt at a step of the scenario has failed.
+/// Why one attempt at a step of the scenario failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum AttemptError {
     /// The cluster has no core member.
     #[snafu(display("there are no members"))]
     NoMembers,
-    /// There is no response, or none that can be read.
+    /// The request failed, or the response is not HTTP.
     #[snafu(display("{source}"))]
     Http {
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The response is an error.
+    /// The HTTP status of the response is not 200.
     #[snafu(display("{status} {body}"))]
     Status {
-        /// Its HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// Its body.
+        /// Body of the response.
         body: String,
     },
-    /// The job's state is the same as before, or the response shows none.
+    /// The job's state has not changed since the last response, or the response has no state.
     #[snafu(display("{body}"))]
     SameState {
-        /// The response's body.
+        /// Body of the response.
         body: String,
     },
 }
--- a/crates/ctl/src/quickstart/http.rs
+++ b/crates/ctl/src/quickstart/http.rs
@@ -1,30 +1,30 @@
-//! A small HTTP/1.1 client: one request, one connection.
+//! A minimal blocking HTTP/1.1 client that uses a new connection for each request.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a peer has to accept a connection, and then for each read and write.
+/// Time limit for the connection attempt, and for each read and write after it.
 const IO_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A request.
+/// An HTTP request with a JSON body.
 pub(super) struct Request<'a> {
     pub method: &'a str,
     pub host: &'a str,
     pub path: &'a str,
-    /// Further header fields, each with its end of line.
+    /// Further header fields, each terminated by CR LF.
     pub headers: &'a str,
     pub body: &'a str,
 }
 
-/// A response.
+/// An HTTP response; its header fields are discarded.
 pub(super) struct Response {
     pub status: u16,
     pub body: String,
 }
 
 impl<'a> Request<'a> {
-    /// A `GET` without further header fields.
+    /// Creates a `GET` request with an empty body and no further header fields.
     pub(super) fn get(host: &'a str, path: &'a str) -> Request<'a> {
         Request {
             method: "GET",
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Sends it and reads the response to its end.
+    /// Sends the request and reads the response until the server closes the connection.
     pub(super) fn send(&self, address: SocketAddr) -> io::Result<Response> {
         let mut stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)?;
         stream.set_read_timeout(Some(IO_TIMEOUT))?;
--- a/crates/ctl/src/quickstart/layout.rs
+++ b/crates/ctl/src/quickstart/layout.rs
@@ -1,19 +1,22 @@
-//! The machines of the small cluster and their loopback addresses.
+//! The simulated machines of the cluster and their loopback addresses.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Number of workers, each beside a node agent.
+/// Number of workers; each has a node agent.
 const WORKERS: usize = 2;
 
-/// First and last port of `port_range`.
+/// First port of `port_range`, on which core members accept internal connections.
 pub(super) const INTERNAL_PORT: u16 = 7_380;
+/// Last port of `port_range`.
 pub(super) const INTERNAL_PORT_LAST: u16 = 7_395;
-/// Ports of `bind_addrs`.
+/// Port of `bind_addrs.control_plane`.
 const CONTROL_PORT: u16 = 8_144;
+/// Port of `bind_addrs.frontend`.
 const FRONTEND_PORT: u16 = 8_149;
+/// Port of `bind_addrs.readiness`.
 const READINESS_PORT: u16 = 8_141;
 
-/// What a machine is for.
+/// Kind of a machine: which daemon runs on it. A `Side` machine runs a node agent beside a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MachineClass {
     Core,
@@ -21,7 +24,7 @@
     Side,
 }
 
-/// A machine of the small cluster: an address of its own.
+/// A simulated machine: one daemon with a loopback address of its own.
 #[derive(Clone, Debug)]
 pub(super) struct Machine {
     pub name: String,
@@ -29,15 +32,15 @@
     pub ip: Ipv4Addr,
 }
 
-/// All machines.
+/// All machines of the cluster.
 #[derive(Clone, Debug)]
 pub(super) struct Layout {
     pub machines: Vec<Machine>,
 }
 
 impl Layout {
-    /// `members` core members, an edge and node agents. `salt` chooses their network among the loopback addresses, so
-    /// that several clusters can run on one machine.
+    /// Lays out `members` core members, one edge and [`WORKERS`] node agents. `salt` selects their network among the
+    /// loopback addresses, so that several clusters can run on one machine at the same time.
     pub(super) fn new(members: usize, salt: u32) -> Layout {
         let [.., high, low] = salt.to_be_bytes();
         let network = |host: usize| Ipv4Addr::new(127, 64 + high % 64, low, host as u8);
@@ -65,21 +68,21 @@
             .filter(move |machine| machine.class == class)
     }
 
-    /// Where the core members take the operator's requests.
+    /// Addresses at which the core members accept operators' requests.
     pub(super) fn control_addresses(&self) -> Vec<SocketAddr> {
         self.machines_of(MachineClass::Core)
             .map(Machine::control)
             .collect()
     }
 
-    /// Where the edge takes clients' requests.
+    /// Address at which the edge accepts clients' requests; `None` if there is no edge.
     pub(super) fn frontend(&self) -> Option<SocketAddr> {
         self.machines_of(MachineClass::Edge)
             .next()
             .map(Machine::frontend)
     }
 
-    /// The core members' internal addresses, as `--at` takes them.
+    /// The core members' internal addresses, separated by commas as in the argument of `--at`.
     pub(super) fn internal_addresses(&self) -> String {
         let addresses = self
             .machines_of(MachineClass::Core)
@@ -89,17 +92,17 @@
 }
 
 impl Machine {
-    /// Where a core member takes the operator's requests, and a node agent its worker's heartbeats.
+    /// Address at which a core member accepts operators' requests, or a node agent accepts its worker's heartbeats.
     pub(super) fn control(&self) -> SocketAddr {
         self.at(CONTROL_PORT)
     }
 
-    /// Where an edge takes clients' requests.
+    /// Address at which an edge accepts clients' requests.
     pub(super) fn frontend(&self) -> SocketAddr {
         self.at(FRONTEND_PORT)
     }
 
-    /// Where an edge answers whether it is ready.
+    /// Address at which an edge answers `GET /readiness`.
     pub(super) fn readiness(&self) -> SocketAddr {
         self.at(READINESS_PORT)
     }
@@ -110,7 +113,7 @@
 }
 
 impl MachineClass {
-    /// Its name in the settings file.
+    /// Name of the class in the settings file.
     pub(super) fn name(self) -> &'static str {
         match self {
             MachineClass::Core => "core",
@@ -119,7 +122,7 @@
         }
     }
 
-    /// The callers that its role serves, as the settings file names them.
+    /// The callers that the role of this class serves, as named in the settings file.
     pub(super) fn serves(self) -> &'static str {
         match self {
             MachineClass::Core => "control",
--- a/crates/ctl/src/quickstart/programs.rs
+++ b/crates/ctl/src/quickstart/programs.rs
@@ -1,30 +1,30 @@
-//! Where the daemons' programs are.
+//! Locates the programs of the daemons.
 
 use super::error::{NoProgramSnafu, QuickstartError};
 use super::layout::MachineClass;
 use snafu::ensure;
 use std::path::{Path, PathBuf};
 
-/// The daemons' programs.
+/// Paths of the daemons' programs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Programs {
-    /// The control plane.
+    /// Program of the control plane, which core members run.
     pub control: PathBuf,
-    /// The data plane.
+    /// Program of the data plane, which edges and node agents run.
     pub data: PathBuf,
-    /// Both are this tool, which runs as a daemon if its first argument is [`DAEMON`].
+    /// Both paths are this tool, which runs as a daemon if its first argument is [`DAEMON`].
     pub are_this_program: bool,
 }
 
-/// First argument with which this tool runs as the daemon that the second one names, with the arguments behind it.
+/// First argument that makes this tool run as a daemon. The second argument selects the daemon, which gets the rest.
 pub const DAEMON: &str = "daemon";
-/// The control plane, as the second argument.
+/// Second argument that selects the control plane.
 pub const CONTROL: &str = "control";
-/// The data plane, as the second argument.
+/// Second argument that selects the data plane.
 pub const DATA: &str = "data";
 
 impl Programs {
-    /// Those of a folder.
+    /// Programs in a folder, under their usual names.
     pub fn in_folder(folder: &Path) -> Programs {
         Programs {
             control: folder.join("indigofold-control"),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Those in the folder of this program; without them, this program itself.
+    /// Programs in the folder of this tool; if one is missing there, this tool itself in place of both.
     pub fn beside_this_program() -> Programs {
         let this = std::env::current_exe().unwrap_or_default();
         let beside = Programs::in_folder(this.parent().unwrap_or(Path::new(".")));
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The program of a kind of machine, and the arguments that make it that daemon.
+    /// The program to run on a machine of this class, and its arguments.
     pub(super) fn of(&self, class: MachineClass) -> (&Path, Vec<&'static str>) {
         let (path, daemon) = match class {
             MachineClass::Core => (&self.control, CONTROL),
@@ -61,7 +61,7 @@
         (path, arguments)
     }
 
-    /// Fails if one is missing.
+    /// Fails if one of the programs is missing.
     pub(super) fn check(&self) -> Result<(), QuickstartError> {
         for path in [&self.control, &self.data] {
             ensure!(path.is_file(), NoProgramSnafu { path });
--- a/crates/ctl/src/quickstart/scenario.rs
+++ b/crates/ctl/src/quickstart/scenario.rs
@@ -1,4 +1,4 @@
-//! The steps of `quickstart`: first configuration, first job, then serving.
+//! The steps of `quickstart` after the daemons are started: apply a configuration, run a job, then serve.
 
 use super::children::Children;
 use super::error::{
@@ -16,9 +16,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time that each step has.
+/// Time limit of each step.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two attempts, and between two checks of the daemons.
+/// Interval of the attempts at a step, and of the checks whether all daemons still run.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 struct Scenario<'a, W> {
@@ -27,7 +27,7 @@
     out: &'a mut W,
 }
 
-/// Runs all steps; with `once` it ends after the job, else at Ctrl-C.
+/// Runs all steps. With `once` it returns after the job has completed, otherwise it serves until a signal arrives.
 pub(super) fn run(
     layout: &Layout,
     children: &mut Children,
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    /// Repeats an attempt until it succeeds, for [`STEP_TIMEOUT`] at most.
+    /// Repeats an attempt until it succeeds or [`STEP_TIMEOUT`] has passed. `step` names the step in the error.
     fn retry<T>(
         &mut self,
         step: &'static str,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Sends the first configuration to one member after the other, until one takes it.
+    /// Sends the first configuration to each member in turn until one accepts it.
     fn configure(&mut self, controls: &[SocketAddr]) -> Result<(), QuickstartError> {
         let body = configuration().to_string();
         let put = Request {
@@ -131,7 +131,7 @@
         self.follow_job(frontend, &Request::get(HOST, &path))
     }
 
-    /// Prints each change of the job's state, until it is completed.
+    /// Prints each change of the job's state until the job has completed.
     fn follow_job(
         &mut self,
         frontend: SocketAddr,
@@ -183,7 +183,7 @@
     }
 }
 
-/// Sends a request; only status 200 is a success.
+/// Sends a request; a response with a status other than 200 is an error.
 fn send(request: &Request<'_>, address: SocketAddr) -> Result<Response, AttemptError> {
     let response = request.send(address).context(HttpSnafu)?;
     let Response { status, body } = &response;
--- a/crates/ctl/src/quickstart/settings_file.rs
+++ b/crates/ctl/src/quickstart/settings_file.rs
@@ -1,17 +1,17 @@
-//! The settings files (boot.toml) of the small cluster's machines.
+//! Generates the settings files (`boot.toml`) of the cluster's machines.
 
 use super::layout::{INTERNAL_PORT, INTERNAL_PORT_LAST, Layout, Machine, MachineClass};
 use std::path::Path;
 
-/// Core members from which the loss of one machine is tolerated.
+/// Least number of core members that tolerates the loss of one machine.
 const TOLERANT_MEMBERS: usize = 3;
 
-/// The settings file of a machine; core members keep their data below `folder`.
+/// The content of a machine's settings file. The data folders of core members are inside `folder`.
 pub(super) fn text(layout: &Layout, machine: &Machine, folder: &Path) -> String {
     let tolerated = u32::from(layout.control_addresses().len() >= TOLERANT_MEMBERS);
     let mut text = general(layout, machine);
     if machine.class == MachineClass::Core {
-        // A path of the system's temporary folder, written as a TOML text.
+        // The path of the system's temporary folder is arbitrary, so it is escaped as a TOML string.
         let data_dir = toml::Value::from(folder.join(&machine.name).display().to_string());
         text.push_str(&format!("data_dir = {data_dir}\n"));
     }
--- a/crates/ctl/src/quickstart/stand_in.rs
+++ b/crates/ctl/src/quickstart/stand_in.rs
@@ -1,5 +1,5 @@
-//! A stand-in worker as a state machine without I/O: it runs each task for the number of milliseconds in its `spec`, and
-//! follows the operators' rules for run leases, fencing tokens and acknowledged ends.
+//! The stand-in worker, a state machine without I/O. It does no work: each run lasts for the number of milliseconds in
+//! the task's `spec`. It follows the worker protocol's rules for run leases, fencing tokens and acknowledged ends.
 
 use super::workload::SERVICE;
 use indigofold_protocol::job::Resources;
@@ -7,21 +7,21 @@
     Finished, Heartbeat, HeartbeatReply, RunEnd, Running, Start, Stop, WorkerState,
 };
 
-/// Run time of a task whose `spec` is no number.
+/// Run time of a task whose `spec` is not a number, in milliseconds.
 const DEFAULT_RUN_MS: u64 = 300;
-/// Interval of heartbeats, where no answer sets another.
+/// Interval of heartbeats unless a reply sets another delay, in milliseconds.
 const HEARTBEAT_MS: u64 = 500;
-/// Delay of the next heartbeat after the end of a run.
+/// Longest delay of the next heartbeat after a run ends, in milliseconds.
 const HEARTBEAT_AFTER_END_MS: u64 = 50;
-/// Bound on a run lease.
+/// Maximum length of a run lease, in milliseconds; longer leases are cut to it.
 const MAX_LEASE_MS: u64 = 6_000;
-/// Bound on the ended runs in one heartbeat.
+/// Maximum number of ended runs in one heartbeat, as the protocol allows.
 const ENDS_REPORTED_MAX: usize = 500;
 
 /// The resources of a stand-in worker.
 #[derive(Clone, Debug)]
 pub struct WorkerLimits {
-    /// Capacity for tasks.
+    /// Resources that the worker reports as its capacity.
     pub capacity: Resources,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// A run in progress.
+/// A run in progress; times are in milliseconds of the worker's clock.
 struct ActiveRun {
     task: String,
     attempt: u32,
@@ -51,26 +51,26 @@
     }
 }
 
-/// A stand-in worker; times are in milliseconds of its own monotonic clock.
+/// A stand-in worker. All times are in milliseconds of a monotonic clock that the caller reads.
 pub struct StandInWorker {
     limits: WorkerLimits,
     address: String,
     runs: Vec<ActiveRun>,
-    /// Ended runs that have not been acknowledged.
+    /// Ended runs that the head has not acknowledged yet, oldest first.
     finished: Vec<Finished>,
-    /// Number of the next ended run.
+    /// Number that the next ended run gets, from 1.
     next_end: u64,
-    /// Number of the last heartbeat.
+    /// Sequence number of the last heartbeat.
     seq_no: u64,
-    /// The highest that has been received.
+    /// The highest fencing token received so far.
     fencing_token: u64,
-    /// End of the run lease.
+    /// When the run lease expires; all runs end then.
     lease_until_ms: u64,
     next_heartbeat_ms: u64,
 }
 
 impl StandInWorker {
-    /// A worker that has just started.
+    /// Creates an idle worker. Its first heartbeat is due at time 0.
     pub fn new(address: String, limits: WorkerLimits) -> StandInWorker {
         StandInWorker {
             limits,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// When [`advance`](Self::advance) has to be called next.
+    /// The time at which [`advance`](Self::advance) must be called next.
     pub fn next_due_ms(&self) -> u64 {
         let ends = self.runs.iter().map(ActiveRun::end_ms);
         let lease_end_ms = if self.runs.is_empty() {
@@ -96,7 +96,8 @@
         ends.fold(self.next_heartbeat_ms.min(lease_end_ms), u64::min)
     }
 
-    /// Ends the runs that are done, and all of them once the lease has expired; returns the heartbeat if one is due.
+    /// Ends the runs whose time is over, and the remaining ones if the lease has expired. Returns a heartbeat if one is
+    /// due.
     pub fn advance(&mut self, now_ms: u64) -> Option<Heartbeat> {
         let (done, active): (Vec<ActiveRun>, Vec<ActiveRun>) =
             self.runs.drain(..).partition(|run| run.end_ms() <= now_ms);
@@ -112,7 +113,8 @@
         (now_ms >= self.next_heartbeat_ms).then(|| self.heartbeat(now_ms))
     }
 
-    /// Handles the reply to the heartbeat sent at `sent_ms`; one under an old fencing token sets the next heartbeat only.
+    /// Handles the reply to the heartbeat that was sent at `sent_ms`. A reply with a fencing token below the highest
+    /// one received only sets the time of the next heartbeat; its orders are ignored.
     pub fn handle_reply(&mut self, sent_ms: u64, now_ms: u64, reply: HeartbeatReply) {
         self.next_heartbeat_ms = now_ms + reply.retry_delay_ms.unwrap_or(HEARTBEAT_MS);
         let token = reply.fencing_token.unwrap_or(0);
--- a/crates/ctl/src/quickstart/workers.rs
+++ b/crates/ctl/src/quickstart/workers.rs
@@ -1,4 +1,4 @@
-//! Threads that run the stand-in workers, one beside each node agent.
+//! Runs the stand-in workers, one thread for each node agent.
 
 use super::http::Request;
 use super::layout::{Layout, MachineClass};
@@ -9,19 +9,19 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The running stand-in workers; they end with this value.
+/// The running stand-in workers. Dropping this value ends them and waits for their threads.
 pub(super) struct Workers {
     threads: Vec<WorkerThread>,
 }
 
 struct WorkerThread {
-    /// Nothing is sent: the worker ends when this is dropped.
+    /// Nothing is sent on this channel; the worker ends when the sender is dropped.
     stop: Sender<()>,
     handle: JoinHandle<()>,
 }
 
 impl Workers {
-    /// One for each node agent.
+    /// Starts a worker for each node agent.
     pub(super) fn start(layout: &Layout) -> Workers {
         let agents = layout.machines_of(MachineClass::Side);
         let threads = agents.map(|machine| {
@@ -41,13 +41,13 @@
     fn drop(&mut self) {
         for WorkerThread { stop, handle } in self.threads.drain(..) {
             drop(stop);
-            // It panics only by a mistake in this program, which has been printed then.
+            // An error means that the worker panicked; the panic message is already on standard error.
             let _ = handle.join();
         }
     }
 }
 
-/// Runs a worker until the sender of `stopped` is dropped.
+/// Runs a worker until the sender that belongs to `stopped` is dropped.
 fn run_worker(agent: SocketAddr, id: &str, stopped: &Receiver<()>) {
     let clock = Instant::now();
     let now_ms = || clock.elapsed().as_millis() as u64;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Sends a heartbeat; `None` while the node agent does not answer.
+/// Sends a heartbeat. Returns `None` if the node agent does not answer, or answers with an error.
 fn send_heartbeat(agent: SocketAddr, id: &str, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
     let body = serde_json::to_string(heartbeat).ok()?;
     let path = format!("/instances/{id}");
--- a/crates/ctl/src/quickstart/workload.rs
+++ b/crates/ctl/src/quickstart/workload.rs
@@ -1,17 +1,17 @@
-//! The first configuration and the first job of the small cluster.
+//! The first configuration and the first job of the cluster.
 
 use serde_json::{Value, json};
 
-/// Host of the one queue.
+/// Host of the only queue's route.
 pub(super) const HOST: &str = "quickstart.example";
-/// Prefix of its jobs' paths.
+/// Path prefix of the queue's jobs.
 pub(super) const QUEUE_PATH: &str = "/jobs/";
-/// The workers' service.
+/// Name of the workers' service.
 pub(super) const SERVICE: &str = "stand-in";
 /// Id of the first job.
 pub(super) const FIRST_JOB: &str = "00000000000000f1";
 
-/// The first configuration: one queue, one service.
+/// The first configuration: one queue and one service.
 pub(super) fn configuration() -> Value {
     json!({
         "version": 1,
@@ -31,7 +31,8 @@
     })
 }
 
-/// The first job: four tasks, then one that waits for them. Stand-in workers read the run time from `spec`.
+/// The first job: a step of four tasks, then one task that depends on that step. Stand-in workers read the run time, in
+/// milliseconds, from `spec`.
 pub(super) fn first_job() -> Value {
     json!({
         "spec": "300",
--- a/crates/ctl/src/replicas.rs
+++ b/crates/ctl/src/replicas.rs
@@ -1,4 +1,4 @@
-//! `compare-copies`: rows that differ between the replicas on core members' disks.
+//! `compare-copies`: finds rows that differ between the replicas on core members' disks.
 
 mod compare;
 mod history;
@@ -14,10 +14,10 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// Bound on the differences of a pair in the text; JSON has all of them.
+/// Maximum number of differences of a pair that the text lists. The JSON has all of them.
 const DIFFERENCES_SHOWN_MAX: usize = 20;
 
-/// The JSON of a comparison.
+/// The JSON form of the report.
 #[derive(Serialize)]
 struct ReplicaComparison<'a> {
     #[serde(rename = "copies")]
@@ -25,7 +25,7 @@
     pairs: &'a [Comparison],
 }
 
-/// Opens the replicas in these folders and compares each with the first.
+/// Opens the replicas in these folders and compares each of the others with the first.
 ///
 /// # Errors
 ///
--- a/crates/ctl/src/replicas/compare.rs
+++ b/crates/ctl/src/replicas/compare.rs
@@ -1,4 +1,4 @@
-//! Comparison of two replicas.
+//! Row-by-row comparison of two replicas.
 
 use super::history::common_seq;
 use super::replica::Replica;
@@ -7,34 +7,35 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// How two replicas differ.
+/// Result of the comparison of two replicas.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
     /// Folder of the left replica.
     pub left: PathBuf,
     /// Folder of the right replica.
     pub right: PathBuf,
-    /// Both have taken the same writes up to this sequence number.
+    /// Sequence number up to which both replicas have applied the same writes; 0 if they share none.
     pub common_seq: u64,
-    /// Rows that differ.
+    /// Rows that differ, ordered by key.
     pub differences: Vec<Difference>,
 }
 
-/// A row that differs.
+/// A row that differs between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Its key.
+    /// Key of the row; bytes that are not UTF-8 are replaced.
     pub key: String,
-    /// Sequence number of the left replica's row; none if it has no such row.
+    /// Sequence number of the write that set the row in the left replica; `None` if that replica has no such row.
     pub left_seq: Option<u64>,
-    /// The same of the right replica.
+    /// The same for the right replica.
     pub right_seq: Option<u64>,
-    /// Both replicas should agree on it: neither lacks the write that set it.
+    /// The row must not differ, as both replicas have applied the write that set it last. False if one of them is
+    /// merely behind.
     pub wrong: bool,
 }
 
 impl Difference {
-    /// As it is printed.
+    /// One line that describes the difference.
     pub fn sentence(&self) -> String {
         let side = |seq: Option<u64>| seq.map_or("no row".to_owned(), |seq| format!("write {seq}"));
         let (left, right) = (side(self.left_seq), side(self.right_seq));
@@ -44,7 +45,7 @@
 }
 
 impl Comparison {
-    /// What is wrong.
+    /// A finding for each difference that is [`wrong`](Difference::wrong).
     pub fn findings(&self) -> Vec<String> {
         let wrong = self
             .differences
@@ -57,7 +58,10 @@
     }
 }
 
-/// Compares two replicas.
+/// Compares the rows of two replicas.
+///
+/// A replica may have dropped the tombstones of deleted rows up to its `trimmed`. A missing row therefore equals an old
+/// tombstone, and is not wrong if the tombstone may belong to a write after the common ones.
 pub fn compare(left: &Replica, right: &Replica) -> Comparison {
     let common_seq = common_seq(left.write_history(), right.write_history());
     let trimmed = left.trimmed.max(right.trimmed);
@@ -99,7 +103,7 @@
     })
 }
 
-/// Whether this is the tombstone of a deleted row, or none where it may have been dropped.
+/// Whether the row is absent, or is a tombstone so old that another replica may have dropped it.
 fn is_tombstone(row: Option<&Row>, trimmed: u64) -> bool {
     row.is_none_or(|row| row.value.is_none() && row.seq <= trimmed)
 }
--- a/crates/ctl/src/replicas/replica.rs
+++ b/crates/ctl/src/replicas/replica.rs
@@ -1,4 +1,4 @@
-//! The replica in one member's database, read without a change to its folder.
+//! Reads the replica in a member's database without changing the member's folder.
 
 use super::history::WriteHistory;
 use indigofold_replication::{Row, Storage, StorageError, ViewNumber, ViewStart};
@@ -9,46 +9,46 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Name of the database file; its log and journal have a suffix to it.
+/// Name of the database file. `SQLite` adds a suffix to it for the write-ahead log and the journal.
 const DATABASE: &str = "control.sqlite";
 
-/// A replica that cannot be opened.
+/// Why a replica cannot be opened.
 #[derive(Debug, Snafu)]
 pub enum ReplicaError {
-    /// The folder holds no database.
+    /// The folder contains no database.
     #[snafu(display("{} holds no {DATABASE}: is it the data_dir of a core member?", folder.display()))]
     NoDatabase {
-        /// The folder.
+        /// The data folder.
         folder: PathBuf,
     },
-    /// Its files cannot be copied.
+    /// The database files cannot be copied to a temporary folder.
     #[snafu(display("{} cannot be read: {source}", folder.display()))]
     Files {
-        /// The folder.
+        /// The data folder.
         folder: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The database cannot be read.
+    /// The database cannot be opened or read.
     #[snafu(display("the database in {} cannot be read: {source}", folder.display()))]
     Storage {
-        /// The folder.
+        /// The data folder.
         folder: PathBuf,
-        /// Why.
+        /// The error of the storage.
         source: StorageError,
     },
-    /// The database is damaged.
+    /// The database is damaged or has a newer format, so a member would quarantine it at its start.
     #[snafu(display("the database in {} cannot be used: {reason}", folder.display()))]
     Damaged {
-        /// The folder.
+        /// The data folder.
         folder: PathBuf,
-        /// Why.
+        /// The damage that was found.
         reason: String,
     },
 }
 
 impl ReplicaError {
-    /// Whether the folder is not what was meant.
+    /// Whether the input is at fault: the folder has no database, or its files cannot be read.
     pub fn is_input(&self) -> bool {
         matches!(
             self,
@@ -57,25 +57,25 @@
     }
 }
 
-/// The replica in one member's database.
+/// The rows in one member's database, and the writes that they include.
 #[derive(Debug, Serialize)]
 pub struct Replica {
-    /// Its folder.
+    /// The data folder from which it was read.
     pub folder: PathBuf,
-    /// The member's internal address; none in an empty database.
+    /// The member's internal address; `None` if the database is empty.
     pub member: Option<SocketAddr>,
-    /// The view that it accepted last.
+    /// The view that the member accepted last; `None` before the first one.
     pub view: Option<ViewNumber>,
-    /// Number of the view that ordered its last write.
+    /// Number of the view that ordered the last write.
     pub stored_view: ViewNumber,
-    /// Sequence number of its last write.
+    /// Sequence number of the last write.
     pub stored_seq: u64,
-    /// Up to this sequence number the tombstones of deleted rows may have been dropped.
+    /// Sequence number up to which the tombstones of deleted rows may have been dropped.
     pub trimmed: u64,
-    /// The views that led to its state.
+    /// The views that led to the state of the rows, oldest first.
     #[serde(skip)]
     pub history: Vec<ViewStart>,
-    /// All rows by key, with the tombstones of those deleted. JSON has their number.
+    /// All rows by key, including tombstones of deleted rows. The JSON has only their number.
     #[serde(serialize_with = "row_count")]
     pub rows: BTreeMap<Vec<u8>, Row>,
 }
@@ -88,11 +88,12 @@
 }
 
 impl Replica {
-    /// Reads the database of a folder. Its files are cloned first: to open a database changes it.
+    /// Reads the database in a folder. Its files are copied to a temporary folder first, because opening a database
+    /// changes its files.
     ///
     /// # Errors
     ///
-    /// [`ReplicaError`] if the files cannot be cloned, or are no database of a member.
+    /// [`ReplicaError`] if the folder has no database, its files cannot be copied, or the database cannot be used.
     pub fn open(folder: &Path) -> Result<Replica, ReplicaError> {
         let scratch = tempfile::tempdir().context(FilesSnafu { folder })?;
         let found = clone_database_files(folder, scratch.path()).context(FilesSnafu { folder })?;
@@ -123,7 +124,7 @@
         })
     }
 
-    /// Which writes it has taken.
+    /// The writes that the replica has applied.
     pub(super) fn write_history(&self) -> WriteHistory<'_> {
         WriteHistory {
             views: &self.history,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Clones the database's files; false if there are none.
+/// Copies the database file with its log and journal, as far as they exist. Returns false if `from` has no database.
 fn clone_database_files(from: &Path, to: &Path) -> io::Result<bool> {
     for suffix in ["", "-wal", "-journal"] {
         let name = format!("{DATABASE}{suffix}");
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,22 +1,23 @@
-//! The result of a verb.
+//! Reports: what a verb returns, and how it is printed.
 
 use crate::exit_code::{EXIT_FOUND, EXIT_OK};
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// The result of a verb.
+/// The result of a verb, for people and for programs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// For people, with an end of line.
+    /// Text for people; empty or ends with a newline.
     pub text: String,
-    /// For programs: the entry `report` of the printed JSON.
+    /// Data for programs: the value of `report` in the printed JSON.
     pub data: Value,
-    /// What is wrong, a sentence each.
+    /// The problems that were found, one sentence each. Empty means that nothing is wrong.
     pub findings: Vec<String>,
 }
 
 impl Report {
-    /// A report with these data; they are plain structs, which can always be written as JSON.
+    /// Creates a report. `data` is converted to JSON; the structs that the verbs pass always can be, otherwise the data
+    /// would be null.
     pub fn new(text: String, data: &impl Serialize, findings: Vec<String>) -> Self {
         Report {
             text,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// The exit code for it.
+    /// [`EXIT_OK`] without findings, else [`EXIT_FOUND`].
     pub fn exit_code(&self) -> u8 {
         if self.findings.is_empty() {
             EXIT_OK
@@ -34,13 +35,13 @@
         }
     }
 
-    /// As it is printed with `--json`: one line, without its end.
+    /// The report as printed with `--json`: one line, without the newline.
     pub fn json(&self) -> String {
         let ok = self.findings.is_empty();
         json!({ "ok": ok, "findings": self.findings, "report": self.data }).to_string()
     }
 
-    /// As it is printed without `--json`.
+    /// The report as printed without `--json`: the text, then the findings.
     pub fn plain(&self) -> String {
         let mut text = self.text.clone();
         if !self.findings.is_empty() {
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -12,7 +12,7 @@
 use crate::report::Report;
 use std::net::SocketAddr;
 
-/// Queries the members at these internal addresses, and those that they know.
+/// Queries the members at these internal addresses, and the peers that they name.
 ///
 /// # Errors
 ///
@@ -21,7 +21,7 @@
     query::run(gather::gather(addresses)).map(|status| report(&status))
 }
 
-/// The report of the answers.
+/// The report on a cluster: its status as text and JSON, and the findings.
 pub fn report(status: &ClusterStatus) -> Report {
     Report::new(text::text(status), status, findings(status))
 }
--- a/crates/ctl/src/status/cluster.rs
+++ b/crates/ctl/src/status/cluster.rs
@@ -1,15 +1,15 @@
-//! The answers of all members, and what follows from them together.
+//! The status of a cluster, combined from the answers of its members.
 
 use indigofold_protocol::inspection::MemberStatus;
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The answers of all members.
+/// The answers of all members that were queried.
 #[derive(Debug, Default, Serialize)]
 pub struct ClusterStatus {
-    /// Those that answered.
+    /// Status of each member that answered, ordered by internal address.
     pub members: Vec<MemberStatus>,
-    /// Those that did not, and why.
+    /// Members that did not answer.
     #[serde(rename = "silent")]
     pub unresponsive: Vec<UnresponsiveMember>,
 }
@@ -17,26 +17,26 @@
 /// A member that did not answer.
 #[derive(Debug, Serialize)]
 pub struct UnresponsiveMember {
-    /// Its internal address.
+    /// The member's internal address.
     pub internal: SocketAddr,
-    /// Why.
+    /// The reason why there is no answer.
     pub reason: String,
 }
 
 impl ClusterStatus {
-    /// The acting head; of two, the one of the newer view.
+    /// The acting head. If two members act as head, the one with the newer view.
     pub fn head(&self) -> Option<&MemberStatus> {
         let acting = self.members.iter().filter(|member| member.acting);
         acting.max_by_key(|member| view_number(member))
     }
 
-    /// The member whose view is the newest: the head, if there is one.
+    /// The member whose view is shown: the acting head, or without one the member with the newest view.
     pub(super) fn newest(&self) -> Option<&MemberStatus> {
         let by_view = || self.members.iter().max_by_key(|member| view_number(member));
         self.head().or_else(by_view)
     }
 
-    /// Name of a member's machine, or its address while nobody has named it.
+    /// The node name of a member, as given by itself or by a peer; its internal address if no name is known.
     pub(super) fn name(&self, internal: SocketAddr) -> String {
         let member = self
             .members
@@ -54,7 +54,7 @@
             .unwrap_or_else(|| internal.to_string())
     }
 
-    /// The names of several members.
+    /// The names of several members, joined with `separator`.
     pub(super) fn names(&self, addresses: &[SocketAddr], separator: &str) -> String {
         let names = addresses.iter().map(|address| self.name(*address));
         names.collect::<Vec<_>>().join(separator)
--- a/crates/ctl/src/status/findings.rs
+++ b/crates/ctl/src/status/findings.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a cluster.
+//! Problems that the status of a cluster shows.
 
 use super::cluster::ClusterStatus;
 use indigofold_protocol::inspection::{MemberStatus, ViewStatus};
 use std::net::SocketAddr;
 
-/// What is wrong with the cluster, a sentence each.
+/// The problems of a cluster, one sentence each. Empty means that nothing is wrong.
 pub fn findings(status: &ClusterStatus) -> Vec<String> {
     let view = status.newest().and_then(|member| member.view.as_ref());
     let mut findings = Vec::new();
@@ -24,7 +24,7 @@
     view.is_some_and(|view| view.voters.contains(&internal))
 }
 
-/// Voters that do not answer; all members that do not, while no view is known.
+/// Voters that do not answer. While no view is known, every member that does not answer.
 fn unresponsive_findings<'a>(
     status: &'a ClusterStatus,
     view: Option<&'a ViewStatus>,
@@ -42,7 +42,7 @@
     })
 }
 
-/// Voters outside the chain.
+/// Voters of the view that are not in its chain.
 fn chain_findings(status: &ClusterStatus, view: Option<&ViewStatus>) -> Vec<String> {
     let Some(view) = view.filter(|view| !view.chain.is_empty()) else {
         return Vec::new();
--- a/crates/ctl/src/status/gather.rs
+++ b/crates/ctl/src/status/gather.rs
@@ -1,4 +1,4 @@
-//! Queries to all members for their state.
+//! Queries all members of a cluster for their status.
 
 use super::cluster::{ClusterStatus, UnresponsiveMember};
 use crate::query::{self, MemberResponse, QueryError};
@@ -6,10 +6,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Bound on the queries to members that only others have named.
+/// Maximum number of members that are queried because another member named them.
 const DISCOVERED_MEMBERS_MAX: usize = 32;
 
-/// Queries the members at these internal addresses, then those that they name.
+/// Queries the members at these internal addresses, then the peers that they name. Fails if none of the former
+/// answers.
 pub(super) async fn gather(addresses: Vec<SocketAddr>) -> Result<ClusterStatus, QueryError> {
     let responses = query::query_all(&addresses, Question::Status).await;
     if responses.iter().all(|response| response.result.is_err()) {
@@ -24,7 +25,7 @@
     Ok(status)
 }
 
-/// Peers of the members that have not been queried, in the order of their addresses.
+/// Peers that the members name and that are not among `queried`, ordered by address.
 fn discovered(status: &ClusterStatus, queried: &[SocketAddr]) -> Vec<SocketAddr> {
     let peers = status.members.iter().flat_map(|member| &member.peers);
     let discovered: BTreeSet<SocketAddr> = peers
--- a/crates/ctl/src/status/text.rs
+++ b/crates/ctl/src/status/text.rs
@@ -1,4 +1,4 @@
-//! The printed form of a cluster's status.
+//! Formats a cluster's status as text.
 
 use super::cluster::ClusterStatus;
 use crate::table::Table;
@@ -6,10 +6,10 @@
     MemberStatus, ServiceStatus, TaskCounts, ViewStatus, WorkStatus,
 };
 
-/// Stands in a table for a value that is not known.
+/// Placeholder in a table for an unknown value.
 const UNKNOWN: &str = "-";
 
-/// The complete text.
+/// The text of the report: view and head, the table of members, and the work as the acting head reports it.
 pub(super) fn text(status: &ClusterStatus) -> String {
     let mut text = String::new();
     if let Some(newest) = status.newest() {
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,30 +1,30 @@
-//! Tables in the printed reports.
+//! Text tables for the printed reports.
 
 use std::fmt;
 
-/// Text between two columns.
+/// Text printed between two columns.
 const COLUMN_SEPARATOR: &str = "  ";
 
-/// A table with a header row; its columns are aligned to the left when it is displayed.
+/// A table with a header row. `Display` pads the cells so that columns are left-aligned.
 #[derive(Clone, Debug)]
 pub(crate) struct Table<const COLUMNS: usize> {
     rows: Vec<[String; COLUMNS]>,
 }
 
 impl<const COLUMNS: usize> Table<COLUMNS> {
-    /// A table that has a header row only.
+    /// Creates a table that has only its header row.
     pub(crate) fn new(header: [&str; COLUMNS]) -> Self {
         Table {
             rows: vec![header.map(str::to_owned)],
         }
     }
 
-    /// Appends a row.
+    /// Appends a row below the others.
     pub(crate) fn push(&mut self, row: [String; COLUMNS]) {
         self.rows.push(row);
     }
 
-    /// The width of a column, in characters.
+    /// Width of the widest cell of a column, in characters.
     fn width(&self, column: usize) -> usize {
         let widths = self.rows.iter().map(|row| row[column].chars().count());
         widths.max().unwrap_or(0)
--- a/crates/ctl/tests/checks.rs
+++ b/crates/ctl/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The verbs that check files.
+//! Tests of the verbs that check files.
 
 use indigofold_ctl::error::ToolError;
 use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
@@ -18,7 +18,7 @@
     path
 }
 
-/// The report has these findings, each of them with its expected text, and no others.
+/// Asserts that the report has as many findings as `expected`, each containing the expected text at the same position.
 fn assert_findings(report: &Report, expected: &[&str]) {
     let findings = &report.findings;
     assert_eq!(findings.len(), expected.len(), "{findings:?}");
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `indigofold-ctl`.
+//! Tests of the command line parser.
 
 use indigofold_ctl::command_line::{Command, Verb, parse};
 use indigofold_protocol::task::JobId;
--- a/crates/ctl/tests/daemons.rs
+++ b/crates/ctl/tests/daemons.rs
@@ -1,4 +1,4 @@
-//! The tool against real daemons on loopback.
+//! Runs the tool's program against real daemons on loopback addresses.
 
 use indigofold_ctl::quickstart::{Options, Programs, run};
 use rstest::rstest;
@@ -27,7 +27,7 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// A folder in which the daemons have their usual names.
+/// A folder with links to the daemons' programs under their usual names.
 fn program_folder() -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     let Programs { control, data, .. } = programs();
@@ -42,7 +42,7 @@
 struct Serving {
     child: Child,
     printed: Vec<String>,
-    /// Kept open, as a terminal would be.
+    /// Kept open so that the tool can go on writing to its standard output.
     output: BufReader<ChildStdout>,
 }
 
@@ -83,7 +83,7 @@
             .to_owned()
     }
 
-    /// Ends it as Ctrl-C does.
+    /// Sends SIGINT, as Ctrl-C does, and checks that the tool ends its daemons and exits with 0.
     fn interrupt(&mut self) {
         let id = rustix::process::Pid::from_child(&self.child);
         rustix::process::kill_process(id, rustix::process::Signal::INT).expect("a signal");
@@ -100,7 +100,7 @@
     fn drop(&mut self) {
         let id = rustix::process::Pid::from_child(&self.child);
         if matches!(self.child.try_wait(), Ok(None)) {
-            // It ends its daemons at SIGTERM, not at SIGKILL.
+            // The tool ends its daemons on SIGTERM; after SIGKILL they would go on running.
             let _ = rustix::process::kill_process(id, rustix::process::Signal::TERM);
             let _ = self.child.wait();
         }
@@ -111,7 +111,7 @@
 #[case::one_member(1)]
 #[case::three_members(3)]
 fn quickstart_runs_a_job_to_its_end(#[case] members: usize) {
-    // The addresses follow from the number of the process, so each case runs one of its own.
+    // The loopback network is derived from the tool's process id, so that cases running in parallel do not collide.
     let folder = program_folder();
     let programs = folder.path().display().to_string();
     let output = tool(&[
@@ -179,7 +179,7 @@
     assert_eq!(tool(&["status", "--at", &member]).status.code(), Some(3));
 }
 
-/// So one command on a fresh clone starts a cluster: no other program has to be built first.
+/// `quickstart` must start a cluster with the tool's program alone, so that one command is enough on a fresh clone.
 #[test]
 fn quickstart_needs_no_program_beside_the_tool() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/ctl/tests/job_lookup.rs
+++ b/crates/ctl/tests/job_lookup.rs
@@ -1,4 +1,4 @@
-//! `job` follows members that name others as the head, as far as its bound, over real sockets.
+//! Tests of how `job` follows redirections to the head, over real sockets.
 
 use indigofold_ctl::job::{REDIRECTIONS_MAX, find_job};
 use indigofold_ctl::query::QueryError;
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 
-/// A member that answers each question with `answer`.
+/// Serves as a member that answers each query with `answer`.
 async fn serve(listener: FrameListener, answer: InspectionAnswer) {
     while let Ok(mut connection) = listener.accept().await {
         while let Ok(Some(frame)) = connection.reader.next().await {
@@ -27,7 +27,8 @@
     }
 }
 
-/// Members of which each names the next one as the head; the last one is the head and knows no job.
+/// Starts members of which each names the next one as the head. The last one is the acting head and knows no job. Returns
+/// the first member's address and the tasks that serve.
 async fn members(count: usize) -> (SocketAddr, Vec<Task<()>>) {
     let mut tasks = Vec::new();
     let mut answer = InspectionAnswer::Job(None);
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Comparison of the replicas on members' disks.
+//! Tests of `compare-copies`: the comparison of replicas on members' disks.
 
 use indigofold_ctl::error::ToolError;
 use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
@@ -38,7 +38,7 @@
     Write { seq, key, value }
 }
 
-/// A folder with a database of these writes, all of view 1.
+/// Creates a data folder whose database has these writes, all ordered by view 1.
 fn disk(writes: &[Write]) -> TempDir {
     let folder = TempDir::new().expect("a folder");
     let seq = writes.last().map_or(0, |write| write.seq);
@@ -77,7 +77,7 @@
 
 const WRITES: [Write; 3] = [put(1, "a", "1"), put(2, "b", "2"), delete(3, "a")];
 
-/// The exit code of a comparison, and how many rows differ.
+/// Compares two data folders. Returns the exit code and the number of rows that differ.
 fn compared(left: &TempDir, right: &TempDir) -> (u8, usize) {
     let report = run(&[left.path().to_owned(), right.path().to_owned()]).expect("a report");
     assert_eq!(report.data["copies"].as_array().map(Vec::len), Some(2));
--- a/crates/ctl/tests/stand_in.rs
+++ b/crates/ctl/tests/stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in worker of `quickstart`.
+//! Tests of the stand-in worker of `quickstart`.
 
 use indigofold_ctl::quickstart::{StandInWorker, WorkerLimits};
 use indigofold_protocol::worker::{HeartbeatReply, RunEnd, Start, Stop};
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -1,4 +1,4 @@
-//! The report and the findings of `status`.
+//! Tests of the report and the findings of `status`.
 
 use indigofold_ctl::status::{ClusterStatus, UnresponsiveMember, report};
 use indigofold_protocol::inspection::{
