--- a/crates/ctl/src/check_config.rs
+++ b/crates/ctl/src/check_config.rs
@@ -20,7 +20,7 @@
     },
     /// The file is a patch, and the configuration to apply it to is not given.
     #[snafu(display(
-        "{}: this is a patch: --current FILE has to name what it changes",
+        "{}: the file is a patch: the configuration that it applies to must be given with --current FILE",
         path.display()
     ))]
     PatchWithoutCurrent {
@@ -79,8 +79,8 @@
     parse_config(&bytes).context(CurrentSnafu { path })
 }
 
-/// Whether these bytes are the body of a `PATCH /config`: an object with `upsert` or `remove` and without `routes`. Bytes
-/// that are not JSON count as a configuration, and are reported as an invalid one.
+/// Whether these bytes are the body of a `PATCH /config`: an object with `upsert` or `remove` and without `routes`.
+/// Bytes that are not JSON count as a configuration, and are reported as an invalid one.
 fn is_patch(bytes: &[u8]) -> bool {
     let value: Value = serde_json::from_slice(bytes).unwrap_or_default();
     let has = |name: &str| value.get(name).is_some();
--- a/crates/ctl/src/check_deploy.rs
+++ b/crates/ctl/src/check_deploy.rs
@@ -86,7 +86,7 @@
     ));
     if serves(role).any(|caller| caller == "side") && class != Some("side") {
         findings.push(format!(
-            "`{key}.serves` has \"side\": only a role on \"side\" machines may"
+            "`{key}.serves` has \"side\": only a role on \"side\" machines may serve it"
         ));
     }
     findings
@@ -160,7 +160,7 @@
                 .count();
             if served > 1 {
                 findings.push(format!(
-                    "{served} roles on \"{class}\" serve \"{caller}\": one may"
+                    "{served} roles on \"{class}\" serve \"{caller}\": at most one may"
                 ));
             }
         }
--- a/crates/ctl/src/help.rs
+++ b/crates/ctl/src/help.rs
@@ -69,7 +69,8 @@
 
 /// Help for `check-deploy`.
 pub const CHECK_DEPLOY: &str = "\
-Checks the deploy file: build, packages, roles, who serves whom, unknown keys.
+Checks the deploy file: build, packages, roles, the callers that roles serve,
+unknown keys.
 
 Usage: indigofold-ctl [--json] check-deploy FILE
 ";
@@ -85,15 +86,15 @@
   DIR  `data_dir` of a member
 
 A replica that lacks the newest writes is behind, which is not wrong. Wrong,
-exit code 1: rows that differ although both replicas have taken the same writes,
-or a damaged database.
+exit code 1: rows that differ although both replicas have applied the same
+writes, or a damaged database.
 ";
 
 /// Help for `quickstart`.
 pub const QUICKSTART: &str = "\
 Runs a small cluster on loopback addresses of this machine: core members, an
-edge, two node agents with stand-in workers. Takes a configuration, runs a job
-through to its end, then serves until Ctrl-C.
+edge, two node agents with stand-in workers. Applies a configuration, runs a
+job to completion, then serves until Ctrl-C.
 
 Usage: indigofold-ctl quickstart [OPTIONS]
 
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -97,7 +97,7 @@
             text: String::new(),
             data: Value::Null,
             findings: vec![format!(
-                "job {id} is not known: never taken, or ended long ago"
+                "job {id} is not known: it was never accepted, or it ended long ago"
             )],
         },
         Some(job) => Report::new(text(&job), &job, Vec::new()),
@@ -110,7 +110,7 @@
         text.push_str(&format!("queue {queue}, service {service}\n"));
     }
     if let Some(accepted_ms) = job.accepted_wall_ms {
-        text.push_str(&format!("taken at {accepted_ms} ms since 1970\n"));
+        text.push_str(&format!("accepted at {accepted_ms} ms since 1970\n"));
     }
     if let (Some(due_ms), Some(repeats)) = (job.next_due_wall_ms, job.repeats) {
         text.push_str(&format!(
@@ -162,12 +162,12 @@
             needed,
         } => {
             format!(
-                "no room: {fitting_tasks} tasks would fit beside what runs, {needed} are needed at once"
+                "no room: {fitting_tasks} tasks would fit beside the running ones, {needed} are needed at once"
             )
         }
         Wait::Deferred { fitting_tasks } => format!(
-            "held back although {fitting_tasks} tasks would fit: room reserved for another step, workers suspected \
-             or paused, or the wait for a rack"
+            "held back although {fitting_tasks} tasks would fit: capacity is reserved for another step, workers are \
+             suspected or paused, or the step waits for its rack"
         ),
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -41,7 +41,10 @@
     } else if name == quickstart::DATA {
         indigofold_data_plane::program::run(arguments)
     } else {
-        eprintln!("indigofold-ctl: the daemons are `control` and `data`");
+        eprintln!(
+            "indigofold-ctl: unknown daemon `{}`: `control` or `data` is expected",
+            name.display()
+        );
         ExitCode::from(EXIT_INPUT)
     }
 }
--- a/crates/ctl/src/query.rs
+++ b/crates/ctl/src/query.rs
@@ -51,7 +51,7 @@
         reason: String,
     },
     /// The kind of the answer does not match the question.
-    #[snafu(display("{address} gives the answer to another question"))]
+    #[snafu(display("{address} answered a different question than it was asked"))]
     UnexpectedAnswer {
         /// The member's internal address.
         address: SocketAddr,
@@ -70,7 +70,7 @@
     },
     /// The members still name another head after the maximum number of redirections.
     #[snafu(display(
-        "each member names another one as the head, the last {}: the leadership moves, try again",
+        "the members keep naming other members as the head, most recently {}: the leadership is changing, try again",
         joined(heads)
     ))]
     Redirected {
--- a/crates/ctl/src/quickstart/error.rs
+++ b/crates/ctl/src/quickstart/error.rs
@@ -34,7 +34,7 @@
         source: io::Error,
     },
     /// A daemon has ended although it was not told to.
-    #[snafu(display("{name} has ended by itself ({status}); it wrote last:\n{log}"))]
+    #[snafu(display("{name} has ended unexpectedly ({status}); the end of its log:\n{log}"))]
     Ended {
         /// Name of the daemon's machine.
         name: String,
@@ -44,7 +44,7 @@
         log: String,
     },
     /// A step of the scenario did not succeed in time.
-    #[snafu(display("{step} did not happen within {seconds} s; the last answer: {source}"))]
+    #[snafu(display("{step} did not happen within {seconds} s; the last attempt: {source}"))]
     Late {
         /// Description of the step.
         step: &'static str,
@@ -54,7 +54,7 @@
         source: AttemptError,
     },
     /// The first job ended in a state other than completed.
-    #[snafu(display("the job is {state}: completed is expected"))]
+    #[snafu(display("the first job has ended as {state}: completed is expected"))]
     JobEnd {
         /// The job's final state.
         state: String,
@@ -88,7 +88,7 @@
 #[snafu(visibility(pub(super)))]
 pub enum AttemptError {
     /// The cluster has no core member.
-    #[snafu(display("there are no members"))]
+    #[snafu(display("the cluster has no core member"))]
     NoMembers,
     /// The request failed, or the response is not HTTP.
     #[snafu(display("{source}"))]
--- a/crates/ctl/src/quickstart/scenario.rs
+++ b/crates/ctl/src/quickstart/scenario.rs
@@ -100,11 +100,11 @@
             body: &body,
         };
         let mut members = controls.iter().cycle();
-        self.retry("the first configuration", || {
+        self.retry("the acceptance of the first configuration", || {
             let member = members.next().context(NoMembersSnafu)?;
             send(&put, *member)
         })?;
-        self.print("configuration 1 is taken")
+        self.print("configuration 1 is accepted")
     }
 
     fn await_readiness(&mut self, layout: &Layout) -> Result<(), QuickstartError> {
@@ -126,8 +126,8 @@
             headers: "",
             body: &body,
         };
-        self.retry("the taking of the job", || send(&post, frontend))?;
-        self.print(&format!("job {FIRST_JOB} is taken: 4 tasks, then 1"))?;
+        self.retry("the acceptance of the job", || send(&post, frontend))?;
+        self.print(&format!("job {FIRST_JOB} is accepted: 4 tasks, then 1"))?;
         self.follow_job(frontend, &Request::get(HOST, &path))
     }
 
--- a/crates/ctl/src/status/findings.rs
+++ b/crates/ctl/src/status/findings.rs
@@ -9,7 +9,9 @@
     let view = status.newest().and_then(|member| member.view.as_ref());
     let mut findings = Vec::new();
     if status.head().is_none() {
-        findings.push("no member acts as head: no job and no order is taken".to_owned());
+        findings.push(
+            "no member acts as head: jobs and configuration changes are not accepted".to_owned(),
+        );
     }
     findings.extend(unresponsive_findings(status, view));
     findings.extend(chain_findings(status, view));
--- a/crates/ctl/src/status/gather.rs
+++ b/crates/ctl/src/status/gather.rs
@@ -47,7 +47,7 @@
             }
             Ok(InspectionAnswer::Unavailable { reason }) => reason,
             Ok(InspectionAnswer::Job(_) | InspectionAnswer::NotHead { .. }) => {
-                "the answer is to another question".to_owned()
+                "it answered a different question than it was asked".to_owned()
             }
             Err(error) => error.to_string(),
         };
--- a/crates/ctl/src/status/text.rs
+++ b/crates/ctl/src/status/text.rs
@@ -25,14 +25,14 @@
 fn cluster_text(status: &ClusterStatus, view: Option<&ViewStatus>) -> String {
     let head = status
         .head()
-        .map_or("none acts", |head| &head.address.node_name);
+        .map_or("none is acting", |head| &head.address.node_name);
     let mut text = match view {
         None => format!("view:    none yet\nhead:    {head}\n"),
         Some(view) => {
             let agreed = if view.agreed {
                 ""
             } else {
-                " (not known to hold)"
+                " (not known to be agreed)"
             };
             format!(
                 "view:    {}{agreed}\nhead:    {head}\nvoters:  {}\nchain:   {}\n",
--- a/crates/ctl/tests/checks.rs
+++ b/crates/ctl/tests/checks.rs
@@ -14,7 +14,7 @@
 
 fn file(folder: &TempDir, name: &str, text: &str) -> PathBuf {
     let path = folder.path().join(name);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("the test file can be written");
     path
 }
 
@@ -33,8 +33,9 @@
 
 #[test]
 fn a_valid_configuration_passes() {
-    let folder = TempDir::new().expect("a folder");
-    let report = check_config::run(&file(&folder, "c", CONFIG), None).expect("a report");
+    let folder = TempDir::new().expect("a temporary folder can be created");
+    let report =
+        check_config::run(&file(&folder, "c", CONFIG), None).expect("the file can be checked");
     assert_eq!(
         (report.exit_code(), &report.data["version"]),
         (EXIT_OK, &7.into())
@@ -51,9 +52,9 @@
     #[case] to: &str,
     #[case] expected: &str,
 ) {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let path = file(&folder, "c", &CONFIG.replacen(from, to, 1));
-    let report = check_config::run(&path, None).expect("a report");
+    let report = check_config::run(&path, None).expect("the file can be checked");
     assert_eq!(report.exit_code(), EXIT_FOUND);
     assert!(
         report.findings[0].contains(expected),
@@ -71,15 +72,16 @@
     #[case] text: &str,
     #[case] expected: &[&str],
 ) {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let current = file(&folder, "now", CONFIG);
-    let report = check_config::run(&file(&folder, "next", text), Some(&current)).expect("a report");
+    let report = check_config::run(&file(&folder, "next", text), Some(&current))
+        .expect("the file can be checked");
     assert_findings(&report, expected);
 }
 
 #[test]
 fn unusable_inputs_are_errors_and_no_findings() {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let patch = file(&folder, "p", r#"{"version":9,"upsert":{}}"#);
     let broken = file(&folder, "b", "{");
     let exit_code = |path: &Path, current: Option<&Path>| {
@@ -105,9 +107,9 @@
 #[case::ports("7380,", "7399,", &["`port_range` is [7399, 7395]"])]
 #[case::type_of_field("7380,", "\"x\",", &["port_range"])]
 fn settings_are_checked(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let path = file(&folder, "boot.toml", &SETTINGS.replacen(from, to, 1));
-    let report = check_settings::run(&path).expect("a report");
+    let report = check_settings::run(&path).expect("the file can be checked");
     assert_findings(&report, expected);
 }
 
@@ -127,8 +129,8 @@
 #[case::twice("on = \"side\"\nserves = [\"side\"]", "on = \"edge\"\nserves = [\"edge\"]", &["2 roles on \"edge\" serve \"edge\"", "no role serves \"side\""])]
 #[case::no_toml("[roles.edge]", "[roles.edge", &["it is no TOML"])]
 fn deploy_files_are_checked(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let path = file(&folder, "system.toml", &DEPLOY.replacen(from, to, 1));
-    let report = check_deploy::run(&path).expect("a report");
+    let report = check_deploy::run(&path).expect("the file can be checked");
     assert_findings(&report, expected);
 }
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -13,7 +13,7 @@
 fn verb(text: &str) -> Verb {
     match parse(arguments(text)) {
         Ok(Command::Run { verb, json: false }) => verb,
-        other => panic!("a verb is expected: {other:?}"),
+        other => panic!("`{text}`: a verb without --json is expected, found {other:?}"),
     }
 }
 
@@ -43,7 +43,7 @@
         Verb::CompareReplicas { folders }
     );
     let Verb::Quickstart(options) = verb("quickstart --members 3 --once --programs bin") else {
-        panic!()
+        panic!("`quickstart` is expected")
     };
     assert_eq!((options.members, options.once), (3, true));
     assert_eq!(
@@ -69,7 +69,7 @@
 #[case("quickstart --help", "--once")]
 fn each_verb_has_its_help(#[case] command: &str, #[case] expected: &str) {
     let Ok(Command::Help(text)) = parse(arguments(command)) else {
-        panic!("help is expected")
+        panic!("`{command}`: a help text is expected")
     };
     assert!(text.contains(expected), "{text}");
 }
@@ -88,7 +88,7 @@
 #[case("quickstart --members 2", "1 or 3")]
 fn errors_name_the_wrong_argument(#[case] command: &str, #[case] expected: &str) {
     let error = parse(arguments(command))
-        .expect_err("a mistake")
+        .expect_err("the command line is invalid")
         .to_string();
     assert!(error.contains(expected), "{error}");
 }
--- a/crates/ctl/tests/daemons.rs
+++ b/crates/ctl/tests/daemons.rs
@@ -20,7 +20,7 @@
     Command::new(env!("CARGO_BIN_EXE_indigofold-ctl"))
         .args(arguments)
         .output()
-        .expect("the tool runs")
+        .expect("the tool can be run")
 }
 
 fn text(output: &Output) -> String {
@@ -29,12 +29,12 @@
 
 /// A folder with links to the daemons' programs under their usual names.
 fn program_folder() -> tempfile::TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let Programs { control, data, .. } = programs();
     let link = |from: &Path, to: &str| std::os::unix::fs::symlink(from, folder.path().join(to));
     link(&control, "indigofold-control")
         .and(link(&data, "indigofold-data"))
-        .expect("links");
+        .expect("the programs can be linked");
     folder
 }
 
@@ -53,11 +53,11 @@
             .arg(programs)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the tool starts");
+            .expect("the tool can be started");
         let mut printed: Vec<String> = Vec::new();
-        let mut output = BufReader::new(child.stdout.take().expect("its output"));
+        let mut output = BufReader::new(child.stdout.take().expect("standard output is piped"));
         for text in output.by_ref().lines() {
-            printed.push(text.expect("a line"));
+            printed.push(text.expect("the output is UTF-8 text"));
             if printed
                 .last()
                 .is_some_and(|text| text.contains("status --at"))
@@ -78,7 +78,12 @@
             .iter()
             .find_map(|text| text.split_once("status --at "));
         command
-            .unwrap_or_else(|| panic!("it does not serve: {:?}", self.printed))
+            .unwrap_or_else(|| {
+                panic!(
+                    "no `status --at` in the output of quickstart: {:?}",
+                    self.printed
+                )
+            })
             .1
             .to_owned()
     }
@@ -86,12 +91,19 @@
     /// Sends SIGINT, as Ctrl-C does, and checks that the tool ends its daemons and exits with 0.
     fn interrupt(&mut self) {
         let id = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(id, rustix::process::Signal::INT).expect("a signal");
-        assert_eq!(self.child.wait().expect("its end").code(), Some(0));
+        rustix::process::kill_process(id, rustix::process::Signal::INT)
+            .expect("SIGINT can be sent");
+        assert_eq!(
+            self.child
+                .wait()
+                .expect("the tool can be waited for")
+                .code(),
+            Some(0)
+        );
         let mut rest = String::new();
         self.output
             .read_to_string(&mut rest)
-            .expect("the rest of its output");
+            .expect("the output is UTF-8 text");
         assert!(rest.ends_with("all processes have ended\n"), "{rest}");
     }
 }
@@ -162,7 +174,8 @@
         );
     }
     let json: serde_json::Value =
-        serde_json::from_slice(&tool(&["--json", "status", "--at", &member]).stdout).expect("JSON");
+        serde_json::from_slice(&tool(&["--json", "status", "--at", &member]).stdout)
+            .expect("status prints JSON");
     assert_eq!(
         (&json["ok"], &json["report"]["members"][0]["acting"]),
         (&true.into(), &true.into())
@@ -182,11 +195,11 @@
 /// `quickstart` must start a cluster with the tool's program alone, so that one command is enough on a fresh clone.
 #[test]
 fn quickstart_needs_no_program_beside_the_tool() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let alone = folder.path().join("indigofold-ctl");
-    std::fs::copy(env!("CARGO_BIN_EXE_indigofold-ctl"), &alone).expect("a copy");
+    std::fs::copy(env!("CARGO_BIN_EXE_indigofold-ctl"), &alone).expect("the tool can be copied");
     let output = Command::new(&alone).args(["quickstart", "--once"]).output();
-    let output = output.expect("the tool runs");
+    let output = output.expect("the tool can be run");
     assert!(
         output.status.success(),
         "{}",
@@ -200,7 +213,7 @@
 }
 
 #[rstest]
-#[case::unknown("edge", 2, "the daemons are `control` and `data`")]
+#[case::unknown("edge", 2, "unknown daemon `edge`: `control` or `data` is expected")]
 #[case::control_without_settings("control", 2, "indigofold-control: ")]
 #[case::data_without_settings("data", 2, "indigofold-data: ")]
 fn the_tool_runs_as_a_daemon_that_is_named(
@@ -212,7 +225,7 @@
         .args(["daemon", daemon])
         .env_remove("INDIGOFOLD_CONFIG")
         .output()
-        .expect("the tool runs");
+        .expect("the tool can be run");
     assert_eq!(output.status.code(), Some(code));
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(error.contains(message), "{error}");
@@ -226,7 +239,7 @@
         once: true,
         programs,
     };
-    let error = run(&options, &mut Vec::new()).expect_err("no programs");
+    let error = run(&options, &mut Vec::new()).expect_err("the programs are missing");
     assert!(
         error.is_input()
             && error
--- a/crates/ctl/tests/job_lookup.rs
+++ b/crates/ctl/tests/job_lookup.rs
@@ -22,13 +22,13 @@
                 answer: answer.clone(),
             };
             let sent = connection.sender.send(&Frame::Inspected(reply));
-            sent.expect("the asker waits for the answer");
+            sent.expect("the client keeps the connection open until it has the answer");
         }
     }
 }
 
-/// Starts members of which each names the next one as the head. The last one is the acting head and knows no job. Returns
-/// the first member's address and the tasks that serve.
+/// Starts members of which each names the next one as the head. The last one is the acting head and knows no job.
+/// Returns the first member's address and the tasks that serve.
 async fn members(count: usize) -> (SocketAddr, Vec<Task<()>>) {
     let mut tasks = Vec::new();
     let mut answer = InspectionAnswer::Job(None);
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -40,7 +40,7 @@
 
 /// Creates a data folder whose database has these writes, all ordered by view 1.
 fn disk(writes: &[Write]) -> TempDir {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let seq = writes.last().map_or(0, |write| write.seq);
     let operations = writes.iter().map(|write| {
         StoreOperation::Write(Arc::new(Batch {
@@ -65,13 +65,15 @@
         trimmed: 0,
         addresses: Vec::<MemberAddress>::new(),
     };
-    let mut storage = Storage::open(folder.path()).expect("a database").storage;
+    let mut storage = Storage::open(folder.path())
+        .expect("the database can be created")
+        .storage;
     storage
         .apply(&StoreRequest {
             durable,
             operations: operations.collect(),
         })
-        .expect("a write");
+        .expect("the writes can be stored");
     folder
 }
 
@@ -79,14 +81,17 @@
 
 /// Compares two data folders. Returns the exit code and the number of rows that differ.
 fn compared(left: &TempDir, right: &TempDir) -> (u8, usize) {
-    let report = run(&[left.path().to_owned(), right.path().to_owned()]).expect("a report");
+    let report = run(&[left.path().to_owned(), right.path().to_owned()])
+        .expect("both replicas can be opened");
     assert_eq!(report.data["copies"].as_array().map(Vec::len), Some(2));
-    let pairs = report.data["pairs"].as_array().expect("pairs");
+    let pairs = report.data["pairs"]
+        .as_array()
+        .expect("`pairs` is an array");
     (
         report.exit_code(),
         pairs[0]["differences"]
             .as_array()
-            .expect("differences")
+            .expect("`differences` is an array")
             .len(),
     )
 }
@@ -96,12 +101,12 @@
     let (left, right) = (disk(&WRITES), disk(&WRITES));
     let files = |folder: &TempDir| {
         let mut all: Vec<(String, Vec<u8>)> = std::fs::read_dir(folder.path())
-            .expect("a folder")
-            .map(|entry| entry.expect("an entry"))
+            .expect("the folder can be listed")
+            .map(|entry| entry.expect("the folder can be listed"))
             .map(|entry| {
                 (
                     entry.file_name().to_string_lossy().into_owned(),
-                    std::fs::read(entry.path()).expect("bytes"),
+                    std::fs::read(entry.path()).expect("the file can be read"),
                 )
             })
             .collect();
@@ -128,8 +133,8 @@
 fn a_row_that_is_missing_among_common_writes_is_wrong() {
     let other = [put(1, "a", "1"), delete(3, "a")];
     let (left, right) = (disk(&WRITES), disk(&other));
-    let [left, right] =
-        [&left, &right].map(|folder| Replica::open(folder.path()).expect("a replica"));
+    let [left, right] = [&left, &right]
+        .map(|folder| Replica::open(folder.path()).expect("the replica can be opened"));
     let pair = compare(&left, &right);
     assert_eq!((pair.common_seq, pair.differences.len()), (3, 1));
     assert_eq!(
@@ -178,23 +183,25 @@
 
 #[test]
 fn a_folder_without_a_database_is_bad_input() {
-    let empty = TempDir::new().expect("a folder");
-    let error = run(&[empty.path().to_owned()]).expect_err("no database");
+    let empty = TempDir::new().expect("a temporary folder can be created");
+    let error = run(&[empty.path().to_owned()]).expect_err("the folder has no database");
     assert_eq!(ToolError::from(error).exit_code(), EXIT_INPUT);
     assert_eq!(
-        std::fs::read_dir(empty.path()).expect("a folder").count(),
+        std::fs::read_dir(empty.path())
+            .expect("the folder can be listed")
+            .count(),
         0
     );
 }
 
 #[test]
 fn a_damaged_database_is_a_finding() {
-    let damaged = TempDir::new().expect("a folder");
+    let damaged = TempDir::new().expect("a temporary folder can be created");
     std::fs::write(
         damaged.path().join("control.sqlite"),
         "no database at all".repeat(99),
     )
-    .expect("a file");
-    let error = run(&[damaged.path().to_owned()]).expect_err("damage");
+    .expect("the damaged file can be written");
+    let error = run(&[damaged.path().to_owned()]).expect_err("the database is damaged");
     assert_eq!(ToolError::from(error).exit_code(), EXIT_FOUND);
 }
--- a/crates/ctl/tests/stand_in.rs
+++ b/crates/ctl/tests/stand_in.rs
@@ -45,7 +45,7 @@
         ..start_orders(4_000)
     };
     worker.handle_reply(0, 10, reply);
-    let heartbeat = worker.advance(30).expect("a heartbeat");
+    let heartbeat = worker.advance(30).expect("a heartbeat is due");
     let run = &heartbeat.running[0];
     assert_eq!((run.task.as_str(), run.attempt), (TASK, 1));
     assert!(heartbeat.finished.is_empty());
@@ -58,7 +58,7 @@
     assert!(worker.advance(310).is_none());
     let heartbeat = worker
         .advance(worker.next_due_ms())
-        .expect("a heartbeat soon after the end");
+        .expect("a heartbeat is due soon after the run ends");
     assert!(heartbeat.running.is_empty());
     let end = &heartbeat.finished[0];
     assert_eq!((end.number, end.end), (1, RunEnd::Done));
@@ -70,7 +70,7 @@
     assert!(
         worker
             .advance(worker.next_due_ms())
-            .expect("a heartbeat")
+            .expect("a heartbeat is due")
             .finished
             .is_empty()
     );
@@ -81,7 +81,9 @@
     let mut worker = worker();
     worker.handle_reply(0, 10, start_orders(200));
     assert!(worker.advance(200).is_none());
-    let heartbeat = worker.advance(worker.next_due_ms()).expect("a heartbeat");
+    let heartbeat = worker
+        .advance(worker.next_due_ms())
+        .expect("a heartbeat is due");
     assert_eq!(heartbeat.finished[0].end, RunEnd::Expired);
 }
 
@@ -98,7 +100,7 @@
     };
     worker.handle_reply(0, 20, reply);
     assert_eq!(
-        worker.advance(70).expect("a heartbeat").finished[0].end,
+        worker.advance(70).expect("a heartbeat is due").finished[0].end,
         RunEnd::Stopped
     );
 }
@@ -121,7 +123,7 @@
     assert!(
         worker
             .advance(1_000)
-            .expect("a heartbeat")
+            .expect("a heartbeat is due")
             .running
             .is_empty()
     );
@@ -132,12 +134,19 @@
     let mut worker = worker();
     worker.handle_reply(0, 10, start_orders(4_000));
     worker.handle_reply(0, 20, start_orders(4_000));
-    assert_eq!(worker.advance(520).expect("a heartbeat").finished.len(), 1);
+    assert_eq!(
+        worker
+            .advance(520)
+            .expect("a heartbeat is due")
+            .finished
+            .len(),
+        1
+    );
     worker.handle_reply(520, 530, start_orders(4_000));
     assert!(
         worker
             .advance(worker.next_due_ms())
-            .expect("a heartbeat")
+            .expect("a heartbeat is due")
             .running
             .is_empty()
     );
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -113,7 +113,12 @@
 
 fn voter_outside_the_chain(status: &mut ClusterStatus) {
     for member in &mut status.members {
-        member.view.as_mut().expect("a view").chain.remove(1);
+        member
+            .view
+            .as_mut()
+            .expect("each member has a view")
+            .chain
+            .remove(1);
     }
 }
 
@@ -129,7 +134,7 @@
     status.members[0]
         .work
         .as_mut()
-        .expect("work")
+        .expect("the head reports its work")
         .unreadable_rows = 2;
 }
 
