--- a/crates/ctl/src/check_deploy.rs
+++ b/crates/ctl/src/check_deploy.rs
@@ -12,7 +12,7 @@
 /// Allowed keys in the table of a role.
 const ROLE_KEYS: [&str; 6] = ["run", "on", "share", "count", "apart", "serves"];
 /// Machine classes, the values of `on`.
-const CLASSES: [&str; 3] = ["edge", "side", "core"];
+const MACHINE_CLASSES: [&str; 3] = ["edge", "side", "core"];
 /// Kinds of callers that a role may serve, the values of `serves`.
 const CALLERS: [&str; 3] = ["edge", "side", "control"];
 /// Maximum number of roles on a machine.
@@ -72,13 +72,13 @@
     let mut findings = unknown_keys(&format!("{key}."), role, &ROLE_KEYS);
     findings.extend(text_finding(&format!("{key}.run"), role.get("run")));
     let class = role.get("on").and_then(Value::as_str);
-    if !class.is_some_and(|class| CLASSES.contains(&class)) {
+    if !class.is_some_and(|class| MACHINE_CLASSES.contains(&class)) {
         findings.push(format!(
-            "`{key}.on` is {}: one of {CLASSES:?} is expected",
-            shown(role.get("on"))
+            "`{key}.on` is {}: one of {MACHINE_CLASSES:?} is expected",
+            value_text(role.get("on"))
         ));
     }
-    findings.extend(extent_findings(&key, class, role));
+    findings.extend(machine_count_findings(&key, class, role));
     findings.extend(array_finding(
         &format!("{key}.serves"),
         role.get("serves"),
@@ -93,10 +93,10 @@
 }
 
 /// Problems of `share`, `count` and `apart`, which say how many machines of its class the role runs on.
-fn extent_findings(key: &str, class: Option<&str>, role: &Table) -> Vec<String> {
+fn machine_count_findings(key: &str, class: Option<&str>, role: &Table) -> Vec<String> {
     let mut findings = Vec::new();
     if let Some(value) = role.get("share")
-        && !is_machine_fraction(value)
+        && !is_valid_share(value)
     {
         findings.push(format!(
             "`{key}.share` is {value}: a number over 0 and up to 1 is expected"
@@ -120,7 +120,7 @@
     findings
 }
 
-fn is_machine_fraction(value: &Value) -> bool {
+fn is_valid_share(value: &Value) -> bool {
     let integer = || value.as_integer().map(|integer| integer as f64);
     let fraction = value.as_float().or_else(integer);
     fraction.is_some_and(|fraction| fraction > 0.0 && fraction <= 1.0)
@@ -144,9 +144,9 @@
 /// callers, and callers that no role serves.
 fn class_findings(document: &Table) -> Vec<String> {
     let mut findings = Vec::new();
-    for class in CLASSES {
-        let on_class = |role: &&Table| role.get("on").and_then(Value::as_str) == Some(class);
-        let roles: Vec<&Table> = role_tables(document).filter(on_class).collect();
+    for class in MACHINE_CLASSES {
+        let is_on_class = |role: &&Table| role.get("on").and_then(Value::as_str) == Some(class);
+        let roles: Vec<&Table> = role_tables(document).filter(is_on_class).collect();
         if roles.len() > ROLES_MAX {
             findings.push(format!(
                 "{} roles on \"{class}\": a machine runs {ROLES_MAX} at most",
@@ -194,10 +194,10 @@
 }
 
 fn text_finding(key: &str, value: Option<&Value>) -> Option<String> {
-    let sound = value
+    let valid = value
         .and_then(Value::as_str)
         .is_some_and(|text| !text.trim().is_empty());
-    (!sound).then(|| format!("`{key}` is {}: a text is expected", shown(value)))
+    (!valid).then(|| format!("`{key}` is {}: a text is expected", value_text(value)))
 }
 
 /// Checks an optional list of texts; `allowed` are its permitted items, `None` permits any text.
@@ -207,13 +207,13 @@
         item.as_str()
             .is_some_and(|t| allowed.is_none_or(|all| all.contains(&t)))
     };
-    let sound = value.as_array().is_some_and(|items| items.iter().all(text));
+    let valid = value.as_array().is_some_and(|items| items.iter().all(text));
     let expected = allowed.map_or("a list of texts".to_owned(), |all| {
         format!("a list of some of {all:?}")
     });
-    (!sound).then(|| format!("`{key}` is {value}: {expected} is expected"))
+    (!valid).then(|| format!("`{key}` is {value}: {expected} is expected"))
 }
 
-fn shown(value: Option<&Value>) -> String {
+fn value_text(value: Option<&Value>) -> String {
     value.map_or("missing".to_owned(), ToString::to_string)
 }
--- a/crates/ctl/src/command_line.rs
+++ b/crates/ctl/src/command_line.rs
@@ -32,14 +32,14 @@
     /// `status`: the state of the core members and of the work.
     Status {
         /// Internal addresses of core members, as given with `--at`.
-        at: Vec<SocketAddr>,
+        addresses: Vec<SocketAddr>,
     },
     /// `job`: the state of one job.
     Job {
         /// The id of the job.
         id: JobId,
         /// Internal addresses of core members, as given with `--at`.
-        at: Vec<SocketAddr>,
+        addresses: Vec<SocketAddr>,
     },
     /// `check-config`: checks a configuration or a patch of one.
     CheckConfig {
@@ -113,7 +113,7 @@
     },
     /// Arguments are left over that the verb does not take.
     #[snafu(display("`{}` is not understood; see --help", argument.to_string_lossy()))]
-    Surplus {
+    UnexpectedArgument {
         /// The first such argument.
         argument: OsString,
     },
@@ -136,20 +136,20 @@
         return Ok(Command::Help(help::GENERAL));
     };
     if help {
-        return Ok(Command::Help(help_of(&verb)?));
+        return Ok(Command::Help(help_for(&verb)?));
     }
     let verb = read_verb(&verb, &mut arguments)?;
     let rest = arguments.finish();
     ensure!(
         rest.is_empty(),
-        SurplusSnafu {
+        UnexpectedArgumentSnafu {
             argument: rest.into_iter().next().unwrap_or_default()
         }
     );
     Ok(Command::Run { verb, json })
 }
 
-fn help_of(verb: &str) -> Result<&'static str, CommandLineError> {
+fn help_for(verb: &str) -> Result<&'static str, CommandLineError> {
     Ok(match verb {
         "status" => help::STATUS,
         "job" => help::JOB,
@@ -165,41 +165,41 @@
 fn read_verb(verb: &str, arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
     Ok(match verb {
         "status" => Verb::Status {
-            at: addresses(arguments)?,
+            addresses: read_addresses(arguments)?,
         },
-        "job" => job(arguments)?,
-        "check-config" => check_config(arguments)?,
+        "job" => read_job(arguments)?,
+        "check-config" => read_check_config(arguments)?,
         "check-settings" => Verb::CheckSettings {
             file: required_path(arguments, "FILE")?,
         },
         "check-deploy" => Verb::CheckDeploy {
             file: required_path(arguments, "FILE")?,
         },
-        "compare-copies" => compare_replicas(arguments)?,
-        "quickstart" => Verb::Quickstart(quickstart(arguments)?),
+        "compare-copies" => read_compare_replicas(arguments)?,
+        "quickstart" => Verb::Quickstart(read_quickstart(arguments)?),
         _ => return UnknownVerbSnafu { verb }.fail(),
     })
 }
 
-fn job(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
-    let at = addresses(arguments)?;
+fn read_job(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
+    let addresses = read_addresses(arguments)?;
     let id: String = arguments
         .opt_free_from_str()
         .context(ArgumentSnafu)?
         .context(MissingSnafu { what: "ID" })?;
     let id = id.parse().context(IdSnafu)?;
-    Ok(Verb::Job { id, at })
+    Ok(Verb::Job { id, addresses })
 }
 
-fn check_config(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
+fn read_check_config(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
     let current = arguments
-        .opt_value_from_os_str("--current", path)
+        .opt_value_from_os_str("--current", to_path)
         .context(ArgumentSnafu)?;
     let file = required_path(arguments, "FILE")?;
     Ok(Verb::CheckConfig { file, current })
 }
 
-fn compare_replicas(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
+fn read_compare_replicas(arguments: &mut Arguments) -> Result<Verb, CommandLineError> {
     let mut folders = vec![
         required_path(arguments, "DIR")?,
         required_path(arguments, "DIR")?,
@@ -210,14 +210,14 @@
     Ok(Verb::CompareReplicas { folders })
 }
 
-fn quickstart(arguments: &mut Arguments) -> Result<Options, CommandLineError> {
+fn read_quickstart(arguments: &mut Arguments) -> Result<Options, CommandLineError> {
     let members = arguments
         .opt_value_from_str("--members")
         .context(ArgumentSnafu)?
         .unwrap_or(1);
     ensure!(members == 1 || members == 3, MembersSnafu { members });
     let folder = arguments
-        .opt_value_from_os_str("--programs", path)
+        .opt_value_from_os_str("--programs", to_path)
         .context(ArgumentSnafu)?;
     let programs = folder.map_or_else(Programs::beside_this_program, |folder| {
         Programs::in_folder(&folder)
@@ -229,7 +229,7 @@
     })
 }
 
-fn addresses(arguments: &mut Arguments) -> Result<Vec<SocketAddr>, CommandLineError> {
+fn read_addresses(arguments: &mut Arguments) -> Result<Vec<SocketAddr>, CommandLineError> {
     let addresses: String = arguments.value_from_str("--at").context(ArgumentSnafu)?;
     addresses
         .split(',')
@@ -245,9 +245,11 @@
 }
 
 fn optional_path(arguments: &mut Arguments) -> Result<Option<PathBuf>, CommandLineError> {
-    arguments.opt_free_from_os_str(path).context(ArgumentSnafu)
+    arguments
+        .opt_free_from_os_str(to_path)
+        .context(ArgumentSnafu)
 }
 
-fn path(text: &OsStr) -> Result<PathBuf, Infallible> {
+fn to_path(text: &OsStr) -> Result<PathBuf, Infallible> {
     Ok(PathBuf::from(text))
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the verbs, and the exit code for each.
 
 use crate::check_config::CheckConfigError;
-use crate::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_UNREACHABLE};
+use crate::exit_code::{EXIT_FINDINGS, EXIT_INPUT, EXIT_UNREACHABLE};
 use crate::files::FileError;
 use crate::query::QueryError;
 use crate::quickstart::QuickstartError;
@@ -51,7 +51,7 @@
             ToolError::Replicas { source } if source.is_input() => EXIT_INPUT,
             ToolError::Query { .. } => EXIT_UNREACHABLE,
             ToolError::Quickstart { source } if source.is_input() => EXIT_INPUT,
-            ToolError::Replicas { .. } | ToolError::Quickstart { .. } => EXIT_FOUND,
+            ToolError::Replicas { .. } | ToolError::Quickstart { .. } => EXIT_FINDINGS,
         }
     }
 }
--- a/crates/ctl/src/quickstart.rs
+++ b/crates/ctl/src/quickstart.rs
@@ -12,7 +12,7 @@
 mod workload;
 
 pub use error::{AttemptError, QuickstartError};
-pub use programs::{CONTROL, DAEMON, DATA, Programs};
+pub use programs::{CONTROL_DAEMON, DAEMON_ARGUMENT, DATA_DAEMON, Programs};
 pub use stand_in::{StandInWorker, WorkerLimits};
 
 use crate::report::Report;
@@ -56,7 +56,7 @@
     let workers = Workers::start(&layout);
     let result = scenario::run(&layout, &mut children, &interrupted, out, options.once);
     drop(workers);
-    children.end();
+    children.terminate();
     match result {
         Ok(()) | Err(QuickstartError::Interrupted) => {}
         Err(error) => return Err(error),
--- a/crates/ctl/src/quickstart/children.rs
+++ b/crates/ctl/src/quickstart/children.rs
@@ -39,7 +39,7 @@
         fs::write(&path, settings).context(FilesSnafu { path: &path })?;
         let log = folder.join(format!("{}.log", machine.name));
         let output = File::create(&log).context(FilesSnafu { path: &log })?;
-        let (program, arguments) = programs.of(machine.class);
+        let (program, arguments) = programs.command_for(machine.class);
         let mut command = Command::new(program);
         command
             .args(arguments)
@@ -83,10 +83,10 @@
     }
 
     /// Fails if a daemon has ended although it was not told to.
-    pub(super) fn check(&mut self) -> Result<(), QuickstartError> {
+    pub(super) fn check_running(&mut self) -> Result<(), QuickstartError> {
         for daemon in &mut self.daemons {
             if let Ok(Some(status)) = daemon.child.try_wait() {
-                return Err(QuickstartError::Ended {
+                return Err(QuickstartError::DaemonEnded {
                     name: daemon.name.clone(),
                     status: status.to_string(),
                     log: log_tail(&daemon.log),
@@ -97,7 +97,7 @@
     }
 
     /// Ends all daemons: SIGTERM, and SIGKILL for those still running after [`TERMINATION_GRACE`].
-    pub(super) fn end(&mut self) {
+    pub(super) fn terminate(&mut self) {
         for daemon in &self.daemons {
             // An error means that the daemon has ended already.
             let _ = kill_process(Pid::from_child(&daemon.child), Signal::TERM);
@@ -116,12 +116,12 @@
 
 impl Drop for Children {
     fn drop(&mut self) {
-        self.end();
+        self.terminate();
     }
 }
 
 fn log_tail(log: &Path) -> String {
     let text = fs::read_to_string(log).unwrap_or_default();
-    let entries: Vec<&str> = text.lines().collect();
-    entries[entries.len().saturating_sub(LOG_TAIL_LENGTH)..].join("\n")
+    let lines: Vec<&str> = text.lines().collect();
+    lines[lines.len().saturating_sub(LOG_TAIL_LENGTH)..].join("\n")
 }
--- a/crates/ctl/src/quickstart/error.rs
+++ b/crates/ctl/src/quickstart/error.rs
@@ -35,7 +35,7 @@
     },
     /// A daemon has ended although it was not told to.
     #[snafu(display("{name} has ended unexpectedly ({status}); the end of its log:\n{log}"))]
-    Ended {
+    DaemonEnded {
         /// Name of the daemon's machine.
         name: String,
         /// Exit status of the process.
@@ -45,7 +45,7 @@
     },
     /// A step of the scenario did not succeed in time.
     #[snafu(display("{step} did not happen within {seconds} s; the last attempt: {source}"))]
-    Late {
+    StepTimeout {
         /// Description of the step.
         step: &'static str,
         /// The time limit, in seconds.
@@ -55,7 +55,7 @@
     },
     /// The first job ended in a state other than completed.
     #[snafu(display("the first job has ended as {state}: completed is expected"))]
-    JobEnd {
+    JobNotCompleted {
         /// The job's final state.
         state: String,
     },
--- a/crates/ctl/src/quickstart/layout.rs
+++ b/crates/ctl/src/quickstart/layout.rs
@@ -86,7 +86,7 @@
     pub(super) fn internal_addresses(&self) -> String {
         let addresses = self
             .machines_of(MachineClass::Core)
-            .map(|machine| machine.at(INTERNAL_PORT).to_string());
+            .map(|machine| machine.socket_address(INTERNAL_PORT).to_string());
         addresses.collect::<Vec<_>>().join(",")
     }
 }
@@ -94,20 +94,20 @@
 impl Machine {
     /// Address at which a core member accepts operators' requests, or a node agent accepts its worker's heartbeats.
     pub(super) fn control(&self) -> SocketAddr {
-        self.at(CONTROL_PORT)
+        self.socket_address(CONTROL_PORT)
     }
 
     /// Address at which an edge accepts clients' requests.
     pub(super) fn frontend(&self) -> SocketAddr {
-        self.at(FRONTEND_PORT)
+        self.socket_address(FRONTEND_PORT)
     }
 
     /// Address at which an edge answers `GET /readiness`.
     pub(super) fn readiness(&self) -> SocketAddr {
-        self.at(READINESS_PORT)
+        self.socket_address(READINESS_PORT)
     }
 
-    fn at(&self, port: u16) -> SocketAddr {
+    fn socket_address(&self, port: u16) -> SocketAddr {
         SocketAddr::from((self.ip, port))
     }
 }
--- a/crates/ctl/src/quickstart/scenario.rs
+++ b/crates/ctl/src/quickstart/scenario.rs
@@ -2,8 +2,8 @@
 
 use super::children::Children;
 use super::error::{
-    AttemptError, HttpSnafu, InterruptedSnafu, JobEndSnafu, LateSnafu, NoMembersSnafu, OutputSnafu,
-    QuickstartError, SameStateSnafu, StatusSnafu,
+    AttemptError, HttpSnafu, InterruptedSnafu, JobNotCompletedSnafu, NoMembersSnafu, OutputSnafu,
+    QuickstartError, SameStateSnafu, StatusSnafu, StepTimeoutSnafu,
 };
 use super::http::{Request, Response};
 use super::layout::{Layout, Machine, MachineClass};
@@ -77,10 +77,10 @@
         let deadline = Instant::now() + STEP_TIMEOUT;
         loop {
             ensure!(!self.interrupted.load(Ordering::Relaxed), InterruptedSnafu);
-            self.children.check()?;
+            self.children.check_running()?;
             let result = attempt();
             if result.is_ok() || Instant::now() >= deadline {
-                return result.context(LateSnafu {
+                return result.context(StepTimeoutSnafu {
                     step,
                     seconds: STEP_TIMEOUT.as_secs(),
                 });
@@ -153,7 +153,7 @@
             }
             ensure!(
                 state == "queued" || state == "running",
-                JobEndSnafu { state }
+                JobNotCompletedSnafu { state }
             );
             last = state;
         }
@@ -176,7 +176,7 @@
 
     fn serve(&mut self) -> Result<(), QuickstartError> {
         while !self.interrupted.load(Ordering::Relaxed) {
-            self.children.check()?;
+            self.children.check_running()?;
             thread::sleep(RETRY_INTERVAL);
         }
         Ok(())
--- a/crates/ctl/src/quickstart/settings_file.rs
+++ b/crates/ctl/src/quickstart/settings_file.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 
 /// Least number of core members that tolerates the loss of one machine.
-const TOLERANT_MEMBERS: usize = 3;
+const FAULT_TOLERANT_MEMBERS_MIN: usize = 3;
 
 /// The content of a machine's settings file. The data folders of core members are inside `folder`.
 pub(super) fn text(layout: &Layout, machine: &Machine, folder: &Path) -> String {
-    let tolerated = u32::from(layout.control_addresses().len() >= TOLERANT_MEMBERS);
+    let tolerated = u32::from(layout.control_addresses().len() >= FAULT_TOLERANT_MEMBERS_MIN);
     let mut text = general(layout, machine);
     if machine.class == MachineClass::Core {
         // The path of the system's temporary folder is arbitrary, so it is escaped as a TOML string.
--- a/crates/ctl/src/quickstart/stand_in.rs
+++ b/crates/ctl/src/quickstart/stand_in.rs
@@ -10,9 +10,9 @@
 /// Run time of a task whose `spec` is not a number, in milliseconds.
 const DEFAULT_RUN_MS: u64 = 300;
 /// Interval of heartbeats unless a reply sets another delay, in milliseconds.
-const HEARTBEAT_MS: u64 = 500;
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
 /// Longest delay of the next heartbeat after a run ends, in milliseconds.
-const HEARTBEAT_AFTER_END_MS: u64 = 50;
+const HEARTBEAT_DELAY_AFTER_END_MS: u64 = 50;
 /// Maximum length of a run lease, in milliseconds; longer leases are cut to it.
 const MAX_LEASE_MS: u64 = 6_000;
 /// Maximum number of ended runs in one heartbeat, as the protocol allows.
@@ -59,7 +59,7 @@
     /// Ended runs that the head has not acknowledged yet, oldest first.
     finished: Vec<Finished>,
     /// Number that the next ended run gets, from 1.
-    next_end: u64,
+    next_end_number: u64,
     /// Sequence number of the last heartbeat.
     seq_no: u64,
     /// The highest fencing token received so far.
@@ -77,7 +77,7 @@
             address,
             runs: Vec::new(),
             finished: Vec::new(),
-            next_end: 1,
+            next_end_number: 1,
             seq_no: 0,
             fencing_token: 0,
             lease_until_ms: 0,
@@ -103,20 +103,20 @@
             self.runs.drain(..).partition(|run| run.end_ms() <= now_ms);
         self.runs = active;
         for run in done {
-            self.end(now_ms, run, RunEnd::Done);
+            self.end_run(now_ms, run, RunEnd::Done);
         }
         if now_ms >= self.lease_until_ms {
             for run in std::mem::take(&mut self.runs) {
-                self.end(now_ms, run, RunEnd::Expired);
+                self.end_run(now_ms, run, RunEnd::Expired);
             }
         }
-        (now_ms >= self.next_heartbeat_ms).then(|| self.heartbeat(now_ms))
+        (now_ms >= self.next_heartbeat_ms).then(|| self.next_heartbeat(now_ms))
     }
 
     /// Handles the reply to the heartbeat that was sent at `sent_ms`. A reply with a fencing token below the highest
     /// one received only sets the time of the next heartbeat; its orders are ignored.
     pub fn handle_reply(&mut self, sent_ms: u64, now_ms: u64, reply: HeartbeatReply) {
-        self.next_heartbeat_ms = now_ms + reply.retry_delay_ms.unwrap_or(HEARTBEAT_MS);
+        self.next_heartbeat_ms = now_ms + reply.retry_delay_ms.unwrap_or(HEARTBEAT_INTERVAL_MS);
         let token = reply.fencing_token.unwrap_or(0);
         if token < self.fencing_token {
             return;
@@ -128,18 +128,18 @@
         let lease_ms = reply.lease_ms.map(|lease| lease.min(MAX_LEASE_MS));
         self.lease_until_ms = self.lease_until_ms.max(sent_ms + lease_ms.unwrap_or(0));
         for stop in &reply.stop {
-            self.stop(now_ms, stop);
+            self.stop_run(now_ms, stop);
         }
         if lease_ms.is_some() {
             for start in reply.start {
-                self.start(now_ms, start);
+                self.start_run(now_ms, start);
             }
         }
     }
 
-    fn heartbeat(&mut self, now_ms: u64) -> Heartbeat {
+    fn next_heartbeat(&mut self, now_ms: u64) -> Heartbeat {
         self.seq_no += 1;
-        self.next_heartbeat_ms = now_ms + HEARTBEAT_MS;
+        self.next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
         let percent = |run: &ActiveRun| {
             ((now_ms - run.started_ms) * 100 / run.duration_ms.max(1)).min(99) as u32
         };
@@ -171,7 +171,7 @@
         }
     }
 
-    fn start(&mut self, now_ms: u64, order: Start) {
+    fn start_run(&mut self, now_ms: u64, order: Start) {
         let Start {
             task,
             attempt,
@@ -197,7 +197,7 @@
         }
     }
 
-    fn stop(&mut self, now_ms: u64, order: &Stop) {
+    fn stop_run(&mut self, now_ms: u64, order: &Stop) {
         let Stop { task, attempt } = order;
         let position = self
             .runs
@@ -205,19 +205,21 @@
             .position(|run| run.task == *task && run.attempt == *attempt);
         if let Some(position) = position {
             let run = self.runs.remove(position);
-            self.end(now_ms, run, RunEnd::Stopped);
+            self.end_run(now_ms, run, RunEnd::Stopped);
         }
     }
 
-    fn end(&mut self, now_ms: u64, run: ActiveRun, how: RunEnd) {
+    fn end_run(&mut self, now_ms: u64, run: ActiveRun, end: RunEnd) {
         self.finished.push(Finished {
-            number: self.next_end,
+            number: self.next_end_number,
             task: run.task,
             attempt: run.attempt,
-            end: how,
+            end,
             checkpoint: String::new(),
         });
-        self.next_end += 1;
-        self.next_heartbeat_ms = self.next_heartbeat_ms.min(now_ms + HEARTBEAT_AFTER_END_MS);
+        self.next_end_number += 1;
+        self.next_heartbeat_ms = self
+            .next_heartbeat_ms
+            .min(now_ms + HEARTBEAT_DELAY_AFTER_END_MS);
     }
 }
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,6 +1,6 @@
 //! Reports: what a verb returns, and how it is printed.
 
-use crate::exit_code::{EXIT_FOUND, EXIT_OK};
+use crate::exit_code::{EXIT_FINDINGS, EXIT_OK};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -26,12 +26,12 @@
         }
     }
 
-    /// [`EXIT_OK`] without findings, else [`EXIT_FOUND`].
+    /// [`EXIT_OK`] without findings, else [`EXIT_FINDINGS`].
     pub fn exit_code(&self) -> u8 {
         if self.findings.is_empty() {
             EXIT_OK
         } else {
-            EXIT_FOUND
+            EXIT_FINDINGS
         }
     }
 
--- a/crates/ctl/tests/checks.rs
+++ b/crates/ctl/tests/checks.rs
@@ -1,7 +1,7 @@
 //! Tests of the verbs that check files.
 
 use indigofold_ctl::error::ToolError;
-use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
+use indigofold_ctl::exit_code::{EXIT_FINDINGS, EXIT_INPUT, EXIT_OK};
 use indigofold_ctl::report::Report;
 use indigofold_ctl::{check_config, check_deploy, check_settings};
 use rstest::rstest;
@@ -12,7 +12,7 @@
 const SETTINGS: &str = "node_name = \"core-1\"\nrole = \"control\"\nmachine_class = \"core\"\nserves = [\"control\"]\nip = \"10.0.0.1\"\nzone = \"a\"\nport_range = [7380,7395]\nseed_nodes = [\"10.0.0.1:8144\"]\ndata_dir = \"/data\"\n[bind_addrs]\ncontrol_plane = \"10.0.0.1:8144\"\n";
 const DEPLOY: &str = include_str!("../../../deploy/system.toml");
 
-fn file(folder: &TempDir, name: &str, text: &str) -> PathBuf {
+fn write_file(folder: &TempDir, name: &str, text: &str) -> PathBuf {
     let path = folder.path().join(name);
     std::fs::write(&path, text).expect("the test file can be written");
     path
@@ -34,8 +34,8 @@
 #[test]
 fn a_valid_configuration_passes() {
     let folder = TempDir::new().expect("a temporary folder can be created");
-    let report =
-        check_config::run(&file(&folder, "c", CONFIG), None).expect("the file can be checked");
+    let report = check_config::run(&write_file(&folder, "c", CONFIG), None)
+        .expect("the file can be checked");
     assert_eq!(
         (report.exit_code(), &report.data["version"]),
         (EXIT_OK, &7.into())
@@ -53,9 +53,9 @@
     #[case] expected: &str,
 ) {
     let folder = TempDir::new().expect("a temporary folder can be created");
-    let path = file(&folder, "c", &CONFIG.replacen(from, to, 1));
+    let path = write_file(&folder, "c", &CONFIG.replacen(from, to, 1));
     let report = check_config::run(&path, None).expect("the file can be checked");
-    assert_eq!(report.exit_code(), EXIT_FOUND);
+    assert_eq!(report.exit_code(), EXIT_FINDINGS);
     assert!(
         report.findings[0].contains(expected),
         "{:?}",
@@ -73,17 +73,17 @@
     #[case] expected: &[&str],
 ) {
     let folder = TempDir::new().expect("a temporary folder can be created");
-    let current = file(&folder, "now", CONFIG);
-    let report = check_config::run(&file(&folder, "next", text), Some(&current))
+    let current = write_file(&folder, "now", CONFIG);
+    let report = check_config::run(&write_file(&folder, "next", text), Some(&current))
         .expect("the file can be checked");
     assert_findings(&report, expected);
 }
 
 #[test]
-fn unusable_inputs_are_errors_and_no_findings() {
+fn unusable_inputs_are_errors_instead_of_findings() {
     let folder = TempDir::new().expect("a temporary folder can be created");
-    let patch = file(&folder, "p", r#"{"version":9,"upsert":{}}"#);
-    let broken = file(&folder, "b", "{");
+    let patch = write_file(&folder, "p", r#"{"version":9,"upsert":{}}"#);
+    let broken = write_file(&folder, "b", "{");
     let exit_code = |path: &Path, current: Option<&Path>| {
         check_config::run(path, current).map_err(|error| ToolError::from(error).exit_code())
     };
@@ -108,7 +108,7 @@
 #[case::type_of_field("7380,", "\"x\",", &["port_range"])]
 fn settings_are_checked(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
     let folder = TempDir::new().expect("a temporary folder can be created");
-    let path = file(&folder, "boot.toml", &SETTINGS.replacen(from, to, 1));
+    let path = write_file(&folder, "boot.toml", &SETTINGS.replacen(from, to, 1));
     let report = check_settings::run(&path).expect("the file can be checked");
     assert_findings(&report, expected);
 }
@@ -130,7 +130,7 @@
 #[case::no_toml("[roles.edge]", "[roles.edge", &["it is no TOML"])]
 fn deploy_files_are_checked(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
     let folder = TempDir::new().expect("a temporary folder can be created");
-    let path = file(&folder, "system.toml", &DEPLOY.replacen(from, to, 1));
+    let path = write_file(&folder, "system.toml", &DEPLOY.replacen(from, to, 1));
     let report = check_deploy::run(&path).expect("the file can be checked");
     assert_findings(&report, expected);
 }
--- a/crates/ctl/tests/command_line.rs
+++ b/crates/ctl/tests/command_line.rs
@@ -10,7 +10,7 @@
     text.split_whitespace().map(OsString::from).collect()
 }
 
-fn verb(text: &str) -> Verb {
+fn parse_verb(text: &str) -> Verb {
     match parse(arguments(text)) {
         Ok(Command::Run { verb, json: false }) => verb,
         other => panic!("`{text}`: a verb without --json is expected, found {other:?}"),
@@ -19,30 +19,36 @@
 
 #[test]
 fn verbs_take_their_arguments() {
-    let at = vec![([10, 0, 0, 1], 7380).into(), ([10, 0, 0, 2], 7380).into()];
+    let addresses = vec![([10, 0, 0, 1], 7380).into(), ([10, 0, 0, 2], 7380).into()];
     assert_eq!(
-        verb("status --at 10.0.0.1:7380,10.0.0.2:7380"),
-        Verb::Status { at: at.clone() }
+        parse_verb("status --at 10.0.0.1:7380,10.0.0.2:7380"),
+        Verb::Status {
+            addresses: addresses.clone()
+        }
     );
     let job = Verb::Job {
         id: JobId(0xaa),
-        at,
+        addresses,
     };
     assert_eq!(
-        verb("job --at 10.0.0.1:7380,10.0.0.2:7380 00000000000000aa"),
+        parse_verb("job --at 10.0.0.1:7380,10.0.0.2:7380 00000000000000aa"),
         job
     );
     let check = Verb::CheckConfig {
         file: "new.json".into(),
         current: Some("now.json".into()),
     };
-    assert_eq!(verb("check-config new.json --current now.json"), check);
+    assert_eq!(
+        parse_verb("check-config new.json --current now.json"),
+        check
+    );
     let folders = ["a", "b", "c"].map(PathBuf::from).to_vec();
     assert_eq!(
-        verb("compare-copies a b c"),
+        parse_verb("compare-copies a b c"),
         Verb::CompareReplicas { folders }
     );
-    let Verb::Quickstart(options) = verb("quickstart --members 3 --once --programs bin") else {
+    let Verb::Quickstart(options) = parse_verb("quickstart --members 3 --once --programs bin")
+    else {
         panic!("`quickstart` is expected")
     };
     assert_eq!((options.members, options.once), (3, true));
@@ -86,7 +92,7 @@
 #[case("check-deploy a b", "`b` is not understood")]
 #[case("compare-copies a", "DIR is missing")]
 #[case("quickstart --members 2", "1 or 3")]
-fn errors_name_the_wrong_argument(#[case] command: &str, #[case] expected: &str) {
+fn errors_name_the_invalid_or_missing_argument(#[case] command: &str, #[case] expected: &str) {
     let error = parse(arguments(command))
         .expect_err("the command line is invalid")
         .to_string();
--- a/crates/ctl/tests/daemons.rs
+++ b/crates/ctl/tests/daemons.rs
@@ -16,14 +16,14 @@
     }
 }
 
-fn tool(arguments: &[&str]) -> Output {
+fn run_tool(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_indigofold-ctl"))
         .args(arguments)
         .output()
         .expect("the tool can be run")
 }
 
-fn text(output: &Output) -> String {
+fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
@@ -39,15 +39,15 @@
 }
 
 /// A running `quickstart` that serves until it is interrupted.
-struct Serving {
+struct RunningQuickstart {
     child: Child,
     printed: Vec<String>,
     /// Kept open so that the tool can go on writing to its standard output.
     output: BufReader<ChildStdout>,
 }
 
-impl Serving {
-    fn start(programs: &Path) -> Serving {
+impl RunningQuickstart {
+    fn start(programs: &Path) -> RunningQuickstart {
         let mut child = Command::new(env!("CARGO_BIN_EXE_indigofold-ctl"))
             .args(["quickstart", "--programs"])
             .arg(programs)
@@ -65,14 +65,14 @@
                 break;
             }
         }
-        Serving {
+        RunningQuickstart {
             child,
             printed,
             output,
         }
     }
 
-    fn member(&self) -> String {
+    fn member_addresses(&self) -> String {
         let command = self
             .printed
             .iter()
@@ -90,8 +90,8 @@
 
     /// Sends SIGINT, as Ctrl-C does, and checks that the tool ends its daemons and exits with 0.
     fn interrupt(&mut self) {
-        let id = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(id, rustix::process::Signal::INT)
+        let pid = rustix::process::Pid::from_child(&self.child);
+        rustix::process::kill_process(pid, rustix::process::Signal::INT)
             .expect("SIGINT can be sent");
         assert_eq!(
             self.child
@@ -108,12 +108,12 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for RunningQuickstart {
     fn drop(&mut self) {
-        let id = rustix::process::Pid::from_child(&self.child);
+        let pid = rustix::process::Pid::from_child(&self.child);
         if matches!(self.child.try_wait(), Ok(None)) {
             // The tool ends its daemons on SIGTERM; after SIGKILL they would go on running.
-            let _ = rustix::process::kill_process(id, rustix::process::Signal::TERM);
+            let _ = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
             let _ = self.child.wait();
         }
     }
@@ -126,7 +126,7 @@
     // The loopback network is derived from the tool's process id, so that cases running in parallel do not collide.
     let folder = program_folder();
     let programs = folder.path().display().to_string();
-    let output = tool(&[
+    let output = run_tool(&[
         "quickstart",
         "--once",
         "--members",
@@ -134,7 +134,7 @@
         "--programs",
         &programs,
     ]);
-    let printed = text(&output);
+    let printed = stdout_text(&output);
     assert_eq!(
         output.status.code(),
         Some(0),
@@ -157,10 +157,10 @@
 #[test]
 fn a_serving_cluster_can_be_inspected_and_ends_on_an_interrupt() {
     let folder = program_folder();
-    let mut serving = Serving::start(folder.path());
-    let member = serving.member();
-    let status = tool(&["status", "--at", &member]);
-    let printed = text(&status);
+    let mut serving = RunningQuickstart::start(folder.path());
+    let addresses = serving.member_addresses();
+    let status = run_tool(&["status", "--at", &addresses]);
+    let printed = stdout_text(&status);
     assert_eq!(status.status.code(), Some(0), "{printed}");
     for expected in [
         "head:    core-1",
@@ -174,22 +174,25 @@
         );
     }
     let json: serde_json::Value =
-        serde_json::from_slice(&tool(&["--json", "status", "--at", &member]).stdout)
+        serde_json::from_slice(&run_tool(&["--json", "status", "--at", &addresses]).stdout)
             .expect("status prints JSON");
     assert_eq!(
         (&json["ok"], &json["report"]["members"][0]["acting"]),
         (&true.into(), &true.into())
     );
-    let job = tool(&["job", JOB, "--at", &member]);
+    let job = run_tool(&["job", JOB, "--at", &addresses]);
     assert!(
-        text(&job).contains("completed") && job.status.success(),
+        stdout_text(&job).contains("completed") && job.status.success(),
         "{}",
-        text(&job)
+        stdout_text(&job)
     );
-    let unknown = tool(&["job", "00000000000000ff", "--at", &member]);
+    let unknown = run_tool(&["job", "00000000000000ff", "--at", &addresses]);
     assert_eq!(unknown.status.code(), Some(1));
     serving.interrupt();
-    assert_eq!(tool(&["status", "--at", &member]).status.code(), Some(3));
+    assert_eq!(
+        run_tool(&["status", "--at", &addresses]).status.code(),
+        Some(3)
+    );
 }
 
 /// `quickstart` must start a cluster with the tool's program alone, so that one command is enough on a fresh clone.
@@ -206,9 +209,9 @@
         String::from_utf8_lossy(&output.stderr)
     );
     assert!(
-        text(&output).to_lowercase().contains("completed"),
+        stdout_text(&output).to_lowercase().contains("completed"),
         "{}",
-        text(&output)
+        stdout_text(&output)
     );
 }
 
@@ -216,7 +219,7 @@
 #[case::unknown("edge", 2, "unknown daemon `edge`: `control` or `data` is expected")]
 #[case::control_without_settings("control", 2, "indigofold-control: ")]
 #[case::data_without_settings("data", 2, "indigofold-data: ")]
-fn the_tool_runs_as_a_daemon_that_is_named(
+fn the_daemon_argument_selects_the_daemon(
     #[case] daemon: &str,
     #[case] code: i32,
     #[case] message: &str,
@@ -255,6 +258,9 @@
 #[case(&["check-deploy", "/nowhere"], 2)]
 #[case(&["--version"], 0)]
 #[case(&["status", "--help"], 0)]
-fn exit_codes_follow_from_the_result(#[case] arguments: &[&str], #[case] code: i32) {
-    assert_eq!(tool(arguments).status.code(), Some(code));
+fn the_exit_code_tells_success_bad_input_and_unreachable_members(
+    #[case] arguments: &[&str],
+    #[case] code: i32,
+) {
+    assert_eq!(run_tool(arguments).status.code(), Some(code));
 }
--- a/crates/ctl/tests/job_lookup.rs
+++ b/crates/ctl/tests/job_lookup.rs
@@ -29,7 +29,7 @@
 
 /// Starts members of which each names the next one as the head. The last one is the acting head and knows no job.
 /// Returns the first member's address and the tasks that serve.
-async fn members(count: usize) -> (SocketAddr, Vec<Task<()>>) {
+async fn start_members(count: usize) -> (SocketAddr, Vec<Task<()>>) {
     let mut tasks = Vec::new();
     let mut answer = InspectionAnswer::Job(None);
     let mut first = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -50,12 +50,12 @@
 }
 
 #[rstest]
-#[case::the_head_itself(0)]
+#[case::none(0)]
 #[case::one(1)]
-#[case::as_many_as_are_followed(REDIRECTIONS_MAX)]
-fn the_answer_after_the_last_redirection_counts(#[case] redirections: usize) {
+#[case::the_maximum(REDIRECTIONS_MAX)]
+fn redirections_up_to_the_maximum_are_followed(#[case] redirections: usize) {
     let found = runtime::run(async move {
-        let (first, _members) = members(redirections + 1).await;
+        let (first, _members) = start_members(redirections + 1).await;
         find_job(JobId(7), vec![first]).await
     });
     let found = found.expect("the runtime starts");
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn members_that_name_others_without_end_are_an_error_with_the_last_one() {
+fn too_many_redirections_are_an_error_that_names_the_last_head() {
     let found = runtime::run(async {
-        let (first, _members) = members(REDIRECTIONS_MAX + 2).await;
+        let (first, _members) = start_members(REDIRECTIONS_MAX + 2).await;
         find_job(JobId(7), vec![first]).await
     });
     let error = found
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -1,7 +1,7 @@
 //! Tests of `compare-copies`: the comparison of replicas on members' disks.
 
 use indigofold_ctl::error::ToolError;
-use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
+use indigofold_ctl::exit_code::{EXIT_FINDINGS, EXIT_INPUT, EXIT_OK};
 use indigofold_ctl::replicas::{Replica, WriteHistory, common_seq, compare, run};
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
@@ -39,7 +39,7 @@
 }
 
 /// Creates a data folder whose database has these writes, all ordered by view 1.
-fn disk(writes: &[Write]) -> TempDir {
+fn data_dir_with(writes: &[Write]) -> TempDir {
     let folder = TempDir::new().expect("a temporary folder can be created");
     let seq = writes.last().map_or(0, |write| write.seq);
     let operations = writes.iter().map(|write| {
@@ -80,7 +80,7 @@
 const WRITES: [Write; 3] = [put(1, "a", "1"), put(2, "b", "2"), delete(3, "a")];
 
 /// Compares two data folders. Returns the exit code and the number of rows that differ.
-fn compared(left: &TempDir, right: &TempDir) -> (u8, usize) {
+fn compare_folders(left: &TempDir, right: &TempDir) -> (u8, usize) {
     let report = run(&[left.path().to_owned(), right.path().to_owned()])
         .expect("both replicas can be opened");
     assert_eq!(report.data["copies"].as_array().map(Vec::len), Some(2));
@@ -98,7 +98,7 @@
 
 #[test]
 fn equal_replicas_do_not_differ_and_stay_unchanged() {
-    let (left, right) = (disk(&WRITES), disk(&WRITES));
+    let (left, right) = (data_dir_with(&WRITES), data_dir_with(&WRITES));
     let files = |folder: &TempDir| {
         let mut all: Vec<(String, Vec<u8>)> = std::fs::read_dir(folder.path())
             .expect("the folder can be listed")
@@ -114,25 +114,31 @@
         all
     };
     let before = files(&left);
-    assert_eq!(compared(&left, &right), (EXIT_OK, 0));
+    assert_eq!(compare_folders(&left, &right), (EXIT_OK, 0));
     assert_eq!(files(&left), before);
 }
 
 #[test]
-fn a_replica_without_the_newest_writes_is_behind_and_not_wrong() {
-    assert_eq!(compared(&disk(&WRITES), &disk(&WRITES[..2])), (EXIT_OK, 1));
+fn a_replica_that_lacks_the_newest_writes_is_no_finding() {
+    assert_eq!(
+        compare_folders(&data_dir_with(&WRITES), &data_dir_with(&WRITES[..2])),
+        (EXIT_OK, 1)
+    );
 }
 
 #[test]
-fn a_row_that_differs_in_common_writes_is_wrong() {
+fn a_row_that_differs_in_common_writes_is_a_finding() {
     let other = [put(1, "a", "1"), put(2, "b", "other"), delete(3, "a")];
-    assert_eq!(compared(&disk(&WRITES), &disk(&other)), (EXIT_FOUND, 1));
+    assert_eq!(
+        compare_folders(&data_dir_with(&WRITES), &data_dir_with(&other)),
+        (EXIT_FINDINGS, 1)
+    );
 }
 
 #[test]
-fn a_row_that_is_missing_among_common_writes_is_wrong() {
+fn a_row_that_one_replica_lacks_despite_common_writes_is_wrong() {
     let other = [put(1, "a", "1"), delete(3, "a")];
-    let (left, right) = (disk(&WRITES), disk(&other));
+    let (left, right) = (data_dir_with(&WRITES), data_dir_with(&other));
     let [left, right] = [&left, &right]
         .map(|folder| Replica::open(folder.path()).expect("the replica can be opened"));
     let pair = compare(&left, &right);
@@ -153,7 +159,7 @@
 #[case::two_successors(&[(1, 0), (3, 4)], 9, &[(1, 0), (4, 6)], 8, 4)]
 #[case::later_view_shared(&[(3, 4)], 9, &[(1, 0), (3, 4)], 8, 8)]
 #[case::nothing_shared(&[(3, 4)], 9, &[(1, 0)], 8, 0)]
-fn common_writes_follow_from_the_views(
+fn common_writes_are_found_from_the_shared_views(
     #[case] left: &[(u64, u64)],
     #[case] left_end: u64,
     #[case] right: &[(u64, u64)],
@@ -203,5 +209,5 @@
     )
     .expect("the damaged file can be written");
     let error = run(&[damaged.path().to_owned()]).expect_err("the database is damaged");
-    assert_eq!(ToolError::from(error).exit_code(), EXIT_FOUND);
+    assert_eq!(ToolError::from(error).exit_code(), EXIT_FINDINGS);
 }
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn an_unresponsive_seed_that_is_no_voter_is_no_finding() {
+fn an_unresponsive_member_that_is_not_a_voter_is_no_finding() {
     let mut status = cluster();
     status.unresponsive.push(UnresponsiveMember {
         internal: internal(9),
