--- a/crates/ctl/src/check_config.rs
+++ b/crates/ctl/src/check_config.rs
@@ -32,7 +32,7 @@
     Current {
         /// Path of the current configuration.
         path: PathBuf,
-        /// The rule that the current configuration breaks.
+        /// The problem that was found in the current configuration.
         source: ConfigError,
     },
 }
--- a/crates/ctl/src/check_deploy.rs
+++ b/crates/ctl/src/check_deploy.rs
@@ -1,5 +1,5 @@
-//! `check-deploy`: checks the deploy file (`deploy/system.toml`), which says how the programs are built and on which
-//! machines each role runs, by the rules that the operators' documentation gives.
+//! `check-deploy`: checks the deploy file (`deploy/system.toml`) by the rules in the operators' documentation. The file
+//! says how the programs are built and on which machines each role runs.
 
 use crate::files::{self, FileError};
 use crate::report::Report;
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -26,7 +26,7 @@
     /// A query to the core members has no result.
     #[snafu(transparent)]
     Query {
-        /// The reason, for each member where they differ.
+        /// The reason, with one entry for each member if none of them answers.
         source: QueryError,
     },
     /// A replica cannot be opened.
--- a/crates/ctl/src/query.rs
+++ b/crates/ctl/src/query.rs
@@ -30,7 +30,7 @@
         /// The member's internal address.
         address: SocketAddr,
     },
-    /// The member did not answer within [`ANSWER_TIMEOUT`].
+    /// The member did not answer in time.
     #[snafu(display("{address} has not answered within {} ms", ANSWER_TIMEOUT.as_millis()))]
     Timeout {
         /// The member's internal address.
--- a/crates/ctl/src/quickstart/children.rs
+++ b/crates/ctl/src/quickstart/children.rs
@@ -107,7 +107,7 @@
             while matches!(daemon.child.try_wait(), Ok(None)) && Instant::now() < deadline {
                 thread::sleep(POLL_INTERVAL);
             }
-            // An error means that the daemon has ended and its exit status was read.
+            // An error of either call means that the daemon has ended and its exit status was read already.
             let _ = daemon.child.kill();
             let _ = daemon.child.wait();
         }
--- a/crates/ctl/src/quickstart/stand_in.rs
+++ b/crates/ctl/src/quickstart/stand_in.rs
@@ -11,7 +11,7 @@
 const DEFAULT_RUN_MS: u64 = 300;
 /// Interval of heartbeats unless a reply sets another delay, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Longest delay of the next heartbeat after a run ends, in milliseconds.
+/// Maximum delay between the end of a run and the next heartbeat, which reports it, in milliseconds.
 const HEARTBEAT_DELAY_AFTER_END_MS: u64 = 50;
 /// Maximum length of a run lease, in milliseconds; longer leases are cut to it.
 const MAX_LEASE_MS: u64 = 6_000;
--- a/crates/ctl/src/replicas/compare.rs
+++ b/crates/ctl/src/replicas/compare.rs
@@ -27,7 +27,7 @@
     pub key: String,
     /// Sequence number of the write that set the row in the left replica; `None` if that replica has no such row.
     pub left_seq: Option<u64>,
-    /// The same for the right replica.
+    /// Sequence number of the write that set the row in the right replica; `None` if that replica has no such row.
     pub right_seq: Option<u64>,
     /// The row must not differ, as both replicas have applied the write that set it last. False if one of them is
     /// merely behind.
--- a/crates/ctl/tests/daemons.rs
+++ b/crates/ctl/tests/daemons.rs
@@ -195,7 +195,8 @@
     );
 }
 
-/// `quickstart` must start a cluster with the tool's program alone, so that one command is enough on a fresh clone.
+/// `quickstart` must be able to start a cluster with the tool's program alone, so that one command on a fresh clone
+/// starts it and no other program has to be built first.
 #[test]
 fn quickstart_needs_no_program_beside_the_tool() {
     let folder = tempfile::tempdir().expect("a temporary folder can be created");
