--- a/crates/ctl/src/check_deploy.rs
+++ b/crates/ctl/src/check_deploy.rs
@@ -1,4 +1,5 @@
-//! `check-deploy`: checks the deploy file (`deploy/system.toml`) by the rules of the operators' page.
+//! `check-deploy`: checks the deploy file (`deploy/system.toml`) by the rules in the operators' documentation. The file
+//! says how the programs are built and on which machines each role runs.
 
 use crate::files::{self, FileError};
 use crate::report::Report;
@@ -6,22 +7,22 @@
 use std::path::Path;
 use toml::{Table, Value};
 
-/// Keys of the file.
+/// Allowed keys at the top level of the file.
 const TOP_KEYS: [&str; 3] = ["build", "packages", "roles"];
-/// Keys of a role.
+/// Allowed keys in the table of a role.
 const ROLE_KEYS: [&str; 6] = ["run", "on", "share", "count", "apart", "serves"];
-/// Classes of machines.
-const CLASSES: [&str; 3] = ["edge", "side", "core"];
-/// Callers that a role may serve.
+/// Machine classes, the values of `on`.
+const MACHINE_CLASSES: [&str; 3] = ["edge", "side", "core"];
+/// Kinds of callers that a role may serve, the values of `serves`.
 const CALLERS: [&str; 3] = ["edge", "side", "control"];
-/// Roles that a machine runs at most.
+/// Maximum number of roles on a machine.
 const ROLES_MAX: usize = 2;
 
-/// Checks the file.
+/// Checks a deploy file.
 ///
 /// # Errors
 ///
-/// [`FileError`] if the file cannot be read. What is wrong with it is in the report.
+/// [`FileError`] if the file cannot be read. Problems of its content are findings of the report.
 pub fn run(path: &Path) -> Result<Report, FileError> {
     let text = files::read_text(path)?;
     let (roles, findings) = match text.parse::<Table>() {
@@ -46,7 +47,7 @@
     }
 }
 
-/// All that is wrong with a deploy file.
+/// All problems of a parsed deploy file, one sentence each.
 pub fn findings(document: &Table) -> Vec<String> {
     let mut findings = unknown_keys("", document, &TOP_KEYS);
     findings.extend(text_finding("build", document.get("build")));
@@ -71,13 +72,13 @@
     let mut findings = unknown_keys(&format!("{key}."), role, &ROLE_KEYS);
     findings.extend(text_finding(&format!("{key}.run"), role.get("run")));
     let class = role.get("on").and_then(Value::as_str);
-    if !class.is_some_and(|class| CLASSES.contains(&class)) {
+    if !class.is_some_and(|class| MACHINE_CLASSES.contains(&class)) {
         findings.push(format!(
-            "`{key}.on` is {}: one of {CLASSES:?} is expected",
-            shown(role.get("on"))
+            "`{key}.on` is {}: one of {MACHINE_CLASSES:?} is expected",
+            value_text(role.get("on"))
         ));
     }
-    findings.extend(extent_findings(&key, class, role));
+    findings.extend(machine_count_findings(&key, class, role));
     findings.extend(array_finding(
         &format!("{key}.serves"),
         role.get("serves"),
@@ -85,17 +86,17 @@
     ));
     if serves(role).any(|caller| caller == "side") && class != Some("side") {
         findings.push(format!(
-            "`{key}.serves` has \"side\": only a role on \"side\" machines may"
+            "`{key}.serves` has \"side\": only a role on \"side\" machines may serve it"
         ));
     }
     findings
 }
 
-/// `share`, `count` and `apart`: how many machines of its class the role runs on.
-fn extent_findings(key: &str, class: Option<&str>, role: &Table) -> Vec<String> {
+/// Problems of `share`, `count` and `apart`, which say how many machines of its class the role runs on.
+fn machine_count_findings(key: &str, class: Option<&str>, role: &Table) -> Vec<String> {
     let mut findings = Vec::new();
     if let Some(value) = role.get("share")
-        && !is_machine_fraction(value)
+        && !is_valid_share(value)
     {
         findings.push(format!(
             "`{key}.share` is {value}: a number over 0 and up to 1 is expected"
@@ -119,13 +120,13 @@
     findings
 }
 
-fn is_machine_fraction(value: &Value) -> bool {
+fn is_valid_share(value: &Value) -> bool {
     let integer = || value.as_integer().map(|integer| integer as f64);
     let fraction = value.as_float().or_else(integer);
     fraction.is_some_and(|fraction| fraction > 0.0 && fraction <= 1.0)
 }
 
-/// One of `share` and `count` at most, and on core machines one at least.
+/// A role may have `share` or `count` but not both; a role on core machines must have one of them.
 fn share_or_count_finding(key: &str, class: Option<&str>, role: &Table) -> Option<String> {
     let (has_share, has_count) = (role.contains_key("share"), role.contains_key("count"));
     match (has_share, has_count) {
@@ -139,12 +140,13 @@
     }
 }
 
-/// What the roles of one class must not do together, and what nobody does.
+/// Problems of several roles together: too many roles on one machine class, two roles of a class that serve the same
+/// callers, and callers that no role serves.
 fn class_findings(document: &Table) -> Vec<String> {
     let mut findings = Vec::new();
-    for class in CLASSES {
-        let on_class = |role: &&Table| role.get("on").and_then(Value::as_str) == Some(class);
-        let roles: Vec<&Table> = role_tables(document).filter(on_class).collect();
+    for class in MACHINE_CLASSES {
+        let is_on_class = |role: &&Table| role.get("on").and_then(Value::as_str) == Some(class);
+        let roles: Vec<&Table> = role_tables(document).filter(is_on_class).collect();
         if roles.len() > ROLES_MAX {
             findings.push(format!(
                 "{} roles on \"{class}\": a machine runs {ROLES_MAX} at most",
@@ -158,7 +160,7 @@
                 .count();
             if served > 1 {
                 findings.push(format!(
-                    "{served} roles on \"{class}\" serve \"{caller}\": one may"
+                    "{served} roles on \"{class}\" serve \"{caller}\": at most one may"
                 ));
             }
         }
@@ -192,26 +194,26 @@
 }
 
 fn text_finding(key: &str, value: Option<&Value>) -> Option<String> {
-    let sound = value
+    let valid = value
         .and_then(Value::as_str)
         .is_some_and(|text| !text.trim().is_empty());
-    (!sound).then(|| format!("`{key}` is {}: a text is expected", shown(value)))
+    (!valid).then(|| format!("`{key}` is {}: a text is expected", value_text(value)))
 }
 
-/// A list of texts, which may be missing.
+/// Checks an optional list of texts; `allowed` are its permitted items, `None` permits any text.
 fn array_finding(key: &str, value: Option<&Value>, allowed: Option<&[&str]>) -> Option<String> {
     let value = value?;
     let text = |item: &Value| {
         item.as_str()
             .is_some_and(|t| allowed.is_none_or(|all| all.contains(&t)))
     };
-    let sound = value.as_array().is_some_and(|items| items.iter().all(text));
+    let valid = value.as_array().is_some_and(|items| items.iter().all(text));
     let expected = allowed.map_or("a list of texts".to_owned(), |all| {
         format!("a list of some of {all:?}")
     });
-    (!sound).then(|| format!("`{key}` is {value}: {expected} is expected"))
+    (!valid).then(|| format!("`{key}` is {value}: {expected} is expected"))
 }
 
-fn shown(value: Option<&Value>) -> String {
+fn value_text(value: Option<&Value>) -> String {
     value.map_or("missing".to_owned(), ToString::to_string)
 }
--- a/crates/ctl/src/job.rs
+++ b/crates/ctl/src/job.rs
@@ -11,34 +11,36 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most redirections to another head that are followed, while the leadership moves.
+/// Maximum number of redirections to another head that a lookup follows. Members may name different heads while the
+/// leadership changes.
 pub const REDIRECTIONS_MAX: usize = 3;
 
-/// The outcome of the responses to a query for a job.
+/// Result of one round of queries for a job.
 enum Lookup {
     /// The acting head has answered; `None` if there is no such job.
     Answered(Option<JobInspection>),
-    /// Members name these as the head, by internal address, in order and without duplicates.
+    /// No member has answered as the acting head, but some name it: internal addresses, sorted, without duplicates.
     Redirected(Vec<SocketAddr>),
-    /// No member answers or knows the head.
+    /// No member is the head or names it; the reason for each member.
     Failed(Vec<MemberError>),
 }
 
-/// Queries the acting head, which is found through the members at these internal addresses.
+/// Looks a job up and reports on it. `addresses` are internal addresses of core members, which name the acting head.
 ///
 /// # Errors
 ///
-/// [`QueryError`], as of [`find_job`], or if the runtime cannot be started.
+/// The errors of [`find_job`], and [`QueryError::Runtime`] if the runtime cannot be started.
 pub fn run(id: JobId, addresses: Vec<SocketAddr>) -> Result<Report, QueryError> {
     query::run(find_job(id, addresses)).map(|job| report(id, job))
 }
 
-/// The job as the acting head knows it; `None` if there is no such job.
+/// Queries the members, and then the heads that they name, until the acting head answers. Returns the job as the head
+/// knows it, or `None` if the head knows no such job.
 ///
 /// # Errors
 ///
-/// [`QueryError::NoAnswer`] if no member answers or knows the head, [`QueryError::Redirected`] if members name other
-/// heads for longer than [`REDIRECTIONS_MAX`] redirections.
+/// [`QueryError::NoAnswer`] if no member answers or knows the head; [`QueryError::Redirected`] if members still name
+/// another head after [`REDIRECTIONS_MAX`] redirections.
 pub async fn find_job(
     id: JobId,
     addresses: Vec<SocketAddr>,
@@ -88,14 +90,14 @@
     }
 }
 
-/// The report on a job; `None` if the head does not know it.
+/// The report on a job. `None` means that the head does not know the job, which is a finding.
 pub fn report(id: JobId, job: Option<JobInspection>) -> Report {
     match job {
         None => Report {
             text: String::new(),
             data: Value::Null,
             findings: vec![format!(
-                "job {id} is not known: never taken, or ended long ago"
+                "job {id} is not known: it was never accepted, or it ended long ago"
             )],
         },
         Some(job) => Report::new(text(&job), &job, Vec::new()),
@@ -108,7 +110,7 @@
         text.push_str(&format!("queue {queue}, service {service}\n"));
     }
     if let Some(accepted_ms) = job.accepted_wall_ms {
-        text.push_str(&format!("taken at {accepted_ms} ms since 1970\n"));
+        text.push_str(&format!("accepted at {accepted_ms} ms since 1970\n"));
     }
     if let (Some(due_ms), Some(repeats)) = (job.next_due_wall_ms, job.repeats) {
         text.push_str(&format!(
@@ -147,7 +149,7 @@
     text
 }
 
-/// Why a step waits, in words.
+/// Describes why a step waits.
 pub fn wait_text(wait: &Wait) -> String {
     match wait {
         Wait::Dependency(steps) => format!("for steps {steps:?}"),
@@ -160,12 +162,12 @@
             needed,
         } => {
             format!(
-                "no room: {fitting_tasks} tasks would fit beside what runs, {needed} are needed at once"
+                "no room: {fitting_tasks} tasks would fit beside the running ones, {needed} are needed at once"
             )
         }
         Wait::Deferred { fitting_tasks } => format!(
-            "held back although {fitting_tasks} tasks would fit: room reserved for another step, workers suspected \
-             or paused, or the wait for a rack"
+            "held back although {fitting_tasks} tasks would fit: capacity is reserved for another step, workers are \
+             suspected or paused, or the step waits for its rack"
         ),
     }
 }
--- a/crates/ctl/src/status/text.rs
+++ b/crates/ctl/src/status/text.rs
@@ -1,4 +1,4 @@
-//! The printed form of a cluster's status.
+//! Formats a cluster's status as text.
 
 use super::cluster::ClusterStatus;
 use crate::table::Table;
@@ -6,10 +6,10 @@
     MemberStatus, ServiceStatus, TaskCounts, ViewStatus, WorkStatus,
 };
 
-/// Stands in a table for a value that is not known.
+/// Placeholder in a table for an unknown value.
 const UNKNOWN: &str = "-";
 
-/// The complete text.
+/// The text of the report: view and head, the table of members, and the work as the acting head reports it.
 pub(super) fn text(status: &ClusterStatus) -> String {
     let mut text = String::new();
     if let Some(newest) = status.newest() {
@@ -25,14 +25,14 @@
 fn cluster_text(status: &ClusterStatus, view: Option<&ViewStatus>) -> String {
     let head = status
         .head()
-        .map_or("none acts", |head| &head.address.node_name);
+        .map_or("none is acting", |head| &head.address.node_name);
     let mut text = match view {
         None => format!("view:    none yet\nhead:    {head}\n"),
         Some(view) => {
             let agreed = if view.agreed {
                 ""
             } else {
-                " (not known to hold)"
+                " (not known to be agreed)"
             };
             format!(
                 "view:    {}{agreed}\nhead:    {head}\nvoters:  {}\nchain:   {}\n",
--- a/crates/ctl/tests/daemons.rs
+++ b/crates/ctl/tests/daemons.rs
@@ -1,4 +1,4 @@
-//! The tool against real daemons on loopback.
+//! Runs the tool's program against real daemons on loopback addresses.
 
 use indigofold_ctl::quickstart::{Options, Programs, run};
 use rstest::rstest;
@@ -16,48 +16,48 @@
     }
 }
 
-fn tool(arguments: &[&str]) -> Output {
+fn run_tool(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_indigofold-ctl"))
         .args(arguments)
         .output()
-        .expect("the tool runs")
+        .expect("the tool can be run")
 }
 
-fn text(output: &Output) -> String {
+fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// A folder in which the daemons have their usual names.
+/// A folder with links to the daemons' programs under their usual names.
 fn program_folder() -> tempfile::TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let Programs { control, data, .. } = programs();
     let link = |from: &Path, to: &str| std::os::unix::fs::symlink(from, folder.path().join(to));
     link(&control, "indigofold-control")
         .and(link(&data, "indigofold-data"))
-        .expect("links");
+        .expect("the programs can be linked");
     folder
 }
 
 /// A running `quickstart` that serves until it is interrupted.
-struct Serving {
+struct RunningQuickstart {
     child: Child,
     printed: Vec<String>,
-    /// Kept open, as a terminal would be.
+    /// Kept open so that the tool can go on writing to its standard output.
     output: BufReader<ChildStdout>,
 }
 
-impl Serving {
-    fn start(programs: &Path) -> Serving {
+impl RunningQuickstart {
+    fn start(programs: &Path) -> RunningQuickstart {
         let mut child = Command::new(env!("CARGO_BIN_EXE_indigofold-ctl"))
             .args(["quickstart", "--programs"])
             .arg(programs)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the tool starts");
+            .expect("the tool can be started");
         let mut printed: Vec<String> = Vec::new();
-        let mut output = BufReader::new(child.stdout.take().expect("its output"));
+        let mut output = BufReader::new(child.stdout.take().expect("standard output is piped"));
         for text in output.by_ref().lines() {
-            printed.push(text.expect("a line"));
+            printed.push(text.expect("the output is UTF-8 text"));
             if printed
                 .last()
                 .is_some_and(|text| text.contains("status --at"))
@@ -65,43 +65,55 @@
                 break;
             }
         }
-        Serving {
+        RunningQuickstart {
             child,
             printed,
             output,
         }
     }
 
-    fn member(&self) -> String {
+    fn member_addresses(&self) -> String {
         let command = self
             .printed
             .iter()
             .find_map(|text| text.split_once("status --at "));
         command
-            .unwrap_or_else(|| panic!("it does not serve: {:?}", self.printed))
+            .unwrap_or_else(|| {
+                panic!(
+                    "no `status --at` in the output of quickstart: {:?}",
+                    self.printed
+                )
+            })
             .1
             .to_owned()
     }
 
-    /// Ends it as Ctrl-C does.
+    /// Sends SIGINT, as Ctrl-C does, and checks that the tool ends its daemons and exits with 0.
     fn interrupt(&mut self) {
-        let id = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(id, rustix::process::Signal::INT).expect("a signal");
-        assert_eq!(self.child.wait().expect("its end").code(), Some(0));
+        let pid = rustix::process::Pid::from_child(&self.child);
+        rustix::process::kill_process(pid, rustix::process::Signal::INT)
+            .expect("SIGINT can be sent");
+        assert_eq!(
+            self.child
+                .wait()
+                .expect("the tool can be waited for")
+                .code(),
+            Some(0)
+        );
         let mut rest = String::new();
         self.output
             .read_to_string(&mut rest)
-            .expect("the rest of its output");
+            .expect("the output is UTF-8 text");
         assert!(rest.ends_with("all processes have ended\n"), "{rest}");
     }
 }
 
-impl Drop for Serving {
+impl Drop for RunningQuickstart {
     fn drop(&mut self) {
-        let id = rustix::process::Pid::from_child(&self.child);
+        let pid = rustix::process::Pid::from_child(&self.child);
         if matches!(self.child.try_wait(), Ok(None)) {
-            // It ends its daemons at SIGTERM, not at SIGKILL.
-            let _ = rustix::process::kill_process(id, rustix::process::Signal::TERM);
+            // The tool ends its daemons on SIGTERM; after SIGKILL they would go on running.
+            let _ = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
             let _ = self.child.wait();
         }
     }
@@ -111,10 +123,10 @@
 #[case::one_member(1)]
 #[case::three_members(3)]
 fn quickstart_runs_a_job_to_its_end(#[case] members: usize) {
-    // The addresses follow from the number of the process, so each case runs one of its own.
+    // The loopback network is derived from the tool's process id, so that cases running in parallel do not collide.
     let folder = program_folder();
     let programs = folder.path().display().to_string();
-    let output = tool(&[
+    let output = run_tool(&[
         "quickstart",
         "--once",
         "--members",
@@ -122,7 +134,7 @@
         "--programs",
         &programs,
     ]);
-    let printed = text(&output);
+    let printed = stdout_text(&output);
     assert_eq!(
         output.status.code(),
         Some(0),
@@ -145,10 +157,10 @@
 #[test]
 fn a_serving_cluster_can_be_inspected_and_ends_on_an_interrupt() {
     let folder = program_folder();
-    let mut serving = Serving::start(folder.path());
-    let member = serving.member();
-    let status = tool(&["status", "--at", &member]);
-    let printed = text(&status);
+    let mut serving = RunningQuickstart::start(folder.path());
+    let addresses = serving.member_addresses();
+    let status = run_tool(&["status", "--at", &addresses]);
+    let printed = stdout_text(&status);
     assert_eq!(status.status.code(), Some(0), "{printed}");
     for expected in [
         "head:    core-1",
@@ -162,48 +174,53 @@
         );
     }
     let json: serde_json::Value =
-        serde_json::from_slice(&tool(&["--json", "status", "--at", &member]).stdout).expect("JSON");
+        serde_json::from_slice(&run_tool(&["--json", "status", "--at", &addresses]).stdout)
+            .expect("status prints JSON");
     assert_eq!(
         (&json["ok"], &json["report"]["members"][0]["acting"]),
         (&true.into(), &true.into())
     );
-    let job = tool(&["job", JOB, "--at", &member]);
+    let job = run_tool(&["job", JOB, "--at", &addresses]);
     assert!(
-        text(&job).contains("completed") && job.status.success(),
+        stdout_text(&job).contains("completed") && job.status.success(),
         "{}",
-        text(&job)
+        stdout_text(&job)
     );
-    let unknown = tool(&["job", "00000000000000ff", "--at", &member]);
+    let unknown = run_tool(&["job", "00000000000000ff", "--at", &addresses]);
     assert_eq!(unknown.status.code(), Some(1));
     serving.interrupt();
-    assert_eq!(tool(&["status", "--at", &member]).status.code(), Some(3));
+    assert_eq!(
+        run_tool(&["status", "--at", &addresses]).status.code(),
+        Some(3)
+    );
 }
 
-/// So one command on a fresh clone starts a cluster: no other program has to be built first.
+/// `quickstart` must be able to start a cluster with the tool's program alone, so that one command on a fresh clone
+/// starts it and no other program has to be built first.
 #[test]
 fn quickstart_needs_no_program_beside_the_tool() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let alone = folder.path().join("indigofold-ctl");
-    std::fs::copy(env!("CARGO_BIN_EXE_indigofold-ctl"), &alone).expect("a copy");
+    std::fs::copy(env!("CARGO_BIN_EXE_indigofold-ctl"), &alone).expect("the tool can be copied");
     let output = Command::new(&alone).args(["quickstart", "--once"]).output();
-    let output = output.expect("the tool runs");
+    let output = output.expect("the tool can be run");
     assert!(
         output.status.success(),
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
     assert!(
-        text(&output).to_lowercase().contains("completed"),
+        stdout_text(&output).to_lowercase().contains("completed"),
         "{}",
-        text(&output)
+        stdout_text(&output)
     );
 }
 
 #[rstest]
-#[case::unknown("edge", 2, "the daemons are `control` and `data`")]
+#[case::unknown("edge", 2, "unknown daemon `edge`: `control` or `data` is expected")]
 #[case::control_without_settings("control", 2, "indigofold-control: ")]
 #[case::data_without_settings("data", 2, "indigofold-data: ")]
-fn the_tool_runs_as_a_daemon_that_is_named(
+fn the_daemon_argument_selects_the_daemon(
     #[case] daemon: &str,
     #[case] code: i32,
     #[case] message: &str,
@@ -212,7 +229,7 @@
         .args(["daemon", daemon])
         .env_remove("INDIGOFOLD_CONFIG")
         .output()
-        .expect("the tool runs");
+        .expect("the tool can be run");
     assert_eq!(output.status.code(), Some(code));
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(error.contains(message), "{error}");
@@ -226,7 +243,7 @@
         once: true,
         programs,
     };
-    let error = run(&options, &mut Vec::new()).expect_err("no programs");
+    let error = run(&options, &mut Vec::new()).expect_err("the programs are missing");
     assert!(
         error.is_input()
             && error
@@ -242,6 +259,9 @@
 #[case(&["check-deploy", "/nowhere"], 2)]
 #[case(&["--version"], 0)]
 #[case(&["status", "--help"], 0)]
-fn exit_codes_follow_from_the_result(#[case] arguments: &[&str], #[case] code: i32) {
-    assert_eq!(tool(arguments).status.code(), Some(code));
+fn the_exit_code_tells_success_bad_input_and_unreachable_members(
+    #[case] arguments: &[&str],
+    #[case] code: i32,
+) {
+    assert_eq!(run_tool(arguments).status.code(), Some(code));
 }
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -1,7 +1,7 @@
-//! Comparison of the replicas on members' disks.
+//! Tests of `compare-copies`: the comparison of replicas on members' disks.
 
 use indigofold_ctl::error::ToolError;
-use indigofold_ctl::exit_code::{EXIT_FOUND, EXIT_INPUT, EXIT_OK};
+use indigofold_ctl::exit_code::{EXIT_FINDINGS, EXIT_INPUT, EXIT_OK};
 use indigofold_ctl::replicas::{Replica, WriteHistory, common_seq, compare, run};
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
@@ -38,9 +38,9 @@
     Write { seq, key, value }
 }
 
-/// A folder with a database of these writes, all of view 1.
-fn disk(writes: &[Write]) -> TempDir {
-    let folder = TempDir::new().expect("a folder");
+/// Creates a data folder whose database has these writes, all ordered by view 1.
+fn data_dir_with(writes: &[Write]) -> TempDir {
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let seq = writes.last().map_or(0, |write| write.seq);
     let operations = writes.iter().map(|write| {
         StoreOperation::Write(Arc::new(Batch {
@@ -65,43 +65,48 @@
         trimmed: 0,
         addresses: Vec::<MemberAddress>::new(),
     };
-    let mut storage = Storage::open(folder.path()).expect("a database").storage;
+    let mut storage = Storage::open(folder.path())
+        .expect("the database can be created")
+        .storage;
     storage
         .apply(&StoreRequest {
             durable,
             operations: operations.collect(),
         })
-        .expect("a write");
+        .expect("the writes can be stored");
     folder
 }
 
 const WRITES: [Write; 3] = [put(1, "a", "1"), put(2, "b", "2"), delete(3, "a")];
 
-/// The exit code of a comparison, and how many rows differ.
-fn compared(left: &TempDir, right: &TempDir) -> (u8, usize) {
-    let report = run(&[left.path().to_owned(), right.path().to_owned()]).expect("a report");
+/// Compares two data folders. Returns the exit code and the number of rows that differ.
+fn compare_folders(left: &TempDir, right: &TempDir) -> (u8, usize) {
+    let report = run(&[left.path().to_owned(), right.path().to_owned()])
+        .expect("both replicas can be opened");
     assert_eq!(report.data["copies"].as_array().map(Vec::len), Some(2));
-    let pairs = report.data["pairs"].as_array().expect("pairs");
+    let pairs = report.data["pairs"]
+        .as_array()
+        .expect("`pairs` is an array");
     (
         report.exit_code(),
         pairs[0]["differences"]
             .as_array()
-            .expect("differences")
+            .expect("`differences` is an array")
             .len(),
     )
 }
 
 #[test]
 fn equal_replicas_do_not_differ_and_stay_unchanged() {
-    let (left, right) = (disk(&WRITES), disk(&WRITES));
+    let (left, right) = (data_dir_with(&WRITES), data_dir_with(&WRITES));
     let files = |folder: &TempDir| {
         let mut all: Vec<(String, Vec<u8>)> = std::fs::read_dir(folder.path())
-            .expect("a folder")
-            .map(|entry| entry.expect("an entry"))
+            .expect("the folder can be listed")
+            .map(|entry| entry.expect("the folder can be listed"))
             .map(|entry| {
                 (
                     entry.file_name().to_string_lossy().into_owned(),
-                    std::fs::read(entry.path()).expect("bytes"),
+                    std::fs::read(entry.path()).expect("the file can be read"),
                 )
             })
             .collect();
@@ -109,27 +114,33 @@
         all
     };
     let before = files(&left);
-    assert_eq!(compared(&left, &right), (EXIT_OK, 0));
+    assert_eq!(compare_folders(&left, &right), (EXIT_OK, 0));
     assert_eq!(files(&left), before);
 }
 
 #[test]
-fn a_replica_without_the_newest_writes_is_behind_and_not_wrong() {
-    assert_eq!(compared(&disk(&WRITES), &disk(&WRITES[..2])), (EXIT_OK, 1));
+fn a_replica_that_lacks_the_newest_writes_is_no_finding() {
+    assert_eq!(
+        compare_folders(&data_dir_with(&WRITES), &data_dir_with(&WRITES[..2])),
+        (EXIT_OK, 1)
+    );
 }
 
 #[test]
-fn a_row_that_differs_in_common_writes_is_wrong() {
+fn a_row_that_differs_in_common_writes_is_a_finding() {
     let other = [put(1, "a", "1"), put(2, "b", "other"), delete(3, "a")];
-    assert_eq!(compared(&disk(&WRITES), &disk(&other)), (EXIT_FOUND, 1));
+    assert_eq!(
+        compare_folders(&data_dir_with(&WRITES), &data_dir_with(&other)),
+        (EXIT_FINDINGS, 1)
+    );
 }
 
 #[test]
-fn a_row_that_is_missing_among_common_writes_is_wrong() {
+fn a_row_that_one_replica_lacks_despite_common_writes_is_wrong() {
     let other = [put(1, "a", "1"), delete(3, "a")];
-    let (left, right) = (disk(&WRITES), disk(&other));
-    let [left, right] =
-        [&left, &right].map(|folder| Replica::open(folder.path()).expect("a replica"));
+    let (left, right) = (data_dir_with(&WRITES), data_dir_with(&other));
+    let [left, right] = [&left, &right]
+        .map(|folder| Replica::open(folder.path()).expect("the replica can be opened"));
     let pair = compare(&left, &right);
     assert_eq!((pair.common_seq, pair.differences.len()), (3, 1));
     assert_eq!(
@@ -148,7 +159,7 @@
 #[case::two_successors(&[(1, 0), (3, 4)], 9, &[(1, 0), (4, 6)], 8, 4)]
 #[case::later_view_shared(&[(3, 4)], 9, &[(1, 0), (3, 4)], 8, 8)]
 #[case::nothing_shared(&[(3, 4)], 9, &[(1, 0)], 8, 0)]
-fn common_writes_follow_from_the_views(
+fn common_writes_are_found_from_the_shared_views(
     #[case] left: &[(u64, u64)],
     #[case] left_end: u64,
     #[case] right: &[(u64, u64)],
@@ -178,23 +189,25 @@
 
 #[test]
 fn a_folder_without_a_database_is_bad_input() {
-    let empty = TempDir::new().expect("a folder");
-    let error = run(&[empty.path().to_owned()]).expect_err("no database");
+    let empty = TempDir::new().expect("a temporary folder can be created");
+    let error = run(&[empty.path().to_owned()]).expect_err("the folder has no database");
     assert_eq!(ToolError::from(error).exit_code(), EXIT_INPUT);
     assert_eq!(
-        std::fs::read_dir(empty.path()).expect("a folder").count(),
+        std::fs::read_dir(empty.path())
+            .expect("the folder can be listed")
+            .count(),
         0
     );
 }
 
 #[test]
 fn a_damaged_database_is_a_finding() {
-    let damaged = TempDir::new().expect("a folder");
+    let damaged = TempDir::new().expect("a temporary folder can be created");
     std::fs::write(
         damaged.path().join("control.sqlite"),
         "no database at all".repeat(99),
     )
-    .expect("a file");
-    let error = run(&[damaged.path().to_owned()]).expect_err("damage");
-    assert_eq!(ToolError::from(error).exit_code(), EXIT_FOUND);
+    .expect("the damaged file can be written");
+    let error = run(&[damaged.path().to_owned()]).expect_err("the database is damaged");
+    assert_eq!(ToolError::from(error).exit_code(), EXIT_FINDINGS);
 }
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -1,4 +1,4 @@
-//! The report and the findings of `status`.
+//! Tests of the report and the findings of `status`.
 
 use indigofold_ctl::status::{ClusterStatus, UnresponsiveMember, report};
 use indigofold_protocol::inspection::{
@@ -113,7 +113,12 @@
 
 fn voter_outside_the_chain(status: &mut ClusterStatus) {
     for member in &mut status.members {
-        member.view.as_mut().expect("a view").chain.remove(1);
+        member
+            .view
+            .as_mut()
+            .expect("each member has a view")
+            .chain
+            .remove(1);
     }
 }
 
@@ -129,7 +134,7 @@
     status.members[0]
         .work
         .as_mut()
-        .expect("work")
+        .expect("the head reports its work")
         .unreadable_rows = 2;
 }
 
@@ -158,7 +163,7 @@
 }
 
 #[test]
-fn an_unresponsive_seed_that_is_no_voter_is_no_finding() {
+fn an_unresponsive_member_that_is_not_a_voter_is_no_finding() {
     let mut status = cluster();
     status.unresponsive.push(UnresponsiveMember {
         internal: internal(9),
