--- a/crates/control-plane/src/core_member/inspect.rs
+++ b/crates/control-plane/src/core_member/inspect.rs
@@ -28,7 +28,7 @@
             return self.send_inspection(connection, call.call, answer);
         }
         if self.inspections.is_full() {
-            let reason = "too many questions are open; try again later".to_owned();
+            let reason = "too many questions are open; ask again".to_owned();
             let answer = InspectionAnswer::Unavailable { reason };
             return self.send_inspection(connection, call.call, answer);
         }
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -42,7 +42,7 @@
     if request.path != CONFIG_PATH {
         return Err(error_response(
             404,
-            &format!("the path does not exist; only {CONFIG_PATH} is served"),
+            &format!("no such path; {CONFIG_PATH} is served here"),
         ));
     }
     let method = match request.method {
@@ -50,10 +50,7 @@
         Method::PUT => ConfigMethod::Put,
         Method::PATCH => ConfigMethod::Patch,
         _ => {
-            return Err(error_response(
-                405,
-                "the method is not allowed; GET, PUT and PATCH are",
-            ));
+            return Err(error_response(405, "GET, PUT and PATCH are served here"));
         }
     };
     let if_match = request.header(header::IF_MATCH.as_str()).map(str::to_owned);
@@ -73,18 +70,16 @@
         OperatorResponse::Change(ChangeResponse::Invalid { reason }) => {
             error_response(400, &reason)
         }
-        OperatorResponse::Change(ChangeResponse::VersionConflict { current }) => error_response(
-            412,
-            &format!("If-Match does not match the current version, {current}"),
-        ),
-        OperatorResponse::Change(ChangeResponse::Undetermined) => error_response(
-            503,
-            "the change may or may not have been accepted; send it again",
-        ),
+        OperatorResponse::Change(ChangeResponse::VersionConflict { current }) => {
+            error_response(412, &format!("version {current} is current"))
+        }
+        OperatorResponse::Change(ChangeResponse::Undetermined) => {
+            error_response(503, "the order may or may not be taken; send it again")
+        }
         OperatorResponse::Change(ChangeResponse::Forgotten { remembered_from }) => error_response(
             503,
             &format!(
-                "the change may have been accepted: only changes that made version {remembered_from} or a later one are \
+                "the order may have been taken: only those that became version {remembered_from} or a later one are \
                  remembered; read the configuration"
             ),
         ),
@@ -94,7 +89,7 @@
             let location = format!("http://{control}{CONFIG_PATH}");
             HttpResponse::new(307).with_header(header::LOCATION, &location)
         }
-        OperatorResponse::NoHead => error_response(503, "no acting head is known; try again"),
+        OperatorResponse::NoHead => error_response(503, "no head is at work; try again"),
     }
 }
 
