--- a/crates/control-plane/src/core_member/replication.rs
+++ b/crates/control-plane/src/core_member/replication.rs
@@ -44,7 +44,7 @@
                 }));
             }
             ReplicaOutput::Committed { write_id } => self.write_committed(clocks, write_id),
-            ReplicaOutput::Aborted { write_id } | ReplicaOutput::Rejected { write_id } => {
+            ReplicaOutput::Undetermined { write_id } | ReplicaOutput::Rejected { write_id } => {
                 self.write_lost(clocks, write_id);
             }
             ReplicaOutput::HeadGained { view } => self.head_gained(clocks, view),
--- a/crates/replication/src/replica/head.rs
+++ b/crates/replication/src/replica/head.rs
@@ -81,7 +81,7 @@
         self.send_heartbeats(context);
     }
 
-    /// Ends the leadership, if any: writes that were sent down the chain are reported as aborted, the others as
+    /// Ends the leadership, if any: writes that were sent down the chain are reported as undetermined, the others as
     /// rejected.
     pub(super) fn end_leadership(&mut self, context: &mut Context) {
         let Some(leadership) = self.leadership.take() else {
@@ -90,7 +90,7 @@
         let is_gained = leadership.is_gained();
         let unfinished = leadership.into_writes().into_unfinished();
         for write_id in unfinished.unknown {
-            context.add_output(Output::Aborted { write_id });
+            context.add_output(Output::Undetermined { write_id });
         }
         for write_id in unfinished.unsent {
             context.add_output(Output::Rejected { write_id });
--- a/crates/replication/src/replica/io.rs
+++ b/crates/replication/src/replica/io.rs
@@ -115,7 +115,7 @@
         write_id: SubmissionId,
     },
     /// This member is no longer the head; the write may or may not be kept.
-    Aborted {
+    Undetermined {
         /// ID of the write.
         write_id: SubmissionId,
     },
--- a/crates/replication/tests/simulation/cluster.rs
+++ b/crates/replication/tests/simulation/cluster.rs
@@ -56,7 +56,7 @@
     pub heads_gained: Vec<HeadGained>,
     pub trace: bool,
     submitted: BTreeMap<u64, WrittenRow>,
-    pub aborted: u64,
+    pub undetermined: u64,
     pub rejected: u64,
     next_write_id: u64,
     events: EventQueue,
@@ -89,7 +89,7 @@
             heads_gained: Vec::new(),
             trace: false,
             submitted: BTreeMap::new(),
-            aborted: 0,
+            undetermined: 0,
             rejected: 0,
             next_write_id: 1,
             events: EventQueue::default(),
@@ -417,7 +417,7 @@
                 }
                 self.last_commit_ms = self.now_ms;
             }
-            Output::Aborted { .. } => self.aborted += 1,
+            Output::Undetermined { .. } => self.undetermined += 1,
             Output::Rejected { .. } => self.rejected += 1,
             Output::HeadGained { view } => {
                 self.log_event(&format!("head gained by {index}, view {view}"));
