--- a/crates/control-plane/src/storage_thread.rs
+++ b/crates/control-plane/src/storage_thread.rs
@@ -119,7 +119,7 @@
             | StorageResponse::Scrub { result: Err(error) }
             | StorageResponse::Summarize {
                 result: Err(error), ..
-            } if error.shows_damage() => Err(error),
+            } if error.proves_damage() => Err(error),
             response => Ok(response),
         }
     }
--- a/crates/replication/src/storage/error.rs
+++ b/crates/replication/src/storage/error.rs
@@ -89,7 +89,7 @@
 
     /// Returns true if the error proves that a database in use is damaged. I/O errors are no proof, because the disk
     /// may recover.
-    pub fn shows_damage(&self) -> bool {
+    pub fn proves_damage(&self) -> bool {
         match self {
             StorageError::DamagedRow { .. } => true,
             StorageError::Database { source, .. } => match source {
--- a/crates/replication/tests/crash_points.rs
+++ b/crates/replication/tests/crash_points.rs
@@ -384,7 +384,7 @@
         after = result.as_ref().ok().and_then(Clone::clone);
     }
     let error = result.expect_err("scrub detects the changed index entry");
-    assert!(error.shows_damage(), "{error}");
+    assert!(error.proves_damage(), "{error}");
 }
 
 /// A row changes on disk while the database is in use: no read returns it, and the scrub detects it.
@@ -409,7 +409,7 @@
     let assert_damaged = |result: Result<(), indigofold_replication::StorageError>| {
         let error = result.expect_err("the changed row is detected");
         assert!(
-            error.shows_damage() && error.to_string().contains("row-    17"),
+            error.proves_damage() && error.to_string().contains("row-    17"),
             "{error}"
         );
     };
