--- a/crates/control-plane/src/core_member.rs
+++ b/crates/control-plane/src/core_member.rs
@@ -29,7 +29,7 @@
 use crate::sessions::Sessions;
 use announcement::Announcement;
 use head_role::HeadRole;
-use indigofold_replication::{Durable, Replica};
+use indigofold_replication::{MemberRecord, Replica};
 use indigofold_scheduler::Event;
 use inspections::Inspections;
 use replica_inputs::ReplicaInputs;
@@ -54,7 +54,11 @@
 
 impl CoreMember {
     /// Creates a member from the record on its disk; `durable` is `None` if the disk holds no record.
-    pub fn new(settings: CoreMemberSettings, durable: Option<Durable>, clocks: Clocks) -> Self {
+    pub fn new(
+        settings: CoreMemberSettings,
+        durable: Option<MemberRecord>,
+        clocks: Clocks,
+    ) -> Self {
         let replica_settings = indigofold_replication::Settings {
             address: settings.address.clone(),
             seeds: settings.seeds.clone(),
--- a/crates/ctl/tests/replicas.rs
+++ b/crates/ctl/tests/replicas.rs
@@ -5,7 +5,7 @@
 use indigofold_ctl::replicas::{Replica, WriteHistory, common_seq, compare, run};
 use indigofold_protocol::internal::MemberAddress;
 use indigofold_replication::{
-    Batch, Durable, Member, RowChange, Storage, StoreOperation, StoreRequest, ViewNumber,
+    Batch, Member, MemberRecord, RowChange, Storage, StoreOperation, StoreRequest, ViewNumber,
     ViewStart, Viewstamp,
 };
 use rstest::rstest;
@@ -49,7 +49,7 @@
         }))
     });
     let internal = ([10, 0, 0, 1], 7380).into();
-    let durable = Durable {
+    let durable = MemberRecord {
         member: Member { internal, disk: 0 },
         promised: ViewNumber(1),
         view: None,
--- a/crates/replication/src/durable.rs
+++ b/crates/replication/src/durable.rs
@@ -9,7 +9,7 @@
 
 /// The record of a member. It is encoded with postcard: the order of fields is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Durable {
+pub struct MemberRecord {
     /// The member that the record belongs to.
     pub member: Member,
     /// Highest number that the member has promised: it takes part in no view with a lower number.
@@ -28,7 +28,7 @@
     pub addresses: Vec<MemberAddress>,
 }
 
-impl Durable {
+impl MemberRecord {
     /// Returns the number of the view accepted last, or [`ViewNumber::NONE`](crate::types::ViewNumber::NONE) if there
     /// is none.
     pub fn view_number(&self) -> ViewNumber {
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreRequest {
     /// The record as it is after the changes.
-    pub durable: Durable,
+    pub durable: MemberRecord,
     /// Changes to the rows, in order.
     pub operations: Vec<StoreOperation>,
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,7 +1,7 @@
 //! The replicated control state of the core machines: a table of rows, kept by chain replication.
 //!
 //! [`Replica`] is a state machine that does no I/O: its driver passes in [`Input`]s with the time of the monotonic
-//! clock and carries out the [`Output`]s that it returns. [`Storage`] keeps one member's rows and its [`Durable`]
+//! clock and carries out the [`Output`]s that it returns. [`Storage`] keeps one member's rows and its [`MemberRecord`]
 //! record in `SQLite`; the driver runs it on a separate thread.
 //!
 //! Writes follow chain replication (van Renesse and Schneider, OSDI 2004). A *view* defines the voters and the chain,
@@ -37,7 +37,7 @@
 pub mod timing;
 pub mod types;
 
-pub use durable::{Durable, StoreOperation, StoreRequest};
+pub use durable::{MemberRecord, StoreOperation, StoreRequest};
 pub use message::{Envelope, Message};
 pub use replica::{Input, Output, Replica, Settings};
 pub use storage::{Opened, Storage, StorageError};
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -10,7 +10,7 @@
 //! | `Head` | the leadership with its peers and writes, time of the next view change |
 //! | `Transfers` | the transfer to this member, requests of other members, samples for the trimming of tombstones |
 //! | `chain` | none: everything that a chain member needs is in the record |
-//! | `Context` | the record ([`Durable`]), queued stores, clock, random numbers, outputs |
+//! | `Context` | the record ([`MemberRecord`]), queued stores, clock, random numbers, outputs |
 //!
 //! `roles` handles transitions that involve several parts: a member starts to follow, promises, campaigns, leads, or
 //! transfers its leadership.
@@ -28,7 +28,7 @@
 
 pub use io::{Input, Output, Settings};
 
-use crate::durable::Durable;
+use crate::durable::MemberRecord;
 use crate::message::{Envelope, Message};
 use crate::timing::{LEASE_MS, RESUME_CAMPAIGN_INTERVAL_MS};
 use crate::types::{Member, View, ViewNumber, Viewstamp};
@@ -51,7 +51,7 @@
 
 impl Replica {
     /// Creates a member that starts with the record on its disk; `None` if the disk is empty.
-    pub fn new(settings: Settings, durable: Option<Durable>, now_ms: u64) -> Replica {
+    pub fn new(settings: Settings, durable: Option<MemberRecord>, now_ms: u64) -> Replica {
         let lease_wait_ms = if durable.is_some() { LEASE_MS } else { 0 };
         let vote_from_ms = now_ms + lease_wait_ms;
         let address = settings.address.clone();
--- a/crates/replication/src/replica/context.rs
+++ b/crates/replication/src/replica/context.rs
@@ -2,7 +2,7 @@
 
 use super::io::{Output, Settings};
 use super::store_queue::{AfterStore, StoreQueue};
-use crate::durable::Durable;
+use crate::durable::MemberRecord;
 use crate::message::{Envelope, Message};
 use crate::timing::HISTORY_MAX;
 use crate::types::{Member, SEED_DISK, View, ViewNumber, ViewStart, Viewstamp};
@@ -16,7 +16,7 @@
 pub(super) struct Context {
     settings: Settings,
     /// The record with all changes, including those that are not on disk yet.
-    pub(super) record: Durable,
+    pub(super) record: MemberRecord,
     pub(super) stores: StoreQueue,
     /// When the member was told to stop; `None` if it was not.
     draining_since_ms: Option<u64>,
@@ -30,7 +30,7 @@
 
 impl Context {
     /// Creates the context of a member that starts with the record on its disk; `None` if the disk is empty.
-    pub(super) fn new(settings: Settings, record: Option<Durable>, now_ms: u64) -> Context {
+    pub(super) fn new(settings: Settings, record: Option<MemberRecord>, now_ms: u64) -> Context {
         let mut random = Pcg64Mcg::seed_from_u64(settings.random_seed);
         let stores = StoreQueue::new(record.as_ref());
         let record = record.unwrap_or_else(|| first_record(&settings, &mut random));
@@ -172,7 +172,7 @@
 }
 
 /// Returns the record of a member whose disk is empty.
-fn first_record(settings: &Settings, random: &mut Pcg64Mcg) -> Durable {
+fn first_record(settings: &Settings, random: &mut Pcg64Mcg) -> MemberRecord {
     let internal = settings.address.internal;
     let is_seed = settings.bootstrap && settings.seeds.contains(&internal);
     let view = is_seed.then(|| View::first(&settings.seeds));
@@ -186,7 +186,7 @@
         view: view.number,
         seq: 0,
     };
-    Durable {
+    MemberRecord {
         member: Member { internal, disk },
         promised: viewstamp.view,
         agreed: is_seed,
--- a/crates/replication/src/replica/store_queue.rs
+++ b/crates/replication/src/replica/store_queue.rs
@@ -1,7 +1,7 @@
 //! The stores of a member, one at a time: all changes requested while a store is under way are combined in the next one
 //! (group commit).
 
-use crate::durable::{Durable, StoreOperation, StoreRequest};
+use crate::durable::{MemberRecord, StoreOperation, StoreRequest};
 use crate::message::Message;
 use crate::timing::STORE_RETRY_MS;
 use crate::types::{ViewNumber, Viewstamp};
@@ -60,10 +60,10 @@
 
 impl StoreQueue {
     /// Creates the queue of a member that has this record on its disk; `None` if the disk is empty.
-    pub(super) fn new(durable: Option<&Durable>) -> StoreQueue {
+    pub(super) fn new(durable: Option<&MemberRecord>) -> StoreQueue {
         StoreQueue {
             stored_viewstamp: durable.map_or(Viewstamp::default(), |d| d.viewstamp),
-            stored_view: durable.map_or(ViewNumber::NONE, Durable::view_number),
+            stored_view: durable.map_or(ViewNumber::NONE, MemberRecord::view_number),
             last_store: 0,
             in_flight: None,
             operations: Vec::new(),
@@ -127,7 +127,7 @@
     pub(super) fn start(
         &mut self,
         now_ms: u64,
-        durable: &Durable,
+        durable: &MemberRecord,
     ) -> Option<(u64, Arc<StoreRequest>)> {
         if self.in_flight.is_some() {
             return self.retry(now_ms);
--- a/crates/replication/src/replica/transfers.rs
+++ b/crates/replication/src/replica/transfers.rs
@@ -8,7 +8,7 @@
 use super::context::Context;
 use super::io::Output;
 use super::store_queue::AfterStore;
-use crate::durable::{Durable, StoreOperation};
+use crate::durable::{MemberRecord, StoreOperation};
 use crate::message::{Fetch, Message, Rows};
 use crate::timing::TRANSFER_BYTES;
 use crate::types::{Member, RowsChunk, View, ViewNumber, ViewStart, Viewstamp};
@@ -259,7 +259,7 @@
 
 /// Returns true if the state `viewstamp` is a prefix of the state of `durable`, and the tombstones of all later
 /// deletions are still there. A member with that state needs only the rows that changed after it.
-fn is_earlier_state_of(viewstamp: Viewstamp, durable: &Durable) -> bool {
+fn is_earlier_state_of(viewstamp: Viewstamp, durable: &MemberRecord) -> bool {
     if viewstamp.seq < durable.trimmed || viewstamp.view == ViewNumber::NONE {
         return false;
     }
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -11,7 +11,7 @@
 
 pub use error::StorageError;
 
-use crate::durable::{Durable, StoreOperation, StoreRequest};
+use crate::durable::{MemberRecord, StoreOperation, StoreRequest};
 use crate::types::{RowsChunk, ViewStart, Viewstamp};
 use error::DatabaseSnafu;
 use rusqlite::{Connection, TransactionBehavior};
@@ -25,7 +25,7 @@
     /// The database.
     pub storage: Storage,
     /// The member's record; `None` if the database is empty.
-    pub durable: Option<Durable>,
+    pub durable: Option<MemberRecord>,
     /// The unusable database that this opening has quarantined, if any.
     pub quarantined: Option<Quarantined>,
     /// Whether this or an earlier opening has quarantined a database, so that the member's earlier promises are lost.
--- a/crates/replication/src/storage/schema.rs
+++ b/crates/replication/src/storage/schema.rs
@@ -6,7 +6,7 @@
 };
 use super::files::{log_path, sync_folder};
 use super::{checksum, log, rows};
-use crate::durable::Durable;
+use crate::durable::MemberRecord;
 use rusqlite::{Connection, OptionalExtension, params};
 use snafu::{OptionExt, ResultExt, ensure};
 use std::fs;
@@ -42,7 +42,7 @@
 /// An open database and its record.
 pub(super) struct Loaded {
     pub connection: Connection,
-    pub durable: Option<Durable>,
+    pub durable: Option<MemberRecord>,
 }
 
 /// Opens and verifies the database and reads its record; creates the tables if there are none.
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-fn read_record(connection: &Connection, path: &Path) -> Result<Option<Durable>, StorageError> {
+fn read_record(connection: &Connection, path: &Path) -> Result<Option<MemberRecord>, StorageError> {
     let bytes: Option<Vec<u8>> = connection
         .query_row("SELECT value FROM meta WHERE name = 'record'", [], |row| {
             row.get(0)
@@ -104,7 +104,7 @@
     bytes.map(|bytes| decode_record(&bytes, path)).transpose()
 }
 
-fn decode_record(sealed: &[u8], path: &Path) -> Result<Durable, StorageError> {
+fn decode_record(sealed: &[u8], path: &Path) -> Result<MemberRecord, StorageError> {
     let record = checksum::open_record(sealed).context(DamagedRecordSnafu { path })?;
     postcard::from_bytes(record).context(RecordSnafu { path })
 }
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -4,7 +4,7 @@
 use indigofold_replication::message::{Grant, Heartbeat, PreVote, PreVoteReply, PrepareOk, Write};
 use indigofold_replication::timing::{LEASE_MS, LEASE_USED_PERCENT};
 use indigofold_replication::{
-    Batch, Durable, Envelope, Input, Member, Message, Output, Replica, RowChange, Settings,
+    Batch, Envelope, Input, Member, MemberRecord, Message, Output, Replica, RowChange, Settings,
     SubmissionId, View, ViewNumber, ViewStart, Viewstamp,
 };
 use rstest::rstest;
@@ -71,7 +71,7 @@
             view: ViewNumber(VIEW),
             seq: SEQ,
         };
-        let durable = Durable {
+        let durable = MemberRecord {
             member: member(own),
             promised: view.number,
             agreed: true,
--- a/crates/replication/tests/simulation/disk.rs
+++ b/crates/replication/tests/simulation/disk.rs
@@ -1,6 +1,6 @@
 //! The synced contents of a member's disk.
 
-use indigofold_replication::{Durable, Row, RowsChunk, StoreOperation, StoreRequest};
+use indigofold_replication::{MemberRecord, Row, RowsChunk, StoreOperation, StoreRequest};
 use std::collections::BTreeMap;
 
 /// A row on disk; without a value it is a tombstone.
@@ -13,7 +13,7 @@
 /// Rows and record on disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
-    pub durable: Option<Durable>,
+    pub durable: Option<MemberRecord>,
     pub rows: BTreeMap<Vec<u8>, StoredRow>,
 }
 
--- a/crates/replication/tests/stored_forms.rs
+++ b/crates/replication/tests/stored_forms.rs
@@ -8,7 +8,7 @@
     self, Fetch, Grant, Heartbeat, PreVote, PreVoteReply, PrepareOk, Rows, Write,
 };
 use indigofold_replication::{
-    Batch, Durable, Envelope, Member, Message, Row, RowChange, Storage, StoreRequest, View,
+    Batch, Envelope, Member, MemberRecord, Message, Row, RowChange, Storage, StoreRequest, View,
     ViewNumber, ViewStart, Viewstamp,
 };
 use std::collections::BTreeMap;
@@ -77,8 +77,8 @@
 }
 
 /// Returns the record in the fixture.
-fn record() -> Durable {
-    Durable {
+fn record() -> MemberRecord {
+    MemberRecord {
         member: member(2),
         promised: ViewNumber(301),
         view: Some(view()),
